--- a/choice/api.go
+++ b/choice/api.go
@@ -35,17 +35,17 @@
 	Tariffs        Tariffs
 }
 
-// Class is a class of requests.
+// Class is a class of requests. Its CBOR form goes from one process of a node to the next one: the tags are its names there.
 type Class struct {
-	Name       string
-	Former     bool          // it left the settings: only what came before has it, and what was on the way then
-	SetupAim   time.Duration // wanted time to set a connection up
-	Deadline   time.Duration // the client's whole patience
-	MessageAim time.Duration // wanted time of a message on an open connection; 0 where not told
-	Worth      float64
-	Repeat     Repeat
-	Scope      Scope         // Keyed: the servers that drop repeats of a request
-	Window     time.Duration // Keyed: how long they remember, from the send of the attempt that may have run
+	Name       string        `cbor:"Name"`
+	Former     bool          `cbor:"Former"`     // it left the settings: only what came before has it, and what was on the way then
+	SetupAim   time.Duration `cbor:"SetupAim"`   // wanted time to set a connection up
+	Deadline   time.Duration `cbor:"Deadline"`   // the client's whole patience
+	MessageAim time.Duration `cbor:"MessageAim"` // wanted time of a message on an open connection; 0 where not told
+	Worth      float64       `cbor:"Worth"`
+	Repeat     Repeat        `cbor:"Repeat"`
+	Scope      Scope         `cbor:"Scope"`  // Keyed: the servers that drop repeats of a request
+	Window     time.Duration `cbor:"Window"` // Keyed: how long they remember, from the send of the attempt that may have run
 }
 
 // forgets is when servers no longer tell a repeat of what was sent then from a new request; 0: the class has no such time.
@@ -170,17 +170,17 @@
 	Gone
 )
 
-// Server is one entry of the list.
+// Server is one entry of the list. Its CBOR form goes from one process of a node to the next one: the tags are its names there.
 type Server struct {
-	ID      ServerID
-	Zone    string
-	Kind    string // machine kind; only compared for equality
-	Cell    int
-	State   ServerState
-	Size    float64
-	Started time.Duration // clock time of its last start, as the list tells it; 0: long ago
+	ID      ServerID      `cbor:"ID"`
+	Zone    string        `cbor:"Zone"`
+	Kind    string        `cbor:"Kind"` // machine kind; only compared for equality
+	Cell    int           `cbor:"Cell"`
+	State   ServerState   `cbor:"State"`
+	Size    float64       `cbor:"Size"`
+	Started time.Duration `cbor:"Started"` // clock time of its last start, as the list tells it; 0: long ago
 	// ColdSince is when it started by the clock of Step, where that differs from the list's; 0: it does not.
-	ColdSince time.Duration
+	ColdSince time.Duration `cbor:"ColdSince"`
 }
 
 type (
