--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -117,7 +117,15 @@
 }
 
 // Counts are for operators.
-type Counts struct{ Sent, SentBytes, Taken, Foreign, Spoilt, Late, Dropped uint64 }
+type Counts struct {
+	Sent      uint64 `json:"Sent"`
+	SentBytes uint64 `json:"SentBytes"`
+	Taken     uint64 `json:"Taken"`
+	Foreign   uint64 `json:"Foreign"`
+	Spoilt    uint64 `json:"Spoilt"`
+	Late      uint64 `json:"Late"`
+	Dropped   uint64 `json:"Dropped"`
+}
 
 // New begins a node's part in its fleet.
 func New(o Options, now time.Duration) (*Agent, error) {
