--- /dev/null
+++ b/internal/edge/golden_test.go
@@ -0,0 +1,58 @@
+package edge
+
+import (
+	"encoding/hex"
+	"flag"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"spurwinch/choice"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// TestGoldenStanding holds the bytes by which one process tells another of an open connection, each field with a value of its own.
+func TestGoldenStanding(t *testing.T) {
+	want := Standing{
+		ID: "request-1",
+		Class: choice.Class{Name: "class-2", Former: true, SetupAim: 3 * time.Second, Deadline: 4 * time.Second, MessageAim: 5 * time.Second,
+			Worth: 6.5, Repeat: choice.Keyed, Scope: choice.ScopeCell, Window: 7 * time.Second},
+		Tenant: "tenant-8", Key: 9, Group: 10, Usual: 11.5, Now: 12.5, Returned: true,
+		Host: choice.Server{ID: "host-13", Zone: "zone-14", Kind: "kind-15", Cell: 16, State: choice.Draining, Size: 17.5, Started: 18 * time.Second,
+			ColdSince: 19 * time.Second},
+		Addr: "127.0.0.1:20",
+	}
+	body, err := cbor.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const name = "testdata/standing.cbor.hex"
+	if *update {
+		if err := os.WriteFile(name, []byte(hex.EncodeToString(body)+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := hex.EncodeToString(body); got != strings.TrimSpace(string(text)) {
+		t.Errorf("it is written as\n%s\nwant\n%s", got, text)
+	}
+	raw, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got Standing
+	if err := cbor.Unmarshal(raw, &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("it is read as\n%+v (error %v), want\n%+v", got, err, want)
+	}
+	if err := got.Check(); err != nil {
+		t.Errorf("Check finds %v, want nothing", err)
+	}
+}
--- /dev/null
+++ b/internal/node/golden_test.go
@@ -0,0 +1,70 @@
+package node
+
+import (
+	"fmt"
+	"os"
+	"testing"
+	"time"
+
+	"spurwinch/choice"
+	"spurwinch/internal/edge"
+	"spurwinch/internal/invariant"
+	"spurwinch/internal/trace"
+)
+
+// TestGoldenDoor holds the bodies of /api/reasons and /api/telemetry: all that is counted in a process, one a line.
+func TestGoldenDoor(t *testing.T) {
+	var p Program
+	for range 2 {
+		p.trace.Closed("request", trace.ClientEnded)
+	}
+	for range 3 {
+		p.trace.Retried("request", choice.TimedOut.String())
+	}
+	for range 4 {
+		p.trace.Answered("request", true, trace.Stopping)
+	}
+	for range 5 {
+		p.trace.Answered("request", true, trace.Reason(choice.ServersCrowded.String()))
+	}
+	begin := time.Unix(1e9, 0)
+	for i := range 6 {
+		r := p.monitor.NewRequest(invariant.Facts{ID: "request", Class: choice.Class{Repeat: choice.Safe}, Deadline: begin, Attempts: 2})
+		r.Start(invariant.Host{ID: "host"}, begin)
+		if i > 1 {
+			r.Send(invariant.Host{ID: "host"}, begin)
+		}
+		if i > 2 {
+			r.Close(invariant.ByNode, false)
+		}
+	}
+	holds(t, "testdata/reasons.txt", string(p.reasons(nil)))
+
+	*p.figures.Class("class-1") = edge.Counts{Served: 11, Refused: 12, Failed: 13}
+	p.figures.Attempts, p.figures.ReloadsOK, p.figures.ReloadsFailed = 14, 15, 16
+	holds(t, "testdata/telemetry.txt", string(p.telemetry(nil)))
+}
+
+// TestGoldenReasonWords holds the words for outcomes and for the reasons of the module's answers.
+func TestGoldenReasonWords(t *testing.T) {
+	got := ""
+	for outcome := choice.Served; outcome <= choice.Moot; outcome++ {
+		got += fmt.Sprintf("outcome %d %s, never ran: %v\n", outcome, outcome, outcome.NeverRan())
+	}
+	for reason := choice.Unspecified; reason <= choice.Withdrawn; reason++ {
+		got += fmt.Sprintf("reason %d %s\n", reason, reason)
+	}
+	holds(t, "testdata/reason_words.txt", got)
+}
+
+// holds compares a text with a golden file.
+func holds(t *testing.T, name, got string) {
+	t.Helper()
+	want, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	}
+}
--- a/internal/operate/capture/record.go
+++ b/internal/operate/capture/record.go
@@ -16,15 +16,15 @@
 
 // Header opens each file.
 type Header struct {
-	Version int
-	Node    string
-	Zone    string // of the node
-	Start   int64  // Unix time of offset 0, ns
-	File    int    // number of the file since the program's start, from 0
-	Share   float64
-	Classes []string
-	Tenants []string
-	Fields  []string // names of a report's values, in order
+	Version int      `cbor:"Version"`
+	Node    string   `cbor:"Node"`
+	Zone    string   `cbor:"Zone"`  // of the node
+	Start   int64    `cbor:"Start"` // Unix time of offset 0, ns
+	File    int      `cbor:"File"`  // number of the file since the program's start, from 0
+	Share   float64  `cbor:"Share"`
+	Classes []string `cbor:"Classes"`
+	Tenants []string `cbor:"Tenants"`
+	Fields  []string `cbor:"Fields"` // names of a report's values, in order
 }
 
 // Answer is the final answer of a request.
--- /dev/null
+++ b/internal/trace/golden_test.go
@@ -0,0 +1,38 @@
+package trace
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+)
+
+// TestGoldenReasons counts each reason a number of times of its own: their kinds, names, order and counts are those of the golden file.
+func TestGoldenReasons(t *testing.T) {
+	var r Recorder
+	for i, why := range []Close{ClientEnded, ClientReset, ClientBroken, ClientSilent, ClientEvicted, HostEnded, HostReset, HostServed, NodeAnswered,
+		NodeStopping, NodeMovedClient, HandedOver} {
+		for range 1 + i {
+			r.Closed("request", why)
+		}
+	}
+	for i, outcome := range []string{"timed_out", "reset"} {
+		for range 21 + i {
+			r.Retried("request", outcome)
+		}
+	}
+	for i, why := range []Reason{Stopping, NoDescriptor, NoPolicy, IDInUse, HostLost, PastDeadline, Unreachable, LostByModule, UnsafeToRefuse} {
+		for range 31 + i {
+			r.Answered("request", i%2 == 0, why)
+		}
+	}
+	var got strings.Builder
+	r.Each(func(kind, reason string, count uint64) { fmt.Fprintf(&got, "%s %s %d\n", kind, reason, count) })
+	want, err := os.ReadFile("testdata/reasons.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("the reasons are told as\n%s\nwant\n%s", got.String(), want)
+	}
+}
--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,223 @@
+package wire
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"spurwinch/choice"
+)
+
+// The golden files hold the exchange with the simulator and its settings as a whole: each key has a value of its own, so that a key that is
+// read into another field, or not at all, is seen.
+
+func golden(t *testing.T, name string) []byte {
+	t.Helper()
+	raw, err := os.ReadFile("testdata/" + name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// TestGoldenSettings reads a setup object that has every key.
+func TestGoldenSettings(t *testing.T) {
+	ms := time.Millisecond
+	raw := golden(t, "settings.json")
+	got, err := DecodeSettings(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Settings{
+		Settings: choice.Settings{
+			Nodes: 21, Node: 3, Zone: "zone-1", Grouped: true, PassThru: true, Park: 18 * time.Second, Subscribe: true,
+			Classes: []choice.Class{
+				{Name: "class-1", SetupAim: 330 * ms, Deadline: 35 * time.Second, MessageAim: 150 * ms, Worth: 36, Repeat: choice.Keyed,
+					Scope: choice.ScopeZone, Window: 34 * time.Second},
+				{Name: "class-2", SetupAim: 370 * ms, Deadline: 39 * time.Second, MessageAim: 160 * ms, Worth: 40, Repeat: choice.Unsafe,
+					Scope: choice.ScopeCell, Window: 38 * time.Second},
+				{Name: "class-3", SetupAim: 410 * ms, Deadline: 43 * time.Second, MessageAim: 170 * ms, Worth: 44, Repeat: choice.Safe,
+					Scope: choice.ScopeAll, Window: 42 * time.Second},
+			},
+			Tenants: []choice.Tenant{
+				{Name: "tenant-1", Rate: 11, Connections: 19, Share: 0.12},
+				{Name: "tenant-2", Rate: 13, Connections: 20, Share: 0.14},
+			},
+			Reports: choice.ProbeReports,
+			Fields: []choice.Field{choice.Load, choice.PiledUp, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency,
+				choice.Throughput, choice.ErrorRate, choice.OtherField},
+			Sizes: choice.LiveSize, TellsDelay: true, OverQuotaWorth: 0.29, WorthByWork: true, Round: 45 * ms,
+			Limits: choice.Limits{Attempts: 32, MayProbe: true, MayCancel: true, MayTell: true, SecondCopies: true, RetryAdvice: true,
+				MaxRetryAdvice: 31 * time.Second, ConnectTimeout: 300 * ms},
+			Rules: choice.Rules{AnswerSlack: 220 * ms, AskWithin: 23 * time.Second, DrainGrace: 28 * time.Second, ColdShare: 0.24,
+				WarmUp: 27 * time.Second, FallMultiple: 25, FallTime: 26 * time.Second},
+			Tariffs: choice.Tariffs{Probe: 0.5, Move: 0.48, Peer: 0.49, CrossZone: 0.46, LateFail: 0.47, Waste: 0.51},
+		},
+		ClassByName:  map[string]int{"class-1": 0, "class-2": 1, "class-3": 2},
+		TenantByName: map[string]int{"tenant-1": 0, "tenant-2": 1},
+		ReportFields: []string{"x0", "x1", "outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s", "not_known"},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("the settings are read as\n%+v, want\n%+v", got, want)
+	}
+	// The object as it was read, written again: the same keys in the same order with the same values.
+	var in setup
+	if err := json.Unmarshal(raw, &in); err != nil {
+		t.Fatal(err)
+	}
+	if written, err := json.Marshal(in); err != nil || !bytes.Equal(written, bytes.TrimSpace(raw)) {
+		t.Errorf("the settings are written as\n%s (error %v), want\n%s", written, err, raw)
+	}
+}
+
+// TestGoldenSettingsWords holds the words that stand for values in the settings.
+func TestGoldenSettingsWords(t *testing.T) {
+	decode := func(old, with string) choice.Settings {
+		t.Helper()
+		raw := string(golden(t, "settings.json"))
+		if !strings.Contains(raw, old) {
+			t.Fatalf("%s is not in the golden settings", old)
+		}
+		got, err := DecodeSettings([]byte(strings.Replace(raw, old, with, 1)))
+		if err != nil {
+			t.Fatalf("with %s: %v", with, err)
+		}
+		return got.Settings
+	}
+	for word, want := range map[string]choice.Channel{"": choice.NoReports, "off": choice.NoReports, "on_probe": choice.ProbeReports, "inline": choice.AllReports} {
+		if got := decode(`"via":"on_probe"`, `"via":"`+word+`"`).Reports; got != want {
+			t.Errorf("loadReport.via %q is read as %d, want %d", word, got, want)
+		}
+	}
+	for word, want := range map[string]choice.SizeKind{"": choice.NoSize, "off": choice.NoSize, "nominal": choice.NominalSize, "rough": choice.NominalSize,
+		"live": choice.LiveSize, "not_known": choice.NoSize} {
+		if got := decode(`"weightSource":"live"`, `"weightSource":"`+word+`"`).Sizes; got != want {
+			t.Errorf("weightSource %q is read as %d, want %d", word, got, want)
+		}
+	}
+	for word, want := range map[string]choice.Scope{"": choice.ScopeAll, "all": choice.ScopeAll, "zone": choice.ScopeZone, "cell": choice.ScopeCell} {
+		if got := decode(`"dedupScope":"zone"`, `"dedupScope":"`+word+`"`).Classes[0].Scope; got != want {
+			t.Errorf("dedupScope %q is read as %d, want %d", word, got, want)
+		}
+	}
+	for word, want := range map[string]choice.Repeat{"safe": choice.Safe, "keyed": choice.Keyed, "unsafe": choice.Unsafe} {
+		if got := decode(`"idempotency":"keyed"`, `"idempotency":"`+word+`"`).Classes[0].Repeat; got != want {
+			t.Errorf("idempotency %q is read as %d, want %d", word, got, want)
+		}
+	}
+	if decode(`"mode":"pass"`, `"mode":"proxy"`).PassThru || decode(`"membershipMode":"on_request"`, `"membershipMode":"push"`).Subscribe ||
+		decode(`"worthBy":"work"`, `"worthBy":"request"`).WorthByWork {
+		t.Error("domain.mode proxy, membershipMode push or worthBy request is read as its opposite")
+	}
+}
+
+// TestGoldenBatch reads a batch whose one event and its one member have every key.
+func TestGoldenBatch(t *testing.T) {
+	raw := golden(t, "batch.json")
+	var got batch
+	if err := json.Unmarshal(raw, &got); err != nil {
+		t.Fatal(err)
+	}
+	num := func(v float64) *float64 { return &v }
+	trial, peer, ts, seq := 4, 15, 1.5, uint64(2)
+	want := batch{TsS: &ts, Seq: &seq, Inbox: []event{{Op: "Completed", NodeID: "node-1", OpID: "op-2", Host: "host-3", Trial: &trial, RttS: 0.5,
+		NoMore: true, RC: "reset", Feedback: []*float64{num(0.6), nil, num(0.7)}, Lane: "class-1", Owner: "tenant-2", Object: 8, Group: 9,
+		ExpiresIn: num(10.5), EstimateS: 0.11, Options: 25, Token: "token-12", Sort: 13, X: num(1400), SrcPeer: &peer,
+		Payload: []byte{0, 255, 16, 128}, Form: "incr", Members: []member{{Host: "host-16", RegionPart: "zone-17", Shape: "kind-18", Pod: 19,
+			Status: "quiescing", Heft: num(20.5), StartedAtS: 21.5}}, Nonce: json.RawMessage("18446744073709551615"),
+		Setup: json.RawMessage(`{"az":"zone-22"}`)}}}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("the batch is read as\n%+v, want\n%+v", got, want)
+	}
+	if written, err := json.Marshal(got); err != nil || !bytes.Equal(written, bytes.TrimSpace(raw)) {
+		t.Errorf("the batch is written as\n%s (error %v), want\n%s", written, err, raw)
+	}
+}
+
+// TestGoldenEvents has each kind of event of the simulator become an event of the module.
+func TestGoldenEvents(t *testing.T) {
+	n := &node{classes: map[string]int{"class-1": 1, "class-2": 2}, tenants: map[string]int{"tenant-3": 3, "tenant-4": 4}}
+	request := choice.Request{ID: "op-1", Class: 2, Tenant: 4, Key: 5, Group: 6, Left: 7500 * time.Millisecond, Load: 0.8, MidFlow: true, Returned: true}
+	short := choice.Request{ID: "op-1", Class: 1, Tenant: -1, Left: time.Second}
+	const keys = `"opId":"op-1","lane":"class-2","owner":"tenant-4","object":5,"group":6,"expiresInS":7.5,"estimateS":0.8,"options":25`
+	member := func(host, status, rest string) string {
+		return `{"host":"` + host + `","status":"` + status + `"` + rest + `}`
+	}
+	for _, c := range []struct {
+		raw  string
+		want choice.Event
+	}{
+		{`{"op":"Inbound",` + keys + `}`, request},
+		{`{"op":"Inbound","opId":"op-1","lane":"class-1","owner":"stranger","expiresInS":1,"estimateS":0.8}`, short},
+		{`{"op":"Carried","host":"host-9",` + keys + `}`, choice.OpenConnection{Request: request, Server: "host-9"}},
+		{`{"op":"Streaming","opId":"op-1","trial":2,"host":"host-3","rttS":0.004}`,
+			choice.Established{ID: "op-1", Attempt: 2, Server: "host-3", Took: 4 * time.Millisecond}},
+		{`{"op":"Completed","opId":"op-1","trial":2,"host":"host-3","rttS":0.004,"noMore":true,"rc":"error","feedback":[5,6]}`,
+			choice.AttemptEnded{ID: "op-1", Attempt: 2, Server: "host-3", Outcome: choice.Failed, Took: 4 * time.Millisecond, Final: true,
+				Report: []float64{5, 6}}},
+		{`{"op":"Checked","host":"host-3","rttS":0.004,"rc":"ok","feedback":[5,6]}`,
+			choice.ProbeResult{Server: "host-3", Outcome: choice.Served, Took: 4 * time.Millisecond, Report: []float64{5, 6}}},
+		{`{"op":"HintUpdate","opId":"op-1","trial":2,"sort":1,"x":3000000}`, choice.LoadNote{ID: "op-1", Attempt: 2, Load: 3}},
+		{`{"op":"HintUpdate","opId":"op-1","host":"host-3","sort":2,"x":4}`,
+			choice.DelayNote{ID: "op-1", Server: "host-3", Took: 4 * time.Millisecond}},
+		{`{"op":"HintUpdate","opId":"op-1","sort":3,"x":4}`, nil},
+		{`{"op":"ClientGone","opId":"op-1"}`, choice.ClientGone{ID: "op-1"}},
+		{`{"op":"NoteFrom","srcPeer":3,"payload":"AP8QgA=="}`, choice.PeerMessage{From: 3, Data: []byte{0, 255, 16, 128}}},
+		{`{"op":"NoteFrom","payload":"AA=="}`, choice.PeerMessage{From: -1, Data: []byte{0}}},
+		{`{"op":"TimeoutFired","token":"token-1"}`, choice.TimerFired{Token: "token-1"}},
+		{`{"op":"Registry","form":"total","members":[` + member("host-1", "live", `,"regionPart":"zone-2","shape":"kind-3","pod":4,"heft":5.5,"startedAtS":6.5`) +
+			`,` + member("host-7", "quiescing", "") + `,` + member("host-8", "dead", "") + `]}`,
+			choice.ServerList{Kind: choice.ListWhole, Servers: []choice.Server{
+				{ID: "host-1", Zone: "zone-2", Kind: "kind-3", Cell: 4, State: choice.Ready, Size: 5.5, Started: 6500 * time.Millisecond},
+				{ID: "host-7", State: choice.Draining, Size: 1}, {ID: "host-8", State: choice.Gone, Size: 1}}}},
+		{`{"op":"Registry","form":"incr"}`, choice.ServerList{Kind: choice.ListChange}},
+		{`{"op":"Registry","form":"warm_copy"}`, choice.ServerList{Kind: choice.ListCached}},
+		{`{"op":"Registry","form":"lost"}`, choice.ServerList{Kind: choice.ListLost}},
+	} {
+		var e event
+		if err := json.Unmarshal([]byte(c.raw), &e); err != nil {
+			t.Fatal(err)
+		}
+		if got, err := n.event(&e); err != nil || !reflect.DeepEqual(got, c.want) {
+			t.Errorf("%s is read as %#v (error %v), want %#v", c.raw, got, err, c.want)
+		}
+	}
+	for word, want := range map[string]choice.Outcome{"ok": choice.Served, "error": choice.Failed, "full": choice.Full, "timeout": choice.TimedOut,
+		"connect_failed": choice.ConnectFailed, "reset": choice.Reset, "cancelled": choice.Cancelled, "moot": choice.Moot} {
+		got, err := n.event(&event{Op: "Checked", Host: "host-1", RC: word})
+		if result, ok := got.(choice.ProbeResult); err != nil || !ok || result.Outcome != want {
+			t.Errorf("rc %q is read as %#v (error %v), want outcome %v", word, got, err, want)
+		}
+	}
+}
+
+// TestGoldenReply writes each kind of step of a reply.
+func TestGoldenReply(t *testing.T) {
+	out := reply{Seq: 7}
+	for _, a := range []choice.Action{
+		choice.Send{ID: "op-2", Server: "host-3", Cap: 250 * time.Millisecond, By: 17 * time.Second},
+		choice.Refuse{ID: "op-4", After: 1750 * time.Millisecond, Reason: choice.Overloaded},
+		choice.Fail{ID: "op-5", Reason: choice.MayHaveRun},
+		choice.Cancel{ID: "op-6", Attempt: 8},
+		choice.Probe{Server: "host-9"},
+		choice.Move{ID: "op-10"},
+		choice.SetTimer{Token: "token-11", After: 125 * time.Millisecond, For: "op-2"},
+		choice.SetTimer{Token: "token-12"},
+		choice.Tell{To: 13, Data: []byte{0, 255, 16, 128}},
+		choice.Follow{},
+	} {
+		out.Steps = append(out.Steps, toStep("node-1", a))
+	}
+	want := bytes.TrimSpace(golden(t, "reply.json"))
+	if got, err := json.Marshal(out); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("the reply is written as\n%s (error %v), want\n%s", got, err, want)
+	}
+	var back reply
+	if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, out) {
+		t.Errorf("the reply is read as\n%+v (error %v), want\n%+v", back, err, out)
+	}
+}
