--- /dev/null
+++ b/internal/failover/golden_test.go
@@ -0,0 +1,199 @@
+package failover
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"spurwinch/internal/policy"
+)
+
+// update has the golden files written anew. Nodes of older versions read and write what is in them: a change of a golden file is a change of
+// the protocol.
+var update = flag.Bool("update", false, "write the golden files of testdata anew")
+
+// goldenSum is evidence with each field set. Its floats are such that 16, 32 and 64 bits are needed for some of them.
+func goldenSum() Sum {
+	return Sum{
+		Zone:    "cluj-1",
+		Classes: []string{"chat", "presence"},
+		Arrived: []float32{12.25, 1000.125},
+		Refused: []float32{0.5, 3.1415927},
+		Rows: []Row{{
+			Zone:     "cluj-2",
+			Nodes:    2,
+			Ready:    7,
+			Out:      1,
+			Warm:     5.75,
+			Load:     3.3,
+			Cost:     0.04,
+			Attempts: 640,
+			Failed:   17,
+			Held:     []float32{81.5, 0.1},
+		}},
+		Words: []Word{{
+			Node:   9,
+			Plan:   70000,
+			Silent: []int{4, 300},
+			Policy: &policy.Word{
+				Entry:   1 << 33,
+				Verdict: policy.No,
+				Why:     "class chat has no host",
+				Has:     41,
+				Serves:  40,
+				May:     true,
+				Arrived: 123456.7,
+				Away:    89,
+			},
+		}, {
+			Node:   260, // one that has nothing to say of a policy
+			Plan:   69999,
+			Silent: []int{},
+		}},
+	}
+}
+
+// goldenPlan is a plan with each field set, in three zones of two regions.
+func goldenPlan() *Plan {
+	return &Plan{
+		Zones: []Zone{
+			{Name: "cluj-1", Region: "cluj", State: Returning, Nodes: 3, Listed: 4, Room: 120.5, Want: []float32{60.25, 7.7}, Guests: 11, Turns: 2,
+				Lender: 5, Reserve: 9.75},
+			{Name: "iasi-1", Region: "iasi", State: Lost, Nodes: 1, Listed: 6, Room: 33.3, Want: []float32{1, 2}, Guests: 0.25, Turns: 8, Lender: -1,
+				Reserve: 0.1},
+			{Name: "iasi-2", Region: "iasi", State: Drained, Nodes: 2, Listed: 2, Room: 70, Want: []float32{4, 0.3}, Guests: 3, Turns: 1, Lender: 9,
+				Reserve: 6},
+		},
+		Classes: []string{"chat", "presence"},
+		Grants:  []Grant{{From: 1, To: 2, Load: 44.4, Stay: 2.5}, {From: 2, To: 0, Load: 13, Stay: 12}},
+		Stay:    []bool{false, true},
+		Admit:   [][]int{{255, 200}, {17, 51}, {1, 0}},
+		Life:    10.5,
+		Lost:    []int{7, 260},
+		Why:     "iasi-1 lost: no host is listed as serving",
+		Before:  [][]float32{{1.5, 2.25, 8}, {3.3, 4, 9}, {0.7, 6, 5}},
+		Lends:   []Lend{{Zone: 1, Lender: 6, Load: 5.5}},
+		Prev:    1 << 40,
+	}
+}
+
+// goldenOrders are orders with each field set.
+func goldenOrders() Orders { return Orders{Drained: []string{"cluj-1", "iasi-1"}} }
+
+// TestGoldenSum holds the form in which evidence goes from node to aggregator and from aggregator to voter.
+func TestGoldenSum(t *testing.T) {
+	want := goldenSum()
+	wantAllSet(t, reflect.ValueOf(want), "Sum")
+	encoded := golden(t, "sum.cbor", want.Encode())
+	got, err := DecodeSum(encoded)
+	if err != nil {
+		t.Fatalf("golden evidence is not read: %v", err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("golden evidence is read as\n%+v, want\n%+v", got, want)
+	}
+}
+
+// TestGoldenPlan holds the form of a plan on the agreed log, where it is stored, and on its way between nodes.
+func TestGoldenPlan(t *testing.T) {
+	want := goldenPlan()
+	wantAllSet(t, reflect.ValueOf(*want), "Plan")
+	encoded := golden(t, "plan.cbor", want.Encode())
+	got, err := DecodePlan(encoded)
+	if err != nil {
+		t.Fatalf("the golden plan is not read: %v", err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("the golden plan is read as\n%+v, want\n%+v", got, want)
+	}
+}
+
+// TestGoldenOrders holds the form of operators' orders on the agreed log.
+func TestGoldenOrders(t *testing.T) {
+	want := goldenOrders()
+	wantAllSet(t, reflect.ValueOf(want), "Orders")
+	encoded := golden(t, "orders.cbor", want.Encode())
+	got, err := DecodeOrders(encoded)
+	if err != nil {
+		t.Fatalf("golden orders are not read: %v", err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("golden orders are read as %+v, want %+v", got, want)
+	}
+}
+
+// TestGoldenNumbers holds numbers and words that stand for states: plans carry the numbers, operators' answers and logs the words.
+func TestGoldenNumbers(t *testing.T) {
+	for state, want := range []string{"well", "lost", "returning", "drained"} {
+		if got := State(state).String(); got != want {
+			t.Errorf("zone state %d is %q, want %q", state, got, want)
+		}
+	}
+	for mode, want := range []string{"alone", "planned", "ground"} {
+		if got := Mode(mode).String(); got != want {
+			t.Errorf("mode %d is %q, want %q", mode, got, want)
+		}
+	}
+	for want, state := range []State{Well, Lost, Returning, Drained} {
+		if int(state) != want {
+			t.Errorf("the number of zone state %s is %d, want %d", state, state, want)
+		}
+	}
+	if PlanKind != 1 || OrdersKind != 2 {
+		t.Errorf("kinds of entries: plan %d, orders %d, want 1 and 2", PlanKind, OrdersKind)
+	}
+}
+
+// golden gives the bytes of a golden file, and fails the test if the encoded ones are not the same.
+func golden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("%s: encoded as\n%x, want\n%x", name, encoded, want)
+	}
+	return want
+}
+
+// wantAllSet fails the test for a field that has its zero value: what a golden file doesn't show, it doesn't hold. Of lists, the first element
+// must have all set.
+func wantAllSet(t *testing.T, value reflect.Value, path string) {
+	t.Helper()
+	switch value.Kind() {
+	case reflect.Pointer:
+		if value.IsNil() {
+			t.Errorf("%s is not set", path)
+			return
+		}
+		wantAllSet(t, value.Elem(), path)
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if field := value.Type().Field(i); field.Name != "_" {
+				wantAllSet(t, value.Field(i), path+"."+field.Name)
+			}
+		}
+	case reflect.Slice:
+		if value.Len() == 0 {
+			t.Errorf("%s is empty", path)
+			return
+		}
+		if value.Type().Elem().Kind() == reflect.Struct {
+			wantAllSet(t, value.Index(0), path+"[0]")
+		}
+	default:
+		if value.IsZero() {
+			t.Errorf("%s has its zero value", path)
+		}
+	}
+}
