--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,367 @@
+package config
+
+import (
+	"bytes"
+	"flag"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/BurntSushi/toml"
+
+	"spurwinch/choice"
+	"spurwinch/internal/edge"
+	"spurwinch/internal/exchange"
+	"spurwinch/internal/membership"
+	"spurwinch/internal/policy"
+	"spurwinch/internal/tomlfile"
+	"spurwinch/internal/wire"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden reads a golden file. With -update it is written first.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// requireSet fails where no element of a list has a field of a struct at a path set, or where a single one has it zero: such a key could get another
+// name unseen.
+func requireSet(t *testing.T, path string, values ...reflect.Value) {
+	t.Helper()
+	if len(values) == 0 {
+		t.Errorf("%s is empty: the golden file has to set every key", path)
+		return
+	}
+	switch values[0].Kind() {
+	case reflect.Pointer:
+		if values[0].IsNil() {
+			t.Errorf("%s is nil: the golden file has to set every key", path)
+			return
+		}
+		requireSet(t, path, values[0].Elem())
+	case reflect.Struct:
+		if values[0].Type() == reflect.TypeFor[time.Time]() {
+			return
+		}
+		for i := range values[0].NumField() {
+			field := values[0].Type().Field(i)
+			if field.Tag.Get("toml") == "-" {
+				continue
+			}
+			if !field.Anonymous && field.Tag.Get("toml") == "" {
+				t.Errorf("%s.%s has no toml tag: its key would follow the field's name", path, field.Name)
+			}
+			var all []reflect.Value
+			for _, v := range values {
+				all = append(all, v.Field(i))
+			}
+			requireSet(t, path+"."+field.Name, all...)
+		}
+	case reflect.Slice:
+		var all []reflect.Value
+		for _, v := range values {
+			for i := range v.Len() {
+				all = append(all, v.Index(i))
+			}
+		}
+		requireSet(t, path, all...)
+	default:
+		for _, v := range values {
+			if !v.IsZero() {
+				return
+			}
+		}
+		t.Errorf("%s is zero: the golden file has to set every key", path)
+	}
+}
+
+// encode writes a value as TOML, as the converter of nginx configurations does.
+func encode(t *testing.T, v any) []byte {
+	t.Helper()
+	var b bytes.Buffer
+	enc := toml.NewEncoder(&b)
+	enc.Indent = ""
+	if err := enc.Encode(v); err != nil {
+		t.Fatal(err)
+	}
+	return b.Bytes()
+}
+
+// requireEqual compares two structs field by field, so that a message names the field at fault.
+func requireEqual(t *testing.T, path string, got, want any) {
+	t.Helper()
+	g, w := reflect.ValueOf(got), reflect.ValueOf(want)
+	if g.Kind() != reflect.Struct {
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("%s is %+v, wanted %+v", path, got, want)
+		}
+		return
+	}
+	for i := range g.NumField() {
+		if f := g.Type().Field(i); f.IsExported() {
+			if x, y := g.Field(i).Interface(), w.Field(i).Interface(); !reflect.DeepEqual(x, y) {
+				t.Errorf("%s.%s is %+v, wanted %+v", path, f.Name, x, y)
+			}
+		}
+	}
+}
+
+// goldenNode is what testdata/config.json says.
+func goldenNode() Node {
+	const ms = time.Millisecond
+	return Node{Name: "node-1", Listen: "127.0.0.1:3001", Discovery: "127.0.0.1:8501", Mgmt: "127.0.0.1:9001", Seed: 0x1f, Sockets: 385, MemoryMB: 65,
+		PeerListen: "127.0.0.1:7001",
+		Peers:      []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7002"), netip.MustParseAddrPort("127.0.0.1:7003"), netip.MustParseAddrPort("127.0.0.1:7004")},
+		Settings: wire.Settings{
+			ClassByName: map[string]int{"chat": 0, "bulk": 1}, TenantByName: map[string]int{"acme": 0},
+			ReportFields: []string{"recent_ms", "utilization", "x0", "x1", "outstanding", "backlog", "throughput", "errors_per_s", "other"},
+			Settings: choice.Settings{Nodes: 3, Node: 2, Zone: "zone-a",
+				Classes: []choice.Class{
+					{Name: "chat", SetupAim: 800 * ms, Deadline: 4 * time.Second, MessageAim: 60 * ms, Worth: 1.75, Repeat: choice.Keyed, Scope: choice.ScopeZone, Window: 6 * time.Second},
+					{Name: "bulk", SetupAim: 900 * ms, Deadline: 5 * time.Second, MessageAim: 70 * ms, Worth: 0.5, Repeat: choice.Unsafe, Scope: choice.ScopeCell, Window: 7 * time.Second}},
+				Tenants: []choice.Tenant{{Name: "acme", Rate: 10, Connections: 33, Share: 0.75}},
+				Grouped: true, PassThru: true, Park: 400 * ms, Subscribe: true, Reports: choice.AllReports,
+				Fields: []choice.Field{choice.Latency, choice.Utilization, choice.Load, choice.PiledUp, choice.InFlight, choice.Queue, choice.Throughput, choice.ErrorRate,
+					choice.OtherField},
+				Sizes: choice.LiveSize, TellsDelay: true, OverQuotaWorth: 0.05, WorthByWork: true, Round: 5 * ms,
+				Limits: choice.Limits{Attempts: 5, MayProbe: true, MayCancel: true, MayTell: true, SecondCopies: true, RetryAdvice: true,
+					MaxRetryAdvice: 2500 * ms, ConnectTimeout: 1500 * ms},
+				Rules: choice.Rules{AnswerSlack: 20 * ms, AskWithin: 10 * time.Second, DrainGrace: 3 * time.Second, ColdShare: 0.14, WarmUp: 24 * time.Second,
+					FallMultiple: 4.5, FallTime: 2 * time.Second},
+				Tariffs: choice.Tariffs{Probe: 0.002, Move: 0.006, Peer: 0.007, CrossZone: 0.003, LateFail: 0.004, Waste: 0.008}}}}
+}
+
+// TestGoldenNode holds what each key of a node's config.json means, and which variables beat it.
+func TestGoldenNode(t *testing.T) {
+	path := filepath.Join("testdata", "config.json")
+	env := map[string]string{"GW_CONFIG": path}
+	got, err := FromEnvironment(func(name string) string { return env[name] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	hosts, err := got.Known.Hosts()
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireEqual(t, "hosts", hosts, []edge.UpstreamHost{{Addr: "127.0.0.1:9101", Server: choice.Server{ID: "s-1", Zone: "zone-b", Kind: "m5", Cell: 3,
+		State: choice.Draining, Size: 1.25, Started: 1700000000123 * time.Millisecond}}})
+	if got.Known.Version != 12 || !got.Known.Full {
+		t.Errorf("the known list has version %d, full %v, wanted 12 and true", got.Known.Version, got.Known.Full)
+	}
+	got.Known = nil
+	want := goldenNode()
+	requireEqual(t, "Node", got, want)
+	requireEqual(t, "Settings", got.Settings.Settings, want.Settings.Settings)
+
+	env = map[string]string{"GW_CONFIG": path, "GW_NAME": "node-2", "GW_LISTEN": "127.0.0.1:3002", "GW_DISCOVERY": "127.0.0.1:8502", "GW_MGMT": "127.0.0.1:9002"}
+	if got, err = FromEnvironment(func(name string) string { return env[name] }); err != nil {
+		t.Fatal(err)
+	}
+	want.Name, want.Listen, want.Discovery, want.Mgmt = "node-2", "127.0.0.1:3002", "127.0.0.1:8502", "127.0.0.1:9002"
+	got.Known = nil
+	requireEqual(t, "Node by variables", got, want)
+}
+
+// goldenOperator is what testdata/operator.toml says.
+func goldenOperator() Operator {
+	const second = Duration(time.Second)
+	return Operator{
+		Limits: Limits{Connections: 4097, StanzaBytes: 262145, EarlyBytes: 65537, HeaderTime: 9 * second / 4, ShakeTime: 11 * second, Resumable: 10001},
+		Listeners: []Listener{{Addr: "127.0.0.1:5222", Protocol: "xmpp", TLS: "starttls"},
+			{Addr: "127.0.0.1:5443", Protocol: "xmpp-websocket", TLS: "direct"}},
+		Domains: []Domain{{Name: "chat.example.org", Cluster: "visits", Class: "visit", Streams: Streams{Streams: 31, Waiting: 32, Rate: 33.5, Burst: 34}}},
+		Classes: []Class{{Name: "visit", SetupAim: 17 * second / 8, Patience: 21 * second, Worth: 1.5}},
+		Clusters: []Cluster{
+			{Name: "visits", Zone: "zone-1", Sessions: 1001, Nodes: 2, Attempts: 3, ConnectTimeout: 7 * second / 4, DrainGrace: 11 * second / 4,
+				Leave: 12 * second, ColdShare: 0.16, WarmUp: 31 * second, FallMultiple: 4.25, FallTime: 33 * second / 16,
+				Hosts: []Host{{ID: "visits-1", Addr: "127.0.0.1:15222", Zone: "zone-2", Kind: "m6", Weight: 1.25, State: "draining",
+					Started: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)}}},
+			{Name: "others", Zone: "zone-3", Discovery: "127.0.0.1:8502", Sessions: 1002, Nodes: 4, Attempts: 2, ConnectTimeout: 3 * second / 2,
+				DrainGrace: 5 * second / 2, Leave: 13 * second, ColdShare: 0.17, WarmUp: 32 * second, FallMultiple: 4.5, FallTime: 65 * second / 32}},
+		Capture: Capture{Path: "captured/load", FileMB: 65, Files: 9, Share: 0.5, Key: "0123456789abcdefg", Queue: 8193},
+		Fleet: &Fleet{Self: "node-b", Listen: "127.0.0.1:7101", Nodes: "nodes.toml", KeyFile: "fleet.key", Dir: "state", Cluster: "visits",
+			ComeAgain: 5 * second / 4, PolicyLevel: 1},
+		Peers: Peers{Bits4: 24, Bits6: 56, Most: 65535, Deny: "deny.txt", Allow: "allow.txt",
+			Streams: Streams{Streams: 21, Waiting: 22, Rate: 23.5, Burst: 24}},
+		Certificates:      []Certificate{{Cert: "cert.pem", Key: "key.pem"}},
+		ClientAuthorities: "authorities.pem"}
+}
+
+// operatorFiles makes the files that testdata/operator.toml names, in a directory of the test's own that becomes the working directory.
+func operatorFiles(t *testing.T) {
+	t.Helper()
+	nodes, err := os.ReadFile(filepath.Join("testdata", "nodes.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	cert, key := exchange.Keys(t, dir, time.Now().Add(time.Hour), "chat.example.org")
+	t.Chdir(dir)
+	write := func(name string, text []byte) {
+		if err := os.WriteFile(name, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for name, path := range map[string]string{"cert.pem": cert, "authorities.pem": cert, "key.pem": key} {
+		raw, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		write(name, raw)
+	}
+	write("deny.txt", []byte("10.0.0.0/8\n"))
+	write("allow.txt", []byte("10.1.0.0/16\n"))
+	write("fleet.key", []byte(strings.Repeat("k", 32)+"\n"))
+	_, withoutPolicy, ok := bytes.Cut(nodes, []byte("[plan]"))
+	if !ok {
+		t.Fatal("testdata/nodes.toml has no [plan]")
+	}
+	write("nodes.toml", append([]byte("[plan]"), withoutPolicy...)) // one with a policy on its log has no cluster
+}
+
+// TestGoldenOperator holds what each key of an operator's file means, and the form in which the converter of nginx configurations writes one.
+func TestGoldenOperator(t *testing.T) {
+	path, err := filepath.Abs(filepath.Join("testdata", "operator.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := goldenOperator()
+	encoded := encode(t, want)
+	requireSet(t, "Operator", reflect.ValueOf(want))
+	if form := golden(t, "operator_encoded.toml", encoded); !bytes.Equal(encoded, form) {
+		t.Errorf("written as\n%s\nwanted\n%s", encoded, form)
+	}
+	operatorFiles(t)
+	got, err := ReadOperator(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.Keys == nil || got.Networks == nil || got.Fleet.List == nil || string(got.Fleet.Secret) != strings.Repeat("k", 32) {
+		t.Errorf("of the files that it names, something was not read: %+v", got)
+	}
+	list := got.Fleet.List
+	got.Keys, got.Networks, got.Fleet.List, got.Fleet.Secret = nil, nil, nil, nil
+	requireEqual(t, "Operator", got, want)
+	requireEqual(t, "Fleet", *got.Fleet, *want.Fleet)
+	if list.Addr[list.List.Index("node-b")] != "127.0.0.1:7101" {
+		t.Errorf("the addresses by number are %v", list.Addr)
+	}
+}
+
+// TestGoldenUsualValues holds the values of keys that a file leaves out.
+func TestGoldenUsualValues(t *testing.T) {
+	operator := Operator{Listeners: []Listener{{Addr: "127.0.0.1:1", Protocol: "xmpp"}}, Domains: []Domain{{Name: "d", Cluster: "c"}},
+		Clusters: []Cluster{{Name: "c", Hosts: []Host{{Addr: "127.0.0.1:2"}}}}, Capture: Capture{Path: "p", Key: "0123456789abcdef"}}
+	path := filepath.Join(t.TempDir(), "operator.toml")
+	if err := os.WriteFile(path, encode(t, operator), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got, err := ReadOperator(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	encoded := encode(t, got)
+	if want := golden(t, "operator_usual.toml", encoded); !bytes.Equal(encoded, want) {
+		t.Errorf("an operator's file with the least is filled up to\n%s\nwanted\n%s", encoded, want)
+	}
+
+	list := &FleetList{Policy: &FleetPolicy{}, NodeList: []FleetNode{{Name: "n", Addr: "127.0.0.1:1", Zone: "z", Voter: true}}}
+	if err := os.WriteFile(path, encode(t, list), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if list, err = ReadFleetList(path); err != nil {
+		t.Fatal(err)
+	}
+	const second = Duration(time.Second)
+	requireEqual(t, "Plan", list.Plan, FleetPlan{Limit: 0.85, Life: 30 * second, Hold: 4 * second, Ramp: 0.2})
+	requireEqual(t, "Policy", *list.Policy, FleetPolicy{Window: 5 * second, Answer: 10 * second})
+
+	document, err := ReadPolicy("p", []byte("[[class]]\nname = \"a\"\naim = \"1s\"\npatience = \"2s\"\n[plan]\n"), 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireEqual(t, "Document", *document, policy.Document{Attempts: 4, ComeAgain: time.Second,
+		Classes: []policy.Class{{Name: "a", Aim: time.Second, Patience: 2 * time.Second, Worth: 1}},
+		Plan:    &policy.Plan{Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second}})
+}
+
+// TestGoldenFleetList holds what each key of the list of nodes means.
+func TestGoldenFleetList(t *testing.T) {
+	got, err := ReadFleetList(filepath.Join("testdata", "nodes.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	const second = Duration(time.Second)
+	want := FleetList{
+		NodeList: []FleetNode{{Name: "node-b", Addr: "127.0.0.1:7101", Zone: "zone-1", Region: "region-1", Voter: true},
+			{Name: "node-a", Addr: "127.0.0.1:7102", Zone: "zone-2", Region: "region-2"}},
+		Plan:   FleetPlan{Limit: 0.8, Life: 31 * second, Hold: 5 * second, Ramp: 0.25, Stay: []string{"visit", "bulk"}},
+		Far:    []FleetFar{{Between: []string{"region-1", "region-2"}, Cost: 2.5}},
+		Policy: &FleetPolicy{Window: 6 * second, Answer: 11 * second}}
+	requireSet(t, "FleetList", reflect.ValueOf(want))
+	encoded := encode(t, want)
+	if form := golden(t, "nodes_encoded.toml", encoded); !bytes.Equal(encoded, form) {
+		t.Errorf("written as\n%s\nwanted\n%s", encoded, form)
+	}
+	rules, policyRules := got.Rules(), got.Policy.Rules()
+	if rules.Limit != 0.8 || rules.Life != 31*time.Second || rules.Hold != 5*time.Second || rules.Ramp != 0.25 ||
+		rules.Far("region-1", "region-2") != 2.5 || rules.Far("region-2", "region-1") != 2.5 || rules.Far("region-1", "other") != 1 {
+		t.Errorf("the rules of plans are %+v, at cost %v", rules, rules.Far("region-1", "region-2"))
+	}
+	if policyRules.Window != 6*time.Second || policyRules.Answer != 11*time.Second {
+		t.Errorf("the rules of changes are %+v", policyRules)
+	}
+	for number, node := range []membership.Node{{Name: "node-a", Zone: "zone-2", Region: "region-2"},
+		{Name: "node-b", Zone: "zone-1", Region: "region-1", Voter: true}} {
+		requireEqual(t, "node of the list", got.List.Node(number), node)
+	}
+	requireEqual(t, "addresses by number", got.Addr, []string{"127.0.0.1:7102", "127.0.0.1:7101"})
+	got.List, got.Addr = nil, nil
+	requireEqual(t, "FleetList", *got, want)
+}
+
+// TestGoldenPolicy holds what each key of a policy document means.
+func TestGoldenPolicy(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "policy.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := ReadPolicy("policy", text, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := policy.Document{Attempts: 3, ComeAgain: 2 * time.Second, OverShareWorth: 0.1,
+		Classes: []policy.Class{
+			{Name: "gold", Aim: 500 * time.Millisecond, Patience: 3 * time.Second, MessageAim: 60 * time.Millisecond, Worth: 2.5, Ground: true},
+			{Name: "plain", Aim: 800 * time.Millisecond, Patience: 4 * time.Second, MessageAim: 70 * time.Millisecond, Worth: 1.5}},
+		Tenants: []policy.Tenant{{Name: "acme", Connections: 40, Rate: 12.5}},
+		Ground:  policy.Ground{Attempts: 1, Patience: 2500 * time.Millisecond},
+		Needs:   policy.Needs{Descriptors: 512, MemoryMB: 64},
+		Plan:    &policy.Plan{Limit: 0.75, Ramp: 0.25, Hold: 5 * time.Second, Stay: []string{"plain"}, Far: []policy.Far{{A: "region-1", B: "region-2", Cost: 2}}}}
+	requireEqual(t, "Document", *got, want)
+	file := &policyFile{}
+	if f := tomlfile.Decode("policy", text, file); f.Broken() {
+		t.Fatal(f.Err())
+	}
+	requireSet(t, "policyFile", reflect.ValueOf(*file))
+	encoded := encode(t, file)
+	if form := golden(t, "policy_encoded.toml", encoded); !bytes.Equal(encoded, form) {
+		t.Errorf("written as\n%s\nwanted\n%s", encoded, form)
+	}
+}
--- /dev/null
+++ b/internal/policy/golden_test.go
@@ -0,0 +1,226 @@
+package policy
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"spurwinch/internal/agree"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden reads a golden file. With -update it is written first.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// requireSet fails where a field of v, at any depth, has its zero value: such a field could be renamed or moved unseen.
+func requireSet(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	switch v.Kind() {
+	case reflect.Pointer:
+		if v.IsNil() {
+			t.Errorf("%s is nil: the golden value has to set every field", path)
+			return
+		}
+		requireSet(t, path, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if name := v.Type().Field(i).Name; name != "_" {
+				requireSet(t, path+"."+name, v.Field(i))
+			}
+		}
+	case reflect.Slice:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty: the golden value has to set every field", path)
+		}
+		for i := range v.Len() {
+			if v.Type().Elem().Kind() == reflect.Struct {
+				requireSet(t, path, v.Index(i))
+			}
+		}
+	default:
+		if v.IsZero() {
+			t.Errorf("%s is zero: the golden value has to set every field", path)
+		}
+	}
+}
+
+// goldenState has every field set, and no two fields of a type alike.
+func goldenState() *State {
+	return &State{Number: 7, Last: 9,
+		Docs: []Numbered{{Number: 4, Text: []byte("four")}, {Number: 7, Text: []byte("seven")}},
+		Change: &Change{ID: "change-9", Number: 9, Base: 7, Text: []byte("nine"), Step: Trying,
+			Part: Part{Zone: "zone-a", OneIn: 5, Seconds: 30.5, Worse: 0.25}},
+		Ended:   []End{{ID: "change-7", Number: 7, Taken: true, Why: "all live members said yes"}, {ID: "change-8", Number: 8, Taken: true, Why: "other"}},
+		Grounds: []GroundOf{{Number: 4, Attempts: 1, Patience: 2000000}, {Number: 7, Attempts: 2, Patience: 1500000}}}
+}
+
+// TestGoldenState holds the form of a state on the agreed log: in both directions, byte for byte.
+func TestGoldenState(t *testing.T) {
+	want := goldenState()
+	requireSet(t, "State", reflect.ValueOf(want))
+	raw := golden(t, "state.cbor", want.Encode())
+	got, err := Decode(raw)
+	if err != nil {
+		t.Fatalf("the golden state: %v", err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("the golden state is read as %+v, wanted %+v", got, want)
+	}
+	if again := want.Encode(); !bytes.Equal(again, raw) {
+		t.Errorf("the state is written as %x, wanted %x", again, raw)
+	}
+}
+
+// TestGoldenCommands holds the states that each command puts on the agreed log, under which kind of entry, and what an encoded one means to the next.
+func TestGoldenCommands(t *testing.T) {
+	if Kind != 3 {
+		t.Errorf("entries of the log have kind %d, wanted 3", Kind)
+	}
+	begin := &State{Number: 7, Last: 8, Docs: []Numbered{{Number: 7, Text: []byte("seven")}}, Grounds: []GroundOf{{Number: 7, Attempts: 2, Patience: 1500000}}}
+	proposed, err := begin.Propose("change-9", 7, []byte("nine"), sound(), Part{OneIn: 5, Seconds: 30.5, Worse: 0.25})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		file string
+		next *State
+	}{
+		{"initial.cbor", &State{}},
+		{"proposed.cbor", proposed},
+		{"trial.cbor", proposed.Try()},
+		{"given_up.cbor", proposed.GiveUp("aborted by an operator")},
+		{"decided.cbor", proposed.Try().Decide(Ground{Attempts: 1, Patience: 2 * time.Second}, 7)},
+	} {
+		raw := golden(t, c.file, c.next.Encode())
+		if got := c.next.Encode(); !bytes.Equal(got, raw) {
+			t.Errorf("%s: the command writes %x, wanted %x", c.file, got, raw)
+		}
+		back, err := Decode(raw)
+		if err != nil {
+			t.Errorf("%s: %v", c.file, err)
+			continue
+		}
+		if !reflect.DeepEqual(back, c.next) {
+			t.Errorf("%s: read as %+v, wanted %+v", c.file, back, c.next)
+		}
+	}
+}
+
+// TestGoldenMessages holds the parts of messages between nodes that belong to this package: what a member says, what the leader told, and the
+// part of a proposal's call.
+func TestGoldenMessages(t *testing.T) {
+	word := Word{Entry: 11, Verdict: No, Why: "no room", Has: 12, Serves: 13, May: true, Arrived: 1400.5, Away: 15.25}
+	told := Told{Entry: 21, Force: 22, Trial: 23, Window: 5000}
+	part := Part{Zone: "zone-a", OneIn: 5, Seconds: 30.5, Worse: 0.25}
+	for _, c := range []struct {
+		file       string
+		value, got any // got: an empty one of the same type
+	}{
+		{"word.cbor", &word, &Word{}},
+		{"told.cbor", &told, &Told{}},
+		{"part.cbor", &part, &Part{}},
+	} {
+		requireSet(t, c.file, reflect.ValueOf(c.value))
+		raw := golden(t, c.file, agree.Encode(c.value))
+		if err := agree.Unmarshal(raw, c.got); err != nil {
+			t.Errorf("%s: %v", c.file, err)
+			continue
+		}
+		if !reflect.DeepEqual(c.got, c.value) {
+			t.Errorf("%s: read as %+v, wanted %+v", c.file, c.got, c.value)
+		}
+		if again := agree.Encode(c.value); !bytes.Equal(again, raw) {
+			t.Errorf("%s: written as %x, wanted %x", c.file, again, raw)
+		}
+	}
+}
+
+// TestGoldenVerdicts holds the numbers that stand for verdicts and steps in the encoded forms.
+func TestGoldenVerdicts(t *testing.T) {
+	for i, v := range []Verdict{None, Yes, No} {
+		if int(v) != i {
+			t.Errorf("verdict %d is encoded as %d", i, v)
+		}
+	}
+	for i, want := range []string{"checking", "trial"} {
+		if step := []Step{Checking, Trying}[i]; int(step) != i || step.String() != want {
+			t.Errorf("step %d is encoded as %d and printed as %q, wanted %q", i, step, step, want)
+		}
+	}
+}
+
+// TestGoldenJSON holds the names by which operators' scripts read parts of the state (spurwinchctl policy status --json).
+func TestGoldenJSON(t *testing.T) {
+	s := goldenState()
+	got, err := json.MarshalIndent(struct {
+		Ended   []End      `json:"ended"`
+		Part    Part       `json:"part"`
+		Grounds []GroundOf `json:"grounds"`
+		Docs    []Numbered `json:"docs"`
+	}{s.Ended, s.Change.Part, s.Grounds, s.Docs}, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := golden(t, "reply.json", got); !bytes.Equal(got, want) {
+		t.Errorf("written as\n%s\nwanted\n%s", got, want)
+	}
+}
+
+// goldenDocument has every field set, and no two fields of a type alike.
+func goldenDocument() *Document {
+	return &Document{Attempts: 3, ComeAgain: 2 * time.Second, OverShareWorth: 0.1,
+		Classes: []Class{{Name: "gold", Aim: 500 * time.Millisecond, Patience: 3 * time.Second, MessageAim: 60 * time.Millisecond, Worth: 2, Ground: true},
+			{Name: "plain", Aim: 800 * time.Millisecond, Patience: 4 * time.Second, MessageAim: 70 * time.Millisecond, Worth: 1, Ground: true}},
+		Tenants: []Tenant{{Name: "acme", Connections: 40, Rate: 12.5}},
+		Ground:  Ground{Attempts: 1, Patience: 1500 * time.Millisecond},
+		Needs:   Needs{Descriptors: 512, MemoryMB: 64},
+		Plan:    &Plan{Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second, Stay: []string{"plain"}, Far: []Far{{A: "r", B: "s", Cost: 2}}}}
+}
+
+// TestGoldenDiff holds what spurwinchctl policy diff prints, with each value of a document changed, gone and new.
+func TestGoldenDiff(t *testing.T) {
+	a, b := goldenDocument(), goldenDocument()
+	requireSet(t, "Document", reflect.ValueOf(a))
+	b.Attempts, b.ComeAgain, b.OverShareWorth = 4, 3*time.Second, 0.2
+	b.Classes[0] = Class{Name: "gold", Aim: 600 * time.Millisecond, Patience: 3500 * time.Millisecond, MessageAim: 65 * time.Millisecond, Worth: 2.5}
+	b.Classes[1].Name = "bulk"
+	b.Tenants[0].Connections, b.Tenants[0].Rate = 41, 13.5
+	b.Tenants = append(b.Tenants, Tenant{Name: "other", Connections: 1, Rate: 2})
+	b.Ground = Ground{Attempts: 2, Patience: time.Second}
+	b.Needs = Needs{Descriptors: 1024, MemoryMB: 128}
+	b.Plan = &Plan{Limit: 0.8, Ramp: 0.1, Hold: 5 * time.Second, Stay: []string{"gold", "bulk"}, Far: []Far{{A: "r", B: "t", Cost: 3}, {A: "t", B: "s", Cost: 4}}}
+	without := goldenDocument()
+	without.Plan = nil
+	got := strings.Join(Diff(a, b), "\n") + "\n--\n" + strings.Join(Diff(without, b), "\n") + "\n"
+	if want := golden(t, "diff.txt", []byte(got)); got != string(want) {
+		t.Errorf("printed\n%s\nwanted\n%s", got, want)
+	}
+}
+
+// TestGoldenDigest holds the digest of a text: operators compare it between nodes of two versions.
+func TestGoldenDigest(t *testing.T) {
+	const text, want = "attempts = 3\n", "e4bfc264a4062eb3"
+	if got := Digest([]byte(text)); got != want {
+		t.Errorf("digest of %q is %s, wanted %s", text, got, want)
+	}
+}
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -46,16 +46,16 @@
 // Numbered is a document that was in force.
 type Numbered struct {
 	_      struct{} `cbor:",toarray"`
-	Number uint64
-	Text   []byte
+	Number uint64   `json:"Number"`
+	Text   []byte   `json:"Text"`
 }
 
 // GroundOf is the ground policy of all documents from a number on, until the next one of another.
 type GroundOf struct {
 	_        struct{} `cbor:",toarray"`
-	Number   uint64
-	Attempts int
-	Patience int64 // microseconds
+	Number   uint64   `json:"Number"`
+	Attempts int      `json:"Attempts"`
+	Patience int64    `json:"Patience"` // microseconds
 }
 
 // Change is a change on its way.
@@ -72,19 +72,19 @@
 // Part is who serves by a change first; the zero value: nobody, all at once.
 type Part struct {
 	_       struct{} `cbor:",toarray"`
-	Zone    string
-	OneIn   int     // nodes of the list, by their numbers
-	Seconds float64 // how long
-	Worse   float64 // part of the requests that may be turned away there beyond what is elsewhere
+	Zone    string   `json:"Zone"`
+	OneIn   int      `json:"OneIn"`   // nodes of the list, by their numbers
+	Seconds float64  `json:"Seconds"` // how long
+	Worse   float64  `json:"Worse"`   // part of the requests that may be turned away there beyond what is elsewhere
 }
 
 // End is how a change ended.
 type End struct {
 	_      struct{} `cbor:",toarray"`
-	ID     string
-	Number uint64
-	Taken  bool // it was in force; else it was given up
-	Why    string
+	ID     string   `json:"ID"`
+	Number uint64   `json:"Number"`
+	Taken  bool     `json:"Taken"` // it was in force; else it was given up
+	Why    string   `json:"Why"`
 }
 
 // Encode is a state's form on the log.
