--- a/internal/policy/document.go
+++ b/internal/policy/document.go
@@ -176,19 +176,34 @@
 	say("ground.patience", a.Ground.Patience, b.Ground.Patience)
 	say("needs.descriptors", a.Needs.Descriptors, b.Needs.Descriptors)
 	say("needs.memory_mb", a.Needs.MemoryMB, b.Needs.MemoryMB)
-	plan := func(p *Plan) string {
-		if p == nil {
-			return "as the list of nodes says"
-		}
-		return fmt.Sprintf("%+v", *p)
-	}
-	say("plan", plan(a.Plan), plan(b.Plan))
-	both(a.Classes, b.Classes, func(c Class) string { return "class " + c.Name }, &lines)
-	both(a.Tenants, b.Tenants, func(t Tenant) string { return "tenant " + t.Name }, &lines)
+	say("plan", planText(a.Plan), planText(b.Plan))
+	both(a.Classes, b.Classes, func(c Class) string { return "class " + c.Name }, classText, &lines)
+	both(a.Tenants, b.Tenants, func(t Tenant) string { return "tenant " + t.Name }, tenantText, &lines)
 	return lines
 }
 
-func both[T comparable](a, b []T, name func(T) string, lines *[]string) {
+// The texts of a difference have names of their own: operators and their scripts read them, whatever the fields are called.
+
+func planText(p *Plan) string {
+	if p == nil {
+		return "as the list of nodes says"
+	}
+	var far []string
+	for _, f := range p.Far {
+		far = append(far, fmt.Sprintf("{A:%s B:%s Cost:%v}", f.A, f.B, f.Cost))
+	}
+	return fmt.Sprintf("{Limit:%v Ramp:%v Hold:%v Stay:%v Far:%v}", p.Limit, p.Ramp, p.Hold, p.Stay, far)
+}
+
+func classText(c Class) string {
+	return fmt.Sprintf("{Name:%s Aim:%v Patience:%v MessageAim:%v Worth:%v Ground:%v}", c.Name, c.Aim, c.Patience, c.MessageAim, c.Worth, c.Ground)
+}
+
+func tenantText(t Tenant) string {
+	return fmt.Sprintf("{Name:%s Connections:%v Rate:%v}", t.Name, t.Connections, t.Rate)
+}
+
+func both[T comparable](a, b []T, name, text func(T) string, lines *[]string) {
 	find := func(in []T, n string) (T, bool) {
 		i := slices.IndexFunc(in, func(x T) bool { return name(x) == n })
 		if i < 0 {
@@ -201,12 +216,12 @@
 		if y, ok := find(b, name(x)); !ok {
 			*lines = append(*lines, name(x)+": gone")
 		} else if x != y {
-			*lines = append(*lines, fmt.Sprintf("%s: %+v -> %+v", name(x), x, y))
+			*lines = append(*lines, fmt.Sprintf("%s: %s -> %s", name(x), text(x), text(y)))
 		}
 	}
 	for _, y := range b {
 		if _, ok := find(a, name(y)); !ok {
-			*lines = append(*lines, fmt.Sprintf("%s: new, %+v", name(y), y))
+			*lines = append(*lines, fmt.Sprintf("%s: new, %s", name(y), text(y)))
 		}
 	}
 }
