--- /dev/null
+++ b/internal/agree/golden_test.go
@@ -0,0 +1,199 @@
+package agree
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/hex"
+	"flag"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew: only for a form that is new")
+
+// golden gives the bytes of a golden file, which are kept as hexadecimal text; with -update it writes them first.
+func golden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name+".hex")
+	if *update {
+		if err := os.WriteFile(path, []byte(hex.EncodeToString(encoded)+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := hex.DecodeString(string(bytes.TrimSpace(text)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// goldenValue wants a value to be encoded as the golden file has it, and the golden file to be decoded to that value.
+func goldenValue[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	encoded := Encode(value)
+	want := golden(t, name, encoded)
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("%s is encoded as\n%x\nwanted\n%x", name, encoded, want)
+	}
+	var decoded T
+	if err := Unmarshal(want, &decoded); err != nil {
+		t.Errorf("%s: %v", name, err)
+	} else if !reflect.DeepEqual(decoded, value) {
+		t.Errorf("%s is decoded as\n%+v\nwanted\n%+v", name, decoded, value)
+	}
+}
+
+func goldenEntry() Entry {
+	return Entry{Number: 0x0102030405, Kind: 3, ID: "entry-id", Data: []byte("entry data")}
+}
+
+func goldenState() State {
+	return State{
+		Log: 0x1112131415161718,
+		Newest: map[Kind]Entry{
+			2: {Number: 21, Kind: 2, ID: "second", Data: []byte("data of kind 2")},
+			1: {Number: 22, Kind: 1, ID: "first", Data: []byte("data of kind 1")},
+		},
+		Done: []Decided{
+			{ID: "first", Kind: 1, Number: 22, Taken: true},
+			{ID: "late", Kind: 2, Number: 23},
+		},
+		Retired: []uint64{0x2122232425262728, 0x31},
+	}
+}
+
+func goldenRecord() Record {
+	return Record{
+		Incarnation: 0x4142434445464748,
+		Log:         0x5152535455565758,
+		Hard:        []byte("hard state"),
+		Entries:     [][]byte{[]byte("raft entry 1"), []byte("raft entry 2")},
+		Snapshot:    []byte("raft snapshot"),
+		Newest:      []Entry{goldenEntry(), {Number: 61, Kind: 62, ID: "other", Data: []byte("other data")}},
+	}
+}
+
+// TestGoldenForms holds the encoded forms of all that is stored or sent.
+func TestGoldenForms(t *testing.T) {
+	goldenValue(t, "entry", goldenEntry())
+	goldenValue(t, "proposal", Proposal{ID: "proposal-id", Kind: 7, Replaces: 0x0708090a, Data: []byte("proposal data")})
+	goldenValue(t, "decided", Decided{ID: "decided-id", Kind: 9, Number: 0x0a0b0c0d, Taken: true})
+	goldenValue(t, "state", goldenState())
+	goldenValue(t, "record", goldenRecord())
+	goldenValue(t, "record-empty", Record{})
+	goldenValue(t, "kind-digest", KindDigest{Kind: 4, Number: 0x0e0f, Sum: 0x7172737475767778})
+	goldenValue(t, "digest", Digest{Log: 0x8182838485868788, Kinds: []KindDigest{{Kind: 5, Number: 91, Sum: 92}, {Kind: 6, Number: 93, Sum: 94}}})
+	goldenValue(t, "kinds", []Kind{2, 1, 3})
+}
+
+// TestGoldenDigest holds the digests that nodes of different versions compare.
+func TestGoldenDigest(t *testing.T) {
+	const want = 0xa539f21774aa8e41
+	if got := goldenEntry().Digest(); got != want {
+		t.Errorf("the entry's digest is %#x, wanted %#x", got, uint64(want))
+	}
+	follower := Follow(0x99, []Entry{goldenEntry(), {Number: 5, Kind: 1, ID: "x", Data: []byte("y")}})
+	goldenValue(t, "follower-digest", follower.Digest())
+}
+
+// TestGoldenStore holds the whole file of a store: its bytes after Save and after Replace, and what is read from them.
+func TestGoldenStore(t *testing.T) {
+	records := []Record{{Incarnation: 5}, goldenRecord(), {Log: 6, Newest: []Entry{goldenEntry()}}, {Hard: []byte("later")}}
+	t.Run("saved", func(t *testing.T) {
+		goldenStore(t, "store-saved", records, func(s *Store) error {
+			for _, r := range records {
+				if err := s.Save(r); err != nil {
+					return err
+				}
+			}
+			return nil
+		})
+	})
+	t.Run("replaced", func(t *testing.T) {
+		goldenStore(t, "store-replaced", []Record{goldenRecord(), {Log: 8}}, func(s *Store) error {
+			if err := s.Save(Record{Incarnation: 7}); err != nil {
+				return err
+			}
+			if err := s.Replace(goldenRecord()); err != nil {
+				return err
+			}
+			return s.Save(Record{Log: 8})
+		})
+	})
+}
+
+func goldenStore(t *testing.T, name string, want []Record, write func(*Store) error) {
+	t.Helper()
+	dir := t.TempDir()
+	s, _, err := OpenStore(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := write(s); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	written, err := os.ReadFile(filepath.Join(dir, storeName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := goldenFile(t, name, written)
+	if !bytes.Equal(written, file) {
+		t.Errorf("%s: the file of %d bytes is not the golden one of %d", name, len(written), len(file))
+	}
+
+	old := t.TempDir()
+	if err := os.WriteFile(filepath.Join(old, storeName), file, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, kept, err := OpenStore(old)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	if !reflect.DeepEqual(kept, want) {
+		t.Errorf("%s: read\n%+v\nwanted\n%+v", name, kept, want)
+	}
+}
+
+// goldenFile gives the contents of a golden file that is kept compressed; with -update it writes them first.
+func goldenFile(t *testing.T, name string, written []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name+".gz")
+	if *update {
+		var packed bytes.Buffer
+		w := gzip.NewWriter(&packed)
+		if _, err := w.Write(written); err != nil {
+			t.Fatal(err)
+		}
+		if err := w.Close(); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, packed.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	packed, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer packed.Close()
+	r, err := gzip.NewReader(packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	contents, err := io.ReadAll(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return contents
+}
