--- a/choice/api.go
+++ b/choice/api.go
@@ -25,27 +25,27 @@
 	Sizes     SizeKind // what Server.Size means
 	// TellsDelay says that a DelayNote comes where messages take long; without it only reports show a full server.
 	TellsDelay bool
-	// OverQuotaWorth is the part of its worth that a connection keeps beyond its tenant's quota.
-	OverQuotaWorth float64
-	WorthByWork    bool // worth counts for each unit of work, not for each request
-	Round          time.Duration
-	FirstCost      float64 // load that a mean connection puts on a server of size 1, where it is known; 0: guessed until learned
-	Limits         Limits
-	Rules          Rules
-	Tariffs        Tariffs
+	// OverQuotaPriority is the part of its worth that a connection keeps beyond its tenant's quota.
+	OverQuotaPriority float64
+	PriorityPerWork   bool // worth counts for each unit of work, not for each request
+	Round             time.Duration
+	FirstCost         float64 // load that a mean connection puts on a server of size 1, where it is known; 0: guessed until learned
+	Limits            Limits
+	Rules             Rules
+	Tariffs           Tariffs
 }
 
 // Class is a class of requests. Its CBOR form goes from one process of a node to the next one: the tags are its names there.
 type Class struct {
-	Name       string        `cbor:"Name"`
-	Former     bool          `cbor:"Former"`     // it left the settings: only what came before has it, and what was on the way then
-	SetupAim   time.Duration `cbor:"SetupAim"`   // wanted time to set a connection up
-	Deadline   time.Duration `cbor:"Deadline"`   // the client's whole patience
-	MessageAim time.Duration `cbor:"MessageAim"` // wanted time of a message on an open connection; 0 where not told
-	Worth      float64       `cbor:"Worth"`
-	Repeat     Repeat        `cbor:"Repeat"`
-	Scope      Scope         `cbor:"Scope"`  // Keyed: the servers that drop repeats of a request
-	Window     time.Duration `cbor:"Window"` // Keyed: how long they remember, from the send of the attempt that may have run
+	Name             string        `cbor:"Name"`
+	Former           bool          `cbor:"Former"`     // it left the settings: only what came before has it, and what was on the way then
+	SetupObjective   time.Duration `cbor:"SetupAim"`   // wanted time to set a connection up
+	Deadline         time.Duration `cbor:"Deadline"`   // the client's whole patience
+	MessageObjective time.Duration `cbor:"MessageAim"` // wanted time of a message on an open connection; 0 where not told
+	Priority         float64       `cbor:"Worth"`
+	Repeat           Repeat        `cbor:"Repeat"`
+	Scope            Scope         `cbor:"Scope"`  // Keyed: the servers that drop repeats of a request
+	Window           time.Duration `cbor:"Window"` // Keyed: how long they remember, from the send of the attempt that may have run
 }
 
 // forgets is when servers no longer tell a repeat of what was sent then from a new request; 0: the class has no such time.
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -240,7 +240,7 @@
 	if b.set.Grouped { // who leaves its group makes one more server pay for it
 		chance /= 2
 	}
-	if r != nil && r.open && r.on == s && e.Took > r.class.MessageAim && b.rng.Float64() < chance {
+	if r != nil && r.open && r.on == s && e.Took > r.class.MessageObjective && b.rng.Float64() < chance {
 		s.mover = r
 		b.probe(s)
 	}
@@ -248,13 +248,13 @@
 
 // worth is what a request is worth for its load; the gate lets through more of what is worth more.
 func (b *Balancer) worth(r *request) float64 {
-	w := max(r.class.Worth, 1e-3)
-	if !b.set.WorthByWork {
+	w := max(r.class.Priority, 1e-3)
+	if !b.set.PriorityPerWork {
 		w *= b.unit / r.load
 	}
 	if t := r.Tenant; t >= 0 && t < len(b.held) && b.set.Tenants[t].Connections > 0 &&
 		float64(b.held[t]*b.all) > b.set.Tenants[t].Connections {
-		w *= max(b.set.OverQuotaWorth, 1e-3)
+		w *= max(b.set.OverQuotaPriority, 1e-3)
 	}
 	b.meanWorth += (w - b.meanWorth) / 50
 	return w
@@ -377,7 +377,7 @@
 		}
 	}
 	r.waiting, r.rounds, r.wide = 0, r.rounds+1, r.bind != 0 && n > 1
-	hold := r.class.SetupAim / holdShare
+	hold := r.class.SetupObjective / holdShare
 	for _, s := range r.picks {
 		if b.set.Reports == NoReports || r.deadline-b.now < 3*hold || s.known && b.now-s.reportAt < freshFor {
 			continue
@@ -571,7 +571,7 @@
 func (b *Balancer) send(r *request, s *server) {
 	left := r.deadline - b.now
 	limit := left - b.set.Round
-	if aim := r.class.SetupAim; r.attempts+1 < r.most && left > 2*aim {
+	if aim := r.class.SetupObjective; r.attempts+1 < r.most && left > 2*aim {
 		limit = min(limit, max(aim, left/2)) // leave time for another server
 	}
 	if limit <= 0 {
--- a/choice/estimate_test.go
+++ b/choice/estimate_test.go
@@ -10,8 +10,8 @@
 func silentSettings(nodes int) Settings {
 	return Settings{Nodes: nodes, Grouped: true, Sizes: NominalSize, TellsDelay: true, Round: 4 * time.Millisecond,
 		Classes: []Class{
-			{Name: "watch", SetupAim: time.Second, Deadline: 5 * time.Second, MessageAim: 150 * time.Millisecond, Worth: 5},
-			{Name: "pay", SetupAim: time.Second, Deadline: 5 * time.Second, MessageAim: 250 * time.Millisecond, Worth: 15}},
+			{Name: "watch", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 150 * time.Millisecond, Priority: 5},
+			{Name: "pay", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 250 * time.Millisecond, Priority: 15}},
 		Limits: Limits{Attempts: 4, MayProbe: true, RetryAdvice: true, MaxRetryAdvice: 2 * time.Second},
 		Rules:  Rules{ColdShare: 0.14, WarmUp: 20 * time.Second, FallMultiple: 2.5, FallTime: 1500 * time.Millisecond}}
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -13,8 +13,8 @@
 		Nodes:   1,
 		Reports: choice.ProbeReports,
 		Fields:  []choice.Field{choice.Load},
-		Classes: []choice.Class{{Name: "live", SetupAim: 300 * time.Millisecond, Deadline: 2 * time.Second,
-			MessageAim: 100 * time.Millisecond, Worth: 1}},
+		Classes: []choice.Class{{Name: "live", SetupObjective: 300 * time.Millisecond, Deadline: 2 * time.Second,
+			MessageObjective: 100 * time.Millisecond, Priority: 1}},
 		Limits: choice.Limits{Attempts: 3, MayProbe: true},
 		Rules:  choice.Rules{DrainGrace: 500 * time.Millisecond},
 	}, 42, 0)
--- a/choice/failures_test.go
+++ b/choice/failures_test.go
@@ -166,9 +166,9 @@
 // On a full fleet what is worth more for its load gets through more often, and a tenant over its quota less.
 func TestGatePassesByWorthAndQuota(t *testing.T) {
 	s := plain()
-	s.WorthByWork, s.OverQuotaWorth = true, 0.05
+	s.PriorityPerWork, s.OverQuotaPriority = true, 0.05
 	s.Classes = append(s.Classes, s.Classes[0])
-	s.Classes[0].Worth, s.Classes[1].Worth = 1, 5
+	s.Classes[0].Priority, s.Classes[1].Priority = 1, 5
 	s.Tenants = []Tenant{{Name: "in", Connections: 1e6}, {Name: "over", Connections: 1}}
 	f := newReferee(t, s, 8)
 	f.step(fleet(10))
@@ -254,7 +254,7 @@
 	for _, reports := range []Channel{NoReports, ProbeReports} {
 		for _, o := range []Outcome{Reset, Served, Cancelled} {
 			b, err := New(Settings{Nodes: 1, Reports: reports, Fields: []Field{Load}, Limits: Limits{Attempts: 4},
-				Classes: []Class{{SetupAim: time.Second, Deadline: 4 * time.Second, Worth: 1}}}, 1, time.Hour)
+				Classes: []Class{{SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}}, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -17,8 +17,8 @@
 	s.PassThru = rng.IntN(4) == 0
 	s.Reports = Channel(rng.IntN(3))
 	s.Classes = append(s.Classes,
-		Class{SetupAim: ms(200), Deadline: ms(900), Repeat: Unsafe, MessageAim: ms(50)},
-		Class{SetupAim: ms(200), Deadline: ms(900), Repeat: Keyed, Scope: Scope(rng.IntN(3)), Window: ms(rng.IntN(900))})
+		Class{SetupObjective: ms(200), Deadline: ms(900), Repeat: Unsafe, MessageObjective: ms(50)},
+		Class{SetupObjective: ms(200), Deadline: ms(900), Repeat: Keyed, Scope: Scope(rng.IntN(3)), Window: ms(rng.IntN(900))})
 	f := newReferee(t, s, seed)
 	servers := fleet(1 + rng.IntN(12))
 	var all [][]Action
--- a/choice/groups_test.go
+++ b/choice/groups_test.go
@@ -11,7 +11,7 @@
 func TestGroupsSpreadByTheirLoad(t *testing.T) {
 	for _, c := range []struct{ groups, most int }{{1, 12}, {20, 2}} {
 		b, err := New(Settings{Nodes: 1, Grouped: true, Reports: ProbeReports, Fields: []Field{Load},
-			Classes: []Class{{Name: "c", SetupAim: time.Second, Deadline: 4 * time.Second}},
+			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
 			Limits:  Limits{Attempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -90,7 +90,7 @@
 
 func knows() Settings {
 	return Settings{Nodes: 4, Reports: ProbeReports, Fields: []Field{Load}, Round: 5 * time.Millisecond,
-		Classes: []Class{{Name: "c", SetupAim: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond, MessageAim: 60 * time.Millisecond, Worth: 1}},
+		Classes: []Class{{Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond, MessageObjective: 60 * time.Millisecond, Priority: 1}},
 		Limits:  Limits{Attempts: 4, MayProbe: true}, Tariffs: Tariffs{Probe: 0.002}}
 }
 
@@ -220,7 +220,7 @@
 		return b
 	}
 	same := knows()
-	same.Limits.Attempts, same.Classes = 2, append(same.Classes, Class{Name: "d", Worth: 9, Deadline: time.Second})
+	same.Limits.Attempts, same.Classes = 2, append(same.Classes, Class{Name: "d", Priority: 9, Deadline: time.Second})
 	b := learned()
 	b.Step(now, []Event{NewSettings{same}})
 	if !b.find("a").known || b.avg == 0 || len(b.Learned().Kinds) != 1 {
@@ -228,7 +228,7 @@
 	}
 	for i, change := range []func(*Settings){
 		func(s *Settings) { s.Fields = []Field{InFlight} }, func(s *Settings) { s.Reports = AllReports },
-		func(s *Settings) { s.Sizes = LiveSize }, func(s *Settings) { s.WorthByWork = true },
+		func(s *Settings) { s.Sizes = LiveSize }, func(s *Settings) { s.PriorityPerWork = true },
 	} {
 		other := knows()
 		change(&other)
--- a/choice/many_test.go
+++ b/choice/many_test.go
@@ -13,7 +13,7 @@
 	s.Nodes, s.Grouped, s.Subscribe = 80, true, false
 	s.Fields = []Field{Load, Utilization}
 	s.Tenants = []Tenant{{Name: "t", Connections: 165}}
-	s.OverQuotaWorth = 1
+	s.OverQuotaPriority = 1
 	return s
 }
 
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -295,7 +295,7 @@
 	s := choice.Settings{
 		Nodes: 1 + rng.IntN(30), Zone: "z0", Grouped: chance(0.4), PassThru: chance(0.2), Subscribe: chance(0.5),
 		Reports: choice.Channel(rng.IntN(3)), Sizes: choice.SizeKind(rng.IntN(3)), TellsDelay: chance(0.5),
-		OverQuotaWorth: between(0, 1), WorthByWork: chance(0.5), Round: 5 * time.Millisecond,
+		OverQuotaPriority: between(0, 1), PriorityPerWork: chance(0.5), Round: 5 * time.Millisecond,
 		Limits: choice.Limits{Attempts: 1 + rng.IntN(8), MayProbe: chance(0.8), MayCancel: chance(0.7), MayTell: chance(0.6),
 			RetryAdvice: chance(0.6), MaxRetryAdvice: seconds(0.5, 3), ConnectTimeout: seconds(0.05, 0.4)},
 		Rules: choice.Rules{AnswerSlack: 20 * time.Millisecond, AskWithin: seconds(2, 10), DrainGrace: seconds(0.3, 5),
@@ -311,8 +311,8 @@
 		s.FirstCost = 1 / world.perHost
 	}
 	for i := range 1 + rng.IntN(5) {
-		c := choice.Class{Name: fmt.Sprint("c", i), SetupAim: seconds(0.2, 0.8), Deadline: seconds(0.8, 4), Worth: between(0.5, 8),
-			MessageAim: seconds(0.05, 0.2), Repeat: choice.Repeat(rng.IntN(3))}
+		c := choice.Class{Name: fmt.Sprint("c", i), SetupObjective: seconds(0.2, 0.8), Deadline: seconds(0.8, 4), Priority: between(0.5, 8),
+			MessageObjective: seconds(0.05, 0.2), Repeat: choice.Repeat(rng.IntN(3))}
 		if c.Repeat == choice.Keyed {
 			c.Scope, c.Window = choice.Scope(rng.IntN(3)), seconds(0.1, 4)
 		}
--- a/choice/state.go
+++ b/choice/state.go
@@ -134,7 +134,7 @@
 	b := &Balancer{rng: rand.New(rand.NewPCG(seed, 1)), now: now, rateAt: now, unit: 1, gate: 1,
 		reqs: map[RequestID]*request{}, groups: map[uint64]float64{}, kinds: map[string]*costs{},
 		inClass: map[zoneClass]float64{}, zoneNews: map[string]*zoneCount{}}
-	b.asked, b.clocks, b.meanWorth = map[uint16]asked{}, map[int]clockOffset{}, s.Classes[0].Worth
+	b.asked, b.clocks, b.meanWorth = map[uint16]asked{}, map[int]clockOffset{}, s.Classes[0].Priority
 	b.coldLeave, b.coldLeaveAt = chanceOf(seed), now // nodes that start together get theirs at other times
 	b.adapt(s)
 	return b, nil
@@ -161,7 +161,7 @@
 func (b *Balancer) adapt(s Settings) {
 	b.minAim = 0
 	for _, c := range s.Classes {
-		if a := c.MessageAim; !c.Former && a > 0 && (b.minAim == 0 || a < b.minAim) {
+		if a := c.MessageObjective; !c.Former && a > 0 && (b.minAim == 0 || a < b.minAim) {
 			b.minAim = a
 		}
 	}
--- a/choice/world_test.go
+++ b/choice/world_test.go
@@ -220,7 +220,7 @@
 func plain() Settings {
 	return Settings{
 		Nodes: 4, Zone: "z0", Reports: ProbeReports, Fields: []Field{Load, InFlight}, Round: ms(5),
-		Classes: []Class{{Name: "c", SetupAim: ms(300), Deadline: ms(1800), MessageAim: ms(100), Worth: 1}},
+		Classes: []Class{{Name: "c", SetupObjective: ms(300), Deadline: ms(1800), MessageObjective: ms(100), Priority: 1}},
 		Limits:  Limits{Attempts: 4, MayProbe: true, MayCancel: true, ConnectTimeout: ms(250)},
 		Rules: Rules{AnswerSlack: ms(20), AskWithin: 10 * time.Second, DrainGrace: ms(500), ColdShare: 0.2,
 			WarmUp: 10 * time.Second, FallMultiple: 3, FallTime: time.Second},
--- a/choice/zones_test.go
+++ b/choice/zones_test.go
@@ -28,7 +28,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, err := New(Settings{Nodes: 1, Zone: "a", FirstCost: 0.02,
-				Classes: []Class{{Name: "c", SetupAim: time.Second, Deadline: 4 * time.Second}, {Name: "d", Deadline: time.Second}},
+				Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}, {Name: "d", Deadline: time.Second}},
 				Limits:  Limits{Attempts: 4, RetryAdvice: true, MaxRetryAdvice: 2 * time.Second}}, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -133,13 +133,13 @@
 			ReportFields: []string{"recent_ms", "utilization", "x0", "x1", "outstanding", "backlog", "throughput", "errors_per_s", "other"},
 			Settings: choice.Settings{Nodes: 3, Node: 2, Zone: "zone-a",
 				Classes: []choice.Class{
-					{Name: "chat", SetupAim: 800 * ms, Deadline: 4 * time.Second, MessageAim: 60 * ms, Worth: 1.75, Repeat: choice.Keyed, Scope: choice.ScopeZone, Window: 6 * time.Second},
-					{Name: "bulk", SetupAim: 900 * ms, Deadline: 5 * time.Second, MessageAim: 70 * ms, Worth: 0.5, Repeat: choice.Unsafe, Scope: choice.ScopeCell, Window: 7 * time.Second}},
+					{Name: "chat", SetupObjective: 800 * ms, Deadline: 4 * time.Second, MessageObjective: 60 * ms, Priority: 1.75, Repeat: choice.Keyed, Scope: choice.ScopeZone, Window: 6 * time.Second},
+					{Name: "bulk", SetupObjective: 900 * ms, Deadline: 5 * time.Second, MessageObjective: 70 * ms, Priority: 0.5, Repeat: choice.Unsafe, Scope: choice.ScopeCell, Window: 7 * time.Second}},
 				Tenants: []choice.Tenant{{Name: "acme", Rate: 10, Connections: 33, Share: 0.75}},
 				Grouped: true, PassThru: true, Park: 400 * ms, Subscribe: true, Reports: choice.AllReports,
 				Fields: []choice.Field{choice.Latency, choice.Utilization, choice.Load, choice.PiledUp, choice.InFlight, choice.Queue, choice.Throughput, choice.ErrorRate,
 					choice.OtherField},
-				Sizes: choice.LiveSize, TellsDelay: true, OverQuotaWorth: 0.05, WorthByWork: true, Round: 5 * ms,
+				Sizes: choice.LiveSize, TellsDelay: true, OverQuotaPriority: 0.05, PriorityPerWork: true, Round: 5 * ms,
 				Limits: choice.Limits{Attempts: 5, MayProbe: true, MayCancel: true, MayTell: true, SecondCopies: true, RetryAdvice: true,
 					MaxRetryAdvice: 2500 * ms, ConnectTimeout: 1500 * ms},
 				Rules: choice.Rules{AnswerSlack: 20 * ms, AskWithin: 10 * time.Second, DrainGrace: 3 * time.Second, ColdShare: 0.14, WarmUp: 24 * time.Second,
@@ -297,7 +297,7 @@
 		t.Fatal(err)
 	}
 	requireEqual(t, "Document", *document, policy.Document{Attempts: 4, ComeAgain: time.Second,
-		Classes: []policy.Class{{Name: "a", Aim: time.Second, Patience: 2 * time.Second, Worth: 1}},
+		Classes: []policy.Class{{Name: "a", SetupObjective: time.Second, Patience: 2 * time.Second, Priority: 1}},
 		Plan:    &policy.Plan{Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second}})
 }
 
@@ -346,10 +346,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := policy.Document{Attempts: 3, ComeAgain: 2 * time.Second, OverShareWorth: 0.1,
+	want := policy.Document{Attempts: 3, ComeAgain: 2 * time.Second, OverQuotaPriority: 0.1,
 		Classes: []policy.Class{
-			{Name: "gold", Aim: 500 * time.Millisecond, Patience: 3 * time.Second, MessageAim: 60 * time.Millisecond, Worth: 2.5, Ground: true},
-			{Name: "plain", Aim: 800 * time.Millisecond, Patience: 4 * time.Second, MessageAim: 70 * time.Millisecond, Worth: 1.5}},
+			{Name: "gold", SetupObjective: 500 * time.Millisecond, Patience: 3 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 2.5, Ground: true},
+			{Name: "plain", SetupObjective: 800 * time.Millisecond, Patience: 4 * time.Second, MessageObjective: 70 * time.Millisecond, Priority: 1.5}},
 		Tenants: []policy.Tenant{{Name: "acme", Connections: 40, Rate: 12.5}},
 		Ground:  policy.Ground{Attempts: 1, Patience: 2500 * time.Millisecond},
 		Needs:   policy.Needs{Descriptors: 512, MemoryMB: 64},
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -384,8 +384,8 @@
 			WarmUp: time.Duration(c.WarmUp), FallMultiple: c.FallMultiple, FallTime: time.Duration(c.FallTime)},
 		Tariffs: choice.Tariffs{Probe: 0.002, Move: 0.01}}
 	for _, k := range o.Classes {
-		s.Classes = append(s.Classes, choice.Class{Name: k.Name, SetupAim: time.Duration(k.SetupAim),
-			Deadline: time.Duration(k.Patience), Worth: k.Worth})
+		s.Classes = append(s.Classes, choice.Class{Name: k.Name, SetupObjective: time.Duration(k.SetupAim),
+			Deadline: time.Duration(k.Patience), Priority: k.Worth})
 	}
 	return s
 }
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -85,7 +85,7 @@
 	}
 	tomlfile.Fill(&p.Attempts, policy.MostAttempts)
 	tomlfile.Fill(&p.ComeAgain, Duration(time.Second))
-	d := &policy.Document{Attempts: p.Attempts, ComeAgain: time.Duration(p.ComeAgain), OverShareWorth: p.OverShareWorth,
+	d := &policy.Document{Attempts: p.Attempts, ComeAgain: time.Duration(p.ComeAgain), OverQuotaPriority: p.OverShareWorth,
 		Ground: policy.Ground{Attempts: p.Ground.Attempts, Patience: time.Duration(p.Ground.Patience)},
 		Needs:  policy.Needs{Descriptors: p.Needs.Descriptors, MemoryMB: p.Needs.MemoryMB}}
 	for i, c := range p.Classes {
@@ -93,8 +93,8 @@
 			f.Fault(fmt.Sprintf("class.%d.without", i), "class %q: without = %q: \"refuse\" or \"ground\" is wanted", c.Name, c.Without)
 		}
 		tomlfile.Fill(&c.Worth, 1)
-		d.Classes = append(d.Classes, policy.Class{Name: c.Name, Aim: time.Duration(c.Aim), Patience: time.Duration(c.Patience),
-			MessageAim: time.Duration(c.MessageAim), Worth: c.Worth, Ground: c.Without == "ground"})
+		d.Classes = append(d.Classes, policy.Class{Name: c.Name, SetupObjective: time.Duration(c.Aim), Patience: time.Duration(c.Patience),
+			MessageObjective: time.Duration(c.MessageAim), Priority: c.Worth, Ground: c.Without == "ground"})
 	}
 	for _, t := range p.Tenants {
 		d.Tenants = append(d.Tenants, policy.Tenant{Name: t.Name, Connections: t.Connections, Rate: t.Rate})
--- a/internal/edge/crossing_test.go
+++ b/internal/edge/crossing_test.go
@@ -32,7 +32,7 @@
 func muteWorld(t *testing.T, classes ...choice.Class) *world {
 	w := &world{t: t, now: time.Unix(1_800_000_000, 0), rng: rand.New(rand.NewPCG(1, 1))}
 	for i := range classes {
-		classes[i].SetupAim, classes[i].Deadline, classes[i].Worth = 500*time.Millisecond, 10*time.Second, 1
+		classes[i].SetupObjective, classes[i].Deadline, classes[i].Priority = 500*time.Millisecond, 10*time.Second, 1
 	}
 	var err error
 	w.core, err = New(Options{Clock: w, Prober: w, Settings: choice.Settings{Classes: classes,
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -222,8 +222,8 @@
 		if i == len(c.counts) {
 			c.counts = append(c.counts, c.o.Figures.Class(k.Name))
 		}
-		if !k.Former && k.MessageAim > 0 && (c.minAim == 0 || k.MessageAim < c.minAim) {
-			c.minAim = k.MessageAim
+		if !k.Former && k.MessageObjective > 0 && (c.minAim == 0 || k.MessageObjective < c.minAim) {
+			c.minAim = k.MessageObjective
 		}
 	}
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -214,9 +214,9 @@
 	for seed := range uint64(40) {
 		w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 9)), now: time.Unix(1.8e9, 0),
 			state: map[choice.ServerID]choice.ServerState{}, since: map[choice.ServerID]time.Time{}}
-		s := choice.Settings{Nodes: 1, Round: 5 * time.Millisecond, Classes: []choice.Class{{Name: "c", SetupAim: 800 * time.Millisecond,
-			Deadline: 4 * time.Second, MessageAim: 60 * time.Millisecond, Worth: 1}, {Name: "u", SetupAim: 800 * time.Millisecond,
-			Deadline: 4 * time.Second, Worth: 1, Repeat: choice.Unsafe}},
+		s := choice.Settings{Nodes: 1, Round: 5 * time.Millisecond, Classes: []choice.Class{{Name: "c", SetupObjective: 800 * time.Millisecond,
+			Deadline: 4 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 1}, {Name: "u", SetupObjective: 800 * time.Millisecond,
+			Deadline: 4 * time.Second, Priority: 1, Repeat: choice.Unsafe}},
 			Limits: choice.Limits{Attempts: 4, MayCancel: true, MayProbe: seed%2 == 0},
 			Rules: choice.Rules{AskWithin: 10 * time.Second, DrainGrace: 3 * time.Second, ColdShare: .2, WarmUp: 10 * time.Second,
 				FallMultiple: 4, FallTime: 2 * time.Second}}
@@ -323,7 +323,7 @@
 		w := &world{t: t, now: begin, rng: rand.New(rand.NewPCG(1, 1)), state: map[choice.ServerID]choice.ServerState{"s": choice.Ready}}
 		var err error
 		w.core, err = New(Options{Clock: w, Prober: w, Settings: choice.Settings{
-			Classes: []choice.Class{{Name: "c", SetupAim: c.patience / 2, Deadline: c.patience}}, Limits: choice.Limits{Attempts: 4}}})
+			Classes: []choice.Class{{Name: "c", SetupObjective: c.patience / 2, Deadline: c.patience}}, Limits: choice.Limits{Attempts: 4}}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -249,7 +249,7 @@
 	}
 	r.Classes = nil
 	for _, c := range d.Classes {
-		r.Classes = append(r.Classes, failover.Class{Name: c.Name, Worth: c.Worth, Stay: slices.Contains(stay, c.Name)})
+		r.Classes = append(r.Classes, failover.Class{Name: c.Name, Priority: c.Priority, Stay: slices.Contains(stay, c.Name)})
 	}
 	return r
 }
--- a/internal/failover/makeplan.go
+++ b/internal/failover/makeplan.go
@@ -62,7 +62,7 @@
 // currentDemand is what all zones' clients want now, and where there is room for it.
 func (p *Planner) currentDemand(now time.Duration) (d demand) {
 	for _, class := range p.rules.Classes {
-		d.worth = append(d.worth, class.Worth)
+		d.worth = append(d.worth, class.Priority)
 		d.stay = append(d.stay, class.Stay)
 	}
 	for from, name := range p.zones {
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -11,9 +11,9 @@
 
 // Class is what a plan knows of a class of requests.
 type Class struct {
-	Name  string
-	Worth float64
-	Stay  bool // it is kept in its region
+	Name     string
+	Priority float64
+	Stay     bool // it is kept in its region
 }
 
 // Rules are the operators' part of a plan.
--- a/internal/lab/explore/node.go
+++ b/internal/lab/explore/node.go
@@ -50,7 +50,7 @@
 func rules() failover.Rules {
 	r := failover.Rules{Limit: 0.85, Life: 30 * time.Second, Hold: 4 * time.Second, Ramp: 0.2, Far: func(a, b string) float64 { return 1 }}
 	for _, c := range faults.Classes {
-		r.Classes = append(r.Classes, failover.Class{Name: c.Name, Worth: c.Worth, Stay: c.Stay})
+		r.Classes = append(r.Classes, failover.Class{Name: c.Name, Priority: c.Worth, Stay: c.Stay})
 	}
 	return r
 }
--- a/internal/lab/explore/policy.go
+++ b/internal/lab/explore/policy.go
@@ -34,7 +34,7 @@
 
 // read is how a light world's node reads a document: words, of which some are beyond some nodes.
 func (n *node) read(text []byte) (*policy.Document, error) {
-	d := &policy.Document{Attempts: 4, Classes: []policy.Class{{Name: "gold", Aim: time.Second, Patience: 4 * time.Second, Worth: 1}}}
+	d := &policy.Document{Attempts: 4, Classes: []policy.Class{{Name: "gold", SetupObjective: time.Second, Patience: 4 * time.Second, Priority: 1}}}
 	for _, word := range strings.Fields(string(text)) {
 		key, value, _ := strings.Cut(word, "=")
 		switch {
--- a/internal/node/carry_test.go
+++ b/internal/node/carry_test.go
@@ -244,7 +244,7 @@
 // BenchmarkTold writes and reads what is told of one connection.
 func BenchmarkTold(b *testing.B) {
 	c := carried{Front: platformFront, Open: &edge.Standing{ID: "9b1f03aa5c7e2d41", Tenant: "ferma-ro", Key: 1 << 60, Group: 1 << 61, Usual: 0.012, Now: 0.013,
-		Class: choice.Class{Name: "field-sync", SetupAim: 8e8, Deadline: 48e8, MessageAim: 15e7, Worth: 1}, Host: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Size: 1}, Addr: "10.1.0.18:3000"}}
+		Class: choice.Class{Name: "field-sync", SetupObjective: 8e8, Deadline: 48e8, MessageObjective: 15e7, Priority: 1}, Host: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Size: 1}, Addr: "10.1.0.18:3000"}}
 	c.State, _ = cbor.Marshal(downstream.Standing{Host: &upstream.Standing{}})
 	for name, code := range map[string]struct {
 		write func(any) ([]byte, error)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -142,7 +142,7 @@
 	_, classes := f.classes()
 	for _, c := range classes {
 		if !c.Former {
-			all = append(all, failover.Class{Name: c.Name, Worth: c.Worth, Stay: slices.Contains(f.conf.List.Plan.Stay, c.Name)})
+			all = append(all, failover.Class{Name: c.Name, Priority: c.Priority, Stay: slices.Contains(f.conf.List.Plan.Stay, c.Name)})
 		}
 	}
 	return all[:min(len(all), failover.MostClasses)]
--- a/internal/node/policy.go
+++ b/internal/node/policy.go
@@ -132,10 +132,10 @@
 		if j := slices.IndexFunc(old, func(o choice.Class) bool { return o.Name == k.Name }); j >= 0 {
 			c = old[j]
 		}
-		c.Former, c.SetupAim, c.Deadline, c.MessageAim, c.Worth = false, k.Aim, k.Patience, k.MessageAim, k.Worth
+		c.Former, c.SetupObjective, c.Deadline, c.MessageObjective, c.Priority = false, k.SetupObjective, k.Patience, k.MessageObjective, k.Priority
 		if ground && k.Ground {
 			c.Deadline = min(c.Deadline, d.Ground.Patience)
-			c.SetupAim = min(c.SetupAim, c.Deadline)
+			c.SetupObjective = min(c.SetupObjective, c.Deadline)
 		}
 		s.Classes, s.ClassByName[k.Name] = append(s.Classes, c), i
 	}
@@ -155,7 +155,7 @@
 	if ground && d.Ground.Attempts > 0 {
 		s.Limits.Attempts = min(s.Limits.Attempts, d.Ground.Attempts)
 	}
-	s.OverQuotaWorth = d.OverShareWorth
+	s.OverQuotaPriority = d.OverQuotaPriority
 	return s
 }
 
@@ -188,10 +188,10 @@
 			return what("class "+name, "there", "none")
 		case c.Deadline != d.Classes[j].Patience:
 			return what("giveUpS of "+name, c.Deadline, d.Classes[j].Patience)
-		case c.SetupAim != d.Classes[j].Aim:
-			return what("aimS of "+name, c.SetupAim, d.Classes[j].Aim)
-		case c.Worth != d.Classes[j].Worth:
-			return what("value of "+name, c.Worth, d.Classes[j].Worth)
+		case c.SetupObjective != d.Classes[j].SetupObjective:
+			return what("aimS of "+name, c.SetupObjective, d.Classes[j].SetupObjective)
+		case c.Priority != d.Classes[j].Priority:
+			return what("value of "+name, c.Priority, d.Classes[j].Priority)
 		}
 	}
 	return ""
--- a/internal/policy/document.go
+++ b/internal/policy/document.go
@@ -12,24 +12,24 @@
 
 // Document is what all nodes of a fleet do alike. Config reads it from TOML.
 type Document struct {
-	Attempts       int           // for one request, 1 to 4
-	ComeAgain      time.Duration // advice for what is refused
-	OverShareWorth float64       // part of its worth that a connection keeps beyond its tenant's share
-	Classes        []Class
-	Tenants        []Tenant
-	Ground         Ground
-	Needs          Needs
-	Plan           *Plan // nil: as the list of nodes says
+	Attempts          int           // for one request, 1 to 4
+	ComeAgain         time.Duration // advice for what is refused
+	OverQuotaPriority float64       // part of its worth that a connection keeps beyond its tenant's share
+	Classes           []Class
+	Tenants           []Tenant
+	Ground            Ground
+	Needs             Needs
+	Plan              *Plan // nil: as the list of nodes says
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name       string
-	Aim        time.Duration // wanted time of the set-up
-	Patience   time.Duration // of the whole set-up
-	MessageAim time.Duration
-	Worth      float64
-	Ground     bool // without a lease it is served by the ground policy; else it is refused at once
+	Name             string
+	SetupObjective   time.Duration // wanted time of the set-up
+	Patience         time.Duration // of the whole set-up
+	MessageObjective time.Duration
+	Priority         float64
+	Ground           bool // without a lease it is served by the ground policy; else it is refused at once
 }
 
 // Tenant is a customer's share.
@@ -89,16 +89,16 @@
 	}
 	fault(d.Attempts < 1 || d.Attempts > MostAttempts, "attempts", "attempts = %d: 1 to %d are wanted", d.Attempts, MostAttempts)
 	fault(d.ComeAgain < 0 || d.ComeAgain > time.Minute, "come_again", "come_again = %v: up to 1m is possible", d.ComeAgain)
-	fault(!(d.OverShareWorth >= 0 && d.OverShareWorth <= 1), "over_share_worth", "over_share_worth = %v: a part from 0 to 1 is wanted", d.OverShareWorth)
+	fault(!(d.OverQuotaPriority >= 0 && d.OverQuotaPriority <= 1), "over_share_worth", "over_share_worth = %v: a part from 0 to 1 is wanted", d.OverQuotaPriority)
 	fault(len(d.Classes) == 0 || len(d.Classes) > mostClasses, "class", "%d classes: 1 to %d are wanted", len(d.Classes), mostClasses)
 	seen, grounded := map[string]bool{}, false
 	for i, c := range d.Classes {
 		at := fmt.Sprintf("class.%d", i)
 		fault(c.Name == "" || seen[c.Name], at+".name", "class %q: a name of its own is wanted", c.Name)
 		fault(c.Patience <= 0 || c.Patience > time.Hour, at+".patience", "class %q: patience = %v: a time over 0, up to 1h, is wanted", c.Name, c.Patience)
-		fault(c.Aim <= 0 || c.Aim > c.Patience, at+".aim", "class %q: aim = %v: a time over 0, up to the patience, is wanted", c.Name, c.Aim)
-		fault(c.MessageAim < 0, at+".message_aim", "class %q: message_aim = %v: 0, for none, or a time is wanted", c.Name, c.MessageAim)
-		fault(!(c.Worth >= 0 && c.Worth < 1e9), at+".worth", "class %q: worth = %v: a number of 0 or more is wanted", c.Name, c.Worth)
+		fault(c.SetupObjective <= 0 || c.SetupObjective > c.Patience, at+".aim", "class %q: aim = %v: a time over 0, up to the patience, is wanted", c.Name, c.SetupObjective)
+		fault(c.MessageObjective < 0, at+".message_aim", "class %q: message_aim = %v: 0, for none, or a time is wanted", c.Name, c.MessageObjective)
+		fault(!(c.Priority >= 0 && c.Priority < 1e9), at+".worth", "class %q: worth = %v: a number of 0 or more is wanted", c.Name, c.Priority)
 		seen[c.Name], grounded = true, grounded || c.Ground
 	}
 	named := map[string]bool{}
@@ -171,7 +171,7 @@
 	}
 	say("attempts", a.Attempts, b.Attempts)
 	say("come_again", a.ComeAgain, b.ComeAgain)
-	say("over_share_worth", a.OverShareWorth, b.OverShareWorth)
+	say("over_share_worth", a.OverQuotaPriority, b.OverQuotaPriority)
 	say("ground.attempts", a.Ground.Attempts, b.Ground.Attempts)
 	say("ground.patience", a.Ground.Patience, b.Ground.Patience)
 	say("needs.descriptors", a.Needs.Descriptors, b.Needs.Descriptors)
@@ -196,7 +196,7 @@
 }
 
 func classText(c Class) string {
-	return fmt.Sprintf("{Name:%s Aim:%v Patience:%v MessageAim:%v Worth:%v Ground:%v}", c.Name, c.Aim, c.Patience, c.MessageAim, c.Worth, c.Ground)
+	return fmt.Sprintf("{Name:%s Aim:%v Patience:%v MessageAim:%v Worth:%v Ground:%v}", c.Name, c.SetupObjective, c.Patience, c.MessageObjective, c.Priority, c.Ground)
 }
 
 func tenantText(t Tenant) string {
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -188,9 +188,9 @@
 
 // goldenDocument has every field set, and no two fields of a type alike.
 func goldenDocument() *Document {
-	return &Document{Attempts: 3, ComeAgain: 2 * time.Second, OverShareWorth: 0.1,
-		Classes: []Class{{Name: "gold", Aim: 500 * time.Millisecond, Patience: 3 * time.Second, MessageAim: 60 * time.Millisecond, Worth: 2, Ground: true},
-			{Name: "plain", Aim: 800 * time.Millisecond, Patience: 4 * time.Second, MessageAim: 70 * time.Millisecond, Worth: 1, Ground: true}},
+	return &Document{Attempts: 3, ComeAgain: 2 * time.Second, OverQuotaPriority: 0.1,
+		Classes: []Class{{Name: "gold", SetupObjective: 500 * time.Millisecond, Patience: 3 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 2, Ground: true},
+			{Name: "plain", SetupObjective: 800 * time.Millisecond, Patience: 4 * time.Second, MessageObjective: 70 * time.Millisecond, Priority: 1, Ground: true}},
 		Tenants: []Tenant{{Name: "acme", Connections: 40, Rate: 12.5}},
 		Ground:  Ground{Attempts: 1, Patience: 1500 * time.Millisecond},
 		Needs:   Needs{Descriptors: 512, MemoryMB: 64},
@@ -201,8 +201,8 @@
 func TestGoldenDiff(t *testing.T) {
 	a, b := goldenDocument(), goldenDocument()
 	requireSet(t, "Document", reflect.ValueOf(a))
-	b.Attempts, b.ComeAgain, b.OverShareWorth = 4, 3*time.Second, 0.2
-	b.Classes[0] = Class{Name: "gold", Aim: 600 * time.Millisecond, Patience: 3500 * time.Millisecond, MessageAim: 65 * time.Millisecond, Worth: 2.5}
+	b.Attempts, b.ComeAgain, b.OverQuotaPriority = 4, 3*time.Second, 0.2
+	b.Classes[0] = Class{Name: "gold", SetupObjective: 600 * time.Millisecond, Patience: 3500 * time.Millisecond, MessageObjective: 65 * time.Millisecond, Priority: 2.5}
 	b.Classes[1].Name = "bulk"
 	b.Tenants[0].Connections, b.Tenants[0].Rate = 41, 13.5
 	b.Tenants = append(b.Tenants, Tenant{Name: "other", Connections: 1, Rate: 2})
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -11,8 +11,8 @@
 )
 
 func sound() *Document {
-	return &Document{Attempts: 3, ComeAgain: time.Second, Classes: []Class{{Name: "a", Aim: time.Second, Patience: 4 * time.Second, Worth: 1, Ground: true},
-		{Name: "b", Aim: time.Second, Patience: 3 * time.Second}}, Ground: Ground{Attempts: 1, Patience: 2 * time.Second}}
+	return &Document{Attempts: 3, ComeAgain: time.Second, Classes: []Class{{Name: "a", SetupObjective: time.Second, Patience: 4 * time.Second, Priority: 1, Ground: true},
+		{Name: "b", SetupObjective: time.Second, Patience: 3 * time.Second}}, Ground: Ground{Attempts: 1, Patience: 2 * time.Second}}
 }
 
 // TestCheck holds which documents no fleet can go by, and that the fault names the key.
@@ -23,12 +23,12 @@
 	for key, spoil := range map[string]func(d *Document){
 		"attempts":         func(d *Document) { d.Attempts = 5 },
 		"come_again":       func(d *Document) { d.ComeAgain = -1 },
-		"over_share_worth": func(d *Document) { d.OverShareWorth = 2 },
+		"over_share_worth": func(d *Document) { d.OverQuotaPriority = 2 },
 		"class":            func(d *Document) { d.Classes = nil },
 		"class.1.name":     func(d *Document) { d.Classes[1].Name = "a" },
 		"class.0.patience": func(d *Document) { d.Classes[0].Patience = 0 },
-		"class.1.aim":      func(d *Document) { d.Classes[1].Aim = time.Hour },
-		"class.0.worth":    func(d *Document) { d.Classes[0].Worth = -1 },
+		"class.1.aim":      func(d *Document) { d.Classes[1].SetupObjective = time.Hour },
+		"class.0.worth":    func(d *Document) { d.Classes[0].Priority = -1 },
 		"tenant.0.name":    func(d *Document) { d.Tenants = []Tenant{{}} },
 		"ground":           func(d *Document) { d.Ground = Ground{} },
 		"ground.attempts":  func(d *Document) { d.Ground.Attempts = 4 },
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -36,11 +36,11 @@
 		Settings: choice.Settings{
 			Nodes: 21, Node: 3, Zone: "zone-1", Grouped: true, PassThru: true, Park: 18 * time.Second, Subscribe: true,
 			Classes: []choice.Class{
-				{Name: "class-1", SetupAim: 330 * ms, Deadline: 35 * time.Second, MessageAim: 150 * ms, Worth: 36, Repeat: choice.Keyed,
+				{Name: "class-1", SetupObjective: 330 * ms, Deadline: 35 * time.Second, MessageObjective: 150 * ms, Priority: 36, Repeat: choice.Keyed,
 					Scope: choice.ScopeZone, Window: 34 * time.Second},
-				{Name: "class-2", SetupAim: 370 * ms, Deadline: 39 * time.Second, MessageAim: 160 * ms, Worth: 40, Repeat: choice.Unsafe,
+				{Name: "class-2", SetupObjective: 370 * ms, Deadline: 39 * time.Second, MessageObjective: 160 * ms, Priority: 40, Repeat: choice.Unsafe,
 					Scope: choice.ScopeCell, Window: 38 * time.Second},
-				{Name: "class-3", SetupAim: 410 * ms, Deadline: 43 * time.Second, MessageAim: 170 * ms, Worth: 44, Repeat: choice.Safe,
+				{Name: "class-3", SetupObjective: 410 * ms, Deadline: 43 * time.Second, MessageObjective: 170 * ms, Priority: 44, Repeat: choice.Safe,
 					Scope: choice.ScopeAll, Window: 42 * time.Second},
 			},
 			Tenants: []choice.Tenant{
@@ -50,7 +50,7 @@
 			Reports: choice.ProbeReports,
 			Fields: []choice.Field{choice.Load, choice.PiledUp, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency,
 				choice.Throughput, choice.ErrorRate, choice.OtherField},
-			Sizes: choice.LiveSize, TellsDelay: true, OverQuotaWorth: 0.29, WorthByWork: true, Round: 45 * ms,
+			Sizes: choice.LiveSize, TellsDelay: true, OverQuotaPriority: 0.29, PriorityPerWork: true, Round: 45 * ms,
 			Limits: choice.Limits{Attempts: 32, MayProbe: true, MayCancel: true, MayTell: true, SecondCopies: true, RetryAdvice: true,
 				MaxRetryAdvice: 31 * time.Second, ConnectTimeout: 300 * ms},
 			Rules: choice.Rules{AnswerSlack: 220 * ms, AskWithin: 23 * time.Second, DrainGrace: 28 * time.Second, ColdShare: 0.24,
@@ -110,7 +110,7 @@
 		}
 	}
 	if decode(`"mode":"pass"`, `"mode":"proxy"`).PassThru || decode(`"membershipMode":"on_request"`, `"membershipMode":"push"`).Subscribe ||
-		decode(`"worthBy":"work"`, `"worthBy":"request"`).WorthByWork {
+		decode(`"worthBy":"work"`, `"worthBy":"request"`).PriorityPerWork {
 		t.Error("domain.mode proxy, membershipMode push or worthBy request is read as its opposite")
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -246,7 +246,7 @@
 	s := choice.Settings{
 		Nodes: in.GroupSize, Node: in.Index, Zone: in.AZ, Grouped: in.Domain.Groups, TellsDelay: in.Domain.TellsDelay,
 		PassThru: in.Domain.Mode == "pass", Park: seconds(in.Domain.ParkS), Subscribe: in.Membership == "on_request",
-		OverQuotaWorth: in.OverShare, WorthByWork: in.WorthBy == "work", Round: seconds(in.RoundS),
+		OverQuotaPriority: in.OverShare, PriorityPerWork: in.WorthBy == "work", Round: seconds(in.RoundS),
 		Limits: choice.Limits{Attempts: lim.SendCap, MayProbe: lim.MayProbe, MayCancel: lim.MayCancel, MayTell: lim.MayTell,
 			SecondCopies: lim.SecondCopies, RetryAdvice: lim.RetryAfter, MaxRetryAdvice: seconds(lim.MaxRetryAfterS),
 			ConnectTimeout: seconds(lim.ConnectTimeoutS)},
@@ -266,7 +266,7 @@
 	}
 	classes, tenants := map[string]int{}, map[string]int{}
 	for i, p := range in.Profiles {
-		c := choice.Class{Name: p.Name, SetupAim: seconds(p.AimS), Deadline: seconds(p.GiveUpS), Worth: p.Value,
+		c := choice.Class{Name: p.Name, SetupObjective: seconds(p.AimS), Deadline: seconds(p.GiveUpS), Priority: p.Value,
 			Window: seconds(p.DedupWindowS)}
 		if c.Repeat, ok = repeats[p.Idempotency]; !ok {
 			return s, nil, nil, fmt.Errorf("setup: profile %q: idempotency %q", p.Name, p.Idempotency)
@@ -275,7 +275,7 @@
 			return s, nil, nil, fmt.Errorf("setup: profile %q: dedupScope %q", p.Name, p.DedupScope)
 		}
 		if i < len(in.Domain.MessageAimS) {
-			c.MessageAim = seconds(in.Domain.MessageAimS[i])
+			c.MessageObjective = seconds(in.Domain.MessageAimS[i])
 		}
 		classes[p.Name] = i
 		s.Classes = append(s.Classes, c)
