--- a/choice/alike_test.go
+++ b/choice/alike_test.go
@@ -22,7 +22,7 @@
 		for i := range 300 {
 			f.run(ms(40 * i))
 			id := RequestID(fmt.Sprint(i))
-			f.step(Request{ID: id, Left: ms(1800), Tenant: -1, Load: unit * float64(1+i%7)})
+			f.step(Request{ID: id, TimeLeft: ms(1800), Tenant: -1, Load: unit * float64(1+i%7)})
 			f.answerProbes(load)
 			got := f.sends()
 			to = append(to, got...)
@@ -80,7 +80,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				id := RequestID(fmt.Sprint(i))
-				out := f.b.Step(time.Duration(i)*10*time.Millisecond, []Event{Request{ID: id, Left: ms(1800), Tenant: -1}})
+				out := f.b.Step(time.Duration(i)*10*time.Millisecond, []Event{Request{ID: id, TimeLeft: ms(1800), Tenant: -1}})
 				var probed []Event
 				for _, a := range out {
 					if p, ok := a.(Probe); ok {
--- a/choice/api.go
+++ b/choice/api.go
@@ -37,23 +37,23 @@
 
 // Class is a class of requests. Its CBOR form goes from one process of a node to the next one: the tags are its names there.
 type Class struct {
-	Name             string        `cbor:"Name"`
-	Former           bool          `cbor:"Former"`     // it left the settings: only what came before has it, and what was on the way then
-	SetupObjective   time.Duration `cbor:"SetupAim"`   // wanted time to set a connection up
-	Deadline         time.Duration `cbor:"Deadline"`   // the client's whole patience
-	MessageObjective time.Duration `cbor:"MessageAim"` // wanted time of a message on an open connection; 0 where not told
-	Priority         float64       `cbor:"Worth"`
-	Repeat           Repeat        `cbor:"Repeat"`
-	Scope            Scope         `cbor:"Scope"`  // Keyed: the servers that drop repeats of a request
-	Window           time.Duration `cbor:"Window"` // Keyed: how long they remember, from the send of the attempt that may have run
+	Name              string        `cbor:"Name"`
+	Former            bool          `cbor:"Former"`     // it left the settings: only what came before has it, and what was on the way then
+	SetupObjective    time.Duration `cbor:"SetupAim"`   // wanted time to set a connection up
+	Deadline          time.Duration `cbor:"Deadline"`   // the client's whole patience
+	MessageObjective  time.Duration `cbor:"MessageAim"` // wanted time of a message on an open connection; 0 where not told
+	Priority          float64       `cbor:"Worth"`
+	Idempotency       Idempotency   `cbor:"Repeat"`
+	IdempotencyScope  Scope         `cbor:"Scope"`  // Keyed: the servers that drop repeats of a request
+	IdempotencyWindow time.Duration `cbor:"Window"` // Keyed: how long they remember, from the send of the attempt that may have run
 }
 
 // forgets is when servers no longer tell a repeat of what was sent then from a new request; 0: the class has no such time.
 func (c *Class) forgets(sent time.Duration) time.Duration {
-	if c.Repeat != Keyed {
+	if c.Idempotency != IdempotentByKey {
 		return 0
 	}
-	return sent + c.Window
+	return sent + c.IdempotencyWindow
 }
 
 // Tenant is a customer with a share of the fleet.
@@ -64,13 +64,13 @@
 	Share       float64
 }
 
-// Repeat says what happens when a request runs twice.
-type Repeat uint8
+// Idempotency says what happens when a request runs twice.
+type Idempotency uint8
 
 const (
-	Safe   Repeat = iota // harmless
-	Keyed                // harmless inside Scope and Window
-	Unsafe               // never allowed
+	Idempotent      Idempotency = iota // harmless
+	IdempotentByKey                    // harmless inside Scope and Window
+	NotIdempotent                      // never allowed
 )
 
 // Scope is the group of servers that share what they know of a keyed request.
@@ -117,13 +117,13 @@
 
 // Limits is what a node may do.
 type Limits struct {
-	Attempts       int // most attempts for one request
+	MaxAttempts    int // most attempts for one request
 	MayProbe       bool
-	MayCancel      bool
+	Cancellation   bool
 	MayTell        bool // nodes may send one another messages
-	SecondCopies   bool // two attempts of one request may be out at once; the module never uses it
-	RetryAdvice    bool // clients are told how long to stay away
-	MaxRetryAdvice time.Duration
+	HedgedRequests bool // two attempts of one request may be out at once; the module never uses it
+	RetryAfter     bool // clients are told how long to stay away
+	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
 }
 
@@ -196,7 +196,7 @@
 		Tenant   int // index in Settings.Tenants; -1 without tenants
 		Key      uint64
 		Group    uint64 // 0: none
-		Left     time.Duration
+		TimeLeft time.Duration
 		Load     float64  // told usual load, work a second; 0: not told
 		Home     ServerID // where what it resumes lives: it goes there while it may; empty: nowhere
 		MidFlow  bool     // packets of an open connection come here now
@@ -266,10 +266,10 @@
 	// ZonePlan says where this node's requests may go from now on. Without grants nothing is placed; nil Grants end the
 	// plan: the node chooses for itself, among all zones.
 	ZonePlan struct {
-		Grants    []Grant       // nearest zone first
-		Admit     []float64     // part of each class's requests that is let in; classes beyond are let in whole
-		ComeAgain time.Duration // advice for what is refused, spread by half
-		Nodes     int           // of the fleet that are there; 0: as the settings say
+		Grants     []Grant       // nearest zone first
+		Admit      []float64     // part of each class's requests that is let in; classes beyond are let in whole
+		RetryAfter time.Duration // advice for what is refused, spread by half
+		Nodes      int           // of the fleet that are there; 0: as the settings say
 	}
 	// PeerMessage is a message of another node, by its number. What can't be read, is late or repeats is dropped.
 	PeerMessage struct {
@@ -314,11 +314,11 @@
 	ConnectFailed         // no connection could be made
 	Reset                 // the connection broke
 	Cancelled             // called off
-	Moot                  // never sent
+	NeverSent             // never sent
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
-func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == NeverSent }
 
 var outcomeNames = [...]string{"served", "failed", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
 
@@ -351,27 +351,27 @@
 type Action interface{ action() }
 
 type (
-	// Send starts the next attempt of a request; it is given up after Cap. Its first byte goes out before the clock time By or
+	// StartAttempt starts the next attempt of a request; it is given up after Cap. Its first byte goes out before the clock time By or
 	// not at all; 0 or under: whenever its connection is up.
-	Send struct {
-		ID     RequestID
-		Server ServerID
-		Cap    time.Duration
-		By     time.Duration
+	StartAttempt struct {
+		ID         RequestID
+		Server     ServerID
+		Timeout    time.Duration
+		SendBefore time.Duration
 	}
-	// Refuse ends a request: trying again does no harm. After is advice; 0 gives none.
-	Refuse struct {
-		ID     RequestID
-		After  time.Duration
-		Reason Reason
+	// Reject ends a request: trying again does no harm. After is advice; 0 gives none.
+	Reject struct {
+		ID         RequestID
+		RetryAfter time.Duration
+		Reason     Reason
 	}
 	// Fail ends a request and promises nothing.
 	Fail struct {
 		ID     RequestID
 		Reason Reason
 	}
-	// Cancel calls an attempt off.
-	Cancel struct {
+	// CancelAttempt calls an attempt off.
+	CancelAttempt struct {
 		ID      RequestID
 		Attempt int
 	}
@@ -394,12 +394,12 @@
 	}
 )
 
-func (Send) action()     {}
-func (Refuse) action()   {}
-func (Fail) action()     {}
-func (Cancel) action()   {}
-func (Probe) action()    {}
-func (Move) action()     {}
-func (SetTimer) action() {}
-func (Follow) action()   {}
-func (Tell) action()     {}
+func (StartAttempt) action()  {}
+func (Reject) action()        {}
+func (Fail) action()          {}
+func (CancelAttempt) action() {}
+func (Probe) action()         {}
+func (Move) action()          {}
+func (SetTimer) action()      {}
+func (Follow) action()        {}
+func (Tell) action()          {}
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -280,8 +280,8 @@
 		b.out = append(b.out, Fail{q.ID, UnknownClass})
 		return
 	}
-	r := &request{Request: q, load: b.loadOf(q), bind: b.bindOf(q), deadline: b.now + q.Left,
-		class: &b.set.Classes[q.Class], most: b.set.Limits.Attempts}
+	r := &request{Request: q, load: b.loadOf(q), bind: b.bindOf(q), deadline: b.now + q.TimeLeft,
+		class: &b.set.Classes[q.Class], most: b.set.Limits.MaxAttempts}
 	b.reqs[q.ID] = r
 	if len(b.servers) > 0 && !q.MidFlow && !b.keeps && b.rng.Float64() > b.admitted(r) {
 		if s := b.servers[b.rng.IntN(len(b.servers))]; s.State == Ready && b.rng.Float64() < peek {
@@ -291,15 +291,15 @@
 		b.answer(r, Overloaded)
 		return
 	}
-	b.out = append(b.out, SetTimer{"end " + string(q.ID), max(0, q.Left-2*b.set.Round), q.ID})
+	b.out = append(b.out, SetTimer{"end " + string(q.ID), max(0, q.TimeLeft-2*b.set.Round), q.ID})
 	b.place(r)
 }
 
 // eligible says whether a request may go to a server at all: drains, repeats, cold servers.
 func (b *Balancer) eligible(r *request, s *server) bool {
 	c := r.class
-	if r.may != nil && c.Repeat == Keyed && (b.now >= r.mayBy ||
-		c.Scope != ScopeAll && s.Zone != r.may.Zone || c.Scope == ScopeCell && s.Cell != r.may.Cell) {
+	if r.may != nil && c.Idempotency == IdempotentByKey && (b.now >= r.mayBy ||
+		c.IdempotencyScope != ScopeAll && s.Zone != r.may.Zone || c.IdempotencyScope == ScopeCell && s.Cell != r.may.Cell) {
 		return false
 	}
 	return s.State == Ready && !slices.Contains(r.tried, s) && (r.zone == "" || s.Zone == r.zone) &&
@@ -403,7 +403,7 @@
 	if e.Outcome == Served {
 		s.strikes = 0
 		b.observe(s, e.Report)
-	} else if s.State == Ready && e.Outcome != Moot { // never sent: that says nothing of the server
+	} else if s.State == Ready && e.Outcome != NeverSent { // never sent: that says nothing of the server
 		b.strike(s)
 	}
 	if !b.set.TellsDelay && e.Outcome == Served && !b.keeps {
@@ -589,7 +589,7 @@
 			b.coldLeave -= r.load / b.unit
 		}
 	}
-	b.out = append(b.out, Send{r.ID, s.ID, limit, r.mayBy})
+	b.out = append(b.out, StartAttempt{r.ID, s.ID, limit, r.mayBy})
 }
 
 // ended closes an attempt; a request without an answer goes to another server while rules and time allow.
@@ -623,7 +623,7 @@
 	}
 	r.tried = append(r.tried, s)
 	switch {
-	case r.may != nil && r.class.Repeat == Unsafe:
+	case r.may != nil && r.class.Idempotency == NotIdempotent:
 		b.answer(r, MayHaveRun)
 		return
 	case r.attempts >= r.most:
@@ -640,20 +640,20 @@
 func (b *Balancer) answer(r *request, why Reason) {
 	c := r.class
 	b.refused = append(b.refused, r.Class)
-	if r.on == nil && r.may == nil || c.Repeat == Safe || c.Repeat == Keyed && c.Scope == ScopeAll {
+	if r.on == nil && r.may == nil || c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll {
 		after := time.Duration(0)
-		if b.set.Reports == NoReports && b.set.Limits.RetryAdvice && r.attempts == 0 && b.bases > 0 {
-			after = time.Duration((0.25 + 0.75*b.rng.Float64()) * float64(b.set.Limits.MaxRetryAdvice))
+		if b.set.Reports == NoReports && b.set.Limits.RetryAfter && r.attempts == 0 && b.bases > 0 {
+			after = time.Duration((0.25 + 0.75*b.rng.Float64()) * float64(b.set.Limits.MaxRetryAfter))
 		}
 		if b.plan != nil && r.attempts == 0 { // by then it may be another plan; spread, against waves
-			after = time.Duration((0.5 + b.rng.Float64()) * float64(b.plan.ComeAgain))
+			after = time.Duration((0.5 + b.rng.Float64()) * float64(b.plan.RetryAfter))
 		}
-		b.out = append(b.out, Refuse{r.ID, after, why})
+		b.out = append(b.out, Reject{r.ID, after, why})
 	} else {
 		b.out = append(b.out, Fail{r.ID, why})
 	}
-	if r.on != nil && b.set.Limits.MayCancel {
-		b.out = append(b.out, Cancel{r.ID, r.attempts - 1})
+	if r.on != nil && b.set.Limits.Cancellation {
+		b.out = append(b.out, CancelAttempt{r.ID, r.attempts - 1})
 	}
 	b.forget(r)
 }
--- a/choice/cold_fleet_test.go
+++ b/choice/cold_fleet_test.go
@@ -62,7 +62,7 @@
 	s := choice.Settings{Nodes: f.nodes, Zone: "z0", Reports: f.reports, Sizes: choice.NominalSize, Round: 5 * time.Millisecond,
 		Classes: []choice.Class{{Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
 			MessageObjective: 100 * time.Millisecond, Priority: 1}},
-		Limits:  choice.Limits{Attempts: 4, MayProbe: true, MayCancel: true, MayTell: f.peers, ConnectTimeout: 100 * time.Millisecond},
+		Limits:  choice.Limits{MaxAttempts: 4, MayProbe: true, Cancellation: true, MayTell: f.peers, ConnectTimeout: 100 * time.Millisecond},
 		Rules:   f.rules,
 		Tariffs: choice.Tariffs{Probe: 0.002, Move: 0.01, Peer: 0.01},
 	}
--- a/choice/drawn_faults_test.go
+++ b/choice/drawn_faults_test.go
@@ -12,7 +12,7 @@
 func smallSettings(nodes int) choice.Settings {
 	f := coldFleet{nodes: nodes, reports: choice.ProbeReports, peers: true, rules: shortWarmUp, told: true}
 	s := f.settings()
-	s.Limits.RetryAdvice, s.Limits.MaxRetryAdvice = true, time.Second
+	s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, time.Second
 	return s
 }
 
@@ -31,13 +31,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(simulationStart, []choice.Event{smallFleet(2), choice.ZonePlan{Grants: []choice.Grant{}, ComeAgain: s.Limits.MaxRetryAdvice}})
+	b.Step(simulationStart, []choice.Event{smallFleet(2), choice.ZonePlan{Grants: []choice.Grant{}, RetryAfter: s.Limits.MaxRetryAfter}})
 	advised := 0
 	for i := range 100 {
-		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1, Left: time.Second}}) {
-			if a, ok := a.(choice.Refuse); ok && a.After > 0 {
-				if advised++; a.After > s.Limits.MaxRetryAdvice {
-					t.Fatalf("advice of %v; clients heed at most %v", a.After, s.Limits.MaxRetryAdvice)
+		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1, TimeLeft: time.Second}}) {
+			if a, ok := a.(choice.Reject); ok && a.RetryAfter > 0 {
+				if advised++; a.RetryAfter > s.Limits.MaxRetryAfter {
+					t.Fatalf("advice of %v; clients heed at most %v", a.RetryAfter, s.Limits.MaxRetryAfter)
 				}
 			}
 		}
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		actions := b.Step(simulationStart, []choice.Event{smallFleet(2), choice.Request{ID: "r", Tenant: -1, Left: time.Second}})
+		actions := b.Step(simulationStart, []choice.Event{smallFleet(2), choice.Request{ID: "r", Tenant: -1, TimeLeft: time.Second}})
 		var answers []choice.Event
 		for _, a := range actions {
 			if a, ok := a.(choice.Probe); ok {
@@ -68,7 +68,7 @@
 		later := b.Step(simulationStart+time.Millisecond, append([]choice.Event{
 			choice.ZonePlan{Grants: []choice.Grant{{Zone: "z0", Load: 100}}}}, answers...))
 		for _, a := range later {
-			if a, ok := a.(choice.Send); ok && a.Server != "h0" && a.Server != "h2" && a.Server != "h4" {
+			if a, ok := a.(choice.StartAttempt); ok && a.Server != "h0" && a.Server != "h2" && a.Server != "h4" {
 				t.Fatalf("seed %d: sent to %s, outside the zone of the plan", seed, a.Server)
 			}
 		}
@@ -91,8 +91,8 @@
 	sent := 0
 	for i := range 60 {
 		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1,
-			Left: time.Second, Home: "h2"}}) {
-			if a, ok := a.(choice.Send); ok && a.Server == "h2" {
+			TimeLeft: time.Second, Home: "h2"}}) {
+			if a, ok := a.(choice.StartAttempt); ok && a.Server == "h2" {
 				sent++
 			}
 		}
--- a/choice/estimate_test.go
+++ b/choice/estimate_test.go
@@ -12,7 +12,7 @@
 		Classes: []Class{
 			{Name: "watch", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 150 * time.Millisecond, Priority: 5},
 			{Name: "pay", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 250 * time.Millisecond, Priority: 15}},
-		Limits: Limits{Attempts: 4, MayProbe: true, RetryAdvice: true, MaxRetryAdvice: 2 * time.Second},
+		Limits: Limits{MaxAttempts: 4, MayProbe: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
 		Rules:  Rules{ColdShare: 0.14, WarmUp: 20 * time.Second, FallMultiple: 2.5, FallTime: 1500 * time.Millisecond}}
 }
 
@@ -33,8 +33,8 @@
 
 // connect places a request and has its connection stand; it returns the host, or "" where the request was refused.
 func connect(b *Balancer, now time.Duration, id RequestID, class int, group uint64, returned bool) ServerID {
-	for _, a := range b.Step(now, []Event{Request{ID: id, Class: class, Tenant: -1, Group: group, Left: 5 * time.Second, Returned: returned}}) {
-		if a, ok := a.(Send); ok {
+	for _, a := range b.Step(now, []Event{Request{ID: id, Class: class, Tenant: -1, Group: group, TimeLeft: 5 * time.Second, Returned: returned}}) {
+		if a, ok := a.(StartAttempt); ok {
 			b.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
 			return a.Server
 		}
@@ -208,16 +208,16 @@
 	for i := range 300 { // a storm: each connection is dropped 200 ms after it came up
 		now += 10 * time.Millisecond
 		id := RequestID(fmt.Sprint(i))
-		for _, a := range b.Step(now, []Event{Request{ID: id, Tenant: -1, Group: uint64(1 + i%5), Left: 5 * time.Second, Returned: true}}) {
+		for _, a := range b.Step(now, []Event{Request{ID: id, Tenant: -1, Group: uint64(1 + i%5), TimeLeft: 5 * time.Second, Returned: true}}) {
 			switch a := a.(type) {
-			case Send:
+			case StartAttempt:
 				placed++
 				b.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
 				b.Step(now+200*time.Millisecond, []Event{AttemptEnded{ID: id, Server: a.Server, Outcome: Reset, Final: true}})
-			case Refuse:
+			case Reject:
 				refused++
-				if advice[a.After] = true; a.After <= 0 || a.After > 2*time.Second {
-					t.Fatalf("advice of %v where clients heed 2 s", a.After)
+				if advice[a.RetryAfter] = true; a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
+					t.Fatalf("advice of %v where clients heed 2 s", a.RetryAfter)
 				}
 			}
 		}
--- a/choice/evidence.go
+++ b/choice/evidence.go
@@ -128,8 +128,8 @@
 		for p.Admit = slices.Clone(p.Admit); len(p.Admit) < len(b.set.Classes); {
 			p.Admit = append(p.Admit, 1)
 		}
-		if p.ComeAgain = min(p.ComeAgain, b.set.Limits.MaxRetryAdvice*2/3); !b.set.Limits.RetryAdvice { // spread by half
-			p.ComeAgain = 0
+		if p.RetryAfter = min(p.RetryAfter, b.set.Limits.MaxRetryAfter*2/3); !b.set.Limits.RetryAfter { // spread by half
+			p.RetryAfter = 0
 		}
 	}
 	b.adapt(told)
@@ -187,7 +187,7 @@
 }
 
 func (b *Balancer) countProbe(e ProbeResult) {
-	if s := b.find(e.Server); s != nil && s.State == Ready && e.Outcome != Moot {
+	if s := b.find(e.Server); s != nil && s.State == Ready && e.Outcome != NeverSent {
 		b.countZone(s.Zone, e.Outcome != Served)
 	}
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -15,7 +15,7 @@
 		Fields:  []choice.Field{choice.Load},
 		Classes: []choice.Class{{Name: "live", SetupObjective: 300 * time.Millisecond, Deadline: 2 * time.Second,
 			MessageObjective: 100 * time.Millisecond, Priority: 1}},
-		Limits: choice.Limits{Attempts: 3, MayProbe: true},
+		Limits: choice.Limits{MaxAttempts: 3, MayProbe: true},
 		Rules:  choice.Rules{DrainGrace: 500 * time.Millisecond},
 	}, 42, 0)
 	if err != nil {
@@ -25,7 +25,7 @@
 	loads := map[choice.ServerID]float64{"a": 0.9, "b": 0.2}
 	inbox := []choice.Event{
 		choice.ServerList{Kind: choice.ListWhole, Servers: []choice.Server{{ID: "a"}, {ID: "b"}}},
-		choice.Request{ID: "r1", Tenant: -1, Left: 2 * time.Second},
+		choice.Request{ID: "r1", Tenant: -1, TimeLeft: 2 * time.Second},
 	}
 	for now := time.Duration(0); len(inbox) > 0; now += time.Millisecond {
 		actions := b.Step(now, inbox)
@@ -35,7 +35,7 @@
 			case choice.Probe:
 				inbox = append(inbox, choice.ProbeResult{Server: a.Server, Outcome: choice.Served,
 					Report: []float64{loads[a.Server]}})
-			case choice.Send:
+			case choice.StartAttempt:
 				fmt.Println("connect", a.ID, "to", a.Server)
 			case choice.SetTimer: // a real node hands TimerFired back when the time has come
 			}
--- a/choice/failures_test.go
+++ b/choice/failures_test.go
@@ -12,7 +12,7 @@
 func (f *referee) place(id string, group uint64, load func(ServerID) float64) ServerID {
 	f.t.Helper()
 	f.now += ms(1)
-	f.step(Request{ID: RequestID(id), Left: ms(1800), Tenant: -1, Group: group})
+	f.step(Request{ID: RequestID(id), TimeLeft: ms(1800), Tenant: -1, Group: group})
 	f.answerProbes(load)
 	if got := f.sends(); len(got) == 1 {
 		return got[0]
@@ -175,7 +175,7 @@
 	for i := range 100 { // learn what requests are worth, and put the second tenant over its quota
 		id := RequestID(fmt.Sprint("warm", i))
 		f.now += ms(10)
-		f.step(Request{ID: id, Left: ms(1800), Class: i % 2, Tenant: i % 4 / 2})
+		f.step(Request{ID: id, TimeLeft: ms(1800), Class: i % 2, Tenant: i % 4 / 2})
 		f.answerProbes(level(0.5))
 		if to := f.sends(); len(to) == 1 {
 			f.step(Established{ID: id, Attempt: 0, Server: to[0]})
@@ -186,7 +186,7 @@
 		f.b.gate = 0.3
 		class, tenant := i%2, i%4/2
 		id := RequestID(fmt.Sprint(i))
-		f.step(Request{ID: id, Left: ms(1800), Class: class, Tenant: tenant})
+		f.step(Request{ID: id, TimeLeft: ms(1800), Class: class, Tenant: tenant})
 		if !f.reqs[id].done {
 			pass[[2]int{class, tenant}]++
 		}
@@ -235,7 +235,7 @@
 			f := newReferee(t, s, uint64(node))
 			f.step(fleet(12))
 			f.b.gate = 0.01
-			f.step(Request{ID: "r", Left: ms(1800), Tenant: -1, Key: key, MidFlow: true})
+			f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1, Key: key, MidFlow: true})
 			f.answerProbes(level(0.4))
 			for _, to := range f.sends() {
 				homes[to] = true
@@ -253,16 +253,16 @@
 func TestShedding(t *testing.T) {
 	for _, reports := range []Channel{NoReports, ProbeReports} {
 		for _, o := range []Outcome{Reset, Served, Cancelled} {
-			b, err := New(Settings{Nodes: 1, Reports: reports, Fields: []Field{Load}, Limits: Limits{Attempts: 4},
+			b, err := New(Settings{Nodes: 1, Reports: reports, Fields: []Field{Load}, Limits: Limits{MaxAttempts: 4},
 				Classes: []Class{{SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}}, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
 			acts := b.Step(time.Hour, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Size: 1}, {ID: "b", Size: 1}, {ID: "c", Size: 1}}},
-				Request{ID: "1", Tenant: -1, Left: 4 * time.Second}})
+				Request{ID: "1", Tenant: -1, TimeLeft: 4 * time.Second}})
 			var on ServerID
 			for _, a := range acts {
-				if s, ok := a.(Send); ok {
+				if s, ok := a.(StartAttempt); ok {
 					on = s.Server
 				}
 			}
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -17,8 +17,8 @@
 	s.PassThru = rng.IntN(4) == 0
 	s.Reports = Channel(rng.IntN(3))
 	s.Classes = append(s.Classes,
-		Class{SetupObjective: ms(200), Deadline: ms(900), Repeat: Unsafe, MessageObjective: ms(50)},
-		Class{SetupObjective: ms(200), Deadline: ms(900), Repeat: Keyed, Scope: Scope(rng.IntN(3)), Window: ms(rng.IntN(900))})
+		Class{SetupObjective: ms(200), Deadline: ms(900), Idempotency: NotIdempotent, MessageObjective: ms(50)},
+		Class{SetupObjective: ms(200), Deadline: ms(900), Idempotency: IdempotentByKey, IdempotencyScope: Scope(rng.IntN(3)), IdempotencyWindow: ms(rng.IntN(900))})
 	f := newReferee(t, s, seed)
 	servers := fleet(1 + rng.IntN(12))
 	var all [][]Action
@@ -37,8 +37,8 @@
 		f.now += ms(5)
 		for _, a := range f.last {
 			switch a := a.(type) {
-			case Send:
-				out = append(out, attempt{a.ID, f.reqs[a.ID].sent - 1, a.Server, f.now + a.Cap})
+			case StartAttempt:
+				out = append(out, attempt{a.ID, f.reqs[a.ID].sent - 1, a.Server, f.now + a.Timeout})
 			case Probe:
 				probes = append(probes, a.Server)
 			}
@@ -99,7 +99,7 @@
 		case 0, 1, 2, 3:
 			next++
 			events = append(events, Request{ID: RequestID(fmt.Sprint("r", next)), Class: rng.IntN(3), Tenant: -1,
-				Key: rng.Uint64N(9), Group: rng.Uint64N(5), Left: ms(rng.IntN(900)), Load: rng.Float64()})
+				Key: rng.Uint64N(9), Group: rng.Uint64N(5), TimeLeft: ms(rng.IntN(900)), Load: rng.Float64()})
 		case 4:
 			i := rng.IntN(len(servers.Servers))
 			servers.Servers[i].State = ServerState(rng.IntN(3) * rng.IntN(2))
--- a/choice/groups_test.go
+++ b/choice/groups_test.go
@@ -12,7 +12,7 @@
 	for _, c := range []struct{ groups, most int }{{1, 12}, {20, 2}} {
 		b, err := New(Settings{Nodes: 1, Grouped: true, Reports: ProbeReports, Fields: []Field{Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
-			Limits:  Limits{Attempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
+			Limits:  Limits{MaxAttempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,7 +28,7 @@
 				switch a := a.(type) {
 				case Probe:
 					next = append(next, ProbeResult{Server: a.Server, Report: []float64{0.06 * float64(held[a.Server])}})
-				case Send:
+				case StartAttempt:
 					held[a.Server]++
 					g := group[a.ID]
 					if where[g] == nil {
@@ -47,7 +47,7 @@
 		for i := range 40 {
 			id := RequestID(fmt.Sprint(i))
 			group[id] = uint64(1 + i%c.groups)
-			next = append(next, Request{ID: id, Tenant: -1, Group: group[id], Left: 4 * time.Second})
+			next = append(next, Request{ID: id, Tenant: -1, Group: group[id], TimeLeft: 4 * time.Second})
 			for range 3 {
 				step()
 			}
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -38,7 +38,7 @@
 		events = nil
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Send:
+			case StartAttempt:
 				f.on[a.ID] = a.Server
 				f.ends[a.ID] = f.now + time.Duration(10+f.rng.IntN(40))*time.Second
 				events = append(events, Established{ID: a.ID, Server: a.Server})
@@ -75,7 +75,7 @@
 		}
 		if f.now%every == 0 {
 			f.next++
-			events = append(events, Request{ID: RequestID(fmt.Sprint("r", f.next)), Tenant: -1, Left: 4 * time.Second})
+			events = append(events, Request{ID: RequestID(fmt.Sprint("r", f.next)), Tenant: -1, TimeLeft: 4 * time.Second})
 		}
 		f.step(events...)
 		if to-f.now > 5*time.Second {
@@ -91,7 +91,7 @@
 func knows() Settings {
 	return Settings{Nodes: 4, Reports: ProbeReports, Fields: []Field{Load}, Round: 5 * time.Millisecond,
 		Classes: []Class{{Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond, MessageObjective: 60 * time.Millisecond, Priority: 1}},
-		Limits:  Limits{Attempts: 4, MayProbe: true}, Tariffs: Tariffs{Probe: 0.002}}
+		Limits:  Limits{MaxAttempts: 4, MayProbe: true}, Tariffs: Tariffs{Probe: 0.002}}
 }
 
 // TestLearnedGoesAlong has one process take over from another: with what that one found out, its forecasts of the servers'
@@ -220,7 +220,7 @@
 		return b
 	}
 	same := knows()
-	same.Limits.Attempts, same.Classes = 2, append(same.Classes, Class{Name: "d", Priority: 9, Deadline: time.Second})
+	same.Limits.MaxAttempts, same.Classes = 2, append(same.Classes, Class{Name: "d", Priority: 9, Deadline: time.Second})
 	b := learned()
 	b.Step(now, []Event{NewSettings{same}})
 	if !b.find("a").known || b.avg == 0 || len(b.Learned().Kinds) != 1 {
@@ -269,16 +269,16 @@
 		on, refused := map[ServerID]int{}, 0
 		events := []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}}
 		for i := range 2000 {
-			events = append(events, Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1, Left: 4 * time.Second})
+			events = append(events, Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1, TimeLeft: 4 * time.Second})
 			for len(events) > 0 {
 				acts := b.Step(time.Hour+time.Duration(i)*time.Millisecond, events)
 				events = nil
 				for _, a := range acts {
 					switch a := a.(type) {
-					case Send:
+					case StartAttempt:
 						on[a.Server]++
 						events = append(events, Established{ID: a.ID, Server: a.Server})
-					case Refuse:
+					case Reject:
 						refused++
 					case Probe:
 						events = append(events, ProbeResult{Server: a.Server, Report: []float64{float64(on[a.Server]) * 1e-5}})
--- a/choice/many_test.go
+++ b/choice/many_test.go
@@ -30,7 +30,7 @@
 			}
 			f.run(f.now + ms(200))
 		}
-		f.step(Request{ID: "r", Group: 7, Left: 2 * time.Second, Tenant: -1})
+		f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
 		f.answerProbes(func(ServerID) float64 { return 0.6 })
 		if len(f.sends()) == 0 {
 			refused++
@@ -56,7 +56,7 @@
 			f.step(OpenConnection{Request: Request{ID: RequestID(fmt.Sprint("o", node)), Group: 7, Tenant: -1}, Server: "s003"})
 		}
 		f.run(f.now + 2*time.Second)
-		f.step(Request{ID: "r", Group: 7, Left: 2 * time.Second, Tenant: -1})
+		f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
 		f.answerProbes(func(ServerID) float64 { return 0.4 })
 		for _, s := range f.sends() {
 			used[s]++
@@ -135,12 +135,12 @@
 			held = l[max(0, len(l)-20)]
 		}
 		c.later(node, ms(10), ProbeResult{Server: a.Server, Report: []float64{c.load(a.Server, held), 0}})
-	case Send:
+	case StartAttempt:
 		c.held[a.Server]++
 		c.times[a.Server] = append(c.times[a.Server], c.now)
 		c.later(node, ms(5), Established{ID: a.ID, Server: a.Server})
 		c.end["sent"]++
-	case Refuse:
+	case Reject:
 		c.end["refused"]++
 	case Fail:
 		c.end["failed"]++
@@ -154,7 +154,7 @@
 	for t := time.Duration(0); t < over; t += steps {
 		for ; done < int(int64(n)*int64(t+steps)/int64(over)); done++ {
 			node := int(mix(uint64(done)+99) % uint64(len(c.nodes)))
-			c.later(node, 0, Request{ID: RequestID(fmt.Sprint("r", done)), Left: 2 * time.Second, Tenant: -1, Group: group(done)})
+			c.later(node, 0, Request{ID: RequestID(fmt.Sprint("r", done)), TimeLeft: 2 * time.Second, Tenant: -1, Group: group(done)})
 		}
 		for id := range c.held {
 			c.seen[id] = append(c.seen[id], c.held[id])
@@ -300,7 +300,7 @@
 	f := newReferee(t, keeping(), 1)
 	f.now = time.Hour
 	f.step(fleet(13))
-	for _, a := range f.step(Request{ID: "r", Group: 7, Left: 2 * time.Second, Tenant: -1}) {
+	for _, a := range f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
 		if a, ok := a.(Tell); ok {
 			q, _ := decode(a.Data)
 			drained := f.b.byHash(q.server).Server
@@ -325,7 +325,7 @@
 			f.now = time.Hour
 			f.step(fleet(13))
 			asked := false
-			for _, a := range f.step(Request{ID: "r", Group: 7, Left: 2 * time.Second, Tenant: -1}) {
+			for _, a := range f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
 				if a, ok := a.(Tell); ok {
 					asked = true
 					q, _ := decode(a.Data)
--- a/choice/patrol_test.go
+++ b/choice/patrol_test.go
@@ -12,7 +12,7 @@
 	for _, tells := range []bool{false, true} {
 		b, err := New(Settings{Nodes: 1, TellsDelay: tells, Reports: ProbeReports, Fields: []Field{Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
-			Limits:  Limits{Attempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
+			Limits:  Limits{MaxAttempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 // TestNothingIsAskedForWhereHostsReportNothing guards hosts whose protocol has no load reports against being asked.
 func TestNothingIsAskedForWhereHostsReportNothing(t *testing.T) {
 	b, err := New(Settings{Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
-		Limits: Limits{Attempts: 4, MayProbe: true}}, 1, time.Hour)
+		Limits: Limits{MaxAttempts: 4, MayProbe: true}}, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 	}{{5, 0.6, false}, {400, 0.6, true}, {5, 0, false}} {
 		b, err := New(Settings{Nodes: 1, Reports: ProbeReports, Fields: []Field{Latency, Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second, MessageObjective: 60 * time.Millisecond}},
-			Limits:  Limits{Attempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
+			Limits:  Limits{MaxAttempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -71,8 +71,8 @@
 		j.toldList(n, k, e)
 	case choice.Request:
 		r := j.w.requests[e.ID]
-		r.deadline = j.w.now + e.Left
-		j.w.after(e.Left+j.w.settings.Rules.AnswerSlack+1, func() { j.mustBeAnswered(n, r) })
+		r.deadline = j.w.now + e.TimeLeft
+		j.w.after(e.TimeLeft+j.w.settings.Rules.AnswerSlack+1, func() { j.mustBeAnswered(n, r) })
 	case choice.ZonePlan:
 		k.planned, k.planAt, k.zones = e.Grants != nil, j.w.now, nil
 		for _, g := range e.Grants {
@@ -142,12 +142,12 @@
 func (j *rulesJudge) acts(n *simNode, a choice.Action) {
 	k, limits := j.book(n), j.w.settings.Limits
 	switch a := a.(type) {
-	case choice.Send:
+	case choice.StartAttempt:
 		j.sends(n, k, a)
-	case choice.Refuse:
+	case choice.Reject:
 		r := j.final(n, k, a.ID)
 		if r.mayHaveRun() != nil {
-			if r.class.Repeat == choice.Unsafe || r.class.Repeat == choice.Keyed && r.class.Scope != choice.ScopeAll {
+			if r.class.Idempotency == choice.NotIdempotent || r.class.Idempotency == choice.IdempotentByKey && r.class.IdempotencyScope != choice.ScopeAll {
 				j.broken(n, "%s may have run and is refused as if it had not: %+v", r.ID, r.class)
 			}
 			j.w.count("refusals of what may have run")
@@ -157,9 +157,9 @@
 		if r := j.final(n, k, a.ID); r.mayHaveRun() != nil {
 			j.w.count("failures of what may have run")
 		}
-	case choice.Cancel:
+	case choice.CancelAttempt:
 		r := j.w.requests[a.ID]
-		if !limits.MayCancel || r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
+		if !limits.Cancellation || r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
 			j.broken(n, "%+v is not allowed or names no attempt", a)
 		}
 	case choice.Probe:
@@ -188,13 +188,13 @@
 }
 
 // advises checks the advice of a refusal.
-func (j *rulesJudge) advises(n *simNode, a choice.Refuse) {
-	if a.After == 0 {
+func (j *rulesJudge) advises(n *simNode, a choice.Reject) {
+	if a.RetryAfter == 0 {
 		return
 	}
 	j.w.count("advice")
-	if limits := j.w.settings.Limits; !limits.RetryAdvice || a.After < 0 || a.After > limits.MaxRetryAdvice {
-		j.broken(n, "advice of %v is not allowed; at most %v, allowed: %v", a.After, limits.MaxRetryAdvice, limits.RetryAdvice)
+	if limits := j.w.settings.Limits; !limits.RetryAfter || a.RetryAfter < 0 || a.RetryAfter > limits.MaxRetryAfter {
+		j.broken(n, "advice of %v is not allowed; at most %v, allowed: %v", a.RetryAfter, limits.MaxRetryAfter, limits.RetryAfter)
 	}
 }
 
@@ -223,7 +223,7 @@
 	return r
 }
 
-func (j *rulesJudge) sends(n *simNode, k *nodeBook, a choice.Send) {
+func (j *rulesJudge) sends(n *simNode, k *nodeBook, a choice.StartAttempt) {
 	r, h, rules := j.w.requests[a.ID], j.w.byID[a.Server], j.w.settings.Rules
 	switch {
 	case r == nil || r.node != n || h == nil || !k.everListed[a.Server]:
@@ -232,11 +232,11 @@
 		j.broken(n, "%s is sent after its final answer", a.ID)
 	case k.state(r).gone:
 		j.broken(n, "%s is sent after its client has gone", a.ID)
-	case len(r.attempts) >= j.w.settings.Limits.Attempts:
+	case len(r.attempts) >= j.w.settings.Limits.MaxAttempts:
 		j.broken(n, "%s is sent a %dth time", a.ID, len(r.attempts)+1)
 	case len(r.attempts) > 0 && !r.attempts[len(r.attempts)-1].ended:
 		j.broken(n, "two attempts of %s are out", a.ID)
-	case a.Cap <= 0 || j.w.now+a.Cap > r.deadline:
+	case a.Timeout <= 0 || j.w.now+a.Timeout > r.deadline:
 		j.broken(n, "the cap of %+v outlives its client at %v", a, r.deadline-simulationStart)
 	}
 	if since, off := k.offSince[a.Server]; off && j.w.now > since+rules.DrainGrace {
@@ -251,19 +251,19 @@
 }
 
 // repeats checks a further attempt of a request that may have run.
-func (j *rulesJudge) repeats(n *simNode, a choice.Send, r *simRequest, may *simAttempt, h *simHost) {
+func (j *rulesJudge) repeats(n *simNode, a choice.StartAttempt, r *simRequest, may *simAttempt, h *simHost) {
 	c := r.class
 	switch {
-	case c.Repeat == choice.Safe:
+	case c.Idempotency == choice.Idempotent:
 		j.w.count("safe repeats")
-	case c.Repeat == choice.Unsafe:
+	case c.Idempotency == choice.NotIdempotent:
 		j.broken(n, "%s is unsafe, may have run and is sent again", a.ID)
-	case j.w.now > may.sentAt+c.Window || a.By <= 0 || a.By > may.sentAt+c.Window:
-		j.broken(n, "%+v: the window of %v since %v is over", a, c.Window, may.sentAt-simulationStart)
-	case c.Scope == choice.ScopeZone && h.Zone != may.host.Zone, c.Scope == choice.ScopeCell && h.Cell != may.host.Cell:
+	case j.w.now > may.sentAt+c.IdempotencyWindow || a.SendBefore <= 0 || a.SendBefore > may.sentAt+c.IdempotencyWindow:
+		j.broken(n, "%+v: the window of %v since %v is over", a, c.IdempotencyWindow, may.sentAt-simulationStart)
+	case c.IdempotencyScope == choice.ScopeZone && h.Zone != may.host.Zone, c.IdempotencyScope == choice.ScopeCell && h.Cell != may.host.Cell:
 		j.broken(n, "%+v leaves the hosts that know of it: %+v, first %+v", a, h.Server, may.host.Server)
 	default:
-		j.w.count("keyed repeats, scope " + []string{"all", "zone", "cell"}[c.Scope])
+		j.w.count("keyed repeats, scope " + []string{"all", "zone", "cell"}[c.IdempotencyScope])
 	}
 }
 
@@ -296,8 +296,8 @@
 		Nodes: 1 + rng.IntN(30), Zone: "z0", Grouped: chance(0.4), PassThru: chance(0.2), Subscribe: chance(0.5),
 		Reports: choice.Channel(rng.IntN(3)), Sizes: choice.SizeKind(rng.IntN(3)), TellsDelay: chance(0.5),
 		OverQuotaPriority: between(0, 1), PriorityPerWork: chance(0.5), Round: 5 * time.Millisecond,
-		Limits: choice.Limits{Attempts: 1 + rng.IntN(8), MayProbe: chance(0.8), MayCancel: chance(0.7), MayTell: chance(0.6),
-			RetryAdvice: chance(0.6), MaxRetryAdvice: seconds(0.5, 3), ConnectTimeout: seconds(0.05, 0.4)},
+		Limits: choice.Limits{MaxAttempts: 1 + rng.IntN(8), MayProbe: chance(0.8), Cancellation: chance(0.7), MayTell: chance(0.6),
+			RetryAfter: chance(0.6), MaxRetryAfter: seconds(0.5, 3), ConnectTimeout: seconds(0.05, 0.4)},
 		Rules: choice.Rules{AnswerSlack: 20 * time.Millisecond, AskWithin: seconds(2, 10), DrainGrace: seconds(0.3, 5),
 			ColdShare: between(0.1, 0.6), WarmUp: seconds(4, 25), FallMultiple: between(2, 5), FallTime: seconds(1, 3)},
 		Tariffs: choice.Tariffs{Probe: between(0.001, 0.01), Move: 0.01, Peer: between(0, 0.02), CrossZone: between(0, 0.03)},
@@ -312,9 +312,9 @@
 	}
 	for i := range 1 + rng.IntN(5) {
 		c := choice.Class{Name: fmt.Sprint("c", i), SetupObjective: seconds(0.2, 0.8), Deadline: seconds(0.8, 4), Priority: between(0.5, 8),
-			MessageObjective: seconds(0.05, 0.2), Repeat: choice.Repeat(rng.IntN(3))}
-		if c.Repeat == choice.Keyed {
-			c.Scope, c.Window = choice.Scope(rng.IntN(3)), seconds(0.1, 4)
+			MessageObjective: seconds(0.05, 0.2), Idempotency: choice.Idempotency(rng.IntN(3))}
+		if c.Idempotency == choice.IdempotentByKey {
+			c.IdempotencyScope, c.IdempotencyWindow = choice.Scope(rng.IntN(3)), seconds(0.1, 4)
 		}
 		s.Classes = append(s.Classes, c)
 	}
@@ -395,7 +395,7 @@
 
 // drawPlan draws a plan that names some zones, with advice up to the most that clients heed.
 func drawPlan(w *simulation, s choice.Settings) choice.ZonePlan {
-	plan := choice.ZonePlan{Grants: []choice.Grant{}, ComeAgain: w.upTo(s.Limits.MaxRetryAdvice)}
+	plan := choice.ZonePlan{Grants: []choice.Grant{}, RetryAfter: w.upTo(s.Limits.MaxRetryAfter)}
 	seen := map[string]bool{}
 	for _, h := range w.hosts {
 		if !seen[h.Zone] && w.often(0.6) {
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -12,15 +12,15 @@
 func TestEveryRequestIsAnsweredInTime(t *testing.T) {
 	f := newReferee(t, plain(), 1)
 	f.step(fleet(6))
-	f.step(Request{ID: "quiet", Left: ms(1800), Tenant: -1}) // probes and servers stay silent
+	f.step(Request{ID: "quiet", TimeLeft: ms(1800), Tenant: -1}) // probes and servers stay silent
 	f.run(ms(2000))
-	f.step(Request{ID: "late", Left: ms(1), Tenant: -1})
-	f.step(Request{ID: "past", Left: -ms(5), Tenant: -1})
+	f.step(Request{ID: "late", TimeLeft: ms(1), Tenant: -1})
+	f.step(Request{ID: "past", TimeLeft: -ms(5), Tenant: -1})
 	f.run(f.now + ms(3000))
 
 	g := newReferee(t, plain(), 1) // nobody to send to: refused while the client waits
 	g.step(ServerList{Kind: ListWhole})
-	g.step(Request{ID: "r", Left: ms(500), Tenant: -1})
+	g.step(Request{ID: "r", TimeLeft: ms(500), Tenant: -1})
 	g.run(ms(600))
 	if !g.reqs["r"].done {
 		t.Fatal("no answer without servers")
@@ -30,7 +30,7 @@
 func TestFullIsRedrawnElsewhereAndThenRefused(t *testing.T) {
 	f := newReferee(t, plain(), 3)
 	f.step(fleet(8))
-	f.step(Request{ID: "r", Left: ms(1800), Tenant: -1})
+	f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
 	used := map[ServerID]bool{}
 	for i := range 4 {
 		f.answerProbes(level(0.3))
@@ -49,24 +49,24 @@
 
 func TestNoEffectTwice(t *testing.T) {
 	for _, c := range []struct {
-		repeat  Repeat
+		repeat  Idempotency
 		scope   Scope
 		outcome Outcome
 		again   bool
 	}{
-		{Unsafe, ScopeAll, TimedOut, false},
-		{Unsafe, ScopeAll, Full, true},
-		{Unsafe, ScopeAll, ConnectFailed, true},
-		{Keyed, ScopeAll, TimedOut, true},
-		{Keyed, ScopeZone, Reset, true},
-		{Keyed, ScopeCell, Failed, true},
-		{Safe, ScopeAll, TimedOut, true},
+		{NotIdempotent, ScopeAll, TimedOut, false},
+		{NotIdempotent, ScopeAll, Full, true},
+		{NotIdempotent, ScopeAll, ConnectFailed, true},
+		{IdempotentByKey, ScopeAll, TimedOut, true},
+		{IdempotentByKey, ScopeZone, Reset, true},
+		{IdempotentByKey, ScopeCell, Failed, true},
+		{Idempotent, ScopeAll, TimedOut, true},
 	} {
 		s := plain()
-		s.Classes[0].Repeat, s.Classes[0].Scope, s.Classes[0].Window = c.repeat, c.scope, time.Second
+		s.Classes[0].Idempotency, s.Classes[0].IdempotencyScope, s.Classes[0].IdempotencyWindow = c.repeat, c.scope, time.Second
 		f := newReferee(t, s, 5)
 		f.step(fleet(30))
-		f.step(Request{ID: "r", Left: ms(1800), Tenant: -1})
+		f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
 		f.answerProbes(level(0.3))
 		f.now += ms(20)
 		f.step(AttemptEnded{ID: "r", Attempt: 0, Server: f.sends()[0], Outcome: c.outcome})
@@ -82,10 +82,10 @@
 
 func TestKeyedWindowEnds(t *testing.T) {
 	s := plain()
-	s.Classes[0].Repeat, s.Classes[0].Window = Keyed, ms(400)
+	s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = IdempotentByKey, ms(400)
 	f := newReferee(t, s, 5)
 	f.step(fleet(10))
-	f.step(Request{ID: "r", Left: ms(1800), Tenant: -1})
+	f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
 	f.answerProbes(level(0.3))
 	to := f.sends()[0]
 	f.now += ms(410) // the servers have forgotten it
@@ -100,7 +100,7 @@
 	f := newReferee(t, plain(), 7)
 	l := fleet(3)
 	f.step(l)
-	f.step(Request{ID: "held", Left: ms(1800), Tenant: -1}) // waits for probes while the list changes
+	f.step(Request{ID: "held", TimeLeft: ms(1800), Tenant: -1}) // waits for probes while the list changes
 	for i := range l.Servers[:2] {
 		l.Servers[i].State = Draining
 	}
@@ -109,11 +109,11 @@
 	f.set.Rules.DrainGrace = 0 // the module does not use the grace at all
 	f.run(ms(70))
 	for i := range 50 {
-		f.step(Request{ID: RequestID(fmt.Sprint(i)), Left: ms(1800), Tenant: -1})
+		f.step(Request{ID: RequestID(fmt.Sprint(i)), TimeLeft: ms(1800), Tenant: -1})
 		f.answerProbes(level(0.3))
 	}
 	f.step(ServerList{Kind: ListWhole}) // a whole list without it: gone
-	f.step(Request{ID: "none", Left: ms(1800), Tenant: -1})
+	f.step(Request{ID: "none", TimeLeft: ms(1800), Tenant: -1})
 	if !f.reqs["none"].done {
 		t.Fatal("not refused with an empty list")
 	}
@@ -225,11 +225,11 @@
 		LoadNote{ID: "nobody", Load: nan}, DelayNote{Server: "nowhere", Took: -5}, DelayNote{Server: "s000", Took: math.MaxInt64},
 		TimerFired{"hold nobody"}, TimerFired{""}, PeerMessage{}, OpenConnection{Server: "nowhere"},
 		OpenConnection{Request: Request{ID: "x", Class: 99}, Server: "s000"},
-		Request{ID: "odd", Left: ms(100), Load: nan, Tenant: 7}, Request{ID: "odd", Left: ms(100)},
-		Request{ID: "neg", Left: ms(100), Load: -1}, ServerList{Kind: ListChange, Servers: []Server{{ID: "z", Size: nan}}},
+		Request{ID: "odd", TimeLeft: ms(100), Load: nan, Tenant: 7}, Request{ID: "odd", TimeLeft: ms(100)},
+		Request{ID: "neg", TimeLeft: ms(100), Load: -1}, ServerList{Kind: ListChange, Servers: []Server{{ID: "z", Size: nan}}},
 	)
 	f.set.Classes = append(f.set.Classes, f.set.Classes[0])
-	f.step(Request{ID: "class", Class: 1, Left: ms(100)})
+	f.step(Request{ID: "class", Class: 1, TimeLeft: ms(100)})
 	f.run(ms(300))
 	f.now = 0 // time going back counts as the latest seen
 	if a := f.b.Step(0, []Event{TimerFired{"tick"}}); len(a) == 0 {
@@ -238,12 +238,12 @@
 	if _, err := New(Settings{}, 1, 0); err == nil {
 		t.Fatal("settings without classes accepted")
 	}
-	if _, err := New(Settings{Classes: []Class{{Repeat: 9}}}, 1, 0); err == nil {
+	if _, err := New(Settings{Classes: []Class{{Idempotency: 9}}}, 1, 0); err == nil {
 		t.Fatal("unknown repeat kind accepted")
 	}
 	b, err := New(Settings{Classes: []Class{{}}}, 1, 0) // zeros everywhere
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(0, []Event{fleet(2), Request{ID: "a", Left: ms(100)}, TimerFired{"tick"}, DelayNote{Server: "s000", Took: 1}})
+	b.Step(0, []Event{fleet(2), Request{ID: "a", TimeLeft: ms(100)}, TimerFired{"tick"}, DelayNote{Server: "s000", Took: 1}})
 }
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -10,7 +10,7 @@
 // of its attempts; the next request goes by the new ones.
 func TestRequestsKeepWhatTheyCameWith(t *testing.T) {
 	s := Settings{Nodes: 1, Round: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
-		Tenants: []Tenant{{Name: "t"}}, Limits: Limits{Attempts: 3}}
+		Tenants: []Tenant{{Name: "t"}}, Limits: Limits{MaxAttempts: 3}}
 	b, err := New(s, 1, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -18,17 +18,17 @@
 	now := time.Duration(0)
 	// sends plays a request whose attempts are all reset, and returns its answer and how many there were.
 	sends := func(id RequestID, class int, change func() []Event) (n int, answer Action) {
-		events := []Event{Request{ID: id, Class: class, Tenant: class, Left: 9 * time.Second}}
+		events := []Event{Request{ID: id, Class: class, Tenant: class, TimeLeft: 9 * time.Second}}
 		for {
 			now += 20 * time.Millisecond
 			acts := b.Step(now, events)
 			events = nil
 			for _, a := range acts {
 				switch a := a.(type) {
-				case Send:
+				case StartAttempt:
 					n++
 					events = append(change(), AttemptEnded{ID: a.ID, Attempt: n - 1, Server: a.Server, Outcome: Reset})
-				case Refuse, Fail:
+				case Reject, Fail:
 					return n, a
 				}
 			}
@@ -43,16 +43,16 @@
 	}
 	b.Step(now, []Event{list})
 	next := s
-	next.Classes = []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second, Repeat: Unsafe}, {Name: "b", SetupObjective: time.Second, Deadline: 10 * time.Second}}
-	next.Tenants, next.Limits.Attempts = []Tenant{{Name: "t"}, {Name: "u", Connections: 9}}, 2
+	next.Classes = []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second, Idempotency: NotIdempotent}, {Name: "b", SetupObjective: time.Second, Deadline: 10 * time.Second}}
+	next.Tenants, next.Limits.MaxAttempts = []Tenant{{Name: "t"}, {Name: "u", Connections: 9}}, 2
 	none := func() []Event { return nil }
-	if n, a := sends("1", 0, func() []Event { return []Event{NewSettings{next}} }); n != 3 || a != (Refuse{ID: "1", Reason: AttemptsUsed}) {
+	if n, a := sends("1", 0, func() []Event { return []Event{NewSettings{next}} }); n != 3 || a != (Reject{ID: "1", Reason: AttemptsUsed}) {
 		t.Errorf("the request under way: %d attempts, %+v", n, a)
 	}
 	if n, a := sends("2", 0, none); n != 1 || a != (Fail{"2", MayHaveRun}) {
 		t.Errorf("one that must not run twice: %d attempts, %+v", n, a)
 	}
-	if n, a := sends("3", 1, none); n != 2 || a != (Refuse{ID: "3", Reason: AttemptsUsed}) {
+	if n, a := sends("3", 1, none); n != 2 || a != (Reject{ID: "3", Reason: AttemptsUsed}) {
 		t.Errorf("a new class: %d attempts, %+v", n, a)
 	}
 	// Settings without a class are none.
@@ -66,7 +66,7 @@
 func TestTwoProcessesShareTheColdBudget(t *testing.T) {
 	sent := func(parts int, seed uint64) (n int) {
 		b, err := New(Settings{Nodes: 4, Parts: parts, Round: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
-			Limits: Limits{Attempts: 1}, Rules: Rules{ColdShare: .2, WarmUp: 24 * time.Second, FallMultiple: 4, FallTime: 2 * time.Second}}, seed, time.Hour)
+			Limits: Limits{MaxAttempts: 1}, Rules: Rules{ColdShare: .2, WarmUp: 24 * time.Second, FallMultiple: 4, FallTime: 2 * time.Second}}, seed, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,8 +75,8 @@
 		for i := range 2000 {
 			now += 10 * time.Millisecond
 			id := RequestID(fmt.Sprint(i))
-			for _, a := range b.Step(now, []Event{Request{ID: id, Tenant: -1, Left: time.Second}}) {
-				if a, ok := a.(Send); ok {
+			for _, a := range b.Step(now, []Event{Request{ID: id, Tenant: -1, TimeLeft: time.Second}}) {
+				if a, ok := a.(StartAttempt); ok {
 					if a.Server == "cold" {
 						n++
 					}
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -247,16 +247,16 @@
 	switch a := a.(type) {
 	case choice.SetTimer:
 		w.after(a.After, func() { w.deliver(n, choice.TimerFired{Token: a.Token}) })
-	case choice.Send:
-		w.send(w.requests[a.ID], w.byID[a.Server], a.Cap)
-	case choice.Refuse:
+	case choice.StartAttempt:
+		w.send(w.requests[a.ID], w.byID[a.Server], a.Timeout)
+	case choice.Reject:
 		w.count("refusals")
-		w.answer(w.requests[a.ID], true, a.After)
+		w.answer(w.requests[a.ID], true, a.RetryAfter)
 	case choice.Fail:
 		w.count("failures")
 		r := w.requests[a.ID]
-		w.answer(r, r.class.Repeat == choice.Safe, 0)
-	case choice.Cancel:
+		w.answer(r, r.class.Idempotency == choice.Idempotent, 0)
+	case choice.CancelAttempt:
 		w.count("cancels")
 		if at := w.requests[a.ID].attempts[a.Attempt]; !at.established {
 			w.settle(at, choice.Cancelled, w.settings.Round)
@@ -424,7 +424,7 @@
 	c.tries++
 	r := &simRequest{node: n, client: c, class: class}
 	r.Request = choice.Request{ID: choice.RequestID(fmt.Sprint("r", len(w.requests)+1)), Class: c.class, Tenant: c.tenant, Key: c.key,
-		Group: c.group, Left: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)), Returned: returned}
+		Group: c.group, TimeLeft: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)), Returned: returned}
 	if w.terms.toldLoads {
 		r.Load = c.load
 	}
@@ -438,7 +438,7 @@
 	w.count("requests")
 	w.deliver(n, r.Request)
 	if w.often(w.terms.leavers) {
-		w.after(w.upTo(r.Left), func() { w.leave(r) })
+		w.after(w.upTo(r.TimeLeft), func() { w.leave(r) })
 	}
 	return r
 }
@@ -491,7 +491,7 @@
 		w.count("retries")
 	}
 	if r.gone || r.answered {
-		w.settle(at, choice.Moot, w.settings.Round)
+		w.settle(at, choice.NeverSent, w.settings.Round)
 		return
 	}
 	informed := r.node.listed[h.ID].Started == h.Started
--- a/choice/state.go
+++ b/choice/state.go
@@ -145,11 +145,11 @@
 	switch {
 	case len(s.Classes) == 0:
 		return errors.New("choice: settings have no request class")
-	case s.Limits.Attempts < 0 || s.Nodes < 0 || s.Parts < 0:
+	case s.Limits.MaxAttempts < 0 || s.Nodes < 0 || s.Parts < 0:
 		return errors.New("choice: settings have a negative count")
 	}
 	for i, c := range s.Classes {
-		if c.Repeat > Unsafe || c.Scope > ScopeCell {
+		if c.Idempotency > NotIdempotent || c.IdempotencyScope > ScopeCell {
 			return fmt.Errorf("choice: class %d: unknown repeat kind or scope", i)
 		}
 	}
@@ -171,7 +171,7 @@
 	if b.first = firstCost; s.FirstCost > 0 && finite(s.FirstCost) {
 		b.first = s.FirstCost
 	}
-	s.Nodes, s.Limits.Attempts = max(1, s.Nodes), max(1, s.Limits.Attempts)
+	s.Nodes, s.Limits.MaxAttempts = max(1, s.Nodes), max(1, s.Limits.MaxAttempts)
 	for len(b.silent) < s.Nodes {
 		b.silent = append(b.silent, 0)
 	}
@@ -211,7 +211,7 @@
 		return
 	}
 	r := &request{Request: e.Request, load: b.loadOf(e.Request), bind: b.bindOf(e.Request), on: s, open: true, attempts: 1,
-		class: class, most: b.set.Limits.Attempts}
+		class: class, most: b.set.Limits.MaxAttempts}
 	if e.Now > 0 && finite(e.Now) {
 		b.learnTold(e.Class, e.Now)
 		r.load = e.Now
--- a/choice/world_test.go
+++ b/choice/world_test.go
@@ -97,7 +97,7 @@
 		}
 	case Request:
 		if f.reqs[e.ID] == nil {
-			f.reqs[e.ID] = &seen{class: e.Class, deadline: f.now + e.Left, out: map[int]ServerID{}}
+			f.reqs[e.ID] = &seen{class: e.Class, deadline: f.now + e.TimeLeft, out: map[int]ServerID{}}
 		}
 	case Established:
 		if r := f.reqs[e.ID]; r != nil && r.out[e.Attempt] != "" {
@@ -121,7 +121,7 @@
 func (f *referee) judge(a Action) {
 	f.t.Helper()
 	switch a := a.(type) {
-	case Send:
+	case StartAttempt:
 		r, ok := f.reqs[a.ID]
 		if !ok || r.done || r.gone {
 			f.t.Fatalf("%v: Send for a request that is over or unknown: %+v", f.now, a)
@@ -129,33 +129,33 @@
 		if len(r.out) > 0 {
 			f.t.Fatalf("%v: two attempts out for %s", f.now, a.ID)
 		}
-		if r.sent++; r.sent > max(1, f.set.Limits.Attempts) {
+		if r.sent++; r.sent > max(1, f.set.Limits.MaxAttempts) {
 			f.t.Fatalf("%v: %d attempts for %s", f.now, r.sent, a.ID)
 		}
 		s, ok := f.list[a.Server]
 		if at, drains := f.told[a.Server]; !ok || drains && f.now > at+f.set.Rules.DrainGrace {
 			f.t.Fatalf("%v: Send to %s, unknown or told to drain", f.now, a.Server)
 		}
-		if a.Cap <= 0 || f.now+a.Cap > r.deadline {
-			f.t.Fatalf("%v: cap %v outlives the client of %s", f.now, a.Cap, a.ID)
+		if a.Timeout <= 0 || f.now+a.Timeout > r.deadline {
+			f.t.Fatalf("%v: cap %v outlives the client of %s", f.now, a.Timeout, a.ID)
 		}
 		c := f.set.Classes[r.class]
-		if r.may && c.Repeat == Unsafe {
+		if r.may && c.Idempotency == NotIdempotent {
 			f.t.Fatalf("%v: an unsafe request that may have run is sent again", f.now)
 		}
-		if r.may && c.Repeat == Keyed {
+		if r.may && c.Idempotency == IdempotentByKey {
 			first := f.list[r.mayServer]
-			if f.now > r.mayAt+c.Window || c.Scope != ScopeAll && s.Zone != first.Zone ||
-				c.Scope == ScopeCell && s.Cell != first.Cell {
+			if f.now > r.mayAt+c.IdempotencyWindow || c.IdempotencyScope != ScopeAll && s.Zone != first.Zone ||
+				c.IdempotencyScope == ScopeCell && s.Cell != first.Cell {
 				f.t.Fatalf("%v: a keyed request leaves its group or window", f.now)
 			}
 		}
 		r.out[r.sent-1], r.on = a.Server, a.Server
 		r.sentAt = append(r.sentAt, f.now)
-	case Refuse:
+	case Reject:
 		r := f.final(a.ID)
 		if c := f.set.Classes[r.class]; (r.may || len(r.out) > 0) &&
-			!(c.Repeat == Safe || c.Repeat == Keyed && c.Scope == ScopeAll) {
+			!(c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll) {
 			f.t.Fatalf("%v: refusal of %s, which may have run", f.now, a.ID)
 		}
 	case Fail:
@@ -221,7 +221,7 @@
 	return Settings{
 		Nodes: 4, Zone: "z0", Reports: ProbeReports, Fields: []Field{Load, InFlight}, Round: ms(5),
 		Classes: []Class{{Name: "c", SetupObjective: ms(300), Deadline: ms(1800), MessageObjective: ms(100), Priority: 1}},
-		Limits:  Limits{Attempts: 4, MayProbe: true, MayCancel: true, ConnectTimeout: ms(250)},
+		Limits:  Limits{MaxAttempts: 4, MayProbe: true, Cancellation: true, ConnectTimeout: ms(250)},
 		Rules: Rules{AnswerSlack: ms(20), AskWithin: 10 * time.Second, DrainGrace: ms(500), ColdShare: 0.2,
 			WarmUp: 10 * time.Second, FallMultiple: 3, FallTime: time.Second},
 		Tariffs: Tariffs{Probe: 0.002, Move: 0.01},
@@ -240,7 +240,7 @@
 // sends returns the servers that the last step sent to.
 func (f *referee) sends() (ids []ServerID) {
 	for _, a := range f.last {
-		if s, ok := a.(Send); ok {
+		if s, ok := a.(StartAttempt); ok {
 			ids = append(ids, s.Server)
 		}
 	}
--- a/choice/zones_test.go
+++ b/choice/zones_test.go
@@ -29,7 +29,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b, err := New(Settings{Nodes: 1, Zone: "a", FirstCost: 0.02,
 				Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}, {Name: "d", Deadline: time.Second}},
-				Limits:  Limits{Attempts: 4, RetryAdvice: true, MaxRetryAdvice: 2 * time.Second}}, 1, time.Hour)
+				Limits:  Limits{MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 2 * time.Second}}, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -38,26 +38,26 @@
 				hosts = append(hosts, Server{ID: ServerID(fmt.Sprint(i)), Zone: string("ab"[i%2])})
 			}
 			zone := func(id ServerID) string { return string("ab"[(id[0]-'0')&1]) }
-			b.Step(time.Hour, []Event{ServerList{Kind: ListWhole, Servers: hosts}, ZonePlan{Grants: c.grants, Admit: c.admit, ComeAgain: time.Second}})
+			b.Step(time.Hour, []Event{ServerList{Kind: ListWhole, Servers: hosts}, ZonePlan{Grants: c.grants, Admit: c.admit, RetryAfter: time.Second}})
 			got := map[string]int{}
 			for i := range 20 {
 				id := RequestID(fmt.Sprint(i))
-				events := []Event{Request{ID: id, Tenant: -1, Left: 4 * time.Second}}
+				events := []Event{Request{ID: id, Tenant: -1, TimeLeft: 4 * time.Second}}
 				for n := 0; len(events) > 0 && n < 10; n++ {
 					var next []Event
 					for _, a := range b.Step(time.Hour+time.Duration(i)*time.Millisecond, events) {
 						switch a := a.(type) {
-						case Send:
+						case StartAttempt:
 							if zone(a.Server) == c.ends {
 								next = append(next, AttemptEnded{ID: id, Attempt: n, Server: a.Server, Outcome: ConnectFailed})
 								continue
 							}
 							next = append(next, Established{ID: id, Attempt: n, Server: a.Server})
 							got[zone(a.Server)]++
-						case Refuse:
+						case Reject:
 							got["refused"]++
-							if c.grants != nil && (a.After < time.Second/2 || a.After > 3*time.Second/2) {
-								t.Errorf("advice %v", a.After)
+							if c.grants != nil && (a.RetryAfter < time.Second/2 || a.RetryAfter > 3*time.Second/2) {
+								t.Errorf("advice %v", a.RetryAfter)
 							}
 						}
 					}
@@ -76,8 +76,8 @@
 				t.Errorf("news of zone a: %+v", n)
 			}
 			b.Step(time.Hour+time.Second, []Event{ZonePlan{Grants: []Grant{{"b", news.Zones[1].Held[0], nil}}}})
-			for _, a := range b.Step(time.Hour+time.Second, []Event{Request{ID: "late", Tenant: -1, Left: 4 * time.Second}}) {
-				if s, ok := a.(Send); ok {
+			for _, a := range b.Step(time.Hour+time.Second, []Event{Request{ID: "late", Tenant: -1, TimeLeft: 4 * time.Second}}) {
+				if s, ok := a.(StartAttempt); ok {
 					t.Errorf("sent to %s beyond the new plan", s.Server)
 				}
 			}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -378,8 +378,8 @@
 	// Load is the core's own count: there is nothing to find out by asking, and sessions stay where they are.
 	s := choice.Settings{Nodes: c.Nodes, Zone: c.Zone, TellsDelay: true, Subscribe: c.Discovery != "", Sizes: choice.NominalSize,
 		Reports: choice.ProbeReports, Fields: []choice.Field{choice.Load}, Round: 5 * time.Millisecond, FirstCost: 1 / c.Sessions,
-		Limits: choice.Limits{Attempts: c.Attempts, MayProbe: true, MayCancel: true, RetryAdvice: true,
-			MaxRetryAdvice: 2 * time.Second, ConnectTimeout: time.Duration(c.ConnectTimeout)},
+		Limits: choice.Limits{MaxAttempts: c.Attempts, MayProbe: true, Cancellation: true, RetryAfter: true,
+			MaxRetryAfter: 2 * time.Second, ConnectTimeout: time.Duration(c.ConnectTimeout)},
 		Rules: choice.Rules{AskWithin: 10 * time.Second, DrainGrace: time.Duration(c.DrainGrace), ColdShare: c.ColdShare,
 			WarmUp: time.Duration(c.WarmUp), FallMultiple: c.FallMultiple, FallTime: time.Duration(c.FallTime)},
 		Tariffs: choice.Tariffs{Probe: 0.002, Move: 0.01}}
--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -181,7 +181,7 @@
 	case o == choice.TimedOut:
 		o = choice.ConnectFailed
 	case o == choice.Cancelled && !a.request.open:
-		o = choice.Moot
+		o = choice.NeverSent
 	}
 	a.Ended(o, nil)
 }
--- a/internal/edge/crossing_test.go
+++ b/internal/edge/crossing_test.go
@@ -36,7 +36,7 @@
 	}
 	var err error
 	w.core, err = New(Options{Clock: w, Prober: w, Settings: choice.Settings{Classes: classes,
-		Limits: choice.Limits{Attempts: 4, MayCancel: true, ConnectTimeout: time.Second, RetryAdvice: true, MaxRetryAdvice: time.Second}}})
+		Limits: choice.Limits{MaxAttempts: 4, Cancellation: true, ConnectTimeout: time.Second, RetryAfter: true, MaxRetryAfter: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,8 +51,8 @@
 // TestStopAnswersByEffect has a planned stop, and a deadline that the module missed, end requests that hosts may have run: BUSY
 // says that trying again is harmless, so those whose effect forbids it fail.
 func TestStopAnswersByEffect(t *testing.T) {
-	classes := []choice.Class{{Name: "safe"}, {Name: "unsafe", Repeat: choice.Unsafe}, {Name: "keyed", Repeat: choice.Keyed, Window: time.Minute},
-		{Name: "by zone", Repeat: choice.Keyed, Scope: choice.ScopeZone, Window: time.Minute}}
+	classes := []choice.Class{{Name: "safe"}, {Name: "unsafe", Idempotency: choice.NotIdempotent}, {Name: "keyed", Idempotency: choice.IdempotentByKey, IdempotencyWindow: time.Minute},
+		{Name: "by zone", Idempotency: choice.IdempotentByKey, IdempotencyScope: choice.ScopeZone, IdempotencyWindow: time.Minute}}
 	for i, want := range []bool{true, false, true, false} {
 		for _, end := range []string{"stop", "expired"} {
 			w := muteWorld(t, classes...)
@@ -106,7 +106,7 @@
 // TestNeverWrittenNeverRan has connections come up too late, or not: what was never written is tried again whatever its
 // effect.
 func TestNeverWrittenNeverRan(t *testing.T) {
-	w := muteWorld(t, choice.Class{Name: "unsafe", Repeat: choice.Unsafe})
+	w := muteWorld(t, choice.Class{Name: "unsafe", Idempotency: choice.NotIdempotent})
 	m := &mute{w: w}
 	w.core.Open(Spec{ID: "1", Tenant: -1, Deadline: w.now.Add(10 * time.Second)}, m)
 	w.core.Flush()
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -259,15 +259,15 @@
 func (c *Core) carryOut(a choice.Action) {
 	now := c.o.Clock.Now()
 	switch a := a.(type) {
-	case choice.Send:
+	case choice.StartAttempt:
 		if r := c.requests[a.ID]; r != nil && r.attempt == nil && !r.over {
-			r.send(a.Server, earlier(now.Add(a.Cap), r.Deadline), a.By)
+			r.send(a.Server, earlier(now.Add(a.Timeout), r.Deadline), a.SendBefore)
 		} else {
 			zap.L().Error("send_without_request", zap.String("request", string(a.ID)))
 		}
-	case choice.Refuse:
+	case choice.Reject:
 		if r := c.requests[a.ID]; r != nil {
-			l := LocalReply{Refused: true, After: a.After, Reason: trace.Reason(a.Reason.String())}
+			l := LocalReply{Refused: true, After: a.RetryAfter, Reason: trace.Reason(a.Reason.String())}
 			if r.committed {
 				l.Why = Late
 			}
@@ -277,7 +277,7 @@
 		if r := c.requests[a.ID]; r != nil {
 			r.conclude(LocalReply{Reason: trace.Reason(a.Reason.String())})
 		}
-	case choice.Cancel:
+	case choice.CancelAttempt:
 		if r := c.requests[a.ID]; r != nil && r.attempt != nil && r.attempt.Number == a.Attempt && !r.open {
 			r.attempt.giveUp(choice.Cancelled)
 		}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -216,8 +216,8 @@
 			state: map[choice.ServerID]choice.ServerState{}, since: map[choice.ServerID]time.Time{}}
 		s := choice.Settings{Nodes: 1, Round: 5 * time.Millisecond, Classes: []choice.Class{{Name: "c", SetupObjective: 800 * time.Millisecond,
 			Deadline: 4 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 1}, {Name: "u", SetupObjective: 800 * time.Millisecond,
-			Deadline: 4 * time.Second, Priority: 1, Repeat: choice.Unsafe}},
-			Limits: choice.Limits{Attempts: 4, MayCancel: true, MayProbe: seed%2 == 0},
+			Deadline: 4 * time.Second, Priority: 1, Idempotency: choice.NotIdempotent}},
+			Limits: choice.Limits{MaxAttempts: 4, Cancellation: true, MayProbe: seed%2 == 0},
 			Rules: choice.Rules{AskWithin: 10 * time.Second, DrainGrace: 3 * time.Second, ColdShare: .2, WarmUp: 10 * time.Second,
 				FallMultiple: 4, FallTime: 2 * time.Second}}
 		if seed%2 == 0 {
@@ -323,7 +323,7 @@
 		w := &world{t: t, now: begin, rng: rand.New(rand.NewPCG(1, 1)), state: map[choice.ServerID]choice.ServerState{"s": choice.Ready}}
 		var err error
 		w.core, err = New(Options{Clock: w, Prober: w, Settings: choice.Settings{
-			Classes: []choice.Class{{Name: "c", SetupObjective: c.patience / 2, Deadline: c.patience}}, Limits: choice.Limits{Attempts: 4}}})
+			Classes: []choice.Class{{Name: "c", SetupObjective: c.patience / 2, Deadline: c.patience}}, Limits: choice.Limits{MaxAttempts: 4}}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -15,8 +15,8 @@
 	broken = &[]invariant.Violation{}
 	monitor := &invariant.Monitor{Broken: func(v invariant.Violation) { *broken = append(*broken, v) }}
 	core, err := New(Options{Clock: w, Prober: w, Seed: 1, Monitor: monitor, Settings: choice.Settings{Nodes: 1,
-		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1, Repeat: choice.Unsafe}},
-		Limits:  choice.Limits{Attempts: 3}, Rules: choice.Rules{DrainGrace: 3 * time.Second}}})
+		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1, Idempotency: choice.NotIdempotent}},
+		Limits:  choice.Limits{MaxAttempts: 3}, Rules: choice.Rules{DrainGrace: 3 * time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -124,7 +124,7 @@
 
 func (r *Request) event() choice.Request {
 	return choice.Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group, Load: r.Load,
-		Returned: r.Returned, Home: r.Home, Left: r.Deadline.Sub(r.core.o.Clock.Now())}
+		Returned: r.Returned, Home: r.Home, TimeLeft: r.Deadline.Sub(r.core.o.Clock.Now())}
 }
 
 func (r *Request) expired() {
@@ -197,7 +197,7 @@
 	a.host, a.Host = h, h.UpstreamHost
 	h.held++
 	if a.guarded = r.guard.Start(c.facts(h), a.started) == invariant.Kept; !a.guarded {
-		a.Ended(choice.Moot, nil)
+		a.Ended(choice.NeverSent, nil)
 		return
 	}
 	if r.retryAfter != "" {
@@ -305,7 +305,7 @@
 // MayTurn reports whether a request that has no answer yet may go to another host with one more attempt.
 func (r *Request) MayTurn(home choice.ServerID) bool {
 	h := r.core.hosts[home]
-	return !r.over && !r.open && r.At == "" && r.attempt != nil && r.attempts < r.core.o.Settings.Limits.Attempts &&
+	return !r.over && !r.open && r.At == "" && r.attempt != nil && r.attempts < r.core.o.Settings.Limits.MaxAttempts &&
 		h != nil && h.State == choice.Ready
 }
 
@@ -329,8 +329,8 @@
 
 func (c *Core) leaving() LocalReply {
 	l := LocalReply{Refused: true, Why: ShuttingDown, Reason: trace.Stopping}
-	if c.o.Settings.Limits.RetryAdvice {
-		l.After = min(leaveAdvice, c.o.Settings.Limits.MaxRetryAdvice)
+	if c.o.Settings.Limits.RetryAfter {
+		l.After = min(leaveAdvice, c.o.Settings.Limits.MaxRetryAfter)
 	}
 	return l
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -337,7 +337,7 @@
 		if zones(got) != c.want {
 			t.Errorf("%s: %s, wanted %s", c.name, zones(got), c.want)
 		}
-		if c.m == Planned && (got.Admit[1] != 0.2 || got.ComeAgain != time.Second) {
+		if c.m == Planned && (got.Admit[1] != 0.2 || got.RetryAfter != time.Second) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
--- a/internal/failover/schedule_test.go
+++ b/internal/failover/schedule_test.go
@@ -137,7 +137,7 @@
 			for _, name := range slices.Sorted(maps.Keys(parts)) {
 				fmt.Fprintf(&s.text, " %s %.6g", name, parts[name])
 			}
-			fmt.Fprintf(&s.text, "; use of %d nodes, again after %v, admit %.6g:", use.Nodes, use.ComeAgain, use.Admit)
+			fmt.Fprintf(&s.text, "; use of %d nodes, again after %v, admit %.6g:", use.Nodes, use.RetryAfter, use.Admit)
 			for _, grant := range use.Grants {
 				fmt.Fprintf(&s.text, " %s %.6g but %d", grant.Zone, grant.Load, grant.Except)
 			}
--- a/internal/failover/use.go
+++ b/internal/failover/use.go
@@ -28,7 +28,7 @@
 			u.moving = append(u.moving, i)
 		}
 	}
-	out := choice.ZonePlan{ComeAgain: comeAgain, Grants: u.grants()}
+	out := choice.ZonePlan{RetryAfter: comeAgain, Grants: u.grants()}
 	for _, z := range p.Zones {
 		out.Nodes += z.Nodes
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -9,8 +9,8 @@
 
 var begin = time.Unix(1e9, 0)
 
-func class(repeat choice.Repeat, scope choice.Scope) choice.Class {
-	return choice.Class{Name: "c", Repeat: repeat, Scope: scope, Window: 2 * time.Second}
+func class(repeat choice.Idempotency, scope choice.Scope) choice.Class {
+	return choice.Class{Name: "c", Idempotency: repeat, IdempotencyScope: scope, IdempotencyWindow: 2 * time.Second}
 }
 
 // TestRules has each rule broken by the shortest history that breaks it, and checks that the same history without its last cause breaks none.
@@ -34,38 +34,38 @@
 		step   func(r *Request) Rule
 		want   Rule
 	}{
-		"first attempt":                       {class(choice.Unsafe, 0), nothing, func(r *Request) Rule { return r.Start(host, begin) }, Kept},
-		"after the answer":                    {class(choice.Safe, 0), func(r *Request) { r.Answer(true, begin) }, func(r *Request) Rule { return r.Start(host, begin) }, SecondAnswer},
-		"answered twice":                      {class(choice.Safe, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Answer(true, begin) }, SecondAnswer},
-		"after its client":                    {class(choice.Safe, 0), (*Request).Gone, func(r *Request) Rule { return r.Start(host, begin) }, ClientGone},
-		"sent after its client":               {class(choice.Safe, 0), func(r *Request) { r.Start(host, begin); r.Gone() }, func(r *Request) Rule { return r.Send(host, begin) }, ClientGone},
-		"two at once":                         {class(choice.Safe, 0), func(r *Request) { r.Start(host, begin) }, func(r *Request) Rule { return r.Start(other, begin) }, SecondCopy},
-		"a third of two":                      {class(choice.Safe, 0), func(r *Request) { ran(r); ran(r) }, func(r *Request) Rule { return r.Start(host, begin) }, TooManyAttempts},
-		"unsafe repeat":                       {class(choice.Unsafe, 0), ran, func(r *Request) Rule { return r.Start(other, begin) }, UnsafeRepeat},
-		"unsafe, never written":               {class(choice.Unsafe, 0), unsent, func(r *Request) Rule { return r.Start(other, begin) }, Kept},
-		"keyed, in the window":                {class(choice.Keyed, choice.ScopeAll), ran, func(r *Request) Rule { return r.Start(other, begin.Add(2*time.Second)) }, Kept},
-		"keyed, past the window":              {class(choice.Keyed, choice.ScopeAll), ran, func(r *Request) Rule { return r.Start(other, begin.Add(2*time.Second+1)) }, UnsafeRepeat},
-		"keyed, another zone":                 {class(choice.Keyed, choice.ScopeZone), ran, func(r *Request) Rule { return r.Start(other, begin) }, UnsafeRepeat},
-		"keyed, the same zone":                {class(choice.Keyed, choice.ScopeZone), ran, func(r *Request) Rule { return r.Start(host, begin) }, Kept},
-		"keyed, another cell":                 {class(choice.Keyed, choice.ScopeCell), ran, func(r *Request) Rule { h := host; h.Cell = 1; return r.Start(h, begin) }, UnsafeRepeat},
-		"in the grace":                        {class(choice.Safe, 0), nothing, func(r *Request) Rule { return r.Start(leaving, begin.Add(3*time.Second)) }, Kept},
-		"past the grace":                      {class(choice.Safe, 0), nothing, func(r *Request) Rule { return r.Start(leaving, begin.Add(3*time.Second+1)) }, HostLeaving},
-		"sent past the grace":                 {class(choice.Safe, 0), func(r *Request) { r.Start(host, begin) }, func(r *Request) Rule { return r.Send(leaving, begin.Add(4*time.Second)) }, HostLeaving},
-		"refused, nothing ran":                {class(choice.Unsafe, 0), unsent, func(r *Request) Rule { return r.Answer(true, begin) }, Kept},
-		"refused, may have run":               {class(choice.Unsafe, 0), ran, func(r *Request) Rule { return r.Answer(true, begin) }, UnsafeRefusal},
-		"refused, may run yet":                {class(choice.Unsafe, 0), func(r *Request) { r.Start(host, begin); r.Send(host, begin) }, func(r *Request) Rule { return r.Answer(true, begin) }, UnsafeRefusal},
-		"keyed in all, refused":               {class(choice.Keyed, choice.ScopeAll), ran, func(r *Request) Rule { return r.Answer(true, begin) }, Kept},
-		"keyed in a zone, refused":            {class(choice.Keyed, choice.ScopeZone), ran, func(r *Request) Rule { return r.Answer(true, begin) }, UnsafeRefusal},
-		"failed":                              {class(choice.Unsafe, 0), ran, func(r *Request) Rule { return r.Answer(false, begin) }, Kept},
-		"late":                                {class(choice.Safe, 0), nothing, func(r *Request) Rule { return r.Answer(true, begin.Add(10*time.Second+AnswerSlack+1)) }, LateAnswer},
-		"just in time":                        {class(choice.Safe, 0), nothing, func(r *Request) Rule { return r.Answer(true, begin.Add(10*time.Second+AnswerSlack)) }, Kept},
-		"closed without an answer":            {class(choice.Safe, 0), nothing, func(r *Request) Rule { return r.Close(ByNode, false) }, Unanswered},
-		"closed by its client":                {class(choice.Safe, 0), nothing, func(r *Request) Rule { return r.Close(ByClient, false) }, Kept},
-		"closed with its host, no answer":     {class(choice.Safe, 0), nothing, func(r *Request) Rule { return r.Close(ByHost, false) }, Unanswered},
-		"closed after the answer":             {class(choice.Safe, 0), func(r *Request) { r.Answer(true, begin) }, func(r *Request) Rule { return r.Close(ByNode, false) }, Kept},
-		"an open connection, cut off":         {class(choice.Safe, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Close(ByNode, false) }, CutOff},
-		"an open connection, moved":           {class(choice.Safe, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Close(ByNode, true) }, Kept},
-		"an open connection, ended by a host": {class(choice.Safe, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Close(ByHost, false) }, Kept},
+		"first attempt":                       {class(choice.NotIdempotent, 0), nothing, func(r *Request) Rule { return r.Start(host, begin) }, Kept},
+		"after the answer":                    {class(choice.Idempotent, 0), func(r *Request) { r.Answer(true, begin) }, func(r *Request) Rule { return r.Start(host, begin) }, SecondAnswer},
+		"answered twice":                      {class(choice.Idempotent, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Answer(true, begin) }, SecondAnswer},
+		"after its client":                    {class(choice.Idempotent, 0), (*Request).Gone, func(r *Request) Rule { return r.Start(host, begin) }, ClientGone},
+		"sent after its client":               {class(choice.Idempotent, 0), func(r *Request) { r.Start(host, begin); r.Gone() }, func(r *Request) Rule { return r.Send(host, begin) }, ClientGone},
+		"two at once":                         {class(choice.Idempotent, 0), func(r *Request) { r.Start(host, begin) }, func(r *Request) Rule { return r.Start(other, begin) }, SecondCopy},
+		"a third of two":                      {class(choice.Idempotent, 0), func(r *Request) { ran(r); ran(r) }, func(r *Request) Rule { return r.Start(host, begin) }, TooManyAttempts},
+		"unsafe repeat":                       {class(choice.NotIdempotent, 0), ran, func(r *Request) Rule { return r.Start(other, begin) }, UnsafeRepeat},
+		"unsafe, never written":               {class(choice.NotIdempotent, 0), unsent, func(r *Request) Rule { return r.Start(other, begin) }, Kept},
+		"keyed, in the window":                {class(choice.IdempotentByKey, choice.ScopeAll), ran, func(r *Request) Rule { return r.Start(other, begin.Add(2*time.Second)) }, Kept},
+		"keyed, past the window":              {class(choice.IdempotentByKey, choice.ScopeAll), ran, func(r *Request) Rule { return r.Start(other, begin.Add(2*time.Second+1)) }, UnsafeRepeat},
+		"keyed, another zone":                 {class(choice.IdempotentByKey, choice.ScopeZone), ran, func(r *Request) Rule { return r.Start(other, begin) }, UnsafeRepeat},
+		"keyed, the same zone":                {class(choice.IdempotentByKey, choice.ScopeZone), ran, func(r *Request) Rule { return r.Start(host, begin) }, Kept},
+		"keyed, another cell":                 {class(choice.IdempotentByKey, choice.ScopeCell), ran, func(r *Request) Rule { h := host; h.Cell = 1; return r.Start(h, begin) }, UnsafeRepeat},
+		"in the grace":                        {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Start(leaving, begin.Add(3*time.Second)) }, Kept},
+		"past the grace":                      {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Start(leaving, begin.Add(3*time.Second+1)) }, HostLeaving},
+		"sent past the grace":                 {class(choice.Idempotent, 0), func(r *Request) { r.Start(host, begin) }, func(r *Request) Rule { return r.Send(leaving, begin.Add(4*time.Second)) }, HostLeaving},
+		"refused, nothing ran":                {class(choice.NotIdempotent, 0), unsent, func(r *Request) Rule { return r.Answer(true, begin) }, Kept},
+		"refused, may have run":               {class(choice.NotIdempotent, 0), ran, func(r *Request) Rule { return r.Answer(true, begin) }, UnsafeRefusal},
+		"refused, may run yet":                {class(choice.NotIdempotent, 0), func(r *Request) { r.Start(host, begin); r.Send(host, begin) }, func(r *Request) Rule { return r.Answer(true, begin) }, UnsafeRefusal},
+		"keyed in all, refused":               {class(choice.IdempotentByKey, choice.ScopeAll), ran, func(r *Request) Rule { return r.Answer(true, begin) }, Kept},
+		"keyed in a zone, refused":            {class(choice.IdempotentByKey, choice.ScopeZone), ran, func(r *Request) Rule { return r.Answer(true, begin) }, UnsafeRefusal},
+		"failed":                              {class(choice.NotIdempotent, 0), ran, func(r *Request) Rule { return r.Answer(false, begin) }, Kept},
+		"late":                                {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Answer(true, begin.Add(10*time.Second+AnswerSlack+1)) }, LateAnswer},
+		"just in time":                        {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Answer(true, begin.Add(10*time.Second+AnswerSlack)) }, Kept},
+		"closed without an answer":            {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Close(ByNode, false) }, Unanswered},
+		"closed by its client":                {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Close(ByClient, false) }, Kept},
+		"closed with its host, no answer":     {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Close(ByHost, false) }, Unanswered},
+		"closed after the answer":             {class(choice.Idempotent, 0), func(r *Request) { r.Answer(true, begin) }, func(r *Request) Rule { return r.Close(ByNode, false) }, Kept},
+		"an open connection, cut off":         {class(choice.Idempotent, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Close(ByNode, false) }, CutOff},
+		"an open connection, moved":           {class(choice.Idempotent, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Close(ByNode, true) }, Kept},
+		"an open connection, ended by a host": {class(choice.Idempotent, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Close(ByHost, false) }, Kept},
 	} {
 		m := &Monitor{}
 		var heard []Violation
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -102,17 +102,17 @@
 
 // mayRepeat says whether the class allows an attempt at a host after an earlier one may have run.
 func (r *Request) mayRepeat(h Host, now time.Time) bool {
-	switch r.Class.Repeat {
-	case choice.Safe:
+	switch r.Class.Idempotency {
+	case choice.Idempotent:
 		return true
-	case choice.Keyed:
-		return now.Sub(r.ranSince) <= r.Class.Window && r.inScope(h)
+	case choice.IdempotentByKey:
+		return now.Sub(r.ranSince) <= r.Class.IdempotencyWindow && r.inScope(h)
 	}
 	return false
 }
 
 func (r *Request) inScope(h Host) bool {
-	switch r.Class.Scope {
+	switch r.Class.IdempotencyScope {
 	case choice.ScopeZone:
 		return h.Zone == r.ranAt.Zone
 	case choice.ScopeCell:
@@ -158,7 +158,7 @@
 	if !r.mayHave && (!r.out || r.sentAt.IsZero()) {
 		return true
 	}
-	return r.Class.Repeat == choice.Safe || r.Class.Repeat == choice.Keyed && r.Class.Scope == choice.ScopeAll
+	return r.Class.Idempotency == choice.Idempotent || r.Class.Idempotency == choice.IdempotentByKey && r.Class.IdempotencyScope == choice.ScopeAll
 }
 
 // Served says that a host's own answer is passed on; stands, that the connection stays open.
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -29,7 +29,7 @@
 	}
 	begin := time.Unix(1e9, 0)
 	for i := range 6 {
-		r := p.monitor.NewRequest(invariant.Facts{ID: "request", Class: choice.Class{Repeat: choice.Safe}, Deadline: begin, Attempts: 2})
+		r := p.monitor.NewRequest(invariant.Facts{ID: "request", Class: choice.Class{Idempotency: choice.Idempotent}, Deadline: begin, Attempts: 2})
 		r.Start(invariant.Host{ID: "host"}, begin)
 		if i > 1 {
 			r.Send(invariant.Host{ID: "host"}, begin)
@@ -48,7 +48,7 @@
 // TestGoldenReasonWords holds the words for outcomes and for the reasons of the module's answers.
 func TestGoldenReasonWords(t *testing.T) {
 	got := ""
-	for outcome := choice.Served; outcome <= choice.Moot; outcome++ {
+	for outcome := choice.Served; outcome <= choice.NeverSent; outcome++ {
 		got += fmt.Sprintf("outcome %d %s, never ran: %v\n", outcome, outcome, outcome.NeverRan())
 	}
 	for reason := choice.Unspecified; reason <= choice.Withdrawn; reason++ {
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -42,7 +42,7 @@
 	n.adapt(n.parts)
 	n.others.known(next)
 	zap.L().Info("configuration_taken", zap.String("discovery", next.Discovery), zap.Int("classes", len(next.Settings.ClassByName)),
-		zap.Int("attempts", next.Settings.Limits.Attempts))
+		zap.Int("attempts", next.Settings.Limits.MaxAttempts))
 	if addr, _ := n.watch.At(); addr != next.Discovery {
 		n.core.AnotherList()
 	}
--- a/internal/node/policy.go
+++ b/internal/node/policy.go
@@ -151,9 +151,9 @@
 			s.Tenants, s.TenantByName[k.Name] = append(s.Tenants, t), i
 		}
 	}
-	s.Limits.Attempts = min(s.Limits.Attempts, d.Attempts)
+	s.Limits.MaxAttempts = min(s.Limits.MaxAttempts, d.Attempts)
 	if ground && d.Ground.Attempts > 0 {
-		s.Limits.Attempts = min(s.Limits.Attempts, d.Ground.Attempts)
+		s.Limits.MaxAttempts = min(s.Limits.MaxAttempts, d.Ground.Attempts)
 	}
 	s.OverQuotaPriority = d.OverQuotaPriority
 	return s
--- a/internal/node/policy_test.go
+++ b/internal/node/policy_test.go
@@ -23,8 +23,8 @@
 // node's own.
 func TestUnder(t *testing.T) {
 	own := wire.Settings{ClassByName: map[string]int{"a": 0, "b": 1}, TenantByName: map[string]int{}}
-	own.Classes = []choice.Class{{Name: "a", Deadline: 9 * time.Second, Repeat: choice.Unsafe}, {Name: "b", Deadline: 9 * time.Second}}
-	own.Limits.Attempts = 3
+	own.Classes = []choice.Class{{Name: "a", Deadline: 9 * time.Second, Idempotency: choice.NotIdempotent}, {Name: "b", Deadline: 9 * time.Second}}
+	own.Limits.MaxAttempts = 3
 	d := &policy.Document{Attempts: 4, Classes: []policy.Class{{Name: "b", SetupObjective: time.Second, Patience: 3 * time.Second, Priority: 2, Ground: true},
 		{Name: "new", SetupObjective: time.Second, Patience: 2 * time.Second}}, Ground: policy.Ground{Attempts: 1, Patience: 2 * time.Second}, OverQuotaPriority: 0.3}
 	for _, c := range []struct {
@@ -33,14 +33,14 @@
 		patience time.Duration
 	}{{false, 3, 3 * time.Second}, {true, 1, 2 * time.Second}} {
 		s := under(d, own, c.ground).After(own)
-		if s.ClassByName["b"] != 1 || s.ClassByName["new"] != 2 || !s.Classes[0].Former || s.Classes[0].Repeat != choice.Unsafe {
+		if s.ClassByName["b"] != 1 || s.ClassByName["new"] != 2 || !s.Classes[0].Former || s.Classes[0].Idempotency != choice.NotIdempotent {
 			t.Errorf("ground %v: classes %+v, by name %v", c.ground, s.Classes, s.ClassByName)
 		}
 		if _, there := s.ClassByName["a"]; there {
 			t.Errorf("ground %v: a class that the policy doesn't have can be asked for", c.ground)
 		}
-		if b := s.Classes[1]; b.Deadline != c.patience || b.Priority != 2 || s.Limits.Attempts != c.attempts || s.OverQuotaPriority != 0.3 {
-			t.Errorf("ground %v: %+v, %d attempts", c.ground, b, s.Limits.Attempts)
+		if b := s.Classes[1]; b.Deadline != c.patience || b.Priority != 2 || s.Limits.MaxAttempts != c.attempts || s.OverQuotaPriority != 0.3 {
+			t.Errorf("ground %v: %+v, %d attempts", c.ground, b, s.Limits.MaxAttempts)
 		}
 	}
 	f := &fleet{policy: policed{number: 7, doc: d}}
@@ -51,7 +51,7 @@
 	if why := f.disagrees(own); !strings.HasPrefix(why, "giveUpS of b is 9s, policy 7 of the fleet has 3s") {
 		t.Errorf("a file with another patience: %q", why)
 	}
-	own.Classes[1].Deadline, own.Classes[1].SetupObjective, own.Classes[1].Priority, own.Limits.Attempts = 3*time.Second, time.Second, 2, 4
+	own.Classes[1].Deadline, own.Classes[1].SetupObjective, own.Classes[1].Priority, own.Limits.MaxAttempts = 3*time.Second, time.Second, 2, 4
 	if why := f.disagrees(own); why != "" {
 		t.Errorf("a file that agrees: %q", why)
 	}
--- a/internal/platform/cluster/outage_test.go
+++ b/internal/platform/cluster/outage_test.go
@@ -238,7 +238,7 @@
 	rules := choice.Rules{AskWithin: 10 * time.Minute, DrainGrace: 300 * time.Millisecond}
 	var w *Watch
 	core, err := edge.New(edge.Options{Clock: l, Seed: 1, Follow: func() { w.Follow() }, Settings: choice.Settings{Subscribe: true, Rules: rules,
-		Classes: []choice.Class{{Name: "chat", Deadline: time.Second, Priority: 1}}, Limits: choice.Limits{Attempts: 4}}})
+		Classes: []choice.Class{{Name: "chat", Deadline: time.Second, Priority: 1}}, Limits: choice.Limits{MaxAttempts: 4}}})
 	if err != nil {
 		o.t.Fatal(err)
 	}
--- a/internal/platform/upstream/probe.go
+++ b/internal/platform/upstream/probe.go
@@ -46,7 +46,7 @@
 		c.probes[h.ID] = p
 	}
 	if p.done != nil { // the core has one probe out a host; a further one can't be told from it
-		done(choice.Moot, nil)
+		done(choice.NeverSent, nil)
 		return
 	}
 	p.done = done
@@ -177,7 +177,7 @@
 	o := choice.Reset
 	switch {
 	case loop.Local(err):
-		o = choice.Moot
+		o = choice.NeverSent
 	case !p.up:
 		o = choice.ConnectFailed
 	}
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -302,7 +302,7 @@
 		r.attempt.Ended(o, nil)
 		r.sink.Ended(err != io.EOF)
 	case loop.Local(err):
-		r.attempt.Ended(choice.Moot, nil)
+		r.attempt.Ended(choice.NeverSent, nil)
 	case !sent:
 		r.attempt.Ended(choice.ConnectFailed, nil)
 	default:
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -36,12 +36,12 @@
 		Settings: choice.Settings{
 			Nodes: 21, Node: 3, Zone: "zone-1", Grouped: true, PassThru: true, Park: 18 * time.Second, Subscribe: true,
 			Classes: []choice.Class{
-				{Name: "class-1", SetupObjective: 330 * ms, Deadline: 35 * time.Second, MessageObjective: 150 * ms, Priority: 36, Repeat: choice.Keyed,
-					Scope: choice.ScopeZone, Window: 34 * time.Second},
-				{Name: "class-2", SetupObjective: 370 * ms, Deadline: 39 * time.Second, MessageObjective: 160 * ms, Priority: 40, Repeat: choice.Unsafe,
-					Scope: choice.ScopeCell, Window: 38 * time.Second},
-				{Name: "class-3", SetupObjective: 410 * ms, Deadline: 43 * time.Second, MessageObjective: 170 * ms, Priority: 44, Repeat: choice.Safe,
-					Scope: choice.ScopeAll, Window: 42 * time.Second},
+				{Name: "class-1", SetupObjective: 330 * ms, Deadline: 35 * time.Second, MessageObjective: 150 * ms, Priority: 36, Idempotency: choice.IdempotentByKey,
+					IdempotencyScope: choice.ScopeZone, IdempotencyWindow: 34 * time.Second},
+				{Name: "class-2", SetupObjective: 370 * ms, Deadline: 39 * time.Second, MessageObjective: 160 * ms, Priority: 40, Idempotency: choice.NotIdempotent,
+					IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 38 * time.Second},
+				{Name: "class-3", SetupObjective: 410 * ms, Deadline: 43 * time.Second, MessageObjective: 170 * ms, Priority: 44, Idempotency: choice.Idempotent,
+					IdempotencyScope: choice.ScopeAll, IdempotencyWindow: 42 * time.Second},
 			},
 			Tenants: []choice.Tenant{
 				{Name: "tenant-1", Rate: 11, Connections: 19, Share: 0.12},
@@ -51,8 +51,8 @@
 			Fields: []choice.Field{choice.Load, choice.PiledUp, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency,
 				choice.Throughput, choice.ErrorRate, choice.OtherField},
 			Sizes: choice.LiveSize, TellsDelay: true, OverQuotaPriority: 0.29, PriorityPerWork: true, Round: 45 * ms,
-			Limits: choice.Limits{Attempts: 32, MayProbe: true, MayCancel: true, MayTell: true, SecondCopies: true, RetryAdvice: true,
-				MaxRetryAdvice: 31 * time.Second, ConnectTimeout: 300 * ms},
+			Limits: choice.Limits{MaxAttempts: 32, MayProbe: true, Cancellation: true, MayTell: true, HedgedRequests: true, RetryAfter: true,
+				MaxRetryAfter: 31 * time.Second, ConnectTimeout: 300 * ms},
 			Rules: choice.Rules{AnswerSlack: 220 * ms, AskWithin: 23 * time.Second, DrainGrace: 28 * time.Second, ColdShare: 0.24,
 				WarmUp: 27 * time.Second, FallMultiple: 25, FallTime: 26 * time.Second},
 			Tariffs: choice.Tariffs{Probe: 0.5, Move: 0.48, Peer: 0.49, CrossZone: 0.46, LateFail: 0.47, Waste: 0.51},
@@ -100,12 +100,12 @@
 		}
 	}
 	for word, want := range map[string]choice.Scope{"": choice.ScopeAll, "all": choice.ScopeAll, "zone": choice.ScopeZone, "cell": choice.ScopeCell} {
-		if got := decode(`"dedupScope":"zone"`, `"dedupScope":"`+word+`"`).Classes[0].Scope; got != want {
+		if got := decode(`"dedupScope":"zone"`, `"dedupScope":"`+word+`"`).Classes[0].IdempotencyScope; got != want {
 			t.Errorf("dedupScope %q is read as %d, want %d", word, got, want)
 		}
 	}
-	for word, want := range map[string]choice.Repeat{"safe": choice.Safe, "keyed": choice.Keyed, "unsafe": choice.Unsafe} {
-		if got := decode(`"idempotency":"keyed"`, `"idempotency":"`+word+`"`).Classes[0].Repeat; got != want {
+	for word, want := range map[string]choice.Idempotency{"safe": choice.Idempotent, "keyed": choice.IdempotentByKey, "unsafe": choice.NotIdempotent} {
+		if got := decode(`"idempotency":"keyed"`, `"idempotency":"`+word+`"`).Classes[0].Idempotency; got != want {
 			t.Errorf("idempotency %q is read as %d, want %d", word, got, want)
 		}
 	}
@@ -141,8 +141,8 @@
 // TestGoldenEvents has each kind of event of the simulator become an event of the module.
 func TestGoldenEvents(t *testing.T) {
 	n := &node{classes: map[string]int{"class-1": 1, "class-2": 2}, tenants: map[string]int{"tenant-3": 3, "tenant-4": 4}}
-	request := choice.Request{ID: "op-1", Class: 2, Tenant: 4, Key: 5, Group: 6, Left: 7500 * time.Millisecond, Load: 0.8, MidFlow: true, Returned: true}
-	short := choice.Request{ID: "op-1", Class: 1, Tenant: -1, Left: time.Second}
+	request := choice.Request{ID: "op-1", Class: 2, Tenant: 4, Key: 5, Group: 6, TimeLeft: 7500 * time.Millisecond, Load: 0.8, MidFlow: true, Returned: true}
+	short := choice.Request{ID: "op-1", Class: 1, Tenant: -1, TimeLeft: time.Second}
 	const keys = `"opId":"op-1","lane":"class-2","owner":"tenant-4","object":5,"group":6,"expiresInS":7.5,"estimateS":0.8,"options":25`
 	member := func(host, status, rest string) string {
 		return `{"host":"` + host + `","status":"` + status + `"` + rest + `}`
@@ -187,7 +187,7 @@
 		}
 	}
 	for word, want := range map[string]choice.Outcome{"ok": choice.Served, "error": choice.Failed, "full": choice.Full, "timeout": choice.TimedOut,
-		"connect_failed": choice.ConnectFailed, "reset": choice.Reset, "cancelled": choice.Cancelled, "moot": choice.Moot} {
+		"connect_failed": choice.ConnectFailed, "reset": choice.Reset, "cancelled": choice.Cancelled, "moot": choice.NeverSent} {
 		got, err := n.event(&event{Op: "Checked", Host: "host-1", RC: word})
 		if result, ok := got.(choice.ProbeResult); err != nil || !ok || result.Outcome != want {
 			t.Errorf("rc %q is read as %#v (error %v), want outcome %v", word, got, err, want)
@@ -199,10 +199,10 @@
 func TestGoldenReply(t *testing.T) {
 	out := reply{Seq: 7}
 	for _, a := range []choice.Action{
-		choice.Send{ID: "op-2", Server: "host-3", Cap: 250 * time.Millisecond, By: 17 * time.Second},
-		choice.Refuse{ID: "op-4", After: 1750 * time.Millisecond, Reason: choice.Overloaded},
+		choice.StartAttempt{ID: "op-2", Server: "host-3", Timeout: 250 * time.Millisecond, SendBefore: 17 * time.Second},
+		choice.Reject{ID: "op-4", RetryAfter: 1750 * time.Millisecond, Reason: choice.Overloaded},
 		choice.Fail{ID: "op-5", Reason: choice.MayHaveRun},
-		choice.Cancel{ID: "op-6", Attempt: 8},
+		choice.CancelAttempt{ID: "op-6", Attempt: 8},
 		choice.Probe{Server: "host-9"},
 		choice.Move{ID: "op-10"},
 		choice.SetTimer{Token: "token-11", After: 125 * time.Millisecond, For: "op-2"},
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -93,7 +93,7 @@
 }
 
 var (
-	repeats  = map[string]choice.Repeat{"safe": choice.Safe, "keyed": choice.Keyed, "unsafe": choice.Unsafe}
+	repeats  = map[string]choice.Idempotency{"safe": choice.Idempotent, "keyed": choice.IdempotentByKey, "unsafe": choice.NotIdempotent}
 	scopes   = map[string]choice.Scope{"": choice.ScopeAll, "all": choice.ScopeAll, "zone": choice.ScopeZone, "cell": choice.ScopeCell}
 	channels = map[string]choice.Channel{"": choice.NoReports, "off": choice.NoReports, "on_probe": choice.ProbeReports, "inline": choice.AllReports}
 	sizes    = map[string]choice.SizeKind{"": choice.NoSize, "off": choice.NoSize, "nominal": choice.NominalSize, "rough": choice.NominalSize, "live": choice.LiveSize}
@@ -247,8 +247,8 @@
 		Nodes: in.GroupSize, Node: in.Index, Zone: in.AZ, Grouped: in.Domain.Groups, TellsDelay: in.Domain.TellsDelay,
 		PassThru: in.Domain.Mode == "pass", Park: seconds(in.Domain.ParkS), Subscribe: in.Membership == "on_request",
 		OverQuotaPriority: in.OverShare, PriorityPerWork: in.WorthBy == "work", Round: seconds(in.RoundS),
-		Limits: choice.Limits{Attempts: lim.SendCap, MayProbe: lim.MayProbe, MayCancel: lim.MayCancel, MayTell: lim.MayTell,
-			SecondCopies: lim.SecondCopies, RetryAdvice: lim.RetryAfter, MaxRetryAdvice: seconds(lim.MaxRetryAfterS),
+		Limits: choice.Limits{MaxAttempts: lim.SendCap, MayProbe: lim.MayProbe, Cancellation: lim.MayCancel, MayTell: lim.MayTell,
+			HedgedRequests: lim.SecondCopies, RetryAfter: lim.RetryAfter, MaxRetryAfter: seconds(lim.MaxRetryAfterS),
 			ConnectTimeout: seconds(lim.ConnectTimeoutS)},
 		Rules: choice.Rules{AnswerSlack: seconds(inv.AnswerSlackS), AskWithin: seconds(inv.AskWithinS),
 			DrainGrace: seconds(inv.StopSendingWithinS), ColdShare: inv.ColdShare, WarmUp: seconds(inv.RampTimeS),
@@ -267,11 +267,11 @@
 	classes, tenants := map[string]int{}, map[string]int{}
 	for i, p := range in.Profiles {
 		c := choice.Class{Name: p.Name, SetupObjective: seconds(p.AimS), Deadline: seconds(p.GiveUpS), Priority: p.Value,
-			Window: seconds(p.DedupWindowS)}
-		if c.Repeat, ok = repeats[p.Idempotency]; !ok {
+			IdempotencyWindow: seconds(p.DedupWindowS)}
+		if c.Idempotency, ok = repeats[p.Idempotency]; !ok {
 			return s, nil, nil, fmt.Errorf("setup: profile %q: idempotency %q", p.Name, p.Idempotency)
 		}
-		if c.Scope, ok = scopes[p.DedupScope]; !ok {
+		if c.IdempotencyScope, ok = scopes[p.DedupScope]; !ok {
 			return s, nil, nil, fmt.Errorf("setup: profile %q: dedupScope %q", p.Name, p.DedupScope)
 		}
 		if i < len(in.Domain.MessageAimS) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -79,7 +79,7 @@
 var (
 	outcomes = map[string]choice.Outcome{"ok": choice.Served, "error": choice.Failed, "full": choice.Full,
 		"timeout": choice.TimedOut, "connect_failed": choice.ConnectFailed, "reset": choice.Reset,
-		"cancelled": choice.Cancelled, "moot": choice.Moot}
+		"cancelled": choice.Cancelled, "moot": choice.NeverSent}
 	forms = map[string]choice.ListKind{"incr": choice.ListChange, "total": choice.ListWhole,
 		"warm_copy": choice.ListCached, "lost": choice.ListLost}
 	states = map[string]choice.ServerState{"live": choice.Ready, "quiescing": choice.Draining, "dead": choice.Gone}
@@ -275,7 +275,7 @@
 		r.Tenant = t
 	}
 	if e.ExpiresIn != nil {
-		r.Left = seconds(*e.ExpiresIn)
+		r.TimeLeft = seconds(*e.ExpiresIn)
 	}
 	if e.Options&1 != 0 {
 		r.Load = e.EstimateS
@@ -300,13 +300,13 @@
 func toStep(id string, a choice.Action) step {
 	s := step{NodeID: id}
 	switch a := a.(type) {
-	case choice.Send:
-		s.Op, s.OpID, s.Host, s.CapS = "Route", string(a.ID), string(a.Server), a.Cap.Seconds()
-	case choice.Refuse:
-		s.Op, s.OpID, s.Away = "OverloadReply", string(a.ID), a.After.Seconds()
+	case choice.StartAttempt:
+		s.Op, s.OpID, s.Host, s.CapS = "Route", string(a.ID), string(a.Server), a.Timeout.Seconds()
+	case choice.Reject:
+		s.Op, s.OpID, s.Away = "OverloadReply", string(a.ID), a.RetryAfter.Seconds()
 	case choice.Fail:
 		s.Op, s.OpID = "Surrender", string(a.ID)
-	case choice.Cancel:
+	case choice.CancelAttempt:
 		s.Op, s.OpID, s.Trial = "DropAttempt", string(a.ID), &a.Attempt
 	case choice.Probe:
 		s.Op, s.Host = "Ping", string(a.Server)
--- a/internal/xmpp/host.go
+++ b/internal/xmpp/host.go
@@ -289,7 +289,7 @@
 		return
 	}
 	if loop.Local(err) {
-		h.attempt.Ended(choice.Moot, nil)
+		h.attempt.Ended(choice.NeverSent, nil)
 		return
 	}
 	if !h.up || !sent {
