--- a/choice/alike_test.go
+++ b/choice/alike_test.go
@@ -28,7 +28,7 @@
 			to = append(to, got...)
 			if len(got) == 1 {
 				f.step(Established{ID: id, Attempt: 0, Server: got[0]})
-				f.step(LoadNote{ID: id, Attempt: 0, Load: unit * float64(2+i%3)})
+				f.step(LoadUpdate{ID: id, Attempt: 0, Load: unit * float64(2+i%3)})
 			}
 		}
 		return to
@@ -83,8 +83,8 @@
 				out := f.b.Step(time.Duration(i)*10*time.Millisecond, []Event{Request{ID: id, TimeLeft: ms(1800), Tenant: -1}})
 				var probed []Event
 				for _, a := range out {
-					if p, ok := a.(Probe); ok {
-						probed = append(probed, ProbeResult{Server: p.Server, Report: []float64{0.5, 10}})
+					if p, ok := a.(HealthCheck); ok {
+						probed = append(probed, HealthCheckResult{Server: p.Server, Report: []float64{0.5, 10}})
 					}
 				}
 				f.b.Step(time.Duration(i)*10*time.Millisecond, append(probed, ClientGone{ID: id}))
--- a/choice/api.go
+++ b/choice/api.go
@@ -10,29 +10,29 @@
 
 // Settings is what one node is told at start. Zero values mean "not told" or "not allowed".
 type Settings struct {
-	Nodes     int    // nodes that share the fleet, this one among them
-	Node      int    // this node's number, from 0
-	Parts     int    // processes that share this node's part for now, alike; 0: one
-	Zone      string // this node's zone
-	Classes   []Class
-	Tenants   []Tenant
-	Grouped   bool // connections of one group share work: each server that holds any of a group pays for it
-	PassThru  bool // packets pass through: an open connection can reach another node as a mid-flow request
-	Park      time.Duration
-	Subscribe bool     // the server list must be asked for; else changes are pushed
-	Reports   Channel  // where load reports come from
-	Fields    []Field  // the values of a report, in order
-	Sizes     SizeKind // what Server.Size means
-	// TellsDelay says that a DelayNote comes where messages take long; without it only reports show a full server.
-	TellsDelay bool
+	Nodes        int    // nodes that share the fleet, this one among them
+	Node         int    // this node's number, from 0
+	Parts        int    // processes that share this node's part for now, alike; 0: one
+	Zone         string // this node's zone
+	Classes      []Class
+	Tenants      []Tenant
+	Grouped      bool // connections of one group share work: each server that holds any of a group pays for it
+	PassThru     bool // packets pass through: an open connection can reach another node as a mid-flow request
+	Park         time.Duration
+	Subscribe    bool          // the server list must be asked for; else changes are pushed
+	Reports      ReportSource  // where load reports come from
+	ReportFields []ReportField // the values of a report, in order
+	Sizes        SizeKind      // what Server.Size means
+	// DelaysObserved says that a DelayNote comes where messages take long; without it only reports show a full server.
+	DelaysObserved bool
 	// OverQuotaPriority is the part of its worth that a connection keeps beyond its tenant's quota.
 	OverQuotaPriority float64
 	PriorityPerWork   bool // worth counts for each unit of work, not for each request
-	Round             time.Duration
-	FirstCost         float64 // load that a mean connection puts on a server of size 1, where it is known; 0: guessed until learned
+	RoundTrip         time.Duration
+	InitialCost       float64 // load that a mean connection puts on a server of size 1, where it is known; 0: guessed until learned
 	Limits            Limits
 	Rules             Rules
-	Tariffs           Tariffs
+	Costs             Costs
 }
 
 // Class is a class of requests. Its CBOR form goes from one process of a node to the next one: the tags are its names there.
@@ -82,28 +82,28 @@
 	ScopeCell
 )
 
-// Channel says where load reports come from.
-type Channel uint8
+// ReportSource says where load reports come from.
+type ReportSource uint8
 
 const (
-	NoReports    Channel = iota
-	ProbeReports         // in probe results only
-	AllReports           // in probe results and outcomes
+	NoReports          ReportSource = iota
+	HealthCheckReports              // in probe results only
+	AllReports                      // in probe results and outcomes
 )
 
-// Field names one value of a load report.
-type Field uint8
+// ReportField names one value of a load report.
+type ReportField uint8
 
 const (
-	OtherField  Field = iota // a value the module has no use for
-	Load                     // load asked over what the server can do
-	PiledUp                  // seconds of work piled up
-	InFlight                 // requests or connections held
-	Queue                    // requests waiting
-	Utilization              // busy part of the CPU
-	Latency                  // recent service time, ms
-	Throughput               // requests served a second
-	ErrorRate                // errors a second
+	OtherField  ReportField = iota // a value the module has no use for
+	Load                           // load asked over what the server can do
+	Backlog                        // seconds of work piled up
+	InFlight                       // requests or connections held
+	Queue                          // requests waiting
+	Utilization                    // busy part of the CPU
+	Latency                        // recent service time, ms
+	Throughput                     // requests served a second
+	ErrorRate                      // errors a second
 )
 
 // SizeKind says what Server.Size means.
@@ -118,7 +118,7 @@
 // Limits is what a node may do.
 type Limits struct {
 	MaxAttempts    int // most attempts for one request
-	MayProbe       bool
+	HealthChecks   bool
 	Cancellation   bool
 	MayTell        bool // nodes may send one another messages
 	HedgedRequests bool // two attempts of one request may be out at once; the module never uses it
@@ -138,14 +138,14 @@
 	FallTime     time.Duration // for this long, it falls over
 }
 
-// Tariffs are parts of the service taken off for each unit a first try.
-type Tariffs struct {
-	Probe     float64
-	Move      float64
-	Peer      float64 // 256 bytes of messages to other nodes
-	CrossZone float64
-	LateFail  float64
-	Waste     float64
+// Costs are parts of the service taken off for each unit a first try.
+type Costs struct {
+	HealthCheck float64
+	Migration   float64
+	PeerMessage float64 // 256 bytes of messages to other nodes
+	CrossZone   float64
+	LateFailure float64
+	Waste       float64
 }
 
 // Event is what a node tells the module: one of the types below.
@@ -235,21 +235,21 @@
 		Final   bool
 		Report  []float64
 	}
-	// ProbeResult answers a Probe.
-	ProbeResult struct {
+	// HealthCheckResult answers a Probe.
+	HealthCheckResult struct {
 		Server  ServerID
 		Outcome Outcome
 		Took    time.Duration
 		Report  []float64
 	}
-	// LoadNote tells the present load of an open connection, work a second.
-	LoadNote struct {
+	// LoadUpdate tells the present load of an open connection, work a second.
+	LoadUpdate struct {
 		ID      RequestID
 		Attempt int
 		Load    float64
 	}
-	// DelayNote tells how long a message takes at a server now, as seen on one of its connections.
-	DelayNote struct {
+	// DelayObservation tells how long a message takes at a server now, as seen on one of its connections.
+	DelayObservation struct {
 		ID     RequestID
 		Server ServerID
 		Took   time.Duration
@@ -278,23 +278,23 @@
 	}
 )
 
-func (ServerList) event()     {}
-func (Request) event()        {}
-func (OpenConnection) event() {}
-func (Homed) event()          {}
-func (HandedOver) event()     {}
-func (Inherited) event()      {}
-func (Established) event()    {}
-func (AttemptEnded) event()   {}
-func (ProbeResult) event()    {}
-func (LoadNote) event()       {}
-func (DelayNote) event()      {}
-func (ClientGone) event()     {}
-func (TimeUp) event()         {}
-func (TimerFired) event()     {}
-func (NewSettings) event()    {}
-func (ZonePlan) event()       {}
-func (PeerMessage) event()    {}
+func (ServerList) event()        {}
+func (Request) event()           {}
+func (OpenConnection) event()    {}
+func (Homed) event()             {}
+func (HandedOver) event()        {}
+func (Inherited) event()         {}
+func (Established) event()       {}
+func (AttemptEnded) event()      {}
+func (HealthCheckResult) event() {}
+func (LoadUpdate) event()        {}
+func (DelayObservation) event()  {}
+func (ClientGone) event()        {}
+func (TimeUp) event()            {}
+func (TimerFired) event()        {}
+func (NewSettings) event()       {}
+func (ZonePlan) event()          {}
+func (PeerMessage) event()       {}
 
 // Grant lets this node's connections of the classes that it is for have so much told load in a zone.
 type Grant struct {
@@ -375,8 +375,8 @@
 		ID      RequestID
 		Attempt int
 	}
-	// Probe asks a server for its load report.
-	Probe struct{ Server ServerID }
+	// HealthCheck asks a server for its load report.
+	HealthCheck struct{ Server ServerID }
 	// Move asks the client of an open connection to come again.
 	Move struct{ ID RequestID }
 	// SetTimer asks for a TimerFired after a time. It cannot be taken back, but one that is for a request need not fire when that is over.
@@ -398,7 +398,7 @@
 func (Reject) action()        {}
 func (Fail) action()          {}
 func (CancelAttempt) action() {}
-func (Probe) action()         {}
+func (HealthCheck) action()   {}
 func (Move) action()          {}
 func (SetTimer) action()      {}
 func (Follow) action()        {}
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -107,9 +107,9 @@
 		num, den = num+k.num+prior*first/b.unit, den+k.den+prior
 	}
 	all := num / den
-	b.keeps = b.set.Limits.MayTell && b.set.Limits.MayProbe && b.set.Reports != NoReports &&
+	b.keeps = b.set.Limits.MayTell && b.set.Limits.HealthChecks && b.set.Reports != NoReports &&
 		first*float64(len(b.silent)) > 1 && b.plan == nil &&
-		b.set.Tariffs.Peer*(questionBytes+answerBytes)/256 <= b.set.Tariffs.Probe
+		b.set.Costs.PeerMessage*(questionBytes+answerBytes)/256 <= b.set.Costs.HealthCheck
 	b.bases, b.coldBudgets = 0, 0
 	for _, s := range b.servers {
 		k := costPrior * b.unit * float64(b.set.Nodes)
@@ -182,7 +182,7 @@
 		s.errSum = clamp(s.errSum*0.9+kI*err*tick.Seconds()*0.1, -windup, windup)
 		s.trim = s.errSum + kD*(s.prevErr-err)*tick.Seconds()
 		s.prevErr = err
-		if age := b.now - s.reportAt; !b.set.TellsDelay && s.told > 0 && s.State == Ready &&
+		if age := b.now - s.reportAt; !b.set.DelaysObserved && s.told > 0 && s.State == Ready &&
 			(age > patrolAfter || s.report > crowded-2*spill && age > tick/2) {
 			if !b.keeps { // guards connections whose server filled up later, where nobody tells of that
 				b.probe(s)
@@ -218,7 +218,7 @@
 	s.strikes++
 }
 
-func (b *Balancer) delayed(e DelayNote) {
+func (b *Balancer) delayed(e DelayObservation) {
 	s := b.find(e.Server)
 	if s == nil || b.minAim == 0 || e.Took <= 0 {
 		return
@@ -291,7 +291,7 @@
 		b.answer(r, Overloaded)
 		return
 	}
-	b.out = append(b.out, SetTimer{"end " + string(q.ID), max(0, q.TimeLeft-2*b.set.Round), q.ID})
+	b.out = append(b.out, SetTimer{"end " + string(q.ID), max(0, q.TimeLeft-2*b.set.RoundTrip), q.ID})
 	b.place(r)
 }
 
@@ -363,7 +363,7 @@
 		b.consult(r)
 		return
 	}
-	n := int(clamp(math.Round(probeSpend/max(b.set.Tariffs.Probe, 1e-9)), 2, 4))
+	n := int(clamp(math.Round(probeSpend/max(b.set.Costs.HealthCheck, 1e-9)), 2, 4))
 	if r.bind != 0 { // its next servers only
 		n = b.spread(r)
 		if r.Returned && b.slowMessages { // from a server that is full, and which one it was is not told
@@ -394,7 +394,7 @@
 	b.out = append(b.out, SetTimer{"hold " + string(r.ID), hold, r.ID})
 }
 
-func (b *Balancer) probed(e ProbeResult) {
+func (b *Balancer) probed(e HealthCheckResult) {
 	s := b.find(e.Server)
 	if s == nil {
 		return
@@ -406,7 +406,7 @@
 	} else if s.State == Ready && e.Outcome != NeverSent { // never sent: that says nothing of the server
 		b.strike(s)
 	}
-	if !b.set.TellsDelay && e.Outcome == Served && !b.keeps {
+	if !b.set.DelaysObserved && e.Outcome == Served && !b.keeps {
 		b.relieve(s)
 	}
 	waiting := s.questions
@@ -570,7 +570,7 @@
 
 func (b *Balancer) send(r *request, s *server) {
 	left := r.deadline - b.now
-	limit := left - b.set.Round
+	limit := left - b.set.RoundTrip
 	if aim := r.class.SetupObjective; r.attempts+1 < r.most && left > 2*aim {
 		limit = min(limit, max(aim, left/2)) // leave time for another server
 	}
@@ -619,7 +619,7 @@
 		return
 	}
 	if !e.Outcome.NeverRan() && r.may == nil {
-		r.may, r.mayBy = s, r.class.forgets(r.sentAt)-2*b.set.Round
+		r.may, r.mayBy = s, r.class.forgets(r.sentAt)-2*b.set.RoundTrip
 	}
 	r.tried = append(r.tried, s)
 	switch {
@@ -629,7 +629,7 @@
 	case r.attempts >= r.most:
 		b.answer(r, AttemptsUsed)
 		return
-	case r.deadline-b.now <= 4*b.set.Round:
+	case r.deadline-b.now <= 4*b.set.RoundTrip:
 		b.answer(r, TimeShort)
 		return
 	}
--- a/choice/cold_fleet_test.go
+++ b/choice/cold_fleet_test.go
@@ -14,7 +14,7 @@
 	name    string
 	nodes   int
 	hosts   int // one in four of them is cold
-	reports choice.Channel
+	reports choice.ReportSource
 	peers   bool // nodes may send one another messages: hosts have keepers
 	rules   choice.Rules
 	skew    int     // a fifth of the nodes gets this many times the traffic of the others
@@ -59,18 +59,18 @@
 func (noJudge) stepped(*simNode, []choice.Event, []choice.Action) {}
 
 func (f coldFleet) settings() choice.Settings {
-	s := choice.Settings{Nodes: f.nodes, Zone: "z0", Reports: f.reports, Sizes: choice.NominalSize, Round: 5 * time.Millisecond,
+	s := choice.Settings{Nodes: f.nodes, Zone: "z0", Reports: f.reports, Sizes: choice.NominalSize, RoundTrip: 5 * time.Millisecond,
 		Classes: []choice.Class{{Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
 			MessageObjective: 100 * time.Millisecond, Priority: 1}},
-		Limits:  choice.Limits{MaxAttempts: 4, MayProbe: true, Cancellation: true, MayTell: f.peers, ConnectTimeout: 100 * time.Millisecond},
-		Rules:   f.rules,
-		Tariffs: choice.Tariffs{Probe: 0.002, Move: 0.01, Peer: 0.01},
+		Limits: choice.Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, MayTell: f.peers, ConnectTimeout: 100 * time.Millisecond},
+		Rules:  f.rules,
+		Costs:  choice.Costs{HealthCheck: 0.002, Migration: 0.01, PeerMessage: 0.01},
 	}
 	if f.reports != choice.NoReports {
-		s.Fields, s.Sizes = []choice.Field{choice.Load, choice.Utilization}, choice.NoSize
+		s.ReportFields, s.Sizes = []choice.ReportField{choice.Load, choice.Utilization}, choice.NoSize
 	}
 	if f.told {
-		s.FirstCost = 1 / coldPerHost
+		s.InitialCost = 1 / coldPerHost
 	}
 	return s
 }
@@ -213,21 +213,21 @@
 func TestColdHostsUnderManyNodes(t *testing.T) {
 	for _, c := range []struct {
 		nodes     int
-		reports   choice.Channel
+		reports   choice.ReportSource
 		peers     bool
 		told      bool
 		seeds     uint64
 		leastFair float64
 	}{
 		{3, choice.NoReports, false, true, 4, 0.3},
-		{3, choice.ProbeReports, false, false, 3, 0.25},
+		{3, choice.HealthCheckReports, false, false, 3, 0.25},
 		{3, choice.AllReports, true, true, 3, 0.25},
 		{30, choice.NoReports, false, true, 3, 0.03},
-		{30, choice.ProbeReports, false, false, 3, 0.3},
+		{30, choice.HealthCheckReports, false, false, 3, 0.3},
 		{30, choice.AllReports, false, true, 3, 0.2},
 		{300, choice.NoReports, false, true, 1, 0},
-		{300, choice.ProbeReports, false, false, 1, 0},
-		{300, choice.ProbeReports, true, false, 1, 1},
+		{300, choice.HealthCheckReports, false, false, 1, 0},
+		{300, choice.HealthCheckReports, true, false, 1, 1},
 		{300, choice.AllReports, true, true, 1, 1},
 	} {
 		for _, rules := range []choice.Rules{shortWarmUp, longWarmUp} {
--- a/choice/drawn_faults_test.go
+++ b/choice/drawn_faults_test.go
@@ -10,7 +10,7 @@
 
 // smallSettings are those of one node that may do all, with one safe class.
 func smallSettings(nodes int) choice.Settings {
-	f := coldFleet{nodes: nodes, reports: choice.ProbeReports, peers: true, rules: shortWarmUp, told: true}
+	f := coldFleet{nodes: nodes, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp, told: true}
 	s := f.settings()
 	s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, time.Second
 	return s
@@ -58,8 +58,8 @@
 		actions := b.Step(simulationStart, []choice.Event{smallFleet(2), choice.Request{ID: "r", Tenant: -1, TimeLeft: time.Second}})
 		var answers []choice.Event
 		for _, a := range actions {
-			if a, ok := a.(choice.Probe); ok {
-				answers = append(answers, choice.ProbeResult{Server: a.Server, Report: []float64{0.3, 0.3}})
+			if a, ok := a.(choice.HealthCheck); ok {
+				answers = append(answers, choice.HealthCheckResult{Server: a.Server, Report: []float64{0.3, 0.3}})
 			}
 		}
 		if len(answers) > 0 {
@@ -107,7 +107,7 @@
 	var sum coldFigures
 	const seeds = 12
 	for seed := range uint64(seeds) {
-		f := coldFleet{name: fmt.Sprint("seed ", seed), nodes: 30, hosts: 24, reports: choice.ProbeReports, peers: true, rules: shortWarmUp,
+		f := coldFleet{name: fmt.Sprint("seed ", seed), nodes: 30, hosts: 24, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp,
 			skew: 4, told: true, burst: 4, seed: seed}
 		sum.add(f.play(t), seeds)
 	}
@@ -119,7 +119,7 @@
 
 // TestColdHostsOfManyNodesDoNotStarve has 300 nodes without keepers: their cold hosts get a tenth of an even spread at least.
 func TestColdHostsOfManyNodesDoNotStarve(t *testing.T) {
-	for _, reports := range []choice.Channel{choice.NoReports, choice.ProbeReports} {
+	for _, reports := range []choice.ReportSource{choice.NoReports, choice.HealthCheckReports} {
 		var sum coldFigures
 		const seeds = 4
 		for seed := range uint64(seeds) {
--- a/choice/estimate.go
+++ b/choice/estimate.go
@@ -24,7 +24,7 @@
 
 // observe takes a load report: the predicted load is anchored there, and costs learn.
 func (b *Balancer) observe(s *server, report []float64) {
-	load, held, piled, late := readReport(b.set.Fields, report)
+	load, held, piled, late := readReport(b.set.ReportFields, report)
 	if math.IsNaN(load) {
 		return
 	}
@@ -33,7 +33,7 @@
 		share, b.tellsHeld = held*b.unit, true // told outright
 	}
 	b.learnCost(s, load, share)
-	if load += piled; !b.set.TellsDelay {
+	if load += piled; !b.set.DelaysObserved {
 		load = max(load, b.asLoad(late)) // where no notes come, reports alone tell of slow messages
 	}
 	b.learn(s, load)
@@ -109,7 +109,7 @@
 	for _, t := range b.set.Tenants {
 		shares += max(0, t.Connections)
 	}
-	if n := float64(len(b.servers)); b.set.FirstCost == 0 && shares > 0 && finite(shares) && n > 0 {
+	if n := float64(len(b.servers)); b.set.InitialCost == 0 && shares > 0 && finite(shares) && n > 0 {
 		return clamp(n/shares, firstCost/4, 0.5)
 	}
 	if b.toldLoad.samples > 0 && b.set.Sizes == NominalSize { // told in seconds of a core, and sizes are about in cores
--- a/choice/estimate_test.go
+++ b/choice/estimate_test.go
@@ -8,11 +8,11 @@
 
 // silentSettings are those of a deployment whose hosts report nothing and whose nodes don't talk.
 func silentSettings(nodes int) Settings {
-	return Settings{Nodes: nodes, Grouped: true, Sizes: NominalSize, TellsDelay: true, Round: 4 * time.Millisecond,
+	return Settings{Nodes: nodes, Grouped: true, Sizes: NominalSize, DelaysObserved: true, RoundTrip: 4 * time.Millisecond,
 		Classes: []Class{
 			{Name: "watch", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 150 * time.Millisecond, Priority: 5},
 			{Name: "pay", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 250 * time.Millisecond, Priority: 15}},
-		Limits: Limits{MaxAttempts: 4, MayProbe: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
+		Limits: Limits{MaxAttempts: 4, HealthChecks: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
 		Rules:  Rules{ColdShare: 0.14, WarmUp: 20 * time.Second, FallMultiple: 2.5, FallTime: 1500 * time.Millisecond}}
 }
 
@@ -55,7 +55,7 @@
 		before += s.cost * s.told
 	}
 	for i := range 10 { // half of the connections tell their load: those of the second class are nine times as heavy
-		b.Step(now, []Event{LoadNote{ID: RequestID(fmt.Sprint(i)), Load: []float64{0.02, 0.18}[i%2]}})
+		b.Step(now, []Event{LoadUpdate{ID: RequestID(fmt.Sprint(i)), Load: []float64{0.02, 0.18}[i%2]}})
 	}
 	told := 0.0
 	for _, s := range b.servers {
@@ -79,7 +79,7 @@
 // Where servers report, told loads leave the unit alone: costs, and what keepers lend, are learned in it.
 func TestToldLoadsLeaveTheUnitWhereServersReport(t *testing.T) {
 	set := silentSettings(3)
-	set.Reports, set.Fields = ProbeReports, []Field{Utilization, Load}
+	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Utilization, Load}
 	b, err := New(set, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	s, moved := b.find(home), 0
 	for i := range 5 {
 		now += time.Second
-		for _, a := range b.Step(now, []Event{DelayNote{ID: "0", Server: home, Took: 900 * time.Millisecond}, TimerFired{Token: "tick"}}) {
+		for _, a := range b.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 900 * time.Millisecond}, TimerFired{Token: "tick"}}) {
 			if a, ok := a.(Move); ok {
 				moved++
 				b.Step(now, []Event{AttemptEnded{ID: a.ID, Server: home, Outcome: Cancelled, Final: true}})
@@ -120,7 +120,7 @@
 	quiet := b.predict(s)
 	for range 20 { // it is over: once more when messages are quick again
 		now += time.Second
-		b.Step(now, []Event{DelayNote{ID: "0", Server: home, Took: 5 * time.Millisecond}, TimerFired{Token: "tick"}})
+		b.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 5 * time.Millisecond}, TimerFired{Token: "tick"}})
 	}
 	if b.predict(s) >= quiet || b.predict(s) > crowded {
 		t.Errorf("with quick messages again it is predicted at %.2f, %.2f before", b.predict(s), quiet)
@@ -244,7 +244,7 @@
 // On a deployment that reports, none of this is in the way: no throttle, no advice of the module's own.
 func TestThrottleIsForSilentHostsOnly(t *testing.T) {
 	set := silentSettings(3)
-	set.Reports, set.Fields = ProbeReports, []Field{Load}
+	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Load}
 	b, err := New(set, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
--- a/choice/evidence.go
+++ b/choice/evidence.go
@@ -186,7 +186,7 @@
 	}
 }
 
-func (b *Balancer) countProbe(e ProbeResult) {
+func (b *Balancer) countProbe(e HealthCheckResult) {
 	if s := b.find(e.Server); s != nil && s.State == Ready && e.Outcome != NeverSent {
 		b.countZone(s.Zone, e.Outcome != Served)
 	}
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -10,12 +10,12 @@
 // A node's loop: hand over what happened, carry out what comes back.
 func Example() {
 	b, err := choice.New(choice.Settings{
-		Nodes:   1,
-		Reports: choice.ProbeReports,
-		Fields:  []choice.Field{choice.Load},
+		Nodes:        1,
+		Reports:      choice.HealthCheckReports,
+		ReportFields: []choice.ReportField{choice.Load},
 		Classes: []choice.Class{{Name: "live", SetupObjective: 300 * time.Millisecond, Deadline: 2 * time.Second,
 			MessageObjective: 100 * time.Millisecond, Priority: 1}},
-		Limits: choice.Limits{MaxAttempts: 3, MayProbe: true},
+		Limits: choice.Limits{MaxAttempts: 3, HealthChecks: true},
 		Rules:  choice.Rules{DrainGrace: 500 * time.Millisecond},
 	}, 42, 0)
 	if err != nil {
@@ -32,8 +32,8 @@
 		inbox = nil
 		for _, a := range actions {
 			switch a := a.(type) {
-			case choice.Probe:
-				inbox = append(inbox, choice.ProbeResult{Server: a.Server, Outcome: choice.Served,
+			case choice.HealthCheck:
+				inbox = append(inbox, choice.HealthCheckResult{Server: a.Server, Outcome: choice.Served,
 					Report: []float64{loads[a.Server]}})
 			case choice.StartAttempt:
 				fmt.Println("connect", a.ID, "to", a.Server)
--- a/choice/failures_test.go
+++ b/choice/failures_test.go
@@ -37,7 +37,7 @@
 	f.step(Established{ID: "a", Attempt: 0, Server: to})
 	for i := range 60 {
 		f.run(time.Duration(i+1) * time.Second)
-		f.step(DelayNote{ID: "a", Server: to, Took: ms(900)})
+		f.step(DelayObservation{ID: "a", Server: to, Took: ms(900)})
 	}
 	if f.b.avg > 0.51 {
 		t.Fatalf("average %.2f, all reports said 0.5", f.b.avg)
@@ -131,9 +131,9 @@
 		f.step(Established{ID: "a", Attempt: 0, Server: to})
 		for range 40 {
 			f.now += ms(100)
-			f.step(DelayNote{ID: "a", Server: to, Took: ms(500)})
+			f.step(DelayObservation{ID: "a", Server: to, Took: ms(500)})
 			if len(f.last) > 0 {
-				f.step(ProbeResult{Server: to, Outcome: outcome, Report: []float64{load, 5}})
+				f.step(HealthCheckResult{Server: to, Outcome: outcome, Report: []float64{load, 5}})
 				for _, a := range f.last {
 					if _, ok := a.(Move); ok {
 						n++
@@ -204,12 +204,12 @@
 func TestGateSeesOwnClientsOnFullServers(t *testing.T) {
 	f := newReferee(t, plain(), 12)
 	f.step(fleet(20))
-	var open []DelayNote
+	var open []DelayObservation
 	for i := range 20 {
 		id := RequestID(fmt.Sprint("c", i))
 		if to := f.place(string(id), 0, level(0.6)); to != "" {
 			f.step(Established{ID: id, Attempt: 0, Server: to})
-			open = append(open, DelayNote{ID: id, Server: to, Took: ms(900)})
+			open = append(open, DelayObservation{ID: id, Server: to, Took: ms(900)})
 		}
 	}
 	for range 8 {
@@ -218,7 +218,7 @@
 			f.step(n)
 		}
 		f.run(f.now + ms(500))
-		f.step(ProbeResult{Server: "s019", Report: []float64{0.4, 10}})
+		f.step(HealthCheckResult{Server: "s019", Report: []float64{0.4, 10}})
 	}
 	if f.b.gate > 0.3 {
 		t.Errorf("gate at %.2f with all own clients on servers that answer in 900 ms, and reports of 0.4", f.b.gate)
@@ -251,9 +251,9 @@
 // is all that tells of a full one, and its clients come again at once. Where they report, the report decides; and an end that the
 // server announced, or one that its client made, says nothing anywhere.
 func TestShedding(t *testing.T) {
-	for _, reports := range []Channel{NoReports, ProbeReports} {
+	for _, reports := range []ReportSource{NoReports, HealthCheckReports} {
 		for _, o := range []Outcome{Reset, Served, Cancelled} {
-			b, err := New(Settings{Nodes: 1, Reports: reports, Fields: []Field{Load}, Limits: Limits{MaxAttempts: 4},
+			b, err := New(Settings{Nodes: 1, Reports: reports, ReportFields: []ReportField{Load}, Limits: Limits{MaxAttempts: 4},
 				Classes: []Class{{SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}}, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -15,7 +15,7 @@
 	s := plain()
 	s.Nodes, s.Grouped, s.Subscribe = 1+rng.IntN(50), rng.IntN(2) == 0, rng.IntN(2) == 0
 	s.PassThru = rng.IntN(4) == 0
-	s.Reports = Channel(rng.IntN(3))
+	s.Reports = ReportSource(rng.IntN(3))
 	s.Classes = append(s.Classes,
 		Class{SetupObjective: ms(200), Deadline: ms(900), Idempotency: NotIdempotent, MessageObjective: ms(50)},
 		Class{SetupObjective: ms(200), Deadline: ms(900), Idempotency: IdempotentByKey, IdempotencyScope: Scope(rng.IntN(3)), IdempotencyWindow: ms(rng.IntN(900))})
@@ -39,7 +39,7 @@
 			switch a := a.(type) {
 			case StartAttempt:
 				out = append(out, attempt{a.ID, f.reqs[a.ID].sent - 1, a.Server, f.now + a.Timeout})
-			case Probe:
+			case HealthCheck:
 				probes = append(probes, a.Server)
 			}
 		}
@@ -77,7 +77,7 @@
 		}
 		for i := range probes {
 			if rng.IntN(3) == 0 {
-				events = append(events, ProbeResult{Server: probes[i], Outcome: Outcome(rng.IntN(8) * rng.IntN(2)),
+				events = append(events, HealthCheckResult{Server: probes[i], Outcome: Outcome(rng.IntN(8) * rng.IntN(2)),
 					Report: []float64{rng.Float64() * 1.5, float64(rng.IntN(50))}})
 				probes = append(probes[:i], probes[i+1:]...)
 				break
@@ -90,9 +90,9 @@
 				events = append(events, AttemptEnded{ID: a.id, Attempt: a.n, Server: a.to, Outcome: Reset, Final: true})
 				open = append(open[:i], open[i+1:]...)
 			case 1:
-				events = append(events, LoadNote{ID: a.id, Attempt: a.n, Load: rng.Float64() * 5})
+				events = append(events, LoadUpdate{ID: a.id, Attempt: a.n, Load: rng.Float64() * 5})
 			case 2:
-				events = append(events, DelayNote{ID: a.id, Server: a.to, Took: ms(rng.IntN(400))})
+				events = append(events, DelayObservation{ID: a.id, Server: a.to, Took: ms(rng.IntN(400))})
 			}
 		}
 		switch rng.IntN(12) {
--- a/choice/groups_test.go
+++ b/choice/groups_test.go
@@ -10,9 +10,9 @@
 // it, and that one group that holds nearly everything does not fill server after server while others idle.
 func TestGroupsSpreadByTheirLoad(t *testing.T) {
 	for _, c := range []struct{ groups, most int }{{1, 12}, {20, 2}} {
-		b, err := New(Settings{Nodes: 1, Grouped: true, Reports: ProbeReports, Fields: []Field{Load},
+		b, err := New(Settings{Nodes: 1, Grouped: true, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
-			Limits:  Limits{MaxAttempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
+			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -26,8 +26,8 @@
 			next = nil
 			for _, a := range b.Step(now, events) {
 				switch a := a.(type) {
-				case Probe:
-					next = append(next, ProbeResult{Server: a.Server, Report: []float64{0.06 * float64(held[a.Server])}})
+				case HealthCheck:
+					next = append(next, HealthCheckResult{Server: a.Server, Report: []float64{0.06 * float64(held[a.Server])}})
 				case StartAttempt:
 					held[a.Server]++
 					g := group[a.ID]
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -61,7 +61,7 @@
 
 // meaning is of the settings what gives learned values their sense: under another one they are some other deployment's.
 func (s Settings) meaning() string {
-	return fmt.Sprint(s.Reports, s.Fields, s.Sizes, s.PriorityPerWork, s.TellsDelay)
+	return fmt.Sprint(s.Reports, s.ReportFields, s.Sizes, s.PriorityPerWork, s.DelaysObserved)
 }
 
 // unlearn forgets what reports have told: it was said of other values than those that come from now on.
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -42,8 +42,8 @@
 				f.on[a.ID] = a.Server
 				f.ends[a.ID] = f.now + time.Duration(10+f.rng.IntN(40))*time.Second
 				events = append(events, Established{ID: a.ID, Server: a.Server})
-			case Probe:
-				events = append(events, ProbeResult{Server: a.Server, Report: []float64{f.load(a.Server) * (0.95 + 0.1*f.rng.Float64())}})
+			case HealthCheck:
+				events = append(events, HealthCheckResult{Server: a.Server, Report: []float64{f.load(a.Server) * (0.95 + 0.1*f.rng.Float64())}})
 			case SetTimer:
 				at := f.now + a.After
 				f.timer[at] = append(f.timer[at], a.Token)
@@ -89,9 +89,9 @@
 }
 
 func knows() Settings {
-	return Settings{Nodes: 4, Reports: ProbeReports, Fields: []Field{Load}, Round: 5 * time.Millisecond,
+	return Settings{Nodes: 4, Reports: HealthCheckReports, ReportFields: []ReportField{Load}, RoundTrip: 5 * time.Millisecond,
 		Classes: []Class{{Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond, MessageObjective: 60 * time.Millisecond, Priority: 1}},
-		Limits:  Limits{MaxAttempts: 4, MayProbe: true}, Tariffs: Tariffs{Probe: 0.002}}
+		Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, Costs: Costs{HealthCheck: 0.002}}
 }
 
 // TestLearnedGoesAlong has one process take over from another: with what that one found out, its forecasts of the servers'
@@ -171,7 +171,7 @@
 		t.Fatal(err)
 	}
 	b.Step(now, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Kind: "k", Size: 1, Started: 5}, {ID: "b", Kind: "k", Size: 1}}},
-		ProbeResult{Server: "b", Report: []float64{0.5}}})
+		HealthCheckResult{Server: "b", Report: []float64{0.5}}})
 	good := Learned{Form: LearnedForm, Meaning: b.set.meaning(), Unit: 1, Gate: 1, Worth: 1, SumLoad: 1, SumBase: 2, SumAt: now - time.Second,
 		Servers: []LearnedServer{{ID: "a", Started: 5, Known: true, Report: 0.9, ReportAt: now - time.Second, BadUntil: now + time.Hour, Num: 9, Den: 90, N: 9},
 			{ID: "b", Known: true, Report: 0.1, ReportAt: now - time.Second}, {ID: "nobody"}}}
@@ -216,7 +216,7 @@
 			t.Fatal(err)
 		}
 		b.Step(now, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}},
-			ProbeResult{Server: "a", Report: []float64{0.9}}, ProbeResult{Server: "b", Report: []float64{0.7}}})
+			HealthCheckResult{Server: "a", Report: []float64{0.9}}, HealthCheckResult{Server: "b", Report: []float64{0.7}}})
 		return b
 	}
 	same := knows()
@@ -227,7 +227,7 @@
 		t.Error("forgotten with settings under which reports say the same")
 	}
 	for i, change := range []func(*Settings){
-		func(s *Settings) { s.Fields = []Field{InFlight} }, func(s *Settings) { s.Reports = AllReports },
+		func(s *Settings) { s.ReportFields = []ReportField{InFlight} }, func(s *Settings) { s.Reports = AllReports },
 		func(s *Settings) { s.Sizes = LiveSize }, func(s *Settings) { s.PriorityPerWork = true },
 	} {
 		other := knows()
@@ -261,7 +261,7 @@
 func TestKnownCost(t *testing.T) {
 	for _, known := range []float64{1e-5, 0} {
 		s := knows()
-		s.Nodes, s.FirstCost = 1, known
+		s.Nodes, s.InitialCost = 1, known
 		b, err := New(s, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
@@ -280,8 +280,8 @@
 						events = append(events, Established{ID: a.ID, Server: a.Server})
 					case Reject:
 						refused++
-					case Probe:
-						events = append(events, ProbeResult{Server: a.Server, Report: []float64{float64(on[a.Server]) * 1e-5}})
+					case HealthCheck:
+						events = append(events, HealthCheckResult{Server: a.Server, Report: []float64{float64(on[a.Server]) * 1e-5}})
 					}
 				}
 			}
@@ -302,7 +302,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before.Step(2*time.Hour, []Event{list, ProbeResult{Server: "s000", Outcome: Served, Report: []float64{0.5, 0.5}}})
+		before.Step(2*time.Hour, []Event{list, HealthCheckResult{Server: "s000", Outcome: Served, Report: []float64{0.5, 0.5}}})
 		before.find("s001").credit, before.find("s001").creditAt = 0, 2*time.Hour
 		before.strike(before.find("s002"))
 		learned := before.Learned()
--- a/choice/many_test.go
+++ b/choice/many_test.go
@@ -11,7 +11,7 @@
 func vast() Settings {
 	s := plain()
 	s.Nodes, s.Grouped, s.Subscribe = 80, true, false
-	s.Fields = []Field{Load, Utilization}
+	s.ReportFields = []ReportField{Load, Utilization}
 	s.Tenants = []Tenant{{Name: "t", Connections: 165}}
 	s.OverQuotaPriority = 1
 	return s
@@ -26,7 +26,7 @@
 		f.step(fleet(13))
 		for range 60 {
 			for _, s := range fleet(13).Servers {
-				f.step(ProbeResult{Server: s.ID, Outcome: Served, Report: []float64{0.6, 0.6}})
+				f.step(HealthCheckResult{Server: s.ID, Outcome: Served, Report: []float64{0.6, 0.6}})
 			}
 			f.run(f.now + ms(200))
 		}
@@ -49,7 +49,7 @@
 		f.step(fleet(13))
 		var events []Event
 		for i, s := range fleet(13).Servers { // each node's reports differ a little
-			events = append(events, ProbeResult{Server: s.ID, Outcome: Served, Report: []float64{0.3 + 0.2*float64((node*7+i*5)%11)/10, 0.4}})
+			events = append(events, HealthCheckResult{Server: s.ID, Outcome: Served, Report: []float64{0.3 + 0.2*float64((node*7+i*5)%11)/10, 0.4}})
 		}
 		f.step(events...)
 		if node%3 == 0 {
@@ -129,12 +129,12 @@
 	case Tell:
 		c.tells++
 		c.later(a.To, ms(20), PeerMessage{node, a.Data})
-	case Probe:
+	case HealthCheck:
 		held := 0
 		if l := c.seen[a.Server]; len(l) > 0 {
 			held = l[max(0, len(l)-20)]
 		}
-		c.later(node, ms(10), ProbeResult{Server: a.Server, Report: []float64{c.load(a.Server, held), 0}})
+		c.later(node, ms(10), HealthCheckResult{Server: a.Server, Report: []float64{c.load(a.Server, held), 0}})
 	case StartAttempt:
 		c.held[a.Server]++
 		c.times[a.Server] = append(c.times[a.Server], c.now)
@@ -167,7 +167,7 @@
 func keeping() Settings {
 	s := vast()
 	s.Limits.MayTell = true
-	s.Tariffs.Peer = 0.01
+	s.Costs.PeerMessage = 0.01
 	return s
 }
 
@@ -245,7 +245,7 @@
 	few := keeping()
 	few.Nodes = 4
 	dear := keeping()
-	dear.Tariffs.Peer = 1
+	dear.Costs.PeerMessage = 1
 	for name, s := range map[string]Settings{"forbidden": vast(), "few nodes": few, "dear messages": dear} {
 		c := newCrowd(t, s, 1, fleet(13), func(ServerID, int) float64 { return 0.3 })
 		c.arrivals(50, time.Second, func(i int) uint64 { return uint64(i) })
--- a/choice/patrol_test.go
+++ b/choice/patrol_test.go
@@ -10,9 +10,9 @@
 // delay notes come, as on sockets, and that nothing is asked where they do.
 func TestFullServerIsFound(t *testing.T) {
 	for _, tells := range []bool{false, true} {
-		b, err := New(Settings{Nodes: 1, TellsDelay: tells, Reports: ProbeReports, Fields: []Field{Load},
+		b, err := New(Settings{Nodes: 1, DelaysObserved: tells, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
-			Limits:  Limits{MaxAttempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
+			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,11 +28,11 @@
 			next = nil
 			for _, a := range b.Step(now, events) {
 				switch a := a.(type) {
-				case Probe:
+				case HealthCheck:
 					if probes++; a.Server != "full" {
 						t.Errorf("asked %s, which holds nothing", a.Server)
 					}
-					next = append(next, ProbeResult{Server: a.Server, Report: []float64{3}})
+					next = append(next, HealthCheckResult{Server: a.Server, Report: []float64{3}})
 				case Move:
 					moves++
 					next = append(next, AttemptEnded{ID: a.ID, Server: "full", Outcome: Cancelled, Final: true})
@@ -51,7 +51,7 @@
 // TestNothingIsAskedForWhereHostsReportNothing guards hosts whose protocol has no load reports against being asked.
 func TestNothingIsAskedForWhereHostsReportNothing(t *testing.T) {
 	b, err := New(Settings{Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
-		Limits: Limits{MaxAttempts: 4, MayProbe: true}}, 1, time.Hour)
+		Limits: Limits{MaxAttempts: 4, HealthChecks: true}}, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		next = nil
 		for _, a := range b.Step(time.Hour+time.Duration(i)*time.Second, events) {
 			switch a := a.(type) {
-			case Probe:
+			case HealthCheck:
 				t.Fatal("a probe after ", i, " s")
 			case SetTimer:
 				next = append(next, TimerFired{a.Token})
@@ -77,9 +77,9 @@
 		late, load float64
 		moves      bool
 	}{{5, 0.6, false}, {400, 0.6, true}, {5, 0, false}} {
-		b, err := New(Settings{Nodes: 1, Reports: ProbeReports, Fields: []Field{Latency, Load},
+		b, err := New(Settings{Nodes: 1, Reports: HealthCheckReports, ReportFields: []ReportField{Latency, Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second, MessageObjective: 60 * time.Millisecond}},
-			Limits:  Limits{MaxAttempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
+			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,13 +88,13 @@
 			events = append(events, OpenConnection{Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1}, Server: "late"})
 		}
 		b.Step(time.Hour, events)
-		b.Step(time.Hour+9*time.Second, []Event{ProbeResult{Server: "idle", Report: []float64{3, 0.1}}})
+		b.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "idle", Report: []float64{3, 0.1}}})
 		// Connections that left since a report shows take the prediction under 0, which must not read as an excess.
 		for i := range 30 {
 			b.Step(time.Hour+9*time.Second, []Event{AttemptEnded{ID: RequestID(fmt.Sprint(i)), Server: "late", Final: true}})
 		}
 		moves := 0
-		for _, a := range b.Step(time.Hour+9*time.Second, []Event{ProbeResult{Server: "late", Report: []float64{c.late, c.load}}}) {
+		for _, a := range b.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "late", Report: []float64{c.late, c.load}}}) {
 			if _, ok := a.(Move); ok {
 				moves++
 			}
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -162,8 +162,8 @@
 		if !limits.Cancellation || r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
 			j.broken(n, "%+v is not allowed or names no attempt", a)
 		}
-	case choice.Probe:
-		if !limits.MayProbe || !k.everListed[a.Server] {
+	case choice.HealthCheck:
+		if !limits.HealthChecks || !k.everListed[a.Server] {
 			j.broken(n, "%+v is not allowed or names no listed host", a)
 		}
 	case choice.Move:
@@ -273,7 +273,7 @@
 	waiting := 0
 	for _, e := range events {
 		switch e.(type) {
-		case choice.PeerMessage, choice.ProbeResult, choice.ServerList: // each may go on with all that waits
+		case choice.PeerMessage, choice.HealthCheckResult, choice.ServerList: // each may go on with all that waits
 			waiting = len(j.w.requests)
 		}
 	}
@@ -294,21 +294,21 @@
 	world.slotsAt = world.shedAt * between(0.8, 1.1)
 	s := choice.Settings{
 		Nodes: 1 + rng.IntN(30), Zone: "z0", Grouped: chance(0.4), PassThru: chance(0.2), Subscribe: chance(0.5),
-		Reports: choice.Channel(rng.IntN(3)), Sizes: choice.SizeKind(rng.IntN(3)), TellsDelay: chance(0.5),
-		OverQuotaPriority: between(0, 1), PriorityPerWork: chance(0.5), Round: 5 * time.Millisecond,
-		Limits: choice.Limits{MaxAttempts: 1 + rng.IntN(8), MayProbe: chance(0.8), Cancellation: chance(0.7), MayTell: chance(0.6),
+		Reports: choice.ReportSource(rng.IntN(3)), Sizes: choice.SizeKind(rng.IntN(3)), DelaysObserved: chance(0.5),
+		OverQuotaPriority: between(0, 1), PriorityPerWork: chance(0.5), RoundTrip: 5 * time.Millisecond,
+		Limits: choice.Limits{MaxAttempts: 1 + rng.IntN(8), HealthChecks: chance(0.8), Cancellation: chance(0.7), MayTell: chance(0.6),
 			RetryAfter: chance(0.6), MaxRetryAfter: seconds(0.5, 3), ConnectTimeout: seconds(0.05, 0.4)},
 		Rules: choice.Rules{AnswerSlack: 20 * time.Millisecond, AskWithin: seconds(2, 10), DrainGrace: seconds(0.3, 5),
 			ColdShare: between(0.1, 0.6), WarmUp: seconds(4, 25), FallMultiple: between(2, 5), FallTime: seconds(1, 3)},
-		Tariffs: choice.Tariffs{Probe: between(0.001, 0.01), Move: 0.01, Peer: between(0, 0.02), CrossZone: between(0, 0.03)},
+		Costs: choice.Costs{HealthCheck: between(0.001, 0.01), Migration: 0.01, PeerMessage: between(0, 0.02), CrossZone: between(0, 0.03)},
 	}
 	if s.Reports != choice.NoReports {
-		s.Fields = []choice.Field{choice.Load, choice.PiledUp, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency}
-		rng.Shuffle(len(s.Fields), func(a, b int) { s.Fields[a], s.Fields[b] = s.Fields[b], s.Fields[a] })
-		s.Fields = s.Fields[:1+rng.IntN(4)]
+		s.ReportFields = []choice.ReportField{choice.Load, choice.Backlog, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency}
+		rng.Shuffle(len(s.ReportFields), func(a, b int) { s.ReportFields[a], s.ReportFields[b] = s.ReportFields[b], s.ReportFields[a] })
+		s.ReportFields = s.ReportFields[:1+rng.IntN(4)]
 	}
 	if chance(0.5) {
-		s.FirstCost = 1 / world.perHost
+		s.InitialCost = 1 / world.perHost
 	}
 	for i := range 1 + rng.IntN(5) {
 		c := choice.Class{Name: fmt.Sprint("c", i), SetupObjective: seconds(0.2, 0.8), Deadline: seconds(0.8, 4), Priority: between(0.5, 8),
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -220,9 +220,9 @@
 	nan := math.NaN()
 	f.step(
 		AttemptEnded{ID: "nobody", Server: "nowhere"}, Established{ID: "nobody"}, ClientGone{ID: "nobody"},
-		ProbeResult{Server: "nowhere"}, ProbeResult{Server: "s000", Report: []float64{1}},
-		ProbeResult{Server: "s000", Report: []float64{nan, math.Inf(1)}}, ProbeResult{Server: "s001", Report: []float64{-3, -1}},
-		LoadNote{ID: "nobody", Load: nan}, DelayNote{Server: "nowhere", Took: -5}, DelayNote{Server: "s000", Took: math.MaxInt64},
+		HealthCheckResult{Server: "nowhere"}, HealthCheckResult{Server: "s000", Report: []float64{1}},
+		HealthCheckResult{Server: "s000", Report: []float64{nan, math.Inf(1)}}, HealthCheckResult{Server: "s001", Report: []float64{-3, -1}},
+		LoadUpdate{ID: "nobody", Load: nan}, DelayObservation{Server: "nowhere", Took: -5}, DelayObservation{Server: "s000", Took: math.MaxInt64},
 		TimerFired{"hold nobody"}, TimerFired{""}, PeerMessage{}, OpenConnection{Server: "nowhere"},
 		OpenConnection{Request: Request{ID: "x", Class: 99}, Server: "s000"},
 		Request{ID: "odd", TimeLeft: ms(100), Load: nan, Tenant: 7}, Request{ID: "odd", TimeLeft: ms(100)},
@@ -245,5 +245,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(0, []Event{fleet(2), Request{ID: "a", TimeLeft: ms(100)}, TimerFired{"tick"}, DelayNote{Server: "s000", Took: 1}})
+	b.Step(0, []Event{fleet(2), Request{ID: "a", TimeLeft: ms(100)}, TimerFired{"tick"}, DelayObservation{Server: "s000", Took: 1}})
 }
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -202,7 +202,7 @@
 	n.inbox = append(n.inbox, e)
 	if !n.awake {
 		n.awake = true
-		w.after(w.settings.Round, func() { w.batch(n) })
+		w.after(w.settings.RoundTrip, func() { w.batch(n) })
 	}
 }
 
@@ -259,9 +259,9 @@
 	case choice.CancelAttempt:
 		w.count("cancels")
 		if at := w.requests[a.ID].attempts[a.Attempt]; !at.established {
-			w.settle(at, choice.Cancelled, w.settings.Round)
+			w.settle(at, choice.Cancelled, w.settings.RoundTrip)
 		}
-	case choice.Probe:
+	case choice.HealthCheck:
 		w.probe(n, w.byID[a.Server])
 	case choice.Move:
 		w.count("moves")
@@ -360,26 +360,26 @@
 		w.closeConnection(h.held[len(h.held)-1], choice.Reset, true)
 	}
 	h.seen, h.seenHeld = w.load(h), len(h.held)
-	if w.settings.TellsDelay && h.seen > 0.8 && len(h.held) > 0 {
+	if w.settings.DelaysObserved && h.seen > 0.8 && len(h.held) > 0 {
 		at := h.held[w.rng.IntN(len(h.held))]
 		w.count("delay notes")
-		w.deliver(at.request.node, choice.DelayNote{ID: at.request.ID, Server: h.ID, Took: w.around(time.Duration(h.seen * float64(150*time.Millisecond)))})
+		w.deliver(at.request.node, choice.DelayObservation{ID: at.request.ID, Server: h.ID, Took: w.around(time.Duration(h.seen * float64(150*time.Millisecond)))})
 	}
 	if w.terms.toldLoads && len(h.held) > 0 && w.often(0.2) {
 		at := h.held[w.rng.IntN(len(h.held))]
 		at.request.client.load *= 0.5 + w.rng.Float64()
-		w.deliver(at.request.node, choice.LoadNote{ID: at.request.ID, Attempt: at.number, Load: at.request.client.load})
+		w.deliver(at.request.node, choice.LoadUpdate{ID: at.request.ID, Attempt: at.number, Load: at.request.client.load})
 	}
 }
 
 // report is a host's load report, a little noisy.
 func (w *simulation) report(h *simHost) (values []float64) {
-	for _, f := range w.settings.Fields {
+	for _, f := range w.settings.ReportFields {
 		v := 0.0
 		switch f {
 		case choice.Load:
 			v = h.seen
-		case choice.PiledUp:
+		case choice.Backlog:
 			v = max(0, h.seen-1)
 		case choice.InFlight:
 			v = float64(h.seenHeld)
@@ -398,7 +398,7 @@
 func (w *simulation) probe(n *simNode, h *simHost) {
 	w.count("probes")
 	took := 2*time.Millisecond + w.upTo(6*time.Millisecond)
-	result := choice.ProbeResult{Server: h.ID, Outcome: choice.Served, Took: took}
+	result := choice.HealthCheckResult{Server: h.ID, Outcome: choice.Served, Took: took}
 	if !h.running || w.now < h.failingUntil {
 		result.Outcome, took = choice.TimedOut, 100*time.Millisecond
 	} else if w.settings.Reports != choice.NoReports {
@@ -491,7 +491,7 @@
 		w.count("retries")
 	}
 	if r.gone || r.answered {
-		w.settle(at, choice.NeverSent, w.settings.Round)
+		w.settle(at, choice.NeverSent, w.settings.RoundTrip)
 		return
 	}
 	informed := r.node.listed[h.ID].Started == h.Started
--- a/choice/state.go
+++ b/choice/state.go
@@ -166,10 +166,10 @@
 		}
 	}
 	if s.Reports == NoReports { // there is nothing to ask hosts for on the module's own account
-		s.TellsDelay = true
+		s.DelaysObserved = true
 	}
-	if b.first = firstCost; s.FirstCost > 0 && finite(s.FirstCost) {
-		b.first = s.FirstCost
+	if b.first = firstCost; s.InitialCost > 0 && finite(s.InitialCost) {
+		b.first = s.InitialCost
 	}
 	s.Nodes, s.Limits.MaxAttempts = max(1, s.Nodes), max(1, s.Limits.MaxAttempts)
 	for len(b.silent) < s.Nodes {
@@ -272,14 +272,14 @@
 }
 
 func (b *Balancer) probe(s *server) {
-	if !s.probing && b.set.Limits.MayProbe {
+	if !s.probing && b.set.Limits.HealthChecks {
 		s.probing = true
-		b.out = append(b.out, Probe{s.ID})
+		b.out = append(b.out, HealthCheck{s.ID})
 	}
 }
 
 // readReport finds the values that the module uses in a report; load is not a number where there is none.
-func readReport(fields []Field, report []float64) (load, held, piled float64, late time.Duration) {
+func readReport(fields []ReportField, report []float64) (load, held, piled float64, late time.Duration) {
 	load, held = math.NaN(), math.NaN()
 	if len(report) != len(fields) {
 		return load, held, 0, 0
@@ -291,7 +291,7 @@
 			load = v
 		case f == InFlight:
 			held = v
-		case f == PiledUp:
+		case f == Backlog:
 			piled = v
 		case f == Latency:
 			late = time.Duration(min(v, 1e6) * float64(time.Millisecond))
@@ -344,7 +344,7 @@
 }
 
 // reload takes in the present load of an open connection.
-func (b *Balancer) reload(e LoadNote) {
+func (b *Balancer) reload(e LoadUpdate) {
 	if r := b.reqs[e.ID]; r != nil && r.on != nil && e.Load >= 0 && finite(e.Load) {
 		b.learnTold(r.Class, e.Load)
 		b.bear(r.on, e.Load-r.load)
--- a/choice/step.go
+++ b/choice/step.go
@@ -44,12 +44,12 @@
 		case AttemptEnded:
 			b.countOutcome(e)
 			b.ended(e)
-		case ProbeResult:
+		case HealthCheckResult:
 			b.countProbe(e)
 			b.probed(e)
-		case LoadNote:
+		case LoadUpdate:
 			b.reload(e)
-		case DelayNote:
+		case DelayObservation:
 			b.delayed(e)
 		case ClientGone:
 			b.forget(b.reqs[e.ID])
--- a/choice/world_test.go
+++ b/choice/world_test.go
@@ -165,7 +165,7 @@
 			f.t.Fatalf("bad timer %+v", a)
 		}
 		f.timers = append(f.timers, timer{f.now + a.After, a.Token})
-	case Probe:
+	case HealthCheck:
 		if _, ok := f.list[a.Server]; !ok {
 			f.t.Fatalf("probe of unknown server %s", a.Server)
 		}
@@ -219,12 +219,12 @@
 
 func plain() Settings {
 	return Settings{
-		Nodes: 4, Zone: "z0", Reports: ProbeReports, Fields: []Field{Load, InFlight}, Round: ms(5),
+		Nodes: 4, Zone: "z0", Reports: HealthCheckReports, ReportFields: []ReportField{Load, InFlight}, RoundTrip: ms(5),
 		Classes: []Class{{Name: "c", SetupObjective: ms(300), Deadline: ms(1800), MessageObjective: ms(100), Priority: 1}},
-		Limits:  Limits{MaxAttempts: 4, MayProbe: true, Cancellation: true, ConnectTimeout: ms(250)},
+		Limits:  Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, ConnectTimeout: ms(250)},
 		Rules: Rules{AnswerSlack: ms(20), AskWithin: 10 * time.Second, DrainGrace: ms(500), ColdShare: 0.2,
 			WarmUp: 10 * time.Second, FallMultiple: 3, FallTime: time.Second},
-		Tariffs: Tariffs{Probe: 0.002, Move: 0.01},
+		Costs: Costs{HealthCheck: 0.002, Migration: 0.01},
 	}
 }
 
@@ -254,8 +254,8 @@
 	for range 50 {
 		var events []Event
 		for _, a := range f.last {
-			if p, ok := a.(Probe); ok {
-				events = append(events, ProbeResult{Server: p.Server, Outcome: Served, Report: []float64{load(p.Server), 10}})
+			if p, ok := a.(HealthCheck); ok {
+				events = append(events, HealthCheckResult{Server: p.Server, Outcome: Served, Report: []float64{load(p.Server), 10}})
 			}
 		}
 		if len(events) == 0 {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -137,14 +137,14 @@
 					{Name: "bulk", SetupObjective: 900 * ms, Deadline: 5 * time.Second, MessageObjective: 70 * ms, Priority: 0.5, Idempotency: choice.NotIdempotent, IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 7 * time.Second}},
 				Tenants: []choice.Tenant{{Name: "acme", Rate: 10, Connections: 33, Share: 0.75}},
 				Grouped: true, PassThru: true, Park: 400 * ms, Subscribe: true, Reports: choice.AllReports,
-				Fields: []choice.Field{choice.Latency, choice.Utilization, choice.Load, choice.PiledUp, choice.InFlight, choice.Queue, choice.Throughput, choice.ErrorRate,
+				ReportFields: []choice.ReportField{choice.Latency, choice.Utilization, choice.Load, choice.Backlog, choice.InFlight, choice.Queue, choice.Throughput, choice.ErrorRate,
 					choice.OtherField},
-				Sizes: choice.LiveSize, TellsDelay: true, OverQuotaPriority: 0.05, PriorityPerWork: true, Round: 5 * ms,
-				Limits: choice.Limits{MaxAttempts: 5, MayProbe: true, Cancellation: true, MayTell: true, HedgedRequests: true, RetryAfter: true,
+				Sizes: choice.LiveSize, DelaysObserved: true, OverQuotaPriority: 0.05, PriorityPerWork: true, RoundTrip: 5 * ms,
+				Limits: choice.Limits{MaxAttempts: 5, HealthChecks: true, Cancellation: true, MayTell: true, HedgedRequests: true, RetryAfter: true,
 					MaxRetryAfter: 2500 * ms, ConnectTimeout: 1500 * ms},
 				Rules: choice.Rules{AnswerSlack: 20 * ms, AskWithin: 10 * time.Second, DrainGrace: 3 * time.Second, ColdShare: 0.14, WarmUp: 24 * time.Second,
 					FallMultiple: 4.5, FallTime: 2 * time.Second},
-				Tariffs: choice.Tariffs{Probe: 0.002, Move: 0.006, Peer: 0.007, CrossZone: 0.003, LateFail: 0.004, Waste: 0.008}}}}
+				Costs: choice.Costs{HealthCheck: 0.002, Migration: 0.006, PeerMessage: 0.007, CrossZone: 0.003, LateFailure: 0.004, Waste: 0.008}}}}
 }
 
 // TestGoldenNode holds what each key of a node's config.json means, and which variables beat it.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -376,13 +376,13 @@
 // Settings is what the module is told of a cluster.
 func (o *Operator) Settings(c Cluster) choice.Settings {
 	// Load is the core's own count: there is nothing to find out by asking, and sessions stay where they are.
-	s := choice.Settings{Nodes: c.Nodes, Zone: c.Zone, TellsDelay: true, Subscribe: c.Discovery != "", Sizes: choice.NominalSize,
-		Reports: choice.ProbeReports, Fields: []choice.Field{choice.Load}, Round: 5 * time.Millisecond, FirstCost: 1 / c.Sessions,
-		Limits: choice.Limits{MaxAttempts: c.Attempts, MayProbe: true, Cancellation: true, RetryAfter: true,
+	s := choice.Settings{Nodes: c.Nodes, Zone: c.Zone, DelaysObserved: true, Subscribe: c.Discovery != "", Sizes: choice.NominalSize,
+		Reports: choice.HealthCheckReports, ReportFields: []choice.ReportField{choice.Load}, RoundTrip: 5 * time.Millisecond, InitialCost: 1 / c.Sessions,
+		Limits: choice.Limits{MaxAttempts: c.Attempts, HealthChecks: true, Cancellation: true, RetryAfter: true,
 			MaxRetryAfter: 2 * time.Second, ConnectTimeout: time.Duration(c.ConnectTimeout)},
 		Rules: choice.Rules{AskWithin: 10 * time.Second, DrainGrace: time.Duration(c.DrainGrace), ColdShare: c.ColdShare,
 			WarmUp: time.Duration(c.WarmUp), FallMultiple: c.FallMultiple, FallTime: time.Duration(c.FallTime)},
-		Tariffs: choice.Tariffs{Probe: 0.002, Move: 0.01}}
+		Costs: choice.Costs{HealthCheck: 0.002, Migration: 0.01}}
 	for _, k := range o.Classes {
 		s.Classes = append(s.Classes, choice.Class{Name: k.Name, SetupObjective: time.Duration(k.SetupAim),
 			Deadline: time.Duration(k.Patience), Priority: k.Worth})
--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -190,7 +190,7 @@
 func (a *Attempt) Load(x float64) {
 	if !a.ended && a.request.open {
 		a.request.load = x
-		a.request.core.tell(choice.LoadNote{ID: a.request.ID, Attempt: a.Number, Load: x})
+		a.request.core.tell(choice.LoadUpdate{ID: a.request.ID, Attempt: a.Number, Load: x})
 	}
 }
 
@@ -206,7 +206,7 @@
 	slow := took > c.minAim/3
 	if slow && now.Sub(a.host.noted) >= time.Second || !slow && a.host.slow {
 		a.host.noted, a.host.slow = now, slow
-		c.tell(choice.DelayNote{ID: r.ID, Server: a.host.ID, Took: took})
+		c.tell(choice.DelayObservation{ID: r.ID, Server: a.host.ID, Took: took})
 	}
 }
 
--- a/internal/edge/clock_test.go
+++ b/internal/edge/clock_test.go
@@ -14,7 +14,7 @@
 // has been there for long.
 func steppedCore(t *testing.T, ahead time.Duration) (*world, *Core) {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1e9, 0).Add(ahead)}
-	core, err := New(Options{Clock: w, Prober: w, Seed: 1, Settings: choice.Settings{Nodes: 1,
+	core, err := New(Options{Clock: w, HealthChecker: w, Seed: 1, Settings: choice.Settings{Nodes: 1,
 		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}, Limits: choice.Limits{MaxAttempts: 3},
 		Rules: choice.Rules{ColdShare: 0.2, WarmUp: warmUp, FallMultiple: 4, FallTime: time.Second}}})
 	if err != nil {
--- a/internal/edge/crossing_test.go
+++ b/internal/edge/crossing_test.go
@@ -35,7 +35,7 @@
 		classes[i].SetupObjective, classes[i].Deadline, classes[i].Priority = 500*time.Millisecond, 10*time.Second, 1
 	}
 	var err error
-	w.core, err = New(Options{Clock: w, Prober: w, Settings: choice.Settings{Classes: classes,
+	w.core, err = New(Options{Clock: w, HealthChecker: w, Settings: choice.Settings{Classes: classes,
 		Limits: choice.Limits{MaxAttempts: 4, Cancellation: true, ConnectTimeout: time.Second, RetryAfter: true, MaxRetryAfter: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -41,9 +41,9 @@
 	GiveUp()
 }
 
-// Prober is a front's way to ask a host for its load report by a time; done is called once.
-type Prober interface {
-	Probe(h UpstreamHost, by time.Time, done func(o choice.Outcome, report []float64))
+// HealthChecker is a front's way to ask a host for its load report by a time; done is called once.
+type HealthChecker interface {
+	CheckHealth(h UpstreamHost, by time.Time, done func(o choice.Outcome, report []float64))
 }
 
 // Observer hears what passes through a core, at once and on its goroutine: it must neither wait nor call back.
@@ -134,11 +134,11 @@
 
 // Options are the core's surroundings.
 type Options struct {
-	Clock    Clock
-	Settings choice.Settings
-	Seed     uint64
-	Prober   Prober
-	Follow   func() // asks discovery for changes from now on
+	Clock         Clock
+	Settings      choice.Settings
+	Seed          uint64
+	HealthChecker HealthChecker
+	Follow        func() // asks discovery for changes from now on
 	// Tell sends a message to another node by its number; nil: there are no others to speak to.
 	Tell func(to int, message []byte)
 	// Leave is how long the clients of a draining host have to leave it; they are moved one by one over that time.
@@ -281,7 +281,7 @@
 		if r := c.requests[a.ID]; r != nil && r.attempt != nil && r.attempt.Number == a.Attempt && !r.open {
 			r.attempt.giveUp(choice.Cancelled)
 		}
-	case choice.Probe:
+	case choice.HealthCheck:
 		c.probe(a.Server, now)
 	case choice.Move:
 		if r := c.requests[a.ID]; r != nil {
@@ -319,13 +319,13 @@
 		if c.o.Observer != nil && report != nil {
 			c.o.Observer.Report(id, report)
 		}
-		c.tell(choice.ProbeResult{Server: id, Outcome: o, Took: c.o.Clock.Now().Sub(now), Report: report})
+		c.tell(choice.HealthCheckResult{Server: id, Outcome: o, Took: c.o.Clock.Now().Sub(now), Report: report})
 	}
-	if h == nil || c.o.Prober == nil {
+	if h == nil || c.o.HealthChecker == nil {
 		tell(choice.ConnectFailed, nil)
 		return
 	}
-	c.o.Prober.Probe(h.UpstreamHost, now.Add(probeTime), tell)
+	c.o.HealthChecker.CheckHealth(h.UpstreamHost, now.Add(probeTime), tell)
 }
 
 // Classes are the settings' classes, by index.
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -68,7 +68,7 @@
 	w.now = until
 }
 
-func (w *world) Probe(h UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
+func (w *world) CheckHealth(h UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
 	in := time.Duration(w.rng.IntN(200)) * time.Millisecond
 	w.At(w.now.Add(in), func() { done(choice.Served, []float64{w.rng.Float64() * 0.6}) })
 }
@@ -214,18 +214,18 @@
 	for seed := range uint64(40) {
 		w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 9)), now: time.Unix(1.8e9, 0),
 			state: map[choice.ServerID]choice.ServerState{}, since: map[choice.ServerID]time.Time{}}
-		s := choice.Settings{Nodes: 1, Round: 5 * time.Millisecond, Classes: []choice.Class{{Name: "c", SetupObjective: 800 * time.Millisecond,
+		s := choice.Settings{Nodes: 1, RoundTrip: 5 * time.Millisecond, Classes: []choice.Class{{Name: "c", SetupObjective: 800 * time.Millisecond,
 			Deadline: 4 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 1}, {Name: "u", SetupObjective: 800 * time.Millisecond,
 			Deadline: 4 * time.Second, Priority: 1, Idempotency: choice.NotIdempotent}},
-			Limits: choice.Limits{MaxAttempts: 4, Cancellation: true, MayProbe: seed%2 == 0},
+			Limits: choice.Limits{MaxAttempts: 4, Cancellation: true, HealthChecks: seed%2 == 0},
 			Rules: choice.Rules{AskWithin: 10 * time.Second, DrainGrace: 3 * time.Second, ColdShare: .2, WarmUp: 10 * time.Second,
 				FallMultiple: 4, FallTime: 2 * time.Second}}
 		if seed%2 == 0 {
-			s.Reports, s.Fields = choice.ProbeReports, []choice.Field{choice.Load}
+			s.Reports, s.ReportFields = choice.HealthCheckReports, []choice.ReportField{choice.Load}
 		}
 		var err error
 		figures := &counted{classes: map[string]*Counts{}}
-		if w.core, err = New(Options{Clock: w, Figures: figures, Settings: s, Seed: seed, Prober: w, Leave: time.Duration(seed%3) * time.Second}); err != nil {
+		if w.core, err = New(Options{Clock: w, Figures: figures, Settings: s, Seed: seed, HealthChecker: w, Leave: time.Duration(seed%3) * time.Second}); err != nil {
 			t.Fatal(err)
 		}
 		var hosts []UpstreamHost
@@ -322,7 +322,7 @@
 		begin := time.Unix(1_800_000_000, 0)
 		w := &world{t: t, now: begin, rng: rand.New(rand.NewPCG(1, 1)), state: map[choice.ServerID]choice.ServerState{"s": choice.Ready}}
 		var err error
-		w.core, err = New(Options{Clock: w, Prober: w, Settings: choice.Settings{
+		w.core, err = New(Options{Clock: w, HealthChecker: w, Settings: choice.Settings{
 			Classes: []choice.Class{{Name: "c", SetupObjective: c.patience / 2, Deadline: c.patience}}, Limits: choice.Limits{MaxAttempts: 4}}})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -14,7 +14,7 @@
 	w = &world{t: t, rng: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1e9, 0)}
 	broken = &[]invariant.Violation{}
 	monitor := &invariant.Monitor{Broken: func(v invariant.Violation) { *broken = append(*broken, v) }}
-	core, err := New(Options{Clock: w, Prober: w, Seed: 1, Monitor: monitor, Settings: choice.Settings{Nodes: 1,
+	core, err := New(Options{Clock: w, HealthChecker: w, Seed: 1, Monitor: monitor, Settings: choice.Settings{Nodes: 1,
 		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1, Idempotency: choice.NotIdempotent}},
 		Limits:  choice.Limits{MaxAttempts: 3}, Rules: choice.Rules{DrainGrace: 3 * time.Second}}})
 	if err != nil {
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -27,7 +27,7 @@
 func TestLease(t *testing.T) {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1e9, 0)}
 	classes := []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}, {Name: "b", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}
-	core, err := New(Options{Clock: w, Settings: choice.Settings{Nodes: 1, Classes: classes, Limits: choice.Limits{MaxAttempts: 3}}, Seed: 1, Prober: w})
+	core, err := New(Options{Clock: w, Settings: choice.Settings{Nodes: 1, Classes: classes, Limits: choice.Limits{MaxAttempts: 3}}, Seed: 1, HealthChecker: w})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/timers_test.go
+++ b/internal/edge/timers_test.go
@@ -16,7 +16,7 @@
 // patient is a core whose clients say that they wait for an hour, and the one host that it has.
 func patient(t *testing.T) (*world, *Core) {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1e9, 0)}
-	core, err := New(Options{Clock: w, Prober: w, Seed: 1, Settings: choice.Settings{Nodes: 1,
+	core, err := New(Options{Clock: w, HealthChecker: w, Seed: 1, Settings: choice.Settings{Nodes: 1,
 		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}, Limits: choice.Limits{MaxAttempts: 3}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/explore/host.go
+++ b/internal/lab/explore/host.go
@@ -62,8 +62,8 @@
 	return h.down == "silent" || n.badLine || n.w.cutHosts[[2]string{n.zone, h.zone}]
 }
 
-// Probe asks a host for its report.
-func (n *node) Probe(h edge.UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
+// CheckHealth asks a host for its report.
+func (n *node) CheckHealth(h edge.UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
 	w, t := n.w, n.w.byID[h.ID]
 	answered := false
 	end := func(o choice.Outcome, r []float64) {
--- a/internal/lab/explore/node.go
+++ b/internal/lab/explore/node.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	n.core, err = edge.New(edge.Options{Clock: n, Settings: told.Settings, Seed: w.o.Seed*4099 + uint64(n.i)*7 + uint64(n.born), Prober: n,
+	n.core, err = edge.New(edge.Options{Clock: n, Settings: told.Settings, Seed: w.o.Seed*4099 + uint64(n.i)*7 + uint64(n.born), HealthChecker: n,
 		Follow: func() {}, Monitor: &invariant.Monitor{Broken: n.objects}})
 	if err != nil {
 		return err
--- a/internal/node/beside.go
+++ b/internal/node/beside.go
@@ -206,7 +206,7 @@
 	if n := p.platform; n != nil {
 		most := max(b.own()-spareSockets, 0)
 		n.front.Share(most)
-		n.hosts.KeepProbes(max(most/probePart, 1))
+		n.hosts.KeepHealthChecks(max(most/probePart, 1))
 		if b.closed { // nobody comes here any more, and those that have said nothing yet go to the other process
 			p.loop.Share(0)
 		} else {
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -22,8 +22,8 @@
 	most float64 // all nodes' sessions on a host of weight 1
 }
 
-// Probe answers at once, from the core's own count.
-func (p sessions) Probe(h edge.UpstreamHost, _ time.Time, done func(choice.Outcome, []float64)) {
+// CheckHealth answers at once, from the core's own count.
+func (p sessions) CheckHealth(h edge.UpstreamHost, _ time.Time, done func(choice.Outcome, []float64)) {
 	done(choice.Served, []float64{float64(p.core().On(h.ID)) / (p.most * h.Size)})
 }
 
@@ -53,8 +53,8 @@
 			return nil, nil, err
 		}
 		core, err = edge.New(edge.Options{Clock: l, Settings: settings, Observer: observer, Figures: &p.figures, Monitor: &p.monitor, Trace: &p.trace, Seed: seed + uint64(i),
-			Prober: sessions{func() *edge.Core { return core }, c.Sessions / float64(c.Nodes)},
-			Follow: func() { watch.Follow() }, Leave: time.Duration(c.Leave)})
+			HealthChecker: sessions{func() *edge.Core { return core }, c.Sessions / float64(c.Nodes)},
+			Follow:        func() { watch.Follow() }, Leave: time.Duration(c.Leave)})
 		if err != nil {
 			return nil, nil, fmt.Errorf("%s: cluster %q: %w", path, c.Name, err)
 		}
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -71,7 +71,7 @@
 func platformSettings(n config.Node, s choice.Settings, speaks bool, parts int) choice.Settings {
 	// Hosts return a line at once however full they are, and no line tells a message's time: what the simulator tells
 	// of slow messages has no like here, and the module must do without.
-	s.TellsDelay = false
+	s.DelaysObserved = false
 	s.Limits.MayTell = speaks
 	s.Parts = parts
 	return s
@@ -84,7 +84,7 @@
 	hosts := upstream.New(l, n.Settings.ReportFields)
 	var watch *cluster.Watch
 	var others *peers
-	core, err := edge.New(edge.Options{Clock: l, Settings: platformSettings(n, n.Settings.Settings, len(n.Peers) > 0, 1), Seed: n.Seed, Prober: hosts,
+	core, err := edge.New(edge.Options{Clock: l, Settings: platformSettings(n, n.Settings.Settings, len(n.Peers) > 0, 1), Seed: n.Seed, HealthChecker: hosts,
 		Follow: func() { watch.Follow() }, Observer: observer, Figures: &p.figures, Monitor: &p.monitor, Trace: &p.trace,
 		Tell: func(to int, message []byte) { others.tell(to, message) }})
 	if err != nil {
--- a/internal/planner/world.go
+++ b/internal/planner/world.go
@@ -234,7 +234,7 @@
 	if err != nil {
 		return fmt.Errorf("planner: settings of a node: %w", err)
 	}
-	n.core, err = edge.New(edge.Options{Clock: clock{w, n}, Settings: s.Settings, Seed: w.opts.Seed*1000 + uint64(len(w.nodes)), Prober: n})
+	n.core, err = edge.New(edge.Options{Clock: clock{w, n}, Settings: s.Settings, Seed: w.opts.Seed*1000 + uint64(len(w.nodes)), HealthChecker: n})
 	if err != nil {
 		return fmt.Errorf("planner: %w", err)
 	}
@@ -258,8 +258,8 @@
 	return all
 }
 
-// Probe asks a server for its report, as the platform's probes do.
-func (n *node) Probe(u edge.UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
+// CheckHealth asks a server for its report, as the platform's probes do.
+func (n *node) CheckHealth(u edge.UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
 	w, h := n.w, n.w.byID[u.ID]
 	if n.dead {
 		return
--- a/internal/platform/downstream/crossing_test.go
+++ b/internal/platform/downstream/crossing_test.go
@@ -58,9 +58,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.TellsDelay = false
+	s.DelaysObserved = false
 	up := upstream.New(l, s.ReportFields)
-	if x.core, err = edge.New(edge.Options{Clock: l, Settings: s.Settings, Seed: 1, Prober: up,
+	if x.core, err = edge.New(edge.Options{Clock: l, Settings: s.Settings, Seed: 1, HealthChecker: up,
 		Tell: func(to int, m []byte) { x.told <- message{to, m} }}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/upstream/probe.go
+++ b/internal/platform/upstream/probe.go
@@ -35,8 +35,8 @@
 	place   *list.Element // among those that have a connection
 }
 
-// Probe asks a host for its load report.
-func (c *Cluster) Probe(h edge.UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
+// CheckHealth asks a host for its load report.
+func (c *Cluster) CheckHealth(h edge.UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
 	p := c.probes[h.ID]
 	if p == nil || p.addr != h.Addr {
 		if p != nil {
@@ -64,9 +64,9 @@
 	}
 }
 
-// KeepProbes sets how many connections for probes are kept, beside those with a probe under way. Guards against a list with more
+// KeepHealthChecks sets how many connections for probes are kept, beside those with a probe under way. Guards against a list with more
 // hosts than the node has descriptors, whose probes would leave none for clients. 0: there is no bound.
-func (c *Cluster) KeepProbes(most int) {
+func (c *Cluster) KeepHealthChecks(most int) {
 	c.mostProbes = most
 	c.endUnused(0)
 }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -47,15 +47,15 @@
 				{Name: "tenant-1", Rate: 11, Connections: 19, Share: 0.12},
 				{Name: "tenant-2", Rate: 13, Connections: 20, Share: 0.14},
 			},
-			Reports: choice.ProbeReports,
-			Fields: []choice.Field{choice.Load, choice.PiledUp, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency,
+			Reports: choice.HealthCheckReports,
+			ReportFields: []choice.ReportField{choice.Load, choice.Backlog, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency,
 				choice.Throughput, choice.ErrorRate, choice.OtherField},
-			Sizes: choice.LiveSize, TellsDelay: true, OverQuotaPriority: 0.29, PriorityPerWork: true, Round: 45 * ms,
-			Limits: choice.Limits{MaxAttempts: 32, MayProbe: true, Cancellation: true, MayTell: true, HedgedRequests: true, RetryAfter: true,
+			Sizes: choice.LiveSize, DelaysObserved: true, OverQuotaPriority: 0.29, PriorityPerWork: true, RoundTrip: 45 * ms,
+			Limits: choice.Limits{MaxAttempts: 32, HealthChecks: true, Cancellation: true, MayTell: true, HedgedRequests: true, RetryAfter: true,
 				MaxRetryAfter: 31 * time.Second, ConnectTimeout: 300 * ms},
 			Rules: choice.Rules{AnswerSlack: 220 * ms, AskWithin: 23 * time.Second, DrainGrace: 28 * time.Second, ColdShare: 0.24,
 				WarmUp: 27 * time.Second, FallMultiple: 25, FallTime: 26 * time.Second},
-			Tariffs: choice.Tariffs{Probe: 0.5, Move: 0.48, Peer: 0.49, CrossZone: 0.46, LateFail: 0.47, Waste: 0.51},
+			Costs: choice.Costs{HealthCheck: 0.5, Migration: 0.48, PeerMessage: 0.49, CrossZone: 0.46, LateFailure: 0.47, Waste: 0.51},
 		},
 		ClassByName:  map[string]int{"class-1": 0, "class-2": 1, "class-3": 2},
 		TenantByName: map[string]int{"tenant-1": 0, "tenant-2": 1},
@@ -88,7 +88,7 @@
 		}
 		return got.Settings
 	}
-	for word, want := range map[string]choice.Channel{"": choice.NoReports, "off": choice.NoReports, "on_probe": choice.ProbeReports, "inline": choice.AllReports} {
+	for word, want := range map[string]choice.ReportSource{"": choice.NoReports, "off": choice.NoReports, "on_probe": choice.HealthCheckReports, "inline": choice.AllReports} {
 		if got := decode(`"via":"on_probe"`, `"via":"`+word+`"`).Reports; got != want {
 			t.Errorf("loadReport.via %q is read as %d, want %d", word, got, want)
 		}
@@ -160,10 +160,10 @@
 			choice.AttemptEnded{ID: "op-1", Attempt: 2, Server: "host-3", Outcome: choice.Failed, Took: 4 * time.Millisecond, Final: true,
 				Report: []float64{5, 6}}},
 		{`{"op":"Checked","host":"host-3","rttS":0.004,"rc":"ok","feedback":[5,6]}`,
-			choice.ProbeResult{Server: "host-3", Outcome: choice.Served, Took: 4 * time.Millisecond, Report: []float64{5, 6}}},
-		{`{"op":"HintUpdate","opId":"op-1","trial":2,"sort":1,"x":3000000}`, choice.LoadNote{ID: "op-1", Attempt: 2, Load: 3}},
+			choice.HealthCheckResult{Server: "host-3", Outcome: choice.Served, Took: 4 * time.Millisecond, Report: []float64{5, 6}}},
+		{`{"op":"HintUpdate","opId":"op-1","trial":2,"sort":1,"x":3000000}`, choice.LoadUpdate{ID: "op-1", Attempt: 2, Load: 3}},
 		{`{"op":"HintUpdate","opId":"op-1","host":"host-3","sort":2,"x":4}`,
-			choice.DelayNote{ID: "op-1", Server: "host-3", Took: 4 * time.Millisecond}},
+			choice.DelayObservation{ID: "op-1", Server: "host-3", Took: 4 * time.Millisecond}},
 		{`{"op":"HintUpdate","opId":"op-1","sort":3,"x":4}`, nil},
 		{`{"op":"ClientGone","opId":"op-1"}`, choice.ClientGone{ID: "op-1"}},
 		{`{"op":"NoteFrom","srcPeer":3,"payload":"AP8QgA=="}`, choice.PeerMessage{From: 3, Data: []byte{0, 255, 16, 128}}},
@@ -189,7 +189,7 @@
 	for word, want := range map[string]choice.Outcome{"ok": choice.Served, "error": choice.Failed, "full": choice.Full, "timeout": choice.TimedOut,
 		"connect_failed": choice.ConnectFailed, "reset": choice.Reset, "cancelled": choice.Cancelled, "moot": choice.NeverSent} {
 		got, err := n.event(&event{Op: "Checked", Host: "host-1", RC: word})
-		if result, ok := got.(choice.ProbeResult); err != nil || !ok || result.Outcome != want {
+		if result, ok := got.(choice.HealthCheckResult); err != nil || !ok || result.Outcome != want {
 			t.Errorf("rc %q is read as %#v (error %v), want outcome %v", word, got, err, want)
 		}
 	}
@@ -203,7 +203,7 @@
 		choice.Reject{ID: "op-4", RetryAfter: 1750 * time.Millisecond, Reason: choice.Overloaded},
 		choice.Fail{ID: "op-5", Reason: choice.MayHaveRun},
 		choice.CancelAttempt{ID: "op-6", Attempt: 8},
-		choice.Probe{Server: "host-9"},
+		choice.HealthCheck{Server: "host-9"},
 		choice.Move{ID: "op-10"},
 		choice.SetTimer{Token: "token-11", After: 125 * time.Millisecond, For: "op-2"},
 		choice.SetTimer{Token: "token-12"},
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -95,9 +95,9 @@
 var (
 	repeats  = map[string]choice.Idempotency{"safe": choice.Idempotent, "keyed": choice.IdempotentByKey, "unsafe": choice.NotIdempotent}
 	scopes   = map[string]choice.Scope{"": choice.ScopeAll, "all": choice.ScopeAll, "zone": choice.ScopeZone, "cell": choice.ScopeCell}
-	channels = map[string]choice.Channel{"": choice.NoReports, "off": choice.NoReports, "on_probe": choice.ProbeReports, "inline": choice.AllReports}
+	channels = map[string]choice.ReportSource{"": choice.NoReports, "off": choice.NoReports, "on_probe": choice.HealthCheckReports, "inline": choice.AllReports}
 	sizes    = map[string]choice.SizeKind{"": choice.NoSize, "off": choice.NoSize, "nominal": choice.NominalSize, "rough": choice.NominalSize, "live": choice.LiveSize}
-	fields   = map[string]choice.Field{"x0": choice.Load, "x1": choice.PiledUp, "outstanding": choice.InFlight, "backlog": choice.Queue,
+	fields   = map[string]choice.ReportField{"x0": choice.Load, "x1": choice.Backlog, "outstanding": choice.InFlight, "backlog": choice.Queue,
 		"utilization": choice.Utilization, "recent_ms": choice.Latency, "throughput": choice.Throughput, "errors_per_s": choice.ErrorRate}
 )
 
@@ -244,17 +244,17 @@
 func settings(in setup) (choice.Settings, map[string]int, map[string]int, error) {
 	inv, lim := in.Invariants, in.Limits
 	s := choice.Settings{
-		Nodes: in.GroupSize, Node: in.Index, Zone: in.AZ, Grouped: in.Domain.Groups, TellsDelay: in.Domain.TellsDelay,
+		Nodes: in.GroupSize, Node: in.Index, Zone: in.AZ, Grouped: in.Domain.Groups, DelaysObserved: in.Domain.TellsDelay,
 		PassThru: in.Domain.Mode == "pass", Park: seconds(in.Domain.ParkS), Subscribe: in.Membership == "on_request",
-		OverQuotaPriority: in.OverShare, PriorityPerWork: in.WorthBy == "work", Round: seconds(in.RoundS),
-		Limits: choice.Limits{MaxAttempts: lim.SendCap, MayProbe: lim.MayProbe, Cancellation: lim.MayCancel, MayTell: lim.MayTell,
+		OverQuotaPriority: in.OverShare, PriorityPerWork: in.WorthBy == "work", RoundTrip: seconds(in.RoundS),
+		Limits: choice.Limits{MaxAttempts: lim.SendCap, HealthChecks: lim.MayProbe, Cancellation: lim.MayCancel, MayTell: lim.MayTell,
 			HedgedRequests: lim.SecondCopies, RetryAfter: lim.RetryAfter, MaxRetryAfter: seconds(lim.MaxRetryAfterS),
 			ConnectTimeout: seconds(lim.ConnectTimeoutS)},
 		Rules: choice.Rules{AnswerSlack: seconds(inv.AnswerSlackS), AskWithin: seconds(inv.AskWithinS),
 			DrainGrace: seconds(inv.StopSendingWithinS), ColdShare: inv.ColdShare, WarmUp: seconds(inv.RampTimeS),
 			FallMultiple: inv.FallMultiple, FallTime: seconds(inv.FallS)},
-		Tariffs: choice.Tariffs{Probe: in.Tariffs.Probe, Move: in.Tariffs.Moves, Peer: in.Tariffs.Peer, CrossZone: in.Tariffs.CrossZone,
-			LateFail: in.Tariffs.LateFail, Waste: in.Tariffs.Waste},
+		Costs: choice.Costs{HealthCheck: in.Tariffs.Probe, Migration: in.Tariffs.Moves, PeerMessage: in.Tariffs.Peer, CrossZone: in.Tariffs.CrossZone,
+			LateFailure: in.Tariffs.LateFail, Waste: in.Tariffs.Waste},
 	}
 	var ok bool
 	if s.Reports, ok = channels[in.LoadReport.Via]; !ok {
@@ -262,7 +262,7 @@
 	}
 	s.Sizes = sizes[in.Weights]
 	for _, f := range in.LoadReport.Fields {
-		s.Fields = append(s.Fields, fields[f])
+		s.ReportFields = append(s.ReportFields, fields[f])
 	}
 	classes, tenants := map[string]int{}, map[string]int{}
 	for i, p := range in.Profiles {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -218,7 +218,7 @@
 		r, err := n.request(e)
 		return choice.OpenConnection{Request: r, Server: choice.ServerID(e.Host)}, errors.Join(err, need(e.Host != "", "host"))
 	case "Checked":
-		return choice.ProbeResult{Server: choice.ServerID(e.Host), Outcome: outcome, Took: seconds(e.RttS),
+		return choice.HealthCheckResult{Server: choice.ServerID(e.Host), Outcome: outcome, Took: seconds(e.RttS),
 			Report: row(e.Feedback)}, errors.Join(need(e.Host != "", "host"), need(known, "rc"))
 	case "Streaming":
 		if e.Trial == nil || e.OpID == "" {
@@ -242,9 +242,9 @@
 			if e.Trial != nil {
 				trial = *e.Trial
 			}
-			return choice.LoadNote{ID: choice.RequestID(e.OpID), Attempt: trial, Load: *e.X / 1e6}, nil
+			return choice.LoadUpdate{ID: choice.RequestID(e.OpID), Attempt: trial, Load: *e.X / 1e6}, nil
 		case 2:
-			return choice.DelayNote{ID: choice.RequestID(e.OpID), Server: choice.ServerID(e.Host), Took: seconds(*e.X / 1e3)}, nil
+			return choice.DelayObservation{ID: choice.RequestID(e.OpID), Server: choice.ServerID(e.Host), Took: seconds(*e.X / 1e3)}, nil
 		}
 		return nil, nil // a kind of news this version does not know
 	case "ClientGone":
@@ -308,7 +308,7 @@
 		s.Op, s.OpID = "Surrender", string(a.ID)
 	case choice.CancelAttempt:
 		s.Op, s.OpID, s.Trial = "DropAttempt", string(a.ID), &a.Attempt
-	case choice.Probe:
+	case choice.HealthCheck:
 		s.Op, s.Host = "Ping", string(a.Server)
 	case choice.Move:
 		s.Op, s.OpID = "Evict", string(a.ID)
