--- a/choice/api.go
+++ b/choice/api.go
@@ -10,19 +10,19 @@
 
 // Settings is what one node is told at start. Zero values mean "not told" or "not allowed".
 type Settings struct {
-	Nodes        int    // nodes that share the fleet, this one among them
-	Node         int    // this node's number, from 0
-	Parts        int    // processes that share this node's part for now, alike; 0: one
-	Zone         string // this node's zone
-	Classes      []Class
-	Tenants      []Tenant
-	Grouped      bool // connections of one group share work: each server that holds any of a group pays for it
-	PassThru     bool // packets pass through: an open connection can reach another node as a mid-flow request
-	Park         time.Duration
-	Subscribe    bool          // the server list must be asked for; else changes are pushed
-	Reports      ReportSource  // where load reports come from
-	ReportFields []ReportField // the values of a report, in order
-	Sizes        SizeKind      // what Server.Size means
+	Nodes             int    // nodes that share the fleet, this one among them
+	Node              int    // this node's number, from 0
+	Processes         int    // processes that share this node's part for now, alike; 0: one
+	Zone              string // this node's zone
+	Classes           []Class
+	Tenants           []Tenant
+	GroupAffinity     bool // connections of one group share work: each server that holds any of a group pays for it
+	PacketPassThrough bool // packets pass through: an open connection can reach another node as a mid-flow request
+	Park              time.Duration
+	Subscribe         bool          // the server list must be asked for; else changes are pushed
+	Reports           ReportSource  // where load reports come from
+	ReportFields      []ReportField // the values of a report, in order
+	Sizes             SizeKind      // what Server.Size means
 	// DelaysObserved says that a DelayNote comes where messages take long; without it only reports show a full server.
 	DelaysObserved bool
 	// OverQuotaPriority is the part of its worth that a connection keeps beyond its tenant's quota.
@@ -38,7 +38,7 @@
 // Class is a class of requests. Its CBOR form goes from one process of a node to the next one: the tags are its names there.
 type Class struct {
 	Name              string        `cbor:"Name"`
-	Former            bool          `cbor:"Former"`     // it left the settings: only what came before has it, and what was on the way then
+	Removed           bool          `cbor:"Former"`     // it left the settings: only what came before has it, and what was on the way then
 	SetupObjective    time.Duration `cbor:"SetupAim"`   // wanted time to set a connection up
 	Deadline          time.Duration `cbor:"Deadline"`   // the client's whole patience
 	MessageObjective  time.Duration `cbor:"MessageAim"` // wanted time of a message on an open connection; 0 where not told
@@ -120,7 +120,7 @@
 	MaxAttempts    int // most attempts for one request
 	HealthChecks   bool
 	Cancellation   bool
-	MayTell        bool // nodes may send one another messages
+	PeerMessages   bool // nodes may send one another messages
 	HedgedRequests bool // two attempts of one request may be out at once; the module never uses it
 	RetryAfter     bool // clients are told how long to stay away
 	MaxRetryAfter  time.Duration
@@ -129,13 +129,13 @@
 
 // Rules holds the figures of the four rules.
 type Rules struct {
-	AnswerSlack  time.Duration
-	AskWithin    time.Duration // the longest time without asking for the list
-	DrainGrace   time.Duration
-	ColdShare    float64       // a server starts at this part of its capacity or more
-	WarmUp       time.Duration // and is warm after this
-	FallMultiple float64       // sent more than this multiple of what it can do
-	FallTime     time.Duration // for this long, it falls over
+	AnswerSlack       time.Duration
+	MaxPollInterval   time.Duration // the longest time without asking for the list
+	DrainGrace        time.Duration
+	SlowStartFraction float64       // a server starts at this part of its capacity or more
+	WarmUp            time.Duration // and is warm after this
+	OverloadMultiple  float64       // sent more than this multiple of what it can do
+	OverloadTime      time.Duration // for this long, it falls over
 }
 
 // Costs are parts of the service taken off for each unit a first try.
@@ -155,10 +155,10 @@
 type ListKind uint8
 
 const (
-	ListChange ListKind = iota // changed entries only
-	ListWhole                  // the whole list
-	ListCached                 // the whole list as this node last had it
-	ListLost                   // an ask failed or the subscription broke; the old list stands
+	ListChange      ListKind = iota // changed entries only
+	ListFull                        // the whole list
+	ListCached                      // the whole list as this node last had it
+	ListUnavailable                 // an ask failed or the subscription broke; the old list stands
 )
 
 // ServerState is what discovery knows of a server.
@@ -179,8 +179,8 @@
 	State   ServerState   `cbor:"State"`
 	Size    float64       `cbor:"Size"`
 	Started time.Duration `cbor:"Started"` // clock time of its last start, as the list tells it; 0: long ago
-	// ColdSince is when it started by the clock of Step, where that differs from the list's; 0: it does not.
-	ColdSince time.Duration `cbor:"ColdSince"`
+	// SlowStartSince is when it started by the clock of Step, where that differs from the list's; 0: it does not.
+	SlowStartSince time.Duration `cbor:"ColdSince"`
 }
 
 type (
@@ -191,33 +191,33 @@
 	}
 	// Request is a new request of a client; it gets exactly one final answer.
 	Request struct {
-		ID       RequestID
-		Class    int // index in Settings.Classes
-		Tenant   int // index in Settings.Tenants; -1 without tenants
-		Key      uint64
-		Group    uint64 // 0: none
-		TimeLeft time.Duration
-		Load     float64  // told usual load, work a second; 0: not told
-		Home     ServerID // where what it resumes lives: it goes there while it may; empty: nowhere
-		MidFlow  bool     // packets of an open connection come here now
-		Returned bool     // the client came back after a break or a move
+		ID           RequestID
+		Class        int // index in Settings.Classes
+		Tenant       int // index in Settings.Tenants; -1 without tenants
+		Key          uint64
+		Group        uint64 // 0: none
+		TimeLeft     time.Duration
+		Load         float64  // told usual load, work a second; 0: not told
+		StickyServer ServerID // where what it resumes lives: it goes there while it may; empty: nowhere
+		MidFlow      bool     // packets of an open connection come here now
+		Returned     bool     // the client came back after a break or a move
 	}
 	// OpenConnection is a connection that stands already, bound as attempt 0: open when the node starts, or taken over.
 	OpenConnection struct {
 		Request
-		Server ServerID
-		Was    *Class  // its class as it was when its request came, for one that another process has had; nil: as the settings say
-		Now    float64 // its load now; 0: not told
+		Server        ServerID
+		OriginalClass *Class  // its class as it was when its request came, for one that another process has had; nil: as the settings say
+		CurrentLoad   float64 // its load now; 0: not told
 	}
-	// Homed tells where what a request under way resumes lives.
-	Homed struct {
+	// StickyServerFound tells where what a request under way resumes lives.
+	StickyServerFound struct {
 		ID     RequestID
 		Server ServerID
 	}
-	// HandedOver says that another process of this node has an open connection from now on. It has not ended.
-	HandedOver struct{ ID RequestID }
-	// Inherited is what another process of this node has found out.
-	Inherited struct{ Learned }
+	// Transferred says that another process of this node has an open connection from now on. It has not ended.
+	Transferred struct{ ID RequestID }
+	// LearnedStateReceived is what another process of this node has found out.
+	LearnedStateReceived struct{ LearnedState }
 	// Established says that an attempt's connection stands.
 	Established struct {
 		ID      RequestID
@@ -260,16 +260,16 @@
 	TimeUp struct{ ID RequestID }
 	// TimerFired brings back a SetTimer.
 	TimerFired struct{ Token string }
-	// NewSettings replaces the settings. Classes and tenants keep their indices; new ones come behind. Requests under way
+	// SettingsChanged replaces the settings. Classes and tenants keep their indices; new ones come behind. Requests under way
 	// keep the class and the number of attempts that they came with.
-	NewSettings struct{ Settings }
+	SettingsChanged struct{ Settings }
 	// ZonePlan says where this node's requests may go from now on. Without grants nothing is placed; nil Grants end the
 	// plan: the node chooses for itself, among all zones.
 	ZonePlan struct {
-		Grants     []Grant       // nearest zone first
-		Admit      []float64     // part of each class's requests that is let in; classes beyond are let in whole
-		RetryAfter time.Duration // advice for what is refused, spread by half
-		Nodes      int           // of the fleet that are there; 0: as the settings say
+		Grants        []Grant       // nearest zone first
+		AdmitFraction []float64     // part of each class's requests that is let in; classes beyond are let in whole
+		RetryAfter    time.Duration // advice for what is refused, spread by half
+		Nodes         int           // of the fleet that are there; 0: as the settings say
 	}
 	// PeerMessage is a message of another node, by its number. What can't be read, is late or repeats is dropped.
 	PeerMessage struct {
@@ -278,29 +278,29 @@
 	}
 )
 
-func (ServerList) event()        {}
-func (Request) event()           {}
-func (OpenConnection) event()    {}
-func (Homed) event()             {}
-func (HandedOver) event()        {}
-func (Inherited) event()         {}
-func (Established) event()       {}
-func (AttemptEnded) event()      {}
-func (HealthCheckResult) event() {}
-func (LoadUpdate) event()        {}
-func (DelayObservation) event()  {}
-func (ClientGone) event()        {}
-func (TimeUp) event()            {}
-func (TimerFired) event()        {}
-func (NewSettings) event()       {}
-func (ZonePlan) event()          {}
-func (PeerMessage) event()       {}
+func (ServerList) event()           {}
+func (Request) event()              {}
+func (OpenConnection) event()       {}
+func (StickyServerFound) event()    {}
+func (Transferred) event()          {}
+func (LearnedStateReceived) event() {}
+func (Established) event()          {}
+func (AttemptEnded) event()         {}
+func (HealthCheckResult) event()    {}
+func (LoadUpdate) event()           {}
+func (DelayObservation) event()     {}
+func (ClientGone) event()           {}
+func (TimeUp) event()               {}
+func (TimerFired) event()           {}
+func (SettingsChanged) event()      {}
+func (ZonePlan) event()             {}
+func (PeerMessage) event()          {}
 
 // Grant lets this node's connections of the classes that it is for have so much told load in a zone.
 type Grant struct {
-	Zone   string
-	Load   float64
-	Except []int // classes that it is not for
+	Zone            string
+	Load            float64
+	ExcludedClasses []int // classes that it is not for
 }
 
 // Outcome is how an attempt or a probe ended.
@@ -377,29 +377,29 @@
 	}
 	// HealthCheck asks a server for its load report.
 	HealthCheck struct{ Server ServerID }
-	// Move asks the client of an open connection to come again.
-	Move struct{ ID RequestID }
+	// Migrate asks the client of an open connection to come again.
+	Migrate struct{ ID RequestID }
 	// SetTimer asks for a TimerFired after a time. It cannot be taken back, but one that is for a request need not fire when that is over.
 	SetTimer struct {
 		Token string
 		After time.Duration
 		For   RequestID // empty: for none
 	}
-	// Follow asks discovery for changes from now on.
-	Follow struct{}
-	// Tell sends another node a message of at most 256 bytes, by its number. It may come late or never.
-	Tell struct {
+	// WatchList asks discovery for changes from now on.
+	WatchList struct{}
+	// SendPeerMessage sends another node a message of at most 256 bytes, by its number. It may come late or never.
+	SendPeerMessage struct {
 		To   int
 		Data []byte
 	}
 )
 
-func (StartAttempt) action()  {}
-func (Reject) action()        {}
-func (Fail) action()          {}
-func (CancelAttempt) action() {}
-func (HealthCheck) action()   {}
-func (Move) action()          {}
-func (SetTimer) action()      {}
-func (Follow) action()        {}
-func (Tell) action()          {}
+func (StartAttempt) action()    {}
+func (Reject) action()          {}
+func (Fail) action()            {}
+func (CancelAttempt) action()   {}
+func (HealthCheck) action()     {}
+func (Migrate) action()         {}
+func (SetTimer) action()        {}
+func (WatchList) action()       {}
+func (SendPeerMessage) action() {}
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -50,16 +50,16 @@
 	rateMemory   = 10 * time.Second       // arrivals: long against gaps between them, short against a day
 )
 
-// ask asks discovery again, early enough for Rules.AskWithin after some failures, nodes not all at once.
+// ask asks discovery again, early enough for Rules.MaxPollInterval after some failures, nodes not all at once.
 func (b *Balancer) ask() {
 	b.asks++
-	wait := min(b.set.Rules.AskWithin/4, 250*time.Millisecond<<min(b.asks, 5))
+	wait := min(b.set.Rules.MaxPollInterval/4, 250*time.Millisecond<<min(b.asks, 5))
 	after := time.Duration((0.5 + b.rng.Float64()) * float64(wait))
 	b.out = append(b.out, SetTimer{Token: "ask", After: after})
 }
 
 func (b *Balancer) list(e ServerList) {
-	if e.Kind == ListLost {
+	if e.Kind == ListUnavailable {
 		b.ask()
 		return
 	}
@@ -107,7 +107,7 @@
 		num, den = num+k.num+prior*first/b.unit, den+k.den+prior
 	}
 	all := num / den
-	b.keeps = b.set.Limits.MayTell && b.set.Limits.HealthChecks && b.set.Reports != NoReports &&
+	b.keeps = b.set.Limits.PeerMessages && b.set.Limits.HealthChecks && b.set.Reports != NoReports &&
 		first*float64(len(b.silent)) > 1 && b.plan == nil &&
 		b.set.Costs.PeerMessage*(questionBytes+answerBytes)/256 <= b.set.Costs.HealthCheck
 	b.bases, b.coldBudgets = 0, 0
@@ -204,7 +204,7 @@
 	diff := kP*relative(b.predict(s)+s.cost*load, avg) + s.trim
 	w := s.base * b.warm(s) * clamp(1-gain*diff, floorShare, topShare)
 	if b.warm(s) < 1 && !b.keeps { // leave that the usual draws would let lapse is taken first
-		w *= clamp(1/(b.usualRate(s)*2*b.set.Rules.FallTime.Seconds()), 1, 1000)
+		w *= clamp(1/(b.usualRate(s)*2*b.set.Rules.OverloadTime.Seconds()), 1, 1000)
 	}
 	return w
 }
@@ -237,7 +237,7 @@
 	// Exception to "connections stay put": one whose messages all miss their aim earns nothing where it is.
 	// Some ask the server for a report first, and only the excess over what it can do is moved.
 	r, chance := b.reqs[e.ID], moveChance
-	if b.set.Grouped { // who leaves its group makes one more server pay for it
+	if b.set.GroupAffinity { // who leaves its group makes one more server pay for it
 		chance /= 2
 	}
 	if r != nil && r.open && r.on == s && e.Took > r.class.MessageObjective && b.rng.Float64() < chance {
@@ -263,7 +263,7 @@
 // admitted is the part of a class that is let in: what the plan has room for, else what the gate leaves.
 func (b *Balancer) admitted(r *request) float64 {
 	if b.plan != nil {
-		return b.plan.Admit[r.Class]
+		return b.plan.AdmitFraction[r.Class]
 	}
 	admitted := math.Pow(b.gate, b.meanWorth/b.worth(r))
 	if b.set.Reports == NoReports {
@@ -343,7 +343,7 @@
 		return true
 	}
 	i := slices.IndexFunc(b.plan.Grants, func(g Grant) bool {
-		return !slices.Contains(g.Except, r.Class) && !slices.Contains(r.shut, g.Zone) &&
+		return !slices.Contains(g.ExcludedClasses, r.Class) && !slices.Contains(r.shut, g.Zone) &&
 			b.under(g)+r.load <= g.Load
 	})
 	if i >= 0 {
@@ -354,7 +354,7 @@
 
 // place samples the table for a request, the draw being among these, and probes what is not fresh.
 func (b *Balancer) place(r *request) {
-	if s := b.find(r.Home); s != nil && b.now >= s.badUntil && b.eligible(r, s) &&
+	if s := b.find(r.StickyServer); s != nil && b.now >= s.badUntil && b.eligible(r, s) &&
 		(!b.keeps || b.warm(s) == 1) { // resumes there; what a cold one bears its keeper alone knows
 		b.send(r, s)
 		return
@@ -416,7 +416,7 @@
 	}
 	excess := 1 - crowded/s.report
 	if r := s.mover; r != nil && r.open && r.on == s && (e.Outcome != Served || b.rng.Float64() < excess) {
-		b.out = append(b.out, Move{r.ID})
+		b.out = append(b.out, Migrate{r.ID})
 	}
 	s.mover = nil
 	for _, r := range slices.Clone(b.waits) {
@@ -526,7 +526,7 @@
 func (b *Balancer) move(s *server, part float64) {
 	all := b.openOn(s)
 	for _, r := range all[:min(len(all), int(part*float64(len(all))+b.rng.Float64()))] {
-		b.out = append(b.out, Move{r.ID})
+		b.out = append(b.out, Migrate{r.ID})
 	}
 }
 
--- a/choice/clocks_test.go
+++ b/choice/clocks_test.go
@@ -17,7 +17,7 @@
 			s.known, s.report, s.reportAt = true, 0.1, f.now
 			q := message{kind: mayISend, token: uint16(clock.Milliseconds()), server: serverKey(s), load: 1}
 			for _, a := range f.step(PeerMessage{1, q.encode()}) {
-				if tell, ok := a.(Tell); ok && tell.To == 1 {
+				if tell, ok := a.(SendPeerMessage); ok && tell.To == 1 {
 					return true
 				}
 			}
--- a/choice/cold_fleet_test.go
+++ b/choice/cold_fleet_test.go
@@ -33,10 +33,10 @@
 
 // shortWarmUp and longWarmUp are rules as sites have them.
 var (
-	shortWarmUp = choice.Rules{AnswerSlack: 20 * time.Millisecond, AskWithin: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
-		ColdShare: 0.2, WarmUp: 10 * time.Second, FallMultiple: 3, FallTime: time.Second}
-	longWarmUp = choice.Rules{AnswerSlack: 20 * time.Millisecond, AskWithin: 10 * time.Second, DrainGrace: 3 * time.Second,
-		ColdShare: 0.14, WarmUp: 24 * time.Second, FallMultiple: 4, FallTime: 2 * time.Second}
+	shortWarmUp = choice.Rules{AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
+		SlowStartFraction: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second}
+	longWarmUp = choice.Rules{AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second,
+		SlowStartFraction: 0.14, WarmUp: 24 * time.Second, OverloadMultiple: 4, OverloadTime: 2 * time.Second}
 )
 
 // coldFigures say how cold hosts fared in one run.
@@ -62,7 +62,7 @@
 	s := choice.Settings{Nodes: f.nodes, Zone: "z0", Reports: f.reports, Sizes: choice.NominalSize, RoundTrip: 5 * time.Millisecond,
 		Classes: []choice.Class{{Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
 			MessageObjective: 100 * time.Millisecond, Priority: 1}},
-		Limits: choice.Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, MayTell: f.peers, ConnectTimeout: 100 * time.Millisecond},
+		Limits: choice.Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, PeerMessages: f.peers, ConnectTimeout: 100 * time.Millisecond},
 		Rules:  f.rules,
 		Costs:  choice.Costs{HealthCheck: 0.002, Migration: 0.01, PeerMessage: 0.01},
 	}
@@ -125,13 +125,13 @@
 
 // warmAt is the part of its capacity that a host has so long after a cold start.
 func warmAt(r choice.Rules, age time.Duration) float64 {
-	return min(1, r.ColdShare+(1-r.ColdShare)*age.Seconds()/r.WarmUp.Seconds())
+	return min(1, r.SlowStartFraction+(1-r.SlowStartFraction)*age.Seconds()/r.WarmUp.Seconds())
 }
 
 // bears is how many requests of mean work a cold host is allowed in a window that ends so long after its start: what fills it over
 // its warm-up, by the part of its capacity that it has, by the multiple. The slack for chance comes on top.
 func bears(r choice.Rules, strength float64, age time.Duration) float64 {
-	return r.FallMultiple * warmAt(r, age) * strength * coldPerHost / r.WarmUp.Seconds() * r.FallTime.Seconds()
+	return r.OverloadMultiple * warmAt(r, age) * strength * coldPerHost / r.WarmUp.Seconds() * r.OverloadTime.Seconds()
 }
 
 // withSlack is the sum from which on a cold host falls.
@@ -151,7 +151,7 @@
 			age := end - start
 			mean := (warmAt(f.rules, 0) + warmAt(f.rules, age)) / 2
 			got += n
-			might += f.rules.FallMultiple * mean * h.strength * coldPerHost * age.Seconds() / f.rules.WarmUp.Seconds()
+			might += f.rules.OverloadMultiple * mean * h.strength * coldPerHost * age.Seconds() / f.rules.WarmUp.Seconds()
 			part := w.evenPart(h, start, end) * mean
 			even += part
 			c.least = min(c.least, n/part)
@@ -170,7 +170,7 @@
 		got++
 		sum, informed := 0, 0
 		for _, a := range h.arrivals[:i+1] {
-			if a.at >= start && a.at > last.at-f.rules.FallTime {
+			if a.at >= start && a.at > last.at-f.rules.OverloadTime {
 				if sum++; a.informed {
 					informed++
 				}
--- a/choice/drawn_faults_test.go
+++ b/choice/drawn_faults_test.go
@@ -17,7 +17,7 @@
 }
 
 func smallFleet(zones int) choice.ServerList {
-	l := choice.ServerList{Kind: choice.ListWhole}
+	l := choice.ServerList{Kind: choice.ListFull}
 	for i := range 6 {
 		l.Servers = append(l.Servers, choice.Server{ID: choice.ServerID(fmt.Sprint("h", i)), Zone: fmt.Sprint("z", i%zones), Size: 1})
 	}
@@ -91,13 +91,13 @@
 	sent := 0
 	for i := range 60 {
 		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1,
-			TimeLeft: time.Second, Home: "h2"}}) {
+			TimeLeft: time.Second, StickyServer: "h2"}}) {
 			if a, ok := a.(choice.StartAttempt); ok && a.Server == "h2" {
 				sent++
 			}
 		}
 	}
-	if most := withSlack(bears(shortWarmUp, 1, shortWarmUp.FallTime)); float64(sent) > most {
+	if most := withSlack(bears(shortWarmUp, 1, shortWarmUp.OverloadTime)); float64(sent) > most {
 		t.Errorf("one of 30 nodes sends %d connections to a cold host at once; all together may send %.1f", sent, most)
 	}
 }
--- a/choice/estimate_test.go
+++ b/choice/estimate_test.go
@@ -8,12 +8,12 @@
 
 // silentSettings are those of a deployment whose hosts report nothing and whose nodes don't talk.
 func silentSettings(nodes int) Settings {
-	return Settings{Nodes: nodes, Grouped: true, Sizes: NominalSize, DelaysObserved: true, RoundTrip: 4 * time.Millisecond,
+	return Settings{Nodes: nodes, GroupAffinity: true, Sizes: NominalSize, DelaysObserved: true, RoundTrip: 4 * time.Millisecond,
 		Classes: []Class{
 			{Name: "watch", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 150 * time.Millisecond, Priority: 5},
 			{Name: "pay", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 250 * time.Millisecond, Priority: 15}},
 		Limits: Limits{MaxAttempts: 4, HealthChecks: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
-		Rules:  Rules{ColdShare: 0.14, WarmUp: 20 * time.Second, FallMultiple: 2.5, FallTime: 1500 * time.Millisecond}}
+		Rules:  Rules{SlowStartFraction: 0.14, WarmUp: 20 * time.Second, OverloadMultiple: 2.5, OverloadTime: 1500 * time.Millisecond}}
 }
 
 // silentNode is one node of it, with a fleet of equal warm hosts.
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := ServerList{Kind: ListWhole}
+	list := ServerList{Kind: ListFull}
 	for i := range hosts {
 		list.Servers = append(list.Servers, Server{ID: ServerID(fmt.Sprint("h", i)), Kind: "k", Size: 2})
 	}
@@ -102,7 +102,7 @@
 	for i := range 5 {
 		now += time.Second
 		for _, a := range b.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 900 * time.Millisecond}, TimerFired{Token: "tick"}}) {
-			if a, ok := a.(Move); ok {
+			if a, ok := a.(Migrate); ok {
 				moved++
 				b.Step(now, []Event{AttemptEnded{ID: a.ID, Server: home, Outcome: Cancelled, Final: true}})
 			}
@@ -183,7 +183,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Step(time.Hour, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "large", Size: 4}, {ID: "small", Size: 1}, {ID: "mid", Size: 2}}}})
+			b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "large", Size: 4}, {ID: "small", Size: 1}, {ID: "mid", Size: 2}}}})
 			seen[connect(b, time.Hour, "r", 0, group+1, false)] = true
 			if node == 0 {
 				for id := range seen {
@@ -249,7 +249,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(time.Hour, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Size: 1}}}})
+	b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Size: 1}}}})
 	for range 50 {
 		b.throttle.add(b.now, 1, 0)
 	}
--- a/choice/evidence.go
+++ b/choice/evidence.go
@@ -14,39 +14,39 @@
 
 type zoneCount struct{ attempts, failed float64 }
 
-type classCount struct{ Arrived, Refused float64 }
+type classCount struct{ Arrived, Rejected float64 }
 
-// ZoneNews is what a node knows of one zone.
-type ZoneNews struct {
+// ZoneObservations is what a node knows of one zone.
+type ZoneObservations struct {
 	Zone     string
 	Ready    int       // hosts that are listed as serving
-	Out      int       // of these, left out after failures
-	Warm     float64   // what the ready ones can do now, in whole hosts
+	Ejected  int       // of these, left out after failures
+	Capacity float64   // what the ready ones can do now, in whole hosts
 	Load     float64   // their predicted load, in whole hosts
 	Cost     float64   // learned: hosts that a unit of told load takes
-	Held     []float64 // this node's own told load there, by class
+	OwnLoad  []float64 // this node's own told load there, by class
 	Attempts float64   // since the last news, probes counted as attempts
 	Failed   float64   // of these: no connection, no answer in time, an error, a reset
 }
 
-// ClassNews is what clients asked of a node since the last news, as told load.
-type ClassNews struct{ Arrived, Refused float64 }
+// ClassObservations is what clients asked of a node since the last news, as told load.
+type ClassObservations struct{ Arrived, Rejected float64 }
 
-// News is what the module saw since it was last asked, and what stands.
-type News struct {
-	Zones   []ZoneNews // by name
-	Classes []ClassNews
+// Observations is what the module saw since it was last asked, and what stands.
+type Observations struct {
+	Zones   []ZoneObservations // by name
+	Classes []ClassObservations
 }
 
-// News tells what was seen since the last call.
-func (b *Balancer) News(now time.Duration) News {
+// Observations tells what was seen since the last call.
+func (b *Balancer) Observations(now time.Duration) Observations {
 	b.now = max(b.now, now)
-	at := map[string]*ZoneNews{}
-	n := News{}
+	at := map[string]*ZoneObservations{}
+	n := Observations{}
 	for _, s := range b.servers {
 		z := at[s.Zone]
 		if z == nil {
-			z = &ZoneNews{Zone: s.Zone, Held: make([]float64, len(b.set.Classes))}
+			z = &ZoneObservations{Zone: s.Zone, OwnLoad: make([]float64, len(b.set.Classes))}
 			if c := b.zoneNews[s.Zone]; c != nil {
 				z.Attempts, z.Failed = c.attempts, c.failed
 			}
@@ -57,28 +57,28 @@
 		}
 		z.Ready++
 		if b.now < s.badUntil {
-			z.Out++
+			z.Ejected++
 		}
-		z.Warm += b.warm(s)
+		z.Capacity += b.warm(s)
 		z.Load += max(0, b.predict(s))
 	}
 	for name, z := range at {
 		z.Cost = b.zoneCost(name)
-		for c := range z.Held {
-			z.Held[c] = b.inClass[zoneClass{name, c}]
+		for c := range z.OwnLoad {
+			z.OwnLoad[c] = b.inClass[zoneClass{name, c}]
 		}
 		n.Zones = append(n.Zones, *z)
 	}
-	slices.SortFunc(n.Zones, func(x, y ZoneNews) int {
+	slices.SortFunc(n.Zones, func(x, y ZoneObservations) int {
 		if x.Zone < y.Zone {
 			return -1
 		}
 		return 1
 	})
-	n.Classes = make([]ClassNews, len(b.set.Classes))
+	n.Classes = make([]ClassObservations, len(b.set.Classes))
 	for c, k := range b.classNews {
 		if c < len(n.Classes) {
-			n.Classes[c] = ClassNews(k)
+			n.Classes[c] = ClassObservations(k)
 		}
 	}
 	b.classNews = b.classNews[:0]
@@ -111,7 +111,7 @@
 // under is what the node has under a grant.
 func (b *Balancer) under(g Grant) (sum float64) {
 	for c := range b.set.Classes {
-		if !slices.Contains(g.Except, c) {
+		if !slices.Contains(g.ExcludedClasses, c) {
 			sum += b.inClass[zoneClass{g.Zone, c}]
 		}
 	}
@@ -121,12 +121,12 @@
 // follow takes a plan in, in a form that the decisions can go by without a look at its bounds.
 func (b *Balancer) follow(p ZonePlan) {
 	told := b.set
-	told.Nodes = b.all / max(1, told.Parts)
+	told.Nodes = b.all / max(1, told.Processes)
 	b.plan = nil
 	if p.Grants != nil {
 		b.plan = &p
-		for p.Admit = slices.Clone(p.Admit); len(p.Admit) < len(b.set.Classes); {
-			p.Admit = append(p.Admit, 1)
+		for p.AdmitFraction = slices.Clone(p.AdmitFraction); len(p.AdmitFraction) < len(b.set.Classes); {
+			p.AdmitFraction = append(p.AdmitFraction, 1)
 		}
 		if p.RetryAfter = min(p.RetryAfter, b.set.Limits.MaxRetryAfter*2/3); !b.set.Limits.RetryAfter { // spread by half
 			p.RetryAfter = 0
@@ -195,7 +195,7 @@
 // countRefusals counts what the module gave up in this step.
 func (b *Balancer) countRefusals() {
 	for _, class := range b.refused {
-		b.countClass(class).Refused += b.unit
+		b.countClass(class).Rejected += b.unit
 	}
 	b.refused = b.refused[:0]
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -24,7 +24,7 @@
 	}
 	loads := map[choice.ServerID]float64{"a": 0.9, "b": 0.2}
 	inbox := []choice.Event{
-		choice.ServerList{Kind: choice.ListWhole, Servers: []choice.Server{{ID: "a"}, {ID: "b"}}},
+		choice.ServerList{Kind: choice.ListFull, Servers: []choice.Server{{ID: "a"}, {ID: "b"}}},
 		choice.Request{ID: "r1", Tenant: -1, TimeLeft: 2 * time.Second},
 	}
 	for now := time.Duration(0); len(inbox) > 0; now += time.Millisecond {
--- a/choice/failures_test.go
+++ b/choice/failures_test.go
@@ -95,7 +95,7 @@
 
 func TestNodesAgreeOnAGroupsServerAndSpillWhenItIsCrowded(t *testing.T) {
 	s := plain()
-	s.Grouped = true
+	s.GroupAffinity = true
 	homes := map[uint64]ServerID{}
 	for node := range 6 {
 		f := newReferee(t, s, uint64(50+node))
@@ -135,7 +135,7 @@
 			if len(f.last) > 0 {
 				f.step(HealthCheckResult{Server: to, Outcome: outcome, Report: []float64{load, 5}})
 				for _, a := range f.last {
-					if _, ok := a.(Move); ok {
+					if _, ok := a.(Migrate); ok {
 						n++
 					}
 				}
@@ -228,7 +228,7 @@
 // An open connection whose packets come to another node is no new load: the gate lets it by, to the same server.
 func TestMidFlowGoesWhereOtherNodesSendIt(t *testing.T) {
 	s := plain()
-	s.PassThru = true
+	s.PacketPassThrough = true
 	for key := uint64(1); key < 20; key++ {
 		homes := map[ServerID]bool{}
 		for node := range 4 {
@@ -258,7 +258,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			acts := b.Step(time.Hour, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Size: 1}, {ID: "b", Size: 1}, {ID: "c", Size: 1}}},
+			acts := b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Size: 1}, {ID: "b", Size: 1}, {ID: "c", Size: 1}}},
 				Request{ID: "1", Tenant: -1, TimeLeft: 4 * time.Second}})
 			var on ServerID
 			for _, a := range acts {
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -13,8 +13,8 @@
 func script(t testing.TB, seed uint64, steps int) [][]Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	s := plain()
-	s.Nodes, s.Grouped, s.Subscribe = 1+rng.IntN(50), rng.IntN(2) == 0, rng.IntN(2) == 0
-	s.PassThru = rng.IntN(4) == 0
+	s.Nodes, s.GroupAffinity, s.Subscribe = 1+rng.IntN(50), rng.IntN(2) == 0, rng.IntN(2) == 0
+	s.PacketPassThrough = rng.IntN(4) == 0
 	s.Reports = ReportSource(rng.IntN(3))
 	s.Classes = append(s.Classes,
 		Class{SetupObjective: ms(200), Deadline: ms(900), Idempotency: NotIdempotent, MessageObjective: ms(50)},
@@ -108,7 +108,7 @@
 			}
 			events = append(events, ServerList{Kind: ListChange, Servers: servers.Servers[i : i+1]})
 		case 5:
-			events = append(events, ServerList{Kind: ListLost})
+			events = append(events, ServerList{Kind: ListUnavailable})
 		case 6:
 			events = append(events, ClientGone{ID: RequestID(fmt.Sprint("r", rng.IntN(next+1)))})
 		case 7:
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -9,13 +9,13 @@
 
 // What a process has found out, for the one that takes over from it. No decisions here.
 
-// LearnedForm is the version of Learned; another one is not taken.
-const LearnedForm = 1
+// LearnedStateVersion is the version of Learned; another one is not taken.
+const LearnedStateVersion = 1
 
-// Learned is what a balancer has found out of the fleet, as values: costs, last reports with their times, who is left
+// LearnedState is what a balancer has found out of the fleet, as values: costs, last reports with their times, who is left
 // out and until when, and the averages. Times are on the module's clock.
-type Learned struct {
-	Form    int             `cbor:"1,keyasint"`
+type LearnedState struct {
+	Version int             `cbor:"1,keyasint"`
 	Unit    float64         `cbor:"2,keyasint"` // mean told load of a connection
 	Hints   int             `cbor:"3,keyasint"` // told loads it rests on
 	SumLoad float64         `cbor:"4,keyasint"` // of reports, decayed
@@ -77,9 +77,9 @@
 	b.sumLoad, b.sumBase, b.sumAt = 0, 0, 0
 }
 
-// Learned tells what this balancer has found out.
-func (b *Balancer) Learned() Learned {
-	l := Learned{Form: LearnedForm, Unit: b.unit, Hints: b.hints, SumLoad: b.sumLoad, SumBase: b.sumBase, SumAt: b.sumAt,
+// LearnedState tells what this balancer has found out.
+func (b *Balancer) LearnedState() LearnedState {
+	l := LearnedState{Version: LearnedStateVersion, Unit: b.unit, Hints: b.hints, SumLoad: b.sumLoad, SumBase: b.sumBase, SumAt: b.sumAt,
 		Rate: b.rate, RateAt: b.rateAt, Gate: b.gate, Worth: b.meanWorth, Meaning: b.set.meaning(), Now: b.now}
 	for name, k := range b.kinds {
 		if k.n > 0 {
@@ -95,8 +95,8 @@
 }
 
 // sound says whether what another process tells can be: a value that is none would be in every prediction.
-func (l Learned) sound() bool {
-	ok := l.Form == LearnedForm && l.Unit > 0 && l.Hints >= 0 && l.Gate > 0 && l.Gate <= 1 && l.Worth > 0 &&
+func (l LearnedState) sound() bool {
+	ok := l.Version == LearnedStateVersion && l.Unit > 0 && l.Hints >= 0 && l.Gate > 0 && l.Gate <= 1 && l.Worth > 0 &&
 		positive(l.Unit, l.SumLoad, l.SumBase, l.Rate, l.Worth) && l.SumBase > 0 == (l.SumAt > 0)
 	for _, k := range l.Kinds {
 		ok = ok && positive(k.Num, k.Den, k.N)
@@ -119,7 +119,7 @@
 
 // inherit takes in what another process found out, where it is newer than what this one knows or rests on more. A report
 // keeps its age: it fades as it would have there.
-func (b *Balancer) inherit(l Learned) {
+func (b *Balancer) inherit(l LearnedState) {
 	if !l.sound() || l.Meaning != b.set.meaning() {
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 // at is the same with its times on the clock of a reader that reads it now.
-func (l Learned) at(now time.Duration) Learned {
+func (l LearnedState) at(now time.Duration) LearnedState {
 	if l.Now == 0 {
 		return l
 	}
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -47,7 +47,7 @@
 			case SetTimer:
 				at := f.now + a.After
 				f.timer[at] = append(f.timer[at], a.Token)
-			case Move:
+			case Migrate:
 				delete(f.on, a.ID)
 				events = append(events, AttemptEnded{ID: a.ID, Outcome: Cancelled, Final: true})
 			}
@@ -97,7 +97,7 @@
 // TestLearnedGoesAlong has one process take over from another: with what that one found out, its forecasts of the servers'
 // loads are as good at once; without, they are not in the first seconds.
 func TestLearnedGoesAlong(t *testing.T) {
-	list := ServerList{Kind: ListWhole}
+	list := ServerList{Kind: ListFull}
 	for i := range 12 {
 		list.Servers = append(list.Servers, Server{ID: ServerID(fmt.Sprintf("s%02d", i)), Kind: fmt.Sprint("k", i%2), Size: 1})
 	}
@@ -129,11 +129,11 @@
 				f.timer = map[time.Duration][]string{}
 				f.step(list)
 				if how == "learned" {
-					f.step(Inherited{was.Learned()})
+					f.step(LearnedStateReceived{was.LearnedState()})
 				}
 				for id, s := range f.on {
-					f.step(OpenConnection{Request: Request{ID: id, Tenant: -1}, Server: s, Was: &Class{Name: "gone"}})
-					was.Step(f.now, []Event{HandedOver{id}})
+					f.step(OpenConnection{Request: Request{ID: id, Tenant: -1}, Server: s, OriginalClass: &Class{Name: "gone"}})
+					was.Step(f.now, []Event{Transferred{id}})
 				}
 				for _, s := range was.servers {
 					if p := was.predict(s); math.Abs(p-before[s.ID]) > 1e-9 {
@@ -170,32 +170,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(now, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Kind: "k", Size: 1, Started: 5}, {ID: "b", Kind: "k", Size: 1}}},
+	b.Step(now, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1, Started: 5}, {ID: "b", Kind: "k", Size: 1}}},
 		HealthCheckResult{Server: "b", Report: []float64{0.5}}})
-	good := Learned{Form: LearnedForm, Meaning: b.set.meaning(), Unit: 1, Gate: 1, Worth: 1, SumLoad: 1, SumBase: 2, SumAt: now - time.Second,
+	good := LearnedState{Version: LearnedStateVersion, Meaning: b.set.meaning(), Unit: 1, Gate: 1, Worth: 1, SumLoad: 1, SumBase: 2, SumAt: now - time.Second,
 		Servers: []LearnedServer{{ID: "a", Started: 5, Known: true, Report: 0.9, ReportAt: now - time.Second, BadUntil: now + time.Hour, Num: 9, Den: 90, N: 9},
 			{ID: "b", Known: true, Report: 0.1, ReportAt: now - time.Second}, {ID: "nobody"}}}
-	for i, spoil := range []func(*Learned){
-		func(l *Learned) { l.Form = 9 }, func(l *Learned) { l.Meaning = "" }, func(l *Learned) { l.Unit = 0 }, func(l *Learned) { l.Unit = math.NaN() },
-		func(l *Learned) { l.Gate = math.Inf(1) }, func(l *Learned) { l.SumBase = 0 }, func(l *Learned) { l.Rate = -1 },
-		func(l *Learned) { l.Servers = []LearnedServer{{ID: "a", Report: math.NaN()}} },
-		func(l *Learned) { l.Servers = []LearnedServer{{ID: "a", Trim: math.Inf(-1)}} },
-		func(l *Learned) { l.Kinds = []LearnedKind{{"k", 1, math.NaN(), 1}} },
+	for i, spoil := range []func(*LearnedState){
+		func(l *LearnedState) { l.Version = 9 }, func(l *LearnedState) { l.Meaning = "" }, func(l *LearnedState) { l.Unit = 0 }, func(l *LearnedState) { l.Unit = math.NaN() },
+		func(l *LearnedState) { l.Gate = math.Inf(1) }, func(l *LearnedState) { l.SumBase = 0 }, func(l *LearnedState) { l.Rate = -1 },
+		func(l *LearnedState) { l.Servers = []LearnedServer{{ID: "a", Report: math.NaN()}} },
+		func(l *LearnedState) { l.Servers = []LearnedServer{{ID: "a", Trim: math.Inf(-1)}} },
+		func(l *LearnedState) { l.Kinds = []LearnedKind{{"k", 1, math.NaN(), 1}} },
 	} {
 		bad := good
 		spoil(&bad)
-		b.Step(now, []Event{Inherited{bad}})
+		b.Step(now, []Event{LearnedStateReceived{bad}})
 		if a := b.find("a"); a.known || a.badUntil != 0 {
 			t.Errorf("spoilt value %d was taken", i)
 		}
 	}
 	later := good
 	later.Servers = []LearnedServer{{ID: "a", Started: 4, Known: true, Report: 0.9, ReportAt: now}, {ID: "b", Known: true, Report: 0.1, ReportAt: now + time.Hour}}
-	b.Step(now, []Event{Inherited{later}})
+	b.Step(now, []Event{LearnedStateReceived{later}})
 	if b.find("a").known || b.find("b").report != 0.5 {
 		t.Error("taken: a report of an earlier start, or one of the future")
 	}
-	b.Step(now, []Event{Inherited{good}})
+	b.Step(now, []Event{LearnedStateReceived{good}})
 	a, other := b.find("a"), b.find("b")
 	if a.report != 0.9 || a.reportAt != now-time.Second || a.badUntil != now+firstEject<<3 || a.n != 9 {
 		t.Errorf("not taken: %+v", a)
@@ -215,15 +215,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Step(now, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}},
+		b.Step(now, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}},
 			HealthCheckResult{Server: "a", Report: []float64{0.9}}, HealthCheckResult{Server: "b", Report: []float64{0.7}}})
 		return b
 	}
 	same := knows()
 	same.Limits.MaxAttempts, same.Classes = 2, append(same.Classes, Class{Name: "d", Priority: 9, Deadline: time.Second})
 	b := learned()
-	b.Step(now, []Event{NewSettings{same}})
-	if !b.find("a").known || b.avg == 0 || len(b.Learned().Kinds) != 1 {
+	b.Step(now, []Event{SettingsChanged{same}})
+	if !b.find("a").known || b.avg == 0 || len(b.LearnedState().Kinds) != 1 {
 		t.Error("forgotten with settings under which reports say the same")
 	}
 	for i, change := range []func(*Settings){
@@ -233,18 +233,18 @@
 		other := knows()
 		change(&other)
 		b := learned()
-		told := b.Learned()
-		b.Step(now, []Event{NewSettings{other}})
+		told := b.LearnedState()
+		b.Step(now, []Event{SettingsChanged{other}})
 		fresh, err := New(other, 1, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}
+		list := ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}
 		fresh.Step(now, []Event{list})
 		for _, inherits := range []bool{false, true} {
 			if inherits {
 				b = fresh
-				b.Step(now, []Event{Inherited{told}})
+				b.Step(now, []Event{LearnedStateReceived{told}})
 			}
 			for _, id := range []ServerID{"a", "b"} {
 				s, clean := b.find(id), fresh.find(id)
@@ -267,7 +267,7 @@
 			t.Fatal(err)
 		}
 		on, refused := map[ServerID]int{}, 0
-		events := []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}}
+		events := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}}
 		for i := range 2000 {
 			events = append(events, Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1, TimeLeft: 4 * time.Second})
 			for len(events) > 0 {
@@ -305,14 +305,14 @@
 		before.Step(2*time.Hour, []Event{list, HealthCheckResult{Server: "s000", Outcome: Served, Report: []float64{0.5, 0.5}}})
 		before.find("s001").credit, before.find("s001").creditAt = 0, 2*time.Hour
 		before.strike(before.find("s002"))
-		learned := before.Learned()
+		learned := before.LearnedState()
 		now := 2*time.Hour + off
 		after, err := New(plain(), 2, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		list.Servers[1].ColdSince = now - time.Second
-		after.Step(now, []Event{list, Inherited{learned}})
+		list.Servers[1].SlowStartSince = now - time.Second
+		after.Step(now, []Event{list, LearnedStateReceived{learned}})
 		if s := after.find("s000"); !s.known || s.reportAt != now {
 			t.Errorf("%v off: a report of now is %v old, known %v", off, now-s.reportAt, s.known)
 		}
--- a/choice/many_test.go
+++ b/choice/many_test.go
@@ -10,7 +10,7 @@
 // vast is a fleet of many nodes, each of which holds a connection or two or none.
 func vast() Settings {
 	s := plain()
-	s.Nodes, s.Grouped, s.Subscribe = 80, true, false
+	s.Nodes, s.GroupAffinity, s.Subscribe = 80, true, false
 	s.ReportFields = []ReportField{Load, Utilization}
 	s.Tenants = []Tenant{{Name: "t", Connections: 165}}
 	s.OverQuotaPriority = 1
@@ -126,7 +126,7 @@
 	switch a := a.(type) {
 	case SetTimer:
 		c.later(node, max(a.After, 1), TimerFired{a.Token})
-	case Tell:
+	case SendPeerMessage:
 		c.tells++
 		c.later(a.To, ms(20), PeerMessage{node, a.Data})
 	case HealthCheck:
@@ -166,7 +166,7 @@
 
 func keeping() Settings {
 	s := vast()
-	s.Limits.MayTell = true
+	s.Limits.PeerMessages = true
 	s.Costs.PeerMessage = 0.01
 	return s
 }
@@ -214,15 +214,15 @@
 	for i, from := range c.times[cold.ID] {
 		n := 0
 		for _, at := range c.times[cold.ID][i:] {
-			if at < from+s.Rules.FallTime {
+			if at < from+s.Rules.OverloadTime {
 				n++
 			}
 		}
 		// FallMultiple times the part that is warm at the end, of the rate that fills it over its warm-up: the tenants' shares
 		// give 165 connections to 13 hosts. One more for the first, as there are no halves.
-		warm := 0.2 + 0.8*(from+s.Rules.FallTime-cold.Started).Seconds()/10
-		if budget := s.Rules.FallMultiple * warm * 165.0 / 13 / 10 * s.Rules.FallTime.Seconds(); float64(n) > budget+1 {
-			t.Errorf("a cold host gets %d connections in %v; its budget is %.1f", n, s.Rules.FallTime, budget)
+		warm := 0.2 + 0.8*(from+s.Rules.OverloadTime-cold.Started).Seconds()/10
+		if budget := s.Rules.OverloadMultiple * warm * 165.0 / 13 / 10 * s.Rules.OverloadTime.Seconds(); float64(n) > budget+1 {
+			t.Errorf("a cold host gets %d connections in %v; its budget is %.1f", n, s.Rules.OverloadTime, budget)
 		}
 	}
 }
@@ -268,8 +268,8 @@
 	for i, m := range []PeerMessage{{1, nil}, {1, good.encode()[:8]}, {1, append(good.encode(), 0)}, {1, other}, {1, late.encode()},
 		{-1, good.encode()}, {80, good.encode()}, {0, good.encode()}, {1, message{kind: yes, token: good.token}.encode()},
 		{1, make([]byte, 300)}} {
-		if out := f.step(m); len(out) > 0 || f.b.Dropped() != i+1 {
-			t.Errorf("message %d: %d dropped, actions %v", i, f.b.Dropped(), out)
+		if out := f.step(m); len(out) > 0 || f.b.DroppedPeerMessages() != i+1 {
+			t.Errorf("message %d: %d dropped, actions %v", i, f.b.DroppedPeerMessages(), out)
 		}
 	}
 	if out := f.step(PeerMessage{1, good.encode()}); len(out) != 1 {
@@ -301,7 +301,7 @@
 	f.now = time.Hour
 	f.step(fleet(13))
 	for _, a := range f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
-		if a, ok := a.(Tell); ok {
+		if a, ok := a.(SendPeerMessage); ok {
 			q, _ := decode(a.Data)
 			drained := f.b.byHash(q.server).Server
 			drained.State = Draining
@@ -326,7 +326,7 @@
 			f.step(fleet(13))
 			asked := false
 			for _, a := range f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
-				if a, ok := a.(Tell); ok {
+				if a, ok := a.(SendPeerMessage); ok {
 					asked = true
 					q, _ := decode(a.Data)
 					f.step(end)
--- a/choice/message.go
+++ b/choice/message.go
@@ -164,8 +164,8 @@
 	return d <= latest && d >= -latest
 }
 
-// Dropped counts the messages that were not believed.
-func (b *Balancer) Dropped() int { return b.dropped }
+// DroppedPeerMessages counts the messages that were not believed.
+func (b *Balancer) DroppedPeerMessages() int { return b.dropped }
 
 func (b *Balancer) byHash(h uint32) *server {
 	for _, s := range b.servers {
@@ -189,7 +189,7 @@
 	if to == b.set.Node {
 		b.take(question{to, q})
 	} else {
-		b.out = append(b.out, Tell{to, q.encode()})
+		b.out = append(b.out, SendPeerMessage{to, q.encode()})
 	}
 	if _, waits := b.asked[q.token]; waits {
 		b.out = append(b.out, SetTimer{Token: "mute " + strconv.FormatUint(uint64(q.token), 10), After: muteAfter})
@@ -252,7 +252,7 @@
 	a.token = q.token
 	switch o, ok := b.asked[q.token]; {
 	case q.from != b.set.Node:
-		b.out = append(b.out, Tell{q.from, a.encode()})
+		b.out = append(b.out, SendPeerMessage{q.from, a.encode()})
 	case ok:
 		delete(b.asked, q.token)
 		b.answered(o, a)
--- a/choice/patrol_test.go
+++ b/choice/patrol_test.go
@@ -18,7 +18,7 @@
 		}
 		var next []Event
 		now := time.Hour
-		next = append(next, ServerList{Kind: ListWhole, Servers: []Server{{ID: "full"}, {ID: "idle"}}})
+		next = append(next, ServerList{Kind: ListFull, Servers: []Server{{ID: "full"}, {ID: "idle"}}})
 		for i := range 20 {
 			next = append(next, OpenConnection{Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1}, Server: "full"})
 		}
@@ -33,7 +33,7 @@
 						t.Errorf("asked %s, which holds nothing", a.Server)
 					}
 					next = append(next, HealthCheckResult{Server: a.Server, Report: []float64{3}})
-				case Move:
+				case Migrate:
 					moves++
 					next = append(next, AttemptEnded{ID: a.ID, Server: "full", Outcome: Cancelled, Final: true})
 				case SetTimer:
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "s"}}}, OpenConnection{Request: Request{ID: "1", Tenant: -1}, Server: "s"}}
+	next := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "s"}}}, OpenConnection{Request: Request{ID: "1", Tenant: -1}, Server: "s"}}
 	for i := range 20 {
 		events := next
 		next = nil
@@ -83,7 +83,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		events := []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "idle"}, {ID: "late"}}}}
+		events := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "idle"}, {ID: "late"}}}}
 		for i := range 40 {
 			events = append(events, OpenConnection{Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1}, Server: "late"})
 		}
@@ -95,7 +95,7 @@
 		}
 		moves := 0
 		for _, a := range b.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "late", Report: []float64{c.late, c.load}}}) {
-			if _, ok := a.(Move); ok {
+			if _, ok := a.(Migrate); ok {
 				moves++
 			}
 		}
--- a/choice/phase_test.go
+++ b/choice/phase_test.go
@@ -14,7 +14,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Step(time.Hour, []Event{ServerList{Kind: ListWhole, Servers: []Server{
+		b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{
 			{ID: "cold", Size: 2, Started: time.Hour}, {ID: "warm", Size: 2}}}})
 		b.coldCredit(&request{bind: 1}, b.find("cold"))
 		if b.coldLeave < 0 || b.coldLeave >= 1 {
@@ -31,7 +31,7 @@
 func TestToldLoadsOfUnknownClasses(t *testing.T) {
 	b, now := silentNode(t, 3, 4)
 	class := b.set.Classes[0]
-	b.Step(now, []Event{OpenConnection{Request: Request{ID: "x", Class: 1 << 20, Tenant: -1}, Server: "h0", Was: &class, Now: 0.05}})
+	b.Step(now, []Event{OpenConnection{Request: Request{ID: "x", Class: 1 << 20, Tenant: -1}, Server: "h0", OriginalClass: &class, CurrentLoad: 0.05}})
 	if len(b.classLoads) > len(b.set.Classes) {
 		t.Errorf("%d classes are kept, the settings have %d", len(b.classLoads), len(b.set.Classes))
 	}
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -104,10 +104,10 @@
 }
 
 func (j *rulesJudge) toldList(n *simNode, k *nodeBook, e choice.ServerList) {
-	if e.Kind == choice.ListLost {
+	if e.Kind == choice.ListUnavailable {
 		lost := j.w.now
 		k.lostAt = lost
-		j.w.after(j.w.settings.Rules.AskWithin, func() {
+		j.w.after(j.w.settings.Rules.MaxPollInterval, func() {
 			if k.lostAt == lost {
 				j.broken(n, "the list was lost at %v and not asked for again", lost-simulationStart)
 			}
@@ -166,7 +166,7 @@
 		if !limits.HealthChecks || !k.everListed[a.Server] {
 			j.broken(n, "%+v is not allowed or names no listed host", a)
 		}
-	case choice.Move:
+	case choice.Migrate:
 		r := j.w.requests[a.ID]
 		if r == nil || r.node != n || !r.open && !k.state(r).open || k.state(r).over {
 			j.broken(n, "%+v names no open connection of this node", a)
@@ -175,13 +175,13 @@
 		if a.Token == "" || a.After < 0 {
 			j.broken(n, "bad timer %+v", a)
 		}
-	case choice.Follow:
+	case choice.WatchList:
 		if !j.w.settings.Subscribe {
 			j.broken(n, "asks for a list that is pushed")
 		}
 		k.lostAt = 0
-	case choice.Tell:
-		if !limits.MayTell || a.To < 0 || a.To >= len(j.w.nodes) || a.To == n.number || len(a.Data) > tellLimit {
+	case choice.SendPeerMessage:
+		if !limits.PeerMessages || a.To < 0 || a.To >= len(j.w.nodes) || a.To == n.number || len(a.Data) > tellLimit {
 			j.broken(n, "message of %d bytes to %d is not allowed or goes nowhere", len(a.Data), a.To)
 		}
 	}
@@ -242,7 +242,7 @@
 	if since, off := k.offSince[a.Server]; off && j.w.now > since+rules.DrainGrace {
 		j.broken(n, "%+v: it was told at %v that the host drains or is gone", a, since-simulationStart)
 	}
-	if k.planned && j.w.now > k.planAt && r.Home != a.Server && !slices.Contains(k.zones, h.Zone) {
+	if k.planned && j.w.now > k.planAt && r.StickyServer != a.Server && !slices.Contains(k.zones, h.Zone) {
 		j.broken(n, "%+v leaves the zones of the plan %v for %s", a, k.zones, h.Zone)
 	}
 	if may := r.mayHaveRun(); may != nil {
@@ -293,13 +293,13 @@
 		oddAnswers: between(0.02, 0.2), shedAt: between(1, 1.6), homes: 0.03, skew: 1 + rng.IntN(5)}
 	world.slotsAt = world.shedAt * between(0.8, 1.1)
 	s := choice.Settings{
-		Nodes: 1 + rng.IntN(30), Zone: "z0", Grouped: chance(0.4), PassThru: chance(0.2), Subscribe: chance(0.5),
+		Nodes: 1 + rng.IntN(30), Zone: "z0", GroupAffinity: chance(0.4), PacketPassThrough: chance(0.2), Subscribe: chance(0.5),
 		Reports: choice.ReportSource(rng.IntN(3)), Sizes: choice.SizeKind(rng.IntN(3)), DelaysObserved: chance(0.5),
 		OverQuotaPriority: between(0, 1), PriorityPerWork: chance(0.5), RoundTrip: 5 * time.Millisecond,
-		Limits: choice.Limits{MaxAttempts: 1 + rng.IntN(8), HealthChecks: chance(0.8), Cancellation: chance(0.7), MayTell: chance(0.6),
+		Limits: choice.Limits{MaxAttempts: 1 + rng.IntN(8), HealthChecks: chance(0.8), Cancellation: chance(0.7), PeerMessages: chance(0.6),
 			RetryAfter: chance(0.6), MaxRetryAfter: seconds(0.5, 3), ConnectTimeout: seconds(0.05, 0.4)},
-		Rules: choice.Rules{AnswerSlack: 20 * time.Millisecond, AskWithin: seconds(2, 10), DrainGrace: seconds(0.3, 5),
-			ColdShare: between(0.1, 0.6), WarmUp: seconds(4, 25), FallMultiple: between(2, 5), FallTime: seconds(1, 3)},
+		Rules: choice.Rules{AnswerSlack: 20 * time.Millisecond, MaxPollInterval: seconds(2, 10), DrainGrace: seconds(0.3, 5),
+			SlowStartFraction: between(0.1, 0.6), WarmUp: seconds(4, 25), OverloadMultiple: between(2, 5), OverloadTime: seconds(1, 3)},
 		Costs: choice.Costs{HealthCheck: between(0.001, 0.01), Migration: 0.01, PeerMessage: between(0, 0.02), CrossZone: between(0, 0.03)},
 	}
 	if s.Reports != choice.NoReports {
@@ -350,7 +350,7 @@
 		if len(s.Tenants) > 0 {
 			c.tenant = w.rng.IntN(len(s.Tenants))
 		}
-		if s.Grouped {
+		if s.GroupAffinity {
 			c.group = w.rng.Uint64N(20)
 		}
 		if world.toldLoads {
@@ -404,7 +404,7 @@
 		seen[h.Zone] = true
 	}
 	for range s.Classes {
-		plan.Admit = append(plan.Admit, 0.3+0.7*w.rng.Float64())
+		plan.AdmitFraction = append(plan.AdmitFraction, 0.3+0.7*w.rng.Float64())
 	}
 	return plan
 }
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -19,7 +19,7 @@
 	f.run(f.now + ms(3000))
 
 	g := newReferee(t, plain(), 1) // nobody to send to: refused while the client waits
-	g.step(ServerList{Kind: ListWhole})
+	g.step(ServerList{Kind: ListFull})
 	g.step(Request{ID: "r", TimeLeft: ms(500), Tenant: -1})
 	g.run(ms(600))
 	if !g.reqs["r"].done {
@@ -112,7 +112,7 @@
 		f.step(Request{ID: RequestID(fmt.Sprint(i)), TimeLeft: ms(1800), Tenant: -1})
 		f.answerProbes(level(0.3))
 	}
-	f.step(ServerList{Kind: ListWhole}) // a whole list without it: gone
+	f.step(ServerList{Kind: ListFull}) // a whole list without it: gone
 	f.step(Request{ID: "none", TimeLeft: ms(1800), Tenant: -1})
 	if !f.reqs["none"].done {
 		t.Fatal("not refused with an empty list")
@@ -126,7 +126,7 @@
 	asked := time.Duration(-1)
 	look := func() {
 		for _, a := range f.last {
-			if _, ok := a.(Follow); ok {
+			if _, ok := a.(WatchList); ok {
 				asked = f.now
 			}
 		}
@@ -137,15 +137,15 @@
 		t.Fatal("did not follow at start")
 	}
 	for range 20 {
-		f.step(ServerList{Kind: ListLost})
+		f.step(ServerList{Kind: ListUnavailable})
 		lost := f.now
 		asked = -1
-		for asked < 0 && f.now < lost+s.Rules.AskWithin/2 {
+		for asked < 0 && f.now < lost+s.Rules.MaxPollInterval/2 {
 			f.run(f.now + ms(5))
 			look()
 		}
 		if asked < 0 {
-			t.Fatalf("not asked again within %v", s.Rules.AskWithin/2)
+			t.Fatalf("not asked again within %v", s.Rules.MaxPollInterval/2)
 		}
 	}
 }
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -46,7 +46,7 @@
 	next.Classes = []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second, Idempotency: NotIdempotent}, {Name: "b", SetupObjective: time.Second, Deadline: 10 * time.Second}}
 	next.Tenants, next.Limits.MaxAttempts = []Tenant{{Name: "t"}, {Name: "u", Connections: 9}}, 2
 	none := func() []Event { return nil }
-	if n, a := sends("1", 0, func() []Event { return []Event{NewSettings{next}} }); n != 3 || a != (Reject{ID: "1", Reason: AttemptsUsed}) {
+	if n, a := sends("1", 0, func() []Event { return []Event{SettingsChanged{next}} }); n != 3 || a != (Reject{ID: "1", Reason: AttemptsUsed}) {
 		t.Errorf("the request under way: %d attempts, %+v", n, a)
 	}
 	if n, a := sends("2", 0, none); n != 1 || a != (Fail{"2", MayHaveRun}) {
@@ -56,7 +56,7 @@
 		t.Errorf("a new class: %d attempts, %+v", n, a)
 	}
 	// Settings without a class are none.
-	b.Step(now, []Event{NewSettings{}})
+	b.Step(now, []Event{SettingsChanged{}})
 	if n, _ := sends("4", 1, none); n != 2 {
 		t.Errorf("after settings that are none: %d attempts", n)
 	}
@@ -65,8 +65,8 @@
 // TestTwoProcessesShareTheColdBudget has a cold server get no more from two processes of a node than from the one before.
 func TestTwoProcessesShareTheColdBudget(t *testing.T) {
 	sent := func(parts int, seed uint64) (n int) {
-		b, err := New(Settings{Nodes: 4, Parts: parts, RoundTrip: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
-			Limits: Limits{MaxAttempts: 1}, Rules: Rules{ColdShare: .2, WarmUp: 24 * time.Second, FallMultiple: 4, FallTime: 2 * time.Second}}, seed, time.Hour)
+		b, err := New(Settings{Nodes: 4, Processes: parts, RoundTrip: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
+			Limits: Limits{MaxAttempts: 1}, Rules: Rules{SlowStartFraction: .2, WarmUp: 24 * time.Second, OverloadMultiple: 4, OverloadTime: 2 * time.Second}}, seed, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -157,7 +157,7 @@
 		n := &simNode{number: number, balancer: b, listed: map[choice.ServerID]choice.Server{}, following: !s.Subscribe}
 		w.nodes = append(w.nodes, n)
 		if !s.Subscribe {
-			w.deliver(n, choice.ServerList{Kind: choice.ListWhole, Servers: w.entries()})
+			w.deliver(n, choice.ServerList{Kind: choice.ListFull, Servers: w.entries()})
 		} else {
 			w.deliver(n, choice.ServerList{Kind: choice.ListCached, Servers: w.entries()})
 		}
@@ -225,7 +225,7 @@
 func (w *simulation) note(n *simNode, e choice.Event) {
 	switch e := e.(type) {
 	case choice.ServerList:
-		if e.Kind == choice.ListWhole || e.Kind == choice.ListCached {
+		if e.Kind == choice.ListFull || e.Kind == choice.ListCached {
 			clear(n.listed)
 		}
 		for _, s := range e.Servers {
@@ -263,20 +263,20 @@
 		}
 	case choice.HealthCheck:
 		w.probe(n, w.byID[a.Server])
-	case choice.Move:
+	case choice.Migrate:
 		w.count("moves")
 		r := w.requests[a.ID]
 		at := r.attempts[len(r.attempts)-1]
 		w.after(w.upTo(100*time.Millisecond), func() { w.closeConnection(at, choice.Cancelled, true) })
-	case choice.Follow:
+	case choice.WatchList:
 		w.follow(n)
-	case choice.Tell:
+	case choice.SendPeerMessage:
 		w.tell(n, a)
 	}
 }
 
 // tell carries a message between nodes: some get lost, some come twice.
-func (w *simulation) tell(n *simNode, a choice.Tell) {
+func (w *simulation) tell(n *simNode, a choice.SendPeerMessage) {
 	if w.often(w.terms.lossOfTells) {
 		w.count("lost messages")
 		return
@@ -320,18 +320,18 @@
 func (w *simulation) follow(n *simNode) {
 	if w.often(w.terms.lossOfList) {
 		w.count("failed asks")
-		w.bringList(n, choice.ServerList{Kind: choice.ListLost})
+		w.bringList(n, choice.ServerList{Kind: choice.ListUnavailable})
 		return
 	}
 	n.following = true
-	w.bringList(n, choice.ServerList{Kind: choice.ListWhole, Servers: w.entries()})
+	w.bringList(n, choice.ServerList{Kind: choice.ListFull, Servers: w.entries()})
 }
 
 // breakList ends a node's subscription: what changes from now on does not reach it.
 func (w *simulation) breakList(n *simNode) {
 	w.count("broken subscriptions")
 	n.following = false
-	w.bringList(n, choice.ServerList{Kind: choice.ListLost})
+	w.bringList(n, choice.ServerList{Kind: choice.ListUnavailable})
 }
 
 // warm is the part of its capacity that a host has now.
@@ -340,7 +340,7 @@
 	if h.Started == 0 || age >= w.settings.Rules.WarmUp {
 		return 1
 	}
-	cold := w.settings.Rules.ColdShare
+	cold := w.settings.Rules.SlowStartFraction
 	return cold + (1-cold)*age.Seconds()/w.settings.Rules.WarmUp.Seconds()
 }
 
@@ -428,11 +428,11 @@
 	if w.terms.toldLoads {
 		r.Load = c.load
 	}
-	if w.settings.PassThru && w.often(0.1) {
+	if w.settings.PacketPassThrough && w.often(0.1) {
 		r.MidFlow = true
 	}
 	if w.often(w.terms.homes) {
-		r.Home = w.hosts[w.rng.IntN(len(w.hosts))].ID
+		r.StickyServer = w.hosts[w.rng.IntN(len(w.hosts))].ID
 	}
 	w.requests[r.ID] = r
 	w.count("requests")
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -1,19 +1,19 @@
 package choice
 
 // Slow start: what a server that has just started is sent. Its capacity grows over Rules.WarmUp, and what all nodes send it in
-// Rules.FallTime is bounded by Rules.FallMultiple of that.
+// Rules.OverloadTime is bounded by Rules.OverloadMultiple of that.
 
 // warm is the part of its capacity that a server is sure to have.
 func (b *Balancer) warm(s *server) float64 {
 	start := s.Started
-	if s.ColdSince > 0 {
-		start = s.ColdSince
+	if s.SlowStartSince > 0 {
+		start = s.SlowStartSince
 	}
 	age := b.now - start
 	if s.Started <= 0 || age >= b.set.Rules.WarmUp {
 		return 1
 	}
-	cold := b.set.Rules.ColdShare
+	cold := b.set.Rules.SlowStartFraction
 	return cold + (1-cold)*max(0, age.Seconds()/b.set.Rules.WarmUp.Seconds())
 }
 
@@ -39,7 +39,7 @@
 	rate := coldKept * float64(b.all) * b.coldBudget(s)
 	s.credit, s.creditAt = s.credit+rate*(b.now-s.creditAt).Seconds(), b.now
 	// What comes in one FallTime stays under the budget, but for the first connection.
-	s.credit = min(s.credit, max(1, (1/coldKept-1)*rate*b.set.Rules.FallTime.Seconds()))
+	s.credit = min(s.credit, max(1, (1/coldKept-1)*rate*b.set.Rules.OverloadTime.Seconds()))
 	return s.credit >= 1
 }
 
@@ -52,7 +52,7 @@
 	if b.keeps || b.set.Reports == NoReports {
 		cost = max(cost, b.firstCost()/b.registered(s))
 	}
-	return rules.FallMultiple * b.warm(s) / (cost * rules.WarmUp.Seconds() * float64(b.all))
+	return rules.OverloadMultiple * b.warm(s) / (cost * rules.WarmUp.Seconds() * float64(b.all))
 }
 
 // SlowStartRate is the connections a second that a server in slow start bears from all nodes together, as far as this node can tell;
@@ -68,5 +68,5 @@
 // coldRate is what this node may send to a cold server: its budget, and no more than a multiple of what an even spread of the
 // usual traffic would bring, while costs are still a guess.
 func (b *Balancer) coldRate(s *server) float64 {
-	return min(b.set.Rules.FallMultiple*b.warm(s)*b.usualRate(s)/max(b.avg, 0.5), b.coldBudget(s))
+	return min(b.set.Rules.OverloadMultiple*b.warm(s)*b.usualRate(s)/max(b.avg, 0.5), b.coldBudget(s))
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -145,7 +145,7 @@
 	switch {
 	case len(s.Classes) == 0:
 		return errors.New("choice: settings have no request class")
-	case s.Limits.MaxAttempts < 0 || s.Nodes < 0 || s.Parts < 0:
+	case s.Limits.MaxAttempts < 0 || s.Nodes < 0 || s.Processes < 0:
 		return errors.New("choice: settings have a negative count")
 	}
 	for i, c := range s.Classes {
@@ -161,7 +161,7 @@
 func (b *Balancer) adapt(s Settings) {
 	b.minAim = 0
 	for _, c := range s.Classes {
-		if a := c.MessageObjective; !c.Former && a > 0 && (b.minAim == 0 || a < b.minAim) {
+		if a := c.MessageObjective; !c.Removed && a > 0 && (b.minAim == 0 || a < b.minAim) {
 			b.minAim = a
 		}
 	}
@@ -179,14 +179,14 @@
 	for len(b.held) < len(s.Tenants) {
 		b.held = append(b.held, 0)
 	}
-	for b.plan != nil && len(b.plan.Admit) < len(s.Classes) {
-		b.plan.Admit = append(b.plan.Admit, 1)
+	for b.plan != nil && len(b.plan.AdmitFraction) < len(s.Classes) {
+		b.plan.AdmitFraction = append(b.plan.AdmitFraction, 1)
 	}
-	b.all = s.Nodes * max(1, s.Parts)
+	b.all = s.Nodes * max(1, s.Processes)
 	if b.plan != nil && b.plan.Nodes > 0 {
 		s.Nodes = b.plan.Nodes
 	}
-	s.Nodes *= max(1, s.Parts) // the processes of a node share its part as nodes share the fleet
+	s.Nodes *= max(1, s.Processes) // the processes of a node share its part as nodes share the fleet
 	other := len(b.set.Classes) > 0 && b.set.meaning() != s.meaning()
 	if b.set = s; other {
 		b.unlearn()
@@ -203,7 +203,7 @@
 
 // adopt takes in a connection that stands already.
 func (b *Balancer) adopt(e OpenConnection) {
-	s, class := b.find(e.Server), e.Was
+	s, class := b.find(e.Server), e.OriginalClass
 	if class == nil && e.Class >= 0 && e.Class < len(b.set.Classes) {
 		class = &b.set.Classes[e.Class]
 	}
@@ -212,13 +212,13 @@
 	}
 	r := &request{Request: e.Request, load: b.loadOf(e.Request), bind: b.bindOf(e.Request), on: s, open: true, attempts: 1,
 		class: class, most: b.set.Limits.MaxAttempts}
-	if e.Now > 0 && finite(e.Now) {
-		b.learnTold(e.Class, e.Now)
-		r.load = e.Now
+	if e.CurrentLoad > 0 && finite(e.CurrentLoad) {
+		b.learnTold(e.Class, e.CurrentLoad)
+		r.load = e.CurrentLoad
 	}
 	b.reqs[e.ID] = r
 	b.bind(r, s)
-	if e.Was != nil {
+	if e.OriginalClass != nil {
 		b.stood(s, r.load)
 	}
 	if b.keeps && r.bind != 0 {
@@ -229,9 +229,9 @@
 // bindOf is what a request draws by in place of chance.
 func (b *Balancer) bindOf(q Request) uint64 {
 	switch {
-	case b.set.Grouped:
+	case b.set.GroupAffinity:
 		return q.Group
-	case b.set.PassThru: // packets that come to another node are sent where that node's draw went
+	case b.set.PacketPassThrough: // packets that come to another node are sent where that node's draw went
 		return q.Key
 	}
 	return 0
@@ -377,8 +377,8 @@
 	return bad, ready
 }
 
-// Avoided counts the listed servers that get nothing new now: those that drain, and those out after failures.
-func (b *Balancer) Avoided(now time.Duration) int {
+// Excluded counts the listed servers that get nothing new now: those that drain, and those out after failures.
+func (b *Balancer) Excluded(now time.Duration) int {
 	n := 0
 	for _, s := range b.servers {
 		if s.State == Draining || s.State == Ready && now < s.badUntil {
@@ -423,7 +423,7 @@
 
 // group adds to what a request's group bears on this node.
 func (b *Balancer) group(r *request, load float64) {
-	if b.set.Grouped && r.Group != 0 {
+	if b.set.GroupAffinity && r.Group != 0 {
 		if b.groups[r.Group] += load; b.groups[r.Group] < 1e-9 {
 			delete(b.groups, r.Group)
 		}
@@ -457,14 +457,14 @@
 // granted says whether the plan in force lets a request go to a server: another one may have come while it waited.
 func (b *Balancer) granted(r *request, s *server) bool {
 	return b.plan == nil || slices.ContainsFunc(b.plan.Grants, func(g Grant) bool {
-		return g.Zone == s.Zone && !slices.Contains(g.Except, r.Class)
+		return g.Zone == s.Zone && !slices.Contains(g.ExcludedClasses, r.Class)
 	})
 }
 
 // accrue adds leave that came since then, and lets it lapse.
 func (b *Balancer) accrue(leave float64, since time.Duration, rate float64) float64 {
 	leave += rate * (b.now - since).Seconds()
-	if leave > 1+2*rate*b.set.Rules.FallTime.Seconds() {
+	if leave > 1+2*rate*b.set.Rules.OverloadTime.Seconds() {
 		return math.Mod(leave, 1)
 	}
 	return leave
--- a/choice/step.go
+++ b/choice/step.go
@@ -15,7 +15,7 @@
 		b.started = true // phases differ by seed, so that nodes do not steer in step
 		b.out = append(b.out, SetTimer{Token: "tick", After: time.Duration(b.rng.Float64() * float64(tick))})
 		if b.set.Subscribe {
-			b.out = append(b.out, Follow{})
+			b.out = append(b.out, WatchList{})
 		}
 	}
 	for _, e := range events {
@@ -27,14 +27,14 @@
 			b.arrive(e)
 		case OpenConnection:
 			b.adopt(e)
-		case Homed:
+		case StickyServerFound:
 			if r := b.reqs[e.ID]; r != nil {
-				r.Home = e.Server
+				r.StickyServer = e.Server
 			}
-		case HandedOver:
+		case Transferred:
 			b.handed(e.ID)
-		case Inherited:
-			b.inherit(e.Learned)
+		case LearnedStateReceived:
+			b.inherit(e.LearnedState)
 		case Established:
 			if r := b.reqs[e.ID]; r != nil && r.on != nil && e.Attempt == r.attempts-1 {
 				r.open, r.on.strikes = true, 0
@@ -59,7 +59,7 @@
 			}
 		case TimerFired:
 			b.fired(e.Token)
-		case NewSettings:
+		case SettingsChanged:
 			if e.Check() == nil {
 				b.adapt(e.Settings)
 			}
@@ -85,7 +85,7 @@
 		b.steer()
 		b.out = append(b.out, SetTimer{Token: "tick", After: tick})
 	case token == "ask":
-		b.out = append(b.out, Follow{})
+		b.out = append(b.out, WatchList{})
 	case kind == "mute":
 		b.muted(id)
 	case kind == "hold" && r != nil && r.waiting > 0:
--- a/choice/world_test.go
+++ b/choice/world_test.go
@@ -75,7 +75,7 @@
 func (f *referee) note(e Event) {
 	switch e := e.(type) {
 	case ServerList:
-		if e.Kind == ListLost {
+		if e.Kind == ListUnavailable {
 			return
 		}
 		if e.Kind != ListChange {
@@ -170,7 +170,7 @@
 			f.t.Fatalf("probe of unknown server %s", a.Server)
 		}
 		f.probes[a.Server]++
-	case Move:
+	case Migrate:
 		if r := f.reqs[a.ID]; r == nil || !r.open || r.done && r.doneAt < f.now {
 			f.t.Fatalf("%v: move of %s, which is not open", f.now, a.ID)
 		}
@@ -222,14 +222,14 @@
 		Nodes: 4, Zone: "z0", Reports: HealthCheckReports, ReportFields: []ReportField{Load, InFlight}, RoundTrip: ms(5),
 		Classes: []Class{{Name: "c", SetupObjective: ms(300), Deadline: ms(1800), MessageObjective: ms(100), Priority: 1}},
 		Limits:  Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, ConnectTimeout: ms(250)},
-		Rules: Rules{AnswerSlack: ms(20), AskWithin: 10 * time.Second, DrainGrace: ms(500), ColdShare: 0.2,
-			WarmUp: 10 * time.Second, FallMultiple: 3, FallTime: time.Second},
+		Rules: Rules{AnswerSlack: ms(20), MaxPollInterval: 10 * time.Second, DrainGrace: ms(500), SlowStartFraction: 0.2,
+			WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second},
 		Costs: Costs{HealthCheck: 0.002, Migration: 0.01},
 	}
 }
 
 func fleet(n int) ServerList {
-	l := ServerList{Kind: ListWhole}
+	l := ServerList{Kind: ListFull}
 	for i := range n {
 		l.Servers = append(l.Servers, Server{ID: ServerID(fmt.Sprintf("s%03d", i)), Zone: fmt.Sprintf("z%d", i%3),
 			Kind: fmt.Sprintf("k%d", i%2), Cell: i % 5, Size: 1})
--- a/choice/zones_test.go
+++ b/choice/zones_test.go
@@ -38,7 +38,7 @@
 				hosts = append(hosts, Server{ID: ServerID(fmt.Sprint(i)), Zone: string("ab"[i%2])})
 			}
 			zone := func(id ServerID) string { return string("ab"[(id[0]-'0')&1]) }
-			b.Step(time.Hour, []Event{ServerList{Kind: ListWhole, Servers: hosts}, ZonePlan{Grants: c.grants, Admit: c.admit, RetryAfter: time.Second}})
+			b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: hosts}, ZonePlan{Grants: c.grants, AdmitFraction: c.admit, RetryAfter: time.Second}})
 			got := map[string]int{}
 			for i := range 20 {
 				id := RequestID(fmt.Sprint(i))
@@ -71,11 +71,11 @@
 				t.Errorf("without a plan %v", got)
 			}
 			// The next plan takes all room back: what stands counts, and nothing new comes.
-			news := b.News(time.Hour + time.Second)
-			if n := news.Zones[0]; n.Zone != "a" || n.Ready != 3 || n.Held[0] != float64(got["a"]) {
+			news := b.Observations(time.Hour + time.Second)
+			if n := news.Zones[0]; n.Zone != "a" || n.Ready != 3 || n.OwnLoad[0] != float64(got["a"]) {
 				t.Errorf("news of zone a: %+v", n)
 			}
-			b.Step(time.Hour+time.Second, []Event{ZonePlan{Grants: []Grant{{"b", news.Zones[1].Held[0], nil}}}})
+			b.Step(time.Hour+time.Second, []Event{ZonePlan{Grants: []Grant{{"b", news.Zones[1].OwnLoad[0], nil}}}})
 			for _, a := range b.Step(time.Hour+time.Second, []Event{Request{ID: "late", Tenant: -1, TimeLeft: 4 * time.Second}}) {
 				if s, ok := a.(StartAttempt); ok {
 					t.Errorf("sent to %s beyond the new plan", s.Server)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -196,7 +196,7 @@
 
 // peers reads the addresses of the other nodes. Without them, or where the settings forbid messages, there are none.
 func peers(f file, s choice.Settings) (listen string, all []netip.AddrPort, err error) {
-	if !s.Limits.MayTell || len(f.Peers) < 2 || f.PeerListen == "" {
+	if !s.Limits.PeerMessages || len(f.Peers) < 2 || f.PeerListen == "" {
 		return "", nil, nil
 	}
 	if len(f.Peers) != s.Nodes {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -124,11 +124,11 @@
 	}
 	s := next(wire.Settings{}, "a", "b")
 	s = next(s, "c", "b")
-	if len(s.Classes) != 3 || s.Classes[0].Name != "a" || !s.Classes[0].Former || s.ClassByName["b"] != 1 || s.ClassByName["c"] != 2 || len(s.ClassByName) != 2 {
+	if len(s.Classes) != 3 || s.Classes[0].Name != "a" || !s.Classes[0].Removed || s.ClassByName["b"] != 1 || s.ClassByName["c"] != 2 || len(s.ClassByName) != 2 {
 		t.Fatalf("%+v %v", s.Classes, s.ClassByName)
 	}
 	s = next(s, "b", "c", "a")
-	if a := s.Classes[0]; len(s.Classes) != 3 || a.Former || s.ClassByName["a"] != 0 || a.Deadline.Seconds() != 4 {
+	if a := s.Classes[0]; len(s.Classes) != 3 || a.Removed || s.ClassByName["a"] != 0 || a.Deadline.Seconds() != 4 {
 		t.Fatalf("%+v %v", s.Classes, s.ClassByName)
 	}
 }
@@ -147,7 +147,7 @@
 			t.Error(err)
 		}
 		for _, c := range n.Settings.After(n.Settings).Classes {
-			if c.Deadline <= 0 || c.Former {
+			if c.Deadline <= 0 || c.Removed {
 				t.Errorf("class %+v", c)
 			}
 		}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -135,15 +135,15 @@
 				Classes: []choice.Class{
 					{Name: "chat", SetupObjective: 800 * ms, Deadline: 4 * time.Second, MessageObjective: 60 * ms, Priority: 1.75, Idempotency: choice.IdempotentByKey, IdempotencyScope: choice.ScopeZone, IdempotencyWindow: 6 * time.Second},
 					{Name: "bulk", SetupObjective: 900 * ms, Deadline: 5 * time.Second, MessageObjective: 70 * ms, Priority: 0.5, Idempotency: choice.NotIdempotent, IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 7 * time.Second}},
-				Tenants: []choice.Tenant{{Name: "acme", Rate: 10, Connections: 33, Share: 0.75}},
-				Grouped: true, PassThru: true, Park: 400 * ms, Subscribe: true, Reports: choice.AllReports,
+				Tenants:       []choice.Tenant{{Name: "acme", Rate: 10, Connections: 33, Share: 0.75}},
+				GroupAffinity: true, PacketPassThrough: true, Park: 400 * ms, Subscribe: true, Reports: choice.AllReports,
 				ReportFields: []choice.ReportField{choice.Latency, choice.Utilization, choice.Load, choice.Backlog, choice.InFlight, choice.Queue, choice.Throughput, choice.ErrorRate,
 					choice.OtherField},
 				Sizes: choice.LiveSize, DelaysObserved: true, OverQuotaPriority: 0.05, PriorityPerWork: true, RoundTrip: 5 * ms,
-				Limits: choice.Limits{MaxAttempts: 5, HealthChecks: true, Cancellation: true, MayTell: true, HedgedRequests: true, RetryAfter: true,
+				Limits: choice.Limits{MaxAttempts: 5, HealthChecks: true, Cancellation: true, PeerMessages: true, HedgedRequests: true, RetryAfter: true,
 					MaxRetryAfter: 2500 * ms, ConnectTimeout: 1500 * ms},
-				Rules: choice.Rules{AnswerSlack: 20 * ms, AskWithin: 10 * time.Second, DrainGrace: 3 * time.Second, ColdShare: 0.14, WarmUp: 24 * time.Second,
-					FallMultiple: 4.5, FallTime: 2 * time.Second},
+				Rules: choice.Rules{AnswerSlack: 20 * ms, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second, SlowStartFraction: 0.14, WarmUp: 24 * time.Second,
+					OverloadMultiple: 4.5, OverloadTime: 2 * time.Second},
 				Costs: choice.Costs{HealthCheck: 0.002, Migration: 0.006, PeerMessage: 0.007, CrossZone: 0.003, LateFailure: 0.004, Waste: 0.008}}}}
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -380,8 +380,8 @@
 		Reports: choice.HealthCheckReports, ReportFields: []choice.ReportField{choice.Load}, RoundTrip: 5 * time.Millisecond, InitialCost: 1 / c.Sessions,
 		Limits: choice.Limits{MaxAttempts: c.Attempts, HealthChecks: true, Cancellation: true, RetryAfter: true,
 			MaxRetryAfter: 2 * time.Second, ConnectTimeout: time.Duration(c.ConnectTimeout)},
-		Rules: choice.Rules{AskWithin: 10 * time.Second, DrainGrace: time.Duration(c.DrainGrace), ColdShare: c.ColdShare,
-			WarmUp: time.Duration(c.WarmUp), FallMultiple: c.FallMultiple, FallTime: time.Duration(c.FallTime)},
+		Rules: choice.Rules{MaxPollInterval: 10 * time.Second, DrainGrace: time.Duration(c.DrainGrace), SlowStartFraction: c.ColdShare,
+			WarmUp: time.Duration(c.WarmUp), OverloadMultiple: c.FallMultiple, OverloadTime: time.Duration(c.FallTime)},
 		Costs: choice.Costs{HealthCheck: 0.002, Migration: 0.01}}
 	for _, k := range o.Classes {
 		s.Classes = append(s.Classes, choice.Class{Name: k.Name, SetupObjective: time.Duration(k.SetupAim),
--- a/internal/edge/carry.go
+++ b/internal/edge/carry.go
@@ -94,19 +94,19 @@
 	a.host.held--
 	r.observeEnd(Carried)
 	r.client.(Carrier).Release()
-	r.core.tell(choice.HandedOver{ID: r.ID})
+	r.core.tell(choice.Transferred{ID: r.ID})
 	r.settle()
 }
 
 // Learned is what the module has found out so far, for another process.
-func (c *Core) Learned() choice.Learned {
-	l := c.balancer.Learned()
+func (c *Core) Learned() choice.LearnedState {
+	l := c.balancer.LearnedState()
 	l.Now = c.clock(c.o.Clock.Now())
 	return l
 }
 
 // Inherit tells the module what that of another process has found out.
-func (c *Core) Inherit(l choice.Learned) { c.tell(choice.Inherited{Learned: l}) }
+func (c *Core) Inherit(l choice.LearnedState) { c.tell(choice.LearnedStateReceived{LearnedState: l}) }
 
 // Adopt takes over an open connection of another process, of which Check has found no fault. It counts as none that this
 // one has served.
@@ -139,7 +139,7 @@
 		return r, a
 	}
 	c.requests[s.ID] = r
-	c.tell(choice.OpenConnection{Request: r.event(), Server: s.Host.ID, Was: &r.class, Now: s.Now})
+	c.tell(choice.OpenConnection{Request: r.event(), Server: s.Host.ID, OriginalClass: &r.class, CurrentLoad: s.Now})
 	r.leaveWith(a.host, now)
 	return r, a
 }
--- a/internal/edge/clock_test.go
+++ b/internal/edge/clock_test.go
@@ -16,13 +16,13 @@
 	w := &world{t: t, rng: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1e9, 0).Add(ahead)}
 	core, err := New(Options{Clock: w, HealthChecker: w, Seed: 1, Settings: choice.Settings{Nodes: 1,
 		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}, Limits: choice.Limits{MaxAttempts: 3},
-		Rules: choice.Rules{ColdShare: 0.2, WarmUp: warmUp, FallMultiple: 4, FallTime: time.Second}}})
+		Rules: choice.Rules{SlowStartFraction: 0.2, WarmUp: warmUp, OverloadMultiple: 4, OverloadTime: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.core = core
 	core.Start(nil)
-	core.List(choice.ListWhole, []UpstreamHost{{Server: choice.Server{ID: "old", Size: 1}}})
+	core.List(choice.ListFull, []UpstreamHost{{Server: choice.Server{ID: "old", Size: 1}}})
 	core.Flush()
 	return w, core
 }
@@ -84,7 +84,7 @@
 	w.run(w.now.Add(time.Minute))
 	core.List(choice.ListChange, nil)
 	core.AnotherList()
-	core.List(choice.ListWhole, []UpstreamHost{{Server: choice.Server{ID: "other", Size: 1, Started: time.Duration(w.now.Add(-30 * time.Second).UnixNano())}}})
+	core.List(choice.ListFull, []UpstreamHost{{Server: choice.Server{ID: "other", Size: 1, Started: time.Duration(w.now.Add(-30 * time.Second).UnixNano())}}})
 	core.Flush()
 	if _, cold := core.balancer.SlowStartRate("other"); cold {
 		t.Error("it counts as cold")
@@ -123,7 +123,7 @@
 	}
 	w.core, w.timers = core, nil
 	core.Start(nil)
-	core.List(choice.ListWhole, []UpstreamHost{{Server: first}})
+	core.List(choice.ListFull, []UpstreamHost{{Server: first}})
 	core.Flush()
 	return core
 }
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -25,7 +25,7 @@
 func (c *Core) drainTime() time.Duration {
 	longest := time.Duration(0)
 	for _, k := range c.o.Settings.Classes {
-		if !k.Former {
+		if !k.Removed {
 			longest = max(longest, k.Deadline)
 		}
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -213,7 +213,7 @@
 	if c.o.Observer != nil {
 		c.o.Observer.Settings(s)
 	}
-	c.tell(choice.NewSettings{Settings: s})
+	c.tell(choice.SettingsChanged{Settings: s})
 }
 
 func (c *Core) adapt() {
@@ -222,7 +222,7 @@
 		if i == len(c.counts) {
 			c.counts = append(c.counts, c.o.Figures.Class(k.Name))
 		}
-		if !k.Former && k.MessageObjective > 0 && (c.minAim == 0 || k.MessageObjective < c.minAim) {
+		if !k.Removed && k.MessageObjective > 0 && (c.minAim == 0 || k.MessageObjective < c.minAim) {
 			c.minAim = k.MessageObjective
 		}
 	}
@@ -283,17 +283,17 @@
 		}
 	case choice.HealthCheck:
 		c.probe(a.Server, now)
-	case choice.Move:
+	case choice.Migrate:
 		if r := c.requests[a.ID]; r != nil {
 			r.move()
 		}
 	case choice.SetTimer:
 		c.setTimer(a, now)
-	case choice.Tell:
+	case choice.SendPeerMessage:
 		if c.o.Tell != nil {
 			c.o.Tell(a.To, a.Data)
 		}
-	case choice.Follow:
+	case choice.WatchList:
 		if c.o.Follow != nil {
 			c.o.Follow()
 		}
@@ -334,8 +334,10 @@
 // Plan has the module go by a plan of zones from now on.
 func (c *Core) Plan(p choice.ZonePlan) { c.tell(p) }
 
-// News is what the module saw of zones since the last call.
-func (c *Core) News() choice.News { return c.balancer.News(c.clock(c.o.Clock.Now())) }
+// Observations is what the module saw of zones since the last call.
+func (c *Core) Observations() choice.Observations {
+	return c.balancer.Observations(c.clock(c.o.Clock.Now()))
+}
 
 // Heard takes a message of another node.
 func (c *Core) Heard(from int, message []byte) {
@@ -343,11 +345,11 @@
 }
 
 // Unbelieved counts the messages of other nodes that the module dropped.
-func (c *Core) Unbelieved() int { return c.balancer.Dropped() }
+func (c *Core) Unbelieved() int { return c.balancer.DroppedPeerMessages() }
 
 // Gauges tells what the core holds now.
 func (c *Core) Gauges() Gauges {
-	g := Gauges{InFlight: len(c.requests), HostsExcluded: c.balancer.Avoided(c.clock(c.o.Clock.Now()))}
+	g := Gauges{InFlight: len(c.requests), HostsExcluded: c.balancer.Excluded(c.clock(c.o.Clock.Now()))}
 	for _, h := range c.hosts {
 		if h.State != choice.Gone {
 			g.HostsKnown++
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -218,8 +218,8 @@
 			Deadline: 4 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 1}, {Name: "u", SetupObjective: 800 * time.Millisecond,
 			Deadline: 4 * time.Second, Priority: 1, Idempotency: choice.NotIdempotent}},
 			Limits: choice.Limits{MaxAttempts: 4, Cancellation: true, HealthChecks: seed%2 == 0},
-			Rules: choice.Rules{AskWithin: 10 * time.Second, DrainGrace: 3 * time.Second, ColdShare: .2, WarmUp: 10 * time.Second,
-				FallMultiple: 4, FallTime: 2 * time.Second}}
+			Rules: choice.Rules{MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second, SlowStartFraction: .2, WarmUp: 10 * time.Second,
+				OverloadMultiple: 4, OverloadTime: 2 * time.Second}}
 		if seed%2 == 0 {
 			s.Reports, s.ReportFields = choice.HealthCheckReports, []choice.ReportField{choice.Load}
 		}
@@ -300,7 +300,7 @@
 		if len(all) != 300 {
 			t.Fatal("not all requests came")
 		}
-		w.core.List(choice.ListWhole, hosts[5:])
+		w.core.List(choice.ListFull, hosts[5:])
 		if len(w.core.hosts) != 1 {
 			t.Errorf("seed %d: %d hosts are kept of a list of one", seed, len(w.core.hosts))
 		}
--- a/internal/edge/golden_test.go
+++ b/internal/edge/golden_test.go
@@ -20,11 +20,11 @@
 func TestGoldenStanding(t *testing.T) {
 	want := Standing{
 		ID: "request-1",
-		Class: choice.Class{Name: "class-2", Former: true, SetupObjective: 3 * time.Second, Deadline: 4 * time.Second, MessageObjective: 5 * time.Second,
+		Class: choice.Class{Name: "class-2", Removed: true, SetupObjective: 3 * time.Second, Deadline: 4 * time.Second, MessageObjective: 5 * time.Second,
 			Priority: 6.5, Idempotency: choice.IdempotentByKey, IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 7 * time.Second},
 		Tenant: "tenant-8", Key: 9, Group: 10, Usual: 11.5, Now: 12.5, Returned: true,
 		Host: choice.Server{ID: "host-13", Zone: "zone-14", Kind: "kind-15", Cell: 16, State: choice.Draining, Size: 17.5, Started: 18 * time.Second,
-			ColdSince: 19 * time.Second},
+			SlowStartSince: 19 * time.Second},
 		Addr: "127.0.0.1:20",
 	}
 	body, err := cbor.Marshal(want)
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -36,9 +36,9 @@
 		return f
 	}
 	if h.calls == nil {
-		h.calls = &invariant.CallWindow{Window: rules.FallTime}
+		h.calls = &invariant.CallWindow{Window: rules.OverloadTime}
 	}
-	f.SlowStart, f.Budget = h.calls, rate*rules.FallTime.Seconds()
+	f.SlowStart, f.Budget = h.calls, rate*rules.OverloadTime.Seconds()
 	return f
 }
 
--- a/internal/edge/list.go
+++ b/internal/edge/list.go
@@ -28,7 +28,7 @@
 		corrected = c.starts.hear(h.Server, heard) || corrected
 	}
 	for _, h := range hosts {
-		h.ColdSince = c.starts.reckon(h.Started)
+		h.SlowStartSince = c.starts.reckon(h.Started)
 		l.Servers = append(l.Servers, h.Server)
 		if k := c.hosts[h.ID]; c.o.Observer != nil && (k == nil || k.State != h.State || k.Started != h.Started) {
 			c.o.Observer.Host(h)
@@ -49,7 +49,7 @@
 		}
 		k.noteState(c.o.Clock.Now())
 	}
-	if kind == choice.ListWhole { // a host that a whole list doesn't name is gone
+	if kind == choice.ListFull { // a host that a whole list doesn't name is gone
 		named := map[choice.ServerID]bool{}
 		for _, h := range hosts {
 			named[h.ID] = true
@@ -73,7 +73,7 @@
 			delete(c.hosts, id)
 		}
 	}
-	if kind == choice.ListWhole || kind == choice.ListChange {
+	if kind == choice.ListFull || kind == choice.ListChange {
 		c.starts.listed(heard, c.hosts)
 	}
 	if corrected && kind == choice.ListChange {
@@ -97,7 +97,7 @@
 		if slices.ContainsFunc(change, func(o UpstreamHost) bool { return o.ID == h.ID }) || h.Started <= 0 {
 			continue
 		}
-		h.ColdSince = c.starts.reckon(h.Started)
+		h.SlowStartSince = c.starts.reckon(h.Started)
 		all = append(all, h.Server)
 	}
 	slices.SortFunc(all, func(a, b choice.Server) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -124,7 +124,7 @@
 
 func (r *Request) event() choice.Request {
 	return choice.Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group, Load: r.Load,
-		Returned: r.Returned, Home: r.Home, TimeLeft: r.Deadline.Sub(r.core.o.Clock.Now())}
+		Returned: r.Returned, StickyServer: r.Home, TimeLeft: r.Deadline.Sub(r.core.o.Clock.Now())}
 }
 
 func (r *Request) expired() {
@@ -313,7 +313,7 @@
 // that nothing the client has seen of the first host binds it to that one.
 func (r *Request) Turn(home choice.ServerID) {
 	r.Home, r.committed = home, false
-	r.core.tell(choice.Homed{ID: r.ID, Server: home})
+	r.core.tell(choice.StickyServerFound{ID: r.ID, Server: home})
 	r.attempt.giveUp(choice.Cancelled)
 }
 
@@ -322,7 +322,7 @@
 func (r *Request) Redirected(to string) {
 	for _, h := range r.core.hosts {
 		if (h.Addr == to || string(h.ID) == to) && h.State == choice.Ready {
-			r.core.tell(choice.Homed{ID: r.ID, Server: h.ID})
+			r.core.tell(choice.StickyServerFound{ID: r.ID, Server: h.ID})
 		}
 	}
 }
--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -92,7 +92,7 @@
 	acks    []pendingAck // sums that wait for a confirmation, oldest first
 	last    time.Duration
 	next    struct{ tick, beat, look, evidence, sum, plan, ack time.Duration }
-	news    choice.News // since the last evidence
+	news    choice.Observations // since the last evidence
 
 	reports     map[int]*report // evidence of this zone's nodes, as one that sums it
 	leaderSeen  time.Duration   // when the one that leads was surely there, by this node's clock
--- a/internal/failover/agent/evidence.go
+++ b/internal/failover/agent/evidence.go
@@ -20,19 +20,19 @@
 func (a *Agent) Wants(now time.Duration) bool { return now >= a.next.look }
 
 // Tell takes what the module saw since the last call.
-func (a *Agent) Tell(n choice.News, now time.Duration) {
+func (a *Agent) Tell(n choice.Observations, now time.Duration) {
 	a.isDue(&a.next.look, lookEvery, now)
 	a.news = failover.Since(a.news, n)
 	if a.isDue(&a.next.evidence, evidenceEvery, now) {
 		a.sendEvidence(a.news, now)
-		a.news = choice.News{}
+		a.news = choice.Observations{}
 	}
 	a.borrow(n, now)
 	a.advance(now)
 }
 
 // sendEvidence sends evidence to the nodes of this zone that sum it.
-func (a *Agent) sendEvidence(n choice.News, now time.Duration) {
+func (a *Agent) sendEvidence(n choice.Observations, now time.Duration) {
 	s := failover.Tell(a.zone, a.options.Classes, n, failover.Word{Node: a.options.Self, Plan: a.planNumber, Silent: a.watch.Silent(now),
 		Policy: a.policyWord(now)})
 	body := s.Encode()
--- a/internal/failover/agent/loans.go
+++ b/internal/failover/agent/loans.go
@@ -34,7 +34,7 @@
 }
 
 // borrow asks lenders for what this node's clients find no room for, and gives back what it doesn't need.
-func (a *Agent) borrow(n choice.News, now time.Duration) {
+func (a *Agent) borrow(n choice.Observations, now time.Duration) {
 	dt := now - a.saw
 	a.saw = now
 	had := a.stood(n, dt)
@@ -70,15 +70,15 @@
 }
 
 // stood keeps in mind what stood here of late, and what of it must find a place in the region.
-func (a *Agent) stood(n choice.News, dt time.Duration) (had float64) {
+func (a *Agent) stood(n choice.Observations, dt time.Duration) (had float64) {
 	stay, refused, out := 0.0, 0.0, false
 	for c, name := range a.options.Classes {
 		held, here := 0.0, 0.0
 		for _, z := range n.Zones {
-			if c < len(z.Held) {
-				held += z.Held[c]
+			if c < len(z.OwnLoad) {
+				held += z.OwnLoad[c]
 				if z.Zone == a.zone {
-					here += z.Held[c]
+					here += z.OwnLoad[c]
 				}
 			}
 			if z.Zone == a.zone {
@@ -89,7 +89,7 @@
 		had += a.had[name]
 		if a.plan != nil && c < len(n.Classes) {
 			if k := slices.Index(a.plan.Classes, name); k >= 0 && a.plan.Stay[k] {
-				stay, refused = stay+a.had[name]-here, refused+n.Classes[c].Refused
+				stay, refused = stay+a.had[name]-here, refused+n.Classes[c].Rejected
 			}
 		}
 	}
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -67,16 +67,16 @@
 }
 
 // Tell makes a node's evidence of what its module saw.
-func Tell(zone string, classes []string, n choice.News, w Word) Sum {
+func Tell(zone string, classes []string, n choice.Observations, w Word) Sum {
 	s := Sum{Zone: zone, Classes: classes, Arrived: make([]float32, len(classes)), Refused: make([]float32, len(classes)), Words: []Word{w}}
 	for c := range min(len(classes), len(n.Classes)) {
-		s.Arrived[c], s.Refused[c] = float32(n.Classes[c].Arrived), float32(n.Classes[c].Refused)
+		s.Arrived[c], s.Refused[c] = float32(n.Classes[c].Arrived), float32(n.Classes[c].Rejected)
 	}
 	for _, z := range n.Zones[:min(len(n.Zones), MostZones)] {
-		r := Row{Zone: z.Zone, Nodes: 1, Ready: float32(z.Ready), Out: float32(z.Out), Warm: float32(z.Warm), Load: float32(z.Load),
+		r := Row{Zone: z.Zone, Nodes: 1, Ready: float32(z.Ready), Out: float32(z.Ejected), Warm: float32(z.Capacity), Load: float32(z.Load),
 			Cost: float32(z.Cost), Attempts: float32(z.Attempts), Failed: float32(z.Failed), Held: make([]float32, len(classes))}
-		for c := range min(len(classes), len(z.Held)) {
-			r.Held[c] = float32(z.Held[c])
+		for c := range min(len(classes), len(z.OwnLoad)) {
+			r.Held[c] = float32(z.OwnLoad[c])
 		}
 		s.Rows = append(s.Rows, r)
 	}
@@ -84,11 +84,11 @@
 }
 
 // Since adds what was counted before to what a module saw last; what stands is as it was seen last.
-func Since(before, n choice.News) choice.News {
-	out := choice.News{Zones: slices.Clone(n.Zones), Classes: slices.Clone(n.Classes)}
+func Since(before, n choice.Observations) choice.Observations {
+	out := choice.Observations{Zones: slices.Clone(n.Zones), Classes: slices.Clone(n.Classes)}
 	for i, c := range before.Classes[:min(len(before.Classes), len(out.Classes))] {
 		out.Classes[i].Arrived += c.Arrived
-		out.Classes[i].Refused += c.Refused
+		out.Classes[i].Rejected += c.Rejected
 	}
 	for i := range out.Zones {
 		for _, z := range before.Zones {
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -280,13 +280,13 @@
 	p := &Plan{Zones: []Zone{{Name: "a", Region: "r", Nodes: 1, Listed: 1, Room: 40, Guests: 1, Want: []float32{0}, Lender: 0, Reserve: 2},
 		{Name: "b", Region: "r", Nodes: 1, Listed: 1, Want: []float32{0}, Lender: 1, Reserve: 10}, {Name: "c", Region: "s", Nodes: 1, Listed: 1, Want: []float32{0}, Lender: 2, Reserve: 10}},
 		Classes: []string{"x"}, Stay: []bool{false}, Admit: [][]int{{255}, {255}, {255}}, Before: [][]float32{{0, 0, 0}, {0, 0, 0}, {0, 0, 0}}, Grants: []Grant{{From: 0, To: 0, Load: 10}}, Life: 10}
-	news := func(out int, held, arrived, refused float64) choice.News {
-		return choice.News{Zones: []choice.ZoneNews{{Zone: "a", Ready: 4, Out: out, Held: []float64{held}}, {Zone: "b", Ready: 4}, {Zone: "c", Ready: 4}},
-			Classes: []choice.ClassNews{{Arrived: arrived, Refused: refused}}}
+	news := func(out int, held, arrived, refused float64) choice.Observations {
+		return choice.Observations{Zones: []choice.ZoneObservations{{Zone: "a", Ready: 4, Ejected: out, OwnLoad: []float64{held}}, {Zone: "b", Ready: 4}, {Zone: "c", Ready: 4}},
+			Classes: []choice.ClassObservations{{Arrived: arrived, Rejected: refused}}}
 	}
 	for _, c := range []struct {
 		name string
-		n    choice.News
+		n    choice.Observations
 		full map[string]bool
 		want []string
 	}{
@@ -318,7 +318,7 @@
 	}
 	zones := func(z choice.ZonePlan) (s string) {
 		for _, g := range z.Grants {
-			s += fmt.Sprintf("%s%v ", g.Zone, g.Except)
+			s += fmt.Sprintf("%s%v ", g.Zone, g.ExcludedClasses)
 		}
 		return s
 	}
@@ -337,7 +337,7 @@
 		if zones(got) != c.want {
 			t.Errorf("%s: %s, wanted %s", c.name, zones(got), c.want)
 		}
-		if c.m == Planned && (got.Admit[1] != 0.2 || got.RetryAfter != time.Second) {
+		if c.m == Planned && (got.AdmitFraction[1] != 0.2 || got.RetryAfter != time.Second) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
--- a/internal/failover/loan.go
+++ b/internal/failover/loan.go
@@ -81,7 +81,7 @@
 
 // Asks is what a node of a zone wants to borrow, by zone, after what its module saw in a time of dt. had is the most that stood at the node of
 // late, got what it has been lent, and full the zones whose lenders gave less than was asked.
-func Asks(m Mode, p *Plan, node int, zone string, n choice.News, dt time.Duration, had float64, got map[string]float64, full map[string]bool) map[string]float64 {
+func Asks(m Mode, p *Plan, node int, zone string, n choice.Observations, dt time.Duration, had float64, got map[string]float64, full map[string]bool) map[string]float64 {
 	asks := map[string]float64{}
 	if p == nil || p.zone(zone) < 0 || m == Alone || dt <= 0 {
 		return asks
@@ -121,11 +121,11 @@
 	bad                    map[string]bool // zones whose hosts fail
 }
 
-func summarize(n choice.News, zone string) moduleView {
+func summarize(n choice.Observations, zone string) moduleView {
 	v := moduleView{bad: map[string]bool{}}
 	for _, z := range n.Zones {
 		v.bad[z.Zone] = Fails(z)
-		for _, load := range z.Held {
+		for _, load := range z.OwnLoad {
 			v.held += load
 			if z.Zone == zone {
 				v.heldNear += load
@@ -134,7 +134,7 @@
 	}
 	for _, c := range n.Classes {
 		v.arrived += c.Arrived
-		v.refused += c.Refused
+		v.refused += c.Rejected
 	}
 	return v
 }
@@ -189,7 +189,7 @@
 func (z Zone) lends() bool { return z.Lender >= 0 && z.Reserve > 0 }
 
 // Fails says that a node finds half of a zone's hosts out of use, or none.
-func Fails(z choice.ZoneNews) bool { return float64(z.Out) >= badZone*float64(z.Ready) }
+func Fails(z choice.ZoneObservations) bool { return float64(z.Ejected) >= badZone*float64(z.Ready) }
 
 // ranks is the zones by nearness to one: itself, its region, the rest.
 func (p *Plan) ranks(own int) (out [3][]int) {
--- a/internal/failover/schedule_test.go
+++ b/internal/failover/schedule_test.go
@@ -57,21 +57,21 @@
 func (s *schedule) evidence(node int) Sum {
 	zone := s.list.Node(node).Zone
 	nodes := float64(len(s.list.InZone(zone)))
-	seen := choice.News{Classes: make([]choice.ClassNews, 2)}
+	seen := choice.Observations{Classes: make([]choice.ClassObservations, 2)}
 	for class := range seen.Classes {
 		seen.Classes[class].Arrived = float64(s.load[zone][class]) / nodes / 4
 		if s.full {
-			seen.Classes[class].Refused = 0.25
+			seen.Classes[class].Rejected = 0.25
 		}
 	}
 	for _, other := range s.list.Zones() {
-		z := choice.ZoneNews{Zone: other, Ready: 4, Warm: 3.9, Load: float64(s.load[other][0]+s.load[other][1]) / 25, Cost: 0.04, Held: []float64{0, 0},
+		z := choice.ZoneObservations{Zone: other, Ready: 4, Capacity: 3.9, Load: float64(s.load[other][0]+s.load[other][1]) / 25, Cost: 0.04, OwnLoad: []float64{0, 0},
 			Attempts: 6}
 		if other == zone && !s.fails[zone] {
-			z.Held = []float64{float64(s.load[zone][0]) / nodes, float64(s.load[zone][1]) / nodes}
+			z.OwnLoad = []float64{float64(s.load[zone][0]) / nodes, float64(s.load[zone][1]) / nodes}
 		}
 		if s.fails[other] {
-			z.Out, z.Failed, z.Load = 4, 6, 0.1
+			z.Ejected, z.Failed, z.Load = 4, 6, 0.1
 		}
 		seen.Zones = append(seen.Zones, z)
 	}
@@ -137,15 +137,15 @@
 			for _, name := range slices.Sorted(maps.Keys(parts)) {
 				fmt.Fprintf(&s.text, " %s %.6g", name, parts[name])
 			}
-			fmt.Fprintf(&s.text, "; use of %d nodes, again after %v, admit %.6g:", use.Nodes, use.RetryAfter, use.Admit)
+			fmt.Fprintf(&s.text, "; use of %d nodes, again after %v, admit %.6g:", use.Nodes, use.RetryAfter, use.AdmitFraction)
 			for _, grant := range use.Grants {
-				fmt.Fprintf(&s.text, " %s %.6g but %d", grant.Zone, grant.Load, grant.Except)
+				fmt.Fprintf(&s.text, " %s %.6g but %d", grant.Zone, grant.Load, grant.ExcludedClasses)
 			}
 			fmt.Fprintln(&s.text)
 		}
-		news := choice.News{Zones: []choice.ZoneNews{{Zone: zone, Ready: 4, Held: []float64{20, 3}}}, Classes: []choice.ClassNews{{Arrived: 2, Refused: 1}, {Arrived: 1}}}
+		news := choice.Observations{Zones: []choice.ZoneObservations{{Zone: zone, Ready: 4, OwnLoad: []float64{20, 3}}}, Classes: []choice.ClassObservations{{Arrived: 2, Rejected: 1}, {Arrived: 1}}}
 		for _, out := range []int{0, 4} {
-			news.Zones[0].Out = out
+			news.Zones[0].Ejected = out
 			asks := Asks(Planned, s.newest, node, zone, news, 100*time.Millisecond, 31, map[string]float64{"a": 1}, map[string]bool{"a": true})
 			for _, name := range slices.Sorted(maps.Keys(asks)) {
 				fmt.Fprintf(&s.text, " %d hosts out: asks %s for %.6g\n", out, name, asks[name])
--- a/internal/failover/use.go
+++ b/internal/failover/use.go
@@ -33,7 +33,7 @@
 		out.Nodes += z.Nodes
 	}
 	if m != Ground { // there what is let in is as much as the plan has room for, and this is less
-		out.Admit = u.admitted(classes)
+		out.AdmitFraction = u.admitted(classes)
 	}
 	return out
 }
@@ -59,13 +59,13 @@
 			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load})
 		case load <= 0:
 		case zone.Region != u.plan.Zones[u.own].Region:
-			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load, Except: u.staying})
+			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load, ExcludedClasses: u.staying})
 		case kept == 0 && u.borrowed.Stay == 0:
 			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load})
 		default:
 			kept = max(kept, min(1, u.borrowed.Stay/region))
-			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load * (1 - kept), Except: u.staying},
-				choice.Grant{Zone: zone.Name, Load: load * kept, Except: u.moving})
+			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load * (1 - kept), ExcludedClasses: u.staying},
+				choice.Grant{Zone: zone.Name, Load: load * kept, ExcludedClasses: u.moving})
 		}
 	}
 	return grants
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -91,7 +91,7 @@
 		}
 		s, err := f.Settings(1, 4, "iasi-1")
 		if err != nil || len(s.Classes) != len(f.Classes) || len(s.Tenants) != len(f.Editions) || s.Zone != "iasi-1" ||
-			s.Rules.ColdShare != f.Cold.Share || s.Classes[2].Priority != f.Classes[2].Worth || s.Tenants[0].Connections != f.Quota(0) {
+			s.Rules.SlowStartFraction != f.Cold.Share || s.Classes[2].Priority != f.Classes[2].Worth || s.Tenants[0].Connections != f.Quota(0) {
 			t.Errorf("%s: %+v, %v", path, s, err)
 		}
 	}
--- a/internal/lab/explore/node.go
+++ b/internal/lab/explore/node.go
@@ -187,11 +187,11 @@
 }
 
 // moduleNews is what the node's module saw since the last call.
-func (n *node) moduleNews() choice.News {
+func (n *node) moduleNews() choice.Observations {
 	if n.core == nil {
 		return n.lightNews()
 	}
-	return n.core.News()
+	return n.core.Observations()
 }
 
 // staticPlan is the order of zones that a node goes by alone: its own, those of its region, the others. Classes that must stay in their region
@@ -212,7 +212,7 @@
 		case n.w.list.Region(zone) == n.w.list.Region(n.zone):
 			near = append(near, grant)
 		default:
-			grant.Except = staying
+			grant.ExcludedClasses = staying
 			far = append(far, grant)
 		}
 	}
--- a/internal/lab/explore/policy.go
+++ b/internal/lab/explore/policy.go
@@ -24,11 +24,11 @@
 var lightRules = policy.Rules{Window: 5 * time.Second, Answer: 6 * time.Second}
 
 // lightNews is what the module of a node tells that has hosts which are well.
-func (n *node) lightNews() (news choice.News) {
+func (n *node) lightNews() (news choice.Observations) {
 	for _, z := range n.w.zones {
-		news.Zones = append(news.Zones, choice.ZoneNews{Zone: z, Ready: 4, Warm: 4, Load: 1, Cost: 0.01, Held: make([]float64, len(n.w.classes)), Attempts: 5})
+		news.Zones = append(news.Zones, choice.ZoneObservations{Zone: z, Ready: 4, Capacity: 4, Load: 1, Cost: 0.01, OwnLoad: make([]float64, len(n.w.classes)), Attempts: 5})
 	}
-	news.Classes = make([]choice.ClassNews, len(n.w.classes))
+	news.Classes = make([]choice.ClassObservations, len(n.w.classes))
 	return news
 }
 
--- a/internal/node/carry.go
+++ b/internal/node/carry.go
@@ -269,8 +269,8 @@
 
 // known is what a process knows beside its connections.
 type known struct {
-	Modules  map[string]choice.Learned `cbor:"1,keyasint"` // by the names of their clusters
-	Sessions []resumable.Session       `cbor:"2,keyasint,omitempty"`
+	Modules  map[string]choice.LearnedState `cbor:"1,keyasint"` // by the names of their clusters
+	Sessions []resumable.Session            `cbor:"2,keyasint,omitempty"`
 }
 
 // mostSessions is how many sessions without a stream are told to another process; those with one go with it.
@@ -278,7 +278,7 @@
 
 // learned is what this process knows.
 func (b *beside) learned() []byte {
-	k := known{Modules: map[string]choice.Learned{}}
+	k := known{Modules: map[string]choice.LearnedState{}}
 	for name, core := range b.program.named {
 		k.Modules[name] = core.Learned()
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -141,7 +141,7 @@
 func (f *fleet) ruled() (all []failover.Class) {
 	_, classes := f.classes()
 	for _, c := range classes {
-		if !c.Former {
+		if !c.Removed {
 			all = append(all, failover.Class{Name: c.Name, Priority: c.Priority, Stay: slices.Contains(f.conf.List.Plan.Stay, c.Name)})
 		}
 	}
@@ -159,7 +159,7 @@
 	f.last = now
 	f.agent.Tick(f.now())
 	if f.agent.Wants(f.now()) {
-		f.agent.Tell(f.core.News(), f.now())
+		f.agent.Tell(f.core.Observations(), f.now())
 	}
 	f.pump()
 	f.tellAdmitted(now)
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -165,7 +165,7 @@
 				delete(op.seen, key)
 			}
 		}
-		core.List(choice.ListWhole, hosts)
+		core.List(choice.ListFull, hosts)
 		zap.L().Info("hosts_reloaded", zap.String("cluster", c.Name), zap.Int("hosts", len(hosts)))
 	}
 }
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -72,8 +72,8 @@
 	// Hosts return a line at once however full they are, and no line tells a message's time: what the simulator tells
 	// of slow messages has no like here, and the module must do without.
 	s.DelaysObserved = false
-	s.Limits.MayTell = speaks
-	s.Parts = parts
+	s.Limits.PeerMessages = speaks
+	s.Processes = parts
 	return s
 }
 
@@ -103,7 +103,7 @@
 	known := p.beside.known(n.Known, n.Discovery)
 	watch = cluster.New(l, n.Discovery, known, way(n.Settings.Settings), n.Seed, func(k choice.ListKind, news []edge.UpstreamHost) {
 		core.List(k, news)
-		if k == choice.ListWhole {
+		if k == choice.ListFull {
 			hosts.ForgetOthers(news)
 		}
 		for _, h := range news {
@@ -111,7 +111,7 @@
 				hosts.Forget(h.ID)
 			}
 		}
-		if k != choice.ListLost {
+		if k != choice.ListUnavailable {
 			p.listed()
 		}
 	})
--- a/internal/node/policy.go
+++ b/internal/node/policy.go
@@ -132,7 +132,7 @@
 		if j := slices.IndexFunc(old, func(o choice.Class) bool { return o.Name == k.Name }); j >= 0 {
 			c = old[j]
 		}
-		c.Former, c.SetupObjective, c.Deadline, c.MessageObjective, c.Priority = false, k.SetupObjective, k.Patience, k.MessageObjective, k.Priority
+		c.Removed, c.SetupObjective, c.Deadline, c.MessageObjective, c.Priority = false, k.SetupObjective, k.Patience, k.MessageObjective, k.Priority
 		if ground && k.Ground {
 			c.Deadline = min(c.Deadline, d.Ground.Patience)
 			c.SetupObjective = min(c.SetupObjective, c.Deadline)
--- a/internal/node/policy_test.go
+++ b/internal/node/policy_test.go
@@ -33,7 +33,7 @@
 		patience time.Duration
 	}{{false, 3, 3 * time.Second}, {true, 1, 2 * time.Second}} {
 		s := under(d, own, c.ground).After(own)
-		if s.ClassByName["b"] != 1 || s.ClassByName["new"] != 2 || !s.Classes[0].Former || s.Classes[0].Idempotency != choice.NotIdempotent {
+		if s.ClassByName["b"] != 1 || s.ClassByName["new"] != 2 || !s.Classes[0].Removed || s.Classes[0].Idempotency != choice.NotIdempotent {
 			t.Errorf("ground %v: classes %+v, by name %v", c.ground, s.Classes, s.ClassByName)
 		}
 		if _, there := s.ClassByName["a"]; there {
--- a/internal/planner/world.go
+++ b/internal/planner/world.go
@@ -363,7 +363,7 @@
 	w.at(w.now+time.Duration(w.fleet.Discovery.Delay), nil, func() {
 		for _, n := range w.nodes {
 			if !n.dead {
-				n.core.List(choice.ListWhole, w.list())
+				n.core.List(choice.ListFull, w.list())
 				n.core.Flush()
 			}
 		}
--- a/internal/platform/cluster/cluster.go
+++ b/internal/platform/cluster/cluster.go
@@ -325,7 +325,7 @@
 	w.version, w.have = l.Version, true
 	kind := choice.ListChange
 	if l.Full {
-		kind = choice.ListWhole
+		kind = choice.ListFull
 	}
 	w.news(kind, hosts)
 	w.ask() // at once: a watch lasts only while its next call follows soon
@@ -385,7 +385,7 @@
 	w.calling, w.lost, w.spoilt = false, true, false
 	w.askAfterPause()
 	if !w.way.Pushed {
-		w.news(choice.ListLost, nil)
+		w.news(choice.ListUnavailable, nil)
 	}
 }
 
--- a/internal/platform/cluster/outage_test.go
+++ b/internal/platform/cluster/outage_test.go
@@ -235,7 +235,7 @@
 	if err != nil {
 		o.t.Fatal(err)
 	}
-	rules := choice.Rules{AskWithin: 10 * time.Minute, DrainGrace: 300 * time.Millisecond}
+	rules := choice.Rules{MaxPollInterval: 10 * time.Minute, DrainGrace: 300 * time.Millisecond}
 	var w *Watch
 	core, err := edge.New(edge.Options{Clock: l, Seed: 1, Follow: func() { w.Follow() }, Settings: choice.Settings{Subscribe: true, Rules: rules,
 		Classes: []choice.Class{{Name: "chat", Deadline: time.Second, Priority: 1}}, Limits: choice.Limits{MaxAttempts: 4}}})
@@ -245,7 +245,7 @@
 	told, failed := make(chan time.Time, 16), 0
 	w = New(l, o.addr, known, Way{Grace: rules.DrainGrace}, 1, func(k choice.ListKind, hosts []edge.UpstreamHost) {
 		core.List(k, hosts)
-		if k != choice.ListLost {
+		if k != choice.ListUnavailable {
 			told <- time.Now()
 		} else if failed++; failed == failures {
 			o.comesBack()
--- a/internal/platform/cluster/watch_test.go
+++ b/internal/platform/cluster/watch_test.go
@@ -135,7 +135,7 @@
 	d := listen(t, &version)
 	d.cut.Store(true)
 	_, news := follow(t, d.addr, &List{Version: 7}, Way{}, usual)
-	if k := next(t, news); k != choice.ListLost {
+	if k := next(t, news); k != choice.ListUnavailable {
 		t.Error("news of a failed call", k)
 	}
 	next(t, d.calls)
@@ -227,7 +227,7 @@
 				d.spoilt <- s
 			}
 			_, news := follow(t, d.addr, &List{Version: 7}, Way{}, usual)
-			want := map[int]choice.ListKind{1: choice.ListChange, 2: choice.ListLost}[times]
+			want := map[int]choice.ListKind{1: choice.ListChange, 2: choice.ListUnavailable}[times]
 			if k := next(t, news); k != want || len(d.calls) < 2 {
 				t.Errorf("%s, %d times: news %v after %d calls, want %v", name, times, k, len(d.calls), want)
 			}
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -34,7 +34,7 @@
 	}
 	want := Settings{
 		Settings: choice.Settings{
-			Nodes: 21, Node: 3, Zone: "zone-1", Grouped: true, PassThru: true, Park: 18 * time.Second, Subscribe: true,
+			Nodes: 21, Node: 3, Zone: "zone-1", GroupAffinity: true, PacketPassThrough: true, Park: 18 * time.Second, Subscribe: true,
 			Classes: []choice.Class{
 				{Name: "class-1", SetupObjective: 330 * ms, Deadline: 35 * time.Second, MessageObjective: 150 * ms, Priority: 36, Idempotency: choice.IdempotentByKey,
 					IdempotencyScope: choice.ScopeZone, IdempotencyWindow: 34 * time.Second},
@@ -51,10 +51,10 @@
 			ReportFields: []choice.ReportField{choice.Load, choice.Backlog, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency,
 				choice.Throughput, choice.ErrorRate, choice.OtherField},
 			Sizes: choice.LiveSize, DelaysObserved: true, OverQuotaPriority: 0.29, PriorityPerWork: true, RoundTrip: 45 * ms,
-			Limits: choice.Limits{MaxAttempts: 32, HealthChecks: true, Cancellation: true, MayTell: true, HedgedRequests: true, RetryAfter: true,
+			Limits: choice.Limits{MaxAttempts: 32, HealthChecks: true, Cancellation: true, PeerMessages: true, HedgedRequests: true, RetryAfter: true,
 				MaxRetryAfter: 31 * time.Second, ConnectTimeout: 300 * ms},
-			Rules: choice.Rules{AnswerSlack: 220 * ms, AskWithin: 23 * time.Second, DrainGrace: 28 * time.Second, ColdShare: 0.24,
-				WarmUp: 27 * time.Second, FallMultiple: 25, FallTime: 26 * time.Second},
+			Rules: choice.Rules{AnswerSlack: 220 * ms, MaxPollInterval: 23 * time.Second, DrainGrace: 28 * time.Second, SlowStartFraction: 0.24,
+				WarmUp: 27 * time.Second, OverloadMultiple: 25, OverloadTime: 26 * time.Second},
 			Costs: choice.Costs{HealthCheck: 0.5, Migration: 0.48, PeerMessage: 0.49, CrossZone: 0.46, LateFailure: 0.47, Waste: 0.51},
 		},
 		ClassByName:  map[string]int{"class-1": 0, "class-2": 1, "class-3": 2},
@@ -109,7 +109,7 @@
 			t.Errorf("idempotency %q is read as %d, want %d", word, got, want)
 		}
 	}
-	if decode(`"mode":"pass"`, `"mode":"proxy"`).PassThru || decode(`"membershipMode":"on_request"`, `"membershipMode":"push"`).Subscribe ||
+	if decode(`"mode":"pass"`, `"mode":"proxy"`).PacketPassThrough || decode(`"membershipMode":"on_request"`, `"membershipMode":"push"`).Subscribe ||
 		decode(`"worthBy":"work"`, `"worthBy":"request"`).PriorityPerWork {
 		t.Error("domain.mode proxy, membershipMode push or worthBy request is read as its opposite")
 	}
@@ -171,12 +171,12 @@
 		{`{"op":"TimeoutFired","token":"token-1"}`, choice.TimerFired{Token: "token-1"}},
 		{`{"op":"Registry","form":"total","members":[` + member("host-1", "live", `,"regionPart":"zone-2","shape":"kind-3","pod":4,"heft":5.5,"startedAtS":6.5`) +
 			`,` + member("host-7", "quiescing", "") + `,` + member("host-8", "dead", "") + `]}`,
-			choice.ServerList{Kind: choice.ListWhole, Servers: []choice.Server{
+			choice.ServerList{Kind: choice.ListFull, Servers: []choice.Server{
 				{ID: "host-1", Zone: "zone-2", Kind: "kind-3", Cell: 4, State: choice.Ready, Size: 5.5, Started: 6500 * time.Millisecond},
 				{ID: "host-7", State: choice.Draining, Size: 1}, {ID: "host-8", State: choice.Gone, Size: 1}}}},
 		{`{"op":"Registry","form":"incr"}`, choice.ServerList{Kind: choice.ListChange}},
 		{`{"op":"Registry","form":"warm_copy"}`, choice.ServerList{Kind: choice.ListCached}},
-		{`{"op":"Registry","form":"lost"}`, choice.ServerList{Kind: choice.ListLost}},
+		{`{"op":"Registry","form":"lost"}`, choice.ServerList{Kind: choice.ListUnavailable}},
 	} {
 		var e event
 		if err := json.Unmarshal([]byte(c.raw), &e); err != nil {
@@ -204,11 +204,11 @@
 		choice.Fail{ID: "op-5", Reason: choice.MayHaveRun},
 		choice.CancelAttempt{ID: "op-6", Attempt: 8},
 		choice.HealthCheck{Server: "host-9"},
-		choice.Move{ID: "op-10"},
+		choice.Migrate{ID: "op-10"},
 		choice.SetTimer{Token: "token-11", After: 125 * time.Millisecond, For: "op-2"},
 		choice.SetTimer{Token: "token-12"},
-		choice.Tell{To: 13, Data: []byte{0, 255, 16, 128}},
-		choice.Follow{},
+		choice.SendPeerMessage{To: 13, Data: []byte{0, 255, 16, 128}},
+		choice.WatchList{},
 	} {
 		out.Steps = append(out.Steps, toStep("node-1", a))
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -216,7 +216,7 @@
 func (s Settings) After(old Settings) Settings {
 	classes := slices.Clone(old.Classes)
 	for i := range classes {
-		classes[i].Former = true
+		classes[i].Removed = true
 	}
 	tenants := slices.Clone(old.Tenants)
 	for i, t := range tenants {
@@ -244,15 +244,15 @@
 func settings(in setup) (choice.Settings, map[string]int, map[string]int, error) {
 	inv, lim := in.Invariants, in.Limits
 	s := choice.Settings{
-		Nodes: in.GroupSize, Node: in.Index, Zone: in.AZ, Grouped: in.Domain.Groups, DelaysObserved: in.Domain.TellsDelay,
-		PassThru: in.Domain.Mode == "pass", Park: seconds(in.Domain.ParkS), Subscribe: in.Membership == "on_request",
+		Nodes: in.GroupSize, Node: in.Index, Zone: in.AZ, GroupAffinity: in.Domain.Groups, DelaysObserved: in.Domain.TellsDelay,
+		PacketPassThrough: in.Domain.Mode == "pass", Park: seconds(in.Domain.ParkS), Subscribe: in.Membership == "on_request",
 		OverQuotaPriority: in.OverShare, PriorityPerWork: in.WorthBy == "work", RoundTrip: seconds(in.RoundS),
-		Limits: choice.Limits{MaxAttempts: lim.SendCap, HealthChecks: lim.MayProbe, Cancellation: lim.MayCancel, MayTell: lim.MayTell,
+		Limits: choice.Limits{MaxAttempts: lim.SendCap, HealthChecks: lim.MayProbe, Cancellation: lim.MayCancel, PeerMessages: lim.MayTell,
 			HedgedRequests: lim.SecondCopies, RetryAfter: lim.RetryAfter, MaxRetryAfter: seconds(lim.MaxRetryAfterS),
 			ConnectTimeout: seconds(lim.ConnectTimeoutS)},
-		Rules: choice.Rules{AnswerSlack: seconds(inv.AnswerSlackS), AskWithin: seconds(inv.AskWithinS),
-			DrainGrace: seconds(inv.StopSendingWithinS), ColdShare: inv.ColdShare, WarmUp: seconds(inv.RampTimeS),
-			FallMultiple: inv.FallMultiple, FallTime: seconds(inv.FallS)},
+		Rules: choice.Rules{AnswerSlack: seconds(inv.AnswerSlackS), MaxPollInterval: seconds(inv.AskWithinS),
+			DrainGrace: seconds(inv.StopSendingWithinS), SlowStartFraction: inv.ColdShare, WarmUp: seconds(inv.RampTimeS),
+			OverloadMultiple: inv.FallMultiple, OverloadTime: seconds(inv.FallS)},
 		Costs: choice.Costs{HealthCheck: in.Tariffs.Probe, Migration: in.Tariffs.Moves, PeerMessage: in.Tariffs.Peer, CrossZone: in.Tariffs.CrossZone,
 			LateFailure: in.Tariffs.LateFail, Waste: in.Tariffs.Waste},
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -80,8 +80,8 @@
 	outcomes = map[string]choice.Outcome{"ok": choice.Served, "error": choice.Failed, "full": choice.Full,
 		"timeout": choice.TimedOut, "connect_failed": choice.ConnectFailed, "reset": choice.Reset,
 		"cancelled": choice.Cancelled, "moot": choice.NeverSent}
-	forms = map[string]choice.ListKind{"incr": choice.ListChange, "total": choice.ListWhole,
-		"warm_copy": choice.ListCached, "lost": choice.ListLost}
+	forms = map[string]choice.ListKind{"incr": choice.ListChange, "total": choice.ListFull,
+		"warm_copy": choice.ListCached, "lost": choice.ListUnavailable}
 	states = map[string]choice.ServerState{"live": choice.Ready, "quiescing": choice.Draining, "dead": choice.Gone}
 )
 
@@ -310,14 +310,14 @@
 		s.Op, s.OpID, s.Trial = "DropAttempt", string(a.ID), &a.Attempt
 	case choice.HealthCheck:
 		s.Op, s.Host = "Ping", string(a.Server)
-	case choice.Move:
+	case choice.Migrate:
 		s.Op, s.OpID = "Evict", string(a.ID)
 	case choice.SetTimer:
 		// an absent afterS is not allowed, so the shortest wait is a microsecond
 		s.Op, s.Token, s.AfterS = "Defer", a.Token, max(a.After.Seconds(), 1e-6)
-	case choice.Tell:
+	case choice.SendPeerMessage:
 		s.Op, s.Peer, s.Data = "Say", &a.To, a.Data
-	case choice.Follow:
+	case choice.WatchList:
 		s.Op, s.Active = "Follow", true
 	}
 	return s
