--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireEqual(t, "hosts", hosts, []edge.UpstreamHost{{Addr: "127.0.0.1:9101", Server: choice.Server{ID: "s-1", Zone: "zone-b", Kind: "m5", Cell: 3,
+	requireEqual(t, "hosts", hosts, []edge.ServerEntry{{Addr: "127.0.0.1:9101", Server: choice.Server{ID: "s-1", Zone: "zone-b", Kind: "m5", Cell: 3,
 		State: choice.Draining, Size: 1.25, Started: 1700000000123 * time.Millisecond}}})
 	if got.Known.Version != 12 || !got.Known.Full {
 		t.Errorf("the known list has version %d, full %v, wanted 12 and true", got.Known.Version, got.Known.Full)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -402,10 +402,10 @@
 
 // StaticHosts are the cluster's hosts as the core takes them. seen tells when a host first stood in the file; one
 // that comes in while the program runs counts as started then, unless the file says otherwise.
-func (c Cluster) StaticHosts(seen func(id string) time.Time) []edge.UpstreamHost {
-	var out []edge.UpstreamHost
+func (c Cluster) StaticHosts(seen func(id string) time.Time) []edge.ServerEntry {
+	var out []edge.ServerEntry
 	for _, h := range c.Hosts {
-		e := edge.UpstreamHost{Addr: h.Addr, Server: choice.Server{ID: choice.ServerID(h.ID), Zone: h.Zone, Kind: h.Kind, Size: h.Weight}}
+		e := edge.ServerEntry{Addr: h.Addr, Server: choice.Server{ID: choice.ServerID(h.ID), Zone: h.Zone, Kind: h.Kind, Size: h.Weight}}
 		if h.State == "draining" {
 			e.State = choice.Draining
 		}
--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -23,17 +23,17 @@
 	written  bool
 	ended    bool
 
-	Number int
-	Host   UpstreamHost
-	Until  time.Time // absolute: given up then
+	Number  int
+	Server  ServerEntry
+	Expires time.Time // absolute: given up then
 }
 
-// Standing says that the attempt is for a connection that was open at its host before the node started.
-func (a *Attempt) Standing() bool { return a.request.At != "" }
+// AlreadyOpen says that the attempt is for a connection that was open at its host before the node started.
+func (a *Attempt) AlreadyOpen() bool { return a.request.OpenAt != "" }
 
 // ConnectBy is when the attempt's connection must be up.
 func (a *Attempt) ConnectBy() time.Time {
-	by := a.Until
+	by := a.Expires
 	if t := a.request.core.o.Settings.Limits.ConnectTimeout; t > 0 {
 		by = earlier(by, a.started.Add(t))
 	}
@@ -49,7 +49,7 @@
 	now := a.request.core.o.Clock.Now()
 	switch {
 	case a.ended:
-	case !now.Before(a.Until):
+	case !now.Before(a.Expires):
 		a.giveUp(choice.TimedOut)
 	case !a.by.IsZero() && !now.Before(a.by):
 		a.giveUp(choice.Cancelled)
@@ -97,9 +97,9 @@
 		a.stop()
 	}
 	r.cancelTimers()
-	if r.At != "" {
+	if r.OpenAt != "" {
 		a.Number = 0
-		r.core.tell(choice.OpenConnection{Request: r.event(), Server: r.At})
+		r.core.tell(choice.OpenConnection{Request: r.event(), Server: r.OpenAt})
 	} else {
 		r.core.tell(choice.Established{ID: r.ID, Attempt: a.Number, Server: a.host.ID, Took: r.core.o.Clock.Now().Sub(a.started)})
 	}
@@ -114,9 +114,9 @@
 		return
 	}
 	r.committed = true
-	a.Until = r.Deadline
+	a.Expires = r.Deadline
 	a.stop()
-	a.stop = r.core.o.Clock.At(a.Until, func() { a.giveUp(choice.TimedOut) })
+	a.stop = r.core.o.Clock.At(a.Expires, func() { a.giveUp(choice.TimedOut) })
 }
 
 // Ended gives the attempt's one outcome. What is told after it, or after GiveUp, doesn't count.
@@ -138,7 +138,7 @@
 	final := r.over || r.open || r.committed || o == choice.Served
 	switch r.observeTry(a, o); {
 	case r.open:
-		r.observeEnd(ByHost)
+		r.observeEnd(ByServer)
 	case o == choice.Served && !r.over:
 		r.guard.Served(false, r.core.o.Clock.Now())
 		r.core.o.Trace.Served(string(r.ID), string(a.host.ID))
@@ -146,7 +146,7 @@
 		r.observe(Served)
 	}
 	// What the module knows under this id may be another request, of one that came from another process with it.
-	if (r.At == "" || r.open) && r.core.requests[r.ID] == r {
+	if (r.OpenAt == "" || r.open) && r.core.requests[r.ID] == r {
 		r.core.tell(choice.AttemptEnded{ID: r.ID, Attempt: a.Number, Server: a.host.ID, Outcome: o,
 			Took: r.core.o.Clock.Now().Sub(a.started), Final: final, Report: report})
 	}
@@ -154,16 +154,16 @@
 	case r.over || r.open || o == choice.Served:
 		r.over = true
 	case r.committed && o == choice.TimedOut:
-		r.answer(LocalReply{Refused: true, Why: Late, Reason: trace.PastDeadline})
+		r.answer(LocalReply{Rejected: true, Why: DeadlinePassed, Reason: trace.PastDeadline})
 	case r.committed:
-		r.answer(LocalReply{Refused: true, Why: HostLost, Reason: trace.HostLost})
-	case r.At != "":
+		r.answer(LocalReply{Rejected: true, Why: ServerLost, Reason: trace.HostLost})
+	case r.OpenAt != "":
 		// The host of a connection open before the run is no choice: only ever this one.
 		now := r.core.o.Clock.Now()
 		if now.Add(retryPinned).Before(r.Deadline) {
 			r.core.o.Clock.At(now.Add(retryPinned), r.sendPinned)
 		} else {
-			r.answer(LocalReply{Refused: true, Why: Unreachable, Reason: trace.Unreachable})
+			r.answer(LocalReply{Rejected: true, Why: Unreachable, Reason: trace.Unreachable})
 		}
 	}
 	r.settle()
@@ -186,16 +186,16 @@
 	a.Ended(o, nil)
 }
 
-// Load tells the connection's present load.
-func (a *Attempt) Load(x float64) {
+// UpdateLoad tells the connection's present load.
+func (a *Attempt) UpdateLoad(x float64) {
 	if !a.ended && a.request.open {
 		a.request.load = x
 		a.request.core.tell(choice.LoadUpdate{ID: a.request.ID, Attempt: a.Number, Load: x})
 	}
 }
 
-// Delay tells how long a message took on the connection, or has taken so far.
-func (a *Attempt) Delay(took time.Duration) {
+// ObserveDelay tells how long a message took on the connection, or has taken so far.
+func (a *Attempt) ObserveDelay(took time.Duration) {
 	r := a.request
 	c := r.core
 	if a.ended || !r.open || r.over {
@@ -210,12 +210,12 @@
 	}
 }
 
-// SilentAfter is how long a connection may return nothing to a message before its client is moved: its host is
+// UnresponsiveAfter is how long a connection may return nothing to a message before its client is moved: its host is
 // lost although the connection stands.
-func (a *Attempt) SilentAfter() time.Duration { return silentTime }
+func (a *Attempt) UnresponsiveAfter() time.Duration { return silentTime }
 
-// Silent moves the client of a connection that returns nothing.
-func (a *Attempt) Silent() {
+// Unresponsive moves the client of a connection that returns nothing.
+func (a *Attempt) Unresponsive() {
 	if !a.ended {
 		zap.L().Warn("host_silent_client_moved", zap.String("host", string(a.host.ID)))
 		a.request.move()
--- a/internal/edge/clock_test.go
+++ b/internal/edge/clock_test.go
@@ -22,7 +22,7 @@
 	}
 	w.core = core
 	core.Start(nil)
-	core.List(choice.ListFull, []UpstreamHost{{Server: choice.Server{ID: "old", Size: 1}}})
+	core.UpdateServers(choice.ListFull, []ServerEntry{{Server: choice.Server{ID: "old", Size: 1}}})
 	core.Flush()
 	return w, core
 }
@@ -39,11 +39,11 @@
 		starts := func(id choice.ServerID) {
 			begun := w.now.Add(-ahead) // by everybody else's clock
 			w.run(w.now.Add(time.Second))
-			core.List(choice.ListChange, []UpstreamHost{{Server: choice.Server{ID: id, Size: 1, Started: time.Duration(begun.UnixNano())}}})
+			core.UpdateServers(choice.ListChange, []ServerEntry{{Server: choice.Server{ID: id, Size: 1, Started: time.Duration(begun.UnixNano())}}})
 			core.Flush()
 		}
 		w.run(w.now.Add(20 * time.Second))
-		core.List(choice.ListChange, nil) // a watch that has ended without news
+		core.UpdateServers(choice.ListChange, nil) // a watch that has ended without news
 		starts("new")
 		if !cold("new") {
 			t.Errorf("%v ahead: a host that started a second ago counts as warm", ahead)
@@ -63,15 +63,15 @@
 func TestHostComesBack(t *testing.T) {
 	w, core := steppedCore(t, 0)
 	w.run(w.now.Add(20 * time.Second))
-	back := UpstreamHost{Server: choice.Server{ID: "back", Size: 1, Started: time.Duration(w.now.UnixNano())}}
+	back := ServerEntry{Server: choice.Server{ID: "back", Size: 1, Started: time.Duration(w.now.UnixNano())}}
 	w.run(w.now.Add(time.Second))
-	core.List(choice.ListChange, []UpstreamHost{back})
+	core.UpdateServers(choice.ListChange, []ServerEntry{back})
 	w.run(w.now.Add(2 * warmUp))
 	gone := back
 	gone.State = choice.Gone
-	core.List(choice.ListChange, []UpstreamHost{gone})
+	core.UpdateServers(choice.ListChange, []ServerEntry{gone})
 	w.run(w.now.Add(time.Second))
-	core.List(choice.ListChange, []UpstreamHost{back})
+	core.UpdateServers(choice.ListChange, []ServerEntry{back})
 	core.Flush()
 	if _, cold := core.balancer.SlowStartRate("back"); cold {
 		t.Error("it counts as cold")
@@ -82,9 +82,9 @@
 func TestAnotherList(t *testing.T) {
 	w, core := steppedCore(t, 0)
 	w.run(w.now.Add(time.Minute))
-	core.List(choice.ListChange, nil)
-	core.AnotherList()
-	core.List(choice.ListFull, []UpstreamHost{{Server: choice.Server{ID: "other", Size: 1, Started: time.Duration(w.now.Add(-30 * time.Second).UnixNano())}}})
+	core.UpdateServers(choice.ListChange, nil)
+	core.ListSourceChanged()
+	core.UpdateServers(choice.ListFull, []ServerEntry{{Server: choice.Server{ID: "other", Size: 1, Started: time.Duration(w.now.Add(-30 * time.Second).UnixNano())}}})
 	core.Flush()
 	if _, cold := core.balancer.SlowStartRate("other"); cold {
 		t.Error("it counts as cold")
@@ -100,7 +100,7 @@
 	cold := choice.Server{ID: "cold", Size: 1, Started: unix() - time.Second}
 	core := startAgain(t, w, cold)
 	w.run(w.now.Add(time.Second))
-	core.List(choice.ListChange, []UpstreamHost{{Server: choice.Server{ID: "new", Size: 1, Started: unix() - time.Second}}})
+	core.UpdateServers(choice.ListChange, []ServerEntry{{Server: choice.Server{ID: "new", Size: 1, Started: unix() - time.Second}}})
 	core.Flush()
 	for _, id := range []choice.ServerID{"cold", "new"} {
 		if _, is := core.balancer.SlowStartRate(id); !is {
@@ -123,7 +123,7 @@
 	}
 	w.core, w.timers = core, nil
 	core.Start(nil)
-	core.List(choice.ListFull, []UpstreamHost{{Server: first}})
+	core.UpdateServers(choice.ListFull, []ServerEntry{{Server: first}})
 	core.Flush()
 	return core
 }
--- a/internal/edge/crossing_test.go
+++ b/internal/edge/crossing_test.go
@@ -27,7 +27,7 @@
 }
 func (m *mute) GiveUp()                 {}
 func (m *mute) LocalReply(l LocalReply) { m.reply = &l }
-func (m *mute) Move(time.Time)          { m.w.t.Error("moved, and never up") }
+func (m *mute) Migrate(time.Time)       { m.w.t.Error("moved, and never up") }
 
 func muteWorld(t *testing.T, classes ...choice.Class) *world {
 	w := &world{t: t, now: time.Unix(1_800_000_000, 0), rng: rand.New(rand.NewPCG(1, 1))}
@@ -40,9 +40,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []UpstreamHost
+	var all []ServerEntry
 	for _, id := range []choice.ServerID{"a", "b", "c", "d"} {
-		all = append(all, UpstreamHost{Server: choice.Server{ID: id, Size: 1}})
+		all = append(all, ServerEntry{Server: choice.Server{ID: id, Size: 1}})
 	}
 	w.core.Start(all)
 	return w
@@ -71,10 +71,10 @@
 				w.core.Flush()
 				w.run(w.now)
 			}
-			if m.reply == nil || m.reply.Refused != want || w.core.Held() != 0 {
-				t.Errorf("%s, %s: answer %+v, %d held", classes[i].Name, end, m.reply, w.core.Held())
+			if m.reply == nil || m.reply.Rejected != want || w.core.InFlight() != 0 {
+				t.Errorf("%s, %s: answer %+v, %d held", classes[i].Name, end, m.reply, w.core.InFlight())
 			}
-			if end == "stop" && (m.reply.Why != ShuttingDown || (m.reply.After > 0) != want) {
+			if end == "stop" && (m.reply.Why != ShuttingDown || (m.reply.RetryAfter > 0) != want) {
 				t.Errorf("%s: answer %+v", classes[i].Name, m.reply)
 			}
 		}
@@ -97,8 +97,8 @@
 		w.core.Flush()
 		r.expired()
 		w.run(w.now)
-		if m.reply == nil || m.reply.Refused == written || w.core.Held() != 0 {
-			t.Errorf("written %v: answer %+v, %d held", written, m.reply, w.core.Held())
+		if m.reply == nil || m.reply.Rejected == written || w.core.InFlight() != 0 {
+			t.Errorf("written %v: answer %+v, %d held", written, m.reply, w.core.InFlight())
 		}
 	}
 }
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -45,21 +45,21 @@
 	c.finish(end, done)
 }
 
-// HandOver is Drain where another process already takes the clients: what this one has taken is placed as ever. Its
+// DrainToSuccessor is Drain where another process already takes the clients: what this one has taken is placed as ever. Its
 // connections go to the other process where they can; when that is over, MoveRest is called.
-func (c *Core) HandOver(done func()) {
+func (c *Core) DrainToSuccessor(done func()) {
 	end := c.o.Clock.Now().Add(c.drainTime())
 	c.leaveBy = end.Add(-killMargin / 5)
-	c.o.Clock.At(end.Add(-c.drainTime()/2), c.MoveRest)
+	c.o.Clock.At(end.Add(-c.drainTime()/2), c.MigrateRemaining)
 	c.finish(end, done)
 }
 
-// MovedAway counts the connections told to move since HandOver.
-func (c *Core) MovedAway() int { return c.moved }
+// Migrated counts the connections told to move since HandOver.
+func (c *Core) Migrated() int { return c.moved }
 
-// MoveRest has the connections that stand go from now on, evenly over all the time there is, since each client finds its
+// MigrateRemaining has the connections that stand go from now on, evenly over all the time there is, since each client finds its
 // node at once.
-func (c *Core) MoveRest() {
+func (c *Core) MigrateRemaining() {
 	if !c.moving {
 		c.moving = true
 		c.moveAll(c.leaveBy)
@@ -100,7 +100,7 @@
 		return
 	}
 	for _, r := range c.ordered() {
-		if a := r.attempt; a != nil && a.host == h && !a.begun && !r.open && r.At == "" {
+		if a := r.attempt; a != nil && a.host == h && !a.begun && !r.open && r.OpenAt == "" {
 			a.giveUp(choice.Cancelled)
 		}
 	}
@@ -130,7 +130,7 @@
 		}
 	}
 	for i, r := range open {
-		c.o.Clock.At(now.Add(c.o.Leave*time.Duration(i)/time.Duration(len(open))), r.move)
+		c.o.Clock.At(now.Add(c.o.DrainPeriod*time.Duration(i)/time.Duration(len(open))), r.move)
 	}
 }
 
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -29,9 +29,9 @@
 	Attempt(a *Attempt) UpstreamRequest
 	// LocalReply gives the client the final answer of a request that no host serves.
 	LocalReply(r LocalReply)
-	// Move asks the client of an open connection to come again, and ends its connection on both sides: between two of the
+	// Migrate asks the client of an open connection to come again, and ends its connection on both sides: between two of the
 	// host's lines where the one in hand ends by the given time, else then.
-	Move(by time.Time)
+	Migrate(by time.Time)
 }
 
 // UpstreamRequest is a front's side of one attempt.
@@ -43,7 +43,7 @@
 
 // HealthChecker is a front's way to ask a host for its load report by a time; done is called once.
 type HealthChecker interface {
-	CheckHealth(h UpstreamHost, by time.Time, done func(o choice.Outcome, report []float64))
+	CheckHealth(h ServerEntry, by time.Time, done func(o choice.Outcome, report []float64))
 }
 
 // Observer hears what passes through a core, at once and on its goroutine: it must neither wait nor call back.
@@ -51,18 +51,18 @@
 	Answered(a Answered)
 	Ended(seq uint64, life time.Duration, load float64, cause EndCause)
 	Report(h choice.ServerID, values []float64)
-	Host(h UpstreamHost) // new to the list, or changed
+	ServerChanged(h ServerEntry) // new to the list, or changed
 	Settings(s choice.Settings)
 }
 
 // Answered is a request with its one final answer.
 type Answered struct {
 	Spec
-	Seq     uint64 // of the core's requests
-	Arrived time.Time
-	Took    time.Duration
-	Answer  Answer
-	Tries   []Try // in order; the last one may be the connection that stands
+	Seq      uint64 // of the core's requests
+	Arrived  time.Time
+	Took     time.Duration
+	Answer   Answer
+	Attempts []AttemptResult // in order; the last one may be the connection that stands
 }
 
 // Answer is the final answer of a request.
@@ -71,9 +71,9 @@
 const (
 	Up Answer = iota
 	Served
-	Refused
+	Rejected
 	Failed
-	Left // the client left before any
+	ClientLeft // the client left before any
 )
 
 // EndCause says who ended an open connection.
@@ -81,55 +81,55 @@
 
 const (
 	ByClient EndCause = iota
-	ByHost
-	Moved
-	Carried // it goes on in another process
+	ByServer
+	Migrated
+	Transferred // it goes on in another process
 )
 
-// Try is an attempt with its outcome, as far as there is one.
-type Try struct {
-	Host    choice.ServerID
+// AttemptResult is an attempt with its outcome, as far as there is one.
+type AttemptResult struct {
+	Server  choice.ServerID
 	Outcome choice.Outcome
 	Took    time.Duration
 }
 
 // LocalReply is a final answer that the node gives by itself.
 type LocalReply struct {
-	Refused bool          // trying again does no harm; else the request failed
-	After   time.Duration // advice for when to come again; 0: none
-	Why     Why
-	Reason  trace.Reason // for logs and figures
+	Rejected   bool          // trying again does no harm; else the request failed
+	RetryAfter time.Duration // advice for when to come again; 0: none
+	Why        Why
+	Reason     trace.Reason // for logs and figures
 }
 
 // Why tells a front the reason of a local reply, for protocols that name it.
 type Why uint8
 
 const (
-	Busy         Why = iota // the module found no host that can take it
-	ShuttingDown            // this node goes away
-	Unreachable             // the host that the request is bound to can't be had
-	HostLost                // the host failed after its first bytes had reached the client
-	Late                    // the deadline came first
+	Busy           Why = iota // the module found no host that can take it
+	ShuttingDown              // this node goes away
+	Unreachable               // the host that the request is bound to can't be had
+	ServerLost                // the host failed after its first bytes had reached the client
+	DeadlinePassed            // the deadline came first
 )
 
-// UpstreamHost is one entry of the cluster.
-type UpstreamHost struct {
+// ServerEntry is one entry of the cluster.
+type ServerEntry struct {
 	choice.Server
 	Addr string
 }
 
 // Spec is what a front knows of a new request.
 type Spec struct {
-	ID       choice.RequestID
-	Class    int
-	Tenant   int
-	Key      uint64
-	Group    uint64
-	Load     float64
-	Returned bool
-	Deadline time.Time       // absolute: by then it has its final answer
-	Home     choice.ServerID // where what the request resumes lives, if anywhere
-	At       choice.ServerID // a connection that was open at this host before the node started; else empty
+	ID           choice.RequestID
+	Class        int
+	Tenant       int
+	Key          uint64
+	Group        uint64
+	Load         float64
+	Returned     bool
+	Deadline     time.Time       // absolute: by then it has its final answer
+	StickyServer choice.ServerID // where what the request resumes lives, if anywhere
+	OpenAt       choice.ServerID // a connection that was open at this host before the node started; else empty
 }
 
 // Options are the core's surroundings.
@@ -138,12 +138,12 @@
 	Settings      choice.Settings
 	Seed          uint64
 	HealthChecker HealthChecker
-	Follow        func() // asks discovery for changes from now on
-	// Tell sends a message to another node by its number; nil: there are no others to speak to.
-	Tell func(to int, message []byte)
-	// Leave is how long the clients of a draining host have to leave it; they are moved one by one over that time.
+	WatchList     func() // asks discovery for changes from now on
+	// SendPeerMessage sends a message to another node by its number; nil: there are no others to speak to.
+	SendPeerMessage func(to int, message []byte)
+	// DrainPeriod is how long the clients of a draining host have to leave it; they are moved one by one over that time.
 	// 0: hosts send their clients away themselves.
-	Leave time.Duration
+	DrainPeriod time.Duration
 	// Observer hears of all that passes through; nil: nobody does.
 	Observer Observer
 	// Figures are the process's, counted here for all fronts; nil: nobody asks for them.
@@ -206,8 +206,8 @@
 	return c, nil
 }
 
-// Adapt takes in new settings, of which Check has found no fault. Classes and tenants keep their indices.
-func (c *Core) Adapt(s choice.Settings) {
+// UpdateSettings takes in new settings, of which Check has found no fault. Classes and tenants keep their indices.
+func (c *Core) UpdateSettings(s choice.Settings) {
 	c.o.Settings = s
 	c.adapt()
 	if c.o.Observer != nil {
@@ -251,8 +251,8 @@
 }
 
 // Start hands the module the list that this node last held; the module's first actions follow.
-func (c *Core) Start(known []UpstreamHost) {
-	c.List(choice.ListCached, known)
+func (c *Core) Start(known []ServerEntry) {
+	c.UpdateServers(choice.ListCached, known)
 	c.Flush()
 }
 
@@ -267,9 +267,9 @@
 		}
 	case choice.Reject:
 		if r := c.requests[a.ID]; r != nil {
-			l := LocalReply{Refused: true, After: a.RetryAfter, Reason: trace.Reason(a.Reason.String())}
+			l := LocalReply{Rejected: true, RetryAfter: a.RetryAfter, Reason: trace.Reason(a.Reason.String())}
 			if r.committed {
-				l.Why = Late
+				l.Why = DeadlinePassed
 			}
 			r.conclude(l)
 		}
@@ -290,12 +290,12 @@
 	case choice.SetTimer:
 		c.setTimer(a, now)
 	case choice.SendPeerMessage:
-		if c.o.Tell != nil {
-			c.o.Tell(a.To, a.Data)
+		if c.o.SendPeerMessage != nil {
+			c.o.SendPeerMessage(a.To, a.Data)
 		}
 	case choice.WatchList:
-		if c.o.Follow != nil {
-			c.o.Follow()
+		if c.o.WatchList != nil {
+			c.o.WatchList()
 		}
 	}
 }
@@ -325,34 +325,34 @@
 		tell(choice.ConnectFailed, nil)
 		return
 	}
-	c.o.HealthChecker.CheckHealth(h.UpstreamHost, now.Add(probeTime), tell)
+	c.o.HealthChecker.CheckHealth(h.ServerEntry, now.Add(probeTime), tell)
 }
 
 // Classes are the settings' classes, by index.
 func (c *Core) Classes() []choice.Class { return c.o.Settings.Classes }
 
-// Plan has the module go by a plan of zones from now on.
-func (c *Core) Plan(p choice.ZonePlan) { c.tell(p) }
+// ApplyZonePlan has the module go by a plan of zones from now on.
+func (c *Core) ApplyZonePlan(p choice.ZonePlan) { c.tell(p) }
 
 // Observations is what the module saw of zones since the last call.
 func (c *Core) Observations() choice.Observations {
 	return c.balancer.Observations(c.clock(c.o.Clock.Now()))
 }
 
-// Heard takes a message of another node.
-func (c *Core) Heard(from int, message []byte) {
+// ReceivePeerMessage takes a message of another node.
+func (c *Core) ReceivePeerMessage(from int, message []byte) {
 	c.tell(choice.PeerMessage{From: from, Data: message})
 }
 
-// Unbelieved counts the messages of other nodes that the module dropped.
-func (c *Core) Unbelieved() int { return c.balancer.DroppedPeerMessages() }
+// DroppedPeerMessages counts the messages of other nodes that the module dropped.
+func (c *Core) DroppedPeerMessages() int { return c.balancer.DroppedPeerMessages() }
 
 // Gauges tells what the core holds now.
 func (c *Core) Gauges() Gauges {
-	g := Gauges{InFlight: len(c.requests), HostsExcluded: c.balancer.Excluded(c.clock(c.o.Clock.Now()))}
+	g := Gauges{InFlight: len(c.requests), ServersExcluded: c.balancer.Excluded(c.clock(c.o.Clock.Now()))}
 	for _, h := range c.hosts {
 		if h.State != choice.Gone {
-			g.HostsKnown++
+			g.ServersKnown++
 		}
 	}
 	return g
@@ -368,12 +368,12 @@
 // Draining reports whether the core turns new requests away.
 func (c *Core) Draining() bool { return c.draining }
 
-// Spared counts the attempts whose connection came up when their client, their time or their host was gone: of these
+// AttemptsNeverSent counts the attempts whose connection came up when their client, their time or their host was gone: of these
 // nothing was written.
-func (c *Core) Spared() int { return c.spared }
+func (c *Core) AttemptsNeverSent() int { return c.spared }
 
-// Held counts the requests and connections that the core holds.
-func (c *Core) Held() int { return len(c.requests) }
+// InFlight counts the requests and connections that the core holds.
+func (c *Core) InFlight() int { return len(c.requests) }
 
 func (c *Core) String() string {
 	return fmt.Sprintf("%d hosts, %d requests", len(c.hosts), len(c.requests))
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -68,7 +68,7 @@
 	w.now = until
 }
 
-func (w *world) CheckHealth(h UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
+func (w *world) CheckHealth(h ServerEntry, by time.Time, done func(choice.Outcome, []float64)) {
 	in := time.Duration(w.rng.IntN(200)) * time.Millisecond
 	w.At(w.now.Add(in), func() { done(choice.Served, []float64{w.rng.Float64() * 0.6}) })
 }
@@ -110,9 +110,9 @@
 		w.t.Errorf("attempt %d of %s", c.attempts, c.r.ID)
 	case c.answers > 0 || c.gone:
 		w.t.Errorf("an attempt of %s after its end", c.r.ID)
-	case a.Until.After(c.deadline):
+	case a.Expires.After(c.deadline):
 		w.t.Errorf("an attempt of %s is out past its deadline", c.r.ID)
-	case w.state[a.Host.ID] != choice.Ready && w.now.Sub(w.since[a.Host.ID]) > 3*time.Second:
+	case w.state[a.Server.ID] != choice.Ready && w.now.Sub(w.since[a.Server.ID]) > 3*time.Second:
 		w.t.Errorf("an attempt of %s at a draining host", c.r.ID)
 	}
 	y := &try{c: c, a: a}
@@ -173,8 +173,8 @@
 
 func (c *client) LocalReply(l LocalReply) {
 	c.over = true
-	if l.Refused {
-		c.w.want[c.r.Class].Refused++
+	if l.Rejected {
+		c.w.want[c.r.Class].Rejected++
 	} else {
 		c.w.want[c.r.Class].Failed++
 	}
@@ -186,7 +186,7 @@
 	}
 }
 
-func (c *client) Move(time.Time) {
+func (c *client) Migrate(time.Time) {
 	if !c.open || c.moved {
 		c.w.t.Errorf("%s: moved twice, or not open", c.r.ID)
 	}
@@ -225,12 +225,12 @@
 		}
 		var err error
 		figures := &counted{classes: map[string]*Counts{}}
-		if w.core, err = New(Options{Clock: w, Figures: figures, Settings: s, Seed: seed, HealthChecker: w, Leave: time.Duration(seed%3) * time.Second}); err != nil {
+		if w.core, err = New(Options{Clock: w, Figures: figures, Settings: s, Seed: seed, HealthChecker: w, DrainPeriod: time.Duration(seed%3) * time.Second}); err != nil {
 			t.Fatal(err)
 		}
-		var hosts []UpstreamHost
+		var hosts []ServerEntry
 		for i := range 6 {
-			hosts = append(hosts, UpstreamHost{Server: choice.Server{ID: choice.ServerID(fmt.Sprint("s", i)), Size: 1}})
+			hosts = append(hosts, ServerEntry{Server: choice.Server{ID: choice.ServerID(fmt.Sprint("s", i)), Size: 1}})
 		}
 		w.core.Start(hosts)
 		begin := w.now
@@ -262,7 +262,7 @@
 				if w.state[h.ID] == choice.Ready {
 					w.state[h.ID], w.since[h.ID] = h.State, w.now
 				}
-				w.core.List(choice.ListChange, []UpstreamHost{h})
+				w.core.UpdateServers(choice.ListChange, []ServerEntry{h})
 			})
 		}
 		for at := begin; at.Before(begin.Add(21 * time.Second)); at = at.Add(700 * time.Millisecond) {
@@ -273,7 +273,7 @@
 					flying++
 				}
 			}
-			if g := w.core.Gauges(); g.InFlight != flying || g.HostsKnown != len(hosts) {
+			if g := w.core.Gauges(); g.InFlight != flying || g.ServersKnown != len(hosts) {
 				t.Errorf("seed %d: gauges %+v, want %d in flight", seed, g, flying)
 			}
 		}
@@ -281,8 +281,8 @@
 		left := false
 		w.core.Drain(func() { left = true })
 		w.run(w.now.Add(mostDeadline + killedAfter))
-		if !left || w.core.Held() > 0 {
-			t.Errorf("seed %d: left %v, %d requests held after the planned stop", seed, left, w.core.Held())
+		if !left || w.core.InFlight() > 0 {
+			t.Errorf("seed %d: left %v, %d requests held after the planned stop", seed, left, w.core.InFlight())
 		}
 		for i, name := range []string{"c", "u"} {
 			if got := *figures.Class(name); got != w.want[i] {
@@ -300,7 +300,7 @@
 		if len(all) != 300 {
 			t.Fatal("not all requests came")
 		}
-		w.core.List(choice.ListFull, hosts[5:])
+		w.core.UpdateServers(choice.ListFull, hosts[5:])
 		if len(w.core.hosts) != 1 {
 			t.Errorf("seed %d: %d hosts are kept of a list of one", seed, len(w.core.hosts))
 		}
@@ -327,11 +327,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.core.Start([]UpstreamHost{{Server: choice.Server{ID: "s", Size: 1}}})
+		w.core.Start([]ServerEntry{{Server: choice.Server{ID: "s", Size: 1}}})
 		var all []*stayer
 		for i := range 20 {
 			s := &stayer{w: w}
-			w.core.Open(Spec{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1, At: "s", Deadline: w.now.Add(c.patience)}, s)
+			w.core.Open(Spec{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1, OpenAt: "s", Deadline: w.now.Add(c.patience)}, s)
 			all = append(all, s)
 		}
 		w.run(begin.Add(time.Second / 4))
@@ -360,4 +360,4 @@
 }
 func (s *stayer) GiveUp()               {}
 func (s *stayer) LocalReply(LocalReply) {}
-func (s *stayer) Move(by time.Time)     { s.moved, s.by = s.w.now, by }
+func (s *stayer) Migrate(by time.Time)  { s.moved, s.by = s.w.now, by }
--- a/internal/edge/figures.go
+++ b/internal/edge/figures.go
@@ -1,14 +1,14 @@
 package edge
 
 // Counts are the final answers of one class's requests.
-type Counts struct{ Served, Refused, Failed uint64 }
+type Counts struct{ Served, Rejected, Failed uint64 }
 
 // Gauges are what a core holds now.
-type Gauges struct{ InFlight, HostsKnown, HostsExcluded int }
+type Gauges struct{ InFlight, ServersKnown, ServersExcluded int }
 
 // Add sums the gauges of several cores.
 func (g *Gauges) Add(o Gauges) {
-	g.InFlight, g.HostsKnown, g.HostsExcluded = g.InFlight+o.InFlight, g.HostsKnown+o.HostsKnown, g.HostsExcluded+o.HostsExcluded
+	g.InFlight, g.ServersKnown, g.ServersExcluded = g.InFlight+o.InFlight, g.ServersKnown+o.ServersKnown, g.ServersExcluded+o.ServersExcluded
 }
 
 // Figures holds the counters of a process, which all its cores raise.
--- a/internal/edge/golden_test.go
+++ b/internal/edge/golden_test.go
@@ -18,12 +18,12 @@
 
 // TestGoldenStanding holds the bytes by which one process tells another of an open connection, each field with a value of its own.
 func TestGoldenStanding(t *testing.T) {
-	want := Standing{
+	want := ConnectionState{
 		ID: "request-1",
 		Class: choice.Class{Name: "class-2", Removed: true, SetupObjective: 3 * time.Second, Deadline: 4 * time.Second, MessageObjective: 5 * time.Second,
 			Priority: 6.5, Idempotency: choice.IdempotentByKey, IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 7 * time.Second},
-		Tenant: "tenant-8", Key: 9, Group: 10, Usual: 11.5, Now: 12.5, Returned: true,
-		Host: choice.Server{ID: "host-13", Zone: "zone-14", Kind: "kind-15", Cell: 16, State: choice.Draining, Size: 17.5, Started: 18 * time.Second,
+		Tenant: "tenant-8", Key: 9, Group: 10, UsualLoad: 11.5, CurrentLoad: 12.5, Returned: true,
+		Server: choice.Server{ID: "host-13", Zone: "zone-14", Kind: "kind-15", Cell: 16, State: choice.Draining, Size: 17.5, Started: 18 * time.Second,
 			SlowStartSince: 19 * time.Second},
 		Addr: "127.0.0.1:20",
 	}
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got Standing
+	var got ConnectionState
 	if err := cbor.Unmarshal(raw, &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("it is read as\n%+v (error %v), want\n%+v", got, err, want)
 	}
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -13,7 +13,7 @@
 // watch has the guard follow a new request.
 func (r *Request) watch() {
 	r.guard = r.core.o.Monitor.NewRequest(invariant.Facts{ID: string(r.ID), Class: r.class, Deadline: r.Deadline,
-		Attempts: max(1, r.core.o.Settings.Limits.MaxAttempts), Standing: r.At != ""})
+		Attempts: max(1, r.core.o.Settings.Limits.MaxAttempts), Standing: r.OpenAt != ""})
 }
 
 // noteState notes since when a host is known to leave.
--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	w.core = core
-	core.Start([]UpstreamHost{{Server: choice.Server{ID: "h", Size: 1}}, {Server: choice.Server{ID: "leaving", Size: 1, State: choice.Draining}}})
+	core.Start([]ServerEntry{{Server: choice.Server{ID: "h", Size: 1}}, {Server: choice.Server{ID: "leaving", Size: 1, State: choice.Draining}}})
 	return w, broken
 }
 
@@ -69,9 +69,9 @@
 	if a.tried {
 		t.Error("the host is tried again")
 	}
-	r.answer(LocalReply{Refused: true})
+	r.answer(LocalReply{Rejected: true})
 	last(t, *broken, invariant.UnsafeRefusal)
-	if a.reply == nil || a.reply.Refused {
+	if a.reply == nil || a.reply.Rejected {
 		t.Errorf("the client got %+v: a failure is wanted", a.reply)
 	}
 }
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -8,23 +8,23 @@
 
 // Lease is under which policy a core takes requests, and for how long without further word.
 type Lease struct {
-	Number uint64
-	Known  bool      // else nothing is taken but by the ground policy
-	Until  time.Time // a request that comes later is not taken under Number
-	// Lapse has the settings be those of the ground policy. It is called once, before the first request that comes after Until.
-	Lapse  func()
-	Ground func(class int) bool // it is served by the ground policy meanwhile; nil: none is
-	// ComeAgain is advice for what is not taken, 0: none. It is spread by half.
-	ComeAgain time.Duration
-	// Told hears of each request that is asked for: how is "lease", "ground", or "none" where it is not taken. nil: nobody hears.
-	Told func(id choice.RequestID, number uint64, how string)
+	Number  uint64
+	Known   bool      // else nothing is taken but by the ground policy
+	Expires time.Time // a request that comes later is not taken under Number
+	// OnExpiry has the settings be those of the ground policy. It is called once, before the first request that comes after Until.
+	OnExpiry   func()
+	BasePolicy func(class int) bool // it is served by the ground policy meanwhile; nil: none is
+	// RetryAfter is advice for what is not taken, 0: none. It is spread by half.
+	RetryAfter time.Duration
+	// OnDecision hears of each request that is asked for: how is "lease", "ground", or "none" where it is not taken. nil: nobody hears.
+	OnDecision func(id choice.RequestID, number uint64, how string)
 
 	lapsed bool
 }
 
-// Serve has the core take requests by a lease. What was taken before goes on as it came.
-func (c *Core) Serve(s Lease) {
-	if c.lease != nil && c.lease.lapsed && !c.o.Clock.Now().Before(s.Until) {
+// UseLease has the core take requests by a lease. What was taken before goes on as it came.
+func (c *Core) UseLease(s Lease) {
+	if c.lease != nil && c.lease.lapsed && !c.o.Clock.Now().Before(s.Expires) {
 		s.lapsed = true // it lapsed before, and is so still
 	}
 	c.lease = &s
@@ -33,28 +33,28 @@
 // takes decides by the clock as it is now: a process that was stopped finds its clients' lines before it hears of anything else.
 func (c *Core) takes(r *Request) (after time.Duration, ok bool) {
 	s := c.lease
-	if s == nil || r.At != "" {
+	if s == nil || r.OpenAt != "" {
 		return 0, true
 	}
 	now := c.o.Clock.Now()
 	how := "lease"
-	if !s.Known || !now.Before(s.Until) {
+	if !s.Known || !now.Before(s.Expires) {
 		if how = "none"; !s.lapsed {
 			s.lapsed = true
-			if s.Lapse != nil {
-				s.Lapse()
+			if s.OnExpiry != nil {
+				s.OnExpiry()
 			}
 		}
-		if s.Ground != nil && s.Ground(r.Class) {
+		if s.BasePolicy != nil && s.BasePolicy(r.Class) {
 			how = "ground"
 		}
 	}
-	if s.Told != nil {
-		s.Told(r.ID, s.Number, how)
+	if s.OnDecision != nil {
+		s.OnDecision(r.ID, s.Number, how)
 	}
 	if how == "none" {
-		if s.ComeAgain > 0 { // spread by the request, so that those who come at once don't come back at once
-			after = s.ComeAgain/2 + time.Duration(c.seq*2654435761%1000)*s.ComeAgain/1000
+		if s.RetryAfter > 0 { // spread by the request, so that those who come at once don't come back at once
+			after = s.RetryAfter/2 + time.Duration(c.seq*2654435761%1000)*s.RetryAfter/1000
 		}
 		return after, false
 	}
@@ -65,11 +65,11 @@
 	return 0, true
 }
 
-// Asked counts the requests that were answered, and those of them that were refused or failed.
-func (c *Core) Asked() (arrived, away float64) {
+// AnswerCounts counts the requests that were answered, and those of them that were refused or failed.
+func (c *Core) AnswerCounts() (arrived, away float64) {
 	for _, k := range c.counts {
-		away += float64(k.Refused + k.Failed)
-		arrived += float64(k.Served + k.Refused + k.Failed)
+		away += float64(k.Rejected + k.Failed)
+		arrived += float64(k.Served + k.Rejected + k.Failed)
 	}
 	return arrived, away
 }
--- a/internal/edge/list.go
+++ b/internal/edge/list.go
@@ -10,7 +10,7 @@
 )
 
 type host struct {
-	UpstreamHost
+	ServerEntry
 	network time.Duration // least time seen to connect: what a message takes on the way
 	noted   time.Time     // when the module was last told of slow messages here
 	slow    bool
@@ -19,8 +19,8 @@
 	calls   *invariant.CallWindow // what this node sent it since its start
 }
 
-// List takes in news of the cluster.
-func (c *Core) List(kind choice.ListKind, hosts []UpstreamHost) {
+// UpdateServers takes in news of the cluster.
+func (c *Core) UpdateServers(kind choice.ListKind, hosts []ServerEntry) {
 	l := choice.ServerList{Kind: kind}
 	var leaving []*host
 	heard, corrected := c.clock(c.o.Clock.Now()), false
@@ -31,18 +31,18 @@
 		h.SlowStartSince = c.starts.reckon(h.Started)
 		l.Servers = append(l.Servers, h.Server)
 		if k := c.hosts[h.ID]; c.o.Observer != nil && (k == nil || k.State != h.State || k.Started != h.Started) {
-			c.o.Observer.Host(h)
+			c.o.Observer.ServerChanged(h)
 		}
 		k := c.hosts[h.ID]
 		if k == nil {
-			k = &host{UpstreamHost: h}
+			k = &host{ServerEntry: h}
 			c.hosts[h.ID] = k
 		} else {
 			if k.Started != h.Started {
 				k.slow, k.network, k.calls = false, 0, nil
 			}
 			left := k.State == choice.Ready && h.State != choice.Ready
-			k.UpstreamHost = h
+			k.ServerEntry = h
 			if left {
 				leaving = append(leaving, k)
 			}
@@ -60,7 +60,7 @@
 				h.State = choice.Gone
 				h.noteState(c.o.Clock.Now())
 				if c.o.Observer != nil {
-					c.o.Observer.Host(h.UpstreamHost)
+					c.o.Observer.ServerChanged(h.ServerEntry)
 				}
 				if ready {
 					leaving = append(leaving, h)
@@ -82,19 +82,19 @@
 	c.tell(l) // first: what is called off goes to none of them
 	for _, h := range leaving {
 		c.callOff(h)
-		if c.o.Leave > 0 {
+		if c.o.DrainPeriod > 0 {
 			c.leave(h)
 		}
 	}
 }
 
-// AnotherList says that the next list is another discovery's, whose hosts may have started at any time.
-func (c *Core) AnotherList() { c.starts.another() }
+// ListSourceChanged says that the next list is another discovery's, whose hosts may have started at any time.
+func (c *Core) ListSourceChanged() { c.starts.another() }
 
 // reckonAgain has the starts of all hosts but those of a change be reckoned by a clock that was corrected, and gives those hosts.
-func (c *Core) reckonAgain(change []UpstreamHost) (all []choice.Server) {
+func (c *Core) reckonAgain(change []ServerEntry) (all []choice.Server) {
 	for _, h := range c.hosts {
-		if slices.ContainsFunc(change, func(o UpstreamHost) bool { return o.ID == h.ID }) || h.Started <= 0 {
+		if slices.ContainsFunc(change, func(o ServerEntry) bool { return o.ID == h.ID }) || h.Started <= 0 {
 			continue
 		}
 		h.SlowStartSince = c.starts.reckon(h.Started)
@@ -104,26 +104,26 @@
 	return all
 }
 
-// Listed are the hosts that are not gone, by id.
-func (c *Core) Listed() []UpstreamHost {
-	var all []UpstreamHost
+// Servers are the hosts that are not gone, by id.
+func (c *Core) Servers() []ServerEntry {
+	var all []ServerEntry
 	for _, h := range c.hosts {
 		if h.State != choice.Gone {
-			all = append(all, h.UpstreamHost)
+			all = append(all, h.ServerEntry)
 		}
 	}
-	slices.SortFunc(all, func(a, b UpstreamHost) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b ServerEntry) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// Serving reports whether a host takes new requests, as the process that started then.
-func (c *Core) Serving(id choice.ServerID, started time.Duration) bool {
+// AcceptsNew reports whether a host takes new requests, as the process that started then.
+func (c *Core) AcceptsNew(id choice.ServerID, started time.Duration) bool {
 	h := c.hosts[id]
 	return h != nil && h.State == choice.Ready && h.Started == started
 }
 
-// On counts the requests and connections that the core has at a host.
-func (c *Core) On(id choice.ServerID) int {
+// InFlightOn counts the requests and connections that the core has at a host.
+func (c *Core) InFlightOn(id choice.ServerID) int {
 	if h := c.hosts[id]; h != nil {
 		return h.held
 	}
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -36,7 +36,7 @@
 	arrived  time.Time
 	stood    time.Time
 	load     float64
-	tries    []Try
+	tries    []AttemptResult
 	answered bool
 }
 
@@ -60,7 +60,7 @@
 		return
 	}
 	r.answered = true
-	o.Answered(Answered{Spec: r.Spec, Seq: r.seq, Arrived: r.arrived, Took: r.core.o.Clock.Now().Sub(r.arrived), Answer: a, Tries: r.tries})
+	o.Answered(Answered{Spec: r.Spec, Seq: r.seq, Arrived: r.arrived, Took: r.core.o.Clock.Now().Sub(r.arrived), Answer: a, Attempts: r.tries})
 }
 
 // observeEnd tells that the connection that stood has ended.
@@ -73,20 +73,20 @@
 
 func (r *Request) observeTry(a *Attempt, o choice.Outcome) {
 	if r.core.o.Observer != nil && !r.answered {
-		r.tries = append(r.tries, Try{a.host.ID, o, r.core.o.Clock.Now().Sub(a.started)})
+		r.tries = append(r.tries, AttemptResult{a.host.ID, o, r.core.o.Clock.Now().Sub(a.started)})
 	}
 }
 
 // count is the counter of the request's class.
 func (r *Request) count() *Counts { return r.core.counts[r.Class] }
 
-// Refuse refuses a request that the node has no room to take: the client hears of it like Open's.
-func (c *Core) Refuse(s Spec, client Client, after time.Duration) {
+// Reject refuses a request that the node has no room to take: the client hears of it like Open's.
+func (c *Core) Reject(s Spec, client Client, after time.Duration) {
 	r := &Request{Spec: s, core: c, client: client, arrived: c.o.Clock.Now(), class: c.o.Settings.Classes[s.Class]}
 	c.seq++
 	r.seq = c.seq
 	r.watch()
-	r.answer(LocalReply{Refused: true, After: after, Reason: trace.NoDescriptor})
+	r.answer(LocalReply{Rejected: true, RetryAfter: after, Reason: trace.NoDescriptor})
 }
 
 // Open takes a new request. The client hears of it through c's methods, at the earliest when this has returned.
@@ -106,7 +106,7 @@
 	}
 	if after, ok := c.takes(r); !ok {
 		c.requests[s.ID] = r
-		c.o.Clock.At(c.o.Clock.Now(), func() { r.answer(LocalReply{Refused: true, After: after, Reason: trace.NoPolicy}) })
+		c.o.Clock.At(c.o.Clock.Now(), func() { r.answer(LocalReply{Rejected: true, RetryAfter: after, Reason: trace.NoPolicy}) })
 		return r
 	}
 	s = r.Spec
@@ -114,7 +114,7 @@
 	c.o.Trace.Read(string(s.ID), r.class.Name, s.Deadline.Sub(r.arrived))
 	// The module owns the deadline; this guards against a request that it has lost.
 	r.stop = c.o.Clock.At(s.Deadline, r.expired)
-	if s.At != "" {
+	if s.OpenAt != "" {
 		c.o.Clock.At(c.o.Clock.Now(), r.sendPinned)
 		return r
 	}
@@ -124,7 +124,7 @@
 
 func (r *Request) event() choice.Request {
 	return choice.Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group, Load: r.Load,
-		Returned: r.Returned, StickyServer: r.Home, TimeLeft: r.Deadline.Sub(r.core.o.Clock.Now())}
+		Returned: r.Returned, StickyServer: r.StickyServer, TimeLeft: r.Deadline.Sub(r.core.o.Clock.Now())}
 }
 
 func (r *Request) expired() {
@@ -132,11 +132,11 @@
 		return
 	}
 	zap.L().Error("deadline_unanswered", zap.String("request", string(r.ID)))
-	r.refuse(LocalReply{Refused: true, Reason: trace.PastDeadline})
+	r.refuse(LocalReply{Rejected: true, Reason: trace.PastDeadline})
 	r.core.o.Clock.At(r.core.o.Clock.Now(), func() {
 		if !r.over && !r.open { // the module doesn't know it: what was sent may have run
 			r.core.tell(choice.ClientGone{ID: r.ID})
-			r.cut(LocalReply{Refused: r.attempts == 0, Reason: trace.LostByModule})
+			r.cut(LocalReply{Rejected: r.attempts == 0, Reason: trace.LostByModule})
 		}
 	})
 }
@@ -146,7 +146,7 @@
 func (r *Request) refuse(l LocalReply) {
 	switch {
 	case r.over || r.open:
-	case r.At != "" || r.core.requests[r.ID] != r: // none of the module's
+	case r.OpenAt != "" || r.core.requests[r.ID] != r: // none of the module's
 		r.cut(l)
 	default:
 		r.parting = &l
@@ -160,8 +160,8 @@
 		r.answer(l)
 		return
 	}
-	if r.parting.Refused = l.Refused; !l.Refused {
-		r.parting.After = 0
+	if r.parting.Rejected = l.Rejected; !l.Rejected {
+		r.parting.RetryAfter = 0
 	}
 	r.cut(*r.parting)
 }
@@ -176,12 +176,12 @@
 
 func (r *Request) sendPinned() {
 	if !r.over {
-		r.send(r.At, r.Deadline, 0)
+		r.send(r.OpenAt, r.Deadline, 0)
 	}
 }
 
 func (r *Request) send(id choice.ServerID, until time.Time, by time.Duration) {
-	a := &Attempt{request: r, Number: r.attempts, Until: until, started: r.core.o.Clock.Now()}
+	a := &Attempt{request: r, Number: r.attempts, Expires: until, started: r.core.o.Clock.Now()}
 	if by > 0 {
 		a.by = r.core.start.Add(by - r.core.epoch)
 	}
@@ -190,11 +190,11 @@
 	c := r.core
 	h := c.hosts[id]
 	if h == nil {
-		a.host = &host{UpstreamHost: UpstreamHost{Server: choice.Server{ID: id}}, held: 1}
+		a.host = &host{ServerEntry: ServerEntry{Server: choice.Server{ID: id}}, held: 1}
 		a.Ended(choice.ConnectFailed, nil)
 		return
 	}
-	a.host, a.Host = h, h.UpstreamHost
+	a.host, a.Server = h, h.ServerEntry
 	h.held++
 	if a.guarded = r.guard.Start(c.facts(h), a.started) == invariant.Kept; !a.guarded {
 		a.Ended(choice.NeverSent, nil)
@@ -216,13 +216,13 @@
 		return
 	}
 	r.over = true
-	if r.guard.Answer(l.Refused, r.core.o.Clock.Now()) == invariant.UnsafeRefusal {
-		l.Refused, l.After, l.Reason = false, 0, trace.UnsafeToRefuse
+	if r.guard.Answer(l.Rejected, r.core.o.Clock.Now()) == invariant.UnsafeRefusal {
+		l.Rejected, l.RetryAfter, l.Reason = false, 0, trace.UnsafeToRefuse
 	}
-	r.core.o.Trace.Answered(string(r.ID), l.Refused, l.Reason)
-	if l.Refused {
-		r.count().Refused++
-		r.observe(Refused)
+	r.core.o.Trace.Answered(string(r.ID), l.Rejected, l.Reason)
+	if l.Rejected {
+		r.count().Rejected++
+		r.observe(Rejected)
 	} else {
 		r.count().Failed++
 		r.observe(Failed)
@@ -271,7 +271,7 @@
 	if r.open {
 		r.observeEnd(ByClient)
 	} else {
-		r.observe(Left)
+		r.observe(ClientLeft)
 	}
 	// A second request under the id of another is not the module's, and must not end the first one there.
 	if !r.open && r.core.requests[r.ID] == r && !r.core.withdraw(r.ID) {
@@ -292,27 +292,27 @@
 	if !r.core.leaveBy.IsZero() {
 		r.core.moved++
 	}
-	r.observeEnd(Moved)
+	r.observeEnd(Migrated)
 	by := r.core.o.Clock.Now().Add(moveEnds)
 	if end := r.core.end; !end.IsZero() { // a host that stopped amid a line must not have its client held past the stop
 		by = earlier(by, end)
 	}
-	r.client.Move(by)
+	r.client.Migrate(by)
 	r.attempt.Ended(choice.Cancelled, nil)
 	r.settle()
 }
 
-// MayTurn reports whether a request that has no answer yet may go to another host with one more attempt.
-func (r *Request) MayTurn(home choice.ServerID) bool {
+// MayRedirect reports whether a request that has no answer yet may go to another host with one more attempt.
+func (r *Request) MayRedirect(home choice.ServerID) bool {
 	h := r.core.hosts[home]
-	return !r.over && !r.open && r.At == "" && r.attempt != nil && r.attempts < r.core.o.Settings.Limits.MaxAttempts &&
+	return !r.over && !r.open && r.OpenAt == "" && r.attempt != nil && r.attempts < r.core.o.Settings.Limits.MaxAttempts &&
 		h != nil && h.State == choice.Ready
 }
 
-// Turn calls the attempt in hand off and tells the module where what the request resumes lives. The front answers for it
+// RedirectTo calls the attempt in hand off and tells the module where what the request resumes lives. The front answers for it
 // that nothing the client has seen of the first host binds it to that one.
-func (r *Request) Turn(home choice.ServerID) {
-	r.Home, r.committed = home, false
+func (r *Request) RedirectTo(home choice.ServerID) {
+	r.StickyServer, r.committed = home, false
 	r.core.tell(choice.StickyServerFound{ID: r.ID, Server: home})
 	r.attempt.giveUp(choice.Cancelled)
 }
@@ -328,9 +328,9 @@
 }
 
 func (c *Core) leaving() LocalReply {
-	l := LocalReply{Refused: true, Why: ShuttingDown, Reason: trace.Stopping}
+	l := LocalReply{Rejected: true, Why: ShuttingDown, Reason: trace.Stopping}
 	if c.o.Settings.Limits.RetryAfter {
-		l.After = min(leaveAdvice, c.o.Settings.Limits.MaxRetryAfter)
+		l.RetryAfter = min(leaveAdvice, c.o.Settings.Limits.MaxRetryAfter)
 	}
 	return l
 }
--- a/internal/edge/timers_test.go
+++ b/internal/edge/timers_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	w.core = core
-	core.Start([]UpstreamHost{{Server: choice.Server{ID: "h", Size: 1}}})
+	core.Start([]ServerEntry{{Server: choice.Server{ID: "h", Size: 1}}})
 	return w, core
 }
 
@@ -69,7 +69,7 @@
 	a := &asker{}
 	core.Open(Spec{ID: "q", Tenant: -1, Deadline: core.o.Clock.Now().Add(time.Second)}, a).Gone()
 	core.Flush()
-	if a.tried || core.Held() > 0 || lines.Len() > 0 {
-		t.Errorf("tried %v, held %d, logged %v", a.tried, core.Held(), lines.All())
+	if a.tried || core.InFlight() > 0 || lines.Len() > 0 {
+		t.Errorf("tried %v, held %d, logged %v", a.tried, core.InFlight(), lines.All())
 	}
 }
--- a/internal/lab/explore/client.go
+++ b/internal/lab/explore/client.go
@@ -145,15 +145,15 @@
 
 // LocalReply and the rest make a client the core's.
 func (c *client) LocalReply(r edge.LocalReply) {
-	if r.Refused {
+	if r.Rejected {
 		c.answer("refused", nil)
 	} else {
 		c.answer("failed", nil)
 	}
-	c.later(r.After)
+	c.later(r.RetryAfter)
 }
 
-func (c *client) Move(time.Time) {
+func (c *client) Migrate(time.Time) {
 	if c.on != nil {
 		delete(c.on.host.held, c.on)
 	}
@@ -163,7 +163,7 @@
 // Attempt tries a host for the client.
 func (c *client) Attempt(a *edge.Attempt) edge.UpstreamRequest {
 	w, n := c.w, c.node
-	h := w.byID[a.Host.ID]
+	h := w.byID[a.Server.ID]
 	t := &try{c: c, a: a, host: h}
 	w.note(faults.Event{Kind: faults.KindTry, ID: c.id, Node: n.name, Zone: n.zone, To: string(h.id)})
 	a.Begin()
--- a/internal/lab/explore/host.go
+++ b/internal/lab/explore/host.go
@@ -63,7 +63,7 @@
 }
 
 // CheckHealth asks a host for its report.
-func (n *node) CheckHealth(h edge.UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
+func (n *node) CheckHealth(h edge.ServerEntry, by time.Time, done func(choice.Outcome, []float64)) {
 	w, t := n.w, n.w.byID[h.ID]
 	answered := false
 	end := func(o choice.Outcome, r []float64) {
--- a/internal/lab/explore/node.go
+++ b/internal/lab/explore/node.go
@@ -34,7 +34,7 @@
 	diskBad  bool
 	diskSlow time.Duration
 	busy     bool // a record is on its way to the disk
-	list     []edge.UpstreamHost
+	list     []edge.ServerEntry
 	old      bool // of a version that doesn't know all keys
 	reached  bool // by operators, though nothing comes or goes to other nodes
 	came     float64
@@ -122,7 +122,7 @@
 		return n.join()
 	}
 	if w.o.Policy == Static {
-		n.core.Plan(n.staticPlan())
+		n.core.ApplyZonePlan(n.staticPlan())
 	}
 	n.core.Flush()
 	return nil
@@ -141,13 +141,13 @@
 		return err
 	}
 	n.core, err = edge.New(edge.Options{Clock: n, Settings: told.Settings, Seed: w.o.Seed*4099 + uint64(n.i)*7 + uint64(n.born), HealthChecker: n,
-		Follow: func() {}, Monitor: &invariant.Monitor{Broken: n.objects}})
+		WatchList: func() {}, Monitor: &invariant.Monitor{Broken: n.objects}})
 	if err != nil {
 		return err
 	}
 	n.list = nil
 	for _, h := range w.hosts {
-		n.list = append(n.list, edge.UpstreamHost{Server: choice.Server{ID: h.id, Zone: h.zone, Kind: "k", Size: 1}})
+		n.list = append(n.list, edge.ServerEntry{Server: choice.Server{ID: h.id, Zone: h.zone, Kind: "k", Size: 1}})
 	}
 	n.core.Start(n.list)
 	return nil
@@ -224,7 +224,7 @@
 	const rounds = 8
 	for range rounds {
 		if p, changed := n.agent.Use(); changed && n.core != nil {
-			n.core.Plan(p)
+			n.core.ApplyZonePlan(p)
 			n.core.Flush()
 		}
 		n.save()
--- a/internal/loop/carry.go
+++ b/internal/loop/carry.go
@@ -10,32 +10,32 @@
 // Connections that change their process. One that is lent is off the poller: nobody here reads or writes it. It comes
 // back, or this process closes its copy of the socket, which another one holds by then.
 
-// MostRights is the most descriptors that the kernel passes with one message.
-const MostRights = 253
+// MaxDescriptorsPerMessage is the most descriptors that the kernel passes with one message.
+const MaxDescriptorsPerMessage = 253
 
-// Carried is what a process knows of a connection beside its socket.
-type Carried struct {
+// ConnectionState is what a process knows of a connection beside its socket.
+type ConnectionState struct {
 	Out    []byte `cbor:"1,keyasint,omitempty"` // waits to be written
 	Paused bool   `cbor:"2,keyasint,omitempty"`
 }
 
 // Times change their process as spans: the other one's wall clock may be stepped before or while it runs.
 
-// Left is a time as it is told to another process: what is left until it, at least a nanosecond.
-func Left(now, at time.Time) int64 { return max(1, int64(at.Sub(now))) }
+// TimeLeft is a time as it is told to another process: what is left until it, at least a nanosecond.
+func TimeLeft(now, at time.Time) int64 { return max(1, int64(at.Sub(now))) }
 
-// After is a time that another process has told by Left. Where that one is of a release that tells Unix time only, left is 0, and what its
+// TimeFromLeft is a time that another process has told by Left. Where that one is of a release that tells Unix time only, left is 0, and what its
 // clock and this one's make of it is held within most.
-func After(now time.Time, left, unix int64, most time.Duration) time.Time {
+func TimeFromLeft(now time.Time, left, unix int64, most time.Duration) time.Time {
 	if left == 0 {
 		left = int64(time.Unix(0, unix).Sub(now))
 	}
 	return now.Add(min(max(time.Duration(left), 0), most))
 }
 
-// Lend takes an established connection off the poller and tells its socket and state. ok is false for one that is no
+// Detach takes an established connection off the poller and tells its socket and state. ok is false for one that is no
 // longer what its socket says: it ends, has ended, or had a write fail.
-func (c *Conn) Lend() (fd int, state Carried, ok bool) {
+func (c *Conn) Detach() (fd int, state ConnectionState, ok bool) {
 	if c.closed || c.ending || c.eof || c.unsent || !c.connected || c.away {
 		return -1, state, false
 	}
@@ -44,11 +44,11 @@
 		c.events = 0
 	}
 	c.away = true
-	return c.fd, Carried{Out: c.out, Paused: c.paused}, true
+	return c.fd, ConnectionState{Out: c.out, Paused: c.paused}, true
 }
 
-// Return has a lent connection go on here.
-func (c *Conn) Return() {
+// Reattach has a lent connection go on here.
+func (c *Conn) Reattach() {
 	if c.away {
 		c.away = false
 		c.register()
@@ -63,7 +63,7 @@
 }
 
 // Restore has the loop serve a connection that another process has given, with what that one knew of it.
-func (l *Loop) Restore(fd int, state Carried, h Handler) *Conn {
+func (l *Loop) Restore(fd int, state ConnectionState, h Handler) *Conn {
 	unix.SetNonblock(fd, true)
 	c := l.attach(fd, false)
 	c.h, c.out, c.paused = h, state.Out, state.Paused
@@ -75,15 +75,15 @@
 	return c
 }
 
-// Stream reports whether a descriptor is a stream socket.
-func Stream(fd int) bool {
+// IsStreamSocket reports whether a descriptor is a stream socket.
+func IsStreamSocket(fd int) bool {
 	kind, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
 	return err == nil && kind == unix.SOCK_STREAM
 }
 
-// TakeRights has fn get the descriptors that come along on a Unix connection; they are fn's to close. Where some were
+// OnDescriptors has fn get the descriptors that come along on a Unix connection; they are fn's to close. Where some were
 // lost on the way, for want of room, the connection breaks.
-func (c *Conn) TakeRights(fn func(fds []int)) { c.rights = fn }
+func (c *Conn) OnDescriptors(fn func(fds []int)) { c.rights = fn }
 
 var errRightsLost = errors.New("descriptors were lost on the way: no room for them here")
 
@@ -91,14 +91,14 @@
 	if c.rights == nil {
 		return c.l.read(c.fd, c.l.buf[:])
 	}
-	var side [4*MostRights + 64]byte
+	var side [4*MaxDescriptorsPerMessage + 64]byte
 	var sn, flags int
 	n, err := uninterrupted(func() (n int, err error) {
 		n, sn, flags, _, err = unix.Recvmsg(c.fd, c.l.buf[:], side[:], unix.MSG_CMSG_CLOEXEC)
 		return n, err
 	})
 	if err == nil && sn > 0 {
-		c.rights(Rights(side[:sn]))
+		c.rights(ReceivedDescriptors(side[:sn]))
 	}
 	if err == nil && flags&unix.MSG_CTRUNC != 0 {
 		err = errRightsLost
@@ -106,8 +106,8 @@
 	return n, err
 }
 
-// Rights reads the descriptors out of a control message.
-func Rights(side []byte) (all []int) {
+// ReceivedDescriptors reads the descriptors out of a control message.
+func ReceivedDescriptors(side []byte) (all []int) {
 	messages, _ := unix.ParseSocketControlMessage(side)
 	for _, m := range messages {
 		if fds, err := unix.ParseUnixRights(&m); err == nil {
--- a/internal/loop/carry_test.go
+++ b/internal/loop/carry_test.go
@@ -23,12 +23,12 @@
 			h := record()
 			h.data = func(b []byte) {
 				heard <- string(b)
-				if _, state, ok := conns[1-i].Lend(); !ok || len(state.Out) != 0 {
+				if _, state, ok := conns[1-i].Detach(); !ok || len(state.Out) != 0 {
 					t.Error("not lent")
 				}
 			}
-			conns[i] = l.Restore(near[i], Carried{}, h)
-			conns[i].Wait()
+			conns[i] = l.Restore(near[i], ConnectionState{}, h)
+			conns[i].EnterIdleQueue()
 		}
 		for i := range far { // both, and their ends, are due in one round of the poller
 			unix.Write(far[i], []byte("x"))
@@ -40,14 +40,14 @@
 		if len(heard) != 0 {
 			t.Error("a lent connection was read")
 		}
-		l.Share(1) // one of the two must go; the lent one isn't this process's to end
+		l.SetIdleLimit(1) // one of the two must go; the lent one isn't this process's to end
 		if l.Open() != 1 {
 			t.Errorf("%d connections", l.Open())
 		}
 		for _, c := range conns {
 			if c.away {
 				c.h.(*recorder).data = func(b []byte) { heard <- string(b) }
-				c.Return()
+				c.Reattach()
 			}
 		}
 	})
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -188,7 +188,7 @@
 	}
 	c.ending, c.paused = true, false
 	c.cancelTimer()
-	c.Spoke()
+	c.LeaveIdleQueue()
 	c.wait()
 	if len(c.out) > 0 {
 		c.stopTimer = c.l.At(c.l.Now().Add(flushTime), c.close)
@@ -284,7 +284,7 @@
 		return
 	}
 	c.closed = true
-	c.Spoke()
+	c.LeaveIdleQueue()
 	c.cancelTimer()
 	if c.fd < 0 {
 		return
@@ -311,7 +311,7 @@
 func (c *Conn) broke(err error) {
 	if !c.closed && !c.failed {
 		c.failed = true
-		c.Hear()
+		c.ReadAvailable()
 	}
 	if c.closed {
 		return
@@ -410,9 +410,9 @@
 	c.register()
 }
 
-// Hear reads what lies in the socket now, to its end if that is there: before something is decided that it may change. Not from
+// ReadAvailable reads what lies in the socket now, to its end if that is there: before something is decided that it may change. Not from
 // within OnData, whose bytes it would overwrite. A handler may find itself called, and the connection over, when it returns.
-func (c *Conn) Hear() {
+func (c *Conn) ReadAvailable() {
 	for range mostHeard {
 		if c.closed || c.ending || c.away || c.paused || c.eof || !c.connected || !c.read() {
 			return
--- a/internal/loop/crossing_test.go
+++ b/internal/loop/crossing_test.go
@@ -159,7 +159,7 @@
 		if first {
 			first, l.most = false, 1
 			r.data = func(p []byte) {
-				k.Spoke()
+				k.LeaveIdleQueue()
 				heard <- string(p)
 			}
 		}
@@ -191,7 +191,7 @@
 	conn *Conn
 }
 
-func (r *resting) Leave() {
+func (r *resting) Evict() {
 	r.conn.Write([]byte("BUSY"))
 	r.conn.End()
 }
@@ -204,14 +204,14 @@
 	speaks, peer := pair(t, l, func(c *Conn) Handler {
 		r := &resting{record(), c}
 		r.data = func(p []byte) {
-			c.Spoke()
+			c.LeaveIdleQueue()
 			heard <- string(p)
 		}
 		return r
 	})
 	held(t, l, func() {
 		send(t, peer, "OPEN")
-		l.EndIdle()
+		l.CloseIdle()
 	})
 	if s := wait(t, heard); s != "OPEN" {
 		t.Error(s)
--- a/internal/loop/datagram.go
+++ b/internal/loop/datagram.go
@@ -57,7 +57,7 @@
 	}
 	_, family := sockaddr(ap)
 	d := &Datagrams{l: l, fd: fd, family: family}
-	if err := d.Hear(true); err != nil {
+	if err := d.SetReading(true); err != nil {
 		delete(l.fds, fd)
 		unix.Close(fd)
 		return nil, ap, fmt.Errorf("datagrams at %s: %w", ap, err)
@@ -68,8 +68,8 @@
 // datagramRoom is what the system counts for a short datagram that waits to be read.
 const datagramRoom = 1 << 10
 
-// Room has the system keep so many short datagrams that wait to be read, as far as it lets a process: what comes on top is lost.
-func (d *Datagrams) Room(datagrams int) {
+// SetReceiveBuffer has the system keep so many short datagrams that wait to be read, as far as it lets a process: what comes on top is lost.
+func (d *Datagrams) SetReceiveBuffer(datagrams int) {
 	want := datagrams * datagramRoom
 	has, err := unix.GetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_RCVBUF)
 	if err == nil && has < want {
@@ -80,9 +80,9 @@
 	}
 }
 
-// Hear says whether datagrams are read here. Where two processes hold one socket, only one of them may: each datagram
+// SetReading says whether datagrams are read here. Where two processes hold one socket, only one of them may: each datagram
 // is read once.
-func (d *Datagrams) Hear(on bool) error {
+func (d *Datagrams) SetReading(on bool) error {
 	if on == d.heard {
 		return nil
 	}
@@ -99,7 +99,7 @@
 
 // Close ends it.
 func (d *Datagrams) Close() {
-	d.Hear(false)
+	d.SetReading(false)
 	delete(d.l.fds, d.fd)
 	unix.Close(d.fd)
 }
--- a/internal/loop/errors.go
+++ b/internal/loop/errors.go
@@ -25,8 +25,8 @@
 // Unwrap is the cause.
 func (e *LocalError) Unwrap() error { return e.cause }
 
-// Local reports whether a connection failed for want of something on this machine.
-func Local(err error) bool {
+// IsLocal reports whether a connection failed for want of something on this machine.
+func IsLocal(err error) bool {
 	var local *LocalError
 	return errors.As(err, &local)
 }
@@ -45,8 +45,10 @@
 	return isOneOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EADDRNOTAVAIL, unix.EAGAIN)
 }
 
-// Passing says that a call failed in a way that passes: for want of something on this machine, or since its disk did not answer.
-func Passing(err error) bool { return scarce(err) || isOneOf(err, unix.EINTR, unix.EIO, unix.ESTALE) }
+// IsTransient says that a call failed in a way that passes: for want of something on this machine, or since its disk did not answer.
+func IsTransient(err error) bool {
+	return scarce(err) || isOneOf(err, unix.EINTR, unix.EIO, unix.ESTALE)
+}
 
 // uninterrupted makes a call until no signal interrupts it. One that the kernel has no memory for has done nothing, as one that would block.
 func uninterrupted(call func() (int, error)) (n int, err error) {
--- a/internal/loop/failing_test.go
+++ b/internal/loop/failing_test.go
@@ -150,7 +150,7 @@
 		k.mu.Lock()
 		k.short = 1
 		k.mu.Unlock()
-		l.MakeRoom(0)
+		l.EvictIdle(0)
 	})
 	if got, err := io.ReadAll(peer); string(got) != "BUSY" || err != nil {
 		t.Errorf("it got %q, %v", got, err)
--- a/internal/loop/listen.go
+++ b/internal/loop/listen.go
@@ -17,8 +17,8 @@
 // accepted by one of them.
 type Listener struct {
 	Addr netip.AddrPort
-	// Beside says that another process listened at the address when this socket was made.
-	Beside bool
+	// ReusePort says that another process listened at the address when this socket was made.
+	ReusePort bool
 
 	l      *Loop
 	fd     int
@@ -62,7 +62,7 @@
 	}
 	if !apart { // bound alone first, since a shared address doesn't tell whether somebody is there
 		fd, err := open(false)
-		if k.Beside = err == unix.EADDRINUSE; err == nil {
+		if k.ReusePort = err == unix.EADDRINUSE; err == nil {
 			unix.Close(fd)
 		}
 	}
@@ -115,10 +115,10 @@
 	}
 }
 
-// Yield has the kernel give new connections to the newer of two listeners at the address; what waits here is still
+// PreferNewest has the kernel give new connections to the newer of two listeners at the address; what waits here is still
 // accepted. It means nothing where this one is alone. Guards against connections that are reset with the queue of a
 // listener that closes.
-func (k *Listener) Yield() {
+func (k *Listener) PreferNewest() {
 	if !k.on {
 		return
 	}
@@ -258,8 +258,8 @@
 	return c
 }
 
-// SendRights writes p whole, with descriptors for the other process to hold as well, on a Unix socket.
-func (c *Conn) SendRights(p []byte, fds ...int) error {
+// SendDescriptors writes p whole, with descriptors for the other process to hold as well, on a Unix socket.
+func (c *Conn) SendDescriptors(p []byte, fds ...int) error {
 	if c.closed || len(c.out) > 0 {
 		return errors.New("the connection is not free")
 	}
--- a/internal/loop/room.go
+++ b/internal/loop/room.go
@@ -13,9 +13,9 @@
 	waterShare = 8
 )
 
-// Stranger is a handler whose connection may be wanted for another one before it has said what it wants. Leave gives it
+// Evictable is a handler whose connection may be wanted for another one before it has said what it wants. Leave gives it
 // its answer; the connection ends right after.
-type Stranger interface{ Leave() }
+type Evictable interface{ Evict() }
 
 // Limit sets the number of connections from which on idle ones go, and sizes the buffers so that all of most
 // connections fit the memory. 0: not told. Of several limits the tightest holds.
@@ -28,9 +28,9 @@
 	}
 }
 
-// Share sets the number for a node that may share its descriptors with another process, as it is now. What Limit set
+// SetIdleLimit sets the number for a node that may share its descriptors with another process, as it is now. What Limit set
 // holds beside it. 0: none goes.
-func (l *Loop) Share(idleAbove int) {
+func (l *Loop) SetIdleLimit(idleAbove int) {
 	if l.most = idleAbove; l.own > 0 {
 		l.most = min(l.own, idleAbove)
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// Wait puts a restored connection in the queue of those that may go.
-func (c *Conn) Wait() { c.wait() }
+// EnterIdleQueue puts a restored connection in the queue of those that may go.
+func (c *Conn) EnterIdleQueue() { c.wait() }
 
 // wait puts a connection at the end of the queue of those that may go.
 func (c *Conn) wait() {
@@ -59,26 +59,26 @@
 	}
 }
 
-// Spoke takes a connection out of the queue: it has said what it wants and stays.
-func (c *Conn) Spoke() {
+// LeaveIdleQueue takes a connection out of the queue: it has said what it wants and stays.
+func (c *Conn) LeaveIdleQueue() {
 	if c.place != nil {
 		c.l.idle.Remove(c.place)
 		c.place = nil
 	}
 }
 
-// EndIdle answers and ends each connection that has not said what it wants, but for what its socket holds by now: at a
+// CloseIdle answers and ends each connection that has not said what it wants, but for what its socket holds by now: at a
 // planned stop, whose end would cut them off with their words unread.
-func (l *Loop) EndIdle() {
+func (l *Loop) CloseIdle() {
 	var all []*Conn
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		all = append(all, e.Value.(*Conn))
 	}
 	for _, c := range all {
 		place := c.place
-		c.Hear()
-		if s, ok := c.h.(Stranger); ok && place != nil && c.place == place && !c.closed && !c.ending && !c.away {
-			s.Leave()
+		c.ReadAvailable()
+		if s, ok := c.h.(Evictable); ok && place != nil && c.place == place && !c.closed && !c.ending && !c.away {
+			s.Evict()
 		}
 	}
 }
@@ -86,13 +86,13 @@
 // makeRoom has the oldest of those that wait go, until there are few enough connections.
 func (l *Loop) makeRoom() {
 	if l.most > 0 {
-		l.MakeRoom(l.most)
+		l.EvictIdle(l.most)
 	}
 }
 
-// MakeRoom has the oldest of those that wait go, until there are no more than open connections or none that waits. What they have
+// EvictIdle has the oldest of those that wait go, until there are no more than open connections or none that waits. What they have
 // said meanwhile is heard first: within OnData, p is overwritten when it returns.
-func (l *Loop) MakeRoom(open int) {
+func (l *Loop) EvictIdle(open int) {
 	for e := l.idle.Front(); e != nil && l.open > open; {
 		c := e.Value.(*Conn)
 		if c.away || c.ending && len(c.out) > 0 { // another process may have it already; the rest of its answer goes out yet
@@ -107,12 +107,12 @@
 // giveWay ends a connection that has not spoken. What it may have said meanwhile is read first: a client whose words
 // have arrived must not go because the loop hasn't come to read them.
 func (c *Conn) giveWay(place *list.Element) {
-	c.Hear()
+	c.ReadAvailable()
 	if c.closed || c.place != place {
 		return
 	}
-	if s, ok := c.h.(Stranger); ok && !c.ending {
-		s.Leave()
+	if s, ok := c.h.(Evictable); ok && !c.ending {
+		s.Evict()
 		if len(c.out) > 0 { // the rest of its answer is written first
 			return
 		}
--- a/internal/node/beside.go
+++ b/internal/node/beside.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	b.listeners[addr] = k
-	if k.Beside {
+	if k.ReusePort {
 		b.until = time.Now().Add(alongside)
 		zap.L().Warn("started_beside_unasked", zap.String("address", addr), zap.Duration("shared_for", alongside))
 	}
@@ -130,7 +130,7 @@
 	if n := p.platform; n != nil {
 		var version int64
 		what.Discovery, version = n.watch.At()
-		what.List = cluster.ListOf(version, n.core.Listed())
+		what.List = cluster.ListOf(version, n.core.Servers())
 		if n.others.socket != nil {
 			what.Datagrams = n.others.socket.FD()
 		}
@@ -208,9 +208,9 @@
 		n.front.Share(most)
 		n.hosts.KeepHealthChecks(max(most/probePart, 1))
 		if b.closed { // nobody comes here any more, and those that have said nothing yet go to the other process
-			p.loop.Share(0)
+			p.loop.SetIdleLimit(0)
 		} else {
-			p.loop.Share(max(most-b.own()/8, 1))
+			p.loop.SetIdleLimit(max(most-b.own()/8, 1))
 		}
 		parts := 1
 		if !alone {
@@ -234,7 +234,7 @@
 		b.empty()
 	}
 	for _, k := range b.listeners {
-		k.Yield()
+		k.PreferNewest()
 	}
 	b.share()
 	return ready
--- a/internal/node/beside_test.go
+++ b/internal/node/beside_test.go
@@ -113,12 +113,12 @@
 	if next.at != old.at {
 		t.Errorf("listens at %s, the first one at %s", next.at, old.at)
 	}
-	var listed []edge.UpstreamHost
+	var listed []edge.ServerEntry
 	parts := func(p *process) (n int) {
 		p.on(func() { n = p.platform.parts })
 		return n
 	}
-	next.on(func() { listed = next.platform.core.Listed() })
+	next.on(func() { listed = next.platform.core.Servers() })
 	if len(listed) != 2 || listed[0].State == listed[1].State {
 		t.Errorf("begins with %+v", listed)
 	}
@@ -160,7 +160,7 @@
 		return n
 	}
 	before := room()
-	old.on(func() { old.Leave() })
+	old.on(func() { old.Evict() })
 	player.Play(t, "e open\ne > PING\ne < PONG\n")
 	exchange.Until(t, "the leaving one lends more", func() bool {
 		if n := sum(); n > total {
--- a/internal/node/capture.go
+++ b/internal/node/capture.go
@@ -69,8 +69,8 @@
 	p := capture.Placed{At: r.w.Offset(a.Arrived), Seq: a.Seq, Class: a.Class, Tenant: a.Tenant, Client: a.Key, Group: a.Group,
 		Load: a.Load, Returned: a.Returned, Patience: capture.Micros(a.Deadline.Sub(a.Arrived)), Took: capture.Micros(a.Took),
 		Answer: capture.Answer(a.Answer)}
-	for _, t := range a.Tries {
-		p.Tries = append(p.Tries, capture.Try{Host: string(t.Host), Outcome: uint8(t.Outcome), Took: capture.Micros(t.Took)})
+	for _, t := range a.Attempts {
+		p.Tries = append(p.Tries, capture.Try{Host: string(t.Server), Outcome: uint8(t.Outcome), Took: capture.Micros(t.Took)})
 	}
 	r.w.Put(p)
 }
@@ -87,6 +87,6 @@
 	r.w.Put(capture.Report{At: r.w.Offset(time.Now()), Host: string(h), Values: v})
 }
 
-func (r *recorder) Host(h edge.UpstreamHost) {
+func (r *recorder) ServerChanged(h edge.ServerEntry) {
 	r.w.Put(capture.Host{At: r.w.Offset(time.Now()), ID: string(h.ID), Zone: h.Zone, Kind: h.Kind, State: uint8(h.State)})
 }
--- a/internal/node/carry.go
+++ b/internal/node/carry.go
@@ -26,15 +26,15 @@
 
 // carried is one connection as it's told to another process.
 type carried struct {
-	Front   string          `cbor:"1,keyasint"`
-	Cluster string          `cbor:"2,keyasint,omitempty"`
-	Open    *edge.Standing  `cbor:"3,keyasint,omitempty"` // nil: it has not said yet what it wants
-	State   cbor.RawMessage `cbor:"4,keyasint"`           // what its front knows
+	Front   string                `cbor:"1,keyasint"`
+	Cluster string                `cbor:"2,keyasint,omitempty"`
+	Open    *edge.ConnectionState `cbor:"3,keyasint,omitempty"` // nil: it has not said yet what it wants
+	State   cbor.RawMessage       `cbor:"4,keyasint"`           // what its front knows
 }
 
 // carrier is a front's part in taking connections over.
 type carrier interface {
-	Hold(core *edge.Core, open *edge.Standing, read func(into any) error, fds []int) (restore func(), err error)
+	Hold(core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int) (restore func(), err error)
 }
 
 const (
@@ -44,8 +44,8 @@
 
 // bearer is a connection that can go: Lend takes it off the loop, then it returns or is released.
 type bearer interface {
-	Lend() (fds []int, state any, ok bool)
-	Return()
+	Detach() (fds []int, state any, ok bool)
+	Reattach()
 	Release()
 }
 
@@ -54,13 +54,13 @@
 	c := carried{Cluster: cluster}
 	var state any
 	if r, stands := k.(*edge.Request); stands {
-		c.Open = &edge.Standing{}
-		*c.Open, ok = r.Standing()
+		c.Open = &edge.ConnectionState{}
+		*c.Open, ok = r.ConnectionState()
 		if !ok {
 			return p, false
 		}
 	}
-	if p.FDs, state, ok = k.Lend(); !ok {
+	if p.FDs, state, ok = k.Detach(); !ok {
 		return p, false
 	}
 	c.Front = platformFront
@@ -73,7 +73,7 @@
 	}
 	if err != nil {
 		zap.L().Error("connection_not_told", zap.Error(err))
-		k.Return()
+		k.Reattach()
 		return p, false
 	}
 	return p, true
@@ -86,7 +86,7 @@
 		if b.carries = false; !b.told { // what is left goes the other way
 			b.told = true
 			for _, core := range b.program.cores {
-				core.MoveRest()
+				core.MigrateRemaining()
 			}
 		}
 		return
@@ -121,7 +121,7 @@
 			if taken {
 				k.Release()
 			} else {
-				k.Return()
+				k.Reattach()
 			}
 		}
 		if taken {
@@ -144,7 +144,7 @@
 func (b *beside) portable() (all []portable) {
 	p := b.program
 	for name, core := range p.named {
-		for _, r := range core.Carriable() {
+		for _, r := range core.Transferable() {
 			all = append(all, portable{r, name})
 		}
 	}
@@ -226,7 +226,7 @@
 // nothingLeft reports whether this process holds nobody any more, not even one that has its answer on the way.
 func (b *beside) nothingLeft() bool {
 	for _, core := range b.program.cores {
-		if core.Held() > 0 {
+		if core.InFlight() > 0 {
 			return false
 		}
 	}
@@ -262,7 +262,7 @@
 	b.gone = true
 	moved := 0
 	for _, core := range b.program.cores {
-		moved += core.MovedAway()
+		moved += core.Migrated()
 	}
 	zap.L().Info("connections_handed_over", zap.Int("given", b.gave), zap.Int("moved", moved), zap.Int("bytes", b.size), zap.Duration("took", b.took))
 }
@@ -280,7 +280,7 @@
 func (b *beside) learned() []byte {
 	k := known{Modules: map[string]choice.LearnedState{}}
 	for name, core := range b.program.named {
-		k.Modules[name] = core.Learned()
+		k.Modules[name] = core.LearnedState()
 	}
 	if f := b.program.xmpp; f != nil {
 		k.Sessions = f.Broken(mostSessions)
@@ -301,7 +301,7 @@
 	}
 	for name, l := range k.Modules {
 		if core := b.program.named[name]; core != nil {
-			core.Inherit(l)
+			core.ImportLearnedState(l)
 		}
 	}
 	if f := b.program.xmpp; f != nil {
--- a/internal/node/carry_test.go
+++ b/internal/node/carry_test.go
@@ -89,7 +89,7 @@
 	old := r.now
 	old.loop.Post(func() {
 		after()
-		old.Leave()
+		old.Evict()
 	})
 }
 
@@ -128,7 +128,7 @@
 			"upgraded":   func() { r.end() },
 			"freeze":     func() { r.begin(func() { <-thaw }) },
 			"thaw":       func() { close(thaw); r.end() },
-			"sigterm":    func() { r.now.loop.Post(r.now.Leave) },
+			"sigterm":    func() { r.now.loop.Post(r.now.Evict) },
 			"trade": func() {
 				raw, err := os.ReadFile(r.config)
 				if err != nil {
@@ -172,7 +172,7 @@
 		// The giver may go once its last word is written, and a look into the taker may come before that word is read.
 		held, got := 0, 0
 		exchange.Until(t, "the taker holds them all", func() bool {
-			r.now.on(func() { held, got = r.now.platform.core.Held(), r.now.beside.got })
+			r.now.on(func() { held, got = r.now.platform.core.InFlight(), r.now.beside.got })
 			return got >= connections
 		})
 		if held != connections || got != connections {
@@ -243,9 +243,9 @@
 
 // BenchmarkTold writes and reads what is told of one connection.
 func BenchmarkTold(b *testing.B) {
-	c := carried{Front: platformFront, Open: &edge.Standing{ID: "9b1f03aa5c7e2d41", Tenant: "ferma-ro", Key: 1 << 60, Group: 1 << 61, Usual: 0.012, Now: 0.013,
-		Class: choice.Class{Name: "field-sync", SetupObjective: 8e8, Deadline: 48e8, MessageObjective: 15e7, Priority: 1}, Host: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Size: 1}, Addr: "10.1.0.18:3000"}}
-	c.State, _ = cbor.Marshal(downstream.Standing{Host: &upstream.Standing{}})
+	c := carried{Front: platformFront, Open: &edge.ConnectionState{ID: "9b1f03aa5c7e2d41", Tenant: "ferma-ro", Key: 1 << 60, Group: 1 << 61, UsualLoad: 0.012, CurrentLoad: 0.013,
+		Class: choice.Class{Name: "field-sync", SetupObjective: 8e8, Deadline: 48e8, MessageObjective: 15e7, Priority: 1}, Server: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Size: 1}, Addr: "10.1.0.18:3000"}}
+	c.State, _ = cbor.Marshal(downstream.ConnectionState{Server: &upstream.ConnectionState{}})
 	for name, code := range map[string]struct {
 		write func(any) ([]byte, error)
 		read  func([]byte, any) error
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -40,14 +40,14 @@
 		}
 		core, dialled := cores[0], false
 		l.After(func() {
-			if dialled || core.On("h") == 0 {
+			if dialled || core.InFlightOn("h") == 0 {
 				return
 			}
 			dialled = true
 			if how == "late" {
 				time.Sleep(2100 * time.Millisecond)
 			} else {
-				core.List(choice.ListChange, []edge.UpstreamHost{{Addr: server.Addr().String(), Server: choice.Server{ID: "h", Size: 1, State: choice.Draining}}})
+				core.UpdateServers(choice.ListChange, []edge.ServerEntry{{Addr: server.Addr().String(), Server: choice.Server{ID: "h", Size: 1, State: choice.Draining}}})
 			}
 		})
 		start(t, l)
--- a/internal/node/exchange_test.go
+++ b/internal/node/exchange_test.go
@@ -136,7 +136,7 @@
 			"trade":   reload(`"name":"chat"`, `"name":"trade"`, `"safe"`, `"unsafe"`, `"sendCap":4`, `"sendCap":2`),
 			"chat":    reload(),
 			"broken":  reload(`"giveUpS":4`, `"giveUpS":0`),
-			"sigterm": func() { l.Post(program.Leave) },
+			"sigterm": func() { l.Post(program.Evict) },
 		}
 		program.exit = time.Minute // a process that ends by itself is not what is played
 		start(t, l)
--- a/internal/node/failedstart_test.go
+++ b/internal/node/failedstart_test.go
@@ -63,7 +63,7 @@
 	}
 	for range 6 {
 		l, _, err := begin(unwatching{})
-		if !loop.Passing(err) {
+		if !loop.IsTransient(err) {
 			t.Fatalf("the start that was to fail: %v", err)
 		}
 		l.Close()
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -59,9 +59,9 @@
 	p.leaves = append(p.leaves, f.close)
 	p.closers = append(p.closers, f.close)
 	// Until there is word of a plan the node serves by its own zone alone.
-	core.Plan(failover.Use(failover.Alone, nil, 0, f.zone(), nil, 0, failover.Borrowed{}))
+	core.ApplyZonePlan(failover.Use(failover.Alone, nil, 0, f.zone(), nil, 0, failover.Borrowed{}))
 	if c.List.Policy != nil { // nor does it take anybody before it knows which policy is in force
-		core.Serve(edge.Lease{ComeAgain: time.Duration(c.ComeAgain), Told: f.told()})
+		core.UseLease(edge.Lease{RetryAfter: time.Duration(c.ComeAgain), OnDecision: f.told()})
 	}
 	f.open()
 }
@@ -179,7 +179,7 @@
 func (f *fleet) pump() {
 	f.stand()
 	if plan, changed := f.agent.Use(); changed {
-		f.core.Plan(plan)
+		f.core.ApplyZonePlan(plan)
 	}
 	f.save()
 	for _, m := range f.agent.Out() {
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -40,7 +40,7 @@
 	}
 	holds(t, "testdata/reasons.txt", string(p.reasons(nil)))
 
-	*p.figures.Class("class-1") = edge.Counts{Served: 11, Refused: 12, Failed: 13}
+	*p.figures.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
 	p.figures.Attempts, p.figures.ReloadsOK, p.figures.ReloadsFailed = 14, 15, 16
 	holds(t, "testdata/telemetry.txt", string(p.telemetry(nil)))
 }
--- a/internal/node/many_test.go
+++ b/internal/node/many_test.go
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	node := p.platform
-	if hosts := len(node.core.Listed()); hosts != many {
+	if hosts := len(node.core.Servers()); hosts != many {
 		t.Errorf("%d hosts known at the start", hosts)
 	}
 	say := func(all []net.PacketConn) {
@@ -131,7 +131,7 @@
 	}
 	exchange.Until(t, "discovery's whole list is taken", func() (all bool) {
 		on(func() {
-			listed := node.core.Listed()
+			listed := node.core.Servers()
 			all = len(listed) == many && strings.HasPrefix(string(listed[0].ID), "fresh")
 		})
 		return all
@@ -140,7 +140,7 @@
 		if len(node.others.addrs) != many || node.others.strangers != 0 {
 			t.Errorf("%d nodes, %d strangers", len(node.others.addrs), node.others.strangers)
 		}
-		if told := node.core.Gauges().HostsKnown; told != many {
+		if told := node.core.Gauges().ServersKnown; told != many {
 			t.Errorf("%d hosts told to operators", told)
 		}
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -161,7 +161,7 @@
 		return err
 	}
 	p.cores, p.exit = append(p.cores, front.core), platformExit
-	p.leaves = append(p.leaves, func() { front.others.report(front.core.Unbelieved()) })
+	p.leaves = append(p.leaves, func() { front.others.report(front.core.DroppedPeerMessages()) })
 	p.reloads = append(p.reloads, p.rereads(front, path))
 	return nil
 }
@@ -249,8 +249,8 @@
 	}
 }
 
-// Leave begins the planned stop, which ends the loop.
-func (p *Program) Leave() {
+// Evict begins the planned stop, which ends the loop.
+func (p *Program) Evict() {
 	for _, fn := range p.leaves {
 		fn()
 	}
@@ -258,12 +258,12 @@
 	for _, core := range p.cores {
 		zap.L().Info("leaving", zap.Stringer("core", core), zap.Bool("handed_over", over))
 		left := func() {
-			p.loop.EndIdle() // whoever has not said yet what it wants would be cut off with the process
-			zap.L().Info("left", zap.Stringer("core", core), zap.Int("attempts_spared", core.Spared()))
+			p.loop.CloseIdle() // whoever has not said yet what it wants would be cut off with the process
+			zap.L().Info("left", zap.Stringer("core", core), zap.Int("attempts_spared", core.AttemptsNeverSent()))
 			p.logReasons()
 		}
 		if over {
-			core.HandOver(func() {
+			core.DrainToSuccessor(func() {
 				left()
 				p.beside.report()
 			})
@@ -299,7 +299,7 @@
 					p.loop.Post(p.Reload)
 				default:
 				}
-				p.loop.Post(p.Leave)
+				p.loop.Post(p.Evict)
 				stop = nil // a second one has nothing to add
 			}
 		}
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -23,8 +23,8 @@
 }
 
 // CheckHealth answers at once, from the core's own count.
-func (p sessions) CheckHealth(h edge.UpstreamHost, _ time.Time, done func(choice.Outcome, []float64)) {
-	done(choice.Served, []float64{float64(p.core().On(h.ID)) / (p.most * h.Size)})
+func (p sessions) CheckHealth(h edge.ServerEntry, _ time.Time, done func(choice.Outcome, []float64)) {
+	done(choice.Served, []float64{float64(p.core().InFlightOn(h.ID)) / (p.most * h.Size)})
 }
 
 // operated is what the operator's file set up.
@@ -54,12 +54,12 @@
 		}
 		core, err = edge.New(edge.Options{Clock: l, Settings: settings, Observer: observer, Figures: &p.figures, Monitor: &p.monitor, Trace: &p.trace, Seed: seed + uint64(i),
 			HealthChecker: sessions{func() *edge.Core { return core }, c.Sessions / float64(c.Nodes)},
-			Follow:        func() { watch.Follow() }, Leave: time.Duration(c.Leave)})
+			WatchList:     func() { watch.Follow() }, DrainPeriod: time.Duration(c.Leave)})
 		if err != nil {
 			return nil, nil, fmt.Errorf("%s: cluster %q: %w", path, c.Name, err)
 		}
 		if c.Discovery != "" {
-			watch = cluster.New(l, c.Discovery, nil, way(settings), seed+uint64(i), core.List)
+			watch = cluster.New(l, c.Discovery, nil, way(settings), seed+uint64(i), core.UpdateServers)
 			op.watch[c.Name] = watch
 		}
 		op.cores[c.Name], p.named[c.Name] = core, core
@@ -165,7 +165,7 @@
 				delete(op.seen, key)
 			}
 		}
-		core.List(choice.ListFull, hosts)
+		core.UpdateServers(choice.ListFull, hosts)
 		zap.L().Info("hosts_reloaded", zap.String("cluster", c.Name), zap.Int("hosts", len(hosts)))
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -55,7 +55,7 @@
 // hear says whether this process reads what other nodes send.
 func (p *peers) hear(on bool) {
 	if p.socket != nil {
-		if err := p.socket.Hear(on); err != nil {
+		if err := p.socket.SetReading(on); err != nil {
 			zap.L().Error("peers_not_heard", zap.Error(err))
 		}
 	}
@@ -73,7 +73,7 @@
 // makeRoom guards against a fleet whose nodes all speak at once, of which most would not be heard.
 func (p *peers) makeRoom() {
 	if p.socket != nil {
-		p.socket.Room(len(p.addrs))
+		p.socket.SetReceiveBuffer(len(p.addrs))
 	}
 }
 
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -44,7 +44,7 @@
 	zap.L().Info("configuration_taken", zap.String("discovery", next.Discovery), zap.Int("classes", len(next.Settings.ClassByName)),
 		zap.Int("attempts", next.Settings.Limits.MaxAttempts))
 	if addr, _ := n.watch.At(); addr != next.Discovery {
-		n.core.AnotherList()
+		n.core.ListSourceChanged()
 	}
 	n.watch.Move(next.Discovery)
 }
@@ -57,7 +57,7 @@
 		s = n.over(s).After(n.used) // classes keep their indices
 	}
 	n.used = s
-	n.core.Adapt(platformSettings(n.conf, s.Settings, n.others.socket != nil && len(n.conf.Peers) > 0, parts))
+	n.core.UpdateSettings(platformSettings(n.conf, s.Settings, n.others.socket != nil && len(n.conf.Peers) > 0, parts))
 	n.front.Adapt(s.ClassByName, s.TenantByName, s.Classes)
 	n.hosts.Adapt(s.ReportFields)
 	n.watch.Adapt(way(s.Settings))
@@ -85,8 +85,8 @@
 	var watch *cluster.Watch
 	var others *peers
 	core, err := edge.New(edge.Options{Clock: l, Settings: platformSettings(n, n.Settings.Settings, len(n.Peers) > 0, 1), Seed: n.Seed, HealthChecker: hosts,
-		Follow: func() { watch.Follow() }, Observer: observer, Figures: &p.figures, Monitor: &p.monitor, Trace: &p.trace,
-		Tell: func(to int, message []byte) { others.tell(to, message) }})
+		WatchList: func() { watch.Follow() }, Observer: observer, Figures: &p.figures, Monitor: &p.monitor, Trace: &p.trace,
+		SendPeerMessage: func(to int, message []byte) { others.tell(to, message) }})
 	if err != nil {
 		return nil, at, err
 	}
@@ -94,15 +94,15 @@
 	if p.beside.lent != nil {
 		lentSocket = p.beside.lent.Datagrams
 	}
-	if others, err = listenPeers(l, n, lentSocket, core.Heard); err != nil {
+	if others, err = listenPeers(l, n, lentSocket, core.ReceivePeerMessage); err != nil {
 		return nil, at, err
 	}
 	front := downstream.New(downstream.Options{Loop: l, Core: core, Upstream: hosts, MostOpen: defaultSockets - spareSockets,
 		OnReady: func() { l.At(l.Now(), p.takes) }})
 	front.Adapt(n.Settings.ClassByName, n.Settings.TenantByName, n.Settings.Classes)
 	known := p.beside.known(n.Known, n.Discovery)
-	watch = cluster.New(l, n.Discovery, known, way(n.Settings.Settings), n.Seed, func(k choice.ListKind, news []edge.UpstreamHost) {
-		core.List(k, news)
+	watch = cluster.New(l, n.Discovery, known, way(n.Settings.Settings), n.Seed, func(k choice.ListKind, news []edge.ServerEntry) {
+		core.UpdateServers(k, news)
 		if k == choice.ListFull {
 			hosts.ForgetOthers(news)
 		}
@@ -122,7 +122,7 @@
 	at = door.Addr
 	zap.L().Info("listening", zap.String("protocol", "platform"), zap.Stringer("address", at))
 	l.After(core.Flush)
-	var hostsKnown []edge.UpstreamHost
+	var hostsKnown []edge.ServerEntry
 	if known != nil {
 		hostsKnown, _ = known.Hosts()
 	}
--- a/internal/node/policy.go
+++ b/internal/node/policy.go
@@ -39,7 +39,7 @@
 	if f.conf.List.Policy == nil {
 		return nil
 	}
-	return &agent.Policy{Rules: f.conf.List.Policy.Rules(), Counts: f.core.Asked, Read: func(text []byte) (*policy.Document, error) {
+	return &agent.Policy{Rules: f.conf.List.Policy.Rules(), Counts: f.core.AnswerCounts, Read: func(text []byte) (*policy.Document, error) {
 		d, err := config.ReadPolicy("policy", text, f.conf.PolicyLevel)
 		if err != nil {
 			return nil, err
@@ -85,11 +85,11 @@
 	}
 	until = max(0, until)
 	ends := f.begin.Add(until)
-	lease := edge.Lease{Number: s.Number, Known: s.Known, Until: ends, Told: f.told(), ComeAgain: time.Duration(f.conf.ComeAgain)}
+	lease := edge.Lease{Number: s.Number, Known: s.Known, Expires: ends, OnDecision: f.told(), RetryAfter: time.Duration(f.conf.ComeAgain)}
 	if d := p.doc; d != nil {
-		lease.ComeAgain = d.ComeAgain
-		lease.Lapse = func() { f.overlay(true) }
-		lease.Ground = func(class int) bool {
+		lease.RetryAfter = d.ComeAgain
+		lease.OnExpiry = func() { f.overlay(true) }
+		lease.BasePolicy = func(class int) bool {
 			classes := f.core.Classes()
 			return class < len(classes) && slices.ContainsFunc(d.Classes, func(c policy.Class) bool { return c.Ground && c.Name == classes[class].Name })
 		}
@@ -98,7 +98,7 @@
 	if live && p.lapsed {
 		f.overlay(false)
 	}
-	f.core.Serve(lease)
+	f.core.UseLease(lease)
 	if live && p.program.waits {
 		p.program.waits = false
 		p.program.takesClients()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -32,7 +32,7 @@
 			take()
 		}
 		p.figures.ReloadsOK++
-	case loop.Passing(err) && next.Before(end):
+	case loop.IsTransient(err) && next.Before(end):
 		zap.L().Warn("reload_tried_again", zap.Error(err))
 		p.rereading = p.loop.At(next, func() {
 			p.rereading = nil
--- a/internal/node/start/start.go
+++ b/internal/node/start/start.go
@@ -77,7 +77,7 @@
 func assemble(operator string, newVoter agent.NewVoter) (*node.Program, error) {
 	for end := time.Now().Add(startPatience); ; time.Sleep(startPause) {
 		p, err := tryToAssemble(operator, newVoter)
-		if err == nil || !loop.Passing(err) || time.Now().After(end) {
+		if err == nil || !loop.IsTransient(err) || time.Now().After(end) {
 			return p, err
 		}
 	}
--- a/internal/operate/handover/carry.go
+++ b/internal/operate/handover/carry.go
@@ -97,7 +97,7 @@
 	}
 	for _, p := range parcels {
 		for _, fd := range p.FDs {
-			if !loop.Stream(fd) {
+			if !loop.IsStreamSocket(fd) {
 				return nil, errors.New("a batch with a descriptor that is no connection")
 			}
 		}
@@ -125,7 +125,7 @@
 	if k.done != nil || !k.conn.Sent() {
 		return true, 0
 	}
-	return true, min(k.free, loop.MostRights)
+	return true, min(k.free, loop.MaxDescriptorsPerMessage)
 }
 
 // Tell tells the process that takes connections what this one has found out.
@@ -151,7 +151,7 @@
 	case err == nil && len(body) > mostBatch:
 		err = errors.New("a batch that is too large")
 	case err == nil:
-		err = k.conn.SendRights(append(line{Kind: "batch", Size: len(body)}.bytes(), body...), rights...)
+		err = k.conn.SendDescriptors(append(line{Kind: "batch", Size: len(body)}.bytes(), body...), rights...)
 	}
 	if err != nil {
 		zap.L().Warn("batch_not_sent", zap.Int("connections", len(parcels)), zap.Error(err))
@@ -232,7 +232,7 @@
 
 // takeRights keeps descriptors for the batch that they came with.
 func (k *link) takeRights(fds []int) {
-	if k.rights = append(k.rights, fds...); len(k.rights) > loop.MostRights {
+	if k.rights = append(k.rights, fds...); len(k.rights) > loop.MaxDescriptorsPerMessage {
 		k.drop(errors.New("more descriptors than a batch has"))
 	}
 }
--- a/internal/operate/handover/handover.go
+++ b/internal/operate/handover/handover.go
@@ -152,7 +152,7 @@
 		if err != nil {
 			return fail(os.NewSyscallError("recvmsg", err))
 		}
-		rights = append(rights, loop.Rights(side[:sn])...)
+		rights = append(rights, loop.ReceivedDescriptors(side[:sn])...)
 		if got = append(got, buf[:n]...); n == 0 || len(got) > mostLine {
 			return fail(errors.New("the answer ends or goes on without a line's end"))
 		}
@@ -258,7 +258,7 @@
 		p.room = from.Room
 		p.before = &link{place: p, batches: batches{carries: from.carry == carryForm && o.Hold != nil}}
 		p.before.conn = o.Loop.Attach(from.fd, p.before)
-		p.before.conn.TakeRights(p.before.takeRights)
+		p.before.conn.OnDescriptors(p.before.takeRights)
 		if len(from.rest) > 0 {
 			p.before.OnData(from.rest)
 		}
@@ -449,7 +449,7 @@
 		m.Datagrams, rights = true, append(rights, what.Datagrams)
 	}
 	k.lent = max(1, what.Room)
-	if err := k.conn.SendRights(m.bytes(), rights...); err != nil {
+	if err := k.conn.SendDescriptors(m.bytes(), rights...); err != nil {
 		k.drop(err)
 		return
 	}
--- a/internal/operate/stats/golden_test.go
+++ b/internal/operate/stats/golden_test.go
@@ -10,10 +10,10 @@
 // TestGoldenFigures writes each figure that there is with a value of its own.
 func TestGoldenFigures(t *testing.T) {
 	var f Figures
-	*f.Class("class-1") = edge.Counts{Served: 11, Refused: 12, Failed: 13}
-	*f.Class("class-2") = edge.Counts{Served: 21, Refused: 22, Failed: 23}
+	*f.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
+	*f.Class("class-2") = edge.Counts{Served: 21, Rejected: 22, Failed: 23}
 	f.Attempts, f.ReloadsOK, f.ReloadsFailed = 31, 32, 33
-	got := f.Append(nil, edge.Gauges{InFlight: 41, HostsKnown: 42, HostsExcluded: 43})
+	got := f.Append(nil, edge.Gauges{InFlight: 41, ServersKnown: 42, ServersExcluded: 43})
 	got = AppendCounter(got, 51, "kind", "name")
 	want, err := os.ReadFile("testdata/figures.txt")
 	if err != nil {
--- a/internal/operate/stats/stats.go
+++ b/internal/operate/stats/stats.go
@@ -51,13 +51,13 @@
 	line := func(value uint64, kind string, name ...string) { buf = appendFigure(buf, value, kind, name...) }
 	for _, c := range f.classes {
 		line(c.Served, "c", "requests", c.name, "served")
-		line(c.Refused, "c", "requests", c.name, "refused")
+		line(c.Rejected, "c", "requests", c.name, "refused")
 		line(c.Failed, "c", "requests", c.name, "failed")
 	}
 	line(f.Attempts, "c", "attempts")
 	line(uint64(max(0, g.InFlight)), "g", "in_flight")
-	line(uint64(max(0, g.HostsKnown)), "g", "hosts_known")
-	line(uint64(max(0, g.HostsExcluded)), "g", "hosts_excluded")
+	line(uint64(max(0, g.ServersKnown)), "g", "hosts_known")
+	line(uint64(max(0, g.ServersExcluded)), "g", "hosts_excluded")
 	line(f.ReloadsOK, "c", "reloads_ok")
 	line(f.ReloadsFailed, "c", "reloads_failed")
 	return buf
--- a/internal/planner/client.go
+++ b/internal/planner/client.go
@@ -156,7 +156,7 @@
 		told = c.s.Load * w.fleet.CoreLoad()
 	}
 	c.request = n.core.Open(edge.Spec{ID: choice.RequestID(strconv.Itoa(w.ids)), Class: c.s.Class, Tenant: c.s.Edition, Key: c.s.Client,
-		Group: c.s.Group, Load: told, At: at, Deadline: epoch.Add(w.now + time.Duration(c.class().Patience))}, c)
+		Group: c.s.Group, Load: told, OpenAt: at, Deadline: epoch.Add(w.now + time.Duration(c.class().Patience))}, c)
 }
 
 // settled gives the client's descriptor back.
@@ -187,11 +187,11 @@
 
 // Attempt starts an upstream request: a connection, the request's way, the set-up, and the answer's way back.
 func (c *client) Attempt(a *edge.Attempt) edge.UpstreamRequest {
-	w, n, h := c.w, c.node, c.w.byID[a.Host.ID]
+	w, n, h := c.w, c.node, c.w.byID[a.Server.ID]
 	t := &try{c: c, a: a, node: n}
 	c.try = t
 	n.open++
-	if a.Standing() { // set up before the load began
+	if a.AlreadyOpen() { // set up before the load began
 		w.at(w.now, n, func() {
 			if !t.closed {
 				t.conn = &conn{host: h, client: c, wander: load.NewWander(w.opts.Seed^c.s.Client, c.class(), c.s.Load)}
@@ -265,17 +265,17 @@
 
 // LocalReply is a refusal or failure.
 func (c *client) LocalReply(r edge.LocalReply) {
-	if r.Refused {
+	if r.Rejected {
 		c.w.stats.Refused++
 	} else {
 		c.w.stats.Failed++
 	}
 	c.settled()
-	c.again(r.After)
+	c.again(r.RetryAfter)
 }
 
-// Move sends the client away.
-func (c *client) Move(time.Time) {
+// Migrate sends the client away.
+func (c *client) Migrate(time.Time) {
 	c.w.stats.Moves++
 	c.try.close()
 	c.settled()
--- a/internal/planner/host.go
+++ b/internal/planner/host.go
@@ -226,7 +226,7 @@
 func (w *world) tellAll() {
 	for _, n := range w.nodes {
 		if !n.dead {
-			n.core.List(choice.ListFull, w.list())
+			n.core.UpdateServers(choice.ListFull, w.list())
 			n.core.Flush()
 		}
 	}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -89,8 +89,8 @@
 		}
 		w.run(w.now + 20*time.Second)
 		for _, n := range w.nodes {
-			if !n.dead && (n.open != 0 || len(n.here) != 0 || n.core.Held() != 0) {
-				t.Fatalf("a node holds %d descriptors, %d clients, %d requests", n.open, len(n.here), n.core.Held())
+			if !n.dead && (n.open != 0 || len(n.here) != 0 || n.core.InFlight() != 0) {
+				t.Fatalf("a node holds %d descriptors, %d clients, %d requests", n.open, len(n.here), n.core.InFlight())
 			}
 		}
 		for _, h := range w.hosts {
--- a/internal/planner/world.go
+++ b/internal/planner/world.go
@@ -243,8 +243,8 @@
 }
 
 // list is the list of servers as discovery tells it.
-func (w *world) list() []edge.UpstreamHost {
-	var all []edge.UpstreamHost
+func (w *world) list() []edge.ServerEntry {
+	var all []edge.ServerEntry
 	for _, h := range w.hosts {
 		s := choice.Server{ID: h.id, Zone: w.fleet.Centres[h.centre].Name, Kind: h.kind.Name, Size: 1}
 		if h.cold {
@@ -253,13 +253,13 @@
 		if h.dead {
 			s.State = choice.Gone
 		}
-		all = append(all, edge.UpstreamHost{Server: s})
+		all = append(all, edge.ServerEntry{Server: s})
 	}
 	return all
 }
 
 // CheckHealth asks a server for its report, as the platform's probes do.
-func (n *node) CheckHealth(u edge.UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
+func (n *node) CheckHealth(u edge.ServerEntry, by time.Time, done func(choice.Outcome, []float64)) {
 	w, h := n.w, n.w.byID[u.ID]
 	if n.dead {
 		return
@@ -363,7 +363,7 @@
 	w.at(w.now+time.Duration(w.fleet.Discovery.Delay), nil, func() {
 		for _, n := range w.nodes {
 			if !n.dead {
-				n.core.List(choice.ListFull, w.list())
+				n.core.UpdateServers(choice.ListFull, w.list())
 				n.core.Flush()
 			}
 		}
--- a/internal/platform/cluster/cluster.go
+++ b/internal/platform/cluster/cluster.go
@@ -75,8 +75,8 @@
 var states = map[string]choice.ServerState{"SERVING": choice.Ready, "DRAINING": choice.Draining, "DELETED": choice.Gone}
 
 // Hosts are the list's entries.
-func (l List) Hosts() ([]edge.UpstreamHost, error) {
-	var out []edge.UpstreamHost
+func (l List) Hosts() ([]edge.ServerEntry, error) {
+	var out []edge.ServerEntry
 	for _, e := range l.Servers {
 		state, ok := states[e.State]
 		if !ok || e.ID == "" {
@@ -86,14 +86,14 @@
 		if e.Weight != nil {
 			size = *e.Weight
 		}
-		out = append(out, edge.UpstreamHost{Addr: e.Addr, Server: choice.Server{ID: choice.ServerID(e.ID), Zone: e.Zone,
+		out = append(out, edge.ServerEntry{Addr: e.Addr, Server: choice.Server{ID: choice.ServerID(e.ID), Zone: e.Zone,
 			Kind: e.Kind, Cell: e.Cell, State: state, Size: size, Started: time.Duration(e.StartedMS) * time.Millisecond}})
 	}
 	return out, nil
 }
 
 // ListOf is a whole list of hosts in discovery's form. A version under 0 is none of discovery's.
-func ListOf(version int64, hosts []edge.UpstreamHost) List {
+func ListOf(version int64, hosts []edge.ServerEntry) List {
 	l := List{Version: version, Full: true, Servers: []entry{}}
 	for _, h := range hosts {
 		e := entry{ID: string(h.ID), Addr: h.Addr, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell, Weight: &h.Size, StartedMS: h.Started.Milliseconds()}
@@ -111,7 +111,7 @@
 type Watch struct {
 	loop    *loop.Loop
 	addr    string
-	news    func(choice.ListKind, []edge.UpstreamHost)
+	news    func(choice.ListKind, []edge.ServerEntry)
 	rng     *rand.Rand
 	way     Way
 	pace    pace
@@ -139,7 +139,7 @@
 }
 
 // New makes a Watch that starts from the known list and tells news. The seed spreads the ends of watches.
-func New(l *loop.Loop, addr string, known *List, way Way, seed uint64, news func(choice.ListKind, []edge.UpstreamHost)) *Watch {
+func New(l *loop.Loop, addr string, known *List, way Way, seed uint64, news func(choice.ListKind, []edge.ServerEntry)) *Watch {
 	w := &Watch{loop: l, addr: addr, way: way, pace: usual, news: news, rng: rand.New(rand.NewPCG(seed, 2))}
 	if known != nil {
 		w.version, w.have, w.hosts = known.Version, known.Version >= 0, len(known.Servers) > 0
@@ -296,7 +296,7 @@
 	}
 	var l List
 	err := json.Unmarshal(w.in.body, &l)
-	var hosts []edge.UpstreamHost
+	var hosts []edge.ServerEntry
 	if err == nil {
 		hosts, err = l.Hosts()
 	}
--- a/internal/platform/cluster/outage_test.go
+++ b/internal/platform/cluster/outage_test.go
@@ -237,14 +237,14 @@
 	}
 	rules := choice.Rules{MaxPollInterval: 10 * time.Minute, DrainGrace: 300 * time.Millisecond}
 	var w *Watch
-	core, err := edge.New(edge.Options{Clock: l, Seed: 1, Follow: func() { w.Follow() }, Settings: choice.Settings{Subscribe: true, Rules: rules,
+	core, err := edge.New(edge.Options{Clock: l, Seed: 1, WatchList: func() { w.Follow() }, Settings: choice.Settings{Subscribe: true, Rules: rules,
 		Classes: []choice.Class{{Name: "chat", Deadline: time.Second, Priority: 1}}, Limits: choice.Limits{MaxAttempts: 4}}})
 	if err != nil {
 		o.t.Fatal(err)
 	}
 	told, failed := make(chan time.Time, 16), 0
-	w = New(l, o.addr, known, Way{Grace: rules.DrainGrace}, 1, func(k choice.ListKind, hosts []edge.UpstreamHost) {
-		core.List(k, hosts)
+	w = New(l, o.addr, known, Way{Grace: rules.DrainGrace}, 1, func(k choice.ListKind, hosts []edge.ServerEntry) {
+		core.UpdateServers(k, hosts)
 		if k != choice.ListUnavailable {
 			told <- time.Now()
 		} else if failed++; failed == failures {
--- a/internal/platform/cluster/watch_test.go
+++ b/internal/platform/cluster/watch_test.go
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	news = make(chan choice.ListKind, 1024)
-	w = New(l, addr, known, way, 1, func(k choice.ListKind, _ []edge.UpstreamHost) { news <- k })
+	w = New(l, addr, known, way, 1, func(k choice.ListKind, _ []edge.ServerEntry) { news <- k })
 	w.pace = p
 	l.At(l.Now(), w.Follow)
 	done := make(chan struct{})
--- a/internal/platform/downstream/carryclock_test.go
+++ b/internal/platform/downstream/carryclock_test.go
@@ -14,8 +14,8 @@
 		x := newCrossing(t, 1)
 		c, s := x.client()
 		x.on(func() {
-			fds, state, ok := Idle{s}.Lend()
-			st, told := state.(Standing)
+			fds, state, ok := Idle{s}.Detach()
+			st, told := state.(ConnectionState)
 			if !ok || !told {
 				t.Error("it can't be lent")
 				return
--- a/internal/platform/downstream/crossing_test.go
+++ b/internal/platform/downstream/crossing_test.go
@@ -61,7 +61,7 @@
 	s.DelaysObserved = false
 	up := upstream.New(l, s.ReportFields)
 	if x.core, err = edge.New(edge.Options{Clock: l, Settings: s.Settings, Seed: 1, HealthChecker: up,
-		Tell: func(to int, m []byte) { x.told <- message{to, m} }}); err != nil {
+		SendPeerMessage: func(to int, m []byte) { x.told <- message{to, m} }}); err != nil {
 		t.Fatal(err)
 	}
 	x.front = New(Options{Loop: l, Core: x.core, Upstream: up, MostOpen: 100})
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	x.addr = at.Addr.String()
-	var known []edge.UpstreamHost
+	var known []edge.ServerEntry
 	for i := range hosts {
 		h, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -89,7 +89,7 @@
 				x.taken <- dialled{id, c}
 			}
 		}()
-		known = append(known, edge.UpstreamHost{Addr: h.Addr().String(), Server: choice.Server{ID: choice.ServerID(id), Size: 1}})
+		known = append(known, edge.ServerEntry{Addr: h.Addr().String(), Server: choice.Server{ID: choice.ServerID(id), Size: 1}})
 	}
 	l.After(x.core.Flush)
 	x.core.Start(known)
@@ -142,7 +142,7 @@
 func (x *crossing) opens(c net.Conn, s *session, say string) (host dialled) {
 	fmt.Fprint(c, say+"\r\n")
 	x.lies(c)
-	s.conn.Hear()
+	s.conn.ReadAvailable()
 	x.core.Flush()
 	return x.accept()
 }
@@ -232,8 +232,8 @@
 		})
 		x.nothing(host)
 		x.on(func() {
-			if x.core.Held() != 0 || x.core.Spared() != 1 {
-				t.Errorf("%s: %d held, %d spared", how, x.core.Held(), x.core.Spared())
+			if x.core.InFlight() != 0 || x.core.AttemptsNeverSent() != 1 {
+				t.Errorf("%s: %d held, %d spared", how, x.core.InFlight(), x.core.AttemptsNeverSent())
 			}
 		})
 	}
@@ -261,7 +261,7 @@
 	var host dialled
 	x.on(func() {
 		host = x.opens(c, s, opening)
-		x.core.List(choice.ListChange, []edge.UpstreamHost{{Addr: host.LocalAddr().String(),
+		x.core.UpdateServers(choice.ListChange, []edge.ServerEntry{{Addr: host.LocalAddr().String(),
 			Server: choice.Server{ID: choice.ServerID(host.at), Size: 1, State: choice.Draining}}})
 	})
 	x.nothing(host)
--- a/internal/platform/downstream/departure_test.go
+++ b/internal/platform/downstream/departure_test.go
@@ -79,7 +79,7 @@
 		break
 	}
 	x.on(func() {
-		if n := x.core.Held(); n != 0 {
+		if n := x.core.InFlight(); n != 0 {
 			x.t.Errorf("%s: %d requests held", what, n)
 		}
 	})
@@ -161,8 +161,8 @@
 				fmt.Fprint(c, w.open+"\r\n")
 				ends := w.until(x, lines)
 				x.on(func() {
-					if x.core.Held() != 1 {
-						t.Errorf("the crossing did not take place: %d held", x.core.Held())
+					if x.core.InFlight() != 1 {
+						t.Errorf("the crossing did not take place: %d held", x.core.InFlight())
 					}
 					s.conn.Pause() // so that the poll names what ends the wait first
 					defer s.conn.Resume()
@@ -235,8 +235,8 @@
 			fmt.Fprint(client, opening+"\r\n")
 			question := <-x.told
 			x.on(func() {
-				if x.core.Held() != 1 {
-					t.Errorf("the crossing did not take place: %d held", x.core.Held())
+				if x.core.InFlight() != 1 {
+					t.Errorf("the crossing did not take place: %d held", x.core.InFlight())
 				}
 				s.conn.Pause()
 				defer s.conn.Resume()
@@ -244,7 +244,7 @@
 					x.leave(client, "end")
 				}
 				if c.answer {
-					x.core.Heard(question.to, []byte{yes, question.bytes[1], question.bytes[2], 1, 0})
+					x.core.ReceivePeerMessage(question.to, []byte{yes, question.bytes[1], question.bytes[2], 1, 0})
 				} else {
 					time.Sleep(200 * time.Millisecond) // the loop stands: the answer's time is over
 				}
--- a/internal/platform/downstream/downstream.go
+++ b/internal/platform/downstream/downstream.go
@@ -129,7 +129,7 @@
 // late ends a connection that has not said in time what it wants.
 func (s *session) late() {
 	s.stop = nil
-	s.conn.Hear() // its line may lie in the socket
+	s.conn.ReadAvailable() // its line may lie in the socket
 	switch {
 	case s.over || s.request != nil || s.stop != nil:
 	case s.pinged:
@@ -139,8 +139,8 @@
 	}
 }
 
-// Leave answers a client whose connection is wanted for another one, before it has said what it wants.
-func (s *session) Leave() {
+// Evict answers a client whose connection is wanted for another one, before it has said what it wants.
+func (s *session) Evict() {
 	why := trace.ClientEvicted
 	if s.front.core.Draining() {
 		why = trace.NodeStopping
@@ -218,14 +218,14 @@
 	}
 	s.cancelTimer()
 	s.first = bytes.Clone(l)
-	s.conn.Spoke()
+	s.conn.LeaveIdleQueue()
 	if s.front.loop.Open()+forRequest > s.front.most {
-		s.front.loop.MakeRoom(s.front.most - forRequest) // those who ask for nothing go first
+		s.front.loop.EvictIdle(s.front.most - forRequest) // those who ask for nothing go first
 	}
 	if s.front.loop.Open()+forRequest > s.front.most {
 		// Guards against running out of descriptors half way: a request taken needs one more for its host.
 		zap.L().Warn("connection_limit_refused", zap.String("front", "platform"), zap.Int("open_connections", s.front.loop.Open()))
-		s.front.core.Refuse(spec, s, time.Second)
+		s.front.core.Reject(spec, s, time.Second)
 		return
 	}
 	s.request = s.front.core.Open(spec, s)
@@ -299,7 +299,7 @@
 		patience = time.Duration(min(ms, float64(mostPatience.Milliseconds())) * float64(time.Millisecond))
 	}
 	if at != "" {
-		spec.At, patience = choice.ServerID(at), pinnedTime
+		spec.OpenAt, patience = choice.ServerID(at), pinnedTime
 	}
 	spec.Deadline = f.loop.Now().Add(patience)
 	return spec, ""
@@ -368,8 +368,8 @@
 
 // LocalReply gives the node's own answer.
 func (s *session) LocalReply(r edge.LocalReply) {
-	if r.Refused {
-		s.finish(busy(r.After), invariant.ByNode, trace.NodeAnswered)
+	if r.Rejected {
+		s.finish(busy(r.RetryAfter), invariant.ByNode, trace.NodeAnswered)
 	} else {
 		s.finish([]byte("ERR\r\n"), invariant.ByNode, trace.NodeAnswered)
 	}
@@ -396,7 +396,7 @@
 }
 
 // Hear looks for a client that has left, whose end may lie in the socket.
-func (s *session) Hear() { s.conn.Hear() }
+func (s *session) Hear() { s.conn.ReadAvailable() }
 
 // Final passes the answer of a request on that its host served to its end.
 func (s *session) Final(l []byte) { s.finish(l, invariant.ByHost, trace.HostServed) }
@@ -461,8 +461,8 @@
 	}
 }
 
-// Move sends the client away, once the line in hand is over.
-func (s *session) Move(by time.Time) {
+// Migrate sends the client away, once the line in hand is over.
+func (s *session) Migrate(by time.Time) {
 	if s.over {
 		return
 	}
--- a/internal/platform/upstream/carry.go
+++ b/internal/platform/upstream/carry.go
@@ -9,30 +9,30 @@
 	"spurwinch/internal/platform/line"
 )
 
-// Standing is what a request of an open connection knows beside its socket, as one process of a node tells it to another.
-type Standing struct {
-	Conn   loop.Carried `cbor:"1,keyasint"`
-	Line   []byte       `cbor:"2,keyasint,omitempty"` // of the host, not ended yet
-	Behind int          `cbor:"3,keyasint,omitempty"` // bytes of the client's line in hand
-	Last   uint8        `cbor:"4,keyasint,omitempty"`
-	Sent   int64        `cbor:"5,keyasint,omitempty"` // Unix time in ns of the line that waits for its answer, for releases without Waits; 0: none does
-	Waits  int64        `cbor:"6,keyasint,omitempty"` // ns that it has waited; 0: none does
+// ConnectionState is what a request of an open connection knows beside its socket, as one process of a node tells it to another.
+type ConnectionState struct {
+	Conn   loop.ConnectionState `cbor:"1,keyasint"`
+	Line   []byte               `cbor:"2,keyasint,omitempty"` // of the host, not ended yet
+	Behind int                  `cbor:"3,keyasint,omitempty"` // bytes of the client's line in hand
+	Last   uint8                `cbor:"4,keyasint,omitempty"`
+	Sent   int64                `cbor:"5,keyasint,omitempty"` // Unix time in ns of the line that waits for its answer, for releases without Waits; 0: none does
+	Waits  int64                `cbor:"6,keyasint,omitempty"` // ns that it has waited; 0: none does
 }
 
 // Check says what is wrong with what another process told.
-func (s Standing) Check() error {
+func (s ConnectionState) Check() error {
 	if len(s.Line) > line.Max || s.Behind < 0 || s.Behind > line.Max || s.Last > uint8(move) || s.Sent < 0 || s.Waits < 0 {
 		return errors.New("a host's side that can't be")
 	}
 	return nil
 }
 
-// Lend takes the connection off the loop.
-func (r *Request) Lend() (fd int, s Standing, ok bool) {
+// Detach takes the connection off the loop.
+func (r *Request) Detach() (fd int, s ConnectionState, ok bool) {
 	if r.over || !r.up {
 		return -1, s, false
 	}
-	fd, s.Conn, ok = r.conn.Lend()
+	fd, s.Conn, ok = r.conn.Detach()
 	s.Line, s.Behind, s.Last = r.in.Part(), r.out.Part(), uint8(r.last)
 	if !r.sent.IsZero() {
 		s.Sent, s.Waits = r.sent.UnixNano(), max(1, int64(r.cluster.loop.Now().Sub(r.sent)))
@@ -41,14 +41,14 @@
 	return fd, s, ok
 }
 
-// Return has a lent connection go on.
-func (r *Request) Return() {
-	r.conn.Return()
+// Reattach has a lent connection go on.
+func (r *Request) Reattach() {
+	r.conn.Reattach()
 	r.rewatch()
 }
 
 // sentAt is when the line was sent that waits for its answer.
-func (s Standing) sentAt(now time.Time) time.Time {
+func (s ConnectionState) sentAt(now time.Time) time.Time {
 	waited := time.Duration(s.Waits)
 	if waited == 0 {
 		waited = max(0, now.Sub(time.Unix(0, s.Sent)))
@@ -66,7 +66,7 @@
 }
 
 // Restore goes on with an open connection of another process.
-func (c *Cluster) Restore(a *edge.Attempt, fd int, s Standing, sink Sink) *Request {
+func (c *Cluster) Restore(a *edge.Attempt, fd int, s ConnectionState, sink Sink) *Request {
 	r := &Request{cluster: c, attempt: a, sink: sink, up: true, last: ending(s.Last),
 		in: line.NewReader(s.Line), out: line.NewScanner(s.Behind)}
 	if s.Sent > 0 {
--- a/internal/platform/upstream/probe.go
+++ b/internal/platform/upstream/probe.go
@@ -36,7 +36,7 @@
 }
 
 // CheckHealth asks a host for its load report.
-func (c *Cluster) CheckHealth(h edge.UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
+func (c *Cluster) CheckHealth(h edge.ServerEntry, by time.Time, done func(choice.Outcome, []float64)) {
 	p := c.probes[h.ID]
 	if p == nil || p.addr != h.Addr {
 		if p != nil {
@@ -94,7 +94,7 @@
 }
 
 // ForgetOthers closes the probe connections of all hosts but these: a whole list says what is gone by not naming it.
-func (c *Cluster) ForgetOthers(hosts []edge.UpstreamHost) {
+func (c *Cluster) ForgetOthers(hosts []edge.ServerEntry) {
 	named := map[choice.ServerID]bool{}
 	for _, h := range hosts {
 		named[h.ID] = true
@@ -176,7 +176,7 @@
 func (p *prober) OnEnd(err error) {
 	o := choice.Reset
 	switch {
-	case loop.Local(err):
+	case loop.IsLocal(err):
 		o = choice.NeverSent
 	case !p.up:
 		o = choice.ConnectFailed
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -74,7 +74,7 @@
 // Attempt starts a. first is the client's OPEN line; only its d is written anew.
 func (c *Cluster) Attempt(a *edge.Attempt, first []byte, sink Sink) *Request {
 	r := &Request{cluster: c, attempt: a, sink: sink, first: first}
-	r.conn = c.loop.Dial(a.Host.Addr, a.ConnectBy(), r)
+	r.conn = c.loop.Dial(a.Server.Addr, a.ConnectBy(), r)
 	return r
 }
 
@@ -84,7 +84,7 @@
 	if r.sink.Hear(); !r.attempt.Begin() {
 		return
 	}
-	left := r.attempt.Until.Sub(r.cluster.loop.Now())
+	left := r.attempt.Expires.Sub(r.cluster.loop.Now())
 	r.conn.Write(WithDeadline(r.first, left))
 	r.count()
 }
@@ -151,7 +151,7 @@
 		return
 	}
 	if why != "" {
-		zap.L().Warn("host_answer_unreadable", zap.String("host", string(r.attempt.Host.ID)), zap.String("sent", why))
+		zap.L().Warn("host_answer_unreadable", zap.String("host", string(r.attempt.Server.ID)), zap.String("sent", why))
 	}
 	r.over = true
 	r.conn.Cancel()
@@ -166,7 +166,7 @@
 		switch string(word) {
 		case "LOAD":
 			if x, err := strconv.ParseFloat(string(info), 64); err == nil && x >= 0 && !math.IsInf(x, 0) {
-				r.attempt.Load(x / 1e6)
+				r.attempt.UpdateLoad(x / 1e6)
 			}
 			return
 		case "BYE":
@@ -177,12 +177,12 @@
 		// One line is timed at a time, and any of the host's ends it: a line that gets no answer must not make all
 		// later ones look late.
 		if !r.sent.IsZero() {
-			r.attempt.Delay(r.cluster.loop.Now().Sub(r.sent))
+			r.attempt.ObserveDelay(r.cluster.loop.Now().Sub(r.sent))
 			r.sent = time.Time{}
 		}
 	})
 	if err != nil && !r.over {
-		zap.L().Warn("host_line_too_long", zap.String("host", string(r.attempt.Host.ID)))
+		zap.L().Warn("host_line_too_long", zap.String("host", string(r.attempt.Server.ID)))
 		r.done()
 		r.conn.Abort()
 		r.attempt.Ended(choice.Reset, nil)
@@ -223,12 +223,12 @@
 	}
 	now := r.cluster.loop.Now()
 	age := now.Sub(r.sent)
-	if age >= r.attempt.SilentAfter() {
-		r.attempt.Silent()
+	if age >= r.attempt.UnresponsiveAfter() {
+		r.attempt.Unresponsive()
 		return
 	}
 	if age >= checkEvery {
-		r.attempt.Delay(age)
+		r.attempt.ObserveDelay(age)
 	}
 	r.watch = r.cluster.loop.At(now.Add(checkEvery/2), r.check)
 }
@@ -301,7 +301,7 @@
 		}
 		r.attempt.Ended(o, nil)
 		r.sink.Ended(err != io.EOF)
-	case loop.Local(err):
+	case loop.IsLocal(err):
 		r.attempt.Ended(choice.NeverSent, nil)
 	case !sent:
 		r.attempt.Ended(choice.ConnectFailed, nil)
--- a/internal/transport/tls/tls.go
+++ b/internal/transport/tls/tls.go
@@ -237,10 +237,10 @@
 	}
 }
 
-// Leave is for a connection that is wanted for another one.
-func (c *Conn) Leave() {
-	if s, ok := c.h.(loop.Stranger); ok && c.up && !c.over {
-		s.Leave()
+// Evict is for a connection that is wanted for another one.
+func (c *Conn) Evict() {
+	if s, ok := c.h.(loop.Evictable); ok && c.up && !c.over {
+		s.Evict()
 	} else if !c.up {
 		c.broke(errNoRoom)
 	}
@@ -302,8 +302,8 @@
 // Full says that much waits to be written.
 func (c *Conn) Full() bool { return c.under.Full() }
 
-// Spoke says that the connection has said what it wants.
-func (c *Conn) Spoke() { c.under.Spoke() }
+// LeaveIdleQueue says that the connection has said what it wants.
+func (c *Conn) LeaveIdleQueue() { c.under.LeaveIdleQueue() }
 
 // pipe is the network under crypto/tls: what came waits in it, and what is written goes to the loop. While a handshake runs it
 // is used from two goroutines, and its reader waits; from then on the loop alone has it, and nobody waits.
--- a/internal/transport/websocket/websocket.go
+++ b/internal/transport/websocket/websocket.go
@@ -34,7 +34,7 @@
 	Pause()
 	Resume()
 	Full() bool
-	Spoke()
+	LeaveIdleQueue()
 }
 
 // Conn is the server's side of a WebSocket connection. Its handler's OnData gets a whole message; what is written is one.
@@ -73,10 +73,10 @@
 	}
 }
 
-// Leave is for a connection that is wanted for another one.
-func (c *Conn) Leave() {
-	if s, ok := c.h.(loop.Stranger); ok && c.up && !c.over {
-		s.Leave()
+// Evict is for a connection that is wanted for another one.
+func (c *Conn) Evict() {
+	if s, ok := c.h.(loop.Evictable); ok && c.up && !c.over {
+		s.Evict()
 	} else if !c.over {
 		c.broke(io.ErrUnexpectedEOF, ws.StatusGoingAway)
 	}
@@ -301,5 +301,5 @@
 // Full says that much waits to be written.
 func (c *Conn) Full() bool { return c.under.Full() }
 
-// Spoke says that the connection has said what it wants.
-func (c *Conn) Spoke() { c.under.Spoke() }
+// LeaveIdleQueue says that the connection has said what it wants.
+func (c *Conn) LeaveIdleQueue() { c.under.LeaveIdleQueue() }
--- a/internal/transport/websocket/websocket_test.go
+++ b/internal/transport/websocket/websocket_test.go
@@ -16,13 +16,13 @@
 	ended, full bool
 }
 
-func (w *wire) Write(p []byte) { w.Buffer.Write(p) }
-func (w *wire) End()           { w.ended = true }
-func (w *wire) Abort()         { w.ended = true }
-func (w *wire) Pause()         {}
-func (w *wire) Resume()        {}
-func (w *wire) Full() bool     { return w.full }
-func (w *wire) Spoke()         {}
+func (w *wire) Write(p []byte)  { w.Buffer.Write(p) }
+func (w *wire) End()            { w.ended = true }
+func (w *wire) Abort()          { w.ended = true }
+func (w *wire) Pause()          {}
+func (w *wire) Resume()         {}
+func (w *wire) Full() bool      { return w.full }
+func (w *wire) LeaveIdleQueue() {}
 
 // taker notes messages and the end.
 type taker struct {
--- a/internal/xmpp/carry.go
+++ b/internal/xmpp/carry.go
@@ -24,22 +24,22 @@
 // Standing is what the front knows of a client's connection beside its sockets, as one process of a node tells it to
 // another. Of an established session there is a host's side; any other has sent no whole stream header yet.
 type Standing struct {
-	Conn   loop.Carried `cbor:"1,keyasint"`
-	In     Stream       `cbor:"2,keyasint"`
-	To     string       `cbor:"3,keyasint,omitempty"`
-	Host   *Host        `cbor:"4,keyasint,omitempty"`
-	Until  int64        `cbor:"5,keyasint,omitempty"` // Unix time in ns by which the header must be there, for releases without Left
-	Left   int64        `cbor:"8,keyasint,omitempty"` // ns until then
-	Opened bool         `cbor:"6,keyasint,omitempty"` // the client waits for a stream header
+	Conn   loop.ConnectionState `cbor:"1,keyasint"`
+	In     Stream               `cbor:"2,keyasint"`
+	To     string               `cbor:"3,keyasint,omitempty"`
+	Host   *Host                `cbor:"4,keyasint,omitempty"`
+	Until  int64                `cbor:"5,keyasint,omitempty"` // Unix time in ns by which the header must be there, for releases without Left
+	Left   int64                `cbor:"8,keyasint,omitempty"` // ns until then
+	Opened bool                 `cbor:"6,keyasint,omitempty"` // the client waits for a stream header
 
 	Resumes *sessions.Session `cbor:"7,keyasint,omitempty"` // that its client can resume
 }
 
 // Host is the host's side of an established session.
 type Host struct {
-	Conn   loop.Carried `cbor:"1,keyasint"`
-	In     Stream       `cbor:"2,keyasint"`
-	Inside bool         `cbor:"3,keyasint,omitempty"` // an unfinished stanza has been passed on
+	Conn   loop.ConnectionState `cbor:"1,keyasint"`
+	In     Stream               `cbor:"2,keyasint"`
+	Inside bool                 `cbor:"3,keyasint,omitempty"` // an unfinished stanza has been passed on
 }
 
 func (s *scanner) stream() Stream {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// Lend takes both sides of an established session off the loop. One that is about to leave stays.
-func (s *session) Lend() (fds []int, state any, ok bool) {
+// Detach takes both sides of an established session off the loop. One that is about to leave stays.
+func (s *session) Detach() (fds []int, state any, ok bool) {
 	h := s.upstream
 	if s.layered { // keys of TLS can't be told, and messages of WebSocket may be in the middle
 		return nil, nil, false
@@ -72,21 +72,21 @@
 		st.Resumes = &known
 	}
 	fds = make([]int, 2)
-	if fds[0], st.Conn, ok = s.raw.Lend(); !ok {
+	if fds[0], st.Conn, ok = s.raw.Detach(); !ok {
 		return nil, nil, false
 	}
-	if fds[1], st.Host.Conn, ok = h.conn.Lend(); !ok {
-		s.raw.Return()
+	if fds[1], st.Host.Conn, ok = h.conn.Detach(); !ok {
+		s.raw.Reattach()
 		return nil, nil, false
 	}
 	return fds, st, true
 }
 
-// Return has a lent session go on.
-func (s *session) Return() {
-	s.raw.Return()
+// Reattach has a lent session go on.
+func (s *session) Reattach() {
+	s.raw.Reattach()
 	if s.upstream != nil {
-		s.upstream.conn.Return()
+		s.upstream.conn.Reattach()
 	}
 }
 
@@ -116,24 +116,24 @@
 	return all
 }
 
-// Lend takes the connection off the loop.
-func (i Idle) Lend() (fds []int, state any, ok bool) {
+// Detach takes the connection off the loop.
+func (i Idle) Detach() (fds []int, state any, ok bool) {
 	s := i.s
 	if s.over || s.request != nil || s.clear || s.layered {
 		return nil, nil, false
 	}
-	fd, conn, ok := s.raw.Lend()
+	fd, conn, ok := s.raw.Detach()
 	if !ok {
 		return nil, nil, false
 	}
 	s.cancelTimer()
 	return []int{fd}, Standing{Conn: conn, In: s.in.stream(), Until: s.until.UnixNano(),
-		Left: loop.Left(s.front.loop.Now(), s.until)}, true
+		Left: loop.TimeLeft(s.front.loop.Now(), s.until)}, true
 }
 
-// Return has a lent connection go on.
-func (i Idle) Return() {
-	i.s.Return()
+// Reattach has a lent connection go on.
+func (i Idle) Reattach() {
+	i.s.Reattach()
 	i.s.due(i.s.until)
 }
 
@@ -141,7 +141,7 @@
 func (i Idle) Release() { i.s.Release() }
 
 // Hold checks a connection of another process whole; what it returns has it go on here. read reads what the other front told.
-func (f *Front) Hold(core *edge.Core, open *edge.Standing, read func(into any) error, fds []int) (restore func(), err error) {
+func (f *Front) Hold(core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int) (restore func(), err error) {
 	var st Standing
 	if err := read(&st); err != nil {
 		return nil, err
@@ -167,13 +167,13 @@
 	return func() { f.restore(core, *open, st, fds) }, nil
 }
 
-func (f *Front) restore(core *edge.Core, from edge.Standing, st Standing, fds []int) {
+func (f *Front) restore(core *edge.Core, from edge.ConnectionState, st Standing, fds []int) {
 	s := &session{front: f, in: f.scanner(st.In), to: st.To, committed: true, open: true, headerDue: st.Opened}
 	s.request, s.attempt = core.Adopt(from, s)
 	h := &upstreamRequest{session: s, attempt: s.attempt, in: f.scanner(st.Host.In), up: true, passedPart: st.Host.Inside}
 	s.upstream = h
 	h.conn = f.loop.Restore(fds[1], st.Host.Conn, h)
-	s.attempt.Goes(h)
+	s.attempt.Resume(h)
 	if st.Resumes != nil {
 		s.user = st.Resumes.User
 		s.stands(*st.Resumes)
@@ -193,6 +193,6 @@
 	s := &session{front: f, in: f.scanner(st.In), headerDue: true}
 	s.raw = f.loop.Restore(fd, st.Conn, s)
 	s.conn, s.guest = s.raw, f.door.Stood(f.loop.Now(), s.raw.Peer, "")
-	s.raw.Wait()
-	s.due(loop.After(f.loop.Now(), st.Left, st.Until, f.limits.HeaderTime))
+	s.raw.EnterIdleQueue()
+	s.due(loop.TimeFromLeft(f.loop.Now(), st.Left, st.Until, f.limits.HeaderTime))
 }
--- a/internal/xmpp/front.go
+++ b/internal/xmpp/front.go
@@ -161,15 +161,15 @@
 	s.until = by
 	s.stop = s.front.loop.At(by, func() {
 		s.stop = nil
-		s.raw.Hear() // it may lie in the socket
+		s.raw.ReadAvailable() // it may lie in the socket
 		if s.stop == nil && s.request == nil {
 			s.fail(connectionTimeout, "no stream header came in time")
 		}
 	})
 }
 
-// Leave answers a client whose connection is wanted for another one, before its header named a domain.
-func (s *session) Leave() { s.fail(resourceConstraint, "connect again") }
+// Evict answers a client whose connection is wanted for another one, before its header named a domain.
+func (s *session) Evict() { s.fail(resourceConstraint, "connect again") }
 
 // session is one client's connection.
 type session struct {
@@ -320,14 +320,14 @@
 	s.cancelTimer()
 	s.deadline = s.front.loop.Now().Add(d.Patience)
 	id := choice.RequestID(strconv.FormatUint(s.front.ids.Uint64(), 16))
-	spec := edge.Spec{ID: id, Class: d.Class, Tenant: -1, Key: s.front.ids.Uint64(), Deadline: s.deadline, Home: s.home(d)}
+	spec := edge.Spec{ID: id, Class: d.Class, Tenant: -1, Key: s.front.ids.Uint64(), Deadline: s.deadline, StickyServer: s.home(d)}
 	if s.front.loop.Open()+2 > s.front.limits.MostOpen {
 		// Guards against running out of descriptors half way: a session taken needs one more for its host.
 		zap.L().Warn("connection_limit_refused", zap.String("front", "xmpp"))
-		d.Core.Refuse(spec, s, 0)
+		d.Core.Reject(spec, s, 0)
 		return ""
 	}
-	s.conn.Spoke()
+	s.conn.LeaveIdleQueue()
 	s.request = d.Core.Open(spec, s)
 	return ""
 }
@@ -362,7 +362,7 @@
 func (s *session) Attempt(a *edge.Attempt) edge.UpstreamRequest {
 	s.attempt = a
 	s.upstream = &upstreamRequest{session: s, attempt: a, in: scanner{most: s.front.limits.Stanza}}
-	s.upstream.conn = s.front.loop.Dial(a.Host.Addr, a.ConnectBy(), s.upstream)
+	s.upstream.conn = s.front.loop.Dial(a.Server.Addr, a.ConnectBy(), s.upstream)
 	return s.upstream
 }
 
@@ -370,27 +370,27 @@
 	condition condition
 	text      string
 }{
-	edge.Busy:         {resourceConstraint, "no server can take the session now"},
-	edge.ShuttingDown: {systemShutdown, "connect again"},
-	edge.Unreachable:  {remoteConnectionFailed, "the server can't be reached"},
-	edge.HostLost:     {remoteConnectionFailed, "the server was lost"},
-	edge.Late:         {connectionTimeout, "the session was not set up in time"},
+	edge.Busy:           {resourceConstraint, "no server can take the session now"},
+	edge.ShuttingDown:   {systemShutdown, "connect again"},
+	edge.Unreachable:    {remoteConnectionFailed, "the server can't be reached"},
+	edge.ServerLost:     {remoteConnectionFailed, "the server was lost"},
+	edge.DeadlinePassed: {connectionTimeout, "the session was not set up in time"},
 }
 
 // LocalReply gives the session's final answer in place of a host's.
 func (s *session) LocalReply(r edge.LocalReply) {
 	c, ok := conditions[r.Why]
-	if !ok || !r.Refused {
+	if !ok || !r.Rejected {
 		c.condition, c.text = internalServerError, ""
 	}
-	if r.After > 0 {
-		c.text += "; come again after " + strconv.FormatInt(r.After.Milliseconds(), 10) + " ms"
+	if r.RetryAfter > 0 {
+		c.text += "; come again after " + strconv.FormatInt(r.RetryAfter.Milliseconds(), 10) + " ms"
 	}
 	s.fail(c.condition, c.text)
 }
 
-// Move tells the client of an open session to leave, between two stanzas.
-func (s *session) Move(by time.Time) {
+// Migrate tells the client of an open session to leave, between two stanzas.
+func (s *session) Migrate(by time.Time) {
 	if s.over {
 		return
 	}
--- a/internal/xmpp/host.go
+++ b/internal/xmpp/host.go
@@ -37,7 +37,7 @@
 // OnConnect gives the host all that the client sent so far.
 func (h *upstreamRequest) OnConnect() {
 	h.attempt.Connected()
-	if h.session.raw.Hear(); !h.attempt.Begin() { // its client may have left meanwhile
+	if h.session.raw.ReadAvailable(); !h.attempt.Begin() { // its client may have left meanwhile
 		return
 	}
 	h.up = true
@@ -206,7 +206,7 @@
 }
 
 func (h *upstreamRequest) broken(what string) {
-	zap.L().Warn("host_stream_unreadable", zap.String("host", string(h.attempt.Host.ID)), zap.String("cause", what))
+	zap.L().Warn("host_stream_unreadable", zap.String("host", string(h.attempt.Server.ID)), zap.String("cause", what))
 	h.lost(choice.Failed)
 }
 
@@ -288,7 +288,7 @@
 		}
 		return
 	}
-	if loop.Local(err) {
+	if loop.IsLocal(err) {
 		h.attempt.Ended(choice.NeverSent, nil)
 		return
 	}
--- a/internal/xmpp/resume.go
+++ b/internal/xmpp/resume.go
@@ -51,7 +51,7 @@
 	if !ok {
 		return ""
 	}
-	if !d.Core.Serving(known.Host, known.Started) {
+	if !d.Core.AcceptsNew(known.Host, known.Started) {
 		t.Forget(known.Key) // its host leaves, is gone, or has started anew and knows nothing of it
 		return ""
 	}
@@ -88,18 +88,18 @@
 	}
 	d, ok := s.front.domain(s.to)
 	home := s.home(d)
-	if !ok || home == "" || s.attempt == nil || s.attempt.Host.ID == home || len(greeting) == 0 || len(hold) > mostAuth {
+	if !ok || home == "" || s.attempt == nil || s.attempt.Server.ID == home || len(greeting) == 0 || len(hold) > mostAuth {
 		s.pass(hold)
 		return
 	}
-	if !s.request.MayTurn(home) {
+	if !s.request.MayRedirect(home) {
 		s.pass(hold)
 		return
 	}
-	zap.L().Debug("session_goes_home", zap.String("from", string(s.attempt.Host.ID)), zap.String("to", string(home)))
+	zap.L().Debug("session_goes_home", zap.String("from", string(s.attempt.Server.ID)), zap.String("to", string(home)))
 	r.swallow = s.committed
 	s.sent, s.committed = append(append([]byte(nil), greeting...), hold...), false
-	s.request.Turn(home)
+	s.request.RedirectTo(home)
 }
 
 // userOf reads the user's name out of an initial response: PLAIN (RFC 4616) and SCRAM (RFC 5802). Other mechanisms tell
@@ -164,7 +164,7 @@
 		return
 	}
 	s.stands(sessions.Session{Key: sessions.Key{Domain: s.domain(), ID: id}, User: s.user,
-		Host: h.attempt.Host.ID, Started: h.attempt.Host.Started, Max: life})
+		Host: h.attempt.Server.ID, Started: h.attempt.Server.Started, Max: life})
 }
 
 // stands notes that a session that can be resumed stands on this connection. One that it stood on before, and whose client has
--- a/internal/xmpp/secure.go
+++ b/internal/xmpp/secure.go
@@ -20,7 +20,7 @@
 	Pause()
 	Resume()
 	Full() bool
-	Spoke()
+	LeaveIdleQueue()
 }
 
 // Guard has the door go by other rules, for streams that come from now on.
@@ -78,9 +78,9 @@
 // unbindable names a host that offers channel binding to a client whose TLS ends here, once: it can't hold.
 func (h *upstreamRequest) unbindable(t token) {
 	s := h.session
-	if s.layered && t.kind == text && h.top.name == "features" && strings.HasSuffix(strings.TrimSpace(string(t.raw)), "-PLUS") && !s.front.plus[h.attempt.Host.ID] {
-		s.front.plus[h.attempt.Host.ID] = true
-		zap.L().Warn("host_offers_channel_binding", zap.String("host", string(h.attempt.Host.ID)), zap.String("mechanism", string(t.raw)),
+	if s.layered && t.kind == text && h.top.name == "features" && strings.HasSuffix(strings.TrimSpace(string(t.raw)), "-PLUS") && !s.front.plus[h.attempt.Server.ID] {
+		s.front.plus[h.attempt.Server.ID] = true
+		zap.L().Warn("host_offers_channel_binding", zap.String("host", string(h.attempt.Server.ID)), zap.String("mechanism", string(t.raw)),
 			zap.String("remedy", "TLS ends at this node, so no binding can hold: have the host offer no -PLUS mechanisms"))
 	}
 }
--- a/internal/xmpp/websocket.go
+++ b/internal/xmpp/websocket.go
@@ -38,8 +38,8 @@
 // OnDrained tells the session.
 func (f *framed) OnDrained() { f.s.OnDrained() }
 
-// Leave tells the session that its connection is wanted for another one.
-func (f *framed) Leave() { f.s.Leave() }
+// Evict tells the session that its connection is wanted for another one.
+func (f *framed) Evict() { f.s.Evict() }
 
 // OnEnd tells the session of its client's end.
 func (f *framed) OnEnd(err error) { f.s.OnEnd(err) }
@@ -151,11 +151,11 @@
 }
 
 // End ends the connection; what the session wrote has closed the stream already, unless the client is inside an element.
-func (f *framed) End()       { f.under.End() }
-func (f *framed) Abort()     { f.under.Abort() }
-func (f *framed) Pause()     { f.under.Pause() }
-func (f *framed) Resume()    { f.under.Resume() }
-func (f *framed) Full() bool { return f.under.Full() }
-func (f *framed) Spoke()     { f.under.Spoke() }
+func (f *framed) End()            { f.under.End() }
+func (f *framed) Abort()          { f.under.Abort() }
+func (f *framed) Pause()          { f.under.Pause() }
+func (f *framed) Resume()         { f.under.Resume() }
+func (f *framed) Full() bool      { return f.under.Full() }
+func (f *framed) LeaveIdleQueue() { f.under.LeaveIdleQueue() }
 
 var _ loop.Handler = (*framed)(nil)
