--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -132,8 +132,8 @@
 		f.Fault("node", "%v", err)
 		return
 	}
-	if len(list.Zones()) > failover.MostZones {
-		f.Fault("node", "%d zones: %d at most", len(list.Zones()), failover.MostZones)
+	if len(list.Zones()) > failover.MaxZones {
+		f.Fault("node", "%d zones: %d at most", len(list.Zones()), failover.MaxZones)
 	}
 	l.List, l.Addr = list, make([]string, list.Len())
 	for _, n := range l.NodeList {
@@ -147,8 +147,8 @@
 	for _, x := range l.Far {
 		cost[[2]string{x.Between[0], x.Between[1]}], cost[[2]string{x.Between[1], x.Between[0]}] = x.Cost, x.Cost
 	}
-	return failover.Rules{Limit: l.Plan.Limit, Life: time.Duration(l.Plan.Life), Hold: time.Duration(l.Plan.Hold), Ramp: l.Plan.Ramp,
-		Far: func(a, b string) float64 { return max(1, cost[[2]string{a, b}]) }}
+	return failover.Rules{UtilizationLimit: l.Plan.Limit, GrantLifetime: time.Duration(l.Plan.Life), RecoveryDelay: time.Duration(l.Plan.Hold), RecoveryRamp: l.Plan.Ramp,
+		RegionDistance: func(a, b string) float64 { return max(1, cost[[2]string{a, b}]) }}
 }
 
 // readFleet checks a node's part and reads the files that it names.
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -320,9 +320,9 @@
 		t.Errorf("written as\n%s\nwanted\n%s", encoded, form)
 	}
 	rules, policyRules := got.Rules(), got.Policy.Rules()
-	if rules.Limit != 0.8 || rules.Life != 31*time.Second || rules.Hold != 5*time.Second || rules.Ramp != 0.25 ||
-		rules.Far("region-1", "region-2") != 2.5 || rules.Far("region-2", "region-1") != 2.5 || rules.Far("region-1", "other") != 1 {
-		t.Errorf("the rules of plans are %+v, at cost %v", rules, rules.Far("region-1", "region-2"))
+	if rules.UtilizationLimit != 0.8 || rules.GrantLifetime != 31*time.Second || rules.RecoveryDelay != 5*time.Second || rules.RecoveryRamp != 0.25 ||
+		rules.RegionDistance("region-1", "region-2") != 2.5 || rules.RegionDistance("region-2", "region-1") != 2.5 || rules.RegionDistance("region-1", "other") != 1 {
+		t.Errorf("the rules of plans are %+v, at cost %v", rules, rules.RegionDistance("region-1", "region-2"))
 	}
 	if policyRules.Window != 6*time.Second || policyRules.Answer != 11*time.Second {
 		t.Errorf("the rules of changes are %+v", policyRules)
--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -38,17 +38,17 @@
 
 // Options are what an agent stands on.
 type Options struct {
-	List      *membership.List
-	Self      int
-	Key       []byte
-	Rules     failover.Rules
-	Classes   []string // of the module, by index
-	ComeAgain time.Duration
-	Kept      []agree.Record // what the disk has, oldest first
-	Seed      uint64
-	Log       func(event string, fields ...any) // names and values in turn
-	Voter     NewVoter                          // nil: this program doesn't vote
-	Policy    *Policy                           // nil: each node goes by its own files
+	List       *membership.List
+	Self       int
+	Key        []byte
+	Rules      failover.Rules
+	Classes    []string // of the module, by index
+	RetryAfter time.Duration
+	Records    []agree.Record // what the disk has, oldest first
+	Seed       uint64
+	Log        func(event string, fields ...any) // names and values in turn
+	Voter      NewVoter                          // nil: this program doesn't vote
+	Policy     *Policy                           // nil: each node goes by its own files
 }
 
 // Voter is one of those who agree on the log: internal/agree/voter.
@@ -100,7 +100,7 @@
 	leaderPlan  uint64          // its newest plan then
 	lease       time.Duration   // crossings are allowed until then
 
-	lender *failover.Lender
+	lender *failover.LeaseOwner
 	loans  map[string]*loaned // by zone
 	had    map[string]float64 // told load that stood here of late, at most, by class
 	stay   float64            // told load of classes that must stay in the region, and have no place in the own zone
@@ -137,9 +137,9 @@
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 9))
 	a := &Agent{options: o, zone: o.List.Node(o.Self).Zone, rng: rng, peers: map[int]*peer{}, reports: map[int]*report{}, last: now,
-		lender: failover.NewLender(now), loans: map[string]*loaned{}, had: map[string]float64{}, saw: now, changed: true}
+		lender: failover.NewLeaseOwner(now), loans: map[string]*loaned{}, had: map[string]float64{}, saw: now, changed: true}
 	a.listDigest, a.process = digestOf(o.List), rng.Uint32()|1
-	a.follower = restoreFollower(o.Kept)
+	a.follower = restoreFollower(o.Records)
 	a.watch = membership.NewWatch(o.List, o.Self, now)
 	if err := a.startVoter(); err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 	if o.Voter == nil {
 		return fmt.Errorf("%s is a voter, and this program does not vote", o.List.Node(o.Self).Name)
 	}
-	v, err := o.Voter(place, len(o.List.Voters()), o.Kept, a.rng)
+	v, err := o.Voter(place, len(o.List.Voters()), o.Records, a.rng)
 	if err != nil {
 		return err
 	}
@@ -219,17 +219,17 @@
 	return uint32(h.Sum64())
 }
 
-// Use is what the module is to go by, where that has changed since the last call.
-func (a *Agent) Use() (choice.ZonePlan, bool) {
+// ZonePlan is what the module is to go by, where that has changed since the last call.
+func (a *Agent) ZonePlan() (choice.ZonePlan, bool) {
 	if !a.changed {
 		return choice.ZonePlan{}, false
 	}
 	a.changed = false
-	return failover.Use(a.mode, a.plan, a.options.Self, a.zone, a.options.Classes, a.options.ComeAgain, failover.Borrowed{Loans: a.lent(), Stay: a.stay}), true
+	return failover.ZonePlanFor(a.mode, a.plan, a.options.Self, a.zone, a.options.Classes, a.options.RetryAfter, failover.LeasedCapacity{ByZone: a.lent(), InRegionOnly: a.stay}), true
 }
 
-// Adapt takes in the module's classes after a change of settings.
-func (a *Agent) Adapt(classes []string) { a.options.Classes, a.changed = classes, true }
+// UpdateClasses takes in the module's classes after a change of settings.
+func (a *Agent) UpdateClasses(classes []string) { a.options.Classes, a.changed = classes, true }
 
 // Tick tells the time; it is called about each agree.Tick.
 func (a *Agent) Tick(now time.Duration) {
@@ -276,12 +276,12 @@
 
 // updateMode settles which mode this node is in.
 func (a *Agent) updateMode(now time.Duration) {
-	m := failover.Alone
+	m := failover.Standalone
 	switch {
 	case a.plan != nil && now < a.lease:
 		m = failover.Planned
 	case a.plan != nil:
-		m = failover.Ground
+		m = failover.OwnZoneOnly
 	}
 	if m != a.mode || a.changed {
 		a.changed = true
--- a/internal/failover/agent/agent_test.go
+++ b/internal/failover/agent/agent_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := New(Options{List: l, Self: 0, Key: []byte("key"), Rules: failover.Rules{Life: 10 * time.Second}, Classes: []string{"c"}}, 0)
+	a, err := New(Options{List: l, Self: 0, Key: []byte("key"), Rules: failover.Rules{GrantLifetime: 10 * time.Second}, Classes: []string{"c"}}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,19 +55,19 @@
 // word is counted against it.
 func TestLease(t *testing.T) {
 	a := alone(t)
-	p := &failover.Plan{Zones: []failover.Zone{{Name: "z", Nodes: 2, Listed: 2, Room: 5, Want: []float32{}}}, Admit: [][]int{{}}, Before: [][]float32{{0}}, Life: 10}
+	p := &failover.Plan{Zones: []failover.Zone{{Name: "z", Nodes: 2, Listed: 2, Capacity: 5, Demand: []float32{}}}, AdmitFractions: [][]int{{}}, Before: [][]float32{{0}}, GrantLifetime: 10}
 	a.acceptEntry(7, agree.Entry{Number: 3, Kind: failover.PlanKind, Data: p.Encode()}, 1, time.Second)
 	if _, n := a.Mode(); n != 0 {
 		t.Errorf("goes by plan %d before its disk has it", n)
 	}
 	a.advance(time.Second)
-	a.Kept(time.Second)
+	a.Persisted(time.Second)
 	mode := func(now time.Duration) failover.Mode {
 		a.updateMode(now)
 		m, _ := a.Mode()
 		return m
 	}
-	if m := mode(2 * time.Second); m != failover.Ground {
+	if m := mode(2 * time.Second); m != failover.OwnZoneOnly {
 		t.Errorf("without word of the one that leads: %v", m)
 	}
 	tell := func(sent, now, age time.Duration, plan uint64) {
@@ -75,17 +75,17 @@
 		a.handleWord(header{from: 1}, encode(wordBody{Answer: 42, Age: int64(age / time.Microsecond), Plan: plan}), now)
 	}
 	tell(2*time.Second, 5*time.Second, time.Second, 3) // sent at 2 s, the leader was there a second before that
-	for at, want := range map[time.Duration]failover.Mode{5 * time.Second: failover.Planned, 10900 * time.Millisecond: failover.Planned, 11100 * time.Millisecond: failover.Ground} {
+	for at, want := range map[time.Duration]failover.Mode{5 * time.Second: failover.Planned, 10900 * time.Millisecond: failover.Planned, 11100 * time.Millisecond: failover.OwnZoneOnly} {
 		if m := mode(at); m != want {
 			t.Errorf("at %v: %v, wanted %v", at, m, want)
 		}
 	}
 	tell(20*time.Second, 21*time.Second, 0, 4) // there is a newer plan, which this node doesn't have
-	if m := mode(21 * time.Second); m != failover.Ground {
+	if m := mode(21 * time.Second); m != failover.OwnZoneOnly {
 		t.Errorf("by an old plan, when a newer one is known: %v", m)
 	}
 	tell(20*time.Second, 21*time.Second, -time.Microsecond, 3)
-	if m := mode(21 * time.Second); m != failover.Ground {
+	if m := mode(21 * time.Second); m != failover.OwnZoneOnly {
 		t.Errorf("on the word of an aggregator that knows nothing: %v", m)
 	}
 }
@@ -104,6 +104,6 @@
 		a.Tick(time.Duration(a.clock) * time.Second)
 		a.Answer(p, time.Duration(a.clock)*time.Second)
 		a.Out()
-		a.Use()
+		a.ZonePlan()
 	})
 }
--- a/internal/failover/agent/ask.go
+++ b/internal/failover/agent/ask.go
@@ -131,8 +131,8 @@
 			r.Leader = a.options.List.Node(a.options.List.Voters()[l]).Name
 		}
 	}
-	r.Loans, r.Lent = a.lent(), a.lender.Lent(now)
-	orders, _ := failover.DecodeOrders(a.follower.Newest(failover.OrdersKind).Data)
+	r.Loans, r.Lent = a.lent(), a.lender.Reserved(now)
+	orders, _ := failover.DecodeOperatorOrders(a.follower.Newest(failover.OperatorOrdersKind).Data)
 	r.Drained = orders.Drained
 	switch c.Verb {
 	case "status", "plan":
@@ -140,8 +140,8 @@
 		if a.planner != nil {
 			for i := range a.options.List.Len() {
 				n := a.options.List.Node(i)
-				seen := a.planner.Seen(i, now)
-				r.Nodes = append(r.Nodes, NodeReply{Name: n.Name, Zone: n.Zone, Live: seen.Live, Plan: seen.Plan, Ago: seen.Ago})
+				seen := a.planner.NodeView(i, now)
+				r.Nodes = append(r.Nodes, NodeReply{Name: n.Name, Zone: n.Zone, Live: seen.Live, Plan: seen.Plan, Ago: seen.HeardSecondsAgo})
 			}
 		}
 	case "explain":
@@ -167,7 +167,7 @@
 				orders.Drained = append(orders.Drained, c.Arg)
 				slices.SortFunc(orders.Drained, cmp.Compare[string])
 			}
-			if err := a.voter.Propose(agree.Proposal{ID: c.ID, Kind: failover.OrdersKind, Replaces: a.follower.Newest(failover.OrdersKind).Number,
+			if err := a.voter.Propose(agree.Proposal{ID: c.ID, Kind: failover.OperatorOrdersKind, Replaces: a.follower.Newest(failover.OperatorOrdersKind).Number,
 				Data: orders.Encode()}); err != nil {
 				r.Error, r.Retry = err.Error(), true
 			}
@@ -193,20 +193,20 @@
 	if p == nil {
 		return
 	}
-	r.Why = p.Why
-	for _, i := range p.Lost {
+	r.Why = p.Reason
+	for _, i := range p.LostNodes {
 		if i >= 0 && i < a.options.List.Len() {
 			r.Lost = append(r.Lost, a.options.List.Node(i).Name)
 		}
 	}
 	for i, z := range p.Zones {
-		out := ZoneReply{Name: z.Name, Region: z.Region, State: z.State.String(), Nodes: z.Nodes, Listed: z.Listed, Room: float64(z.Room), Guests: float64(z.Guests),
+		out := ZoneReply{Name: z.Name, Region: z.Region, State: z.State.String(), Nodes: z.Nodes, Listed: z.Listed, Room: float64(z.Capacity), Guests: float64(z.GuestLoad),
 			Want: map[string]float64{}, Grants: map[string]float64{}, Admit: map[string]float64{}}
-		if z.Lender >= 0 && z.Lender < a.options.List.Len() {
-			out.Lender, out.Lends = a.options.List.Node(z.Lender).Name, float64(z.Reserve)
+		if z.LeaseOwner >= 0 && z.LeaseOwner < a.options.List.Len() {
+			out.Lender, out.Lends = a.options.List.Node(z.LeaseOwner).Name, float64(z.Reserve)
 		}
 		for c, name := range p.Classes {
-			out.Want[name], out.Admit[name] = float64(z.Want[c]), float64(p.Admit[i][c])/255
+			out.Want[name], out.Admit[name] = float64(z.Demand[c]), float64(p.AdmitFractions[i][c])/255
 		}
 		for _, g := range p.Grants {
 			if g.From == i {
--- a/internal/failover/agent/entries.go
+++ b/internal/failover/agent/entries.go
@@ -47,7 +47,7 @@
 		if !a.acceptPlan(e, now) {
 			return
 		}
-	case failover.OrdersKind:
+	case failover.OperatorOrdersKind:
 		a.acceptOrders(e)
 	}
 	body := encode(giveBody{Log: log, Entry: e})
@@ -68,15 +68,15 @@
 	}
 	a.planHistory.Add(e.Number, p, now)
 	if a.planner != nil {
-		a.planner.Newest(e.Number, p, now)
+		a.planner.ApplyPlan(e.Number, p, now)
 	}
 	return true
 }
 
 // acceptOrders tells the planner what operators have ordered.
 func (a *Agent) acceptOrders(e agree.Entry) {
-	if o, err := failover.DecodeOrders(e.Data); err == nil && a.planner != nil {
-		a.planner.Order(o)
+	if o, err := failover.DecodeOperatorOrders(e.Data); err == nil && a.planner != nil {
+		a.planner.ApplyOrders(o)
 	}
 	a.options.Log("fleet_orders_taken", "number", e.Number)
 }
@@ -104,7 +104,7 @@
 			continue // told when it came
 		}
 		a.plan, a.planNumber, a.changed = p, e.Number, true
-		a.options.Log("fleet_plan_taken", "number", e.Number, "digest", fmt.Sprintf("%016x", e.Digest()), "why", p.Why, "plan", e.Data)
+		a.options.Log("fleet_plan_taken", "number", e.Number, "digest", fmt.Sprintf("%016x", e.Digest()), "why", p.Reason, "plan", e.Data)
 	}
 	a.updateMode(now)
 }
--- a/internal/failover/agent/evidence.go
+++ b/internal/failover/agent/evidence.go
@@ -10,7 +10,7 @@
 )
 
 type report struct {
-	sum   failover.Sum
+	sum   failover.EvidenceSummary
 	at    time.Duration
 	fresh bool // not in a sum yet
 	stale bool
@@ -19,10 +19,10 @@
 // Wants says that it is time for what the module saw: Tell is to be called.
 func (a *Agent) Wants(now time.Duration) bool { return now >= a.next.look }
 
-// Tell takes what the module saw since the last call.
-func (a *Agent) Tell(n choice.Observations, now time.Duration) {
+// Observe takes what the module saw since the last call.
+func (a *Agent) Observe(n choice.Observations, now time.Duration) {
 	a.isDue(&a.next.look, lookEvery, now)
-	a.news = failover.Since(a.news, n)
+	a.news = failover.Accumulate(a.news, n)
 	if a.isDue(&a.next.evidence, evidenceEvery, now) {
 		a.sendEvidence(a.news, now)
 		a.news = choice.Observations{}
@@ -33,7 +33,7 @@
 
 // sendEvidence sends evidence to the nodes of this zone that sum it.
 func (a *Agent) sendEvidence(n choice.Observations, now time.Duration) {
-	s := failover.Tell(a.zone, a.options.Classes, n, failover.Word{Node: a.options.Self, Plan: a.planNumber, Silent: a.watch.Silent(now),
+	s := failover.Summarize(a.zone, a.options.Classes, n, failover.NodeStatus{Node: a.options.Self, Plan: a.planNumber, Unreachable: a.watch.Silent(now),
 		Policy: a.policyWord(now)})
 	body := s.Encode()
 	chosen := a.aggregators(now)
@@ -90,7 +90,7 @@
 }
 
 // storeReport keeps a node's evidence for the next sum. What was counted before and is in no sum yet is added to it.
-func (a *Agent) storeReport(node int, s failover.Sum, stale bool, now time.Duration) {
+func (a *Agent) storeReport(node int, s failover.EvidenceSummary, stale bool, now time.Duration) {
 	if old := a.reports[node]; old != nil && old.fresh {
 		addCounted(&s, old.sum)
 	}
@@ -98,14 +98,14 @@
 }
 
 // addCounted adds what evidence counts since the last one: arrivals, refusals and attempts. What stands is as it was told last.
-func addCounted(s *failover.Sum, old failover.Sum) {
+func addCounted(s *failover.EvidenceSummary, old failover.EvidenceSummary) {
 	if slices.Equal(old.Classes, s.Classes) {
 		addEach(s.Arrived, old.Arrived)
-		addEach(s.Refused, old.Refused)
+		addEach(s.Rejected, old.Rejected)
 	}
-	for i := range s.Rows {
-		row := &s.Rows[i]
-		for _, before := range old.Rows {
+	for i := range s.Zones {
+		row := &s.Zones[i]
+		for _, before := range old.Zones {
 			if before.Zone == row.Zone {
 				row.Attempts += before.Attempts
 				row.Failed += before.Failed
@@ -121,18 +121,18 @@
 }
 
 // withoutCounted is evidence without what it counts, which a sum has already.
-func withoutCounted(s failover.Sum) failover.Sum {
-	s.Arrived, s.Refused = make([]float32, len(s.Classes)), make([]float32, len(s.Classes))
-	s.Rows = slices.Clone(s.Rows)
-	for i := range s.Rows {
-		s.Rows[i].Attempts, s.Rows[i].Failed = 0, 0
+func withoutCounted(s failover.EvidenceSummary) failover.EvidenceSummary {
+	s.Arrived, s.Rejected = make([]float32, len(s.Classes)), make([]float32, len(s.Classes))
+	s.Zones = slices.Clone(s.Zones)
+	for i := range s.Zones {
+		s.Zones[i].Attempts, s.Zones[i].Failed = 0, 0
 	}
 	return s
 }
 
 func (a *Agent) handleEvidence(h header, body []byte, stale bool, now time.Duration) {
-	s, err := failover.DecodeSum(body)
-	if err != nil || s.Zone != a.zone || len(s.Words) != 1 || s.Words[0].Node != h.from {
+	s, err := failover.DecodeEvidenceSummary(body)
+	if err != nil || s.Zone != a.zone || len(s.Nodes) != 1 || s.Nodes[0].Node != h.from {
 		a.Counts.Spoilt++
 		return
 	}
@@ -185,7 +185,7 @@
 }
 
 // sumReports sums the evidence of this zone's nodes. stale says that all of it was long on its way, ok that there is any.
-func (a *Agent) sumReports(now time.Duration) (all failover.Sum, stale, ok bool) {
+func (a *Agent) sumReports(now time.Duration) (all failover.EvidenceSummary, stale, ok bool) {
 	stale = true
 	for _, node := range a.options.List.InZone(a.zone) {
 		r := a.reports[node]
@@ -198,7 +198,7 @@
 			s = withoutCounted(s)
 		}
 		if r.stale { // it shows who is there
-			s.Rows = nil
+			s.Zones = nil
 		} else {
 			stale = false
 		}
--- a/internal/failover/agent/golden_test.go
+++ b/internal/failover/agent/golden_test.go
@@ -93,21 +93,21 @@
 	return list
 }
 
-func goldenSum() failover.Sum {
-	return failover.Sum{Zone: "z1", Classes: []string{"c1", "c2"}, Arrived: []float32{1.5, 2}, Refused: []float32{3, 4.25},
-		Rows: []failover.Row{{Zone: "z2", Nodes: 5, Ready: 6, Out: 7, Warm: 8.5, Load: 9, Cost: 10.125, Attempts: 11, Failed: 12, Held: []float32{13, 14}}},
-		Words: []failover.Word{{Node: 1, Plan: 15, Silent: []int{2, 3}, Policy: &policy.Word{Entry: 16, Verdict: policy.No, Why: "too old", Has: 17,
+func goldenSum() failover.EvidenceSummary {
+	return failover.EvidenceSummary{Zone: "z1", Classes: []string{"c1", "c2"}, Arrived: []float32{1.5, 2}, Rejected: []float32{3, 4.25},
+		Zones: []failover.ZoneEvidence{{Zone: "z2", Nodes: 5, Ready: 6, Ejected: 7, Capacity: 8.5, Load: 9, Cost: 10.125, Attempts: 11, Failed: 12, OwnLoad: []float32{13, 14}}},
+		Nodes: []failover.NodeStatus{{Node: 1, Plan: 15, Unreachable: []int{2, 3}, Policy: &policy.Word{Entry: 16, Verdict: policy.No, Why: "too old", Has: 17,
 			Serves: 18, May: true, Arrived: 19, Away: 20}}}}
 }
 
 func goldenPlan() *failover.Plan {
 	return &failover.Plan{
 		Zones: []failover.Zone{
-			{Name: "z1", Region: "r1", State: failover.Returning, Nodes: 1, Listed: 2, Room: 3, Want: []float32{4}, Guests: 5, Turns: 6, Lender: 1, Reserve: 7},
-			{Name: "z2", Region: "r2", State: failover.Lost, Nodes: 8, Listed: 9, Room: 10, Want: []float32{11}, Guests: 12, Turns: 13, Lender: 2, Reserve: 14}},
-		Classes: []string{"c1"}, Grants: []failover.Grant{{From: 1, To: 1, Load: 16, Stay: 15}, {From: 0, To: 1, Load: 18, Stay: 17}}, Stay: []bool{true},
-		Admit: [][]int{{100}, {200}}, Life: 19, Lost: []int{3}, Why: "z2 lost", Before: [][]float32{{20, 21}, {22, 23}},
-		Lends: []failover.Lend{{Zone: 1, Lender: 2, Load: 24}}, Prev: 25}
+			{Name: "z1", Region: "r1", State: failover.Returning, Nodes: 1, Listed: 2, Capacity: 3, Demand: []float32{4}, GuestLoad: 5, Flaps: 6, LeaseOwner: 1, Reserve: 7},
+			{Name: "z2", Region: "r2", State: failover.Lost, Nodes: 8, Listed: 9, Capacity: 10, Demand: []float32{11}, GuestLoad: 12, Flaps: 13, LeaseOwner: 2, Reserve: 14}},
+		Classes: []string{"c1"}, Grants: []failover.Grant{{From: 1, To: 1, Load: 16, RegionLoad: 15}, {From: 0, To: 1, Load: 18, RegionLoad: 17}}, StayInRegion: []bool{true},
+		AdmitFractions: [][]int{{100}, {200}}, GrantLifetime: 19, LostNodes: []int{3}, Reason: "z2 lost", Before: [][]float32{{20, 21}, {22, 23}},
+		Reserves: []failover.CapacityReserve{{Zone: 1, Owner: 2, Load: 24}}, Previous: 25}
 }
 
 func goldenPolicyState() *policy.State {
@@ -204,7 +204,7 @@
 		body = body[1:]
 		fallthrough
 	case evidence:
-		sum, err := failover.DecodeSum(body)
+		sum, err := failover.DecodeEvidenceSummary(body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -264,13 +264,13 @@
 // goldenEntries are one entry of each kind that an agent acts on.
 func goldenEntries() []agree.Entry {
 	return []agree.Entry{{Number: 61, Kind: failover.PlanKind, ID: "plan-1", Data: goldenPlan().Encode()},
-		{Number: 62, Kind: failover.OrdersKind, ID: "drain-2", Data: failover.Orders{Drained: []string{"z2"}}.Encode()},
+		{Number: 62, Kind: failover.OperatorOrdersKind, ID: "drain-2", Data: failover.OperatorOrders{Drained: []string{"z2"}}.Encode()},
 		{Number: 63, Kind: policy.Kind, ID: "policy-3", Data: goldenPolicyState().Encode()}}
 }
 
 func goldenOptions(t testing.TB) Options {
 	t.Helper()
-	return Options{List: goldenList(t), Self: 0, Key: goldenKey, Rules: failover.Rules{Life: 10 * time.Second}, Classes: []string{"c1"},
+	return Options{List: goldenList(t), Self: 0, Key: goldenKey, Rules: failover.Rules{GrantLifetime: 10 * time.Second}, Classes: []string{"c1"},
 		Policy: &Policy{Rules: policy.Rules{Window: time.Minute}, Read: func([]byte) (*policy.Document, error) { return &policy.Document{}, nil }}}
 }
 
@@ -294,8 +294,8 @@
 	golden := goldenFile(t, "record.hex", agree.Encode(record))
 
 	options := goldenOptions(t)
-	options.Kept = make([]agree.Record, 1)
-	if err := agree.Unmarshal(golden, &options.Kept[0]); err != nil {
+	options.Records = make([]agree.Record, 1)
+	if err := agree.Unmarshal(golden, &options.Records[0]); err != nil {
 		t.Fatal(err)
 	}
 	reader, err := New(options, 0)
@@ -311,7 +311,7 @@
 	if _, number := reader.Mode(); number != 61 || !reflect.DeepEqual(reader.plan, goldenPlan()) {
 		t.Errorf("goes by plan %d\n%+v, wanted 61\n%+v", number, reader.plan, goldenPlan())
 	}
-	if orders, err := failover.DecodeOrders(reader.follower.Newest(failover.OrdersKind).Data); err != nil || !reflect.DeepEqual(orders.Drained, []string{"z2"}) {
+	if orders, err := failover.DecodeOperatorOrders(reader.follower.Newest(failover.OperatorOrdersKind).Data); err != nil || !reflect.DeepEqual(orders.Drained, []string{"z2"}) {
 		t.Errorf("orders read as %v, %v, wanted z2 drained", orders.Drained, err)
 	}
 	if p := reader.pol; p.entry != 63 || !reflect.DeepEqual(p.state, goldenPolicyState()) {
--- a/internal/failover/agent/leader.go
+++ b/internal/failover/agent/leader.go
@@ -19,7 +19,7 @@
 	if a.voter == nil || !a.voter.Leads() || len(body) < 1 {
 		return
 	}
-	s, err := failover.DecodeSum(body[1:])
+	s, err := failover.DecodeEvidenceSummary(body[1:])
 	if err != nil || a.options.List.Node(h.from).Zone != s.Zone {
 		a.Counts.Spoilt++
 		return
@@ -30,10 +30,10 @@
 	}
 }
 
-func (a *Agent) observe(aggregator int, s failover.Sum, stale bool, now time.Duration) {
+func (a *Agent) observe(aggregator int, s failover.EvidenceSummary, stale bool, now time.Duration) {
 	if a.planner != nil {
 		a.planner.Observe(aggregator, s, stale, now)
-		for _, w := range s.Words {
+		for _, w := range s.Nodes {
 			if w.Policy != nil && w.Node >= 0 && w.Node < a.options.List.Len() && a.options.List.Node(w.Node).Zone == s.Zone {
 				a.handlePolicy(w.Node, *w.Policy)
 			}
@@ -75,8 +75,8 @@
 	a.planner = failover.NewPlanner(a.options.List, a.rules(), a.planHistory, now)
 	current, _ := a.newestPolicy()
 	a.pol.lead(a.options.Policy, current.Number)
-	if o, err := failover.DecodeOrders(a.follower.Newest(failover.OrdersKind).Data); err == nil {
-		a.planner.Order(o)
+	if o, err := failover.DecodeOperatorOrders(a.follower.Newest(failover.OperatorOrdersKind).Data); err == nil {
+		a.planner.ApplyOrders(o)
 	}
 	a.options.Log("fleet_leads", "term", a.voter.Term(), "plan", a.follower.Newest(failover.PlanKind).Number)
 }
@@ -147,6 +147,6 @@
 		a.leaderSeen, a.leaderKnown, a.leaderPlan = at, true, max(a.leaderPlan, plan)
 	}
 	if a.plan != nil && a.leaderPlan <= a.planNumber {
-		a.lease = max(a.lease, a.leaderSeen+time.Duration(float64(a.plan.Life)*float64(time.Second)))
+		a.lease = max(a.lease, a.leaderSeen+time.Duration(float64(a.plan.GrantLifetime)*float64(time.Second)))
 	}
 }
--- a/internal/failover/agent/loans.go
+++ b/internal/failover/agent/loans.go
@@ -42,7 +42,7 @@
 	for z, l := range a.loans {
 		full[z] = l.heard && l.load < 0.95*l.asks || !l.heard && l.asks > 0 // who doesn't answer has nothing
 	}
-	asks := failover.Asks(a.mode, a.plan, a.options.Self, a.zone, n, dt, had, got, full)
+	asks := failover.LeaseDemand(a.mode, a.plan, a.options.Self, a.zone, n, dt, had, got, full)
 	for _, z := range slices.Sorted(maps.Keys(a.loans)) { // before anything is asked: a lender may lend at once what is told to be too much
 		if l := a.loans[z]; l.load > asks[z] {
 			a.setLoan(z, l, asks[z])
@@ -53,7 +53,7 @@
 	}
 	for _, z := range a.plan.Zones {
 		l, ask := a.loans[z.Name], asks[z.Name]
-		if z.Lender < 0 || z.Lender >= a.options.List.Len() || ask <= 0 && (l == nil || l.asks == 0) {
+		if z.LeaseOwner < 0 || z.LeaseOwner >= a.options.List.Len() || ask <= 0 && (l == nil || l.asks == 0) {
 			continue
 		}
 		if l == nil {
@@ -61,11 +61,11 @@
 			a.loans[z.Name] = l
 		}
 		l.asks, l.at, l.heard = ask, now, false
-		if z.Lender == a.options.Self {
+		if z.LeaseOwner == a.options.Self {
 			a.takeLoan(z.Name, l, a.lend(a.options.Self, ask, now), now)
 			continue
 		}
-		l.asked = a.send(z.Lender, borrow, encode(borrowBody{Load: ask}), now)
+		l.asked = a.send(z.LeaseOwner, borrow, encode(borrowBody{Load: ask}), now)
 	}
 }
 
@@ -82,13 +82,13 @@
 				}
 			}
 			if z.Zone == a.zone {
-				out = failover.Fails(z)
+				out = failover.ZoneFailing(z)
 			}
 		}
 		a.had[name] = max(held, a.had[name]*math.Exp(-dt.Seconds()/hadMemory))
 		had += a.had[name]
 		if a.plan != nil && c < len(n.Classes) {
-			if k := slices.Index(a.plan.Classes, name); k >= 0 && a.plan.Stay[k] {
+			if k := slices.Index(a.plan.Classes, name); k >= 0 && a.plan.StayInRegion[k] {
 				stay, refused = stay+a.had[name]-here, refused+n.Classes[c].Rejected
 			}
 		}
@@ -111,8 +111,8 @@
 		return 0
 	}
 	for _, z := range a.plan.Zones {
-		if z.Name == a.zone && z.Lender == a.options.Self {
-			return a.lender.Lend(node, asks, float64(z.Reserve), now)
+		if z.Name == a.zone && z.LeaseOwner == a.options.Self {
+			return a.lender.Grant(node, asks, float64(z.Reserve), now)
 		}
 	}
 	return 0
@@ -142,7 +142,7 @@
 }
 
 func (a *Agent) takeLoan(zone string, l *loaned, load float64, now time.Duration) {
-	l.heard, l.until = true, l.at+failover.LoanFor
+	l.heard, l.until = true, l.at+failover.LeaseDuration
 	if now >= l.until {
 		load = 0
 	}
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -131,8 +131,8 @@
 	return t
 }
 
-// Stands tells under which number this node may serve, and until when by its own clock. Without a policy on the log there is no such limit.
-func (a *Agent) Stands() (s policy.Standing, until time.Duration) {
+// ActivePolicy tells under which number this node may serve, and until when by its own clock. Without a policy on the log there is no such limit.
+func (a *Agent) ActivePolicy() (s policy.Standing, until time.Duration) {
 	p := &a.pol
 	s = policy.Stand(a.options.Self, a.zone, p.entry, p.state, p.told)
 	if !a.leaderKnown {
@@ -141,8 +141,8 @@
 	return s, a.leaderSeen + a.options.Policy.Rules.Lease(p.told)
 }
 
-// Refuses tells that this node can't go by the document of a number: it does not serve under it.
-func (a *Agent) Refuses(number uint64) { a.pol.refuses = number }
+// RejectPolicy tells that this node can't go by the document of a number: it does not serve under it.
+func (a *Agent) RejectPolicy(number uint64) { a.pol.refuses = number }
 
 // policyWord is what this node says of the policy.
 func (a *Agent) policyWord(now time.Duration) *policy.Word {
@@ -150,7 +150,7 @@
 	if a.options.Policy == nil {
 		return nil
 	}
-	s, until := a.Stands()
+	s, until := a.ActivePolicy()
 	w := &policy.Word{Entry: p.entry, Verdict: p.verdict, Why: p.why, Has: p.state.Number, Serves: s.Number,
 		May: s.Known && now < until && (s.Number == 0 || s.Number != p.refuses)}
 	if a.options.Policy.Counts != nil {
@@ -235,21 +235,21 @@
 	}
 	var stay []string
 	for _, c := range r.Classes {
-		if c.Stay {
+		if c.StayInRegion {
 			stay = append(stay, c.Name)
 		}
 	}
 	if p := d.Plan; p != nil {
-		r.Limit, r.Ramp, r.Hold, stay = p.Limit, p.Ramp, p.Hold, p.Stay
+		r.UtilizationLimit, r.RecoveryRamp, r.RecoveryDelay, stay = p.Limit, p.Ramp, p.Hold, p.Stay
 		far := map[[2]string]float64{}
 		for _, f := range p.Far {
 			far[[2]string{f.A, f.B}], far[[2]string{f.B, f.A}] = f.Cost, f.Cost
 		}
-		r.Far = func(x, y string) float64 { return max(1, far[[2]string{x, y}]) }
+		r.RegionDistance = func(x, y string) float64 { return max(1, far[[2]string{x, y}]) }
 	}
 	r.Classes = nil
 	for _, c := range d.Classes {
-		r.Classes = append(r.Classes, failover.Class{Name: c.Name, Priority: c.Priority, Stay: slices.Contains(stay, c.Name)})
+		r.Classes = append(r.Classes, failover.Class{Name: c.Name, Priority: c.Priority, StayInRegion: slices.Contains(stay, c.Name)})
 	}
 	return r
 }
--- a/internal/failover/agent/storage.go
+++ b/internal/failover/agent/storage.go
@@ -60,8 +60,8 @@
 	return a.saving.rec, a.saving.whole, true
 }
 
-// Kept says that the record of Save is on disk.
-func (a *Agent) Kept(now time.Duration) {
+// Persisted says that the record of Save is on disk.
+func (a *Agent) Persisted(now time.Duration) {
 	if s := a.saving; s != nil {
 		a.saving = nil
 		a.adoptPlans(s.rec.Newest, now)
--- a/internal/failover/agent/wire.go
+++ b/internal/failover/agent/wire.go
@@ -147,7 +147,7 @@
 	return h, p[headBytes:end], nil
 }
 
-// OfVoters says whether a message is one of voters among themselves, for those who carry messages in a laboratory.
-func OfVoters(p []byte) bool { return len(p) > 1 && p[1] == byte(raftWord) }
+// IsConsensusMessage says whether a message is one of voters among themselves, for those who carry messages in a laboratory.
+func IsConsensusMessage(p []byte) bool { return len(p) > 1 && p[1] == byte(raftWord) }
 
 func micros(d time.Duration) uint64 { return uint64(d / time.Microsecond) }
--- a/internal/failover/capacity.go
+++ b/internal/failover/capacity.go
@@ -23,11 +23,11 @@
 	case !ok || v.Ready == 0:
 		return
 	}
-	out := float64(v.Out / v.Ready)
+	out := float64(v.Ejected / v.Ready)
 	if p.suspect {
 		out = 0
 	}
-	hosts := float64(v.Warm) / float64(v.Nodes) * (1 - out) * p.rules.Limit
+	hosts := float64(v.Capacity) / float64(v.Nodes) * (1 - out) * p.rules.UtilizationLimit
 	if cost := p.loadCost(zone, v, hosts, now); cost > 0 {
 		z.updateRoom(hosts, cost)
 	}
@@ -59,7 +59,7 @@
 
 // loadCost is what a unit of told load takes of a zone's hosts. It is measured where enough stands there and all who may have a part of it
 // are heard: nodes learn it on the view that all of them use all hosts alike, which under a plan they don't. It shows slow hosts as well.
-func (p *Planner) loadCost(zone string, v Row, hosts float64, now time.Duration) float64 {
+func (p *Planner) loadCost(zone string, v ZoneEvidence, hosts float64, now time.Duration) float64 {
 	z := p.state[zone]
 	load := float64(v.Load) / float64(v.Nodes)
 	held, complete := p.heldIn(zone, now)
@@ -87,7 +87,7 @@
 		if !there {
 			continue
 		}
-		for _, load := range r.Held {
+		for _, load := range r.OwnLoad {
 			held += float64(load)
 		}
 		// What some of a zone's nodes hold, against all that the hosts bear, would show hosts that are much too dear.
--- a/internal/failover/explain.go
+++ b/internal/failover/explain.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Seen is what is known of a node.
-type Seen struct {
-	Live bool
-	Plan uint64
-	Ago  float64 // seconds since it was heard; under 0: never
+// NodeView is what is known of a node.
+type NodeView struct {
+	Live            bool
+	Plan            uint64
+	HeardSecondsAgo float64 // seconds since it was heard; under 0: never
 }
 
-// Seen tells what is known of a node.
-func (p *Planner) Seen(node int, now time.Duration) Seen {
-	s := Seen{Live: p.cut.Live(node), Plan: p.confirmed[node], Ago: -1}
+// NodeView tells what is known of a node.
+func (p *Planner) NodeView(node int, now time.Duration) NodeView {
+	s := NodeView{Live: p.cut.Live(node), Plan: p.confirmed[node], HeardSecondsAgo: -1}
 	if at, ok := p.cut.Heard(node); ok {
-		s.Ago = (now - at).Seconds()
+		s.HeardSecondsAgo = (now - at).Seconds()
 	}
 	return s
 }
@@ -40,12 +40,12 @@
 		}
 		n := float64(max(v.Nodes, 1))
 		say("%s (%.0f of them): %.1f hosts serve, %.1f are left out, together they can do %.1f and have %.1f", who, n, float64(v.Ready)/n,
-			float64(v.Out)/n, float64(v.Warm)/n, float64(v.Load)/n)
+			float64(v.Ejected)/n, float64(v.Capacity)/n, float64(v.Load)/n)
 	}
 	if bad, why := p.judge(zone, now); bad {
 		say("it is taken for bad: %s", why)
 	} else if z.state == Lost {
-		say("it is well again since %v; it comes back after %v, and %v after it last came back", (now - z.goodFrom).Round(time.Second), p.rules.Hold, turnHold)
+		say("it is well again since %v; it comes back after %v, and %v after it last came back", (now - z.goodFrom).Round(time.Second), p.rules.RecoveryDelay, turnHold)
 	}
 	say("room %.1f in told load, of which %.1f may be given now", z.room, z.usable(p.rules))
 	for _, from := range p.zones {
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -106,7 +106,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rules := Rules{Limit: 0.85, Life: 10 * time.Second, Hold: 4 * time.Second, Ramp: 0.2, Far: func(a, b string) float64 { return 1 },
+		rules := Rules{UtilizationLimit: 0.85, GrantLifetime: 10 * time.Second, RecoveryDelay: 4 * time.Second, RecoveryRamp: 0.2, RegionDistance: func(a, b string) float64 { return 1 },
 			Classes: []Class{{"c", 1, false}}}
 		now := time.Minute
 		p := NewPlanner(l, rules, PlanHistory{}, now)
@@ -130,16 +130,16 @@
 			out := rapid.SampledFrom([]int{-1, -1, -1, 0, 1}).Draw(t, "lost zone")
 			if step%2 == 0 {
 				for z := range zones {
-					s := Sum{Zone: fmt.Sprintf("z%d", z), Classes: []string{"c"}, Arrived: []float32{1}, Refused: []float32{0}}
+					s := EvidenceSummary{Zone: fmt.Sprintf("z%d", z), Classes: []string{"c"}, Arrived: []float32{1}, Rejected: []float32{0}}
 					for x := range zones {
-						r := Row{Zone: fmt.Sprintf("z%d", x), Nodes: 1, Ready: 4, Warm: 4, Load: float32(load[x] / 25), Cost: 0.04, Held: []float32{0}, Attempts: 5}
+						r := ZoneEvidence{Zone: fmt.Sprintf("z%d", x), Nodes: 1, Ready: 4, Capacity: 4, Load: float32(load[x] / 25), Cost: 0.04, OwnLoad: []float32{0}, Attempts: 5}
 						if x == z {
-							r.Held[0] = float32(load[x])
+							r.OwnLoad[0] = float32(load[x])
 						}
 						if x == out && step > 20 {
-							r.Out, r.Failed = 4, 5
+							r.Ejected, r.Failed = 4, 5
 						}
-						s.Rows = append(s.Rows, r)
+						s.Zones = append(s.Zones, r)
 					}
 					for _, i := range l.InZone(s.Zone) {
 						if len(plans) > 0 && rapid.IntRange(0, 3).Draw(t, "deaf") > 0 {
@@ -147,9 +147,9 @@
 								lent[i] = append(lent[i], former{k, now})
 							}
 							using[i] = len(plans) - 1
-							s.Words = append(s.Words, Word{Node: i, Plan: uint64(using[i] + 1)})
+							s.Nodes = append(s.Nodes, NodeStatus{Node: i, Plan: uint64(using[i] + 1)})
 						} else if len(plans) == 0 {
-							s.Words = append(s.Words, Word{Node: i})
+							s.Nodes = append(s.Nodes, NodeStatus{Node: i})
 						}
 					}
 					p.Observe(0, s, false, now)
@@ -164,9 +164,9 @@
 				t.Fatal(err)
 			}
 			plans, from = append(plans, next), append(from, now)
-			p.Newest(uint64(len(plans)), next, now)
+			p.ApplyPlan(uint64(len(plans)), next, now)
 			if rapid.IntRange(0, 9).Draw(t, "another planner") == 0 {
-				p = NewPlanner(l, rules, PlanHistory{Plans: []Known{{uint64(len(plans)), next, now}}}, now)
+				p = NewPlanner(l, rules, PlanHistory{Plans: []VersionedPlan{{uint64(len(plans)), next, now}}}, now)
 			}
 			// Each node goes by the worst plan for the zone that it may still have.
 			for z := range zones {
@@ -175,27 +175,27 @@
 					most := 0.0
 					for k := using[i]; k < len(plans); k++ {
 						m := Planned
-						if k+1 < len(plans) && now-from[k+1] > rules.Life {
-							m = Ground
+						if k+1 < len(plans) && now-from[k+1] > rules.GrantLifetime {
+							m = OwnZoneOnly
 						}
-						if v := Part(m, plans[k], i, l.Node(i).Zone)[name]; v > most {
+						if v := GrantShare(m, plans[k], i, l.Node(i).Zone)[name]; v > most {
 							most = v
 						}
-						room = max(room, plans[k].Stated(name))
+						room = max(room, plans[k].StatedCapacity(name))
 					}
 					sum += most
 					reserve := 0.0
 					lend := func(k int) {
-						if z := plans[k].Zones[plans[k].zone(name)]; z.Lender == i && (k+1 == len(plans) || now-from[k+1] <= rules.Life+LoanFor) {
+						if z := plans[k].Zones[plans[k].zone(name)]; z.LeaseOwner == i && (k+1 == len(plans) || now-from[k+1] <= rules.GrantLifetime+LeaseDuration) {
 							reserve = max(reserve, float64(z.Reserve))
-							room = max(room, float64(z.Room))
+							room = max(room, float64(z.Capacity))
 						}
 					}
 					for k := using[i]; k < len(plans); k++ {
 						lend(k)
 					}
 					for _, f := range lent[i] {
-						if now-f.left <= LoanFor {
+						if now-f.left <= LeaseDuration {
 							lend(f.plan)
 						}
 					}
@@ -217,7 +217,7 @@
 func TestLender(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Hour
-		l := NewLender(now - 2*settles)
+		l := NewLeaseOwner(now - 2*settles)
 		type loan struct {
 			load  float64
 			until time.Duration
@@ -233,7 +233,7 @@
 				reserves = append(reserves, loan{reserve, now})
 				reserve = rapid.Float64Range(0, 40).Draw(t, "reserve")
 			case 1:
-				l = NewLender(now) // another process
+				l = NewLeaseOwner(now) // another process
 			default:
 				i := rapid.IntRange(0, 3).Draw(t, "who")
 				asked, asks := now, rapid.Float64Range(0, 25).Draw(t, "asks")
@@ -241,10 +241,10 @@
 					has[i].load = asks
 				}
 				now += time.Duration(rapid.IntRange(0, 300).Draw(t, "way")) * time.Millisecond
-				got := l.Lend(i, asks, reserve, now)
+				got := l.Grant(i, asks, reserve, now)
 				gave = gave || got > 0
-				if rapid.IntRange(0, 3).Draw(t, "lost") > 0 && now < asked+LoanFor {
-					has[i] = loan{got, asked + LoanFor}
+				if rapid.IntRange(0, 3).Draw(t, "lost") > 0 && now < asked+LeaseDuration {
+					has[i] = loan{got, asked + LeaseDuration}
 				}
 			}
 			sum, most := 0.0, reserve
@@ -254,7 +254,7 @@
 				}
 			}
 			for _, r := range reserves {
-				if now-r.until <= LoanFor {
+				if now-r.until <= LeaseDuration {
 					most = max(most, r.load)
 				}
 			}
@@ -266,20 +266,20 @@
 			t.Skip("nothing was lent")
 		}
 	})
-	l := NewLender(0)
-	if v := l.Lend(1, 5, 10, time.Second); v != 0 {
+	l := NewLeaseOwner(0)
+	if v := l.Grant(1, 5, 10, time.Second); v != 0 {
 		t.Errorf("just started: %v is lent, and the process before it may have lent all", v)
 	}
-	if v := l.Lend(1, 5, 10, 2*settles); v != 5 {
+	if v := l.Grant(1, 5, 10, 2*settles); v != 5 {
 		t.Errorf("%v is lent of 10, 5 was asked for", v)
 	}
 }
 
 // TestAsks holds who borrows where: nobody while there is room, near before far, nothing in zones whose hosts fail.
 func TestAsks(t *testing.T) {
-	p := &Plan{Zones: []Zone{{Name: "a", Region: "r", Nodes: 1, Listed: 1, Room: 40, Guests: 1, Want: []float32{0}, Lender: 0, Reserve: 2},
-		{Name: "b", Region: "r", Nodes: 1, Listed: 1, Want: []float32{0}, Lender: 1, Reserve: 10}, {Name: "c", Region: "s", Nodes: 1, Listed: 1, Want: []float32{0}, Lender: 2, Reserve: 10}},
-		Classes: []string{"x"}, Stay: []bool{false}, Admit: [][]int{{255}, {255}, {255}}, Before: [][]float32{{0, 0, 0}, {0, 0, 0}, {0, 0, 0}}, Grants: []Grant{{From: 0, To: 0, Load: 10}}, Life: 10}
+	p := &Plan{Zones: []Zone{{Name: "a", Region: "r", Nodes: 1, Listed: 1, Capacity: 40, GuestLoad: 1, Demand: []float32{0}, LeaseOwner: 0, Reserve: 2},
+		{Name: "b", Region: "r", Nodes: 1, Listed: 1, Demand: []float32{0}, LeaseOwner: 1, Reserve: 10}, {Name: "c", Region: "s", Nodes: 1, Listed: 1, Demand: []float32{0}, LeaseOwner: 2, Reserve: 10}},
+		Classes: []string{"x"}, StayInRegion: []bool{false}, AdmitFractions: [][]int{{255}, {255}, {255}}, Before: [][]float32{{0, 0, 0}, {0, 0, 0}, {0, 0, 0}}, Grants: []Grant{{From: 0, To: 0, Load: 10}}, GrantLifetime: 10}
 	news := func(out int, held, arrived, refused float64) choice.Observations {
 		return choice.Observations{Zones: []choice.ZoneObservations{{Zone: "a", Ready: 4, Ejected: out, OwnLoad: []float64{held}}, {Zone: "b", Ready: 4}, {Zone: "c", Ready: 4}},
 			Classes: []choice.ClassObservations{{Arrived: arrived, Rejected: refused}}}
@@ -301,7 +301,7 @@
 		if c.name == "its own part is full, with room elsewhere" {
 			p.Grants = append(p.Grants, Grant{From: 0, To: 1, Load: 40})
 		}
-		got := Asks(Planned, p, 0, "a", c.n, 100*time.Millisecond, 12, map[string]float64{}, c.full)
+		got := LeaseDemand(Planned, p, 0, "a", c.n, 100*time.Millisecond, 12, map[string]float64{}, c.full)
 		if names := slices.Sorted(maps.Keys(got)); !slices.Equal(names, c.want) {
 			t.Errorf("%s: %v is asked for, wanted from %v", c.name, got, c.want)
 		}
@@ -310,9 +310,9 @@
 
 // TestUse holds what a node's module is told, as cases.
 func TestUse(t *testing.T) {
-	p := &Plan{Zones: []Zone{{Name: "a", Region: "r", Nodes: 2, Listed: 3, Room: 40, Guests: 1, Want: []float32{0, 0}}, {Name: "b", Region: "r", Nodes: 2, Listed: 2, Want: []float32{0, 0}},
-		{Name: "c", Region: "s", Nodes: 1, Listed: 1, Want: []float32{0, 0}}}, Classes: []string{"x", "stays"}, Stay: []bool{false, true}, Lost: []int{2},
-		Admit: [][]int{{255, 51}, {255, 255}, {255, 255}}, Before: [][]float32{{0, 0, 0}, {0, 0, 0}, {0, 0, 0}}, Grants: []Grant{{From: 0, To: 0, Load: 30}, {From: 0, To: 1, Load: 8, Stay: 4}, {From: 0, To: 2, Load: 18}}, Life: 10}
+	p := &Plan{Zones: []Zone{{Name: "a", Region: "r", Nodes: 2, Listed: 3, Capacity: 40, GuestLoad: 1, Demand: []float32{0, 0}}, {Name: "b", Region: "r", Nodes: 2, Listed: 2, Demand: []float32{0, 0}},
+		{Name: "c", Region: "s", Nodes: 1, Listed: 1, Demand: []float32{0, 0}}}, Classes: []string{"x", "stays"}, StayInRegion: []bool{false, true}, LostNodes: []int{2},
+		AdmitFractions: [][]int{{255, 51}, {255, 255}, {255, 255}}, Before: [][]float32{{0, 0, 0}, {0, 0, 0}, {0, 0, 0}}, Grants: []Grant{{From: 0, To: 0, Load: 30}, {From: 0, To: 1, Load: 8, RegionLoad: 4}, {From: 0, To: 2, Load: 18}}, GrantLifetime: 10}
 	if _, err := DecodePlan(p.Encode()); err != nil {
 		t.Fatal(err)
 	}
@@ -328,12 +328,12 @@
 		node int
 		want string
 	}{
-		{"alone: its own zone", Alone, 0, "a[] "},
+		{"alone: its own zone", Standalone, 0, "a[] "},
 		{"planned: near first, and what must stay has its part", Planned, 0, "a[] b[1] b[0] c[1] "},
-		{"ground: its own zone", Ground, 0, "a[] "},
+		{"ground: its own zone", OwnZoneOnly, 0, "a[] "},
 		{"out of the view: its own zone", Planned, 2, "a[] "},
 	} {
-		got := Use(c.m, p, c.node, "a", []string{"x", "stays"}, time.Second, Borrowed{})
+		got := ZonePlanFor(c.m, p, c.node, "a", []string{"x", "stays"}, time.Second, LeasedCapacity{})
 		if zones(got) != c.want {
 			t.Errorf("%s: %s, wanted %s", c.name, zones(got), c.want)
 		}
@@ -341,26 +341,26 @@
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
-	if a, b := Part(Planned, p, 0, "a")["a"], Part(Planned, p, 2, "a")["a"]; a != 15 || b != 10 {
+	if a, b := GrantShare(Planned, p, 0, "a")["a"], GrantShare(Planned, p, 2, "a")["a"]; a != 15 || b != 10 {
 		t.Errorf("parts %v and, out of the view, %v", a, b)
 	}
 }
 
 // FuzzDecode holds that no bytes from a peer break the node, and that what is read can be used.
 func FuzzDecode(f *testing.F) {
-	f.Add((&Plan{Zones: []Zone{{Name: "a"}}, Admit: [][]int{{}}}).Encode())
-	f.Add(Sum{Zone: "a", Classes: []string{"c"}, Arrived: []float32{1}, Refused: []float32{1}}.Encode())
+	f.Add((&Plan{Zones: []Zone{{Name: "a"}}, AdmitFractions: [][]int{{}}}).Encode())
+	f.Add(EvidenceSummary{Zone: "a", Classes: []string{"c"}, Arrived: []float32{1}, Rejected: []float32{1}}.Encode())
 	f.Add([]byte{0x9f})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if p, err := DecodePlan(b); err == nil {
-			for _, m := range []Mode{Alone, Planned, Ground} {
-				Use(m, p, 0, "a", []string{"c"}, time.Second, Borrowed{})
+			for _, m := range []Mode{Standalone, Planned, OwnZoneOnly} {
+				ZonePlanFor(m, p, 0, "a", []string{"c"}, time.Second, LeasedCapacity{})
 			}
-			p.Stated("a")
+			p.StatedCapacity("a")
 		}
-		if s, err := DecodeSum(b); err == nil {
+		if s, err := DecodeEvidenceSummary(b); err == nil {
 			s.Add(s)
 		}
-		DecodeOrders(b)
+		DecodeOperatorOrders(b)
 	})
 }
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -16,28 +16,28 @@
 var update = flag.Bool("update", false, "write the golden files of testdata anew")
 
 // goldenSum is evidence with each field set. Its floats are such that 16, 32 and 64 bits are needed for some of them.
-func goldenSum() Sum {
-	return Sum{
-		Zone:    "cluj-1",
-		Classes: []string{"chat", "presence"},
-		Arrived: []float32{12.25, 1000.125},
-		Refused: []float32{0.5, 3.1415927},
-		Rows: []Row{{
+func goldenSum() EvidenceSummary {
+	return EvidenceSummary{
+		Zone:     "cluj-1",
+		Classes:  []string{"chat", "presence"},
+		Arrived:  []float32{12.25, 1000.125},
+		Rejected: []float32{0.5, 3.1415927},
+		Zones: []ZoneEvidence{{
 			Zone:     "cluj-2",
 			Nodes:    2,
 			Ready:    7,
-			Out:      1,
-			Warm:     5.75,
+			Ejected:  1,
+			Capacity: 5.75,
 			Load:     3.3,
 			Cost:     0.04,
 			Attempts: 640,
 			Failed:   17,
-			Held:     []float32{81.5, 0.1},
+			OwnLoad:  []float32{81.5, 0.1},
 		}},
-		Words: []Word{{
-			Node:   9,
-			Plan:   70000,
-			Silent: []int{4, 300},
+		Nodes: []NodeStatus{{
+			Node:        9,
+			Plan:        70000,
+			Unreachable: []int{4, 300},
 			Policy: &policy.Word{
 				Entry:   1 << 33,
 				Verdict: policy.No,
@@ -49,9 +49,9 @@
 				Away:    89,
 			},
 		}, {
-			Node:   260, // one that has nothing to say of a policy
-			Plan:   69999,
-			Silent: []int{},
+			Node:        260, // one that has nothing to say of a policy
+			Plan:        69999,
+			Unreachable: []int{},
 		}},
 	}
 }
@@ -60,35 +60,35 @@
 func goldenPlan() *Plan {
 	return &Plan{
 		Zones: []Zone{
-			{Name: "cluj-1", Region: "cluj", State: Returning, Nodes: 3, Listed: 4, Room: 120.5, Want: []float32{60.25, 7.7}, Guests: 11, Turns: 2,
-				Lender: 5, Reserve: 9.75},
-			{Name: "iasi-1", Region: "iasi", State: Lost, Nodes: 1, Listed: 6, Room: 33.3, Want: []float32{1, 2}, Guests: 0.25, Turns: 8, Lender: -1,
+			{Name: "cluj-1", Region: "cluj", State: Returning, Nodes: 3, Listed: 4, Capacity: 120.5, Demand: []float32{60.25, 7.7}, GuestLoad: 11, Flaps: 2,
+				LeaseOwner: 5, Reserve: 9.75},
+			{Name: "iasi-1", Region: "iasi", State: Lost, Nodes: 1, Listed: 6, Capacity: 33.3, Demand: []float32{1, 2}, GuestLoad: 0.25, Flaps: 8, LeaseOwner: -1,
 				Reserve: 0.1},
-			{Name: "iasi-2", Region: "iasi", State: Drained, Nodes: 2, Listed: 2, Room: 70, Want: []float32{4, 0.3}, Guests: 3, Turns: 1, Lender: 9,
+			{Name: "iasi-2", Region: "iasi", State: Drained, Nodes: 2, Listed: 2, Capacity: 70, Demand: []float32{4, 0.3}, GuestLoad: 3, Flaps: 1, LeaseOwner: 9,
 				Reserve: 6},
 		},
-		Classes: []string{"chat", "presence"},
-		Grants:  []Grant{{From: 1, To: 2, Load: 44.4, Stay: 2.5}, {From: 2, To: 0, Load: 13, Stay: 12}},
-		Stay:    []bool{false, true},
-		Admit:   [][]int{{255, 200}, {17, 51}, {1, 0}},
-		Life:    10.5,
-		Lost:    []int{7, 260},
-		Why:     "iasi-1 lost: no host is listed as serving",
-		Before:  [][]float32{{1.5, 2.25, 8}, {3.3, 4, 9}, {0.7, 6, 5}},
-		Lends:   []Lend{{Zone: 1, Lender: 6, Load: 5.5}},
-		Prev:    1 << 40,
+		Classes:        []string{"chat", "presence"},
+		Grants:         []Grant{{From: 1, To: 2, Load: 44.4, RegionLoad: 2.5}, {From: 2, To: 0, Load: 13, RegionLoad: 12}},
+		StayInRegion:   []bool{false, true},
+		AdmitFractions: [][]int{{255, 200}, {17, 51}, {1, 0}},
+		GrantLifetime:  10.5,
+		LostNodes:      []int{7, 260},
+		Reason:         "iasi-1 lost: no host is listed as serving",
+		Before:         [][]float32{{1.5, 2.25, 8}, {3.3, 4, 9}, {0.7, 6, 5}},
+		Reserves:       []CapacityReserve{{Zone: 1, Owner: 6, Load: 5.5}},
+		Previous:       1 << 40,
 	}
 }
 
 // goldenOrders are orders with each field set.
-func goldenOrders() Orders { return Orders{Drained: []string{"cluj-1", "iasi-1"}} }
+func goldenOrders() OperatorOrders { return OperatorOrders{Drained: []string{"cluj-1", "iasi-1"}} }
 
 // TestGoldenSum holds the form in which evidence goes from node to aggregator and from aggregator to voter.
 func TestGoldenSum(t *testing.T) {
 	want := goldenSum()
 	wantAllSet(t, reflect.ValueOf(want), "Sum")
 	encoded := golden(t, "sum.cbor", want.Encode())
-	got, err := DecodeSum(encoded)
+	got, err := DecodeEvidenceSummary(encoded)
 	if err != nil {
 		t.Fatalf("golden evidence is not read: %v", err)
 	}
@@ -116,7 +116,7 @@
 	want := goldenOrders()
 	wantAllSet(t, reflect.ValueOf(want), "Orders")
 	encoded := golden(t, "orders.cbor", want.Encode())
-	got, err := DecodeOrders(encoded)
+	got, err := DecodeOperatorOrders(encoded)
 	if err != nil {
 		t.Fatalf("golden orders are not read: %v", err)
 	}
@@ -137,13 +137,13 @@
 			t.Errorf("mode %d is %q, want %q", mode, got, want)
 		}
 	}
-	for want, state := range []State{Well, Lost, Returning, Drained} {
+	for want, state := range []State{Healthy, Lost, Returning, Drained} {
 		if int(state) != want {
 			t.Errorf("the number of zone state %s is %d, want %d", state, state, want)
 		}
 	}
-	if PlanKind != 1 || OrdersKind != 2 {
-		t.Errorf("kinds of entries: plan %d, orders %d, want 1 and 2", PlanKind, OrdersKind)
+	if PlanKind != 1 || OperatorOrdersKind != 2 {
+		t.Errorf("kinds of entries: plan %d, orders %d, want 1 and 2", PlanKind, OperatorOrdersKind)
 	}
 }
 
--- a/internal/failover/grants.go
+++ b/internal/failover/grants.go
@@ -143,7 +143,7 @@
 	case Lost: // one trial for each node
 		trials := max(trial*state.room, float64(b.plan.Zones[zone].Listed))
 		b.target[zone][zone] = trials
-		b.plan.Zones[zone].Room = float32(trials)
+		b.plan.Zones[zone].Capacity = float32(trials)
 		return
 	case Drained:
 		return
--- a/internal/failover/loan.go
+++ b/internal/failover/loan.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// LoanFor is how long a loan lasts: at the borrower from when it asked, at the lender from when it heard.
-	LoanFor = 2 * time.Second
+	// LeaseDuration is how long a loan lasts: at the borrower from when it asked, at the lender from when it heard.
+	LeaseDuration = 2 * time.Second
 	// settles is how long after a lender's last word a loan of its may still be in use.
-	settles  = LoanFor + 500*time.Millisecond
+	settles  = LeaseDuration + 500*time.Millisecond
 	nearly   = 0.75 // of what a node may have: from here on it borrows ahead
 	leastAsk = 0.5  // told load under which nothing is asked for
 	badZone  = 0.5  // of a zone's hosts left out: from here on nothing is borrowed there
 )
 
-// Lender lends one zone's reserve. What it has lent counts until the borrower's time is surely over, also when a newer plan leaves
+// LeaseOwner lends one zone's reserve. What it has lent counts until the borrower's time is surely over, also when a newer plan leaves
 // less to lend.
-type Lender struct {
+type LeaseOwner struct {
 	out  map[int][]lent
 	from time.Duration // what a process before this one has lent is over by then
 }
@@ -31,13 +31,13 @@
 	until time.Duration
 }
 
-// NewLender begins to lend, where an earlier process of this node may have lent.
-func NewLender(now time.Duration) *Lender {
-	return &Lender{out: map[int][]lent{}, from: now + settles}
+// NewLeaseOwner begins to lend, where an earlier process of this node may have lent.
+func NewLeaseOwner(now time.Duration) *LeaseOwner {
+	return &LeaseOwner{out: map[int][]lent{}, from: now + settles}
 }
 
-// Lend gives a node up to what it asks for. One that asks for less than it has goes by less already.
-func (l *Lender) Lend(node int, asks, reserve float64, now time.Duration) float64 {
+// Grant gives a node up to what it asks for. One that asks for less than it has goes by less already.
+func (l *LeaseOwner) Grant(node int, asks, reserve float64, now time.Duration) float64 {
 	if now < l.from || !(asks >= 0) || !(reserve >= 0) {
 		return 0
 	}
@@ -71,25 +71,25 @@
 	return sum
 }
 
-// Lent is all that is out.
-func (l *Lender) Lent(now time.Duration) (sum float64) {
+// Reserved is all that is out.
+func (l *LeaseOwner) Reserved(now time.Duration) (sum float64) {
 	for _, n := range slices.Sorted(maps.Keys(l.out)) {
 		sum += most(slices.DeleteFunc(slices.Clone(l.out[n]), func(x lent) bool { return x.until <= now }))
 	}
 	return sum
 }
 
-// Asks is what a node of a zone wants to borrow, by zone, after what its module saw in a time of dt. had is the most that stood at the node of
+// LeaseDemand is what a node of a zone wants to borrow, by zone, after what its module saw in a time of dt. had is the most that stood at the node of
 // late, got what it has been lent, and full the zones whose lenders gave less than was asked.
-func Asks(m Mode, p *Plan, node int, zone string, n choice.Observations, dt time.Duration, had float64, got map[string]float64, full map[string]bool) map[string]float64 {
+func LeaseDemand(m Mode, p *Plan, node int, zone string, n choice.Observations, dt time.Duration, had float64, got map[string]float64, full map[string]bool) map[string]float64 {
 	asks := map[string]float64{}
-	if p == nil || p.zone(zone) < 0 || m == Alone || dt <= 0 {
+	if p == nil || p.zone(zone) < 0 || m == Standalone || dt <= 0 {
 		return asks
 	}
 	seen := summarize(n, zone)
 	// What it may have without loans, in zones whose hosts answer.
 	may, near := 0.0, 0.0
-	for _, g := range Use(m, p, node, zone, p.Classes, 0, Borrowed{}).Grants {
+	for _, g := range ZonePlanFor(m, p, node, zone, p.Classes, 0, LeasedCapacity{}).Grants {
 		if !seen.bad[g.Zone] {
 			may += g.Load
 		}
@@ -124,7 +124,7 @@
 func summarize(n choice.Observations, zone string) moduleView {
 	v := moduleView{bad: map[string]bool{}}
 	for _, z := range n.Zones {
-		v.bad[z.Zone] = Fails(z)
+		v.bad[z.Zone] = ZoneFailing(z)
 		for _, load := range z.OwnLoad {
 			v.held += load
 			if z.Zone == zone {
@@ -186,10 +186,12 @@
 }
 
 // lends says whether somebody lends a reserve of the zone's room.
-func (z Zone) lends() bool { return z.Lender >= 0 && z.Reserve > 0 }
+func (z Zone) lends() bool { return z.LeaseOwner >= 0 && z.Reserve > 0 }
 
-// Fails says that a node finds half of a zone's hosts out of use, or none.
-func Fails(z choice.ZoneObservations) bool { return float64(z.Ejected) >= badZone*float64(z.Ready) }
+// ZoneFailing says that a node finds half of a zone's hosts out of use, or none.
+func ZoneFailing(z choice.ZoneObservations) bool {
+	return float64(z.Ejected) >= badZone*float64(z.Ready)
+}
 
 // ranks is the zones by nearness to one: itself, its region, the rest.
 func (p *Plan) ranks(own int) (out [3][]int) {
@@ -214,7 +216,7 @@
 	}
 	if n := len(p.known); n > 0 {
 		if old := p.known[n-1].Plan; old.zone(zone) >= 0 {
-			if l := old.Zones[old.zone(zone)].Lender; slices.Contains(live, l) {
+			if l := old.Zones[old.zone(zone)].LeaseOwner; slices.Contains(live, l) {
 				return l
 			}
 		}
@@ -235,17 +237,17 @@
 		return from > 0 && now-from > settles
 	}
 	for i, k := range p.known {
-		for _, l := range k.Plan.Lends { // by plans before this one, where they aren't known
-			if !p.follows(i) && k.Plan.Zones[l.Zone].Name == zone && !over(l.Lender, k.Number) && now-k.From <= p.crossingsEnd()+settles {
-				out[l.Lender] = max(out[l.Lender], float64(l.Load))
+		for _, l := range k.Plan.Reserves { // by plans before this one, where they aren't known
+			if !p.follows(i) && k.Plan.Zones[l.Zone].Name == zone && !over(l.Owner, k.Number) && now-k.From <= p.crossingsEnd()+settles {
+				out[l.Owner] = max(out[l.Owner], float64(l.Load))
 			}
 		}
 		at := k.Plan.zone(zone)
-		if at < 0 || k.Plan.Zones[at].Lender < 0 || k.Plan.Zones[at].Reserve <= 0 || over(k.Plan.Zones[at].Lender, k.Number+1) ||
+		if at < 0 || k.Plan.Zones[at].LeaseOwner < 0 || k.Plan.Zones[at].Reserve <= 0 || over(k.Plan.Zones[at].LeaseOwner, k.Number+1) ||
 			i+1 < len(p.known) && now-p.known[i+1].From > p.crossingsEnd()+settles {
 			continue
 		}
-		lender := k.Plan.Zones[at].Lender
+		lender := k.Plan.Zones[at].LeaseOwner
 		out[lender] = max(out[lender], float64(k.Plan.Zones[at].Reserve))
 	}
 	for _, n := range slices.Sorted(maps.Keys(out)) {
--- a/internal/failover/makeplan.go
+++ b/internal/failover/makeplan.go
@@ -16,10 +16,10 @@
 	if !p.anyEvidence() {
 		return nil
 	}
-	plan := &Plan{Life: float32(p.rules.Life.Seconds()), Lost: p.cut.Lost()}
+	plan := &Plan{GrantLifetime: float32(p.rules.GrantLifetime.Seconds()), LostNodes: p.cut.Lost()}
 	for _, class := range p.rules.Classes {
 		plan.Classes = append(plan.Classes, class.Name)
-		plan.Stay = append(plan.Stay, class.Stay)
+		plan.StayInRegion = append(plan.StayInRegion, class.StayInRegion)
 	}
 	for _, name := range p.zones {
 		plan.Zones = append(plan.Zones, p.planZone(name))
@@ -28,7 +28,7 @@
 	allocation := allot(demand)
 	p.addGrants(plan, demand, allocation, now)
 	for from := range p.zones {
-		plan.Admit = append(plan.Admit, admittedParts(demand, allocation, from))
+		plan.AdmitFractions = append(plan.AdmitFractions, admittedParts(demand, allocation, from))
 	}
 	return plan
 }
@@ -42,9 +42,9 @@
 func (p *Planner) planZone(name string) Zone {
 	state, members := p.state[name], p.list.InZone(name)
 	zone := Zone{Name: name, Region: p.list.Region(name), State: state.state, Nodes: p.liveNodes(name), Listed: len(members),
-		Lender: p.lender(name), Turns: state.turns, Room: float32(state.usable(p.rules))}
+		LeaseOwner: p.lender(name), Flaps: state.turns, Capacity: float32(state.usable(p.rules))}
 	for _, want := range state.want {
-		zone.Want = append(zone.Want, float32(want))
+		zone.Demand = append(zone.Demand, float32(want))
 	}
 	return zone
 }
@@ -63,7 +63,7 @@
 func (p *Planner) currentDemand(now time.Duration) (d demand) {
 	for _, class := range p.rules.Classes {
 		d.worth = append(d.worth, class.Priority)
-		d.stay = append(d.stay, class.Stay)
+		d.stay = append(d.stay, class.StayInRegion)
 	}
 	for from, name := range p.zones {
 		d.room = append(d.room, p.state[name].usable(p.rules))
@@ -90,7 +90,7 @@
 	if a == b {
 		return sameRegionCost
 	}
-	return sameRegionCost + p.rules.Far(a, b)
+	return sameRegionCost + p.rules.RegionDistance(a, b)
 }
 
 // admittedParts is, by class, what part of a zone's arrivals is let in.
--- a/internal/failover/plandiff.go
+++ b/internal/failover/plandiff.go
@@ -16,7 +16,7 @@
 
 // compare tells how much a new plan differs from an old one.
 func compare(old, next *Plan) difference {
-	if len(old.Zones) != len(next.Zones) || !slices.Equal(old.Lost, next.Lost) || !slices.Equal(old.Classes, next.Classes) {
+	if len(old.Zones) != len(next.Zones) || !slices.Equal(old.LostNodes, next.LostNodes) || !slices.Equal(old.Classes, next.Classes) {
 		return urgent
 	}
 	most := unchanged
@@ -33,9 +33,9 @@
 func compareZone(old, next *Plan, zone int) difference {
 	a, b := old.Zones[zone], next.Zones[zone]
 	switch {
-	case a.State != b.State || a.Nodes != b.Nodes || a.Name != b.Name || a.Lender != b.Lender:
+	case a.State != b.State || a.Nodes != b.Nodes || a.Name != b.Name || a.LeaseOwner != b.LeaseOwner:
 		return urgent
-	case b.State == Returning && float64(a.Room) < 0.9*float64(b.Room):
+	case b.State == Returning && float64(a.Capacity) < 0.9*float64(b.Capacity):
 		return urgent
 	case opensWay(old, next, zone):
 		return urgent
@@ -48,7 +48,7 @@
 // differ says whether two loads of a zone differ noticeably, against its room and against each other.
 func differ(x, y float64, zone Zone) bool {
 	d := math.Abs(x - y)
-	return d > 0.1*float64(zone.Room)+0.5 && d > 0.15*max(x, y)
+	return d > 0.1*float64(zone.Capacity)+0.5 && d > 0.15*max(x, y)
 }
 
 // opensWay says whether a zone's clients get much more in another zone than they had: until then somebody has nowhere to go.
@@ -64,8 +64,8 @@
 // admitsOtherwise says whether the admitted part of a class's arrivals differs by more than a twentieth.
 func admitsOtherwise(old, next *Plan, zone int) bool {
 	const tolerance = 12 // of 255
-	for class := range next.Zones[zone].Want {
-		if d := old.Admit[zone][class] - next.Admit[zone][class]; d > tolerance || d < -tolerance {
+	for class := range next.Zones[zone].Demand {
+		if d := old.AdmitFractions[zone][class] - next.AdmitFractions[zone][class]; d > tolerance || d < -tolerance {
 			return true
 		}
 	}
@@ -75,7 +75,7 @@
 // givesMore says whether a zone's clients, who have little to spare in all zones together, get noticeably more.
 func givesMore(old, next *Plan, from int) bool {
 	had, gets, want := 0.0, 0.0, 0.0
-	for _, load := range next.Zones[from].Want {
+	for _, load := range next.Zones[from].Demand {
 		want += float64(load)
 	}
 	for to := range next.Zones {
--- a/internal/failover/planhistory.go
+++ b/internal/failover/planhistory.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Known is a plan that may be in use, with the time when it became the newest here.
-type Known struct {
+// VersionedPlan is a plan that may be in use, with the time when it became the newest here.
+type VersionedPlan struct {
 	Number uint64
 	Plan   *Plan
 	From   time.Duration
@@ -16,7 +16,7 @@
 
 // PlanHistory is what a node has seen of plans: one that comes to lead must reckon with all that may be in use.
 type PlanHistory struct {
-	Plans []Known // oldest first
+	Plans []VersionedPlan // oldest first
 }
 
 // Add takes a plan in, and forgets those that were followed by another one so long ago that nobody crosses zones by them.
@@ -24,18 +24,18 @@
 	if n := len(h.Plans); n > 0 && h.Plans[n-1].Number >= number {
 		return
 	}
-	h.Plans = append(h.Plans, Known{number, p, now})
+	h.Plans = append(h.Plans, VersionedPlan{number, p, now})
 	for len(h.Plans) > 1 && now-h.Plans[1].From > 2*forgetLost || len(h.Plans) > mostKnown {
 		h.Plans = h.Plans[1:]
 	}
 }
 
-// Newest tells which plan the log has now.
-func (p *Planner) Newest(number uint64, plan *Plan, now time.Duration) {
+// ApplyPlan tells which plan the log has now.
+func (p *Planner) ApplyPlan(number uint64, plan *Plan, now time.Duration) {
 	if n := len(p.known); n > 0 && p.known[n-1].Number >= number {
 		return
 	}
-	p.known = append(p.known, Known{number, plan, now})
+	p.known = append(p.known, VersionedPlan{number, plan, now})
 	p.proposed = 0
 	least := p.leastConfirmed(number, now)
 	for len(p.known) > 1 && (p.obsolete(p.known[1], least, now) || len(p.known) > mostKnown) {
@@ -56,16 +56,16 @@
 
 // obsolete says whether nobody can use plans before this one any longer: all have said that they use it or a newer one, and crossings of those
 // that can't be heard are over.
-func (p *Planner) obsolete(next Known, least uint64, now time.Duration) bool {
+func (p *Planner) obsolete(next VersionedPlan, least uint64, now time.Duration) bool {
 	return next.Number <= least && now-next.From > p.crossingsEnd()+settles
 }
 
 // crossingsEnd is how long after a newer plan came the crossings of the older one may go on: they end by each node's own clock.
-func (p *Planner) crossingsEnd() time.Duration { return p.rules.Life + time.Second }
+func (p *Planner) crossingsEnd() time.Duration { return p.rules.GrantLifetime + time.Second }
 
 // mayCross says whether a zone's nodes may have connections in another one, by any plan known here.
 func (p *Planner) mayCross(from, to string) bool {
-	return slices.ContainsFunc(p.known, func(k Known) bool { return k.Plan.grantByName(from, to) > 0 })
+	return slices.ContainsFunc(p.known, func(k VersionedPlan) bool { return k.Plan.grantByName(from, to) > 0 })
 }
 
 // grantByName is the grant from one zone to another; 0 where the plan doesn't know them.
@@ -111,7 +111,7 @@
 	known := p.known[i]
 	crossed := i+1 < len(p.known) && now-p.known[i+1].From > p.crossingsEnd()
 	lost := map[int]bool{}
-	for _, node := range known.Plan.Lost {
+	for _, node := range known.Plan.LostNodes {
 		lost[node] = true
 	}
 	for _, g := range known.Plan.Grants {
@@ -131,7 +131,7 @@
 }
 
 // addUnknownInUse adds what plans that this planner never knew had left in use: each plan tells that of those before it.
-func (p *Planner) addUnknownInUse(use *usage, known Known, now time.Duration) {
+func (p *Planner) addUnknownInUse(use *usage, known VersionedPlan, now time.Duration) {
 	crossed := now-known.From > p.crossingsEnd()
 	for from, shares := range known.Plan.Before {
 		for _, node := range p.list.InZone(known.Plan.Zones[from].Name) {
@@ -153,5 +153,5 @@
 
 // follows says that the plan before a known one is known too.
 func (p *Planner) follows(i int) bool {
-	return i > 0 && p.known[i].Plan.Prev == p.known[i-1].Number
+	return i > 0 && p.known[i].Plan.Previous == p.known[i-1].Number
 }
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -11,20 +11,20 @@
 
 // Class is what a plan knows of a class of requests.
 type Class struct {
-	Name     string
-	Priority float64
-	Stay     bool // it is kept in its region
+	Name         string
+	Priority     float64
+	StayInRegion bool // it is kept in its region
 }
 
 // Rules are the operators' part of a plan.
 type Rules struct {
-	Limit   float64       // part of a host that is planned for
-	Life    time.Duration // of a grant into another zone, without word of the one that leads
-	Hold    time.Duration // a zone is well so long before it takes load again
-	Ramp    float64       // part of a returning zone's room that is given back each second
-	Classes []Class
-	// Far is the cost of the way between two regions, 1 within one.
-	Far func(a, b string) float64
+	UtilizationLimit float64       // part of a host that is planned for
+	GrantLifetime    time.Duration // of a grant into another zone, without word of the one that leads
+	RecoveryDelay    time.Duration // a zone is well so long before it takes load again
+	RecoveryRamp     float64       // part of a returning zone's room that is given back each second
+	Classes          []Class
+	// RegionDistance is the cost of the way between two regions, 1 within one.
+	RegionDistance func(a, b string) float64
 }
 
 const (
@@ -61,11 +61,11 @@
 	paths       map[[2]string]*pathStats // by the zone that tries and the zone that is tried
 	confirmed   map[int]uint64           // by node: the newest plan that it has said to use
 	newer       [][]said                 // by node: when it went over to which plans
-	known       []Known
+	known       []VersionedPlan
 	began       time.Duration
 	proposed    time.Duration // the newest proposal's time; 0: none is out
 	lastPlan    time.Duration
-	orders      Orders
+	orders      OperatorOrders
 	suspectTill time.Duration
 	suspect     bool // every zone looked lost of late: that is what is seen, and not the zones
 	constrained bool // the newest plan gives less than it should, because of older ones in use
@@ -81,7 +81,7 @@
 	ramp       float64       // room given back so far, while returning
 	room       float64       // smoothed, as told load
 	cost       float64       // hosts that a unit of told load takes, smoothed
-	sum        Sum
+	sum        EvidenceSummary
 	at         time.Duration // of the sum
 	aggregator int           // who sent it
 	want       []float64     // by class of the rules
@@ -99,7 +99,7 @@
 	}
 	var lost []int
 	if newest != nil {
-		lost = newest.Lost
+		lost = newest.LostNodes
 	}
 	p.cut = membership.NewCut(l, lost, now)
 	return p
@@ -112,10 +112,10 @@
 		return z
 	}
 	planned := newest.Zones[newest.zone(zone)]
-	z.state, z.turns, z.room, z.turned = planned.State, planned.Turns, float64(planned.Room), now
+	z.state, z.turns, z.room, z.turned = planned.State, planned.Flaps, float64(planned.Capacity), now
 	for i, class := range classes {
 		if j := slices.Index(newest.Classes, class.Name); j >= 0 {
-			z.want[i] = float64(planned.Want[j])
+			z.want[i] = float64(planned.Demand[j])
 			z.peak[i] = z.want[i]
 		}
 	}
@@ -133,8 +133,8 @@
 // Cut is the common view.
 func (p *Planner) Cut() *membership.Cut { return p.cut }
 
-// Order tells what operators have ordered.
-func (p *Planner) Order(o Orders) { p.orders = o }
+// ApplyOrders tells what operators have ordered.
+func (p *Planner) ApplyOrders(o OperatorOrders) { p.orders = o }
 
 // Step makes a plan where one is wanted; nil: the newest will do.
 func (p *Planner) Step(now time.Duration) *Plan {
@@ -147,9 +147,9 @@
 		return nil
 	}
 	if n := len(p.known); n > 0 {
-		next.Prev = p.known[n-1].Number
+		next.Previous = p.known[n-1].Number
 	}
-	next.Why = reasonText(reasons)
+	next.Reason = reasonText(reasons)
 	p.proposed, p.lastPlan = now, now
 	return next
 }
@@ -169,7 +169,7 @@
 			reasons = append(reasons, why)
 		}
 		if z := p.state[zone]; z.state == Returning {
-			z.ramp = min(1, z.ramp+p.rules.Ramp*stepEvery.Seconds())
+			z.ramp = min(1, z.ramp+p.rules.RecoveryRamp*stepEvery.Seconds())
 		}
 	}
 	return reasons
--- a/internal/failover/schedule_test.go
+++ b/internal/failover/schedule_test.go
@@ -46,15 +46,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &schedule{t: t, list: list, now: time.Hour, fails: map[string]bool{}, unseen: map[string]bool{}, rules: Rules{Limit: 0.85, Life: 10 * time.Second,
-		Hold: 4 * time.Second, Ramp: 0.2, Classes: []Class{{"chat", 2, false}, {"presence", 1, true}}, Far: func(a, b string) float64 { return 3 }},
+	s := &schedule{t: t, list: list, now: time.Hour, fails: map[string]bool{}, unseen: map[string]bool{}, rules: Rules{UtilizationLimit: 0.85, GrantLifetime: 10 * time.Second,
+		RecoveryDelay: 4 * time.Second, RecoveryRamp: 0.2, Classes: []Class{{"chat", 2, false}, {"presence", 1, true}}, RegionDistance: func(a, b string) float64 { return 3 }},
 		load: map[string][]float32{"a": {30, 6}, "b": {20, 4}, "c": {25, 0}, "d": {9, 1.5}}}
 	s.planner = NewPlanner(list, s.rules, PlanHistory{}, s.now)
 	return s
 }
 
 // evidence is what one node of a zone tells.
-func (s *schedule) evidence(node int) Sum {
+func (s *schedule) evidence(node int) EvidenceSummary {
 	zone := s.list.Node(node).Zone
 	nodes := float64(len(s.list.InZone(zone)))
 	seen := choice.Observations{Classes: make([]choice.ClassObservations, 2)}
@@ -75,13 +75,13 @@
 		}
 		seen.Zones = append(seen.Zones, z)
 	}
-	word := Word{Node: node, Plan: s.number}
+	word := NodeStatus{Node: node, Plan: s.number}
 	for _, silent := range s.silent {
 		if slices.Contains(s.list.Watchers(silent), node) {
-			word.Silent = append(word.Silent, silent)
+			word.Unreachable = append(word.Unreachable, silent)
 		}
 	}
-	return Tell(zone, []string{"chat", "presence"}, seen, word)
+	return Summarize(zone, []string{"chat", "presence"}, seen, word)
 }
 
 // run plays for a time, and writes down the plans that are made.
@@ -93,7 +93,7 @@
 			if s.unseen[zone] {
 				continue
 			}
-			all := Sum{Zone: zone}
+			all := EvidenceSummary{Zone: zone}
 			for _, node := range s.list.InZone(zone) {
 				if !slices.Contains(s.silent, node) {
 					all.Add(s.evidence(node))
@@ -112,8 +112,8 @@
 		}
 		s.number++
 		s.newest = decoded
-		s.planner.Newest(s.number, decoded, s.now)
-		fmt.Fprintf(&s.text, "%v plan %d: %s: %x\n", s.now, s.number, next.Why, sha256.Sum256(encoded))
+		s.planner.ApplyPlan(s.number, decoded, s.now)
+		fmt.Fprintf(&s.text, "%v plan %d: %s: %x\n", s.now, s.number, next.Reason, sha256.Sum256(encoded))
 	}
 }
 
@@ -127,13 +127,13 @@
 	}
 	for node := range s.list.Len() {
 		zone := s.list.Node(node).Zone
-		seen := s.planner.Seen(node, s.now)
-		fmt.Fprintf(&s.text, "%s: live %v, plan %d, heard %.6g s ago\n", s.list.Node(node).Name, seen.Live, seen.Plan, seen.Ago)
-		for _, mode := range []Mode{Alone, Planned, Ground} {
-			borrowed := Borrowed{Loans: map[string]float64{"b": 1.25}, Stay: 0.75}
-			use := Use(mode, s.newest, node, zone, []string{"presence", "chat"}, time.Second, borrowed)
+		seen := s.planner.NodeView(node, s.now)
+		fmt.Fprintf(&s.text, "%s: live %v, plan %d, heard %.6g s ago\n", s.list.Node(node).Name, seen.Live, seen.Plan, seen.HeardSecondsAgo)
+		for _, mode := range []Mode{Standalone, Planned, OwnZoneOnly} {
+			borrowed := LeasedCapacity{ByZone: map[string]float64{"b": 1.25}, InRegionOnly: 0.75}
+			use := ZonePlanFor(mode, s.newest, node, zone, []string{"presence", "chat"}, time.Second, borrowed)
 			fmt.Fprintf(&s.text, " %v: parts", mode)
-			parts := Part(mode, s.newest, node, zone)
+			parts := GrantShare(mode, s.newest, node, zone)
 			for _, name := range slices.Sorted(maps.Keys(parts)) {
 				fmt.Fprintf(&s.text, " %s %.6g", name, parts[name])
 			}
@@ -146,7 +146,7 @@
 		news := choice.Observations{Zones: []choice.ZoneObservations{{Zone: zone, Ready: 4, OwnLoad: []float64{20, 3}}}, Classes: []choice.ClassObservations{{Arrived: 2, Rejected: 1}, {Arrived: 1}}}
 		for _, out := range []int{0, 4} {
 			news.Zones[0].Ejected = out
-			asks := Asks(Planned, s.newest, node, zone, news, 100*time.Millisecond, 31, map[string]float64{"a": 1}, map[string]bool{"a": true})
+			asks := LeaseDemand(Planned, s.newest, node, zone, news, 100*time.Millisecond, 31, map[string]float64{"a": 1}, map[string]bool{"a": true})
 			for _, name := range slices.Sorted(maps.Keys(asks)) {
 				fmt.Fprintf(&s.text, " %d hosts out: asks %s for %.6g\n", out, name, asks[name])
 			}
@@ -170,15 +170,15 @@
 	delete(s.fails, "a")
 	s.run(90 * time.Second)
 	s.note("a is back")
-	s.planner.Order(Orders{Drained: []string{"b"}})
+	s.planner.ApplyOrders(OperatorOrders{Drained: []string{"b"}})
 	s.run(8 * time.Second)
 	s.note("b is drained")
-	s.planner.Order(Orders{})
+	s.planner.ApplyOrders(OperatorOrders{})
 	s.run(20 * time.Second)
 	s.silent = []int{1}
 	s.run(8 * time.Second)
 	s.note("a node of a is out of the view")
-	s.planner = NewPlanner(s.list, s.rules, PlanHistory{Plans: []Known{{s.number, s.newest, s.now}}}, s.now)
+	s.planner = NewPlanner(s.list, s.rules, PlanHistory{Plans: []VersionedPlan{{s.number, s.newest, s.now}}}, s.now)
 	s.load["a"], s.load["b"], s.full = []float32{70, 30}, []float32{80, 10}, true
 	s.run(10 * time.Second)
 	s.note("another planner, and more than the region has room for")
@@ -197,12 +197,12 @@
 func TestGoldenLender(t *testing.T) {
 	var text strings.Builder
 	now := time.Minute
-	lender := NewLender(now)
+	lender := NewLeaseOwner(now)
 	for i := range 60 {
 		now += time.Duration(100+50*(i%7)) * time.Millisecond
 		node, asks, reserve := i%4, float64(i*37%23)/2, 20-float64(i/20)*6.5
-		given := lender.Lend(node, asks, reserve, now)
-		fmt.Fprintf(&text, "%v node %d asks for %.6g of %.6g, gets %.6g; lent %.6g\n", now, node, asks, reserve, given, lender.Lent(now))
+		given := lender.Grant(node, asks, reserve, now)
+		fmt.Fprintf(&text, "%v node %d asks for %.6g of %.6g, gets %.6g; lent %.6g\n", now, node, asks, reserve, given, lender.Reserved(now))
 	}
 	golden(t, "lender.txt", []byte(text.String()))
 }
--- a/internal/failover/use.go
+++ b/internal/failover/use.go
@@ -8,21 +8,21 @@
 	"spurwinch/choice"
 )
 
-// Borrowed is what a node has been lent, and what it keeps of its part in its region.
-type Borrowed struct {
-	Loans map[string]float64 // by zone
-	Stay  float64            // told load of classes that must not go further, which find no place in the own zone
+// LeasedCapacity is what a node has been lent, and what it keeps of its part in its region.
+type LeasedCapacity struct {
+	ByZone       map[string]float64 // by zone
+	InRegionOnly float64            // told load of classes that must not go further, which find no place in the own zone
 }
 
-// Use is what a node's module is told. classes are the node's own, by their index there; comeAgain is the advice for what is refused;
+// ZonePlanFor is what a node's module is told. classes are the node's own, by their index there; comeAgain is the advice for what is refused;
 // b is what it has been lent, and keeps for those who can't go far.
-func Use(m Mode, p *Plan, node int, zone string, classes []string, comeAgain time.Duration, b Borrowed) choice.ZonePlan {
-	if m == Alone || p == nil || p.zone(zone) < 0 {
+func ZonePlanFor(m Mode, p *Plan, node int, zone string, classes []string, comeAgain time.Duration, b LeasedCapacity) choice.ZonePlan {
+	if m == Standalone || p == nil || p.zone(zone) < 0 {
 		return choice.ZonePlan{Grants: []choice.Grant{{Zone: zone, Load: math.Inf(1)}}}
 	}
-	u := &nodeUse{mode: m, plan: p, own: p.zone(zone), lost: slices.Contains(p.Lost, node), borrowed: b}
+	u := &nodeUse{mode: m, plan: p, own: p.zone(zone), lost: slices.Contains(p.LostNodes, node), borrowed: b}
 	for i, class := range classes {
-		if k := slices.Index(p.Classes, class); k >= 0 && p.Stay[k] {
+		if k := slices.Index(p.Classes, class); k >= 0 && p.StayInRegion[k] {
 			u.staying = append(u.staying, i)
 		} else {
 			u.moving = append(u.moving, i)
@@ -32,7 +32,7 @@
 	for _, z := range p.Zones {
 		out.Nodes += z.Nodes
 	}
-	if m != Ground { // there what is let in is as much as the plan has room for, and this is less
+	if m != OwnZoneOnly { // there what is let in is as much as the plan has room for, and this is less
 		out.AdmitFraction = u.admitted(classes)
 	}
 	return out
@@ -44,7 +44,7 @@
 	plan            *Plan
 	own             int  // the place of its zone
 	lost            bool // it is out of the common view
-	borrowed        Borrowed
+	borrowed        LeasedCapacity
 	staying, moving []int // its classes that must stay in the region, and those that need not
 }
 
@@ -60,10 +60,10 @@
 		case load <= 0:
 		case zone.Region != u.plan.Zones[u.own].Region:
 			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load, ExcludedClasses: u.staying})
-		case kept == 0 && u.borrowed.Stay == 0:
+		case kept == 0 && u.borrowed.InRegionOnly == 0:
 			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load})
 		default:
-			kept = max(kept, min(1, u.borrowed.Stay/region))
+			kept = max(kept, min(1, u.borrowed.InRegionOnly/region))
 			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load * (1 - kept), ExcludedClasses: u.staying},
 				choice.Grant{Zone: zone.Name, Load: load * kept, ExcludedClasses: u.moving})
 		}
@@ -83,11 +83,11 @@
 
 // load is what the node may have in a zone, with what it has been lent there.
 func (u *nodeUse) load(to int) float64 {
-	loan := u.borrowed.Loans[u.plan.Zones[to].Name]
+	loan := u.borrowed.ByZone[u.plan.Zones[to].Name]
 	switch {
 	case to == u.own:
 		return u.ownLoad() + loan
-	case u.mode == Ground:
+	case u.mode == OwnZoneOnly:
 		return loan
 	}
 	share := u.plan.share(u.own, to, u.lost)
@@ -103,8 +103,8 @@
 		return load
 	}
 	load += uneven * math.Sqrt(load+1)
-	if zone.Guests == 0 && zone.Nodes > 0 { // nobody else needs its room now: it may grow without a plan
-		load = max(load, float64(zone.Room)/float64(zone.Nodes))
+	if zone.GuestLoad == 0 && zone.Nodes > 0 { // nobody else needs its room now: it may grow without a plan
+		load = max(load, float64(zone.Capacity)/float64(zone.Nodes))
 	}
 	return load
 }
@@ -114,7 +114,7 @@
 	for _, class := range classes {
 		part := 1.0
 		if k := slices.Index(u.plan.Classes, class); k >= 0 {
-			part = float64(u.plan.Admit[u.own][k]) / admitAll
+			part = float64(u.plan.AdmitFractions[u.own][k]) / admitAll
 		}
 		parts = append(parts, part)
 	}
--- a/internal/failover/zonegrants.go
+++ b/internal/failover/zonegrants.go
@@ -60,9 +60,9 @@
 	case from != g.to && zone.State == Lost:
 		return 0
 	case from == g.to && zone.Listed > zone.Nodes: // those out of the view may be there, with a part of their own
-		return zone.Room / (1 + float32(zone.Listed-zone.Nodes)/float32(zone.Listed))
+		return zone.Capacity / (1 + float32(zone.Listed-zone.Nodes)/float32(zone.Listed))
 	}
-	return zone.Room
+	return zone.Capacity
 }
 
 // fitting is the largest grant to a zone that fits beside all that is committed to others.
@@ -83,7 +83,7 @@
 // with a part of their own.
 func (g *zoneGrants) shrinkToRoom() {
 	zone := g.plan.Zones[g.to]
-	room := float64(zone.Room)
+	room := float64(zone.Capacity)
 	unseen := 1 + float64(zone.Listed-zone.Nodes)/float64(max(1, zone.Listed))
 	g.grants[g.to] = min(g.grants[g.to], room/unseen)
 	guests := 0.0
@@ -107,7 +107,7 @@
 // grants as older plans go out of use. A lender may have lent by its older plans what its new one takes back.
 func (g *zoneGrants) lendRest() {
 	zone := &g.plan.Zones[g.to]
-	if zone.Lender < 0 || zone.State != Well && zone.State != Returning {
+	if zone.LeaseOwner < 0 || zone.State != Healthy && zone.State != Returning {
 		return
 	}
 	unmet := 0.0
@@ -116,8 +116,8 @@
 			unmet += max(0, g.allocated(from)-load)
 		}
 	}
-	room := float64(zone.Room)
-	reserve := min(max(g.reserve[g.to], lentOn*unmet), room-g.granted, room-(g.promised-g.lent[zone.Lender]))
+	room := float64(zone.Capacity)
+	reserve := min(max(g.reserve[g.to], lentOn*unmet), room-g.granted, room-(g.promised-g.lent[zone.LeaseOwner]))
 	zone.Reserve = float32(max(0, reserve))
 }
 
@@ -128,18 +128,18 @@
 	for from, load := range g.grants {
 		missing += max(0, g.target[from][g.to]-load)
 	}
-	return missing > constrainedAt*float64(zone.Room)
+	return missing > constrainedAt*float64(zone.Capacity)
 }
 
 // addTo adds the grants to a plan, with what lenders may have lent. keepForStaying has a part of each kept for classes that must stay in
 // their region.
 func (g *zoneGrants) addTo(plan *Plan, keepForStaying bool) {
 	for _, lender := range slices.Sorted(maps.Keys(g.lent)) {
-		plan.Lends = append(plan.Lends, Lend{Zone: g.to, Lender: lender, Load: float32(g.lent[lender])})
+		plan.Reserves = append(plan.Reserves, CapacityReserve{Zone: g.to, Owner: lender, Load: float32(g.lent[lender])})
 	}
 	for from := range g.grants {
 		if from != g.to {
-			plan.Zones[g.to].Guests += float32(g.allocated(from))
+			plan.Zones[g.to].GuestLoad += float32(g.allocated(from))
 		}
 	}
 	for _, from := range g.order {
@@ -151,14 +151,14 @@
 		if keepForStaying {
 			staying = g.staying(from)
 		}
-		plan.Grants = append(plan.Grants, Grant{From: from, To: g.to, Load: float32(load), Stay: float32(min(1.3*staying, load))})
+		plan.Grants = append(plan.Grants, Grant{From: from, To: g.to, Load: float32(load), RegionLoad: float32(min(1.3*staying, load))})
 	}
 }
 
 // staying is the load allocated to a zone here of classes that must stay in their region.
 func (g *zoneGrants) staying(from int) (load float64) {
 	for class, rule := range g.planner.rules.Classes {
-		if rule.Stay {
+		if rule.StayInRegion {
 			load += g.allocation[from][g.to][class]
 		}
 	}
--- a/internal/failover/zonehealth.go
+++ b/internal/failover/zonehealth.go
@@ -24,13 +24,13 @@
 }
 
 // view is what is known of a zone's hosts: its own nodes' view while there is one, else the others'.
-func (p *Planner) view(zone string, now time.Duration) (v Row, own, ok bool) {
+func (p *Planner) view(zone string, now time.Duration) (v ZoneEvidence, own, ok bool) {
 	if z := p.state[zone]; z.fresh(now) {
 		if r, there := z.sum.row(zone); there && r.Nodes > 0 {
 			return r, true, true
 		}
 	}
-	var all Sum
+	var all EvidenceSummary
 	for _, other := range p.zones {
 		s := p.state[other]
 		if other == zone || !s.fresh(now) {
@@ -38,13 +38,13 @@
 		}
 		if r, there := s.sum.row(zone); there {
 			classes := s.sum.Classes
-			all.Add(Sum{Classes: classes, Arrived: make([]float32, len(classes)), Refused: make([]float32, len(classes)), Rows: []Row{r}})
+			all.Add(EvidenceSummary{Classes: classes, Arrived: make([]float32, len(classes)), Rejected: make([]float32, len(classes)), Zones: []ZoneEvidence{r}})
 		}
 	}
-	if len(all.Rows) == 0 || all.Rows[0].Nodes == 0 {
-		return Row{}, false, false
+	if len(all.Zones) == 0 || all.Zones[0].Nodes == 0 {
+		return ZoneEvidence{}, false, false
 	}
-	return all.Rows[0], false, true
+	return all.Zones[0], false, true
 }
 
 // fresh says whether a zone's nodes have told their evidence of late.
@@ -59,7 +59,7 @@
 	if v.Ready == 0 {
 		return true, "no host is listed as serving"
 	}
-	out := float64(v.Out / v.Ready)
+	out := float64(v.Ejected / v.Ready)
 	fail, work := p.othersFindings(zone, now)
 	ownFails, ownKnown := p.pathFails(p.paths[[2]string{zone, zone}], now)
 	switch {
@@ -119,7 +119,7 @@
 	case z.state == Lost:
 		return p.recover(zone, bad, now)
 	case z.state == Returning && z.ramp >= 1:
-		return p.enter(zone, Well, "all of its room is given back", now)
+		return p.enter(zone, Healthy, "all of its room is given back", now)
 	}
 	return ""
 }
@@ -167,7 +167,7 @@
 		}
 		z.goodFrom = now
 	}
-	hold := p.rules.Hold
+	hold := p.rules.RecoveryDelay
 	if z.turned > 0 { // at most one reversal in that time, however often it comes and goes
 		hold = max(hold, turnHold-(now-z.turned))
 	}
--- a/internal/lab/explore/node.go
+++ b/internal/lab/explore/node.go
@@ -48,9 +48,9 @@
 
 // rules are the plans' rules of the simulated fleet.
 func rules() failover.Rules {
-	r := failover.Rules{Limit: 0.85, Life: 30 * time.Second, Hold: 4 * time.Second, Ramp: 0.2, Far: func(a, b string) float64 { return 1 }}
+	r := failover.Rules{UtilizationLimit: 0.85, GrantLifetime: 30 * time.Second, RecoveryDelay: 4 * time.Second, RecoveryRamp: 0.2, RegionDistance: func(a, b string) float64 { return 1 }}
 	for _, c := range faults.Classes {
-		r.Classes = append(r.Classes, failover.Class{Name: c.Name, Priority: c.Worth, Stay: c.Stay})
+		r.Classes = append(r.Classes, failover.Class{Name: c.Name, Priority: c.Worth, StayInRegion: c.Stay})
 	}
 	return r
 }
@@ -157,7 +157,7 @@
 func (n *node) join() (err error) {
 	w := n.w
 	o := agent.Options{List: w.list, Self: n.i, Key: []byte(labKey), Rules: rules(), Classes: w.classes,
-		ComeAgain: time.Second, Kept: n.disk, Seed: w.o.Seed*31 + uint64(n.i)*1009 + uint64(n.born), Log: n.log, Voter: NewVoter}
+		RetryAfter: time.Second, Records: n.disk, Seed: w.o.Seed*31 + uint64(n.i)*1009 + uint64(n.born), Log: n.log, Voter: NewVoter}
 	if w.o.Light {
 		o.Policy = n.policyOptions()
 	}
@@ -180,7 +180,7 @@
 	n.on(n.w.now+agree.Tick, func() {
 		n.agent.Tick(n.clock())
 		if n.agent.Wants(n.clock()) {
-			n.agent.Tell(n.moduleNews(), n.clock())
+			n.agent.Observe(n.moduleNews(), n.clock())
 		}
 		n.tick()
 	})
@@ -223,7 +223,7 @@
 func (n *node) pump() {
 	const rounds = 8
 	for range rounds {
-		if p, changed := n.agent.Use(); changed && n.core != nil {
+		if p, changed := n.agent.ZonePlan(); changed && n.core != nil {
 			n.core.ApplyZonePlan(p)
 			n.core.Flush()
 		}
@@ -256,7 +256,7 @@
 			n.disk = nil
 		}
 		n.disk = append(n.disk, rec)
-		n.on(n.w.now, func() { n.agent.Kept(n.clock()) })
+		n.on(n.w.now, func() { n.agent.Persisted(n.clock()) })
 	})
 }
 
@@ -296,7 +296,7 @@
 	if w.o.Messages > 0 && w.rng.Float64() < 0.1 {
 		d += time.Duration(w.rng.IntN(w.o.Messages)) * time.Millisecond
 	}
-	if !agent.OfVoters(m.Data) { // else the log stands still, and nothing of what is late matters
+	if !agent.IsConsensusMessage(m.Data) { // else the log stands still, and nothing of what is late matters
 		d += w.late/2 + time.Duration(w.rng.Float64()*float64(w.late)) // what is late overtakes
 	}
 	return d
--- a/internal/lab/explore/policy.go
+++ b/internal/lab/explore/policy.go
@@ -57,7 +57,7 @@
 func (n *node) admits() {
 	n.on(n.w.now+time.Duration(float64(admitEvery)*(0.5+n.w.rng.Float64())), func() {
 		n.came++
-		s, until := n.agent.Stands()
+		s, until := n.agent.ActivePolicy()
 		switch {
 		case s.Known && n.clock() < until:
 			n.w.note(faults.Event{Kind: faults.KindAdmit, Node: n.name, Zone: n.zone, Number: s.Number, Detail: "lease"})
--- a/internal/lab/faults/check_test.go
+++ b/internal/lab/faults/check_test.go
@@ -12,9 +12,9 @@
 
 // TestCheck holds, for small histories, which rule each breaks, and that a sound one breaks none.
 func TestCheck(t *testing.T) {
-	plan := (&failover.Plan{Zones: []failover.Zone{{Name: "z", Nodes: 2, Listed: 2, Room: 10, Want: []float32{}}}, Admit: [][]int{{}},
+	plan := (&failover.Plan{Zones: []failover.Zone{{Name: "z", Nodes: 2, Listed: 2, Capacity: 10, Demand: []float32{}}}, AdmitFractions: [][]int{{}},
 		Grants: []failover.Grant{{Load: 10}}}).Encode()
-	over := (&failover.Plan{Zones: []failover.Zone{{Name: "z", Nodes: 2, Listed: 2, Room: 10, Want: []float32{}}}, Admit: [][]int{{}},
+	over := (&failover.Plan{Zones: []failover.Zone{{Name: "z", Nodes: 2, Listed: 2, Capacity: 10, Demand: []float32{}}}, AdmitFractions: [][]int{{}},
 		Grants: []failover.Grant{{Load: 30}}}).Encode()
 	head := []Event{{Kind: KindZone, Zone: "z", Detail: "r", Value: 100}, {Kind: KindNode, Node: "a", Zone: "z", Value: 1}, {Kind: KindNode, Node: "b", Zone: "z"},
 		{Kind: KindStart, Node: "a", Detail: "new"}, {Kind: KindStart, Node: "b", Detail: "new"}}
--- a/internal/lab/faults/checkplan.go
+++ b/internal/lab/faults/checkplan.go
@@ -35,7 +35,7 @@
 		if old, ok := c.states[z.Name]; !ok || old != z.State {
 			c.states[z.Name] = z.State
 			delete(c.wellSince, z.Name)
-			if z.State == failover.Well {
+			if z.State == failover.Healthy {
 				c.wellSince[z.Name] = at
 			}
 			c.v.Seen["zone "+z.State.String()]++
@@ -80,9 +80,9 @@
 	if c.live[node] && p != nil && c.mode[node] != "alone" && i >= 0 {
 		m := failover.Planned
 		if c.mode[node] == "ground" {
-			m = failover.Ground
+			m = failover.OwnZoneOnly
 		}
-		now.has = failover.Part(m, p, i, c.zoneOf[node])
+		now.has = failover.GrantShare(m, p, i, c.zoneOf[node])
 		for z, v := range c.loans[node] {
 			now.has[z] += v
 		}
@@ -97,7 +97,7 @@
 		room := 0.0
 		for n := range c.inUse {
 			if p := c.plans[n]; p != nil {
-				room = max(room, p.Stated(z))
+				room = max(room, p.StatedCapacity(z))
 			}
 		}
 		if v := c.granted[z]; v > room*(1+c.limits.RoomSlack)+0.1 && now.has[z] > old.has[z]+1e-6 {
@@ -113,7 +113,7 @@
 
 // viewed holds that nobody is out of the common view whom no fault has touched: a single node, or a minority, changes no plan.
 func (c *checker) viewed(at float64, p *failover.Plan) {
-	for _, i := range p.Lost {
+	for _, i := range p.LostNodes {
 		if i < 0 || i >= c.list.Len() {
 			continue
 		}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -59,7 +59,7 @@
 	p.leaves = append(p.leaves, f.close)
 	p.closers = append(p.closers, f.close)
 	// Until there is word of a plan the node serves by its own zone alone.
-	core.ApplyZonePlan(failover.Use(failover.Alone, nil, 0, f.zone(), nil, 0, failover.Borrowed{}))
+	core.ApplyZonePlan(failover.ZonePlanFor(failover.Standalone, nil, 0, f.zone(), nil, 0, failover.LeasedCapacity{}))
 	if c.List.Policy != nil { // nor does it take anybody before it knows which policy is in force
 		core.UseLease(edge.Lease{RetryAfter: time.Duration(c.ComeAgain), OnDecision: f.told()})
 	}
@@ -115,7 +115,7 @@
 	rules.Classes = f.ruled()
 	l := f.conf.List.List
 	f.agent, err = agent.New(agent.Options{List: l, Self: l.Index(f.conf.Self), Key: f.conf.Secret, Rules: rules, Classes: names,
-		ComeAgain: time.Duration(f.conf.ComeAgain), Kept: kept, Seed: uint64(time.Now().UnixNano()), Log: say, Voter: f.newVoter,
+		RetryAfter: time.Duration(f.conf.ComeAgain), Records: kept, Seed: uint64(time.Now().UnixNano()), Log: say, Voter: f.newVoter,
 		Policy: f.policyOptions()}, f.now())
 	if err != nil {
 		f.again("fleet_not_begun", err)
@@ -142,10 +142,10 @@
 	_, classes := f.classes()
 	for _, c := range classes {
 		if !c.Removed {
-			all = append(all, failover.Class{Name: c.Name, Priority: c.Priority, Stay: slices.Contains(f.conf.List.Plan.Stay, c.Name)})
+			all = append(all, failover.Class{Name: c.Name, Priority: c.Priority, StayInRegion: slices.Contains(f.conf.List.Plan.Stay, c.Name)})
 		}
 	}
-	return all[:min(len(all), failover.MostClasses)]
+	return all[:min(len(all), failover.MaxClasses)]
 }
 
 func (f *fleet) tick() {
@@ -159,7 +159,7 @@
 	f.last = now
 	f.agent.Tick(f.now())
 	if f.agent.Wants(f.now()) {
-		f.agent.Tell(f.core.Observations(), f.now())
+		f.agent.Observe(f.core.Observations(), f.now())
 	}
 	f.pump()
 	f.tellAdmitted(now)
@@ -170,7 +170,7 @@
 func (f *fleet) adapt() {
 	if f.agent != nil {
 		names, _ := f.classes()
-		f.agent.Adapt(names)
+		f.agent.UpdateClasses(names)
 		f.pump()
 	}
 }
@@ -178,7 +178,7 @@
 // pump carries out what the agent has decided.
 func (f *fleet) pump() {
 	f.stand()
-	if plan, changed := f.agent.Use(); changed {
+	if plan, changed := f.agent.ZonePlan(); changed {
 		f.core.ApplyZonePlan(plan)
 	}
 	f.save()
@@ -204,7 +204,7 @@
 		return
 	}
 	if f.store == nil { // a node that keeps nothing; voters always have a store
-		f.agent.Kept(f.now())
+		f.agent.Persisted(f.now())
 		return
 	}
 	f.saving = true
@@ -235,7 +235,7 @@
 		})
 		return
 	}
-	f.agent.Kept(f.now())
+	f.agent.Persisted(f.now())
 	f.pump()
 }
 
--- a/internal/node/policy.go
+++ b/internal/node/policy.go
@@ -61,7 +61,7 @@
 		return
 	}
 	p := &f.policy
-	s, until := f.agent.Stands()
+	s, until := f.agent.ActivePolicy()
 	if s.Known && s.Number > 0 && s.Number == p.beyond {
 		s.Known = false
 	}
@@ -71,7 +71,7 @@
 			d, err := f.policyOptions().Read(s.Text)
 			if err != nil {
 				p.beyond, s.Known = s.Number, false
-				f.agent.Refuses(s.Number)
+				f.agent.RejectPolicy(s.Number)
 				zap.L().Error("fleet_policy_beyond_this_node", zap.Uint64("number", s.Number), zap.Error(err),
 					zap.String("what", "it takes nothing but classes with a ground, by the last policy that it could read"))
 			}
@@ -167,7 +167,7 @@
 	if f.agent == nil || !f.policy.set {
 		return false
 	}
-	s, until := f.agent.Stands()
+	s, until := f.agent.ActivePolicy()
 	return s.Known && s.Number == f.policy.number && f.now() < until
 }
 
