--- a/cmd/spurwinchctl/policy.go
+++ b/cmd/spurwinchctl/policy.go
@@ -218,11 +218,11 @@
 func (f *fleetCalls) propose(out io.Writer, p proposal, text []byte, based bool) error {
 	call := agent.Call{Verb: "policy-propose", ID: p.id, Data: text, Base: p.base}
 	if p.part != "" {
-		part, err := policy.ReadPart(p.part)
+		part, err := policy.ParseCanary(p.part)
 		if err != nil {
 			return err
 		}
-		part.Seconds, part.Worse = p.trial.Seconds(), p.worse
+		part.Seconds, part.MaxExtraRejections = p.trial.Seconds(), p.worse
 		call.Part = part
 	}
 	if call.ID == "" {
@@ -281,17 +281,17 @@
 					Number uint64 `json:"number"`
 					Taken  bool   `json:"in_force"`
 					Why    string `json:"why"`
-				}{e.ID, e.Number, e.Taken, e.Why}, "", "  ")
+				}{e.ID, e.Number, e.Accepted, e.Reason}, "", "  ")
 				if err != nil {
 					return err
 				}
 				fmt.Fprintf(out, "%s\n", raw)
 			}
-			if !e.Taken {
-				return statusError{1, fmt.Sprintf("change %s, number %d, was given up: %s", id, e.Number, e.Why)}
+			if !e.Accepted {
+				return statusError{1, fmt.Sprintf("change %s, number %d, was given up: %s", id, e.Number, e.Reason)}
 			}
 			if !f.asJSON {
-				fmt.Fprintf(out, "number %d is in force: %s\n", e.Number, e.Why)
+				fmt.Fprintf(out, "number %d is in force: %s\n", e.Number, e.Reason)
 			}
 			return nil
 		}
@@ -360,10 +360,10 @@
 	fmt.Fprintln(t, "number\tchange\tended\twhy")
 	for _, e := range r.Ended {
 		how := "given up"
-		if e.Taken {
+		if e.Accepted {
 			how = "in force"
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\t%s\n", e.Number, e.ID, how, e.Why)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%s\n", e.Number, e.ID, how, e.Reason)
 	}
 	t.Flush()
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -296,9 +296,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireEqual(t, "Document", *document, policy.Document{Attempts: 4, ComeAgain: time.Second,
-		Classes: []policy.Class{{Name: "a", SetupObjective: time.Second, Patience: 2 * time.Second, Priority: 1}},
-		Plan:    &policy.Plan{Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second}})
+	requireEqual(t, "Document", *document, policy.Document{Attempts: 4, RetryAfter: time.Second,
+		Classes:  []policy.Class{{Name: "a", SetupObjective: time.Second, Deadline: 2 * time.Second, Priority: 1}},
+		Failover: &policy.FailoverRules{Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second}})
 }
 
 // TestGoldenFleetList holds what each key of the list of nodes means.
@@ -324,7 +324,7 @@
 		rules.RegionDistance("region-1", "region-2") != 2.5 || rules.RegionDistance("region-2", "region-1") != 2.5 || rules.RegionDistance("region-1", "other") != 1 {
 		t.Errorf("the rules of plans are %+v, at cost %v", rules, rules.RegionDistance("region-1", "region-2"))
 	}
-	if policyRules.Window != 6*time.Second || policyRules.Answer != 11*time.Second {
+	if policyRules.Window != 6*time.Second || policyRules.AnswerTimeout != 11*time.Second {
 		t.Errorf("the rules of changes are %+v", policyRules)
 	}
 	for number, node := range []membership.Node{{Name: "node-a", Zone: "zone-2", Region: "region-2"},
@@ -346,14 +346,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := policy.Document{Attempts: 3, ComeAgain: 2 * time.Second, OverQuotaPriority: 0.1,
+	want := policy.Document{Attempts: 3, RetryAfter: 2 * time.Second, OverQuotaPriority: 0.1,
 		Classes: []policy.Class{
-			{Name: "gold", SetupObjective: 500 * time.Millisecond, Patience: 3 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 2.5, Ground: true},
-			{Name: "plain", SetupObjective: 800 * time.Millisecond, Patience: 4 * time.Second, MessageObjective: 70 * time.Millisecond, Priority: 1.5}},
-		Tenants: []policy.Tenant{{Name: "acme", Connections: 40, Rate: 12.5}},
-		Ground:  policy.Ground{Attempts: 1, Patience: 2500 * time.Millisecond},
-		Needs:   policy.Needs{Descriptors: 512, MemoryMB: 64},
-		Plan:    &policy.Plan{Limit: 0.75, Ramp: 0.25, Hold: 5 * time.Second, Stay: []string{"plain"}, Far: []policy.Far{{A: "region-1", B: "region-2", Cost: 2}}}}
+			{Name: "gold", SetupObjective: 500 * time.Millisecond, Deadline: 3 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 2.5, ServedByBase: true},
+			{Name: "plain", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, MessageObjective: 70 * time.Millisecond, Priority: 1.5}},
+		Tenants:      []policy.Tenant{{Name: "acme", Connections: 40, Rate: 12.5}},
+		Base:         policy.BasePolicy{Attempts: 1, Deadline: 2500 * time.Millisecond},
+		Requirements: policy.Requirements{Descriptors: 512, MemoryMB: 64},
+		Failover:     &policy.FailoverRules{Limit: 0.75, Ramp: 0.25, Hold: 5 * time.Second, RegionalClasses: []string{"plain"}, Far: []policy.RegionDistance{{A: "region-1", B: "region-2", Cost: 2}}}}
 	requireEqual(t, "Document", *got, want)
 	file := &policyFile{}
 	if f := tomlfile.Decode("policy", text, file); f.Broken() {
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -56,7 +56,7 @@
 
 // Rules are the same as the policy's package has them.
 func (p *FleetPolicy) Rules() policy.Rules {
-	return policy.Rules{Window: time.Duration(p.Window), Answer: time.Duration(p.Answer)}
+	return policy.Rules{Window: time.Duration(p.Window), AnswerTimeout: time.Duration(p.Answer)}
 }
 
 func (p *FleetPolicy) check(f *tomlfile.File) {
@@ -85,16 +85,16 @@
 	}
 	tomlfile.Fill(&p.Attempts, policy.MostAttempts)
 	tomlfile.Fill(&p.ComeAgain, Duration(time.Second))
-	d := &policy.Document{Attempts: p.Attempts, ComeAgain: time.Duration(p.ComeAgain), OverQuotaPriority: p.OverShareWorth,
-		Ground: policy.Ground{Attempts: p.Ground.Attempts, Patience: time.Duration(p.Ground.Patience)},
-		Needs:  policy.Needs{Descriptors: p.Needs.Descriptors, MemoryMB: p.Needs.MemoryMB}}
+	d := &policy.Document{Attempts: p.Attempts, RetryAfter: time.Duration(p.ComeAgain), OverQuotaPriority: p.OverShareWorth,
+		Base:         policy.BasePolicy{Attempts: p.Ground.Attempts, Deadline: time.Duration(p.Ground.Patience)},
+		Requirements: policy.Requirements{Descriptors: p.Needs.Descriptors, MemoryMB: p.Needs.MemoryMB}}
 	for i, c := range p.Classes {
 		if c.Without != "" && c.Without != "refuse" && c.Without != "ground" {
 			f.Fault(fmt.Sprintf("class.%d.without", i), "class %q: without = %q: \"refuse\" or \"ground\" is wanted", c.Name, c.Without)
 		}
 		tomlfile.Fill(&c.Worth, 1)
-		d.Classes = append(d.Classes, policy.Class{Name: c.Name, SetupObjective: time.Duration(c.Aim), Patience: time.Duration(c.Patience),
-			MessageObjective: time.Duration(c.MessageAim), Priority: c.Worth, Ground: c.Without == "ground"})
+		d.Classes = append(d.Classes, policy.Class{Name: c.Name, SetupObjective: time.Duration(c.Aim), Deadline: time.Duration(c.Patience),
+			MessageObjective: time.Duration(c.MessageAim), Priority: c.Worth, ServedByBase: c.Without == "ground"})
 	}
 	for _, t := range p.Tenants {
 		d.Tenants = append(d.Tenants, policy.Tenant{Name: t.Name, Connections: t.Connections, Rate: t.Rate})
@@ -103,13 +103,13 @@
 		tomlfile.Fill(&p.Plan.Limit, 0.85)
 		tomlfile.Fill(&p.Plan.Hold, Duration(4*time.Second))
 		tomlfile.Fill(&p.Plan.Ramp, 0.2)
-		d.Plan = &policy.Plan{Limit: p.Plan.Limit, Ramp: p.Plan.Ramp, Hold: time.Duration(p.Plan.Hold), Stay: p.Plan.Stay}
+		d.Failover = &policy.FailoverRules{Limit: p.Plan.Limit, Ramp: p.Plan.Ramp, Hold: time.Duration(p.Plan.Hold), RegionalClasses: p.Plan.Stay}
 		for i, x := range p.Far {
 			if len(x.Between) != 2 {
 				f.Fault(fmt.Sprintf("far.%d", i), "[[far]]: between = [REGION, REGION] and a cost of 1 or more are wanted")
 				continue
 			}
-			d.Plan.Far = append(d.Plan.Far, policy.Far{A: x.Between[0], B: x.Between[1], Cost: x.Cost})
+			d.Failover.Far = append(d.Failover.Far, policy.RegionDistance{A: x.Between[0], B: x.Between[1], Cost: x.Cost})
 		}
 	} else if len(p.Far) > 0 {
 		f.Fault("far.0", "[[far]] without [plan]: the two go together")
--- a/internal/config/policy_test.go
+++ b/internal/config/policy_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g := d.Classes[0]; d.Attempts != 3 || g.Patience != 3*time.Second || !g.Ground || d.Classes[1].Priority != 1 || d.Plan.Limit != 0.85 || d.Plan.Far[0].Cost != 2 || d.ComeAgain != time.Second {
+	if g := d.Classes[0]; d.Attempts != 3 || g.Deadline != 3*time.Second || !g.ServedByBase || d.Classes[1].Priority != 1 || d.Failover.Limit != 0.85 || d.Failover.Far[0].Cost != 2 || d.RetryAfter != time.Second {
 		t.Errorf("%+v", d)
 	}
 	for _, c := range []struct {
--- a/internal/failover/agent/ask.go
+++ b/internal/failover/agent/ask.go
@@ -23,7 +23,7 @@
 	ID   string   // of the proposal that drain or undrain makes
 	Data []byte   // a policy
 	Base uint64   // the number that it is to replace
-	Part policy.Part
+	Part policy.Canary
 }
 
 // Reply is the node's answer.
--- a/internal/failover/agent/golden_test.go
+++ b/internal/failover/agent/golden_test.go
@@ -96,8 +96,8 @@
 func goldenSum() failover.EvidenceSummary {
 	return failover.EvidenceSummary{Zone: "z1", Classes: []string{"c1", "c2"}, Arrived: []float32{1.5, 2}, Rejected: []float32{3, 4.25},
 		Zones: []failover.ZoneEvidence{{Zone: "z2", Nodes: 5, Ready: 6, Ejected: 7, Capacity: 8.5, Load: 9, Cost: 10.125, Attempts: 11, Failed: 12, OwnLoad: []float32{13, 14}}},
-		Nodes: []failover.NodeStatus{{Node: 1, Plan: 15, Unreachable: []int{2, 3}, Policy: &policy.Word{Entry: 16, Verdict: policy.No, Why: "too old", Has: 17,
-			Serves: 18, May: true, Arrived: 19, Away: 20}}}}
+		Nodes: []failover.NodeStatus{{Node: 1, Plan: 15, Unreachable: []int{2, 3}, Policy: &policy.MemberStatus{Entry: 16, Verdict: policy.VerdictReject, Reason: "too old", KnownNumber: 17,
+			ServedNumber: 18, MayServe: true, Arrived: 19, Rejected: 20}}}}
 }
 
 func goldenPlan() *failover.Plan {
@@ -111,17 +111,19 @@
 }
 
 func goldenPolicyState() *policy.State {
-	return &policy.State{Number: 3, Last: 4, Docs: []policy.Numbered{{Number: 3, Text: []byte("third")}},
-		Change: &policy.Change{ID: "c-4", Number: 4, Base: 3, Text: []byte("fourth"), Step: policy.Trying,
-			Part: policy.Part{Zone: "z1", OneIn: 2, Seconds: 30.5, Worse: 0.25}},
-		Ended: []policy.End{{ID: "c-3", Number: 3, Taken: true, Why: "nobody objected"}}, Grounds: []policy.GroundOf{{Number: 3, Attempts: 5, Patience: 700}}}
+	return &policy.State{Number: 3, LastNumber: 4, Documents: []policy.VersionedDocument{{Number: 3, Text: []byte("third")}},
+		Change: &policy.Change{ID: "c-4", Number: 4, Base: 3, Text: []byte("fourth"), Stage: policy.StageCanary,
+			Canary: policy.Canary{Zone: "z1", OneIn: 2, Seconds: 30.5, MaxExtraRejections: 0.25}},
+		Ended: []policy.ChangeOutcome{{ID: "c-3", Number: 3, Accepted: true, Reason: "nobody objected"}}, Bases: []policy.VersionedBase{{Number: 3, Attempts: 5, Deadline: 700}}}
 }
 
 func goldenDigest() agree.Digest {
 	return agree.Digest{Log: 31, Kinds: []agree.KindDigest{{Kind: 1, Number: 32, Sum: 33}, {Kind: 3, Number: 34, Sum: 35}}}
 }
 
-func goldenTold() policy.Told { return policy.Told{Entry: 36, Force: 37, Trial: 38, Window: 39} }
+func goldenTold() policy.LeaderNotice {
+	return policy.LeaderNotice{Entry: 36, InForce: 37, OnTrial: 38, Window: 39}
+}
 
 func goldenReply() Reply {
 	return Reply{Error: "an error", Bad: true, Retry: true, Leader: "v", Node: "a", Zone: "z1", Mode: "planned", Plan: 1, Lease: 2.5, Log: "00000000000000ff",
@@ -132,11 +134,11 @@
 		Nodes: []NodeReply{{Name: "b", Zone: "z1", Live: true, Plan: 20, Ago: 21.5}}, Explain: []string{"a line"},
 		Ended: &Ended{ID: "drain-1", Number: 22, Taken: true},
 		Policy: &PolicyReply{Token: "23/24", Number: 25, Digest: "d25", Change: &ChangeReply{ID: "c-26", Number: 26, Base: 25, Step: "trial", Digest: "d26",
-			Part: policy.Part{Zone: "z1", OneIn: 2, Seconds: 27.5, Worse: 0.25}, Text: []byte("changed")},
-			Ended: []policy.End{{ID: "c-25", Number: 25, Taken: true, Why: "nobody objected"}},
-			Docs:  []policy.Numbered{{Number: 25, Text: []byte("in force")}},
+			Part: policy.Canary{Zone: "z1", OneIn: 2, Seconds: 27.5, MaxExtraRejections: 0.25}, Text: []byte("changed")},
+			Ended: []policy.ChangeOutcome{{ID: "c-25", Number: 25, Accepted: true, Reason: "nobody objected"}},
+			Docs:  []policy.VersionedDocument{{Number: 25, Text: []byte("in force")}},
 			Entry: 28, Window: 29.5, Members: []PolicyMember{{Name: "a", Live: true, Heard: true, Has: 30, Serves: 31, May: true, Answer: "yes"}},
-			Grounds: []policy.GroundOf{{Number: 25, Attempts: 32, Patience: 33}}}}
+			Grounds: []policy.VersionedBase{{Number: 25, Attempts: 32, Deadline: 33}}}}
 }
 
 // TestGoldenMessages pins each kind of message of the fleet, with the envelope around it.
@@ -162,7 +164,7 @@
 		{"news", news, body(goldenDigest())},
 		{"raft", raftWord, raw([]byte("of the voters"))},
 		{"ask", ask, body(Call{Verb: "policy-propose", Arg: "arg", ID: "c-47", Data: []byte("policy"), Base: 48,
-			Part: policy.Part{Zone: "z1", OneIn: 2, Seconds: 49.5, Worse: 0.5}})},
+			Part: policy.Canary{Zone: "z1", OneIn: 2, Seconds: 49.5, MaxExtraRejections: 0.5}})},
 		{"answer", answer, body(goldenReply())},
 		{"borrow", borrow, body(borrowBody{Load: 50.5})},
 		{"loan", loan, body(loanBody{Answer: 51, Load: 52.5})},
@@ -220,7 +222,7 @@
 
 // TestGoldenCall pins what an operator's tool sends, and that it reads a node's answer.
 func TestGoldenCall(t *testing.T) {
-	call := Call{Verb: "drain", Arg: "z1", ID: "drain-1", Data: []byte("data"), Base: 2, Part: policy.Part{Zone: "z2", OneIn: 3, Seconds: 4, Worse: 0.5}}
+	call := Call{Verb: "drain", Arg: "z1", ID: "drain-1", Data: []byte("data"), Base: 2, Part: policy.Canary{Zone: "z2", OneIn: 3, Seconds: 4, MaxExtraRejections: 0.5}}
 	wantFilled(t, "call", reflect.ValueOf(call))
 	goldenFile(t, "call.hex", Seal(goldenKey, goldenList(t), 1, call))
 	head := header{kind: answer, from: 1, to: Operator, clock: 1}
--- a/internal/failover/agent/leader.go
+++ b/internal/failover/agent/leader.go
@@ -141,7 +141,7 @@
 }
 
 // extendLease takes in that the one that leads was surely there at a time of this node's clock, with that newest plan and policy.
-func (a *Agent) extendLease(at time.Duration, plan uint64, told policy.Told) {
+func (a *Agent) extendLease(at time.Duration, plan uint64, told policy.LeaderNotice) {
 	if !a.leaderKnown || at > a.leaderSeen {
 		a.pol.told = told
 		a.leaderSeen, a.leaderKnown, a.leaderPlan = at, true, max(a.leaderPlan, plan)
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -28,11 +28,11 @@
 	entry   uint64 // of state, on this node's disk
 	verdict policy.Verdict
 	why     string
-	doc     *policy.Document // of the change on its way, where this node can go by it
-	told    policy.Told      // with the newest word of the one that leads
+	doc     *policy.Document    // of the change on its way, where this node can go by it
+	told    policy.LeaderNotice // with the newest word of the one that leads
 
-	driver *policy.Driver // where this node leads
-	words  map[int]policy.Word
+	driver *policy.Rollout // where this node leads
+	words  map[int]policy.MemberStatus
 	tried  time.Duration // when a step was proposed last
 	newest uint64        // entry that fresh was read from
 	fresh  *policy.State // as the log has it, at the one that leads
@@ -42,12 +42,12 @@
 }
 
 func (p *policyPart) init() {
-	p.state, p.fresh, p.words = &policy.State{}, &policy.State{}, map[int]policy.Word{}
+	p.state, p.fresh, p.words = &policy.State{}, &policy.State{}, map[int]policy.MemberStatus{}
 }
 
 func (p *policyPart) lead(o *Policy, ruled uint64) {
 	if o != nil {
-		p.driver, p.words, p.ruled = policy.NewDriver(o.Rules), map[int]policy.Word{}, ruled
+		p.driver, p.words, p.ruled = policy.NewRollout(o.Rules), map[int]policy.MemberStatus{}, ruled
 	}
 }
 
@@ -64,18 +64,18 @@
 	}
 	before := p.state
 	p.state, p.entry = s, e.Number
-	p.verdict, p.why, p.doc = policy.None, "", nil
+	p.verdict, p.why, p.doc = policy.VerdictPending, "", nil
 	if c := s.Change; c != nil {
 		var err error
 		if p.doc, err = a.options.Policy.Read(c.Text); err != nil {
-			p.verdict, p.why = policy.No, err.Error()
+			p.verdict, p.why = policy.VerdictReject, err.Error()
 			if len(p.why) > 160 {
 				p.why = p.why[:160]
 			}
 		} else {
-			p.verdict = policy.Yes
+			p.verdict = policy.VerdictAccept
 		}
-		a.options.Log("fleet_policy_change", "id", c.ID, "number", c.Number, "step", c.Step.String(), "digest", policy.Digest(c.Text), "verdict", verdictText(p))
+		a.options.Log("fleet_policy_change", "id", c.ID, "number", c.Number, "step", c.Stage.String(), "digest", policy.Digest(c.Text), "verdict", verdictText(p))
 	}
 	if s.Number != before.Number {
 		text, _ := s.Text(s.Number)
@@ -84,7 +84,7 @@
 }
 
 func verdictText(p *policyPart) string {
-	if p.verdict == policy.No {
+	if p.verdict == policy.VerdictReject {
 		return "no: " + p.why
 	}
 	return "yes"
@@ -114,27 +114,27 @@
 	}
 	if n := len(s.Ended); n > 0 && before.Change != nil && s.Ended[n-1].ID == before.Change.ID {
 		x := s.Ended[n-1]
-		a.options.Log("fleet_policy_ended", "id", x.ID, "number", x.Number, "taken", x.Taken, "why", x.Why)
+		a.options.Log("fleet_policy_ended", "id", x.ID, "number", x.Number, "taken", x.Accepted, "why", x.Reason)
 	}
-	if c := s.Change; c != nil && c.Step == policy.Trying && (before.Change == nil || before.Change.Step != policy.Trying) {
+	if c := s.Change; c != nil && c.Stage == policy.StageCanary && (before.Change == nil || before.Change.Stage != policy.StageCanary) {
 		a.options.Log("fleet_policy_trial", "id", c.ID, "number", c.Number)
 	}
 }
 
-func (a *Agent) tellsPolicy() policy.Told {
+func (a *Agent) tellsPolicy() policy.LeaderNotice {
 	if a.options.Policy == nil {
-		return policy.Told{}
+		return policy.LeaderNotice{}
 	}
 	s, entry := a.newestPolicy()
-	t := policy.Tells(entry, s)
+	t := policy.NoticeOf(entry, s)
 	t.Window = uint32(a.options.Policy.Rules.Window / time.Millisecond)
 	return t
 }
 
 // ActivePolicy tells under which number this node may serve, and until when by its own clock. Without a policy on the log there is no such limit.
-func (a *Agent) ActivePolicy() (s policy.Standing, until time.Duration) {
+func (a *Agent) ActivePolicy() (s policy.Active, until time.Duration) {
 	p := &a.pol
-	s = policy.Stand(a.options.Self, a.zone, p.entry, p.state, p.told)
+	s = policy.ActiveFor(a.options.Self, a.zone, p.entry, p.state, p.told)
 	if !a.leaderKnown {
 		return s, 0
 	}
@@ -145,21 +145,21 @@
 func (a *Agent) RejectPolicy(number uint64) { a.pol.refuses = number }
 
 // policyWord is what this node says of the policy.
-func (a *Agent) policyWord(now time.Duration) *policy.Word {
+func (a *Agent) policyWord(now time.Duration) *policy.MemberStatus {
 	p := &a.pol
 	if a.options.Policy == nil {
 		return nil
 	}
 	s, until := a.ActivePolicy()
-	w := &policy.Word{Entry: p.entry, Verdict: p.verdict, Why: p.why, Has: p.state.Number, Serves: s.Number,
-		May: s.Known && now < until && (s.Number == 0 || s.Number != p.refuses)}
+	w := &policy.MemberStatus{Entry: p.entry, Verdict: p.verdict, Reason: p.why, KnownNumber: p.state.Number, ServedNumber: s.Number,
+		MayServe: s.Known && now < until && (s.Number == 0 || s.Number != p.refuses)}
 	if a.options.Policy.Counts != nil {
-		w.Arrived, w.Away = a.options.Policy.Counts()
+		w.Arrived, w.Rejected = a.options.Policy.Counts()
 	}
 	return w
 }
 
-func (a *Agent) handlePolicy(node int, w policy.Word) {
+func (a *Agent) handlePolicy(node int, w policy.MemberStatus) {
 	if a.pol.driver == nil {
 		return
 	}
@@ -167,7 +167,7 @@
 		return // what the other aggregator told before
 	}
 	a.pol.words[node] = w
-	a.pol.driver.Hear(node, w)
+	a.pol.driver.Observe(node, w)
 }
 
 // members are all of the list, as the one that leads knows them.
@@ -176,7 +176,7 @@
 	for i := range a.options.List.Len() {
 		n := a.options.List.Node(i)
 		w, heard := a.pol.words[i]
-		all = append(all, policy.Member{Name: n.Name, Node: i, Zone: n.Zone, Live: cut.Live(i), Heard: heard, Word: w})
+		all = append(all, policy.Member{Name: n.Name, Node: i, Zone: n.Zone, Live: cut.Live(i), Heard: heard, Status: w})
 	}
 	return all
 }
@@ -210,7 +210,7 @@
 	}
 	what := "tried"
 	if n := len(next.Ended); next.Change == nil {
-		what = map[bool]string{true: "decided", false: "given-up"}[next.Ended[n-1].Taken]
+		what = map[bool]string{true: "decided", false: "given-up"}[next.Ended[n-1].Accepted]
 	}
 	p.tried = now
 	if err := a.voter.Propose(agree.Proposal{ID: fmt.Sprintf("policy-%d-%s", entry, what), Kind: policy.Kind, Replaces: entry, Data: next.Encode()}); err != nil {
@@ -239,8 +239,8 @@
 			stay = append(stay, c.Name)
 		}
 	}
-	if p := d.Plan; p != nil {
-		r.UtilizationLimit, r.RecoveryRamp, r.RecoveryDelay, stay = p.Limit, p.Ramp, p.Hold, p.Stay
+	if p := d.Failover; p != nil {
+		r.UtilizationLimit, r.RecoveryRamp, r.RecoveryDelay, stay = p.Limit, p.Ramp, p.Hold, p.RegionalClasses
 		far := map[[2]string]float64{}
 		for _, f := range p.Far {
 			far[[2]string{f.A, f.B}], far[[2]string{f.B, f.A}] = f.Cost, f.Cost
@@ -256,27 +256,27 @@
 
 // PolicyReply is what a node knows of the policy.
 type PolicyReply struct {
-	Token   string            `json:"token,omitempty"` // to ask again with: the answer to that is not older than this call
-	Number  uint64            `json:"number"`
-	Digest  string            `json:"digest,omitempty"`
-	Change  *ChangeReply      `json:"change,omitempty"`
-	Ended   []policy.End      `json:"ended,omitempty"`
-	Docs    []policy.Numbered `cbor:"docs" json:"-"`
-	Entry   uint64            `json:"entry"`
-	Window  float64           `json:"window_s"`
-	Members []PolicyMember    `json:"members,omitempty"`
-	Grounds []policy.GroundOf `json:"grounds,omitempty"`
+	Token   string                     `json:"token,omitempty"` // to ask again with: the answer to that is not older than this call
+	Number  uint64                     `json:"number"`
+	Digest  string                     `json:"digest,omitempty"`
+	Change  *ChangeReply               `json:"change,omitempty"`
+	Ended   []policy.ChangeOutcome     `json:"ended,omitempty"`
+	Docs    []policy.VersionedDocument `cbor:"docs" json:"-"`
+	Entry   uint64                     `json:"entry"`
+	Window  float64                    `json:"window_s"`
+	Members []PolicyMember             `json:"members,omitempty"`
+	Grounds []policy.VersionedBase     `json:"grounds,omitempty"`
 }
 
 // ChangeReply is a change on its way.
 type ChangeReply struct {
-	ID     string      `json:"id"`
-	Number uint64      `json:"number"`
-	Base   uint64      `json:"base"`
-	Step   string      `json:"step"`
-	Digest string      `json:"digest"`
-	Part   policy.Part `json:"part"`
-	Text   []byte      `cbor:"text" json:"-"`
+	ID     string        `json:"id"`
+	Number uint64        `json:"number"`
+	Base   uint64        `json:"base"`
+	Step   string        `json:"step"`
+	Digest string        `json:"digest"`
+	Part   policy.Canary `json:"part"`
+	Text   []byte        `cbor:"text" json:"-"`
 }
 
 // PolicyMember is a member as the one that leads knows it.
@@ -293,21 +293,21 @@
 // fillPolicy tells the state as the log has it, and members as they were heard.
 func (a *Agent) fillPolicy(s *policy.State, entry uint64) *PolicyReply {
 	text, _ := s.Text(s.Number)
-	r := &PolicyReply{Number: s.Number, Ended: s.Ended, Docs: s.Docs, Entry: entry, Window: a.options.Policy.Rules.Window.Seconds(), Grounds: s.Grounds}
+	r := &PolicyReply{Number: s.Number, Ended: s.Ended, Docs: s.Documents, Entry: entry, Window: a.options.Policy.Rules.Window.Seconds(), Grounds: s.Bases}
 	if s.Number > 0 {
 		r.Digest = policy.Digest(text)
 	}
 	if c := s.Change; c != nil {
-		r.Change = &ChangeReply{ID: c.ID, Number: c.Number, Base: c.Base, Step: c.Step.String(), Digest: policy.Digest(c.Text), Part: c.Part, Text: c.Text}
+		r.Change = &ChangeReply{ID: c.ID, Number: c.Number, Base: c.Base, Step: c.Stage.String(), Digest: policy.Digest(c.Text), Part: c.Canary, Text: c.Text}
 	}
 	var members []policy.Member
 	if a.planner != nil {
 		members = a.members()
 	}
 	for _, m := range members {
-		x := PolicyMember{Name: m.Name, Live: m.Live, Heard: m.Heard, Has: m.Word.Has, Serves: m.Word.Serves, May: m.Word.May}
-		if s.Change != nil && m.Word.Entry == entry {
-			x.Answer = [...]string{"", "yes", "no: " + m.Word.Why}[min(m.Word.Verdict, 2)]
+		x := PolicyMember{Name: m.Name, Live: m.Live, Heard: m.Heard, Has: m.Status.KnownNumber, Serves: m.Status.ServedNumber, May: m.Status.MayServe}
+		if s.Change != nil && m.Status.Entry == entry {
+			x.Answer = [...]string{"", "yes", "no: " + m.Status.Reason}[min(m.Status.Verdict, 2)]
 		}
 		r.Members = append(r.Members, x)
 	}
@@ -348,7 +348,7 @@
 	}
 	if e, ended, known := s.Find(c.ID); known && (c.Verb == "policy-propose" || ended) { // proposed before: nothing changes
 		r.Policy = a.fillPolicy(s, entry)
-		r.Why = e.Why
+		r.Why = e.Reason
 		return
 	}
 	if d, ok := a.voter.Ended(c.ID); ok && !d.Taken {
@@ -369,7 +369,7 @@
 			return
 		}
 		if next, err = s.Propose(c.ID, c.Base, c.Data, doc, c.Part); err != nil {
-			r.Error, r.Retry = err.Error(), errors.Is(err, policy.ErrBusy)
+			r.Error, r.Retry = err.Error(), errors.Is(err, policy.ErrChangeInProgress)
 			return
 		}
 	case "policy-abort":
@@ -377,7 +377,7 @@
 			r.Error = fmt.Sprintf("no change %q is on its way", c.ID)
 			return
 		}
-		next, id = s.GiveUp("aborted by an operator"), fmt.Sprintf("policy-%d-aborted", entry)
+		next, id = s.Abort("aborted by an operator"), fmt.Sprintf("policy-%d-aborted", entry)
 	}
 	if err := a.voter.Propose(agree.Proposal{ID: id, Kind: policy.Kind, Replaces: entry, Data: next.Encode()}); err != nil {
 		r.Error, r.Retry = err.Error(), true
--- a/internal/failover/agent/wire.go
+++ b/internal/failover/agent/wire.go
@@ -67,14 +67,14 @@
 	Age    int64    // microseconds since the one that leads was surely there; under 0: not known
 	Plan   uint64   // its newest plan then
 	Digest agree.Digest
-	Policy policy.Told
+	Policy policy.LeaderNotice
 }
 
 type ackBody struct {
 	_      struct{} `cbor:",toarray"`
 	Answer uint64
 	Digest agree.Digest
-	Policy policy.Told
+	Policy policy.LeaderNotice
 }
 
 type borrowBody struct {
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -37,7 +37,7 @@
 	Node        int      // its number in the list
 	Plan        uint64   // the newest plan that it uses
 	Unreachable []int    // whom it watches and doesn't hear
-	Policy      *policy.Word
+	Policy      *policy.MemberStatus
 }
 
 // ZoneEvidence is what nodes of one zone know of a zone's hosts, summed over these nodes.
@@ -116,7 +116,7 @@
 		}
 	}
 	for _, w := range s.Nodes {
-		if p := w.Policy; p != nil && (len(p.Why) > 400 || !(p.Arrived >= 0 && p.Away >= 0 && p.Arrived < 1e15 && p.Away < 1e15)) {
+		if p := w.Policy; p != nil && (len(p.Reason) > 400 || !(p.Arrived >= 0 && p.Rejected >= 0 && p.Arrived < 1e15 && p.Rejected < 1e15)) {
 			return fmt.Errorf("evidence of node %d: no sound word of the policy", w.Node)
 		}
 	}
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -38,15 +38,15 @@
 			Node:        9,
 			Plan:        70000,
 			Unreachable: []int{4, 300},
-			Policy: &policy.Word{
-				Entry:   1 << 33,
-				Verdict: policy.No,
-				Why:     "class chat has no host",
-				Has:     41,
-				Serves:  40,
-				May:     true,
-				Arrived: 123456.7,
-				Away:    89,
+			Policy: &policy.MemberStatus{
+				Entry:        1 << 33,
+				Verdict:      policy.VerdictReject,
+				Reason:       "class chat has no host",
+				KnownNumber:  41,
+				ServedNumber: 40,
+				MayServe:     true,
+				Arrived:      123456.7,
+				Rejected:     89,
 			},
 		}, {
 			Node:        260, // one that has nothing to say of a policy
--- a/internal/lab/explore/policy.go
+++ b/internal/lab/explore/policy.go
@@ -21,7 +21,7 @@
 	opTime     = 20 * time.Second       // an operator's command, to its end or to "unknown"
 )
 
-var lightRules = policy.Rules{Window: 5 * time.Second, Answer: 6 * time.Second}
+var lightRules = policy.Rules{Window: 5 * time.Second, AnswerTimeout: 6 * time.Second}
 
 // lightNews is what the module of a node tells that has hosts which are well.
 func (n *node) lightNews() (news choice.Observations) {
@@ -34,7 +34,7 @@
 
 // read is how a light world's node reads a document: words, of which some are beyond some nodes.
 func (n *node) read(text []byte) (*policy.Document, error) {
-	d := &policy.Document{Attempts: 4, Classes: []policy.Class{{Name: "gold", SetupObjective: time.Second, Patience: 4 * time.Second, Priority: 1}}}
+	d := &policy.Document{Attempts: 4, Classes: []policy.Class{{Name: "gold", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}}
 	for _, word := range strings.Fields(string(text)) {
 		key, value, _ := strings.Cut(word, "=")
 		switch {
@@ -136,9 +136,9 @@
 		case 1:
 			text += " room=1"
 		}
-		var part policy.Part
+		var part policy.Canary
 		if w.rng.IntN(4) == 0 {
-			part = policy.Part{OneIn: 3, Seconds: 1 + 3*w.rng.Float64(), Worse: 0.2}
+			part = policy.Canary{OneIn: 3, Seconds: 1 + 3*w.rng.Float64(), MaxExtraRejections: 0.2}
 		}
 		abort := time.Duration(0)
 		if w.rng.IntN(6) == 0 {
@@ -236,7 +236,7 @@
 			for _, e := range r.Ended {
 				if e.ID == c.ID {
 					result := "given up"
-					if e.Taken {
+					if e.Accepted {
 						result = "taken"
 					}
 					end("propose", result, e.Number)
--- a/internal/node/policy.go
+++ b/internal/node/policy.go
@@ -44,9 +44,9 @@
 		if err != nil {
 			return nil, err
 		}
-		room := policy.Room{}
+		room := policy.NodeCapacity{}
 		if n := f.policy.program.platform; n != nil {
-			room = policy.Room{Descriptors: n.conf.Sockets, MemoryMB: n.conf.MemoryMB}
+			room = policy.NodeCapacity{Descriptors: n.conf.Sockets, MemoryMB: n.conf.MemoryMB}
 		}
 		if why := d.Fits(room); why != "" {
 			return nil, fmt.Errorf("policy: %s", why)
@@ -87,11 +87,11 @@
 	ends := f.begin.Add(until)
 	lease := edge.Lease{Number: s.Number, Known: s.Known, Expires: ends, OnDecision: f.told(), RetryAfter: time.Duration(f.conf.ComeAgain)}
 	if d := p.doc; d != nil {
-		lease.RetryAfter = d.ComeAgain
+		lease.RetryAfter = d.RetryAfter
 		lease.OnExpiry = func() { f.overlay(true) }
 		lease.BasePolicy = func(class int) bool {
 			classes := f.core.Classes()
-			return class < len(classes) && slices.ContainsFunc(d.Classes, func(c policy.Class) bool { return c.Ground && c.Name == classes[class].Name })
+			return class < len(classes) && slices.ContainsFunc(d.Classes, func(c policy.Class) bool { return c.ServedByBase && c.Name == classes[class].Name })
 		}
 	}
 	live := s.Known && f.loop.Now().Before(ends)
@@ -132,9 +132,9 @@
 		if j := slices.IndexFunc(old, func(o choice.Class) bool { return o.Name == k.Name }); j >= 0 {
 			c = old[j]
 		}
-		c.Removed, c.SetupObjective, c.Deadline, c.MessageObjective, c.Priority = false, k.SetupObjective, k.Patience, k.MessageObjective, k.Priority
-		if ground && k.Ground {
-			c.Deadline = min(c.Deadline, d.Ground.Patience)
+		c.Removed, c.SetupObjective, c.Deadline, c.MessageObjective, c.Priority = false, k.SetupObjective, k.Deadline, k.MessageObjective, k.Priority
+		if ground && k.ServedByBase {
+			c.Deadline = min(c.Deadline, d.Base.Deadline)
 			c.SetupObjective = min(c.SetupObjective, c.Deadline)
 		}
 		s.Classes, s.ClassByName[k.Name] = append(s.Classes, c), i
@@ -152,8 +152,8 @@
 		}
 	}
 	s.Limits.MaxAttempts = min(s.Limits.MaxAttempts, d.Attempts)
-	if ground && d.Ground.Attempts > 0 {
-		s.Limits.MaxAttempts = min(s.Limits.MaxAttempts, d.Ground.Attempts)
+	if ground && d.Base.Attempts > 0 {
+		s.Limits.MaxAttempts = min(s.Limits.MaxAttempts, d.Base.Attempts)
 	}
 	s.OverQuotaPriority = d.OverQuotaPriority
 	return s
@@ -186,8 +186,8 @@
 		switch {
 		case j < 0:
 			return what("class "+name, "there", "none")
-		case c.Deadline != d.Classes[j].Patience:
-			return what("giveUpS of "+name, c.Deadline, d.Classes[j].Patience)
+		case c.Deadline != d.Classes[j].Deadline:
+			return what("giveUpS of "+name, c.Deadline, d.Classes[j].Deadline)
 		case c.SetupObjective != d.Classes[j].SetupObjective:
 			return what("aimS of "+name, c.SetupObjective, d.Classes[j].SetupObjective)
 		case c.Priority != d.Classes[j].Priority:
--- a/internal/node/policy_test.go
+++ b/internal/node/policy_test.go
@@ -25,8 +25,8 @@
 	own := wire.Settings{ClassByName: map[string]int{"a": 0, "b": 1}, TenantByName: map[string]int{}}
 	own.Classes = []choice.Class{{Name: "a", Deadline: 9 * time.Second, Idempotency: choice.NotIdempotent}, {Name: "b", Deadline: 9 * time.Second}}
 	own.Limits.MaxAttempts = 3
-	d := &policy.Document{Attempts: 4, Classes: []policy.Class{{Name: "b", SetupObjective: time.Second, Patience: 3 * time.Second, Priority: 2, Ground: true},
-		{Name: "new", SetupObjective: time.Second, Patience: 2 * time.Second}}, Ground: policy.Ground{Attempts: 1, Patience: 2 * time.Second}, OverQuotaPriority: 0.3}
+	d := &policy.Document{Attempts: 4, Classes: []policy.Class{{Name: "b", SetupObjective: time.Second, Deadline: 3 * time.Second, Priority: 2, ServedByBase: true},
+		{Name: "new", SetupObjective: time.Second, Deadline: 2 * time.Second}}, Base: policy.BasePolicy{Attempts: 1, Deadline: 2 * time.Second}, OverQuotaPriority: 0.3}
 	for _, c := range []struct {
 		ground   bool
 		attempts int
@@ -75,7 +75,7 @@
 	defer zap.ReplaceGlobals(zap.New(seen))()
 	f := &fleet{loop: l, core: core, begin: time.Now(), policy: policed{program: &Program{}},
 		conf: config.Fleet{Self: "a", List: &config.FleetList{List: list, Policy: &config.FleetPolicy{Window: config.Duration(5 * time.Second)}}}}
-	state := &policy.State{Number: 1, Last: 1, Docs: []policy.Numbered{{Number: 1, Text: []byte("newer = 1\n")}}}
+	state := &policy.State{Number: 1, LastNumber: 1, Documents: []policy.VersionedDocument{{Number: 1, Text: []byte("newer = 1\n")}}}
 	if f.agent, err = agent.New(agent.Options{List: list, Key: []byte("k"), Policy: f.policyOptions(),
 		Records: []agree.Record{{Log: 7, Newest: []agree.Entry{{Number: 3, Kind: policy.Kind, Data: state.Encode()}}}}}, 0); err != nil {
 		t.Fatal(err)
--- a/internal/policy/document.go
+++ b/internal/policy/document.go
@@ -13,23 +13,23 @@
 // Document is what all nodes of a fleet do alike. Config reads it from TOML.
 type Document struct {
 	Attempts          int           // for one request, 1 to 4
-	ComeAgain         time.Duration // advice for what is refused
+	RetryAfter        time.Duration // advice for what is refused
 	OverQuotaPriority float64       // part of its worth that a connection keeps beyond its tenant's share
 	Classes           []Class
 	Tenants           []Tenant
-	Ground            Ground
-	Needs             Needs
-	Plan              *Plan // nil: as the list of nodes says
+	Base              BasePolicy
+	Requirements      Requirements
+	Failover          *FailoverRules // nil: as the list of nodes says
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name             string
 	SetupObjective   time.Duration // wanted time of the set-up
-	Patience         time.Duration // of the whole set-up
+	Deadline         time.Duration // of the whole set-up
 	MessageObjective time.Duration
 	Priority         float64
-	Ground           bool // without a lease it is served by the ground policy; else it is refused at once
+	ServedByBase     bool // without a lease it is served by the ground policy; else it is refused at once
 }
 
 // Tenant is a customer's share.
@@ -39,28 +39,28 @@
 	Rate        float64
 }
 
-// Ground is what a node without a lease serves by. It must be safe beside each document that may be in force meanwhile.
-type Ground struct {
+// BasePolicy is what a node without a lease serves by. It must be safe beside each document that may be in force meanwhile.
+type BasePolicy struct {
 	Attempts int
-	Patience time.Duration // the most that a request may take
+	Deadline time.Duration // the most that a request may take
 }
 
-// Needs is the room that a node must have.
-type Needs struct {
+// Requirements is the room that a node must have.
+type Requirements struct {
 	Descriptors int
 	MemoryMB    int
 }
 
-// Plan is the rules of the plans of zones.
-type Plan struct {
-	Limit, Ramp float64
-	Hold        time.Duration
-	Stay        []string
-	Far         []Far
+// FailoverRules is the rules of the plans of zones.
+type FailoverRules struct {
+	Limit, Ramp     float64
+	Hold            time.Duration
+	RegionalClasses []string
+	Far             []RegionDistance
 }
 
-// Far is the cost of the way between two regions.
-type Far struct {
+// RegionDistance is the cost of the way between two regions.
+type RegionDistance struct {
 	A, B string
 	Cost float64
 }
@@ -88,18 +88,18 @@
 		}
 	}
 	fault(d.Attempts < 1 || d.Attempts > MostAttempts, "attempts", "attempts = %d: 1 to %d are wanted", d.Attempts, MostAttempts)
-	fault(d.ComeAgain < 0 || d.ComeAgain > time.Minute, "come_again", "come_again = %v: up to 1m is possible", d.ComeAgain)
+	fault(d.RetryAfter < 0 || d.RetryAfter > time.Minute, "come_again", "come_again = %v: up to 1m is possible", d.RetryAfter)
 	fault(!(d.OverQuotaPriority >= 0 && d.OverQuotaPriority <= 1), "over_share_worth", "over_share_worth = %v: a part from 0 to 1 is wanted", d.OverQuotaPriority)
 	fault(len(d.Classes) == 0 || len(d.Classes) > mostClasses, "class", "%d classes: 1 to %d are wanted", len(d.Classes), mostClasses)
 	seen, grounded := map[string]bool{}, false
 	for i, c := range d.Classes {
 		at := fmt.Sprintf("class.%d", i)
 		fault(c.Name == "" || seen[c.Name], at+".name", "class %q: a name of its own is wanted", c.Name)
-		fault(c.Patience <= 0 || c.Patience > time.Hour, at+".patience", "class %q: patience = %v: a time over 0, up to 1h, is wanted", c.Name, c.Patience)
-		fault(c.SetupObjective <= 0 || c.SetupObjective > c.Patience, at+".aim", "class %q: aim = %v: a time over 0, up to the patience, is wanted", c.Name, c.SetupObjective)
+		fault(c.Deadline <= 0 || c.Deadline > time.Hour, at+".patience", "class %q: patience = %v: a time over 0, up to 1h, is wanted", c.Name, c.Deadline)
+		fault(c.SetupObjective <= 0 || c.SetupObjective > c.Deadline, at+".aim", "class %q: aim = %v: a time over 0, up to the patience, is wanted", c.Name, c.SetupObjective)
 		fault(c.MessageObjective < 0, at+".message_aim", "class %q: message_aim = %v: 0, for none, or a time is wanted", c.Name, c.MessageObjective)
 		fault(!(c.Priority >= 0 && c.Priority < 1e9), at+".worth", "class %q: worth = %v: a number of 0 or more is wanted", c.Name, c.Priority)
-		seen[c.Name], grounded = true, grounded || c.Ground
+		seen[c.Name], grounded = true, grounded || c.ServedByBase
 	}
 	named := map[string]bool{}
 	for i, t := range d.Tenants {
@@ -110,18 +110,18 @@
 	}
 	fault(len(d.Tenants) > mostTenants, "tenant", "%d tenants: %d at most", len(d.Tenants), mostTenants)
 	if grounded {
-		fault(d.Ground.Attempts < 1 || d.Ground.Patience <= 0, "ground", "classes with without = \"ground\" need a [ground] with attempts and patience")
-		fault(d.Ground.Attempts > d.Attempts, "ground.attempts", "[ground] attempts = %d: no more than attempts = %d are possible", d.Ground.Attempts, d.Attempts)
+		fault(d.Base.Attempts < 1 || d.Base.Deadline <= 0, "ground", "classes with without = \"ground\" need a [ground] with attempts and patience")
+		fault(d.Base.Attempts > d.Attempts, "ground.attempts", "[ground] attempts = %d: no more than attempts = %d are possible", d.Base.Attempts, d.Attempts)
 		for _, c := range d.Classes {
-			fault(c.Ground && d.Ground.Patience > c.Patience, "ground.patience", "[ground] patience = %v: class %q has %v", d.Ground.Patience, c.Name, c.Patience)
+			fault(c.ServedByBase && d.Base.Deadline > c.Deadline, "ground.patience", "[ground] patience = %v: class %q has %v", d.Base.Deadline, c.Name, c.Deadline)
 		}
 	}
-	fault(d.Needs.Descriptors < 0 || d.Needs.MemoryMB < 0, "needs", "[needs]: numbers of 0 or more are wanted")
-	if p := d.Plan; p != nil {
+	fault(d.Requirements.Descriptors < 0 || d.Requirements.MemoryMB < 0, "needs", "[needs]: numbers of 0 or more are wanted")
+	if p := d.Failover; p != nil {
 		fault(!(p.Limit > 0.1 && p.Limit <= 1), "plan.limit", "limit = %v: a part over 0.1, up to 1, is wanted", p.Limit)
 		fault(!(p.Ramp > 0 && p.Ramp <= 1), "plan.ramp", "ramp = %v: a part over 0, up to 1, is wanted", p.Ramp)
 		fault(p.Hold < time.Second || p.Hold > time.Hour, "plan.hold", "hold = %v: 1s to 1h are possible", p.Hold)
-		for _, name := range p.Stay {
+		for _, name := range p.RegionalClasses {
 			fault(!seen[name], "plan.stay", "stay: no class %q", name)
 		}
 		for i, f := range p.Far {
@@ -133,7 +133,7 @@
 
 // Safe says why a ground that some node may still serve by is not safe beside a document; empty: it is. A node by its ground must not do what
 // the document in force forbids all others.
-func (g Ground) Safe(d *Document) string {
+func (g BasePolicy) Safe(d *Document) string {
 	if g.Attempts == 0 {
 		return ""
 	}
@@ -141,23 +141,23 @@
 		return fmt.Sprintf("a ground policy with %d attempts may still be in use: attempts = %d is less", g.Attempts, d.Attempts)
 	}
 	for _, c := range d.Classes {
-		if g.Patience > c.Patience {
-			return fmt.Sprintf("a ground policy with a patience of %v may still be in use: class %q has less, %v", g.Patience, c.Name, c.Patience)
+		if g.Deadline > c.Deadline {
+			return fmt.Sprintf("a ground policy with a patience of %v may still be in use: class %q has less, %v", g.Deadline, c.Name, c.Deadline)
 		}
 	}
 	return ""
 }
 
-// Room is what a node has.
-type Room struct{ Descriptors, MemoryMB int }
+// NodeCapacity is what a node has.
+type NodeCapacity struct{ Descriptors, MemoryMB int }
 
 // Fits says why a node can't go by a document; empty: it can. 0 of a room: not told, and no reason.
-func (d *Document) Fits(r Room) string {
+func (d *Document) Fits(r NodeCapacity) string {
 	switch {
-	case r.Descriptors > 0 && d.Needs.Descriptors > r.Descriptors:
-		return fmt.Sprintf("[needs] descriptors = %d: this node has %d", d.Needs.Descriptors, r.Descriptors)
-	case r.MemoryMB > 0 && d.Needs.MemoryMB > r.MemoryMB:
-		return fmt.Sprintf("[needs] memory_mb = %d: this node has %d", d.Needs.MemoryMB, r.MemoryMB)
+	case r.Descriptors > 0 && d.Requirements.Descriptors > r.Descriptors:
+		return fmt.Sprintf("[needs] descriptors = %d: this node has %d", d.Requirements.Descriptors, r.Descriptors)
+	case r.MemoryMB > 0 && d.Requirements.MemoryMB > r.MemoryMB:
+		return fmt.Sprintf("[needs] memory_mb = %d: this node has %d", d.Requirements.MemoryMB, r.MemoryMB)
 	}
 	return ""
 }
@@ -170,13 +170,13 @@
 		}
 	}
 	say("attempts", a.Attempts, b.Attempts)
-	say("come_again", a.ComeAgain, b.ComeAgain)
+	say("come_again", a.RetryAfter, b.RetryAfter)
 	say("over_share_worth", a.OverQuotaPriority, b.OverQuotaPriority)
-	say("ground.attempts", a.Ground.Attempts, b.Ground.Attempts)
-	say("ground.patience", a.Ground.Patience, b.Ground.Patience)
-	say("needs.descriptors", a.Needs.Descriptors, b.Needs.Descriptors)
-	say("needs.memory_mb", a.Needs.MemoryMB, b.Needs.MemoryMB)
-	say("plan", planText(a.Plan), planText(b.Plan))
+	say("ground.attempts", a.Base.Attempts, b.Base.Attempts)
+	say("ground.patience", a.Base.Deadline, b.Base.Deadline)
+	say("needs.descriptors", a.Requirements.Descriptors, b.Requirements.Descriptors)
+	say("needs.memory_mb", a.Requirements.MemoryMB, b.Requirements.MemoryMB)
+	say("plan", planText(a.Failover), planText(b.Failover))
 	both(a.Classes, b.Classes, func(c Class) string { return "class " + c.Name }, classText, &lines)
 	both(a.Tenants, b.Tenants, func(t Tenant) string { return "tenant " + t.Name }, tenantText, &lines)
 	return lines
@@ -184,7 +184,7 @@
 
 // The texts of a difference have names of their own: operators and their scripts read them, whatever the fields are called.
 
-func planText(p *Plan) string {
+func planText(p *FailoverRules) string {
 	if p == nil {
 		return "as the list of nodes says"
 	}
@@ -192,11 +192,11 @@
 	for _, f := range p.Far {
 		far = append(far, fmt.Sprintf("{A:%s B:%s Cost:%v}", f.A, f.B, f.Cost))
 	}
-	return fmt.Sprintf("{Limit:%v Ramp:%v Hold:%v Stay:%v Far:%v}", p.Limit, p.Ramp, p.Hold, p.Stay, far)
+	return fmt.Sprintf("{Limit:%v Ramp:%v Hold:%v Stay:%v Far:%v}", p.Limit, p.Ramp, p.Hold, p.RegionalClasses, far)
 }
 
 func classText(c Class) string {
-	return fmt.Sprintf("{Name:%s Aim:%v Patience:%v MessageAim:%v Worth:%v Ground:%v}", c.Name, c.SetupObjective, c.Patience, c.MessageObjective, c.Priority, c.Ground)
+	return fmt.Sprintf("{Name:%s Aim:%v Patience:%v MessageAim:%v Worth:%v Ground:%v}", c.Name, c.SetupObjective, c.Deadline, c.MessageObjective, c.Priority, c.ServedByBase)
 }
 
 func tenantText(t Tenant) string {
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -66,12 +66,12 @@
 
 // goldenState has every field set, and no two fields of a type alike.
 func goldenState() *State {
-	return &State{Number: 7, Last: 9,
-		Docs: []Numbered{{Number: 4, Text: []byte("four")}, {Number: 7, Text: []byte("seven")}},
-		Change: &Change{ID: "change-9", Number: 9, Base: 7, Text: []byte("nine"), Step: Trying,
-			Part: Part{Zone: "zone-a", OneIn: 5, Seconds: 30.5, Worse: 0.25}},
-		Ended:   []End{{ID: "change-7", Number: 7, Taken: true, Why: "all live members said yes"}, {ID: "change-8", Number: 8, Taken: true, Why: "other"}},
-		Grounds: []GroundOf{{Number: 4, Attempts: 1, Patience: 2000000}, {Number: 7, Attempts: 2, Patience: 1500000}}}
+	return &State{Number: 7, LastNumber: 9,
+		Documents: []VersionedDocument{{Number: 4, Text: []byte("four")}, {Number: 7, Text: []byte("seven")}},
+		Change: &Change{ID: "change-9", Number: 9, Base: 7, Text: []byte("nine"), Stage: StageCanary,
+			Canary: Canary{Zone: "zone-a", OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25}},
+		Ended: []ChangeOutcome{{ID: "change-7", Number: 7, Accepted: true, Reason: "all live members said yes"}, {ID: "change-8", Number: 8, Accepted: true, Reason: "other"}},
+		Bases: []VersionedBase{{Number: 4, Attempts: 1, Deadline: 2000000}, {Number: 7, Attempts: 2, Deadline: 1500000}}}
 }
 
 // TestGoldenState holds the form of a state on the agreed log: in both directions, byte for byte.
@@ -96,8 +96,8 @@
 	if Kind != 3 {
 		t.Errorf("entries of the log have kind %d, wanted 3", Kind)
 	}
-	begin := &State{Number: 7, Last: 8, Docs: []Numbered{{Number: 7, Text: []byte("seven")}}, Grounds: []GroundOf{{Number: 7, Attempts: 2, Patience: 1500000}}}
-	proposed, err := begin.Propose("change-9", 7, []byte("nine"), sound(), Part{OneIn: 5, Seconds: 30.5, Worse: 0.25})
+	begin := &State{Number: 7, LastNumber: 8, Documents: []VersionedDocument{{Number: 7, Text: []byte("seven")}}, Bases: []VersionedBase{{Number: 7, Attempts: 2, Deadline: 1500000}}}
+	proposed, err := begin.Propose("change-9", 7, []byte("nine"), sound(), Canary{OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,9 +107,9 @@
 	}{
 		{"initial.cbor", &State{}},
 		{"proposed.cbor", proposed},
-		{"trial.cbor", proposed.Try()},
-		{"given_up.cbor", proposed.GiveUp("aborted by an operator")},
-		{"decided.cbor", proposed.Try().Decide(Ground{Attempts: 1, Patience: 2 * time.Second}, 7)},
+		{"trial.cbor", proposed.StartCanary()},
+		{"given_up.cbor", proposed.Abort("aborted by an operator")},
+		{"decided.cbor", proposed.StartCanary().Commit(BasePolicy{Attempts: 1, Deadline: 2 * time.Second}, 7)},
 	} {
 		raw := golden(t, c.file, c.next.Encode())
 		if got := c.next.Encode(); !bytes.Equal(got, raw) {
@@ -129,16 +129,16 @@
 // TestGoldenMessages holds the parts of messages between nodes that belong to this package: what a member says, what the leader told, and the
 // part of a proposal's call.
 func TestGoldenMessages(t *testing.T) {
-	word := Word{Entry: 11, Verdict: No, Why: "no room", Has: 12, Serves: 13, May: true, Arrived: 1400.5, Away: 15.25}
-	told := Told{Entry: 21, Force: 22, Trial: 23, Window: 5000}
-	part := Part{Zone: "zone-a", OneIn: 5, Seconds: 30.5, Worse: 0.25}
+	word := MemberStatus{Entry: 11, Verdict: VerdictReject, Reason: "no room", KnownNumber: 12, ServedNumber: 13, MayServe: true, Arrived: 1400.5, Rejected: 15.25}
+	told := LeaderNotice{Entry: 21, InForce: 22, OnTrial: 23, Window: 5000}
+	part := Canary{Zone: "zone-a", OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25}
 	for _, c := range []struct {
 		file       string
 		value, got any // got: an empty one of the same type
 	}{
-		{"word.cbor", &word, &Word{}},
-		{"told.cbor", &told, &Told{}},
-		{"part.cbor", &part, &Part{}},
+		{"word.cbor", &word, &MemberStatus{}},
+		{"told.cbor", &told, &LeaderNotice{}},
+		{"part.cbor", &part, &Canary{}},
 	} {
 		requireSet(t, c.file, reflect.ValueOf(c.value))
 		raw := golden(t, c.file, agree.Encode(c.value))
@@ -157,13 +157,13 @@
 
 // TestGoldenVerdicts holds the numbers that stand for verdicts and steps in the encoded forms.
 func TestGoldenVerdicts(t *testing.T) {
-	for i, v := range []Verdict{None, Yes, No} {
+	for i, v := range []Verdict{VerdictPending, VerdictAccept, VerdictReject} {
 		if int(v) != i {
 			t.Errorf("verdict %d is encoded as %d", i, v)
 		}
 	}
 	for i, want := range []string{"checking", "trial"} {
-		if step := []Step{Checking, Trying}[i]; int(step) != i || step.String() != want {
+		if step := []Stage{StageChecking, StageCanary}[i]; int(step) != i || step.String() != want {
 			t.Errorf("step %d is encoded as %d and printed as %q, wanted %q", i, step, step, want)
 		}
 	}
@@ -173,11 +173,11 @@
 func TestGoldenJSON(t *testing.T) {
 	s := goldenState()
 	got, err := json.MarshalIndent(struct {
-		Ended   []End      `json:"ended"`
-		Part    Part       `json:"part"`
-		Grounds []GroundOf `json:"grounds"`
-		Docs    []Numbered `json:"docs"`
-	}{s.Ended, s.Change.Part, s.Grounds, s.Docs}, "", " ")
+		Ended   []ChangeOutcome     `json:"ended"`
+		Part    Canary              `json:"part"`
+		Grounds []VersionedBase     `json:"grounds"`
+		Docs    []VersionedDocument `json:"docs"`
+	}{s.Ended, s.Change.Canary, s.Bases, s.Documents}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,29 +188,29 @@
 
 // goldenDocument has every field set, and no two fields of a type alike.
 func goldenDocument() *Document {
-	return &Document{Attempts: 3, ComeAgain: 2 * time.Second, OverQuotaPriority: 0.1,
-		Classes: []Class{{Name: "gold", SetupObjective: 500 * time.Millisecond, Patience: 3 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 2, Ground: true},
-			{Name: "plain", SetupObjective: 800 * time.Millisecond, Patience: 4 * time.Second, MessageObjective: 70 * time.Millisecond, Priority: 1, Ground: true}},
-		Tenants: []Tenant{{Name: "acme", Connections: 40, Rate: 12.5}},
-		Ground:  Ground{Attempts: 1, Patience: 1500 * time.Millisecond},
-		Needs:   Needs{Descriptors: 512, MemoryMB: 64},
-		Plan:    &Plan{Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second, Stay: []string{"plain"}, Far: []Far{{A: "r", B: "s", Cost: 2}}}}
+	return &Document{Attempts: 3, RetryAfter: 2 * time.Second, OverQuotaPriority: 0.1,
+		Classes: []Class{{Name: "gold", SetupObjective: 500 * time.Millisecond, Deadline: 3 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 2, ServedByBase: true},
+			{Name: "plain", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, MessageObjective: 70 * time.Millisecond, Priority: 1, ServedByBase: true}},
+		Tenants:      []Tenant{{Name: "acme", Connections: 40, Rate: 12.5}},
+		Base:         BasePolicy{Attempts: 1, Deadline: 1500 * time.Millisecond},
+		Requirements: Requirements{Descriptors: 512, MemoryMB: 64},
+		Failover:     &FailoverRules{Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second, RegionalClasses: []string{"plain"}, Far: []RegionDistance{{A: "r", B: "s", Cost: 2}}}}
 }
 
 // TestGoldenDiff holds what spurwinchctl policy diff prints, with each value of a document changed, gone and new.
 func TestGoldenDiff(t *testing.T) {
 	a, b := goldenDocument(), goldenDocument()
 	requireSet(t, "Document", reflect.ValueOf(a))
-	b.Attempts, b.ComeAgain, b.OverQuotaPriority = 4, 3*time.Second, 0.2
-	b.Classes[0] = Class{Name: "gold", SetupObjective: 600 * time.Millisecond, Patience: 3500 * time.Millisecond, MessageObjective: 65 * time.Millisecond, Priority: 2.5}
+	b.Attempts, b.RetryAfter, b.OverQuotaPriority = 4, 3*time.Second, 0.2
+	b.Classes[0] = Class{Name: "gold", SetupObjective: 600 * time.Millisecond, Deadline: 3500 * time.Millisecond, MessageObjective: 65 * time.Millisecond, Priority: 2.5}
 	b.Classes[1].Name = "bulk"
 	b.Tenants[0].Connections, b.Tenants[0].Rate = 41, 13.5
 	b.Tenants = append(b.Tenants, Tenant{Name: "other", Connections: 1, Rate: 2})
-	b.Ground = Ground{Attempts: 2, Patience: time.Second}
-	b.Needs = Needs{Descriptors: 1024, MemoryMB: 128}
-	b.Plan = &Plan{Limit: 0.8, Ramp: 0.1, Hold: 5 * time.Second, Stay: []string{"gold", "bulk"}, Far: []Far{{A: "r", B: "t", Cost: 3}, {A: "t", B: "s", Cost: 4}}}
+	b.Base = BasePolicy{Attempts: 2, Deadline: time.Second}
+	b.Requirements = Requirements{Descriptors: 1024, MemoryMB: 128}
+	b.Failover = &FailoverRules{Limit: 0.8, Ramp: 0.1, Hold: 5 * time.Second, RegionalClasses: []string{"gold", "bulk"}, Far: []RegionDistance{{A: "r", B: "t", Cost: 3}, {A: "t", B: "s", Cost: 4}}}
 	without := goldenDocument()
-	without.Plan = nil
+	without.Failover = nil
 	got := strings.Join(Diff(a, b), "\n") + "\n--\n" + strings.Join(Diff(without, b), "\n") + "\n"
 	if want := golden(t, "diff.txt", []byte(got)); got != string(want) {
 		t.Errorf("printed\n%s\nwanted\n%s", got, want)
