--- a/internal/agree/agree.go
+++ b/internal/agree/agree.go
@@ -66,21 +66,21 @@
 	Data     []byte
 }
 
-// Decided tells how a proposal ended.
-type Decided struct {
-	_      struct{} `cbor:",toarray"`
-	ID     string
-	Kind   Kind
-	Number uint64 // its place in the log
-	Taken  bool   // else it was given up: it replaced another entry than the newest
+// ProposalResult tells how a proposal ended.
+type ProposalResult struct {
+	_        struct{} `cbor:",toarray"`
+	ID       string
+	Kind     Kind
+	Number   uint64 // its place in the log
+	Accepted bool   // else it was given up: it replaced another entry than the newest
 }
 
 // State is what a log has come to.
 type State struct {
-	_      struct{} `cbor:",toarray"`
-	Log    uint64   // identity of the log; 0: none yet
-	Newest map[Kind]Entry
-	Done   []Decided // the newest proposals, oldest first
+	_       struct{} `cbor:",toarray"`
+	Log     uint64   // identity of the log; 0: none yet
+	Newest  map[Kind]Entry
+	Results []ProposalResult // the newest proposals, oldest first
 	// Retired are Raft's names of voters whose disks were lost, the newest ones.
 	Retired []uint64
 }
@@ -103,33 +103,33 @@
 // Unmarshal reads what Encode made.
 func Unmarshal(p []byte, v any) error { return decoding.Unmarshal(p, v) }
 
-// Ended finds the end of a proposal.
-func (s *State) Ended(id string) (Decided, bool) {
-	i := slices.IndexFunc(s.Done, func(d Decided) bool { return d.ID == id })
+// Result finds the end of a proposal.
+func (s *State) Result(id string) (ProposalResult, bool) {
+	i := slices.IndexFunc(s.Results, func(d ProposalResult) bool { return d.ID == id })
 	if i < 0 {
-		return Decided{}, false
+		return ProposalResult{}, false
 	}
-	return s.Done[i], true
+	return s.Results[i], true
 }
 
 // Apply takes in what stands at a place of the log. All voters come to the same state.
-func (s *State) Apply(number uint64, data []byte) (d Decided, news bool) {
+func (s *State) Apply(number uint64, data []byte) (d ProposalResult, news bool) {
 	var p Proposal
 	if len(data) == 0 || decoding.Unmarshal(data, &p) != nil || p.Check() != nil {
 		return d, false // an entry of Raft's own, or of a version that this one can't read
 	}
-	if _, done := s.Ended(p.ID); done {
+	if _, done := s.Result(p.ID); done {
 		return d, false
 	}
-	d = Decided{ID: p.ID, Kind: p.Kind, Number: number, Taken: s.Newest[p.Kind].Number == p.Replaces}
+	d = ProposalResult{ID: p.ID, Kind: p.Kind, Number: number, Accepted: s.Newest[p.Kind].Number == p.Replaces}
 	if _, known := s.Newest[p.Kind]; !known && len(s.Newest) >= MostKinds {
-		d.Taken = false
+		d.Accepted = false
 	}
-	if d.Taken {
+	if d.Accepted {
 		s.Newest[p.Kind] = Entry{Number: number, Kind: p.Kind, ID: p.ID, Data: p.Data}
 	}
-	if s.Done = append(s.Done, d); len(s.Done) > mostDone {
-		s.Done = slices.Clone(s.Done[len(s.Done)-mostDone:])
+	if s.Results = append(s.Results, d); len(s.Results) > mostDone {
+		s.Results = slices.Clone(s.Results[len(s.Results)-mostDone:])
 	}
 	return d, true
 }
@@ -159,7 +159,7 @@
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64   // drawn with the first record of a disk: a voter that lost its disk is another one
 	Log         uint64
-	Hard        []byte   // raftpb.HardState; none: as before
+	HardState   []byte   // raftpb.HardState; none: as before
 	Entries     [][]byte // raftpb.Entry
 	Snapshot    []byte   // raftpb.Snapshot; nothing before it is needed any more
 	Newest      []Entry  // what a follower acts on; none: as before
@@ -176,5 +176,5 @@
 
 // Empty says that a record needs no disk.
 func (r Record) Empty() bool {
-	return r.Incarnation == 0 && len(r.Hard) == 0 && len(r.Entries) == 0 && len(r.Snapshot) == 0 && len(r.Newest) == 0
+	return r.Incarnation == 0 && len(r.HardState) == 0 && len(r.Entries) == 0 && len(r.Snapshot) == 0 && len(r.Newest) == 0
 }
--- a/internal/agree/agree_test.go
+++ b/internal/agree/agree_test.go
@@ -19,7 +19,7 @@
 		{7, Proposal{ID: "", Kind: 1, Replaces: 6}, false, false},
 	} {
 		d, news := s.Apply(c.number, Encode(c.p))
-		if news != c.news || d.Taken != c.taken {
+		if news != c.news || d.Accepted != c.taken {
 			t.Errorf("%+v: %+v, news %v", c.p, d, news)
 		}
 	}
@@ -30,7 +30,7 @@
 
 // TestFollower holds what a follower takes from whoever brings it.
 func TestFollower(t *testing.T) {
-	f := Follow(0, nil)
+	f := NewFollower(0, nil)
 	one, two := Entry{Number: 4, Kind: 1, Data: []byte("one")}, Entry{Number: 9, Kind: 1, Data: []byte("two")}
 	for _, c := range []struct {
 		log    uint64
@@ -45,12 +45,12 @@
 		{8, Entry{Number: 12, Kind: 1}, false, true}, // of another log
 		{7, Entry{Kind: 1}, false, true},
 	} {
-		taken, err := f.Take(c.log, c.e)
+		taken, err := f.Apply(c.log, c.e)
 		if taken != c.taken || (err != nil) != c.failed {
 			t.Errorf("%d %+v: %v, %v", c.log, c.e, taken, err)
 		}
 	}
-	other := Follow(7, []Entry{one, {Number: 5, Kind: 2}})
+	other := NewFollower(7, []Entry{one, {Number: 5, Kind: 2}})
 	if k, err := other.Lacks(f.Digest()); err != nil || len(k) != 1 || k[0] != 1 {
 		t.Errorf("lacks %v, %v", k, err)
 	}
--- a/internal/agree/follow.go
+++ b/internal/agree/follow.go
@@ -28,8 +28,8 @@
 	newest map[Kind]Entry
 }
 
-// Follow goes on from what was kept; nothing: a follower that knows nothing yet.
-func Follow(log uint64, kept []Entry) *Follower {
+// NewFollower goes on from what was kept; nothing: a follower that knows nothing yet.
+func NewFollower(log uint64, kept []Entry) *Follower {
 	f := &Follower{log: log, newest: map[Kind]Entry{}}
 	for _, e := range kept {
 		f.newest[e.Kind] = e
@@ -43,8 +43,8 @@
 // Log is the identity of the log; 0: not known yet.
 func (f *Follower) Log() uint64 { return f.log }
 
-// All is the newest entries, by kind.
-func (f *Follower) All() (all []Entry) {
+// Entries is the newest entries, by kind.
+func (f *Follower) Entries() (all []Entry) {
 	for _, e := range f.newest {
 		all = append(all, e)
 	}
@@ -55,7 +55,7 @@
 // Digest is how far this node is.
 func (f *Follower) Digest() Digest {
 	d := Digest{Log: f.log}
-	for _, e := range f.All() {
+	for _, e := range f.Entries() {
 		d.Kinds = append(d.Kinds, KindDigest{Kind: e.Kind, Number: e.Number, Sum: e.Digest()})
 	}
 	return d
@@ -82,8 +82,8 @@
 	return kinds, nil
 }
 
-// Take takes an entry in, where it is newer than what is known.
-func (f *Follower) Take(log uint64, e Entry) (taken bool, err error) {
+// Apply takes an entry in, where it is newer than what is known.
+func (f *Follower) Apply(log uint64, e Entry) (taken bool, err error) {
 	own, known := f.newest[e.Kind]
 	switch {
 	case log == 0 || e.Number == 0 || e.Kind == 0 || len(e.Data) > MostData || len(e.ID) > mostID || !known && len(f.newest) >= MostKinds:
--- a/internal/agree/golden_test.go
+++ b/internal/agree/golden_test.go
@@ -61,8 +61,8 @@
 			2: {Number: 21, Kind: 2, ID: "second", Data: []byte("data of kind 2")},
 			1: {Number: 22, Kind: 1, ID: "first", Data: []byte("data of kind 1")},
 		},
-		Done: []Decided{
-			{ID: "first", Kind: 1, Number: 22, Taken: true},
+		Results: []ProposalResult{
+			{ID: "first", Kind: 1, Number: 22, Accepted: true},
 			{ID: "late", Kind: 2, Number: 23},
 		},
 		Retired: []uint64{0x2122232425262728, 0x31},
@@ -73,7 +73,7 @@
 	return Record{
 		Incarnation: 0x4142434445464748,
 		Log:         0x5152535455565758,
-		Hard:        []byte("hard state"),
+		HardState:   []byte("hard state"),
 		Entries:     [][]byte{[]byte("raft entry 1"), []byte("raft entry 2")},
 		Snapshot:    []byte("raft snapshot"),
 		Newest:      []Entry{goldenEntry(), {Number: 61, Kind: 62, ID: "other", Data: []byte("other data")}},
@@ -84,7 +84,7 @@
 func TestGoldenForms(t *testing.T) {
 	goldenValue(t, "entry", goldenEntry())
 	goldenValue(t, "proposal", Proposal{ID: "proposal-id", Kind: 7, Replaces: 0x0708090a, Data: []byte("proposal data")})
-	goldenValue(t, "decided", Decided{ID: "decided-id", Kind: 9, Number: 0x0a0b0c0d, Taken: true})
+	goldenValue(t, "decided", ProposalResult{ID: "decided-id", Kind: 9, Number: 0x0a0b0c0d, Accepted: true})
 	goldenValue(t, "state", goldenState())
 	goldenValue(t, "record", goldenRecord())
 	goldenValue(t, "record-empty", Record{})
@@ -99,13 +99,13 @@
 	if got := goldenEntry().Digest(); got != want {
 		t.Errorf("the entry's digest is %#x, wanted %#x", got, uint64(want))
 	}
-	follower := Follow(0x99, []Entry{goldenEntry(), {Number: 5, Kind: 1, ID: "x", Data: []byte("y")}})
+	follower := NewFollower(0x99, []Entry{goldenEntry(), {Number: 5, Kind: 1, ID: "x", Data: []byte("y")}})
 	goldenValue(t, "follower-digest", follower.Digest())
 }
 
 // TestGoldenStore holds the whole file of a store: its bytes after Save and after Replace, and what is read from them.
 func TestGoldenStore(t *testing.T) {
-	records := []Record{{Incarnation: 5}, goldenRecord(), {Log: 6, Newest: []Entry{goldenEntry()}}, {Hard: []byte("later")}}
+	records := []Record{{Incarnation: 5}, goldenRecord(), {Log: 6, Newest: []Entry{goldenEntry()}}, {HardState: []byte("later")}}
 	t.Run("saved", func(t *testing.T) {
 		goldenStore(t, "store-saved", records, func(s *Store) error {
 			for _, r := range records {
--- a/internal/agree/store.go
+++ b/internal/agree/store.go
@@ -30,8 +30,8 @@
 	mostFile   = 64 << 20
 )
 
-// ErrSpoilt says that a store's file is not what was kept in it. The file is set aside.
-var ErrSpoilt = errors.New("the file is not what was kept in it")
+// ErrCorrupt says that a store's file is not what was kept in it. The file is set aside.
+var ErrCorrupt = errors.New("the file is not what was kept in it")
 
 // Store keeps records on disk. Its methods may wait for the disk, and belong to one goroutine.
 type Store struct {
@@ -72,7 +72,7 @@
 		if err := s.rewrite(nil); err != nil {
 			return nil, nil, err
 		}
-		return s, nil, fmt.Errorf("%w: %s: %w; it is kept as %s.spoilt", ErrSpoilt, path, fault, storeName)
+		return s, nil, fmt.Errorf("%w: %s: %w; it is kept as %s.spoilt", ErrCorrupt, path, fault, storeName)
 	}
 	if s.file, err = os.OpenFile(path, os.O_RDWR, 0o600); err != nil {
 		return nil, nil, err
--- a/internal/agree/store_test.go
+++ b/internal/agree/store_test.go
@@ -36,7 +36,7 @@
 				t.Fatal(err, kept)
 			}
 			var ends []int64
-			for i, r := range []Record{{Incarnation: 5}, {Log: 9, Hard: long}, {Entries: [][]byte{[]byte("an entry of some length")}}} {
+			for i, r := range []Record{{Incarnation: 5}, {Log: 9, HardState: long}, {Entries: [][]byte{[]byte("an entry of some length")}}} {
 				if err := s.Save(r); err != nil {
 					t.Fatal(i, err)
 				}
@@ -50,7 +50,7 @@
 			}
 			os.WriteFile(path, c.spoil(raw, ends), 0o600)
 			s, kept, err = OpenStore(dir)
-			if s == nil || len(kept) != c.kept || errors.Is(err, ErrSpoilt) != c.spoilt || err != nil && !c.spoilt {
+			if s == nil || len(kept) != c.kept || errors.Is(err, ErrCorrupt) != c.spoilt || err != nil && !c.spoilt {
 				t.Fatalf("%d records, %v", len(kept), err)
 			}
 			// What comes next is kept, and replaces all when it is to.
@@ -85,7 +85,7 @@
 		if err := s.Save(Record{Incarnation: 5}); err != nil {
 			t.Fatal(err)
 		}
-		half := frame(Record{Hard: bytes.Repeat([]byte{7}, 64<<10)})[:part]
+		half := frame(Record{HardState: bytes.Repeat([]byte{7}, 64<<10)})[:part]
 		if _, err := s.file.WriteAt(half, s.at); err != nil {
 			t.Fatal(err)
 		}
@@ -126,7 +126,7 @@
 	keep := func() error { return s.Save(Record{Log: 2}) }
 	switch at {
 	case "grow":
-		keep = func() error { return s.Save(Record{Log: 2, Hard: bytes.Repeat([]byte{1}, 2*pieceBytes)}) }
+		keep = func() error { return s.Save(Record{Log: 2, HardState: bytes.Repeat([]byte{1}, 2*pieceBytes)}) }
 	case "replace":
 		keep = func() error { return s.Replace(Record{Incarnation: 1, Log: 2}) }
 	}
--- a/internal/agree/voter/golden_test.go
+++ b/internal/agree/voter/golden_test.go
@@ -70,7 +70,7 @@
 type exchange struct {
 	t      *testing.T
 	rng    *rand.Rand
-	voters []*Voter
+	voters []*Replica
 	disks  [][]agree.Record
 	wire   []flying
 	lines  []string
@@ -235,7 +235,7 @@
 			t.Errorf("voter %d: log %x, member %v", i, v.log, v.member())
 		}
 		state := v.State()
-		if newest := state.Newest[1]; newest.ID != "three" || string(newest.Data) != "data of three" || len(state.Done) != 4 || len(state.Retired) != 1 {
+		if newest := state.Newest[1]; newest.ID != "three" || string(newest.Data) != "data of three" || len(state.Results) != 4 || len(state.Retired) != 1 {
 			t.Errorf("voter %d: state %+v", i, state)
 		}
 	}
--- a/internal/agree/voter/voter.go
+++ b/internal/agree/voter/voter.go
@@ -32,8 +32,8 @@
 	Raft        []byte // a message of Raft, in place of a hello
 }
 
-// Voter is one of those who agree.
-type Voter struct {
+// Replica is one of those who agree.
+type Replica struct {
 	self, n     int
 	incarnation uint64
 	log         uint64
@@ -49,7 +49,7 @@
 	heard       []hello
 	ticks       int
 	out         []agree.Message
-	decided     []agree.Decided
+	decided     []agree.ProposalResult
 	asked       uint64 // calls of Confirm
 	confirmed   uint64
 	reads       []raft.ReadState // confirmed, and what was decided before is not all applied yet
@@ -89,11 +89,11 @@
 func place(id uint64) int { return int(id&0xff) - 1 }
 
 // New makes voter number self of n, with what its disk kept, oldest first. rng draws the incarnation of a new disk.
-func New(self, n int, kept []agree.Record, rng *rand.Rand) (v *Voter, err error) {
+func New(self, n int, kept []agree.Record, rng *rand.Rand) (v *Replica, err error) {
 	if n < 1 || n > agree.MostVoters || self < 0 || self >= n {
 		return nil, fmt.Errorf("voter %d of %d: 1 to %d voters are possible", self, n, agree.MostVoters)
 	}
-	v = &Voter{self: self, n: n, heard: make([]hello, n), mem: raft.NewMemoryStorage(), state: agree.State{Newest: map[agree.Kind]agree.Entry{}}}
+	v = &Replica{self: self, n: n, heard: make([]hello, n), mem: raft.NewMemoryStorage(), state: agree.State{Newest: map[agree.Kind]agree.Entry{}}}
 	defer func() { // Raft panics on what can't follow from what it was told
 		if r := recover(); r != nil {
 			err = fmt.Errorf("what the disk kept doesn't fit together: %v", r)
@@ -120,7 +120,7 @@
 }
 
 // keep puts a record into Raft's view of the disk.
-func (v *Voter) keep(r agree.Record) error {
+func (v *Replica) keep(r agree.Record) error {
 	if len(r.Snapshot) > 0 {
 		s := &raftpb.Snapshot{}
 		if err := proto.Unmarshal(r.Snapshot, s); err != nil {
@@ -141,9 +141,9 @@
 	if err := v.mem.Append(entries); err != nil {
 		return fmt.Errorf("entries: %w", err)
 	}
-	if len(r.Hard) > 0 {
+	if len(r.HardState) > 0 {
 		h := &raftpb.HardState{}
-		if err := proto.Unmarshal(r.Hard, h); err != nil {
+		if err := proto.Unmarshal(r.HardState, h); err != nil {
 			return fmt.Errorf("state: %w", err)
 		}
 		return v.mem.SetHardState(h)
@@ -152,7 +152,7 @@
 }
 
 // begin starts Raft on what the disk kept.
-func (v *Voter) begin() error {
+func (v *Replica) begin() error {
 	s, err := v.mem.Snapshot()
 	if err != nil {
 		return err
@@ -166,7 +166,7 @@
 	return err
 }
 
-func (v *Voter) restore(s *raftpb.Snapshot) error {
+func (v *Replica) restore(s *raftpb.Snapshot) error {
 	v.applied, v.conf = s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
 	if len(s.GetData()) == 0 {
 		return nil
@@ -183,17 +183,17 @@
 }
 
 // guard has a panic of Raft stop this voter, not the node: it votes no more until it is started again.
-func (v *Voter) guard() {
+func (v *Replica) guard() {
 	if r := recover(); r != nil {
 		v.broken = fmt.Errorf("%v", r)
 	}
 }
 
 // Broken is why this voter can't go on; nil: it can.
-func (v *Voter) Broken() error { return v.broken }
+func (v *Replica) Broken() error { return v.broken }
 
 // Tick tells that agree.Tick has passed.
-func (v *Voter) Tick() {
+func (v *Replica) Tick() {
 	if v.broken != nil {
 		return
 	}
@@ -210,12 +210,12 @@
 }
 
 // member says whether the voters' list, as far as this one knows, has it.
-func (v *Voter) member() bool {
+func (v *Replica) member() bool {
 	_, ok := v.raft.Status().Config.Voters.IDs()[id(v.self, v.incarnation)]
 	return ok
 }
 
-func (v *Voter) toAll(h hello) {
+func (v *Replica) toAll(h hello) {
 	for i := range v.n {
 		if i != v.self {
 			v.out = append(v.out, agree.Message{To: i, Data: agree.Encode(h)})
@@ -225,7 +225,7 @@
 
 // bootstrap begins a log once every voter has said that it has none. A majority's word is not enough: the others may hold a
 // log of which this majority lost its disks, and its numbers would be given a second time.
-func (v *Voter) bootstrap() {
+func (v *Replica) bootstrap() {
 	v.heard[v.self] = hello{Incarnation: v.incarnation, Log: v.log}
 	if v.raft != nil {
 		return
@@ -253,7 +253,7 @@
 }
 
 // Receive takes a message of another voter.
-func (v *Voter) Receive(from int, data []byte) error {
+func (v *Replica) Receive(from int, data []byte) error {
 	var h hello
 	if v.broken != nil || from < 0 || from >= v.n || from == v.self {
 		return nil
@@ -295,7 +295,7 @@
 }
 
 // join begins to listen to a log that others have.
-func (v *Voter) join(log uint64) {
+func (v *Replica) join(log uint64) {
 	if log == 0 || v.fresh {
 		return
 	}
@@ -306,7 +306,7 @@
 
 // welcome has the leader put a voter that lost its disk in the place of the one that it was: first as a learner, so that no
 // majority leans on a disk that has nothing yet.
-func (v *Voter) welcome() {
+func (v *Replica) welcome() {
 	s := v.raft.Status()
 	if s.RaftState != raft.StateLeader || v.ticks%helloTicks != 0 {
 		return
@@ -351,9 +351,9 @@
 	}
 }
 
-// Propose asks for an entry. How it ends is told by agree.Decided, or later by Ended; it may never be told, and then the same proposal can be
+// Propose asks for an entry. How it ends is told by agree.ProposalResult, or later by Ended; it may never be told, and then the same proposal can be
 // made again.
-func (v *Voter) Propose(p agree.Proposal) (err error) {
+func (v *Replica) Propose(p agree.Proposal) (err error) {
 	if err := p.Check(); err != nil {
 		return err
 	}
@@ -366,12 +366,12 @@
 
 // Leads says whether this voter leads, as far as it knows: one that was stopped learns of another leader only afterwards. What
 // it proposes until then is not agreed to.
-func (v *Voter) Leads() bool {
+func (v *Replica) Leads() bool {
 	return v.broken == nil && v.raft != nil && !v.fresh && v.raft.BasicStatus().RaftState == raft.StateLeader
 }
 
 // Leader is the place of the voter that leads, as far as known; -1: none.
-func (v *Voter) Leader() int {
+func (v *Replica) Leader() int {
 	if v.raft == nil {
 		return -1
 	}
@@ -379,7 +379,7 @@
 }
 
 // Term counts elections.
-func (v *Voter) Term() uint64 {
+func (v *Replica) Term() uint64 {
 	if v.raft == nil {
 		return 0
 	}
@@ -388,7 +388,7 @@
 
 // Confirm asks the other voters whether this one still leads. Confirmed tells, later, up to which call they said yes: it led when that
 // call was made.
-func (v *Voter) Confirm() (call uint64) {
+func (v *Replica) Confirm() (call uint64) {
 	if !v.Leads() {
 		return v.asked
 	}
@@ -399,17 +399,17 @@
 }
 
 // Confirmed is the newest call of Confirm that was answered with yes.
-func (v *Voter) Confirmed() uint64 { return v.confirmed }
+func (v *Replica) Confirmed() uint64 { return v.confirmed }
 
 // State is what this voter knows to be decided.
-func (v *Voter) State() agree.State { return v.state }
+func (v *Replica) State() agree.State { return v.state }
 
 // Ended tells how a proposal ended, while that is remembered.
-func (v *Voter) Ended(id string) (agree.Decided, bool) { return v.state.Ended(id) }
+func (v *Replica) Ended(id string) (agree.ProposalResult, bool) { return v.state.Result(id) }
 
 // Ready gives what has to be kept on disk next; whole says that it replaces all that was kept before. After ok, Kept is called once the
 // record is safe; an empty record needs no disk.
-func (v *Voter) Ready() (rec agree.Record, whole, ok bool) {
+func (v *Replica) Ready() (rec agree.Record, whole, ok bool) {
 	if v.busy || v.broken != nil {
 		return rec, false, false
 	}
@@ -432,7 +432,7 @@
 	rd := v.raft.Ready()
 	v.busy, v.ready = true, &rd
 	if v.ready.HardState != nil && !raft.IsEmptyHardState(v.ready.HardState) {
-		rec.Hard = must(proto.Marshal(v.ready.HardState))
+		rec.HardState = must(proto.Marshal(v.ready.HardState))
 	}
 	for _, e := range v.ready.Entries {
 		rec.Entries = append(rec.Entries, must(proto.Marshal(e)))
@@ -444,7 +444,7 @@
 }
 
 // Kept tells that the record of the last Ready is safe, and gives what follows from it.
-func (v *Voter) Kept() (out []agree.Message, decided []agree.Decided) {
+func (v *Replica) Kept() (out []agree.Message, decided []agree.ProposalResult) {
 	if !v.busy || v.broken != nil {
 		return nil, nil
 	}
@@ -494,10 +494,10 @@
 	return v.take(), v.told()
 }
 
-func (v *Voter) take() []agree.Message { out := v.out; v.out = nil; return out }
-func (v *Voter) told() []agree.Decided { d := v.decided; v.decided = nil; return d }
+func (v *Replica) take() []agree.Message        { out := v.out; v.out = nil; return out }
+func (v *Replica) told() []agree.ProposalResult { d := v.decided; v.decided = nil; return d }
 
-func (v *Voter) commit(e *raftpb.Entry) {
+func (v *Replica) commit(e *raftpb.Entry) {
 	switch e.GetType() {
 	case raftpb.EntryNormal:
 		if d, news := v.state.Apply(e.GetIndex(), e.GetData()); news {
@@ -524,7 +524,7 @@
 }
 
 // changed has the next snapshot that Raft hands out name the voters as they are now: one that doesn't name its taker is not taken.
-func (v *Voter) changed(e *raftpb.Entry, conf *raftpb.ConfState) {
+func (v *Replica) changed(e *raftpb.Entry, conf *raftpb.ConfState) {
 	v.conf = conf
 	if _, err := v.mem.CreateSnapshot(e.GetIndex(), conf, agree.Encode(v.state)); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 		v.broken = err
@@ -533,7 +533,7 @@
 
 // Fold makes one record of all that is known, once the log has grown; it replaces what the disk has. It is called while no other
 // record is under way.
-func (v *Voter) Fold() (rec agree.Record, ok bool) {
+func (v *Replica) Fold() (rec agree.Record, ok bool) {
 	first, _ := v.mem.FirstIndex()
 	if v.raft == nil || v.busy || v.fresh || v.broken != nil || v.applied < first+2*keepEntries {
 		return rec, false
@@ -545,7 +545,7 @@
 	}
 	rec = agree.Record{Incarnation: v.incarnation, Log: v.log, Snapshot: must(proto.Marshal(s))}
 	hard, _, _ := v.mem.InitialState()
-	rec.Hard = must(proto.Marshal(hard))
+	rec.HardState = must(proto.Marshal(hard))
 	last, _ := v.mem.LastIndex()
 	if last > v.applied {
 		entries, err := v.mem.Entries(v.applied+1, last+1, 1<<62)
--- a/internal/agree/voter/voter_test.go
+++ b/internal/agree/voter/voter_test.go
@@ -20,7 +20,7 @@
 	wire   []flying
 	now    int
 	seen   map[uint64]uint64 // number to digest, over all voters for ever
-	told   map[string]agree.Decided
+	told   map[string]agree.ProposalResult
 	loss   float64
 	split  int // voters below it hear only one another
 }
@@ -35,7 +35,7 @@
 }
 
 type sim struct {
-	v       *Voter
+	v       *Replica
 	disk    []agree.Record
 	pending *agree.Record
 	due     int
@@ -51,7 +51,7 @@
 
 func newWorld(t *rapid.T, n int, seed uint64) *world {
 	crypto.Reader = drawn{rand.New(rand.NewPCG(seed, 2))} // Raft draws its patience from there
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), seen: map[uint64]uint64{}, told: map[string]agree.Decided{}}
+	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), seen: map[uint64]uint64{}, told: map[string]agree.ProposalResult{}}
 	for i := range n {
 		w.voters = append(w.voters, &sim{})
 		w.start(i)
@@ -174,8 +174,8 @@
 	}
 }
 
-func (w *world) leader() *Voter {
-	var best *Voter
+func (w *world) leader() *Replica {
+	var best *Replica
 	for _, s := range w.voters {
 		if s.down <= w.now && s.stalled <= w.now && s.v.Leads() && (best == nil || s.v.Term() > best.Term()) {
 			best = s.v
--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -56,13 +56,13 @@
 	Tick()
 	Receive(from int, data []byte) error
 	Ready() (rec agree.Record, whole, ok bool)
-	Kept() (out []agree.Message, decided []agree.Decided)
+	Kept() (out []agree.Message, decided []agree.ProposalResult)
 	Fold() (rec agree.Record, ok bool)
 	Propose(p agree.Proposal) error
 	Confirm() (call uint64)
 	Confirmed() uint64
 	State() agree.State
-	Ended(id string) (agree.Decided, bool)
+	Ended(id string) (agree.ProposalResult, bool)
 	Leads() bool
 	Leader() int
 	Term() uint64
@@ -164,7 +164,7 @@
 			log = r.Log
 		}
 	}
-	return agree.Follow(log, entries)
+	return agree.NewFollower(log, entries)
 }
 
 // startVoter begins the node's vote, if it is a voter.
--- a/internal/failover/agent/ask.go
+++ b/internal/failover/agent/ask.go
@@ -178,7 +178,7 @@
 			break
 		}
 		if d, ok := a.voter.Ended(c.Arg); ok {
-			r.Ended = &Ended{ID: d.ID, Number: d.Number, Taken: d.Taken}
+			r.Ended = &Ended{ID: d.ID, Number: d.Number, Taken: d.Accepted}
 		}
 	case "policy", "policy-propose", "policy-abort":
 		a.replyPolicy(c, &r, now)
--- a/internal/failover/agent/entries.go
+++ b/internal/failover/agent/entries.go
@@ -29,7 +29,7 @@
 
 // acceptEntry takes an entry in and passes it on: an aggregator to the nodes that send it evidence, the one that leads to the aggregators.
 func (a *Agent) acceptEntry(log uint64, e agree.Entry, from int, now time.Duration) {
-	taken, err := a.follower.Take(log, e)
+	taken, err := a.follower.Apply(log, e)
 	if err != nil {
 		name := "its own log"
 		if from >= 0 {
--- a/internal/failover/agent/golden_test.go
+++ b/internal/failover/agent/golden_test.go
@@ -307,7 +307,7 @@
 	if log := reader.follower.Log(); log != 64 {
 		t.Errorf("log %d, wanted 64", log)
 	}
-	if got := reader.follower.All(); !reflect.DeepEqual(got, goldenEntries()) {
+	if got := reader.follower.Entries(); !reflect.DeepEqual(got, goldenEntries()) {
 		t.Errorf("entries read as\n%+v, wanted\n%+v", got, goldenEntries())
 	}
 	if _, number := reader.Mode(); number != 61 || !reflect.DeepEqual(reader.plan, goldenPlan()) {
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -351,7 +351,7 @@
 		r.Why = e.Reason
 		return
 	}
-	if d, ok := a.voter.Ended(c.ID); ok && !d.Taken {
+	if d, ok := a.voter.Ended(c.ID); ok && !d.Accepted {
 		r.Error = "given up: another change came first"
 		return
 	}
--- a/internal/failover/agent/storage.go
+++ b/internal/failover/agent/storage.go
@@ -24,7 +24,7 @@
 		}
 		if a.unsaved {
 			a.unsaved = false
-			a.saving = &saving{rec: agree.Record{Log: a.follower.Log(), Newest: a.follower.All()}}
+			a.saving = &saving{rec: agree.Record{Log: a.follower.Log(), Newest: a.follower.Entries()}}
 		}
 		return
 	}
@@ -33,7 +33,7 @@
 // advanceVoter has the voter's next record saved, or goes on where there is nothing to save. It says whether there may be more to do.
 func (a *Agent) advanceVoter(now time.Duration) (more bool) {
 	if rec, ok := a.voter.Fold(); ok {
-		rec.Newest = a.follower.All()
+		rec.Newest = a.follower.Entries()
 		a.saving = &saving{rec: rec, whole: true}
 		return true
 	}
@@ -89,7 +89,7 @@
 	a.committed()
 	for _, d := range decided {
 		if a.planner != nil {
-			a.options.Log("fleet_decided", "id", d.ID, "number", d.Number, "taken", d.Taken)
+			a.options.Log("fleet_decided", "id", d.ID, "number", d.Number, "taken", d.Accepted)
 		}
 	}
 	if a.planner != nil {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -103,7 +103,7 @@
 	var kept []agree.Record
 	if f.conf.Dir != "" {
 		f.store, kept, err = agree.OpenStore(f.conf.Dir)
-		if errors.Is(err, agree.ErrSpoilt) {
+		if errors.Is(err, agree.ErrCorrupt) {
 			zap.L().Error("fleet_files_spoilt", zap.Error(err), zap.String("what", "this node learns anew; as a voter it comes in as a new one"))
 		} else if err != nil {
 			f.again("fleet_files_not_opened", err)
