--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -53,7 +53,7 @@
 		a.giveUp(choice.TimedOut)
 	case !a.by.IsZero() && !now.Before(a.by):
 		a.giveUp(choice.Cancelled)
-	case a.request.guard.Send(a.request.core.facts(a.host), now) != invariant.Kept:
+	case a.request.guard.Send(a.request.core.facts(a.host), now) != invariant.Holds:
 		a.giveUp(choice.Cancelled)
 	default:
 		a.begun = true
--- a/internal/edge/carry.go
+++ b/internal/edge/carry.go
@@ -133,7 +133,7 @@
 		a.host = &host{ServerEntry: ServerEntry{Server: s.Server, Addr: s.Addr}}
 	}
 	a.Server = a.host.ServerEntry
-	r.guard = c.o.Monitor.Adopted(invariant.Facts{ID: string(s.ID), Class: s.Class})
+	r.guard = c.o.Monitor.Adopted(invariant.RequestFacts{ID: string(s.ID), Class: s.Class})
 	a.host.held++
 	r.attempt = a
 	if c.requests[s.ID] != nil { // an id that is open here: the module knows the first only, and this one goes
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -12,7 +12,7 @@
 
 // watch has the guard follow a new request.
 func (r *Request) watch() {
-	r.guard = r.core.o.Monitor.NewRequest(invariant.Facts{ID: string(r.ID), Class: r.class, Deadline: r.Deadline,
+	r.guard = r.core.o.Monitor.NewRequest(invariant.RequestFacts{ID: string(r.ID), Class: r.class, Deadline: r.Deadline,
 		Attempts: max(1, r.core.o.Settings.Limits.MaxAttempts), Standing: r.OpenAt != ""})
 }
 
@@ -27,9 +27,9 @@
 }
 
 // facts are what the guard is told of a host.
-func (c *Core) facts(h *host) invariant.Host {
+func (c *Core) facts(h *host) invariant.Server {
 	rules := c.o.Settings.Rules
-	f := invariant.Host{ID: string(h.ID), Zone: h.Zone, Cell: h.Cell, Leaving: h.leaving, Grace: rules.DrainGrace}
+	f := invariant.Server{ID: string(h.ID), Zone: h.Zone, Cell: h.Cell, Leaving: h.leaving, Grace: rules.DrainGrace}
 	rate, cold := c.balancer.SlowStartRate(h.ID)
 	if !cold {
 		h.calls = nil
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -196,7 +196,7 @@
 	}
 	a.host, a.Server = h, h.ServerEntry
 	h.held++
-	if a.guarded = r.guard.Start(c.facts(h), a.started) == invariant.Kept; !a.guarded {
+	if a.guarded = r.guard.Start(c.facts(h), a.started) == invariant.Holds; !a.guarded {
 		a.Ended(choice.NeverSent, nil)
 		return
 	}
@@ -217,7 +217,7 @@
 	}
 	r.over = true
 	if r.guard.Answer(l.Rejected, r.core.o.Clock.Now()) == invariant.UnsafeRefusal {
-		l.Rejected, l.RetryAfter, l.Reason = false, 0, trace.UnsafeToRefuse
+		l.Rejected, l.RetryAfter, l.Reason = false, 0, trace.UnsafeToReject
 	}
 	r.core.o.Trace.Answered(string(r.ID), l.Rejected, l.Reason)
 	if l.Rejected {
--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -20,7 +20,7 @@
 	}
 	var got strings.Builder
 	m.Each(func(kind, name string, count uint64) { fmt.Fprintf(&got, "%s %s %d\n", kind, name, count) })
-	fmt.Fprintf(&got, "%s %d\n", Kept, m.Violations())
+	fmt.Fprintf(&got, "%s %d\n", Holds, m.Violations())
 	want, err := os.ReadFile("testdata/figures.txt")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -9,8 +9,8 @@
 type Rule uint8
 
 const (
-	// Kept says that a step breaks no rule.
-	Kept Rule = iota
+	// Holds says that a step breaks no rule.
+	Holds Rule = iota
 	// SecondAnswer is another final answer, or an attempt, for a request that has its final answer.
 	SecondAnswer
 	// Unanswered is a request that was read and whose connection the node closes without an answer.
@@ -93,7 +93,7 @@
 	for s, count := range m.checked {
 		fn("checked", Step(s).String(), count)
 	}
-	for r := Kept + 1; r < ruleCount; r++ {
+	for r := Holds + 1; r < ruleCount; r++ {
 		fn("broken", r.String(), m.broken[r])
 	}
 }
@@ -101,8 +101,8 @@
 // check counts a step and the rule that it breaks, if any.
 func (m *Monitor) check(v Violation) Rule {
 	m.checked[v.Step]++
-	if v.Rule == Kept {
-		return Kept
+	if v.Rule == Holds {
+		return Holds
 	}
 	m.broken[v.Rule]++
 	if m.Broken != nil {
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -9,8 +9,8 @@
 // AnswerSlack is how long after its deadline a request's final answer still counts.
 const AnswerSlack = 500 * time.Millisecond
 
-// Facts are what is known of a request when it is read.
-type Facts struct {
+// RequestFacts are what is known of a request when it is read.
+type RequestFacts struct {
 	ID       string
 	Class    choice.Class
 	Deadline time.Time
@@ -19,8 +19,8 @@
 	Standing bool
 }
 
-// Host is what is known of an attempt's host at the moment of a step.
-type Host struct {
+// Server is what is known of an attempt's host at the moment of a step.
+type Server struct {
 	ID, Zone string
 	Cell     int
 	Leaving  time.Time     // since when the node knows that it drains or is gone; zero: it serves
@@ -32,14 +32,14 @@
 
 // Request is one request of a client, from when it was read until its connection has ended.
 type Request struct {
-	Facts
+	RequestFacts
 	monitor  *Monitor
 	started  int
 	out      bool // an attempt is out
 	sentAt   time.Time
-	sent     Host // of the attempt that is out
-	mayHave  bool // an earlier attempt may have run:
-	ranAt    Host // there,
+	sent     Server // of the attempt that is out
+	mayHave  bool   // an earlier attempt may have run:
+	ranAt    Server // there,
 	ranSince time.Time
 	answered bool
 	gone     bool
@@ -47,61 +47,61 @@
 }
 
 // NewRequest begins to watch a request.
-func (m *Monitor) NewRequest(f Facts) *Request { return &Request{Facts: f, monitor: m} }
+func (m *Monitor) NewRequest(f RequestFacts) *Request { return &Request{RequestFacts: f, monitor: m} }
 
 // Adopted begins to watch an open connection that another process has served until now.
-func (m *Monitor) Adopted(f Facts) *Request {
-	return &Request{Facts: f, monitor: m, started: 1, answered: true, open: true}
+func (m *Monitor) Adopted(f RequestFacts) *Request {
+	return &Request{RequestFacts: f, monitor: m, started: 1, answered: true, open: true}
 }
 
 // Start is asked before an attempt is begun. Unless the rule is Kept it must not be.
-func (r *Request) Start(h Host, now time.Time) Rule {
+func (r *Request) Start(h Server, now time.Time) Rule {
 	rule := r.mayTry(h, now)
-	if rule == Kept && r.out {
+	if rule == Holds && r.out {
 		rule = SecondCopy
 	}
-	if rule == Kept && r.started >= r.Attempts && !r.Standing {
+	if rule == Holds && r.started >= r.Attempts && !r.Standing {
 		rule = TooManyAttempts
 	}
-	if r.report(r.repeats(Start), rule, h.ID) != Kept {
+	if r.report(r.repeats(Start), rule, h.ID) != Holds {
 		return rule
 	}
 	r.started++
 	r.out, r.sentAt = true, time.Time{}
-	return Kept
+	return Holds
 }
 
 // Send is asked before the first byte of the attempt that is out. Unless the rule is Kept nothing must be written.
-func (r *Request) Send(h Host, now time.Time) Rule {
+func (r *Request) Send(h Server, now time.Time) Rule {
 	rule := r.mayTry(h, now)
-	if rule == Kept && h.SlowStart != nil && !h.SlowStart.allow(h.Budget, now) {
+	if rule == Holds && h.SlowStart != nil && !h.SlowStart.allow(h.Budget, now) {
 		rule = SlowStart
 	}
-	if r.report(r.repeats(Send), rule, h.ID) == Kept {
+	if r.report(r.repeats(Send), rule, h.ID) == Holds {
 		r.sentAt, r.sent = now, h
 	}
 	return rule
 }
 
 // mayTry is what forbids an attempt at whatever stage.
-func (r *Request) mayTry(h Host, now time.Time) Rule {
+func (r *Request) mayTry(h Server, now time.Time) Rule {
 	switch {
 	case r.gone:
 		return ClientGone
 	case r.answered:
 		return SecondAnswer
 	case r.Standing:
-		return Kept
+		return Holds
 	case !h.Leaving.IsZero() && now.Sub(h.Leaving) > h.Grace:
 		return HostLeaving
 	case r.mayHave && !r.mayRepeat(h, now):
 		return UnsafeRepeat
 	}
-	return Kept
+	return Holds
 }
 
 // mayRepeat says whether the class allows an attempt at a host after an earlier one may have run.
-func (r *Request) mayRepeat(h Host, now time.Time) bool {
+func (r *Request) mayRepeat(h Server, now time.Time) bool {
 	switch r.Class.Idempotency {
 	case choice.Idempotent:
 		return true
@@ -111,7 +111,7 @@
 	return false
 }
 
-func (r *Request) inScope(h Host) bool {
+func (r *Request) inScope(h Server) bool {
 	switch r.Class.IdempotencyScope {
 	case choice.ScopeZone:
 		return h.Zone == r.ranAt.Zone
@@ -140,7 +140,7 @@
 // Answer is asked before the node's own final answer. harmless says that the answer promises that trying again does no harm. An
 // UnsafeRefusal must become a failure; after a SecondAnswer nothing may be said.
 func (r *Request) Answer(harmless bool, now time.Time) Rule {
-	rule := Kept
+	rule := Holds
 	switch {
 	case r.answered || r.gone:
 		rule = SecondAnswer
@@ -163,7 +163,7 @@
 
 // Served says that a host's own answer is passed on; stands, that the connection stays open.
 func (r *Request) Served(stands bool, now time.Time) Rule {
-	rule := Kept
+	rule := Holds
 	switch {
 	case r.answered || r.gone:
 		rule = SecondAnswer
@@ -191,7 +191,7 @@
 
 // Close is asked when the client's connection ends.
 func (r *Request) Close(by Ending, moved bool) Rule {
-	rule := Kept
+	rule := Holds
 	switch {
 	case by == ByClient || r.gone:
 	case !r.answered:
--- a/internal/node/beside.go
+++ b/internal/node/beside.go
@@ -28,8 +28,8 @@
 // how the two share the node's descriptors and memory.
 type beside struct {
 	program   *Program
-	lent      *handover.Lent  // by the running process; nil: a start like any other
-	place     *handover.Place // nil: nobody finds this process
+	lent      *handover.Grant       // by the running process; nil: a start like any other
+	place     *handover.Coordinator // nil: nobody finds this process
 	listeners map[string]*loop.Listener
 	total     int       // descriptors that the node may hold; 0: not told
 	memory    int       // MB; 0: not told
@@ -54,13 +54,13 @@
 		return
 	}
 	var err error
-	switch b.lent, err = handover.Ask(path, time.Now().Add(askTime)); {
+	switch b.lent, err = handover.RequestGrant(path, time.Now().Add(askTime)); {
 	case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED):
 		zap.L().Debug("nobody_to_take_over_from", zap.Error(err))
 	case err != nil:
 		zap.L().Warn("nothing_handed_over", zap.String("place", path), zap.Error(err))
 	default:
-		zap.L().Info("handed_over", zap.Int("sockets", len(b.lent.Sockets)), zap.Int("hosts", len(b.lent.List.Servers)), zap.Int("descriptors", b.lent.Room))
+		zap.L().Info("handed_over", zap.Int("sockets", len(b.lent.Sockets)), zap.Int("hosts", len(b.lent.List.Servers)), zap.Int("descriptors", b.lent.DescriptorQuota))
 	}
 }
 
@@ -103,8 +103,8 @@
 // open takes this process's place for the next one, once all is set up.
 func (b *beside) open(path string) {
 	if path != "" {
-		b.place = handover.Open(handover.Options{Loop: b.program.loop, Path: path, Lend: b.lend, Changed: b.changed,
-			Carrying: handover.Carrying{Free: b.free, Hold: b.hold, Learned: b.inherit}}, b.lent)
+		b.place = handover.NewCoordinator(handover.Options{Loop: b.program.loop, Path: path, Grant: b.lend, Changed: b.changed,
+			TransferHandler: handover.TransferHandler{FreeDescriptors: b.free, Prepare: b.hold, Learned: b.inherit}}, b.lent)
 	}
 	if b.lent != nil && len(b.lent.Learned) > 0 {
 		b.inherit(b.lent.Learned)
@@ -119,9 +119,9 @@
 }
 
 // lend tells what the process gets that asks.
-func (b *beside) lend() handover.Lent {
+func (b *beside) lend() handover.Grant {
 	p := b.program
-	what := handover.Lent{Sockets: map[string]int{}, Datagrams: -1}
+	what := handover.Grant{Sockets: map[string]int{}, Datagrams: -1}
 	if !b.closed { // else they are closed here, and another's already
 		for addr, k := range b.listeners {
 			what.Sockets[addr] = k.FD()
@@ -137,8 +137,8 @@
 	}
 	what.Learned = b.learned()
 	own := b.own()
-	what.Room = b.spare(own)
-	what.Room -= what.Room / lentPart
+	what.DescriptorQuota = b.spare(own)
+	what.DescriptorQuota -= what.DescriptorQuota / lentPart
 	return what
 }
 
@@ -165,8 +165,8 @@
 // all is the number of descriptors that this process and those it lends to may hold.
 func (b *beside) all() int {
 	switch {
-	case b.place != nil && b.place.Before():
-		return min(b.total, b.place.Room())
+	case b.place != nil && b.place.HasPredecessor():
+		return min(b.total, b.place.DescriptorQuota())
 	case !b.until.IsZero():
 		return b.total / 2
 	}
@@ -178,7 +178,7 @@
 	if b.place == nil {
 		return b.all()
 	}
-	return b.all() - b.place.LentRoom()
+	return b.all() - b.place.GrantedQuota()
 }
 
 // share keeps to this process's part of the node: all of it when it is alone.
@@ -187,8 +187,8 @@
 	linked, ready := false, false
 	alone := b.until.IsZero()
 	if b.place != nil {
-		linked, ready = b.place.After()
-		alone = alone && !linked && !b.place.Before()
+		linked, ready = b.place.Successor()
+		alone = alone && !linked && !b.place.HasPredecessor()
 	}
 	if b.memory > 0 { // the collector works harder well before the node would be killed
 		limit := int64(b.memory) << 20 * 6 / 10
@@ -220,7 +220,7 @@
 			n.adapt(parts)
 		}
 		// Whoever is to take the clients hears the other nodes, too.
-		n.others.hear(!ready && !(b.place != nil && b.place.Before() && !p.ready()))
+		n.others.hear(!ready && !(b.place != nil && b.place.HasPredecessor() && !p.ready()))
 	}
 }
 
@@ -229,7 +229,7 @@
 	b.leaving = true
 	ready := false
 	if b.place != nil {
-		_, ready = b.place.After()
+		_, ready = b.place.Successor()
 		b.place.Close()
 		b.empty()
 	}
@@ -248,8 +248,8 @@
 }
 
 func (b *beside) lendMore() {
-	if linked, _ := b.place.After(); linked {
-		b.place.LendMore(b.all(), b.all()-b.spare(b.all()))
+	if linked, _ := b.place.Successor(); linked {
+		b.place.RaiseQuota(b.all(), b.all()-b.spare(b.all()))
 	}
 }
 
--- a/internal/node/carry.go
+++ b/internal/node/carry.go
@@ -50,7 +50,7 @@
 }
 
 // lend takes a connection off the loop and tells what there is to know of it.
-func lend(k bearer, cluster string) (p handover.Parcel, ok bool) {
+func lend(k bearer, cluster string) (p handover.TransferItem, ok bool) {
 	c := carried{Cluster: cluster}
 	var state any
 	if r, stands := k.(*edge.Request); stands {
@@ -81,7 +81,7 @@
 
 // carry has what stands go to the other process, batch by batch, as long as there is any.
 func (b *beside) carry() {
-	there, room := b.place.Takes()
+	there, room := b.place.SuccessorAccepts()
 	if !b.carries || !there {
 		if b.carries = false; !b.told { // what is left goes the other way
 			b.told = true
@@ -97,7 +97,7 @@
 	l := b.program.loop
 	begin, size := l.Now(), 0
 	var batch []bearer
-	var parcels []handover.Parcel
+	var parcels []handover.TransferItem
 	for looked := false; len(batch) < batchMost && size <= batchBytes && room >= 2 && l.Now().Sub(begin) <= batchTime; {
 		if len(b.queue) == 0 && !looked {
 			b.queue, looked = b.portable(), true
@@ -116,7 +116,7 @@
 		return
 	}
 	defer func() { b.away = max(b.away, l.Now().Sub(begin)) }()
-	b.place.Give(parcels, func(taken bool) {
+	b.place.Transfer(parcels, func(taken bool) {
 		for _, k := range batch {
 			if taken {
 				k.Release()
@@ -170,7 +170,7 @@
 }
 
 // hold checks connections of another process, and takes them when it's told that they are this one's.
-func (b *beside) hold(parcels []handover.Parcel) (handover.Held, error) {
+func (b *beside) hold(parcels []handover.TransferItem) (handover.PreparedBatch, error) {
 	var all []func()
 	for i, p := range parcels {
 		var c carried
@@ -180,18 +180,18 @@
 			restore, err = b.restores(c, p.FDs)
 		}
 		if err != nil {
-			return handover.Held{}, fmt.Errorf("connection %d: %w", i, err)
+			return handover.PreparedBatch{}, fmt.Errorf("connection %d: %w", i, err)
 		}
 		all = append(all, restore)
 	}
-	return handover.Held{
-		Take: func() {
+	return handover.PreparedBatch{
+		Commit: func() {
 			for _, restore := range all {
 				restore()
 			}
 			b.got += len(all)
 		},
-		Drop: func() {
+		Abort: func() {
 			for _, p := range parcels {
 				loop.CloseAll(p.FDs)
 			}
@@ -236,7 +236,7 @@
 // giveAll begins to give connections to the process that takes over, and ends this one once nothing is left here.
 func (b *beside) giveAll() {
 	b.carries, b.began = true, b.program.loop.Now()
-	b.place.Tell(b.learned())
+	b.place.SendLearnedState(b.learned())
 	b.look()
 }
 
--- a/internal/node/carry_test.go
+++ b/internal/node/carry_test.go
@@ -83,7 +83,7 @@
 func (r *replaced) begin(after func()) {
 	r.next = r.start()
 	exchange.Until(r.t, "and the present one knows", func() (ready bool) {
-		r.now.on(func() { _, ready = r.now.beside.place.After() })
+		r.now.on(func() { _, ready = r.now.beside.place.Successor() })
 		return ready
 	})
 	old := r.now
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -29,10 +29,10 @@
 	}
 	begin := time.Unix(1e9, 0)
 	for i := range 6 {
-		r := p.monitor.NewRequest(invariant.Facts{ID: "request", Class: choice.Class{Idempotency: choice.Idempotent}, Deadline: begin, Attempts: 2})
-		r.Start(invariant.Host{ID: "host"}, begin)
+		r := p.monitor.NewRequest(invariant.RequestFacts{ID: "request", Class: choice.Class{Idempotency: choice.Idempotent}, Deadline: begin, Attempts: 2})
+		r.Start(invariant.Server{ID: "host"}, begin)
 		if i > 1 {
-			r.Send(invariant.Host{ID: "host"}, begin)
+			r.Send(invariant.Server{ID: "host"}, begin)
 		}
 		if i > 2 {
 			r.Close(invariant.ByNode, false)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,7 +75,7 @@
 	if err := p.assemble(getenv, operator, newVoter); err != nil {
 		p.Close() // files that were begun
 		if p.beside.lent != nil {
-			p.beside.lent.GiveBack(p.loop.Serves)
+			p.beside.lent.Release(p.loop.Serves)
 		}
 		return nil, err
 	}
--- a/internal/operate/admin/admin.go
+++ b/internal/operate/admin/admin.go
@@ -24,8 +24,8 @@
 	mostLines   = 64
 )
 
-// Door answers operators.
-type Door struct {
+// Server answers operators.
+type Server struct {
 	loop    *loop.Loop
 	answers Answers
 	waiting list.List // callers that have not finished their head, oldest first
@@ -42,8 +42,8 @@
 }
 
 // Listen opens the door at addr.
-func Listen(l *loop.Loop, addr string, answers Answers) (*Door, netip.AddrPort, error) {
-	d := &Door{loop: l, answers: answers}
+func Listen(l *loop.Loop, addr string, answers Answers) (*Server, netip.AddrPort, error) {
+	d := &Server{loop: l, answers: answers}
 	k, err := l.ListenApart(addr, MostCallers+4, d.accept)
 	if err != nil {
 		return nil, netip.AddrPort{}, fmt.Errorf("operators' door: %w", err)
@@ -51,7 +51,7 @@
 	return d, k.Addr, nil
 }
 
-func (d *Door) accept(c *loop.Conn) loop.Handler {
+func (d *Server) accept(c *loop.Conn) loop.Handler {
 	if d.waiting.Len() >= MostCallers {
 		d.waiting.Front().Value.(*caller).leave()
 	}
@@ -65,7 +65,7 @@
 
 // caller is one connection, until its answer is written.
 type caller struct {
-	door  *Door
+	door  *Server
 	conn  *loop.Conn
 	head  []byte
 	place *list.Element
@@ -128,7 +128,7 @@
 }
 
 // serve answers a whole head.
-func (d *Door) serve(head []byte) reply {
+func (d *Server) serve(head []byte) reply {
 	r, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(head), len(head)+16))
 	if err != nil {
 		return reply{http.StatusBadRequest, "", text("the head can't be read: GET /api/ready HTTP/1.1 and an empty line are wanted\n")}
@@ -144,7 +144,7 @@
 }
 
 // calls are the calls that there are, by path.
-func (d *Door) calls() map[string]func() reply {
+func (d *Server) calls() map[string]func() reply {
 	return map[string]func() reply{
 		"/api/ready":     d.readiness,
 		"/api/telemetry": func() reply { return reply{http.StatusOK, "", d.answers.Telemetry} },
@@ -152,7 +152,7 @@
 	}
 }
 
-func (d *Door) readiness() reply {
+func (d *Server) readiness() reply {
 	if !d.answers.Ready() {
 		return reply{http.StatusServiceUnavailable, "", text("not ready: this process takes no clients now\n")}
 	}
--- a/internal/operate/admin/admin_test.go
+++ b/internal/operate/admin/admin_test.go
@@ -16,7 +16,7 @@
 		f.Add([]byte(s), 3)
 	}
 	none := func(buf []byte) []byte { return buf }
-	d := &Door{answers: Answers{Ready: func() bool { return false }, Telemetry: none, Reasons: none}}
+	d := &Server{answers: Answers{Ready: func() bool { return false }, Telemetry: none, Reasons: none}}
 	f.Fuzz(func(t *testing.T, head []byte, cut int) {
 		end := endOf(head, 0)
 		if cut = max(0, min(cut, len(head))); endOf(head[:cut], 0) < 0 && endOf(head, max(0, cut-3)) != end {
--- a/internal/operate/handover/carry.go
+++ b/internal/operate/handover/carry.go
@@ -23,24 +23,24 @@
 	heldTime        = time.Second
 )
 
-// Parcel is one connection: its sockets, and what its process knows of it.
-type Parcel struct {
+// TransferItem is one connection: its sockets, and what its process knows of it.
+type TransferItem struct {
 	FDs  []int
 	Body []byte
 }
 
-// Held is a batch that a taker has and does not touch yet. One of the two is called, once.
-type Held struct {
-	Take func() // it is this process's
-	Drop func() // it is not: its descriptors are closed and nothing else
+// PreparedBatch is a batch that a taker has and does not touch yet. One of the two is called, once.
+type PreparedBatch struct {
+	Commit func() // it is this process's
+	Abort  func() // it is not: its descriptors are closed and nothing else
 }
 
-// Carrying is what a Place needs to take connections.
-type Carrying struct {
-	// Free tells how many descriptors of connections this process has room for.
-	Free func() int
-	// Hold checks a batch whole. With an error the descriptors stay the caller's to close.
-	Hold func([]Parcel) (Held, error)
+// TransferHandler is what a Place needs to take connections.
+type TransferHandler struct {
+	// FreeDescriptors tells how many descriptors of connections this process has room for.
+	FreeDescriptors func() int
+	// Prepare checks a batch whole. With an error the descriptors stay the caller's to close.
+	Prepare func([]TransferItem) (PreparedBatch, error)
 	// Learned takes what the other process has found out, when it leaves.
 	Learned func([]byte)
 }
@@ -57,7 +57,7 @@
 	rights  []int // came, and belong to the batch that is being read
 	body    int   // bytes behind a line that are due
 	learned bool  // they are what the other process has found out
-	held    *Held
+	held    *PreparedBatch
 }
 
 // packed is a parcel as it's written.
@@ -79,17 +79,17 @@
 func Decode(body []byte, into any) error { return decoding.Unmarshal(body, into) }
 
 // parseBatch reads a batch and puts its descriptors to its connections.
-func parseBatch(body []byte, rights []int) ([]Parcel, error) {
+func parseBatch(body []byte, rights []int) ([]TransferItem, error) {
 	var all []packed
 	if err := Decode(body, &all); err != nil {
 		return nil, fmt.Errorf("a batch: %w", err)
 	}
-	var parcels []Parcel
+	var parcels []TransferItem
 	for _, k := range all {
 		if k.Sockets < 1 || k.Sockets > len(rights) {
 			return nil, fmt.Errorf("a batch with %d descriptors left for a connection of %d", len(rights), k.Sockets)
 		}
-		parcels = append(parcels, Parcel{FDs: rights[:k.Sockets:k.Sockets], Body: k.Body})
+		parcels = append(parcels, TransferItem{FDs: rights[:k.Sockets:k.Sockets], Body: k.Body})
 		rights = rights[k.Sockets:]
 	}
 	if len(rights) > 0 || len(parcels) == 0 {
@@ -106,7 +106,7 @@
 }
 
 // taking is the link to the newest process that takes connections.
-func (p *Place) taking() *link {
+func (p *Coordinator) taking() *link {
 	for i := len(p.after) - 1; i >= 0; i-- {
 		if k := p.after[i]; k.ready && k.carries {
 			return k
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// Takes reports whether a process is there that takes connections, and for how many descriptors it has room now: none
+// SuccessorAccepts reports whether a process is there that takes connections, and for how many descriptors it has room now: none
 // while a batch is on its way.
-func (p *Place) Takes() (there bool, descriptors int) {
+func (p *Coordinator) SuccessorAccepts() (there bool, descriptors int) {
 	k := p.taking()
 	if k == nil {
 		return false, 0
@@ -128,16 +128,16 @@
 	return true, min(k.free, loop.MaxDescriptorsPerMessage)
 }
 
-// Tell tells the process that takes connections what this one has found out.
-func (p *Place) Tell(learned []byte) {
+// SendLearnedState tells the process that takes connections what this one has found out.
+func (p *Coordinator) SendLearnedState(learned []byte) {
 	if k := p.taking(); k != nil && len(learned) > 0 && len(learned) <= mostLearned {
 		k.conn.Write(append(line{Kind: "learned", Size: len(learned)}.bytes(), learned...))
 	}
 }
 
-// Give sends a batch. done is called once: taken, and then the caller closes its copies and the batch is the other
+// Transfer sends a batch. done is called once: taken, and then the caller closes its copies and the batch is the other
 // process's; or not, and then it is the caller's as before.
-func (p *Place) Give(parcels []Parcel, done func(taken bool)) {
+func (p *Coordinator) Transfer(parcels []TransferItem, done func(taken bool)) {
 	k := p.taking()
 	var all []packed
 	var rights []int
@@ -242,9 +242,9 @@
 	rights := k.rights
 	k.rights = nil
 	parcels, err := parseBatch(body, rights)
-	var held Held
+	var held PreparedBatch
 	if err == nil {
-		held, err = k.place.o.Hold(parcels)
+		held, err = k.place.o.Prepare(parcels)
 	}
 	if err != nil {
 		zap.L().Warn("batch_refused", zap.Error(err))
@@ -258,7 +258,7 @@
 
 func (k *link) tellRoom(kind string) {
 	if k.carries {
-		k.conn.Write(line{Kind: kind, Room: max(0, k.place.o.Free())}.bytes())
+		k.conn.Write(line{Kind: kind, Room: max(0, k.place.o.FreeDescriptors())}.bytes())
 	}
 }
 
@@ -281,7 +281,7 @@
 func (k *link) takes() {
 	if h := k.held; h != nil {
 		k.held = nil
-		h.Take()
+		h.Commit()
 	}
 }
 
@@ -289,7 +289,7 @@
 func (k *link) drops() {
 	if h := k.held; h != nil {
 		k.held = nil
-		h.Drop()
+		h.Abort()
 	}
 }
 
--- a/internal/operate/handover/carry_test.go
+++ b/internal/operate/handover/carry_test.go
@@ -73,23 +73,23 @@
 		t.Run(step.name, func(t *testing.T) {
 			l, on := run(t)
 			path := Path(t.TempDir(), "127.0.0.1:3000")
-			var p *Place
+			var p *Coordinator
 			on(func() {
-				p = Open(Options{Loop: l, Path: path, Changed: func() {}, Lend: func() Lent { return Lent{Datagrams: -1, Room: 9} }}, nil)
+				p = NewCoordinator(Options{Loop: l, Path: path, Changed: func() {}, Grant: func() Grant { return Grant{Datagrams: -1, DescriptorQuota: 9} }}, nil)
 			})
-			lent, err := Ask(path, time.Now().Add(20*time.Second))
+			lent, err := RequestGrant(path, time.Now().Add(20*time.Second))
 			if err != nil || lent.carry != carryForm {
 				t.Fatal(err, lent)
 			}
 			link := os.NewFile(uintptr(lent.fd), "link")
 			io.WriteString(link, ready)
-			until(t, on, "room", func() bool { there, n := p.Takes(); return there && n == 9 })
+			until(t, on, "room", func() bool { there, n := p.SuccessorAccepts(); return there && n == 9 })
 			fd, far := pair(t)
 			defer far.Close()
 			taken := make(chan bool, 2)
 			on(func() { // the batch is on the link before anything of it is read
-				p.Give([]Parcel{{[]int{fd}, []byte("state")}}, func(ok bool) { taken <- ok })
-				if there, n := p.Takes(); there && n != 0 {
+				p.Transfer([]TransferItem{{[]int{fd}, []byte("state")}}, func(ok bool) { taken <- ok })
+				if there, n := p.SuccessorAccepts(); there && n != 0 {
 					t.Error("a second batch may go")
 				}
 			})
@@ -114,7 +114,7 @@
 				}
 			}
 			link.Close()
-			until(t, on, "its end", func() bool { there, _ := p.Takes(); return !there })
+			until(t, on, "its end", func() bool { there, _ := p.SuccessorAccepts(); return !there })
 			select {
 			case <-taken:
 				t.Error("told twice")
@@ -173,20 +173,20 @@
 				c.Write([]byte(`{"kind":"lent","version":1,"room":9,"carry":1}` + "\n"))
 				giver <- c.(*net.UnixConn)
 			}()
-			lent, err := Ask(path, time.Now().Add(20*time.Second))
+			lent, err := RequestGrant(path, time.Now().Add(20*time.Second))
 			if err != nil {
 				t.Fatal(err)
 			}
 			l, on := run(t)
 			calls := ""
 			on(func() {
-				p := Open(Options{Loop: l, Path: Path(t.TempDir(), "127.0.0.1:3000"), Changed: func() {}, Lend: func() Lent { return Lent{} },
-					Carrying: Carrying{Free: func() int { return 5 }, Learned: func([]byte) {}, Hold: func(all []Parcel) (Held, error) {
+				p := NewCoordinator(Options{Loop: l, Path: Path(t.TempDir(), "127.0.0.1:3000"), Changed: func() {}, Grant: func() Grant { return Grant{} },
+					TransferHandler: TransferHandler{FreeDescriptors: func() int { return 5 }, Learned: func([]byte) {}, Prepare: func(all []TransferItem) (PreparedBatch, error) {
 						if len(all) != 1 || string(all[0].Body) != "state" {
-							return Held{}, io.ErrUnexpectedEOF
+							return PreparedBatch{}, io.ErrUnexpectedEOF
 						}
-						return Held{Take: func() { calls += "taken"; loop.CloseAll(all[0].FDs) },
-							Drop: func() { calls += "dropped"; loop.CloseAll(all[0].FDs) }}, nil
+						return PreparedBatch{Commit: func() { calls += "taken"; loop.CloseAll(all[0].FDs) },
+							Abort: func() { calls += "dropped"; loop.CloseAll(all[0].FDs) }}, nil
 					}}}, lent)
 				p.Ready()
 			})
--- a/internal/operate/handover/handover.go
+++ b/internal/operate/handover/handover.go
@@ -34,21 +34,21 @@
 
 var errLate = errors.New("the running process gives no answer in time")
 
-// Lent is what a running process lends. Sockets are descriptors; of the ones that can't be used, close is the taker's.
-type Lent struct {
-	Sockets   map[string]int // by the address that the configuration names
-	Datagrams int            // the peers' socket; -1: none
-	Discovery string         // whose List is
-	List      cluster.List
-	Room      int // descriptors that the taker may hold
-	Learned   []byte
-	fd        int
-	rest      []byte
-	carry     int // form of the connections that the running process gives; 0: it gives none
+// Grant is what a running process lends. Sockets are descriptors; of the ones that can't be used, close is the taker's.
+type Grant struct {
+	Sockets         map[string]int // by the address that the configuration names
+	Datagrams       int            // the peers' socket; -1: none
+	Discovery       string         // whose List is
+	List            cluster.List
+	DescriptorQuota int // descriptors that the taker may hold
+	Learned         []byte
+	fd              int
+	rest            []byte
+	carry           int // form of the connections that the running process gives; 0: it gives none
 }
 
-// GiveBack closes what was lent and is not served by this process: its start has failed, and the running one must not take it to be there.
-func (l *Lent) GiveBack(serves func(fd int) bool) {
+// Release closes what was lent and is not served by this process: its start has failed, and the running one must not take it to be there.
+func (l *Grant) Release(serves func(fd int) bool) {
 	all := []int{l.fd}
 	for _, fd := range l.Sockets {
 		all = append(all, fd)
@@ -97,9 +97,9 @@
 	return p
 }
 
-// Ask asks the running process for what it lends, before the loop runs; it gives up by a time. An error means a start
+// RequestGrant asks the running process for what it lends, before the loop runs; it gives up by a time. An error means a start
 // like any other.
-func Ask(path string, until time.Time) (*Lent, error) {
+func RequestGrant(path string, until time.Time) (*Grant, error) {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, os.NewSyscallError("socket", err)
@@ -111,7 +111,7 @@
 	return l, err
 }
 
-func ask(fd int, path string, until time.Time) (*Lent, error) {
+func ask(fd int, path string, until time.Time) (*Grant, error) {
 	wait := func(option int) error {
 		left := time.Until(until)
 		if left <= 0 {
@@ -131,7 +131,7 @@
 	}
 	var got []byte
 	var rights []int
-	fail := func(err error) (*Lent, error) {
+	fail := func(err error) (*Grant, error) {
 		for _, r := range rights {
 			unix.Close(r)
 		}
@@ -192,7 +192,7 @@
 }
 
 // parseLent reads what is lent and puts names to descriptors.
-func parseLent(first []byte, rights []int) (*Lent, error) {
+func parseLent(first []byte, rights []int) (*Grant, error) {
 	var m line
 	if err := json.Unmarshal(first, &m); err != nil {
 		return nil, fmt.Errorf("what is lent: %w", err)
@@ -209,7 +209,7 @@
 	case m.Room < 0:
 		return nil, errors.New("less than no room is lent")
 	}
-	l := &Lent{Sockets: map[string]int{}, Datagrams: -1, Discovery: m.Discovery, Room: m.Room, Learned: m.Learned, carry: m.Carry}
+	l := &Grant{Sockets: map[string]int{}, Datagrams: -1, Discovery: m.Discovery, DescriptorQuota: m.Room, Learned: m.Learned, carry: m.Carry}
 	if m.List != nil {
 		if _, err := m.List.Hosts(); err != nil {
 			return nil, fmt.Errorf("the list that is lent: %w", err)
@@ -228,8 +228,8 @@
 	return l, nil
 }
 
-// Place is where this process stands among those of its node.
-type Place struct {
+// Coordinator is where this process stands among those of its node.
+type Coordinator struct {
 	o      Options
 	before *link   // the process that was there when this one started
 	after  []*link // those started since, oldest first
@@ -243,20 +243,20 @@
 type Options struct {
 	Loop *loop.Loop
 	Path string
-	// Lend tells what is lent to a process that asks. What it returns in Room is lent from then on.
-	Lend func() Lent
+	// Grant tells what is lent to a process that asks. What it returns in Room is lent from then on.
+	Grant func() Grant
 	// Changed is called when a process has come, is ready or is gone, or has lent more.
 	Changed func()
-	Carrying
+	TransferHandler
 }
 
-// Open takes the place at the path, and keeps the link to the process that lent to this one, if any. A place that can't
+// NewCoordinator takes the place at the path, and keeps the link to the process that lent to this one, if any. A place that can't
 // be taken is one line in the log: the node runs without.
-func Open(o Options, from *Lent) *Place {
-	p := &Place{o: o}
+func NewCoordinator(o Options, from *Grant) *Coordinator {
+	p := &Coordinator{o: o}
 	if from != nil {
-		p.room = from.Room
-		p.before = &link{place: p, batches: batches{carries: from.carry == carryForm && o.Hold != nil}}
+		p.room = from.DescriptorQuota
+		p.before = &link{place: p, batches: batches{carries: from.carry == carryForm && o.Prepare != nil}}
 		p.before.conn = o.Loop.Attach(from.fd, p.before)
 		p.before.conn.OnDescriptors(p.before.takeRights)
 		if len(from.rest) > 0 {
@@ -267,7 +267,7 @@
 	return p
 }
 
-func (p *Place) open() {
+func (p *Coordinator) open() {
 	if p.closed {
 		return
 	}
@@ -288,7 +288,7 @@
 
 const mostLinks = 4
 
-func (p *Place) accept(c *loop.Conn) loop.Handler {
+func (p *Coordinator) accept(c *loop.Conn) loop.Handler {
 	if len(p.after) >= mostLinks || !c.SameUser() {
 		return nil
 	}
@@ -302,22 +302,22 @@
 	return k
 }
 
-// Before reports whether the process that lent to this one still runs.
-func (p *Place) Before() bool { return p.before != nil }
+// HasPredecessor reports whether the process that lent to this one still runs.
+func (p *Coordinator) HasPredecessor() bool { return p.before != nil }
 
-// Room is what that process lends.
-func (p *Place) Room() int { return p.room }
+// DescriptorQuota is what that process lends.
+func (p *Coordinator) DescriptorQuota() int { return p.room }
 
-// After reports whether a process started later runs beside this one, and whether one is ready to take over.
-func (p *Place) After() (linked, ready bool) {
+// Successor reports whether a process started later runs beside this one, and whether one is ready to take over.
+func (p *Coordinator) Successor() (linked, ready bool) {
 	for _, k := range p.after {
 		linked, ready = linked || k.lent > 0, ready || k.ready
 	}
 	return linked, ready
 }
 
-// LentRoom is what all of those may hold.
-func (p *Place) LentRoom() (n int) {
+// GrantedQuota is what all of those may hold.
+func (p *Coordinator) GrantedQuota() (n int) {
 	for _, k := range p.after {
 		n += k.lent
 	}
@@ -325,27 +325,27 @@
 }
 
 // Ready tells the process before that this one takes clients.
-func (p *Place) Ready() {
+func (p *Coordinator) Ready() {
 	if p.before != nil {
 		p.before.conn.Write(line{Kind: "ready"}.bytes())
 		p.before.tellRoom("free")
 	}
 }
 
-// LendMore raises what the newest process may hold to what leaves none of total unused beside own.
-func (p *Place) LendMore(total, own int) {
+// RaiseQuota raises what the newest process may hold to what leaves none of total unused beside own.
+func (p *Coordinator) RaiseQuota(total, own int) {
 	if len(p.after) == 0 {
 		return
 	}
 	k := p.after[len(p.after)-1]
-	if n := total - own - (p.LentRoom() - k.lent); k.lent > 0 && n > k.lent {
+	if n := total - own - (p.GrantedQuota() - k.lent); k.lent > 0 && n > k.lent {
 		k.lent = n
 		k.conn.Write(line{Kind: "room", Room: n}.bytes())
 	}
 }
 
 // Close leaves the place: nobody finds this process any more. The links stay.
-func (p *Place) Close() {
+func (p *Coordinator) Close() {
 	p.closed = true
 	if p.door != nil {
 		p.door.Close()
@@ -354,7 +354,7 @@
 
 // link is the connection to one other process.
 type link struct {
-	place *Place
+	place *Coordinator
 	conn  *loop.Conn
 	later bool // it was started after this one
 	in    []byte
@@ -430,8 +430,8 @@
 
 // lend answers a hello.
 func (k *link) lend() {
-	what := k.place.o.Lend()
-	m := line{Kind: "lent", Version: version, Discovery: what.Discovery, List: &what.List, Room: what.Room}
+	what := k.place.o.Grant()
+	m := line{Kind: "lent", Version: version, Discovery: what.Discovery, List: &what.List, Room: what.DescriptorQuota}
 	if k.carries {
 		m.Carry = carryForm
 		if len(what.Learned) <= mostLearned {
@@ -448,12 +448,12 @@
 	if what.Datagrams >= 0 {
 		m.Datagrams, rights = true, append(rights, what.Datagrams)
 	}
-	k.lent = max(1, what.Room)
+	k.lent = max(1, what.DescriptorQuota)
 	if err := k.conn.SendDescriptors(m.bytes(), rights...); err != nil {
 		k.drop(err)
 		return
 	}
-	zap.L().Info("handover_lent", zap.Int("sockets", len(rights)), zap.Int("hosts", len(what.List.Servers)), zap.Int("descriptors", what.Room))
+	zap.L().Info("handover_lent", zap.Int("sockets", len(rights)), zap.Int("hosts", len(what.List.Servers)), zap.Int("descriptors", what.DescriptorQuota))
 	k.place.o.Changed()
 }
 
@@ -483,7 +483,7 @@
 	for i, o := range p.after {
 		if o == k {
 			p.after = append(p.after[:i:i], p.after[i+1:]...)
-			if linked, _ := p.After(); k.lent > 0 && !linked { // it had taken the path; without it nobody would be found there
+			if linked, _ := p.Successor(); k.lent > 0 && !linked { // it had taken the path; without it nobody would be found there
 				p.open()
 			}
 			break
--- a/internal/operate/handover/handover_test.go
+++ b/internal/operate/handover/handover_test.go
@@ -64,55 +64,55 @@
 		t.Fatal(err)
 	}
 	l, on := run(t)
-	var old *Place
+	var old *Coordinator
 	on(func() {
-		old = Open(Options{Loop: l, Path: path, Changed: func() {}, Lend: func() Lent {
-			return Lent{Sockets: map[string]int{"127.0.0.1:3000": int(file.Fd())}, Datagrams: -1, Discovery: "d", List: *hosts, Room: 100}
+		old = NewCoordinator(Options{Loop: l, Path: path, Changed: func() {}, Grant: func() Grant {
+			return Grant{Sockets: map[string]int{"127.0.0.1:3000": int(file.Fd())}, Datagrams: -1, Discovery: "d", List: *hosts, DescriptorQuota: 100}
 		}}, nil)
 	})
-	lent, err := Ask(path, time.Now().Add(20*time.Second))
+	lent, err := RequestGrant(path, time.Now().Add(20*time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if lent.Room != 100 || lent.Discovery != "d" || lent.List.Version != 7 || len(lent.List.Servers) != 1 || lent.Datagrams != -1 {
+	if lent.DescriptorQuota != 100 || lent.Discovery != "d" || lent.List.Version != 7 || len(lent.List.Servers) != 1 || lent.Datagrams != -1 {
 		t.Errorf("lent %+v", lent)
 	}
 	if sa, err := unix.Getsockname(lent.Sockets["127.0.0.1:3000"]); err != nil || sa.(*unix.SockaddrInet4).Port != socket.Addr().(*net.TCPAddr).Port {
 		t.Error("not the socket that was lent", err)
 	}
 	l2, on2 := run(t)
-	var next *Place
+	var next *Coordinator
 	changes := 0
 	on2(func() {
-		next = Open(Options{Loop: l2, Path: path, Changed: func() { changes++ }, Lend: func() Lent { return Lent{Datagrams: -1, Room: 1} }}, lent)
+		next = NewCoordinator(Options{Loop: l2, Path: path, Changed: func() { changes++ }, Grant: func() Grant { return Grant{Datagrams: -1, DescriptorQuota: 1} }}, lent)
 	})
 	on(func() {
-		if linked, ready := old.After(); !linked || ready || old.LentRoom() != 100 {
-			t.Errorf("linked %v, ready %v, room %d", linked, ready, old.LentRoom())
+		if linked, ready := old.Successor(); !linked || ready || old.GrantedQuota() != 100 {
+			t.Errorf("linked %v, ready %v, room %d", linked, ready, old.GrantedQuota())
 		}
-		old.LendMore(400, 320) // less than it has: nothing
-		old.LendMore(400, 250)
+		old.RaiseQuota(400, 320) // less than it has: nothing
+		old.RaiseQuota(400, 250)
 	})
 	on2(func() { next.Ready() })
-	until(t, on, "ready", func() bool { _, ready := old.After(); return ready })
-	until(t, on2, "more room", func() bool { return next.Room() == 150 })
+	until(t, on, "ready", func() bool { _, ready := old.Successor(); return ready })
+	until(t, on2, "more room", func() bool { return next.DescriptorQuota() == 150 })
 	// A third one finds the second, and is gone at once.
-	third, err := Ask(path, time.Now().Add(20*time.Second))
-	if err != nil || third.Room != 1 {
+	third, err := RequestGrant(path, time.Now().Add(20*time.Second))
+	if err != nil || third.DescriptorQuota != 1 {
 		t.Fatal(err)
 	}
-	until(t, on2, "a third", func() bool { linked, _ := next.After(); return linked })
+	until(t, on2, "a third", func() bool { linked, _ := next.Successor(); return linked })
 	unix.Close(third.fd)
-	until(t, on2, "its end", func() bool { linked, _ := next.After(); return !linked && next.LentRoom() == 0 })
+	until(t, on2, "its end", func() bool { linked, _ := next.Successor(); return !linked && next.GrantedQuota() == 0 })
 	// The second one ends: the first one is found again.
 	on2(func() { next.before.conn.Abort(); next.Close() })
-	until(t, on, "the end of the second", func() bool { linked, _ := old.After(); return !linked && old.LentRoom() == 0 })
-	if again, err := Ask(path, time.Now().Add(20*time.Second)); err != nil || again.Room != 100 {
+	until(t, on, "the end of the second", func() bool { linked, _ := old.Successor(); return !linked && old.GrantedQuota() == 0 })
+	if again, err := RequestGrant(path, time.Now().Add(20*time.Second)); err != nil || again.DescriptorQuota != 100 {
 		t.Fatal(err)
 	}
 	// One that leaves is found no more.
 	on(func() { old.Close() })
-	if _, err := Ask(path, time.Now().Add(20*time.Second)); err == nil {
+	if _, err := RequestGrant(path, time.Now().Add(20*time.Second)); err == nil {
 		t.Error("a process that leaves was found")
 	}
 }
@@ -132,11 +132,11 @@
 		}
 		l, on := run(t)
 		on(func() {
-			Open(Options{Loop: l, Path: path, Changed: func() {}, Lend: func() Lent {
-				return Lent{Datagrams: -1, Discovery: "d", List: list, Room: 100, Learned: make([]byte, c.learned)}
+			NewCoordinator(Options{Loop: l, Path: path, Changed: func() {}, Grant: func() Grant {
+				return Grant{Datagrams: -1, Discovery: "d", List: list, DescriptorQuota: 100, Learned: make([]byte, c.learned)}
 			}}, nil)
 		})
-		lent, err := Ask(path, time.Now().Add(20*time.Second))
+		lent, err := RequestGrant(path, time.Now().Add(20*time.Second))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -182,7 +182,7 @@
 		"a bad list":      serve(`{"kind":"lent","version":1,"list":{"servers":[{"id":"x","state":"?"}]}}`+"\n", false),
 		"no line":         serve(strings.Repeat("x", mostLine+1), false),
 	} {
-		if _, err := Ask(path, time.Now().Add(300*time.Millisecond)); err == nil {
+		if _, err := RequestGrant(path, time.Now().Add(300*time.Millisecond)); err == nil {
 			t.Errorf("%s was taken for a process of this node", name)
 		}
 	}
@@ -192,9 +192,9 @@
 	// And strangers that come to a place: they go, and take nobody's.
 	l, on := run(t)
 	path := Path(t.TempDir(), "127.0.0.1:3000")
-	var p *Place
+	var p *Coordinator
 	on(func() {
-		p = Open(Options{Loop: l, Path: path, Changed: func() {}, Lend: func() Lent { return Lent{Datagrams: -1, Room: 5} }}, nil)
+		p = NewCoordinator(Options{Loop: l, Path: path, Changed: func() {}, Grant: func() Grant { return Grant{Datagrams: -1, DescriptorQuota: 5} }}, nil)
 	})
 	for _, say := range []string{"GET / HTTP/1.1\r\n\r\n", `{"kind":"hello","version":9}` + "\n", `{"kind":"ready"}` + "\n",
 		`{"kind":"hello","version":1}` + "\n" + `{"kind":"hello","version":1}` + "\n", strings.Repeat("x", mostLater+1), ""} {
@@ -222,7 +222,7 @@
 	f.Fuzz(func(t *testing.T, first []byte, rights int) {
 		fds := make([]int, max(0, min(rights, 20)))
 		l, err := parseLent(first, fds)
-		if err == nil && (l.Room < 0 || len(l.Sockets)+min(1, l.Datagrams+1) != len(fds)) {
+		if err == nil && (l.DescriptorQuota < 0 || len(l.Sockets)+min(1, l.Datagrams+1) != len(fds)) {
 			t.Errorf("%+v of %d descriptors", l, len(fds))
 		}
 	})
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -21,7 +21,7 @@
 			r.Retried("request", outcome)
 		}
 	}
-	for i, why := range []Reason{Stopping, NoDescriptor, NoPolicy, IDInUse, HostLost, PastDeadline, Unreachable, LostByModule, UnsafeToRefuse} {
+	for i, why := range []Reason{Stopping, NoDescriptor, NoPolicy, IDInUse, HostLost, PastDeadline, Unreachable, LostByModule, UnsafeToReject} {
 		for range 31 + i {
 			r.Answered("request", i%2 == 0, why)
 		}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -26,7 +26,7 @@
 	PastDeadline   Reason = "past_deadline"
 	Unreachable    Reason = "standing_host_unreachable"
 	LostByModule   Reason = "lost_by_module"
-	UnsafeToRefuse Reason = "unsafe_to_refuse"
+	UnsafeToReject Reason = "unsafe_to_refuse"
 )
 
 // Close is why a client's connection ended.
--- a/internal/transport/admit/admit.go
+++ b/internal/transport/admit/admit.go
@@ -36,7 +36,7 @@
 type Verdict int
 
 const (
-	Welcome    Verdict = iota
+	Admitted   Verdict = iota
 	KeptOut            // its network is denied
 	TooMany            // streams of its peer or its domain
 	TooFast            // new streams
@@ -121,7 +121,7 @@
 	case l.Rate > 0 && c.tokens < 1:
 		return TooFast
 	}
-	return Welcome
+	return Admitted
 }
 
 func (c *count) fill(now time.Time, l Limits) {
@@ -139,27 +139,27 @@
 	c.streams, c.waiting, c.tokens = c.streams+1, c.waiting+1, max(0, c.tokens-1)
 }
 
-// Door keeps count of who has what.
-type Door struct {
-	rules    Rules
-	networks *Networks
-	peers    map[netip.Prefix]*count
-	others   count // of all that have no place in peers
-	domains  map[string]*count
-	limits   map[string]Limits // by domain
-	swept    int               // peers left by the last sweep
-	Turned   [TooWaiting + 1]int
+// Controller keeps count of who has what.
+type Controller struct {
+	rules      Rules
+	networks   *Networks
+	peers      map[netip.Prefix]*count
+	others     count // of all that have no place in peers
+	domains    map[string]*count
+	limits     map[string]Limits // by domain
+	swept      int               // peers left by the last sweep
+	Rejections [TooWaiting + 1]int
 }
 
-// NewDoor makes a door.
-func NewDoor(r Rules, n *Networks, domains map[string]Limits) *Door {
-	d := &Door{peers: map[netip.Prefix]*count{}, domains: map[string]*count{}}
+// NewController makes a door.
+func NewController(r Rules, n *Networks, domains map[string]Limits) *Controller {
+	d := &Controller{peers: map[netip.Prefix]*count{}, domains: map[string]*count{}}
 	d.Adapt(r, n, domains)
 	return d
 }
 
 // Adapt has other rules and networks hold for streams that come from now on. What stands is counted on.
-func (d *Door) Adapt(r Rules, n *Networks, domains map[string]Limits) {
+func (d *Controller) Adapt(r Rules, n *Networks, domains map[string]Limits) {
 	if r.Bits4 == 0 {
 		r.Bits4 = 32
 	}
@@ -171,7 +171,7 @@
 }
 
 // Peers counts those that are told apart now.
-func (d *Door) Peers() int { return len(d.peers) }
+func (d *Controller) Peers() int { return len(d.peers) }
 
 // Stream is one that was let in. Its methods may be called in any order and more than once.
 type Stream struct {
@@ -180,30 +180,30 @@
 	over         bool
 }
 
-// Come decides on a new stream.
-func (d *Door) Come(now time.Time, from netip.Addr) (*Stream, Verdict) {
+// Admit decides on a new stream.
+func (d *Controller) Admit(now time.Time, from netip.Addr) (*Stream, Verdict) {
 	from = from.Unmap().WithZone("")
 	free, listed := d.networks.find(from)
 	if listed && !free {
-		d.Turned[KeptOut]++
+		d.Rejections[KeptOut]++
 		return nil, KeptOut
 	}
 	s := &Stream{waits: true}
 	if listed || !d.rules.Peer.any() || !from.IsValid() {
-		return s, Welcome
+		return s, Admitted
 	}
 	c := d.count(now, from)
-	if v := c.may(now, d.rules.Peer); v != Welcome {
-		d.Turned[v]++
+	if v := c.may(now, d.rules.Peer); v != Admitted {
+		d.Rejections[v]++
 		return nil, v
 	}
 	c.comes()
 	s.peer = c
-	return s, Welcome
+	return s, Admitted
 }
 
-// Stood counts a stream that another process let in.
-func (d *Door) Stood(now time.Time, from netip.Addr, domain string) *Stream {
+// Restore counts a stream that another process let in.
+func (d *Controller) Restore(now time.Time, from netip.Addr, domain string) *Stream {
 	s := &Stream{}
 	from = from.Unmap().WithZone("")
 	if _, listed := d.networks.find(from); !listed && d.rules.Peer.any() && from.IsValid() {
@@ -220,7 +220,7 @@
 }
 
 // count is a peer's; one that finds no place shares one with all others that don't.
-func (d *Door) count(now time.Time, from netip.Addr) *count {
+func (d *Controller) count(now time.Time, from netip.Addr) *count {
 	bits := d.rules.Bits6
 	if from.Is4() {
 		bits = d.rules.Bits4
@@ -242,7 +242,7 @@
 
 // sweep takes out the peers that are as ones never seen. It walks over all, so it is not done again before a part of them can
 // have gone.
-func (d *Door) sweep(now time.Time) bool {
+func (d *Controller) sweep(now time.Time) bool {
 	if d.swept > 0 {
 		d.swept--
 		return false
@@ -256,7 +256,7 @@
 	return len(d.peers) < d.rules.Most
 }
 
-func (d *Door) of(domain string) *count {
+func (d *Controller) of(domain string) *count {
 	c := d.domains[domain]
 	if c == nil {
 		c = &count{}
@@ -265,26 +265,26 @@
 	return c
 }
 
-// For decides whether a stream that was let in may be for a domain, which its header has told now.
-func (d *Door) For(now time.Time, s *Stream, domain string) Verdict {
+// AdmitToDomain decides whether a stream that was let in may be for a domain, which its header has told now.
+func (d *Controller) AdmitToDomain(now time.Time, s *Stream, domain string) Verdict {
 	l := d.limits[domain]
 	if !l.any() || s == nil || s.domain != nil || s.over {
-		return Welcome
+		return Admitted
 	}
 	c := d.of(domain)
-	if v := c.may(now, l); v != Welcome {
-		d.Turned[v]++
+	if v := c.may(now, l); v != Admitted {
+		d.Rejections[v]++
 		return v
 	}
 	c.comes()
 	if s.domain = c; !s.waits {
 		c.waiting--
 	}
-	return Welcome
+	return Admitted
 }
 
-// Known says that a stream's client has authenticated.
-func (s *Stream) Known() {
+// Authenticated says that a stream's client has authenticated.
+func (s *Stream) Authenticated() {
 	if s != nil && s.waits && !s.over {
 		s.unwait()
 	}
@@ -299,8 +299,8 @@
 	}
 }
 
-// Gone says that a stream has ended.
-func (s *Stream) Gone() {
+// Close says that a stream has ended.
+func (s *Stream) Close() {
 	if s == nil || s.over {
 		return
 	}
--- a/internal/transport/admit/admit_test.go
+++ b/internal/transport/admit/admit_test.go
@@ -17,7 +17,7 @@
 		peer := Limits{Streams: rapid.IntRange(0, 4).Draw(t, "streams"), Waiting: rapid.IntRange(0, 3).Draw(t, "waiting"),
 			Rate: float64(rapid.IntRange(0, 3).Draw(t, "rate")), Burst: rapid.IntRange(0, 3).Draw(t, "burst")}
 		domain := Limits{Streams: rapid.IntRange(0, 6).Draw(t, "of a domain"), Waiting: rapid.IntRange(0, 4).Draw(t, "waiting there")}
-		d := NewDoor(Rules{Peer: peer, Most: 100}, nil, map[string]Limits{"d": domain})
+		d := NewController(Rules{Peer: peer, Most: 100}, nil, map[string]Limits{"d": domain})
 		type live struct {
 			s      *Stream
 			peer   int
@@ -45,12 +45,12 @@
 			case 0, 1:
 				n := rapid.IntRange(1, 4).Draw(t, "peer")
 				streams, waiting := tally(n, false)
-				s, v := d.Come(now, netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}))
+				s, v := d.Admit(now, netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}))
 				over := peer.Streams > 0 && streams >= peer.Streams || peer.Waiting > 0 && waiting >= peer.Waiting
-				if v == Welcome && over || v != Welcome && !over && peer.Rate == 0 {
+				if v == Admitted && over || v != Admitted && !over && peer.Rate == 0 {
 					t.Fatalf("%v with %d streams, %d waiting, limits %+v", v, streams, waiting, peer)
 				}
-				if v != Welcome {
+				if v != Admitted {
 					continue
 				}
 				came[n] = append(came[n], now)
@@ -65,33 +65,33 @@
 				streams, waiting = tally(0, true)
 				all = append(all, l)
 				over = domain.Streams > 0 && streams >= domain.Streams || domain.Waiting > 0 && waiting >= domain.Waiting
-				if v := d.For(now, s, "d"); (v != Welcome) != over {
+				if v := d.AdmitToDomain(now, s, "d"); (v != Admitted) != over {
 					t.Fatalf("domain: %v with %d streams, %d waiting, limits %+v", v, streams, waiting, domain)
 				} else {
-					l.in = v == Welcome
+					l.in = v == Admitted
 				}
-				if d.For(now, s, "other") != Welcome {
+				if d.AdmitToDomain(now, s, "other") != Admitted {
 					t.Fatal("a domain without limits")
 				}
 			case 2:
 				if len(all) > 0 {
 					l := all[rapid.IntRange(0, len(all)-1).Draw(t, "known")]
-					l.s.Known()
-					l.s.Known()
+					l.s.Authenticated()
+					l.s.Authenticated()
 					l.waits = false
 				}
 			case 3:
 				if len(all) > 0 {
 					i := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
-					all[i].s.Gone()
-					all[i].s.Gone()
-					all[i].s.Known()
+					all[i].s.Close()
+					all[i].s.Close()
+					all[i].s.Authenticated()
 					all = append(all[:i:i], all[i+1:]...)
 				}
 			}
 		}
 		for _, l := range all {
-			l.s.Gone()
+			l.s.Close()
 		}
 		for p, c := range d.peers {
 			if c.streams != 0 || c.waiting != 0 {
@@ -110,14 +110,14 @@
 // one keeps its own count, and once the flood is over there is room again.
 func TestFlood(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	d := NewDoor(Rules{Peer: Limits{Streams: 3, Rate: 1, Burst: 3}, Most: 50}, nil, nil)
-	known, v := d.Come(now, netip.MustParseAddr("192.0.2.1"))
-	if v != Welcome {
+	d := NewController(Rules{Peer: Limits{Streams: 3, Rate: 1, Burst: 3}, Most: 50}, nil, nil)
+	known, v := d.Admit(now, netip.MustParseAddr("192.0.2.1"))
+	if v != Admitted {
 		t.Fatal(v)
 	}
 	var in []*Stream
 	for i := range 5000 {
-		if s, v := d.Come(now, netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)})); v == Welcome {
+		if s, v := d.Admit(now, netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)})); v == Admitted {
 			in = append(in, s)
 		}
 	}
@@ -125,29 +125,29 @@
 		t.Errorf("%d peers, %d let in", d.Peers(), len(in))
 	}
 	for range 2 {
-		if _, v := d.Come(now, netip.MustParseAddr("192.0.2.1")); v != Welcome {
+		if _, v := d.Admit(now, netip.MustParseAddr("192.0.2.1")); v != Admitted {
 			t.Error("the one that was known: ", v)
 		}
 	}
-	known.Gone()
+	known.Close()
 	for _, s := range in {
-		s.Gone()
+		s.Close()
 	}
 	now = now.Add(time.Minute)
 	for i := range 45 {
-		if _, v := d.Come(now, netip.AddrFrom4([4]byte{10, 2, 0, byte(i)})); v != Welcome && i > 20 {
+		if _, v := d.Admit(now, netip.AddrFrom4([4]byte{10, 2, 0, byte(i)})); v != Admitted && i > 20 {
 			t.Fatalf("network %d after the flood: %v", i, v)
 		}
 	}
 	// An address of IPv6 costs nothing: its network is the peer. One of IPv4 in IPv6 is IPv4's.
-	d = NewDoor(Rules{Peer: Limits{Streams: 1}, Most: 50}, nil, nil)
+	d = NewController(Rules{Peer: Limits{Streams: 1}, Most: 50}, nil, nil)
 	for text, want := range map[string]bool{"2001:db8::1": true, "2001:db8:0:1::1": true, "192.0.2.7": true} {
-		if _, v := d.Come(now, netip.MustParseAddr(text)); (v == Welcome) != want {
+		if _, v := d.Admit(now, netip.MustParseAddr(text)); (v == Admitted) != want {
 			t.Errorf("%s: %v", text, v)
 		}
 	}
 	for _, text := range []string{"2001:db8::2", "2001:db8::1%eth0", "::ffff:192.0.2.7"} {
-		if _, v := d.Come(now, netip.MustParseAddr(text)); v != TooMany {
+		if _, v := d.Admit(now, netip.MustParseAddr(text)); v != TooMany {
 			t.Errorf("%s beside another of its network: %v", text, v)
 		}
 	}
@@ -162,19 +162,19 @@
 	if err := n.Read("allow", []byte("10.1.0.0/16\n"), true); err != nil {
 		t.Fatal(err)
 	}
-	d := NewDoor(Rules{Peer: Limits{Streams: 1}, Most: 9}, n, nil)
+	d := NewController(Rules{Peer: Limits{Streams: 1}, Most: 9}, n, nil)
 	now := time.Unix(1e9, 0)
-	for text, want := range map[string]Verdict{"10.0.0.1": KeptOut, "10.1.2.3": Welcome, "192.0.2.9": KeptOut, "192.0.2.8": Welcome,
+	for text, want := range map[string]Verdict{"10.0.0.1": KeptOut, "10.1.2.3": Admitted, "192.0.2.9": KeptOut, "192.0.2.8": Admitted,
 		"2001:db8::5": KeptOut, "198.51.100.7": KeptOut, "::ffff:10.0.0.1": KeptOut} {
 		for range 2 {
-			_, v := d.Come(now, netip.MustParseAddr(text))
+			_, v := d.Admit(now, netip.MustParseAddr(text))
 			if v != want && !(text == "192.0.2.8" && v == TooMany) {
 				t.Errorf("%s: %v", text, v)
 			}
 		}
 	}
-	if d.Turned[KeptOut] != 10 || d.Turned[TooMany] != 1 {
-		t.Errorf("counted: %v", d.Turned)
+	if d.Rejections[KeptOut] != 10 || d.Rejections[TooMany] != 1 {
+		t.Errorf("counted: %v", d.Rejections)
 	}
 	for _, bad := range []string{"10.0.0.0/33", "farm.example", "10.0.0", "::ffff:0:0/90", "fe80::1%eth0"} {
 		if err := (&Networks{}).Read("deny", []byte("# one\n"+bad+"\n"), false); err == nil || !strings.HasPrefix(err.Error(), "deny:2: ") {
@@ -196,10 +196,10 @@
 	if err := n.Read("deny", []byte(list.String()), false); err != nil || n.Len() != 100000 {
 		b.Fatal(n.Len(), err)
 	}
-	d := NewDoor(Rules{Peer: Limits{Streams: 1000000, Rate: 1e9}, Most: 100000}, n, nil)
+	d := NewController(Rules{Peer: Limits{Streams: 1000000, Rate: 1e9}, Most: 100000}, n, nil)
 	now := time.Unix(1e9, 0)
 	for i := range b.N {
-		s, _ := d.Come(now, netip.AddrFrom4([4]byte{byte(10 + i&7), byte(i >> 9), byte(i >> 3), 1}))
-		s.Gone()
+		s, _ := d.Admit(now, netip.AddrFrom4([4]byte{byte(10 + i&7), byte(i >> 9), byte(i >> 3), 1}))
+		s.Close()
 	}
 }
--- a/internal/xmpp/carry.go
+++ b/internal/xmpp/carry.go
@@ -179,7 +179,7 @@
 		s.stands(*st.Resumes)
 	}
 	s.raw = f.loop.Restore(fds[0], st.Conn, s)
-	s.conn, s.guest = s.raw, f.door.Stood(f.loop.Now(), s.raw.Peer, f.named(s.domain()))
+	s.conn, s.guest = s.raw, f.door.Restore(f.loop.Now(), s.raw.Peer, f.named(s.domain()))
 	if len(st.Conn.Out) == 0 { // no side waits for what is with the kernel already
 		h.conn.Resume()
 	}
@@ -192,7 +192,7 @@
 	f.Answers.Sessions++
 	s := &session{front: f, in: f.scanner(st.In), headerDue: true}
 	s.raw = f.loop.Restore(fd, st.Conn, s)
-	s.conn, s.guest = s.raw, f.door.Stood(f.loop.Now(), s.raw.Peer, "")
+	s.conn, s.guest = s.raw, f.door.Restore(f.loop.Now(), s.raw.Peer, "")
 	s.raw.EnterIdleQueue()
 	s.due(loop.TimeFromLeft(f.loop.Now(), st.Left, st.Until, f.limits.HeaderTime))
 }
--- a/internal/xmpp/host.go
+++ b/internal/xmpp/host.go
@@ -90,7 +90,7 @@
 			s.in.restart, h.in.restart = true, true
 		}
 		if h.top.name == "success" {
-			s.guest.Known()
+			s.guest.Authenticated()
 		}
 	}
 	if h.top.name == "error" && t.kind == start && t.depth == 3 && local(t.name) != "text" {
--- a/internal/xmpp/secure.go
+++ b/internal/xmpp/secure.go
@@ -29,7 +29,7 @@
 }
 
 // Turned counts the streams that were turned away, by verdict.
-func (f *Front) Turned() [admit.TooWaiting + 1]int { return f.door.Turned }
+func (f *Front) Turned() [admit.TooWaiting + 1]int { return f.door.Rejections }
 
 // turnAway tells a client that it is not let in, and why.
 func (s *session) turnAway(v admit.Verdict) {
