--- a/choice/choice.go
+++ b/choice/choice.go
@@ -50,16 +50,16 @@
 	rateMemory   = 10 * time.Second       // arrivals: long against gaps between them, short against a day
 )
 
-// ask asks discovery again, early enough for Rules.AskWithin after some failures, nodes not all at once.
+// ask asks discovery again, early enough for Rules.MaxPollInterval after some failures, nodes not all at once.
 func (b *Balancer) ask() {
 	b.asks++
-	wait := min(b.set.Rules.AskWithin/4, 250*time.Millisecond<<min(b.asks, 5))
+	wait := min(b.set.Rules.MaxPollInterval/4, 250*time.Millisecond<<min(b.asks, 5))
 	after := time.Duration((0.5 + b.rng.Float64()) * float64(wait))
 	b.out = append(b.out, SetTimer{Token: "ask", After: after})
 }
 
 func (b *Balancer) list(e ServerList) {
-	if e.Kind == ListLost {
+	if e.Kind == ListUnavailable {
 		b.ask()
 		return
 	}
@@ -107,9 +107,9 @@
 		num, den = num+k.num+prior*first/b.unit, den+k.den+prior
 	}
 	all := num / den
-	b.keeps = b.set.Limits.MayTell && b.set.Limits.MayProbe && b.set.Reports != NoReports &&
+	b.keeps = b.set.Limits.PeerMessages && b.set.Limits.HealthChecks && b.set.Reports != NoReports &&
 		first*float64(len(b.silent)) > 1 && b.plan == nil &&
-		b.set.Tariffs.Peer*(questionBytes+answerBytes)/256 <= b.set.Tariffs.Probe
+		b.set.Costs.PeerMessage*(questionBytes+answerBytes)/256 <= b.set.Costs.HealthCheck
 	b.bases, b.coldBudgets = 0, 0
 	for _, s := range b.servers {
 		k := costPrior * b.unit * float64(b.set.Nodes)
@@ -182,7 +182,7 @@
 		s.errSum = clamp(s.errSum*0.9+kI*err*tick.Seconds()*0.1, -windup, windup)
 		s.trim = s.errSum + kD*(s.prevErr-err)*tick.Seconds()
 		s.prevErr = err
-		if age := b.now - s.reportAt; !b.set.TellsDelay && s.told > 0 && s.State == Ready &&
+		if age := b.now - s.reportAt; !b.set.DelaysObserved && s.told > 0 && s.State == Ready &&
 			(age > patrolAfter || s.report > crowded-2*spill && age > tick/2) {
 			if !b.keeps { // guards connections whose server filled up later, where nobody tells of that
 				b.probe(s)
@@ -204,7 +204,7 @@
 	diff := kP*relative(b.predict(s)+s.cost*load, avg) + s.trim
 	w := s.base * b.warm(s) * clamp(1-gain*diff, floorShare, topShare)
 	if b.warm(s) < 1 && !b.keeps { // leave that the usual draws would let lapse is taken first
-		w *= clamp(1/(b.usualRate(s)*2*b.set.Rules.FallTime.Seconds()), 1, 1000)
+		w *= clamp(1/(b.usualRate(s)*2*b.set.Rules.OverloadTime.Seconds()), 1, 1000)
 	}
 	return w
 }
@@ -218,7 +218,7 @@
 	s.strikes++
 }
 
-func (b *Balancer) delayed(e DelayNote) {
+func (b *Balancer) delayed(e DelayObservation) {
 	s := b.find(e.Server)
 	if s == nil || b.minAim == 0 || e.Took <= 0 {
 		return
@@ -237,10 +237,10 @@
 	// Exception to "connections stay put": one whose messages all miss their aim earns nothing where it is.
 	// Some ask the server for a report first, and only the excess over what it can do is moved.
 	r, chance := b.reqs[e.ID], moveChance
-	if b.set.Grouped { // who leaves its group makes one more server pay for it
+	if b.set.GroupAffinity { // who leaves its group makes one more server pay for it
 		chance /= 2
 	}
-	if r != nil && r.open && r.on == s && e.Took > r.class.MessageAim && b.rng.Float64() < chance {
+	if r != nil && r.open && r.on == s && e.Took > r.class.MessageObjective && b.rng.Float64() < chance {
 		s.mover = r
 		b.probe(s)
 	}
@@ -248,13 +248,13 @@
 
 // worth is what a request is worth for its load; the gate lets through more of what is worth more.
 func (b *Balancer) worth(r *request) float64 {
-	w := max(r.class.Worth, 1e-3)
-	if !b.set.WorthByWork {
+	w := max(r.class.Priority, 1e-3)
+	if !b.set.PriorityPerWork {
 		w *= b.unit / r.load
 	}
 	if t := r.Tenant; t >= 0 && t < len(b.held) && b.set.Tenants[t].Connections > 0 &&
 		float64(b.held[t]*b.all) > b.set.Tenants[t].Connections {
-		w *= max(b.set.OverQuotaWorth, 1e-3)
+		w *= max(b.set.OverQuotaPriority, 1e-3)
 	}
 	b.meanWorth += (w - b.meanWorth) / 50
 	return w
@@ -263,7 +263,7 @@
 // admitted is the part of a class that is let in: what the plan has room for, else what the gate leaves.
 func (b *Balancer) admitted(r *request) float64 {
 	if b.plan != nil {
-		return b.plan.Admit[r.Class]
+		return b.plan.AdmitFraction[r.Class]
 	}
 	admitted := math.Pow(b.gate, b.meanWorth/b.worth(r))
 	if b.set.Reports == NoReports {
@@ -280,8 +280,8 @@
 		b.out = append(b.out, Fail{q.ID, UnknownClass})
 		return
 	}
-	r := &request{Request: q, load: b.loadOf(q), bind: b.bindOf(q), deadline: b.now + q.Left,
-		class: &b.set.Classes[q.Class], most: b.set.Limits.Attempts}
+	r := &request{Request: q, load: b.loadOf(q), bind: b.bindOf(q), deadline: b.now + q.TimeLeft,
+		class: &b.set.Classes[q.Class], most: b.set.Limits.MaxAttempts}
 	b.reqs[q.ID] = r
 	if len(b.servers) > 0 && !q.MidFlow && !b.keeps && b.rng.Float64() > b.admitted(r) {
 		if s := b.servers[b.rng.IntN(len(b.servers))]; s.State == Ready && b.rng.Float64() < peek {
@@ -291,15 +291,15 @@
 		b.answer(r, Overloaded)
 		return
 	}
-	b.out = append(b.out, SetTimer{"end " + string(q.ID), max(0, q.Left-2*b.set.Round), q.ID})
+	b.out = append(b.out, SetTimer{"end " + string(q.ID), max(0, q.TimeLeft-2*b.set.RoundTrip), q.ID})
 	b.place(r)
 }
 
 // eligible says whether a request may go to a server at all: drains, repeats, cold servers.
 func (b *Balancer) eligible(r *request, s *server) bool {
 	c := r.class
-	if r.may != nil && c.Repeat == Keyed && (b.now >= r.mayBy ||
-		c.Scope != ScopeAll && s.Zone != r.may.Zone || c.Scope == ScopeCell && s.Cell != r.may.Cell) {
+	if r.may != nil && c.Idempotency == IdempotentByKey && (b.now >= r.mayBy ||
+		c.IdempotencyScope != ScopeAll && s.Zone != r.may.Zone || c.IdempotencyScope == ScopeCell && s.Cell != r.may.Cell) {
 		return false
 	}
 	return s.State == Ready && !slices.Contains(r.tried, s) && (r.zone == "" || s.Zone == r.zone) &&
@@ -343,7 +343,7 @@
 		return true
 	}
 	i := slices.IndexFunc(b.plan.Grants, func(g Grant) bool {
-		return !slices.Contains(g.Except, r.Class) && !slices.Contains(r.shut, g.Zone) &&
+		return !slices.Contains(g.ExcludedClasses, r.Class) && !slices.Contains(r.shut, g.Zone) &&
 			b.under(g)+r.load <= g.Load
 	})
 	if i >= 0 {
@@ -354,7 +354,7 @@
 
 // place samples the table for a request, the draw being among these, and probes what is not fresh.
 func (b *Balancer) place(r *request) {
-	if s := b.find(r.Home); s != nil && b.now >= s.badUntil && b.eligible(r, s) &&
+	if s := b.find(r.StickyServer); s != nil && b.now >= s.badUntil && b.eligible(r, s) &&
 		(!b.keeps || b.warm(s) == 1) { // resumes there; what a cold one bears its keeper alone knows
 		b.send(r, s)
 		return
@@ -363,7 +363,7 @@
 		b.consult(r)
 		return
 	}
-	n := int(clamp(math.Round(probeSpend/max(b.set.Tariffs.Probe, 1e-9)), 2, 4))
+	n := int(clamp(math.Round(probeSpend/max(b.set.Costs.HealthCheck, 1e-9)), 2, 4))
 	if r.bind != 0 { // its next servers only
 		n = b.spread(r)
 		if r.Returned && b.slowMessages { // from a server that is full, and which one it was is not told
@@ -377,7 +377,7 @@
 		}
 	}
 	r.waiting, r.rounds, r.wide = 0, r.rounds+1, r.bind != 0 && n > 1
-	hold := r.class.SetupAim / holdShare
+	hold := r.class.SetupObjective / holdShare
 	for _, s := range r.picks {
 		if b.set.Reports == NoReports || r.deadline-b.now < 3*hold || s.known && b.now-s.reportAt < freshFor {
 			continue
@@ -394,7 +394,7 @@
 	b.out = append(b.out, SetTimer{"hold " + string(r.ID), hold, r.ID})
 }
 
-func (b *Balancer) probed(e ProbeResult) {
+func (b *Balancer) probed(e HealthCheckResult) {
 	s := b.find(e.Server)
 	if s == nil {
 		return
@@ -403,10 +403,10 @@
 	if e.Outcome == Served {
 		s.strikes = 0
 		b.observe(s, e.Report)
-	} else if s.State == Ready && e.Outcome != Moot { // never sent: that says nothing of the server
+	} else if s.State == Ready && e.Outcome != NeverSent { // never sent: that says nothing of the server
 		b.strike(s)
 	}
-	if !b.set.TellsDelay && e.Outcome == Served && !b.keeps {
+	if !b.set.DelaysObserved && e.Outcome == Served && !b.keeps {
 		b.relieve(s)
 	}
 	waiting := s.questions
@@ -416,7 +416,7 @@
 	}
 	excess := 1 - crowded/s.report
 	if r := s.mover; r != nil && r.open && r.on == s && (e.Outcome != Served || b.rng.Float64() < excess) {
-		b.out = append(b.out, Move{r.ID})
+		b.out = append(b.out, Migrate{r.ID})
 	}
 	s.mover = nil
 	for _, r := range slices.Clone(b.waits) {
@@ -526,7 +526,7 @@
 func (b *Balancer) move(s *server, part float64) {
 	all := b.openOn(s)
 	for _, r := range all[:min(len(all), int(part*float64(len(all))+b.rng.Float64()))] {
-		b.out = append(b.out, Move{r.ID})
+		b.out = append(b.out, Migrate{r.ID})
 	}
 }
 
@@ -570,8 +570,8 @@
 
 func (b *Balancer) send(r *request, s *server) {
 	left := r.deadline - b.now
-	limit := left - b.set.Round
-	if aim := r.class.SetupAim; r.attempts+1 < r.most && left > 2*aim {
+	limit := left - b.set.RoundTrip
+	if aim := r.class.SetupObjective; r.attempts+1 < r.most && left > 2*aim {
 		limit = min(limit, max(aim, left/2)) // leave time for another server
 	}
 	if limit <= 0 {
@@ -589,7 +589,7 @@
 			b.coldLeave -= r.load / b.unit
 		}
 	}
-	b.out = append(b.out, Send{r.ID, s.ID, limit, r.mayBy})
+	b.out = append(b.out, StartAttempt{r.ID, s.ID, limit, r.mayBy})
 }
 
 // ended closes an attempt; a request without an answer goes to another server while rules and time allow.
@@ -619,17 +619,17 @@
 		return
 	}
 	if !e.Outcome.NeverRan() && r.may == nil {
-		r.may, r.mayBy = s, r.class.forgets(r.sentAt)-2*b.set.Round
+		r.may, r.mayBy = s, r.class.forgets(r.sentAt)-2*b.set.RoundTrip
 	}
 	r.tried = append(r.tried, s)
 	switch {
-	case r.may != nil && r.class.Repeat == Unsafe:
+	case r.may != nil && r.class.Idempotency == NotIdempotent:
 		b.answer(r, MayHaveRun)
 		return
 	case r.attempts >= r.most:
 		b.answer(r, AttemptsUsed)
 		return
-	case r.deadline-b.now <= 4*b.set.Round:
+	case r.deadline-b.now <= 4*b.set.RoundTrip:
 		b.answer(r, TimeShort)
 		return
 	}
@@ -640,20 +640,20 @@
 func (b *Balancer) answer(r *request, why Reason) {
 	c := r.class
 	b.refused = append(b.refused, r.Class)
-	if r.on == nil && r.may == nil || c.Repeat == Safe || c.Repeat == Keyed && c.Scope == ScopeAll {
+	if r.on == nil && r.may == nil || c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll {
 		after := time.Duration(0)
-		if b.set.Reports == NoReports && b.set.Limits.RetryAdvice && r.attempts == 0 && b.bases > 0 {
-			after = time.Duration((0.25 + 0.75*b.rng.Float64()) * float64(b.set.Limits.MaxRetryAdvice))
+		if b.set.Reports == NoReports && b.set.Limits.RetryAfter && r.attempts == 0 && b.bases > 0 {
+			after = time.Duration((0.25 + 0.75*b.rng.Float64()) * float64(b.set.Limits.MaxRetryAfter))
 		}
 		if b.plan != nil && r.attempts == 0 { // by then it may be another plan; spread, against waves
-			after = time.Duration((0.5 + b.rng.Float64()) * float64(b.plan.ComeAgain))
+			after = time.Duration((0.5 + b.rng.Float64()) * float64(b.plan.RetryAfter))
 		}
-		b.out = append(b.out, Refuse{r.ID, after, why})
+		b.out = append(b.out, Reject{r.ID, after, why})
 	} else {
 		b.out = append(b.out, Fail{r.ID, why})
 	}
-	if r.on != nil && b.set.Limits.MayCancel {
-		b.out = append(b.out, Cancel{r.ID, r.attempts - 1})
+	if r.on != nil && b.set.Limits.Cancellation {
+		b.out = append(b.out, CancelAttempt{r.ID, r.attempts - 1})
 	}
 	b.forget(r)
 }
--- a/choice/drawn_faults_test.go
+++ b/choice/drawn_faults_test.go
@@ -10,14 +10,14 @@
 
 // smallSettings are those of one node that may do all, with one safe class.
 func smallSettings(nodes int) choice.Settings {
-	f := coldFleet{nodes: nodes, reports: choice.ProbeReports, peers: true, rules: shortWarmUp, told: true}
+	f := coldFleet{nodes: nodes, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp, told: true}
 	s := f.settings()
-	s.Limits.RetryAdvice, s.Limits.MaxRetryAdvice = true, time.Second
+	s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, time.Second
 	return s
 }
 
 func smallFleet(zones int) choice.ServerList {
-	l := choice.ServerList{Kind: choice.ListWhole}
+	l := choice.ServerList{Kind: choice.ListFull}
 	for i := range 6 {
 		l.Servers = append(l.Servers, choice.Server{ID: choice.ServerID(fmt.Sprint("h", i)), Zone: fmt.Sprint("z", i%zones), Size: 1})
 	}
@@ -31,13 +31,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(simulationStart, []choice.Event{smallFleet(2), choice.ZonePlan{Grants: []choice.Grant{}, ComeAgain: s.Limits.MaxRetryAdvice}})
+	b.Step(simulationStart, []choice.Event{smallFleet(2), choice.ZonePlan{Grants: []choice.Grant{}, RetryAfter: s.Limits.MaxRetryAfter}})
 	advised := 0
 	for i := range 100 {
-		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1, Left: time.Second}}) {
-			if a, ok := a.(choice.Refuse); ok && a.After > 0 {
-				if advised++; a.After > s.Limits.MaxRetryAdvice {
-					t.Fatalf("advice of %v; clients heed at most %v", a.After, s.Limits.MaxRetryAdvice)
+		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1, TimeLeft: time.Second}}) {
+			if a, ok := a.(choice.Reject); ok && a.RetryAfter > 0 {
+				if advised++; a.RetryAfter > s.Limits.MaxRetryAfter {
+					t.Fatalf("advice of %v; clients heed at most %v", a.RetryAfter, s.Limits.MaxRetryAfter)
 				}
 			}
 		}
@@ -55,11 +55,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		actions := b.Step(simulationStart, []choice.Event{smallFleet(2), choice.Request{ID: "r", Tenant: -1, Left: time.Second}})
+		actions := b.Step(simulationStart, []choice.Event{smallFleet(2), choice.Request{ID: "r", Tenant: -1, TimeLeft: time.Second}})
 		var answers []choice.Event
 		for _, a := range actions {
-			if a, ok := a.(choice.Probe); ok {
-				answers = append(answers, choice.ProbeResult{Server: a.Server, Report: []float64{0.3, 0.3}})
+			if a, ok := a.(choice.HealthCheck); ok {
+				answers = append(answers, choice.HealthCheckResult{Server: a.Server, Report: []float64{0.3, 0.3}})
 			}
 		}
 		if len(answers) > 0 {
@@ -68,7 +68,7 @@
 		later := b.Step(simulationStart+time.Millisecond, append([]choice.Event{
 			choice.ZonePlan{Grants: []choice.Grant{{Zone: "z0", Load: 100}}}}, answers...))
 		for _, a := range later {
-			if a, ok := a.(choice.Send); ok && a.Server != "h0" && a.Server != "h2" && a.Server != "h4" {
+			if a, ok := a.(choice.StartAttempt); ok && a.Server != "h0" && a.Server != "h2" && a.Server != "h4" {
 				t.Fatalf("seed %d: sent to %s, outside the zone of the plan", seed, a.Server)
 			}
 		}
@@ -91,13 +91,13 @@
 	sent := 0
 	for i := range 60 {
 		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1,
-			Left: time.Second, Home: "h2"}}) {
-			if a, ok := a.(choice.Send); ok && a.Server == "h2" {
+			TimeLeft: time.Second, StickyServer: "h2"}}) {
+			if a, ok := a.(choice.StartAttempt); ok && a.Server == "h2" {
 				sent++
 			}
 		}
 	}
-	if most := withSlack(bears(shortWarmUp, 1, shortWarmUp.FallTime)); float64(sent) > most {
+	if most := withSlack(bears(shortWarmUp, 1, shortWarmUp.OverloadTime)); float64(sent) > most {
 		t.Errorf("one of 30 nodes sends %d connections to a cold host at once; all together may send %.1f", sent, most)
 	}
 }
@@ -107,7 +107,7 @@
 	var sum coldFigures
 	const seeds = 12
 	for seed := range uint64(seeds) {
-		f := coldFleet{name: fmt.Sprint("seed ", seed), nodes: 30, hosts: 24, reports: choice.ProbeReports, peers: true, rules: shortWarmUp,
+		f := coldFleet{name: fmt.Sprint("seed ", seed), nodes: 30, hosts: 24, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp,
 			skew: 4, told: true, burst: 4, seed: seed}
 		sum.add(f.play(t), seeds)
 	}
@@ -119,7 +119,7 @@
 
 // TestColdHostsOfManyNodesDoNotStarve has 300 nodes without keepers: their cold hosts get a tenth of an even spread at least.
 func TestColdHostsOfManyNodesDoNotStarve(t *testing.T) {
-	for _, reports := range []choice.Channel{choice.NoReports, choice.ProbeReports} {
+	for _, reports := range []choice.ReportSource{choice.NoReports, choice.HealthCheckReports} {
 		var sum coldFigures
 		const seeds = 4
 		for seed := range uint64(seeds) {
--- a/choice/estimate_test.go
+++ b/choice/estimate_test.go
@@ -8,12 +8,12 @@
 
 // silentSettings are those of a deployment whose hosts report nothing and whose nodes don't talk.
 func silentSettings(nodes int) Settings {
-	return Settings{Nodes: nodes, Grouped: true, Sizes: NominalSize, TellsDelay: true, Round: 4 * time.Millisecond,
+	return Settings{Nodes: nodes, GroupAffinity: true, Sizes: NominalSize, DelaysObserved: true, RoundTrip: 4 * time.Millisecond,
 		Classes: []Class{
-			{Name: "watch", SetupAim: time.Second, Deadline: 5 * time.Second, MessageAim: 150 * time.Millisecond, Worth: 5},
-			{Name: "pay", SetupAim: time.Second, Deadline: 5 * time.Second, MessageAim: 250 * time.Millisecond, Worth: 15}},
-		Limits: Limits{Attempts: 4, MayProbe: true, RetryAdvice: true, MaxRetryAdvice: 2 * time.Second},
-		Rules:  Rules{ColdShare: 0.14, WarmUp: 20 * time.Second, FallMultiple: 2.5, FallTime: 1500 * time.Millisecond}}
+			{Name: "watch", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 150 * time.Millisecond, Priority: 5},
+			{Name: "pay", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 250 * time.Millisecond, Priority: 15}},
+		Limits: Limits{MaxAttempts: 4, HealthChecks: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
+		Rules:  Rules{SlowStartFraction: 0.14, WarmUp: 20 * time.Second, OverloadMultiple: 2.5, OverloadTime: 1500 * time.Millisecond}}
 }
 
 // silentNode is one node of it, with a fleet of equal warm hosts.
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := ServerList{Kind: ListWhole}
+	list := ServerList{Kind: ListFull}
 	for i := range hosts {
 		list.Servers = append(list.Servers, Server{ID: ServerID(fmt.Sprint("h", i)), Kind: "k", Size: 2})
 	}
@@ -33,8 +33,8 @@
 
 // connect places a request and has its connection stand; it returns the host, or "" where the request was refused.
 func connect(b *Balancer, now time.Duration, id RequestID, class int, group uint64, returned bool) ServerID {
-	for _, a := range b.Step(now, []Event{Request{ID: id, Class: class, Tenant: -1, Group: group, Left: 5 * time.Second, Returned: returned}}) {
-		if a, ok := a.(Send); ok {
+	for _, a := range b.Step(now, []Event{Request{ID: id, Class: class, Tenant: -1, Group: group, TimeLeft: 5 * time.Second, Returned: returned}}) {
+		if a, ok := a.(StartAttempt); ok {
 			b.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
 			return a.Server
 		}
@@ -55,7 +55,7 @@
 		before += s.cost * s.told
 	}
 	for i := range 10 { // half of the connections tell their load: those of the second class are nine times as heavy
-		b.Step(now, []Event{LoadNote{ID: RequestID(fmt.Sprint(i)), Load: []float64{0.02, 0.18}[i%2]}})
+		b.Step(now, []Event{LoadUpdate{ID: RequestID(fmt.Sprint(i)), Load: []float64{0.02, 0.18}[i%2]}})
 	}
 	told := 0.0
 	for _, s := range b.servers {
@@ -79,7 +79,7 @@
 // Where servers report, told loads leave the unit alone: costs, and what keepers lend, are learned in it.
 func TestToldLoadsLeaveTheUnitWhereServersReport(t *testing.T) {
 	set := silentSettings(3)
-	set.Reports, set.Fields = ProbeReports, []Field{Utilization, Load}
+	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Utilization, Load}
 	b, err := New(set, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
@@ -101,8 +101,8 @@
 	s, moved := b.find(home), 0
 	for i := range 5 {
 		now += time.Second
-		for _, a := range b.Step(now, []Event{DelayNote{ID: "0", Server: home, Took: 900 * time.Millisecond}, TimerFired{Token: "tick"}}) {
-			if a, ok := a.(Move); ok {
+		for _, a := range b.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 900 * time.Millisecond}, TimerFired{Token: "tick"}}) {
+			if a, ok := a.(Migrate); ok {
 				moved++
 				b.Step(now, []Event{AttemptEnded{ID: a.ID, Server: home, Outcome: Cancelled, Final: true}})
 			}
@@ -120,7 +120,7 @@
 	quiet := b.predict(s)
 	for range 20 { // it is over: once more when messages are quick again
 		now += time.Second
-		b.Step(now, []Event{DelayNote{ID: "0", Server: home, Took: 5 * time.Millisecond}, TimerFired{Token: "tick"}})
+		b.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 5 * time.Millisecond}, TimerFired{Token: "tick"}})
 	}
 	if b.predict(s) >= quiet || b.predict(s) > crowded {
 		t.Errorf("with quick messages again it is predicted at %.2f, %.2f before", b.predict(s), quiet)
@@ -183,7 +183,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Step(time.Hour, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "large", Size: 4}, {ID: "small", Size: 1}, {ID: "mid", Size: 2}}}})
+			b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "large", Size: 4}, {ID: "small", Size: 1}, {ID: "mid", Size: 2}}}})
 			seen[connect(b, time.Hour, "r", 0, group+1, false)] = true
 			if node == 0 {
 				for id := range seen {
@@ -208,16 +208,16 @@
 	for i := range 300 { // a storm: each connection is dropped 200 ms after it came up
 		now += 10 * time.Millisecond
 		id := RequestID(fmt.Sprint(i))
-		for _, a := range b.Step(now, []Event{Request{ID: id, Tenant: -1, Group: uint64(1 + i%5), Left: 5 * time.Second, Returned: true}}) {
+		for _, a := range b.Step(now, []Event{Request{ID: id, Tenant: -1, Group: uint64(1 + i%5), TimeLeft: 5 * time.Second, Returned: true}}) {
 			switch a := a.(type) {
-			case Send:
+			case StartAttempt:
 				placed++
 				b.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
 				b.Step(now+200*time.Millisecond, []Event{AttemptEnded{ID: id, Server: a.Server, Outcome: Reset, Final: true}})
-			case Refuse:
+			case Reject:
 				refused++
-				if advice[a.After] = true; a.After <= 0 || a.After > 2*time.Second {
-					t.Fatalf("advice of %v where clients heed 2 s", a.After)
+				if advice[a.RetryAfter] = true; a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
+					t.Fatalf("advice of %v where clients heed 2 s", a.RetryAfter)
 				}
 			}
 		}
@@ -244,12 +244,12 @@
 // On a deployment that reports, none of this is in the way: no throttle, no advice of the module's own.
 func TestThrottleIsForSilentHostsOnly(t *testing.T) {
 	set := silentSettings(3)
-	set.Reports, set.Fields = ProbeReports, []Field{Load}
+	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Load}
 	b, err := New(set, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(time.Hour, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Size: 1}}}})
+	b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Size: 1}}}})
 	for range 50 {
 		b.throttle.add(b.now, 1, 0)
 	}
--- a/choice/failures_test.go
+++ b/choice/failures_test.go
@@ -12,7 +12,7 @@
 func (f *referee) place(id string, group uint64, load func(ServerID) float64) ServerID {
 	f.t.Helper()
 	f.now += ms(1)
-	f.step(Request{ID: RequestID(id), Left: ms(1800), Tenant: -1, Group: group})
+	f.step(Request{ID: RequestID(id), TimeLeft: ms(1800), Tenant: -1, Group: group})
 	f.answerProbes(load)
 	if got := f.sends(); len(got) == 1 {
 		return got[0]
@@ -37,7 +37,7 @@
 	f.step(Established{ID: "a", Attempt: 0, Server: to})
 	for i := range 60 {
 		f.run(time.Duration(i+1) * time.Second)
-		f.step(DelayNote{ID: "a", Server: to, Took: ms(900)})
+		f.step(DelayObservation{ID: "a", Server: to, Took: ms(900)})
 	}
 	if f.b.avg > 0.51 {
 		t.Fatalf("average %.2f, all reports said 0.5", f.b.avg)
@@ -95,7 +95,7 @@
 
 func TestNodesAgreeOnAGroupsServerAndSpillWhenItIsCrowded(t *testing.T) {
 	s := plain()
-	s.Grouped = true
+	s.GroupAffinity = true
 	homes := map[uint64]ServerID{}
 	for node := range 6 {
 		f := newReferee(t, s, uint64(50+node))
@@ -131,11 +131,11 @@
 		f.step(Established{ID: "a", Attempt: 0, Server: to})
 		for range 40 {
 			f.now += ms(100)
-			f.step(DelayNote{ID: "a", Server: to, Took: ms(500)})
+			f.step(DelayObservation{ID: "a", Server: to, Took: ms(500)})
 			if len(f.last) > 0 {
-				f.step(ProbeResult{Server: to, Outcome: outcome, Report: []float64{load, 5}})
+				f.step(HealthCheckResult{Server: to, Outcome: outcome, Report: []float64{load, 5}})
 				for _, a := range f.last {
-					if _, ok := a.(Move); ok {
+					if _, ok := a.(Migrate); ok {
 						n++
 					}
 				}
@@ -166,16 +166,16 @@
 // On a full fleet what is worth more for its load gets through more often, and a tenant over its quota less.
 func TestGatePassesByWorthAndQuota(t *testing.T) {
 	s := plain()
-	s.WorthByWork, s.OverQuotaWorth = true, 0.05
+	s.PriorityPerWork, s.OverQuotaPriority = true, 0.05
 	s.Classes = append(s.Classes, s.Classes[0])
-	s.Classes[0].Worth, s.Classes[1].Worth = 1, 5
+	s.Classes[0].Priority, s.Classes[1].Priority = 1, 5
 	s.Tenants = []Tenant{{Name: "in", Connections: 1e6}, {Name: "over", Connections: 1}}
 	f := newReferee(t, s, 8)
 	f.step(fleet(10))
 	for i := range 100 { // learn what requests are worth, and put the second tenant over its quota
 		id := RequestID(fmt.Sprint("warm", i))
 		f.now += ms(10)
-		f.step(Request{ID: id, Left: ms(1800), Class: i % 2, Tenant: i % 4 / 2})
+		f.step(Request{ID: id, TimeLeft: ms(1800), Class: i % 2, Tenant: i % 4 / 2})
 		f.answerProbes(level(0.5))
 		if to := f.sends(); len(to) == 1 {
 			f.step(Established{ID: id, Attempt: 0, Server: to[0]})
@@ -186,7 +186,7 @@
 		f.b.gate = 0.3
 		class, tenant := i%2, i%4/2
 		id := RequestID(fmt.Sprint(i))
-		f.step(Request{ID: id, Left: ms(1800), Class: class, Tenant: tenant})
+		f.step(Request{ID: id, TimeLeft: ms(1800), Class: class, Tenant: tenant})
 		if !f.reqs[id].done {
 			pass[[2]int{class, tenant}]++
 		}
@@ -204,12 +204,12 @@
 func TestGateSeesOwnClientsOnFullServers(t *testing.T) {
 	f := newReferee(t, plain(), 12)
 	f.step(fleet(20))
-	var open []DelayNote
+	var open []DelayObservation
 	for i := range 20 {
 		id := RequestID(fmt.Sprint("c", i))
 		if to := f.place(string(id), 0, level(0.6)); to != "" {
 			f.step(Established{ID: id, Attempt: 0, Server: to})
-			open = append(open, DelayNote{ID: id, Server: to, Took: ms(900)})
+			open = append(open, DelayObservation{ID: id, Server: to, Took: ms(900)})
 		}
 	}
 	for range 8 {
@@ -218,7 +218,7 @@
 			f.step(n)
 		}
 		f.run(f.now + ms(500))
-		f.step(ProbeResult{Server: "s019", Report: []float64{0.4, 10}})
+		f.step(HealthCheckResult{Server: "s019", Report: []float64{0.4, 10}})
 	}
 	if f.b.gate > 0.3 {
 		t.Errorf("gate at %.2f with all own clients on servers that answer in 900 ms, and reports of 0.4", f.b.gate)
@@ -228,14 +228,14 @@
 // An open connection whose packets come to another node is no new load: the gate lets it by, to the same server.
 func TestMidFlowGoesWhereOtherNodesSendIt(t *testing.T) {
 	s := plain()
-	s.PassThru = true
+	s.PacketPassThrough = true
 	for key := uint64(1); key < 20; key++ {
 		homes := map[ServerID]bool{}
 		for node := range 4 {
 			f := newReferee(t, s, uint64(node))
 			f.step(fleet(12))
 			f.b.gate = 0.01
-			f.step(Request{ID: "r", Left: ms(1800), Tenant: -1, Key: key, MidFlow: true})
+			f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1, Key: key, MidFlow: true})
 			f.answerProbes(level(0.4))
 			for _, to := range f.sends() {
 				homes[to] = true
@@ -251,18 +251,18 @@
 // is all that tells of a full one, and its clients come again at once. Where they report, the report decides; and an end that the
 // server announced, or one that its client made, says nothing anywhere.
 func TestShedding(t *testing.T) {
-	for _, reports := range []Channel{NoReports, ProbeReports} {
+	for _, reports := range []ReportSource{NoReports, HealthCheckReports} {
 		for _, o := range []Outcome{Reset, Served, Cancelled} {
-			b, err := New(Settings{Nodes: 1, Reports: reports, Fields: []Field{Load}, Limits: Limits{Attempts: 4},
-				Classes: []Class{{SetupAim: time.Second, Deadline: 4 * time.Second, Worth: 1}}}, 1, time.Hour)
+			b, err := New(Settings{Nodes: 1, Reports: reports, ReportFields: []ReportField{Load}, Limits: Limits{MaxAttempts: 4},
+				Classes: []Class{{SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}}, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
-			acts := b.Step(time.Hour, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Size: 1}, {ID: "b", Size: 1}, {ID: "c", Size: 1}}},
-				Request{ID: "1", Tenant: -1, Left: 4 * time.Second}})
+			acts := b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Size: 1}, {ID: "b", Size: 1}, {ID: "c", Size: 1}}},
+				Request{ID: "1", Tenant: -1, TimeLeft: 4 * time.Second}})
 			var on ServerID
 			for _, a := range acts {
-				if s, ok := a.(Send); ok {
+				if s, ok := a.(StartAttempt); ok {
 					on = s.Server
 				}
 			}
--- a/choice/golden_decisions_test.go
+++ b/choice/golden_decisions_test.go
@@ -64,23 +64,23 @@
 // actionText is an action in a form that does not depend on the names of types and fields.
 func actionText(a choice.Action) string {
 	switch a := a.(type) {
-	case choice.Send:
-		return fmt.Sprintf("send %s %s %d %d", a.ID, a.Server, a.Cap, a.By)
-	case choice.Refuse:
-		return fmt.Sprintf("refuse %s %d %d", a.ID, a.After, uint8(a.Reason))
+	case choice.StartAttempt:
+		return fmt.Sprintf("send %s %s %d %d", a.ID, a.Server, a.Timeout, a.SendBefore)
+	case choice.Reject:
+		return fmt.Sprintf("refuse %s %d %d", a.ID, a.RetryAfter, uint8(a.Reason))
 	case choice.Fail:
 		return fmt.Sprintf("fail %s %d", a.ID, uint8(a.Reason))
-	case choice.Cancel:
+	case choice.CancelAttempt:
 		return fmt.Sprintf("cancel %s %d", a.ID, a.Attempt)
-	case choice.Probe:
+	case choice.HealthCheck:
 		return fmt.Sprintf("probe %s", a.Server)
-	case choice.Move:
+	case choice.Migrate:
 		return fmt.Sprintf("move %s", a.ID)
 	case choice.SetTimer:
 		return fmt.Sprintf("timer %q %d %s", a.Token, a.After, a.For)
-	case choice.Follow:
+	case choice.WatchList:
 		return "follow"
-	case choice.Tell:
+	case choice.SendPeerMessage:
 		return fmt.Sprintf("tell %d %x", a.To, a.Data)
 	}
 	return fmt.Sprintf("an action that the record does not know: %T", a)
@@ -95,8 +95,8 @@
 
 // state takes in what a balancer has found out, and what it tells of zones. That resets its counts since the last call.
 func (r *recorder) state(now time.Duration, node int, b *choice.Balancer) {
-	l := b.Learned()
-	r.write("%d learned %d %d %d %d %s %d", node, l.Form, l.Hints, l.SumAt, l.RateAt, l.Meaning, l.Now)
+	l := b.LearnedState()
+	r.write("%d learned %d %d %d %d %s %d", node, l.Version, l.Hints, l.SumAt, l.RateAt, l.Meaning, l.Now)
 	r.bits(l.Unit, l.SumLoad, l.SumBase, l.Rate, l.Gate, l.Worth)
 	for _, k := range l.Kinds {
 		r.write("\nkind %s", k.Kind)
@@ -109,16 +109,16 @@
 		r.write(" %v", cold)
 		r.bits(rate)
 	}
-	news := b.News(now)
+	news := b.Observations(now)
 	for _, z := range news.Zones {
-		r.write("\nzone %s %d %d", z.Zone, z.Ready, z.Out)
-		r.bits(z.Warm, z.Load, z.Cost, z.Attempts, z.Failed)
-		r.bits(z.Held...)
+		r.write("\nzone %s %d %d", z.Zone, z.Ready, z.Ejected)
+		r.bits(z.Capacity, z.Load, z.Cost, z.Attempts, z.Failed)
+		r.bits(z.OwnLoad...)
 	}
 	for _, c := range news.Classes {
-		r.bits(c.Arrived, c.Refused)
+		r.bits(c.Arrived, c.Rejected)
 	}
-	r.write("\navoided %d dropped %d\n", b.Avoided(now), b.Dropped())
+	r.write("\navoided %d dropped %d\n", b.Excluded(now), b.DroppedPeerMessages())
 }
 
 // end takes in the state of all nodes of a simulation.
@@ -136,13 +136,13 @@
 	t.Helper()
 	for _, n := range w.nodes[:min(4, len(w.nodes))] {
 		s := w.settings
-		s.Node, s.Parts = n.number, 2
+		s.Node, s.Processes = n.number, 2
 		next, err := choice.New(s, seed+uint64(n.number)+1, w.now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		learned := n.balancer.Learned()
-		events := []choice.Event{choice.ServerList{Kind: choice.ListWhole, Servers: w.entries()}, choice.Inherited{Learned: learned}}
+		learned := n.balancer.LearnedState()
+		events := []choice.Event{choice.ServerList{Kind: choice.ListFull, Servers: w.entries()}, choice.LearnedStateReceived{LearnedState: learned}}
 		var ids []choice.RequestID
 		for id, request := range w.requests {
 			if request.node == n && request.standing() != nil && !request.over && !request.standing().settled {
@@ -154,23 +154,23 @@
 		for i, id := range ids {
 			request := w.requests[id]
 			class := request.class
-			events = append(events, choice.OpenConnection{Request: request.Request, Server: request.standing().host.ID, Was: &class,
-				Now: float64(i%3) * 0.75})
-			given = append(given, choice.HandedOver{ID: id})
+			events = append(events, choice.OpenConnection{Request: request.Request, Server: request.standing().host.ID, OriginalClass: &class,
+				CurrentLoad: float64(i%3) * 0.75})
+			given = append(given, choice.Transferred{ID: id})
 		}
 		r.step(w.now, n.number, next.Step(w.now, events))
 		r.step(w.now, n.number, n.balancer.Step(w.now, given))
 		r.state(w.now, n.number, n.balancer)
 		other := s
 		other.Classes = slices.Clone(s.Classes)
-		other.Classes[0].Worth *= 2
-		other.Limits.Attempts++
+		other.Classes[0].Priority *= 2
+		other.Limits.MaxAttempts++
 		later := w.now
 		r.play(&later, next, s, n.number, 0)
-		r.step(later, n.number, next.Step(later, []choice.Event{choice.NewSettings{Settings: other}}))
+		r.step(later, n.number, next.Step(later, []choice.Event{choice.SettingsChanged{Settings: other}}))
 		r.play(&later, next, other, n.number, 1)
-		other.WorthByWork = !other.WorthByWork // learned values mean something else from now on
-		r.step(later, n.number, next.Step(later, []choice.Event{choice.NewSettings{Settings: other}}))
+		other.PriorityPerWork = !other.PriorityPerWork // learned values mean something else from now on
+		r.step(later, n.number, next.Step(later, []choice.Event{choice.SettingsChanged{Settings: other}}))
 		r.play(&later, next, other, n.number, 2)
 		r.state(later, n.number, next)
 	}
@@ -180,7 +180,7 @@
 // play has some requests come to a balancer whose servers all set connections up, report a middling load, and leave now and then.
 func (r *recorder) play(now *time.Duration, b *choice.Balancer, s choice.Settings, node, round int) {
 	var events []choice.Event
-	report := make([]float64, len(s.Fields))
+	report := make([]float64, len(s.ReportFields))
 	for i := range 60 {
 		*now += 50 * time.Millisecond
 		if i%20 == 0 {
@@ -188,26 +188,26 @@
 		}
 		id := choice.RequestID(fmt.Sprintf("after-%d-%d", round, i))
 		events = append(events, choice.Request{ID: id, Class: i % len(s.Classes), Tenant: i%(len(s.Tenants)+1) - 1, Key: uint64(i) * 7919, Group: uint64(i % 4),
-			Left: time.Second, Returned: i%5 == 0})
+			TimeLeft: time.Second, Returned: i%5 == 0})
 		for range 4 {
 			actions := b.Step(*now, events)
 			r.step(*now, node, actions)
 			events = nil
 			for _, a := range actions {
 				switch a := a.(type) {
-				case choice.Send:
+				case choice.StartAttempt:
 					events = append(events, choice.Established{ID: a.ID, Server: a.Server, Took: time.Duration(20+i%7*i%13*20) * time.Millisecond})
 					if i%4 == 1 {
-						events = append(events, choice.DelayNote{ID: a.ID, Server: a.Server, Took: time.Duration(i*8) * time.Millisecond})
+						events = append(events, choice.DelayObservation{ID: a.ID, Server: a.Server, Took: time.Duration(i*8) * time.Millisecond})
 					}
 					if i%3 == 0 {
 						events = append(events, choice.AttemptEnded{ID: a.ID, Server: a.Server, Outcome: choice.Outcome(i / 3 % 8), Final: true})
 					}
-				case choice.Probe:
+				case choice.HealthCheck:
 					for f := range report {
 						report[f] = 0.2 + 0.6*float64((i+f)%10)/10
 					}
-					events = append(events, choice.ProbeResult{Server: a.Server, Outcome: choice.Served, Report: slices.Clone(report)})
+					events = append(events, choice.HealthCheckResult{Server: a.Server, Outcome: choice.Served, Report: slices.Clone(report)})
 				}
 			}
 		}
@@ -291,14 +291,14 @@
 func TestGoldenDecisionsOfAFleet(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		reports choice.Channel
+		reports choice.ReportSource
 		peers   bool
 		grouped bool
 		nodes   int
 	}{
-		{"fleet-peers", choice.ProbeReports, true, false, 40},
+		{"fleet-peers", choice.HealthCheckReports, true, false, 40},
 		{"fleet-peers-grouped", choice.AllReports, true, true, 40},
-		{"fleet-reports-grouped", choice.ProbeReports, false, true, 4},
+		{"fleet-reports-grouped", choice.HealthCheckReports, false, true, 4},
 		{"fleet-reports", choice.AllReports, false, false, 4},
 		{"fleet-silent", choice.NoReports, false, false, 4},
 		{"fleet-silent-grouped", choice.NoReports, false, true, 30},
--- a/choice/golden_test.go
+++ b/choice/golden_test.go
@@ -87,7 +87,7 @@
 
 // TestGoldenLearned pins what one process of a node tells the next one.
 func TestGoldenLearned(t *testing.T) {
-	checkGoldenCBOR(t, "learned", Learned{Form: 1, Unit: 2.5, Hints: 3, SumLoad: 4.25, SumBase: 5.125, SumAt: 6 * time.Second, Rate: 7.5,
+	checkGoldenCBOR(t, "learned", LearnedState{Version: 1, Unit: 2.5, Hints: 3, SumLoad: 4.25, SumBase: 5.125, SumAt: 6 * time.Second, Rate: 7.5,
 		RateAt: 8 * time.Second, Gate: 0.5, Worth: 10.5,
 		Kinds: []LearnedKind{{Kind: "k1", Num: 11.5, Den: 12.5, N: 13.5}, {Kind: "k2", Num: 14.5, Den: 15.5, N: 16.5}},
 		Servers: []LearnedServer{
@@ -102,14 +102,14 @@
 
 // TestGoldenClass pins the form of a class, which goes with each connection that another process takes over.
 func TestGoldenClass(t *testing.T) {
-	checkGoldenCBOR(t, "class", Class{Name: "pay", Former: true, SetupAim: 1 * time.Second, Deadline: 2 * time.Second,
-		MessageAim: 3 * time.Millisecond, Worth: 4.5, Repeat: Keyed, Scope: ScopeCell, Window: 5 * time.Second})
+	checkGoldenCBOR(t, "class", Class{Name: "pay", Removed: true, SetupObjective: 1 * time.Second, Deadline: 2 * time.Second,
+		MessageObjective: 3 * time.Millisecond, Priority: 4.5, Idempotency: IdempotentByKey, IdempotencyScope: ScopeCell, IdempotencyWindow: 5 * time.Second})
 }
 
 // TestGoldenServer pins the form of a server, which goes with each connection that another process takes over.
 func TestGoldenServer(t *testing.T) {
 	checkGoldenCBOR(t, "server", Server{ID: "s1", Zone: "z1", Kind: "k1", Cell: 6, State: Draining, Size: 7.5, Started: 8 * time.Second,
-		ColdSince: 9 * time.Second})
+		SlowStartSince: 9 * time.Second})
 }
 
 // TestGoldenMeaning pins the text by which a process knows whether learned values are of a deployment like its own.
@@ -119,10 +119,10 @@
 		want     string
 	}{
 		{Settings{}, "0 [] 0 false false"},
-		{Settings{Reports: ProbeReports, Sizes: NominalSize, WorthByWork: true,
-			Fields: []Field{OtherField, Load, PiledUp, InFlight, Queue, Utilization, Latency, Throughput, ErrorRate}},
+		{Settings{Reports: HealthCheckReports, Sizes: NominalSize, PriorityPerWork: true,
+			ReportFields: []ReportField{OtherField, Load, Backlog, InFlight, Queue, Utilization, Latency, Throughput, ErrorRate}},
 			"1 [0 1 2 3 4 5 6 7 8] 1 true false"},
-		{Settings{Reports: AllReports, Sizes: LiveSize, TellsDelay: true, Fields: []Field{Load}}, "2 [1] 2 false true"},
+		{Settings{Reports: AllReports, Sizes: LiveSize, DelaysObserved: true, ReportFields: []ReportField{Load}}, "2 [1] 2 false true"},
 	} {
 		if have := c.settings.meaning(); have != c.want {
 			t.Errorf("%+v means %q, want %q", c.settings, have, c.want)
@@ -136,7 +136,7 @@
 		outcome Outcome
 		name    string
 	}{{Served, "served"}, {Failed, "failed"}, {Full, "full"}, {TimedOut, "timed_out"}, {ConnectFailed, "connect_failed"},
-		{Reset, "reset"}, {Cancelled, "cancelled"}, {Moot, "moot"}} {
+		{Reset, "reset"}, {Cancelled, "cancelled"}, {NeverSent, "moot"}} {
 		if int(c.outcome) != i || c.outcome.String() != c.name {
 			t.Errorf("outcome %d is %d %q, want %q", i, c.outcome, c.outcome, c.name)
 		}
--- a/internal/edge/timers_test.go
+++ b/internal/edge/timers_test.go
@@ -16,13 +16,13 @@
 // patient is a core whose clients say that they wait for an hour, and the one host that it has.
 func patient(t *testing.T) (*world, *Core) {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1e9, 0)}
-	core, err := New(Options{Clock: w, Prober: w, Seed: 1, Settings: choice.Settings{Nodes: 1,
-		Classes: []choice.Class{{Name: "a", SetupAim: time.Second, Deadline: 4 * time.Second, Worth: 1}}, Limits: choice.Limits{Attempts: 3}}})
+	core, err := New(Options{Clock: w, HealthChecker: w, Seed: 1, Settings: choice.Settings{Nodes: 1,
+		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}, Limits: choice.Limits{MaxAttempts: 3}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.core = core
-	core.Start([]UpstreamHost{{Server: choice.Server{ID: "h", Size: 1}}})
+	core.Start([]ServerEntry{{Server: choice.Server{ID: "h", Size: 1}}})
 	return w, core
 }
 
@@ -69,7 +69,7 @@
 	a := &asker{}
 	core.Open(Spec{ID: "q", Tenant: -1, Deadline: core.o.Clock.Now().Add(time.Second)}, a).Gone()
 	core.Flush()
-	if a.tried || core.Held() > 0 || lines.Len() > 0 {
-		t.Errorf("tried %v, held %d, logged %v", a.tried, core.Held(), lines.All())
+	if a.tried || core.InFlight() > 0 || lines.Len() > 0 {
+		t.Errorf("tried %v, held %d, logged %v", a.tried, core.InFlight(), lines.All())
 	}
 }
--- a/internal/failover/agent/wire.go
+++ b/internal/failover/agent/wire.go
@@ -67,14 +67,14 @@
 	Age    int64    // microseconds since the one that leads was surely there; under 0: not known
 	Plan   uint64   // its newest plan then
 	Digest agree.Digest
-	Policy policy.Told
+	Policy policy.LeaderNotice
 }
 
 type ackBody struct {
 	_      struct{} `cbor:",toarray"`
 	Answer uint64
 	Digest agree.Digest
-	Policy policy.Told
+	Policy policy.LeaderNotice
 }
 
 type borrowBody struct {
@@ -147,7 +147,7 @@
 	return h, p[headBytes:end], nil
 }
 
-// OfVoters says whether a message is one of voters among themselves, for those who carry messages in a laboratory.
-func OfVoters(p []byte) bool { return len(p) > 1 && p[1] == byte(raftWord) }
+// IsConsensusMessage says whether a message is one of voters among themselves, for those who carry messages in a laboratory.
+func IsConsensusMessage(p []byte) bool { return len(p) > 1 && p[1] == byte(raftWord) }
 
 func micros(d time.Duration) uint64 { return uint64(d / time.Microsecond) }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -59,9 +59,9 @@
 	p.leaves = append(p.leaves, f.close)
 	p.closers = append(p.closers, f.close)
 	// Until there is word of a plan the node serves by its own zone alone.
-	core.Plan(failover.Use(failover.Alone, nil, 0, f.zone(), nil, 0, failover.Borrowed{}))
+	core.ApplyZonePlan(failover.ZonePlanFor(failover.Standalone, nil, 0, f.zone(), nil, 0, failover.LeasedCapacity{}))
 	if c.List.Policy != nil { // nor does it take anybody before it knows which policy is in force
-		core.Serve(edge.Lease{ComeAgain: time.Duration(c.ComeAgain), Told: f.told()})
+		core.UseLease(edge.Lease{RetryAfter: time.Duration(c.ComeAgain), OnDecision: f.told()})
 	}
 	f.open()
 }
@@ -103,7 +103,7 @@
 	var kept []agree.Record
 	if f.conf.Dir != "" {
 		f.store, kept, err = agree.OpenStore(f.conf.Dir)
-		if errors.Is(err, agree.ErrSpoilt) {
+		if errors.Is(err, agree.ErrCorrupt) {
 			zap.L().Error("fleet_files_spoilt", zap.Error(err), zap.String("what", "this node learns anew; as a voter it comes in as a new one"))
 		} else if err != nil {
 			f.again("fleet_files_not_opened", err)
@@ -115,7 +115,7 @@
 	rules.Classes = f.ruled()
 	l := f.conf.List.List
 	f.agent, err = agent.New(agent.Options{List: l, Self: l.Index(f.conf.Self), Key: f.conf.Secret, Rules: rules, Classes: names,
-		ComeAgain: time.Duration(f.conf.ComeAgain), Kept: kept, Seed: uint64(time.Now().UnixNano()), Log: say, Voter: f.newVoter,
+		RetryAfter: time.Duration(f.conf.ComeAgain), Records: kept, Seed: uint64(time.Now().UnixNano()), Log: say, Voter: f.newVoter,
 		Policy: f.policyOptions()}, f.now())
 	if err != nil {
 		f.again("fleet_not_begun", err)
@@ -141,11 +141,11 @@
 func (f *fleet) ruled() (all []failover.Class) {
 	_, classes := f.classes()
 	for _, c := range classes {
-		if !c.Former {
-			all = append(all, failover.Class{Name: c.Name, Worth: c.Worth, Stay: slices.Contains(f.conf.List.Plan.Stay, c.Name)})
+		if !c.Removed {
+			all = append(all, failover.Class{Name: c.Name, Priority: c.Priority, StayInRegion: slices.Contains(f.conf.List.Plan.Stay, c.Name)})
 		}
 	}
-	return all[:min(len(all), failover.MostClasses)]
+	return all[:min(len(all), failover.MaxClasses)]
 }
 
 func (f *fleet) tick() {
@@ -159,7 +159,7 @@
 	f.last = now
 	f.agent.Tick(f.now())
 	if f.agent.Wants(f.now()) {
-		f.agent.Tell(f.core.News(), f.now())
+		f.agent.Observe(f.core.Observations(), f.now())
 	}
 	f.pump()
 	f.tellAdmitted(now)
@@ -170,7 +170,7 @@
 func (f *fleet) adapt() {
 	if f.agent != nil {
 		names, _ := f.classes()
-		f.agent.Adapt(names)
+		f.agent.UpdateClasses(names)
 		f.pump()
 	}
 }
@@ -178,8 +178,8 @@
 // pump carries out what the agent has decided.
 func (f *fleet) pump() {
 	f.stand()
-	if plan, changed := f.agent.Use(); changed {
-		f.core.Plan(plan)
+	if plan, changed := f.agent.ZonePlan(); changed {
+		f.core.ApplyZonePlan(plan)
 	}
 	f.save()
 	for _, m := range f.agent.Out() {
@@ -204,7 +204,7 @@
 		return
 	}
 	if f.store == nil { // a node that keeps nothing; voters always have a store
-		f.agent.Kept(f.now())
+		f.agent.Persisted(f.now())
 		return
 	}
 	f.saving = true
@@ -235,7 +235,7 @@
 		})
 		return
 	}
-	f.agent.Kept(f.now())
+	f.agent.Persisted(f.now())
 	f.pump()
 }
 
--- a/internal/node/policy.go
+++ b/internal/node/policy.go
@@ -39,14 +39,14 @@
 	if f.conf.List.Policy == nil {
 		return nil
 	}
-	return &agent.Policy{Rules: f.conf.List.Policy.Rules(), Counts: f.core.Asked, Read: func(text []byte) (*policy.Document, error) {
+	return &agent.Policy{Rules: f.conf.List.Policy.Rules(), Counts: f.core.AnswerCounts, Read: func(text []byte) (*policy.Document, error) {
 		d, err := config.ReadPolicy("policy", text, f.conf.PolicyLevel)
 		if err != nil {
 			return nil, err
 		}
-		room := policy.Room{}
+		room := policy.NodeCapacity{}
 		if n := f.policy.program.platform; n != nil {
-			room = policy.Room{Descriptors: n.conf.Sockets, MemoryMB: n.conf.MemoryMB}
+			room = policy.NodeCapacity{Descriptors: n.conf.Sockets, MemoryMB: n.conf.MemoryMB}
 		}
 		if why := d.Fits(room); why != "" {
 			return nil, fmt.Errorf("policy: %s", why)
@@ -61,7 +61,7 @@
 		return
 	}
 	p := &f.policy
-	s, until := f.agent.Stands()
+	s, until := f.agent.ActivePolicy()
 	if s.Known && s.Number > 0 && s.Number == p.beyond {
 		s.Known = false
 	}
@@ -71,7 +71,7 @@
 			d, err := f.policyOptions().Read(s.Text)
 			if err != nil {
 				p.beyond, s.Known = s.Number, false
-				f.agent.Refuses(s.Number)
+				f.agent.RejectPolicy(s.Number)
 				zap.L().Error("fleet_policy_beyond_this_node", zap.Uint64("number", s.Number), zap.Error(err),
 					zap.String("what", "it takes nothing but classes with a ground, by the last policy that it could read"))
 			}
@@ -85,20 +85,20 @@
 	}
 	until = max(0, until)
 	ends := f.begin.Add(until)
-	lease := edge.Lease{Number: s.Number, Known: s.Known, Until: ends, Told: f.told(), ComeAgain: time.Duration(f.conf.ComeAgain)}
+	lease := edge.Lease{Number: s.Number, Known: s.Known, Expires: ends, OnDecision: f.told(), RetryAfter: time.Duration(f.conf.ComeAgain)}
 	if d := p.doc; d != nil {
-		lease.ComeAgain = d.ComeAgain
-		lease.Lapse = func() { f.overlay(true) }
-		lease.Ground = func(class int) bool {
+		lease.RetryAfter = d.RetryAfter
+		lease.OnExpiry = func() { f.overlay(true) }
+		lease.BasePolicy = func(class int) bool {
 			classes := f.core.Classes()
-			return class < len(classes) && slices.ContainsFunc(d.Classes, func(c policy.Class) bool { return c.Ground && c.Name == classes[class].Name })
+			return class < len(classes) && slices.ContainsFunc(d.Classes, func(c policy.Class) bool { return c.ServedByBase && c.Name == classes[class].Name })
 		}
 	}
 	live := s.Known && f.loop.Now().Before(ends)
 	if live && p.lapsed {
 		f.overlay(false)
 	}
-	f.core.Serve(lease)
+	f.core.UseLease(lease)
 	if live && p.program.waits {
 		p.program.waits = false
 		p.program.takesClients()
@@ -132,10 +132,10 @@
 		if j := slices.IndexFunc(old, func(o choice.Class) bool { return o.Name == k.Name }); j >= 0 {
 			c = old[j]
 		}
-		c.Former, c.SetupAim, c.Deadline, c.MessageAim, c.Worth = false, k.Aim, k.Patience, k.MessageAim, k.Worth
-		if ground && k.Ground {
-			c.Deadline = min(c.Deadline, d.Ground.Patience)
-			c.SetupAim = min(c.SetupAim, c.Deadline)
+		c.Removed, c.SetupObjective, c.Deadline, c.MessageObjective, c.Priority = false, k.SetupObjective, k.Deadline, k.MessageObjective, k.Priority
+		if ground && k.ServedByBase {
+			c.Deadline = min(c.Deadline, d.Base.Deadline)
+			c.SetupObjective = min(c.SetupObjective, c.Deadline)
 		}
 		s.Classes, s.ClassByName[k.Name] = append(s.Classes, c), i
 	}
@@ -151,11 +151,11 @@
 			s.Tenants, s.TenantByName[k.Name] = append(s.Tenants, t), i
 		}
 	}
-	s.Limits.Attempts = min(s.Limits.Attempts, d.Attempts)
-	if ground && d.Ground.Attempts > 0 {
-		s.Limits.Attempts = min(s.Limits.Attempts, d.Ground.Attempts)
+	s.Limits.MaxAttempts = min(s.Limits.MaxAttempts, d.Attempts)
+	if ground && d.Base.Attempts > 0 {
+		s.Limits.MaxAttempts = min(s.Limits.MaxAttempts, d.Base.Attempts)
 	}
-	s.OverQuotaWorth = d.OverShareWorth
+	s.OverQuotaPriority = d.OverQuotaPriority
 	return s
 }
 
@@ -167,7 +167,7 @@
 	if f.agent == nil || !f.policy.set {
 		return false
 	}
-	s, until := f.agent.Stands()
+	s, until := f.agent.ActivePolicy()
 	return s.Known && s.Number == f.policy.number && f.now() < until
 }
 
@@ -186,12 +186,12 @@
 		switch {
 		case j < 0:
 			return what("class "+name, "there", "none")
-		case c.Deadline != d.Classes[j].Patience:
-			return what("giveUpS of "+name, c.Deadline, d.Classes[j].Patience)
-		case c.SetupAim != d.Classes[j].Aim:
-			return what("aimS of "+name, c.SetupAim, d.Classes[j].Aim)
-		case c.Worth != d.Classes[j].Worth:
-			return what("value of "+name, c.Worth, d.Classes[j].Worth)
+		case c.Deadline != d.Classes[j].Deadline:
+			return what("giveUpS of "+name, c.Deadline, d.Classes[j].Deadline)
+		case c.SetupObjective != d.Classes[j].SetupObjective:
+			return what("aimS of "+name, c.SetupObjective, d.Classes[j].SetupObjective)
+		case c.Priority != d.Classes[j].Priority:
+			return what("value of "+name, c.Priority, d.Classes[j].Priority)
 		}
 	}
 	return ""
--- a/internal/xmpp/front.go
+++ b/internal/xmpp/front.go
@@ -50,7 +50,7 @@
 	shakes   *tls.Handshakes
 	keys     *tls.Keys                // nil: no listener has TLS
 	plus     map[choice.ServerID]bool // hosts that were told of: they offer what can't hold behind TLS
-	door     *admit.Door
+	door     *admit.Controller
 	sessions *sessions.Table
 	owners   map[sessions.Key]*session // of those that stand on a connection of this process
 }
@@ -71,7 +71,7 @@
 // New makes a front for the given domains; "*" stands for all that are not named.
 func New(l *loop.Loop, domains map[string]Domain, limits Limits, seed uint64) *Front {
 	return &Front{loop: l, domains: domains, limits: limits, ids: rand.New(rand.NewPCG(seed, 2)),
-		shakes: tls.NewHandshakes(l), plus: map[choice.ServerID]bool{}, door: admit.NewDoor(admit.Rules{}, nil, nil), sessions: sessions.New(limits.Resumable), owners: map[sessions.Key]*session{}}
+		shakes: tls.NewHandshakes(l), plus: map[choice.ServerID]bool{}, door: admit.NewController(admit.Rules{}, nil, nil), sessions: sessions.New(limits.Resumable), owners: map[sessions.Key]*session{}}
 }
 
 func (f *Front) domain(to string) (Domain, bool) {
@@ -121,14 +121,14 @@
 		return nil
 	}
 	now := f.loop.Now()
-	guest, verdict := f.door.Come(now, c.Peer)
+	guest, verdict := f.door.Admit(now, c.Peer)
 	if verdict == admit.KeptOut {
 		return nil
 	}
 	f.Answers.Sessions++
 	s := &session{front: f, conn: c, raw: c, guest: guest, in: scanner{most: f.limits.Stanza}, headerDue: true, clear: how == StartTLS}
 	s.due(now.Add(f.limits.HeaderTime))
-	if verdict != admit.Welcome { // in the clear also where TLS is due: a handshake would cost what the limit saves
+	if verdict != admit.Admitted { // in the clear also where TLS is due: a handshake would cost what the limit saves
 		f.loop.At(now, func() { s.turnAway(verdict) })
 		return s
 	}
@@ -161,15 +161,15 @@
 	s.until = by
 	s.stop = s.front.loop.At(by, func() {
 		s.stop = nil
-		s.raw.Hear() // it may lie in the socket
+		s.raw.ReadAvailable() // it may lie in the socket
 		if s.stop == nil && s.request == nil {
 			s.fail(connectionTimeout, "no stream header came in time")
 		}
 	})
 }
 
-// Leave answers a client whose connection is wanted for another one, before its header named a domain.
-func (s *session) Leave() { s.fail(resourceConstraint, "connect again") }
+// Evict answers a client whose connection is wanted for another one, before its header named a domain.
+func (s *session) Evict() { s.fail(resourceConstraint, "connect again") }
 
 // session is one client's connection.
 type session struct {
@@ -312,7 +312,7 @@
 		return ""
 	}
 	s.to = to
-	if v := s.front.door.For(s.front.loop.Now(), s.guest, s.front.named(s.domain())); v != admit.Welcome {
+	if v := s.front.door.AdmitToDomain(s.front.loop.Now(), s.guest, s.front.named(s.domain())); v != admit.Admitted {
 		s.turnAway(v)
 		return ""
 	}
@@ -320,14 +320,14 @@
 	s.cancelTimer()
 	s.deadline = s.front.loop.Now().Add(d.Patience)
 	id := choice.RequestID(strconv.FormatUint(s.front.ids.Uint64(), 16))
-	spec := edge.Spec{ID: id, Class: d.Class, Tenant: -1, Key: s.front.ids.Uint64(), Deadline: s.deadline, Home: s.home(d)}
+	spec := edge.Spec{ID: id, Class: d.Class, Tenant: -1, Key: s.front.ids.Uint64(), Deadline: s.deadline, StickyServer: s.home(d)}
 	if s.front.loop.Open()+2 > s.front.limits.MostOpen {
 		// Guards against running out of descriptors half way: a session taken needs one more for its host.
 		zap.L().Warn("connection_limit_refused", zap.String("front", "xmpp"))
-		d.Core.Refuse(spec, s, 0)
+		d.Core.Reject(spec, s, 0)
 		return ""
 	}
-	s.conn.Spoke()
+	s.conn.LeaveIdleQueue()
 	s.request = d.Core.Open(spec, s)
 	return ""
 }
@@ -362,7 +362,7 @@
 func (s *session) Attempt(a *edge.Attempt) edge.UpstreamRequest {
 	s.attempt = a
 	s.upstream = &upstreamRequest{session: s, attempt: a, in: scanner{most: s.front.limits.Stanza}}
-	s.upstream.conn = s.front.loop.Dial(a.Host.Addr, a.ConnectBy(), s.upstream)
+	s.upstream.conn = s.front.loop.Dial(a.Server.Addr, a.ConnectBy(), s.upstream)
 	return s.upstream
 }
 
@@ -370,27 +370,27 @@
 	condition condition
 	text      string
 }{
-	edge.Busy:         {resourceConstraint, "no server can take the session now"},
-	edge.ShuttingDown: {systemShutdown, "connect again"},
-	edge.Unreachable:  {remoteConnectionFailed, "the server can't be reached"},
-	edge.HostLost:     {remoteConnectionFailed, "the server was lost"},
-	edge.Late:         {connectionTimeout, "the session was not set up in time"},
+	edge.Busy:           {resourceConstraint, "no server can take the session now"},
+	edge.ShuttingDown:   {systemShutdown, "connect again"},
+	edge.Unreachable:    {remoteConnectionFailed, "the server can't be reached"},
+	edge.ServerLost:     {remoteConnectionFailed, "the server was lost"},
+	edge.DeadlinePassed: {connectionTimeout, "the session was not set up in time"},
 }
 
 // LocalReply gives the session's final answer in place of a host's.
 func (s *session) LocalReply(r edge.LocalReply) {
 	c, ok := conditions[r.Why]
-	if !ok || !r.Refused {
+	if !ok || !r.Rejected {
 		c.condition, c.text = internalServerError, ""
 	}
-	if r.After > 0 {
-		c.text += "; come again after " + strconv.FormatInt(r.After.Milliseconds(), 10) + " ms"
+	if r.RetryAfter > 0 {
+		c.text += "; come again after " + strconv.FormatInt(r.RetryAfter.Milliseconds(), 10) + " ms"
 	}
 	s.fail(c.condition, c.text)
 }
 
-// Move tells the client of an open session to leave, between two stanzas.
-func (s *session) Move(by time.Time) {
+// Migrate tells the client of an open session to leave, between two stanzas.
+func (s *session) Migrate(by time.Time) {
 	if s.over {
 		return
 	}
@@ -461,7 +461,7 @@
 	s.over = true
 	s.trace(why)
 	s.front.gone(s, s.in.ended)
-	s.guest.Gone()
+	s.guest.Close()
 	s.sent, s.greeting, s.hold = nil, nil, nil
 	s.cancelTimer()
 }
