--- a/choice/alike_test.go
+++ b/choice/alike_test.go
@@ -22,13 +22,13 @@
 		for i := range 300 {
 			f.run(ms(40 * i))
 			id := RequestID(fmt.Sprint(i))
-			f.step(Request{ID: id, Left: ms(1800), Tenant: -1, Load: unit * float64(1+i%7)})
+			f.step(Request{ID: id, TimeLeft: ms(1800), Tenant: -1, Load: unit * float64(1+i%7)})
 			f.answerProbes(load)
 			got := f.sends()
 			to = append(to, got...)
 			if len(got) == 1 {
 				f.step(Established{ID: id, Attempt: 0, Server: got[0]})
-				f.step(LoadNote{ID: id, Attempt: 0, Load: unit * float64(2+i%3)})
+				f.step(LoadUpdate{ID: id, Attempt: 0, Load: unit * float64(2+i%3)})
 			}
 		}
 		return to
@@ -80,11 +80,11 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				id := RequestID(fmt.Sprint(i))
-				out := f.b.Step(time.Duration(i)*10*time.Millisecond, []Event{Request{ID: id, Left: ms(1800), Tenant: -1}})
+				out := f.b.Step(time.Duration(i)*10*time.Millisecond, []Event{Request{ID: id, TimeLeft: ms(1800), Tenant: -1}})
 				var probed []Event
 				for _, a := range out {
-					if p, ok := a.(Probe); ok {
-						probed = append(probed, ProbeResult{Server: p.Server, Report: []float64{0.5, 10}})
+					if p, ok := a.(HealthCheck); ok {
+						probed = append(probed, HealthCheckResult{Server: p.Server, Report: []float64{0.5, 10}})
 					}
 				}
 				f.b.Step(time.Duration(i)*10*time.Millisecond, append(probed, ClientGone{ID: id}))
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -13,12 +13,12 @@
 func script(t testing.TB, seed uint64, steps int) [][]Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	s := plain()
-	s.Nodes, s.Grouped, s.Subscribe = 1+rng.IntN(50), rng.IntN(2) == 0, rng.IntN(2) == 0
-	s.PassThru = rng.IntN(4) == 0
-	s.Reports = Channel(rng.IntN(3))
+	s.Nodes, s.GroupAffinity, s.Subscribe = 1+rng.IntN(50), rng.IntN(2) == 0, rng.IntN(2) == 0
+	s.PacketPassThrough = rng.IntN(4) == 0
+	s.Reports = ReportSource(rng.IntN(3))
 	s.Classes = append(s.Classes,
-		Class{SetupAim: ms(200), Deadline: ms(900), Repeat: Unsafe, MessageAim: ms(50)},
-		Class{SetupAim: ms(200), Deadline: ms(900), Repeat: Keyed, Scope: Scope(rng.IntN(3)), Window: ms(rng.IntN(900))})
+		Class{SetupObjective: ms(200), Deadline: ms(900), Idempotency: NotIdempotent, MessageObjective: ms(50)},
+		Class{SetupObjective: ms(200), Deadline: ms(900), Idempotency: IdempotentByKey, IdempotencyScope: Scope(rng.IntN(3)), IdempotencyWindow: ms(rng.IntN(900))})
 	f := newReferee(t, s, seed)
 	servers := fleet(1 + rng.IntN(12))
 	var all [][]Action
@@ -37,9 +37,9 @@
 		f.now += ms(5)
 		for _, a := range f.last {
 			switch a := a.(type) {
-			case Send:
-				out = append(out, attempt{a.ID, f.reqs[a.ID].sent - 1, a.Server, f.now + a.Cap})
-			case Probe:
+			case StartAttempt:
+				out = append(out, attempt{a.ID, f.reqs[a.ID].sent - 1, a.Server, f.now + a.Timeout})
+			case HealthCheck:
 				probes = append(probes, a.Server)
 			}
 		}
@@ -77,7 +77,7 @@
 		}
 		for i := range probes {
 			if rng.IntN(3) == 0 {
-				events = append(events, ProbeResult{Server: probes[i], Outcome: Outcome(rng.IntN(8) * rng.IntN(2)),
+				events = append(events, HealthCheckResult{Server: probes[i], Outcome: Outcome(rng.IntN(8) * rng.IntN(2)),
 					Report: []float64{rng.Float64() * 1.5, float64(rng.IntN(50))}})
 				probes = append(probes[:i], probes[i+1:]...)
 				break
@@ -90,16 +90,16 @@
 				events = append(events, AttemptEnded{ID: a.id, Attempt: a.n, Server: a.to, Outcome: Reset, Final: true})
 				open = append(open[:i], open[i+1:]...)
 			case 1:
-				events = append(events, LoadNote{ID: a.id, Attempt: a.n, Load: rng.Float64() * 5})
+				events = append(events, LoadUpdate{ID: a.id, Attempt: a.n, Load: rng.Float64() * 5})
 			case 2:
-				events = append(events, DelayNote{ID: a.id, Server: a.to, Took: ms(rng.IntN(400))})
+				events = append(events, DelayObservation{ID: a.id, Server: a.to, Took: ms(rng.IntN(400))})
 			}
 		}
 		switch rng.IntN(12) {
 		case 0, 1, 2, 3:
 			next++
 			events = append(events, Request{ID: RequestID(fmt.Sprint("r", next)), Class: rng.IntN(3), Tenant: -1,
-				Key: rng.Uint64N(9), Group: rng.Uint64N(5), Left: ms(rng.IntN(900)), Load: rng.Float64()})
+				Key: rng.Uint64N(9), Group: rng.Uint64N(5), TimeLeft: ms(rng.IntN(900)), Load: rng.Float64()})
 		case 4:
 			i := rng.IntN(len(servers.Servers))
 			servers.Servers[i].State = ServerState(rng.IntN(3) * rng.IntN(2))
@@ -108,7 +108,7 @@
 			}
 			events = append(events, ServerList{Kind: ListChange, Servers: servers.Servers[i : i+1]})
 		case 5:
-			events = append(events, ServerList{Kind: ListLost})
+			events = append(events, ServerList{Kind: ListUnavailable})
 		case 6:
 			events = append(events, ClientGone{ID: RequestID(fmt.Sprint("r", rng.IntN(next+1)))})
 		case 7:
--- a/choice/many_test.go
+++ b/choice/many_test.go
@@ -10,10 +10,10 @@
 // vast is a fleet of many nodes, each of which holds a connection or two or none.
 func vast() Settings {
 	s := plain()
-	s.Nodes, s.Grouped, s.Subscribe = 80, true, false
-	s.Fields = []Field{Load, Utilization}
+	s.Nodes, s.GroupAffinity, s.Subscribe = 80, true, false
+	s.ReportFields = []ReportField{Load, Utilization}
 	s.Tenants = []Tenant{{Name: "t", Connections: 165}}
-	s.OverQuotaWorth = 1
+	s.OverQuotaPriority = 1
 	return s
 }
 
@@ -26,11 +26,11 @@
 		f.step(fleet(13))
 		for range 60 {
 			for _, s := range fleet(13).Servers {
-				f.step(ProbeResult{Server: s.ID, Outcome: Served, Report: []float64{0.6, 0.6}})
+				f.step(HealthCheckResult{Server: s.ID, Outcome: Served, Report: []float64{0.6, 0.6}})
 			}
 			f.run(f.now + ms(200))
 		}
-		f.step(Request{ID: "r", Group: 7, Left: 2 * time.Second, Tenant: -1})
+		f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
 		f.answerProbes(func(ServerID) float64 { return 0.6 })
 		if len(f.sends()) == 0 {
 			refused++
@@ -49,14 +49,14 @@
 		f.step(fleet(13))
 		var events []Event
 		for i, s := range fleet(13).Servers { // each node's reports differ a little
-			events = append(events, ProbeResult{Server: s.ID, Outcome: Served, Report: []float64{0.3 + 0.2*float64((node*7+i*5)%11)/10, 0.4}})
+			events = append(events, HealthCheckResult{Server: s.ID, Outcome: Served, Report: []float64{0.3 + 0.2*float64((node*7+i*5)%11)/10, 0.4}})
 		}
 		f.step(events...)
 		if node%3 == 0 {
 			f.step(OpenConnection{Request: Request{ID: RequestID(fmt.Sprint("o", node)), Group: 7, Tenant: -1}, Server: "s003"})
 		}
 		f.run(f.now + 2*time.Second)
-		f.step(Request{ID: "r", Group: 7, Left: 2 * time.Second, Tenant: -1})
+		f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
 		f.answerProbes(func(ServerID) float64 { return 0.4 })
 		for _, s := range f.sends() {
 			used[s]++
@@ -126,21 +126,21 @@
 	switch a := a.(type) {
 	case SetTimer:
 		c.later(node, max(a.After, 1), TimerFired{a.Token})
-	case Tell:
+	case SendPeerMessage:
 		c.tells++
 		c.later(a.To, ms(20), PeerMessage{node, a.Data})
-	case Probe:
+	case HealthCheck:
 		held := 0
 		if l := c.seen[a.Server]; len(l) > 0 {
 			held = l[max(0, len(l)-20)]
 		}
-		c.later(node, ms(10), ProbeResult{Server: a.Server, Report: []float64{c.load(a.Server, held), 0}})
-	case Send:
+		c.later(node, ms(10), HealthCheckResult{Server: a.Server, Report: []float64{c.load(a.Server, held), 0}})
+	case StartAttempt:
 		c.held[a.Server]++
 		c.times[a.Server] = append(c.times[a.Server], c.now)
 		c.later(node, ms(5), Established{ID: a.ID, Server: a.Server})
 		c.end["sent"]++
-	case Refuse:
+	case Reject:
 		c.end["refused"]++
 	case Fail:
 		c.end["failed"]++
@@ -154,7 +154,7 @@
 	for t := time.Duration(0); t < over; t += steps {
 		for ; done < int(int64(n)*int64(t+steps)/int64(over)); done++ {
 			node := int(mix(uint64(done)+99) % uint64(len(c.nodes)))
-			c.later(node, 0, Request{ID: RequestID(fmt.Sprint("r", done)), Left: 2 * time.Second, Tenant: -1, Group: group(done)})
+			c.later(node, 0, Request{ID: RequestID(fmt.Sprint("r", done)), TimeLeft: 2 * time.Second, Tenant: -1, Group: group(done)})
 		}
 		for id := range c.held {
 			c.seen[id] = append(c.seen[id], c.held[id])
@@ -166,8 +166,8 @@
 
 func keeping() Settings {
 	s := vast()
-	s.Limits.MayTell = true
-	s.Tariffs.Peer = 0.01
+	s.Limits.PeerMessages = true
+	s.Costs.PeerMessage = 0.01
 	return s
 }
 
@@ -214,15 +214,15 @@
 	for i, from := range c.times[cold.ID] {
 		n := 0
 		for _, at := range c.times[cold.ID][i:] {
-			if at < from+s.Rules.FallTime {
+			if at < from+s.Rules.OverloadTime {
 				n++
 			}
 		}
 		// FallMultiple times the part that is warm at the end, of the rate that fills it over its warm-up: the tenants' shares
 		// give 165 connections to 13 hosts. One more for the first, as there are no halves.
-		warm := 0.2 + 0.8*(from+s.Rules.FallTime-cold.Started).Seconds()/10
-		if budget := s.Rules.FallMultiple * warm * 165.0 / 13 / 10 * s.Rules.FallTime.Seconds(); float64(n) > budget+1 {
-			t.Errorf("a cold host gets %d connections in %v; its budget is %.1f", n, s.Rules.FallTime, budget)
+		warm := 0.2 + 0.8*(from+s.Rules.OverloadTime-cold.Started).Seconds()/10
+		if budget := s.Rules.OverloadMultiple * warm * 165.0 / 13 / 10 * s.Rules.OverloadTime.Seconds(); float64(n) > budget+1 {
+			t.Errorf("a cold host gets %d connections in %v; its budget is %.1f", n, s.Rules.OverloadTime, budget)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 	few := keeping()
 	few.Nodes = 4
 	dear := keeping()
-	dear.Tariffs.Peer = 1
+	dear.Costs.PeerMessage = 1
 	for name, s := range map[string]Settings{"forbidden": vast(), "few nodes": few, "dear messages": dear} {
 		c := newCrowd(t, s, 1, fleet(13), func(ServerID, int) float64 { return 0.3 })
 		c.arrivals(50, time.Second, func(i int) uint64 { return uint64(i) })
@@ -268,8 +268,8 @@
 	for i, m := range []PeerMessage{{1, nil}, {1, good.encode()[:8]}, {1, append(good.encode(), 0)}, {1, other}, {1, late.encode()},
 		{-1, good.encode()}, {80, good.encode()}, {0, good.encode()}, {1, message{kind: yes, token: good.token}.encode()},
 		{1, make([]byte, 300)}} {
-		if out := f.step(m); len(out) > 0 || f.b.Dropped() != i+1 {
-			t.Errorf("message %d: %d dropped, actions %v", i, f.b.Dropped(), out)
+		if out := f.step(m); len(out) > 0 || f.b.DroppedPeerMessages() != i+1 {
+			t.Errorf("message %d: %d dropped, actions %v", i, f.b.DroppedPeerMessages(), out)
 		}
 	}
 	if out := f.step(PeerMessage{1, good.encode()}); len(out) != 1 {
@@ -300,8 +300,8 @@
 	f := newReferee(t, keeping(), 1)
 	f.now = time.Hour
 	f.step(fleet(13))
-	for _, a := range f.step(Request{ID: "r", Group: 7, Left: 2 * time.Second, Tenant: -1}) {
-		if a, ok := a.(Tell); ok {
+	for _, a := range f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
+		if a, ok := a.(SendPeerMessage); ok {
 			q, _ := decode(a.Data)
 			drained := f.b.byHash(q.server).Server
 			drained.State = Draining
@@ -325,8 +325,8 @@
 			f.now = time.Hour
 			f.step(fleet(13))
 			asked := false
-			for _, a := range f.step(Request{ID: "r", Group: 7, Left: 2 * time.Second, Tenant: -1}) {
-				if a, ok := a.(Tell); ok {
+			for _, a := range f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
+				if a, ok := a.(SendPeerMessage); ok {
 					asked = true
 					q, _ := decode(a.Data)
 					f.step(end)
--- a/choice/patrol_test.go
+++ b/choice/patrol_test.go
@@ -10,15 +10,15 @@
 // delay notes come, as on sockets, and that nothing is asked where they do.
 func TestFullServerIsFound(t *testing.T) {
 	for _, tells := range []bool{false, true} {
-		b, err := New(Settings{Nodes: 1, TellsDelay: tells, Reports: ProbeReports, Fields: []Field{Load},
-			Classes: []Class{{Name: "c", SetupAim: time.Second, Deadline: 4 * time.Second}},
-			Limits:  Limits{Attempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
+		b, err := New(Settings{Nodes: 1, DelaysObserved: tells, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
+			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
+			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var next []Event
 		now := time.Hour
-		next = append(next, ServerList{Kind: ListWhole, Servers: []Server{{ID: "full"}, {ID: "idle"}}})
+		next = append(next, ServerList{Kind: ListFull, Servers: []Server{{ID: "full"}, {ID: "idle"}}})
 		for i := range 20 {
 			next = append(next, OpenConnection{Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1}, Server: "full"})
 		}
@@ -28,12 +28,12 @@
 			next = nil
 			for _, a := range b.Step(now, events) {
 				switch a := a.(type) {
-				case Probe:
+				case HealthCheck:
 					if probes++; a.Server != "full" {
 						t.Errorf("asked %s, which holds nothing", a.Server)
 					}
-					next = append(next, ProbeResult{Server: a.Server, Report: []float64{3}})
-				case Move:
+					next = append(next, HealthCheckResult{Server: a.Server, Report: []float64{3}})
+				case Migrate:
 					moves++
 					next = append(next, AttemptEnded{ID: a.ID, Server: "full", Outcome: Cancelled, Final: true})
 				case SetTimer:
@@ -50,18 +50,18 @@
 
 // TestNothingIsAskedForWhereHostsReportNothing guards hosts whose protocol has no load reports against being asked.
 func TestNothingIsAskedForWhereHostsReportNothing(t *testing.T) {
-	b, err := New(Settings{Nodes: 1, Classes: []Class{{Name: "c", SetupAim: time.Second, Deadline: 4 * time.Second}},
-		Limits: Limits{Attempts: 4, MayProbe: true}}, 1, time.Hour)
+	b, err := New(Settings{Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
+		Limits: Limits{MaxAttempts: 4, HealthChecks: true}}, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "s"}}}, OpenConnection{Request: Request{ID: "1", Tenant: -1}, Server: "s"}}
+	next := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "s"}}}, OpenConnection{Request: Request{ID: "1", Tenant: -1}, Server: "s"}}
 	for i := range 20 {
 		events := next
 		next = nil
 		for _, a := range b.Step(time.Hour+time.Duration(i)*time.Second, events) {
 			switch a := a.(type) {
-			case Probe:
+			case HealthCheck:
 				t.Fatal("a probe after ", i, " s")
 			case SetTimer:
 				next = append(next, TimerFired{a.Token})
@@ -77,25 +77,25 @@
 		late, load float64
 		moves      bool
 	}{{5, 0.6, false}, {400, 0.6, true}, {5, 0, false}} {
-		b, err := New(Settings{Nodes: 1, Reports: ProbeReports, Fields: []Field{Latency, Load},
-			Classes: []Class{{Name: "c", SetupAim: time.Second, Deadline: 4 * time.Second, MessageAim: 60 * time.Millisecond}},
-			Limits:  Limits{Attempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
+		b, err := New(Settings{Nodes: 1, Reports: HealthCheckReports, ReportFields: []ReportField{Latency, Load},
+			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second, MessageObjective: 60 * time.Millisecond}},
+			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
-		events := []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "idle"}, {ID: "late"}}}}
+		events := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "idle"}, {ID: "late"}}}}
 		for i := range 40 {
 			events = append(events, OpenConnection{Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1}, Server: "late"})
 		}
 		b.Step(time.Hour, events)
-		b.Step(time.Hour+9*time.Second, []Event{ProbeResult{Server: "idle", Report: []float64{3, 0.1}}})
+		b.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "idle", Report: []float64{3, 0.1}}})
 		// Connections that left since a report shows take the prediction under 0, which must not read as an excess.
 		for i := range 30 {
 			b.Step(time.Hour+9*time.Second, []Event{AttemptEnded{ID: RequestID(fmt.Sprint(i)), Server: "late", Final: true}})
 		}
 		moves := 0
-		for _, a := range b.Step(time.Hour+9*time.Second, []Event{ProbeResult{Server: "late", Report: []float64{c.late, c.load}}}) {
-			if _, ok := a.(Move); ok {
+		for _, a := range b.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "late", Report: []float64{c.late, c.load}}}) {
+			if _, ok := a.(Migrate); ok {
 				moves++
 			}
 		}
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -157,7 +157,7 @@
 		n := &simNode{number: number, balancer: b, listed: map[choice.ServerID]choice.Server{}, following: !s.Subscribe}
 		w.nodes = append(w.nodes, n)
 		if !s.Subscribe {
-			w.deliver(n, choice.ServerList{Kind: choice.ListWhole, Servers: w.entries()})
+			w.deliver(n, choice.ServerList{Kind: choice.ListFull, Servers: w.entries()})
 		} else {
 			w.deliver(n, choice.ServerList{Kind: choice.ListCached, Servers: w.entries()})
 		}
@@ -202,7 +202,7 @@
 	n.inbox = append(n.inbox, e)
 	if !n.awake {
 		n.awake = true
-		w.after(w.settings.Round, func() { w.batch(n) })
+		w.after(w.settings.RoundTrip, func() { w.batch(n) })
 	}
 }
 
@@ -225,7 +225,7 @@
 func (w *simulation) note(n *simNode, e choice.Event) {
 	switch e := e.(type) {
 	case choice.ServerList:
-		if e.Kind == choice.ListWhole || e.Kind == choice.ListCached {
+		if e.Kind == choice.ListFull || e.Kind == choice.ListCached {
 			clear(n.listed)
 		}
 		for _, s := range e.Servers {
@@ -247,36 +247,36 @@
 	switch a := a.(type) {
 	case choice.SetTimer:
 		w.after(a.After, func() { w.deliver(n, choice.TimerFired{Token: a.Token}) })
-	case choice.Send:
-		w.send(w.requests[a.ID], w.byID[a.Server], a.Cap)
-	case choice.Refuse:
+	case choice.StartAttempt:
+		w.send(w.requests[a.ID], w.byID[a.Server], a.Timeout)
+	case choice.Reject:
 		w.count("refusals")
-		w.answer(w.requests[a.ID], true, a.After)
+		w.answer(w.requests[a.ID], true, a.RetryAfter)
 	case choice.Fail:
 		w.count("failures")
 		r := w.requests[a.ID]
-		w.answer(r, r.class.Repeat == choice.Safe, 0)
-	case choice.Cancel:
+		w.answer(r, r.class.Idempotency == choice.Idempotent, 0)
+	case choice.CancelAttempt:
 		w.count("cancels")
 		if at := w.requests[a.ID].attempts[a.Attempt]; !at.established {
-			w.settle(at, choice.Cancelled, w.settings.Round)
+			w.settle(at, choice.Cancelled, w.settings.RoundTrip)
 		}
-	case choice.Probe:
+	case choice.HealthCheck:
 		w.probe(n, w.byID[a.Server])
-	case choice.Move:
+	case choice.Migrate:
 		w.count("moves")
 		r := w.requests[a.ID]
 		at := r.attempts[len(r.attempts)-1]
 		w.after(w.upTo(100*time.Millisecond), func() { w.closeConnection(at, choice.Cancelled, true) })
-	case choice.Follow:
+	case choice.WatchList:
 		w.follow(n)
-	case choice.Tell:
+	case choice.SendPeerMessage:
 		w.tell(n, a)
 	}
 }
 
 // tell carries a message between nodes: some get lost, some come twice.
-func (w *simulation) tell(n *simNode, a choice.Tell) {
+func (w *simulation) tell(n *simNode, a choice.SendPeerMessage) {
 	if w.often(w.terms.lossOfTells) {
 		w.count("lost messages")
 		return
@@ -320,18 +320,18 @@
 func (w *simulation) follow(n *simNode) {
 	if w.often(w.terms.lossOfList) {
 		w.count("failed asks")
-		w.bringList(n, choice.ServerList{Kind: choice.ListLost})
+		w.bringList(n, choice.ServerList{Kind: choice.ListUnavailable})
 		return
 	}
 	n.following = true
-	w.bringList(n, choice.ServerList{Kind: choice.ListWhole, Servers: w.entries()})
+	w.bringList(n, choice.ServerList{Kind: choice.ListFull, Servers: w.entries()})
 }
 
 // breakList ends a node's subscription: what changes from now on does not reach it.
 func (w *simulation) breakList(n *simNode) {
 	w.count("broken subscriptions")
 	n.following = false
-	w.bringList(n, choice.ServerList{Kind: choice.ListLost})
+	w.bringList(n, choice.ServerList{Kind: choice.ListUnavailable})
 }
 
 // warm is the part of its capacity that a host has now.
@@ -340,7 +340,7 @@
 	if h.Started == 0 || age >= w.settings.Rules.WarmUp {
 		return 1
 	}
-	cold := w.settings.Rules.ColdShare
+	cold := w.settings.Rules.SlowStartFraction
 	return cold + (1-cold)*age.Seconds()/w.settings.Rules.WarmUp.Seconds()
 }
 
@@ -360,26 +360,26 @@
 		w.closeConnection(h.held[len(h.held)-1], choice.Reset, true)
 	}
 	h.seen, h.seenHeld = w.load(h), len(h.held)
-	if w.settings.TellsDelay && h.seen > 0.8 && len(h.held) > 0 {
+	if w.settings.DelaysObserved && h.seen > 0.8 && len(h.held) > 0 {
 		at := h.held[w.rng.IntN(len(h.held))]
 		w.count("delay notes")
-		w.deliver(at.request.node, choice.DelayNote{ID: at.request.ID, Server: h.ID, Took: w.around(time.Duration(h.seen * float64(150*time.Millisecond)))})
+		w.deliver(at.request.node, choice.DelayObservation{ID: at.request.ID, Server: h.ID, Took: w.around(time.Duration(h.seen * float64(150*time.Millisecond)))})
 	}
 	if w.terms.toldLoads && len(h.held) > 0 && w.often(0.2) {
 		at := h.held[w.rng.IntN(len(h.held))]
 		at.request.client.load *= 0.5 + w.rng.Float64()
-		w.deliver(at.request.node, choice.LoadNote{ID: at.request.ID, Attempt: at.number, Load: at.request.client.load})
+		w.deliver(at.request.node, choice.LoadUpdate{ID: at.request.ID, Attempt: at.number, Load: at.request.client.load})
 	}
 }
 
 // report is a host's load report, a little noisy.
 func (w *simulation) report(h *simHost) (values []float64) {
-	for _, f := range w.settings.Fields {
+	for _, f := range w.settings.ReportFields {
 		v := 0.0
 		switch f {
 		case choice.Load:
 			v = h.seen
-		case choice.PiledUp:
+		case choice.Backlog:
 			v = max(0, h.seen-1)
 		case choice.InFlight:
 			v = float64(h.seenHeld)
@@ -398,7 +398,7 @@
 func (w *simulation) probe(n *simNode, h *simHost) {
 	w.count("probes")
 	took := 2*time.Millisecond + w.upTo(6*time.Millisecond)
-	result := choice.ProbeResult{Server: h.ID, Outcome: choice.Served, Took: took}
+	result := choice.HealthCheckResult{Server: h.ID, Outcome: choice.Served, Took: took}
 	if !h.running || w.now < h.failingUntil {
 		result.Outcome, took = choice.TimedOut, 100*time.Millisecond
 	} else if w.settings.Reports != choice.NoReports {
@@ -424,21 +424,21 @@
 	c.tries++
 	r := &simRequest{node: n, client: c, class: class}
 	r.Request = choice.Request{ID: choice.RequestID(fmt.Sprint("r", len(w.requests)+1)), Class: c.class, Tenant: c.tenant, Key: c.key,
-		Group: c.group, Left: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)), Returned: returned}
+		Group: c.group, TimeLeft: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)), Returned: returned}
 	if w.terms.toldLoads {
 		r.Load = c.load
 	}
-	if w.settings.PassThru && w.often(0.1) {
+	if w.settings.PacketPassThrough && w.often(0.1) {
 		r.MidFlow = true
 	}
 	if w.often(w.terms.homes) {
-		r.Home = w.hosts[w.rng.IntN(len(w.hosts))].ID
+		r.StickyServer = w.hosts[w.rng.IntN(len(w.hosts))].ID
 	}
 	w.requests[r.ID] = r
 	w.count("requests")
 	w.deliver(n, r.Request)
 	if w.often(w.terms.leavers) {
-		w.after(w.upTo(r.Left), func() { w.leave(r) })
+		w.after(w.upTo(r.TimeLeft), func() { w.leave(r) })
 	}
 	return r
 }
@@ -491,7 +491,7 @@
 		w.count("retries")
 	}
 	if r.gone || r.answered {
-		w.settle(at, choice.Moot, w.settings.Round)
+		w.settle(at, choice.NeverSent, w.settings.RoundTrip)
 		return
 	}
 	informed := r.node.listed[h.ID].Started == h.Started
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -376,16 +376,16 @@
 // Settings is what the module is told of a cluster.
 func (o *Operator) Settings(c Cluster) choice.Settings {
 	// Load is the core's own count: there is nothing to find out by asking, and sessions stay where they are.
-	s := choice.Settings{Nodes: c.Nodes, Zone: c.Zone, TellsDelay: true, Subscribe: c.Discovery != "", Sizes: choice.NominalSize,
-		Reports: choice.ProbeReports, Fields: []choice.Field{choice.Load}, Round: 5 * time.Millisecond, FirstCost: 1 / c.Sessions,
-		Limits: choice.Limits{Attempts: c.Attempts, MayProbe: true, MayCancel: true, RetryAdvice: true,
-			MaxRetryAdvice: 2 * time.Second, ConnectTimeout: time.Duration(c.ConnectTimeout)},
-		Rules: choice.Rules{AskWithin: 10 * time.Second, DrainGrace: time.Duration(c.DrainGrace), ColdShare: c.ColdShare,
-			WarmUp: time.Duration(c.WarmUp), FallMultiple: c.FallMultiple, FallTime: time.Duration(c.FallTime)},
-		Tariffs: choice.Tariffs{Probe: 0.002, Move: 0.01}}
+	s := choice.Settings{Nodes: c.Nodes, Zone: c.Zone, DelaysObserved: true, Subscribe: c.Discovery != "", Sizes: choice.NominalSize,
+		Reports: choice.HealthCheckReports, ReportFields: []choice.ReportField{choice.Load}, RoundTrip: 5 * time.Millisecond, InitialCost: 1 / c.Sessions,
+		Limits: choice.Limits{MaxAttempts: c.Attempts, HealthChecks: true, Cancellation: true, RetryAfter: true,
+			MaxRetryAfter: 2 * time.Second, ConnectTimeout: time.Duration(c.ConnectTimeout)},
+		Rules: choice.Rules{MaxPollInterval: 10 * time.Second, DrainGrace: time.Duration(c.DrainGrace), SlowStartFraction: c.ColdShare,
+			WarmUp: time.Duration(c.WarmUp), OverloadMultiple: c.FallMultiple, OverloadTime: time.Duration(c.FallTime)},
+		Costs: choice.Costs{HealthCheck: 0.002, Migration: 0.01}}
 	for _, k := range o.Classes {
-		s.Classes = append(s.Classes, choice.Class{Name: k.Name, SetupAim: time.Duration(k.SetupAim),
-			Deadline: time.Duration(k.Patience), Worth: k.Worth})
+		s.Classes = append(s.Classes, choice.Class{Name: k.Name, SetupObjective: time.Duration(k.SetupAim),
+			Deadline: time.Duration(k.Patience), Priority: k.Worth})
 	}
 	return s
 }
@@ -402,10 +402,10 @@
 
 // StaticHosts are the cluster's hosts as the core takes them. seen tells when a host first stood in the file; one
 // that comes in while the program runs counts as started then, unless the file says otherwise.
-func (c Cluster) StaticHosts(seen func(id string) time.Time) []edge.UpstreamHost {
-	var out []edge.UpstreamHost
+func (c Cluster) StaticHosts(seen func(id string) time.Time) []edge.ServerEntry {
+	var out []edge.ServerEntry
 	for _, h := range c.Hosts {
-		e := edge.UpstreamHost{Addr: h.Addr, Server: choice.Server{ID: choice.ServerID(h.ID), Zone: h.Zone, Kind: h.Kind, Size: h.Weight}}
+		e := edge.ServerEntry{Addr: h.Addr, Server: choice.Server{ID: choice.ServerID(h.ID), Zone: h.Zone, Kind: h.Kind, Size: h.Weight}}
 		if h.State == "draining" {
 			e.State = choice.Draining
 		}
--- a/internal/edge/crossing_test.go
+++ b/internal/edge/crossing_test.go
@@ -27,22 +27,22 @@
 }
 func (m *mute) GiveUp()                 {}
 func (m *mute) LocalReply(l LocalReply) { m.reply = &l }
-func (m *mute) Move(time.Time)          { m.w.t.Error("moved, and never up") }
+func (m *mute) Migrate(time.Time)       { m.w.t.Error("moved, and never up") }
 
 func muteWorld(t *testing.T, classes ...choice.Class) *world {
 	w := &world{t: t, now: time.Unix(1_800_000_000, 0), rng: rand.New(rand.NewPCG(1, 1))}
 	for i := range classes {
-		classes[i].SetupAim, classes[i].Deadline, classes[i].Worth = 500*time.Millisecond, 10*time.Second, 1
+		classes[i].SetupObjective, classes[i].Deadline, classes[i].Priority = 500*time.Millisecond, 10*time.Second, 1
 	}
 	var err error
-	w.core, err = New(Options{Clock: w, Prober: w, Settings: choice.Settings{Classes: classes,
-		Limits: choice.Limits{Attempts: 4, MayCancel: true, ConnectTimeout: time.Second, RetryAdvice: true, MaxRetryAdvice: time.Second}}})
+	w.core, err = New(Options{Clock: w, HealthChecker: w, Settings: choice.Settings{Classes: classes,
+		Limits: choice.Limits{MaxAttempts: 4, Cancellation: true, ConnectTimeout: time.Second, RetryAfter: true, MaxRetryAfter: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []UpstreamHost
+	var all []ServerEntry
 	for _, id := range []choice.ServerID{"a", "b", "c", "d"} {
-		all = append(all, UpstreamHost{Server: choice.Server{ID: id, Size: 1}})
+		all = append(all, ServerEntry{Server: choice.Server{ID: id, Size: 1}})
 	}
 	w.core.Start(all)
 	return w
@@ -51,8 +51,8 @@
 // TestStopAnswersByEffect has a planned stop, and a deadline that the module missed, end requests that hosts may have run: BUSY
 // says that trying again is harmless, so those whose effect forbids it fail.
 func TestStopAnswersByEffect(t *testing.T) {
-	classes := []choice.Class{{Name: "safe"}, {Name: "unsafe", Repeat: choice.Unsafe}, {Name: "keyed", Repeat: choice.Keyed, Window: time.Minute},
-		{Name: "by zone", Repeat: choice.Keyed, Scope: choice.ScopeZone, Window: time.Minute}}
+	classes := []choice.Class{{Name: "safe"}, {Name: "unsafe", Idempotency: choice.NotIdempotent}, {Name: "keyed", Idempotency: choice.IdempotentByKey, IdempotencyWindow: time.Minute},
+		{Name: "by zone", Idempotency: choice.IdempotentByKey, IdempotencyScope: choice.ScopeZone, IdempotencyWindow: time.Minute}}
 	for i, want := range []bool{true, false, true, false} {
 		for _, end := range []string{"stop", "expired"} {
 			w := muteWorld(t, classes...)
@@ -71,10 +71,10 @@
 				w.core.Flush()
 				w.run(w.now)
 			}
-			if m.reply == nil || m.reply.Refused != want || w.core.Held() != 0 {
-				t.Errorf("%s, %s: answer %+v, %d held", classes[i].Name, end, m.reply, w.core.Held())
+			if m.reply == nil || m.reply.Rejected != want || w.core.InFlight() != 0 {
+				t.Errorf("%s, %s: answer %+v, %d held", classes[i].Name, end, m.reply, w.core.InFlight())
 			}
-			if end == "stop" && (m.reply.Why != ShuttingDown || (m.reply.After > 0) != want) {
+			if end == "stop" && (m.reply.Why != ShuttingDown || (m.reply.RetryAfter > 0) != want) {
 				t.Errorf("%s: answer %+v", classes[i].Name, m.reply)
 			}
 		}
@@ -97,8 +97,8 @@
 		w.core.Flush()
 		r.expired()
 		w.run(w.now)
-		if m.reply == nil || m.reply.Refused == written || w.core.Held() != 0 {
-			t.Errorf("written %v: answer %+v, %d held", written, m.reply, w.core.Held())
+		if m.reply == nil || m.reply.Rejected == written || w.core.InFlight() != 0 {
+			t.Errorf("written %v: answer %+v, %d held", written, m.reply, w.core.InFlight())
 		}
 	}
 }
@@ -106,7 +106,7 @@
 // TestNeverWrittenNeverRan has connections come up too late, or not: what was never written is tried again whatever its
 // effect.
 func TestNeverWrittenNeverRan(t *testing.T) {
-	w := muteWorld(t, choice.Class{Name: "unsafe", Repeat: choice.Unsafe})
+	w := muteWorld(t, choice.Class{Name: "unsafe", Idempotency: choice.NotIdempotent})
 	m := &mute{w: w}
 	w.core.Open(Spec{ID: "1", Tenant: -1, Deadline: w.now.Add(10 * time.Second)}, m)
 	w.core.Flush()
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -13,7 +13,7 @@
 // watch has the guard follow a new request.
 func (r *Request) watch() {
 	r.guard = r.core.o.Monitor.NewRequest(invariant.Facts{ID: string(r.ID), Class: r.class, Deadline: r.Deadline,
-		Attempts: max(1, r.core.o.Settings.Limits.Attempts), Standing: r.At != ""})
+		Attempts: max(1, r.core.o.Settings.Limits.MaxAttempts), Standing: r.OpenAt != ""})
 }
 
 // noteState notes since when a host is known to leave.
@@ -36,9 +36,9 @@
 		return f
 	}
 	if h.calls == nil {
-		h.calls = &invariant.CallWindow{Window: rules.FallTime}
+		h.calls = &invariant.CallWindow{Window: rules.OverloadTime}
 	}
-	f.SlowStart, f.Budget = h.calls, rate*rules.FallTime.Seconds()
+	f.SlowStart, f.Budget = h.calls, rate*rules.OverloadTime.Seconds()
 	return f
 }
 
--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -14,14 +14,14 @@
 	w = &world{t: t, rng: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1e9, 0)}
 	broken = &[]invariant.Violation{}
 	monitor := &invariant.Monitor{Broken: func(v invariant.Violation) { *broken = append(*broken, v) }}
-	core, err := New(Options{Clock: w, Prober: w, Seed: 1, Monitor: monitor, Settings: choice.Settings{Nodes: 1,
-		Classes: []choice.Class{{Name: "a", SetupAim: time.Second, Deadline: 4 * time.Second, Worth: 1, Repeat: choice.Unsafe}},
-		Limits:  choice.Limits{Attempts: 3}, Rules: choice.Rules{DrainGrace: 3 * time.Second}}})
+	core, err := New(Options{Clock: w, HealthChecker: w, Seed: 1, Monitor: monitor, Settings: choice.Settings{Nodes: 1,
+		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1, Idempotency: choice.NotIdempotent}},
+		Limits:  choice.Limits{MaxAttempts: 3}, Rules: choice.Rules{DrainGrace: 3 * time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.core = core
-	core.Start([]UpstreamHost{{Server: choice.Server{ID: "h", Size: 1}}, {Server: choice.Server{ID: "leaving", Size: 1, State: choice.Draining}}})
+	core.Start([]ServerEntry{{Server: choice.Server{ID: "h", Size: 1}}, {Server: choice.Server{ID: "leaving", Size: 1, State: choice.Draining}}})
 	return w, broken
 }
 
@@ -69,9 +69,9 @@
 	if a.tried {
 		t.Error("the host is tried again")
 	}
-	r.answer(LocalReply{Refused: true})
+	r.answer(LocalReply{Rejected: true})
 	last(t, *broken, invariant.UnsafeRefusal)
-	if a.reply == nil || a.reply.Refused {
+	if a.reply == nil || a.reply.Rejected {
 		t.Errorf("the client got %+v: a failure is wanted", a.reply)
 	}
 }
--- a/internal/lab/explore/node.go
+++ b/internal/lab/explore/node.go
@@ -34,7 +34,7 @@
 	diskBad  bool
 	diskSlow time.Duration
 	busy     bool // a record is on its way to the disk
-	list     []edge.UpstreamHost
+	list     []edge.ServerEntry
 	old      bool // of a version that doesn't know all keys
 	reached  bool // by operators, though nothing comes or goes to other nodes
 	came     float64
@@ -48,9 +48,9 @@
 
 // rules are the plans' rules of the simulated fleet.
 func rules() failover.Rules {
-	r := failover.Rules{Limit: 0.85, Life: 30 * time.Second, Hold: 4 * time.Second, Ramp: 0.2, Far: func(a, b string) float64 { return 1 }}
+	r := failover.Rules{UtilizationLimit: 0.85, GrantLifetime: 30 * time.Second, RecoveryDelay: 4 * time.Second, RecoveryRamp: 0.2, RegionDistance: func(a, b string) float64 { return 1 }}
 	for _, c := range faults.Classes {
-		r.Classes = append(r.Classes, failover.Class{Name: c.Name, Worth: c.Worth, Stay: c.Stay})
+		r.Classes = append(r.Classes, failover.Class{Name: c.Name, Priority: c.Worth, StayInRegion: c.Stay})
 	}
 	return r
 }
@@ -122,7 +122,7 @@
 		return n.join()
 	}
 	if w.o.Policy == Static {
-		n.core.Plan(n.staticPlan())
+		n.core.ApplyZonePlan(n.staticPlan())
 	}
 	n.core.Flush()
 	return nil
@@ -140,14 +140,14 @@
 	if err != nil {
 		return err
 	}
-	n.core, err = edge.New(edge.Options{Clock: n, Settings: told.Settings, Seed: w.o.Seed*4099 + uint64(n.i)*7 + uint64(n.born), Prober: n,
-		Follow: func() {}, Monitor: &invariant.Monitor{Broken: n.objects}})
+	n.core, err = edge.New(edge.Options{Clock: n, Settings: told.Settings, Seed: w.o.Seed*4099 + uint64(n.i)*7 + uint64(n.born), HealthChecker: n,
+		WatchList: func() {}, Monitor: &invariant.Monitor{Broken: n.objects}})
 	if err != nil {
 		return err
 	}
 	n.list = nil
 	for _, h := range w.hosts {
-		n.list = append(n.list, edge.UpstreamHost{Server: choice.Server{ID: h.id, Zone: h.zone, Kind: "k", Size: 1}})
+		n.list = append(n.list, edge.ServerEntry{Server: choice.Server{ID: h.id, Zone: h.zone, Kind: "k", Size: 1}})
 	}
 	n.core.Start(n.list)
 	return nil
@@ -157,7 +157,7 @@
 func (n *node) join() (err error) {
 	w := n.w
 	o := agent.Options{List: w.list, Self: n.i, Key: []byte(labKey), Rules: rules(), Classes: w.classes,
-		ComeAgain: time.Second, Kept: n.disk, Seed: w.o.Seed*31 + uint64(n.i)*1009 + uint64(n.born), Log: n.log, Voter: NewVoter}
+		RetryAfter: time.Second, Records: n.disk, Seed: w.o.Seed*31 + uint64(n.i)*1009 + uint64(n.born), Log: n.log, Voter: NewVoter}
 	if w.o.Light {
 		o.Policy = n.policyOptions()
 	}
@@ -180,18 +180,18 @@
 	n.on(n.w.now+agree.Tick, func() {
 		n.agent.Tick(n.clock())
 		if n.agent.Wants(n.clock()) {
-			n.agent.Tell(n.moduleNews(), n.clock())
+			n.agent.Observe(n.moduleNews(), n.clock())
 		}
 		n.tick()
 	})
 }
 
 // moduleNews is what the node's module saw since the last call.
-func (n *node) moduleNews() choice.News {
+func (n *node) moduleNews() choice.Observations {
 	if n.core == nil {
 		return n.lightNews()
 	}
-	return n.core.News()
+	return n.core.Observations()
 }
 
 // staticPlan is the order of zones that a node goes by alone: its own, those of its region, the others. Classes that must stay in their region
@@ -212,7 +212,7 @@
 		case n.w.list.Region(zone) == n.w.list.Region(n.zone):
 			near = append(near, grant)
 		default:
-			grant.Except = staying
+			grant.ExcludedClasses = staying
 			far = append(far, grant)
 		}
 	}
@@ -223,8 +223,8 @@
 func (n *node) pump() {
 	const rounds = 8
 	for range rounds {
-		if p, changed := n.agent.Use(); changed && n.core != nil {
-			n.core.Plan(p)
+		if p, changed := n.agent.ZonePlan(); changed && n.core != nil {
+			n.core.ApplyZonePlan(p)
 			n.core.Flush()
 		}
 		n.save()
@@ -256,7 +256,7 @@
 			n.disk = nil
 		}
 		n.disk = append(n.disk, rec)
-		n.on(n.w.now, func() { n.agent.Kept(n.clock()) })
+		n.on(n.w.now, func() { n.agent.Persisted(n.clock()) })
 	})
 }
 
@@ -296,7 +296,7 @@
 	if w.o.Messages > 0 && w.rng.Float64() < 0.1 {
 		d += time.Duration(w.rng.IntN(w.o.Messages)) * time.Millisecond
 	}
-	if !agent.OfVoters(m.Data) { // else the log stands still, and nothing of what is late matters
+	if !agent.IsConsensusMessage(m.Data) { // else the log stands still, and nothing of what is late matters
 		d += w.late/2 + time.Duration(w.rng.Float64()*float64(w.late)) // what is late overtakes
 	}
 	return d
--- a/internal/node/golden_transfer_test.go
+++ b/internal/node/golden_transfer_test.go
@@ -101,13 +101,13 @@
 	}
 }
 
-func goldenOpen() *edge.Standing {
-	return &edge.Standing{ID: "9b1f03aa5c7e2d41",
-		Class: choice.Class{Name: "field-sync", Former: true, SetupAim: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond, MessageAim: 150 * time.Millisecond,
-			Worth: 2.5, Repeat: choice.Keyed, Scope: choice.ScopeCell, Window: 30 * time.Second},
-		Tenant: "ferma-ro", Key: 1<<60 + 1, Group: 1<<61 + 2, Usual: 0.012, Now: 0.013, Returned: true,
-		Host: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Cell: 3, State: choice.Draining, Size: 1.5, Started: 1700 * time.Second,
-			ColdSince: 1701 * time.Second},
+func goldenOpen() *edge.ConnectionState {
+	return &edge.ConnectionState{ID: "9b1f03aa5c7e2d41",
+		Class: choice.Class{Name: "field-sync", Removed: true, SetupObjective: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond, MessageObjective: 150 * time.Millisecond,
+			Priority: 2.5, Idempotency: choice.IdempotentByKey, IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 30 * time.Second},
+		Tenant: "ferma-ro", Key: 1<<60 + 1, Group: 1<<61 + 2, UsualLoad: 0.012, CurrentLoad: 0.013, Returned: true,
+		Server: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Cell: 3, State: choice.Draining, Size: 1.5, Started: 1700 * time.Second,
+			SlowStartSince: 1701 * time.Second},
 		Addr: "10.1.0.18:3000"}
 }
 
@@ -122,13 +122,13 @@
 
 // TestGoldenFrontStates pins what each front knows of a connection.
 func TestGoldenFrontStates(t *testing.T) {
-	pinned(t, "platform-front", downstream.Standing{Conn: loop.Carried{Out: []byte("to the client"), Paused: true}, Behind: 11,
-		Host: &upstream.Standing{Conn: loop.Carried{Out: []byte("to the host"), Paused: true}, Line: []byte("of the host"), Behind: 12, Last: 1, Sent: 1796234567000000001,
+	pinned(t, "platform-front", downstream.ConnectionState{Conn: loop.ConnectionState{Out: []byte("to the client"), Paused: true}, Behind: 11,
+		Server: &upstream.ConnectionState{Conn: loop.ConnectionState{Out: []byte("to the host"), Paused: true}, Line: []byte("of the host"), Behind: 12, Last: 1, Sent: 1796234567000000001,
 			Waits: 13},
 		Line: []byte("of the client"), Pinged: true, Until: 1796234567000000002, Left: 14}, handover.Decode)
 	session := goldenSession()
-	pinned(t, "xmpp-front", xmpp.Standing{Conn: loop.Carried{Out: []byte("to the client"), Paused: true}, In: goldenStream("<client"), To: "farm.example",
-		Host:  &xmpp.Host{Conn: loop.Carried{Out: []byte("to the host"), Paused: true}, In: goldenStream("<host"), Inside: true},
+	pinned(t, "xmpp-front", xmpp.Standing{Conn: loop.ConnectionState{Out: []byte("to the client"), Paused: true}, In: goldenStream("<client"), To: "farm.example",
+		Host:  &xmpp.Host{Conn: loop.ConnectionState{Out: []byte("to the host"), Paused: true}, In: goldenStream("<host"), Inside: true},
 		Until: 1796234567000000003, Left: 15, Opened: true, Resumes: &session}, handover.Decode)
 }
 
@@ -145,7 +145,7 @@
 // TestGoldenLearned pins what a process has learned beside its connections.
 func TestGoldenLearned(t *testing.T) {
 	pinned(t, "learned", known{
-		Modules: map[string]choice.Learned{"k": {Form: choice.LearnedForm, Unit: 0.1, Hints: 2, SumLoad: 0.3, SumBase: 0.4, SumAt: 5, Rate: 0.6, RateAt: 7, Gate: 0.8, Worth: 0.9,
+		Modules: map[string]choice.LearnedState{"k": {Version: choice.LearnedStateVersion, Unit: 0.1, Hints: 2, SumLoad: 0.3, SumBase: 0.4, SumAt: 5, Rate: 0.6, RateAt: 7, Gate: 0.8, Worth: 0.9,
 			Kinds: []choice.LearnedKind{{Kind: "std-2c", Num: 1.1, Den: 1.2, N: 1.3}},
 			Servers: []choice.LearnedServer{{ID: "s-5be2a07c", Started: 21, Num: 2.2, Den: 2.3, N: 2.4, Known: true, Report: 2.6, ReportAt: 27, BadUntil: 28, Strikes: 29,
 				Credit: 3.1, CreditAt: 32, ErrSum: 3.3, PrevErr: 3.4, Trim: 3.5, Since: 3.6}},
--- a/internal/node/policy_test.go
+++ b/internal/node/policy_test.go
@@ -23,24 +23,24 @@
 // node's own.
 func TestUnder(t *testing.T) {
 	own := wire.Settings{ClassByName: map[string]int{"a": 0, "b": 1}, TenantByName: map[string]int{}}
-	own.Classes = []choice.Class{{Name: "a", Deadline: 9 * time.Second, Repeat: choice.Unsafe}, {Name: "b", Deadline: 9 * time.Second}}
-	own.Limits.Attempts = 3
-	d := &policy.Document{Attempts: 4, Classes: []policy.Class{{Name: "b", Aim: time.Second, Patience: 3 * time.Second, Worth: 2, Ground: true},
-		{Name: "new", Aim: time.Second, Patience: 2 * time.Second}}, Ground: policy.Ground{Attempts: 1, Patience: 2 * time.Second}, OverShareWorth: 0.3}
+	own.Classes = []choice.Class{{Name: "a", Deadline: 9 * time.Second, Idempotency: choice.NotIdempotent}, {Name: "b", Deadline: 9 * time.Second}}
+	own.Limits.MaxAttempts = 3
+	d := &policy.Document{Attempts: 4, Classes: []policy.Class{{Name: "b", SetupObjective: time.Second, Deadline: 3 * time.Second, Priority: 2, ServedByBase: true},
+		{Name: "new", SetupObjective: time.Second, Deadline: 2 * time.Second}}, Base: policy.BasePolicy{Attempts: 1, Deadline: 2 * time.Second}, OverQuotaPriority: 0.3}
 	for _, c := range []struct {
 		ground   bool
 		attempts int
 		patience time.Duration
 	}{{false, 3, 3 * time.Second}, {true, 1, 2 * time.Second}} {
 		s := under(d, own, c.ground).After(own)
-		if s.ClassByName["b"] != 1 || s.ClassByName["new"] != 2 || !s.Classes[0].Former || s.Classes[0].Repeat != choice.Unsafe {
+		if s.ClassByName["b"] != 1 || s.ClassByName["new"] != 2 || !s.Classes[0].Removed || s.Classes[0].Idempotency != choice.NotIdempotent {
 			t.Errorf("ground %v: classes %+v, by name %v", c.ground, s.Classes, s.ClassByName)
 		}
 		if _, there := s.ClassByName["a"]; there {
 			t.Errorf("ground %v: a class that the policy doesn't have can be asked for", c.ground)
 		}
-		if b := s.Classes[1]; b.Deadline != c.patience || b.Worth != 2 || s.Limits.Attempts != c.attempts || s.OverQuotaWorth != 0.3 {
-			t.Errorf("ground %v: %+v, %d attempts", c.ground, b, s.Limits.Attempts)
+		if b := s.Classes[1]; b.Deadline != c.patience || b.Priority != 2 || s.Limits.MaxAttempts != c.attempts || s.OverQuotaPriority != 0.3 {
+			t.Errorf("ground %v: %+v, %d attempts", c.ground, b, s.Limits.MaxAttempts)
 		}
 	}
 	f := &fleet{policy: policed{number: 7, doc: d}}
@@ -51,7 +51,7 @@
 	if why := f.disagrees(own); !strings.HasPrefix(why, "giveUpS of b is 9s, policy 7 of the fleet has 3s") {
 		t.Errorf("a file with another patience: %q", why)
 	}
-	own.Classes[1].Deadline, own.Classes[1].SetupAim, own.Classes[1].Worth, own.Limits.Attempts = 3*time.Second, time.Second, 2, 4
+	own.Classes[1].Deadline, own.Classes[1].SetupObjective, own.Classes[1].Priority, own.Limits.MaxAttempts = 3*time.Second, time.Second, 2, 4
 	if why := f.disagrees(own); why != "" {
 		t.Errorf("a file that agrees: %q", why)
 	}
@@ -75,9 +75,9 @@
 	defer zap.ReplaceGlobals(zap.New(seen))()
 	f := &fleet{loop: l, core: core, begin: time.Now(), policy: policed{program: &Program{}},
 		conf: config.Fleet{Self: "a", List: &config.FleetList{List: list, Policy: &config.FleetPolicy{Window: config.Duration(5 * time.Second)}}}}
-	state := &policy.State{Number: 1, Last: 1, Docs: []policy.Numbered{{Number: 1, Text: []byte("newer = 1\n")}}}
+	state := &policy.State{Number: 1, LastNumber: 1, Documents: []policy.VersionedDocument{{Number: 1, Text: []byte("newer = 1\n")}}}
 	if f.agent, err = agent.New(agent.Options{List: list, Key: []byte("k"), Policy: f.policyOptions(),
-		Kept: []agree.Record{{Log: 7, Newest: []agree.Entry{{Number: 3, Kind: policy.Kind, Data: state.Encode()}}}}}, 0); err != nil {
+		Records: []agree.Record{{Log: 7, Newest: []agree.Entry{{Number: 3, Kind: policy.Kind, Data: state.Encode()}}}}}, 0); err != nil {
 		t.Fatal(err)
 	}
 	for range 10 {
--- a/internal/operate/handover/golden_test.go
+++ b/internal/operate/handover/golden_test.go
@@ -48,7 +48,7 @@
 
 // goldenList is a list with each field set.
 func goldenList() cluster.List {
-	return cluster.ListOf(71, []edge.UpstreamHost{
+	return cluster.ListOf(71, []edge.ServerEntry{
 		{Addr: "10.1.0.18:3000", Server: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Cell: 3, State: choice.Draining, Size: 1.5, Started: 1800 * time.Millisecond}},
 	})
 }
@@ -143,7 +143,7 @@
 		if err != nil {
 			c.t.Fatalf("%v: %v after %q", names, err, got)
 		}
-		fds = append(fds, loop.Rights(side[:sn])...)
+		fds = append(fds, loop.ReceivedDescriptors(side[:sn])...)
 		got = append(got, buf[:n]...)
 	}
 	if !bytes.Equal(got, want) {
--- a/internal/platform/upstream/probe.go
+++ b/internal/platform/upstream/probe.go
@@ -35,8 +35,8 @@
 	place   *list.Element // among those that have a connection
 }
 
-// Probe asks a host for its load report.
-func (c *Cluster) Probe(h edge.UpstreamHost, by time.Time, done func(choice.Outcome, []float64)) {
+// CheckHealth asks a host for its load report.
+func (c *Cluster) CheckHealth(h edge.ServerEntry, by time.Time, done func(choice.Outcome, []float64)) {
 	p := c.probes[h.ID]
 	if p == nil || p.addr != h.Addr {
 		if p != nil {
@@ -46,7 +46,7 @@
 		c.probes[h.ID] = p
 	}
 	if p.done != nil { // the core has one probe out a host; a further one can't be told from it
-		done(choice.Moot, nil)
+		done(choice.NeverSent, nil)
 		return
 	}
 	p.done = done
@@ -64,9 +64,9 @@
 	}
 }
 
-// KeepProbes sets how many connections for probes are kept, beside those with a probe under way. Guards against a list with more
+// KeepHealthChecks sets how many connections for probes are kept, beside those with a probe under way. Guards against a list with more
 // hosts than the node has descriptors, whose probes would leave none for clients. 0: there is no bound.
-func (c *Cluster) KeepProbes(most int) {
+func (c *Cluster) KeepHealthChecks(most int) {
 	c.mostProbes = most
 	c.endUnused(0)
 }
@@ -94,7 +94,7 @@
 }
 
 // ForgetOthers closes the probe connections of all hosts but these: a whole list says what is gone by not naming it.
-func (c *Cluster) ForgetOthers(hosts []edge.UpstreamHost) {
+func (c *Cluster) ForgetOthers(hosts []edge.ServerEntry) {
 	named := map[choice.ServerID]bool{}
 	for _, h := range hosts {
 		named[h.ID] = true
@@ -176,8 +176,8 @@
 func (p *prober) OnEnd(err error) {
 	o := choice.Reset
 	switch {
-	case loop.Local(err):
-		o = choice.Moot
+	case loop.IsLocal(err):
+		o = choice.NeverSent
 	case !p.up:
 		o = choice.ConnectFailed
 	}
