--- a/internal/operate/handover/golden_test.go
+++ b/internal/operate/handover/golden_test.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(parcels, []Parcel{{FDs: fds[:2], Body: []byte("front state")}, {FDs: fds[2:], Body: []byte{0x00, 0xff}}}) {
+	if !reflect.DeepEqual(parcels, []TransferItem{{FDs: fds[:2], Body: []byte("front state")}, {FDs: fds[2:], Body: []byte{0x00, 0xff}}}) {
 		t.Errorf("read %+v of descriptors %v", parcels, fds)
 	}
 }
@@ -188,10 +188,10 @@
 	for _, far := range []*os.File{listenerFar, datagramsFar, connectionFar} {
 		defer far.Close()
 	}
-	var p *Place
+	var p *Coordinator
 	on(func() {
-		p = Open(Options{Loop: l, Path: path, Changed: func() {}, Lend: func() Lent {
-			return Lent{Sockets: map[string]int{"127.0.0.1:3000": listener}, Datagrams: datagrams, Discovery: "127.0.0.1:4000", List: goldenList(), Room: 100,
+		p = NewCoordinator(Options{Loop: l, Path: path, Changed: func() {}, Grant: func() Grant {
+			return Grant{Sockets: map[string]int{"127.0.0.1:3000": listener}, Datagrams: datagrams, Discovery: "127.0.0.1:4000", List: goldenList(), DescriptorQuota: 100,
 				Learned: []byte("learned\x00\xff")}
 		}}, nil)
 	})
@@ -206,18 +206,18 @@
 		t.Errorf("%d descriptors came, want 2", len(fds))
 	}
 	other.says(nil, "ready.json", "free.json")
-	until(t, on, "room", func() bool { there, n := p.Takes(); return there && n == 9 })
-	on(func() { p.LendMore(200, 50) })
+	until(t, on, "room", func() bool { there, n := p.SuccessorAccepts(); return there && n == 9 })
+	on(func() { p.RaiseQuota(200, 50) })
 	other.hears("room.json")
-	on(func() { p.Tell([]byte("learn")) })
+	on(func() { p.SendLearnedState([]byte("learn")) })
 	other.hears("learned.json")
 	body := make([]byte, 5)
 	if _, err := io.ReadFull(conn, body); err != nil || string(body) != "learn" {
 		t.Errorf("learned %q, %v, want %q", body, err, "learn")
 	}
-	parcels := []Parcel{{[]int{connection, listener}, []byte("front state")}, {[]int{datagrams}, []byte{0x00, 0xff}}}
+	parcels := []TransferItem{{[]int{connection, listener}, []byte("front state")}, {[]int{datagrams}, []byte{0x00, 0xff}}}
 	taken := make(chan bool, 1)
-	give := func() { on(func() { p.Give(parcels, func(ok bool) { taken <- ok }) }) }
+	give := func() { on(func() { p.Transfer(parcels, func(ok bool) { taken <- ok }) }) }
 	for _, step := range []struct {
 		says, hears string
 		taken       bool
@@ -275,13 +275,13 @@
 		}
 		answered <- other
 	}()
-	lent, err := Ask(path, time.Now().Add(20*time.Second))
+	lent, err := RequestGrant(path, time.Now().Add(20*time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer lent.GiveBack(func(fd int) bool { return fd == lent.fd })
+	defer lent.Release(func(fd int) bool { return fd == lent.fd })
 	list := goldenList()
-	if lent.Discovery != "127.0.0.1:4000" || lent.Room != 100 || string(lent.Learned) != "learned\x00\xff" || lent.carry != 1 || len(lent.Sockets) != 1 ||
+	if lent.Discovery != "127.0.0.1:4000" || lent.DescriptorQuota != 100 || string(lent.Learned) != "learned\x00\xff" || lent.carry != 1 || len(lent.Sockets) != 1 ||
 		lent.Sockets["127.0.0.1:3000"] <= 0 || lent.Datagrams <= 0 || !reflect.DeepEqual(lent.List, list) {
 		t.Errorf("lent is %+v", lent)
 	}
@@ -289,15 +289,15 @@
 	defer other.conn.Close()
 	other.hears("hello.json")
 	l, on := run(t)
-	var p *Place
+	var p *Coordinator
 	free, calls := 9, ""
 	var came [][]byte
 	on(func() {
-		p = Open(Options{Loop: l, Path: Path(t.TempDir(), "127.0.0.1:3000"), Changed: func() {}, Lend: func() Lent { return Lent{Datagrams: -1} },
-			Carrying: Carrying{Free: func() int { return free }, Learned: func(b []byte) { calls += "learned " + string(b) + " " },
-				Hold: func(all []Parcel) (Held, error) {
+		p = NewCoordinator(Options{Loop: l, Path: Path(t.TempDir(), "127.0.0.1:3000"), Changed: func() {}, Grant: func() Grant { return Grant{Datagrams: -1} },
+			TransferHandler: TransferHandler{FreeDescriptors: func() int { return free }, Learned: func(b []byte) { calls += "learned " + string(b) + " " },
+				Prepare: func(all []TransferItem) (PreparedBatch, error) {
 					if calls += "held "; free == 0 {
-						return Held{}, io.ErrUnexpectedEOF
+						return PreparedBatch{}, io.ErrUnexpectedEOF
 					}
 					var fds []int
 					for _, parcel := range all {
@@ -305,7 +305,7 @@
 						fds = append(fds, parcel.FDs...)
 					}
 					calls += fmt.Sprint(len(fds), " ")
-					return Held{Take: func() { calls += "taken "; loop.CloseAll(fds) }, Drop: func() { calls += "dropped "; loop.CloseAll(fds) }}, nil
+					return PreparedBatch{Commit: func() { calls += "taken "; loop.CloseAll(fds) }, Abort: func() { calls += "dropped "; loop.CloseAll(fds) }}, nil
 				}}}, lent)
 		p.Ready()
 	})
@@ -328,8 +328,8 @@
 	other.says(nil, "back.json", "room.json")
 	other.hears("free.json")
 	on(func() {
-		if free = 0; p.Room() != 150 {
-			t.Errorf("room is %d, want 150", p.Room())
+		if free = 0; p.DescriptorQuota() != 150 {
+			t.Errorf("room is %d, want 150", p.DescriptorQuota())
 		}
 	})
 	other.says([]int{listener, datagrams, connection}, "batch.json", "connections.cbor")
