--- a/choice/cold_fleet_test.go
+++ b/choice/cold_fleet_test.go
@@ -77,6 +77,13 @@
 
 // play has the fleet come into balance, then cold hosts join and others come back cold, under a burst, and counts.
 func (f coldFleet) play(t *testing.T) coldFigures {
+	t.Helper()
+	return f.playRecorded(t, false, nil).coldFigures(f)
+}
+
+// playRecorded is the same, with the clients in groups or not, and all actions recorded.
+func (f coldFleet) playRecorded(t *testing.T, grouped bool, r *recorder) *simulation {
+	t.Helper()
 	var list []choice.Server
 	for i := range f.hosts {
 		h := choice.Server{ID: choice.ServerID(fmt.Sprintf("h%02d", i)), Zone: "z0", Kind: fmt.Sprint("k", i%2), Size: 1 - 0.4*float64(i%2)}
@@ -88,7 +95,9 @@
 	world := terms{perHost: coldPerHost, life: coldLife, listDelay: 300 * time.Millisecond, tries: 6, oddAnswers: 0.02, shedAt: 1.3,
 		slotsAt: 1.3, lossOfTells: 0.02, skew: f.skew, homes: f.homes}
 	s := f.settings()
+	s.GroupAffinity = grouped
 	w := newSimulation(t, f.name, s, world, list, f.seed, noJudge{})
+	w.recorder = r
 	var strength float64
 	for _, h := range w.hosts {
 		strength += h.strength
@@ -97,7 +106,13 @@
 		}
 	}
 	rate := coldLoad * strength * coldPerHost / coldLife.Seconds()
-	draw := func() *simClient { return &simClient{tenant: -1, key: w.rng.Uint64(), load: 1} }
+	draw := func() *simClient {
+		c := &simClient{tenant: -1, key: w.rng.Uint64(), load: 1}
+		if grouped {
+			c.group = 1 + c.key%30
+		}
+		return c
+	}
 	day := beforeCold + f.rules.WarmUp + 4*time.Second
 	w.arrivalsFor(day, rate, draw)
 	if f.burst > 0 {
@@ -120,7 +135,7 @@
 			t.Errorf("%s: no %s; the run shows nothing", f.name, what)
 		}
 	}
-	return w.coldFigures(f)
+	return w
 }
 
 // warmAt is the part of its capacity that a host has so long after a cold start.
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -336,11 +336,18 @@
 
 // playDrawn plays one drawn world and returns how often what happened.
 func playDrawn(t *testing.T, seed uint64) map[string]int {
+	t.Helper()
+	return playDrawnWorld(t, seed, nil).counts
+}
+
+// playDrawnWorld plays one drawn world and returns it as it is at its end. The recorder sees all actions; nil: nobody does.
+func playDrawnWorld(t *testing.T, seed uint64, r *recorder) *simulation {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 5))
 	s, world, list := drawSettings(rng)
 	j := newRulesJudge()
 	w := newSimulation(t, fmt.Sprintf("seed %d", seed), s, world, list, seed, j)
-	j.w = w
+	j.w, w.recorder = w, r
 	watchdog := time.AfterFunc(worldLimit, func() { panic(fmt.Sprintf("seed %d: the world hangs", seed)) })
 	defer watchdog.Stop()
 
@@ -370,7 +377,7 @@
 			t.Fatalf("seed %d: %s never got its answer", seed, r.ID)
 		}
 	}
-	return w.counts
+	return w
 }
 
 // schedule has the world's troubles happen.
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -30,6 +30,7 @@
 	requests map[choice.RequestID]*simRequest
 	judge    judge
 	counts   map[string]int
+	recorder *recorder // of all actions; nil: none
 }
 
 // terms are what a simulated world is like beyond the settings that nodes are told.
@@ -214,6 +215,7 @@
 		w.note(n, e)
 	}
 	actions := n.balancer.Step(w.now, events)
+	w.recorder.step(w.now, n.number, actions)
 	for _, a := range actions {
 		w.judge.acts(n, a)
 		w.carryOut(n, a)
--- /dev/null
+++ b/internal/node/golden_transfer_test.go
@@ -0,0 +1,154 @@
+package node
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"spurwinch/choice"
+	"spurwinch/internal/edge"
+	"spurwinch/internal/loop"
+	"spurwinch/internal/operate/handover"
+	"spurwinch/internal/platform/downstream"
+	"spurwinch/internal/platform/upstream"
+	resumable "spurwinch/internal/session"
+	"spurwinch/internal/xmpp"
+)
+
+// The bytes under testdata/golden are what a released process of a node tells the next one of its connections and of what
+// it has learned. A process of another release reads them.
+// go test ./internal/node -run TestGolden -update-golden
+
+var updateGolden = flag.Bool("update-golden", false, "write testdata/golden anew")
+
+// golden is what the file of a name holds; with -update-golden it holds got from now on.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *updateGolden {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// unset names the fields of a value that are zero, at any depth.
+func unset(v reflect.Value, name string) (all []string) {
+	if v.IsZero() {
+		return []string{name}
+	}
+	switch {
+	case v.Type() == reflect.TypeFor[time.Time](), v.Type() == reflect.TypeFor[cbor.RawMessage]():
+	case v.Kind() == reflect.Pointer:
+		return unset(v.Elem(), name)
+	case v.Kind() == reflect.Struct:
+		for i := range v.NumField() {
+			all = append(all, unset(v.Field(i), name+"."+v.Type().Field(i).Name)...)
+		}
+	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
+		for i := range v.Len() {
+			all = append(all, unset(v.Index(i), name)...)
+		}
+	case v.Kind() == reflect.Map:
+		for _, k := range v.MapKeys() {
+			all = append(all, unset(v.MapIndex(k), name)...)
+		}
+	}
+	return all
+}
+
+// encoded is a value as one process tells it.
+func encoded(t *testing.T, value any) []byte {
+	t.Helper()
+	told, err := cbor.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return told
+}
+
+// pinned wants a value written as the golden bytes, and read from them by the function that reads them in the node.
+func pinned[T any](t *testing.T, name string, value T, read func([]byte, any) error) {
+	t.Helper()
+	if missing := unset(reflect.ValueOf(value), name); len(missing) > 0 {
+		t.Errorf("%s is to have each field, and has no %v", name, missing)
+	}
+	got := encoded(t, value)
+	want := golden(t, name+".cbor", got)
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: written %x, want %x", name, got, want)
+	}
+	var back T
+	if err := read(want, &back); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(back, value) {
+		t.Errorf("%s: read %+v, want %+v", name, back, value)
+	}
+}
+
+func goldenOpen() *edge.ConnectionState {
+	return &edge.ConnectionState{ID: "9b1f03aa5c7e2d41",
+		Class: choice.Class{Name: "field-sync", Removed: true, SetupObjective: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond, MessageObjective: 150 * time.Millisecond,
+			Priority: 2.5, Idempotency: choice.IdempotentByKey, IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 30 * time.Second},
+		Tenant: "ferma-ro", Key: 1<<60 + 1, Group: 1<<61 + 2, UsualLoad: 0.012, CurrentLoad: 0.013, Returned: true,
+		Server: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Cell: 3, State: choice.Draining, Size: 1.5, Started: 1700 * time.Second,
+			SlowStartSince: 1701 * time.Second},
+		Addr: "10.1.0.18:3000"}
+}
+
+func goldenSession() resumable.Session {
+	return resumable.Session{Key: resumable.Key{Domain: "farm.example", ID: "sm-1"}, User: "ana", Host: "h-1", Started: 5 * time.Second, Max: time.Minute,
+		Until: time.Unix(1796234567, 0), Left: 40 * time.Second}
+}
+
+func goldenStream(part string) xmpp.Stream {
+	return xmpp.Stream{Part: []byte(part), Stack: []string{"stream:stream", "message"}, Prefix: "stream", Size: 77, Started: true, Ended: true, Restart: true}
+}
+
+// TestGoldenFrontStates pins what each front knows of a connection.
+func TestGoldenFrontStates(t *testing.T) {
+	pinned(t, "platform-front", downstream.ConnectionState{Conn: loop.ConnectionState{Out: []byte("to the client"), Paused: true}, Behind: 11,
+		Server: &upstream.ConnectionState{Conn: loop.ConnectionState{Out: []byte("to the host"), Paused: true}, Line: []byte("of the host"), Behind: 12, Last: 1, Sent: 1796234567000000001,
+			Waits: 13},
+		Line: []byte("of the client"), Pinged: true, Until: 1796234567000000002, Left: 14}, handover.Decode)
+	session := goldenSession()
+	pinned(t, "xmpp-front", xmpp.Standing{Conn: loop.ConnectionState{Out: []byte("to the client"), Paused: true}, In: goldenStream("<client"), To: "farm.example",
+		Host:  &xmpp.Host{Conn: loop.ConnectionState{Out: []byte("to the host"), Paused: true}, In: goldenStream("<host"), Inside: true},
+		Until: 1796234567000000003, Left: 15, Opened: true, Resumes: &session}, handover.Decode)
+}
+
+// TestGoldenConnection pins a connection as it goes into a batch.
+func TestGoldenConnection(t *testing.T) {
+	pinned(t, "connection", carried{Front: platformFront, Cluster: "k", Open: goldenOpen(), State: cbor.RawMessage{0xa1, 0x01, 0xa0}}, handover.Decode)
+	for _, name := range []string{platformFront, xmppFront} {
+		if want := golden(t, "front-"+name+".txt", []byte(name)); name != string(want) {
+			t.Errorf("a front is called %q, want %q", name, want)
+		}
+	}
+}
+
+// TestGoldenLearned pins what a process has learned beside its connections.
+func TestGoldenLearned(t *testing.T) {
+	pinned(t, "learned", known{
+		Modules: map[string]choice.LearnedState{"k": {Version: choice.LearnedStateVersion, Unit: 0.1, Hints: 2, SumLoad: 0.3, SumBase: 0.4, SumAt: 5, Rate: 0.6, RateAt: 7, Gate: 0.8, Worth: 0.9,
+			Kinds: []choice.LearnedKind{{Kind: "std-2c", Num: 1.1, Den: 1.2, N: 1.3}},
+			Servers: []choice.LearnedServer{{ID: "s-5be2a07c", Started: 21, Num: 2.2, Den: 2.3, N: 2.4, Known: true, Report: 2.6, ReportAt: 27, BadUntil: 28, Strikes: 29,
+				Credit: 3.1, CreditAt: 32, ErrSum: 3.3, PrevErr: 3.4, Trim: 3.5, Since: 3.6}},
+			Meaning: "settings", Now: 37}},
+		Sessions: []resumable.Session{goldenSession()}}, cbor.Unmarshal)
+}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -16,17 +16,20 @@
 )
 
 // Key names a session: ids are unique within a domain only.
-type Key struct{ Domain, ID string }
+type Key struct {
+	Domain string `cbor:"Domain"`
+	ID     string `cbor:"ID"`
+}
 
 // Session is one that can be resumed.
 type Session struct {
 	Key
-	User    string // empty: not known
-	Host    choice.ServerID
-	Started time.Duration // of the host's process, as the list told it: another one knows nothing of the session
-	Max     time.Duration // how long the host keeps it once its stream is gone
-	Until   time.Time     // zero: its stream stands
-	Left    time.Duration // until then, as it is told to another process, whose clock may differ; 0: a release that tells Until only
+	User    string          `cbor:"User"` // empty: not known
+	Host    choice.ServerID `cbor:"Host"`
+	Started time.Duration   `cbor:"Started"` // of the host's process, as the list told it: another one knows nothing of the session
+	Max     time.Duration   `cbor:"Max"`     // how long the host keeps it once its stream is gone
+	Until   time.Time       `cbor:"Until"`   // zero: its stream stands
+	Left    time.Duration   `cbor:"Left"`    // until then, as it is told to another process, whose clock may differ; 0: a release that tells Until only
 }
 
 // Table holds sessions, most recent last. The zero Table holds none: use New.
