--- a/internal/agree/disk.go
+++ b/internal/agree/disk.go
@@ -2,31 +2,31 @@
 
 import "os"
 
-// disk is what the store asks of a disk. Tests put one in its place on which calls fail.
+// disk has the calls of a Store that change what is on a disk. Tests replace it by one on which calls fail.
 type disk interface {
-	WriteAt(f *os.File, p []byte, at int64) error
-	Sync(f *os.File) error
+	WriteAt(file *os.File, data []byte, offset int64) error
+	Sync(file *os.File) error
 	Rename(from, to string) error
-	SyncFolder(dir string) error
+	SyncDir(dir string) error
 }
 
-// files is the disk itself.
-type files struct{}
+// osDisk is the disk of the operating system.
+type osDisk struct{}
 
-func (files) WriteAt(f *os.File, p []byte, at int64) error {
-	_, err := f.WriteAt(p, at)
+func (osDisk) WriteAt(file *os.File, data []byte, offset int64) error {
+	_, err := file.WriteAt(data, offset)
 	return err
 }
 
-func (files) Sync(f *os.File) error { return f.Sync() }
+func (osDisk) Sync(file *os.File) error { return file.Sync() }
 
-func (files) Rename(from, to string) error { return os.Rename(from, to) }
+func (osDisk) Rename(from, to string) error { return os.Rename(from, to) }
 
-func (files) SyncFolder(dir string) error {
-	d, err := os.Open(dir)
+func (osDisk) SyncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return d.Sync()
+	defer func() { _ = dir.Close() }() // only read
+	return dir.Sync()
 }
--- /dev/null
+++ b/internal/agree/follower.go
@@ -0,0 +1,116 @@
+package agree
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+)
+
+// KindDigest names an entry without its data.
+type KindDigest struct {
+	_      struct{} `cbor:",toarray"`
+	Kind   Kind
+	Number uint64 // the entry's index in the log
+	Sum    uint64 // Entry.Digest
+}
+
+// Digest tells how far a node knows a log. Nodes exchange it to find what one of them is missing.
+type Digest struct {
+	_     struct{} `cbor:",toarray"`
+	Log   uint64   // identity of the log; 0: nothing is known
+	Kinds []KindDigest
+}
+
+// Follower has the newest entries of a log as one node knows them. Indexes never go back, and a second content of one
+// index is rejected, whoever sends it. The node's agent owns it.
+type Follower struct {
+	log    uint64
+	newest map[Kind]Entry
+}
+
+// NewFollower starts from what was persisted. Without any it knows nothing yet.
+func NewFollower(log uint64, persisted []Entry) *Follower {
+	follower := &Follower{log: log, newest: map[Kind]Entry{}}
+	for _, entry := range persisted {
+		follower.newest[entry.Kind] = entry
+	}
+	return follower
+}
+
+// Newest is the newest entry of a kind; its index is 0 where there is none.
+func (f *Follower) Newest(kind Kind) Entry { return f.newest[kind] }
+
+// Log is the identity of the log; 0: not known yet.
+func (f *Follower) Log() uint64 { return f.log }
+
+// Entries are the newest entries, by kind.
+func (f *Follower) Entries() (entries []Entry) {
+	for _, entry := range f.newest {
+		entries = append(entries, entry)
+	}
+	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Kind, b.Kind) })
+	return entries
+}
+
+// Digest tells how far this node knows the log.
+func (f *Follower) Digest() Digest {
+	digest := Digest{Log: f.log}
+	for _, entry := range f.Entries() {
+		digest.Kinds = append(digest.Kinds, KindDigest{Kind: entry.Kind, Number: entry.Number, Sum: entry.Digest()})
+	}
+	return digest
+}
+
+// Lacks names the kinds of which another node has a newer entry. It returns an ErrForeignLog or an ErrConflict
+// where the two nodes cannot both be right.
+func (f *Follower) Lacks(other Digest) (kinds []Kind, err error) {
+	if other.Log == 0 {
+		return nil, nil
+	}
+	if f.log != 0 && other.Log != f.log {
+		return nil, foreignLog(other.Log, f.log)
+	}
+	for _, theirs := range other.Kinds {
+		own := f.newest[theirs.Kind]
+		switch {
+		case theirs.Number > own.Number:
+			kinds = append(kinds, theirs.Kind)
+		case theirs.Number == own.Number && theirs.Sum != own.Digest():
+			return nil, conflict(theirs.Number, theirs.Sum, own.Digest())
+		}
+	}
+	return kinds, nil
+}
+
+// Apply takes an entry that another node sent; applied says that it is newer than what was known. It returns an
+// ErrInvalidEntry, ErrForeignLog or ErrConflict for what it rejects.
+func (f *Follower) Apply(log uint64, entry Entry) (applied bool, err error) {
+	own, known := f.newest[entry.Kind]
+	if err := checkEntry(log, entry); err != nil {
+		return false, err
+	}
+	switch {
+	case !known && len(f.newest) >= MostKinds:
+		return false, fmt.Errorf("%w: kind %d is one more than the %d of a log", ErrInvalidEntry, entry.Kind, MostKinds)
+	case f.log != 0 && f.log != log:
+		return false, foreignLog(log, f.log)
+	case entry.Number == own.Number && entry.Digest() != own.Digest():
+		return false, conflict(entry.Number, entry.Digest(), own.Digest())
+	case entry.Number <= own.Number:
+		return false, nil
+	}
+	f.log = log
+	f.newest[entry.Kind] = entry
+	return true, nil
+}
+
+// checkEntry returns an ErrInvalidEntry for what no log has.
+func checkEntry(log uint64, entry Entry) error {
+	switch {
+	case log == 0 || entry.Number == 0 || entry.Kind == 0:
+		return fmt.Errorf("%w: log %016x, index %d, kind %d", ErrInvalidEntry, log, entry.Number, entry.Kind)
+	case len(entry.Data) > MaxData || len(entry.ID) > maxProposalID:
+		return fmt.Errorf("%w: %d bytes of data, id of %d bytes", ErrInvalidEntry, len(entry.Data), len(entry.ID))
+	}
+	return nil
+}
--- a/internal/agree/golden_test.go
+++ b/internal/agree/golden_test.go
@@ -14,7 +14,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew: only for a form that is new")
 
-// golden gives the bytes of a golden file, which are kept as hexadecimal text; with -update it writes them first.
+// golden gives the bytes of a golden file, which is hexadecimal text; with -update it writes them first.
 func golden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name+".hex")
@@ -83,17 +83,22 @@
 // TestGoldenForms holds the encoded forms of all that is stored or sent.
 func TestGoldenForms(t *testing.T) {
 	goldenValue(t, "entry", goldenEntry())
-	goldenValue(t, "proposal", Proposal{ID: "proposal-id", Kind: 7, Replaces: 0x0708090a, Data: []byte("proposal data")})
+	goldenValue(t, "proposal", Proposal{
+		ID: "proposal-id", Kind: 7, Replaces: 0x0708090a, Data: []byte("proposal data"),
+	})
 	goldenValue(t, "decided", ProposalResult{ID: "decided-id", Kind: 9, Number: 0x0a0b0c0d, Accepted: true})
 	goldenValue(t, "state", goldenState())
 	goldenValue(t, "record", goldenRecord())
 	goldenValue(t, "record-empty", Record{})
 	goldenValue(t, "kind-digest", KindDigest{Kind: 4, Number: 0x0e0f, Sum: 0x7172737475767778})
-	goldenValue(t, "digest", Digest{Log: 0x8182838485868788, Kinds: []KindDigest{{Kind: 5, Number: 91, Sum: 92}, {Kind: 6, Number: 93, Sum: 94}}})
+	goldenValue(t, "digest", Digest{
+		Log:   0x8182838485868788,
+		Kinds: []KindDigest{{Kind: 5, Number: 91, Sum: 92}, {Kind: 6, Number: 93, Sum: 94}},
+	})
 	goldenValue(t, "kinds", []Kind{2, 1, 3})
 }
 
-// TestGoldenDigest holds the digests that nodes of different versions compare.
+// TestGoldenDigest holds the digests that nodes compare, also of different versions.
 func TestGoldenDigest(t *testing.T) {
 	const want = 0xa539f21774aa8e41
 	if got := goldenEntry().Digest(); got != want {
@@ -105,7 +110,12 @@
 
 // TestGoldenStore holds the whole file of a store: its bytes after Save and after Replace, and what is read from them.
 func TestGoldenStore(t *testing.T) {
-	records := []Record{{Incarnation: 5}, goldenRecord(), {Log: 6, Newest: []Entry{goldenEntry()}}, {HardState: []byte("later")}}
+	records := []Record{
+		{Incarnation: 5},
+		goldenRecord(),
+		{Log: 6, Newest: []Entry{goldenEntry()}},
+		{HardState: []byte("later")},
+	}
 	t.Run("saved", func(t *testing.T) {
 		goldenStore(t, "store-saved", records, func(s *Store) error {
 			for _, r := range records {
@@ -132,16 +142,11 @@
 func goldenStore(t *testing.T, name string, want []Record, write func(*Store) error) {
 	t.Helper()
 	dir := t.TempDir()
-	s, _, err := OpenStore(dir)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := write(s); err != nil {
-		t.Fatal(err)
-	}
-	if err := s.Close(); err != nil {
+	store, _ := openStore(t, dir)
+	if err := write(store); err != nil {
 		t.Fatal(err)
 	}
+	closeStore(t, store)
 	written, err := os.ReadFile(filepath.Join(dir, storeName))
 	if err != nil {
 		t.Fatal(err)
@@ -155,17 +160,14 @@
 	if err := os.WriteFile(filepath.Join(old, storeName), file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, kept, err := OpenStore(old)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
-	if !reflect.DeepEqual(kept, want) {
-		t.Errorf("%s: read\n%+v\nwanted\n%+v", name, kept, want)
+	store, read := openStore(t, old)
+	defer closeStore(t, store)
+	if !reflect.DeepEqual(read, want) {
+		t.Errorf("%s: read\n%+v\nwanted\n%+v", name, read, want)
 	}
 }
 
-// goldenFile gives the contents of a golden file that is kept compressed; with -update it writes them first.
+// goldenFile gives the contents of a golden file that is compressed; with -update it writes them first.
 func goldenFile(t *testing.T, name string, written []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name+".gz")
@@ -186,7 +188,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer packed.Close()
+	defer func() { _ = packed.Close() }() // only read
 	r, err := gzip.NewReader(packed)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/agree/state_test.go
@@ -0,0 +1,70 @@
+package agree
+
+import (
+	"errors"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// TestStateApply holds which proposals become the newest entry, and which results are given and remembered.
+func TestStateApply(t *testing.T) {
+	state := State{Log: 1, Newest: map[Kind]Entry{}}
+	for _, step := range []struct {
+		index    uint64
+		proposal Proposal
+		accepted bool
+		ok       bool
+	}{
+		{2, Proposal{ID: "a", Kind: 1, Data: []byte("one")}, true, true},
+		{3, Proposal{ID: "a", Kind: 1, Replaces: 2, Data: []byte("the same id again")}, false, false},
+		{4, Proposal{ID: "b", Kind: 1, Data: []byte("replaces an old entry")}, false, true},
+		{5, Proposal{ID: "c", Kind: 2, Data: []byte("another kind")}, true, true},
+		{6, Proposal{ID: "d", Kind: 1, Replaces: 2, Data: []byte("two")}, true, true},
+		{7, Proposal{ID: "", Kind: 1, Replaces: 6}, false, false},
+	} {
+		result, ok := state.Apply(step.index, Encode(step.proposal))
+		if ok != step.ok || result.Accepted != step.accepted {
+			t.Errorf("Apply(%d, %+v) = %+v, %v, wanted accepted %v, %v",
+				step.index, step.proposal, result, ok, step.accepted, step.ok)
+		}
+	}
+	if newest := state.Newest[1]; newest.Number != 6 || string(newest.Data) != "two" {
+		t.Errorf("the newest entry of kind 1 is %+v, wanted index 6 with data \"two\"", newest)
+	}
+}
+
+// TestProposalCheck holds the limits of a proposal.
+func TestProposalCheck(t *testing.T) {
+	longestID := strings.Repeat("i", maxProposalID)
+	for name, test := range map[string]struct {
+		proposal Proposal
+		want     error
+	}{
+		"the largest":   {Proposal{ID: longestID, Kind: 1, Data: make([]byte, MaxData)}, nil},
+		"no id":         {Proposal{Kind: 1}, ErrInvalidProposal},
+		"long id":       {Proposal{ID: longestID + "i", Kind: 1}, ErrInvalidProposal},
+		"no kind":       {Proposal{ID: "a"}, ErrInvalidProposal},
+		"too much data": {Proposal{ID: "a", Kind: 1, Data: make([]byte, MaxData+1)}, ErrInvalidProposal},
+	} {
+		if err := test.proposal.Check(); !errors.Is(err, test.want) {
+			t.Errorf("%s: Check gives %v, wanted %v", name, err, test.want)
+		}
+	}
+}
+
+// TestStateBounds holds that a state does not grow with its log.
+func TestStateBounds(t *testing.T) {
+	state := State{Log: 1, Newest: map[Kind]Entry{}}
+	for i := range uint64(2 * maxResults) {
+		state.Apply(i+2, Encode(Proposal{ID: strconv.FormatUint(i, 10), Kind: Kind(i%100 + 1)}))
+		state.Retire(i)
+	}
+	if len(state.Results) != maxResults || len(state.Retired) != maxRetired || len(state.Newest) != MostKinds {
+		t.Errorf("%d results, %d retired, %d kinds; wanted %d, %d and %d",
+			len(state.Results), len(state.Retired), len(state.Newest), maxResults, maxRetired, MostKinds)
+	}
+	if last := state.Retired[maxRetired-1]; last != 2*maxResults-1 {
+		t.Errorf("the last retired replica is %d, wanted the newest, %d", last, 2*maxResults-1)
+	}
+}
--- a/internal/agree/voter/voter.go
+++ b/internal/agree/voter/voter.go
@@ -90,8 +90,8 @@
 
 // New makes voter number self of n, with what its disk kept, oldest first. rng draws the incarnation of a new disk.
 func New(self, n int, kept []agree.Record, rng *rand.Rand) (v *Replica, err error) {
-	if n < 1 || n > agree.MostVoters || self < 0 || self >= n {
-		return nil, fmt.Errorf("voter %d of %d: 1 to %d voters are possible", self, n, agree.MostVoters)
+	if n < 1 || n > agree.MaxReplicas || self < 0 || self >= n {
+		return nil, fmt.Errorf("voter %d of %d: 1 to %d voters are possible", self, n, agree.MaxReplicas)
 	}
 	v = &Replica{self: self, n: n, heard: make([]hello, n), mem: raft.NewMemoryStorage(), state: agree.State{Newest: map[agree.Kind]agree.Entry{}}}
 	defer func() { // Raft panics on what can't follow from what it was told
