--- /dev/null
+++ b/internal/agree/voter/replica.go
@@ -0,0 +1,210 @@
+package voter
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math/rand/v2"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"spurwinch/internal/agree"
+)
+
+// Times are in ticks of agree.Tick.
+const (
+	electionTicks  = 12 // without a message of a leader, and up to as many more by chance, until an election
+	heartbeatTicks = 3
+	helloTicks     = 10 // between two hellos of a replica that is not a member of a log
+
+	maxMessageSize     = 512 << 10 // bytes of entries in one message
+	maxInflight        = 64        // messages to a replica that it has not answered
+	maxUncommittedSize = 4 << 20   // bytes of proposals that are not committed
+)
+
+// Replica is one replica of a log.
+type Replica struct {
+	self        int // its number among the replicas
+	replicas    int // how many there are
+	incarnation uint64
+	logID       uint64 // 0: there is no log yet
+	raft        *raft.RawNode
+	storage     *raft.MemoryStorage // what has been persisted, as Raft reads it
+	state       agree.State         // what the log up to applied has come to
+	applied     uint64              // index
+	confState   *raftpb.ConfState   // the members at applied
+	peers       []peer              // by number
+	ticks       int
+	messages    []agree.Message // to be sent with the next call of Kept
+	results     []agree.ProposalResult
+	persisting  persisting
+	unstored    bool        // the incarnation, or the log's beginning, is not persisted yet
+	ready       *raft.Ready // what is being persisted of Raft
+	reads       reads
+	err         error // why the replica has stopped
+}
+
+// peer is what another replica last said of itself.
+type peer struct {
+	incarnation uint64 // 0: nothing was heard of it
+	logID       uint64 // 0: it has no log
+}
+
+// persisting tells what the record that is being persisted holds.
+type persisting uint8
+
+const (
+	persistingNothing   persisting = iota // no record is under way
+	persistingMessages                    // an empty record: only messages wait
+	persistingBeginning                   // the incarnation, and the log's beginning where there is one
+	persistingReady                       // what Raft has ready
+)
+
+// reads is how far the calls of Confirm have come.
+type reads struct {
+	calls     uint64
+	confirmed uint64           // the newest call that was confirmed
+	waiting   []raft.ReadState // confirmed, but what was decided before is not all applied yet
+}
+
+// New makes replica number self of a number of replicas, with the records that were persisted, oldest first. rng
+// draws the incarnation of a replica that has none.
+func New(self, replicas int, records []agree.Record, rng *rand.Rand) (replica *Replica, err error) {
+	if replicas < 1 || replicas > agree.MaxReplicas || self < 0 || self >= replicas {
+		return nil, fmt.Errorf("%w: number %d of %d, at most %d are possible",
+			ErrInvalidReplica, self, replicas, agree.MaxReplicas)
+	}
+	replica = &Replica{
+		self:     self,
+		replicas: replicas,
+		peers:    make([]peer, replicas),
+		storage:  raft.NewMemoryStorage(),
+		state:    agree.State{Newest: map[agree.Kind]agree.Entry{}},
+	}
+	defer func() {
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("%w: %w", ErrInconsistentRecords, &PanicError{Cause: cause})
+		}
+	}()
+	if err := replica.load(records); err != nil {
+		return nil, err
+	}
+	if replica.incarnation == 0 {
+		replica.incarnation = rng.Uint64()>>9 | 1
+		replica.unstored = true
+	}
+	if replica.logID != 0 {
+		return replica, replica.start()
+	}
+	return replica, nil
+}
+
+// start starts Raft on what is in storage.
+func (r *Replica) start() error {
+	snapshot, err := r.storage.Snapshot()
+	if err != nil {
+		return fmt.Errorf("read the snapshot: %w", err)
+	}
+	if err := r.restore(snapshot); err != nil {
+		return err
+	}
+	r.raft, err = raft.NewRawNode(&raft.Config{
+		ID:                        raftID(r.self, r.incarnation),
+		ElectionTick:              electionTicks,
+		HeartbeatTick:             heartbeatTicks,
+		Storage:                   r.storage,
+		Applied:                   r.applied,
+		MaxSizePerMsg:             maxMessageSize,
+		MaxInflightMsgs:           maxInflight,
+		MaxUncommittedEntriesSize: maxUncommittedSize,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		DisableProposalForwarding: true,
+		Logger:                    silentLogger{},
+	})
+	if err != nil {
+		return fmt.Errorf("start raft: %w", err)
+	}
+	return nil
+}
+
+// Tick tells that agree.Tick has passed.
+func (r *Replica) Tick() {
+	if r.err != nil {
+		return
+	}
+	defer r.stopOnPanic()
+	r.ticks++
+	if r.raft != nil {
+		r.raft.Tick()
+		r.reconfigure()
+	}
+	if !r.unstored && r.ticks%helloTicks == 1 && (r.raft == nil || !r.isMember()) {
+		r.broadcastHello()
+		r.bootstrap()
+	}
+}
+
+// Propose asks for an entry to be decided. How the proposal ended is in the results of Kept, or later in Ended; it
+// may never be told, and then the same proposal can be made again. The error is an agree.ErrInvalidProposal,
+// agree.ErrNotLeader or raft.ErrProposalDropped.
+func (r *Replica) Propose(proposal agree.Proposal) (err error) {
+	if err := proposal.Check(); err != nil {
+		return err
+	}
+	if r.err != nil || !r.Leads() {
+		return agree.ErrNotLeader
+	}
+	defer r.stopOnPanic()
+	if err := r.raft.Propose(agree.Encode(proposal)); err != nil {
+		return fmt.Errorf("propose %s: %w", proposal.ID, err)
+	}
+	return nil
+}
+
+// Confirm asks the other replicas whether this one still leads, and gives the number of the call. Confirmed tells,
+// later, up to which call they have said yes: the replica led when that call was made.
+func (r *Replica) Confirm() (call uint64) {
+	if !r.Leads() {
+		return r.reads.calls
+	}
+	defer r.stopOnPanic()
+	r.reads.calls++
+	r.raft.ReadIndex(binary.BigEndian.AppendUint64(nil, r.reads.calls))
+	return r.reads.calls
+}
+
+// Confirmed is the newest call of Confirm that was answered with yes.
+func (r *Replica) Confirmed() uint64 { return r.reads.confirmed }
+
+// Leads says whether this replica leads, as far as it knows: one that was stopped learns of another leader only
+// afterwards. What it proposes until then is not decided.
+func (r *Replica) Leads() bool {
+	return r.err == nil && r.raft != nil && !r.unstored && r.raft.BasicStatus().RaftState == raft.StateLeader
+}
+
+// Leader is the number of the replica that leads, as far as known; -1: none.
+func (r *Replica) Leader() int {
+	if r.raft == nil {
+		return -1
+	}
+	return replicaOf(r.raft.BasicStatus().Lead)
+}
+
+// Term is Raft's term, which counts elections; 0: there is no log yet.
+func (r *Replica) Term() uint64 {
+	if r.raft == nil {
+		return 0
+	}
+	return r.raft.BasicStatus().GetTerm()
+}
+
+// State is what this replica knows to be decided. The caller must not change it.
+func (r *Replica) State() agree.State { return r.state }
+
+// Ended tells how a proposal ended, while that is remembered.
+func (r *Replica) Ended(id string) (agree.ProposalResult, bool) { return r.state.Result(id) }
+
+// Broken is why this replica has stopped for good; nil: it runs. It neither votes nor leads until the process starts
+// it anew.
+func (r *Replica) Broken() error { return r.err }
