--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -11,30 +11,26 @@
 
 var update = flag.Bool("update", false, "write the golden files anew: only for a form that is new")
 
-// TestGoldenList holds what all nodes of a fleet must work out alike from one list, whatever their version: numbers, zones, voters, keys
-// and watchers.
+// TestGoldenList holds what all nodes of a fleet must work out alike from one list, whatever their version: numbers,
+// zones, voters, keys and watchers.
 func TestGoldenList(t *testing.T) {
 	var nodes []Node
 	for i := range 24 {
-		nodes = append(nodes, Node{Name: fmt.Sprintf("node-%d", i), Zone: fmt.Sprintf("zone-%d", i%5), Region: fmt.Sprintf("region-%d", i%5/3), Voter: i%8 == 1})
+		nodes = append(nodes, Node{
+			Name:   fmt.Sprintf("node-%d", i),
+			Zone:   fmt.Sprintf("zone-%d", i%5),
+			Region: fmt.Sprintf("region-%d", i%5/3),
+			Voter:  i%8 == 1,
+		})
 	}
-	l, err := NewList(nodes)
+	list, err := NewList(nodes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got bytes.Buffer
-	fmt.Fprintf(&got, "zones %v\nvoters %v\n", l.Zones(), l.Voters())
-	for _, zone := range l.Zones() {
-		fmt.Fprintf(&got, "zone %s region %s nodes %v\n", zone, l.Region(zone), l.InZone(zone))
-	}
-	for i := range l.Len() {
-		n := l.Node(i)
-		fmt.Fprintf(&got, "node %d name %s zone %s region %s voter %v key %016x watchers %v\n",
-			i, n.Name, n.Zone, n.Region, n.Voter, l.Key(i, (i+1)%l.Len()), l.Watchers(i))
-	}
+	got := describe(list)
 	path := filepath.Join("testdata", "list.txt")
 	if *update {
-		if err := os.WriteFile(path, got.Bytes(), 0o644); err != nil {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -42,7 +38,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("got\n%s\nwanted\n%s", got.Bytes(), want)
+	if !bytes.Equal(got, want) {
+		t.Errorf("got\n%s\nwanted\n%s", got, want)
+	}
+}
+
+// describe tells all that a list gives, as text.
+func describe(list *List) []byte {
+	var text bytes.Buffer
+	fmt.Fprintf(&text, "zones %v\nvoters %v\n", list.Zones(), list.Voters())
+	for _, zone := range list.Zones() {
+		fmt.Fprintf(&text, "zone %s region %s nodes %v\n", zone, list.Region(zone), list.InZone(zone))
+	}
+	for i := range list.Len() {
+		node := list.Node(i)
+		fmt.Fprintf(&text, "node %d name %s zone %s region %s voter %v key %016x watchers %v\n",
+			i, node.Name, node.Zone, node.Region, node.Voter, list.Key(i, (i+1)%list.Len()), list.Watchers(i))
 	}
+	return text.Bytes()
 }
