--- a/choice/clocks_test.go
+++ b/choice/clocks_test.go
@@ -14,8 +14,8 @@
 		f.step(fleet(13))
 		ask := func(clock time.Duration) (answered bool) {
 			s := f.b.servers[3]
-			s.known, s.report, s.reportAt = true, 0.1, f.now
-			q := message{kind: mayISend, token: uint16(clock.Milliseconds()), server: serverKey(s), load: 1}
+			s.report = loadReport{load: 0.1, at: f.now, known: true}
+			q := peerMessage{kind: reservationRequest, token: uint16(clock.Milliseconds()), server: serverKey(s), load: 1}
 			for _, a := range f.step(PeerMessage{1, q.encode()}) {
 				if tell, ok := a.(SendPeerMessage); ok && tell.To == 1 {
 					return true
@@ -48,11 +48,11 @@
 	s := f.b.servers[3]
 	for i := range 20 {
 		token := uint16((f.now - 2*time.Second + time.Duration(i)*20*time.Millisecond).Milliseconds())
-		if out := f.step(PeerMessage{1, message{kind: mayISend, token: token, server: serverKey(s), load: 1}.encode()}); len(out) > 0 {
+		if out := f.step(PeerMessage{1, peerMessage{kind: reservationRequest, token: token, server: serverKey(s), load: 1}.encode()}); len(out) > 0 {
 			t.Fatalf("message %d, late, has %v follow", i, out)
 		}
 	}
-	good := message{kind: mayISend, token: clockOf(f.b), server: serverKey(s), load: 1}
+	good := peerMessage{kind: reservationRequest, token: tokenClock(f.b.now), server: serverKey(s), load: 1}
 	if out := f.step(PeerMessage{1, good.encode()}); len(out) == 0 {
 		t.Error("a question of now is dropped")
 	}
--- a/choice/cold_fleet_test.go
+++ b/choice/cold_fleet_test.go
@@ -33,10 +33,14 @@
 
 // shortWarmUp and longWarmUp are rules as sites have them.
 var (
-	shortWarmUp = choice.Rules{AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
-		SlowStartFraction: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second}
-	longWarmUp = choice.Rules{AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second,
-		SlowStartFraction: 0.14, WarmUp: 24 * time.Second, OverloadMultiple: 4, OverloadTime: 2 * time.Second}
+	shortWarmUp = choice.Rules{
+		AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
+		SlowStartFraction: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second,
+	}
+	longWarmUp = choice.Rules{
+		AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second,
+		SlowStartFraction: 0.14, WarmUp: 24 * time.Second, OverloadMultiple: 4, OverloadTime: 2 * time.Second,
+	}
 )
 
 // coldFigures say how cold hosts fared in one run.
@@ -59,9 +63,12 @@
 func (noJudge) stepped(*simNode, []choice.Event, []choice.Action) {}
 
 func (f coldFleet) settings() choice.Settings {
-	s := choice.Settings{Nodes: f.nodes, Zone: "z0", Reports: f.reports, Sizes: choice.NominalSize, RoundTrip: 5 * time.Millisecond,
-		Classes: []choice.Class{{Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
-			MessageObjective: 100 * time.Millisecond, Priority: 1}},
+	s := choice.Settings{
+		Nodes: f.nodes, Zone: "z0", Reports: f.reports, Sizes: choice.NominalSize, RoundTrip: 5 * time.Millisecond,
+		Classes: []choice.Class{{
+			Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
+			MessageObjective: 100 * time.Millisecond, Priority: 1,
+		}},
 		Limits: choice.Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, PeerMessages: f.peers, ConnectTimeout: 100 * time.Millisecond},
 		Rules:  f.rules,
 		Costs:  choice.Costs{HealthCheck: 0.002, Migration: 0.01, PeerMessage: 0.01},
@@ -92,8 +99,10 @@
 		}
 		list = append(list, h)
 	}
-	world := terms{perHost: coldPerHost, life: coldLife, listDelay: 300 * time.Millisecond, tries: 6, oddAnswers: 0.02, shedAt: 1.3,
-		slotsAt: 1.3, lossOfTells: 0.02, skew: f.skew, homes: f.homes}
+	world := terms{
+		perHost: coldPerHost, life: coldLife, listDelay: 300 * time.Millisecond, tries: 6, oddAnswers: 0.02, shedAt: 1.3,
+		slotsAt: 1.3, lossOfTells: 0.02, skew: f.skew, homes: f.homes,
+	}
 	s := f.settings()
 	s.GroupAffinity = grouped
 	w := newSimulation(t, f.name, s, world, list, f.seed, noJudge{})
@@ -251,8 +260,10 @@
 				t.Parallel()
 				var sum coldFigures
 				for seed := range c.seeds {
-					f := coldFleet{name: fmt.Sprintf("%s, seed %d", name, seed), nodes: c.nodes, hosts: 24, reports: c.reports, peers: c.peers,
-						rules: rules, skew: 4, told: c.told, burst: 4, seed: seed}
+					f := coldFleet{
+						name: fmt.Sprintf("%s, seed %d", name, seed), nodes: c.nodes, hosts: 24, reports: c.reports, peers: c.peers,
+						rules: rules, skew: 4, told: c.told, burst: 4, seed: seed,
+					}
 					sum.add(f.play(t), c.seeds)
 				}
 				t.Logf("worst window %.2f of the limit (%d requests, N %.1f), over it %d, rule broken %d; part of the budget %.2f, "+
--- a/choice/drawn_faults_test.go
+++ b/choice/drawn_faults_test.go
@@ -66,7 +66,8 @@
 			waited++
 		}
 		later := b.Step(simulationStart+time.Millisecond, append([]choice.Event{
-			choice.ZonePlan{Grants: []choice.Grant{{Zone: "z0", Load: 100}}}}, answers...))
+			choice.ZonePlan{Grants: []choice.Grant{{Zone: "z0", Load: 100}}},
+		}, answers...))
 		for _, a := range later {
 			if a, ok := a.(choice.StartAttempt); ok && a.Server != "h0" && a.Server != "h2" && a.Server != "h4" {
 				t.Fatalf("seed %d: sent to %s, outside the zone of the plan", seed, a.Server)
@@ -90,8 +91,10 @@
 	b.Step(simulationStart, []choice.Event{list})
 	sent := 0
 	for i := range 60 {
-		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1,
-			TimeLeft: time.Second, StickyServer: "h2"}}) {
+		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{
+			ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1,
+			TimeLeft: time.Second, StickyServer: "h2",
+		}}) {
 			if a, ok := a.(choice.StartAttempt); ok && a.Server == "h2" {
 				sent++
 			}
@@ -107,8 +110,10 @@
 	var sum coldFigures
 	const seeds = 12
 	for seed := range uint64(seeds) {
-		f := coldFleet{name: fmt.Sprint("seed ", seed), nodes: 30, hosts: 24, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp,
-			skew: 4, told: true, burst: 4, seed: seed}
+		f := coldFleet{
+			name: fmt.Sprint("seed ", seed), nodes: 30, hosts: 24, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp,
+			skew: 4, told: true, burst: 4, seed: seed,
+		}
 		sum.add(f.play(t), seeds)
 	}
 	t.Logf("worst window %.2f of the limit, part of an even spread %.2f", sum.worst, sum.fairPart)
@@ -123,8 +128,10 @@
 		var sum coldFigures
 		const seeds = 4
 		for seed := range uint64(seeds) {
-			f := coldFleet{name: fmt.Sprint("seed ", seed), nodes: 300, hosts: 24, reports: reports, rules: longWarmUp, skew: 4,
-				told: reports == choice.NoReports, burst: 0, seed: seed}
+			f := coldFleet{
+				name: fmt.Sprint("seed ", seed), nodes: 300, hosts: 24, reports: reports, rules: longWarmUp, skew: 4,
+				told: reports == choice.NoReports, burst: 0, seed: seed,
+			}
 			sum.add(f.play(t), seeds)
 		}
 		t.Logf("reports %d: worst window %.2f of the limit, part of an even spread %.2f", reports, sum.worst, sum.fairPart)
--- a/choice/estimate_test.go
+++ b/choice/estimate_test.go
@@ -8,12 +8,15 @@
 
 // silentSettings are those of a deployment whose hosts report nothing and whose nodes don't talk.
 func silentSettings(nodes int) Settings {
-	return Settings{Nodes: nodes, GroupAffinity: true, Sizes: NominalSize, DelaysObserved: true, RoundTrip: 4 * time.Millisecond,
+	return Settings{
+		Nodes: nodes, GroupAffinity: true, Sizes: NominalSize, DelaysObserved: true, RoundTrip: 4 * time.Millisecond,
 		Classes: []Class{
 			{Name: "watch", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 150 * time.Millisecond, Priority: 5},
-			{Name: "pay", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 250 * time.Millisecond, Priority: 15}},
+			{Name: "pay", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 250 * time.Millisecond, Priority: 15},
+		},
 		Limits: Limits{MaxAttempts: 4, HealthChecks: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
-		Rules:  Rules{SlowStartFraction: 0.14, WarmUp: 20 * time.Second, OverloadMultiple: 2.5, OverloadTime: 1500 * time.Millisecond}}
+		Rules:  Rules{SlowStartFraction: 0.14, WarmUp: 20 * time.Second, OverloadMultiple: 2.5, OverloadTime: 1500 * time.Millisecond},
+	}
 }
 
 // silentNode is one node of it, with a fleet of equal warm hosts.
@@ -52,24 +55,24 @@
 	}
 	before := 0.0
 	for _, s := range b.servers {
-		before += s.cost * s.told
+		before += s.cost * s.own.load
 	}
 	for i := range 10 { // half of the connections tell their load: those of the second class are nine times as heavy
 		b.Step(now, []Event{LoadUpdate{ID: RequestID(fmt.Sprint(i)), Load: []float64{0.02, 0.18}[i%2]}})
 	}
 	told := 0.0
 	for _, s := range b.servers {
-		told += s.told
+		told += s.own.load
 	}
 	if told < 1 || told > 3 { // ten of 0.02 and ten of 0.18 are 2
 		t.Errorf("20 connections count %.2f in all, told and untold ones together", told)
 	}
-	if light, heavy := b.guessLoad(0), b.guessLoad(1); light < 0.019 || light > 0.021 || heavy < 0.179 || heavy > 0.181 {
+	if light, heavy := b.expectedLoad(0), b.expectedLoad(1); light < 0.019 || light > 0.021 || heavy < 0.179 || heavy > 0.181 {
 		t.Errorf("new connections are guessed at %.3f and %.3f", light, heavy)
 	}
-	b.price()
-	if b.unit < 0.05 || b.unit > 0.15 {
-		t.Errorf("the mean connection counts %.3f", b.unit)
+	b.updateCosts()
+	if b.units.mean < 0.05 || b.units.mean > 0.15 {
+		t.Errorf("the mean connection counts %.3f", b.units.mean)
 	}
 	if before <= 0 {
 		t.Error("nothing stood before")
@@ -84,9 +87,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.learnTold(0, 0.02)
-	if b.unit != 1 || b.guessLoad(0) != 1 {
-		t.Errorf("a connection counts %.3f, a new one %.3f", b.unit, b.guessLoad(0))
+	b.observeConnectionLoad(0, 0.02)
+	if b.units.mean != 1 || b.expectedLoad(0) != 1 {
+		t.Errorf("a connection counts %.3f, a new one %.3f", b.units.mean, b.expectedLoad(0))
 	}
 }
 
@@ -98,7 +101,7 @@
 	for i := range 6 {
 		home = connect(b, now, RequestID(fmt.Sprint(i)), 0, group, false)
 	}
-	s, moved := b.find(home), 0
+	s, moved := b.findServer(home), 0
 	for i := range 5 {
 		now += time.Second
 		for _, a := range b.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 900 * time.Millisecond}, TimerFired{Token: "tick"}}) {
@@ -107,8 +110,8 @@
 				b.Step(now, []Event{AttemptEnded{ID: a.ID, Server: home, Outcome: Cancelled, Final: true}})
 			}
 		}
-		if i == 0 && b.predict(s) < crowded {
-			t.Errorf("a host whose messages take 900 ms is predicted at %.2f", b.predict(s))
+		if i == 0 && b.predictedLoad(s) < crowded {
+			t.Errorf("a host whose messages take 900 ms is predicted at %.2f", b.predictedLoad(s))
 		}
 	}
 	if moved == 0 {
@@ -117,13 +120,13 @@
 	if to := connect(b, now, "next", 0, group, false); to == home {
 		t.Error("the group's next connection went there all the same")
 	}
-	quiet := b.predict(s)
+	quiet := b.predictedLoad(s)
 	for range 20 { // it is over: once more when messages are quick again
 		now += time.Second
 		b.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 5 * time.Millisecond}, TimerFired{Token: "tick"}})
 	}
-	if b.predict(s) >= quiet || b.predict(s) > crowded {
-		t.Errorf("with quick messages again it is predicted at %.2f, %.2f before", b.predict(s), quiet)
+	if b.predictedLoad(s) >= quiet || b.predictedLoad(s) > crowded {
+		t.Errorf("with quick messages again it is predicted at %.2f, %.2f before", b.predictedLoad(s), quiet)
 	}
 }
 
@@ -140,11 +143,11 @@
 		b, now := silentNode(t, 3, 8)
 		s := b.servers[0]
 		for range 40 {
-			b.inferSetUp(b.servers[1], c.typical)
+			b.inferFromSetup(b.servers[1], c.typical)
 		}
 		b.now = now
-		b.inferSetUp(s, c.last)
-		if slow := s.known && s.report > crowded-spill; slow != c.slow {
+		b.inferFromSetup(s, c.last)
+		if slow := s.report.known && s.report.load > crowded-overflowMargin; slow != c.slow {
 			t.Errorf("after set-ups of %v one of %v: taken for slow is %v", c.typical, c.last, slow)
 		}
 	}
@@ -161,10 +164,10 @@
 		{2, 0, 0.05, 0.45}, {2, 40, 0.6, 2},
 	} {
 		b, _ := silentNode(t, c.nodes, 8)
-		b.avg = 0.5
+		b.average.load = 0.5
 		s := b.servers[0]
-		b.bear(s, float64(c.own)*b.unit)
-		if e := b.estimate(s); e < c.low || e > c.high {
+		s.own.add(b.now, float64(c.own)*b.units.mean)
+		if e := b.estimateLoad(s); e < c.low || e > c.high {
 			t.Errorf("%d own connections at one of %d nodes: estimated at %.2f, wanted %.2f to %.2f", c.own, c.nodes, e, c.low, c.high)
 		}
 	}
@@ -251,10 +254,10 @@
 	}
 	b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Size: 1}}}})
 	for range 50 {
-		b.throttle.add(b.now, 1, 0)
+		b.admission.throttle.add(b.now, 1, 0)
 	}
-	r := &request{class: &b.set.Classes[0], load: b.unit}
-	if part := b.admitted(r); part < 1 {
+	r := &requestEntry{class: &b.settings.Classes[0], load: b.units.mean}
+	if part := b.admitRate(r); part < 1 {
 		t.Errorf("%.2f of all requests are let in", part)
 	}
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -13,8 +13,10 @@
 		Nodes:        1,
 		Reports:      choice.HealthCheckReports,
 		ReportFields: []choice.ReportField{choice.Load},
-		Classes: []choice.Class{{Name: "live", SetupObjective: 300 * time.Millisecond, Deadline: 2 * time.Second,
-			MessageObjective: 100 * time.Millisecond, Priority: 1}},
+		Classes: []choice.Class{{
+			Name: "live", SetupObjective: 300 * time.Millisecond, Deadline: 2 * time.Second,
+			MessageObjective: 100 * time.Millisecond, Priority: 1,
+		}},
 		Limits: choice.Limits{MaxAttempts: 3, HealthChecks: true},
 		Rules:  choice.Rules{DrainGrace: 500 * time.Millisecond},
 	}, 42, 0)
@@ -33,8 +35,10 @@
 		for _, a := range actions {
 			switch a := a.(type) {
 			case choice.HealthCheck:
-				inbox = append(inbox, choice.HealthCheckResult{Server: a.Server, Outcome: choice.Served,
-					Report: []float64{loads[a.Server]}})
+				inbox = append(inbox, choice.HealthCheckResult{
+					Server: a.Server, Outcome: choice.Served,
+					Report: []float64{loads[a.Server]},
+				})
 			case choice.StartAttempt:
 				fmt.Println("connect", a.ID, "to", a.Server)
 			case choice.SetTimer: // a real node hands TimerFired back when the time has come
--- a/choice/failures_test.go
+++ b/choice/failures_test.go
@@ -39,8 +39,8 @@
 		f.run(time.Duration(i+1) * time.Second)
 		f.step(DelayObservation{ID: "a", Server: to, Took: ms(900)})
 	}
-	if f.b.avg > 0.51 {
-		t.Fatalf("average %.2f, all reports said 0.5", f.b.avg)
+	if f.b.average.load > 0.51 {
+		t.Fatalf("average %.2f, all reports said 0.5", f.b.average.load)
 	}
 }
 
@@ -57,10 +57,10 @@
 		return n
 	}
 	placed(0, 10, 1.3)
-	if probes := len(f.b.out); probes > 3 {
+	if probes := len(f.b.actions); probes > 3 {
 		t.Errorf("%d actions for one refusal", probes)
 	}
-	if g := f.b.gate; g > 0.1 {
+	if g := f.b.admission.passRate; g > 0.1 {
 		t.Errorf("gate at %.2f after 10 s at load 1.3", g)
 	}
 	placed(10, 20, 0.5)
@@ -183,7 +183,7 @@
 	}
 	pass := map[[2]int]int{}
 	for i := range 4000 {
-		f.b.gate = 0.3
+		f.b.admission.passRate = 0.3
 		class, tenant := i%2, i%4/2
 		id := RequestID(fmt.Sprint(i))
 		f.step(Request{ID: id, TimeLeft: ms(1800), Class: class, Tenant: tenant})
@@ -220,8 +220,8 @@
 		f.run(f.now + ms(500))
 		f.step(HealthCheckResult{Server: "s019", Report: []float64{0.4, 10}})
 	}
-	if f.b.gate > 0.3 {
-		t.Errorf("gate at %.2f with all own clients on servers that answer in 900 ms, and reports of 0.4", f.b.gate)
+	if f.b.admission.passRate > 0.3 {
+		t.Errorf("gate at %.2f with all own clients on servers that answer in 900 ms, and reports of 0.4", f.b.admission.passRate)
 	}
 }
 
@@ -234,7 +234,7 @@
 		for node := range 4 {
 			f := newReferee(t, s, uint64(node))
 			f.step(fleet(12))
-			f.b.gate = 0.01
+			f.b.admission.passRate = 0.01
 			f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1, Key: key, MidFlow: true})
 			f.answerProbes(level(0.4))
 			for _, to := range f.sends() {
@@ -253,13 +253,17 @@
 func TestShedding(t *testing.T) {
 	for _, reports := range []ReportSource{NoReports, HealthCheckReports} {
 		for _, o := range []Outcome{Reset, Served, Cancelled} {
-			b, err := New(Settings{Nodes: 1, Reports: reports, ReportFields: []ReportField{Load}, Limits: Limits{MaxAttempts: 4},
-				Classes: []Class{{SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}}, 1, time.Hour)
+			b, err := New(Settings{
+				Nodes: 1, Reports: reports, ReportFields: []ReportField{Load}, Limits: Limits{MaxAttempts: 4},
+				Classes: []Class{{SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}},
+			}, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
-			acts := b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Size: 1}, {ID: "b", Size: 1}, {ID: "c", Size: 1}}},
-				Request{ID: "1", Tenant: -1, TimeLeft: 4 * time.Second}})
+			acts := b.Step(time.Hour, []Event{
+				ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Size: 1}, {ID: "b", Size: 1}, {ID: "c", Size: 1}}},
+				Request{ID: "1", Tenant: -1, TimeLeft: 4 * time.Second},
+			})
 			var on ServerID
 			for _, a := range acts {
 				if s, ok := a.(StartAttempt); ok {
@@ -268,7 +272,7 @@
 			}
 			b.Step(time.Hour, []Event{Established{ID: "1", Server: on}})
 			b.Step(time.Hour+250*time.Millisecond, []Event{AttemptEnded{ID: "1", Server: on, Outcome: o, Final: true}})
-			out := b.find(on).badUntil > b.now
+			out := b.findServer(on).outlier.until > b.now
 			if want := reports == NoReports && o == Reset; on == "" || out != want {
 				t.Errorf("reports %v, outcome %v: %s is left out: %v", reports, o, on, out)
 			}
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -67,8 +67,10 @@
 				events = append(events, Established{ID: a.id, Attempt: a.n, Server: a.to})
 				open = append(open, a)
 			case roll == 1:
-				events = append(events, AttemptEnded{ID: a.id, Attempt: a.n, Server: a.to,
-					Outcome: Outcome(1 + rng.IntN(7)), Final: over})
+				events = append(events, AttemptEnded{
+					ID: a.id, Attempt: a.n, Server: a.to,
+					Outcome: Outcome(1 + rng.IntN(7)), Final: over,
+				})
 			default:
 				i++
 				continue
@@ -77,8 +79,10 @@
 		}
 		for i := range probes {
 			if rng.IntN(3) == 0 {
-				events = append(events, HealthCheckResult{Server: probes[i], Outcome: Outcome(rng.IntN(8) * rng.IntN(2)),
-					Report: []float64{rng.Float64() * 1.5, float64(rng.IntN(50))}})
+				events = append(events, HealthCheckResult{
+					Server: probes[i], Outcome: Outcome(rng.IntN(8) * rng.IntN(2)),
+					Report: []float64{rng.Float64() * 1.5, float64(rng.IntN(50))},
+				})
 				probes = append(probes[:i], probes[i+1:]...)
 				break
 			}
@@ -98,8 +102,10 @@
 		switch rng.IntN(12) {
 		case 0, 1, 2, 3:
 			next++
-			events = append(events, Request{ID: RequestID(fmt.Sprint("r", next)), Class: rng.IntN(3), Tenant: -1,
-				Key: rng.Uint64N(9), Group: rng.Uint64N(5), TimeLeft: ms(rng.IntN(900)), Load: rng.Float64()})
+			events = append(events, Request{
+				ID: RequestID(fmt.Sprint("r", next)), Class: rng.IntN(3), Tenant: -1,
+				Key: rng.Uint64N(9), Group: rng.Uint64N(5), TimeLeft: ms(rng.IntN(900)), Load: rng.Float64(),
+			})
 		case 4:
 			i := rng.IntN(len(servers.Servers))
 			servers.Servers[i].State = ServerState(rng.IntN(3) * rng.IntN(2))
--- a/choice/golden_decisions_test.go
+++ b/choice/golden_decisions_test.go
@@ -96,15 +96,15 @@
 // state takes in what a balancer has found out, and what it tells of zones. That resets its counts since the last call.
 func (r *recorder) state(now time.Duration, node int, b *choice.Balancer) {
 	l := b.LearnedState()
-	r.write("%d learned %d %d %d %d %s %d", node, l.Version, l.Hints, l.SumAt, l.RateAt, l.Meaning, l.Now)
-	r.bits(l.Unit, l.SumLoad, l.SumBase, l.Rate, l.Gate, l.Worth)
+	r.write("%d learned %d %d %d %d %s %d", node, l.Version, l.Hints, l.ReportedAt, l.ArrivalsAt, l.Meaning, l.Now)
+	r.bits(l.Unit, l.LoadSum, l.WeightSum, l.Arrivals, l.PassRate, l.MeanPriority)
 	for _, k := range l.Kinds {
 		r.write("\nkind %s", k.Kind)
-		r.bits(k.Num, k.Den, k.N)
+		r.bits(k.ReportedLoad, k.ConnectionLoad, k.Reports)
 	}
 	for _, s := range l.Servers {
-		r.write("\nserver %s %d %v %d %d %d %d", s.ID, s.Started, s.Known, s.ReportAt, s.BadUntil, s.Strikes, s.CreditAt)
-		r.bits(s.Num, s.Den, s.N, s.Report, s.Credit, s.ErrSum, s.PrevErr, s.Trim, s.Since)
+		r.write("\nserver %s %d %v %d %d %d %d", s.ID, s.Started, s.Known, s.ReportAt, s.EjectedUntil, s.Ejections, s.SlowStartAt)
+		r.bits(s.ReportedLoad, s.ConnectionLoad, s.Reports, s.Report, s.SlowStartCredit, s.PIDIntegral, s.PIDPreviousError, s.PIDCorrection, s.UnreportedLoad)
 		rate, cold := b.SlowStartRate(s.ID)
 		r.write(" %v", cold)
 		r.bits(rate)
@@ -154,8 +154,10 @@
 		for i, id := range ids {
 			request := w.requests[id]
 			class := request.class
-			events = append(events, choice.OpenConnection{Request: request.Request, Server: request.standing().host.ID, OriginalClass: &class,
-				CurrentLoad: float64(i%3) * 0.75})
+			events = append(events, choice.OpenConnection{
+				Request: request.Request, Server: request.standing().host.ID, OriginalClass: &class,
+				CurrentLoad: float64(i%3) * 0.75,
+			})
 			given = append(given, choice.Transferred{ID: id})
 		}
 		r.step(w.now, n.number, next.Step(w.now, events))
@@ -187,8 +189,10 @@
 			events = append(events, choice.TimerFired{Token: "tick"})
 		}
 		id := choice.RequestID(fmt.Sprintf("after-%d-%d", round, i))
-		events = append(events, choice.Request{ID: id, Class: i % len(s.Classes), Tenant: i%(len(s.Tenants)+1) - 1, Key: uint64(i) * 7919, Group: uint64(i % 4),
-			TimeLeft: time.Second, Returned: i%5 == 0})
+		events = append(events, choice.Request{
+			ID: id, Class: i % len(s.Classes), Tenant: i%(len(s.Tenants)+1) - 1, Key: uint64(i) * 7919, Group: uint64(i % 4),
+			TimeLeft: time.Second, Returned: i%5 == 0,
+		})
 		for range 4 {
 			actions := b.Step(*now, events)
 			r.step(*now, node, actions)
@@ -305,8 +309,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			f := coldFleet{name: c.name, nodes: c.nodes, hosts: 16, reports: c.reports, peers: c.peers, rules: shortWarmUp, skew: 4,
-				homes: 0.02, told: c.reports == choice.NoReports, burst: 4, seed: 3}
+			f := coldFleet{
+				name: c.name, nodes: c.nodes, hosts: 16, reports: c.reports, peers: c.peers, rules: shortWarmUp, skew: 4,
+				homes: 0.02, told: c.reports == choice.NoReports, burst: 4, seed: 3,
+			}
 			r := record(t, c.name)
 			w := f.playRecorded(t, c.grouped, r)
 			r.end(w)
--- a/choice/golden_test.go
+++ b/choice/golden_test.go
@@ -87,29 +87,40 @@
 
 // TestGoldenLearned pins what one process of a node tells the next one.
 func TestGoldenLearned(t *testing.T) {
-	checkGoldenCBOR(t, "learned", LearnedState{Version: 1, Unit: 2.5, Hints: 3, SumLoad: 4.25, SumBase: 5.125, SumAt: 6 * time.Second, Rate: 7.5,
-		RateAt: 8 * time.Second, Gate: 0.5, Worth: 10.5,
-		Kinds: []LearnedKind{{Kind: "k1", Num: 11.5, Den: 12.5, N: 13.5}, {Kind: "k2", Num: 14.5, Den: 15.5, N: 16.5}},
+	checkGoldenCBOR(t, "learned", LearnedState{
+		Version: 1, Unit: 2.5, Hints: 3, LoadSum: 4.25, WeightSum: 5.125, ReportedAt: 6 * time.Second, Arrivals: 7.5,
+		ArrivalsAt: 8 * time.Second, PassRate: 0.5, MeanPriority: 10.5,
+		Kinds: []LearnedKind{{Kind: "k1", ReportedLoad: 11.5, ConnectionLoad: 12.5, Reports: 13.5}, {Kind: "k2", ReportedLoad: 14.5, ConnectionLoad: 15.5, Reports: 16.5}},
 		Servers: []LearnedServer{
-			{ID: "s1", Started: 17 * time.Second, Num: 18.5, Den: 19.5, N: 20.5, Known: true, Report: 21.5, ReportAt: 22 * time.Second,
-				BadUntil: 23 * time.Second, Strikes: 24, Credit: 25.5, CreditAt: 26 * time.Second, ErrSum: 27.5, PrevErr: 28.5, Trim: 29.5,
-				Since: 30.5},
-			{ID: "s2", Started: 31 * time.Second, Num: 32.5, Den: 33.5, N: 34.5, Known: true, Report: 35.5, ReportAt: 36 * time.Second,
-				BadUntil: 37 * time.Second, Strikes: 38, Credit: 39.5, CreditAt: 40 * time.Second, ErrSum: 41.5, PrevErr: 42.5, Trim: 43.5,
-				Since: 44.5}},
-		Meaning: "1 [1 2] 1 true false", Now: 45 * time.Second})
+			{
+				ID: "s1", Started: 17 * time.Second, ReportedLoad: 18.5, ConnectionLoad: 19.5, Reports: 20.5, Known: true, Report: 21.5, ReportAt: 22 * time.Second,
+				EjectedUntil: 23 * time.Second, Ejections: 24, SlowStartCredit: 25.5, SlowStartAt: 26 * time.Second, PIDIntegral: 27.5, PIDPreviousError: 28.5, PIDCorrection: 29.5,
+				UnreportedLoad: 30.5,
+			},
+			{
+				ID: "s2", Started: 31 * time.Second, ReportedLoad: 32.5, ConnectionLoad: 33.5, Reports: 34.5, Known: true, Report: 35.5, ReportAt: 36 * time.Second,
+				EjectedUntil: 37 * time.Second, Ejections: 38, SlowStartCredit: 39.5, SlowStartAt: 40 * time.Second, PIDIntegral: 41.5, PIDPreviousError: 42.5, PIDCorrection: 43.5,
+				UnreportedLoad: 44.5,
+			},
+		},
+		Meaning: "1 [1 2] 1 true false", Now: 45 * time.Second,
+	})
 }
 
 // TestGoldenClass pins the form of a class, which goes with each connection that another process takes over.
 func TestGoldenClass(t *testing.T) {
-	checkGoldenCBOR(t, "class", Class{Name: "pay", Removed: true, SetupObjective: 1 * time.Second, Deadline: 2 * time.Second,
-		MessageObjective: 3 * time.Millisecond, Priority: 4.5, Idempotency: IdempotentByKey, IdempotencyScope: ScopeCell, IdempotencyWindow: 5 * time.Second})
+	checkGoldenCBOR(t, "class", Class{
+		Name: "pay", Removed: true, SetupObjective: 1 * time.Second, Deadline: 2 * time.Second,
+		MessageObjective: 3 * time.Millisecond, Priority: 4.5, Idempotency: IdempotentByKey, IdempotencyScope: ScopeCell, IdempotencyWindow: 5 * time.Second,
+	})
 }
 
 // TestGoldenServer pins the form of a server, which goes with each connection that another process takes over.
 func TestGoldenServer(t *testing.T) {
-	checkGoldenCBOR(t, "server", Server{ID: "s1", Zone: "z1", Kind: "k1", Cell: 6, State: Draining, Size: 7.5, Started: 8 * time.Second,
-		SlowStartSince: 9 * time.Second})
+	checkGoldenCBOR(t, "server", Server{
+		ID: "s1", Zone: "z1", Kind: "k1", Cell: 6, State: Draining, Size: 7.5, Started: 8 * time.Second,
+		SlowStartSince: 9 * time.Second,
+	})
 }
 
 // TestGoldenMeaning pins the text by which a process knows whether learned values are of a deployment like its own.
@@ -119,9 +130,13 @@
 		want     string
 	}{
 		{Settings{}, "0 [] 0 false false"},
-		{Settings{Reports: HealthCheckReports, Sizes: NominalSize, PriorityPerWork: true,
-			ReportFields: []ReportField{OtherField, Load, Backlog, InFlight, Queue, Utilization, Latency, Throughput, ErrorRate}},
-			"1 [0 1 2 3 4 5 6 7 8] 1 true false"},
+		{
+			Settings{
+				Reports: HealthCheckReports, Sizes: NominalSize, PriorityPerWork: true,
+				ReportFields: []ReportField{OtherField, Load, Backlog, InFlight, Queue, Utilization, Latency, Throughput, ErrorRate},
+			},
+			"1 [0 1 2 3 4 5 6 7 8] 1 true false",
+		},
 		{Settings{Reports: AllReports, Sizes: LiveSize, DelaysObserved: true, ReportFields: []ReportField{Load}}, "2 [1] 2 false true"},
 	} {
 		if have := c.settings.meaning(); have != c.want {
@@ -135,8 +150,16 @@
 	for i, c := range []struct {
 		outcome Outcome
 		name    string
-	}{{Served, "served"}, {Failed, "failed"}, {Full, "full"}, {TimedOut, "timed_out"}, {ConnectFailed, "connect_failed"},
-		{Reset, "reset"}, {Cancelled, "cancelled"}, {NeverSent, "moot"}} {
+	}{
+		{Served, "served"},
+		{Failed, "failed"},
+		{Full, "full"},
+		{TimedOut, "timed_out"},
+		{ConnectFailed, "connect_failed"},
+		{Reset, "reset"},
+		{Cancelled, "cancelled"},
+		{NeverSent, "moot"},
+	} {
 		if int(c.outcome) != i || c.outcome.String() != c.name {
 			t.Errorf("outcome %d is %d %q, want %q", i, c.outcome, c.outcome, c.name)
 		}
@@ -144,9 +167,18 @@
 	for i, c := range []struct {
 		reason Reason
 		name   string
-	}{{Unspecified, "unspecified"}, {UnknownClass, "unknown_class"}, {Overloaded, "overloaded"}, {NoServer, "no_server"},
-		{ServersCrowded, "servers_crowded"}, {AttemptsUsed, "attempts_used"}, {TimeShort, "time_short"}, {MayHaveRun, "may_have_run"},
-		{DeadlineReached, "deadline_reached"}, {Withdrawn, "withdrawn"}} {
+	}{
+		{Unspecified, "unspecified"},
+		{UnknownClass, "unknown_class"},
+		{Overloaded, "overloaded"},
+		{NoServer, "no_server"},
+		{ServersCrowded, "servers_crowded"},
+		{AttemptsUsed, "attempts_used"},
+		{TimeShort, "time_short"},
+		{MayHaveRun, "may_have_run"},
+		{DeadlineReached, "deadline_reached"},
+		{Withdrawn, "withdrawn"},
+	} {
 		if int(c.reason) != i || c.reason.String() != c.name {
 			t.Errorf("reason %d is %d %q, want %q", i, c.reason, c.reason, c.name)
 		}
@@ -157,15 +189,15 @@
 func TestGoldenMessages(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		message message
+		message peerMessage
 		bytes   string
 	}{
-		{"admission question", message{kind: mayISend, token: 0x0102, server: 0x030405, group: 0x0607, load: 1.5}, "110102030405060718"},
-		{"relief question", message{kind: relieveMe, token: 0x1112, server: 0x131415, group: 0x1617, load: 15.9375}, "1211121314151617ff"},
-		{"group notice", message{kind: itStands, token: 0x2122, server: 0x232425, group: 0x2627, load: 0.0625}, "132122232425262701"},
-		{"yes", message{kind: yes, token: 0x3132, load: 0.75, part: 0.2}, "1431320c33"},
-		{"no", message{kind: no, token: 0x4142, load: 2, part: 1}, "15414220ff"},
-		{"ejected", message{kind: bad, token: 0x5152, load: 1.0625, part: 0.4}, "1651521166"},
+		{"admission question", peerMessage{kind: reservationRequest, token: 0x0102, server: 0x030405, group: 0x0607, load: 1.5}, "110102030405060718"},
+		{"relief question", peerMessage{kind: reliefRequest, token: 0x1112, server: 0x131415, group: 0x1617, load: 15.9375}, "1211121314151617ff"},
+		{"group notice", peerMessage{kind: groupNotice, token: 0x2122, server: 0x232425, group: 0x2627, load: 0.0625}, "132122232425262701"},
+		{"yes", peerMessage{kind: reservationGranted, token: 0x3132, load: 0.75, fraction: 0.2}, "1431320c33"},
+		{"no", peerMessage{kind: reservationDenied, token: 0x4142, load: 2, fraction: 1}, "15414220ff"},
+		{"ejected", peerMessage{kind: serverEjected, token: 0x5152, load: 1.0625, fraction: 0.4}, "1651521166"},
 	} {
 		if have := hex.EncodeToString(c.message.encode()); have != c.bytes {
 			t.Errorf("%s is written as %s, want %s", c.name, have, c.bytes)
@@ -174,7 +206,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if read, ok := decode(raw); !ok || read != c.message {
+		if read, ok := decodePeerMessage(raw); !ok || read != c.message {
 			t.Errorf("%s is read as %+v, %v, want %+v", c.name, read, ok, c.message)
 		}
 	}
--- a/choice/groups_test.go
+++ b/choice/groups_test.go
@@ -10,9 +10,11 @@
 // it, and that one group that holds nearly everything does not fill server after server while others idle.
 func TestGroupsSpreadByTheirLoad(t *testing.T) {
 	for _, c := range []struct{ groups, most int }{{1, 12}, {20, 2}} {
-		b, err := New(Settings{Nodes: 1, GroupAffinity: true, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
+		b, err := New(Settings{
+			Nodes: 1, GroupAffinity: true, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
-			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond}, 1, time.Hour)
+			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond,
+		}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -31,7 +31,7 @@
 	return x
 }
 
-// step hands over events and plays the hosts' part: attempts stand at once, probes are answered with some noise.
+// step hands over events and plays the hosts' fraction: attempts stand at once, probes are answered with some noise.
 func (f *fleetOf) step(events ...Event) {
 	for len(events) > 0 {
 		acts := f.b.Step(f.now, events)
@@ -83,15 +83,17 @@
 		}
 		f.b.Step(f.now, nil)
 		for _, s := range f.b.servers {
-			f.off, f.n = f.off+math.Abs(f.b.predict(s)-f.load(s.ID)), f.n+1
+			f.off, f.n = f.off+math.Abs(f.b.predictedLoad(s)-f.load(s.ID)), f.n+1
 		}
 	}
 }
 
 func knows() Settings {
-	return Settings{Nodes: 4, Reports: HealthCheckReports, ReportFields: []ReportField{Load}, RoundTrip: 5 * time.Millisecond,
+	return Settings{
+		Nodes: 4, Reports: HealthCheckReports, ReportFields: []ReportField{Load}, RoundTrip: 5 * time.Millisecond,
 		Classes: []Class{{Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond, MessageObjective: 60 * time.Millisecond, Priority: 1}},
-		Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, Costs: Costs{HealthCheck: 0.002}}
+		Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, Costs: Costs{HealthCheck: 0.002},
+	}
 }
 
 // TestLearnedGoesAlong has one process take over from another: with what that one found out, its forecasts of the servers'
@@ -110,8 +112,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f := &fleetOf{b: b, rng: rand.New(rand.NewPCG(seed, 9)), now: start, cost: map[ServerID]float64{},
-				on: map[RequestID]ServerID{}, ends: map[RequestID]time.Duration{}, timer: map[time.Duration][]string{}}
+			f := &fleetOf{
+				b: b, rng: rand.New(rand.NewPCG(seed, 9)), now: start, cost: map[ServerID]float64{},
+				on: map[RequestID]ServerID{}, ends: map[RequestID]time.Duration{}, timer: map[time.Duration][]string{},
+			}
 			for i, s := range list.Servers {
 				f.cost[s.ID] = 0.03 + 0.03*float64(i%2) + 0.004*float64(i%5)
 			}
@@ -121,7 +125,7 @@
 				was, before := f.b, map[ServerID]float64{}
 				was.Step(f.now, nil)
 				for _, s := range was.servers {
-					before[s.ID] = was.predict(s)
+					before[s.ID] = was.predictedLoad(s)
 				}
 				if f.b, err = New(knows(), seed+100, f.now); err != nil {
 					t.Fatal(err)
@@ -136,15 +140,15 @@
 					was.Step(f.now, []Event{Transferred{id}})
 				}
 				for _, s := range was.servers {
-					if p := was.predict(s); math.Abs(p-before[s.ID]) > 1e-9 {
+					if p := was.predictedLoad(s); math.Abs(p-before[s.ID]) > 1e-9 {
 						t.Errorf("%s: the giver takes %v for relieved: %v, %v before", how, s.ID, p, before[s.ID])
 					}
-					if p := f.b.predict(f.b.find(s.ID)); how == "learned" && math.Abs(p-before[s.ID]) > 5e-3 {
+					if p := f.b.predictedLoad(f.b.findServer(s.ID)); how == "learned" && math.Abs(p-before[s.ID]) > 5e-3 {
 						t.Errorf("the taker predicts %v for %v, the giver %v", p, s.ID, before[s.ID])
 					}
 				}
-				if len(was.reqs) != 0 {
-					t.Errorf("%d requests stay with the giver", len(was.reqs))
+				if len(was.requests) != 0 {
+					t.Errorf("%d requests stay with the giver", len(was.requests))
 				}
 			}
 			for _, span := range []time.Duration{time.Second, 4 * time.Second} {
@@ -170,37 +174,44 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(now, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1, Started: 5}, {ID: "b", Kind: "k", Size: 1}}},
-		HealthCheckResult{Server: "b", Report: []float64{0.5}}})
-	good := LearnedState{Version: LearnedStateVersion, Meaning: b.set.meaning(), Unit: 1, Gate: 1, Worth: 1, SumLoad: 1, SumBase: 2, SumAt: now - time.Second,
-		Servers: []LearnedServer{{ID: "a", Started: 5, Known: true, Report: 0.9, ReportAt: now - time.Second, BadUntil: now + time.Hour, Num: 9, Den: 90, N: 9},
-			{ID: "b", Known: true, Report: 0.1, ReportAt: now - time.Second}, {ID: "nobody"}}}
+	b.Step(now, []Event{
+		ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1, Started: 5}, {ID: "b", Kind: "k", Size: 1}}},
+		HealthCheckResult{Server: "b", Report: []float64{0.5}},
+	})
+	good := LearnedState{
+		Version: LearnedStateVersion, Meaning: b.settings.meaning(), Unit: 1, PassRate: 1, MeanPriority: 1, LoadSum: 1, WeightSum: 2, ReportedAt: now - time.Second,
+		Servers: []LearnedServer{
+			{ID: "a", Started: 5, Known: true, Report: 0.9, ReportAt: now - time.Second, EjectedUntil: now + time.Hour, ReportedLoad: 9, ConnectionLoad: 90, Reports: 9},
+			{ID: "b", Known: true, Report: 0.1, ReportAt: now - time.Second},
+			{ID: "nobody"},
+		},
+	}
 	for i, spoil := range []func(*LearnedState){
 		func(l *LearnedState) { l.Version = 9 }, func(l *LearnedState) { l.Meaning = "" }, func(l *LearnedState) { l.Unit = 0 }, func(l *LearnedState) { l.Unit = math.NaN() },
-		func(l *LearnedState) { l.Gate = math.Inf(1) }, func(l *LearnedState) { l.SumBase = 0 }, func(l *LearnedState) { l.Rate = -1 },
+		func(l *LearnedState) { l.PassRate = math.Inf(1) }, func(l *LearnedState) { l.WeightSum = 0 }, func(l *LearnedState) { l.Arrivals = -1 },
 		func(l *LearnedState) { l.Servers = []LearnedServer{{ID: "a", Report: math.NaN()}} },
-		func(l *LearnedState) { l.Servers = []LearnedServer{{ID: "a", Trim: math.Inf(-1)}} },
+		func(l *LearnedState) { l.Servers = []LearnedServer{{ID: "a", PIDCorrection: math.Inf(-1)}} },
 		func(l *LearnedState) { l.Kinds = []LearnedKind{{"k", 1, math.NaN(), 1}} },
 	} {
 		bad := good
 		spoil(&bad)
 		b.Step(now, []Event{LearnedStateReceived{bad}})
-		if a := b.find("a"); a.known || a.badUntil != 0 {
+		if a := b.findServer("a"); a.report.known || a.outlier.until != 0 {
 			t.Errorf("spoilt value %d was taken", i)
 		}
 	}
 	later := good
 	later.Servers = []LearnedServer{{ID: "a", Started: 4, Known: true, Report: 0.9, ReportAt: now}, {ID: "b", Known: true, Report: 0.1, ReportAt: now + time.Hour}}
 	b.Step(now, []Event{LearnedStateReceived{later}})
-	if b.find("a").known || b.find("b").report != 0.5 {
+	if b.findServer("a").report.known || b.findServer("b").report.load != 0.5 {
 		t.Error("taken: a report of an earlier start, or one of the future")
 	}
 	b.Step(now, []Event{LearnedStateReceived{good}})
-	a, other := b.find("a"), b.find("b")
-	if a.report != 0.9 || a.reportAt != now-time.Second || a.badUntil != now+firstEject<<3 || a.n != 9 {
+	a, other := b.findServer("a"), b.findServer("b")
+	if a.report.load != 0.9 || a.report.at != now-time.Second || a.outlier.until != now+firstEjection<<3 || a.costs.reports != 9 {
 		t.Errorf("not taken: %+v", a)
 	}
-	if other.report != 0.5 {
+	if other.report.load != 0.5 {
 		t.Error("an older report was taken for a newer one")
 	}
 }
@@ -215,15 +226,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Step(now, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}},
-			HealthCheckResult{Server: "a", Report: []float64{0.9}}, HealthCheckResult{Server: "b", Report: []float64{0.7}}})
+		b.Step(now, []Event{
+			ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}},
+			HealthCheckResult{Server: "a", Report: []float64{0.9}},
+			HealthCheckResult{Server: "b", Report: []float64{0.7}},
+		})
 		return b
 	}
 	same := knows()
 	same.Limits.MaxAttempts, same.Classes = 2, append(same.Classes, Class{Name: "d", Priority: 9, Deadline: time.Second})
 	b := learned()
 	b.Step(now, []Event{SettingsChanged{same}})
-	if !b.find("a").known || b.avg == 0 || len(b.LearnedState().Kinds) != 1 {
+	if !b.findServer("a").report.known || b.average.load == 0 || len(b.LearnedState().Kinds) != 1 {
 		t.Error("forgotten with settings under which reports say the same")
 	}
 	for i, change := range []func(*Settings){
@@ -247,9 +261,9 @@
 				b.Step(now, []Event{LearnedStateReceived{told}})
 			}
 			for _, id := range []ServerID{"a", "b"} {
-				s, clean := b.find(id), fresh.find(id)
-				if s.known || s.n != 0 || b.kinds["k"].n != 0 || s.cost != clean.cost || b.predict(s) != fresh.predict(clean) || b.avg != fresh.avg {
-					t.Errorf("settings %d, told %v: of %s it knows %+v, average %v", i, inherits, id, s, b.avg)
+				s, clean := b.findServer(id), fresh.findServer(id)
+				if s.report.known || s.costs.reports != 0 || b.kinds["k"].costs.reports != 0 || s.cost != clean.cost || b.predictedLoad(s) != fresh.predictedLoad(clean) || b.average.load != fresh.average.load {
+					t.Errorf("settings %d, told %v: of %s it knows %+v, average %v", i, inherits, id, s, b.average.load)
 				}
 			}
 		}
@@ -303,8 +317,8 @@
 			t.Fatal(err)
 		}
 		before.Step(2*time.Hour, []Event{list, HealthCheckResult{Server: "s000", Outcome: Served, Report: []float64{0.5, 0.5}}})
-		before.find("s001").credit, before.find("s001").creditAt = 0, 2*time.Hour
-		before.strike(before.find("s002"))
+		before.findServer("s001").slowStart = credit{0, 2 * time.Hour}
+		before.findServer("s002").outlier.eject(before.now)
 		learned := before.LearnedState()
 		now := 2*time.Hour + off
 		after, err := New(plain(), 2, now)
@@ -313,14 +327,14 @@
 		}
 		list.Servers[1].SlowStartSince = now - time.Second
 		after.Step(now, []Event{list, LearnedStateReceived{learned}})
-		if s := after.find("s000"); !s.known || s.reportAt != now {
-			t.Errorf("%v off: a report of now is %v old, known %v", off, now-s.reportAt, s.known)
+		if s := after.findServer("s000"); !s.report.known || s.report.at != now {
+			t.Errorf("%v off: a report of now is %v old, known %v", off, now-s.report.at, s.report.known)
 		}
-		if s := after.find("s001"); s.credit != 0 || s.creditAt != now {
-			t.Errorf("%v off: a cold server that was sent all it bears may have %v, since %v", off, s.credit, now-s.creditAt)
+		if s := after.findServer("s001"); s.slowStart.amount != 0 || s.slowStart.at != now {
+			t.Errorf("%v off: a cold server that was sent all it bears may have %v, since %v", off, s.slowStart.amount, now-s.slowStart.at)
 		}
-		if s := after.find("s002"); s.badUntil != now+firstEject {
-			t.Errorf("%v off: a server that failed is left out for %v", off, s.badUntil-now)
+		if s := after.findServer("s002"); s.outlier.until != now+firstEjection {
+			t.Errorf("%v off: a server that failed is left out for %v", off, s.outlier.until-now)
 		}
 	}
 }
--- a/choice/many_test.go
+++ b/choice/many_test.go
@@ -88,8 +88,10 @@
 }
 
 func newCrowd(t testing.TB, s Settings, seed uint64, list ServerList, load func(ServerID, int) float64) *crowd {
-	c := &crowd{now: time.Hour, load: load, held: map[ServerID]int{}, seen: map[ServerID][]int{},
-		times: map[ServerID][]time.Duration{}, end: map[string]int{}, dead: map[int]bool{}}
+	c := &crowd{
+		now: time.Hour, load: load, held: map[ServerID]int{}, seen: map[ServerID][]int{},
+		times: map[ServerID][]time.Duration{}, end: map[string]int{}, dead: map[int]bool{},
+	}
 	for n := range s.Nodes {
 		s.Node = n
 		b, err := New(s, seed*1000+uint64(n), c.now)
@@ -261,13 +263,22 @@
 	f.now = time.Hour
 	f.step(fleet(13))
 	s := f.b.servers[3]
-	good := message{kind: mayISend, token: clockOf(f.b), server: serverKey(s), load: 1}
+	good := peerMessage{kind: reservationRequest, token: tokenClock(f.b.now), server: serverKey(s), load: 1}
 	late, other := good, good.encode()
-	late.token -= latest + 1
-	other[0] = 2<<4 | byte(mayISend)
-	for i, m := range []PeerMessage{{1, nil}, {1, good.encode()[:8]}, {1, append(good.encode(), 0)}, {1, other}, {1, late.encode()},
-		{-1, good.encode()}, {80, good.encode()}, {0, good.encode()}, {1, message{kind: yes, token: good.token}.encode()},
-		{1, make([]byte, 300)}} {
+	late.token -= maxMessageAge + 1
+	other[0] = 2<<4 | byte(reservationRequest)
+	for i, m := range []PeerMessage{
+		{1, nil},
+		{1, good.encode()[:8]},
+		{1, append(good.encode(), 0)},
+		{1, other},
+		{1, late.encode()},
+		{-1, good.encode()},
+		{80, good.encode()},
+		{0, good.encode()},
+		{1, peerMessage{kind: reservationGranted, token: good.token}.encode()},
+		{1, make([]byte, 300)},
+	} {
 		if out := f.step(m); len(out) > 0 || f.b.DroppedPeerMessages() != i+1 {
 			t.Errorf("message %d: %d dropped, actions %v", i, f.b.DroppedPeerMessages(), out)
 		}
@@ -282,11 +293,11 @@
 
 // FuzzMessage checks that no bytes of another node crash the module, and that what is read is in its range.
 func FuzzMessage(f *testing.F) {
-	f.Add(message{kind: mayISend, token: 1, server: 2, group: 3, load: 1}.encode())
-	f.Add(message{kind: yes, token: 1, load: 0.5, part: 1}.encode())
+	f.Add(peerMessage{kind: reservationRequest, token: 1, server: 2, group: 3, load: 1}.encode())
+	f.Add(peerMessage{kind: reservationGranted, token: 1, load: 0.5, fraction: 1}.encode())
 	f.Fuzz(func(t *testing.T, p []byte) {
-		m, ok := decode(p)
-		if ok && (m.load < 0 || m.load > 16 || m.part < 0 || m.part > 1 || string(m.encode()) != string(p)) {
+		m, ok := decodePeerMessage(p)
+		if ok && (m.load < 0 || m.load > 16 || m.fraction < 0 || m.fraction > 1 || string(m.encode()) != string(p)) {
 			t.Errorf("%v read as %+v", p, m)
 		}
 		r := newReferee(t, keeping(), 1)
@@ -302,11 +313,11 @@
 	f.step(fleet(13))
 	for _, a := range f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
 		if a, ok := a.(SendPeerMessage); ok {
-			q, _ := decode(a.Data)
-			drained := f.b.byHash(q.server).Server
+			q, _ := decodePeerMessage(a.Data)
+			drained := f.b.findServerByKey(q.server).Server
 			drained.State = Draining
 			f.step(ServerList{Kind: ListChange, Servers: []Server{drained}})
-			f.step(PeerMessage{a.To, message{kind: yes, token: q.token}.encode()})
+			f.step(PeerMessage{a.To, peerMessage{kind: reservationGranted, token: q.token}.encode()})
 			if slices.Contains(f.sends(), drained.ID) {
 				t.Error("sent to a host that drains")
 			}
@@ -328,12 +339,12 @@
 			for _, a := range f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
 				if a, ok := a.(SendPeerMessage); ok {
 					asked = true
-					q, _ := decode(a.Data)
+					q, _ := decodePeerMessage(a.Data)
 					f.step(end)
 					if lost {
-						f.run(f.now + 2*muteAfter)
+						f.run(f.now + 2*peerTimeout)
 					} else {
-						f.step(PeerMessage{a.To, message{kind: yes, token: q.token}.encode()})
+						f.step(PeerMessage{a.To, peerMessage{kind: reservationGranted, token: q.token}.encode()})
 					}
 				}
 			}
--- a/choice/patrol_test.go
+++ b/choice/patrol_test.go
@@ -10,9 +10,11 @@
 // delay notes come, as on sockets, and that nothing is asked where they do.
 func TestFullServerIsFound(t *testing.T) {
 	for _, tells := range []bool{false, true} {
-		b, err := New(Settings{Nodes: 1, DelaysObserved: tells, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
+		b, err := New(Settings{
+			Nodes: 1, DelaysObserved: tells, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
-			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond}, 1, time.Hour)
+			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond,
+		}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,8 +52,10 @@
 
 // TestNothingIsAskedForWhereHostsReportNothing guards hosts whose protocol has no load reports against being asked.
 func TestNothingIsAskedForWhereHostsReportNothing(t *testing.T) {
-	b, err := New(Settings{Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
-		Limits: Limits{MaxAttempts: 4, HealthChecks: true}}, 1, time.Hour)
+	b, err := New(Settings{
+		Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
+		Limits: Limits{MaxAttempts: 4, HealthChecks: true},
+	}, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,9 +81,11 @@
 		late, load float64
 		moves      bool
 	}{{5, 0.6, false}, {400, 0.6, true}, {5, 0, false}} {
-		b, err := New(Settings{Nodes: 1, Reports: HealthCheckReports, ReportFields: []ReportField{Latency, Load},
+		b, err := New(Settings{
+			Nodes: 1, Reports: HealthCheckReports, ReportFields: []ReportField{Latency, Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second, MessageObjective: 60 * time.Millisecond}},
-			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond}, 1, time.Hour)
+			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond,
+		}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/choice/phase_test.go
+++ b/choice/phase_test.go
@@ -15,12 +15,13 @@
 			t.Fatal(err)
 		}
 		b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{
-			{ID: "cold", Size: 2, Started: time.Hour}, {ID: "warm", Size: 2}}}})
-		b.coldCredit(&request{bind: 1}, b.find("cold"))
-		if b.coldLeave < 0 || b.coldLeave >= 1 {
-			t.Fatalf("seed %d starts with leave of %.3f", seed, b.coldLeave)
+			{ID: "cold", Size: 2, Started: time.Hour}, {ID: "warm", Size: 2},
+		}}})
+		b.mayStartSlowly(&requestEntry{affinity: 1}, b.findServer("cold"))
+		if b.slowStart.common.amount < 0 || b.slowStart.common.amount >= 1 {
+			t.Fatalf("seed %d starts with leave of %.3f", seed, b.slowStart.common.amount)
 		}
-		seen[int(b.coldLeave*10)] = true
+		seen[int(b.slowStart.common.amount*10)] = true
 	}
 	if len(seen) < 5 {
 		t.Errorf("%d nodes start in %d of ten phases", nodes, len(seen))
@@ -30,9 +31,9 @@
 // A connection that comes with a class of other settings must not make a table of its own size.
 func TestToldLoadsOfUnknownClasses(t *testing.T) {
 	b, now := silentNode(t, 3, 4)
-	class := b.set.Classes[0]
+	class := b.settings.Classes[0]
 	b.Step(now, []Event{OpenConnection{Request: Request{ID: "x", Class: 1 << 20, Tenant: -1}, Server: "h0", OriginalClass: &class, CurrentLoad: 0.05}})
-	if len(b.classLoads) > len(b.set.Classes) {
-		t.Errorf("%d classes are kept, the settings have %d", len(b.classLoads), len(b.set.Classes))
+	if len(b.units.byClass) > len(b.settings.Classes) {
+		t.Errorf("%d classes are kept, the settings have %d", len(b.units.byClass), len(b.settings.Classes))
 	}
 }
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -51,8 +51,10 @@
 func (j *rulesJudge) book(n *simNode) *nodeBook {
 	k := j.nodes[n]
 	if k == nil {
-		k = &nodeBook{everListed: map[choice.ServerID]bool{}, offSince: map[choice.ServerID]time.Duration{},
-			lists: map[choice.ServerID]choice.ServerState{}, before: map[choice.RequestID]requestState{}}
+		k = &nodeBook{
+			everListed: map[choice.ServerID]bool{}, offSince: map[choice.ServerID]time.Duration{},
+			lists: map[choice.ServerID]choice.ServerState{}, before: map[choice.RequestID]requestState{},
+		}
 		j.nodes[n] = k
 	}
 	return k
@@ -288,18 +290,24 @@
 	between := func(lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
 	seconds := func(lo, hi float64) time.Duration { return time.Duration(between(lo, hi) * float64(time.Second)) }
 	hosts, zones := 3+int(58*rng.Float64()*rng.Float64()), 1+rng.IntN(5)
-	world := terms{perHost: between(6, 20), life: seconds(3, 9), listDelay: seconds(0.05, 2), lossOfList: between(0, 0.4),
+	world := terms{
+		perHost: between(6, 20), life: seconds(3, 9), listDelay: seconds(0.05, 2), lossOfList: between(0, 0.4),
 		lossOfTells: between(0, 0.3), tries: 1 + rng.IntN(4), leavers: between(0, 0.2), toldLoads: chance(0.4),
-		oddAnswers: between(0.02, 0.2), shedAt: between(1, 1.6), homes: 0.03, skew: 1 + rng.IntN(5)}
+		oddAnswers: between(0.02, 0.2), shedAt: between(1, 1.6), homes: 0.03, skew: 1 + rng.IntN(5),
+	}
 	world.slotsAt = world.shedAt * between(0.8, 1.1)
 	s := choice.Settings{
 		Nodes: 1 + rng.IntN(30), Zone: "z0", GroupAffinity: chance(0.4), PacketPassThrough: chance(0.2), Subscribe: chance(0.5),
 		Reports: choice.ReportSource(rng.IntN(3)), Sizes: choice.SizeKind(rng.IntN(3)), DelaysObserved: chance(0.5),
 		OverQuotaPriority: between(0, 1), PriorityPerWork: chance(0.5), RoundTrip: 5 * time.Millisecond,
-		Limits: choice.Limits{MaxAttempts: 1 + rng.IntN(8), HealthChecks: chance(0.8), Cancellation: chance(0.7), PeerMessages: chance(0.6),
-			RetryAfter: chance(0.6), MaxRetryAfter: seconds(0.5, 3), ConnectTimeout: seconds(0.05, 0.4)},
-		Rules: choice.Rules{AnswerSlack: 20 * time.Millisecond, MaxPollInterval: seconds(2, 10), DrainGrace: seconds(0.3, 5),
-			SlowStartFraction: between(0.1, 0.6), WarmUp: seconds(4, 25), OverloadMultiple: between(2, 5), OverloadTime: seconds(1, 3)},
+		Limits: choice.Limits{
+			MaxAttempts: 1 + rng.IntN(8), HealthChecks: chance(0.8), Cancellation: chance(0.7), PeerMessages: chance(0.6),
+			RetryAfter: chance(0.6), MaxRetryAfter: seconds(0.5, 3), ConnectTimeout: seconds(0.05, 0.4),
+		},
+		Rules: choice.Rules{
+			AnswerSlack: 20 * time.Millisecond, MaxPollInterval: seconds(2, 10), DrainGrace: seconds(0.3, 5),
+			SlowStartFraction: between(0.1, 0.6), WarmUp: seconds(4, 25), OverloadMultiple: between(2, 5), OverloadTime: seconds(1, 3),
+		},
 		Costs: choice.Costs{HealthCheck: between(0.001, 0.01), Migration: 0.01, PeerMessage: between(0, 0.02), CrossZone: between(0, 0.03)},
 	}
 	if s.Reports != choice.NoReports {
@@ -311,21 +319,27 @@
 		s.InitialCost = 1 / world.perHost
 	}
 	for i := range 1 + rng.IntN(5) {
-		c := choice.Class{Name: fmt.Sprint("c", i), SetupObjective: seconds(0.2, 0.8), Deadline: seconds(0.8, 4), Priority: between(0.5, 8),
-			MessageObjective: seconds(0.05, 0.2), Idempotency: choice.Idempotency(rng.IntN(3))}
+		c := choice.Class{
+			Name: fmt.Sprint("c", i), SetupObjective: seconds(0.2, 0.8), Deadline: seconds(0.8, 4), Priority: between(0.5, 8),
+			MessageObjective: seconds(0.05, 0.2), Idempotency: choice.Idempotency(rng.IntN(3)),
+		}
 		if c.Idempotency == choice.IdempotentByKey {
 			c.IdempotencyScope, c.IdempotencyWindow = choice.Scope(rng.IntN(3)), seconds(0.1, 4)
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for i := range rng.IntN(2) * (1 + rng.IntN(4)) {
-		s.Tenants = append(s.Tenants, choice.Tenant{Name: fmt.Sprint("t", i), Rate: between(1, 10), Share: 0.2,
-			Connections: between(0, 1) * float64(hosts) * world.perHost})
+		s.Tenants = append(s.Tenants, choice.Tenant{
+			Name: fmt.Sprint("t", i), Rate: between(1, 10), Share: 0.2,
+			Connections: between(0, 1) * float64(hosts) * world.perHost,
+		})
 	}
 	var list []choice.Server
 	for i := range hosts {
-		h := choice.Server{ID: choice.ServerID(fmt.Sprintf("h%02d", i)), Zone: fmt.Sprint("z", i%zones), Kind: fmt.Sprint("k", i%2),
-			Cell: i % (2 * zones), Size: 1}
+		h := choice.Server{
+			ID: choice.ServerID(fmt.Sprintf("h%02d", i)), Zone: fmt.Sprint("z", i%zones), Kind: fmt.Sprint("k", i%2),
+			Cell: i % (2 * zones), Size: 1,
+		}
 		if s.Sizes != choice.NoSize {
 			h.Size = between(0.5, 2)
 		}
@@ -454,11 +468,13 @@
 		}
 	}
 	t.Log(total)
-	for _, what := range []string{"drains", "hosts that vanish", "cold starts", "sends to cold hosts", "failing hosts", "sheds",
+	for _, what := range []string{
+		"drains", "hosts that vanish", "cold starts", "sends to cold hosts", "failing hosts", "sheds",
 		"refused by a full host", "retries", "safe repeats", "keyed repeats, scope all", "keyed repeats, scope zone",
 		"keyed repeats, scope cell", "refusals of what may have run", "failures of what may have run", "refusals", "failures",
 		"clients that leave", "clients that return", "cancels", "probes", "moves", "messages", "lost messages", "failed asks",
-		"broken subscriptions", "delay notes", "plans", "advice", "requests that wait as their node stops"} {
+		"broken subscriptions", "delay notes", "plans", "advice", "requests that wait as their node stops",
+	} {
 		if total[what] < worlds/4 {
 			t.Errorf("%s: %d in %d worlds; the run shows too little of it", what, total[what], worlds)
 		}
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -165,8 +165,10 @@
 	}
 	grown := ServerList{Kind: ListChange}
 	for i := range cold {
-		grown.Servers = append(grown.Servers, Server{ID: ServerID(fmt.Sprint("cold", i)), Zone: "z0", Kind: "k0", Size: 1,
-			Started: start * time.Second})
+		grown.Servers = append(grown.Servers, Server{
+			ID: ServerID(fmt.Sprint("cold", i)), Zone: "z0", Kind: "k0", Size: 1,
+			Started: start * time.Second,
+		})
 	}
 	load := func(id ServerID) float64 {
 		if id[0] == 'c' {
@@ -231,7 +233,7 @@
 	f.set.Classes = append(f.set.Classes, f.set.Classes[0])
 	f.step(Request{ID: "class", Class: 1, TimeLeft: ms(100)})
 	f.run(ms(300))
-	f.now = 0 // time going back counts as the latest seen
+	f.now = 0 // time going back counts as the maxMessageAge seen
 	if a := f.b.Step(0, []Event{TimerFired{"tick"}}); len(a) == 0 {
 		t.Fatal("tick lost")
 	}
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -9,8 +9,10 @@
 // TestRequestsKeepWhatTheyCameWith has settings change under a request: its class stays what it was, and so does the number
 // of its attempts; the next request goes by the new ones.
 func TestRequestsKeepWhatTheyCameWith(t *testing.T) {
-	s := Settings{Nodes: 1, RoundTrip: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
-		Tenants: []Tenant{{Name: "t"}}, Limits: Limits{MaxAttempts: 3}}
+	s := Settings{
+		Nodes: 1, RoundTrip: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
+		Tenants: []Tenant{{Name: "t"}}, Limits: Limits{MaxAttempts: 3},
+	}
 	b, err := New(s, 1, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -65,8 +67,10 @@
 // TestTwoProcessesShareTheColdBudget has a cold server get no more from two processes of a node than from the one before.
 func TestTwoProcessesShareTheColdBudget(t *testing.T) {
 	sent := func(parts int, seed uint64) (n int) {
-		b, err := New(Settings{Nodes: 4, Processes: parts, RoundTrip: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
-			Limits: Limits{MaxAttempts: 1}, Rules: Rules{SlowStartFraction: .2, WarmUp: 24 * time.Second, OverloadMultiple: 4, OverloadTime: 2 * time.Second}}, seed, time.Hour)
+		b, err := New(Settings{
+			Nodes: 4, Processes: parts, RoundTrip: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
+			Limits: Limits{MaxAttempts: 1}, Rules: Rules{SlowStartFraction: .2, WarmUp: 24 * time.Second, OverloadMultiple: 4, OverloadTime: 2 * time.Second},
+		}, seed, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -142,8 +142,10 @@
 }
 
 func newSimulation(t testing.TB, name string, s choice.Settings, of terms, hosts []choice.Server, seed uint64, j judge) *simulation {
-	w := &simulation{t: t, name: name, rng: rand.New(rand.NewPCG(seed, 11)), now: simulationStart, settings: s, terms: of,
-		byID: map[choice.ServerID]*simHost{}, requests: map[choice.RequestID]*simRequest{}, judge: j, counts: map[string]int{}}
+	w := &simulation{
+		t: t, name: name, rng: rand.New(rand.NewPCG(seed, 11)), now: simulationStart, settings: s, terms: of,
+		byID: map[choice.ServerID]*simHost{}, requests: map[choice.RequestID]*simRequest{}, judge: j, counts: map[string]int{},
+	}
 	for _, server := range hosts {
 		h := &simHost{Server: server, strength: max(server.Size, 0.1), running: server.State == choice.Ready}
 		w.hosts, w.byID[h.ID] = append(w.hosts, h), h
@@ -425,8 +427,10 @@
 	n, class := w.drawNode(), w.settings.Classes[c.class]
 	c.tries++
 	r := &simRequest{node: n, client: c, class: class}
-	r.Request = choice.Request{ID: choice.RequestID(fmt.Sprint("r", len(w.requests)+1)), Class: c.class, Tenant: c.tenant, Key: c.key,
-		Group: c.group, TimeLeft: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)), Returned: returned}
+	r.Request = choice.Request{
+		ID: choice.RequestID(fmt.Sprint("r", len(w.requests)+1)), Class: c.class, Tenant: c.tenant, Key: c.key,
+		Group: c.group, TimeLeft: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)), Returned: returned,
+	}
 	if w.terms.toldLoads {
 		r.Load = c.load
 	}
@@ -575,8 +579,10 @@
 	at.settled = true
 	w.after(after, func() {
 		r := at.request
-		e := choice.AttemptEnded{ID: r.ID, Attempt: at.number, Server: at.host.ID, Outcome: o, Took: w.now - at.sentAt,
-			Final: o == choice.Served || at.established || r.answered || r.gone}
+		e := choice.AttemptEnded{
+			ID: r.ID, Attempt: at.number, Server: at.host.ID, Outcome: o, Took: w.now - at.sentAt,
+			Final: o == choice.Served || at.established || r.answered || r.gone,
+		}
 		if w.settings.Reports == choice.AllReports && at.host.running {
 			e.Report = w.report(at.host)
 		}
--- a/choice/step.go
+++ b/choice/step.go
@@ -5,92 +5,104 @@
 	"time"
 )
 
-// How events reach the decisions. No decisions here.
+// How events reach the decisions.
+
+// The kinds of timers: the first word of a token. They are seen outside: the caller's records have them.
+const (
+	timerTick        = "tick" // the controllers' step
+	timerPoll        = "ask"  // the next poll of the server list
+	timerPeerAnswer  = "mute" // "mute TOKEN": the owner of a server did not answer in time
+	timerHealthCheck = "hold" // "hold REQUEST": health checks that a request waits for took too long
+	timerDeadline    = "end"  // "end REQUEST": the request must be answered now
+)
 
 // Step takes what happened and returns what to do, in order.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
-	b.now, b.out = max(b.now, now), nil
-	b.recent = fade(b.rate, b.now-b.rateAt, rateMemory)
+	b.now = max(b.now, now)
+	b.actions = nil
+	b.arrivals.refresh(b.now)
 	if !b.started {
-		b.started = true // phases differ by seed, so that nodes do not steer in step
-		b.out = append(b.out, SetTimer{Token: "tick", After: time.Duration(b.rng.Float64() * float64(tick))})
-		if b.set.Subscribe {
-			b.out = append(b.out, WatchList{})
-		}
+		b.start()
 	}
-	for _, e := range events {
-		switch e := e.(type) {
-		case ServerList:
-			b.list(e)
-		case Request:
-			b.countArrival(e)
-			b.arrive(e)
-		case OpenConnection:
-			b.adopt(e)
-		case StickyServerFound:
-			if r := b.reqs[e.ID]; r != nil {
-				r.StickyServer = e.Server
-			}
-		case Transferred:
-			b.handed(e.ID)
-		case LearnedStateReceived:
-			b.inherit(e.LearnedState)
-		case Established:
-			if r := b.reqs[e.ID]; r != nil && r.on != nil && e.Attempt == r.attempts-1 {
-				r.open, r.on.strikes = true, 0
-				b.countUp(r)
-				b.established(r, e.Took)
-			}
-		case AttemptEnded:
-			b.countOutcome(e)
-			b.ended(e)
-		case HealthCheckResult:
-			b.countProbe(e)
-			b.probed(e)
-		case LoadUpdate:
-			b.reload(e)
-		case DelayObservation:
-			b.delayed(e)
-		case ClientGone:
-			b.forget(b.reqs[e.ID])
-		case TimeUp:
-			if r := b.reqs[e.ID]; r != nil && !r.open {
-				b.answer(r, Withdrawn)
-			}
-		case TimerFired:
-			b.fired(e.Token)
-		case SettingsChanged:
-			if e.Check() == nil {
-				b.adapt(e.Settings)
-			}
-		case ZonePlan:
-			b.follow(e)
-		case PeerMessage:
-			b.heard(e)
-		}
+	for _, event := range events {
+		b.handle(event)
+	}
+	if b.costsStale {
+		b.costsStale = false
+		b.updateCosts()
 	}
-	if b.joined {
-		b.joined = false
-		b.price()
+	b.countRejections()
+	return b.actions
+}
+
+// start sets the first timers. Their phase differs by seed, so that nodes do not adjust in step.
+func (b *Balancer) start() {
+	b.started = true
+	phase := time.Duration(b.random.Float64() * float64(tick))
+	b.actions = append(b.actions, SetTimer{Token: timerTick, After: phase})
+	if b.settings.Subscribe {
+		b.actions = append(b.actions, WatchList{})
+	}
+}
+
+func (b *Balancer) handle(event Event) {
+	switch event := event.(type) {
+	case ServerList:
+		b.applyList(event)
+	case Request:
+		b.countArrival(event)
+		b.admit(event)
+	case OpenConnection:
+		b.adopt(event)
+	case StickyServerFound:
+		b.setStickyServer(event)
+	case Transferred:
+		b.transferred(event.ID)
+	case LearnedStateReceived:
+		b.applyLearnedState(event.LearnedState)
+	case Established:
+		b.attemptEstablished(event)
+	case AttemptEnded:
+		b.countOutcome(event)
+		b.attemptEnded(event)
+	case HealthCheckResult:
+		b.countHealthCheck(event)
+		b.healthCheckEnded(event)
+	case LoadUpdate:
+		b.updateLoad(event)
+	case DelayObservation:
+		b.observeDelay(event)
+	case ClientGone:
+		b.forget(b.requests[event.ID])
+	case TimeUp:
+		b.withdraw(event.ID)
+	case TimerFired:
+		b.timerFired(event.Token)
+	case SettingsChanged:
+		if event.Check() == nil {
+			b.applySettings(event.Settings)
+		}
+	case ZonePlan:
+		b.applyPlan(event)
+	case PeerMessage:
+		b.receivePeerMessage(event)
 	}
-	b.countRefusals()
-	return b.out
 }
 
-func (b *Balancer) fired(token string) {
+func (b *Balancer) timerFired(token string) {
 	kind, id, _ := strings.Cut(token, " ")
-	r := b.reqs[RequestID(id)]
+	request := b.requests[RequestID(id)]
 	switch {
-	case token == "tick":
-		b.steer()
-		b.out = append(b.out, SetTimer{Token: "tick", After: tick})
-	case token == "ask":
-		b.out = append(b.out, WatchList{})
-	case kind == "mute":
-		b.muted(id)
-	case kind == "hold" && r != nil && r.waiting > 0:
-		b.dispatch(r)
-	case kind == "end" && r != nil && !r.open: // own the deadline: an answer while the client still waits
-		b.answer(r, DeadlineReached)
+	case token == timerTick:
+		b.updateControllers()
+		b.actions = append(b.actions, SetTimer{Token: timerTick, After: tick})
+	case token == timerPoll:
+		b.actions = append(b.actions, WatchList{})
+	case kind == timerPeerAnswer:
+		b.peerAnswerTimedOut(id)
+	case kind == timerHealthCheck && request != nil && request.pendingChecks > 0:
+		b.dispatch(request)
+	case kind == timerDeadline && request != nil && !request.open: // an answer while the client still waits
+		b.endWithoutConnection(request, DeadlineReached)
 	}
 }
--- a/choice/throttle_test.go
+++ b/choice/throttle_test.go
@@ -9,22 +9,22 @@
 func TestThrottle(t *testing.T) {
 	var th throttle
 	now := time.Hour
-	if p := th.admit(now); p != 1 {
+	if p := th.admitRate(now); p != 1 {
 		t.Errorf("a new node lets in %.2f", p)
 	}
 	th.add(now, 1, 1)
 	th.add(now, 0, -1)
-	if p := th.admit(now); p != 1 {
+	if p := th.admitRate(now); p != 1 {
 		t.Errorf("after one connection that broke %.2f are let in", p)
 	}
 	for range 20 {
 		th.add(now, 1, 1)
 		th.add(now, 0, -1)
 	}
-	if p := th.admit(now); p > 0.2 {
+	if p := th.admitRate(now); p > 0.2 {
 		t.Errorf("while each connection is dropped %.2f are let in", p)
 	}
-	if p := th.admit(now + time.Minute); p != 1 {
+	if p := th.admitRate(now + time.Minute); p != 1 {
 		t.Errorf("a minute later %.2f are let in", p)
 	}
 	for range 100 { // four in five last
@@ -33,14 +33,14 @@
 	for range 20 {
 		th.add(now, 0, -1)
 	}
-	if p := th.admit(now); p < 0.7 || p > 0.9 { // a bound of 1.1 for each that lasts
+	if p := th.admitRate(now); p < 0.7 || p > 0.9 { // a bound of 1.1 for each that lasts
 		t.Errorf("with four connections in five lasting %.2f are let in", p)
 	}
 	for range 300 { // nineteen in twenty last
 		th.add(now+time.Minute, 1, 1)
 	}
 	th.add(now+time.Minute, 0, -15)
-	if p := th.admit(now + time.Minute); p < 0.99 {
+	if p := th.admitRate(now + time.Minute); p < 0.99 {
 		t.Errorf("with nineteen connections in twenty lasting %.2f are let in", p)
 	}
 }
--- a/choice/world_test.go
+++ b/choice/world_test.go
@@ -50,8 +50,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &referee{t: t, set: s, b: b, reqs: map[RequestID]*seen{}, list: map[ServerID]Server{},
-		told: map[ServerID]time.Duration{}, probes: map[ServerID]int{}}
+	return &referee{
+		t: t, set: s, b: b, reqs: map[RequestID]*seen{}, list: map[ServerID]Server{},
+		told: map[ServerID]time.Duration{}, probes: map[ServerID]int{},
+	}
 }
 
 // step hands events over at the present time and judges what comes back.
@@ -222,8 +224,10 @@
 		Nodes: 4, Zone: "z0", Reports: HealthCheckReports, ReportFields: []ReportField{Load, InFlight}, RoundTrip: ms(5),
 		Classes: []Class{{Name: "c", SetupObjective: ms(300), Deadline: ms(1800), MessageObjective: ms(100), Priority: 1}},
 		Limits:  Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, ConnectTimeout: ms(250)},
-		Rules: Rules{AnswerSlack: ms(20), MaxPollInterval: 10 * time.Second, DrainGrace: ms(500), SlowStartFraction: 0.2,
-			WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second},
+		Rules: Rules{
+			AnswerSlack: ms(20), MaxPollInterval: 10 * time.Second, DrainGrace: ms(500), SlowStartFraction: 0.2,
+			WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second,
+		},
 		Costs: Costs{HealthCheck: 0.002, Migration: 0.01},
 	}
 }
@@ -231,8 +235,10 @@
 func fleet(n int) ServerList {
 	l := ServerList{Kind: ListFull}
 	for i := range n {
-		l.Servers = append(l.Servers, Server{ID: ServerID(fmt.Sprintf("s%03d", i)), Zone: fmt.Sprintf("z%d", i%3),
-			Kind: fmt.Sprintf("k%d", i%2), Cell: i % 5, Size: 1})
+		l.Servers = append(l.Servers, Server{
+			ID: ServerID(fmt.Sprintf("s%03d", i)), Zone: fmt.Sprintf("z%d", i%3),
+			Kind: fmt.Sprintf("k%d", i%2), Cell: i % 5, Size: 1,
+		})
 	}
 	return l
 }
--- /dev/null
+++ b/choice/zones.go
@@ -0,0 +1,126 @@
+package choice
+
+import (
+	"slices"
+	"time"
+)
+
+// The plan of zones, which those who plan for all nodes make, and what this node has in each zone.
+
+const maxZones = 256 // counted; guards against a list that names a zone for each server
+
+// zoneClass names the connections of one class in one zone.
+type zoneClass struct {
+	zone  string
+	class int
+}
+
+// zoneTable is the plan in force and what this node has in the zones.
+type zoneTable struct {
+	plan     *ZonePlan             // nil: there is none, and any zone will do
+	ownLoad  map[zoneClass]float64 // of this node's connections
+	attempts map[string]*zoneAttempts
+	classes  []classCount
+	rejected []int // classes of the requests that this step ended without a connection
+}
+
+// zoneAttempts counts the attempts of one zone since the last observations.
+type zoneAttempts struct {
+	attempts float64
+	failed   float64
+}
+
+// add adds to the load that this node has in a zone.
+func (z *zoneTable) add(key zoneClass, load float64) {
+	z.ownLoad[key] += load
+	if z.ownLoad[key] < negligibleLoad {
+		delete(z.ownLoad, key)
+	}
+}
+
+func (z *zoneTable) rescale(factor float64) {
+	for key := range z.ownLoad {
+		z.ownLoad[key] *= factor
+	}
+}
+
+// countAttempt counts an attempt or a health check.
+func (z *zoneTable) countAttempt(zone string, failed bool) {
+	count := z.attempts[zone]
+	if count == nil {
+		if len(z.attempts) >= maxZones {
+			return
+		}
+		count = &zoneAttempts{}
+		z.attempts[zone] = count
+	}
+	count.attempts++
+	if failed {
+		count.failed++
+	}
+}
+
+// admitNewClasses has classes that the plan does not know be admitted completely.
+func (z *zoneTable) admitNewClasses(classes int) {
+	for z.plan != nil && len(z.plan.AdmitFraction) < classes {
+		z.plan.AdmitFraction = append(z.plan.AdmitFraction, 1)
+	}
+}
+
+// allows says whether the plan in force lets a request go to a server: another plan may have come while it waited.
+func (z *zoneTable) allows(request *requestEntry, server *serverEntry) bool {
+	return z.plan == nil || slices.ContainsFunc(z.plan.Grants, func(grant Grant) bool {
+		return grant.Zone == server.Zone && !slices.Contains(grant.ExcludedClasses, request.Class)
+	})
+}
+
+// loadUnder is the load that the node has under a grant.
+func (z *zoneTable) loadUnder(grant Grant, classes int) (sum float64) {
+	for class := range classes {
+		if !slices.Contains(grant.ExcludedClasses, class) {
+			sum += z.ownLoad[zoneClass{grant.Zone, class}]
+		}
+	}
+	return sum
+}
+
+// chooseZone finds the nearest zone where the plan has capacity for a request. All that this node's connections have
+// there counts, whenever they came: plans change, and none may take what another has promised.
+func (b *Balancer) chooseZone(request *requestEntry) bool {
+	plan := b.zones.plan
+	if plan == nil {
+		return true
+	}
+	i := slices.IndexFunc(plan.Grants, func(grant Grant) bool {
+		return !slices.Contains(grant.ExcludedClasses, request.Class) &&
+			!slices.Contains(request.fullZones, grant.Zone) &&
+			b.zones.loadUnder(grant, len(b.settings.Classes))+request.load <= grant.Load
+	})
+	if i >= 0 {
+		request.zone = plan.Grants[i].Zone
+	}
+	return i >= 0
+}
+
+// applyPlan takes a plan in, in a form that the decisions can go by without a look at its bounds.
+func (b *Balancer) applyPlan(plan ZonePlan) {
+	settings := b.settings
+	settings.Nodes = b.fleetNodes / max(1, settings.Processes)
+	b.zones.plan = nil
+	if plan.Grants != nil {
+		plan.AdmitFraction = slices.Clone(plan.AdmitFraction)
+		plan.RetryAfter = b.limitRetryAfter(plan.RetryAfter)
+		b.zones.plan = &plan
+		b.zones.admitNewClasses(len(settings.Classes))
+	}
+	b.applySettings(settings)
+	b.updateCosts()
+}
+
+// limitRetryAfter keeps a plan's time under what clients heed, once it is spread by half; 0 where they heed none.
+func (b *Balancer) limitRetryAfter(after time.Duration) time.Duration {
+	if !b.settings.Limits.RetryAfter {
+		return 0
+	}
+	return min(after, b.settings.Limits.MaxRetryAfter*2/3)
+}
--- a/choice/zones_test.go
+++ b/choice/zones_test.go
@@ -27,9 +27,11 @@
 		{"a zone that fails is left for the next", []Grant{{"a", wide, nil}, {"b", wide, nil}}, nil, "a", map[string]int{"b": 20}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, err := New(Settings{Nodes: 1, Zone: "a", InitialCost: 0.02,
+			b, err := New(Settings{
+				Nodes: 1, Zone: "a", InitialCost: 0.02,
 				Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}, {Name: "d", Deadline: time.Second}},
-				Limits:  Limits{MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 2 * time.Second}}, 1, time.Hour)
+				Limits:  Limits{MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
+			}, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
