--- a/choice/many_test.go
+++ b/choice/many_test.go
@@ -354,3 +354,31 @@
 		}
 	}
 }
+
+// TestFewerNodesWhileAnOwnerIsAsked has settings name fewer nodes while the answer of one that is no longer there is awaited: the
+// request is placed without it.
+func TestFewerNodesWhileAnOwnerIsAsked(t *testing.T) {
+	f := newReferee(t, keeping(), 1)
+	f.now = time.Hour
+	f.step(fleet(13))
+	fewer := keeping()
+	fewer.Nodes = 4
+	var waiting RequestID
+	for group := uint64(1); waiting == "" && group < 20; group++ {
+		id := RequestID(fmt.Sprint("r", group))
+		for _, action := range f.step(Request{ID: id, Group: group, TimeLeft: 2 * time.Second, Tenant: -1}) {
+			if message, ok := action.(SendPeerMessage); ok && message.To >= fewer.Nodes {
+				waiting = id
+			}
+		}
+	}
+	if waiting == "" {
+		t.Fatal("no owner beyond the first four nodes was asked")
+	}
+	f.step(SettingsChanged{fewer})
+	f.load = level(0.3)
+	f.run(f.now + 4*peerTimeout)
+	if sent := f.reqs[waiting].sent; sent != 1 {
+		t.Errorf("the request was sent %d times, want once", sent)
+	}
+}
--- a/choice/reservation.go
+++ b/choice/reservation.go
@@ -82,6 +82,13 @@
 	p.unreachableUntil = p.unreachableUntil[:nodes]
 }
 
+// passOver takes a node to be gone until a time. Settings may have fewer nodes than when it was asked.
+func (p *peerReservations) passOver(node int, until time.Duration) {
+	if node < len(p.unreachableUntil) {
+		p.unreachableUntil[node] = until
+	}
+}
+
 // ownerOf is the node that owns a server: of those that answer, the one with the highest hash of both.
 func (b *Balancer) ownerOf(server *serverEntry) int {
 	owner, highest := b.settings.Node, uint64(0)
@@ -240,7 +247,7 @@
 		return
 	}
 	delete(b.reservations.pending, uint16(number))
-	b.reservations.unreachableUntil[pending.owner] = b.now + firstEjection
+	b.reservations.passOver(pending.owner, b.now+firstEjection)
 	request := pending.request
 	if request == nil || b.requests[request.ID] != request || request.server != nil {
 		return
