--- a/choice/alike_test.go
+++ b/choice/alike_test.go
@@ -12,23 +12,23 @@
 	play := func(prefix string, unit float64) (to []ServerID) {
 		s := plain()
 		s.Zone, s.Classes[0].Name = prefix+s.Zone, prefix+"c"
-		f := newReferee(t, s, 21)
+		referee := newReferee(t, s, 21)
 		l := fleet(15)
 		for i := range l.Servers {
 			l.Servers[i].Zone, l.Servers[i].Kind = prefix+l.Servers[i].Zone, prefix+l.Servers[i].Kind
 		}
-		f.step(l)
+		referee.step(l)
 		load := func(id ServerID) float64 { return 0.3 + 0.05*float64(id[3]-'0') }
 		for i := range 300 {
-			f.run(ms(40 * i))
+			referee.run(ms(40 * i))
 			id := RequestID(fmt.Sprint(i))
-			f.step(Request{ID: id, TimeLeft: ms(1800), Tenant: -1, Load: unit * float64(1+i%7)})
-			f.answerProbes(load)
-			got := f.sends()
+			referee.step(Request{ID: id, TimeLeft: ms(1800), Tenant: -1, Load: unit * float64(1+i%7)})
+			referee.answerProbes(load)
+			got := referee.sends()
 			to = append(to, got...)
 			if len(got) == 1 {
-				f.step(Established{ID: id, Attempt: 0, Server: got[0]})
-				f.step(LoadUpdate{ID: id, Attempt: 0, Load: unit * float64(2+i%3)})
+				referee.step(Established{ID: id, Attempt: 0, Server: got[0]})
+				referee.step(LoadUpdate{ID: id, Attempt: 0, Load: unit * float64(2+i%3)})
 			}
 		}
 		return to
@@ -44,30 +44,30 @@
 
 // One node, one server, many servers: requests are placed, and probes stay within a few a request.
 func TestSizes(t *testing.T) {
-	for _, c := range []struct{ nodes, servers int }{{1, 1}, {1, 10}, {200, 1}, {200, 1000}, {3, 1000}} {
+	for _, test := range []struct{ nodes, servers int }{{1, 1}, {1, 10}, {200, 1}, {200, 1000}, {3, 1000}} {
 		s := plain()
-		s.Nodes = c.nodes
-		f := newReferee(t, s, 31)
-		f.step(fleet(c.servers))
+		s.Nodes = test.nodes
+		referee := newReferee(t, s, 31)
+		referee.step(fleet(test.servers))
 		placed, open := 0, []AttemptEnded(nil)
 		for i := range 100 {
-			f.run(time.Duration(i) * 400 * time.Millisecond)
-			if to := f.place(fmt.Sprint(i), 0, level(0.5)); to != "" {
+			referee.run(time.Duration(i) * 400 * time.Millisecond)
+			if to := referee.place(fmt.Sprint(i), 0, level(0.5)); to != "" {
 				placed++
-				f.step(Established{ID: RequestID(fmt.Sprint(i)), Attempt: 0, Server: to})
+				referee.step(Established{ID: RequestID(fmt.Sprint(i)), Attempt: 0, Server: to})
 				open = append(open, AttemptEnded{ID: RequestID(fmt.Sprint(i)), Server: to, Final: true})
 			}
 			if len(open) > 3 {
-				f.step(open[0])
+				referee.step(open[0])
 				open = open[1:]
 			}
 		}
 		probes := 0
-		for _, n := range f.probes {
+		for _, n := range referee.probes {
 			probes += n
 		}
 		if placed < 95 || probes > 400 {
-			t.Errorf("%+v: %d of 100 placed with %d probes", c, placed, probes)
+			t.Errorf("%+v: %d of 100 placed with %d probes", test, placed, probes)
 		}
 	}
 }
@@ -75,19 +75,19 @@
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{20, 200, 1000} {
 		b.Run(fmt.Sprint(n, "servers"), func(b *testing.B) {
-			f := newReferee(b, plain(), 1)
-			f.step(fleet(n))
+			referee := newReferee(b, plain(), 1)
+			referee.step(fleet(n))
 			b.ReportAllocs()
 			for i := range b.N {
 				id := RequestID(fmt.Sprint(i))
-				out := f.b.Step(time.Duration(i)*10*time.Millisecond, []Event{Request{ID: id, TimeLeft: ms(1800), Tenant: -1}})
+				out := referee.b.Step(time.Duration(i)*10*time.Millisecond, []Event{Request{ID: id, TimeLeft: ms(1800), Tenant: -1}})
 				var probed []Event
 				for _, a := range out {
 					if p, ok := a.(HealthCheck); ok {
 						probed = append(probed, HealthCheckResult{Server: p.Server, Report: []float64{0.5, 10}})
 					}
 				}
-				f.b.Step(time.Duration(i)*10*time.Millisecond, append(probed, ClientGone{ID: id}))
+				referee.b.Step(time.Duration(i)*10*time.Millisecond, append(probed, ClientGone{ID: id}))
 			}
 		})
 	}
--- a/choice/cold_fleet_test.go
+++ b/choice/cold_fleet_test.go
@@ -63,7 +63,7 @@
 func (noJudge) stepped(*simNode, []choice.Event, []choice.Action) {}
 
 func (f coldFleet) settings() choice.Settings {
-	s := choice.Settings{
+	settings := choice.Settings{
 		Nodes: f.nodes, Zone: "z0", Reports: f.reports, Sizes: choice.NominalSize, RoundTrip: 5 * time.Millisecond,
 		Classes: []choice.Class{{
 			Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
@@ -74,12 +74,12 @@
 		Costs:  choice.Costs{HealthCheck: 0.002, Migration: 0.01, PeerMessage: 0.01},
 	}
 	if f.reports != choice.NoReports {
-		s.ReportFields, s.Sizes = []choice.ReportField{choice.Load, choice.Utilization}, choice.NoSize
+		settings.ReportFields, settings.Sizes = []choice.ReportField{choice.Load, choice.Utilization}, choice.NoSize
 	}
 	if f.told {
-		s.InitialCost = 1 / coldPerHost
+		settings.InitialCost = 1 / coldPerHost
 	}
-	return s
+	return settings
 }
 
 // play has the fleet come into balance, then cold hosts join and others come back cold, under a burst, and counts.
@@ -89,7 +89,7 @@
 }
 
 // playRecorded is the same, with the clients in groups or not, and all actions recorded.
-func (f coldFleet) playRecorded(t *testing.T, grouped bool, r *recorder) *simulation {
+func (f coldFleet) playRecorded(t *testing.T, grouped bool, recorder *recorder) *simulation {
 	t.Helper()
 	var list []choice.Server
 	for i := range f.hosts {
@@ -99,16 +99,16 @@
 		}
 		list = append(list, h)
 	}
-	world := terms{
+	conditions := terms{
 		perHost: coldPerHost, life: coldLife, listDelay: 300 * time.Millisecond, tries: 6, oddAnswers: 0.02, shedAt: 1.3,
 		slotsAt: 1.3, lossOfTells: 0.02, skew: f.skew, homes: f.homes,
 	}
 	s := f.settings()
 	s.GroupAffinity = grouped
-	w := newSimulation(t, f.name, s, world, list, f.seed, noJudge{})
-	w.recorder = r
+	world := newSimulation(t, f.name, s, conditions, list, f.seed, noJudge{})
+	world.recorder = recorder
 	var strength float64
-	for _, h := range w.hosts {
+	for _, h := range world.hosts {
 		strength += h.strength
 		if s.Sizes == choice.NoSize { // nodes have to learn it
 			h.Size = 1
@@ -116,35 +116,35 @@
 	}
 	rate := coldLoad * strength * coldPerHost / coldLife.Seconds()
 	draw := func() *simClient {
-		c := &simClient{tenant: -1, key: w.rng.Uint64(), load: 1}
+		c := &simClient{tenant: -1, key: world.rng.Uint64(), load: 1}
 		if grouped {
 			c.group = 1 + c.key%30
 		}
 		return c
 	}
 	day := beforeCold + f.rules.WarmUp + 4*time.Second
-	w.arrivalsFor(day, rate, draw)
+	world.arrivalsFor(day, rate, draw)
 	if f.burst > 0 {
-		w.after(beforeCold+time.Second, func() { w.arrivalsFor(5*time.Second, rate*f.burst, draw) })
+		world.after(beforeCold+time.Second, func() { world.arrivalsFor(5*time.Second, rate*f.burst, draw) })
 	}
-	for i, h := range w.hosts {
-		switch at := beforeCold + w.upTo(3*time.Second); {
+	for i, h := range world.hosts {
+		switch at := beforeCold + world.upTo(3*time.Second); {
 		case i%8 == 3:
-			w.after(at, func() { w.start(h) })
+			world.after(at, func() { world.start(h) })
 		case i%8 == 6:
-			w.after(at, func() { w.vanish(h) })
+			world.after(at, func() { world.vanish(h) })
 		case i%8 == 5 && i < 8: // one restarts again in its warm-up
-			w.after(at, func() { w.restart(h) })
-			w.after(at+f.rules.WarmUp/2, func() { w.restart(h) })
+			world.after(at, func() { world.restart(h) })
+			world.after(at+f.rules.WarmUp/2, func() { world.restart(h) })
 		}
 	}
-	w.run(w.now + day)
+	world.run(world.now + day)
 	for _, what := range []string{"cold starts", "sends to cold hosts", "clients that return", "retries"} {
-		if w.counts[what] == 0 {
+		if world.counts[what] == 0 {
 			t.Errorf("%s: no %s; the run shows nothing", f.name, what)
 		}
 	}
-	return w
+	return world
 }
 
 // warmAt is the part of its capacity that a host has so long after a cold start.
@@ -162,21 +162,21 @@
 func withSlack(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
 // coldFigures reads the arrivals at all cold hosts.
-func (w *simulation) coldFigures(f coldFleet) (c coldFigures) {
+func (w *simulation) coldFigures(fleet coldFleet) (c coldFigures) {
 	c.least = math.Inf(1)
 	var got, might, even float64
-	for _, h := range w.hosts {
-		for i, start := range h.starts {
-			end := min(start+f.rules.WarmUp, w.now)
-			if i+1 < len(h.starts) {
-				end = min(end, h.starts[i+1])
+	for _, server := range w.hosts {
+		for i, start := range server.starts {
+			end := min(start+fleet.rules.WarmUp, w.now)
+			if i+1 < len(server.starts) {
+				end = min(end, server.starts[i+1])
 			}
-			n := c.addStart(f, h, start, end)
+			n := c.addStart(fleet, server, start, end)
 			age := end - start
-			mean := (warmAt(f.rules, 0) + warmAt(f.rules, age)) / 2
+			mean := (warmAt(fleet.rules, 0) + warmAt(fleet.rules, age)) / 2
 			got += n
-			might += f.rules.OverloadMultiple * mean * h.strength * coldPerHost * age.Seconds() / f.rules.WarmUp.Seconds()
-			part := w.evenPart(h, start, end) * mean
+			might += fleet.rules.OverloadMultiple * mean * server.strength * coldPerHost * age.Seconds() / fleet.rules.WarmUp.Seconds()
+			part := w.evenPart(server, start, end) * mean
 			even += part
 			c.least = min(c.least, n/part)
 		}
@@ -215,7 +215,7 @@
 }
 
 // evenPart is what a host would get of all that reached hosts in a time, if it came by strength.
-func (w *simulation) evenPart(of *simHost, from, to time.Duration) float64 {
+func (w *simulation) evenPart(server *simHost, from, to time.Duration) float64 {
 	all, strength := 0.0, 0.0
 	for _, h := range w.hosts {
 		strength += h.strength
@@ -225,17 +225,17 @@
 			}
 		}
 	}
-	return all * of.strength / strength
+	return all * server.strength / strength
 }
 
-// TestColdHostsUnderManyNodes sets the sum of what all nodes send to a cold host against what makes it fall, while traffic is uneven
+// TestSlowStartUnderManyNodes sets the sum of what all nodes send to a cold host against what makes it fall, while traffic is uneven
 // between nodes, a burst comes, hosts join, vanish and restart, and clients retry. A window over the limit breaks the rule if over
 // two thirds of it came from nodes that had been told of the start; the others can't know. Nor may cold hosts starve: they get at
 // least a part of what an even spread by capacity would bring them.
 //
 // Without keepers a cold host of 300 nodes gets next to nothing: for these the part is logged and has no bound.
-func TestColdHostsUnderManyNodes(t *testing.T) {
-	for _, c := range []struct {
+func TestSlowStartUnderManyNodes(t *testing.T) {
+	for _, test := range []struct {
 		nodes     int
 		reports   choice.ReportSource
 		peers     bool
@@ -255,16 +255,16 @@
 		{300, choice.AllReports, true, true, 1, 1},
 	} {
 		for _, rules := range []choice.Rules{shortWarmUp, longWarmUp} {
-			name := fmt.Sprintf("%d nodes, reports %d, peers %v, warm after %v", c.nodes, c.reports, c.peers, rules.WarmUp)
+			name := fmt.Sprintf("%d nodes, reports %d, peers %v, warm after %v", test.nodes, test.reports, test.peers, rules.WarmUp)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				var sum coldFigures
-				for seed := range c.seeds {
+				for seed := range test.seeds {
 					f := coldFleet{
-						name: fmt.Sprintf("%s, seed %d", name, seed), nodes: c.nodes, hosts: 24, reports: c.reports, peers: c.peers,
-						rules: rules, skew: 4, told: c.told, burst: 4, seed: seed,
+						name: fmt.Sprintf("%s, seed %d", name, seed), nodes: test.nodes, hosts: 24, reports: test.reports, peers: test.peers,
+						rules: rules, skew: 4, told: test.told, burst: 4, seed: seed,
 					}
-					sum.add(f.play(t), c.seeds)
+					sum.add(f.play(t), test.seeds)
 				}
 				t.Logf("worst window %.2f of the limit (%d requests, N %.1f), over it %d, rule broken %d; part of the budget %.2f, "+
 					"of an even spread %.2f, least %.2f", sum.worst, sum.worstSum, sum.worstBears, sum.windows, sum.broken, sum.budgetPart,
@@ -272,7 +272,7 @@
 				if sum.broken > 0 {
 					t.Errorf("%d windows over what a cold host bears, sent by nodes that knew of its start", sum.broken)
 				}
-				if sum.fairPart < c.leastFair {
+				if sum.fairPart < test.leastFair {
 					t.Errorf("cold hosts get %.2f of an even part", sum.fairPart)
 				}
 			})
--- a/choice/drawn_faults_test.go
+++ b/choice/drawn_faults_test.go
@@ -24,20 +24,20 @@
 	return l
 }
 
-// TestAdviceStaysUnderTheMost has a plan's advice be the longest that clients heed: spread by half, it must not come out longer.
-func TestAdviceStaysUnderTheMost(t *testing.T) {
-	s := smallSettings(1)
-	b, err := choice.New(s, 1, simulationStart)
+// TestRetryAfterStaysUnderTheMaximum has a plan's advice be the longest that clients heed: spread by half, it must not come out longer.
+func TestRetryAfterStaysUnderTheMaximum(t *testing.T) {
+	settings := smallSettings(1)
+	b, err := choice.New(settings, 1, simulationStart)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(simulationStart, []choice.Event{smallFleet(2), choice.ZonePlan{Grants: []choice.Grant{}, RetryAfter: s.Limits.MaxRetryAfter}})
+	b.Step(simulationStart, []choice.Event{smallFleet(2), choice.ZonePlan{Grants: []choice.Grant{}, RetryAfter: settings.Limits.MaxRetryAfter}})
 	advised := 0
 	for i := range 100 {
 		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1, TimeLeft: time.Second}}) {
 			if a, ok := a.(choice.Reject); ok && a.RetryAfter > 0 {
-				if advised++; a.RetryAfter > s.Limits.MaxRetryAfter {
-					t.Fatalf("advice of %v; clients heed at most %v", a.RetryAfter, s.Limits.MaxRetryAfter)
+				if advised++; a.RetryAfter > settings.Limits.MaxRetryAfter {
+					t.Fatalf("advice of %v; clients heed at most %v", a.RetryAfter, settings.Limits.MaxRetryAfter)
 				}
 			}
 		}
@@ -47,15 +47,15 @@
 	}
 }
 
-// TestWaitingRequestsGoByTheNewPlan has a plan come while a request waits for probes: it must not go to a zone without a grant.
-func TestWaitingRequestsGoByTheNewPlan(t *testing.T) {
+// TestWaitingRequestsFollowTheNewPlan has a plan come while a request waits for probes: it must not go to a zone without a grant.
+func TestWaitingRequestsFollowTheNewPlan(t *testing.T) {
 	waited := 0
 	for seed := range uint64(20) {
-		b, err := choice.New(smallSettings(1), seed, simulationStart)
+		balancer, err := choice.New(smallSettings(1), seed, simulationStart)
 		if err != nil {
 			t.Fatal(err)
 		}
-		actions := b.Step(simulationStart, []choice.Event{smallFleet(2), choice.Request{ID: "r", Tenant: -1, TimeLeft: time.Second}})
+		actions := balancer.Step(simulationStart, []choice.Event{smallFleet(2), choice.Request{ID: "r", Tenant: -1, TimeLeft: time.Second}})
 		var answers []choice.Event
 		for _, a := range actions {
 			if a, ok := a.(choice.HealthCheck); ok {
@@ -65,7 +65,7 @@
 		if len(answers) > 0 {
 			waited++
 		}
-		later := b.Step(simulationStart+time.Millisecond, append([]choice.Event{
+		later := balancer.Step(simulationStart+time.Millisecond, append([]choice.Event{
 			choice.ZonePlan{Grants: []choice.Grant{{Zone: "z0", Load: 100}}},
 		}, answers...))
 		for _, a := range later {
@@ -79,19 +79,19 @@
 	}
 }
 
-// TestResumptionsKeepTheColdBudget has the clients of a host that restarted come again at once, each to resume there, where hosts
+// TestResumptionsKeepTheSlowStartBudget has the clients of a host that restarted come again at once, each to resume there, where hosts
 // have keepers: the cold host must not get them all.
-func TestResumptionsKeepTheColdBudget(t *testing.T) {
-	b, err := choice.New(smallSettings(30), 1, simulationStart)
+func TestResumptionsKeepTheSlowStartBudget(t *testing.T) {
+	balancer, err := choice.New(smallSettings(30), 1, simulationStart)
 	if err != nil {
 		t.Fatal(err)
 	}
 	list := smallFleet(1)
 	list.Servers[2].Started = simulationStart - 100*time.Millisecond
-	b.Step(simulationStart, []choice.Event{list})
+	balancer.Step(simulationStart, []choice.Event{list})
 	sent := 0
 	for i := range 60 {
-		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{
+		for _, a := range balancer.Step(simulationStart, []choice.Event{choice.Request{
 			ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1,
 			TimeLeft: time.Second, StickyServer: "h2",
 		}}) {
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestKeepersKeepTheColdBudgetUnderUnevenTraffic has keepers among 30 nodes of which a fifth gets four times the traffic.
-func TestKeepersKeepTheColdBudgetUnderUnevenTraffic(t *testing.T) {
+// TestOwnersKeepTheSlowStartBudgetUnderUnevenTraffic has keepers among 30 nodes of which a fifth gets four times the traffic.
+func TestOwnersKeepTheSlowStartBudgetUnderUnevenTraffic(t *testing.T) {
 	var sum coldFigures
 	const seeds = 12
 	for seed := range uint64(seeds) {
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestColdHostsOfManyNodesDoNotStarve has 300 nodes without keepers: their cold hosts get a tenth of an even spread at least.
-func TestColdHostsOfManyNodesDoNotStarve(t *testing.T) {
+// TestSlowStartOfManyNodesDoesNotStarve has 300 nodes without keepers: their cold hosts get a tenth of an even spread at least.
+func TestSlowStartOfManyNodesDoesNotStarve(t *testing.T) {
 	for _, reports := range []choice.ReportSource{choice.NoReports, choice.HealthCheckReports} {
 		var sum coldFigures
 		const seeds = 4
--- a/choice/estimate_test.go
+++ b/choice/estimate_test.go
@@ -22,7 +22,7 @@
 // silentNode is one node of it, with a fleet of equal warm hosts.
 func silentNode(t *testing.T, nodes, hosts int) (*Balancer, time.Duration) {
 	t.Helper()
-	b, err := New(silentSettings(nodes), 1, time.Hour)
+	balancer, err := New(silentSettings(nodes), 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,8 +30,8 @@
 	for i := range hosts {
 		list.Servers = append(list.Servers, Server{ID: ServerID(fmt.Sprint("h", i)), Kind: "k", Size: 2})
 	}
-	b.Step(time.Hour, []Event{list})
-	return b, time.Hour
+	balancer.Step(time.Hour, []Event{list})
+	return balancer, time.Hour
 }
 
 // connect places a request and has its connection stand; it returns the host, or "" where the request was refused.
@@ -46,33 +46,33 @@
 }
 
 // A connection must not count 1 until its host tells its load, and a small part of that afterwards: no limit would ever bind.
-func TestToldLoadsGiveTheUnit(t *testing.T) {
-	b, now := silentNode(t, 3, 8)
+func TestReportedConnectionLoadsGiveTheUnit(t *testing.T) {
+	balancer, now := silentNode(t, 3, 8)
 	hosts := map[RequestID]ServerID{}
 	for i := range 20 {
 		id := RequestID(fmt.Sprint(i))
-		hosts[id] = connect(b, now, id, i%2, uint64(i+1), false)
+		hosts[id] = connect(balancer, now, id, i%2, uint64(i+1), false)
 	}
 	before := 0.0
-	for _, s := range b.servers {
+	for _, s := range balancer.servers {
 		before += s.cost * s.own.load
 	}
 	for i := range 10 { // half of the connections tell their load: those of the second class are nine times as heavy
-		b.Step(now, []Event{LoadUpdate{ID: RequestID(fmt.Sprint(i)), Load: []float64{0.02, 0.18}[i%2]}})
+		balancer.Step(now, []Event{LoadUpdate{ID: RequestID(fmt.Sprint(i)), Load: []float64{0.02, 0.18}[i%2]}})
 	}
 	told := 0.0
-	for _, s := range b.servers {
+	for _, s := range balancer.servers {
 		told += s.own.load
 	}
 	if told < 1 || told > 3 { // ten of 0.02 and ten of 0.18 are 2
 		t.Errorf("20 connections count %.2f in all, told and untold ones together", told)
 	}
-	if light, heavy := b.expectedLoad(0), b.expectedLoad(1); light < 0.019 || light > 0.021 || heavy < 0.179 || heavy > 0.181 {
+	if light, heavy := balancer.expectedLoad(0), balancer.expectedLoad(1); light < 0.019 || light > 0.021 || heavy < 0.179 || heavy > 0.181 {
 		t.Errorf("new connections are guessed at %.3f and %.3f", light, heavy)
 	}
-	b.updateCosts()
-	if b.units.mean < 0.05 || b.units.mean > 0.15 {
-		t.Errorf("the mean connection counts %.3f", b.units.mean)
+	balancer.updateCosts()
+	if balancer.units.mean < 0.05 || balancer.units.mean > 0.15 {
+		t.Errorf("the mean connection counts %.3f", balancer.units.mean)
 	}
 	if before <= 0 {
 		t.Error("nothing stood before")
@@ -80,7 +80,7 @@
 }
 
 // Where servers report, told loads leave the unit alone: costs, and what keepers lend, are learned in it.
-func TestToldLoadsLeaveTheUnitWhereServersReport(t *testing.T) {
+func TestConnectionLoadsKeepTheUnitWhereServersReport(t *testing.T) {
 	set := silentSettings(3)
 	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Utilization, Load}
 	b, err := New(set, 1, time.Hour)
@@ -94,45 +94,45 @@
 }
 
 // Slow messages have to raise a host's predicted load where nothing reports it, and connections to leave it.
-func TestSlowMessagesCountWhereNothingReports(t *testing.T) {
-	b, now := silentNode(t, 3, 8)
+func TestSlowMessagesCountWithoutReports(t *testing.T) {
+	balancer, now := silentNode(t, 3, 8)
 	const group = 7
 	var home ServerID
 	for i := range 6 {
-		home = connect(b, now, RequestID(fmt.Sprint(i)), 0, group, false)
+		home = connect(balancer, now, RequestID(fmt.Sprint(i)), 0, group, false)
 	}
-	s, moved := b.findServer(home), 0
+	server, moved := balancer.findServer(home), 0
 	for i := range 5 {
 		now += time.Second
-		for _, a := range b.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 900 * time.Millisecond}, TimerFired{Token: "tick"}}) {
+		for _, a := range balancer.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 900 * time.Millisecond}, TimerFired{Token: "tick"}}) {
 			if a, ok := a.(Migrate); ok {
 				moved++
-				b.Step(now, []Event{AttemptEnded{ID: a.ID, Server: home, Outcome: Cancelled, Final: true}})
+				balancer.Step(now, []Event{AttemptEnded{ID: a.ID, Server: home, Outcome: Cancelled, Final: true}})
 			}
 		}
-		if i == 0 && b.predictedLoad(s) < crowded {
-			t.Errorf("a host whose messages take 900 ms is predicted at %.2f", b.predictedLoad(s))
+		if i == 0 && balancer.predictedLoad(server) < crowded {
+			t.Errorf("a host whose messages take 900 ms is predicted at %.2f", balancer.predictedLoad(server))
 		}
 	}
 	if moved == 0 {
 		t.Error("nobody was moved off it")
 	}
-	if to := connect(b, now, "next", 0, group, false); to == home {
+	if to := connect(balancer, now, "next", 0, group, false); to == home {
 		t.Error("the group's next connection went there all the same")
 	}
-	quiet := b.predictedLoad(s)
+	quiet := balancer.predictedLoad(server)
 	for range 20 { // it is over: once more when messages are quick again
 		now += time.Second
-		b.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 5 * time.Millisecond}, TimerFired{Token: "tick"}})
+		balancer.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 5 * time.Millisecond}, TimerFired{Token: "tick"}})
 	}
-	if b.predictedLoad(s) >= quiet || b.predictedLoad(s) > crowded {
-		t.Errorf("with quick messages again it is predicted at %.2f, %.2f before", b.predictedLoad(s), quiet)
+	if balancer.predictedLoad(server) >= quiet || balancer.predictedLoad(server) > crowded {
+		t.Errorf("with quick messages again it is predicted at %.2f, %.2f before", balancer.predictedLoad(server), quiet)
 	}
 }
 
 // A set-up that takes long tells of an overload; one that is just as long as the others doesn't, however long they are.
-func TestSlowSetUpsCount(t *testing.T) {
-	for _, c := range []struct {
+func TestSlowSetupsCount(t *testing.T) {
+	for _, test := range []struct {
 		typical, last time.Duration
 		slow          bool
 	}{
@@ -143,12 +143,12 @@
 		b, now := silentNode(t, 3, 8)
 		s := b.servers[0]
 		for range 40 {
-			b.inferFromSetup(b.servers[1], c.typical)
+			b.inferFromSetup(b.servers[1], test.typical)
 		}
 		b.now = now
-		b.inferFromSetup(s, c.last)
-		if slow := s.report.known && s.report.load > crowded-overflowMargin; slow != c.slow {
-			t.Errorf("after set-ups of %v one of %v: taken for slow is %v", c.typical, c.last, slow)
+		b.inferFromSetup(s, test.last)
+		if slow := s.report.known && s.report.load > crowded-overflowMargin; slow != test.slow {
+			t.Errorf("after set-ups of %v one of %v: taken for slow is %v", test.typical, test.last, slow)
 		}
 	}
 }
@@ -156,19 +156,19 @@
 // What one node sees of a host of a large fleet is next to nothing: its estimate has to lean on the average, and on its own
 // connections where there are enough.
 func TestEstimateLeansOnTheAverage(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		nodes, own int
 		low, high  float64
 	}{
 		{300, 0, 0.3, 0.55}, {300, 1, 0.4, 0.75}, // 1 x 300 times the cost of one would be 3
 		{2, 0, 0.05, 0.45}, {2, 40, 0.6, 2},
 	} {
-		b, _ := silentNode(t, c.nodes, 8)
+		b, _ := silentNode(t, test.nodes, 8)
 		b.average.load = 0.5
 		s := b.servers[0]
-		s.own.add(b.now, float64(c.own)*b.units.mean)
-		if e := b.estimateLoad(s); e < c.low || e > c.high {
-			t.Errorf("%d own connections at one of %d nodes: estimated at %.2f, wanted %.2f to %.2f", c.own, c.nodes, e, c.low, c.high)
+		s.own.add(b.now, float64(test.own)*b.units.mean)
+		if e := b.estimateLoad(s); e < test.low || e > test.high {
+			t.Errorf("%d own connections at one of %d nodes: estimated at %.2f, wanted %.2f to %.2f", test.own, test.nodes, e, test.low, test.high)
 		}
 	}
 }
@@ -205,18 +205,18 @@
 
 // Connections that hosts shed at once, only to come again at the next node, must stay a bounded part of all; what is turned away
 // is told when to come again, spread.
-func TestShedConnectionsAreThrottled(t *testing.T) {
-	b, now := silentNode(t, 300, 90)
+func TestDroppedConnectionsAreThrottled(t *testing.T) {
+	balancer, now := silentNode(t, 300, 90)
 	placed, refused, advice := 0, 0, map[time.Duration]bool{}
 	for i := range 300 { // a storm: each connection is dropped 200 ms after it came up
 		now += 10 * time.Millisecond
 		id := RequestID(fmt.Sprint(i))
-		for _, a := range b.Step(now, []Event{Request{ID: id, Tenant: -1, Group: uint64(1 + i%5), TimeLeft: 5 * time.Second, Returned: true}}) {
+		for _, a := range balancer.Step(now, []Event{Request{ID: id, Tenant: -1, Group: uint64(1 + i%5), TimeLeft: 5 * time.Second, Returned: true}}) {
 			switch a := a.(type) {
 			case StartAttempt:
 				placed++
-				b.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
-				b.Step(now+200*time.Millisecond, []Event{AttemptEnded{ID: id, Server: a.Server, Outcome: Reset, Final: true}})
+				balancer.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
+				balancer.Step(now+200*time.Millisecond, []Event{AttemptEnded{ID: id, Server: a.Server, Outcome: Reset, Final: true}})
 			case Reject:
 				refused++
 				if advice[a.RetryAfter] = true; a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
@@ -234,8 +234,8 @@
 	now += time.Minute // hosts hold again: what comes is let in, at once and all of it
 	for i := range 50 {
 		now += 200 * time.Millisecond
-		b.Step(now, []Event{TimerFired{Token: "tick"}})
-		if connect(b, now, RequestID(fmt.Sprint("calm", i)), 0, uint64(1+i%5), false) == "" {
+		balancer.Step(now, []Event{TimerFired{Token: "tick"}})
+		if connect(balancer, now, RequestID(fmt.Sprint("calm", i)), 0, uint64(1+i%5), false) == "" {
 			refused++
 			if i > 10 {
 				t.Errorf("request %d is refused in a calm minute", i)
@@ -245,19 +245,19 @@
 }
 
 // On a deployment that reports, none of this is in the way: no throttle, no advice of the module's own.
-func TestThrottleIsForSilentHostsOnly(t *testing.T) {
+func TestThrottleOnlyWithoutReports(t *testing.T) {
 	set := silentSettings(3)
 	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Load}
-	b, err := New(set, 1, time.Hour)
+	balancer, err := New(set, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Size: 1}}}})
+	balancer.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Size: 1}}}})
 	for range 50 {
-		b.admission.throttle.add(b.now, 1, 0)
+		balancer.admission.throttle.add(balancer.now, 1, 0)
 	}
-	r := &requestEntry{class: &b.settings.Classes[0], load: b.units.mean}
-	if part := b.admitRate(r); part < 1 {
+	r := &requestEntry{class: &balancer.settings.Classes[0], load: balancer.units.mean}
+	if part := balancer.admitRate(r); part < 1 {
 		t.Errorf("%.2f of all requests are let in", part)
 	}
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -9,7 +9,7 @@
 
 // A node's loop: hand over what happened, carry out what comes back.
 func Example() {
-	b, err := choice.New(choice.Settings{
+	balancer, err := choice.New(choice.Settings{
 		Nodes:        1,
 		Reports:      choice.HealthCheckReports,
 		ReportFields: []choice.ReportField{choice.Load},
@@ -30,7 +30,7 @@
 		choice.Request{ID: "r1", Tenant: -1, TimeLeft: 2 * time.Second},
 	}
 	for now := time.Duration(0); len(inbox) > 0; now += time.Millisecond {
-		actions := b.Step(now, inbox)
+		actions := balancer.Step(now, inbox)
 		inbox = nil
 		for _, a := range actions {
 			switch a := a.(type) {
--- a/choice/failures_test.go
+++ b/choice/failures_test.go
@@ -20,7 +20,7 @@
 	return ""
 }
 
-func TestFirstRequestsAreNotRefused(t *testing.T) {
+func TestFirstRequestsAreNotRejected(t *testing.T) {
 	f := newReferee(t, plain(), 1)
 	f.step(fleet(10))
 	for i := range 10 { // all before the first tick
@@ -30,37 +30,37 @@
 	}
 }
 
-func TestDelayNotesDoNotRunTheAverageAway(t *testing.T) {
-	f := newReferee(t, plain(), 2)
-	f.step(fleet(10))
-	to := f.place("a", 0, level(0.5))
-	f.step(Established{ID: "a", Attempt: 0, Server: to})
+func TestDelaysDoNotMoveTheAverage(t *testing.T) {
+	referee := newReferee(t, plain(), 2)
+	referee.step(fleet(10))
+	to := referee.place("a", 0, level(0.5))
+	referee.step(Established{ID: "a", Attempt: 0, Server: to})
 	for i := range 60 {
-		f.run(time.Duration(i+1) * time.Second)
-		f.step(DelayObservation{ID: "a", Server: to, Took: ms(900)})
+		referee.run(time.Duration(i+1) * time.Second)
+		referee.step(DelayObservation{ID: "a", Server: to, Took: ms(900)})
 	}
-	if f.b.average.load > 0.51 {
-		t.Fatalf("average %.2f, all reports said 0.5", f.b.average.load)
+	if referee.b.average.load > 0.51 {
+		t.Fatalf("average %.2f, all reports said 0.5", referee.b.average.load)
 	}
 }
 
-func TestGateShutsOnAFullFleetAndOpensAgain(t *testing.T) {
-	f := newReferee(t, plain(), 3)
-	f.step(fleet(10))
+func TestPassRateFallsOnAFullFleetAndRecovers(t *testing.T) {
+	referee := newReferee(t, plain(), 3)
+	referee.step(fleet(10))
 	placed := func(from, seconds int, load float64) (n int) {
 		for i := range seconds * 20 {
-			f.run(time.Duration(from)*time.Second + ms(50*i))
-			if f.place(fmt.Sprint(from, "-", i), 0, level(load)) != "" {
+			referee.run(time.Duration(from)*time.Second + ms(50*i))
+			if referee.place(fmt.Sprint(from, "-", i), 0, level(load)) != "" {
 				n++
 			}
 		}
 		return n
 	}
 	placed(0, 10, 1.3)
-	if probes := len(f.b.actions); probes > 3 {
+	if probes := len(referee.b.actions); probes > 3 {
 		t.Errorf("%d actions for one refusal", probes)
 	}
-	if g := f.b.admission.passRate; g > 0.1 {
+	if g := referee.b.admission.passRate; g > 0.1 {
 		t.Errorf("gate at %.2f after 10 s at load 1.3", g)
 	}
 	placed(10, 20, 0.5)
@@ -69,39 +69,39 @@
 	}
 }
 
-func TestAFewSlowServersDoNotShutTheGate(t *testing.T) {
-	f := newReferee(t, plain(), 4)
-	f.step(fleet(12))
+func TestAFewSlowServersDoNotStopAdmission(t *testing.T) {
+	referee := newReferee(t, plain(), 4)
+	referee.step(fleet(12))
 	slow := func(id ServerID) float64 {
 		if id == "s000" || id == "s001" || id == "s002" {
 			return 9
 		}
 		return 0.6
 	}
-	n := 0
+	count := 0
 	for i := range 400 {
-		f.run(ms(50 * i))
-		if to := f.place(fmt.Sprint(i), 0, slow); to != "" {
-			n++
+		referee.run(ms(50 * i))
+		if to := referee.place(fmt.Sprint(i), 0, slow); to != "" {
+			count++
 			if i > 200 && slow(to) > 1 {
 				t.Fatalf("request %d went to slow %s", i, to)
 			}
 		}
 	}
-	if n < 390 {
-		t.Errorf("%d of 400 placed with nine of twelve servers at 0.6", n)
+	if count < 390 {
+		t.Errorf("%d of 400 placed with nine of twelve servers at 0.6", count)
 	}
 }
 
-func TestNodesAgreeOnAGroupsServerAndSpillWhenItIsCrowded(t *testing.T) {
+func TestNodesAgreeOnAGroupsServerAndOverflow(t *testing.T) {
 	s := plain()
 	s.GroupAffinity = true
 	homes := map[uint64]ServerID{}
 	for node := range 6 {
-		f := newReferee(t, s, uint64(50+node))
-		f.step(fleet(40))
+		referee := newReferee(t, s, uint64(50+node))
+		referee.step(fleet(40))
 		for g := uint64(1); g < 30; g++ {
-			to := f.place(fmt.Sprint(g), g, level(0.4))
+			to := referee.place(fmt.Sprint(g), g, level(0.4))
 			if homes[g] == "" {
 				homes[g] = to
 			}
@@ -116,25 +116,25 @@
 			}
 			return 0.4
 		}
-		f.run(f.now + time.Second)
-		if to := f.place("7 again", 7, crowd); to == homes[7] || to == "" {
+		referee.run(referee.now + time.Second)
+		if to := referee.place("7 again", 7, crowd); to == homes[7] || to == "" {
 			t.Fatalf("group 7 went to %q with its home at 0.9", to)
 		}
 	}
 }
 
-func TestAMoveIsConfirmedByTheServersReport(t *testing.T) {
+func TestMigrationIsConfirmedByAHealthCheck(t *testing.T) {
 	moves := func(load float64, outcome Outcome) (n int) {
-		f := newReferee(t, plain(), 6)
-		f.step(fleet(10))
-		to := f.place("a", 0, level(0.5))
-		f.step(Established{ID: "a", Attempt: 0, Server: to})
+		referee := newReferee(t, plain(), 6)
+		referee.step(fleet(10))
+		to := referee.place("a", 0, level(0.5))
+		referee.step(Established{ID: "a", Attempt: 0, Server: to})
 		for range 40 {
-			f.now += ms(100)
-			f.step(DelayObservation{ID: "a", Server: to, Took: ms(500)})
-			if len(f.last) > 0 {
-				f.step(HealthCheckResult{Server: to, Outcome: outcome, Report: []float64{load, 5}})
-				for _, a := range f.last {
+			referee.now += ms(100)
+			referee.step(DelayObservation{ID: "a", Server: to, Took: ms(500)})
+			if len(referee.last) > 0 {
+				referee.step(HealthCheckResult{Server: to, Outcome: outcome, Report: []float64{load, 5}})
+				for _, a := range referee.last {
 					if _, ok := a.(Migrate); ok {
 						n++
 					}
@@ -155,7 +155,7 @@
 }
 
 // Leave to send to a cold server must not be saved up at many idle nodes and spent at once.
-func TestColdLeaveLapses(t *testing.T) {
+func TestSlowStartCreditLapses(t *testing.T) {
 	worst, total := growth(t, 6)
 	t.Log(worst, total)
 	if worst > 3 {
@@ -164,33 +164,33 @@
 }
 
 // On a full fleet what is worth more for its load gets through more often, and a tenant over its quota less.
-func TestGatePassesByWorthAndQuota(t *testing.T) {
+func TestAdmissionByPriorityAndQuota(t *testing.T) {
 	s := plain()
 	s.PriorityPerWork, s.OverQuotaPriority = true, 0.05
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[0].Priority, s.Classes[1].Priority = 1, 5
 	s.Tenants = []Tenant{{Name: "in", Connections: 1e6}, {Name: "over", Connections: 1}}
-	f := newReferee(t, s, 8)
-	f.step(fleet(10))
+	referee := newReferee(t, s, 8)
+	referee.step(fleet(10))
 	for i := range 100 { // learn what requests are worth, and put the second tenant over its quota
 		id := RequestID(fmt.Sprint("warm", i))
-		f.now += ms(10)
-		f.step(Request{ID: id, TimeLeft: ms(1800), Class: i % 2, Tenant: i % 4 / 2})
-		f.answerProbes(level(0.5))
-		if to := f.sends(); len(to) == 1 {
-			f.step(Established{ID: id, Attempt: 0, Server: to[0]})
+		referee.now += ms(10)
+		referee.step(Request{ID: id, TimeLeft: ms(1800), Class: i % 2, Tenant: i % 4 / 2})
+		referee.answerProbes(level(0.5))
+		if to := referee.sends(); len(to) == 1 {
+			referee.step(Established{ID: id, Attempt: 0, Server: to[0]})
 		}
 	}
 	pass := map[[2]int]int{}
 	for i := range 4000 {
-		f.b.admission.passRate = 0.3
+		referee.b.admission.passRate = 0.3
 		class, tenant := i%2, i%4/2
 		id := RequestID(fmt.Sprint(i))
-		f.step(Request{ID: id, TimeLeft: ms(1800), Class: class, Tenant: tenant})
-		if !f.reqs[id].done {
+		referee.step(Request{ID: id, TimeLeft: ms(1800), Class: class, Tenant: tenant})
+		if !referee.reqs[id].done {
 			pass[[2]int{class, tenant}]++
 		}
-		f.step(ClientGone{ID: id})
+		referee.step(ClientGone{ID: id})
 	}
 	if low, high := pass[[2]int{0, 0}], pass[[2]int{1, 0}]; high < 3*low || high == 0 {
 		t.Errorf("worth 5 passed %d times, worth 1 %d times", high, low)
@@ -201,27 +201,27 @@
 }
 
 // Probes go to servers that look well: the gate must also see that this node's own clients sit on full ones.
-func TestGateSeesOwnClientsOnFullServers(t *testing.T) {
-	f := newReferee(t, plain(), 12)
-	f.step(fleet(20))
+func TestPassRateSeesOwnClientsOnFullServers(t *testing.T) {
+	referee := newReferee(t, plain(), 12)
+	referee.step(fleet(20))
 	var open []DelayObservation
 	for i := range 20 {
 		id := RequestID(fmt.Sprint("c", i))
-		if to := f.place(string(id), 0, level(0.6)); to != "" {
-			f.step(Established{ID: id, Attempt: 0, Server: to})
+		if to := referee.place(string(id), 0, level(0.6)); to != "" {
+			referee.step(Established{ID: id, Attempt: 0, Server: to})
 			open = append(open, DelayObservation{ID: id, Server: to, Took: ms(900)})
 		}
 	}
 	for range 8 {
-		f.run(f.now + time.Second)
+		referee.run(referee.now + time.Second)
 		for _, n := range open {
-			f.step(n)
+			referee.step(n)
 		}
-		f.run(f.now + ms(500))
-		f.step(HealthCheckResult{Server: "s019", Report: []float64{0.4, 10}})
+		referee.run(referee.now + ms(500))
+		referee.step(HealthCheckResult{Server: "s019", Report: []float64{0.4, 10}})
 	}
-	if f.b.admission.passRate > 0.3 {
-		t.Errorf("gate at %.2f with all own clients on servers that answer in 900 ms, and reports of 0.4", f.b.admission.passRate)
+	if referee.b.admission.passRate > 0.3 {
+		t.Errorf("gate at %.2f with all own clients on servers that answer in 900 ms, and reports of 0.4", referee.b.admission.passRate)
 	}
 }
 
@@ -247,34 +247,34 @@
 	}
 }
 
-// TestShedding has a server reset a connection that stood. Where servers report no load, it is left out for a time: what it sheds
+// TestDroppedConnections has a server reset a connection that stood. Where servers report no load, it is left out for a time: what it sheds
 // is all that tells of a full one, and its clients come again at once. Where they report, the report decides; and an end that the
 // server announced, or one that its client made, says nothing anywhere.
-func TestShedding(t *testing.T) {
+func TestDroppedConnections(t *testing.T) {
 	for _, reports := range []ReportSource{NoReports, HealthCheckReports} {
-		for _, o := range []Outcome{Reset, Served, Cancelled} {
-			b, err := New(Settings{
+		for _, outcome := range []Outcome{Reset, Served, Cancelled} {
+			balancer, err := New(Settings{
 				Nodes: 1, Reports: reports, ReportFields: []ReportField{Load}, Limits: Limits{MaxAttempts: 4},
 				Classes: []Class{{SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}},
 			}, 1, time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
-			acts := b.Step(time.Hour, []Event{
+			acts := balancer.Step(time.Hour, []Event{
 				ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Size: 1}, {ID: "b", Size: 1}, {ID: "c", Size: 1}}},
 				Request{ID: "1", Tenant: -1, TimeLeft: 4 * time.Second},
 			})
-			var on ServerID
+			var target ServerID
 			for _, a := range acts {
 				if s, ok := a.(StartAttempt); ok {
-					on = s.Server
+					target = s.Server
 				}
 			}
-			b.Step(time.Hour, []Event{Established{ID: "1", Server: on}})
-			b.Step(time.Hour+250*time.Millisecond, []Event{AttemptEnded{ID: "1", Server: on, Outcome: o, Final: true}})
-			out := b.findServer(on).outlier.until > b.now
-			if want := reports == NoReports && o == Reset; on == "" || out != want {
-				t.Errorf("reports %v, outcome %v: %s is left out: %v", reports, o, on, out)
+			balancer.Step(time.Hour, []Event{Established{ID: "1", Server: target}})
+			balancer.Step(time.Hour+250*time.Millisecond, []Event{AttemptEnded{ID: "1", Server: target, Outcome: outcome, Final: true}})
+			out := balancer.findServer(target).outlier.until > balancer.now
+			if want := reports == NoReports && outcome == Reset; target == "" || out != want {
+				t.Errorf("reports %v, outcome %v: %s is left out: %v", reports, outcome, target, out)
 			}
 		}
 	}
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -19,10 +19,10 @@
 	s.Classes = append(s.Classes,
 		Class{SetupObjective: ms(200), Deadline: ms(900), Idempotency: NotIdempotent, MessageObjective: ms(50)},
 		Class{SetupObjective: ms(200), Deadline: ms(900), Idempotency: IdempotentByKey, IdempotencyScope: Scope(rng.IntN(3)), IdempotencyWindow: ms(rng.IntN(900))})
-	f := newReferee(t, s, seed)
+	referee := newReferee(t, s, seed)
 	servers := fleet(1 + rng.IntN(12))
 	var all [][]Action
-	step := func(e ...Event) { all = append(all, f.step(e...)) }
+	step := func(e ...Event) { all = append(all, referee.step(e...)) }
 	step(servers)
 	type attempt struct {
 		id  RequestID
@@ -34,21 +34,21 @@
 	var probes []ServerID
 	next := 0
 	for range steps {
-		f.now += ms(5)
-		for _, a := range f.last {
+		referee.now += ms(5)
+		for _, a := range referee.last {
 			switch a := a.(type) {
 			case StartAttempt:
-				out = append(out, attempt{a.ID, f.reqs[a.ID].sent - 1, a.Server, f.now + a.Timeout})
+				out = append(out, attempt{a.ID, referee.reqs[a.ID].sent - 1, a.Server, referee.now + a.Timeout})
 			case HealthCheck:
 				probes = append(probes, a.Server)
 			}
 		}
 		var events []Event
 		var due []timer
-		for i := 0; i < len(f.timers); {
-			if f.timers[i].at <= f.now {
-				due = append(due, f.timers[i])
-				f.timers = append(f.timers[:i], f.timers[i+1:]...)
+		for i := 0; i < len(referee.timers); {
+			if referee.timers[i].at <= referee.now {
+				due = append(due, referee.timers[i])
+				referee.timers = append(referee.timers[:i], referee.timers[i+1:]...)
 			} else {
 				i++
 			}
@@ -57,18 +57,18 @@
 			events = append(events, TimerFired{d.token})
 		}
 		for i := 0; i < len(out); {
-			a := out[i]
+			sent := out[i]
 			roll := rng.IntN(20)
-			over := f.reqs[a.id].done || f.reqs[a.id].gone
+			over := referee.reqs[sent.id].done || referee.reqs[sent.id].gone
 			switch {
-			case f.now+ms(5) >= a.cut:
-				events = append(events, AttemptEnded{ID: a.id, Attempt: a.n, Server: a.to, Outcome: TimedOut, Final: over})
+			case referee.now+ms(5) >= sent.cut:
+				events = append(events, AttemptEnded{ID: sent.id, Attempt: sent.n, Server: sent.to, Outcome: TimedOut, Final: over})
 			case roll == 0 && !over:
-				events = append(events, Established{ID: a.id, Attempt: a.n, Server: a.to})
-				open = append(open, a)
+				events = append(events, Established{ID: sent.id, Attempt: sent.n, Server: sent.to})
+				open = append(open, sent)
 			case roll == 1:
 				events = append(events, AttemptEnded{
-					ID: a.id, Attempt: a.n, Server: a.to,
+					ID: sent.id, Attempt: sent.n, Server: sent.to,
 					Outcome: Outcome(1 + rng.IntN(7)), Final: over,
 				})
 			default:
@@ -110,7 +110,7 @@
 			i := rng.IntN(len(servers.Servers))
 			servers.Servers[i].State = ServerState(rng.IntN(3) * rng.IntN(2))
 			if rng.IntN(3) == 0 {
-				servers.Servers[i].Started = f.now
+				servers.Servers[i].Started = referee.now
 			}
 			events = append(events, ServerList{Kind: ListChange, Servers: servers.Servers[i : i+1]})
 		case 5:
@@ -119,7 +119,7 @@
 			events = append(events, ClientGone{ID: RequestID(fmt.Sprint("r", rng.IntN(next+1)))})
 		case 7:
 			events = append(events, TimerFired{fmt.Sprint("hold r", rng.IntN(next+1))})
-			if r := f.reqs["r1"]; r != nil && r.sent > 0 { // a caller tells nothing of attempts that it was not given
+			if r := referee.reqs["r1"]; r != nil && r.sent > 0 { // a caller tells nothing of attempts that it was not given
 				events = append(events, AttemptEnded{ID: "r1", Attempt: rng.IntN(r.sent), Server: "s000", Outcome: Full})
 			}
 		}
@@ -139,7 +139,7 @@
 		}
 		step(events...)
 	}
-	f.run(f.now) // no timer left behind; every deadline passed is answered
+	referee.run(referee.now) // no timer left behind; every deadline passed is answered
 	return all
 }
 
--- a/choice/golden_decisions_test.go
+++ b/choice/golden_decisions_test.go
@@ -62,28 +62,28 @@
 }
 
 // actionText is an action in a form that does not depend on the names of types and fields.
-func actionText(a choice.Action) string {
-	switch a := a.(type) {
+func actionText(action choice.Action) string {
+	switch action := action.(type) {
 	case choice.StartAttempt:
-		return fmt.Sprintf("send %s %s %d %d", a.ID, a.Server, a.Timeout, a.SendBefore)
+		return fmt.Sprintf("send %s %s %d %d", action.ID, action.Server, action.Timeout, action.SendBefore)
 	case choice.Reject:
-		return fmt.Sprintf("refuse %s %d %d", a.ID, a.RetryAfter, uint8(a.Reason))
+		return fmt.Sprintf("refuse %s %d %d", action.ID, action.RetryAfter, uint8(action.Reason))
 	case choice.Fail:
-		return fmt.Sprintf("fail %s %d", a.ID, uint8(a.Reason))
+		return fmt.Sprintf("fail %s %d", action.ID, uint8(action.Reason))
 	case choice.CancelAttempt:
-		return fmt.Sprintf("cancel %s %d", a.ID, a.Attempt)
+		return fmt.Sprintf("cancel %s %d", action.ID, action.Attempt)
 	case choice.HealthCheck:
-		return fmt.Sprintf("probe %s", a.Server)
+		return fmt.Sprintf("probe %s", action.Server)
 	case choice.Migrate:
-		return fmt.Sprintf("move %s", a.ID)
+		return fmt.Sprintf("move %s", action.ID)
 	case choice.SetTimer:
-		return fmt.Sprintf("timer %q %d %s", a.Token, a.After, a.For)
+		return fmt.Sprintf("timer %q %d %s", action.Token, action.After, action.For)
 	case choice.WatchList:
 		return "follow"
 	case choice.SendPeerMessage:
-		return fmt.Sprintf("tell %d %x", a.To, a.Data)
+		return fmt.Sprintf("tell %d %x", action.To, action.Data)
 	}
-	return fmt.Sprintf("an action that the record does not know: %T", a)
+	return fmt.Sprintf("an action that the record does not know: %T", action)
 }
 
 // bits writes numbers to the last bit.
@@ -94,8 +94,8 @@
 }
 
 // state takes in what a balancer has found out, and what it tells of zones. That resets its counts since the last call.
-func (r *recorder) state(now time.Duration, node int, b *choice.Balancer) {
-	l := b.LearnedState()
+func (r *recorder) state(now time.Duration, node int, balancer *choice.Balancer) {
+	l := balancer.LearnedState()
 	r.write("%d learned %d %d %d %d %s %d", node, l.Version, l.Hints, l.ReportedAt, l.ArrivalsAt, l.Meaning, l.Now)
 	r.bits(l.Unit, l.LoadSum, l.WeightSum, l.Arrivals, l.PassRate, l.MeanPriority)
 	for _, k := range l.Kinds {
@@ -105,11 +105,11 @@
 	for _, s := range l.Servers {
 		r.write("\nserver %s %d %v %d %d %d %d", s.ID, s.Started, s.Known, s.ReportAt, s.EjectedUntil, s.Ejections, s.SlowStartAt)
 		r.bits(s.ReportedLoad, s.ConnectionLoad, s.Reports, s.Report, s.SlowStartCredit, s.PIDIntegral, s.PIDPreviousError, s.PIDCorrection, s.UnreportedLoad)
-		rate, cold := b.SlowStartRate(s.ID)
+		rate, cold := balancer.SlowStartRate(s.ID)
 		r.write(" %v", cold)
 		r.bits(rate)
 	}
-	news := b.Observations(now)
+	news := balancer.Observations(now)
 	for _, z := range news.Zones {
 		r.write("\nzone %s %d %d", z.Zone, z.Ready, z.Ejected)
 		r.bits(z.Capacity, z.Load, z.Cost, z.Attempts, z.Failed)
@@ -118,7 +118,7 @@
 	for _, c := range news.Classes {
 		r.bits(c.Arrived, c.Rejected)
 	}
-	r.write("\navoided %d dropped %d\n", b.Excluded(now), b.DroppedPeerMessages())
+	r.write("\navoided %d dropped %d\n", balancer.Excluded(now), balancer.DroppedPeerMessages())
 }
 
 // end takes in the state of all nodes of a simulation.
@@ -132,27 +132,27 @@
 
 // handOver has a further balancer take each node's place, as a new process of a node does: with what the old one has learned, and
 // with its open connections. Both are recorded, and what the new one does with some requests after that.
-func (r *recorder) handOver(t *testing.T, w *simulation, seed uint64) {
+func (r *recorder) handOver(t *testing.T, world *simulation, seed uint64) {
 	t.Helper()
-	for _, n := range w.nodes[:min(4, len(w.nodes))] {
-		s := w.settings
-		s.Node, s.Processes = n.number, 2
-		next, err := choice.New(s, seed+uint64(n.number)+1, w.now)
+	for _, node := range world.nodes[:min(4, len(world.nodes))] {
+		settings := world.settings
+		settings.Node, settings.Processes = node.number, 2
+		next, err := choice.New(settings, seed+uint64(node.number)+1, world.now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		learned := n.balancer.LearnedState()
-		events := []choice.Event{choice.ServerList{Kind: choice.ListFull, Servers: w.entries()}, choice.LearnedStateReceived{LearnedState: learned}}
+		learned := node.balancer.LearnedState()
+		events := []choice.Event{choice.ServerList{Kind: choice.ListFull, Servers: world.entries()}, choice.LearnedStateReceived{LearnedState: learned}}
 		var ids []choice.RequestID
-		for id, request := range w.requests {
-			if request.node == n && request.standing() != nil && !request.over && !request.standing().settled {
+		for id, request := range world.requests {
+			if request.node == node && request.standing() != nil && !request.over && !request.standing().settled {
 				ids = append(ids, id)
 			}
 		}
 		slices.Sort(ids)
 		var given []choice.Event
 		for i, id := range ids {
-			request := w.requests[id]
+			request := world.requests[id]
 			class := request.class
 			events = append(events, choice.OpenConnection{
 				Request: request.Request, Server: request.standing().host.ID, OriginalClass: &class,
@@ -160,21 +160,21 @@
 			})
 			given = append(given, choice.Transferred{ID: id})
 		}
-		r.step(w.now, n.number, next.Step(w.now, events))
-		r.step(w.now, n.number, n.balancer.Step(w.now, given))
-		r.state(w.now, n.number, n.balancer)
-		other := s
-		other.Classes = slices.Clone(s.Classes)
+		r.step(world.now, node.number, next.Step(world.now, events))
+		r.step(world.now, node.number, node.balancer.Step(world.now, given))
+		r.state(world.now, node.number, node.balancer)
+		other := settings
+		other.Classes = slices.Clone(settings.Classes)
 		other.Classes[0].Priority *= 2
 		other.Limits.MaxAttempts++
-		later := w.now
-		r.play(&later, next, s, n.number, 0)
-		r.step(later, n.number, next.Step(later, []choice.Event{choice.SettingsChanged{Settings: other}}))
-		r.play(&later, next, other, n.number, 1)
+		later := world.now
+		r.play(&later, next, settings, node.number, 0)
+		r.step(later, node.number, next.Step(later, []choice.Event{choice.SettingsChanged{Settings: other}}))
+		r.play(&later, next, other, node.number, 1)
 		other.PriorityPerWork = !other.PriorityPerWork // learned values mean something else from now on
-		r.step(later, n.number, next.Step(later, []choice.Event{choice.SettingsChanged{Settings: other}}))
-		r.play(&later, next, other, n.number, 2)
-		r.state(later, n.number, next)
+		r.step(later, node.number, next.Step(later, []choice.Event{choice.SettingsChanged{Settings: other}}))
+		r.play(&later, next, other, node.number, 2)
+		r.state(later, node.number, next)
 	}
 	r.note("handed over, after")
 }
@@ -198,20 +198,20 @@
 			r.step(*now, node, actions)
 			events = nil
 			for _, a := range actions {
-				switch a := a.(type) {
+				switch action := a.(type) {
 				case choice.StartAttempt:
-					events = append(events, choice.Established{ID: a.ID, Server: a.Server, Took: time.Duration(20+i%7*i%13*20) * time.Millisecond})
+					events = append(events, choice.Established{ID: action.ID, Server: action.Server, Took: time.Duration(20+i%7*i%13*20) * time.Millisecond})
 					if i%4 == 1 {
-						events = append(events, choice.DelayObservation{ID: a.ID, Server: a.Server, Took: time.Duration(i*8) * time.Millisecond})
+						events = append(events, choice.DelayObservation{ID: action.ID, Server: action.Server, Took: time.Duration(i*8) * time.Millisecond})
 					}
 					if i%3 == 0 {
-						events = append(events, choice.AttemptEnded{ID: a.ID, Server: a.Server, Outcome: choice.Outcome(i / 3 % 8), Final: true})
+						events = append(events, choice.AttemptEnded{ID: action.ID, Server: action.Server, Outcome: choice.Outcome(i / 3 % 8), Final: true})
 					}
 				case choice.HealthCheck:
 					for f := range report {
 						report[f] = 0.2 + 0.6*float64((i+f)%10)/10
 					}
-					events = append(events, choice.HealthCheckResult{Server: a.Server, Outcome: choice.Served, Report: slices.Clone(report)})
+					events = append(events, choice.HealthCheckResult{Server: action.Server, Outcome: choice.Served, Report: slices.Clone(report)})
 				}
 			}
 		}
@@ -252,26 +252,26 @@
 // record makes a recorder. With DECISIONS_TEXT naming a directory, the whole text goes there, to compare two versions by.
 func record(t *testing.T, name string) *recorder {
 	t.Helper()
-	r := newRecorder(simulationStart)
+	recorder := newRecorder(simulationStart)
 	dir := os.Getenv("DECISIONS_TEXT")
 	if dir == "" {
-		return r
+		return recorder
 	}
-	f, err := os.Create(filepath.Join(dir, name+".txt"))
+	file, err := os.Create(filepath.Join(dir, name+".txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	buffered := bufio.NewWriter(f)
-	r.text = buffered
+	buffered := bufio.NewWriter(file)
+	recorder.text = buffered
 	t.Cleanup(func() {
 		if err := buffered.Flush(); err != nil {
 			t.Error(err)
 		}
-		if err := f.Close(); err != nil {
+		if err := file.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	return r
+	return recorder
 }
 
 // TestGoldenDecisionsOfDrawnWorlds pins the decisions in worlds with drawn settings: grouped or not, each source of reports,
@@ -293,7 +293,7 @@
 // TestGoldenDecisionsOfAFleet pins the decisions of fleets with cold hosts under a burst: with reservations by peers, with reports
 // alone and with none. Connections stand when it ends, so that the hand-over has some.
 func TestGoldenDecisionsOfAFleet(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		reports choice.ReportSource
 		peers   bool
@@ -307,17 +307,17 @@
 		{"fleet-silent", choice.NoReports, false, false, 4},
 		{"fleet-silent-grouped", choice.NoReports, false, true, 30},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			f := coldFleet{
-				name: c.name, nodes: c.nodes, hosts: 16, reports: c.reports, peers: c.peers, rules: shortWarmUp, skew: 4,
-				homes: 0.02, told: c.reports == choice.NoReports, burst: 4, seed: 3,
+				name: test.name, nodes: test.nodes, hosts: 16, reports: test.reports, peers: test.peers, rules: shortWarmUp, skew: 4,
+				homes: 0.02, told: test.reports == choice.NoReports, burst: 4, seed: 3,
 			}
-			r := record(t, c.name)
-			w := f.playRecorded(t, c.grouped, r)
+			r := record(t, test.name)
+			w := f.playRecorded(t, test.grouped, r)
 			r.end(w)
 			r.handOver(t, w, f.seed)
-			checkGoldenLines(t, c.name, r.lines)
+			checkGoldenLines(t, test.name, r.lines)
 		})
 	}
 }
--- a/choice/golden_test.go
+++ b/choice/golden_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestGoldenLearned pins what one process of a node tells the next one.
-func TestGoldenLearned(t *testing.T) {
+// TestGoldenLearnedState pins what one process of a node tells the next one.
+func TestGoldenLearnedState(t *testing.T) {
 	checkGoldenCBOR(t, "learned", LearnedState{
 		Version: 1, Unit: 2.5, Hints: 3, LoadSum: 4.25, WeightSum: 5.125, ReportedAt: 6 * time.Second, Arrivals: 7.5,
 		ArrivalsAt: 8 * time.Second, PassRate: 0.5, MeanPriority: 10.5,
@@ -125,7 +125,7 @@
 
 // TestGoldenMeaning pins the text by which a process knows whether learned values are of a deployment like its own.
 func TestGoldenMeaning(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		settings Settings
 		want     string
 	}{
@@ -139,15 +139,15 @@
 		},
 		{Settings{Reports: AllReports, Sizes: LiveSize, DelaysObserved: true, ReportFields: []ReportField{Load}}, "2 [1] 2 false true"},
 	} {
-		if have := c.settings.meaning(); have != c.want {
-			t.Errorf("%+v means %q, want %q", c.settings, have, c.want)
+		if have := test.settings.meaning(); have != test.want {
+			t.Errorf("%+v means %q, want %q", test.settings, have, test.want)
 		}
 	}
 }
 
 // TestGoldenNames pins the numbers and names of outcomes and reasons: captures have the numbers, logs and figures the names.
 func TestGoldenNames(t *testing.T) {
-	for i, c := range []struct {
+	for i, test := range []struct {
 		outcome Outcome
 		name    string
 	}{
@@ -160,11 +160,11 @@
 		{Cancelled, "cancelled"},
 		{NeverSent, "moot"},
 	} {
-		if int(c.outcome) != i || c.outcome.String() != c.name {
-			t.Errorf("outcome %d is %d %q, want %q", i, c.outcome, c.outcome, c.name)
+		if int(test.outcome) != i || test.outcome.String() != test.name {
+			t.Errorf("outcome %d is %d %q, want %q", i, test.outcome, test.outcome, test.name)
 		}
 	}
-	for i, c := range []struct {
+	for i, test := range []struct {
 		reason Reason
 		name   string
 	}{
@@ -179,15 +179,15 @@
 		{DeadlineReached, "deadline_reached"},
 		{Withdrawn, "withdrawn"},
 	} {
-		if int(c.reason) != i || c.reason.String() != c.name {
-			t.Errorf("reason %d is %d %q, want %q", i, c.reason, c.reason, c.name)
+		if int(test.reason) != i || test.reason.String() != test.name {
+			t.Errorf("reason %d is %d %q, want %q", i, test.reason, test.reason, test.name)
 		}
 	}
 }
 
 // TestGoldenMessages pins the datagrams between nodes: each kind with all of its fields, in both directions.
 func TestGoldenMessages(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		message peerMessage
 		bytes   string
@@ -199,15 +199,15 @@
 		{"no", peerMessage{kind: reservationDenied, token: 0x4142, load: 2, fraction: 1}, "15414220ff"},
 		{"ejected", peerMessage{kind: serverEjected, token: 0x5152, load: 1.0625, fraction: 0.4}, "1651521166"},
 	} {
-		if have := hex.EncodeToString(c.message.encode()); have != c.bytes {
-			t.Errorf("%s is written as %s, want %s", c.name, have, c.bytes)
+		if have := hex.EncodeToString(test.message.encode()); have != test.bytes {
+			t.Errorf("%s is written as %s, want %s", test.name, have, test.bytes)
 		}
-		raw, err := hex.DecodeString(c.bytes)
+		raw, err := hex.DecodeString(test.bytes)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if read, ok := decodePeerMessage(raw); !ok || read != c.message {
-			t.Errorf("%s is read as %+v, %v, want %+v", c.name, read, ok, c.message)
+		if read, ok := decodePeerMessage(raw); !ok || read != test.message {
+			t.Errorf("%s is read as %+v, %v, want %+v", test.name, read, ok, test.message)
 		}
 	}
 }
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -37,19 +37,19 @@
 		acts := f.b.Step(f.now, events)
 		events = nil
 		for _, a := range acts {
-			switch a := a.(type) {
+			switch action := a.(type) {
 			case StartAttempt:
-				f.on[a.ID] = a.Server
-				f.ends[a.ID] = f.now + time.Duration(10+f.rng.IntN(40))*time.Second
-				events = append(events, Established{ID: a.ID, Server: a.Server})
+				f.on[action.ID] = action.Server
+				f.ends[action.ID] = f.now + time.Duration(10+f.rng.IntN(40))*time.Second
+				events = append(events, Established{ID: action.ID, Server: action.Server})
 			case HealthCheck:
-				events = append(events, HealthCheckResult{Server: a.Server, Report: []float64{f.load(a.Server) * (0.95 + 0.1*f.rng.Float64())}})
+				events = append(events, HealthCheckResult{Server: action.Server, Report: []float64{f.load(action.Server) * (0.95 + 0.1*f.rng.Float64())}})
 			case SetTimer:
-				at := f.now + a.After
-				f.timer[at] = append(f.timer[at], a.Token)
+				at := f.now + action.After
+				f.timer[at] = append(f.timer[at], action.Token)
 			case Migrate:
-				delete(f.on, a.ID)
-				events = append(events, AttemptEnded{ID: a.ID, Outcome: Cancelled, Final: true})
+				delete(f.on, action.ID)
+				events = append(events, AttemptEnded{ID: action.ID, Outcome: Cancelled, Final: true})
 			}
 		}
 	}
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestLearnedGoesAlong has one process take over from another: with what that one found out, its forecasts of the servers'
+// TestLearnedStateIsInherited has one process take over from another: with what that one found out, its forecasts of the servers'
 // loads are as good at once; without, they are not in the first seconds.
-func TestLearnedGoesAlong(t *testing.T) {
+func TestLearnedStateIsInherited(t *testing.T) {
 	list := ServerList{Kind: ListFull}
 	for i := range 12 {
 		list.Servers = append(list.Servers, Server{ID: ServerID(fmt.Sprintf("s%02d", i)), Kind: fmt.Sprint("k", i%2), Size: 1})
@@ -112,38 +112,38 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f := &fleetOf{
+			fleet := &fleetOf{
 				b: b, rng: rand.New(rand.NewPCG(seed, 9)), now: start, cost: map[ServerID]float64{},
 				on: map[RequestID]ServerID{}, ends: map[RequestID]time.Duration{}, timer: map[time.Duration][]string{},
 			}
 			for i, s := range list.Servers {
-				f.cost[s.ID] = 0.03 + 0.03*float64(i%2) + 0.004*float64(i%5)
+				fleet.cost[s.ID] = 0.03 + 0.03*float64(i%2) + 0.004*float64(i%5)
 			}
-			f.step(list)
-			f.run(start+90*time.Second, 500*time.Millisecond)
+			fleet.step(list)
+			fleet.run(start+90*time.Second, 500*time.Millisecond)
 			if how != "stays" {
-				was, before := f.b, map[ServerID]float64{}
-				was.Step(f.now, nil)
+				was, before := fleet.b, map[ServerID]float64{}
+				was.Step(fleet.now, nil)
 				for _, s := range was.servers {
 					before[s.ID] = was.predictedLoad(s)
 				}
-				if f.b, err = New(knows(), seed+100, f.now); err != nil {
+				if fleet.b, err = New(knows(), seed+100, fleet.now); err != nil {
 					t.Fatal(err)
 				}
-				f.timer = map[time.Duration][]string{}
-				f.step(list)
+				fleet.timer = map[time.Duration][]string{}
+				fleet.step(list)
 				if how == "learned" {
-					f.step(LearnedStateReceived{was.LearnedState()})
+					fleet.step(LearnedStateReceived{was.LearnedState()})
 				}
-				for id, s := range f.on {
-					f.step(OpenConnection{Request: Request{ID: id, Tenant: -1}, Server: s, OriginalClass: &Class{Name: "gone"}})
-					was.Step(f.now, []Event{Transferred{id}})
+				for id, s := range fleet.on {
+					fleet.step(OpenConnection{Request: Request{ID: id, Tenant: -1}, Server: s, OriginalClass: &Class{Name: "gone"}})
+					was.Step(fleet.now, []Event{Transferred{id}})
 				}
 				for _, s := range was.servers {
 					if p := was.predictedLoad(s); math.Abs(p-before[s.ID]) > 1e-9 {
 						t.Errorf("%s: the giver takes %v for relieved: %v, %v before", how, s.ID, p, before[s.ID])
 					}
-					if p := f.b.predictedLoad(f.b.findServer(s.ID)); how == "learned" && math.Abs(p-before[s.ID]) > 5e-3 {
+					if p := fleet.b.predictedLoad(fleet.b.findServer(s.ID)); how == "learned" && math.Abs(p-before[s.ID]) > 5e-3 {
 						t.Errorf("the taker predicts %v for %v, the giver %v", p, s.ID, before[s.ID])
 					}
 				}
@@ -152,9 +152,9 @@
 				}
 			}
 			for _, span := range []time.Duration{time.Second, 4 * time.Second} {
-				f.off, f.n = 0, 0
-				f.run(f.now+span, 500*time.Millisecond)
-				errors[fmt.Sprint(how, span)] += f.off / float64(f.n) / seeds
+				fleet.off, fleet.n = 0, 0
+				fleet.run(fleet.now+span, 500*time.Millisecond)
+				errors[fmt.Sprint(how, span)] += fleet.off / float64(fleet.n) / seeds
 			}
 		}
 	}
@@ -167,19 +167,19 @@
 	}
 }
 
-// TestLearnedIsChecked has another process tell what can't be, or what is older than what this one knows.
-func TestLearnedIsChecked(t *testing.T) {
+// TestLearnedStateIsChecked has another process tell what can't be, or what is older than what this one knows.
+func TestLearnedStateIsChecked(t *testing.T) {
 	now := time.Hour
-	b, err := New(knows(), 1, now)
+	balancer, err := New(knows(), 1, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(now, []Event{
+	balancer.Step(now, []Event{
 		ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1, Started: 5}, {ID: "b", Kind: "k", Size: 1}}},
 		HealthCheckResult{Server: "b", Report: []float64{0.5}},
 	})
 	good := LearnedState{
-		Version: LearnedStateVersion, Meaning: b.settings.meaning(), Unit: 1, PassRate: 1, MeanPriority: 1, LoadSum: 1, WeightSum: 2, ReportedAt: now - time.Second,
+		Version: LearnedStateVersion, Meaning: balancer.settings.meaning(), Unit: 1, PassRate: 1, MeanPriority: 1, LoadSum: 1, WeightSum: 2, ReportedAt: now - time.Second,
 		Servers: []LearnedServer{
 			{ID: "a", Started: 5, Known: true, Report: 0.9, ReportAt: now - time.Second, EjectedUntil: now + time.Hour, ReportedLoad: 9, ConnectionLoad: 90, Reports: 9},
 			{ID: "b", Known: true, Report: 0.1, ReportAt: now - time.Second},
@@ -195,19 +195,19 @@
 	} {
 		bad := good
 		spoil(&bad)
-		b.Step(now, []Event{LearnedStateReceived{bad}})
-		if a := b.findServer("a"); a.report.known || a.outlier.until != 0 {
+		balancer.Step(now, []Event{LearnedStateReceived{bad}})
+		if a := balancer.findServer("a"); a.report.known || a.outlier.until != 0 {
 			t.Errorf("spoilt value %d was taken", i)
 		}
 	}
 	later := good
 	later.Servers = []LearnedServer{{ID: "a", Started: 4, Known: true, Report: 0.9, ReportAt: now}, {ID: "b", Known: true, Report: 0.1, ReportAt: now + time.Hour}}
-	b.Step(now, []Event{LearnedStateReceived{later}})
-	if b.findServer("a").report.known || b.findServer("b").report.load != 0.5 {
+	balancer.Step(now, []Event{LearnedStateReceived{later}})
+	if balancer.findServer("a").report.known || balancer.findServer("b").report.load != 0.5 {
 		t.Error("taken: a report of an earlier start, or one of the future")
 	}
-	b.Step(now, []Event{LearnedStateReceived{good}})
-	a, other := b.findServer("a"), b.findServer("b")
+	balancer.Step(now, []Event{LearnedStateReceived{good}})
+	a, other := balancer.findServer("a"), balancer.findServer("b")
 	if a.report.load != 0.9 || a.report.at != now-time.Second || a.outlier.until != now+firstEjection<<3 || a.costs.reports != 9 {
 		t.Errorf("not taken: %+v", a)
 	}
@@ -216,22 +216,22 @@
 	}
 }
 
-// TestOtherSettingsForget has settings come under which reports say something else: what they told before is another deployment's,
+// TestOtherMeaningResetsEstimates has settings come under which reports say something else: what they told before is another deployment's,
 // for the balancer that takes them and for one that is told by another process. Settings that change nothing in that change
 // nothing in what was learned.
-func TestOtherSettingsForget(t *testing.T) {
+func TestOtherMeaningResetsEstimates(t *testing.T) {
 	now := time.Hour
 	learned := func() *Balancer {
-		b, err := New(knows(), 1, now)
+		balancer, err := New(knows(), 1, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Step(now, []Event{
+		balancer.Step(now, []Event{
 			ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}},
 			HealthCheckResult{Server: "a", Report: []float64{0.9}},
 			HealthCheckResult{Server: "b", Report: []float64{0.7}},
 		})
-		return b
+		return balancer
 	}
 	same := knows()
 	same.Limits.MaxAttempts, same.Classes = 2, append(same.Classes, Class{Name: "d", Priority: 9, Deadline: time.Second})
@@ -246,9 +246,9 @@
 	} {
 		other := knows()
 		change(&other)
-		b := learned()
-		told := b.LearnedState()
-		b.Step(now, []Event{SettingsChanged{other}})
+		balancer := learned()
+		told := balancer.LearnedState()
+		balancer.Step(now, []Event{SettingsChanged{other}})
 		fresh, err := New(other, 1, now)
 		if err != nil {
 			t.Fatal(err)
@@ -257,58 +257,58 @@
 		fresh.Step(now, []Event{list})
 		for _, inherits := range []bool{false, true} {
 			if inherits {
-				b = fresh
-				b.Step(now, []Event{LearnedStateReceived{told}})
+				balancer = fresh
+				balancer.Step(now, []Event{LearnedStateReceived{told}})
 			}
 			for _, id := range []ServerID{"a", "b"} {
-				s, clean := b.findServer(id), fresh.findServer(id)
-				if s.report.known || s.costs.reports != 0 || b.kinds["k"].costs.reports != 0 || s.cost != clean.cost || b.predictedLoad(s) != fresh.predictedLoad(clean) || b.average.load != fresh.average.load {
-					t.Errorf("settings %d, told %v: of %s it knows %+v, average %v", i, inherits, id, s, b.average.load)
+				s, clean := balancer.findServer(id), fresh.findServer(id)
+				if s.report.known || s.costs.reports != 0 || balancer.kinds["k"].costs.reports != 0 || s.cost != clean.cost || balancer.predictedLoad(s) != fresh.predictedLoad(clean) || balancer.average.load != fresh.average.load {
+					t.Errorf("settings %d, told %v: of %s it knows %+v, average %v", i, inherits, id, s, balancer.average.load)
 				}
 			}
 		}
 	}
 }
 
-// TestKnownCost has far more connections come than the guess of a connection's load allows for, before reports can tell better:
+// TestInitialCost has far more connections come than the guess of a connection's load allows for, before reports can tell better:
 // where the settings know the load, all are placed.
-func TestKnownCost(t *testing.T) {
+func TestInitialCost(t *testing.T) {
 	for _, known := range []float64{1e-5, 0} {
 		s := knows()
 		s.Nodes, s.InitialCost = 1, known
-		b, err := New(s, 1, time.Hour)
+		balancer, err := New(s, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
-		on, refused := map[ServerID]int{}, 0
+		placed, refused := map[ServerID]int{}, 0
 		events := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}}
 		for i := range 2000 {
 			events = append(events, Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1, TimeLeft: 4 * time.Second})
 			for len(events) > 0 {
-				acts := b.Step(time.Hour+time.Duration(i)*time.Millisecond, events)
+				acts := balancer.Step(time.Hour+time.Duration(i)*time.Millisecond, events)
 				events = nil
 				for _, a := range acts {
 					switch a := a.(type) {
 					case StartAttempt:
-						on[a.Server]++
+						placed[a.Server]++
 						events = append(events, Established{ID: a.ID, Server: a.Server})
 					case Reject:
 						refused++
 					case HealthCheck:
-						events = append(events, HealthCheckResult{Server: a.Server, Report: []float64{float64(on[a.Server]) * 1e-5}})
+						events = append(events, HealthCheckResult{Server: a.Server, Report: []float64{float64(placed[a.Server]) * 1e-5}})
 					}
 				}
 			}
 		}
 		if refused > 0 == (known > 0) {
-			t.Errorf("known cost %v: %d refused, %v placed", known, refused, on)
+			t.Errorf("known cost %v: %d refused, %v placed", known, refused, placed)
 		}
 	}
 }
 
-// TestLearnedByAnotherClock has a process begin on a clock that is an hour off the one before it: what that one learned keeps its age, and what
+// TestLearnedStateByAnotherClock has a process begin on a clock that is an hour off the one before it: what that one learned keeps its age, and what
 // it spent at a cold server stays spent.
-func TestLearnedByAnotherClock(t *testing.T) {
+func TestLearnedStateByAnotherClock(t *testing.T) {
 	for _, off := range []time.Duration{time.Hour, -time.Hour} {
 		list := fleet(3)
 		list.Servers[1].Started = 2*time.Hour - time.Second
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -14,17 +14,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := 0
+	count := 0
 	for i, line := range strings.Split(string(text), "\n") {
 		if strings.TrimSpace(line) != "" {
-			n++
+			count++
 		}
 		if w := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); w > 110 {
 			t.Errorf("choice.go:%d: %d columns", i+1, w)
 		}
 	}
-	if n > 650 {
-		t.Errorf("choice.go has %d lines", n)
+	if count > 650 {
+		t.Errorf("choice.go has %d lines", count)
 	}
 }
 
--- a/choice/many_test.go
+++ b/choice/many_test.go
@@ -17,22 +17,22 @@
 	return s
 }
 
-// TestCostOnANodeThatHoldsNothing guards against reported load set against no connections of a node's own: that reads as
+// TestCostOnANodeWithoutConnections guards against reported load set against no connections of a node's own: that reads as
 // hosts that one connection fills, and all requests are refused.
-func TestCostOnANodeThatHoldsNothing(t *testing.T) {
+func TestCostOnANodeWithoutConnections(t *testing.T) {
 	refused := 0
 	for seed := range uint64(20) {
-		f := newReferee(t, vast(), seed)
-		f.step(fleet(13))
+		referee := newReferee(t, vast(), seed)
+		referee.step(fleet(13))
 		for range 60 {
 			for _, s := range fleet(13).Servers {
-				f.step(HealthCheckResult{Server: s.ID, Outcome: Served, Report: []float64{0.6, 0.6}})
+				referee.step(HealthCheckResult{Server: s.ID, Outcome: Served, Report: []float64{0.6, 0.6}})
 			}
-			f.run(f.now + ms(200))
+			referee.run(referee.now + ms(200))
 		}
-		f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
-		f.answerProbes(func(ServerID) float64 { return 0.6 })
-		if len(f.sends()) == 0 {
+		referee.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
+		referee.answerProbes(func(ServerID) float64 { return 0.6 })
+		if len(referee.sends()) == 0 {
 			refused++
 		}
 	}
@@ -45,20 +45,20 @@
 func TestManyNodesKeepAGroupTogether(t *testing.T) {
 	used := map[ServerID]int{}
 	for node := range 80 {
-		f := newReferee(t, vast(), uint64(node))
-		f.step(fleet(13))
+		referee := newReferee(t, vast(), uint64(node))
+		referee.step(fleet(13))
 		var events []Event
 		for i, s := range fleet(13).Servers { // each node's reports differ a little
 			events = append(events, HealthCheckResult{Server: s.ID, Outcome: Served, Report: []float64{0.3 + 0.2*float64((node*7+i*5)%11)/10, 0.4}})
 		}
-		f.step(events...)
+		referee.step(events...)
 		if node%3 == 0 {
-			f.step(OpenConnection{Request: Request{ID: RequestID(fmt.Sprint("o", node)), Group: 7, Tenant: -1}, Server: "s003"})
+			referee.step(OpenConnection{Request: Request{ID: RequestID(fmt.Sprint("o", node)), Group: 7, Tenant: -1}, Server: "s003"})
 		}
-		f.run(f.now + 2*time.Second)
-		f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
-		f.answerProbes(func(ServerID) float64 { return 0.4 })
-		for _, s := range f.sends() {
+		referee.run(referee.now + 2*time.Second)
+		referee.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
+		referee.answerProbes(func(ServerID) float64 { return 0.4 })
+		for _, s := range referee.sends() {
 			used[s]++
 		}
 	}
@@ -88,20 +88,20 @@
 }
 
 func newCrowd(t testing.TB, s Settings, seed uint64, list ServerList, load func(ServerID, int) float64) *crowd {
-	c := &crowd{
+	nodes := &crowd{
 		now: time.Hour, load: load, held: map[ServerID]int{}, seen: map[ServerID][]int{},
 		times: map[ServerID][]time.Duration{}, end: map[string]int{}, dead: map[int]bool{},
 	}
 	for n := range s.Nodes {
 		s.Node = n
-		b, err := New(s, seed*1000+uint64(n), c.now)
+		b, err := New(s, seed*1000+uint64(n), nodes.now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.nodes = append(c.nodes, b)
-		c.later(n, 0, list)
+		nodes.nodes = append(nodes.nodes, b)
+		nodes.later(n, 0, list)
 	}
-	return c
+	return nodes
 }
 
 func (c *crowd) later(node int, after time.Duration, e Event) {
@@ -125,22 +125,22 @@
 }
 
 func (c *crowd) carryOut(node int, a Action) {
-	switch a := a.(type) {
+	switch action := a.(type) {
 	case SetTimer:
-		c.later(node, max(a.After, 1), TimerFired{a.Token})
+		c.later(node, max(action.After, 1), TimerFired{action.Token})
 	case SendPeerMessage:
 		c.tells++
-		c.later(a.To, ms(20), PeerMessage{node, a.Data})
+		c.later(action.To, ms(20), PeerMessage{node, action.Data})
 	case HealthCheck:
 		held := 0
-		if l := c.seen[a.Server]; len(l) > 0 {
+		if l := c.seen[action.Server]; len(l) > 0 {
 			held = l[max(0, len(l)-20)]
 		}
-		c.later(node, ms(10), HealthCheckResult{Server: a.Server, Report: []float64{c.load(a.Server, held), 0}})
+		c.later(node, ms(10), HealthCheckResult{Server: action.Server, Report: []float64{c.load(action.Server, held), 0}})
 	case StartAttempt:
-		c.held[a.Server]++
-		c.times[a.Server] = append(c.times[a.Server], c.now)
-		c.later(node, ms(5), Established{ID: a.ID, Server: a.Server})
+		c.held[action.Server]++
+		c.times[action.Server] = append(c.times[action.Server], c.now)
+		c.later(node, ms(5), Established{ID: action.ID, Server: action.Server})
 		c.end["sent"]++
 	case Reject:
 		c.end["refused"]++
@@ -173,8 +173,8 @@
 	return s
 }
 
-// TestManyNodesDoNotOverrunAHost has eighty nodes place a burst on hosts that are half full, each by reports 200 ms old.
-func TestManyNodesDoNotOverrunAHost(t *testing.T) {
+// TestManyNodesDoNotOverloadAServer has eighty nodes place a burst on hosts that are half full, each by reports 200 ms old.
+func TestManyNodesDoNotOverloadAServer(t *testing.T) {
 	worst := func(s Settings) (over, refused int) {
 		for seed := range uint64(3) {
 			c := newCrowd(t, s, seed, fleet(13), func(_ ServerID, held int) float64 { return 0.5 + 0.06*float64(held) })
@@ -196,41 +196,41 @@
 	}
 }
 
-// TestColdHostGetsItsBudgetAndNoMore has a storm at eighty nodes while all warm hosts are nearly full.
-func TestColdHostGetsItsBudgetAndNoMore(t *testing.T) {
+// TestSlowStartServerGetsItsBudgetAndNoMore has a storm at eighty nodes while all warm hosts are nearly full.
+func TestSlowStartServerGetsItsBudgetAndNoMore(t *testing.T) {
 	list := fleet(13)
 	list.Servers[4].Started = time.Hour - time.Second
-	s := keeping()
-	c := newCrowd(t, s, 5, list, func(id ServerID, held int) float64 {
+	settings := keeping()
+	nodes := newCrowd(t, settings, 5, list, func(id ServerID, held int) float64 {
 		if id == list.Servers[4].ID {
 			return 0.1 * float64(held)
 		}
 		return 0.84
 	})
-	c.run(2 * time.Second)
-	c.arrivals(600, 4*time.Second, func(int) uint64 { return 0 })
+	nodes.run(2 * time.Second)
+	nodes.arrivals(600, 4*time.Second, func(int) uint64 { return 0 })
 	cold := list.Servers[4]
-	if len(c.times[cold.ID]) < 5 {
-		t.Errorf("a cold host gets %d connections in a storm of 4 s", len(c.times[cold.ID]))
+	if len(nodes.times[cold.ID]) < 5 {
+		t.Errorf("a cold host gets %d connections in a storm of 4 s", len(nodes.times[cold.ID]))
 	}
-	for i, from := range c.times[cold.ID] {
-		n := 0
-		for _, at := range c.times[cold.ID][i:] {
-			if at < from+s.Rules.OverloadTime {
-				n++
+	for i, from := range nodes.times[cold.ID] {
+		count := 0
+		for _, at := range nodes.times[cold.ID][i:] {
+			if at < from+settings.Rules.OverloadTime {
+				count++
 			}
 		}
 		// FallMultiple times the part that is warm at the end, of the rate that fills it over its warm-up: the tenants' shares
 		// give 165 connections to 13 hosts. One more for the first, as there are no halves.
-		warm := 0.2 + 0.8*(from+s.Rules.OverloadTime-cold.Started).Seconds()/10
-		if budget := s.Rules.OverloadMultiple * warm * 165.0 / 13 / 10 * s.Rules.OverloadTime.Seconds(); float64(n) > budget+1 {
-			t.Errorf("a cold host gets %d connections in %v; its budget is %.1f", n, s.Rules.OverloadTime, budget)
+		warm := 0.2 + 0.8*(from+settings.Rules.OverloadTime-cold.Started).Seconds()/10
+		if budget := settings.Rules.OverloadMultiple * warm * 165.0 / 13 / 10 * settings.Rules.OverloadTime.Seconds(); float64(count) > budget+1 {
+			t.Errorf("a cold host gets %d connections in %v; its budget is %.1f", count, settings.Rules.OverloadTime, budget)
 		}
 	}
 }
 
-// TestRequestsOutliveTheirKeepers has seven in ten nodes fall silent: what comes to the others is served all the same.
-func TestRequestsOutliveTheirKeepers(t *testing.T) {
+// TestRequestsOutliveTheirOwners has seven in ten nodes fall silent: what comes to the others is served all the same.
+func TestRequestsOutliveTheirOwners(t *testing.T) {
 	c := newCrowd(t, keeping(), 3, fleet(13), func(ServerID, int) float64 { return 0.3 })
 	c.run(2 * time.Second)
 	for n := range c.nodes {
@@ -242,8 +242,8 @@
 	}
 }
 
-// TestNothingIsToldWhereItIsForbidden also covers fleets so small that a node sees enough by itself.
-func TestNothingIsToldWhereItIsForbidden(t *testing.T) {
+// TestNoPeerMessagesWhereForbidden also covers fleets so small that a node sees enough by itself.
+func TestNoPeerMessagesWhereForbidden(t *testing.T) {
 	few := keeping()
 	few.Nodes = 4
 	dear := keeping()
@@ -257,17 +257,17 @@
 	}
 }
 
-// TestBadMessagesAreDropped guards against messages that are cut off, of another version, late, repeated, or from nobody.
-func TestBadMessagesAreDropped(t *testing.T) {
-	f := newReferee(t, keeping(), 1)
-	f.now = time.Hour
-	f.step(fleet(13))
-	s := f.b.servers[3]
-	good := peerMessage{kind: reservationRequest, token: tokenClock(f.b.now), server: serverKey(s), load: 1}
+// TestInvalidPeerMessagesAreDropped guards against messages that are cut off, of another version, late, repeated, or from nobody.
+func TestInvalidPeerMessagesAreDropped(t *testing.T) {
+	referee := newReferee(t, keeping(), 1)
+	referee.now = time.Hour
+	referee.step(fleet(13))
+	s := referee.b.servers[3]
+	good := peerMessage{kind: reservationRequest, token: tokenClock(referee.b.now), server: serverKey(s), load: 1}
 	late, other := good, good.encode()
 	late.token -= maxMessageAge + 1
 	other[0] = 2<<4 | byte(reservationRequest)
-	for i, m := range []PeerMessage{
+	for i, message := range []PeerMessage{
 		{1, nil},
 		{1, good.encode()[:8]},
 		{1, append(good.encode(), 0)},
@@ -279,20 +279,20 @@
 		{1, peerMessage{kind: reservationGranted, token: good.token}.encode()},
 		{1, make([]byte, 300)},
 	} {
-		if out := f.step(m); len(out) > 0 || f.b.DroppedPeerMessages() != i+1 {
-			t.Errorf("message %d: %d dropped, actions %v", i, f.b.DroppedPeerMessages(), out)
+		if out := referee.step(message); len(out) > 0 || referee.b.DroppedPeerMessages() != i+1 {
+			t.Errorf("message %d: %d dropped, actions %v", i, referee.b.DroppedPeerMessages(), out)
 		}
 	}
-	if out := f.step(PeerMessage{1, good.encode()}); len(out) != 1 {
+	if out := referee.step(PeerMessage{1, good.encode()}); len(out) != 1 {
 		t.Fatalf("a good message: %v", out)
 	}
-	if out := f.step(PeerMessage{1, good.encode()}); len(out) > 0 {
+	if out := referee.step(PeerMessage{1, good.encode()}); len(out) > 0 {
 		t.Errorf("a repeat: %v", out)
 	}
 }
 
-// FuzzMessage checks that no bytes of another node crash the module, and that what is read is in its range.
-func FuzzMessage(f *testing.F) {
+// FuzzPeerMessage checks that no bytes of another node crash the module, and that what is read is in its range.
+func FuzzPeerMessage(f *testing.F) {
 	f.Add(peerMessage{kind: reservationRequest, token: 1, server: 2, group: 3, load: 1}.encode())
 	f.Add(peerMessage{kind: reservationGranted, token: 1, load: 0.5, fraction: 1}.encode())
 	f.Fuzz(func(t *testing.T, p []byte) {
@@ -306,19 +306,19 @@
 	})
 }
 
-// TestAYesForAHostThatDrainsIsNotTaken has a host begin to drain while its keeper's answer is on the way.
-func TestAYesForAHostThatDrainsIsNotTaken(t *testing.T) {
-	f := newReferee(t, keeping(), 1)
-	f.now = time.Hour
-	f.step(fleet(13))
-	for _, a := range f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
+// TestReservationOfADrainingServerIsNotTaken has a host begin to drain while its keeper's answer is on the way.
+func TestReservationOfADrainingServerIsNotTaken(t *testing.T) {
+	referee := newReferee(t, keeping(), 1)
+	referee.now = time.Hour
+	referee.step(fleet(13))
+	for _, a := range referee.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
 		if a, ok := a.(SendPeerMessage); ok {
 			q, _ := decodePeerMessage(a.Data)
-			drained := f.b.findServerByKey(q.server).Server
+			drained := referee.b.findServerByKey(q.server).Server
 			drained.State = Draining
-			f.step(ServerList{Kind: ListChange, Servers: []Server{drained}})
-			f.step(PeerMessage{a.To, peerMessage{kind: reservationGranted, token: q.token}.encode()})
-			if slices.Contains(f.sends(), drained.ID) {
+			referee.step(ServerList{Kind: ListChange, Servers: []Server{drained}})
+			referee.step(PeerMessage{a.To, peerMessage{kind: reservationGranted, token: q.token}.encode()})
+			if slices.Contains(referee.sends(), drained.ID) {
 				t.Error("sent to a host that drains")
 			}
 			return
@@ -327,28 +327,28 @@
 	t.Error("no keeper was asked")
 }
 
-// TestClientLeavesWhileAKeeperIsAsked has a client leave, or a stop answer it, while another node's answer is on the way, or lost:
+// TestClientGoneWhileAnOwnerIsAsked has a client leave, or a stop answer it, while another node's answer is on the way, or lost:
 // nothing is sent for it.
-func TestClientLeavesWhileAKeeperIsAsked(t *testing.T) {
+func TestClientGoneWhileAnOwnerIsAsked(t *testing.T) {
 	for _, end := range []Event{ClientGone{"r"}, TimeUp{"r"}} {
 		for _, lost := range []bool{false, true} {
-			f := newReferee(t, keeping(), 1)
-			f.now = time.Hour
-			f.step(fleet(13))
+			referee := newReferee(t, keeping(), 1)
+			referee.now = time.Hour
+			referee.step(fleet(13))
 			asked := false
-			for _, a := range f.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
+			for _, a := range referee.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
 				if a, ok := a.(SendPeerMessage); ok {
 					asked = true
 					q, _ := decodePeerMessage(a.Data)
-					f.step(end)
+					referee.step(end)
 					if lost {
-						f.run(f.now + 2*peerTimeout)
+						referee.run(referee.now + 2*peerTimeout)
 					} else {
-						f.step(PeerMessage{a.To, peerMessage{kind: reservationGranted, token: q.token}.encode()})
+						referee.step(PeerMessage{a.To, peerMessage{kind: reservationGranted, token: q.token}.encode()})
 					}
 				}
 			}
-			if sent := f.sends(); !asked || len(sent) > 0 {
+			if sent := referee.sends(); !asked || len(sent) > 0 {
 				t.Errorf("%T, lost %v: asked %v, sent to %v", end, lost, asked, sent)
 			}
 		}
@@ -358,15 +358,15 @@
 // TestFewerNodesWhileAnOwnerIsAsked has settings name fewer nodes while the answer of one that is no longer there is awaited: the
 // request is placed without it.
 func TestFewerNodesWhileAnOwnerIsAsked(t *testing.T) {
-	f := newReferee(t, keeping(), 1)
-	f.now = time.Hour
-	f.step(fleet(13))
+	referee := newReferee(t, keeping(), 1)
+	referee.now = time.Hour
+	referee.step(fleet(13))
 	fewer := keeping()
 	fewer.Nodes = 4
 	var waiting RequestID
 	for group := uint64(1); waiting == "" && group < 20; group++ {
 		id := RequestID(fmt.Sprint("r", group))
-		for _, action := range f.step(Request{ID: id, Group: group, TimeLeft: 2 * time.Second, Tenant: -1}) {
+		for _, action := range referee.step(Request{ID: id, Group: group, TimeLeft: 2 * time.Second, Tenant: -1}) {
 			if message, ok := action.(SendPeerMessage); ok && message.To >= fewer.Nodes {
 				waiting = id
 			}
@@ -375,10 +375,10 @@
 	if waiting == "" {
 		t.Fatal("no owner beyond the first four nodes was asked")
 	}
-	f.step(SettingsChanged{fewer})
-	f.load = level(0.3)
-	f.run(f.now + 4*peerTimeout)
-	if sent := f.reqs[waiting].sent; sent != 1 {
+	referee.step(SettingsChanged{fewer})
+	referee.load = level(0.3)
+	referee.run(referee.now + 4*peerTimeout)
+	if sent := referee.reqs[waiting].sent; sent != 1 {
 		t.Errorf("the request was sent %d times, want once", sent)
 	}
 }
--- a/choice/patrol_test.go
+++ b/choice/patrol_test.go
@@ -10,7 +10,7 @@
 // delay notes come, as on sockets, and that nothing is asked where they do.
 func TestFullServerIsFound(t *testing.T) {
 	for _, tells := range []bool{false, true} {
-		b, err := New(Settings{
+		balancer, err := New(Settings{
 			Nodes: 1, DelaysObserved: tells, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
 			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond,
@@ -28,18 +28,18 @@
 		for range 30 {
 			events := next
 			next = nil
-			for _, a := range b.Step(now, events) {
-				switch a := a.(type) {
+			for _, a := range balancer.Step(now, events) {
+				switch action := a.(type) {
 				case HealthCheck:
-					if probes++; a.Server != "full" {
-						t.Errorf("asked %s, which holds nothing", a.Server)
+					if probes++; action.Server != "full" {
+						t.Errorf("asked %s, which holds nothing", action.Server)
 					}
-					next = append(next, HealthCheckResult{Server: a.Server, Report: []float64{3}})
+					next = append(next, HealthCheckResult{Server: action.Server, Report: []float64{3}})
 				case Migrate:
 					moves++
-					next = append(next, AttemptEnded{ID: a.ID, Server: "full", Outcome: Cancelled, Final: true})
+					next = append(next, AttemptEnded{ID: action.ID, Server: "full", Outcome: Cancelled, Final: true})
 				case SetTimer:
-					next = append(next, TimerFired{a.Token})
+					next = append(next, TimerFired{action.Token})
 				}
 			}
 			now += time.Second
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestNothingIsAskedForWhereHostsReportNothing guards hosts whose protocol has no load reports against being asked.
-func TestNothingIsAskedForWhereHostsReportNothing(t *testing.T) {
-	b, err := New(Settings{
+// TestNoHealthChecksWithoutReports guards hosts whose protocol has no load reports against being asked.
+func TestNoHealthChecksWithoutReports(t *testing.T) {
+	balancer, err := New(Settings{
 		Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
 		Limits: Limits{MaxAttempts: 4, HealthChecks: true},
 	}, 1, time.Hour)
@@ -63,7 +63,7 @@
 	for i := range 20 {
 		events := next
 		next = nil
-		for _, a := range b.Step(time.Hour+time.Duration(i)*time.Second, events) {
+		for _, a := range balancer.Step(time.Hour+time.Duration(i)*time.Second, events) {
 			switch a := a.(type) {
 			case HealthCheck:
 				t.Fatal("a probe after ", i, " s")
@@ -77,11 +77,11 @@
 // TestSlowMessagesCountAsLoad checks that a report of slow messages is as good as one of a full server where no notes
 // come: what piled up makes messages late although the load asked looks fine again. The excess goes, not all.
 func TestSlowMessagesCountAsLoad(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		late, load float64
 		moves      bool
 	}{{5, 0.6, false}, {400, 0.6, true}, {5, 0, false}} {
-		b, err := New(Settings{
+		balancer, err := New(Settings{
 			Nodes: 1, Reports: HealthCheckReports, ReportFields: []ReportField{Latency, Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second, MessageObjective: 60 * time.Millisecond}},
 			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond,
@@ -93,20 +93,20 @@
 		for i := range 40 {
 			events = append(events, OpenConnection{Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1}, Server: "late"})
 		}
-		b.Step(time.Hour, events)
-		b.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "idle", Report: []float64{3, 0.1}}})
+		balancer.Step(time.Hour, events)
+		balancer.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "idle", Report: []float64{3, 0.1}}})
 		// Connections that left since a report shows take the prediction under 0, which must not read as an excess.
 		for i := range 30 {
-			b.Step(time.Hour+9*time.Second, []Event{AttemptEnded{ID: RequestID(fmt.Sprint(i)), Server: "late", Final: true}})
+			balancer.Step(time.Hour+9*time.Second, []Event{AttemptEnded{ID: RequestID(fmt.Sprint(i)), Server: "late", Final: true}})
 		}
 		moves := 0
-		for _, a := range b.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "late", Report: []float64{c.late, c.load}}}) {
+		for _, a := range balancer.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "late", Report: []float64{test.late, test.load}}}) {
 			if _, ok := a.(Migrate); ok {
 				moves++
 			}
 		}
-		if moves > 0 != c.moves || moves > 30 {
-			t.Errorf("messages of %v ms at %v: %d of 40 moved", c.late, c.load, moves)
+		if moves > 0 != test.moves || moves > 30 {
+			t.Errorf("messages of %v ms at %v: %d of 40 moved", test.late, test.load, moves)
 		}
 	}
 }
--- a/choice/phase_test.go
+++ b/choice/phase_test.go
@@ -6,22 +6,22 @@
 )
 
 // Nodes that start together must not all get their leave for cold hosts in the same moment.
-func TestCommonLeaveHasASeededPhase(t *testing.T) {
+func TestCommonCreditHasASeededPhase(t *testing.T) {
 	const nodes = 20
 	seen := map[int]bool{}
 	for seed := range uint64(nodes) {
-		b, err := New(silentSettings(nodes), seed, time.Hour)
+		balancer, err := New(silentSettings(nodes), seed, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{
+		balancer.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{
 			{ID: "cold", Size: 2, Started: time.Hour}, {ID: "warm", Size: 2},
 		}}})
-		b.mayStartSlowly(&requestEntry{affinity: 1}, b.findServer("cold"))
-		if b.slowStart.common.amount < 0 || b.slowStart.common.amount >= 1 {
-			t.Fatalf("seed %d starts with leave of %.3f", seed, b.slowStart.common.amount)
+		balancer.mayStartSlowly(&requestEntry{affinity: 1}, balancer.findServer("cold"))
+		if balancer.slowStart.common.amount < 0 || balancer.slowStart.common.amount >= 1 {
+			t.Fatalf("seed %d starts with leave of %.3f", seed, balancer.slowStart.common.amount)
 		}
-		seen[int(b.slowStart.common.amount*10)] = true
+		seen[int(balancer.slowStart.common.amount*10)] = true
 	}
 	if len(seen) < 5 {
 		t.Errorf("%d nodes start in %d of ten phases", nodes, len(seen))
@@ -29,7 +29,7 @@
 }
 
 // A connection that comes with a class of other settings must not make a table of its own size.
-func TestToldLoadsOfUnknownClasses(t *testing.T) {
+func TestConnectionLoadsOfUnknownClasses(t *testing.T) {
 	b, now := silentNode(t, 3, 4)
 	class := b.settings.Classes[0]
 	b.Step(now, []Event{OpenConnection{Request: Request{ID: "x", Class: 1 << 20, Tenant: -1}, Server: "h0", OriginalClass: &class, CurrentLoad: 0.05}})
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -67,25 +67,25 @@
 }
 
 func (j *rulesJudge) told(n *simNode, e choice.Event) {
-	k := j.book(n)
-	switch e := e.(type) {
+	book := j.book(n)
+	switch event := e.(type) {
 	case choice.ServerList:
-		j.toldList(n, k, e)
+		j.toldList(n, book, event)
 	case choice.Request:
-		r := j.w.requests[e.ID]
-		r.deadline = j.w.now + e.TimeLeft
-		j.w.after(e.TimeLeft+j.w.settings.Rules.AnswerSlack+1, func() { j.mustBeAnswered(n, r) })
+		r := j.w.requests[event.ID]
+		r.deadline = j.w.now + event.TimeLeft
+		j.w.after(event.TimeLeft+j.w.settings.Rules.AnswerSlack+1, func() { j.mustBeAnswered(n, r) })
 	case choice.ZonePlan:
-		k.planned, k.planAt, k.zones = e.Grants != nil, j.w.now, nil
-		for _, g := range e.Grants {
-			k.zones = append(k.zones, g.Zone)
+		book.planned, book.planAt, book.zones = event.Grants != nil, j.w.now, nil
+		for _, g := range event.Grants {
+			book.zones = append(book.zones, g.Zone)
 		}
 	case choice.Established:
-		k.keep(e.ID, j.w)
+		book.keep(event.ID, j.w)
 	case choice.AttemptEnded:
-		k.keep(e.ID, j.w)
+		book.keep(event.ID, j.w)
 	case choice.ClientGone:
-		k.keep(e.ID, j.w)
+		book.keep(event.ID, j.w)
 	}
 }
 
@@ -105,8 +105,8 @@
 	return requestState{r.open, r.over, r.gone}
 }
 
-func (j *rulesJudge) toldList(n *simNode, k *nodeBook, e choice.ServerList) {
-	if e.Kind == choice.ListUnavailable {
+func (j *rulesJudge) toldList(n *simNode, k *nodeBook, list choice.ServerList) {
+	if list.Kind == choice.ListUnavailable {
 		lost := j.w.now
 		k.lostAt = lost
 		j.w.after(j.w.settings.Rules.MaxPollInterval, func() {
@@ -117,12 +117,12 @@
 		return
 	}
 	named := map[choice.ServerID]choice.ServerState{}
-	if e.Kind != choice.ListChange {
+	if list.Kind != choice.ListChange {
 		for id := range k.lists {
 			named[id] = choice.Gone
 		}
 	}
-	for _, s := range e.Servers {
+	for _, s := range list.Servers {
 		named[s.ID], k.everListed[s.ID] = s.State, true
 	}
 	for id, state := range named {
@@ -142,49 +142,49 @@
 }
 
 func (j *rulesJudge) acts(n *simNode, a choice.Action) {
-	k, limits := j.book(n), j.w.settings.Limits
-	switch a := a.(type) {
+	book, limits := j.book(n), j.w.settings.Limits
+	switch action := a.(type) {
 	case choice.StartAttempt:
-		j.sends(n, k, a)
+		j.sends(n, book, action)
 	case choice.Reject:
-		r := j.final(n, k, a.ID)
+		r := j.final(n, book, action.ID)
 		if r.mayHaveRun() != nil {
 			if r.class.Idempotency == choice.NotIdempotent || r.class.Idempotency == choice.IdempotentByKey && r.class.IdempotencyScope != choice.ScopeAll {
 				j.broken(n, "%s may have run and is refused as if it had not: %+v", r.ID, r.class)
 			}
 			j.w.count("refusals of what may have run")
 		}
-		j.advises(n, a)
+		j.advises(n, action)
 	case choice.Fail:
-		if r := j.final(n, k, a.ID); r.mayHaveRun() != nil {
+		if r := j.final(n, book, action.ID); r.mayHaveRun() != nil {
 			j.w.count("failures of what may have run")
 		}
 	case choice.CancelAttempt:
-		r := j.w.requests[a.ID]
-		if !limits.Cancellation || r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
-			j.broken(n, "%+v is not allowed or names no attempt", a)
+		r := j.w.requests[action.ID]
+		if !limits.Cancellation || r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
+			j.broken(n, "%+v is not allowed or names no attempt", action)
 		}
 	case choice.HealthCheck:
-		if !limits.HealthChecks || !k.everListed[a.Server] {
-			j.broken(n, "%+v is not allowed or names no listed host", a)
+		if !limits.HealthChecks || !book.everListed[action.Server] {
+			j.broken(n, "%+v is not allowed or names no listed host", action)
 		}
 	case choice.Migrate:
-		r := j.w.requests[a.ID]
-		if r == nil || r.node != n || !r.open && !k.state(r).open || k.state(r).over {
-			j.broken(n, "%+v names no open connection of this node", a)
+		r := j.w.requests[action.ID]
+		if r == nil || r.node != n || !r.open && !book.state(r).open || book.state(r).over {
+			j.broken(n, "%+v names no open connection of this node", action)
 		}
 	case choice.SetTimer:
-		if a.Token == "" || a.After < 0 {
-			j.broken(n, "bad timer %+v", a)
+		if action.Token == "" || action.After < 0 {
+			j.broken(n, "bad timer %+v", action)
 		}
 	case choice.WatchList:
 		if !j.w.settings.Subscribe {
 			j.broken(n, "asks for a list that is pushed")
 		}
-		k.lostAt = 0
+		book.lostAt = 0
 	case choice.SendPeerMessage:
-		if !limits.PeerMessages || a.To < 0 || a.To >= len(j.w.nodes) || a.To == n.number || len(a.Data) > tellLimit {
-			j.broken(n, "message of %d bytes to %d is not allowed or goes nowhere", len(a.Data), a.To)
+		if !limits.PeerMessages || action.To < 0 || action.To >= len(j.w.nodes) || action.To == n.number || len(action.Data) > tellLimit {
+			j.broken(n, "message of %d bytes to %d is not allowed or goes nowhere", len(action.Data), action.To)
 		}
 	}
 }
@@ -211,66 +211,66 @@
 }
 
 // final checks a final answer: it is the only one, and comes in time.
-func (j *rulesJudge) final(n *simNode, k *nodeBook, id choice.RequestID) *simRequest {
-	r := j.w.requests[id]
-	if r == nil || r.node != n || r.answered {
-		j.broken(n, "a second or foreign answer for %s", id)
+func (j *rulesJudge) final(node *simNode, k *nodeBook, id choice.RequestID) *simRequest {
+	request := j.w.requests[id]
+	if request == nil || request.node != node || request.answered {
+		j.broken(node, "a second or foreign answer for %s", id)
 	}
-	if was := k.state(r); was.open || was.over || was.gone {
-		j.broken(n, "an answer for %s, which is over: %+v", id, was)
+	if was := k.state(request); was.open || was.over || was.gone {
+		j.broken(node, "an answer for %s, which is over: %+v", id, was)
 	}
-	if j.w.now > r.deadline+j.w.settings.Rules.AnswerSlack {
-		j.broken(n, "an answer for %s after its deadline %v", id, r.deadline-simulationStart)
+	if j.w.now > request.deadline+j.w.settings.Rules.AnswerSlack {
+		j.broken(node, "an answer for %s after its deadline %v", id, request.deadline-simulationStart)
 	}
-	return r
+	return request
 }
 
-func (j *rulesJudge) sends(n *simNode, k *nodeBook, a choice.StartAttempt) {
-	r, h, rules := j.w.requests[a.ID], j.w.byID[a.Server], j.w.settings.Rules
+func (j *rulesJudge) sends(n *simNode, k *nodeBook, action choice.StartAttempt) {
+	server, h, rules := j.w.requests[action.ID], j.w.byID[action.Server], j.w.settings.Rules
 	switch {
-	case r == nil || r.node != n || h == nil || !k.everListed[a.Server]:
-		j.broken(n, "%+v names no request of this node or no listed host", a)
-	case r.answered || k.state(r).open || k.state(r).over:
-		j.broken(n, "%s is sent after its final answer", a.ID)
-	case k.state(r).gone:
-		j.broken(n, "%s is sent after its client has gone", a.ID)
-	case len(r.attempts) >= j.w.settings.Limits.MaxAttempts:
-		j.broken(n, "%s is sent a %dth time", a.ID, len(r.attempts)+1)
-	case len(r.attempts) > 0 && !r.attempts[len(r.attempts)-1].ended:
-		j.broken(n, "two attempts of %s are out", a.ID)
-	case a.Timeout <= 0 || j.w.now+a.Timeout > r.deadline:
-		j.broken(n, "the cap of %+v outlives its client at %v", a, r.deadline-simulationStart)
-	}
-	if since, off := k.offSince[a.Server]; off && j.w.now > since+rules.DrainGrace {
-		j.broken(n, "%+v: it was told at %v that the host drains or is gone", a, since-simulationStart)
-	}
-	if k.planned && j.w.now > k.planAt && r.StickyServer != a.Server && !slices.Contains(k.zones, h.Zone) {
-		j.broken(n, "%+v leaves the zones of the plan %v for %s", a, k.zones, h.Zone)
-	}
-	if may := r.mayHaveRun(); may != nil {
-		j.repeats(n, a, r, may, h)
+	case server == nil || server.node != n || h == nil || !k.everListed[action.Server]:
+		j.broken(n, "%+v names no request of this node or no listed host", action)
+	case server.answered || k.state(server).open || k.state(server).over:
+		j.broken(n, "%s is sent after its final answer", action.ID)
+	case k.state(server).gone:
+		j.broken(n, "%s is sent after its client has gone", action.ID)
+	case len(server.attempts) >= j.w.settings.Limits.MaxAttempts:
+		j.broken(n, "%s is sent a %dth time", action.ID, len(server.attempts)+1)
+	case len(server.attempts) > 0 && !server.attempts[len(server.attempts)-1].ended:
+		j.broken(n, "two attempts of %s are out", action.ID)
+	case action.Timeout <= 0 || j.w.now+action.Timeout > server.deadline:
+		j.broken(n, "the cap of %+v outlives its client at %v", action, server.deadline-simulationStart)
+	}
+	if since, off := k.offSince[action.Server]; off && j.w.now > since+rules.DrainGrace {
+		j.broken(n, "%+v: it was told at %v that the host drains or is gone", action, since-simulationStart)
+	}
+	if k.planned && j.w.now > k.planAt && server.StickyServer != action.Server && !slices.Contains(k.zones, h.Zone) {
+		j.broken(n, "%+v leaves the zones of the plan %v for %s", action, k.zones, h.Zone)
+	}
+	if may := server.mayHaveRun(); may != nil {
+		j.repeats(n, action, server, may, h)
 	}
 }
 
 // repeats checks a further attempt of a request that may have run.
-func (j *rulesJudge) repeats(n *simNode, a choice.StartAttempt, r *simRequest, may *simAttempt, h *simHost) {
-	c := r.class
+func (j *rulesJudge) repeats(n *simNode, a choice.StartAttempt, r *simRequest, may *simAttempt, server *simHost) {
+	class := r.class
 	switch {
-	case c.Idempotency == choice.Idempotent:
+	case class.Idempotency == choice.Idempotent:
 		j.w.count("safe repeats")
-	case c.Idempotency == choice.NotIdempotent:
+	case class.Idempotency == choice.NotIdempotent:
 		j.broken(n, "%s is unsafe, may have run and is sent again", a.ID)
-	case j.w.now > may.sentAt+c.IdempotencyWindow || a.SendBefore <= 0 || a.SendBefore > may.sentAt+c.IdempotencyWindow:
-		j.broken(n, "%+v: the window of %v since %v is over", a, c.IdempotencyWindow, may.sentAt-simulationStart)
-	case c.IdempotencyScope == choice.ScopeZone && h.Zone != may.host.Zone, c.IdempotencyScope == choice.ScopeCell && h.Cell != may.host.Cell:
-		j.broken(n, "%+v leaves the hosts that know of it: %+v, first %+v", a, h.Server, may.host.Server)
+	case j.w.now > may.sentAt+class.IdempotencyWindow || a.SendBefore <= 0 || a.SendBefore > may.sentAt+class.IdempotencyWindow:
+		j.broken(n, "%+v: the window of %v since %v is over", a, class.IdempotencyWindow, may.sentAt-simulationStart)
+	case class.IdempotencyScope == choice.ScopeZone && server.Zone != may.host.Zone, class.IdempotencyScope == choice.ScopeCell && server.Cell != may.host.Cell:
+		j.broken(n, "%+v leaves the hosts that know of it: %+v, first %+v", a, server.Server, may.host.Server)
 	default:
-		j.w.count("keyed repeats, scope " + []string{"all", "zone", "cell"}[c.IdempotencyScope])
+		j.w.count("keyed repeats, scope " + []string{"all", "zone", "cell"}[class.IdempotencyScope])
 	}
 }
 
-func (j *rulesJudge) stepped(n *simNode, events []choice.Event, actions []choice.Action) {
-	k := j.book(n)
+func (j *rulesJudge) stepped(node *simNode, events []choice.Event, actions []choice.Action) {
+	k := j.book(node)
 	clear(k.before)
 	waiting := 0
 	for _, e := range events {
@@ -280,7 +280,7 @@
 		}
 	}
 	if most := 40 * (1 + len(events) + len(j.w.hosts) + waiting); len(actions) > most {
-		j.broken(n, "%d actions for %d events", len(actions), len(events))
+		j.broken(node, "%d actions for %d events", len(actions), len(events))
 	}
 }
 
@@ -290,13 +290,13 @@
 	between := func(lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
 	seconds := func(lo, hi float64) time.Duration { return time.Duration(between(lo, hi) * float64(time.Second)) }
 	hosts, zones := 3+int(58*rng.Float64()*rng.Float64()), 1+rng.IntN(5)
-	world := terms{
+	conditions := terms{
 		perHost: between(6, 20), life: seconds(3, 9), listDelay: seconds(0.05, 2), lossOfList: between(0, 0.4),
 		lossOfTells: between(0, 0.3), tries: 1 + rng.IntN(4), leavers: between(0, 0.2), toldLoads: chance(0.4),
 		oddAnswers: between(0.02, 0.2), shedAt: between(1, 1.6), homes: 0.03, skew: 1 + rng.IntN(5),
 	}
-	world.slotsAt = world.shedAt * between(0.8, 1.1)
-	s := choice.Settings{
+	conditions.slotsAt = conditions.shedAt * between(0.8, 1.1)
+	settings := choice.Settings{
 		Nodes: 1 + rng.IntN(30), Zone: "z0", GroupAffinity: chance(0.4), PacketPassThrough: chance(0.2), Subscribe: chance(0.5),
 		Reports: choice.ReportSource(rng.IntN(3)), Sizes: choice.SizeKind(rng.IntN(3)), DelaysObserved: chance(0.5),
 		OverQuotaPriority: between(0, 1), PriorityPerWork: chance(0.5), RoundTrip: 5 * time.Millisecond,
@@ -310,13 +310,15 @@
 		},
 		Costs: choice.Costs{HealthCheck: between(0.001, 0.01), Migration: 0.01, PeerMessage: between(0, 0.02), CrossZone: between(0, 0.03)},
 	}
-	if s.Reports != choice.NoReports {
-		s.ReportFields = []choice.ReportField{choice.Load, choice.Backlog, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency}
-		rng.Shuffle(len(s.ReportFields), func(a, b int) { s.ReportFields[a], s.ReportFields[b] = s.ReportFields[b], s.ReportFields[a] })
-		s.ReportFields = s.ReportFields[:1+rng.IntN(4)]
+	if settings.Reports != choice.NoReports {
+		settings.ReportFields = []choice.ReportField{choice.Load, choice.Backlog, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency}
+		rng.Shuffle(len(settings.ReportFields), func(a, b int) {
+			settings.ReportFields[a], settings.ReportFields[b] = settings.ReportFields[b], settings.ReportFields[a]
+		})
+		settings.ReportFields = settings.ReportFields[:1+rng.IntN(4)]
 	}
 	if chance(0.5) {
-		s.InitialCost = 1 / world.perHost
+		settings.InitialCost = 1 / conditions.perHost
 	}
 	for i := range 1 + rng.IntN(5) {
 		c := choice.Class{
@@ -326,12 +328,12 @@
 		if c.Idempotency == choice.IdempotentByKey {
 			c.IdempotencyScope, c.IdempotencyWindow = choice.Scope(rng.IntN(3)), seconds(0.1, 4)
 		}
-		s.Classes = append(s.Classes, c)
+		settings.Classes = append(settings.Classes, c)
 	}
 	for i := range rng.IntN(2) * (1 + rng.IntN(4)) {
-		s.Tenants = append(s.Tenants, choice.Tenant{
+		settings.Tenants = append(settings.Tenants, choice.Tenant{
 			Name: fmt.Sprint("t", i), Rate: between(1, 10), Share: 0.2,
-			Connections: between(0, 1) * float64(hosts) * world.perHost,
+			Connections: between(0, 1) * float64(hosts) * conditions.perHost,
 		})
 	}
 	var list []choice.Server
@@ -340,12 +342,12 @@
 			ID: choice.ServerID(fmt.Sprintf("h%02d", i)), Zone: fmt.Sprint("z", i%zones), Kind: fmt.Sprint("k", i%2),
 			Cell: i % (2 * zones), Size: 1,
 		}
-		if s.Sizes != choice.NoSize {
+		if settings.Sizes != choice.NoSize {
 			h.Size = between(0.5, 2)
 		}
 		list = append(list, h)
 	}
-	return s, world, list
+	return settings, conditions, list
 }
 
 // playDrawn plays one drawn world and returns how often what happened.
@@ -358,65 +360,65 @@
 func playDrawnWorld(t *testing.T, seed uint64, r *recorder) *simulation {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 5))
-	s, world, list := drawSettings(rng)
+	settings, conditions, list := drawSettings(rng)
 	j := newRulesJudge()
-	w := newSimulation(t, fmt.Sprintf("seed %d", seed), s, world, list, seed, j)
-	j.w, w.recorder = w, r
+	world := newSimulation(t, fmt.Sprintf("seed %d", seed), settings, conditions, list, seed, j)
+	j.w, world.recorder = world, r
 	watchdog := time.AfterFunc(worldLimit, func() { panic(fmt.Sprintf("seed %d: the world hangs", seed)) })
 	defer watchdog.Stop()
 
-	capacity := float64(len(list)) * world.perHost / world.life.Seconds() // new connections a second that fill all hosts
+	capacity := float64(len(list)) * conditions.perHost / conditions.life.Seconds() // new connections a second that fill all hosts
 	draw := func() *simClient {
-		c := &simClient{class: w.rng.IntN(len(s.Classes)), tenant: -1, key: w.rng.Uint64(), load: 1}
-		if len(s.Tenants) > 0 {
-			c.tenant = w.rng.IntN(len(s.Tenants))
+		client := &simClient{class: world.rng.IntN(len(settings.Classes)), tenant: -1, key: world.rng.Uint64(), load: 1}
+		if len(settings.Tenants) > 0 {
+			client.tenant = world.rng.IntN(len(settings.Tenants))
 		}
-		if s.GroupAffinity {
-			c.group = w.rng.Uint64N(20)
+		if settings.GroupAffinity {
+			client.group = world.rng.Uint64N(20)
 		}
-		if world.toldLoads {
-			c.load = 0.5 + w.rng.Float64()
+		if conditions.toldLoads {
+			client.load = 0.5 + world.rng.Float64()
 		}
-		return c
-	}
-	w.arrivalsFor(drawnDay, capacity*(0.3+0.6*rng.Float64()), draw)
-	w.after(w.upTo(drawnDay), func() { w.arrivalsFor(2*time.Second, capacity*2, draw) }) // a burst
-	schedule(w, s)
-	w.run(w.now + drawnDay)
-	stopNodes(w)
-	w.terms.tries = 0 // who comes later than that has no answer within the run
-	w.run(w.now + 12*time.Second)
-	for _, r := range w.requests {
+		return client
+	}
+	world.arrivalsFor(drawnDay, capacity*(0.3+0.6*rng.Float64()), draw)
+	world.after(world.upTo(drawnDay), func() { world.arrivalsFor(2*time.Second, capacity*2, draw) }) // a burst
+	schedule(world, settings)
+	world.run(world.now + drawnDay)
+	stopNodes(world)
+	world.terms.tries = 0 // who comes later than that has no answer within the run
+	world.run(world.now + 12*time.Second)
+	for _, r := range world.requests {
 		if !r.answered && !r.open && !r.over && !r.gone {
 			t.Fatalf("seed %d: %s never got its answer", seed, r.ID)
 		}
 	}
-	return w
+	return world
 }
 
 // schedule has the world's troubles happen.
-func schedule(w *simulation, s choice.Settings) {
+func schedule(w *simulation, settings choice.Settings) {
 	trouble := []func(*simHost){w.drain, w.vanish, w.restart, w.fail}
 	for i := range 8 + len(w.hosts)/3 {
 		h := w.hosts[w.rng.IntN(len(w.hosts))]
 		w.after(w.upTo(drawnDay), func() { trouble[i%len(trouble)](h) })
 	}
-	if s.Subscribe {
+	if settings.Subscribe {
 		for range 1 + len(w.nodes)/2 {
 			n := w.nodes[w.rng.IntN(len(w.nodes))]
 			w.after(w.upTo(drawnDay), func() { w.breakList(n) })
 		}
 	}
 	if w.often(0.3) { // for a time a plan names the zones
-		at, plan := w.upTo(drawnDay/2), drawPlan(w, s)
+		at, plan := w.upTo(drawnDay/2), drawPlan(w, settings)
 		w.after(at, func() { w.planFor(plan) })
 		w.after(at+4*time.Second, func() { w.planFor(choice.ZonePlan{}) })
 	}
 }
 
 // drawPlan draws a plan that names some zones, with advice up to the most that clients heed.
-func drawPlan(w *simulation, s choice.Settings) choice.ZonePlan {
-	plan := choice.ZonePlan{Grants: []choice.Grant{}, RetryAfter: w.upTo(s.Limits.MaxRetryAfter)}
+func drawPlan(w *simulation, settings choice.Settings) choice.ZonePlan {
+	plan := choice.ZonePlan{Grants: []choice.Grant{}, RetryAfter: w.upTo(settings.Limits.MaxRetryAfter)}
 	seen := map[string]bool{}
 	for _, h := range w.hosts {
 		if !seen[h.Zone] && w.often(0.6) {
@@ -424,7 +426,7 @@
 		}
 		seen[h.Zone] = true
 	}
-	for range s.Classes {
+	for range settings.Classes {
 		plan.AdmitFraction = append(plan.AdmitFraction, 0.3+0.7*w.rng.Float64())
 	}
 	return plan
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -27,28 +27,28 @@
 	}
 }
 
-func TestFullIsRedrawnElsewhereAndThenRefused(t *testing.T) {
-	f := newReferee(t, plain(), 3)
-	f.step(fleet(8))
-	f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
+func TestFullIsRetriedElsewhereAndThenRejected(t *testing.T) {
+	referee := newReferee(t, plain(), 3)
+	referee.step(fleet(8))
+	referee.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
 	used := map[ServerID]bool{}
 	for i := range 4 {
-		f.answerProbes(level(0.3))
-		got := f.sends()
+		referee.answerProbes(level(0.3))
+		got := referee.sends()
 		if len(got) != 1 || used[got[0]] {
 			t.Fatalf("attempt %d went to %v, used %v", i, got, used)
 		}
 		used[got[0]] = true
-		f.now += ms(5)
-		f.step(AttemptEnded{ID: "r", Attempt: i, Server: got[0], Outcome: Full})
+		referee.now += ms(5)
+		referee.step(AttemptEnded{ID: "r", Attempt: i, Server: got[0], Outcome: Full})
 	}
-	if !f.reqs["r"].done {
+	if !referee.reqs["r"].done {
 		t.Fatal("not answered after the attempt limit")
 	}
 }
 
 func TestNoEffectTwice(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		repeat  Idempotency
 		scope   Scope
 		outcome Outcome
@@ -63,24 +63,24 @@
 		{Idempotent, ScopeAll, TimedOut, true},
 	} {
 		s := plain()
-		s.Classes[0].Idempotency, s.Classes[0].IdempotencyScope, s.Classes[0].IdempotencyWindow = c.repeat, c.scope, time.Second
-		f := newReferee(t, s, 5)
-		f.step(fleet(30))
-		f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
-		f.answerProbes(level(0.3))
-		f.now += ms(20)
-		f.step(AttemptEnded{ID: "r", Attempt: 0, Server: f.sends()[0], Outcome: c.outcome})
-		f.answerProbes(level(0.3))
-		if again := len(f.sends()) == 1; again != c.again {
-			t.Errorf("%+v: sent again: %v", c, again)
+		s.Classes[0].Idempotency, s.Classes[0].IdempotencyScope, s.Classes[0].IdempotencyWindow = test.repeat, test.scope, time.Second
+		referee := newReferee(t, s, 5)
+		referee.step(fleet(30))
+		referee.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
+		referee.answerProbes(level(0.3))
+		referee.now += ms(20)
+		referee.step(AttemptEnded{ID: "r", Attempt: 0, Server: referee.sends()[0], Outcome: test.outcome})
+		referee.answerProbes(level(0.3))
+		if again := len(referee.sends()) == 1; again != test.again {
+			t.Errorf("%+v: sent again: %v", test, again)
 		}
-		if !c.again && !f.reqs["r"].done {
-			t.Errorf("%+v: neither sent nor answered", c)
+		if !test.again && !referee.reqs["r"].done {
+			t.Errorf("%+v: neither sent nor answered", test)
 		}
 	}
 }
 
-func TestKeyedWindowEnds(t *testing.T) {
+func TestIdempotencyWindowEnds(t *testing.T) {
 	s := plain()
 	s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = IdempotentByKey, ms(400)
 	f := newReferee(t, s, 5)
@@ -97,55 +97,55 @@
 }
 
 func TestNothingGoesToADrainingServer(t *testing.T) {
-	f := newReferee(t, plain(), 7)
+	referee := newReferee(t, plain(), 7)
 	l := fleet(3)
-	f.step(l)
-	f.step(Request{ID: "held", TimeLeft: ms(1800), Tenant: -1}) // waits for probes while the list changes
+	referee.step(l)
+	referee.step(Request{ID: "held", TimeLeft: ms(1800), Tenant: -1}) // waits for probes while the list changes
 	for i := range l.Servers[:2] {
 		l.Servers[i].State = Draining
 	}
-	f.now += ms(1)
-	f.step(ServerList{Kind: ListChange, Servers: l.Servers[:2]})
-	f.set.Rules.DrainGrace = 0 // the module does not use the grace at all
-	f.run(ms(70))
+	referee.now += ms(1)
+	referee.step(ServerList{Kind: ListChange, Servers: l.Servers[:2]})
+	referee.set.Rules.DrainGrace = 0 // the module does not use the grace at all
+	referee.run(ms(70))
 	for i := range 50 {
-		f.step(Request{ID: RequestID(fmt.Sprint(i)), TimeLeft: ms(1800), Tenant: -1})
-		f.answerProbes(level(0.3))
+		referee.step(Request{ID: RequestID(fmt.Sprint(i)), TimeLeft: ms(1800), Tenant: -1})
+		referee.answerProbes(level(0.3))
 	}
-	f.step(ServerList{Kind: ListFull}) // a whole list without it: gone
-	f.step(Request{ID: "none", TimeLeft: ms(1800), Tenant: -1})
-	if !f.reqs["none"].done {
+	referee.step(ServerList{Kind: ListFull}) // a whole list without it: gone
+	referee.step(Request{ID: "none", TimeLeft: ms(1800), Tenant: -1})
+	if !referee.reqs["none"].done {
 		t.Fatal("not refused with an empty list")
 	}
 }
 
-func TestListIsAskedAgainInTime(t *testing.T) {
-	s := plain()
-	s.Subscribe = true
-	f := newReferee(t, s, 9)
+func TestListIsPolledAgainInTime(t *testing.T) {
+	settings := plain()
+	settings.Subscribe = true
+	referee := newReferee(t, settings, 9)
 	asked := time.Duration(-1)
 	look := func() {
-		for _, a := range f.last {
+		for _, a := range referee.last {
 			if _, ok := a.(WatchList); ok {
-				asked = f.now
+				asked = referee.now
 			}
 		}
 	}
-	f.step(fleet(3))
+	referee.step(fleet(3))
 	look()
 	if asked != 0 {
 		t.Fatal("did not follow at start")
 	}
 	for range 20 {
-		f.step(ServerList{Kind: ListUnavailable})
-		lost := f.now
+		referee.step(ServerList{Kind: ListUnavailable})
+		lost := referee.now
 		asked = -1
-		for asked < 0 && f.now < lost+s.Rules.MaxPollInterval/2 {
-			f.run(f.now + ms(5))
+		for asked < 0 && referee.now < lost+settings.Rules.MaxPollInterval/2 {
+			referee.run(referee.now + ms(5))
 			look()
 		}
 		if asked < 0 {
-			t.Fatalf("not asked again within %v", s.Rules.MaxPollInterval/2)
+			t.Fatalf("not asked again within %v", settings.Rules.MaxPollInterval/2)
 		}
 	}
 }
@@ -157,11 +157,11 @@
 	const nodes, hot, cold, start, warmUp = 40, 5, 15, 20, 10
 	s := plain()
 	s.Nodes = nodes
-	var fs []*referee
+	var referees []*referee
 	for i := range nodes {
 		f := newReferee(t, s, uint64(100+i))
 		f.step(fleet(hot))
-		fs = append(fs, f)
+		referees = append(referees, f)
 	}
 	grown := ServerList{Kind: ListChange}
 	for i := range cold {
@@ -176,20 +176,20 @@
 		}
 		return 0.6
 	}
-	n := 0
+	count := 0
 	for sec := range start + 8 {
 		got := map[ServerID]int{}
-		for i, f := range fs {
-			f.run(time.Duration(sec)*time.Second + ms(i))
+		for i, referee := range referees {
+			referee.run(time.Duration(sec)*time.Second + ms(i))
 			if sec == start {
-				f.step(grown)
+				referee.step(grown)
 			}
 			if sec >= start && sec < start+quiet {
 				continue
 			}
 			for range 5 {
-				n++
-				if to := f.place(fmt.Sprint(n), 0, load); to != "" && to[0] == 'c' {
+				count++
+				if to := referee.place(fmt.Sprint(count), 0, load); to != "" && to[0] == 'c' {
 					got[to]++
 					total++
 				}
@@ -205,7 +205,7 @@
 }
 
 // All nodes together must not send a cold server more than a multiple of what it can do.
-func TestColdServerIsNotPushedOver(t *testing.T) {
+func TestSlowStartServerIsNotOverloaded(t *testing.T) {
 	worst, total := growth(t, 0)
 	t.Log(worst, total)
 	if worst > 3 {
@@ -217,10 +217,10 @@
 }
 
 func TestOddInputIsHarmless(t *testing.T) {
-	f := newReferee(t, plain(), 11)
-	f.step(fleet(4))
+	referee := newReferee(t, plain(), 11)
+	referee.step(fleet(4))
 	nan := math.NaN()
-	f.step(
+	referee.step(
 		AttemptEnded{ID: "nobody", Server: "nowhere"}, Established{ID: "nobody"}, ClientGone{ID: "nobody"},
 		HealthCheckResult{Server: "nowhere"}, HealthCheckResult{Server: "s000", Report: []float64{1}},
 		HealthCheckResult{Server: "s000", Report: []float64{nan, math.Inf(1)}}, HealthCheckResult{Server: "s001", Report: []float64{-3, -1}},
@@ -230,11 +230,11 @@
 		Request{ID: "odd", TimeLeft: ms(100), Load: nan, Tenant: 7}, Request{ID: "odd", TimeLeft: ms(100)},
 		Request{ID: "neg", TimeLeft: ms(100), Load: -1}, ServerList{Kind: ListChange, Servers: []Server{{ID: "z", Size: nan}}},
 	)
-	f.set.Classes = append(f.set.Classes, f.set.Classes[0])
-	f.step(Request{ID: "class", Class: 1, TimeLeft: ms(100)})
-	f.run(ms(300))
-	f.now = 0 // time going back counts as the maxMessageAge seen
-	if a := f.b.Step(0, []Event{TimerFired{"tick"}}); len(a) == 0 {
+	referee.set.Classes = append(referee.set.Classes, referee.set.Classes[0])
+	referee.step(Request{ID: "class", Class: 1, TimeLeft: ms(100)})
+	referee.run(ms(300))
+	referee.now = 0 // time going back counts as the maxMessageAge seen
+	if a := referee.b.Step(0, []Event{TimerFired{"tick"}}); len(a) == 0 {
 		t.Fatal("tick lost")
 	}
 	if _, err := New(Settings{}, 1, 0); err == nil {
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -9,11 +9,11 @@
 // TestRequestsKeepWhatTheyCameWith has settings change under a request: its class stays what it was, and so does the number
 // of its attempts; the next request goes by the new ones.
 func TestRequestsKeepWhatTheyCameWith(t *testing.T) {
-	s := Settings{
+	settings := Settings{
 		Nodes: 1, RoundTrip: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
 		Tenants: []Tenant{{Name: "t"}}, Limits: Limits{MaxAttempts: 3},
 	}
-	b, err := New(s, 1, 0)
+	balancer, err := New(settings, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 		events := []Event{Request{ID: id, Class: class, Tenant: class, TimeLeft: 9 * time.Second}}
 		for {
 			now += 20 * time.Millisecond
-			acts := b.Step(now, events)
+			acts := balancer.Step(now, events)
 			events = nil
 			for _, a := range acts {
 				switch a := a.(type) {
@@ -43,8 +43,8 @@
 	for i := range 6 {
 		list.Servers = append(list.Servers, Server{ID: ServerID(fmt.Sprint("s", i)), Size: 1})
 	}
-	b.Step(now, []Event{list})
-	next := s
+	balancer.Step(now, []Event{list})
+	next := settings
 	next.Classes = []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second, Idempotency: NotIdempotent}, {Name: "b", SetupObjective: time.Second, Deadline: 10 * time.Second}}
 	next.Tenants, next.Limits.MaxAttempts = []Tenant{{Name: "t"}, {Name: "u", Connections: 9}}, 2
 	none := func() []Event { return nil }
@@ -58,16 +58,16 @@
 		t.Errorf("a new class: %d attempts, %+v", n, a)
 	}
 	// Settings without a class are none.
-	b.Step(now, []Event{SettingsChanged{}})
+	balancer.Step(now, []Event{SettingsChanged{}})
 	if n, _ := sends("4", 1, none); n != 2 {
 		t.Errorf("after settings that are none: %d attempts", n)
 	}
 }
 
-// TestTwoProcessesShareTheColdBudget has a cold server get no more from two processes of a node than from the one before.
-func TestTwoProcessesShareTheColdBudget(t *testing.T) {
+// TestTwoProcessesShareTheSlowStartBudget has a cold server get no more from two processes of a node than from the one before.
+func TestTwoProcessesShareTheSlowStartBudget(t *testing.T) {
 	sent := func(parts int, seed uint64) (n int) {
-		b, err := New(Settings{
+		balancer, err := New(Settings{
 			Nodes: 4, Processes: parts, RoundTrip: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
 			Limits: Limits{MaxAttempts: 1}, Rules: Rules{SlowStartFraction: .2, WarmUp: 24 * time.Second, OverloadMultiple: 4, OverloadTime: 2 * time.Second},
 		}, seed, time.Hour)
@@ -75,16 +75,16 @@
 			t.Fatal(err)
 		}
 		now := time.Hour
-		b.Step(now, []Event{ServerList{Servers: []Server{{ID: "cold", Size: 1, Started: now}, {ID: "w1", Size: 1}, {ID: "w2", Size: 1}}}})
+		balancer.Step(now, []Event{ServerList{Servers: []Server{{ID: "cold", Size: 1, Started: now}, {ID: "w1", Size: 1}, {ID: "w2", Size: 1}}}})
 		for i := range 2000 {
 			now += 10 * time.Millisecond
 			id := RequestID(fmt.Sprint(i))
-			for _, a := range b.Step(now, []Event{Request{ID: id, Tenant: -1, TimeLeft: time.Second}}) {
+			for _, a := range balancer.Step(now, []Event{Request{ID: id, Tenant: -1, TimeLeft: time.Second}}) {
 				if a, ok := a.(StartAttempt); ok {
 					if a.Server == "cold" {
 						n++
 					}
-					b.Step(now, []Event{AttemptEnded{ID: a.ID, Server: a.Server, Outcome: Served, Final: true}})
+					balancer.Step(now, []Event{AttemptEnded{ID: a.ID, Server: a.Server, Outcome: Served, Final: true}})
 				}
 			}
 		}
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -142,30 +142,30 @@
 }
 
 func newSimulation(t testing.TB, name string, s choice.Settings, of terms, hosts []choice.Server, seed uint64, j judge) *simulation {
-	w := &simulation{
+	world := &simulation{
 		t: t, name: name, rng: rand.New(rand.NewPCG(seed, 11)), now: simulationStart, settings: s, terms: of,
 		byID: map[choice.ServerID]*simHost{}, requests: map[choice.RequestID]*simRequest{}, judge: j, counts: map[string]int{},
 	}
 	for _, server := range hosts {
 		h := &simHost{Server: server, strength: max(server.Size, 0.1), running: server.State == choice.Ready}
-		w.hosts, w.byID[h.ID] = append(w.hosts, h), h
-		w.after(w.upTo(250*time.Millisecond), func() { w.refresh(h) })
+		world.hosts, world.byID[h.ID] = append(world.hosts, h), h
+		world.after(world.upTo(250*time.Millisecond), func() { world.refresh(h) })
 	}
 	for number := range s.Nodes {
 		s.Node = number
-		b, err := choice.New(s, seed*1000+uint64(number), w.now)
+		b, err := choice.New(s, seed*1000+uint64(number), world.now)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		n := &simNode{number: number, balancer: b, listed: map[choice.ServerID]choice.Server{}, following: !s.Subscribe}
-		w.nodes = append(w.nodes, n)
+		world.nodes = append(world.nodes, n)
 		if !s.Subscribe {
-			w.deliver(n, choice.ServerList{Kind: choice.ListFull, Servers: w.entries()})
+			world.deliver(n, choice.ServerList{Kind: choice.ListFull, Servers: world.entries()})
 		} else {
-			w.deliver(n, choice.ServerList{Kind: choice.ListCached, Servers: w.entries()})
+			world.deliver(n, choice.ServerList{Kind: choice.ListCached, Servers: world.entries()})
 		}
 	}
-	return w
+	return world
 }
 
 // after has something happen once a time has passed.
@@ -209,78 +209,78 @@
 	}
 }
 
-func (w *simulation) batch(n *simNode) {
-	events := n.inbox
-	n.inbox, n.awake = nil, false
+func (w *simulation) batch(node *simNode) {
+	events := node.inbox
+	node.inbox, node.awake = nil, false
 	for _, e := range events {
-		w.judge.told(n, e)
-		w.note(n, e)
+		w.judge.told(node, e)
+		w.note(node, e)
 	}
-	actions := n.balancer.Step(w.now, events)
-	w.recorder.step(w.now, n.number, actions)
+	actions := node.balancer.Step(w.now, events)
+	w.recorder.step(w.now, node.number, actions)
 	for _, a := range actions {
-		w.judge.acts(n, a)
-		w.carryOut(n, a)
+		w.judge.acts(node, a)
+		w.carryOut(node, a)
 	}
-	w.judge.stepped(n, events, actions)
+	w.judge.stepped(node, events, actions)
 }
 
 // note keeps the world's book of what a node knows.
 func (w *simulation) note(n *simNode, e choice.Event) {
-	switch e := e.(type) {
+	switch event := e.(type) {
 	case choice.ServerList:
-		if e.Kind == choice.ListFull || e.Kind == choice.ListCached {
+		if event.Kind == choice.ListFull || event.Kind == choice.ListCached {
 			clear(n.listed)
 		}
-		for _, s := range e.Servers {
+		for _, s := range event.Servers {
 			n.listed[s.ID] = s
 		}
 	case choice.Established:
-		w.requests[e.ID].open = true
+		w.requests[event.ID].open = true
 	case choice.AttemptEnded:
-		if r := w.requests[e.ID]; r != nil {
-			r.attempts[e.Attempt].ended, r.attempts[e.Attempt].outcome = true, e.Outcome
-			r.over = r.over || e.Final
+		if r := w.requests[event.ID]; r != nil {
+			r.attempts[event.Attempt].ended, r.attempts[event.Attempt].outcome = true, event.Outcome
+			r.over = r.over || event.Final
 		}
 	case choice.ClientGone:
-		w.requests[e.ID].gone = true
+		w.requests[event.ID].gone = true
 	}
 }
 
-func (w *simulation) carryOut(n *simNode, a choice.Action) {
-	switch a := a.(type) {
+func (w *simulation) carryOut(node *simNode, a choice.Action) {
+	switch action := a.(type) {
 	case choice.SetTimer:
-		w.after(a.After, func() { w.deliver(n, choice.TimerFired{Token: a.Token}) })
+		w.after(action.After, func() { w.deliver(node, choice.TimerFired{Token: action.Token}) })
 	case choice.StartAttempt:
-		w.send(w.requests[a.ID], w.byID[a.Server], a.Timeout)
+		w.send(w.requests[action.ID], w.byID[action.Server], action.Timeout)
 	case choice.Reject:
 		w.count("refusals")
-		w.answer(w.requests[a.ID], true, a.RetryAfter)
+		w.answer(w.requests[action.ID], true, action.RetryAfter)
 	case choice.Fail:
 		w.count("failures")
-		r := w.requests[a.ID]
+		r := w.requests[action.ID]
 		w.answer(r, r.class.Idempotency == choice.Idempotent, 0)
 	case choice.CancelAttempt:
 		w.count("cancels")
-		if at := w.requests[a.ID].attempts[a.Attempt]; !at.established {
+		if at := w.requests[action.ID].attempts[action.Attempt]; !at.established {
 			w.settle(at, choice.Cancelled, w.settings.RoundTrip)
 		}
 	case choice.HealthCheck:
-		w.probe(n, w.byID[a.Server])
+		w.probe(node, w.byID[action.Server])
 	case choice.Migrate:
 		w.count("moves")
-		r := w.requests[a.ID]
+		r := w.requests[action.ID]
 		at := r.attempts[len(r.attempts)-1]
 		w.after(w.upTo(100*time.Millisecond), func() { w.closeConnection(at, choice.Cancelled, true) })
 	case choice.WatchList:
-		w.follow(n)
+		w.follow(node)
 	case choice.SendPeerMessage:
-		w.tell(n, a)
+		w.tell(node, action)
 	}
 }
 
 // tell carries a message between nodes: some get lost, some come twice.
-func (w *simulation) tell(n *simNode, a choice.SendPeerMessage) {
+func (w *simulation) tell(n *simNode, action choice.SendPeerMessage) {
 	if w.often(w.terms.lossOfTells) {
 		w.count("lost messages")
 		return
@@ -292,7 +292,7 @@
 	}
 	for range copies {
 		w.after(5*time.Millisecond+w.upTo(20*time.Millisecond), func() {
-			w.deliver(w.nodes[a.To], choice.PeerMessage{From: n.number, Data: a.Data})
+			w.deliver(w.nodes[action.To], choice.PeerMessage{From: n.number, Data: action.Data})
 		})
 	}
 }
@@ -357,49 +357,49 @@
 }
 
 // refresh renews what a host's reports show, and has it shed its newest connections while it is overloaded.
-func (w *simulation) refresh(h *simHost) {
-	w.after(w.around(250*time.Millisecond), func() { w.refresh(h) })
-	for len(h.held) > 0 && w.load(h) > w.terms.shedAt {
+func (w *simulation) refresh(server *simHost) {
+	w.after(w.around(250*time.Millisecond), func() { w.refresh(server) })
+	for len(server.held) > 0 && w.load(server) > w.terms.shedAt {
 		w.count("sheds")
-		w.closeConnection(h.held[len(h.held)-1], choice.Reset, true)
+		w.closeConnection(server.held[len(server.held)-1], choice.Reset, true)
 	}
-	h.seen, h.seenHeld = w.load(h), len(h.held)
-	if w.settings.DelaysObserved && h.seen > 0.8 && len(h.held) > 0 {
-		at := h.held[w.rng.IntN(len(h.held))]
+	server.seen, server.seenHeld = w.load(server), len(server.held)
+	if w.settings.DelaysObserved && server.seen > 0.8 && len(server.held) > 0 {
+		at := server.held[w.rng.IntN(len(server.held))]
 		w.count("delay notes")
-		w.deliver(at.request.node, choice.DelayObservation{ID: at.request.ID, Server: h.ID, Took: w.around(time.Duration(h.seen * float64(150*time.Millisecond)))})
+		w.deliver(at.request.node, choice.DelayObservation{ID: at.request.ID, Server: server.ID, Took: w.around(time.Duration(server.seen * float64(150*time.Millisecond)))})
 	}
-	if w.terms.toldLoads && len(h.held) > 0 && w.often(0.2) {
-		at := h.held[w.rng.IntN(len(h.held))]
+	if w.terms.toldLoads && len(server.held) > 0 && w.often(0.2) {
+		at := server.held[w.rng.IntN(len(server.held))]
 		at.request.client.load *= 0.5 + w.rng.Float64()
 		w.deliver(at.request.node, choice.LoadUpdate{ID: at.request.ID, Attempt: at.number, Load: at.request.client.load})
 	}
 }
 
 // report is a host's load report, a little noisy.
-func (w *simulation) report(h *simHost) (values []float64) {
+func (w *simulation) report(server *simHost) (values []float64) {
 	for _, f := range w.settings.ReportFields {
-		v := 0.0
+		value := 0.0
 		switch f {
 		case choice.Load:
-			v = h.seen
+			value = server.seen
 		case choice.Backlog:
-			v = max(0, h.seen-1)
+			value = max(0, server.seen-1)
 		case choice.InFlight:
-			v = float64(h.seenHeld)
+			value = float64(server.seenHeld)
 		case choice.Utilization:
-			v = min(1, h.seen)
+			value = min(1, server.seen)
 		case choice.Latency:
-			v = 10 / max(0.1, 1.1-h.seen)
+			value = 10 / max(0.1, 1.1-server.seen)
 		case choice.Queue, choice.Throughput, choice.ErrorRate, choice.OtherField:
-			v = w.rng.Float64()
+			value = w.rng.Float64()
 		}
-		values = append(values, v*(0.95+0.1*w.rng.Float64()))
+		values = append(values, value*(0.95+0.1*w.rng.Float64()))
 	}
 	return values
 }
 
-func (w *simulation) probe(n *simNode, h *simHost) {
+func (w *simulation) probe(node *simNode, h *simHost) {
 	w.count("probes")
 	took := 2*time.Millisecond + w.upTo(6*time.Millisecond)
 	result := choice.HealthCheckResult{Server: h.ID, Outcome: choice.Served, Took: took}
@@ -408,7 +408,7 @@
 	} else if w.settings.Reports != choice.NoReports {
 		result.Report = w.report(h)
 	}
-	w.after(took, func() { w.deliver(n, result) })
+	w.after(took, func() { w.deliver(node, result) })
 }
 
 // drawNode draws the node that a client reaches.
@@ -424,42 +424,42 @@
 
 // arrive brings a client's request, its first or a further one, to a node.
 func (w *simulation) arrive(c *simClient, returned bool) *simRequest {
-	n, class := w.drawNode(), w.settings.Classes[c.class]
+	node, class := w.drawNode(), w.settings.Classes[c.class]
 	c.tries++
-	r := &simRequest{node: n, client: c, class: class}
-	r.Request = choice.Request{
+	request := &simRequest{node: node, client: c, class: class}
+	request.Request = choice.Request{
 		ID: choice.RequestID(fmt.Sprint("r", len(w.requests)+1)), Class: c.class, Tenant: c.tenant, Key: c.key,
 		Group: c.group, TimeLeft: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)), Returned: returned,
 	}
 	if w.terms.toldLoads {
-		r.Load = c.load
+		request.Load = c.load
 	}
 	if w.settings.PacketPassThrough && w.often(0.1) {
-		r.MidFlow = true
+		request.MidFlow = true
 	}
 	if w.often(w.terms.homes) {
-		r.StickyServer = w.hosts[w.rng.IntN(len(w.hosts))].ID
+		request.StickyServer = w.hosts[w.rng.IntN(len(w.hosts))].ID
 	}
-	w.requests[r.ID] = r
+	w.requests[request.ID] = request
 	w.count("requests")
-	w.deliver(n, r.Request)
+	w.deliver(node, request.Request)
 	if w.often(w.terms.leavers) {
-		w.after(w.upTo(r.TimeLeft), func() { w.leave(r) })
+		w.after(w.upTo(request.TimeLeft), func() { w.leave(request) })
 	}
-	return r
+	return request
 }
 
 // leave has a client walk away, whether it still waits or is served.
-func (w *simulation) leave(r *simRequest) {
-	if r.answered || r.over || r.gone {
+func (w *simulation) leave(request *simRequest) {
+	if request.answered || request.over || request.gone {
 		return
 	}
-	if at := r.standing(); at != nil {
+	if at := request.standing(); at != nil {
 		w.closeConnection(at, choice.Cancelled, false)
 		return
 	}
 	w.count("clients that leave")
-	w.deliver(r.node, choice.ClientGone{ID: r.ID})
+	w.deliver(request.node, choice.ClientGone{ID: request.ID})
 }
 
 // standing is the attempt whose connection stands, or nil.
@@ -489,102 +489,102 @@
 	}
 }
 
-func (w *simulation) send(r *simRequest, h *simHost, limit time.Duration) {
-	at := &simAttempt{request: r, number: len(r.attempts), host: h, sentAt: w.now}
-	r.attempts = append(r.attempts, at)
+func (w *simulation) send(request *simRequest, h *simHost, limit time.Duration) {
+	attempt := &simAttempt{request: request, number: len(request.attempts), host: h, sentAt: w.now}
+	request.attempts = append(request.attempts, attempt)
 	w.count("sends")
-	if at.number > 0 {
+	if attempt.number > 0 {
 		w.count("retries")
 	}
-	if r.gone || r.answered {
-		w.settle(at, choice.NeverSent, w.settings.RoundTrip)
+	if request.gone || request.answered {
+		w.settle(attempt, choice.NeverSent, w.settings.RoundTrip)
 		return
 	}
-	informed := r.node.listed[h.ID].Started == h.Started
-	w.after(w.upTo(3*time.Millisecond), func() { w.reach(at, informed) })
+	informed := request.node.listed[h.ID].Started == h.Started
+	w.after(w.upTo(3*time.Millisecond), func() { w.reach(attempt, informed) })
 	w.after(limit, func() {
-		if !at.established {
-			w.settle(at, choice.TimedOut, 0)
+		if !attempt.established {
+			w.settle(attempt, choice.TimedOut, 0)
 		}
 	})
 }
 
 // reach has an attempt reach its host.
-func (w *simulation) reach(at *simAttempt, informed bool) {
-	h := at.host
-	if at.settled {
+func (w *simulation) reach(attempt *simAttempt, informed bool) {
+	server := attempt.host
+	if attempt.settled {
 		return
 	}
-	h.arrivals = append(h.arrivals, arrival{w.now, informed})
-	if w.warm(h) < 1 {
+	server.arrivals = append(server.arrivals, arrival{w.now, informed})
+	if w.warm(server) < 1 {
 		w.count("sends to cold hosts")
 	}
 	switch {
-	case !h.running:
-		w.settle(at, choice.ConnectFailed, w.settings.Limits.ConnectTimeout)
-	case w.now < h.failingUntil:
+	case !server.running:
+		w.settle(attempt, choice.ConnectFailed, w.settings.Limits.ConnectTimeout)
+	case w.now < server.failingUntil:
 		if w.often(0.5) {
-			w.settle(at, choice.Failed, time.Millisecond)
+			w.settle(attempt, choice.Failed, time.Millisecond)
 		} // else it stays silent until the attempt's time is over
-	case h.State != choice.Ready || w.load(h) > w.terms.slotsAt:
+	case server.State != choice.Ready || w.load(server) > w.terms.slotsAt:
 		w.count("refused by a full host")
-		w.settle(at, choice.Full, time.Millisecond)
+		w.settle(attempt, choice.Full, time.Millisecond)
 	case w.often(w.terms.oddAnswers):
 		odd := []choice.Outcome{choice.Failed, choice.Reset, choice.TimedOut, choice.ConnectFailed, choice.Served}
-		w.settle(at, odd[w.rng.IntN(len(odd))], w.upTo(50*time.Millisecond))
+		w.settle(attempt, odd[w.rng.IntN(len(odd))], w.upTo(50*time.Millisecond))
 	default:
-		w.after(time.Duration(float64(w.around(10*time.Millisecond))/w.warm(h)), func() { w.establish(at) })
+		w.after(time.Duration(float64(w.around(10*time.Millisecond))/w.warm(server)), func() { w.establish(attempt) })
 	}
 }
 
-func (w *simulation) establish(at *simAttempt) {
-	r, h := at.request, at.host
+func (w *simulation) establish(attempt *simAttempt) {
+	request, h := attempt.request, attempt.host
 	switch {
-	case at.settled:
-	case r.answered || r.gone:
-		w.settle(at, choice.Cancelled, 0)
+	case attempt.settled:
+	case request.answered || request.gone:
+		w.settle(attempt, choice.Cancelled, 0)
 	case !h.running:
-		w.settle(at, choice.Reset, 0)
+		w.settle(attempt, choice.Reset, 0)
 	default:
 		w.count("connections")
-		at.established = true
-		h.held = append(h.held, at)
-		w.deliver(r.node, choice.Established{ID: r.ID, Attempt: at.number, Server: h.ID, Took: w.now - at.sentAt})
-		w.after(w.around(w.terms.life), func() { w.closeConnection(at, choice.Served, false) })
+		attempt.established = true
+		h.held = append(h.held, attempt)
+		w.deliver(request.node, choice.Established{ID: request.ID, Attempt: attempt.number, Server: h.ID, Took: w.now - attempt.sentAt})
+		w.after(w.around(w.terms.life), func() { w.closeConnection(attempt, choice.Served, false) })
 	}
 }
 
 // closeConnection ends a connection that stands.
-func (w *simulation) closeConnection(at *simAttempt, o choice.Outcome, again bool) {
-	if at.settled {
+func (w *simulation) closeConnection(attempt *simAttempt, o choice.Outcome, again bool) {
+	if attempt.settled {
 		return
 	}
-	for i, held := range at.host.held {
-		if held == at {
-			at.host.held = append(at.host.held[:i:i], at.host.held[i+1:]...)
+	for i, held := range attempt.host.held {
+		if held == attempt {
+			attempt.host.held = append(attempt.host.held[:i:i], attempt.host.held[i+1:]...)
 			break
 		}
 	}
-	w.settle(at, o, 0)
+	w.settle(attempt, o, 0)
 	if again {
-		w.returns(at.request.client, true, 0)
+		w.returns(attempt.request.client, true, 0)
 	}
 }
 
 // settle ends an attempt; its node hears of it after a time.
-func (w *simulation) settle(at *simAttempt, o choice.Outcome, after time.Duration) {
-	if at.settled {
+func (w *simulation) settle(attempt *simAttempt, o choice.Outcome, after time.Duration) {
+	if attempt.settled {
 		return
 	}
-	at.settled = true
+	attempt.settled = true
 	w.after(after, func() {
-		r := at.request
+		r := attempt.request
 		e := choice.AttemptEnded{
-			ID: r.ID, Attempt: at.number, Server: at.host.ID, Outcome: o, Took: w.now - at.sentAt,
-			Final: o == choice.Served || at.established || r.answered || r.gone,
+			ID: r.ID, Attempt: attempt.number, Server: attempt.host.ID, Outcome: o, Took: w.now - attempt.sentAt,
+			Final: o == choice.Served || attempt.established || r.answered || r.gone,
 		}
-		if w.settings.Reports == choice.AllReports && at.host.running {
-			e.Report = w.report(at.host)
+		if w.settings.Reports == choice.AllReports && attempt.host.running {
+			e.Report = w.report(attempt.host)
 		}
 		w.deliver(r.node, e)
 	})
@@ -599,35 +599,35 @@
 }
 
 // drain has a host finish its work, stop and come back cold.
-func (w *simulation) drain(h *simHost) {
-	if h.State != choice.Ready || !h.running {
+func (w *simulation) drain(server *simHost) {
+	if server.State != choice.Ready || !server.running {
 		return
 	}
 	w.count("drains")
-	h.State = choice.Draining
-	w.publish(h)
+	server.State = choice.Draining
+	w.publish(server)
 	w.after(w.around(3*time.Second), func() {
-		w.stop(h)
-		h.State = choice.Gone
-		w.publish(h)
-		w.after(w.around(time.Second), func() { w.start(h) })
+		w.stop(server)
+		server.State = choice.Gone
+		w.publish(server)
+		w.after(w.around(time.Second), func() { w.start(server) })
 	})
 }
 
 // vanish has a host stop without a word; discovery finds out later.
-func (w *simulation) vanish(h *simHost) {
-	if h.State != choice.Ready || !h.running {
+func (w *simulation) vanish(server *simHost) {
+	if server.State != choice.Ready || !server.running {
 		return
 	}
 	w.count("hosts that vanish")
-	w.stop(h)
+	w.stop(server)
 	w.after(w.around(time.Second), func() {
-		if !h.running {
-			h.State = choice.Gone
-			w.publish(h)
+		if !server.running {
+			server.State = choice.Gone
+			w.publish(server)
 		}
 	})
-	w.after(w.around(3*time.Second), func() { w.start(h) })
+	w.after(w.around(3*time.Second), func() { w.start(server) })
 }
 
 // restart has a host's process come back at once: it is cold, and nothing said that it was gone.
--- a/choice/world_test.go
+++ b/choice/world_test.go
@@ -75,12 +75,12 @@
 }
 
 func (f *referee) note(e Event) {
-	switch e := e.(type) {
+	switch event := e.(type) {
 	case ServerList:
-		if e.Kind == ListUnavailable {
+		if event.Kind == ListUnavailable {
 			return
 		}
-		if e.Kind != ListChange {
+		if event.Kind != ListChange {
 			for id, s := range f.list {
 				if s.State == Ready {
 					f.told[id] = f.now
@@ -89,7 +89,7 @@
 				f.list[id] = s
 			}
 		}
-		for _, s := range e.Servers {
+		for _, s := range event.Servers {
 			if s.State == Ready {
 				delete(f.told, s.ID)
 			} else if _, ok := f.told[s.ID]; !ok {
@@ -98,107 +98,107 @@
 			f.list[s.ID] = s
 		}
 	case Request:
-		if f.reqs[e.ID] == nil {
-			f.reqs[e.ID] = &seen{class: e.Class, deadline: f.now + e.TimeLeft, out: map[int]ServerID{}}
+		if f.reqs[event.ID] == nil {
+			f.reqs[event.ID] = &seen{class: event.Class, deadline: f.now + event.TimeLeft, out: map[int]ServerID{}}
 		}
 	case Established:
-		if r := f.reqs[e.ID]; r != nil && r.out[e.Attempt] != "" {
+		if r := f.reqs[event.ID]; r != nil && r.out[event.Attempt] != "" {
 			r.open = true
 		}
 	case AttemptEnded:
-		r := f.reqs[e.ID]
-		if r == nil || r.out[e.Attempt] == "" {
+		request := f.reqs[event.ID]
+		if request == nil || request.out[event.Attempt] == "" {
 			return
 		}
-		if !e.Outcome.NeverRan() && !r.may {
-			r.may, r.mayServer, r.mayAt = true, r.out[e.Attempt], r.sentAt[e.Attempt]
+		if !event.Outcome.NeverRan() && !request.may {
+			request.may, request.mayServer, request.mayAt = true, request.out[event.Attempt], request.sentAt[event.Attempt]
 		}
-		delete(r.out, e.Attempt)
-		if e.Final || r.open {
-			r.done, r.doneAt = true, f.now
+		delete(request.out, event.Attempt)
+		if event.Final || request.open {
+			request.done, request.doneAt = true, f.now
 		}
 	}
 }
 
 func (f *referee) judge(a Action) {
 	f.t.Helper()
-	switch a := a.(type) {
+	switch action := a.(type) {
 	case StartAttempt:
-		r, ok := f.reqs[a.ID]
-		if !ok || r.done || r.gone {
-			f.t.Fatalf("%v: Send for a request that is over or unknown: %+v", f.now, a)
+		request, ok := f.reqs[action.ID]
+		if !ok || request.done || request.gone {
+			f.t.Fatalf("%v: Send for a request that is over or unknown: %+v", f.now, action)
 		}
-		if len(r.out) > 0 {
-			f.t.Fatalf("%v: two attempts out for %s", f.now, a.ID)
+		if len(request.out) > 0 {
+			f.t.Fatalf("%v: two attempts out for %s", f.now, action.ID)
 		}
-		if r.sent++; r.sent > max(1, f.set.Limits.MaxAttempts) {
-			f.t.Fatalf("%v: %d attempts for %s", f.now, r.sent, a.ID)
+		if request.sent++; request.sent > max(1, f.set.Limits.MaxAttempts) {
+			f.t.Fatalf("%v: %d attempts for %s", f.now, request.sent, action.ID)
 		}
-		s, ok := f.list[a.Server]
-		if at, drains := f.told[a.Server]; !ok || drains && f.now > at+f.set.Rules.DrainGrace {
-			f.t.Fatalf("%v: Send to %s, unknown or told to drain", f.now, a.Server)
+		server, ok := f.list[action.Server]
+		if at, drains := f.told[action.Server]; !ok || drains && f.now > at+f.set.Rules.DrainGrace {
+			f.t.Fatalf("%v: Send to %s, unknown or told to drain", f.now, action.Server)
 		}
-		if a.Timeout <= 0 || f.now+a.Timeout > r.deadline {
-			f.t.Fatalf("%v: cap %v outlives the client of %s", f.now, a.Timeout, a.ID)
+		if action.Timeout <= 0 || f.now+action.Timeout > request.deadline {
+			f.t.Fatalf("%v: cap %v outlives the client of %s", f.now, action.Timeout, action.ID)
 		}
-		c := f.set.Classes[r.class]
-		if r.may && c.Idempotency == NotIdempotent {
+		c := f.set.Classes[request.class]
+		if request.may && c.Idempotency == NotIdempotent {
 			f.t.Fatalf("%v: an unsafe request that may have run is sent again", f.now)
 		}
-		if r.may && c.Idempotency == IdempotentByKey {
-			first := f.list[r.mayServer]
-			if f.now > r.mayAt+c.IdempotencyWindow || c.IdempotencyScope != ScopeAll && s.Zone != first.Zone ||
-				c.IdempotencyScope == ScopeCell && s.Cell != first.Cell {
+		if request.may && c.Idempotency == IdempotentByKey {
+			first := f.list[request.mayServer]
+			if f.now > request.mayAt+c.IdempotencyWindow || c.IdempotencyScope != ScopeAll && server.Zone != first.Zone ||
+				c.IdempotencyScope == ScopeCell && server.Cell != first.Cell {
 				f.t.Fatalf("%v: a keyed request leaves its group or window", f.now)
 			}
 		}
-		r.out[r.sent-1], r.on = a.Server, a.Server
-		r.sentAt = append(r.sentAt, f.now)
+		request.out[request.sent-1], request.on = action.Server, action.Server
+		request.sentAt = append(request.sentAt, f.now)
 	case Reject:
-		r := f.final(a.ID)
+		r := f.final(action.ID)
 		if c := f.set.Classes[r.class]; (r.may || len(r.out) > 0) &&
 			!(c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll) {
-			f.t.Fatalf("%v: refusal of %s, which may have run", f.now, a.ID)
+			f.t.Fatalf("%v: refusal of %s, which may have run", f.now, action.ID)
 		}
 	case Fail:
-		f.final(a.ID)
+		f.final(action.ID)
 	case SetTimer:
-		if a.Token == "" || len(a.Token) > 64 || a.After < 0 {
-			f.t.Fatalf("bad timer %+v", a)
+		if action.Token == "" || len(action.Token) > 64 || action.After < 0 {
+			f.t.Fatalf("bad timer %+v", action)
 		}
-		f.timers = append(f.timers, timer{f.now + a.After, a.Token})
+		f.timers = append(f.timers, timer{f.now + action.After, action.Token})
 	case HealthCheck:
-		if _, ok := f.list[a.Server]; !ok {
-			f.t.Fatalf("probe of unknown server %s", a.Server)
+		if _, ok := f.list[action.Server]; !ok {
+			f.t.Fatalf("probe of unknown server %s", action.Server)
 		}
-		f.probes[a.Server]++
+		f.probes[action.Server]++
 	case Migrate:
-		if r := f.reqs[a.ID]; r == nil || !r.open || r.done && r.doneAt < f.now {
-			f.t.Fatalf("%v: move of %s, which is not open", f.now, a.ID)
+		if r := f.reqs[action.ID]; r == nil || !r.open || r.done && r.doneAt < f.now {
+			f.t.Fatalf("%v: move of %s, which is not open", f.now, action.ID)
 		}
 	}
 }
 
 func (f *referee) final(id RequestID) *seen {
 	f.t.Helper()
-	r := f.reqs[id]
+	request := f.reqs[id]
 	// an end told in the same batch may come after the event that this answers
-	if r == nil || r.answered || r.done && r.doneAt < f.now {
+	if request == nil || request.answered || request.done && request.doneAt < f.now {
 		f.t.Fatalf("%v: a second answer for %s", f.now, id)
 	}
-	if f.now > r.deadline+f.set.Rules.AnswerSlack && !r.gone {
-		f.t.Fatalf("%v: answer for %s after its deadline %v", f.now, id, r.deadline)
+	if f.now > request.deadline+f.set.Rules.AnswerSlack && !request.gone {
+		f.t.Fatalf("%v: answer for %s after its deadline %v", f.now, id, request.deadline)
 	}
-	r.done, r.answered, r.doneAt = true, true, f.now
-	return r
+	request.done, request.answered, request.doneAt = true, true, f.now
+	return request
 }
 
 // run lets time pass, firing timers, up to a moment; attempts that pass their cap are the caller's to end.
-func (f *referee) run(to time.Duration) {
+func (f *referee) run(until time.Duration) {
 	f.t.Helper()
 	for n := 0; ; n++ {
 		slices.SortStableFunc(f.timers, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
-		if len(f.timers) == 0 || f.timers[0].at > to || n > 100000 {
+		if len(f.timers) == 0 || f.timers[0].at > until || n > 100000 {
 			break
 		}
 		next := f.timers[0]
@@ -209,7 +209,7 @@
 			f.answerProbes(f.load)
 		}
 	}
-	f.now = max(f.now, to)
+	f.now = max(f.now, until)
 	for id, r := range f.reqs {
 		if !r.done && !r.open && !r.gone && f.now > r.deadline+f.set.Rules.AnswerSlack {
 			f.t.Fatalf("%v: no answer for %s by %v", f.now, id, r.deadline)
--- a/choice/zones_test.go
+++ b/choice/zones_test.go
@@ -10,7 +10,7 @@
 // once with advice, and what stands in a zone counts against a later plan.
 func TestPlanOfZones(t *testing.T) {
 	const wide = 100
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		grants []Grant
 		admit  []float64
@@ -26,8 +26,8 @@
 		{"a plan without grants", []Grant{}, nil, "", map[string]int{"refused": 20}},
 		{"a zone that fails is left for the next", []Grant{{"a", wide, nil}, {"b", wide, nil}}, nil, "a", map[string]int{"b": 20}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			b, err := New(Settings{
+		t.Run(test.name, func(t *testing.T) {
+			balancer, err := New(Settings{
 				Nodes: 1, Zone: "a", InitialCost: 0.02,
 				Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}, {Name: "d", Deadline: time.Second}},
 				Limits:  Limits{MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
@@ -40,45 +40,45 @@
 				hosts = append(hosts, Server{ID: ServerID(fmt.Sprint(i)), Zone: string("ab"[i%2])})
 			}
 			zone := func(id ServerID) string { return string("ab"[(id[0]-'0')&1]) }
-			b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: hosts}, ZonePlan{Grants: c.grants, AdmitFraction: c.admit, RetryAfter: time.Second}})
+			balancer.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: hosts}, ZonePlan{Grants: test.grants, AdmitFraction: test.admit, RetryAfter: time.Second}})
 			got := map[string]int{}
 			for i := range 20 {
 				id := RequestID(fmt.Sprint(i))
 				events := []Event{Request{ID: id, Tenant: -1, TimeLeft: 4 * time.Second}}
-				for n := 0; len(events) > 0 && n < 10; n++ {
+				for attempt := 0; len(events) > 0 && attempt < 10; attempt++ {
 					var next []Event
-					for _, a := range b.Step(time.Hour+time.Duration(i)*time.Millisecond, events) {
-						switch a := a.(type) {
+					for _, a := range balancer.Step(time.Hour+time.Duration(i)*time.Millisecond, events) {
+						switch action := a.(type) {
 						case StartAttempt:
-							if zone(a.Server) == c.ends {
-								next = append(next, AttemptEnded{ID: id, Attempt: n, Server: a.Server, Outcome: ConnectFailed})
+							if zone(action.Server) == test.ends {
+								next = append(next, AttemptEnded{ID: id, Attempt: attempt, Server: action.Server, Outcome: ConnectFailed})
 								continue
 							}
-							next = append(next, Established{ID: id, Attempt: n, Server: a.Server})
-							got[zone(a.Server)]++
+							next = append(next, Established{ID: id, Attempt: attempt, Server: action.Server})
+							got[zone(action.Server)]++
 						case Reject:
 							got["refused"]++
-							if c.grants != nil && (a.RetryAfter < time.Second/2 || a.RetryAfter > 3*time.Second/2) {
-								t.Errorf("advice %v", a.RetryAfter)
+							if test.grants != nil && (action.RetryAfter < time.Second/2 || action.RetryAfter > 3*time.Second/2) {
+								t.Errorf("advice %v", action.RetryAfter)
 							}
 						}
 					}
 					events = next
 				}
 			}
-			if c.want != nil && fmt.Sprint(got) != fmt.Sprint(c.want) {
-				t.Errorf("went to %v, wanted %v", got, c.want)
+			if test.want != nil && fmt.Sprint(got) != fmt.Sprint(test.want) {
+				t.Errorf("went to %v, wanted %v", got, test.want)
 			}
-			if c.want == nil && (got["a"] < 3 || got["b"] < 3 || got["refused"] > 0) {
+			if test.want == nil && (got["a"] < 3 || got["b"] < 3 || got["refused"] > 0) {
 				t.Errorf("without a plan %v", got)
 			}
 			// The next plan takes all room back: what stands counts, and nothing new comes.
-			news := b.Observations(time.Hour + time.Second)
+			news := balancer.Observations(time.Hour + time.Second)
 			if n := news.Zones[0]; n.Zone != "a" || n.Ready != 3 || n.OwnLoad[0] != float64(got["a"]) {
 				t.Errorf("news of zone a: %+v", n)
 			}
-			b.Step(time.Hour+time.Second, []Event{ZonePlan{Grants: []Grant{{"b", news.Zones[1].OwnLoad[0], nil}}}})
-			for _, a := range b.Step(time.Hour+time.Second, []Event{Request{ID: "late", Tenant: -1, TimeLeft: 4 * time.Second}}) {
+			balancer.Step(time.Hour+time.Second, []Event{ZonePlan{Grants: []Grant{{"b", news.Zones[1].OwnLoad[0], nil}}}})
+			for _, a := range balancer.Step(time.Hour+time.Second, []Event{Request{ID: "late", Tenant: -1, TimeLeft: 4 * time.Second}}) {
 				if s, ok := a.(StartAttempt); ok {
 					t.Errorf("sent to %s beyond the new plan", s.Server)
 				}
