--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -31,7 +31,7 @@
 		cut time.Duration
 	}
 	var out, open []attempt
-	var probes []ServerID
+	var checks []ServerID
 	next := 0
 	for range steps {
 		referee.now += ms(5)
@@ -40,7 +40,7 @@
 			case StartAttempt:
 				out = append(out, attempt{a.ID, referee.reqs[a.ID].sent - 1, a.Server, referee.now + a.Timeout})
 			case HealthCheck:
-				probes = append(probes, a.Server)
+				checks = append(checks, a.Server)
 			}
 		}
 		var events []Event
@@ -77,13 +77,13 @@
 			}
 			out = append(out[:i], out[i+1:]...)
 		}
-		for i := range probes {
+		for i := range checks {
 			if rng.IntN(3) == 0 {
 				events = append(events, HealthCheckResult{
-					Server: probes[i], Outcome: Outcome(rng.IntN(8) * rng.IntN(2)),
+					Server: checks[i], Outcome: Outcome(rng.IntN(8) * rng.IntN(2)),
 					Report: []float64{rng.Float64() * 1.5, float64(rng.IntN(50))},
 				})
-				probes = append(probes[:i], probes[i+1:]...)
+				checks = append(checks[:i], checks[i+1:]...)
 				break
 			}
 		}
--- a/choice/golden_decisions_test.go
+++ b/choice/golden_decisions_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// actionText is an action in a form that does not depend on the names of types and fields.
+// actionText is an action in a form that does not depend on the names of types and fields. Its words are those of the first
+// record.
 func actionText(action choice.Action) string {
 	switch action := action.(type) {
 	case choice.StartAttempt:
@@ -109,13 +110,13 @@
 		r.write(" %v", cold)
 		r.bits(rate)
 	}
-	news := balancer.Observations(now)
-	for _, z := range news.Zones {
+	observations := balancer.Observations(now)
+	for _, z := range observations.Zones {
 		r.write("\nzone %s %d %d", z.Zone, z.Ready, z.Ejected)
 		r.bits(z.Capacity, z.Load, z.Cost, z.Attempts, z.Failed)
 		r.bits(z.OwnLoad...)
 	}
-	for _, c := range news.Classes {
+	for _, c := range observations.Classes {
 		r.bits(c.Arrived, c.Rejected)
 	}
 	r.write("\navoided %d dropped %d\n", balancer.Excluded(now), balancer.DroppedPeerMessages())
@@ -155,7 +156,7 @@
 			request := world.requests[id]
 			class := request.class
 			events = append(events, choice.OpenConnection{
-				Request: request.Request, Server: request.standing().host.ID, OriginalClass: &class,
+				Request: request.Request, Server: request.standing().server.ID, OriginalClass: &class,
 				CurrentLoad: float64(i%3) * 0.75,
 			})
 			given = append(given, choice.Transferred{ID: id})
@@ -290,7 +291,7 @@
 	}
 }
 
-// TestGoldenDecisionsOfAFleet pins the decisions of fleets with cold hosts under a burst: with reservations by peers, with reports
+// TestGoldenDecisionsOfAFleet pins the decisions of fleets with servers in slow start under a burst: with reservations by peers, with reports
 // alone and with none. Connections stand when it ends, so that the hand-over has some.
 func TestGoldenDecisionsOfAFleet(t *testing.T) {
 	for _, test := range []struct {
@@ -309,9 +310,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			f := coldFleet{
-				name: test.name, nodes: test.nodes, hosts: 16, reports: test.reports, peers: test.peers, rules: shortWarmUp, skew: 4,
-				homes: 0.02, told: test.reports == choice.NoReports, burst: 4, seed: 3,
+			f := slowStartFleet{
+				name: test.name, nodes: test.nodes, servers: 16, reports: test.reports, peers: test.peers, rules: shortWarmUp, skew: 4,
+				homes: 0.02, costKnown: test.reports == choice.NoReports, burst: 4, seed: 3,
 			}
 			r := record(t, test.name)
 			w := f.playRecorded(t, test.grouped, r)
--- a/choice/patrol_test.go
+++ b/choice/healthcheck_test.go
@@ -24,14 +24,14 @@
 		for i := range 20 {
 			next = append(next, OpenConnection{Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1}, Server: "full"})
 		}
-		probes, moves := 0, 0
+		checks, moves := 0, 0
 		for range 30 {
 			events := next
 			next = nil
 			for _, a := range balancer.Step(now, events) {
 				switch action := a.(type) {
 				case HealthCheck:
-					if probes++; action.Server != "full" {
+					if checks++; action.Server != "full" {
 						t.Errorf("asked %s, which holds nothing", action.Server)
 					}
 					next = append(next, HealthCheckResult{Server: action.Server, Report: []float64{3}})
@@ -44,13 +44,13 @@
 			}
 			now += time.Second
 		}
-		if want := !tells; probes > 0 != want || moves > 0 != want || probes > 15 {
-			t.Errorf("notes told %v: %d probes, %d moves", tells, probes, moves)
+		if want := !tells; checks > 0 != want || moves > 0 != want || checks > 15 {
+			t.Errorf("notes told %v: %d health checks, %d moves", tells, checks, moves)
 		}
 	}
 }
 
-// TestNoHealthChecksWithoutReports guards hosts whose protocol has no load reports against being asked.
+// TestNoHealthChecksWithoutReports guards servers whose protocol has no load reports against being asked.
 func TestNoHealthChecksWithoutReports(t *testing.T) {
 	balancer, err := New(Settings{
 		Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
@@ -66,7 +66,7 @@
 		for _, a := range balancer.Step(time.Hour+time.Duration(i)*time.Second, events) {
 			switch a := a.(type) {
 			case HealthCheck:
-				t.Fatal("a probe after ", i, " s")
+				t.Fatal("a health check after ", i, " s")
 			case SetTimer:
 				next = append(next, TimerFired{a.Token})
 			}
--- a/choice/estimate_test.go
+++ b/choice/inference_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// silentSettings are those of a deployment whose hosts report nothing and whose nodes don't talk.
+// silentSettings are those of a deployment whose servers report nothing and whose nodes don't talk.
 func silentSettings(nodes int) Settings {
 	return Settings{
 		Nodes: nodes, GroupAffinity: true, Sizes: NominalSize, DelaysObserved: true, RoundTrip: 4 * time.Millisecond,
@@ -19,22 +19,22 @@
 	}
 }
 
-// silentNode is one node of it, with a fleet of equal warm hosts.
-func silentNode(t *testing.T, nodes, hosts int) (*Balancer, time.Duration) {
+// silentNode is one node of it, with a fleet of equal warm servers.
+func silentNode(t *testing.T, nodes, servers int) (*Balancer, time.Duration) {
 	t.Helper()
 	balancer, err := New(silentSettings(nodes), 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
 	list := ServerList{Kind: ListFull}
-	for i := range hosts {
+	for i := range servers {
 		list.Servers = append(list.Servers, Server{ID: ServerID(fmt.Sprint("h", i)), Kind: "k", Size: 2})
 	}
 	balancer.Step(time.Hour, []Event{list})
 	return balancer, time.Hour
 }
 
-// connect places a request and has its connection stand; it returns the host, or "" where the request was refused.
+// connect places a request and has its connection stand; it returns the server, or "" where the request was rejected.
 func connect(b *Balancer, now time.Duration, id RequestID, class int, group uint64, returned bool) ServerID {
 	for _, a := range b.Step(now, []Event{Request{ID: id, Class: class, Tenant: -1, Group: group, TimeLeft: 5 * time.Second, Returned: returned}}) {
 		if a, ok := a.(StartAttempt); ok {
@@ -45,13 +45,13 @@
 	return ""
 }
 
-// A connection must not count 1 until its host tells its load, and a small part of that afterwards: no limit would ever bind.
+// A connection must not count 1 until its server tells its load, and a small part of that afterwards: no limit would ever bind.
 func TestReportedConnectionLoadsGiveTheUnit(t *testing.T) {
 	balancer, now := silentNode(t, 3, 8)
-	hosts := map[RequestID]ServerID{}
+	servers := map[RequestID]ServerID{}
 	for i := range 20 {
 		id := RequestID(fmt.Sprint(i))
-		hosts[id] = connect(balancer, now, id, i%2, uint64(i+1), false)
+		servers[id] = connect(balancer, now, id, i%2, uint64(i+1), false)
 	}
 	before := 0.0
 	for _, s := range balancer.servers {
@@ -60,12 +60,12 @@
 	for i := range 10 { // half of the connections tell their load: those of the second class are nine times as heavy
 		balancer.Step(now, []Event{LoadUpdate{ID: RequestID(fmt.Sprint(i)), Load: []float64{0.02, 0.18}[i%2]}})
 	}
-	told := 0.0
+	sum := 0.0
 	for _, s := range balancer.servers {
-		told += s.own.load
+		sum += s.own.load
 	}
-	if told < 1 || told > 3 { // ten of 0.02 and ten of 0.18 are 2
-		t.Errorf("20 connections count %.2f in all, told and untold ones together", told)
+	if sum < 1 || sum > 3 { // ten of 0.02 and ten of 0.18 are 2
+		t.Errorf("20 connections count %.2f in all, told and untold ones together", sum)
 	}
 	if light, heavy := balancer.expectedLoad(0), balancer.expectedLoad(1); light < 0.019 || light > 0.021 || heavy < 0.179 || heavy > 0.181 {
 		t.Errorf("new connections are guessed at %.3f and %.3f", light, heavy)
@@ -79,7 +79,7 @@
 	}
 }
 
-// Where servers report, told loads leave the unit alone: costs, and what keepers lend, are learned in it.
+// Where servers report, told loads leave the unit alone: costs, and what owners lend, are learned in it.
 func TestConnectionLoadsKeepTheUnitWhereServersReport(t *testing.T) {
 	set := silentSettings(3)
 	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Utilization, Load}
@@ -93,7 +93,7 @@
 	}
 }
 
-// Slow messages have to raise a host's predicted load where nothing reports it, and connections to leave it.
+// Slow messages have to raise a server's predicted load where nothing reports it, and connections to leave it.
 func TestSlowMessagesCountWithoutReports(t *testing.T) {
 	balancer, now := silentNode(t, 3, 8)
 	const group = 7
@@ -111,7 +111,7 @@
 			}
 		}
 		if i == 0 && balancer.predictedLoad(server) < crowded {
-			t.Errorf("a host whose messages take 900 ms is predicted at %.2f", balancer.predictedLoad(server))
+			t.Errorf("a server whose messages take 900 ms is predicted at %.2f", balancer.predictedLoad(server))
 		}
 	}
 	if moved == 0 {
@@ -153,7 +153,7 @@
 	}
 }
 
-// What one node sees of a host of a large fleet is next to nothing: its estimate has to lean on the average, and on its own
+// What one node sees of a server of a large fleet is next to nothing: its estimate has to lean on the average, and on its own
 // connections where there are enough.
 func TestEstimateLeansOnTheAverage(t *testing.T) {
 	for _, test := range []struct {
@@ -173,7 +173,7 @@
 	}
 }
 
-// A group has to go to the same few hosts from each node, more of them large than small, and to none that is just starting
+// A group has to go to the same few servers from each node, more of them large than small, and to none that is just starting
 // more often than its warm-up allows: all nodes know sizes and starts alike.
 func TestGroupsGoByRegisteredSize(t *testing.T) {
 	first := map[ServerID]int{}
@@ -203,11 +203,11 @@
 	}
 }
 
-// Connections that hosts shed at once, only to come again at the next node, must stay a bounded part of all; what is turned away
+// Connections that servers shed at once, only to come again at the next node, must stay a bounded part of all; what is turned away
 // is told when to come again, spread.
 func TestDroppedConnectionsAreThrottled(t *testing.T) {
 	balancer, now := silentNode(t, 300, 90)
-	placed, refused, advice := 0, 0, map[time.Duration]bool{}
+	placed, rejected, advice := 0, 0, map[time.Duration]bool{}
 	for i := range 300 { // a storm: each connection is dropped 200 ms after it came up
 		now += 10 * time.Millisecond
 		id := RequestID(fmt.Sprint(i))
@@ -218,7 +218,7 @@
 				balancer.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
 				balancer.Step(now+200*time.Millisecond, []Event{AttemptEnded{ID: id, Server: a.Server, Outcome: Reset, Final: true}})
 			case Reject:
-				refused++
+				rejected++
 				if advice[a.RetryAfter] = true; a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
 					t.Fatalf("advice of %v where clients heed 2 s", a.RetryAfter)
 				}
@@ -226,19 +226,19 @@
 		}
 	}
 	if placed > 60 || placed == 0 {
-		t.Errorf("%d of 300 connections were placed while hosts shed each of them", placed)
+		t.Errorf("%d of 300 connections were placed while servers shed each of them", placed)
 	}
-	if len(advice) < refused/2 {
-		t.Errorf("%d refusals have %d different advices: they come back as waves", refused, len(advice))
+	if len(advice) < rejected/2 {
+		t.Errorf("%d rejections have %d different advices: they come back as waves", rejected, len(advice))
 	}
-	now += time.Minute // hosts hold again: what comes is let in, at once and all of it
+	now += time.Minute // servers hold again: what comes is let in, at once and all of it
 	for i := range 50 {
 		now += 200 * time.Millisecond
 		balancer.Step(now, []Event{TimerFired{Token: "tick"}})
 		if connect(balancer, now, RequestID(fmt.Sprint("calm", i)), 0, uint64(1+i%5), false) == "" {
-			refused++
+			rejected++
 			if i > 10 {
-				t.Errorf("request %d is refused in a calm minute", i)
+				t.Errorf("request %d is rejected in a calm minute", i)
 			}
 		}
 	}
--- a/choice/alike_test.go
+++ b/choice/invariance_test.go
@@ -23,7 +23,7 @@
 			referee.run(ms(40 * i))
 			id := RequestID(fmt.Sprint(i))
 			referee.step(Request{ID: id, TimeLeft: ms(1800), Tenant: -1, Load: unit * float64(1+i%7)})
-			referee.answerProbes(load)
+			referee.answerHealthChecks(load)
 			got := referee.sends()
 			to = append(to, got...)
 			if len(got) == 1 {
@@ -42,7 +42,7 @@
 	}
 }
 
-// One node, one server, many servers: requests are placed, and probes stay within a few a request.
+// One node, one server, many servers: requests are placed, and health checks stay within a few a request.
 func TestSizes(t *testing.T) {
 	for _, test := range []struct{ nodes, servers int }{{1, 1}, {1, 10}, {200, 1}, {200, 1000}, {3, 1000}} {
 		s := plain()
@@ -62,12 +62,12 @@
 				open = open[1:]
 			}
 		}
-		probes := 0
-		for _, n := range referee.probes {
-			probes += n
+		checks := 0
+		for _, n := range referee.checks {
+			checks += n
 		}
-		if placed < 95 || probes > 400 {
-			t.Errorf("%+v: %d of 100 placed with %d probes", test, placed, probes)
+		if placed < 95 || checks > 400 {
+			t.Errorf("%+v: %d of 100 placed with %d health checks", test, placed, checks)
 		}
 	}
 }
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -31,7 +31,7 @@
 	return x
 }
 
-// step hands over events and plays the hosts' fraction: attempts stand at once, probes are answered with some noise.
+// step hands over events and plays the servers' fraction: attempts stand at once, health checks are answered with some noise.
 func (f *fleetOf) step(events ...Event) {
 	for len(events) > 0 {
 		acts := f.b.Step(f.now, events)
@@ -247,7 +247,7 @@
 		other := knows()
 		change(&other)
 		balancer := learned()
-		told := balancer.LearnedState()
+		inherited := balancer.LearnedState()
 		balancer.Step(now, []Event{SettingsChanged{other}})
 		fresh, err := New(other, 1, now)
 		if err != nil {
@@ -258,7 +258,7 @@
 		for _, inherits := range []bool{false, true} {
 			if inherits {
 				balancer = fresh
-				balancer.Step(now, []Event{LearnedStateReceived{told}})
+				balancer.Step(now, []Event{LearnedStateReceived{inherited}})
 			}
 			for _, id := range []ServerID{"a", "b"} {
 				s, clean := balancer.findServer(id), fresh.findServer(id)
@@ -280,7 +280,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		placed, refused := map[ServerID]int{}, 0
+		placed, rejected := map[ServerID]int{}, 0
 		events := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}}
 		for i := range 2000 {
 			events = append(events, Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1, TimeLeft: 4 * time.Second})
@@ -293,21 +293,21 @@
 						placed[a.Server]++
 						events = append(events, Established{ID: a.ID, Server: a.Server})
 					case Reject:
-						refused++
+						rejected++
 					case HealthCheck:
 						events = append(events, HealthCheckResult{Server: a.Server, Report: []float64{float64(placed[a.Server]) * 1e-5}})
 					}
 				}
 			}
 		}
-		if refused > 0 == (known > 0) {
-			t.Errorf("known cost %v: %d refused, %v placed", known, refused, placed)
+		if rejected > 0 == (known > 0) {
+			t.Errorf("known cost %v: %d rejected, %v placed", known, rejected, placed)
 		}
 	}
 }
 
 // TestLearnedStateByAnotherClock has a process begin on a clock that is an hour off the one before it: what that one learned keeps its age, and what
-// it spent at a cold server stays spent.
+// it spent at a server in slow start stays spent.
 func TestLearnedStateByAnotherClock(t *testing.T) {
 	for _, off := range []time.Duration{time.Hour, -time.Hour} {
 		list := fleet(3)
@@ -331,7 +331,7 @@
 			t.Errorf("%v off: a report of now is %v old, known %v", off, now-s.report.at, s.report.known)
 		}
 		if s := after.findServer("s001"); s.slowStart.amount != 0 || s.slowStart.at != now {
-			t.Errorf("%v off: a cold server that was sent all it bears may have %v, since %v", off, s.slowStart.amount, now-s.slowStart.at)
+			t.Errorf("%v off: a server in slow start that was sent all it bears may have %v, since %v", off, s.slowStart.amount, now-s.slowStart.at)
 		}
 		if s := after.findServer("s002"); s.outlier.until != now+firstEjection {
 			t.Errorf("%v off: a server that failed is left out for %v", off, s.outlier.until-now)
--- a/choice/clocks_test.go
+++ b/choice/peerclock_test.go
@@ -12,29 +12,29 @@
 		referee := newReferee(t, keeping(), 1)
 		referee.now = 2 * time.Hour
 		referee.step(fleet(13))
-		ask := func(clock time.Duration) (answered bool) {
+		answersAt := func(clock time.Duration) (answered bool) {
 			s := referee.b.servers[3]
 			s.report = loadReport{load: 0.1, at: referee.now, known: true}
 			q := peerMessage{kind: reservationRequest, token: uint16(clock.Milliseconds()), server: serverKey(s), load: 1}
 			for _, a := range referee.step(PeerMessage{1, q.encode()}) {
-				if tell, ok := a.(SendPeerMessage); ok && tell.To == 1 {
+				if message, ok := a.(SendPeerMessage); ok && message.To == 1 {
 					return true
 				}
 			}
 			return false
 		}
-		if !ask(referee.now) {
+		if !answersAt(referee.now) {
 			t.Fatal("a question of now has no answer")
 		}
 		answered := false
 		for range 8 {
 			referee.now += 250 * time.Millisecond
-			answered = ask(referee.now + off)
+			answered = answersAt(referee.now + off)
 		}
 		if !answered {
 			t.Errorf("a clock that is %v off: no answer after two seconds", off)
 		}
-		if referee.now += 250 * time.Millisecond; ask(referee.now + off - 2*time.Second) {
+		if referee.now += 250 * time.Millisecond; answersAt(referee.now + off - 2*time.Second) {
 			t.Errorf("a clock that is %v off: a question that is two seconds late is answered", off)
 		}
 	}
--- a/choice/drawn_faults_test.go
+++ b/choice/plan_and_budget_test.go
@@ -10,7 +10,7 @@
 
 // smallSettings are those of one node that may do all, with one safe class.
 func smallSettings(nodes int) choice.Settings {
-	f := coldFleet{nodes: nodes, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp, told: true}
+	f := slowStartFleet{nodes: nodes, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp, costKnown: true}
 	s := f.settings()
 	s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, time.Second
 	return s
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestWaitingRequestsFollowTheNewPlan has a plan come while a request waits for probes: it must not go to a zone without a grant.
+// TestWaitingRequestsFollowTheNewPlan has a plan come while a request waits for health checks: it must not go to a zone without a grant.
 func TestWaitingRequestsFollowTheNewPlan(t *testing.T) {
 	waited := 0
 	for seed := range uint64(20) {
@@ -75,12 +75,12 @@
 		}
 	}
 	if waited == 0 {
-		t.Error("no request waited for probes")
+		t.Error("no request waited for health checks")
 	}
 }
 
-// TestResumptionsKeepTheSlowStartBudget has the clients of a host that restarted come again at once, each to resume there, where hosts
-// have keepers: the cold host must not get them all.
+// TestResumptionsKeepTheSlowStartBudget has the clients of a server that restarted come again at once, each to resume there, where servers
+// have owners: the server in slow start must not get them all.
 func TestResumptionsKeepTheSlowStartBudget(t *testing.T) {
 	balancer, err := choice.New(smallSettings(30), 1, simulationStart)
 	if err != nil {
@@ -101,42 +101,42 @@
 		}
 	}
 	if most := withSlack(bears(shortWarmUp, 1, shortWarmUp.OverloadTime)); float64(sent) > most {
-		t.Errorf("one of 30 nodes sends %d connections to a cold host at once; all together may send %.1f", sent, most)
+		t.Errorf("one of 30 nodes sends %d connections to a server in slow start at once; all together may send %.1f", sent, most)
 	}
 }
 
-// TestOwnersKeepTheSlowStartBudgetUnderUnevenTraffic has keepers among 30 nodes of which a fifth gets four times the traffic.
+// TestOwnersKeepTheSlowStartBudgetUnderUnevenTraffic has owners among 30 nodes of which a fifth gets four times the traffic.
 func TestOwnersKeepTheSlowStartBudgetUnderUnevenTraffic(t *testing.T) {
-	var sum coldFigures
+	var sum slowStartFigures
 	const seeds = 12
 	for seed := range uint64(seeds) {
-		f := coldFleet{
-			name: fmt.Sprint("seed ", seed), nodes: 30, hosts: 24, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp,
-			skew: 4, told: true, burst: 4, seed: seed,
+		f := slowStartFleet{
+			name: fmt.Sprint("seed ", seed), nodes: 30, servers: 24, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp,
+			skew: 4, costKnown: true, burst: 4, seed: seed,
 		}
 		sum.add(f.play(t), seeds)
 	}
 	t.Logf("worst window %.2f of the limit, part of an even spread %.2f", sum.worst, sum.fairPart)
 	if sum.broken > 0 {
-		t.Errorf("%d windows over what a cold host bears, sent by nodes that knew of its start", sum.broken)
+		t.Errorf("%d windows over what a server in slow start bears, sent by nodes that knew of its start", sum.broken)
 	}
 }
 
-// TestSlowStartOfManyNodesDoesNotStarve has 300 nodes without keepers: their cold hosts get a tenth of an even spread at least.
+// TestSlowStartOfManyNodesDoesNotStarve has 300 nodes without owners: their servers in slow start get a tenth of an even spread at least.
 func TestSlowStartOfManyNodesDoesNotStarve(t *testing.T) {
 	for _, reports := range []choice.ReportSource{choice.NoReports, choice.HealthCheckReports} {
-		var sum coldFigures
+		var sum slowStartFigures
 		const seeds = 4
 		for seed := range uint64(seeds) {
-			f := coldFleet{
-				name: fmt.Sprint("seed ", seed), nodes: 300, hosts: 24, reports: reports, rules: longWarmUp, skew: 4,
-				told: reports == choice.NoReports, burst: 0, seed: seed,
+			f := slowStartFleet{
+				name: fmt.Sprint("seed ", seed), nodes: 300, servers: 24, reports: reports, rules: longWarmUp, skew: 4,
+				costKnown: reports == choice.NoReports, burst: 0, seed: seed,
 			}
 			sum.add(f.play(t), seeds)
 		}
 		t.Logf("reports %d: worst window %.2f of the limit, part of an even spread %.2f", reports, sum.worst, sum.fairPart)
 		if sum.broken > 0 || sum.fairPart < 0.1 {
-			t.Errorf("reports %d: cold hosts get %.2f of an even part, %d windows over the limit", reports, sum.fairPart, sum.broken)
+			t.Errorf("reports %d: servers in slow start get %.2f of an even part, %d windows over the limit", reports, sum.fairPart, sum.broken)
 		}
 	}
 }
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -20,8 +20,8 @@
 	drawnDay = 16 * time.Second
 	// worldLimit is how long one world may take, far over what any does (under 1 s): it tells a Step that does not end.
 	worldLimit = time.Minute
-	// tellLimit is the most bytes of a message between nodes.
-	tellLimit = 256
+	// maxMessageBytes is the most bytes of a message between nodes.
+	maxMessageBytes = 256
 )
 
 // rulesJudge checks the rules for every node and request of a simulation, from the events and actions alone.
@@ -33,7 +33,7 @@
 // nodeBook is what the judge keeps of one node.
 type nodeBook struct {
 	everListed map[choice.ServerID]bool
-	offSince   map[choice.ServerID]time.Duration // since when it was told that the host drains or is gone
+	offSince   map[choice.ServerID]time.Duration // since when it was told that the server drains or is gone
 	lists      map[choice.ServerID]choice.ServerState
 	lostAt     time.Duration // since when it owes an ask for the list; 0: it owes none
 	planAt     time.Duration // what was decided in the step of its coming, before it, goes by the one before
@@ -66,11 +66,11 @@
 		j.w.settings)
 }
 
-func (j *rulesJudge) told(n *simNode, e choice.Event) {
+func (j *rulesJudge) delivered(n *simNode, e choice.Event) {
 	book := j.book(n)
 	switch event := e.(type) {
 	case choice.ServerList:
-		j.toldList(n, book, event)
+		j.listDelivered(n, book, event)
 	case choice.Request:
 		r := j.w.requests[event.ID]
 		r.deadline = j.w.now + event.TimeLeft
@@ -105,7 +105,7 @@
 	return requestState{r.open, r.over, r.gone}
 }
 
-func (j *rulesJudge) toldList(n *simNode, k *nodeBook, list choice.ServerList) {
+func (j *rulesJudge) listDelivered(n *simNode, k *nodeBook, list choice.ServerList) {
 	if list.Kind == choice.ListUnavailable {
 		lost := j.w.now
 		k.lostAt = lost
@@ -141,7 +141,7 @@
 	}
 }
 
-func (j *rulesJudge) acts(n *simNode, a choice.Action) {
+func (j *rulesJudge) acted(n *simNode, a choice.Action) {
 	book, limits := j.book(n), j.w.settings.Limits
 	switch action := a.(type) {
 	case choice.StartAttempt:
@@ -150,9 +150,9 @@
 		r := j.final(n, book, action.ID)
 		if r.mayHaveRun() != nil {
 			if r.class.Idempotency == choice.NotIdempotent || r.class.Idempotency == choice.IdempotentByKey && r.class.IdempotencyScope != choice.ScopeAll {
-				j.broken(n, "%s may have run and is refused as if it had not: %+v", r.ID, r.class)
+				j.broken(n, "%s may have run and is rejected as if it had not: %+v", r.ID, r.class)
 			}
-			j.w.count("refusals of what may have run")
+			j.w.count("rejections of what may have run")
 		}
 		j.advises(n, action)
 	case choice.Fail:
@@ -166,7 +166,7 @@
 		}
 	case choice.HealthCheck:
 		if !limits.HealthChecks || !book.everListed[action.Server] {
-			j.broken(n, "%+v is not allowed or names no listed host", action)
+			j.broken(n, "%+v is not allowed or names no listed server", action)
 		}
 	case choice.Migrate:
 		r := j.w.requests[action.ID]
@@ -183,13 +183,13 @@
 		}
 		book.lostAt = 0
 	case choice.SendPeerMessage:
-		if !limits.PeerMessages || action.To < 0 || action.To >= len(j.w.nodes) || action.To == n.number || len(action.Data) > tellLimit {
+		if !limits.PeerMessages || action.To < 0 || action.To >= len(j.w.nodes) || action.To == n.number || len(action.Data) > maxMessageBytes {
 			j.broken(n, "message of %d bytes to %d is not allowed or goes nowhere", len(action.Data), action.To)
 		}
 	}
 }
 
-// advises checks the advice of a refusal.
+// advises checks the advice of a rejection.
 func (j *rulesJudge) advises(n *simNode, a choice.Reject) {
 	if a.RetryAfter == 0 {
 		return
@@ -200,7 +200,7 @@
 	}
 }
 
-// mayHaveRun is the first attempt that may have run at its host, or is out and may yet.
+// mayHaveRun is the first attempt that may have run at its server, or is out and may yet.
 func (r *simRequest) mayHaveRun() *simAttempt {
 	for _, at := range r.attempts {
 		if !at.ended || !at.outcome.NeverRan() {
@@ -229,7 +229,7 @@
 	server, h, rules := j.w.requests[action.ID], j.w.byID[action.Server], j.w.settings.Rules
 	switch {
 	case server == nil || server.node != n || h == nil || !k.everListed[action.Server]:
-		j.broken(n, "%+v names no request of this node or no listed host", action)
+		j.broken(n, "%+v names no request of this node or no listed server", action)
 	case server.answered || k.state(server).open || k.state(server).over:
 		j.broken(n, "%s is sent after its final answer", action.ID)
 	case k.state(server).gone:
@@ -242,7 +242,7 @@
 		j.broken(n, "the cap of %+v outlives its client at %v", action, server.deadline-simulationStart)
 	}
 	if since, off := k.offSince[action.Server]; off && j.w.now > since+rules.DrainGrace {
-		j.broken(n, "%+v: it was told at %v that the host drains or is gone", action, since-simulationStart)
+		j.broken(n, "%+v: it was told at %v that the server drains or is gone", action, since-simulationStart)
 	}
 	if k.planned && j.w.now > k.planAt && server.StickyServer != action.Server && !slices.Contains(k.zones, h.Zone) {
 		j.broken(n, "%+v leaves the zones of the plan %v for %s", action, k.zones, h.Zone)
@@ -253,7 +253,7 @@
 }
 
 // repeats checks a further attempt of a request that may have run.
-func (j *rulesJudge) repeats(n *simNode, a choice.StartAttempt, r *simRequest, may *simAttempt, server *simHost) {
+func (j *rulesJudge) repeats(n *simNode, a choice.StartAttempt, r *simRequest, may *simAttempt, server *simServer) {
 	class := r.class
 	switch {
 	case class.Idempotency == choice.Idempotent:
@@ -262,8 +262,8 @@
 		j.broken(n, "%s is unsafe, may have run and is sent again", a.ID)
 	case j.w.now > may.sentAt+class.IdempotencyWindow || a.SendBefore <= 0 || a.SendBefore > may.sentAt+class.IdempotencyWindow:
 		j.broken(n, "%+v: the window of %v since %v is over", a, class.IdempotencyWindow, may.sentAt-simulationStart)
-	case class.IdempotencyScope == choice.ScopeZone && server.Zone != may.host.Zone, class.IdempotencyScope == choice.ScopeCell && server.Cell != may.host.Cell:
-		j.broken(n, "%+v leaves the hosts that know of it: %+v, first %+v", a, server.Server, may.host.Server)
+	case class.IdempotencyScope == choice.ScopeZone && server.Zone != may.server.Zone, class.IdempotencyScope == choice.ScopeCell && server.Cell != may.server.Cell:
+		j.broken(n, "%+v leaves the servers that know of it: %+v, first %+v", a, server.Server, may.server.Server)
 	default:
 		j.w.count("keyed repeats, scope " + []string{"all", "zone", "cell"}[class.IdempotencyScope])
 	}
@@ -279,7 +279,7 @@
 			waiting = len(j.w.requests)
 		}
 	}
-	if most := 40 * (1 + len(events) + len(j.w.hosts) + waiting); len(actions) > most {
+	if most := 40 * (1 + len(events) + len(j.w.servers) + waiting); len(actions) > most {
 		j.broken(node, "%d actions for %d events", len(actions), len(events))
 	}
 }
@@ -289,10 +289,10 @@
 	chance := func(part float64) bool { return rng.Float64() < part }
 	between := func(lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
 	seconds := func(lo, hi float64) time.Duration { return time.Duration(between(lo, hi) * float64(time.Second)) }
-	hosts, zones := 3+int(58*rng.Float64()*rng.Float64()), 1+rng.IntN(5)
+	servers, zones := 3+int(58*rng.Float64()*rng.Float64()), 1+rng.IntN(5)
 	conditions := terms{
-		perHost: between(6, 20), life: seconds(3, 9), listDelay: seconds(0.05, 2), lossOfList: between(0, 0.4),
-		lossOfTells: between(0, 0.3), tries: 1 + rng.IntN(4), leavers: between(0, 0.2), toldLoads: chance(0.4),
+		perServer: between(6, 20), connectionTime: seconds(3, 9), listDelay: seconds(0.05, 2), lossOfList: between(0, 0.4),
+		messageLoss: between(0, 0.3), tries: 1 + rng.IntN(4), leavers: between(0, 0.2), loadsReported: chance(0.4),
 		oddAnswers: between(0.02, 0.2), shedAt: between(1, 1.6), homes: 0.03, skew: 1 + rng.IntN(5),
 	}
 	conditions.slotsAt = conditions.shedAt * between(0.8, 1.1)
@@ -318,7 +318,7 @@
 		settings.ReportFields = settings.ReportFields[:1+rng.IntN(4)]
 	}
 	if chance(0.5) {
-		settings.InitialCost = 1 / conditions.perHost
+		settings.InitialCost = 1 / conditions.perServer
 	}
 	for i := range 1 + rng.IntN(5) {
 		c := choice.Class{
@@ -333,11 +333,11 @@
 	for i := range rng.IntN(2) * (1 + rng.IntN(4)) {
 		settings.Tenants = append(settings.Tenants, choice.Tenant{
 			Name: fmt.Sprint("t", i), Rate: between(1, 10), Share: 0.2,
-			Connections: between(0, 1) * float64(hosts) * conditions.perHost,
+			Connections: between(0, 1) * float64(servers) * conditions.perServer,
 		})
 	}
 	var list []choice.Server
-	for i := range hosts {
+	for i := range servers {
 		h := choice.Server{
 			ID: choice.ServerID(fmt.Sprintf("h%02d", i)), Zone: fmt.Sprint("z", i%zones), Kind: fmt.Sprint("k", i%2),
 			Cell: i % (2 * zones), Size: 1,
@@ -367,7 +367,7 @@
 	watchdog := time.AfterFunc(worldLimit, func() { panic(fmt.Sprintf("seed %d: the world hangs", seed)) })
 	defer watchdog.Stop()
 
-	capacity := float64(len(list)) * conditions.perHost / conditions.life.Seconds() // new connections a second that fill all hosts
+	capacity := float64(len(list)) * conditions.perServer / conditions.connectionTime.Seconds() // new connections a second that fill all servers
 	draw := func() *simClient {
 		client := &simClient{class: world.rng.IntN(len(settings.Classes)), tenant: -1, key: world.rng.Uint64(), load: 1}
 		if len(settings.Tenants) > 0 {
@@ -376,7 +376,7 @@
 		if settings.GroupAffinity {
 			client.group = world.rng.Uint64N(20)
 		}
-		if conditions.toldLoads {
+		if conditions.loadsReported {
 			client.load = 0.5 + world.rng.Float64()
 		}
 		return client
@@ -398,10 +398,10 @@
 
 // schedule has the world's troubles happen.
 func schedule(w *simulation, settings choice.Settings) {
-	trouble := []func(*simHost){w.drain, w.vanish, w.restart, w.fail}
-	for i := range 8 + len(w.hosts)/3 {
-		h := w.hosts[w.rng.IntN(len(w.hosts))]
-		w.after(w.upTo(drawnDay), func() { trouble[i%len(trouble)](h) })
+	faults := []func(*simServer){w.drain, w.vanish, w.restart, w.fail}
+	for i := range 8 + len(w.servers)/3 {
+		h := w.servers[w.rng.IntN(len(w.servers))]
+		w.after(w.upTo(drawnDay), func() { faults[i%len(faults)](h) })
 	}
 	if settings.Subscribe {
 		for range 1 + len(w.nodes)/2 {
@@ -420,7 +420,7 @@
 func drawPlan(w *simulation, settings choice.Settings) choice.ZonePlan {
 	plan := choice.ZonePlan{Grants: []choice.Grant{}, RetryAfter: w.upTo(settings.Limits.MaxRetryAfter)}
 	seen := map[string]bool{}
-	for _, h := range w.hosts {
+	for _, h := range w.servers {
 		if !seen[h.Zone] && w.often(0.6) {
 			plan.Grants = append(plan.Grants, choice.Grant{Zone: h.Zone, Load: w.rng.Float64() * 40})
 		}
@@ -450,7 +450,7 @@
 }
 
 // TestRandomSettingsKeepTheRules draws settings and worlds by seed and checks the rules in each: one final answer in time, attempts
-// within the limit and one at a time, nothing after the end, no effect twice, nothing to hosts that drain or are gone, and no
+// within the limit and one at a time, nothing after the end, no effect twice, nothing to servers that drain or are gone, and no
 // action that the settings don't allow.
 func TestRandomSettingsKeepTheRules(t *testing.T) {
 	worlds := drawnSettings
@@ -463,7 +463,7 @@
 		for what, n := range counts {
 			total[what] += n
 		}
-		for _, what := range []string{"requests", "sends", "connections", "cold starts"} {
+		for _, what := range []string{"requests", "sends", "connections", "slow starts"} {
 			if counts[what] == 0 {
 				t.Errorf("seed %d: no %s", seed, what)
 			}
@@ -471,10 +471,10 @@
 	}
 	t.Log(total)
 	for _, what := range []string{
-		"drains", "hosts that vanish", "cold starts", "sends to cold hosts", "failing hosts", "sheds",
-		"refused by a full host", "retries", "safe repeats", "keyed repeats, scope all", "keyed repeats, scope zone",
-		"keyed repeats, scope cell", "refusals of what may have run", "failures of what may have run", "refusals", "failures",
-		"clients that leave", "clients that return", "cancels", "probes", "moves", "messages", "lost messages", "failed asks",
+		"drains", "servers that vanish", "slow starts", "sends to servers in slow start", "failing servers", "sheds",
+		"rejected by a full server", "retries", "safe repeats", "keyed repeats, scope all", "keyed repeats, scope zone",
+		"keyed repeats, scope cell", "rejections of what may have run", "failures of what may have run", "rejections", "failures",
+		"clients that leave", "clients that return", "cancels", "health checks", "moves", "messages", "lost messages", "failed asks",
 		"broken subscriptions", "delay notes", "plans", "advice", "requests that wait as their node stops",
 	} {
 		if total[what] < worlds/4 {
--- a/choice/world_test.go
+++ b/choice/referee_test.go
@@ -11,17 +11,17 @@
 // referee checks the four rules from outside: it sees the events given and the actions returned, and nothing of the
 // module's state.
 type referee struct {
-	t      testing.TB
-	set    Settings
-	b      *Balancer
-	now    time.Duration
-	reqs   map[RequestID]*seen
-	list   map[ServerID]Server
-	told   map[ServerID]time.Duration // since when it drains or is gone
-	timers []timer
-	probes map[ServerID]int
-	last   []Action
-	load   func(ServerID) float64 // what hosts answer probes with, once set
+	t        testing.TB
+	set      Settings
+	b        *Balancer
+	now      time.Duration
+	reqs     map[RequestID]*seen
+	list     map[ServerID]Server
+	offSince map[ServerID]time.Duration // since when it drains or is gone
+	timers   []timer
+	checks   map[ServerID]int
+	last     []Action
+	load     func(ServerID) float64 // what servers answer health checks with, once set
 }
 
 type seen struct {
@@ -52,7 +52,7 @@
 	}
 	return &referee{
 		t: t, set: s, b: b, reqs: map[RequestID]*seen{}, list: map[ServerID]Server{},
-		told: map[ServerID]time.Duration{}, probes: map[ServerID]int{},
+		offSince: map[ServerID]time.Duration{}, checks: map[ServerID]int{},
 	}
 }
 
@@ -83,7 +83,7 @@
 		if event.Kind != ListChange {
 			for id, s := range f.list {
 				if s.State == Ready {
-					f.told[id] = f.now
+					f.offSince[id] = f.now
 				}
 				s.State = Gone
 				f.list[id] = s
@@ -91,9 +91,9 @@
 		}
 		for _, s := range event.Servers {
 			if s.State == Ready {
-				delete(f.told, s.ID)
-			} else if _, ok := f.told[s.ID]; !ok {
-				f.told[s.ID] = f.now
+				delete(f.offSince, s.ID)
+			} else if _, ok := f.offSince[s.ID]; !ok {
+				f.offSince[s.ID] = f.now
 			}
 			f.list[s.ID] = s
 		}
@@ -135,7 +135,7 @@
 			f.t.Fatalf("%v: %d attempts for %s", f.now, request.sent, action.ID)
 		}
 		server, ok := f.list[action.Server]
-		if at, drains := f.told[action.Server]; !ok || drains && f.now > at+f.set.Rules.DrainGrace {
+		if at, drains := f.offSince[action.Server]; !ok || drains && f.now > at+f.set.Rules.DrainGrace {
 			f.t.Fatalf("%v: Send to %s, unknown or told to drain", f.now, action.Server)
 		}
 		if action.Timeout <= 0 || f.now+action.Timeout > request.deadline {
@@ -158,7 +158,7 @@
 		r := f.final(action.ID)
 		if c := f.set.Classes[r.class]; (r.may || len(r.out) > 0) &&
 			!(c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll) {
-			f.t.Fatalf("%v: refusal of %s, which may have run", f.now, action.ID)
+			f.t.Fatalf("%v: rejection of %s, which may have run", f.now, action.ID)
 		}
 	case Fail:
 		f.final(action.ID)
@@ -169,9 +169,9 @@
 		f.timers = append(f.timers, timer{f.now + action.After, action.Token})
 	case HealthCheck:
 		if _, ok := f.list[action.Server]; !ok {
-			f.t.Fatalf("probe of unknown server %s", action.Server)
+			f.t.Fatalf("health check of unknown server %s", action.Server)
 		}
-		f.probes[action.Server]++
+		f.checks[action.Server]++
 	case Migrate:
 		if r := f.reqs[action.ID]; r == nil || !r.open || r.done && r.doneAt < f.now {
 			f.t.Fatalf("%v: move of %s, which is not open", f.now, action.ID)
@@ -205,8 +205,8 @@
 		f.timers = f.timers[1:]
 		f.now = max(f.now, next.at)
 		f.step(TimerFired{next.token})
-		if f.load != nil { // probes on the module's own account have answers as well
-			f.answerProbes(f.load)
+		if f.load != nil { // health checks on the module's own account have answers as well
+			f.answerHealthChecks(f.load)
 		}
 	}
 	f.now = max(f.now, until)
@@ -253,8 +253,8 @@
 	return ids
 }
 
-// answerProbes answers the probes of the last step with the given load, and the ones that follow from it.
-func (f *referee) answerProbes(load func(ServerID) float64) {
+// answerHealthChecks answers the health checks of the last step with the given load, and the ones that follow from it.
+func (f *referee) answerHealthChecks(load func(ServerID) float64) {
 	f.t.Helper()
 	f.load = load
 	for range 50 {
--- a/choice/failures_test.go
+++ b/choice/regression_test.go
@@ -8,12 +8,12 @@
 
 // One small test for each failure found on the bench; docs/incidents says where.
 
-// place sends one request with all probes answered, and returns where it went ("" if refused).
+// place sends one request with all health checks answered, and returns where it went ("" if rejected).
 func (f *referee) place(id string, group uint64, load func(ServerID) float64) ServerID {
 	f.t.Helper()
 	f.now += ms(1)
 	f.step(Request{ID: RequestID(id), TimeLeft: ms(1800), Tenant: -1, Group: group})
-	f.answerProbes(load)
+	f.answerHealthChecks(load)
 	if got := f.sends(); len(got) == 1 {
 		return got[0]
 	}
@@ -25,7 +25,7 @@
 	f.step(fleet(10))
 	for i := range 10 { // all before the first tick
 		if f.place(fmt.Sprint(i), 0, level(0.4)) == "" {
-			t.Fatal("refused on an idle fleet: the cost of a connection was guessed as a whole server")
+			t.Fatal("rejected on an idle fleet: the cost of a connection was guessed as a whole server")
 		}
 	}
 }
@@ -57,8 +57,8 @@
 		return n
 	}
 	placed(0, 10, 1.3)
-	if probes := len(referee.b.actions); probes > 3 {
-		t.Errorf("%d actions for one refusal", probes)
+	if checks := len(referee.b.actions); checks > 3 {
+		t.Errorf("%d actions for one rejection", checks)
 	}
 	if g := referee.b.admission.passRate; g > 0.1 {
 		t.Errorf("gate at %.2f after 10 s at load 1.3", g)
@@ -154,12 +154,12 @@
 	}
 }
 
-// Leave to send to a cold server must not be saved up at many idle nodes and spent at once.
+// Leave to send to a server in slow start must not be saved up at many idle nodes and spent at once.
 func TestSlowStartCreditLapses(t *testing.T) {
 	worst, total := growth(t, 6)
 	t.Log(worst, total)
 	if worst > 3 {
-		t.Errorf("after six idle seconds a cold server got %.1f times what it could do", worst)
+		t.Errorf("after six idle seconds a server in slow start got %.1f times what it could do", worst)
 	}
 }
 
@@ -176,7 +176,7 @@
 		id := RequestID(fmt.Sprint("warm", i))
 		referee.now += ms(10)
 		referee.step(Request{ID: id, TimeLeft: ms(1800), Class: i % 2, Tenant: i % 4 / 2})
-		referee.answerProbes(level(0.5))
+		referee.answerHealthChecks(level(0.5))
 		if to := referee.sends(); len(to) == 1 {
 			referee.step(Established{ID: id, Attempt: 0, Server: to[0]})
 		}
@@ -200,7 +200,7 @@
 	}
 }
 
-// Probes go to servers that look well: the gate must also see that this node's own clients sit on full ones.
+// Health checks go to servers that look well: the gate must also see that this node's own clients sit on full ones.
 func TestPassRateSeesOwnClientsOnFullServers(t *testing.T) {
 	referee := newReferee(t, plain(), 12)
 	referee.step(fleet(20))
@@ -236,7 +236,7 @@
 			f.step(fleet(12))
 			f.b.admission.passRate = 0.01
 			f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1, Key: key, MidFlow: true})
-			f.answerProbes(level(0.4))
+			f.answerHealthChecks(level(0.4))
 			for _, to := range f.sends() {
 				homes[to] = true
 			}
--- a/choice/many_test.go
+++ b/choice/reservation_test.go
@@ -18,9 +18,9 @@
 }
 
 // TestCostOnANodeWithoutConnections guards against reported load set against no connections of a node's own: that reads as
-// hosts that one connection fills, and all requests are refused.
+// servers that one connection fills, and all requests are rejected.
 func TestCostOnANodeWithoutConnections(t *testing.T) {
-	refused := 0
+	rejected := 0
 	for seed := range uint64(20) {
 		referee := newReferee(t, vast(), seed)
 		referee.step(fleet(13))
@@ -31,13 +31,13 @@
 			referee.run(referee.now + ms(200))
 		}
 		referee.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
-		referee.answerProbes(func(ServerID) float64 { return 0.6 })
+		referee.answerHealthChecks(func(ServerID) float64 { return 0.6 })
 		if len(referee.sends()) == 0 {
-			refused++
+			rejected++
 		}
 	}
-	if refused > 0 {
-		t.Errorf("%d of 20 nodes refuse a connection while all hosts are at 0.6", refused)
+	if rejected > 0 {
+		t.Errorf("%d of 20 nodes reject a connection while all servers are at 0.6", rejected)
 	}
 }
 
@@ -57,28 +57,28 @@
 		}
 		referee.run(referee.now + 2*time.Second)
 		referee.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
-		referee.answerProbes(func(ServerID) float64 { return 0.4 })
+		referee.answerHealthChecks(func(ServerID) float64 { return 0.4 })
 		for _, s := range referee.sends() {
 			used[s]++
 		}
 	}
 	if len(used) > 2 {
-		t.Errorf("a group of 80 nodes goes to %d of 13 hosts: %v", len(used), used)
+		t.Errorf("a group of 80 nodes goes to %d of 13 servers: %v", len(used), used)
 	}
 }
 
-// crowd is many nodes before a few hosts in simulated time. Messages take 20 ms, reports are 200 ms old.
+// crowd is many nodes before a few servers in simulated time. Messages take 20 ms, reports are 200 ms old.
 type crowd struct {
-	nodes []*Balancer
-	now   time.Duration
-	queue []occurrence // by time
-	load  func(host ServerID, held int) float64
-	held  map[ServerID]int
-	seen  map[ServerID][]int           // held, at each 10 ms
-	times map[ServerID][]time.Duration // of sends
-	tells int
-	end   map[string]int
-	dead  map[int]bool
+	nodes    []*Balancer
+	now      time.Duration
+	queue    []occurrence // by time
+	load     func(server ServerID, held int) float64
+	held     map[ServerID]int
+	seen     map[ServerID][]int           // held, at each 10 ms
+	times    map[ServerID][]time.Duration // of sends
+	messages int
+	end      map[string]int
+	dead     map[int]bool
 }
 
 type occurrence struct {
@@ -119,17 +119,17 @@
 			continue
 		}
 		for _, a := range c.nodes[o.node].Step(c.now, []Event{o.e}) {
-			c.carryOut(o.node, a)
+			c.perform(o.node, a)
 		}
 	}
 }
 
-func (c *crowd) carryOut(node int, a Action) {
+func (c *crowd) perform(node int, a Action) {
 	switch action := a.(type) {
 	case SetTimer:
 		c.later(node, max(action.After, 1), TimerFired{action.Token})
 	case SendPeerMessage:
-		c.tells++
+		c.messages++
 		c.later(action.To, ms(20), PeerMessage{node, action.Data})
 	case HealthCheck:
 		held := 0
@@ -143,7 +143,7 @@
 		c.later(node, ms(5), Established{ID: action.ID, Server: action.Server})
 		c.end["sent"]++
 	case Reject:
-		c.end["refused"]++
+		c.end["rejected"]++
 	case Fail:
 		c.end["failed"]++
 	}
@@ -173,9 +173,9 @@
 	return s
 }
 
-// TestManyNodesDoNotOverloadAServer has eighty nodes place a burst on hosts that are half full, each by reports 200 ms old.
+// TestManyNodesDoNotOverloadAServer has eighty nodes place a burst on servers that are half full, each by reports 200 ms old.
 func TestManyNodesDoNotOverloadAServer(t *testing.T) {
-	worst := func(s Settings) (over, refused int) {
+	worst := func(s Settings) (over, rejected int) {
 		for seed := range uint64(3) {
 			c := newCrowd(t, s, seed, fleet(13), func(_ ServerID, held int) float64 { return 0.5 + 0.06*float64(held) })
 			c.run(2 * time.Second)
@@ -183,20 +183,20 @@
 			for _, n := range c.held {
 				over = max(over, n)
 			}
-			refused += c.end["refused"]
+			rejected += c.end["rejected"]
 		}
-		return over, refused
+		return over, rejected
 	}
-	// A host is full at 0.85, with 5 more connections; half a connection of rounding on the wire, and one of chance.
-	if over, refused := worst(keeping()); over > 7 || refused == 0 {
-		t.Errorf("with keepers a host gets %d connections, %d refused; it bears 5", over, refused)
+	// A server is full at 0.85, with 5 more connections; half a connection of rounding on the wire, and one of chance.
+	if over, rejected := worst(keeping()); over > 7 || rejected == 0 {
+		t.Errorf("with owners a server gets %d connections, %d rejected; it bears 5", over, rejected)
 	}
 	if over, _ := worst(vast()); over <= 7 {
-		t.Errorf("without keepers a host gets only %d connections: the test shows nothing", over)
+		t.Errorf("without owners a server gets only %d connections: the test shows nothing", over)
 	}
 }
 
-// TestSlowStartServerGetsItsBudgetAndNoMore has a storm at eighty nodes while all warm hosts are nearly full.
+// TestSlowStartServerGetsItsBudgetAndNoMore has a storm at eighty nodes while all warm servers are nearly full.
 func TestSlowStartServerGetsItsBudgetAndNoMore(t *testing.T) {
 	list := fleet(13)
 	list.Servers[4].Started = time.Hour - time.Second
@@ -211,7 +211,7 @@
 	nodes.arrivals(600, 4*time.Second, func(int) uint64 { return 0 })
 	cold := list.Servers[4]
 	if len(nodes.times[cold.ID]) < 5 {
-		t.Errorf("a cold host gets %d connections in a storm of 4 s", len(nodes.times[cold.ID]))
+		t.Errorf("a server in slow start gets %d connections in a storm of 4 s", len(nodes.times[cold.ID]))
 	}
 	for i, from := range nodes.times[cold.ID] {
 		count := 0
@@ -221,10 +221,10 @@
 			}
 		}
 		// FallMultiple times the part that is warm at the end, of the rate that fills it over its warm-up: the tenants' shares
-		// give 165 connections to 13 hosts. One more for the first, as there are no halves.
+		// give 165 connections to 13 servers. One more for the first, as there are no halves.
 		warm := 0.2 + 0.8*(from+settings.Rules.OverloadTime-cold.Started).Seconds()/10
 		if budget := settings.Rules.OverloadMultiple * warm * 165.0 / 13 / 10 * settings.Rules.OverloadTime.Seconds(); float64(count) > budget+1 {
-			t.Errorf("a cold host gets %d connections in %v; its budget is %.1f", count, settings.Rules.OverloadTime, budget)
+			t.Errorf("a server in slow start gets %d connections in %v; its budget is %.1f", count, settings.Rules.OverloadTime, budget)
 		}
 	}
 }
@@ -237,7 +237,7 @@
 		c.dead[n] = n%10 < 7
 	}
 	c.arrivals(100, 2*time.Second, func(i int) uint64 { return uint64(i % 7) })
-	if c.end["refused"]+c.end["failed"] > 0 || c.end["sent"] == 0 {
+	if c.end["rejected"]+c.end["failed"] > 0 || c.end["sent"] == 0 {
 		t.Errorf("after the loss of most nodes: %v", c.end)
 	}
 }
@@ -246,13 +246,13 @@
 func TestNoPeerMessagesWhereForbidden(t *testing.T) {
 	few := keeping()
 	few.Nodes = 4
-	dear := keeping()
-	dear.Costs.PeerMessage = 1
-	for name, s := range map[string]Settings{"forbidden": vast(), "few nodes": few, "dear messages": dear} {
+	expensive := keeping()
+	expensive.Costs.PeerMessage = 1
+	for name, s := range map[string]Settings{"forbidden": vast(), "few nodes": few, "expensive messages": expensive} {
 		c := newCrowd(t, s, 1, fleet(13), func(ServerID, int) float64 { return 0.3 })
 		c.arrivals(50, time.Second, func(i int) uint64 { return uint64(i) })
-		if c.tells > 0 || c.end["sent"] == 0 {
-			t.Errorf("%s: %d messages, %v", name, c.tells, c.end)
+		if c.messages > 0 || c.end["sent"] == 0 {
+			t.Errorf("%s: %d messages, %v", name, c.messages, c.end)
 		}
 	}
 }
@@ -306,7 +306,7 @@
 	})
 }
 
-// TestReservationOfADrainingServerIsNotTaken has a host begin to drain while its keeper's answer is on the way.
+// TestReservationOfADrainingServerIsNotTaken has a server begin to drain while its owner's answer is on the way.
 func TestReservationOfADrainingServerIsNotTaken(t *testing.T) {
 	referee := newReferee(t, keeping(), 1)
 	referee.now = time.Hour
@@ -319,12 +319,12 @@
 			referee.step(ServerList{Kind: ListChange, Servers: []Server{drained}})
 			referee.step(PeerMessage{a.To, peerMessage{kind: reservationGranted, token: q.token}.encode()})
 			if slices.Contains(referee.sends(), drained.ID) {
-				t.Error("sent to a host that drains")
+				t.Error("sent to a server that drains")
 			}
 			return
 		}
 	}
-	t.Error("no keeper was asked")
+	t.Error("no owner was asked")
 }
 
 // TestClientGoneWhileAnOwnerIsAsked has a client leave, or a stop answer it, while another node's answer is on the way, or lost:
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -12,13 +12,13 @@
 func TestEveryRequestIsAnsweredInTime(t *testing.T) {
 	f := newReferee(t, plain(), 1)
 	f.step(fleet(6))
-	f.step(Request{ID: "quiet", TimeLeft: ms(1800), Tenant: -1}) // probes and servers stay silent
+	f.step(Request{ID: "quiet", TimeLeft: ms(1800), Tenant: -1}) // health checks and servers stay silent
 	f.run(ms(2000))
 	f.step(Request{ID: "late", TimeLeft: ms(1), Tenant: -1})
 	f.step(Request{ID: "past", TimeLeft: -ms(5), Tenant: -1})
 	f.run(f.now + ms(3000))
 
-	g := newReferee(t, plain(), 1) // nobody to send to: refused while the client waits
+	g := newReferee(t, plain(), 1) // nobody to send to: rejected while the client waits
 	g.step(ServerList{Kind: ListFull})
 	g.step(Request{ID: "r", TimeLeft: ms(500), Tenant: -1})
 	g.run(ms(600))
@@ -33,7 +33,7 @@
 	referee.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
 	used := map[ServerID]bool{}
 	for i := range 4 {
-		referee.answerProbes(level(0.3))
+		referee.answerHealthChecks(level(0.3))
 		got := referee.sends()
 		if len(got) != 1 || used[got[0]] {
 			t.Fatalf("attempt %d went to %v, used %v", i, got, used)
@@ -67,10 +67,10 @@
 		referee := newReferee(t, s, 5)
 		referee.step(fleet(30))
 		referee.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
-		referee.answerProbes(level(0.3))
+		referee.answerHealthChecks(level(0.3))
 		referee.now += ms(20)
 		referee.step(AttemptEnded{ID: "r", Attempt: 0, Server: referee.sends()[0], Outcome: test.outcome})
-		referee.answerProbes(level(0.3))
+		referee.answerHealthChecks(level(0.3))
 		if again := len(referee.sends()) == 1; again != test.again {
 			t.Errorf("%+v: sent again: %v", test, again)
 		}
@@ -86,11 +86,11 @@
 	f := newReferee(t, s, 5)
 	f.step(fleet(10))
 	f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
-	f.answerProbes(level(0.3))
+	f.answerHealthChecks(level(0.3))
 	to := f.sends()[0]
 	f.now += ms(410) // the servers have forgotten it
 	f.step(AttemptEnded{ID: "r", Attempt: 0, Server: to, Outcome: TimedOut})
-	f.answerProbes(level(0.3))
+	f.answerHealthChecks(level(0.3))
 	if !f.reqs["r"].done {
 		t.Fatal("a keyed request past its window was not answered")
 	}
@@ -100,7 +100,7 @@
 	referee := newReferee(t, plain(), 7)
 	l := fleet(3)
 	referee.step(l)
-	referee.step(Request{ID: "held", TimeLeft: ms(1800), Tenant: -1}) // waits for probes while the list changes
+	referee.step(Request{ID: "held", TimeLeft: ms(1800), Tenant: -1}) // waits for health checks while the list changes
 	for i := range l.Servers[:2] {
 		l.Servers[i].State = Draining
 	}
@@ -110,12 +110,12 @@
 	referee.run(ms(70))
 	for i := range 50 {
 		referee.step(Request{ID: RequestID(fmt.Sprint(i)), TimeLeft: ms(1800), Tenant: -1})
-		referee.answerProbes(level(0.3))
+		referee.answerHealthChecks(level(0.3))
 	}
 	referee.step(ServerList{Kind: ListFull}) // a whole list without it: gone
 	referee.step(Request{ID: "none", TimeLeft: ms(1800), Tenant: -1})
 	if !referee.reqs["none"].done {
-		t.Fatal("not refused with an empty list")
+		t.Fatal("not rejected with an empty list")
 	}
 }
 
@@ -151,8 +151,8 @@
 }
 
 // growth plays a fleet that grows from 5 to 20 servers at second 20: 40 nodes with 5 requests a second each, or none
-// at all for some seconds after the growth. It returns the most that one cold server got in one second, as a
-// multiple of what it could do then, and how much all cold ones got.
+// at all for some seconds after the growth. It returns the most that one server in slow start got in one second, as a
+// multiple of what it could do then, and how much all ones in slow start got.
 func growth(t *testing.T, quiet int) (worst float64, total int) {
 	const nodes, hot, cold, start, warmUp = 40, 5, 15, 20, 10
 	s := plain()
@@ -204,15 +204,15 @@
 	return worst, total
 }
 
-// All nodes together must not send a cold server more than a multiple of what it can do.
+// All nodes together must not send a server in slow start more than a multiple of what it can do.
 func TestSlowStartServerIsNotOverloaded(t *testing.T) {
 	worst, total := growth(t, 0)
 	t.Log(worst, total)
 	if worst > 3 {
-		t.Errorf("a cold server got %.1f times what it could do", worst)
+		t.Errorf("a server in slow start got %.1f times what it could do", worst)
 	}
 	if total < 10 {
-		t.Errorf("all cold servers together got %d connections in 8 s", total)
+		t.Errorf("all servers in slow start together got %d connections in 8 s", total)
 	}
 }
 
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestTwoProcessesShareTheSlowStartBudget has a cold server get no more from two processes of a node than from the one before.
+// TestTwoProcessesShareTheSlowStartBudget has a server in slow start get no more from two processes of a node than from the one before.
 func TestTwoProcessesShareTheSlowStartBudget(t *testing.T) {
 	sent := func(parts int, seed uint64) (n int) {
 		balancer, err := New(Settings{
@@ -96,6 +96,6 @@
 		two += sent(2, 2*seed) + sent(2, 2*seed+1)
 	}
 	if one < 40 || float64(two) > 1.25*float64(one) || float64(two) < 0.75*float64(one) {
-		t.Errorf("%d connections to a cold server from one process, %d from two that share", one, two)
+		t.Errorf("%d connections to a server in slow start from one process, %d from two that share", one, two)
 	}
 }
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -10,10 +10,10 @@
 	"spurwinch/choice"
 )
 
-// Simulated time starts here: a start time of zero would read as a host that started long ago.
+// Simulated time starts here: a start time of zero would read as a server that started long ago.
 const simulationStart = time.Hour
 
-// simulation plays real balancers among simulated hosts, clients, discovery and links, in simulated time. All chance comes from
+// simulation plays real balancers among simulated servers, clients, discovery and links, in simulated time. All chance comes from
 // one seed. It uses the exported interface of the module alone and hands each action to a judge before it carries it out.
 type simulation struct {
 	t        testing.TB
@@ -25,8 +25,8 @@
 	settings choice.Settings
 	terms    terms
 	nodes    []*simNode
-	hosts    []*simHost
-	byID     map[choice.ServerID]*simHost
+	servers  []*simServer
+	byID     map[choice.ServerID]*simServer
 	requests map[choice.RequestID]*simRequest
 	judge    judge
 	counts   map[string]int
@@ -35,25 +35,25 @@
 
 // terms are what a simulated world is like beyond the settings that nodes are told.
 type terms struct {
-	perHost     float64       // mean connections that fill a warm host
-	life        time.Duration // mean life of a connection
-	listDelay   time.Duration // longest delay of a change on its way to a node
-	lossOfList  float64       // part of the asks for a list that fail
-	lossOfTells float64       // part of the messages between nodes that get lost
-	tries       int           // most requests of one client
-	leavers     float64       // part of the clients that lose patience early
-	toldLoads   bool          // requests name their load
-	oddAnswers  float64       // part of the set-ups that end with no connection: an error, a loss, or served at once
-	shedAt      float64       // load from which on a host sheds connections
-	slotsAt     float64       // load from which on a host refuses connections
-	homes       float64       // part of the requests that resume on some host
-	skew        int           // a fifth of the nodes gets this many times the traffic of the others
+	perServer      float64       // mean connections that fill a warm server
+	connectionTime time.Duration // mean life of a connection
+	listDelay      time.Duration // longest delay of a change on its way to a node
+	lossOfList     float64       // part of the asks for a list that fail
+	messageLoss    float64       // part of the messages between nodes that get lost
+	tries          int           // most requests of one client
+	leavers        float64       // part of the clients that lose patience early
+	loadsReported  bool          // requests name their load
+	oddAnswers     float64       // part of the set-ups that end with no connection: an error, a loss, or served at once
+	shedAt         float64       // load from which on a server sheds connections
+	slotsAt        float64       // load from which on a server rejects connections
+	homes          float64       // part of the requests that resume on some server
+	skew           int           // a fifth of the nodes gets this many times the traffic of the others
 }
 
 // judge sees what nodes are told and what they do. The first violation ends the test.
 type judge interface {
-	told(n *simNode, e choice.Event)
-	acts(n *simNode, a choice.Action)
+	delivered(n *simNode, e choice.Event)
+	acted(n *simNode, a choice.Action)
 	stepped(n *simNode, events []choice.Event, actions []choice.Action)
 }
 
@@ -89,23 +89,23 @@
 	listed    map[choice.ServerID]choice.Server // as it was last told
 }
 
-// simHost is one host. Its capacity grows evenly over its warm-up.
-type simHost struct {
+// simServer is one server. Its capacity grows evenly over its warm-up.
+type simServer struct {
 	choice.Server
-	strength     float64 // what it can do when warm, in units of terms.perHost; nodes may be told otherwise
+	strength     float64 // what it can do when warm, in units of terms.perServer; nodes may be told otherwise
 	running      bool
 	failingUntil time.Duration
 	held         []*simAttempt   // connections that stand, oldest first
-	starts       []time.Duration // cold ones
+	starts       []time.Duration // ones in slow start
 	arrivals     []arrival
 	seen         float64 // load as its reports show it, some time old
 	seenHeld     int
 }
 
-// arrival is one attempt that reached a host.
+// arrival is one attempt that reached a server.
 type arrival struct {
 	at       time.Duration
-	informed bool // its node had been told of the host's present start
+	informed bool // its node had been told of the server's present start
 }
 
 type simClient struct {
@@ -133,7 +133,7 @@
 type simAttempt struct {
 	request     *simRequest
 	number      int
-	host        *simHost
+	server      *simServer
 	sentAt      time.Duration
 	established bool
 	settled     bool // its outcome is known to the world
@@ -141,14 +141,14 @@
 	outcome     choice.Outcome
 }
 
-func newSimulation(t testing.TB, name string, s choice.Settings, of terms, hosts []choice.Server, seed uint64, j judge) *simulation {
+func newSimulation(t testing.TB, name string, s choice.Settings, of terms, servers []choice.Server, seed uint64, j judge) *simulation {
 	world := &simulation{
 		t: t, name: name, rng: rand.New(rand.NewPCG(seed, 11)), now: simulationStart, settings: s, terms: of,
-		byID: map[choice.ServerID]*simHost{}, requests: map[choice.RequestID]*simRequest{}, judge: j, counts: map[string]int{},
+		byID: map[choice.ServerID]*simServer{}, requests: map[choice.RequestID]*simRequest{}, judge: j, counts: map[string]int{},
 	}
-	for _, server := range hosts {
-		h := &simHost{Server: server, strength: max(server.Size, 0.1), running: server.State == choice.Ready}
-		world.hosts, world.byID[h.ID] = append(world.hosts, h), h
+	for _, server := range servers {
+		h := &simServer{Server: server, strength: max(server.Size, 0.1), running: server.State == choice.Ready}
+		world.servers, world.byID[h.ID] = append(world.servers, h), h
 		world.after(world.upTo(250*time.Millisecond), func() { world.refresh(h) })
 	}
 	for number := range s.Nodes {
@@ -213,14 +213,14 @@
 	events := node.inbox
 	node.inbox, node.awake = nil, false
 	for _, e := range events {
-		w.judge.told(node, e)
+		w.judge.delivered(node, e)
 		w.note(node, e)
 	}
 	actions := node.balancer.Step(w.now, events)
 	w.recorder.step(w.now, node.number, actions)
 	for _, a := range actions {
-		w.judge.acts(node, a)
-		w.carryOut(node, a)
+		w.judge.acted(node, a)
+		w.perform(node, a)
 	}
 	w.judge.stepped(node, events, actions)
 }
@@ -247,14 +247,14 @@
 	}
 }
 
-func (w *simulation) carryOut(node *simNode, a choice.Action) {
+func (w *simulation) perform(node *simNode, a choice.Action) {
 	switch action := a.(type) {
 	case choice.SetTimer:
 		w.after(action.After, func() { w.deliver(node, choice.TimerFired{Token: action.Token}) })
 	case choice.StartAttempt:
 		w.send(w.requests[action.ID], w.byID[action.Server], action.Timeout)
 	case choice.Reject:
-		w.count("refusals")
+		w.count("rejections")
 		w.answer(w.requests[action.ID], true, action.RetryAfter)
 	case choice.Fail:
 		w.count("failures")
@@ -266,7 +266,7 @@
 			w.settle(at, choice.Cancelled, w.settings.RoundTrip)
 		}
 	case choice.HealthCheck:
-		w.probe(node, w.byID[action.Server])
+		w.checkHealth(node, w.byID[action.Server])
 	case choice.Migrate:
 		w.count("moves")
 		r := w.requests[action.ID]
@@ -275,19 +275,19 @@
 	case choice.WatchList:
 		w.follow(node)
 	case choice.SendPeerMessage:
-		w.tell(node, action)
+		w.sendMessage(node, action)
 	}
 }
 
-// tell carries a message between nodes: some get lost, some come twice.
-func (w *simulation) tell(n *simNode, action choice.SendPeerMessage) {
-	if w.often(w.terms.lossOfTells) {
+// sendMessage carries a message between nodes: some get lost, some come twice.
+func (w *simulation) sendMessage(n *simNode, action choice.SendPeerMessage) {
+	if w.often(w.terms.messageLoss) {
 		w.count("lost messages")
 		return
 	}
 	w.count("messages")
 	copies := 1
-	if w.often(w.terms.lossOfTells / 3) {
+	if w.often(w.terms.messageLoss / 3) {
 		copies = 2
 	}
 	for range copies {
@@ -297,9 +297,9 @@
 	}
 }
 
-// entries is the whole list as discovery has it: gone hosts are not in it.
+// entries is the whole list as discovery has it: gone servers are not in it.
 func (w *simulation) entries() (all []choice.Server) {
-	for _, h := range w.hosts {
+	for _, h := range w.servers {
 		if h.State != choice.Gone {
 			all = append(all, h.Server)
 		}
@@ -307,8 +307,8 @@
 	return all
 }
 
-// publish tells nodes of a host's entry, each after a delay of its own, in sequence for each node.
-func (w *simulation) publish(h *simHost) {
+// publish tells nodes of a server's entry, each after a delay of its own, in sequence for each node.
+func (w *simulation) publish(h *simServer) {
 	for _, n := range w.nodes {
 		if n.following {
 			w.bringList(n, choice.ServerList{Kind: choice.ListChange, Servers: []choice.Server{h.Server}})
@@ -338,8 +338,8 @@
 	w.bringList(n, choice.ServerList{Kind: choice.ListUnavailable})
 }
 
-// warm is the part of its capacity that a host has now.
-func (w *simulation) warm(h *simHost) float64 {
+// warm is the part of its capacity that a server has now.
+func (w *simulation) warm(h *simServer) float64 {
 	age := w.now - h.Started
 	if h.Started == 0 || age >= w.settings.Rules.WarmUp {
 		return 1
@@ -348,16 +348,16 @@
 	return cold + (1-cold)*age.Seconds()/w.settings.Rules.WarmUp.Seconds()
 }
 
-// load is a host's load now, over what it can do now.
-func (w *simulation) load(h *simHost) (sum float64) {
+// load is a server's load now, over what it can do now.
+func (w *simulation) load(h *simServer) (sum float64) {
 	for _, at := range h.held {
 		sum += at.request.client.load
 	}
-	return sum / w.terms.perHost / w.warm(h) / h.strength
+	return sum / w.terms.perServer / w.warm(h) / h.strength
 }
 
-// refresh renews what a host's reports show, and has it shed its newest connections while it is overloaded.
-func (w *simulation) refresh(server *simHost) {
+// refresh renews what a server's reports show, and has it shed its newest connections while it is overloaded.
+func (w *simulation) refresh(server *simServer) {
 	w.after(w.around(250*time.Millisecond), func() { w.refresh(server) })
 	for len(server.held) > 0 && w.load(server) > w.terms.shedAt {
 		w.count("sheds")
@@ -369,15 +369,15 @@
 		w.count("delay notes")
 		w.deliver(at.request.node, choice.DelayObservation{ID: at.request.ID, Server: server.ID, Took: w.around(time.Duration(server.seen * float64(150*time.Millisecond)))})
 	}
-	if w.terms.toldLoads && len(server.held) > 0 && w.often(0.2) {
+	if w.terms.loadsReported && len(server.held) > 0 && w.often(0.2) {
 		at := server.held[w.rng.IntN(len(server.held))]
 		at.request.client.load *= 0.5 + w.rng.Float64()
 		w.deliver(at.request.node, choice.LoadUpdate{ID: at.request.ID, Attempt: at.number, Load: at.request.client.load})
 	}
 }
 
-// report is a host's load report, a little noisy.
-func (w *simulation) report(server *simHost) (values []float64) {
+// report is a server's load report, a little noisy.
+func (w *simulation) report(server *simServer) (values []float64) {
 	for _, f := range w.settings.ReportFields {
 		value := 0.0
 		switch f {
@@ -399,8 +399,8 @@
 	return values
 }
 
-func (w *simulation) probe(node *simNode, h *simHost) {
-	w.count("probes")
+func (w *simulation) checkHealth(node *simNode, h *simServer) {
+	w.count("health checks")
 	took := 2*time.Millisecond + w.upTo(6*time.Millisecond)
 	result := choice.HealthCheckResult{Server: h.ID, Outcome: choice.Served, Took: took}
 	if !h.running || w.now < h.failingUntil {
@@ -431,26 +431,26 @@
 		ID: choice.RequestID(fmt.Sprint("r", len(w.requests)+1)), Class: c.class, Tenant: c.tenant, Key: c.key,
 		Group: c.group, TimeLeft: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)), Returned: returned,
 	}
-	if w.terms.toldLoads {
+	if w.terms.loadsReported {
 		request.Load = c.load
 	}
 	if w.settings.PacketPassThrough && w.often(0.1) {
 		request.MidFlow = true
 	}
 	if w.often(w.terms.homes) {
-		request.StickyServer = w.hosts[w.rng.IntN(len(w.hosts))].ID
+		request.StickyServer = w.servers[w.rng.IntN(len(w.servers))].ID
 	}
 	w.requests[request.ID] = request
 	w.count("requests")
 	w.deliver(node, request.Request)
 	if w.often(w.terms.leavers) {
-		w.after(w.upTo(request.TimeLeft), func() { w.leave(request) })
+		w.after(w.upTo(request.TimeLeft), func() { w.abandon(request) })
 	}
 	return request
 }
 
-// leave has a client walk away, whether it still waits or is served.
-func (w *simulation) leave(request *simRequest) {
+// abandon has a client walk away, whether it still waits or is served.
+func (w *simulation) abandon(request *simRequest) {
 	if request.answered || request.over || request.gone {
 		return
 	}
@@ -489,8 +489,8 @@
 	}
 }
 
-func (w *simulation) send(request *simRequest, h *simHost, limit time.Duration) {
-	attempt := &simAttempt{request: request, number: len(request.attempts), host: h, sentAt: w.now}
+func (w *simulation) send(request *simRequest, h *simServer, limit time.Duration) {
+	attempt := &simAttempt{request: request, number: len(request.attempts), server: h, sentAt: w.now}
 	request.attempts = append(request.attempts, attempt)
 	w.count("sends")
 	if attempt.number > 0 {
@@ -509,15 +509,15 @@
 	})
 }
 
-// reach has an attempt reach its host.
+// reach has an attempt reach its server.
 func (w *simulation) reach(attempt *simAttempt, informed bool) {
-	server := attempt.host
+	server := attempt.server
 	if attempt.settled {
 		return
 	}
 	server.arrivals = append(server.arrivals, arrival{w.now, informed})
 	if w.warm(server) < 1 {
-		w.count("sends to cold hosts")
+		w.count("sends to servers in slow start")
 	}
 	switch {
 	case !server.running:
@@ -527,7 +527,7 @@
 			w.settle(attempt, choice.Failed, time.Millisecond)
 		} // else it stays silent until the attempt's time is over
 	case server.State != choice.Ready || w.load(server) > w.terms.slotsAt:
-		w.count("refused by a full host")
+		w.count("rejected by a full server")
 		w.settle(attempt, choice.Full, time.Millisecond)
 	case w.often(w.terms.oddAnswers):
 		odd := []choice.Outcome{choice.Failed, choice.Reset, choice.TimedOut, choice.ConnectFailed, choice.Served}
@@ -538,7 +538,7 @@
 }
 
 func (w *simulation) establish(attempt *simAttempt) {
-	request, h := attempt.request, attempt.host
+	request, h := attempt.request, attempt.server
 	switch {
 	case attempt.settled:
 	case request.answered || request.gone:
@@ -550,7 +550,7 @@
 		attempt.established = true
 		h.held = append(h.held, attempt)
 		w.deliver(request.node, choice.Established{ID: request.ID, Attempt: attempt.number, Server: h.ID, Took: w.now - attempt.sentAt})
-		w.after(w.around(w.terms.life), func() { w.closeConnection(attempt, choice.Served, false) })
+		w.after(w.around(w.terms.connectionTime), func() { w.closeConnection(attempt, choice.Served, false) })
 	}
 }
 
@@ -559,9 +559,9 @@
 	if attempt.settled {
 		return
 	}
-	for i, held := range attempt.host.held {
+	for i, held := range attempt.server.held {
 		if held == attempt {
-			attempt.host.held = append(attempt.host.held[:i:i], attempt.host.held[i+1:]...)
+			attempt.server.held = append(attempt.server.held[:i:i], attempt.server.held[i+1:]...)
 			break
 		}
 	}
@@ -580,26 +580,26 @@
 	w.after(after, func() {
 		r := attempt.request
 		e := choice.AttemptEnded{
-			ID: r.ID, Attempt: attempt.number, Server: attempt.host.ID, Outcome: o, Took: w.now - attempt.sentAt,
+			ID: r.ID, Attempt: attempt.number, Server: attempt.server.ID, Outcome: o, Took: w.now - attempt.sentAt,
 			Final: o == choice.Served || attempt.established || r.answered || r.gone,
 		}
-		if w.settings.Reports == choice.AllReports && attempt.host.running {
-			e.Report = w.report(attempt.host)
+		if w.settings.Reports == choice.AllReports && attempt.server.running {
+			e.Report = w.report(attempt.server)
 		}
 		w.deliver(r.node, e)
 	})
 }
 
-// stop ends a host's process: its connections break.
-func (w *simulation) stop(h *simHost) {
+// stop ends a server's process: its connections break.
+func (w *simulation) stop(h *simServer) {
 	h.running = false
 	for len(h.held) > 0 {
 		w.closeConnection(h.held[0], choice.Reset, true)
 	}
 }
 
-// drain has a host finish its work, stop and come back cold.
-func (w *simulation) drain(server *simHost) {
+// drain has a server finish its work, stop and come back in slow start.
+func (w *simulation) drain(server *simServer) {
 	if server.State != choice.Ready || !server.running {
 		return
 	}
@@ -614,12 +614,12 @@
 	})
 }
 
-// vanish has a host stop without a word; discovery finds out later.
-func (w *simulation) vanish(server *simHost) {
+// vanish has a server stop without a word; discovery finds out later.
+func (w *simulation) vanish(server *simServer) {
 	if server.State != choice.Ready || !server.running {
 		return
 	}
-	w.count("hosts that vanish")
+	w.count("servers that vanish")
 	w.stop(server)
 	w.after(w.around(time.Second), func() {
 		if !server.running {
@@ -630,27 +630,27 @@
 	w.after(w.around(3*time.Second), func() { w.start(server) })
 }
 
-// restart has a host's process come back at once: it is cold, and nothing said that it was gone.
-func (w *simulation) restart(h *simHost) {
+// restart has a server's process come back at once: it is in slow start, and nothing said that it was gone.
+func (w *simulation) restart(h *simServer) {
 	if h.State == choice.Ready && h.running {
 		w.stop(h)
 		w.start(h)
 	}
 }
 
-func (w *simulation) start(h *simHost) {
+func (w *simulation) start(h *simServer) {
 	if h.running {
 		return
 	}
-	w.count("cold starts")
+	w.count("slow starts")
 	h.running, h.State, h.Started = true, choice.Ready, w.now
 	h.starts = append(h.starts, w.now)
 	w.publish(h)
 }
 
-// fail has a host answer with errors, or not at all, for a time.
-func (w *simulation) fail(h *simHost) {
-	w.count("failing hosts")
+// fail has a server answer with errors, or not at all, for a time.
+func (w *simulation) fail(h *simServer) {
+	w.count("failing servers")
 	h.failingUntil = w.now + w.around(2*time.Second)
 }
 
--- a/choice/cold_fleet_test.go
+++ b/choice/slowstart_fleet_test.go
@@ -9,26 +9,26 @@
 	"spurwinch/choice"
 )
 
-// coldFleet is a fleet whose nodes together must not push a cold host over.
-type coldFleet struct {
-	name    string
-	nodes   int
-	hosts   int // one in four of them is cold
-	reports choice.ReportSource
-	peers   bool // nodes may send one another messages: hosts have keepers
-	rules   choice.Rules
-	skew    int     // a fifth of the nodes gets this many times the traffic of the others
-	homes   float64 // part of the requests that resume on some host
-	told    bool    // the load of a mean connection is told in the settings
-	burst   float64
-	seed    uint64
+// slowStartFleet is a fleet whose nodes together must not push a server in slow start over.
+type slowStartFleet struct {
+	name      string
+	nodes     int
+	servers   int // one in four of them is in slow start
+	reports   choice.ReportSource
+	peers     bool // nodes may send one another messages: servers have owners
+	rules     choice.Rules
+	skew      int     // a fifth of the nodes gets this many times the traffic of the others
+	homes     float64 // part of the requests that resume on some server
+	costKnown bool    // the load of a mean connection is told in the settings
+	burst     float64
+	seed      uint64
 }
 
 const (
-	coldPerHost = 20.0 // mean connections that fill a warm host
-	coldLife    = 20 * time.Second
-	coldLoad    = 0.6
-	beforeCold  = 30 * time.Second // until the fleet is in balance
+	connectionsPerServer = 20.0 // mean connections that fill a warm server
+	connectionTime       = 20 * time.Second
+	fleetLoad            = 0.6
+	beforeStarts         = 30 * time.Second // until the fleet is in balance
 )
 
 // shortWarmUp and longWarmUp are rules as sites have them.
@@ -43,26 +43,26 @@
 	}
 )
 
-// coldFigures say how cold hosts fared in one run.
-type coldFigures struct {
+// slowStartFigures say how servers in slow start fared in one run.
+type slowStartFigures struct {
 	worst      float64 // the most that one got in a window, over what it bears then
 	worstSum   int
 	worstBears float64
 	windows    int     // windows over what it bears
 	broken     int     // of these: over two thirds came from nodes that knew of the start
-	budgetPart float64 // of all that cold hosts might get
-	fairPart   float64 // of an even part of all connections placed, for what a cold host can do
+	budgetPart float64 // of all that servers in slow start might get
+	fairPart   float64 // of an even part of all connections placed, for what a server in slow start can do
 	least      float64 // the least fair part of one
 }
 
 // noJudge lets all pass.
 type noJudge struct{}
 
-func (noJudge) told(*simNode, choice.Event)                       {}
-func (noJudge) acts(*simNode, choice.Action)                      {}
+func (noJudge) delivered(*simNode, choice.Event)                  {}
+func (noJudge) acted(*simNode, choice.Action)                     {}
 func (noJudge) stepped(*simNode, []choice.Event, []choice.Action) {}
 
-func (f coldFleet) settings() choice.Settings {
+func (f slowStartFleet) settings() choice.Settings {
 	settings := choice.Settings{
 		Nodes: f.nodes, Zone: "z0", Reports: f.reports, Sizes: choice.NominalSize, RoundTrip: 5 * time.Millisecond,
 		Classes: []choice.Class{{
@@ -76,23 +76,23 @@
 	if f.reports != choice.NoReports {
 		settings.ReportFields, settings.Sizes = []choice.ReportField{choice.Load, choice.Utilization}, choice.NoSize
 	}
-	if f.told {
-		settings.InitialCost = 1 / coldPerHost
+	if f.costKnown {
+		settings.InitialCost = 1 / connectionsPerServer
 	}
 	return settings
 }
 
-// play has the fleet come into balance, then cold hosts join and others come back cold, under a burst, and counts.
-func (f coldFleet) play(t *testing.T) coldFigures {
+// play has the fleet come into balance, then servers in slow start join and others come back in slow start, under a burst, and counts.
+func (f slowStartFleet) play(t *testing.T) slowStartFigures {
 	t.Helper()
-	return f.playRecorded(t, false, nil).coldFigures(f)
+	return f.playRecorded(t, false, nil).slowStartFigures(f)
 }
 
 // playRecorded is the same, with the clients in groups or not, and all actions recorded.
-func (f coldFleet) playRecorded(t *testing.T, grouped bool, recorder *recorder) *simulation {
+func (f slowStartFleet) playRecorded(t *testing.T, grouped bool, recorder *recorder) *simulation {
 	t.Helper()
 	var list []choice.Server
-	for i := range f.hosts {
+	for i := range f.servers {
 		h := choice.Server{ID: choice.ServerID(fmt.Sprintf("h%02d", i)), Zone: "z0", Kind: fmt.Sprint("k", i%2), Size: 1 - 0.4*float64(i%2)}
 		if i%8 == 3 { // joins
 			h.State = choice.Gone
@@ -100,21 +100,21 @@
 		list = append(list, h)
 	}
 	conditions := terms{
-		perHost: coldPerHost, life: coldLife, listDelay: 300 * time.Millisecond, tries: 6, oddAnswers: 0.02, shedAt: 1.3,
-		slotsAt: 1.3, lossOfTells: 0.02, skew: f.skew, homes: f.homes,
+		perServer: connectionsPerServer, connectionTime: connectionTime, listDelay: 300 * time.Millisecond, tries: 6, oddAnswers: 0.02, shedAt: 1.3,
+		slotsAt: 1.3, messageLoss: 0.02, skew: f.skew, homes: f.homes,
 	}
 	s := f.settings()
 	s.GroupAffinity = grouped
 	world := newSimulation(t, f.name, s, conditions, list, f.seed, noJudge{})
 	world.recorder = recorder
 	var strength float64
-	for _, h := range world.hosts {
+	for _, h := range world.servers {
 		strength += h.strength
 		if s.Sizes == choice.NoSize { // nodes have to learn it
 			h.Size = 1
 		}
 	}
-	rate := coldLoad * strength * coldPerHost / coldLife.Seconds()
+	rate := fleetLoad * strength * connectionsPerServer / connectionTime.Seconds()
 	draw := func() *simClient {
 		c := &simClient{tenant: -1, key: world.rng.Uint64(), load: 1}
 		if grouped {
@@ -122,13 +122,13 @@
 		}
 		return c
 	}
-	day := beforeCold + f.rules.WarmUp + 4*time.Second
+	day := beforeStarts + f.rules.WarmUp + 4*time.Second
 	world.arrivalsFor(day, rate, draw)
 	if f.burst > 0 {
-		world.after(beforeCold+time.Second, func() { world.arrivalsFor(5*time.Second, rate*f.burst, draw) })
+		world.after(beforeStarts+time.Second, func() { world.arrivalsFor(5*time.Second, rate*f.burst, draw) })
 	}
-	for i, h := range world.hosts {
-		switch at := beforeCold + world.upTo(3*time.Second); {
+	for i, h := range world.servers {
+		switch at := beforeStarts + world.upTo(3*time.Second); {
 		case i%8 == 3:
 			world.after(at, func() { world.start(h) })
 		case i%8 == 6:
@@ -139,7 +139,7 @@
 		}
 	}
 	world.run(world.now + day)
-	for _, what := range []string{"cold starts", "sends to cold hosts", "clients that return", "retries"} {
+	for _, what := range []string{"slow starts", "sends to servers in slow start", "clients that return", "retries"} {
 		if world.counts[what] == 0 {
 			t.Errorf("%s: no %s; the run shows nothing", f.name, what)
 		}
@@ -147,25 +147,25 @@
 	return world
 }
 
-// warmAt is the part of its capacity that a host has so long after a cold start.
+// warmAt is the part of its capacity that a server has so long after a slow start.
 func warmAt(r choice.Rules, age time.Duration) float64 {
 	return min(1, r.SlowStartFraction+(1-r.SlowStartFraction)*age.Seconds()/r.WarmUp.Seconds())
 }
 
-// bears is how many requests of mean work a cold host is allowed in a window that ends so long after its start: what fills it over
+// bears is how many requests of mean work a server in slow start is allowed in a window that ends so long after its start: what fills it over
 // its warm-up, by the part of its capacity that it has, by the multiple. The slack for chance comes on top.
 func bears(r choice.Rules, strength float64, age time.Duration) float64 {
-	return r.OverloadMultiple * warmAt(r, age) * strength * coldPerHost / r.WarmUp.Seconds() * r.OverloadTime.Seconds()
+	return r.OverloadMultiple * warmAt(r, age) * strength * connectionsPerServer / r.WarmUp.Seconds() * r.OverloadTime.Seconds()
 }
 
-// withSlack is the sum from which on a cold host falls.
+// withSlack is the sum from which on a server in slow start falls.
 func withSlack(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
-// coldFigures reads the arrivals at all cold hosts.
-func (w *simulation) coldFigures(fleet coldFleet) (c coldFigures) {
+// slowStartFigures reads the arrivals at all servers in slow start.
+func (w *simulation) slowStartFigures(fleet slowStartFleet) (c slowStartFigures) {
 	c.least = math.Inf(1)
 	var got, might, even float64
-	for _, server := range w.hosts {
+	for _, server := range w.servers {
 		for i, start := range server.starts {
 			end := min(start+fleet.rules.WarmUp, w.now)
 			if i+1 < len(server.starts) {
@@ -175,7 +175,7 @@
 			age := end - start
 			mean := (warmAt(fleet.rules, 0) + warmAt(fleet.rules, age)) / 2
 			got += n
-			might += fleet.rules.OverloadMultiple * mean * server.strength * coldPerHost * age.Seconds() / fleet.rules.WarmUp.Seconds()
+			might += fleet.rules.OverloadMultiple * mean * server.strength * connectionsPerServer * age.Seconds() / fleet.rules.WarmUp.Seconds()
 			part := w.evenPart(server, start, end) * mean
 			even += part
 			c.least = min(c.least, n/part)
@@ -185,8 +185,8 @@
 	return c
 }
 
-// addStart takes in the windows of one cold start, and returns how much the host got in it.
-func (c *coldFigures) addStart(f coldFleet, h *simHost, start, end time.Duration) (got float64) {
+// addStart takes in the windows of one slow start, and returns how much the server got in it.
+func (c *slowStartFigures) addStart(f slowStartFleet, h *simServer, start, end time.Duration) (got float64) {
 	for i, last := range h.arrivals {
 		if last.at < start || last.at >= end {
 			continue
@@ -214,10 +214,10 @@
 	return got
 }
 
-// evenPart is what a host would get of all that reached hosts in a time, if it came by strength.
-func (w *simulation) evenPart(server *simHost, from, to time.Duration) float64 {
+// evenPart is what a server would get of all that reached servers in a time, if it came by strength.
+func (w *simulation) evenPart(server *simServer, from, to time.Duration) float64 {
 	all, strength := 0.0, 0.0
-	for _, h := range w.hosts {
+	for _, h := range w.servers {
 		strength += h.strength
 		for _, a := range h.arrivals {
 			if a.at >= from && a.at < to {
@@ -228,18 +228,18 @@
 	return all * server.strength / strength
 }
 
-// TestSlowStartUnderManyNodes sets the sum of what all nodes send to a cold host against what makes it fall, while traffic is uneven
-// between nodes, a burst comes, hosts join, vanish and restart, and clients retry. A window over the limit breaks the rule if over
-// two thirds of it came from nodes that had been told of the start; the others can't know. Nor may cold hosts starve: they get at
+// TestSlowStartUnderManyNodes sets the sum of what all nodes send to a server in slow start against what makes it fall, while traffic is uneven
+// between nodes, a burst comes, servers join, vanish and restart, and clients retry. A window over the limit breaks the rule if over
+// two thirds of it came from nodes that had been told of the start; the others can't know. Nor may servers in slow start starve: they get at
 // least a part of what an even spread by capacity would bring them.
 //
-// Without keepers a cold host of 300 nodes gets next to nothing: for these the part is logged and has no bound.
+// Without owners a server in slow start of 300 nodes gets next to nothing: for these the part is logged and has no bound.
 func TestSlowStartUnderManyNodes(t *testing.T) {
 	for _, test := range []struct {
 		nodes     int
 		reports   choice.ReportSource
 		peers     bool
-		told      bool
+		costKnown bool
 		seeds     uint64
 		leastFair float64
 	}{
@@ -258,11 +258,11 @@
 			name := fmt.Sprintf("%d nodes, reports %d, peers %v, warm after %v", test.nodes, test.reports, test.peers, rules.WarmUp)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				var sum coldFigures
+				var sum slowStartFigures
 				for seed := range test.seeds {
-					f := coldFleet{
-						name: fmt.Sprintf("%s, seed %d", name, seed), nodes: test.nodes, hosts: 24, reports: test.reports, peers: test.peers,
-						rules: rules, skew: 4, told: test.told, burst: 4, seed: seed,
+					f := slowStartFleet{
+						name: fmt.Sprintf("%s, seed %d", name, seed), nodes: test.nodes, servers: 24, reports: test.reports, peers: test.peers,
+						rules: rules, skew: 4, costKnown: test.costKnown, burst: 4, seed: seed,
 					}
 					sum.add(f.play(t), test.seeds)
 				}
@@ -270,10 +270,10 @@
 					"of an even spread %.2f, least %.2f", sum.worst, sum.worstSum, sum.worstBears, sum.windows, sum.broken, sum.budgetPart,
 					sum.fairPart, sum.least)
 				if sum.broken > 0 {
-					t.Errorf("%d windows over what a cold host bears, sent by nodes that knew of its start", sum.broken)
+					t.Errorf("%d windows over what a server in slow start bears, sent by nodes that knew of its start", sum.broken)
 				}
 				if sum.fairPart < test.leastFair {
-					t.Errorf("cold hosts get %.2f of an even part", sum.fairPart)
+					t.Errorf("servers in slow start get %.2f of an even part", sum.fairPart)
 				}
 			})
 		}
@@ -281,7 +281,7 @@
 }
 
 // add takes in another run, as one of so many.
-func (c *coldFigures) add(o coldFigures, runs uint64) {
+func (c *slowStartFigures) add(o slowStartFigures, runs uint64) {
 	if o.worst > c.worst {
 		c.worst, c.worstSum, c.worstBears = o.worst, o.worstSum, o.worstBears
 	}
--- a/choice/zones_test.go
+++ b/choice/zones_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestPlanOfZones plays requests of one class against plans: the nearest zone with room is taken, what has no room is refused at
+// TestPlanOfZones plays requests of one class against plans: the nearest zone with room is taken, what has no room is rejected at
 // once with advice, and what stands in a zone counts against a later plan.
 func TestPlanOfZones(t *testing.T) {
 	const wide = 100
@@ -14,16 +14,16 @@
 		name   string
 		grants []Grant
 		admit  []float64
-		ends   string // zone whose hosts can't be reached
+		ends   string // zone whose servers can't be reached
 		want   map[string]int
 	}{
 		{"no plan: any zone", nil, nil, "", nil},
 		{"own zone while it has room", []Grant{{"a", wide, nil}, {"b", wide, nil}}, nil, "", map[string]int{"a": 20}},
 		{"what doesn't fit goes on", []Grant{{"a", 5, nil}, {"b", wide, nil}}, nil, "", map[string]int{"a": 5, "b": 15}},
-		{"and what fits nowhere is refused", []Grant{{"a", 5, nil}, {"b", 5, nil}}, nil, "", map[string]int{"a": 5, "b": 5, "refused": 10}},
-		{"a class that must stay", []Grant{{"a", 5, nil}, {"b", wide, []int{0}}}, nil, "", map[string]int{"a": 5, "refused": 15}},
-		{"a class that is not let in", []Grant{{"a", wide, nil}}, []float64{0}, "", map[string]int{"refused": 20}},
-		{"a plan without grants", []Grant{}, nil, "", map[string]int{"refused": 20}},
+		{"and what fits nowhere is rejected", []Grant{{"a", 5, nil}, {"b", 5, nil}}, nil, "", map[string]int{"a": 5, "b": 5, "rejected": 10}},
+		{"a class that must stay", []Grant{{"a", 5, nil}, {"b", wide, []int{0}}}, nil, "", map[string]int{"a": 5, "rejected": 15}},
+		{"a class that is not let in", []Grant{{"a", wide, nil}}, []float64{0}, "", map[string]int{"rejected": 20}},
+		{"a plan without grants", []Grant{}, nil, "", map[string]int{"rejected": 20}},
 		{"a zone that fails is left for the next", []Grant{{"a", wide, nil}, {"b", wide, nil}}, nil, "a", map[string]int{"b": 20}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -35,12 +35,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var hosts []Server
+			var servers []Server
 			for i := range 6 {
-				hosts = append(hosts, Server{ID: ServerID(fmt.Sprint(i)), Zone: string("ab"[i%2])})
+				servers = append(servers, Server{ID: ServerID(fmt.Sprint(i)), Zone: string("ab"[i%2])})
 			}
 			zone := func(id ServerID) string { return string("ab"[(id[0]-'0')&1]) }
-			balancer.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: hosts}, ZonePlan{Grants: test.grants, AdmitFraction: test.admit, RetryAfter: time.Second}})
+			balancer.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: servers}, ZonePlan{Grants: test.grants, AdmitFraction: test.admit, RetryAfter: time.Second}})
 			got := map[string]int{}
 			for i := range 20 {
 				id := RequestID(fmt.Sprint(i))
@@ -57,7 +57,7 @@
 							next = append(next, Established{ID: id, Attempt: attempt, Server: action.Server})
 							got[zone(action.Server)]++
 						case Reject:
-							got["refused"]++
+							got["rejected"]++
 							if test.grants != nil && (action.RetryAfter < time.Second/2 || action.RetryAfter > 3*time.Second/2) {
 								t.Errorf("advice %v", action.RetryAfter)
 							}
@@ -69,15 +69,15 @@
 			if test.want != nil && fmt.Sprint(got) != fmt.Sprint(test.want) {
 				t.Errorf("went to %v, wanted %v", got, test.want)
 			}
-			if test.want == nil && (got["a"] < 3 || got["b"] < 3 || got["refused"] > 0) {
+			if test.want == nil && (got["a"] < 3 || got["b"] < 3 || got["rejected"] > 0) {
 				t.Errorf("without a plan %v", got)
 			}
 			// The next plan takes all room back: what stands counts, and nothing new comes.
-			news := balancer.Observations(time.Hour + time.Second)
-			if n := news.Zones[0]; n.Zone != "a" || n.Ready != 3 || n.OwnLoad[0] != float64(got["a"]) {
-				t.Errorf("news of zone a: %+v", n)
+			observations := balancer.Observations(time.Hour + time.Second)
+			if n := observations.Zones[0]; n.Zone != "a" || n.Ready != 3 || n.OwnLoad[0] != float64(got["a"]) {
+				t.Errorf("observations of zone a: %+v", n)
 			}
-			balancer.Step(time.Hour+time.Second, []Event{ZonePlan{Grants: []Grant{{"b", news.Zones[1].OwnLoad[0], nil}}}})
+			balancer.Step(time.Hour+time.Second, []Event{ZonePlan{Grants: []Grant{{"b", observations.Zones[1].OwnLoad[0], nil}}}})
 			for _, a := range balancer.Step(time.Hour+time.Second, []Event{Request{ID: "late", Tenant: -1, TimeLeft: 4 * time.Second}}) {
 				if s, ok := a.(StartAttempt); ok {
 					t.Errorf("sent to %s beyond the new plan", s.Server)
