--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -10,16 +10,19 @@
 
 // script plays a random but legal caller, with odd events mixed in, for a while; the referee judges. It returns all
 // actions.
-func script(t testing.TB, seed uint64, steps int) [][]Action {
+func script(tb testing.TB, seed uint64, steps int) [][]Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	s := plain()
-	s.Nodes, s.GroupAffinity, s.Subscribe = 1+rng.IntN(50), rng.IntN(2) == 0, rng.IntN(2) == 0
-	s.PacketPassThrough = rng.IntN(4) == 0
-	s.Reports = ReportSource(rng.IntN(3))
-	s.Classes = append(s.Classes,
+	settings := plain()
+	settings.Nodes, settings.GroupAffinity, settings.Subscribe = 1+rng.IntN(50), rng.IntN(2) == 0, rng.IntN(2) == 0
+	settings.PacketPassThrough = rng.IntN(4) == 0
+	settings.Reports = ReportSource(rng.IntN(3))
+	settings.Classes = append(settings.Classes,
 		Class{SetupObjective: ms(200), Deadline: ms(900), Idempotency: NotIdempotent, MessageObjective: ms(50)},
-		Class{SetupObjective: ms(200), Deadline: ms(900), Idempotency: IdempotentByKey, IdempotencyScope: Scope(rng.IntN(3)), IdempotencyWindow: ms(rng.IntN(900))})
-	referee := newReferee(t, s, seed)
+		Class{
+			SetupObjective: ms(200), Deadline: ms(900), Idempotency: IdempotentByKey,
+			IdempotencyScope: Scope(rng.IntN(3)), IdempotencyWindow: ms(rng.IntN(900)),
+		})
+	referee := newReferee(tb, settings, seed)
 	servers := fleet(1 + rng.IntN(12))
 	var all [][]Action
 	step := func(e ...Event) { all = append(all, referee.step(e...)) }
@@ -62,7 +65,10 @@
 			over := referee.reqs[sent.id].done || referee.reqs[sent.id].gone
 			switch {
 			case referee.now+ms(5) >= sent.cut:
-				events = append(events, AttemptEnded{ID: sent.id, Attempt: sent.n, Server: sent.to, Outcome: TimedOut, Final: over})
+				events = append(events, AttemptEnded{
+					ID: sent.id, Attempt: sent.n, Server: sent.to, Outcome: TimedOut,
+					Final: over,
+				})
 			case roll == 0 && !over:
 				events = append(events, Established{ID: sent.id, Attempt: sent.n, Server: sent.to})
 				open = append(open, sent)
@@ -119,8 +125,12 @@
 			events = append(events, ClientGone{ID: RequestID(fmt.Sprint("r", rng.IntN(next+1)))})
 		case 7:
 			events = append(events, TimerFired{fmt.Sprint("hold r", rng.IntN(next+1))})
-			if r := referee.reqs["r1"]; r != nil && r.sent > 0 { // a caller tells nothing of attempts that it was not given
-				events = append(events, AttemptEnded{ID: "r1", Attempt: rng.IntN(r.sent), Server: "s000", Outcome: Full})
+			// a caller tells nothing of attempts that it was not given
+			if r := referee.reqs["r1"]; r != nil && r.sent > 0 {
+				events = append(events, AttemptEnded{
+					ID: "r1", Attempt: rng.IntN(r.sent), Server: "s000",
+					Outcome: Full,
+				})
 			}
 		}
 		// the odd attempt event above may name a real attempt: keep the caller's book in line with it
--- a/choice/golden_decisions_test.go
+++ b/choice/golden_decisions_test.go
@@ -20,10 +20,11 @@
 	"spurwinch/choice"
 )
 
-// A golden record of decisions: seeded runs of the simulation, with every action and what the balancers have learned at the end. A
-// change of the order of random draws or of one rounding changes the record; a change of names doesn't.
+// A golden record of decisions: seeded runs of the simulation, with every action and what the balancers have learned
+// at the end. A change of the order of random draws or of one rounding changes the record; a change of names doesn't.
 
-// recorder writes a canonical text of actions into a running hash, and notes the hash at the end of each simulated second.
+// recorder writes a canonical text of actions into a running hash, and notes the hash at the end of each simulated
+// second.
 type recorder struct {
 	hash    hash.Hash
 	text    io.Writer // the whole text, for a look at the first difference; nil: not wanted
@@ -61,8 +62,8 @@
 	}
 }
 
-// actionText is an action in a form that does not depend on the names of types and fields. Its words are those of the first
-// record.
+// actionText is an action in a form that does not depend on the names of types and fields. Its words are those of the
+// first record.
 func actionText(action choice.Action) string {
 	switch action := action.(type) {
 	case choice.StartAttempt:
@@ -104,8 +105,10 @@
 		r.bits(k.ReportedLoad, k.ConnectionLoad, k.Reports)
 	}
 	for _, s := range l.Servers {
-		r.write("\nserver %s %d %v %d %d %d %d", s.ID, s.Started, s.Known, s.ReportAt, s.EjectedUntil, s.Ejections, s.SlowStartAt)
-		r.bits(s.ReportedLoad, s.ConnectionLoad, s.Reports, s.Report, s.SlowStartCredit, s.PIDIntegral, s.PIDPreviousError, s.PIDCorrection, s.UnreportedLoad)
+		r.write("\nserver %s %d %v %d %d %d %d", s.ID, s.Started, s.Known, s.ReportAt, s.EjectedUntil, s.Ejections,
+			s.SlowStartAt)
+		r.bits(s.ReportedLoad, s.ConnectionLoad, s.Reports, s.Report, s.SlowStartCredit, s.PIDIntegral,
+			s.PIDPreviousError, s.PIDCorrection, s.UnreportedLoad)
 		rate, cold := balancer.SlowStartRate(s.ID)
 		r.write(" %v", cold)
 		r.bits(rate)
@@ -131,8 +134,8 @@
 	r.note("learned, after")
 }
 
-// handOver has a further balancer take each node's place, as a new process of a node does: with what the old one has learned, and
-// with its open connections. Both are recorded, and what the new one does with some requests after that.
+// handOver has a further balancer take each node's place, as a new process of a node does: with what the old one has
+// learned, and with its open connections. Both are recorded, and what the new one does with some requests after that.
 func (r *recorder) handOver(t *testing.T, world *simulation, seed uint64) {
 	t.Helper()
 	for _, node := range world.nodes[:min(4, len(world.nodes))] {
@@ -143,7 +146,10 @@
 			t.Fatal(err)
 		}
 		learned := node.balancer.LearnedState()
-		events := []choice.Event{choice.ServerList{Kind: choice.ListFull, Servers: world.entries()}, choice.LearnedStateReceived{LearnedState: learned}}
+		events := []choice.Event{
+			choice.ServerList{Kind: choice.ListFull, Servers: world.entries()},
+			choice.LearnedStateReceived{LearnedState: learned},
+		}
 		var ids []choice.RequestID
 		for id, request := range world.requests {
 			if request.node == node && request.standing() != nil && !request.over && !request.standing().settled {
@@ -180,7 +186,8 @@
 	r.note("handed over, after")
 }
 
-// play has some requests come to a balancer whose servers all set connections up, report a middling load, and leave now and then.
+// play has some requests come to a balancer whose servers all set connections up, report a middling load, and leave
+// now and then.
 func (r *recorder) play(now *time.Duration, b *choice.Balancer, s choice.Settings, node, round int) {
 	var events []choice.Event
 	report := make([]float64, len(s.ReportFields))
@@ -191,7 +198,8 @@
 		}
 		id := choice.RequestID(fmt.Sprintf("after-%d-%d", round, i))
 		events = append(events, choice.Request{
-			ID: id, Class: i % len(s.Classes), Tenant: i%(len(s.Tenants)+1) - 1, Key: uint64(i) * 7919, Group: uint64(i % 4),
+			ID: id, Class: i % len(s.Classes), Tenant: i%(len(s.Tenants)+1) - 1, Key: uint64(i) * 7919,
+			Group:    uint64(i % 4),
 			TimeLeft: time.Second, Returned: i%5 == 0,
 		})
 		for range 4 {
@@ -201,18 +209,30 @@
 			for _, a := range actions {
 				switch action := a.(type) {
 				case choice.StartAttempt:
-					events = append(events, choice.Established{ID: action.ID, Server: action.Server, Took: time.Duration(20+i%7*i%13*20) * time.Millisecond})
+					events = append(events, choice.Established{
+						ID: action.ID, Server: action.Server,
+						Took: time.Duration(20+i%7*i%13*20) * time.Millisecond,
+					})
 					if i%4 == 1 {
-						events = append(events, choice.DelayObservation{ID: action.ID, Server: action.Server, Took: time.Duration(i*8) * time.Millisecond})
+						events = append(events, choice.DelayObservation{
+							ID: action.ID, Server: action.Server,
+							Took: time.Duration(i*8) * time.Millisecond,
+						})
 					}
 					if i%3 == 0 {
-						events = append(events, choice.AttemptEnded{ID: action.ID, Server: action.Server, Outcome: choice.Outcome(i / 3 % 8), Final: true})
+						events = append(events, choice.AttemptEnded{
+							ID: action.ID, Server: action.Server,
+							Outcome: choice.Outcome(i / 3 % 8), Final: true,
+						})
 					}
 				case choice.HealthCheck:
 					for f := range report {
 						report[f] = 0.2 + 0.6*float64((i+f)%10)/10
 					}
-					events = append(events, choice.HealthCheckResult{Server: action.Server, Outcome: choice.Served, Report: slices.Clone(report)})
+					events = append(events, choice.HealthCheckResult{
+						Server: action.Server, Outcome: choice.Served,
+						Report: slices.Clone(report),
+					})
 				}
 			}
 		}
@@ -250,7 +270,8 @@
 	return lines[i]
 }
 
-// record makes a recorder. With DECISIONS_TEXT naming a directory, the whole text goes there, to compare two versions by.
+// record makes a recorder. With DECISIONS_TEXT naming a directory, the whole text goes there, to compare two versions
+// by.
 func record(t *testing.T, name string) *recorder {
 	t.Helper()
 	recorder := newRecorder(simulationStart)
@@ -275,8 +296,9 @@
 	return recorder
 }
 
-// TestGoldenDecisionsOfDrawnWorlds pins the decisions in worlds with drawn settings: grouped or not, each source of reports,
-// subscribed or pushed lists, with and without messages between nodes, packets that pass through, tenants, plans of zones.
+// TestGoldenDecisionsOfDrawnWorlds pins the decisions in worlds with drawn settings: grouped or not, each source of
+// reports, subscribed or pushed lists, with and without messages between nodes, packets that pass through, tenants,
+// plans of zones.
 func TestGoldenDecisionsOfDrawnWorlds(t *testing.T) {
 	for seed := range uint64(40) {
 		name := fmt.Sprintf("drawn-%02d", seed)
@@ -291,8 +313,9 @@
 	}
 }
 
-// TestGoldenDecisionsOfAFleet pins the decisions of fleets with servers in slow start under a burst: with reservations by peers, with reports
-// alone and with none. Connections stand when it ends, so that the hand-over has some.
+// TestGoldenDecisionsOfAFleet pins the decisions of fleets with servers in slow start under a burst: with
+// reservations by peers, with reports alone and with none. Connections stand when it ends, so that the hand-over has
+// some.
 func TestGoldenDecisionsOfAFleet(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -311,7 +334,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			f := slowStartFleet{
-				name: test.name, nodes: test.nodes, servers: 16, reports: test.reports, peers: test.peers, rules: shortWarmUp, skew: 4,
+				name: test.name, nodes: test.nodes, servers: 16, reports: test.reports, peers: test.peers,
+				rules: shortWarmUp, skew: 4,
 				homes: 0.02, costKnown: test.reports == choice.NoReports, burst: 4, seed: 3,
 			}
 			r := record(t, test.name)
--- a/choice/golden_test.go
+++ b/choice/golden_test.go
@@ -15,11 +15,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The encoded forms of the package. Other versions read and write them: a golden file changes only with a new version of its form.
+// The encoded forms of the package. Other versions read and write them: a golden file changes only with a new version
+// of its form.
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// goldenHex returns the bytes of a golden file, which has them as hexadecimal digits, 32 bytes a line. With -update it is written first.
+// goldenHex returns the bytes of a golden file, which has them as hexadecimal digits, 32 bytes a line. With -update
+// it is written first.
 func goldenHex(t *testing.T, name string, have []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".hex")
@@ -45,8 +47,8 @@
 	return want
 }
 
-// checkGoldenCBOR wants a value to be written as the golden bytes, and these to be read as the value. Every field of the value
-// has to be set: what is omitted when empty would otherwise not be in the bytes.
+// checkGoldenCBOR wants a value to be written as the golden bytes, and these to be read as the value. Every field of
+// the value has to be set: what is omitted when empty would otherwise not be in the bytes.
 func checkGoldenCBOR[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	wantNoZeroField(t, name, reflect.ValueOf(value))
@@ -90,16 +92,23 @@
 	checkGoldenCBOR(t, "learned", LearnedState{
 		Version: 1, Unit: 2.5, Hints: 3, LoadSum: 4.25, WeightSum: 5.125, ReportedAt: 6 * time.Second, Arrivals: 7.5,
 		ArrivalsAt: 8 * time.Second, PassRate: 0.5, MeanPriority: 10.5,
-		Kinds: []LearnedKind{{Kind: "k1", ReportedLoad: 11.5, ConnectionLoad: 12.5, Reports: 13.5}, {Kind: "k2", ReportedLoad: 14.5, ConnectionLoad: 15.5, Reports: 16.5}},
+		Kinds: []LearnedKind{{Kind: "k1", ReportedLoad: 11.5, ConnectionLoad: 12.5, Reports: 13.5}, {
+			Kind:         "k2",
+			ReportedLoad: 14.5, ConnectionLoad: 15.5, Reports: 16.5,
+		}},
 		Servers: []LearnedServer{
 			{
-				ID: "s1", Started: 17 * time.Second, ReportedLoad: 18.5, ConnectionLoad: 19.5, Reports: 20.5, Known: true, Report: 21.5, ReportAt: 22 * time.Second,
-				EjectedUntil: 23 * time.Second, Ejections: 24, SlowStartCredit: 25.5, SlowStartAt: 26 * time.Second, PIDIntegral: 27.5, PIDPreviousError: 28.5, PIDCorrection: 29.5,
+				ID: "s1", Started: 17 * time.Second, ReportedLoad: 18.5, ConnectionLoad: 19.5, Reports: 20.5,
+				Known: true, Report: 21.5, ReportAt: 22 * time.Second,
+				EjectedUntil: 23 * time.Second, Ejections: 24, SlowStartCredit: 25.5, SlowStartAt: 26 * time.Second,
+				PIDIntegral: 27.5, PIDPreviousError: 28.5, PIDCorrection: 29.5,
 				UnreportedLoad: 30.5,
 			},
 			{
-				ID: "s2", Started: 31 * time.Second, ReportedLoad: 32.5, ConnectionLoad: 33.5, Reports: 34.5, Known: true, Report: 35.5, ReportAt: 36 * time.Second,
-				EjectedUntil: 37 * time.Second, Ejections: 38, SlowStartCredit: 39.5, SlowStartAt: 40 * time.Second, PIDIntegral: 41.5, PIDPreviousError: 42.5, PIDCorrection: 43.5,
+				ID: "s2", Started: 31 * time.Second, ReportedLoad: 32.5, ConnectionLoad: 33.5, Reports: 34.5,
+				Known: true, Report: 35.5, ReportAt: 36 * time.Second,
+				EjectedUntil: 37 * time.Second, Ejections: 38, SlowStartCredit: 39.5, SlowStartAt: 40 * time.Second,
+				PIDIntegral: 41.5, PIDPreviousError: 42.5, PIDCorrection: 43.5,
 				UnreportedLoad: 44.5,
 			},
 		},
@@ -111,7 +120,8 @@
 func TestGoldenClass(t *testing.T) {
 	checkGoldenCBOR(t, "class", Class{
 		Name: "pay", Removed: true, SetupObjective: 1 * time.Second, Deadline: 2 * time.Second,
-		MessageObjective: 3 * time.Millisecond, Priority: 4.5, Idempotency: IdempotentByKey, IdempotencyScope: ScopeCell, IdempotencyWindow: 5 * time.Second,
+		MessageObjective: 3 * time.Millisecond, Priority: 4.5, Idempotency: IdempotentByKey,
+		IdempotencyScope: ScopeCell, IdempotencyWindow: 5 * time.Second,
 	})
 }
 
@@ -133,11 +143,17 @@
 		{
 			Settings{
 				Reports: HealthCheckReports, Sizes: NominalSize, PriorityPerWork: true,
-				ReportFields: []ReportField{OtherField, Load, Backlog, InFlight, Queue, Utilization, Latency, Throughput, ErrorRate},
+				ReportFields: []ReportField{
+					OtherField, Load, Backlog, InFlight, Queue, Utilization, Latency,
+					Throughput, ErrorRate,
+				},
 			},
 			"1 [0 1 2 3 4 5 6 7 8] 1 true false",
 		},
-		{Settings{Reports: AllReports, Sizes: LiveSize, DelaysObserved: true, ReportFields: []ReportField{Load}}, "2 [1] 2 false true"},
+		{
+			Settings{Reports: AllReports, Sizes: LiveSize, DelaysObserved: true, ReportFields: []ReportField{Load}},
+			"2 [1] 2 false true",
+		},
 	} {
 		if have := test.settings.meaning(); have != test.want {
 			t.Errorf("%+v means %q, want %q", test.settings, have, test.want)
@@ -145,7 +161,8 @@
 	}
 }
 
-// TestGoldenNames pins the numbers and names of outcomes and reasons: captures have the numbers, logs and figures the names.
+// TestGoldenNames pins the numbers and names of outcomes and reasons: captures have the numbers, logs and figures the
+// names.
 func TestGoldenNames(t *testing.T) {
 	for i, test := range []struct {
 		outcome Outcome
@@ -192,9 +209,19 @@
 		message peerMessage
 		bytes   string
 	}{
-		{"admission question", peerMessage{kind: reservationRequest, token: 0x0102, server: 0x030405, group: 0x0607, load: 1.5}, "110102030405060718"},
-		{"relief question", peerMessage{kind: reliefRequest, token: 0x1112, server: 0x131415, group: 0x1617, load: 15.9375}, "1211121314151617ff"},
-		{"group notice", peerMessage{kind: groupNotice, token: 0x2122, server: 0x232425, group: 0x2627, load: 0.0625}, "132122232425262701"},
+		{"admission question", peerMessage{
+			kind: reservationRequest, token: 0x0102, server: 0x030405, group: 0x0607,
+			load: 1.5,
+		}, "110102030405060718"},
+		{"relief question", peerMessage{
+			kind: reliefRequest, token: 0x1112, server: 0x131415, group: 0x1617,
+			load: 15.9375,
+		}, "1211121314151617ff"},
+		{
+			"group notice",
+			peerMessage{kind: groupNotice, token: 0x2122, server: 0x232425, group: 0x2627, load: 0.0625},
+			"132122232425262701",
+		},
 		{"yes", peerMessage{kind: reservationGranted, token: 0x3132, load: 0.75, fraction: 0.2}, "1431320c33"},
 		{"no", peerMessage{kind: reservationDenied, token: 0x4142, load: 2, fraction: 1}, "15414220ff"},
 		{"ejected", peerMessage{kind: serverEjected, token: 0x5152, load: 1.0625, fraction: 0.4}, "1651521166"},
--- a/choice/groups_test.go
+++ b/choice/groups_test.go
@@ -22,14 +22,23 @@
 		held := map[ServerID]int{}
 		where := map[uint64]map[ServerID]bool{}
 		group := map[RequestID]uint64{}
-		next := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}}}}
+		next := []Event{ServerList{Kind: ListFull, Servers: []Server{
+			{ID: "a"},
+			{ID: "b"},
+			{ID: "c"},
+			{ID: "d"},
+			{ID: "e"},
+		}}}
 		step := func() {
 			events := next
 			next = nil
 			for _, a := range balancer.Step(now, events) {
 				switch action := a.(type) {
 				case HealthCheck:
-					next = append(next, HealthCheckResult{Server: action.Server, Report: []float64{0.06 * float64(held[action.Server])}})
+					next = append(next, HealthCheckResult{
+						Server: action.Server,
+						Report: []float64{0.06 * float64(held[action.Server])},
+					})
 				case StartAttempt:
 					held[action.Server]++
 					g := group[action.ID]
--- a/choice/healthcheck_test.go
+++ b/choice/healthcheck_test.go
@@ -22,7 +22,10 @@
 		now := time.Hour
 		next = append(next, ServerList{Kind: ListFull, Servers: []Server{{ID: "full"}, {ID: "idle"}}})
 		for i := range 20 {
-			next = append(next, OpenConnection{Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1}, Server: "full"})
+			next = append(next, OpenConnection{
+				Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1},
+				Server:  "full",
+			})
 		}
 		checks, moves := 0, 0
 		for range 30 {
@@ -59,7 +62,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "s"}}}, OpenConnection{Request: Request{ID: "1", Tenant: -1}, Server: "s"}}
+	next := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "s"}}}, OpenConnection{Request: Request{
+		ID:     "1",
+		Tenant: -1,
+	}, Server: "s"}}
 	for i := range 20 {
 		events := next
 		next = nil
@@ -83,24 +89,36 @@
 	}{{5, 0.6, false}, {400, 0.6, true}, {5, 0, false}} {
 		balancer, err := New(Settings{
 			Nodes: 1, Reports: HealthCheckReports, ReportFields: []ReportField{Latency, Load},
-			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second, MessageObjective: 60 * time.Millisecond}},
-			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond,
+			Classes: []Class{{
+				Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second,
+				MessageObjective: 60 * time.Millisecond,
+			}},
+			Limits: Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond,
 		}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
 		events := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "idle"}, {ID: "late"}}}}
 		for i := range 40 {
-			events = append(events, OpenConnection{Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1}, Server: "late"})
+			events = append(events, OpenConnection{
+				Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1},
+				Server:  "late",
+			})
 		}
 		balancer.Step(time.Hour, events)
 		balancer.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "idle", Report: []float64{3, 0.1}}})
 		// Connections that left since a report shows take the prediction under 0, which must not read as an excess.
 		for i := range 30 {
-			balancer.Step(time.Hour+9*time.Second, []Event{AttemptEnded{ID: RequestID(fmt.Sprint(i)), Server: "late", Final: true}})
+			balancer.Step(time.Hour+9*time.Second, []Event{AttemptEnded{
+				ID: RequestID(fmt.Sprint(i)), Server: "late",
+				Final: true,
+			}})
 		}
 		moves := 0
-		for _, a := range balancer.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "late", Report: []float64{test.late, test.load}}}) {
+		for _, a := range balancer.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{
+			Server: "late",
+			Report: []float64{test.late, test.load},
+		}}) {
 			if _, ok := a.(Migrate); ok {
 				moves++
 			}
--- a/choice/inference_test.go
+++ b/choice/inference_test.go
@@ -11,11 +11,20 @@
 	return Settings{
 		Nodes: nodes, GroupAffinity: true, Sizes: NominalSize, DelaysObserved: true, RoundTrip: 4 * time.Millisecond,
 		Classes: []Class{
-			{Name: "watch", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 150 * time.Millisecond, Priority: 5},
-			{Name: "pay", SetupObjective: time.Second, Deadline: 5 * time.Second, MessageObjective: 250 * time.Millisecond, Priority: 15},
+			{
+				Name: "watch", SetupObjective: time.Second, Deadline: 5 * time.Second,
+				MessageObjective: 150 * time.Millisecond, Priority: 5,
+			},
+			{
+				Name: "pay", SetupObjective: time.Second, Deadline: 5 * time.Second,
+				MessageObjective: 250 * time.Millisecond, Priority: 15,
+			},
 		},
 		Limits: Limits{MaxAttempts: 4, HealthChecks: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
-		Rules:  Rules{SlowStartFraction: 0.14, WarmUp: 20 * time.Second, OverloadMultiple: 2.5, OverloadTime: 1500 * time.Millisecond},
+		Rules: Rules{
+			SlowStartFraction: 0.14, WarmUp: 20 * time.Second, OverloadMultiple: 2.5,
+			OverloadTime: 1500 * time.Millisecond,
+		},
 	}
 }
 
@@ -35,17 +44,21 @@
 }
 
 // connect places a request and has its connection stand; it returns the server, or "" where the request was rejected.
-func connect(b *Balancer, now time.Duration, id RequestID, class int, group uint64, returned bool) ServerID {
-	for _, a := range b.Step(now, []Event{Request{ID: id, Class: class, Tenant: -1, Group: group, TimeLeft: 5 * time.Second, Returned: returned}}) {
+func connect(balancer *Balancer, now time.Duration, id RequestID, class int, group uint64, returned bool) ServerID {
+	for _, a := range balancer.Step(now, []Event{Request{
+		ID: id, Class: class, Tenant: -1, Group: group,
+		TimeLeft: 5 * time.Second, Returned: returned,
+	}}) {
 		if a, ok := a.(StartAttempt); ok {
-			b.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
+			balancer.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
 			return a.Server
 		}
 	}
 	return ""
 }
 
-// A connection must not count 1 until its server tells its load, and a small part of that afterwards: no limit would ever bind.
+// A connection must not count 1 until its server tells its load, and a small part of that afterwards: no limit would
+// ever bind.
 func TestReportedConnectionLoadsGiveTheUnit(t *testing.T) {
 	balancer, now := silentNode(t, 3, 8)
 	servers := map[RequestID]ServerID{}
@@ -67,7 +80,8 @@
 	if sum < 1 || sum > 3 { // ten of 0.02 and ten of 0.18 are 2
 		t.Errorf("20 connections count %.2f in all, told and untold ones together", sum)
 	}
-	if light, heavy := balancer.expectedLoad(0), balancer.expectedLoad(1); light < 0.019 || light > 0.021 || heavy < 0.179 || heavy > 0.181 {
+	if light, heavy := balancer.expectedLoad(0), balancer.expectedLoad(1); light < 0.019 || light > 0.021 ||
+		heavy < 0.179 || heavy > 0.181 {
 		t.Errorf("new connections are guessed at %.3f and %.3f", light, heavy)
 	}
 	balancer.updateCosts()
@@ -104,7 +118,10 @@
 	server, moved := balancer.findServer(home), 0
 	for i := range 5 {
 		now += time.Second
-		for _, a := range balancer.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 900 * time.Millisecond}, TimerFired{Token: "tick"}}) {
+		for _, a := range balancer.Step(now, []Event{DelayObservation{
+			ID: "0", Server: home,
+			Took: 900 * time.Millisecond,
+		}, TimerFired{Token: "tick"}}) {
 			if a, ok := a.(Migrate); ok {
 				moved++
 				balancer.Step(now, []Event{AttemptEnded{ID: a.ID, Server: home, Outcome: Cancelled, Final: true}})
@@ -123,10 +140,14 @@
 	quiet := balancer.predictedLoad(server)
 	for range 20 { // it is over: once more when messages are quick again
 		now += time.Second
-		balancer.Step(now, []Event{DelayObservation{ID: "0", Server: home, Took: 5 * time.Millisecond}, TimerFired{Token: "tick"}})
+		balancer.Step(now, []Event{
+			DelayObservation{ID: "0", Server: home, Took: 5 * time.Millisecond},
+			TimerFired{Token: "tick"},
+		})
 	}
 	if balancer.predictedLoad(server) >= quiet || balancer.predictedLoad(server) > crowded {
-		t.Errorf("with quick messages again it is predicted at %.2f, %.2f before", balancer.predictedLoad(server), quiet)
+		t.Errorf("with quick messages again it is predicted at %.2f, %.2f before", balancer.predictedLoad(server),
+			quiet)
 	}
 }
 
@@ -153,8 +174,8 @@
 	}
 }
 
-// What one node sees of a server of a large fleet is next to nothing: its estimate has to lean on the average, and on its own
-// connections where there are enough.
+// What one node sees of a server of a large fleet is next to nothing: its estimate has to lean on the average, and on
+// its own connections where there are enough.
 func TestEstimateLeansOnTheAverage(t *testing.T) {
 	for _, test := range []struct {
 		nodes, own int
@@ -168,13 +189,14 @@
 		s := b.servers[0]
 		s.own.add(b.now, float64(test.own)*b.units.mean)
 		if e := b.estimateLoad(s); e < test.low || e > test.high {
-			t.Errorf("%d own connections at one of %d nodes: estimated at %.2f, wanted %.2f to %.2f", test.own, test.nodes, e, test.low, test.high)
+			t.Errorf("%d own connections at one of %d nodes: estimated at %.2f, wanted %.2f to %.2f", test.own,
+				test.nodes, e, test.low, test.high)
 		}
 	}
 }
 
-// A group has to go to the same few servers from each node, more of them large than small, and to none that is just starting
-// more often than its warm-up allows: all nodes know sizes and starts alike.
+// A group has to go to the same few servers from each node, more of them large than small, and to none that is just
+// starting more often than its warm-up allows: all nodes know sizes and starts alike.
 func TestGroupsGoByRegisteredSize(t *testing.T) {
 	first := map[ServerID]int{}
 	for group := range uint64(600) {
@@ -182,12 +204,16 @@
 		for node := range 3 {
 			set := silentSettings(3)
 			set.Node = node
-			b, err := New(set, uint64(node), time.Hour)
+			balancer, err := New(set, uint64(node), time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "large", Size: 4}, {ID: "small", Size: 1}, {ID: "mid", Size: 2}}}})
-			seen[connect(b, time.Hour, "r", 0, group+1, false)] = true
+			balancer.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{
+				{ID: "large", Size: 4},
+				{ID: "small", Size: 1},
+				{ID: "mid", Size: 2},
+			}}})
+			seen[connect(balancer, time.Hour, "r", 0, group+1, false)] = true
 			if node == 0 {
 				for id := range seen {
 					first[id]++
@@ -203,24 +229,30 @@
 	}
 }
 
-// Connections that servers shed at once, only to come again at the next node, must stay a bounded part of all; what is turned away
-// is told when to come again, spread.
+// Connections that servers shed at once, only to come again at the next node, must stay a bounded part of all; what
+// is turned away is told when to come again, spread.
 func TestDroppedConnectionsAreThrottled(t *testing.T) {
 	balancer, now := silentNode(t, 300, 90)
 	placed, rejected, advice := 0, 0, map[time.Duration]bool{}
 	for i := range 300 { // a storm: each connection is dropped 200 ms after it came up
 		now += 10 * time.Millisecond
 		id := RequestID(fmt.Sprint(i))
-		for _, a := range balancer.Step(now, []Event{Request{ID: id, Tenant: -1, Group: uint64(1 + i%5), TimeLeft: 5 * time.Second, Returned: true}}) {
-			switch a := a.(type) {
+		for _, a := range balancer.Step(now, []Event{Request{
+			ID: id, Tenant: -1, Group: uint64(1 + i%5),
+			TimeLeft: 5 * time.Second, Returned: true,
+		}}) {
+			switch action := a.(type) {
 			case StartAttempt:
 				placed++
-				balancer.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
-				balancer.Step(now+200*time.Millisecond, []Event{AttemptEnded{ID: id, Server: a.Server, Outcome: Reset, Final: true}})
+				balancer.Step(now, []Event{Established{ID: id, Server: action.Server, Took: 20 * time.Millisecond}})
+				balancer.Step(now+200*time.Millisecond, []Event{AttemptEnded{
+					ID: id, Server: action.Server, Outcome: Reset,
+					Final: true,
+				}})
 			case Reject:
 				rejected++
-				if advice[a.RetryAfter] = true; a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
-					t.Fatalf("advice of %v where clients heed 2 s", a.RetryAfter)
+				if advice[action.RetryAfter] = true; action.RetryAfter <= 0 || action.RetryAfter > 2*time.Second {
+					t.Fatalf("advice of %v where clients heed 2 s", action.RetryAfter)
 				}
 			}
 		}
--- a/choice/invariance_test.go
+++ b/choice/invariance_test.go
@@ -80,7 +80,8 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				id := RequestID(fmt.Sprint(i))
-				out := referee.b.Step(time.Duration(i)*10*time.Millisecond, []Event{Request{ID: id, TimeLeft: ms(1800), Tenant: -1}})
+				out := referee.b.Step(time.Duration(i)*10*time.Millisecond,
+					[]Event{Request{ID: id, TimeLeft: ms(1800), Tenant: -1}})
 				var probed []Event
 				for _, a := range out {
 					if p, ok := a.(HealthCheck); ok {
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -31,7 +31,8 @@
 	return x
 }
 
-// step hands over events and plays the servers' fraction: attempts stand at once, health checks are answered with some noise.
+// step hands over events and plays the servers' fraction: attempts stand at once, health checks are answered with
+// some noise.
 func (f *fleetOf) step(events ...Event) {
 	for len(events) > 0 {
 		acts := f.b.Step(f.now, events)
@@ -43,7 +44,10 @@
 				f.ends[action.ID] = f.now + time.Duration(10+f.rng.IntN(40))*time.Second
 				events = append(events, Established{ID: action.ID, Server: action.Server})
 			case HealthCheck:
-				events = append(events, HealthCheckResult{Server: action.Server, Report: []float64{f.load(action.Server) * (0.95 + 0.1*f.rng.Float64())}})
+				events = append(events, HealthCheckResult{
+					Server: action.Server,
+					Report: []float64{f.load(action.Server) * (0.95 + 0.1*f.rng.Float64())},
+				})
 			case SetTimer:
 				at := f.now + action.After
 				f.timer[at] = append(f.timer[at], action.Token)
@@ -75,7 +79,10 @@
 		}
 		if f.now%every == 0 {
 			f.next++
-			events = append(events, Request{ID: RequestID(fmt.Sprint("r", f.next)), Tenant: -1, TimeLeft: 4 * time.Second})
+			events = append(events, Request{
+				ID: RequestID(fmt.Sprint("r", f.next)), Tenant: -1,
+				TimeLeft: 4 * time.Second,
+			})
 		}
 		f.step(events...)
 		if to-f.now > 5*time.Second {
@@ -91,17 +98,23 @@
 func knows() Settings {
 	return Settings{
 		Nodes: 4, Reports: HealthCheckReports, ReportFields: []ReportField{Load}, RoundTrip: 5 * time.Millisecond,
-		Classes: []Class{{Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond, MessageObjective: 60 * time.Millisecond, Priority: 1}},
-		Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, Costs: Costs{HealthCheck: 0.002},
+		Classes: []Class{{
+			Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond,
+			MessageObjective: 60 * time.Millisecond, Priority: 1,
+		}},
+		Limits: Limits{MaxAttempts: 4, HealthChecks: true}, Costs: Costs{HealthCheck: 0.002},
 	}
 }
 
-// TestLearnedStateIsInherited has one process take over from another: with what that one found out, its forecasts of the servers'
-// loads are as good at once; without, they are not in the first seconds.
+// TestLearnedStateIsInherited has one process take over from another: with what that one found out, its forecasts of
+// the servers' loads are as good at once; without, they are not in the first seconds.
 func TestLearnedStateIsInherited(t *testing.T) {
 	list := ServerList{Kind: ListFull}
 	for i := range 12 {
-		list.Servers = append(list.Servers, Server{ID: ServerID(fmt.Sprintf("s%02d", i)), Kind: fmt.Sprint("k", i%2), Size: 1})
+		list.Servers = append(list.Servers, Server{
+			ID: ServerID(fmt.Sprintf("s%02d", i)), Kind: fmt.Sprint("k", i%2),
+			Size: 1,
+		})
 	}
 	const seeds = 8
 	errors := map[string]float64{}
@@ -136,14 +149,18 @@
 					fleet.step(LearnedStateReceived{was.LearnedState()})
 				}
 				for id, s := range fleet.on {
-					fleet.step(OpenConnection{Request: Request{ID: id, Tenant: -1}, Server: s, OriginalClass: &Class{Name: "gone"}})
+					fleet.step(OpenConnection{
+						Request: Request{ID: id, Tenant: -1}, Server: s,
+						OriginalClass: &Class{Name: "gone"},
+					})
 					was.Step(fleet.now, []Event{Transferred{id}})
 				}
 				for _, s := range was.servers {
 					if p := was.predictedLoad(s); math.Abs(p-before[s.ID]) > 1e-9 {
 						t.Errorf("%s: the giver takes %v for relieved: %v, %v before", how, s.ID, p, before[s.ID])
 					}
-					if p := fleet.b.predictedLoad(fleet.b.findServer(s.ID)); how == "learned" && math.Abs(p-before[s.ID]) > 5e-3 {
+					if p := fleet.b.predictedLoad(fleet.b.findServer(s.ID)); how == "learned" &&
+						math.Abs(p-before[s.ID]) > 5e-3 {
 						t.Errorf("the taker predicts %v for %v, the giver %v", p, s.ID, before[s.ID])
 					}
 				}
@@ -160,7 +177,8 @@
 	}
 	for _, span := range []time.Duration{time.Second, 4 * time.Second} {
 		t.Logf("mean error of a predicted load in the next %v: the same process %.3f, with what was learned %.3f, without %.3f",
-			span, errors[fmt.Sprint("stays", span)], errors[fmt.Sprint("learned", span)], errors[fmt.Sprint("empty", span)])
+			span, errors[fmt.Sprint("stays", span)], errors[fmt.Sprint("learned", span)], errors[fmt.Sprint("empty",
+				span)])
 	}
 	if e := errors["learned1s"]; e > 1.2*errors["stays1s"] || e > 0.8*errors["empty1s"] {
 		t.Error("what was learned is of no use")
@@ -175,20 +193,27 @@
 		t.Fatal(err)
 	}
 	balancer.Step(now, []Event{
-		ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1, Started: 5}, {ID: "b", Kind: "k", Size: 1}}},
+		ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1, Started: 5}, {
+			ID: "b", Kind: "k",
+			Size: 1,
+		}}},
 		HealthCheckResult{Server: "b", Report: []float64{0.5}},
 	})
 	good := LearnedState{
-		Version: LearnedStateVersion, Meaning: balancer.settings.meaning(), Unit: 1, PassRate: 1, MeanPriority: 1, LoadSum: 1, WeightSum: 2, ReportedAt: now - time.Second,
+		Version: LearnedStateVersion, Meaning: balancer.settings.meaning(), Unit: 1, PassRate: 1, MeanPriority: 1,
+		LoadSum: 1, WeightSum: 2, ReportedAt: now - time.Second,
 		Servers: []LearnedServer{
-			{ID: "a", Started: 5, Known: true, Report: 0.9, ReportAt: now - time.Second, EjectedUntil: now + time.Hour, ReportedLoad: 9, ConnectionLoad: 90, Reports: 9},
+			{ID: "a", Started: 5, Known: true, Report: 0.9, ReportAt: now - time.Second, EjectedUntil: now +
+				time.Hour, ReportedLoad: 9, ConnectionLoad: 90, Reports: 9},
 			{ID: "b", Known: true, Report: 0.1, ReportAt: now - time.Second},
 			{ID: "nobody"},
 		},
 	}
 	for i, spoil := range []func(*LearnedState){
-		func(l *LearnedState) { l.Version = 9 }, func(l *LearnedState) { l.Meaning = "" }, func(l *LearnedState) { l.Unit = 0 }, func(l *LearnedState) { l.Unit = math.NaN() },
-		func(l *LearnedState) { l.PassRate = math.Inf(1) }, func(l *LearnedState) { l.WeightSum = 0 }, func(l *LearnedState) { l.Arrivals = -1 },
+		func(l *LearnedState) { l.Version = 9 }, func(l *LearnedState) { l.Meaning = "" },
+		func(l *LearnedState) { l.Unit = 0 }, func(l *LearnedState) { l.Unit = math.NaN() },
+		func(l *LearnedState) { l.PassRate = math.Inf(1) }, func(l *LearnedState) { l.WeightSum = 0 },
+		func(l *LearnedState) { l.Arrivals = -1 },
 		func(l *LearnedState) { l.Servers = []LearnedServer{{ID: "a", Report: math.NaN()}} },
 		func(l *LearnedState) { l.Servers = []LearnedServer{{ID: "a", PIDCorrection: math.Inf(-1)}} },
 		func(l *LearnedState) { l.Kinds = []LearnedKind{{"k", 1, math.NaN(), 1}} },
@@ -201,14 +226,18 @@
 		}
 	}
 	later := good
-	later.Servers = []LearnedServer{{ID: "a", Started: 4, Known: true, Report: 0.9, ReportAt: now}, {ID: "b", Known: true, Report: 0.1, ReportAt: now + time.Hour}}
+	later.Servers = []LearnedServer{
+		{ID: "a", Started: 4, Known: true, Report: 0.9, ReportAt: now},
+		{ID: "b", Known: true, Report: 0.1, ReportAt: now + time.Hour},
+	}
 	balancer.Step(now, []Event{LearnedStateReceived{later}})
 	if balancer.findServer("a").report.known || balancer.findServer("b").report.load != 0.5 {
 		t.Error("taken: a report of an earlier start, or one of the future")
 	}
 	balancer.Step(now, []Event{LearnedStateReceived{good}})
 	a, other := balancer.findServer("a"), balancer.findServer("b")
-	if a.report.load != 0.9 || a.report.at != now-time.Second || a.outlier.until != now+firstEjection<<3 || a.costs.reports != 9 {
+	if a.report.load != 0.9 || a.report.at != now-time.Second || a.outlier.until != now+firstEjection<<3 ||
+		a.costs.reports != 9 {
 		t.Errorf("not taken: %+v", a)
 	}
 	if other.report.load != 0.5 {
@@ -216,9 +245,9 @@
 	}
 }
 
-// TestOtherMeaningResetsEstimates has settings come under which reports say something else: what they told before is another deployment's,
-// for the balancer that takes them and for one that is told by another process. Settings that change nothing in that change
-// nothing in what was learned.
+// TestOtherMeaningResetsEstimates has settings come under which reports say something else: what they told before is
+// another deployment's, for the balancer that takes them and for one that is told by another process. Settings that
+// change nothing in that change nothing in what was learned.
 func TestOtherMeaningResetsEstimates(t *testing.T) {
 	now := time.Hour
 	learned := func() *Balancer {
@@ -234,7 +263,10 @@
 		return balancer
 	}
 	same := knows()
-	same.Limits.MaxAttempts, same.Classes = 2, append(same.Classes, Class{Name: "d", Priority: 9, Deadline: time.Second})
+	same.Limits.MaxAttempts, same.Classes = 2, append(same.Classes, Class{
+		Name: "d", Priority: 9,
+		Deadline: time.Second,
+	})
 	b := learned()
 	b.Step(now, []Event{SettingsChanged{same}})
 	if !b.findServer("a").report.known || b.average.load == 0 || len(b.LearnedState().Kinds) != 1 {
@@ -253,7 +285,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}
+		list := ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {
+			ID: "b", Kind: "k",
+			Size: 1,
+		}}}
 		fresh.Step(now, []Event{list})
 		for _, inherits := range []bool{false, true} {
 			if inherits {
@@ -262,16 +297,19 @@
 			}
 			for _, id := range []ServerID{"a", "b"} {
 				s, clean := balancer.findServer(id), fresh.findServer(id)
-				if s.report.known || s.costs.reports != 0 || balancer.kinds["k"].costs.reports != 0 || s.cost != clean.cost || balancer.predictedLoad(s) != fresh.predictedLoad(clean) || balancer.average.load != fresh.average.load {
-					t.Errorf("settings %d, told %v: of %s it knows %+v, average %v", i, inherits, id, s, balancer.average.load)
+				if s.report.known || s.costs.reports != 0 || balancer.kinds["k"].costs.reports != 0 ||
+					s.cost != clean.cost || balancer.predictedLoad(s) != fresh.predictedLoad(clean) ||
+					balancer.average.load != fresh.average.load {
+					t.Errorf("settings %d, told %v: of %s it knows %+v, average %v", i, inherits, id, s,
+						balancer.average.load)
 				}
 			}
 		}
 	}
 }
 
-// TestInitialCost has far more connections come than the guess of a connection's load allows for, before reports can tell better:
-// where the settings know the load, all are placed.
+// TestInitialCost has far more connections come than the guess of a connection's load allows for, before reports can
+// tell better: where the settings know the load, all are placed.
 func TestInitialCost(t *testing.T) {
 	for _, known := range []float64{1e-5, 0} {
 		s := knows()
@@ -281,21 +319,27 @@
 			t.Fatal(err)
 		}
 		placed, rejected := map[ServerID]int{}, 0
-		events := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}}
+		events := []Event{ServerList{Kind: ListFull, Servers: []Server{
+			{ID: "a", Kind: "k", Size: 1},
+			{ID: "b", Kind: "k", Size: 1},
+		}}}
 		for i := range 2000 {
 			events = append(events, Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1, TimeLeft: 4 * time.Second})
 			for len(events) > 0 {
 				acts := balancer.Step(time.Hour+time.Duration(i)*time.Millisecond, events)
 				events = nil
 				for _, a := range acts {
-					switch a := a.(type) {
+					switch action := a.(type) {
 					case StartAttempt:
-						placed[a.Server]++
-						events = append(events, Established{ID: a.ID, Server: a.Server})
+						placed[action.Server]++
+						events = append(events, Established{ID: action.ID, Server: action.Server})
 					case Reject:
 						rejected++
 					case HealthCheck:
-						events = append(events, HealthCheckResult{Server: a.Server, Report: []float64{float64(placed[a.Server]) * 1e-5}})
+						events = append(events, HealthCheckResult{
+							Server: action.Server,
+							Report: []float64{float64(placed[action.Server]) * 1e-5},
+						})
 					}
 				}
 			}
@@ -306,8 +350,8 @@
 	}
 }
 
-// TestLearnedStateByAnotherClock has a process begin on a clock that is an hour off the one before it: what that one learned keeps its age, and what
-// it spent at a server in slow start stays spent.
+// TestLearnedStateByAnotherClock has a process begin on a clock that is an hour off the one before it: what that one
+// learned keeps its age, and what it spent at a server in slow start stays spent.
 func TestLearnedStateByAnotherClock(t *testing.T) {
 	for _, off := range []time.Duration{time.Hour, -time.Hour} {
 		list := fleet(3)
@@ -316,7 +360,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before.Step(2*time.Hour, []Event{list, HealthCheckResult{Server: "s000", Outcome: Served, Report: []float64{0.5, 0.5}}})
+		before.Step(2*time.Hour, []Event{list, HealthCheckResult{
+			Server: "s000", Outcome: Served,
+			Report: []float64{0.5, 0.5},
+		}})
 		before.findServer("s001").slowStart = credit{0, 2 * time.Hour}
 		before.findServer("s002").outlier.eject(before.now)
 		learned := before.LearnedState()
@@ -331,7 +378,8 @@
 			t.Errorf("%v off: a report of now is %v old, known %v", off, now-s.report.at, s.report.known)
 		}
 		if s := after.findServer("s001"); s.slowStart.amount != 0 || s.slowStart.at != now {
-			t.Errorf("%v off: a server in slow start that was sent all it bears may have %v, since %v", off, s.slowStart.amount, now-s.slowStart.at)
+			t.Errorf("%v off: a server in slow start that was sent all it bears may have %v, since %v", off,
+				s.slowStart.amount, now-s.slowStart.at)
 		}
 		if s := after.findServer("s002"); s.outlier.until != now+firstEjection {
 			t.Errorf("%v off: a server that failed is left out for %v", off, s.outlier.until-now)
--- a/choice/peerclock_test.go
+++ b/choice/peerclock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestPeerClockIsStepped has another node's clock be an hour or some seconds off, from its start or later on: its questions are
-// answered again within two seconds, while late ones still are not.
+// TestPeerClockIsStepped has another node's clock be an hour or some seconds off, from its start or later on: its
+// questions are answered again within two seconds, while late ones still are not.
 func TestPeerClockIsStepped(t *testing.T) {
 	for _, off := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -3 * time.Second} {
 		referee := newReferee(t, keeping(), 1)
@@ -15,7 +15,10 @@
 		answersAt := func(clock time.Duration) (answered bool) {
 			s := referee.b.servers[3]
 			s.report = loadReport{load: 0.1, at: referee.now, known: true}
-			q := peerMessage{kind: reservationRequest, token: uint16(clock.Milliseconds()), server: serverKey(s), load: 1}
+			q := peerMessage{
+				kind: reservationRequest, token: uint16(clock.Milliseconds()), server: serverKey(s),
+				load: 1,
+			}
 			for _, a := range referee.step(PeerMessage{1, q.encode()}) {
 				if message, ok := a.(SendPeerMessage); ok && message.To == 1 {
 					return true
@@ -40,19 +43,23 @@
 	}
 }
 
-// TestStalledPeerIsLate has a node that was held up for two seconds send what it had to say all at once: that is late, and stays so.
+// TestStalledPeerIsLate has a node that was held up for two seconds send what it had to say all at once: that is
+// late, and stays so.
 func TestStalledPeerIsLate(t *testing.T) {
 	referee := newReferee(t, keeping(), 1)
 	referee.now = time.Hour
 	referee.step(fleet(13))
-	s := referee.b.servers[3]
+	server := referee.b.servers[3]
 	for i := range 20 {
 		token := uint16((referee.now - 2*time.Second + time.Duration(i)*20*time.Millisecond).Milliseconds())
-		if out := referee.step(PeerMessage{1, peerMessage{kind: reservationRequest, token: token, server: serverKey(s), load: 1}.encode()}); len(out) > 0 {
+		if out := referee.step(PeerMessage{1, peerMessage{
+			kind: reservationRequest, token: token,
+			server: serverKey(server), load: 1,
+		}.encode()}); len(out) > 0 {
 			t.Fatalf("message %d, late, has %v follow", i, out)
 		}
 	}
-	good := peerMessage{kind: reservationRequest, token: tokenClock(referee.b.now), server: serverKey(s), load: 1}
+	good := peerMessage{kind: reservationRequest, token: tokenClock(referee.b.now), server: serverKey(server), load: 1}
 	if out := referee.step(PeerMessage{1, good.encode()}); len(out) == 0 {
 		t.Error("a question of now is dropped")
 	}
--- a/choice/plan_and_budget_test.go
+++ b/choice/plan_and_budget_test.go
@@ -10,7 +10,10 @@
 
 // smallSettings are those of one node that may do all, with one safe class.
 func smallSettings(nodes int) choice.Settings {
-	f := slowStartFleet{nodes: nodes, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp, costKnown: true}
+	f := slowStartFleet{
+		nodes: nodes, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp,
+		costKnown: true,
+	}
 	s := f.settings()
 	s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, time.Second
 	return s
@@ -19,22 +22,30 @@
 func smallFleet(zones int) choice.ServerList {
 	l := choice.ServerList{Kind: choice.ListFull}
 	for i := range 6 {
-		l.Servers = append(l.Servers, choice.Server{ID: choice.ServerID(fmt.Sprint("h", i)), Zone: fmt.Sprint("z", i%zones), Size: 1})
+		l.Servers = append(l.Servers, choice.Server{ID: choice.ServerID(fmt.Sprint("h", i)), Zone: fmt.Sprint("z",
+			i%zones), Size: 1})
 	}
 	return l
 }
 
-// TestRetryAfterStaysUnderTheMaximum has a plan's advice be the longest that clients heed: spread by half, it must not come out longer.
+// TestRetryAfterStaysUnderTheMaximum has a plan's advice be the longest that clients heed: spread by half, it must
+// not come out longer.
 func TestRetryAfterStaysUnderTheMaximum(t *testing.T) {
 	settings := smallSettings(1)
-	b, err := choice.New(settings, 1, simulationStart)
+	balancer, err := choice.New(settings, 1, simulationStart)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(simulationStart, []choice.Event{smallFleet(2), choice.ZonePlan{Grants: []choice.Grant{}, RetryAfter: settings.Limits.MaxRetryAfter}})
+	balancer.Step(simulationStart, []choice.Event{smallFleet(2), choice.ZonePlan{
+		Grants:     []choice.Grant{},
+		RetryAfter: settings.Limits.MaxRetryAfter,
+	}})
 	advised := 0
 	for i := range 100 {
-		for _, a := range b.Step(simulationStart, []choice.Event{choice.Request{ID: choice.RequestID(fmt.Sprint(i)), Tenant: -1, TimeLeft: time.Second}}) {
+		for _, a := range balancer.Step(simulationStart, []choice.Event{choice.Request{
+			ID:     choice.RequestID(fmt.Sprint(i)),
+			Tenant: -1, TimeLeft: time.Second,
+		}}) {
 			if a, ok := a.(choice.Reject); ok && a.RetryAfter > 0 {
 				if advised++; a.RetryAfter > settings.Limits.MaxRetryAfter {
 					t.Fatalf("advice of %v; clients heed at most %v", a.RetryAfter, settings.Limits.MaxRetryAfter)
@@ -47,7 +58,8 @@
 	}
 }
 
-// TestWaitingRequestsFollowTheNewPlan has a plan come while a request waits for health checks: it must not go to a zone without a grant.
+// TestWaitingRequestsFollowTheNewPlan has a plan come while a request waits for health checks: it must not go to a
+// zone without a grant.
 func TestWaitingRequestsFollowTheNewPlan(t *testing.T) {
 	waited := 0
 	for seed := range uint64(20) {
@@ -55,7 +67,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		actions := balancer.Step(simulationStart, []choice.Event{smallFleet(2), choice.Request{ID: "r", Tenant: -1, TimeLeft: time.Second}})
+		actions := balancer.Step(simulationStart, []choice.Event{smallFleet(2), choice.Request{
+			ID: "r", Tenant: -1,
+			TimeLeft: time.Second,
+		}})
 		var answers []choice.Event
 		for _, a := range actions {
 			if a, ok := a.(choice.HealthCheck); ok {
@@ -79,8 +94,8 @@
 	}
 }
 
-// TestResumptionsKeepTheSlowStartBudget has the clients of a server that restarted come again at once, each to resume there, where servers
-// have owners: the server in slow start must not get them all.
+// TestResumptionsKeepTheSlowStartBudget has the clients of a server that restarted come again at once, each to resume
+// there, where servers have owners: the server in slow start must not get them all.
 func TestResumptionsKeepTheSlowStartBudget(t *testing.T) {
 	balancer, err := choice.New(smallSettings(30), 1, simulationStart)
 	if err != nil {
@@ -101,18 +116,21 @@
 		}
 	}
 	if most := withSlack(bears(shortWarmUp, 1, shortWarmUp.OverloadTime)); float64(sent) > most {
-		t.Errorf("one of 30 nodes sends %d connections to a server in slow start at once; all together may send %.1f", sent, most)
+		t.Errorf("one of 30 nodes sends %d connections to a server in slow start at once; all together may send %.1f",
+			sent, most)
 	}
 }
 
-// TestOwnersKeepTheSlowStartBudgetUnderUnevenTraffic has owners among 30 nodes of which a fifth gets four times the traffic.
+// TestOwnersKeepTheSlowStartBudgetUnderUnevenTraffic has owners among 30 nodes of which a fifth gets four times the
+// traffic.
 func TestOwnersKeepTheSlowStartBudgetUnderUnevenTraffic(t *testing.T) {
 	var sum slowStartFigures
 	const seeds = 12
 	for seed := range uint64(seeds) {
 		f := slowStartFleet{
-			name: fmt.Sprint("seed ", seed), nodes: 30, servers: 24, reports: choice.HealthCheckReports, peers: true, rules: shortWarmUp,
-			skew: 4, costKnown: true, burst: 4, seed: seed,
+			name: fmt.Sprint("seed ", seed), nodes: 30, servers: 24, reports: choice.HealthCheckReports, peers: true,
+			rules: shortWarmUp,
+			skew:  4, costKnown: true, burst: 4, seed: seed,
 		}
 		sum.add(f.play(t), seeds)
 	}
@@ -122,7 +140,8 @@
 	}
 }
 
-// TestSlowStartOfManyNodesDoesNotStarve has 300 nodes without owners: their servers in slow start get a tenth of an even spread at least.
+// TestSlowStartOfManyNodesDoesNotStarve has 300 nodes without owners: their servers in slow start get a tenth of an
+// even spread at least.
 func TestSlowStartOfManyNodesDoesNotStarve(t *testing.T) {
 	for _, reports := range []choice.ReportSource{choice.NoReports, choice.HealthCheckReports} {
 		var sum slowStartFigures
@@ -134,9 +153,11 @@
 			}
 			sum.add(f.play(t), seeds)
 		}
-		t.Logf("reports %d: worst window %.2f of the limit, part of an even spread %.2f", reports, sum.worst, sum.fairPart)
+		t.Logf("reports %d: worst window %.2f of the limit, part of an even spread %.2f", reports, sum.worst,
+			sum.fairPart)
 		if sum.broken > 0 || sum.fairPart < 0.1 {
-			t.Errorf("reports %d: servers in slow start get %.2f of an even part, %d windows over the limit", reports, sum.fairPart, sum.broken)
+			t.Errorf("reports %d: servers in slow start get %.2f of an even part, %d windows over the limit", reports,
+				sum.fairPart, sum.broken)
 		}
 	}
 }
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -42,8 +42,8 @@
 	before     map[choice.RequestID]requestState
 }
 
-// requestState is what a node knew of a request before the batch in hand: what a batch tells may come behind the event that an
-// action answers.
+// requestState is what a node knew of a request before the batch in hand: what a batch tells may come behind the
+// event that an action answers.
 type requestState struct{ open, over, gone bool }
 
 func newRulesJudge() *rulesJudge { return &rulesJudge{nodes: map[*simNode]*nodeBook{}} }
@@ -62,7 +62,8 @@
 
 func (j *rulesJudge) broken(n *simNode, format string, args ...any) {
 	j.w.t.Helper()
-	j.w.t.Fatalf("%s, node %d at %v: %s\nsettings: %+v", j.w.name, n.number, j.w.now-simulationStart, fmt.Sprintf(format, args...),
+	j.w.t.Fatalf("%s, node %d at %v: %s\nsettings: %+v", j.w.name, n.number, j.w.now-simulationStart,
+		fmt.Sprintf(format, args...),
 		j.w.settings)
 }
 
@@ -105,12 +106,12 @@
 	return requestState{r.open, r.over, r.gone}
 }
 
-func (j *rulesJudge) listDelivered(n *simNode, k *nodeBook, list choice.ServerList) {
+func (j *rulesJudge) listDelivered(n *simNode, book *nodeBook, list choice.ServerList) {
 	if list.Kind == choice.ListUnavailable {
 		lost := j.w.now
-		k.lostAt = lost
+		book.lostAt = lost
 		j.w.after(j.w.settings.Rules.MaxPollInterval, func() {
-			if k.lostAt == lost {
+			if book.lostAt == lost {
 				j.broken(n, "the list was lost at %v and not asked for again", lost-simulationStart)
 			}
 		})
@@ -118,19 +119,19 @@
 	}
 	named := map[choice.ServerID]choice.ServerState{}
 	if list.Kind != choice.ListChange {
-		for id := range k.lists {
+		for id := range book.lists {
 			named[id] = choice.Gone
 		}
 	}
 	for _, s := range list.Servers {
-		named[s.ID], k.everListed[s.ID] = s.State, true
+		named[s.ID], book.everListed[s.ID] = s.State, true
 	}
 	for id, state := range named {
-		k.lists[id] = state
-		if _, off := k.offSince[id]; state == choice.Ready {
-			delete(k.offSince, id)
+		book.lists[id] = state
+		if _, off := book.offSince[id]; state == choice.Ready {
+			delete(book.offSince, id)
 		} else if !off {
-			k.offSince[id] = j.w.now
+			book.offSince[id] = j.w.now
 		}
 	}
 }
@@ -149,7 +150,8 @@
 	case choice.Reject:
 		r := j.final(n, book, action.ID)
 		if r.mayHaveRun() != nil {
-			if r.class.Idempotency == choice.NotIdempotent || r.class.Idempotency == choice.IdempotentByKey && r.class.IdempotencyScope != choice.ScopeAll {
+			if r.class.Idempotency == choice.NotIdempotent || r.class.Idempotency == choice.IdempotentByKey &&
+				r.class.IdempotencyScope != choice.ScopeAll {
 				j.broken(n, "%s may have run and is rejected as if it had not: %+v", r.ID, r.class)
 			}
 			j.w.count("rejections of what may have run")
@@ -183,7 +185,8 @@
 		}
 		book.lostAt = 0
 	case choice.SendPeerMessage:
-		if !limits.PeerMessages || action.To < 0 || action.To >= len(j.w.nodes) || action.To == n.number || len(action.Data) > maxMessageBytes {
+		if !limits.PeerMessages || action.To < 0 || action.To >= len(j.w.nodes) || action.To == n.number ||
+			len(action.Data) > maxMessageBytes {
 			j.broken(n, "message of %d bytes to %d is not allowed or goes nowhere", len(action.Data), action.To)
 		}
 	}
@@ -196,7 +199,8 @@
 	}
 	j.w.count("advice")
 	if limits := j.w.settings.Limits; !limits.RetryAfter || a.RetryAfter < 0 || a.RetryAfter > limits.MaxRetryAfter {
-		j.broken(n, "advice of %v is not allowed; at most %v, allowed: %v", a.RetryAfter, limits.MaxRetryAfter, limits.RetryAfter)
+		j.broken(n, "advice of %v is not allowed; at most %v, allowed: %v", a.RetryAfter, limits.MaxRetryAfter,
+			limits.RetryAfter)
 	}
 }
 
@@ -225,45 +229,47 @@
 	return request
 }
 
-func (j *rulesJudge) sends(n *simNode, k *nodeBook, action choice.StartAttempt) {
-	server, h, rules := j.w.requests[action.ID], j.w.byID[action.Server], j.w.settings.Rules
+func (j *rulesJudge) sends(node *simNode, book *nodeBook, action choice.StartAttempt) {
+	request, server, rules := j.w.requests[action.ID], j.w.byID[action.Server], j.w.settings.Rules
 	switch {
-	case server == nil || server.node != n || h == nil || !k.everListed[action.Server]:
-		j.broken(n, "%+v names no request of this node or no listed server", action)
-	case server.answered || k.state(server).open || k.state(server).over:
-		j.broken(n, "%s is sent after its final answer", action.ID)
-	case k.state(server).gone:
-		j.broken(n, "%s is sent after its client has gone", action.ID)
-	case len(server.attempts) >= j.w.settings.Limits.MaxAttempts:
-		j.broken(n, "%s is sent a %dth time", action.ID, len(server.attempts)+1)
-	case len(server.attempts) > 0 && !server.attempts[len(server.attempts)-1].ended:
-		j.broken(n, "two attempts of %s are out", action.ID)
-	case action.Timeout <= 0 || j.w.now+action.Timeout > server.deadline:
-		j.broken(n, "the cap of %+v outlives its client at %v", action, server.deadline-simulationStart)
-	}
-	if since, off := k.offSince[action.Server]; off && j.w.now > since+rules.DrainGrace {
-		j.broken(n, "%+v: it was told at %v that the server drains or is gone", action, since-simulationStart)
-	}
-	if k.planned && j.w.now > k.planAt && server.StickyServer != action.Server && !slices.Contains(k.zones, h.Zone) {
-		j.broken(n, "%+v leaves the zones of the plan %v for %s", action, k.zones, h.Zone)
-	}
-	if may := server.mayHaveRun(); may != nil {
-		j.repeats(n, action, server, may, h)
+	case request == nil || request.node != node || server == nil || !book.everListed[action.Server]:
+		j.broken(node, "%+v names no request of this node or no listed server", action)
+	case request.answered || book.state(request).open || book.state(request).over:
+		j.broken(node, "%s is sent after its final answer", action.ID)
+	case book.state(request).gone:
+		j.broken(node, "%s is sent after its client has gone", action.ID)
+	case len(request.attempts) >= j.w.settings.Limits.MaxAttempts:
+		j.broken(node, "%s is sent a %dth time", action.ID, len(request.attempts)+1)
+	case len(request.attempts) > 0 && !request.attempts[len(request.attempts)-1].ended:
+		j.broken(node, "two attempts of %s are out", action.ID)
+	case action.Timeout <= 0 || j.w.now+action.Timeout > request.deadline:
+		j.broken(node, "the cap of %+v outlives its client at %v", action, request.deadline-simulationStart)
+	}
+	if since, off := book.offSince[action.Server]; off && j.w.now > since+rules.DrainGrace {
+		j.broken(node, "%+v: it was told at %v that the server drains or is gone", action, since-simulationStart)
+	}
+	if book.planned && j.w.now > book.planAt && request.StickyServer != action.Server && !slices.Contains(book.zones, server.Zone) {
+		j.broken(node, "%+v leaves the zones of the plan %v for %s", action, book.zones, server.Zone)
+	}
+	if may := request.mayHaveRun(); may != nil {
+		j.repeats(node, action, request, may, server)
 	}
 }
 
 // repeats checks a further attempt of a request that may have run.
-func (j *rulesJudge) repeats(n *simNode, a choice.StartAttempt, r *simRequest, may *simAttempt, server *simServer) {
-	class := r.class
+func (j *rulesJudge) repeats(node *simNode, action choice.StartAttempt, request *simRequest, may *simAttempt, server *simServer) {
+	class := request.class
 	switch {
 	case class.Idempotency == choice.Idempotent:
 		j.w.count("safe repeats")
 	case class.Idempotency == choice.NotIdempotent:
-		j.broken(n, "%s is unsafe, may have run and is sent again", a.ID)
-	case j.w.now > may.sentAt+class.IdempotencyWindow || a.SendBefore <= 0 || a.SendBefore > may.sentAt+class.IdempotencyWindow:
-		j.broken(n, "%+v: the window of %v since %v is over", a, class.IdempotencyWindow, may.sentAt-simulationStart)
-	case class.IdempotencyScope == choice.ScopeZone && server.Zone != may.server.Zone, class.IdempotencyScope == choice.ScopeCell && server.Cell != may.server.Cell:
-		j.broken(n, "%+v leaves the servers that know of it: %+v, first %+v", a, server.Server, may.server.Server)
+		j.broken(node, "%s is unsafe, may have run and is sent again", action.ID)
+	case j.w.now > may.sentAt+class.IdempotencyWindow || action.SendBefore <= 0 ||
+		action.SendBefore > may.sentAt+class.IdempotencyWindow:
+		j.broken(node, "%+v: the window of %v since %v is over", action, class.IdempotencyWindow, may.sentAt-simulationStart)
+	case class.IdempotencyScope == choice.ScopeZone && server.Zone != may.server.Zone,
+		class.IdempotencyScope == choice.ScopeCell && server.Cell != may.server.Cell:
+		j.broken(node, "%+v leaves the servers that know of it: %+v, first %+v", action, server.Server, may.server.Server)
 	default:
 		j.w.count("keyed repeats, scope " + []string{"all", "zone", "cell"}[class.IdempotencyScope])
 	}
@@ -292,26 +298,36 @@
 	servers, zones := 3+int(58*rng.Float64()*rng.Float64()), 1+rng.IntN(5)
 	conditions := terms{
 		perServer: between(6, 20), connectionTime: seconds(3, 9), listDelay: seconds(0.05, 2), lossOfList: between(0, 0.4),
+
 		messageLoss: between(0, 0.3), tries: 1 + rng.IntN(4), leavers: between(0, 0.2), loadsReported: chance(0.4),
 		oddAnswers: between(0.02, 0.2), shedAt: between(1, 1.6), homes: 0.03, skew: 1 + rng.IntN(5),
 	}
 	conditions.slotsAt = conditions.shedAt * between(0.8, 1.1)
 	settings := choice.Settings{
-		Nodes: 1 + rng.IntN(30), Zone: "z0", GroupAffinity: chance(0.4), PacketPassThrough: chance(0.2), Subscribe: chance(0.5),
-		Reports: choice.ReportSource(rng.IntN(3)), Sizes: choice.SizeKind(rng.IntN(3)), DelaysObserved: chance(0.5),
+		Nodes: 1 + rng.IntN(30), Zone: "z0", GroupAffinity: chance(0.4), PacketPassThrough: chance(0.2),
+		Subscribe: chance(0.5),
+		Reports:   choice.ReportSource(rng.IntN(3)), Sizes: choice.SizeKind(rng.IntN(3)), DelaysObserved: chance(0.5),
 		OverQuotaPriority: between(0, 1), PriorityPerWork: chance(0.5), RoundTrip: 5 * time.Millisecond,
 		Limits: choice.Limits{
-			MaxAttempts: 1 + rng.IntN(8), HealthChecks: chance(0.8), Cancellation: chance(0.7), PeerMessages: chance(0.6),
-			RetryAfter: chance(0.6), MaxRetryAfter: seconds(0.5, 3), ConnectTimeout: seconds(0.05, 0.4),
+			MaxAttempts: 1 + rng.IntN(8), HealthChecks: chance(0.8), Cancellation: chance(0.7),
+			PeerMessages: chance(0.6),
+			RetryAfter:   chance(0.6), MaxRetryAfter: seconds(0.5, 3), ConnectTimeout: seconds(0.05, 0.4),
 		},
 		Rules: choice.Rules{
 			AnswerSlack: 20 * time.Millisecond, MaxPollInterval: seconds(2, 10), DrainGrace: seconds(0.3, 5),
-			SlowStartFraction: between(0.1, 0.6), WarmUp: seconds(4, 25), OverloadMultiple: between(2, 5), OverloadTime: seconds(1, 3),
+			SlowStartFraction: between(0.1, 0.6), WarmUp: seconds(4, 25), OverloadMultiple: between(2, 5),
+			OverloadTime: seconds(1, 3),
+		},
+		Costs: choice.Costs{
+			HealthCheck: between(0.001, 0.01), Migration: 0.01, PeerMessage: between(0, 0.02),
+			CrossZone: between(0, 0.03),
 		},
-		Costs: choice.Costs{HealthCheck: between(0.001, 0.01), Migration: 0.01, PeerMessage: between(0, 0.02), CrossZone: between(0, 0.03)},
 	}
 	if settings.Reports != choice.NoReports {
-		settings.ReportFields = []choice.ReportField{choice.Load, choice.Backlog, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency}
+		settings.ReportFields = []choice.ReportField{
+			choice.Load, choice.Backlog, choice.InFlight, choice.Queue,
+			choice.Utilization, choice.Latency,
+		}
 		rng.Shuffle(len(settings.ReportFields), func(a, b int) {
 			settings.ReportFields[a], settings.ReportFields[b] = settings.ReportFields[b], settings.ReportFields[a]
 		})
@@ -322,7 +338,8 @@
 	}
 	for i := range 1 + rng.IntN(5) {
 		c := choice.Class{
-			Name: fmt.Sprint("c", i), SetupObjective: seconds(0.2, 0.8), Deadline: seconds(0.8, 4), Priority: between(0.5, 8),
+			Name: fmt.Sprint("c", i), SetupObjective: seconds(0.2, 0.8), Deadline: seconds(0.8, 4),
+			Priority:         between(0.5, 8),
 			MessageObjective: seconds(0.05, 0.2), Idempotency: choice.Idempotency(rng.IntN(3)),
 		}
 		if c.Idempotency == choice.IdempotentByKey {
@@ -356,7 +373,8 @@
 	return playDrawnWorld(t, seed, nil).counts
 }
 
-// playDrawnWorld plays one drawn world and returns it as it is at its end. The recorder sees all actions; nil: nobody does.
+// playDrawnWorld plays one drawn world and returns it as it is at its end. The recorder sees all actions; nil: nobody
+// does.
 func playDrawnWorld(t *testing.T, seed uint64, r *recorder) *simulation {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 5))
@@ -367,7 +385,8 @@
 	watchdog := time.AfterFunc(worldLimit, func() { panic(fmt.Sprintf("seed %d: the world hangs", seed)) })
 	defer watchdog.Stop()
 
-	capacity := float64(len(list)) * conditions.perServer / conditions.connectionTime.Seconds() // new connections a second that fill all servers
+	// new connections a second that fill all servers
+	capacity := float64(len(list)) * conditions.perServer / conditions.connectionTime.Seconds()
 	draw := func() *simClient {
 		client := &simClient{class: world.rng.IntN(len(settings.Classes)), tenant: -1, key: world.rng.Uint64(), load: 1}
 		if len(settings.Tenants) > 0 {
@@ -397,37 +416,37 @@
 }
 
 // schedule has the world's troubles happen.
-func schedule(w *simulation, settings choice.Settings) {
-	faults := []func(*simServer){w.drain, w.vanish, w.restart, w.fail}
-	for i := range 8 + len(w.servers)/3 {
-		h := w.servers[w.rng.IntN(len(w.servers))]
-		w.after(w.upTo(drawnDay), func() { faults[i%len(faults)](h) })
+func schedule(world *simulation, settings choice.Settings) {
+	faults := []func(*simServer){world.drain, world.vanish, world.restart, world.fail}
+	for i := range 8 + len(world.servers)/3 {
+		h := world.servers[world.rng.IntN(len(world.servers))]
+		world.after(world.upTo(drawnDay), func() { faults[i%len(faults)](h) })
 	}
 	if settings.Subscribe {
-		for range 1 + len(w.nodes)/2 {
-			n := w.nodes[w.rng.IntN(len(w.nodes))]
-			w.after(w.upTo(drawnDay), func() { w.breakList(n) })
+		for range 1 + len(world.nodes)/2 {
+			n := world.nodes[world.rng.IntN(len(world.nodes))]
+			world.after(world.upTo(drawnDay), func() { world.breakList(n) })
 		}
 	}
-	if w.often(0.3) { // for a time a plan names the zones
-		at, plan := w.upTo(drawnDay/2), drawPlan(w, settings)
-		w.after(at, func() { w.planFor(plan) })
-		w.after(at+4*time.Second, func() { w.planFor(choice.ZonePlan{}) })
+	if world.often(0.3) { // for a time a plan names the zones
+		at, plan := world.upTo(drawnDay/2), drawPlan(world, settings)
+		world.after(at, func() { world.planFor(plan) })
+		world.after(at+4*time.Second, func() { world.planFor(choice.ZonePlan{}) })
 	}
 }
 
 // drawPlan draws a plan that names some zones, with advice up to the most that clients heed.
-func drawPlan(w *simulation, settings choice.Settings) choice.ZonePlan {
-	plan := choice.ZonePlan{Grants: []choice.Grant{}, RetryAfter: w.upTo(settings.Limits.MaxRetryAfter)}
+func drawPlan(world *simulation, settings choice.Settings) choice.ZonePlan {
+	plan := choice.ZonePlan{Grants: []choice.Grant{}, RetryAfter: world.upTo(settings.Limits.MaxRetryAfter)}
 	seen := map[string]bool{}
-	for _, h := range w.servers {
-		if !seen[h.Zone] && w.often(0.6) {
-			plan.Grants = append(plan.Grants, choice.Grant{Zone: h.Zone, Load: w.rng.Float64() * 40})
+	for _, h := range world.servers {
+		if !seen[h.Zone] && world.often(0.6) {
+			plan.Grants = append(plan.Grants, choice.Grant{Zone: h.Zone, Load: world.rng.Float64() * 40})
 		}
 		seen[h.Zone] = true
 	}
 	for range settings.Classes {
-		plan.AdmitFraction = append(plan.AdmitFraction, 0.3+0.7*w.rng.Float64())
+		plan.AdmitFraction = append(plan.AdmitFraction, 0.3+0.7*world.rng.Float64())
 	}
 	return plan
 }
@@ -449,9 +468,9 @@
 	}
 }
 
-// TestRandomSettingsKeepTheRules draws settings and worlds by seed and checks the rules in each: one final answer in time, attempts
-// within the limit and one at a time, nothing after the end, no effect twice, nothing to servers that drain or are gone, and no
-// action that the settings don't allow.
+// TestRandomSettingsKeepTheRules draws settings and worlds by seed and checks the rules in each: one final answer in
+// time, attempts within the limit and one at a time, nothing after the end, no effect twice, nothing to servers that
+// drain or are gone, and no action that the settings don't allow.
 func TestRandomSettingsKeepTheRules(t *testing.T) {
 	worlds := drawnSettings
 	if n, err := strconv.Atoi(os.Getenv("RANDOM_SETTINGS")); err == nil {
@@ -473,8 +492,10 @@
 	for _, what := range []string{
 		"drains", "servers that vanish", "slow starts", "sends to servers in slow start", "failing servers", "sheds",
 		"rejected by a full server", "retries", "safe repeats", "keyed repeats, scope all", "keyed repeats, scope zone",
-		"keyed repeats, scope cell", "rejections of what may have run", "failures of what may have run", "rejections", "failures",
-		"clients that leave", "clients that return", "cancels", "health checks", "moves", "messages", "lost messages", "failed asks",
+		"keyed repeats, scope cell", "rejections of what may have run", "failures of what may have run", "rejections",
+		"failures",
+		"clients that leave", "clients that return", "cancels", "health checks", "moves", "messages", "lost messages",
+		"failed asks",
 		"broken subscriptions", "delay notes", "plans", "advice", "requests that wait as their node stops",
 	} {
 		if total[what] < worlds/4 {
--- a/choice/referee_test.go
+++ b/choice/referee_test.go
@@ -44,14 +44,14 @@
 	token string
 }
 
-func newReferee(t testing.TB, s Settings, seed uint64) *referee {
-	t.Helper()
+func newReferee(tb testing.TB, s Settings, seed uint64) *referee {
+	tb.Helper()
 	b, err := New(s, seed, 0)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return &referee{
-		t: t, set: s, b: b, reqs: map[RequestID]*seen{}, list: map[ServerID]Server{},
+		t: tb, set: s, b: b, reqs: map[RequestID]*seen{}, list: map[ServerID]Server{},
 		offSince: map[ServerID]time.Duration{}, checks: map[ServerID]int{},
 	}
 }
@@ -111,7 +111,8 @@
 			return
 		}
 		if !event.Outcome.NeverRan() && !request.may {
-			request.may, request.mayServer, request.mayAt = true, request.out[event.Attempt], request.sentAt[event.Attempt]
+			request.may, request.mayServer, request.mayAt = true, request.out[event.Attempt],
+				request.sentAt[event.Attempt]
 		}
 		delete(request.out, event.Attempt)
 		if event.Final || request.open {
@@ -147,7 +148,8 @@
 		}
 		if request.may && c.Idempotency == IdempotentByKey {
 			first := f.list[request.mayServer]
-			if f.now > request.mayAt+c.IdempotencyWindow || c.IdempotencyScope != ScopeAll && server.Zone != first.Zone ||
+			if f.now > request.mayAt+c.IdempotencyWindow || c.IdempotencyScope != ScopeAll &&
+				server.Zone != first.Zone ||
 				c.IdempotencyScope == ScopeCell && server.Cell != first.Cell {
 				f.t.Fatalf("%v: a keyed request leaves its group or window", f.now)
 			}
@@ -221,9 +223,13 @@
 
 func plain() Settings {
 	return Settings{
-		Nodes: 4, Zone: "z0", Reports: HealthCheckReports, ReportFields: []ReportField{Load, InFlight}, RoundTrip: ms(5),
-		Classes: []Class{{Name: "c", SetupObjective: ms(300), Deadline: ms(1800), MessageObjective: ms(100), Priority: 1}},
-		Limits:  Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, ConnectTimeout: ms(250)},
+		Nodes: 4, Zone: "z0", Reports: HealthCheckReports, ReportFields: []ReportField{Load, InFlight},
+		RoundTrip: ms(5),
+		Classes: []Class{{
+			Name: "c", SetupObjective: ms(300), Deadline: ms(1800), MessageObjective: ms(100),
+			Priority: 1,
+		}},
+		Limits: Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, ConnectTimeout: ms(250)},
 		Rules: Rules{
 			AnswerSlack: ms(20), MaxPollInterval: 10 * time.Second, DrainGrace: ms(500), SlowStartFraction: 0.2,
 			WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second,
@@ -261,7 +267,10 @@
 		var events []Event
 		for _, a := range f.last {
 			if p, ok := a.(HealthCheck); ok {
-				events = append(events, HealthCheckResult{Server: p.Server, Outcome: Served, Report: []float64{load(p.Server), 10}})
+				events = append(events, HealthCheckResult{
+					Server: p.Server, Outcome: Served,
+					Report: []float64{load(p.Server), 10},
+				})
 			}
 		}
 		if len(events) == 0 {
--- a/choice/regression_test.go
+++ b/choice/regression_test.go
@@ -221,7 +221,8 @@
 		referee.step(HealthCheckResult{Server: "s019", Report: []float64{0.4, 10}})
 	}
 	if referee.b.admission.passRate > 0.3 {
-		t.Errorf("gate at %.2f with all own clients on servers that answer in 900 ms, and reports of 0.4", referee.b.admission.passRate)
+		t.Errorf("gate at %.2f with all own clients on servers that answer in 900 ms, and reports of 0.4",
+			referee.b.admission.passRate)
 	}
 }
 
@@ -247,9 +248,9 @@
 	}
 }
 
-// TestDroppedConnections has a server reset a connection that stood. Where servers report no load, it is left out for a time: what it sheds
-// is all that tells of a full one, and its clients come again at once. Where they report, the report decides; and an end that the
-// server announced, or one that its client made, says nothing anywhere.
+// TestDroppedConnections has a server reset a connection that stood. Where servers report no load, it is left out for
+// a time: what it sheds is all that tells of a full one, and its clients come again at once. Where they report, the
+// report decides; and an end that the server announced, or one that its client made, says nothing anywhere.
 func TestDroppedConnections(t *testing.T) {
 	for _, reports := range []ReportSource{NoReports, HealthCheckReports} {
 		for _, outcome := range []Outcome{Reset, Served, Cancelled} {
@@ -261,7 +262,11 @@
 				t.Fatal(err)
 			}
 			acts := balancer.Step(time.Hour, []Event{
-				ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Size: 1}, {ID: "b", Size: 1}, {ID: "c", Size: 1}}},
+				ServerList{Kind: ListFull, Servers: []Server{
+					{ID: "a", Size: 1},
+					{ID: "b", Size: 1},
+					{ID: "c", Size: 1},
+				}},
 				Request{ID: "1", Tenant: -1, TimeLeft: 4 * time.Second},
 			})
 			var target ServerID
@@ -271,7 +276,10 @@
 				}
 			}
 			balancer.Step(time.Hour, []Event{Established{ID: "1", Server: target}})
-			balancer.Step(time.Hour+250*time.Millisecond, []Event{AttemptEnded{ID: "1", Server: target, Outcome: outcome, Final: true}})
+			balancer.Step(time.Hour+250*time.Millisecond, []Event{AttemptEnded{
+				ID: "1", Server: target,
+				Outcome: outcome, Final: true,
+			}})
 			out := balancer.findServer(target).outlier.until > balancer.now
 			if want := reports == NoReports && outcome == Reset; target == "" || out != want {
 				t.Errorf("reports %v, outcome %v: %s is left out: %v", reports, outcome, target, out)
--- a/choice/reservation_test.go
+++ b/choice/reservation_test.go
@@ -17,8 +17,8 @@
 	return s
 }
 
-// TestCostOnANodeWithoutConnections guards against reported load set against no connections of a node's own: that reads as
-// servers that one connection fills, and all requests are rejected.
+// TestCostOnANodeWithoutConnections guards against reported load set against no connections of a node's own: that
+// reads as servers that one connection fills, and all requests are rejected.
 func TestCostOnANodeWithoutConnections(t *testing.T) {
 	rejected := 0
 	for seed := range uint64(20) {
@@ -49,11 +49,15 @@
 		referee.step(fleet(13))
 		var events []Event
 		for i, s := range fleet(13).Servers { // each node's reports differ a little
-			events = append(events, HealthCheckResult{Server: s.ID, Outcome: Served, Report: []float64{0.3 + 0.2*float64((node*7+i*5)%11)/10, 0.4}})
+			events = append(events, HealthCheckResult{Server: s.ID, Outcome: Served, Report: []float64{0.3 +
+				0.2*float64((node*7+i*5)%11)/10, 0.4}})
 		}
 		referee.step(events...)
 		if node%3 == 0 {
-			referee.step(OpenConnection{Request: Request{ID: RequestID(fmt.Sprint("o", node)), Group: 7, Tenant: -1}, Server: "s003"})
+			referee.step(OpenConnection{
+				Request: Request{ID: RequestID(fmt.Sprint("o", node)), Group: 7, Tenant: -1},
+				Server:  "s003",
+			})
 		}
 		referee.run(referee.now + 2*time.Second)
 		referee.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
@@ -87,7 +91,7 @@
 	e    Event
 }
 
-func newCrowd(t testing.TB, s Settings, seed uint64, list ServerList, load func(ServerID, int) float64) *crowd {
+func newCrowd(tb testing.TB, s Settings, seed uint64, list ServerList, load func(ServerID, int) float64) *crowd {
 	nodes := &crowd{
 		now: time.Hour, load: load, held: map[ServerID]int{}, seen: map[ServerID][]int{},
 		times: map[ServerID][]time.Duration{}, end: map[string]int{}, dead: map[int]bool{},
@@ -96,7 +100,7 @@
 		s.Node = n
 		b, err := New(s, seed*1000+uint64(n), nodes.now)
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		nodes.nodes = append(nodes.nodes, b)
 		nodes.later(n, 0, list)
@@ -136,7 +140,10 @@
 		if l := c.seen[action.Server]; len(l) > 0 {
 			held = l[max(0, len(l)-20)]
 		}
-		c.later(node, ms(10), HealthCheckResult{Server: action.Server, Report: []float64{c.load(action.Server, held), 0}})
+		c.later(node, ms(10), HealthCheckResult{Server: action.Server, Report: []float64{
+			c.load(action.Server, held),
+			0,
+		}})
 	case StartAttempt:
 		c.held[action.Server]++
 		c.times[action.Server] = append(c.times[action.Server], c.now)
@@ -156,7 +163,10 @@
 	for t := time.Duration(0); t < over; t += steps {
 		for ; done < int(int64(n)*int64(t+steps)/int64(over)); done++ {
 			node := int(mix(uint64(done)+99) % uint64(len(c.nodes)))
-			c.later(node, 0, Request{ID: RequestID(fmt.Sprint("r", done)), TimeLeft: 2 * time.Second, Tenant: -1, Group: group(done)})
+			c.later(node, 0, Request{
+				ID: RequestID(fmt.Sprint("r", done)), TimeLeft: 2 * time.Second, Tenant: -1,
+				Group: group(done),
+			})
 		}
 		for id := range c.held {
 			c.seen[id] = append(c.seen[id], c.held[id])
@@ -173,7 +183,8 @@
 	return s
 }
 
-// TestManyNodesDoNotOverloadAServer has eighty nodes place a burst on servers that are half full, each by reports 200 ms old.
+// TestManyNodesDoNotOverloadAServer has eighty nodes place a burst on servers that are half full, each by reports 200
+// ms old.
 func TestManyNodesDoNotOverloadAServer(t *testing.T) {
 	worst := func(s Settings) (over, rejected int) {
 		for seed := range uint64(3) {
@@ -220,11 +231,12 @@
 				count++
 			}
 		}
-		// FallMultiple times the part that is warm at the end, of the rate that fills it over its warm-up: the tenants' shares
-		// give 165 connections to 13 servers. One more for the first, as there are no halves.
+		// FallMultiple times the part that is warm at the end, of the rate that fills it over its warm-up: the
+		// tenants' shares give 165 connections to 13 servers. One more for the first, as there are no halves.
 		warm := 0.2 + 0.8*(from+settings.Rules.OverloadTime-cold.Started).Seconds()/10
 		if budget := settings.Rules.OverloadMultiple * warm * 165.0 / 13 / 10 * settings.Rules.OverloadTime.Seconds(); float64(count) > budget+1 {
-			t.Errorf("a server in slow start gets %d connections in %v; its budget is %.1f", count, settings.Rules.OverloadTime, budget)
+			t.Errorf("a server in slow start gets %d connections in %v; its budget is %.1f", count,
+				settings.Rules.OverloadTime, budget)
 		}
 	}
 }
@@ -257,7 +269,8 @@
 	}
 }
 
-// TestInvalidPeerMessagesAreDropped guards against messages that are cut off, of another version, late, repeated, or from nobody.
+// TestInvalidPeerMessagesAreDropped guards against messages that are cut off, of another version, late, repeated, or
+// from nobody.
 func TestInvalidPeerMessagesAreDropped(t *testing.T) {
 	referee := newReferee(t, keeping(), 1)
 	referee.now = time.Hour
@@ -327,8 +340,8 @@
 	t.Error("no owner was asked")
 }
 
-// TestClientGoneWhileAnOwnerIsAsked has a client leave, or a stop answer it, while another node's answer is on the way, or lost:
-// nothing is sent for it.
+// TestClientGoneWhileAnOwnerIsAsked has a client leave, or a stop answer it, while another node's answer is on the
+// way, or lost: nothing is sent for it.
 func TestClientGoneWhileAnOwnerIsAsked(t *testing.T) {
 	for _, end := range []Event{ClientGone{"r"}, TimeUp{"r"}} {
 		for _, lost := range []bool{false, true} {
@@ -355,8 +368,8 @@
 	}
 }
 
-// TestFewerNodesWhileAnOwnerIsAsked has settings name fewer nodes while the answer of one that is no longer there is awaited: the
-// request is placed without it.
+// TestFewerNodesWhileAnOwnerIsAsked has settings name fewer nodes while the answer of one that is no longer there is
+// awaited: the request is placed without it.
 func TestFewerNodesWhileAnOwnerIsAsked(t *testing.T) {
 	referee := newReferee(t, keeping(), 1)
 	referee.now = time.Hour
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -63,7 +63,8 @@
 		{Idempotent, ScopeAll, TimedOut, true},
 	} {
 		s := plain()
-		s.Classes[0].Idempotency, s.Classes[0].IdempotencyScope, s.Classes[0].IdempotencyWindow = test.repeat, test.scope, time.Second
+		s.Classes[0].Idempotency, s.Classes[0].IdempotencyScope, s.Classes[0].IdempotencyWindow = test.repeat,
+			test.scope, time.Second
 		referee := newReferee(t, s, 5)
 		referee.step(fleet(30))
 		referee.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
@@ -223,12 +224,19 @@
 	referee.step(
 		AttemptEnded{ID: "nobody", Server: "nowhere"}, Established{ID: "nobody"}, ClientGone{ID: "nobody"},
 		HealthCheckResult{Server: "nowhere"}, HealthCheckResult{Server: "s000", Report: []float64{1}},
-		HealthCheckResult{Server: "s000", Report: []float64{nan, math.Inf(1)}}, HealthCheckResult{Server: "s001", Report: []float64{-3, -1}},
-		LoadUpdate{ID: "nobody", Load: nan}, DelayObservation{Server: "nowhere", Took: -5}, DelayObservation{Server: "s000", Took: math.MaxInt64},
+		HealthCheckResult{Server: "s000", Report: []float64{nan, math.Inf(1)}}, HealthCheckResult{
+			Server: "s001",
+			Report: []float64{-3, -1},
+		},
+		LoadUpdate{ID: "nobody", Load: nan}, DelayObservation{Server: "nowhere", Took: -5},
+		DelayObservation{Server: "s000", Took: math.MaxInt64},
 		TimerFired{"hold nobody"}, TimerFired{""}, PeerMessage{}, OpenConnection{Server: "nowhere"},
 		OpenConnection{Request: Request{ID: "x", Class: 99}, Server: "s000"},
 		Request{ID: "odd", TimeLeft: ms(100), Load: nan, Tenant: 7}, Request{ID: "odd", TimeLeft: ms(100)},
-		Request{ID: "neg", TimeLeft: ms(100), Load: -1}, ServerList{Kind: ListChange, Servers: []Server{{ID: "z", Size: nan}}},
+		Request{ID: "neg", TimeLeft: ms(100), Load: -1}, ServerList{Kind: ListChange, Servers: []Server{{
+			ID:   "z",
+			Size: nan,
+		}}},
 	)
 	referee.set.Classes = append(referee.set.Classes, referee.set.Classes[0])
 	referee.step(Request{ID: "class", Class: 1, TimeLeft: ms(100)})
@@ -247,5 +255,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(0, []Event{fleet(2), Request{ID: "a", TimeLeft: ms(100)}, TimerFired{"tick"}, DelayObservation{Server: "s000", Took: 1}})
+	b.Step(0, []Event{
+		fleet(2),
+		Request{ID: "a", TimeLeft: ms(100)},
+		TimerFired{"tick"},
+		DelayObservation{Server: "s000", Took: 1},
+	})
 }
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -6,11 +6,14 @@
 	"time"
 )
 
-// TestRequestsKeepWhatTheyCameWith has settings change under a request: its class stays what it was, and so does the number
-// of its attempts; the next request goes by the new ones.
+// TestRequestsKeepWhatTheyCameWith has settings change under a request: its class stays what it was, and so does the
+// number of its attempts; the next request goes by the new ones.
 func TestRequestsKeepWhatTheyCameWith(t *testing.T) {
 	settings := Settings{
-		Nodes: 1, RoundTrip: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
+		Nodes: 1, RoundTrip: 5 * time.Millisecond, Classes: []Class{{
+			Name: "a", SetupObjective: time.Second,
+			Deadline: 10 * time.Second,
+		}},
 		Tenants: []Tenant{{Name: "t"}}, Limits: Limits{MaxAttempts: 3},
 	}
 	balancer, err := New(settings, 1, 0)
@@ -45,10 +48,14 @@
 	}
 	balancer.Step(now, []Event{list})
 	next := settings
-	next.Classes = []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second, Idempotency: NotIdempotent}, {Name: "b", SetupObjective: time.Second, Deadline: 10 * time.Second}}
+	next.Classes = []Class{{
+		Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second,
+		Idempotency: NotIdempotent,
+	}, {Name: "b", SetupObjective: time.Second, Deadline: 10 * time.Second}}
 	next.Tenants, next.Limits.MaxAttempts = []Tenant{{Name: "t"}, {Name: "u", Connections: 9}}, 2
 	none := func() []Event { return nil }
-	if n, a := sends("1", 0, func() []Event { return []Event{SettingsChanged{next}} }); n != 3 || a != (Reject{ID: "1", Reason: AttemptsUsed}) {
+	if n, a := sends("1", 0, func() []Event { return []Event{SettingsChanged{next}} }); n != 3 ||
+		a != (Reject{ID: "1", Reason: AttemptsUsed}) {
 		t.Errorf("the request under way: %d attempts, %+v", n, a)
 	}
 	if n, a := sends("2", 0, none); n != 1 || a != (Fail{"2", MayHaveRun}) {
@@ -64,18 +71,29 @@
 	}
 }
 
-// TestTwoProcessesShareTheSlowStartBudget has a server in slow start get no more from two processes of a node than from the one before.
+// TestTwoProcessesShareTheSlowStartBudget has a server in slow start get no more from two processes of a node than
+// from the one before.
 func TestTwoProcessesShareTheSlowStartBudget(t *testing.T) {
 	sent := func(parts int, seed uint64) (n int) {
 		balancer, err := New(Settings{
-			Nodes: 4, Processes: parts, RoundTrip: 5 * time.Millisecond, Classes: []Class{{Name: "a", SetupObjective: time.Second, Deadline: 10 * time.Second}},
-			Limits: Limits{MaxAttempts: 1}, Rules: Rules{SlowStartFraction: .2, WarmUp: 24 * time.Second, OverloadMultiple: 4, OverloadTime: 2 * time.Second},
+			Nodes: 4, Processes: parts, RoundTrip: 5 * time.Millisecond, Classes: []Class{{
+				Name:           "a",
+				SetupObjective: time.Second, Deadline: 10 * time.Second,
+			}},
+			Limits: Limits{MaxAttempts: 1}, Rules: Rules{
+				SlowStartFraction: .2, WarmUp: 24 * time.Second,
+				OverloadMultiple: 4, OverloadTime: 2 * time.Second,
+			},
 		}, seed, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Hour
-		balancer.Step(now, []Event{ServerList{Servers: []Server{{ID: "cold", Size: 1, Started: now}, {ID: "w1", Size: 1}, {ID: "w2", Size: 1}}}})
+		balancer.Step(now, []Event{ServerList{Servers: []Server{
+			{ID: "cold", Size: 1, Started: now},
+			{ID: "w1", Size: 1},
+			{ID: "w2", Size: 1},
+		}}})
 		for i := range 2000 {
 			now += 10 * time.Millisecond
 			id := RequestID(fmt.Sprint(i))
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -13,8 +13,9 @@
 // Simulated time starts here: a start time of zero would read as a server that started long ago.
 const simulationStart = time.Hour
 
-// simulation plays real balancers among simulated servers, clients, discovery and links, in simulated time. All chance comes from
-// one seed. It uses the exported interface of the module alone and hands each action to a judge before it carries it out.
+// simulation plays real balancers among simulated servers, clients, discovery and links, in simulated time. All
+// chance comes from one seed. It uses the exported interface of the module alone and hands each action to a judge
+// before it carries it out.
 type simulation struct {
 	t        testing.TB
 	name     string
@@ -70,7 +71,7 @@
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
 }
 func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(occurrence)) }
+func (a *agenda) Push(x any)   { *a = append(*a, x.(occurrence)) } //nolint:forcetypeassert // only occurrences are pushed
 func (a *agenda) Pop() any {
 	old := *a
 	last := old[len(old)-1]
@@ -141,10 +142,13 @@
 	outcome     choice.Outcome
 }
 
-func newSimulation(t testing.TB, name string, s choice.Settings, of terms, servers []choice.Server, seed uint64, j judge) *simulation {
+func newSimulation(tb testing.TB, name string, s choice.Settings, of terms, servers []choice.Server, seed uint64,
+	j judge,
+) *simulation {
 	world := &simulation{
-		t: t, name: name, rng: rand.New(rand.NewPCG(seed, 11)), now: simulationStart, settings: s, terms: of,
-		byID: map[choice.ServerID]*simServer{}, requests: map[choice.RequestID]*simRequest{}, judge: j, counts: map[string]int{},
+		t: tb, name: name, rng: rand.New(rand.NewPCG(seed, 11)), now: simulationStart, settings: s, terms: of,
+		byID: map[choice.ServerID]*simServer{}, requests: map[choice.RequestID]*simRequest{}, judge: j,
+		counts: map[string]int{},
 	}
 	for _, server := range servers {
 		h := &simServer{Server: server, strength: max(server.Size, 0.1), running: server.State == choice.Ready}
@@ -155,7 +159,7 @@
 		s.Node = number
 		b, err := choice.New(s, seed*1000+uint64(number), world.now)
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			tb.Fatalf("%s: %v", name, err)
 		}
 		n := &simNode{number: number, balancer: b, listed: map[choice.ServerID]choice.Server{}, following: !s.Subscribe}
 		world.nodes = append(world.nodes, n)
@@ -177,7 +181,7 @@
 // run lets time pass up to a moment.
 func (w *simulation) run(to time.Duration) {
 	for len(w.agenda) > 0 && w.agenda[0].at <= to {
-		next := heap.Pop(&w.agenda).(occurrence)
+		next := heap.Pop(&w.agenda).(occurrence) //nolint:forcetypeassert // only occurrences are pushed
 		w.now = next.at
 		next.do()
 	}
@@ -280,7 +284,7 @@
 }
 
 // sendMessage carries a message between nodes: some get lost, some come twice.
-func (w *simulation) sendMessage(n *simNode, action choice.SendPeerMessage) {
+func (w *simulation) sendMessage(node *simNode, action choice.SendPeerMessage) {
 	if w.often(w.terms.messageLoss) {
 		w.count("lost messages")
 		return
@@ -292,7 +296,7 @@
 	}
 	for range copies {
 		w.after(5*time.Millisecond+w.upTo(20*time.Millisecond), func() {
-			w.deliver(w.nodes[action.To], choice.PeerMessage{From: n.number, Data: action.Data})
+			w.deliver(w.nodes[action.To], choice.PeerMessage{From: node.number, Data: action.Data})
 		})
 	}
 }
@@ -367,12 +371,18 @@
 	if w.settings.DelaysObserved && server.seen > 0.8 && len(server.held) > 0 {
 		at := server.held[w.rng.IntN(len(server.held))]
 		w.count("delay notes")
-		w.deliver(at.request.node, choice.DelayObservation{ID: at.request.ID, Server: server.ID, Took: w.around(time.Duration(server.seen * float64(150*time.Millisecond)))})
+		w.deliver(at.request.node, choice.DelayObservation{
+			ID: at.request.ID, Server: server.ID,
+			Took: w.around(time.Duration(server.seen * float64(150*time.Millisecond))),
+		})
 	}
 	if w.terms.loadsReported && len(server.held) > 0 && w.often(0.2) {
 		at := server.held[w.rng.IntN(len(server.held))]
 		at.request.client.load *= 0.5 + w.rng.Float64()
-		w.deliver(at.request.node, choice.LoadUpdate{ID: at.request.ID, Attempt: at.number, Load: at.request.client.load})
+		w.deliver(at.request.node, choice.LoadUpdate{
+			ID: at.request.ID, Attempt: at.number,
+			Load: at.request.client.load,
+		})
 	}
 }
 
@@ -423,16 +433,17 @@
 }
 
 // arrive brings a client's request, its first or a further one, to a node.
-func (w *simulation) arrive(c *simClient, returned bool) *simRequest {
-	node, class := w.drawNode(), w.settings.Classes[c.class]
-	c.tries++
-	request := &simRequest{node: node, client: c, class: class}
+func (w *simulation) arrive(client *simClient, returned bool) *simRequest {
+	node, class := w.drawNode(), w.settings.Classes[client.class]
+	client.tries++
+	request := &simRequest{node: node, client: client, class: class}
 	request.Request = choice.Request{
-		ID: choice.RequestID(fmt.Sprint("r", len(w.requests)+1)), Class: c.class, Tenant: c.tenant, Key: c.key,
-		Group: c.group, TimeLeft: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)), Returned: returned,
+		ID: choice.RequestID(fmt.Sprint("r", len(w.requests)+1)), Class: client.class, Tenant: client.tenant, Key: client.key,
+		Group: client.group, TimeLeft: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)),
+		Returned: returned,
 	}
 	if w.terms.loadsReported {
-		request.Load = c.load
+		request.Load = client.load
 	}
 	if w.settings.PacketPassThrough && w.often(0.1) {
 		request.MidFlow = true
@@ -489,8 +500,8 @@
 	}
 }
 
-func (w *simulation) send(request *simRequest, h *simServer, limit time.Duration) {
-	attempt := &simAttempt{request: request, number: len(request.attempts), server: h, sentAt: w.now}
+func (w *simulation) send(request *simRequest, server *simServer, limit time.Duration) {
+	attempt := &simAttempt{request: request, number: len(request.attempts), server: server, sentAt: w.now}
 	request.attempts = append(request.attempts, attempt)
 	w.count("sends")
 	if attempt.number > 0 {
@@ -500,7 +511,7 @@
 		w.settle(attempt, choice.NeverSent, w.settings.RoundTrip)
 		return
 	}
-	informed := request.node.listed[h.ID].Started == h.Started
+	informed := request.node.listed[server.ID].Started == server.Started
 	w.after(w.upTo(3*time.Millisecond), func() { w.reach(attempt, informed) })
 	w.after(limit, func() {
 		if !attempt.established {
@@ -538,24 +549,27 @@
 }
 
 func (w *simulation) establish(attempt *simAttempt) {
-	request, h := attempt.request, attempt.server
+	request, server := attempt.request, attempt.server
 	switch {
 	case attempt.settled:
 	case request.answered || request.gone:
 		w.settle(attempt, choice.Cancelled, 0)
-	case !h.running:
+	case !server.running:
 		w.settle(attempt, choice.Reset, 0)
 	default:
 		w.count("connections")
 		attempt.established = true
-		h.held = append(h.held, attempt)
-		w.deliver(request.node, choice.Established{ID: request.ID, Attempt: attempt.number, Server: h.ID, Took: w.now - attempt.sentAt})
+		server.held = append(server.held, attempt)
+		w.deliver(request.node, choice.Established{
+			ID: request.ID, Attempt: attempt.number, Server: server.ID,
+			Took: w.now - attempt.sentAt,
+		})
 		w.after(w.around(w.terms.connectionTime), func() { w.closeConnection(attempt, choice.Served, false) })
 	}
 }
 
 // closeConnection ends a connection that stands.
-func (w *simulation) closeConnection(attempt *simAttempt, o choice.Outcome, again bool) {
+func (w *simulation) closeConnection(attempt *simAttempt, outcome choice.Outcome, again bool) {
 	if attempt.settled {
 		return
 	}
@@ -565,14 +579,14 @@
 			break
 		}
 	}
-	w.settle(attempt, o, 0)
+	w.settle(attempt, outcome, 0)
 	if again {
 		w.returns(attempt.request.client, true, 0)
 	}
 }
 
 // settle ends an attempt; its node hears of it after a time.
-func (w *simulation) settle(attempt *simAttempt, o choice.Outcome, after time.Duration) {
+func (w *simulation) settle(attempt *simAttempt, outcome choice.Outcome, after time.Duration) {
 	if attempt.settled {
 		return
 	}
@@ -580,8 +594,8 @@
 	w.after(after, func() {
 		r := attempt.request
 		e := choice.AttemptEnded{
-			ID: r.ID, Attempt: attempt.number, Server: attempt.server.ID, Outcome: o, Took: w.now - attempt.sentAt,
-			Final: o == choice.Served || attempt.established || r.answered || r.gone,
+			ID: r.ID, Attempt: attempt.number, Server: attempt.server.ID, Outcome: outcome, Took: w.now - attempt.sentAt,
+			Final: outcome == choice.Served || attempt.established || r.answered || r.gone,
 		}
 		if w.settings.Reports == choice.AllReports && attempt.server.running {
 			e.Report = w.report(attempt.server)
--- a/choice/slowstart_fleet_test.go
+++ b/choice/slowstart_fleet_test.go
@@ -69,9 +69,12 @@
 			Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
 			MessageObjective: 100 * time.Millisecond, Priority: 1,
 		}},
-		Limits: choice.Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, PeerMessages: f.peers, ConnectTimeout: 100 * time.Millisecond},
-		Rules:  f.rules,
-		Costs:  choice.Costs{HealthCheck: 0.002, Migration: 0.01, PeerMessage: 0.01},
+		Limits: choice.Limits{
+			MaxAttempts: 4, HealthChecks: true, Cancellation: true, PeerMessages: f.peers,
+			ConnectTimeout: 100 * time.Millisecond,
+		},
+		Rules: f.rules,
+		Costs: choice.Costs{HealthCheck: 0.002, Migration: 0.01, PeerMessage: 0.01},
 	}
 	if f.reports != choice.NoReports {
 		settings.ReportFields, settings.Sizes = []choice.ReportField{choice.Load, choice.Utilization}, choice.NoSize
@@ -82,7 +85,8 @@
 	return settings
 }
 
-// play has the fleet come into balance, then servers in slow start join and others come back in slow start, under a burst, and counts.
+// play has the fleet come into balance, then servers in slow start join and others come back in slow start, under a
+// burst, and counts.
 func (f slowStartFleet) play(t *testing.T) slowStartFigures {
 	t.Helper()
 	return f.playRecorded(t, false, nil).slowStartFigures(f)
@@ -93,14 +97,18 @@
 	t.Helper()
 	var list []choice.Server
 	for i := range f.servers {
-		h := choice.Server{ID: choice.ServerID(fmt.Sprintf("h%02d", i)), Zone: "z0", Kind: fmt.Sprint("k", i%2), Size: 1 - 0.4*float64(i%2)}
+		h := choice.Server{
+			ID: choice.ServerID(fmt.Sprintf("h%02d", i)), Zone: "z0", Kind: fmt.Sprint("k", i%2),
+			Size: 1 - 0.4*float64(i%2),
+		}
 		if i%8 == 3 { // joins
 			h.State = choice.Gone
 		}
 		list = append(list, h)
 	}
 	conditions := terms{
-		perServer: connectionsPerServer, connectionTime: connectionTime, listDelay: 300 * time.Millisecond, tries: 6, oddAnswers: 0.02, shedAt: 1.3,
+		perServer: connectionsPerServer, connectionTime: connectionTime, listDelay: 300 * time.Millisecond, tries: 6,
+		oddAnswers: 0.02, shedAt: 1.3,
 		slotsAt: 1.3, messageLoss: 0.02, skew: f.skew, homes: f.homes,
 	}
 	s := f.settings()
@@ -152,10 +160,12 @@
 	return min(1, r.SlowStartFraction+(1-r.SlowStartFraction)*age.Seconds()/r.WarmUp.Seconds())
 }
 
-// bears is how many requests of mean work a server in slow start is allowed in a window that ends so long after its start: what fills it over
-// its warm-up, by the part of its capacity that it has, by the multiple. The slack for chance comes on top.
+// bears is how many requests of mean work a server in slow start is allowed in a window that ends so long after its
+// start: what fills it over its warm-up, by the part of its capacity that it has, by the multiple. The slack for
+// chance comes on top.
 func bears(r choice.Rules, strength float64, age time.Duration) float64 {
-	return r.OverloadMultiple * warmAt(r, age) * strength * connectionsPerServer / r.WarmUp.Seconds() * r.OverloadTime.Seconds()
+	return r.OverloadMultiple * warmAt(r,
+		age) * strength * connectionsPerServer / r.WarmUp.Seconds() * r.OverloadTime.Seconds()
 }
 
 // withSlack is the sum from which on a server in slow start falls.
@@ -228,12 +238,14 @@
 	return all * server.strength / strength
 }
 
-// TestSlowStartUnderManyNodes sets the sum of what all nodes send to a server in slow start against what makes it fall, while traffic is uneven
-// between nodes, a burst comes, servers join, vanish and restart, and clients retry. A window over the limit breaks the rule if over
-// two thirds of it came from nodes that had been told of the start; the others can't know. Nor may servers in slow start starve: they get at
-// least a part of what an even spread by capacity would bring them.
+// TestSlowStartUnderManyNodes sets the sum of what all nodes send to a server in slow start against what makes it
+// fall, while traffic is uneven between nodes, a burst comes, servers join, vanish and restart, and clients retry. A
+// window over the limit breaks the rule if over two thirds of it came from nodes that had been told of the start; the
+// others can't know. Nor may servers in slow start starve: they get at least a part of what an even spread by
+// capacity would bring them.
 //
-// Without owners a server in slow start of 300 nodes gets next to nothing: for these the part is logged and has no bound.
+// Without owners a server in slow start of 300 nodes gets next to nothing: for these the part is logged and has no
+// bound.
 func TestSlowStartUnderManyNodes(t *testing.T) {
 	for _, test := range []struct {
 		nodes     int
@@ -255,19 +267,22 @@
 		{300, choice.AllReports, true, true, 1, 1},
 	} {
 		for _, rules := range []choice.Rules{shortWarmUp, longWarmUp} {
-			name := fmt.Sprintf("%d nodes, reports %d, peers %v, warm after %v", test.nodes, test.reports, test.peers, rules.WarmUp)
+			name := fmt.Sprintf("%d nodes, reports %d, peers %v, warm after %v", test.nodes, test.reports, test.peers,
+				rules.WarmUp)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				var sum slowStartFigures
 				for seed := range test.seeds {
 					f := slowStartFleet{
-						name: fmt.Sprintf("%s, seed %d", name, seed), nodes: test.nodes, servers: 24, reports: test.reports, peers: test.peers,
+						name: fmt.Sprintf("%s, seed %d", name, seed), nodes: test.nodes, servers: 24,
+						reports: test.reports, peers: test.peers,
 						rules: rules, skew: 4, costKnown: test.costKnown, burst: 4, seed: seed,
 					}
 					sum.add(f.play(t), test.seeds)
 				}
 				t.Logf("worst window %.2f of the limit (%d requests, N %.1f), over it %d, rule broken %d; part of the budget %.2f, "+
-					"of an even spread %.2f, least %.2f", sum.worst, sum.worstSum, sum.worstBears, sum.windows, sum.broken, sum.budgetPart,
+					"of an even spread %.2f, least %.2f", sum.worst, sum.worstSum, sum.worstBears, sum.windows,
+					sum.broken, sum.budgetPart,
 					sum.fairPart, sum.least)
 				if sum.broken > 0 {
 					t.Errorf("%d windows over what a server in slow start bears, sent by nodes that knew of its start", sum.broken)
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -32,7 +32,10 @@
 func TestConnectionLoadsOfUnknownClasses(t *testing.T) {
 	b, now := silentNode(t, 3, 4)
 	class := b.settings.Classes[0]
-	b.Step(now, []Event{OpenConnection{Request: Request{ID: "x", Class: 1 << 20, Tenant: -1}, Server: "h0", OriginalClass: &class, CurrentLoad: 0.05}})
+	b.Step(now, []Event{OpenConnection{
+		Request: Request{ID: "x", Class: 1 << 20, Tenant: -1}, Server: "h0",
+		OriginalClass: &class, CurrentLoad: 0.05,
+	}})
 	if len(b.units.byClass) > len(b.settings.Classes) {
 		t.Errorf("%d classes are kept, the settings have %d", len(b.units.byClass), len(b.settings.Classes))
 	}
