--- a/internal/lab/faults/lab.go
+++ b/internal/lab/faults/lab.go
@@ -13,14 +13,17 @@
 // Options are a run's surroundings.
 type Options struct {
 	Program string // the spurwinch program; spurwinch-voter stands beside it
-	Dir     string // for configurations, files and logs
-	Seed    uint64
-	Nodes   int  // 0: as the scenario says
-	Alone   bool // each node for itself: the program before
-	Hosts   int
-	Bears   int
-	Use     float64
-	Life    time.Duration
+	// ProgramOf, if set, names the program of the node with an index at each of its starts, in place of Program: for
+	// fleets of several versions. Operators' commands stay those beside Program.
+	ProgramOf func(index int) string
+	Dir       string // for configurations, files and logs
+	Seed      uint64
+	Nodes     int  // 0: as the scenario says
+	Alone     bool // each node for itself: the program before
+	Hosts     int
+	Bears     int
+	Use       float64
+	Life      time.Duration
 }
 
 const (
--- a/internal/lab/faults/process.go
+++ b/internal/lab/faults/process.go
@@ -54,7 +54,7 @@
 	n.lab.note(Event{Kind: KindStart, Node: n.name, Zone: n.zone, Detail: files})
 	if err := cmd.Start(); err != nil {
 		file.Close()
-		return fmt.Errorf("node program %s: %w", n.lab.o.Program, err)
+		return fmt.Errorf("node program %s: %w", cmd.Path, err)
 	}
 	gone := make(chan struct{})
 	n.mu.Lock()
@@ -104,7 +104,11 @@
 	if !n.lab.o.Alone {
 		args = append(args, "-operator", filepath.Join(n.dir, "operator.toml"))
 	}
-	cmd := exec.Command(n.lab.o.Program, args...)
+	program := n.lab.o.Program
+	if n.lab.o.ProgramOf != nil {
+		program = n.lab.o.ProgramOf(n.i)
+	}
+	cmd := exec.Command(program, args...)
 	tmp := filepath.Join(n.dir, "tmp")
 	os.RemoveAll(tmp)
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
