--- a/choice/api.go
+++ b/choice/api.go
@@ -10,50 +10,50 @@
 
 // Settings is what one node is told at start. Zero values mean "not told" or "not allowed".
 type Settings struct {
-	Nodes     int    // nodes that share the fleet, this one among them
-	Node      int    // this node's number, from 0
-	Parts     int    // processes that share this node's part for now, alike; 0: one
-	Zone      string // this node's zone
-	Classes   []Class
-	Tenants   []Tenant
-	Grouped   bool // connections of one group share work: each server that holds any of a group pays for it
-	PassThru  bool // packets pass through: an open connection can reach another node as a mid-flow request
-	Park      time.Duration
-	Subscribe bool     // the server list must be asked for; else changes are pushed
-	Reports   Channel  // where load reports come from
-	Fields    []Field  // the values of a report, in order
-	Sizes     SizeKind // what Server.Size means
-	// TellsDelay says that a DelayNote comes where messages take long; without it only reports show a full server.
-	TellsDelay bool
-	// OverQuotaWorth is the part of its worth that a connection keeps beyond its tenant's quota.
-	OverQuotaWorth float64
-	WorthByWork    bool // worth counts for each unit of work, not for each request
-	Round          time.Duration
-	FirstCost      float64 // load that a mean connection puts on a server of size 1, where it is known; 0: guessed until learned
-	Limits         Limits
-	Rules          Rules
-	Tariffs        Tariffs
+	Nodes             int    // nodes that share the fleet, this one among them
+	Node              int    // this node's number, from 0
+	Processes         int    // processes that share this node's part for now, alike; 0: one
+	Zone              string // this node's zone
+	Classes           []Class
+	Tenants           []Tenant
+	GroupAffinity     bool // connections of one group share work: each server that holds any of a group pays for it
+	PacketPassThrough bool // packets pass through: an open connection can reach another node as a mid-flow request
+	Park              time.Duration
+	Subscribe         bool          // the server list must be asked for; else changes are pushed
+	Reports           ReportSource  // where load reports come from
+	ReportFields      []ReportField // the values of a report, in order
+	Sizes             SizeKind      // what Server.Size means
+	// DelaysObserved says that a DelayNote comes where messages take long; without it only reports show a full server.
+	DelaysObserved bool
+	// OverQuotaPriority is the part of its worth that a connection keeps beyond its tenant's quota.
+	OverQuotaPriority float64
+	PriorityPerWork   bool // worth counts for each unit of work, not for each request
+	RoundTrip         time.Duration
+	InitialCost       float64 // load that a mean connection puts on a server of size 1, where it is known; 0: guessed until learned
+	Limits            Limits
+	Rules             Rules
+	Costs             Costs
 }
 
-// Class is a class of requests.
+// Class is a class of requests. Its CBOR form goes from one process of a node to the next one: the tags are its names there.
 type Class struct {
-	Name       string
-	Former     bool          // it left the settings: only what came before has it, and what was on the way then
-	SetupAim   time.Duration // wanted time to set a connection up
-	Deadline   time.Duration // the client's whole patience
-	MessageAim time.Duration // wanted time of a message on an open connection; 0 where not told
-	Worth      float64
-	Repeat     Repeat
-	Scope      Scope         // Keyed: the servers that drop repeats of a request
-	Window     time.Duration // Keyed: how long they remember, from the send of the attempt that may have run
+	Name              string        `cbor:"Name"`
+	Removed           bool          `cbor:"Former"`     // it left the settings: only what came before has it, and what was on the way then
+	SetupObjective    time.Duration `cbor:"SetupAim"`   // wanted time to set a connection up
+	Deadline          time.Duration `cbor:"Deadline"`   // the client's whole patience
+	MessageObjective  time.Duration `cbor:"MessageAim"` // wanted time of a message on an open connection; 0 where not told
+	Priority          float64       `cbor:"Worth"`
+	Idempotency       Idempotency   `cbor:"Repeat"`
+	IdempotencyScope  Scope         `cbor:"Scope"`  // Keyed: the servers that drop repeats of a request
+	IdempotencyWindow time.Duration `cbor:"Window"` // Keyed: how long they remember, from the send of the attempt that may have run
 }
 
 // forgets is when servers no longer tell a repeat of what was sent then from a new request; 0: the class has no such time.
 func (c *Class) forgets(sent time.Duration) time.Duration {
-	if c.Repeat != Keyed {
+	if c.Idempotency != IdempotentByKey {
 		return 0
 	}
-	return sent + c.Window
+	return sent + c.IdempotencyWindow
 }
 
 // Tenant is a customer with a share of the fleet.
@@ -64,13 +64,13 @@
 	Share       float64
 }
 
-// Repeat says what happens when a request runs twice.
-type Repeat uint8
+// Idempotency says what happens when a request runs twice.
+type Idempotency uint8
 
 const (
-	Safe   Repeat = iota // harmless
-	Keyed                // harmless inside Scope and Window
-	Unsafe               // never allowed
+	Idempotent      Idempotency = iota // harmless
+	IdempotentByKey                    // harmless inside Scope and Window
+	NotIdempotent                      // never allowed
 )
 
 // Scope is the group of servers that share what they know of a keyed request.
@@ -82,28 +82,28 @@
 	ScopeCell
 )
 
-// Channel says where load reports come from.
-type Channel uint8
+// ReportSource says where load reports come from.
+type ReportSource uint8
 
 const (
-	NoReports    Channel = iota
-	ProbeReports         // in probe results only
-	AllReports           // in probe results and outcomes
+	NoReports          ReportSource = iota
+	HealthCheckReports              // in probe results only
+	AllReports                      // in probe results and outcomes
 )
 
-// Field names one value of a load report.
-type Field uint8
+// ReportField names one value of a load report.
+type ReportField uint8
 
 const (
-	OtherField  Field = iota // a value the module has no use for
-	Load                     // load asked over what the server can do
-	PiledUp                  // seconds of work piled up
-	InFlight                 // requests or connections held
-	Queue                    // requests waiting
-	Utilization              // busy part of the CPU
-	Latency                  // recent service time, ms
-	Throughput               // requests served a second
-	ErrorRate                // errors a second
+	OtherField  ReportField = iota // a value the module has no use for
+	Load                           // load asked over what the server can do
+	Backlog                        // seconds of work piled up
+	InFlight                       // requests or connections held
+	Queue                          // requests waiting
+	Utilization                    // busy part of the CPU
+	Latency                        // recent service time, ms
+	Throughput                     // requests served a second
+	ErrorRate                      // errors a second
 )
 
 // SizeKind says what Server.Size means.
@@ -117,35 +117,35 @@
 
 // Limits is what a node may do.
 type Limits struct {
-	Attempts       int // most attempts for one request
-	MayProbe       bool
-	MayCancel      bool
-	MayTell        bool // nodes may send one another messages
-	SecondCopies   bool // two attempts of one request may be out at once; the module never uses it
-	RetryAdvice    bool // clients are told how long to stay away
-	MaxRetryAdvice time.Duration
+	MaxAttempts    int // most attempts for one request
+	HealthChecks   bool
+	Cancellation   bool
+	PeerMessages   bool // nodes may send one another messages
+	HedgedRequests bool // two attempts of one request may be out at once; the module never uses it
+	RetryAfter     bool // clients are told how long to stay away
+	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
 }
 
 // Rules holds the figures of the four rules.
 type Rules struct {
-	AnswerSlack  time.Duration
-	AskWithin    time.Duration // the longest time without asking for the list
-	DrainGrace   time.Duration
-	ColdShare    float64       // a server starts at this part of its capacity or more
-	WarmUp       time.Duration // and is warm after this
-	FallMultiple float64       // sent more than this multiple of what it can do
-	FallTime     time.Duration // for this long, it falls over
+	AnswerSlack       time.Duration
+	MaxPollInterval   time.Duration // the longest time without asking for the list
+	DrainGrace        time.Duration
+	SlowStartFraction float64       // a server starts at this part of its capacity or more
+	WarmUp            time.Duration // and is warm after this
+	OverloadMultiple  float64       // sent more than this multiple of what it can do
+	OverloadTime      time.Duration // for this long, it falls over
 }
 
-// Tariffs are parts of the service taken off for each unit a first try.
-type Tariffs struct {
-	Probe     float64
-	Move      float64
-	Peer      float64 // 256 bytes of messages to other nodes
-	CrossZone float64
-	LateFail  float64
-	Waste     float64
+// Costs are parts of the service taken off for each unit a first try.
+type Costs struct {
+	HealthCheck float64
+	Migration   float64
+	PeerMessage float64 // 256 bytes of messages to other nodes
+	CrossZone   float64
+	LateFailure float64
+	Waste       float64
 }
 
 // Event is what a node tells the module: one of the types below.
@@ -155,10 +155,10 @@
 type ListKind uint8
 
 const (
-	ListChange ListKind = iota // changed entries only
-	ListWhole                  // the whole list
-	ListCached                 // the whole list as this node last had it
-	ListLost                   // an ask failed or the subscription broke; the old list stands
+	ListChange      ListKind = iota // changed entries only
+	ListFull                        // the whole list
+	ListCached                      // the whole list as this node last had it
+	ListUnavailable                 // an ask failed or the subscription broke; the old list stands
 )
 
 // ServerState is what discovery knows of a server.
@@ -170,17 +170,17 @@
 	Gone
 )
 
-// Server is one entry of the list.
+// Server is one entry of the list. Its CBOR form goes from one process of a node to the next one: the tags are its names there.
 type Server struct {
-	ID      ServerID
-	Zone    string
-	Kind    string // machine kind; only compared for equality
-	Cell    int
-	State   ServerState
-	Size    float64
-	Started time.Duration // clock time of its last start, as the list tells it; 0: long ago
-	// ColdSince is when it started by the clock of Step, where that differs from the list's; 0: it does not.
-	ColdSince time.Duration
+	ID      ServerID      `cbor:"ID"`
+	Zone    string        `cbor:"Zone"`
+	Kind    string        `cbor:"Kind"` // machine kind; only compared for equality
+	Cell    int           `cbor:"Cell"`
+	State   ServerState   `cbor:"State"`
+	Size    float64       `cbor:"Size"`
+	Started time.Duration `cbor:"Started"` // clock time of its last start, as the list tells it; 0: long ago
+	// SlowStartSince is when it started by the clock of Step, where that differs from the list's; 0: it does not.
+	SlowStartSince time.Duration `cbor:"ColdSince"`
 }
 
 type (
@@ -191,33 +191,33 @@
 	}
 	// Request is a new request of a client; it gets exactly one final answer.
 	Request struct {
-		ID       RequestID
-		Class    int // index in Settings.Classes
-		Tenant   int // index in Settings.Tenants; -1 without tenants
-		Key      uint64
-		Group    uint64 // 0: none
-		Left     time.Duration
-		Load     float64  // told usual load, work a second; 0: not told
-		Home     ServerID // where what it resumes lives: it goes there while it may; empty: nowhere
-		MidFlow  bool     // packets of an open connection come here now
-		Returned bool     // the client came back after a break or a move
+		ID           RequestID
+		Class        int // index in Settings.Classes
+		Tenant       int // index in Settings.Tenants; -1 without tenants
+		Key          uint64
+		Group        uint64 // 0: none
+		TimeLeft     time.Duration
+		Load         float64  // told usual load, work a second; 0: not told
+		StickyServer ServerID // where what it resumes lives: it goes there while it may; empty: nowhere
+		MidFlow      bool     // packets of an open connection come here now
+		Returned     bool     // the client came back after a break or a move
 	}
 	// OpenConnection is a connection that stands already, bound as attempt 0: open when the node starts, or taken over.
 	OpenConnection struct {
 		Request
-		Server ServerID
-		Was    *Class  // its class as it was when its request came, for one that another process has had; nil: as the settings say
-		Now    float64 // its load now; 0: not told
+		Server        ServerID
+		OriginalClass *Class  // its class as it was when its request came, for one that another process has had; nil: as the settings say
+		CurrentLoad   float64 // its load now; 0: not told
 	}
-	// Homed tells where what a request under way resumes lives.
-	Homed struct {
+	// StickyServerFound tells where what a request under way resumes lives.
+	StickyServerFound struct {
 		ID     RequestID
 		Server ServerID
 	}
-	// HandedOver says that another process of this node has an open connection from now on. It has not ended.
-	HandedOver struct{ ID RequestID }
-	// Inherited is what another process of this node has found out.
-	Inherited struct{ Learned }
+	// Transferred says that another process of this node has an open connection from now on. It has not ended.
+	Transferred struct{ ID RequestID }
+	// LearnedStateReceived is what another process of this node has found out.
+	LearnedStateReceived struct{ LearnedState }
 	// Established says that an attempt's connection stands.
 	Established struct {
 		ID      RequestID
@@ -235,21 +235,21 @@
 		Final   bool
 		Report  []float64
 	}
-	// ProbeResult answers a Probe.
-	ProbeResult struct {
+	// HealthCheckResult answers a Probe.
+	HealthCheckResult struct {
 		Server  ServerID
 		Outcome Outcome
 		Took    time.Duration
 		Report  []float64
 	}
-	// LoadNote tells the present load of an open connection, work a second.
-	LoadNote struct {
+	// LoadUpdate tells the present load of an open connection, work a second.
+	LoadUpdate struct {
 		ID      RequestID
 		Attempt int
 		Load    float64
 	}
-	// DelayNote tells how long a message takes at a server now, as seen on one of its connections.
-	DelayNote struct {
+	// DelayObservation tells how long a message takes at a server now, as seen on one of its connections.
+	DelayObservation struct {
 		ID     RequestID
 		Server ServerID
 		Took   time.Duration
@@ -260,16 +260,16 @@
 	TimeUp struct{ ID RequestID }
 	// TimerFired brings back a SetTimer.
 	TimerFired struct{ Token string }
-	// NewSettings replaces the settings. Classes and tenants keep their indices; new ones come behind. Requests under way
+	// SettingsChanged replaces the settings. Classes and tenants keep their indices; new ones come behind. Requests under way
 	// keep the class and the number of attempts that they came with.
-	NewSettings struct{ Settings }
+	SettingsChanged struct{ Settings }
 	// ZonePlan says where this node's requests may go from now on. Without grants nothing is placed; nil Grants end the
 	// plan: the node chooses for itself, among all zones.
 	ZonePlan struct {
-		Grants    []Grant       // nearest zone first
-		Admit     []float64     // part of each class's requests that is let in; classes beyond are let in whole
-		ComeAgain time.Duration // advice for what is refused, spread by half
-		Nodes     int           // of the fleet that are there; 0: as the settings say
+		Grants        []Grant       // nearest zone first
+		AdmitFraction []float64     // part of each class's requests that is let in; classes beyond are let in whole
+		RetryAfter    time.Duration // advice for what is refused, spread by half
+		Nodes         int           // of the fleet that are there; 0: as the settings say
 	}
 	// PeerMessage is a message of another node, by its number. What can't be read, is late or repeats is dropped.
 	PeerMessage struct {
@@ -278,29 +278,29 @@
 	}
 )
 
-func (ServerList) event()     {}
-func (Request) event()        {}
-func (OpenConnection) event() {}
-func (Homed) event()          {}
-func (HandedOver) event()     {}
-func (Inherited) event()      {}
-func (Established) event()    {}
-func (AttemptEnded) event()   {}
-func (ProbeResult) event()    {}
-func (LoadNote) event()       {}
-func (DelayNote) event()      {}
-func (ClientGone) event()     {}
-func (TimeUp) event()         {}
-func (TimerFired) event()     {}
-func (NewSettings) event()    {}
-func (ZonePlan) event()       {}
-func (PeerMessage) event()    {}
+func (ServerList) event()           {}
+func (Request) event()              {}
+func (OpenConnection) event()       {}
+func (StickyServerFound) event()    {}
+func (Transferred) event()          {}
+func (LearnedStateReceived) event() {}
+func (Established) event()          {}
+func (AttemptEnded) event()         {}
+func (HealthCheckResult) event()    {}
+func (LoadUpdate) event()           {}
+func (DelayObservation) event()     {}
+func (ClientGone) event()           {}
+func (TimeUp) event()               {}
+func (TimerFired) event()           {}
+func (SettingsChanged) event()      {}
+func (ZonePlan) event()             {}
+func (PeerMessage) event()          {}
 
 // Grant lets this node's connections of the classes that it is for have so much told load in a zone.
 type Grant struct {
-	Zone   string
-	Load   float64
-	Except []int // classes that it is not for
+	Zone            string
+	Load            float64
+	ExcludedClasses []int // classes that it is not for
 }
 
 // Outcome is how an attempt or a probe ended.
@@ -314,11 +314,11 @@
 	ConnectFailed         // no connection could be made
 	Reset                 // the connection broke
 	Cancelled             // called off
-	Moot                  // never sent
+	NeverSent             // never sent
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
-func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == NeverSent }
 
 var outcomeNames = [...]string{"served", "failed", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
 
@@ -351,55 +351,55 @@
 type Action interface{ action() }
 
 type (
-	// Send starts the next attempt of a request; it is given up after Cap. Its first byte goes out before the clock time By or
+	// StartAttempt starts the next attempt of a request; it is given up after Cap. Its first byte goes out before the clock time By or
 	// not at all; 0 or under: whenever its connection is up.
-	Send struct {
-		ID     RequestID
-		Server ServerID
-		Cap    time.Duration
-		By     time.Duration
+	StartAttempt struct {
+		ID         RequestID
+		Server     ServerID
+		Timeout    time.Duration
+		SendBefore time.Duration
 	}
-	// Refuse ends a request: trying again does no harm. After is advice; 0 gives none.
-	Refuse struct {
-		ID     RequestID
-		After  time.Duration
-		Reason Reason
+	// Reject ends a request: trying again does no harm. After is advice; 0 gives none.
+	Reject struct {
+		ID         RequestID
+		RetryAfter time.Duration
+		Reason     Reason
 	}
 	// Fail ends a request and promises nothing.
 	Fail struct {
 		ID     RequestID
 		Reason Reason
 	}
-	// Cancel calls an attempt off.
-	Cancel struct {
+	// CancelAttempt calls an attempt off.
+	CancelAttempt struct {
 		ID      RequestID
 		Attempt int
 	}
-	// Probe asks a server for its load report.
-	Probe struct{ Server ServerID }
-	// Move asks the client of an open connection to come again.
-	Move struct{ ID RequestID }
+	// HealthCheck asks a server for its load report.
+	HealthCheck struct{ Server ServerID }
+	// Migrate asks the client of an open connection to come again.
+	Migrate struct{ ID RequestID }
 	// SetTimer asks for a TimerFired after a time. It cannot be taken back, but one that is for a request need not fire when that is over.
 	SetTimer struct {
 		Token string
 		After time.Duration
 		For   RequestID // empty: for none
 	}
-	// Follow asks discovery for changes from now on.
-	Follow struct{}
-	// Tell sends another node a message of at most 256 bytes, by its number. It may come late or never.
-	Tell struct {
+	// WatchList asks discovery for changes from now on.
+	WatchList struct{}
+	// SendPeerMessage sends another node a message of at most 256 bytes, by its number. It may come late or never.
+	SendPeerMessage struct {
 		To   int
 		Data []byte
 	}
 )
 
-func (Send) action()     {}
-func (Refuse) action()   {}
-func (Fail) action()     {}
-func (Cancel) action()   {}
-func (Probe) action()    {}
-func (Move) action()     {}
-func (SetTimer) action() {}
-func (Follow) action()   {}
-func (Tell) action()     {}
+func (StartAttempt) action()    {}
+func (Reject) action()          {}
+func (Fail) action()            {}
+func (CancelAttempt) action()   {}
+func (HealthCheck) action()     {}
+func (Migrate) action()         {}
+func (SetTimer) action()        {}
+func (WatchList) action()       {}
+func (SendPeerMessage) action() {}
--- a/choice/groups_test.go
+++ b/choice/groups_test.go
@@ -10,9 +10,9 @@
 // it, and that one group that holds nearly everything does not fill server after server while others idle.
 func TestGroupsSpreadByTheirLoad(t *testing.T) {
 	for _, c := range []struct{ groups, most int }{{1, 12}, {20, 2}} {
-		b, err := New(Settings{Nodes: 1, Grouped: true, Reports: ProbeReports, Fields: []Field{Load},
-			Classes: []Class{{Name: "c", SetupAim: time.Second, Deadline: 4 * time.Second}},
-			Limits:  Limits{Attempts: 4, MayProbe: true}, Round: 5 * time.Millisecond}, 1, time.Hour)
+		b, err := New(Settings{Nodes: 1, GroupAffinity: true, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
+			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
+			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond}, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -20,15 +20,15 @@
 		held := map[ServerID]int{}
 		where := map[uint64]map[ServerID]bool{}
 		group := map[RequestID]uint64{}
-		next := []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}}}}
+		next := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}}}}
 		step := func() {
 			events := next
 			next = nil
 			for _, a := range b.Step(now, events) {
 				switch a := a.(type) {
-				case Probe:
-					next = append(next, ProbeResult{Server: a.Server, Report: []float64{0.06 * float64(held[a.Server])}})
-				case Send:
+				case HealthCheck:
+					next = append(next, HealthCheckResult{Server: a.Server, Report: []float64{0.06 * float64(held[a.Server])}})
+				case StartAttempt:
 					held[a.Server]++
 					g := group[a.ID]
 					if where[g] == nil {
@@ -47,7 +47,7 @@
 		for i := range 40 {
 			id := RequestID(fmt.Sprint(i))
 			group[id] = uint64(1 + i%c.groups)
-			next = append(next, Request{ID: id, Tenant: -1, Group: group[id], Left: 4 * time.Second})
+			next = append(next, Request{ID: id, Tenant: -1, Group: group[id], TimeLeft: 4 * time.Second})
 			for range 3 {
 				step()
 			}
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -38,16 +38,16 @@
 		events = nil
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Send:
+			case StartAttempt:
 				f.on[a.ID] = a.Server
 				f.ends[a.ID] = f.now + time.Duration(10+f.rng.IntN(40))*time.Second
 				events = append(events, Established{ID: a.ID, Server: a.Server})
-			case Probe:
-				events = append(events, ProbeResult{Server: a.Server, Report: []float64{f.load(a.Server) * (0.95 + 0.1*f.rng.Float64())}})
+			case HealthCheck:
+				events = append(events, HealthCheckResult{Server: a.Server, Report: []float64{f.load(a.Server) * (0.95 + 0.1*f.rng.Float64())}})
 			case SetTimer:
 				at := f.now + a.After
 				f.timer[at] = append(f.timer[at], a.Token)
-			case Move:
+			case Migrate:
 				delete(f.on, a.ID)
 				events = append(events, AttemptEnded{ID: a.ID, Outcome: Cancelled, Final: true})
 			}
@@ -75,7 +75,7 @@
 		}
 		if f.now%every == 0 {
 			f.next++
-			events = append(events, Request{ID: RequestID(fmt.Sprint("r", f.next)), Tenant: -1, Left: 4 * time.Second})
+			events = append(events, Request{ID: RequestID(fmt.Sprint("r", f.next)), Tenant: -1, TimeLeft: 4 * time.Second})
 		}
 		f.step(events...)
 		if to-f.now > 5*time.Second {
@@ -89,15 +89,15 @@
 }
 
 func knows() Settings {
-	return Settings{Nodes: 4, Reports: ProbeReports, Fields: []Field{Load}, Round: 5 * time.Millisecond,
-		Classes: []Class{{Name: "c", SetupAim: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond, MessageAim: 60 * time.Millisecond, Worth: 1}},
-		Limits:  Limits{Attempts: 4, MayProbe: true}, Tariffs: Tariffs{Probe: 0.002}}
+	return Settings{Nodes: 4, Reports: HealthCheckReports, ReportFields: []ReportField{Load}, RoundTrip: 5 * time.Millisecond,
+		Classes: []Class{{Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond, MessageObjective: 60 * time.Millisecond, Priority: 1}},
+		Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, Costs: Costs{HealthCheck: 0.002}}
 }
 
 // TestLearnedGoesAlong has one process take over from another: with what that one found out, its forecasts of the servers'
 // loads are as good at once; without, they are not in the first seconds.
 func TestLearnedGoesAlong(t *testing.T) {
-	list := ServerList{Kind: ListWhole}
+	list := ServerList{Kind: ListFull}
 	for i := range 12 {
 		list.Servers = append(list.Servers, Server{ID: ServerID(fmt.Sprintf("s%02d", i)), Kind: fmt.Sprint("k", i%2), Size: 1})
 	}
@@ -129,11 +129,11 @@
 				f.timer = map[time.Duration][]string{}
 				f.step(list)
 				if how == "learned" {
-					f.step(Inherited{was.Learned()})
+					f.step(LearnedStateReceived{was.LearnedState()})
 				}
 				for id, s := range f.on {
-					f.step(OpenConnection{Request: Request{ID: id, Tenant: -1}, Server: s, Was: &Class{Name: "gone"}})
-					was.Step(f.now, []Event{HandedOver{id}})
+					f.step(OpenConnection{Request: Request{ID: id, Tenant: -1}, Server: s, OriginalClass: &Class{Name: "gone"}})
+					was.Step(f.now, []Event{Transferred{id}})
 				}
 				for _, s := range was.servers {
 					if p := was.predict(s); math.Abs(p-before[s.ID]) > 1e-9 {
@@ -170,32 +170,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(now, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Kind: "k", Size: 1, Started: 5}, {ID: "b", Kind: "k", Size: 1}}},
-		ProbeResult{Server: "b", Report: []float64{0.5}}})
-	good := Learned{Form: LearnedForm, Meaning: b.set.meaning(), Unit: 1, Gate: 1, Worth: 1, SumLoad: 1, SumBase: 2, SumAt: now - time.Second,
+	b.Step(now, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1, Started: 5}, {ID: "b", Kind: "k", Size: 1}}},
+		HealthCheckResult{Server: "b", Report: []float64{0.5}}})
+	good := LearnedState{Version: LearnedStateVersion, Meaning: b.set.meaning(), Unit: 1, Gate: 1, Worth: 1, SumLoad: 1, SumBase: 2, SumAt: now - time.Second,
 		Servers: []LearnedServer{{ID: "a", Started: 5, Known: true, Report: 0.9, ReportAt: now - time.Second, BadUntil: now + time.Hour, Num: 9, Den: 90, N: 9},
 			{ID: "b", Known: true, Report: 0.1, ReportAt: now - time.Second}, {ID: "nobody"}}}
-	for i, spoil := range []func(*Learned){
-		func(l *Learned) { l.Form = 9 }, func(l *Learned) { l.Meaning = "" }, func(l *Learned) { l.Unit = 0 }, func(l *Learned) { l.Unit = math.NaN() },
-		func(l *Learned) { l.Gate = math.Inf(1) }, func(l *Learned) { l.SumBase = 0 }, func(l *Learned) { l.Rate = -1 },
-		func(l *Learned) { l.Servers = []LearnedServer{{ID: "a", Report: math.NaN()}} },
-		func(l *Learned) { l.Servers = []LearnedServer{{ID: "a", Trim: math.Inf(-1)}} },
-		func(l *Learned) { l.Kinds = []LearnedKind{{"k", 1, math.NaN(), 1}} },
+	for i, spoil := range []func(*LearnedState){
+		func(l *LearnedState) { l.Version = 9 }, func(l *LearnedState) { l.Meaning = "" }, func(l *LearnedState) { l.Unit = 0 }, func(l *LearnedState) { l.Unit = math.NaN() },
+		func(l *LearnedState) { l.Gate = math.Inf(1) }, func(l *LearnedState) { l.SumBase = 0 }, func(l *LearnedState) { l.Rate = -1 },
+		func(l *LearnedState) { l.Servers = []LearnedServer{{ID: "a", Report: math.NaN()}} },
+		func(l *LearnedState) { l.Servers = []LearnedServer{{ID: "a", Trim: math.Inf(-1)}} },
+		func(l *LearnedState) { l.Kinds = []LearnedKind{{"k", 1, math.NaN(), 1}} },
 	} {
 		bad := good
 		spoil(&bad)
-		b.Step(now, []Event{Inherited{bad}})
+		b.Step(now, []Event{LearnedStateReceived{bad}})
 		if a := b.find("a"); a.known || a.badUntil != 0 {
 			t.Errorf("spoilt value %d was taken", i)
 		}
 	}
 	later := good
 	later.Servers = []LearnedServer{{ID: "a", Started: 4, Known: true, Report: 0.9, ReportAt: now}, {ID: "b", Known: true, Report: 0.1, ReportAt: now + time.Hour}}
-	b.Step(now, []Event{Inherited{later}})
+	b.Step(now, []Event{LearnedStateReceived{later}})
 	if b.find("a").known || b.find("b").report != 0.5 {
 		t.Error("taken: a report of an earlier start, or one of the future")
 	}
-	b.Step(now, []Event{Inherited{good}})
+	b.Step(now, []Event{LearnedStateReceived{good}})
 	a, other := b.find("a"), b.find("b")
 	if a.report != 0.9 || a.reportAt != now-time.Second || a.badUntil != now+firstEject<<3 || a.n != 9 {
 		t.Errorf("not taken: %+v", a)
@@ -215,36 +215,36 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Step(now, []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}},
-			ProbeResult{Server: "a", Report: []float64{0.9}}, ProbeResult{Server: "b", Report: []float64{0.7}}})
+		b.Step(now, []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}},
+			HealthCheckResult{Server: "a", Report: []float64{0.9}}, HealthCheckResult{Server: "b", Report: []float64{0.7}}})
 		return b
 	}
 	same := knows()
-	same.Limits.Attempts, same.Classes = 2, append(same.Classes, Class{Name: "d", Worth: 9, Deadline: time.Second})
+	same.Limits.MaxAttempts, same.Classes = 2, append(same.Classes, Class{Name: "d", Priority: 9, Deadline: time.Second})
 	b := learned()
-	b.Step(now, []Event{NewSettings{same}})
-	if !b.find("a").known || b.avg == 0 || len(b.Learned().Kinds) != 1 {
+	b.Step(now, []Event{SettingsChanged{same}})
+	if !b.find("a").known || b.avg == 0 || len(b.LearnedState().Kinds) != 1 {
 		t.Error("forgotten with settings under which reports say the same")
 	}
 	for i, change := range []func(*Settings){
-		func(s *Settings) { s.Fields = []Field{InFlight} }, func(s *Settings) { s.Reports = AllReports },
-		func(s *Settings) { s.Sizes = LiveSize }, func(s *Settings) { s.WorthByWork = true },
+		func(s *Settings) { s.ReportFields = []ReportField{InFlight} }, func(s *Settings) { s.Reports = AllReports },
+		func(s *Settings) { s.Sizes = LiveSize }, func(s *Settings) { s.PriorityPerWork = true },
 	} {
 		other := knows()
 		change(&other)
 		b := learned()
-		told := b.Learned()
-		b.Step(now, []Event{NewSettings{other}})
+		told := b.LearnedState()
+		b.Step(now, []Event{SettingsChanged{other}})
 		fresh, err := New(other, 1, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}
+		list := ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}
 		fresh.Step(now, []Event{list})
 		for _, inherits := range []bool{false, true} {
 			if inherits {
 				b = fresh
-				b.Step(now, []Event{Inherited{told}})
+				b.Step(now, []Event{LearnedStateReceived{told}})
 			}
 			for _, id := range []ServerID{"a", "b"} {
 				s, clean := b.find(id), fresh.find(id)
@@ -261,27 +261,27 @@
 func TestKnownCost(t *testing.T) {
 	for _, known := range []float64{1e-5, 0} {
 		s := knows()
-		s.Nodes, s.FirstCost = 1, known
+		s.Nodes, s.InitialCost = 1, known
 		b, err := New(s, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
 		on, refused := map[ServerID]int{}, 0
-		events := []Event{ServerList{Kind: ListWhole, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}}
+		events := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {ID: "b", Kind: "k", Size: 1}}}}
 		for i := range 2000 {
-			events = append(events, Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1, Left: 4 * time.Second})
+			events = append(events, Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1, TimeLeft: 4 * time.Second})
 			for len(events) > 0 {
 				acts := b.Step(time.Hour+time.Duration(i)*time.Millisecond, events)
 				events = nil
 				for _, a := range acts {
 					switch a := a.(type) {
-					case Send:
+					case StartAttempt:
 						on[a.Server]++
 						events = append(events, Established{ID: a.ID, Server: a.Server})
-					case Refuse:
+					case Reject:
 						refused++
-					case Probe:
-						events = append(events, ProbeResult{Server: a.Server, Report: []float64{float64(on[a.Server]) * 1e-5}})
+					case HealthCheck:
+						events = append(events, HealthCheckResult{Server: a.Server, Report: []float64{float64(on[a.Server]) * 1e-5}})
 					}
 				}
 			}
@@ -302,17 +302,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before.Step(2*time.Hour, []Event{list, ProbeResult{Server: "s000", Outcome: Served, Report: []float64{0.5, 0.5}}})
+		before.Step(2*time.Hour, []Event{list, HealthCheckResult{Server: "s000", Outcome: Served, Report: []float64{0.5, 0.5}}})
 		before.find("s001").credit, before.find("s001").creditAt = 0, 2*time.Hour
 		before.strike(before.find("s002"))
-		learned := before.Learned()
+		learned := before.LearnedState()
 		now := 2*time.Hour + off
 		after, err := New(plain(), 2, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		list.Servers[1].ColdSince = now - time.Second
-		after.Step(now, []Event{list, Inherited{learned}})
+		list.Servers[1].SlowStartSince = now - time.Second
+		after.Step(now, []Event{list, LearnedStateReceived{learned}})
 		if s := after.find("s000"); !s.known || s.reportAt != now {
 			t.Errorf("%v off: a report of now is %v old, known %v", off, now-s.reportAt, s.known)
 		}
--- a/choice/world_test.go
+++ b/choice/world_test.go
@@ -75,7 +75,7 @@
 func (f *referee) note(e Event) {
 	switch e := e.(type) {
 	case ServerList:
-		if e.Kind == ListLost {
+		if e.Kind == ListUnavailable {
 			return
 		}
 		if e.Kind != ListChange {
@@ -97,7 +97,7 @@
 		}
 	case Request:
 		if f.reqs[e.ID] == nil {
-			f.reqs[e.ID] = &seen{class: e.Class, deadline: f.now + e.Left, out: map[int]ServerID{}}
+			f.reqs[e.ID] = &seen{class: e.Class, deadline: f.now + e.TimeLeft, out: map[int]ServerID{}}
 		}
 	case Established:
 		if r := f.reqs[e.ID]; r != nil && r.out[e.Attempt] != "" {
@@ -121,7 +121,7 @@
 func (f *referee) judge(a Action) {
 	f.t.Helper()
 	switch a := a.(type) {
-	case Send:
+	case StartAttempt:
 		r, ok := f.reqs[a.ID]
 		if !ok || r.done || r.gone {
 			f.t.Fatalf("%v: Send for a request that is over or unknown: %+v", f.now, a)
@@ -129,33 +129,33 @@
 		if len(r.out) > 0 {
 			f.t.Fatalf("%v: two attempts out for %s", f.now, a.ID)
 		}
-		if r.sent++; r.sent > max(1, f.set.Limits.Attempts) {
+		if r.sent++; r.sent > max(1, f.set.Limits.MaxAttempts) {
 			f.t.Fatalf("%v: %d attempts for %s", f.now, r.sent, a.ID)
 		}
 		s, ok := f.list[a.Server]
 		if at, drains := f.told[a.Server]; !ok || drains && f.now > at+f.set.Rules.DrainGrace {
 			f.t.Fatalf("%v: Send to %s, unknown or told to drain", f.now, a.Server)
 		}
-		if a.Cap <= 0 || f.now+a.Cap > r.deadline {
-			f.t.Fatalf("%v: cap %v outlives the client of %s", f.now, a.Cap, a.ID)
+		if a.Timeout <= 0 || f.now+a.Timeout > r.deadline {
+			f.t.Fatalf("%v: cap %v outlives the client of %s", f.now, a.Timeout, a.ID)
 		}
 		c := f.set.Classes[r.class]
-		if r.may && c.Repeat == Unsafe {
+		if r.may && c.Idempotency == NotIdempotent {
 			f.t.Fatalf("%v: an unsafe request that may have run is sent again", f.now)
 		}
-		if r.may && c.Repeat == Keyed {
+		if r.may && c.Idempotency == IdempotentByKey {
 			first := f.list[r.mayServer]
-			if f.now > r.mayAt+c.Window || c.Scope != ScopeAll && s.Zone != first.Zone ||
-				c.Scope == ScopeCell && s.Cell != first.Cell {
+			if f.now > r.mayAt+c.IdempotencyWindow || c.IdempotencyScope != ScopeAll && s.Zone != first.Zone ||
+				c.IdempotencyScope == ScopeCell && s.Cell != first.Cell {
 				f.t.Fatalf("%v: a keyed request leaves its group or window", f.now)
 			}
 		}
 		r.out[r.sent-1], r.on = a.Server, a.Server
 		r.sentAt = append(r.sentAt, f.now)
-	case Refuse:
+	case Reject:
 		r := f.final(a.ID)
 		if c := f.set.Classes[r.class]; (r.may || len(r.out) > 0) &&
-			!(c.Repeat == Safe || c.Repeat == Keyed && c.Scope == ScopeAll) {
+			!(c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll) {
 			f.t.Fatalf("%v: refusal of %s, which may have run", f.now, a.ID)
 		}
 	case Fail:
@@ -165,12 +165,12 @@
 			f.t.Fatalf("bad timer %+v", a)
 		}
 		f.timers = append(f.timers, timer{f.now + a.After, a.Token})
-	case Probe:
+	case HealthCheck:
 		if _, ok := f.list[a.Server]; !ok {
 			f.t.Fatalf("probe of unknown server %s", a.Server)
 		}
 		f.probes[a.Server]++
-	case Move:
+	case Migrate:
 		if r := f.reqs[a.ID]; r == nil || !r.open || r.done && r.doneAt < f.now {
 			f.t.Fatalf("%v: move of %s, which is not open", f.now, a.ID)
 		}
@@ -219,17 +219,17 @@
 
 func plain() Settings {
 	return Settings{
-		Nodes: 4, Zone: "z0", Reports: ProbeReports, Fields: []Field{Load, InFlight}, Round: ms(5),
-		Classes: []Class{{Name: "c", SetupAim: ms(300), Deadline: ms(1800), MessageAim: ms(100), Worth: 1}},
-		Limits:  Limits{Attempts: 4, MayProbe: true, MayCancel: true, ConnectTimeout: ms(250)},
-		Rules: Rules{AnswerSlack: ms(20), AskWithin: 10 * time.Second, DrainGrace: ms(500), ColdShare: 0.2,
-			WarmUp: 10 * time.Second, FallMultiple: 3, FallTime: time.Second},
-		Tariffs: Tariffs{Probe: 0.002, Move: 0.01},
+		Nodes: 4, Zone: "z0", Reports: HealthCheckReports, ReportFields: []ReportField{Load, InFlight}, RoundTrip: ms(5),
+		Classes: []Class{{Name: "c", SetupObjective: ms(300), Deadline: ms(1800), MessageObjective: ms(100), Priority: 1}},
+		Limits:  Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, ConnectTimeout: ms(250)},
+		Rules: Rules{AnswerSlack: ms(20), MaxPollInterval: 10 * time.Second, DrainGrace: ms(500), SlowStartFraction: 0.2,
+			WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second},
+		Costs: Costs{HealthCheck: 0.002, Migration: 0.01},
 	}
 }
 
 func fleet(n int) ServerList {
-	l := ServerList{Kind: ListWhole}
+	l := ServerList{Kind: ListFull}
 	for i := range n {
 		l.Servers = append(l.Servers, Server{ID: ServerID(fmt.Sprintf("s%03d", i)), Zone: fmt.Sprintf("z%d", i%3),
 			Kind: fmt.Sprintf("k%d", i%2), Cell: i % 5, Size: 1})
@@ -240,7 +240,7 @@
 // sends returns the servers that the last step sent to.
 func (f *referee) sends() (ids []ServerID) {
 	for _, a := range f.last {
-		if s, ok := a.(Send); ok {
+		if s, ok := a.(StartAttempt); ok {
 			ids = append(ids, s.Server)
 		}
 	}
@@ -254,8 +254,8 @@
 	for range 50 {
 		var events []Event
 		for _, a := range f.last {
-			if p, ok := a.(Probe); ok {
-				events = append(events, ProbeResult{Server: p.Server, Outcome: Served, Report: []float64{load(p.Server), 10}})
+			if p, ok := a.(HealthCheck); ok {
+				events = append(events, HealthCheckResult{Server: p.Server, Outcome: Served, Report: []float64{load(p.Server), 10}})
 			}
 		}
 		if len(events) == 0 {
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -12,8 +12,8 @@
 
 // watch has the guard follow a new request.
 func (r *Request) watch() {
-	r.guard = r.core.o.Monitor.NewRequest(invariant.Facts{ID: string(r.ID), Class: r.class, Deadline: r.Deadline,
-		Attempts: max(1, r.core.o.Settings.Limits.Attempts), Standing: r.At != ""})
+	r.guard = r.core.o.Monitor.NewRequest(invariant.RequestFacts{ID: string(r.ID), Class: r.class, Deadline: r.Deadline,
+		Attempts: max(1, r.core.o.Settings.Limits.MaxAttempts), Standing: r.OpenAt != ""})
 }
 
 // noteState notes since when a host is known to leave.
@@ -27,18 +27,18 @@
 }
 
 // facts are what the guard is told of a host.
-func (c *Core) facts(h *host) invariant.Host {
+func (c *Core) facts(h *host) invariant.Server {
 	rules := c.o.Settings.Rules
-	f := invariant.Host{ID: string(h.ID), Zone: h.Zone, Cell: h.Cell, Leaving: h.leaving, Grace: rules.DrainGrace}
+	f := invariant.Server{ID: string(h.ID), Zone: h.Zone, Cell: h.Cell, Leaving: h.leaving, Grace: rules.DrainGrace}
 	rate, cold := c.balancer.SlowStartRate(h.ID)
 	if !cold {
 		h.calls = nil
 		return f
 	}
 	if h.calls == nil {
-		h.calls = &invariant.CallWindow{Window: rules.FallTime}
+		h.calls = &invariant.CallWindow{Window: rules.OverloadTime}
 	}
-	f.SlowStart, f.Budget = h.calls, rate*rules.FallTime.Seconds()
+	f.SlowStart, f.Budget = h.calls, rate*rules.OverloadTime.Seconds()
 	return f
 }
 
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -42,9 +42,9 @@
 	n.adapt(n.parts)
 	n.others.known(next)
 	zap.L().Info("configuration_taken", zap.String("discovery", next.Discovery), zap.Int("classes", len(next.Settings.ClassByName)),
-		zap.Int("attempts", next.Settings.Limits.Attempts))
+		zap.Int("attempts", next.Settings.Limits.MaxAttempts))
 	if addr, _ := n.watch.At(); addr != next.Discovery {
-		n.core.AnotherList()
+		n.core.ListSourceChanged()
 	}
 	n.watch.Move(next.Discovery)
 }
@@ -57,7 +57,7 @@
 		s = n.over(s).After(n.used) // classes keep their indices
 	}
 	n.used = s
-	n.core.Adapt(platformSettings(n.conf, s.Settings, n.others.socket != nil && len(n.conf.Peers) > 0, parts))
+	n.core.UpdateSettings(platformSettings(n.conf, s.Settings, n.others.socket != nil && len(n.conf.Peers) > 0, parts))
 	n.front.Adapt(s.ClassByName, s.TenantByName, s.Classes)
 	n.hosts.Adapt(s.ReportFields)
 	n.watch.Adapt(way(s.Settings))
@@ -71,9 +71,9 @@
 func platformSettings(n config.Node, s choice.Settings, speaks bool, parts int) choice.Settings {
 	// Hosts return a line at once however full they are, and no line tells a message's time: what the simulator tells
 	// of slow messages has no like here, and the module must do without.
-	s.TellsDelay = false
-	s.Limits.MayTell = speaks
-	s.Parts = parts
+	s.DelaysObserved = false
+	s.Limits.PeerMessages = speaks
+	s.Processes = parts
 	return s
 }
 
@@ -84,9 +84,9 @@
 	hosts := upstream.New(l, n.Settings.ReportFields)
 	var watch *cluster.Watch
 	var others *peers
-	core, err := edge.New(edge.Options{Clock: l, Settings: platformSettings(n, n.Settings.Settings, len(n.Peers) > 0, 1), Seed: n.Seed, Prober: hosts,
-		Follow: func() { watch.Follow() }, Observer: observer, Figures: &p.figures, Monitor: &p.monitor, Trace: &p.trace,
-		Tell: func(to int, message []byte) { others.tell(to, message) }})
+	core, err := edge.New(edge.Options{Clock: l, Settings: platformSettings(n, n.Settings.Settings, len(n.Peers) > 0, 1), Seed: n.Seed, HealthChecker: hosts,
+		WatchList: func() { watch.Follow() }, Observer: observer, Figures: &p.figures, Monitor: &p.monitor, Trace: &p.trace,
+		SendPeerMessage: func(to int, message []byte) { others.tell(to, message) }})
 	if err != nil {
 		return nil, at, err
 	}
@@ -94,16 +94,16 @@
 	if p.beside.lent != nil {
 		lentSocket = p.beside.lent.Datagrams
 	}
-	if others, err = listenPeers(l, n, lentSocket, core.Heard); err != nil {
+	if others, err = listenPeers(l, n, lentSocket, core.ReceivePeerMessage); err != nil {
 		return nil, at, err
 	}
 	front := downstream.New(downstream.Options{Loop: l, Core: core, Upstream: hosts, MostOpen: defaultSockets - spareSockets,
 		OnReady: func() { l.At(l.Now(), p.takes) }})
 	front.Adapt(n.Settings.ClassByName, n.Settings.TenantByName, n.Settings.Classes)
 	known := p.beside.known(n.Known, n.Discovery)
-	watch = cluster.New(l, n.Discovery, known, way(n.Settings.Settings), n.Seed, func(k choice.ListKind, news []edge.UpstreamHost) {
-		core.List(k, news)
-		if k == choice.ListWhole {
+	watch = cluster.New(l, n.Discovery, known, way(n.Settings.Settings), n.Seed, func(k choice.ListKind, news []edge.ServerEntry) {
+		core.UpdateServers(k, news)
+		if k == choice.ListFull {
 			hosts.ForgetOthers(news)
 		}
 		for _, h := range news {
@@ -111,7 +111,7 @@
 				hosts.Forget(h.ID)
 			}
 		}
-		if k != choice.ListLost {
+		if k != choice.ListUnavailable {
 			p.listed()
 		}
 	})
@@ -122,7 +122,7 @@
 	at = door.Addr
 	zap.L().Info("listening", zap.String("protocol", "platform"), zap.Stringer("address", at))
 	l.After(core.Flush)
-	var hostsKnown []edge.UpstreamHost
+	var hostsKnown []edge.ServerEntry
 	if known != nil {
 		hostsKnown, _ = known.Hosts()
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -79,9 +79,9 @@
 var (
 	outcomes = map[string]choice.Outcome{"ok": choice.Served, "error": choice.Failed, "full": choice.Full,
 		"timeout": choice.TimedOut, "connect_failed": choice.ConnectFailed, "reset": choice.Reset,
-		"cancelled": choice.Cancelled, "moot": choice.Moot}
-	forms = map[string]choice.ListKind{"incr": choice.ListChange, "total": choice.ListWhole,
-		"warm_copy": choice.ListCached, "lost": choice.ListLost}
+		"cancelled": choice.Cancelled, "moot": choice.NeverSent}
+	forms = map[string]choice.ListKind{"incr": choice.ListChange, "total": choice.ListFull,
+		"warm_copy": choice.ListCached, "lost": choice.ListUnavailable}
 	states = map[string]choice.ServerState{"live": choice.Ready, "quiescing": choice.Draining, "dead": choice.Gone}
 )
 
@@ -218,7 +218,7 @@
 		r, err := n.request(e)
 		return choice.OpenConnection{Request: r, Server: choice.ServerID(e.Host)}, errors.Join(err, need(e.Host != "", "host"))
 	case "Checked":
-		return choice.ProbeResult{Server: choice.ServerID(e.Host), Outcome: outcome, Took: seconds(e.RttS),
+		return choice.HealthCheckResult{Server: choice.ServerID(e.Host), Outcome: outcome, Took: seconds(e.RttS),
 			Report: row(e.Feedback)}, errors.Join(need(e.Host != "", "host"), need(known, "rc"))
 	case "Streaming":
 		if e.Trial == nil || e.OpID == "" {
@@ -242,9 +242,9 @@
 			if e.Trial != nil {
 				trial = *e.Trial
 			}
-			return choice.LoadNote{ID: choice.RequestID(e.OpID), Attempt: trial, Load: *e.X / 1e6}, nil
+			return choice.LoadUpdate{ID: choice.RequestID(e.OpID), Attempt: trial, Load: *e.X / 1e6}, nil
 		case 2:
-			return choice.DelayNote{ID: choice.RequestID(e.OpID), Server: choice.ServerID(e.Host), Took: seconds(*e.X / 1e3)}, nil
+			return choice.DelayObservation{ID: choice.RequestID(e.OpID), Server: choice.ServerID(e.Host), Took: seconds(*e.X / 1e3)}, nil
 		}
 		return nil, nil // a kind of news this version does not know
 	case "ClientGone":
@@ -275,7 +275,7 @@
 		r.Tenant = t
 	}
 	if e.ExpiresIn != nil {
-		r.Left = seconds(*e.ExpiresIn)
+		r.TimeLeft = seconds(*e.ExpiresIn)
 	}
 	if e.Options&1 != 0 {
 		r.Load = e.EstimateS
@@ -300,24 +300,24 @@
 func toStep(id string, a choice.Action) step {
 	s := step{NodeID: id}
 	switch a := a.(type) {
-	case choice.Send:
-		s.Op, s.OpID, s.Host, s.CapS = "Route", string(a.ID), string(a.Server), a.Cap.Seconds()
-	case choice.Refuse:
-		s.Op, s.OpID, s.Away = "OverloadReply", string(a.ID), a.After.Seconds()
+	case choice.StartAttempt:
+		s.Op, s.OpID, s.Host, s.CapS = "Route", string(a.ID), string(a.Server), a.Timeout.Seconds()
+	case choice.Reject:
+		s.Op, s.OpID, s.Away = "OverloadReply", string(a.ID), a.RetryAfter.Seconds()
 	case choice.Fail:
 		s.Op, s.OpID = "Surrender", string(a.ID)
-	case choice.Cancel:
+	case choice.CancelAttempt:
 		s.Op, s.OpID, s.Trial = "DropAttempt", string(a.ID), &a.Attempt
-	case choice.Probe:
+	case choice.HealthCheck:
 		s.Op, s.Host = "Ping", string(a.Server)
-	case choice.Move:
+	case choice.Migrate:
 		s.Op, s.OpID = "Evict", string(a.ID)
 	case choice.SetTimer:
 		// an absent afterS is not allowed, so the shortest wait is a microsecond
 		s.Op, s.Token, s.AfterS = "Defer", a.Token, max(a.After.Seconds(), 1e-6)
-	case choice.Tell:
+	case choice.SendPeerMessage:
 		s.Op, s.Peer, s.Data = "Say", &a.To, a.Data
-	case choice.Follow:
+	case choice.WatchList:
 		s.Op, s.Active = "Follow", true
 	}
 	return s
