--- a/choice/cold_fleet_test.go
+++ b/choice/cold_fleet_test.go
@@ -33,10 +33,14 @@
 
 // shortWarmUp and longWarmUp are rules as sites have them.
 var (
-	shortWarmUp = choice.Rules{AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
-		SlowStartFraction: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second}
-	longWarmUp = choice.Rules{AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second,
-		SlowStartFraction: 0.14, WarmUp: 24 * time.Second, OverloadMultiple: 4, OverloadTime: 2 * time.Second}
+	shortWarmUp = choice.Rules{
+		AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
+		SlowStartFraction: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second,
+	}
+	longWarmUp = choice.Rules{
+		AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second,
+		SlowStartFraction: 0.14, WarmUp: 24 * time.Second, OverloadMultiple: 4, OverloadTime: 2 * time.Second,
+	}
 )
 
 // coldFigures say how cold hosts fared in one run.
@@ -59,9 +63,12 @@
 func (noJudge) stepped(*simNode, []choice.Event, []choice.Action) {}
 
 func (f coldFleet) settings() choice.Settings {
-	s := choice.Settings{Nodes: f.nodes, Zone: "z0", Reports: f.reports, Sizes: choice.NominalSize, RoundTrip: 5 * time.Millisecond,
-		Classes: []choice.Class{{Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
-			MessageObjective: 100 * time.Millisecond, Priority: 1}},
+	s := choice.Settings{
+		Nodes: f.nodes, Zone: "z0", Reports: f.reports, Sizes: choice.NominalSize, RoundTrip: 5 * time.Millisecond,
+		Classes: []choice.Class{{
+			Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second,
+			MessageObjective: 100 * time.Millisecond, Priority: 1,
+		}},
 		Limits: choice.Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, PeerMessages: f.peers, ConnectTimeout: 100 * time.Millisecond},
 		Rules:  f.rules,
 		Costs:  choice.Costs{HealthCheck: 0.002, Migration: 0.01, PeerMessage: 0.01},
@@ -77,6 +84,13 @@
 
 // play has the fleet come into balance, then cold hosts join and others come back cold, under a burst, and counts.
 func (f coldFleet) play(t *testing.T) coldFigures {
+	t.Helper()
+	return f.playRecorded(t, false, nil).coldFigures(f)
+}
+
+// playRecorded is the same, with the clients in groups or not, and all actions recorded.
+func (f coldFleet) playRecorded(t *testing.T, grouped bool, r *recorder) *simulation {
+	t.Helper()
 	var list []choice.Server
 	for i := range f.hosts {
 		h := choice.Server{ID: choice.ServerID(fmt.Sprintf("h%02d", i)), Zone: "z0", Kind: fmt.Sprint("k", i%2), Size: 1 - 0.4*float64(i%2)}
@@ -85,10 +99,14 @@
 		}
 		list = append(list, h)
 	}
-	world := terms{perHost: coldPerHost, life: coldLife, listDelay: 300 * time.Millisecond, tries: 6, oddAnswers: 0.02, shedAt: 1.3,
-		slotsAt: 1.3, lossOfTells: 0.02, skew: f.skew, homes: f.homes}
+	world := terms{
+		perHost: coldPerHost, life: coldLife, listDelay: 300 * time.Millisecond, tries: 6, oddAnswers: 0.02, shedAt: 1.3,
+		slotsAt: 1.3, lossOfTells: 0.02, skew: f.skew, homes: f.homes,
+	}
 	s := f.settings()
+	s.GroupAffinity = grouped
 	w := newSimulation(t, f.name, s, world, list, f.seed, noJudge{})
+	w.recorder = r
 	var strength float64
 	for _, h := range w.hosts {
 		strength += h.strength
@@ -97,7 +115,13 @@
 		}
 	}
 	rate := coldLoad * strength * coldPerHost / coldLife.Seconds()
-	draw := func() *simClient { return &simClient{tenant: -1, key: w.rng.Uint64(), load: 1} }
+	draw := func() *simClient {
+		c := &simClient{tenant: -1, key: w.rng.Uint64(), load: 1}
+		if grouped {
+			c.group = 1 + c.key%30
+		}
+		return c
+	}
 	day := beforeCold + f.rules.WarmUp + 4*time.Second
 	w.arrivalsFor(day, rate, draw)
 	if f.burst > 0 {
@@ -120,7 +144,7 @@
 			t.Errorf("%s: no %s; the run shows nothing", f.name, what)
 		}
 	}
-	return w.coldFigures(f)
+	return w
 }
 
 // warmAt is the part of its capacity that a host has so long after a cold start.
@@ -236,8 +260,10 @@
 				t.Parallel()
 				var sum coldFigures
 				for seed := range c.seeds {
-					f := coldFleet{name: fmt.Sprintf("%s, seed %d", name, seed), nodes: c.nodes, hosts: 24, reports: c.reports, peers: c.peers,
-						rules: rules, skew: 4, told: c.told, burst: 4, seed: seed}
+					f := coldFleet{
+						name: fmt.Sprintf("%s, seed %d", name, seed), nodes: c.nodes, hosts: 24, reports: c.reports, peers: c.peers,
+						rules: rules, skew: 4, told: c.told, burst: 4, seed: seed,
+					}
 					sum.add(f.play(t), c.seeds)
 				}
 				t.Logf("worst window %.2f of the limit (%d requests, N %.1f), over it %d, rule broken %d; part of the budget %.2f, "+
