--- a/internal/operate/handover/golden_test.go
+++ b/internal/operate/handover/golden_test.go
@@ -27,7 +27,7 @@
 
 var updateGolden = flag.Bool("update-golden", false, "write testdata/golden anew")
 
-// golden is what the file of a name holds; with -update-golden it holds got from now on.
+// golden returns what the file of a name holds; with -update-golden it holds got from now on.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -49,48 +49,58 @@
 // goldenList is a list with each field set.
 func goldenList() cluster.List {
 	return cluster.ListOf(71, []edge.ServerEntry{
-		{Addr: "10.1.0.18:3000", Server: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Cell: 3, State: choice.Draining, Size: 1.5, Started: 1800 * time.Millisecond}},
+		{Addr: "10.1.0.18:3000", Server: choice.Server{
+			ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Cell: 3, State: choice.Draining, Size: 1.5,
+			Started: 1800 * time.Millisecond,
+		}},
 	})
 }
 
-// goldenLines has a message of each kind, with the fields that it has, and one with every field.
-func goldenLines() map[string]line {
+// goldenMessages has a message of each kind, with the fields that it has, and one with every field.
+func goldenMessages() map[string]message {
 	list := goldenList()
-	return map[string]line{
-		"hello":   {Kind: "hello", Version: 1, Carry: 1},
-		"lent":    {Kind: "lent", Version: 1, Sockets: []string{"127.0.0.1:3000"}, Datagrams: true, Discovery: "127.0.0.1:4000", List: &list, Room: 100, Carry: 1, Learned: []byte("learned\x00\xff")},
+	return map[string]message{
+		"hello": {Kind: "hello", Version: 1, TransferForm: 1},
+		"lent": {
+			Kind: "lent", Version: 1, Sockets: []string{"127.0.0.1:3000"}, HasDatagrams: true,
+			Discovery: "127.0.0.1:4000", List: &list, Descriptors: 100, TransferForm: 1,
+			Learned: []byte("learned\x00\xff"),
+		},
 		"ready":   {Kind: "ready"},
-		"room":    {Kind: "room", Room: 150},
-		"free":    {Kind: "free", Room: 9},
+		"room":    {Kind: "room", Descriptors: 150},
+		"free":    {Kind: "free", Descriptors: 9},
 		"batch":   {Kind: "batch", Size: 20},
 		"learned": {Kind: "learned", Size: 5},
-		"held":    {Kind: "held", Room: 3},
+		"held":    {Kind: "held", Descriptors: 3},
 		"refused": {Kind: "refused"},
 		"given":   {Kind: "given"},
 		"back":    {Kind: "back"},
-		"every-field": {Kind: "every", Version: 2, Sockets: []string{"127.0.0.1:3000", "[::1]:5222"}, Datagrams: true, Discovery: "d:1", List: &list, Room: 3, Carry: 4,
-			Learned: []byte{5}, Size: 6},
+		"every-field": {
+			Kind: "every", Version: 2, Sockets: []string{"127.0.0.1:3000", "[::1]:5222"}, HasDatagrams: true,
+			Discovery: "d:1", List: &list, Descriptors: 3, TransferForm: 4,
+			Learned: []byte{5}, Size: 6,
+		},
 	}
 }
 
-// TestGoldenLines writes and reads each message by itself.
-func TestGoldenLines(t *testing.T) {
-	for name, message := range goldenLines() {
+// TestGoldenMessages writes and reads each message by itself.
+func TestGoldenMessages(t *testing.T) {
+	for name, sent := range goldenMessages() {
 		t.Run(name, func(t *testing.T) {
-			want := golden(t, name+".json", message.bytes())
-			if got := message.bytes(); !bytes.Equal(got, want) {
+			want := golden(t, name+".json", sent.encode())
+			if got := sent.encode(); !bytes.Equal(got, want) {
 				t.Errorf("written %s, want %s", got, want)
 			}
-			var read line
+			var read message
 			if err := json.Unmarshal(want, &read); err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(read, message) {
-				t.Errorf("read %+v, want %+v", read, message)
+			if !reflect.DeepEqual(read, sent) {
+				t.Errorf("read %+v, want %+v", read, sent)
 			}
 		})
 	}
-	every := reflect.ValueOf(goldenLines()["every-field"])
+	every := reflect.ValueOf(goldenMessages()["every-field"])
 	for i := range every.NumField() {
 		if every.Field(i).IsZero() {
 			t.Errorf("the message with every field has no %s", every.Type().Field(i).Name)
@@ -100,246 +110,272 @@
 
 // TestGoldenBatch writes and reads the connections of a batch.
 func TestGoldenBatch(t *testing.T) {
-	all := []packed{{Sockets: 2, Body: []byte("front state")}, {Sockets: 1, Body: []byte{0x00, 0xff}}}
-	want := golden(t, "connections.cbor", batch(t, all...))
-	if got := batch(t, all...); !bytes.Equal(got, want) {
-		t.Errorf("written %x, want %x", got, want)
+	items := []encodedItem{{Sockets: 2, Body: []byte("front state")}, {Sockets: 1, Body: []byte{0x00, 0xff}}}
+	encoded := encodeItems(t, items...)
+	want := golden(t, "connections.cbor", encoded)
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("written %x, want %x", encoded, want)
 	}
-	var fds []int
-	for range 3 {
-		fd, far := pair(t)
-		defer far.Close()
-		fds = append(fds, fd)
-	}
-	defer loop.CloseAll(fds)
-	parcels, err := parseBatch(want, fds)
+	fds := threeSockets(t)
+	read, err := decodeBatch(want, fds)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(parcels, []TransferItem{{FDs: fds[:2], Body: []byte("front state")}, {FDs: fds[2:], Body: []byte{0x00, 0xff}}}) {
-		t.Errorf("read %+v of descriptors %v", parcels, fds)
+	if sent := goldenItems(fds); !reflect.DeepEqual(read, sent) {
+		t.Errorf("read %+v, want %+v", read, sent)
+	}
+}
+
+// threeSockets returns descriptors of stream sockets, closed at the test's end.
+func threeSockets(t *testing.T) (fds []int) {
+	t.Helper()
+	for range 3 {
+		fd, _ := socketPair(t)
+		fds = append(fds, fd)
+	}
+	t.Cleanup(func() { loop.CloseAll(fds) })
+	return fds
+}
+
+// goldenItems are the connections of the golden batch, of three descriptors.
+func goldenItems(fds []int) []TransferItem {
+	return []TransferItem{
+		{FDs: fds[:2:2], Body: []byte("front state")},
+		{FDs: fds[2:], Body: []byte{0x00, 0xff}},
 	}
 }
 
 // conversation is the other end of a link, as a process of another release would be.
 type conversation struct {
-	t    *testing.T
 	conn *net.UnixConn
 }
 
 // hears wants the bytes of golden files next, one after the other. It returns the descriptors that came along.
-func (c *conversation) hears(names ...string) (fds []int) {
-	c.t.Helper()
+func (c conversation) hears(t *testing.T, names ...string) (fds []int) {
+	t.Helper()
 	var want []byte
 	for _, name := range names {
-		want = append(want, golden(c.t, name, nil)...)
+		want = append(want, golden(t, name, nil)...)
+	}
+	if err := c.conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
 	}
-	c.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	got := make([]byte, 0, len(want))
-	side := make([]byte, unix.CmsgSpace(4*mostRights))
+	control := make([]byte, unix.CmsgSpace(4*maxGrantDescriptors))
 	for len(got) < len(want) {
-		buf := make([]byte, len(want)-len(got))
-		n, sn, _, _, err := c.conn.ReadMsgUnix(buf, side)
+		buffer := make([]byte, len(want)-len(got))
+		size, controlSize, _, _, err := c.conn.ReadMsgUnix(buffer, control)
 		if err != nil {
-			c.t.Fatalf("%v: %v after %q", names, err, got)
+			t.Fatalf("%v: %v after %q", names, err, got)
 		}
-		fds = append(fds, loop.ReceivedDescriptors(side[:sn])...)
-		got = append(got, buf[:n]...)
+		fds = append(fds, loop.ReceivedDescriptors(control[:controlSize])...)
+		got = append(got, buffer[:size]...)
 	}
 	if !bytes.Equal(got, want) {
-		c.t.Fatalf("%v: heard %q, want %q", names, got, want)
+		t.Fatalf("%v: heard %q, want %q", names, got, want)
 	}
-	c.t.Cleanup(func() { loop.CloseAll(fds) })
+	t.Cleanup(func() { loop.CloseAll(fds) })
 	return fds
 }
 
 // says sends the bytes of golden files, with descriptors.
-func (c *conversation) says(fds []int, names ...string) {
-	c.t.Helper()
-	var all []byte
+func (c conversation) says(t *testing.T, fds []int, names ...string) {
+	t.Helper()
+	var sent []byte
 	for _, name := range names {
-		all = append(all, golden(c.t, name, nil)...)
+		sent = append(sent, golden(t, name, nil)...)
 	}
-	var side []byte
+	var control []byte
 	if len(fds) > 0 {
-		side = unix.UnixRights(fds...)
+		control = unix.UnixRights(fds...)
 	}
-	if _, _, err := c.conn.WriteMsgUnix(all, side, nil); err != nil {
-		c.t.Fatal(err)
+	if _, _, err := c.conn.WriteMsgUnix(sent, control, nil); err != nil {
+		t.Fatal(err)
 	}
 }
 
-// updated skips a test that only compares, while the files are written anew.
-func updated(t *testing.T) {
+// skipUpdate skips a test that only compares, while the files are written anew.
+func skipUpdate(t *testing.T) {
+	t.Helper()
 	if *updateGolden {
 		t.Skip("the files are written anew")
 	}
 }
 
+// goldenGrant is the grant of lent.json.
+func goldenGrant(fds []int) Grant {
+	return Grant{
+		Sockets: map[string]int{"127.0.0.1:3000": fds[0]}, Datagrams: fds[1], Discovery: "127.0.0.1:4000",
+		List: goldenList(), DescriptorQuota: 100, Learned: []byte("learned\x00\xff"),
+	}
+}
+
 // TestGoldenParent has the running process hear and say each message to one of another release.
 func TestGoldenParent(t *testing.T) {
-	updated(t)
-	path := Path(t.TempDir(), "127.0.0.1:3000")
-	l, on := run(t)
-	listener, listenerFar := pair(t)
-	datagrams, datagramsFar := pair(t)
-	connection, connectionFar := pair(t)
-	defer loop.CloseAll([]int{listener, datagrams, connection})
-	for _, far := range []*os.File{listenerFar, datagramsFar, connectionFar} {
-		defer far.Close()
-	}
-	var p *Coordinator
-	on(func() {
-		p = NewCoordinator(Options{Loop: l, Path: path, Changed: func() {}, Grant: func() Grant {
-			return Grant{Sockets: map[string]int{"127.0.0.1:3000": listener}, Datagrams: datagrams, Discovery: "127.0.0.1:4000", List: goldenList(), DescriptorQuota: 100,
-				Learned: []byte("learned\x00\xff")}
-		}}, nil)
+	skipUpdate(t)
+	path := socketPath(t)
+	eventLoop, onLoop := startLoop(t)
+	fds := threeSockets(t)
+	var parent *Coordinator
+	onLoop(func() {
+		parent = NewCoordinator(Options{
+			Loop: eventLoop, Path: path, Changed: nothingChanged, Grant: func() Grant { return goldenGrant(fds) },
+		}, nil)
 	})
-	conn, err := net.Dial("unix", path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	other := &conversation{t, conn.(*net.UnixConn)}
-	defer conn.Close()
-	other.says(nil, "hello.json")
-	if fds := other.hears("lent.json"); len(fds) != 2 {
-		t.Errorf("%d descriptors came, want 2", len(fds))
+	other := conversation{dialUnix(t, path)}
+	other.says(t, nil, "hello.json")
+	if came := other.hears(t, "lent.json"); len(came) != 2 {
+		t.Errorf("%d descriptors came, want 2", len(came))
 	}
-	other.says(nil, "ready.json", "free.json")
-	until(t, on, "room", func() bool { there, n := p.SuccessorAccepts(); return there && n == 9 })
-	on(func() { p.RaiseQuota(200, 50) })
-	other.hears("room.json")
-	on(func() { p.SendLearnedState([]byte("learn")) })
-	other.hears("learned.json")
+	other.says(t, nil, "ready.json", "free.json")
+	waitFor(t, onLoop, "free descriptors", func() bool {
+		there, descriptors := parent.SuccessorAccepts()
+		return there && descriptors == 9
+	})
+	onLoop(func() { parent.RaiseQuota(200, 50) })
+	other.hears(t, "room.json")
+	onLoop(func() { parent.SendLearnedState([]byte("learn")) })
+	other.hears(t, "learned.json")
 	body := make([]byte, 5)
-	if _, err := io.ReadFull(conn, body); err != nil || string(body) != "learn" {
+	if _, err := io.ReadFull(other.conn, body); err != nil || string(body) != "learn" {
 		t.Errorf("learned %q, %v, want %q", body, err, "learn")
 	}
-	parcels := []TransferItem{{[]int{connection, listener}, []byte("front state")}, {[]int{datagrams}, []byte{0x00, 0xff}}}
-	taken := make(chan bool, 1)
-	give := func() { on(func() { p.Transfer(parcels, func(ok bool) { taken <- ok }) }) }
+	accepted := make(chan bool, 1)
 	for _, step := range []struct {
 		says, hears string
-		taken       bool
+		accepted    bool
 	}{
 		{"refused.json", "", false},
 		{"held.json", "given.json", true},
 		{"", "back.json", false},
 	} {
-		give()
-		if fds := other.hears("batch.json", "connections.cbor"); len(fds) != 3 {
-			t.Errorf("%d descriptors came with a batch, want 3", len(fds))
+		onLoop(func() { parent.Transfer(goldenItems(fds), func(ok bool) { accepted <- ok }) })
+		if came := other.hears(t, "batch.json", "connections.cbor"); len(came) != 3 {
+			t.Errorf("%d descriptors came with a batch, want 3", len(came))
 		}
 		if step.says != "" {
-			other.says(nil, step.says)
+			other.says(t, nil, step.says)
 		}
 		if step.hears != "" {
-			other.hears(step.hears)
+			other.hears(t, step.hears)
 		}
-		if got := <-taken; got != step.taken {
-			t.Errorf("after %q taken is %v, want %v", step.says, got, step.taken)
+		if got := <-accepted; got != step.accepted {
+			t.Errorf("after %q accepted is %v, want %v", step.says, got, step.accepted)
 		}
 	}
 }
 
-// TestGoldenSuccessor has the process that starts hear and say each message to one of another release.
-func TestGoldenSuccessor(t *testing.T) {
-	updated(t)
-	path := Path(t.TempDir(), "127.0.0.1:3000")
-	door, err := net.Listen("unix", path)
-	if err != nil {
-		t.Fatal(err)
+// goldenHandler notes what comes, and takes a batch as long as it has descriptors free.
+type goldenHandler struct {
+	free   int
+	calls  string
+	bodies [][]byte
+}
+
+func (h *goldenHandler) handler() TransferHandler {
+	return TransferHandler{
+		FreeDescriptors: func() int { return h.free },
+		Learned:         func(learned []byte) { h.calls += "learned " + string(learned) + " " },
+		Prepare:         h.prepare,
+	}
+}
+
+func (h *goldenHandler) prepare(items []TransferItem) (PreparedBatch, error) {
+	h.calls += "prepared "
+	if h.free == 0 {
+		return PreparedBatch{}, io.ErrUnexpectedEOF
 	}
-	defer door.Close()
-	listener, listenerFar := pair(t)
-	datagrams, datagramsFar := pair(t)
-	connection, connectionFar := pair(t)
-	defer loop.CloseAll([]int{listener, datagrams, connection})
-	for _, far := range []*os.File{listenerFar, datagramsFar, connectionFar} {
-		defer far.Close()
+	var fds []int
+	for _, item := range items {
+		h.bodies = append(h.bodies, item.Body)
+		fds = append(fds, item.FDs...)
 	}
-	answered := make(chan *conversation, 1)
+	h.calls += fmt.Sprint(len(fds), " ")
+	end := func(call string) func() {
+		return func() {
+			h.calls += call
+			loop.CloseAll(fds)
+		}
+	}
+	return PreparedBatch{Commit: end("committed "), Abort: end("aborted ")}, nil
+}
+
+// goldenLink has a parent of another release answer a hello, and returns its end of the link and the grant.
+func goldenLink(t *testing.T, fds []int) (conversation, *Grant) {
+	t.Helper()
+	path := socketPath(t)
+	listener := listenUnix(t, path)
+	answer := golden(t, "lent.json", nil)
+	answered := make(chan *net.UnixConn, 1)
 	go func() {
-		conn, err := door.Accept()
+		conn, err := listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		other := &conversation{t, conn.(*net.UnixConn)}
-		side := unix.UnixRights(listener, datagrams)
-		raw, err := os.ReadFile(filepath.Join("testdata", "golden", "lent.json"))
-		if err == nil {
-			_, _, err = other.conn.WriteMsgUnix(raw, side, nil)
-		}
-		if err != nil {
-			conn.Close()
-		}
-		answered <- other
+		_, _, _ = conn.WriteMsgUnix(answer, unix.UnixRights(fds[:2]...), nil) // else there is no grant
+		answered <- conn
 	}()
-	lent, err := RequestGrant(path, time.Now().Add(20*time.Second))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer lent.Release(func(fd int) bool { return fd == lent.fd })
-	list := goldenList()
-	if lent.Discovery != "127.0.0.1:4000" || lent.DescriptorQuota != 100 || string(lent.Learned) != "learned\x00\xff" || lent.carry != 1 || len(lent.Sockets) != 1 ||
-		lent.Sockets["127.0.0.1:3000"] <= 0 || lent.Datagrams <= 0 || !reflect.DeepEqual(lent.List, list) {
-		t.Errorf("lent is %+v", lent)
+	grant := requestGrant(t, path)
+	conn := <-answered
+	t.Cleanup(func() { closed(t, conn) })
+	return conversation{conn}, grant
+}
+
+// TestGoldenSuccessor has the process that starts hear and say each message to one of another release.
+func TestGoldenSuccessor(t *testing.T) {
+	skipUpdate(t)
+	fds := threeSockets(t)
+	other, grant := goldenLink(t, fds)
+	t.Cleanup(func() { grant.Release(func(fd int) bool { return fd == grant.fd }) })
+	want := goldenGrant([]int{grant.Sockets["127.0.0.1:3000"], grant.Datagrams})
+	want.fd = grant.fd
+	want.unread = []byte{}
+	want.transferForm = 1
+	if !reflect.DeepEqual(*grant, want) || want.Sockets["127.0.0.1:3000"] <= 0 || want.Datagrams <= 0 {
+		t.Errorf("the grant is %+v, want %+v", *grant, want)
 	}
-	other := <-answered
-	defer other.conn.Close()
-	other.hears("hello.json")
-	l, on := run(t)
-	var p *Coordinator
-	free, calls := 9, ""
-	var came [][]byte
-	on(func() {
-		p = NewCoordinator(Options{Loop: l, Path: Path(t.TempDir(), "127.0.0.1:3000"), Changed: func() {}, Grant: func() Grant { return Grant{Datagrams: -1} },
-			TransferHandler: TransferHandler{FreeDescriptors: func() int { return free }, Learned: func(b []byte) { calls += "learned " + string(b) + " " },
-				Prepare: func(all []TransferItem) (PreparedBatch, error) {
-					if calls += "held "; free == 0 {
-						return PreparedBatch{}, io.ErrUnexpectedEOF
-					}
-					var fds []int
-					for _, parcel := range all {
-						came = append(came, parcel.Body)
-						fds = append(fds, parcel.FDs...)
-					}
-					calls += fmt.Sprint(len(fds), " ")
-					return PreparedBatch{Commit: func() { calls += "taken "; loop.CloseAll(fds) }, Abort: func() { calls += "dropped "; loop.CloseAll(fds) }}, nil
-				}}}, lent)
-		p.Ready()
+	other.hears(t, "hello.json")
+	eventLoop, onLoop := startLoop(t)
+	var successor *Coordinator
+	handler := goldenHandler{free: 9}
+	onLoop(func() {
+		successor = NewCoordinator(Options{
+			Loop: eventLoop, Path: socketPath(t), Changed: nothingChanged, Grant: grantOnly(0),
+			TransferHandler: handler.handler(),
+		}, grant)
+		successor.Ready()
 	})
-	other.hears("ready.json", "free.json")
-	other.says(nil, "learned.json")
-	if _, err := io.WriteString(other.conn, "learn"); err != nil {
-		t.Fatal(err)
-	}
-	send := func() {
+	other.hears(t, "ready.json", "free.json")
+	other.says(t, nil, "learned.json")
+	writeString(t, other.conn, "learn")
+	offer := func() {
 		t.Helper()
-		on(func() { free = 3 })
-		other.says([]int{listener, datagrams, connection}, "batch.json", "connections.cbor")
-		other.hears("held.json")
-		on(func() { free = 9 })
+		onLoop(func() { handler.free = 3 })
+		other.says(t, fds, "batch.json", "connections.cbor")
+		other.hears(t, "held.json")
+		onLoop(func() { handler.free = 9 })
 	}
-	send()
-	other.says(nil, "given.json")
-	other.hears("free.json")
-	send()
-	other.says(nil, "back.json", "room.json")
-	other.hears("free.json")
-	on(func() {
-		if free = 0; p.DescriptorQuota() != 150 {
-			t.Errorf("room is %d, want 150", p.DescriptorQuota())
+	offer()
+	other.says(t, nil, "given.json")
+	other.hears(t, "free.json")
+	offer()
+	other.says(t, nil, "back.json", "room.json")
+	other.hears(t, "free.json")
+	onLoop(func() {
+		handler.free = 0
+		if successor.DescriptorQuota() != 150 {
+			t.Errorf("the quota is %d, want 150", successor.DescriptorQuota())
 		}
 	})
-	other.says([]int{listener, datagrams, connection}, "batch.json", "connections.cbor")
-	other.hears("refused.json")
-	on(func() {
-		if want := "learned learn held 3 taken held 3 dropped held "; calls != want {
-			t.Errorf("calls are %q, want %q", calls, want)
+	other.says(t, fds, "batch.json", "connections.cbor")
+	other.hears(t, "refused.json")
+	onLoop(func() {
+		if want := "learned learn prepared 3 committed prepared 3 aborted prepared "; handler.calls != want {
+			t.Errorf("calls are %q, want %q", handler.calls, want)
 		}
-		if len(came) != 4 || string(came[0]) != "front state" || !bytes.Equal(came[1], []byte{0x00, 0xff}) {
-			t.Errorf("connections came with %q", came)
+		want := [][]byte{[]byte("front state"), {0x00, 0xff}, []byte("front state"), {0x00, 0xff}}
+		if !reflect.DeepEqual(handler.bodies, want) {
+			t.Errorf("connections came with %q, want %q", handler.bodies, want)
 		}
 	})
 }
--- /dev/null
+++ b/internal/operate/handover/helpers_test.go
@@ -0,0 +1,164 @@
+package handover
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"golang.org/x/sys/unix"
+
+	"spurwinch/internal/exchange"
+	"spurwinch/internal/loop"
+)
+
+// testTimeout bounds each wait for the other side.
+const testTimeout = 20 * time.Second
+
+// startLoop runs an event loop until the test ends. onLoop calls a function there and waits for its return.
+func startLoop(t *testing.T) (eventLoop *loop.Loop, onLoop func(func())) {
+	t.Helper()
+	eventLoop, err := loop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	stopped := make(chan error, 1)
+	go func() { stopped <- eventLoop.Run() }()
+	t.Cleanup(func() {
+		eventLoop.Post(eventLoop.Stop)
+		if err := <-stopped; err != nil {
+			t.Errorf("the event loop ended with %v", err)
+		}
+	})
+	return eventLoop, func(fn func()) {
+		returned := make(chan struct{})
+		eventLoop.Post(func() {
+			fn()
+			close(returned)
+		})
+		<-returned
+	}
+}
+
+// waitFor polls a condition on the loop until it holds.
+func waitFor(t *testing.T, onLoop func(func()), what string, condition func() bool) {
+	t.Helper()
+	exchange.Until(t, what, func() (holds bool) {
+		onLoop(func() { holds = condition() })
+		return holds
+	})
+}
+
+// nothingChanged ignores what a Coordinator tells of other processes.
+func nothingChanged() {}
+
+// grantOnly returns a function that grants descriptors and nothing else.
+func grantOnly(descriptors int) func() Grant {
+	return func() Grant { return Grant{Datagrams: noDescriptor, DescriptorQuota: descriptors} }
+}
+
+// socketPath returns a path for the socket. Its folder's name is short whatever the test is called: see maxPathBytes.
+func socketPath(t *testing.T) string {
+	t.Helper()
+	dir, err := os.MkdirTemp("", "hr") //nolint:usetesting // t.TempDir has the test's name in the path
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := os.RemoveAll(dir); err != nil {
+			t.Error(err)
+		}
+	})
+	return Path(dir, "127.0.0.1:3000")
+}
+
+// requestGrant asks the process at a path for its grant.
+func requestGrant(t *testing.T, path string) *Grant {
+	t.Helper()
+	grant, err := RequestGrant(path, time.Now().Add(testTimeout))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return grant
+}
+
+// listenUnix listens at a path until the test ends.
+func listenUnix(t *testing.T, path string) *net.UnixListener {
+	t.Helper()
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closed(t, listener) })
+	return listener
+}
+
+// dialUnix connects to a path until the test ends.
+func dialUnix(t *testing.T, path string) *net.UnixConn {
+	t.Helper()
+	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	return conn
+}
+
+func closed(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+func writeString(t *testing.T, w io.Writer, text string) {
+	t.Helper()
+	if _, err := io.WriteString(w, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// countDescriptors counts the descriptors of this process.
+func countDescriptors(t *testing.T) int {
+	t.Helper()
+	all, err := os.ReadDir("/proc/self/fd")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return len(all)
+}
+
+// socketPair is a connection to transfer: fd is this end's descriptor, far the other end.
+func socketPair(t *testing.T) (fd int, far *os.File) {
+	t.Helper()
+	ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	far = os.NewFile(uintptr(ends[1]), "far")
+	t.Cleanup(func() { closed(t, far) })
+	return ends[0], far
+}
+
+// nearEndOpen reports whether any process holds the near end of a pair.
+func nearEndOpen(t *testing.T, far *os.File) bool {
+	t.Helper()
+	if err := far.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
+		t.Fatal(err)
+	}
+	_, err := far.Read(make([]byte, 1))
+	return !errors.Is(err, io.EOF)
+}
+
+// encodeItems is a batch as any process may send it, also one that no Transfer would.
+func encodeItems(tb testing.TB, items ...encodedItem) []byte {
+	tb.Helper()
+	encoded, err := cbor.Marshal(items)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return encoded
+}
