--- a/internal/operate/handover/link.go
+++ b/internal/operate/handover/link.go
@@ -100,7 +100,9 @@
 		l.coordinator.options.Changed()
 		return true
 	}
-	return l.transfers && granted && l.handleTransferAnswer(received)
+	// A successor that was silent for too long may still answer the batch that was recalled, though none follows it.
+	transfers := l.transfers || l.outgoing.recalled
+	return transfers && granted && l.handleTransferAnswer(received)
 }
 
 // handleFromParent reports whether the message has a place in the state of the link.
--- a/internal/operate/handover/transfer_test.go
+++ b/internal/operate/handover/transfer_test.go
@@ -286,3 +286,50 @@
 		}
 	})
 }
+
+// TestLateAnswerToRecalledBatch has a successor answer a batch that was recalled meanwhile, as one does that was busy
+// for longer than the parent waits: the answer changes nothing, and the link stays.
+func TestLateAnswerToRecalledBatch(t *testing.T) {
+	eventLoop, onLoop := startLoop(t)
+	path := socketPath(t)
+	var parent *Coordinator
+	changes := 0
+	onLoop(func() {
+		changed := func() { changes++ }
+		parent = NewCoordinator(Options{Loop: eventLoop, Path: path, Changed: changed, Grant: grantOnly(9)}, nil)
+	})
+	grant := requestGrant(t, path)
+	successor := os.NewFile(uintptr(grant.fd), "link")
+	t.Cleanup(func() { closed(t, successor) })
+	writeString(t, successor, `{"kind":"ready"}`+"\n"+`{"kind":"free","room":9}`+"\n")
+	waitFor(t, onLoop, "free descriptors", func() bool {
+		there, descriptors := parent.SuccessorAccepts()
+		return there && descriptors == 9
+	})
+	fd, _ := socketPair(t)
+	t.Cleanup(func() { loop.CloseAll([]int{fd}) })
+	accepted := make(chan bool, 2)
+	onLoop(func() {
+		parent.Transfer([]TransferItem{{[]int{fd}, []byte("state")}}, func(ok bool) { accepted <- ok })
+	})
+	if <-accepted {
+		t.Fatal("the batch is accepted, want it recalled")
+	}
+	before := 0
+	onLoop(func() { before = changes })
+	writeString(t, successor, `{"kind":"held","room":3}`+"\n"+`{"kind":"free","room":9}`+"\n")
+	waitFor(t, onLoop, "the answers", func() bool { return changes > before })
+	onLoop(func() {
+		if linked, ready := parent.Successor(); !linked || !ready {
+			t.Errorf("linked %v, ready %v after a late answer, want both", linked, ready)
+		}
+		if there, _ := parent.SuccessorAccepts(); there {
+			t.Error("a successor that was silent is offered another batch")
+		}
+	})
+	select {
+	case <-accepted:
+		t.Error("what becomes of the batch is said twice")
+	default:
+	}
+}
