--- a/internal/loop/carry.go
+++ b/internal/loop/carry.go
@@ -36,28 +36,28 @@
 // Detach takes an established connection off the poller and tells its socket and state. ok is false for one that is no
 // longer what its socket says: it ends, has ended, or had a write fail.
 func (c *Conn) Detach() (fd int, state ConnectionState, ok bool) {
-	if c.closed || c.ending || c.eof || c.unsent || !c.connected || c.away {
+	if c.closed || c.ending || c.peerEnded || c.writeFailed || !c.connected || c.detached {
 		return -1, state, false
 	}
-	if c.events != 0 {
-		c.l.poller.Delete(c.fd)
-		c.events = 0
+	if c.watched != 0 {
+		c.loop.poller.Delete(c.fd)
+		c.watched = 0
 	}
-	c.away = true
-	return c.fd, ConnectionState{Out: c.out, Paused: c.paused}, true
+	c.detached = true
+	return c.fd, ConnectionState{Out: c.pending, Paused: c.paused}, true
 }
 
 // Reattach has a lent connection go on here.
 func (c *Conn) Reattach() {
-	if c.away {
-		c.away = false
-		c.register()
+	if c.detached {
+		c.detached = false
+		c.updateWatch()
 	}
 }
 
 // Release closes this process's copy of a lent connection's socket. The connection stays with whoever else holds it.
 func (c *Conn) Release() {
-	if c.away {
+	if c.detached {
 		c.close()
 	}
 }
@@ -65,13 +65,13 @@
 // Restore has the loop serve a connection that another process has given, with what that one knew of it.
 func (l *Loop) Restore(fd int, state ConnectionState, h Handler) *Conn {
 	unix.SetNonblock(fd, true)
-	c := l.attach(fd, false)
-	c.h, c.out, c.paused = h, state.Out, state.Paused
+	c := l.newConn(fd, false)
+	c.handler, c.pending, c.paused = h, state.Out, state.Paused
 	if sa, err := unix.Getpeername(fd); err == nil {
 		c.Peer = addrPort(sa).Addr()
 	}
-	l.fds[fd] = c.ready
-	c.register()
+	l.handlers[fd] = c.handleEvents
+	c.updateWatch()
 	return c
 }
 
@@ -83,25 +83,25 @@
 
 // OnDescriptors has fn get the descriptors that come along on a Unix connection; they are fn's to close. Where some were
 // lost on the way, for want of room, the connection breaks.
-func (c *Conn) OnDescriptors(fn func(fds []int)) { c.rights = fn }
+func (c *Conn) OnDescriptors(fn func(fds []int)) { c.onDescriptors = fn }
 
-var errRightsLost = errors.New("descriptors were lost on the way: no room for them here")
+var errDescriptorsLost = errors.New("descriptors were lost on the way: no room for them here")
 
 func (c *Conn) receive() (int, error) {
-	if c.rights == nil {
-		return c.l.read(c.fd, c.l.buf[:])
+	if c.onDescriptors == nil {
+		return c.loop.read(c.fd, c.loop.readBuffer[:])
 	}
 	var side [4*MaxDescriptorsPerMessage + 64]byte
 	var sn, flags int
 	n, err := uninterrupted(func() (n int, err error) {
-		n, sn, flags, _, err = unix.Recvmsg(c.fd, c.l.buf[:], side[:], unix.MSG_CMSG_CLOEXEC)
+		n, sn, flags, _, err = unix.Recvmsg(c.fd, c.loop.readBuffer[:], side[:], unix.MSG_CMSG_CLOEXEC)
 		return n, err
 	})
 	if err == nil && sn > 0 {
-		c.rights(ReceivedDescriptors(side[:sn]))
+		c.onDescriptors(ReceivedDescriptors(side[:sn]))
 	}
 	if err == nil && flags&unix.MSG_CTRUNC != 0 {
-		err = errRightsLost
+		err = errDescriptorsLost
 	}
 	return n, err
 }
--- a/internal/loop/carry_test.go
+++ b/internal/loop/carry_test.go
@@ -6,14 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestLentIsNotTouched lends a connection whose bytes the poller has told of already: they are not read here, neither is what
+// TestDetachedIsNotTouched lends a connection whose bytes the poller has told of already: they are not read here, neither is what
 // came is lost, and room isn't made at its cost; returned, it goes on.
-func TestLentIsNotTouched(t *testing.T) {
-	l := run(t)
+func TestDetachedIsNotTouched(t *testing.T) {
+	l := startLoop(t)
 	var near, far [2]int
 	var conns [2]*Conn
 	heard := make(chan string, 8)
-	on(l, func() {
+	onLoop(l, func() {
 		for i := range near {
 			p, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 			if err != nil {
@@ -35,8 +35,8 @@
 			unix.Close(far[i])
 		}
 	})
-	wait(t, heard)
-	on(l, func() {
+	receive(t, heard)
+	onLoop(l, func() {
 		if len(heard) != 0 {
 			t.Error("a lent connection was read")
 		}
@@ -45,21 +45,21 @@
 			t.Errorf("%d connections", l.Open())
 		}
 		for _, c := range conns {
-			if c.away {
-				c.h.(*recorder).data = func(b []byte) { heard <- string(b) }
+			if c.detached {
+				c.handler.(*recordingHandler).data = func(b []byte) { heard <- string(b) }
 				c.Reattach()
 			}
 		}
 	})
-	if got := wait(t, heard); got != "x" {
+	if got := receive(t, heard); got != "x" {
 		t.Errorf("then came %q", got)
 	}
-	on(l, func() {
+	onLoop(l, func() {
 		for _, c := range conns {
 			c.Abort()
 		}
-		if l.Open() != 0 || len(l.fds) > 2 {
-			t.Errorf("%d connections, %d descriptors served", l.Open(), len(l.fds))
+		if l.Open() != 0 || len(l.handlers) > 2 {
+			t.Errorf("%d connections, %d descriptors served", l.Open(), len(l.handlers))
 		}
 	})
 }
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// mostWaiting guards memory against a source that ignores Full: such a connection is cut off.
-	mostWaiting = 1 << 20
-	flushTime   = 900 * time.Millisecond // for what still waits when a connection ends: a host that ended must be seen within a second
-	lingerTime  = time.Second            // for the other side's end, once ours is sent and nothing more comes
+	// maxPending guards memory against a source that ignores Full: such a connection is cut off.
+	maxPending    = 1 << 20
+	flushTimeout  = 900 * time.Millisecond // for what still waits when a connection ends: a host that ended must be seen within a second
+	lingerTimeout = time.Second            // for the other side's end, once ours is sent and nothing more comes
 	// While the other side still sends, its bytes are dropped a little longer: closing over them would be a reset, which
 	// may eat the answer before it is read. 60 MB at full speed take a fraction of this.
-	mostLinger  = 5 * time.Second
-	mostDropped = 128 << 20
-	mostHeard   = 8 // reads of one look into a socket, so that no sender can hold the loop
+	maxLinger    = 5 * time.Second
+	maxDiscarded = 128 << 20
+	maxReads     = 8 // reads of one look into a socket, so that no sender can hold the loop
 )
 
-// sink takes bytes that are dropped. The kernel writes nothing there (MSG_TRUNC), so it costs no memory.
-var sink [256 << 10]byte
+// discardBuffer takes bytes that are dropped. The kernel writes nothing there (MSG_TRUNC), so it costs no memory.
+var discardBuffer [256 << 10]byte
 
 // ErrTimeout says that a connection was not made in time.
 var ErrTimeout = errors.New("not connected in time")
@@ -43,27 +43,27 @@
 type Conn struct {
 	Peer netip.Addr // of a connection accepted or taken over; not valid where there is none
 
-	l         *Loop
-	fd        int
-	h         Handler
-	out       []byte
-	connected bool
-	eof       bool
-	paused    bool
-	ending    bool
-	shut      bool // our end is sent
-	closed    bool
-	unsent    bool // a write failed: not all that was to be written is with the kernel
-	failed    bool // broke was called: what lay in the socket was read
-	apart     bool // not among the loop's open ones
-	away      bool // lent: its socket is touched by nobody here
-	rights    func(fds []int)
-	events    int // what the poller watches: a sum of watchRead and watchWrite
-	stopTimer func()
-	place     *list.Element // in the queue of those that may go for others
-	lastBy    time.Time     // ending: closed by then whatever still comes
-	dropped   int           // ending: bytes that came and were dropped
-	heard     bool          // ending: bytes came since the timer was set
+	loop             *Loop
+	fd               int
+	handler          Handler
+	pending          []byte
+	connected        bool
+	peerEnded        bool
+	paused           bool
+	ending           bool
+	writeClosed      bool // our end is sent
+	closed           bool
+	writeFailed      bool // a write failed: not all that was to be written is with the kernel
+	failing          bool // broke was called: what lay in the socket was read
+	uncounted        bool // not among the loop's open ones
+	detached         bool // lent: its socket is touched by nobody here
+	onDescriptors    func(fds []int)
+	watched          int // what the poller watches: a sum of watchRead and watchWrite
+	stopTimer        func()
+	idleElement      *list.Element // in the queue of those that may go for others
+	lingerDeadline   time.Time     // ending: closed by then whatever still comes
+	discarded        int           // ending: bytes that came and were dropped
+	receivedInLinger bool          // ending: bytes came since the timer was set
 }
 
 const (
@@ -74,10 +74,10 @@
 // Dial starts a connection that must be up by the given time. The handler hears of a failure through OnEnd, never
 // before Dial has returned. What this machine lacks for a moment is waited for.
 func (l *Loop) Dial(addr string, until time.Time, h Handler) *Conn {
-	c := &Conn{l: l, fd: -1, h: h}
+	c := &Conn{loop: l, fd: -1, handler: h}
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		c.later(fmt.Errorf("address %q: %w", addr, err))
+		c.failLater(fmt.Errorf("address %q: %w", addr, err))
 		return c
 	}
 	c.dial(to, until)
@@ -86,35 +86,35 @@
 
 // dial begins to connect, now or when this machine has what it takes.
 func (c *Conn) dial(to netip.AddrPort, until time.Time) {
-	l := c.l
-	err := c.connect(to)
-	again := l.Now().Add(passingPause)
+	l := c.loop
+	err := c.startConnect(to)
+	again := l.Now().Add(transientRetryPause)
 	switch {
 	case err == nil:
-		l.fds[c.fd] = c.ready
-		c.register()
-		c.stopTimer = l.At(until, func() { c.broke(ErrTimeout) })
-	case (scarce(err) || isOneOf(err, unix.ENETUNREACH)) && again.Before(until):
+		l.handlers[c.fd] = c.handleEvents
+		c.updateWatch()
+		c.stopTimer = l.At(until, func() { c.fail(ErrTimeout) })
+	case (isScarce(err) || isOneOf(err, unix.ENETUNREACH)) && again.Before(until):
 		c.stopTimer = l.At(again, func() { c.dial(to, until) })
-	case scarce(err):
-		c.stopTimer = l.At(l.Now(), func() { c.broke(&LocalError{err}) })
+	case isScarce(err):
+		c.stopTimer = l.At(l.Now(), func() { c.fail(&LocalError{err}) })
 	default:
-		c.stopTimer = l.At(l.Now(), func() { c.broke(err) })
+		c.stopTimer = l.At(l.Now(), func() { c.fail(err) })
 	}
 }
 
-// connect makes the connection's socket and begins to connect it. Without an error it is under way.
-func (c *Conn) connect(to netip.AddrPort) error {
+// startConnect makes the connection's socket and begins to connect it. Without an error it is under way.
+func (c *Conn) startConnect(to netip.AddrPort) error {
 	sa, family := sockaddr(to)
-	fd, err := c.l.kernel.Socket(family)
+	fd, err := c.loop.kernel.Socket(family)
 	if err != nil {
 		return os.NewSyscallError("socket", err)
 	}
 	setOptions(fd)
-	switch err = c.l.kernel.Connect(fd, sa); err {
+	switch err = c.loop.kernel.Connect(fd, sa); err {
 	case nil, unix.EINPROGRESS, unix.EINTR: // one that is interrupted goes on by itself
 		c.fd = fd
-		c.l.open++
+		c.loop.open++
 		return nil
 	}
 	unix.Close(fd)
@@ -122,44 +122,44 @@
 }
 
 // SetHandler hands the connection's callbacks to another handler.
-func (c *Conn) SetHandler(h Handler) { c.h = h }
+func (c *Conn) SetHandler(h Handler) { c.handler = h }
 
 // Full says that so much waits to be written that the source should be paused.
-func (c *Conn) Full() bool { return len(c.out) > c.l.highWater }
+func (c *Conn) Full() bool { return len(c.pending) > c.loop.highWater }
 
 // Write sends p, or keeps what the kernel does not take yet.
 func (c *Conn) Write(p []byte) {
-	if c.closed || c.shut || c.ending || c.unsent || len(p) == 0 { // nothing may follow what a failed write has lost
+	if c.closed || c.writeClosed || c.ending || c.writeFailed || len(p) == 0 { // nothing may follow what a failed write has lost
 		return
 	}
-	if c.connected && len(c.out) == 0 {
-		n, err := c.l.write(c.fd, p)
+	if c.connected && len(c.pending) == 0 {
+		n, err := c.loop.write(c.fd, p)
 		if n > 0 {
 			p = p[n:]
 		}
 		if err != nil && err != unix.EAGAIN {
-			c.unsent = true
-			c.later(os.NewSyscallError("write", err))
+			c.writeFailed = true
+			c.failLater(os.NewSyscallError("write", err))
 			return
 		}
 		if len(p) == 0 {
 			return
 		}
 	}
-	if len(c.out)+len(p) > mostWaiting {
-		c.unsent = true
-		c.later(errors.New("too much waits to be written"))
+	if len(c.pending)+len(p) > maxPending {
+		c.writeFailed = true
+		c.failLater(errors.New("too much waits to be written"))
 		return
 	}
-	c.out = append(c.out, p...)
-	c.register()
+	c.pending = append(c.pending, p...)
+	c.updateWatch()
 }
 
-// later reports a break found while writing, once the present callback has returned.
-func (c *Conn) later(err error) {
-	c.l.At(c.l.Now(), func() {
-		if !c.away { // lent meanwhile: it shows again to whoever has it
-			c.broke(err)
+// failLater reports a break found while writing, once the present callback has returned.
+func (c *Conn) failLater(err error) {
+	c.loop.At(c.loop.Now(), func() {
+		if !c.detached { // lent meanwhile: it shows again to whoever has it
+			c.fail(err)
 		}
 	})
 }
@@ -167,13 +167,13 @@
 // Pause stops reading; Resume goes on.
 func (c *Conn) Pause() {
 	c.paused = true
-	c.register()
+	c.updateWatch()
 }
 
 // Resume goes on reading after Pause.
 func (c *Conn) Resume() {
 	c.paused = false
-	c.register()
+	c.updateWatch()
 }
 
 // End sends what waits and then the end of the connection (FIN). What still comes from the other side is read and
@@ -190,77 +190,77 @@
 	c.cancelTimer()
 	c.LeaveIdleQueue()
 	c.wait()
-	if len(c.out) > 0 {
-		c.stopTimer = c.l.At(c.l.Now().Add(flushTime), c.close)
-		c.register()
+	if len(c.pending) > 0 {
+		c.stopTimer = c.loop.At(c.loop.Now().Add(flushTimeout), c.close)
+		c.updateWatch()
 		return
 	}
-	c.shutdown()
+	c.closeWrite()
 }
 
 // Cancel is End for a connection on which nothing more must go out: what waits is dropped, and with it the connection.
 func (c *Conn) Cancel() {
-	if len(c.out) > 0 {
+	if len(c.pending) > 0 {
 		c.Abort()
 	} else {
 		c.End()
 	}
 }
 
-func (c *Conn) shutdown() {
-	if c.eof {
+func (c *Conn) closeWrite() {
+	if c.peerEnded {
 		c.close()
 		return
 	}
-	c.shut = true
+	c.writeClosed = true
 	unix.Shutdown(c.fd, unix.SHUT_WR)
 	c.cancelTimer()
-	c.lastBy = c.l.Now().Add(mostLinger)
+	c.lingerDeadline = c.loop.Now().Add(maxLinger)
 	c.linger()
-	c.register()
+	c.updateWatch()
 }
 
 // linger waits for the other side's end, as long as it goes on sending within the bounds.
 func (c *Conn) linger() {
-	c.heard = false
-	by := c.l.Now().Add(lingerTime)
-	if by.After(c.lastBy) {
-		by = c.lastBy
+	c.receivedInLinger = false
+	by := c.loop.Now().Add(lingerTimeout)
+	if by.After(c.lingerDeadline) {
+		by = c.lingerDeadline
 	}
-	c.stopTimer = c.l.At(by, c.lingered)
+	c.stopTimer = c.loop.At(by, c.lingerExpired)
 }
 
-func (c *Conn) lingered() {
-	for range mostHeard { // closing over what lies there would be a reset
-		if !c.drop() {
+func (c *Conn) lingerExpired() {
+	for range maxReads { // closing over what lies there would be a reset
+		if !c.discard() {
 			break
 		}
 	}
 	switch {
 	case c.closed:
-	case c.heard && c.l.Now().Before(c.lastBy):
+	case c.receivedInLinger && c.loop.Now().Before(c.lingerDeadline):
 		c.linger()
 	default:
 		c.close()
 	}
 }
 
-// drop takes what comes after the end of this side, and reports whether there was any.
-func (c *Conn) drop() bool {
-	n, err := c.l.drop(c.fd, sink[:])
+// discard takes what comes after the end of this side, and reports whether there was any.
+func (c *Conn) discard() bool {
+	n, err := c.loop.discard(c.fd, discardBuffer[:])
 	switch {
 	case err == unix.EAGAIN:
 	case err != nil:
 		c.close()
 	case n == 0:
-		c.eof = true
-		c.register()
-		if len(c.out) == 0 {
+		c.peerEnded = true
+		c.updateWatch()
+		if len(c.pending) == 0 {
 			c.close()
 		}
 	default:
-		c.heard = true
-		if c.dropped += n; c.dropped > mostDropped {
+		c.receivedInLinger = true
+		if c.discarded += n; c.discarded > maxDiscarded {
 			c.close()
 		}
 		return !c.closed
@@ -289,13 +289,13 @@
 	if c.fd < 0 {
 		return
 	}
-	if c.events != 0 {
-		c.l.poller.Delete(c.fd)
+	if c.watched != 0 {
+		c.loop.poller.Delete(c.fd)
 	}
-	delete(c.l.fds, c.fd)
+	delete(c.loop.handlers, c.fd)
 	unix.Close(c.fd)
-	if !c.apart {
-		c.l.open--
+	if !c.uncounted {
+		c.loop.open--
 	}
 }
 
@@ -306,11 +306,11 @@
 	}
 }
 
-// broke closes a connection that failed and tells the handler. What the other side said before lies in the socket yet, and
+// fail closes a connection that failed and tells the handler. What the other side said before lies in the socket yet, and
 // is heard first: its last answer may be there.
-func (c *Conn) broke(err error) {
-	if !c.closed && !c.failed {
-		c.failed = true
+func (c *Conn) fail(err error) {
+	if !c.closed && !c.failing {
+		c.failing = true
 		c.ReadAvailable()
 	}
 	if c.closed {
@@ -318,64 +318,64 @@
 	}
 	c.close()
 	if !c.ending {
-		c.h.OnEnd(err)
+		c.handler.OnEnd(err)
 	}
 }
 
-// register has the poller watch for what is wanted now.
-func (c *Conn) register() {
-	if c.closed || c.fd < 0 || c.away {
+// updateWatch has the poller watch for what is wanted now.
+func (c *Conn) updateWatch() {
+	if c.closed || c.fd < 0 || c.detached {
 		return
 	}
 	want := 0
-	if c.connected && !c.paused && !c.eof {
+	if c.connected && !c.paused && !c.peerEnded {
 		want |= watchRead
 	}
-	if !c.connected || len(c.out) > 0 && !c.shut {
+	if !c.connected || len(c.pending) > 0 && !c.writeClosed {
 		want |= watchWrite
 	}
-	if want == c.events {
+	if want == c.watched {
 		return
 	}
-	err := c.l.kernel.Watch(c.l.poller, c.fd, c.events, want)
+	err := c.loop.kernel.Watch(c.loop.poller, c.fd, c.watched, want)
 	switch {
 	case err == nil:
-		c.events = want
-	case scarce(err): // what the poller watches now is not known: nothing, to begin with
-		c.l.kernel.Watch(c.l.poller, c.fd, c.events, 0)
-		c.events = 0
-		c.l.At(c.l.Now().Add(passingPause), c.register)
+		c.watched = want
+	case isScarce(err): // what the poller watches now is not known: nothing, to begin with
+		c.loop.kernel.Watch(c.loop.poller, c.fd, c.watched, 0)
+		c.watched = 0
+		c.loop.At(c.loop.Now().Add(transientRetryPause), c.updateWatch)
 	default:
-		c.events = want
-		c.later(err)
+		c.watched = want
+		c.failLater(err)
 	}
 }
 
-func (c *Conn) ready(events uint32) {
-	if c.away { // an event that was due already; what it tells of is another process's to read
+func (c *Conn) handleEvents(events uint32) {
+	if c.detached { // an event that was due already; what it tells of is another process's to read
 		return
 	}
 	if !c.connected {
-		c.dialled()
+		c.finishConnect()
 		return
 	}
-	if events&(unix.EPOLLOUT|unix.EPOLLERR|unix.EPOLLHUP) != 0 && len(c.out) > 0 {
+	if events&(unix.EPOLLOUT|unix.EPOLLERR|unix.EPOLLHUP) != 0 && len(c.pending) > 0 {
 		c.flush()
 	}
-	if !c.closed && (c.events&watchRead != 0 || c.ending || events&(unix.EPOLLERR|unix.EPOLLHUP) != 0) {
+	if !c.closed && (c.watched&watchRead != 0 || c.ending || events&(unix.EPOLLERR|unix.EPOLLHUP) != 0) {
 		c.read()
 	}
 }
 
-// dialled is called when a connect may have ended. An event can be left over from an earlier connection of the same
+// finishConnect is called when a connect may have ended. An event can be left over from an earlier connection of the same
 // descriptor, so the socket itself is asked.
-func (c *Conn) dialled() {
+func (c *Conn) finishConnect() {
 	code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
 		err = os.NewSyscallError("connect", unix.Errno(code))
 	}
 	if err != nil {
-		c.broke(err)
+		c.fail(err)
 		return
 	}
 	if _, err := unix.Getpeername(c.fd); err != nil {
@@ -383,38 +383,38 @@
 	}
 	c.cancelTimer()
 	c.connected = true
-	c.h.OnConnect()
-	if len(c.out) > 0 && !c.closed {
+	c.handler.OnConnect()
+	if len(c.pending) > 0 && !c.closed {
 		c.flush()
 	}
-	c.register()
+	c.updateWatch()
 }
 
 func (c *Conn) flush() {
-	n, err := c.l.write(c.fd, c.out)
+	n, err := c.loop.write(c.fd, c.pending)
 	if n > 0 {
-		c.out = c.out[n:]
+		c.pending = c.pending[n:]
 	}
 	if err != nil && err != unix.EAGAIN {
-		c.broke(os.NewSyscallError("write", err))
+		c.fail(os.NewSyscallError("write", err))
 		return
 	}
-	if len(c.out) == 0 {
-		c.out = nil
+	if len(c.pending) == 0 {
+		c.pending = nil
 		if c.ending {
-			c.shutdown()
+			c.closeWrite()
 		} else {
-			c.h.OnDrained()
+			c.handler.OnDrained()
 		}
 	}
-	c.register()
+	c.updateWatch()
 }
 
 // ReadAvailable reads what lies in the socket now, to its end if that is there: before something is decided that it may change. Not from
 // within OnData, whose bytes it would overwrite. A handler may find itself called, and the connection over, when it returns.
 func (c *Conn) ReadAvailable() {
-	for range mostHeard {
-		if c.closed || c.ending || c.away || c.paused || c.eof || !c.connected || !c.read() {
+	for range maxReads {
+		if c.closed || c.ending || c.detached || c.paused || c.peerEnded || !c.connected || !c.read() {
 			return
 		}
 	}
@@ -423,27 +423,27 @@
 // read reads once and reports whether there was anything.
 func (c *Conn) read() bool {
 	if c.ending {
-		return c.drop()
+		return c.discard()
 	}
 	n, err := c.receive()
 	switch {
 	case err == unix.EAGAIN:
 		return false
 	case err != nil:
-		c.failed = true // nothing more can be read
-		c.broke(os.NewSyscallError("read", err))
+		c.failing = true // nothing more can be read
+		c.fail(os.NewSyscallError("read", err))
 	case n == 0:
-		c.eof = true
-		if c.failed { // a write has taken the error away: it is the failure that is told, no end
+		c.peerEnded = true
+		if c.failing { // a write has taken the error away: it is the failure that is told, no end
 			return false
 		}
-		c.register()
-		c.h.OnEnd(io.EOF)
+		c.updateWatch()
+		c.handler.OnEnd(io.EOF)
 	default:
-		c.h.OnData(c.l.buf[:n])
+		c.handler.OnData(c.loop.readBuffer[:n])
 	}
 	return true
 }
 
 // Sent reports whether all that was to be written is with the kernel. It stays true to the end of the connection.
-func (c *Conn) Sent() bool { return c.connected && len(c.out) == 0 && !c.unsent }
+func (c *Conn) Sent() bool { return c.connected && len(c.pending) == 0 && !c.writeFailed }
--- a/internal/loop/crossing_test.go
+++ b/internal/loop/crossing_test.go
@@ -13,11 +13,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// held runs fn on the loop, which hears of nothing meanwhile: what fn does lies ready, all of it, in the next poll.
-func held(t *testing.T, l *Loop, fn func()) {
+// whileLoopHeld runs fn on the loop, which hears of nothing meanwhile: what fn does lies ready, all of it, in the next poll.
+func whileLoopHeld(t *testing.T, l *Loop, fn func()) {
 	t.Helper()
-	on(l, func() {
-		for l.yielded { // a poll of before
+	onLoop(l, func() {
+		for l.timersYielded { // a poll of before
 			t.Error("timers wait already")
 			return
 		}
@@ -25,8 +25,8 @@
 	})
 }
 
-// send has bytes of c lie in the other side's socket, which the kernel tells by their acknowledgement.
-func send(t *testing.T, c net.Conn, text string) {
+// sendArrived has bytes of c lie in the other side's socket, which the kernel tells by their acknowledgement.
+func sendArrived(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := c.Write([]byte(text)); err != nil {
 		t.Error(err)
@@ -48,12 +48,12 @@
 	}
 }
 
-// pair is a connection that the loop has accepted, and the test's side of it.
-func pair(t *testing.T, l *Loop, h func(c *Conn) Handler) (c *Conn, peer net.Conn) {
+// acceptedPair is a connection that the loop has accepted, and the test's side of it.
+func acceptedPair(t *testing.T, l *Loop, h func(c *Conn) Handler) (c *Conn, peer net.Conn) {
 	t.Helper()
 	taken := make(chan *Conn, 1)
 	var addr string
-	on(l, func() {
+	onLoop(l, func() {
 		at, err := l.Listen("127.0.0.1:0", func(c *Conn) Handler {
 			taken <- c
 			return h(c)
@@ -70,76 +70,76 @@
 	}
 	t.Cleanup(func() { peer.Close() })
 	peer.SetDeadline(time.Now().Add(20 * time.Second))
-	return wait(t, taken), peer
+	return receive(t, taken), peer
 }
 
 // TestLateTimer has a timer become due, late, before bytes arrive, with both found in one poll: the bytes are heard first,
 // and the timer right after them.
 func TestLateTimer(t *testing.T) {
-	l := run(t)
+	l := startLoop(t)
 	var order []string
 	done := make(chan bool, 1)
 	r := record()
 	r.data = func(p []byte) { order = append(order, string(p)) }
-	_, peer := pair(t, l, func(*Conn) Handler { return r })
-	held(t, l, func() {
+	_, peer := acceptedPair(t, l, func(*Conn) Handler { return r })
+	whileLoopHeld(t, l, func() {
 		l.At(l.Now().Add(time.Millisecond), func() {
 			order = append(order, "timer")
 			done <- true
 		})
-		l.arm()
-		time.Sleep(time.Millisecond + 5*onTime)
-		send(t, peer, "answer")
+		l.armTimer()
+		time.Sleep(time.Millisecond + 5*timerTolerance)
+		sendArrived(t, peer, "answer")
 	})
-	wait(t, done)
-	on(l, func() {
+	receive(t, done)
+	onLoop(l, func() {
 		if !slices.Equal(order, []string{"answer", "timer"}) {
 			t.Error(order)
 		}
 	})
 }
 
-// TestLastWords has the other side answer and cut the connection off while a write of ours fails: the answer is heard, then
+// TestReadBeforeFailure has the other side answer and cut the connection off while a write of ours fails: the answer is heard, then
 // the failure.
-func TestLastWords(t *testing.T) {
-	l := run(t)
+func TestReadBeforeFailure(t *testing.T) {
+	l := startLoop(t)
 	got := make(chan string, 4)
 	r := record()
 	r.data = func(p []byte) { got <- string(p) }
-	c, peer := pair(t, l, func(*Conn) Handler { return r })
-	held(t, l, func() {
-		send(t, peer, "BUSY\r\n")
+	c, peer := acceptedPair(t, l, func(*Conn) Handler { return r })
+	whileLoopHeld(t, l, func() {
+		sendArrived(t, peer, "BUSY\r\n")
 		peer.(*net.TCPConn).SetLinger(0)
 		peer.Close()
-		for end := time.Now().Add(20 * time.Second); c.unsent == false && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); c.writeFailed == false && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			c.Write([]byte("x")) // until the kernel knows
 		}
-		if !c.unsent {
+		if !c.writeFailed {
 			t.Error("the crossing did not take place: writes go on")
 		}
-		c.broke(errors.New("as later reports it"))
+		c.fail(errors.New("as later reports it"))
 	})
-	if s := wait(t, got); s != "BUSY\r\n" {
+	if s := receive(t, got); s != "BUSY\r\n" {
 		t.Error(s)
 	}
-	if err := wait(t, r.end); err == nil {
+	if err := receive(t, r.end); err == nil {
 		t.Error("no failure is told")
 	}
 }
 
-// TestEndOverUnread has bytes arrive just as a connection that lingers is to be closed: they are read and it lingers on, since
+// TestLingerOverUnreadBytes has bytes arrive just as a connection that lingers is to be closed: they are read and it lingers on, since
 // a reset may eat the answer that the other side has not read yet.
-func TestEndOverUnread(t *testing.T) {
-	l := run(t)
-	c, peer := pair(t, l, func(*Conn) Handler { return record() })
+func TestLingerOverUnreadBytes(t *testing.T) {
+	l := startLoop(t)
+	c, peer := acceptedPair(t, l, func(*Conn) Handler { return record() })
 	answer := strings.Repeat("a", 1<<10)
-	on(l, func() {
+	onLoop(l, func() {
 		c.Write([]byte(answer))
 		c.End()
 	})
-	held(t, l, func() {
-		send(t, peer, "a line that nobody expects\r\n")
-		if c.lingered(); c.closed { // as its timer does
+	whileLoopHeld(t, l, func() {
+		sendArrived(t, peer, "a line that nobody expects\r\n")
+		if c.lingerExpired(); c.closed { // as its timer does
 			t.Error("closed over bytes that lay there: a reset")
 		}
 	})
@@ -149,15 +149,15 @@
 	}
 }
 
-// TestEvicted has a connection that may go for others say what it wants before it goes: it is heard and stays.
-func TestEvicted(t *testing.T) {
-	l := run(t)
+// TestHeardBeforeEviction has a connection that may go for others say what it wants before it goes: it is heard and stays.
+func TestHeardBeforeEviction(t *testing.T) {
+	l := startLoop(t)
 	heard := make(chan string, 1)
 	first := true
-	c, peer := pair(t, l, func(k *Conn) Handler {
-		r := &resting{recorder: record(), conn: k}
+	c, peer := acceptedPair(t, l, func(k *Conn) Handler {
+		r := &restingHandler{recordingHandler: record(), conn: k}
 		if first {
-			first, l.most = false, 1
+			first, l.idleLimit = false, 1
 			r.data = func(p []byte) {
 				k.LeaveIdleQueue()
 				heard <- string(p)
@@ -166,60 +166,60 @@
 		return r
 	})
 	addr := peer.RemoteAddr().String()
-	held(t, l, func() {
+	whileLoopHeld(t, l, func() {
 		second, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Error(err)
 			return
 		}
 		t.Cleanup(func() { second.Close() })
-		send(t, peer, "OPEN")
+		sendArrived(t, peer, "OPEN")
 	})
-	if s := wait(t, heard); s != "OPEN" {
+	if s := receive(t, heard); s != "OPEN" {
 		t.Error(s)
 	}
-	on(l, func() {
+	onLoop(l, func() {
 		if c.closed || c.ending {
 			t.Error("it went although it had spoken")
 		}
 	})
 }
 
-// resting may go for others.
-type resting struct {
-	*recorder
+// restingHandler may go for others.
+type restingHandler struct {
+	*recordingHandler
 	conn *Conn
 }
 
-func (r *resting) Evict() {
+func (r *restingHandler) Evict() {
 	r.conn.Write([]byte("BUSY"))
 	r.conn.End()
 }
 
-// TestEndIdle has those who rest answered and ended, but for one whose words lie in its socket.
-func TestEndIdle(t *testing.T) {
-	l := run(t)
+// TestCloseIdle has those who rest answered and ended, but for one whose words lie in its socket.
+func TestCloseIdle(t *testing.T) {
+	l := startLoop(t)
 	heard := make(chan string, 1)
-	_, silent := pair(t, l, func(c *Conn) Handler { return &resting{record(), c} })
-	speaks, peer := pair(t, l, func(c *Conn) Handler {
-		r := &resting{record(), c}
+	_, silent := acceptedPair(t, l, func(c *Conn) Handler { return &restingHandler{record(), c} })
+	speaks, peer := acceptedPair(t, l, func(c *Conn) Handler {
+		r := &restingHandler{record(), c}
 		r.data = func(p []byte) {
 			c.LeaveIdleQueue()
 			heard <- string(p)
 		}
 		return r
 	})
-	held(t, l, func() {
-		send(t, peer, "OPEN")
+	whileLoopHeld(t, l, func() {
+		sendArrived(t, peer, "OPEN")
 		l.CloseIdle()
 	})
-	if s := wait(t, heard); s != "OPEN" {
+	if s := receive(t, heard); s != "OPEN" {
 		t.Error(s)
 	}
 	if b, err := io.ReadAll(silent); string(b) != "BUSY" || err != nil {
 		t.Errorf("%q, %v", b, err)
 	}
-	on(l, func() {
+	onLoop(l, func() {
 		if speaks.closed || speaks.ending {
 			t.Error("it went although it had spoken")
 		}
--- a/internal/loop/datagram.go
+++ b/internal/loop/datagram.go
@@ -13,10 +13,10 @@
 // Datagrams is a UDP socket on the loop. Nothing is kept for a later send: what the kernel doesn't take is lost, as on
 // the way.
 type Datagrams struct {
-	l      *Loop
-	fd     int
-	family int
-	heard  bool // datagrams are read
+	loop    *Loop
+	fd      int
+	family  int
+	reading bool // datagrams are read
 }
 
 // ListenDatagrams takes datagrams at addr from now on. Of a datagram longer than most bytes, take gets most+1, so that it
@@ -46,7 +46,7 @@
 		ap = addrPort(sa)
 	}
 	buf := make([]byte, most+1)
-	l.fds[fd] = func(uint32) {
+	l.handlers[fd] = func(uint32) {
 		for range datagramBurst {
 			n, from, err := unix.Recvfrom(fd, buf, 0)
 			if err != nil {
@@ -56,21 +56,21 @@
 		}
 	}
 	_, family := sockaddr(ap)
-	d := &Datagrams{l: l, fd: fd, family: family}
+	d := &Datagrams{loop: l, fd: fd, family: family}
 	if err := d.SetReading(true); err != nil {
-		delete(l.fds, fd)
+		delete(l.handlers, fd)
 		unix.Close(fd)
 		return nil, ap, fmt.Errorf("datagrams at %s: %w", ap, err)
 	}
 	return d, ap, nil
 }
 
-// datagramRoom is what the system counts for a short datagram that waits to be read.
-const datagramRoom = 1 << 10
+// datagramMemory is what the system counts for a short datagram that waits to be read.
+const datagramMemory = 1 << 10
 
 // SetReceiveBuffer has the system keep so many short datagrams that wait to be read, as far as it lets a process: what comes on top is lost.
 func (d *Datagrams) SetReceiveBuffer(datagrams int) {
-	want := datagrams * datagramRoom
+	want := datagrams * datagramMemory
 	has, err := unix.GetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_RCVBUF)
 	if err == nil && has < want {
 		err = unix.SetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, want/2) // the system doubles it
@@ -83,24 +83,24 @@
 // SetReading says whether datagrams are read here. Where two processes hold one socket, only one of them may: each datagram
 // is read once.
 func (d *Datagrams) SetReading(on bool) error {
-	if on == d.heard {
+	if on == d.reading {
 		return nil
 	}
 	had, want := watchRead, 0
 	if on {
 		had, want = 0, watchRead
 	}
-	if err := d.l.kernel.Watch(d.l.poller, d.fd, had, want); err != nil {
+	if err := d.loop.kernel.Watch(d.loop.poller, d.fd, had, want); err != nil {
 		return err
 	}
-	d.heard = on
+	d.reading = on
 	return nil
 }
 
 // Close ends it.
 func (d *Datagrams) Close() {
 	d.SetReading(false)
-	delete(d.l.fds, d.fd)
+	delete(d.loop.handlers, d.fd)
 	unix.Close(d.fd)
 }
 
--- a/internal/loop/errors.go
+++ b/internal/loop/errors.go
@@ -11,8 +11,8 @@
 // and what they hindered is done again.
 
 const (
-	mostInterrupts = 64                   // of one call in a row; then the next poll brings it again
-	passingPause   = 5 * time.Millisecond // until a call that failed for want of something here is made again
+	maxInterrupts       = 64                   // of one call in a row; then the next poll brings it again
+	transientRetryPause = 5 * time.Millisecond // until a call that failed for want of something here is made again
 )
 
 // LocalError is a connection that was not made for want of something on this machine: it says nothing of the other side.
@@ -40,19 +40,19 @@
 	return false
 }
 
-// scarce says that this machine lacks something for a moment: descriptors, memory, ports.
-func scarce(err error) bool {
+// isScarce says that this machine lacks something for a moment: descriptors, memory, ports.
+func isScarce(err error) bool {
 	return isOneOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EADDRNOTAVAIL, unix.EAGAIN)
 }
 
 // IsTransient says that a call failed in a way that passes: for want of something on this machine, or since its disk did not answer.
 func IsTransient(err error) bool {
-	return scarce(err) || isOneOf(err, unix.EINTR, unix.EIO, unix.ESTALE)
+	return isScarce(err) || isOneOf(err, unix.EINTR, unix.EIO, unix.ESTALE)
 }
 
 // uninterrupted makes a call until no signal interrupts it. One that the kernel has no memory for has done nothing, as one that would block.
 func uninterrupted(call func() (int, error)) (n int, err error) {
-	for range mostInterrupts {
+	for range maxInterrupts {
 		if n, err = call(); err != unix.EINTR {
 			break
 		}
@@ -71,6 +71,6 @@
 	return uninterrupted(func() (int, error) { return l.kernel.Write(fd, p) })
 }
 
-func (l *Loop) drop(fd int, p []byte) (int, error) {
+func (l *Loop) discard(fd int, p []byte) (int, error) {
 	return uninterrupted(func() (int, error) { return l.kernel.Drop(fd, p) })
 }
--- a/internal/loop/failing_test.go
+++ b/internal/loop/failing_test.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// failing is a kernel whose next calls fail as they are told to.
-type failing struct {
+// failingKernel is a kernel whose next calls fail as they are told to.
+type failingKernel struct {
 	Linux
 	mu      sync.Mutex
 	accept  []error
@@ -24,7 +24,7 @@
 }
 
 // next is the error with which a call fails now; nil: it doesn't.
-func (k *failing) next(errs *[]error) (err error) {
+func (k *failingKernel) next(errs *[]error) (err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(*errs) > 0 {
@@ -33,14 +33,14 @@
 	return err
 }
 
-func (k *failing) Accept(fd int) (int, unix.Sockaddr, error) {
+func (k *failingKernel) Accept(fd int) (int, unix.Sockaddr, error) {
 	if err := k.next(&k.accept); err != nil {
 		return -1, nil, err
 	}
 	return k.Linux.Accept(fd)
 }
 
-func (k *failing) Write(fd int, p []byte) (int, error) {
+func (k *failingKernel) Write(fd int, p []byte) (int, error) {
 	if err := k.next(&k.write); err != nil {
 		return -1, err
 	}
@@ -53,14 +53,14 @@
 	return k.Linux.Write(fd, p)
 }
 
-func (k *failing) Socket(family int) (int, error) {
+func (k *failingKernel) Socket(family int) (int, error) {
 	if err := k.next(&k.socket); err != nil {
 		return -1, err
 	}
 	return k.Linux.Socket(family)
 }
 
-func (k *failing) Connect(fd int, to unix.Sockaddr) error {
+func (k *failingKernel) Connect(fd int, to unix.Sockaddr) error {
 	err := k.next(&k.connect)
 	if err == nil || err == unix.EINTR { // one that is interrupted goes on
 		if made := k.Linux.Connect(fd, to); err == nil {
@@ -70,44 +70,44 @@
 	return err
 }
 
-func (k *failing) Watch(p *netpoll.Poller, fd, had, want int) error {
+func (k *failingKernel) Watch(p *netpoll.Poller, fd, had, want int) error {
 	if err := k.next(&k.watch); err != nil {
 		return err
 	}
 	return k.Linux.Watch(p, fd, had, want)
 }
 
-// runOn runs a loop on a kernel until the test ends.
-func runOn(t *testing.T, k Kernel) *Loop {
+// startLoopOn runs a loop on a kernel until the test ends.
+func startLoopOn(t *testing.T, k Kernel) *Loop {
 	l, err := NewOn(k)
 	if err != nil {
 		t.Fatal(err)
 	}
-	runs(t, l)
+	runUntilEnd(t, l)
 	return l
 }
 
-// TestAcceptFailsForAMoment has accept fail once in each way that Linux documents while a client has sent its words: it is served.
-func TestAcceptFailsForAMoment(t *testing.T) {
+// TestTransientAcceptFailure has accept fail once in each way that Linux documents while a client has sent its words: it is served.
+func TestTransientAcceptFailure(t *testing.T) {
 	for _, err := range []error{unix.EINTR, unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM} {
-		k := &failing{}
-		l := runOn(t, k)
-		addr := echo(t, l)
+		k := &failingKernel{}
+		l := startLoopOn(t, k)
+		addr := listenEcho(t, l)
 		answered := make(chan error, 1)
-		held(t, l, func() {
+		whileLoopHeld(t, l, func() {
 			c, failed := net.Dial("tcp", addr)
 			if failed != nil {
 				t.Error(failed)
 				return
 			}
 			t.Cleanup(func() { c.Close() })
-			send(t, c, "x")
+			sendArrived(t, c, "x")
 			k.mu.Lock()
 			k.accept = []error{err}
 			k.mu.Unlock()
-			go func() { answered <- echoed(c) }()
+			go func() { answered <- readEcho(c) }()
 		})
-		if lost := wait(t, answered); lost != nil {
+		if lost := receive(t, answered); lost != nil {
 			t.Errorf("%v: the client got %v", err, lost)
 		}
 		k.mu.Lock()
@@ -118,14 +118,14 @@
 	}
 }
 
-// TestNothingFollowsAFailedWrite has a write fail and the next one succeed before the failure is told: the second is not written, since the
+// TestNothingWrittenAfterFailedWrite has a write fail and the next one succeed before the failure is told: the second is not written, since the
 // other side would read its bytes behind those that came before the failure.
-func TestNothingFollowsAFailedWrite(t *testing.T) {
-	k := &failing{}
-	l := runOn(t, k)
+func TestNothingWrittenAfterFailedWrite(t *testing.T) {
+	k := &failingKernel{}
+	l := startLoopOn(t, k)
 	r := record()
-	c, peer := pair(t, l, func(*Conn) Handler { return r })
-	held(t, l, func() {
+	c, peer := acceptedPair(t, l, func(*Conn) Handler { return r })
+	whileLoopHeld(t, l, func() {
 		c.Write([]byte("one "))
 		k.mu.Lock()
 		k.write = []error{unix.EHOSTUNREACH}
@@ -133,7 +133,7 @@
 		c.Write([]byte("two "))
 		c.Write([]byte("three"))
 	})
-	if err := wait(t, r.end); err == nil {
+	if err := receive(t, r.end); err == nil {
 		t.Error("no failure is told")
 	}
 	if got, _ := io.ReadAll(peer); string(got) != "one " {
@@ -141,12 +141,12 @@
 	}
 }
 
-// TestEvictedGetsItsWholeAnswer has the kernel take a part of the answer to a client whose place another one needs: the rest follows.
-func TestEvictedGetsItsWholeAnswer(t *testing.T) {
-	k := &failing{}
-	l := runOn(t, k)
-	_, peer := pair(t, l, func(c *Conn) Handler { return &resting{record(), c} })
-	on(l, func() {
+// TestEvictedGetsWholeAnswer has the kernel take a part of the answer to a client whose place another one needs: the rest follows.
+func TestEvictedGetsWholeAnswer(t *testing.T) {
+	k := &failingKernel{}
+	l := startLoopOn(t, k)
+	_, peer := acceptedPair(t, l, func(c *Conn) Handler { return &restingHandler{record(), c} })
+	onLoop(l, func() {
 		k.mu.Lock()
 		k.short = 1
 		k.mu.Unlock()
@@ -157,14 +157,14 @@
 	}
 }
 
-// TestDialFailsForAMoment has what a dial needs be short once, in each way that Linux documents: the connection comes up in its time.
-func TestDialFailsForAMoment(t *testing.T) {
+// TestTransientDialFailure has what a dial needs be short once, in each way that Linux documents: the connection comes up in its time.
+func TestTransientDialFailure(t *testing.T) {
 	for _, err := range []error{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN, unix.EINTR} {
-		k := &failing{}
-		l := runOn(t, k)
-		addr := echo(t, l)
+		k := &failingKernel{}
+		l := startLoopOn(t, k)
+		addr := listenEcho(t, l)
 		r := record()
-		on(l, func() {
+		onLoop(l, func() {
 			k.mu.Lock()
 			if k.connect = []error{err}; isScarceSocket(err) {
 				k.socket, k.connect = k.connect, nil
@@ -184,18 +184,18 @@
 
 func isScarceSocket(err error) bool { return err == unix.ENFILE || err == unix.EMFILE }
 
-// TestWatchFailsForAMoment has epoll find no memory for a client's connection: the client is served.
-func TestWatchFailsForAMoment(t *testing.T) {
+// TestTransientWatchFailure has epoll find no memory for a client's connection: the client is served.
+func TestTransientWatchFailure(t *testing.T) {
 	for _, err := range []error{unix.ENOMEM, unix.ENOSPC} {
-		k := &failing{}
-		l := runOn(t, k)
-		addr := echo(t, l)
-		on(l, func() {
+		k := &failingKernel{}
+		l := startLoopOn(t, k)
+		addr := listenEcho(t, l)
+		onLoop(l, func() {
 			k.mu.Lock()
 			k.watch = []error{err, err}
 			k.mu.Unlock()
 		})
-		if lost := served(addr); lost != nil {
+		if lost := checkServed(addr); lost != nil {
 			t.Errorf("%v: the client got %v", err, lost)
 		}
 	}
--- a/internal/loop/kernel.go
+++ b/internal/loop/kernel.go
@@ -50,22 +50,22 @@
 	case want == watchRead && had != 0:
 		return poller.ModRead(at, false)
 	case want == watchRead:
-		return add(poller, fd, func() error { return poller.AddRead(at, false) })
+		return addWatch(poller, fd, func() error { return poller.AddRead(at, false) })
 	case want == watchWrite:
 		if had != 0 {
 			if err := poller.Delete(fd); err != nil {
 				return err
 			}
 		}
-		return add(poller, fd, func() error { return poller.AddWrite(at, false) })
+		return addWatch(poller, fd, func() error { return poller.AddWrite(at, false) })
 	case had != 0:
 		return poller.ModReadWrite(at, false)
 	}
-	return add(poller, fd, func() error { return poller.AddReadWrite(at, false) })
+	return addWatch(poller, fd, func() error { return poller.AddReadWrite(at, false) })
 }
 
-// add adds a descriptor, also one that an earlier call has failed to take out.
-func add(poller *netpoll.Poller, fd int, call func() error) error {
+// addWatch adds a descriptor, also one that an earlier call has failed to take out.
+func addWatch(poller *netpoll.Poller, fd int, call func() error) error {
 	err := call()
 	if errors.Is(err, unix.EEXIST) {
 		poller.Delete(fd)
--- a/internal/loop/listen.go
+++ b/internal/loop/listen.go
@@ -20,11 +20,11 @@
 	// ReusePort says that another process listened at the address when this socket was made.
 	ReusePort bool
 
-	l      *Loop
-	fd     int
-	accept func(*Conn) Handler
-	apart  bool
-	on     bool
+	loop      *Loop
+	fd        int
+	accept    func(*Conn) Handler
+	uncounted bool
+	listening bool
 }
 
 // Listen accepts connections at addr from now on; accept gives each its handler. A nil handler closes it. A process of
@@ -45,7 +45,7 @@
 		return nil, fmt.Errorf("listen address %q: %w", addr, err)
 	}
 	sa, family := sockaddr(ap)
-	k := &Listener{Addr: ap, l: l, accept: accept, apart: apart}
+	k := &Listener{Addr: ap, loop: l, accept: accept, uncounted: apart}
 	open := func(shared bool) (fd int, err error) {
 		if fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0); err != nil {
 			return -1, err
@@ -70,7 +70,7 @@
 		return nil, fmt.Errorf("listen %s: %w", addr, err)
 	}
 	if err = unix.Listen(k.fd, queue); err == nil {
-		err = k.start()
+		err = k.watch()
 	}
 	if err != nil {
 		unix.Close(k.fd)
@@ -81,24 +81,24 @@
 
 // Adopt is Listen for a socket that another process listens on and has handed over.
 func (l *Loop) Adopt(fd int, accept func(*Conn) Handler) (*Listener, error) {
-	k := &Listener{l: l, fd: fd, accept: accept}
-	if err := k.start(); err != nil {
+	k := &Listener{loop: l, fd: fd, accept: accept}
+	if err := k.watch(); err != nil {
 		return nil, fmt.Errorf("listening socket handed over: %w", err)
 	}
 	return k, nil
 }
 
-func (k *Listener) start() error {
+func (k *Listener) watch() error {
 	sa, err := unix.Getsockname(k.fd)
 	if err != nil {
 		return err
 	}
 	k.Addr = addrPort(sa) // of a Unix socket: none
-	if err := k.l.kernel.Watch(k.l.poller, k.fd, 0, watchRead); err != nil {
+	if err := k.loop.kernel.Watch(k.loop.poller, k.fd, 0, watchRead); err != nil {
 		return err
 	}
-	k.on = true
-	k.l.fds[k.fd] = func(uint32) { k.take() }
+	k.listening = true
+	k.loop.handlers[k.fd] = func(uint32) { k.acceptReady() }
 	return nil
 }
 
@@ -107,10 +107,10 @@
 
 // Close ends accepting. Where another process holds the socket, what waits there is that one's.
 func (k *Listener) Close() {
-	if k.on {
-		k.on = false
-		k.l.poller.Delete(k.fd)
-		delete(k.l.fds, k.fd)
+	if k.listening {
+		k.listening = false
+		k.loop.poller.Delete(k.fd)
+		delete(k.loop.handlers, k.fd)
 		unix.Close(k.fd)
 	}
 }
@@ -119,7 +119,7 @@
 // accepted. It means nothing where this one is alone. Guards against connections that are reset with the queue of a
 // listener that closes.
 func (k *Listener) PreferNewest() {
-	if !k.on {
+	if !k.listening {
 		return
 	}
 	program := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}} // the second of the group
@@ -130,18 +130,18 @@
 	}
 }
 
-// take accepts what waits. An accept that fails for a moment is made again.
-func (k *Listener) take() {
-	l := k.l
+// acceptReady accepts what waits. An accept that fails for a moment is made again.
+func (k *Listener) acceptReady() {
+	l := k.loop
 	for range acceptBurst {
-		if !k.on {
+		if !k.listening {
 			return
 		}
 		fd, from, err := l.kernel.Accept(k.fd)
 		exhausted := false
 		if isOneOf(err, unix.EMFILE, unix.ENFILE) {
 			fd, from, err = l.acceptWithSpare(k.fd)
-			exhausted = l.spare < 0
+			exhausted = l.spareFD < 0
 		}
 		switch {
 		case err == unix.EAGAIN:
@@ -149,34 +149,34 @@
 		case isOneOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO): // at most that one connection is gone
 			continue
 		case err != nil:
-			k.rest(err)
+			k.pause(err)
 			return
 		}
-		c := k.taken(fd, from)
+		c := k.serve(fd, from)
 		if exhausted && c != nil {
 			zap.L().Warn("descriptors_exhausted")
-			c.giveWay(c.place)
+			c.evict(c.idleElement)
 		}
 	}
 }
 
-// taken has a connection that was accepted be served; nil: nobody serves it.
-func (k *Listener) taken(fd int, from unix.Sockaddr) *Conn {
-	l := k.l
+// serve has a connection that was accepted be served; nil: nobody serves it.
+func (k *Listener) serve(fd int, from unix.Sockaddr) *Conn {
+	l := k.loop
 	setOptions(fd)
-	c := l.attach(fd, k.apart)
+	c := l.newConn(fd, k.uncounted)
 	c.Peer = addrPort(from).Addr()
-	if !k.apart {
-		l.makeRoom()
+	if !k.uncounted {
+		l.enforceIdleLimit()
 	}
-	c.h = k.accept(c)
-	if c.h == nil {
+	c.handler = k.accept(c)
+	if c.handler == nil {
 		c.Abort()
 		return nil
 	}
 	c.wait()
-	l.fds[fd] = c.ready
-	c.register()
+	l.handlers[fd] = c.handleEvents
+	c.updateWatch()
 	return c
 }
 
@@ -184,41 +184,41 @@
 // descriptors run out: who comes then is heard, and goes with an answer. Where they were short for a moment only, the spare one is
 // back at once.
 func (l *Loop) acceptWithSpare(listener int) (fd int, from unix.Sockaddr, err error) {
-	if l.spare < 0 {
-		l.holdSpare()
+	if l.spareFD < 0 {
+		l.openSpare()
 	}
-	if l.spare < 0 {
+	if l.spareFD < 0 {
 		return -1, nil, unix.EMFILE
 	}
-	unix.Close(l.spare)
-	l.spare = -1
+	unix.Close(l.spareFD)
+	l.spareFD = -1
 	fd, from, err = l.kernel.Accept(listener)
-	l.holdSpare()
+	l.openSpare()
 	return fd, from, err
 }
 
-// rest looks away from the listener for a moment: what keeps it from accepting would wake the loop again and again.
-func (k *Listener) rest(why error) {
+// pause looks away from the listener for a moment: what keeps it from accepting would wake the loop again and again.
+func (k *Listener) pause(why error) {
 	zap.L().Warn("accept_failed", zap.Error(why))
-	k.l.poller.Delete(k.fd)
-	k.l.At(k.l.Now().Add(passingPause), k.look)
+	k.loop.poller.Delete(k.fd)
+	k.loop.At(k.loop.Now().Add(transientRetryPause), k.resume)
 }
 
-// look watches the listener again.
-func (k *Listener) look() {
-	if !k.on {
+// resume watches the listener again.
+func (k *Listener) resume() {
+	if !k.listening {
 		return
 	}
-	if err := k.l.kernel.Watch(k.l.poller, k.fd, 0, watchRead); err != nil {
-		k.rest(err)
+	if err := k.loop.kernel.Watch(k.loop.poller, k.fd, 0, watchRead); err != nil {
+		k.pause(err)
 	}
 }
 
-func (l *Loop) attach(fd int, apart bool) *Conn {
+func (l *Loop) newConn(fd int, apart bool) *Conn {
 	if !apart {
 		l.open++
 	}
-	return &Conn{l: l, fd: fd, connected: true, apart: apart}
+	return &Conn{loop: l, fd: fd, connected: true, uncounted: apart}
 }
 
 // ListenUnix accepts connections of this machine at path, apart from all others. The socket takes the path's place at
@@ -233,12 +233,12 @@
 	if err = unix.Bind(fd, &unix.SockaddrUnix{Name: first}); err == nil {
 		err = errors.Join(unix.Chmod(first, 0o600), unix.Listen(fd, 4))
 	}
-	k := &Listener{l: l, fd: fd, accept: accept, apart: true}
+	k := &Listener{loop: l, fd: fd, accept: accept, uncounted: true}
 	if err == nil {
 		err = os.Rename(first, path)
 	}
 	if err == nil {
-		err = k.start()
+		err = k.watch()
 	}
 	if err != nil {
 		os.Remove(first)
@@ -251,16 +251,16 @@
 // Attach has the loop serve a connected stream socket, apart from all others.
 func (l *Loop) Attach(fd int, h Handler) *Conn {
 	unix.SetNonblock(fd, true)
-	c := l.attach(fd, true)
-	c.h = h
-	l.fds[fd] = c.ready
-	c.register()
+	c := l.newConn(fd, true)
+	c.handler = h
+	l.handlers[fd] = c.handleEvents
+	c.updateWatch()
 	return c
 }
 
 // SendDescriptors writes p whole, with descriptors for the other process to hold as well, on a Unix socket.
 func (c *Conn) SendDescriptors(p []byte, fds ...int) error {
-	if c.closed || len(c.out) > 0 {
+	if c.closed || len(c.pending) > 0 {
 		return errors.New("the connection is not free")
 	}
 	n, err := uninterrupted(func() (int, error) {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -28,29 +28,29 @@
 	readSize    = 16 << 10 // most that one read takes
 	acceptBurst = 64       // connections taken in one go; the rest wait for the next round
 
-	// onTime is how late a timer may be and still count as on time. A later one lets all that lies ready go first.
-	onTime = 2 * time.Millisecond
+	// timerTolerance is how late a timer may be and still count as on time. A later one lets all that lies ready go first.
+	timerTolerance = 2 * time.Millisecond
 )
 
 // Loop runs callbacks. All methods but Post belong to the loop's goroutine, or to the time before Run.
 type Loop struct {
-	poller    *netpoll.Poller
-	kernel    Kernel
-	fds       map[int]func(events uint32)
-	timers    timers
-	posts     *posts
-	timerFD   int
-	armed     time.Time
-	yielded   bool // late timers wait for what lies ready
-	after     []func()
-	buf       [readSize]byte
-	spare     int // a descriptor kept back, to turn a client away when there is no other left
-	stopping  bool
-	open      int
-	idle      list.List // connections that may go for others, oldest first: see room.go
-	most      int       // connections from which on they go; 0: never
-	own       int       // the same, when no other process shares the node's descriptors
-	highWater int
+	poller        *netpoll.Poller
+	kernel        Kernel
+	handlers      map[int]func(events uint32)
+	timers        timers
+	posts         *postQueue
+	timerFD       int
+	timerArmedFor time.Time
+	timersYielded bool // late timers wait for what lies ready
+	afterCallback []func()
+	readBuffer    [readSize]byte
+	spareFD       int // a descriptor kept back, to turn a client away when there is no other left
+	stopping      bool
+	open          int
+	idleQueue     list.List // connections that may go for others, oldest first: see room.go
+	idleLimit     int       // connections from which on they go; 0: never
+	ownIdleLimit  int       // the same, when no other process shares the node's descriptors
+	highWater     int
 }
 
 // New makes a loop that is not running yet.
@@ -62,23 +62,23 @@
 	if err != nil {
 		return nil, fmt.Errorf("loop: %w", err)
 	}
-	l := &Loop{poller: p, kernel: kernel, fds: map[int]func(uint32){}, spare: -1, highWater: mostWater}
+	l := &Loop{poller: p, kernel: kernel, handlers: map[int]func(uint32){}, spareFD: -1, highWater: maxHighWater}
 	l.timerFD, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("loop: timerfd: %w", err)
 	}
-	l.fds[l.timerFD] = l.timerReady
+	l.handlers[l.timerFD] = l.timerReady
 	if err := p.AddRead(&netpoll.PollAttachment{FD: l.timerFD}, false); err != nil {
 		return nil, fmt.Errorf("loop: %w", err)
 	}
-	if l.posts, err = newPosts(); err != nil {
+	if l.posts, err = newPostQueue(); err != nil {
 		return nil, fmt.Errorf("loop: %w", err)
 	}
-	l.fds[l.posts.fd] = l.posted
+	l.handlers[l.posts.fd] = l.runPosted
 	if err := p.AddRead(&netpoll.PollAttachment{FD: l.posts.fd}, false); err != nil {
 		return nil, fmt.Errorf("loop: %w", err)
 	}
-	l.holdSpare()
+	l.openSpare()
 	return l, nil
 }
 
@@ -89,16 +89,16 @@
 func (l *Loop) Open() int { return l.open }
 
 // After adds a function that runs whenever a callback has returned.
-func (l *Loop) After(fn func()) { l.after = append(l.after, fn) }
+func (l *Loop) After(fn func()) { l.afterCallback = append(l.afterCallback, fn) }
 
 // Post runs fn on the loop; any goroutine may call it.
 func (l *Loop) Post(fn func()) { l.posts.add(fn) }
 
-// posted runs what other goroutines have posted.
-func (l *Loop) posted(uint32) {
+// runPosted runs what other goroutines have posted.
+func (l *Loop) runPosted(uint32) {
 	for _, fn := range l.posts.take() {
 		fn()
-		for _, after := range l.after {
+		for _, after := range l.afterCallback {
 			after()
 		}
 	}
@@ -109,12 +109,12 @@
 
 // Run runs until Stop.
 func (l *Loop) Run() error {
-	l.settle()
+	l.runAfterCallback()
 	err := l.poller.Polling(func(fd int, ev netpoll.IOEvent, _ netpoll.IOFlags) error {
-		if fn := l.fds[fd]; fn != nil {
+		if fn := l.handlers[fd]; fn != nil {
 			fn(uint32(ev))
 		}
-		l.settle()
+		l.runAfterCallback()
 		if l.stopping {
 			return gneterrors.ErrEngineShutdown
 		}
@@ -127,74 +127,74 @@
 }
 
 // Serves reports whether a descriptor is one of the loop's.
-func (l *Loop) Serves(fd int) bool { return l.fds[fd] != nil }
+func (l *Loop) Serves(fd int) bool { return l.handlers[fd] != nil }
 
 // Close closes all that the loop served, as the process's end would. It is called once Run has returned.
 func (l *Loop) Close() {
-	delete(l.fds, l.posts.fd)
+	delete(l.handlers, l.posts.fd)
 	l.posts.close()
-	for fd := range l.fds {
+	for fd := range l.handlers {
 		unix.Close(fd)
 	}
-	clear(l.fds)
+	clear(l.handlers)
 	l.poller.Close()
-	if l.spare >= 0 {
-		unix.Close(l.spare)
-		l.spare = -1
+	if l.spareFD >= 0 {
+		unix.Close(l.spareFD)
+		l.spareFD = -1
 	}
 }
 
-func (l *Loop) settle() {
-	for _, fn := range l.after {
+func (l *Loop) runAfterCallback() {
+	for _, fn := range l.afterCallback {
 		fn()
 	}
-	l.arm()
+	l.armTimer()
 }
 
 // Timers.
 
 type timer struct {
-	at  time.Time
-	seq uint64
-	fn  func()
-	pos int
+	due      time.Time
+	sequence uint64
+	callback func()
+	position int
 }
 
 type timers struct {
-	heap []*timer
-	seq  uint64
+	heap     []*timer
+	sequence uint64
 }
 
 func (t *timers) Len() int { return len(t.heap) }
 func (t *timers) Less(i, j int) bool {
 	a, b := t.heap[i], t.heap[j]
-	return a.at.Before(b.at) || a.at.Equal(b.at) && a.seq < b.seq
+	return a.due.Before(b.due) || a.due.Equal(b.due) && a.sequence < b.sequence
 }
 func (t *timers) Swap(i, j int) {
 	t.heap[i], t.heap[j] = t.heap[j], t.heap[i]
-	t.heap[i].pos, t.heap[j].pos = i, j
+	t.heap[i].position, t.heap[j].position = i, j
 }
 func (t *timers) Push(x any) {
 	n := x.(*timer)
-	n.pos = len(t.heap)
+	n.position = len(t.heap)
 	t.heap = append(t.heap, n)
 }
 func (t *timers) Pop() any {
 	n := t.heap[len(t.heap)-1]
 	t.heap[len(t.heap)-1] = nil
 	t.heap = t.heap[:len(t.heap)-1]
-	n.pos = -1
+	n.position = -1
 	return n
 }
 
 // At runs fn at a time, never before the present callback has returned. The function that it returns takes it back.
 func (l *Loop) At(at time.Time, fn func()) (stop func()) {
-	l.timers.seq++
-	t := &timer{at: at, seq: l.timers.seq, fn: fn}
+	l.timers.sequence++
+	t := &timer{due: at, sequence: l.timers.sequence, callback: fn}
 	heap.Push(&l.timers, t)
 	return func() {
-		if t.pos >= 0 {
-			heap.Remove(&l.timers, t.pos)
+		if t.position >= 0 {
+			heap.Remove(&l.timers, t.position)
 		}
 	}
 }
@@ -202,30 +202,30 @@
 // timerReady runs the timers that are due. Late ones go last: on a small share of a core an answer and the time set for it are found in
 // one poll, and whichever the kernel names first must not decide. Their descriptor is left unread then, so that the next poll finds it again.
 func (l *Loop) timerReady(uint32) {
-	late := len(l.timers.heap) > 0 && time.Since(l.timers.heap[0].at) > onTime
-	if late && !l.yielded {
-		l.yielded = true
+	late := len(l.timers.heap) > 0 && time.Since(l.timers.heap[0].due) > timerTolerance
+	if late && !l.timersYielded {
+		l.timersYielded = true
 		return
 	}
 	var b [8]byte
 	unix.Read(l.timerFD, b[:]) // where it is interrupted, the next poll finds it once more
-	l.armed = time.Time{}
-	l.fire()
+	l.timerArmedFor = time.Time{}
+	l.runTimers()
 }
 
-func (l *Loop) fire() {
-	l.yielded = false
+func (l *Loop) runTimers() {
+	l.timersYielded = false
 	now := time.Now()
-	last := l.timers.seq // what these callbacks set waits for the next round, so that none can hold the loop
+	last := l.timers.sequence // what these callbacks set waits for the next round, so that none can hold the loop
 	var later []*timer
-	for len(l.timers.heap) > 0 && !l.timers.heap[0].at.After(now) {
+	for len(l.timers.heap) > 0 && !l.timers.heap[0].due.After(now) {
 		t := heap.Pop(&l.timers).(*timer)
-		if t.seq > last {
+		if t.sequence > last {
 			later = append(later, t)
 			continue
 		}
-		t.fn()
-		for _, fn := range l.after {
+		t.callback()
+		for _, fn := range l.afterCallback {
 			fn()
 		}
 	}
@@ -234,19 +234,19 @@
 	}
 }
 
-func (l *Loop) arm() {
-	if len(l.timers.heap) == 0 || l.yielded {
+func (l *Loop) armTimer() {
+	if len(l.timers.heap) == 0 || l.timersYielded {
 		return
 	}
-	at := l.timers.heap[0].at
-	if at.Equal(l.armed) {
+	at := l.timers.heap[0].due
+	if at.Equal(l.timerArmedFor) {
 		return
 	}
-	l.armed = at
+	l.timerArmedFor = at
 	in := max(time.Until(at), time.Microsecond)
 	spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(in))}
 	if err := unix.TimerfdSettime(l.timerFD, 0, &spec, nil); err != nil {
-		l.armed = time.Time{} // set again after the next callback
+		l.timerArmedFor = time.Time{} // set again after the next callback
 		zap.L().Error("loop_timer_failed", zap.Error(err))
 	}
 }
@@ -259,12 +259,12 @@
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, 20)
 }
 
-func (l *Loop) holdSpare() {
+func (l *Loop) openSpare() {
 	f, err := unix.Open(os.DevNull, unix.O_RDONLY|unix.O_CLOEXEC, 0)
 	if err != nil {
 		f = -1
 	}
-	l.spare = f
+	l.spareFD = f
 }
 
 func sockaddr(ap netip.AddrPort) (unix.Sockaddr, int) {
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -11,34 +11,34 @@
 	"time"
 )
 
-// recorder is a handler that tells what happens.
-type recorder struct {
+// recordingHandler is a handler that tells what happens.
+type recordingHandler struct {
 	conn *Conn
 	up   chan bool
 	end  chan error
 	data func([]byte)
 }
 
-func record() *recorder {
-	return &recorder{up: make(chan bool, 1), end: make(chan error, 1), data: func([]byte) {}}
+func record() *recordingHandler {
+	return &recordingHandler{up: make(chan bool, 1), end: make(chan error, 1), data: func([]byte) {}}
 }
-func (r *recorder) OnConnect()      { r.up <- true }
-func (r *recorder) OnData(p []byte) { r.data(p) }
-func (r *recorder) OnEnd(err error) { r.end <- err }
-func (r *recorder) OnDrained()      {}
+func (r *recordingHandler) OnConnect()      { r.up <- true }
+func (r *recordingHandler) OnData(p []byte) { r.data(p) }
+func (r *recordingHandler) OnEnd(err error) { r.end <- err }
+func (r *recordingHandler) OnDrained()      {}
 
-// run runs a loop until the test ends.
-func run(t *testing.T) *Loop {
+// startLoop runs a loop until the test ends.
+func startLoop(t *testing.T) *Loop {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	runs(t, l)
+	runUntilEnd(t, l)
 	return l
 }
 
-// runs runs a loop that was made until the test ends.
-func runs(t *testing.T, l *Loop) {
+// runUntilEnd runs a loop that was made until the test ends.
+func runUntilEnd(t *testing.T, l *Loop) {
 	var done sync.WaitGroup
 	done.Add(1)
 	go func() {
@@ -53,14 +53,14 @@
 	})
 }
 
-// on runs fn on the loop and waits for it.
-func on(l *Loop, fn func()) {
+// onLoop runs fn on the loop and waits for it.
+func onLoop(l *Loop, fn func()) {
 	done := make(chan bool)
 	l.Post(func() { fn(); close(done) })
 	<-done
 }
 
-func wait[T any](t *testing.T, c chan T) T {
+func receive[T any](t *testing.T, c chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
@@ -71,10 +71,10 @@
 	panic("not reached")
 }
 
-// echo listens on the loop and sends back what comes.
-func echo(t *testing.T, l *Loop) string {
+// listenEcho listens on the loop and sends back what comes.
+func listenEcho(t *testing.T, l *Loop) string {
 	var addr string
-	on(l, func() {
+	onLoop(l, func() {
 		at, err := l.Listen("127.0.0.1:0", func(c *Conn) Handler {
 			r := record()
 			r.data = func(p []byte) { c.Write(p) }
@@ -88,7 +88,7 @@
 	return addr
 }
 
-func served(addr string) error {
+func checkServed(addr string) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -98,22 +98,22 @@
 	if _, err := c.Write([]byte("x")); err != nil {
 		return err
 	}
-	return echoed(c)
+	return readEcho(c)
 }
 
-// echoed waits for the byte that was sent.
-func echoed(c net.Conn) error {
+// readEcho waits for the byte that was sent.
+func readEcho(c net.Conn) error {
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	_, err := io.ReadFull(c, make([]byte, 1))
 	return err
 }
 
-// TestNoDescriptor guards against a listener that dies, or clients that hang, when descriptors run out. (gnet's own
+// TestDescriptorsExhausted guards against a listener that dies, or clients that hang, when descriptors run out. (gnet's own
 // engine ends with an error there.)
-func TestNoDescriptor(t *testing.T) {
-	l := run(t)
-	addr := echo(t, l)
-	if err := served(addr); err != nil {
+func TestDescriptorsExhausted(t *testing.T) {
+	l := startLoop(t)
+	addr := listenEcho(t, l)
+	if err := checkServed(addr); err != nil {
 		t.Fatal(err)
 	}
 	var old syscall.Rlimit
@@ -149,14 +149,14 @@
 	if err != nil || n > 0 || errors.Is(readErr, syscall.EAGAIN) {
 		t.Errorf("connect %v, read %d %v: want the connection closed", err, n, readErr)
 	}
-	if err := served(addr); err != nil {
+	if err := checkServed(addr); err != nil {
 		t.Error("not served afterwards:", err)
 	}
 }
 
-// TestDialLimit checks that a connect that nobody answers ends by its time, and a refused one at once.
-func TestDialLimit(t *testing.T) {
-	l := run(t)
+// TestDialTimeout checks that a connect that nobody answers ends by its time, and a refused one at once.
+func TestDialTimeout(t *testing.T) {
+	l := startLoop(t)
 	silent, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -168,12 +168,12 @@
 	syscall.Listen(silent, 0)
 	sa, _ := syscall.Getsockname(silent)
 	full := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: sa.(*syscall.SockaddrInet4).Port}
-	var late *recorder
+	var late *recordingHandler
 	for range 4 { // the first ones fill the listener's queue
 		late = record()
-		on(l, func() { l.Dial(full.String(), l.Now().Add(200*time.Millisecond), late) })
+		onLoop(l, func() { l.Dial(full.String(), l.Now().Add(200*time.Millisecond), late) })
 	}
-	if err := wait(t, late.end); !errors.Is(err, ErrTimeout) {
+	if err := receive(t, late.end); !errors.Is(err, ErrTimeout) {
 		t.Error("no answer:", err)
 	}
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
@@ -182,24 +182,24 @@
 	}
 	closed.Close()
 	refused := record()
-	on(l, func() { l.Dial(closed.Addr().String(), l.Now().Add(time.Minute), refused) })
-	if err := wait(t, refused.end); !errors.Is(err, syscall.ECONNREFUSED) {
+	onLoop(l, func() { l.Dial(closed.Addr().String(), l.Now().Add(time.Minute), refused) })
+	if err := receive(t, refused.end); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Error("refused:", err)
 	}
 	bad := record()
-	on(l, func() { l.Dial("nowhere", l.Now().Add(time.Minute), bad) })
-	if err := wait(t, bad.end); err == nil {
+	onLoop(l, func() { l.Dial("nowhere", l.Now().Add(time.Minute), bad) })
+	if err := receive(t, bad.end); err == nil {
 		t.Error("a bad address is dialled")
 	}
 }
 
-// TestPause checks that a paused connection takes nothing in: the sender is held up by the kernel.
-func TestPause(t *testing.T) {
-	l := run(t)
+// TestPauseHoldsUpSender checks that a paused connection takes nothing in: the sender is held up by the kernel.
+func TestPauseHoldsUpSender(t *testing.T) {
+	l := startLoop(t)
 	got := 0
 	r := record()
 	var addr string
-	on(l, func() {
+	onLoop(l, func() {
 		at, err := l.Listen("127.0.0.1:0", func(c *Conn) Handler {
 			r.conn = c
 			r.data = func(p []byte) {
@@ -225,33 +225,33 @@
 		sent <- n
 	}()
 	time.Sleep(200 * time.Millisecond)
-	on(l, func() {
+	onLoop(l, func() {
 		if got > readSize {
 			t.Errorf("%d bytes taken in while paused", got)
 		}
 		r.data = func(p []byte) { got += len(p) }
 		r.conn.Resume()
 	})
-	if n := wait(t, sent); n != all {
+	if n := receive(t, sent); n != all {
 		t.Errorf("%d bytes sent", n)
 	}
 	c.Close()
-	if err := wait(t, r.end); err != io.EOF {
+	if err := receive(t, r.end); err != io.EOF {
 		t.Error(err)
 	}
-	on(l, func() {
+	onLoop(l, func() {
 		if got != all {
 			t.Errorf("%d bytes of %d came", got, all)
 		}
 	})
 }
 
-// TestTimers checks their order, that one can be taken back, and that one set in a callback waits for it.
-func TestTimers(t *testing.T) {
-	l := run(t)
+// TestTimerOrder checks their order, that one can be taken back, and that one set in a callback waits for it.
+func TestTimerOrder(t *testing.T) {
+	l := startLoop(t)
 	var order []int
 	done := make(chan bool, 1)
-	on(l, func() {
+	onLoop(l, func() {
 		now := l.Now()
 		add := func(in time.Duration, n int) func() {
 			return l.At(now.Add(in), func() { order = append(order, n) })
@@ -269,7 +269,7 @@
 			order = append(order, 3)
 		})
 	})
-	wait(t, done)
+	receive(t, done)
 	if len(order) != 4 || order[0] != 1 || order[1] != 2 || order[2] != 3 || order[3] != 4 {
 		t.Error(order)
 	}
--- a/internal/loop/post.go
+++ b/internal/loop/post.go
@@ -7,25 +7,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// posts are the functions that other goroutines have the loop run. Their own descriptor wakes it, and not gnet's: there a write that is
+// postQueue are the functions that other goroutines have the loop run. Their own descriptor wakes it, and not gnet's: there a write that is
 // interrupted leaves a mark that the loop was woken, and no later one wakes it.
-type posts struct {
+type postQueue struct {
 	fd      int // an eventfd, readable while functions wait
 	mu      sync.Mutex
 	waiting []func()
 	closed  bool // its descriptor is somebody else's, perhaps
 }
 
-func newPosts() (*posts, error) {
+func newPostQueue() (*postQueue, error) {
 	fd, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	return &posts{fd: fd}, nil
+	return &postQueue{fd: fd}, nil
 }
 
 // add has the loop run fn, unless the loop is closed.
-func (p *posts) add(fn func()) {
+func (p *postQueue) add(fn func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -42,7 +42,7 @@
 }
 
 // close gives the descriptor up; who posts later is not heard.
-func (p *posts) close() {
+func (p *postQueue) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.closed {
@@ -52,7 +52,7 @@
 }
 
 // take gives what waits, in the order in which it was added.
-func (p *posts) take() []func() {
+func (p *postQueue) take() []func() {
 	var count [8]byte
 	unix.Read(p.fd, count[:]) // before the functions are taken; where it is interrupted, the next poll finds the descriptor again
 	p.mu.Lock()
--- a/internal/loop/room.go
+++ b/internal/loop/room.go
@@ -7,10 +7,10 @@
 // queue, oldest first, and above a number of connections the oldest goes whenever another one comes, or asks for something.
 
 const (
-	leastWater = 4 << 10
-	mostWater  = 64 << 10
-	// waterShare is the part of the memory, as a divisor, that may wait to be written on all connections together.
-	waterShare = 8
+	minHighWater = 4 << 10
+	maxHighWater = 64 << 10
+	// pendingMemoryPart is the part of the memory, as a divisor, that may wait to be written on all connections together.
+	pendingMemoryPart = 8
 )
 
 // Evictable is a handler whose connection may be wanted for another one before it has said what it wants. Leave gives it
@@ -20,31 +20,31 @@
 // Limit sets the number of connections from which on idle ones go, and sizes the buffers so that all of most
 // connections fit the memory. 0: not told. Of several limits the tightest holds.
 func (l *Loop) Limit(idleAbove, most int, memory int64) {
-	if idleAbove > 0 && (l.own == 0 || idleAbove < l.own) {
-		l.most, l.own = idleAbove, idleAbove
+	if idleAbove > 0 && (l.ownIdleLimit == 0 || idleAbove < l.ownIdleLimit) {
+		l.idleLimit, l.ownIdleLimit = idleAbove, idleAbove
 	}
 	if most > 0 && memory > 0 {
-		l.highWater = int(min(max(memory/waterShare/int64(most), leastWater), mostWater))
+		l.highWater = int(min(max(memory/pendingMemoryPart/int64(most), minHighWater), maxHighWater))
 	}
 }
 
 // SetIdleLimit sets the number for a node that may share its descriptors with another process, as it is now. What Limit set
 // holds beside it. 0: none goes.
 func (l *Loop) SetIdleLimit(idleAbove int) {
-	if l.most = idleAbove; l.own > 0 {
-		l.most = min(l.own, idleAbove)
+	if l.idleLimit = idleAbove; l.ownIdleLimit > 0 {
+		l.idleLimit = min(l.ownIdleLimit, idleAbove)
 	}
-	l.makeRoom()
+	l.enforceIdleLimit()
 }
 
 // Idle counts the connections that may go.
-func (l *Loop) Idle() int { return l.idle.Len() }
+func (l *Loop) Idle() int { return l.idleQueue.Len() }
 
 // EachIdle calls fn for the handler of each connection that may go, the oldest first. fn changes none of them.
 func (l *Loop) EachIdle(fn func(Handler)) {
-	for e := l.idle.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*Conn); !c.ending && !c.away {
-			fn(c.h)
+	for e := l.idleQueue.Front(); e != nil; e = e.Next() {
+		if c := e.Value.(*Conn); !c.ending && !c.detached {
+			fn(c.handler)
 		}
 	}
 }
@@ -54,16 +54,16 @@
 
 // wait puts a connection at the end of the queue of those that may go.
 func (c *Conn) wait() {
-	if !c.closed && !c.apart && c.place == nil {
-		c.place = c.l.idle.PushBack(c)
+	if !c.closed && !c.uncounted && c.idleElement == nil {
+		c.idleElement = c.loop.idleQueue.PushBack(c)
 	}
 }
 
 // LeaveIdleQueue takes a connection out of the queue: it has said what it wants and stays.
 func (c *Conn) LeaveIdleQueue() {
-	if c.place != nil {
-		c.l.idle.Remove(c.place)
-		c.place = nil
+	if c.idleElement != nil {
+		c.loop.idleQueue.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
@@ -71,49 +71,49 @@
 // planned stop, whose end would cut them off with their words unread.
 func (l *Loop) CloseIdle() {
 	var all []*Conn
-	for e := l.idle.Front(); e != nil; e = e.Next() {
+	for e := l.idleQueue.Front(); e != nil; e = e.Next() {
 		all = append(all, e.Value.(*Conn))
 	}
 	for _, c := range all {
-		place := c.place
+		place := c.idleElement
 		c.ReadAvailable()
-		if s, ok := c.h.(Evictable); ok && place != nil && c.place == place && !c.closed && !c.ending && !c.away {
+		if s, ok := c.handler.(Evictable); ok && place != nil && c.idleElement == place && !c.closed && !c.ending && !c.detached {
 			s.Evict()
 		}
 	}
 }
 
-// makeRoom has the oldest of those that wait go, until there are few enough connections.
-func (l *Loop) makeRoom() {
-	if l.most > 0 {
-		l.EvictIdle(l.most)
+// enforceIdleLimit has the oldest of those that wait go, until there are few enough connections.
+func (l *Loop) enforceIdleLimit() {
+	if l.idleLimit > 0 {
+		l.EvictIdle(l.idleLimit)
 	}
 }
 
 // EvictIdle has the oldest of those that wait go, until there are no more than open connections or none that waits. What they have
 // said meanwhile is heard first: within OnData, p is overwritten when it returns.
 func (l *Loop) EvictIdle(open int) {
-	for e := l.idle.Front(); e != nil && l.open > open; {
+	for e := l.idleQueue.Front(); e != nil && l.open > open; {
 		c := e.Value.(*Conn)
-		if c.away || c.ending && len(c.out) > 0 { // another process may have it already; the rest of its answer goes out yet
+		if c.detached || c.ending && len(c.pending) > 0 { // another process may have it already; the rest of its answer goes out yet
 			e = e.Next()
 			continue
 		}
-		c.giveWay(e)
-		e = l.idle.Front()
+		c.evict(e)
+		e = l.idleQueue.Front()
 	}
 }
 
-// giveWay ends a connection that has not spoken. What it may have said meanwhile is read first: a client whose words
+// evict ends a connection that has not spoken. What it may have said meanwhile is read first: a client whose words
 // have arrived must not go because the loop hasn't come to read them.
-func (c *Conn) giveWay(place *list.Element) {
+func (c *Conn) evict(place *list.Element) {
 	c.ReadAvailable()
-	if c.closed || c.place != place {
+	if c.closed || c.idleElement != place {
 		return
 	}
-	if s, ok := c.h.(Evictable); ok && !c.ending {
+	if s, ok := c.handler.(Evictable); ok && !c.ending {
 		s.Evict()
-		if len(c.out) > 0 { // the rest of its answer is written first
+		if len(c.pending) > 0 { // the rest of its answer is written first
 			return
 		}
 	}
