--- a/internal/loop/crossing_test.go
+++ b/internal/loop/crossing_test.go
@@ -13,7 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// whileLoopHeld runs fn on the loop, which hears of nothing meanwhile: what fn does lies ready, all of it, in the next poll.
+// whileLoopHeld runs fn on the loop, which hears of nothing meanwhile: what fn does lies ready, all of it, in the
+// next poll.
 func whileLoopHeld(t *testing.T, l *Loop, fn func()) {
 	t.Helper()
 	onLoop(l, func() {
@@ -73,8 +74,8 @@
 	return receive(t, taken), peer
 }
 
-// TestLateTimer has a timer become due, late, before bytes arrive, with both found in one poll: the bytes are heard first,
-// and the timer right after them.
+// TestLateTimer has a timer become due, late, before bytes arrive, with both found in one poll: the bytes are heard
+// first, and the timer right after them.
 func TestLateTimer(t *testing.T) {
 	l := startLoop(t)
 	var order []string
@@ -99,8 +100,8 @@
 	})
 }
 
-// TestReadBeforeFailure has the other side answer and cut the connection off while a write of ours fails: the answer is heard, then
-// the failure.
+// TestReadBeforeFailure has the other side answer and cut the connection off while a write of ours fails: the answer
+// is heard, then the failure.
 func TestReadBeforeFailure(t *testing.T) {
 	l := startLoop(t)
 	got := make(chan string, 4)
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestLingerOverUnreadBytes has bytes arrive just as a connection that lingers is to be closed: they are read and it lingers on, since
-// a reset may eat the answer that the other side has not read yet.
+// TestLingerOverUnreadBytes has bytes arrive just as a connection that lingers is to be closed: they are read and it
+// lingers on, since a reset may eat the answer that the other side has not read yet.
 func TestLingerOverUnreadBytes(t *testing.T) {
 	l := startLoop(t)
 	c, peer := acceptedPair(t, l, func(*Conn) Handler { return record() })
@@ -149,7 +150,8 @@
 	}
 }
 
-// TestHeardBeforeEviction has a connection that may go for others say what it wants before it goes: it is heard and stays.
+// TestHeardBeforeEviction has a connection that may go for others say what it wants before it goes: it is heard and
+// stays.
 func TestHeardBeforeEviction(t *testing.T) {
 	l := startLoop(t)
 	heard := make(chan string, 1)
--- a/internal/loop/failing_test.go
+++ b/internal/loop/failing_test.go
@@ -87,7 +87,8 @@
 	return l
 }
 
-// TestTransientAcceptFailure has accept fail once in each way that Linux documents while a client has sent its words: it is served.
+// TestTransientAcceptFailure has accept fail once in each way that Linux documents while a client has sent its words:
+// it is served.
 func TestTransientAcceptFailure(t *testing.T) {
 	for _, err := range []error{unix.EINTR, unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM} {
 		k := &failingKernel{}
@@ -118,8 +119,8 @@
 	}
 }
 
-// TestNothingWrittenAfterFailedWrite has a write fail and the next one succeed before the failure is told: the second is not written, since the
-// other side would read its bytes behind those that came before the failure.
+// TestNothingWrittenAfterFailedWrite has a write fail and the next one succeed before the failure is told: the second
+// is not written, since the other side would read its bytes behind those that came before the failure.
 func TestNothingWrittenAfterFailedWrite(t *testing.T) {
 	k := &failingKernel{}
 	l := startLoopOn(t, k)
@@ -141,7 +142,8 @@
 	}
 }
 
-// TestEvictedGetsWholeAnswer has the kernel take a part of the answer to a client whose place another one needs: the rest follows.
+// TestEvictedGetsWholeAnswer has the kernel take a part of the answer to a client whose place another one needs: the
+// rest follows.
 func TestEvictedGetsWholeAnswer(t *testing.T) {
 	k := &failingKernel{}
 	l := startLoopOn(t, k)
@@ -157,7 +159,8 @@
 	}
 }
 
-// TestTransientDialFailure has what a dial needs be short once, in each way that Linux documents: the connection comes up in its time.
+// TestTransientDialFailure has what a dial needs be short once, in each way that Linux documents: the connection
+// comes up in its time.
 func TestTransientDialFailure(t *testing.T) {
 	for _, err := range []error{unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN, unix.EINTR} {
 		k := &failingKernel{}
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -108,8 +108,8 @@
 	return err
 }
 
-// TestDescriptorsExhausted guards against a listener that dies, or clients that hang, when descriptors run out. (gnet's own
-// engine ends with an error there.)
+// TestDescriptorsExhausted guards against a listener that dies, or clients that hang, when descriptors run out.
+// (gnet's own engine ends with an error there.)
 func TestDescriptorsExhausted(t *testing.T) {
 	l := startLoop(t)
 	addr := listenEcho(t, l)
--- a/internal/loop/post.go
+++ b/internal/loop/post.go
@@ -1,14 +1,15 @@
 package loop
 
 import (
+	"errors"
 	"fmt"
 	"sync"
 
 	"golang.org/x/sys/unix"
 )
 
-// postQueue are the functions that other goroutines have the loop run. Their own descriptor wakes it, and not gnet's: there a write that is
-// interrupted leaves a mark that the loop was woken, and no later one wakes it.
+// postQueue holds the functions that other goroutines have the loop run. Its own descriptor wakes the loop, and not
+// gnet's: there a write that is interrupted leaves a mark that the loop was woken, and no later one wakes it.
 type postQueue struct {
 	fd      int // an eventfd, readable while functions wait
 	mu      sync.Mutex
@@ -35,7 +36,7 @@
 	one := [8]byte{1}
 	for {
 		// EAGAIN says that the counter is full: then it is readable, which is all that is wanted.
-		if _, err := unix.Write(p.fd, one[:]); err != unix.EINTR {
+		if _, err := unix.Write(p.fd, one[:]); !errors.Is(err, unix.EINTR) {
 			return
 		}
 	}
@@ -47,17 +48,18 @@
 	defer p.mu.Unlock()
 	if !p.closed {
 		p.closed = true
-		unix.Close(p.fd)
+		closeFD(p.fd)
 	}
 }
 
-// take gives what waits, in the order in which it was added.
+// take returns what waits, in the order in which it was added.
 func (p *postQueue) take() []func() {
 	var count [8]byte
-	unix.Read(p.fd, count[:]) // before the functions are taken; where it is interrupted, the next poll finds the descriptor again
+	// Before the functions are taken; where it is interrupted, the next poll finds the descriptor again.
+	_, _ = unix.Read(p.fd, count[:])
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := p.waiting
+	taken := p.waiting
 	p.waiting = nil
-	return all
+	return taken
 }
--- a/internal/loop/carry_test.go
+++ b/internal/loop/transfer_test.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestDetachedIsNotTouched lends a connection whose bytes the poller has told of already: they are not read here, neither is what
-// came is lost, and room isn't made at its cost; returned, it goes on.
+// TestDetachedIsNotTouched lends a connection whose bytes the poller has told of already: they are not read here,
+// neither is what came is lost, and room isn't made at its cost; returned, it goes on.
 func TestDetachedIsNotTouched(t *testing.T) {
 	l := startLoop(t)
 	var near, far [2]int
