--- /dev/null
+++ b/internal/failover/agent/aggregation.go
@@ -0,0 +1,134 @@
+package agent
+
+import (
+	"slices"
+	"time"
+
+	"spurwinch/internal/failover"
+)
+
+// peerTimeout is how long a node's evidence stands for it, and for how long one that sends evidence or summaries is
+// sent new entries.
+const peerTimeout = 2500 * time.Millisecond
+
+// nodeEvidence is the newest evidence of a node, at an aggregator of its zone.
+type nodeEvidence struct {
+	evidence failover.EvidenceSummary
+	at       time.Duration // when it came
+	fresh    bool          // it is in no summary yet
+	stale    bool          // it was long on its way
+}
+
+// handleEvidence takes a node's evidence, and answers with what this aggregator knows of the leader and the log.
+func (a *Agent) handleEvidence(head header, body []byte, stale bool, now time.Duration) {
+	evidence, err := failover.DecodeEvidenceSummary(body)
+	if err != nil || evidence.Zone != a.zone || len(evidence.Nodes) != 1 || evidence.Nodes[0].Node != head.from {
+		a.Counts.Spoilt++
+		return
+	}
+	a.storeEvidence(head.from, evidence, stale, now)
+	ack := evidenceAck{
+		EvidenceClock: head.clock,
+		LeaderAge:     -1,
+		LeaderPlan:    a.leader.plan,
+		Log:           a.follower.Digest(),
+		Notice:        a.leader.notice,
+	}
+	if a.leader.known {
+		ack.LeaderAge = int64((now - a.leader.confirmedAt) / time.Microsecond)
+	}
+	a.send(head.from, kindEvidenceAck, encode(ack), now)
+}
+
+// storeEvidence keeps a node's evidence for the next summary. What was counted before and is in no summary yet is
+// added to it.
+func (a *Agent) storeEvidence(node int, evidence failover.EvidenceSummary, stale bool, now time.Duration) {
+	if before := a.evidence[node]; before != nil && before.fresh {
+		addCounters(&evidence, before.evidence)
+	}
+	a.evidence[node] = &nodeEvidence{evidence: evidence, at: now, fresh: true, stale: stale}
+}
+
+// sendSummary sends the voters what this node knows of its zone.
+func (a *Agent) sendSummary(now time.Duration) {
+	summary, stale, ok := a.summarizeZone(now)
+	if !ok {
+		return
+	}
+	body := append([]byte{0}, summary.Encode()...)
+	if stale {
+		body[0] = 1
+	}
+	for _, voter := range a.options.List.Voters() {
+		if voter == a.options.Self {
+			a.observeSummary(a.options.Self, summary, stale, now)
+			a.pendingAcks = append(a.pendingAcks, pendingAck{to: voter, summaryClock: microseconds(now)})
+			continue
+		}
+		clock := a.send(voter, kindSummary, body, now)
+		a.peer(voter).awaitAnswer(clock, now)
+	}
+}
+
+// summarizeZone adds up the evidence of this zone's nodes. stale says that all of it was long on its way, ok that
+// there is any.
+func (a *Agent) summarizeZone(now time.Duration) (summary failover.EvidenceSummary, stale, ok bool) {
+	stale = true
+	for _, node := range a.options.List.InZone(a.zone) {
+		known := a.evidence[node]
+		if known == nil || now-known.at > peerTimeout {
+			delete(a.evidence, node)
+			continue
+		}
+		evidence := known.evidence
+		if !known.fresh {
+			evidence = withoutCounters(evidence)
+		}
+		if known.stale { // it shows who is there, and nothing more
+			evidence.Zones = nil
+		} else {
+			stale = false
+		}
+		known.fresh = false
+		summary.Zone = a.zone
+		summary.Add(evidence)
+		ok = true
+	}
+	return summary, stale, ok
+}
+
+// addCounters adds what evidence counts since the one before: arrivals, rejections and attempts. Levels stay as they
+// were observed last.
+func addCounters(evidence *failover.EvidenceSummary, before failover.EvidenceSummary) {
+	if slices.Equal(before.Classes, evidence.Classes) {
+		addEach(evidence.Arrived, before.Arrived)
+		addEach(evidence.Rejected, before.Rejected)
+	}
+	for i := range evidence.Zones {
+		zone := &evidence.Zones[i]
+		for _, old := range before.Zones {
+			if old.Zone == zone.Zone {
+				zone.Attempts += old.Attempts
+				zone.Failed += old.Failed
+			}
+		}
+	}
+}
+
+func addEach(to, from []float32) {
+	for i := range min(len(to), len(from)) {
+		to[i] += from[i]
+	}
+}
+
+// withoutCounters is evidence without what it counts, which is in a summary already.
+func withoutCounters(evidence failover.EvidenceSummary) failover.EvidenceSummary {
+	evidence.Arrived = make([]float32, len(evidence.Classes))
+	evidence.Rejected = make([]float32, len(evidence.Classes))
+	evidence.Zones = slices.Clone(evidence.Zones)
+	for i := range evidence.Zones {
+		evidence.Zones[i].Attempts = 0
+		evidence.Zones[i].Failed = 0
+	}
+	return evidence
+}
--- /dev/null
+++ b/internal/failover/agent/body.go
@@ -0,0 +1,75 @@
+package agent
+
+import (
+	"github.com/fxamacker/cbor/v2"
+
+	"spurwinch/internal/agree"
+	"spurwinch/internal/policy"
+)
+
+// The bodies of messages are CBOR arrays: the order of the fields is on the wire, their names are not.
+
+// evidenceAck is an aggregator's answer to evidence. It passes on what the aggregator knows of the leader.
+type evidenceAck struct {
+	_             struct{} `cbor:",toarray"`
+	EvidenceClock uint64   // of the evidence that is answered
+	LeaderAge     int64    // microseconds since the leader was surely there; under 0: not known
+	LeaderPlan    uint64   // the leader's newest plan then
+	Log           agree.Digest
+	Notice        policy.LeaderNotice
+}
+
+// summaryAck is the leader's answer to a zone's summary. It is sent after a majority has confirmed that the sender
+// leads.
+type summaryAck struct {
+	_            struct{} `cbor:",toarray"`
+	SummaryClock uint64   // of the summary that is answered
+	Log          agree.Digest
+	Notice       policy.LeaderNotice
+}
+
+// logEntry is an entry of the log.
+type logEntry struct {
+	_     struct{} `cbor:",toarray"`
+	Log   uint64
+	Entry agree.Entry
+}
+
+// leaseRequest asks the owner of a zone's capacity leases for capacity. It replaces what the sender asked for before.
+type leaseRequest struct {
+	_    struct{} `cbor:",toarray"`
+	Load float64
+}
+
+// leaseGrant is the owner's answer.
+type leaseGrant struct {
+	_            struct{} `cbor:",toarray"`
+	RequestClock uint64
+	Load         float64
+}
+
+// maxLeaseLoad bounds what a message may ask for or grant.
+const maxLeaseLoad = 1e9
+
+// isLeaseLoad says whether a number can be the load of a lease; NaN can't.
+func isLeaseLoad(load float64) bool { return load >= 0 && load < maxLeaseLoad }
+
+var (
+	encoding = must(cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode())
+	decoding = must(cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 8192, MaxMapPairs: 256}.DecMode())
+)
+
+func must[T any](value T, err error) T {
+	if err != nil {
+		panic(err) // fixed options and plain types: wrong at each start or at none
+	}
+	return value
+}
+
+func encode(value any) []byte { return must(encoding.Marshal(value)) }
+
+// decode reads a body; ok is false for one of another shape.
+func decode[T any](body []byte) (value T, ok bool) {
+	err := decoding.Unmarshal(body, &value)
+	return value, err == nil
+}
--- /dev/null
+++ b/internal/failover/agent/calls.go
@@ -0,0 +1,198 @@
+package agent
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"spurwinch/internal/agree"
+	"spurwinch/internal/failover"
+	"spurwinch/internal/membership"
+	"spurwinch/internal/policy"
+)
+
+// Operator is the sender's number in an operator's call: no node's.
+const Operator = 0xffff
+
+// Verb is what an operator's call asks for, as Call.Verb has it on the wire.
+type Verb string
+
+// The verbs of calls.
+const (
+	VerbStatus        Verb = "status"         // the node, the plan and, of the leader, the nodes
+	VerbPlan          Verb = "plan"           // the same
+	VerbExplain       Verb = "explain"        // what led to the state of the zone Arg; of the leader
+	VerbDrain         Verb = "drain"          // have no load in the zone Arg; of the leader
+	VerbUndrain       Verb = "undrain"        // the opposite
+	VerbEnded         Verb = "ended"          // how the proposal Arg ended; of a voter
+	VerbPolicy        Verb = "policy"         // without Arg a token, with a token in Arg the policy; of the leader
+	VerbPolicyPropose Verb = "policy-propose" // propose the policy Data in place of number Base; of the leader
+	VerbPolicyAbort   Verb = "policy-abort"   // give the change ID up; of the leader
+)
+
+// Call is what an operator asks a node.
+type Call struct {
+	_    struct{} `cbor:",toarray"`
+	Verb string   // a Verb
+	Arg  string   // a zone, a proposal's id or a token, by the verb
+	ID   string   // of the proposal that drain, undrain or a change of the policy makes
+	Data []byte   // a policy
+	Base uint64   // the number of the policy that it is to replace
+	Part policy.Canary
+}
+
+// callError is why a call is not answered, and what its caller can do about it.
+type callError struct {
+	reason  string
+	badCall bool // the call itself is wrong: no node will answer it otherwise
+	retry   bool // the same call may do later, or at the leader
+}
+
+// Error is the reason as the operator reads it.
+func (e *callError) Error() string { return e.reason }
+
+var (
+	errNotLeader  = &callError{reason: "this node does not lead", retry: true}
+	errNoEvidence = &callError{reason: "this node does not lead: evidence is with the one that does", retry: true}
+	errNotVoter   = &callError{reason: "this node does not vote: voters know how proposals ended", retry: true}
+	errNoPolicy   = &callError{
+		reason:  "this fleet has no policy on its log: [policy] in the list of nodes has it",
+		badCall: true,
+	}
+	errBadToken    = &callError{reason: "a token of an answer is wanted", badCall: true}
+	errLeaderMoved = &callError{reason: "another one leads since the call came", retry: true}
+	errSuperseded  = &callError{reason: "given up: another change came first"}
+)
+
+// Seal makes an operator's call to node number to.
+func Seal(key []byte, list *membership.List, to int, call Call) []byte {
+	return seal(key, digestOf(list), header{kind: kindCall, from: Operator, to: to, clock: 1}, encode(call))
+}
+
+// Unseal reads a node's reply to a call.
+func Unseal(key []byte, list *membership.List, message []byte) (Reply, error) {
+	head, body, err := open(key, digestOf(list), message)
+	if err != nil {
+		return Reply{}, fmt.Errorf("open reply: %w", err)
+	}
+	if head.kind != kindReply {
+		return Reply{}, fmt.Errorf("open reply: %w", errCorrupt)
+	}
+	var reply Reply
+	if err := decoding.Unmarshal(body, &reply); err != nil {
+		return Reply{}, fmt.Errorf("decode reply: %w", err)
+	}
+	return reply, nil
+}
+
+// Answer answers an operator's call that came by a stream; ok is false for anything else.
+func (a *Agent) Answer(message []byte, now time.Duration) (reply []byte, ok bool) {
+	head, body, err := open(a.options.Key, a.listDigest, message)
+	if err != nil || head.kind != kindCall || head.from != Operator || head.to != a.options.Self {
+		return nil, false
+	}
+	call, ok := decode[Call](body)
+	if !ok {
+		return nil, false
+	}
+	answer := a.describe(now)
+	if err := a.handleCall(call, &answer, now); err != nil {
+		answer.setError(err)
+	}
+	a.advance(now)
+	head = header{kind: kindReply, from: a.options.Self, to: Operator, clock: head.clock}
+	return seal(a.options.Key, a.listDigest, head, encode(answer)), true
+}
+
+// handleCall answers a call, in a reply that describes the node already.
+func (a *Agent) handleCall(call Call, reply *Reply, now time.Duration) error {
+	switch Verb(call.Verb) {
+	case VerbStatus, VerbPlan:
+		a.describePlan(reply)
+		a.describeNodes(reply, now)
+		return nil
+	case VerbExplain:
+		a.describePlan(reply)
+		return a.explainZone(call.Arg, reply, now)
+	case VerbDrain, VerbUndrain:
+		return a.orderDrain(call)
+	case VerbEnded:
+		return a.describeProposal(call.Arg, reply)
+	case VerbPolicy, VerbPolicyPropose, VerbPolicyAbort:
+		return a.handlePolicyCall(call, reply)
+	default:
+		const verbs = "status, plan, drain, undrain, explain, ended, policy, policy-propose and policy-abort"
+		return &callError{reason: fmt.Sprintf("no call %q: %s are there", call.Verb, verbs)}
+	}
+}
+
+// explainZone tells what led to a zone's state.
+func (a *Agent) explainZone(zone string, reply *Reply, now time.Duration) error {
+	if a.planner == nil {
+		return errNoEvidence
+	}
+	if err := a.checkZone(zone); err != nil {
+		return err
+	}
+	reply.Explain = a.planner.Explain(zone, now)
+	return nil
+}
+
+func (a *Agent) checkZone(zone string) error {
+	zones := a.options.List.Zones()
+	if slices.Contains(zones, zone) {
+		return nil
+	}
+	return &callError{reason: fmt.Sprintf("no zone %q: one of %v is wanted", zone, zones), badCall: true}
+}
+
+// orderDrain proposes that a zone is drained, or no longer is.
+func (a *Agent) orderDrain(call Call) error {
+	if err := a.checkZone(call.Arg); err != nil {
+		return err
+	}
+	if !a.Leads() {
+		return errNotLeader
+	}
+	newest := a.follower.Newest(failover.OperatorOrdersKind)
+	orders, _ := failover.DecodeOperatorOrders(newest.Data) // of none, or of a later version: the new ones replace them
+	orders.Drained = slices.DeleteFunc(slices.Clone(orders.Drained), func(zone string) bool { return zone == call.Arg })
+	if Verb(call.Verb) == VerbDrain {
+		orders.Drained = append(orders.Drained, call.Arg)
+		slices.SortFunc(orders.Drained, cmp.Compare[string])
+	}
+	return a.propose(agree.Proposal{
+		ID: call.ID, Kind: failover.OperatorOrdersKind, Replaces: newest.Number, Data: orders.Encode(),
+	})
+}
+
+// propose proposes what a call wants. What the voter doesn't take now it may take later.
+func (a *Agent) propose(proposal agree.Proposal) error {
+	if err := a.voter.Propose(proposal); err != nil {
+		return &callError{reason: err.Error(), retry: true}
+	}
+	return nil
+}
+
+// describeProposal tells how a proposal ended, where it has.
+func (a *Agent) describeProposal(id string, reply *Reply) error {
+	if a.voter == nil {
+		return errNotVoter
+	}
+	if result, ok := a.voter.Ended(id); ok {
+		reply.Ended = &Ended{ID: result.ID, Number: result.Number, Taken: result.Accepted}
+	}
+	return nil
+}
+
+// setError takes an error into a reply.
+func (r *Reply) setError(err error) {
+	r.Error = err.Error()
+	var failed *callError
+	if errors.As(err, &failed) {
+		r.Bad = failed.badCall
+		r.Retry = failed.retry
+	}
+}
--- /dev/null
+++ b/internal/failover/agent/dispatch.go
@@ -0,0 +1,116 @@
+package agent
+
+import (
+	"errors"
+	"time"
+
+	"spurwinch/internal/agree"
+)
+
+const (
+	// maxTransitTime is how long a message may have been on its way to be evidence of how zones are now.
+	maxTransitTime = 3 * time.Second
+	// maxOutbox bounds the messages that wait to be sent, which the caller does after each call. What comes on top is
+	// lost, as a datagram may be on its way.
+	maxOutbox = 4096
+)
+
+// Message is for another node.
+type Message struct {
+	To   int // its number in the list
+	Data []byte
+}
+
+// Out takes the messages to send.
+func (a *Agent) Out() []Message {
+	messages := a.outbox
+	a.outbox = nil
+	return messages
+}
+
+// send puts a message into the outbox and gives its clock. A message to this node itself only gets a clock.
+func (a *Agent) send(receiver int, kind messageKind, body []byte, now time.Duration) (clock uint64) {
+	a.clock = max(a.clock+1, microseconds(now))
+	if receiver == a.options.Self {
+		return a.clock
+	}
+	if len(a.outbox) >= maxOutbox {
+		a.Counts.Dropped++
+		return a.clock
+	}
+	message := seal(a.options.Key, a.listDigest, header{
+		kind:        kind,
+		from:        a.options.Self,
+		to:          receiver,
+		incarnation: a.incarnation,
+		clock:       a.clock,
+		echo:        a.peer(receiver).clock,
+	}, body)
+	a.outbox = append(a.outbox, Message{To: receiver, Data: message})
+	a.Counts.Sent++
+	a.Counts.SentBytes += uint64(len(message))
+	return a.clock
+}
+
+// Receive takes a message. What no node of this fleet sent to this one is counted and dropped.
+func (a *Agent) Receive(message []byte, now time.Duration) {
+	head, body, err := open(a.options.Key, a.listDigest, message)
+	switch {
+	case errors.Is(err, errForeignList):
+		a.Counts.Foreign++
+		return
+	case err != nil || head.to != a.options.Self || head.from == a.options.Self || head.from >= a.options.List.Len():
+		a.Counts.Spoilt++
+		return
+	case !a.peer(head.from).accept(head, now):
+		a.Counts.Late++
+		return
+	}
+	a.Counts.Taken++
+	a.dispatch(head, body, mayBeStale(head, now), now)
+	a.advance(now)
+}
+
+// mayBeStale says whether a message may have been on its way for long, by this node's clock as the sender saw it last.
+func mayBeStale(head header, now time.Duration) bool {
+	return head.echo == 0 || microseconds(now)-min(microseconds(now), head.echo) > microseconds(maxTransitTime)
+}
+
+// dispatch has a message handled by its kind. A body of another shape is dropped; kinds of later versions are too.
+func (a *Agent) dispatch(head header, body []byte, stale bool, now time.Duration) {
+	switch head.kind {
+	case kindHeartbeat:
+		a.detector.Heard(head.from, now)
+	case kindEvidence:
+		a.handleEvidence(head, body, stale, now)
+	case kindEvidenceAck:
+		if ack, ok := decode[evidenceAck](body); ok {
+			a.handleEvidenceAck(head, ack, now)
+		}
+	case kindSummary:
+		a.handleSummary(head, body, stale, now)
+	case kindSummaryAck:
+		if ack, ok := decode[summaryAck](body); ok {
+			a.handleSummaryAck(head, ack, now)
+		}
+	case kindLogDigest:
+		if digest, ok := decode[agree.Digest](body); ok {
+			a.fetchMissing(head.from, digest, now)
+		}
+	case kindFetchEntries:
+		if kinds, ok := decode[[]agree.Kind](body); ok {
+			a.handleFetchEntries(head, kinds, now)
+		}
+	case kindEntry:
+		if entry, ok := decode[logEntry](body); ok {
+			a.acceptEntry(entry.Log, entry.Entry, head.from, now)
+		}
+	case kindLeaseRequest:
+		a.handleLeaseRequest(head, body, now)
+	case kindLeaseGrant:
+		a.handleLeaseGrant(head, body, now)
+	case kindConsensus:
+		a.handleConsensus(head, body)
+	case kindCall, kindReply: // operators' calls come by Answer
+	}
+}
--- a/internal/failover/agent/entries.go
+++ b/internal/failover/agent/entries.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"fmt"
 	"slices"
 	"time"
 
@@ -9,120 +8,97 @@
 	"spurwinch/internal/failover"
 )
 
-// fetchMissing asks another node for what it has and this one doesn't.
-func (a *Agent) fetchMissing(from int, d agree.Digest, now time.Duration) {
-	kinds, err := a.follower.Lacks(d)
+// fromOwnVoter is the sender of an entry that this node's own voter has decided.
+const fromOwnVoter = -1
+
+// fetchMissing asks another node for the entries that it has and this one doesn't.
+func (a *Agent) fetchMissing(from int, digest agree.Digest, now time.Duration) {
+	kinds, err := a.follower.Lacks(digest)
 	if err != nil {
 		a.options.Log("fleet_log_conflict", "from", a.options.List.Node(from).Name, "error", err.Error())
 		return
 	}
 	if len(kinds) > 0 {
-		a.send(from, fetch, encode(kinds), now)
+		a.send(from, kindFetchEntries, encode(kinds), now)
 	}
 }
 
-func (a *Agent) sendEntry(to int, k agree.Kind, now time.Duration) {
-	if e := a.follower.Newest(k); e.Number > 0 {
-		a.send(to, give, encode(giveBody{Log: a.follower.Log(), Entry: e}), now)
+// handleFetchEntries sends the entries that another node asks for.
+func (a *Agent) handleFetchEntries(head header, kinds []agree.Kind, now time.Duration) {
+	for _, kind := range kinds[:min(len(kinds), agree.MostKinds)] {
+		entry := a.follower.Newest(kind)
+		if entry.Number > 0 {
+			a.send(head.from, kindEntry, encode(logEntry{Log: a.follower.Log(), Entry: entry}), now)
+		}
 	}
 }
 
-// acceptEntry takes an entry in and passes it on: an aggregator to the nodes that send it evidence, the one that leads to the aggregators.
-func (a *Agent) acceptEntry(log uint64, e agree.Entry, from int, now time.Duration) {
-	taken, err := a.follower.Apply(log, e)
+// acceptEntry takes an entry in and passes it on to the subscribers. The node goes by it when its disk has it.
+func (a *Agent) acceptEntry(log uint64, entry agree.Entry, from int, now time.Duration) {
+	applied, err := a.follower.Apply(log, entry)
 	if err != nil {
-		name := "its own log"
-		if from >= 0 {
-			name = a.options.List.Node(from).Name
+		sender := "its own log"
+		if from != fromOwnVoter {
+			sender = a.options.List.Node(from).Name
 		}
-		a.options.Log("fleet_log_conflict", "from", name, "error", err.Error())
+		a.options.Log("fleet_log_conflict", "from", sender, "error", err.Error())
 		return
 	}
-	if !taken {
+	if !applied {
 		return
 	}
 	a.unsaved = true
-	switch e.Kind {
+	switch entry.Kind {
 	case failover.PlanKind:
-		if !a.acceptPlan(e, now) {
+		if !a.acceptPlan(entry, now) {
 			return
 		}
 	case failover.OperatorOrdersKind:
-		a.acceptOrders(e)
+		a.acceptOrders(entry)
 	}
-	body := encode(giveBody{Log: log, Entry: e})
-	for _, to := range a.subscribers(now) {
-		if to != from {
-			a.send(to, give, body, now)
+	body := encode(logEntry{Log: log, Entry: entry})
+	for _, subscriber := range a.subscribers(now) {
+		if subscriber != from {
+			a.send(subscriber, kindEntry, body, now)
 		}
 	}
 	a.updateMode(now)
 }
 
-// acceptPlan keeps a plan in mind; the node goes by it when its disk has it. It says whether the plan can be read.
-func (a *Agent) acceptPlan(e agree.Entry, now time.Duration) bool {
-	p, err := failover.DecodePlan(e.Data)
-	if err != nil {
-		a.options.Log("fleet_plan_unreadable", "number", e.Number, "error", err.Error())
-		return false
-	}
-	a.planHistory.Add(e.Number, p, now)
-	if a.planner != nil {
-		a.planner.ApplyPlan(e.Number, p, now)
-	}
-	return true
-}
-
-// acceptOrders tells the planner what operators have ordered.
-func (a *Agent) acceptOrders(e agree.Entry) {
-	if o, err := failover.DecodeOperatorOrders(e.Data); err == nil && a.planner != nil {
-		a.planner.ApplyOrders(o)
+// acceptOrders gives the planner what operators have ordered.
+func (a *Agent) acceptOrders(entry agree.Entry) {
+	orders, err := failover.DecodeOperatorOrders(entry.Data)
+	if err == nil && a.planner != nil {
+		a.planner.ApplyOrders(orders)
 	}
-	a.options.Log("fleet_orders_taken", "number", e.Number)
+	a.options.Log("fleet_orders_accepted", "number", entry.Number)
 }
 
-// handleFetch sends the entries that another node asks for.
-func (a *Agent) handleFetch(h header, body []byte, now time.Duration) {
-	var kinds []agree.Kind
-	if decoding.Unmarshal(body, &kinds) != nil {
-		return
-	}
-	for _, k := range kinds[:min(len(kinds), agree.MostKinds)] {
-		a.sendEntry(h.from, k, now)
-	}
-}
-
-// adoptPlans has the node go by a plan that its disk has: after a crash it must not go by an older one than it told others of.
-func (a *Agent) adoptPlans(kept []agree.Entry, now time.Duration) {
-	for _, e := range kept {
-		a.adoptPolicy(e)
-		if e.Kind != failover.PlanKind || e.Number <= a.planNumber {
-			continue
-		}
-		p, err := failover.DecodePlan(e.Data)
-		if err != nil {
-			continue // told when it came
-		}
-		a.plan, a.planNumber, a.changed = p, e.Number, true
-		a.options.Log("fleet_plan_taken", "number", e.Number, "digest", fmt.Sprintf("%016x", e.Digest()), "why", p.Reason, "plan", e.Data)
+// adoptEntries has the node go by entries that its disk has: after a crash it must not go by older ones than it told
+// others of.
+func (a *Agent) adoptEntries(entries []agree.Entry, now time.Duration) {
+	for _, entry := range entries {
+		a.adoptPolicy(entry)
+		a.adoptPlan(entry)
 	}
 	a.updateMode(now)
 }
 
-// subscribers are the nodes that wait for this one's word: those that send it evidence, and for the one that leads the aggregators as well.
-func (a *Agent) subscribers(now time.Duration) (all []int) {
-	for i, t := range a.reports {
-		if i != a.options.Self && now-t.at <= heardFor {
-			all = append(all, i)
+// subscribers are the nodes that are sent new entries: those that send this one evidence, and for the leader the
+// aggregators as well.
+func (a *Agent) subscribers(now time.Duration) (nodes []int) {
+	for node, known := range a.evidence {
+		if node != a.options.Self && now-known.at <= peerTimeout {
+			nodes = append(nodes, node)
 		}
 	}
 	if a.planner != nil {
-		for i, p := range a.peers {
-			if p.newest[sum] > 0 && now-p.at <= heardFor {
-				all = append(all, i)
+		for node, known := range a.peers {
+			if known.newest[kindSummary] > 0 && now-known.heardAt <= peerTimeout {
+				nodes = append(nodes, node)
 			}
 		}
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(nodes)
+	return slices.Compact(nodes)
 }
--- a/internal/failover/agent/golden_test.go
+++ b/internal/failover/agent/golden_test.go
@@ -18,8 +18,8 @@
 	"spurwinch/internal/policy"
 )
 
-// The golden files pin what other releases send, keep and print. -update writes them anew, which is right only for a form that no release has
-// yet.
+// The golden files pin what other releases send, keep and print. -update writes them anew, which is right only for a
+// form that no release has yet.
 var update = flag.Bool("update", false, "write the golden files anew")
 
 var goldenKey = []byte("the key of the golden fleet")
@@ -83,62 +83,120 @@
 	}
 }
 
-func goldenList(t testing.TB) *membership.List {
-	t.Helper()
-	list, err := membership.NewList([]membership.Node{{Name: "a", Zone: "z1", Region: "r1"}, {Name: "b", Zone: "z1", Region: "r1"},
-		{Name: "c", Zone: "z2", Region: "r2"}, {Name: "v", Zone: "z2", Region: "r2", Voter: true}})
+func goldenList(tb testing.TB) *membership.List {
+	tb.Helper()
+	list, err := membership.NewList([]membership.Node{
+		{Name: "a", Zone: "z1", Region: "r1"},
+		{Name: "b", Zone: "z1", Region: "r1"},
+		{Name: "c", Zone: "z2", Region: "r2"},
+		{Name: "v", Zone: "z2", Region: "r2", Voter: true},
+	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return list
 }
 
-func goldenSum() failover.EvidenceSummary {
-	return failover.EvidenceSummary{Zone: "z1", Classes: []string{"c1", "c2"}, Arrived: []float32{1.5, 2}, Rejected: []float32{3, 4.25},
-		Zones: []failover.ZoneEvidence{{Zone: "z2", Nodes: 5, Ready: 6, Ejected: 7, Capacity: 8.5, Load: 9, Cost: 10.125, Attempts: 11, Failed: 12, OwnLoad: []float32{13, 14}}},
-		Nodes: []failover.NodeStatus{{Node: 1, Plan: 15, Unreachable: []int{2, 3}, Policy: &policy.MemberStatus{Entry: 16, Verdict: policy.VerdictReject, Reason: "too old", KnownNumber: 17,
-			ServedNumber: 18, MayServe: true, Arrived: 19, Rejected: 20}}}}
+func goldenSummary() failover.EvidenceSummary {
+	return failover.EvidenceSummary{
+		Zone:     "z1",
+		Classes:  []string{"c1", "c2"},
+		Arrived:  []float32{1.5, 2},
+		Rejected: []float32{3, 4.25},
+		Zones: []failover.ZoneEvidence{{
+			Zone: "z2", Nodes: 5, Ready: 6, Ejected: 7, Capacity: 8.5, Load: 9, Cost: 10.125, Attempts: 11, Failed: 12,
+			OwnLoad: []float32{13, 14},
+		}},
+		Nodes: []failover.NodeStatus{{
+			Node: 1, Plan: 15, Unreachable: []int{2, 3},
+			Policy: &policy.MemberStatus{
+				Entry: 16, Verdict: policy.VerdictReject, Reason: "too old", KnownNumber: 17, ServedNumber: 18,
+				MayServe: true, Arrived: 19, Rejected: 20,
+			},
+		}},
+	}
 }
 
 func goldenPlan() *failover.Plan {
 	return &failover.Plan{
-		Zones: []failover.Zone{
-			{Name: "z1", Region: "r1", State: failover.Returning, Nodes: 1, Listed: 2, Capacity: 3, Demand: []float32{4}, GuestLoad: 5, Flaps: 6, LeaseOwner: 1, Reserve: 7},
-			{Name: "z2", Region: "r2", State: failover.Lost, Nodes: 8, Listed: 9, Capacity: 10, Demand: []float32{11}, GuestLoad: 12, Flaps: 13, LeaseOwner: 2, Reserve: 14}},
-		Classes: []string{"c1"}, Grants: []failover.Grant{{From: 1, To: 1, Load: 16, RegionLoad: 15}, {From: 0, To: 1, Load: 18, RegionLoad: 17}}, StayInRegion: []bool{true},
-		AdmitFractions: [][]int{{100}, {200}}, GrantLifetime: 19, LostNodes: []int{3}, Reason: "z2 lost", Before: [][]float32{{20, 21}, {22, 23}},
-		Reserves: []failover.CapacityReserve{{Zone: 1, Owner: 2, Load: 24}}, Previous: 25}
+		Zones: []failover.Zone{{
+			Name: "z1", Region: "r1", State: failover.Returning, Nodes: 1, Listed: 2, Capacity: 3, Demand: []float32{4},
+			GuestLoad: 5, Flaps: 6, LeaseOwner: 1, Reserve: 7,
+		}, {
+			Name: "z2", Region: "r2", State: failover.Lost, Nodes: 8, Listed: 9, Capacity: 10, Demand: []float32{11},
+			GuestLoad: 12, Flaps: 13, LeaseOwner: 2, Reserve: 14,
+		}},
+		Classes:        []string{"c1"},
+		Grants:         []failover.Grant{{From: 1, To: 1, Load: 16, RegionLoad: 15}, {To: 1, Load: 18, RegionLoad: 17}},
+		StayInRegion:   []bool{true},
+		AdmitFractions: [][]int{{100}, {200}},
+		GrantLifetime:  19,
+		LostNodes:      []int{3},
+		Reason:         "z2 lost",
+		Before:         [][]float32{{20, 21}, {22, 23}},
+		Reserves:       []failover.CapacityReserve{{Zone: 1, Owner: 2, Load: 24}},
+		Previous:       25,
+	}
 }
 
 func goldenPolicyState() *policy.State {
-	return &policy.State{Number: 3, LastNumber: 4, Documents: []policy.VersionedDocument{{Number: 3, Text: []byte("third")}},
-		Change: &policy.Change{ID: "c-4", Number: 4, Base: 3, Text: []byte("fourth"), Stage: policy.StageCanary,
-			Canary: policy.Canary{Zone: "z1", OneIn: 2, Seconds: 30.5, MaxExtraRejections: 0.25}},
-		Ended: []policy.ChangeOutcome{{ID: "c-3", Number: 3, Accepted: true, Reason: "nobody objected"}}, Bases: []policy.VersionedBase{{Number: 3, Attempts: 5, Deadline: 700}}}
+	return &policy.State{
+		Number:     3,
+		LastNumber: 4,
+		Documents:  []policy.VersionedDocument{{Number: 3, Text: []byte("third")}},
+		Change: &policy.Change{
+			ID: "c-4", Number: 4, Base: 3, Text: []byte("fourth"), Stage: policy.StageCanary,
+			Canary: policy.Canary{Zone: "z1", OneIn: 2, Seconds: 30.5, MaxExtraRejections: 0.25},
+		},
+		Ended: []policy.ChangeOutcome{{ID: "c-3", Number: 3, Accepted: true, Reason: "nobody objected"}},
+		Bases: []policy.VersionedBase{{Number: 3, Attempts: 5, Deadline: 700}},
+	}
 }
 
 func goldenDigest() agree.Digest {
-	return agree.Digest{Log: 31, Kinds: []agree.KindDigest{{Kind: 1, Number: 32, Sum: 33}, {Kind: 3, Number: 34, Sum: 35}}}
+	kinds := []agree.KindDigest{{Kind: 1, Number: 32, Sum: 33}, {Kind: 3, Number: 34, Sum: 35}}
+	return agree.Digest{Log: 31, Kinds: kinds}
 }
 
-func goldenTold() policy.LeaderNotice {
+func goldenNotice() policy.LeaderNotice {
 	return policy.LeaderNotice{Entry: 36, InForce: 37, OnTrial: 38, Window: 39}
 }
 
 func goldenReply() Reply {
-	return Reply{Error: "an error", Bad: true, Retry: true, Leader: "v", Node: "a", Zone: "z1", Mode: "planned", Plan: 1, Lease: 2.5, Log: "00000000000000ff",
-		Term: 3, Leads: true, Voter: true, Counts: Counts{Sent: 4, SentBytes: 5, Taken: 6, Foreign: 7, Spoilt: 8, Late: 9, Dropped: 10},
-		Zones: []ZoneReply{{Name: "z1", Region: "r1", State: "lost", Nodes: 11, Listed: 12, Room: 13.5, Guests: 14.5, Lender: "b", Lends: 15.5,
-			Want: map[string]float64{"c1": 16.5}, Grants: map[string]float64{"z2": 17.5}, Admit: map[string]float64{"c1": 0.5}}},
-		Why: "a reason", Lost: []string{"c"}, Loans: map[string]float64{"z2": 18.5}, Lent: 19.5, Drained: []string{"z2"},
-		Nodes: []NodeReply{{Name: "b", Zone: "z1", Live: true, Plan: 20, Ago: 21.5}}, Explain: []string{"a line"},
-		Ended: &Ended{ID: "drain-1", Number: 22, Taken: true},
-		Policy: &PolicyReply{Token: "23/24", Number: 25, Digest: "d25", Change: &ChangeReply{ID: "c-26", Number: 26, Base: 25, Step: "trial", Digest: "d26",
-			Part: policy.Canary{Zone: "z1", OneIn: 2, Seconds: 27.5, MaxExtraRejections: 0.25}, Text: []byte("changed")},
-			Ended: []policy.ChangeOutcome{{ID: "c-25", Number: 25, Accepted: true, Reason: "nobody objected"}},
-			Docs:  []policy.VersionedDocument{{Number: 25, Text: []byte("in force")}},
-			Entry: 28, Window: 29.5, Members: []PolicyMember{{Name: "a", Live: true, Heard: true, Has: 30, Serves: 31, May: true, Answer: "yes"}},
-			Grounds: []policy.VersionedBase{{Number: 25, Attempts: 32, Deadline: 33}}}}
+	return Reply{
+		Error: "an error", Bad: true, Retry: true, Leader: "v", Node: "a", Zone: "z1", Mode: "planned", Plan: 1,
+		Lease: 2.5, Log: "00000000000000ff", Term: 3, Leads: true, Voter: true,
+		Counts: Counts{Sent: 4, SentBytes: 5, Taken: 6, Foreign: 7, Spoilt: 8, Late: 9, Dropped: 10},
+		Zones: []ZoneReply{{
+			Name: "z1", Region: "r1", State: "lost", Nodes: 11, Listed: 12, Room: 13.5, Guests: 14.5,
+			Lender: "b", Lends: 15.5,
+			Want:   map[string]float64{"c1": 16.5},
+			Grants: map[string]float64{"z2": 17.5},
+			Admit:  map[string]float64{"c1": 0.5},
+		}},
+		Why: "a reason", Lost: []string{"c"}, Loans: map[string]float64{"z2": 18.5},
+		Lent: 19.5, Drained: []string{"z2"},
+		Nodes:   []NodeReply{{Name: "b", Zone: "z1", Live: true, Plan: 20, Ago: 21.5}},
+		Explain: []string{"a line"},
+		Ended:   &Ended{ID: "drain-1", Number: 22, Taken: true},
+		Policy:  goldenPolicyReply(),
+	}
+}
+
+func goldenPolicyReply() *PolicyReply {
+	return &PolicyReply{
+		Token: "23/24", Number: 25, Digest: "d25",
+		Change: &ChangeReply{
+			ID: "c-26", Number: 26, Base: 25, Step: "trial", Digest: "d26", Text: []byte("changed"),
+			Part: policy.Canary{Zone: "z1", OneIn: 2, Seconds: 27.5, MaxExtraRejections: 0.25},
+		},
+		Ended:   []policy.ChangeOutcome{{ID: "c-25", Number: 25, Accepted: true, Reason: "nobody objected"}},
+		Docs:    []policy.VersionedDocument{{Number: 25, Text: []byte("in force")}},
+		Entry:   28,
+		Window:  29.5,
+		Members: []PolicyMember{{Name: "a", Live: true, Heard: true, Has: 30, Serves: 31, May: true, Answer: "yes"}},
+		Grounds: []policy.VersionedBase{{Number: 25, Attempts: 32, Deadline: 33}},
+	}
 }
 
 // TestGoldenMessages pins each kind of message of the fleet, with the envelope around it.
@@ -149,34 +207,45 @@
 	raw := func(value []byte) func() (any, []byte) {
 		return func() (any, []byte) { return value, value }
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
-		kind  kind
+		kind  messageKind
 		value func() (value any, body []byte)
 	}{
-		{"beat", beat, raw(nil)},
-		{"evidence", evidence, func() (any, []byte) { return goldenSum(), goldenSum().Encode() }},
-		{"word", word, body(wordBody{Answer: 41, Age: 42, Plan: 43, Digest: goldenDigest(), Policy: goldenTold()})},
-		{"sum", sum, func() (any, []byte) { return goldenSum(), append([]byte{1}, goldenSum().Encode()...) }},
-		{"ack", ack, body(ackBody{Answer: 44, Digest: goldenDigest(), Policy: goldenTold()})},
-		{"fetch", fetch, body([]agree.Kind{1, 3})},
-		{"give", give, body(giveBody{Log: 45, Entry: agree.Entry{Number: 46, Kind: 2, ID: "drain-46", Data: []byte("data")}})},
-		{"news", news, body(goldenDigest())},
-		{"raft", raftWord, raw([]byte("of the voters"))},
-		{"ask", ask, body(Call{Verb: "policy-propose", Arg: "arg", ID: "c-47", Data: []byte("policy"), Base: 48,
-			Part: policy.Canary{Zone: "z1", OneIn: 2, Seconds: 49.5, MaxExtraRejections: 0.5}})},
-		{"answer", answer, body(goldenReply())},
-		{"borrow", borrow, body(borrowBody{Load: 50.5})},
-		{"loan", loan, body(loanBody{Answer: 51, Load: 52.5})},
+		{"beat", kindHeartbeat, raw(nil)},
+		{"evidence", kindEvidence, func() (any, []byte) { return goldenSummary(), goldenSummary().Encode() }},
+		{"word", kindEvidenceAck, body(evidenceAck{
+			EvidenceClock: 41, LeaderAge: 42, LeaderPlan: 43, Log: goldenDigest(), Notice: goldenNotice(),
+		})},
+		{"sum", kindSummary, func() (any, []byte) {
+			return goldenSummary(), append([]byte{1}, goldenSummary().Encode()...)
+		}},
+		{"ack", kindSummaryAck, body(summaryAck{SummaryClock: 44, Log: goldenDigest(), Notice: goldenNotice()})},
+		{"fetch", kindFetchEntries, body([]agree.Kind{1, 3})},
+		{"give", kindEntry, body(logEntry{
+			Log: 45, Entry: agree.Entry{Number: 46, Kind: 2, ID: "drain-46", Data: []byte("data")},
+		})},
+		{"news", kindLogDigest, body(goldenDigest())},
+		{"raft", kindConsensus, raw([]byte("of the voters"))},
+		{"ask", kindCall, body(Call{
+			Verb: "policy-propose", Arg: "arg", ID: "c-47", Data: []byte("policy"), Base: 48,
+			Part: policy.Canary{Zone: "z1", OneIn: 2, Seconds: 49.5, MaxExtraRejections: 0.5},
+		})},
+		{"answer", kindReply, body(goldenReply())},
+		{"borrow", kindLeaseRequest, body(leaseRequest{Load: 50.5})},
+		{"loan", kindLeaseGrant, body(leaseGrant{RequestClock: 51, Load: 52.5})},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			value, encoded := c.value()
-			if c.kind != beat { // which has no body
-				wantFilled(t, c.name, reflect.ValueOf(value))
+		t.Run(test.name, func(t *testing.T) {
+			value, encoded := test.value()
+			if test.kind != kindHeartbeat { // which has no body
+				wantFilled(t, test.name, reflect.ValueOf(value))
 			}
 			list := digestOf(goldenList(t))
-			head := header{kind: c.kind, from: 1, to: 2, process: 0x01020304, clock: 0x05060708090a0b0c, echo: 0x0d0e0f1011121314}
-			golden := goldenFile(t, "message-"+c.name+".hex", seal(goldenKey, list, head, encoded))
+			head := header{
+				kind: test.kind, from: 1, to: 2, incarnation: 0x01020304, clock: 0x05060708090a0b0c,
+				echo: 0x0d0e0f1011121314,
+			}
+			golden := goldenFile(t, "message-"+test.name+".hex", seal(goldenKey, list, head, encoded))
 			gotHead, gotBody, err := open(goldenKey, list, golden)
 			if err != nil {
 				t.Fatal(err)
@@ -184,7 +253,7 @@
 			if gotHead != head {
 				t.Errorf("header read as %+v, wanted %+v", gotHead, head)
 			}
-			if got := decodeBody(t, c.kind, value, gotBody); !reflect.DeepEqual(got, value) {
+			if got := decodeBody(t, test.kind, value, gotBody); !reflect.DeepEqual(got, value) {
 				t.Errorf("body read as\n%+v, wanted\n%+v", got, value)
 			}
 		})
@@ -192,25 +261,25 @@
 }
 
 // decodeBody reads a message's body as the agent does, into a value of the type of want.
-func decodeBody(t *testing.T, kind kind, want any, body []byte) any {
+func decodeBody(t *testing.T, kind messageKind, want any, body []byte) any {
 	t.Helper()
 	switch kind {
-	case beat:
+	case kindHeartbeat:
 		return []byte(nil)
-	case raftWord:
+	case kindConsensus:
 		return body
-	case sum:
+	case kindSummary:
 		if body[0] != 1 {
-			t.Errorf("a sum's first byte is %d, wanted 1: it is stale", body[0])
+			t.Errorf("a summary's first byte is %d, wanted 1: it is stale", body[0])
 		}
 		body = body[1:]
 		fallthrough
-	case evidence:
-		sum, err := failover.DecodeEvidenceSummary(body)
+	case kindEvidence:
+		summary, err := failover.DecodeEvidenceSummary(body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return sum
+		return summary
 	default:
 		got := reflect.New(reflect.TypeOf(want))
 		if err := decoding.Unmarshal(body, got.Interface()); err != nil {
@@ -222,10 +291,13 @@
 
 // TestGoldenCall pins what an operator's tool sends, and that it reads a node's answer.
 func TestGoldenCall(t *testing.T) {
-	call := Call{Verb: "drain", Arg: "z1", ID: "drain-1", Data: []byte("data"), Base: 2, Part: policy.Canary{Zone: "z2", OneIn: 3, Seconds: 4, MaxExtraRejections: 0.5}}
+	call := Call{
+		Verb: "drain", Arg: "z1", ID: "drain-1", Data: []byte("data"), Base: 2,
+		Part: policy.Canary{Zone: "z2", OneIn: 3, Seconds: 4, MaxExtraRejections: 0.5},
+	}
 	wantFilled(t, "call", reflect.ValueOf(call))
 	goldenFile(t, "call.hex", Seal(goldenKey, goldenList(t), 1, call))
-	head := header{kind: answer, from: 1, to: Operator, clock: 1}
+	head := header{kind: kindReply, from: 1, to: Operator, clock: 1}
 	golden := goldenFile(t, "reply.hex", seal(goldenKey, digestOf(goldenList(t)), head, encode(goldenReply())))
 	reply, err := Unseal(goldenKey, goldenList(t), golden)
 	if err != nil || !reflect.DeepEqual(reply, goldenReply()) {
@@ -265,19 +337,31 @@
 
 // goldenEntries are one entry of each kind that an agent acts on.
 func goldenEntries() []agree.Entry {
-	return []agree.Entry{{Number: 61, Kind: failover.PlanKind, ID: "plan-1", Data: goldenPlan().Encode()},
-		{Number: 62, Kind: failover.OperatorOrdersKind, ID: "drain-2", Data: failover.OperatorOrders{Drained: []string{"z2"}}.Encode()},
-		{Number: 63, Kind: policy.Kind, ID: "policy-3", Data: goldenPolicyState().Encode()}}
+	orders := failover.OperatorOrders{Drained: []string{"z2"}}
+	return []agree.Entry{
+		{Number: 61, Kind: failover.PlanKind, ID: "plan-1", Data: goldenPlan().Encode()},
+		{Number: 62, Kind: failover.OperatorOrdersKind, ID: "drain-2", Data: orders.Encode()},
+		{Number: 63, Kind: policy.Kind, ID: "policy-3", Data: goldenPolicyState().Encode()},
+	}
 }
 
-func goldenOptions(t testing.TB) Options {
-	t.Helper()
-	return Options{List: goldenList(t), Self: 0, Key: goldenKey, Rules: failover.Rules{GrantLifetime: 10 * time.Second}, Classes: []string{"c1"},
-		Policy: &Policy{Rules: policy.Rules{Window: time.Minute}, Read: func([]byte) (*policy.Document, error) { return &policy.Document{}, nil }}}
+func goldenOptions(tb testing.TB) Options {
+	tb.Helper()
+	return Options{
+		List:    goldenList(tb),
+		Self:    0,
+		Key:     goldenKey,
+		Rules:   failover.Rules{GrantLifetime: 10 * time.Second},
+		Classes: []string{"c1"},
+		Policy: &Policy{
+			Rules: policy.Rules{Window: time.Minute},
+			Read:  func([]byte) (*policy.Document, error) { return &policy.Document{}, nil },
+		},
+	}
 }
 
-// TestGoldenRecord pins what a node that doesn't vote has written to its disk by the entries that it was given, and what it goes by after it
-// has read that again.
+// TestGoldenRecord pins what a node that doesn't vote has written to its disk by the entries that it was given, and
+// what it goes by after it has read that again.
 func TestGoldenRecord(t *testing.T) {
 	wantFilled(t, "plan", reflect.ValueOf(goldenPlan()))
 	wantFilled(t, "policy", reflect.ValueOf(goldenPolicyState()))
@@ -285,8 +369,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range goldenEntries() {
-		writer.acceptEntry(64, e, 1, time.Second)
+	for _, entry := range goldenEntries() {
+		writer.acceptEntry(64, entry, 1, time.Second)
 	}
 	writer.advance(time.Second)
 	record, whole, ok := writer.Save()
@@ -313,10 +397,11 @@
 	if _, number := reader.Mode(); number != 61 || !reflect.DeepEqual(reader.plan, goldenPlan()) {
 		t.Errorf("goes by plan %d\n%+v, wanted 61\n%+v", number, reader.plan, goldenPlan())
 	}
-	if orders, err := failover.DecodeOperatorOrders(reader.follower.Newest(failover.OperatorOrdersKind).Data); err != nil || !reflect.DeepEqual(orders.Drained, []string{"z2"}) {
+	orders, err := failover.DecodeOperatorOrders(reader.follower.Newest(failover.OperatorOrdersKind).Data)
+	if err != nil || !reflect.DeepEqual(orders.Drained, []string{"z2"}) {
 		t.Errorf("orders read as %v, %v, wanted z2 drained", orders.Drained, err)
 	}
-	if p := reader.pol; p.entry != 63 || !reflect.DeepEqual(p.state, goldenPolicyState()) {
-		t.Errorf("policy of entry %d\n%+v, wanted that of 63\n%+v", p.entry, p.state, goldenPolicyState())
+	if local := reader.localPolicy; local.entry != 63 || !reflect.DeepEqual(local.state, goldenPolicyState()) {
+		t.Errorf("policy of entry %d\n%+v, wanted that of 63\n%+v", local.entry, local.state, goldenPolicyState())
 	}
 }
--- /dev/null
+++ b/internal/failover/agent/leader_contact.go
@@ -0,0 +1,51 @@
+package agent
+
+import (
+	"time"
+
+	"spurwinch/internal/agree"
+	"spurwinch/internal/failover"
+	"spurwinch/internal/policy"
+)
+
+// leaderContact is the newest proof that the fleet has a leader. All leases of this node, to serve by a policy and to
+// use grants in other zones, run from it.
+type leaderContact struct {
+	known       bool
+	confirmedAt time.Duration       // when the leader was surely there, by this node's clock
+	plan        uint64              // its newest plan then
+	notice      policy.LeaderNotice // what it told of the policy then
+}
+
+// handleSummaryAck takes the leader's answer to a summary.
+func (a *Agent) handleSummaryAck(head header, ack summaryAck, now time.Duration) {
+	if a.options.List.Voter(head.from) < 0 {
+		return
+	}
+	if sentAt, ok := a.peer(head.from).answered(ack.SummaryClock); ok {
+		a.confirmLeader(sentAt, planNumberIn(ack.Log), ack.Notice)
+	}
+	a.fetchMissing(head.from, ack.Log, now)
+}
+
+// planNumberIn is the number of the newest plan that a digest names; 0: none.
+func planNumberIn(digest agree.Digest) (number uint64) {
+	for _, kind := range digest.Kinds {
+		if kind.Kind == failover.PlanKind {
+			number = kind.Number
+		}
+	}
+	return number
+}
+
+// confirmLeader takes in that the leader was surely there at a time of this node's clock, with that newest plan and
+// notice. It extends the lease on grants into other zones, unless there is a plan that this node doesn't have yet.
+func (a *Agent) confirmLeader(at time.Duration, plan uint64, notice policy.LeaderNotice) {
+	if !a.leader.known || at > a.leader.confirmedAt {
+		a.leader = leaderContact{known: true, confirmedAt: at, plan: max(a.leader.plan, plan), notice: notice}
+	}
+	if a.plan != nil && a.leader.plan <= a.planNumber {
+		lifetime := time.Duration(float64(a.plan.GrantLifetime) * float64(time.Second))
+		a.leaseEnd = max(a.leaseEnd, a.leader.confirmedAt+lifetime)
+	}
+}
--- /dev/null
+++ b/internal/failover/agent/leases.go
@@ -0,0 +1,247 @@
+package agent
+
+import (
+	"maps"
+	"math"
+	"slices"
+	"time"
+
+	"spurwinch/choice"
+	"spurwinch/internal/failover"
+)
+
+const (
+	recentLoadMemory  = 15   // seconds in which the load that stood at this node fades
+	fullLeasePart     = 0.95 // of what was asked for: an owner that grants less has no more
+	leastRegionLoad   = 0.5  // load of regional classes under which nothing is reserved for them
+	regionLoadChanged = 0.1  // part by which that load has to change for the load balancer to be told
+)
+
+// borrower is what a node has leased of other nodes, and what it needs to know how much to ask for.
+type borrower struct {
+	leases     map[string]*capacityLease // by zone
+	recentLoad map[string]float64        // declared load that stood at this node of late, at most, by class
+	regionLoad float64                   // declared load of regional classes that has no place in the own zone
+	observedAt time.Duration             // when the load balancer's observations came last
+}
+
+func newBorrower(now time.Duration) borrower {
+	return borrower{leases: map[string]*capacityLease{}, recentLoad: map[string]float64{}, observedAt: now}
+}
+
+// capacityLease is what this node has leased in one zone.
+type capacityLease struct {
+	load         float64
+	until        time.Duration
+	requested    float64
+	requestClock uint64        // of the newest request: only its answer counts; 0: it is answered
+	requestedAt  time.Duration // when that was sent
+	answered     bool
+}
+
+// isExhausted says whether the zone's owner has no more than this: it granted less than was asked for, or doesn't
+// answer.
+func (l *capacityLease) isExhausted() bool {
+	if !l.answered {
+		return l.requested > 0
+	}
+	return l.load < fullLeasePart*l.requested
+}
+
+// leasedLoads is what the load balancer may place on top of its grants, by zone.
+func (a *Agent) leasedLoads() map[string]float64 {
+	loads := map[string]float64{}
+	for zone, lease := range a.borrower.leases {
+		if lease.load > 0 {
+			loads[zone] = lease.load
+		}
+	}
+	return loads
+}
+
+// requestLeases asks the owners of leases for what this node's clients find no capacity for, and gives back what it
+// doesn't need.
+func (a *Agent) requestLeases(observations choice.Observations, now time.Duration) {
+	elapsed := now - a.borrower.observedAt
+	a.borrower.observedAt = now
+	recentLoad := a.updateRecentLoad(observations, elapsed)
+	leases := a.borrower.leases
+	exhausted := map[string]bool{}
+	for zone, lease := range leases {
+		exhausted[zone] = lease.isExhausted()
+	}
+	demand := failover.LeaseDemand(a.mode, a.plan, a.options.Self, a.zone, observations, elapsed,
+		recentLoad, a.leasedLoads(), exhausted)
+	// Before anything is asked for: an owner may grant to others at once what it is told to be too much here.
+	for _, zone := range slices.Sorted(maps.Keys(leases)) {
+		if lease := leases[zone]; lease.load > demand[zone] {
+			a.setLeasedLoad(zone, lease, demand[zone])
+		}
+	}
+	if a.plan == nil {
+		return
+	}
+	for _, zone := range a.plan.Zones {
+		a.requestLease(zone, demand[zone.Name], now)
+	}
+}
+
+// requestLease asks for a lease in a zone, or for an end of the one that there is.
+func (a *Agent) requestLease(zone failover.Zone, demand float64, now time.Duration) {
+	lease := a.borrower.leases[zone.Name]
+	hasOwner := zone.LeaseOwner >= 0 && zone.LeaseOwner < a.options.List.Len()
+	isNeeded := demand > 0 || lease != nil && lease.requested != 0
+	if !hasOwner || !isNeeded {
+		return
+	}
+	if lease == nil {
+		lease = &capacityLease{}
+		a.borrower.leases[zone.Name] = lease
+	}
+	lease.requested = demand
+	lease.requestedAt = now
+	lease.answered = false
+	if zone.LeaseOwner == a.options.Self {
+		a.takeLease(zone.Name, lease, a.grantLease(a.options.Self, demand, now), now)
+		return
+	}
+	lease.requestClock = a.send(zone.LeaseOwner, kindLeaseRequest, encode(leaseRequest{Load: demand}), now)
+}
+
+// handleLeaseGrant takes an owner's answer.
+func (a *Agent) handleLeaseGrant(head header, body []byte, now time.Duration) {
+	grant, ok := decode[leaseGrant](body)
+	if !ok || !isLeaseLoad(grant.Load) {
+		a.Counts.Spoilt++
+		return
+	}
+	ownerZone := a.options.List.Node(head.from).Zone
+	for zone, lease := range a.borrower.leases {
+		if zone == ownerZone && lease.requestClock == grant.RequestClock && lease.requestClock > 0 {
+			lease.requestClock = 0
+			a.takeLease(zone, lease, min(grant.Load, lease.requested), now)
+		}
+	}
+}
+
+// takeLease takes in what was granted. A lease runs from when it was asked for.
+func (a *Agent) takeLease(zone string, lease *capacityLease, load float64, now time.Duration) {
+	lease.answered = true
+	lease.until = lease.requestedAt + failover.LeaseDuration
+	if now >= lease.until {
+		load = 0
+	}
+	a.setLeasedLoad(zone, lease, load)
+}
+
+func (a *Agent) setLeasedLoad(zone string, lease *capacityLease, load float64) {
+	if load == lease.load {
+		return
+	}
+	lease.load = load
+	a.zonePlanChanged = true
+	a.options.Log("fleet_loan", "zone", zone, "load", load)
+}
+
+// expireLeases ends what was not renewed in time.
+func (a *Agent) expireLeases(now time.Duration) {
+	leases := a.borrower.leases
+	for _, zone := range slices.Sorted(maps.Keys(leases)) {
+		lease := leases[zone]
+		if lease.load > 0 && now >= lease.until {
+			a.setLeasedLoad(zone, lease, 0)
+		}
+		if lease.load == 0 && lease.requested == 0 {
+			delete(leases, zone)
+		}
+	}
+}
+
+// handleLeaseRequest answers a request, as the owner of this zone's leases.
+func (a *Agent) handleLeaseRequest(head header, body []byte, now time.Duration) {
+	request, ok := decode[leaseRequest](body)
+	if !ok || !isLeaseLoad(request.Load) {
+		a.Counts.Spoilt++
+		return
+	}
+	grant := leaseGrant{RequestClock: head.clock, Load: a.grantLease(head.from, request.Load, now)}
+	a.send(head.from, kindLeaseGrant, encode(grant), now)
+}
+
+// grantLease is what a node is granted of this zone's reserve. The owner grants only by a plan in force: later plans
+// count on its leases to be over with the plan's lifetime.
+func (a *Agent) grantLease(node int, requested float64, now time.Duration) float64 {
+	if a.plan == nil || now >= a.leaseEnd {
+		return 0
+	}
+	for _, zone := range a.plan.Zones {
+		if zone.Name == a.zone && zone.LeaseOwner == a.options.Self {
+			return a.leaseOwner.Grant(node, requested, float64(zone.Reserve), now)
+		}
+	}
+	return 0
+}
+
+// updateRecentLoad keeps in mind which load stood here of late, and gives all of it, which in a failure comes back at
+// once.
+func (a *Agent) updateRecentLoad(observations choice.Observations, elapsed time.Duration) (recentLoad float64) {
+	fading := math.Exp(-elapsed.Seconds() / recentLoadMemory)
+	regionLoad, rejected := 0.0, 0.0
+	for class, name := range a.options.Classes {
+		load, inOwnZone := classLoad(observations, class, a.zone)
+		recent := max(load, a.borrower.recentLoad[name]*fading)
+		a.borrower.recentLoad[name] = recent
+		recentLoad += recent
+		if class < len(observations.Classes) && a.staysInRegion(name) {
+			regionLoad = regionLoad + recent - inOwnZone // in this order: sums of floats are alike in one order only
+			rejected += observations.Classes[class].Rejected
+		}
+	}
+	if rejected == 0 && !a.isOwnZoneFailing(observations) {
+		regionLoad = a.borrower.regionLoad * fading
+	}
+	a.setRegionLoad(regionLoad)
+	return recentLoad
+}
+
+// setRegionLoad takes in the load for which there must be capacity in the region, and has the load balancer told of a
+// change that matters.
+func (a *Agent) setRegionLoad(load float64) {
+	if load < leastRegionLoad {
+		load = 0
+	}
+	known := a.borrower.regionLoad
+	if math.Abs(load-known) > regionLoadChanged*max(load, known) {
+		a.borrower.regionLoad = load
+		a.zonePlanChanged = true
+	}
+}
+
+// classLoad is a class's load at this node, in all zones and in its own.
+func classLoad(observations choice.Observations, class int, ownZone string) (all, inOwnZone float64) {
+	for _, zone := range observations.Zones {
+		if class >= len(zone.OwnLoad) {
+			continue
+		}
+		all += zone.OwnLoad[class]
+		if zone.Zone == ownZone {
+			inOwnZone += zone.OwnLoad[class]
+		}
+	}
+	return all, inOwnZone
+}
+
+// staysInRegion says whether the plan keeps a class in its region.
+func (a *Agent) staysInRegion(class string) bool {
+	if a.plan == nil {
+		return false
+	}
+	index := slices.Index(a.plan.Classes, class)
+	return index >= 0 && a.plan.StayInRegion[index]
+}
+
+func (a *Agent) isOwnZoneFailing(observations choice.Observations) bool {
+	return slices.ContainsFunc(observations.Zones, func(zone choice.ZoneObservations) bool {
+		return zone.Zone == a.zone && failover.ZoneFailing(zone)
+	})
+}
--- /dev/null
+++ b/internal/failover/agent/peer.go
@@ -0,0 +1,86 @@
+package agent
+
+import "time"
+
+const (
+	aggregatorTimeout  = 3 * time.Second // an aggregator that has not answered so long is passed over
+	aggregatorRetry    = 5 * time.Second // and tried again after that
+	incarnationTimeout = 2 * time.Second // a process that is not heard so long may have been followed by another
+	maxPendingRequests = 32              // messages to a peer whose answers are awaited
+)
+
+// peer is what an agent knows of another node, as its sender and receiver.
+type peer struct {
+	incarnation uint32
+	heardAt     time.Duration          // when it was last heard
+	clock       uint64                 // its newest, of this incarnation
+	newest      map[messageKind]uint64 // clock of the newest message of a kind
+
+	// Of a peer that is sent evidence:
+	unansweredSince   time.Duration            // when the first evidence was sent that is not answered yet; 0: none is
+	unresponsiveSince time.Duration            // 0: it answers
+	pending           map[uint64]time.Duration // when a message was sent whose answer is awaited, by its clock
+}
+
+// peer gives the state of another node.
+func (a *Agent) peer(node int) *peer {
+	known := a.peers[node]
+	if known == nil {
+		known = &peer{newest: map[messageKind]uint64{}}
+		a.peers[node] = known
+	}
+	return known
+}
+
+// accept says whether a message counts: it is of the sender's present process and, of a kind where only the newest
+// counts, newer than those before.
+func (p *peer) accept(head header, now time.Duration) bool {
+	if p.incarnation != head.incarnation {
+		if p.incarnation != 0 && now-p.heardAt < incarnationTimeout {
+			return false // of a process that is gone, or of one whose predecessor is still heard
+		}
+		*p = peer{incarnation: head.incarnation, newest: map[messageKind]uint64{}}
+	}
+	p.heardAt = now
+	p.clock = max(p.clock, head.clock)
+	if !head.kind.newestOnly() {
+		return true
+	}
+	if head.clock <= p.newest[head.kind] {
+		return false
+	}
+	p.newest[head.kind] = head.clock
+	return true
+}
+
+// awaitAnswer notes when a message was sent: its answer tells how long ago that was at least.
+func (p *peer) awaitAnswer(clock uint64, now time.Duration) {
+	if p.pending == nil || len(p.pending) > maxPendingRequests {
+		p.pending = map[uint64]time.Duration{}
+	}
+	p.pending[clock] = now
+}
+
+// answered gives when the message was sent that is answered; ok is false where none was, or it was answered before.
+func (p *peer) answered(clock uint64) (sentAt time.Duration, ok bool) {
+	sentAt, ok = p.pending[clock]
+	delete(p.pending, clock)
+	return sentAt, ok
+}
+
+// isPassedOver says whether a peer has left evidence unanswered for so long that another one is sent it. From time to
+// time it is tried again.
+func (p *peer) isPassedOver(now time.Duration) bool {
+	if p.unansweredSince > 0 && now-p.unansweredSince > aggregatorTimeout && p.unresponsiveSince == 0 {
+		p.unresponsiveSince = now
+	}
+	if p.unresponsiveSince == 0 {
+		return false
+	}
+	if now-p.unresponsiveSince < aggregatorRetry {
+		return true
+	}
+	p.unresponsiveSince = 0
+	p.unansweredSince = 0
+	return false
+}
--- /dev/null
+++ b/internal/failover/agent/plan_rules.go
@@ -0,0 +1,56 @@
+package agent
+
+import (
+	"slices"
+
+	"spurwinch/internal/failover"
+	"spurwinch/internal/policy"
+)
+
+// planRules are the rules of plans: those of the policy in force, where there is one and this node can read it, or
+// else the node's settings.
+func (a *Agent) planRules() failover.Rules {
+	rules := a.options.Rules
+	if a.options.Policy == nil {
+		return rules
+	}
+	state, _ := a.newestPolicy()
+	text, known := state.Text(state.Number)
+	if state.Number == 0 || !known {
+		return rules
+	}
+	document, err := a.options.Policy.Read(text)
+	if err != nil {
+		return rules // a plan by the settings is better than none; the rollout has told of the error
+	}
+	var regional []string // classes that stay in their region
+	for _, class := range rules.Classes {
+		if class.StayInRegion {
+			regional = append(regional, class.Name)
+		}
+	}
+	if plan := document.Failover; plan != nil {
+		rules.UtilizationLimit = plan.Limit
+		rules.RecoveryRamp = plan.Ramp
+		rules.RecoveryDelay = plan.Hold
+		rules.RegionDistance = distanceBetween(plan.Far)
+		regional = plan.RegionalClasses
+	}
+	rules.Classes = nil
+	for _, class := range document.Classes {
+		rules.Classes = append(rules.Classes, failover.Class{
+			Name: class.Name, Priority: class.Priority, StayInRegion: slices.Contains(regional, class.Name),
+		})
+	}
+	return rules
+}
+
+// distanceBetween gives the cost of the way between two regions, in both directions alike and 1 at least.
+func distanceBetween(distances []policy.RegionDistance) func(from, to string) float64 {
+	costs := map[[2]string]float64{}
+	for _, distance := range distances {
+		costs[[2]string{distance.A, distance.B}] = distance.Cost
+		costs[[2]string{distance.B, distance.A}] = distance.Cost
+	}
+	return func(from, to string) float64 { return max(1, costs[[2]string{from, to}]) }
+}
--- /dev/null
+++ b/internal/failover/agent/policy_calls.go
@@ -0,0 +1,200 @@
+package agent
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"spurwinch/internal/agree"
+	"spurwinch/internal/policy"
+)
+
+// PolicyReply is what a node knows of the policy.
+type PolicyReply struct {
+	Token   string                     `json:"token,omitempty"` // the answer to a call with it is not older
+	Number  uint64                     `json:"number"`
+	Digest  string                     `json:"digest,omitempty"`
+	Change  *ChangeReply               `json:"change,omitempty"`
+	Ended   []policy.ChangeOutcome     `json:"ended,omitempty"`
+	Docs    []policy.VersionedDocument `cbor:"docs" json:"-"`
+	Entry   uint64                     `json:"entry"`
+	Window  float64                    `json:"window_s"`
+	Members []PolicyMember             `json:"members,omitempty"`
+	Grounds []policy.VersionedBase     `json:"grounds,omitempty"`
+}
+
+// ChangeReply is a change on its way.
+type ChangeReply struct {
+	ID     string        `json:"id"`
+	Number uint64        `json:"number"`
+	Base   uint64        `json:"base"`
+	Step   string        `json:"step"`
+	Digest string        `json:"digest"`
+	Part   policy.Canary `json:"part"`
+	Text   []byte        `cbor:"text" json:"-"`
+}
+
+// PolicyMember is a member as the leader knows it.
+type PolicyMember struct {
+	Name   string `json:"name"`
+	Live   bool   `json:"live"`
+	Heard  bool   `json:"heard"`
+	Has    uint64 `json:"has"`
+	Serves uint64 `json:"serves"`
+	May    bool   `json:"may_serve"`
+	Answer string `json:"answer,omitempty"`
+}
+
+// handlePolicyCall answers operators' calls about the policy. All of them go to the leader, and what it tells is
+// linearizable: it is told only after a majority has confirmed, since the call came, that this node leads.
+func (a *Agent) handlePolicyCall(call Call, reply *Reply) error {
+	switch {
+	case a.options.Policy == nil:
+		return errNoPolicy
+	case !a.Leads():
+		return errNotLeader
+	case Verb(call.Verb) != VerbPolicy:
+		return a.proposePolicy(call, reply)
+	case call.Arg == "":
+		token := readToken{term: a.voter.Term(), confirmation: a.voter.Confirm()}
+		reply.Policy = &PolicyReply{Token: token.String()}
+		reply.Retry = true
+		return nil
+	default:
+		return a.readPolicy(call.Arg, reply)
+	}
+}
+
+// readToken is a call to confirm that this node leads: what is read when that is confirmed is not older than the token.
+type readToken struct {
+	term, confirmation uint64
+}
+
+// String is a token as callers give it back.
+func (t readToken) String() string { return fmt.Sprintf("%d/%d", t.term, t.confirmation) }
+
+func parseReadToken(text string) (readToken, error) {
+	termText, confirmationText, _ := strings.Cut(text, "/")
+	term, termErr := strconv.ParseUint(termText, 10, 64)
+	confirmation, confirmationErr := strconv.ParseUint(confirmationText, 10, 64)
+	if termErr != nil || confirmationErr != nil {
+		return readToken{}, errBadToken
+	}
+	return readToken{term: term, confirmation: confirmation}, nil
+}
+
+// readPolicy tells the state to who has a token that is confirmed.
+func (a *Agent) readPolicy(tokenText string, reply *Reply) error {
+	token, err := parseReadToken(tokenText)
+	if err != nil {
+		return err
+	}
+	switch {
+	case token.term != a.voter.Term():
+		return errLeaderMoved
+	case token.confirmation > a.voter.Confirmed():
+		reply.Policy = &PolicyReply{Token: tokenText}
+		reply.Retry = true
+	default:
+		reply.Policy = a.describePolicy()
+	}
+	return nil
+}
+
+// proposePolicy proposes a change, or that the one on its way is given up. A call that was made before changes nothing.
+func (a *Agent) proposePolicy(call Call, reply *Reply) error {
+	state, entry := a.newestPolicy()
+	isNew := Verb(call.Verb) == VerbPolicyPropose
+	if outcome, ended, known := state.Find(call.ID); known && (isNew || ended) {
+		reply.Policy = a.describePolicy()
+		reply.Why = outcome.Reason
+		return nil
+	}
+	if result, ok := a.voter.Ended(call.ID); ok && !result.Accepted {
+		return errSuperseded
+	}
+	proposal := agree.Proposal{Kind: policy.Kind, Replaces: entry}
+	if isNew {
+		next, err := a.stateWithChange(state, call)
+		if err != nil {
+			return err
+		}
+		proposal.ID = call.ID
+		proposal.Data = next.Encode()
+	} else {
+		if state.Change == nil || state.Change.ID != call.ID {
+			return &callError{reason: fmt.Sprintf("no change %q is on its way", call.ID)}
+		}
+		proposal.ID = stepAborted.proposalID(entry)
+		proposal.Data = state.Abort("aborted by an operator").Encode()
+	}
+	if err := a.propose(proposal); err != nil {
+		return err
+	}
+	reply.Retry = true // it is on its way: the next call with this id tells
+	return nil
+}
+
+// stateWithChange is the state with a call's change on its way.
+func (a *Agent) stateWithChange(state *policy.State, call Call) (*policy.State, error) {
+	if zone := call.Part.Zone; zone != "" && a.checkZone(zone) != nil {
+		zones := a.options.List.Zones()
+		return nil, &callError{reason: fmt.Sprintf("a part of zone %q: one of %v is wanted", zone, zones)}
+	}
+	document, err := a.options.Policy.Read(call.Data)
+	if err != nil {
+		return nil, &callError{reason: a.options.List.Node(a.options.Self).Name + ": " + err.Error()}
+	}
+	next, err := state.Propose(call.ID, call.Base, call.Data, document, call.Part)
+	if err != nil {
+		return nil, &callError{reason: err.Error(), retry: errors.Is(err, policy.ErrChangeInProgress)}
+	}
+	return next, nil
+}
+
+// describePolicy tells the state as the log has it, and members as they were heard.
+func (a *Agent) describePolicy() *PolicyReply {
+	state, entry := a.newestPolicy()
+	reply := &PolicyReply{
+		Number:  state.Number,
+		Ended:   state.Ended,
+		Docs:    state.Documents,
+		Entry:   entry,
+		Window:  a.options.Policy.Rules.Window.Seconds(),
+		Grounds: state.Bases,
+	}
+	if state.Number > 0 {
+		text, _ := state.Text(state.Number) // a state always has the document in force
+		reply.Digest = policy.Digest(text)
+	}
+	if change := state.Change; change != nil {
+		reply.Change = &ChangeReply{
+			ID:     change.ID,
+			Number: change.Number,
+			Base:   change.Base,
+			Step:   change.Stage.String(),
+			Digest: policy.Digest(change.Text),
+			Part:   change.Canary,
+			Text:   change.Text,
+		}
+	}
+	if a.planner == nil {
+		return reply
+	}
+	for _, member := range a.members() {
+		described := PolicyMember{
+			Name:   member.Name,
+			Live:   member.Live,
+			Heard:  member.Heard,
+			Has:    member.Status.KnownNumber,
+			Serves: member.Status.ServedNumber,
+			May:    member.Status.MayServe,
+		}
+		if state.Change != nil && member.Status.Entry == entry {
+			described.Answer = verdictText(member.Status.Verdict, member.Status.Reason)
+		}
+		reply.Members = append(reply.Members, described)
+	}
+	return reply
+}
--- /dev/null
+++ b/internal/failover/agent/reply.go
@@ -0,0 +1,163 @@
+package agent
+
+import (
+	"fmt"
+	"time"
+
+	"spurwinch/internal/failover"
+)
+
+// admitScale is what a plan's fraction of 1 is on the wire.
+const admitScale = 255
+
+// Reply is a node's answer to an operator's call. Tools print it as JSON; nodes send it as CBOR by the same keys.
+type Reply struct {
+	Error   string             `json:"error,omitempty"`
+	Bad     bool               `json:"bad,omitempty"`   // the call itself is wrong: no node will answer it otherwise
+	Retry   bool               `json:"retry,omitempty"` // the same call may do later, or at the leader
+	Leader  string             `json:"leader,omitempty"`
+	Node    string             `json:"node"`
+	Zone    string             `json:"zone"`
+	Mode    string             `json:"mode"`
+	Plan    uint64             `json:"plan"`
+	Lease   float64            `json:"lease_s"` // seconds that grants into other zones are valid for
+	Log     string             `json:"log"`
+	Term    uint64             `json:"term,omitempty"` // of a voter
+	Leads   bool               `json:"leads"`
+	Voter   bool               `json:"voter"`
+	Counts  Counts             `json:"messages"`
+	Zones   []ZoneReply        `json:"zones,omitempty"`
+	Why     string             `json:"why,omitempty"`
+	Lost    []string           `json:"lost,omitempty"`
+	Loans   map[string]float64 `json:"loans,omitempty"` // capacity that this node has leased, by zone
+	Lent    float64            `json:"lent"`            // capacity of its zone that it has leased to others
+	Drained []string           `json:"drained,omitempty"`
+	Nodes   []NodeReply        `json:"nodes,omitempty"` // of the leader
+	Explain []string           `json:"explain,omitempty"`
+	Ended   *Ended             `json:"ended,omitempty"`
+	Policy  *PolicyReply       `json:"policy,omitempty"`
+}
+
+// Ended is how a proposal ended.
+type Ended struct {
+	ID     string `json:"id"`
+	Number uint64 `json:"number"`
+	Taken  bool   `json:"taken"`
+}
+
+// ZoneReply is a zone of the plan.
+type ZoneReply struct {
+	Name   string             `json:"name"`
+	Region string             `json:"region"`
+	State  string             `json:"state"`
+	Nodes  int                `json:"nodes"`
+	Listed int                `json:"listed"`
+	Room   float64            `json:"room"`
+	Guests float64            `json:"guests"` // what clients of other zones need there now
+	Lender string             `json:"lender,omitempty"`
+	Lends  float64            `json:"lends"` // what the owner of its leases may lease of the room
+	Want   map[string]float64 `json:"want"`
+	Grants map[string]float64 `json:"grants"`
+	Admit  map[string]float64 `json:"admit"`
+}
+
+// NodeReply is a node as the leader sees it.
+type NodeReply struct {
+	Name string  `json:"name"`
+	Zone string  `json:"zone"`
+	Live bool    `json:"live"`
+	Plan uint64  `json:"plan"`
+	Ago  float64 `json:"heard_s_ago"` // seconds since it was heard; under 0: never
+}
+
+// describe is a reply with what each one has: the node itself.
+func (a *Agent) describe(now time.Duration) Reply {
+	self := a.options.List.Node(a.options.Self)
+	reply := Reply{
+		Node:   self.Name,
+		Zone:   self.Zone,
+		Mode:   a.mode.String(),
+		Plan:   a.planNumber,
+		Log:    fmt.Sprintf("%016x", a.follower.Log()),
+		Voter:  a.voter != nil,
+		Leads:  a.Leads(),
+		Counts: a.Counts,
+		Loans:  a.leasedLoads(),
+		Lent:   a.leaseOwner.Reserved(now),
+	}
+	if a.plan != nil && now < a.leaseEnd {
+		reply.Lease = (a.leaseEnd - now).Seconds()
+	}
+	if a.voter != nil {
+		reply.Term = a.voter.Term()
+		voters := a.options.List.Voters()
+		if leader := a.voter.Leader(); leader >= 0 && leader < len(voters) {
+			reply.Leader = a.options.List.Node(voters[leader]).Name
+		}
+	}
+	newest := a.follower.Newest(failover.OperatorOrdersKind)
+	orders, _ := failover.DecodeOperatorOrders(newest.Data) // of none: nothing is drained
+	reply.Drained = orders.Drained
+	return reply
+}
+
+// describePlan tells the plan that the node goes by.
+func (a *Agent) describePlan(reply *Reply) {
+	if a.plan == nil {
+		return
+	}
+	reply.Why = a.plan.Reason
+	for _, node := range a.plan.LostNodes {
+		if node >= 0 && node < a.options.List.Len() {
+			reply.Lost = append(reply.Lost, a.options.List.Node(node).Name)
+		}
+	}
+	for i := range a.plan.Zones {
+		reply.Zones = append(reply.Zones, a.describeZone(i))
+	}
+}
+
+// describeZone is zone number index of the plan.
+func (a *Agent) describeZone(index int) ZoneReply {
+	plan, zone := a.plan, a.plan.Zones[index]
+	reply := ZoneReply{
+		Name:   zone.Name,
+		Region: zone.Region,
+		State:  zone.State.String(),
+		Nodes:  zone.Nodes,
+		Listed: zone.Listed,
+		Room:   float64(zone.Capacity),
+		Guests: float64(zone.GuestLoad),
+		Want:   map[string]float64{},
+		Grants: map[string]float64{},
+		Admit:  map[string]float64{},
+	}
+	if zone.LeaseOwner >= 0 && zone.LeaseOwner < a.options.List.Len() {
+		reply.Lender = a.options.List.Node(zone.LeaseOwner).Name
+		reply.Lends = float64(zone.Reserve)
+	}
+	for class, name := range plan.Classes {
+		reply.Want[name] = float64(zone.Demand[class])
+		reply.Admit[name] = float64(plan.AdmitFractions[index][class]) / admitScale
+	}
+	for _, grant := range plan.Grants {
+		if grant.From == index {
+			reply.Grants[plan.Zones[grant.To].Name] = float64(grant.Load)
+		}
+	}
+	return reply
+}
+
+// describeNodes tells how the leader sees the nodes.
+func (a *Agent) describeNodes(reply *Reply, now time.Duration) {
+	if a.planner == nil {
+		return
+	}
+	for i := range a.options.List.Len() {
+		node := a.options.List.Node(i)
+		view := a.planner.NodeView(i, now)
+		reply.Nodes = append(reply.Nodes, NodeReply{
+			Name: node.Name, Zone: node.Zone, Live: view.Live, Plan: view.Plan, Ago: view.HeardSecondsAgo,
+		})
+	}
+}
--- /dev/null
+++ b/internal/failover/agent/voter.go
@@ -0,0 +1,135 @@
+package agent
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"spurwinch/internal/agree"
+)
+
+// Voter is one of those that agree on the log: internal/agree/voter.
+type Voter interface {
+	Tick()
+	Receive(from int, data []byte) error
+	Ready() (rec agree.Record, whole, ok bool)
+	Kept() (out []agree.Message, results []agree.ProposalResult)
+	Fold() (rec agree.Record, ok bool)
+	Propose(p agree.Proposal) error
+	Confirm() (call uint64)
+	Confirmed() uint64
+	State() agree.State
+	Ended(id string) (agree.ProposalResult, bool)
+	Leads() bool
+	Leader() int
+	Term() uint64
+	Broken() error
+}
+
+// NewVoter makes voter number self of voters with what its disk has.
+type NewVoter func(self, voters int, records []agree.Record, rng *rand.Rand) (Voter, error)
+
+// startVoter starts the node's vote, if it is a voter.
+func (a *Agent) startVoter() error {
+	list := a.options.List
+	self := list.Voter(a.options.Self)
+	if self < 0 {
+		return nil
+	}
+	if a.options.Voter == nil {
+		return fmt.Errorf("%s is a voter, and %w", list.Node(a.options.Self).Name, ErrNoVoter)
+	}
+	voter, err := a.options.Voter(self, len(list.Voters()), a.options.Records, a.rng)
+	if err != nil {
+		return fmt.Errorf("start voter %d: %w", self, err)
+	}
+	a.voter = voter
+	return nil
+}
+
+// Leads says whether this node makes the plans now, as far as it knows.
+func (a *Agent) Leads() bool { return a.planner != nil && a.voter != nil && a.voter.Leads() }
+
+// tickVoter gives the voter its ticks; those that were missed while the process was suspended are not made up for.
+func (a *Agent) tickVoter(now time.Duration) {
+	for ; a.schedule.voterTick <= now; a.schedule.voterTick += agree.Tick {
+		if now-a.schedule.voterTick > suspendThreshold {
+			a.schedule.voterTick = now
+		}
+		if a.voter != nil {
+			a.voter.Tick()
+		}
+	}
+}
+
+// handleConsensus passes a voter's message on to this node's voter.
+func (a *Agent) handleConsensus(head header, body []byte) {
+	from := a.options.List.Voter(head.from)
+	if a.voter == nil || from < 0 {
+		return
+	}
+	err := a.voter.Receive(from, body)
+	if err != nil {
+		sender := a.options.List.Node(head.from).Name
+		a.options.Log("fleet_consensus_message_rejected", "from", sender, "error", err.Error())
+	}
+}
+
+// advanceVoter has the voter's next record saved, or goes on where there is nothing to save. It says whether there
+// may be more to do.
+func (a *Agent) advanceVoter(now time.Duration) (more bool) {
+	if record, ok := a.voter.Fold(); ok {
+		record.Newest = a.follower.Entries()
+		a.pendingRecord = &pendingRecord{record: record, replacesAll: true}
+		return true
+	}
+	if record, _, ok := a.voter.Ready(); ok {
+		if record.Empty() {
+			a.voterPersisted(now)
+		} else {
+			a.pendingRecord = &pendingRecord{record: record, ofVoter: true}
+		}
+		return true
+	}
+	if err := a.voter.Broken(); err != nil {
+		a.options.Log("fleet_voter_broken", "error", err.Error())
+		a.voter = nil
+	}
+	return false
+}
+
+// voterPersisted carries out what the voter may do now that its record is on disk.
+func (a *Agent) voterPersisted(now time.Duration) {
+	messages, results := a.voter.Kept()
+	voters := a.options.List.Voters()
+	for _, message := range messages {
+		if message.To >= 0 && message.To < len(voters) {
+			a.send(voters[message.To], kindConsensus, message.Data, now)
+		}
+	}
+	if state := a.voter.State(); state.Log != 0 {
+		for _, kind := range sortedKinds(state.Newest) {
+			entry := state.Newest[kind]
+			if entry.Number > a.follower.Newest(kind).Number {
+				a.acceptEntry(state.Log, entry, fromOwnVoter, now)
+			}
+		}
+	}
+	a.logCommittedPolicy()
+	if a.planner == nil {
+		return
+	}
+	for _, result := range results {
+		a.options.Log("fleet_decided", "id", result.ID, "number", result.Number, "taken", result.Accepted)
+	}
+	a.acknowledgeSummaries(now)
+}
+
+func sortedKinds(entries map[agree.Kind]agree.Entry) (kinds []agree.Kind) {
+	for kind := range entries {
+		kinds = append(kinds, kind)
+	}
+	slices.Sort(kinds)
+	return kinds
+}
