--- /dev/null
+++ b/internal/loop/helpers_test.go
@@ -0,0 +1,206 @@
+package loop
+
+import (
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// testTimeout bounds each wait for the other side.
+const testTimeout = 20 * time.Second
+
+// recordingHandler is a handler that tells what happens.
+type recordingHandler struct {
+	conn *Conn
+	up   chan bool
+	end  chan error
+	data func([]byte)
+}
+
+func record() *recordingHandler {
+	return &recordingHandler{up: make(chan bool, 1), end: make(chan error, 1), data: func([]byte) {}}
+}
+
+func (r *recordingHandler) OnConnect()         { r.up <- true }
+func (r *recordingHandler) OnData(data []byte) { r.data(data) }
+func (r *recordingHandler) OnEnd(err error)    { r.end <- err }
+func (r *recordingHandler) OnDrained()         {}
+
+// evictableHandler may be evicted, with an answer.
+type evictableHandler struct {
+	*recordingHandler
+	conn *Conn
+}
+
+func (r *evictableHandler) Evict() {
+	r.conn.Write([]byte("BUSY"))
+	r.conn.End()
+}
+
+// startLoop runs a loop until the test ends.
+func startLoop(t *testing.T) *Loop {
+	t.Helper()
+	return startLoopOn(t, Linux{})
+}
+
+// startLoopOn runs a loop on a kernel until the test ends.
+func startLoopOn(t *testing.T, kernel Kernel) *Loop {
+	t.Helper()
+	started, err := NewOn(kernel)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stopped := make(chan error, 1)
+	go func() { stopped <- started.Run() }()
+	t.Cleanup(func() {
+		started.Post(started.Stop)
+		if err := <-stopped; err != nil {
+			t.Error(err)
+		}
+	})
+	return started
+}
+
+// onLoop runs fn on the loop and waits for it.
+func onLoop(l *Loop, fn func()) {
+	done := make(chan bool)
+	l.Post(func() {
+		fn()
+		close(done)
+	})
+	<-done
+}
+
+// whileLoopHeld runs fn on the loop, which finds nothing meanwhile: what fn does lies ready, all of it, in the next
+// poll.
+func whileLoopHeld(t *testing.T, l *Loop, fn func()) {
+	t.Helper()
+	onLoop(l, func() {
+		if l.timersYielded { // a poll of before
+			t.Error("timers wait already")
+			return
+		}
+		fn()
+	})
+}
+
+// receive waits for a value.
+func receive[T any](t *testing.T, from chan T) T {
+	t.Helper()
+	select {
+	case value := <-from:
+		return value
+	case <-time.After(testTimeout):
+		t.Fatal("nothing came")
+	}
+	panic("not reached")
+}
+
+// listenOn has the loop listen, and returns the address.
+func listenOn(t *testing.T, l *Loop, accept func(*Conn) Handler) (address string) {
+	t.Helper()
+	onLoop(l, func() {
+		listener, err := l.Listen("127.0.0.1:0", accept)
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		address = listener.Addr.String()
+	})
+	return address
+}
+
+// listenEcho listens on the loop and sends back what comes.
+func listenEcho(t *testing.T, l *Loop) string {
+	t.Helper()
+	return listenOn(t, l, func(c *Conn) Handler {
+		handler := record()
+		handler.data = func(data []byte) { c.Write(data) }
+		return handler
+	})
+}
+
+// dialTCP connects to an address until the test ends.
+func dialTCP(t *testing.T, address string) *net.TCPConn {
+	t.Helper()
+	conn, err := dialDeadline(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	return conn
+}
+
+// dialDeadline connects to an address; nothing on the connection takes longer than testTimeout.
+func dialDeadline(address string) (*net.TCPConn, error) {
+	server, err := net.ResolveTCPAddr("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	conn, err := net.DialTCP("tcp", nil, server)
+	if err != nil {
+		return nil, err
+	}
+	return conn, conn.SetDeadline(time.Now().Add(testTimeout))
+}
+
+// checkServed sends a byte to an echo and waits for it to come back.
+func checkServed(address string) error {
+	conn, err := dialDeadline(address)
+	if err != nil {
+		return err
+	}
+	if _, err = conn.Write([]byte("x")); err == nil {
+		err = readEcho(conn)
+	}
+	return errors.Join(err, conn.Close())
+}
+
+// readEcho waits for the byte that was sent.
+func readEcho(conn net.Conn) error {
+	_, err := io.ReadFull(conn, make([]byte, 1))
+	return err
+}
+
+// acceptedPair is a connection that the loop has accepted, and the test's side of it.
+func acceptedPair(t *testing.T, l *Loop, handle func(c *Conn) Handler) (c *Conn, peer *net.TCPConn) {
+	t.Helper()
+	accepted := make(chan *Conn, 1)
+	address := listenOn(t, l, func(c *Conn) Handler {
+		accepted <- c
+		return handle(c)
+	})
+	peer = dialTCP(t, address)
+	return receive(t, accepted), peer
+}
+
+// sendArrived has bytes lie in the other side's socket, which the kernel tells by their acknowledgement.
+func sendArrived(t *testing.T, from *net.TCPConn, text string) {
+	t.Helper()
+	if _, err := from.Write([]byte(text)); err != nil {
+		t.Error(err)
+	}
+	raw, err := from.SyscallConn()
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	arrived := false
+	for end := time.Now().Add(testTimeout); !arrived && time.Now().Before(end); time.Sleep(50 * time.Microsecond) {
+		err := raw.Control(func(fd uintptr) {
+			unsent, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
+			arrived = err == nil && unsent == 0
+		})
+		if err != nil {
+			t.Error(err)
+			return
+		}
+	}
+	if !arrived {
+		t.Error("the race did not take place: bytes are on their way")
+	}
+}
--- a/internal/loop/transfer_test.go
+++ b/internal/loop/transfer_test.go
@@ -6,60 +6,84 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestDetachedIsNotTouched lends a connection whose bytes the poller has told of already: they are not read here,
-// neither is what came is lost, and room isn't made at its cost; returned, it goes on.
-func TestDetachedIsNotTouched(t *testing.T) {
-	l := startLoop(t)
-	var near, far [2]int
-	var conns [2]*Conn
-	heard := make(chan string, 8)
-	onLoop(l, func() {
-		for i := range near {
-			p, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+// detachedPair is two restored connections, each of which detaches the other one when bytes come.
+type detachedPair struct {
+	loop  *Loop
+	conns [2]*Conn
+	heard chan string
+}
+
+// restorePair restores two connections whose bytes and ends are due in one round of the poller.
+func restorePair(t *testing.T, eventLoop *Loop) *detachedPair {
+	t.Helper()
+	pair := &detachedPair{loop: eventLoop, heard: make(chan string, 8)}
+	onLoop(eventLoop, func() {
+		var far [2]int
+		for i := range pair.conns {
+			ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 			if err != nil {
-				t.Fatal(err)
+				t.Error(err)
+				return
 			}
-			near[i], far[i] = p[0], p[1]
-			h := record()
-			h.data = func(b []byte) {
-				heard <- string(b)
-				if _, state, ok := conns[1-i].Detach(); !ok || len(state.Out) != 0 {
-					t.Error("not lent")
+			far[i] = ends[1]
+			handler := record()
+			handler.data = func(data []byte) {
+				pair.heard <- string(data)
+				if _, state, ok := pair.conns[1-i].Detach(); !ok || len(state.Out) != 0 {
+					t.Error("the other one is not detached")
 				}
 			}
-			conns[i] = l.Restore(near[i], ConnectionState{}, h)
-			conns[i].EnterIdleQueue()
+			pair.conns[i] = eventLoop.Restore(ends[0], ConnectionState{}, handler)
+			pair.conns[i].EnterIdleQueue()
 		}
-		for i := range far { // both, and their ends, are due in one round of the poller
-			unix.Write(far[i], []byte("x"))
-			unix.Close(far[i])
+		for _, fd := range far {
+			if _, err := unix.Write(fd, []byte("x")); err != nil {
+				t.Error(err)
+			}
+			closeFD(fd)
 		}
 	})
-	receive(t, heard)
-	onLoop(l, func() {
-		if len(heard) != 0 {
-			t.Error("a lent connection was read")
+	return pair
+}
+
+// reattach has the detached one go on.
+func (p *detachedPair) reattach() {
+	for _, conn := range p.conns {
+		if conn.detached {
+			handler := record()
+			handler.data = func(data []byte) { p.heard <- string(data) }
+			conn.SetHandler(handler)
+			conn.Reattach()
 		}
-		l.SetIdleLimit(1) // one of the two must go; the lent one isn't this process's to end
-		if l.Open() != 1 {
-			t.Errorf("%d connections", l.Open())
+	}
+}
+
+// TestDetachedIsNotTouched detaches a connection whose bytes the poller has told of already: they are not read here,
+// nor is what came lost, and it is not evicted; reattached, it goes on.
+func TestDetachedIsNotTouched(t *testing.T) {
+	eventLoop := startLoop(t)
+	pair := restorePair(t, eventLoop)
+	receive(t, pair.heard)
+	onLoop(eventLoop, func() {
+		if len(pair.heard) != 0 {
+			t.Error("a detached connection is read")
 		}
-		for _, c := range conns {
-			if c.detached {
-				c.handler.(*recordingHandler).data = func(b []byte) { heard <- string(b) }
-				c.Reattach()
-			}
+		eventLoop.SetIdleLimit(1) // one of the two must go; the detached one isn't this process's to end
+		if eventLoop.Open() != 1 {
+			t.Errorf("%d connections are open, want 1", eventLoop.Open())
 		}
+		pair.reattach()
 	})
-	if got := receive(t, heard); got != "x" {
-		t.Errorf("then came %q", got)
+	if got := receive(t, pair.heard); got != "x" {
+		t.Errorf("then came %q, want %q", got, "x")
 	}
-	onLoop(l, func() {
-		for _, c := range conns {
-			c.Abort()
+	onLoop(eventLoop, func() {
+		for _, conn := range pair.conns {
+			conn.Abort()
 		}
-		if l.Open() != 0 || len(l.handlers) > 2 {
-			t.Errorf("%d connections, %d descriptors served", l.Open(), len(l.handlers))
+		if eventLoop.Open() != 0 || len(eventLoop.handlers) > 2 {
+			t.Errorf("%d connections, %d descriptors served, want none and the loop's own two",
+				eventLoop.Open(), len(eventLoop.handlers))
 		}
 	})
 }
