--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -6,61 +6,114 @@
 	"spurwinch/choice"
 	"spurwinch/internal/invariant"
 	"spurwinch/internal/trace"
-
-	"go.uber.org/zap"
 )
 
-// Attempt is one upstream request.
+// openAtRetryInterval is between attempts at the server of a connection that was open before the node started.
+const openAtRetryInterval = 250 * time.Millisecond
+
+// Attempt is one upstream request. The front reports its progress: Connected, then Begin, Written, and either
+// Established or Commit, and Ended with its one outcome.
 type Attempt struct {
-	request  *Request
-	host     *host
-	upstream UpstreamRequest
-	stop     func()
-	started  time.Time
-	by       time.Time // its first byte is out before, or it is not sent; zero: whenever
-	begun    bool      // it may be out
-	guarded  bool      // the guard has let it start
-	written  bool
-	ended    bool
-
-	Number  int
+	request    *Request
+	server     *serverState
+	upstream   UpstreamRequest
+	stopTimer  func()
+	startedAt  time.Time
+	sendBefore time.Time // its first byte is out before, or it is not sent; zero: whenever
+	begun      bool      // its first byte may be out
+	started    bool      // the guard has let it start
+	written    bool      // its last byte is with the kernel
+	ended      bool      // it has its outcome
+
+	Number  int // among the attempts of its request, from 0
 	Server  ServerEntry
-	Expires time.Time // absolute: given up then
+	Expires time.Time // given up then
+}
+
+// startAttempt begins the next attempt of a request, at a server, until a time. Its first byte goes out before the
+// module time sendBefore or not at all; 0: whenever.
+func (r *Request) startAttempt(id choice.ServerID, until time.Time, sendBefore time.Duration) {
+	core := r.core
+	attempt := &Attempt{request: r, Number: r.attemptCount, Expires: until, startedAt: core.options.Clock.Now()}
+	if sendBefore > 0 {
+		attempt.sendBefore = core.startedAt.Add(sendBefore - core.epoch)
+	}
+	r.attemptCount++
+	r.attempt = attempt
+	server := core.servers[id]
+	if server == nil {
+		attempt.server = &serverState{ServerEntry: ServerEntry{Server: choice.Server{ID: id}}, inFlight: 1}
+		attempt.Ended(choice.ConnectFailed, nil)
+		return
+	}
+	attempt.server = server
+	attempt.Server = server.ServerEntry
+	server.inFlight++
+	attempt.started = r.guard.Start(core.guardedServer(server), attempt.startedAt) == invariant.Holds
+	if !attempt.started {
+		attempt.Ended(choice.NeverSent, nil)
+		return
+	}
+	if r.attemptCount > 1 {
+		core.options.Trace.Retried(string(r.ID), r.lastOutcome.String())
+	}
+	core.options.Trace.Started(string(r.ID), attempt.Number, string(server.ID))
+	attempt.stopTimer = core.options.Clock.At(until, func() { attempt.giveUp(choice.TimedOut) })
+	upstream := r.client.Attempt(attempt)
+	if !attempt.ended {
+		attempt.upstream = upstream
+	}
 }
 
-// AlreadyOpen says that the attempt is for a connection that was open at its host before the node started.
+// attemptOpenAt goes back to the server of a connection that was open before the node started.
+func (r *Request) attemptOpenAt() {
+	if !r.finished {
+		r.startAttempt(r.OpenAt, r.Deadline, 0)
+	}
+}
+
+// AlreadyOpen reports whether the attempt is for a connection that was open at its server before the node started.
 func (a *Attempt) AlreadyOpen() bool { return a.request.OpenAt != "" }
 
 // ConnectBy is when the attempt's connection must be up.
 func (a *Attempt) ConnectBy() time.Time {
 	by := a.Expires
-	if t := a.request.core.o.Settings.Limits.ConnectTimeout; t > 0 {
-		by = earlier(by, a.started.Add(t))
+	if timeout := a.request.core.options.Settings.Limits.ConnectTimeout; timeout > 0 {
+		by = earlier(by, a.startedAt.Add(timeout))
 	}
-	if !a.by.IsZero() {
-		by = earlier(by, a.by)
+	if !a.sendBefore.IsZero() {
+		by = earlier(by, a.sendBefore)
 	}
 	return by
 }
 
-// Begin reports whether the attempt's first byte may go out. A connection may take long to come up, and what made the decision
-// right may be over by then; the attempt is, where this says no, and never ran.
+// Connected reports how long the connection took, so that the way to the server isn't held against it.
+func (a *Attempt) Connected() {
+	took := a.request.core.options.Clock.Now().Sub(a.startedAt)
+	if a.server.connectTime == 0 || took < a.server.connectTime {
+		a.server.connectTime = took
+	}
+}
+
+// Begin reports whether the attempt's first byte may go out. A connection may take long to come up, and what made the
+// decision right may be over by then: where this says no the attempt has ended, and never ran.
 func (a *Attempt) Begin() bool {
-	now := a.request.core.o.Clock.Now()
+	request := a.request
+	now := request.core.options.Clock.Now()
 	switch {
 	case a.ended:
 	case !now.Before(a.Expires):
 		a.giveUp(choice.TimedOut)
-	case !a.by.IsZero() && !now.Before(a.by):
+	case !a.sendBefore.IsZero() && !now.Before(a.sendBefore):
 		a.giveUp(choice.Cancelled)
-	case a.request.guard.Send(a.request.core.facts(a.host), now) != invariant.Holds:
+	case request.guard.Send(request.core.guardedServer(a.server), now) != invariant.Holds:
 		a.giveUp(choice.Cancelled)
 	default:
 		a.begun = true
-		a.request.core.o.Trace.Sent(string(a.request.ID), a.Number, string(a.host.ID))
+		request.core.options.Trace.Sent(string(request.ID), a.Number, string(a.server.ID))
 		return true
 	}
-	a.request.core.spared++
+	request.core.neverSent++
 	return false
 }
 
@@ -68,156 +121,119 @@
 func (a *Attempt) Written() {
 	if !a.written {
 		a.written = true
-		a.request.core.o.Figures.Attempt()
-	}
-}
-
-// Connected tells what the way to the host takes, so that it isn't held against the host.
-func (a *Attempt) Connected() {
-	took := a.request.core.o.Clock.Now().Sub(a.started)
-	if h := a.host; h.network == 0 || took < h.network {
-		h.network = took
+		a.request.core.options.Figures.Attempt()
 	}
 }
 
-// Established says that the host took the connection.
-func (a *Attempt) Established() {
-	r := a.request
-	if a.ended || r.over || r.open {
-		return
-	}
-	r.open = true
-	r.guard.Served(true, r.core.o.Clock.Now())
-	r.core.o.Trace.Served(string(r.ID), string(a.host.ID))
-	r.count().Served++
-	r.observeTry(a, choice.Served)
-	r.observe(Up)
-	r.stood = r.core.o.Clock.Now()
-	if a.stop != nil {
-		a.stop()
-	}
-	r.cancelTimers()
-	if r.OpenAt != "" {
-		a.Number = 0
-		r.core.tell(choice.OpenConnection{Request: r.event(), Server: r.OpenAt})
-	} else {
-		r.core.tell(choice.Established{ID: r.ID, Attempt: a.Number, Server: a.host.ID, Took: r.core.o.Clock.Now().Sub(a.started)})
-	}
-	r.leaveWith(a.host, r.core.o.Clock.Now())
-}
-
-// Commit says that bytes of the host are about to reach the client: no other host can take over from here, and so
+// Commit says that bytes of the server are about to reach the client: no other server can take over from here, and so
 // the attempt may use all the time that the client has.
 func (a *Attempt) Commit() {
-	r := a.request
-	if a.ended || r.open || r.committed {
+	request := a.request
+	if a.ended || request.open || request.committed {
 		return
 	}
-	r.committed = true
-	a.Expires = r.Deadline
-	a.stop()
-	a.stop = r.core.o.Clock.At(a.Expires, func() { a.giveUp(choice.TimedOut) })
+	request.committed = true
+	a.Expires = request.Deadline
+	a.stopTimer()
+	a.stopTimer = request.core.options.Clock.At(a.Expires, func() { a.giveUp(choice.TimedOut) })
 }
 
-// Ended gives the attempt's one outcome. What is told after it, or after GiveUp, doesn't count.
-func (a *Attempt) Ended(o choice.Outcome, report []float64) {
+// giveUp ends an attempt from this side.
+func (a *Attempt) giveUp(outcome choice.Outcome) {
 	if a.ended {
 		return
 	}
-	a.ended = true
-	a.host.held--
-	if a.guarded {
-		a.request.guard.Ended(a.begun && !o.NeverRan())
-	}
-	if a.stop != nil {
-		a.stop()
-	}
-	r := a.request
-	r.attempt, r.retryAfter = nil, o.String()
-	r.core.o.Trace.Ended(string(r.ID), a.Number, string(a.host.ID), o.String(), a.written, r.core.o.Clock.Now().Sub(a.started))
-	final := r.over || r.open || r.committed || o == choice.Served
-	switch r.observeTry(a, o); {
-	case r.open:
-		r.observeEnd(ByServer)
-	case o == choice.Served && !r.over:
-		r.guard.Served(false, r.core.o.Clock.Now())
-		r.core.o.Trace.Served(string(r.ID), string(a.host.ID))
-		r.count().Served++
-		r.observe(Served)
+	if a.upstream != nil {
+		a.upstream.GiveUp()
 	}
-	// What the module knows under this id may be another request, of one that came from another process with it.
-	if (r.OpenAt == "" || r.open) && r.core.requests[r.ID] == r {
-		r.core.tell(choice.AttemptEnded{ID: r.ID, Attempt: a.Number, Server: a.host.ID, Outcome: o,
-			Took: r.core.o.Clock.Now().Sub(a.started), Final: final, Report: report})
+	switch { // what was never written whole has not run
+	case a.written:
+	case outcome == choice.TimedOut:
+		outcome = choice.ConnectFailed
+	case outcome == choice.Cancelled && !a.request.open:
+		outcome = choice.NeverSent
 	}
-	switch {
-	case r.over || r.open || o == choice.Served:
-		r.over = true
-	case r.committed && o == choice.TimedOut:
-		r.answer(LocalReply{Rejected: true, Why: DeadlinePassed, Reason: trace.PastDeadline})
-	case r.committed:
-		r.answer(LocalReply{Rejected: true, Why: ServerLost, Reason: trace.HostLost})
-	case r.OpenAt != "":
-		// The host of a connection open before the run is no choice: only ever this one.
-		now := r.core.o.Clock.Now()
-		if now.Add(retryPinned).Before(r.Deadline) {
-			r.core.o.Clock.At(now.Add(retryPinned), r.sendPinned)
-		} else {
-			r.answer(LocalReply{Rejected: true, Why: Unreachable, Reason: trace.Unreachable})
-		}
-	}
-	r.settle()
+	a.Ended(outcome, nil)
 }
 
-func (a *Attempt) giveUp(o choice.Outcome) {
+// Ended gives the attempt its one outcome. What is reported after it, or after GiveUp, doesn't count.
+func (a *Attempt) Ended(outcome choice.Outcome, report []float64) {
 	if a.ended {
 		return
 	}
-	if a.upstream != nil {
-		a.upstream.GiveUp()
-	}
-	switch { // what was never written whole has not run
-	case a.written:
-	case o == choice.TimedOut:
-		o = choice.ConnectFailed
-	case o == choice.Cancelled && !a.request.open:
-		o = choice.NeverSent
+	request := a.request
+	a.finish(outcome)
+	final := request.finished || request.open || request.committed || outcome == choice.Served
+	request.observeResult(a, outcome)
+	switch {
+	case request.open:
+		request.observeEnd(ByServer)
+	case outcome == choice.Served && !request.finished:
+		request.served(a, Served)
 	}
-	a.Ended(o, nil)
+	// What the module knows under this id may be another request, of one that came from another process with it.
+	if (request.OpenAt == "" || request.open) && request.registered() {
+		took := request.core.options.Clock.Now().Sub(a.startedAt)
+		request.core.notify(choice.AttemptEnded{
+			ID: request.ID, Attempt: a.Number, Server: a.server.ID,
+			Outcome: outcome,
+			Took:    took, Final: final, Report: report,
+		})
+	}
+	request.afterAttempt(outcome)
+	request.forgetIfDone()
 }
 
-// UpdateLoad tells the connection's present load.
-func (a *Attempt) UpdateLoad(x float64) {
-	if !a.ended && a.request.open {
-		a.request.load = x
-		a.request.core.tell(choice.LoadUpdate{ID: a.request.ID, Attempt: a.Number, Load: x})
+// finish closes the attempt's accounts with its server, its guard and its request.
+func (a *Attempt) finish(outcome choice.Outcome) {
+	request := a.request
+	a.ended = true
+	a.server.inFlight--
+	if a.started {
+		request.guard.Ended(a.begun && !outcome.NeverRan())
 	}
+	if a.stopTimer != nil {
+		a.stopTimer()
+	}
+	request.attempt = nil
+	request.lastOutcome = outcome
+	took := request.core.options.Clock.Now().Sub(a.startedAt)
+	request.core.options.Trace.Ended(string(request.ID), a.Number, string(a.server.ID), outcome.String(), a.written, took)
 }
 
-// ObserveDelay tells how long a message took on the connection, or has taken so far.
-func (a *Attempt) ObserveDelay(took time.Duration) {
-	r := a.request
-	c := r.core
-	if a.ended || !r.open || r.over {
-		return
-	}
-	took = max(took-a.host.network, time.Microsecond)
-	now := c.o.Clock.Now()
-	slow := took > c.minAim/3
-	if slow && now.Sub(a.host.noted) >= time.Second || !slow && a.host.slow {
-		a.host.noted, a.host.slow = now, slow
-		c.tell(choice.DelayObservation{ID: r.ID, Server: a.host.ID, Took: took})
+// served notes that the server's own answer is the final one.
+func (r *Request) served(a *Attempt, answer Answer) {
+	r.guard.Served(answer == Up, r.core.options.Clock.Now())
+	r.core.options.Trace.Served(string(r.ID), string(a.server.ID))
+	r.answerCounts().Served++
+	if answer == Up {
+		r.observeResult(a, choice.Served)
 	}
+	r.observeAnswer(answer)
 }
 
-// UnresponsiveAfter is how long a connection may return nothing to a message before its client is moved: its host is
-// lost although the connection stands.
-func (a *Attempt) UnresponsiveAfter() time.Duration { return silentTime }
+// afterAttempt is what becomes of a request whose attempt has ended, where that is not the module's to decide.
+func (r *Request) afterAttempt(outcome choice.Outcome) {
+	switch {
+	case r.finished || r.open || outcome == choice.Served:
+		r.finished = true
+	case r.committed && outcome == choice.TimedOut:
+		r.answer(LocalReply{Rejected: true, Why: DeadlinePassed, Reason: trace.PastDeadline})
+	case r.committed:
+		r.answer(LocalReply{Rejected: true, Why: ServerLost, Reason: trace.HostLost})
+	case r.OpenAt != "":
+		r.retryOpenAt()
+	}
+}
 
-// Unresponsive moves the client of a connection that returns nothing.
-func (a *Attempt) Unresponsive() {
-	if !a.ended {
-		zap.L().Warn("host_silent_client_moved", zap.String("host", string(a.host.ID)))
-		a.request.move()
+// retryOpenAt tries the server of a connection that was open before the node started once more, while there is time:
+// no other server has the connection.
+func (r *Request) retryOpenAt() {
+	clock := r.core.options.Clock
+	next := clock.Now().Add(openAtRetryInterval)
+	if next.Before(r.Deadline) {
+		clock.At(next, r.attemptOpenAt)
+		return
 	}
+	r.answer(LocalReply{Rejected: true, Why: Unreachable, Reason: trace.Unreachable})
 }
--- a/internal/edge/golden_test.go
+++ b/internal/edge/golden_test.go
@@ -16,22 +16,30 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// TestGoldenStanding holds the bytes by which one process tells another of an open connection, each field with a value of its own.
-func TestGoldenStanding(t *testing.T) {
+// TestGoldenConnectionState holds the bytes of an open connection that one process sends to another, each field with
+// a value of its own.
+func TestGoldenConnectionState(t *testing.T) {
 	want := ConnectionState{
 		ID: "request-1",
-		Class: choice.Class{Name: "class-2", Removed: true, SetupObjective: 3 * time.Second, Deadline: 4 * time.Second, MessageObjective: 5 * time.Second,
-			Priority: 6.5, Idempotency: choice.IdempotentByKey, IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 7 * time.Second},
+		Class: choice.Class{
+			Name: "class-2", Removed: true, SetupObjective: 3 * time.Second,
+			Deadline: 4 * time.Second, MessageObjective: 5 * time.Second,
+			Priority: 6.5, Idempotency: choice.IdempotentByKey, IdempotencyScope: choice.ScopeCell,
+			IdempotencyWindow: 7 * time.Second,
+		},
 		Tenant: "tenant-8", Key: 9, Group: 10, UsualLoad: 11.5, CurrentLoad: 12.5, Returned: true,
-		Server: choice.Server{ID: "host-13", Zone: "zone-14", Kind: "kind-15", Cell: 16, State: choice.Draining, Size: 17.5, Started: 18 * time.Second,
-			SlowStartSince: 19 * time.Second},
+		Server: choice.Server{
+			ID: "host-13", Zone: "zone-14", Kind: "kind-15", Cell: 16, State: choice.Draining,
+			Size: 17.5, Started: 18 * time.Second,
+			SlowStartSince: 19 * time.Second,
+		},
 		Addr: "127.0.0.1:20",
 	}
 	body, err := cbor.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	const name = "testdata/standing.cbor.hex"
+	const name = "testdata/connection_state.cbor.hex"
 	if *update {
 		if err := os.WriteFile(name, []byte(hex.EncodeToString(body)+"\n"), 0o644); err != nil {
 			t.Fatal(err)
@@ -42,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if got := hex.EncodeToString(body); got != strings.TrimSpace(string(text)) {
-		t.Errorf("it is written as\n%s\nwant\n%s", got, text)
+		t.Errorf("the state is written as\n%s\nwant\n%s", got, text)
 	}
 	raw, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil {
@@ -50,7 +58,7 @@
 	}
 	var got ConnectionState
 	if err := cbor.Unmarshal(raw, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("it is read as\n%+v (error %v), want\n%+v", got, err, want)
+		t.Errorf("the state is read as\n%+v (error %v), want\n%+v", got, err, want)
 	}
 	if err := got.Check(); err != nil {
 		t.Errorf("Check finds %v, want nothing", err)
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -6,70 +6,96 @@
 	"spurwinch/choice"
 )
 
-// Lease is under which policy a core takes requests, and for how long without further word.
+// Lease says under which policy a core takes requests, and for how long without renewal.
 type Lease struct {
-	Number  uint64
-	Known   bool      // else nothing is taken but by the ground policy
-	Expires time.Time // a request that comes later is not taken under Number
-	// OnExpiry has the settings be those of the ground policy. It is called once, before the first request that comes after Until.
-	OnExpiry   func()
-	BasePolicy func(class int) bool // it is served by the ground policy meanwhile; nil: none is
+	Number uint64 // of the policy document
+	Known  bool   // this node has the document; else nothing is taken but by the base policy
+	// Expires is when the lease ends: a request that comes later is not taken under Number.
+	Expires time.Time
+	// OnExpiry sets the settings of the base policy. It is called once, before the first request that comes after
+	// Expires.
+	OnExpiry func()
+	// BasePolicy reports whether a class is served by the base policy meanwhile; nil: none is.
+	BasePolicy func(class int) bool
 	// RetryAfter is advice for what is not taken, 0: none. It is spread by half.
 	RetryAfter time.Duration
-	// OnDecision hears of each request that is asked for: how is "lease", "ground", or "none" where it is not taken. nil: nobody hears.
+	// OnDecision is notified of each request that is asked for: how is an Admission. nil: nobody is.
 	OnDecision func(id choice.RequestID, number uint64, how string)
 
-	lapsed bool
+	expired bool // OnExpiry was called
 }
 
+// Admission says by which policy a request is taken.
+type Admission string
+
+const (
+	// AdmittedByLease is a request taken under the policy of the lease.
+	AdmittedByLease Admission = "lease"
+	// AdmittedByBasePolicy is a request taken under the base policy, without a lease.
+	AdmittedByBasePolicy Admission = "ground"
+	// NotAdmitted is a request that is rejected for want of a policy.
+	NotAdmitted Admission = "none"
+)
+
+const (
+	// jitterHash spreads sequence numbers evenly (Knuth's multiplicative hash).
+	jitterHash = 2654435761
+	// jitterSteps is the number of different delays.
+	jitterSteps = 1000
+)
+
 // UseLease has the core take requests by a lease. What was taken before goes on as it came.
-func (c *Core) UseLease(s Lease) {
-	if c.lease != nil && c.lease.lapsed && !c.o.Clock.Now().Before(s.Expires) {
-		s.lapsed = true // it lapsed before, and is so still
+func (c *Core) UseLease(lease Lease) {
+	if c.lease != nil && c.lease.expired && !c.options.Clock.Now().Before(lease.Expires) {
+		lease.expired = true // it expired before, and still is
 	}
-	c.lease = &s
+	c.lease = &lease
 }
 
-// takes decides by the clock as it is now: a process that was stopped finds its clients' lines before it hears of anything else.
-func (c *Core) takes(r *Request) (after time.Duration, ok bool) {
-	s := c.lease
-	if s == nil || r.OpenAt != "" {
+// admitUnderLease decides by the clock as it is now: a process that was stopped finds its clients' requests before it
+// is notified of anything else. A request that is taken gets the class and the deadline of the policy.
+func (c *Core) admitUnderLease(request *Request) (retryAfter time.Duration, admitted bool) {
+	lease := c.lease
+	if lease == nil || request.OpenAt != "" {
 		return 0, true
 	}
-	now := c.o.Clock.Now()
-	how := "lease"
-	if !s.Known || !now.Before(s.Expires) {
-		if how = "none"; !s.lapsed {
-			s.lapsed = true
-			if s.OnExpiry != nil {
-				s.OnExpiry()
-			}
-		}
-		if s.BasePolicy != nil && s.BasePolicy(r.Class) {
-			how = "ground"
-		}
+	now := c.options.Clock.Now()
+	admission := lease.admit(request.Class, now)
+	if lease.OnDecision != nil {
+		lease.OnDecision(request.ID, lease.Number, string(admission))
 	}
-	if s.OnDecision != nil {
-		s.OnDecision(r.ID, s.Number, how)
+	if admission == NotAdmitted {
+		return lease.retryAfter(c.lastSequence), false
 	}
-	if how == "none" {
-		if s.RetryAfter > 0 { // spread by the request, so that those who come at once don't come back at once
-			after = s.RetryAfter/2 + time.Duration(c.seq*2654435761%1000)*s.RetryAfter/1000
+	request.class = c.options.Settings.Classes[request.Class]
+	if deadline := now.Add(request.class.Deadline); request.Deadline.After(deadline) {
+		request.Deadline = deadline
+	}
+	return 0, true
+}
+
+// admit says by which policy a request of a class is taken now.
+func (l *Lease) admit(class int, now time.Time) Admission {
+	if l.Known && now.Before(l.Expires) {
+		return AdmittedByLease
+	}
+	if !l.expired {
+		l.expired = true
+		if l.OnExpiry != nil {
+			l.OnExpiry()
 		}
-		return after, false
 	}
-	r.class = c.o.Settings.Classes[r.Class]
-	if by := now.Add(r.class.Deadline); r.Deadline.After(by) { // patience is the policy's too
-		r.Deadline = by
+	if l.BasePolicy != nil && l.BasePolicy(class) {
+		return AdmittedByBasePolicy
 	}
-	return 0, true
+	return NotAdmitted
 }
 
-// AnswerCounts counts the requests that were answered, and those of them that were refused or failed.
-func (c *Core) AnswerCounts() (arrived, away float64) {
-	for _, k := range c.counts {
-		away += float64(k.Rejected + k.Failed)
-		arrived += float64(k.Served + k.Rejected + k.Failed)
+// retryAfter is the advice for a request, spread by its sequence number, so that those who come at once don't come
+// back at once.
+func (l *Lease) retryAfter(sequence uint64) time.Duration {
+	if l.RetryAfter <= 0 {
+		return 0
 	}
-	return arrived, away
+	return l.RetryAfter/2 + time.Duration(sequence*jitterHash%jitterSteps)*l.RetryAfter/jitterSteps
 }
--- a/internal/edge/timers_test.go
+++ b/internal/edge/timers_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"testing"
 	"time"
 
@@ -13,63 +12,68 @@
 	"spurwinch/choice"
 )
 
-// patient is a core whose clients say that they wait for an hour, and the one host that it has.
-func patient(t *testing.T) (*world, *Core) {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(1, 1)), now: time.Unix(1e9, 0)}
-	core, err := New(Options{Clock: w, HealthChecker: w, Seed: 1, Settings: choice.Settings{Nodes: 1,
-		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}}, Limits: choice.Limits{MaxAttempts: 3}}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	w.core = core
-	core.Start([]ServerEntry{{Server: choice.Server{ID: "h", Size: 1}}})
-	return w, core
+// patientWorld is a core of one server, for clients that say that they wait for an hour.
+func patientWorld(t *testing.T) *world {
+	t.Helper()
+	w := newWorld(t, time.Unix(1e9, 0), 1, 1)
+	w.create(Options{Seed: 1, Settings: choice.Settings{
+		Nodes:   1,
+		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1}},
+		Limits:  choice.Limits{MaxAttempts: 3},
+	}})
+	w.core.Start(serversNamed("h"))
+	return w
 }
 
-// TestTimersEndWithTheirRequests has many clients that name a patience of an hour be served, refused, or leave at once: nothing of them stays
-// behind, or a few clients a second would fill the node's memory.
+// TestTimersEndWithTheirRequests has many clients that name a patience of an hour be served, rejected, or leave at
+// once: nothing of them stays behind, or a few clients a second would fill the node's memory.
 func TestTimersEndWithTheirRequests(t *testing.T) {
 	const requests = 60
-	w, core := patient(t)
+	world := patientWorld(t)
+	core := world.core
 	for i := range requests {
-		a := &asker{}
-		r := core.Open(Spec{ID: choice.RequestID(fmt.Sprint("q", i)), Tenant: -1, Deadline: w.now.Add(time.Hour)}, a)
+		spec := Spec{ID: choice.RequestID(fmt.Sprint("q", i)), Tenant: -1, Deadline: world.now.Add(time.Hour)}
+		request := core.Open(spec, &idleClient{})
 		core.Flush()
 		switch i % 3 {
 		case 0:
-			if r.attempt == nil {
-				t.Fatal("no attempt is made")
+			if request.attempt == nil {
+				t.Fatalf("request %d has no attempt, want one", i)
 			}
-			r.attempt.Begin()
-			r.attempt.Established()
+			request.attempt.Begin()
+			request.attempt.Established()
 		case 1:
-			r.Gone()
+			request.Gone()
 		default:
-			r.refuse(core.leaving())
+			request.rejectNow(core.shuttingDownReply())
 		}
 		core.Flush()
-		w.run(w.now.Add(10 * time.Millisecond))
+		world.run(world.now.Add(10 * time.Millisecond))
 	}
-	left := 0
-	for _, e := range w.timers {
-		if e.fn != nil {
-			left++
+	running := 0
+	for _, timer := range world.timers {
+		if timer.fn != nil {
+			running++
 		}
 	}
-	if left > requests/10 {
-		t.Errorf("%d timers are left of %d requests that have their answers", left, requests)
+	if running > requests/10 {
+		t.Errorf("%d timers run on after %d requests that have their answers, want %d at most",
+			running, requests, requests/10)
 	}
 }
 
-// TestLeavesInTheSameRound has a client ask and leave before the module has heard of it: it never does, and nothing is to be sent for nobody.
-func TestLeavesInTheSameRound(t *testing.T) {
+// TestClientGoneBeforeFlush has a client ask and go before the module is notified: it never is, and nothing is to be
+// sent for nobody.
+func TestClientGoneBeforeFlush(t *testing.T) {
 	logged, lines := observer.New(zapcore.ErrorLevel)
 	t.Cleanup(zap.ReplaceGlobals(zap.New(logged)))
-	_, core := patient(t)
-	a := &asker{}
-	core.Open(Spec{ID: "q", Tenant: -1, Deadline: core.o.Clock.Now().Add(time.Second)}, a).Gone()
+	world := patientWorld(t)
+	core := world.core
+	client := &idleClient{}
+	core.Open(Spec{ID: "q", Tenant: -1, Deadline: world.now.Add(time.Second)}, client).Gone()
 	core.Flush()
-	if a.tried || core.InFlight() > 0 || lines.Len() > 0 {
-		t.Errorf("tried %v, held %d, logged %v", a.tried, core.InFlight(), lines.All())
+	if client.tried || core.InFlight() > 0 || lines.Len() > 0 {
+		t.Errorf("tried %v, %d in flight, logged %v; want false, 0 and nothing",
+			client.tried, core.InFlight(), lines.All())
 	}
 }
