--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -10,11 +10,11 @@
 // startGuard has the monitor follow a new request.
 func (r *Request) startGuard() {
 	r.guard = r.core.options.Monitor.NewRequest(invariant.RequestFacts{
-		ID:       string(r.ID),
-		Class:    r.class,
-		Deadline: r.Deadline,
-		Attempts: max(1, r.core.options.Settings.Limits.MaxAttempts),
-		Standing: r.OpenAt != "",
+		ID:          string(r.ID),
+		Class:       r.class,
+		Deadline:    r.Deadline,
+		MaxAttempts: max(1, r.core.options.Settings.Limits.MaxAttempts),
+		AlreadyOpen: r.OpenAt != "",
 	})
 }
 
@@ -23,8 +23,8 @@
 	rules := c.options.Settings.Rules
 	guarded := invariant.Server{
 		ID: string(server.ID), Zone: server.Zone, Cell: server.Cell,
-		Leaving: server.drainingSince,
-		Grace:   rules.DrainGrace,
+		DrainingSince: server.drainingSince,
+		Grace:         rules.DrainGrace,
 	}
 	rate, slowStart := c.balancer.SlowStartRate(server.ID)
 	if !slowStart {
--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -72,12 +72,12 @@
 	first.Ended(choice.Reset, nil)
 	client.tried = false
 	request.startAttempt("h", request.Deadline, 0)
-	wantLast(t, *violations, invariant.UnsafeRepeat)
+	wantLast(t, *violations, invariant.UnsafeRetry)
 	if client.tried {
 		t.Error("the server is tried again, want it not to be")
 	}
 	request.answer(LocalReply{Rejected: true})
-	wantLast(t, *violations, invariant.UnsafeRefusal)
+	wantLast(t, *violations, invariant.UnsafeRejection)
 	if client.reply == nil || client.reply.Rejected {
 		t.Errorf("the client got %+v, want a failure", client.reply)
 	}
--- a/internal/edge/reply.go
+++ b/internal/edge/reply.go
@@ -84,7 +84,7 @@
 		return
 	}
 	r.finished = true
-	if r.guard.Answer(reply.Rejected, r.core.options.Clock.Now()) == invariant.UnsafeRefusal {
+	if r.guard.Answer(reply.Rejected, r.core.options.Clock.Now()) == invariant.UnsafeRejection {
 		reply.Rejected = false
 		reply.RetryAfter = 0
 		reply.Reason = trace.UnsafeToReject
--- a/internal/edge/servers_test.go
+++ b/internal/edge/servers_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestDrainingServerIsLeft has a server begin to drain that has an attempt out and an open connection: the attempt is
+// TestDrainingServerIsEmptied has a server begin to drain that has an attempt out and an open connection: the attempt is
 // cancelled and the connection migrated before the server's grace is over.
-func TestDrainingServerIsLeft(t *testing.T) {
+func TestDrainingServerIsEmptied(t *testing.T) {
 	const grace = 10 * time.Second
 	world := newWorld(t, time.Unix(1e9, 0), 1, 1)
 	core := world.create(Options{DrainPeriod: 4 * time.Second, Settings: choice.Settings{
--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -7,20 +7,22 @@
 	"testing"
 )
 
-// TestGoldenFigures counts each step and the violations of each rule a number of times of its own: their names, order and counts are those of
-// the golden file.
+// TestGoldenFigures counts each step and the violations of each rule a number of times of its own: their names, order
+// and counts are those of the golden file.
 func TestGoldenFigures(t *testing.T) {
-	var m Monitor
+	var monitor Monitor
 	for i, step := range []Step{Start, Send, Repeat, Close} {
-		m.checked[step] = uint64(11 + i)
+		monitor.checked[step] = uint64(11 + i)
 	}
-	for i, rule := range []Rule{SecondAnswer, Unanswered, LateAnswer, TooManyAttempts, SecondCopy, UnsafeRepeat, UnsafeRefusal, ClientGone, HostLeaving,
-		SlowStart, CutOff} {
-		m.broken[rule] = uint64(21 + i)
+	for i, rule := range []Rule{
+		SecondAnswer, Unanswered, LateAnswer, TooManyAttempts, SecondCopy, UnsafeRetry,
+		UnsafeRejection, ClientGone, HostLeaving, SlowStart, ClosedWithoutMigration,
+	} {
+		monitor.broken[rule] = uint64(21 + i)
 	}
 	var got strings.Builder
-	m.Each(func(kind, name string, count uint64) { fmt.Fprintf(&got, "%s %s %d\n", kind, name, count) })
-	fmt.Fprintf(&got, "%s %d\n", Holds, m.Violations())
+	monitor.Each(func(kind, name string, count uint64) { fmt.Fprintf(&got, "%s %s %d\n", kind, name, count) })
+	fmt.Fprintf(&got, "%s %d\n", Holds, monitor.Violations())
 	want, err := os.ReadFile("testdata/figures.txt")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -1,6 +1,7 @@
 package invariant
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -13,133 +14,321 @@
 	return choice.Class{Name: "c", Idempotency: repeat, IdempotencyScope: scope, IdempotencyWindow: 2 * time.Second}
 }
 
-// TestRules has each rule broken by the shortest history that breaks it, and checks that the same history without its last cause breaks none.
+// history is a request's past and the step that breaks a rule, or none.
+type history struct {
+	name   string
+	class  choice.Class
+	before func(r *Request) // nil: nothing
+	step   func(r *Request) Rule
+	want   Rule
+}
+
+var (
+	server      = Server{ID: "h", Zone: "a", Grace: 3 * time.Second}
+	otherServer = Server{ID: "i", Zone: "b", Grace: 3 * time.Second}
+	otherCell   = Server{ID: "h", Zone: "a", Cell: 1, Grace: 3 * time.Second}
+	draining    = Server{ID: "h", Zone: "a", Grace: 3 * time.Second, DrainingSince: begin}
+)
+
+// ran is an attempt that may have run.
+func ran(r *Request) {
+	r.Start(server, begin)
+	r.Send(server, begin)
+	r.Ended(true)
+}
+
+// neverSent is an attempt of which no byte went out.
+func neverSent(r *Request) {
+	r.Start(server, begin)
+	r.Ended(true)
+}
+
+// attemptHistories are the shortest ones that break each rule of attempts, and the same without their last cause.
+var attemptHistories = []history{
+	{
+		name: "first attempt", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
+		step: func(r *Request) Rule { return r.Start(server, begin) },
+	},
+	{
+		name: "after the answer", class: class(choice.Idempotent, choice.ScopeAll), want: SecondAnswer,
+		before: func(r *Request) {
+			r.Answer(true, begin)
+		},
+		step: func(r *Request) Rule { return r.Start(server, begin) },
+	},
+	{
+		name: "answered twice", class: class(choice.Idempotent, choice.ScopeAll), want: SecondAnswer,
+		before: func(r *Request) {
+			r.Served(true, begin)
+		},
+		step: func(r *Request) Rule { return r.Answer(true, begin) },
+	},
+	{
+		name: "after its client", class: class(choice.Idempotent, choice.ScopeAll), want: ClientGone,
+		before: (*Request).Gone,
+		step:   func(r *Request) Rule { return r.Start(server, begin) },
+	},
+	{
+		name: "sent after its client", class: class(choice.Idempotent, choice.ScopeAll), want: ClientGone,
+		before: func(r *Request) {
+			r.Start(server, begin)
+			r.Gone()
+		},
+		step: func(r *Request) Rule { return r.Send(server, begin) },
+	},
+	{
+		name: "two at once", class: class(choice.Idempotent, choice.ScopeAll), want: SecondCopy,
+		before: func(r *Request) {
+			r.Start(server, begin)
+		},
+		step: func(r *Request) Rule { return r.Start(otherServer, begin) },
+	},
+	{
+		name: "a third of two", class: class(choice.Idempotent, choice.ScopeAll), want: TooManyAttempts,
+		before: func(r *Request) {
+			ran(r)
+			ran(r)
+		},
+		step: func(r *Request) Rule { return r.Start(server, begin) },
+	},
+	{
+		name: "unsafe repeat", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRetry,
+		before: ran,
+		step:   func(r *Request) Rule { return r.Start(otherServer, begin) },
+	},
+	{
+		name: "unsafe, never written", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
+		before: neverSent,
+		step:   func(r *Request) Rule { return r.Start(otherServer, begin) },
+	},
+	{
+		name: "keyed, in the window", class: class(choice.IdempotentByKey, choice.ScopeAll), want: Holds,
+		before: ran,
+		step:   func(r *Request) Rule { return r.Start(otherServer, begin.Add(2*time.Second)) },
+	},
+	{
+		name: "keyed, past the window", class: class(choice.IdempotentByKey, choice.ScopeAll), want: UnsafeRetry,
+		before: ran,
+		step:   func(r *Request) Rule { return r.Start(otherServer, begin.Add(2*time.Second+1)) },
+	},
+	{
+		name: "keyed, another zone", class: class(choice.IdempotentByKey, choice.ScopeZone), want: UnsafeRetry,
+		before: ran,
+		step:   func(r *Request) Rule { return r.Start(otherServer, begin) },
+	},
+	{
+		name: "keyed, the same zone", class: class(choice.IdempotentByKey, choice.ScopeZone), want: Holds,
+		before: ran,
+		step:   func(r *Request) Rule { return r.Start(server, begin) },
+	},
+	{
+		name: "keyed, another cell", class: class(choice.IdempotentByKey, choice.ScopeCell), want: UnsafeRetry,
+		before: ran,
+		step:   func(r *Request) Rule { return r.Start(otherCell, begin) },
+	},
+	{
+		name: "in the grace", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		step: func(r *Request) Rule { return r.Start(draining, begin.Add(3*time.Second)) },
+	},
+	{
+		name: "past the grace", class: class(choice.Idempotent, choice.ScopeAll), want: HostLeaving,
+		step: func(r *Request) Rule { return r.Start(draining, begin.Add(3*time.Second+1)) },
+	},
+	{
+		name: "sent past the grace", class: class(choice.Idempotent, choice.ScopeAll), want: HostLeaving,
+		before: func(r *Request) {
+			r.Start(server, begin)
+		},
+		step: func(r *Request) Rule { return r.Send(draining, begin.Add(4*time.Second)) },
+	},
+}
+
+// closeHistories are the shortest ones that break each rule of answers and closes, and the same without their last
+// cause.
+var closeHistories = []history{
+	{
+		name: "refused, nothing ran", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
+		before: neverSent,
+		step:   func(r *Request) Rule { return r.Answer(true, begin) },
+	},
+	{
+		name: "refused, may have run", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRejection,
+		before: ran,
+		step:   func(r *Request) Rule { return r.Answer(true, begin) },
+	},
+	{
+		name: "refused, may run yet", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRejection,
+		before: func(r *Request) {
+			r.Start(server, begin)
+			r.Send(server, begin)
+		},
+		step: func(r *Request) Rule { return r.Answer(true, begin) },
+	},
+	{
+		name: "keyed in all, refused", class: class(choice.IdempotentByKey, choice.ScopeAll), want: Holds,
+		before: ran,
+		step:   func(r *Request) Rule { return r.Answer(true, begin) },
+	},
+	{
+		name: "keyed in a zone, refused", class: class(choice.IdempotentByKey, choice.ScopeZone),
+		want:   UnsafeRejection,
+		before: ran,
+		step:   func(r *Request) Rule { return r.Answer(true, begin) },
+	},
+	{
+		name: "failed", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
+		before: ran,
+		step:   func(r *Request) Rule { return r.Answer(false, begin) },
+	},
+	{
+		name: "late", class: class(choice.Idempotent, choice.ScopeAll), want: LateAnswer,
+		step: func(r *Request) Rule { return r.Answer(true, begin.Add(10*time.Second+AnswerSlack+1)) },
+	},
+	{
+		name: "just in time", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		step: func(r *Request) Rule { return r.Answer(true, begin.Add(10*time.Second+AnswerSlack)) },
+	},
+	{
+		name: "closed without an answer", class: class(choice.Idempotent, choice.ScopeAll), want: Unanswered,
+		step: func(r *Request) Rule { return r.Close(ByNode, false) },
+	},
+	{
+		name: "closed by its client", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		step: func(r *Request) Rule { return r.Close(ByClient, false) },
+	},
+	{
+		name: "closed with its server, no answer", class: class(choice.Idempotent, choice.ScopeAll),
+		want: Unanswered,
+		step: func(r *Request) Rule { return r.Close(ByHost, false) },
+	},
+	{
+		name: "closed after the answer", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		before: func(r *Request) {
+			r.Answer(true, begin)
+		},
+		step: func(r *Request) Rule { return r.Close(ByNode, false) },
+	},
+	{
+		name: "an open connection, cut off", class: class(choice.Idempotent, choice.ScopeAll),
+		want: ClosedWithoutMigration,
+		before: func(r *Request) {
+			r.Served(true, begin)
+		},
+		step: func(r *Request) Rule { return r.Close(ByNode, false) },
+	},
+	{
+		name: "an open connection, moved", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		before: func(r *Request) {
+			r.Served(true, begin)
+		},
+		step: func(r *Request) Rule { return r.Close(ByNode, true) },
+	},
+	{
+		name: "an open connection, ended by a server", class: class(choice.Idempotent, choice.ScopeAll),
+		want: Holds,
+		before: func(r *Request) {
+			r.Served(true, begin)
+		},
+		step: func(r *Request) Rule { return r.Close(ByHost, false) },
+	},
+}
+
+// TestRules has each rule broken by the shortest history that breaks it, and checks that the same history without its
+// last cause breaks none.
 func TestRules(t *testing.T) {
-	host, other := Server{ID: "h", Zone: "a", Grace: 3 * time.Second}, Server{ID: "i", Zone: "b", Grace: 3 * time.Second}
-	leaving := host
-	leaving.Leaving = begin
-	ran := func(r *Request) {
-		r.Start(host, begin)
-		r.Send(host, begin)
-		r.Ended(true)
-	}
-	unsent := func(r *Request) {
-		r.Start(host, begin)
-		r.Ended(true)
-	}
-	nothing := func(*Request) {}
-	for name, c := range map[string]struct {
-		class  choice.Class
-		before func(r *Request)
-		step   func(r *Request) Rule
-		want   Rule
-	}{
-		"first attempt":                       {class(choice.NotIdempotent, 0), nothing, func(r *Request) Rule { return r.Start(host, begin) }, Holds},
-		"after the answer":                    {class(choice.Idempotent, 0), func(r *Request) { r.Answer(true, begin) }, func(r *Request) Rule { return r.Start(host, begin) }, SecondAnswer},
-		"answered twice":                      {class(choice.Idempotent, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Answer(true, begin) }, SecondAnswer},
-		"after its client":                    {class(choice.Idempotent, 0), (*Request).Gone, func(r *Request) Rule { return r.Start(host, begin) }, ClientGone},
-		"sent after its client":               {class(choice.Idempotent, 0), func(r *Request) { r.Start(host, begin); r.Gone() }, func(r *Request) Rule { return r.Send(host, begin) }, ClientGone},
-		"two at once":                         {class(choice.Idempotent, 0), func(r *Request) { r.Start(host, begin) }, func(r *Request) Rule { return r.Start(other, begin) }, SecondCopy},
-		"a third of two":                      {class(choice.Idempotent, 0), func(r *Request) { ran(r); ran(r) }, func(r *Request) Rule { return r.Start(host, begin) }, TooManyAttempts},
-		"unsafe repeat":                       {class(choice.NotIdempotent, 0), ran, func(r *Request) Rule { return r.Start(other, begin) }, UnsafeRepeat},
-		"unsafe, never written":               {class(choice.NotIdempotent, 0), unsent, func(r *Request) Rule { return r.Start(other, begin) }, Holds},
-		"keyed, in the window":                {class(choice.IdempotentByKey, choice.ScopeAll), ran, func(r *Request) Rule { return r.Start(other, begin.Add(2*time.Second)) }, Holds},
-		"keyed, past the window":              {class(choice.IdempotentByKey, choice.ScopeAll), ran, func(r *Request) Rule { return r.Start(other, begin.Add(2*time.Second+1)) }, UnsafeRepeat},
-		"keyed, another zone":                 {class(choice.IdempotentByKey, choice.ScopeZone), ran, func(r *Request) Rule { return r.Start(other, begin) }, UnsafeRepeat},
-		"keyed, the same zone":                {class(choice.IdempotentByKey, choice.ScopeZone), ran, func(r *Request) Rule { return r.Start(host, begin) }, Holds},
-		"keyed, another cell":                 {class(choice.IdempotentByKey, choice.ScopeCell), ran, func(r *Request) Rule { h := host; h.Cell = 1; return r.Start(h, begin) }, UnsafeRepeat},
-		"in the grace":                        {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Start(leaving, begin.Add(3*time.Second)) }, Holds},
-		"past the grace":                      {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Start(leaving, begin.Add(3*time.Second+1)) }, HostLeaving},
-		"sent past the grace":                 {class(choice.Idempotent, 0), func(r *Request) { r.Start(host, begin) }, func(r *Request) Rule { return r.Send(leaving, begin.Add(4*time.Second)) }, HostLeaving},
-		"refused, nothing ran":                {class(choice.NotIdempotent, 0), unsent, func(r *Request) Rule { return r.Answer(true, begin) }, Holds},
-		"refused, may have run":               {class(choice.NotIdempotent, 0), ran, func(r *Request) Rule { return r.Answer(true, begin) }, UnsafeRefusal},
-		"refused, may run yet":                {class(choice.NotIdempotent, 0), func(r *Request) { r.Start(host, begin); r.Send(host, begin) }, func(r *Request) Rule { return r.Answer(true, begin) }, UnsafeRefusal},
-		"keyed in all, refused":               {class(choice.IdempotentByKey, choice.ScopeAll), ran, func(r *Request) Rule { return r.Answer(true, begin) }, Holds},
-		"keyed in a zone, refused":            {class(choice.IdempotentByKey, choice.ScopeZone), ran, func(r *Request) Rule { return r.Answer(true, begin) }, UnsafeRefusal},
-		"failed":                              {class(choice.NotIdempotent, 0), ran, func(r *Request) Rule { return r.Answer(false, begin) }, Holds},
-		"late":                                {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Answer(true, begin.Add(10*time.Second+AnswerSlack+1)) }, LateAnswer},
-		"just in time":                        {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Answer(true, begin.Add(10*time.Second+AnswerSlack)) }, Holds},
-		"closed without an answer":            {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Close(ByNode, false) }, Unanswered},
-		"closed by its client":                {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Close(ByClient, false) }, Holds},
-		"closed with its host, no answer":     {class(choice.Idempotent, 0), nothing, func(r *Request) Rule { return r.Close(ByHost, false) }, Unanswered},
-		"closed after the answer":             {class(choice.Idempotent, 0), func(r *Request) { r.Answer(true, begin) }, func(r *Request) Rule { return r.Close(ByNode, false) }, Holds},
-		"an open connection, cut off":         {class(choice.Idempotent, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Close(ByNode, false) }, CutOff},
-		"an open connection, moved":           {class(choice.Idempotent, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Close(ByNode, true) }, Holds},
-		"an open connection, ended by a host": {class(choice.Idempotent, 0), func(r *Request) { r.Served(true, begin) }, func(r *Request) Rule { return r.Close(ByHost, false) }, Holds},
-	} {
-		m := &Monitor{}
-		var heard []Violation
-		m.Broken = func(v Violation) { heard = append(heard, v) }
-		r := m.NewRequest(RequestFacts{ID: "q", Class: c.class, Deadline: begin.Add(10 * time.Second), Attempts: 2})
-		if c.before(r); len(heard) > 0 {
-			t.Errorf("%s: broken before the step: %v", name, heard)
-		}
-		got := c.step(r)
-		if got != c.want || (got == Holds) != (len(heard) == 0) || m.Violations() != uint64(len(heard)) {
-			t.Errorf("%s: %v, heard %v, counted %d; %v is wanted", name, got, heard, m.Violations(), c.want)
-		}
+	for _, test := range slices.Concat(attemptHistories, closeHistories) {
+		t.Run(test.name, func(t *testing.T) {
+			var violations []Violation
+			monitor := &Monitor{Broken: func(v Violation) { violations = append(violations, v) }}
+			request := monitor.NewRequest(RequestFacts{
+				ID: "q", Class: test.class,
+				Deadline: begin.Add(10 * time.Second), MaxAttempts: 2,
+			})
+			if test.before != nil {
+				test.before(request)
+			}
+			if len(violations) > 0 {
+				t.Errorf("violations before the step: %v, want none", violations)
+			}
+			got := test.step(request)
+			if got != test.want {
+				t.Errorf("the step gives %v, want %v", got, test.want)
+			}
+			if (got == Holds) != (len(violations) == 0) || monitor.Violations() != uint64(len(violations)) {
+				t.Errorf("the step gives %v with violations %v, %d counted; want all or none",
+					got, violations, monitor.Violations())
+			}
+		})
 	}
 }
 
-// TestStanding holds that a connection that stood before the run goes back to its host as often as it takes, but not for nobody.
-func TestStanding(t *testing.T) {
-	m := &Monitor{}
-	r := m.NewRequest(RequestFacts{ID: "q", Attempts: 1, Standing: true, Deadline: begin})
-	for range 5 {
-		if rule := r.Start(Server{}, begin); rule != Holds {
-			t.Fatal(rule)
+// TestAlreadyOpen holds that a connection that was open before the run goes back to its server as often as it takes,
+// but not for nobody.
+func TestAlreadyOpen(t *testing.T) {
+	monitor := &Monitor{}
+	request := monitor.NewRequest(RequestFacts{ID: "q", MaxAttempts: 1, AlreadyOpen: true, Deadline: begin})
+	for attempt := range 5 {
+		if rule := request.Start(Server{}, begin); rule != Holds {
+			t.Fatalf("attempt %d gives %v, want %v", attempt, rule, Holds)
 		}
-		r.Ended(false)
+		request.Ended(false)
 	}
-	r.Gone()
-	if rule := r.Start(Server{}, begin); rule != ClientGone {
-		t.Error(rule)
+	request.Gone()
+	if rule := request.Start(Server{}, begin); rule != ClientGone {
+		t.Errorf("an attempt for nobody gives %v, want %v", rule, ClientGone)
 	}
 }
 
-// TestSlowStart has one node send a cold host all that the budget of all nodes allows, and one call more.
+// TestSlowStart has one node send a server in slow start all that the budget of all nodes allows, and one call more.
 func TestSlowStart(t *testing.T) {
 	for _, budget := range []float64{0, 1, 9, 29, 30, 100} {
-		w := &CallWindow{Window: 2 * time.Second}
+		window := &CallWindow{Window: 2 * time.Second}
 		most := int(MostCalls(budget))
 		for i := range most {
-			if !w.allow(budget, begin.Add(time.Duration(i)*time.Millisecond)) {
-				t.Fatalf("call %d of %d, budget %v", i+1, most, budget)
+			if !window.allow(budget, begin.Add(time.Duration(i)*time.Millisecond)) {
+				t.Fatalf("budget %v: call %d of %d is forbidden, want it allowed", budget, i+1, most)
 			}
 		}
-		if w.allow(budget, begin.Add(2*time.Second)) {
-			t.Errorf("call %d of %d, budget %v", most+1, most, budget)
+		if window.allow(budget, begin.Add(2*time.Second)) {
+			t.Errorf("budget %v: call %d of %d is allowed, want it forbidden", budget, most+1, most)
 		}
-		if !w.allow(budget, begin.Add(2*time.Second+time.Millisecond)) {
-			t.Errorf("budget %v: the first call is out of the window", budget)
+		if !window.allow(budget, begin.Add(2*time.Second+time.Millisecond)) {
+			t.Errorf("budget %v: a call is forbidden when the first is out of the window, want it allowed", budget)
 		}
 	}
-	r := (&Monitor{}).NewRequest(RequestFacts{ID: "q", Attempts: 1, Deadline: begin.Add(time.Second)})
-	cold := Server{ID: "h", SlowStart: &CallWindow{Window: time.Second}, Budget: -1}
-	if rule := r.Start(cold, begin); rule != Holds {
-		t.Fatal(rule)
+}
+
+// TestSlowStartOfAttempts has an attempt at a server in slow start whose window is full: it may start, but not be sent.
+func TestSlowStartOfAttempts(t *testing.T) {
+	request := (&Monitor{}).NewRequest(RequestFacts{ID: "q", MaxAttempts: 1, Deadline: begin.Add(time.Second)})
+	warming := Server{ID: "h", SlowStart: &CallWindow{Window: time.Second}, Budget: -1}
+	if rule := request.Start(warming, begin); rule != Holds {
+		t.Fatalf("the start gives %v, want %v", rule, Holds)
 	}
-	cold.SlowStart.calls = make([]call, 1000)
-	for i := range cold.SlowStart.calls {
-		cold.SlowStart.calls[i].at = begin
+	warming.SlowStart.calls = make([]call, 1000)
+	for i := range warming.SlowStart.calls {
+		warming.SlowStart.calls[i].at = begin
 	}
-	if rule := r.Send(cold, begin); rule != SlowStart {
-		t.Error(rule)
+	if rule := request.Send(warming, begin); rule != SlowStart {
+		t.Errorf("the send gives %v, want %v", rule, SlowStart)
 	}
 }
 
-// TestFigures holds the names under which steps and rules are told, and that each rule has one.
+// TestFigures holds the names under which steps and rules are reported, and that each rule has one.
 func TestFigures(t *testing.T) {
-	m := &Monitor{}
-	m.NewRequest(RequestFacts{}).Close(ByNode, false)
+	monitor := &Monitor{}
+	monitor.NewRequest(RequestFacts{}).Close(ByNode, false)
 	seen := map[string]uint64{}
-	m.Each(func(kind, name string, count uint64) {
+	monitor.Each(func(kind, name string, count uint64) {
 		if name == "" {
-			t.Error("a figure without a name")
+			t.Errorf("a figure of kind %s has no name, want one", kind)
 		}
 		seen[kind+" "+name] = count
 	})
-	if seen["checked close"] != 1 || seen["broken unanswered"] != 1 || seen["broken cut_off"] != 0 || len(seen) != int(stepCount)+int(ruleCount)-1 {
-		t.Error(seen)
+	if len(seen) != int(stepCount)+int(ruleCount)-1 {
+		t.Errorf("%d figures, want one for each step and each rule", len(seen))
+	}
+	if seen["checked close"] != 1 || seen["broken unanswered"] != 1 || seen["broken cut_off"] != 0 {
+		t.Errorf("figures %v, want one checked close and one broken unanswered", seen)
 	}
 }
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -11,198 +11,219 @@
 
 // RequestFacts are what is known of a request when it is read.
 type RequestFacts struct {
-	ID       string
-	Class    choice.Class
-	Deadline time.Time
-	Attempts int // most that the settings allow
-	// Standing says that the connection was open at its host before the node ran: it goes back to that host alone, as often as it takes.
-	Standing bool
+	ID          string
+	Class       choice.Class
+	Deadline    time.Time
+	MaxAttempts int
+	// AlreadyOpen says that the connection was open at its server before the node ran: it goes back to that server
+	// alone, as often as it takes.
+	AlreadyOpen bool
 }
 
-// Server is what is known of an attempt's host at the moment of a step.
+// Server is what is known of an attempt's server at the moment of a step.
 type Server struct {
-	ID, Zone string
-	Cell     int
-	Leaving  time.Time     // since when the node knows that it drains or is gone; zero: it serves
-	Grace    time.Duration // for what is sent after that
-	// SlowStart counts what this node sent the host since its start; nil: the host is warm.
+	ID            string
+	Zone          string
+	Cell          int
+	DrainingSince time.Time     // when the node learned that it drains or is gone; zero: it serves
+	Grace         time.Duration // for what is sent after that
+	// SlowStart counts what this node sent the server since its start; nil: the server is warm.
 	SlowStart *CallWindow
-	Budget    float64 // calls that all nodes together may send it now in the budget's time; meaningful with SlowStart
+	Budget    float64 // calls that all nodes together may send it now within SlowStart's window; without one: unused
 }
 
 // Request is one request of a client, from when it was read until its connection has ended.
 type Request struct {
 	RequestFacts
 	monitor  *Monitor
-	started  int
-	out      bool // an attempt is out
-	sentAt   time.Time
-	sent     Server // of the attempt that is out
-	mayHave  bool   // an earlier attempt may have run:
-	ranAt    Server // there,
-	ranSince time.Time
-	answered bool
-	gone     bool
-	open     bool // the connection stands
+	attempts int // begun so far
+
+	inFlight bool      // an attempt is
+	sentAt   time.Time // when its first byte went out; zero: it did not yet
+	sentTo   Server
+
+	mayHaveRun bool // an earlier attempt may have run, the first of them as follows
+	ranAt      Server
+	ranSince   time.Time
+
+	answered   bool // it has its final answer
+	clientGone bool
+	open       bool // the connection is established
 }
 
 // NewRequest begins to watch a request.
-func (m *Monitor) NewRequest(f RequestFacts) *Request { return &Request{RequestFacts: f, monitor: m} }
+func (m *Monitor) NewRequest(facts RequestFacts) *Request {
+	return &Request{RequestFacts: facts, monitor: m}
+}
 
 // Adopted begins to watch an open connection that another process has served until now.
-func (m *Monitor) Adopted(f RequestFacts) *Request {
-	return &Request{RequestFacts: f, monitor: m, started: 1, answered: true, open: true}
+func (m *Monitor) Adopted(facts RequestFacts) *Request {
+	return &Request{RequestFacts: facts, monitor: m, attempts: 1, answered: true, open: true}
 }
 
-// Start is asked before an attempt is begun. Unless the rule is Kept it must not be.
-func (r *Request) Start(h Server, now time.Time) Rule {
-	rule := r.mayTry(h, now)
-	if rule == Holds && r.out {
+// Start is asked before an attempt is begun. Unless the rule is Holds it must not be.
+func (r *Request) Start(server Server, now time.Time) Rule {
+	rule := r.attemptRule(server, now)
+	if rule == Holds && r.inFlight {
 		rule = SecondCopy
 	}
-	if rule == Holds && r.started >= r.Attempts && !r.Standing {
+	if rule == Holds && r.attempts >= r.MaxAttempts && !r.AlreadyOpen {
 		rule = TooManyAttempts
 	}
-	if r.report(r.repeats(Start), rule, h.ID) != Holds {
+	if r.check(r.stepOfAttempt(Start), rule, server.ID) != Holds {
 		return rule
 	}
-	r.started++
-	r.out, r.sentAt = true, time.Time{}
+	r.attempts++
+	r.inFlight = true
+	r.sentAt = time.Time{}
 	return Holds
 }
 
-// Send is asked before the first byte of the attempt that is out. Unless the rule is Kept nothing must be written.
-func (r *Request) Send(h Server, now time.Time) Rule {
-	rule := r.mayTry(h, now)
-	if rule == Holds && h.SlowStart != nil && !h.SlowStart.allow(h.Budget, now) {
+// Send is asked before the first byte of the attempt in flight. Unless the rule is Holds nothing must be written.
+func (r *Request) Send(server Server, now time.Time) Rule {
+	rule := r.attemptRule(server, now)
+	if rule == Holds && server.SlowStart != nil && !server.SlowStart.allow(server.Budget, now) {
 		rule = SlowStart
 	}
-	if r.report(r.repeats(Send), rule, h.ID) == Holds {
-		r.sentAt, r.sent = now, h
+	if r.check(r.stepOfAttempt(Send), rule, server.ID) == Holds {
+		r.sentAt = now
+		r.sentTo = server
 	}
 	return rule
 }
 
-// mayTry is what forbids an attempt at whatever stage.
-func (r *Request) mayTry(h Server, now time.Time) Rule {
+// attemptRule is the rule that forbids an attempt at whatever stage.
+func (r *Request) attemptRule(server Server, now time.Time) Rule {
 	switch {
-	case r.gone:
+	case r.clientGone:
 		return ClientGone
 	case r.answered:
 		return SecondAnswer
-	case r.Standing:
+	case r.AlreadyOpen:
 		return Holds
-	case !h.Leaving.IsZero() && now.Sub(h.Leaving) > h.Grace:
+	case !server.DrainingSince.IsZero() && now.Sub(server.DrainingSince) > server.Grace:
 		return HostLeaving
-	case r.mayHave && !r.mayRepeat(h, now):
-		return UnsafeRepeat
+	case r.mayHaveRun && !r.mayRetry(server, now):
+		return UnsafeRetry
 	}
 	return Holds
 }
 
-// mayRepeat says whether the class allows an attempt at a host after an earlier one may have run.
-func (r *Request) mayRepeat(h Server, now time.Time) bool {
+// mayRetry reports whether the class allows an attempt at a server after an earlier one may have run.
+func (r *Request) mayRetry(server Server, now time.Time) bool {
 	switch r.Class.Idempotency {
 	case choice.Idempotent:
 		return true
 	case choice.IdempotentByKey:
-		return now.Sub(r.ranSince) <= r.Class.IdempotencyWindow && r.inScope(h)
+		return now.Sub(r.ranSince) <= r.Class.IdempotencyWindow && r.inScope(server)
+	default: // choice.NotIdempotent
+		return false
 	}
-	return false
 }
 
-func (r *Request) inScope(h Server) bool {
+// inScope reports whether a server shares the idempotency keys of the one where an attempt may have run.
+func (r *Request) inScope(server Server) bool {
 	switch r.Class.IdempotencyScope {
 	case choice.ScopeZone:
-		return h.Zone == r.ranAt.Zone
+		return server.Zone == r.ranAt.Zone
 	case choice.ScopeCell:
-		return h.Zone == r.ranAt.Zone && h.Cell == r.ranAt.Cell
+		return server.Zone == r.ranAt.Zone && server.Cell == r.ranAt.Cell
+	default: // choice.ScopeAll
+		return true
 	}
-	return true
 }
 
-// repeats is the step of an attempt, or Repeat where it is not the request's first.
-func (r *Request) repeats(step Step) Step {
-	if step == Start && r.started > 0 || step == Send && r.started > 1 {
+// stepOfAttempt is the step of an attempt, or Repeat where it is not the request's first.
+func (r *Request) stepOfAttempt(step Step) Step {
+	if step == Start && r.attempts > 0 || step == Send && r.attempts > 1 {
 		return Repeat
 	}
 	return step
 }
 
-// Ended says that the attempt that is out has ended; ran says that it may have run.
+// Ended says that the attempt in flight has ended; ran says that it may have run.
 func (r *Request) Ended(ran bool) {
-	if ran && !r.mayHave && !r.sentAt.IsZero() {
-		r.mayHave, r.ranAt, r.ranSince = true, r.sent, r.sentAt
+	if ran && !r.mayHaveRun && !r.sentAt.IsZero() {
+		r.mayHaveRun = true
+		r.ranAt = r.sentTo
+		r.ranSince = r.sentAt
 	}
-	r.out = false
+	r.inFlight = false
 }
 
-// Answer is asked before the node's own final answer. harmless says that the answer promises that trying again does no harm. An
-// UnsafeRefusal must become a failure; after a SecondAnswer nothing may be said.
+// Answer is asked before the node's own final answer. harmless says that the answer promises that a retry does no harm.
+// An UnsafeRejection must become a failure; after a SecondAnswer nothing may be said.
 func (r *Request) Answer(harmless bool, now time.Time) Rule {
 	rule := Holds
 	switch {
-	case r.answered || r.gone:
+	case r.answered || r.clientGone:
 		rule = SecondAnswer
-	case harmless && !r.mayRefuse():
-		rule = UnsafeRefusal
-	case now.After(r.Deadline.Add(AnswerSlack)):
+	case harmless && !r.mayReject():
+		rule = UnsafeRejection
+	case r.late(now):
 		rule = LateAnswer
 	}
 	r.answered = true
-	return r.report(Close, rule, "")
+	return r.check(Close, rule, "")
 }
 
-// mayRefuse says whether trying again elsewhere is harmless: an attempt that is out may run yet.
-func (r *Request) mayRefuse() bool {
-	if !r.mayHave && (!r.out || r.sentAt.IsZero()) {
+// mayReject reports whether a retry elsewhere is harmless: an attempt in flight may run yet.
+func (r *Request) mayReject() bool {
+	mayRunYet := r.inFlight && !r.sentAt.IsZero()
+	if !r.mayHaveRun && !mayRunYet {
 		return true
 	}
-	return r.Class.Idempotency == choice.Idempotent || r.Class.Idempotency == choice.IdempotentByKey && r.Class.IdempotencyScope == choice.ScopeAll
+	return r.Class.Idempotency == choice.Idempotent ||
+		r.Class.Idempotency == choice.IdempotentByKey && r.Class.IdempotencyScope == choice.ScopeAll
 }
 
-// Served says that a host's own answer is passed on; stands, that the connection stays open.
-func (r *Request) Served(stands bool, now time.Time) Rule {
+// Served says that a server's own answer is passed on; open, that the connection stays open.
+func (r *Request) Served(open bool, now time.Time) Rule {
 	rule := Holds
 	switch {
-	case r.answered || r.gone:
+	case r.answered || r.clientGone:
 		rule = SecondAnswer
-	case !r.Standing && now.After(r.Deadline.Add(AnswerSlack)):
+	case !r.AlreadyOpen && r.late(now):
 		rule = LateAnswer
 	}
-	r.answered, r.open = true, stands
-	return r.report(Close, rule, r.sent.ID)
+	r.answered = true
+	r.open = open
+	return r.check(Close, rule, r.sentTo.ID)
 }
 
+// late reports whether it is too late for the final answer.
+func (r *Request) late(now time.Time) bool { return now.After(r.Deadline.Add(AnswerSlack)) }
+
 // Gone says that the client has left by itself, or broke the protocol.
-func (r *Request) Gone() { r.gone = true }
+func (r *Request) Gone() { r.clientGone = true }
 
 // Ending says who ends a client's connection.
 type Ending uint8
 
 const (
-	// ByClient: the client has ended it, or broke the protocol.
+	// ByClient says that the client has ended it, or broke the protocol.
 	ByClient Ending = iota
-	// ByHost: its host has.
+	// ByHost says that its server has.
 	ByHost
-	// ByNode: the node does, after a last word of its own: an answer, or the request to move.
+	// ByNode says that the node does, after a last message of its own: an answer, or the request to reconnect.
 	ByNode
 )
 
-// Close is asked when the client's connection ends.
-func (r *Request) Close(by Ending, moved bool) Rule {
+// Close is asked when the client's connection ends; migrated says that the client was asked to reconnect.
+func (r *Request) Close(by Ending, migrated bool) Rule {
 	rule := Holds
 	switch {
-	case by == ByClient || r.gone:
+	case by == ByClient || r.clientGone:
 	case !r.answered:
 		rule = Unanswered
-	case r.open && by == ByNode && !moved:
-		rule = CutOff
+	case r.open && by == ByNode && !migrated:
+		rule = ClosedWithoutMigration
 	}
 	r.open = false
-	return r.report(Close, rule, r.sent.ID)
+	return r.check(Close, rule, r.sentTo.ID)
 }
 
-func (r *Request) report(step Step, rule Rule, host string) Rule {
-	return r.monitor.check(Violation{Rule: rule, Step: step, Request: r.ID, Host: host})
+// check has the monitor count a step of the request.
+func (r *Request) check(step Step, rule Rule, server string) Rule {
+	return r.monitor.check(Violation{Rule: rule, Step: step, Request: r.ID, Host: server})
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -29,7 +29,7 @@
 	}
 	begin := time.Unix(1e9, 0)
 	for i := range 6 {
-		r := p.monitor.NewRequest(invariant.RequestFacts{ID: "request", Class: choice.Class{Idempotency: choice.Idempotent}, Deadline: begin, Attempts: 2})
+		r := p.monitor.NewRequest(invariant.RequestFacts{ID: "request", Class: choice.Class{Idempotency: choice.Idempotent}, Deadline: begin, MaxAttempts: 2})
 		r.Start(invariant.Server{ID: "host"}, begin)
 		if i > 1 {
 			r.Send(invariant.Server{ID: "host"}, begin)
