--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -55,7 +55,7 @@
 		return
 	}
 	if r.attemptCount > 1 {
-		core.options.Trace.Retried(string(r.ID), r.lastOutcome.String())
+		core.options.Trace.Retried(string(r.ID), r.lastOutcome)
 	}
 	core.options.Trace.Started(string(r.ID), attempt.Number, string(server.ID))
 	attempt.stopTimer = core.options.Clock.At(until, func() { attempt.giveUp(choice.TimedOut) })
@@ -198,7 +198,7 @@
 	request.attempt = nil
 	request.lastOutcome = outcome
 	took := request.core.options.Clock.Now().Sub(a.startedAt)
-	request.core.options.Trace.Ended(string(request.ID), a.Number, string(a.server.ID), outcome.String(), a.written, took)
+	request.core.options.Trace.Ended(string(request.ID), a.Number, string(a.server.ID), outcome, a.written, took)
 }
 
 // served notes that the server's own answer is the final one.
@@ -220,7 +220,7 @@
 	case r.committed && outcome == choice.TimedOut:
 		r.answer(LocalReply{Rejected: true, Why: DeadlinePassed, Reason: trace.PastDeadline})
 	case r.committed:
-		r.answer(LocalReply{Rejected: true, Why: ServerLost, Reason: trace.HostLost})
+		r.answer(LocalReply{Rejected: true, Why: ServerLost, Reason: trace.ServerLost})
 	case r.OpenAt != "":
 		r.retryOpenAt()
 	}
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -19,7 +19,7 @@
 		p.trace.Closed("request", trace.ClientEnded)
 	}
 	for range 3 {
-		p.trace.Retried("request", choice.TimedOut.String())
+		p.trace.Retried("request", choice.TimedOut)
 	}
 	for range 4 {
 		p.trace.Answered("request", true, trace.Stopping)
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -5,29 +5,37 @@
 	"os"
 	"strings"
 	"testing"
+
+	"spurwinch/choice"
 )
 
-// TestGoldenReasons counts each reason a number of times of its own: their kinds, names, order and counts are those of the golden file.
+// TestGoldenReasons counts each reason a number of times of its own: their kinds, names, order and counts are those
+// of the golden file.
 func TestGoldenReasons(t *testing.T) {
-	var r Recorder
-	for i, why := range []Close{ClientEnded, ClientReset, ClientBroken, ClientSilent, ClientEvicted, HostEnded, HostReset, HostServed, NodeAnswered,
-		NodeStopping, NodeMovedClient, HandedOver} {
+	var recorder Recorder
+	for i, why := range []Close{
+		ClientEnded, ClientReset, ClientBroken, ClientSilent, ClientEvicted, HostEnded, HostReset,
+		HostServed, NodeAnswered, NodeStopping, NodeMovedClient, HandedOver,
+	} {
 		for range 1 + i {
-			r.Closed("request", why)
+			recorder.Closed("request", why)
 		}
 	}
-	for i, outcome := range []string{"timed_out", "reset"} {
+	for i, outcome := range []choice.Outcome{choice.TimedOut, choice.Reset} {
 		for range 21 + i {
-			r.Retried("request", outcome)
+			recorder.Retried("request", outcome)
 		}
 	}
-	for i, why := range []Reason{Stopping, NoDescriptor, NoPolicy, IDInUse, HostLost, PastDeadline, Unreachable, LostByModule, UnsafeToReject} {
+	for i, why := range []Reason{
+		Stopping, NoDescriptor, NoPolicy, IDInUse, ServerLost, PastDeadline, Unreachable,
+		LostByModule, UnsafeToReject,
+	} {
 		for range 31 + i {
-			r.Answered("request", i%2 == 0, why)
+			recorder.Answered("request", i%2 == 0, why)
 		}
 	}
 	var got strings.Builder
-	r.Each(func(kind, reason string, count uint64) { fmt.Fprintf(&got, "%s %s %d\n", kind, reason, count) })
+	recorder.Each(func(kind, reason string, count uint64) { fmt.Fprintf(&got, "%s %s %d\n", kind, reason, count) })
 	want, err := os.ReadFile("testdata/reasons.txt")
 	if err != nil {
 		t.Fatal(err)
