--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -118,7 +118,7 @@
 		f.Fault("", "%d bytes: %d at most", len(text), policy.MostText)
 	}
 	for _, x := range d.Check() {
-		f.Fault(x.Key, "%s", x.What)
+		f.Fault(x.Key, "%s", x.Problem)
 	}
 	if err := f.Err(); err != nil {
 		return nil, err
--- /dev/null
+++ b/internal/policy/document_test.go
@@ -0,0 +1,102 @@
+package policy
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// validDocument is one that any fleet can serve by.
+func validDocument() *Document {
+	return &Document{
+		Attempts: 3, RetryAfter: time.Second,
+		Classes: []Class{
+			{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1, ServedByBase: true},
+			{Name: "b", SetupObjective: time.Second, Deadline: 3 * time.Second},
+		},
+		Base: BasePolicy{Attempts: 1, Deadline: 2 * time.Second},
+	}
+}
+
+// TestDocumentCheck holds which documents no fleet can serve by, and that the fault names the key.
+func TestDocumentCheck(t *testing.T) {
+	if faults := validDocument().Check(); len(faults) > 0 {
+		t.Fatalf("a valid document has the faults %v, wanted none", faults)
+	}
+	distance := []RegionDistance{{A: "r", B: "s", Cost: 0}}
+	for key, spoil := range map[string]func(d *Document){
+		"attempts":         func(d *Document) { d.Attempts = 5 },
+		"come_again":       func(d *Document) { d.RetryAfter = -1 },
+		"over_share_worth": func(d *Document) { d.OverQuotaPriority = 2 },
+		"class":            func(d *Document) { d.Classes = nil },
+		"class.1.name":     func(d *Document) { d.Classes[1].Name = "a" },
+		"class.0.patience": func(d *Document) { d.Classes[0].Deadline = 0 },
+		"class.1.aim":      func(d *Document) { d.Classes[1].SetupObjective = time.Hour },
+		"class.0.worth":    func(d *Document) { d.Classes[0].Priority = -1 },
+		"tenant.0.name":    func(d *Document) { d.Tenants = []Tenant{{}} },
+		"ground":           func(d *Document) { d.Base = BasePolicy{} },
+		"ground.attempts":  func(d *Document) { d.Base.Attempts = 4 },
+		"ground.patience":  func(d *Document) { d.Base.Deadline = 5 * time.Second },
+		"needs":            func(d *Document) { d.Requirements.MemoryMB = -1 },
+		"plan.limit":       func(d *Document) { d.Failover = &FailoverRules{Limit: 2, Ramp: 0.2, Hold: time.Second} },
+		"plan.stay": func(d *Document) {
+			d.Failover = &FailoverRules{Limit: 0.8, Ramp: 0.2, Hold: time.Second, RegionalClasses: []string{"x"}}
+		},
+		"far.0": func(d *Document) {
+			d.Failover = &FailoverRules{Limit: 0.8, Ramp: 0.2, Hold: time.Second, Far: distance}
+		},
+	} {
+		document := validDocument()
+		spoil(document)
+		if faults := document.Check(); len(faults) == 0 || faults[0].Key != key {
+			t.Errorf("the faults are %v, wanted the first one at %s", faults, key)
+		}
+	}
+}
+
+// TestBasePolicyBarsStricterDocuments holds that a base policy that may still be in use bars documents that forbid what
+// it allows, until every member serves by a later one.
+func TestBasePolicyBarsStricterDocuments(t *testing.T) {
+	state := &State{}
+	propose := func(document *Document) error {
+		id := fmt.Sprint("c", state.LastNumber)
+		next, err := state.Propose(id, state.Number, []byte("x"), document, Canary{})
+		if err == nil {
+			state = next
+		}
+		return err
+	}
+	if err := propose(validDocument()); err != nil {
+		t.Fatal(err)
+	}
+	state = state.Commit(validDocument().Base, 0)
+	strict := validDocument()
+	strict.Classes[1].Deadline = 1500 * time.Millisecond
+	strict.Base.Deadline = time.Second
+	err := propose(strict)
+	if err == nil || !strings.Contains(err.Error(), "patience of 2s may still be in use") {
+		t.Errorf("a stricter document beside a looser base policy: %v, wanted that it may still be in use", err)
+	}
+	var incompatible *IncompatibleBaseError
+	if !errors.As(err, &incompatible) || incompatible.Number != 1 || incompatible.Class != "b" {
+		t.Errorf("the error is %#v, wanted the base policy of number 1 and class b", err)
+	}
+	tight := validDocument()
+	tight.Base.Deadline = time.Second
+	if err := propose(tight); err != nil {
+		t.Fatal(err)
+	}
+	state = state.Commit(tight.Base, 1) // some member may still have number 1
+	if err := propose(strict); err == nil {
+		t.Error("a stricter document was accepted while a member may serve by the old base policy")
+	}
+	if err := propose(tight); err != nil {
+		t.Fatal(err)
+	}
+	state = state.Commit(tight.Base, 2) // all have number 2 at least
+	if err := propose(strict); err != nil {
+		t.Errorf("all members have the tighter base policy, and the stricter document fails: %v", err)
+	}
+}
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -32,33 +32,33 @@
 	return want
 }
 
-// requireSet fails where a field of v, at any depth, has its zero value: such a field could be renamed or moved unseen.
-func requireSet(t *testing.T, path string, v reflect.Value) {
+// requireSet fails where a field of a value, at any depth, is zero: such a field could be renamed or moved unseen.
+func requireSet(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Pointer:
-		if v.IsNil() {
+		if value.IsNil() {
 			t.Errorf("%s is nil: the golden value has to set every field", path)
 			return
 		}
-		requireSet(t, path, v.Elem())
+		requireSet(t, path, value.Elem())
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if name := v.Type().Field(i).Name; name != "_" {
-				requireSet(t, path+"."+name, v.Field(i))
+		for i := range value.NumField() {
+			if name := value.Type().Field(i).Name; name != "_" {
+				requireSet(t, path+"."+name, value.Field(i))
 			}
 		}
 	case reflect.Slice:
-		if v.Len() == 0 {
+		if value.Len() == 0 {
 			t.Errorf("%s is empty: the golden value has to set every field", path)
 		}
-		for i := range v.Len() {
-			if v.Type().Elem().Kind() == reflect.Struct {
-				requireSet(t, path, v.Index(i))
+		for i := range value.Len() {
+			if value.Type().Elem().Kind() == reflect.Struct {
+				requireSet(t, path, value.Index(i))
 			}
 		}
 	default:
-		if v.IsZero() {
+		if value.IsZero() {
 			t.Errorf("%s is zero: the golden value has to set every field", path)
 		}
 	}
@@ -66,15 +66,25 @@
 
 // goldenState has every field set, and no two fields of a type alike.
 func goldenState() *State {
-	return &State{Number: 7, LastNumber: 9,
+	return &State{
+		Number: 7, LastNumber: 9,
 		Documents: []VersionedDocument{{Number: 4, Text: []byte("four")}, {Number: 7, Text: []byte("seven")}},
-		Change: &Change{ID: "change-9", Number: 9, Base: 7, Text: []byte("nine"), Stage: StageCanary,
-			Canary: Canary{Zone: "zone-a", OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25}},
-		Ended: []ChangeOutcome{{ID: "change-7", Number: 7, Accepted: true, Reason: "all live members said yes"}, {ID: "change-8", Number: 8, Accepted: true, Reason: "other"}},
-		Bases: []VersionedBase{{Number: 4, Attempts: 1, Deadline: 2000000}, {Number: 7, Attempts: 2, Deadline: 1500000}}}
+		Change: &Change{
+			ID: "change-9", Number: 9, Base: 7, Text: []byte("nine"), Stage: StageCanary,
+			Canary: Canary{Zone: "zone-a", OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25},
+		},
+		Ended: []ChangeOutcome{
+			{ID: "change-7", Number: 7, Accepted: true, Reason: "all live members said yes"},
+			{ID: "change-8", Number: 8, Accepted: true, Reason: "other"},
+		},
+		Bases: []VersionedBase{
+			{Number: 4, Attempts: 1, Deadline: 2000000},
+			{Number: 7, Attempts: 2, Deadline: 1500000},
+		},
+	}
 }
 
-// TestGoldenState holds the form of a state on the agreed log: in both directions, byte for byte.
+// TestGoldenState holds the form of a state on the replicated log: in both directions, byte for byte.
 func TestGoldenState(t *testing.T) {
 	want := goldenState()
 	requireSet(t, "State", reflect.ValueOf(want))
@@ -91,85 +101,95 @@
 	}
 }
 
-// TestGoldenCommands holds the states that each command puts on the agreed log, under which kind of entry, and what an encoded one means to the next.
+// TestGoldenCommands holds the states that each command puts on the replicated log, and the kind of their entries.
 func TestGoldenCommands(t *testing.T) {
 	if Kind != 3 {
 		t.Errorf("entries of the log have kind %d, wanted 3", Kind)
 	}
-	begin := &State{Number: 7, LastNumber: 8, Documents: []VersionedDocument{{Number: 7, Text: []byte("seven")}}, Bases: []VersionedBase{{Number: 7, Attempts: 2, Deadline: 1500000}}}
-	proposed, err := begin.Propose("change-9", 7, []byte("nine"), sound(), Canary{OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25})
+	begin := &State{
+		Number: 7, LastNumber: 8,
+		Documents: []VersionedDocument{{Number: 7, Text: []byte("seven")}},
+		Bases:     []VersionedBase{{Number: 7, Attempts: 2, Deadline: 1500000}},
+	}
+	canary := Canary{OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25}
+	checking, err := begin.Propose("change-9", 7, []byte("nine"), validDocument(), canary)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	onTrial := checking.StartCanary()
+	for _, test := range []struct {
 		file string
 		next *State
 	}{
 		{"initial.cbor", &State{}},
-		{"proposed.cbor", proposed},
-		{"trial.cbor", proposed.StartCanary()},
-		{"given_up.cbor", proposed.Abort("aborted by an operator")},
-		{"decided.cbor", proposed.StartCanary().Commit(BasePolicy{Attempts: 1, Deadline: 2 * time.Second}, 7)},
+		{"proposed.cbor", checking},
+		{"trial.cbor", onTrial},
+		{"given_up.cbor", checking.Abort("aborted by an operator")},
+		{"decided.cbor", onTrial.Commit(BasePolicy{Attempts: 1, Deadline: 2 * time.Second}, 7)},
 	} {
-		raw := golden(t, c.file, c.next.Encode())
-		if got := c.next.Encode(); !bytes.Equal(got, raw) {
-			t.Errorf("%s: the command writes %x, wanted %x", c.file, got, raw)
+		raw := golden(t, test.file, test.next.Encode())
+		if got := test.next.Encode(); !bytes.Equal(got, raw) {
+			t.Errorf("%s: the command writes %x, wanted %x", test.file, got, raw)
 		}
-		back, err := Decode(raw)
+		decoded, err := Decode(raw)
 		if err != nil {
-			t.Errorf("%s: %v", c.file, err)
+			t.Errorf("%s: %v", test.file, err)
 			continue
 		}
-		if !reflect.DeepEqual(back, c.next) {
-			t.Errorf("%s: read as %+v, wanted %+v", c.file, back, c.next)
+		if !reflect.DeepEqual(decoded, test.next) {
+			t.Errorf("%s: read as %+v, wanted %+v", test.file, decoded, test.next)
 		}
 	}
 }
 
-// TestGoldenMessages holds the parts of messages between nodes that belong to this package: what a member says, what the leader told, and the
-// part of a proposal's call.
+// TestGoldenMessages holds the parts of messages between nodes that belong to this package: what a member reports, what
+// the leader told, and the canary of a proposal's call.
 func TestGoldenMessages(t *testing.T) {
-	word := MemberStatus{Entry: 11, Verdict: VerdictReject, Reason: "no room", KnownNumber: 12, ServedNumber: 13, MayServe: true, Arrived: 1400.5, Rejected: 15.25}
-	told := LeaderNotice{Entry: 21, InForce: 22, OnTrial: 23, Window: 5000}
-	part := Canary{Zone: "zone-a", OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25}
-	for _, c := range []struct {
+	status := MemberStatus{
+		Entry: 11, Verdict: VerdictReject, Reason: "no room", KnownNumber: 12, ServedNumber: 13, MayServe: true,
+		Arrived: 1400.5, Rejected: 15.25,
+	}
+	notice := LeaderNotice{Entry: 21, InForce: 22, OnTrial: 23, Window: 5000}
+	canary := Canary{Zone: "zone-a", OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25}
+	for _, test := range []struct {
 		file       string
 		value, got any // got: an empty one of the same type
 	}{
-		{"word.cbor", &word, &MemberStatus{}},
-		{"told.cbor", &told, &LeaderNotice{}},
-		{"part.cbor", &part, &Canary{}},
+		{"word.cbor", &status, &MemberStatus{}},
+		{"told.cbor", &notice, &LeaderNotice{}},
+		{"part.cbor", &canary, &Canary{}},
 	} {
-		requireSet(t, c.file, reflect.ValueOf(c.value))
-		raw := golden(t, c.file, agree.Encode(c.value))
-		if err := agree.Unmarshal(raw, c.got); err != nil {
-			t.Errorf("%s: %v", c.file, err)
+		requireSet(t, test.file, reflect.ValueOf(test.value))
+		raw := golden(t, test.file, agree.Encode(test.value))
+		if err := agree.Unmarshal(raw, test.got); err != nil {
+			t.Errorf("%s: %v", test.file, err)
 			continue
 		}
-		if !reflect.DeepEqual(c.got, c.value) {
-			t.Errorf("%s: read as %+v, wanted %+v", c.file, c.got, c.value)
+		if !reflect.DeepEqual(test.got, test.value) {
+			t.Errorf("%s: read as %+v, wanted %+v", test.file, test.got, test.value)
 		}
-		if again := agree.Encode(c.value); !bytes.Equal(again, raw) {
-			t.Errorf("%s: written as %x, wanted %x", c.file, again, raw)
+		if again := agree.Encode(test.value); !bytes.Equal(again, raw) {
+			t.Errorf("%s: written as %x, wanted %x", test.file, again, raw)
 		}
 	}
 }
 
-// TestGoldenVerdicts holds the numbers that stand for verdicts and steps in the encoded forms.
+// TestGoldenVerdicts holds the numbers that stand for verdicts and stages in the encoded forms.
 func TestGoldenVerdicts(t *testing.T) {
 	for i, v := range []Verdict{VerdictPending, VerdictAccept, VerdictReject} {
 		if int(v) != i {
-			t.Errorf("verdict %d is encoded as %d", i, v)
+			t.Errorf("a verdict is encoded as %d, wanted %d", v, i)
 		}
 	}
 	for i, want := range []string{"checking", "trial"} {
-		if step := []Stage{StageChecking, StageCanary}[i]; int(step) != i || step.String() != want {
-			t.Errorf("step %d is encoded as %d and printed as %q, wanted %q", i, step, step, want)
+		if stage := []Stage{StageChecking, StageCanary}[i]; int(stage) != i || stage.String() != want {
+			t.Errorf("stage %d is encoded as %d and printed as %q, wanted %q", i, stage, stage, want)
 		}
 	}
 }
 
-// TestGoldenJSON holds the names by which operators' scripts read parts of the state (spurwinchctl policy status --json).
+// TestGoldenJSON holds the names by which scripts read parts of the state, as spurwinchctl policy status --json has
+// them.
 func TestGoldenJSON(t *testing.T) {
 	s := goldenState()
 	got, err := json.MarshalIndent(struct {
@@ -188,30 +208,64 @@
 
 // goldenDocument has every field set, and no two fields of a type alike.
 func goldenDocument() *Document {
-	return &Document{Attempts: 3, RetryAfter: 2 * time.Second, OverQuotaPriority: 0.1,
-		Classes: []Class{{Name: "gold", SetupObjective: 500 * time.Millisecond, Deadline: 3 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 2, ServedByBase: true},
-			{Name: "plain", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, MessageObjective: 70 * time.Millisecond, Priority: 1, ServedByBase: true}},
+	return &Document{
+		Attempts: 3, RetryAfter: 2 * time.Second, OverQuotaPriority: 0.1,
+		Classes: []Class{
+			{
+				Name: "gold", Priority: 2, ServedByBase: true,
+				SetupObjective:   500 * time.Millisecond,
+				Deadline:         3 * time.Second,
+				MessageObjective: 60 * time.Millisecond,
+			},
+			{
+				Name: "plain", Priority: 1, ServedByBase: true,
+				SetupObjective:   800 * time.Millisecond,
+				Deadline:         4 * time.Second,
+				MessageObjective: 70 * time.Millisecond,
+			},
+		},
 		Tenants:      []Tenant{{Name: "acme", Connections: 40, Rate: 12.5}},
 		Base:         BasePolicy{Attempts: 1, Deadline: 1500 * time.Millisecond},
 		Requirements: Requirements{Descriptors: 512, MemoryMB: 64},
-		Failover:     &FailoverRules{Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second, RegionalClasses: []string{"plain"}, Far: []RegionDistance{{A: "r", B: "s", Cost: 2}}}}
+		Failover: &FailoverRules{
+			Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second, RegionalClasses: []string{"plain"},
+			Far: []RegionDistance{{A: "r", B: "s", Cost: 2}},
+		},
+	}
+}
+
+// changedDocument differs from goldenDocument in every value; a class and a tenant are new, and a class is gone.
+func changedDocument() *Document {
+	changed := goldenDocument()
+	changed.Attempts = 4
+	changed.RetryAfter = 3 * time.Second
+	changed.OverQuotaPriority = 0.2
+	changed.Classes[0] = Class{
+		Name: "gold", Priority: 2.5,
+		SetupObjective:   600 * time.Millisecond,
+		Deadline:         3500 * time.Millisecond,
+		MessageObjective: 65 * time.Millisecond,
+	}
+	changed.Classes[1].Name = "bulk"
+	changed.Tenants[0].Connections = 41
+	changed.Tenants[0].Rate = 13.5
+	changed.Tenants = append(changed.Tenants, Tenant{Name: "other", Connections: 1, Rate: 2})
+	changed.Base = BasePolicy{Attempts: 2, Deadline: time.Second}
+	changed.Requirements = Requirements{Descriptors: 1024, MemoryMB: 128}
+	changed.Failover = &FailoverRules{
+		Limit: 0.8, Ramp: 0.1, Hold: 5 * time.Second, RegionalClasses: []string{"gold", "bulk"},
+		Far: []RegionDistance{{A: "r", B: "t", Cost: 3}, {A: "t", B: "s", Cost: 4}},
+	}
+	return changed
 }
 
-// TestGoldenDiff holds what spurwinchctl policy diff prints, with each value of a document changed, gone and new.
+// TestGoldenDiff holds what spurwinchctl policy diff prints.
 func TestGoldenDiff(t *testing.T) {
-	a, b := goldenDocument(), goldenDocument()
-	requireSet(t, "Document", reflect.ValueOf(a))
-	b.Attempts, b.RetryAfter, b.OverQuotaPriority = 4, 3*time.Second, 0.2
-	b.Classes[0] = Class{Name: "gold", SetupObjective: 600 * time.Millisecond, Deadline: 3500 * time.Millisecond, MessageObjective: 65 * time.Millisecond, Priority: 2.5}
-	b.Classes[1].Name = "bulk"
-	b.Tenants[0].Connections, b.Tenants[0].Rate = 41, 13.5
-	b.Tenants = append(b.Tenants, Tenant{Name: "other", Connections: 1, Rate: 2})
-	b.Base = BasePolicy{Attempts: 2, Deadline: time.Second}
-	b.Requirements = Requirements{Descriptors: 1024, MemoryMB: 128}
-	b.Failover = &FailoverRules{Limit: 0.8, Ramp: 0.1, Hold: 5 * time.Second, RegionalClasses: []string{"gold", "bulk"}, Far: []RegionDistance{{A: "r", B: "t", Cost: 3}, {A: "t", B: "s", Cost: 4}}}
-	without := goldenDocument()
-	without.Failover = nil
-	got := strings.Join(Diff(a, b), "\n") + "\n--\n" + strings.Join(Diff(without, b), "\n") + "\n"
+	requireSet(t, "Document", reflect.ValueOf(goldenDocument()))
+	withoutFailover := goldenDocument()
+	withoutFailover.Failover = nil
+	got := strings.Join(Diff(goldenDocument(), changedDocument()), "\n") + "\n--\n" +
+		strings.Join(Diff(withoutFailover, changedDocument()), "\n") + "\n"
 	if want := golden(t, "diff.txt", []byte(got)); got != string(want) {
 		t.Errorf("printed\n%s\nwanted\n%s", got, want)
 	}
--- /dev/null
+++ b/internal/policy/rollout_test.go
@@ -0,0 +1,128 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// proposed is a state with number 4 in force and a change to number 5 in progress.
+func proposed(t *testing.T, canary Canary) *State {
+	t.Helper()
+	inForce := &State{Number: 4, LastNumber: 4, Documents: []VersionedDocument{{Number: 4}}}
+	state, err := inForce.Propose("c", 4, []byte("x"), validDocument(), canary)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return state
+}
+
+// outcomeOf is what a step decided, in a word: the next stage, "accepted", the reason of an abort, or "waits".
+func outcomeOf(next *State) string {
+	switch {
+	case next == nil:
+		return "waits"
+	case next.Change != nil:
+		return next.Change.Stage.String()
+	case next.Ended[0].Accepted:
+		return "accepted"
+	default:
+		return next.Ended[0].Reason
+	}
+}
+
+// TestRolloutAcknowledgements holds how the members' acknowledgements end the check of a change.
+func TestRolloutAcknowledgements(t *testing.T) {
+	accept := MemberStatus{Entry: 7, Verdict: VerdictAccept, KnownNumber: 4, ServedNumber: 4, MayServe: true}
+	reject := MemberStatus{Entry: 7, Verdict: VerdictReject, Reason: "room"}
+	older := MemberStatus{Entry: 6, Verdict: VerdictAccept}
+	for _, test := range []struct {
+		name     string
+		canary   Canary
+		statuses []MemberStatus
+		dead     []int
+		after    time.Duration
+		want     string
+	}{
+		{"all say yes", Canary{}, []MemberStatus{accept, accept, accept}, nil, 0, "accepted"},
+		{"one says no", Canary{}, []MemberStatus{accept, reject, accept}, nil, 0, "m1: room"},
+		{"one is unreachable", Canary{}, []MemberStatus{accept, {}, accept}, nil, 0, "waits"},
+		{
+			"for too long",
+			Canary{},
+			[]MemberStatus{accept, {}, accept},
+			nil, 11 * time.Second,
+			"m1 did not answer within 10s",
+		},
+		{
+			"an unreachable one is out of the view",
+			Canary{},
+			[]MemberStatus{accept, {}, accept},
+			[]int{1},
+			0,
+			"accepted",
+		},
+		{"one answered an older entry", Canary{}, []MemberStatus{accept, older, accept}, nil, 0, "waits"},
+		{"a canary first", Canary{OneIn: 2, Seconds: 3}, []MemberStatus{accept, accept, accept}, nil, 0, "trial"},
+	} {
+		state := proposed(t, test.canary)
+		var members []Member
+		for i, status := range test.statuses {
+			members = append(members, Member{
+				Name: fmt.Sprint("m", i), Node: i, Live: true, Heard: status != MemberStatus{}, Status: status,
+			})
+		}
+		for _, i := range test.dead {
+			members[i].Live = false
+		}
+		rollout := NewRollout(Rules{Window: 5 * time.Second, AnswerTimeout: 10 * time.Second})
+		next := rollout.Step(time.Minute, 7, state, validDocument(), members)
+		if test.after > 0 {
+			next = rollout.Step(time.Minute+test.after, 7, state, validDocument(), members)
+		}
+		if got := outcomeOf(next); got != test.want {
+			t.Errorf("%s: the outcome is %q, wanted %q", test.name, got, test.want)
+		}
+		if test.want == "accepted" && (next.Number != 5 || string(next.Documents[1].Text) != "x") {
+			t.Errorf("%s: the state is %+v, wanted number 5 in force with its text", test.name, next)
+		}
+	}
+}
+
+// TestRolloutCanary holds when a canary passes, and when it ends the change.
+func TestRolloutCanary(t *testing.T) {
+	for _, test := range []struct {
+		name             string
+		rejected, others float64 // of 100 requests, at the canary and elsewhere
+		serves           uint64
+		want             string
+	}{
+		{"as elsewhere", 2, 2, 5, "accepted"},
+		{"a little worse", 6, 2, 5, "accepted"},
+		{"worse", 30, 2, 5, "on trial 30.0% of 100 requests were turned away, elsewhere 2.0% of 100"},
+		{"elsewhere as bad", 30, 28, 5, "accepted"},
+		{"the canary doesn't go over", 0, 0, 4, "0 of the part's 1 members serve by it after 15s"},
+	} {
+		state := proposed(t, Canary{Zone: "z", Seconds: 3, MaxExtraRejections: 0.05}).StartCanary()
+		rollout := NewRollout(Rules{Window: 5 * time.Second, AnswerTimeout: 10 * time.Second})
+		inCanary := MemberStatus{Entry: 8, Verdict: VerdictAccept, ServedNumber: test.serves, MayServe: true}
+		elsewhere := MemberStatus{Entry: 8, Verdict: VerdictAccept, ServedNumber: 4, MayServe: true}
+		outcome := "waits"
+		for at := time.Minute; at < time.Minute+20*time.Second && outcome == "waits"; at += 500 * time.Millisecond {
+			next := rollout.Step(at, 8, state, validDocument(), []Member{
+				{Name: "a", Zone: "z", Live: true, Heard: true, Status: inCanary},
+				{Name: "b", Node: 1, Zone: "y", Live: true, Heard: true, Status: elsewhere},
+			})
+			outcome = outcomeOf(next)
+			rollout.Observe(0, inCanary)
+			rollout.Observe(1, elsewhere)
+			if inCanary.Arrived == 0 && test.serves == 5 {
+				inCanary.Arrived, inCanary.Rejected = 100, test.rejected
+				elsewhere.Arrived, elsewhere.Rejected = 100, test.others
+			}
+		}
+		if outcome != test.want {
+			t.Errorf("%s: the outcome is %q, wanted %q", test.name, outcome, test.want)
+		}
+	}
+}
