--- a/internal/node/beside_test.go
+++ b/internal/node/beside_test.go
@@ -30,13 +30,13 @@
 		t.Fatal(err)
 	}
 	p := &process{Program: newProgram(l), done: make(chan struct{})}
-	p.beside.ask(place)
-	front, at, err := p.serve(n, nil)
+	p.restart.requestGrant(place)
+	front, at, err := p.newPlatform(n, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.cores, p.at = []*edge.Core{front.core}, at.String()
-	p.beside.open(place)
+	p.restart.open(place)
 	go func() {
 		defer close(p.done)
 		l.Run()
@@ -95,11 +95,11 @@
 a < GET /v1/servers?after=9&wait_ms={*} HTTP/1.1\r\nHost: {*}\r\nAccept: application/json\r\n
 `[1:])
 	taken := func(p *process) (n int) {
-		p.on(func() { n = p.platform.others.taken })
+		p.on(func() { n = p.platform.peers.received })
 		return n
 	}
 	var to net.Addr
-	old.on(func() { to = net.UDPAddrFromAddrPort(old.platform.others.at) })
+	old.on(func() { to = net.UDPAddrFromAddrPort(old.platform.peers.localAddr) })
 	say := func() {
 		if _, err := other.WriteTo([]byte("x"), to); err != nil {
 			t.Error(err)
@@ -115,7 +115,7 @@
 	}
 	var listed []edge.ServerEntry
 	parts := func(p *process) (n int) {
-		p.on(func() { n = p.platform.parts })
+		p.on(func() { n = p.platform.processes })
 		return n
 	}
 	next.on(func() { listed = next.platform.core.Servers() })
@@ -148,19 +148,19 @@
 	// Descriptors: never more than the node's, however the two look at it.
 	sum := func() int {
 		a, b := 0, 0
-		old.on(func() { a = old.beside.own() })
-		next.on(func() { b = next.beside.own() })
+		old.on(func() { a = old.restart.ownQuota() })
+		next.on(func() { b = next.restart.ownQuota() })
 		return a + b
 	}
 	if n := sum(); n > total || n < total/2 {
 		t.Errorf("%d of %d descriptors", n, total)
 	}
 	room := func() (n int) {
-		next.on(func() { n = next.beside.own() })
+		next.on(func() { n = next.restart.ownQuota() })
 		return n
 	}
 	before := room()
-	old.on(func() { old.Evict() })
+	old.on(func() { old.Shutdown() })
 	player.Play(t, "e open\ne > PING\ne < PONG\n")
 	exchange.Until(t, "the leaving one lends more", func() bool {
 		if n := sum(); n > total {
--- a/internal/node/burst_test.go
+++ b/internal/node/burst_test.go
@@ -225,7 +225,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			answer, later, err := session(op.at[0].String(), fmt.Sprintf("u%d", i), leave)
+			answer, later, err := session(op.addrs[0].String(), fmt.Sprintf("u%d", i), leave)
 			mu.Lock()
 			defer mu.Unlock()
 			results, errs := strings.Count(answer, "<iq type='result'"), strings.Count(answer, "<stream:error>")
--- a/internal/node/capture.go
+++ b/internal/node/capture.go
@@ -12,21 +12,21 @@
 	"spurwinch/internal/operate/capture"
 )
 
-const closeTime = 2 * time.Second // for the rest of a capture, at the program's end
+const captureCloseTimeout = 2 * time.Second // for the rest of a capture, at the program's end
 
-// recorder hands what a core sees to a capture's writer.
-type recorder struct {
-	w                *capture.Writer
+// captureObserver hands what a core sees to a capture's writer.
+type captureObserver struct {
+	writer           *capture.Writer
 	classes, tenants int // that the writer knows by name
 }
 
-// record starts the capture of one core, or returns nil where none is set.
-func (p *Program) record(o config.Capture, name string, s choice.Settings, fields []string) (edge.Observer, error) {
+// startCapture starts the capture of one core, or returns nil where none is set.
+func (p *Program) startCapture(o config.Capture, name string, s choice.Settings, fields []string) (edge.Observer, error) {
 	if o.Path == "" {
 		return nil, nil
 	}
 	h := capture.Header{Node: name, Zone: s.Zone, Fields: fields}
-	h.Classes, h.Tenants = names(s)
+	h.Classes, h.Tenants = classAndTenantNames(s)
 	path := o.Path
 	if name != "" {
 		path += "-" + name
@@ -37,17 +37,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("[capture] path = %q: %w", o.Path, err)
 	}
-	p.closers = append(p.closers, func() {
+	p.onClose = append(p.onClose, func() {
 		if n := w.Dropped(); n > 0 {
 			zap.L().Warn("capture_records_dropped", zap.Uint64("records", n))
 		}
-		w.Close(time.Now().Add(closeTime))
+		w.Close(time.Now().Add(captureCloseTimeout))
 	})
 	zap.L().Info("capturing", zap.String("path", path), zap.Float64("share", o.Share))
-	return &recorder{w, len(h.Classes), len(h.Tenants)}, nil
+	return &captureObserver{w, len(h.Classes), len(h.Tenants)}, nil
 }
 
-func names(s choice.Settings) (classes, tenants []string) {
+func classAndTenantNames(s choice.Settings) (classes, tenants []string) {
 	for _, c := range s.Classes {
 		classes = append(classes, c.Name)
 	}
@@ -58,35 +58,35 @@
 }
 
 // Settings tells the writer of new names; the tables only grow.
-func (r *recorder) Settings(s choice.Settings) {
-	if classes, tenants := names(s); len(classes) > r.classes || len(tenants) > r.tenants {
+func (r *captureObserver) Settings(s choice.Settings) {
+	if classes, tenants := classAndTenantNames(s); len(classes) > r.classes || len(tenants) > r.tenants {
 		r.classes, r.tenants = len(classes), len(tenants)
-		r.w.Named(classes, tenants)
+		r.writer.Named(classes, tenants)
 	}
 }
 
-func (r *recorder) Answered(a edge.Answered) {
-	p := capture.Placed{At: r.w.Offset(a.Arrived), Seq: a.Seq, Class: a.Class, Tenant: a.Tenant, Client: a.Key, Group: a.Group,
+func (r *captureObserver) Answered(a edge.Answered) {
+	p := capture.Placed{At: r.writer.Offset(a.Arrived), Seq: a.Seq, Class: a.Class, Tenant: a.Tenant, Client: a.Key, Group: a.Group,
 		Load: a.Load, Returned: a.Returned, Patience: capture.Micros(a.Deadline.Sub(a.Arrived)), Took: capture.Micros(a.Took),
 		Answer: capture.Answer(a.Answer)}
 	for _, t := range a.Attempts {
 		p.Tries = append(p.Tries, capture.Try{Host: string(t.Server), Outcome: uint8(t.Outcome), Took: capture.Micros(t.Took)})
 	}
-	r.w.Put(p)
+	r.writer.Put(p)
 }
 
-func (r *recorder) Ended(seq uint64, life time.Duration, load float64, cause edge.EndCause) {
-	r.w.Put(capture.Ended{At: r.w.Offset(time.Now()), Seq: seq, Life: capture.Micros(life), Load: load, Cause: capture.Cause(cause)})
+func (r *captureObserver) Ended(seq uint64, life time.Duration, load float64, cause edge.EndCause) {
+	r.writer.Put(capture.Ended{At: r.writer.Offset(time.Now()), Seq: seq, Life: capture.Micros(life), Load: load, Cause: capture.Cause(cause)})
 }
 
-func (r *recorder) Report(h choice.ServerID, values []float64) {
+func (r *captureObserver) Report(h choice.ServerID, values []float64) {
 	v := make([]float32, len(values))
 	for i, x := range values {
 		v[i] = float32(x)
 	}
-	r.w.Put(capture.Report{At: r.w.Offset(time.Now()), Host: string(h), Values: v})
+	r.writer.Put(capture.Report{At: r.writer.Offset(time.Now()), Host: string(h), Values: v})
 }
 
-func (r *recorder) ServerChanged(h edge.ServerEntry) {
-	r.w.Put(capture.Host{At: r.w.Offset(time.Now()), ID: string(h.ID), Zone: h.Zone, Kind: h.Kind, State: uint8(h.State)})
+func (r *captureObserver) ServerChanged(h edge.ServerEntry) {
+	r.writer.Put(capture.Host{At: r.writer.Offset(time.Now()), ID: string(h.ID), Zone: h.Zone, Kind: h.Kind, State: uint8(h.State)})
 }
--- a/internal/node/carry.go
+++ b/internal/node/carry.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	carryTick  = 20 * time.Millisecond // between looks for connections that stand meanwhile
-	batchTime  = time.Millisecond      // that the loop is away for one batch
-	batchBytes = 256 << 10             // of one batch, but for a single connection with more
+	transferInterval = 20 * time.Millisecond // between looks for connections that stand meanwhile
+	maxBatchTime     = time.Millisecond      // that the loop is away for one batch
+	maxBatchBytes    = 256 << 10             // of one batch, but for a single connection with more
 )
 
-// batchMost is the most connections of a batch.
-var batchMost = handover.MostConnections
+// maxBatchConnections is the most connections of a batch.
+var maxBatchConnections = handover.MostConnections
 
-// carried is one connection as it's told to another process.
-type carried struct {
+// connectionState is one connection as it's told to another process.
+type connectionState struct {
 	Front   string                `cbor:"1,keyasint"`
 	Cluster string                `cbor:"2,keyasint,omitempty"`
 	Open    *edge.ConnectionState `cbor:"3,keyasint,omitempty"` // nil: it has not said yet what it wants
 	State   cbor.RawMessage       `cbor:"4,keyasint"`           // what its front knows
 }
 
-// carrier is a front's part in taking connections over.
-type carrier interface {
+// connectionRestorer is a front's part in taking connections over.
+type connectionRestorer interface {
 	Hold(core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int) (restore func(), err error)
 }
 
@@ -42,16 +42,16 @@
 	xmppFront     = "xmpp"
 )
 
-// bearer is a connection that can go: Lend takes it off the loop, then it returns or is released.
-type bearer interface {
+// detachable is a connection that can go: Lend takes it off the loop, then it returns or is released.
+type detachable interface {
 	Detach() (fds []int, state any, ok bool)
 	Reattach()
 	Release()
 }
 
-// lend takes a connection off the loop and tells what there is to know of it.
-func lend(k bearer, cluster string) (p handover.TransferItem, ok bool) {
-	c := carried{Cluster: cluster}
+// detach takes a connection off the loop and tells what there is to know of it.
+func detach(k detachable, cluster string) (p handover.TransferItem, ok bool) {
+	c := connectionState{Cluster: cluster}
 	var state any
 	if r, stands := k.(*edge.Request); stands {
 		c.Open = &edge.ConnectionState{}
@@ -79,12 +79,12 @@
 	return p, true
 }
 
-// carry has what stands go to the other process, batch by batch, as long as there is any.
-func (b *beside) carry() {
-	there, room := b.place.SuccessorAccepts()
-	if !b.carries || !there {
-		if b.carries = false; !b.told { // what is left goes the other way
-			b.told = true
+// transferBatch has what stands go to the other process, batch by batch, as long as there is any.
+func (b *hotRestart) transferBatch() {
+	there, room := b.coordinator.SuccessorAccepts()
+	if !b.transferring || !there {
+		if b.transferring = false; !b.migrated { // what is left goes the other way
+			b.migrated = true
 			for _, core := range b.program.cores {
 				core.MigrateRemaining()
 			}
@@ -96,27 +96,27 @@
 	}
 	l := b.program.loop
 	begin, size := l.Now(), 0
-	var batch []bearer
+	var batch []detachable
 	var parcels []handover.TransferItem
-	for looked := false; len(batch) < batchMost && size <= batchBytes && room >= 2 && l.Now().Sub(begin) <= batchTime; {
+	for looked := false; len(batch) < maxBatchConnections && size <= maxBatchBytes && room >= 2 && l.Now().Sub(begin) <= maxBatchTime; {
 		if len(b.queue) == 0 && !looked {
-			b.queue, looked = b.portable(), true
+			b.queue, looked = b.transferables(), true
 		}
 		if len(b.queue) == 0 {
 			break
 		}
 		k := b.queue[0]
 		b.queue = b.queue[1:]
-		if p, ok := lend(k.bearer, k.cluster); ok {
+		if p, ok := detach(k.detachable, k.cluster); ok {
 			size, room = size+len(p.Body), room-len(p.FDs)
-			batch, parcels = append(batch, k.bearer), append(parcels, p)
+			batch, parcels = append(batch, k.detachable), append(parcels, p)
 		}
 	}
 	if len(batch) == 0 {
 		return
 	}
-	defer func() { b.away = max(b.away, l.Now().Sub(begin)) }()
-	b.place.Transfer(parcels, func(taken bool) {
+	defer func() { b.longestBatch = max(b.longestBatch, l.Now().Sub(begin)) }()
+	b.coordinator.Transfer(parcels, func(taken bool) {
 		for _, k := range batch {
 			if taken {
 				k.Release()
@@ -125,59 +125,59 @@
 			}
 		}
 		if taken {
-			b.gave, b.size, b.took = b.gave+len(batch), b.size+size, l.Now().Sub(b.began)
-			b.lendMore()
+			b.sent, b.sentBytes, b.transferTime = b.sent+len(batch), b.sentBytes+size, l.Now().Sub(b.transferStart)
+			b.raiseSuccessorQuota()
 		} else {
-			b.carries = false
+			b.transferring = false
 		}
-		l.At(l.Now(), b.give)
+		l.At(l.Now(), b.transferAndFinish)
 	})
 }
 
-// portable is a connection with the cluster that it's in.
-type portable struct {
-	bearer
+// transferable is a connection with the cluster that it's in.
+type transferable struct {
+	detachable
 	cluster string
 }
 
-// portable are the connections that can go now.
-func (b *beside) portable() (all []portable) {
+// transferables are the connections that can go now.
+func (b *hotRestart) transferables() (all []transferable) {
 	p := b.program
-	for name, core := range p.named {
+	for name, core := range p.coreByCluster {
 		for _, r := range core.Transferable() {
-			all = append(all, portable{r, name})
+			all = append(all, transferable{r, name})
 		}
 	}
 	if n := p.platform; n != nil {
 		for _, i := range n.front.Idle() {
-			all = append(all, portable{bearer: i})
+			all = append(all, transferable{detachable: i})
 		}
 	}
 	if p.xmpp != nil {
 		for _, i := range p.xmpp.Idle() {
-			all = append(all, portable{bearer: i})
+			all = append(all, transferable{detachable: i})
 		}
 	}
 	return all
 }
 
-// free is the number of descriptors of connections that this process has room for.
-func (b *beside) free() int {
-	if b.leaving {
+// freeDescriptors is the number of descriptors of connections that this process has room for.
+func (b *hotRestart) freeDescriptors() int {
+	if b.shuttingDown {
 		return 0
 	}
-	return b.own() - carrySpare - b.program.loop.Open()
+	return b.ownQuota() - transferReserve - b.program.loop.Open()
 }
 
-// hold checks connections of another process, and takes them when it's told that they are this one's.
-func (b *beside) hold(parcels []handover.TransferItem) (handover.PreparedBatch, error) {
+// prepareBatch checks connections of another process, and takes them when it's told that they are this one's.
+func (b *hotRestart) prepareBatch(parcels []handover.TransferItem) (handover.PreparedBatch, error) {
 	var all []func()
 	for i, p := range parcels {
-		var c carried
+		var c connectionState
 		err := handover.Decode(p.Body, &c)
 		var restore func()
 		if err == nil {
-			restore, err = b.restores(c, p.FDs)
+			restore, err = b.prepareRestore(c, p.FDs)
 		}
 		if err != nil {
 			return handover.PreparedBatch{}, fmt.Errorf("connection %d: %w", i, err)
@@ -189,7 +189,7 @@
 			for _, restore := range all {
 				restore()
 			}
-			b.got += len(all)
+			b.received += len(all)
 		},
 		Abort: func() {
 			for _, p := range parcels {
@@ -199,10 +199,10 @@
 	}, nil
 }
 
-// restores checks one connection; the function that it returns has it go on here.
-func (b *beside) restores(c carried, fds []int) (func(), error) {
+// prepareRestore checks one connection; the function that it returns has it go on here.
+func (b *hotRestart) prepareRestore(c connectionState, fds []int) (func(), error) {
 	p := b.program
-	var front carrier
+	var front connectionRestorer
 	switch {
 	case c.Front == platformFront && p.platform != nil:
 		front = p.platform.front
@@ -211,7 +211,7 @@
 	default:
 		return nil, fmt.Errorf("no front %q here", c.Front)
 	}
-	core := p.named[c.Cluster]
+	core := p.coreByCluster[c.Cluster]
 	if c.Open != nil {
 		if err := c.Open.Check(); err != nil {
 			return nil, err
@@ -223,67 +223,67 @@
 	return front.Hold(core, c.Open, func(into any) error { return handover.Decode(c.State, into) }, fds)
 }
 
-// nothingLeft reports whether this process holds nobody any more, not even one that has its answer on the way.
-func (b *beside) nothingLeft() bool {
+// isEmpty reports whether this process holds nobody any more, not even one that has its answer on the way.
+func (b *hotRestart) isEmpty() bool {
 	for _, core := range b.program.cores {
 		if core.InFlight() > 0 {
 			return false
 		}
 	}
-	return b.closed && b.program.loop.Idle() == 0
+	return b.listenersClosed && b.program.loop.Idle() == 0
 }
 
-// giveAll begins to give connections to the process that takes over, and ends this one once nothing is left here.
-func (b *beside) giveAll() {
-	b.carries, b.began = true, b.program.loop.Now()
-	b.place.SendLearnedState(b.learned())
-	b.look()
+// transferAll begins to give connections to the process that takes over, and ends this one once nothing is left here.
+func (b *hotRestart) transferAll() {
+	b.transferring, b.transferStart = true, b.program.loop.Now()
+	b.coordinator.SendLearnedState(b.encodeLearnedState())
+	b.transferRepeatedly()
 }
 
-// look gives what stands meanwhile, now and then.
-func (b *beside) look() {
-	b.give()
+// transferRepeatedly gives what stands meanwhile, now and then.
+func (b *hotRestart) transferRepeatedly() {
+	b.transferAndFinish()
 	l := b.program.loop
-	l.At(l.Now().Add(carryTick), b.look)
+	l.At(l.Now().Add(transferInterval), b.transferRepeatedly)
 }
 
-func (b *beside) give() {
-	if b.carry(); b.nothingLeft() && !b.gone {
+func (b *hotRestart) transferAndFinish() {
+	if b.transferBatch(); b.isEmpty() && !b.reported {
 		b.program.loop.Stop()
-		b.report()
+		b.logTransfer()
 	}
 }
 
-// report logs what became of the connections, once.
-func (b *beside) report() {
-	if b.gone {
+// logTransfer logs what became of the connections, once.
+func (b *hotRestart) logTransfer() {
+	if b.reported {
 		return
 	}
-	b.gone = true
+	b.reported = true
 	moved := 0
 	for _, core := range b.program.cores {
 		moved += core.Migrated()
 	}
-	zap.L().Info("connections_handed_over", zap.Int("given", b.gave), zap.Int("moved", moved), zap.Int("bytes", b.size), zap.Duration("took", b.took))
+	zap.L().Info("connections_handed_over", zap.Int("given", b.sent), zap.Int("moved", moved), zap.Int("bytes", b.sentBytes), zap.Duration("took", b.transferTime))
 }
 
-// known is what a process knows beside its connections.
-type known struct {
+// learnedState is what a process knows beside its connections.
+type learnedState struct {
 	Modules  map[string]choice.LearnedState `cbor:"1,keyasint"` // by the names of their clusters
 	Sessions []resumable.Session            `cbor:"2,keyasint,omitempty"`
 }
 
-// mostSessions is how many sessions without a stream are told to another process; those with one go with it.
-const mostSessions = 1000
+// maxSessions is how many sessions without a stream are told to another process; those with one go with it.
+const maxSessions = 1000
 
-// learned is what this process knows.
-func (b *beside) learned() []byte {
-	k := known{Modules: map[string]choice.LearnedState{}}
-	for name, core := range b.program.named {
+// encodeLearnedState is what this process knows.
+func (b *hotRestart) encodeLearnedState() []byte {
+	k := learnedState{Modules: map[string]choice.LearnedState{}}
+	for name, core := range b.program.coreByCluster {
 		k.Modules[name] = core.LearnedState()
 	}
 	if f := b.program.xmpp; f != nil {
-		k.Sessions = f.Broken(mostSessions)
+		k.Sessions = f.Broken(maxSessions)
 	}
 	told, err := cbor.Marshal(k)
 	if err != nil {
@@ -292,15 +292,15 @@
 	return told
 }
 
-// inherit takes in what another process knows.
-func (b *beside) inherit(told []byte) {
-	var k known
+// importLearnedState takes in what another process knows.
+func (b *hotRestart) importLearnedState(told []byte) {
+	var k learnedState
 	if err := cbor.Unmarshal(told, &k); err != nil {
 		zap.L().Warn("learned_not_read", zap.Error(err))
 		return
 	}
 	for name, l := range k.Modules {
-		if core := b.program.named[name]; core != nil {
+		if core := b.program.coreByCluster[name]; core != nil {
 			core.ImportLearnedState(l)
 		}
 	}
--- a/internal/node/carry_test.go
+++ b/internal/node/carry_test.go
@@ -83,13 +83,13 @@
 func (r *replaced) begin(after func()) {
 	r.next = r.start()
 	exchange.Until(r.t, "and the present one knows", func() (ready bool) {
-		r.now.on(func() { _, ready = r.now.beside.place.Successor() })
+		r.now.on(func() { _, ready = r.now.restart.coordinator.Successor() })
 		return ready
 	})
 	old := r.now
 	old.loop.Post(func() {
 		after()
-		old.Evict()
+		old.Shutdown()
 	})
 }
 
@@ -128,7 +128,7 @@
 			"upgraded":   func() { r.end() },
 			"freeze":     func() { r.begin(func() { <-thaw }) },
 			"thaw":       func() { close(thaw); r.end() },
-			"sigterm":    func() { r.now.loop.Post(r.now.Evict) },
+			"sigterm":    func() { r.now.loop.Post(r.now.Shutdown) },
 			"trade": func() {
 				raw, err := os.ReadFile(r.config)
 				if err != nil {
@@ -159,20 +159,20 @@
 // through a chain of processes.
 func TestCarriedInBatches(t *testing.T) {
 	const connections = 400
-	r := newReplaced(t, exchange.Host(t), 2*connections+spareSockets+256)
+	r := newReplaced(t, exchange.Host(t), 2*connections+reservedDescriptors+256)
 	s := &exchange.Streams{Addr: r.env["GW_LISTEN"], At: "s-1"}
 	s.Run(t, connections, exchange.Steady)
 	for i := range 3 {
 		old := r.now
 		r.begin(func() {})
 		r.end()
-		if old.beside.gave != connections {
-			t.Errorf("process %d gave %d connections of %d", i, old.beside.gave, connections)
+		if old.restart.sent != connections {
+			t.Errorf("process %d gave %d connections of %d", i, old.restart.sent, connections)
 		}
 		// The giver may go once its last word is written, and a look into the taker may come before that word is read.
 		held, got := 0, 0
 		exchange.Until(t, "the taker holds them all", func() bool {
-			r.now.on(func() { held, got = r.now.platform.core.InFlight(), r.now.beside.got })
+			r.now.on(func() { held, got = r.now.platform.core.InFlight(), r.now.restart.received })
 			return got >= connections
 		})
 		if held != connections || got != connections {
@@ -218,8 +218,8 @@
 	const connections = 400
 	for _, most := range []int{1, 8, 64} {
 		b.Run(fmt.Sprint(most), func(b *testing.B) {
-			defer func(was int) { batchMost = was }(batchMost)
-			batchMost = most
+			defer func(was int) { maxBatchConnections = was }(maxBatchConnections)
+			maxBatchConnections = most
 			r := newReplaced(b, exchange.Host(b), 8*connections)
 			s := &exchange.Streams{Addr: r.env["GW_LISTEN"], At: "s-1"}
 			s.Run(b, connections, exchange.Still)
@@ -229,7 +229,7 @@
 				old := r.now
 				r.begin(func() {})
 				r.end()
-				size, took, away = size+old.beside.size, took+old.beside.took, max(away, old.beside.away)
+				size, took, away = size+old.restart.sentBytes, took+old.restart.transferTime, max(away, old.restart.longestBatch)
 			}
 			b.StopTimer()
 			s.Stop(b)
@@ -243,7 +243,7 @@
 
 // BenchmarkTold writes and reads what is told of one connection.
 func BenchmarkTold(b *testing.B) {
-	c := carried{Front: platformFront, Open: &edge.ConnectionState{ID: "9b1f03aa5c7e2d41", Tenant: "ferma-ro", Key: 1 << 60, Group: 1 << 61, UsualLoad: 0.012, CurrentLoad: 0.013,
+	c := connectionState{Front: platformFront, Open: &edge.ConnectionState{ID: "9b1f03aa5c7e2d41", Tenant: "ferma-ro", Key: 1 << 60, Group: 1 << 61, UsualLoad: 0.012, CurrentLoad: 0.013,
 		Class: choice.Class{Name: "field-sync", SetupObjective: 8e8, Deadline: 48e8, MessageObjective: 15e7, Priority: 1}, Server: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Size: 1}, Addr: "10.1.0.18:3000"}}
 	c.State, _ = cbor.Marshal(downstream.ConnectionState{Server: &upstream.ConnectionState{}})
 	for name, code := range map[string]struct {
@@ -255,7 +255,7 @@
 			for range b.N {
 				told, err := code.write(c)
 				if err == nil {
-					err = code.read(told, &carried{})
+					err = code.read(told, &connectionState{})
 				}
 				if err != nil {
 					b.Fatal(err)
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -51,7 +51,7 @@
 			}
 		})
 		start(t, l)
-		c, err := net.Dial("tcp", op.at[0].String())
+		c, err := net.Dial("tcp", op.addrs[0].String())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/door_test.go
+++ b/internal/node/door_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	made := startProcess(t, n, "")
-	made.on(func() { err = made.openDoor("127.0.0.1:0") })
+	made.on(func() { err = made.listenAdmin("127.0.0.1:0") })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 // TestDoorInACrowd has a node of few descriptors full of clients that say nothing or half a line, and its door full of
 // callers that finish no call, don't read, or come in single bytes: who asks gets an answer, and usual clients are served.
 func TestDoorInACrowd(t *testing.T) {
-	p, at := small(t, spareSockets+80)
+	p, at := small(t, reservedDescriptors+80)
 	var all []net.Conn
 	defer func() {
 		for _, c := range all {
@@ -56,20 +56,20 @@
 	for i := range 400 {
 		dial(at, [3]string{"", "OPEN 01", "PING\r\n"}[i%3])
 		if i%20 == 0 {
-			dial(p.door.String(), [2]string{"", "GET /api/re"}[i/20%2])
-			dial(p.door.String(), "GET /api/telemetry HTTP/1.1\r\n\r\n") // reads nothing
+			dial(p.adminAddr.String(), [2]string{"", "GET /api/re"}[i/20%2])
+			dial(p.adminAddr.String(), "GET /api/telemetry HTTP/1.1\r\n\r\n") // reads nothing
 		}
 		if i%100 == 99 {
-			if status, body := exchange.Call(p.door.String(), "/api/ready"); status != http.StatusOK {
+			if status, body := exchange.Call(p.adminAddr.String(), "/api/ready"); status != http.StatusOK {
 				t.Errorf("after %d: %d %s", i, status, body)
 			}
-			if status, body := exchange.Call(p.door.String(), "/api/telemetry"); status != http.StatusOK || !strings.Contains(body, "gw.in_flight:") {
+			if status, body := exchange.Call(p.adminAddr.String(), "/api/telemetry"); status != http.StatusOK || !strings.Contains(body, "gw.in_flight:") {
 				t.Errorf("after %d: %d %s", i, status, body)
 			}
 			player.Play(t, fmt.Sprintf("c open\nc > OPEN %d 01 c=chat,d=4000\nc < UP 1\n", i))
 		}
 	}
-	slow := dial(p.door.String(), "")
+	slow := dial(p.adminAddr.String(), "")
 	for _, b := range []byte("GET /api/ready HTTP/1.1\r\n\r\n") {
 		if _, err := slow.Write([]byte{b}); err != nil {
 			t.Fatal(err)
@@ -99,7 +99,7 @@
 				}
 			}
 			for b.Loop() {
-				if status, body := exchange.Call(p.door.String(), "/api/telemetry"); status != http.StatusOK {
+				if status, body := exchange.Call(p.adminAddr.String(), "/api/telemetry"); status != http.StatusOK {
 					b.Fatal(body)
 				}
 			}
--- a/internal/node/exchange_test.go
+++ b/internal/node/exchange_test.go
@@ -19,12 +19,12 @@
 const settings = exchange.Settings
 
 // operate sets up what an operator's file names.
-func operate(l *loop.Loop, path string, seed uint64) ([]*edge.Core, *operated, error) {
+func operate(l *loop.Loop, path string, seed uint64) ([]*edge.Core, *operatorFronts, error) {
 	o, err := config.ReadOperator(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	return serveOperator(l, path, o, seed, newProgram(l))
+	return newOperatorFronts(l, path, o, seed, newProgram(l))
 }
 
 // start runs a loop until the test ends.
@@ -108,16 +108,16 @@
 			}
 		}
 		program := newProgram(l)
-		node, at, err := program.serve(n, nil)
+		node, at, err := program.newPlatform(n, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		program.cores = []*edge.Core{node.core}
-		if err := program.openDoor("127.0.0.1:0"); err != nil {
+		if err := program.listenAdmin("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 		path := filepath.Join(t.TempDir(), "config.json")
-		program.reloads = append(program.reloads, program.rereads(node, path))
+		program.reloaders = append(program.reloaders, program.platformReloader(node, path))
 		reload := func(change ...string) func() {
 			return func() {
 				text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"sockets":512},"settings":%s}`, n.Discovery,
@@ -129,16 +129,16 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
-		p.Addr, p.Values["door"] = at.String(), program.door.String()
+		p.Addr, p.Values["door"] = at.String(), program.adminAddr.String()
 		p.Do = map[string]func(){
 			"wait":    func() { time.Sleep(400 * time.Millisecond) },
 			"long":    func() { time.Sleep(5 * time.Second) },
 			"trade":   reload(`"name":"chat"`, `"name":"trade"`, `"safe"`, `"unsafe"`, `"sendCap":4`, `"sendCap":2`),
 			"chat":    reload(),
 			"broken":  reload(`"giveUpS":4`, `"giveUpS":0`),
-			"sigterm": func() { l.Post(program.Evict) },
+			"sigterm": func() { l.Post(program.Shutdown) },
 		}
-		program.exit = time.Minute // a process that ends by itself is not what is played
+		program.shutdownTime = time.Minute // a process that ends by itself is not what is played
 		start(t, l)
 		p.Play(t, text)
 	})
@@ -178,7 +178,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Addr = op.at[0].String()
+		p.Addr = op.addrs[0].String()
 		p.Do = map[string]func(){
 			"sigterm": func() {
 				l.Post(func() { all(cores, func(c *edge.Core) { c.Drain(func() {}) }) })
@@ -195,7 +195,7 @@
 		checked := make(chan string, 1)
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 			l.Post(func() {
-				a := op.front.Answers
+				a := op.xmpp.Answers
 				if a.Sessions != a.Established+a.Errors+a.Left {
 					checked <- fmt.Sprintf("%+v", a)
 					return
@@ -213,8 +213,8 @@
 	})
 }
 
-func reread(t *testing.T, op *operated) {
-	take, err := op.reread()
+func reread(t *testing.T, op *operatorFronts) {
+	take, err := op.readFile()
 	if err != nil {
 		t.Error(err)
 		return
--- a/internal/node/failedstart_test.go
+++ b/internal/node/failedstart_test.go
@@ -57,7 +57,7 @@
 	})
 	others := func() (n int) {
 		ran := make(chan struct{})
-		l.Post(func() { n = running.beside.place.GrantedQuota(); close(ran) })
+		l.Post(func() { n = running.restart.coordinator.GrantedQuota(); close(ran) })
 		<-ran
 		return n
 	}
@@ -69,7 +69,7 @@
 		l.Close()
 	}
 	exchange.Until(t, "the running process has back what it has lent", func() bool { return others() == 0 })
-	if _, err := handover.RequestGrant(handover.Path(dir, listen), time.Now().Add(askTime)); err != nil {
+	if _, err := handover.RequestGrant(handover.Path(dir, listen), time.Now().Add(grantTimeout)); err != nil {
 		t.Error("it lends no more: ", err)
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -20,73 +20,73 @@
 )
 
 const (
-	fleetTry   = 250 * time.Millisecond // between two goes at the address and the files, while another process has them
-	streamTime = 5 * time.Second        // for one message by a stream
-	// mostStreams bounds streams each way at once: with a whole message in each, 4 MB of a node that has 32. What finds no place comes
+	fleetRetryInterval = 250 * time.Millisecond // between two goes at the address and the files, while another process has them
+	streamTimeout      = 5 * time.Second        // for one message by a stream
+	// maxStreams bounds streams each way at once: with a whole message in each, 4 MB of a node that has 32. What finds no place comes
 	// again with the next word.
-	mostStreams  = 8
-	diskTry      = time.Second // between two goes at a record that the disk didn't take
-	lateNews     = time.Second // a step of this process that came so late is told
-	frameBytes   = 4
-	streamsQueue = 16
+	maxStreams        = 8
+	diskRetryInterval = time.Second // between two goes at a record that the disk didn't take
+	lateTickThreshold = time.Second // a step of this process that came so late is told
+	frameBytes        = 4
+	streamBacklog     = 16
 )
 
 // fleet is the node's part in its fleet: the agent with its sockets, its files and its core.
 type fleet struct {
-	loop     *loop.Loop
-	core     *edge.Core
-	conf     config.Fleet
-	agent    *agent.Agent
-	newVoter agent.NewVoter
-	classes  func() ([]string, []choice.Class)
-	begin    time.Time
-	socket   *loop.Datagrams
-	door     *loop.Listener
-	store    *agree.Store
-	saving   bool
-	in, out  int // streams under way
-	closed   bool
-	last     time.Time
-	lost     uint64 // messages that no stream took
-	policy   policed
+	loop                            *loop.Loop
+	core                            *edge.Core
+	config                          config.Fleet
+	agent                           *agent.Agent
+	newVoter                        agent.NewVoter
+	classes                         func() ([]string, []choice.Class)
+	start                           time.Time
+	socket                          *loop.Datagrams
+	listener                        *loop.Listener
+	store                           *agree.Store
+	saving                          bool
+	inboundStreams, outboundStreams int // streams under way
+	closed                          bool
+	lastTick                        time.Time
+	lostMessages                    uint64 // messages that no stream took
+	policy                          policyState
 }
 
 // joinFleet has a core go by the fleet's plans. The address and the files may be another process's yet: then it begins as
 // soon as that one has given them back.
 func (p *Program) joinFleet(c config.Fleet, core *edge.Core, newVoter agent.NewVoter, classes func() ([]string, []choice.Class)) {
-	f := &fleet{policy: policed{program: p}, loop: p.loop, core: core, conf: c, newVoter: newVoter, classes: classes, begin: time.Now()}
+	f := &fleet{policy: policyState{program: p}, loop: p.loop, core: core, config: c, newVoter: newVoter, classes: classes, start: time.Now()}
 	p.fleet = f
-	p.leaves = append(p.leaves, f.close)
-	p.closers = append(p.closers, f.close)
+	p.onShutdown = append(p.onShutdown, f.close)
+	p.onClose = append(p.onClose, f.close)
 	// Until there is word of a plan the node serves by its own zone alone.
 	core.ApplyZonePlan(failover.ZonePlanFor(failover.Standalone, nil, 0, f.zone(), nil, 0, failover.LeasedCapacity{}))
 	if c.List.Policy != nil { // nor does it take anybody before it knows which policy is in force
-		core.UseLease(edge.Lease{RetryAfter: time.Duration(c.ComeAgain), OnDecision: f.told()})
+		core.UseLease(edge.Lease{RetryAfter: time.Duration(c.ComeAgain), OnDecision: f.admissionRecorder()})
 	}
 	f.open()
 }
 
 func (f *fleet) zone() string {
-	l := f.conf.List.List
-	return l.Node(l.Index(f.conf.Self)).Zone
+	l := f.config.List.List
+	return l.Node(l.Index(f.config.Self)).Zone
 }
 
-func (f *fleet) now() time.Duration { return time.Since(f.begin) }
+func (f *fleet) now() time.Duration { return time.Since(f.start) }
 
-func (f *fleet) again(event string, err error) {
+func (f *fleet) retry(event string, err error) {
 	zap.L().Warn(event, zap.Error(err))
-	f.giveBack()
-	f.loop.At(f.loop.Now().Add(fleetTry), f.open)
+	f.release()
+	f.loop.At(f.loop.Now().Add(fleetRetryInterval), f.open)
 }
 
-func (f *fleet) giveBack() {
-	if f.door != nil {
-		f.door.Close()
+func (f *fleet) release() {
+	if f.listener != nil {
+		f.listener.Close()
 	}
 	if f.store != nil {
 		f.store.Close()
 	}
-	f.door, f.store = nil, nil
+	f.listener, f.store = nil, nil
 }
 
 func (f *fleet) open() {
@@ -95,54 +95,54 @@
 	}
 	var err error
 	// The listener first: only one process can have it, and who has it may touch the rest.
-	if f.door, err = f.loop.ListenApart(f.conf.Listen, streamsQueue, f.accept); err != nil {
-		f.door = nil
-		f.again("fleet_address_taken", err)
+	if f.listener, err = f.loop.ListenApart(f.config.Listen, streamBacklog, f.accept); err != nil {
+		f.listener = nil
+		f.retry("fleet_address_taken", err)
 		return
 	}
 	var kept []agree.Record
-	if f.conf.Dir != "" {
-		f.store, kept, err = agree.OpenStore(f.conf.Dir)
+	if f.config.Dir != "" {
+		f.store, kept, err = agree.OpenStore(f.config.Dir)
 		if errors.Is(err, agree.ErrCorrupt) {
 			zap.L().Error("fleet_files_spoilt", zap.Error(err), zap.String("what", "this node learns anew; as a voter it comes in as a new one"))
 		} else if err != nil {
-			f.again("fleet_files_not_opened", err)
+			f.retry("fleet_files_not_opened", err)
 			return
 		}
 	}
 	names, _ := f.classes()
-	rules := f.conf.List.Rules()
-	rules.Classes = f.ruled()
-	l := f.conf.List.List
-	f.agent, err = agent.New(agent.Options{List: l, Self: l.Index(f.conf.Self), Key: f.conf.Secret, Rules: rules, Classes: names,
-		RetryAfter: time.Duration(f.conf.ComeAgain), Records: kept, Seed: uint64(time.Now().UnixNano()), Log: say, Voter: f.newVoter,
+	rules := f.config.List.Rules()
+	rules.Classes = f.plannedClasses()
+	l := f.config.List.List
+	f.agent, err = agent.New(agent.Options{List: l, Self: l.Index(f.config.Self), Key: f.config.Secret, Rules: rules, Classes: names,
+		RetryAfter: time.Duration(f.config.ComeAgain), Records: kept, Seed: uint64(time.Now().UnixNano()), Log: logAgentEvent, Voter: f.newVoter,
 		Policy: f.policyOptions()}, f.now())
 	if err != nil {
-		f.again("fleet_not_begun", err)
+		f.retry("fleet_not_begun", err)
 		return
 	}
-	f.socket, _, err = f.loop.ListenDatagrams(f.conf.Listen, agent.MostDatagram, func(_ netip.AddrPort, b []byte) {
+	f.socket, _, err = f.loop.ListenDatagrams(f.config.Listen, agent.MostDatagram, func(_ netip.AddrPort, b []byte) {
 		if f.agent != nil && !f.closed {
 			f.agent.Receive(b, f.now())
-			f.pump()
+			f.carryOut()
 		}
 	})
 	if err != nil {
 		f.agent = nil
-		f.again("fleet_datagrams_not_heard", err)
+		f.retry("fleet_datagrams_not_heard", err)
 		return
 	}
-	zap.L().Info("fleet_joined", zap.String("node", f.conf.Self), zap.String("zone", f.zone()), zap.Int("nodes", l.Len()), zap.Int("records", len(kept)))
-	f.last = f.loop.Now()
+	zap.L().Info("fleet_joined", zap.String("node", f.config.Self), zap.String("zone", f.zone()), zap.Int("nodes", l.Len()), zap.Int("records", len(kept)))
+	f.lastTick = f.loop.Now()
 	f.tick()
 }
 
-// ruled is the classes as plans know them.
-func (f *fleet) ruled() (all []failover.Class) {
+// plannedClasses is the classes as plans know them.
+func (f *fleet) plannedClasses() (all []failover.Class) {
 	_, classes := f.classes()
 	for _, c := range classes {
 		if !c.Removed {
-			all = append(all, failover.Class{Name: c.Name, Priority: c.Priority, StayInRegion: slices.Contains(f.conf.List.Plan.Stay, c.Name)})
+			all = append(all, failover.Class{Name: c.Name, Priority: c.Priority, StayInRegion: slices.Contains(f.config.List.Plan.Stay, c.Name)})
 		}
 	}
 	return all[:min(len(all), failover.MaxClasses)]
@@ -153,39 +153,39 @@
 		return
 	}
 	now := f.loop.Now()
-	if late := now.Sub(f.last) - agree.Tick; late > lateNews {
+	if late := now.Sub(f.lastTick) - agree.Tick; late > lateTickThreshold {
 		zap.L().Warn("fleet_step_late", zap.Duration("by", late))
 	}
-	f.last = now
+	f.lastTick = now
 	f.agent.Tick(f.now())
 	if f.agent.Wants(f.now()) {
 		f.agent.Observe(f.core.Observations(), f.now())
 	}
-	f.pump()
-	f.tellAdmitted(now)
+	f.carryOut()
+	f.logAdmitted(now)
 	f.loop.At(now.Add(agree.Tick), f.tick)
 }
 
-// adapt takes in the module's classes after a change of settings.
-func (f *fleet) adapt() {
+// updateClasses takes in the module's classes after a change of settings.
+func (f *fleet) updateClasses() {
 	if f.agent != nil {
 		names, _ := f.classes()
 		f.agent.UpdateClasses(names)
-		f.pump()
+		f.carryOut()
 	}
 }
 
-// pump carries out what the agent has decided.
-func (f *fleet) pump() {
-	f.stand()
+// carryOut carries out what the agent has decided.
+func (f *fleet) carryOut() {
+	f.applyPolicy()
 	if plan, changed := f.agent.ZonePlan(); changed {
 		f.core.ApplyZonePlan(plan)
 	}
 	f.save()
 	for _, m := range f.agent.Out() {
-		to := f.conf.List.Addr[m.To]
+		to := f.config.List.Addr[m.To]
 		if len(m.Data) > agent.MostDatagram {
-			f.stream(to, m.Data)
+			f.sendStream(to, m.Data)
 			continue
 		}
 		if ap, err := netip.ParseAddrPort(to); err == nil {
@@ -216,19 +216,19 @@
 		} else {
 			err = store.Save(rec)
 		}
-		f.loop.Post(func() { f.saved(err) })
+		f.loop.Post(func() { f.onSaved(err) })
 	}()
 }
 
-func (f *fleet) saved(err error) {
+func (f *fleet) onSaved(err error) {
 	f.saving = false
 	if f.closed {
-		f.giveBack()
+		f.release()
 		return
 	}
 	if err != nil {
 		zap.L().Error("fleet_record_not_kept", zap.Error(err), zap.String("what", "this node promises nothing until its disk takes records again"))
-		f.loop.At(f.loop.Now().Add(diskTry), func() {
+		f.loop.At(f.loop.Now().Add(diskRetryInterval), func() {
 			if !f.closed {
 				f.save()
 			}
@@ -236,7 +236,7 @@
 		return
 	}
 	f.agent.Persisted(f.now())
-	f.pump()
+	f.carryOut()
 }
 
 // close ends the part in the fleet at once; another process of the node may take the address and the files.
@@ -248,31 +248,31 @@
 	if f.socket != nil {
 		f.socket.Close()
 	}
-	if f.door != nil {
-		f.door.Close()
-		f.door = nil
+	if f.listener != nil {
+		f.listener.Close()
+		f.listener = nil
 	}
 	if !f.saving { // else when the record is written
-		f.giveBack()
+		f.release()
 	}
 }
 
-// stream sends a message that no datagram holds.
-func (f *fleet) stream(to string, data []byte) {
-	if f.out >= mostStreams {
-		f.lost++
+// sendStream sends a message that no datagram holds.
+func (f *fleet) sendStream(to string, data []byte) {
+	if f.outboundStreams >= maxStreams {
+		f.lostMessages++
 		return
 	}
-	f.out++
-	s := &sender{fleet: f}
+	f.outboundStreams++
+	s := &outboundStream{fleet: f}
 	frame := binary.BigEndian.AppendUint32(make([]byte, 0, len(data)+frameBytes), uint32(len(data)))
 	s.data = append(frame, data...)
-	s.conn = f.loop.Dial(to, f.loop.Now().Add(streamTime), s)
-	s.stop = f.loop.At(f.loop.Now().Add(streamTime), func() { s.OnEnd(loop.ErrTimeout); s.conn.Abort() })
+	s.conn = f.loop.Dial(to, f.loop.Now().Add(streamTimeout), s)
+	s.stop = f.loop.At(f.loop.Now().Add(streamTimeout), func() { s.OnEnd(loop.ErrTimeout); s.conn.Abort() })
 }
 
-// sender is one message on its way by a stream.
-type sender struct {
+// outboundStream is one message on its way by a stream.
+type outboundStream struct {
 	fleet *fleet
 	conn  *loop.Conn
 	data  []byte
@@ -281,46 +281,46 @@
 }
 
 // OnConnect sends the message.
-func (s *sender) OnConnect() {
+func (s *outboundStream) OnConnect() {
 	s.conn.Write(s.data)
 	s.done()
 	s.conn.End()
 }
 
 // OnData is of no use: nothing is answered.
-func (s *sender) OnData([]byte) {}
+func (s *outboundStream) OnData([]byte) {}
 
 // OnDrained is of no use: End flushes.
-func (s *sender) OnDrained() {}
+func (s *outboundStream) OnDrained() {}
 
 // OnEnd counts a message that was not taken.
-func (s *sender) OnEnd(error) {
+func (s *outboundStream) OnEnd(error) {
 	if !s.over {
-		s.fleet.lost++
+		s.fleet.lostMessages++
 		s.done()
 	}
 }
 
-func (s *sender) done() {
+func (s *outboundStream) done() {
 	if !s.over {
 		s.over, s.data = true, nil
-		s.fleet.out--
+		s.fleet.outboundStreams--
 		s.stop()
 	}
 }
 
 // accept takes a stream with one message of another node, or of an operator.
 func (f *fleet) accept(c *loop.Conn) loop.Handler {
-	if f.in >= mostStreams || f.closed {
+	if f.inboundStreams >= maxStreams || f.closed {
 		return nil
 	}
-	f.in++
-	t := &taker{fleet: f, conn: c}
-	t.stop = f.loop.At(f.loop.Now().Add(streamTime), func() { t.done(); c.Abort() })
+	f.inboundStreams++
+	t := &inboundStream{fleet: f, conn: c}
+	t.stop = f.loop.At(f.loop.Now().Add(streamTimeout), func() { t.done(); c.Abort() })
 	return t
 }
 
-type taker struct {
+type inboundStream struct {
 	fleet *fleet
 	conn  *loop.Conn
 	buf   []byte
@@ -329,13 +329,13 @@
 }
 
 // OnConnect is for connections dialled.
-func (t *taker) OnConnect() {}
+func (t *inboundStream) OnConnect() {}
 
 // OnDrained is of no use here.
-func (t *taker) OnDrained() {}
+func (t *inboundStream) OnDrained() {}
 
 // OnData takes a piece of the one message.
-func (t *taker) OnData(p []byte) {
+func (t *inboundStream) OnData(p []byte) {
 	f := t.fleet
 	if t.over {
 		return
@@ -362,12 +362,12 @@
 			f.agent.Receive(msg, f.now())
 		}
 		t.conn.End()
-		f.pump()
+		f.carryOut()
 	}
 }
 
 // OnEnd forgets a stream that ended before its message was whole.
-func (t *taker) OnEnd(err error) {
+func (t *inboundStream) OnEnd(err error) {
 	if t.over {
 		return
 	}
@@ -377,16 +377,16 @@
 	}
 }
 
-func (t *taker) done() {
+func (t *inboundStream) done() {
 	if !t.over {
 		t.over = true
-		t.fleet.in--
+		t.fleet.inboundStreams--
 		t.stop()
 	}
 }
 
-// say writes an agent's event to the log.
-func say(event string, fields ...any) {
+// logAgentEvent writes an agent's event to the log.
+func logAgentEvent(event string, fields ...any) {
 	level := zap.L().Info
 	switch event {
 	case "fleet_log_conflict", "fleet_voter_broken", "fleet_plan_unreadable":
--- a/internal/node/golden_transfer_test.go
+++ b/internal/node/golden_transfer_test.go
@@ -134,7 +134,7 @@
 
 // TestGoldenConnection pins a connection as it goes into a batch.
 func TestGoldenConnection(t *testing.T) {
-	pinned(t, "connection", carried{Front: platformFront, Cluster: "k", Open: goldenOpen(), State: cbor.RawMessage{0xa1, 0x01, 0xa0}}, handover.Decode)
+	pinned(t, "connection", connectionState{Front: platformFront, Cluster: "k", Open: goldenOpen(), State: cbor.RawMessage{0xa1, 0x01, 0xa0}}, handover.Decode)
 	for _, name := range []string{platformFront, xmppFront} {
 		if want := golden(t, "front-"+name+".txt", []byte(name)); name != string(want) {
 			t.Errorf("a front is called %q, want %q", name, want)
@@ -144,7 +144,7 @@
 
 // TestGoldenLearned pins what a process has learned beside its connections.
 func TestGoldenLearned(t *testing.T) {
-	pinned(t, "learned", known{
+	pinned(t, "learned", learnedState{
 		Modules: map[string]choice.LearnedState{"k": {Version: choice.LearnedStateVersion, Unit: 0.1, Hints: 2, LoadSum: 0.3, WeightSum: 0.4, ReportedAt: 5, Arrivals: 0.6, ArrivalsAt: 7, PassRate: 0.8, MeanPriority: 0.9,
 			Kinds: []choice.LearnedKind{{Kind: "std-2c", ReportedLoad: 1.1, ConnectionLoad: 1.2, Reports: 1.3}},
 			Servers: []choice.LearnedServer{{ID: "s-5be2a07c", Started: 21, ReportedLoad: 2.2, ConnectionLoad: 2.3, Reports: 2.4, Known: true, Report: 2.6, ReportAt: 27, EjectedUntil: 28, Ejections: 29,
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -42,7 +42,7 @@
 	}
 	exchange.Until(t, "the fourth has come", func() bool {
 		done := make(chan int)
-		f.l.Post(func() { done <- f.op.front.Answers.Sessions })
+		f.l.Post(func() { done <- f.op.xmpp.Answers.Sessions })
 		return <-done == 4
 	})
 	if _, err := connect(); err == nil || !strings.Contains(err.Error(), "too many streams") {
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -21,7 +21,7 @@
 // TestConnectionLimit checks that a node at its limit of descriptors refuses with advice, cuts off what comes beyond,
 // and serves again once there is room.
 func TestConnectionLimit(t *testing.T) {
-	n := config.Node{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:9", Seed: 1, Sockets: spareSockets + 24}
+	n := config.Node{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:9", Seed: 1, Sockets: reservedDescriptors + 24}
 	var err error
 	if n.Settings, err = wire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, at, err := newProgram(l).serve(n, nil)
+	_, at, err := newProgram(l).newPlatform(n, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 func TestSilentCrowd(t *testing.T) {
 	p := &exchange.Player{}
 	host := p.Listen(t, "h1")
-	n := config.Node{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:9", Seed: 1, Sockets: spareSockets + 64, MemoryMB: 32}
+	n := config.Node{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:9", Seed: 1, Sockets: reservedDescriptors + 64, MemoryMB: 32}
 	var err error
 	if n.Settings, err = wire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, at, err := newProgram(l).serve(n, nil)
+	_, at, err := newProgram(l).newPlatform(n, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, at, err := newProgram(l).serve(n, nil)
+	_, at, err := newProgram(l).newPlatform(n, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Addr = op.at[0].String()
+	p.Addr = op.addrs[0].String()
 	start(t, l)
 	for range 200 {
 		c, err := net.Dial("tcp", p.Addr)
--- a/internal/node/many_test.go
+++ b/internal/node/many_test.go
@@ -103,12 +103,12 @@
 	}
 	say := func(all []net.PacketConn) {
 		for _, c := range all {
-			if _, err := c.WriteTo([]byte{0x11, 0, 0, 0, 0, 0, 0, 0, 0}, net.UDPAddrFromAddrPort(node.others.at)); err != nil {
+			if _, err := c.WriteTo([]byte{0x11, 0, 0, 0, 0, 0, 0, 0, 0}, net.UDPAddrFromAddrPort(node.peers.localAddr)); err != nil {
 				t.Error(err)
 			}
 		}
 	}
-	atOnce := heardAtOnce(t, node.others.socket.FD())
+	atOnce := heardAtOnce(t, node.peers.socket.FD())
 	say(others[:atOnce]) // before the loop runs: all of it lies in the node's socket
 	start(t, l)
 	on := func(fn func()) {
@@ -118,7 +118,7 @@
 	}
 	heard := func(want int) {
 		exchange.Until(t, fmt.Sprintf("%d nodes are heard", want), func() (all bool) {
-			on(func() { all = node.others.taken == want })
+			on(func() { all = node.peers.received == want })
 			return all
 		})
 	}
@@ -137,8 +137,8 @@
 		return all
 	})
 	on(func() {
-		if len(node.others.addrs) != many || node.others.strangers != 0 {
-			t.Errorf("%d nodes, %d strangers", len(node.others.addrs), node.others.strangers)
+		if len(node.peers.addrs) != many || node.peers.strangers != 0 {
+			t.Errorf("%d nodes, %d strangers", len(node.peers.addrs), node.peers.strangers)
 		}
 		if told := node.core.Gauges().ServersKnown; told != many {
 			t.Errorf("%d hosts told to operators", told)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,32 +27,32 @@
 const (
 	// The platform ends a leaving process by itself, and counts one that ends too early as crashed; elsewhere the
 	// program ends once all have left.
-	platformExit = 10 * time.Second
-	operatorExit = 4 * time.Second
+	platformShutdownTime = 10 * time.Second
+	operatorShutdownTime = 4 * time.Second
 )
 
 // Program is a node on its loop. Its methods belong to the loop's goroutine, or to the time before the loop runs.
 type Program struct {
-	loop      *loop.Loop
-	cores     []*edge.Core
-	named     map[string]*edge.Core             // by cluster; the platform's has no name
-	reloads   []func() (take func(), err error) // reads the files again; take has what they say take effect
-	rereading func()                            // calls off the next try at reading them; nil: there is none
-	leaves    []func()                          // when the planned stop begins
-	closers   []func()
-	exit      time.Duration
-	figures   stats.Figures
-	monitor   invariant.Monitor
-	trace     trace.Recorder
-	xmpp      *xmpp.Front
-	platform  *platform // nil: there is only an operator's file
-	beside    beside
-	fleet     *fleet        // nil: the node is none of a fleet
-	hosts     bool          // the platform's front knows some, or has waited long enough
-	firstList time.Duration // waited for an agent's first list
-	second    bool          // started beside a running process
-	waits     bool          // for word of the policy in force: until then the platform's front doesn't say that it takes clients
-	door      netip.AddrPort
+	loop           *loop.Loop
+	cores          []*edge.Core
+	coreByCluster  map[string]*edge.Core             // by cluster; the platform's has no name
+	reloaders      []func() (take func(), err error) // reads the files again; take has what they say take effect
+	cancelReload   func()                            // calls off the next try at reading them; nil: there is none
+	onShutdown     []func()                          // when the planned stop begins
+	onClose        []func()
+	shutdownTime   time.Duration
+	figures        stats.Figures
+	monitor        invariant.Monitor
+	trace          trace.Recorder
+	xmpp           *xmpp.Front
+	platform       *platform // nil: there is only an operator's file
+	restart        hotRestart
+	fleet          *fleet        // nil: the node is none of a fleet
+	serversKnown   bool          // the platform's front knows some, or has waited long enough
+	firstListWait  time.Duration // waited for an agent's first list
+	hasPredecessor bool          // started beside a running process
+	awaitsPolicy   bool          // for word of the policy in force: until then the platform's front doesn't say that it takes clients
+	adminAddr      netip.AddrPort
 }
 
 // ErrVoter says that the node is to vote in its fleet and this program can't.
@@ -60,8 +60,8 @@
 
 // newProgram is a node without fronts.
 func newProgram(l *loop.Loop) *Program {
-	p := &Program{loop: l, exit: operatorExit, firstList: firstList, named: map[string]*edge.Core{}}
-	p.beside = beside{program: p, listeners: map[string]*loop.Listener{}}
+	p := &Program{loop: l, shutdownTime: operatorShutdownTime, firstListWait: maxFirstListWait, coreByCluster: map[string]*edge.Core{}}
+	p.restart = hotRestart{program: p, listeners: map[string]*loop.Listener{}}
 	p.monitor.Broken = logViolation
 	return p
 }
@@ -74,8 +74,8 @@
 	p := newProgram(l)
 	if err := p.assemble(getenv, operator, newVoter); err != nil {
 		p.Close() // files that were begun
-		if p.beside.lent != nil {
-			p.beside.lent.Release(p.loop.Serves)
+		if p.restart.grant != nil {
+			p.restart.grant.Release(p.loop.Serves)
 		}
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 	if o.Fleet != nil && newVoter == nil && o.Fleet.Votes() {
 		return ErrVoter
 	}
-	p.waits = o.Fleet != nil && o.Fleet.List.Policy != nil
+	p.awaitsPolicy = o.Fleet != nil && o.Fleet.List.Policy != nil
 	var n config.Node
 	listen := ""
 	if len(o.Listeners) > 0 {
@@ -110,16 +110,16 @@
 		listen, mgmt = n.Listen, n.Mgmt
 	}
 	if mgmt != "" { // before any client can come: a start that fails must not take connections with it
-		if err := p.openDoor(mgmt); err != nil {
+		if err := p.listenAdmin(mgmt); err != nil {
 			return err
 		}
 	}
 	place := handover.Path(getenv("TMPDIR"), listen)
-	p.beside.ask(place)
-	if p.beside.lent != nil {
+	p.restart.requestGrant(place)
+	if p.restart.grant != nil {
 		// The running process has the node's part in the fleet until it leaves, which it does once this one says that it is ready: to wait for a
 		// lease here would be to wait for ever.
-		p.waits, p.second = false, true
+		p.awaitsPolicy, p.hasPredecessor = false, true
 	}
 	if onPlatform {
 		if err := p.assemblePlatform(n, o.Capture, getenv("GW_CONFIG")); err != nil {
@@ -131,44 +131,44 @@
 		// A process started beside another one reads the same seed; the ids that it gives its sessions must differ from those
 		// that it takes over.
 		seed ^= uint64(time.Now().UnixNano())
-		more, op, err := serveOperator(p.loop, operator, o, seed, p)
+		more, op, err := newOperatorFronts(p.loop, operator, o, seed, p)
 		if err != nil {
 			return err
 		}
 		p.cores = append(p.cores, more...)
-		p.reloads = append(p.reloads, op.reread)
+		p.reloaders = append(p.reloaders, op.readFile)
 	}
 	if o.Fleet != nil {
 		if err := p.assembleFleet(*o.Fleet, operator, newVoter); err != nil {
 			return err
 		}
 	}
-	p.beside.open(place)
+	p.restart.open(place)
 	if p.platform == nil {
-		p.loop.At(p.loop.Now(), p.takes)
+		p.loop.At(p.loop.Now(), p.onReady)
 	}
 	return nil
 }
 
 // assemblePlatform sets up the platform's front.
 func (p *Program) assemblePlatform(n config.Node, capture config.Capture, path string) error {
-	observer, err := p.record(capture, n.Name, n.Settings.Settings, n.Settings.ReportFields)
+	observer, err := p.startCapture(capture, n.Name, n.Settings.Settings, n.Settings.ReportFields)
 	if err != nil {
 		return err
 	}
-	front, _, err := p.serve(n, observer)
+	front, _, err := p.newPlatform(n, observer)
 	if err != nil {
 		return err
 	}
-	p.cores, p.exit = append(p.cores, front.core), platformExit
-	p.leaves = append(p.leaves, func() { front.others.report(front.core.DroppedPeerMessages()) })
-	p.reloads = append(p.reloads, p.rereads(front, path))
+	p.cores, p.shutdownTime = append(p.cores, front.core), platformShutdownTime
+	p.onShutdown = append(p.onShutdown, func() { front.peers.logCounts(front.core.DroppedPeerMessages()) })
+	p.reloaders = append(p.reloaders, p.platformReloader(front, path))
 	return nil
 }
 
 // assembleFleet sets up the node's part in its fleet.
 func (p *Program) assembleFleet(f config.Fleet, operator string, newVoter agent.NewVoter) error {
-	core := p.named[f.Cluster]
+	core := p.coreByCluster[f.Cluster]
 	if core == nil {
 		return fmt.Errorf("%s: [fleet] cluster = %q: no cluster has this name", operator, f.Cluster)
 	}
@@ -183,32 +183,32 @@
 	return nil
 }
 
-// listed is called where the platform's front knows hosts, or has waited long enough for some.
-func (p *Program) listed() {
-	p.hosts = true
-	p.takesClients()
+// onServersKnown is called where the platform's front knows hosts, or has waited long enough for some.
+func (p *Program) onServersKnown() {
+	p.serversKnown = true
+	p.announceReady()
 }
 
-// takesClients has the platform's front say so, once it can.
-func (p *Program) takesClients() {
-	if p.hosts && !p.waits && p.platform != nil {
+// announceReady has the platform's front say so, once it can.
+func (p *Program) announceReady() {
+	if p.serversKnown && !p.awaitsPolicy && p.platform != nil {
 		p.platform.front.Ready()
 	}
 }
 
-func (p *Program) openDoor(addr string) (err error) {
-	if _, p.door, err = admin.Listen(p.loop, addr, admin.Answers{Ready: p.ready, Telemetry: p.telemetry, Reasons: p.reasons}); err == nil {
-		zap.L().Info("listening", zap.String("protocol", "operators"), zap.Stringer("address", p.door))
+func (p *Program) listenAdmin(addr string) (err error) {
+	if _, p.adminAddr, err = admin.Listen(p.loop, addr, admin.Answers{Ready: p.ready, Telemetry: p.telemetry, Reasons: p.reasons}); err == nil {
+		zap.L().Info("listening", zap.String("protocol", "operators"), zap.Stringer("address", p.adminAddr))
 	}
 	return err
 }
 
-// takes is called once, when this process begins to take clients.
-func (p *Program) takes() {
-	if p.beside.place != nil {
-		p.beside.place.Ready()
+// onReady is called once, when this process begins to take clients.
+func (p *Program) onReady() {
+	if p.restart.coordinator != nil {
+		p.restart.coordinator.Ready()
 	}
-	p.beside.share()
+	p.restart.applyQuota()
 }
 
 // ready tells operators whether this process takes clients.
@@ -218,7 +218,7 @@
 			return false
 		}
 	}
-	return !p.beside.closed && (p.fleet == nil || p.second || p.fleet.serves()) && (p.platform == nil || p.platform.front.Taking())
+	return !p.restart.listenersClosed && (p.fleet == nil || p.hasPredecessor || p.fleet.servesPolicy()) && (p.platform == nil || p.platform.front.Taking())
 }
 
 // telemetry writes the figures behind buf.
@@ -230,31 +230,31 @@
 	return p.figures.Append(buf, g)
 }
 
-// rereads is the part of a reload that is the platform's front's.
-func (p *Program) rereads(front *platform, path string) func() (func(), error) {
+// platformReloader is the part of a reload that is the platform's front's.
+func (p *Program) platformReloader(front *platform, path string) func() (func(), error) {
 	return func() (func(), error) {
-		next, err := config.Again(path, front.conf)
+		next, err := config.Again(path, front.config)
 		if err == nil && p.fleet != nil {
-			if why := p.fleet.disagrees(next.Settings); why != "" {
+			if why := p.fleet.conflictWithPolicy(next.Settings); why != "" {
 				err = fmt.Errorf("%s: %s", path, why)
 			}
 		}
 		return func() {
 			front.reload(next)
-			p.beside.limits(next)
+			p.restart.setLimits(next)
 			if p.fleet != nil {
-				p.fleet.adapt()
+				p.fleet.updateClasses()
 			}
 		}, err
 	}
 }
 
-// Evict begins the planned stop, which ends the loop.
-func (p *Program) Evict() {
-	for _, fn := range p.leaves {
+// Shutdown begins the planned stop, which ends the loop.
+func (p *Program) Shutdown() {
+	for _, fn := range p.onShutdown {
 		fn()
 	}
-	over := p.beside.leave()
+	over := p.restart.shutdown()
 	for _, core := range p.cores {
 		zap.L().Info("leaving", zap.Stringer("core", core), zap.Bool("handed_over", over))
 		left := func() {
@@ -265,22 +265,22 @@
 		if over {
 			core.DrainToSuccessor(func() {
 				left()
-				p.beside.report()
+				p.restart.logTransfer()
 			})
 		} else {
 			core.Drain(left)
 		}
 	}
 	if over { // the platform has its process, and this one may go once its clients have their last bytes
-		p.exit = operatorExit
-		p.beside.giveAll()
+		p.shutdownTime = operatorShutdownTime
+		p.restart.transferAll()
 	}
-	p.loop.At(p.loop.Now().Add(p.exit), p.loop.Stop)
+	p.loop.At(p.loop.Now().Add(p.shutdownTime), p.loop.Stop)
 }
 
 // Close finishes what outlives the loop. It is called once the loop has ended.
 func (p *Program) Close() {
-	for _, fn := range p.closers {
+	for _, fn := range p.onClose {
 		fn()
 	}
 }
@@ -299,7 +299,7 @@
 					p.loop.Post(p.Reload)
 				default:
 				}
-				p.loop.Post(p.Evict)
+				p.loop.Post(p.Shutdown)
 				stop = nil // a second one has nothing to add
 			}
 		}
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	socket := func() (*loop.Datagrams, netip.AddrPort) {
-		d, at, err := l.ListenDatagrams("127.0.0.1:0", mostMessage, func(netip.AddrPort, []byte) {})
+		d, at, err := l.ListenDatagrams("127.0.0.1:0", maxPeerMessage, func(netip.AddrPort, []byte) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,19 +38,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := p.at
+	at := p.localAddr
 	for _, err := range []error{friend.Send(at, []byte("one")), stranger.Send(at, []byte("two")),
-		friend.Send(at, make([]byte, mostMessage+1)), friend.Send(at, []byte("three"))} {
+		friend.Send(at, make([]byte, maxPeerMessage+1)), friend.Send(at, []byte("three"))} {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	p.tell(1, make([]byte, mostMessage+1))
-	p.tell(2, []byte("to nobody"))
-	p.tell(1, []byte("answer"))
+	p.send(1, make([]byte, maxPeerMessage+1))
+	p.send(2, []byte("to nobody"))
+	p.send(1, []byte("answer"))
 	limit := time.Now().Add(20 * time.Second) // only a hang reaches it
 	l.After(func() {
-		if len(got) == 2 && p.strangers == 1 && p.long == 1 || time.Now().After(limit) {
+		if len(got) == 2 && p.strangers == 1 && p.tooLong == 1 || time.Now().After(limit) {
 			l.Stop()
 		}
 	})
@@ -58,8 +58,8 @@
 	if err := l.Run(); err != nil && err != unix.EINTR {
 		t.Fatal(err)
 	}
-	if len(got) != 2 || got[0] != "one" || got[1] != "three" || p.strangers != 1 || p.long != 1 || p.sent != 1 {
-		t.Errorf("heard %q, %d strangers, %d too long, %d sent", got, p.strangers, p.long, p.sent)
+	if len(got) != 2 || got[0] != "one" || got[1] != "three" || p.strangers != 1 || p.tooLong != 1 || p.sent != 1 {
+		t.Errorf("heard %q, %d strangers, %d too long, %d sent", got, p.strangers, p.tooLong, p.sent)
 	}
 }
 
@@ -69,5 +69,5 @@
 	if err != nil || p.socket != nil {
 		t.Errorf("%v, %v", p.socket, err)
 	}
-	p.tell(0, []byte("x"))
+	p.send(0, []byte("x"))
 }
--- a/internal/node/policy.go
+++ b/internal/node/policy.go
@@ -16,37 +16,37 @@
 	"spurwinch/internal/wire"
 )
 
-// policed is what a node keeps of the fleet's policy.
-type policed struct {
-	program  *Program
-	set      bool // the core goes by number
-	number   uint64
-	doc      *policy.Document // nil: the node's own files
-	lapsed   bool             // and by its ground
-	beyond   uint64           // number that this node can't go by: it is read, and told of, once; 0: none
-	admitted []string         // requests, for the log of a laboratory
-	more     int
-	told     time.Time
+// policyState is what a node keeps of the fleet's policy.
+type policyState struct {
+	program            *Program
+	applied            bool // the core goes by number
+	number             uint64
+	document           *policy.Document // nil: the node's own files
+	onBase             bool             // and by its ground
+	unusable           uint64           // number that this node can't go by: it is read, and told of, once; 0: none
+	admitted           []string         // requests, for the log of a laboratory
+	unloggedAdmissions int
+	loggedAt           time.Time
 }
 
 const (
-	mostAdmitted = 400 // requests in one line of the log
-	admittedTime = 100 * time.Millisecond
+	maxLoggedAdmissions  = 400 // requests in one line of the log
+	admissionLogInterval = 100 * time.Millisecond
 )
 
 // policyOptions has the agent read documents as this node can go by them; nil: the fleet has no policy on its log.
 func (f *fleet) policyOptions() *agent.Policy {
-	if f.conf.List.Policy == nil {
+	if f.config.List.Policy == nil {
 		return nil
 	}
-	return &agent.Policy{Rules: f.conf.List.Policy.Rules(), Counts: f.core.AnswerCounts, Read: func(text []byte) (*policy.Document, error) {
-		d, err := config.ReadPolicy("policy", text, f.conf.PolicyLevel)
+	return &agent.Policy{Rules: f.config.List.Policy.Rules(), Counts: f.core.AnswerCounts, Read: func(text []byte) (*policy.Document, error) {
+		d, err := config.ReadPolicy("policy", text, f.config.PolicyLevel)
 		if err != nil {
 			return nil, err
 		}
 		room := policy.NodeCapacity{}
 		if n := f.policy.program.platform; n != nil {
-			room = policy.NodeCapacity{Descriptors: n.conf.Sockets, MemoryMB: n.conf.MemoryMB}
+			room = policy.NodeCapacity{Descriptors: n.config.Sockets, MemoryMB: n.config.MemoryMB}
 		}
 		if why := d.Fits(room); why != "" {
 			return nil, fmt.Errorf("policy: %s", why)
@@ -55,22 +55,22 @@
 	}}
 }
 
-// stand has the core take requests under the number that this node may serve by.
-func (f *fleet) stand() {
-	if f.agent == nil || f.conf.List.Policy == nil {
+// applyPolicy has the core take requests under the number that this node may serve by.
+func (f *fleet) applyPolicy() {
+	if f.agent == nil || f.config.List.Policy == nil {
 		return
 	}
 	p := &f.policy
 	s, until := f.agent.ActivePolicy()
-	if s.Known && s.Number > 0 && s.Number == p.beyond {
+	if s.Known && s.Number > 0 && s.Number == p.unusable {
 		s.Known = false
 	}
-	if s.Known && (!p.set || s.Number != p.number) {
+	if s.Known && (!p.applied || s.Number != p.number) {
 		var doc *policy.Document
 		if s.Number > 0 {
 			d, err := f.policyOptions().Read(s.Text)
 			if err != nil {
-				p.beyond, s.Known = s.Number, false
+				p.unusable, s.Known = s.Number, false
 				f.agent.RejectPolicy(s.Number)
 				zap.L().Error("fleet_policy_beyond_this_node", zap.Uint64("number", s.Number), zap.Error(err),
 					zap.String("what", "it takes nothing but classes with a ground, by the last policy that it could read"))
@@ -78,53 +78,53 @@
 			doc = d
 		}
 		if s.Known {
-			p.set, p.number, p.doc = true, s.Number, doc
-			f.overlay(false)
+			p.applied, p.number, p.document = true, s.Number, doc
+			f.overlayPolicy(false)
 			zap.L().Info("fleet_policy_in_use", zap.Uint64("number", s.Number), zap.String("digest", policy.Digest(s.Text)))
 		}
 	}
 	until = max(0, until)
-	ends := f.begin.Add(until)
-	lease := edge.Lease{Number: s.Number, Known: s.Known, Expires: ends, OnDecision: f.told(), RetryAfter: time.Duration(f.conf.ComeAgain)}
-	if d := p.doc; d != nil {
+	ends := f.start.Add(until)
+	lease := edge.Lease{Number: s.Number, Known: s.Known, Expires: ends, OnDecision: f.admissionRecorder(), RetryAfter: time.Duration(f.config.ComeAgain)}
+	if d := p.document; d != nil {
 		lease.RetryAfter = d.RetryAfter
-		lease.OnExpiry = func() { f.overlay(true) }
+		lease.OnExpiry = func() { f.overlayPolicy(true) }
 		lease.BasePolicy = func(class int) bool {
 			classes := f.core.Classes()
 			return class < len(classes) && slices.ContainsFunc(d.Classes, func(c policy.Class) bool { return c.ServedByBase && c.Name == classes[class].Name })
 		}
 	}
 	live := s.Known && f.loop.Now().Before(ends)
-	if live && p.lapsed {
-		f.overlay(false)
+	if live && p.onBase {
+		f.overlayPolicy(false)
 	}
 	f.core.UseLease(lease)
-	if live && p.program.waits {
-		p.program.waits = false
-		p.program.takesClients()
+	if live && p.program.awaitsPolicy {
+		p.program.awaitsPolicy = false
+		p.program.announceReady()
 	}
 }
 
-// overlay puts the policy in use over the node's files, or its ground.
-func (f *fleet) overlay(ground bool) {
+// overlayPolicy puts the policy in use over the node's files, or its ground.
+func (f *fleet) overlayPolicy(ground bool) {
 	p := &f.policy
-	p.lapsed = ground
+	p.onBase = ground
 	n := p.program.platform
-	if n == nil || p.doc == nil && n.over == nil {
+	if n == nil || p.document == nil && n.overlay == nil {
 		return
 	}
 	if ground {
 		zap.L().Warn("fleet_policy_lease_over", zap.Uint64("number", p.number), zap.String("what", "classes with a ground are served by it, others are refused"))
 	}
-	if d := p.doc; d != nil {
-		n.over = func(s wire.Settings) wire.Settings { return under(d, s, ground) }
+	if d := p.document; d != nil {
+		n.overlay = func(s wire.Settings) wire.Settings { return withPolicy(d, s, ground) }
 	}
-	n.adapt(n.parts)
-	f.adapt()
+	n.applySettings(n.processes)
+	f.updateClasses()
 }
 
-// under is a node's own settings with a policy over them.
-func under(d *policy.Document, s wire.Settings, ground bool) wire.Settings {
+// withPolicy is a node's own settings with a policy over them.
+func withPolicy(d *policy.Document, s wire.Settings, ground bool) wire.Settings {
 	old := s.Classes
 	s.Classes, s.ClassByName = nil, map[string]int{}
 	for i, k := range d.Classes {
@@ -159,21 +159,21 @@
 	return s
 }
 
-// serves says whether this node takes requests by the policy in force; without one on the log each does.
-func (f *fleet) serves() bool {
-	if f.conf.List.Policy == nil {
+// servesPolicy says whether this node takes requests by the policy in force; without one on the log each does.
+func (f *fleet) servesPolicy() bool {
+	if f.config.List.Policy == nil {
 		return true
 	}
-	if f.agent == nil || !f.policy.set {
+	if f.agent == nil || !f.policy.applied {
 		return false
 	}
 	s, until := f.agent.ActivePolicy()
 	return s.Known && s.Number == f.policy.number && f.now() < until
 }
 
-// disagrees says what a file says otherwise than the policy in use; empty: nothing. Attempts are a node's own limit as well: the lower one counts.
-func (f *fleet) disagrees(s wire.Settings) string {
-	d := f.policy.doc
+// conflictWithPolicy says what a file says otherwise than the policy in use; empty: nothing. Attempts are a node's own limit as well: the lower one counts.
+func (f *fleet) conflictWithPolicy(s wire.Settings) string {
+	d := f.policy.document
 	if d == nil {
 		return ""
 	}
@@ -197,27 +197,27 @@
 	return ""
 }
 
-// told keeps which request was taken under which number, where the log wants it; a laboratory reads it there.
-func (f *fleet) told() func(id choice.RequestID, number uint64, how string) {
+// admissionRecorder keeps which request was taken under which number, where the log wants it; a laboratory reads it there.
+func (f *fleet) admissionRecorder() func(id choice.RequestID, number uint64, how string) {
 	if !zap.L().Core().Enabled(zap.DebugLevel) {
 		return nil
 	}
 	return func(id choice.RequestID, number uint64, how string) {
 		p := &f.policy
-		if len(p.admitted) >= mostAdmitted {
-			p.more++
+		if len(p.admitted) >= maxLoggedAdmissions {
+			p.unloggedAdmissions++
 			return
 		}
 		p.admitted = append(p.admitted, fmt.Sprintf("%s=%d=%s=%d", id, number, how, f.now().Microseconds()))
 	}
 }
 
-func (f *fleet) tellAdmitted(now time.Time) {
+func (f *fleet) logAdmitted(now time.Time) {
 	p := &f.policy
-	if len(p.admitted) == 0 || now.Sub(p.told) < admittedTime {
+	if len(p.admitted) == 0 || now.Sub(p.loggedAt) < admissionLogInterval {
 		return
 	}
-	p.told = now
-	zap.L().Debug("fleet_admitted", zap.String("requests", strings.Join(p.admitted, " ")), zap.Int64("now", f.now().Microseconds()), zap.Int("untold", p.more))
-	p.admitted, p.more = p.admitted[:0], 0
+	p.loggedAt = now
+	zap.L().Debug("fleet_admitted", zap.String("requests", strings.Join(p.admitted, " ")), zap.Int64("now", f.now().Microseconds()), zap.Int("untold", p.unloggedAdmissions))
+	p.admitted, p.unloggedAdmissions = p.admitted[:0], 0
 }
--- a/internal/node/policy_test.go
+++ b/internal/node/policy_test.go
@@ -32,7 +32,7 @@
 		attempts int
 		patience time.Duration
 	}{{false, 3, 3 * time.Second}, {true, 1, 2 * time.Second}} {
-		s := under(d, own, c.ground).After(own)
+		s := withPolicy(d, own, c.ground).After(own)
 		if s.ClassByName["b"] != 1 || s.ClassByName["new"] != 2 || !s.Classes[0].Removed || s.Classes[0].Idempotency != choice.NotIdempotent {
 			t.Errorf("ground %v: classes %+v, by name %v", c.ground, s.Classes, s.ClassByName)
 		}
@@ -43,16 +43,16 @@
 			t.Errorf("ground %v: %+v, %d attempts", c.ground, b, s.Limits.MaxAttempts)
 		}
 	}
-	f := &fleet{policy: policed{number: 7, doc: d}}
-	if why := f.disagrees(own); !strings.Contains(why, "policy 7 of the fleet") {
+	f := &fleet{policy: policyState{number: 7, document: d}}
+	if why := f.conflictWithPolicy(own); !strings.Contains(why, "policy 7 of the fleet") {
 		t.Errorf("a file with a class that the policy doesn't have: %q", why)
 	}
 	own.ClassByName = map[string]int{"b": 1}
-	if why := f.disagrees(own); !strings.HasPrefix(why, "giveUpS of b is 9s, policy 7 of the fleet has 3s") {
+	if why := f.conflictWithPolicy(own); !strings.HasPrefix(why, "giveUpS of b is 9s, policy 7 of the fleet has 3s") {
 		t.Errorf("a file with another patience: %q", why)
 	}
 	own.Classes[1].Deadline, own.Classes[1].SetupObjective, own.Classes[1].Priority, own.Limits.MaxAttempts = 3*time.Second, time.Second, 2, 4
-	if why := f.disagrees(own); why != "" {
+	if why := f.conflictWithPolicy(own); why != "" {
 		t.Errorf("a file that agrees: %q", why)
 	}
 }
@@ -73,20 +73,20 @@
 	}
 	seen, told := observer.New(zap.ErrorLevel)
 	defer zap.ReplaceGlobals(zap.New(seen))()
-	f := &fleet{loop: l, core: core, begin: time.Now(), policy: policed{program: &Program{}},
-		conf: config.Fleet{Self: "a", List: &config.FleetList{List: list, Policy: &config.FleetPolicy{Window: config.Duration(5 * time.Second)}}}}
+	f := &fleet{loop: l, core: core, start: time.Now(), policy: policyState{program: &Program{}},
+		config: config.Fleet{Self: "a", List: &config.FleetList{List: list, Policy: &config.FleetPolicy{Window: config.Duration(5 * time.Second)}}}}
 	state := &policy.State{Number: 1, LastNumber: 1, Documents: []policy.VersionedDocument{{Number: 1, Text: []byte("newer = 1\n")}}}
 	if f.agent, err = agent.New(agent.Options{List: list, Key: []byte("k"), Policy: f.policyOptions(),
 		Records: []agree.Record{{Log: 7, Newest: []agree.Entry{{Number: 3, Kind: policy.Kind, Data: state.Encode()}}}}}, 0); err != nil {
 		t.Fatal(err)
 	}
 	for range 10 {
-		f.stand()
+		f.applyPolicy()
 	}
 	if n := told.FilterMessage("fleet_policy_beyond_this_node").Len(); n != 1 {
 		t.Errorf("told %d times, wanted once", n)
 	}
-	if f.serves() {
+	if f.servesPolicy() {
 		t.Error("it says that it serves")
 	}
 }
--- a/internal/node/pushed_test.go
+++ b/internal/node/pushed_test.go
@@ -48,8 +48,8 @@
 		t.Fatal(err)
 	}
 	p := newProgram(l)
-	p.firstList = time.Hour
-	_, at, err := p.serve(n, nil)
+	p.firstListWait = time.Hour
+	_, at, err := p.newPlatform(n, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	rereadPause = 100 * time.Millisecond // between two tries at files that could not be read for a moment
-	rereadFor   = 30 * time.Second       // then the old configuration stays, until the next signal
+	reloadRetryInterval = 100 * time.Millisecond // between two tries at files that could not be read for a moment
+	reloadRetryTime     = 30 * time.Second       // then the old configuration stays, until the next signal
 )
 
 // Reload reads the files again. They take effect all together, or one fault has everything stay as it was.
 func (p *Program) Reload() {
-	if p.rereading != nil {
-		p.rereading()
-		p.rereading = nil
+	if p.cancelReload != nil {
+		p.cancelReload()
+		p.cancelReload = nil
 	}
-	p.reloadUntil(p.loop.Now().Add(rereadFor))
+	p.reloadUntil(p.loop.Now().Add(reloadRetryTime))
 }
 
 // reloadUntil tries again, up to a time, where files can't be read for a moment: no further signal would come for them.
 func (p *Program) reloadUntil(end time.Time) {
-	takes, err := p.reread()
-	next := p.loop.Now().Add(rereadPause)
+	takes, err := p.readFiles()
+	next := p.loop.Now().Add(reloadRetryInterval)
 	switch {
 	case err == nil:
 		for _, take := range takes {
@@ -34,8 +34,8 @@
 		p.figures.ReloadsOK++
 	case loop.IsTransient(err) && next.Before(end):
 		zap.L().Warn("reload_tried_again", zap.Error(err))
-		p.rereading = p.loop.At(next, func() {
-			p.rereading = nil
+		p.cancelReload = p.loop.At(next, func() {
+			p.cancelReload = nil
 			p.reloadUntil(end)
 		})
 	default:
@@ -44,9 +44,9 @@
 	}
 }
 
-// reread reads and checks all files; what it returns has them take effect.
-func (p *Program) reread() (takes []func(), err error) {
-	for _, read := range p.reloads {
+// readFiles reads and checks all files; what it returns has them take effect.
+func (p *Program) readFiles() (takes []func(), err error) {
+	for _, read := range p.reloaders {
 		take, err := read()
 		if err != nil {
 			return nil, err
--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -22,7 +22,7 @@
 	addr    string
 	more    string // further listeners, certificates
 	l       *loop.Loop
-	op      *operated
+	op      *operatorFronts
 }
 
 func newVillage(t testing.TB, servers int, more string) *village {
@@ -76,7 +76,7 @@
 func (f *village) reload() (err error) {
 	done := make(chan error)
 	f.l.Post(func() {
-		take, err := f.op.reread()
+		take, err := f.op.readFile()
 		if err == nil {
 			take()
 		}
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -18,10 +18,10 @@
 			t.Fatal(err)
 		}
 		p := newProgram(l)
-		p.exit = 0
+		p.shutdownTime = 0
 		var order []string
-		p.reloads = append(p.reloads, func() (func(), error) { return func() { order = append(order, "reload") }, nil })
-		p.leaves = append(p.leaves, func() { order = append(order, "leave") })
+		p.reloaders = append(p.reloaders, func() (func(), error) { return func() { order = append(order, "reload") }, nil })
+		p.onShutdown = append(p.onShutdown, func() { order = append(order, "leave") })
 		reload, stop := make(chan os.Signal, 1), make(chan os.Signal, 2)
 		reload <- syscall.SIGHUP
 		stop <- syscall.SIGTERM
--- a/internal/node/slow_test.go
+++ b/internal/node/slow_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, at, err := newProgram(l).serve(n, nil)
+	_, at, err := newProgram(l).newPlatform(n, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
