--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 	"reflect"
+	"slices"
 	"testing"
 	"time"
 )
@@ -11,6 +12,7 @@
 // script plays a random but legal caller, with odd events mixed in, for a while; the referee judges. It returns all
 // actions.
 func script(tb testing.TB, seed uint64, steps int) [][]Action {
+	tb.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	settings := plain()
 	settings.Nodes, settings.GroupAffinity, settings.Subscribe = 1+rng.IntN(50), rng.IntN(2) == 0, rng.IntN(2) == 0
@@ -24,133 +26,163 @@
 		})
 	referee := newReferee(tb, settings, seed)
 	servers := fleet(1 + rng.IntN(12))
-	var all [][]Action
-	step := func(e ...Event) { all = append(all, referee.step(e...)) }
-	step(servers)
-	type attempt struct {
-		id  RequestID
-		n   int
-		to  ServerID
-		cut time.Duration
-	}
-	var out, open []attempt
-	var checks []ServerID
-	next := 0
+	caller := &scriptCaller{rng: rng, referee: referee, servers: servers}
+	caller.step(servers)
 	for range steps {
-		referee.now += ms(5)
-		for _, a := range referee.last {
-			switch a := a.(type) {
-			case StartAttempt:
-				out = append(out, attempt{a.ID, referee.reqs[a.ID].sent - 1, a.Server, referee.now + a.Timeout})
-			case HealthCheck:
-				checks = append(checks, a.Server)
-			}
-		}
-		var events []Event
-		var due []timer
-		for i := 0; i < len(referee.timers); {
-			if referee.timers[i].at <= referee.now {
-				due = append(due, referee.timers[i])
-				referee.timers = append(referee.timers[:i], referee.timers[i+1:]...)
-			} else {
-				i++
-			}
-		}
-		for _, d := range due {
-			events = append(events, TimerFired{d.token})
+		caller.play()
+	}
+	referee.run(referee.now) // no timer left behind; every deadline passed is answered
+	return caller.all
+}
+
+// scriptCaller plays what a node may do, by chance.
+type scriptCaller struct {
+	rng       *rand.Rand
+	referee   *referee
+	servers   ServerList
+	all       [][]Action
+	out, open []scriptAttempt
+	checks    []ServerID
+	requests  int
+}
+
+type scriptAttempt struct {
+	id     RequestID
+	number int
+	server ServerID
+	until  time.Duration
+}
+
+// ended is the attempt's end.
+func (a scriptAttempt) ended(outcome Outcome, final bool) AttemptEnded {
+	return AttemptEnded{ID: a.id, Attempt: a.number, Server: a.server, Outcome: outcome, Final: final}
+}
+
+func (c *scriptCaller) step(events ...Event) { c.all = append(c.all, c.referee.step(events...)) }
+
+// play is five milliseconds.
+func (c *scriptCaller) play() {
+	c.referee.now += ms(5)
+	for _, a := range c.referee.last {
+		switch action := a.(type) {
+		case StartAttempt:
+			number := c.referee.reqs[action.ID].sent - 1
+			c.out = append(c.out, scriptAttempt{action.ID, number, action.Server, c.referee.now + action.Timeout})
+		case HealthCheck:
+			c.checks = append(c.checks, action.Server)
 		}
-		for i := 0; i < len(out); {
-			sent := out[i]
-			roll := rng.IntN(20)
-			over := referee.reqs[sent.id].done || referee.reqs[sent.id].gone
-			switch {
-			case referee.now+ms(5) >= sent.cut:
-				events = append(events, AttemptEnded{
-					ID: sent.id, Attempt: sent.n, Server: sent.to, Outcome: TimedOut,
-					Final: over,
-				})
-			case roll == 0 && !over:
-				events = append(events, Established{ID: sent.id, Attempt: sent.n, Server: sent.to})
-				open = append(open, sent)
-			case roll == 1:
-				events = append(events, AttemptEnded{
-					ID: sent.id, Attempt: sent.n, Server: sent.to,
-					Outcome: Outcome(1 + rng.IntN(7)), Final: over,
-				})
-			default:
-				i++
-				continue
-			}
-			out = append(out[:i], out[i+1:]...)
+	}
+	events := c.dueTimers()
+	events = append(events, c.attempts()...)
+	events = append(events, c.healthChecks()...)
+	events = append(events, c.openConnections()...)
+	events = append(events, c.others()...)
+	// One of the others may name a real attempt: keep the caller's book in line with it.
+	c.out = slices.DeleteFunc(c.out, func(attempt scriptAttempt) bool {
+		return slices.ContainsFunc(events, func(event Event) bool {
+			ended, ok := event.(AttemptEnded)
+			return ok && ended.ID == attempt.id && ended.Attempt == attempt.number
+		})
+	})
+	c.step(events...)
+}
+
+// dueTimers fires the timers whose time has come.
+func (c *scriptCaller) dueTimers() (events []Event) {
+	c.referee.timers = slices.DeleteFunc(c.referee.timers, func(timer timer) bool {
+		due := timer.at <= c.referee.now
+		if due {
+			events = append(events, TimerFired{timer.token})
 		}
-		for i := range checks {
-			if rng.IntN(3) == 0 {
-				events = append(events, HealthCheckResult{
-					Server: checks[i], Outcome: Outcome(rng.IntN(8) * rng.IntN(2)),
-					Report: []float64{rng.Float64() * 1.5, float64(rng.IntN(50))},
-				})
-				checks = append(checks[:i], checks[i+1:]...)
-				break
-			}
+		return due
+	})
+	return events
+}
+
+// attempts has some of the attempts that are out succeed or end.
+func (c *scriptCaller) attempts() (events []Event) {
+	c.out = slices.DeleteFunc(c.out, func(sent scriptAttempt) bool {
+		roll := c.rng.IntN(20)
+		over := c.referee.reqs[sent.id].done || c.referee.reqs[sent.id].gone
+		switch {
+		case c.referee.now+ms(5) >= sent.until:
+			events = append(events, sent.ended(TimedOut, over))
+		case roll == 0 && !over:
+			events = append(events, Established{ID: sent.id, Attempt: sent.number, Server: sent.server})
+			c.open = append(c.open, sent)
+		case roll == 1:
+			events = append(events, sent.ended(Outcome(1+c.rng.IntN(7)), over))
+		default:
+			return false
 		}
-		if len(open) > 0 && rng.IntN(6) == 0 {
-			i := rng.IntN(len(open))
-			switch a := open[i]; rng.IntN(3) {
-			case 0:
-				events = append(events, AttemptEnded{ID: a.id, Attempt: a.n, Server: a.to, Outcome: Reset, Final: true})
-				open = append(open[:i], open[i+1:]...)
-			case 1:
-				events = append(events, LoadUpdate{ID: a.id, Attempt: a.n, Load: rng.Float64() * 5})
-			case 2:
-				events = append(events, DelayObservation{ID: a.id, Server: a.to, Took: ms(rng.IntN(400))})
-			}
+		return true
+	})
+	return events
+}
+
+// healthChecks answers at most one health check.
+func (c *scriptCaller) healthChecks() (events []Event) {
+	for i, server := range c.checks {
+		if c.rng.IntN(3) != 0 {
+			continue
 		}
-		switch rng.IntN(12) {
-		case 0, 1, 2, 3:
-			next++
-			events = append(events, Request{
-				ID: RequestID(fmt.Sprint("r", next)), Class: rng.IntN(3), Tenant: -1,
-				Key: rng.Uint64N(9), Group: rng.Uint64N(5), TimeLeft: ms(rng.IntN(900)), Load: rng.Float64(),
-			})
-		case 4:
-			i := rng.IntN(len(servers.Servers))
-			servers.Servers[i].State = ServerState(rng.IntN(3) * rng.IntN(2))
-			if rng.IntN(3) == 0 {
-				servers.Servers[i].Started = referee.now
-			}
-			events = append(events, ServerList{Kind: ListChange, Servers: servers.Servers[i : i+1]})
-		case 5:
-			events = append(events, ServerList{Kind: ListUnavailable})
-		case 6:
-			events = append(events, ClientGone{ID: RequestID(fmt.Sprint("r", rng.IntN(next+1)))})
-		case 7:
-			events = append(events, TimerFired{fmt.Sprint("hold r", rng.IntN(next+1))})
-			// a caller tells nothing of attempts that it was not given
-			if r := referee.reqs["r1"]; r != nil && r.sent > 0 {
-				events = append(events, AttemptEnded{
-					ID: "r1", Attempt: rng.IntN(r.sent), Server: "s000",
-					Outcome: Full,
-				})
-			}
+		c.checks = slices.Delete(c.checks, i, i+1)
+		return []Event{HealthCheckResult{
+			Server: server, Outcome: Outcome(c.rng.IntN(8) * c.rng.IntN(2)),
+			Report: []float64{c.rng.Float64() * 1.5, float64(c.rng.IntN(50))},
+		}}
+	}
+	return nil
+}
+
+// openConnections has something happen to an open connection now and then.
+func (c *scriptCaller) openConnections() []Event {
+	if len(c.open) == 0 || c.rng.IntN(6) != 0 {
+		return nil
+	}
+	i := c.rng.IntN(len(c.open))
+	connection := c.open[i]
+	switch c.rng.IntN(3) {
+	case 0:
+		c.open = slices.Delete(c.open, i, i+1)
+		return []Event{connection.ended(Reset, true)}
+	case 1:
+		return []Event{LoadUpdate{ID: connection.id, Attempt: connection.number, Load: c.rng.Float64() * 5}}
+	default:
+		return []Event{DelayObservation{ID: connection.id, Server: connection.server, Took: ms(c.rng.IntN(400))}}
+	}
+}
+
+// others is requests, changes of the list, and odd events.
+func (c *scriptCaller) others() []Event {
+	switch c.rng.IntN(12) {
+	case 0, 1, 2, 3:
+		c.requests++
+		return []Event{Request{
+			ID: RequestID(fmt.Sprint("r", c.requests)), Class: c.rng.IntN(3), Tenant: -1,
+			Key: c.rng.Uint64N(9), Group: c.rng.Uint64N(5), TimeLeft: ms(c.rng.IntN(900)), Load: c.rng.Float64(),
+		}}
+	case 4:
+		i := c.rng.IntN(len(c.servers.Servers))
+		c.servers.Servers[i].State = ServerState(c.rng.IntN(3) * c.rng.IntN(2))
+		if c.rng.IntN(3) == 0 {
+			c.servers.Servers[i].Started = c.referee.now
 		}
-		// the odd attempt event above may name a real attempt: keep the caller's book in line with it
-		for i := 0; i < len(out); {
-			gone := false
-			for _, e := range events {
-				if x, ok := e.(AttemptEnded); ok && x.ID == out[i].id && x.Attempt == out[i].n {
-					gone = true
-				}
-			}
-			if gone {
-				out = append(out[:i], out[i+1:]...)
-			} else {
-				i++
-			}
+		return []Event{ServerList{Kind: ListChange, Servers: c.servers.Servers[i : i+1]}}
+	case 5:
+		return []Event{ServerList{Kind: ListUnavailable}}
+	case 6:
+		return []Event{ClientGone{ID: RequestID(fmt.Sprint("r", c.rng.IntN(c.requests+1)))}}
+	case 7:
+		events := []Event{TimerFired{fmt.Sprint("hold r", c.rng.IntN(c.requests+1))}}
+		// A caller tells nothing of attempts that it was not given.
+		if request := c.referee.reqs["r1"]; request != nil && request.sent > 0 {
+			attempt := c.rng.IntN(request.sent)
+			events = append(events, AttemptEnded{ID: "r1", Attempt: attempt, Server: "s000", Outcome: Full})
 		}
-		step(events...)
+		return events
 	}
-	referee.run(referee.now) // no timer left behind; every deadline passed is answered
-	return all
+	return nil
 }
 
 func TestRulesOverRandomScripts(t *testing.T) {
--- a/choice/golden_decisions_test.go
+++ b/choice/golden_decisions_test.go
@@ -37,9 +37,9 @@
 func newRecorder(from time.Duration) *recorder { return &recorder{hash: sha256.New(), from: from} }
 
 func (r *recorder) write(format string, args ...any) {
-	fmt.Fprintf(r.hash, format, args...)
+	_, _ = fmt.Fprintf(r.hash, format, args...) // a hash takes all
 	if r.text != nil {
-		fmt.Fprintf(r.text, format, args...)
+		_, _ = fmt.Fprintf(r.text, format, args...) // told by Flush
 	}
 }
 
@@ -188,9 +188,10 @@
 
 // play has some requests come to a balancer whose servers all set connections up, report a middling load, and leave
 // now and then.
-func (r *recorder) play(now *time.Duration, b *choice.Balancer, s choice.Settings, node, round int) {
+func (r *recorder) play(now *time.Duration, balancer *choice.Balancer, settings choice.Settings,
+	node, round int,
+) {
 	var events []choice.Event
-	report := make([]float64, len(s.ReportFields))
 	for i := range 60 {
 		*now += 50 * time.Millisecond
 		if i%20 == 0 {
@@ -198,47 +199,48 @@
 		}
 		id := choice.RequestID(fmt.Sprintf("after-%d-%d", round, i))
 		events = append(events, choice.Request{
-			ID: id, Class: i % len(s.Classes), Tenant: i%(len(s.Tenants)+1) - 1, Key: uint64(i) * 7919,
+			ID: id, Class: i % len(settings.Classes), Tenant: i%(len(settings.Tenants)+1) - 1, Key: uint64(i) * 7919,
 			Group:    uint64(i % 4),
 			TimeLeft: time.Second, Returned: i%5 == 0,
 		})
 		for range 4 {
-			actions := b.Step(*now, events)
+			actions := balancer.Step(*now, events)
 			r.step(*now, node, actions)
 			events = nil
-			for _, a := range actions {
-				switch action := a.(type) {
-				case choice.StartAttempt:
-					events = append(events, choice.Established{
-						ID: action.ID, Server: action.Server,
-						Took: time.Duration(20+i%7*i%13*20) * time.Millisecond,
-					})
-					if i%4 == 1 {
-						events = append(events, choice.DelayObservation{
-							ID: action.ID, Server: action.Server,
-							Took: time.Duration(i*8) * time.Millisecond,
-						})
-					}
-					if i%3 == 0 {
-						events = append(events, choice.AttemptEnded{
-							ID: action.ID, Server: action.Server,
-							Outcome: choice.Outcome(i / 3 % 8), Final: true,
-						})
-					}
-				case choice.HealthCheck:
-					for f := range report {
-						report[f] = 0.2 + 0.6*float64((i+f)%10)/10
-					}
-					events = append(events, choice.HealthCheckResult{
-						Server: action.Server, Outcome: choice.Served,
-						Report: slices.Clone(report),
-					})
-				}
+			for _, action := range actions {
+				events = append(events, answerTo(action, i, len(settings.ReportFields))...)
 			}
 		}
 	}
 }
 
+// answerTo is what the servers of play answer to an action after the i-th request.
+func answerTo(a choice.Action, i, fields int) (events []choice.Event) {
+	switch action := a.(type) {
+	case choice.StartAttempt:
+		events = append(events, choice.Established{
+			ID: action.ID, Server: action.Server, Took: time.Duration(20+i%7*i%13*20) * time.Millisecond,
+		})
+		if i%4 == 1 {
+			events = append(events, choice.DelayObservation{
+				ID: action.ID, Server: action.Server, Took: time.Duration(i*8) * time.Millisecond,
+			})
+		}
+		if i%3 == 0 {
+			events = append(events, choice.AttemptEnded{
+				ID: action.ID, Server: action.Server, Outcome: choice.Outcome(i / 3 % 8), Final: true,
+			})
+		}
+	case choice.HealthCheck:
+		report := make([]float64, fields)
+		for field := range report {
+			report[field] = 0.2 + 0.6*float64((i+field)%10)/10
+		}
+		events = append(events, choice.HealthCheckResult{Server: action.Server, Outcome: choice.Served, Report: report})
+	}
+	return events
+}
+
 // checkGoldenLines wants a record to be as its golden file has it, and says where the first difference is.
 func checkGoldenLines(t *testing.T, name string, have []string) {
 	t.Helper()
--- a/choice/golden_test.go
+++ b/choice/golden_test.go
@@ -72,7 +72,7 @@
 // wantNoZeroField fails for a struct with a field that is zero, at any depth.
 func wantNoZeroField(t *testing.T, name string, value reflect.Value) {
 	t.Helper()
-	switch value.Kind() {
+	switch value.Kind() { //nolint:exhaustive // other kinds have no fields
 	case reflect.Struct:
 		for i := range value.NumField() {
 			wantNoZeroField(t, name+"."+value.Type().Field(i).Name, value.Field(i))
--- a/choice/healthcheck_test.go
+++ b/choice/healthcheck_test.go
@@ -28,22 +28,26 @@
 			})
 		}
 		checks, moves := 0, 0
+		answer := func(a Action) []Event {
+			switch action := a.(type) {
+			case HealthCheck:
+				if checks++; action.Server != "full" {
+					t.Errorf("asked %s, which holds nothing", action.Server)
+				}
+				return []Event{HealthCheckResult{Server: action.Server, Report: []float64{3}}}
+			case Migrate:
+				moves++
+				return []Event{AttemptEnded{ID: action.ID, Server: "full", Outcome: Cancelled, Final: true}}
+			case SetTimer:
+				return []Event{TimerFired{action.Token}}
+			}
+			return nil
+		}
 		for range 30 {
 			events := next
 			next = nil
-			for _, a := range balancer.Step(now, events) {
-				switch action := a.(type) {
-				case HealthCheck:
-					if checks++; action.Server != "full" {
-						t.Errorf("asked %s, which holds nothing", action.Server)
-					}
-					next = append(next, HealthCheckResult{Server: action.Server, Report: []float64{3}})
-				case Migrate:
-					moves++
-					next = append(next, AttemptEnded{ID: action.ID, Server: "full", Outcome: Cancelled, Final: true})
-				case SetTimer:
-					next = append(next, TimerFired{action.Token})
-				}
+			for _, action := range balancer.Step(now, events) {
+				next = append(next, answer(action)...)
 			}
 			now += time.Second
 		}
--- a/choice/inference_test.go
+++ b/choice/inference_test.go
@@ -44,10 +44,10 @@
 }
 
 // connect places a request and has its connection stand; it returns the server, or "" where the request was rejected.
-func connect(balancer *Balancer, now time.Duration, id RequestID, class int, group uint64, returned bool) ServerID {
+func connect(balancer *Balancer, now time.Duration, id RequestID, class int, group uint64) ServerID {
 	for _, a := range balancer.Step(now, []Event{Request{
 		ID: id, Class: class, Tenant: -1, Group: group,
-		TimeLeft: 5 * time.Second, Returned: returned,
+		TimeLeft: 5 * time.Second,
 	}}) {
 		if a, ok := a.(StartAttempt); ok {
 			balancer.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
@@ -64,7 +64,7 @@
 	servers := map[RequestID]ServerID{}
 	for i := range 20 {
 		id := RequestID(fmt.Sprint(i))
-		servers[id] = connect(balancer, now, id, i%2, uint64(i+1), false)
+		servers[id] = connect(balancer, now, id, i%2, uint64(i+1))
 	}
 	before := 0.0
 	for _, s := range balancer.servers {
@@ -113,7 +113,7 @@
 	const group = 7
 	var home ServerID
 	for i := range 6 {
-		home = connect(balancer, now, RequestID(fmt.Sprint(i)), 0, group, false)
+		home = connect(balancer, now, RequestID(fmt.Sprint(i)), 0, group)
 	}
 	server, moved := balancer.findServer(home), 0
 	for i := range 5 {
@@ -134,7 +134,7 @@
 	if moved == 0 {
 		t.Error("nobody was moved off it")
 	}
-	if to := connect(balancer, now, "next", 0, group, false); to == home {
+	if to := connect(balancer, now, "next", 0, group); to == home {
 		t.Error("the group's next connection went there all the same")
 	}
 	quiet := balancer.predictedLoad(server)
@@ -213,7 +213,7 @@
 				{ID: "small", Size: 1},
 				{ID: "mid", Size: 2},
 			}}})
-			seen[connect(balancer, time.Hour, "r", 0, group+1, false)] = true
+			seen[connect(balancer, time.Hour, "r", 0, group+1)] = true
 			if node == 0 {
 				for id := range seen {
 					first[id]++
@@ -267,7 +267,7 @@
 	for i := range 50 {
 		now += 200 * time.Millisecond
 		balancer.Step(now, []Event{TimerFired{Token: "tick"}})
-		if connect(balancer, now, RequestID(fmt.Sprint("calm", i)), 0, uint64(1+i%5), false) == "" {
+		if connect(balancer, now, RequestID(fmt.Sprint("calm", i)), 0, uint64(1+i%5)) == "" {
 			rejected++
 			if i > 10 {
 				t.Errorf("request %d is rejected in a calm minute", i)
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -59,24 +59,31 @@
 	}
 }
 
-func (f *fleetOf) run(to time.Duration, every time.Duration) {
-	for ; f.now < to; f.now += 10 * time.Millisecond {
-		var events []Event
-		for at, tokens := range f.timer {
-			if at <= f.now {
-				for _, t := range tokens {
-					events = append(events, TimerFired{t})
-				}
-				delete(f.timer, at)
-			}
+// due is the timers and the ends of connections whose time has come.
+func (f *fleetOf) due() (events []Event) {
+	for at, tokens := range f.timer {
+		if at > f.now {
+			continue
 		}
-		for id, at := range f.ends {
-			if at <= f.now {
-				delete(f.on, id)
-				delete(f.ends, id)
-				events = append(events, AttemptEnded{ID: id, Server: "", Outcome: Served, Final: true})
-			}
+		for _, token := range tokens {
+			events = append(events, TimerFired{token})
+		}
+		delete(f.timer, at)
+	}
+	for id, at := range f.ends {
+		if at > f.now {
+			continue
 		}
+		delete(f.on, id)
+		delete(f.ends, id)
+		events = append(events, AttemptEnded{ID: id, Server: "", Outcome: Served, Final: true})
+	}
+	return events
+}
+
+func (f *fleetOf) run(until time.Duration, every time.Duration) {
+	for ; f.now < until; f.now += 10 * time.Millisecond {
+		events := f.due()
 		if f.now%every == 0 {
 			f.next++
 			events = append(events, Request{
@@ -85,7 +92,7 @@
 			})
 		}
 		f.step(events...)
-		if to-f.now > 5*time.Second {
+		if until-f.now > 5*time.Second {
 			continue // the figures of before are of no interest
 		}
 		f.b.Step(f.now, nil)
@@ -106,6 +113,46 @@
 	}
 }
 
+// takeOver has another process take the balancer's place, with what the first one has learned or without, and checks
+// that the first one's predictions stay and that the second one's are alike.
+func (f *fleetOf) takeOver(t *testing.T, seed uint64, list ServerList, learned bool) {
+	t.Helper()
+	was, before := f.b, map[ServerID]float64{}
+	was.Step(f.now, nil)
+	for _, server := range was.servers {
+		before[server.ID] = was.predictedLoad(server)
+	}
+	next, err := New(knows(), seed, f.now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.b = next
+	f.timer = map[time.Duration][]string{}
+	f.step(list)
+	if learned {
+		f.step(LearnedStateReceived{was.LearnedState()})
+	}
+	for id, server := range f.on {
+		f.step(OpenConnection{
+			Request: Request{ID: id, Tenant: -1}, Server: server, OriginalClass: &Class{Name: "gone"},
+		})
+		was.Step(f.now, []Event{Transferred{id}})
+	}
+	for _, server := range was.servers {
+		want := before[server.ID]
+		if load := was.predictedLoad(server); math.Abs(load-want) > 1e-9 {
+			t.Errorf("learned %v: the giver predicts %v for %v, want %v as before", learned, load, server.ID, want)
+		}
+		load := f.b.predictedLoad(f.b.findServer(server.ID))
+		if learned && math.Abs(load-want) > 5e-3 {
+			t.Errorf("the taker predicts %v for %v, want %v as the giver", load, server.ID, want)
+		}
+	}
+	if len(was.requests) != 0 {
+		t.Errorf("%d requests stay with the giver, want none", len(was.requests))
+	}
+}
+
 // TestLearnedStateIsInherited has one process take over from another: with what that one found out, its forecasts of
 // the servers' loads are as good at once; without, they are not in the first seconds.
 func TestLearnedStateIsInherited(t *testing.T) {
@@ -135,38 +182,7 @@
 			fleet.step(list)
 			fleet.run(start+90*time.Second, 500*time.Millisecond)
 			if how != "stays" {
-				was, before := fleet.b, map[ServerID]float64{}
-				was.Step(fleet.now, nil)
-				for _, s := range was.servers {
-					before[s.ID] = was.predictedLoad(s)
-				}
-				if fleet.b, err = New(knows(), seed+100, fleet.now); err != nil {
-					t.Fatal(err)
-				}
-				fleet.timer = map[time.Duration][]string{}
-				fleet.step(list)
-				if how == "learned" {
-					fleet.step(LearnedStateReceived{was.LearnedState()})
-				}
-				for id, s := range fleet.on {
-					fleet.step(OpenConnection{
-						Request: Request{ID: id, Tenant: -1}, Server: s,
-						OriginalClass: &Class{Name: "gone"},
-					})
-					was.Step(fleet.now, []Event{Transferred{id}})
-				}
-				for _, s := range was.servers {
-					if p := was.predictedLoad(s); math.Abs(p-before[s.ID]) > 1e-9 {
-						t.Errorf("%s: the giver takes %v for relieved: %v, %v before", how, s.ID, p, before[s.ID])
-					}
-					if p := fleet.b.predictedLoad(fleet.b.findServer(s.ID)); how == "learned" &&
-						math.Abs(p-before[s.ID]) > 5e-3 {
-						t.Errorf("the taker predicts %v for %v, the giver %v", p, s.ID, before[s.ID])
-					}
-				}
-				if len(was.requests) != 0 {
-					t.Errorf("%d requests stay with the giver", len(was.requests))
-				}
+				fleet.takeOver(t, seed+100, list, how == "learned")
 			}
 			for _, span := range []time.Duration{time.Second, 4 * time.Second} {
 				fleet.off, fleet.n = 0, 0
@@ -176,7 +192,8 @@
 		}
 	}
 	for _, span := range []time.Duration{time.Second, 4 * time.Second} {
-		t.Logf("mean error of a predicted load in the next %v: the same process %.3f, with what was learned %.3f, without %.3f",
+		t.Logf("mean error of a predicted load in the next %v: "+
+			"the same process %.3f, with what was learned %.3f, without %.3f",
 			span, errors[fmt.Sprint("stays", span)], errors[fmt.Sprint("learned", span)], errors[fmt.Sprint("empty",
 				span)])
 	}
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -142,54 +142,70 @@
 	}
 }
 
-func (j *rulesJudge) acted(n *simNode, a choice.Action) {
-	book, limits := j.book(n), j.w.settings.Limits
-	switch action := a.(type) {
+func (j *rulesJudge) acted(node *simNode, toCheck choice.Action) {
+	book := j.book(node)
+	switch action := toCheck.(type) {
 	case choice.StartAttempt:
-		j.sends(n, book, action)
+		j.sends(node, book, action)
 	case choice.Reject:
-		r := j.final(n, book, action.ID)
-		if r.mayHaveRun() != nil {
-			if r.class.Idempotency == choice.NotIdempotent || r.class.Idempotency == choice.IdempotentByKey &&
-				r.class.IdempotencyScope != choice.ScopeAll {
-				j.broken(n, "%s may have run and is rejected as if it had not: %+v", r.ID, r.class)
-			}
-			j.w.count("rejections of what may have run")
-		}
-		j.advises(n, action)
+		j.rejects(node, book, action)
 	case choice.Fail:
-		if r := j.final(n, book, action.ID); r.mayHaveRun() != nil {
+		if request := j.final(node, book, action.ID); request.mayHaveRun() != nil {
 			j.w.count("failures of what may have run")
 		}
-	case choice.CancelAttempt:
-		r := j.w.requests[action.ID]
-		if !limits.Cancellation || r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
-			j.broken(n, "%+v is not allowed or names no attempt", action)
-		}
-	case choice.HealthCheck:
-		if !limits.HealthChecks || !book.everListed[action.Server] {
-			j.broken(n, "%+v is not allowed or names no listed server", action)
-		}
 	case choice.Migrate:
-		r := j.w.requests[action.ID]
-		if r == nil || r.node != n || !r.open && !book.state(r).open || book.state(r).over {
-			j.broken(n, "%+v names no open connection of this node", action)
+		request := j.w.requests[action.ID]
+		if request == nil || request.node != node || !request.open && !book.state(request).open ||
+			book.state(request).over {
+			j.broken(node, "%+v names no open connection of this node", action)
 		}
 	case choice.SetTimer:
 		if action.Token == "" || action.After < 0 {
-			j.broken(n, "bad timer %+v", action)
+			j.broken(node, "bad timer %+v", action)
 		}
 	case choice.WatchList:
 		if !j.w.settings.Subscribe {
-			j.broken(n, "asks for a list that is pushed")
+			j.broken(node, "asks for a list that is pushed")
 		}
 		book.lostAt = 0
+	default:
+		j.mayDo(node, book, toCheck)
+	}
+}
+
+// mayDo checks the actions that the limits of the settings allow or forbid.
+func (j *rulesJudge) mayDo(node *simNode, book *nodeBook, toCheck choice.Action) {
+	limits := j.w.settings.Limits
+	switch action := toCheck.(type) {
+	case choice.CancelAttempt:
+		request := j.w.requests[action.ID]
+		if !limits.Cancellation || request == nil || action.Attempt < 0 || action.Attempt >= len(request.attempts) {
+			j.broken(node, "%+v is not allowed or names no attempt", action)
+		}
+	case choice.HealthCheck:
+		if !limits.HealthChecks || !book.everListed[action.Server] {
+			j.broken(node, "%+v is not allowed or names no listed server", action)
+		}
 	case choice.SendPeerMessage:
-		if !limits.PeerMessages || action.To < 0 || action.To >= len(j.w.nodes) || action.To == n.number ||
+		if !limits.PeerMessages || action.To < 0 || action.To >= len(j.w.nodes) || action.To == node.number ||
 			len(action.Data) > maxMessageBytes {
-			j.broken(n, "message of %d bytes to %d is not allowed or goes nowhere", len(action.Data), action.To)
+			j.broken(node, "message of %d bytes to %d is not allowed or goes nowhere", len(action.Data), action.To)
+		}
+	}
+}
+
+// rejects checks a rejection.
+func (j *rulesJudge) rejects(node *simNode, book *nodeBook, action choice.Reject) {
+	request := j.final(node, book, action.ID)
+	if request.mayHaveRun() != nil {
+		class := request.class
+		if class.Idempotency == choice.NotIdempotent ||
+			class.Idempotency == choice.IdempotentByKey && class.IdempotencyScope != choice.ScopeAll {
+			j.broken(node, "%s may have run and is rejected as if it had not: %+v", request.ID, class)
 		}
+		j.w.count("rejections of what may have run")
 	}
+	j.advises(node, action)
 }
 
 // advises checks the advice of a rejection.
@@ -248,7 +264,8 @@
 	if since, off := book.offSince[action.Server]; off && j.w.now > since+rules.DrainGrace {
 		j.broken(node, "%+v: it was told at %v that the server drains or is gone", action, since-simulationStart)
 	}
-	if book.planned && j.w.now > book.planAt && request.StickyServer != action.Server && !slices.Contains(book.zones, server.Zone) {
+	if book.planned && j.w.now > book.planAt && request.StickyServer != action.Server && !slices.Contains(book.zones,
+		server.Zone) {
 		j.broken(node, "%+v leaves the zones of the plan %v for %s", action, book.zones, server.Zone)
 	}
 	if may := request.mayHaveRun(); may != nil {
@@ -257,7 +274,9 @@
 }
 
 // repeats checks a further attempt of a request that may have run.
-func (j *rulesJudge) repeats(node *simNode, action choice.StartAttempt, request *simRequest, may *simAttempt, server *simServer) {
+func (j *rulesJudge) repeats(node *simNode, action choice.StartAttempt, request *simRequest, may *simAttempt,
+	server *simServer,
+) {
 	class := request.class
 	switch {
 	case class.Idempotency == choice.Idempotent:
@@ -266,10 +285,12 @@
 		j.broken(node, "%s is unsafe, may have run and is sent again", action.ID)
 	case j.w.now > may.sentAt+class.IdempotencyWindow || action.SendBefore <= 0 ||
 		action.SendBefore > may.sentAt+class.IdempotencyWindow:
-		j.broken(node, "%+v: the window of %v since %v is over", action, class.IdempotencyWindow, may.sentAt-simulationStart)
+		j.broken(node, "%+v: the window of %v since %v is over", action, class.IdempotencyWindow,
+			may.sentAt-simulationStart)
 	case class.IdempotencyScope == choice.ScopeZone && server.Zone != may.server.Zone,
 		class.IdempotencyScope == choice.ScopeCell && server.Cell != may.server.Cell:
-		j.broken(node, "%+v leaves the servers that know of it: %+v, first %+v", action, server.Server, may.server.Server)
+		j.broken(node, "%+v leaves the servers that know of it: %+v, first %+v", action, server.Server,
+			may.server.Server)
 	default:
 		j.w.count("keyed repeats, scope " + []string{"all", "zone", "cell"}[class.IdempotencyScope])
 	}
@@ -292,13 +313,12 @@
 
 // drawSettings draws what nodes are told and what the world is like.
 func drawSettings(rng *rand.Rand) (choice.Settings, terms, []choice.Server) {
-	chance := func(part float64) bool { return rng.Float64() < part }
-	between := func(lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
-	seconds := func(lo, hi float64) time.Duration { return time.Duration(between(lo, hi) * float64(time.Second)) }
+	draw := drawer{rng}
+	chance, between, seconds := draw.chance, draw.between, draw.seconds
 	servers, zones := 3+int(58*rng.Float64()*rng.Float64()), 1+rng.IntN(5)
 	conditions := terms{
-		perServer: between(6, 20), connectionTime: seconds(3, 9), listDelay: seconds(0.05, 2), lossOfList: between(0, 0.4),
-
+		perServer: between(6, 20), connectionTime: seconds(3, 9), listDelay: seconds(0.05, 2), lossOfList: between(0,
+			0.4),
 		messageLoss: between(0, 0.3), tries: 1 + rng.IntN(4), leavers: between(0, 0.2), loadsReported: chance(0.4),
 		oddAnswers: between(0.02, 0.2), shedAt: between(1, 1.6), homes: 0.03, skew: 1 + rng.IntN(5),
 	}
@@ -336,35 +356,55 @@
 	if chance(0.5) {
 		settings.InitialCost = 1 / conditions.perServer
 	}
-	for i := range 1 + rng.IntN(5) {
-		c := choice.Class{
-			Name: fmt.Sprint("c", i), SetupObjective: seconds(0.2, 0.8), Deadline: seconds(0.8, 4),
-			Priority:         between(0.5, 8),
-			MessageObjective: seconds(0.05, 0.2), Idempotency: choice.Idempotency(rng.IntN(3)),
-		}
-		if c.Idempotency == choice.IdempotentByKey {
-			c.IdempotencyScope, c.IdempotencyWindow = choice.Scope(rng.IntN(3)), seconds(0.1, 4)
-		}
-		settings.Classes = append(settings.Classes, c)
-	}
+	settings.Classes = draw.classes()
 	for i := range rng.IntN(2) * (1 + rng.IntN(4)) {
 		settings.Tenants = append(settings.Tenants, choice.Tenant{
 			Name: fmt.Sprint("t", i), Rate: between(1, 10), Share: 0.2,
 			Connections: between(0, 1) * float64(servers) * conditions.perServer,
 		})
 	}
-	var list []choice.Server
-	for i := range servers {
-		h := choice.Server{
+	return settings, conditions, draw.servers(servers, zones, settings.Sizes)
+}
+
+// drawer draws values from one source of random numbers.
+type drawer struct{ rng *rand.Rand }
+
+func (d drawer) chance(part float64) bool { return d.rng.Float64() < part }
+
+func (d drawer) between(low, high float64) float64 { return low + (high-low)*d.rng.Float64() }
+
+func (d drawer) seconds(low, high float64) time.Duration {
+	return time.Duration(d.between(low, high) * float64(time.Second))
+}
+
+func (d drawer) classes() (classes []choice.Class) {
+	for i := range 1 + d.rng.IntN(5) {
+		class := choice.Class{
+			Name: fmt.Sprint("c", i), SetupObjective: d.seconds(0.2, 0.8), Deadline: d.seconds(0.8, 4),
+			Priority:         d.between(0.5, 8),
+			MessageObjective: d.seconds(0.05, 0.2), Idempotency: choice.Idempotency(d.rng.IntN(3)),
+		}
+		if class.Idempotency == choice.IdempotentByKey {
+			class.IdempotencyScope = choice.Scope(d.rng.IntN(3))
+			class.IdempotencyWindow = d.seconds(0.1, 4)
+		}
+		classes = append(classes, class)
+	}
+	return classes
+}
+
+func (d drawer) servers(count, zones int, sizes choice.SizeKind) (list []choice.Server) {
+	for i := range count {
+		server := choice.Server{
 			ID: choice.ServerID(fmt.Sprintf("h%02d", i)), Zone: fmt.Sprint("z", i%zones), Kind: fmt.Sprint("k", i%2),
 			Cell: i % (2 * zones), Size: 1,
 		}
-		if settings.Sizes != choice.NoSize {
-			h.Size = between(0.5, 2)
+		if sizes != choice.NoSize {
+			server.Size = d.between(0.5, 2)
 		}
-		list = append(list, h)
+		list = append(list, server)
 	}
-	return settings, conditions, list
+	return list
 }
 
 // playDrawn plays one drawn world and returns how often what happened.
--- a/choice/referee_test.go
+++ b/choice/referee_test.go
@@ -77,47 +77,57 @@
 func (f *referee) note(e Event) {
 	switch event := e.(type) {
 	case ServerList:
-		if event.Kind == ListUnavailable {
-			return
-		}
-		if event.Kind != ListChange {
-			for id, s := range f.list {
-				if s.State == Ready {
-					f.offSince[id] = f.now
-				}
-				s.State = Gone
-				f.list[id] = s
-			}
-		}
-		for _, s := range event.Servers {
-			if s.State == Ready {
-				delete(f.offSince, s.ID)
-			} else if _, ok := f.offSince[s.ID]; !ok {
-				f.offSince[s.ID] = f.now
-			}
-			f.list[s.ID] = s
-		}
+		f.noteList(event)
 	case Request:
 		if f.reqs[event.ID] == nil {
 			f.reqs[event.ID] = &seen{class: event.Class, deadline: f.now + event.TimeLeft, out: map[int]ServerID{}}
 		}
 	case Established:
-		if r := f.reqs[event.ID]; r != nil && r.out[event.Attempt] != "" {
-			r.open = true
+		if request := f.reqs[event.ID]; request != nil && request.out[event.Attempt] != "" {
+			request.open = true
 		}
 	case AttemptEnded:
-		request := f.reqs[event.ID]
-		if request == nil || request.out[event.Attempt] == "" {
-			return
-		}
-		if !event.Outcome.NeverRan() && !request.may {
-			request.may, request.mayServer, request.mayAt = true, request.out[event.Attempt],
-				request.sentAt[event.Attempt]
+		f.noteEnd(event)
+	}
+}
+
+func (f *referee) noteList(list ServerList) {
+	if list.Kind == ListUnavailable {
+		return
+	}
+	if list.Kind != ListChange {
+		for id, server := range f.list {
+			if server.State == Ready {
+				f.offSince[id] = f.now
+			}
+			server.State = Gone
+			f.list[id] = server
 		}
-		delete(request.out, event.Attempt)
-		if event.Final || request.open {
-			request.done, request.doneAt = true, f.now
+	}
+	for _, server := range list.Servers {
+		if server.State == Ready {
+			delete(f.offSince, server.ID)
+		} else if _, ok := f.offSince[server.ID]; !ok {
+			f.offSince[server.ID] = f.now
 		}
+		f.list[server.ID] = server
+	}
+}
+
+func (f *referee) noteEnd(event AttemptEnded) {
+	request := f.reqs[event.ID]
+	if request == nil || request.out[event.Attempt] == "" {
+		return
+	}
+	if !event.Outcome.NeverRan() && !request.may {
+		request.may = true
+		request.mayServer = request.out[event.Attempt]
+		request.mayAt = request.sentAt[event.Attempt]
+	}
+	delete(request.out, event.Attempt)
+	if event.Final || request.open {
+		request.done = true
+		request.doneAt = f.now
 	}
 }
 
@@ -125,41 +135,10 @@
 	f.t.Helper()
 	switch action := a.(type) {
 	case StartAttempt:
-		request, ok := f.reqs[action.ID]
-		if !ok || request.done || request.gone {
-			f.t.Fatalf("%v: Send for a request that is over or unknown: %+v", f.now, action)
-		}
-		if len(request.out) > 0 {
-			f.t.Fatalf("%v: two attempts out for %s", f.now, action.ID)
-		}
-		if request.sent++; request.sent > max(1, f.set.Limits.MaxAttempts) {
-			f.t.Fatalf("%v: %d attempts for %s", f.now, request.sent, action.ID)
-		}
-		server, ok := f.list[action.Server]
-		if at, drains := f.offSince[action.Server]; !ok || drains && f.now > at+f.set.Rules.DrainGrace {
-			f.t.Fatalf("%v: Send to %s, unknown or told to drain", f.now, action.Server)
-		}
-		if action.Timeout <= 0 || f.now+action.Timeout > request.deadline {
-			f.t.Fatalf("%v: cap %v outlives the client of %s", f.now, action.Timeout, action.ID)
-		}
-		c := f.set.Classes[request.class]
-		if request.may && c.Idempotency == NotIdempotent {
-			f.t.Fatalf("%v: an unsafe request that may have run is sent again", f.now)
-		}
-		if request.may && c.Idempotency == IdempotentByKey {
-			first := f.list[request.mayServer]
-			if f.now > request.mayAt+c.IdempotencyWindow || c.IdempotencyScope != ScopeAll &&
-				server.Zone != first.Zone ||
-				c.IdempotencyScope == ScopeCell && server.Cell != first.Cell {
-				f.t.Fatalf("%v: a keyed request leaves its group or window", f.now)
-			}
-		}
-		request.out[request.sent-1], request.on = action.Server, action.Server
-		request.sentAt = append(request.sentAt, f.now)
+		f.judgeStart(action)
 	case Reject:
-		r := f.final(action.ID)
-		if c := f.set.Classes[r.class]; (r.may || len(r.out) > 0) &&
-			!(c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll) {
+		request := f.final(action.ID)
+		if (request.may || len(request.out) > 0) && !f.set.Classes[request.class].mayRejectAfterAttempt() {
 			f.t.Fatalf("%v: rejection of %s, which may have run", f.now, action.ID)
 		}
 	case Fail:
@@ -175,12 +154,63 @@
 		}
 		f.checks[action.Server]++
 	case Migrate:
-		if r := f.reqs[action.ID]; r == nil || !r.open || r.done && r.doneAt < f.now {
-			f.t.Fatalf("%v: move of %s, which is not open", f.now, action.ID)
+		request := f.reqs[action.ID]
+		if request == nil || !request.open || request.done && request.doneAt < f.now {
+			f.t.Fatalf("%v: migration of %s, which is not open", f.now, action.ID)
 		}
 	}
 }
 
+// mayRejectAfterAttempt says whether a client may be told to try again after an attempt that may have run.
+func (c Class) mayRejectAfterAttempt() bool {
+	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll
+}
+
+func (f *referee) judgeStart(action StartAttempt) {
+	f.t.Helper()
+	request, ok := f.reqs[action.ID]
+	if !ok || request.done || request.gone {
+		f.t.Fatalf("%v: attempt for a request that is over or unknown: %+v", f.now, action)
+	}
+	if len(request.out) > 0 {
+		f.t.Fatalf("%v: two attempts out for %s", f.now, action.ID)
+	}
+	if request.sent++; request.sent > max(1, f.set.Limits.MaxAttempts) {
+		f.t.Fatalf("%v: %d attempts for %s", f.now, request.sent, action.ID)
+	}
+	server, ok := f.list[action.Server]
+	if at, drains := f.offSince[action.Server]; !ok || drains && f.now > at+f.set.Rules.DrainGrace {
+		f.t.Fatalf("%v: attempt on %s, unknown or told to drain", f.now, action.Server)
+	}
+	if action.Timeout <= 0 || f.now+action.Timeout > request.deadline {
+		f.t.Fatalf("%v: timeout %v outlives the client of %s", f.now, action.Timeout, action.ID)
+	}
+	if request.may {
+		f.judgeRetry(request, server)
+	}
+	request.out[request.sent-1] = action.Server
+	request.on = action.Server
+	request.sentAt = append(request.sentAt, f.now)
+}
+
+// judgeRetry judges a further attempt of a request that may have run.
+func (f *referee) judgeRetry(request *seen, server Server) {
+	f.t.Helper()
+	class := f.set.Classes[request.class]
+	if class.Idempotency == NotIdempotent {
+		f.t.Fatalf("%v: a request that is not idempotent and may have run is sent again", f.now)
+	}
+	if class.Idempotency != IdempotentByKey {
+		return
+	}
+	first := f.list[request.mayServer]
+	if f.now > request.mayAt+class.IdempotencyWindow ||
+		class.IdempotencyScope != ScopeAll && server.Zone != first.Zone ||
+		class.IdempotencyScope == ScopeCell && server.Cell != first.Cell {
+		f.t.Fatalf("%v: a request with an idempotency key leaves its scope or window", f.now)
+	}
+}
+
 func (f *referee) final(id RequestID) *seen {
 	f.t.Helper()
 	request := f.reqs[id]
--- a/choice/reservation_test.go
+++ b/choice/reservation_test.go
@@ -92,6 +92,7 @@
 }
 
 func newCrowd(tb testing.TB, s Settings, seed uint64, list ServerList, load func(ServerID, int) float64) *crowd {
+	tb.Helper()
 	nodes := &crowd{
 		now: time.Hour, load: load, held: map[ServerID]int{}, seen: map[ServerID][]int{},
 		times: map[ServerID][]time.Duration{}, end: map[string]int{}, dead: map[int]bool{},
@@ -234,7 +235,8 @@
 		// FallMultiple times the part that is warm at the end, of the rate that fills it over its warm-up: the
 		// tenants' shares give 165 connections to 13 servers. One more for the first, as there are no halves.
 		warm := 0.2 + 0.8*(from+settings.Rules.OverloadTime-cold.Started).Seconds()/10
-		if budget := settings.Rules.OverloadMultiple * warm * 165.0 / 13 / 10 * settings.Rules.OverloadTime.Seconds(); float64(count) > budget+1 {
+		budget := settings.Rules.OverloadMultiple * warm * 165.0 / 13 / 10 * settings.Rules.OverloadTime.Seconds()
+		if float64(count) > budget+1 {
 			t.Errorf("a server in slow start gets %d connections in %v; its budget is %.1f", count,
 				settings.Rules.OverloadTime, budget)
 		}
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -151,10 +151,42 @@
 	}
 }
 
+// startedServers is a change of the list by servers that have just started.
+func startedServers(count int, at time.Duration) ServerList {
+	grown := ServerList{Kind: ListChange}
+	for i := range count {
+		grown.Servers = append(grown.Servers, Server{
+			ID: ServerID(fmt.Sprint("cold", i)), Zone: "z0", Kind: "k0", Size: 1, Started: at,
+		})
+	}
+	return grown
+}
+
+// loadOfGrown is none for servers that have just started.
+func loadOfGrown(id ServerID) float64 {
+	if id[0] == 'c' {
+		return 0
+	}
+	return 0.6
+}
+
+// placeSome sends five requests, with ids that count on, and returns the servers in slow start that they went to.
+func (f *referee) placeSome(count *int) (started []ServerID) {
+	f.t.Helper()
+	for range 5 {
+		*count++
+		if to := f.place(fmt.Sprint(*count), 0, loadOfGrown); to != "" && to[0] == 'c' {
+			started = append(started, to)
+		}
+	}
+	return started
+}
+
 // growth plays a fleet that grows from 5 to 20 servers at second 20: 40 nodes with 5 requests a second each, or none
 // at all for some seconds after the growth. It returns the most that one server in slow start got in one second, as a
 // multiple of what it could do then, and how much all ones in slow start got.
 func growth(t *testing.T, quiet int) (worst float64, total int) {
+	t.Helper()
 	const nodes, hot, cold, start, warmUp = 40, 5, 15, 20, 10
 	s := plain()
 	s.Nodes = nodes
@@ -164,19 +196,7 @@
 		f.step(fleet(hot))
 		referees = append(referees, f)
 	}
-	grown := ServerList{Kind: ListChange}
-	for i := range cold {
-		grown.Servers = append(grown.Servers, Server{
-			ID: ServerID(fmt.Sprint("cold", i)), Zone: "z0", Kind: "k0", Size: 1,
-			Started: start * time.Second,
-		})
-	}
-	load := func(id ServerID) float64 {
-		if id[0] == 'c' {
-			return 0
-		}
-		return 0.6
-	}
+	grown := startedServers(cold, start*time.Second)
 	count := 0
 	for sec := range start + 8 {
 		got := map[ServerID]int{}
@@ -188,12 +208,9 @@
 			if sec >= start && sec < start+quiet {
 				continue
 			}
-			for range 5 {
-				count++
-				if to := referee.place(fmt.Sprint(count), 0, load); to != "" && to[0] == 'c' {
-					got[to]++
-					total++
-				}
+			for _, to := range referee.placeSome(&count) {
+				got[to]++
+				total++
 			}
 		}
 		// 10 connections make load 0.6, so a warm server holds 16.7 and takes that many over its warm-up
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -6,6 +6,33 @@
 	"time"
 )
 
+// resetAllAttempts plays a request whose attempts are all reset, and returns its answer and how many there were.
+func resetAllAttempts(
+	t *testing.T, balancer *Balancer, now *time.Duration, request Request, change func() []Event,
+) (attempts int, answer Action) {
+	t.Helper()
+	events := []Event{request}
+	for {
+		*now += 20 * time.Millisecond
+		actions := balancer.Step(*now, events)
+		events = nil
+		for _, a := range actions {
+			switch action := a.(type) {
+			case StartAttempt:
+				attempts++
+				events = append(change(), AttemptEnded{
+					ID: action.ID, Attempt: attempts - 1, Server: action.Server, Outcome: Reset,
+				})
+			case Reject, Fail:
+				return attempts, action
+			}
+		}
+		if events == nil {
+			t.Fatal(request.ID, " has no answer")
+		}
+	}
+}
+
 // TestRequestsKeepWhatTheyCameWith has settings change under a request: its class stays what it was, and so does the
 // number of its attempts; the next request goes by the new ones.
 func TestRequestsKeepWhatTheyCameWith(t *testing.T) {
@@ -21,26 +48,9 @@
 		t.Fatal(err)
 	}
 	now := time.Duration(0)
-	// sends plays a request whose attempts are all reset, and returns its answer and how many there were.
 	sends := func(id RequestID, class int, change func() []Event) (n int, answer Action) {
-		events := []Event{Request{ID: id, Class: class, Tenant: class, TimeLeft: 9 * time.Second}}
-		for {
-			now += 20 * time.Millisecond
-			acts := balancer.Step(now, events)
-			events = nil
-			for _, a := range acts {
-				switch a := a.(type) {
-				case StartAttempt:
-					n++
-					events = append(change(), AttemptEnded{ID: a.ID, Attempt: n - 1, Server: a.Server, Outcome: Reset})
-				case Reject, Fail:
-					return n, a
-				}
-			}
-			if events == nil {
-				t.Fatal(id, " has no answer")
-			}
-		}
+		request := Request{ID: id, Class: class, Tenant: class, TimeLeft: 9 * time.Second}
+		return resetAllAttempts(t, balancer, &now, request, change)
 	}
 	var list ServerList
 	for i := range 6 {
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -71,7 +71,11 @@
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
 }
 func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(occurrence)) } //nolint:forcetypeassert // only occurrences are pushed
+
+func (a *agenda) Push(x any) {
+	*a = append(*a, x.(occurrence)) //nolint:forcetypeassert // only occurrences are pushed
+}
+
 func (a *agenda) Pop() any {
 	old := *a
 	last := old[len(old)-1]
@@ -142,11 +146,12 @@
 	outcome     choice.Outcome
 }
 
-func newSimulation(tb testing.TB, name string, s choice.Settings, of terms, servers []choice.Server, seed uint64,
-	j judge,
+func newSimulation(tb testing.TB, name string, settings choice.Settings, of terms, servers []choice.Server,
+	seed uint64, j judge,
 ) *simulation {
+	tb.Helper()
 	world := &simulation{
-		t: tb, name: name, rng: rand.New(rand.NewPCG(seed, 11)), now: simulationStart, settings: s, terms: of,
+		t: tb, name: name, rng: rand.New(rand.NewPCG(seed, 11)), now: simulationStart, settings: settings, terms: of,
 		byID: map[choice.ServerID]*simServer{}, requests: map[choice.RequestID]*simRequest{}, judge: j,
 		counts: map[string]int{},
 	}
@@ -155,15 +160,18 @@
 		world.servers, world.byID[h.ID] = append(world.servers, h), h
 		world.after(world.upTo(250*time.Millisecond), func() { world.refresh(h) })
 	}
-	for number := range s.Nodes {
-		s.Node = number
-		b, err := choice.New(s, seed*1000+uint64(number), world.now)
+	for number := range settings.Nodes {
+		settings.Node = number
+		b, err := choice.New(settings, seed*1000+uint64(number), world.now)
 		if err != nil {
 			tb.Fatalf("%s: %v", name, err)
 		}
-		n := &simNode{number: number, balancer: b, listed: map[choice.ServerID]choice.Server{}, following: !s.Subscribe}
+		n := &simNode{
+			number: number, balancer: b, listed: map[choice.ServerID]choice.Server{},
+			following: !settings.Subscribe,
+		}
 		world.nodes = append(world.nodes, n)
-		if !s.Subscribe {
+		if !settings.Subscribe {
 			world.deliver(n, choice.ServerList{Kind: choice.ListFull, Servers: world.entries()})
 		} else {
 			world.deliver(n, choice.ServerList{Kind: choice.ListCached, Servers: world.entries()})
@@ -433,12 +441,13 @@
 }
 
 // arrive brings a client's request, its first or a further one, to a node.
-func (w *simulation) arrive(client *simClient, returned bool) *simRequest {
+func (w *simulation) arrive(client *simClient, returned bool) {
 	node, class := w.drawNode(), w.settings.Classes[client.class]
 	client.tries++
 	request := &simRequest{node: node, client: client, class: class}
 	request.Request = choice.Request{
-		ID: choice.RequestID(fmt.Sprint("r", len(w.requests)+1)), Class: client.class, Tenant: client.tenant, Key: client.key,
+		ID: choice.RequestID(fmt.Sprint("r", len(w.requests)+1)), Class: client.class, Tenant: client.tenant,
+		Key:   client.key,
 		Group: client.group, TimeLeft: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)),
 		Returned: returned,
 	}
@@ -457,7 +466,6 @@
 	if w.often(w.terms.leavers) {
 		w.after(w.upTo(request.TimeLeft), func() { w.abandon(request) })
 	}
-	return request
 }
 
 // abandon has a client walk away, whether it still waits or is served.
@@ -592,15 +600,16 @@
 	}
 	attempt.settled = true
 	w.after(after, func() {
-		r := attempt.request
-		e := choice.AttemptEnded{
-			ID: r.ID, Attempt: attempt.number, Server: attempt.server.ID, Outcome: outcome, Took: w.now - attempt.sentAt,
-			Final: outcome == choice.Served || attempt.established || r.answered || r.gone,
+		request := attempt.request
+		ended := choice.AttemptEnded{
+			ID: request.ID, Attempt: attempt.number, Server: attempt.server.ID, Outcome: outcome,
+			Took:  w.now - attempt.sentAt,
+			Final: outcome == choice.Served || attempt.established || request.answered || request.gone,
 		}
 		if w.settings.Reports == choice.AllReports && attempt.server.running {
-			e.Report = w.report(attempt.server)
+			ended.Report = w.report(attempt.server)
 		}
-		w.deliver(r.node, e)
+		w.deliver(request.node, ended)
 	})
 }
 
--- a/choice/slowstart_fleet_test.go
+++ b/choice/slowstart_fleet_test.go
@@ -164,8 +164,8 @@
 // start: what fills it over its warm-up, by the part of its capacity that it has, by the multiple. The slack for
 // chance comes on top.
 func bears(r choice.Rules, strength float64, age time.Duration) float64 {
-	return r.OverloadMultiple * warmAt(r,
-		age) * strength * connectionsPerServer / r.WarmUp.Seconds() * r.OverloadTime.Seconds()
+	return r.OverloadMultiple * warmAt(r, age) * strength * connectionsPerServer / r.WarmUp.Seconds() *
+		r.OverloadTime.Seconds()
 }
 
 // withSlack is the sum from which on a server in slow start falls.
@@ -185,7 +185,8 @@
 			age := end - start
 			mean := (warmAt(fleet.rules, 0) + warmAt(fleet.rules, age)) / 2
 			got += n
-			might += fleet.rules.OverloadMultiple * mean * server.strength * connectionsPerServer * age.Seconds() / fleet.rules.WarmUp.Seconds()
+			might += fleet.rules.OverloadMultiple * mean * server.strength * connectionsPerServer *
+				age.Seconds() / fleet.rules.WarmUp.Seconds()
 			part := w.evenPart(server, start, end) * mean
 			even += part
 			c.least = min(c.least, n/part)
@@ -195,6 +196,20 @@
 	return c
 }
 
+// arrivalsSince counts the arrivals from a time on, and those from nodes that knew of the server's start.
+func arrivalsSince(arrivals []arrival, from time.Duration) (sum, informed int) {
+	for _, arrival := range arrivals {
+		if arrival.at < from {
+			continue
+		}
+		sum++
+		if arrival.informed {
+			informed++
+		}
+	}
+	return sum, informed
+}
+
 // addStart takes in the windows of one slow start, and returns how much the server got in it.
 func (c *slowStartFigures) addStart(f slowStartFleet, h *simServer, start, end time.Duration) (got float64) {
 	for i, last := range h.arrivals {
@@ -202,14 +217,7 @@
 			continue
 		}
 		got++
-		sum, informed := 0, 0
-		for _, a := range h.arrivals[:i+1] {
-			if a.at >= start && a.at > last.at-f.rules.OverloadTime {
-				if sum++; a.informed {
-					informed++
-				}
-			}
-		}
+		sum, informed := arrivalsSince(h.arrivals[:i+1], max(start, last.at-f.rules.OverloadTime+1))
 		n := bears(f.rules, h.strength, last.at-start)
 		over := float64(sum) / withSlack(n)
 		if over > 1 {
@@ -280,12 +288,14 @@
 					}
 					sum.add(f.play(t), test.seeds)
 				}
-				t.Logf("worst window %.2f of the limit (%d requests, N %.1f), over it %d, rule broken %d; part of the budget %.2f, "+
+				t.Logf("worst window %.2f of the limit (%d requests, N %.1f), over it %d, rule broken %d; "+
+					"part of the budget %.2f, "+
 					"of an even spread %.2f, least %.2f", sum.worst, sum.worstSum, sum.worstBears, sum.windows,
 					sum.broken, sum.budgetPart,
 					sum.fairPart, sum.least)
 				if sum.broken > 0 {
-					t.Errorf("%d windows over what a server in slow start bears, sent by nodes that knew of its start", sum.broken)
+					t.Errorf("%d windows over what a server in slow start bears, sent by nodes that knew of its start",
+						sum.broken)
 				}
 				if sum.fairPart < test.leastFair {
 					t.Errorf("servers in slow start get %.2f of an even part", sum.fairPart)
--- a/choice/zones_test.go
+++ b/choice/zones_test.go
@@ -6,6 +6,93 @@
 	"time"
 )
 
+// zoneNode is a node with six servers in the zones a and b.
+type zoneNode struct {
+	balancer   *Balancer
+	ends       string         // zone whose servers can't be reached
+	got        map[string]int // connections by zone, and "rejected"
+	retryAfter []time.Duration
+}
+
+func newZoneNode(t *testing.T, grants []Grant, admit []float64, ends string) *zoneNode {
+	t.Helper()
+	balancer, err := New(Settings{
+		Nodes: 1, Zone: "a", InitialCost: 0.02,
+		Classes: []Class{
+			{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second},
+			{Name: "d", Deadline: time.Second},
+		},
+		Limits: Limits{MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
+	}, 1, time.Hour)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var servers []Server
+	for i := range 6 {
+		servers = append(servers, Server{ID: ServerID(fmt.Sprint(i)), Zone: string("ab"[i%2])})
+	}
+	balancer.Step(time.Hour, []Event{
+		ServerList{Kind: ListFull, Servers: servers},
+		ZonePlan{Grants: grants, AdmitFraction: admit, RetryAfter: time.Second},
+	})
+	return &zoneNode{balancer: balancer, ends: ends, got: map[string]int{}}
+}
+
+// request plays a request with all of its attempts.
+func (z *zoneNode) request(id RequestID, now time.Duration) {
+	events := []Event{Request{ID: id, Tenant: -1, TimeLeft: 4 * time.Second}}
+	for attempt := 0; len(events) > 0 && attempt < 10; attempt++ {
+		actions := z.balancer.Step(now, events)
+		events = nil
+		for _, a := range actions {
+			switch action := a.(type) {
+			case StartAttempt:
+				events = append(events, z.start(action, attempt))
+			case Reject:
+				z.got["rejected"]++
+				z.retryAfter = append(z.retryAfter, action.RetryAfter)
+			}
+		}
+	}
+}
+
+// start is what becomes of an attempt.
+func (z *zoneNode) start(action StartAttempt, attempt int) Event {
+	zone := string("ab"[(action.Server[0]-'0')&1])
+	if zone == z.ends {
+		return AttemptEnded{ID: action.ID, Attempt: attempt, Server: action.Server, Outcome: ConnectFailed}
+	}
+	z.got[zone]++
+	return Established{ID: action.ID, Attempt: attempt, Server: action.Server}
+}
+
+// checkRetryAfter wants rejections to spread the plan's second by half.
+func (z *zoneNode) checkRetryAfter(t *testing.T) {
+	t.Helper()
+	for _, after := range z.retryAfter {
+		if after < time.Second/2 || after > 3*time.Second/2 {
+			t.Errorf("retry after %v, want 0.5 to 1.5 s", after)
+		}
+	}
+}
+
+// checkNextPlan has a plan come that takes all capacity back: what is open counts, and nothing new is placed.
+func (z *zoneNode) checkNextPlan(t *testing.T) {
+	t.Helper()
+	now := time.Hour + time.Second
+	observations := z.balancer.Observations(now)
+	zone := observations.Zones[0]
+	if zone.Zone != "a" || zone.Ready != 3 || zone.OwnLoad[0] != float64(z.got["a"]) {
+		t.Errorf("observations of zone a: %+v, want 3 ready servers and load %d", zone, z.got["a"])
+	}
+	z.balancer.Step(now, []Event{ZonePlan{Grants: []Grant{{"b", observations.Zones[1].OwnLoad[0], nil}}}})
+	for _, action := range z.balancer.Step(now, []Event{Request{ID: "late", Tenant: -1, TimeLeft: 4 * time.Second}}) {
+		if start, ok := action.(StartAttempt); ok {
+			t.Errorf("sent to %s beyond the new plan", start.Server)
+		}
+	}
+}
+
 // TestPlanOfZones plays requests of one class against plans: the nearest zone with room is taken, what has no room is
 // rejected at once with advice, and what stands in a zone counts against a later plan.
 func TestPlanOfZones(t *testing.T) {
@@ -41,54 +128,13 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			balancer, err := New(Settings{
-				Nodes: 1, Zone: "a", InitialCost: 0.02,
-				Classes: []Class{
-					{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second},
-					{Name: "d", Deadline: time.Second},
-				},
-				Limits: Limits{MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
-			}, 1, time.Hour)
-			if err != nil {
-				t.Fatal(err)
-			}
-			var servers []Server
-			for i := range 6 {
-				servers = append(servers, Server{ID: ServerID(fmt.Sprint(i)), Zone: string("ab"[i%2])})
-			}
-			zone := func(id ServerID) string { return string("ab"[(id[0]-'0')&1]) }
-			balancer.Step(time.Hour, []Event{
-				ServerList{Kind: ListFull, Servers: servers},
-				ZonePlan{Grants: test.grants, AdmitFraction: test.admit, RetryAfter: time.Second},
-			})
-			got := map[string]int{}
+			node := newZoneNode(t, test.grants, test.admit, test.ends)
 			for i := range 20 {
-				id := RequestID(fmt.Sprint(i))
-				events := []Event{Request{ID: id, Tenant: -1, TimeLeft: 4 * time.Second}}
-				for attempt := 0; len(events) > 0 && attempt < 10; attempt++ {
-					var next []Event
-					for _, a := range balancer.Step(time.Hour+time.Duration(i)*time.Millisecond, events) {
-						switch action := a.(type) {
-						case StartAttempt:
-							if zone(action.Server) == test.ends {
-								next = append(next, AttemptEnded{
-									ID: id, Attempt: attempt, Server: action.Server,
-									Outcome: ConnectFailed,
-								})
-								continue
-							}
-							next = append(next, Established{ID: id, Attempt: attempt, Server: action.Server})
-							got[zone(action.Server)]++
-						case Reject:
-							got["rejected"]++
-							if test.grants != nil && (action.RetryAfter < time.Second/2 ||
-								action.RetryAfter > 3*time.Second/2) {
-								t.Errorf("advice %v", action.RetryAfter)
-							}
-						}
-					}
-					events = next
-				}
+				node.request(RequestID(fmt.Sprint(i)), time.Hour+time.Duration(i)*time.Millisecond)
+			}
+			got := node.got
+			if test.grants != nil {
+				node.checkRetryAfter(t)
 			}
 			if test.want != nil && fmt.Sprint(got) != fmt.Sprint(test.want) {
 				t.Errorf("went to %v, wanted %v", got, test.want)
@@ -96,21 +142,7 @@
 			if test.want == nil && (got["a"] < 3 || got["b"] < 3 || got["rejected"] > 0) {
 				t.Errorf("without a plan %v", got)
 			}
-			// The next plan takes all room back: what stands counts, and nothing new comes.
-			observations := balancer.Observations(time.Hour + time.Second)
-			if n := observations.Zones[0]; n.Zone != "a" || n.Ready != 3 || n.OwnLoad[0] != float64(got["a"]) {
-				t.Errorf("observations of zone a: %+v", n)
-			}
-			balancer.Step(time.Hour+time.Second,
-				[]Event{ZonePlan{Grants: []Grant{{"b", observations.Zones[1].OwnLoad[0], nil}}}})
-			for _, a := range balancer.Step(time.Hour+time.Second, []Event{Request{
-				ID: "late", Tenant: -1,
-				TimeLeft: 4 * time.Second,
-			}}) {
-				if s, ok := a.(StartAttempt); ok {
-					t.Errorf("sent to %s beyond the new plan", s.Server)
-				}
-			}
+			node.checkNextPlan(t)
 		})
 	}
 }
