--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -15,8 +15,7 @@
 	"spurwinch/internal/policy"
 )
 
-// suspendThreshold is the time between two ticks from which on this process, or its machine, is taken to have been
-// suspended.
+// suspendThreshold is the time between two ticks above which this process, or its machine, was suspended.
 const suspendThreshold = time.Second
 
 // Errors of New, which the node's operator has to mend in its settings.
@@ -37,7 +36,7 @@
 	Seed       uint64
 	Log        func(event string, fields ...any) // names and values in turn
 	Voter      NewVoter                          // nil: this program doesn't vote
-	Policy     *Policy                           // nil: each node goes by its own files
+	Policy     *Policy                           // nil: each node uses its own files
 }
 
 // Agent is one node's part in its fleet. Its methods belong to one goroutine; now is the node's own monotonic time.
@@ -90,10 +89,10 @@
 type Counts struct {
 	Sent      uint64 `json:"Sent"`
 	SentBytes uint64 `json:"SentBytes"`
-	Taken     uint64 `json:"Taken"`   // received and handled
+	Accepted  uint64 `json:"Taken"`   // received and handled
 	Foreign   uint64 `json:"Foreign"` // of a fleet with another list of nodes
-	Spoilt    uint64 `json:"Spoilt"`  // corrupt, of another key, or not for this node
-	Late      uint64 `json:"Late"`    // replayed, overtaken by a newer one, or of a process that is gone
+	Corrupt   uint64 `json:"Spoilt"`  // corrupt, of another key, or not for this node
+	Late      uint64 `json:"Late"`    // replayed, older than one before, or of a process that has ended
 	Dropped   uint64 `json:"Dropped"` // for want of space in the outbox
 }
 
@@ -134,23 +133,23 @@
 	return agent, nil
 }
 
-// digestOf tells lists of nodes apart.
+// digestOf identifies a list of nodes.
 func digestOf(list *membership.List) uint32 {
 	digest := xxhash.New()
 	for i := range list.Len() {
 		node := list.Node(i)
-		_, _ = fmt.Fprintf(digest, "%q %q %q %v\n", node.Name, node.Zone, node.Region, node.Voter) // a hash takes all
+		_, _ = fmt.Fprintf(digest, "%q %q %q %v\n", node.Name, node.Zone, node.Region, node.Voter) // a hash never fails
 	}
 	return uint32(digest.Sum64())
 }
 
-// UpdateClasses takes in the load balancer's classes after a change of settings.
+// UpdateClasses replaces the load balancer's classes after a change of settings.
 func (a *Agent) UpdateClasses(classes []string) {
 	a.options.Classes = classes
 	a.zonePlanChanged = true
 }
 
-// Tick tells the time; it is to be called about each agree.Tick.
+// Tick does what is due at a time. It is to be called about every agree.Tick.
 func (a *Agent) Tick(now time.Duration) {
 	if now-a.lastTick > suspendThreshold { // what this process knew before it was suspended may not be so any more
 		a.options.Log("fleet_process_suspended", "for", (now - a.lastTick).Round(time.Millisecond).String())
--- a/internal/failover/agent/aggregation.go
+++ b/internal/failover/agent/aggregation.go
@@ -7,23 +7,23 @@
 	"spurwinch/internal/failover"
 )
 
-// peerTimeout is how long a node's evidence stands for it, and for how long one that sends evidence or summaries is
-// sent new entries.
+// peerTimeout is how long evidence is valid, and for how long a node that sent evidence or summaries subscribes to new
+// entries.
 const peerTimeout = 2500 * time.Millisecond
 
 // nodeEvidence is the newest evidence of a node, at an aggregator of its zone.
 type nodeEvidence struct {
 	evidence failover.EvidenceSummary
-	at       time.Duration // when it came
+	at       time.Duration // when it arrived
 	fresh    bool          // it is in no summary yet
 	stale    bool          // it was long on its way
 }
 
-// handleEvidence takes a node's evidence, and answers with what this aggregator knows of the leader and the log.
+// handleEvidence stores a node's evidence and answers with what this aggregator knows of the leader and the log.
 func (a *Agent) handleEvidence(head header, body []byte, stale bool, now time.Duration) {
 	evidence, err := failover.DecodeEvidenceSummary(body)
 	if err != nil || evidence.Zone != a.zone || len(evidence.Nodes) != 1 || evidence.Nodes[0].Node != head.from {
-		a.Counts.Spoilt++
+		a.Counts.Corrupt++
 		return
 	}
 	a.storeEvidence(head.from, evidence, stale, now)
--- a/internal/failover/agent/body.go
+++ b/internal/failover/agent/body.go
@@ -13,7 +13,7 @@
 type evidenceAck struct {
 	_             struct{} `cbor:",toarray"`
 	EvidenceClock uint64   // of the evidence that is answered
-	LeaderAge     int64    // microseconds since the leader was surely there; under 0: not known
+	LeaderAge     int64    // microseconds since the leader was confirmed; under 0: it never was
 	LeaderPlan    uint64   // the leader's newest plan then
 	Log           agree.Digest
 	Notice        policy.LeaderNotice
--- a/internal/failover/agent/calls.go
+++ b/internal/failover/agent/calls.go
@@ -47,7 +47,7 @@
 type callError struct {
 	reason  string
 	badCall bool // the call itself is wrong: no node will answer it otherwise
-	retry   bool // the same call may do later, or at the leader
+	retry   bool // the same call may succeed later, or at the leader
 }
 
 // Error is the reason as the operator reads it.
@@ -128,7 +128,7 @@
 	}
 }
 
-// explainZone tells what led to a zone's state.
+// explainZone describes what led to a zone's state.
 func (a *Agent) explainZone(zone string, reply *Reply, now time.Duration) error {
 	if a.planner == nil {
 		return errNoEvidence
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// describeProposal tells how a proposal ended, where it has.
+// describeProposal describes how a proposal ended, if it has.
 func (a *Agent) describeProposal(id string, reply *Reply) error {
 	if a.voter == nil {
 		return errNotVoter
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// setError takes an error into a reply.
+// setError puts an error into a reply.
 func (r *Reply) setError(err error) {
 	r.Error = err.Error()
 	var failed *callError
--- a/internal/failover/agent/calls_test.go
+++ b/internal/failover/agent/calls_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestCallsThatAreNotAnswered holds what an operator is told of a call that a node can't answer: whether it is the
-// call or the node.
+// TestCallsThatAreNotAnswered checks the error of a call that a node can't answer: is the call wrong, or the node the
+// wrong one?
 func TestCallsThatAreNotAnswered(t *testing.T) {
 	agent := newTestAgent(t)
 	for _, test := range []struct {
--- a/internal/failover/agent/dispatch.go
+++ b/internal/failover/agent/dispatch.go
@@ -21,7 +21,7 @@
 	Data []byte
 }
 
-// Out takes the messages to send.
+// Out empties the outbox: the messages that the caller is to send.
 func (a *Agent) Out() []Message {
 	messages := a.outbox
 	a.outbox = nil
@@ -52,7 +52,7 @@
 	return a.clock
 }
 
-// Receive takes a message. What no node of this fleet sent to this one is counted and dropped.
+// Receive handles a message of another node. What no node of this fleet sent to this one is counted and dropped.
 func (a *Agent) Receive(message []byte, now time.Duration) {
 	head, body, err := open(a.options.Key, a.listDigest, message)
 	switch {
@@ -60,13 +60,13 @@
 		a.Counts.Foreign++
 		return
 	case err != nil || head.to != a.options.Self || head.from == a.options.Self || head.from >= a.options.List.Len():
-		a.Counts.Spoilt++
+		a.Counts.Corrupt++
 		return
 	case !a.peer(head.from).accept(head, now):
 		a.Counts.Late++
 		return
 	}
-	a.Counts.Taken++
+	a.Counts.Accepted++
 	a.dispatch(head, body, mayBeStale(head, now), now)
 	a.advance(now)
 }
--- a/internal/failover/agent/dispatch_test.go
+++ b/internal/failover/agent/dispatch_test.go
@@ -48,7 +48,7 @@
 		name    string
 		message []byte
 		at      time.Duration
-		taken   uint64 // by then
+		wanted  uint64 // messages accepted by then
 	}{
 		{"a heartbeat", first, 1, 1},
 		{"the same again", first, 2, 1},
@@ -63,8 +63,8 @@
 		{"late, of the first process", heartbeat(header{from: 1, incarnation: 5, clock: 99}), 4*time.Second + 1, 2},
 	} {
 		agent.Receive(test.message, test.at)
-		if agent.Counts.Taken != test.taken {
-			t.Errorf("%s: %d messages taken so far, wanted %d", test.name, agent.Counts.Taken, test.taken)
+		if agent.Counts.Accepted != test.wanted {
+			t.Errorf("%s: %d messages accepted so far, wanted %d", test.name, agent.Counts.Accepted, test.wanted)
 		}
 	}
 }
--- a/internal/failover/agent/entries.go
+++ b/internal/failover/agent/entries.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// acceptEntry takes an entry in and passes it on to the subscribers. The node goes by it when its disk has it.
+// acceptEntry adds an entry to the follower and forwards it to the subscribers. It takes effect when it is on disk.
 func (a *Agent) acceptEntry(log uint64, entry agree.Entry, from int, now time.Duration) {
 	applied, err := a.follower.Apply(log, entry)
 	if err != nil {
@@ -65,7 +65,7 @@
 	a.updateMode(now)
 }
 
-// acceptOrders gives the planner what operators have ordered.
+// acceptOrders gives the planner the operators' orders.
 func (a *Agent) acceptOrders(entry agree.Entry) {
 	orders, err := failover.DecodeOperatorOrders(entry.Data)
 	if err == nil && a.planner != nil {
@@ -74,8 +74,8 @@
 	a.options.Log("fleet_orders_accepted", "number", entry.Number)
 }
 
-// adoptEntries has the node go by entries that its disk has: after a crash it must not go by older ones than it told
-// others of.
+// adoptEntries puts entries into effect that are on disk. Not earlier: after a crash the node would be back at older
+// ones than it has reported.
 func (a *Agent) adoptEntries(entries []agree.Entry, now time.Duration) {
 	for _, entry := range entries {
 		a.adoptPolicy(entry)
--- a/internal/failover/agent/evidence.go
+++ b/internal/failover/agent/evidence.go
@@ -12,12 +12,13 @@
 // aggregatorsPerZone is the number of aggregators that a node sends its evidence.
 const aggregatorsPerZone = 2
 
-// Wants says that it is time for what the load balancer observed: Observe is to be called.
+// Wants says whether Observe is due.
 func (a *Agent) Wants(now time.Duration) bool { return now >= a.schedule.observe }
 
-// Observe takes what the load balancer observed since the last call.
+// Observe processes what the load balancer observed since the last call: evidence for the aggregators and demand for
+// capacity leases.
 func (a *Agent) Observe(observations choice.Observations, now time.Duration) {
-	isDue(&a.schedule.observe, observeInterval, now) // asked for the next time alone
+	isDue(&a.schedule.observe, observeInterval, now) // moves the time of the next call on
 	a.observed = failover.Accumulate(a.observed, observations)
 	if isDue(&a.schedule.evidence, evidenceInterval, now) {
 		a.sendEvidence(a.observed, now)
@@ -75,7 +76,7 @@
 	return nodes
 }
 
-// handleEvidenceAck takes an aggregator's answer to evidence: when the leader was last there.
+// handleEvidenceAck processes an aggregator's answer to evidence: when the leader was last confirmed.
 func (a *Agent) handleEvidenceAck(head header, ack evidenceAck, now time.Duration) {
 	aggregator := a.peer(head.from)
 	sentAt, ok := aggregator.answered(ack.EvidenceClock)
@@ -85,8 +86,7 @@
 	aggregator.unansweredSince = 0
 	aggregator.unresponsiveSince = 0
 	if ack.LeaderAge >= 0 {
-		// The leader was there when this evidence left, less the age in the answer: the time on the way is on the
-		// safe side.
+		// Counted from when the evidence was sent, not from when the answer came: that errs on the safe side.
 		confirmedAt := sentAt - time.Duration(ack.LeaderAge)*time.Microsecond
 		a.confirmLeader(confirmedAt, ack.LeaderPlan, ack.Notice)
 	}
--- a/internal/failover/agent/golden_test.go
+++ b/internal/failover/agent/golden_test.go
@@ -166,7 +166,7 @@
 	return Reply{
 		Error: "an error", Bad: true, Retry: true, Leader: "v", Node: "a", Zone: "z1", Mode: "planned", Plan: 1,
 		Lease: 2.5, Log: "00000000000000ff", Term: 3, Leads: true, Voter: true,
-		Counts: Counts{Sent: 4, SentBytes: 5, Taken: 6, Foreign: 7, Spoilt: 8, Late: 9, Dropped: 10},
+		Counts: Counts{Sent: 4, SentBytes: 5, Accepted: 6, Foreign: 7, Corrupt: 8, Late: 9, Dropped: 10},
 		Zones: []ZoneReply{{
 			Name: "z1", Region: "r1", State: "lost", Nodes: 11, Listed: 12, Room: 13.5, Guests: 14.5,
 			Lender: "b", Lends: 15.5,
@@ -361,7 +361,7 @@
 }
 
 // TestGoldenRecord pins what a node that doesn't vote has written to its disk by the entries that it was given, and
-// what it goes by after it has read that again.
+// what is in effect after it has read that again.
 func TestGoldenRecord(t *testing.T) {
 	wantFilled(t, "plan", reflect.ValueOf(goldenPlan()))
 	wantFilled(t, "policy", reflect.ValueOf(goldenPolicyState()))
--- a/internal/failover/agent/leader.go
+++ b/internal/failover/agent/leader.go
@@ -76,14 +76,14 @@
 	}
 }
 
-// handleSummary takes an aggregator's summary of its zone, as the leader.
+// handleSummary processes an aggregator's summary of its zone, as the leader.
 func (a *Agent) handleSummary(head header, body []byte, stale bool, now time.Duration) {
 	if a.voter == nil || !a.voter.Leads() || len(body) < 1 {
 		return
 	}
 	summary, err := failover.DecodeEvidenceSummary(body[1:])
 	if err != nil || a.options.List.Node(head.from).Zone != summary.Zone {
-		a.Counts.Spoilt++
+		a.Counts.Corrupt++
 		return
 	}
 	a.observeSummary(head.from, summary, stale || body[0] == 1, now)
@@ -109,7 +109,7 @@
 	}
 }
 
-// confirmLeadership has a majority confirm that this node leads; that answers all summaries that came before.
+// confirmLeadership asks a majority to confirm that this node leads, for all summaries received before.
 func (a *Agent) confirmLeadership() {
 	confirmation := a.voter.Confirm()
 	for i := range a.pendingAcks {
@@ -119,7 +119,7 @@
 	}
 }
 
-// acknowledgeSummaries answers the summaries that came before a confirmed call.
+// acknowledgeSummaries answers the summaries whose confirmation is there.
 func (a *Agent) acknowledgeSummaries(now time.Duration) {
 	answered := 0
 	for _, pending := range a.pendingAcks {
--- a/internal/failover/agent/leader_contact.go
+++ b/internal/failover/agent/leader_contact.go
@@ -12,12 +12,12 @@
 // use grants in other zones, run from it.
 type leaderContact struct {
 	known       bool
-	confirmedAt time.Duration       // when the leader was surely there, by this node's clock
+	confirmedAt time.Duration       // when the leader surely led, by this node's clock
 	plan        uint64              // its newest plan then
-	notice      policy.LeaderNotice // what it told of the policy then
+	notice      policy.LeaderNotice // its notice of the policy then
 }
 
-// handleSummaryAck takes the leader's answer to a summary.
+// handleSummaryAck processes the leader's answer to a summary.
 func (a *Agent) handleSummaryAck(head header, ack summaryAck, now time.Duration) {
 	if a.options.List.Voter(head.from) < 0 {
 		return
--- a/internal/failover/agent/leases.go
+++ b/internal/failover/agent/leases.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	recentLoadMemory  = 15   // seconds in which the load that stood at this node fades
-	fullLeasePart     = 0.95 // of what was asked for: an owner that grants less has no more
+	recentLoadMemory  = 15   // seconds, time constant of the decay of recentLoad
+	fullLeasePart     = 0.95 // of what was requested: an owner that grants less has no more
 	leastRegionLoad   = 0.5  // load of regional classes under which nothing is reserved for them
-	regionLoadChanged = 0.1  // part by which that load has to change for the load balancer to be told
+	regionLoadChanged = 0.1  // relative change from which on the load balancer gets a new plan
 )
 
-// borrower is what a node has leased of other nodes, and what it needs to know how much to ask for.
+// borrower is the capacity that a node has leased of lease owners, and what its demand for it is computed from.
 type borrower struct {
 	leases     map[string]*capacityLease // by zone
-	recentLoad map[string]float64        // declared load that stood at this node of late, at most, by class
+	recentLoad map[string]float64        // peak of the declared load at this node by class, with decay
 	regionLoad float64                   // declared load of regional classes that has no place in the own zone
-	observedAt time.Duration             // when the load balancer's observations came last
+	observedAt time.Duration             // time of the last observations
 }
 
 func newBorrower(now time.Duration) borrower {
 	return borrower{leases: map[string]*capacityLease{}, recentLoad: map[string]float64{}, observedAt: now}
 }
 
-// capacityLease is what this node has leased in one zone.
+// capacityLease is capacity that this node has leased in one zone, as declared load.
 type capacityLease struct {
 	load         float64
 	until        time.Duration
@@ -39,8 +39,7 @@
 	answered     bool
 }
 
-// isExhausted says whether the zone's owner has no more than this: it granted less than was asked for, or doesn't
-// answer.
+// isExhausted says whether the zone's owner has no more: it granted less than was requested, or doesn't answer.
 func (l *capacityLease) isExhausted() bool {
 	if !l.answered {
 		return l.requested > 0
@@ -48,7 +47,7 @@
 	return l.load < fullLeasePart*l.requested
 }
 
-// leasedLoads is what the load balancer may place on top of its grants, by zone.
+// leasedLoads is the load that the load balancer may place on top of its grants, by zone.
 func (a *Agent) leasedLoads() map[string]float64 {
 	loads := map[string]float64{}
 	for zone, lease := range a.borrower.leases {
@@ -59,8 +58,8 @@
 	return loads
 }
 
-// requestLeases asks the owners of leases for what this node's clients find no capacity for, and gives back what it
-// doesn't need.
+// requestLeases requests leases for the load that finds no capacity in this node's grants, and releases capacity that
+// is no longer needed.
 func (a *Agent) requestLeases(observations choice.Observations, now time.Duration) {
 	elapsed := now - a.borrower.observedAt
 	a.borrower.observedAt = now
@@ -72,7 +71,7 @@
 	}
 	demand := failover.LeaseDemand(a.mode, a.plan, a.options.Self, a.zone, observations, elapsed,
 		recentLoad, a.leasedLoads(), exhausted)
-	// Before anything is asked for: an owner may grant to others at once what it is told to be too much here.
+	// Before any request: an owner may grant to others at once what it learns is no longer needed here.
 	for _, zone := range slices.Sorted(maps.Keys(leases)) {
 		if lease := leases[zone]; lease.load > demand[zone] {
 			a.setLeasedLoad(zone, lease, demand[zone])
@@ -86,7 +85,7 @@
 	}
 }
 
-// requestLease asks for a lease in a zone, or for an end of the one that there is.
+// requestLease requests or renews a lease in a zone, or ends it by a request of zero.
 func (a *Agent) requestLease(zone failover.Zone, demand float64, now time.Duration) {
 	lease := a.borrower.leases[zone.Name]
 	hasOwner := zone.LeaseOwner >= 0 && zone.LeaseOwner < a.options.List.Len()
@@ -108,11 +107,11 @@
 	lease.requestClock = a.send(zone.LeaseOwner, kindLeaseRequest, encode(leaseRequest{Load: demand}), now)
 }
 
-// handleLeaseGrant takes an owner's answer.
+// handleLeaseGrant processes an owner's answer to a request.
 func (a *Agent) handleLeaseGrant(head header, body []byte, now time.Duration) {
 	grant, ok := decode[leaseGrant](body)
 	if !ok || !isLeaseLoad(grant.Load) {
-		a.Counts.Spoilt++
+		a.Counts.Corrupt++
 		return
 	}
 	ownerZone := a.options.List.Node(head.from).Zone
@@ -124,7 +123,7 @@
 	}
 }
 
-// takeLease takes in what was granted. A lease runs from when it was asked for.
+// takeLease records what was granted. A lease runs from when it was requested.
 func (a *Agent) takeLease(zone string, lease *capacityLease, load float64, now time.Duration) {
 	lease.answered = true
 	lease.until = lease.requestedAt + failover.LeaseDuration
@@ -143,7 +142,7 @@
 	a.options.Log("fleet_loan", "zone", zone, "load", load)
 }
 
-// expireLeases ends what was not renewed in time.
+// expireLeases ends the leases that were not renewed in time.
 func (a *Agent) expireLeases(now time.Duration) {
 	leases := a.borrower.leases
 	for _, zone := range slices.Sorted(maps.Keys(leases)) {
@@ -161,15 +160,15 @@
 func (a *Agent) handleLeaseRequest(head header, body []byte, now time.Duration) {
 	request, ok := decode[leaseRequest](body)
 	if !ok || !isLeaseLoad(request.Load) {
-		a.Counts.Spoilt++
+		a.Counts.Corrupt++
 		return
 	}
 	grant := leaseGrant{RequestClock: head.clock, Load: a.grantLease(head.from, request.Load, now)}
 	a.send(head.from, kindLeaseGrant, encode(grant), now)
 }
 
-// grantLease is what a node is granted of this zone's reserve. The owner grants only by a plan in force: later plans
-// count on its leases to be over with the plan's lifetime.
+// grantLease grants a node load of this zone's reserve. The owner grants only while the plan's grants are valid: later
+// plans count on its leases to end with them.
 func (a *Agent) grantLease(node int, requested float64, now time.Duration) float64 {
 	if a.plan == nil || now >= a.leaseEnd {
 		return 0
@@ -182,8 +181,8 @@
 	return 0
 }
 
-// updateRecentLoad keeps in mind which load stood here of late, and gives all of it, which in a failure comes back at
-// once.
+// updateRecentLoad updates the recent peak of each class's load, and gives their sum: after a failure that much may
+// come back at once.
 func (a *Agent) updateRecentLoad(observations choice.Observations, elapsed time.Duration) (recentLoad float64) {
 	fading := math.Exp(-elapsed.Seconds() / recentLoadMemory)
 	regionLoad, rejected := 0.0, 0.0
@@ -204,8 +203,8 @@
 	return recentLoad
 }
 
-// setRegionLoad takes in the load for which there must be capacity in the region, and has the load balancer told of a
-// change that matters.
+// setRegionLoad sets the load that needs capacity in the region. Small changes don't cause a new plan for the load
+// balancer.
 func (a *Agent) setRegionLoad(load float64) {
 	if load < leastRegionLoad {
 		load = 0
--- a/internal/failover/agent/message.go
+++ b/internal/failover/agent/message.go
@@ -26,7 +26,7 @@
 	wireVersion = 1
 	headerBytes = 30
 	macBytes    = 16
-	// MostMessage bounds a message, in bytes. What is over MostDatagram goes by a stream.
+	// MostMessage bounds a message, in bytes. Messages over MostDatagram go by a stream.
 	MostMessage  = 512 << 10
 	MostDatagram = 1200
 )
--- a/internal/failover/agent/peer.go
+++ b/internal/failover/agent/peer.go
@@ -53,7 +53,7 @@
 	return true
 }
 
-// awaitAnswer notes when a message was sent: its answer tells how long ago that was at least.
+// awaitAnswer records when a message was sent, for when its answer comes.
 func (p *peer) awaitAnswer(clock uint64, now time.Duration) {
 	if p.pending == nil || len(p.pending) > maxPendingRequests {
 		p.pending = map[uint64]time.Duration{}
--- a/internal/failover/agent/plan.go
+++ b/internal/failover/agent/plan.go
@@ -9,7 +9,7 @@
 	"spurwinch/internal/failover"
 )
 
-// ZonePlan is what the load balancer is to go by, where that has changed since the last call.
+// ZonePlan is the plan for the load balancer, if it has changed since the last call.
 func (a *Agent) ZonePlan() (plan choice.ZonePlan, changed bool) {
 	if !a.zonePlanChanged {
 		return choice.ZonePlan{}, false
@@ -20,7 +20,7 @@
 	return plan, true
 }
 
-// Mode is what this node goes by, and by which plan.
+// Mode is the mode that this node is in, and the number of its plan.
 func (a *Agent) Mode() (mode failover.Mode, planNumber uint64) { return a.mode, a.planNumber }
 
 // updateMode settles which mode this node is in.
@@ -40,7 +40,7 @@
 	a.zonePlanChanged = true
 }
 
-// restorePlan has the node go by the newest plan that its disk has.
+// restorePlan puts the newest plan on the disk into effect at the start.
 func (a *Agent) restorePlan(now time.Duration) {
 	entry := a.follower.Newest(failover.PlanKind)
 	if entry.Number == 0 {
@@ -48,14 +48,15 @@
 	}
 	plan, err := failover.DecodePlan(entry.Data)
 	if err != nil {
-		return // logged when it came
+		return // logged when it was received
 	}
 	a.plan = plan
 	a.planNumber = entry.Number
 	a.planHistory.Add(entry.Number, plan, now)
 }
 
-// acceptPlan keeps a plan in mind; the node goes by it when its disk has it. It says whether the plan can be read.
+// acceptPlan adds a received plan to the history; it takes effect when it is on disk. It says whether the plan can be
+// decoded.
 func (a *Agent) acceptPlan(entry agree.Entry, now time.Duration) bool {
 	plan, err := failover.DecodePlan(entry.Data)
 	if err != nil {
@@ -69,14 +70,14 @@
 	return true
 }
 
-// adoptPlan has the node go by a plan that its disk has, where it is newer.
+// adoptPlan puts a plan that is on disk into effect, if it is newer.
 func (a *Agent) adoptPlan(entry agree.Entry) {
 	if entry.Kind != failover.PlanKind || entry.Number <= a.planNumber {
 		return
 	}
 	plan, err := failover.DecodePlan(entry.Data)
 	if err != nil {
-		return // logged when it came
+		return // logged when it was received
 	}
 	a.plan = plan
 	a.planNumber = entry.Number
--- a/internal/failover/agent/plan_rules.go
+++ b/internal/failover/agent/plan_rules.go
@@ -21,7 +21,7 @@
 	}
 	document, err := a.options.Policy.Read(text)
 	if err != nil {
-		return rules // a plan by the settings is better than none; the rollout has told of the error
+		return rules // a plan by the settings is better than none; adoptPolicy has logged the error
 	}
 	var regional []string // classes that stay in their region
 	for _, class := range rules.Classes {
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -10,26 +10,26 @@
 // maxReasonBytes bounds the reason that a node gives for rejecting a policy.
 const maxReasonBytes = 160
 
-// Policy says that the fleet has its policy on the log, and how this node reads one.
+// Policy are the options of a fleet that has its policy on the log.
 type Policy struct {
 	Rules policy.Rules
-	// Read reads a document by this node's own code; err says why this node can't go by it.
+	// Read decodes a document by this node's own code; err says why this node can't serve by it.
 	Read func(text []byte) (*policy.Document, error)
-	// Counts are the requests that came since the process started, and those that were rejected or failed.
+	// Counts are the requests that arrived since the process started, and those that were rejected or failed.
 	Counts func() (arrived, rejected float64)
 }
 
-// localPolicy is the policy as this node's disk has it, and the node's answer to the change on its way.
+// localPolicy is the policy on this node's disk, and the node's answer to the pending change.
 type localPolicy struct {
 	state    *policy.State
 	entry    uint64 // of state
 	verdict  policy.Verdict
 	reason   string           // of a rejection
-	document *policy.Document // of the change on its way, where this node can go by it
-	rejected uint64           // number whose document this node can't go by
+	document *policy.Document // of the pending change, if this node can serve by it
+	rejected uint64           // number whose document this node can't serve by
 }
 
-// adoptPolicy takes in what the log has decided about the policy, once it is on this node's disk.
+// adoptPolicy puts an entry of the policy that is on disk into effect, and checks its pending change.
 func (a *Agent) adoptPolicy(entry agree.Entry) {
 	local := &a.localPolicy
 	if a.options.Policy == nil || entry.Kind != policy.Kind || entry.Number <= local.entry {
@@ -52,7 +52,7 @@
 	}
 }
 
-// check finds whether this node can go by a change.
+// check decides whether this node can serve by a change.
 func (p *localPolicy) check(options *Policy, change *policy.Change) {
 	document, err := options.Read(change.Text)
 	if err != nil {
@@ -65,7 +65,7 @@
 	p.document = document
 }
 
-// verdictText is a member's answer as logs and replies have it.
+// verdictText is a member's answer in logs and replies.
 func verdictText(verdict policy.Verdict, reason string) string {
 	switch verdict {
 	case policy.VerdictPending:
@@ -77,14 +77,14 @@
 	}
 }
 
-// logPolicy logs that a state has another policy in force than the one before.
+// logPolicy logs the policy in force.
 func (a *Agent) logPolicy(event string, state *policy.State, entry uint64) {
 	text, _ := state.Text(state.Number) // of one that the log doesn't have any more the digest is that of no text
 	a.options.Log(event, "number", state.Number, "digest", policy.Digest(text), "entry", entry)
 }
 
-// ActivePolicy tells under which policy this node may serve, and until when by its own clock. Without a policy on the
-// log there is no such limit.
+// ActivePolicy is the policy that this node may serve by, and until when by its own clock. It is to be called only if
+// Options.Policy is set: without a policy on the log there is no such limit.
 func (a *Agent) ActivePolicy() (active policy.Active, until time.Duration) {
 	local := &a.localPolicy
 	active = policy.ActiveFor(a.options.Self, a.zone, local.entry, local.state, a.leader.notice)
@@ -94,7 +94,7 @@
 	return active, a.leader.confirmedAt + a.options.Policy.Rules.Lease(a.leader.notice)
 }
 
-// RejectPolicy tells that this node can't go by the document of a number: it does not serve under it.
+// RejectPolicy declares that this node can't serve by the document of a number.
 func (a *Agent) RejectPolicy(number uint64) { a.localPolicy.rejected = number }
 
 // policyStatus is what this node reports of the policy with its evidence; nil: the fleet has none on its log.
--- a/internal/failover/agent/policy_calls.go
+++ b/internal/failover/agent/policy_calls.go
@@ -24,7 +24,7 @@
 	Grounds []policy.VersionedBase     `json:"grounds,omitempty"`
 }
 
-// ChangeReply is a change on its way.
+// ChangeReply is a pending change.
 type ChangeReply struct {
 	ID     string        `json:"id"`
 	Number uint64        `json:"number"`
@@ -46,8 +46,8 @@
 	Answer string `json:"answer,omitempty"`
 }
 
-// handlePolicyCall answers operators' calls about the policy. All of them go to the leader, and what it tells is
-// linearizable: it is told only after a majority has confirmed, since the call came, that this node leads.
+// handlePolicyCall answers operators' calls about the policy. All of them go to the leader. Reads are linearizable: the
+// state is read only after a majority has confirmed, since the call came, that this node leads.
 func (a *Agent) handlePolicyCall(call Call, reply *Reply) error {
 	switch {
 	case a.options.Policy == nil:
@@ -84,7 +84,7 @@
 	return readToken{term: term, confirmation: confirmation}, nil
 }
 
-// readPolicy tells the state to who has a token that is confirmed.
+// readPolicy answers with the state, once the call of the token is confirmed.
 func (a *Agent) readPolicy(tokenText string, reply *Reply) error {
 	token, err := parseReadToken(tokenText)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// proposePolicy proposes a change, or that the one on its way is given up. A call that was made before changes nothing.
+// proposePolicy proposes a change, or the abort of the pending one. It is idempotent, by the id of the change.
 func (a *Agent) proposePolicy(call Call, reply *Reply) error {
 	state, entry := a.newestPolicy()
 	isNew := Verb(call.Verb) == VerbPolicyPropose
@@ -132,11 +132,11 @@
 	if err := a.propose(proposal); err != nil {
 		return err
 	}
-	reply.Retry = true // it is on its way: the next call with this id tells
+	reply.Retry = true // the next call with this id answers how it went
 	return nil
 }
 
-// stateWithChange is the state with a call's change on its way.
+// stateWithChange is the state with a call's change pending.
 func (a *Agent) stateWithChange(state *policy.State, call Call) (*policy.State, error) {
 	if zone := call.Part.Zone; zone != "" && a.checkZone(zone) != nil {
 		zones := a.options.List.Zones()
@@ -153,7 +153,7 @@
 	return next, nil
 }
 
-// describePolicy tells the state as the log has it, and members as they were heard.
+// describePolicy describes the state in the log, and the members by their newest reports.
 func (a *Agent) describePolicy() *PolicyReply {
 	state, entry := a.newestPolicy()
 	reply := &PolicyReply{
--- a/internal/failover/agent/policy_leader.go
+++ b/internal/failover/agent/policy_leader.go
@@ -9,11 +9,11 @@
 	"spurwinch/internal/policy"
 )
 
-// rolloutRetry is how long after its proposal a step of a rollout that is not decided is proposed anew.
+// rolloutRetry is the time after which a step that was proposed and not decided is proposed again.
 const rolloutRetry = time.Second
 
-// rolloutStep is the end of a proposal's id that moves a change on: the same step gets the same id, whoever proposes
-// it.
+// rolloutStep is the last part of the id of a proposal that advances a change. The same step of a change has the same
+// id, whoever proposes it, so that it is decided once.
 type rolloutStep string
 
 const (
@@ -23,12 +23,12 @@
 	stepAborted rolloutStep = "aborted" // by an operator
 )
 
-// proposalID is the id of a proposal that moves the change of an entry on.
+// proposalID is the id of the proposal for this step of the change in an entry.
 func (s rolloutStep) proposalID(entry uint64) string {
 	return fmt.Sprintf("policy-%d-%s", entry, string(s))
 }
 
-// stepTo is the step that leads to a state from one with a change on its way.
+// stepTo is the step from a state with a pending change to the next state.
 func stepTo(next *policy.State) rolloutStep {
 	switch {
 	case next.Change != nil:
@@ -40,7 +40,7 @@
 	}
 }
 
-// committedPolicy is the policy as the log has it, at a voter.
+// committedPolicy is the newest policy in the log, at a voter.
 type committedPolicy struct {
 	state *policy.State
 	entry uint64 // of state
@@ -54,7 +54,7 @@
 	rulesNumber uint64                      // of the policy whose rules the planner has
 }
 
-// newestPolicy is the state as the log has it, at a voter. An entry that this version can't read leaves the one before.
+// newestPolicy is the newest state in the log, at a voter. An entry that this version can't decode is skipped.
 func (a *Agent) newestPolicy() (state *policy.State, entry uint64) {
 	committed := &a.committedPolicy
 	newest := a.follower.Newest(policy.Kind)
@@ -91,7 +91,7 @@
 	return change != nil && change.Stage == policy.StageCanary
 }
 
-// leaderNotice is what this node tells of the policy as the leader.
+// leaderNotice is the policy in short, which the leader sends with its answers.
 func (a *Agent) leaderNotice() policy.LeaderNotice {
 	if a.options.Policy == nil {
 		return policy.LeaderNotice{}
@@ -102,8 +102,7 @@
 	return notice
 }
 
-// startRollouts starts to move changes on, where the fleet has a policy. It has the number that planRules was called
-// with.
+// startRollouts starts the leader's part in changes of the policy, if the fleet has one.
 func (a *Agent) startRollouts() {
 	current, _ := a.newestPolicy()
 	if a.options.Policy == nil {
@@ -114,7 +113,7 @@
 	a.rollout.rulesNumber = current.Number
 }
 
-// observePolicyStatus takes a member's report.
+// observePolicyStatus records a member's report.
 func (a *Agent) observePolicyStatus(node int, status policy.MemberStatus) {
 	if a.rollout.controller == nil {
 		return
@@ -126,7 +125,7 @@
 	a.rollout.controller.Observe(node, status)
 }
 
-// members are all nodes of the list, as the leader knows them.
+// members are all nodes of the list, with what they reported to this leader.
 func (a *Agent) members() (members []policy.Member) {
 	view := a.planner.Cut()
 	for i := range a.options.List.Len() {
@@ -139,7 +138,8 @@
 	return members
 }
 
-// advanceRollout moves a change on, at the leader, and has plans made by the rules of the policy in force.
+// advanceRollout proposes the next step of the pending change, at the leader. After a change of the policy in force it
+// starts a planner with its rules.
 func (a *Agent) advanceRollout(now time.Duration) {
 	rollout := &a.rollout
 	if a.options.Policy == nil || rollout.controller == nil {
--- a/internal/failover/agent/reply.go
+++ b/internal/failover/agent/reply.go
@@ -14,7 +14,7 @@
 type Reply struct {
 	Error   string             `json:"error,omitempty"`
 	Bad     bool               `json:"bad,omitempty"`   // the call itself is wrong: no node will answer it otherwise
-	Retry   bool               `json:"retry,omitempty"` // the same call may do later, or at the leader
+	Retry   bool               `json:"retry,omitempty"` // the same call may succeed later, or at the leader
 	Leader  string             `json:"leader,omitempty"`
 	Node    string             `json:"node"`
 	Zone    string             `json:"zone"`
@@ -70,7 +70,7 @@
 	Ago  float64 `json:"heard_s_ago"` // seconds since it was heard; under 0: never
 }
 
-// describe is a reply with what each one has: the node itself.
+// describe is a reply with what every reply has, the node's own state.
 func (a *Agent) describe(now time.Duration) Reply {
 	self := a.options.List.Node(a.options.Self)
 	reply := Reply{
@@ -101,7 +101,7 @@
 	return reply
 }
 
-// describePlan tells the plan that the node goes by.
+// describePlan describes the plan in effect.
 func (a *Agent) describePlan(reply *Reply) {
 	if a.plan == nil {
 		return
@@ -148,7 +148,7 @@
 	return reply
 }
 
-// describeNodes tells how the leader sees the nodes.
+// describeNodes describes the nodes as the leader sees them.
 func (a *Agent) describeNodes(reply *Reply, now time.Duration) {
 	if a.planner == nil {
 		return
--- a/internal/failover/agent/storage.go
+++ b/internal/failover/agent/storage.go
@@ -31,7 +31,7 @@
 	return agree.NewFollower(log, entries)
 }
 
-// advance carries out what the voter and the follower have to do, as far as the disk allows.
+// advance does what the voter and the follower have ready, up to the next record that has to be on disk first.
 func (a *Agent) advance(now time.Duration) {
 	for range maxVoterSteps {
 		if a.pendingRecord != nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Save gives the record that must be on disk next; whole says that it replaces all others. Persisted is to be called
-// when it is there.
+// Save gives the record that must be written next; whole says that it replaces all others. Persisted is to be called
+// when it is on disk.
 func (a *Agent) Save() (record agree.Record, whole, ok bool) {
 	if a.pendingRecord == nil {
 		return agree.Record{}, false, false
--- a/internal/failover/agent/voter.go
+++ b/internal/failover/agent/voter.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// advanceVoter has the voter's next record saved, or goes on where there is nothing to save. It says whether there
+// advanceVoter takes the voter's next record to save, or continues if there is nothing to save. It says whether there
 // may be more to do.
 func (a *Agent) advanceVoter(now time.Duration) (more bool) {
 	if record, ok := a.voter.Fold(); ok {
@@ -99,7 +99,7 @@
 	return false
 }
 
-// voterPersisted carries out what the voter may do now that its record is on disk.
+// voterPersisted sends and applies what the voter may release now that its record is on disk.
 func (a *Agent) voterPersisted(now time.Duration) {
 	messages, results := a.voter.Kept()
 	voters := a.options.List.Voters()
