--- a/internal/failover/zone_state.go
+++ b/internal/failover/zone_state.go
@@ -161,12 +161,12 @@
 		}
 		state.healthySince = now
 	}
-	delay := p.rules.RecoveryDelay
-	if state.returnedAt > 0 { // at most one reversal in that period, however often it comes and goes
-		delay = max(delay, flapPeriod-(now-state.returnedAt))
-	}
 	healthyFor := now - state.healthySince
-	if healthyFor < delay {
+	if healthyFor < p.rules.RecoveryDelay {
+		return stateChange{}, false
+	}
+	// At most one reversal in a flap period, however often the zone comes and goes.
+	if state.returnedAt > 0 && now-state.returnedAt < flapPeriod {
 		return stateChange{}, false
 	}
 	state.returnedAt = now
