--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -16,6 +17,7 @@
 	"spurwinch/choice"
 	"spurwinch/internal/edge"
 	"spurwinch/internal/exchange"
+	"spurwinch/internal/failover"
 	"spurwinch/internal/membership"
 	"spurwinch/internal/policy"
 	"spurwinch/internal/tomlfile"
@@ -40,8 +42,8 @@
 	return want
 }
 
-// requireSet fails where no element of a list has a field of a struct at a path set, or where a single one has it zero: such a key could get another
-// name unseen.
+// requireSet fails where a key of a file type is set by none of some values: such a key could get another name unseen.
+// Elements of a list may set it between them.
 func requireSet(t *testing.T, path string, values ...reflect.Value) {
 	t.Helper()
 	if len(values) == 0 {
@@ -56,38 +58,43 @@
 		}
 		requireSet(t, path, values[0].Elem())
 	case reflect.Struct:
-		if values[0].Type() == reflect.TypeFor[time.Time]() {
-			return
-		}
-		for i := range values[0].NumField() {
-			field := values[0].Type().Field(i)
-			if field.Tag.Get("toml") == "-" {
-				continue
-			}
-			if !field.Anonymous && field.Tag.Get("toml") == "" {
-				t.Errorf("%s.%s has no toml tag: its key would follow the field's name", path, field.Name)
-			}
-			var all []reflect.Value
-			for _, v := range values {
-				all = append(all, v.Field(i))
-			}
-			requireSet(t, path+"."+field.Name, all...)
-		}
+		requireFieldsSet(t, path, values)
 	case reflect.Slice:
-		var all []reflect.Value
-		for _, v := range values {
-			for i := range v.Len() {
-				all = append(all, v.Index(i))
+		var elements []reflect.Value
+		for _, list := range values {
+			for i := range list.Len() {
+				elements = append(elements, list.Index(i))
 			}
 		}
-		requireSet(t, path, all...)
+		requireSet(t, path, elements...)
 	default:
-		for _, v := range values {
-			if !v.IsZero() {
-				return
-			}
+		if !slices.ContainsFunc(values, func(v reflect.Value) bool { return !v.IsZero() }) {
+			t.Errorf("%s is zero: the golden file has to set every key", path)
 		}
-		t.Errorf("%s is zero: the golden file has to set every key", path)
+	}
+}
+
+// requireFieldsSet is requireSet for structs of one type. Each field needs a tag.
+func requireFieldsSet(t *testing.T, path string, values []reflect.Value) {
+	t.Helper()
+	structure := values[0].Type()
+	if structure == reflect.TypeFor[time.Time]() {
+		return
+	}
+	for i := range structure.NumField() {
+		field := structure.Field(i)
+		key := field.Tag.Get("toml")
+		if key == "-" {
+			continue
+		}
+		if key == "" && !field.Anonymous {
+			t.Errorf("%s.%s has no toml tag: its key would follow the field's name", path, field.Name)
+		}
+		var all []reflect.Value
+		for _, value := range values {
+			all = append(all, value.Field(i))
+		}
+		requireSet(t, path+"."+field.Name, all...)
 	}
 }
 
@@ -106,61 +113,112 @@
 // requireEqual compares two structs field by field, so that a message names the field at fault.
 func requireEqual(t *testing.T, path string, got, want any) {
 	t.Helper()
-	g, w := reflect.ValueOf(got), reflect.ValueOf(want)
-	if g.Kind() != reflect.Struct {
+	gotValue, wantValue := reflect.ValueOf(got), reflect.ValueOf(want)
+	if gotValue.Kind() != reflect.Struct {
 		if !reflect.DeepEqual(got, want) {
 			t.Errorf("%s is %+v, wanted %+v", path, got, want)
 		}
 		return
 	}
-	for i := range g.NumField() {
-		if f := g.Type().Field(i); f.IsExported() {
-			if x, y := g.Field(i).Interface(), w.Field(i).Interface(); !reflect.DeepEqual(x, y) {
-				t.Errorf("%s.%s is %+v, wanted %+v", path, f.Name, x, y)
-			}
+	for i := range gotValue.NumField() {
+		field := gotValue.Type().Field(i)
+		if !field.IsExported() {
+			continue
 		}
+		gotField, wantField := gotValue.Field(i).Interface(), wantValue.Field(i).Interface()
+		if !reflect.DeepEqual(gotField, wantField) {
+			t.Errorf("%s.%s is %+v, wanted %+v", path, field.Name, gotField, wantField)
+		}
+	}
+}
+
+// goldenSettings is what the settings in testdata/config.json say.
+func goldenSettings() choice.Settings {
+	return choice.Settings{
+		Nodes: 3, Node: 2, Zone: "zone-a",
+		Classes: []choice.Class{
+			{
+				Name: "chat", Priority: 1.75,
+				SetupObjective:    800 * time.Millisecond,
+				Deadline:          4 * time.Second,
+				MessageObjective:  60 * time.Millisecond,
+				Idempotency:       choice.IdempotentByKey,
+				IdempotencyScope:  choice.ScopeZone,
+				IdempotencyWindow: 6 * time.Second,
+			},
+			{
+				Name: "bulk", Priority: 0.5,
+				SetupObjective:    900 * time.Millisecond,
+				Deadline:          5 * time.Second,
+				MessageObjective:  70 * time.Millisecond,
+				Idempotency:       choice.NotIdempotent,
+				IdempotencyScope:  choice.ScopeCell,
+				IdempotencyWindow: 7 * time.Second,
+			},
+		},
+		Tenants:       []choice.Tenant{{Name: "acme", Rate: 10, Connections: 33, Share: 0.75}},
+		GroupAffinity: true, PacketPassThrough: true, Park: 400 * time.Millisecond, Subscribe: true,
+		Reports: choice.AllReports,
+		ReportFields: []choice.ReportField{
+			choice.Latency, choice.Utilization, choice.Load, choice.Backlog, choice.InFlight, choice.Queue,
+			choice.Throughput, choice.ErrorRate, choice.OtherField,
+		},
+		Sizes: choice.LiveSize, DelaysObserved: true, OverQuotaPriority: 0.05, PriorityPerWork: true,
+		RoundTrip: 5 * time.Millisecond,
+		Limits: choice.Limits{
+			MaxAttempts: 5, HealthChecks: true, Cancellation: true, PeerMessages: true, HedgedRequests: true,
+			RetryAfter: true, MaxRetryAfter: 2500 * time.Millisecond, ConnectTimeout: 1500 * time.Millisecond,
+		},
+		Rules: choice.Rules{
+			AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second,
+			SlowStartFraction: 0.14, WarmUp: 24 * time.Second, OverloadMultiple: 4.5, OverloadTime: 2 * time.Second,
+		},
+		Costs: choice.Costs{
+			HealthCheck: 0.002, Migration: 0.006, PeerMessage: 0.007, CrossZone: 0.003, LateFailure: 0.004,
+			Waste: 0.008,
+		},
 	}
 }
 
 // goldenNode is what testdata/config.json says.
 func goldenNode() Node {
-	const ms = time.Millisecond
-	return Node{Name: "node-1", Listen: "127.0.0.1:3001", Discovery: "127.0.0.1:8501", Mgmt: "127.0.0.1:9001", Seed: 0x1f, Sockets: 385, MemoryMB: 65,
+	return Node{
+		Name: "node-1", Listen: "127.0.0.1:3001", Discovery: "127.0.0.1:8501", Mgmt: "127.0.0.1:9001",
+		Seed: 0x1f, Sockets: 385, MemoryMB: 65,
 		PeerListen: "127.0.0.1:7001",
-		Peers:      []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7002"), netip.MustParseAddrPort("127.0.0.1:7003"), netip.MustParseAddrPort("127.0.0.1:7004")},
+		Peers: []netip.AddrPort{
+			netip.MustParseAddrPort("127.0.0.1:7002"),
+			netip.MustParseAddrPort("127.0.0.1:7003"),
+			netip.MustParseAddrPort("127.0.0.1:7004"),
+		},
 		Settings: wire.Settings{
-			ClassByName: map[string]int{"chat": 0, "bulk": 1}, TenantByName: map[string]int{"acme": 0},
-			ReportFields: []string{"recent_ms", "utilization", "x0", "x1", "outstanding", "backlog", "throughput", "errors_per_s", "other"},
-			Settings: choice.Settings{Nodes: 3, Node: 2, Zone: "zone-a",
-				Classes: []choice.Class{
-					{Name: "chat", SetupObjective: 800 * ms, Deadline: 4 * time.Second, MessageObjective: 60 * ms, Priority: 1.75, Idempotency: choice.IdempotentByKey, IdempotencyScope: choice.ScopeZone, IdempotencyWindow: 6 * time.Second},
-					{Name: "bulk", SetupObjective: 900 * ms, Deadline: 5 * time.Second, MessageObjective: 70 * ms, Priority: 0.5, Idempotency: choice.NotIdempotent, IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 7 * time.Second}},
-				Tenants:       []choice.Tenant{{Name: "acme", Rate: 10, Connections: 33, Share: 0.75}},
-				GroupAffinity: true, PacketPassThrough: true, Park: 400 * ms, Subscribe: true, Reports: choice.AllReports,
-				ReportFields: []choice.ReportField{choice.Latency, choice.Utilization, choice.Load, choice.Backlog, choice.InFlight, choice.Queue, choice.Throughput, choice.ErrorRate,
-					choice.OtherField},
-				Sizes: choice.LiveSize, DelaysObserved: true, OverQuotaPriority: 0.05, PriorityPerWork: true, RoundTrip: 5 * ms,
-				Limits: choice.Limits{MaxAttempts: 5, HealthChecks: true, Cancellation: true, PeerMessages: true, HedgedRequests: true, RetryAfter: true,
-					MaxRetryAfter: 2500 * ms, ConnectTimeout: 1500 * ms},
-				Rules: choice.Rules{AnswerSlack: 20 * ms, MaxPollInterval: 10 * time.Second, DrainGrace: 3 * time.Second, SlowStartFraction: 0.14, WarmUp: 24 * time.Second,
-					OverloadMultiple: 4.5, OverloadTime: 2 * time.Second},
-				Costs: choice.Costs{HealthCheck: 0.002, Migration: 0.006, PeerMessage: 0.007, CrossZone: 0.003, LateFailure: 0.004, Waste: 0.008}}}}
+			Settings:     goldenSettings(),
+			ClassByName:  map[string]int{"chat": 0, "bulk": 1},
+			TenantByName: map[string]int{"acme": 0},
+			ReportFields: []string{
+				"recent_ms", "utilization", "x0", "x1", "outstanding", "backlog", "throughput", "errors_per_s", "other",
+			},
+		},
+	}
 }
 
-// TestGoldenNode holds what each key of a node's config.json means, and which variables beat it.
+// TestGoldenNode holds what each key of a node's config.json means, and which variables override it.
 func TestGoldenNode(t *testing.T) {
 	path := filepath.Join("testdata", "config.json")
-	env := map[string]string{"GW_CONFIG": path}
-	got, err := FromEnvironment(func(name string) string { return env[name] })
+	environment := map[string]string{"GW_CONFIG": path}
+	getenv := func(name string) string { return environment[name] }
+	got, err := FromEnvironment(getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	hosts, err := got.Known.Hosts()
+	servers, err := got.Known.Hosts()
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireEqual(t, "hosts", hosts, []edge.ServerEntry{{Addr: "127.0.0.1:9101", Server: choice.Server{ID: "s-1", Zone: "zone-b", Kind: "m5", Cell: 3,
-		State: choice.Draining, Size: 1.25, Started: 1700000000123 * time.Millisecond}}})
+	requireEqual(t, "servers", servers, []edge.ServerEntry{{Addr: "127.0.0.1:9101", Server: choice.Server{
+		ID: "s-1", Zone: "zone-b", Kind: "m5", Cell: 3, State: choice.Draining, Size: 1.25,
+		Started: 1700000000123 * time.Millisecond,
+	}}})
 	if got.Known.Version != 12 || !got.Known.Full {
 		t.Errorf("the known list has version %d, full %v, wanted 12 and true", got.Known.Version, got.Known.Full)
 	}
@@ -169,8 +227,11 @@
 	requireEqual(t, "Node", got, want)
 	requireEqual(t, "Settings", got.Settings.Settings, want.Settings.Settings)
 
-	env = map[string]string{"GW_CONFIG": path, "GW_NAME": "node-2", "GW_LISTEN": "127.0.0.1:3002", "GW_DISCOVERY": "127.0.0.1:8502", "GW_MGMT": "127.0.0.1:9002"}
-	if got, err = FromEnvironment(func(name string) string { return env[name] }); err != nil {
+	environment["GW_NAME"] = "node-2"
+	environment["GW_LISTEN"] = "127.0.0.1:3002"
+	environment["GW_DISCOVERY"] = "127.0.0.1:8502"
+	environment["GW_MGMT"] = "127.0.0.1:9002"
+	if got, err = FromEnvironment(getenv); err != nil {
 		t.Fatal(err)
 	}
 	want.Name, want.Listen, want.Discovery, want.Mgmt = "node-2", "127.0.0.1:3002", "127.0.0.1:8502", "127.0.0.1:9002"
@@ -182,28 +243,53 @@
 func goldenOperator() Operator {
 	const second = Duration(time.Second)
 	return Operator{
-		Limits: Limits{Connections: 4097, StanzaBytes: 262145, EarlyBytes: 65537, HeaderTime: 9 * second / 4, ShakeTime: 11 * second, Resumable: 10001},
-		Listeners: []Listener{{Addr: "127.0.0.1:5222", Protocol: "xmpp", TLS: "starttls"},
-			{Addr: "127.0.0.1:5443", Protocol: "xmpp-websocket", TLS: "direct"}},
-		Domains: []Domain{{Name: "chat.example.org", Cluster: "visits", Class: "visit", Streams: Streams{Streams: 31, Waiting: 32, Rate: 33.5, Burst: 34}}},
+		Limits: Limits{
+			Connections: 4097, StanzaBytes: 262145, EarlyBytes: 65537, Resumable: 10001,
+			HeaderTime: 9 * second / 4, ShakeTime: 11 * second,
+		},
+		Listeners: []Listener{
+			{Addr: "127.0.0.1:5222", Protocol: "xmpp", TLS: "starttls"},
+			{Addr: "127.0.0.1:5443", Protocol: "xmpp-websocket", TLS: "direct"},
+		},
+		Domains: []Domain{{
+			Name: "chat.example.org", Cluster: "visits", Class: "visit",
+			Streams: Streams{Streams: 31, Waiting: 32, Rate: 33.5, Burst: 34},
+		}},
 		Classes: []Class{{Name: "visit", SetupAim: 17 * second / 8, Patience: 21 * second, Worth: 1.5}},
 		Clusters: []Cluster{
-			{Name: "visits", Zone: "zone-1", Sessions: 1001, Nodes: 2, Attempts: 3, ConnectTimeout: 7 * second / 4, DrainGrace: 11 * second / 4,
-				Leave: 12 * second, ColdShare: 0.16, WarmUp: 31 * second, FallMultiple: 4.25, FallTime: 33 * second / 16,
-				Hosts: []Host{{ID: "visits-1", Addr: "127.0.0.1:15222", Zone: "zone-2", Kind: "m6", Weight: 1.25, State: "draining",
-					Started: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)}}},
-			{Name: "others", Zone: "zone-3", Discovery: "127.0.0.1:8502", Sessions: 1002, Nodes: 4, Attempts: 2, ConnectTimeout: 3 * second / 2,
-				DrainGrace: 5 * second / 2, Leave: 13 * second, ColdShare: 0.17, WarmUp: 32 * second, FallMultiple: 4.5, FallTime: 65 * second / 32}},
-		Capture: Capture{Path: "captured/load", FileMB: 65, Files: 9, Share: 0.5, Key: "0123456789abcdefg", Queue: 8193},
-		Fleet: &Fleet{Self: "node-b", Listen: "127.0.0.1:7101", Nodes: "nodes.toml", KeyFile: "fleet.key", Dir: "state", Cluster: "visits",
-			ComeAgain: 5 * second / 4, PolicyLevel: 1},
-		Peers: Peers{Bits4: 24, Bits6: 56, Most: 65535, Deny: "deny.txt", Allow: "allow.txt",
-			Streams: Streams{Streams: 21, Waiting: 22, Rate: 23.5, Burst: 24}},
+			{
+				Name: "visits", Zone: "zone-1", Sessions: 1001, Nodes: 2, Attempts: 3,
+				ConnectTimeout: 7 * second / 4, DrainGrace: 11 * second / 4, Leave: 12 * second,
+				ColdShare: 0.16, WarmUp: 31 * second, FallMultiple: 4.25, FallTime: 33 * second / 16,
+				Hosts: []Host{{
+					ID: "visits-1", Addr: "127.0.0.1:15222", Zone: "zone-2", Kind: "m6", Weight: 1.25,
+					State: "draining", Started: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
+				}},
+			},
+			{
+				Name: "others", Zone: "zone-3", Discovery: "127.0.0.1:8502", Sessions: 1002, Nodes: 4, Attempts: 2,
+				ConnectTimeout: 3 * second / 2, DrainGrace: 5 * second / 2, Leave: 13 * second,
+				ColdShare: 0.17, WarmUp: 32 * second, FallMultiple: 4.5, FallTime: 65 * second / 32,
+			},
+		},
+		Capture: Capture{
+			Path: "captured/load", FileMB: 65, Files: 9, Share: 0.5, Key: "0123456789abcdefg", Queue: 8193,
+		},
+		Fleet: &Fleet{
+			Self: "node-b", Listen: "127.0.0.1:7101", Nodes: "nodes.toml", KeyFile: "fleet.key", Dir: "state",
+			Cluster: "visits", ComeAgain: 5 * second / 4, PolicyLevel: 1,
+		},
+		Peers: Peers{
+			Bits4: 24, Bits6: 56, Most: 65535, Deny: "deny.txt", Allow: "allow.txt",
+			Streams: Streams{Streams: 21, Waiting: 22, Rate: 23.5, Burst: 24},
+		},
 		Certificates:      []Certificate{{Cert: "cert.pem", Key: "key.pem"}},
-		ClientAuthorities: "authorities.pem"}
+		ClientAuthorities: "authorities.pem",
+	}
 }
 
-// operatorFiles makes the files that testdata/operator.toml names, in a directory of the test's own that becomes the working directory.
+// operatorFiles makes the files that testdata/operator.toml names, in a directory of the test's own that becomes the
+// working directory.
 func operatorFiles(t *testing.T) {
 	t.Helper()
 	nodes, err := os.ReadFile(filepath.Join("testdata", "nodes.toml"))
@@ -227,7 +313,7 @@
 	}
 	write("deny.txt", []byte("10.0.0.0/8\n"))
 	write("allow.txt", []byte("10.1.0.0/16\n"))
-	write("fleet.key", []byte(strings.Repeat("k", 32)+"\n"))
+	write("fleet.key", []byte(strings.Repeat("k", minFleetKey)+"\n"))
 	_, withoutPolicy, ok := bytes.Cut(nodes, []byte("[plan]"))
 	if !ok {
 		t.Fatal("testdata/nodes.toml has no [plan]")
@@ -235,7 +321,8 @@
 	write("nodes.toml", append([]byte("[plan]"), withoutPolicy...)) // one with a policy on its log has no cluster
 }
 
-// TestGoldenOperator holds what each key of an operator's file means, and the form in which the converter of nginx configurations writes one.
+// TestGoldenOperator holds what each key of an operator's file means, and the form in which the converter of nginx
+// configurations writes one.
 func TestGoldenOperator(t *testing.T) {
 	path, err := filepath.Abs(filepath.Join("testdata", "operator.toml"))
 	if err != nil {
@@ -252,22 +339,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Keys == nil || got.Networks == nil || got.Fleet.List == nil || string(got.Fleet.Secret) != strings.Repeat("k", 32) {
-		t.Errorf("of the files that it names, something was not read: %+v", got)
+	if got.Keys == nil || got.Networks == nil || got.Fleet.List == nil {
+		t.Errorf("of the files that it names, one was not read: %+v", got)
+	}
+	if key := string(got.Fleet.Secret); key != strings.Repeat("k", minFleetKey) {
+		t.Errorf("the fleet's key is %q, wanted that of the file", key)
 	}
 	list := got.Fleet.List
 	got.Keys, got.Networks, got.Fleet.List, got.Fleet.Secret = nil, nil, nil, nil
 	requireEqual(t, "Operator", got, want)
 	requireEqual(t, "Fleet", *got.Fleet, *want.Fleet)
 	if list.Addr[list.List.Index("node-b")] != "127.0.0.1:7101" {
-		t.Errorf("the addresses by number are %v", list.Addr)
+		t.Errorf("the addresses by number are %v, wanted 127.0.0.1:7101 for node-b", list.Addr)
 	}
 }
 
 // TestGoldenUsualValues holds the values of keys that a file leaves out.
 func TestGoldenUsualValues(t *testing.T) {
-	operator := Operator{Listeners: []Listener{{Addr: "127.0.0.1:1", Protocol: "xmpp"}}, Domains: []Domain{{Name: "d", Cluster: "c"}},
-		Clusters: []Cluster{{Name: "c", Hosts: []Host{{Addr: "127.0.0.1:2"}}}}, Capture: Capture{Path: "p", Key: "0123456789abcdef"}}
+	operator := Operator{
+		Listeners: []Listener{{Addr: "127.0.0.1:1", Protocol: "xmpp"}},
+		Domains:   []Domain{{Name: "d", Cluster: "c"}},
+		Clusters:  []Cluster{{Name: "c", Hosts: []Host{{Addr: "127.0.0.1:2"}}}},
+		Capture:   Capture{Path: "p", Key: "0123456789abcdef"},
+	}
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(path, encode(t, operator), 0o600); err != nil {
 		t.Fatal(err)
@@ -281,7 +375,10 @@
 		t.Errorf("an operator's file with the least is filled up to\n%s\nwanted\n%s", encoded, want)
 	}
 
-	list := &FleetList{Policy: &FleetPolicy{}, NodeList: []FleetNode{{Name: "n", Addr: "127.0.0.1:1", Zone: "z", Voter: true}}}
+	list := &FleetList{
+		Policy:   &FleetPolicy{},
+		NodeList: []FleetNode{{Name: "n", Addr: "127.0.0.1:1", Zone: "z", Voter: true}},
+	}
 	if err := os.WriteFile(path, encode(t, list), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -292,13 +389,32 @@
 	requireEqual(t, "Plan", list.Plan, FleetPlan{Limit: 0.85, Life: 30 * second, Hold: 4 * second, Ramp: 0.2})
 	requireEqual(t, "Policy", *list.Policy, FleetPolicy{Window: 5 * second, Answer: 10 * second})
 
-	document, err := ReadPolicy("p", []byte("[[class]]\nname = \"a\"\naim = \"1s\"\npatience = \"2s\"\n[plan]\n"), 0)
+	const least = "[[class]]\nname = \"a\"\naim = \"1s\"\npatience = \"2s\"\n[plan]\n"
+	document, err := ReadPolicy("p", []byte(least), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireEqual(t, "Document", *document, policy.Document{Attempts: 4, RetryAfter: time.Second,
+	requireEqual(t, "Document", *document, policy.Document{
+		Attempts: 4, RetryAfter: time.Second,
 		Classes:  []policy.Class{{Name: "a", SetupObjective: time.Second, Deadline: 2 * time.Second, Priority: 1}},
-		Failover: &policy.FailoverRules{Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second}})
+		Failover: &policy.FailoverRules{Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second},
+	})
+}
+
+// goldenFleetList is what testdata/nodes.toml says.
+func goldenFleetList() FleetList {
+	const second = Duration(time.Second)
+	return FleetList{
+		NodeList: []FleetNode{
+			{Name: "node-b", Addr: "127.0.0.1:7101", Zone: "zone-1", Region: "region-1", Voter: true},
+			{Name: "node-a", Addr: "127.0.0.1:7102", Zone: "zone-2", Region: "region-2"},
+		},
+		Plan: FleetPlan{
+			Limit: 0.8, Life: 31 * second, Hold: 5 * second, Ramp: 0.25, Stay: []string{"visit", "bulk"},
+		},
+		Far:    []FleetFar{{Between: []string{"region-1", "region-2"}, Cost: 2.5}},
+		Policy: &FleetPolicy{Window: 6 * second, Answer: 11 * second},
+	}
 }
 
 // TestGoldenFleetList holds what each key of the list of nodes means.
@@ -307,28 +423,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const second = Duration(time.Second)
-	want := FleetList{
-		NodeList: []FleetNode{{Name: "node-b", Addr: "127.0.0.1:7101", Zone: "zone-1", Region: "region-1", Voter: true},
-			{Name: "node-a", Addr: "127.0.0.1:7102", Zone: "zone-2", Region: "region-2"}},
-		Plan:   FleetPlan{Limit: 0.8, Life: 31 * second, Hold: 5 * second, Ramp: 0.25, Stay: []string{"visit", "bulk"}},
-		Far:    []FleetFar{{Between: []string{"region-1", "region-2"}, Cost: 2.5}},
-		Policy: &FleetPolicy{Window: 6 * second, Answer: 11 * second}}
+	want := goldenFleetList()
 	requireSet(t, "FleetList", reflect.ValueOf(want))
 	encoded := encode(t, want)
 	if form := golden(t, "nodes_encoded.toml", encoded); !bytes.Equal(encoded, form) {
 		t.Errorf("written as\n%s\nwanted\n%s", encoded, form)
 	}
-	rules, policyRules := got.Rules(), got.Policy.Rules()
-	if rules.UtilizationLimit != 0.8 || rules.GrantLifetime != 31*time.Second || rules.RecoveryDelay != 5*time.Second || rules.RecoveryRamp != 0.25 ||
-		rules.RegionDistance("region-1", "region-2") != 2.5 || rules.RegionDistance("region-2", "region-1") != 2.5 || rules.RegionDistance("region-1", "other") != 1 {
-		t.Errorf("the rules of plans are %+v, at cost %v", rules, rules.RegionDistance("region-1", "region-2"))
-	}
-	if policyRules.Window != 6*time.Second || policyRules.AnswerTimeout != 11*time.Second {
-		t.Errorf("the rules of changes are %+v", policyRules)
+	requireEqual(t, "rules of changes", got.Policy.Rules(),
+		policy.Rules{Window: 6 * time.Second, AnswerTimeout: 11 * time.Second})
+	rules := got.Rules()
+	for pair, cost := range map[[2]string]float64{
+		{"region-1", "region-2"}: 2.5, {"region-2", "region-1"}: 2.5, {"region-1", "other"}: 1,
+	} {
+		if got := rules.RegionDistance(pair[0], pair[1]); got != cost {
+			t.Errorf("the cost between %v is %v, wanted %v", pair, got, cost)
+		}
 	}
-	for number, node := range []membership.Node{{Name: "node-a", Zone: "zone-2", Region: "region-2"},
-		{Name: "node-b", Zone: "zone-1", Region: "region-1", Voter: true}} {
+	rules.RegionDistance = nil
+	requireEqual(t, "rules of plans", rules, failover.Rules{
+		UtilizationLimit: 0.8, GrantLifetime: 31 * time.Second, RecoveryDelay: 5 * time.Second, RecoveryRamp: 0.25,
+	})
+	for number, node := range []membership.Node{
+		{Name: "node-a", Zone: "zone-2", Region: "region-2"},
+		{Name: "node-b", Zone: "zone-1", Region: "region-1", Voter: true},
+	} {
 		requireEqual(t, "node of the list", got.List.Node(number), node)
 	}
 	requireEqual(t, "addresses by number", got.Addr, []string{"127.0.0.1:7102", "127.0.0.1:7101"})
@@ -336,6 +454,34 @@
 	requireEqual(t, "FleetList", *got, want)
 }
 
+// goldenDocument is what testdata/policy.toml says.
+func goldenDocument() policy.Document {
+	return policy.Document{
+		Attempts: 3, RetryAfter: 2 * time.Second, OverQuotaPriority: 0.1,
+		Classes: []policy.Class{
+			{
+				Name: "gold", Priority: 2.5, ServedByBase: true,
+				SetupObjective:   500 * time.Millisecond,
+				Deadline:         3 * time.Second,
+				MessageObjective: 60 * time.Millisecond,
+			},
+			{
+				Name: "plain", Priority: 1.5,
+				SetupObjective:   800 * time.Millisecond,
+				Deadline:         4 * time.Second,
+				MessageObjective: 70 * time.Millisecond,
+			},
+		},
+		Tenants:      []policy.Tenant{{Name: "acme", Connections: 40, Rate: 12.5}},
+		Base:         policy.BasePolicy{Attempts: 1, Deadline: 2500 * time.Millisecond},
+		Requirements: policy.Requirements{Descriptors: 512, MemoryMB: 64},
+		Failover: &policy.FailoverRules{
+			Limit: 0.75, Ramp: 0.25, Hold: 5 * time.Second, RegionalClasses: []string{"plain"},
+			Far: []policy.RegionDistance{{A: "region-1", B: "region-2", Cost: 2}},
+		},
+	}
+}
+
 // TestGoldenPolicy holds what each key of a policy document means.
 func TestGoldenPolicy(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "policy.toml"))
@@ -346,21 +492,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := policy.Document{Attempts: 3, RetryAfter: 2 * time.Second, OverQuotaPriority: 0.1,
-		Classes: []policy.Class{
-			{Name: "gold", SetupObjective: 500 * time.Millisecond, Deadline: 3 * time.Second, MessageObjective: 60 * time.Millisecond, Priority: 2.5, ServedByBase: true},
-			{Name: "plain", SetupObjective: 800 * time.Millisecond, Deadline: 4 * time.Second, MessageObjective: 70 * time.Millisecond, Priority: 1.5}},
-		Tenants:      []policy.Tenant{{Name: "acme", Connections: 40, Rate: 12.5}},
-		Base:         policy.BasePolicy{Attempts: 1, Deadline: 2500 * time.Millisecond},
-		Requirements: policy.Requirements{Descriptors: 512, MemoryMB: 64},
-		Failover:     &policy.FailoverRules{Limit: 0.75, Ramp: 0.25, Hold: 5 * time.Second, RegionalClasses: []string{"plain"}, Far: []policy.RegionDistance{{A: "region-1", B: "region-2", Cost: 2}}}}
-	requireEqual(t, "Document", *got, want)
-	file := &policyFile{}
-	if f := tomlfile.Decode("policy", text, file); f.Broken() {
-		t.Fatal(f.Err())
-	}
-	requireSet(t, "policyFile", reflect.ValueOf(*file))
-	encoded := encode(t, file)
+	requireEqual(t, "Document", *got, goldenDocument())
+	source := &policyFile{}
+	if file := tomlfile.Decode("policy", text, source); file.Broken() {
+		t.Fatal(file.Err())
+	}
+	requireSet(t, "policyFile", reflect.ValueOf(*source))
+	encoded := encode(t, source)
 	if form := golden(t, "policy_encoded.toml", encoded); !bytes.Equal(encoded, form) {
 		t.Errorf("written as\n%s\nwanted\n%s", encoded, form)
 	}
--- /dev/null
+++ b/internal/config/node.go
@@ -0,0 +1,207 @@
+package config
+
+import (
+	"bytes"
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"net/netip"
+	"os"
+	"strconv"
+
+	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/wire"
+)
+
+// Node is the configuration of a node on the platform.
+type Node struct {
+	Name      string
+	Listen    string // IP:PORT for clients
+	Discovery string // IP:PORT of the discovery service
+	Mgmt      string // IP:PORT for operators' requests; empty: none
+	Seed      uint64
+	Sockets   int           // descriptors that the process may hold; 0: not known
+	MemoryMB  int           // megabytes that the process may use; 0: not known
+	Known     *cluster.List // servers to begin with, until discovery answers; nil: none
+	Settings  wire.Settings
+	// PeerListen is where datagrams of other nodes arrive, Peers the addresses of all nodes by their numbers, this
+	// one's among them. Both are empty where nodes may not send messages to one another.
+	PeerListen string
+	Peers      []netip.AddrPort
+
+	keys keySet // of the file, for the next one to be compared with
+}
+
+// nodeFile is config.json as it is written. The tags are the platform's names.
+type nodeFile struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Mgmt      string `json:"mgmt"`
+	Seed      string `json:"seed"`
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB int     `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	PeerListen string          `json:"peer_listen"`
+	Peers      []string        `json:"peers"`
+	Known      *cluster.List   `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
+}
+
+// FromEnvironment reads the GW_* variables and the file that GW_CONFIG names. A variable overrides the file.
+func FromEnvironment(getenv func(string) string) (Node, error) {
+	path := getenv("GW_CONFIG")
+	if path == "" {
+		return Node{}, ErrNoConfigFile
+	}
+	return readNode(path, func(file *nodeFile) {
+		file.Name = cmp.Or(getenv("GW_NAME"), file.Name)
+		file.Listen = cmp.Or(getenv("GW_LISTEN"), file.Listen)
+		file.Discovery = cmp.Or(getenv("GW_DISCOVERY"), file.Discovery)
+		file.Mgmt = cmp.Or(getenv("GW_MGMT"), file.Mgmt)
+	})
+}
+
+// Again reads the file anew for a node that runs by inForce. No variable overrides it: those are as old as the process.
+// The file is checked whole, and it must have every key that the one in force has: one that was cut short says less
+// than was meant.
+func Again(path string, inForce Node) (Node, error) {
+	node, err := readNode(path, func(file *nodeFile) {
+		file.Listen = cmp.Or(file.Listen, inForce.Listen) // which a variable may have named
+	})
+	if err != nil {
+		return node, err
+	}
+	if key := inForce.keys.firstMissing(node.keys, ""); key != "" {
+		return node, &FileError{File: path, Err: &KeyError{
+			Key: key, Problem: key + " is missing: the configuration in force has it",
+		}}
+	}
+	node.Settings = node.Settings.After(inForce.Settings)
+	return node, nil
+}
+
+// readNode reads a file and checks it whole; override puts in what overrides the file.
+func readNode(path string, override func(*nodeFile)) (Node, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return Node{}, err
+	}
+	node, err := decodeNode(raw, override)
+	if err != nil {
+		return node, &FileError{File: path, Err: err}
+	}
+	return node, nil
+}
+
+func decodeNode(raw []byte, override func(*nodeFile)) (Node, error) {
+	file, keys, err := parseNodeFile(raw)
+	if err != nil {
+		return Node{}, err
+	}
+	override(&file)
+	node := Node{
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Mgmt: file.Mgmt, Seed: file.seed(),
+		Sockets: file.Limits.Sockets, MemoryMB: file.Limits.MemoryMB, Known: file.Known, keys: keys,
+	}
+	if err := node.check(); err != nil {
+		return node, err
+	}
+	if node.Settings, err = wire.DecodeSettings(file.Settings); err != nil {
+		return node, &KeyError{Key: "settings", Problem: "settings: " + err.Error(), Err: err}
+	}
+	if err := node.setPeers(file); err != nil {
+		return node, err
+	}
+	return node, node.checkKnownServers()
+}
+
+// parseNodeFile decodes the text of a file, and the set of keys that it has.
+func parseNodeFile(raw []byte) (file nodeFile, keys keySet, err error) {
+	if len(bytes.TrimSpace(raw)) == 0 {
+		return file, nil, ErrEmptyFile
+	}
+	var value any
+	if err := json.Unmarshal(raw, &value); err != nil {
+		return file, nil, err
+	}
+	if _, ok := value.(map[string]any); !ok {
+		return file, nil, ErrNoObject
+	}
+	if err := json.Unmarshal(raw, &file); err != nil {
+		return file, nil, err
+	}
+	return file, keysOf(value), nil
+}
+
+func (n *Node) check() error {
+	addresses := []struct{ key, addr string }{{"listen", n.Listen}, {"discovery", n.Discovery}}
+	if n.Mgmt != "" {
+		addresses = append(addresses, struct{ key, addr string }{"mgmt", n.Mgmt})
+	}
+	for _, address := range addresses {
+		if _, err := netip.ParseAddrPort(address.addr); err != nil {
+			problem := fmt.Sprintf("%s address %q is not IP:PORT", address.key, address.addr)
+			return &KeyError{Key: address.key, Problem: problem, Err: err}
+		}
+	}
+	if n.Sockets < 0 || n.MemoryMB < 0 {
+		return &KeyError{Key: "limits", Problem: fmt.Sprintf(
+			"limits: sockets is %d and memory_mb %d: numbers over 0 are wanted, or none", n.Sockets, n.MemoryMB)}
+	}
+	return nil
+}
+
+func (n *Node) checkKnownServers() error {
+	if n.Known == nil {
+		return nil
+	}
+	if _, err := n.Known.Hosts(); err != nil {
+		return &KeyError{Key: "known", Problem: "known: " + err.Error(), Err: err}
+	}
+	return nil
+}
+
+// setPeers takes the addresses of the other nodes. Without them, or where the settings forbid messages, there are none.
+func (n *Node) setPeers(file nodeFile) error {
+	if !n.Settings.Limits.PeerMessages || len(file.Peers) < 2 || file.PeerListen == "" {
+		return nil
+	}
+	if len(file.Peers) != n.Settings.Nodes {
+		return &KeyError{Key: "peers", Problem: fmt.Sprintf(
+			"peers has %d addresses, settings.groupSize says %d", len(file.Peers), n.Settings.Nodes)}
+	}
+	if err := checkPeer("peer_listen", file.PeerListen); err != nil {
+		return err
+	}
+	var peers []netip.AddrPort
+	for _, text := range file.Peers {
+		if err := checkPeer("peers", text); err != nil {
+			return err
+		}
+		peers = append(peers, netip.MustParseAddrPort(text))
+	}
+	n.PeerListen = file.PeerListen
+	n.Peers = peers
+	return nil
+}
+
+func checkPeer(key, addr string) error {
+	if _, err := netip.ParseAddrPort(addr); err != nil {
+		return &KeyError{Key: key, Problem: fmt.Sprintf("%q is not IP:PORT in peer_listen or peers", addr), Err: err}
+	}
+	return nil
+}
+
+// seed is the file's hexadecimal number. Any other text is a seed as well, another one at each node.
+func (f *nodeFile) seed() uint64 {
+	if seed, err := strconv.ParseUint(f.Seed, 16, 64); err == nil {
+		return seed
+	}
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(f.Seed + f.Name)) // a hash takes everything
+	return hash.Sum64()
+}
--- a/internal/config/policy_test.go
+++ b/internal/config/policy_test.go
@@ -37,54 +37,81 @@
 
 // TestPolicy holds what a document says, and that a fault is told with its line and what would be right.
 func TestPolicy(t *testing.T) {
-	d, err := ReadPolicy("p", []byte(soundPolicy), 0)
+	document, err := ReadPolicy("p", []byte(soundPolicy), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g := d.Classes[0]; d.Attempts != 3 || g.Deadline != 3*time.Second || !g.ServedByBase || d.Classes[1].Priority != 1 || d.Failover.Limit != 0.85 || d.Failover.Far[0].Cost != 2 || d.RetryAfter != time.Second {
-		t.Errorf("%+v", d)
+	gold := document.Classes[0]
+	if document.Attempts != 3 || document.RetryAfter != time.Second {
+		t.Errorf("the document is %+v, wanted 3 attempts and an advice of 1s", document)
 	}
-	for _, c := range []struct {
+	if gold.Deadline != 3*time.Second || !gold.ServedByBase || document.Classes[1].Priority != 1 {
+		t.Errorf("the classes are %+v, wanted gold with 3s and a base policy, plain of priority 1", document.Classes)
+	}
+	if document.Failover.Limit != 0.85 || document.Failover.Far[0].Cost != 2 {
+		t.Errorf("the rules of failover are %+v, wanted the limit 0.85 and the cost 2", document.Failover)
+	}
+	for _, test := range []struct {
 		old, new, want string
 		level          int
 	}{
 		{"attempts = 3", "attempts = 9", "p:1: attempts = 9: 1 to 4 are wanted", 0},
 		{"attempts = 3", "atempts = 3", "p:1: unknown key \"atempts\"", 0},
-		{`without = "ground"`, `without = "x"`, `p:8: class "gold": without = "x": "refuse" or "ground" is wanted`, 0},
+		{
+			`without = "ground"`, `without = "x"`,
+			`p:8: class "gold": without = "x": "refuse" or "ground" is wanted`, 0,
+		},
 		{`patience = "2s"`, `patience = "9s"`, `p:18: [ground] patience = 9s: class "gold" has 3s`, 0},
 		{`stay = ["plain"]`, `stay = ["none"]`, `p:22: stay: no class "none"`, 0},
 		{"", "", `p:2: unknown key "over_share_worth"`, 1},
 		{`between = ["a", "b"]`, `between = ["a"]`, "p:23: [[far]]: between", 0},
 	} {
-		_, err := ReadPolicy("p", []byte(strings.Replace(soundPolicy, c.old, c.new, 1)), c.level)
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, wanted %s", c.new, err, c.want)
+		_, err := ReadPolicy("p", []byte(strings.Replace(soundPolicy, test.old, test.new, 1)), test.level)
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: %v, wanted %s", test.new, err, test.want)
 		}
 	}
 }
 
-// TestFleetPolicy holds what a fleet with its policy on the log needs.
-func TestFleetPolicy(t *testing.T) {
+// fleetFiles writes a key, a list of nodes with a [policy] and an operator's file with a [fleet], and returns the path
+// of the last. policy and fleet are further lines of the two tables.
+func fleetFiles(t *testing.T, policy, fleet string) string {
+	t.Helper()
 	dir := t.TempDir()
-	write := func(name, text string) string {
+	write := func(name string, lines ...string) string {
 		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
-	key := write("key", strings.Repeat("k", 32))
-	for _, c := range []struct{ policy, fleet, want string }{
-		{"", "dir = \"d\"", ""},
-		{"window = \"1s\"", "dir = \"d\"", "[policy] window = \"1s\": 2s to 5m are possible"},
+	key := write("key", strings.Repeat("k", minFleetKey))
+	nodes := write("nodes",
+		"[policy]", policy,
+		"[[node]]", `name = "a"`, `addr = "127.0.0.1:1"`, `zone = "z"`,
+		"[[node]]", `name = "v"`, `addr = "127.0.0.1:2"`, `zone = "z"`, "voter = true")
+	return write("operator",
+		"[fleet]", `self = "a"`, `listen = "127.0.0.1:0"`, `nodes = "`+nodes+`"`, `key_file = "`+key+`"`, fleet)
+}
+
+// TestFleetPolicy holds what a fleet with its policy on the log needs.
+func TestFleetPolicy(t *testing.T) {
+	for _, test := range []struct{ policy, fleet, want string }{
+		{"", `dir = "d"`, ""},
+		{`window = "1s"`, `dir = "d"`, "[policy] window = \"1s\": 2s to 5m are possible"},
 		{"", "", "[fleet] without dir: the fleet has its policy on the log"},
-		{"", "dir = \"d\"\ncluster = \"c\"", "[fleet] cluster = \"c\": a fleet with its policy on the log serves the platform's front"},
+		{
+			"", "dir = \"d\"\ncluster = \"c\"",
+			"[fleet] cluster = \"c\": a fleet with its policy on the log serves the platform's front",
+		},
 		{"", "dir = \"d\"\npolicy_level = 9", "[fleet] policy_level = 9: 1 to 2 are known"},
 	} {
-		nodes := write("nodes", "[policy]\n"+c.policy+"\n[[node]]\nname = \"a\"\naddr = \"127.0.0.1:1\"\nzone = \"z\"\n[[node]]\nname = \"v\"\naddr = \"127.0.0.1:2\"\nzone = \"z\"\nvoter = true\n")
-		_, err := ReadOperator(write("op", "[fleet]\nself = \"a\"\nlisten = \"127.0.0.1:0\"\nnodes = \""+nodes+"\"\nkey_file = \""+key+"\"\n"+c.fleet+"\n"))
-		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-			t.Errorf("%q %q: %v, wanted %q", c.policy, c.fleet, err, c.want)
+		_, err := ReadOperator(fleetFiles(t, test.policy, test.fleet))
+		if test.want == "" && err != nil {
+			t.Errorf("%q %q: %v, wanted no error", test.policy, test.fleet, err)
+		}
+		if test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want)) {
+			t.Errorf("%q %q: %v, wanted %q", test.policy, test.fleet, err, test.want)
 		}
 	}
 }
