--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -21,18 +21,18 @@
 
 // Streams bound the streams of a peer or a domain; 0: no limit.
 type Streams struct {
-	Streams int     `toml:"streams,omitzero"`         // open at once
-	Waiting int     `toml:"unauthenticated,omitzero"` // of these, not authenticated yet
-	Rate    float64 `toml:"new_per_second,omitzero"`
-	Burst   int     `toml:"burst,omitzero"` // new streams beyond the rate
+	Streams         int     `toml:"streams,omitzero"`         // open at once
+	Unauthenticated int     `toml:"unauthenticated,omitzero"` // of these, not authenticated yet
+	Rate            float64 `toml:"new_per_second,omitzero"`
+	Burst           int     `toml:"burst,omitzero"` // new streams beyond the rate
 }
 
 func (s Streams) limits() admit.Limits {
-	return admit.Limits{Streams: s.Streams, Waiting: s.Waiting, Rate: s.Rate, Burst: s.Burst}
+	return admit.Limits{Streams: s.Streams, Waiting: s.Unauthenticated, Rate: s.Rate, Burst: s.Burst}
 }
 
 func (s Streams) check(file *tomlfile.File, path string) {
-	valid := s.Streams >= 0 && s.Waiting >= 0 && s.Burst >= 0 && s.Rate >= 0 // false where the rate is NaN
+	valid := s.Streams >= 0 && s.Unauthenticated >= 0 && s.Burst >= 0 && s.Rate >= 0 // false where the rate is NaN
 	if !valid {
 		file.Fault(path, "streams, unauthenticated, new_per_second and burst are 0, for no limit, or more")
 	}
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -12,20 +12,20 @@
 
 // Cluster is a set of servers: static ones, or discovery's.
 type Cluster struct {
-	Name           string   `toml:"name"`
-	Zone           string   `toml:"zone,omitempty"`
-	Discovery      string   `toml:"discovery,omitempty"` // IP:PORT of a discovery service; empty: Hosts
-	Sessions       float64  `toml:"sessions,omitzero"`   // capacity of a server of weight 1
-	Nodes          int      `toml:"nodes,omitzero"`      // that share the cluster, this one among them
-	Attempts       int      `toml:"attempts,omitzero"`   // of one session at most
-	ConnectTimeout Duration `toml:"connect_timeout,omitzero"`
-	DrainGrace     Duration `toml:"drain_grace,omitzero"`   // a draining server gets nothing new after this
-	Leave          Duration `toml:"leave,omitzero"`         // its open sessions are told to leave over this time
-	ColdShare      float64  `toml:"cold_share,omitzero"`    // fraction of its capacity that a server starts with
-	WarmUp         Duration `toml:"warm_up,omitzero"`       // length of the slow start
-	FallMultiple   float64  `toml:"fall_multiple,omitzero"` // a server with more than this multiple of its capacity
-	FallTime       Duration `toml:"fall_time,omitzero"`     // for so long fails
-	Hosts          []Host   `toml:"host,omitempty"`
+	Name              string   `toml:"name"`
+	Zone              string   `toml:"zone,omitempty"`
+	Discovery         string   `toml:"discovery,omitempty"` // IP:PORT of a discovery service; empty: Hosts
+	Sessions          float64  `toml:"sessions,omitzero"`   // capacity of a server of weight 1
+	Nodes             int      `toml:"nodes,omitzero"`      // that share the cluster, this one among them
+	Attempts          int      `toml:"attempts,omitzero"`   // of one session at most
+	ConnectTimeout    Duration `toml:"connect_timeout,omitzero"`
+	DrainGrace        Duration `toml:"drain_grace,omitzero"`   // a draining server gets nothing new after this
+	Leave             Duration `toml:"leave,omitzero"`         // its open sessions are told to leave over this time
+	SlowStartFraction float64  `toml:"cold_share,omitzero"`    // fraction of its capacity that a server starts with
+	WarmUp            Duration `toml:"warm_up,omitzero"`       // length of the slow start
+	OverloadMultiple  float64  `toml:"fall_multiple,omitzero"` // a server with more than this multiple of its capacity
+	OverloadTime      Duration `toml:"fall_time,omitzero"`     // for so long fails
+	Hosts             []Host   `toml:"host,omitempty"`
 }
 
 // Host is a static server.
@@ -72,10 +72,10 @@
 	tomlfile.Fill(&c.ConnectTimeout, Duration(time.Second))
 	tomlfile.Fill(&c.DrainGrace, Duration(maxDrainGrace))
 	tomlfile.Fill(&c.Leave, Duration(10*time.Second))
-	tomlfile.Fill(&c.ColdShare, 0.15)
+	tomlfile.Fill(&c.SlowStartFraction, 0.15)
 	tomlfile.Fill(&c.WarmUp, Duration(30*time.Second))
-	tomlfile.Fill(&c.FallMultiple, 4)
-	tomlfile.Fill(&c.FallTime, Duration(2*time.Second))
+	tomlfile.Fill(&c.OverloadMultiple, 4)
+	tomlfile.Fill(&c.OverloadTime, Duration(2*time.Second))
 }
 
 func (c *Cluster) check(file *tomlfile.File, path string) {
@@ -86,9 +86,9 @@
 	found.addIf(!validSessions, "sessions", "sessions must be 1 or more")
 	found.addIf(c.Nodes < 1, "nodes", "nodes must be 1 or more")
 	found.addIf(c.DrainGrace > Duration(maxDrainGrace), "drain_grace", "drain_grace may be 3s at most")
-	validColdShare := c.ColdShare >= 0 && c.ColdShare <= 1
+	validColdShare := c.SlowStartFraction >= 0 && c.SlowStartFraction <= 1
 	found.addIf(!validColdShare, "cold_share", "cold_share must be 0 to 1")
-	validFallMultiple := c.FallMultiple > 0
+	validFallMultiple := c.OverloadMultiple > 0
 	found.addIf(!validFallMultiple, "fall_multiple", "fall_multiple must be over 0")
 	found.addIf(c.Discovery != "" && len(c.Hosts) > 0, "discovery", "discovery and hosts exclude each other")
 	found.addIf(c.Discovery == "" && len(c.Hosts) == 0, "name", "neither discovery nor a [[cluster.host]]")
@@ -143,19 +143,19 @@
 		Rules: choice.Rules{
 			MaxPollInterval:   10 * time.Second,
 			DrainGrace:        time.Duration(cluster.DrainGrace),
-			SlowStartFraction: cluster.ColdShare,
+			SlowStartFraction: cluster.SlowStartFraction,
 			WarmUp:            time.Duration(cluster.WarmUp),
-			OverloadMultiple:  cluster.FallMultiple,
-			OverloadTime:      time.Duration(cluster.FallTime),
+			OverloadMultiple:  cluster.OverloadMultiple,
+			OverloadTime:      time.Duration(cluster.OverloadTime),
 		},
 		Costs: choice.Costs{HealthCheck: 0.002, Migration: 0.01},
 	}
 	for _, class := range o.Classes {
 		settings.Classes = append(settings.Classes, choice.Class{
 			Name:           class.Name,
-			SetupObjective: time.Duration(class.SetupAim),
+			SetupObjective: time.Duration(class.SetupObjective),
 			Deadline:       time.Duration(class.Patience),
-			Priority:       class.Worth,
+			Priority:       class.Priority,
 		})
 	}
 	return settings
--- a/internal/config/fleetlist.go
+++ b/internal/config/fleetlist.go
@@ -12,10 +12,10 @@
 
 // FleetList is the file that is the same at all nodes of a fleet: the nodes, and the rules that they have in common.
 type FleetList struct {
-	NodeList []FleetNode  `toml:"node"`
-	Plan     FleetPlan    `toml:"plan,omitempty"`
-	Far      []FleetFar   `toml:"far,omitempty"`
-	Policy   *FleetPolicy `toml:"policy,omitempty"` // nil: each node goes by its own files
+	NodeList        []FleetNode      `toml:"node"`
+	Plan            FleetPlan        `toml:"plan,omitempty"`
+	RegionDistances []RegionDistance `toml:"far,omitempty"`
+	Policy          *FleetPolicy     `toml:"policy,omitempty"` // nil: each node goes by its own files
 
 	List *membership.List `toml:"-"` // of NodeList
 	Addr []string         `toml:"-"` // by number in List
@@ -32,19 +32,26 @@
 
 // FleetPlan holds the rules of the plans that move load between zones.
 type FleetPlan struct {
-	Limit float64  `toml:"limit,omitzero"` // fraction of a server's capacity that is planned for
-	Life  Duration `toml:"life,omitzero"`  // a node sends load to other zones for so long without word of the leader
-	Hold  Duration `toml:"hold,omitzero"`  // a zone must be healthy for so long before it takes load again
-	Ramp  float64  `toml:"ramp,omitzero"`  // fraction of a recovered zone's capacity that is given back each second
-	Stay  []string `toml:"stay,omitempty"` // classes that don't leave their region
+	UtilizationLimit float64  `toml:"limit,omitzero"` // fraction of a server's capacity that is planned for
+	GrantLifetime    Duration `toml:"life,omitzero"`  // of a grant into another zone without word of the leader
+	RecoveryDelay    Duration `toml:"hold,omitzero"`  // a zone must be healthy for so long before it takes load again
+	RecoveryRamp     float64  `toml:"ramp,omitzero"`  // fraction of a recovered zone's capacity given back each second
+	Stay             []string `toml:"stay,omitempty"` // classes that don't leave their region
 }
 
-// FleetFar is the relative cost of traffic between two regions; 1 where none is told.
-type FleetFar struct {
+// RegionDistance is the relative cost of traffic between two regions; 1 where none is told.
+type RegionDistance struct {
 	Between []string `toml:"between"`
 	Cost    float64  `toml:"cost"`
 }
 
+// Usual values of the rules of plans, in the list of nodes as in a policy document.
+const (
+	usualUtilizationLimit = 0.85
+	usualRecoveryDelay    = Duration(4 * time.Second)
+	usualRecoveryRamp     = 0.2
+)
+
 const (
 	maxNodeName = 64 // bytes, of a node's and of a zone's name
 	farFormat   = "[[far]]: between = [REGION, REGION] and a cost of 1 or more are wanted"
@@ -70,7 +77,7 @@
 		l.Policy.check(file)
 	}
 	l.checkNodes(file)
-	for i, far := range l.Far {
+	for i, far := range l.RegionDistances {
 		if !far.isValid() {
 			file.Fault(fmt.Sprintf("far.%d", i), farFormat)
 		}
@@ -79,27 +86,29 @@
 }
 
 func (p *FleetPlan) check(file *tomlfile.File) {
-	tomlfile.Fill(&p.Limit, 0.85)
-	tomlfile.Fill(&p.Life, Duration(30*time.Second))
-	tomlfile.Fill(&p.Hold, Duration(4*time.Second))
-	tomlfile.Fill(&p.Ramp, 0.2)
-	validLimit := p.Limit > 0.1 && p.Limit <= 1 // false for NaN, as validRamp is
+	tomlfile.Fill(&p.UtilizationLimit, usualUtilizationLimit)
+	tomlfile.Fill(&p.GrantLifetime, Duration(30*time.Second))
+	tomlfile.Fill(&p.RecoveryDelay, usualRecoveryDelay)
+	tomlfile.Fill(&p.RecoveryRamp, usualRecoveryRamp)
+	validLimit := p.UtilizationLimit > 0.1 && p.UtilizationLimit <= 1 // false for NaN, as validRamp is
 	if !validLimit {
-		file.Fault("plan.limit", "limit = %v: a part over 0.1, up to 1, is wanted", p.Limit)
+		file.Fault("plan.limit", "limit = %v: a part over 0.1, up to 1, is wanted", p.UtilizationLimit)
 	}
-	validRamp := p.Ramp > 0 && p.Ramp <= 1
+	validRamp := p.RecoveryRamp > 0 && p.RecoveryRamp <= 1
 	if !validRamp {
-		file.Fault("plan.ramp", "ramp = %v: a part over 0, up to 1, is wanted", p.Ramp)
+		file.Fault("plan.ramp", "ramp = %v: a part over 0, up to 1, is wanted", p.RecoveryRamp)
 	}
-	if life := time.Duration(p.Life); life < 3*time.Second || life > 5*time.Minute {
-		file.Fault("plan.life", "life = %q: 3s to 5m are possible", life)
+	lifetime := time.Duration(p.GrantLifetime)
+	if lifetime < 3*time.Second || lifetime > 5*time.Minute {
+		file.Fault("plan.life", "life = %q: 3s to 5m are possible", lifetime)
 	}
-	if hold := time.Duration(p.Hold); hold < time.Second || hold > time.Hour {
-		file.Fault("plan.hold", "hold = %q: 1s to 1h are possible", hold)
+	delay := time.Duration(p.RecoveryDelay)
+	if delay < time.Second || delay > time.Hour {
+		file.Fault("plan.hold", "hold = %q: 1s to 1h are possible", delay)
 	}
 }
 
-func (f FleetFar) isValid() bool { return len(f.Between) == 2 && f.Cost >= 1 } // false where the cost is NaN
+func (f RegionDistance) isValid() bool { return len(f.Between) == 2 && f.Cost >= 1 } // false where the cost is NaN
 
 // checkNodes finds faults of single nodes, and a wrong number of voters.
 func (l *FleetList) checkNodes(file *tomlfile.File) {
@@ -152,16 +161,16 @@
 // Rules are the plans' rules, but for the classes.
 func (l *FleetList) Rules() failover.Rules {
 	cost := map[[2]string]float64{}
-	for _, far := range l.Far {
+	for _, far := range l.RegionDistances {
 		from, to := far.Between[0], far.Between[1]
 		cost[[2]string{from, to}] = far.Cost
 		cost[[2]string{to, from}] = far.Cost
 	}
 	return failover.Rules{
-		UtilizationLimit: l.Plan.Limit,
-		GrantLifetime:    time.Duration(l.Plan.Life),
-		RecoveryDelay:    time.Duration(l.Plan.Hold),
-		RecoveryRamp:     l.Plan.Ramp,
+		UtilizationLimit: l.Plan.UtilizationLimit,
+		GrantLifetime:    time.Duration(l.Plan.GrantLifetime),
+		RecoveryDelay:    time.Duration(l.Plan.RecoveryDelay),
+		RecoveryRamp:     l.Plan.RecoveryRamp,
 		RegionDistance:   func(from, to string) float64 { return max(1, cost[[2]string{from, to}]) },
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -2,18 +2,14 @@
 
 import (
 	"bytes"
-	"flag"
 	"net/netip"
 	"os"
 	"path/filepath"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/BurntSushi/toml"
-
 	"spurwinch/choice"
 	"spurwinch/internal/edge"
 	"spurwinch/internal/exchange"
@@ -24,114 +20,6 @@
 	"spurwinch/internal/wire"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// golden reads a golden file. With -update it is written first.
-func golden(t *testing.T, name string, got []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return want
-}
-
-// requireSet fails where a key of a file type is set by none of some values: such a key could get another name unseen.
-// Elements of a list may set it between them.
-func requireSet(t *testing.T, path string, values ...reflect.Value) {
-	t.Helper()
-	if len(values) == 0 {
-		t.Errorf("%s is empty: the golden file has to set every key", path)
-		return
-	}
-	switch values[0].Kind() {
-	case reflect.Pointer:
-		if values[0].IsNil() {
-			t.Errorf("%s is nil: the golden file has to set every key", path)
-			return
-		}
-		requireSet(t, path, values[0].Elem())
-	case reflect.Struct:
-		requireFieldsSet(t, path, values)
-	case reflect.Slice:
-		var elements []reflect.Value
-		for _, list := range values {
-			for i := range list.Len() {
-				elements = append(elements, list.Index(i))
-			}
-		}
-		requireSet(t, path, elements...)
-	default:
-		if !slices.ContainsFunc(values, func(v reflect.Value) bool { return !v.IsZero() }) {
-			t.Errorf("%s is zero: the golden file has to set every key", path)
-		}
-	}
-}
-
-// requireFieldsSet is requireSet for structs of one type. Each field needs a tag.
-func requireFieldsSet(t *testing.T, path string, values []reflect.Value) {
-	t.Helper()
-	structure := values[0].Type()
-	if structure == reflect.TypeFor[time.Time]() {
-		return
-	}
-	for i := range structure.NumField() {
-		field := structure.Field(i)
-		key := field.Tag.Get("toml")
-		if key == "-" {
-			continue
-		}
-		if key == "" && !field.Anonymous {
-			t.Errorf("%s.%s has no toml tag: its key would follow the field's name", path, field.Name)
-		}
-		var all []reflect.Value
-		for _, value := range values {
-			all = append(all, value.Field(i))
-		}
-		requireSet(t, path+"."+field.Name, all...)
-	}
-}
-
-// encode writes a value as TOML, as the converter of nginx configurations does.
-func encode(t *testing.T, v any) []byte {
-	t.Helper()
-	var b bytes.Buffer
-	enc := toml.NewEncoder(&b)
-	enc.Indent = ""
-	if err := enc.Encode(v); err != nil {
-		t.Fatal(err)
-	}
-	return b.Bytes()
-}
-
-// requireEqual compares two structs field by field, so that a message names the field at fault.
-func requireEqual(t *testing.T, path string, got, want any) {
-	t.Helper()
-	gotValue, wantValue := reflect.ValueOf(got), reflect.ValueOf(want)
-	if gotValue.Kind() != reflect.Struct {
-		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is %+v, wanted %+v", path, got, want)
-		}
-		return
-	}
-	for i := range gotValue.NumField() {
-		field := gotValue.Type().Field(i)
-		if !field.IsExported() {
-			continue
-		}
-		gotField, wantField := gotValue.Field(i).Interface(), wantValue.Field(i).Interface()
-		if !reflect.DeepEqual(gotField, wantField) {
-			t.Errorf("%s.%s is %+v, wanted %+v", path, field.Name, gotField, wantField)
-		}
-	}
-}
-
 // goldenSettings is what the settings in testdata/config.json say.
 func goldenSettings() choice.Settings {
 	return choice.Settings{
@@ -253,14 +141,14 @@
 		},
 		Domains: []Domain{{
 			Name: "chat.example.org", Cluster: "visits", Class: "visit",
-			Streams: Streams{Streams: 31, Waiting: 32, Rate: 33.5, Burst: 34},
+			Streams: Streams{Streams: 31, Unauthenticated: 32, Rate: 33.5, Burst: 34},
 		}},
-		Classes: []Class{{Name: "visit", SetupAim: 17 * second / 8, Patience: 21 * second, Worth: 1.5}},
+		Classes: []Class{{Name: "visit", SetupObjective: 17 * second / 8, Patience: 21 * second, Priority: 1.5}},
 		Clusters: []Cluster{
 			{
 				Name: "visits", Zone: "zone-1", Sessions: 1001, Nodes: 2, Attempts: 3,
 				ConnectTimeout: 7 * second / 4, DrainGrace: 11 * second / 4, Leave: 12 * second,
-				ColdShare: 0.16, WarmUp: 31 * second, FallMultiple: 4.25, FallTime: 33 * second / 16,
+				SlowStartFraction: 0.16, WarmUp: 31 * second, OverloadMultiple: 4.25, OverloadTime: 33 * second / 16,
 				Hosts: []Host{{
 					ID: "visits-1", Addr: "127.0.0.1:15222", Zone: "zone-2", Kind: "m6", Weight: 1.25,
 					State: "draining", Started: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
@@ -269,7 +157,7 @@
 			{
 				Name: "others", Zone: "zone-3", Discovery: "127.0.0.1:8502", Sessions: 1002, Nodes: 4, Attempts: 2,
 				ConnectTimeout: 3 * second / 2, DrainGrace: 5 * second / 2, Leave: 13 * second,
-				ColdShare: 0.17, WarmUp: 32 * second, FallMultiple: 4.5, FallTime: 65 * second / 32,
+				SlowStartFraction: 0.17, WarmUp: 32 * second, OverloadMultiple: 4.5, OverloadTime: 65 * second / 32,
 			},
 		},
 		Capture: Capture{
@@ -281,7 +169,7 @@
 		},
 		Peers: Peers{
 			Bits4: 24, Bits6: 56, Most: 65535, Deny: "deny.txt", Allow: "allow.txt",
-			Streams: Streams{Streams: 21, Waiting: 22, Rate: 23.5, Burst: 24},
+			Streams: Streams{Streams: 21, Unauthenticated: 22, Rate: 23.5, Burst: 24},
 		},
 		Certificates:      []Certificate{{Cert: "cert.pem", Key: "key.pem"}},
 		ClientAuthorities: "authorities.pem",
@@ -386,8 +274,10 @@
 		t.Fatal(err)
 	}
 	const second = Duration(time.Second)
-	requireEqual(t, "Plan", list.Plan, FleetPlan{Limit: 0.85, Life: 30 * second, Hold: 4 * second, Ramp: 0.2})
-	requireEqual(t, "Policy", *list.Policy, FleetPolicy{Window: 5 * second, Answer: 10 * second})
+	requireEqual(t, "Plan", list.Plan, FleetPlan{
+		UtilizationLimit: 0.85, GrantLifetime: 30 * second, RecoveryDelay: 4 * second, RecoveryRamp: 0.2,
+	})
+	requireEqual(t, "Policy", *list.Policy, FleetPolicy{Window: 5 * second, AnswerTimeout: 10 * second})
 
 	const least = "[[class]]\nname = \"a\"\naim = \"1s\"\npatience = \"2s\"\n[plan]\n"
 	document, err := ReadPolicy("p", []byte(least), 0)
@@ -410,10 +300,11 @@
 			{Name: "node-a", Addr: "127.0.0.1:7102", Zone: "zone-2", Region: "region-2"},
 		},
 		Plan: FleetPlan{
-			Limit: 0.8, Life: 31 * second, Hold: 5 * second, Ramp: 0.25, Stay: []string{"visit", "bulk"},
+			UtilizationLimit: 0.8, GrantLifetime: 31 * second, RecoveryDelay: 5 * second, RecoveryRamp: 0.25,
+			Stay: []string{"visit", "bulk"},
 		},
-		Far:    []FleetFar{{Between: []string{"region-1", "region-2"}, Cost: 2.5}},
-		Policy: &FleetPolicy{Window: 6 * second, Answer: 11 * second},
+		RegionDistances: []RegionDistance{{Between: []string{"region-1", "region-2"}, Cost: 2.5}},
+		Policy:          &FleetPolicy{Window: 6 * second, AnswerTimeout: 11 * second},
 	}
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -66,10 +66,10 @@
 
 // Class is a class of sessions.
 type Class struct {
-	Name     string   `toml:"name"`
-	SetupAim Duration `toml:"setup_aim,omitzero"` // latency objective of the setup
-	Patience Duration `toml:"patience,omitzero"`  // deadline of the setup
-	Worth    float64  `toml:"worth,omitzero"`     // priority weight
+	Name           string   `toml:"name"`
+	SetupObjective Duration `toml:"setup_aim,omitzero"` // latency objective of the setup
+	Patience       Duration `toml:"patience,omitzero"`  // deadline of the setup
+	Priority       float64  `toml:"worth,omitzero"`     // priority weight
 }
 
 // Capture says where load and reports are written down; without a path they are not.
@@ -221,10 +221,10 @@
 	seen := map[string]bool{}
 	for i := range o.Classes {
 		class := &o.Classes[i]
-		tomlfile.Fill(&class.SetupAim, Duration(2*time.Second))
+		tomlfile.Fill(&class.SetupObjective, Duration(2*time.Second))
 		tomlfile.Fill(&class.Patience, Duration(20*time.Second))
-		tomlfile.Fill(&class.Worth, 1)
-		if class.Name == "" || seen[class.Name] || class.Worth < 0 {
+		tomlfile.Fill(&class.Priority, 1)
+		if class.Name == "" || seen[class.Name] || class.Priority < 0 {
 			file.Fault(fmt.Sprintf("class.%d.name", i),
 				"class %q: a name of its own and a worth over 0 are needed", class.Name)
 		}
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -17,30 +17,30 @@
 // policyFile is a policy document as it is written. The tags are its keys; documentFrom maps them to the terms of
 // package policy.
 type policyFile struct {
-	Attempts       int            `toml:"attempts,omitzero"`
-	ComeAgain      Duration       `toml:"come_again,omitzero"`
-	OverShareWorth float64        `toml:"over_share_worth,omitzero"`
-	Classes        []policyClass  `toml:"class"`
-	Tenants        []policyTenant `toml:"tenant,omitempty"`
-	Ground         policyGround   `toml:"ground,omitempty"`
-	Needs          policyNeeds    `toml:"needs,omitempty"`
-	Plan           *policyPlan    `toml:"plan,omitempty"`
-	Far            []FleetFar     `toml:"far,omitempty"`
+	Attempts          int                `toml:"attempts,omitzero"`
+	RetryAfter        Duration           `toml:"come_again,omitzero"`
+	OverQuotaPriority float64            `toml:"over_share_worth,omitzero"`
+	Classes           []policyClass      `toml:"class"`
+	Tenants           []policyTenant     `toml:"tenant,omitempty"`
+	Base              policyBase         `toml:"ground,omitempty"`
+	Requirements      policyRequirements `toml:"needs,omitempty"`
+	Failover          *policyFailover    `toml:"plan,omitempty"`
+	RegionDistances   []RegionDistance   `toml:"far,omitempty"`
 }
 
 type policyClass struct {
-	Name       string   `toml:"name"`
-	Aim        Duration `toml:"aim,omitzero"`
-	Patience   Duration `toml:"patience,omitzero"`
-	MessageAim Duration `toml:"message_aim,omitzero"`
-	Worth      float64  `toml:"worth,omitzero"`
-	Without    string   `toml:"without,omitempty"` // what is done without a lease: one of the values below
+	Name             string   `toml:"name"`
+	SetupObjective   Duration `toml:"aim,omitzero"`
+	Deadline         Duration `toml:"patience,omitzero"`
+	MessageObjective Duration `toml:"message_aim,omitzero"`
+	Priority         float64  `toml:"worth,omitzero"`
+	WithoutLease     string   `toml:"without,omitempty"` // what is done without a lease: one of the values below
 }
 
 // Values of a class's key "without".
 const (
-	withoutRefuse = "refuse"
-	withoutGround = "ground"
+	withoutLeaseReject = "refuse"
+	withoutLeaseBase   = "ground"
 )
 
 type policyTenant struct {
@@ -49,42 +49,42 @@
 	Rate        float64 `toml:"rate,omitzero"`
 }
 
-type policyGround struct {
+type policyBase struct {
 	Attempts int      `toml:"attempts,omitzero"`
-	Patience Duration `toml:"patience,omitzero"`
+	Deadline Duration `toml:"patience,omitzero"`
 }
 
-type policyNeeds struct {
+type policyRequirements struct {
 	Descriptors int `toml:"descriptors,omitzero"`
 	MemoryMB    int `toml:"memory_mb,omitzero"`
 }
 
-type policyPlan struct {
-	Limit float64  `toml:"limit,omitzero"`
-	Hold  Duration `toml:"hold,omitzero"`
-	Ramp  float64  `toml:"ramp,omitzero"`
-	Stay  []string `toml:"stay,omitempty"`
+type policyFailover struct {
+	UtilizationLimit float64  `toml:"limit,omitzero"`
+	RecoveryDelay    Duration `toml:"hold,omitzero"`
+	RecoveryRamp     float64  `toml:"ramp,omitzero"`
+	RegionalClasses  []string `toml:"stay,omitempty"`
 }
 
 // FleetPolicy says that the fleet has its policy on the log.
 type FleetPolicy struct {
-	Window Duration `toml:"window,omitzero"` // after a decision the policy before it is in use for so long at most
-	Answer Duration `toml:"answer,omitzero"` // members have so long to acknowledge a change
+	Window        Duration `toml:"window,omitzero"` // for which the policy before a decision stays in use at most
+	AnswerTimeout Duration `toml:"answer,omitzero"` // for members to acknowledge a change
 }
 
 // Rules are the rules of changes as package policy has them.
 func (p *FleetPolicy) Rules() policy.Rules {
-	return policy.Rules{Window: time.Duration(p.Window), AnswerTimeout: time.Duration(p.Answer)}
+	return policy.Rules{Window: time.Duration(p.Window), AnswerTimeout: time.Duration(p.AnswerTimeout)}
 }
 
 func (p *FleetPolicy) check(file *tomlfile.File) {
 	const shortest = 2 * time.Second
 	tomlfile.Fill(&p.Window, Duration(5*time.Second))
-	tomlfile.Fill(&p.Answer, Duration(10*time.Second))
+	tomlfile.Fill(&p.AnswerTimeout, Duration(10*time.Second))
 	if window := time.Duration(p.Window); window < shortest || window > 5*time.Minute {
 		file.Fault("policy.window", "[policy] window = %q: 2s to 5m are possible", window)
 	}
-	if answer := time.Duration(p.Answer); answer < shortest || answer > 10*time.Minute {
+	if answer := time.Duration(p.AnswerTimeout); answer < shortest || answer > 10*time.Minute {
 		file.Fault("policy.answer", "[policy] answer = %q: 2s to 10m are possible", answer)
 	}
 }
@@ -124,25 +124,27 @@
 // check sets the usual values, and finds what the document's own check can't see.
 func (p *policyFile) check(file *tomlfile.File) {
 	tomlfile.Fill(&p.Attempts, policy.MostAttempts)
-	tomlfile.Fill(&p.ComeAgain, Duration(time.Second))
+	tomlfile.Fill(&p.RetryAfter, Duration(time.Second))
 	for i := range p.Classes {
 		class := &p.Classes[i]
-		if class.Without != "" && class.Without != withoutRefuse && class.Without != withoutGround {
+		switch class.WithoutLease {
+		case "", withoutLeaseReject, withoutLeaseBase:
+		default:
 			file.Fault(fmt.Sprintf("class.%d.without", i),
-				"class %q: without = %q: \"refuse\" or \"ground\" is wanted", class.Name, class.Without)
+				"class %q: without = %q: \"refuse\" or \"ground\" is wanted", class.Name, class.WithoutLease)
 		}
-		tomlfile.Fill(&class.Worth, 1)
+		tomlfile.Fill(&class.Priority, 1)
 	}
-	if p.Plan == nil {
-		if len(p.Far) > 0 {
+	if p.Failover == nil {
+		if len(p.RegionDistances) > 0 {
 			file.Fault("far.0", "[[far]] without [plan]: the two go together")
 		}
 		return
 	}
-	tomlfile.Fill(&p.Plan.Limit, 0.85)
-	tomlfile.Fill(&p.Plan.Hold, Duration(4*time.Second))
-	tomlfile.Fill(&p.Plan.Ramp, 0.2)
-	for i, far := range p.Far {
+	tomlfile.Fill(&p.Failover.UtilizationLimit, usualUtilizationLimit)
+	tomlfile.Fill(&p.Failover.RecoveryDelay, usualRecoveryDelay)
+	tomlfile.Fill(&p.Failover.RecoveryRamp, usualRecoveryRamp)
+	for i, far := range p.RegionDistances {
 		if len(far.Between) != 2 {
 			file.Fault(fmt.Sprintf("far.%d", i), farFormat)
 		}
@@ -153,19 +155,21 @@
 func (p *policyFile) document() *policy.Document {
 	document := &policy.Document{
 		Attempts:          p.Attempts,
-		RetryAfter:        time.Duration(p.ComeAgain),
-		OverQuotaPriority: p.OverShareWorth,
-		Base:              policy.BasePolicy{Attempts: p.Ground.Attempts, Deadline: time.Duration(p.Ground.Patience)},
-		Requirements:      policy.Requirements{Descriptors: p.Needs.Descriptors, MemoryMB: p.Needs.MemoryMB},
+		RetryAfter:        time.Duration(p.RetryAfter),
+		OverQuotaPriority: p.OverQuotaPriority,
+		Base:              policy.BasePolicy{Attempts: p.Base.Attempts, Deadline: time.Duration(p.Base.Deadline)},
+		Requirements: policy.Requirements{
+			Descriptors: p.Requirements.Descriptors, MemoryMB: p.Requirements.MemoryMB,
+		},
 	}
 	for _, class := range p.Classes {
 		document.Classes = append(document.Classes, policy.Class{
 			Name:             class.Name,
-			SetupObjective:   time.Duration(class.Aim),
-			Deadline:         time.Duration(class.Patience),
-			MessageObjective: time.Duration(class.MessageAim),
-			Priority:         class.Worth,
-			ServedByBase:     class.Without == withoutGround,
+			SetupObjective:   time.Duration(class.SetupObjective),
+			Deadline:         time.Duration(class.Deadline),
+			MessageObjective: time.Duration(class.MessageObjective),
+			Priority:         class.Priority,
+			ServedByBase:     class.WithoutLease == withoutLeaseBase,
 		})
 	}
 	for _, tenant := range p.Tenants {
@@ -173,14 +177,17 @@
 			Name: tenant.Name, Connections: tenant.Connections, Rate: tenant.Rate,
 		})
 	}
-	if p.Plan != nil {
-		document.Failover = p.Plan.rules(p.Far)
+	if p.Failover != nil {
+		document.Failover = p.Failover.rules(p.RegionDistances)
 	}
 	return document
 }
 
-func (p *policyPlan) rules(distances []FleetFar) *policy.FailoverRules {
-	rules := &policy.FailoverRules{Limit: p.Limit, Ramp: p.Ramp, Hold: time.Duration(p.Hold), RegionalClasses: p.Stay}
+func (p *policyFailover) rules(distances []RegionDistance) *policy.FailoverRules {
+	rules := &policy.FailoverRules{
+		Limit: p.UtilizationLimit, Ramp: p.RecoveryRamp, Hold: time.Duration(p.RecoveryDelay),
+		RegionalClasses: p.RegionalClasses,
+	}
 	for _, far := range distances {
 		if len(far.Between) == 2 { // else a fault was noted
 			rules.Far = append(rules.Far, policy.RegionDistance{A: far.Between[0], B: far.Between[1], Cost: far.Cost})
