--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -9,12 +9,14 @@
 
 // A node's loop: hand over what happened, carry out what comes back.
 func Example() {
-	b, err := choice.New(choice.Settings{
+	balancer, err := choice.New(choice.Settings{
 		Nodes:        1,
 		Reports:      choice.HealthCheckReports,
 		ReportFields: []choice.ReportField{choice.Load},
-		Classes: []choice.Class{{Name: "live", SetupObjective: 300 * time.Millisecond, Deadline: 2 * time.Second,
-			MessageObjective: 100 * time.Millisecond, Priority: 1}},
+		Classes: []choice.Class{{
+			Name: "live", SetupObjective: 300 * time.Millisecond, Deadline: 2 * time.Second,
+			MessageObjective: 100 * time.Millisecond, Priority: 1,
+		}},
 		Limits: choice.Limits{MaxAttempts: 3, HealthChecks: true},
 		Rules:  choice.Rules{DrainGrace: 500 * time.Millisecond},
 	}, 42, 0)
@@ -28,13 +30,15 @@
 		choice.Request{ID: "r1", Tenant: -1, TimeLeft: 2 * time.Second},
 	}
 	for now := time.Duration(0); len(inbox) > 0; now += time.Millisecond {
-		actions := b.Step(now, inbox)
+		actions := balancer.Step(now, inbox)
 		inbox = nil
 		for _, a := range actions {
 			switch a := a.(type) {
 			case choice.HealthCheck:
-				inbox = append(inbox, choice.HealthCheckResult{Server: a.Server, Outcome: choice.Served,
-					Report: []float64{loads[a.Server]}})
+				inbox = append(inbox, choice.HealthCheckResult{
+					Server: a.Server, Outcome: choice.Served,
+					Report: []float64{loads[a.Server]},
+				})
 			case choice.StartAttempt:
 				fmt.Println("connect", a.ID, "to", a.Server)
 			case choice.SetTimer: // a real node hands TimerFired back when the time has come
