--- a/choice/world_test.go
+++ b/choice/referee_test.go
@@ -11,17 +11,17 @@
 // referee checks the four rules from outside: it sees the events given and the actions returned, and nothing of the
 // module's state.
 type referee struct {
-	t      testing.TB
-	set    Settings
-	b      *Balancer
-	now    time.Duration
-	reqs   map[RequestID]*seen
-	list   map[ServerID]Server
-	told   map[ServerID]time.Duration // since when it drains or is gone
-	timers []timer
-	probes map[ServerID]int
-	last   []Action
-	load   func(ServerID) float64 // what hosts answer probes with, once set
+	t        testing.TB
+	set      Settings
+	b        *Balancer
+	now      time.Duration
+	reqs     map[RequestID]*seen
+	list     map[ServerID]Server
+	offSince map[ServerID]time.Duration // since when it drains or is gone
+	timers   []timer
+	checks   map[ServerID]int
+	last     []Action
+	load     func(ServerID) float64 // what servers answer health checks with, once set
 }
 
 type seen struct {
@@ -44,15 +44,15 @@
 	token string
 }
 
-func newReferee(t testing.TB, s Settings, seed uint64) *referee {
-	t.Helper()
+func newReferee(tb testing.TB, s Settings, seed uint64) *referee {
+	tb.Helper()
 	b, err := New(s, seed, 0)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return &referee{
-		t: t, set: s, b: b, reqs: map[RequestID]*seen{}, list: map[ServerID]Server{},
-		told: map[ServerID]time.Duration{}, probes: map[ServerID]int{},
+		t: tb, set: s, b: b, reqs: map[RequestID]*seen{}, list: map[ServerID]Server{},
+		offSince: map[ServerID]time.Duration{}, checks: map[ServerID]int{},
 	}
 }
 
@@ -83,7 +83,7 @@
 		if event.Kind != ListChange {
 			for id, s := range f.list {
 				if s.State == Ready {
-					f.told[id] = f.now
+					f.offSince[id] = f.now
 				}
 				s.State = Gone
 				f.list[id] = s
@@ -91,9 +91,9 @@
 		}
 		for _, s := range event.Servers {
 			if s.State == Ready {
-				delete(f.told, s.ID)
-			} else if _, ok := f.told[s.ID]; !ok {
-				f.told[s.ID] = f.now
+				delete(f.offSince, s.ID)
+			} else if _, ok := f.offSince[s.ID]; !ok {
+				f.offSince[s.ID] = f.now
 			}
 			f.list[s.ID] = s
 		}
@@ -111,7 +111,8 @@
 			return
 		}
 		if !event.Outcome.NeverRan() && !request.may {
-			request.may, request.mayServer, request.mayAt = true, request.out[event.Attempt], request.sentAt[event.Attempt]
+			request.may, request.mayServer, request.mayAt = true, request.out[event.Attempt],
+				request.sentAt[event.Attempt]
 		}
 		delete(request.out, event.Attempt)
 		if event.Final || request.open {
@@ -135,7 +136,7 @@
 			f.t.Fatalf("%v: %d attempts for %s", f.now, request.sent, action.ID)
 		}
 		server, ok := f.list[action.Server]
-		if at, drains := f.told[action.Server]; !ok || drains && f.now > at+f.set.Rules.DrainGrace {
+		if at, drains := f.offSince[action.Server]; !ok || drains && f.now > at+f.set.Rules.DrainGrace {
 			f.t.Fatalf("%v: Send to %s, unknown or told to drain", f.now, action.Server)
 		}
 		if action.Timeout <= 0 || f.now+action.Timeout > request.deadline {
@@ -147,7 +148,8 @@
 		}
 		if request.may && c.Idempotency == IdempotentByKey {
 			first := f.list[request.mayServer]
-			if f.now > request.mayAt+c.IdempotencyWindow || c.IdempotencyScope != ScopeAll && server.Zone != first.Zone ||
+			if f.now > request.mayAt+c.IdempotencyWindow || c.IdempotencyScope != ScopeAll &&
+				server.Zone != first.Zone ||
 				c.IdempotencyScope == ScopeCell && server.Cell != first.Cell {
 				f.t.Fatalf("%v: a keyed request leaves its group or window", f.now)
 			}
@@ -158,7 +160,7 @@
 		r := f.final(action.ID)
 		if c := f.set.Classes[r.class]; (r.may || len(r.out) > 0) &&
 			!(c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll) {
-			f.t.Fatalf("%v: refusal of %s, which may have run", f.now, action.ID)
+			f.t.Fatalf("%v: rejection of %s, which may have run", f.now, action.ID)
 		}
 	case Fail:
 		f.final(action.ID)
@@ -169,9 +171,9 @@
 		f.timers = append(f.timers, timer{f.now + action.After, action.Token})
 	case HealthCheck:
 		if _, ok := f.list[action.Server]; !ok {
-			f.t.Fatalf("probe of unknown server %s", action.Server)
+			f.t.Fatalf("health check of unknown server %s", action.Server)
 		}
-		f.probes[action.Server]++
+		f.checks[action.Server]++
 	case Migrate:
 		if r := f.reqs[action.ID]; r == nil || !r.open || r.done && r.doneAt < f.now {
 			f.t.Fatalf("%v: move of %s, which is not open", f.now, action.ID)
@@ -205,8 +207,8 @@
 		f.timers = f.timers[1:]
 		f.now = max(f.now, next.at)
 		f.step(TimerFired{next.token})
-		if f.load != nil { // probes on the module's own account have answers as well
-			f.answerProbes(f.load)
+		if f.load != nil { // health checks on the module's own account have answers as well
+			f.answerHealthChecks(f.load)
 		}
 	}
 	f.now = max(f.now, until)
@@ -221,9 +223,13 @@
 
 func plain() Settings {
 	return Settings{
-		Nodes: 4, Zone: "z0", Reports: HealthCheckReports, ReportFields: []ReportField{Load, InFlight}, RoundTrip: ms(5),
-		Classes: []Class{{Name: "c", SetupObjective: ms(300), Deadline: ms(1800), MessageObjective: ms(100), Priority: 1}},
-		Limits:  Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, ConnectTimeout: ms(250)},
+		Nodes: 4, Zone: "z0", Reports: HealthCheckReports, ReportFields: []ReportField{Load, InFlight},
+		RoundTrip: ms(5),
+		Classes: []Class{{
+			Name: "c", SetupObjective: ms(300), Deadline: ms(1800), MessageObjective: ms(100),
+			Priority: 1,
+		}},
+		Limits: Limits{MaxAttempts: 4, HealthChecks: true, Cancellation: true, ConnectTimeout: ms(250)},
 		Rules: Rules{
 			AnswerSlack: ms(20), MaxPollInterval: 10 * time.Second, DrainGrace: ms(500), SlowStartFraction: 0.2,
 			WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second,
@@ -253,15 +259,18 @@
 	return ids
 }
 
-// answerProbes answers the probes of the last step with the given load, and the ones that follow from it.
-func (f *referee) answerProbes(load func(ServerID) float64) {
+// answerHealthChecks answers the health checks of the last step with the given load, and the ones that follow from it.
+func (f *referee) answerHealthChecks(load func(ServerID) float64) {
 	f.t.Helper()
 	f.load = load
 	for range 50 {
 		var events []Event
 		for _, a := range f.last {
 			if p, ok := a.(HealthCheck); ok {
-				events = append(events, HealthCheckResult{Server: p.Server, Outcome: Served, Report: []float64{load(p.Server), 10}})
+				events = append(events, HealthCheckResult{
+					Server: p.Server, Outcome: Served,
+					Report: []float64{load(p.Server), 10},
+				})
 			}
 		}
 		if len(events) == 0 {
