--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -14,22 +14,24 @@
 
 // TestGoldenDoor holds the bodies of /api/reasons and /api/telemetry: all that is counted in a process, one a line.
 func TestGoldenDoor(t *testing.T) {
-	var p Program
+	var program Program
 	for range 2 {
-		p.trace.Closed("request", trace.ClientEnded)
+		program.trace.Closed("request", trace.ClientEnded)
 	}
 	for range 3 {
-		p.trace.Retried("request", choice.TimedOut)
+		program.trace.Retried("request", choice.TimedOut)
 	}
 	for range 4 {
-		p.trace.Answered("request", true, trace.Stopping)
+		program.trace.Answered("request", true, trace.Stopping)
 	}
 	for range 5 {
-		p.trace.Answered("request", true, trace.Reason(choice.ServersCrowded.String()))
+		program.trace.Answered("request", true, trace.Reason(choice.ServersCrowded.String()))
 	}
 	begin := time.Unix(1e9, 0)
 	for i := range 6 {
-		r := p.monitor.NewRequest(invariant.RequestFacts{ID: "request", Class: choice.Class{Idempotency: choice.Idempotent}, Deadline: begin, MaxAttempts: 2})
+		r := program.monitor.NewRequest(invariant.RequestFacts{
+			ID: "request", Class: choice.Class{Idempotency: choice.Idempotent}, Deadline: begin, MaxAttempts: 2,
+		})
 		r.Start(invariant.Server{ID: "host"}, begin)
 		if i > 1 {
 			r.Send(invariant.Server{ID: "host"}, begin)
@@ -38,11 +40,11 @@
 			r.Close(invariant.ByNode, false)
 		}
 	}
-	holds(t, "testdata/reasons.txt", string(p.reasons(nil)))
+	holds(t, "testdata/reasons.txt", string(program.reasons(nil)))
 
-	*p.figures.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
-	p.figures.Attempts, p.figures.ReloadsOK, p.figures.ReloadsFailed = 14, 15, 16
-	holds(t, "testdata/telemetry.txt", string(p.telemetry(nil)))
+	*program.figures.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
+	program.figures.Attempts, program.figures.ReloadsOK, program.figures.ReloadsFailed = 14, 15, 16
+	holds(t, "testdata/telemetry.txt", string(program.telemetry(nil)))
 }
 
 // TestGoldenReasonWords holds the words for outcomes and for the reasons of the module's answers.
--- a/internal/operate/admin/golden_test.go
+++ b/internal/operate/admin/golden_test.go
@@ -15,67 +15,33 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// TestGoldenAnswers calls a door, and holds each byte of its answers. The golden file has the calls and their answers, one behind the other.
+// TestGoldenAnswers calls the admin server, and holds each byte of its answers. The golden file has the calls and their
+// answers, one behind the other.
 func TestGoldenAnswers(t *testing.T) {
-	l, err := loop.New()
-	if err != nil {
-		t.Fatal(err)
-	}
 	ready := true
-	answers := Answers{
+	addr, onLoop := serveGolden(t, Answers{
 		Ready:     func() bool { return ready },
 		Telemetry: func(buf []byte) []byte { return append(buf, "the figures\n"...) },
 		Reasons:   func(buf []byte) []byte { return append(buf, "the reasons\n"...) },
-	}
-	_, addr, err := Listen(l, "127.0.0.1:0", answers)
-	if err != nil {
-		t.Fatal(err)
-	}
-	ended := make(chan error, 1)
-	go func() { ended <- l.Run() }()
-	t.Cleanup(func() {
-		l.Post(l.Stop)
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-		l.Close()
 	})
-	call := func(head string) string {
-		t.Helper()
-		c, err := net.Dial("tcp", addr.String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		if err := c.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := io.WriteString(c, head); err != nil {
-			t.Fatal(err)
-		}
-		if !strings.HasSuffix(head, "\n") {
-			if err := c.(*net.TCPConn).CloseWrite(); err != nil {
-				t.Fatal(err)
-			}
-		}
-		answer, err := io.ReadAll(c)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return string(answer)
-	}
+	longName := strings.Repeat("x", 4<<10)
 	var got bytes.Buffer
 	for _, head := range []string{
-		"GET /api/ready HTTP/1.1\r\nHost: node\r\n\r\n", "GET /api/telemetry HTTP/1.1\r\nHost: node\r\n\r\n", "GET /api/reasons HTTP/1.0\n\n",
-		"POST /api/ready HTTP/1.1\r\nHost: node\r\n\r\n", "GET /api/none HTTP/1.1\r\nHost: node\r\n\r\n", "nonsense\r\n\r\n", "GET /api/ready",
-		"GET /api/ready HTTP/1.1\r\nHost: " + strings.Repeat("x", 4<<10) + "\r\n\r\n",
+		"GET /api/ready HTTP/1.1\r\nHost: node\r\n\r\n",
+		"GET /api/telemetry HTTP/1.1\r\nHost: node\r\n\r\n",
+		"GET /api/reasons HTTP/1.0\n\n",
+		"POST /api/ready HTTP/1.1\r\nHost: node\r\n\r\n",
+		"GET /api/none HTTP/1.1\r\nHost: node\r\n\r\n",
+		"nonsense\r\n\r\n",
+		"GET /api/ready",
+		"GET /api/ready HTTP/1.1\r\nHost: " + longName + "\r\n\r\n",
 	} {
-		got.WriteString("--- " + strings.TrimRight(strings.ReplaceAll(head, strings.Repeat("x", 4<<10), "x..."), "\r\n") + "\n" + call(head))
+		title := strings.TrimRight(strings.ReplaceAll(head, longName, "x..."), "\r\n")
+		got.WriteString("--- " + title + "\n" + callGolden(t, addr, head))
 	}
-	change := make(chan struct{})
-	l.Post(func() { ready = false; close(change) })
-	<-change
-	got.WriteString("--- GET /api/ready, not ready\n" + call("GET /api/ready HTTP/1.1\r\nHost: node\r\n\r\n"))
+	onLoop(func() { ready = false })
+	answer := callGolden(t, addr, "GET /api/ready HTTP/1.1\r\nHost: node\r\n\r\n")
+	got.WriteString("--- GET /api/ready, not ready\n" + answer)
 	const name = "testdata/answers.txt"
 	if *update {
 		if err := os.WriteFile(name, got.Bytes(), 0o644); err != nil {
@@ -90,3 +56,59 @@
 		t.Errorf("the answers are\n%q, want\n%q", got.String(), want)
 	}
 }
+
+// serveGolden runs the admin server on a loop of its own until the test ends; onLoop calls a function there and waits.
+func serveGolden(t *testing.T, answers Answers) (addr string, onLoop func(fn func())) {
+	t.Helper()
+	events, err := loop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, address, err := Listen(events, "127.0.0.1:0", answers)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- events.Run() }()
+	t.Cleanup(func() {
+		events.Post(events.Stop)
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+		events.Close()
+	})
+	return address.String(), func(fn func()) {
+		done := make(chan struct{})
+		events.Post(func() {
+			fn()
+			close(done)
+		})
+		<-done
+	}
+}
+
+// callGolden sends a head, ends its sending where the head does not, and returns the whole answer.
+func callGolden(t *testing.T, addr, head string) string {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = conn.Close() }() // it was read to its end
+	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.WriteString(conn, head); err != nil {
+		t.Fatal(err)
+	}
+	if half, ok := conn.(*net.TCPConn); ok && !strings.HasSuffix(head, "\n") {
+		if err := half.CloseWrite(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	answer, err := io.ReadAll(conn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(answer)
+}
--- a/internal/operate/capture/golden_test.go
+++ b/internal/operate/capture/golden_test.go
@@ -19,15 +19,22 @@
 const goldenFile = "testdata/capture.spwcap"
 
 // goldenHeader is the header of the golden file, as it is read.
-var goldenHeader = Header{Version: 1, Node: "node-1", Zone: "zone-2", Start: 1700000000123456789, File: 3, Share: 0.5,
-	Classes: []string{"class-1", "class-2", "class-3"}, Tenants: []string{"tenant-1", "tenant-2"}, Fields: []string{"x0", "x1", "backlog"}}
+var goldenHeader = Header{
+	Version: 1, Node: "node-1", Zone: "zone-2", Start: 1700000000123456789, File: 3, Share: 0.5,
+	Classes: []string{"class-1", "class-2", "class-3"}, Tenants: []string{"tenant-1", "tenant-2"},
+	Fields: []string{"x0", "x1", "backlog"},
+}
 
-// goldenRecords have each field of each kind of record set to a value of its own, and each value of the fields that are numbers for words.
+// goldenRecords have each field of each kind of record set to a value of its own, and each value of the fields that
+// are numbers for words.
 func goldenRecords() []Record {
 	records := []Record{
 		Host{At: 1, ID: "host-2", Zone: "zone-3", Kind: "kind-4", State: 1},
-		Placed{At: 5, Seq: 6, Class: 2, Tenant: 1, Client: 7, Group: 8, Load: 0.9, Returned: true, Patience: 10, Took: 11, Answer: 3,
-			Tries: []Try{{Host: "host-12", Outcome: 5, Took: 13}, {Host: "host-14", Outcome: 1, Took: 15}}},
+		Placed{
+			At: 5, Seq: 6, Class: 2, Tenant: 1, Client: 7, Group: 8, Load: 0.9, Returned: true, Patience: 10,
+			Took: 11, Answer: 3,
+			Tries: []Try{{Host: "host-12", Outcome: 5, Took: 13}, {Host: "host-14", Outcome: 1, Took: 15}},
+		},
 		Ended{At: 16, Seq: 17, Life: 18, Cause: 2, Load: 1.9},
 		Report{At: 20, Host: "host-21", Values: []float32{22.5, -23.5, 24.5}},
 		Dropped{At: 25, Count: 26},
@@ -43,27 +50,33 @@
 	return records
 }
 
-// writeGolden writes the golden records to a file in a folder of its own, in two blocks, and returns its name. It does on one goroutine what
-// a Writer does on its own, so that the blocks are the same at any speed.
+// writeGolden writes the golden records to a file in a folder of its own, in two blocks, and returns its name. It
+// does on one goroutine what a Writer does on its own, so that the blocks are the same at any speed.
 func writeGolden(t *testing.T) string {
 	t.Helper()
-	w := &Writer{o: Options{Path: filepath.Join(t.TempDir(), "load"), FileSize: 1 << 20, Files: 1, Key: []byte("0123456789abcdef"), Header: goldenHeader,
-		Fault: func(err error) { t.Error(err) }}, hosts: map[string]Host{}, skipped: map[uint64]bool{}, limit: math.MaxUint64, zip: zipper(),
-		number: goldenHeader.File, began: time.Unix(0, goldenHeader.Start)}
-	w.enc = cbor.NewEncoder(&w.raw)
-	if err := w.next(); err != nil {
+	writer := &Writer{
+		o: Options{
+			Path: filepath.Join(t.TempDir(), "load"), FileSize: 1 << 20, Files: 1,
+			Key: []byte("0123456789abcdef"), Header: goldenHeader,
+			Fault: func(err error) { t.Error(err) },
+		}, hosts: map[string]Host{}, skipped: map[uint64]bool{},
+		limit: math.MaxUint64, zip: zipper(),
+		number: goldenHeader.File, began: time.Unix(0, goldenHeader.Start),
+	}
+	writer.enc = cbor.NewEncoder(&writer.raw)
+	if err := writer.next(); err != nil {
 		t.Fatal(err)
 	}
 	for i, r := range goldenRecords() {
-		if w.take(r); i == 3 {
-			w.flush()
+		if writer.take(r); i == 3 {
+			writer.flush()
 		}
 	}
-	w.flush()
-	if err := w.file.Close(); err != nil {
+	writer.flush()
+	if err := writer.file.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return w.files[0]
+	return writer.files[0]
 }
 
 // TestGoldenRead reads a file of the present format.
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -12,8 +12,8 @@
 	"spurwinch/choice"
 )
 
-// The golden files hold the exchange with the simulator and its settings as a whole: each key has a value of its own, so that a key that is
-// read into another field, or not at all, is seen.
+// The golden files hold the exchange with the simulator and its settings as a whole: each key has a value of its own,
+// so that a key that is read into another field, or not at all, is seen.
 
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
@@ -24,45 +24,74 @@
 	return raw
 }
 
+const millisecond = time.Millisecond
+
+// goldenSettings are the golden settings as they are read.
+var goldenSettings = Settings{
+	Settings: choice.Settings{
+		Nodes: 21, Node: 3, Zone: "zone-1", GroupAffinity: true, PacketPassThrough: true,
+		Park: 18 * time.Second, Subscribe: true,
+		Classes: []choice.Class{
+			{
+				Name: "class-1", SetupObjective: 330 * millisecond, Deadline: 35 * time.Second,
+				MessageObjective: 150 * millisecond, Priority: 36, Idempotency: choice.IdempotentByKey,
+				IdempotencyScope: choice.ScopeZone, IdempotencyWindow: 34 * time.Second,
+			},
+			{
+				Name: "class-2", SetupObjective: 370 * millisecond, Deadline: 39 * time.Second,
+				MessageObjective: 160 * millisecond, Priority: 40, Idempotency: choice.NotIdempotent,
+				IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 38 * time.Second,
+			},
+			{
+				Name: "class-3", SetupObjective: 410 * millisecond, Deadline: 43 * time.Second,
+				MessageObjective: 170 * millisecond, Priority: 44, Idempotency: choice.Idempotent,
+				IdempotencyScope: choice.ScopeAll, IdempotencyWindow: 42 * time.Second,
+			},
+		},
+		Tenants: []choice.Tenant{
+			{Name: "tenant-1", Rate: 11, Connections: 19, Share: 0.12},
+			{Name: "tenant-2", Rate: 13, Connections: 20, Share: 0.14},
+		},
+		Reports: choice.HealthCheckReports,
+		ReportFields: []choice.ReportField{
+			choice.Load, choice.Backlog, choice.InFlight, choice.Queue,
+			choice.Utilization, choice.Latency,
+			choice.Throughput, choice.ErrorRate, choice.OtherField,
+		},
+		Sizes: choice.LiveSize, DelaysObserved: true, OverQuotaPriority: 0.29, PriorityPerWork: true,
+		RoundTrip: 45 * millisecond,
+		Limits: choice.Limits{
+			MaxAttempts: 32, HealthChecks: true, Cancellation: true, PeerMessages: true,
+			HedgedRequests: true, RetryAfter: true,
+			MaxRetryAfter: 31 * time.Second, ConnectTimeout: 300 * millisecond,
+		},
+		Rules: choice.Rules{
+			AnswerSlack: 220 * millisecond, MaxPollInterval: 23 * time.Second,
+			DrainGrace: 28 * time.Second, SlowStartFraction: 0.24,
+			WarmUp: 27 * time.Second, OverloadMultiple: 25, OverloadTime: 26 * time.Second,
+		},
+		Costs: choice.Costs{
+			HealthCheck: 0.5, Migration: 0.48, PeerMessage: 0.49, CrossZone: 0.46,
+			LateFailure: 0.47, Waste: 0.51,
+		},
+	},
+	ClassByName:  map[string]int{"class-1": 0, "class-2": 1, "class-3": 2},
+	TenantByName: map[string]int{"tenant-1": 0, "tenant-2": 1},
+	ReportFields: []string{
+		"x0", "x1", "outstanding", "backlog", "utilization", "recent_ms", "throughput",
+		"errors_per_s", "not_known",
+	},
+}
+
 // TestGoldenSettings reads a setup object that has every key.
 func TestGoldenSettings(t *testing.T) {
-	ms := time.Millisecond
 	raw := golden(t, "settings.json")
 	got, err := DecodeSettings(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Settings{
-		Settings: choice.Settings{
-			Nodes: 21, Node: 3, Zone: "zone-1", GroupAffinity: true, PacketPassThrough: true, Park: 18 * time.Second, Subscribe: true,
-			Classes: []choice.Class{
-				{Name: "class-1", SetupObjective: 330 * ms, Deadline: 35 * time.Second, MessageObjective: 150 * ms, Priority: 36, Idempotency: choice.IdempotentByKey,
-					IdempotencyScope: choice.ScopeZone, IdempotencyWindow: 34 * time.Second},
-				{Name: "class-2", SetupObjective: 370 * ms, Deadline: 39 * time.Second, MessageObjective: 160 * ms, Priority: 40, Idempotency: choice.NotIdempotent,
-					IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 38 * time.Second},
-				{Name: "class-3", SetupObjective: 410 * ms, Deadline: 43 * time.Second, MessageObjective: 170 * ms, Priority: 44, Idempotency: choice.Idempotent,
-					IdempotencyScope: choice.ScopeAll, IdempotencyWindow: 42 * time.Second},
-			},
-			Tenants: []choice.Tenant{
-				{Name: "tenant-1", Rate: 11, Connections: 19, Share: 0.12},
-				{Name: "tenant-2", Rate: 13, Connections: 20, Share: 0.14},
-			},
-			Reports: choice.HealthCheckReports,
-			ReportFields: []choice.ReportField{choice.Load, choice.Backlog, choice.InFlight, choice.Queue, choice.Utilization, choice.Latency,
-				choice.Throughput, choice.ErrorRate, choice.OtherField},
-			Sizes: choice.LiveSize, DelaysObserved: true, OverQuotaPriority: 0.29, PriorityPerWork: true, RoundTrip: 45 * ms,
-			Limits: choice.Limits{MaxAttempts: 32, HealthChecks: true, Cancellation: true, PeerMessages: true, HedgedRequests: true, RetryAfter: true,
-				MaxRetryAfter: 31 * time.Second, ConnectTimeout: 300 * ms},
-			Rules: choice.Rules{AnswerSlack: 220 * ms, MaxPollInterval: 23 * time.Second, DrainGrace: 28 * time.Second, SlowStartFraction: 0.24,
-				WarmUp: 27 * time.Second, OverloadMultiple: 25, OverloadTime: 26 * time.Second},
-			Costs: choice.Costs{HealthCheck: 0.5, Migration: 0.48, PeerMessage: 0.49, CrossZone: 0.46, LateFailure: 0.47, Waste: 0.51},
-		},
-		ClassByName:  map[string]int{"class-1": 0, "class-2": 1, "class-3": 2},
-		TenantByName: map[string]int{"tenant-1": 0, "tenant-2": 1},
-		ReportFields: []string{"x0", "x1", "outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s", "not_known"},
-	}
-	if !reflect.DeepEqual(got, want) {
-		t.Errorf("the settings are read as\n%+v, want\n%+v", got, want)
+	if !reflect.DeepEqual(got, goldenSettings) {
+		t.Errorf("the settings are read as\n%+v, want\n%+v", got, goldenSettings)
 	}
 	// The object as it was read, written again: the same keys in the same order with the same values.
 	var in setup
@@ -88,28 +117,49 @@
 		}
 		return got.Settings
 	}
-	for word, want := range map[string]choice.ReportSource{"": choice.NoReports, "off": choice.NoReports, "on_probe": choice.HealthCheckReports, "inline": choice.AllReports} {
+	for word, want := range map[string]choice.ReportSource{
+		"":         choice.NoReports,
+		"off":      choice.NoReports,
+		"on_probe": choice.HealthCheckReports,
+		"inline":   choice.AllReports,
+	} {
 		if got := decode(`"via":"on_probe"`, `"via":"`+word+`"`).Reports; got != want {
 			t.Errorf("loadReport.via %q is read as %d, want %d", word, got, want)
 		}
 	}
-	for word, want := range map[string]choice.SizeKind{"": choice.NoSize, "off": choice.NoSize, "nominal": choice.NominalSize, "rough": choice.NominalSize,
-		"live": choice.LiveSize, "not_known": choice.NoSize} {
+	for word, want := range map[string]choice.SizeKind{
+		"":          choice.NoSize,
+		"off":       choice.NoSize,
+		"nominal":   choice.NominalSize,
+		"rough":     choice.NominalSize,
+		"live":      choice.LiveSize,
+		"not_known": choice.NoSize,
+	} {
 		if got := decode(`"weightSource":"live"`, `"weightSource":"`+word+`"`).Sizes; got != want {
 			t.Errorf("weightSource %q is read as %d, want %d", word, got, want)
 		}
 	}
-	for word, want := range map[string]choice.Scope{"": choice.ScopeAll, "all": choice.ScopeAll, "zone": choice.ScopeZone, "cell": choice.ScopeCell} {
+	for word, want := range map[string]choice.Scope{
+		"":     choice.ScopeAll,
+		"all":  choice.ScopeAll,
+		"zone": choice.ScopeZone,
+		"cell": choice.ScopeCell,
+	} {
 		if got := decode(`"dedupScope":"zone"`, `"dedupScope":"`+word+`"`).Classes[0].IdempotencyScope; got != want {
 			t.Errorf("dedupScope %q is read as %d, want %d", word, got, want)
 		}
 	}
-	for word, want := range map[string]choice.Idempotency{"safe": choice.Idempotent, "keyed": choice.IdempotentByKey, "unsafe": choice.NotIdempotent} {
+	for word, want := range map[string]choice.Idempotency{
+		"safe":   choice.Idempotent,
+		"keyed":  choice.IdempotentByKey,
+		"unsafe": choice.NotIdempotent,
+	} {
 		if got := decode(`"idempotency":"keyed"`, `"idempotency":"`+word+`"`).Classes[0].Idempotency; got != want {
 			t.Errorf("idempotency %q is read as %d, want %d", word, got, want)
 		}
 	}
-	if decode(`"mode":"pass"`, `"mode":"proxy"`).PacketPassThrough || decode(`"membershipMode":"on_request"`, `"membershipMode":"push"`).Subscribe ||
+	if decode(`"mode":"pass"`, `"mode":"proxy"`).PacketPassThrough || decode(`"membershipMode":"on_request"`,
+		`"membershipMode":"push"`).Subscribe ||
 		decode(`"worthBy":"work"`, `"worthBy":"request"`).PriorityPerWork {
 		t.Error("domain.mode proxy, membershipMode push or worthBy request is read as its opposite")
 	}
@@ -124,12 +174,19 @@
 	}
 	num := func(v float64) *float64 { return &v }
 	trial, peer, ts, seq := 4, 15, 1.5, uint64(2)
-	want := batch{TsS: &ts, Seq: &seq, Inbox: []event{{Op: "Completed", NodeID: "node-1", OpID: "op-2", Host: "host-3", Trial: &trial, RttS: 0.5,
-		NoMore: true, RC: "reset", Feedback: []*float64{num(0.6), nil, num(0.7)}, Lane: "class-1", Owner: "tenant-2", Object: 8, Group: 9,
+	want := batch{TsS: &ts, Seq: &seq, Inbox: []event{{
+		Op: "Completed", NodeID: "node-1", OpID: "op-2",
+		Host: "host-3", Trial: &trial, RttS: 0.5,
+		NoMore: true, RC: "reset", Feedback: []*float64{num(0.6), nil, num(0.7)}, Lane: "class-1",
+		Owner: "tenant-2", Object: 8, Group: 9,
 		ExpiresIn: num(10.5), EstimateS: 0.11, Options: 25, Token: "token-12", Sort: 13, X: num(1400), SrcPeer: &peer,
-		Payload: []byte{0, 255, 16, 128}, Form: "incr", Members: []member{{Host: "host-16", RegionPart: "zone-17", Shape: "kind-18", Pod: 19,
-			Status: "quiescing", Heft: num(20.5), StartedAtS: 21.5}}, Nonce: json.RawMessage("18446744073709551615"),
-		Setup: json.RawMessage(`{"az":"zone-22"}`)}}}
+		Payload: []byte{0, 255, 16, 128}, Form: "incr", Members: []member{{
+			Host: "host-16", RegionPart: "zone-17",
+			Shape: "kind-18", Pod: 19,
+			Status: "quiescing", Heft: num(20.5), StartedAtS: 21.5,
+		}}, Nonce: json.RawMessage("18446744073709551615"),
+		Setup: json.RawMessage(`{"az":"zone-22"}`),
+	}}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("the batch is read as\n%+v, want\n%+v", got, want)
 	}
@@ -138,57 +195,115 @@
 	}
 }
 
+// goldenRequestKeys are the keys of a request, and goldenRequest what they are read as.
+const goldenRequestKeys = `"opId":"op-1","lane":"class-2","owner":"tenant-4","object":5,"group":6,` +
+	`"expiresInS":7.5,"estimateS":0.8,"options":25`
+
+var (
+	goldenRequest = choice.Request{
+		ID: "op-1", Class: 2, Tenant: 4, Key: 5, Group: 6, TimeLeft: 7500 * millisecond,
+		Load: 0.8, MidFlow: true, Returned: true,
+	}
+	goldenShortRequest = choice.Request{ID: "op-1", Class: 1, Tenant: -1, TimeLeft: time.Second}
+	goldenBytes        = []byte{0, 255, 16, 128}
+)
+
+// goldenMember is an entry of a server list; rest are keys that may be left out.
+func goldenMember(host, status, rest string) string {
+	return `{"host":"` + host + `","status":"` + status + `"` + rest + `}`
+}
+
+// goldenEvents are the events of the simulator, and what they are read as.
+var goldenEvents = []struct {
+	raw  string
+	want choice.Event
+}{
+	{`{"op":"Inbound",` + goldenRequestKeys + `}`, goldenRequest},
+	{
+		`{"op":"Inbound","opId":"op-1","lane":"class-1","owner":"stranger","expiresInS":1,"estimateS":0.8}`,
+		goldenShortRequest,
+	},
+	{
+		`{"op":"Carried","host":"host-9",` + goldenRequestKeys + `}`,
+		choice.OpenConnection{Request: goldenRequest, Server: "host-9"},
+	},
+	{
+		`{"op":"Streaming","opId":"op-1","trial":2,"host":"host-3","rttS":0.004}`,
+		choice.Established{ID: "op-1", Attempt: 2, Server: "host-3", Took: 4 * time.Millisecond},
+	},
+	{
+		`{"op":"Completed","opId":"op-1","trial":2,"host":"host-3","rttS":0.004,` +
+			`"noMore":true,"rc":"error","feedback":[5,6]}`,
+		choice.AttemptEnded{
+			ID: "op-1", Attempt: 2, Server: "host-3", Outcome: choice.Failed,
+			Took: 4 * time.Millisecond, Final: true,
+			Report: []float64{5, 6},
+		},
+	},
+	{
+		`{"op":"Checked","host":"host-3","rttS":0.004,"rc":"ok","feedback":[5,6]}`,
+		choice.HealthCheckResult{
+			Server: "host-3", Outcome: choice.Served, Took: 4 * time.Millisecond,
+			Report: []float64{5, 6},
+		},
+	},
+	{
+		`{"op":"HintUpdate","opId":"op-1","trial":2,"sort":1,"x":3000000}`,
+		choice.LoadUpdate{ID: "op-1", Attempt: 2, Load: 3},
+	},
+	{
+		`{"op":"HintUpdate","opId":"op-1","host":"host-3","sort":2,"x":4}`,
+		choice.DelayObservation{ID: "op-1", Server: "host-3", Took: 4 * time.Millisecond},
+	},
+	{`{"op":"HintUpdate","opId":"op-1","sort":3,"x":4}`, nil},
+	{`{"op":"ClientGone","opId":"op-1"}`, choice.ClientGone{ID: "op-1"}},
+	{`{"op":"NoteFrom","srcPeer":3,"payload":"AP8QgA=="}`, choice.PeerMessage{From: 3, Data: goldenBytes}},
+	{`{"op":"NoteFrom","payload":"AA=="}`, choice.PeerMessage{From: -1, Data: []byte{0}}},
+	{`{"op":"TimeoutFired","token":"token-1"}`, choice.TimerFired{Token: "token-1"}},
+	{
+		`{"op":"Registry","form":"total","members":[` + goldenMember("host-1", "live",
+			`,"regionPart":"zone-2","shape":"kind-3","pod":4,"heft":5.5,"startedAtS":6.5`) +
+			`,` + goldenMember("host-7", "quiescing", "") + `,` + goldenMember("host-8", "dead", "") + `]}`,
+		choice.ServerList{Kind: choice.ListFull, Servers: []choice.Server{
+			{
+				ID: "host-1", Zone: "zone-2", Kind: "kind-3", Cell: 4, State: choice.Ready, Size: 5.5,
+				Started: 6500 * time.Millisecond,
+			},
+			{ID: "host-7", State: choice.Draining, Size: 1},
+			{ID: "host-8", State: choice.Gone, Size: 1},
+		}},
+	},
+	{`{"op":"Registry","form":"incr"}`, choice.ServerList{Kind: choice.ListChange}},
+	{`{"op":"Registry","form":"warm_copy"}`, choice.ServerList{Kind: choice.ListCached}},
+	{`{"op":"Registry","form":"lost"}`, choice.ServerList{Kind: choice.ListUnavailable}},
+}
+
 // TestGoldenEvents has each kind of event of the simulator become an event of the module.
 func TestGoldenEvents(t *testing.T) {
-	n := &node{classes: map[string]int{"class-1": 1, "class-2": 2}, tenants: map[string]int{"tenant-3": 3, "tenant-4": 4}}
-	request := choice.Request{ID: "op-1", Class: 2, Tenant: 4, Key: 5, Group: 6, TimeLeft: 7500 * time.Millisecond, Load: 0.8, MidFlow: true, Returned: true}
-	short := choice.Request{ID: "op-1", Class: 1, Tenant: -1, TimeLeft: time.Second}
-	const keys = `"opId":"op-1","lane":"class-2","owner":"tenant-4","object":5,"group":6,"expiresInS":7.5,"estimateS":0.8,"options":25`
-	member := func(host, status, rest string) string {
-		return `{"host":"` + host + `","status":"` + status + `"` + rest + `}`
-	}
-	for _, c := range []struct {
-		raw  string
-		want choice.Event
-	}{
-		{`{"op":"Inbound",` + keys + `}`, request},
-		{`{"op":"Inbound","opId":"op-1","lane":"class-1","owner":"stranger","expiresInS":1,"estimateS":0.8}`, short},
-		{`{"op":"Carried","host":"host-9",` + keys + `}`, choice.OpenConnection{Request: request, Server: "host-9"}},
-		{`{"op":"Streaming","opId":"op-1","trial":2,"host":"host-3","rttS":0.004}`,
-			choice.Established{ID: "op-1", Attempt: 2, Server: "host-3", Took: 4 * time.Millisecond}},
-		{`{"op":"Completed","opId":"op-1","trial":2,"host":"host-3","rttS":0.004,"noMore":true,"rc":"error","feedback":[5,6]}`,
-			choice.AttemptEnded{ID: "op-1", Attempt: 2, Server: "host-3", Outcome: choice.Failed, Took: 4 * time.Millisecond, Final: true,
-				Report: []float64{5, 6}}},
-		{`{"op":"Checked","host":"host-3","rttS":0.004,"rc":"ok","feedback":[5,6]}`,
-			choice.HealthCheckResult{Server: "host-3", Outcome: choice.Served, Took: 4 * time.Millisecond, Report: []float64{5, 6}}},
-		{`{"op":"HintUpdate","opId":"op-1","trial":2,"sort":1,"x":3000000}`, choice.LoadUpdate{ID: "op-1", Attempt: 2, Load: 3}},
-		{`{"op":"HintUpdate","opId":"op-1","host":"host-3","sort":2,"x":4}`,
-			choice.DelayObservation{ID: "op-1", Server: "host-3", Took: 4 * time.Millisecond}},
-		{`{"op":"HintUpdate","opId":"op-1","sort":3,"x":4}`, nil},
-		{`{"op":"ClientGone","opId":"op-1"}`, choice.ClientGone{ID: "op-1"}},
-		{`{"op":"NoteFrom","srcPeer":3,"payload":"AP8QgA=="}`, choice.PeerMessage{From: 3, Data: []byte{0, 255, 16, 128}}},
-		{`{"op":"NoteFrom","payload":"AA=="}`, choice.PeerMessage{From: -1, Data: []byte{0}}},
-		{`{"op":"TimeoutFired","token":"token-1"}`, choice.TimerFired{Token: "token-1"}},
-		{`{"op":"Registry","form":"total","members":[` + member("host-1", "live", `,"regionPart":"zone-2","shape":"kind-3","pod":4,"heft":5.5,"startedAtS":6.5`) +
-			`,` + member("host-7", "quiescing", "") + `,` + member("host-8", "dead", "") + `]}`,
-			choice.ServerList{Kind: choice.ListFull, Servers: []choice.Server{
-				{ID: "host-1", Zone: "zone-2", Kind: "kind-3", Cell: 4, State: choice.Ready, Size: 5.5, Started: 6500 * time.Millisecond},
-				{ID: "host-7", State: choice.Draining, Size: 1}, {ID: "host-8", State: choice.Gone, Size: 1}}}},
-		{`{"op":"Registry","form":"incr"}`, choice.ServerList{Kind: choice.ListChange}},
-		{`{"op":"Registry","form":"warm_copy"}`, choice.ServerList{Kind: choice.ListCached}},
-		{`{"op":"Registry","form":"lost"}`, choice.ServerList{Kind: choice.ListUnavailable}},
-	} {
+	instance := &node{
+		classes: map[string]int{"class-1": 1, "class-2": 2},
+		tenants: map[string]int{"tenant-3": 3, "tenant-4": 4},
+	}
+	for _, test := range goldenEvents {
 		var e event
-		if err := json.Unmarshal([]byte(c.raw), &e); err != nil {
+		if err := json.Unmarshal([]byte(test.raw), &e); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := n.event(&e); err != nil || !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s is read as %#v (error %v), want %#v", c.raw, got, err, c.want)
+		if got, err := instance.event(&e); err != nil || !reflect.DeepEqual(got, test.want) {
+			t.Errorf("%s is read as %#v (error %v), want %#v", test.raw, got, err, test.want)
 		}
 	}
-	for word, want := range map[string]choice.Outcome{"ok": choice.Served, "error": choice.Failed, "full": choice.Full, "timeout": choice.TimedOut,
-		"connect_failed": choice.ConnectFailed, "reset": choice.Reset, "cancelled": choice.Cancelled, "moot": choice.NeverSent} {
-		got, err := n.event(&event{Op: "Checked", Host: "host-1", RC: word})
+	for word, want := range map[string]choice.Outcome{
+		"ok":             choice.Served,
+		"error":          choice.Failed,
+		"full":           choice.Full,
+		"timeout":        choice.TimedOut,
+		"connect_failed": choice.ConnectFailed,
+		"reset":          choice.Reset,
+		"cancelled":      choice.Cancelled,
+		"moot":           choice.NeverSent,
+	} {
+		got, err := instance.event(&event{Op: "Checked", Host: "host-1", RC: word})
 		if result, ok := got.(choice.HealthCheckResult); err != nil || !ok || result.Outcome != want {
 			t.Errorf("rc %q is read as %#v (error %v), want outcome %v", word, got, err, want)
 		}
@@ -198,8 +313,11 @@
 // TestGoldenReply writes each kind of step of a reply.
 func TestGoldenReply(t *testing.T) {
 	out := reply{Seq: 7}
-	for _, a := range []choice.Action{
-		choice.StartAttempt{ID: "op-2", Server: "host-3", Timeout: 250 * time.Millisecond, SendBefore: 17 * time.Second},
+	for _, action := range []choice.Action{
+		choice.StartAttempt{
+			ID: "op-2", Server: "host-3", Timeout: 250 * time.Millisecond,
+			SendBefore: 17 * time.Second,
+		},
 		choice.Reject{ID: "op-4", RetryAfter: 1750 * time.Millisecond, Reason: choice.Overloaded},
 		choice.Fail{ID: "op-5", Reason: choice.MayHaveRun},
 		choice.CancelAttempt{ID: "op-6", Attempt: 8},
@@ -210,7 +328,7 @@
 		choice.SendPeerMessage{To: 13, Data: []byte{0, 255, 16, 128}},
 		choice.WatchList{},
 	} {
-		out.Steps = append(out.Steps, toStep("node-1", a))
+		out.Steps = append(out.Steps, toStep("node-1", action))
 	}
 	want := bytes.TrimSpace(golden(t, "reply.json"))
 	if got, err := json.Marshal(out); err != nil || !bytes.Equal(got, want) {
