--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -164,7 +164,7 @@
 		n.lab.judge.broken(Guard, "%s: %s for %s at %s", n.name, line.Rule, line.Request, line.Host)
 	case "deadline_unanswered", "send_without_request":
 		n.lab.judge.broken(Guard, "%s: %s for %s", n.name, line.Event, line.Request)
-	case "configuration_taken":
+	case "configuration_reloaded":
 		n.lab.judge.saw("configurations taken")
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -97,7 +97,7 @@
 	// The listener first: only one process can have it, and who has it may touch the rest.
 	if f.listener, err = f.loop.ListenApart(f.config.Listen, streamBacklog, f.accept); err != nil {
 		f.listener = nil
-		f.retry("fleet_address_taken", err)
+		f.retry("fleet_listen_failed", err)
 		return
 	}
 	var kept []agree.Record
@@ -106,7 +106,7 @@
 		if errors.Is(err, agree.ErrCorrupt) {
 			zap.L().Error("fleet_files_spoilt", zap.Error(err), zap.String("what", "this node learns anew; as a voter it comes in as a new one"))
 		} else if err != nil {
-			f.retry("fleet_files_not_opened", err)
+			f.retry("fleet_store_not_opened", err)
 			return
 		}
 	}
@@ -118,7 +118,7 @@
 		RetryAfter: time.Duration(f.config.ComeAgain), Records: kept, Seed: uint64(time.Now().UnixNano()), Log: logAgentEvent, Voter: f.newVoter,
 		Policy: f.policyOptions()}, f.now())
 	if err != nil {
-		f.retry("fleet_not_begun", err)
+		f.retry("fleet_agent_not_started", err)
 		return
 	}
 	f.socket, _, err = f.loop.ListenDatagrams(f.config.Listen, agent.MostDatagram, func(_ netip.AddrPort, b []byte) {
@@ -129,7 +129,7 @@
 	})
 	if err != nil {
 		f.agent = nil
-		f.retry("fleet_datagrams_not_heard", err)
+		f.retry("fleet_datagram_listen_failed", err)
 		return
 	}
 	zap.L().Info("fleet_joined", zap.String("node", f.config.Self), zap.String("zone", f.zone()), zap.Int("nodes", l.Len()), zap.Int("records", len(kept)))
@@ -154,7 +154,7 @@
 	}
 	now := f.loop.Now()
 	if late := now.Sub(f.lastTick) - agree.Tick; late > lateTickThreshold {
-		zap.L().Warn("fleet_step_late", zap.Duration("by", late))
+		zap.L().Warn("fleet_tick_late", zap.Duration("by", late))
 	}
 	f.lastTick = now
 	f.agent.Tick(f.now())
@@ -227,7 +227,7 @@
 		return
 	}
 	if err != nil {
-		zap.L().Error("fleet_record_not_kept", zap.Error(err), zap.String("what", "this node promises nothing until its disk takes records again"))
+		zap.L().Error("fleet_record_not_saved", zap.Error(err), zap.String("what", "this node promises nothing until its disk takes records again"))
 		f.loop.At(f.loop.Now().Add(diskRetryInterval), func() {
 			if !f.closed {
 				f.save()
--- a/internal/node/fleetpolicy.go
+++ b/internal/node/fleetpolicy.go
@@ -72,7 +72,7 @@
 			if err != nil {
 				p.unusable, s.Known = s.Number, false
 				f.agent.RejectPolicy(s.Number)
-				zap.L().Error("fleet_policy_beyond_this_node", zap.Uint64("number", s.Number), zap.Error(err),
+				zap.L().Error("fleet_policy_unusable", zap.Uint64("number", s.Number), zap.Error(err),
 					zap.String("what", "it takes nothing but classes with a ground, by the last policy that it could read"))
 			}
 			doc = d
@@ -114,7 +114,7 @@
 		return
 	}
 	if ground {
-		zap.L().Warn("fleet_policy_lease_over", zap.Uint64("number", p.number), zap.String("what", "classes with a ground are served by it, others are refused"))
+		zap.L().Warn("fleet_policy_lease_expired", zap.Uint64("number", p.number), zap.String("what", "classes with a ground are served by it, others are refused"))
 	}
 	if d := p.document; d != nil {
 		n.overlay = func(s wire.Settings) wire.Settings { return withPolicy(d, s, ground) }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -56,11 +56,11 @@
 	var err error
 	switch b.grant, err = handover.RequestGrant(path, time.Now().Add(grantTimeout)); {
 	case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED):
-		zap.L().Debug("nobody_to_take_over_from", zap.Error(err))
+		zap.L().Debug("hot_restart_no_predecessor", zap.Error(err))
 	case err != nil:
-		zap.L().Warn("nothing_handed_over", zap.String("place", path), zap.Error(err))
+		zap.L().Warn("hot_restart_grant_failed", zap.String("place", path), zap.Error(err))
 	default:
-		zap.L().Info("handed_over", zap.Int("sockets", len(b.grant.Sockets)), zap.Int("hosts", len(b.grant.List.Servers)), zap.Int("descriptors", b.grant.DescriptorQuota))
+		zap.L().Info("hot_restart_grant_received", zap.Int("sockets", len(b.grant.Sockets)), zap.Int("hosts", len(b.grant.List.Servers)), zap.Int("descriptors", b.grant.DescriptorQuota))
 	}
 }
 
@@ -95,7 +95,7 @@
 	b.listeners[addr] = k
 	if k.ReusePort {
 		b.sharedUntil = time.Now().Add(unaskedShareTime)
-		zap.L().Warn("started_beside_unasked", zap.String("address", addr), zap.Duration("shared_for", unaskedShareTime))
+		zap.L().Warn("listener_shared_without_grant", zap.String("address", addr), zap.Duration("shared_for", unaskedShareTime))
 	}
 	return k, nil
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -256,10 +256,10 @@
 	}
 	over := p.restart.shutdown()
 	for _, core := range p.cores {
-		zap.L().Info("leaving", zap.Stringer("core", core), zap.Bool("handed_over", over))
+		zap.L().Info("shutdown_started", zap.Stringer("core", core), zap.Bool("handed_over", over))
 		left := func() {
 			p.loop.CloseIdle() // whoever has not said yet what it wants would be cut off with the process
-			zap.L().Info("left", zap.Stringer("core", core), zap.Int("attempts_spared", core.AttemptsNeverSent()))
+			zap.L().Info("shutdown_complete", zap.Stringer("core", core), zap.Int("attempts_spared", core.AttemptsNeverSent()))
 			p.logReasons()
 		}
 		if over {
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -112,7 +112,7 @@
 
 func (op *operatorFronts) logExpiring() {
 	for _, e := range op.keys.Ending(op.loop.Now()) {
-		zap.L().Warn("certificate_ends", zap.String("file", e.File), zap.Strings("names", e.Names), zap.Time("at", e.At),
+		zap.L().Warn("certificate_expiring", zap.String("file", e.File), zap.Strings("names", e.Names), zap.Time("at", e.At),
 			zap.String("remedy", "put the new certificate and key in the files and send SIGHUP"))
 	}
 }
@@ -142,7 +142,7 @@
 	if o.Keys != nil {
 		op.keys.Use(o.Keys)
 		op.logExpiring()
-		zap.L().Info("keys_taken", zap.Int("certificates", len(o.Certificates)))
+		zap.L().Info("certificates_loaded", zap.Int("certificates", len(o.Certificates)))
 	}
 	for _, c := range o.Clusters {
 		core, watch := op.cores[c.Name], op.watches[c.Name]
@@ -151,7 +151,7 @@
 			continue
 		}
 		if watch != nil {
-			zap.L().Info("discovery_moved", zap.String("cluster", c.Name), zap.String("address", c.Discovery))
+			zap.L().Info("discovery_address_changed", zap.String("cluster", c.Name), zap.String("address", c.Discovery))
 			watch.Move(c.Discovery)
 			continue
 		}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -56,7 +56,7 @@
 func (p *peerNetwork) setReading(on bool) {
 	if p.socket != nil {
 		if err := p.socket.SetReading(on); err != nil {
-			zap.L().Error("peers_not_heard", zap.Error(err))
+			zap.L().Error("peer_socket_reading_failed", zap.Error(err))
 		}
 	}
 }
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -41,7 +41,7 @@
 	n.config = next
 	n.applySettings(n.processes)
 	n.peers.setPeers(next)
-	zap.L().Info("configuration_taken", zap.String("discovery", next.Discovery), zap.Int("classes", len(next.Settings.ClassByName)),
+	zap.L().Info("configuration_reloaded", zap.String("discovery", next.Discovery), zap.Int("classes", len(next.Settings.ClassByName)),
 		zap.Int("attempts", next.Settings.Limits.MaxAttempts))
 	if addr, _ := n.listWatch.At(); addr != next.Discovery {
 		n.core.ListSourceChanged()
--- a/internal/node/policy_test.go
+++ b/internal/node/policy_test.go
@@ -83,7 +83,7 @@
 	for range 10 {
 		f.applyPolicy()
 	}
-	if n := told.FilterMessage("fleet_policy_beyond_this_node").Len(); n != 1 {
+	if n := told.FilterMessage("fleet_policy_unusable").Len(); n != 1 {
 		t.Errorf("told %d times, wanted once", n)
 	}
 	if f.servesPolicy() {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -33,14 +33,14 @@
 		}
 		p.figures.ReloadsOK++
 	case loop.IsTransient(err) && next.Before(end):
-		zap.L().Warn("reload_tried_again", zap.Error(err))
+		zap.L().Warn("reload_retried", zap.Error(err))
 		p.cancelReload = p.loop.At(next, func() {
 			p.cancelReload = nil
 			p.reloadUntil(end)
 		})
 	default:
 		p.figures.ReloadsFailed++
-		zap.L().Error("reload_kept_old_configuration", zap.Error(err))
+		zap.L().Error("reload_rejected", zap.Error(err))
 	}
 }
 
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -72,7 +72,7 @@
 		p.Body, err = cbor.Marshal(c)
 	}
 	if err != nil {
-		zap.L().Error("connection_not_told", zap.Error(err))
+		zap.L().Error("connection_state_not_encoded", zap.Error(err))
 		k.Reattach()
 		return p, false
 	}
@@ -264,7 +264,7 @@
 	for _, core := range b.program.cores {
 		moved += core.Migrated()
 	}
-	zap.L().Info("connections_handed_over", zap.Int("given", b.sent), zap.Int("moved", moved), zap.Int("bytes", b.sentBytes), zap.Duration("took", b.transferTime))
+	zap.L().Info("connections_transferred", zap.Int("given", b.sent), zap.Int("moved", moved), zap.Int("bytes", b.sentBytes), zap.Duration("took", b.transferTime))
 }
 
 // learnedState is what a process knows beside its connections.
@@ -287,7 +287,7 @@
 	}
 	told, err := cbor.Marshal(k)
 	if err != nil {
-		zap.L().Error("learned_not_told", zap.Error(err))
+		zap.L().Error("learned_state_not_encoded", zap.Error(err))
 	}
 	return told
 }
@@ -296,7 +296,7 @@
 func (b *hotRestart) importLearnedState(told []byte) {
 	var k learnedState
 	if err := cbor.Unmarshal(told, &k); err != nil {
-		zap.L().Warn("learned_not_read", zap.Error(err))
+		zap.L().Warn("learned_state_not_decoded", zap.Error(err))
 		return
 	}
 	for name, l := range k.Modules {
