--- /dev/null
+++ b/internal/failover/agent/plan.go
@@ -0,0 +1,87 @@
+package agent
+
+import (
+	"fmt"
+	"time"
+
+	"spurwinch/choice"
+	"spurwinch/internal/agree"
+	"spurwinch/internal/failover"
+)
+
+// ZonePlan is the plan for the load balancer, if it has changed since the last call.
+func (a *Agent) ZonePlan() (plan choice.ZonePlan, changed bool) {
+	if !a.zonePlanChanged {
+		return choice.ZonePlan{}, false
+	}
+	a.zonePlanChanged = false
+	leased := failover.LeasedCapacity{ByZone: a.leasedLoads(), InRegionOnly: a.borrower.regionLoad}
+	plan = failover.ZonePlanFor(a.mode, a.plan, a.options.Self, a.zone, a.options.Classes, a.options.RetryAfter, leased)
+	return plan, true
+}
+
+// Mode is the mode that this node is in, and the number of its plan.
+func (a *Agent) Mode() (mode failover.Mode, planNumber uint64) { return a.mode, a.planNumber }
+
+// updateMode settles which mode this node is in.
+func (a *Agent) updateMode(now time.Duration) {
+	mode := failover.Standalone
+	switch {
+	case a.plan != nil && now < a.leaseEnd:
+		mode = failover.Planned
+	case a.plan != nil:
+		mode = failover.OwnZoneOnly
+	}
+	if mode == a.mode {
+		return
+	}
+	a.options.Log("fleet_mode", "mode", mode.String(), "plan", a.planNumber)
+	a.mode = mode
+	a.zonePlanChanged = true
+}
+
+// restorePlan puts the newest plan on the disk into effect at the start.
+func (a *Agent) restorePlan(now time.Duration) {
+	entry := a.follower.Newest(failover.PlanKind)
+	if entry.Number == 0 {
+		return
+	}
+	plan, err := failover.DecodePlan(entry.Data)
+	if err != nil {
+		return // logged when it was received
+	}
+	a.plan = plan
+	a.planNumber = entry.Number
+	a.planHistory.Add(entry.Number, plan, now)
+}
+
+// acceptPlan adds a received plan to the history; it takes effect when it is on disk. It says whether the plan can be
+// decoded.
+func (a *Agent) acceptPlan(entry agree.Entry, now time.Duration) bool {
+	plan, err := failover.DecodePlan(entry.Data)
+	if err != nil {
+		a.options.Log("fleet_plan_unreadable", "number", entry.Number, "error", err.Error())
+		return false
+	}
+	a.planHistory.Add(entry.Number, plan, now)
+	if a.planner != nil {
+		a.planner.ApplyPlan(entry.Number, plan, now)
+	}
+	return true
+}
+
+// adoptPlan puts a plan that is on disk into effect, if it is newer.
+func (a *Agent) adoptPlan(entry agree.Entry) {
+	if entry.Kind != failover.PlanKind || entry.Number <= a.planNumber {
+		return
+	}
+	plan, err := failover.DecodePlan(entry.Data)
+	if err != nil {
+		return // logged when it was received
+	}
+	a.plan = plan
+	a.planNumber = entry.Number
+	a.zonePlanChanged = true
+	a.options.Log("fleet_plan_taken", "number", entry.Number, "digest", fmt.Sprintf("%016x", entry.Digest()),
+		"why", plan.Reason, "plan", entry.Data)
+}
