--- a/internal/agree/voter/golden_exchange_test.go
+++ b/internal/agree/voter/golden_exchange_test.go
@@ -110,7 +110,9 @@
 		play.start(i)
 	}
 	play.settle()
-	play.tick(0, 1, 2)
+	for range helloTicks + 1 { // until all have begun the log
+		play.tick(0, 1, 2)
+	}
 	for range 40 {
 		play.tick(0)
 	}
