--- a/internal/agree/voter/golden_exchange_test.go
+++ b/internal/agree/voter/golden_exchange_test.go
@@ -30,8 +30,7 @@
 	x.replicas = append(x.replicas, replica)
 }
 
-// settle has all replicas persist and send, for as many rounds as any exchange of Raft takes. Replicas without a log
-// answer one another's hellos without end: those are cut off.
+// settle has all replicas persist and send until none has anything more.
 func (x *exchange) settle() {
 	const rounds = 12
 	for range rounds {
@@ -46,7 +45,9 @@
 			x.work(i)
 		}
 	}
-	x.inFlight = nil
+	if len(x.inFlight) > 0 {
+		x.t.Fatalf("after %d rounds %d messages are in flight, wanted none", rounds, len(x.inFlight))
+	}
 }
 
 // work has a replica persist and send all that it has to.
--- a/internal/agree/voter/message.go
+++ b/internal/agree/voter/message.go
@@ -69,18 +69,23 @@
 		return fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 	}
 	defer r.stopOnPanic()
+	isNew := r.peers[from].incarnation != message.Incarnation
 	r.peers[from] = peer{incarnation: message.Incarnation, logID: message.LogID}
 	if len(message.Raft) == 0 {
-		r.receiveHello(from, message.LogID)
+		r.receiveHello(from, message.LogID, isNew)
 		return nil
 	}
 	return r.receiveRaft(from, message)
 }
 
-func (r *Replica) receiveHello(from int, logID uint64) {
+// receiveHello takes a hello; isNew says that the sender's incarnation was not heard before.
+func (r *Replica) receiveHello(from int, logID uint64, isNew bool) {
 	switch {
 	case logID == 0 && !r.unstored: // it wants to know
-		r.send(from, nil)
+		// Two replicas without a log tell each other once: an answer to each hello would be answered without end.
+		if r.logID != 0 || isNew {
+			r.send(from, nil)
+		}
 	case r.logID == 0:
 		r.join(logID)
 	case logID != 0 && logID != r.logID && r.raft != nil && r.applied <= firstIndex &&
--- a/internal/agree/voter/replica_test.go
+++ b/internal/agree/voter/replica_test.go
@@ -164,3 +164,64 @@
 		t.Errorf("leader %d, leads %v, term %d, wanted -1, false and 0", leader, replica.Leads(), replica.Term())
 	}
 }
+
+// TestHellosEnd has two replicas without a log wait for a third one: each tells the other who it is, and then nothing
+// more is sent until the next tick.
+func TestHellosEnd(t *testing.T) {
+	const rounds = 20
+	present := newReplicas(t, 2, 3)
+	for _, replica := range present {
+		replica.Tick()
+	}
+	var inFlight []message
+	for range rounds {
+		inFlight = playRound(t, present, inFlight)
+	}
+	if len(inFlight) > 0 {
+		t.Errorf("after %d rounds the replicas still send %d messages, wanted none", rounds, len(inFlight))
+	}
+	for i, replica := range present {
+		got := replica.peers[1-i].incarnation
+		if want := present[1-i].incarnation; got != want {
+			t.Errorf("replica %d knows the other as incarnation %x, wanted %x", i, got, want)
+		}
+	}
+}
+
+// newReplicas makes the first few of a number of replicas, with new disks.
+func newReplicas(t *testing.T, present, replicas int) (all []*Replica) {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(1, 1))
+	for i := range present {
+		replica, err := New(i, replicas, nil, rng)
+		if err != nil {
+			t.Fatal(err)
+		}
+		persistAll(t, replica)
+		all = append(all, replica)
+	}
+	return all
+}
+
+// playRound delivers messages to the replicas that are there, and gives what they send then.
+func playRound(t *testing.T, present []*Replica, inFlight []message) (sent []message) {
+	t.Helper()
+	for _, arriving := range inFlight {
+		if arriving.to >= len(present) {
+			continue
+		}
+		if err := present[arriving.to].Receive(arriving.from, arriving.data); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i, replica := range present {
+		if _, _, ok := replica.Ready(); !ok {
+			continue
+		}
+		messages, _ := replica.Kept()
+		for _, outgoing := range messages {
+			sent = append(sent, message{from: i, to: outgoing.To, data: outgoing.Data})
+		}
+	}
+	return sent
+}
