--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
+	"go.uber.org/zap"
+
 	"spurwinch/choice"
 	"spurwinch/internal/trace"
-
-	"go.uber.org/zap"
 )
 
 // healthCheckTimeout is for a health check's answer: longer than any round trip, short against a placement.
--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"spurwinch/choice"
-
 	"go.uber.org/zap"
+
+	"spurwinch/choice"
 )
 
 const (
--- a/internal/edge/core.go
+++ b/internal/edge/core.go
@@ -110,7 +110,7 @@
 
 // String describes the core in a line of a log.
 func (c *Core) String() string {
-	return fmt.Sprintf("%d hosts, %d requests", len(c.servers), len(c.requests))
+	return fmt.Sprintf("%d servers, %d requests", len(c.servers), len(c.requests))
 }
 
 // moduleTime turns a time into the module's clock: Unix time that never goes back.
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
+	"go.uber.org/zap"
+
 	"spurwinch/choice"
 	"spurwinch/internal/invariant"
 	"spurwinch/internal/trace"
-
-	"go.uber.org/zap"
 )
 
 // Request is one request of a client, from its arrival until its connection has ended.
