--- a/internal/edge/servers_test.go
+++ b/internal/edge/servers_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestDrainingServerIsEmptied has a server begin to drain that has an attempt out and an open connection: the attempt is
-// cancelled and the connection migrated before the server's grace is over.
+// TestDrainingServerIsEmptied has a server begin to drain that has an attempt out and an open connection: the attempt
+// is cancelled and the connection migrated before the server's grace is over.
 func TestDrainingServerIsEmptied(t *testing.T) {
 	const grace = 10 * time.Second
 	world := newWorld(t, time.Unix(1e9, 0), 1, 1)
