--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -12,7 +12,7 @@
 type leaseWorld struct {
 	*world
 	lease     Lease
-	asked     int
+	opened    int
 	decisions []string
 	expiries  int
 }
@@ -39,12 +39,12 @@
 	return world
 }
 
-// ask opens a request of a class, or of a connection that was open at a server before the run.
-func (w *leaseWorld) ask(class int, openAt choice.ServerID) (*idleClient, *Request) {
-	w.asked++
+// open sends a request of a class, or of a connection that was open at a server before the run.
+func (w *leaseWorld) open(class int, openAt choice.ServerID) (*idleClient, *Request) {
+	w.opened++
 	client := &idleClient{}
 	spec := Spec{
-		ID: choice.RequestID(fmt.Sprint("q", w.asked)), Class: class, Tenant: -1,
+		ID: choice.RequestID(fmt.Sprint("q", w.opened)), Class: class, Tenant: -1,
 		Deadline: w.now.Add(10 * time.Second),
 		OpenAt:   openAt,
 	}
@@ -60,39 +60,39 @@
 	world := newLeaseWorld(t)
 	core := world.core
 	core.UseLease(world.lease)
-	client, request := world.ask(1, "")
+	client, request := world.open(1, "")
 	if client.reply != nil || request.Deadline.After(world.now.Add(4*time.Second)) || world.expiries != 0 {
 		t.Errorf("by a lease: reply %+v, deadline in %v, %d expiries; want none, 4 s at most, and none",
 			client.reply, request.Deadline.Sub(world.now), world.expiries)
 	}
 	world.now = world.now.Add(30 * time.Second) // the process was stopped: no timer has run
-	client, _ = world.ask(1, "")
+	client, _ = world.open(1, "")
 	if client.tried || client.reply == nil || !client.reply.Rejected ||
 		client.reply.RetryAfter < time.Second/2 || client.reply.RetryAfter > 3*time.Second/2 {
 		t.Errorf("after the lease: reply %+v, want a rejection at once with advice", client.reply)
 	}
-	if client, _ := world.ask(0, ""); client.reply != nil {
+	if client, _ := world.open(0, ""); client.reply != nil {
 		t.Errorf("a class with a base policy after the lease: reply %+v, want none", client.reply)
 	}
-	if client, _ := world.ask(1, "h"); client.reply != nil {
+	if client, _ := world.open(1, "h"); client.reply != nil {
 		t.Errorf("a connection that was open before the run: reply %+v, want none", client.reply)
 	}
 	if world.expiries != 1 {
 		t.Errorf("OnExpiry was called %d times, want once", world.expiries)
 	}
 	core.UseLease(world.lease) // one that is no newer
-	world.ask(0, "")
+	world.open(0, "")
 	if world.expiries != 1 {
 		t.Errorf("OnExpiry was called %d times after a lease that is no newer, want once", world.expiries)
 	}
 	world.lease.Expires, world.lease.Known = world.now.Add(5*time.Second), false
 	core.UseLease(world.lease)
-	if client, _ := world.ask(1, ""); client.reply == nil {
+	if client, _ := world.open(1, ""); client.reply == nil {
 		t.Error("a request is taken by a policy whose document isn't here, want a reply")
 	}
 	world.lease.Known, world.lease.Number = true, 8
 	core.UseLease(world.lease)
-	if client, _ := world.ask(1, ""); client.reply != nil {
+	if client, _ := world.open(1, ""); client.reply != nil {
 		t.Errorf("by a new lease: reply %+v, want none", client.reply)
 	}
 	if got, want := fmt.Sprint(world.decisions),
--- a/internal/edge/random_days_test.go
+++ b/internal/edge/random_days_test.go
@@ -186,8 +186,8 @@
 	c.overForAll = true
 }
 
-// leave has the client go, where it still waits or its connection is open.
-func (c *client) leave() {
+// disconnect has the client go, where it still waits or its connection is open.
+func (c *client) disconnect() {
 	if c.answers != 0 && (!c.open || c.migrated) {
 		return
 	}
@@ -241,8 +241,8 @@
 	return created
 }
 
-// ask sets the arrival of a request at a random time, and now and then the moment when its client leaves.
-func (d *day) ask(begin time.Time, number int) {
+// scheduleRequest sets the arrival of a request at a random time, and now and then the moment when its client leaves.
+func (d *day) scheduleRequest(begin time.Time, number int) {
 	d.At(begin.Add(time.Duration(d.rng.IntN(22500))*time.Millisecond), func() {
 		c := &client{day: d, deadline: d.now.Add(time.Duration(200+d.rng.IntN(4000)) * time.Millisecond)}
 		d.clients = append(d.clients, c)
@@ -252,7 +252,7 @@
 		}
 		c.request = d.core.Open(spec, c)
 		if d.rng.IntN(10) == 0 {
-			d.At(d.now.Add(time.Duration(d.rng.IntN(3000))*time.Millisecond), c.leave)
+			d.At(d.now.Add(time.Duration(d.rng.IntN(3000))*time.Millisecond), c.disconnect)
 		}
 	})
 }
@@ -321,7 +321,7 @@
 		day := newDay(t, seed)
 		begin := day.now
 		for number := range 300 {
-			day.ask(begin, number)
+			day.scheduleRequest(begin, number)
 		}
 		for range 4 {
 			day.drainOne(begin)
