--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -203,10 +203,10 @@
 
 // served notes that the server's own answer is the final one.
 func (r *Request) served(a *Attempt, answer Answer) {
-	r.guard.Served(answer == Up, r.core.options.Clock.Now())
+	r.guard.Served(answer == Open, r.core.options.Clock.Now())
 	r.core.options.Trace.Served(string(r.ID), string(a.server.ID))
 	r.answerCounts().Served++
-	if answer == Up {
+	if answer == Open {
 		r.observeResult(a, choice.Served)
 	}
 	r.observeAnswer(answer)
--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -28,7 +28,7 @@
 		return
 	}
 	request.open = true
-	request.served(a, Up)
+	request.served(a, Open)
 	request.observed.openSince = request.core.options.Clock.Now()
 	if a.stopTimer != nil {
 		a.stopTimer()
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -39,11 +39,11 @@
 	return guarded
 }
 
-// Closed says why the client's connection ends, and has the monitor check that nothing is still owed.
-func (r *Request) Closed(by invariant.Ending, why trace.Close) {
-	r.guard.Close(by, why == trace.NodeMovedClient)
+// ConnectionClosed says why the client's connection ends, and has the monitor check that nothing is still owed.
+func (r *Request) ConnectionClosed(by invariant.Ending, why trace.Close) {
+	r.guard.Close(by, why == trace.NodeMigratedClient)
 	r.core.options.Trace.Closed(string(r.ID), why)
 }
 
-// ClosedUnasked notes the end of a client's connection on which nothing was asked.
-func (c *Core) ClosedUnasked(why trace.Close) { c.options.Trace.Closed("", why) }
+// ConnectionClosedUnused notes the end of a client's connection on which nothing was asked.
+func (c *Core) ConnectionClosedUnused(why trace.Close) { c.options.Trace.Closed("", why) }
--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -13,7 +13,7 @@
 func guardedWorld(t *testing.T) (w *world, violations *[]invariant.Violation) {
 	t.Helper()
 	violations = &[]invariant.Violation{}
-	monitor := &invariant.Monitor{Broken: func(v invariant.Violation) { *violations = append(*violations, v) }}
+	monitor := &invariant.Monitor{OnViolation: func(v invariant.Violation) { *violations = append(*violations, v) }}
 	w = newWorld(t, time.Unix(1e9, 0), 1, 1)
 	w.create(Options{Seed: 1, Monitor: monitor, Settings: choice.Settings{
 		Nodes: 1,
@@ -51,7 +51,7 @@
 	client := &idleClient{}
 	request := openUnnotified(world, client)
 	request.startAttempt("draining", request.Deadline, 0)
-	wantLast(t, *violations, invariant.HostLeaving)
+	wantLast(t, *violations, invariant.ServerDraining)
 	if client.tried || request.attempt != nil {
 		t.Errorf("the server is tried (%v) or has an attempt (%v), want neither", client.tried, request.attempt)
 	}
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -18,7 +18,7 @@
 // Answered is a request with its one final answer.
 type Answered struct {
 	Spec
-	Seq      uint64 // of the core's requests
+	Sequence uint64 // of the core's requests
 	Arrived  time.Time
 	Took     time.Duration
 	Answer   Answer
@@ -29,8 +29,8 @@
 type Answer uint8
 
 const (
-	// Up is an open connection.
-	Up Answer = iota
+	// Open is an open connection.
+	Open Answer = iota
 	// Served is a server's whole answer, without an open connection.
 	Served
 	// Rejected is a local reply that promises that a retry is harmless.
@@ -80,7 +80,7 @@
 	}
 	r.observed.answered = true
 	observer.Answered(Answered{
-		Spec: r.Spec, Seq: r.observed.sequence, Arrived: r.observed.arrivedAt,
+		Spec: r.Spec, Sequence: r.observed.sequence, Arrived: r.observed.arrivedAt,
 		Took: r.core.options.Clock.Now().Sub(r.observed.arrivedAt), Answer: answer, Attempts: r.observed.results,
 	})
 }
--- a/internal/edge/random_days_test.go
+++ b/internal/edge/random_days_test.go
@@ -195,9 +195,9 @@
 	c.overForAll = true
 	if c.day.rng.IntN(4) == 0 && !c.open { // its front has answered it, for what it sent
 		c.day.want[c.request.Class].Failed++
-		c.request.Broken()
+		c.request.ClientBrokeProtocol()
 	} else {
-		c.request.Gone()
+		c.request.ClientGone()
 	}
 }
 
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -83,7 +83,7 @@
 // Reject rejects a request that the node has no capacity to take: the client is called back like Open's, but at once.
 func (c *Core) Reject(spec Spec, client Client, retryAfter time.Duration) {
 	request := c.newRequest(spec, client)
-	request.answer(LocalReply{Rejected: true, RetryAfter: retryAfter, Reason: trace.NoDescriptor})
+	request.answer(LocalReply{Rejected: true, RetryAfter: retryAfter, Reason: trace.NoFileDescriptor})
 }
 
 // event is the request as the module is notified of it.
@@ -103,16 +103,16 @@
 // answerCounts is the counter of the request's class.
 func (r *Request) answerCounts() *Counts { return r.core.answerCounts[r.Class] }
 
-// Broken says that the client broke the protocol and that its front has answered so.
-func (r *Request) Broken() {
+// ClientBrokeProtocol says that the client broke the protocol and that its front has answered so.
+func (r *Request) ClientBrokeProtocol() {
 	if r.waiting() {
 		r.answerCounts().Failed++
 	}
-	r.Gone() // for the guard, too: the front has given the answer that it owes a client that broke the protocol
+	r.ClientGone() // for the guard, too: the front has given the answer that it owes a client that broke the protocol
 }
 
-// Gone says that the client left, before its answer or on an open connection.
-func (r *Request) Gone() {
+// ClientGone says that the client left, before its answer or on an open connection.
+func (r *Request) ClientGone() {
 	if r.finished {
 		return
 	}
--- a/internal/edge/timers_test.go
+++ b/internal/edge/timers_test.go
@@ -43,7 +43,7 @@
 			request.attempt.Begin()
 			request.attempt.Established()
 		case 1:
-			request.Gone()
+			request.ClientGone()
 		default:
 			request.rejectNow(core.shuttingDownReply())
 		}
@@ -70,7 +70,7 @@
 	world := patientWorld(t)
 	core := world.core
 	client := &idleClient{}
-	core.Open(Spec{ID: "q", Tenant: -1, Deadline: world.now.Add(time.Second)}, client).Gone()
+	core.Open(Spec{ID: "q", Tenant: -1, Deadline: world.now.Add(time.Second)}, client).ClientGone()
 	core.Flush()
 	if client.tried || core.InFlight() > 0 || lines.Len() > 0 {
 		t.Errorf("tried %v, %d in flight, logged %v; want false, 0 and nothing",
--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -15,8 +15,8 @@
 		monitor.checked[step] = uint64(11 + i)
 	}
 	for i, rule := range []Rule{
-		SecondAnswer, Unanswered, LateAnswer, TooManyAttempts, SecondCopy, UnsafeRetry,
-		UnsafeRejection, ClientGone, HostLeaving, SlowStart, ClosedWithoutMigration,
+		SecondAnswer, Unanswered, LateAnswer, TooManyAttempts, ConcurrentAttempt, UnsafeRetry,
+		UnsafeRejection, ClientGone, ServerDraining, SlowStart, ClosedWithoutMigration,
 	} {
 		monitor.broken[rule] = uint64(21 + i)
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -77,7 +77,7 @@
 		step: func(r *Request) Rule { return r.Send(server, begin) },
 	},
 	{
-		name: "two at once", class: class(choice.Idempotent, choice.ScopeAll), want: SecondCopy,
+		name: "two at once", class: class(choice.Idempotent, choice.ScopeAll), want: ConcurrentAttempt,
 		before: func(r *Request) {
 			r.Start(server, begin)
 		},
@@ -131,11 +131,11 @@
 		step: func(r *Request) Rule { return r.Start(draining, begin.Add(3*time.Second)) },
 	},
 	{
-		name: "past the grace", class: class(choice.Idempotent, choice.ScopeAll), want: HostLeaving,
+		name: "past the grace", class: class(choice.Idempotent, choice.ScopeAll), want: ServerDraining,
 		step: func(r *Request) Rule { return r.Start(draining, begin.Add(3*time.Second+1)) },
 	},
 	{
-		name: "sent past the grace", class: class(choice.Idempotent, choice.ScopeAll), want: HostLeaving,
+		name: "sent past the grace", class: class(choice.Idempotent, choice.ScopeAll), want: ServerDraining,
 		before: func(r *Request) {
 			r.Start(server, begin)
 		},
@@ -199,7 +199,7 @@
 	{
 		name: "closed with its server, no answer", class: class(choice.Idempotent, choice.ScopeAll),
 		want: Unanswered,
-		step: func(r *Request) Rule { return r.Close(ByHost, false) },
+		step: func(r *Request) Rule { return r.Close(ByServer, false) },
 	},
 	{
 		name: "closed after the answer", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
@@ -229,7 +229,7 @@
 		before: func(r *Request) {
 			r.Served(true, begin)
 		},
-		step: func(r *Request) Rule { return r.Close(ByHost, false) },
+		step: func(r *Request) Rule { return r.Close(ByServer, false) },
 	},
 }
 
@@ -239,7 +239,7 @@
 	for _, test := range slices.Concat(attemptHistories, closeHistories) {
 		t.Run(test.name, func(t *testing.T) {
 			var violations []Violation
-			monitor := &Monitor{Broken: func(v Violation) { violations = append(violations, v) }}
+			monitor := &Monitor{OnViolation: func(v Violation) { violations = append(violations, v) }}
 			request := monitor.NewRequest(RequestFacts{
 				ID: "q", Class: test.class,
 				Deadline: begin.Add(10 * time.Second), MaxAttempts: 2,
@@ -283,7 +283,7 @@
 func TestSlowStart(t *testing.T) {
 	for _, budget := range []float64{0, 1, 9, 29, 30, 100} {
 		window := &CallWindow{Window: 2 * time.Second}
-		most := int(MostCalls(budget))
+		most := int(MaxSlowStartCalls(budget))
 		for i := range most {
 			if !window.allow(budget, begin.Add(time.Duration(i)*time.Millisecond)) {
 				t.Fatalf("budget %v: call %d of %d is forbidden, want it allowed", budget, i+1, most)
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -5,15 +5,15 @@
 	Rule    Rule
 	Step    Step
 	Request string // its id
-	Host    string // the server's id; empty where there is none
+	Server  string // the server's id; empty where there is none
 }
 
 // Monitor counts the steps that were checked and the rules that they broke. The zero Monitor is ready for use.
 type Monitor struct {
-	// Broken is notified of each violation; nil: nobody is.
-	Broken  func(Violation)
-	checked [stepCount]uint64
-	broken  [ruleCount]uint64
+	// OnViolation is notified of each violation; nil: nobody is.
+	OnViolation func(Violation)
+	checked     [stepCount]uint64
+	broken      [ruleCount]uint64
 }
 
 // Violations is the number of violations so far.
@@ -43,8 +43,8 @@
 		return Holds
 	}
 	m.broken[step.Rule]++
-	if m.Broken != nil {
-		m.Broken(step)
+	if m.OnViolation != nil {
+		m.OnViolation(step)
 	}
 	return step.Rule
 }
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -65,7 +65,7 @@
 func (r *Request) Start(server Server, now time.Time) Rule {
 	rule := r.attemptRule(server, now)
 	if rule == Holds && r.inFlight {
-		rule = SecondCopy
+		rule = ConcurrentAttempt
 	}
 	if rule == Holds && r.attempts >= r.MaxAttempts && !r.AlreadyOpen {
 		rule = TooManyAttempts
@@ -102,7 +102,7 @@
 	case r.AlreadyOpen:
 		return Holds
 	case !server.DrainingSince.IsZero() && now.Sub(server.DrainingSince) > server.Grace:
-		return HostLeaving
+		return ServerDraining
 	case r.mayHaveRun && !r.mayRetry(server, now):
 		return UnsafeRetry
 	}
@@ -203,8 +203,8 @@
 const (
 	// ByClient says that the client has ended it, or broke the protocol.
 	ByClient Ending = iota
-	// ByHost says that its server has.
-	ByHost
+	// ByServer says that its server has.
+	ByServer
 	// ByNode says that the node does, after a last message of its own: an answer, or the request to reconnect.
 	ByNode
 )
@@ -225,5 +225,5 @@
 
 // check has the monitor count a step of the request.
 func (r *Request) check(step Step, rule Rule, server string) Rule {
-	return r.monitor.check(Violation{Rule: rule, Step: step, Request: r.ID, Host: server})
+	return r.monitor.check(Violation{Rule: rule, Step: step, Request: r.ID, Server: server})
 }
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -14,16 +14,16 @@
 	LateAnswer
 	// TooManyAttempts is an attempt beyond the number that the settings allow.
 	TooManyAttempts
-	// SecondCopy is an attempt while an earlier one of the request is in flight.
-	SecondCopy
+	// ConcurrentAttempt is an attempt while an earlier one of the request is in flight.
+	ConcurrentAttempt
 	// UnsafeRetry is an attempt that may repeat an effect outside of what the class allows.
 	UnsafeRetry
 	// UnsafeRejection promises that a retry is harmless when it is not.
 	UnsafeRejection
 	// ClientGone is an attempt for a client that has left.
 	ClientGone
-	// HostLeaving is an attempt at a server whose grace after it began to drain is over.
-	HostLeaving
+	// ServerDraining is an attempt at a server whose grace after it began to drain is over.
+	ServerDraining
 	// SlowStart is more for a server in slow start than the budget of all nodes together.
 	SlowStart
 	// ClosedWithoutMigration is an open connection that the node ends without asking its client to reconnect.
@@ -39,11 +39,11 @@
 	Unanswered:             "unanswered",
 	LateAnswer:             "late_answer",
 	TooManyAttempts:        "too_many_attempts",
-	SecondCopy:             "second_copy",
+	ConcurrentAttempt:      "second_copy",
 	UnsafeRetry:            "unsafe_repeat",
 	UnsafeRejection:        "unsafe_refusal",
 	ClientGone:             "client_gone",
-	HostLeaving:            "host_leaving",
+	ServerDraining:         "host_leaving",
 	SlowStart:              "slow_start",
 	ClosedWithoutMigration: "cut_off",
 }
--- a/internal/invariant/slow_start.go
+++ b/internal/invariant/slow_start.go
@@ -25,9 +25,9 @@
 	budget float64 // as it was then: it grows as the server warms up, and is learned
 }
 
-// MostCalls is what a server in slow start bears in the budget's time: the calls that the settings allow, and some for
+// MaxSlowStartCalls is what a server in slow start bears in the budget's time: the calls that the settings allow, and some for
 // chance.
-func MostCalls(budget float64) float64 {
+func MaxSlowStartCalls(budget float64) float64 {
 	slack := float64(largeBudgetSlack)
 	if budget < smallBudget {
 		slack = smallBudgetSlack
@@ -44,7 +44,7 @@
 	for _, earlier := range w.calls {
 		largest = max(largest, earlier.budget)
 	}
-	if float64(len(w.calls)+1) > MostCalls(largest) {
+	if float64(len(w.calls)+1) > MaxSlowStartCalls(largest) {
 		return false
 	}
 	w.calls = append(w.calls, call{now, budget})
--- a/internal/lab/explore/client.go
+++ b/internal/lab/explore/client.go
@@ -104,7 +104,7 @@
 	}
 	c.answer("none", nil)
 	if c.r != nil {
-		c.node.on(c.w.now, c.r.Gone)
+		c.node.on(c.w.now, c.r.ClientGone)
 	}
 	c.later(0)
 }
@@ -204,7 +204,7 @@
 	w.at(max(c.until, w.now+100*time.Millisecond), func() {
 		if h.held[t] {
 			delete(h.held, t)
-			c.node.on(w.now, c.r.Gone)
+			c.node.on(w.now, c.r.ClientGone)
 		}
 	})
 }
--- a/internal/lab/explore/node.go
+++ b/internal/lab/explore/node.go
@@ -130,7 +130,7 @@
 
 // objects notes what the core's guard kept it from.
 func (n *node) objects(v invariant.Violation) {
-	n.w.note(faults.Event{Kind: faults.KindGuard, ID: v.Request, Node: n.name, Zone: n.zone, To: v.Host, Detail: v.Rule.String()})
+	n.w.note(faults.Event{Kind: faults.KindGuard, ID: v.Request, Node: n.name, Zone: n.zone, To: v.Server, Detail: v.Rule.String()})
 }
 
 // startCore makes the node's core, which knows all hosts.
@@ -141,7 +141,7 @@
 		return err
 	}
 	n.core, err = edge.New(edge.Options{Clock: n, Settings: told.Settings, Seed: w.o.Seed*4099 + uint64(n.i)*7 + uint64(n.born), HealthChecker: n,
-		WatchList: func() {}, Monitor: &invariant.Monitor{Broken: n.objects}})
+		WatchList: func() {}, Monitor: &invariant.Monitor{OnViolation: n.objects}})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/faults/check.go
+++ b/internal/lab/faults/check.go
@@ -223,12 +223,12 @@
 
 // guardedRules are the checker's names of rules that a node's guard knows.
 var guardedRules = map[string]string{
-	invariant.TooManyAttempts.String(): "placement: attempts",
-	invariant.SecondCopy.String():      "placement: two at once",
-	invariant.HostLeaving.String():     "placement: drains",
-	invariant.LateAnswer.String():      "placement: in time",
-	invariant.SecondAnswer.String():    "placement: one answer",
-	invariant.Unanswered.String():      "placement: one answer",
+	invariant.TooManyAttempts.String():   "placement: attempts",
+	invariant.ConcurrentAttempt.String(): "placement: two at once",
+	invariant.ServerDraining.String():    "placement: drains",
+	invariant.LateAnswer.String():        "placement: in time",
+	invariant.SecondAnswer.String():      "placement: one answer",
+	invariant.Unanswered.String():        "placement: one answer",
 }
 
 func guardedRule(name string) string {
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -271,5 +271,5 @@
 // budget is what a cold host bears of all nodes within the budget's time, chance and the laboratory's own slack included.
 func budget(share float64) float64 {
 	calls := fallMultiple * share / (firstCost * warmUp.Seconds()) * fallTime.Seconds()
-	return math.Ceil(invariant.MostCalls(calls)) + 1
+	return math.Ceil(invariant.MaxSlowStartCalls(calls)) + 1
 }
--- a/internal/node/capture.go
+++ b/internal/node/capture.go
@@ -66,7 +66,7 @@
 }
 
 func (r *captureObserver) Answered(a edge.Answered) {
-	p := capture.Placed{At: r.writer.Offset(a.Arrived), Seq: a.Seq, Class: a.Class, Tenant: a.Tenant, Client: a.Key, Group: a.Group,
+	p := capture.Placed{At: r.writer.Offset(a.Arrived), Seq: a.Sequence, Class: a.Class, Tenant: a.Tenant, Client: a.Key, Group: a.Group,
 		Load: a.Load, Returned: a.Returned, Patience: capture.Micros(a.Deadline.Sub(a.Arrived)), Took: capture.Micros(a.Took),
 		Answer: capture.Answer(a.Answer)}
 	for _, t := range a.Attempts {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -62,7 +62,7 @@
 func newProgram(l *loop.Loop) *Program {
 	p := &Program{loop: l, shutdownTime: operatorShutdownTime, firstListWait: maxFirstListWait, coreByCluster: map[string]*edge.Core{}}
 	p.restart = hotRestart{program: p, listeners: map[string]*loop.Listener{}}
-	p.monitor.Broken = logViolation
+	p.monitor.OnViolation = logViolation
 	return p
 }
 
--- a/internal/node/reasons.go
+++ b/internal/node/reasons.go
@@ -11,7 +11,7 @@
 
 func logViolation(v invariant.Violation) {
 	zap.L().Error("invariant_broken", zap.Stringer("rule", v.Rule), zap.Stringer("step", v.Step), zap.String("request", v.Request),
-		zap.String("host", v.Host))
+		zap.String("host", v.Server))
 }
 
 // reasons writes how often connections were closed, attempts repeated and requests turned away, by reason, and what the guard saw.
--- a/internal/planner/client.go
+++ b/internal/planner/client.go
@@ -88,7 +88,7 @@
 	c.w.held[e]--
 	if r := c.request; r != nil {
 		c.settled()
-		r.Gone()
+		r.ClientGone()
 		c.node.core.Flush()
 	}
 }
--- a/internal/platform/downstream/carry.go
+++ b/internal/platform/downstream/carry.go
@@ -69,7 +69,7 @@
 
 // Release lets go of a lent connection that another process has.
 func (s *session) Release() {
-	s.front.core.ClosedUnasked(trace.HandedOver)
+	s.front.core.ConnectionClosedUnused(trace.Transferred)
 	s.done()
 	s.conn.Release()
 	if s.host != nil {
--- a/internal/platform/downstream/downstream.go
+++ b/internal/platform/downstream/downstream.go
@@ -133,7 +133,7 @@
 	switch {
 	case s.over || s.request != nil || s.stop != nil:
 	case s.pinged:
-		s.drop(trace.ClientSilent)
+		s.drop(trace.ClientTimedOut)
 	default:
 		s.malformed("no line in time")
 	}
@@ -206,7 +206,7 @@
 			s.pong()
 		} else if len(s.front.waiting) < 1024 {
 			s.cancelTimer()
-			s.stop = s.front.loop.At(s.front.loop.Now().Add(readyTime), func() { s.drop(trace.ClientSilent) })
+			s.stop = s.front.loop.At(s.front.loop.Now().Add(readyTime), func() { s.drop(trace.ClientTimedOut) })
 			s.front.waiting = append(s.front.waiting, s)
 		}
 		return
@@ -308,9 +308,9 @@
 // malformed answers what can't be served. A request that the client has out is called off: it is the core's no more.
 func (s *session) malformed(why string) {
 	zap.L().Warn("client_line_unreadable", zap.String("sent", why))
-	s.finish([]byte("ERR\r\n"), invariant.ByClient, trace.ClientBroken)
+	s.finish([]byte("ERR\r\n"), invariant.ByClient, trace.ClientBrokeProtocol)
 	if s.request != nil {
-		s.request.Broken()
+		s.request.ClientBrokeProtocol()
 	}
 }
 
@@ -340,9 +340,9 @@
 // close ends the session, and has the guard check that nothing is still owed.
 func (s *session) close(by invariant.Ending, why trace.Close) {
 	if s.request != nil {
-		s.request.Closed(by, why)
+		s.request.ConnectionClosed(by, why)
 	} else {
-		s.front.core.ClosedUnasked(why)
+		s.front.core.ConnectionClosedUnused(why)
 	}
 	s.done()
 }
@@ -388,8 +388,8 @@
 	if err := s.host.Write(p); err != nil {
 		zap.L().Warn("client_line_too_long")
 		s.host.End(false)
-		s.drop(trace.ClientBroken)
-		s.request.Gone()
+		s.drop(trace.ClientBrokeProtocol)
+		s.request.ClientGone()
 		return
 	}
 	s.throttle()
@@ -399,7 +399,7 @@
 func (s *session) Hear() { s.conn.ReadAvailable() }
 
 // Final passes the answer of a request on that its host served to its end.
-func (s *session) Final(l []byte) { s.finish(l, invariant.ByHost, trace.HostServed) }
+func (s *session) Final(l []byte) { s.finish(l, invariant.ByServer, trace.ServerServed) }
 
 // Bytes passes the host's bytes on.
 func (s *session) Bytes(p []byte) {
@@ -453,10 +453,10 @@
 		return
 	}
 	if reset {
-		s.close(invariant.ByHost, trace.HostReset)
+		s.close(invariant.ByServer, trace.ServerReset)
 		s.conn.Abort()
 	} else {
-		s.close(invariant.ByHost, trace.HostEnded)
+		s.close(invariant.ByServer, trace.ServerEnded)
 		s.conn.End()
 	}
 }
@@ -483,7 +483,7 @@
 	if s.moving && s.out.Mid() { // the host's line stops amid: MOVE behind it would be a part of it, and no MOVE
 		last = "\r\n" + last
 	}
-	s.close(invariant.ByNode, trace.NodeMovedClient)
+	s.close(invariant.ByNode, trace.NodeMigratedClient)
 	s.conn.Write([]byte(last))
 	s.conn.End()
 }
@@ -507,7 +507,7 @@
 		s.host.End(reset)
 	}
 	if s.request != nil {
-		s.request.Gone()
+		s.request.ClientGone()
 	}
 	if !reset {
 		s.conn.End()
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -14,8 +14,8 @@
 func TestGoldenReasons(t *testing.T) {
 	var recorder Recorder
 	for i, why := range []Close{
-		ClientEnded, ClientReset, ClientBroken, ClientSilent, ClientEvicted, HostEnded, HostReset,
-		HostServed, NodeAnswered, NodeStopping, NodeMovedClient, HandedOver,
+		ClientEnded, ClientReset, ClientBrokeProtocol, ClientTimedOut, ClientEvicted, ServerEnded, ServerReset,
+		ServerServed, NodeAnswered, NodeStopping, NodeMigratedClient, Transferred,
 	} {
 		for range 1 + i {
 			recorder.Closed("request", why)
@@ -27,7 +27,7 @@
 		}
 	}
 	for i, why := range []Reason{
-		Stopping, NoDescriptor, NoPolicy, IDInUse, ServerLost, PastDeadline, Unreachable,
+		Stopping, NoFileDescriptor, NoPolicy, IDInUse, ServerLost, PastDeadline, Unreachable,
 		LostByModule, UnsafeToReject,
 	} {
 		for range 31 + i {
--- a/internal/trace/reason.go
+++ b/internal/trace/reason.go
@@ -8,8 +8,8 @@
 const (
 	// Stopping: the node is draining.
 	Stopping Reason = "node_stopping"
-	// NoDescriptor: the node has no file descriptor left for the connection to a server.
-	NoDescriptor Reason = "no_descriptor"
+	// NoFileDescriptor: the node has no file descriptor left for the connection to a server.
+	NoFileDescriptor Reason = "no_descriptor"
 	// NoPolicy: the node has no policy in force for the class.
 	NoPolicy Reason = "no_policy_in_force"
 	// IDInUse: another request with the same id is in flight.
@@ -35,24 +35,24 @@
 	ClientEnded Close = "client_ended"
 	// ClientReset: the client's connection broke.
 	ClientReset Close = "client_reset"
-	// ClientBroken: the client broke the protocol.
-	ClientBroken Close = "client_broke_protocol"
-	// ClientSilent: the client sent nothing in time.
-	ClientSilent Close = "client_silent"
+	// ClientBrokeProtocol: the client broke the protocol.
+	ClientBrokeProtocol Close = "client_broke_protocol"
+	// ClientTimedOut: the client sent nothing in time.
+	ClientTimedOut Close = "client_silent"
 	// ClientEvicted: the node needed the place of an idle client.
 	ClientEvicted Close = "client_evicted"
-	// HostEnded: the server ended it in order.
-	HostEnded Close = "host_ended"
-	// HostReset: the server's connection broke.
-	HostReset Close = "host_reset"
-	// HostServed: the server's whole answer was passed on.
-	HostServed Close = "host_served_to_its_end"
+	// ServerEnded: the server ended it in order.
+	ServerEnded Close = "host_ended"
+	// ServerReset: the server's connection broke.
+	ServerReset Close = "host_reset"
+	// ServerServed: the server's whole answer was passed on.
+	ServerServed Close = "host_served_to_its_end"
 	// NodeAnswered: the node gave an answer of its own.
 	NodeAnswered Close = "node_answered"
 	// NodeStopping: the node stops.
 	NodeStopping Close = "node_stopping"
-	// NodeMovedClient: the node asked the client to reconnect.
-	NodeMovedClient Close = "node_moved_client"
-	// HandedOver: another process of the node has it now.
-	HandedOver Close = "handed_over"
+	// NodeMigratedClient: the node asked the client to reconnect.
+	NodeMigratedClient Close = "node_moved_client"
+	// Transferred: another process of the node has it now.
+	Transferred Close = "handed_over"
 )
--- a/internal/xmpp/carry.go
+++ b/internal/xmpp/carry.go
@@ -95,7 +95,7 @@
 	delete(s.front.owners, s.sm) // it is the other process's to know of
 	s.front.sessions.Forget(s.sm)
 	s.sm = sessions.Key{}
-	s.done(trace.HandedOver)
+	s.done(trace.Transferred)
 	s.raw.Release()
 	if h := s.upstream; h != nil {
 		h.over = true
--- a/internal/xmpp/front.go
+++ b/internal/xmpp/front.go
@@ -255,7 +255,7 @@
 		last = "</" + s.upstream.in.prefix + ":stream>"
 	}
 	if s.request != nil {
-		s.request.Gone()
+		s.request.ClientGone()
 	}
 	s.end(last, trace.ClientEnded)
 }
@@ -354,7 +354,7 @@
 
 // refuseTLS answers STARTTLS, which is not carried: the front could not read an encrypted stream.
 func (s *session) refuseTLS() {
-	s.end("<failure xmlns='"+tlsNS+"'/></stream:stream>", trace.ClientBroken)
+	s.end("<failure xmlns='"+tlsNS+"'/></stream:stream>", trace.ClientBrokeProtocol)
 	s.front.Answers.Errors++
 }
 
@@ -453,7 +453,7 @@
 		s.upstream.farewell(!resumable)
 	}
 	if s.request != nil {
-		s.request.Broken()
+		s.request.ClientBrokeProtocol()
 	}
 }
 
@@ -502,7 +502,7 @@
 		s.upstream.finish(err != io.EOF)
 	}
 	if s.request != nil {
-		s.request.Gone()
+		s.request.ClientGone()
 	}
 	if err == io.EOF {
 		s.conn.End()
--- a/internal/xmpp/host.go
+++ b/internal/xmpp/host.go
@@ -177,7 +177,7 @@
 		h.over = true
 		h.conn.End()
 		s.front.Answers.Errors++
-		s.done(trace.HostEnded)
+		s.done(trace.ServerEnded)
 		s.conn.Write([]byte(string(h.held) + "</" + h.in.prefix + ":stream>"))
 		s.conn.End()
 		h.attempt.Ended(choice.Failed, nil)
@@ -275,9 +275,9 @@
 		h.conn.Cancel()
 	}
 	if s.open {
-		why := trace.HostEnded
+		why := trace.ServerEnded
 		if err != io.EOF {
-			why = trace.HostReset
+			why = trace.ServerReset
 		}
 		s.done(why)
 		h.attempt.Ended(choice.Reset, nil)
