--- a/internal/failover/estimates.go
+++ b/internal/failover/estimates.go
@@ -140,7 +140,7 @@
 	for _, from := range p.zones {
 		report := &p.zoneStates[from].report
 		if !report.fresh(now) {
-			complete = complete && from != zone && !p.mayCross(from, zone)
+			complete = complete && from != zone && !p.mayUseZone(from, zone)
 			continue
 		}
 		evidence, there := report.summary.ofZone(zone)
--- a/internal/failover/evidence_sum.go
+++ b/internal/failover/evidence_sum.go
@@ -84,7 +84,7 @@
 }
 
 // matchClasses gives the places of classes in this summary, which takes up those that it doesn't know; -1 is the place
-// of one for which it has no room.
+// of one beyond MaxClasses.
 func (s *EvidenceSummary) matchClasses(names []string) []int {
 	places := make([]int, len(names))
 	for i, name := range names {
--- a/internal/failover/failure_detection.go
+++ b/internal/failover/failure_detection.go
@@ -77,7 +77,7 @@
 	fail, work := p.countOtherZones(zone, now)
 	ownFails, ownKnown := p.paths[path{zone, zone}].failing(now)
 	switch {
-	case view.own && ownKnown && !ownFails: // who is ejected stays so for a while yet, and who is tried answers
+	case view.own && ownKnown && !ownFails: // servers stay ejected for a while, but those that are tried answer
 		return "", false
 	case view.own && work <= fail && (ejected > failingFraction || ownKnown && ownFails && ejected > failingFraction/2):
 		return fmt.Sprintf("its own nodes leave out %.0f%% of its hosts; of other zones %d say the same and %d don't",
--- a/internal/failover/grant_builder.go
+++ b/internal/failover/grant_builder.go
@@ -21,7 +21,7 @@
 	inUse   [][]float64 // by node and zone: what plans in use let the node have there
 }
 
-// addGrants fills in the parts of a plan that say who may have what where.
+// addGrants fills in the grants and reserves of a plan, and what earlier plans left in use.
 func (p *Planner) addGrants(plan *Plan, wanted demand, placed allocation, now time.Duration) {
 	builder := &grantBuilder{
 		planner: p,
@@ -149,7 +149,7 @@
 }
 
 // grantStandby grants a zone's free capacity to other zones: clients whose own zone fails can go there at once, before
-// any plan says so, and also when there is nobody who could make one.
+// any plan says so, and also when there is no leader that could make one.
 func (b *grantBuilder) grantStandby(zone int) {
 	weights := make([]float64, len(b.targets))
 	sum := 0.0
@@ -189,8 +189,8 @@
 	return tight
 }
 
-// recordInUse has the plan tell what plans before it left in use, for a planner that knows this plan and none before
-// it.
+// recordInUse writes into the plan what plans before it left in use, for a planner that knows this plan and none
+// before it.
 func (b *grantBuilder) recordInUse() {
 	for _, zone := range b.planner.zones {
 		most := make([]float32, len(b.planner.zones))
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -37,7 +37,7 @@
 	Grants         []Grant
 	StayInRegion   []bool  // by class: it doesn't leave its region
 	AdmitFractions [][]int // by zone and class, in 255ths: which part of the arrivals is admitted
-	GrantLifetime  float32 // seconds for which a grant into another zone holds without word of the leader
+	GrantLifetime  float32 // seconds for which a grant into another zone holds while no leader is heard
 	LostNodes      []int   // nodes out of the common view, by their indices in the membership list
 	Reason         string  // why it was made, for operators
 
--- a/internal/failover/plan_history.go
+++ b/internal/failover/plan_history.go
@@ -63,22 +63,22 @@
 }
 
 // isOldestInUse reports whether nobody can use plans before this one any longer: all have reported to go by it or a
-// newer one, and what those that can't be heard have in other zones by older plans has ended.
+// newer one, and those that can't be heard use other zones by older plans no more.
 func (p *Planner) isOldestInUse(plan VersionedPlan, oldestAdopted uint64, now time.Duration) bool {
-	return plan.Number <= oldestAdopted && now-plan.From > p.crossingsEnd()+leaseSettlePeriod
+	return plan.Number <= oldestAdopted && now-plan.From > p.crossZonePeriod()+leaseSettlePeriod
 }
 
-// crossingsEnd is how long after a newer plan came nodes may still go to other zones by the older one: they end that by
-// their own clocks.
-func (p *Planner) crossingsEnd() time.Duration { return p.rules.GrantLifetime + time.Second }
+// crossZonePeriod is how long after a newer plan came nodes may still use other zones by the older one. They end that
+// by their own clocks.
+func (p *Planner) crossZonePeriod() time.Duration { return p.rules.GrantLifetime + crossZoneMargin }
 
 // followsKnown reports whether the plan before a known one is known too.
 func (p *Planner) followsKnown(place int) bool {
 	return place > 0 && p.known[place].Plan.Previous == p.known[place-1].Number
 }
 
-// mayCross reports whether a zone's nodes may have connections in another one, by any plan known here.
-func (p *Planner) mayCross(from, to string) bool {
+// mayUseZone reports whether a zone's nodes may have connections in another one, by any known plan.
+func (p *Planner) mayUseZone(from, to string) bool {
 	return slices.ContainsFunc(p.known, func(known VersionedPlan) bool {
 		return known.Plan.grantedLoadByName(from, to) > 0
 	})
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -19,7 +19,7 @@
 // Rules are the operators' part of a plan.
 type Rules struct {
 	UtilizationLimit float64       // part of a server's capacity that is planned for
-	GrantLifetime    time.Duration // for which a grant into another zone holds without word of the leader
+	GrantLifetime    time.Duration // for which a grant into another zone holds while no leader is heard
 	RecoveryDelay    time.Duration // for which a lost zone's servers must answer before it takes load again
 	RecoveryRamp     float64       // part of a returning zone's capacity that is given back each second
 	Classes          []Class
@@ -27,8 +27,8 @@
 	RegionDistance func(a, b string) float64
 }
 
-// Planner makes plans, at the leader of the fleet. It lives as long as this node leads, and is owned by the agent. What
-// plans that it never knew may have granted, the next plan that it knows tells.
+// Planner makes plans, at the leader of the fleet. It exists as long as this node leads, and is owned by the agent.
+// What plans that it never knew may have granted stands in Before and Reserves of the next plan that it knows.
 type Planner struct {
 	list   *membership.List
 	zones  []string
--- a/internal/failover/plans_in_use.go
+++ b/internal/failover/plans_in_use.go
@@ -34,7 +34,7 @@
 // addGrantsInUse adds the grants of a known plan.
 func (p *Planner) addGrantsInUse(loads *loadsInUse, place int, now time.Duration) {
 	known := &p.known[place]
-	crossingsEnded := place+1 < len(p.known) && now-p.known[place+1].From > p.crossingsEnd()
+	crossZoneEnded := place+1 < len(p.known) && now-p.known[place+1].From > p.crossZonePeriod()
 	lost := map[int]bool{}
 	for _, node := range known.Plan.LostNodes {
 		lost[node] = true
@@ -44,7 +44,7 @@
 		ownZone := grant.From == grant.To
 		_, fromListed := loads.places[from.Name]
 		to, toListed := loads.places[known.Plan.Zones[grant.To].Name]
-		if !fromListed || !toListed || !ownZone && crossingsEnded {
+		if !fromListed || !toListed || !ownZone && crossZoneEnded {
 			continue
 		}
 		for _, node := range p.list.InZone(from.Name) {
@@ -57,7 +57,7 @@
 
 // addUnknownInUse adds what plans that this planner never knew had left in use: each plan has that of those before it.
 func (p *Planner) addUnknownInUse(loads *loadsInUse, known *VersionedPlan, now time.Duration) {
-	crossingsEnded := now-known.From > p.crossingsEnd()
+	crossZoneEnded := now-known.From > p.crossZonePeriod()
 	for from, most := range known.Plan.Before {
 		for _, node := range p.list.InZone(known.Plan.Zones[from].Name) {
 			if p.adoptions.newestOf(node) >= known.Number {
@@ -68,7 +68,7 @@
 			for to, load := range most {
 				place, listed := loads.places[known.Plan.Zones[to].Name]
 				ownZone := from == to
-				if !listed || ownZone && forgotten || !ownZone && crossingsEnded {
+				if !listed || ownZone && forgotten || !ownZone && crossZoneEnded {
 					continue
 				}
 				loads.raise(node, place, float64(load))
--- a/internal/failover/reserves.go
+++ b/internal/failover/reserves.go
@@ -44,7 +44,7 @@
 // knows has that.
 func (p *Planner) addUnknownReserves(byOwner map[int]float64, place int, zone string, now time.Duration) {
 	known := &p.known[place]
-	if now-known.From > p.crossingsEnd()+leaseSettlePeriod {
+	if now-known.From > p.crossZonePeriod()+leaseSettlePeriod {
 		return
 	}
 	for _, reserve := range known.Plan.Reserves {
@@ -61,7 +61,7 @@
 	if index < 0 || !known.Plan.Zones[index].hasLeases() {
 		return
 	}
-	superseded := place+1 < len(p.known) && now-p.known[place+1].From > p.crossingsEnd()+leaseSettlePeriod
+	superseded := place+1 < len(p.known) && now-p.known[place+1].From > p.crossZonePeriod()+leaseSettlePeriod
 	owner := known.Plan.Zones[index].LeaseOwner
 	if superseded || p.hasSettledOn(owner, known.Number+1, now) {
 		return
--- a/internal/failover/tuning.go
+++ b/internal/failover/tuning.go
@@ -9,6 +9,7 @@
 	planInterval     = time.Second     // between two plans, and the first one's wait for evidence
 	calmPlanInterval = 5 * time.Second // the same, where nothing presses
 	proposalTimeout  = 3 * time.Second // a proposal that is not decided by then is made anew
+	crossZoneMargin  = time.Second     // on top of a grant's lifetime, before it is taken for ended everywhere
 )
 
 // How long things are remembered.
