--- /dev/null
+++ b/choice/healthcheck_test.go
@@ -0,0 +1,130 @@
+package choice
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// TestFullServerIsFound checks that a server that filled up under open connections is found and relieved where no
+// delay notes come, as on sockets, and that nothing is asked where they do.
+func TestFullServerIsFound(t *testing.T) {
+	for _, tells := range []bool{false, true} {
+		balancer, err := New(Settings{
+			Nodes: 1, DelaysObserved: tells, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
+			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
+			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond,
+		}, 1, time.Hour)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var next []Event
+		now := time.Hour
+		next = append(next, ServerList{Kind: ListFull, Servers: []Server{{ID: "full"}, {ID: "idle"}}})
+		for i := range 20 {
+			next = append(next, OpenConnection{
+				Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1},
+				Server:  "full",
+			})
+		}
+		checks, moves := 0, 0
+		for range 30 {
+			events := next
+			next = nil
+			for _, a := range balancer.Step(now, events) {
+				switch action := a.(type) {
+				case HealthCheck:
+					if checks++; action.Server != "full" {
+						t.Errorf("asked %s, which holds nothing", action.Server)
+					}
+					next = append(next, HealthCheckResult{Server: action.Server, Report: []float64{3}})
+				case Migrate:
+					moves++
+					next = append(next, AttemptEnded{ID: action.ID, Server: "full", Outcome: Cancelled, Final: true})
+				case SetTimer:
+					next = append(next, TimerFired{action.Token})
+				}
+			}
+			now += time.Second
+		}
+		if want := !tells; checks > 0 != want || moves > 0 != want || checks > 15 {
+			t.Errorf("notes told %v: %d health checks, %d moves", tells, checks, moves)
+		}
+	}
+}
+
+// TestNoHealthChecksWithoutReports guards servers whose protocol has no load reports against being asked.
+func TestNoHealthChecksWithoutReports(t *testing.T) {
+	balancer, err := New(Settings{
+		Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
+		Limits: Limits{MaxAttempts: 4, HealthChecks: true},
+	}, 1, time.Hour)
+	if err != nil {
+		t.Fatal(err)
+	}
+	next := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "s"}}}, OpenConnection{Request: Request{
+		ID:     "1",
+		Tenant: -1,
+	}, Server: "s"}}
+	for i := range 20 {
+		events := next
+		next = nil
+		for _, a := range balancer.Step(time.Hour+time.Duration(i)*time.Second, events) {
+			switch a := a.(type) {
+			case HealthCheck:
+				t.Fatal("a health check after ", i, " s")
+			case SetTimer:
+				next = append(next, TimerFired{a.Token})
+			}
+		}
+	}
+}
+
+// TestSlowMessagesCountAsLoad checks that a report of slow messages is as good as one of a full server where no notes
+// come: what piled up makes messages late although the load asked looks fine again. The excess goes, not all.
+func TestSlowMessagesCountAsLoad(t *testing.T) {
+	for _, test := range []struct {
+		late, load float64
+		moves      bool
+	}{{5, 0.6, false}, {400, 0.6, true}, {5, 0, false}} {
+		balancer, err := New(Settings{
+			Nodes: 1, Reports: HealthCheckReports, ReportFields: []ReportField{Latency, Load},
+			Classes: []Class{{
+				Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second,
+				MessageObjective: 60 * time.Millisecond,
+			}},
+			Limits: Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond,
+		}, 1, time.Hour)
+		if err != nil {
+			t.Fatal(err)
+		}
+		events := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "idle"}, {ID: "late"}}}}
+		for i := range 40 {
+			events = append(events, OpenConnection{
+				Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1},
+				Server:  "late",
+			})
+		}
+		balancer.Step(time.Hour, events)
+		balancer.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "idle", Report: []float64{3, 0.1}}})
+		// Connections that left since a report shows take the prediction under 0, which must not read as an excess.
+		for i := range 30 {
+			balancer.Step(time.Hour+9*time.Second, []Event{AttemptEnded{
+				ID: RequestID(fmt.Sprint(i)), Server: "late",
+				Final: true,
+			}})
+		}
+		moves := 0
+		for _, a := range balancer.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{
+			Server: "late",
+			Report: []float64{test.late, test.load},
+		}}) {
+			if _, ok := a.(Migrate); ok {
+				moves++
+			}
+		}
+		if moves > 0 != test.moves || moves > 30 {
+			t.Errorf("messages of %v ms at %v: %d of 40 moved", test.late, test.load, moves)
+		}
+	}
+}
