--- a/choice/admission.go
+++ b/choice/admission.go
@@ -9,7 +9,7 @@
 	passRateGain = 2.0 // how fast the pass rate moves, a second and unit of load over or under crowded
 	minPassRate  = 0.01
 	// sheddingCheckRate is the fraction of rejected requests that have a server checked: without these checks nothing
-	// would tell that the load has gone.
+	// would show that the load has gone.
 	sheddingCheckRate = 0.15
 	minPriority       = 1e-3
 	priorityMemory    = 50 // requests that the mean priority remembers
--- a/choice/cost.go
+++ b/choice/cost.go
@@ -72,7 +72,7 @@
 }
 
 // fleetCost is the cost on the mean server. What this node holds is a sample of the fleet, on a large one of a few
-// connections or none: then the initial cost of a connection stands, not reported load over next to nothing.
+// connections or none: then the initial cost of a connection is taken, not reported load over next to nothing.
 func (b *Balancer) fleetCost(initial, ready float64) float64 {
 	nodes := float64(b.settings.Nodes)
 	load := 0.5
@@ -150,7 +150,7 @@
 	return sum / max(ready, 1)
 }
 
-// resetEstimates forgets what reports have told: it was said of other values than those that come from now on.
+// resetEstimates forgets what reports have said: it was of other values than those that come from now on.
 func (b *Balancer) resetEstimates() {
 	for _, kind := range b.kinds {
 		kind.costs = costStats{}
--- a/choice/doc.go
+++ b/choice/doc.go
@@ -26,7 +26,7 @@
 //   - server.go: the server table; outlier.go: ejection; slowstart.go: servers that have just started.
 //   - load.go, cost.go, units.go: predicted loads; weight.go: the PID controller and weights of the draw.
 //   - inference.go: loads where servers send no reports; healthcheck.go: reports that are asked for.
-//   - migration.go: connections that leave overloaded servers.
+//   - migration.go: connections migrated off overloaded servers.
 //   - reservation.go, peermessage.go, peerclock.go: reservations at the node that owns a server.
-//   - learned.go, observations.go: what other processes and the planner of zones are told.
+//   - learned.go, observations.go: what other processes and the planner of zones receive.
 package choice
--- a/choice/event.go
+++ b/choice/event.go
@@ -67,7 +67,7 @@
 		OriginalClass *Class
 		CurrentLoad   float64 // 0: not known
 	}
-	// StickyServerFound tells where what a request under way resumes lives.
+	// StickyServerFound says where what a request under way resumes lives.
 	StickyServerFound struct {
 		ID     RequestID
 		Server ServerID
--- a/choice/groups.go
+++ b/choice/groups.go
@@ -36,7 +36,7 @@
 // groupSpread is on how many servers a request's group goes: as few as bear it, since each pays for the group once; but
 // one large group must not fill server after server while others idle.
 func (b *Balancer) groupSpread(request *requestEntry) int {
-	// What this node holds is a sample of the group: one connection at one of many nodes tells little of its size, and
+	// What this node holds is a sample of the group: one connection at one of many nodes says little of its size, and
 	// nodes that guess differently scatter it.
 	cost := max(b.meanCost(), 1e-9) * b.units.mean
 	connections := b.groups.load[request.affinity]/b.units.mean + 1
--- a/choice/healthcheck.go
+++ b/choice/healthcheck.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// checkOwnConnections guards connections whose server filled up later, where nothing else tells of that.
+// checkOwnConnections guards connections whose server filled up later, where nothing else would show that.
 func (b *Balancer) checkOwnConnections(server *serverEntry) {
 	if b.settings.DelaysObserved || !(server.own.load > 0) || server.State != Ready {
 		return
@@ -133,7 +133,7 @@
 	}
 	b.learnCost(server, values.load, connections)
 	load := values.load + values.backlog
-	if !b.settings.DelaysObserved { // reports alone tell of slow messages
+	if !b.settings.DelaysObserved { // reports alone show slow messages
 		load = max(load, b.loadOfDelay(values.latency))
 	}
 	b.observeLoad(server, load)
--- a/choice/healthcheck_test.go
+++ b/choice/healthcheck_test.go
@@ -9,9 +9,9 @@
 // TestFullServerIsFound checks that a server that filled up under open connections is found and relieved where no
 // delay notes come, as on sockets, and that nothing is asked where they do.
 func TestFullServerIsFound(t *testing.T) {
-	for _, tells := range []bool{false, true} {
+	for _, observed := range []bool{false, true} {
 		balancer, err := New(Settings{
-			Nodes: 1, DelaysObserved: tells, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
+			Nodes: 1, DelaysObserved: observed, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
 			Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
 			Limits:  Limits{MaxAttempts: 4, HealthChecks: true}, RoundTrip: 5 * time.Millisecond,
 		}, 1, time.Hour)
@@ -51,8 +51,8 @@
 			}
 			now += time.Second
 		}
-		if want := !tells; checks > 0 != want || moves > 0 != want || checks > 15 {
-			t.Errorf("notes told %v: %d health checks, %d moves", tells, checks, moves)
+		if want := !observed; checks > 0 != want || moves > 0 != want || checks > 15 {
+			t.Errorf("delays observed %v: %d health checks, %d migrations", observed, checks, moves)
 		}
 	}
 }
--- a/choice/inference.go
+++ b/choice/inference.go
@@ -20,14 +20,14 @@
 	slowSetupMultiple = 2 // of the typical setup time that is still no sign of load
 )
 
-// inferenceState is what setups and messages have told so far.
+// inferenceState is what setups and messages have shown so far.
 type inferenceState struct {
 	typicalSetup time.Duration
 	slowMessages bool // slow messages were seen: where they never are, silence says nothing
 }
 
 // estimateLoad is the load of a server as this node's own connections there suggest it. They are a sample of the
-// fleet's: few tell little, so the estimate leans on the average (the mean of a Gamma prior after a Poisson count).
+// fleet's: few say little, so the estimate leans on the average (the mean of a Gamma prior after a Poisson count).
 func (b *Balancer) estimateLoad(server *serverEntry) float64 {
 	average := clamp(b.average.load, 0.1, 1)
 	perConnection := server.cost * b.units.mean * float64(b.settings.Nodes) / b.capacityFraction(server)
@@ -61,7 +61,7 @@
 	}
 }
 
-// observeDrop takes in that a server dropped an open connection. One that is reset before that tells nothing of load.
+// observeDrop takes in that a server dropped an open connection. One that is reset before that says nothing of load.
 func (b *Balancer) observeDrop(server *serverEntry) {
 	if b.settings.Reports != NoReports {
 		return
@@ -76,7 +76,7 @@
 	b.inferLoad(server, load)
 }
 
-// inferFromSetup takes the time that a connection took to be set up. Only a slow one tells something: setups may be
+// inferFromSetup takes the time that a connection took to be set up. Only a slow one says something: setups may be
 // quick at a server whose messages are late.
 func (b *Balancer) inferFromSetup(server *serverEntry, took time.Duration) {
 	step := b.inference.typicalSetup / setupSteps
@@ -95,7 +95,7 @@
 	}
 }
 
-// loadOfDelay is the load that a message's time tells: messages slow down only near capacity. 0: not slow.
+// loadOfDelay is the load that a message's time implies: messages slow down only near capacity. 0: not slow.
 func (b *Balancer) loadOfDelay(took time.Duration) float64 {
 	if b.messageObjective == 0 || took <= b.messageObjective/3 {
 		return 0
--- a/choice/inference_test.go
+++ b/choice/inference_test.go
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// A connection must not count 1 until its server tells its load, and a small part of that afterwards: no limit would
+// A connection must not count 1 until its server reports its load, and a small part of that afterwards: no limit would
 // ever bind.
 func TestReportedConnectionLoadsGiveTheUnit(t *testing.T) {
 	balancer, now := silentNode(t, 3, 8)
@@ -70,7 +70,7 @@
 	for _, s := range balancer.servers {
 		before += s.cost * s.own.load
 	}
-	for i := range 10 { // half of the connections tell their load: those of the second class are nine times as heavy
+	for i := range 10 { // half of the connections report their load: those of the second class are nine times as heavy
 		balancer.Step(now, []Event{LoadUpdate{ID: RequestID(fmt.Sprint(i)), Load: []float64{0.02, 0.18}[i%2]}})
 	}
 	sum := 0.0
@@ -78,7 +78,7 @@
 		sum += s.own.load
 	}
 	if sum < 1 || sum > 3 { // ten of 0.02 and ten of 0.18 are 2
-		t.Errorf("20 connections count %.2f in all, told and untold ones together", sum)
+		t.Errorf("20 connections count %.2f in all, reported and unreported ones together", sum)
 	}
 	if light, heavy := balancer.expectedLoad(0), balancer.expectedLoad(1); light < 0.019 || light > 0.021 ||
 		heavy < 0.179 || heavy > 0.181 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Where servers report, told loads leave the unit alone: costs, and what owners lend, are learned in it.
+// Where servers report, loads of connections leave the unit alone: costs and reservations are learned in it.
 func TestConnectionLoadsKeepTheUnitWhereServersReport(t *testing.T) {
 	set := silentSettings(3)
 	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Utilization, Load}
@@ -151,7 +151,7 @@
 	}
 }
 
-// A set-up that takes long tells of an overload; one that is just as long as the others doesn't, however long they are.
+// A setup that takes long shows an overload; one that is just as long as the others doesn't, however long they are.
 func TestSlowSetupsCount(t *testing.T) {
 	for _, test := range []struct {
 		typical, last time.Duration
@@ -230,7 +230,7 @@
 }
 
 // Connections that servers shed at once, only to come again at the next node, must stay a bounded part of all; what
-// is turned away is told when to come again, spread.
+// is rejected is told when to come again, spread.
 func TestDroppedConnectionsAreThrottled(t *testing.T) {
 	balancer, now := silentNode(t, 300, 90)
 	placed, rejected, advice := 0, 0, map[time.Duration]bool{}
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -28,7 +28,7 @@
 	Kinds        []LearnedKind   `cbor:"11,keyasint,omitempty"`
 	Servers      []LearnedServer `cbor:"12,keyasint,omitempty"`
 	Meaning      string          `cbor:"13,keyasint,omitempty"` // of the settings that the values were learned under
-	// Now is when it is told; 0: by a release that assumes its reader to have the same clock.
+	// Now is when it is handed over; 0: by a release that assumes its reader to have the same clock.
 	Now time.Duration `cbor:"14,keyasint,omitempty"`
 }
 
@@ -60,7 +60,7 @@
 	UnreportedLoad   float64       `cbor:"16,keyasint,omitempty"` // own load that the report doesn't show
 }
 
-// LearnedState tells what this balancer has learned.
+// LearnedState returns what this balancer has learned.
 func (b *Balancer) LearnedState() LearnedState {
 	learned := LearnedState{
 		Version:      LearnedStateVersion,
@@ -110,7 +110,7 @@
 	}
 }
 
-// valid says whether what another process told can be: a value that is not a number would be in every prediction.
+// valid says whether what another process sent is possible: a value that is not a number would be in every prediction.
 func (l LearnedState) valid() bool {
 	if l.Version != LearnedStateVersion || !(l.Unit > 0) || l.Hints < 0 || !(l.MeanPriority > 0) {
 		return false
--- a/choice/load.go
+++ b/choice/load.go
@@ -40,7 +40,7 @@
 	known bool
 }
 
-// fresh reports whether a health check would tell nothing new.
+// fresh reports whether a health check would bring nothing new.
 func (l *loadReport) fresh(now time.Duration) bool { return l.known && now-l.at < freshFor }
 
 // fleetAverage is the mean load of the fleet by weight of its servers. Only reports that were asked for count: slow
@@ -119,7 +119,7 @@
 func (b *Balancer) fleetMultiple(server *serverEntry) float64 {
 	// Mean connections on a server of this cost at average load:
 	mean := max(b.average.load, 0.1) / (server.cost * b.units.mean)
-	if sharePrior*float64(b.settings.Nodes) > mean { // too small a part of them to tell
+	if sharePrior*float64(b.settings.Nodes) > mean { // too small a part of them to judge by
 		return 1
 	}
 	return 1 / (sharePrior/mean + 1/float64(b.settings.Nodes))
--- a/choice/migration.go
+++ b/choice/migration.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// relieve migrates the excess off a server that a report shows overloaded, where nobody tells of slow messages: what
+// relieve migrates the excess off a server that a report shows overloaded, where nobody observes slow messages: what
 // stays is served in time again, what goes was not. Not where no other server is much better.
 func (b *Balancer) relieve(server *serverEntry) {
 	load := b.predictedLoad(server)
--- a/choice/peerclock.go
+++ b/choice/peerclock.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Tokens of messages between nodes are the sender's clock: by them late and repeated messages are told from new ones.
+// Tokens of messages between nodes are the sender's clock: by them late and repeated messages are recognized.
 
 const (
 	maxMessageAge    = 1000 // ms that a question may take: what is older says nothing of now
-	maxReceived      = 2048 // questions remembered, to tell repeats
+	maxReceived      = 2048 // questions remembered, to recognize repeats
 	agreeingMessages = 3    // that set another node's clock
 )
 
@@ -51,7 +51,7 @@
 	return true
 }
 
-// clockOffset is how far another node's clock is from this one's, as its messages tell: machines' clocks may be
+// clockOffset is how far another node's clock is from this one's, as its messages show: machines' clocks may be
 // stepped, by seconds or an hour.
 type clockOffset struct {
 	known int16 // ms
@@ -62,7 +62,7 @@
 }
 
 // inTime reports whether a message was sent within the last moment, by its sender's clock. What several messages of a
-// second or more agree in is that clock; messages that were held up on the way come all at once, and agree in nothing.
+// second or more agree in is that clock; messages that were delayed on the way come all at once, and agree in nothing.
 func (p *peerReservations) inTime(from int, token uint16, now time.Duration) bool {
 	offset := int16(tokenClock(now) - token)
 	clock := p.clocks[from]
--- a/choice/referee_test.go
+++ b/choice/referee_test.go
@@ -180,7 +180,7 @@
 	}
 	server, ok := f.list[action.Server]
 	if at, drains := f.offSince[action.Server]; !ok || drains && f.now > at+f.set.Rules.DrainGrace {
-		f.t.Fatalf("%v: attempt on %s, unknown or told to drain", f.now, action.Server)
+		f.t.Fatalf("%v: attempt on %s, unknown or draining", f.now, action.Server)
 	}
 	if action.Timeout <= 0 || f.now+action.Timeout > request.deadline {
 		f.t.Fatalf("%v: timeout %v outlives the client of %s", f.now, action.Timeout, action.ID)
@@ -214,7 +214,7 @@
 func (f *referee) final(id RequestID) *seen {
 	f.t.Helper()
 	request := f.reqs[id]
-	// an end told in the same batch may come after the event that this answers
+	// an end in the same batch may come after the event that this answers
 	if request == nil || request.answered || request.done && request.doneAt < f.now {
 		f.t.Fatalf("%v: a second answer for %s", f.now, id)
 	}
--- a/choice/regression_test.go
+++ b/choice/regression_test.go
@@ -61,7 +61,7 @@
 		t.Errorf("%d actions for one rejection", checks)
 	}
 	if g := referee.b.admission.passRate; g > 0.1 {
-		t.Errorf("gate at %.2f after 10 s at load 1.3", g)
+		t.Errorf("pass rate at %.2f after 10 s at load 1.3", g)
 	}
 	placed(10, 20, 0.5)
 	if n := placed(30, 5, 0.5); n < 95 {
@@ -163,7 +163,7 @@
 	}
 }
 
-// On a full fleet what is worth more for its load gets through more often, and a tenant over its quota less.
+// On a full fleet what has a higher priority for its load is admitted more often, and a tenant over its quota less.
 func TestAdmissionByPriorityAndQuota(t *testing.T) {
 	s := plain()
 	s.PriorityPerWork, s.OverQuotaPriority = true, 0.05
@@ -172,7 +172,7 @@
 	s.Tenants = []Tenant{{Name: "in", Connections: 1e6}, {Name: "over", Connections: 1}}
 	referee := newReferee(t, s, 8)
 	referee.step(fleet(10))
-	for i := range 100 { // learn what requests are worth, and put the second tenant over its quota
+	for i := range 100 { // learn the mean priority, and put the second tenant over its quota
 		id := RequestID(fmt.Sprint("warm", i))
 		referee.now += ms(10)
 		referee.step(Request{ID: id, TimeLeft: ms(1800), Class: i % 2, Tenant: i % 4 / 2})
@@ -193,14 +193,15 @@
 		referee.step(ClientGone{ID: id})
 	}
 	if low, high := pass[[2]int{0, 0}], pass[[2]int{1, 0}]; high < 3*low || high == 0 {
-		t.Errorf("worth 5 passed %d times, worth 1 %d times", high, low)
+		t.Errorf("priority 5 was admitted %d times, priority 1 %d times", high, low)
 	}
 	if over, in := pass[[2]int{1, 1}], pass[[2]int{1, 0}]; 2*over > in {
 		t.Errorf("over its quota a tenant passed %d times, inside %d times", over, in)
 	}
 }
 
-// Health checks go to servers that look well: the gate must also see that this node's own clients sit on full ones.
+// Health checks go to servers that look well: the pass rate must also heed that this node's own clients sit on full
+// ones.
 func TestPassRateSeesOwnClientsOnFullServers(t *testing.T) {
 	referee := newReferee(t, plain(), 12)
 	referee.step(fleet(20))
@@ -221,12 +222,12 @@
 		referee.step(HealthCheckResult{Server: "s019", Report: []float64{0.4, 10}})
 	}
 	if referee.b.admission.passRate > 0.3 {
-		t.Errorf("gate at %.2f with all own clients on servers that answer in 900 ms, and reports of 0.4",
+		t.Errorf("pass rate at %.2f with all own clients on servers that answer in 900 ms, and reports of 0.4",
 			referee.b.admission.passRate)
 	}
 }
 
-// An open connection whose packets come to another node is no new load: the gate lets it by, to the same server.
+// An open connection whose packets come to another node is no new load: it is admitted, to the same server.
 func TestMidFlowGoesWhereOtherNodesSendIt(t *testing.T) {
 	s := plain()
 	s.PacketPassThrough = true
@@ -249,7 +250,7 @@
 }
 
 // TestDroppedConnections has a server reset a connection that stood. Where servers report no load, it is left out for
-// a time: what it sheds is all that tells of a full one, and its clients come again at once. Where they report, the
+// a time: what it drops is all that shows a full one, and its clients come again at once. Where they report, the
 // report decides; and an end that the server announced, or one that its client made, says nothing anywhere.
 func TestDroppedConnections(t *testing.T) {
 	for _, reports := range []ReportSource{NoReports, HealthCheckReports} {
--- a/choice/reservation_test.go
+++ b/choice/reservation_test.go
@@ -221,20 +221,20 @@
 	})
 	nodes.run(2 * time.Second)
 	nodes.arrivals(600, 4*time.Second, func(int) uint64 { return 0 })
-	cold := list.Servers[4]
-	if len(nodes.times[cold.ID]) < 5 {
-		t.Errorf("a server in slow start gets %d connections in a storm of 4 s", len(nodes.times[cold.ID]))
+	started := list.Servers[4]
+	if len(nodes.times[started.ID]) < 5 {
+		t.Errorf("a server in slow start gets %d connections in a storm of 4 s", len(nodes.times[started.ID]))
 	}
-	for i, from := range nodes.times[cold.ID] {
+	for i, from := range nodes.times[started.ID] {
 		count := 0
-		for _, at := range nodes.times[cold.ID][i:] {
+		for _, at := range nodes.times[started.ID][i:] {
 			if at < from+settings.Rules.OverloadTime {
 				count++
 			}
 		}
 		// FallMultiple times the part that is warm at the end, of the rate that fills it over its warm-up: the
 		// tenants' shares give 165 connections to 13 servers. One more for the first, as there are no halves.
-		warm := 0.2 + 0.8*(from+settings.Rules.OverloadTime-cold.Started).Seconds()/10
+		warm := 0.2 + 0.8*(from+settings.Rules.OverloadTime-started.Started).Seconds()/10
 		budget := settings.Rules.OverloadMultiple * warm * 165.0 / 13 / 10 * settings.Rules.OverloadTime.Seconds()
 		if float64(count) > budget+1 {
 			t.Errorf("a server in slow start gets %d connections in %v; its budget is %.1f", count,
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -187,7 +187,7 @@
 // multiple of what it could do then, and how much all ones in slow start got.
 func growth(t *testing.T, quiet int) (worst float64, total int) {
 	t.Helper()
-	const nodes, hot, cold, start, warmUp = 40, 5, 15, 20, 10
+	const nodes, hot, started, start, warmUp = 40, 5, 15, 20, 10
 	s := plain()
 	s.Nodes = nodes
 	var referees []*referee
@@ -196,7 +196,7 @@
 		f.step(fleet(hot))
 		referees = append(referees, f)
 	}
-	grown := startedServers(cold, start*time.Second)
+	grown := startedServers(started, start*time.Second)
 	count := 0
 	for sec := range start + 8 {
 		got := map[ServerID]int{}
--- a/choice/server.go
+++ b/choice/server.go
@@ -24,7 +24,7 @@
 	outlier      outlierState
 	slowStart    credit // what this node may still send while it is in slow start, in mean connections
 	checking     bool   // a health check is out
-	// migrating may leave once a health check confirms that the server is overloaded.
+	// migrating may be migrated once a health check confirms that the server is overloaded.
 	migrating   *requestEntry
 	reserved    reservationBook // of a server that this node owns
 	deniedUntil time.Duration   // its owner is not asked for a reservation until then
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -12,7 +12,7 @@
 // RequestID identifies a request, and the connection that comes of it. The package reads nothing in it.
 type RequestID string
 
-// Settings is what one node is told at start. Zero values mean "not known" or "not allowed".
+// Settings is the configuration of one node. Zero values mean "not known" or "not allowed".
 type Settings struct {
 	Nodes     int    // nodes that share the fleet, this one among them
 	Node      int    // this node's number, from 0
@@ -20,7 +20,7 @@
 	Zone      string // this node's zone
 	Classes   []Class
 	Tenants   []Tenant
-	// GroupAffinity says that connections of one group share work: each server that holds any of a group pays for it.
+	// GroupAffinity says that connections of one group share work: each server that has any of a group pays for it.
 	GroupAffinity bool
 	// PacketPassThrough says that packets pass through: an open connection can reach another node, as a mid-flow
 	// request.
@@ -139,7 +139,7 @@
 	Cancellation   bool // attempts may be called off
 	PeerMessages   bool // nodes may send one another messages
 	HedgedRequests bool // two attempts of one request may be out at once; the package never does that
-	RetryAfter     bool // rejections tell clients how long to stay away
+	RetryAfter     bool // rejections say how long clients should stay away
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
 }
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -114,7 +114,7 @@
 }
 
 // SlowStartRate is the connections a second that a server in slow start bears from all nodes together, as far as this
-// node can tell; slow is false for one that has warmed up or is not known.
+// node knows; slow is false for one that has warmed up or is not known.
 func (b *Balancer) SlowStartRate(id ServerID) (rate float64, slow bool) {
 	server := b.findServer(id)
 	if server == nil || b.capacityFraction(server) == 1 {
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Nodes that start together must not all get their leave for servers in slow start in the same moment.
+// Nodes that start together must not all get their credit for servers in slow start in the same moment.
 func TestCommonCreditHasASeededPhase(t *testing.T) {
 	const nodes = 20
 	seen := map[int]bool{}
--- a/choice/throttle.go
+++ b/choice/throttle.go
@@ -11,7 +11,7 @@
 // throttle is adaptive client-side throttling (Beyer et al., "Site Reliability Engineering", chapter 21): each node
 // counts the connections that were established, those of them that lasted and the requests it rejected, and rejects
 // what is more than a multiple of those that last. So the connections that servers drop at once, only to come again at
-// the next node, stay a bounded part of all. Requests that found no server are not counted: these tell nothing of the
+// the next node, stay a bounded part of all. Requests that found no server are not counted: these say nothing of the
 // fleet's load.
 type throttle struct {
 	requested float64 // decayed count
--- a/choice/units.go
+++ b/choice/units.go
@@ -1,6 +1,6 @@
 package choice
 
-// The unit of loads: connections tell their load in any unit, or not at all.
+// The unit of loads: connections report their load in any unit, or not at all.
 
 const (
 	meanLoadSamples = 50 // loads that a mean remembers
