--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -3,260 +3,169 @@
 import (
 	"errors"
 	"io/fs"
-	"runtime/debug"
 	"syscall"
 	"time"
 
 	"go.uber.org/zap"
 
-	"spurwinch/internal/config"
 	"spurwinch/internal/loop"
 	"spurwinch/internal/operate/handover"
 	"spurwinch/internal/platform/cluster"
 )
 
 const (
-	grantTimeout     = 500 * time.Millisecond // for what a running process lends; it answers within a round of its loop
-	grantDivisor     = 4                      // a starting process gets the free descriptors but for this part of them
-	quotaInterval    = 100 * time.Millisecond // between looks at what an emptying process can lend further
+	grantTimeout     = 500 * time.Millisecond // a running process answers within a round of its loop
 	unaskedShareTime = 10 * time.Second       // that a process which can't be asked is taken to be still there
-	shutdownReserve  = 16                     // descriptors beside clients and hosts that a leaving process needs: the loop's, listeners, the log
-	transferReserve  = 32                     // and one that takes connections over: its probes, and room for new clients
 )
 
-// hotRestart is this process's part in the node that it makes up with one started before or after it: what was lent, and
-// how the two share the node's descriptors and memory.
+// hotRestart is this process's part in replacing the node's process while it serves: what it was granted by its
+// predecessor, how it shares the node's descriptors and memory with its predecessor or successor, and the transfer of
+// its connections. It belongs to the loop.
 type hotRestart struct {
-	program         *Program
-	grant           *handover.Grant       // by the running process; nil: a start like any other
-	coordinator     *handover.Coordinator // nil: nobody finds this process
-	listeners       map[string]*loop.Listener
-	maxDescriptors  int       // descriptors that the node may hold; 0: not told
-	memoryMB        int       // MB; 0: not told
-	sharedUntil     time.Time // another process is there till then that can't be asked
+	program     *Program
+	grant       *handover.Grant       // by the running process; nil: a start like any other
+	coordinator *handover.Coordinator // nil: no successor finds this process
+	listeners   map[string]*loop.Listener
+
+	maxDescriptors int       // that the node may hold; 0: not told
+	memoryMB       int       // 0: not told
+	sharedUntil    time.Time // another process that can't be asked is there till then
+
 	shuttingDown    bool
-	listenersClosed bool // accepting has ended: the clients are another process's
-	transferring    bool // connections go to the other process
-	migrated        bool // what could not go that way goes the other
-	sent, received  int  // connections given and taken
-	queue           []transferable
-	reported        bool          // all were given, and this process ends
-	transferStart   time.Time     // giving
-	transferTime    time.Duration // to the last one given
-	longestBatch    time.Duration // that the loop was away for one batch, at the most
-	sentBytes       int           // bytes of what was told of those given
+	listenersClosed bool // the clients are another process's
+
+	transferring  bool // connections go to the successor
+	migrated      bool // what could not go was told to come again
+	reported      bool // all connections are gone, and this process ends
+	queue         []transferable
+	sent          int // connections
+	received      int // connections
+	sentBytes     int
+	transferStart time.Time
+	transferTime  time.Duration // to the last connection sent
+	longestBatch  time.Duration // that the loop was away for
 }
 
-// requestGrant asks a process that runs already for what it lends, where there is one.
-func (b *hotRestart) requestGrant(path string) {
-	b.listeners = map[string]*loop.Listener{}
+// requestGrant asks a process that runs already for its sockets, list and descriptors, where there is one.
+func (h *hotRestart) requestGrant(path string) {
+	h.listeners = map[string]*loop.Listener{}
 	if path == "" {
 		return
 	}
-	var err error
-	switch b.grant, err = handover.RequestGrant(path, time.Now().Add(grantTimeout)); {
+	grant, err := handover.RequestGrant(path, time.Now().Add(grantTimeout))
+	h.grant = grant
+	switch {
 	case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED):
 		zap.L().Debug("hot_restart_no_predecessor", zap.Error(err))
 	case err != nil:
 		zap.L().Warn("hot_restart_grant_failed", zap.String("place", path), zap.Error(err))
 	default:
-		zap.L().Info("hot_restart_grant_received", zap.Int("sockets", len(b.grant.Sockets)), zap.Int("hosts", len(b.grant.List.Servers)), zap.Int("descriptors", b.grant.DescriptorQuota))
+		zap.L().Info("hot_restart_grant_received", zap.Int("sockets", len(grant.Sockets)),
+			zap.Int("hosts", len(grant.List.Servers)), zap.Int("descriptors", grant.DescriptorQuota))
 	}
 }
 
-// initialList is the list to begin with: the running process's where there is one, since what was told to it was told to the node.
-func (b *hotRestart) initialList(own *cluster.List, discovery string) *cluster.List {
-	if b.grant == nil || len(b.grant.List.Servers) == 0 {
+// initialList is the server list to begin with: the predecessor's where there is one, since what was told to it was
+// told to the node.
+func (h *hotRestart) initialList(own *cluster.List, discovery string) *cluster.List {
+	if h.grant == nil || len(h.grant.List.Servers) == 0 {
 		return own
 	}
-	l := b.grant.List
-	if l.Full = true; b.grant.Discovery != discovery {
-		l.Version = -1
+	list := h.grant.List
+	list.Full = true
+	if h.grant.Discovery != discovery {
+		list.Version = -1
 	}
-	return &l
+	return &list
 }
 
-// listen opens a client listener: the running process's own socket where it has lent it, else one of this process.
-func (b *hotRestart) listen(addr string, accept func(*loop.Conn) loop.Handler) (*loop.Listener, error) {
-	l := b.program.loop
-	if b.grant != nil {
-		if fd, ok := b.grant.Sockets[addr]; ok {
-			k, err := l.Adopt(fd, accept)
+// listen opens a client listener: the predecessor's own socket where it was granted, else one of this process.
+func (h *hotRestart) listen(addr string, accept func(*loop.Conn) loop.Handler) (*loop.Listener, error) {
+	if h.grant != nil {
+		if fd, ok := h.grant.Sockets[addr]; ok {
+			listener, err := h.program.loop.Adopt(fd, accept)
 			if err == nil {
-				b.listeners[addr] = k
+				h.listeners[addr] = listener
 			}
-			return k, err
+			return listener, err
 		}
 	}
-	k, err := l.Listen(addr, accept)
+	listener, err := h.program.loop.Listen(addr, accept)
 	if err != nil {
 		return nil, err
 	}
-	b.listeners[addr] = k
-	if k.ReusePort {
-		b.sharedUntil = time.Now().Add(unaskedShareTime)
-		zap.L().Warn("listener_shared_without_grant", zap.String("address", addr), zap.Duration("shared_for", unaskedShareTime))
+	h.listeners[addr] = listener
+	if listener.ReusePort {
+		h.sharedUntil = time.Now().Add(unaskedShareTime)
+		zap.L().Warn("listener_shared_without_grant", zap.String("address", addr),
+			zap.Duration("shared_for", unaskedShareTime))
 	}
-	return k, nil
+	return listener, nil
 }
 
-// open takes this process's place for the next one, once all is set up.
-func (b *hotRestart) open(path string) {
+// open lets a successor find this process, once all is set up.
+func (h *hotRestart) open(path string) {
 	if path != "" {
-		b.coordinator = handover.NewCoordinator(handover.Options{Loop: b.program.loop, Path: path, Grant: b.newGrant, Changed: b.onCoordinatorChanged,
-			TransferHandler: handover.TransferHandler{FreeDescriptors: b.freeDescriptors, Prepare: b.prepareBatch, Learned: b.importLearnedState}}, b.grant)
-	}
-	if b.grant != nil && len(b.grant.Learned) > 0 {
-		b.importLearnedState(b.grant.Learned)
-	}
-	if !b.sharedUntil.IsZero() {
-		b.program.loop.At(b.sharedUntil, func() {
-			b.sharedUntil = time.Time{}
-			b.applyQuota()
+		h.coordinator = handover.NewCoordinator(handover.Options{
+			Loop: h.program.loop, Path: path, Grant: h.newGrant, Changed: h.onCoordinatorChanged,
+			TransferHandler: handover.TransferHandler{
+				FreeDescriptors: h.freeDescriptors, Prepare: h.prepareBatch, Learned: h.importLearnedState,
+			},
+		}, h.grant)
+	}
+	if h.grant != nil && len(h.grant.Learned) > 0 {
+		h.importLearnedState(h.grant.Learned)
+	}
+	if !h.sharedUntil.IsZero() {
+		h.program.loop.At(h.sharedUntil, func() {
+			h.sharedUntil = time.Time{}
+			h.applyQuota()
 		})
 	}
-	b.applyQuota()
+	h.applyQuota()
 }
 
-// newGrant tells what the process gets that asks.
-func (b *hotRestart) newGrant() handover.Grant {
-	p := b.program
-	what := handover.Grant{Sockets: map[string]int{}, Datagrams: -1}
-	if !b.listenersClosed { // else they are closed here, and another's already
-		for addr, k := range b.listeners {
-			what.Sockets[addr] = k.FD()
+// newGrant is what a successor gets.
+func (h *hotRestart) newGrant() handover.Grant {
+	grant := handover.Grant{Sockets: map[string]int{}, Datagrams: -1}
+	if !h.listenersClosed { // else they are another process's already
+		for addr, listener := range h.listeners {
+			grant.Sockets[addr] = listener.FD()
 		}
 	}
-	if n := p.platform; n != nil {
+	if platform := h.program.platform; platform != nil {
 		var version int64
-		what.Discovery, version = n.listWatch.At()
-		what.List = cluster.ListOf(version, n.core.Servers())
-		if n.peers.socket != nil {
-			what.Datagrams = n.peers.socket.FD()
-		}
-	}
-	what.Learned = b.encodeLearnedState()
-	own := b.ownQuota()
-	what.DescriptorQuota = b.spareDescriptors(own)
-	what.DescriptorQuota -= what.DescriptorQuota / grantDivisor
-	return what
-}
-
-// spareDescriptors is what this process can lend of own: what it doesn't hold, and in a crowd of idle connections, which may go for
-// others, up to half.
-func (b *hotRestart) spareDescriptors(own int) int {
-	l := b.program.loop
-	unused := own - reservedDescriptors - l.Open()
-	if b.shuttingDown {
-		unused = own - shutdownReserve - l.Open()
-	}
-	return max(unused, min(own/2, unused+l.Idle()), 0)
-}
-
-// setLimits takes in what the node may hold.
-func (b *hotRestart) setLimits(n config.Node) {
-	if b.maxDescriptors, b.memoryMB = n.Sockets, n.MemoryMB; b.maxDescriptors <= 0 {
-		b.maxDescriptors = defaultDescriptors
-	}
-	b.program.loop.Limit(0, b.maxDescriptors, int64(b.memoryMB)<<20)
-	b.applyQuota()
-}
-
-// groupQuota is the number of descriptors that this process and those it lends to may hold.
-func (b *hotRestart) groupQuota() int {
-	switch {
-	case b.coordinator != nil && b.coordinator.HasPredecessor():
-		return min(b.maxDescriptors, b.coordinator.DescriptorQuota())
-	case !b.sharedUntil.IsZero():
-		return b.maxDescriptors / 2
-	}
-	return b.maxDescriptors
-}
-
-// ownQuota is the number of descriptors that this process may hold.
-func (b *hotRestart) ownQuota() int {
-	if b.coordinator == nil {
-		return b.groupQuota()
-	}
-	return b.groupQuota() - b.coordinator.GrantedQuota()
-}
-
-// applyQuota keeps to this process's part of the node: all of it when it is alone.
-func (b *hotRestart) applyQuota() {
-	p := b.program
-	linked, ready := false, false
-	alone := b.sharedUntil.IsZero()
-	if b.coordinator != nil {
-		linked, ready = b.coordinator.Successor()
-		alone = alone && !linked && !b.coordinator.HasPredecessor()
-	}
-	if b.memoryMB > 0 { // the collector works harder well before the node would be killed
-		limit := int64(b.memoryMB) << 20 * 6 / 10
-		if !alone {
-			limit /= 2
-		}
-		debug.SetMemoryLimit(limit)
-	}
-	if b.shuttingDown && (ready || linked && !p.ready()) {
-		b.listenersClosed = true
-		for _, k := range b.listeners {
-			k.Close()
+		grant.Discovery, version = platform.listWatch.At()
+		grant.List = cluster.ListOf(version, platform.core.Servers())
+		if socket := platform.peers.socket; socket != nil {
+			grant.Datagrams = socket.FD()
 		}
 	}
-	if n := p.platform; n != nil {
-		most := max(b.ownQuota()-reservedDescriptors, 0)
-		n.front.Share(most)
-		n.upstream.KeepHealthChecks(max(most/healthCheckDivisor, 1))
-		if b.listenersClosed { // nobody comes here any more, and those that have said nothing yet go to the other process
-			p.loop.SetIdleLimit(0)
-		} else {
-			p.loop.SetIdleLimit(max(most-b.ownQuota()/8, 1))
-		}
-		parts := 1
-		if !alone {
-			parts = 2
-		}
-		if n.processes != parts {
-			n.applySettings(parts)
-		}
-		// Whoever is to take the clients hears the other nodes, too.
-		n.peers.setReading(!ready && !(b.coordinator != nil && b.coordinator.HasPredecessor() && !p.ready()))
-	}
+	grant.Learned = h.encodeLearnedState()
+	spare := h.spareDescriptors(h.ownQuota())
+	grant.DescriptorQuota = spare - spare/grantDivisor
+	return grant
 }
 
-// shutdown begins the planned stop, and reports whether another process takes the clients over.
-func (b *hotRestart) shutdown() bool {
-	b.shuttingDown = true
-	ready := false
-	if b.coordinator != nil {
-		_, ready = b.coordinator.Successor()
-		b.coordinator.Close()
-		b.raiseQuotaRepeatedly()
-	}
-	for _, k := range b.listeners {
-		k.PreferNewest()
+// shutdown begins the planned stop, and reports whether a successor takes the clients over.
+func (h *hotRestart) shutdown() (successorReady bool) {
+	h.shuttingDown = true
+	if h.coordinator != nil {
+		_, successorReady = h.coordinator.Successor()
+		h.coordinator.Close()
+		h.raiseQuotaRepeatedly()
 	}
-	b.applyQuota()
-	return ready
-}
-
-// raiseQuotaRepeatedly lends on what this process needs no more, as its connections go.
-func (b *hotRestart) raiseQuotaRepeatedly() {
-	b.raiseSuccessorQuota()
-	b.applyQuota()
-	b.program.loop.At(b.program.loop.Now().Add(quotaInterval), b.raiseQuotaRepeatedly)
-}
-
-func (b *hotRestart) raiseSuccessorQuota() {
-	if linked, _ := b.coordinator.Successor(); linked {
-		b.coordinator.RaiseQuota(b.groupQuota(), b.groupQuota()-b.spareDescriptors(b.groupQuota()))
+	for _, listener := range h.listeners {
+		listener.PreferNewest()
 	}
+	h.applyQuota()
+	return successorReady
 }
 
-func (b *hotRestart) onCoordinatorChanged() {
-	b.applyQuota()
-	if b.transferring {
-		l := b.program.loop
-		l.At(l.Now(), b.transferAndFinish)
+// onCoordinatorChanged takes in that another process came, is ready or has gone.
+func (h *hotRestart) onCoordinatorChanged() {
+	h.applyQuota()
+	if h.transferring {
+		h.program.loop.At(h.program.loop.Now(), h.transferAndFinish)
 	}
 }
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -1,30 +1,27 @@
 package node
 
 import (
-	"fmt"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
 	"go.uber.org/zap"
 
-	"spurwinch/choice"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/loop"
 	"spurwinch/internal/operate/handover"
-	resumable "spurwinch/internal/session"
 	"spurwinch/internal/xmpp"
 )
 
 const (
-	transferInterval = 20 * time.Millisecond // between looks for connections that stand meanwhile
+	transferInterval = 20 * time.Millisecond // between looks for connections that can go meanwhile
 	maxBatchTime     = time.Millisecond      // that the loop is away for one batch
 	maxBatchBytes    = 256 << 10             // of one batch, but for a single connection with more
+	connectionFDs    = 2                     // the most descriptors of a connection: its client's and its server's
 )
 
-// maxBatchConnections is the most connections of a batch.
+// maxBatchConnections is the most connections of a batch; a variable, so that tests can lower it.
 var maxBatchConnections = handover.MostConnections
 
-// connectionState is one connection as it's told to another process.
+// connectionState is one connection as it is sent to another process.
 type connectionState struct {
 	Front   string                `cbor:"1,keyasint"`
 	Cluster string                `cbor:"2,keyasint,omitempty"`
@@ -32,279 +29,220 @@
 	State   cbor.RawMessage       `cbor:"4,keyasint"`           // what its front knows
 }
 
-// connectionRestorer is a front's part in taking connections over.
-type connectionRestorer interface {
-	Hold(core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int) (restore func(), err error)
-}
-
+// The names of fronts in a connectionState.
 const (
 	platformFront = "platform"
 	xmppFront     = "xmpp"
 )
 
-// detachable is a connection that can go: Lend takes it off the loop, then it returns or is released.
+// detachable is a connection that can go: Detach takes it off the loop, then it is reattached or released.
 type detachable interface {
 	Detach() (fds []int, state any, ok bool)
 	Reattach()
 	Release()
 }
 
-// detach takes a connection off the loop and tells what there is to know of it.
-func detach(k detachable, cluster string) (p handover.TransferItem, ok bool) {
-	c := connectionState{Cluster: cluster}
-	var state any
-	if r, stands := k.(*edge.Request); stands {
-		c.Open = &edge.ConnectionState{}
-		*c.Open, ok = r.ConnectionState()
-		if !ok {
-			return p, false
+// transferable is a connection with the cluster that it is in; a client without a request is in none.
+type transferable struct {
+	detachable
+	cluster string
+}
+
+// transferBatch is a batch of connections on its way to the successor.
+type transferBatch struct {
+	connections []detachable
+	items       []handover.TransferItem
+	bytes       int
+	descriptors int // that the successor has room for beyond the batch
+}
+
+// add takes a connection off the loop and into the batch, if it can go now.
+func (b *transferBatch) add(connection transferable) {
+	item, ok := detach(connection.detachable, connection.cluster)
+	if !ok {
+		return
+	}
+	b.connections = append(b.connections, connection.detachable)
+	b.items = append(b.items, item)
+	b.bytes += len(item.Body)
+	b.descriptors -= len(item.FDs)
+}
+
+func (b *transferBatch) full() bool {
+	return len(b.connections) >= maxBatchConnections || b.bytes > maxBatchBytes || b.descriptors < connectionFDs
+}
+
+// finish releases the connections that the successor has accepted, or has all of them go on here.
+func (b *transferBatch) finish(accepted bool) {
+	for _, connection := range b.connections {
+		if accepted {
+			connection.Release()
+		} else {
+			connection.Reattach()
 		}
 	}
-	if p.FDs, state, ok = k.Detach(); !ok {
-		return p, false
+}
+
+// detach takes a connection off the loop and encodes what there is to know of it.
+func detach(connection detachable, cluster string) (item handover.TransferItem, ok bool) {
+	sent := connectionState{Front: platformFront, Cluster: cluster}
+	if request, isRequest := connection.(*edge.Request); isRequest {
+		open, isOpen := request.ConnectionState()
+		if !isOpen {
+			return item, false
+		}
+		sent.Open = &open
 	}
-	c.Front = platformFront
-	if _, is := state.(xmpp.Standing); is {
-		c.Front = xmppFront
+	fds, state, ok := connection.Detach()
+	if !ok {
+		return item, false
 	}
-	var err error
-	if c.State, err = cbor.Marshal(state); err == nil {
-		p.Body, err = cbor.Marshal(c)
+	if _, isXMPP := state.(xmpp.Standing); isXMPP {
+		sent.Front = xmppFront
 	}
+	body, err := sent.encode(state)
 	if err != nil {
 		zap.L().Error("connection_state_not_encoded", zap.Error(err))
-		k.Reattach()
-		return p, false
+		connection.Reattach()
+		return item, false
 	}
-	return p, true
+	return handover.TransferItem{FDs: fds, Body: body}, true
 }
 
-// transferBatch has what stands go to the other process, batch by batch, as long as there is any.
-func (b *hotRestart) transferBatch() {
-	there, room := b.coordinator.SuccessorAccepts()
-	if !b.transferring || !there {
-		if b.transferring = false; !b.migrated { // what is left goes the other way
-			b.migrated = true
-			for _, core := range b.program.cores {
-				core.MigrateRemaining()
-			}
-		}
-		return
+// encode is the connection's form in a batch, with what its front knows.
+func (c connectionState) encode(frontState any) (body []byte, err error) {
+	if c.State, err = cbor.Marshal(frontState); err != nil {
+		return nil, err
+	}
+	return cbor.Marshal(c)
+}
+
+// transferAll begins to send connections to the successor, and ends this process once nothing is left here.
+func (h *hotRestart) transferAll() {
+	h.transferring = true
+	h.transferStart = h.program.loop.Now()
+	h.coordinator.SendLearnedState(h.encodeLearnedState())
+	h.transferRepeatedly()
+}
+
+// transferRepeatedly sends what can go meanwhile, now and then.
+func (h *hotRestart) transferRepeatedly() {
+	h.transferAndFinish()
+	h.program.loop.At(h.program.loop.Now().Add(transferInterval), h.transferRepeatedly)
+}
+
+// transferAndFinish sends a batch, and ends the process if there is nothing left.
+func (h *hotRestart) transferAndFinish() {
+	h.transferNext()
+	if h.isEmpty() && !h.reported {
+		h.program.loop.Stop()
+		h.logTransfer()
 	}
-	if room == 0 {
+}
+
+// transferNext sends a batch of open connections to the successor; once it takes none, the rest is told to come again.
+func (h *hotRestart) transferNext() {
+	there, descriptors := h.coordinator.SuccessorAccepts()
+	if !h.transferring || !there {
+		h.transferring = false
+		h.migrateRest()
 		return
 	}
-	l := b.program.loop
-	begin, size := l.Now(), 0
-	var batch []detachable
-	var parcels []handover.TransferItem
-	for looked := false; len(batch) < maxBatchConnections && size <= maxBatchBytes && room >= 2 && l.Now().Sub(begin) <= maxBatchTime; {
-		if len(b.queue) == 0 && !looked {
-			b.queue, looked = b.transferables(), true
-		}
-		if len(b.queue) == 0 {
-			break
-		}
-		k := b.queue[0]
-		b.queue = b.queue[1:]
-		if p, ok := detach(k.detachable, k.cluster); ok {
-			size, room = size+len(p.Body), room-len(p.FDs)
-			batch, parcels = append(batch, k.detachable), append(parcels, p)
-		}
+	if descriptors == 0 {
+		return
 	}
-	if len(batch) == 0 {
+	loop := h.program.loop
+	begin := loop.Now()
+	batch := h.nextBatch(begin, descriptors)
+	if len(batch.connections) == 0 {
 		return
 	}
-	defer func() { b.longestBatch = max(b.longestBatch, l.Now().Sub(begin)) }()
-	b.coordinator.Transfer(parcels, func(taken bool) {
-		for _, k := range batch {
-			if taken {
-				k.Release()
-			} else {
-				k.Reattach()
-			}
-		}
-		if taken {
-			b.sent, b.sentBytes, b.transferTime = b.sent+len(batch), b.sentBytes+size, l.Now().Sub(b.transferStart)
-			b.raiseSuccessorQuota()
+	h.coordinator.Transfer(batch.items, func(accepted bool) {
+		batch.finish(accepted)
+		if accepted {
+			h.sent += len(batch.connections)
+			h.sentBytes += batch.bytes
+			h.transferTime = loop.Now().Sub(h.transferStart)
+			h.raiseSuccessorQuota()
 		} else {
-			b.transferring = false
+			h.transferring = false
 		}
-		l.At(l.Now(), b.transferAndFinish)
+		loop.At(loop.Now(), h.transferAndFinish)
 	})
+	h.longestBatch = max(h.longestBatch, loop.Now().Sub(begin))
 }
 
-// transferable is a connection with the cluster that it's in.
-type transferable struct {
-	detachable
-	cluster string
+// nextBatch takes connections off the loop until the batch is full, its time is over or there are no more.
+func (h *hotRestart) nextBatch(begin time.Time, descriptors int) transferBatch {
+	batch := transferBatch{descriptors: descriptors}
+	searched := false
+	for !batch.full() && h.program.loop.Now().Sub(begin) <= maxBatchTime {
+		if len(h.queue) == 0 && !searched {
+			h.queue = h.transferables()
+			searched = true
+		}
+		if len(h.queue) == 0 {
+			break
+		}
+		next := h.queue[0]
+		h.queue = h.queue[1:]
+		batch.add(next)
+	}
+	return batch
 }
 
 // transferables are the connections that can go now.
-func (b *hotRestart) transferables() (all []transferable) {
-	p := b.program
-	for name, core := range p.coreByCluster {
-		for _, r := range core.Transferable() {
-			all = append(all, transferable{r, name})
+func (h *hotRestart) transferables() (all []transferable) {
+	program := h.program
+	for cluster, core := range program.coreByCluster {
+		for _, request := range core.Transferable() {
+			all = append(all, transferable{request, cluster})
 		}
 	}
-	if n := p.platform; n != nil {
-		for _, i := range n.front.Idle() {
-			all = append(all, transferable{detachable: i})
+	if program.platform != nil {
+		for _, idle := range program.platform.front.Idle() {
+			all = append(all, transferable{detachable: idle})
 		}
 	}
-	if p.xmpp != nil {
-		for _, i := range p.xmpp.Idle() {
-			all = append(all, transferable{detachable: i})
+	if program.xmpp != nil {
+		for _, idle := range program.xmpp.Idle() {
+			all = append(all, transferable{detachable: idle})
 		}
 	}
 	return all
 }
 
-// freeDescriptors is the number of descriptors of connections that this process has room for.
-func (b *hotRestart) freeDescriptors() int {
-	if b.shuttingDown {
-		return 0
-	}
-	return b.ownQuota() - transferReserve - b.program.loop.Open()
-}
-
-// prepareBatch checks connections of another process, and takes them when it's told that they are this one's.
-func (b *hotRestart) prepareBatch(parcels []handover.TransferItem) (handover.PreparedBatch, error) {
-	var all []func()
-	for i, p := range parcels {
-		var c connectionState
-		err := handover.Decode(p.Body, &c)
-		var restore func()
-		if err == nil {
-			restore, err = b.prepareRestore(c, p.FDs)
-		}
-		if err != nil {
-			return handover.PreparedBatch{}, fmt.Errorf("connection %d: %w", i, err)
-		}
-		all = append(all, restore)
-	}
-	return handover.PreparedBatch{
-		Commit: func() {
-			for _, restore := range all {
-				restore()
-			}
-			b.received += len(all)
-		},
-		Abort: func() {
-			for _, p := range parcels {
-				loop.CloseAll(p.FDs)
-			}
-		},
-	}, nil
-}
-
-// prepareRestore checks one connection; the function that it returns has it go on here.
-func (b *hotRestart) prepareRestore(c connectionState, fds []int) (func(), error) {
-	p := b.program
-	var front connectionRestorer
-	switch {
-	case c.Front == platformFront && p.platform != nil:
-		front = p.platform.front
-	case c.Front == xmppFront && p.xmpp != nil:
-		front = p.xmpp
-	default:
-		return nil, fmt.Errorf("no front %q here", c.Front)
+// migrateRest has the clients that are left told to come again, once.
+func (h *hotRestart) migrateRest() {
+	if h.migrated {
+		return
 	}
-	core := p.coreByCluster[c.Cluster]
-	if c.Open != nil {
-		if err := c.Open.Check(); err != nil {
-			return nil, err
-		}
-		if core == nil {
-			return nil, fmt.Errorf("no cluster %q here", c.Cluster)
-		}
+	h.migrated = true
+	for _, core := range h.program.cores {
+		core.MigrateRemaining()
 	}
-	return front.Hold(core, c.Open, func(into any) error { return handover.Decode(c.State, into) }, fds)
 }
 
 // isEmpty reports whether this process holds nobody any more, not even one that has its answer on the way.
-func (b *hotRestart) isEmpty() bool {
-	for _, core := range b.program.cores {
+func (h *hotRestart) isEmpty() bool {
+	for _, core := range h.program.cores {
 		if core.InFlight() > 0 {
 			return false
 		}
 	}
-	return b.listenersClosed && b.program.loop.Idle() == 0
-}
-
-// transferAll begins to give connections to the process that takes over, and ends this one once nothing is left here.
-func (b *hotRestart) transferAll() {
-	b.transferring, b.transferStart = true, b.program.loop.Now()
-	b.coordinator.SendLearnedState(b.encodeLearnedState())
-	b.transferRepeatedly()
-}
-
-// transferRepeatedly gives what stands meanwhile, now and then.
-func (b *hotRestart) transferRepeatedly() {
-	b.transferAndFinish()
-	l := b.program.loop
-	l.At(l.Now().Add(transferInterval), b.transferRepeatedly)
-}
-
-func (b *hotRestart) transferAndFinish() {
-	if b.transferBatch(); b.isEmpty() && !b.reported {
-		b.program.loop.Stop()
-		b.logTransfer()
-	}
+	return h.listenersClosed && h.program.loop.Idle() == 0
 }
 
 // logTransfer logs what became of the connections, once.
-func (b *hotRestart) logTransfer() {
-	if b.reported {
+func (h *hotRestart) logTransfer() {
+	if h.reported {
 		return
 	}
-	b.reported = true
-	moved := 0
-	for _, core := range b.program.cores {
-		moved += core.Migrated()
-	}
-	zap.L().Info("connections_transferred", zap.Int("given", b.sent), zap.Int("moved", moved), zap.Int("bytes", b.sentBytes), zap.Duration("took", b.transferTime))
-}
-
-// learnedState is what a process knows beside its connections.
-type learnedState struct {
-	Modules  map[string]choice.LearnedState `cbor:"1,keyasint"` // by the names of their clusters
-	Sessions []resumable.Session            `cbor:"2,keyasint,omitempty"`
-}
-
-// maxSessions is how many sessions without a stream are told to another process; those with one go with it.
-const maxSessions = 1000
-
-// encodeLearnedState is what this process knows.
-func (b *hotRestart) encodeLearnedState() []byte {
-	k := learnedState{Modules: map[string]choice.LearnedState{}}
-	for name, core := range b.program.coreByCluster {
-		k.Modules[name] = core.LearnedState()
-	}
-	if f := b.program.xmpp; f != nil {
-		k.Sessions = f.Broken(maxSessions)
-	}
-	told, err := cbor.Marshal(k)
-	if err != nil {
-		zap.L().Error("learned_state_not_encoded", zap.Error(err))
-	}
-	return told
-}
-
-// importLearnedState takes in what another process knows.
-func (b *hotRestart) importLearnedState(told []byte) {
-	var k learnedState
-	if err := cbor.Unmarshal(told, &k); err != nil {
-		zap.L().Warn("learned_state_not_decoded", zap.Error(err))
-		return
-	}
-	for name, l := range k.Modules {
-		if core := b.program.coreByCluster[name]; core != nil {
-			core.ImportLearnedState(l)
-		}
-	}
-	if f := b.program.xmpp; f != nil {
-		f.Inherit(k.Sessions)
+	h.reported = true
+	migrated := 0
+	for _, core := range h.program.cores {
+		migrated += core.Migrated()
 	}
+	zap.L().Info("connections_transferred", zap.Int("given", h.sent), zap.Int("moved", migrated),
+		zap.Int("bytes", h.sentBytes), zap.Duration("took", h.transferTime))
 }
