--- a/internal/failover/agent/leader.go
+++ b/internal/failover/agent/leader.go
@@ -41,13 +41,18 @@
 
 // becomeLeader starts to make plans.
 func (a *Agent) becomeLeader(now time.Duration) {
-	a.planner = failover.NewPlanner(a.options.List, a.planRules(), a.planHistory, now)
+	a.startPlanner(now)
 	a.startRollouts()
+	a.options.Log("fleet_leads", "term", a.voter.Term(), "plan", a.follower.Newest(failover.PlanKind).Number)
+}
+
+// startPlanner starts a planner with the rules of the policy in force and the operators' orders.
+func (a *Agent) startPlanner(now time.Duration) {
+	a.planner = failover.NewPlanner(a.options.List, a.planRules(), a.planHistory, now)
 	orders, err := failover.DecodeOperatorOrders(a.follower.Newest(failover.OperatorOrdersKind).Data)
-	if err == nil {
+	if err == nil { // there is an entry of orders, and this version can decode it
 		a.planner.ApplyOrders(orders)
 	}
-	a.options.Log("fleet_leads", "term", a.voter.Term(), "plan", a.follower.Newest(failover.PlanKind).Number)
 }
 
 // stepDown ends what a leader does.
--- /dev/null
+++ b/internal/failover/agent/leader_test.go
@@ -0,0 +1,134 @@
+package agent
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"spurwinch/internal/agree"
+	"spurwinch/internal/failover"
+	"spurwinch/internal/membership"
+	"spurwinch/internal/policy"
+)
+
+// leadingVoter is a voter that leads and records what is proposed to it. It decides nothing by itself.
+type leadingVoter struct {
+	Voter // what is not overridden must not be called
+	plans []*failover.Plan
+}
+
+func (v *leadingVoter) Tick()           {}
+func (v *leadingVoter) Leads() bool     { return true }
+func (v *leadingVoter) Term() uint64    { return 1 }
+func (v *leadingVoter) Confirm() uint64 { return 1 }
+func (v *leadingVoter) Ready() (record agree.Record, whole, ok bool) {
+	return agree.Record{}, false, false
+}
+func (v *leadingVoter) Fold() (record agree.Record, ok bool) { return agree.Record{}, false }
+func (v *leadingVoter) Broken() error                        { return nil }
+func (v *leadingVoter) Ended(string) (result agree.ProposalResult, ok bool) {
+	return agree.ProposalResult{}, false
+}
+
+// Propose records a plan.
+func (v *leadingVoter) Propose(proposal agree.Proposal) error {
+	if proposal.Kind != failover.PlanKind {
+		return nil
+	}
+	plan, err := failover.DecodePlan(proposal.Data)
+	if err != nil {
+		return err
+	}
+	v.plans = append(v.plans, plan)
+	return nil
+}
+
+// newLeader is an agent whose voter leads, in a fleet with a policy.
+func newLeader(t *testing.T) (*Agent, *leadingVoter) {
+	t.Helper()
+	list, err := membership.NewList([]membership.Node{{Name: "a", Zone: "y"}, {Name: "v", Zone: "z", Voter: true}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	voter := &leadingVoter{}
+	class := policy.Class{Name: "c", Priority: 1}
+	agent, err := New(Options{
+		List:    list,
+		Self:    list.Index("v"),
+		Key:     []byte("key"),
+		Rules:   failover.Rules{UtilizationLimit: 0.85, GrantLifetime: 10 * time.Second},
+		Classes: []string{"c"},
+		Voter:   func(int, int, []agree.Record, *rand.Rand) (Voter, error) { return voter, nil },
+		Policy: &Policy{Read: func([]byte) (*policy.Document, error) {
+			return &policy.Document{Classes: []policy.Class{class}}, nil
+		}},
+	}, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return agent, voter
+}
+
+// healthySummary is the evidence of one node's zone, which finds servers healthy in its own zone.
+func healthySummary(node int, zone string) failover.EvidenceSummary {
+	return failover.EvidenceSummary{
+		Zone:     zone,
+		Classes:  []string{"c"},
+		Arrived:  []float32{1},
+		Rejected: []float32{0},
+		Zones: []failover.ZoneEvidence{{
+			Zone: zone, Nodes: 1, Ready: 10, Capacity: 10, Load: 1, Cost: 0.1, Attempts: 10, OwnLoad: []float32{10},
+		}},
+		Nodes: []failover.NodeStatus{{Node: node}},
+	}
+}
+
+// runUntil has the agent tick with evidence of all zones, and all that it saves reach the disk at once.
+func runUntil(agent *Agent, from, to time.Duration) {
+	list := agent.options.List
+	for now := from; now < to; now += agree.Tick {
+		for node := range list.Len() {
+			agent.observeSummary(node, healthySummary(node, list.Node(node).Zone), false, now)
+		}
+		agent.Tick(now)
+		for {
+			if _, _, ok := agent.Save(); !ok {
+				break
+			}
+			agent.Persisted(now)
+		}
+		agent.Out()
+	}
+}
+
+// TestDrainOutlastsPolicyChange checks that a zone that operators have drained stays drained when the planner is
+// replaced by one with the rules of a new policy.
+func TestDrainOutlastsPolicyChange(t *testing.T) {
+	agent, voter := newLeader(t)
+	orders := failover.OperatorOrders{Drained: []string{"y"}}
+	agent.acceptEntry(1, agree.Entry{Number: 1, Kind: failover.OperatorOrdersKind, ID: "drain", Data: orders.Encode()},
+		fromOwnVoter, 0)
+	const changed = 10 * time.Second
+	runUntil(agent, 0, changed)
+	wantDrained(t, "before the policy changed", voter.plans)
+
+	state := &policy.State{Number: 1, LastNumber: 1, Documents: []policy.VersionedDocument{{Number: 1}}}
+	entry := agree.Entry{Number: 2, Kind: policy.Kind, ID: "policy", Data: state.Encode()}
+	agent.acceptEntry(1, entry, fromOwnVoter, changed)
+	voter.plans = nil
+	runUntil(agent, changed, 2*changed)
+	wantDrained(t, "after the policy changed", voter.plans)
+}
+
+// wantDrained checks the state of zone y in the newest plan.
+func wantDrained(t *testing.T, when string, plans []*failover.Plan) {
+	t.Helper()
+	if len(plans) == 0 {
+		t.Fatalf("%s: no plan was proposed, wanted one", when)
+	}
+	for _, zone := range plans[len(plans)-1].Zones {
+		if zone.Name == "y" && zone.State != failover.Drained {
+			t.Errorf("%s: zone y is %v, wanted %v", when, zone.State, failover.Drained)
+		}
+	}
+}
--- a/internal/failover/agent/policy_leader.go
+++ b/internal/failover/agent/policy_leader.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"spurwinch/internal/agree"
-	"spurwinch/internal/failover"
 	"spurwinch/internal/policy"
 )
 
@@ -148,7 +147,7 @@
 	state, entry := a.newestPolicy()
 	if state.Number != rollout.rulesNumber {
 		rollout.rulesNumber = state.Number
-		a.planner = failover.NewPlanner(a.options.List, a.planRules(), a.planHistory, now)
+		a.startPlanner(now)
 	}
 	isProposed := rollout.proposedAt > 0 && now-rollout.proposedAt < rolloutRetry
 	if state.Change == nil || isProposed {
