--- a/cmd/spurwinchctl/fleet.go
+++ b/cmd/spurwinchctl/fleet.go
@@ -126,7 +126,7 @@
 				return r, nil
 			}
 			continue
-		case r.Bad:
+		case r.BadCall:
 			return r, statusError{2, r.Error}
 		case r.Error != "":
 			return r, statusError{1, r.Error}
@@ -165,23 +165,23 @@
 
 func showStatus(w io.Writer, r agent.Reply) {
 	fmt.Fprintf(w, "log %s, term %d, leads: %s\n", r.Log, r.Term, or(r.Leader, "nobody known"))
-	fmt.Fprintf(w, "plan %d: %s\n", r.Plan, or(r.Why, "none yet"))
+	fmt.Fprintf(w, "plan %d: %s\n", r.Plan, or(r.Reason, "none yet"))
 	if len(r.Drained) > 0 {
 		fmt.Fprintf(w, "drained by order: %s\n", strings.Join(r.Drained, ", "))
 	}
-	if len(r.Lost) > 0 {
-		fmt.Fprintf(w, "out of the view: %s\n", strings.Join(r.Lost, ", "))
+	if len(r.LostNodes) > 0 {
+		fmt.Fprintf(w, "out of the view: %s\n", strings.Join(r.LostNodes, ", "))
 	}
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "zone\tregion\tstate\tnodes\troom")
 	for _, z := range r.Zones {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d of %d\t%.1f\n", z.Name, z.Region, z.State, z.Nodes, z.Listed, z.Room)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d of %d\t%.1f\n", z.Name, z.Region, z.State, z.Nodes, z.Listed, z.Capacity)
 	}
 	t.Flush()
 	behind := 0
 	for _, n := range r.Nodes {
-		if n.Ago < 0 || n.Ago > 3 {
-			fmt.Fprintf(w, "%s in %s: %s\n", n.Name, n.Zone, heard(n.Ago))
+		if n.HeardSecondsAgo < 0 || n.HeardSecondsAgo > 3 {
+			fmt.Fprintf(w, "%s in %s: %s\n", n.Name, n.Zone, heard(n.HeardSecondsAgo))
 		} else if n.Plan < r.Plan {
 			behind++
 		}
@@ -204,26 +204,26 @@
 	fmt.Fprintln(t, "zone\tstate\troom\twants\tmay have\tlends\tlet in")
 	for _, z := range r.Zones {
 		var wants, grants, admit []string
-		for _, c := range slices.Sorted(maps.Keys(z.Want)) {
-			wants = append(wants, fmt.Sprintf("%s %.1f", c, z.Want[c]))
-			if z.Admit[c] < 1 {
-				admit = append(admit, fmt.Sprintf("%s %.0f%%", c, 100*z.Admit[c]))
+		for _, c := range slices.Sorted(maps.Keys(z.Demand)) {
+			wants = append(wants, fmt.Sprintf("%s %.1f", c, z.Demand[c]))
+			if z.AdmitFractions[c] < 1 {
+				admit = append(admit, fmt.Sprintf("%s %.0f%%", c, 100*z.AdmitFractions[c]))
 			}
 		}
 		for _, to := range slices.Sorted(maps.Keys(z.Grants)) {
-			if to == z.Name && z.Guests == 0 && z.State == "well" {
-				grants = append(grants, fmt.Sprintf("%s all %.1f", to, z.Room)) // nobody else needs it
+			if to == z.Name && z.GuestLoad == 0 && z.State == "well" {
+				grants = append(grants, fmt.Sprintf("%s all %.1f", to, z.Capacity)) // nobody else needs it
 			} else {
 				grants = append(grants, fmt.Sprintf("%s %.1f", to, z.Grants[to]))
 			}
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.1f\t%s\t%s\t%.1f by %s\t%s\n", z.Name, z.State, z.Room, strings.Join(wants, ", "), strings.Join(grants, ", "), z.Lends, or(z.Lender, "nobody"), or(strings.Join(admit, ", "), "all"))
+		fmt.Fprintf(t, "%s\t%s\t%.1f\t%s\t%s\t%.1f by %s\t%s\n", z.Name, z.State, z.Capacity, strings.Join(wants, ", "), strings.Join(grants, ", "), z.Reserve, or(z.LeaseOwner, "nobody"), or(strings.Join(admit, ", "), "all"))
 	}
 	t.Flush()
-	for _, z := range slices.Sorted(maps.Keys(r.Loans)) {
-		fmt.Fprintf(w, "%s has been lent %.1f in %s\n", r.Node, r.Loans[z], z)
+	for _, z := range slices.Sorted(maps.Keys(r.LeasedFrom)) {
+		fmt.Fprintf(w, "%s has been lent %.1f in %s\n", r.Node, r.LeasedFrom[z], z)
 	}
-	if r.Lent > 0 {
-		fmt.Fprintf(w, "%s has lent %.1f\n", r.Node, r.Lent)
+	if r.LeasedOut > 0 {
+		fmt.Fprintf(w, "%s has lent %.1f\n", r.Node, r.LeasedOut)
 	}
 }
--- a/cmd/spurwinchctl/policy.go
+++ b/cmd/spurwinchctl/policy.go
@@ -173,7 +173,7 @@
 		return nil, fmt.Errorf("%q: a number is wanted", arg)
 	}
 	var have []string
-	for _, d := range r.Docs {
+	for _, d := range r.Documents {
 		if d.Number == n {
 			return d.Text, nil
 		}
@@ -334,7 +334,7 @@
 	}
 	serving := 0
 	for _, m := range r.Members {
-		if m.Live && m.May && m.Serves == r.Number {
+		if m.Live && m.MayServe && m.ServedNumber == r.Number {
 			serving++
 		}
 	}
@@ -346,10 +346,10 @@
 			fmt.Fprintf(t, "%s\tout of the view\t\n", m.Name)
 		case !m.Heard:
 			fmt.Fprintf(t, "%s\tnot heard yet\t\n", m.Name)
-		case !m.May:
+		case !m.MayServe:
 			fmt.Fprintf(t, "%s\tserves nothing\t%s\n", m.Name, m.Answer)
-		case m.Serves != r.Number || m.Answer != "" && m.Answer != "yes":
-			fmt.Fprintf(t, "%s\tserves by number %d\t%s\n", m.Name, m.Serves, m.Answer)
+		case m.ServedNumber != r.Number || m.Answer != "" && m.Answer != "yes":
+			fmt.Fprintf(t, "%s\tserves by number %d\t%s\n", m.Name, m.ServedNumber, m.Answer)
 		}
 	}
 	t.Flush()
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Guard is what holds for the streams of clients: the rules, the networks that are kept out or free of limits (nil:
+// AdmissionRules is what holds for the streams of clients: the rules, the networks that are kept out or free of limits (nil:
 // none), and the limits of domains by their names.
-func (o *Operator) Guard() (admit.Rules, *admit.Networks, map[string]admit.Limits) {
+func (o *Operator) AdmissionRules() (admit.Rules, *admit.Networks, map[string]admit.Limits) {
 	domains := map[string]admit.Limits{}
 	for _, domain := range o.Domains {
 		domains[domain.Name] = domain.limits()
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -20,7 +20,7 @@
 	Attempts          int      `toml:"attempts,omitzero"`   // of one session at most
 	ConnectTimeout    Duration `toml:"connect_timeout,omitzero"`
 	DrainGrace        Duration `toml:"drain_grace,omitzero"`   // a draining server gets nothing new after this
-	Leave             Duration `toml:"leave,omitzero"`         // its open sessions are told to leave over this time
+	DrainPeriod       Duration `toml:"leave,omitzero"`         // its open sessions are told to leave over this time
 	SlowStartFraction float64  `toml:"cold_share,omitzero"`    // fraction of its capacity that a server starts with
 	WarmUp            Duration `toml:"warm_up,omitzero"`       // length of the slow start
 	OverloadMultiple  float64  `toml:"fall_multiple,omitzero"` // a server with more than this multiple of its capacity
@@ -71,7 +71,7 @@
 	tomlfile.Fill(&c.Attempts, MostAttempts)
 	tomlfile.Fill(&c.ConnectTimeout, Duration(time.Second))
 	tomlfile.Fill(&c.DrainGrace, Duration(maxDrainGrace))
-	tomlfile.Fill(&c.Leave, Duration(10*time.Second))
+	tomlfile.Fill(&c.DrainPeriod, Duration(10*time.Second))
 	tomlfile.Fill(&c.SlowStartFraction, 0.15)
 	tomlfile.Fill(&c.WarmUp, Duration(30*time.Second))
 	tomlfile.Fill(&c.OverloadMultiple, 4)
@@ -154,7 +154,7 @@
 		settings.Classes = append(settings.Classes, choice.Class{
 			Name:           class.Name,
 			SetupObjective: time.Duration(class.SetupObjective),
-			Deadline:       time.Duration(class.Patience),
+			Deadline:       time.Duration(class.Deadline),
 			Priority:       class.Priority,
 		})
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -11,13 +11,13 @@
 
 // Fleet is a node's own part of what it needs to be one of a fleet.
 type Fleet struct {
-	Self      string   `toml:"self,omitempty"`      // this node's name in the list
-	Listen    string   `toml:"listen,omitempty"`    // IP:PORT for datagrams and streams of other nodes
-	Nodes     string   `toml:"nodes,omitempty"`     // file with the list of nodes and what is common
-	KeyFile   string   `toml:"key_file,omitempty"`  // file with the key that signs messages between nodes
-	Dir       string   `toml:"dir,omitempty"`       // for what must outlive the process; voters need it
-	Cluster   string   `toml:"cluster,omitempty"`   // whose zones are planned; empty: the platform's
-	ComeAgain Duration `toml:"come_again,omitzero"` // advice to clients whose request is rejected
+	Self       string   `toml:"self,omitempty"`      // this node's name in the list
+	Listen     string   `toml:"listen,omitempty"`    // IP:PORT for datagrams and streams of other nodes
+	Nodes      string   `toml:"nodes,omitempty"`     // file with the list of nodes and what is common
+	KeyFile    string   `toml:"key_file,omitempty"`  // file with the key that signs messages between nodes
+	Dir        string   `toml:"dir,omitempty"`       // for what must outlive the process; voters need it
+	Cluster    string   `toml:"cluster,omitempty"`   // whose zones are planned; empty: the platform's
+	RetryAfter Duration `toml:"come_again,omitzero"` // advice to clients whose request is rejected
 	// PolicyLevel holds this node to policies without keys of a later level, as while a fleet goes over to a newer
 	// version; 0: all that it knows.
 	PolicyLevel int `toml:"policy_level,omitzero"`
@@ -34,7 +34,7 @@
 
 // check checks a node's part and reads the files that it names.
 func (c *Fleet) check(file *tomlfile.File) {
-	tomlfile.Fill(&c.ComeAgain, Duration(time.Second))
+	tomlfile.Fill(&c.RetryAfter, Duration(time.Second))
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		file.Fault("fleet.listen", "[fleet] listen = %q is not IP:PORT", c.Listen)
 	}
--- a/internal/config/fleetlist.go
+++ b/internal/config/fleetlist.go
@@ -36,7 +36,7 @@
 	GrantLifetime    Duration `toml:"life,omitzero"`  // of a grant into another zone without word of the leader
 	RecoveryDelay    Duration `toml:"hold,omitzero"`  // a zone must be healthy for so long before it takes load again
 	RecoveryRamp     float64  `toml:"ramp,omitzero"`  // fraction of a recovered zone's capacity given back each second
-	Stay             []string `toml:"stay,omitempty"` // classes that don't leave their region
+	RegionalClasses  []string `toml:"stay,omitempty"` // classes that don't leave their region
 }
 
 // RegionDistance is the relative cost of traffic between two regions; 1 where none is told.
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -95,7 +95,7 @@
 	path := filepath.Join("testdata", "config.json")
 	environment := map[string]string{"GW_CONFIG": path}
 	getenv := func(name string) string { return environment[name] }
-	got, err := FromEnvironment(getenv)
+	got, err := ReadNode(getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 	environment["GW_LISTEN"] = "127.0.0.1:3002"
 	environment["GW_DISCOVERY"] = "127.0.0.1:8502"
 	environment["GW_MGMT"] = "127.0.0.1:9002"
-	if got, err = FromEnvironment(getenv); err != nil {
+	if got, err = ReadNode(getenv); err != nil {
 		t.Fatal(err)
 	}
 	want.Name, want.Listen, want.Discovery, want.Mgmt = "node-2", "127.0.0.1:3002", "127.0.0.1:8502", "127.0.0.1:9002"
@@ -133,7 +133,7 @@
 	return Operator{
 		Limits: Limits{
 			Connections: 4097, StanzaBytes: 262145, EarlyBytes: 65537, Resumable: 10001,
-			HeaderTime: 9 * second / 4, ShakeTime: 11 * second,
+			HeaderTime: 9 * second / 4, HandshakeTimeout: 11 * second,
 		},
 		Listeners: []Listener{
 			{Addr: "127.0.0.1:5222", Protocol: "xmpp", TLS: "starttls"},
@@ -143,11 +143,11 @@
 			Name: "chat.example.org", Cluster: "visits", Class: "visit",
 			Streams: Streams{Streams: 31, Unauthenticated: 32, Rate: 33.5, Burst: 34},
 		}},
-		Classes: []Class{{Name: "visit", SetupObjective: 17 * second / 8, Patience: 21 * second, Priority: 1.5}},
+		Classes: []Class{{Name: "visit", SetupObjective: 17 * second / 8, Deadline: 21 * second, Priority: 1.5}},
 		Clusters: []Cluster{
 			{
 				Name: "visits", Zone: "zone-1", Sessions: 1001, Nodes: 2, Attempts: 3,
-				ConnectTimeout: 7 * second / 4, DrainGrace: 11 * second / 4, Leave: 12 * second,
+				ConnectTimeout: 7 * second / 4, DrainGrace: 11 * second / 4, DrainPeriod: 12 * second,
 				SlowStartFraction: 0.16, WarmUp: 31 * second, OverloadMultiple: 4.25, OverloadTime: 33 * second / 16,
 				Hosts: []Host{{
 					ID: "visits-1", Addr: "127.0.0.1:15222", Zone: "zone-2", Kind: "m6", Weight: 1.25,
@@ -156,16 +156,16 @@
 			},
 			{
 				Name: "others", Zone: "zone-3", Discovery: "127.0.0.1:8502", Sessions: 1002, Nodes: 4, Attempts: 2,
-				ConnectTimeout: 3 * second / 2, DrainGrace: 5 * second / 2, Leave: 13 * second,
+				ConnectTimeout: 3 * second / 2, DrainGrace: 5 * second / 2, DrainPeriod: 13 * second,
 				SlowStartFraction: 0.17, WarmUp: 32 * second, OverloadMultiple: 4.5, OverloadTime: 65 * second / 32,
 			},
 		},
 		Capture: Capture{
-			Path: "captured/load", FileMB: 65, Files: 9, Share: 0.5, Key: "0123456789abcdefg", Queue: 8193,
+			Path: "captured/load", FileMB: 65, Files: 9, Fraction: 0.5, Key: "0123456789abcdefg", Queue: 8193,
 		},
 		Fleet: &Fleet{
 			Self: "node-b", Listen: "127.0.0.1:7101", Nodes: "nodes.toml", KeyFile: "fleet.key", Dir: "state",
-			Cluster: "visits", ComeAgain: 5 * second / 4, PolicyLevel: 1,
+			Cluster: "visits", RetryAfter: 5 * second / 4, PolicyLevel: 1,
 		},
 		Peers: Peers{
 			Bits4: 24, Bits6: 56, Most: 65535, Deny: "deny.txt", Allow: "allow.txt",
@@ -287,7 +287,7 @@
 	requireEqual(t, "Document", *document, policy.Document{
 		Attempts: 4, RetryAfter: time.Second,
 		Classes:  []policy.Class{{Name: "a", SetupObjective: time.Second, Deadline: 2 * time.Second, Priority: 1}},
-		Failover: &policy.FailoverRules{Limit: 0.85, Ramp: 0.2, Hold: 4 * time.Second},
+		Failover: &policy.FailoverRules{UtilizationLimit: 0.85, RecoveryRamp: 0.2, RecoveryDelay: 4 * time.Second},
 	})
 }
 
@@ -301,7 +301,7 @@
 		},
 		Plan: FleetPlan{
 			UtilizationLimit: 0.8, GrantLifetime: 31 * second, RecoveryDelay: 5 * second, RecoveryRamp: 0.25,
-			Stay: []string{"visit", "bulk"},
+			RegionalClasses: []string{"visit", "bulk"},
 		},
 		RegionDistances: []RegionDistance{{Between: []string{"region-1", "region-2"}, Cost: 2.5}},
 		Policy:          &FleetPolicy{Window: 6 * second, AnswerTimeout: 11 * second},
@@ -367,8 +367,8 @@
 		Base:         policy.BasePolicy{Attempts: 1, Deadline: 2500 * time.Millisecond},
 		Requirements: policy.Requirements{Descriptors: 512, MemoryMB: 64},
 		Failover: &policy.FailoverRules{
-			Limit: 0.75, Ramp: 0.25, Hold: 5 * time.Second, RegionalClasses: []string{"plain"},
-			Far: []policy.RegionDistance{{A: "region-1", B: "region-2", Cost: 2}},
+			UtilizationLimit: 0.75, RecoveryRamp: 0.25, RecoveryDelay: 5 * time.Second, RegionalClasses: []string{"plain"},
+			RegionDistances: []policy.RegionDistance{{A: "region-1", B: "region-2", Cost: 2}},
 		},
 	}
 }
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -51,8 +51,8 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// FromEnvironment reads the GW_* variables and the file that GW_CONFIG names. A variable overrides the file.
-func FromEnvironment(getenv func(string) string) (Node, error) {
+// ReadNode reads the GW_* variables and the file that GW_CONFIG names. A variable overrides the file.
+func ReadNode(getenv func(string) string) (Node, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
 		return Node{}, ErrNoConfigFile
@@ -65,10 +65,10 @@
 	})
 }
 
-// Again reads the file anew for a node that runs by inForce. No variable overrides it: those are as old as the process.
+// ReloadNode reads the file anew for a node that runs by inForce. No variable overrides it: those are as old as the process.
 // The file is checked whole, and it must have every key that the one in force has: one that was cut short says less
 // than was meant.
-func Again(path string, inForce Node) (Node, error) {
+func ReloadNode(path string, inForce Node) (Node, error) {
 	node, err := readNode(path, func(file *nodeFile) {
 		file.Listen = cmp.Or(file.Listen, inForce.Listen) // which a variable may have named
 	})
--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -70,13 +70,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Again(writeConfig(t, whole), inForce); err != nil {
+	if _, err := ReloadNode(writeConfig(t, whole), inForce); err != nil {
 		t.Errorf("the same file: %v, wanted no error", err)
 	}
 	keys := 0
 	withoutEachKey(t, func(path, key, text string) {
 		keys++
-		if _, err := Again(writeConfig(t, text), inForce); err == nil || !strings.Contains(err.Error(), key) {
+		if _, err := ReloadNode(writeConfig(t, text), inForce); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("without %s: %v, wanted an error that names it", path, err)
 		}
 	})
@@ -108,12 +108,12 @@
 		{whole, "[]", "object"},
 		{whole, "listen: here", "invalid"},
 	} {
-		_, err := Again(writeConfig(t, strings.Replace(whole, test.old, test.new, 1)), inForce)
+		_, err := ReloadNode(writeConfig(t, strings.Replace(whole, test.old, test.new, 1)), inForce)
 		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, wanted an error of one line with %q", test.new, err, test.want)
 		}
 	}
-	if _, err := Again(filepath.Join(t.TempDir(), "none"), inForce); err == nil {
+	if _, err := ReloadNode(filepath.Join(t.TempDir(), "none"), inForce); err == nil {
 		t.Error("a file that is not there was accepted")
 	}
 }
@@ -144,7 +144,7 @@
 		},
 	} {
 		path := writeConfig(t, strings.Replace(whole, test.old, test.new, 1))
-		_, err := Again(path, inForce)
+		_, err := ReloadNode(path, inForce)
 		var fileError *FileError
 		if !errors.As(err, &fileError) || fileError.File != path {
 			t.Errorf("%s: the error is %#v, wanted a FileError of %s", test.new, err, path)
@@ -158,11 +158,11 @@
 		}
 	}
 	for text, want := range map[string]error{"": ErrEmptyFile, " \n": ErrEmptyFile, "[]": ErrNoObject} {
-		if _, err := Again(writeConfig(t, text), inForce); !errors.Is(err, want) {
+		if _, err := ReloadNode(writeConfig(t, text), inForce); !errors.Is(err, want) {
 			t.Errorf("%q: the error is %v, wanted %v", text, err, want)
 		}
 	}
-	if _, err := FromEnvironment(func(string) string { return "" }); !errors.Is(err, ErrNoConfigFile) {
+	if _, err := ReadNode(func(string) string { return "" }); !errors.Is(err, ErrNoConfigFile) {
 		t.Errorf("without variables: the error is %v, wanted %v", err, ErrNoConfigFile)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -33,12 +33,12 @@
 
 // Limits bound what connections may take.
 type Limits struct {
-	Connections int      `toml:"connections,omitzero"`    // of clients and servers together
-	StanzaBytes int      `toml:"stanza_bytes,omitzero"`   // of one stanza
-	EarlyBytes  int      `toml:"early_bytes,omitzero"`    // of a client, kept for another server
-	HeaderTime  Duration `toml:"header_time,omitzero"`    // for the stream header
-	ShakeTime   Duration `toml:"handshake_time,omitzero"` // for a TLS handshake
-	Resumable   int      `toml:"resumable,omitzero"`      // sessions whose server is remembered, for clients to resume
+	Connections      int      `toml:"connections,omitzero"`    // of clients and servers together
+	StanzaBytes      int      `toml:"stanza_bytes,omitzero"`   // of one stanza
+	EarlyBytes       int      `toml:"early_bytes,omitzero"`    // of a client, kept for another server
+	HeaderTime       Duration `toml:"header_time,omitzero"`    // for the stream header
+	HandshakeTimeout Duration `toml:"handshake_time,omitzero"` // for a TLS handshake
+	Resumable        int      `toml:"resumable,omitzero"`      // sessions whose server is remembered, for clients to resume
 }
 
 // Listener is an address where clients connect.
@@ -68,18 +68,18 @@
 type Class struct {
 	Name           string   `toml:"name"`
 	SetupObjective Duration `toml:"setup_aim,omitzero"` // latency objective of the setup
-	Patience       Duration `toml:"patience,omitzero"`  // deadline of the setup
+	Deadline       Duration `toml:"patience,omitzero"`  // deadline of the setup
 	Priority       float64  `toml:"worth,omitzero"`     // priority weight
 }
 
 // Capture says where load and reports are written down; without a path they are not.
 type Capture struct {
-	Path   string  `toml:"path,omitempty"`   // what the files' names begin with
-	FileMB int     `toml:"file_mb,omitzero"` // size in megabytes from which on the next file is begun
-	Files  int     `toml:"files,omitzero"`   // kept; the oldest is removed for a new one
-	Share  float64 `toml:"share,omitzero"`   // fraction of clients, or groups, that are written down
-	Key    string  `toml:"key,omitempty"`    // for the hashes of clients and groups
-	Queue  int     `toml:"queue,omitzero"`   // records that may wait to be written
+	Path     string  `toml:"path,omitempty"`   // what the files' names begin with
+	FileMB   int     `toml:"file_mb,omitzero"` // size in megabytes from which on the next file is begun
+	Files    int     `toml:"files,omitzero"`   // kept; the oldest is removed for a new one
+	Fraction float64 `toml:"share,omitzero"`   // fraction of clients, or groups, that are written down
+	Key      string  `toml:"key,omitempty"`    // for the hashes of clients and groups
+	Queue    int     `toml:"queue,omitzero"`   // records that may wait to be written
 }
 
 // Certificate names the PEM files of a certificate with its chain, and of its key.
@@ -153,7 +153,7 @@
 	tomlfile.Fill(&l.EarlyBytes, 64<<10)
 	tomlfile.Fill(&l.Resumable, 10000)
 	tomlfile.Fill(&l.HeaderTime, Duration(2500*time.Millisecond))
-	tomlfile.Fill(&l.ShakeTime, Duration(10*time.Second))
+	tomlfile.Fill(&l.HandshakeTimeout, Duration(10*time.Second))
 	between(file, "limits.connections", l.Connections, 1, 1<<20)
 	between(file, "limits.stanza_bytes", l.StanzaBytes, 10000, 512<<10)
 	between(file, "limits.resumable", l.Resumable, 1, 1<<20)
@@ -167,7 +167,7 @@
 	tomlfile.Fill(&c.FileMB, 64)
 	tomlfile.Fill(&c.Files, 8)
 	tomlfile.Fill(&c.Queue, 8192)
-	tomlfile.Fill(&c.Share, 1)
+	tomlfile.Fill(&c.Fraction, 1)
 	between(file, "capture.file_mb", c.FileMB, 1, 16<<10)
 	between(file, "capture.files", c.Files, 1, 10000)
 	between(file, "capture.queue", c.Queue, 16, 1<<20)
@@ -175,9 +175,9 @@
 		file.Fault("capture.path", "[capture] without a path: what the files' names begin with is wanted, "+
 			"as in path = \"/var/lib/spurwinch/load\"")
 	}
-	valid := c.Share > 0 && c.Share <= 1 // false for NaN
+	valid := c.Fraction > 0 && c.Fraction <= 1 // false for NaN
 	if !valid {
-		file.Fault("capture.share", "share = %v: a part over 0, up to 1, is wanted", c.Share)
+		file.Fault("capture.share", "share = %v: a part over 0, up to 1, is wanted", c.Fraction)
 	}
 	if len(c.Key) < minCaptureKey {
 		file.Fault("capture.key",
@@ -222,7 +222,7 @@
 	for i := range o.Classes {
 		class := &o.Classes[i]
 		tomlfile.Fill(&class.SetupObjective, Duration(2*time.Second))
-		tomlfile.Fill(&class.Patience, Duration(20*time.Second))
+		tomlfile.Fill(&class.Deadline, Duration(20*time.Second))
 		tomlfile.Fill(&class.Priority, 1)
 		if class.Name == "" || seen[class.Name] || class.Priority < 0 {
 			file.Fault(fmt.Sprintf("class.%d.name", i),
--- a/internal/config/policy_test.go
+++ b/internal/config/policy_test.go
@@ -48,7 +48,7 @@
 	if gold.Deadline != 3*time.Second || !gold.ServedByBase || document.Classes[1].Priority != 1 {
 		t.Errorf("the classes are %+v, wanted gold with 3s and a base policy, plain of priority 1", document.Classes)
 	}
-	if document.Failover.Limit != 0.85 || document.Failover.Far[0].Cost != 2 {
+	if document.Failover.UtilizationLimit != 0.85 || document.Failover.RegionDistances[0].Cost != 2 {
 		t.Errorf("the rules of failover are %+v, wanted the limit 0.85 and the cost 2", document.Failover)
 	}
 	for _, test := range []struct {
--- a/internal/failover/agent/calls.go
+++ b/internal/failover/agent/calls.go
@@ -182,7 +182,7 @@
 		return errNotVoter
 	}
 	if result, ok := a.voter.Ended(id); ok {
-		reply.Ended = &Ended{ID: result.ID, Number: result.Number, Taken: result.Accepted}
+		reply.Ended = &ProposalOutcome{ID: result.ID, Number: result.Number, Taken: result.Accepted}
 	}
 	return nil
 }
@@ -192,7 +192,7 @@
 	r.Error = err.Error()
 	var failed *callError
 	if errors.As(err, &failed) {
-		r.Bad = failed.badCall
+		r.BadCall = failed.badCall
 		r.Retry = failed.retry
 	}
 }
--- a/internal/failover/agent/calls_test.go
+++ b/internal/failover/agent/calls_test.go
@@ -60,7 +60,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if reply.Error != test.wantReason || reply.Bad != test.wantBad || reply.Retry != test.wantRetry {
+			if reply.Error != test.wantReason || reply.BadCall != test.wantBad || reply.Retry != test.wantRetry {
 				t.Errorf("replied %+v, wanted %+v", reply, test)
 			}
 			if reply.Node != "a" || reply.Zone != "z" {
--- a/internal/failover/agent/dispatch.go
+++ b/internal/failover/agent/dispatch.go
@@ -21,8 +21,8 @@
 	Data []byte
 }
 
-// Out empties the outbox: the messages that the caller is to send.
-func (a *Agent) Out() []Message {
+// TakeMessages empties the outbox: the messages that the caller is to send.
+func (a *Agent) TakeMessages() []Message {
 	messages := a.outbox
 	a.outbox = nil
 	return messages
--- a/internal/failover/agent/dispatch_test.go
+++ b/internal/failover/agent/dispatch_test.go
@@ -84,7 +84,7 @@
 		agent.Receive(message, now)
 		agent.Tick(now)
 		agent.Answer(message, now)
-		agent.Out()
+		agent.TakeMessages()
 		agent.ZonePlan()
 	})
 }
--- a/internal/failover/agent/doc.go
+++ b/internal/failover/agent/doc.go
@@ -10,7 +10,7 @@
 // Two callers drive an Agent: internal/node/fleet.go on sockets and files, and internal/lab/explore in simulated time.
 // They pass in messages (Agent.Receive, Agent.Answer), the time (Agent.Tick), what the load balancer observed
 // (Agent.Observe) and that a record reached the disk (Agent.Persisted). After each call they collect the work: messages
-// to send (Agent.Out), a record to write (Agent.Save), a plan for the load balancer (Agent.ZonePlan) and the policy to
+// to send (Agent.TakeMessages), a record to write (Agent.NextRecord), a plan for the load balancer (Agent.ZonePlan) and the policy to
 // serve by (Agent.ActivePolicy).
 //
 // An Agent owns all of its state, belongs to one goroutine and does no I/O: it has no socket, file, clock or lock. Time
--- a/internal/failover/agent/evidence.go
+++ b/internal/failover/agent/evidence.go
@@ -12,8 +12,8 @@
 // aggregatorsPerZone is the number of aggregators that a node sends its evidence.
 const aggregatorsPerZone = 2
 
-// Wants says whether Observe is due.
-func (a *Agent) Wants(now time.Duration) bool { return now >= a.schedule.observe }
+// WantsObservations says whether Observe is due.
+func (a *Agent) WantsObservations(now time.Duration) bool { return now >= a.schedule.observe }
 
 // Observe processes what the load balancer observed since the last call: evidence for the aggregators and demand for
 // capacity leases.
--- a/internal/failover/agent/golden_test.go
+++ b/internal/failover/agent/golden_test.go
@@ -212,7 +212,7 @@
 	if err := json.Unmarshal(golden, &read); err != nil {
 		t.Fatal(err)
 	}
-	reply.Policy.Docs, reply.Policy.Change.Text = nil, nil // documents are not printed
+	reply.Policy.Documents, reply.Policy.Change.Text = nil, nil // documents are not printed
 	if !reflect.DeepEqual(read, reply) {
 		t.Errorf("read as\n%+v, wanted\n%+v", read, reply)
 	}
@@ -256,7 +256,7 @@
 		writer.acceptEntry(64, entry, 1, time.Second)
 	}
 	writer.advance(time.Second)
-	record, whole, ok := writer.Save()
+	record, whole, ok := writer.NextRecord()
 	if !ok || whole {
 		t.Fatalf("record to save: %t, whole %t, wanted one that is added", ok, whole)
 	}
--- a/internal/failover/agent/golden_values_test.go
+++ b/internal/failover/agent/golden_values_test.go
@@ -92,21 +92,21 @@
 
 func goldenReply() Reply {
 	return Reply{
-		Error: "an error", Bad: true, Retry: true, Leader: "v", Node: "a", Zone: "z1", Mode: "planned", Plan: 1,
+		Error: "an error", BadCall: true, Retry: true, Leader: "v", Node: "a", Zone: "z1", Mode: "planned", Plan: 1,
 		Lease: 2.5, Log: "00000000000000ff", Term: 3, Leads: true, Voter: true,
 		Counts: Counts{Sent: 4, SentBytes: 5, Accepted: 6, Foreign: 7, Corrupt: 8, Late: 9, Dropped: 10},
 		Zones: []ZoneReply{{
-			Name: "z1", Region: "r1", State: "lost", Nodes: 11, Listed: 12, Room: 13.5, Guests: 14.5,
-			Lender: "b", Lends: 15.5,
-			Want:   map[string]float64{"c1": 16.5},
-			Grants: map[string]float64{"z2": 17.5},
-			Admit:  map[string]float64{"c1": 0.5},
+			Name: "z1", Region: "r1", State: "lost", Nodes: 11, Listed: 12, Capacity: 13.5, GuestLoad: 14.5,
+			LeaseOwner: "b", Reserve: 15.5,
+			Demand:         map[string]float64{"c1": 16.5},
+			Grants:         map[string]float64{"z2": 17.5},
+			AdmitFractions: map[string]float64{"c1": 0.5},
 		}},
-		Why: "a reason", Lost: []string{"c"}, Loans: map[string]float64{"z2": 18.5},
-		Lent: 19.5, Drained: []string{"z2"},
-		Nodes:   []NodeReply{{Name: "b", Zone: "z1", Live: true, Plan: 20, Ago: 21.5}},
+		Reason: "a reason", LostNodes: []string{"c"}, LeasedFrom: map[string]float64{"z2": 18.5},
+		LeasedOut: 19.5, Drained: []string{"z2"},
+		Nodes:   []NodeReply{{Name: "b", Zone: "z1", Live: true, Plan: 20, HeardSecondsAgo: 21.5}},
 		Explain: []string{"a line"},
-		Ended:   &Ended{ID: "drain-1", Number: 22, Taken: true},
+		Ended:   &ProposalOutcome{ID: "drain-1", Number: 22, Taken: true},
 		Policy:  goldenPolicyReply(),
 	}
 }
@@ -118,11 +118,11 @@
 			ID: "c-26", Number: 26, Base: 25, Step: "trial", Digest: "d26", Text: []byte("changed"),
 			Part: policy.Canary{Zone: "z1", OneIn: 2, Seconds: 27.5, MaxExtraRejections: 0.25},
 		},
-		Ended:   []policy.ChangeOutcome{{ID: "c-25", Number: 25, Accepted: true, Reason: "nobody objected"}},
-		Docs:    []policy.VersionedDocument{{Number: 25, Text: []byte("in force")}},
-		Entry:   28,
-		Window:  29.5,
-		Members: []PolicyMember{{Name: "a", Live: true, Heard: true, Has: 30, Serves: 31, May: true, Answer: "yes"}},
-		Grounds: []policy.VersionedBase{{Number: 25, Attempts: 32, Deadline: 33}},
+		Ended:     []policy.ChangeOutcome{{ID: "c-25", Number: 25, Accepted: true, Reason: "nobody objected"}},
+		Documents: []policy.VersionedDocument{{Number: 25, Text: []byte("in force")}},
+		Entry:     28,
+		Window:    29.5,
+		Members:   []PolicyMember{{Name: "a", Live: true, Heard: true, KnownNumber: 30, ServedNumber: 31, MayServe: true, Answer: "yes"}},
+		Bases:     []policy.VersionedBase{{Number: 25, Attempts: 32, Deadline: 33}},
 	}
 }
--- a/internal/failover/agent/leader_test.go
+++ b/internal/failover/agent/leader_test.go
@@ -92,12 +92,12 @@
 		}
 		agent.Tick(now)
 		for {
-			if _, _, ok := agent.Save(); !ok {
+			if _, _, ok := agent.NextRecord(); !ok {
 				break
 			}
 			agent.Persisted(now)
 		}
-		agent.Out()
+		agent.TakeMessages()
 	}
 }
 
--- a/internal/failover/agent/leases_test.go
+++ b/internal/failover/agent/leases_test.go
@@ -65,7 +65,7 @@
 func TestLeaseRequestWithoutPlan(t *testing.T) {
 	agent := newTestAgent(t)
 	agent.dispatch(header{kind: kindLeaseRequest, from: 1, clock: 9}, encode(leaseRequest{Load: 5}), false, time.Minute)
-	messages := agent.Out()
+	messages := agent.TakeMessages()
 	if len(messages) != 1 || messages[0].To != 1 {
 		t.Fatalf("sent %d messages, wanted one to node 1", len(messages))
 	}
--- a/internal/failover/agent/message.go
+++ b/internal/failover/agent/message.go
@@ -26,9 +26,9 @@
 	wireVersion = 1
 	headerBytes = 30
 	macBytes    = 16
-	// MostMessage bounds a message, in bytes. Messages over MostDatagram go by a stream.
-	MostMessage  = 512 << 10
-	MostDatagram = 1200
+	// MaxMessage bounds a message, in bytes. Messages over MostDatagram go by a stream.
+	MaxMessage  = 512 << 10
+	MaxDatagram = 1200
 )
 
 // messageKind is what a message's body is. The numbers are on the wire.
@@ -90,7 +90,7 @@
 
 // open reads a message. Only what a node of this fleet has sent passes.
 func open(key []byte, listDigest uint32, message []byte) (head header, body []byte, err error) {
-	if len(message) < headerBytes+macBytes || len(message) > MostMessage || message[0] != wireVersion {
+	if len(message) < headerBytes+macBytes || len(message) > MaxMessage || message[0] != wireVersion {
 		return header{}, nil, errCorrupt
 	}
 	end := len(message) - macBytes
--- a/internal/failover/agent/plan_rules.go
+++ b/internal/failover/agent/plan_rules.go
@@ -30,10 +30,10 @@
 		}
 	}
 	if plan := document.Failover; plan != nil {
-		rules.UtilizationLimit = plan.Limit
-		rules.RecoveryRamp = plan.Ramp
-		rules.RecoveryDelay = plan.Hold
-		rules.RegionDistance = distanceBetween(plan.Far)
+		rules.UtilizationLimit = plan.UtilizationLimit
+		rules.RecoveryRamp = plan.RecoveryRamp
+		rules.RecoveryDelay = plan.RecoveryDelay
+		rules.RegionDistance = distanceBetween(plan.RegionDistances)
 		regional = plan.RegionalClasses
 	}
 	rules.Classes = nil
--- a/internal/failover/agent/policy_calls.go
+++ b/internal/failover/agent/policy_calls.go
@@ -12,16 +12,16 @@
 
 // PolicyReply is what a node knows of the policy.
 type PolicyReply struct {
-	Token   string                     `json:"token,omitempty"` // the answer to a call with it is not older
-	Number  uint64                     `json:"number"`
-	Digest  string                     `json:"digest,omitempty"`
-	Change  *ChangeReply               `json:"change,omitempty"`
-	Ended   []policy.ChangeOutcome     `json:"ended,omitempty"`
-	Docs    []policy.VersionedDocument `cbor:"docs" json:"-"`
-	Entry   uint64                     `json:"entry"`
-	Window  float64                    `json:"window_s"`
-	Members []PolicyMember             `json:"members,omitempty"`
-	Grounds []policy.VersionedBase     `json:"grounds,omitempty"`
+	Token     string                     `json:"token,omitempty"` // the answer to a call with it is not older
+	Number    uint64                     `json:"number"`
+	Digest    string                     `json:"digest,omitempty"`
+	Change    *ChangeReply               `json:"change,omitempty"`
+	Ended     []policy.ChangeOutcome     `json:"ended,omitempty"`
+	Documents []policy.VersionedDocument `cbor:"docs" json:"-"`
+	Entry     uint64                     `json:"entry"`
+	Window    float64                    `json:"window_s"`
+	Members   []PolicyMember             `json:"members,omitempty"`
+	Bases     []policy.VersionedBase     `json:"grounds,omitempty"`
 }
 
 // ChangeReply is a pending change.
@@ -37,13 +37,13 @@
 
 // PolicyMember is a member as the leader knows it.
 type PolicyMember struct {
-	Name   string `json:"name"`
-	Live   bool   `json:"live"`
-	Heard  bool   `json:"heard"`
-	Has    uint64 `json:"has"`
-	Serves uint64 `json:"serves"`
-	May    bool   `json:"may_serve"`
-	Answer string `json:"answer,omitempty"`
+	Name         string `json:"name"`
+	Live         bool   `json:"live"`
+	Heard        bool   `json:"heard"`
+	KnownNumber  uint64 `json:"has"`
+	ServedNumber uint64 `json:"serves"`
+	MayServe     bool   `json:"may_serve"`
+	Answer       string `json:"answer,omitempty"`
 }
 
 // handlePolicyCall answers operators' calls about the policy. All of them go to the leader. Reads are linearizable: the
@@ -108,7 +108,7 @@
 	isNew := Verb(call.Verb) == VerbPolicyPropose
 	if outcome, ended, known := state.Find(call.ID); known && (isNew || ended) {
 		reply.Policy = a.describePolicy()
-		reply.Why = outcome.Reason
+		reply.Reason = outcome.Reason
 		return nil
 	}
 	if result, ok := a.voter.Ended(call.ID); ok && !result.Accepted {
@@ -157,12 +157,12 @@
 func (a *Agent) describePolicy() *PolicyReply {
 	state, entry := a.newestPolicy()
 	reply := &PolicyReply{
-		Number:  state.Number,
-		Ended:   state.Ended,
-		Docs:    state.Documents,
-		Entry:   entry,
-		Window:  a.options.Policy.Rules.Window.Seconds(),
-		Grounds: state.Bases,
+		Number:    state.Number,
+		Ended:     state.Ended,
+		Documents: state.Documents,
+		Entry:     entry,
+		Window:    a.options.Policy.Rules.Window.Seconds(),
+		Bases:     state.Bases,
 	}
 	if state.Number > 0 {
 		text, _ := state.Text(state.Number) // a state always has the document in force
@@ -184,12 +184,12 @@
 	}
 	for _, member := range a.members() {
 		described := PolicyMember{
-			Name:   member.Name,
-			Live:   member.Live,
-			Heard:  member.Heard,
-			Has:    member.Status.KnownNumber,
-			Serves: member.Status.ServedNumber,
-			May:    member.Status.MayServe,
+			Name:         member.Name,
+			Live:         member.Live,
+			Heard:        member.Heard,
+			KnownNumber:  member.Status.KnownNumber,
+			ServedNumber: member.Status.ServedNumber,
+			MayServe:     member.Status.MayServe,
 		}
 		if state.Change != nil && member.Status.Entry == entry {
 			described.Answer = verdictText(member.Status.Verdict, member.Status.Reason)
--- a/internal/failover/agent/reply.go
+++ b/internal/failover/agent/reply.go
@@ -12,34 +12,34 @@
 
 // Reply is a node's answer to an operator's call. Tools print it as JSON; nodes send it as CBOR by the same keys.
 type Reply struct {
-	Error   string             `json:"error,omitempty"`
-	Bad     bool               `json:"bad,omitempty"`   // the call itself is wrong: no node will answer it otherwise
-	Retry   bool               `json:"retry,omitempty"` // the same call may succeed later, or at the leader
-	Leader  string             `json:"leader,omitempty"`
-	Node    string             `json:"node"`
-	Zone    string             `json:"zone"`
-	Mode    string             `json:"mode"`
-	Plan    uint64             `json:"plan"`
-	Lease   float64            `json:"lease_s"` // seconds that grants into other zones are valid for
-	Log     string             `json:"log"`
-	Term    uint64             `json:"term,omitempty"` // of a voter
-	Leads   bool               `json:"leads"`
-	Voter   bool               `json:"voter"`
-	Counts  Counts             `json:"messages"`
-	Zones   []ZoneReply        `json:"zones,omitempty"`
-	Why     string             `json:"why,omitempty"`
-	Lost    []string           `json:"lost,omitempty"`
-	Loans   map[string]float64 `json:"loans,omitempty"` // capacity that this node has leased, by zone
-	Lent    float64            `json:"lent"`            // capacity of its zone that it has leased to others
-	Drained []string           `json:"drained,omitempty"`
-	Nodes   []NodeReply        `json:"nodes,omitempty"` // of the leader
-	Explain []string           `json:"explain,omitempty"`
-	Ended   *Ended             `json:"ended,omitempty"`
-	Policy  *PolicyReply       `json:"policy,omitempty"`
+	Error      string             `json:"error,omitempty"`
+	BadCall    bool               `json:"bad,omitempty"`   // the call itself is wrong: no node will answer it otherwise
+	Retry      bool               `json:"retry,omitempty"` // the same call may succeed later, or at the leader
+	Leader     string             `json:"leader,omitempty"`
+	Node       string             `json:"node"`
+	Zone       string             `json:"zone"`
+	Mode       string             `json:"mode"`
+	Plan       uint64             `json:"plan"`
+	Lease      float64            `json:"lease_s"` // seconds that grants into other zones are valid for
+	Log        string             `json:"log"`
+	Term       uint64             `json:"term,omitempty"` // of a voter
+	Leads      bool               `json:"leads"`
+	Voter      bool               `json:"voter"`
+	Counts     Counts             `json:"messages"`
+	Zones      []ZoneReply        `json:"zones,omitempty"`
+	Reason     string             `json:"why,omitempty"`
+	LostNodes  []string           `json:"lost,omitempty"`
+	LeasedFrom map[string]float64 `json:"loans,omitempty"` // capacity that this node has leased, by zone
+	LeasedOut  float64            `json:"lent"`            // capacity of its zone that it has leased to others
+	Drained    []string           `json:"drained,omitempty"`
+	Nodes      []NodeReply        `json:"nodes,omitempty"` // of the leader
+	Explain    []string           `json:"explain,omitempty"`
+	Ended      *ProposalOutcome   `json:"ended,omitempty"`
+	Policy     *PolicyReply       `json:"policy,omitempty"`
 }
 
-// Ended is how a proposal ended.
-type Ended struct {
+// ProposalOutcome is how a proposal ended.
+type ProposalOutcome struct {
 	ID     string `json:"id"`
 	Number uint64 `json:"number"`
 	Taken  bool   `json:"taken"`
@@ -47,43 +47,43 @@
 
 // ZoneReply is a zone of the plan.
 type ZoneReply struct {
-	Name   string             `json:"name"`
-	Region string             `json:"region"`
-	State  string             `json:"state"`
-	Nodes  int                `json:"nodes"`
-	Listed int                `json:"listed"`
-	Room   float64            `json:"room"`
-	Guests float64            `json:"guests"` // what clients of other zones need there now
-	Lender string             `json:"lender,omitempty"`
-	Lends  float64            `json:"lends"` // what the owner of its leases may lease of the room
-	Want   map[string]float64 `json:"want"`
-	Grants map[string]float64 `json:"grants"`
-	Admit  map[string]float64 `json:"admit"`
+	Name           string             `json:"name"`
+	Region         string             `json:"region"`
+	State          string             `json:"state"`
+	Nodes          int                `json:"nodes"`
+	Listed         int                `json:"listed"`
+	Capacity       float64            `json:"room"`
+	GuestLoad      float64            `json:"guests"` // what clients of other zones need there now
+	LeaseOwner     string             `json:"lender,omitempty"`
+	Reserve        float64            `json:"lends"` // what the owner of its leases may lease of the room
+	Demand         map[string]float64 `json:"want"`
+	Grants         map[string]float64 `json:"grants"`
+	AdmitFractions map[string]float64 `json:"admit"`
 }
 
 // NodeReply is a node as the leader sees it.
 type NodeReply struct {
-	Name string  `json:"name"`
-	Zone string  `json:"zone"`
-	Live bool    `json:"live"`
-	Plan uint64  `json:"plan"`
-	Ago  float64 `json:"heard_s_ago"` // seconds since it was heard; under 0: never
+	Name            string  `json:"name"`
+	Zone            string  `json:"zone"`
+	Live            bool    `json:"live"`
+	Plan            uint64  `json:"plan"`
+	HeardSecondsAgo float64 `json:"heard_s_ago"` // seconds since it was heard; under 0: never
 }
 
 // describe is a reply with what every reply has, the node's own state.
 func (a *Agent) describe(now time.Duration) Reply {
 	self := a.options.List.Node(a.options.Self)
 	reply := Reply{
-		Node:   self.Name,
-		Zone:   self.Zone,
-		Mode:   a.mode.String(),
-		Plan:   a.planNumber,
-		Log:    fmt.Sprintf("%016x", a.follower.Log()),
-		Voter:  a.voter != nil,
-		Leads:  a.Leads(),
-		Counts: a.Counts,
-		Loans:  a.leasedLoads(),
-		Lent:   a.leaseOwner.Reserved(now),
+		Node:       self.Name,
+		Zone:       self.Zone,
+		Mode:       a.mode.String(),
+		Plan:       a.planNumber,
+		Log:        fmt.Sprintf("%016x", a.follower.Log()),
+		Voter:      a.voter != nil,
+		Leads:      a.Leads(),
+		Counts:     a.Counts,
+		LeasedFrom: a.leasedLoads(),
+		LeasedOut:  a.leaseOwner.Reserved(now),
 	}
 	if a.plan != nil && now < a.leaseEnd {
 		reply.Lease = (a.leaseEnd - now).Seconds()
@@ -106,10 +106,10 @@
 	if a.plan == nil {
 		return
 	}
-	reply.Why = a.plan.Reason
+	reply.Reason = a.plan.Reason
 	for _, node := range a.plan.LostNodes {
 		if node >= 0 && node < a.options.List.Len() {
-			reply.Lost = append(reply.Lost, a.options.List.Node(node).Name)
+			reply.LostNodes = append(reply.LostNodes, a.options.List.Node(node).Name)
 		}
 	}
 	for i := range a.plan.Zones {
@@ -121,24 +121,24 @@
 func (a *Agent) describeZone(index int) ZoneReply {
 	plan, zone := a.plan, a.plan.Zones[index]
 	reply := ZoneReply{
-		Name:   zone.Name,
-		Region: zone.Region,
-		State:  zone.State.String(),
-		Nodes:  zone.Nodes,
-		Listed: zone.Listed,
-		Room:   float64(zone.Capacity),
-		Guests: float64(zone.GuestLoad),
-		Want:   map[string]float64{},
-		Grants: map[string]float64{},
-		Admit:  map[string]float64{},
+		Name:           zone.Name,
+		Region:         zone.Region,
+		State:          zone.State.String(),
+		Nodes:          zone.Nodes,
+		Listed:         zone.Listed,
+		Capacity:       float64(zone.Capacity),
+		GuestLoad:      float64(zone.GuestLoad),
+		Demand:         map[string]float64{},
+		Grants:         map[string]float64{},
+		AdmitFractions: map[string]float64{},
 	}
 	if zone.LeaseOwner >= 0 && zone.LeaseOwner < a.options.List.Len() {
-		reply.Lender = a.options.List.Node(zone.LeaseOwner).Name
-		reply.Lends = float64(zone.Reserve)
+		reply.LeaseOwner = a.options.List.Node(zone.LeaseOwner).Name
+		reply.Reserve = float64(zone.Reserve)
 	}
 	for class, name := range plan.Classes {
-		reply.Want[name] = float64(zone.Demand[class])
-		reply.Admit[name] = float64(plan.AdmitFractions[index][class]) / admitScale
+		reply.Demand[name] = float64(zone.Demand[class])
+		reply.AdmitFractions[name] = float64(plan.AdmitFractions[index][class]) / admitScale
 	}
 	for _, grant := range plan.Grants {
 		if grant.From == index {
@@ -157,7 +157,7 @@
 		node := a.options.List.Node(i)
 		view := a.planner.NodeView(i, now)
 		reply.Nodes = append(reply.Nodes, NodeReply{
-			Name: node.Name, Zone: node.Zone, Live: view.Live, Plan: view.Plan, Ago: view.HeardSecondsAgo,
+			Name: node.Name, Zone: node.Zone, Live: view.Live, Plan: view.Plan, HeardSecondsAgo: view.HeardSecondsAgo,
 		})
 	}
 }
--- a/internal/failover/agent/storage.go
+++ b/internal/failover/agent/storage.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// Save gives the record that must be written next; whole says that it replaces all others. Persisted is to be called
+// NextRecord gives the record that must be written next; whole says that it replaces all others. Persisted is to be called
 // when it is on disk.
-func (a *Agent) Save() (record agree.Record, whole, ok bool) {
+func (a *Agent) NextRecord() (record agree.Record, whole, ok bool) {
 	if a.pendingRecord == nil {
 		return agree.Record{}, false, false
 	}
--- a/internal/lab/explore/node.go
+++ b/internal/lab/explore/node.go
@@ -179,7 +179,7 @@
 func (n *node) tick() {
 	n.on(n.w.now+agree.Tick, func() {
 		n.agent.Tick(n.clock())
-		if n.agent.Wants(n.clock()) {
+		if n.agent.WantsObservations(n.clock()) {
 			n.agent.Observe(n.moduleNews(), n.clock())
 		}
 		n.tick()
@@ -228,7 +228,7 @@
 			n.core.Flush()
 		}
 		n.save()
-		out := n.agent.Out()
+		out := n.agent.TakeMessages()
 		if len(out) == 0 {
 			return
 		}
@@ -240,7 +240,7 @@
 
 // save has the disk take a while, and lets a crash come before or after.
 func (n *node) save() {
-	rec, whole, ok := n.agent.Save()
+	rec, whole, ok := n.agent.NextRecord()
 	if !ok || n.busy {
 		return
 	}
--- a/internal/node/capture.go
+++ b/internal/node/capture.go
@@ -31,7 +31,7 @@
 	if name != "" {
 		path += "-" + name
 	}
-	w, err := capture.NewWriter(capture.Options{Path: path, FileSize: int64(o.FileMB) << 20, Files: o.Files, Share: o.Share,
+	w, err := capture.NewWriter(capture.Options{Path: path, FileSize: int64(o.FileMB) << 20, Files: o.Files, Share: o.Fraction,
 		Key: []byte(o.Key), Queue: o.Queue, Header: h,
 		Fault: func(err error) { zap.L().Error("capture_write_failed", zap.Error(err)) }})
 	if err != nil {
@@ -43,7 +43,7 @@
 		}
 		w.Close(time.Now().Add(captureCloseTimeout))
 	})
-	zap.L().Info("capturing", zap.String("path", path), zap.Float64("share", o.Share))
+	zap.L().Info("capturing", zap.String("path", path), zap.Float64("share", o.Fraction))
 	return &captureObserver{w, len(h.Classes), len(h.Tenants)}, nil
 }
 
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -63,7 +63,7 @@
 	standalone := failover.ZonePlanFor(failover.Standalone, nil, 0, member.zone(), nil, 0, failover.LeasedCapacity{})
 	core.ApplyZonePlan(standalone)
 	if settings.List.Policy != nil { // nor does it admit anybody before it knows which policy is in force
-		core.UseLease(edge.Lease{RetryAfter: time.Duration(settings.ComeAgain), OnDecision: member.admissionRecorder()})
+		core.UseLease(edge.Lease{RetryAfter: time.Duration(settings.RetryAfter), OnDecision: member.admissionRecorder()})
 	}
 	member.open()
 }
@@ -98,7 +98,7 @@
 		f.retry("fleet_agent_not_started", err)
 		return
 	}
-	f.socket, _, err = f.loop.ListenDatagrams(f.config.Listen, agent.MostDatagram, f.receiveDatagram)
+	f.socket, _, err = f.loop.ListenDatagrams(f.config.Listen, agent.MaxDatagram, f.receiveDatagram)
 	if err != nil {
 		f.agent = nil
 		f.retry("fleet_datagram_listen_failed", err)
@@ -144,7 +144,7 @@
 		Key:        f.config.Secret,
 		Rules:      rules,
 		Classes:    names,
-		RetryAfter: time.Duration(f.config.ComeAgain),
+		RetryAfter: time.Duration(f.config.RetryAfter),
 		Records:    records,
 		Seed:       uint64(time.Now().UnixNano()),
 		Log:        logAgentEvent,
@@ -160,7 +160,7 @@
 		if class.Removed {
 			continue
 		}
-		stays := slices.Contains(f.config.List.Plan.Stay, class.Name)
+		stays := slices.Contains(f.config.List.Plan.RegionalClasses, class.Name)
 		all = append(all, failover.Class{Name: class.Name, Priority: class.Priority, StayInRegion: stays})
 	}
 	return all[:min(len(all), failover.MaxClasses)]
@@ -183,7 +183,7 @@
 	}
 	f.lastTick = now
 	f.agent.Tick(f.now())
-	if f.agent.Wants(f.now()) {
+	if f.agent.WantsObservations(f.now()) {
 		f.agent.Observe(f.core.Observations(), f.now())
 	}
 	f.carryOut()
@@ -207,14 +207,14 @@
 		f.core.ApplyZonePlan(plan)
 	}
 	f.save()
-	for _, message := range f.agent.Out() {
+	for _, message := range f.agent.TakeMessages() {
 		f.send(f.config.List.Addr[message.To], message.Data)
 	}
 }
 
 // send sends a message to a node's address, by a stream where no datagram holds it.
 func (f *fleet) send(to string, data []byte) {
-	if len(data) > agent.MostDatagram {
+	if len(data) > agent.MaxDatagram {
 		f.sendStream(to, data)
 		return
 	}
--- a/internal/node/fleetpolicy.go
+++ b/internal/node/fleetpolicy.go
@@ -102,7 +102,7 @@
 func (f *fleet) policyLease(number uint64, known bool, expires time.Time) edge.Lease {
 	lease := edge.Lease{
 		Number: number, Known: known, Expires: expires, OnDecision: f.admissionRecorder(),
-		RetryAfter: time.Duration(f.config.ComeAgain),
+		RetryAfter: time.Duration(f.config.RetryAfter),
 	}
 	document := f.policy.document
 	if document == nil {
--- a/internal/node/fleetstorage.go
+++ b/internal/node/fleetstorage.go
@@ -13,7 +13,7 @@
 	if f.saving {
 		return
 	}
-	record, whole, ok := f.agent.Save()
+	record, whole, ok := f.agent.NextRecord()
 	if !ok {
 		return
 	}
--- a/internal/node/fleetstream.go
+++ b/internal/node/fleetstream.go
@@ -122,7 +122,7 @@
 	length := int(binary.BigEndian.Uint32(s.buffer))
 	received := len(s.buffer) - frameBytes
 	switch {
-	case length > agent.MostMessage || received > length:
+	case length > agent.MaxMessage || received > length:
 		s.done()
 		s.conn.Abort()
 	case received == length:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -104,7 +104,7 @@
 	onPlatform := getenv("GW_CONFIG") != "" || operator == ""
 	if onPlatform {
 		var err error
-		if n, err = config.FromEnvironment(getenv); err != nil {
+		if n, err = config.ReadNode(getenv); err != nil {
 			return err
 		}
 		listen, mgmt = n.Listen, n.Mgmt
@@ -233,7 +233,7 @@
 // platformReloader is the part of a reload that is the platform's front's.
 func (p *Program) platformReloader(front *platform, path string) func() (func(), error) {
 	return func() (func(), error) {
-		next, err := config.Again(path, front.config)
+		next, err := config.ReloadNode(path, front.config)
 		if err == nil && p.fleet != nil {
 			if why := p.fleet.conflictWithPolicy(next.Settings); why != "" {
 				err = fmt.Errorf("%s: %s", path, why)
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -54,7 +54,7 @@
 		}
 		core, err = edge.New(edge.Options{Clock: l, Settings: settings, Observer: observer, Figures: &p.figures, Monitor: &p.monitor, Trace: &p.trace, Seed: seed + uint64(i),
 			HealthChecker: sessionLoad{func() *edge.Core { return core }, c.Sessions / float64(c.Nodes)},
-			WatchList:     func() { watch.Follow() }, DrainPeriod: time.Duration(c.Leave)})
+			WatchList:     func() { watch.Follow() }, DrainPeriod: time.Duration(c.DrainPeriod)})
 		if err != nil {
 			return nil, nil, fmt.Errorf("%s: cluster %q: %w", path, c.Name, err)
 		}
@@ -70,14 +70,14 @@
 	domains := map[string]xmpp.Domain{}
 	for _, d := range o.Domains {
 		i, class := o.Class(d.Class)
-		domains[d.Name] = xmpp.Domain{Core: op.cores[d.Cluster], Class: i, Patience: time.Duration(class.Patience)}
+		domains[d.Name] = xmpp.Domain{Core: op.cores[d.Cluster], Class: i, Patience: time.Duration(class.Deadline)}
 	}
 	l.Limit(o.Limits.Connections-o.Limits.Connections/8, o.Limits.Connections, 0)
 	front := xmpp.New(l, domains, xmpp.Limits{Stanza: o.Limits.StanzaBytes, Early: o.Limits.EarlyBytes,
-		HeaderTime: time.Duration(o.Limits.HeaderTime), ShakeTime: time.Duration(o.Limits.ShakeTime), MostOpen: o.Limits.Connections, Resumable: o.Limits.Resumable}, seed)
+		HeaderTime: time.Duration(o.Limits.HeaderTime), ShakeTime: time.Duration(o.Limits.HandshakeTimeout), MostOpen: o.Limits.Connections, Resumable: o.Limits.Resumable}, seed)
 	op.xmpp, p.xmpp = front, front
 	front.Trace = &p.trace
-	front.Guard(o.Guard())
+	front.Guard(o.AdmissionRules())
 	if p.platform == nil {
 		p.restart.maxDescriptors = o.Limits.Connections + reservedDescriptors
 	}
@@ -138,7 +138,7 @@
 
 // apply takes in the static hosts and the discovery addresses of a file.
 func (op *operatorFronts) apply(o config.Operator) {
-	op.xmpp.Guard(o.Guard())
+	op.xmpp.Guard(o.AdmissionRules())
 	if o.Keys != nil {
 		op.keys.Use(o.Keys)
 		op.logExpiring()
--- a/internal/operate/fleetcall/fleetcall.go
+++ b/internal/operate/fleetcall/fleetcall.go
@@ -29,7 +29,7 @@
 		return r, fmt.Errorf("%s gives no answer (another key, or another list of nodes?): %w", name, err)
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size > agent.MostMessage {
+	if size > agent.MaxMessage {
 		return r, fmt.Errorf("%s: an answer of %d bytes", name, size)
 	}
 	body := make([]byte, size)
--- a/internal/policy/diff.go
+++ b/internal/policy/diff.go
@@ -84,9 +84,9 @@
 		return "as the list of nodes says"
 	}
 	var distances []string
-	for _, d := range r.Far {
+	for _, d := range r.RegionDistances {
 		distances = append(distances, fmt.Sprintf("{A:%s B:%s Cost:%v}", d.A, d.B, d.Cost))
 	}
 	return fmt.Sprintf("{Limit:%v Ramp:%v Hold:%v Stay:%v Far:%v}",
-		r.Limit, r.Ramp, r.Hold, r.RegionalClasses, distances)
+		r.UtilizationLimit, r.RecoveryRamp, r.RecoveryDelay, r.RegionalClasses, distances)
 }
--- a/internal/policy/document.go
+++ b/internal/policy/document.go
@@ -51,11 +51,11 @@
 
 // FailoverRules are the rules of the plans that move load between zones.
 type FailoverRules struct {
-	Limit           float64       // fraction of a server's capacity that is planned for
-	Ramp            float64       // fraction of a recovered zone's capacity that is given back each second
-	Hold            time.Duration // a zone must be healthy for so long before it takes load again
-	RegionalClasses []string      // names of the classes that don't leave their region
-	Far             []RegionDistance
+	UtilizationLimit float64       // fraction of a server's capacity that is planned for
+	RecoveryRamp     float64       // fraction of a recovered zone's capacity that is given back each second
+	RecoveryDelay    time.Duration // a zone must be healthy for so long before it takes load again
+	RegionalClasses  []string      // names of the classes that don't leave their region
+	RegionDistances  []RegionDistance
 }
 
 // RegionDistance is the relative cost of traffic between two regions, in either direction.
--- a/internal/policy/document_test.go
+++ b/internal/policy/document_test.go
@@ -40,12 +40,14 @@
 		"ground.attempts":  func(d *Document) { d.Base.Attempts = 4 },
 		"ground.patience":  func(d *Document) { d.Base.Deadline = 5 * time.Second },
 		"needs":            func(d *Document) { d.Requirements.MemoryMB = -1 },
-		"plan.limit":       func(d *Document) { d.Failover = &FailoverRules{Limit: 2, Ramp: 0.2, Hold: time.Second} },
+		"plan.limit": func(d *Document) {
+			d.Failover = &FailoverRules{UtilizationLimit: 2, RecoveryRamp: 0.2, RecoveryDelay: time.Second}
+		},
 		"plan.stay": func(d *Document) {
-			d.Failover = &FailoverRules{Limit: 0.8, Ramp: 0.2, Hold: time.Second, RegionalClasses: []string{"x"}}
+			d.Failover = &FailoverRules{UtilizationLimit: 0.8, RecoveryRamp: 0.2, RecoveryDelay: time.Second, RegionalClasses: []string{"x"}}
 		},
 		"far.0": func(d *Document) {
-			d.Failover = &FailoverRules{Limit: 0.8, Ramp: 0.2, Hold: time.Second, Far: distance}
+			d.Failover = &FailoverRules{UtilizationLimit: 0.8, RecoveryRamp: 0.2, RecoveryDelay: time.Second, RegionDistances: distance}
 		},
 	} {
 		document := validDocument()
--- a/internal/policy/validate.go
+++ b/internal/policy/validate.go
@@ -104,15 +104,15 @@
 }
 
 func (r *FailoverRules) check(found *faultList, classes map[string]bool) {
-	validLimit := r.Limit > minPlanLimit && r.Limit <= 1 // false for NaN, as validRamp is
-	found.addIf(!validLimit, "plan.limit", "limit = %v: a part over 0.1, up to 1, is wanted", r.Limit)
-	validRamp := r.Ramp > 0 && r.Ramp <= 1
-	found.addIf(!validRamp, "plan.ramp", "ramp = %v: a part over 0, up to 1, is wanted", r.Ramp)
-	found.addIf(r.Hold < minHold || r.Hold > maxHold, "plan.hold", "hold = %v: 1s to 1h are possible", r.Hold)
+	validLimit := r.UtilizationLimit > minPlanLimit && r.UtilizationLimit <= 1 // false for NaN, as validRamp is
+	found.addIf(!validLimit, "plan.limit", "limit = %v: a part over 0.1, up to 1, is wanted", r.UtilizationLimit)
+	validRamp := r.RecoveryRamp > 0 && r.RecoveryRamp <= 1
+	found.addIf(!validRamp, "plan.ramp", "ramp = %v: a part over 0, up to 1, is wanted", r.RecoveryRamp)
+	found.addIf(r.RecoveryDelay < minHold || r.RecoveryDelay > maxHold, "plan.hold", "hold = %v: 1s to 1h are possible", r.RecoveryDelay)
 	for _, name := range r.RegionalClasses {
 		found.addIf(!classes[name], "plan.stay", "stay: no class %q", name)
 	}
-	for i, distance := range r.Far {
+	for i, distance := range r.RegionDistances {
 		valid := distance.A != "" && distance.B != "" && distance.Cost >= minRegionCost // false for NaN
 		found.addIf(!valid, fmt.Sprintf("far.%d", i),
 			"[[far]]: between = [REGION, REGION] and a cost of 1 or more are wanted")
--- a/internal/tomlfile/fault.go
+++ b/internal/tomlfile/fault.go
@@ -43,7 +43,7 @@
 
 // Error is the file, its size and the most that is read.
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("%s: %d bytes; settings have %d at most", e.File, e.Bytes, MostBytes)
+	return fmt.Sprintf("%s: %d bytes; settings have %d at most", e.File, e.Bytes, MaxBytes)
 }
 
 func sortByLine(faults Faults) {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -14,8 +14,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// MostBytes is the longest file that is read.
-const MostBytes = 16 << 20
+// MaxBytes is the longest file that is read.
+const MaxBytes = 16 << 20
 
 // File is a file that was decoded: it knows where its keys stand, and collects faults.
 type File struct {
@@ -27,7 +27,7 @@
 // Load reads a file's text. The error is a *SizeError where the file is too long.
 func Load(path string) ([]byte, error) {
 	source, err := os.ReadFile(path)
-	if err == nil && len(source) > MostBytes {
+	if err == nil && len(source) > MaxBytes {
 		err = &SizeError{File: path, Bytes: len(source)}
 	}
 	return source, err
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -90,13 +90,13 @@
 // TestLoad holds that a file that is too long is not read as settings.
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
-	if err := os.WriteFile(path, make([]byte, MostBytes+1), 0o600); err != nil {
+	if err := os.WriteFile(path, make([]byte, MaxBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_, err := Load(path)
 	var tooLong *SizeError
-	if !errors.As(err, &tooLong) || tooLong.File != path || tooLong.Bytes != MostBytes+1 {
-		t.Errorf("the error is %v, wanted a SizeError of %s with %d bytes", err, path, MostBytes+1)
+	if !errors.As(err, &tooLong) || tooLong.File != path || tooLong.Bytes != MaxBytes+1 {
+		t.Errorf("the error is %v, wanted a SizeError of %s with %d bytes", err, path, MaxBytes+1)
 	}
 	if _, err := Load(path + "x"); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the error is %v, wanted %v", err, os.ErrNotExist)
