--- a/internal/node/capture.go
+++ b/internal/node/capture.go
@@ -21,72 +21,92 @@
 }
 
 // startCapture starts the capture of one core, or returns nil where none is set.
-func (p *Program) startCapture(o config.Capture, name string, s choice.Settings, fields []string) (edge.Observer, error) {
-	if o.Path == "" {
+func (p *Program) startCapture(
+	options config.Capture, name string, settings choice.Settings, fields []string,
+) (edge.Observer, error) {
+	if options.Path == "" {
 		return nil, nil
 	}
-	h := capture.Header{Node: name, Zone: s.Zone, Fields: fields}
-	h.Classes, h.Tenants = classAndTenantNames(s)
-	path := o.Path
+	header := capture.Header{Node: name, Zone: settings.Zone, Fields: fields}
+	header.Classes, header.Tenants = classAndTenantNames(settings)
+	path := options.Path
 	if name != "" {
 		path += "-" + name
 	}
-	w, err := capture.NewWriter(capture.Options{Path: path, FileSize: int64(o.FileMB) << 20, Files: o.Files, Share: o.Share,
-		Key: []byte(o.Key), Queue: o.Queue, Header: h,
-		Fault: func(err error) { zap.L().Error("capture_write_failed", zap.Error(err)) }})
+	writer, err := capture.NewWriter(capture.Options{
+		Path: path, FileSize: int64(options.FileMB) << 20, Files: options.Files, Share: options.Share,
+		Key: []byte(options.Key), Queue: options.Queue, Header: header,
+		Fault: func(err error) { zap.L().Error("capture_write_failed", zap.Error(err)) },
+	})
 	if err != nil {
-		return nil, fmt.Errorf("[capture] path = %q: %w", o.Path, err)
+		return nil, fmt.Errorf("[capture] path = %q: %w", options.Path, err)
 	}
 	p.onClose = append(p.onClose, func() {
-		if n := w.Dropped(); n > 0 {
-			zap.L().Warn("capture_records_dropped", zap.Uint64("records", n))
+		if dropped := writer.Dropped(); dropped > 0 {
+			zap.L().Warn("capture_records_dropped", zap.Uint64("records", dropped))
 		}
-		w.Close(time.Now().Add(captureCloseTimeout))
+		writer.Close(time.Now().Add(captureCloseTimeout))
 	})
-	zap.L().Info("capturing", zap.String("path", path), zap.Float64("share", o.Share))
-	return &captureObserver{w, len(h.Classes), len(h.Tenants)}, nil
+	zap.L().Info("capturing", zap.String("path", path), zap.Float64("share", options.Share))
+	return &captureObserver{writer, len(header.Classes), len(header.Tenants)}, nil
 }
 
-func classAndTenantNames(s choice.Settings) (classes, tenants []string) {
-	for _, c := range s.Classes {
-		classes = append(classes, c.Name)
+func classAndTenantNames(settings choice.Settings) (classes, tenants []string) {
+	for _, class := range settings.Classes {
+		classes = append(classes, class.Name)
 	}
-	for _, t := range s.Tenants {
-		tenants = append(tenants, t.Name)
+	for _, tenant := range settings.Tenants {
+		tenants = append(tenants, tenant.Name)
 	}
 	return classes, tenants
 }
 
 // Settings tells the writer of new names; the tables only grow.
-func (r *captureObserver) Settings(s choice.Settings) {
-	if classes, tenants := classAndTenantNames(s); len(classes) > r.classes || len(tenants) > r.tenants {
-		r.classes, r.tenants = len(classes), len(tenants)
-		r.writer.Named(classes, tenants)
+func (o *captureObserver) Settings(settings choice.Settings) {
+	classes, tenants := classAndTenantNames(settings)
+	if len(classes) > o.classes || len(tenants) > o.tenants {
+		o.classes = len(classes)
+		o.tenants = len(tenants)
+		o.writer.Named(classes, tenants)
 	}
 }
 
-func (r *captureObserver) Answered(a edge.Answered) {
-	p := capture.Placed{At: r.writer.Offset(a.Arrived), Seq: a.Seq, Class: a.Class, Tenant: a.Tenant, Client: a.Key, Group: a.Group,
-		Load: a.Load, Returned: a.Returned, Patience: capture.Micros(a.Deadline.Sub(a.Arrived)), Took: capture.Micros(a.Took),
-		Answer: capture.Answer(a.Answer)}
-	for _, t := range a.Attempts {
-		p.Tries = append(p.Tries, capture.Try{Host: string(t.Server), Outcome: uint8(t.Outcome), Took: capture.Micros(t.Took)})
+// Answered records a request's final answer with its attempts.
+func (o *captureObserver) Answered(answered edge.Answered) {
+	record := capture.Placed{
+		At: o.writer.Offset(answered.Arrived), Seq: answered.Seq, Class: answered.Class, Tenant: answered.Tenant,
+		Client: answered.Key, Group: answered.Group, Load: answered.Load, Returned: answered.Returned,
+		Patience: capture.Micros(answered.Deadline.Sub(answered.Arrived)), Took: capture.Micros(answered.Took),
+		Answer: capture.Answer(answered.Answer),
+	}
+	for _, attempt := range answered.Attempts {
+		record.Tries = append(record.Tries, capture.Try{
+			Host: string(attempt.Server), Outcome: uint8(attempt.Outcome), Took: capture.Micros(attempt.Took),
+		})
 	}
-	r.writer.Put(p)
+	o.writer.Put(record)
 }
 
-func (r *captureObserver) Ended(seq uint64, life time.Duration, load float64, cause edge.EndCause) {
-	r.writer.Put(capture.Ended{At: r.writer.Offset(time.Now()), Seq: seq, Life: capture.Micros(life), Load: load, Cause: capture.Cause(cause)})
+// Ended records the end of an open connection.
+func (o *captureObserver) Ended(seq uint64, life time.Duration, load float64, cause edge.EndCause) {
+	o.writer.Put(capture.Ended{
+		At: o.writer.Offset(time.Now()), Seq: seq, Life: capture.Micros(life), Load: load, Cause: capture.Cause(cause),
+	})
 }
 
-func (r *captureObserver) Report(h choice.ServerID, values []float64) {
-	v := make([]float32, len(values))
-	for i, x := range values {
-		v[i] = float32(x)
+// Report records a server's load report.
+func (o *captureObserver) Report(server choice.ServerID, values []float64) {
+	recorded := make([]float32, len(values))
+	for i, value := range values {
+		recorded[i] = float32(value)
 	}
-	r.writer.Put(capture.Report{At: r.writer.Offset(time.Now()), Host: string(h), Values: v})
+	o.writer.Put(capture.Report{At: o.writer.Offset(time.Now()), Host: string(server), Values: recorded})
 }
 
-func (r *captureObserver) ServerChanged(h edge.ServerEntry) {
-	r.writer.Put(capture.Host{At: r.writer.Offset(time.Now()), ID: string(h.ID), Zone: h.Zone, Kind: h.Kind, State: uint8(h.State)})
+// ServerChanged records an entry of the server list.
+func (o *captureObserver) ServerChanged(server edge.ServerEntry) {
+	o.writer.Put(capture.Host{
+		At: o.writer.Offset(time.Now()), ID: string(server.ID), Zone: server.Zone, Kind: server.Kind,
+		State: uint8(server.State),
+	})
 }
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -3,8 +3,11 @@
 import (
 	"fmt"
 	"net/netip"
+	"strings"
 	"time"
 
+	"go.uber.org/zap"
+
 	"spurwinch/choice"
 	"spurwinch/internal/config"
 	"spurwinch/internal/edge"
@@ -12,160 +15,209 @@
 	"spurwinch/internal/platform/cluster"
 	"spurwinch/internal/transport/tls"
 	"spurwinch/internal/xmpp"
-
-	"go.uber.org/zap"
 )
 
-// sessionLoad reports a host's load as the operator's file sees it: the sessions held there over those it bears.
+const expiryCheckInterval = 24 * time.Hour
+
+// sessionLoad reports a server's load as the operator's file sees it: the sessions in flight there over its capacity.
 type sessionLoad struct {
 	core     func() *edge.Core
-	capacity float64 // all nodes' sessions on a host of weight 1
+	capacity float64 // all nodes' sessions on a server of weight 1
 }
 
 // CheckHealth answers at once, from the core's own count.
-func (p sessionLoad) CheckHealth(h edge.ServerEntry, _ time.Time, done func(choice.Outcome, []float64)) {
-	done(choice.Served, []float64{float64(p.core().InFlightOn(h.ID)) / (p.capacity * h.Size)})
+func (s sessionLoad) CheckHealth(
+	server edge.ServerEntry, _ time.Time, done func(choice.Outcome, []float64),
+) {
+	load := float64(s.core().InFlightOn(server.ID)) / (s.capacity * server.Size)
+	done(choice.Served, []float64{load})
 }
 
 // operatorFronts is what the operator's file set up.
 type operatorFronts struct {
 	path      string
 	loop      *loop.Loop
+	program   *Program
+	seed      uint64
 	xmpp      *xmpp.Front
-	addrs     []netip.AddrPort
+	addrs     []netip.AddrPort // of the listeners
 	cores     map[string]*edge.Core
 	watches   map[string]*cluster.Watch // of the clusters with a discovery
 	keys      tls.Keys
-	firstSeen map[string]time.Time // when a static host came in, by cluster and id; zero: with the start
+	firstSeen map[string]time.Time // when a static server came in, by serverKey; zero: with the start
 }
 
-// newOperatorFronts sets up the fronts and clusters of an operator's file.
-func newOperatorFronts(l *loop.Loop, path string, o config.Operator, seed uint64, p *Program) ([]*edge.Core, *operatorFronts, error) {
-	op := &operatorFronts{path: path, loop: l, cores: map[string]*edge.Core{},
-		watches: map[string]*cluster.Watch{}, firstSeen: map[string]time.Time{}}
-	var all []*edge.Core
-	for i, c := range o.Clusters {
-		var core *edge.Core
-		var watch *cluster.Watch
-		settings := o.Settings(c)
-		observer, err := p.startCapture(o.Capture, c.Name, settings, []string{"x0"})
+// newOperatorFronts sets up the fronts and clusters of an operator's file. The cores are in the file's order.
+func newOperatorFronts(
+	l *loop.Loop, path string, file config.Operator, seed uint64, program *Program,
+) ([]*edge.Core, *operatorFronts, error) {
+	fronts := &operatorFronts{
+		path: path, loop: l, program: program, seed: seed, cores: map[string]*edge.Core{},
+		watches: map[string]*cluster.Watch{}, firstSeen: map[string]time.Time{},
+	}
+	var cores []*edge.Core
+	for i, entry := range file.Clusters {
+		core, err := fronts.newCluster(file, entry, i)
 		if err != nil {
 			return nil, nil, err
 		}
-		core, err = edge.New(edge.Options{Clock: l, Settings: settings, Observer: observer, Figures: &p.figures, Monitor: &p.monitor, Trace: &p.trace, Seed: seed + uint64(i),
-			HealthChecker: sessionLoad{func() *edge.Core { return core }, c.Sessions / float64(c.Nodes)},
-			WatchList:     func() { watch.Follow() }, DrainPeriod: time.Duration(c.Leave)})
-		if err != nil {
-			return nil, nil, fmt.Errorf("%s: cluster %q: %w", path, c.Name, err)
-		}
-		if c.Discovery != "" {
-			watch = cluster.New(l, c.Discovery, nil, watchMode(settings), seed+uint64(i), core.UpdateServers)
-			op.watches[c.Name] = watch
-		}
-		op.cores[c.Name], p.coreByCluster[c.Name] = core, core
-		all = append(all, core)
-		l.After(core.Flush)
-		core.Start(c.StaticHosts(op.startedAt(c.Name, time.Time{})))
+		cores = append(cores, core)
+	}
+	fronts.newXMPP(file)
+	if program.platform == nil {
+		program.restart.maxDescriptors = file.Limits.Connections + reservedDescriptors
+	}
+	if file.Keys != nil {
+		fronts.keys.Use(file.Keys)
+		fronts.xmpp.Use(&fronts.keys)
+		fronts.checkExpiryDaily()
+	}
+	if err := fronts.listen(file.Listeners); err != nil {
+		return nil, nil, err
+	}
+	return cores, fronts, nil
+}
+
+// newCluster sets up the core of a cluster, which is the one of its number in the file.
+func (o *operatorFronts) newCluster(file config.Operator, entry config.Cluster, number int) (*edge.Core, error) {
+	var core *edge.Core
+	var watch *cluster.Watch
+	settings := file.Settings(entry)
+	seed := o.seed + uint64(number)
+	observer, err := o.program.startCapture(file.Capture, entry.Name, settings, []string{"x0"})
+	if err != nil {
+		return nil, err
+	}
+	core, err = edge.New(edge.Options{
+		Clock: o.loop, Settings: settings, Observer: observer, Figures: &o.program.figures,
+		Monitor: &o.program.monitor, Trace: &o.program.trace, Seed: seed,
+		HealthChecker: sessionLoad{func() *edge.Core { return core }, entry.Sessions / float64(entry.Nodes)},
+		WatchList:     func() { watch.Follow() }, DrainPeriod: time.Duration(entry.Leave),
+	})
+	if err != nil {
+		return nil, fmt.Errorf("%s: cluster %q: %w", o.path, entry.Name, err)
+	}
+	if entry.Discovery != "" {
+		watch = cluster.New(o.loop, entry.Discovery, nil, watchMode(settings), seed, core.UpdateServers)
+		o.watches[entry.Name] = watch
 	}
+	o.cores[entry.Name] = core
+	o.program.coreByCluster[entry.Name] = core
+	o.loop.After(core.Flush)
+	core.Start(entry.StaticHosts(o.startedAt(entry.Name, time.Time{})))
+	return core, nil
+}
+
+// newXMPP sets up the XMPP front with its domains and limits.
+func (o *operatorFronts) newXMPP(file config.Operator) {
 	domains := map[string]xmpp.Domain{}
-	for _, d := range o.Domains {
-		i, class := o.Class(d.Class)
-		domains[d.Name] = xmpp.Domain{Core: op.cores[d.Cluster], Class: i, Patience: time.Duration(class.Patience)}
-	}
-	l.Limit(o.Limits.Connections-o.Limits.Connections/8, o.Limits.Connections, 0)
-	front := xmpp.New(l, domains, xmpp.Limits{Stanza: o.Limits.StanzaBytes, Early: o.Limits.EarlyBytes,
-		HeaderTime: time.Duration(o.Limits.HeaderTime), ShakeTime: time.Duration(o.Limits.ShakeTime), MostOpen: o.Limits.Connections, Resumable: o.Limits.Resumable}, seed)
-	op.xmpp, p.xmpp = front, front
-	front.Trace = &p.trace
-	front.Guard(o.Guard())
-	if p.platform == nil {
-		p.restart.maxDescriptors = o.Limits.Connections + reservedDescriptors
-	}
-	if o.Keys != nil {
-		op.keys.Use(o.Keys)
-		front.Use(&op.keys)
-		op.checkExpiryDaily()
-	}
-	for _, ls := range o.Listeners {
-		how := map[string]xmpp.Security{"starttls": xmpp.StartTLS, "direct": xmpp.Direct}[ls.TLS]
-		accept := front.AcceptBy(how)
-		if ls.Protocol == "xmpp-websocket" {
-			accept = front.AcceptWeb(how)
+	for _, domain := range file.Domains {
+		number, class := file.Class(domain.Class)
+		domains[domain.Name] = xmpp.Domain{
+			Core: o.cores[domain.Cluster], Class: number, Patience: time.Duration(class.Patience),
 		}
-		k, err := p.restart.listen(ls.Addr, accept)
+	}
+	limits := file.Limits
+	o.loop.Limit(limits.Connections-limits.Connections/8, limits.Connections, 0)
+	o.xmpp = xmpp.New(o.loop, domains, xmpp.Limits{
+		Stanza: limits.StanzaBytes, Early: limits.EarlyBytes, HeaderTime: time.Duration(limits.HeaderTime),
+		ShakeTime: time.Duration(limits.ShakeTime), MostOpen: limits.Connections, Resumable: limits.Resumable,
+	}, o.seed)
+	o.program.xmpp = o.xmpp
+	o.xmpp.Trace = &o.program.trace
+	o.xmpp.Guard(file.Guard())
+}
+
+// listen opens the listeners.
+func (o *operatorFronts) listen(listeners []config.Listener) error {
+	security := map[string]xmpp.Security{"starttls": xmpp.StartTLS, "direct": xmpp.Direct}
+	for _, entry := range listeners {
+		accept := o.xmpp.AcceptBy(security[entry.TLS])
+		if entry.Protocol == "xmpp-websocket" {
+			accept = o.xmpp.AcceptWeb(security[entry.TLS])
+		}
+		listener, err := o.program.restart.listen(entry.Addr, accept)
 		if err != nil {
-			return nil, nil, err
+			return err
 		}
-		op.addrs = append(op.addrs, k.Addr)
-		zap.L().Info("listening", zap.String("protocol", ls.Protocol), zap.Stringer("address", k.Addr))
+		o.addrs = append(o.addrs, listener.Addr)
+		zap.L().Info("listening", zap.String("protocol", entry.Protocol), zap.Stringer("address", listener.Addr))
 	}
-	return all, op, nil
+	return nil
 }
 
-const expiryCheckInterval = 24 * time.Hour
-
-// checkExpiryDaily has certificates that end soon in the log, each day.
-func (op *operatorFronts) checkExpiryDaily() {
-	op.logExpiring()
-	op.loop.At(op.loop.Now().Add(expiryCheckInterval), op.checkExpiryDaily)
+// checkExpiryDaily has certificates that expire soon in the log, each day.
+func (o *operatorFronts) checkExpiryDaily() {
+	o.logExpiring()
+	o.loop.At(o.loop.Now().Add(expiryCheckInterval), o.checkExpiryDaily)
 }
 
-func (op *operatorFronts) logExpiring() {
-	for _, e := range op.keys.Ending(op.loop.Now()) {
-		zap.L().Warn("certificate_expiring", zap.String("file", e.File), zap.Strings("names", e.Names), zap.Time("at", e.At),
+func (o *operatorFronts) logExpiring() {
+	for _, expiring := range o.keys.Ending(o.loop.Now()) {
+		zap.L().Warn("certificate_expiring", zap.String("file", expiring.File), zap.Strings("names", expiring.Names),
+			zap.Time("at", expiring.At),
 			zap.String("remedy", "put the new certificate and key in the files and send SIGHUP"))
 	}
 }
 
-// startedAt tells when a host came in; one not seen yet comes in now.
-func (op *operatorFronts) startedAt(cluster string, now time.Time) func(string) time.Time {
+// serverKey is a static server's key in firstSeen.
+func serverKey(cluster, id string) string { return cluster + " " + id }
+
+// startedAt tells when a server came in; one not seen yet comes in now.
+func (o *operatorFronts) startedAt(cluster string, now time.Time) func(id string) time.Time {
 	return func(id string) time.Time {
-		key := cluster + " " + id
-		at, ok := op.firstSeen[key]
-		if !ok {
-			at = now
-			op.firstSeen[key] = at
+		key := serverKey(cluster, id)
+		started, seen := o.firstSeen[key]
+		if !seen {
+			started = now
+			o.firstSeen[key] = started
 		}
-		return at
+		return started
 	}
 }
 
 // readFile reads the file as it is now.
-func (op *operatorFronts) readFile() (take func(), err error) {
-	o, err := config.ReadOperator(op.path)
-	return func() { op.apply(o) }, err
+func (o *operatorFronts) readFile() (apply func(), err error) {
+	file, err := config.ReadOperator(o.path)
+	return func() { o.apply(file) }, err
 }
 
-// apply takes in the static hosts and the discovery addresses of a file.
-func (op *operatorFronts) apply(o config.Operator) {
-	op.xmpp.Guard(o.Guard())
-	if o.Keys != nil {
-		op.keys.Use(o.Keys)
-		op.logExpiring()
-		zap.L().Info("certificates_loaded", zap.Int("certificates", len(o.Certificates)))
-	}
-	for _, c := range o.Clusters {
-		core, watch := op.cores[c.Name], op.watches[c.Name]
-		if core == nil || (watch != nil) != (c.Discovery != "") {
-			zap.L().Warn("reload_needs_restart", zap.String("cluster", c.Name), zap.String("cause", "a new cluster, or one that gains or loses its discovery"))
-			continue
-		}
-		if watch != nil {
-			zap.L().Info("discovery_address_changed", zap.String("cluster", c.Name), zap.String("address", c.Discovery))
-			watch.Move(c.Discovery)
-			continue
-		}
-		hosts := c.StaticHosts(op.startedAt(c.Name, op.loop.Now()))
-		in := map[string]bool{}
-		for _, h := range hosts {
-			in[c.Name+" "+string(h.ID)] = true
+// apply takes in the limits by peer, the certificates, the static servers and the discovery addresses of a file.
+func (o *operatorFronts) apply(file config.Operator) {
+	o.xmpp.Guard(file.Guard())
+	if file.Keys != nil {
+		o.keys.Use(file.Keys)
+		o.logExpiring()
+		zap.L().Info("certificates_loaded", zap.Int("certificates", len(file.Certificates)))
+	}
+	for _, entry := range file.Clusters {
+		core, watch := o.cores[entry.Name], o.watches[entry.Name]
+		switch {
+		case core == nil || (watch != nil) != (entry.Discovery != ""):
+			zap.L().Warn("reload_needs_restart", zap.String("cluster", entry.Name),
+				zap.String("cause", "a new cluster, or one that gains or loses its discovery"))
+		case watch != nil:
+			zap.L().Info("discovery_address_changed", zap.String("cluster", entry.Name),
+				zap.String("address", entry.Discovery))
+			watch.Move(entry.Discovery)
+		default:
+			o.applyStaticServers(core, entry)
 		}
-		for key := range op.firstSeen { // a host that is out and comes in again is a new one
-			if len(key) > len(c.Name) && key[:len(c.Name)+1] == c.Name+" " && !in[key] {
-				delete(op.firstSeen, key)
-			}
+	}
+}
+
+// applyStaticServers takes in a cluster's servers. One that is out and comes in again later is a new one.
+func (o *operatorFronts) applyStaticServers(core *edge.Core, entry config.Cluster) {
+	servers := entry.StaticHosts(o.startedAt(entry.Name, o.loop.Now()))
+	listed := map[string]bool{}
+	for _, server := range servers {
+		listed[serverKey(entry.Name, string(server.ID))] = true
+	}
+	for key := range o.firstSeen {
+		if strings.HasPrefix(key, serverKey(entry.Name, "")) && !listed[key] {
+			delete(o.firstSeen, key)
 		}
-		core.UpdateServers(choice.ListFull, hosts)
-		zap.L().Info("hosts_reloaded", zap.String("cluster", c.Name), zap.Int("hosts", len(hosts)))
 	}
+	core.UpdateServers(choice.ListFull, servers)
+	zap.L().Info("hosts_reloaded", zap.String("cluster", entry.Name), zap.Int("hosts", len(servers)))
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,66 +11,79 @@
 
 const maxPeerMessage = 256 // bytes of a datagram; the protocol's
 
-// peerNetwork carries messages between the nodes of a tier. Counts tell what was dropped before the module saw it.
+// peerNetwork carries messages between the nodes of a tier. Its counts tell what was dropped before the module saw it.
 type peerNetwork struct {
-	socket       *loop.Datagrams
+	socket       *loop.Datagrams // nil: there are no other nodes
 	addrs        []netip.AddrPort
 	numberByAddr map[netip.AddrPort]int
 	self         int
 	localAddr    netip.AddrPort // of the socket
 
-	sent, lost, received, strangers, tooLong int
+	sent, lost, received, strangers, tooLong int // messages
 }
 
-// listenPeers opens the socket, where there are peers. heard gets each message with its sender's number.
-// lent is the socket of the process that runs already; under 0: there is none.
-func listenPeers(l *loop.Loop, n config.Node, lent int, heard func(from int, message []byte)) (*peerNetwork, error) {
-	p := &peerNetwork{}
-	p.setPeers(n)
-	if len(n.Peers) == 0 {
-		return p, nil
+// listenPeers opens the socket, where there are peers. receive gets each message with its sender's number. granted is
+// the socket of the process that runs already; under 0: there is none.
+func listenPeers(
+	eventLoop *loop.Loop, node config.Node, granted int, receive func(from int, message []byte),
+) (*peerNetwork, error) {
+	network := &peerNetwork{}
+	network.setPeers(node)
+	if len(node.Peers) == 0 {
+		return network, nil
 	}
-	take := func(from netip.AddrPort, b []byte) {
-		number, known := p.numberByAddr[from]
-		switch {
-		case !known || number == p.self: // a stranger could have this node believe anything
-			p.strangers++
-		case len(b) > maxPeerMessage:
-			p.tooLong++
-		default:
-			p.received++
-			heard(number, append([]byte(nil), b...))
+	onDatagram := func(from netip.AddrPort, message []byte) {
+		if number, ok := network.accept(from, message); ok {
+			receive(number, append([]byte(nil), message...))
 		}
 	}
 	var err error
-	if lent >= 0 {
-		p.socket, p.localAddr, err = l.AdoptDatagrams(lent, maxPeerMessage, take)
+	if granted >= 0 {
+		network.socket, network.localAddr, err = eventLoop.AdoptDatagrams(granted, maxPeerMessage, onDatagram)
 	} else {
-		p.socket, p.localAddr, err = l.ListenDatagrams(n.PeerListen, maxPeerMessage, take)
+		network.socket, network.localAddr, err = eventLoop.ListenDatagrams(node.PeerListen, maxPeerMessage, onDatagram)
 	}
-	p.sizeReceiveBuffer()
-	return p, err
+	network.sizeReceiveBuffer()
+	return network, err
+}
+
+// accept counts a message and says whose it is; ok is false for one that is dropped.
+func (p *peerNetwork) accept(from netip.AddrPort, message []byte) (number int, ok bool) {
+	number, known := p.numberByAddr[from]
+	switch {
+	case !known || number == p.self: // a stranger could have this node believe anything
+		p.strangers++
+		return 0, false
+	case len(message) > maxPeerMessage:
+		p.tooLong++
+		return 0, false
+	}
+	p.received++
+	return number, true
 }
 
 // setReading says whether this process reads what other nodes send.
 func (p *peerNetwork) setReading(on bool) {
-	if p.socket != nil {
-		if err := p.socket.SetReading(on); err != nil {
-			zap.L().Error("peer_socket_reading_failed", zap.Error(err))
-		}
+	if p.socket == nil {
+		return
+	}
+	if err := p.socket.SetReading(on); err != nil {
+		zap.L().Error("peer_socket_reading_failed", zap.Error(err))
 	}
 }
 
 // setPeers takes in who the other nodes are.
-func (p *peerNetwork) setPeers(n config.Node) {
-	p.addrs, p.numberByAddr, p.self = n.Peers, map[netip.AddrPort]int{}, n.Settings.Node
-	for i, a := range n.Peers {
-		p.numberByAddr[a] = i
+func (p *peerNetwork) setPeers(node config.Node) {
+	p.addrs = node.Peers
+	p.self = node.Settings.Node
+	p.numberByAddr = map[netip.AddrPort]int{}
+	for number, addr := range node.Peers {
+		p.numberByAddr[addr] = number
 	}
 	p.sizeReceiveBuffer()
 }
 
-// sizeReceiveBuffer guards against a fleet whose nodes all speak at once, of which most would not be heard.
+// sizeReceiveBuffer guards against a fleet whose nodes all send at once, of which most would not be heard.
 func (p *peerNetwork) sizeReceiveBuffer() {
 	if p.socket != nil {
 		p.socket.SetReceiveBuffer(len(p.addrs))
@@ -87,7 +100,7 @@
 	}
 }
 
-// logCounts logs the counts, once at the planned stop.
+// logCounts logs the counts, once at the planned stop; dropped is how many the module did not believe.
 func (p *peerNetwork) logCounts(dropped int) {
 	if p.socket != nil {
 		zap.L().Info("peer_messages", zap.Int("sent", p.sent), zap.Int("lost", p.lost), zap.Int("taken", p.received),
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -16,11 +16,14 @@
 )
 
 const (
-	reservedDescriptors = 48 // descriptors that are not for clients and hosts: discovery, probes, the runtime's own
-	healthCheckDivisor  = 3  // a part of the rest, as a divisor, that connections for probes may hold while they are not in use
+	reservedDescriptors = 48 // that are not for clients and servers: discovery, health checks, the runtime's own
+	healthCheckDivisor  = 3  // one in so many of the rest may be held by idle connections for health checks
 	defaultDescriptors  = 1024
-	maxReadyWait        = 4 * time.Second // a process says that it takes clients, hosts or none: 6 s are wanted, and a refusal can be tried again
-	maxFirstListWait    = 2 * time.Second // for the first list of an agent: what it has counts as told to a process from its start
+	// maxReadyWait is after how long a process says that it takes clients, whether it knows servers or not: 6 s are
+	// wanted, and a rejection can be tried again.
+	maxReadyWait = 4 * time.Second
+	// maxFirstListWait is for the first list of an agent: what it has counts as told to a process from its start.
+	maxFirstListWait = 2 * time.Second
 )
 
 // platform is the platform's front with its core.
@@ -31,18 +34,18 @@
 	peers     *peerNetwork
 	upstream  *upstream.Cluster
 	config    config.Node                       // in force
-	processes int                               // processes of this node
-	overlay   func(wire.Settings) wire.Settings // the fleet's policy, where it has one on its log; nil: the file says all
+	processes int                               // of this node
+	overlay   func(wire.Settings) wire.Settings // the fleet's policy; nil: it has none, and the file says all
 	settings  wire.Settings                     // in use: the file's, or the policy's over it
 }
 
-// reload takes a configuration in, checked whole, or changes nothing.
+// reload takes in a configuration that was checked.
 func (n *platform) reload(next config.Node) {
 	n.config = next
 	n.applySettings(n.processes)
 	n.peers.setPeers(next)
-	zap.L().Info("configuration_reloaded", zap.String("discovery", next.Discovery), zap.Int("classes", len(next.Settings.ClassByName)),
-		zap.Int("attempts", next.Settings.Limits.MaxAttempts))
+	zap.L().Info("configuration_reloaded", zap.String("discovery", next.Discovery),
+		zap.Int("classes", len(next.Settings.ClassByName)), zap.Int("attempts", next.Settings.Limits.MaxAttempts))
 	if addr, _ := n.listWatch.At(); addr != next.Discovery {
 		n.core.ListSourceChanged()
 	}
@@ -50,96 +53,125 @@
 }
 
 // applySettings has all parts go by the configuration, in a node of so many processes.
-func (n *platform) applySettings(parts int) {
-	n.processes = parts
-	s := n.config.Settings
+func (n *platform) applySettings(processes int) {
+	n.processes = processes
+	settings := n.config.Settings
 	if n.overlay != nil {
-		s = n.overlay(s).After(n.settings) // classes keep their indices
+		settings = n.overlay(settings).After(n.settings) // classes keep their indices
 	}
-	n.settings = s
-	n.core.UpdateSettings(platformSettings(n.config, s.Settings, n.peers.socket != nil && len(n.config.Peers) > 0, parts))
-	n.front.Adapt(s.ClassByName, s.TenantByName, s.Classes)
-	n.upstream.Adapt(s.ReportFields)
-	n.listWatch.Adapt(watchMode(s.Settings))
+	n.settings = settings
+	hasPeers := n.peers.socket != nil && len(n.config.Peers) > 0
+	n.core.UpdateSettings(platformSettings(settings.Settings, hasPeers, processes))
+	n.front.Adapt(settings.ClassByName, settings.TenantByName, settings.Classes)
+	n.upstream.Adapt(settings.ReportFields)
+	n.listWatch.Adapt(watchMode(settings.Settings))
 }
 
-func watchMode(s choice.Settings) cluster.Way {
-	return cluster.Way{Pushed: !s.Subscribe, Grace: s.Rules.DrainGrace}
+// watchMode is how the server list comes.
+func watchMode(settings choice.Settings) cluster.Way {
+	return cluster.Way{Pushed: !settings.Subscribe, Grace: settings.Rules.DrainGrace}
 }
 
-// platformSettings is what the module is told on sockets; speaks says that there is a way to the other nodes.
-func platformSettings(n config.Node, s choice.Settings, speaks bool, parts int) choice.Settings {
-	// Hosts return a line at once however full they are, and no line tells a message's time: what the simulator tells
+// platformSettings is what the module is told on sockets; hasPeers says that there is a way to the other nodes.
+func platformSettings(settings choice.Settings, hasPeers bool, processes int) choice.Settings {
+	// Servers return a line at once however full they are, and no line tells a message's time: what the simulator tells
 	// of slow messages has no like here, and the module must do without.
-	s.DelaysObserved = false
-	s.Limits.PeerMessages = speaks
-	s.Processes = parts
-	return s
+	settings.DelaysObserved = false
+	settings.Limits.PeerMessages = hasPeers
+	settings.Processes = processes
+	return settings
 }
 
-// newPlatform puts the platform's front together on a loop that is not running yet.
-func (p *Program) newPlatform(n config.Node, observer edge.Observer) (*platform, netip.AddrPort, error) {
-	var at netip.AddrPort
-	l := p.loop
-	hosts := upstream.New(l, n.Settings.ReportFields)
-	var watch *cluster.Watch
-	var others *peerNetwork
-	core, err := edge.New(edge.Options{Clock: l, Settings: platformSettings(n, n.Settings.Settings, len(n.Peers) > 0, 1), Seed: n.Seed, HealthChecker: hosts,
-		WatchList: func() { watch.Follow() }, Observer: observer, Figures: &p.figures, Monitor: &p.monitor, Trace: &p.trace,
-		SendPeerMessage: func(to int, message []byte) { others.send(to, message) }})
+// newPlatform puts the platform's front together on a loop that is not running yet. The address is its listener's.
+func (p *Program) newPlatform(node config.Node, observer edge.Observer) (*platform, netip.AddrPort, error) {
+	front, err := p.newPlatformCore(node, observer)
 	if err != nil {
-		return nil, at, err
+		return nil, netip.AddrPort{}, err
 	}
-	lentSocket := -1
-	if p.restart.grant != nil {
-		lentSocket = p.restart.grant.Datagrams
+	front.front = downstream.New(downstream.Options{
+		Loop: p.loop, Core: front.core, Upstream: front.upstream, MostOpen: defaultDescriptors - reservedDescriptors,
+		OnReady: func() { p.loop.At(p.loop.Now(), p.onReady) },
+	})
+	front.front.Adapt(node.Settings.ClassByName, node.Settings.TenantByName, node.Settings.Classes)
+	known := p.restart.initialList(node.Known, node.Discovery)
+	mode := watchMode(node.Settings.Settings)
+	front.listWatch = cluster.New(p.loop, node.Discovery, known, mode, node.Seed, p.listHandler(front))
+	listener, err := p.restart.listen(node.Listen, front.front.Accept)
+	if err != nil {
+		return nil, netip.AddrPort{}, err
+	}
+	zap.L().Info("listening", zap.String("protocol", "platform"), zap.Stringer("address", listener.Addr))
+	p.loop.After(front.core.Flush)
+	var servers []edge.ServerEntry
+	if known != nil {
+		servers, _ = known.Hosts() // the list was read once, with the configuration or the grant
+	}
+	front.core.Start(servers)
+	p.coreByCluster[""] = front.core
+	p.platform = front
+	p.followList(front.listWatch, node.Settings.Subscribe, len(servers) > 0)
+	p.restart.setLimits(node)
+	return front, listener.Addr, nil
+}
+
+// newPlatformCore makes the platform's core with what it needs towards servers and other nodes.
+func (p *Program) newPlatformCore(node config.Node, observer edge.Observer) (*platform, error) {
+	front := &platform{
+		upstream: upstream.New(p.loop, node.Settings.ReportFields), config: node, processes: 1, settings: node.Settings,
+	}
+	var err error
+	front.core, err = edge.New(edge.Options{
+		Clock:           p.loop,
+		Settings:        platformSettings(node.Settings.Settings, len(node.Peers) > 0, 1),
+		Seed:            node.Seed,
+		HealthChecker:   front.upstream,
+		WatchList:       func() { front.listWatch.Follow() },
+		Observer:        observer,
+		Figures:         &p.figures,
+		Monitor:         &p.monitor,
+		Trace:           &p.trace,
+		SendPeerMessage: func(to int, message []byte) { front.peers.send(to, message) },
+	})
+	if err != nil {
+		return nil, err
 	}
-	if others, err = listenPeers(l, n, lentSocket, core.ReceivePeerMessage); err != nil {
-		return nil, at, err
+	grantedSocket := -1
+	if p.restart.grant != nil {
+		grantedSocket = p.restart.grant.Datagrams
 	}
-	front := downstream.New(downstream.Options{Loop: l, Core: core, Upstream: hosts, MostOpen: defaultDescriptors - reservedDescriptors,
-		OnReady: func() { l.At(l.Now(), p.onReady) }})
-	front.Adapt(n.Settings.ClassByName, n.Settings.TenantByName, n.Settings.Classes)
-	known := p.restart.initialList(n.Known, n.Discovery)
-	watch = cluster.New(l, n.Discovery, known, watchMode(n.Settings.Settings), n.Seed, func(k choice.ListKind, news []edge.ServerEntry) {
-		core.UpdateServers(k, news)
-		if k == choice.ListFull {
-			hosts.ForgetOthers(news)
+	front.peers, err = listenPeers(p.loop, node, grantedSocket, front.core.ReceivePeerMessage)
+	return front, err
+}
+
+// listHandler takes in what the watch tells of the server list.
+func (p *Program) listHandler(front *platform) func(choice.ListKind, []edge.ServerEntry) {
+	return func(kind choice.ListKind, servers []edge.ServerEntry) {
+		front.core.UpdateServers(kind, servers)
+		if kind == choice.ListFull {
+			front.upstream.ForgetOthers(servers)
 		}
-		for _, h := range news {
-			if h.State == choice.Gone {
-				hosts.Forget(h.ID)
+		for _, server := range servers {
+			if server.State == choice.Gone {
+				front.upstream.Forget(server.ID)
 			}
 		}
-		if k != choice.ListUnavailable {
+		if kind != choice.ListUnavailable {
 			p.onServersKnown()
 		}
-	})
-	door, err := p.restart.listen(n.Listen, front.Accept)
-	if err != nil {
-		return nil, at, err
-	}
-	at = door.Addr
-	zap.L().Info("listening", zap.String("protocol", "platform"), zap.Stringer("address", at))
-	l.After(core.Flush)
-	var hostsKnown []edge.ServerEntry
-	if known != nil {
-		hostsKnown, _ = known.Hosts()
 	}
-	core.Start(hostsKnown)
-	p.coreByCluster[""] = core
-	p.platform = &platform{core: core, front: front, listWatch: watch, peers: others, upstream: hosts, config: n, processes: 1, settings: n.Settings}
-	if !n.Settings.Subscribe {
+}
+
+// followList begins to watch the server list, and settles from when on the front says that it takes clients.
+func (p *Program) followList(watch *cluster.Watch, onRequest, known bool) {
+	if !onRequest {
 		watch.Follow()
 	}
-	l.At(l.Now().Add(maxReadyWait), p.onServersKnown)
+	p.loop.At(p.loop.Now().Add(maxReadyWait), p.onServersKnown)
 	switch {
-	case len(hostsKnown) == 0:
-	case n.Settings.Subscribe:
+	case !known:
+	case onRequest:
 		p.onServersKnown()
 	default:
-		l.At(l.Now().Add(p.firstListWait), p.onServersKnown)
+		p.loop.At(p.loop.Now().Add(p.firstListWait), p.onServersKnown)
 	}
-	p.restart.setLimits(n)
-	return p.platform, at, nil
 }
--- a/internal/node/reasons.go
+++ b/internal/node/reasons.go
@@ -7,14 +7,13 @@
 	"spurwinch/internal/operate/stats"
 )
 
-// What became of requests, and whether promises were kept, for operators.
-
-func logViolation(v invariant.Violation) {
-	zap.L().Error("invariant_broken", zap.Stringer("rule", v.Rule), zap.Stringer("step", v.Step), zap.String("request", v.Request),
-		zap.String("host", v.Host))
+func logViolation(violation invariant.Violation) {
+	zap.L().Error("invariant_broken", zap.Stringer("rule", violation.Rule), zap.Stringer("step", violation.Step),
+		zap.String("request", violation.Request), zap.String("host", violation.Host))
 }
 
-// reasons writes how often connections were closed, attempts repeated and requests turned away, by reason, and what the guard saw.
+// reasons writes how often connections were closed, attempts repeated and requests rejected, by reason, and what the
+// invariant monitor saw.
 func (p *Program) reasons(buf []byte) []byte {
 	counter := func(kind, name string, count uint64) { buf = stats.AppendCounter(buf, count, kind, name) }
 	p.trace.Each(counter)
@@ -24,7 +23,10 @@
 
 // logReasons puts the same into the log, at the planned stop.
 func (p *Program) logReasons() {
-	var all []zap.Field
-	p.trace.Each(func(kind, name string, count uint64) { all = append(all, zap.Uint64(kind+"_"+name, count)) })
-	zap.L().Info("request_totals", append(all, zap.Uint64("invariants_broken", p.monitor.Violations()))...)
+	var fields []zap.Field
+	p.trace.Each(func(kind, name string, count uint64) {
+		fields = append(fields, zap.Uint64(kind+"_"+name, count))
+	})
+	fields = append(fields, zap.Uint64("invariants_broken", p.monitor.Violations()))
+	zap.L().Info("request_totals", fields...)
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -1,18 +1,23 @@
 package node
 
 import (
+	"fmt"
 	"time"
 
 	"go.uber.org/zap"
 
+	"spurwinch/internal/config"
 	"spurwinch/internal/loop"
 )
 
 const (
-	reloadRetryInterval = 100 * time.Millisecond // between two tries at files that could not be read for a moment
+	reloadRetryInterval = 100 * time.Millisecond // while files can't be read for a moment
 	reloadRetryTime     = 30 * time.Second       // then the old configuration stays, until the next signal
 )
 
+// reloader reads and checks a part's files again; what it returns has them take effect.
+type reloader = func() (apply func(), err error)
+
 // Reload reads the files again. They take effect all together, or one fault has everything stay as it was.
 func (p *Program) Reload() {
 	if p.cancelReload != nil {
@@ -24,12 +29,12 @@
 
 // reloadUntil tries again, up to a time, where files can't be read for a moment: no further signal would come for them.
 func (p *Program) reloadUntil(end time.Time) {
-	takes, err := p.readFiles()
+	apply, err := p.readFiles()
 	next := p.loop.Now().Add(reloadRetryInterval)
 	switch {
 	case err == nil:
-		for _, take := range takes {
-			take()
+		for _, applyPart := range apply {
+			applyPart()
 		}
 		p.figures.ReloadsOK++
 	case loop.IsTransient(err) && next.Before(end):
@@ -45,13 +50,32 @@
 }
 
 // readFiles reads and checks all files; what it returns has them take effect.
-func (p *Program) readFiles() (takes []func(), err error) {
+func (p *Program) readFiles() (apply []func(), err error) {
 	for _, read := range p.reloaders {
-		take, err := read()
+		applyPart, err := read()
 		if err != nil {
 			return nil, err
 		}
-		takes = append(takes, take)
+		apply = append(apply, applyPart)
+	}
+	return apply, nil
+}
+
+// platformReloader is the platform's front's part of a reload.
+func (p *Program) platformReloader(front *platform, path string) reloader {
+	return func() (apply func(), err error) {
+		next, err := config.Again(path, front.config)
+		if err == nil && p.fleet != nil {
+			if conflict := p.fleet.conflictWithPolicy(next.Settings); conflict != "" {
+				err = fmt.Errorf("%s: %s", path, conflict)
+			}
+		}
+		return func() {
+			front.reload(next)
+			p.restart.setLimits(next)
+			if p.fleet != nil {
+				p.fleet.updateClasses()
+			}
+		}, err
 	}
-	return takes, nil
 }
--- /dev/null
+++ b/internal/node/shutdown.go
@@ -0,0 +1,51 @@
+package node
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"spurwinch/internal/edge"
+)
+
+const (
+	// The platform ends a process that shuts down by itself, and counts one that ends too early as crashed; elsewhere
+	// the program ends once all clients have gone.
+	platformShutdownTime = 10 * time.Second
+	operatorShutdownTime = 4 * time.Second
+)
+
+// Shutdown begins the planned stop, which ends the loop.
+func (p *Program) Shutdown() {
+	for _, begin := range p.onShutdown {
+		begin()
+	}
+	toSuccessor := p.restart.shutdown()
+	for _, core := range p.cores {
+		p.drain(core, toSuccessor)
+	}
+	if toSuccessor { // the platform has its process, and this one may go once its clients have their last bytes
+		p.shutdownTime = operatorShutdownTime
+		p.restart.transferAll()
+	}
+	p.loop.At(p.loop.Now().Add(p.shutdownTime), p.loop.Stop)
+}
+
+// drain has a core's clients go, to the successor if there is one.
+func (p *Program) drain(core *edge.Core, toSuccessor bool) {
+	zap.L().Info("shutdown_started", zap.Stringer("core", core), zap.Bool("handed_over", toSuccessor))
+	drained := func() {
+		p.loop.CloseIdle() // whoever has not said yet what it wants would be cut off with the process
+		zap.L().Info("shutdown_complete", zap.Stringer("core", core),
+			zap.Int("attempts_spared", core.AttemptsNeverSent()))
+		p.logReasons()
+	}
+	if !toSuccessor {
+		core.Drain(drained)
+		return
+	}
+	core.DrainToSuccessor(func() {
+		drained()
+		p.restart.logTransfer()
+	})
+}
