--- a/choice/golden_decisions_test.go
+++ b/choice/golden_decisions_test.go
@@ -20,10 +20,11 @@
 	"spurwinch/choice"
 )
 
-// A golden record of decisions: seeded runs of the simulation, with every action and what the balancers have learned at the end. A
-// change of the order of random draws or of one rounding changes the record; a change of names doesn't.
+// A golden record of decisions: seeded runs of the simulation, with every action and what the balancers have learned
+// at the end. A change of the order of random draws or of one rounding changes the record; a change of names doesn't.
 
-// recorder writes a canonical text of actions into a running hash, and notes the hash at the end of each simulated second.
+// recorder writes a canonical text of actions into a running hash, and notes the hash at the end of each simulated
+// second.
 type recorder struct {
 	hash    hash.Hash
 	text    io.Writer // the whole text, for a look at the first difference; nil: not wanted
@@ -36,9 +37,9 @@
 func newRecorder(from time.Duration) *recorder { return &recorder{hash: sha256.New(), from: from} }
 
 func (r *recorder) write(format string, args ...any) {
-	fmt.Fprintf(r.hash, format, args...)
+	_, _ = fmt.Fprintf(r.hash, format, args...) // a hash takes all
 	if r.text != nil {
-		fmt.Fprintf(r.text, format, args...)
+		_, _ = fmt.Fprintf(r.text, format, args...) // told by Flush
 	}
 }
 
@@ -61,7 +62,8 @@
 	}
 }
 
-// actionText is an action in a form that does not depend on the names of types and fields.
+// actionText is an action in a form that does not depend on the names of types and fields. Its words are those of the
+// first record.
 func actionText(action choice.Action) string {
 	switch action := action.(type) {
 	case choice.StartAttempt:
@@ -103,19 +105,21 @@
 		r.bits(k.ReportedLoad, k.ConnectionLoad, k.Reports)
 	}
 	for _, s := range l.Servers {
-		r.write("\nserver %s %d %v %d %d %d %d", s.ID, s.Started, s.Known, s.ReportAt, s.EjectedUntil, s.Ejections, s.SlowStartAt)
-		r.bits(s.ReportedLoad, s.ConnectionLoad, s.Reports, s.Report, s.SlowStartCredit, s.PIDIntegral, s.PIDPreviousError, s.PIDCorrection, s.UnreportedLoad)
+		r.write("\nserver %s %d %v %d %d %d %d", s.ID, s.Started, s.Known, s.ReportAt, s.EjectedUntil, s.Ejections,
+			s.SlowStartAt)
+		r.bits(s.ReportedLoad, s.ConnectionLoad, s.Reports, s.Report, s.SlowStartCredit, s.PIDIntegral,
+			s.PIDPreviousError, s.PIDCorrection, s.UnreportedLoad)
 		rate, cold := balancer.SlowStartRate(s.ID)
 		r.write(" %v", cold)
 		r.bits(rate)
 	}
-	news := balancer.Observations(now)
-	for _, z := range news.Zones {
+	observations := balancer.Observations(now)
+	for _, z := range observations.Zones {
 		r.write("\nzone %s %d %d", z.Zone, z.Ready, z.Ejected)
 		r.bits(z.Capacity, z.Load, z.Cost, z.Attempts, z.Failed)
 		r.bits(z.OwnLoad...)
 	}
-	for _, c := range news.Classes {
+	for _, c := range observations.Classes {
 		r.bits(c.Arrived, c.Rejected)
 	}
 	r.write("\navoided %d dropped %d\n", balancer.Excluded(now), balancer.DroppedPeerMessages())
@@ -130,8 +134,8 @@
 	r.note("learned, after")
 }
 
-// handOver has a further balancer take each node's place, as a new process of a node does: with what the old one has learned, and
-// with its open connections. Both are recorded, and what the new one does with some requests after that.
+// handOver has a further balancer take each node's place, as a new process of a node does: with what the old one has
+// learned, and with its open connections. Both are recorded, and what the new one does with some requests after that.
 func (r *recorder) handOver(t *testing.T, world *simulation, seed uint64) {
 	t.Helper()
 	for _, node := range world.nodes[:min(4, len(world.nodes))] {
@@ -142,7 +146,10 @@
 			t.Fatal(err)
 		}
 		learned := node.balancer.LearnedState()
-		events := []choice.Event{choice.ServerList{Kind: choice.ListFull, Servers: world.entries()}, choice.LearnedStateReceived{LearnedState: learned}}
+		events := []choice.Event{
+			choice.ServerList{Kind: choice.ListFull, Servers: world.entries()},
+			choice.LearnedStateReceived{LearnedState: learned},
+		}
 		var ids []choice.RequestID
 		for id, request := range world.requests {
 			if request.node == node && request.standing() != nil && !request.over && !request.standing().settled {
@@ -155,7 +162,7 @@
 			request := world.requests[id]
 			class := request.class
 			events = append(events, choice.OpenConnection{
-				Request: request.Request, Server: request.standing().host.ID, OriginalClass: &class,
+				Request: request.Request, Server: request.standing().server.ID, OriginalClass: &class,
 				CurrentLoad: float64(i%3) * 0.75,
 			})
 			given = append(given, choice.Transferred{ID: id})
@@ -179,10 +186,12 @@
 	r.note("handed over, after")
 }
 
-// play has some requests come to a balancer whose servers all set connections up, report a middling load, and leave now and then.
-func (r *recorder) play(now *time.Duration, b *choice.Balancer, s choice.Settings, node, round int) {
+// play has some requests come to a balancer whose servers all set connections up, report a middling load, and leave
+// now and then.
+func (r *recorder) play(now *time.Duration, balancer *choice.Balancer, settings choice.Settings,
+	node, round int,
+) {
 	var events []choice.Event
-	report := make([]float64, len(s.ReportFields))
 	for i := range 60 {
 		*now += 50 * time.Millisecond
 		if i%20 == 0 {
@@ -190,34 +199,48 @@
 		}
 		id := choice.RequestID(fmt.Sprintf("after-%d-%d", round, i))
 		events = append(events, choice.Request{
-			ID: id, Class: i % len(s.Classes), Tenant: i%(len(s.Tenants)+1) - 1, Key: uint64(i) * 7919, Group: uint64(i % 4),
+			ID: id, Class: i % len(settings.Classes), Tenant: i%(len(settings.Tenants)+1) - 1, Key: uint64(i) * 7919,
+			Group:    uint64(i % 4),
 			TimeLeft: time.Second, Returned: i%5 == 0,
 		})
 		for range 4 {
-			actions := b.Step(*now, events)
+			actions := balancer.Step(*now, events)
 			r.step(*now, node, actions)
 			events = nil
-			for _, a := range actions {
-				switch action := a.(type) {
-				case choice.StartAttempt:
-					events = append(events, choice.Established{ID: action.ID, Server: action.Server, Took: time.Duration(20+i%7*i%13*20) * time.Millisecond})
-					if i%4 == 1 {
-						events = append(events, choice.DelayObservation{ID: action.ID, Server: action.Server, Took: time.Duration(i*8) * time.Millisecond})
-					}
-					if i%3 == 0 {
-						events = append(events, choice.AttemptEnded{ID: action.ID, Server: action.Server, Outcome: choice.Outcome(i / 3 % 8), Final: true})
-					}
-				case choice.HealthCheck:
-					for f := range report {
-						report[f] = 0.2 + 0.6*float64((i+f)%10)/10
-					}
-					events = append(events, choice.HealthCheckResult{Server: action.Server, Outcome: choice.Served, Report: slices.Clone(report)})
-				}
+			for _, action := range actions {
+				events = append(events, answerTo(action, i, len(settings.ReportFields))...)
 			}
 		}
 	}
 }
 
+// answerTo is what the servers of play answer to an action after the i-th request.
+func answerTo(a choice.Action, i, fields int) (events []choice.Event) {
+	switch action := a.(type) {
+	case choice.StartAttempt:
+		events = append(events, choice.Established{
+			ID: action.ID, Server: action.Server, Took: time.Duration(20+i%7*i%13*20) * time.Millisecond,
+		})
+		if i%4 == 1 {
+			events = append(events, choice.DelayObservation{
+				ID: action.ID, Server: action.Server, Took: time.Duration(i*8) * time.Millisecond,
+			})
+		}
+		if i%3 == 0 {
+			events = append(events, choice.AttemptEnded{
+				ID: action.ID, Server: action.Server, Outcome: choice.Outcome(i / 3 % 8), Final: true,
+			})
+		}
+	case choice.HealthCheck:
+		report := make([]float64, fields)
+		for field := range report {
+			report[field] = 0.2 + 0.6*float64((i+field)%10)/10
+		}
+		events = append(events, choice.HealthCheckResult{Server: action.Server, Outcome: choice.Served, Report: report})
+	}
+	return events
+}
+
 // checkGoldenLines wants a record to be as its golden file has it, and says where the first difference is.
 func checkGoldenLines(t *testing.T, name string, have []string) {
 	t.Helper()
@@ -249,7 +272,8 @@
 	return lines[i]
 }
 
-// record makes a recorder. With DECISIONS_TEXT naming a directory, the whole text goes there, to compare two versions by.
+// record makes a recorder. With DECISIONS_TEXT naming a directory, the whole text goes there, to compare two versions
+// by.
 func record(t *testing.T, name string) *recorder {
 	t.Helper()
 	recorder := newRecorder(simulationStart)
@@ -274,8 +298,9 @@
 	return recorder
 }
 
-// TestGoldenDecisionsOfDrawnWorlds pins the decisions in worlds with drawn settings: grouped or not, each source of reports,
-// subscribed or pushed lists, with and without messages between nodes, packets that pass through, tenants, plans of zones.
+// TestGoldenDecisionsOfDrawnWorlds pins the decisions in worlds with drawn settings: grouped or not, each source of
+// reports, subscribed or pushed lists, with and without messages between nodes, packets that pass through, tenants,
+// plans of zones.
 func TestGoldenDecisionsOfDrawnWorlds(t *testing.T) {
 	for seed := range uint64(40) {
 		name := fmt.Sprintf("drawn-%02d", seed)
@@ -290,8 +315,9 @@
 	}
 }
 
-// TestGoldenDecisionsOfAFleet pins the decisions of fleets with cold hosts under a burst: with reservations by peers, with reports
-// alone and with none. Connections stand when it ends, so that the hand-over has some.
+// TestGoldenDecisionsOfAFleet pins the decisions of fleets with servers in slow start under a burst: with
+// reservations by peers, with reports alone and with none. Connections stand when it ends, so that the hand-over has
+// some.
 func TestGoldenDecisionsOfAFleet(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -309,9 +335,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			f := coldFleet{
-				name: test.name, nodes: test.nodes, hosts: 16, reports: test.reports, peers: test.peers, rules: shortWarmUp, skew: 4,
-				homes: 0.02, told: test.reports == choice.NoReports, burst: 4, seed: 3,
+			f := slowStartFleet{
+				name: test.name, nodes: test.nodes, servers: 16, reports: test.reports, peers: test.peers,
+				rules: shortWarmUp, skew: 4,
+				homes: 0.02, costKnown: test.reports == choice.NoReports, burst: 4, seed: 3,
 			}
 			r := record(t, test.name)
 			w := f.playRecorded(t, test.grouped, r)
--- a/internal/node/capture.go
+++ b/internal/node/capture.go
@@ -74,7 +74,7 @@
 // Answered records a request's final answer with its attempts.
 func (o *captureObserver) Answered(answered edge.Answered) {
 	record := capture.Placed{
-		At: o.writer.Offset(answered.Arrived), Seq: answered.Seq, Class: answered.Class, Tenant: answered.Tenant,
+		At: o.writer.Offset(answered.Arrived), Seq: answered.Sequence, Class: answered.Class, Tenant: answered.Tenant,
 		Client: answered.Key, Group: answered.Group, Load: answered.Load, Returned: answered.Returned,
 		Patience: capture.Micros(answered.Deadline.Sub(answered.Arrived)), Took: capture.Micros(answered.Took),
 		Answer: capture.Answer(answered.Answer),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,7 +60,7 @@
 		coreByCluster: map[string]*edge.Core{},
 	}
 	program.restart = hotRestart{program: program, listeners: map[string]*loop.Listener{}}
-	program.monitor.Broken = logViolation
+	program.monitor.OnViolation = logViolation
 	return program
 }
 
--- a/internal/node/reasons.go
+++ b/internal/node/reasons.go
@@ -9,7 +9,7 @@
 
 func logViolation(violation invariant.Violation) {
 	zap.L().Error("invariant_broken", zap.Stringer("rule", violation.Rule), zap.Stringer("step", violation.Step),
-		zap.String("request", violation.Request), zap.String("host", violation.Host))
+		zap.String("request", violation.Request), zap.String("host", violation.Server))
 }
 
 // reasons writes how often connections were closed, attempts repeated and requests rejected, by reason, and what the
