--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -99,8 +99,8 @@
 	}
 	checkLevel(file, level)
 	source.check(file)
-	if len(text) > policy.MostText {
-		file.Fault("", "%d bytes: %d at most", len(text), policy.MostText)
+	if len(text) > policy.MaxTextBytes {
+		file.Fault("", "%d bytes: %d at most", len(text), policy.MaxTextBytes)
 	}
 	document := source.document()
 	for _, fault := range document.Check() {
@@ -123,7 +123,7 @@
 
 // check sets the usual values, and finds what the document's own check can't see.
 func (p *policyFile) check(file *tomlfile.File) {
-	tomlfile.Fill(&p.Attempts, policy.MostAttempts)
+	tomlfile.Fill(&p.Attempts, policy.MaxAttempts)
 	tomlfile.Fill(&p.RetryAfter, Duration(time.Second))
 	for i := range p.Classes {
 		class := &p.Classes[i]
--- a/internal/policy/change.go
+++ b/internal/policy/change.go
@@ -38,9 +38,9 @@
 	if id == "" || len(id) > maxID {
 		return &InvalidProposalError{Problem: fmt.Sprintf("an id has 1 to %d bytes", maxID)}
 	}
-	if len(text) == 0 || len(text) > MostText {
+	if len(text) == 0 || len(text) > MaxTextBytes {
 		return &InvalidProposalError{
-			Problem: fmt.Sprintf("a policy of %d bytes: 1 to %d are possible", len(text), MostText),
+			Problem: fmt.Sprintf("a policy of %d bytes: 1 to %d are possible", len(text), MaxTextBytes),
 		}
 	}
 	return nil
--- a/internal/policy/document.go
+++ b/internal/policy/document.go
@@ -66,10 +66,10 @@
 
 // Limits of a document.
 const (
-	// MostText bounds a document's text, in bytes.
-	MostText = 32 << 10
-	// MostAttempts is the most attempts that a request may take.
-	MostAttempts = 4
+	// MaxTextBytes bounds a document's text, in bytes.
+	MaxTextBytes = 32 << 10
+	// MaxAttempts is the most attempts that a request may take.
+	MaxAttempts = 4
 
 	maxClasses    = 32
 	maxTenants    = 256
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -119,11 +119,11 @@
 	if s.Number > 0 && (count == 0 || s.Documents[count-1].Number != s.Number) {
 		return false
 	}
-	return !slices.ContainsFunc(s.Documents, func(d VersionedDocument) bool { return len(d.Text) > MostText })
+	return !slices.ContainsFunc(s.Documents, func(d VersionedDocument) bool { return len(d.Text) > MaxTextBytes })
 }
 
 func (c *Change) isConsistentWith(s *State) bool {
-	return len(c.Text) <= MostText && c.Number == s.LastNumber && c.Base == s.Number &&
+	return len(c.Text) <= MaxTextBytes && c.Number == s.LastNumber && c.Base == s.Number &&
 		c.ID != "" && len(c.ID) <= maxID && c.Stage <= StageCanary
 }
 
--- a/internal/policy/state_test.go
+++ b/internal/policy/state_test.go
@@ -98,7 +98,7 @@
 		"too many documents":              func(s *State) { s.Documents = make([]VersionedDocument, maxDocuments+1) },
 		"too many outcomes":               func(s *State) { s.Ended = make([]ChangeOutcome, maxOutcomes+1) },
 		"too many base policies":          func(s *State) { s.Bases = make([]VersionedBase, maxBases+1) },
-		"a document that is too long":     func(s *State) { s.Documents[0].Text = make([]byte, MostText+1) },
+		"a document that is too long":     func(s *State) { s.Documents[0].Text = make([]byte, MaxTextBytes+1) },
 		"a change of another number":      func(s *State) { s.Change.Number++ },
 		"a change of another base":        func(s *State) { s.Change.Base++ },
 		"a change without an id":          func(s *State) { s.Change.ID = "" },
--- a/internal/policy/validate.go
+++ b/internal/policy/validate.go
@@ -34,8 +34,8 @@
 }
 
 func (d *Document) checkLimits(found *faultList) {
-	found.addIf(d.Attempts < 1 || d.Attempts > MostAttempts, "attempts",
-		"attempts = %d: 1 to %d are wanted", d.Attempts, MostAttempts)
+	found.addIf(d.Attempts < 1 || d.Attempts > MaxAttempts, "attempts",
+		"attempts = %d: 1 to %d are wanted", d.Attempts, MaxAttempts)
 	found.addIf(d.RetryAfter < 0 || d.RetryAfter > maxRetryAfter, "come_again",
 		"come_again = %v: up to 1m is possible", d.RetryAfter)
 	found.addIf(!isFraction(d.OverQuotaPriority), "over_share_worth",
