--- a/choice/inference_test.go
+++ b/choice/inference_test.go
@@ -44,10 +44,10 @@
 }
 
 // connect places a request and has its connection stand; it returns the server, or "" where the request was rejected.
-func connect(balancer *Balancer, now time.Duration, id RequestID, class int, group uint64, returned bool) ServerID {
+func connect(balancer *Balancer, now time.Duration, id RequestID, class int, group uint64) ServerID {
 	for _, a := range balancer.Step(now, []Event{Request{
 		ID: id, Class: class, Tenant: -1, Group: group,
-		TimeLeft: 5 * time.Second, Returned: returned,
+		TimeLeft: 5 * time.Second,
 	}}) {
 		if a, ok := a.(StartAttempt); ok {
 			balancer.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
@@ -57,20 +57,20 @@
 	return ""
 }
 
-// A connection must not count 1 until its server tells its load, and a small part of that afterwards: no limit would
+// A connection must not count 1 until its server reports its load, and a small part of that afterwards: no limit would
 // ever bind.
 func TestReportedConnectionLoadsGiveTheUnit(t *testing.T) {
 	balancer, now := silentNode(t, 3, 8)
 	servers := map[RequestID]ServerID{}
 	for i := range 20 {
 		id := RequestID(fmt.Sprint(i))
-		servers[id] = connect(balancer, now, id, i%2, uint64(i+1), false)
+		servers[id] = connect(balancer, now, id, i%2, uint64(i+1))
 	}
 	before := 0.0
 	for _, s := range balancer.servers {
 		before += s.cost * s.own.load
 	}
-	for i := range 10 { // half of the connections tell their load: those of the second class are nine times as heavy
+	for i := range 10 { // half of the connections report their load: those of the second class are nine times as heavy
 		balancer.Step(now, []Event{LoadUpdate{ID: RequestID(fmt.Sprint(i)), Load: []float64{0.02, 0.18}[i%2]}})
 	}
 	sum := 0.0
@@ -78,7 +78,7 @@
 		sum += s.own.load
 	}
 	if sum < 1 || sum > 3 { // ten of 0.02 and ten of 0.18 are 2
-		t.Errorf("20 connections count %.2f in all, told and untold ones together", sum)
+		t.Errorf("20 connections count %.2f in all, reported and unreported ones together", sum)
 	}
 	if light, heavy := balancer.expectedLoad(0), balancer.expectedLoad(1); light < 0.019 || light > 0.021 ||
 		heavy < 0.179 || heavy > 0.181 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Where servers report, told loads leave the unit alone: costs, and what owners lend, are learned in it.
+// Where servers report, loads of connections leave the unit alone: costs and reservations are learned in it.
 func TestConnectionLoadsKeepTheUnitWhereServersReport(t *testing.T) {
 	set := silentSettings(3)
 	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Utilization, Load}
@@ -113,7 +113,7 @@
 	const group = 7
 	var home ServerID
 	for i := range 6 {
-		home = connect(balancer, now, RequestID(fmt.Sprint(i)), 0, group, false)
+		home = connect(balancer, now, RequestID(fmt.Sprint(i)), 0, group)
 	}
 	server, moved := balancer.findServer(home), 0
 	for i := range 5 {
@@ -134,7 +134,7 @@
 	if moved == 0 {
 		t.Error("nobody was moved off it")
 	}
-	if to := connect(balancer, now, "next", 0, group, false); to == home {
+	if to := connect(balancer, now, "next", 0, group); to == home {
 		t.Error("the group's next connection went there all the same")
 	}
 	quiet := balancer.predictedLoad(server)
@@ -151,7 +151,7 @@
 	}
 }
 
-// A set-up that takes long tells of an overload; one that is just as long as the others doesn't, however long they are.
+// A setup that takes long shows an overload; one that is just as long as the others doesn't, however long they are.
 func TestSlowSetupsCount(t *testing.T) {
 	for _, test := range []struct {
 		typical, last time.Duration
@@ -213,7 +213,7 @@
 				{ID: "small", Size: 1},
 				{ID: "mid", Size: 2},
 			}}})
-			seen[connect(balancer, time.Hour, "r", 0, group+1, false)] = true
+			seen[connect(balancer, time.Hour, "r", 0, group+1)] = true
 			if node == 0 {
 				for id := range seen {
 					first[id]++
@@ -230,7 +230,7 @@
 }
 
 // Connections that servers shed at once, only to come again at the next node, must stay a bounded part of all; what
-// is turned away is told when to come again, spread.
+// is rejected is told when to come again, spread.
 func TestDroppedConnectionsAreThrottled(t *testing.T) {
 	balancer, now := silentNode(t, 300, 90)
 	placed, rejected, advice := 0, 0, map[time.Duration]bool{}
@@ -267,7 +267,7 @@
 	for i := range 50 {
 		now += 200 * time.Millisecond
 		balancer.Step(now, []Event{TimerFired{Token: "tick"}})
-		if connect(balancer, now, RequestID(fmt.Sprint("calm", i)), 0, uint64(1+i%5), false) == "" {
+		if connect(balancer, now, RequestID(fmt.Sprint("calm", i)), 0, uint64(1+i%5)) == "" {
 			rejected++
 			if i > 10 {
 				t.Errorf("request %d is rejected in a calm minute", i)
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -8,104 +8,6 @@
 	"time"
 )
 
-// fleetOf plays a fleet under one of four nodes that hold alike: each of its connections stands for four.
-type fleetOf struct {
-	b     *Balancer
-	rng   *rand.Rand
-	now   time.Duration
-	cost  map[ServerID]float64
-	on    map[RequestID]ServerID
-	ends  map[RequestID]time.Duration
-	timer map[time.Duration][]string
-	next  int
-	off   float64 // predicted less true load of all servers, summed each 10 ms
-	n     int
-}
-
-func (f *fleetOf) load(id ServerID) (x float64) {
-	for _, s := range f.on {
-		if s == id {
-			x += 4 * f.cost[id]
-		}
-	}
-	return x
-}
-
-// step hands over events and plays the servers' fraction: attempts stand at once, health checks are answered with
-// some noise.
-func (f *fleetOf) step(events ...Event) {
-	for len(events) > 0 {
-		acts := f.b.Step(f.now, events)
-		events = nil
-		for _, a := range acts {
-			switch action := a.(type) {
-			case StartAttempt:
-				f.on[action.ID] = action.Server
-				f.ends[action.ID] = f.now + time.Duration(10+f.rng.IntN(40))*time.Second
-				events = append(events, Established{ID: action.ID, Server: action.Server})
-			case HealthCheck:
-				events = append(events, HealthCheckResult{
-					Server: action.Server,
-					Report: []float64{f.load(action.Server) * (0.95 + 0.1*f.rng.Float64())},
-				})
-			case SetTimer:
-				at := f.now + action.After
-				f.timer[at] = append(f.timer[at], action.Token)
-			case Migrate:
-				delete(f.on, action.ID)
-				events = append(events, AttemptEnded{ID: action.ID, Outcome: Cancelled, Final: true})
-			}
-		}
-	}
-}
-
-func (f *fleetOf) run(to time.Duration, every time.Duration) {
-	for ; f.now < to; f.now += 10 * time.Millisecond {
-		var events []Event
-		for at, tokens := range f.timer {
-			if at <= f.now {
-				for _, t := range tokens {
-					events = append(events, TimerFired{t})
-				}
-				delete(f.timer, at)
-			}
-		}
-		for id, at := range f.ends {
-			if at <= f.now {
-				delete(f.on, id)
-				delete(f.ends, id)
-				events = append(events, AttemptEnded{ID: id, Server: "", Outcome: Served, Final: true})
-			}
-		}
-		if f.now%every == 0 {
-			f.next++
-			events = append(events, Request{
-				ID: RequestID(fmt.Sprint("r", f.next)), Tenant: -1,
-				TimeLeft: 4 * time.Second,
-			})
-		}
-		f.step(events...)
-		if to-f.now > 5*time.Second {
-			continue // the figures of before are of no interest
-		}
-		f.b.Step(f.now, nil)
-		for _, s := range f.b.servers {
-			f.off, f.n = f.off+math.Abs(f.b.predictedLoad(s)-f.load(s.ID)), f.n+1
-		}
-	}
-}
-
-func knows() Settings {
-	return Settings{
-		Nodes: 4, Reports: HealthCheckReports, ReportFields: []ReportField{Load}, RoundTrip: 5 * time.Millisecond,
-		Classes: []Class{{
-			Name: "c", SetupObjective: 800 * time.Millisecond, Deadline: 4800 * time.Millisecond,
-			MessageObjective: 60 * time.Millisecond, Priority: 1,
-		}},
-		Limits: Limits{MaxAttempts: 4, HealthChecks: true}, Costs: Costs{HealthCheck: 0.002},
-	}
-}
-
 // TestLearnedStateIsInherited has one process take over from another: with what that one found out, its forecasts of
 // the servers' loads are as good at once; without, they are not in the first seconds.
 func TestLearnedStateIsInherited(t *testing.T) {
@@ -135,38 +37,7 @@
 			fleet.step(list)
 			fleet.run(start+90*time.Second, 500*time.Millisecond)
 			if how != "stays" {
-				was, before := fleet.b, map[ServerID]float64{}
-				was.Step(fleet.now, nil)
-				for _, s := range was.servers {
-					before[s.ID] = was.predictedLoad(s)
-				}
-				if fleet.b, err = New(knows(), seed+100, fleet.now); err != nil {
-					t.Fatal(err)
-				}
-				fleet.timer = map[time.Duration][]string{}
-				fleet.step(list)
-				if how == "learned" {
-					fleet.step(LearnedStateReceived{was.LearnedState()})
-				}
-				for id, s := range fleet.on {
-					fleet.step(OpenConnection{
-						Request: Request{ID: id, Tenant: -1}, Server: s,
-						OriginalClass: &Class{Name: "gone"},
-					})
-					was.Step(fleet.now, []Event{Transferred{id}})
-				}
-				for _, s := range was.servers {
-					if p := was.predictedLoad(s); math.Abs(p-before[s.ID]) > 1e-9 {
-						t.Errorf("%s: the giver takes %v for relieved: %v, %v before", how, s.ID, p, before[s.ID])
-					}
-					if p := fleet.b.predictedLoad(fleet.b.findServer(s.ID)); how == "learned" &&
-						math.Abs(p-before[s.ID]) > 5e-3 {
-						t.Errorf("the taker predicts %v for %v, the giver %v", p, s.ID, before[s.ID])
-					}
-				}
-				if len(was.requests) != 0 {
-					t.Errorf("%d requests stay with the giver", len(was.requests))
-				}
+				fleet.takeOver(t, seed+100, list, how == "learned")
 			}
 			for _, span := range []time.Duration{time.Second, 4 * time.Second} {
 				fleet.off, fleet.n = 0, 0
@@ -176,7 +47,8 @@
 		}
 	}
 	for _, span := range []time.Duration{time.Second, 4 * time.Second} {
-		t.Logf("mean error of a predicted load in the next %v: the same process %.3f, with what was learned %.3f, without %.3f",
+		t.Logf("mean error of a predicted load in the next %v: "+
+			"the same process %.3f, with what was learned %.3f, without %.3f",
 			span, errors[fmt.Sprint("stays", span)], errors[fmt.Sprint("learned", span)], errors[fmt.Sprint("empty",
 				span)])
 	}
@@ -185,7 +57,7 @@
 	}
 }
 
-// TestLearnedStateIsChecked has another process tell what can't be, or what is older than what this one knows.
+// TestLearnedStateIsChecked has another process send what can't be, or what is older than what this one knows.
 func TestLearnedStateIsChecked(t *testing.T) {
 	now := time.Hour
 	balancer, err := New(knows(), 1, now)
@@ -245,8 +117,8 @@
 	}
 }
 
-// TestOtherMeaningResetsEstimates has settings come under which reports say something else: what they told before is
-// another deployment's, for the balancer that takes them and for one that is told by another process. Settings that
+// TestOtherMeaningResetsEstimates has settings come under which reports say something else: what they said before is
+// another deployment's, for the balancer that takes them and for one that inherits from another process. Settings that
 // change nothing in that change nothing in what was learned.
 func TestOtherMeaningResetsEstimates(t *testing.T) {
 	now := time.Hour
@@ -300,7 +172,7 @@
 				if s.report.known || s.costs.reports != 0 || balancer.kinds["k"].costs.reports != 0 ||
 					s.cost != clean.cost || balancer.predictedLoad(s) != fresh.predictedLoad(clean) ||
 					balancer.average.load != fresh.average.load {
-					t.Errorf("settings %d, told %v: of %s it knows %+v, average %v", i, inherits, id, s,
+					t.Errorf("settings %d, inherits %v: of %s it knows %+v, average %v", i, inherits, id, s,
 						balancer.average.load)
 				}
 			}
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"container/heap"
-	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -71,7 +70,11 @@
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
 }
 func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(occurrence)) } //nolint:forcetypeassert // only occurrences are pushed
+
+func (a *agenda) Push(x any) {
+	*a = append(*a, x.(occurrence)) //nolint:forcetypeassert // only occurrences are pushed
+}
+
 func (a *agenda) Pop() any {
 	old := *a
 	last := old[len(old)-1]
@@ -125,7 +128,7 @@
 	class    choice.Class
 	deadline time.Duration
 	attempts []*simAttempt
-	open     bool // its node knows that a connection stands
+	open     bool // its node knows that a connection is open
 	answered bool // its node gave a final answer
 	over     bool // its node was told that it is over
 	gone     bool // its node was told that nobody waits
@@ -142,11 +145,12 @@
 	outcome     choice.Outcome
 }
 
-func newSimulation(tb testing.TB, name string, s choice.Settings, of terms, servers []choice.Server, seed uint64,
-	j judge,
+func newSimulation(tb testing.TB, name string, settings choice.Settings, of terms, servers []choice.Server,
+	seed uint64, j judge,
 ) *simulation {
+	tb.Helper()
 	world := &simulation{
-		t: tb, name: name, rng: rand.New(rand.NewPCG(seed, 11)), now: simulationStart, settings: s, terms: of,
+		t: tb, name: name, rng: rand.New(rand.NewPCG(seed, 11)), now: simulationStart, settings: settings, terms: of,
 		byID: map[choice.ServerID]*simServer{}, requests: map[choice.RequestID]*simRequest{}, judge: j,
 		counts: map[string]int{},
 	}
@@ -155,15 +159,18 @@
 		world.servers, world.byID[h.ID] = append(world.servers, h), h
 		world.after(world.upTo(250*time.Millisecond), func() { world.refresh(h) })
 	}
-	for number := range s.Nodes {
-		s.Node = number
-		b, err := choice.New(s, seed*1000+uint64(number), world.now)
+	for number := range settings.Nodes {
+		settings.Node = number
+		b, err := choice.New(settings, seed*1000+uint64(number), world.now)
 		if err != nil {
 			tb.Fatalf("%s: %v", name, err)
 		}
-		n := &simNode{number: number, balancer: b, listed: map[choice.ServerID]choice.Server{}, following: !s.Subscribe}
+		n := &simNode{
+			number: number, balancer: b, listed: map[choice.ServerID]choice.Server{},
+			following: !settings.Subscribe,
+		}
 		world.nodes = append(world.nodes, n)
-		if !s.Subscribe {
+		if !settings.Subscribe {
 			world.deliver(n, choice.ServerList{Kind: choice.ListFull, Servers: world.entries()})
 		} else {
 			world.deliver(n, choice.ServerList{Kind: choice.ListCached, Servers: world.entries()})
@@ -342,332 +349,6 @@
 	w.bringList(n, choice.ServerList{Kind: choice.ListUnavailable})
 }
 
-// warm is the part of its capacity that a server has now.
-func (w *simulation) warm(h *simServer) float64 {
-	age := w.now - h.Started
-	if h.Started == 0 || age >= w.settings.Rules.WarmUp {
-		return 1
-	}
-	cold := w.settings.Rules.SlowStartFraction
-	return cold + (1-cold)*age.Seconds()/w.settings.Rules.WarmUp.Seconds()
-}
-
-// load is a server's load now, over what it can do now.
-func (w *simulation) load(h *simServer) (sum float64) {
-	for _, at := range h.held {
-		sum += at.request.client.load
-	}
-	return sum / w.terms.perServer / w.warm(h) / h.strength
-}
-
-// refresh renews what a server's reports show, and has it shed its newest connections while it is overloaded.
-func (w *simulation) refresh(server *simServer) {
-	w.after(w.around(250*time.Millisecond), func() { w.refresh(server) })
-	for len(server.held) > 0 && w.load(server) > w.terms.shedAt {
-		w.count("sheds")
-		w.closeConnection(server.held[len(server.held)-1], choice.Reset, true)
-	}
-	server.seen, server.seenHeld = w.load(server), len(server.held)
-	if w.settings.DelaysObserved && server.seen > 0.8 && len(server.held) > 0 {
-		at := server.held[w.rng.IntN(len(server.held))]
-		w.count("delay notes")
-		w.deliver(at.request.node, choice.DelayObservation{
-			ID: at.request.ID, Server: server.ID,
-			Took: w.around(time.Duration(server.seen * float64(150*time.Millisecond))),
-		})
-	}
-	if w.terms.loadsReported && len(server.held) > 0 && w.often(0.2) {
-		at := server.held[w.rng.IntN(len(server.held))]
-		at.request.client.load *= 0.5 + w.rng.Float64()
-		w.deliver(at.request.node, choice.LoadUpdate{
-			ID: at.request.ID, Attempt: at.number,
-			Load: at.request.client.load,
-		})
-	}
-}
-
-// report is a server's load report, a little noisy.
-func (w *simulation) report(server *simServer) (values []float64) {
-	for _, f := range w.settings.ReportFields {
-		value := 0.0
-		switch f {
-		case choice.Load:
-			value = server.seen
-		case choice.Backlog:
-			value = max(0, server.seen-1)
-		case choice.InFlight:
-			value = float64(server.seenHeld)
-		case choice.Utilization:
-			value = min(1, server.seen)
-		case choice.Latency:
-			value = 10 / max(0.1, 1.1-server.seen)
-		case choice.Queue, choice.Throughput, choice.ErrorRate, choice.OtherField:
-			value = w.rng.Float64()
-		}
-		values = append(values, value*(0.95+0.1*w.rng.Float64()))
-	}
-	return values
-}
-
-func (w *simulation) checkHealth(node *simNode, h *simServer) {
-	w.count("health checks")
-	took := 2*time.Millisecond + w.upTo(6*time.Millisecond)
-	result := choice.HealthCheckResult{Server: h.ID, Outcome: choice.Served, Took: took}
-	if !h.running || w.now < h.failingUntil {
-		result.Outcome, took = choice.TimedOut, 100*time.Millisecond
-	} else if w.settings.Reports != choice.NoReports {
-		result.Report = w.report(h)
-	}
-	w.after(took, func() { w.deliver(node, result) })
-}
-
-// drawNode draws the node that a client reaches.
-func (w *simulation) drawNode() *simNode {
-	if w.terms.skew > 1 {
-		busy := (len(w.nodes) + 4) / 5
-		if w.often(float64(busy*w.terms.skew) / float64(busy*w.terms.skew+len(w.nodes)-busy)) {
-			return w.nodes[w.rng.IntN(busy)]
-		}
-	}
-	return w.nodes[w.rng.IntN(len(w.nodes))]
-}
-
-// arrive brings a client's request, its first or a further one, to a node.
-func (w *simulation) arrive(client *simClient, returned bool) *simRequest {
-	node, class := w.drawNode(), w.settings.Classes[client.class]
-	client.tries++
-	request := &simRequest{node: node, client: client, class: class}
-	request.Request = choice.Request{
-		ID: choice.RequestID(fmt.Sprint("r", len(w.requests)+1)), Class: client.class, Tenant: client.tenant, Key: client.key,
-		Group: client.group, TimeLeft: time.Duration((0.3 + 0.7*w.rng.Float64()) * float64(class.Deadline)),
-		Returned: returned,
-	}
-	if w.terms.loadsReported {
-		request.Load = client.load
-	}
-	if w.settings.PacketPassThrough && w.often(0.1) {
-		request.MidFlow = true
-	}
-	if w.often(w.terms.homes) {
-		request.StickyServer = w.servers[w.rng.IntN(len(w.servers))].ID
-	}
-	w.requests[request.ID] = request
-	w.count("requests")
-	w.deliver(node, request.Request)
-	if w.often(w.terms.leavers) {
-		w.after(w.upTo(request.TimeLeft), func() { w.abandon(request) })
-	}
-	return request
-}
-
-// abandon has a client walk away, whether it still waits or is served.
-func (w *simulation) abandon(request *simRequest) {
-	if request.answered || request.over || request.gone {
-		return
-	}
-	if at := request.standing(); at != nil {
-		w.closeConnection(at, choice.Cancelled, false)
-		return
-	}
-	w.count("clients that leave")
-	w.deliver(request.node, choice.ClientGone{ID: request.ID})
-}
-
-// standing is the attempt whose connection stands, or nil.
-func (r *simRequest) standing() *simAttempt {
-	if n := len(r.attempts); n > 0 && r.attempts[n-1].established {
-		return r.attempts[n-1]
-	}
-	return nil
-}
-
-// returns has a client come again, after a time that it chooses.
-func (w *simulation) returns(c *simClient, broken bool, advice time.Duration) {
-	if c.tries < w.terms.tries {
-		w.count("clients that return")
-		w.after(advice+w.around(150*time.Millisecond<<min(c.tries, 4)), func() { w.arrive(c, broken) })
-	}
-}
-
-// answer is a node's final answer to a request.
-func (w *simulation) answer(r *simRequest, again bool, advice time.Duration) {
-	r.answered = true
-	if at := r.standing(); at != nil { // the answer crossed the news that the connection stands
-		w.closeConnection(at, choice.Cancelled, false)
-	}
-	if again && !r.gone {
-		w.returns(r.client, false, advice)
-	}
-}
-
-func (w *simulation) send(request *simRequest, server *simServer, limit time.Duration) {
-	attempt := &simAttempt{request: request, number: len(request.attempts), server: server, sentAt: w.now}
-	request.attempts = append(request.attempts, attempt)
-	w.count("sends")
-	if attempt.number > 0 {
-		w.count("retries")
-	}
-	if request.gone || request.answered {
-		w.settle(attempt, choice.NeverSent, w.settings.RoundTrip)
-		return
-	}
-	informed := request.node.listed[server.ID].Started == server.Started
-	w.after(w.upTo(3*time.Millisecond), func() { w.reach(attempt, informed) })
-	w.after(limit, func() {
-		if !attempt.established {
-			w.settle(attempt, choice.TimedOut, 0)
-		}
-	})
-}
-
-// reach has an attempt reach its server.
-func (w *simulation) reach(attempt *simAttempt, informed bool) {
-	server := attempt.server
-	if attempt.settled {
-		return
-	}
-	server.arrivals = append(server.arrivals, arrival{w.now, informed})
-	if w.warm(server) < 1 {
-		w.count("sends to servers in slow start")
-	}
-	switch {
-	case !server.running:
-		w.settle(attempt, choice.ConnectFailed, w.settings.Limits.ConnectTimeout)
-	case w.now < server.failingUntil:
-		if w.often(0.5) {
-			w.settle(attempt, choice.Failed, time.Millisecond)
-		} // else it stays silent until the attempt's time is over
-	case server.State != choice.Ready || w.load(server) > w.terms.slotsAt:
-		w.count("rejected by a full server")
-		w.settle(attempt, choice.Full, time.Millisecond)
-	case w.often(w.terms.oddAnswers):
-		odd := []choice.Outcome{choice.Failed, choice.Reset, choice.TimedOut, choice.ConnectFailed, choice.Served}
-		w.settle(attempt, odd[w.rng.IntN(len(odd))], w.upTo(50*time.Millisecond))
-	default:
-		w.after(time.Duration(float64(w.around(10*time.Millisecond))/w.warm(server)), func() { w.establish(attempt) })
-	}
-}
-
-func (w *simulation) establish(attempt *simAttempt) {
-	request, server := attempt.request, attempt.server
-	switch {
-	case attempt.settled:
-	case request.answered || request.gone:
-		w.settle(attempt, choice.Cancelled, 0)
-	case !server.running:
-		w.settle(attempt, choice.Reset, 0)
-	default:
-		w.count("connections")
-		attempt.established = true
-		server.held = append(server.held, attempt)
-		w.deliver(request.node, choice.Established{
-			ID: request.ID, Attempt: attempt.number, Server: server.ID,
-			Took: w.now - attempt.sentAt,
-		})
-		w.after(w.around(w.terms.connectionTime), func() { w.closeConnection(attempt, choice.Served, false) })
-	}
-}
-
-// closeConnection ends a connection that stands.
-func (w *simulation) closeConnection(attempt *simAttempt, outcome choice.Outcome, again bool) {
-	if attempt.settled {
-		return
-	}
-	for i, held := range attempt.server.held {
-		if held == attempt {
-			attempt.server.held = append(attempt.server.held[:i:i], attempt.server.held[i+1:]...)
-			break
-		}
-	}
-	w.settle(attempt, outcome, 0)
-	if again {
-		w.returns(attempt.request.client, true, 0)
-	}
-}
-
-// settle ends an attempt; its node hears of it after a time.
-func (w *simulation) settle(attempt *simAttempt, outcome choice.Outcome, after time.Duration) {
-	if attempt.settled {
-		return
-	}
-	attempt.settled = true
-	w.after(after, func() {
-		r := attempt.request
-		e := choice.AttemptEnded{
-			ID: r.ID, Attempt: attempt.number, Server: attempt.server.ID, Outcome: outcome, Took: w.now - attempt.sentAt,
-			Final: outcome == choice.Served || attempt.established || r.answered || r.gone,
-		}
-		if w.settings.Reports == choice.AllReports && attempt.server.running {
-			e.Report = w.report(attempt.server)
-		}
-		w.deliver(r.node, e)
-	})
-}
-
-// stop ends a server's process: its connections break.
-func (w *simulation) stop(h *simServer) {
-	h.running = false
-	for len(h.held) > 0 {
-		w.closeConnection(h.held[0], choice.Reset, true)
-	}
-}
-
-// drain has a server finish its work, stop and come back in slow start.
-func (w *simulation) drain(server *simServer) {
-	if server.State != choice.Ready || !server.running {
-		return
-	}
-	w.count("drains")
-	server.State = choice.Draining
-	w.publish(server)
-	w.after(w.around(3*time.Second), func() {
-		w.stop(server)
-		server.State = choice.Gone
-		w.publish(server)
-		w.after(w.around(time.Second), func() { w.start(server) })
-	})
-}
-
-// vanish has a server stop without a word; discovery finds out later.
-func (w *simulation) vanish(server *simServer) {
-	if server.State != choice.Ready || !server.running {
-		return
-	}
-	w.count("servers that vanish")
-	w.stop(server)
-	w.after(w.around(time.Second), func() {
-		if !server.running {
-			server.State = choice.Gone
-			w.publish(server)
-		}
-	})
-	w.after(w.around(3*time.Second), func() { w.start(server) })
-}
-
-// restart has a server's process come back at once: it is in slow start, and nothing said that it was gone.
-func (w *simulation) restart(h *simServer) {
-	if h.State == choice.Ready && h.running {
-		w.stop(h)
-		w.start(h)
-	}
-}
-
-func (w *simulation) start(h *simServer) {
-	if h.running {
-		return
-	}
-	w.count("slow starts")
-	h.running, h.State, h.Started = true, choice.Ready, w.now
-	h.starts = append(h.starts, w.now)
-	w.publish(h)
-}
-
-// fail has a server answer with errors, or not at all, for a time.
-func (w *simulation) fail(h *simServer) {
-	w.count("failing servers")
-	h.failingUntil = w.now + w.around(2*time.Second)
-}
-
 // arrivalsFor has clients come at an even rate, by chance, for a time.
 func (w *simulation) arrivalsFor(d time.Duration, perSecond float64, draw func() *simClient) {
 	for at := time.Duration(0); ; {
--- a/internal/failover/agent/leader.go
+++ b/internal/failover/agent/leader.go
@@ -41,13 +41,18 @@
 
 // becomeLeader starts to make plans.
 func (a *Agent) becomeLeader(now time.Duration) {
-	a.planner = failover.NewPlanner(a.options.List, a.planRules(), a.planHistory, now)
+	a.startPlanner(now)
 	a.startRollouts()
+	a.options.Log("fleet_leads", "term", a.voter.Term(), "plan", a.follower.Newest(failover.PlanKind).Number)
+}
+
+// startPlanner starts a planner with the rules of the policy in force and the operators' orders.
+func (a *Agent) startPlanner(now time.Duration) {
+	a.planner = failover.NewPlanner(a.options.List, a.planRules(), a.planHistory, now)
 	orders, err := failover.DecodeOperatorOrders(a.follower.Newest(failover.OperatorOrdersKind).Data)
-	if err == nil {
+	if err == nil { // there is an entry of orders, and this version can decode it
 		a.planner.ApplyOrders(orders)
 	}
-	a.options.Log("fleet_leads", "term", a.voter.Term(), "plan", a.follower.Newest(failover.PlanKind).Number)
 }
 
 // stepDown ends what a leader does.
@@ -76,14 +81,14 @@
 	}
 }
 
-// handleSummary takes an aggregator's summary of its zone, as the leader.
+// handleSummary processes an aggregator's summary of its zone, as the leader.
 func (a *Agent) handleSummary(head header, body []byte, stale bool, now time.Duration) {
 	if a.voter == nil || !a.voter.Leads() || len(body) < 1 {
 		return
 	}
 	summary, err := failover.DecodeEvidenceSummary(body[1:])
 	if err != nil || a.options.List.Node(head.from).Zone != summary.Zone {
-		a.Counts.Spoilt++
+		a.Counts.Corrupt++
 		return
 	}
 	a.observeSummary(head.from, summary, stale || body[0] == 1, now)
@@ -109,7 +114,7 @@
 	}
 }
 
-// confirmLeadership has a majority confirm that this node leads; that answers all summaries that came before.
+// confirmLeadership asks a majority to confirm that this node leads, for all summaries received before.
 func (a *Agent) confirmLeadership() {
 	confirmation := a.voter.Confirm()
 	for i := range a.pendingAcks {
@@ -119,7 +124,7 @@
 	}
 }
 
-// acknowledgeSummaries answers the summaries that came before a confirmed call.
+// acknowledgeSummaries answers the summaries whose confirmation is there.
 func (a *Agent) acknowledgeSummaries(now time.Duration) {
 	answered := 0
 	for _, pending := range a.pendingAcks {
