--- /dev/null
+++ b/internal/operate/admin/connection.go
@@ -0,0 +1,136 @@
+package admin
+
+import (
+	"bytes"
+	"container/list"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+
+	"spurwinch/internal/loop"
+)
+
+// connection is one client's connection, until its response is written.
+type connection struct {
+	server    *Server
+	conn      *loop.Conn
+	head      []byte // of the request, as far as it came
+	place     *list.Element
+	stopTimer func()
+	finished  bool // answered or gone
+}
+
+// OnConnect is not called: the server dials nobody.
+func (c *connection) OnConnect() {}
+
+// OnDrained does nothing: a response is written at once.
+func (c *connection) OnDrained() {}
+
+// OnData takes a piece of the request head. Bytes behind the head are no request of this connection.
+func (c *connection) OnData(piece []byte) {
+	if c.finished {
+		return
+	}
+	from := max(0, len(c.head)-3) // the end of the head may lie across two pieces
+	c.head = append(c.head, piece[:min(len(piece), maxHead+1-len(c.head))]...)
+	// Empty lines before a request mean nothing (RFC 9112, section 2.2).
+	for len(c.head) > 0 && (c.head[0] == '\r' || c.head[0] == '\n') {
+		c.head = c.head[1:]
+		from = 0
+	}
+	end := headEnd(c.head, from)
+	switch {
+	case end < 0 && len(c.head) > maxHead, bytes.Count(c.head, []byte("\n")) > maxLines:
+		c.respond(response{
+			status: http.StatusRequestHeaderFieldsTooLarge,
+			body: text(fmt.Sprintf(
+				"the head is too large: at most %d bytes in %d lines are read\n", maxHead, maxLines)),
+		})
+	case end >= 0:
+		c.respond(c.server.serve(c.head[:end]))
+	}
+}
+
+// headEnd returns the length of the request head with its empty line, which has a CR or not; -1: there is no end. The
+// search starts at from.
+func headEnd(head []byte, from int) int {
+	for i := from; i < len(head); i++ {
+		if head[i] != '\n' {
+			continue
+		}
+		rest := head[i+1:]
+		switch {
+		case bytes.HasPrefix(rest, []byte("\n")):
+			return i + 2
+		case bytes.HasPrefix(rest, []byte("\r\n")):
+			return i + 3
+		}
+	}
+	return -1
+}
+
+// respond writes the one response and ends the connection. The loop discards what still comes for a moment, so that
+// the client sees an end and no reset.
+func (c *connection) respond(answer response) {
+	if c.finished {
+		return
+	}
+	c.finish()
+	c.conn.Write(c.server.encode(answer))
+	c.conn.End()
+	c.server.addClosing(c.conn)
+}
+
+// encode writes a response into the server's buffer, which holds until the next call.
+func (s *Server) encode(answer response) []byte {
+	s.body = answer.body(s.body[:0])
+	out := append(s.out[:0], "HTTP/1.1 "...)
+	out = strconv.AppendInt(out, int64(answer.status), 10)
+	out = append(out, ' ')
+	out = append(out, http.StatusText(answer.status)...)
+	if answer.allow != "" {
+		out = append(out, "\r\nAllow: "...)
+		out = append(out, answer.allow...)
+	}
+	out = append(out, "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\nContent-Length: "...)
+	out = strconv.AppendInt(out, int64(len(s.body)), 10)
+	out = append(out, "\r\n\r\n"...)
+	s.out = append(out, s.body...)
+	return s.out
+}
+
+// addClosing keeps an answered connection until its end; the oldest beyond maxClosing is aborted.
+func (s *Server) addClosing(conn *loop.Conn) {
+	s.closing = append(s.closing, conn)
+	if len(s.closing) > maxClosing {
+		s.closing[0].Abort() // does nothing where it has ended
+		s.closing = append(s.closing[:0], s.closing[1:]...)
+	}
+}
+
+// finish takes the connection off the pending ones.
+func (c *connection) finish() {
+	c.finished = true
+	c.head = nil
+	c.server.pending.Remove(c.place)
+	c.stopTimer()
+}
+
+// OnEnd forgets a connection that ends without a request; one whose client only ended its sending has no request
+// either.
+func (c *connection) OnEnd(err error) {
+	if c.finished {
+		return
+	}
+	if errors.Is(err, io.EOF) && len(c.head) > 0 {
+		c.respond(response{
+			status: http.StatusBadRequest,
+			body:   text("the head ends before its empty line\n"),
+		})
+		return
+	}
+	c.finish()
+	c.conn.End()
+}
