--- a/internal/transport/tls/keys.go
+++ b/internal/transport/tls/keys.go
@@ -12,96 +12,118 @@
 	"time"
 )
 
-// Warn is how long before its end a certificate is told of.
-const Warn = 14 * 24 * time.Hour
+// ExpiryWarning is how long before its expiry a certificate is reported.
+const ExpiryWarning = 14 * 24 * time.Hour
 
-// Pair names the files of a certificate with its chain, and of its key.
+var (
+	errNoCertificate = errors.New("no certificate is configured")
+	errNoAuthority   = errors.New("no PEM certificate in the file")
+)
+
+// Pair names the files of a certificate with its chain, and of its private key.
 type Pair struct{ Cert, Key string }
 
-// Keys are the certificates in force. Handshakes read them while the loop changes them.
-type Keys struct{ now atomic.Pointer[Set] }
+// Keys are the certificates in force. Handshakes may read them while the event loop replaces them.
+type Keys struct{ current atomic.Pointer[Set] }
 
-// Set is some certificates, read and checked together.
+// Set is a number of certificates that were read and checked together.
 type Set struct {
-	certs   []tls.Certificate
-	files   []string
-	clients *x509.CertPool
-	configs sync.Map // by the protocols' names: one a set, so that tickets of its sessions hold
+	certificates      []tls.Certificate
+	files             []string // of the certificates, in the same order
+	clientAuthorities *x509.CertPool
+	// configs has one *tls.Config a list of protocols, which is the key. A set keeps its configurations, as a session
+	// ticket is valid only with the configuration that issued it.
+	configs sync.Map
 }
 
-// Read reads certificates, and the authorities of clients' certificates where a file is named. One fault has none of it taken.
+// Read reads certificates and, where a file is named, the authorities that sign clients' certificates. If any of them
+// is faulty, none is accepted.
 func Read(pairs []Pair, clientAuthorities string) (*Set, error) {
-	s := &Set{}
-	for _, p := range pairs {
-		c, err := tls.LoadX509KeyPair(p.Cert, p.Key)
+	set := &Set{}
+	for _, pair := range pairs {
+		certificate, err := tls.LoadX509KeyPair(pair.Cert, pair.Key)
 		if err != nil {
-			return nil, fmt.Errorf("certificate %s with key %s: %w", p.Cert, p.Key, err)
+			return nil, fmt.Errorf("certificate %s with key %s: %w", pair.Cert, pair.Key, err)
 		}
-		s.certs, s.files = append(s.certs, c), append(s.files, p.Cert)
+		set.certificates = append(set.certificates, certificate)
+		set.files = append(set.files, pair.Cert)
 	}
-	if clientAuthorities != "" {
-		raw, err := os.ReadFile(clientAuthorities)
-		if err != nil {
-			return nil, fmt.Errorf("authorities of clients: %w", err)
-		}
-		if s.clients = x509.NewCertPool(); !s.clients.AppendCertsFromPEM(raw) {
-			return nil, fmt.Errorf("authorities of clients %s: no certificate in it", clientAuthorities)
-		}
+	if clientAuthorities == "" {
+		return set, nil
+	}
+	pem, err := os.ReadFile(clientAuthorities)
+	if err != nil {
+		return nil, fmt.Errorf("read client authorities: %w", err)
 	}
-	return s, nil
+	set.clientAuthorities = x509.NewCertPool()
+	if !set.clientAuthorities.AppendCertsFromPEM(pem) {
+		return nil, fmt.Errorf("read client authorities %s: %w", clientAuthorities, errNoAuthority)
+	}
+	return set, nil
 }
 
-// Use has new handshakes use a set.
-func (k *Keys) Use(s *Set) { k.now.Store(s) }
+// Use makes later handshakes use a set. Connections that are up stay as they are.
+func (k *Keys) Use(set *Set) { k.current.Store(set) }
 
-// Expiry is a certificate that ends soon, or has ended.
+// Expiry is a certificate that expires soon, or has expired.
 type Expiry struct {
 	File  string
-	Names []string
+	Names []string // DNS names
 	At    time.Time
 }
 
-// Ending are the certificates in force that end within Warn.
-func (k *Keys) Ending(now time.Time) (all []Expiry) {
-	s := k.now.Load()
-	if s == nil {
+// Ending lists the certificates in force that expire within ExpiryWarning.
+func (k *Keys) Ending(now time.Time) []Expiry {
+	set := k.current.Load()
+	if set == nil {
 		return nil
 	}
-	for i, c := range s.certs {
-		if leaf := c.Leaf; leaf != nil && leaf.NotAfter.Sub(now) < Warn {
-			all = append(all, Expiry{s.files[i], leaf.DNSNames, leaf.NotAfter})
+	var expiries []Expiry
+	for i, certificate := range set.certificates {
+		leaf := certificate.Leaf
+		if leaf != nil && leaf.NotAfter.Sub(now) < ExpiryWarning {
+			expiries = append(expiries, Expiry{File: set.files[i], Names: leaf.DNSNames, At: leaf.NotAfter})
 		}
 	}
-	return all
+	return expiries
 }
 
-// Config is for handshakes by these keys, as they are when each begins. protocols are for ALPN; none: whatever the client asks for.
+// Config returns a configuration for handshakes, each of which uses the set in force when it begins. The protocols are
+// offered by ALPN; without any, what the client asks for is ignored.
 func (k *Keys) Config(protocols ...string) *tls.Config {
-	name := strings.Join(protocols, " ")
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		s := k.now.Load()
-		if s == nil || len(s.certs) == 0 {
-			return nil, errors.New("no certificate")
+	configOfSet := func(*tls.ClientHelloInfo) (*tls.Config, error) {
+		set := k.current.Load()
+		if set == nil || len(set.certificates) == 0 {
+			return nil, errNoCertificate
 		}
-		if c, ok := s.configs.Load(name); ok {
-			return c.(*tls.Config), nil
-		}
-		c := &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: protocols, GetCertificate: s.pick}
-		if s.clients != nil {
-			c.ClientAuth, c.ClientCAs = tls.VerifyClientCertIfGiven, s.clients
-		}
-		kept, _ := s.configs.LoadOrStore(name, c)
-		return kept.(*tls.Config), nil
-	}}
+		return set.config(protocols), nil
+	}
+	return &tls.Config{MinVersion: tls.VersionTLS12, GetConfigForClient: configOfSet}
+}
+
+// config returns the set's configuration for a list of protocols. It is safe for concurrent use.
+func (s *Set) config(protocols []string) *tls.Config {
+	name := strings.Join(protocols, " ")
+	if cached, ok := s.configs.Load(name); ok {
+		return cached.(*tls.Config) //nolint:forcetypeassert // only this method stores in configs
+	}
+	config := &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: protocols, GetCertificate: s.pick}
+	if s.clientAuthorities != nil {
+		config.ClientAuth = tls.VerifyClientCertIfGiven
+		config.ClientCAs = s.clientAuthorities
+	}
+	cached, _ := s.configs.LoadOrStore(name, config)
+	return cached.(*tls.Config) //nolint:forcetypeassert // only this method stores in configs
 }
 
-// pick is the first certificate for the name that the client asks for and that it can use; else the first that it can use.
+// pick returns the first certificate that has the name in the client's hello and suits the client. Where there is none,
+// it returns the first of the set.
 func (s *Set) pick(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
 	hello.ServerName = strings.TrimSuffix(hello.ServerName, ".")
-	for i := range s.certs {
-		if hello.SupportsCertificate(&s.certs[i]) == nil {
-			return &s.certs[i], nil
+	for i := range s.certificates {
+		if hello.SupportsCertificate(&s.certificates[i]) == nil {
+			return &s.certificates[i], nil
 		}
 	}
-	return &s.certs[0], nil
+	return &s.certificates[0], nil
 }
