--- a/internal/policy/change.go
+++ b/internal/policy/change.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"unicode/utf8"
 )
 
 // reasonAccepted is the reason in the outcome of each change that was committed.
@@ -84,12 +85,24 @@
 func (s *State) endChange(accepted bool, reason string) *State {
 	next := s.clone()
 	next.Ended = newest(append(next.Ended, ChangeOutcome{
-		ID: s.Change.ID, Number: s.Change.Number, Accepted: accepted, Reason: reason[:min(len(reason), maxReason)],
+		ID: s.Change.ID, Number: s.Change.Number, Accepted: accepted, Reason: TruncateReason(reason, maxReason),
 	}), maxOutcomes)
 	next.Change = nil
 	return next
 }
 
+// TruncateReason is the beginning of a reason, limit bytes at most, without half a character at its end: neither the
+// form on the log nor a message between nodes could be decoded with one.
+func TruncateReason(text string, limit int) string {
+	if len(text) <= limit {
+		return text
+	}
+	for limit > 0 && !utf8.RuneStart(text[limit]) {
+		limit--
+	}
+	return text[:limit]
+}
+
 // acceptsBase says whether one more base policy can be remembered. If not, members that may still serve by the older
 // ones were not heard of since.
 func (s *State) acceptsBase(base BasePolicy) bool {
--- a/internal/policy/state_test.go
+++ b/internal/policy/state_test.go
@@ -112,6 +112,24 @@
 	}
 }
 
+// TestAbortReasonIsCutBetweenCharacters holds that a long reason with characters of several bytes leaves a state that
+// nodes can read: the form on the log has no text with half a character.
+func TestAbortReasonIsCutBetweenCharacters(t *testing.T) {
+	for before := maxReason - 3; before <= maxReason; before++ {
+		reason := strings.Repeat("w", before) + "\u0103\u20ac and more"
+		aborted := goldenState().Abort(reason)
+		decoded, err := Decode(aborted.Encode())
+		if err != nil {
+			t.Errorf("a reason with %d bytes before its first wide character: %v, wanted a state", before, err)
+			continue
+		}
+		got := decoded.Ended[len(decoded.Ended)-1].Reason
+		if !strings.HasPrefix(reason, got) || len(got) > maxReason || len(got) < maxReason-3 {
+			t.Errorf("the reason is cut to %d bytes: %q, wanted its first %d at most", len(got), got, maxReason)
+		}
+	}
+}
+
 // TestInvalidProposals holds that what no fleet can accept is told apart from what another state could accept.
 func TestInvalidProposals(t *testing.T) {
 	document := validDocument()
