--- a/internal/platform/cluster/outage_test.go
+++ b/internal/platform/cluster/outage_test.go
@@ -183,7 +183,7 @@
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			known := &List{Version: 41, Full: true, Servers: []entry{{ID: "s-1", Addr: "127.0.0.1:9", State: "SERVING"}}}
-			if took := newOutage(t, how).play(known, 0, 1); took > 2*usual.body {
+			if took := newOutage(t, how).play(known, 0, 1); took > 2*defaultTiming.bodyTimeout {
 				t.Errorf("told after %v", took)
 			}
 		})
@@ -195,15 +195,15 @@
 	var version atomic.Int64
 	d := listen(t, &version)
 	d.silent.Store(true)
-	p := usual
-	p.wait, p.spread, p.answer = 20*time.Millisecond, time.Millisecond, 20*time.Millisecond
-	p.lostWait, p.lostAnswer = p.wait, p.answer
+	p := defaultTiming
+	p.pollWait, p.pollWaitJitter, p.answerTimeout = 20*time.Millisecond, time.Millisecond, 20*time.Millisecond
+	p.recoveryWait, p.recoveryAnswerTimeout = p.pollWait, p.answerTimeout
 	follow(t, d.addr, &List{Version: 7}, Way{}, p)
 	next(t, d.calls)
 	next(t, d.calls)
 	second := time.Now()
 	next(t, d.calls)
-	if after := time.Since(second); after < p.firstPause/2 {
+	if after := time.Since(second); after < p.initialBackoff/2 {
 		t.Errorf("asked again after %v", after)
 	}
 }
@@ -213,17 +213,17 @@
 	const spare = time.Second // for the call that brings the news
 	for seed := range uint64(50) {
 		w := New(nil, "", nil, Way{Grace: 3 * time.Second}, seed, nil)
-		w.lost = true
-		for w.fails = 1; w.fails < 100; w.fails++ {
-			pause := w.pauseAfterFailure()
-			wait, answer := w.times()
-			for _, call := range []time.Duration{connectTime, w.listWithin(), wait + answer} {
+		w.recovering = true
+		for w.failures = 1; w.failures < 100; w.failures++ {
+			pause := w.backoff()
+			wait, answer := w.pollTimes()
+			for _, call := range []time.Duration{connectTimeout, w.listTimeout(), wait + answer} {
 				if call+pause+spare > toldAfterOutage {
-					t.Fatalf("after %d failures a call of %v and a pause of %v", w.fails, call, pause)
+					t.Fatalf("after %d failures a call of %v and a pause of %v", w.failures, call, pause)
 				}
 			}
-			if least := usual.firstPause / 2; pause < least || w.fails == 1 && pause > usual.firstPause {
-				t.Fatalf("after %d failures a pause of %v", w.fails, pause)
+			if least := defaultTiming.initialBackoff / 2; pause < least || w.failures == 1 && pause > defaultTiming.initialBackoff {
+				t.Fatalf("after %d failures a pause of %v", w.failures, pause)
 			}
 		}
 	}
--- a/internal/platform/cluster/response.go
+++ b/internal/platform/cluster/response.go
@@ -9,63 +9,65 @@
 )
 
 const (
-	mostHead = 16 << 10
-	mostBody = 4 << 20
+	maxHeadBytes = 16 << 10
+	maxBodyBytes = 4 << 20
 )
 
 // response is an HTTP/1.1 answer, read piece by piece.
 type response struct {
-	status  int
-	close   bool
-	body    []byte
-	part    []byte
-	headed  bool
-	seen    int
-	length  int // of the body; -1: to the end of the connection
-	chunked bool
-	chunk   int // left of the present chunk, its CRLF included; 0: a size line is next
-	trailer bool
+	status       int
+	close        bool
+	body         []byte
+	unparsed     []byte
+	headComplete bool
+	received     int
+	length       int // of the body; -1: to the end of the connection
+	chunked      bool
+	chunkLeft    int // left of the present chunk, its CRLF included; 0: a size line is next
+	inTrailer    bool
 }
 
-func (r *response) begun() bool { return r.seen > 0 }
+func (r *response) begun() bool { return r.received > 0 }
 
 // bodyBegun reports whether something of the body has come.
-func (r *response) bodyBegun() bool { return r.headed && (len(r.body) > 0 || len(r.part) > 0) }
+func (r *response) bodyBegun() bool {
+	return r.headComplete && (len(r.body) > 0 || len(r.unparsed) > 0)
+}
 
 // endsAnswer reports whether the end of the connection is the end of the answer.
-func (r *response) endsAnswer() bool { return r.headed && !r.chunked && r.length < 0 }
+func (r *response) endsAnswer() bool { return r.headComplete && !r.chunked && r.length < 0 }
 
 // feed takes a piece and reports whether the answer is complete.
 func (r *response) feed(p []byte) (bool, error) {
-	r.seen += len(p)
-	r.part = append(r.part, p...)
-	for !r.headed {
-		i := bytes.Index(r.part, []byte("\r\n\r\n"))
+	r.received += len(p)
+	r.unparsed = append(r.unparsed, p...)
+	for !r.headComplete {
+		i := bytes.Index(r.unparsed, []byte("\r\n\r\n"))
 		if i < 0 {
-			if len(r.part) > mostHead {
+			if len(r.unparsed) > maxHeadBytes {
 				return false, errors.New("answer head too long")
 			}
 			return false, nil
 		}
-		if err := r.head(string(r.part[:i])); err != nil {
+		if err := r.parseHead(string(r.unparsed[:i])); err != nil {
 			return false, err
 		}
-		r.part = r.part[i+4:]
+		r.unparsed = r.unparsed[i+4:]
 	}
 	switch {
 	case r.chunked:
 		return r.feedChunks()
 	case r.length < 0:
-		r.body, r.part = append(r.body, r.part...), r.part[:0]
+		r.body, r.unparsed = append(r.body, r.unparsed...), r.unparsed[:0]
 	default:
-		n := min(len(r.part), r.length-len(r.body))
-		r.body, r.part = append(r.body, r.part[:n]...), r.part[n:]
+		n := min(len(r.unparsed), r.length-len(r.body))
+		r.body, r.unparsed = append(r.body, r.unparsed[:n]...), r.unparsed[n:]
 	}
-	if len(r.body) > mostBody {
+	if len(r.body) > maxBodyBytes {
 		return false, errors.New("answer too long")
 	}
 	if r.length >= 0 && len(r.body) == r.length {
-		if len(r.part) > 0 {
+		if len(r.unparsed) > 0 {
 			return false, errors.New("bytes after the answer")
 		}
 		return true, nil
@@ -73,7 +75,7 @@
 	return false, nil
 }
 
-func (r *response) head(h string) error {
+func (r *response) parseHead(h string) error {
 	lines := strings.Split(h, "\r\n")
 	proto, rest, _ := strings.Cut(lines[0], " ")
 	code, _, _ := strings.Cut(rest, " ")
@@ -91,7 +93,7 @@
 		switch strings.ToLower(name) {
 		case "content-length":
 			n, err := strconv.Atoi(value)
-			if err != nil || n < 0 || n > mostBody {
+			if err != nil || n < 0 || n > maxBodyBytes {
 				return fmt.Errorf("bad Content-Length %q", value)
 			}
 			r.length = n
@@ -112,34 +114,34 @@
 	case status == 204 || status == 304:
 		r.length = 0
 	}
-	r.status, r.headed = status, true
+	r.status, r.headComplete = status, true
 	return nil
 }
 
 func (r *response) feedChunks() (bool, error) {
 	for {
-		if r.chunk > 0 {
-			n := min(r.chunk, len(r.part))
-			keep := min(n, max(0, r.chunk-2))
-			r.body = append(r.body, r.part[:keep]...)
-			r.part, r.chunk = r.part[n:], r.chunk-n
-			if len(r.body) > mostBody {
+		if r.chunkLeft > 0 {
+			n := min(r.chunkLeft, len(r.unparsed))
+			keep := min(n, max(0, r.chunkLeft-2))
+			r.body = append(r.body, r.unparsed[:keep]...)
+			r.unparsed, r.chunkLeft = r.unparsed[n:], r.chunkLeft-n
+			if len(r.body) > maxBodyBytes {
 				return false, errors.New("answer too long")
 			}
-			if r.chunk > 0 {
+			if r.chunkLeft > 0 {
 				return false, nil
 			}
 		}
-		i := bytes.Index(r.part, []byte("\r\n"))
+		i := bytes.Index(r.unparsed, []byte("\r\n"))
 		if i < 0 {
-			if len(r.part) > mostHead {
+			if len(r.unparsed) > maxHeadBytes {
 				return false, errors.New("chunk size line too long")
 			}
 			return false, nil
 		}
-		l := string(r.part[:i])
-		r.part = r.part[i+2:]
-		if r.trailer {
+		l := string(r.unparsed[:i])
+		r.unparsed = r.unparsed[i+2:]
+		if r.inTrailer {
 			if l == "" {
 				return true, nil
 			}
@@ -147,13 +149,13 @@
 		}
 		size, _, _ := strings.Cut(l, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil || n > mostBody {
+		if err != nil || n > maxBodyBytes {
 			return false, fmt.Errorf("bad chunk size %q", size)
 		}
 		if n == 0 {
-			r.trailer = true
+			r.inTrailer = true
 			continue
 		}
-		r.chunk = int(n) + 2
+		r.chunkLeft = int(n) + 2
 	}
 }
--- a/internal/platform/cluster/watch_test.go
+++ b/internal/platform/cluster/watch_test.go
@@ -72,14 +72,14 @@
 }
 
 // follow runs a watch until the test ends; news has the kinds that it tells.
-func follow(t *testing.T, addr string, known *List, way Way, p pace) (w *Watch, news chan choice.ListKind) {
+func follow(t *testing.T, addr string, known *List, way Way, p timing) (w *Watch, news chan choice.ListKind) {
 	l, err := loop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	news = make(chan choice.ListKind, 1024)
 	w = New(l, addr, known, way, 1, func(k choice.ListKind, _ []edge.ServerEntry) { news <- k })
-	w.pace = p
+	w.timing = p
 	l.At(l.Now(), w.Follow)
 	done := make(chan struct{})
 	go func() {
@@ -110,8 +110,8 @@
 	var version atomic.Int64
 	d := listen(t, &version)
 	d.silent.Store(true)
-	p := usual
-	p.wait, p.spread, p.answer = 20*time.Millisecond, time.Millisecond, 20*time.Millisecond
+	p := defaultTiming
+	p.pollWait, p.pollWaitJitter, p.answerTimeout = 20*time.Millisecond, time.Millisecond, 20*time.Millisecond
 	_, news := follow(t, d.addr, &List{Version: 7}, Way{}, p)
 	seen := map[int]bool{} // on a machine that is busy one may come up too late for a call, and calls are told in no order
 	for range 3 {
@@ -134,7 +134,7 @@
 	var version atomic.Int64
 	d := listen(t, &version)
 	d.cut.Store(true)
-	_, news := follow(t, d.addr, &List{Version: 7}, Way{}, usual)
+	_, news := follow(t, d.addr, &List{Version: 7}, Way{}, defaultTiming)
 	if k := next(t, news); k != choice.ListUnavailable {
 		t.Error("news of a failed call", k)
 	}
@@ -148,7 +148,7 @@
 	var version atomic.Int64
 	d := listen(t, &version)
 	d.silent.Store(true)
-	_, news := follow(t, d.addr, &List{Version: 7}, Way{Pushed: true}, usual)
+	_, news := follow(t, d.addr, &List{Version: 7}, Way{Pushed: true}, defaultTiming)
 	if a, b := next(t, d.calls), next(t, d.calls); !strings.HasSuffix(a, "wait_ms=1000") || !strings.HasSuffix(b, "wait_ms=100") {
 		t.Error("first calls", a, b)
 	}
@@ -172,10 +172,10 @@
 		waits := map[time.Duration]bool{}
 		for seed := range uint64(50) {
 			w := New(nil, "", nil, Way{Grace: grace}, seed, nil)
-			wait, answer := w.times()
+			wait, answer := w.pollTimes()
 			waits[wait] = true
 			// After SIGHUP, with a first call that hangs and the longest of the module's first pauses.
-			if list := w.listWithin(); list > listTime || list+750*time.Millisecond > 4*time.Second+max(grace, 500*time.Millisecond) {
+			if list := w.listTimeout(); list > maxListTimeout || list+750*time.Millisecond > 4*time.Second+max(grace, 500*time.Millisecond) {
 				t.Errorf("grace %v: %v for a list", grace, list)
 			}
 			if wait > 10*time.Second || wait < 8*time.Second || answer > 1500*time.Millisecond || answer > grace+500*time.Millisecond {
@@ -198,7 +198,7 @@
 	}
 	gone.Close()
 	d := listen(t, &version)
-	w, news := follow(t, gone.Addr().String(), nil, Way{Pushed: true}, usual)
+	w, news := follow(t, gone.Addr().String(), nil, Way{Pushed: true}, defaultTiming)
 	w.loop.Post(func() { w.Move(d.addr) })
 	if c := next(t, d.calls); c != "1 /v1/servers" {
 		t.Error("the first call to the new address is", c)
@@ -226,7 +226,7 @@
 			for range times {
 				d.spoilt <- s
 			}
-			_, news := follow(t, d.addr, &List{Version: 7}, Way{}, usual)
+			_, news := follow(t, d.addr, &List{Version: 7}, Way{}, defaultTiming)
 			want := map[int]choice.ListKind{1: choice.ListChange, 2: choice.ListUnavailable}[times]
 			if k := next(t, news); k != want || len(d.calls) < 2 {
 				t.Errorf("%s, %d times: news %v after %d calls, want %v", name, times, k, len(d.calls), want)
@@ -241,7 +241,7 @@
 	var version atomic.Int64
 	version.Store(3)
 	d := listen(t, &version)
-	_, news := follow(t, d.addr, &List{Version: 7}, Way{}, usual)
+	_, news := follow(t, d.addr, &List{Version: 7}, Way{}, defaultTiming)
 	next(t, news)
 	if a, b, c := next(t, d.calls), next(t, d.calls), next(t, d.calls); !strings.Contains(a, "after=7&") || b != "1 /v1/servers" || !strings.Contains(c, "after=3&") {
 		t.Error("calls", a, b, c)
@@ -275,8 +275,8 @@
 			}()
 		}
 	}()
-	p := usual
-	p.wait, p.spread, p.answer = 20*time.Millisecond, time.Millisecond, 20*time.Millisecond
+	p := defaultTiming
+	p.pollWait, p.pollWaitJitter, p.answerTimeout = 20*time.Millisecond, time.Millisecond, 20*time.Millisecond
 	follow(t, l.Addr().String(), &List{Version: 7}, Way{}, p)
 	seen := map[int]bool{}
 	for range 3 {
--- a/internal/platform/downstream/crossing_test.go
+++ b/internal/platform/downstream/race_test.go
@@ -150,10 +150,10 @@
 // atDial runs fn on the loop when the session has dialled its next host, before the loop knows that the connection is up.
 func (x *crossing) atDial(s *session, fn func()) {
 	x.on(func() {
-		last := s.host
+		last := s.server
 		x.l.After(func() {
-			if s.host != last {
-				last = s.host
+			if s.server != last {
+				last = s.server
 				fn()
 			}
 		})
@@ -201,7 +201,7 @@
 		x.on(func() {
 			fmt.Fprint(c, opening+"\r\n")
 			x.lies(c)
-			s.late()
+			s.onFirstLineTimeout()
 		})
 		fmt.Fprint(x.accept(), "UP 1\r\n")
 		x.gets(c, "UP 1")
--- /dev/null
+++ b/internal/platform/downstream/transfer.go
@@ -0,0 +1,174 @@
+package downstream
+
+import (
+	"errors"
+	"fmt"
+
+	"spurwinch/internal/edge"
+	"spurwinch/internal/loop"
+	"spurwinch/internal/platform/line"
+	"spurwinch/internal/platform/upstream"
+	"spurwinch/internal/trace"
+)
+
+// What is wrong with a connection that another process transfers.
+var (
+	errClientState = errors.New("the state of a client's side is out of range")
+	errMissingSide = errors.New("the connection's state and its front's differ in whether it is established")
+)
+
+// ConnectionState is what the front knows of a client's connection besides its sockets, as one process of a node
+// transfers it to another. An established connection has a server's side; any other has sent no request yet.
+type ConnectionState struct {
+	Conn   loop.ConnectionState      `cbor:"1,keyasint"`
+	Behind int                       `cbor:"2,keyasint,omitempty"` // bytes of the server's unfinished line
+	Server *upstream.ConnectionState `cbor:"3,keyasint,omitempty"`
+	Line   []byte                    `cbor:"4,keyasint,omitempty"` // the start of the client's first line
+	Pinged bool                      `cbor:"5,keyasint,omitempty"`
+	// Until is the Unix time in nanoseconds by which that line must be there, for releases without Left.
+	Until int64 `cbor:"6,keyasint,omitempty"`
+	Left  int64 `cbor:"7,keyasint,omitempty"` // nanoseconds until then
+}
+
+// check says what is wrong with the state of a connection that came with a number of sockets.
+func (s ConnectionState) check(sockets int) error {
+	expected := 1
+	if s.Server != nil {
+		if err := s.Server.Check(); err != nil {
+			return err
+		}
+		expected = 2
+	}
+	switch {
+	case sockets != expected:
+		return fmt.Errorf("%d sockets of a connection that has %d", sockets, expected)
+	case s.Behind < 0 || s.Behind > line.Max || len(s.Line) > line.Max:
+		return errClientState
+	}
+	return nil
+}
+
+// Detach takes both sides of an established connection off the loop. One that is about to be migrated stays.
+func (s *session) Detach() (fds []int, state any, ok bool) {
+	if s.closed || !s.established || s.migrating {
+		return nil, nil, false
+	}
+	clientFD, clientState, ok := s.conn.Detach()
+	if !ok {
+		return nil, nil, false
+	}
+	serverFD, serverState, ok := s.server.Detach()
+	if !ok {
+		s.conn.Reattach()
+		return nil, nil, false
+	}
+	transferred := ConnectionState{Conn: clientState, Behind: s.serverLines.Partial(), Server: &serverState}
+	return []int{clientFD, serverFD}, transferred, true
+}
+
+// Reattach has a detached connection go on.
+func (s *session) Reattach() {
+	s.conn.Reattach()
+	if s.server != nil {
+		s.server.Reattach()
+	}
+}
+
+// Release lets go of a detached connection that another process has.
+func (s *session) Release() {
+	s.front.core.ClosedUnasked(trace.HandedOver)
+	s.markClosed()
+	s.conn.Release()
+	if s.server != nil {
+		s.server.Release()
+	}
+}
+
+// Hold checks a connection of another process whole and returns what has it go on here. read decodes what the other
+// process's front encoded.
+func (f *Front) Hold(
+	core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int,
+) (restore func(), err error) {
+	var state ConnectionState
+	if err := read(&state); err != nil {
+		return nil, fmt.Errorf("decode a platform connection: %w", err)
+	}
+	if err := state.check(len(fds)); err != nil {
+		return nil, err
+	}
+	if (open != nil) != (state.Server != nil) {
+		return nil, errMissingSide
+	}
+	if open == nil {
+		return func() { f.restoreIdle(state, fds[0]) }, nil
+	}
+	return func() { f.restore(core, *open, state, fds) }, nil
+}
+
+// restore goes on with an established connection of another process.
+func (f *Front) restore(core *edge.Core, open edge.ConnectionState, state ConnectionState, fds []int) {
+	s := &session{front: f, established: true, serverLines: line.NewScanner(state.Behind)}
+	request, attempt := core.Adopt(open, s)
+	s.request = request
+	s.server = f.upstream.Restore(attempt, fds[1], *state.Server, s)
+	attempt.Resume(s.server)
+	s.conn = f.loop.Restore(fds[0], state.Conn, s)
+	// Each side is read again unless bytes for the other one still wait to be written.
+	if len(state.Conn.Out) == 0 {
+		s.server.Resume()
+	}
+	if len(state.Server.Conn.Out) == 0 {
+		s.conn.Resume()
+	}
+}
+
+// Idle is a connection that has sent no request yet.
+type Idle struct{ session *session }
+
+// Idle are the connections that have sent no request yet, the oldest first.
+func (f *Front) Idle() (all []Idle) {
+	f.loop.EachIdle(func(handler loop.Handler) {
+		if s, ok := handler.(*session); ok && s.front == f && !s.closed && s.request == nil {
+			all = append(all, Idle{s})
+		}
+	})
+	return all
+}
+
+// Detach takes the connection off the loop.
+func (i Idle) Detach() (fds []int, state any, ok bool) {
+	s := i.session
+	if s.closed || s.request != nil {
+		return nil, nil, false
+	}
+	fd, conn, ok := s.conn.Detach()
+	if !ok {
+		return nil, nil, false
+	}
+	s.cancelTimer()
+	transferred := ConnectionState{
+		Conn:   conn,
+		Line:   s.firstLineReader.Partial(),
+		Pinged: s.pinged,
+		Until:  s.firstLineDeadline.UnixNano(),
+		Left:   loop.TimeLeft(s.front.loop.Now(), s.firstLineDeadline),
+	}
+	return []int{fd}, transferred, true
+}
+
+// Reattach has a detached connection go on.
+func (i Idle) Reattach() {
+	i.session.Reattach()
+	i.session.awaitFirstLine(i.session.firstLineDeadline)
+}
+
+// Release lets go of a detached connection that another process has.
+func (i Idle) Release() { i.session.Release() }
+
+// restoreIdle goes on with a connection of another process that has sent no request yet.
+func (f *Front) restoreIdle(state ConnectionState, fd int) {
+	s := &session{front: f, firstLineReader: line.NewReader(state.Line), pinged: state.Pinged}
+	s.conn = f.loop.Restore(fd, state.Conn, s)
+	s.conn.EnterIdleQueue()
+	s.awaitFirstLine(loop.TimeFromLeft(f.loop.Now(), state.Left, state.Until, firstLineTimeout))
+}
--- a/internal/platform/downstream/carryclock_test.go
+++ b/internal/platform/downstream/transfer_clock_test.go
@@ -31,7 +31,7 @@
 		})
 		began := time.Now()
 		x.gets(c, "ERR")
-		if took := time.Since(began); took < openTime/2 {
+		if took := time.Since(began); took < firstLineTimeout/2 {
 			t.Errorf("%v ahead: ended after %v", ahead, took)
 		}
 	}
--- a/internal/platform/line/line.go
+++ b/internal/platform/line/line.go
@@ -7,154 +7,166 @@
 	"slices"
 )
 
-// Max is the longest line, its CRLF included.
+// Max is the length of the longest line in bytes, its CRLF included.
 const Max = 4 << 10
 
-const mostFields = 32 // in a list of names and values; none has that many
+const (
+	maxFields          = 32 // in a list of names and values; none has that many
+	wordsBeforeTheList = 3  // in an OPEN line
+)
 
 // ErrTooLong says that a line runs past Max.
 var ErrTooLong = errors.New("line too long")
 
-// Reader puts lines together from pieces.
-type Reader struct{ part []byte }
+// Reader puts lines together from pieces. The zero Reader is at the start of a line.
+type Reader struct{ partial []byte }
+
+// NewReader goes on after the start of a line that another Reader returned as Partial.
+func NewReader(partial []byte) Reader { return Reader{partial} }
 
 // Next takes a piece and returns the first line in it, with its end, and what follows. The line is nil where the
-// piece holds no end; it is kept then. A line is valid until the next call, unless it came in pieces.
-func (r *Reader) Next(p []byte) (l, rest []byte, err error) {
-	i := bytes.IndexByte(p, '\n')
-	if i < 0 {
-		if len(r.part)+len(p) > Max {
+// piece holds no end; the piece is kept then. A line is valid until the next call, unless it came in pieces.
+func (r *Reader) Next(piece []byte) (text, rest []byte, err error) {
+	end := bytes.IndexByte(piece, '\n')
+	if end < 0 {
+		if len(r.partial)+len(piece) > Max {
 			return nil, nil, ErrTooLong
 		}
-		r.part = append(r.part, p...)
+		r.partial = append(r.partial, piece...)
 		return nil, nil, nil
 	}
-	l, rest = p[:i+1], p[i+1:]
-	if len(r.part) > 0 {
-		l = append(r.part, l...)
-		r.part = nil
+	text, rest = piece[:end+1], piece[end+1:]
+	if len(r.partial) > 0 {
+		text = append(r.partial, text...)
+		r.partial = nil
 	}
-	if len(l) > Max {
+	if len(text) > Max {
 		return nil, nil, ErrTooLong
 	}
-	return l, rest, nil
+	return text, rest, nil
 }
 
-// Mid reports whether the last byte seen is inside a line.
-func (r *Reader) Mid() bool { return len(r.part) > 0 }
-
-// Part is the start of a line that has not ended yet.
-func (r *Reader) Part() []byte { return r.part }
+// Mid reports whether the last byte read is inside a line.
+func (r *Reader) Mid() bool { return len(r.partial) > 0 }
 
-// NewReader goes on behind a Part.
-func NewReader(part []byte) Reader { return Reader{part} }
+// Partial is the start of a line that has not ended yet.
+func (r *Reader) Partial() []byte { return r.partial }
 
-// Scan calls fn for each line that ends in p and keeps the start of the next. It stops at a line that is too long.
-func (r *Reader) Scan(p []byte, fn func(l []byte)) error {
-	for len(p) > 0 {
-		l, rest, err := r.Next(p)
+// Scan calls fn for each line that ends in piece and keeps the start of the next. It stops at a line that is too long.
+func (r *Reader) Scan(piece []byte, fn func(text []byte)) error {
+	for len(piece) > 0 {
+		text, rest, err := r.Next(piece)
 		if err != nil {
 			return err
 		}
-		if l == nil {
+		if text == nil {
 			return nil
 		}
-		fn(l)
-		p = rest
+		fn(text)
+		piece = rest
 	}
 	return nil
 }
 
-// Scanner counts lines without keeping any.
-type Scanner struct{ part int }
+// Scanner counts lines without keeping any. The zero Scanner is at the start of a line.
+type Scanner struct{ partialBytes int }
 
-// Mid reports whether the last byte seen is inside a line.
-func (s *Scanner) Mid() bool { return s.part > 0 }
+// NewScanner goes on after the part of a line that another Scanner returned as Partial.
+func NewScanner(partialBytes int) Scanner { return Scanner{partialBytes} }
 
-// Part is how much of a line has come that has not ended yet.
-func (s *Scanner) Part() int { return s.part }
+// Mid reports whether the last byte read is inside a line.
+func (s *Scanner) Mid() bool { return s.partialBytes > 0 }
 
-// NewScanner goes on behind a Part.
-func NewScanner(part int) Scanner { return Scanner{part} }
+// Partial is the number of bytes of a line that has not ended yet.
+func (s *Scanner) Partial() int { return s.partialBytes }
 
-// Count calls fn for each line that ends in p. It stops at a line that is too long.
-func (s *Scanner) Count(p []byte, fn func()) error {
-	for len(p) > 0 {
-		i := bytes.IndexByte(p, '\n')
-		if s.part+max(i+1, 1) > Max || i < 0 && s.part+len(p) > Max {
+// Count calls fn for each line that ends in piece. It stops at a line that is too long.
+func (s *Scanner) Count(piece []byte, fn func()) error {
+	for len(piece) > 0 {
+		end := bytes.IndexByte(piece, '\n')
+		if s.partialBytes+max(end+1, 1) > Max || end < 0 && s.partialBytes+len(piece) > Max {
 			return ErrTooLong
 		}
-		if i < 0 {
-			s.part += len(p)
+		if end < 0 {
+			s.partialBytes += len(piece)
 			return nil
 		}
-		s.part = 0
+		s.partialBytes = 0
 		fn()
-		p = p[i+1:]
+		piece = piece[end+1:]
 	}
 	return nil
 }
 
-// Trim takes the end off a line.
-func Trim(l []byte) []byte { return bytes.TrimSuffix(bytes.TrimSuffix(l, []byte("\n")), []byte("\r")) }
+// Trim cuts the end off a line.
+func Trim(text []byte) []byte {
+	return bytes.TrimSuffix(bytes.TrimSuffix(text, []byte("\n")), []byte("\r"))
+}
 
 // Printable reports whether a line holds printable ASCII and blanks only.
-func Printable(l []byte) bool {
-	for _, b := range l {
-		if b < ' ' || b > '~' {
+func Printable(text []byte) bool {
+	for _, char := range text {
+		if char < ' ' || char > '~' {
 			return false
 		}
 	}
 	return true
 }
 
-// Find returns where the value of a name stands in "name=value,name=value"; from is -1 where it is absent.
+// Find returns where the value of a name stands in "name=value,name=value"; from is -1 where the name is absent.
 func Find(list []byte, name string) (from, to int) {
 	if name == "" {
 		return -1, -1
 	}
-	for at := 0; at < len(list); {
-		end := bytes.IndexByte(list[at:], ',')
-		if end < 0 {
-			end = len(list)
-			for end > at && (list[end-1] == '\n' || list[end-1] == '\r') {
-				end--
-			}
-		} else {
-			end += at
+	for start := 0; start < len(list); {
+		end := fieldEnd(list, start)
+		equals := bytes.IndexByte(list[start:end], '=')
+		if equals == len(name) && string(list[start:start+equals]) == name {
+			return start + equals + 1, end
 		}
-		if eq := bytes.IndexByte(list[at:end], '='); eq == len(name) && string(list[at:at+eq]) == name {
-			return at + eq + 1, end
-		}
-		at = end + 1
+		start = end + 1
 	}
 	return -1, -1
 }
 
-// Repeated returns a name that stands twice or without a value in "name=value,name=value", else nothing. Who reads the
-// first of two and who reads the last would take the same line for two different requests.
+// fieldEnd is where the field ends that begins at start: at the next comma, or before the end of the line.
+func fieldEnd(list []byte, start int) int {
+	if comma := bytes.IndexByte(list[start:], ','); comma >= 0 {
+		return start + comma
+	}
+	end := len(list)
+	for end > start && (list[end-1] == '\n' || list[end-1] == '\r') {
+		end--
+	}
+	return end
+}
+
+// Repeated returns a field whose name stands twice, or that has no value, in "name=value,name=value"; else nothing. A
+// reader of the first and a reader of the last of two would take the same line for two different requests.
 func Repeated(list []byte) string {
-	var seen [mostFields][]byte
-	n := 0
-	for f := range bytes.SplitSeq(list, []byte(",")) {
-		name, _, ok := bytes.Cut(f, []byte("="))
-		if !ok || n == mostFields || slices.ContainsFunc(seen[:n], func(o []byte) bool { return bytes.Equal(o, name) }) {
-			return string(f)
+	var names [maxFields][]byte
+	count := 0
+	for field := range bytes.SplitSeq(list, []byte(",")) {
+		name, _, hasValue := bytes.Cut(field, []byte("="))
+		known := func(other []byte) bool { return bytes.Equal(other, name) }
+		if !hasValue || count == maxFields || slices.ContainsFunc(names[:count], known) {
+			return string(field)
 		}
-		seen[n], n = name, n+1
+		names[count] = name
+		count++
 	}
 	return ""
 }
 
-// FieldsAt is where the list of an OPEN line starts: after its third blank.
-func FieldsAt(l []byte) int {
-	at := 0
-	for range 3 {
-		i := bytes.IndexByte(l[at:], ' ')
-		if i < 0 {
-			return len(l)
+// FieldsAt is where the list of fields of an OPEN line starts: after its third blank.
+func FieldsAt(text []byte) int {
+	start := 0
+	for range wordsBeforeTheList {
+		blank := bytes.IndexByte(text[start:], ' ')
+		if blank < 0 {
+			return len(text)
 		}
-		at += i + 1
+		start += blank + 1
 	}
-	return at
+	return start
 }
--- a/internal/platform/line/line_test.go
+++ b/internal/platform/line/line_test.go
@@ -17,8 +17,8 @@
 			}
 			p = p[n:]
 		}
-		if strings.Join(got, "|") != "a\r\n|\r\n|longer line\r\n" || string(r.part) != "rest" {
-			t.Errorf("pieces of %d: %q, then %q", size, got, r.part)
+		if strings.Join(got, "|") != "a\r\n|\r\n|longer line\r\n" || string(r.partial) != "rest" {
+			t.Errorf("pieces of %d: %q, then %q", size, got, r.partial)
 		}
 	}
 }
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/cluster_test.go
@@ -15,20 +15,20 @@
 		{"OPEN 1 2 d=2000\r\n", "OPEN 1 2 d=1\r\n", -time.Second},
 		{"OPEN d=9 2 c=a,x=d=7\r\n", "OPEN d=9 2 c=a,x=d=7\r\n", time.Second},
 	} {
-		if got := string(WithDeadline([]byte(c.in), c.left)); got != c.want {
+		if got := string(withDeadline([]byte(c.in), c.left)); got != c.want {
 			t.Errorf("%q becomes %q, want %q", c.in, got, c.want)
 		}
 	}
 }
 
 func TestReport(t *testing.T) {
-	c := &Cluster{fields: []string{"recent_ms", "utilization", "x0"}}
-	got := c.report([]byte("x0=1.5,util=0.25,more=3"))
+	c := &Cluster{reportFields: []string{"recent_ms", "utilization", "x0"}}
+	got := c.parseReport([]byte("x0=1.5,util=0.25,more=3"))
 	if len(got) != 3 || !math.IsNaN(got[0]) || got[1] != 0.25 || got[2] != 1.5 {
 		t.Error(got)
 	}
 	for _, bad := range []string{"", "nothing", "x0=,util=high", "x0=Inf", "x0=-1,util=NaN"} {
-		if got := c.report([]byte(bad)); got != nil {
+		if got := c.parseReport([]byte(bad)); got != nil {
 			t.Errorf("%q gives %v", bad, got)
 		}
 	}
--- /dev/null
+++ b/internal/platform/upstream/relay.go
@@ -0,0 +1,105 @@
+package upstream
+
+import (
+	"bytes"
+	"time"
+
+	"spurwinch/choice"
+	"spurwinch/internal/platform/line"
+
+	"go.uber.org/zap"
+)
+
+// relay forwards the server's bytes and takes from them what the core needs.
+func (r *Request) relay(data []byte) {
+	err := r.serverLines.Scan(data, r.onServerLine)
+	if err != nil && !r.closed {
+		zap.L().Warn("host_line_too_long", zap.String("host", string(r.attempt.Server.ID)))
+		r.markClosed()
+		r.conn.Abort()
+		r.attempt.Ended(choice.Reset, nil)
+		r.sink.ServerEnded(true)
+	}
+	if !r.closed {
+		r.sink.Forward(data)
+	}
+}
+
+// onServerLine takes a line of an established connection.
+func (r *Request) onServerLine(text []byte) {
+	r.lastClosingLine = noClosingLine
+	word, info, _ := bytes.Cut(line.Trim(text), []byte(" "))
+	switch string(word) {
+	case "LOAD":
+		if load, ok := parseLoad(info); ok {
+			r.attempt.UpdateLoad(load / loadUnit)
+		}
+		return
+	case "BYE":
+		r.lastClosingLine = closingBye
+	case "MOVE":
+		r.lastClosingLine = closingMove
+	}
+	// One line is timed at a time, and any of the server's ends it: a line that gets no reply must not make all later
+	// ones look late.
+	if !r.awaitingReplySince.IsZero() {
+		r.attempt.ObserveDelay(r.cluster.loop.Now().Sub(r.awaitingReplySince))
+		r.awaitingReplySince = time.Time{}
+	}
+}
+
+// Write forwards a client's bytes after UP. Nothing is forwarded of bytes with a line that is too long.
+func (r *Request) Write(data []byte) error {
+	if r.closed {
+		return nil
+	}
+	now := r.cluster.loop.Now()
+	err := r.clientLines.Count(data, func() {
+		if r.awaitingReplySince.IsZero() {
+			r.awaitingReplySince = now
+		}
+	})
+	if err != nil {
+		return err
+	}
+	r.conn.Write(data)
+	if !r.awaitingReplySince.IsZero() && r.stopReplyTimer == nil {
+		r.stopReplyTimer = r.cluster.loop.At(now.Add(replyCheckInterval), r.checkReplyDelay)
+	}
+	return nil
+}
+
+// checkReplyDelay guards against servers that say nothing although the connection stands: no reply would ever tell how
+// slow they are.
+func (r *Request) checkReplyDelay() {
+	r.stopReplyTimer = nil
+	if r.closed || r.awaitingReplySince.IsZero() {
+		return
+	}
+	now := r.cluster.loop.Now()
+	waited := now.Sub(r.awaitingReplySince)
+	if waited >= r.attempt.UnresponsiveAfter() {
+		r.attempt.Unresponsive()
+		return
+	}
+	if waited >= replyCheckInterval {
+		r.attempt.ObserveDelay(waited)
+	}
+	r.stopReplyTimer = r.cluster.loop.At(now.Add(replyCheckInterval/2), r.checkReplyDelay)
+}
+
+func (r *Request) cancelReplyTimer() {
+	if r.stopReplyTimer != nil {
+		r.stopReplyTimer()
+		r.stopReplyTimer = nil
+	}
+}
+
+// Full says that the client should be paused: much waits to be written to the server.
+func (r *Request) Full() bool { return r.conn.Full() }
+
+// Pause stops reading from the server; Resume goes on.
+func (r *Request) Pause() { r.conn.Pause() }
+
+// Resume goes on reading from the server.
+func (r *Request) Resume() { r.conn.Resume() }
--- /dev/null
+++ b/internal/platform/upstream/transfer.go
@@ -0,0 +1,101 @@
+package upstream
+
+import (
+	"errors"
+	"time"
+
+	"spurwinch/internal/edge"
+	"spurwinch/internal/loop"
+	"spurwinch/internal/platform/line"
+)
+
+// maxTransferredWait is more than any line may wait for its reply.
+const maxTransferredWait = 10 * time.Second
+
+// errServerState says that the state that another process told can't be.
+var errServerState = errors.New("the state of a server's side is out of range")
+
+// ConnectionState is what a request of an established connection knows besides its socket, as one process of a node
+// transfers it to another.
+type ConnectionState struct {
+	Conn   loop.ConnectionState `cbor:"1,keyasint"`
+	Line   []byte               `cbor:"2,keyasint,omitempty"` // the start of the server's unfinished line
+	Behind int                  `cbor:"3,keyasint,omitempty"` // bytes of the client's unfinished line
+	Last   uint8                `cbor:"4,keyasint,omitempty"` // the server's last line: 0 any, 1 BYE, 2 MOVE
+	// Sent is the Unix time in nanoseconds of the line that waits for its reply, for releases without Waits; 0: none does.
+	Sent  int64 `cbor:"5,keyasint,omitempty"`
+	Waits int64 `cbor:"6,keyasint,omitempty"` // nanoseconds that it has waited; 0: none does
+}
+
+// Check says what is wrong with the state that another process told.
+func (s ConnectionState) Check() error {
+	linesFit := len(s.Line) <= line.Max && s.Behind >= 0 && s.Behind <= line.Max
+	if !linesFit || s.Last > uint8(closingMove) || s.Sent < 0 || s.Waits < 0 {
+		return errServerState
+	}
+	return nil
+}
+
+// awaitingReplySince is when the line was sent that waits for its reply.
+func (s ConnectionState) awaitingReplySince(now time.Time) time.Time {
+	waited := time.Duration(s.Waits)
+	if waited == 0 {
+		waited = max(0, now.Sub(time.Unix(0, s.Sent)))
+	}
+	return now.Add(-min(waited, maxTransferredWait))
+}
+
+// Detach takes the connection off the loop.
+func (r *Request) Detach() (fd int, state ConnectionState, ok bool) {
+	if r.closed || !r.established {
+		return -1, state, false
+	}
+	fd, state.Conn, ok = r.conn.Detach()
+	state.Line = r.serverLines.Partial()
+	state.Behind = r.clientLines.Partial()
+	state.Last = uint8(r.lastClosingLine)
+	if !r.awaitingReplySince.IsZero() {
+		state.Sent = r.awaitingReplySince.UnixNano()
+		state.Waits = max(1, int64(r.cluster.loop.Now().Sub(r.awaitingReplySince)))
+	}
+	r.cancelReplyTimer()
+	return fd, state, ok
+}
+
+// Reattach has a detached connection go on.
+func (r *Request) Reattach() {
+	r.conn.Reattach()
+	r.resumeReplyTimer()
+}
+
+// Release lets go of a detached connection that another process has.
+func (r *Request) Release() {
+	r.markClosed()
+	r.conn.Release()
+}
+
+// Restore goes on with an established connection of another process.
+func (c *Cluster) Restore(attempt *edge.Attempt, fd int, state ConnectionState, sink Sink) *Request {
+	r := &Request{
+		cluster:         c,
+		attempt:         attempt,
+		sink:            sink,
+		established:     true,
+		lastClosingLine: closingLine(state.Last),
+		serverLines:     line.NewReader(state.Line),
+		clientLines:     line.NewScanner(state.Behind),
+	}
+	if state.Sent > 0 {
+		r.awaitingReplySince = state.awaitingReplySince(c.loop.Now())
+	}
+	r.conn = c.loop.Restore(fd, state.Conn, r)
+	r.resumeReplyTimer()
+	return r
+}
+
+// resumeReplyTimer has a late reply noticed on a connection where one is awaited.
+func (r *Request) resumeReplyTimer() {
+	if !r.awaitingReplySince.IsZero() && r.stopReplyTimer == nil && !r.closed {
+		r.stopReplyTimer = r.cluster.loop.At(r.cluster.loop.Now(), r.checkReplyDelay)
+	}
+}
