--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// AdmissionRules is what holds for the streams of clients: the rules, the networks that are kept out or free of limits (nil:
-// none), and the limits of domains by their names.
+// AdmissionRules is what holds for the streams of clients: the rules, the networks that are kept out or free of limits
+// (nil: none), and the limits of domains by their names.
 func (o *Operator) AdmissionRules() (admit.Rules, *admit.Networks, map[string]admit.Limits) {
 	domains := map[string]admit.Limits{}
 	for _, domain := range o.Domains {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,6 +1,6 @@
 // Package config reads what a node is told, and checks it whole before any of it is used:
 //
-//   - the platform's GW_* variables and the config.json that GW_CONFIG names (FromEnvironment, Again),
+//   - the platform's GW_* variables and the config.json that GW_CONFIG names (ReadNode, ReloadNode),
 //   - the operator's file, with the fronts and clusters beside the platform's own (ReadOperator),
 //   - the list of nodes of a fleet, which is the same file at all of them (ReadFleetList),
 //   - the policy document of a fleet, as the log and operators have it (ReadPolicy).
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -367,7 +367,8 @@
 		Base:         policy.BasePolicy{Attempts: 1, Deadline: 2500 * time.Millisecond},
 		Requirements: policy.Requirements{Descriptors: 512, MemoryMB: 64},
 		Failover: &policy.FailoverRules{
-			UtilizationLimit: 0.75, RecoveryRamp: 0.25, RecoveryDelay: 5 * time.Second, RegionalClasses: []string{"plain"},
+			UtilizationLimit: 0.75, RecoveryRamp: 0.25, RecoveryDelay: 5 * time.Second,
+			RegionalClasses: []string{"plain"},
 			RegionDistances: []policy.RegionDistance{{A: "region-1", B: "region-2", Cost: 2}},
 		},
 	}
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -57,7 +57,7 @@
 	if path == "" {
 		return Node{}, ErrNoConfigFile
 	}
-	return readNode(path, func(file *nodeFile) {
+	return readNodeFile(path, func(file *nodeFile) {
 		file.Name = cmp.Or(getenv("GW_NAME"), file.Name)
 		file.Listen = cmp.Or(getenv("GW_LISTEN"), file.Listen)
 		file.Discovery = cmp.Or(getenv("GW_DISCOVERY"), file.Discovery)
@@ -65,11 +65,11 @@
 	})
 }
 
-// ReloadNode reads the file anew for a node that runs by inForce. No variable overrides it: those are as old as the process.
-// The file is checked whole, and it must have every key that the one in force has: one that was cut short says less
-// than was meant.
+// ReloadNode reads the file anew for a node that runs by inForce. No variable overrides it: those are as old as the
+// process. The file is checked whole, and it must have every key that the one in force has: one that was cut short says
+// less than was meant.
 func ReloadNode(path string, inForce Node) (Node, error) {
-	node, err := readNode(path, func(file *nodeFile) {
+	node, err := readNodeFile(path, func(file *nodeFile) {
 		file.Listen = cmp.Or(file.Listen, inForce.Listen) // which a variable may have named
 	})
 	if err != nil {
@@ -84,8 +84,8 @@
 	return node, nil
 }
 
-// readNode reads a file and checks it whole; override puts in what overrides the file.
-func readNode(path string, override func(*nodeFile)) (Node, error) {
+// readNodeFile reads a file and checks it whole; override puts in what overrides the file.
+func readNodeFile(path string, override func(*nodeFile)) (Node, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return Node{}, err
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -38,7 +38,7 @@
 	EarlyBytes       int      `toml:"early_bytes,omitzero"`    // of a client, kept for another server
 	HeaderTime       Duration `toml:"header_time,omitzero"`    // for the stream header
 	HandshakeTimeout Duration `toml:"handshake_time,omitzero"` // for a TLS handshake
-	Resumable        int      `toml:"resumable,omitzero"`      // sessions whose server is remembered, for clients to resume
+	Resumable        int      `toml:"resumable,omitzero"`      // sessions whose server is remembered, to resume
 }
 
 // Listener is an address where clients connect.
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -185,12 +185,16 @@
 
 func (p *policyFailover) rules(distances []RegionDistance) *policy.FailoverRules {
 	rules := &policy.FailoverRules{
-		UtilizationLimit: p.UtilizationLimit, RecoveryRamp: p.RecoveryRamp, RecoveryDelay: time.Duration(p.RecoveryDelay),
-		RegionalClasses: p.RegionalClasses,
+		UtilizationLimit: p.UtilizationLimit,
+		RecoveryRamp:     p.RecoveryRamp,
+		RecoveryDelay:    time.Duration(p.RecoveryDelay),
+		RegionalClasses:  p.RegionalClasses,
 	}
 	for _, far := range distances {
 		if len(far.Between) == 2 { // else a fault was noted
-			rules.RegionDistances = append(rules.RegionDistances, policy.RegionDistance{A: far.Between[0], B: far.Between[1], Cost: far.Cost})
+			rules.RegionDistances = append(rules.RegionDistances, policy.RegionDistance{
+				A: far.Between[0], B: far.Between[1], Cost: far.Cost,
+			})
 		}
 	}
 	return rules
--- a/internal/policy/document.go
+++ b/internal/policy/document.go
@@ -71,15 +71,15 @@
 	// MaxAttempts is the most attempts that a request may take.
 	MaxAttempts = 4
 
-	maxClasses    = 32
-	maxTenants    = 256
-	maxRetryAfter = time.Minute
-	maxDeadline   = time.Hour
-	maxPriority   = 1e9 // exclusive
-	minPlanLimit  = 0.1 // exclusive
-	minHold       = time.Second
-	maxHold       = time.Hour
-	minRegionCost = 1
+	maxClasses          = 32
+	maxTenants          = 256
+	maxRetryAfter       = time.Minute
+	maxDeadline         = time.Hour
+	maxPriority         = 1e9 // exclusive
+	minUtilizationLimit = 0.1 // exclusive
+	minRecoveryDelay    = time.Second
+	maxRecoveryDelay    = time.Hour
+	minRegionCost       = 1
 )
 
 // Digest identifies a document's text in logs and answers to operators. It is a checksum, no protection from forgery.
--- a/internal/policy/document_test.go
+++ b/internal/policy/document_test.go
@@ -44,10 +44,14 @@
 			d.Failover = &FailoverRules{UtilizationLimit: 2, RecoveryRamp: 0.2, RecoveryDelay: time.Second}
 		},
 		"plan.stay": func(d *Document) {
-			d.Failover = &FailoverRules{UtilizationLimit: 0.8, RecoveryRamp: 0.2, RecoveryDelay: time.Second, RegionalClasses: []string{"x"}}
+			d.Failover = &FailoverRules{
+				UtilizationLimit: 0.8, RecoveryRamp: 0.2, RecoveryDelay: time.Second, RegionalClasses: []string{"x"},
+			}
 		},
 		"far.0": func(d *Document) {
-			d.Failover = &FailoverRules{UtilizationLimit: 0.8, RecoveryRamp: 0.2, RecoveryDelay: time.Second, RegionDistances: distance}
+			d.Failover = &FailoverRules{
+				UtilizationLimit: 0.8, RecoveryRamp: 0.2, RecoveryDelay: time.Second, RegionDistances: distance,
+			}
 		},
 	} {
 		document := validDocument()
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -228,7 +228,8 @@
 		Base:         BasePolicy{Attempts: 1, Deadline: 1500 * time.Millisecond},
 		Requirements: Requirements{Descriptors: 512, MemoryMB: 64},
 		Failover: &FailoverRules{
-			UtilizationLimit: 0.85, RecoveryRamp: 0.2, RecoveryDelay: 4 * time.Second, RegionalClasses: []string{"plain"},
+			UtilizationLimit: 0.85, RecoveryRamp: 0.2, RecoveryDelay: 4 * time.Second,
+			RegionalClasses: []string{"plain"},
 			RegionDistances: []RegionDistance{{A: "r", B: "s", Cost: 2}},
 		},
 	}
@@ -253,7 +254,8 @@
 	changed.Base = BasePolicy{Attempts: 2, Deadline: time.Second}
 	changed.Requirements = Requirements{Descriptors: 1024, MemoryMB: 128}
 	changed.Failover = &FailoverRules{
-		UtilizationLimit: 0.8, RecoveryRamp: 0.1, RecoveryDelay: 5 * time.Second, RegionalClasses: []string{"gold", "bulk"},
+		UtilizationLimit: 0.8, RecoveryRamp: 0.1, RecoveryDelay: 5 * time.Second,
+		RegionalClasses: []string{"gold", "bulk"},
 		RegionDistances: []RegionDistance{{A: "r", B: "t", Cost: 3}, {A: "t", B: "s", Cost: 4}},
 	}
 	return changed
--- a/internal/policy/validate.go
+++ b/internal/policy/validate.go
@@ -104,11 +104,12 @@
 }
 
 func (r *FailoverRules) check(found *faultList, classes map[string]bool) {
-	validLimit := r.UtilizationLimit > minPlanLimit && r.UtilizationLimit <= 1 // false for NaN, as validRamp is
+	validLimit := r.UtilizationLimit > minUtilizationLimit && r.UtilizationLimit <= 1 // false for NaN, as validRamp is
 	found.addIf(!validLimit, "plan.limit", "limit = %v: a part over 0.1, up to 1, is wanted", r.UtilizationLimit)
 	validRamp := r.RecoveryRamp > 0 && r.RecoveryRamp <= 1
 	found.addIf(!validRamp, "plan.ramp", "ramp = %v: a part over 0, up to 1, is wanted", r.RecoveryRamp)
-	found.addIf(r.RecoveryDelay < minHold || r.RecoveryDelay > maxHold, "plan.hold", "hold = %v: 1s to 1h are possible", r.RecoveryDelay)
+	found.addIf(r.RecoveryDelay < minRecoveryDelay || r.RecoveryDelay > maxRecoveryDelay, "plan.hold",
+		"hold = %v: 1s to 1h are possible", r.RecoveryDelay)
 	for _, name := range r.RegionalClasses {
 		found.addIf(!classes[name], "plan.stay", "stay: no class %q", name)
 	}
