--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -17,8 +17,10 @@
 	Err  error // a *KeyError where one key is at fault
 }
 
+// Error is the file and what is wrong with it, in one line.
 func (e *FileError) Error() string { return e.File + ": " + e.Err.Error() }
 
+// Unwrap is the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
 // KeyError says which key of a config.json is at fault.
@@ -28,6 +30,8 @@
 	Err     error  // the cause, where another package found it; its text is part of Problem
 }
 
+// Error is the problem, as operators read it.
 func (e *KeyError) Error() string { return e.Problem }
 
+// Unwrap is the cause, where another package found it.
 func (e *KeyError) Unwrap() error { return e.Err }
