--- a/internal/failover/agent/doc.go
+++ b/internal/failover/agent/doc.go
@@ -10,8 +10,8 @@
 // Two callers drive an Agent: internal/node/fleet.go on sockets and files, and internal/lab/explore in simulated time.
 // They pass in messages (Agent.Receive, Agent.Answer), the time (Agent.Tick), what the load balancer observed
 // (Agent.Observe) and that a record reached the disk (Agent.Persisted). After each call they collect the work: messages
-// to send (Agent.TakeMessages), a record to write (Agent.NextRecord), a plan for the load balancer (Agent.ZonePlan) and the policy to
-// serve by (Agent.ActivePolicy).
+// to send (Agent.TakeMessages), a record to write (Agent.NextRecord), a plan for the load balancer (Agent.ZonePlan) and
+// the policy to serve by (Agent.ActivePolicy).
 //
 // An Agent owns all of its state, belongs to one goroutine and does no I/O: it has no socket, file, clock or lock. Time
 // is the caller's monotonic clock, as a duration; the clocks of two nodes are never compared. An entry of the log takes
--- a/internal/failover/agent/golden_values_test.go
+++ b/internal/failover/agent/golden_values_test.go
@@ -122,7 +122,9 @@
 		Documents: []policy.VersionedDocument{{Number: 25, Text: []byte("in force")}},
 		Entry:     28,
 		Window:    29.5,
-		Members:   []PolicyMember{{Name: "a", Live: true, Heard: true, KnownNumber: 30, ServedNumber: 31, MayServe: true, Answer: "yes"}},
-		Bases:     []policy.VersionedBase{{Number: 25, Attempts: 32, Deadline: 33}},
+		Members: []PolicyMember{{
+			Name: "a", Live: true, Heard: true, KnownNumber: 30, ServedNumber: 31, MayServe: true, Answer: "yes",
+		}},
+		Bases: []policy.VersionedBase{{Number: 25, Attempts: 32, Deadline: 33}},
 	}
 }
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -56,9 +56,8 @@
 func (p *localPolicy) check(options *Policy, change *policy.Change) {
 	document, err := options.Read(change.Text)
 	if err != nil {
-		reason := err.Error()
 		p.verdict = policy.VerdictReject
-		p.reason = reason[:min(len(reason), maxReasonBytes)]
+		p.reason = policy.TruncateReason(err.Error(), maxReasonBytes)
 		return
 	}
 	p.verdict = policy.VerdictAccept
--- a/internal/failover/agent/storage.go
+++ b/internal/failover/agent/storage.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// NextRecord gives the record that must be written next; whole says that it replaces all others. Persisted is to be called
-// when it is on disk.
+// NextRecord gives the record that must be written next; whole says that it replaces all others. Persisted is to be
+// called when it is on disk.
 func (a *Agent) NextRecord() (record agree.Record, whole, ok bool) {
 	if a.pendingRecord == nil {
 		return agree.Record{}, false, false
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"spurwinch/internal/membership"
+	"spurwinch/internal/policy"
 )
 
 // Class is what a plan knows of a class of requests.
@@ -151,6 +152,5 @@
 	if len(reasons) == 0 {
 		return "demand and room"
 	}
-	text := strings.Join(reasons, "; ")
-	return text[:min(len(text), maxReason)]
+	return policy.TruncateReason(strings.Join(reasons, "; "), maxReason)
 }
