--- a/cmd/spurwinch-voter/main.go
+++ b/cmd/spurwinch-voter/main.go
@@ -6,14 +6,14 @@
 	"math/rand/v2"
 	"os"
 
-	"spurwinch/internal/agree"
-	"spurwinch/internal/agree/voter"
+	"spurwinch/internal/consensus"
+	"spurwinch/internal/consensus/replica"
 	"spurwinch/internal/failover/agent"
-	"spurwinch/internal/node/start"
+	"spurwinch/internal/node/command"
 )
 
 func main() {
-	os.Exit(start.Main(func(self, n int, kept []agree.Record, rng *rand.Rand) (agent.Voter, error) {
-		return voter.New(self, n, kept, rng)
+	os.Exit(command.Main(func(self, n int, kept []consensus.Record, rng *rand.Rand) (agent.Voter, error) {
+		return replica.New(self, n, kept, rng)
 	}))
 }
--- a/cmd/spurwinch/compat_test.go
+++ b/cmd/spurwinch/compat_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/exchange"
 	"spurwinch/internal/lab/faults"
+	"spurwinch/internal/lab/transcript"
 )
 
 // oldProgramsVariable names the folder with the programs of the version to be compatible with: spurwinch and
@@ -41,12 +41,12 @@
 	newVersion, oldVersion := surroundings.bin, oldProgram(t)
 	surroundings.bin = oldVersion
 	running := surroundings.start(t, surroundings.tmp)
-	crowd := &exchange.Crowd{Addr: surroundings.listen}
+	crowd := &transcript.Crowd{Addr: surroundings.listen}
 	crowd.Run(24)
-	streams := &exchange.Streams{Addr: surroundings.listen, At: "s-1"}
-	streams.Run(t, 10, exchange.Steady)
-	streams.Run(t, 6, exchange.Pieces)
-	streams.Run(t, 4, exchange.Bulk)
+	streams := &transcript.Streams{Addr: surroundings.listen, At: "s-1"}
+	streams.Run(t, 10, transcript.Steady)
+	streams.Run(t, 6, transcript.Pieces)
+	streams.Run(t, 4, transcript.Bulk)
 	for _, next := range []struct{ name, program string }{
 		{"old to new", newVersion},
 		{"new to old", oldVersion},
--- a/cmd/spurwinch/crowd_test.go
+++ b/cmd/spurwinch/crowd_test.go
@@ -18,7 +18,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 )
 
 // reportingHost is a stand-in host that answers any number of probes on a connection, and takes each request with its name. It counts
@@ -122,7 +122,7 @@
 	discovery, comesBack := reserved(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	config := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"memory_mb":64,"sockets":%d},"known":%s,"settings":%s}`,
-		discovery, sockets, listOf(41, known), strings.Replace(exchange.Settings, "REPORTS", "on_probe", 1))
+		discovery, sockets, listOf(41, known), strings.Replace(transcript.Settings, "REPORTS", "on_probe", 1))
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 		serve("after the return", "fresh")
 	}
 	stop()
-	exchange.Until(t, "no connection is kept to hosts that the whole list doesn't name", func() bool { return held.Load() == 0 })
+	transcript.Until(t, "no connection is kept to hosts that the whole list doesn't name", func() bool { return held.Load() == 0 })
 }
 
 // askTogether has clients come and then ask all at once: the crowd makes room for each of them and for its host.
--- a/cmd/spurwinch/main.go
+++ b/cmd/spurwinch/main.go
@@ -7,7 +7,7 @@
 import (
 	"os"
 
-	"spurwinch/internal/node/start"
+	"spurwinch/internal/node/command"
 )
 
-func main() { os.Exit(start.Main(nil)) }
+func main() { os.Exit(command.Main(nil)) }
--- a/cmd/spurwinch/program_test.go
+++ b/cmd/spurwinch/program_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 )
 
 // program is the built program, started as the platform starts it.
@@ -98,12 +98,12 @@
 // TestProgram starts the program as the platform does, has a connection served, and ends it as in a planned restart.
 func TestProgram(t *testing.T) {
 	bin := build(t)
-	p := &exchange.Player{Values: map[string]string{}}
+	p := &transcript.Player{Values: map[string]string{}}
 	host, discovery := p.Listen(t, "h1"), p.Listen(t, "d")
 	path := filepath.Join(t.TempDir(), "config.json")
 	config := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 	 "known":{"version":41,"full":true,"servers":[{"id":"s-1","addr":%q,"zone":"a","kind":"m","cell":0,"state":"SERVING","weight":1,"started_ms":0}]},
-	 "settings":%s}`, discovery, host, strings.Replace(exchange.Settings, "REPORTS", "off", 1))
+	 "settings":%s}`, discovery, host, strings.Replace(transcript.Settings, "REPORTS", "off", 1))
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 // although GW_DISCOVERY names the old one, a bad file changes nothing, and no number of SIGHUPs keeps SIGTERM out.
 func TestReload(t *testing.T) {
 	bin := build(t)
-	p := &exchange.Player{Values: map[string]string{}}
+	p := &transcript.Player{Values: map[string]string{}}
 	host, other := p.Listen(t, "h1"), p.Listen(t, "h2")
 	old, next := p.Listen(t, "d1"), p.Listen(t, "d2")
 	entry := func(id, addr string) string {
@@ -157,7 +157,7 @@
 	}
 	config := func(discovery string) string {
 		return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"memory_mb":64,"sockets":384},
-		 "known":{"version":41,"full":true,"servers":[%s]},"settings":%s}`, discovery, entry("s-1", host), strings.NewReplacer("REPORTS", "off", `"mayProbe":true`, `"mayProbe":false`).Replace(exchange.Settings))
+		 "known":{"version":41,"full":true,"servers":[%s]},"settings":%s}`, discovery, entry("s-1", host), strings.NewReplacer("REPORTS", "off", `"mayProbe":true`, `"mayProbe":false`).Replace(transcript.Settings))
 	}
 	put(config("127.0.0.1:9"))
 	run = launch(t, bin, []string{"GW_CONFIG=" + path, "GW_DISCOVERY=" + old})
@@ -243,8 +243,8 @@
 		{"no address", "is not IP:PORT", []string{"GW_CONFIG=" + file("b", `{"listen":"here"}`)}, nil},
 		{"no settings", "settings", []string{"GW_CONFIG=" + file("c", "{"+ok+"}")}, nil},
 		{"no class", "az is missing", []string{"GW_CONFIG=" + file("d", "{"+ok+`,"settings":{}}`)}, nil},
-		{"bad state", "known: entry", []string{"GW_CONFIG=" + file("e", "{"+ok+`,"settings":`+strings.Replace(exchange.Settings, "REPORTS", "off", 1)+`,"known":{"servers":[{"id":"x","state":"?"}]}}`)}, nil},
-		{"taken address", "listen", []string{"GW_CONFIG=" + file("f", `{"listen":"`+taken.Addr().String()+`","discovery":"127.0.0.1:9","settings":`+strings.Replace(exchange.Settings, "REPORTS", "off", 1)+"}")}, nil},
+		{"bad state", "known: entry", []string{"GW_CONFIG=" + file("e", "{"+ok+`,"settings":`+strings.Replace(transcript.Settings, "REPORTS", "off", 1)+`,"known":{"servers":[{"id":"x","state":"?"}]}}`)}, nil},
+		{"taken address", "listen", []string{"GW_CONFIG=" + file("f", `{"listen":"`+taken.Addr().String()+`","discovery":"127.0.0.1:9","settings":`+strings.Replace(transcript.Settings, "REPORTS", "off", 1)+"}")}, nil},
 		{"unknown flag", "not defined", nil, []string{"-x"}},
 		{"unknown command", "unknown command", nil, []string{"serve"}},
 		{"operator: no TOML", "toml", nil, []string{"-operator", file("g", "= 3")}},
@@ -275,7 +275,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &exchange.Player{Values: map[string]string{"ns": "xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'"}}
+	p := &transcript.Player{Values: map[string]string{"ns": "xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'"}}
 	text := strings.Replace(string(raw), "127.0.0.1:5222", "127.0.0.1:0", 1)
 	text = strings.Replace(text, "127.0.0.1:15222", p.Listen(t, "h1"), 1)
 	text = strings.Replace(text, "127.0.0.1:15223", p.Listen(t, "h2"), 1)
--- a/cmd/spurwinch/ready_test.go
+++ b/cmd/spurwinch/ready_test.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 )
 
 // readyWithin is for the PONG of a process, from its start on.
@@ -95,7 +95,7 @@
 // however its lists come, and also if it was given no list to begin with.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	bin := build(t)
-	host := exchange.Host(t)
+	host := transcript.Host(t)
 	for name, discovery := range poorDiscoveries {
 		for _, membership := range []string{"on_request", "pushed"} {
 			for _, known := range []bool{true, false} {
@@ -105,7 +105,7 @@
 					if known {
 						list = listOf(41, []listEntry{{"s-1", host, "SERVING"}})
 					}
-					settings := strings.NewReplacer("REPORTS", "off", "on_request", membership).Replace(exchange.Settings)
+					settings := strings.NewReplacer("REPORTS", "off", "on_request", membership).Replace(transcript.Settings)
 					path := filepath.Join(t.TempDir(), "config.json")
 					config := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"memory_mb":64,"sockets":384},"known":%s,"settings":%s}`,
 						discovery(t), list, settings)
--- a/cmd/spurwinch/shim_test.go
+++ b/cmd/spurwinch/shim_test.go
@@ -9,15 +9,15 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/exchange"
 	"spurwinch/internal/lab/shim"
+	"spurwinch/internal/lab/transcript"
 )
 
 // shimmed is a started program whose system calls fail, and whose wall clock is stepped, as the test says.
 type shimmed struct {
 	*program
 	*shim.Control
-	player *exchange.Player
+	player *transcript.Player
 	config string
 }
 
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &shimmed{player: &exchange.Player{Values: map[string]string{}}, config: filepath.Join(dir, "config.json")}
+	s := &shimmed{player: &transcript.Player{Values: map[string]string{}}, config: filepath.Join(dir, "config.json")}
 	if s.Control, err = shim.NewControl(filepath.Join(dir, "faults"), 1); err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	host, discovery := s.player.Listen(t, "h1"), s.player.Listen(t, "d")
 	config := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 	 "known":{"version":41,"full":true,"servers":[{"id":"s-1","addr":%q,"zone":"a","kind":"m","cell":0,"state":"SERVING","weight":1,"started_ms":0}]},
-	 "settings":%s}`, discovery, host, strings.NewReplacer("REPORTS", "off", `"mayProbe":true`, `"mayProbe":false`).Replace(exchange.Settings))
+	 "settings":%s}`, discovery, host, strings.NewReplacer("REPORTS", "off", `"mayProbe":true`, `"mayProbe":false`).Replace(transcript.Settings))
 	if err := os.WriteFile(s.config, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 		"interrupt": func() {
 			s.Fail(shim.Write, 1)
 			s.cmd.Process.Signal(syscall.SIGHUP)
-			exchange.Until(t, "a wake is interrupted", func() bool { return s.Injected(shim.Write) > 0 })
+			transcript.Until(t, "a wake is interrupted", func() bool { return s.Injected(shim.Write) > 0 })
 			s.Heal()
 		},
 		"stop": func() { s.cmd.Process.Signal(syscall.SIGTERM) },
@@ -106,7 +106,7 @@
 			}
 			s.Fail(shim.Open, 1)
 			s.cmd.Process.Signal(syscall.SIGHUP)
-			exchange.Until(t, "the file can't be opened", func() bool { return s.Injected(shim.Open) > 0 })
+			transcript.Until(t, "the file can't be opened", func() bool { return s.Injected(shim.Open) > 0 })
 			s.Heal()
 		}}
 		s.player.Play(t, "d accept d\ndo reload\ne accept next\ne < GET /v1/servers HTTP/1.1\\r\\nHost: {*}\\r\\nAccept: application/json\\r\\n\n")
--- a/cmd/spurwinch/upgrade_test.go
+++ b/cmd/spurwinch/upgrade_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 )
 
 // site is a node's surroundings: a host that takes all, a discovery that never answers, a configuration.
@@ -21,12 +21,12 @@
 
 // newSite sets a site up. Messages may take their time: the module would move a client that doesn't read.
 func newSite(t testing.TB) *site {
-	s := &site{bin: build(t), tmp: t.TempDir(), listen: exchange.FreeAddr(t)}
+	s := &site{bin: build(t), tmp: t.TempDir(), listen: transcript.FreeAddr(t)}
 	s.config = filepath.Join(s.tmp, "config.json")
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":128,"sockets":384},
 	 "known":{"version":41,"full":true,"servers":[{"id":"s-1","addr":%q,"zone":"a","kind":"m","cell":0,"state":"SERVING","weight":1,"started_ms":0}]},
-	 "settings":%s}`, s.listen, (&exchange.Player{}).Listen(t, "d"), exchange.Host(t), strings.NewReplacer("REPORTS", "off", `"giveUpS":4`, `"giveUpS":1`,
-		`"messageAimS":[0.06]`, `"messageAimS":[600]`).Replace(exchange.Settings))
+	 "settings":%s}`, s.listen, (&transcript.Player{}).Listen(t, "d"), transcript.Host(t), strings.NewReplacer("REPORTS", "off", `"giveUpS":4`, `"giveUpS":1`,
+		`"messageAimS":[0.06]`, `"messageAimS":[600]`).Replace(transcript.Settings))
 	if err := os.WriteFile(s.config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -36,13 +36,13 @@
 // start starts a process of the node and waits for its yes.
 func (s *site) start(t testing.TB, tmp string) *program {
 	p := launch(t, s.bin, []string{"GW_CONFIG=" + s.config, "GW_MGMT=127.0.0.1:0", "TMPDIR=" + tmp})
-	exchange.Until(t, "the process is ready", func() bool { return p.status() == http.StatusOK })
+	transcript.Until(t, "the process is ready", func() bool { return p.status() == http.StatusOK })
 	return p
 }
 
 // status is the answer to a call for readiness; 0: none came.
 func (p *program) status() int {
-	status, _ := exchange.Call(p.door, "/api/ready")
+	status, _ := transcript.Call(p.door, "/api/ready")
 	return status
 }
 
@@ -53,20 +53,20 @@
 // out of place, and each old process ends by itself.
 func TestUpgrades(t *testing.T) {
 	s := newSite(t)
-	c := &exchange.Crowd{Addr: s.listen}
+	c := &transcript.Crowd{Addr: s.listen}
 	now := s.start(t, s.tmp)
 	c.Run(24)
-	streams := &exchange.Streams{Addr: s.listen, At: "s-1"}
-	streams.Run(t, 10, exchange.Steady)
-	streams.Run(t, 6, exchange.Pieces)
-	streams.Run(t, 4, exchange.Bulk)
+	streams := &transcript.Streams{Addr: s.listen, At: "s-1"}
+	streams.Run(t, 10, transcript.Steady)
+	streams.Run(t, 6, transcript.Pieces)
+	streams.Run(t, 4, transcript.Bulk)
 	var old []*program
 	for range 20 {
 		next := s.start(t, s.tmp)
 		now.signal(syscall.SIGHUP) // the file is as it was: both take it
 		next.signal(syscall.SIGHUP)
 		now.signal(syscall.SIGTERM)
-		exchange.Until(t, "the one that handed over says that it takes nobody", func() bool { return now.status() != http.StatusOK })
+		transcript.Until(t, "the one that handed over says that it takes nobody", func() bool { return now.status() != http.StatusOK })
 		old, now = append(old, now), next
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -86,7 +86,7 @@
 	if n := c.Moved.Load(); n > 0 {
 		t.Errorf("%d connections were told to move: they change their process and stay", n)
 	}
-	if _, got := exchange.Call(now.door, "/api/telemetry"); !strings.Contains(got, "gw.reloads_ok:1|c") || !strings.Contains(got, "gw.reloads_failed:0|c") {
+	if _, got := transcript.Call(now.door, "/api/telemetry"); !strings.Contains(got, "gw.reloads_ok:1|c") || !strings.Contains(got, "gw.reloads_failed:0|c") {
 		t.Errorf("reloads beside another process: %s", got)
 	}
 }
@@ -128,7 +128,7 @@
 		}
 	}()
 	usual := func() (up int) {
-		c := &exchange.Crowd{Addr: s.listen}
+		c := &transcript.Crowd{Addr: s.listen}
 		for range 10 {
 			c.One()
 		}
@@ -207,7 +207,7 @@
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			old := s.start(t, s.tmp)
-			c := &exchange.Crowd{Addr: s.listen}
+			c := &transcript.Crowd{Addr: s.listen}
 			c.Run(12)
 			time.Sleep(100 * time.Millisecond)
 			if step.before != nil {
@@ -236,7 +236,7 @@
 	t.Run("the old one is killed", func(t *testing.T) {
 		old := s.start(t, s.tmp)
 		next := s.start(t, s.tmp)
-		c := &exchange.Crowd{Addr: s.listen}
+		c := &transcript.Crowd{Addr: s.listen}
 		c.Run(12)
 		time.Sleep(300 * time.Millisecond)
 		old.signal(syscall.SIGKILL)
@@ -246,7 +246,7 @@
 		if c.AtDoor.Load()+c.Cut.Load() > 12 {
 			t.Errorf("%d lost at the door, %d cut off", c.AtDoor.Load(), c.Cut.Load())
 		}
-		rest := &exchange.Crowd{Addr: s.listen}
+		rest := &transcript.Crowd{Addr: s.listen}
 		rest.Run(12)
 		time.Sleep(300 * time.Millisecond)
 		rest.Stop()
@@ -266,8 +266,8 @@
 		}
 		os.WriteFile(s.config, []byte(strings.Replace(string(raw), `"sockets":384`, `"sockets":1024`, 1)), 0o600)
 		now := s.start(b, s.tmp)
-		streams := &exchange.Streams{Addr: s.listen, At: "s-1"}
-		streams.Run(b, 300, exchange.Steady)
+		streams := &transcript.Streams{Addr: s.listen, At: "s-1"}
+		streams.Run(b, 300, transcript.Steady)
 		for range 20 {
 			next := s.start(b, s.tmp)
 			began := time.Now()
@@ -296,13 +296,13 @@
 		writeFile(t, path, text)
 		return path
 	}
-	at := exchange.FreeAddr(t)
+	at := transcript.FreeAddr(t)
 	nodes := write("nodes.toml", fmt.Sprintf("[policy]\n[[node]]\nname = \"a\"\naddr = %q\nzone = \"a\"\nvoter = true\n", at))
 	op := write("op.toml", fmt.Sprintf("[fleet]\nself = \"a\"\nlisten = %q\nnodes = %q\nkey_file = %q\ndir = %q\n", at, nodes, write("key", strings.Repeat("k", 32)),
 		filepath.Join(dir, "files")))
 	start := func() *program {
 		p := launch(t, s.bin, []string{"GW_CONFIG=" + s.config, "GW_MGMT=127.0.0.1:0", "TMPDIR=" + s.tmp}, "-operator", op)
-		exchange.Until(t, "the process is ready", func() bool { return p.status() == http.StatusOK })
+		transcript.Until(t, "the process is ready", func() bool { return p.status() == http.StatusOK })
 		return p
 	}
 	n := 0
@@ -320,12 +320,12 @@
 		return strings.HasPrefix(string(b[:k]), "UP")
 	}
 	first := start()
-	exchange.Until(t, "a client is served by the first process", up)
+	transcript.Until(t, "a client is served by the first process", up)
 	second := start()
 	first.signal(syscall.SIGTERM)
 	began := time.Now()
 	<-first.done
-	exchange.Until(t, "a client is served by the second process", up)
+	transcript.Until(t, "a client is served by the second process", up)
 	t.Logf("served again %v after the first was told to leave", time.Since(began).Round(10*time.Millisecond))
 	if second.status() != http.StatusOK {
 		t.Error("the second process is not ready")
--- a/cmd/spurwinch/xmpp_bench_test.go
+++ b/cmd/spurwinch/xmpp_bench_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/lab/xmppserver"
 )
 
@@ -25,10 +25,10 @@
 		b.Run(how, func(b *testing.B) {
 			dir := b.TempDir()
 			var text strings.Builder
-			addr := exchange.FreeAddr(b)
+			addr := transcript.FreeAddr(b)
 			fmt.Fprintf(&text, "[limits]\nconnections = %d\n[[listener]]\naddr = %q\nprotocol = \"xmpp\"\n", 4*n+100, addr)
 			if how != "clear" {
-				cert, key := exchange.Keys(b, dir, time.Now().Add(time.Hour*24*90), "farm.example")
+				cert, key := transcript.Keys(b, dir, time.Now().Add(time.Hour*24*90), "farm.example")
 				fmt.Fprintf(&text, "tls = %q\n[[certificate]]\ncert = %q\nkey = %q\n", how, cert, key)
 			}
 			text.WriteString("[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n[[cluster]]\nname = \"k\"\nsessions = 100000\n")
--- a/cmd/spurwinchctl/capture.go
+++ b/cmd/spurwinchctl/capture.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 // expand takes file names and patterns; a pattern that fits nothing is an error, since the answer would be of no load.
@@ -42,7 +42,7 @@
 }
 
 // tellFaults says what damage costs: files with some are still read.
-func tellFaults(out io.Writer, c *load.Captured) {
+func tellFaults(out io.Writer, c *workload.Captured) {
 	for _, f := range c.Faults {
 		fmt.Fprintf(out, "warning: %s\n", f)
 	}
@@ -60,7 +60,7 @@
 			if err != nil {
 				return err
 			}
-			seen, err := load.ReadCaptures(files)
+			seen, err := workload.ReadCaptures(files)
 			if err != nil {
 				return err
 			}
@@ -80,7 +80,7 @@
 // drawCommand makes a capture where there is none yet: a first evening is planned from what a fleet file says of its load.
 func drawCommand() *cobra.Command {
 	var file, out string
-	var d load.Drawn
+	var d workload.Drawn
 	c := &cobra.Command{Use: "draw --fleet FLEET --standing N --out PATH", Short: "Write a capture drawn from a fleet file's classes and editions", Args: cobra.NoArgs}
 	c.Flags().StringVar(&file, "fleet", "", "the `FLEET` file")
 	c.Flags().StringVar(&out, "out", "drawn", "what the capture's file begins with")
@@ -103,7 +103,7 @@
 		if err != nil {
 			return err
 		}
-		l := load.Draw(f, d)
+		l := workload.Draw(f, d)
 		names, err := l.Write(f, out)
 		if err != nil {
 			return err
@@ -114,7 +114,7 @@
 	return c
 }
 
-func printSummary(out io.Writer, s load.Summary) {
+func printSummary(out io.Writer, s workload.Summary) {
 	fmt.Fprintf(out, "Capture of %d nodes, from %s, %.1f s; %.0f%% of groups or clients are in it\n", s.Nodes, s.Begin.UTC().Format(time.RFC3339), s.LengthS, 100*s.Share)
 	fmt.Fprintf(out, "%d requests of %d clients: %d up, %d served at once, %d refused, %d failed, %d left before an answer\n", s.Requests, s.Clients,
 		s.Answers["up"], s.Answers["served"], s.Answers["refused"], s.Answers["failed"], s.Answers["left"])
--- a/cmd/spurwinchctl/check.go
+++ b/cmd/spurwinchctl/check.go
@@ -10,10 +10,10 @@
 	"github.com/spf13/cobra"
 
 	"spurwinch/internal/config"
-	"spurwinch/internal/fleet"
+	"spurwinch/internal/config/tomlfile"
 	lab "spurwinch/internal/lab/faults"
-	"spurwinch/internal/operate/capture"
-	"spurwinch/internal/tomlfile"
+	"spurwinch/internal/operations/capture"
+	"spurwinch/internal/plan/fleet"
 )
 
 func checkCommand() *cobra.Command {
--- a/cmd/spurwinchctl/cost.go
+++ b/cmd/spurwinchctl/cost.go
@@ -9,9 +9,9 @@
 	"github.com/spf13/cobra"
 	"gonum.org/v1/plot/plotter"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
-	"spurwinch/internal/planner"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/planner"
+	"spurwinch/internal/plan/workload"
 )
 
 // costed is what one replication took at a size.
@@ -64,7 +64,7 @@
 			for i := range g.Nodes { // so do the nodes' descriptors
 				g.Nodes[i].Sockets = max(g.Nodes[i].Sockets, int(each))
 			}
-			l := load.Draw(g, load.Drawn{Seed: seed, Length: length, Standing: each, Stand: true})
+			l := workload.Draw(g, workload.Drawn{Seed: seed, Length: length, Standing: each, Stand: true})
 			runtime.GC()
 			from := time.Now()
 			r, err := planner.Play(g, l, planner.Options{Seed: seed})
--- a/cmd/spurwinchctl/explore.go
+++ b/cmd/spurwinchctl/explore.go
@@ -16,8 +16,8 @@
 
 	"github.com/spf13/cobra"
 
-	"spurwinch/internal/lab/explore"
 	"spurwinch/internal/lab/faults"
+	"spurwinch/internal/lab/simulation"
 )
 
 // explored is one schedule's end, as workers tell it.
@@ -31,7 +31,7 @@
 }
 
 func exploreCommand() *cobra.Command {
-	var o explore.Options
+	var o simulation.Options
 	var seeds, policy string
 	var worker, asJSON bool
 	c := &cobra.Command{Use: "explore failover|policy", Short: "Play schedules of faults in simulated time and check each history",
@@ -48,10 +48,10 @@
 			} else if args[0] == "policy" && !strings.HasPrefix(o.Faults, "policy-") {
 				o.Faults = "policy-" + o.Faults
 			}
-			if _, err := explore.Find(o.Faults); err != nil {
+			if _, err := simulation.Find(o.Faults); err != nil {
 				return err
 			}
-			if o.Policy = explore.Policy(policy); policy != "common" && policy != "each" && policy != "static" {
+			if o.Policy = simulation.Policy(policy); policy != "common" && policy != "each" && policy != "static" {
 				return fmt.Errorf("--policy %q: common, each or static is wanted", policy)
 			}
 			if worker {
@@ -89,11 +89,11 @@
 }
 
 // exploreHere plays schedules one after another, a line of JSON each: Raft draws from the process's one source of chance.
-func exploreHere(out io.Writer, o explore.Options, from, to uint64) error {
+func exploreHere(out io.Writer, o simulation.Options, from, to uint64) error {
 	enc := json.NewEncoder(out)
 	for seed := from; seed <= to; seed++ {
 		o.Seed = seed
-		w, v, err := explore.Play(o)
+		w, v, err := simulation.Play(o)
 		if err != nil {
 			return err
 		}
@@ -105,7 +105,7 @@
 }
 
 // exploreAll has a process for each core play its part of the seeds.
-func exploreAll(c *cobra.Command, o explore.Options, from, to uint64, asJSON bool) error {
+func exploreAll(c *cobra.Command, o simulation.Options, from, to uint64, asJSON bool) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
--- a/cmd/spurwinchctl/fleet.go
+++ b/cmd/spurwinchctl/fleet.go
@@ -16,7 +16,7 @@
 
 	"spurwinch/internal/config"
 	"spurwinch/internal/failover/agent"
-	"spurwinch/internal/operate/fleetcall"
+	"spurwinch/internal/operations/fleetclient"
 )
 
 // fleetCalls are what the calls of fleet have in common.
@@ -111,7 +111,7 @@
 	}
 	var errs []error
 	for i := 0; i < len(order) && i < 24; i++ {
-		r, err = fleetcall.Ask(l.Addr[l.List.Index(order[i])], key, l, order[i], c)
+		r, err = fleetclient.Ask(l.Addr[l.List.Index(order[i])], key, l, order[i], c)
 		switch {
 		case err != nil:
 			errs = append(errs, err)
--- a/cmd/spurwinchctl/main.go
+++ b/cmd/spurwinchctl/main.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"spurwinch/internal/nginx"
-	"spurwinch/internal/tomlfile"
+	"spurwinch/internal/config/nginx"
+	"spurwinch/internal/config/tomlfile"
 )
 
 // statusError ends the program with a status of its own. Without a text nothing more is said.
--- a/cmd/spurwinchctl/plan.go
+++ b/cmd/spurwinchctl/plan.go
@@ -16,9 +16,9 @@
 
 	"github.com/spf13/cobra"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
-	"spurwinch/internal/planner"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/planner"
+	"spurwinch/internal/plan/workload"
 )
 
 // mostMemory is what the collector works to stay under; four runs of 50,000 connections at once take most of it.
@@ -36,7 +36,7 @@
 	cold  bool
 
 	conf *fleet.Fleet
-	load *load.Load
+	load *workload.Load
 }
 
 func (p *planning) flags(c *cobra.Command) {
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	seen, err := load.ReadCaptures(files)
+	seen, err := workload.ReadCaptures(files)
 	if err != nil {
 		return err
 	}
--- a/cmd/spurwinchctl/plot.go
+++ b/cmd/spurwinchctl/plot.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"spurwinch/internal/planner"
+	"spurwinch/internal/plan/planner"
 )
 
 var (
--- a/cmd/spurwinchctl/validate.go
+++ b/cmd/spurwinchctl/validate.go
@@ -17,10 +17,10 @@
 	"github.com/spf13/cobra"
 	"gonum.org/v1/gonum/stat"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
-	"spurwinch/internal/planner"
-	"spurwinch/internal/replay"
+	"spurwinch/internal/lab/replay"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/planner"
+	"spurwinch/internal/plan/workload"
 )
 
 // verdict is one fleet's forecast beside what a replay measured.
@@ -157,7 +157,7 @@
 	t := planner.DrawTrial(base, v.seed, i, v.length)
 	r := verdict{Fleet: i, What: t.What, Servers: t.Fleet.Count(), Sessions: len(t.Load.Sessions), Asked: t.Load.Cores(t.Fleet) / t.Fleet.Cores(),
 		Classes: map[string][2]float64{}, Target: v.target}
-	seed := load.Mix(v.seed*100 + uint64(i))
+	seed := workload.Mix(v.seed*100 + uint64(i))
 	play := func(f *fleet.Fleet, what string, seed uint64, o replay.Options) (replay.Result, error) {
 		say("fleet %d (%s): %s, %v", i, t.What, what, v.length)
 		o.Node, o.Seed, o.Dir = v.node, seed, filepath.Join(dir, what)
@@ -174,7 +174,7 @@
 	if err != nil {
 		return r, err
 	}
-	seen, err := load.ReadCaptures(got.Captures)
+	seen, err := workload.ReadCaptures(got.Captures)
 	if err != nil {
 		return r, err
 	}
@@ -222,7 +222,7 @@
 }
 
 // least compares the least number of servers for the target with what replays of that many, and of its neighbours, show.
-func (v *validating) least(t planner.Trial, wanted *load.Load, r *verdict, seed uint64, play func(*fleet.Fleet, string, uint64, replay.Options) (replay.Result, error), say func(string, ...any)) error {
+func (v *validating) least(t planner.Trial, wanted *workload.Load, r *verdict, seed uint64, play func(*fleet.Fleet, string, uint64, replay.Options) (replay.Result, error), say func(string, ...any)) error {
 	say("fleet %d (%s): least servers", r.Fleet, t.What)
 	n, err := planner.LeastTotal(t.Fleet, wanted, planner.SizeOptions{Options: planner.Options{Seed: seed}, Target: v.target, Reps: v.reps, Most: 200})
 	if err != nil {
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"os"
 
-	"spurwinch/internal/tomlfile"
-	"spurwinch/internal/transport/admit"
+	"spurwinch/internal/config/tomlfile"
+	"spurwinch/internal/transport/peerlimit"
 	"spurwinch/internal/transport/tls"
 )
 
@@ -27,8 +27,8 @@
 	Burst           int     `toml:"burst,omitzero"` // new streams beyond the rate
 }
 
-func (s Streams) limits() admit.Limits {
-	return admit.Limits{Streams: s.Streams, Waiting: s.Unauthenticated, Rate: s.Rate, Burst: s.Burst}
+func (s Streams) limits() peerlimit.Limits {
+	return peerlimit.Limits{Streams: s.Streams, Waiting: s.Unauthenticated, Rate: s.Rate, Burst: s.Burst}
 }
 
 func (s Streams) check(file *tomlfile.File, path string) {
@@ -40,12 +40,12 @@
 
 // AdmissionRules is what holds for the streams of clients: the rules, the networks that are kept out or free of limits
 // (nil: none), and the limits of domains by their names.
-func (o *Operator) AdmissionRules() (admit.Rules, *admit.Networks, map[string]admit.Limits) {
-	domains := map[string]admit.Limits{}
+func (o *Operator) AdmissionRules() (peerlimit.Rules, *peerlimit.Networks, map[string]peerlimit.Limits) {
+	domains := map[string]peerlimit.Limits{}
 	for _, domain := range o.Domains {
 		domains[domain.Name] = domain.limits()
 	}
-	rules := admit.Rules{Bits4: o.Peers.Bits4, Bits6: o.Peers.Bits6, Peer: o.Peers.limits(), Most: o.Peers.Most}
+	rules := peerlimit.Rules{Bits4: o.Peers.Bits4, Bits6: o.Peers.Bits6, Peer: o.Peers.limits(), Most: o.Peers.Most}
 	return rules, o.Networks, domains
 }
 
@@ -58,7 +58,7 @@
 	if o.Peers.Deny == "" && o.Peers.Allow == "" {
 		return
 	}
-	o.Networks = &admit.Networks{}
+	o.Networks = &peerlimit.Networks{}
 	o.readNetworks(file, "peers.deny", o.Peers.Deny, false)
 	o.readNetworks(file, "peers.allow", o.Peers.Allow, true)
 }
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"spurwinch/choice"
+	"spurwinch/internal/config/tomlfile"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/tomlfile"
 )
 
 // Cluster is a set of servers: static ones, or discovery's.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"spurwinch/internal/tomlfile"
+	"spurwinch/internal/config/tomlfile"
 )
 
 // Fleet is a node's own part of what it needs to be one of a fleet.
--- a/internal/config/fleetlist.go
+++ b/internal/config/fleetlist.go
@@ -5,9 +5,9 @@
 	"net/netip"
 	"time"
 
+	"spurwinch/internal/config/tomlfile"
 	"spurwinch/internal/failover"
 	"spurwinch/internal/membership"
-	"spurwinch/internal/tomlfile"
 )
 
 // FleetList is the file that is the same at all nodes of a fleet: the nodes, and the rules that they have in common.
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -11,13 +11,13 @@
 	"time"
 
 	"spurwinch/choice"
+	"spurwinch/internal/config/tomlfile"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/exchange"
 	"spurwinch/internal/failover"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/membership"
 	"spurwinch/internal/policy"
-	"spurwinch/internal/tomlfile"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // goldenSettings is what the settings in testdata/config.json say.
@@ -79,7 +79,7 @@
 			netip.MustParseAddrPort("127.0.0.1:7003"),
 			netip.MustParseAddrPort("127.0.0.1:7004"),
 		},
-		Settings: wire.Settings{
+		Settings: simwire.Settings{
 			Settings:     goldenSettings(),
 			ClassByName:  map[string]int{"chat": 0, "bulk": 1},
 			TenantByName: map[string]int{"acme": 0},
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	cert, key := exchange.Keys(t, dir, time.Now().Add(time.Hour), "chat.example.org")
+	cert, key := transcript.Keys(t, dir, time.Now().Add(time.Hour), "chat.example.org")
 	t.Chdir(dir)
 	write := func(name string, text []byte) {
 		if err := os.WriteFile(name, text, 0o600); err != nil {
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -11,7 +11,7 @@
 	"strconv"
 
 	"spurwinch/internal/platform/cluster"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // Node is the configuration of a node on the platform.
@@ -24,7 +24,7 @@
 	Sockets   int           // descriptors that the process may hold; 0: not known
 	MemoryMB  int           // megabytes that the process may use; 0: not known
 	Known     *cluster.List // servers to begin with, until discovery answers; nil: none
-	Settings  wire.Settings
+	Settings  simwire.Settings
 	// PeerListen is where datagrams of other nodes arrive, Peers the addresses of all nodes by their numbers, this
 	// one's among them. Both are empty where nodes may not send messages to one another.
 	PeerListen string
@@ -110,7 +110,7 @@
 	if err := node.check(); err != nil {
 		return node, err
 	}
-	if node.Settings, err = wire.DecodeSettings(file.Settings); err != nil {
+	if node.Settings, err = simwire.DecodeSettings(file.Settings); err != nil {
 		return node, &KeyError{Key: "settings", Problem: "settings: " + err.Error(), Err: err}
 	}
 	if err := node.setPeers(file); err != nil {
--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"spurwinch/internal/exchange"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/lab/transcript"
+	"spurwinch/internal/simwire"
 )
 
 // whole is a configuration with every key that the platform writes.
@@ -19,7 +19,7 @@
  "limits":{"cores":1,"memory_mb":64,"sockets":384},
  "peer_listen":"127.0.0.1:7000","peers":[],"peers_all":"127.0.0.1:7001",
  "known":{"version":1,"full":true,"servers":[]},"settings":%s}`,
-	strings.NewReplacer("REPORTS", "on_probe", `"tariffs"`, `"goal":{"whole":1},"tariffs"`).Replace(exchange.Settings))
+	strings.NewReplacer("REPORTS", "on_probe", `"tariffs"`, `"goal":{"whole":1},"tariffs"`).Replace(transcript.Settings))
 
 // takeAsIs is an override that overrides nothing.
 func takeAsIs(*nodeFile) {}
@@ -168,9 +168,9 @@
 }
 
 // settingsWith are settings with classes of these names, each with another deadline, put behind those in force.
-func settingsWith(t *testing.T, inForce wire.Settings, names ...string) wire.Settings {
+func settingsWith(t *testing.T, inForce simwire.Settings, names ...string) simwire.Settings {
 	t.Helper()
-	profile := exchange.Settings[strings.Index(exchange.Settings, `{"name":"chat"`):]
+	profile := transcript.Settings[strings.Index(transcript.Settings, `{"name":"chat"`):]
 	profile = profile[:strings.Index(profile, "}")+1]
 	var profiles []string
 	for i, name := range names {
@@ -179,7 +179,7 @@
 		profiles = append(profiles, replacer.Replace(profile))
 	}
 	replacer := strings.NewReplacer("REPORTS", "off", profile, strings.Join(profiles, ","))
-	settings, err := wire.DecodeSettings([]byte(replacer.Replace(exchange.Settings)))
+	settings, err := simwire.DecodeSettings([]byte(replacer.Replace(transcript.Settings)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 
 // TestClassesKeepTheirPlace follows classes that appear, vanish and come back with another deadline.
 func TestClassesKeepTheirPlace(t *testing.T) {
-	settings := settingsWith(t, wire.Settings{}, "a", "b")
+	settings := settingsWith(t, simwire.Settings{}, "a", "b")
 	settings = settingsWith(t, settings, "c", "b")
 	if len(settings.Classes) != 3 || len(settings.ClassByName) != 2 {
 		t.Fatalf("%+v and %v, wanted 3 classes and 2 names", settings.Classes, settings.ClassByName)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"spurwinch/internal/tomlfile"
-	"spurwinch/internal/transport/admit"
+	"spurwinch/internal/config/tomlfile"
+	"spurwinch/internal/transport/peerlimit"
 	"spurwinch/internal/transport/tls"
 )
 
@@ -21,11 +21,11 @@
 	Capture   Capture    `toml:"capture,omitempty"`
 	Fleet     *Fleet     `toml:"fleet,omitempty"` // nil: the node is in no fleet
 
-	Peers             Peers           `toml:"peers,omitempty"`
-	Networks          *admit.Networks `toml:"-"` // of the files that Peers names; nil: none
-	Certificates      []Certificate   `toml:"certificate,omitempty"`
-	ClientAuthorities string          `toml:"client_authorities,omitempty"` // PEM file; clients may show a certificate
-	Keys              *tls.Set        `toml:"-"`                            // of the files named above; nil: none
+	Peers             Peers               `toml:"peers,omitempty"`
+	Networks          *peerlimit.Networks `toml:"-"` // of the files that Peers names; nil: none
+	Certificates      []Certificate       `toml:"certificate,omitempty"`
+	ClientAuthorities string              `toml:"client_authorities,omitempty"` // PEM file; clients may show a certificate
+	Keys              *tls.Set            `toml:"-"`                            // of the files named above; nil: none
 }
 
 // Duration is a time as files have it, as in "1.5s".
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
+	"spurwinch/internal/config/tomlfile"
 	"spurwinch/internal/policy"
-	"spurwinch/internal/tomlfile"
 )
 
 // policyLevel is the newest level of documents that this program knows.
--- a/internal/agree/disk.go
+++ b/internal/consensus/disk.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import "os"
 
--- a/internal/agree/doc.go
+++ b/internal/consensus/doc.go
@@ -1,4 +1,4 @@
-// Package agree is the replicated log of a fleet: a sequence of numbered entries that a few replicas decide by
+// Package consensus is the replicated log of a fleet: a sequence of numbered entries that a few replicas decide by
 // consensus and that every other node follows. It does not know what the entries carry.
 //
 // The replicas run Raft (Ongaro and Ousterhout, In Search of an Understandable Consensus Algorithm, 2014); their
@@ -14,4 +14,4 @@
 // the Store and calls it from the goroutine that persists records. Everything but Store is free of I/O, clocks and
 // goroutines: a call takes what has happened and returns what is to be done, so that each fault can be tested in
 // memory.
-package agree
+package consensus
--- a/internal/agree/record.go
+++ b/internal/consensus/record.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 // Record is what must be persisted before anything that follows from it leaves the machine. Where two records of a
 // store say something of one thing, the later one holds. The bytes of Raft are in its protobuf form.
--- a/internal/agree/voter/bootstrap.go
+++ b/internal/consensus/replica/bootstrap.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 // The log begins with a snapshot at this index and term, which names its members.
@@ -55,7 +55,7 @@
 
 func firstSnapshot(logID uint64, members []uint64) *raftpb.Snapshot {
 	return &raftpb.Snapshot{
-		Data: agree.Encode(agree.State{Log: logID, Newest: map[agree.Kind]agree.Entry{}}),
+		Data: consensus.Encode(consensus.State{Log: logID, Newest: map[consensus.Kind]consensus.Entry{}}),
 		Metadata: &raftpb.SnapshotMetadata{
 			Index:     proto.Uint64(firstIndex),
 			Term:      proto.Uint64(firstTerm),
--- a/internal/agree/voter/configuration.go
+++ b/internal/consensus/replica/configuration.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 // caughtUpWithin is how many entries a learner may be behind the leader's commit index to be made a voter.
@@ -96,7 +96,7 @@
 // that does not name it.
 func (r *Replica) setMembers(index uint64, members *raftpb.ConfState) {
 	r.confState = members
-	_, err := r.storage.CreateSnapshot(index, members, agree.Encode(r.state))
+	_, err := r.storage.CreateSnapshot(index, members, consensus.Encode(r.state))
 	if err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 		r.err = fmt.Errorf("make a snapshot of the members: %w", err)
 	}
--- a/internal/agree/voter/doc.go
+++ b/internal/consensus/replica/doc.go
@@ -1,5 +1,5 @@
-// Package voter is one replica of the replicated log: etcd's implementation of Raft as a pure state machine, between
-// messages and records. It stands apart from package agree because what it links keeps 3.4 MB of code in a program
+// Package replica is one replica of the replicated log: etcd's implementation of Raft as a pure state machine, between
+// messages and records. It stands apart from package consensus because what it links keeps 3.4 MB of code in a program
 // that only follows the log.
 //
 // The agent of a node that the list of nodes names as a replica owns its Replica and calls it from one goroutine:
@@ -11,4 +11,4 @@
 //
 // The package is free of I/O, clocks and goroutines. A panic of the Raft library stops the replica, not the process:
 // see Broken.
-package voter
+package replica
--- a/internal/agree/voter/golden_exchange_test.go
+++ b/internal/consensus/replica/golden_exchange_test.go
@@ -1,11 +1,11 @@
-package voter
+package replica
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"testing"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 // exchange is a play of three replicas in a fixed order, with all that they persist and send.
@@ -13,7 +13,7 @@
 	t        *testing.T
 	rng      *rand.Rand
 	replicas []*Replica
-	disks    [][]agree.Record
+	disks    [][]consensus.Record
 	inFlight []message
 	lines    []string
 }
@@ -62,7 +62,7 @@
 			x.t.Fatal("a record that replaces all others")
 		}
 		if !record.Empty() {
-			x.lines = append(x.lines, fmt.Sprintf("keep %d %x", i, agree.Encode(record)))
+			x.lines = append(x.lines, fmt.Sprintf("keep %d %x", i, consensus.Encode(record)))
 			x.disks[i] = append(x.disks[i], record)
 		}
 		messages, _ := replica.Kept()
@@ -76,10 +76,10 @@
 }
 
 // send sends a message. The lines leave out hellos: TestGoldenEnvelope has those.
-func (x *exchange) send(from int, m agree.Message) {
+func (x *exchange) send(from int, m consensus.Message) {
 	x.inFlight = append(x.inFlight, message{from: from, to: m.To, data: m.Data})
 	var sent envelope
-	if err := agree.Unmarshal(m.Data, &sent); err != nil {
+	if err := consensus.Unmarshal(m.Data, &sent); err != nil {
 		x.t.Fatal(err)
 	}
 	if len(sent.Raft) > 0 {
@@ -95,7 +95,7 @@
 }
 
 func (x *exchange) propose(id string, replaces uint64) {
-	proposal := agree.Proposal{ID: id, Kind: 1, Replaces: replaces, Data: []byte("data of " + id)}
+	proposal := consensus.Proposal{ID: id, Kind: 1, Replaces: replaces, Data: []byte("data of " + id)}
 	if err := x.replicas[0].Propose(proposal); err != nil {
 		x.t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 // decide, confirm, and take in a replica that lost its disk.
 func TestGoldenExchange(t *testing.T) {
 	seedRaft(t, 1)
-	play := &exchange{t: t, rng: rand.New(rand.NewPCG(3, 4)), disks: make([][]agree.Record, 3)}
+	play := &exchange{t: t, rng: rand.New(rand.NewPCG(3, 4)), disks: make([][]consensus.Record, 3)}
 	for i := range 3 {
 		play.start(i)
 	}
@@ -177,17 +177,17 @@
 }
 
 // goldenDisks are the records of the golden file, by replica.
-func goldenDisks(t *testing.T, lines []string) [][]agree.Record {
+func goldenDisks(t *testing.T, lines []string) [][]consensus.Record {
 	t.Helper()
-	disks := make([][]agree.Record, 3)
+	disks := make([][]consensus.Record, 3)
 	for _, line := range lines {
 		var i int
 		var text string
 		if _, err := fmt.Sscanf(line, "keep %d %s", &i, &text); err != nil {
 			continue // it is of a message
 		}
-		var record agree.Record
-		if err := agree.Unmarshal(fromHex(t, text), &record); err != nil {
+		var record consensus.Record
+		if err := consensus.Unmarshal(fromHex(t, text), &record); err != nil {
 			t.Fatal(err)
 		}
 		if record.Incarnation != 0 {
--- a/internal/agree/voter/golden_test.go
+++ b/internal/consensus/replica/golden_test.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew: only for a form that is new")
@@ -55,9 +55,9 @@
 // TestGoldenEnvelope holds the form of all messages between replicas.
 func TestGoldenEnvelope(t *testing.T) {
 	value := envelope{Incarnation: 0x1112131415161718, LogID: 0x2122232425262728, Raft: []byte("raft message")}
-	want := goldenText(t, "envelope.hex", []string{hex.EncodeToString(agree.Encode(value))})
+	want := goldenText(t, "envelope.hex", []string{hex.EncodeToString(consensus.Encode(value))})
 	var decoded envelope
-	if err := agree.Unmarshal(fromHex(t, want[0]), &decoded); err != nil {
+	if err := consensus.Unmarshal(fromHex(t, want[0]), &decoded); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(decoded, value) {
@@ -69,16 +69,16 @@
 // it knows.
 func TestGoldenFold(t *testing.T) {
 	replica, folded := foldGrownLog(t)
-	lines := goldenText(t, "fold.hex", []string{hex.EncodeToString(agree.Encode(folded))})
-	var golden agree.Record
-	if err := agree.Unmarshal(fromHex(t, lines[0]), &golden); err != nil {
+	lines := goldenText(t, "fold.hex", []string{hex.EncodeToString(consensus.Encode(folded))})
+	var golden consensus.Record
+	if err := consensus.Unmarshal(fromHex(t, lines[0]), &golden); err != nil {
 		t.Fatal(err)
 	}
 	snapshot := &raftpb.Snapshot{}
 	if err := proto.Unmarshal(golden.Snapshot, snapshot); err != nil {
 		t.Fatal(err)
 	}
-	again, err := New(0, 1, []agree.Record{golden}, rand.New(rand.NewPCG(7, 8)))
+	again, err := New(0, 1, []consensus.Record{golden}, rand.New(rand.NewPCG(7, 8)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,13 +92,13 @@
 	if !reflect.DeepEqual(again.State(), replica.State()) {
 		t.Errorf("from the golden record: state %+v, wanted %+v", again.State(), replica.State())
 	}
-	if !bytes.Equal(agree.Encode(again.State()), snapshot.GetData()) {
-		t.Errorf("the state is encoded as %x, wanted %x", agree.Encode(again.State()), snapshot.GetData())
+	if !bytes.Equal(consensus.Encode(again.State()), snapshot.GetData()) {
+		t.Errorf("the state is encoded as %x, wanted %x", consensus.Encode(again.State()), snapshot.GetData())
 	}
 }
 
 // foldGrownLog has a replica that is the only one decide proposals until Fold gives a record.
-func foldGrownLog(t *testing.T) (*Replica, agree.Record) {
+func foldGrownLog(t *testing.T) (*Replica, consensus.Record) {
 	t.Helper()
 	replica, err := New(0, 1, nil, rand.New(rand.NewPCG(5, 6)))
 	if err != nil {
@@ -113,8 +113,8 @@
 		if record, ok := replica.Fold(); ok {
 			return replica, record
 		}
-		kind := agree.Kind(1 + i%2)
-		proposal := agree.Proposal{
+		kind := consensus.Kind(1 + i%2)
+		proposal := consensus.Proposal{
 			ID:       fmt.Sprint("id-", i),
 			Kind:     kind,
 			Replaces: replica.State().Newest[kind].Number,
@@ -126,7 +126,7 @@
 		persistAll(t, replica)
 	}
 	t.Fatal("no record of 2000 proposals")
-	return nil, agree.Record{}
+	return nil, consensus.Record{}
 }
 
 // persistAll persists what a replica has ready, and drops what it sends.
--- a/internal/agree/voter/logger.go
+++ b/internal/consensus/replica/logger.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import "fmt"
 
--- a/internal/agree/voter/message.go
+++ b/internal/consensus/replica/message.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 // envelope is the form of all messages between replicas. Without a message of Raft it is a hello: replicas tell one
@@ -27,8 +27,8 @@
 func replicaOf(id uint64) int { return int(id&0xff) - 1 }
 
 func (r *Replica) send(to int, raftMessage []byte) {
-	data := agree.Encode(envelope{Incarnation: r.incarnation, LogID: r.logID, Raft: raftMessage})
-	r.messages = append(r.messages, agree.Message{To: to, Data: data})
+	data := consensus.Encode(envelope{Incarnation: r.incarnation, LogID: r.logID, Raft: raftMessage})
+	r.messages = append(r.messages, consensus.Message{To: to, Data: data})
 }
 
 // sendRaft sends Raft's messages.
@@ -65,7 +65,7 @@
 		return nil
 	}
 	var message envelope
-	if err := agree.Unmarshal(data, &message); err != nil {
+	if err := consensus.Unmarshal(data, &message); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 	}
 	defer r.stopOnPanic()
--- a/internal/agree/voter/ready.go
+++ b/internal/consensus/replica/ready.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"encoding/binary"
@@ -7,12 +7,12 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 // Ready gives the record that has to be persisted next. After ok, Kept has to be called once it is; an empty record
 // needs no disk. whole would say that the record replaces all others, and is always false.
-func (r *Replica) Ready() (record agree.Record, whole, ok bool) {
+func (r *Replica) Ready() (record consensus.Record, whole, ok bool) {
 	if r.persisting != persistingNothing || r.err != nil {
 		return record, false, false
 	}
@@ -34,15 +34,15 @@
 }
 
 // beginningRecord is the first record of a disk or of a log.
-func (r *Replica) beginningRecord() agree.Record {
-	record := agree.Record{Incarnation: r.incarnation, Log: r.logID}
+func (r *Replica) beginningRecord() consensus.Record {
+	record := consensus.Record{Incarnation: r.incarnation, Log: r.logID}
 	if snapshot, err := r.storage.Snapshot(); err == nil && r.raft != nil && !raft.IsEmptySnap(snapshot) {
 		record.Snapshot = mustMarshal(snapshot)
 	}
 	return record
 }
 
-func readyRecord(ready raft.Ready) (record agree.Record) {
+func readyRecord(ready raft.Ready) (record consensus.Record) {
 	if hasHardState(ready) {
 		record.HardState = mustMarshal(ready.HardState)
 	}
@@ -60,7 +60,7 @@
 }
 
 // Kept tells that the record of the last Ready is persisted, and gives what follows from it.
-func (r *Replica) Kept() (messages []agree.Message, results []agree.ProposalResult) {
+func (r *Replica) Kept() (messages []consensus.Message, results []consensus.ProposalResult) {
 	if r.persisting == persistingNothing || r.err != nil {
 		return nil, nil
 	}
--- a/internal/agree/voter/replica.go
+++ b/internal/consensus/replica/replica.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"encoding/binary"
@@ -8,10 +8,10 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
-// Times are in ticks of agree.Tick.
+// Times are in ticks of consensus.Tick.
 const (
 	electionTicks  = 12 // without a message of a leader, and up to as many more by chance, until an election
 	heartbeatTicks = 3
@@ -30,13 +30,13 @@
 	logID       uint64 // 0: there is no log yet
 	raft        *raft.RawNode
 	storage     *raft.MemoryStorage // what has been persisted, as Raft reads it
-	state       agree.State         // what the log up to applied has come to
+	state       consensus.State     // what the log up to applied has come to
 	applied     uint64              // index
 	confState   *raftpb.ConfState   // the members at applied
 	peers       []peer              // by number
 	ticks       int
-	messages    []agree.Message // to be sent with the next call of Kept
-	results     []agree.ProposalResult
+	messages    []consensus.Message // to be sent with the next call of Kept
+	results     []consensus.ProposalResult
 	persisting  persisting
 	unstored    bool        // the incarnation, or the log's beginning, is not persisted yet
 	ready       *raft.Ready // what is being persisted of Raft
@@ -69,17 +69,17 @@
 
 // New makes replica number self of a number of replicas, with the records that were persisted, oldest first. rng
 // draws the incarnation of a replica that has none.
-func New(self, replicas int, records []agree.Record, rng *rand.Rand) (replica *Replica, err error) {
-	if replicas < 1 || replicas > agree.MaxReplicas || self < 0 || self >= replicas {
+func New(self, replicas int, records []consensus.Record, rng *rand.Rand) (replica *Replica, err error) {
+	if replicas < 1 || replicas > consensus.MaxReplicas || self < 0 || self >= replicas {
 		return nil, fmt.Errorf("%w: number %d of %d, at most %d are possible",
-			ErrInvalidReplica, self, replicas, agree.MaxReplicas)
+			ErrInvalidReplica, self, replicas, consensus.MaxReplicas)
 	}
 	replica = &Replica{
 		self:     self,
 		replicas: replicas,
 		peers:    make([]peer, replicas),
 		storage:  raft.NewMemoryStorage(),
-		state:    agree.State{Newest: map[agree.Kind]agree.Entry{}},
+		state:    consensus.State{Newest: map[consensus.Kind]consensus.Entry{}},
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// Tick tells that agree.Tick has passed.
+// Tick tells that consensus.Tick has passed.
 func (r *Replica) Tick() {
 	if r.err != nil {
 		return
@@ -146,17 +146,17 @@
 }
 
 // Propose asks for an entry to be decided. How the proposal ended is in the results of Kept, or later in Ended; it
-// may never be told, and then the same proposal can be made again. The error is an agree.ErrInvalidProposal,
-// agree.ErrNotLeader or raft.ErrProposalDropped.
-func (r *Replica) Propose(proposal agree.Proposal) (err error) {
+// may never be told, and then the same proposal can be made again. The error is an consensus.ErrInvalidProposal,
+// consensus.ErrNotLeader or raft.ErrProposalDropped.
+func (r *Replica) Propose(proposal consensus.Proposal) (err error) {
 	if err := proposal.Check(); err != nil {
 		return err
 	}
 	if r.err != nil || !r.Leads() {
-		return agree.ErrNotLeader
+		return consensus.ErrNotLeader
 	}
 	defer r.stopOnPanic()
-	if err := r.raft.Propose(agree.Encode(proposal)); err != nil {
+	if err := r.raft.Propose(consensus.Encode(proposal)); err != nil {
 		return fmt.Errorf("propose %s: %w", proposal.ID, err)
 	}
 	return nil
@@ -200,10 +200,10 @@
 }
 
 // State is what this replica knows to be decided. The caller must not change it.
-func (r *Replica) State() agree.State { return r.state }
+func (r *Replica) State() consensus.State { return r.state }
 
 // Ended tells how a proposal ended, while that is remembered.
-func (r *Replica) Ended(id string) (agree.ProposalResult, bool) { return r.state.Result(id) }
+func (r *Replica) Ended(id string) (consensus.ProposalResult, bool) { return r.state.Result(id) }
 
 // Broken is why this replica has stopped for good; nil: it runs. It neither votes nor leads until the process starts
 // it anew.
--- a/internal/agree/voter/replica_test.go
+++ b/internal/consensus/replica/replica_test.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 // fault is what a schedule does to a replica or to all.
@@ -78,7 +78,7 @@
 		if leader := s.leader(); leader != nil {
 			s.proposed++
 			// One that is not taken, or not decided, changes nothing.
-			_ = leader.Propose(agree.Proposal{
+			_ = leader.Propose(consensus.Proposal{
 				ID:       fmt.Sprint(s.proposed),
 				Kind:     1,
 				Replaces: leader.State().Newest[1].Number,
@@ -99,7 +99,7 @@
 			t.Fatalf("proposal %s ended as %+v, %v, wanted %+v as was told", id, result, ok, before)
 		}
 	}
-	last := agree.Proposal{ID: "last", Kind: 1, Replaces: leader.State().Newest[1].Number, Data: []byte("last")}
+	last := consensus.Proposal{ID: "last", Kind: 1, Replaces: leader.State().Newest[1].Number, Data: []byte("last")}
 	if err := leader.Propose(last); err != nil {
 		t.Fatalf("Propose after the faults: %v", err)
 	}
@@ -119,15 +119,15 @@
 	for _, test := range []struct {
 		name           string
 		self, replicas int
-		records        []agree.Record
+		records        []consensus.Record
 		want           error
 	}{
 		{"no replicas", 0, 0, nil, ErrInvalidReplica},
-		{"too many replicas", 0, agree.MaxReplicas + 1, nil, ErrInvalidReplica},
+		{"too many replicas", 0, consensus.MaxReplicas + 1, nil, ErrInvalidReplica},
 		{"not one of them", 3, 3, nil, ErrInvalidReplica},
-		{"unreadable snapshot", 0, 1, []agree.Record{{Log: 1, Snapshot: unreadable}}, ErrInconsistentRecords},
-		{"unreadable hard state", 0, 1, []agree.Record{{Log: 1, HardState: unreadable}}, ErrInconsistentRecords},
-		{"unreadable entry", 0, 1, []agree.Record{{Log: 1, Entries: [][]byte{unreadable}}}, ErrInconsistentRecords},
+		{"unreadable snapshot", 0, 1, []consensus.Record{{Log: 1, Snapshot: unreadable}}, ErrInconsistentRecords},
+		{"unreadable hard state", 0, 1, []consensus.Record{{Log: 1, HardState: unreadable}}, ErrInconsistentRecords},
+		{"unreadable entry", 0, 1, []consensus.Record{{Log: 1, Entries: [][]byte{unreadable}}}, ErrInconsistentRecords},
 	} {
 		if _, err := New(test.self, test.replicas, test.records, rng); !errors.Is(err, test.want) {
 			t.Errorf("%s: New gives %v, wanted %v", test.name, err, test.want)
@@ -138,7 +138,7 @@
 // TestNewPanic has Raft panic on a commit index that its log does not have.
 func TestNewPanic(t *testing.T) {
 	hardState := []byte{0x08, 1, 0x18, 9} // term 1, commit 9
-	_, err := New(0, 1, []agree.Record{{Incarnation: 1, Log: 1, HardState: hardState}}, rand.New(rand.NewPCG(1, 1)))
+	_, err := New(0, 1, []consensus.Record{{Incarnation: 1, Log: 1, HardState: hardState}}, rand.New(rand.NewPCG(1, 1)))
 	var cause *PanicError
 	if !errors.Is(err, ErrInconsistentRecords) || !errors.As(err, &cause) {
 		t.Errorf("New gives %v, wanted %v with a PanicError", err, ErrInconsistentRecords)
@@ -151,11 +151,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := replica.Propose(agree.Proposal{ID: "a", Kind: 1}); !errors.Is(err, agree.ErrNotLeader) {
-		t.Errorf("Propose gives %v, wanted %v", err, agree.ErrNotLeader)
+	if err := replica.Propose(consensus.Proposal{ID: "a", Kind: 1}); !errors.Is(err, consensus.ErrNotLeader) {
+		t.Errorf("Propose gives %v, wanted %v", err, consensus.ErrNotLeader)
 	}
-	if err := replica.Propose(agree.Proposal{}); !errors.Is(err, agree.ErrInvalidProposal) {
-		t.Errorf("Propose of nothing gives %v, wanted %v", err, agree.ErrInvalidProposal)
+	if err := replica.Propose(consensus.Proposal{}); !errors.Is(err, consensus.ErrInvalidProposal) {
+		t.Errorf("Propose of nothing gives %v, wanted %v", err, consensus.ErrInvalidProposal)
 	}
 	if err := replica.Receive(1, []byte{0xff}); !errors.Is(err, ErrInvalidMessage) {
 		t.Errorf("Receive of what is no message gives %v, wanted %v", err, ErrInvalidMessage)
--- a/internal/agree/voter/simulation_test.go
+++ b/internal/consensus/replica/simulation_test.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	crypto "crypto/rand"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 // simulatedReplicas is how many replicas a simulation has.
@@ -22,7 +22,7 @@
 	inFlight  []message
 	now       int
 	digests   map[uint64]uint64 // by index, of all entries that any replica ever knew
-	results   map[string]agree.ProposalResult
+	results   map[string]consensus.ProposalResult
 	loss      float64 // probability that a message is lost
 	partition int     // replicas with a number below it hear only one another
 }
@@ -30,12 +30,12 @@
 // node is a replica with its disk.
 type node struct {
 	replica *Replica
-	disk    []agree.Record
-	pending *agree.Record // what is being persisted
-	due     int           // when it is
-	stalled int           // until then the process stands still
-	down    int           // then the process starts again
-	highest uint64        // index of the newest entry
+	disk    []consensus.Record
+	pending *consensus.Record // what is being persisted
+	due     int               // when it is
+	stalled int               // until then the process stands still
+	down    int               // then the process starts again
+	highest uint64            // index of the newest entry
 }
 
 type message struct {
@@ -68,7 +68,7 @@
 		t:       t,
 		rng:     rand.New(rand.NewPCG(seed, 1)),
 		digests: map[uint64]uint64{},
-		results: map[string]agree.ProposalResult{},
+		results: map[string]consensus.ProposalResult{},
 	}
 	for i := range simulatedReplicas {
 		played.replicas = append(played.replicas, &node{})
@@ -148,7 +148,7 @@
 			s.publish(i)
 		}
 		if record, ok := node.replica.Fold(); ok {
-			node.disk = []agree.Record{record}
+			node.disk = []consensus.Record{record}
 		}
 		record, _, ok := node.replica.Ready()
 		if !ok {
@@ -183,7 +183,7 @@
 }
 
 // send has a message arrive late, twice or never.
-func (s *simulation) send(from int, outgoing agree.Message) {
+func (s *simulation) send(from int, outgoing consensus.Message) {
 	if s.rng.Float64() < s.loss {
 		return
 	}
--- a/internal/agree/voter/storage.go
+++ b/internal/consensus/replica/storage.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"errors"
@@ -9,14 +9,14 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 // retainedEntries are the applied entries that stay in storage, for replicas that lag behind: others get a snapshot.
 const retainedEntries = 256
 
 // load puts the records that were persisted, oldest first, into Raft's storage.
-func (r *Replica) load(records []agree.Record) error {
+func (r *Replica) load(records []consensus.Record) error {
 	for _, record := range records {
 		if record.Incarnation != 0 {
 			r.incarnation = record.Incarnation
@@ -31,7 +31,7 @@
 	return nil
 }
 
-func (r *Replica) loadRecord(record agree.Record) error {
+func (r *Replica) loadRecord(record consensus.Record) error {
 	if len(record.Snapshot) > 0 {
 		snapshot := &raftpb.Snapshot{}
 		if err := proto.Unmarshal(record.Snapshot, snapshot); err != nil {
@@ -69,12 +69,12 @@
 	if len(snapshot.GetData()) == 0 {
 		return nil
 	}
-	var state agree.State
-	if err := agree.Unmarshal(snapshot.GetData(), &state); err != nil {
+	var state consensus.State
+	if err := consensus.Unmarshal(snapshot.GetData(), &state); err != nil {
 		return fmt.Errorf("decode the state of a snapshot: %w", err)
 	}
 	if state.Newest == nil {
-		state.Newest = map[agree.Kind]agree.Entry{}
+		state.Newest = map[consensus.Kind]consensus.Entry{}
 	}
 	r.state = state
 	return nil
@@ -82,7 +82,7 @@
 
 // Fold compacts the log once it has grown: it gives one record, with a snapshot, that has to replace all others. It
 // does nothing while another record is being persisted.
-func (r *Replica) Fold() (record agree.Record, ok bool) {
+func (r *Replica) Fold() (record consensus.Record, ok bool) {
 	if r.raft == nil || r.persisting != persistingNothing || r.unstored || r.err != nil {
 		return record, false
 	}
@@ -91,13 +91,13 @@
 		return record, false
 	}
 	defer r.stopOnPanic()
-	snapshot, err := r.storage.CreateSnapshot(r.applied, r.confState, agree.Encode(r.state))
+	snapshot, err := r.storage.CreateSnapshot(r.applied, r.confState, consensus.Encode(r.state))
 	if err != nil {
 		return record, false // at the next call
 	}
 	record, err = r.compactedRecord(snapshot)
 	if err != nil {
-		return agree.Record{}, false
+		return consensus.Record{}, false
 	}
 	if upTo := r.applied - retainedEntries; upTo > first {
 		_ = r.storage.Compact(upTo) // it fails only for what is compacted already
@@ -106,12 +106,12 @@
 }
 
 // compactedRecord is all that a replica knows: a snapshot, its hard state, and the entries that are not applied yet.
-func (r *Replica) compactedRecord(snapshot *raftpb.Snapshot) (record agree.Record, err error) {
+func (r *Replica) compactedRecord(snapshot *raftpb.Snapshot) (record consensus.Record, err error) {
 	hardState, _, err := r.storage.InitialState()
 	if err != nil {
 		return record, fmt.Errorf("read the hard state: %w", err)
 	}
-	record = agree.Record{
+	record = consensus.Record{
 		Incarnation: r.incarnation,
 		Log:         r.logID,
 		Snapshot:    mustMarshal(snapshot),
--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"spurwinch/choice"
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/failover"
 	"spurwinch/internal/membership"
 	"spurwinch/internal/policy"
@@ -32,7 +32,7 @@
 	Rules      failover.Rules
 	Classes    []string // of the load balancer, by index
 	RetryAfter time.Duration
-	Records    []agree.Record // what the disk has, oldest first
+	Records    []consensus.Record // what the disk has, oldest first
 	Seed       uint64
 	Log        func(event string, fields ...any) // names and values in turn
 	Voter      NewVoter                          // nil: this program doesn't vote
@@ -55,7 +55,7 @@
 	schedule schedule
 	detector *membership.Watch
 
-	follower      *agree.Follower
+	follower      *consensus.Follower
 	unsaved       bool           // the follower has entries that the disk doesn't have yet
 	pendingRecord *pendingRecord // that the disk is writing; nil: none
 
@@ -149,7 +149,7 @@
 	a.zonePlanChanged = true
 }
 
-// Tick does what is due at a time. It is to be called about every agree.Tick.
+// Tick does what is due at a time. It is to be called about every consensus.Tick.
 func (a *Agent) Tick(now time.Duration) {
 	if now-a.lastTick > suspendThreshold { // what this process knew before it was suspended may not be so any more
 		a.options.Log("fleet_process_suspended", "for", (now - a.lastTick).Round(time.Millisecond).String())
--- a/internal/failover/agent/body.go
+++ b/internal/failover/agent/body.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/fxamacker/cbor/v2"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/policy"
 )
 
@@ -15,7 +15,7 @@
 	EvidenceClock uint64   // of the evidence that is answered
 	LeaderAge     int64    // microseconds since the leader was confirmed; under 0: it never was
 	LeaderPlan    uint64   // the leader's newest plan then
-	Log           agree.Digest
+	Log           consensus.Digest
 	Notice        policy.LeaderNotice
 }
 
@@ -24,7 +24,7 @@
 type summaryAck struct {
 	_            struct{} `cbor:",toarray"`
 	SummaryClock uint64   // of the summary that is answered
-	Log          agree.Digest
+	Log          consensus.Digest
 	Notice       policy.LeaderNotice
 }
 
@@ -32,7 +32,7 @@
 type logEntry struct {
 	_     struct{} `cbor:",toarray"`
 	Log   uint64
-	Entry agree.Entry
+	Entry consensus.Entry
 }
 
 // leaseRequest asks the owner of a zone's capacity leases for capacity. It replaces what the sender asked for before.
--- a/internal/failover/agent/calls.go
+++ b/internal/failover/agent/calls.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/failover"
 	"spurwinch/internal/membership"
 	"spurwinch/internal/policy"
@@ -163,13 +163,13 @@
 		orders.Drained = append(orders.Drained, call.Arg)
 		slices.SortFunc(orders.Drained, cmp.Compare[string])
 	}
-	return a.propose(agree.Proposal{
+	return a.propose(consensus.Proposal{
 		ID: call.ID, Kind: failover.OperatorOrdersKind, Replaces: newest.Number, Data: orders.Encode(),
 	})
 }
 
 // propose proposes what a call wants. What the voter doesn't take now it may take later.
-func (a *Agent) propose(proposal agree.Proposal) error {
+func (a *Agent) propose(proposal consensus.Proposal) error {
 	if err := a.voter.Propose(proposal); err != nil {
 		return &callError{reason: err.Error(), retry: true}
 	}
--- a/internal/failover/agent/dispatch.go
+++ b/internal/failover/agent/dispatch.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 const (
@@ -94,11 +94,11 @@
 			a.handleSummaryAck(head, ack, now)
 		}
 	case kindLogDigest:
-		if digest, ok := decode[agree.Digest](body); ok {
+		if digest, ok := decode[consensus.Digest](body); ok {
 			a.fetchMissing(head.from, digest, now)
 		}
 	case kindFetchEntries:
-		if kinds, ok := decode[[]agree.Kind](body); ok {
+		if kinds, ok := decode[[]consensus.Kind](body); ok {
 			a.handleFetchEntries(head, kinds, now)
 		}
 	case kindEntry:
--- a/internal/failover/agent/doc.go
+++ b/internal/failover/agent/doc.go
@@ -7,8 +7,8 @@
 // owner, which leases it for seconds to nodes that need more than their grants. Plans, operators' orders and the
 // fleet's policy are entries of the log; nodes that don't vote fetch them from one another.
 //
-// Two callers drive an Agent: internal/node/fleet.go on sockets and files, and internal/lab/explore in simulated time.
-// They pass in messages (Agent.Receive, Agent.Answer), the time (Agent.Tick), what the load balancer observed
+// Two callers drive an Agent: internal/node/fleet.go on sockets and files, and internal/lab/simulation in simulated
+// time. They pass in messages (Agent.Receive, Agent.Answer), the time (Agent.Tick), what the load balancer observed
 // (Agent.Observe) and that a record reached the disk (Agent.Persisted). After each call they collect the work: messages
 // to send (Agent.TakeMessages), a record to write (Agent.NextRecord), a plan for the load balancer (Agent.ZonePlan) and
 // the policy to serve by (Agent.ActivePolicy).
--- a/internal/failover/agent/entries.go
+++ b/internal/failover/agent/entries.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/failover"
 )
 
@@ -12,7 +12,7 @@
 const fromOwnVoter = -1
 
 // fetchMissing asks another node for the entries that it has and this one doesn't.
-func (a *Agent) fetchMissing(from int, digest agree.Digest, now time.Duration) {
+func (a *Agent) fetchMissing(from int, digest consensus.Digest, now time.Duration) {
 	kinds, err := a.follower.Lacks(digest)
 	if err != nil {
 		a.options.Log("fleet_log_conflict", "from", a.options.List.Node(from).Name, "error", err.Error())
@@ -24,8 +24,8 @@
 }
 
 // handleFetchEntries sends the entries that another node asks for.
-func (a *Agent) handleFetchEntries(head header, kinds []agree.Kind, now time.Duration) {
-	for _, kind := range kinds[:min(len(kinds), agree.MostKinds)] {
+func (a *Agent) handleFetchEntries(head header, kinds []consensus.Kind, now time.Duration) {
+	for _, kind := range kinds[:min(len(kinds), consensus.MostKinds)] {
 		entry := a.follower.Newest(kind)
 		if entry.Number > 0 {
 			a.send(head.from, kindEntry, encode(logEntry{Log: a.follower.Log(), Entry: entry}), now)
@@ -34,7 +34,7 @@
 }
 
 // acceptEntry adds an entry to the follower and forwards it to the subscribers. It takes effect when it is on disk.
-func (a *Agent) acceptEntry(log uint64, entry agree.Entry, from int, now time.Duration) {
+func (a *Agent) acceptEntry(log uint64, entry consensus.Entry, from int, now time.Duration) {
 	applied, err := a.follower.Apply(log, entry)
 	if err != nil {
 		sender := "its own log"
@@ -66,7 +66,7 @@
 }
 
 // acceptOrders gives the planner the operators' orders.
-func (a *Agent) acceptOrders(entry agree.Entry) {
+func (a *Agent) acceptOrders(entry consensus.Entry) {
 	orders, err := failover.DecodeOperatorOrders(entry.Data)
 	if err == nil && a.planner != nil {
 		a.planner.ApplyOrders(orders)
@@ -76,7 +76,7 @@
 
 // adoptEntries puts entries into effect that are on disk. Not earlier: after a crash the node would be back at older
 // ones than it has reported.
-func (a *Agent) adoptEntries(entries []agree.Entry, now time.Duration) {
+func (a *Agent) adoptEntries(entries []consensus.Entry, now time.Duration) {
 	for _, entry := range entries {
 		a.adoptPolicy(entry)
 		a.adoptPlan(entry)
--- a/internal/failover/agent/golden_test.go
+++ b/internal/failover/agent/golden_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/failover"
 	"spurwinch/internal/policy"
 )
@@ -104,9 +104,9 @@
 			return goldenSummary(), append([]byte{1}, goldenSummary().Encode()...)
 		}},
 		{"ack", kindSummaryAck, body(summaryAck{SummaryClock: 44, Log: goldenDigest(), Notice: goldenNotice()})},
-		{"fetch", kindFetchEntries, body([]agree.Kind{1, 3})},
+		{"fetch", kindFetchEntries, body([]consensus.Kind{1, 3})},
 		{"give", kindEntry, body(logEntry{
-			Log: 45, Entry: agree.Entry{Number: 46, Kind: 2, ID: "drain-46", Data: []byte("data")},
+			Log: 45, Entry: consensus.Entry{Number: 46, Kind: 2, ID: "drain-46", Data: []byte("data")},
 		})},
 		{"news", kindLogDigest, body(goldenDigest())},
 		{"raft", kindConsensus, raw([]byte("of the voters"))},
@@ -219,9 +219,9 @@
 }
 
 // goldenEntries are one entry of each kind that an agent acts on.
-func goldenEntries() []agree.Entry {
+func goldenEntries() []consensus.Entry {
 	orders := failover.OperatorOrders{Drained: []string{"z2"}}
-	return []agree.Entry{
+	return []consensus.Entry{
 		{Number: 61, Kind: failover.PlanKind, ID: "plan-1", Data: goldenPlan().Encode()},
 		{Number: 62, Kind: failover.OperatorOrdersKind, ID: "drain-2", Data: orders.Encode()},
 		{Number: 63, Kind: policy.Kind, ID: "policy-3", Data: goldenPolicyState().Encode()},
@@ -260,11 +260,11 @@
 	if !ok || whole {
 		t.Fatalf("record to save: %t, whole %t, wanted one that is added", ok, whole)
 	}
-	golden := goldenFile(t, "record.hex", agree.Encode(record))
+	golden := goldenFile(t, "record.hex", consensus.Encode(record))
 
 	options := goldenOptions(t)
-	options.Records = make([]agree.Record, 1)
-	if err := agree.Unmarshal(golden, &options.Records[0]); err != nil {
+	options.Records = make([]consensus.Record, 1)
+	if err := consensus.Unmarshal(golden, &options.Records[0]); err != nil {
 		t.Fatal(err)
 	}
 	reader, err := New(options, 0)
--- a/internal/failover/agent/golden_values_test.go
+++ b/internal/failover/agent/golden_values_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/failover"
 	"spurwinch/internal/membership"
 	"spurwinch/internal/policy"
@@ -81,9 +81,9 @@
 	}
 }
 
-func goldenDigest() agree.Digest {
-	kinds := []agree.KindDigest{{Kind: 1, Number: 32, Sum: 33}, {Kind: 3, Number: 34, Sum: 35}}
-	return agree.Digest{Log: 31, Kinds: kinds}
+func goldenDigest() consensus.Digest {
+	kinds := []consensus.KindDigest{{Kind: 1, Number: 32, Sum: 33}, {Kind: 3, Number: 34, Sum: 35}}
+	return consensus.Digest{Log: 31, Kinds: kinds}
 }
 
 func goldenNotice() policy.LeaderNotice {
--- a/internal/failover/agent/leader.go
+++ b/internal/failover/agent/leader.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/failover"
 )
 
@@ -70,7 +70,7 @@
 	if plan == nil {
 		return
 	}
-	err := a.voter.Propose(agree.Proposal{
+	err := a.voter.Propose(consensus.Proposal{
 		ID:       fmt.Sprintf("plan-%08x-%d", a.incarnation, microseconds(now)),
 		Kind:     failover.PlanKind,
 		Replaces: a.follower.Newest(failover.PlanKind).Number,
--- a/internal/failover/agent/leader_contact.go
+++ b/internal/failover/agent/leader_contact.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/failover"
 	"spurwinch/internal/policy"
 )
@@ -29,7 +29,7 @@
 }
 
 // planNumberIn is the number of the newest plan that a digest names; 0: none.
-func planNumberIn(digest agree.Digest) (number uint64) {
+func planNumberIn(digest consensus.Digest) (number uint64) {
 	for _, kind := range digest.Kinds {
 		if kind.Kind == failover.PlanKind {
 			number = kind.Number
--- a/internal/failover/agent/leader_test.go
+++ b/internal/failover/agent/leader_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/failover"
 	"spurwinch/internal/membership"
 	"spurwinch/internal/policy"
@@ -21,17 +21,18 @@
 func (v *leadingVoter) Leads() bool     { return true }
 func (v *leadingVoter) Term() uint64    { return 1 }
 func (v *leadingVoter) Confirm() uint64 { return 1 }
-func (v *leadingVoter) Ready() (record agree.Record, whole, ok bool) {
-	return agree.Record{}, false, false
+func (v *leadingVoter) Ready() (record consensus.Record, whole, ok bool) {
+	return consensus.Record{}, false, false
 }
-func (v *leadingVoter) Fold() (record agree.Record, ok bool) { return agree.Record{}, false }
-func (v *leadingVoter) Broken() error                        { return nil }
-func (v *leadingVoter) Ended(string) (result agree.ProposalResult, ok bool) {
-	return agree.ProposalResult{}, false
+
+func (v *leadingVoter) Fold() (record consensus.Record, ok bool) { return consensus.Record{}, false }
+func (v *leadingVoter) Broken() error                            { return nil }
+func (v *leadingVoter) Ended(string) (result consensus.ProposalResult, ok bool) {
+	return consensus.ProposalResult{}, false
 }
 
 // Propose records a plan.
-func (v *leadingVoter) Propose(proposal agree.Proposal) error {
+func (v *leadingVoter) Propose(proposal consensus.Proposal) error {
 	if proposal.Kind != failover.PlanKind {
 		return nil
 	}
@@ -58,7 +59,7 @@
 		Key:     []byte("key"),
 		Rules:   failover.Rules{UtilizationLimit: 0.85, GrantLifetime: 10 * time.Second},
 		Classes: []string{"c"},
-		Voter:   func(int, int, []agree.Record, *rand.Rand) (Voter, error) { return voter, nil },
+		Voter:   func(int, int, []consensus.Record, *rand.Rand) (Voter, error) { return voter, nil },
 		Policy: &Policy{Read: func([]byte) (*policy.Document, error) {
 			return &policy.Document{Classes: []policy.Class{class}}, nil
 		}},
@@ -86,7 +87,7 @@
 // runUntil has the agent tick with evidence of all zones, and all that it saves reach the disk at once.
 func runUntil(agent *Agent, from, to time.Duration) {
 	list := agent.options.List
-	for now := from; now < to; now += agree.Tick {
+	for now := from; now < to; now += consensus.Tick {
 		for node := range list.Len() {
 			agent.observeSummary(node, healthySummary(node, list.Node(node).Zone), false, now)
 		}
@@ -106,14 +107,14 @@
 func TestDrainOutlastsPolicyChange(t *testing.T) {
 	agent, voter := newLeader(t)
 	orders := failover.OperatorOrders{Drained: []string{"y"}}
-	agent.acceptEntry(1, agree.Entry{Number: 1, Kind: failover.OperatorOrdersKind, ID: "drain", Data: orders.Encode()},
-		fromOwnVoter, 0)
+	ordersEntry := consensus.Entry{Number: 1, Kind: failover.OperatorOrdersKind, ID: "drain", Data: orders.Encode()}
+	agent.acceptEntry(1, ordersEntry, fromOwnVoter, 0)
 	const changed = 10 * time.Second
 	runUntil(agent, 0, changed)
 	wantDrained(t, "before the policy changed", voter.plans)
 
 	state := &policy.State{Number: 1, LastNumber: 1, Documents: []policy.VersionedDocument{{Number: 1}}}
-	entry := agree.Entry{Number: 2, Kind: policy.Kind, ID: "policy", Data: state.Encode()}
+	entry := consensus.Entry{Number: 2, Kind: policy.Kind, ID: "policy", Data: state.Encode()}
 	agent.acceptEntry(1, entry, fromOwnVoter, changed)
 	voter.plans = nil
 	runUntil(agent, changed, 2*changed)
--- a/internal/failover/agent/message.go
+++ b/internal/failover/agent/message.go
@@ -40,7 +40,7 @@
 	kindEvidenceAck                         // of an aggregator, for evidence
 	kindSummary                             // to the voters: a byte, 1 if stale, and a zone's failover.EvidenceSummary
 	kindSummaryAck                          // of the leader, for a summary
-	kindFetchEntries                        // asks for the newest entries of some kinds: []agree.Kind
+	kindFetchEntries                        // asks for the newest entries of some kinds: []consensus.Kind
 	kindEntry                               // an entry of the log
 	kindLogDigest                           // agree.Digest, how far the sender knows the log; read, but not sent
 	kindConsensus                           // of voters among themselves
--- a/internal/failover/agent/plan.go
+++ b/internal/failover/agent/plan.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"spurwinch/choice"
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/failover"
 )
 
@@ -57,7 +57,7 @@
 
 // acceptPlan adds a received plan to the history; it takes effect when it is on disk. It says whether the plan can be
 // decoded.
-func (a *Agent) acceptPlan(entry agree.Entry, now time.Duration) bool {
+func (a *Agent) acceptPlan(entry consensus.Entry, now time.Duration) bool {
 	plan, err := failover.DecodePlan(entry.Data)
 	if err != nil {
 		a.options.Log("fleet_plan_unreadable", "number", entry.Number, "error", err.Error())
@@ -71,7 +71,7 @@
 }
 
 // adoptPlan puts a plan that is on disk into effect, if it is newer.
-func (a *Agent) adoptPlan(entry agree.Entry) {
+func (a *Agent) adoptPlan(entry consensus.Entry) {
 	if entry.Kind != failover.PlanKind || entry.Number <= a.planNumber {
 		return
 	}
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/policy"
 )
 
@@ -30,7 +30,7 @@
 }
 
 // adoptPolicy puts an entry of the policy that is on disk into effect, and checks its pending change.
-func (a *Agent) adoptPolicy(entry agree.Entry) {
+func (a *Agent) adoptPolicy(entry consensus.Entry) {
 	local := &a.localPolicy
 	if a.options.Policy == nil || entry.Kind != policy.Kind || entry.Number <= local.entry {
 		return
--- a/internal/failover/agent/policy_calls.go
+++ b/internal/failover/agent/policy_calls.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/policy"
 )
 
@@ -114,7 +114,7 @@
 	if result, ok := a.voter.Ended(call.ID); ok && !result.Accepted {
 		return errSuperseded
 	}
-	proposal := agree.Proposal{Kind: policy.Kind, Replaces: entry}
+	proposal := consensus.Proposal{Kind: policy.Kind, Replaces: entry}
 	if isNew {
 		next, err := a.stateWithChange(state, call)
 		if err != nil {
--- a/internal/failover/agent/policy_leader.go
+++ b/internal/failover/agent/policy_leader.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/policy"
 )
 
@@ -161,7 +161,7 @@
 		return
 	}
 	rollout.proposedAt = now
-	err := a.voter.Propose(agree.Proposal{
+	err := a.voter.Propose(consensus.Proposal{
 		ID: stepTo(next).proposalID(entry), Kind: policy.Kind, Replaces: entry, Data: next.Encode(),
 	})
 	if err != nil {
--- a/internal/failover/agent/storage.go
+++ b/internal/failover/agent/storage.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 // maxVoterSteps bounds the voter's steps at one call.
@@ -11,15 +11,15 @@
 
 // pendingRecord is a record that is to be on disk before anything else is done.
 type pendingRecord struct {
-	record      agree.Record
+	record      consensus.Record
 	replacesAll bool
 	ofVoter     bool
 }
 
 // restoreFollower starts with the newest entries that the disk has.
-func restoreFollower(records []agree.Record) *agree.Follower {
+func restoreFollower(records []consensus.Record) *consensus.Follower {
 	var log uint64
-	var entries []agree.Entry
+	var entries []consensus.Entry
 	for _, record := range records {
 		if len(record.Newest) > 0 {
 			entries = record.Newest
@@ -28,7 +28,7 @@
 			log = record.Log
 		}
 	}
-	return agree.NewFollower(log, entries)
+	return consensus.NewFollower(log, entries)
 }
 
 // advance does what the voter and the follower have ready, up to the next record that has to be on disk first.
@@ -42,7 +42,8 @@
 		}
 		if a.unsaved {
 			a.unsaved = false
-			a.pendingRecord = &pendingRecord{record: agree.Record{Log: a.follower.Log(), Newest: a.follower.Entries()}}
+			record := consensus.Record{Log: a.follower.Log(), Newest: a.follower.Entries()}
+			a.pendingRecord = &pendingRecord{record: record}
 		}
 		return
 	}
@@ -50,9 +51,9 @@
 
 // NextRecord gives the record that must be written next; whole says that it replaces all others. Persisted is to be
 // called when it is on disk.
-func (a *Agent) NextRecord() (record agree.Record, whole, ok bool) {
+func (a *Agent) NextRecord() (record consensus.Record, whole, ok bool) {
 	if a.pendingRecord == nil {
-		return agree.Record{}, false, false
+		return consensus.Record{}, false, false
 	}
 	return a.pendingRecord.record, a.pendingRecord.replacesAll, true
 }
--- a/internal/failover/agent/voter.go
+++ b/internal/failover/agent/voter.go
@@ -6,21 +6,21 @@
 	"slices"
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
-// Voter is one of those that agree on the log: internal/agree/voter.
+// Voter is one of those that agree on the log: internal/consensus/replica.
 type Voter interface {
 	Tick()
 	Receive(from int, data []byte) error
-	Ready() (rec agree.Record, whole, ok bool)
-	Kept() (out []agree.Message, results []agree.ProposalResult)
-	Fold() (rec agree.Record, ok bool)
-	Propose(p agree.Proposal) error
+	Ready() (rec consensus.Record, whole, ok bool)
+	Kept() (out []consensus.Message, results []consensus.ProposalResult)
+	Fold() (rec consensus.Record, ok bool)
+	Propose(p consensus.Proposal) error
 	Confirm() (call uint64)
 	Confirmed() uint64
-	State() agree.State
-	Ended(id string) (agree.ProposalResult, bool)
+	State() consensus.State
+	Ended(id string) (consensus.ProposalResult, bool)
 	Leads() bool
 	Leader() int
 	Term() uint64
@@ -28,7 +28,7 @@
 }
 
 // NewVoter makes voter number self of voters with what its disk has.
-type NewVoter func(self, voters int, records []agree.Record, rng *rand.Rand) (Voter, error)
+type NewVoter func(self, voters int, records []consensus.Record, rng *rand.Rand) (Voter, error)
 
 // startVoter starts the node's vote, if it is a voter.
 func (a *Agent) startVoter() error {
@@ -53,7 +53,7 @@
 
 // tickVoter gives the voter its ticks; those that were missed while the process was suspended are not made up for.
 func (a *Agent) tickVoter(now time.Duration) {
-	for ; a.schedule.voterTick <= now; a.schedule.voterTick += agree.Tick {
+	for ; a.schedule.voterTick <= now; a.schedule.voterTick += consensus.Tick {
 		if now-a.schedule.voterTick > suspendThreshold {
 			a.schedule.voterTick = now
 		}
@@ -126,7 +126,7 @@
 	a.acknowledgeSummaries(now)
 }
 
-func sortedKinds(entries map[agree.Kind]agree.Entry) (kinds []agree.Kind) {
+func sortedKinds(entries map[consensus.Kind]consensus.Entry) (kinds []consensus.Kind) {
 	for kind := range entries {
 		kinds = append(kinds, kind)
 	}
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -1,11 +1,11 @@
 package failover
 
-import "spurwinch/internal/agree"
+import "spurwinch/internal/consensus"
 
 // Kinds of entries on the consensus log.
 const (
-	PlanKind           agree.Kind = 1
-	OperatorOrdersKind agree.Kind = 2
+	PlanKind           consensus.Kind = 1
+	OperatorOrdersKind consensus.Kind = 2
 )
 
 const (
--- a/internal/standin/fleet.go
+++ b/internal/lab/fakeserver/fleet.go
@@ -1,4 +1,4 @@
-package standin
+package fakeserver
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"spurwinch/internal/fleet"
+	"spurwinch/internal/plan/fleet"
 )
 
 // Stats counts what the stand-ins did.
--- a/internal/standin/host.go
+++ b/internal/lab/fakeserver/host.go
@@ -1,7 +1,7 @@
-// Package standin plays the parties around a node on loopback sockets, after a fleet's description: servers that speak the
+// Package fakeserver plays the parties around a node on loopback sockets, after a fleet's description: servers that speak the
 // platform's protocol, the list of servers, the session store. Unlike the planner's model it has no shares and averages:
 // each server works through single jobs on its cores, and answers a line when the line's job would be done.
-package standin
+package fakeserver
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 const (
@@ -80,7 +80,7 @@
 	sock   net.Conn
 	group  uint64
 	load   float64
-	wander load.Wander
+	wander workload.Wander
 	change time.Time
 }
 
@@ -341,7 +341,7 @@
 		return false
 	}
 	now = time.Now()
-	k.wander = load.NewWander(h.fleet.seed^key*3, c, 0)
+	k.wander = workload.NewWander(h.fleet.seed^key*3, c, 0)
 	h.conns[k] = struct{}{}
 	if k.group != 0 && h.fleet.Conf.Group.Cost > 0 {
 		if h.groups[k.group]++; h.groups[k.group] == 1 {
--- a/internal/standin/list.go
+++ b/internal/lab/fakeserver/list.go
@@ -1,4 +1,4 @@
-package standin
+package fakeserver
 
 import (
 	"encoding/json"
--- a/internal/lab/faults/injection.go
+++ b/internal/lab/faults/injection.go
@@ -11,7 +11,7 @@
 
 	"spurwinch/internal/config"
 	"spurwinch/internal/failover/agent"
-	"spurwinch/internal/operate/fleetcall"
+	"spurwinch/internal/operations/fleetclient"
 )
 
 // chosen finds the nodes that a step names.
@@ -238,7 +238,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := fleetcall.Ask(n.fleet, lab.key, l, n.name, agent.Call{Verb: verb, Arg: zone, ID: fmt.Sprintf("order-%d", time.Now().UnixNano())})
+	r, err := fleetclient.Ask(n.fleet, lab.key, l, n.name, agent.Call{Verb: verb, Arg: zone, ID: fmt.Sprintf("order-%d", time.Now().UnixNano())})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
--- a/internal/lab/faults/scenario.go
+++ b/internal/lab/faults/scenario.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"spurwinch/internal/tomlfile"
+	"spurwinch/internal/config/tomlfile"
 )
 
 // Duration is written as in "1.5s".
--- a/internal/lab/faults/standins.go
+++ b/internal/lab/faults/standins.go
@@ -10,10 +10,10 @@
 	"sync"
 	"sync/atomic"
 
-	"spurwinch/internal/standin"
+	"spurwinch/internal/lab/fakeserver"
 )
 
-// host is a stand-in for a platform's host: it counts connections and bears so many. internal/standin's hosts work through
+// host is a stand-in for a platform's host: it counts connections and bears so many. internal/lab/fakeserver's hosts work through
 // jobs on cores; what is asked here is only who stands where.
 type host struct {
 	id, zone string
@@ -153,13 +153,13 @@
 func (l *list) entries(n *proc) json.RawMessage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []standin.ListEntry
+	var all []fakeserver.ListEntry
 	for i, h := range l.lab.hosts {
 		h.mu.Lock()
-		all = append(all, standin.ListEntry{ID: h.id, Addr: n.hosts[i], Zone: h.zone, Kind: "k", State: h.state, Weight: 1})
+		all = append(all, fakeserver.ListEntry{ID: h.id, Addr: n.hosts[i], Zone: h.zone, Kind: "k", State: h.state, Weight: 1})
 		h.mu.Unlock()
 	}
-	return standin.EncodeList(l.version, all)
+	return fakeserver.EncodeList(l.version, all)
 }
 
 // door answers a node's calls.
@@ -169,6 +169,6 @@
 		l.calls.Add(1)
 		news, version := l.news, l.version
 		l.mu.Unlock()
-		standin.ServeList(w, r, version, news, l.lab.done, func() json.RawMessage { return l.entries(n) })
+		fakeserver.ServeList(w, r, version, news, l.lab.done, func() json.RawMessage { return l.entries(n) })
 	})
 }
--- a/internal/lab/mutations/mutations.go
+++ b/internal/lab/mutations/mutations.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"spurwinch/internal/tomlfile"
+	"spurwinch/internal/config/tomlfile"
 )
 
 //go:embed mutations.toml
--- a/internal/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -20,9 +20,9 @@
 	"syscall"
 	"time"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
-	"spurwinch/internal/standin"
+	"spurwinch/internal/lab/fakeserver"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 // Options are a replay's surroundings.
@@ -39,7 +39,7 @@
 // Result is what was measured. Lag is how much later than due the clients' own timers fired, at the 99th percentile: a
 // machine that is too busy measures itself.
 type Result struct {
-	Account  *load.Account
+	Account  *workload.Account
 	Service  float64
 	Worst    float64
 	Classes  []float64
@@ -60,12 +60,12 @@
 type player struct {
 	o       Options
 	f       *fleet.Fleet
-	l       *load.Load
-	stand   *standin.Fleet
+	l       *workload.Load
+	stand   *fakeserver.Fleet
 	worths  []float64
 	begin   time.Time
 	mu      sync.Mutex
-	account *load.Account
+	account *workload.Account
 	stats   Stats
 	lags    []time.Duration
 	nodes   []*node
@@ -82,13 +82,13 @@
 }
 
 // Play replays a load against a stand-in fleet.
-func Play(ctx context.Context, f *fleet.Fleet, l *load.Load, o Options) (r Result, err error) {
-	stand, err := standin.New(f, o.Seed, o.AllCold)
+func Play(ctx context.Context, f *fleet.Fleet, l *workload.Load, o Options) (r Result, err error) {
+	stand, err := fakeserver.New(f, o.Seed, o.AllCold)
 	if err != nil {
 		return r, err
 	}
 	defer stand.Close()
-	p := &player{o: o, f: f, l: l, stand: stand, worths: load.Worths(f, l), account: load.NewAccount(f, l.Length), rng: rand.New(rand.NewPCG(o.Seed, 3))}
+	p := &player{o: o, f: f, l: l, stand: stand, worths: workload.Worths(f, l), account: workload.NewAccount(f, l.Length), rng: rand.New(rand.NewPCG(o.Seed, 3))}
 	p.account.Wanted(l, p.worths)
 	defer func() {
 		if e := p.stop(); err == nil {
@@ -127,7 +127,7 @@
 	i, centre := len(p.nodes), p.f.Centre(spec.Centre)
 	name := fmt.Sprintf("n%d", i)
 	conf, err := json.Marshal(map[string]any{"name": name, "listen": "127.0.0.1:0", "discovery": p.stand.Discovery(centre),
-		"seed": fmt.Sprintf("%x", load.Mix(p.o.Seed+uint64(i))), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": spec.Sockets},
+		"seed": fmt.Sprintf("%x", workload.Mix(p.o.Seed+uint64(i))), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": spec.Sockets},
 		"known": p.stand.Entries(centre), "settings": p.f.SettingsJSON(i, total, spec.Centre)})
 	if err != nil {
 		return err
@@ -307,7 +307,7 @@
 )
 
 // session plays one client until it wants its connection no longer.
-func (p *player) session(ctx context.Context, s *load.Session, worth float64) {
+func (p *player) session(ctx context.Context, s *workload.Session, worth float64) {
 	end := p.begin.Add(s.At + s.Life)
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
@@ -342,7 +342,7 @@
 }
 
 // connect opens one connection and holds it, a message now and then.
-func (p *player) connect(ctx context.Context, n *node, s *load.Session, worth float64, rng *rand.Rand, failures *int) (ending, time.Duration) {
+func (p *player) connect(ctx context.Context, n *node, s *workload.Session, worth float64, rng *rand.Rand, failures *int) (ending, time.Duration) {
 	class := p.f.Classes[s.Class]
 	p.count(func(t *Stats) { t.Requests++ })
 	time.Sleep(time.Duration(p.f.Network.Client))
@@ -389,7 +389,7 @@
 }
 
 // talk sends a message each messageEvery, at a phase of its own; one that is answered within the aim stands for that time.
-func (p *player) talk(ctx context.Context, c net.Conn, r *bufio.Reader, s *load.Session, worth float64, aim time.Duration, rng *rand.Rand) ending {
+func (p *player) talk(ctx context.Context, c net.Conn, r *bufio.Reader, s *workload.Session, worth float64, aim time.Duration, rng *rand.Rand) ending {
 	next := time.Now().Add(time.Duration(rng.Float64() * float64(messageEvery)))
 	end := ctxEnd(ctx)
 	var out []time.Time // of messages that have no answer yet
--- a/internal/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"spurwinch/deploy"
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 // TestReplay plays a short load through real node processes, loses a centre on the way, and reads the nodes' captures. No
@@ -26,7 +26,7 @@
 	f.Centres, f.Delays = f.Centres[:2], nil
 	f.Servers = []fleet.Servers{{Kind: "std-2c", Centre: "cluj-1", Count: 3}, {Kind: "slow-2c", Centre: "bucuresti-1", Count: 1}}
 	f.Nodes = f.Nodes[:2]
-	l := load.Draw(f, load.Drawn{Seed: 1, Length: 6 * time.Second, Standing: 12})
+	l := workload.Draw(f, workload.Drawn{Seed: 1, Length: 6 * time.Second, Standing: 12})
 	for i := range l.Sessions {
 		l.Sessions[i].Life = max(l.Sessions[i].Life, time.Second)
 	}
@@ -37,7 +37,7 @@
 	if r.Stats.Up == 0 || r.Service == 0 || r.Service > 1 {
 		t.Errorf("service %v, %+v", r.Service, r.Stats)
 	}
-	seen, err := load.ReadCaptures(r.Captures)
+	seen, err := workload.ReadCaptures(r.Captures)
 	if err != nil || len(r.Captures) != 2 {
 		t.Fatalf("captures %v: %v", r.Captures, err)
 	}
--- a/internal/lab/explore/node.go
+++ b/internal/lab/simulation/node.go
@@ -1,4 +1,4 @@
-package explore
+package simulation
 
 import (
 	"math"
@@ -7,8 +7,8 @@
 	"time"
 
 	"spurwinch/choice"
-	"spurwinch/internal/agree"
-	"spurwinch/internal/agree/voter"
+	"spurwinch/internal/consensus"
+	"spurwinch/internal/consensus/replica"
 	"spurwinch/internal/edge"
 	"spurwinch/internal/failover"
 	"spurwinch/internal/failover/agent"
@@ -24,7 +24,7 @@
 	zone     string
 	core     *edge.Core
 	agent    *agent.Agent
-	disk     []agree.Record
+	disk     []consensus.Record
 	born     int // processes so far
 	up       bool
 	still    time.Duration // stopped until then
@@ -42,8 +42,8 @@
 }
 
 // NewVoter makes a voter.
-func NewVoter(self, n int, kept []agree.Record, rng *rand.Rand) (agent.Voter, error) {
-	return voter.New(self, n, kept, rng)
+func NewVoter(self, n int, kept []consensus.Record, rng *rand.Rand) (agent.Voter, error) {
+	return replica.New(self, n, kept, rng)
 }
 
 // rules are the plans' rules of the simulated fleet.
@@ -177,7 +177,7 @@
 
 // tick has the agent hear the time again and again.
 func (n *node) tick() {
-	n.on(n.w.now+agree.Tick, func() {
+	n.on(n.w.now+consensus.Tick, func() {
 		n.agent.Tick(n.clock())
 		if n.agent.WantsObservations(n.clock()) {
 			n.agent.Observe(n.moduleNews(), n.clock())
--- a/internal/lab/explore/queue.go
+++ b/internal/lab/simulation/queue.go
@@ -1,4 +1,4 @@
-package explore
+package simulation
 
 import (
 	"container/heap"
--- a/internal/lab/explore/world.go
+++ b/internal/lab/simulation/world.go
@@ -1,7 +1,7 @@
-// Package explore plays a fleet in simulated time: hundreds of nodes, each with its own module (choice), core (edge) and part in the fleet
+// Package simulation plays a fleet in simulated time: hundreds of nodes, each with its own module (choice), core (edge) and part in the fleet
 // (failover/agent), as they are in service; the network, clocks, disks, hosts and clients are drawn by seed. What happens is a history as
 // the processes' laboratory writes it, and the same checker reads it.
-package explore
+package simulation
 
 import (
 	"container/heap"
@@ -13,7 +13,7 @@
 	"spurwinch/choice"
 	"spurwinch/internal/lab/faults"
 	"spurwinch/internal/membership"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // firstClients is when the first clients come: there are plans by then.
@@ -154,8 +154,8 @@
 }
 
 // Settings are what a node of the laboratory is told.
-func Settings(nodes, index int, zone string) (wire.Settings, error) {
-	return wire.DecodeSettings(faults.SettingsJSON(nodes, index, zone))
+func Settings(nodes, index int, zone string) (simwire.Settings, error) {
+	return simwire.DecodeSettings(faults.SettingsJSON(nodes, index, zone))
 }
 
 func (w *World) note(e faults.Event) {
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"spurwinch/internal/standin"
+	"spurwinch/internal/lab/fakeserver"
 )
 
 // service is how discovery behaves.
@@ -178,11 +178,11 @@
 
 // list is the whole list, and what it says.
 func (d *discovery) list(version int64) (json.RawMessage, []hostState) {
-	var all []standin.ListEntry
+	var all []fakeserver.ListEntry
 	var states []hostState
 	for _, h := range d.hosts {
 		h.mu.Lock()
-		e := standin.ListEntry{ID: h.id, Addr: h.proxy.listen.Addr().String(), Zone: h.zone, Kind: "k", State: h.state, Weight: 1}
+		e := fakeserver.ListEntry{ID: h.id, Addr: h.proxy.listen.Addr().String(), Zone: h.zone, Kind: "k", State: h.state, Weight: 1}
 		if !h.started.IsZero() {
 			e.Started = h.started.UnixMilli()
 		}
@@ -190,5 +190,5 @@
 		h.mu.Unlock()
 		all = append(all, e)
 	}
-	return standin.EncodeList(version, all), states
+	return fakeserver.EncodeList(version, all), states
 }
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
+	"spurwinch/internal/lab/fakeserver"
 	"spurwinch/internal/lab/shim"
-	"spurwinch/internal/standin"
 )
 
 const (
@@ -74,14 +74,14 @@
 	for _, o := range n.lab.nodes {
 		peers = append(peers, o.peer)
 	}
-	var known []standin.ListEntry
+	var known []fakeserver.ListEntry
 	for _, h := range n.lab.hosts {
-		known = append(known, standin.ListEntry{ID: h.id, Addr: h.proxy.listen.Addr().String(), Zone: h.zone, Kind: "k", State: "SERVING", Weight: 1})
+		known = append(known, fakeserver.ListEntry{ID: h.id, Addr: h.proxy.listen.Addr().String(), Zone: h.zone, Kind: "k", State: "SERVING", Weight: 1})
 	}
 	raw, err := json.Marshal(map[string]any{
 		"name": n.name, "listen": n.addr, "discovery": n.doors[n.door], "seed": fmt.Sprintf("%x", n.lab.o.Seed*1000+uint64(n.index)),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "peer_listen": n.peer, "peers": peers,
-		"known": json.RawMessage(standin.EncodeList(1, known)), "settings": settingsJSON(n.lab.deployment, len(n.lab.nodes), n.index, len(n.lab.hosts), n.zone)})
+		"known": json.RawMessage(fakeserver.EncodeList(1, known)), "settings": settingsJSON(n.lab.deployment, len(n.lab.nodes), n.index, len(n.lab.hosts), n.zone)})
 	if err != nil {
 		return err
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/lab/transcript/exchange.go
@@ -1,4 +1,4 @@
-// Package exchange plays recorded byte exchanges against a program on loopback sockets and compares what comes back.
+// Package transcript plays recorded byte exchanges against a program on loopback sockets and compares what comes back.
 // It serves tests only.
 //
 // An exchange is a text file, one step a line:
@@ -14,7 +14,7 @@
 //
 // In what is sent, {NAME} is replaced by a value of the test; in what must come, {*} stands for any text without quotes,
 // and \n, \r, \" are as in Go.
-package exchange
+package transcript
 
 import (
 	"errors"
--- a/internal/exchange/stream.go
+++ b/internal/lab/transcript/stream.go
@@ -1,4 +1,4 @@
-package exchange
+package transcript
 
 import (
 	"bufio"
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -7,7 +7,7 @@
 	"spurwinch/choice"
 	"spurwinch/internal/config"
 	"spurwinch/internal/failover/agent"
-	"spurwinch/internal/operate/handover"
+	"spurwinch/internal/operations/hotrestart"
 )
 
 // files are the configuration that a process starts with.
@@ -73,7 +73,7 @@
 			return err
 		}
 	}
-	path := handover.Path(getenv("TMPDIR"), read.listen)
+	path := hotrestart.Path(getenv("TMPDIR"), read.listen)
 	p.restart.requestGrant(path)
 	if p.restart.grant != nil {
 		// The running process has the node's part in the fleet until it shuts down, which it does once this one says
--- a/internal/node/capture.go
+++ b/internal/node/capture.go
@@ -9,7 +9,7 @@
 	"spurwinch/choice"
 	"spurwinch/internal/config"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/operate/capture"
+	"spurwinch/internal/operations/capture"
 )
 
 const captureCloseTimeout = 2 * time.Second // for the rest of a capture, at the program's end
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 )
 
 // TestClients has unmodified client libraries connect through the node, authenticate, bind, be answered, lose the link and resume, over
@@ -19,7 +19,7 @@
 	if os.Getenv("XMPP_CLIENTS") == "" {
 		t.Skip("XMPP_CLIENTS is not set")
 	}
-	cert, key := exchange.Keys(t, t.TempDir(), time.Now().Add(time.Hour*24*90), "farm.example")
+	cert, key := transcript.Keys(t, t.TempDir(), time.Now().Add(time.Hour*24*90), "farm.example")
 	type listener struct{ name, scheme, protocol, tls string }
 	listeners := []listener{
 		{"STARTTLS", "xmpp", "xmpp", "starttls"}, {"direct TLS", "xmpps", "xmpp", "direct"},
@@ -27,7 +27,7 @@
 	more := fmt.Sprintf("[[certificate]]\ncert = %q\nkey = %q\n", cert, key)
 	var services []string
 	for _, l := range listeners {
-		addr := exchange.FreeAddr(t)
+		addr := transcript.FreeAddr(t)
 		more += fmt.Sprintf("[[listener]]\naddr = %q\nprotocol = %q\ntls = %q\n", addr, l.protocol, l.tls)
 		services = append(services, l.scheme+"://"+addr)
 	}
--- a/internal/node/start/start.go
+++ b/internal/node/command/start.go
@@ -1,5 +1,5 @@
-// Package start is what the programs that are nodes have in common: flags, signals, exit codes.
-package start
+// Package command is what the programs that are nodes have in common: flags, signals, exit codes.
+package command
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 	"spurwinch/internal/failover/agent"
 	"spurwinch/internal/loop"
 	"spurwinch/internal/node"
-	"spurwinch/internal/operate/logs"
+	"spurwinch/internal/operations/logs"
 )
 
 const (
--- a/internal/node/door_test.go
+++ b/internal/node/door_test.go
@@ -10,19 +10,19 @@
 	"time"
 
 	"spurwinch/internal/config"
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/platform/cluster"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // small is a node of few descriptors with its door, on a loop that runs.
 func small(t testing.TB, sockets int) (p *Program, at string) {
 	n := config.Node{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:9", Seed: 1, Sockets: sockets}
 	var err error
-	if n.Settings, err = wire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
+	if n.Settings, err = simwire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
 		t.Fatal(err)
 	}
-	if n.Known, err = cluster.Parse([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"state":"SERVING"}]}`, exchange.Host(t)))); err != nil {
+	if n.Known, err = cluster.Parse([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"state":"SERVING"}]}`, transcript.Host(t)))); err != nil {
 		t.Fatal(err)
 	}
 	made := startProcess(t, n, "")
@@ -52,7 +52,7 @@
 		fmt.Fprint(c, say)
 		return c
 	}
-	player := &exchange.Player{Addr: at, Values: map[string]string{}}
+	player := &transcript.Player{Addr: at, Values: map[string]string{}}
 	for i := range 400 {
 		dial(at, [3]string{"", "OPEN 01", "PING\r\n"}[i%3])
 		if i%20 == 0 {
@@ -60,10 +60,10 @@
 			dial(p.adminAddr.String(), "GET /api/telemetry HTTP/1.1\r\n\r\n") // reads nothing
 		}
 		if i%100 == 99 {
-			if status, body := exchange.Call(p.adminAddr.String(), "/api/ready"); status != http.StatusOK {
+			if status, body := transcript.Call(p.adminAddr.String(), "/api/ready"); status != http.StatusOK {
 				t.Errorf("after %d: %d %s", i, status, body)
 			}
-			if status, body := exchange.Call(p.adminAddr.String(), "/api/telemetry"); status != http.StatusOK || !strings.Contains(body, "gw.in_flight:") {
+			if status, body := transcript.Call(p.adminAddr.String(), "/api/telemetry"); status != http.StatusOK || !strings.Contains(body, "gw.in_flight:") {
 				t.Errorf("after %d: %d %s", i, status, body)
 			}
 			player.Play(t, fmt.Sprintf("c open\nc > OPEN %d 01 c=chat,d=4000\nc < UP 1\n", i))
@@ -99,7 +99,7 @@
 				}
 			}
 			for b.Loop() {
-				if status, body := exchange.Call(p.adminAddr.String(), "/api/telemetry"); status != http.StatusOK {
+				if status, body := transcript.Call(p.adminAddr.String(), "/api/telemetry"); status != http.StatusOK {
 					b.Fatal(body)
 				}
 			}
--- a/internal/node/exchange_test.go
+++ b/internal/node/exchange_test.go
@@ -10,13 +10,13 @@
 
 	"spurwinch/internal/config"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/loop"
 	"spurwinch/internal/platform/cluster"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
-const settings = exchange.Settings
+const settings = transcript.Settings
 
 // operate sets up what an operator's file names.
 func operate(l *loop.Loop, path string, seed uint64) ([]*edge.Core, *operatorFronts, error) {
@@ -43,7 +43,7 @@
 }
 
 // hosts opens the listeners that the exchange names in its first line, "hosts: h1 h2".
-func hosts(t *testing.T, p *exchange.Player, text string) (names []string) {
+func hosts(t *testing.T, p *transcript.Player, text string) (names []string) {
 	first, _, _ := strings.Cut(text, "\n")
 	list, ok := strings.CutPrefix(first, "# hosts:")
 	if !ok {
@@ -79,7 +79,7 @@
 // TestPlatform plays the exchanges of the platform's protocol: clients, hosts and discovery.
 func TestPlatform(t *testing.T) {
 	each(t, "platform", func(t *testing.T, text string) {
-		p := &exchange.Player{Values: map[string]string{"long": strings.Repeat("x", 5000),
+		p := &transcript.Player{Values: map[string]string{"long": strings.Repeat("x", 5000),
 			"hundreds": strings.Repeat(`OPEN 01 01 c=chat,d=2000\r\n`, 300)}}
 		l, err := loop.New()
 		if err != nil {
@@ -91,7 +91,7 @@
 			via = "on_probe"
 		}
 		n := config.Node{Listen: "127.0.0.1:0", Seed: 1, Known: &cluster.List{}}
-		if n.Settings, err = wire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", via, 1))); err != nil {
+		if n.Settings, err = simwire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", via, 1))); err != nil {
 			t.Fatal(err)
 		}
 		var entries []string
@@ -147,7 +147,7 @@
 // TestXMPP plays the exchanges of XMPP clients and servers.
 func TestXMPP(t *testing.T) {
 	each(t, "xmpp", func(t *testing.T, text string) {
-		p := &exchange.Player{Values: map[string]string{"ns": "xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'", "big": strings.Repeat("x", 10001)}}
+		p := &transcript.Player{Values: map[string]string{"ns": "xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'", "big": strings.Repeat("x", 10001)}}
 		path := filepath.Join(t.TempDir(), "operator.toml")
 		names := hosts(t, p, text)
 		write := func(state func(string) string) {
--- a/internal/node/failedstart_test.go
+++ b/internal/node/failedstart_test.go
@@ -10,9 +10,9 @@
 	"github.com/panjf2000/gnet/v2/pkg/netpoll"
 	"golang.org/x/sys/unix"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/loop"
-	"spurwinch/internal/operate/handover"
+	"spurwinch/internal/operations/hotrestart"
 )
 
 // unwatching is a kernel that takes no descriptor to be watched.
@@ -24,8 +24,8 @@
 // the next try finds it as the first did.
 func TestFailedStartGivesBack(t *testing.T) {
 	dir := t.TempDir()
-	player := &exchange.Player{Values: map[string]string{}}
-	discovery, listen := player.Listen(t, "d"), exchange.FreeAddr(t)
+	player := &transcript.Player{Values: map[string]string{}}
+	discovery, listen := player.Listen(t, "d"), transcript.FreeAddr(t)
 	config := `{"name":"n1","listen":"` + listen + `","discovery":"` + discovery + `","seed":"1","limits":{"sockets":1024},"settings":` +
 		strings.Replace(settings, "REPORTS", "off", 1) + `}`
 	path := filepath.Join(dir, "config.json")
@@ -68,8 +68,8 @@
 		}
 		l.Close()
 	}
-	exchange.Until(t, "the running process has back what it has lent", func() bool { return others() == 0 })
-	if _, err := handover.RequestGrant(handover.Path(dir, listen), time.Now().Add(grantTimeout)); err != nil {
+	transcript.Until(t, "the running process has back what it has lent", func() bool { return others() == 0 })
+	if _, err := hotrestart.RequestGrant(hotrestart.Path(dir, listen), time.Now().Add(grantTimeout)); err != nil {
 		t.Error("it lends no more: ", err)
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 
 	"spurwinch/choice"
-	"spurwinch/internal/agree"
 	"spurwinch/internal/config"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/edge"
 	"spurwinch/internal/failover"
 	"spurwinch/internal/failover/agent"
@@ -37,8 +37,8 @@
 	closed   bool
 	lastTick time.Time
 
-	store  *agree.Store // nil: the node keeps nothing
-	saving bool         // a record is being written, apart from the loop
+	store  *consensus.Store // nil: the node keeps nothing
+	saving bool             // a record is being written, apart from the loop
 
 	inboundStreams  int
 	outboundStreams int
@@ -118,14 +118,14 @@
 }
 
 // openStore opens the node's files and reads what is on them. A corrupt file is no error: the node learns anew.
-func (f *fleet) openStore() ([]agree.Record, error) {
+func (f *fleet) openStore() ([]consensus.Record, error) {
 	if f.config.Dir == "" {
 		return nil, nil
 	}
-	var records []agree.Record
+	var records []consensus.Record
 	var err error
-	f.store, records, err = agree.OpenStore(f.config.Dir)
-	if errors.Is(err, agree.ErrCorrupt) {
+	f.store, records, err = consensus.OpenStore(f.config.Dir)
+	if errors.Is(err, consensus.ErrCorrupt) {
 		zap.L().Error("fleet_files_spoilt", zap.Error(err),
 			zap.String("what", "this node learns anew; as a voter it comes in as a new one"))
 		return records, nil
@@ -133,7 +133,7 @@
 	return records, err
 }
 
-func (f *fleet) agentOptions(records []agree.Record) agent.Options {
+func (f *fleet) agentOptions(records []consensus.Record) agent.Options {
 	names, _ := f.classes()
 	rules := f.config.List.Rules()
 	rules.Classes = f.plannedClasses()
@@ -178,7 +178,7 @@
 		return
 	}
 	now := f.loop.Now()
-	if late := now.Sub(f.lastTick) - agree.Tick; late > lateTickThreshold {
+	if late := now.Sub(f.lastTick) - consensus.Tick; late > lateTickThreshold {
 		zap.L().Warn("fleet_tick_late", zap.Duration("by", late))
 	}
 	f.lastTick = now
@@ -188,7 +188,7 @@
 	}
 	f.carryOut()
 	f.logAdmitted(now)
-	f.loop.At(now.Add(agree.Tick), f.tick)
+	f.loop.At(now.Add(consensus.Tick), f.tick)
 }
 
 // updateClasses takes in the module's classes after a change of settings.
--- a/internal/node/fleetpolicy.go
+++ b/internal/node/fleetpolicy.go
@@ -11,7 +11,7 @@
 	"spurwinch/internal/edge"
 	"spurwinch/internal/failover/agent"
 	"spurwinch/internal/policy"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // policyState is what a node keeps of the fleet's policy.
@@ -132,7 +132,7 @@
 			zap.String("what", "classes with a ground are served by it, others are refused"))
 	}
 	if document := state.document; document != nil {
-		platform.overlay = func(own wire.Settings) wire.Settings { return withPolicy(document, own, onBase) }
+		platform.overlay = func(own simwire.Settings) simwire.Settings { return withPolicy(document, own, onBase) }
 	}
 	platform.applySettings(platform.processes)
 	f.updateClasses()
--- a/internal/node/golden_transfer_test.go
+++ b/internal/node/golden_transfer_test.go
@@ -14,7 +14,7 @@
 	"spurwinch/choice"
 	"spurwinch/internal/edge"
 	"spurwinch/internal/loop"
-	"spurwinch/internal/operate/handover"
+	"spurwinch/internal/operations/hotrestart"
 	"spurwinch/internal/platform/downstream"
 	"spurwinch/internal/platform/upstream"
 	resumable "spurwinch/internal/session"
@@ -125,16 +125,16 @@
 	pinned(t, "platform-front", downstream.ConnectionState{Conn: loop.ConnectionState{Out: []byte("to the client"), Paused: true}, Behind: 11,
 		Server: &upstream.ConnectionState{Conn: loop.ConnectionState{Out: []byte("to the host"), Paused: true}, Line: []byte("of the host"), Behind: 12, Last: 1, Sent: 1796234567000000001,
 			Waits: 13},
-		Line: []byte("of the client"), Pinged: true, Until: 1796234567000000002, Left: 14}, handover.Decode)
+		Line: []byte("of the client"), Pinged: true, Until: 1796234567000000002, Left: 14}, hotrestart.Decode)
 	session := goldenSession()
 	pinned(t, "xmpp-front", xmpp.Standing{Conn: loop.ConnectionState{Out: []byte("to the client"), Paused: true}, In: goldenStream("<client"), To: "farm.example",
 		Host:  &xmpp.Host{Conn: loop.ConnectionState{Out: []byte("to the host"), Paused: true}, In: goldenStream("<host"), Inside: true},
-		Until: 1796234567000000003, Left: 15, Opened: true, Resumes: &session}, handover.Decode)
+		Until: 1796234567000000003, Left: 15, Opened: true, Resumes: &session}, hotrestart.Decode)
 }
 
 // TestGoldenConnection pins a connection as it goes into a batch.
 func TestGoldenConnection(t *testing.T) {
-	pinned(t, "connection", connectionState{Front: platformFront, Cluster: "k", Open: goldenOpen(), State: cbor.RawMessage{0xa1, 0x01, 0xa0}}, handover.Decode)
+	pinned(t, "connection", connectionState{Front: platformFront, Cluster: "k", Open: goldenOpen(), State: cbor.RawMessage{0xa1, 0x01, 0xa0}}, hotrestart.Decode)
 	for _, name := range []string{platformFront, xmppFront} {
 		if want := golden(t, "front-"+name+".txt", []byte(name)); name != string(want) {
 			t.Errorf("a front is called %q, want %q", name, want)
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/lab/xmppserver"
 )
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	exchange.Until(t, "the fourth has come", func() bool {
+	transcript.Until(t, "the fourth has come", func() bool {
 		done := make(chan int)
 		f.l.Post(func() { done <- f.op.xmpp.Answers.Sessions })
 		return <-done == 4
@@ -51,7 +51,7 @@
 	silent.Close()
 	stands[0].Conn.Close()
 	var again *xmppserver.Client
-	exchange.Until(t, "there is room again", func() bool {
+	transcript.Until(t, "there is room again", func() bool {
 		again, err = connect()
 		return err == nil
 	})
@@ -81,7 +81,7 @@
 		}
 		waiting = append(waiting, c)
 	}
-	exchange.Until(t, "those that don't authenticate are too many", func() bool {
+	transcript.Until(t, "those that don't authenticate are too many", func() bool {
 		c, err := connect()
 		if err == nil {
 			c.Conn.Close()
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"spurwinch/internal/loop"
-	"spurwinch/internal/operate/handover"
+	"spurwinch/internal/operations/hotrestart"
 	"spurwinch/internal/platform/cluster"
 )
 
@@ -23,8 +23,8 @@
 // its connections. It belongs to the loop.
 type hotRestart struct {
 	program     *Program
-	grant       *handover.Grant       // by the running process; nil: a start like any other
-	coordinator *handover.Coordinator // nil: no successor finds this process
+	grant       *hotrestart.Grant       // by the running process; nil: a start like any other
+	coordinator *hotrestart.Coordinator // nil: no successor finds this process
 	listeners   map[string]*loop.Listener
 
 	maxDescriptors int       // that the node may hold; 0: not told
@@ -52,7 +52,7 @@
 	if path == "" {
 		return
 	}
-	grant, err := handover.RequestGrant(path, time.Now().Add(grantTimeout))
+	grant, err := hotrestart.RequestGrant(path, time.Now().Add(grantTimeout))
 	h.grant = grant
 	switch {
 	case errors.Is(err, fs.ErrNotExist), errors.Is(err, syscall.ECONNREFUSED):
@@ -106,9 +106,9 @@
 // open lets a successor find this process, once all is set up.
 func (h *hotRestart) open(path string) {
 	if path != "" {
-		h.coordinator = handover.NewCoordinator(handover.Options{
+		h.coordinator = hotrestart.NewCoordinator(hotrestart.Options{
 			Loop: h.program.loop, Path: path, Grant: h.newGrant, Changed: h.onCoordinatorChanged,
-			TransferHandler: handover.TransferHandler{
+			TransferHandler: hotrestart.TransferHandler{
 				FreeDescriptors: h.freeDescriptors, Prepare: h.prepareBatch, Learned: h.importLearnedState,
 			},
 		}, h.grant)
@@ -126,8 +126,8 @@
 }
 
 // newGrant is what a successor gets.
-func (h *hotRestart) newGrant() handover.Grant {
-	grant := handover.Grant{Sockets: map[string]int{}, Datagrams: -1}
+func (h *hotRestart) newGrant() hotrestart.Grant {
+	grant := hotrestart.Grant{Sockets: map[string]int{}, Datagrams: -1}
 	if !h.listenersClosed { // else they are another process's already
 		for addr, listener := range h.listeners {
 			grant.Sockets[addr] = listener.FD()
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -9,11 +9,11 @@
 
 	"spurwinch/internal/config"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/loop"
-	"spurwinch/internal/operate/handover"
+	"spurwinch/internal/operations/hotrestart"
 	"spurwinch/internal/platform/cluster"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // process is one of a node, in this program, on a loop of its own.
@@ -64,7 +64,7 @@
 // TestTwoProcessesAreOneNode checks what two of a node share: the list as it was told to the first, the descriptors, the
 // part in the fleet, and who hears the other nodes.
 func TestTwoProcessesAreOneNode(t *testing.T) {
-	player := &exchange.Player{Values: map[string]string{}}
+	player := &transcript.Player{Values: map[string]string{}}
 	h1, h2, d := player.Listen(t, "h1"), player.Listen(t, "h2"), player.Listen(t, "d")
 	other, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -72,9 +72,9 @@
 	}
 	defer other.Close()
 	const total = 400
-	n := config.Node{Listen: exchange.FreeAddr(t), Discovery: d, Seed: 1, Sockets: total, PeerListen: "127.0.0.1:0",
+	n := config.Node{Listen: transcript.FreeAddr(t), Discovery: d, Seed: 1, Sockets: total, PeerListen: "127.0.0.1:0",
 		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:0"), other.LocalAddr().(*net.UDPAddr).AddrPort()}}
-	if n.Settings, err = wire.DecodeSettings([]byte(strings.NewReplacer("REPORTS", "off", `"groupSize":1`, `"groupSize":2`, `"mayTell":false`, `"mayTell":true`).Replace(settings))); err != nil {
+	if n.Settings, err = simwire.DecodeSettings([]byte(strings.NewReplacer("REPORTS", "off", `"groupSize":1`, `"groupSize":2`, `"mayTell":false`, `"mayTell":true`).Replace(settings))); err != nil {
 		t.Fatal(err)
 	}
 	entry := func(id, addr, state string) string {
@@ -83,7 +83,7 @@
 	if n.Known, err = cluster.Parse([]byte(`{"version":7,"full":true,"servers":[` + entry("s-1", h1, "SERVING") + `]}`)); err != nil {
 		t.Fatal(err)
 	}
-	place := handover.Path(t.TempDir(), n.Listen)
+	place := hotrestart.Path(t.TempDir(), n.Listen)
 	old := startProcess(t, n, place)
 	player.Addr = old.at
 	news := `{"version":9,"full":false,"servers":[` + entry("s-1", h1, "DRAINING") + "," + entry("s-2", h2, "SERVING") + `]}`
@@ -106,7 +106,7 @@
 		}
 	}
 	say()
-	exchange.Until(t, "the first one hears", func() bool { return taken(old) == 1 })
+	transcript.Until(t, "the first one hears", func() bool { return taken(old) == 1 })
 
 	// The second one knows no more than the file says, which is older than what the first was told.
 	next := startProcess(t, n, place)
@@ -132,15 +132,15 @@
 s > UP 1
 c < UP 1
 `[1:])
-	exchange.Until(t, "both share a part", func() bool { return parts(old) == 2 && parts(next) == 2 })
-	exchange.Until(t, "the second one hears", func() bool {
+	transcript.Until(t, "both share a part", func() bool { return parts(old) == 2 && parts(next) == 2 })
+	transcript.Until(t, "the second one hears", func() bool {
 		say()
 		return taken(next) > 0
 	})
 	heard := taken(old)
 	say()
 	say()
-	exchange.Until(t, "and only it", func() bool { return taken(next) >= 3 })
+	transcript.Until(t, "and only it", func() bool { return taken(next) >= 3 })
 	if taken(old) != heard {
 		t.Error("both hear")
 	}
@@ -162,12 +162,12 @@
 	before := room()
 	old.on(func() { old.Shutdown() })
 	player.Play(t, "e open\ne > PING\ne < PONG\n")
-	exchange.Until(t, "the leaving one lends more", func() bool {
+	transcript.Until(t, "the leaving one lends more", func() bool {
 		if n := sum(); n > total {
 			t.Fatalf("%d of %d descriptors", n, total)
 		}
 		return room() > before
 	})
 	old.kill()
-	exchange.Until(t, "the second one is the node", func() bool { return room() == total && parts(next) == 1 })
+	transcript.Until(t, "the second one is the node", func() bool { return room() == total && parts(next) == 1 })
 }
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"spurwinch/internal/config"
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/loop"
 	"spurwinch/internal/platform/cluster"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // TestConnectionLimit checks that a node at its limit of descriptors refuses with advice, cuts off what comes beyond,
@@ -23,10 +23,10 @@
 func TestConnectionLimit(t *testing.T) {
 	n := config.Node{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:9", Seed: 1, Sockets: reservedDescriptors + 24}
 	var err error
-	if n.Settings, err = wire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
+	if n.Settings, err = simwire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
 		t.Fatal(err)
 	}
-	if n.Known, err = cluster.Parse([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"state":"SERVING"}]}`, exchange.Host(t)))); err != nil {
+	if n.Known, err = cluster.Parse([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"state":"SERVING"}]}`, transcript.Host(t)))); err != nil {
 		t.Fatal(err)
 	}
 	l, err := loop.New()
@@ -85,11 +85,11 @@
 // TestSilentCrowd checks that clients that say nothing, or said PING once and stay, go one by one when others come: the
 // oldest first, with an answer or an end, while each client with a request is served.
 func TestSilentCrowd(t *testing.T) {
-	p := &exchange.Player{}
+	p := &transcript.Player{}
 	host := p.Listen(t, "h1")
 	n := config.Node{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:9", Seed: 1, Sockets: reservedDescriptors + 64, MemoryMB: 32}
 	var err error
-	if n.Settings, err = wire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
+	if n.Settings, err = simwire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
 		t.Fatal(err)
 	}
 	if n.Known, err = cluster.Parse([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"state":"SERVING"}]}`, host))); err != nil {
@@ -137,7 +137,7 @@
 func TestHugeValue(t *testing.T) {
 	n := config.Node{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:9", Seed: 1}
 	var err error
-	if n.Settings, err = wire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
+	if n.Settings, err = simwire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
 		t.Fatal(err)
 	}
 	l, err := loop.New()
@@ -172,7 +172,7 @@
 
 // TestSilentCrowdXMPP checks the same of XMPP clients, whose sessions wait for their header.
 func TestSilentCrowdXMPP(t *testing.T) {
-	p := &exchange.Player{Values: map[string]string{"ns": "xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'"}}
+	p := &transcript.Player{Values: map[string]string{"ns": "xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'"}}
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	text := fmt.Sprintf("[limits]\nconnections = 64\n[[listener]]\naddr = \"127.0.0.1:0\"\nprotocol = \"xmpp\"\n[[class]]\nname = \"c\"\n"+
 		"[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n[[cluster]]\nname = \"k\"\n[[cluster.host]]\naddr = %q\n", p.Listen(t, "h1"))
--- a/internal/node/many_test.go
+++ b/internal/node/many_test.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/loop"
 )
 
@@ -117,7 +117,7 @@
 		<-done
 	}
 	heard := func(want int) {
-		exchange.Until(t, fmt.Sprintf("%d nodes are heard", want), func() (all bool) {
+		transcript.Until(t, fmt.Sprintf("%d nodes are heard", want), func() (all bool) {
 			on(func() { all = node.peers.received == want })
 			return all
 		})
@@ -129,7 +129,7 @@
 		next += more
 		heard(next)
 	}
-	exchange.Until(t, "discovery's whole list is taken", func() (all bool) {
+	transcript.Until(t, "discovery's whole list is taken", func() (all bool) {
 		on(func() {
 			listed := node.core.Servers()
 			all = len(listed) == many && strings.HasPrefix(string(listed[0].ID), "fresh")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
 // Package node puts the program together: the platform's front, the operator's fronts and clusters, the node's part
-// in its fleet, and what happens to them on a reload, at a hot restart and at a planned stop. internal/node/start adds
+// in its fleet, and what happens to them on a reload, at a hot restart and at a planned stop. internal/node/command adds
 // flags and signals, and nothing else.
 package node
 
@@ -16,8 +16,8 @@
 	"spurwinch/internal/failover/agent"
 	"spurwinch/internal/invariant"
 	"spurwinch/internal/loop"
-	"spurwinch/internal/operate/admin"
-	"spurwinch/internal/operate/stats"
+	"spurwinch/internal/operations/admin"
+	"spurwinch/internal/operations/stats"
 	"spurwinch/internal/trace"
 	"spurwinch/internal/xmpp"
 )
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -12,7 +12,7 @@
 	"spurwinch/internal/platform/cluster"
 	"spurwinch/internal/platform/downstream"
 	"spurwinch/internal/platform/upstream"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 const (
@@ -33,10 +33,10 @@
 	listWatch *cluster.Watch
 	peers     *peerNetwork
 	upstream  *upstream.Cluster
-	config    config.Node                       // in force
-	processes int                               // of this node
-	overlay   func(wire.Settings) wire.Settings // the fleet's policy; nil: it has none, and the file says all
-	settings  wire.Settings                     // in use: the file's, or the policy's over it
+	config    config.Node                             // in force
+	processes int                                     // of this node
+	overlay   func(simwire.Settings) simwire.Settings // the fleet's policy; nil: it has none, and the file says all
+	settings  simwire.Settings                        // in use: the file's, or the policy's over it
 }
 
 // reload takes in a configuration that was checked.
--- a/internal/node/policy_test.go
+++ b/internal/node/policy_test.go
@@ -9,20 +9,20 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"spurwinch/choice"
-	"spurwinch/internal/agree"
 	"spurwinch/internal/config"
+	"spurwinch/internal/consensus"
 	"spurwinch/internal/edge"
 	"spurwinch/internal/failover/agent"
 	"spurwinch/internal/loop"
 	"spurwinch/internal/membership"
 	"spurwinch/internal/policy"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // TestUnder holds what a node goes by under a policy, and under its ground: classes keep their indices, and what the policy doesn't speak of is the
 // node's own.
 func TestUnder(t *testing.T) {
-	own := wire.Settings{ClassByName: map[string]int{"a": 0, "b": 1}, TenantByName: map[string]int{}}
+	own := simwire.Settings{ClassByName: map[string]int{"a": 0, "b": 1}, TenantByName: map[string]int{}}
 	own.Classes = []choice.Class{{Name: "a", Deadline: 9 * time.Second, Idempotency: choice.NotIdempotent}, {Name: "b", Deadline: 9 * time.Second}}
 	own.Limits.MaxAttempts = 3
 	d := &policy.Document{Attempts: 4, Classes: []policy.Class{{Name: "b", SetupObjective: time.Second, Deadline: 3 * time.Second, Priority: 2, ServedByBase: true},
@@ -77,7 +77,7 @@
 		config: config.Fleet{Self: "a", List: &config.FleetList{List: list, Policy: &config.FleetPolicy{Window: config.Duration(5 * time.Second)}}}}
 	state := &policy.State{Number: 1, LastNumber: 1, Documents: []policy.VersionedDocument{{Number: 1, Text: []byte("newer = 1\n")}}}
 	if f.agent, err = agent.New(agent.Options{List: list, Key: []byte("k"), Policy: f.policyOptions(),
-		Records: []agree.Record{{Log: 7, Newest: []agree.Entry{{Number: 3, Kind: policy.Kind, Data: state.Encode()}}}}}, 0); err != nil {
+		Records: []consensus.Record{{Log: 7, Newest: []consensus.Entry{{Number: 3, Kind: policy.Kind, Data: state.Encode()}}}}}, 0); err != nil {
 		t.Fatal(err)
 	}
 	for range 10 {
--- a/internal/node/policyoverlay.go
+++ b/internal/node/policyoverlay.go
@@ -6,11 +6,11 @@
 
 	"spurwinch/choice"
 	"spurwinch/internal/policy"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // withPolicy is a node's own settings with a policy over them, or with its base policy for the classes that have it.
-func withPolicy(document *policy.Document, settings wire.Settings, onBase bool) wire.Settings {
+func withPolicy(document *policy.Document, settings simwire.Settings, onBase bool) simwire.Settings {
 	settings.Classes, settings.ClassByName = overlaidClasses(document, settings.Classes, onBase)
 	if len(document.Tenants) > 0 {
 		settings.Tenants, settings.TenantByName = overlaidTenants(document, settings.Tenants)
@@ -68,7 +68,7 @@
 
 // conflictWithPolicy says what a file has otherwise than the policy in use; empty: nothing. Attempts are a node's own
 // limit as well: the lower one counts.
-func (f *fleet) conflictWithPolicy(settings wire.Settings) string {
+func (f *fleet) conflictWithPolicy(settings simwire.Settings) string {
 	document := f.policy.document
 	if document == nil {
 		return ""
--- a/internal/node/pushed_test.go
+++ b/internal/node/pushed_test.go
@@ -14,7 +14,7 @@
 	"spurwinch/internal/config"
 	"spurwinch/internal/loop"
 	"spurwinch/internal/platform/cluster"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // TestPushedList guards the start of a node whose lists are pushed: what the agent has counts as told from the first moment,
@@ -37,7 +37,7 @@
 		fmt.Fprintf(w, "{\n  \"version\": 8,\n  \"full\": false,\n  \"servers\": [\n    {\"id\": \"s\", \"addr\": %q, \"state\": \"DRAINING\"}\n  ]\n}\n", drains.Addr())
 	}))
 	n := config.Node{Listen: "127.0.0.1:0", Discovery: agent.Listener.Addr().String(), Seed: 1}
-	if n.Settings, err = wire.DecodeSettings([]byte(strings.NewReplacer("REPORTS", "off", "on_request", "pushed").Replace(settings))); err != nil {
+	if n.Settings, err = simwire.DecodeSettings([]byte(strings.NewReplacer("REPORTS", "off", "on_request", "pushed").Replace(settings))); err != nil {
 		t.Fatal(err)
 	}
 	if n.Known, err = cluster.Parse([]byte(fmt.Sprintf(`{"version":7,"full":true,"servers":[{"id":"s","addr":%q,"state":"SERVING"}]}`, drains.Addr()))); err != nil {
--- a/internal/node/reasons.go
+++ b/internal/node/reasons.go
@@ -4,7 +4,7 @@
 	"go.uber.org/zap"
 
 	"spurwinch/internal/invariant"
-	"spurwinch/internal/operate/stats"
+	"spurwinch/internal/operations/stats"
 )
 
 func logViolation(violation invariant.Violation) {
--- a/internal/node/restore.go
+++ b/internal/node/restore.go
@@ -5,7 +5,7 @@
 
 	"spurwinch/internal/edge"
 	"spurwinch/internal/loop"
-	"spurwinch/internal/operate/handover"
+	"spurwinch/internal/operations/hotrestart"
 )
 
 // connectionRestorer is a front's part in taking connections over: it checks one, and the function that it returns has
@@ -23,16 +23,16 @@
 }
 
 // prepareBatch checks connections of the predecessor, and takes them once they are this process's.
-func (h *hotRestart) prepareBatch(items []handover.TransferItem) (handover.PreparedBatch, error) {
+func (h *hotRestart) prepareBatch(items []hotrestart.TransferItem) (hotrestart.PreparedBatch, error) {
 	var restores []func()
 	for i, item := range items {
 		restore, err := h.prepareRestore(item)
 		if err != nil {
-			return handover.PreparedBatch{}, fmt.Errorf("connection %d: %w", i, err)
+			return hotrestart.PreparedBatch{}, fmt.Errorf("connection %d: %w", i, err)
 		}
 		restores = append(restores, restore)
 	}
-	return handover.PreparedBatch{
+	return hotrestart.PreparedBatch{
 		Commit: func() {
 			for _, restore := range restores {
 				restore()
@@ -48,9 +48,9 @@
 }
 
 // prepareRestore checks one connection; the function that it returns has it go on here.
-func (h *hotRestart) prepareRestore(item handover.TransferItem) (restore func(), err error) {
+func (h *hotRestart) prepareRestore(item hotrestart.TransferItem) (restore func(), err error) {
 	var connection connectionState
-	if err := handover.Decode(item.Body, &connection); err != nil {
+	if err := hotrestart.Decode(item.Body, &connection); err != nil {
 		return nil, err
 	}
 	front := h.program.frontNamed(connection.Front)
@@ -66,7 +66,7 @@
 			return nil, fmt.Errorf("no cluster %q here", connection.Cluster)
 		}
 	}
-	readState := func(into any) error { return handover.Decode(connection.State, into) }
+	readState := func(into any) error { return hotrestart.Decode(connection.State, into) }
 	return front.Hold(core, connection.Open, readState, item.FDs)
 }
 
--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/lab/xmppserver"
 	"spurwinch/internal/loop"
 )
@@ -26,7 +26,7 @@
 }
 
 func newVillage(t testing.TB, servers int, more string) *village {
-	f := &village{t: t, file: filepath.Join(t.TempDir(), "operator.toml"), addr: exchange.FreeAddr(t), more: more}
+	f := &village{t: t, file: filepath.Join(t.TempDir(), "operator.toml"), addr: transcript.FreeAddr(t), more: more}
 	for i := range servers {
 		s, err := xmppserver.Listen(fmt.Sprint("h", i))
 		if err != nil {
--- a/internal/node/secure_test.go
+++ b/internal/node/secure_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/lab/xmppserver"
 )
 
@@ -19,8 +19,8 @@
 // not be had in the clear is not; and keys change under standing streams, all or none.
 func TestSecure(t *testing.T) {
 	dir := t.TempDir()
-	cert, key := exchange.Keys(t, dir, time.Now().Add(time.Hour*24*90), "farm.example")
-	start, direct := exchange.FreeAddr(t), exchange.FreeAddr(t)
+	cert, key := transcript.Keys(t, dir, time.Now().Add(time.Hour*24*90), "farm.example")
+	start, direct := transcript.FreeAddr(t), transcript.FreeAddr(t)
 	f := newVillage(t, 3, fmt.Sprintf("[limits]\nheader_time = \"2s\"\nhandshake_time = \"2s\"\n[[certificate]]\ncert = %q\nkey = %q\n"+
 		"[[listener]]\naddr = %q\nprotocol = \"xmpp\"\ntls = \"starttls\"\n[[listener]]\naddr = %q\nprotocol = \"xmpp\"\ntls = \"direct\"\n", cert, key, start, direct))
 	trust := func() *tls.Config {
@@ -112,7 +112,7 @@
 		t.Errorf("after a file that can't be: %v", err)
 	}
 	os.WriteFile(cert, good, 0o600)
-	exchange.Keys(t, dir, time.Now().Add(time.Hour*24*90), "farm.example")
+	transcript.Keys(t, dir, time.Now().Add(time.Hour*24*90), "farm.example")
 	if err := f.reload(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/slow_test.go
+++ b/internal/node/slow_test.go
@@ -12,7 +12,7 @@
 	"spurwinch/internal/config"
 	"spurwinch/internal/loop"
 	"spurwinch/internal/platform/cluster"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // TestSlowReader checks that a client that doesn't read holds its host up in place of filling the node's memory, and
@@ -37,7 +37,7 @@
 		sent <- n
 	}()
 	n := config.Node{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:9", Seed: 1}
-	if n.Settings, err = wire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
+	if n.Settings, err = simwire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", "off", 1))); err != nil {
 		t.Fatal(err)
 	}
 	if n.Known, err = cluster.Parse([]byte(fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s","addr":%q,"state":"SERVING"}]}`, h.Addr()))); err != nil {
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 
 	"spurwinch/internal/edge"
-	"spurwinch/internal/operate/handover"
+	"spurwinch/internal/operations/hotrestart"
 	"spurwinch/internal/xmpp"
 )
 
@@ -19,7 +19,7 @@
 )
 
 // maxBatchConnections is the most connections of a batch; a variable, so that tests can lower it.
-var maxBatchConnections = handover.MostConnections
+var maxBatchConnections = hotrestart.MostConnections
 
 // connectionState is one connection as it is sent to another process.
 type connectionState struct {
@@ -51,7 +51,7 @@
 // transferBatch is a batch of connections on its way to the successor.
 type transferBatch struct {
 	connections []detachable
-	items       []handover.TransferItem
+	items       []hotrestart.TransferItem
 	bytes       int
 	descriptors int // that the successor has room for beyond the batch
 }
@@ -84,7 +84,7 @@
 }
 
 // detach takes a connection off the loop and encodes what there is to know of it.
-func detach(connection detachable, cluster string) (item handover.TransferItem, ok bool) {
+func detach(connection detachable, cluster string) (item hotrestart.TransferItem, ok bool) {
 	sent := connectionState{Front: platformFront, Cluster: cluster}
 	if request, isRequest := connection.(*edge.Request); isRequest {
 		open, isOpen := request.ConnectionState()
@@ -106,7 +106,7 @@
 		connection.Reattach()
 		return item, false
 	}
-	return handover.TransferItem{FDs: fds, Body: body}, true
+	return hotrestart.TransferItem{FDs: fds, Body: body}, true
 }
 
 // encode is the connection's form in a batch, with what its front knows.
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -13,7 +13,7 @@
 
 	"spurwinch/choice"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/loop"
 	"spurwinch/internal/platform/downstream"
 	"spurwinch/internal/platform/upstream"
@@ -34,8 +34,8 @@
 func newReplaced(t testing.TB, host string, sockets int) *replaced {
 	dir := t.TempDir()
 	r := &replaced{t: t, config: filepath.Join(dir, "config.json"), file: filepath.Join(dir, "operator.toml")}
-	r.env = map[string]string{"GW_CONFIG": r.config, "TMPDIR": dir, "GW_LISTEN": exchange.FreeAddr(t), "XMPP": exchange.FreeAddr(t)}
-	r.write(`{"name":"n1","listen":"` + r.env["GW_LISTEN"] + `","discovery":"` + (&exchange.Player{}).Listen(t, "d") + `","seed":"1","limits":{"cores":1,"sockets":` + fmt.Sprint(sockets) +
+	r.env = map[string]string{"GW_CONFIG": r.config, "TMPDIR": dir, "GW_LISTEN": transcript.FreeAddr(t), "XMPP": transcript.FreeAddr(t)}
+	r.write(`{"name":"n1","listen":"` + r.env["GW_LISTEN"] + `","discovery":"` + (&transcript.Player{}).Listen(t, "d") + `","seed":"1","limits":{"cores":1,"sockets":` + fmt.Sprint(sockets) +
 		`},"known":{"version":41,"full":true,"servers":[{"id":"s-1","addr":"` + host + `","zone":"a","kind":"m","cell":0,"state":"SERVING","weight":1,"started_ms":0}]},"settings":` +
 		strings.NewReplacer("REPORTS", "off", `"messageAimS":[0.06]`, `"messageAimS":[600]`).Replace(settings) + `}`)
 	text := "[limits]\nheader_time = \"20s\"\n[[listener]]\naddr = \"" + r.env["XMPP"] + "\"\nprotocol = \"xmpp\"\n[[class]]\nname = \"c\"\n" +
@@ -72,7 +72,7 @@
 		p.loop.Post(p.loop.Stop)
 		<-p.done
 	})
-	exchange.Until(r.t, "the process is ready", func() (ready bool) {
+	transcript.Until(r.t, "the process is ready", func() (ready bool) {
 		p.on(func() { ready = p.ready() })
 		return ready
 	})
@@ -82,7 +82,7 @@
 // begin starts the next process and has the present one leave once after has returned; nothing happens there meanwhile.
 func (r *replaced) begin(after func()) {
 	r.next = r.start()
-	exchange.Until(r.t, "and the present one knows", func() (ready bool) {
+	transcript.Until(r.t, "and the present one knows", func() (ready bool) {
 		r.now.on(func() { _, ready = r.now.restart.coordinator.Successor() })
 		return ready
 	})
@@ -116,7 +116,7 @@
 // TestCarried plays exchanges through changes of the process.
 func TestCarried(t *testing.T) {
 	each(t, "carry", func(t *testing.T, text string) {
-		p := &exchange.Player{Values: map[string]string{"ns": "xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'"}}
+		p := &transcript.Player{Values: map[string]string{"ns": "xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'"}}
 		r := newReplaced(t, p.Listen(t, "h1"), 512)
 		p.Addr, p.Values["xmpp"] = r.env["GW_LISTEN"], r.env["XMPP"]
 		thaw := make(chan struct{})
@@ -159,9 +159,9 @@
 // through a chain of processes.
 func TestCarriedInBatches(t *testing.T) {
 	const connections = 400
-	r := newReplaced(t, exchange.Host(t), 2*connections+reservedDescriptors+256)
-	s := &exchange.Streams{Addr: r.env["GW_LISTEN"], At: "s-1"}
-	s.Run(t, connections, exchange.Steady)
+	r := newReplaced(t, transcript.Host(t), 2*connections+reservedDescriptors+256)
+	s := &transcript.Streams{Addr: r.env["GW_LISTEN"], At: "s-1"}
+	s.Run(t, connections, transcript.Steady)
 	for i := range 3 {
 		old := r.now
 		r.begin(func() {})
@@ -171,7 +171,7 @@
 		}
 		// The giver may go once its last word is written, and a look into the taker may come before that word is read.
 		held, got := 0, 0
-		exchange.Until(t, "the taker holds them all", func() bool {
+		transcript.Until(t, "the taker holds them all", func() bool {
 			r.now.on(func() { held, got = r.now.platform.core.InFlight(), r.now.restart.received })
 			return got >= connections
 		})
@@ -185,7 +185,7 @@
 
 // TestSessionsGoAlong has a process take over from one that knows where sessions live whose streams are gone.
 func TestSessionsGoAlong(t *testing.T) {
-	r := newReplaced(t, exchange.Host(t), 200)
+	r := newReplaced(t, transcript.Host(t), 200)
 	r.now.on(func() {
 		r.now.xmpp.Inherit([]resumable.Session{{Key: resumable.Key{Domain: "farm.example", ID: "1"}, User: "ana", Host: "h", Started: 5, Max: time.Minute,
 			Until: time.Now().Add(time.Minute)}})
@@ -201,8 +201,8 @@
 
 // TestNoRoomForAll has the taker hold all but none of the descriptors: what can't go is told to move, and nobody is cut off.
 func TestNoRoomForAll(t *testing.T) {
-	r := newReplaced(t, exchange.Host(t), 120)
-	c := &exchange.Crowd{Addr: r.env["GW_LISTEN"]}
+	r := newReplaced(t, transcript.Host(t), 120)
+	c := &transcript.Crowd{Addr: r.env["GW_LISTEN"]}
 	c.Run(20)
 	for range 3 {
 		r.begin(func() {})
@@ -220,9 +220,9 @@
 		b.Run(fmt.Sprint(most), func(b *testing.B) {
 			defer func(was int) { maxBatchConnections = was }(maxBatchConnections)
 			maxBatchConnections = most
-			r := newReplaced(b, exchange.Host(b), 8*connections)
-			s := &exchange.Streams{Addr: r.env["GW_LISTEN"], At: "s-1"}
-			s.Run(b, connections, exchange.Still)
+			r := newReplaced(b, transcript.Host(b), 8*connections)
+			s := &transcript.Streams{Addr: r.env["GW_LISTEN"], At: "s-1"}
+			s.Run(b, connections, transcript.Still)
 			size, took, away := 0, time.Duration(0), time.Duration(0)
 			b.ResetTimer()
 			for range b.N {
--- a/internal/node/web_test.go
+++ b/internal/node/web_test.go
@@ -12,7 +12,7 @@
 	"github.com/gobwas/ws"
 	"github.com/gobwas/ws/wsutil"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 )
 
 // browser is a client that comes by WebSocket.
@@ -56,8 +56,8 @@
 // TestWeb has a client come by WebSocket, in the clear and by TLS: it authenticates, binds, is answered, loses its link, resumes, and
 // closes its stream; one that sends what is no element is told so.
 func TestWeb(t *testing.T) {
-	cert, key := exchange.Keys(t, t.TempDir(), time.Now().Add(time.Hour*24*90), "farm.example")
-	clear, direct := exchange.FreeAddr(t), exchange.FreeAddr(t)
+	cert, key := transcript.Keys(t, t.TempDir(), time.Now().Add(time.Hour*24*90), "farm.example")
+	clear, direct := transcript.FreeAddr(t), transcript.FreeAddr(t)
 	f := newVillage(t, 3, fmt.Sprintf("[[certificate]]\ncert = %q\nkey = %q\n[[listener]]\naddr = %q\nprotocol = \"xmpp-websocket\"\n"+
 		"[[listener]]\naddr = %q\nprotocol = \"xmpp-websocket\"\ntls = \"direct\"\n", cert, key, clear, direct))
 	const open = "<open xmlns='urn:ietf:params:xml:ns:xmpp-framing' to='farm.example' version='1.0'/>"
--- a/internal/operate/fleetcall/fleetcall.go
+++ b/internal/operations/fleetclient/fleetcall.go
@@ -1,5 +1,5 @@
-// Package fleetcall makes an operator's call to a node of a fleet, by a stream of its own.
-package fleetcall
+// Package fleetclient makes an operator's call to a node of a fleet, by a stream of its own.
+package fleetclient
 
 import (
 	"encoding/binary"
--- a/internal/operate/handover/coordinator_test.go
+++ b/internal/operations/hotrestart/coordinator_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"net"
--- a/internal/operate/handover/doc.go
+++ b/internal/operations/hotrestart/doc.go
@@ -1,4 +1,4 @@
-// Package handover lets a new process of a node take over from the running one without a client noticing.
+// Package hotrestart lets a new process of a node take over from the running one without a client noticing.
 //
 // The running process (the parent) listens on a Unix socket at a path that both derive from the node's address. A
 // process that starts (the successor) connects there and sends a hello; the parent answers with a Grant: its listening
@@ -12,4 +12,4 @@
 //
 // The package moves descriptors and messages and decides nothing: what is granted, and which connections go, is the
 // node's. A Coordinator runs on the event loop and owns the links; RequestGrant runs before that loop does.
-package handover
+package hotrestart
--- a/internal/operate/handover/golden_test.go
+++ b/internal/operations/hotrestart/golden_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -23,7 +23,7 @@
 
 // The bytes under testdata/golden are what released processes of a node say to each other. A process of another release
 // reads them: they change with the version of the exchange only.
-// go test ./internal/operate/handover -run TestGolden -update-golden
+// go test ./internal/operations/hotrestart -run TestGolden -update-golden
 
 var updateGolden = flag.Bool("update-golden", false, "write testdata/golden anew")
 
--- a/internal/operate/handover/helpers_test.go
+++ b/internal/operations/hotrestart/helpers_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/loop"
 )
 
@@ -46,7 +46,7 @@
 // waitFor polls a condition on the loop until it holds.
 func waitFor(t *testing.T, onLoop func(func()), what string, condition func() bool) {
 	t.Helper()
-	exchange.Until(t, what, func() (holds bool) {
+	transcript.Until(t, what, func() (holds bool) {
 		onLoop(func() { holds = condition() })
 		return holds
 	})
--- a/internal/operate/handover/transfer_test.go
+++ b/internal/operations/hotrestart/transfer_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/loop"
 )
 
@@ -260,7 +260,7 @@
 	_, _ = io.Copy(io.Discard, parent.reader)
 	_ = parent.conn.Close()
 	waitFor(t, onLoop, "the end of the batch", func() bool { return calls == step.end })
-	exchange.Until(t, "no descriptor is left", func() bool {
+	transcript.Until(t, "no descriptor is left", func() bool {
 		return countDescriptors(t) <= before-2 // the link's two ends are gone too
 	})
 	loop.CloseAll(near)
--- a/internal/fleet/fleet.go
+++ b/internal/plan/fleet/fleet.go
@@ -10,7 +10,7 @@
 	"math"
 	"time"
 
-	"spurwinch/internal/tomlfile"
+	"spurwinch/internal/config/tomlfile"
 )
 
 // Duration is a time as the file writes it.
--- a/internal/fleet/fleet_test.go
+++ b/internal/plan/fleet/fleet_test.go
@@ -62,7 +62,7 @@
 
 // TestResize checks that proportions hold and no server is lost or made up in rounding.
 func TestResize(t *testing.T) {
-	f, err := Read("../../deploy/fleet-evening.toml")
+	f, err := Read("../../../deploy/fleet-evening.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 
 // TestNodeReadsSettings checks that what a node is told decodes to what the fleet file says.
 func TestNodeReadsSettings(t *testing.T) {
-	for _, path := range []string{"../../deploy/fleet-evening.toml", "../../deploy/fleet-large.toml"} {
+	for _, path := range []string{"../../../deploy/fleet-evening.toml", "../../../deploy/fleet-large.toml"} {
 		f, err := Read(path)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleet/settings.go
+++ b/internal/plan/fleet/settings.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // SettingsJSON is what a node of the fleet is told, in the form of the platform's configuration: the settings of node
@@ -44,6 +44,6 @@
 }
 
 // Settings is the same as the node's program reads it.
-func (f *Fleet) Settings(index, nodes int, centre string) (wire.Settings, error) {
-	return wire.DecodeSettings(f.SettingsJSON(index, nodes, centre))
+func (f *Fleet) Settings(index, nodes int, centre string) (simwire.Settings, error) {
+	return simwire.DecodeSettings(f.SettingsJSON(index, nodes, centre))
 }
--- a/internal/planner/bound.go
+++ b/internal/plan/planner/bound.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 // Bound is what arithmetic alone tells: no placement can do better, however good.
@@ -20,7 +20,7 @@
 
 // Bounds takes the load in windows of 10 s against what the fleet has. A window that asks for more than all servers can do
 // is served in part at most: what earns most for its load first.
-func Bounds(f *fleet.Fleet, l *load.Load) Bound {
+func Bounds(f *fleet.Fleet, l *workload.Load) Bound {
 	b := Bound{Cores: f.Cores(), Service: 1}
 	n := int(l.Length/window) + 1
 
@@ -29,7 +29,7 @@
 	for i := range classes {
 		classes[i] = make([]cell, len(f.Classes))
 	}
-	groups := map[uint64][]*load.Session{}
+	groups := map[uint64][]*workload.Session{}
 	usual := f.CoreLoad()
 	eachWindow := func(from, to time.Duration, fn func(i int, part float64)) {
 		to = min(to, l.Length)
--- a/internal/planner/client.go
+++ b/internal/plan/planner/client.go
@@ -9,15 +9,15 @@
 
 	"spurwinch/choice"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 // client is one session's client: it comes, is answered, comes again after a break or a refusal, and leaves when it wants
 // its connection no longer.
 type client struct {
 	w        *world
-	s        *load.Session
+	s        *workload.Session
 	worth    float64 // a second
 	node     *node   // where its request or connection is
 	request  *edge.Request
@@ -38,7 +38,7 @@
 func (c *client) class() *fleet.Class { return &c.w.fleet.Classes[c.s.Class] }
 
 // arrive begins a session.
-func (w *world) arrive(s *load.Session, worth float64, standing bool) {
+func (w *world) arrive(s *workload.Session, worth float64, standing bool) {
 	c := &client{w: w, s: s, worth: worth}
 	e := max(0, s.Edition)
 	w.limits.hit(w, limitShare, nil, float64(w.held[e]+1)/w.quota[e])
@@ -58,7 +58,7 @@
 	var two [2]*host // the first two of the group's own order of servers
 	var most [2]float64
 	for i, h := range w.hosts {
-		u := (float64(load.Mix(who^load.Mix(uint64(i)))>>11) + 0.5) / (1 << 53)
+		u := (float64(workload.Mix(who^workload.Mix(uint64(i)))>>11) + 0.5) / (1 << 53)
 		x := math.Log(u) / h.cores()
 		if two[0] == nil || x > most[0] {
 			two[1], most[1] = two[0], most[0]
@@ -194,7 +194,7 @@
 	if a.AlreadyOpen() { // set up before the load began
 		w.at(w.now, n, func() {
 			if !t.closed {
-				t.conn = &conn{host: h, client: c, wander: load.NewWander(w.opts.Seed^c.s.Client, c.class(), c.s.Load)}
+				t.conn = &conn{host: h, client: c, wander: workload.NewWander(w.opts.Seed^c.s.Client, c.class(), c.s.Load)}
 				h.add(t.conn)
 				a.Established()
 			}
--- a/internal/planner/forecast.go
+++ b/internal/plan/planner/forecast.go
@@ -10,8 +10,8 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 // Run is what one replication came to. Service is the worth of well-served seconds over that of all seconds asked for.
@@ -22,7 +22,7 @@
 	Classes  []float64
 	Editions []float64
 	Series   []float64 // by second; NaN where nothing was wanted
-	Account  *load.Account
+	Account  *workload.Account
 	// EndedEarly: the floor was out of reach; the service is the most that there could have been.
 	EndedEarly bool
 	Broken     bool  // a limit was reached
@@ -32,7 +32,7 @@
 }
 
 // Play simulates one replication.
-func Play(f *fleet.Fleet, l *load.Load, o Options) (Run, error) {
+func Play(f *fleet.Fleet, l *workload.Load, o Options) (Run, error) {
 	w, err := newWorld(f, l, o)
 	if err != nil {
 		return Run{}, err
@@ -87,11 +87,11 @@
 
 // Replicate plays the load n times, each with its own chance, on all cores, and sums up. tell (may be nil) hears of each
 // finished replication, not at once of several.
-func Replicate(f *fleet.Fleet, l *load.Load, o Options, n int, tell func()) (Forecast, error) {
+func Replicate(f *fleet.Fleet, l *workload.Load, o Options, n int, tell func()) (Forecast, error) {
 	var mu sync.Mutex
 	runs, err := each(n, func(i int) (Run, error) {
 		p := o
-		p.Seed = load.Mix(o.Seed*1000 + uint64(i))
+		p.Seed = workload.Mix(o.Seed*1000 + uint64(i))
 		r, err := Play(f, l, p)
 		if tell != nil {
 			mu.Lock()
@@ -124,7 +124,7 @@
 	return runs, errors.Join(errs...)
 }
 
-func sum(f *fleet.Fleet, l *load.Load, runs []Run) Forecast {
+func sum(f *fleet.Fleet, l *workload.Load, runs []Run) Forecast {
 	pick := func(get func(Run) float64) Figure {
 		var xs []float64
 		for _, r := range runs {
--- a/internal/planner/host.go
+++ b/internal/plan/planner/host.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"spurwinch/choice"
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 // host is the model of a server: a fluid of work with the noise that small jobs make of it, in steps. Work piled up is a
@@ -41,7 +41,7 @@
 	host   *host
 	client *client
 	load   float64
-	wander load.Wander
+	wander workload.Wander
 }
 
 func (w *world) addHost(k *fleet.Kind, centre int, cold bool) {
@@ -165,7 +165,7 @@
 				done(choice.Reset, nil)
 				return
 			}
-			k := &conn{host: h, client: c, wander: load.NewWander(w.opts.Seed^c.s.Client, class, c.s.Load)}
+			k := &conn{host: h, client: c, wander: workload.NewWander(w.opts.Seed^c.s.Client, class, c.s.Load)}
 			if h.add(k); h.dead {
 				done(choice.Reset, nil)
 				return
--- a/internal/planner/lose.go
+++ b/internal/plan/planner/lose.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 // Phases is service before a loss, in the storm of returns after it, and once that is over; Whole is the last phase without
@@ -38,7 +38,7 @@
 )
 
 // Lose plays the load with the loss that o names, and without.
-func Lose(f *fleet.Fleet, l *load.Load, o Options, reps int, say func(string, ...any)) (Loss, error) {
+func Lose(f *fleet.Fleet, l *workload.Load, o Options, reps int, say func(string, ...any)) (Loss, error) {
 	say("with the loss")
 	with, err := Replicate(f, l, o, reps, nil)
 	if err != nil {
--- a/internal/planner/planner_test.go
+++ b/internal/plan/planner/planner_test.go
@@ -9,24 +9,24 @@
 	"pgregory.net/rapid"
 
 	"spurwinch/choice"
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 func evening(t testing.TB) *fleet.Fleet {
 	t.Helper()
-	f, err := fleet.Read("../../deploy/fleet-evening.toml")
+	f, err := fleet.Read("../../../deploy/fleet-evening.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-func draw(f *fleet.Fleet, seed uint64, standing float64, seconds int) *load.Load {
-	return load.Draw(f, load.Drawn{Seed: seed, Length: time.Duration(seconds) * time.Second, Standing: standing})
+func draw(f *fleet.Fleet, seed uint64, standing float64, seconds int) *workload.Load {
+	return workload.Draw(f, workload.Drawn{Seed: seed, Length: time.Duration(seconds) * time.Second, Standing: standing})
 }
 
-func play(t testing.TB, f *fleet.Fleet, l *load.Load, o Options) Run {
+func play(t testing.TB, f *fleet.Fleet, l *workload.Load, o Options) Run {
 	t.Helper()
 	r, err := Play(f, l, o)
 	if err != nil {
@@ -62,7 +62,7 @@
 }
 
 // filled draws a load that asks for a part of what a fleet can do, without groups and set-ups.
-func filled(f *fleet.Fleet, part float64, seconds int) *load.Load {
+func filled(f *fleet.Fleet, part float64, seconds int) *workload.Load {
 	return draw(f, 5, part*f.Cores()/(f.MeanLoad()*f.CoreLoad()), seconds)
 }
 
@@ -132,9 +132,9 @@
 func TestLargeGroup(t *testing.T) {
 	f := one(t, 4)
 	f.Group.Cost = 1
-	l := &load.Load{Length: 20 * time.Second}
+	l := &workload.Load{Length: 20 * time.Second}
 	for i := range 200 {
-		l.Sessions = append(l.Sessions, load.Session{At: time.Duration(i) * 10 * time.Millisecond, Life: 20 * time.Second, Edition: -1,
+		l.Sessions = append(l.Sessions, workload.Session{At: time.Duration(i) * 10 * time.Millisecond, Life: 20 * time.Second, Edition: -1,
 			Centre: 0, Client: uint64(i + 1), Group: 9, Load: 1})
 	}
 	if c := fmt.Sprint(Bounds(f, l).Cannot); !strings.Contains(c, "one group asks for up to") {
@@ -161,7 +161,7 @@
 	}
 	h := w.hosts[0]
 	for i := range 200 { // a crowd that no module held back
-		h.setup(&client{w: w, s: &load.Session{Client: uint64(i), Life: time.Second}, try: &try{node: w.nodes[0], closed: true}}, func(choice.Outcome, *conn) {})
+		h.setup(&client{w: w, s: &workload.Session{Client: uint64(i), Life: time.Second}, try: &try{node: w.nodes[0], closed: true}}, func(choice.Outcome, *conn) {})
 		w.run(w.now + 5*time.Millisecond)
 	}
 	if w.stats.Fallen != 1 || !h.dead || limitSeen(w.result(), limitCold).Hits == 0 {
@@ -202,7 +202,7 @@
 	if err != nil || s.Reached || !strings.Contains(s.Why, "session store") {
 		t.Errorf("%+v, %v", s, err)
 	}
-	empty := &load.Load{Length: 10 * time.Second}
+	empty := &workload.Load{Length: 10 * time.Second}
 	if r := play(t, f, empty, Options{Seed: 1}); r.Service != 1 {
 		t.Errorf("nothing wanted: %.2f of it is served", r.Service)
 	}
--- a/internal/planner/size.go
+++ b/internal/plan/planner/size.go
@@ -8,8 +8,8 @@
 	"sort"
 	"time"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 // Broken is the first limit that a growing load breaks.
@@ -33,7 +33,7 @@
 // FirstToBreak finds the least multiple of the load at which some limit is reached or service is much the worse for it, and
 // which limit that is; of several that are reached at that multiple, the one that is reached first. A longer load is looked
 // at on its busiest stretch of breakWindow. Several multiples are tried at once.
-func FirstToBreak(f *fleet.Fleet, l *load.Load, o Options, tell func(multiple float64)) (Broken, error) {
+func FirstToBreak(f *fleet.Fleet, l *workload.Load, o Options, tell func(multiple float64)) (Broken, error) {
 	if len(l.Sessions) == 0 {
 		return Broken{None: true, Multiple: math.Inf(1), Service: 1}, nil
 	}
@@ -142,7 +142,7 @@
 // search evaluates fleets once each.
 type search struct {
 	SizeOptions
-	load  *load.Load
+	load  *workload.Load
 	known map[string]Size
 }
 
@@ -212,7 +212,7 @@
 	return f.Resize(hi), tried, true, nil
 }
 
-func newSearch(f *fleet.Fleet, l *load.Load, o SizeOptions) (*search, time.Duration) {
+func newSearch(f *fleet.Fleet, l *workload.Load, o SizeOptions) (*search, time.Duration) {
 	from := time.Duration(0)
 	if o.Window > 0 && l.Length > o.Window*3/2 {
 		from = l.Busiest(f, o.Window)
@@ -223,7 +223,7 @@
 
 // LeastServers finds the least fleet whose service reaches the target: in the proportions of the file first, then less one
 // server of a kind at a time for as long as the target holds. So one less of any kind misses it.
-func LeastServers(f *fleet.Fleet, l *load.Load, o SizeOptions) (Sizing, error) {
+func LeastServers(f *fleet.Fleet, l *workload.Load, o SizeOptions) (Sizing, error) {
 	s, from := newSearch(f, l, o)
 	out := Sizing{Target: o.Target, OneBelow: map[string]Size{}, FromS: from.Seconds(), ToS: (from + s.load.Length).Seconds()}
 	best, tried, ok, err := s.total(f)
@@ -281,7 +281,7 @@
 
 // LeastTotal finds the least number of servers in the file's proportions whose service reaches the target; one more than
 // the most where none does.
-func LeastTotal(f *fleet.Fleet, l *load.Load, o SizeOptions) (int, error) {
+func LeastTotal(f *fleet.Fleet, l *workload.Load, o SizeOptions) (int, error) {
 	s, _ := newSearch(f, l, o)
 	best, _, ok, err := s.total(f)
 	if err != nil || !ok {
--- a/internal/planner/validate.go
+++ b/internal/plan/planner/validate.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"spurwinch/deploy"
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 // Trial is a small fleet with a load, drawn to check forecasts against what a replay does.
@@ -16,7 +16,7 @@
 	What     string
 	Fleet    *fleet.Fleet
 	Standing float64
-	Load     *load.Load
+	Load     *workload.Load
 	Lose     string
 	LoseAt   time.Duration
 }
@@ -91,6 +91,6 @@
 	}
 	t.Standing = f.Cores() * (0.45 + 0.6*rng.Float64()) / each
 	f.Store.Rate = 4 * t.Standing / 8
-	t.Load = load.Draw(f, load.Drawn{Seed: rng.Uint64(), Length: length, Standing: t.Standing})
+	t.Load = workload.Draw(f, workload.Drawn{Seed: rng.Uint64(), Length: length, Standing: t.Standing})
 	return t
 }
--- a/internal/planner/world.go
+++ b/internal/plan/planner/world.go
@@ -11,8 +11,8 @@
 
 	"spurwinch/choice"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/load"
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
 )
 
 const (
@@ -105,7 +105,7 @@
 // world is one run.
 type world struct {
 	fleet    *fleet.Fleet
-	load     *load.Load
+	load     *workload.Load
 	opts     Options
 	rng      *rand.Rand
 	now      time.Duration
@@ -115,7 +115,7 @@
 	byID     map[choice.ServerID]*host
 	nodes    []*node
 	storeAt  time.Duration // when the store is free again
-	account  *load.Account
+	account  *workload.Account
 	worths   []float64 // of a second of each session
 	held     []int     // sessions that want a connection, by edition
 	quota    []float64
@@ -189,9 +189,9 @@
 	here   map[*client]struct{}
 }
 
-func newWorld(f *fleet.Fleet, l *load.Load, o Options) (*world, error) {
+func newWorld(f *fleet.Fleet, l *workload.Load, o Options) (*world, error) {
 	w := &world{fleet: f, load: l, opts: o, rng: rand.New(rand.NewPCG(o.Seed, 1213)), byID: map[choice.ServerID]*host{}}
-	w.account, w.worths = load.NewAccount(f, l.Length), load.Worths(f, l)
+	w.account, w.worths = workload.NewAccount(f, l.Length), workload.Worths(f, l)
 	w.account.Wanted(l, w.worths)
 	w.requests = make([]int, len(w.account.WantSec))
 	editions := max(1, len(f.Editions))
--- a/internal/load/capture.go
+++ b/internal/plan/workload/capture.go
@@ -1,4 +1,4 @@
-package load
+package workload
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/operate/capture"
+	"spurwinch/internal/operations/capture"
+	"spurwinch/internal/plan/fleet"
 )
 
 // Captured is what files of a fleet's nodes hold, put in one order of time.
--- a/internal/load/load.go
+++ b/internal/plan/workload/load.go
@@ -1,6 +1,6 @@
-// Package load is what clients want, apart from any fleet that gives it: sessions with their arrival, life, class,
+// Package workload is what clients want, apart from any fleet that gives it: sessions with their arrival, life, class,
 // edition and group. It is read from captures, drawn from a fleet's description, scaled and summed up.
-package load
+package workload
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"spurwinch/internal/fleet"
+	"spurwinch/internal/plan/fleet"
 )
 
 // Session is one client that wants a connection from At on for Life. Where it lost its connection meanwhile it came again
--- a/internal/load/load_test.go
+++ b/internal/plan/workload/load_test.go
@@ -1,4 +1,4 @@
-package load
+package workload
 
 import (
 	"math"
@@ -7,8 +7,8 @@
 	"time"
 
 	"spurwinch/deploy"
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/operate/capture"
+	"spurwinch/internal/operations/capture"
+	"spurwinch/internal/plan/fleet"
 )
 
 func evening(t testing.TB) *fleet.Fleet {
--- a/internal/load/service.go
+++ b/internal/plan/workload/service.go
@@ -1,11 +1,11 @@
-package load
+package workload
 
 import (
 	"container/heap"
 	"math"
 	"time"
 
-	"spurwinch/internal/fleet"
+	"spurwinch/internal/plan/fleet"
 )
 
 // Worths is what a second of each session is worth: its class's worth, less for one that comes while its edition holds
--- a/internal/load/summary.go
+++ b/internal/plan/workload/summary.go
@@ -1,10 +1,10 @@
-package load
+package workload
 
 import (
 	"sort"
 	"time"
 
-	"spurwinch/internal/operate/capture"
+	"spurwinch/internal/operations/capture"
 )
 
 // Summary is what a capture tells at a glance.
--- a/internal/load/write.go
+++ b/internal/plan/workload/write.go
@@ -1,4 +1,4 @@
-package load
+package workload
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"spurwinch/internal/fleet"
-	"spurwinch/internal/operate/capture"
+	"spurwinch/internal/operations/capture"
+	"spurwinch/internal/plan/fleet"
 )
 
 // Write writes the load as captures, as if a node in each centre had served its clients, and returns the files' names. What
--- a/internal/platform/downstream/race_test.go
+++ b/internal/platform/downstream/race_test.go
@@ -13,10 +13,10 @@
 
 	"spurwinch/choice"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/exchange"
+	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/loop"
 	"spurwinch/internal/platform/upstream"
-	"spurwinch/internal/wire"
+	"spurwinch/internal/simwire"
 )
 
 // crossing is a front with its core on a loop that the test stops, so that what it puts into sockets meanwhile lies ready in one
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	x := &crossing{t: t, l: l, sessions: make(chan *session, 8), taken: make(chan dialled, 8), told: make(chan message, 64)}
-	s, err := wire.DecodeSettings([]byte(strings.NewReplacer(append(change, "REPORTS", "off")...).Replace(exchange.Settings)))
+	s, err := simwire.DecodeSettings([]byte(strings.NewReplacer(append(change, "REPORTS", "off")...).Replace(transcript.Settings)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -160,15 +160,15 @@
 		{"part.cbor", &canary, &Canary{}},
 	} {
 		requireSet(t, test.file, reflect.ValueOf(test.value))
-		raw := golden(t, test.file, agree.Encode(test.value))
-		if err := agree.Unmarshal(raw, test.got); err != nil {
+		raw := golden(t, test.file, consensus.Encode(test.value))
+		if err := consensus.Unmarshal(raw, test.got); err != nil {
 			t.Errorf("%s: %v", test.file, err)
 			continue
 		}
 		if !reflect.DeepEqual(test.got, test.value) {
 			t.Errorf("%s: read as %+v, wanted %+v", test.file, test.got, test.value)
 		}
-		if again := agree.Encode(test.value); !bytes.Equal(again, raw) {
+		if again := consensus.Encode(test.value); !bytes.Equal(again, raw) {
 			t.Errorf("%s: written as %x, wanted %x", test.file, again, raw)
 		}
 	}
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -5,11 +5,11 @@
 	"slices"
 	"time"
 
-	"spurwinch/internal/agree"
+	"spurwinch/internal/consensus"
 )
 
 // Kind is the replicated log's kind of entries that carry a State.
-const Kind agree.Kind = 3
+const Kind consensus.Kind = 3
 
 // Bounds of a state, so that it fits into a message and a record of the log.
 const (
@@ -86,7 +86,7 @@
 }
 
 // Encode is a state's form on the log.
-func (s *State) Encode() []byte { return agree.Encode(s) }
+func (s *State) Encode() []byte { return consensus.Encode(s) }
 
 // Decode reads a state and checks that it is consistent; if not, the error is ErrInconsistentState. Without bytes it is
 // the state before any change.
@@ -95,7 +95,7 @@
 	if len(encoded) == 0 {
 		return state, nil
 	}
-	if err := agree.Unmarshal(encoded, state); err != nil {
+	if err := consensus.Unmarshal(encoded, state); err != nil {
 		return nil, fmt.Errorf("policy: %w", err)
 	}
 	if !state.isConsistent() {
--- a/internal/wire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/internal/wire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,5 +1,5 @@
-// Package wire turns the simulator's JSON lines into the types of package choice and back. It decides nothing.
-package wire
+// Package simwire turns the simulator's JSON lines into the types of package choice and back. It decides nothing.
+package simwire
 
 import (
 	"encoding/json"
--- a/internal/transport/admit/admit.go
+++ b/internal/transport/peerlimit/admit.go
@@ -1,6 +1,6 @@
-// Package admit decides who may open a stream: limits for each peer, which is a network prefix, and for each domain, and networks
+// Package peerlimit decides who may open a stream: limits for each peer, which is a network prefix, and for each domain, and networks
 // that are kept out or that no limit holds for. It does no I/O; time is a value.
-package admit
+package peerlimit
 
 import (
 	"bufio"
--- a/internal/transport/admit/admit_test.go
+++ b/internal/transport/peerlimit/admit_test.go
@@ -1,4 +1,4 @@
-package admit
+package peerlimit
 
 import (
 	"fmt"
--- a/internal/xmpp/front.go
+++ b/internal/xmpp/front.go
@@ -15,7 +15,7 @@
 	"spurwinch/internal/loop"
 	sessions "spurwinch/internal/session"
 	"spurwinch/internal/trace"
-	"spurwinch/internal/transport/admit"
+	"spurwinch/internal/transport/peerlimit"
 	"spurwinch/internal/transport/tls"
 
 	"go.uber.org/zap"
@@ -50,7 +50,7 @@
 	shakes   *tls.Handshakes
 	keys     *tls.Keys                // nil: no listener has TLS
 	plus     map[choice.ServerID]bool // hosts that were told of: they offer what can't hold behind TLS
-	door     *admit.Controller
+	door     *peerlimit.Controller
 	sessions *sessions.Table
 	owners   map[sessions.Key]*session // of those that stand on a connection of this process
 }
@@ -71,7 +71,7 @@
 // New makes a front for the given domains; "*" stands for all that are not named.
 func New(l *loop.Loop, domains map[string]Domain, limits Limits, seed uint64) *Front {
 	return &Front{loop: l, domains: domains, limits: limits, ids: rand.New(rand.NewPCG(seed, 2)),
-		shakes: tls.NewHandshakes(l), plus: map[choice.ServerID]bool{}, door: admit.NewController(admit.Rules{}, nil, nil), sessions: sessions.New(limits.Resumable), owners: map[sessions.Key]*session{}}
+		shakes: tls.NewHandshakes(l), plus: map[choice.ServerID]bool{}, door: peerlimit.NewController(peerlimit.Rules{}, nil, nil), sessions: sessions.New(limits.Resumable), owners: map[sessions.Key]*session{}}
 }
 
 func (f *Front) domain(to string) (Domain, bool) {
@@ -122,13 +122,13 @@
 	}
 	now := f.loop.Now()
 	guest, verdict := f.door.Admit(now, c.Peer)
-	if verdict == admit.KeptOut {
+	if verdict == peerlimit.KeptOut {
 		return nil
 	}
 	f.Answers.Sessions++
 	s := &session{front: f, conn: c, raw: c, guest: guest, in: scanner{most: f.limits.Stanza}, headerDue: true, clear: how == StartTLS}
 	s.due(now.Add(f.limits.HeaderTime))
-	if verdict != admit.Admitted { // in the clear also where TLS is due: a handshake would cost what the limit saves
+	if verdict != peerlimit.Admitted { // in the clear also where TLS is due: a handshake would cost what the limit saves
 		f.loop.At(now, func() { s.turnAway(verdict) })
 		return s
 	}
@@ -195,7 +195,7 @@
 	clear     bool      // the stream is ours up to <starttls/>
 	upgrading bool      // that has come
 	layered   bool      // TLS or WebSocket is between it and raw
-	guest     *admit.Stream
+	guest     *peerlimit.Stream
 	resuming
 }
 
@@ -312,7 +312,7 @@
 		return ""
 	}
 	s.to = to
-	if v := s.front.door.AdmitToDomain(s.front.loop.Now(), s.guest, s.front.named(s.domain())); v != admit.Admitted {
+	if v := s.front.door.AdmitToDomain(s.front.loop.Now(), s.guest, s.front.named(s.domain())); v != peerlimit.Admitted {
 		s.turnAway(v)
 		return ""
 	}
--- a/internal/xmpp/secure.go
+++ b/internal/xmpp/secure.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"spurwinch/internal/loop"
-	"spurwinch/internal/transport/admit"
+	"spurwinch/internal/transport/peerlimit"
 	"spurwinch/internal/transport/tls"
 
 	"go.uber.org/zap"
@@ -24,15 +24,15 @@
 }
 
 // Guard has the door go by other rules, for streams that come from now on.
-func (f *Front) Guard(r admit.Rules, n *admit.Networks, domains map[string]admit.Limits) {
+func (f *Front) Guard(r peerlimit.Rules, n *peerlimit.Networks, domains map[string]peerlimit.Limits) {
 	f.door.Adapt(r, n, domains)
 }
 
 // Turned counts the streams that were turned away, by verdict.
-func (f *Front) Turned() [admit.TooWaiting + 1]int { return f.door.Rejections }
+func (f *Front) Turned() [peerlimit.TooWaiting + 1]int { return f.door.Rejections }
 
 // turnAway tells a client that it is not let in, and why.
-func (s *session) turnAway(v admit.Verdict) {
+func (s *session) turnAway(v peerlimit.Verdict) {
 	zap.L().Warn("client_turned_away", zap.Stringer("peer", s.raw.Peer), zap.String("domain", s.to), zap.Stringer("cause", v))
 	s.fail(resourceConstraint, v.String())
 }
