--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// Tick is the time between two calls of a replica's Tick.
-	Tick = 50 * time.Millisecond
+	// TickInterval is the time between two calls of a replica's Tick.
+	TickInterval = 50 * time.Millisecond
 	// MaxReplicas bounds the replicas of a log.
 	MaxReplicas = 7
 	// MaxData bounds an entry's data, in bytes.
 	MaxData = 256 << 10
-	// MostKinds bounds how many kinds of entries a log has.
-	MostKinds = 16
+	// MaxKinds bounds how many kinds of entries a log has.
+	MaxKinds = 16
 
 	maxProposalID = 64 // bytes
 )
@@ -26,17 +26,17 @@
 
 // Entry is one decided entry.
 type Entry struct {
-	_      struct{} `cbor:",toarray"`
-	Number uint64   // index in the log, from 1; 0: there is no entry of this kind yet
-	Kind   Kind
-	ID     string // of the proposal
-	Data   []byte
+	_     struct{} `cbor:",toarray"`
+	Index uint64   // index in the log, from 1; 0: there is no entry of this kind yet
+	Kind  Kind
+	ID    string // of the proposal
+	Data  []byte
 }
 
 // Digest is a hash of all that an entry has. Nodes compare it to find two contents of one index.
 func (e Entry) Digest() uint64 {
 	var fixed [17]byte
-	binary.BigEndian.PutUint64(fixed[:8], e.Number)
+	binary.BigEndian.PutUint64(fixed[:8], e.Index)
 	binary.BigEndian.PutUint64(fixed[8:16], uint64(len(e.ID)))
 	fixed[16] = byte(e.Kind)
 	hash := xxhash.New()
@@ -70,10 +70,10 @@
 
 // ProposalResult tells how a proposal ended.
 type ProposalResult struct {
-	_      struct{} `cbor:",toarray"`
-	ID     string
-	Kind   Kind
-	Number uint64 // index in the log
+	_     struct{} `cbor:",toarray"`
+	ID    string
+	Kind  Kind
+	Index uint64 // index in the log
 	// Accepted says that the entry was decided. Other proposals were rejected: they replaced another entry than the
 	// newest, or the log has as many kinds as it may have.
 	Accepted bool
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -8,16 +8,16 @@
 
 // KindDigest names an entry without its data.
 type KindDigest struct {
-	_      struct{} `cbor:",toarray"`
-	Kind   Kind
-	Number uint64 // the entry's index in the log
-	Sum    uint64 // Entry.Digest
+	_     struct{} `cbor:",toarray"`
+	Kind  Kind
+	Index uint64 // the entry's index in the log
+	Sum   uint64 // Entry.Digest
 }
 
 // Digest tells how far a node knows a log. Nodes exchange it to find what one of them is missing.
 type Digest struct {
 	_     struct{} `cbor:",toarray"`
-	Log   uint64   // identity of the log; 0: nothing is known
+	LogID uint64   // identity of the log; 0: nothing is known
 	Kinds []KindDigest
 }
 
@@ -40,8 +40,8 @@
 // Newest is the newest entry of a kind; its index is 0 where there is none.
 func (f *Follower) Newest(kind Kind) Entry { return f.newest[kind] }
 
-// Log is the identity of the log; 0: not known yet.
-func (f *Follower) Log() uint64 { return f.log }
+// LogID is the identity of the log; 0: not known yet.
+func (f *Follower) LogID() uint64 { return f.log }
 
 // Entries are the newest entries, by kind.
 func (f *Follower) Entries() (entries []Entry) {
@@ -54,29 +54,29 @@
 
 // Digest tells how far this node knows the log.
 func (f *Follower) Digest() Digest {
-	digest := Digest{Log: f.log}
+	digest := Digest{LogID: f.log}
 	for _, entry := range f.Entries() {
-		digest.Kinds = append(digest.Kinds, KindDigest{Kind: entry.Kind, Number: entry.Number, Sum: entry.Digest()})
+		digest.Kinds = append(digest.Kinds, KindDigest{Kind: entry.Kind, Index: entry.Index, Sum: entry.Digest()})
 	}
 	return digest
 }
 
-// Lacks names the kinds of which another node has a newer entry. It returns an ErrForeignLog or an ErrConflict
+// MissingKinds names the kinds of which another node has a newer entry. It returns an ErrForeignLog or an ErrConflict
 // where the two nodes cannot both be right.
-func (f *Follower) Lacks(other Digest) (kinds []Kind, err error) {
-	if other.Log == 0 {
+func (f *Follower) MissingKinds(other Digest) (kinds []Kind, err error) {
+	if other.LogID == 0 {
 		return nil, nil
 	}
-	if f.log != 0 && other.Log != f.log {
-		return nil, foreignLog(other.Log, f.log)
+	if f.log != 0 && other.LogID != f.log {
+		return nil, foreignLog(other.LogID, f.log)
 	}
 	for _, theirs := range other.Kinds {
 		own := f.newest[theirs.Kind]
 		switch {
-		case theirs.Number > own.Number:
+		case theirs.Index > own.Index:
 			kinds = append(kinds, theirs.Kind)
-		case theirs.Number == own.Number && theirs.Sum != own.Digest():
-			return nil, conflict(theirs.Number, theirs.Sum, own.Digest())
+		case theirs.Index == own.Index && theirs.Sum != own.Digest():
+			return nil, conflict(theirs.Index, theirs.Sum, own.Digest())
 		}
 	}
 	return kinds, nil
@@ -90,13 +90,13 @@
 		return false, err
 	}
 	switch {
-	case !known && len(f.newest) >= MostKinds:
-		return false, fmt.Errorf("%w: kind %d is one more than the %d of a log", ErrInvalidEntry, entry.Kind, MostKinds)
+	case !known && len(f.newest) >= MaxKinds:
+		return false, fmt.Errorf("%w: kind %d is one more than the %d of a log", ErrInvalidEntry, entry.Kind, MaxKinds)
 	case f.log != 0 && f.log != log:
 		return false, foreignLog(log, f.log)
-	case entry.Number == own.Number && entry.Digest() != own.Digest():
-		return false, conflict(entry.Number, entry.Digest(), own.Digest())
-	case entry.Number <= own.Number:
+	case entry.Index == own.Index && entry.Digest() != own.Digest():
+		return false, conflict(entry.Index, entry.Digest(), own.Digest())
+	case entry.Index <= own.Index:
 		return false, nil
 	}
 	f.log = log
@@ -107,8 +107,8 @@
 // checkEntry returns an ErrInvalidEntry for what no log has.
 func checkEntry(log uint64, entry Entry) error {
 	switch {
-	case log == 0 || entry.Number == 0 || entry.Kind == 0:
-		return fmt.Errorf("%w: log %016x, index %d, kind %d", ErrInvalidEntry, log, entry.Number, entry.Kind)
+	case log == 0 || entry.Index == 0 || entry.Kind == 0:
+		return fmt.Errorf("%w: log %016x, index %d, kind %d", ErrInvalidEntry, log, entry.Index, entry.Kind)
 	case len(entry.Data) > MaxData || len(entry.ID) > maxProposalID:
 		return fmt.Errorf("%w: %d bytes of data, id of %d bytes", ErrInvalidEntry, len(entry.Data), len(entry.ID))
 	}
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -51,19 +51,19 @@
 }
 
 func goldenEntry() Entry {
-	return Entry{Number: 0x0102030405, Kind: 3, ID: "entry-id", Data: []byte("entry data")}
+	return Entry{Index: 0x0102030405, Kind: 3, ID: "entry-id", Data: []byte("entry data")}
 }
 
 func goldenState() State {
 	return State{
-		Log: 0x1112131415161718,
+		LogID: 0x1112131415161718,
 		Newest: map[Kind]Entry{
-			2: {Number: 21, Kind: 2, ID: "second", Data: []byte("data of kind 2")},
-			1: {Number: 22, Kind: 1, ID: "first", Data: []byte("data of kind 1")},
+			2: {Index: 21, Kind: 2, ID: "second", Data: []byte("data of kind 2")},
+			1: {Index: 22, Kind: 1, ID: "first", Data: []byte("data of kind 1")},
 		},
 		Results: []ProposalResult{
-			{ID: "first", Kind: 1, Number: 22, Accepted: true},
-			{ID: "late", Kind: 2, Number: 23},
+			{ID: "first", Kind: 1, Index: 22, Accepted: true},
+			{ID: "late", Kind: 2, Index: 23},
 		},
 		Retired: []uint64{0x2122232425262728, 0x31},
 	}
@@ -72,11 +72,11 @@
 func goldenRecord() Record {
 	return Record{
 		Incarnation: 0x4142434445464748,
-		Log:         0x5152535455565758,
+		LogID:       0x5152535455565758,
 		HardState:   []byte("hard state"),
 		Entries:     [][]byte{[]byte("raft entry 1"), []byte("raft entry 2")},
 		Snapshot:    []byte("raft snapshot"),
-		Newest:      []Entry{goldenEntry(), {Number: 61, Kind: 62, ID: "other", Data: []byte("other data")}},
+		Newest:      []Entry{goldenEntry(), {Index: 61, Kind: 62, ID: "other", Data: []byte("other data")}},
 	}
 }
 
@@ -86,14 +86,14 @@
 	goldenValue(t, "proposal", Proposal{
 		ID: "proposal-id", Kind: 7, Replaces: 0x0708090a, Data: []byte("proposal data"),
 	})
-	goldenValue(t, "decided", ProposalResult{ID: "decided-id", Kind: 9, Number: 0x0a0b0c0d, Accepted: true})
+	goldenValue(t, "decided", ProposalResult{ID: "decided-id", Kind: 9, Index: 0x0a0b0c0d, Accepted: true})
 	goldenValue(t, "state", goldenState())
 	goldenValue(t, "record", goldenRecord())
 	goldenValue(t, "record-empty", Record{})
-	goldenValue(t, "kind-digest", KindDigest{Kind: 4, Number: 0x0e0f, Sum: 0x7172737475767778})
+	goldenValue(t, "kind-digest", KindDigest{Kind: 4, Index: 0x0e0f, Sum: 0x7172737475767778})
 	goldenValue(t, "digest", Digest{
-		Log:   0x8182838485868788,
-		Kinds: []KindDigest{{Kind: 5, Number: 91, Sum: 92}, {Kind: 6, Number: 93, Sum: 94}},
+		LogID: 0x8182838485868788,
+		Kinds: []KindDigest{{Kind: 5, Index: 91, Sum: 92}, {Kind: 6, Index: 93, Sum: 94}},
 	})
 	goldenValue(t, "kinds", []Kind{2, 1, 3})
 }
@@ -104,7 +104,7 @@
 	if got := goldenEntry().Digest(); got != want {
 		t.Errorf("the entry's digest is %#x, wanted %#x", got, uint64(want))
 	}
-	follower := NewFollower(0x99, []Entry{goldenEntry(), {Number: 5, Kind: 1, ID: "x", Data: []byte("y")}})
+	follower := NewFollower(0x99, []Entry{goldenEntry(), {Index: 5, Kind: 1, ID: "x", Data: []byte("y")}})
 	goldenValue(t, "follower-digest", follower.Digest())
 }
 
@@ -113,7 +113,7 @@
 	records := []Record{
 		{Incarnation: 5},
 		goldenRecord(),
-		{Log: 6, Newest: []Entry{goldenEntry()}},
+		{LogID: 6, Newest: []Entry{goldenEntry()}},
 		{HardState: []byte("later")},
 	}
 	t.Run("saved", func(t *testing.T) {
@@ -127,14 +127,14 @@
 		})
 	})
 	t.Run("replaced", func(t *testing.T) {
-		goldenStore(t, "store-replaced", []Record{goldenRecord(), {Log: 8}}, func(s *Store) error {
+		goldenStore(t, "store-replaced", []Record{goldenRecord(), {LogID: 8}}, func(s *Store) error {
 			if err := s.Save(Record{Incarnation: 7}); err != nil {
 				return err
 			}
 			if err := s.Replace(goldenRecord()); err != nil {
 				return err
 			}
-			return s.Save(Record{Log: 8})
+			return s.Save(Record{LogID: 8})
 		})
 	})
 }
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -5,7 +5,7 @@
 type Record struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64   // drawn with the first record of a disk: a replica that lost its disk is another replica
-	Log         uint64   // identity of the log; 0: as before
+	LogID       uint64   // identity of the log; 0: as before
 	HardState   []byte   // raftpb.HardState: term, vote and commit index; none: as before
 	Entries     [][]byte // raftpb.Entry
 	Snapshot    []byte   // raftpb.Snapshot; nothing before it is needed any more
--- a/internal/consensus/replica/bootstrap.go
+++ b/internal/consensus/replica/bootstrap.go
@@ -55,7 +55,7 @@
 
 func firstSnapshot(logID uint64, members []uint64) *raftpb.Snapshot {
 	return &raftpb.Snapshot{
-		Data: consensus.Encode(consensus.State{Log: logID, Newest: map[consensus.Kind]consensus.Entry{}}),
+		Data: consensus.Encode(consensus.State{LogID: logID, Newest: map[consensus.Kind]consensus.Entry{}}),
 		Metadata: &raftpb.SnapshotMetadata{
 			Index:     proto.Uint64(firstIndex),
 			Term:      proto.Uint64(firstTerm),
--- a/internal/consensus/replica/doc.go
+++ b/internal/consensus/replica/doc.go
@@ -4,11 +4,11 @@
 //
 // The agent of a node that the list of nodes names as a replica owns its Replica and calls it from one goroutine:
 //
-//   - Tick and Receive take time and messages of other replicas, Propose and Confirm what the node wants;
-//   - Ready gives the record that has to be persisted next; when it is, Kept gives the messages to send and the
+//   - Tick and Receive take time and messages of other replicas, Propose and ConfirmLeadership what the node wants;
+//   - Ready gives the record that has to be persisted next; when it is, Persisted gives the messages to send and the
 //     results of proposals;
-//   - Fold gives, now and then, one record that replaces all others.
+//   - Compact gives, now and then, one record that replaces all others.
 //
 // The package is free of I/O, clocks and goroutines. A panic of the Raft library stops the replica, not the process:
-// see Broken.
+// see Err.
 package replica
--- a/internal/consensus/replica/golden_exchange_test.go
+++ b/internal/consensus/replica/golden_exchange_test.go
@@ -65,12 +65,12 @@
 			x.lines = append(x.lines, fmt.Sprintf("keep %d %x", i, consensus.Encode(record)))
 			x.disks[i] = append(x.disks[i], record)
 		}
-		messages, _ := replica.Kept()
+		messages, _ := replica.Persisted()
 		for _, m := range messages {
 			x.send(i, m)
 		}
 	}
-	if err := replica.Broken(); err != nil {
+	if err := replica.Err(); err != nil {
 		x.t.Fatal(err)
 	}
 }
@@ -117,15 +117,15 @@
 	for range 40 {
 		play.tick(0)
 	}
-	if !play.replicas[0].Leads() {
+	if !play.replicas[0].IsLeader() {
 		t.Fatal("replica 0 does not lead")
 	}
 	play.propose("one", 0)
-	play.propose("two", play.replicas[0].State().Newest[1].Number)
+	play.propose("two", play.replicas[0].State().Newest[1].Index)
 	play.propose("late", 0)
-	play.replicas[0].Confirm()
+	play.replicas[0].ConfirmLeadership()
 	play.settle()
-	if play.replicas[0].Confirmed() != 1 {
+	if play.replicas[0].ConfirmedCall() != 1 {
 		t.Fatal("the leader is not confirmed")
 	}
 	play.disks[2] = nil
@@ -138,7 +138,7 @@
 	if !play.replicas[2].isMember() {
 		t.Fatal("the replica that lost its disk is not a member again")
 	}
-	play.propose("three", play.replicas[0].State().Newest[1].Number)
+	play.propose("three", play.replicas[0].State().Newest[1].Index)
 	want := goldenText(t, "exchange.txt", play.lines)
 	checkGoldenDisks(t, want)
 }
@@ -149,7 +149,7 @@
 	disks := goldenDisks(t, lines)
 	var logID uint64
 	for _, record := range disks[0] {
-		logID = max(logID, record.Log)
+		logID = max(logID, record.LogID)
 	}
 	for i, disk := range disks {
 		replica, err := New(i, 3, disk, rand.New(rand.NewPCG(9, 9)))
@@ -159,7 +159,7 @@
 		checkGoldenHardState(t, i, replica)
 		for range 5 { // what is decided is applied
 			if _, _, ok := replica.Ready(); ok {
-				replica.Kept()
+				replica.Persisted()
 			}
 		}
 		if replica.logID == 0 || replica.logID != logID || !replica.isMember() {
--- a/internal/consensus/replica/golden_test.go
+++ b/internal/consensus/replica/golden_test.go
@@ -68,7 +68,7 @@
 // TestGoldenFold holds the one record that a replica makes of a log that has grown, and what a replica that starts on
 // it knows.
 func TestGoldenFold(t *testing.T) {
-	replica, folded := foldGrownLog(t)
+	replica, folded := compactGrownLog(t)
 	lines := goldenText(t, "fold.hex", []string{hex.EncodeToString(consensus.Encode(folded))})
 	var golden consensus.Record
 	if err := consensus.Unmarshal(fromHex(t, lines[0]), &golden); err != nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// foldGrownLog has a replica that is the only one decide proposals until Fold gives a record.
-func foldGrownLog(t *testing.T) (*Replica, consensus.Record) {
+// compactGrownLog has a replica that is the only one decide proposals until Compact gives a record.
+func compactGrownLog(t *testing.T) (*Replica, consensus.Record) {
 	t.Helper()
 	replica, err := New(0, 1, nil, rand.New(rand.NewPCG(5, 6)))
 	if err != nil {
@@ -110,14 +110,14 @@
 		persistAll(t, replica)
 	}
 	for i := range 2000 {
-		if record, ok := replica.Fold(); ok {
+		if record, ok := replica.Compact(); ok {
 			return replica, record
 		}
 		kind := consensus.Kind(1 + i%2)
 		proposal := consensus.Proposal{
 			ID:       fmt.Sprint("id-", i),
 			Kind:     kind,
-			Replaces: replica.State().Newest[kind].Number,
+			Replaces: replica.State().Newest[kind].Index,
 			Data:     []byte{byte(i), 1},
 		}
 		if err := replica.Propose(proposal); err != nil {
@@ -136,7 +136,7 @@
 		if _, _, ok := replica.Ready(); !ok {
 			return
 		}
-		replica.Kept()
+		replica.Persisted()
 	}
 	t.Fatal("the replica always has something more to persist")
 }
--- a/internal/consensus/replica/ready.go
+++ b/internal/consensus/replica/ready.go
@@ -10,8 +10,10 @@
 	"spurwinch/internal/consensus"
 )
 
-// Ready gives the record that has to be persisted next. After ok, Kept has to be called once it is; an empty record
-// needs no disk. whole would say that the record replaces all others, and is always false.
+// Ready gives the record that has to be persisted next, or ok false where there is nothing to do yet. After ok the
+// caller persists the record, calls Persisted, and may call Ready again; until Persisted is called, Ready gives
+// nothing. An empty record needs no disk. whole would say that the record replaces all others, and is always false:
+// that is what Compact gives.
 func (r *Replica) Ready() (record consensus.Record, whole, ok bool) {
 	if r.persisting != persistingNothing || r.err != nil {
 		return record, false, false
@@ -35,7 +37,7 @@
 
 // beginningRecord is the first record of a disk or of a log.
 func (r *Replica) beginningRecord() consensus.Record {
-	record := consensus.Record{Incarnation: r.incarnation, Log: r.logID}
+	record := consensus.Record{Incarnation: r.incarnation, LogID: r.logID}
 	if snapshot, err := r.storage.Snapshot(); err == nil && r.raft != nil && !raft.IsEmptySnap(snapshot) {
 		record.Snapshot = mustMarshal(snapshot)
 	}
@@ -59,8 +61,8 @@
 	return ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState)
 }
 
-// Kept tells that the record of the last Ready is persisted, and gives what follows from it.
-func (r *Replica) Kept() (messages []consensus.Message, results []consensus.ProposalResult) {
+// Persisted tells that the record of the last Ready is persisted, and gives what follows from it.
+func (r *Replica) Persisted() (messages []consensus.Message, results []consensus.ProposalResult) {
 	if r.persisting == persistingNothing || r.err != nil {
 		return nil, nil
 	}
@@ -135,7 +137,8 @@
 	r.applied = entry.GetIndex()
 }
 
-// answerReads confirms the calls of Confirm before which all that was decided is applied: the caller goes by the state.
+// answerReads confirms the calls of ConfirmLeadership before which all that was decided is applied: the caller goes by
+// the state.
 func (r *Replica) answerReads() {
 	for len(r.reads.waiting) > 0 && r.reads.waiting[0].Index <= r.applied {
 		if call := r.reads.waiting[0].RequestCtx; len(call) == 8 {
--- a/internal/consensus/replica/replica.go
+++ b/internal/consensus/replica/replica.go
@@ -11,7 +11,7 @@
 	"spurwinch/internal/consensus"
 )
 
-// Times are in ticks of consensus.Tick.
+// Times are in ticks of consensus.TickInterval.
 const (
 	electionTicks  = 12 // without a message of a leader, and up to as many more by chance, until an election
 	heartbeatTicks = 3
@@ -35,7 +35,7 @@
 	confState   *raftpb.ConfState   // the members at applied
 	peers       []peer              // by number
 	ticks       int
-	messages    []consensus.Message // to be sent with the next call of Kept
+	messages    []consensus.Message // to be sent with the next call of Persisted
 	results     []consensus.ProposalResult
 	persisting  persisting
 	unstored    bool        // the incarnation, or the log's beginning, is not persisted yet
@@ -60,7 +60,7 @@
 	persistingReady                       // what Raft has ready
 )
 
-// reads is how far the calls of Confirm have come.
+// reads is how far the calls of ConfirmLeadership have come.
 type reads struct {
 	calls     uint64
 	confirmed uint64           // the newest call that was confirmed
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// Tick tells that consensus.Tick has passed.
+// Tick tells that consensus.TickInterval has passed.
 func (r *Replica) Tick() {
 	if r.err != nil {
 		return
@@ -145,14 +145,14 @@
 	}
 }
 
-// Propose asks for an entry to be decided. How the proposal ended is in the results of Kept, or later in Ended; it
-// may never be told, and then the same proposal can be made again. The error is an consensus.ErrInvalidProposal,
+// Propose asks for an entry to be decided. How the proposal ended is in the results of Persisted, or later in Result;
+// it may never be told, and then the same proposal can be made again. The error is an consensus.ErrInvalidProposal,
 // consensus.ErrNotLeader or raft.ErrProposalDropped.
 func (r *Replica) Propose(proposal consensus.Proposal) (err error) {
 	if err := proposal.Check(); err != nil {
 		return err
 	}
-	if r.err != nil || !r.Leads() {
+	if r.err != nil || !r.IsLeader() {
 		return consensus.ErrNotLeader
 	}
 	defer r.stopOnPanic()
@@ -162,10 +162,10 @@
 	return nil
 }
 
-// Confirm asks the other replicas whether this one still leads, and gives the number of the call. Confirmed tells,
-// later, up to which call they have said yes: the replica led when that call was made.
-func (r *Replica) Confirm() (call uint64) {
-	if !r.Leads() {
+// ConfirmLeadership asks the other replicas whether this one still leads, and gives the number of the call.
+// ConfirmedCall tells, later, up to which call they have said yes: the replica led when that call was made.
+func (r *Replica) ConfirmLeadership() (call uint64) {
+	if !r.IsLeader() {
 		return r.reads.calls
 	}
 	defer r.stopOnPanic()
@@ -174,12 +174,12 @@
 	return r.reads.calls
 }
 
-// Confirmed is the newest call of Confirm that was answered with yes.
-func (r *Replica) Confirmed() uint64 { return r.reads.confirmed }
+// ConfirmedCall is the newest call of ConfirmLeadership that was answered with yes.
+func (r *Replica) ConfirmedCall() uint64 { return r.reads.confirmed }
 
-// Leads says whether this replica leads, as far as it knows: one that was stopped learns of another leader only
+// IsLeader says whether this replica leads, as far as it knows: one that was stopped learns of another leader only
 // afterwards. What it proposes until then is not decided.
-func (r *Replica) Leads() bool {
+func (r *Replica) IsLeader() bool {
 	return r.err == nil && r.raft != nil && !r.unstored && r.raft.BasicStatus().RaftState == raft.StateLeader
 }
 
@@ -202,9 +202,9 @@
 // State is what this replica knows to be decided. The caller must not change it.
 func (r *Replica) State() consensus.State { return r.state }
 
-// Ended tells how a proposal ended, while that is remembered.
-func (r *Replica) Ended(id string) (consensus.ProposalResult, bool) { return r.state.Result(id) }
+// Result tells how a proposal ended, while that is remembered.
+func (r *Replica) Result(id string) (consensus.ProposalResult, bool) { return r.state.Result(id) }
 
-// Broken is why this replica has stopped for good; nil: it runs. It neither votes nor leads until the process starts
+// Err is why this replica has stopped for good; nil: it runs. It neither votes nor leads until the process starts
 // it anew.
-func (r *Replica) Broken() error { return r.err }
+func (r *Replica) Err() error { return r.err }
--- a/internal/consensus/replica/replica_test.go
+++ b/internal/consensus/replica/replica_test.go
@@ -81,7 +81,7 @@
 			_ = leader.Propose(consensus.Proposal{
 				ID:       fmt.Sprint(s.proposed),
 				Kind:     1,
-				Replaces: leader.State().Newest[1].Number,
+				Replaces: leader.State().Newest[1].Index,
 				Data:     []byte{byte(s.proposed)},
 			})
 		}
@@ -95,11 +95,11 @@
 		t.Fatalf("nobody leads after the faults")
 	}
 	for id, before := range simulation.results {
-		if result, ok := leader.Ended(id); !ok || result != before {
+		if result, ok := leader.Result(id); !ok || result != before {
 			t.Fatalf("proposal %s ended as %+v, %v, wanted %+v as was told", id, result, ok, before)
 		}
 	}
-	last := consensus.Proposal{ID: "last", Kind: 1, Replaces: leader.State().Newest[1].Number, Data: []byte("last")}
+	last := consensus.Proposal{ID: "last", Kind: 1, Replaces: leader.State().Newest[1].Index, Data: []byte("last")}
 	if err := leader.Propose(last); err != nil {
 		t.Fatalf("Propose after the faults: %v", err)
 	}
@@ -107,7 +107,7 @@
 	for i, node := range simulation.replicas {
 		if newest := node.replica.State().Newest[1]; string(newest.Data) != "last" {
 			simulation.describe()
-			t.Fatalf("replica %d has %q at index %d, wanted \"last\"", i, newest.Data, newest.Number)
+			t.Fatalf("replica %d has %q at index %d, wanted \"last\"", i, newest.Data, newest.Index)
 		}
 	}
 }
@@ -125,9 +125,13 @@
 		{"no replicas", 0, 0, nil, ErrInvalidReplica},
 		{"too many replicas", 0, consensus.MaxReplicas + 1, nil, ErrInvalidReplica},
 		{"not one of them", 3, 3, nil, ErrInvalidReplica},
-		{"unreadable snapshot", 0, 1, []consensus.Record{{Log: 1, Snapshot: unreadable}}, ErrInconsistentRecords},
-		{"unreadable hard state", 0, 1, []consensus.Record{{Log: 1, HardState: unreadable}}, ErrInconsistentRecords},
-		{"unreadable entry", 0, 1, []consensus.Record{{Log: 1, Entries: [][]byte{unreadable}}}, ErrInconsistentRecords},
+		{"unreadable snapshot", 0, 1, []consensus.Record{{LogID: 1, Snapshot: unreadable}}, ErrInconsistentRecords},
+		{"unreadable hard state", 0, 1, []consensus.Record{{LogID: 1, HardState: unreadable}}, ErrInconsistentRecords},
+		{
+			"unreadable entry", 0, 1,
+			[]consensus.Record{{LogID: 1, Entries: [][]byte{unreadable}}},
+			ErrInconsistentRecords,
+		},
 	} {
 		if _, err := New(test.self, test.replicas, test.records, rng); !errors.Is(err, test.want) {
 			t.Errorf("%s: New gives %v, wanted %v", test.name, err, test.want)
@@ -138,7 +142,8 @@
 // TestNewPanic has Raft panic on a commit index that its log does not have.
 func TestNewPanic(t *testing.T) {
 	hardState := []byte{0x08, 1, 0x18, 9} // term 1, commit 9
-	_, err := New(0, 1, []consensus.Record{{Incarnation: 1, Log: 1, HardState: hardState}}, rand.New(rand.NewPCG(1, 1)))
+	records := []consensus.Record{{Incarnation: 1, LogID: 1, HardState: hardState}}
+	_, err := New(0, 1, records, rand.New(rand.NewPCG(1, 1)))
 	var cause *PanicError
 	if !errors.Is(err, ErrInconsistentRecords) || !errors.As(err, &cause) {
 		t.Errorf("New gives %v, wanted %v with a PanicError", err, ErrInconsistentRecords)
@@ -160,8 +165,8 @@
 	if err := replica.Receive(1, []byte{0xff}); !errors.Is(err, ErrInvalidMessage) {
 		t.Errorf("Receive of what is no message gives %v, wanted %v", err, ErrInvalidMessage)
 	}
-	if leader := replica.Leader(); leader != -1 || replica.Leads() || replica.Term() != 0 {
-		t.Errorf("leader %d, leads %v, term %d, wanted -1, false and 0", leader, replica.Leads(), replica.Term())
+	if leader := replica.Leader(); leader != -1 || replica.IsLeader() || replica.Term() != 0 {
+		t.Errorf("leader %d, leads %v, term %d, wanted -1, false and 0", leader, replica.IsLeader(), replica.Term())
 	}
 }
 
@@ -218,7 +223,7 @@
 		if _, _, ok := replica.Ready(); !ok {
 			continue
 		}
-		messages, _ := replica.Kept()
+		messages, _ := replica.Persisted()
 		for _, outgoing := range messages {
 			sent = append(sent, message{from: i, to: outgoing.To, data: outgoing.Data})
 		}
--- a/internal/consensus/replica/simulation_test.go
+++ b/internal/consensus/replica/simulation_test.go
@@ -112,7 +112,7 @@
 		}
 		node.replica.Tick()
 		s.work(i)
-		if err := node.replica.Broken(); err != nil {
+		if err := node.replica.Err(); err != nil {
 			s.t.Fatalf("replica %d has stopped: %v", i, err)
 		}
 	}
@@ -147,7 +147,7 @@
 			s.persist(node)
 			s.publish(i)
 		}
-		if record, ok := node.replica.Fold(); ok {
+		if record, ok := node.replica.Compact(); ok {
 			node.disk = []consensus.Record{record}
 		}
 		record, _, ok := node.replica.Ready()
@@ -169,7 +169,7 @@
 // publish does what follows from a record that is persisted.
 func (s *simulation) publish(i int) {
 	node := s.replicas[i]
-	messages, results := node.replica.Kept()
+	messages, results := node.replica.Persisted()
 	for _, m := range messages {
 		s.send(i, m)
 	}
@@ -200,21 +200,21 @@
 // check holds what a replica knows against all that any replica ever knew.
 func (s *simulation) check(node *node) {
 	for _, entry := range node.replica.State().Newest {
-		if before, ok := s.digests[entry.Number]; ok && before != entry.Digest() {
-			s.t.Fatalf("index %d has two contents, of digests %x and %x", entry.Number, before, entry.Digest())
+		if before, ok := s.digests[entry.Index]; ok && before != entry.Digest() {
+			s.t.Fatalf("index %d has two contents, of digests %x and %x", entry.Index, before, entry.Digest())
 		}
-		s.digests[entry.Number] = entry.Digest()
-		if entry.Number < node.highest {
-			s.t.Fatalf("the newest index went back from %d to %d", node.highest, entry.Number)
+		s.digests[entry.Index] = entry.Digest()
+		if entry.Index < node.highest {
+			s.t.Fatalf("the newest index went back from %d to %d", node.highest, entry.Index)
 		}
-		node.highest = entry.Number
+		node.highest = entry.Index
 	}
 }
 
 // leader is the replica that leads by the newest term; nil: none.
 func (s *simulation) leader() (leader *Replica) {
 	for _, node := range s.replicas {
-		if node.down <= s.now && node.stalled <= s.now && node.replica.Leads() &&
+		if node.down <= s.now && node.stalled <= s.now && node.replica.IsLeader() &&
 			(leader == nil || node.replica.Term() > leader.Term()) {
 			leader = node.replica
 		}
--- a/internal/consensus/replica/storage.go
+++ b/internal/consensus/replica/storage.go
@@ -21,8 +21,8 @@
 		if record.Incarnation != 0 {
 			r.incarnation = record.Incarnation
 		}
-		if record.Log != 0 {
-			r.logID = record.Log
+		if record.LogID != 0 {
+			r.logID = record.LogID
 		}
 		if err := r.loadRecord(record); err != nil {
 			return fmt.Errorf("%w: %w", ErrInconsistentRecords, err)
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// Fold compacts the log once it has grown: it gives one record, with a snapshot, that has to replace all others. It
+// Compact compacts the log once it has grown: it gives one record, with a snapshot, that has to replace all others. It
 // does nothing while another record is being persisted.
-func (r *Replica) Fold() (record consensus.Record, ok bool) {
+func (r *Replica) Compact() (record consensus.Record, ok bool) {
 	if r.raft == nil || r.persisting != persistingNothing || r.unstored || r.err != nil {
 		return record, false
 	}
@@ -113,7 +113,7 @@
 	}
 	record = consensus.Record{
 		Incarnation: r.incarnation,
-		Log:         r.logID,
+		LogID:       r.logID,
 		Snapshot:    mustMarshal(snapshot),
 		HardState:   mustMarshal(hardState),
 	}
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -11,7 +11,7 @@
 // state, since Apply depends on nothing else. The replica that applies the log owns it.
 type State struct {
 	_       struct{} `cbor:",toarray"`
-	Log     uint64   // identity of the log; 0: there is none yet
+	LogID   uint64   // identity of the log; 0: there is none yet
 	Newest  map[Kind]Entry
 	Results []ProposalResult // of the newest proposals, oldest first
 	Retired []uint64         // Raft's ids of replicas whose disks were lost, oldest first
@@ -37,11 +37,11 @@
 		return result, false
 	}
 	newest, known := s.Newest[proposal.Kind]
-	accepted := newest.Number == proposal.Replaces && (known || len(s.Newest) < MostKinds)
+	accepted := newest.Index == proposal.Replaces && (known || len(s.Newest) < MaxKinds)
 	if accepted {
-		s.Newest[proposal.Kind] = Entry{Number: index, Kind: proposal.Kind, ID: proposal.ID, Data: proposal.Data}
+		s.Newest[proposal.Kind] = Entry{Index: index, Kind: proposal.Kind, ID: proposal.ID, Data: proposal.Data}
 	}
-	result = ProposalResult{ID: proposal.ID, Kind: proposal.Kind, Number: index, Accepted: accepted}
+	result = ProposalResult{ID: proposal.ID, Kind: proposal.Kind, Index: index, Accepted: accepted}
 	s.Results = appendBounded(s.Results, result, maxResults)
 	return result, true
 }
--- a/internal/consensus/state_test.go
+++ b/internal/consensus/state_test.go
@@ -9,7 +9,7 @@
 
 // TestStateApply holds which proposals become the newest entry, and which results are given and remembered.
 func TestStateApply(t *testing.T) {
-	state := State{Log: 1, Newest: map[Kind]Entry{}}
+	state := State{LogID: 1, Newest: map[Kind]Entry{}}
 	for _, step := range []struct {
 		index    uint64
 		proposal Proposal
@@ -29,7 +29,7 @@
 				step.index, step.proposal, result, ok, step.accepted, step.ok)
 		}
 	}
-	if newest := state.Newest[1]; newest.Number != 6 || string(newest.Data) != "two" {
+	if newest := state.Newest[1]; newest.Index != 6 || string(newest.Data) != "two" {
 		t.Errorf("the newest entry of kind 1 is %+v, wanted index 6 with data \"two\"", newest)
 	}
 }
@@ -55,14 +55,14 @@
 
 // TestStateBounds holds that a state does not grow with its log.
 func TestStateBounds(t *testing.T) {
-	state := State{Log: 1, Newest: map[Kind]Entry{}}
+	state := State{LogID: 1, Newest: map[Kind]Entry{}}
 	for i := range uint64(2 * maxResults) {
 		state.Apply(i+2, Encode(Proposal{ID: strconv.FormatUint(i, 10), Kind: Kind(i%100 + 1)}))
 		state.Retire(i)
 	}
-	if len(state.Results) != maxResults || len(state.Retired) != maxRetired || len(state.Newest) != MostKinds {
+	if len(state.Results) != maxResults || len(state.Retired) != maxRetired || len(state.Newest) != MaxKinds {
 		t.Errorf("%d results, %d retired, %d kinds; wanted %d, %d and %d",
-			len(state.Results), len(state.Retired), len(state.Newest), maxResults, maxRetired, MostKinds)
+			len(state.Results), len(state.Retired), len(state.Newest), maxResults, maxRetired, MaxKinds)
 	}
 	if last := state.Retired[maxRetired-1]; last != 2*maxResults-1 {
 		t.Errorf("the last retired replica is %d, wanted the newest, %d", last, 2*maxResults-1)
--- a/internal/consensus/store_test.go
+++ b/internal/consensus/store_test.go
@@ -92,7 +92,7 @@
 	}
 	for i, record := range []Record{
 		{Incarnation: 5},
-		{Log: 9, HardState: bytes.Repeat([]byte{7}, 700<<10)},
+		{LogID: 9, HardState: bytes.Repeat([]byte{7}, 700<<10)},
 		{Entries: [][]byte{[]byte("an entry of some length")}},
 	} {
 		if err := store.Save(record); err != nil {
@@ -179,7 +179,7 @@
 				t.Fatalf("%d bytes written, %d starts: %d records, %v, wanted %d",
 					written, starts, len(records), err, 1+starts)
 			}
-			if err := store.Save(Record{Log: uint64(starts + 1)}); err != nil {
+			if err := store.Save(Record{LogID: uint64(starts + 1)}); err != nil {
 				t.Fatal(err)
 			}
 			closeStore(t, store)
@@ -218,11 +218,11 @@
 			name    string
 			persist func(*Store) error
 		}{
-			{"save", func(store *Store) error { return store.Save(Record{Log: 2}) }},
+			{"save", func(store *Store) error { return store.Save(Record{LogID: 2}) }},
 			{"grow", func(store *Store) error {
-				return store.Save(Record{Log: 2, HardState: bytes.Repeat([]byte{1}, 2*sizeStep)})
+				return store.Save(Record{LogID: 2, HardState: bytes.Repeat([]byte{1}, 2*sizeStep)})
 			}},
-			{"replace", func(store *Store) error { return store.Replace(Record{Incarnation: 1, Log: 2}) }},
+			{"replace", func(store *Store) error { return store.Replace(Record{Incarnation: 1, LogID: 2}) }},
 		} {
 			t.Run(string(call)+" at "+step.name, func(t *testing.T) { failOnce(t, call, step.persist) })
 		}
@@ -257,9 +257,9 @@
 	store, records := openStore(t, dir)
 	defer closeStore(t, store)
 	last := records[len(records)-1]
-	if last.Log != 2 || records[0].Incarnation != 1 {
+	if last.LogID != 2 || records[0].Incarnation != 1 {
 		t.Errorf("read again: %d records, the first of incarnation %d, the last of log %d, wanted 1 and 2",
-			len(records), records[0].Incarnation, last.Log)
+			len(records), records[0].Incarnation, last.LogID)
 	}
 }
 
--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -53,7 +53,7 @@
 
 	lastTick time.Duration
 	schedule schedule
-	detector *membership.Watch
+	detector *membership.FailureDetector
 
 	follower      *consensus.Follower
 	unsaved       bool           // the follower has entries that the disk doesn't have yet
@@ -113,7 +113,7 @@
 		incarnation:     rng.Uint32() | 1,
 		peers:           map[int]*peer{},
 		lastTick:        now,
-		detector:        membership.NewWatch(options.List, options.Self, now),
+		detector:        membership.NewFailureDetector(options.List, options.Self, now),
 		follower:        restoreFollower(options.Records),
 		evidence:        map[int]*nodeEvidence{},
 		leaseOwner:      failover.NewLeaseOwner(now),
@@ -149,7 +149,7 @@
 	a.zonePlanChanged = true
 }
 
-// Tick does what is due at a time. It is to be called about every consensus.Tick.
+// Tick does what is due at a time. It is to be called about every consensus.TickInterval.
 func (a *Agent) Tick(now time.Duration) {
 	if now-a.lastTick > suspendThreshold { // what this process knew before it was suspended may not be so any more
 		a.options.Log("fleet_process_suspended", "for", (now - a.lastTick).Round(time.Millisecond).String())
@@ -159,7 +159,7 @@
 	a.lastTick = now
 	a.detector.Tick(now)
 	a.tickVoter(now)
-	if isDue(&a.schedule.heartbeat, membership.BeatEvery, now) {
+	if isDue(&a.schedule.heartbeat, membership.HeartbeatInterval, now) {
 		for _, watcher := range a.options.List.Watchers(a.options.Self) {
 			a.send(watcher, kindHeartbeat, nil, now)
 		}
--- a/internal/failover/agent/calls.go
+++ b/internal/failover/agent/calls.go
@@ -153,7 +153,7 @@
 	if err := a.checkZone(call.Arg); err != nil {
 		return err
 	}
-	if !a.Leads() {
+	if !a.IsLeader() {
 		return errNotLeader
 	}
 	newest := a.follower.Newest(failover.OperatorOrdersKind)
@@ -164,7 +164,7 @@
 		slices.SortFunc(orders.Drained, cmp.Compare[string])
 	}
 	return a.propose(consensus.Proposal{
-		ID: call.ID, Kind: failover.OperatorOrdersKind, Replaces: newest.Number, Data: orders.Encode(),
+		ID: call.ID, Kind: failover.OperatorOrdersKind, Replaces: newest.Index, Data: orders.Encode(),
 	})
 }
 
@@ -181,8 +181,8 @@
 	if a.voter == nil {
 		return errNotVoter
 	}
-	if result, ok := a.voter.Ended(id); ok {
-		reply.Ended = &ProposalOutcome{ID: result.ID, Number: result.Number, Taken: result.Accepted}
+	if result, ok := a.voter.Result(id); ok {
+		reply.Ended = &ProposalOutcome{ID: result.ID, Number: result.Index, Taken: result.Accepted}
 	}
 	return nil
 }
--- a/internal/failover/agent/dispatch.go
+++ b/internal/failover/agent/dispatch.go
@@ -80,7 +80,7 @@
 func (a *Agent) dispatch(head header, body []byte, stale bool, now time.Duration) {
 	switch head.kind {
 	case kindHeartbeat:
-		a.detector.Heard(head.from, now)
+		a.detector.RecordHeartbeat(head.from, now)
 	case kindEvidence:
 		a.handleEvidence(head, body, stale, now)
 	case kindEvidenceAck:
--- a/internal/failover/agent/entries.go
+++ b/internal/failover/agent/entries.go
@@ -13,7 +13,7 @@
 
 // fetchMissing asks another node for the entries that it has and this one doesn't.
 func (a *Agent) fetchMissing(from int, digest consensus.Digest, now time.Duration) {
-	kinds, err := a.follower.Lacks(digest)
+	kinds, err := a.follower.MissingKinds(digest)
 	if err != nil {
 		a.options.Log("fleet_log_conflict", "from", a.options.List.Node(from).Name, "error", err.Error())
 		return
@@ -25,10 +25,10 @@
 
 // handleFetchEntries sends the entries that another node asks for.
 func (a *Agent) handleFetchEntries(head header, kinds []consensus.Kind, now time.Duration) {
-	for _, kind := range kinds[:min(len(kinds), consensus.MostKinds)] {
+	for _, kind := range kinds[:min(len(kinds), consensus.MaxKinds)] {
 		entry := a.follower.Newest(kind)
-		if entry.Number > 0 {
-			a.send(head.from, kindEntry, encode(logEntry{Log: a.follower.Log(), Entry: entry}), now)
+		if entry.Index > 0 {
+			a.send(head.from, kindEntry, encode(logEntry{Log: a.follower.LogID(), Entry: entry}), now)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	if err == nil && a.planner != nil {
 		a.planner.ApplyOrders(orders)
 	}
-	a.options.Log("fleet_orders_accepted", "number", entry.Number)
+	a.options.Log("fleet_orders_accepted", "number", entry.Index)
 }
 
 // adoptEntries puts entries into effect that are on disk. Not earlier: after a crash the node would be back at older
--- a/internal/failover/agent/golden_test.go
+++ b/internal/failover/agent/golden_test.go
@@ -106,7 +106,7 @@
 		{"ack", kindSummaryAck, body(summaryAck{SummaryClock: 44, Log: goldenDigest(), Notice: goldenNotice()})},
 		{"fetch", kindFetchEntries, body([]consensus.Kind{1, 3})},
 		{"give", kindEntry, body(logEntry{
-			Log: 45, Entry: consensus.Entry{Number: 46, Kind: 2, ID: "drain-46", Data: []byte("data")},
+			Log: 45, Entry: consensus.Entry{Index: 46, Kind: 2, ID: "drain-46", Data: []byte("data")},
 		})},
 		{"news", kindLogDigest, body(goldenDigest())},
 		{"raft", kindConsensus, raw([]byte("of the voters"))},
@@ -222,9 +222,9 @@
 func goldenEntries() []consensus.Entry {
 	orders := failover.OperatorOrders{Drained: []string{"z2"}}
 	return []consensus.Entry{
-		{Number: 61, Kind: failover.PlanKind, ID: "plan-1", Data: goldenPlan().Encode()},
-		{Number: 62, Kind: failover.OperatorOrdersKind, ID: "drain-2", Data: orders.Encode()},
-		{Number: 63, Kind: policy.Kind, ID: "policy-3", Data: goldenPolicyState().Encode()},
+		{Index: 61, Kind: failover.PlanKind, ID: "plan-1", Data: goldenPlan().Encode()},
+		{Index: 62, Kind: failover.OperatorOrdersKind, ID: "drain-2", Data: orders.Encode()},
+		{Index: 63, Kind: policy.Kind, ID: "policy-3", Data: goldenPolicyState().Encode()},
 	}
 }
 
@@ -271,7 +271,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if log := reader.follower.Log(); log != 64 {
+	if log := reader.follower.LogID(); log != 64 {
 		t.Errorf("log %d, wanted 64", log)
 	}
 	if got := reader.follower.Entries(); !reflect.DeepEqual(got, goldenEntries()) {
--- a/internal/failover/agent/golden_values_test.go
+++ b/internal/failover/agent/golden_values_test.go
@@ -82,8 +82,8 @@
 }
 
 func goldenDigest() consensus.Digest {
-	kinds := []consensus.KindDigest{{Kind: 1, Number: 32, Sum: 33}, {Kind: 3, Number: 34, Sum: 35}}
-	return consensus.Digest{Log: 31, Kinds: kinds}
+	kinds := []consensus.KindDigest{{Kind: 1, Index: 32, Sum: 33}, {Kind: 3, Index: 34, Sum: 35}}
+	return consensus.Digest{LogID: 31, Kinds: kinds}
 }
 
 func goldenNotice() policy.LeaderNotice {
--- a/internal/failover/agent/leader.go
+++ b/internal/failover/agent/leader.go
@@ -23,7 +23,7 @@
 	if a.voter == nil {
 		return
 	}
-	if !a.voter.Leads() {
+	if !a.voter.IsLeader() {
 		a.stepDown()
 		return
 	}
@@ -43,7 +43,7 @@
 func (a *Agent) becomeLeader(now time.Duration) {
 	a.startPlanner(now)
 	a.startRollouts()
-	a.options.Log("fleet_leads", "term", a.voter.Term(), "plan", a.follower.Newest(failover.PlanKind).Number)
+	a.options.Log("fleet_leads", "term", a.voter.Term(), "plan", a.follower.Newest(failover.PlanKind).Index)
 }
 
 // startPlanner starts a planner with the rules of the policy in force and the operators' orders.
@@ -73,7 +73,7 @@
 	err := a.voter.Propose(consensus.Proposal{
 		ID:       fmt.Sprintf("plan-%08x-%d", a.incarnation, microseconds(now)),
 		Kind:     failover.PlanKind,
-		Replaces: a.follower.Newest(failover.PlanKind).Number,
+		Replaces: a.follower.Newest(failover.PlanKind).Index,
 		Data:     plan.Encode(),
 	})
 	if err != nil {
@@ -83,7 +83,7 @@
 
 // handleSummary processes an aggregator's summary of its zone, as the leader.
 func (a *Agent) handleSummary(head header, body []byte, stale bool, now time.Duration) {
-	if a.voter == nil || !a.voter.Leads() || len(body) < 1 {
+	if a.voter == nil || !a.voter.IsLeader() || len(body) < 1 {
 		return
 	}
 	summary, err := failover.DecodeEvidenceSummary(body[1:])
@@ -116,7 +116,7 @@
 
 // confirmLeadership asks a majority to confirm that this node leads, for all summaries received before.
 func (a *Agent) confirmLeadership() {
-	confirmation := a.voter.Confirm()
+	confirmation := a.voter.ConfirmLeadership()
 	for i := range a.pendingAcks {
 		if a.pendingAcks[i].confirmation == 0 {
 			a.pendingAcks[i].confirmation = confirmation
@@ -128,13 +128,13 @@
 func (a *Agent) acknowledgeSummaries(now time.Duration) {
 	answered := 0
 	for _, pending := range a.pendingAcks {
-		if pending.confirmation == 0 || pending.confirmation > a.voter.Confirmed() {
+		if pending.confirmation == 0 || pending.confirmation > a.voter.ConfirmedCall() {
 			break
 		}
 		answered++
 		if pending.to == a.options.Self {
 			confirmedAt := time.Duration(pending.summaryClock) * time.Microsecond
-			a.confirmLeader(confirmedAt, a.follower.Newest(failover.PlanKind).Number, a.leaderNotice())
+			a.confirmLeader(confirmedAt, a.follower.Newest(failover.PlanKind).Index, a.leaderNotice())
 			continue
 		}
 		ack := summaryAck{SummaryClock: pending.summaryClock, Log: a.follower.Digest(), Notice: a.leaderNotice()}
--- a/internal/failover/agent/leader_contact.go
+++ b/internal/failover/agent/leader_contact.go
@@ -32,7 +32,7 @@
 func planNumberIn(digest consensus.Digest) (number uint64) {
 	for _, kind := range digest.Kinds {
 		if kind.Kind == failover.PlanKind {
-			number = kind.Number
+			number = kind.Index
 		}
 	}
 	return number
--- a/internal/failover/agent/leader_contact_test.go
+++ b/internal/failover/agent/leader_contact_test.go
@@ -34,7 +34,7 @@
 		Before:         [][]float32{{0}},
 		GrantLifetime:  10,
 	}
-	agent.acceptEntry(7, consensus.Entry{Number: 3, Kind: failover.PlanKind, Data: plan.Encode()}, 1, time.Second)
+	agent.acceptEntry(7, consensus.Entry{Index: 3, Kind: failover.PlanKind, Data: plan.Encode()}, 1, time.Second)
 	if _, number := agent.Mode(); number != 0 {
 		t.Errorf("goes by plan %d before its disk has it, wanted none", number)
 	}
--- a/internal/failover/agent/leader_test.go
+++ b/internal/failover/agent/leader_test.go
@@ -17,17 +17,17 @@
 	plans []*failover.Plan
 }
 
-func (v *leadingVoter) Tick()           {}
-func (v *leadingVoter) Leads() bool     { return true }
-func (v *leadingVoter) Term() uint64    { return 1 }
-func (v *leadingVoter) Confirm() uint64 { return 1 }
+func (v *leadingVoter) Tick()                     {}
+func (v *leadingVoter) IsLeader() bool            { return true }
+func (v *leadingVoter) Term() uint64              { return 1 }
+func (v *leadingVoter) ConfirmLeadership() uint64 { return 1 }
 func (v *leadingVoter) Ready() (record consensus.Record, whole, ok bool) {
 	return consensus.Record{}, false, false
 }
 
-func (v *leadingVoter) Fold() (record consensus.Record, ok bool) { return consensus.Record{}, false }
-func (v *leadingVoter) Broken() error                            { return nil }
-func (v *leadingVoter) Ended(string) (result consensus.ProposalResult, ok bool) {
+func (v *leadingVoter) Compact() (record consensus.Record, ok bool) { return consensus.Record{}, false }
+func (v *leadingVoter) Err() error                                  { return nil }
+func (v *leadingVoter) Result(string) (result consensus.ProposalResult, ok bool) {
 	return consensus.ProposalResult{}, false
 }
 
@@ -87,7 +87,7 @@
 // runUntil has the agent tick with evidence of all zones, and all that it saves reach the disk at once.
 func runUntil(agent *Agent, from, to time.Duration) {
 	list := agent.options.List
-	for now := from; now < to; now += consensus.Tick {
+	for now := from; now < to; now += consensus.TickInterval {
 		for node := range list.Len() {
 			agent.observeSummary(node, healthySummary(node, list.Node(node).Zone), false, now)
 		}
@@ -107,14 +107,14 @@
 func TestDrainOutlastsPolicyChange(t *testing.T) {
 	agent, voter := newLeader(t)
 	orders := failover.OperatorOrders{Drained: []string{"y"}}
-	ordersEntry := consensus.Entry{Number: 1, Kind: failover.OperatorOrdersKind, ID: "drain", Data: orders.Encode()}
+	ordersEntry := consensus.Entry{Index: 1, Kind: failover.OperatorOrdersKind, ID: "drain", Data: orders.Encode()}
 	agent.acceptEntry(1, ordersEntry, fromOwnVoter, 0)
 	const changed = 10 * time.Second
 	runUntil(agent, 0, changed)
 	wantDrained(t, "before the policy changed", voter.plans)
 
 	state := &policy.State{Number: 1, LastNumber: 1, Documents: []policy.VersionedDocument{{Number: 1}}}
-	entry := consensus.Entry{Number: 2, Kind: policy.Kind, ID: "policy", Data: state.Encode()}
+	entry := consensus.Entry{Index: 2, Kind: policy.Kind, ID: "policy", Data: state.Encode()}
 	agent.acceptEntry(1, entry, fromOwnVoter, changed)
 	voter.plans = nil
 	runUntil(agent, changed, 2*changed)
--- a/internal/failover/agent/plan.go
+++ b/internal/failover/agent/plan.go
@@ -43,7 +43,7 @@
 // restorePlan puts the newest plan on the disk into effect at the start.
 func (a *Agent) restorePlan(now time.Duration) {
 	entry := a.follower.Newest(failover.PlanKind)
-	if entry.Number == 0 {
+	if entry.Index == 0 {
 		return
 	}
 	plan, err := failover.DecodePlan(entry.Data)
@@ -51,8 +51,8 @@
 		return // logged when it was received
 	}
 	a.plan = plan
-	a.planNumber = entry.Number
-	a.planHistory.Add(entry.Number, plan, now)
+	a.planNumber = entry.Index
+	a.planHistory.Add(entry.Index, plan, now)
 }
 
 // acceptPlan adds a received plan to the history; it takes effect when it is on disk. It says whether the plan can be
@@ -60,19 +60,19 @@
 func (a *Agent) acceptPlan(entry consensus.Entry, now time.Duration) bool {
 	plan, err := failover.DecodePlan(entry.Data)
 	if err != nil {
-		a.options.Log("fleet_plan_unreadable", "number", entry.Number, "error", err.Error())
+		a.options.Log("fleet_plan_unreadable", "number", entry.Index, "error", err.Error())
 		return false
 	}
-	a.planHistory.Add(entry.Number, plan, now)
+	a.planHistory.Add(entry.Index, plan, now)
 	if a.planner != nil {
-		a.planner.ApplyPlan(entry.Number, plan, now)
+		a.planner.ApplyPlan(entry.Index, plan, now)
 	}
 	return true
 }
 
 // adoptPlan puts a plan that is on disk into effect, if it is newer.
 func (a *Agent) adoptPlan(entry consensus.Entry) {
-	if entry.Kind != failover.PlanKind || entry.Number <= a.planNumber {
+	if entry.Kind != failover.PlanKind || entry.Index <= a.planNumber {
 		return
 	}
 	plan, err := failover.DecodePlan(entry.Data)
@@ -80,8 +80,8 @@
 		return // logged when it was received
 	}
 	a.plan = plan
-	a.planNumber = entry.Number
+	a.planNumber = entry.Index
 	a.zonePlanChanged = true
-	a.options.Log("fleet_plan_taken", "number", entry.Number, "digest", fmt.Sprintf("%016x", entry.Digest()),
+	a.options.Log("fleet_plan_taken", "number", entry.Index, "digest", fmt.Sprintf("%016x", entry.Digest()),
 		"why", plan.Reason, "plan", entry.Data)
 }
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -32,23 +32,23 @@
 // adoptPolicy puts an entry of the policy that is on disk into effect, and checks its pending change.
 func (a *Agent) adoptPolicy(entry consensus.Entry) {
 	local := &a.localPolicy
-	if a.options.Policy == nil || entry.Kind != policy.Kind || entry.Number <= local.entry {
+	if a.options.Policy == nil || entry.Kind != policy.Kind || entry.Index <= local.entry {
 		return
 	}
 	state, err := policy.Decode(entry.Data)
 	if err != nil {
-		a.options.Log("fleet_policy_unreadable", "number", entry.Number, "error", err.Error())
+		a.options.Log("fleet_policy_unreadable", "number", entry.Index, "error", err.Error())
 		return
 	}
 	before := local.state
-	*local = localPolicy{state: state, entry: entry.Number, verdict: policy.VerdictPending, rejected: local.rejected}
+	*local = localPolicy{state: state, entry: entry.Index, verdict: policy.VerdictPending, rejected: local.rejected}
 	if change := state.Change; change != nil {
 		local.check(a.options.Policy, change)
 		a.options.Log("fleet_policy_change", "id", change.ID, "number", change.Number, "step", change.Stage.String(),
 			"digest", policy.Digest(change.Text), "verdict", verdictText(local.verdict, local.reason))
 	}
 	if state.Number != before.Number {
-		a.logPolicy("fleet_policy_decided", state, entry.Number)
+		a.logPolicy("fleet_policy_decided", state, entry.Index)
 	}
 }
 
--- a/internal/failover/agent/policy_calls.go
+++ b/internal/failover/agent/policy_calls.go
@@ -52,12 +52,12 @@
 	switch {
 	case a.options.Policy == nil:
 		return errNoPolicy
-	case !a.Leads():
+	case !a.IsLeader():
 		return errNotLeader
 	case Verb(call.Verb) != VerbPolicy:
 		return a.proposePolicy(call, reply)
 	case call.Arg == "":
-		token := readToken{term: a.voter.Term(), confirmation: a.voter.Confirm()}
+		token := readToken{term: a.voter.Term(), confirmation: a.voter.ConfirmLeadership()}
 		reply.Policy = &PolicyReply{Token: token.String()}
 		reply.Retry = true
 		return nil
@@ -93,7 +93,7 @@
 	switch {
 	case token.term != a.voter.Term():
 		return errLeaderMoved
-	case token.confirmation > a.voter.Confirmed():
+	case token.confirmation > a.voter.ConfirmedCall():
 		reply.Policy = &PolicyReply{Token: tokenText}
 		reply.Retry = true
 	default:
@@ -111,7 +111,7 @@
 		reply.Reason = outcome.Reason
 		return nil
 	}
-	if result, ok := a.voter.Ended(call.ID); ok && !result.Accepted {
+	if result, ok := a.voter.Result(call.ID); ok && !result.Accepted {
 		return errSuperseded
 	}
 	proposal := consensus.Proposal{Kind: policy.Kind, Replaces: entry}
--- a/internal/failover/agent/policy_leader.go
+++ b/internal/failover/agent/policy_leader.go
@@ -57,10 +57,10 @@
 func (a *Agent) newestPolicy() (state *policy.State, entry uint64) {
 	committed := &a.committedPolicy
 	newest := a.follower.Newest(policy.Kind)
-	if newest.Number != committed.entry {
+	if newest.Index != committed.entry {
 		state, err := policy.Decode(newest.Data)
 		if err == nil {
-			*committed = committedPolicy{state: state, entry: newest.Number}
+			*committed = committedPolicy{state: state, entry: newest.Index}
 		}
 	}
 	return committed.state, committed.entry
@@ -126,12 +126,12 @@
 
 // members are all nodes of the list, with what they reported to this leader.
 func (a *Agent) members() (members []policy.Member) {
-	view := a.planner.Cut()
+	view := a.planner.CutDetector()
 	for i := range a.options.List.Len() {
 		node := a.options.List.Node(i)
 		status, heard := a.rollout.statuses[i]
 		members = append(members, policy.Member{
-			Name: node.Name, Node: i, Zone: node.Zone, Live: view.Live(i), Heard: heard, Status: status,
+			Name: node.Name, Node: i, Zone: node.Zone, Live: view.IsLive(i), Heard: heard, Status: status,
 		})
 	}
 	return members
--- a/internal/failover/agent/schedule.go
+++ b/internal/failover/agent/schedule.go
@@ -26,7 +26,7 @@
 	spread := func(interval time.Duration) time.Duration { return now + time.Duration(rng.Int64N(int64(interval))) }
 	return schedule{ // the order of the draws is fixed: a seed gives the same run
 		voterTick: now,
-		heartbeat: spread(membership.BeatEvery),
+		heartbeat: spread(membership.HeartbeatInterval),
 		observe:   spread(observeInterval),
 		evidence:  spread(evidenceInterval),
 		summary:   spread(summaryInterval),
--- a/internal/failover/agent/storage.go
+++ b/internal/failover/agent/storage.go
@@ -24,8 +24,8 @@
 		if len(record.Newest) > 0 {
 			entries = record.Newest
 		}
-		if record.Log != 0 {
-			log = record.Log
+		if record.LogID != 0 {
+			log = record.LogID
 		}
 	}
 	return consensus.NewFollower(log, entries)
@@ -42,7 +42,7 @@
 		}
 		if a.unsaved {
 			a.unsaved = false
-			record := consensus.Record{Log: a.follower.Log(), Newest: a.follower.Entries()}
+			record := consensus.Record{LogID: a.follower.LogID(), Newest: a.follower.Entries()}
 			a.pendingRecord = &pendingRecord{record: record}
 		}
 		return
--- a/internal/failover/agent/voter.go
+++ b/internal/failover/agent/voter.go
@@ -14,17 +14,17 @@
 	Tick()
 	Receive(from int, data []byte) error
 	Ready() (rec consensus.Record, whole, ok bool)
-	Kept() (out []consensus.Message, results []consensus.ProposalResult)
-	Fold() (rec consensus.Record, ok bool)
+	Persisted() (out []consensus.Message, results []consensus.ProposalResult)
+	Compact() (rec consensus.Record, ok bool)
 	Propose(p consensus.Proposal) error
-	Confirm() (call uint64)
-	Confirmed() uint64
+	ConfirmLeadership() (call uint64)
+	ConfirmedCall() uint64
 	State() consensus.State
-	Ended(id string) (consensus.ProposalResult, bool)
-	Leads() bool
+	Result(id string) (consensus.ProposalResult, bool)
+	IsLeader() bool
 	Leader() int
 	Term() uint64
-	Broken() error
+	Err() error
 }
 
 // NewVoter makes voter number self of voters with what its disk has.
@@ -48,12 +48,12 @@
 	return nil
 }
 
-// Leads says whether this node makes the plans now, as far as it knows.
-func (a *Agent) Leads() bool { return a.planner != nil && a.voter != nil && a.voter.Leads() }
+// IsLeader says whether this node makes the plans now, as far as it knows.
+func (a *Agent) IsLeader() bool { return a.planner != nil && a.voter != nil && a.voter.IsLeader() }
 
 // tickVoter gives the voter its ticks; those that were missed while the process was suspended are not made up for.
 func (a *Agent) tickVoter(now time.Duration) {
-	for ; a.schedule.voterTick <= now; a.schedule.voterTick += consensus.Tick {
+	for ; a.schedule.voterTick <= now; a.schedule.voterTick += consensus.TickInterval {
 		if now-a.schedule.voterTick > suspendThreshold {
 			a.schedule.voterTick = now
 		}
@@ -79,7 +79,7 @@
 // advanceVoter takes the voter's next record to save, or continues if there is nothing to save. It says whether there
 // may be more to do.
 func (a *Agent) advanceVoter(now time.Duration) (more bool) {
-	if record, ok := a.voter.Fold(); ok {
+	if record, ok := a.voter.Compact(); ok {
 		record.Newest = a.follower.Entries()
 		a.pendingRecord = &pendingRecord{record: record, replacesAll: true}
 		return true
@@ -92,7 +92,7 @@
 		}
 		return true
 	}
-	if err := a.voter.Broken(); err != nil {
+	if err := a.voter.Err(); err != nil {
 		a.options.Log("fleet_voter_broken", "error", err.Error())
 		a.voter = nil
 	}
@@ -101,18 +101,18 @@
 
 // voterPersisted sends and applies what the voter may release now that its record is on disk.
 func (a *Agent) voterPersisted(now time.Duration) {
-	messages, results := a.voter.Kept()
+	messages, results := a.voter.Persisted()
 	voters := a.options.List.Voters()
 	for _, message := range messages {
 		if message.To >= 0 && message.To < len(voters) {
 			a.send(voters[message.To], kindConsensus, message.Data, now)
 		}
 	}
-	if state := a.voter.State(); state.Log != 0 {
+	if state := a.voter.State(); state.LogID != 0 {
 		for _, kind := range sortedKinds(state.Newest) {
 			entry := state.Newest[kind]
-			if entry.Number > a.follower.Newest(kind).Number {
-				a.acceptEntry(state.Log, entry, fromOwnVoter, now)
+			if entry.Index > a.follower.Newest(kind).Index {
+				a.acceptEntry(state.LogID, entry, fromOwnVoter, now)
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 		return
 	}
 	for _, result := range results {
-		a.options.Log("fleet_decided", "id", result.ID, "number", result.Number, "taken", result.Accepted)
+		a.options.Log("fleet_decided", "id", result.ID, "number", result.Index, "taken", result.Accepted)
 	}
 	a.acknowledgeSummaries(now)
 }
--- a/internal/failover/explain.go
+++ b/internal/failover/explain.go
@@ -14,8 +14,8 @@
 
 // NodeView tells what is known of a node.
 func (p *Planner) NodeView(node int, now time.Duration) NodeView {
-	view := NodeView{Live: p.cut.Live(node), Plan: p.adoptions.newestOf(node), HeardSecondsAgo: -1}
-	if at, heard := p.cut.Heard(node); heard {
+	view := NodeView{Live: p.cut.IsLive(node), Plan: p.adoptions.newestOf(node), HeardSecondsAgo: -1}
+	if at, heard := p.cut.LastReport(node); heard {
 		view.HeardSecondsAgo = (now - at).Seconds()
 	}
 	return view
--- a/internal/failover/grant_builder.go
+++ b/internal/failover/grant_builder.go
@@ -207,7 +207,7 @@
 func (b *grantBuilder) committed(from, to int, grant float64) (load float64) {
 	zone := &b.plan.Zones[from]
 	for _, node := range b.planner.list.InZone(zone.Name) {
-		part := zone.nodePart(grant, from == to, !b.planner.cut.Live(node))
+		part := zone.nodePart(grant, from == to, !b.planner.cut.IsLive(node))
 		load += max(part, b.inUse[node][to])
 	}
 	return load
@@ -248,7 +248,7 @@
 	zone := &b.plan.Zones[from]
 	least := math.Inf(1)
 	for _, node := range b.planner.list.InZone(zone.Name) {
-		if b.planner.cut.Live(node) {
+		if b.planner.cut.IsLive(node) {
 			least = min(least, b.inUse[node][to])
 		}
 	}
--- a/internal/failover/observe.go
+++ b/internal/failover/observe.go
@@ -32,7 +32,7 @@
 		if status.Node < 0 || status.Node >= p.list.Len() || p.list.Node(status.Node).Zone != summary.Zone {
 			continue
 		}
-		p.cut.Word(status.Node, status.Unreachable, now)
+		p.cut.Report(status.Node, status.Unreachable, now)
 		p.adoptions.record(status.Node, status.Plan, now)
 	}
 }
--- a/internal/failover/plan_builder.go
+++ b/internal/failover/plan_builder.go
@@ -61,7 +61,7 @@
 // liveNodes counts a zone's nodes that are in the common view.
 func (p *Planner) liveNodes(zone string) (live int) {
 	for _, node := range p.list.InZone(zone) {
-		if p.cut.Live(node) {
+		if p.cut.IsLive(node) {
 			live++
 		}
 	}
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -36,7 +36,7 @@
 	rules  Rules
 	orders OperatorOrders
 
-	cut        *membership.Cut // the common view of which nodes are live
+	cut        *membership.CutDetector // the common view of which nodes are live
 	zoneStates map[string]*zoneState
 	paths      map[path]*pathStats
 	adoptions  adoptions
@@ -72,12 +72,12 @@
 	if newest != nil {
 		lostNodes = newest.LostNodes
 	}
-	planner.cut = membership.NewCut(list, lostNodes, now)
+	planner.cut = membership.NewCutDetector(list, lostNodes, now)
 	return planner
 }
 
-// Cut is the common view of which nodes are live.
-func (p *Planner) Cut() *membership.Cut { return p.cut }
+// CutDetector is the common view of which nodes are live.
+func (p *Planner) CutDetector() *membership.CutDetector { return p.cut }
 
 // ApplyOrders takes in what operators have ordered.
 func (p *Planner) ApplyOrders(orders OperatorOrders) { p.orders = orders }
--- a/internal/failover/reserves.go
+++ b/internal/failover/reserves.go
@@ -11,7 +11,7 @@
 // node is.
 func (p *Planner) chooseLeaseOwner(zone string) int {
 	live := slices.Clone(p.list.InZone(zone))
-	live = slices.DeleteFunc(live, func(node int) bool { return !p.cut.Live(node) })
+	live = slices.DeleteFunc(live, func(node int) bool { return !p.cut.IsLive(node) })
 	if len(live) == 0 {
 		return noLeaseOwner
 	}
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -177,7 +177,7 @@
 
 // tick has the agent hear the time again and again.
 func (n *node) tick() {
-	n.on(n.w.now+consensus.Tick, func() {
+	n.on(n.w.now+consensus.TickInterval, func() {
 		n.agent.Tick(n.clock())
 		if n.agent.WantsObservations(n.clock()) {
 			n.agent.Observe(n.moduleNews(), n.clock())
--- a/internal/lab/simulation/scenario.go
+++ b/internal/lab/simulation/scenario.go
@@ -55,7 +55,7 @@
 // leader is the node that leads now, or the first voter.
 func (w *World) leader() *node {
 	for _, n := range w.voters() {
-		if n.up && n.agent != nil && n.still <= w.now && n.agent.Leads() {
+		if n.up && n.agent != nil && n.still <= w.now && n.agent.IsLeader() {
 			return n
 		}
 	}
--- a/internal/membership/detection.go
+++ b/internal/membership/detection.go
@@ -6,73 +6,74 @@
 )
 
 const (
-	// BeatEvery is the time between two heartbeats of a node to its watchers.
-	BeatEvery = 500 * time.Millisecond
+	// HeartbeatInterval is the time between two heartbeats of a node to its watchers.
+	HeartbeatInterval = 500 * time.Millisecond
 
 	silentAfter = 2 * time.Second // without a heartbeat: four in a row are lost or late
 	stallGap    = time.Second     // between two ticks: then this node itself has stalled
-	reportTTL   = 3 * time.Second // of a failure detector's report
+	// minWatched is from how many watched nodes on a failure detector can tell its own bad line from theirs.
+	minWatched = 3
+
+	reportTTL = 3 * time.Second // of a failure detector's report
 	// A node that may have failed waits so long for others that fail with it: what fails together is taken out
 	// together.
 	settleTime = time.Second
 	// recoveryTime is how long a node that was taken out has to be heard before it is back.
 	recoveryTime = 3 * time.Second
-	// minWatched is from how many watched nodes on a failure detector can tell its own bad line from theirs.
-	minWatched = 3
 )
 
-// Watch is one node's failure detector for the nodes that it watches.
-type Watch struct {
+// FailureDetector is one node's failure detector for the nodes that it watches.
+type FailureDetector struct {
 	heard    map[int]time.Duration // by watched node: when its last heartbeat came
 	lastTick time.Duration
 }
 
-// NewWatch begins to watch; all watched nodes count as heard now.
-func NewWatch(list *List, self int, now time.Duration) *Watch {
-	watch := &Watch{heard: map[int]time.Duration{}, lastTick: now}
+// NewFailureDetector begins to watch; all watched nodes count as heard now.
+func NewFailureDetector(list *List, self int, now time.Duration) *FailureDetector {
+	detector := &FailureDetector{heard: map[int]time.Duration{}, lastTick: now}
 	for i := range list.nodes {
 		if i != self && slices.Contains(list.Watchers(i), self) {
-			watch.heard[i] = now
+			detector.heard[i] = now
 		}
 	}
-	return watch
+	return detector
 }
 
-// Heard says that a node's heartbeat came.
-func (w *Watch) Heard(node int, now time.Duration) {
-	if _, watched := w.heard[node]; watched {
-		w.heard[node] = now
+// RecordHeartbeat notes that a node's heartbeat came.
+func (d *FailureDetector) RecordHeartbeat(node int, now time.Duration) {
+	if _, watched := d.heard[node]; watched {
+		d.heard[node] = now
 	}
 }
 
 // Tick notices when this node itself has stalled: what it did not hear meanwhile says nothing of others, who count as
 // heard now (local health as in Lifeguard, Dadgar et al. 2018).
-func (w *Watch) Tick(now time.Duration) {
-	if now-w.lastTick > stallGap {
-		for node := range w.heard {
-			w.heard[node] = now
+func (d *FailureDetector) Tick(now time.Duration) {
+	if now-d.lastTick > stallGap {
+		for node := range d.heard {
+			d.heard[node] = now
 		}
 	}
-	w.lastTick = now
+	d.lastTick = now
 }
 
 // Silent are the watched nodes that are not heard. A node that hears next to nobody reports nobody: its own line is the
 // likelier cause.
-func (w *Watch) Silent(now time.Duration) (silent []int) {
-	for node, at := range w.heard {
+func (d *FailureDetector) Silent(now time.Duration) (silent []int) {
+	for node, at := range d.heard {
 		if now-at > silentAfter {
 			silent = append(silent, node)
 		}
 	}
-	if len(w.heard) >= minWatched && len(silent) > len(w.heard)*2/3 {
+	if len(d.heard) >= minWatched && len(silent) > len(d.heard)*2/3 {
 		return nil
 	}
 	slices.Sort(silent)
 	return silent
 }
 
-// Cut is the leader's view of who is live (multi-node cut detection as in Rapid, Suresh et al. 2018).
-type Cut struct {
+// CutDetector is the leader's view of who is live (multi-node cut detection as in Rapid, Suresh et al. 2018).
+type CutDetector struct {
 	list      *List
 	reports   map[int]report        // by reporting node
 	lost      map[int]time.Duration // nodes out of the view: since when
@@ -86,9 +87,9 @@
 	silent []int
 }
 
-// NewCut begins with all nodes live but those given.
-func NewCut(list *List, lost []int, now time.Duration) *Cut {
-	cut := &Cut{
+// NewCutDetector begins with all nodes live but those given.
+func NewCutDetector(list *List, lost []int, now time.Duration) *CutDetector {
+	cut := &CutDetector{
 		list:      list,
 		reports:   map[int]report{},
 		lost:      map[int]time.Duration{},
@@ -101,9 +102,9 @@
 	return cut
 }
 
-// Word takes a node's report: which of the nodes that it watches it does not hear. It shows as well that the node
+// Report takes a node's report: which of the nodes that it watches it does not hear. It shows as well that the node
 // itself is live. The caller must not change the slice afterwards.
-func (c *Cut) Word(from int, silent []int, now time.Duration) {
+func (c *CutDetector) Report(from int, silent []int, now time.Duration) {
 	c.reports[from] = report{at: now, silent: silent}
 }
 
@@ -116,7 +117,7 @@
 }
 
 // judge sums up what the reports say of a node.
-func (c *Cut) judge(node int, now time.Duration) (judged verdict) {
+func (c *CutDetector) judge(node int, now time.Duration) (judged verdict) {
 	watchers := c.list.Watchers(node)
 	for _, watcher := range watchers {
 		report, ok := c.freshReport(watcher, now)
@@ -134,13 +135,13 @@
 	return judged
 }
 
-func (c *Cut) freshReport(from int, now time.Duration) (report, bool) {
+func (c *CutDetector) freshReport(from int, now time.Duration) (report, bool) {
 	latest, ok := c.reports[from]
 	return latest, ok && now-latest.at <= reportTTL
 }
 
 // Step goes by the reports; changed says that the view is another one.
-func (c *Cut) Step(now time.Duration) (changed bool) {
+func (c *CutDetector) Step(now time.Duration) (changed bool) {
 	var failed []int
 	undecided := false
 	for node := range c.list.nodes {
@@ -179,7 +180,7 @@
 )
 
 // suspect notes since when there are reports against a node of the view.
-func (c *Cut) suspect(node int, judged verdict, now time.Duration) suspicion {
+func (c *CutDetector) suspect(node int, judged verdict, now time.Duration) suspicion {
 	switch {
 	case judged.against == 0 || judged.reports:
 		delete(c.suspected, node)
@@ -197,7 +198,7 @@
 }
 
 // recover takes a lost node back into the view once it has been heard for long enough.
-func (c *Cut) recover(node int, judged verdict, now time.Duration) (back bool) {
+func (c *CutDetector) recover(node int, judged verdict, now time.Duration) (back bool) {
 	if judged.failed || !judged.reports && (judged.against > 0 || judged.fresh == 0) {
 		delete(c.recovered, node)
 		return false
@@ -215,20 +216,20 @@
 	return true
 }
 
-// Live says whether a node is in the view.
-func (c *Cut) Live(node int) bool {
+// IsLive says whether a node is in the view.
+func (c *CutDetector) IsLive(node int) bool {
 	_, lost := c.lost[node]
 	return !lost
 }
 
 // LostSince says since when a node is out of the view.
-func (c *Cut) LostSince(node int) (time.Duration, bool) {
+func (c *CutDetector) LostSince(node int) (time.Duration, bool) {
 	since, lost := c.lost[node]
 	return since, lost
 }
 
 // Lost are the nodes out of the view.
-func (c *Cut) Lost() (nodes []int) {
+func (c *CutDetector) Lost() (nodes []int) {
 	for node := range c.lost {
 		nodes = append(nodes, node)
 	}
@@ -236,8 +237,8 @@
 	return nodes
 }
 
-// Heard says when a node's last report came.
-func (c *Cut) Heard(node int) (time.Duration, bool) {
+// LastReport says when a node's last report came.
+func (c *CutDetector) LastReport(node int) (time.Duration, bool) {
 	latest, ok := c.reports[node]
 	return latest.at, ok
 }
--- a/internal/membership/detection_test.go
+++ b/internal/membership/detection_test.go
@@ -57,7 +57,7 @@
 		{"nobody reports anything", nil, none, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			cut := NewCut(list, nil, 0)
+			cut := NewCutDetector(list, nil, 0)
 			now := playReports(cut, test.reporting, test.silent)
 			if lost := cut.Lost(); !slices.Equal(lost, test.lost) {
 				t.Fatalf("out of the view are %v, wanted %v", lost, test.lost)
@@ -68,7 +68,7 @@
 }
 
 // playReports has nodes report for ten seconds whom they watch and do not hear.
-func playReports(cut *Cut, reporting []int, silent func(from int) []int) (now time.Duration) {
+func playReports(cut *CutDetector, reporting []int, silent func(from int) []int) (now time.Duration) {
 	for range 40 {
 		now += reportEvery
 		for _, from := range reporting {
@@ -78,7 +78,7 @@
 					notHeard = append(notHeard, node)
 				}
 			}
-			cut.Word(from, notHeard, now)
+			cut.Report(from, notHeard, now)
 		}
 		cut.Step(now)
 	}
@@ -86,13 +86,13 @@
 }
 
 // checkRecovery wants all nodes back after a while in which all hear all, and not at once.
-func checkRecovery(t *testing.T, cut *Cut, lost []int, now time.Duration) {
+func checkRecovery(t *testing.T, cut *CutDetector, lost []int, now time.Duration) {
 	t.Helper()
 	cut.Step(now)
 	for i := range 30 {
 		now += reportEvery
 		for _, node := range nodesBut() {
-			cut.Word(node, nil, now)
+			cut.Report(node, nil, now)
 		}
 		cut.Step(now)
 		if i == 3 && len(cut.Lost()) < len(lost) {
@@ -106,7 +106,7 @@
 
 // TestWatch holds which nodes a failure detector calls silent, also when its own node has stalled.
 func TestWatch(t *testing.T) {
-	watch := NewWatch(newFleet(t, fleetNodes, 3), 0, 0)
+	watch := NewFailureDetector(newFleet(t, fleetNodes, 3), 0, 0)
 	var watched []int
 	for node := range watch.heard {
 		watched = append(watched, node)
@@ -117,9 +117,9 @@
 	}
 	now := time.Duration(0)
 	for range 20 {
-		now += BeatEvery
+		now += HeartbeatInterval
 		for _, node := range watched[1:] {
-			watch.Heard(node, now)
+			watch.RecordHeartbeat(node, now)
 		}
 		watch.Tick(now)
 	}
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -2,8 +2,9 @@
 //
 //   - List is the nodes as the operators name them, and who watches whom: the same on all nodes that have the same
 //     list.
-//   - Watch is a node's failure detector: it takes heartbeats and tells which of the watched nodes are silent.
-//   - Cut is the leader's multi-node cut detection: it takes what the failure detectors report and decides, for
+//   - FailureDetector is a node's failure detector: it takes heartbeats and tells which of the watched nodes are
+//     silent.
+//   - CutDetector is the leader's multi-node cut detection: it takes what the failure detectors report and decides, for
 //     several nodes at once where they fail together, who is out of the view and who is back.
 //
 // The agent of a node owns its failure detector, the planner of the leader the cut detector; both call them from one
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -178,7 +178,7 @@
 		return
 	}
 	now := f.loop.Now()
-	if late := now.Sub(f.lastTick) - consensus.Tick; late > lateTickThreshold {
+	if late := now.Sub(f.lastTick) - consensus.TickInterval; late > lateTickThreshold {
 		zap.L().Warn("fleet_tick_late", zap.Duration("by", late))
 	}
 	f.lastTick = now
@@ -188,7 +188,7 @@
 	}
 	f.carryOut()
 	f.logAdmitted(now)
-	f.loop.At(now.Add(consensus.Tick), f.tick)
+	f.loop.At(now.Add(consensus.TickInterval), f.tick)
 }
 
 // updateClasses takes in the module's classes after a change of settings.
--- a/internal/node/policy_test.go
+++ b/internal/node/policy_test.go
@@ -77,7 +77,7 @@
 		config: config.Fleet{Self: "a", List: &config.FleetList{List: list, Policy: &config.FleetPolicy{Window: config.Duration(5 * time.Second)}}}}
 	state := &policy.State{Number: 1, LastNumber: 1, Documents: []policy.VersionedDocument{{Number: 1, Text: []byte("newer = 1\n")}}}
 	if f.agent, err = agent.New(agent.Options{List: list, Key: []byte("k"), Policy: f.policyOptions(),
-		Records: []consensus.Record{{Log: 7, Newest: []consensus.Entry{{Number: 3, Kind: policy.Kind, Data: state.Encode()}}}}}, 0); err != nil {
+		Records: []consensus.Record{{LogID: 7, Newest: []consensus.Entry{{Index: 3, Kind: policy.Kind, Data: state.Encode()}}}}}, 0); err != nil {
 		t.Fatal(err)
 	}
 	for range 10 {
