--- a/choice/healthcheck_test.go
+++ b/choice/healthcheck_test.go
@@ -132,3 +132,40 @@
 		}
 	}
 }
+
+// TestReliefRequestCountsLoadInMeanConnections has a node ask owners for relief where a connection's load is 4: the
+// message counts the node's load in mean connections, as a reservation does, whatever the unit of loads is.
+func TestReliefRequestCountsLoadInMeanConnections(t *testing.T) {
+	const meanLoad, connections = 4, 6
+	now := time.Hour
+	balancer, err := New(keeping(), 1, now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	balancer.Step(now, []Event{fleet(13)})
+	balancer.units.mean = meanLoad
+	asked := false
+	for _, server := range balancer.servers {
+		if balancer.ownerOf(server) == balancer.settings.Node {
+			continue
+		}
+		server.own.load = connections * meanLoad
+		server.report.at = now - 2*unreportedAfter
+		balancer.actions = nil
+		balancer.checkOwnConnections(server)
+		for _, action := range balancer.actions {
+			message, ok := action.(SendPeerMessage)
+			if !ok {
+				continue
+			}
+			question, valid := decodePeerMessage(message.Data)
+			if !valid || question.kind != reliefRequest || question.load != connections {
+				t.Errorf("server %s: question %+v, want relief from %d connections", server.ID, question, connections)
+			}
+			asked = true
+		}
+	}
+	if !asked {
+		t.Error("no owner was asked for relief")
+	}
+}
