--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -19,7 +19,10 @@
  "limits":{"cores":1,"memory_mb":64,"sockets":384},
  "peer_listen":"127.0.0.1:7000","peers":[],"peers_all":"127.0.0.1:7001",
  "known":{"version":1,"full":true,"servers":[]},"settings":%s}`,
-	strings.NewReplacer("REPORTS", "on_probe", `"tariffs"`, `"goal":{"whole":1},"tariffs"`).Replace(transcript.Settings))
+	strings.NewReplacer(
+		"REPORTS", "on_probe",
+		`"tariffs"`, `"goal":{"whole":1},"tariffs"`,
+	).Replace(transcript.Settings))
 
 // takeAsIs is an override that overrides nothing.
 func takeAsIs(*nodeFile) {}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -24,7 +24,7 @@
 	Peers             Peers               `toml:"peers,omitempty"`
 	Networks          *peerlimit.Networks `toml:"-"` // of the files that Peers names; nil: none
 	Certificates      []Certificate       `toml:"certificate,omitempty"`
-	ClientAuthorities string              `toml:"client_authorities,omitempty"` // PEM file; clients may show a certificate
+	ClientAuthorities string              `toml:"client_authorities,omitempty"` // PEM file, for clients' certificates
 	Keys              *tls.Set            `toml:"-"`                            // of the files named above; nil: none
 }
 
