--- a/internal/operations/capture/writer.go
+++ b/internal/operations/capture/writer.go
@@ -11,6 +11,7 @@
 	"sync"
 	"sync/atomic"
 	"time"
+	"unicode/utf8"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
@@ -204,7 +205,9 @@
 		}
 		w.add(r)
 	case Host:
-		r.ID, r.Zone, r.Kind = cut(r.ID), cut(r.Zone), cut(r.Kind)
+		r.ID = truncate(r.ID)
+		r.Zone = truncate(r.Zone)
+		r.Kind = truncate(r.Kind)
 		if r.State == 2 {
 			delete(w.hosts, r.ID)
 		} else {
@@ -216,7 +219,18 @@
 	}
 }
 
-func cut(s string) string { return s[:min(len(s), maxText)] }
+// truncate is the beginning of a text, maxText bytes at most, without half a character at its end: a CBOR text with
+// one can't be read, and costs the rest of its block.
+func truncate(text string) string {
+	if len(text) <= maxText {
+		return text
+	}
+	end := maxText
+	for end > 0 && !utf8.RuneStart(text[end]) {
+		end--
+	}
+	return text[:end]
+}
 
 func (w *Writer) hide(domain byte, v uint64) uint64 {
 	if v == 0 {
