--- a/internal/operations/logs/logs.go
+++ b/internal/operations/logs/logs.go
@@ -1,8 +1,11 @@
-// Package logs sets up the programs' structured log: zap, with one event name a cause, fields that carry their units in
-// their names, and a bound on how many lines of one event a second can bring.
+// Package logs sets up the structured log of the programs, by zap: each line has the name of an event, and fields whose
+// names carry their units. Of each event a limited number of lines a second is written.
+//
+// internal/node/command calls Setup once, before anything is logged; the log is zap's global logger from then on.
 package logs
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"sync/atomic"
@@ -13,8 +16,15 @@
 )
 
 const (
-	window = time.Second
-	first  = 20 // lines of one event that pass in a window; the rest are counted
+	sampleWindow   = time.Second
+	linesPerWindow = 20 // lines of one event that are written in a window; the rest are counted
+)
+
+var (
+	// ErrUnknownLevel says that Options.Level is none of the levels.
+	ErrUnknownLevel = errors.New("unknown log level")
+	// ErrUnknownFormat says that Options.Format is none of the formats.
+	ErrUnknownFormat = errors.New("unknown log format")
 )
 
 // Options say how a program logs.
@@ -23,82 +33,103 @@
 	Level  string // "debug", "info", "warn" or "error"
 }
 
-// Setup makes the process's logger, which zap.L returns from then on. Lines beyond the bound are left out; the next
-// line that passes tells how many, as left_out_lines.
-func Setup(out io.Writer, o Options) error {
-	level, err := zapcore.ParseLevel(o.Level)
+// Setup makes the logger of the process, which zap.L returns from then on, and has it write to out. Lines over the
+// limit are dropped; the next line that is written has their number, as left_out_lines. The error is ErrUnknownLevel or
+// ErrUnknownFormat.
+func Setup(out io.Writer, options Options) error {
+	level, err := zapcore.ParseLevel(options.Level)
 	if err != nil || level > zapcore.ErrorLevel {
-		return fmt.Errorf("unknown log level %q: one of debug, info, warn, error", o.Level)
+		return fmt.Errorf("%w %q: one of debug, info, warn, error", ErrUnknownLevel, options.Level)
+	}
+	encoder, err := newEncoder(options.Format)
+	if err != nil {
+		return err
 	}
-	c := zap.NewProductionEncoderConfig()
-	c.TimeKey, c.MessageKey, c.CallerKey, c.StacktraceKey = "time", "event", "", ""
-	c.EncodeTime = zapcore.TimeEncoderOfLayout("2006-01-02T15:04:05.000000Z07:00")
-	var enc zapcore.Encoder
-	switch o.Format {
+	dropped := new(atomic.Int64)
+	output := zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(out)), level)
+	complete := droppedCountCore{Core: output, dropped: dropped}
+	countDropped := func(_ zapcore.Entry, decision zapcore.SamplingDecision) {
+		if decision&zapcore.LogDropped != 0 {
+			dropped.Add(1)
+		}
+	}
+	sampled := zapcore.NewSamplerWithOptions(complete, sampleWindow, linesPerWindow, 0,
+		zapcore.SamplerHook(countDropped))
+	zap.ReplaceGlobals(zap.New(sampledCore{Core: sampled, complete: complete, start: time.Now()}))
+	return nil
+}
+
+func newEncoder(format string) (zapcore.Encoder, error) {
+	config := zap.NewProductionEncoderConfig()
+	config.TimeKey = "time"
+	config.MessageKey = "event"
+	config.CallerKey = ""
+	config.StacktraceKey = ""
+	switch format {
 	case "json":
-		enc = zapcore.NewJSONEncoder(c)
+		config.EncodeTime = zapcore.TimeEncoderOfLayout("2006-01-02T15:04:05.000000Z07:00")
+		return zapcore.NewJSONEncoder(config), nil
 	case "console":
-		c.EncodeLevel = zapcore.CapitalLevelEncoder
-		c.EncodeTime = zapcore.TimeEncoderOfLayout("15:04:05.000000")
-		c.ConsoleSeparator = " "
-		enc = zapcore.NewConsoleEncoder(c)
+		config.EncodeTime = zapcore.TimeEncoderOfLayout("15:04:05.000000")
+		config.EncodeLevel = zapcore.CapitalLevelEncoder
+		config.ConsoleSeparator = " "
+		return zapcore.NewConsoleEncoder(config), nil
 	default:
-		return fmt.Errorf("unknown log format %q: console or json", o.Format)
+		return nil, fmt.Errorf("%w %q: console or json", ErrUnknownFormat, format)
 	}
-	left := new(atomic.Int64)
-	core := telling{zapcore.NewCore(enc, zapcore.Lock(zapcore.AddSync(out)), level), left}
-	sampled := zapcore.NewSamplerWithOptions(core, window, first, 0, zapcore.SamplerHook(
-		func(_ zapcore.Entry, d zapcore.SamplingDecision) {
-			if d&zapcore.LogDropped != 0 {
-				left.Add(1)
-			}
-		}))
-	zap.ReplaceGlobals(zap.New(bounded{sampled, core, time.Now()}))
-	return nil
 }
 
-// bounded has lines of level debug, which tell single requests, pass whole, and all others within their bound. The bound counts time that
-// has passed: the wall clock may be stepped back, and an event would be shut up until it has caught up.
-type bounded struct {
-	zapcore.Core
-	whole zapcore.Core
-	began time.Time
+// sampledCore writes all lines of level debug, which are of single requests, and others within their limit. The sampler
+// gets the time that has passed since the start and not the wall clock: if that is set back, an event would be dropped
+// until the clock has caught up.
+type sampledCore struct {
+	zapcore.Core              // the sampler in front of complete
+	complete     zapcore.Core // without a limit
+	start        time.Time
 }
 
-func (b bounded) With(f []zapcore.Field) zapcore.Core {
-	return bounded{b.Core.With(f), b.whole.With(f), b.began}
+// With is the core with fields added to each line.
+func (c sampledCore) With(fields []zapcore.Field) zapcore.Core {
+	return sampledCore{Core: c.Core.With(fields), complete: c.complete.With(fields), start: c.start}
 }
 
-func (b bounded) Check(e zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if e.Level == zapcore.DebugLevel {
-		return b.whole.Check(e, c)
+// Check adds the core to those that write the entry, if the entry is within its limit.
+func (c sampledCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if entry.Level == zapcore.DebugLevel {
+		return c.complete.Check(entry, checked)
 	}
-	told := e.Time
-	e.Time = b.began.Add(time.Since(b.began))
-	if c = b.Core.Check(e, c); c != nil {
-		c.Time = told
+	written := entry.Time
+	entry.Time = c.start.Add(time.Since(c.start))
+	checked = c.Core.Check(entry, checked)
+	if checked != nil {
+		checked.Time = written
 	}
-	return c
+	return checked
 }
 
-// telling adds to a line how many were left out before it.
-type telling struct {
+// droppedCountCore adds to a line how many were dropped before it.
+type droppedCountCore struct {
 	zapcore.Core
-	left *atomic.Int64
+	dropped *atomic.Int64 // since the last line that was written
 }
 
-func (t telling) With(f []zapcore.Field) zapcore.Core { return telling{t.Core.With(f), t.left} }
+// With is the core with fields added to each line.
+func (c droppedCountCore) With(fields []zapcore.Field) zapcore.Core {
+	return droppedCountCore{Core: c.Core.With(fields), dropped: c.dropped}
+}
 
-func (t telling) Check(e zapcore.Entry, c *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if t.Enabled(e.Level) {
-		return c.AddCore(e, t)
+// Check adds the core to those that write the entry, if its level is enabled.
+func (c droppedCountCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if c.Enabled(entry.Level) {
+		return checked.AddCore(entry, c)
 	}
-	return c
+	return checked
 }
 
-func (t telling) Write(e zapcore.Entry, f []zapcore.Field) error {
-	if n := t.left.Swap(0); n > 0 {
-		f = append(f[:len(f):len(f)], zap.Int64("left_out_lines", n))
+// Write writes one line.
+func (c droppedCountCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
+	if count := c.dropped.Swap(0); count > 0 {
+		fields = append(fields[:len(fields):len(fields)], zap.Int64("left_out_lines", count))
 	}
-	return t.Core.Write(e, f)
+	return c.Core.Write(entry, fields)
 }
--- a/internal/operations/stats/golden_test.go
+++ b/internal/operations/stats/golden_test.go
@@ -12,7 +12,9 @@
 	var f Figures
 	*f.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
 	*f.Class("class-2") = edge.Counts{Served: 21, Rejected: 22, Failed: 23}
-	f.Attempts, f.ReloadsOK, f.ReloadsFailed = 31, 32, 33
+	f.Attempts = 31
+	f.ReloadsOK = 32
+	f.ReloadsFailed = 33
 	got := f.Append(nil, edge.Gauges{InFlight: 41, ServersKnown: 42, ServersExcluded: 43})
 	got = AppendCounter(got, 51, "kind", "name")
 	want, err := os.ReadFile("testdata/figures.txt")
--- a/internal/operations/stats/stats.go
+++ b/internal/operations/stats/stats.go
@@ -1,4 +1,7 @@
-// Package stats holds the node's figures: plain counters with one owner, the loop's goroutine, and their text.
+// Package stats holds a node's counters and writes them, with its gauges, as text.
+//
+// The counters are plain numbers, which belong to the goroutine of the event loop. The names in the text keep the words
+// of the operators' pages ("refused", "hosts_known"); they are mapped to the terms of the code here.
 package stats
 
 import (
@@ -11,33 +14,45 @@
 
 // Figures are the counts of one process, from its start on.
 type Figures struct {
-	Attempts      uint64 // written whole to a host
-	ReloadsOK     uint64
-	ReloadsFailed uint64
-	classes       []named // by name
+	Attempts      uint64        // written completely to a server
+	ReloadsOK     uint64        // reloads of the configuration that took effect
+	ReloadsFailed uint64        // reloads that were rejected
+	classes       []classCounts // sorted by name
 }
 
-type named struct {
+type classCounts struct {
 	name string // as it stands in the text
 	*edge.Counts
 }
 
-// Attempt counts an attempt whose line is whole with the kernel.
+const prefix = "gw" // of each name
+
+// metricKind is the type of a metric as the text has it.
+type metricKind byte
+
+const (
+	counter metricKind = 'c'
+	gauge   metricKind = 'g'
+)
+
+// Attempt counts an attempt whose line the kernel has taken completely.
 func (f *Figures) Attempt() { f.Attempts++ }
 
 // Class is the counter of a class, the same one for a name as long as the process runs: a class that vanishes from the
 // settings and comes back goes on where it was.
 func (f *Figures) Class(name string) *edge.Counts {
-	name = clean(name)
-	i, ok := slices.BinarySearchFunc(f.classes, name, func(c named, name string) int { return strings.Compare(c.name, name) })
+	name = escapeName(name)
+	i, ok := slices.BinarySearchFunc(f.classes, name, func(class classCounts, name string) int {
+		return strings.Compare(class.name, name)
+	})
 	if !ok {
-		f.classes = slices.Insert(f.classes, i, named{name, &edge.Counts{}})
+		f.classes = slices.Insert(f.classes, i, classCounts{name, &edge.Counts{}})
 	}
 	return f.classes[i].Counts
 }
 
-// clean guards the text's form against names that hold its marks.
-func clean(name string) string {
+// escapeName replaces what separates the parts of a line, and all but printable ASCII, by underscores.
+func escapeName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r >= 0x7f || r == ':' || r == '|' || r == '.' {
 			return '_'
@@ -46,33 +61,38 @@
 	}, name)
 }
 
-// Append writes all figures behind buf, one a line.
-func (f *Figures) Append(buf []byte, g edge.Gauges) []byte {
-	line := func(value uint64, kind string, name ...string) { buf = appendFigure(buf, value, kind, name...) }
-	for _, c := range f.classes {
-		line(c.Served, "c", "requests", c.name, "served")
-		line(c.Rejected, "c", "requests", c.name, "refused")
-		line(c.Failed, "c", "requests", c.name, "failed")
+// Append appends all counters and the given gauges to buf, one a line, and returns the extended buffer.
+func (f *Figures) Append(buf []byte, gauges edge.Gauges) []byte {
+	for _, class := range f.classes {
+		buf = AppendCounter(buf, class.Served, "requests", class.name, "served")
+		buf = AppendCounter(buf, class.Rejected, "requests", class.name, "refused")
+		buf = AppendCounter(buf, class.Failed, "requests", class.name, "failed")
 	}
-	line(f.Attempts, "c", "attempts")
-	line(uint64(max(0, g.InFlight)), "g", "in_flight")
-	line(uint64(max(0, g.ServersKnown)), "g", "hosts_known")
-	line(uint64(max(0, g.ServersExcluded)), "g", "hosts_excluded")
-	line(f.ReloadsOK, "c", "reloads_ok")
-	line(f.ReloadsFailed, "c", "reloads_failed")
-	return buf
+	buf = AppendCounter(buf, f.Attempts, "attempts")
+	buf = appendGauge(buf, gauges.InFlight, "in_flight")
+	buf = appendGauge(buf, gauges.ServersKnown, "hosts_known")
+	buf = appendGauge(buf, gauges.ServersExcluded, "hosts_excluded")
+	buf = AppendCounter(buf, f.ReloadsOK, "reloads_ok")
+	return AppendCounter(buf, f.ReloadsFailed, "reloads_failed")
 }
 
-// AppendCounter writes one counter behind buf, in the form of Append.
+// AppendCounter appends one counter to buf, in the form of Figures.Append. The words of its name are joined by dots.
 func AppendCounter(buf []byte, value uint64, name ...string) []byte {
-	return appendFigure(buf, value, "c", name...)
+	return appendMetric(buf, value, counter, name...)
+}
+
+func appendGauge(buf []byte, value int, name string) []byte {
+	return appendMetric(buf, uint64(max(0, value)), gauge, name)
 }
 
-func appendFigure(buf []byte, value uint64, kind string, name ...string) []byte {
-	buf = append(buf, "gw"...)
-	for _, n := range name {
-		buf = append(append(buf, '.'), n...)
+// appendMetric appends a line in the form of StatsD: gw.NAME:VALUE|KIND.
+func appendMetric(buf []byte, value uint64, kind metricKind, name ...string) []byte {
+	buf = append(buf, prefix...)
+	for _, word := range name {
+		buf = append(buf, '.')
+		buf = append(buf, word...)
 	}
-	buf = strconv.AppendUint(append(buf, ':'), value, 10)
-	return append(append(append(buf, '|'), kind...), '\n')
+	buf = append(buf, ':')
+	buf = strconv.AppendUint(buf, value, 10)
+	return append(buf, '|', byte(kind), '\n')
 }
