--- a/internal/operations/capture/golden_test.go
+++ b/internal/operations/capture/golden_test.go
@@ -4,14 +4,11 @@
 	"bytes"
 	"encoding/hex"
 	"flag"
-	"math"
 	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
-
-	"github.com/fxamacker/cbor/v2"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -54,29 +51,27 @@
 // does on one goroutine what a Writer does on its own, so that the blocks are the same at any speed.
 func writeGolden(t *testing.T) string {
 	t.Helper()
-	writer := &Writer{
-		o: Options{
-			Path: filepath.Join(t.TempDir(), "load"), FileSize: 1 << 20, Files: 1,
-			Key: []byte("0123456789abcdef"), Header: goldenHeader,
-			Fault: func(err error) { t.Error(err) },
-		}, hosts: map[string]Host{}, skipped: map[uint64]bool{},
-		limit: math.MaxUint64, zip: zipper(),
-		number: goldenHeader.File, began: time.Unix(0, goldenHeader.Start),
-	}
-	writer.enc = cbor.NewEncoder(&writer.raw)
-	if err := writer.next(); err != nil {
+	writer := newWriter(Options{
+		Path: filepath.Join(t.TempDir(), "load"), FileSize: 1 << 20, Files: 1, Share: 1,
+		Key: []byte("0123456789abcdef"), Began: time.Unix(0, goldenHeader.Start),
+		Fault: func(err error) { t.Error(err) },
+	})
+	writer.header = goldenHeader
+	writer.files.number = goldenHeader.File
+	if err := writer.openFile(); err != nil {
 		t.Fatal(err)
 	}
-	for i, r := range goldenRecords() {
-		if writer.take(r); i == 3 {
+	for i, record := range goldenRecords() {
+		writer.take(record)
+		if i == 3 {
 			writer.flush()
 		}
 	}
 	writer.flush()
-	if err := writer.file.Close(); err != nil {
+	if err := writer.files.file.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return writer.files[0]
+	return writer.Files()[0]
 }
 
 // TestGoldenRead reads a file of the present format.
--- /dev/null
+++ b/internal/operations/capture/helpers_test.go
@@ -0,0 +1,99 @@
+package capture
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+// options are those of a capture in a folder of its own: everything is written, to one file, and no write may fail.
+func options(tb testing.TB) Options {
+	tb.Helper()
+	return Options{
+		Path: filepath.Join(tb.TempDir(), "load"), FileSize: 1 << 20, Files: 1, Share: 1,
+		Key: []byte("0123456789abcdef"), Queue: 64,
+		Header: Header{Node: "n1", Classes: []string{"a"}},
+		Fault:  func(err error) { tb.Error(err) },
+	}
+}
+
+// startWriter starts a writer with these options.
+func startWriter(tb testing.TB, options Options) *Writer {
+	tb.Helper()
+	writer, err := NewWriter(options)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return writer
+}
+
+// closeWriter has a writer write all of its queue.
+func closeWriter(writer *Writer) { writer.Close(time.Now().Add(time.Hour)) }
+
+// writeRequests makes a capture of that many requests, each with its end, and returns its oldest file.
+func writeRequests(tb testing.TB, requests int, change func(*Options)) string {
+	tb.Helper()
+	options := options(tb)
+	options.FileSize = 1 << 30
+	options.Files = 100
+	options.Queue = 4 * requests
+	options.Header = Header{
+		Node: "n1", Classes: []string{"a", "b"}, Tenants: []string{"t"}, Fields: []string{"x0"},
+	}
+	if change != nil {
+		change(&options)
+	}
+	writer := startWriter(tb, options)
+	writer.Put(Host{ID: "h1", Zone: "z", Kind: "k"})
+	for i := range requests {
+		writer.Put(Placed{
+			At: int64(i) * 1000, Seq: uint64(i), Class: i % 2, Client: uint64(i + 1), Group: uint64(i%7 + 1),
+			Load: 0.25, Took: 3000, Tries: []Try{{Host: "h1", Took: 2900}},
+		})
+		writer.Put(Ended{At: int64(i)*1000 + 500, Seq: uint64(i), Life: 500})
+	}
+	closeWriter(writer)
+	if writer.Dropped() > 0 {
+		tb.Fatal("records were dropped from a queue that held them all")
+	}
+	files, err := filepath.Glob(options.Path + "*.spwcap")
+	if err != nil || len(files) == 0 {
+		tb.Fatalf("got files %v and error %v, want one file or more", files, err)
+	}
+	return files[0]
+}
+
+// counts are numbers of records by kind.
+type counts struct{ placed, ended, hosts int }
+
+// readRequests reads a file of writeRequests, checks its records and counts them.
+func readRequests(tb testing.TB, path string) (count counts, faults []Fault) {
+	tb.Helper()
+	_, faults, err := ReadFile(path, func(_ Header, record Record) {
+		switch record := record.(type) {
+		case Placed:
+			count.placed++
+			if record.Load != 0.25 || len(record.Tries) != 1 || record.Tries[0].Host != "h1" || record.Client < 5000 {
+				tb.Fatalf("a request is read as %+v", record)
+			}
+		case Ended:
+			count.ended++
+		case Host:
+			count.hosts++
+		}
+	})
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return count, faults
+}
+
+func fileSize(tb testing.TB, path string) int64 {
+	tb.Helper()
+	info, err := os.Stat(path)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return info.Size()
+}
--- a/internal/operations/capture/record.go
+++ b/internal/operations/capture/record.go
@@ -1,12 +1,16 @@
 // Package capture keeps what a node saw of its load and its hosts in files that can be read back years later: requests
 // with their attempts and answers, the ends of connections, load reports, hosts.
 //
-// A file is a magic line, then blocks. A block is a fixed head (mark, lengths, XXH64 of what follows) and a zstd frame of
-// CBOR items (RFC 8949): a kind, then a record of that kind as an array. Blocks don't depend on one another, so a file
-// that was cut off or damaged is read but for the blocks that suffered. The first block holds the Header.
+// A Writer, which internal/node feeds, owns the files that it writes; ReadFile and Reader read one, for the planner and
+// replays. The words for answers and the fields' names in a header are part of the format.
 //
-// Clients, groups and tenants' users are never in a file: keys and groups are cut HMAC-SHA-256 under a key that the
-// operator sets, alike in all files of that key, and so can be counted and compared but not told.
+// A file is a magic line, then blocks. A block is a head of fixed size (mark, lengths, XXH64 of what follows) and a
+// zstd frame of CBOR items (RFC 8949): a kind, then a record of that kind as an array. Blocks don't depend on one
+// another, so a file that was cut off or damaged is read but for the damaged blocks. The first block holds the Header.
+//
+// The ids of clients and groups are never in a file: keys and groups are written as truncated HMAC-SHA-256 under a key
+// that the operator sets. They are equal in all files of that key, and so can be counted and compared but not read
+// back.
 package capture
 
 import "time"
@@ -21,7 +25,7 @@
 	Zone    string   `cbor:"Zone"`  // of the node
 	Start   int64    `cbor:"Start"` // Unix time of offset 0, ns
 	File    int      `cbor:"File"`  // number of the file since the program's start, from 0
-	Share   float64  `cbor:"Share"`
+	Share   float64  `cbor:"Share"` // of clients (or groups, where there are) that are in the file
 	Classes []string `cbor:"Classes"`
 	Tenants []string `cbor:"Tenants"`
 	Fields  []string `cbor:"Fields"` // names of a report's values, in order
@@ -31,18 +35,24 @@
 type Answer uint8
 
 const (
-	Up      Answer = iota // a connection stands
-	Served                // served to its end without one
-	Refused               // a local reply: come again
-	Failed                // a local reply that promises nothing
-	Left                  // the client left before any
+	// Up is an open connection.
+	Up Answer = iota
+	// Served is a server's whole answer, without an open connection.
+	Served
+	// Refused is a local reply that promises that a retry is harmless.
+	Refused
+	// Failed is a local reply that promises nothing.
+	Failed
+	// Left says that the client left before any answer.
+	Left
 )
 
-var answers = []string{"up", "served", "refused", "failed", "left"}
+var answerNames = []string{"up", "served", "refused", "failed", "left"}
 
+// String is the word for an answer in the output of tools.
 func (a Answer) String() string {
-	if int(a) < len(answers) {
-		return answers[a]
+	if int(a) < len(answerNames) {
+		return answerNames[a]
 	}
 	return "unknown"
 }
@@ -51,13 +61,21 @@
 type Cause uint8
 
 const (
+	// ByClient says that the client ended it or lost it.
 	ByClient Cause = iota
-	ByHost         // the host ended or lost it
-	Moved          // the node asked the client to come again
-	Carried        // it goes on in another process of the node, whose capture doesn't have it
+	// ByHost says that the host ended it or lost it.
+	ByHost
+	// Moved says that the node asked the client to reconnect.
+	Moved
+	// Carried says that it goes on in another process of the node, whose capture doesn't have it.
+	Carried
 )
 
-// All offsets and durations in records are microseconds; offsets count from Header.Start.
+// stateGone is Host.State of a host that is no longer on the endpoint list.
+const stateGone = 2
+
+// All offsets and durations in records are microseconds; offsets count from Header.Start. The order of the fields is
+// the format.
 type (
 	// Placed is a request and its one final answer; a request's offset is that of its arrival.
 	Placed struct {
@@ -66,11 +84,11 @@
 		Seq      uint64 // of the request, since the program's start
 		Class    int    // index in Header.Classes
 		Tenant   int    // index in Header.Tenants; -1: none
-		Client   uint64 // 0: not told
+		Client   uint64 // 0: not known
 		Group    uint64 // 0: none
 		Load     float64
-		Returned bool
-		Patience int64
+		Returned bool  // the client was asked to reconnect and comes back
+		Patience int64 // from the arrival to the deadline
 		Took     int64 // to the answer
 		Answer   Answer
 		Tries    []Try
@@ -82,23 +100,23 @@
 		Outcome uint8
 		Took    int64
 	}
-	// Ended is the end of a connection that stood.
+	// Ended is the end of an open connection.
 	Ended struct {
 		_     struct{} `cbor:",toarray"`
 		At    int64
 		Seq   uint64
-		Life  int64 // since it stood
+		Life  int64 // since it was opened
 		Cause Cause
-		Load  float64 // told last; 0: never told
+		Load  float64 // of its last load update; 0: there was none
 	}
 	// Report is a host's load report.
 	Report struct {
 		_      struct{} `cbor:",toarray"`
 		At     int64
 		Host   string
-		Values []float32 // in the order of Header.Fields; NaN: not told
+		Values []float32 // in the order of Header.Fields; NaN: not reported
 	}
-	// Host is an entry of the list that is new or changed. State: 0 serving, 1 draining, 2 gone.
+	// Host is an entry of the endpoint list that is new or changed. State: 0 ready, 1 draining, 2 gone.
 	Host struct {
 		_     struct{} `cbor:",toarray"`
 		At    int64
@@ -107,7 +125,7 @@
 		Kind  string
 		State uint8
 	}
-	// Dropped tells that records were lost because the writer could not keep up.
+	// Dropped says that records were lost because the writer could not keep up.
 	Dropped struct {
 		_     struct{} `cbor:",toarray"`
 		At    int64
@@ -116,13 +134,24 @@
 )
 
 // Record is one of the types above.
-type Record interface{ kind() uint8 }
+type Record interface{ kind() recordKind }
+
+// recordKind is the number that stands before a record in a block.
+type recordKind uint8
+
+const (
+	kindPlaced recordKind = iota + 1
+	kindEnded
+	kindReport
+	kindHost
+	kindDropped
+)
 
-func (Placed) kind() uint8  { return 1 }
-func (Ended) kind() uint8   { return 2 }
-func (Report) kind() uint8  { return 3 }
-func (Host) kind() uint8    { return 4 }
-func (Dropped) kind() uint8 { return 5 }
+func (Placed) kind() recordKind  { return kindPlaced }
+func (Ended) kind() recordKind   { return kindEnded }
+func (Report) kind() recordKind  { return kindReport }
+func (Host) kind() recordKind    { return kindHost }
+func (Dropped) kind() recordKind { return kindDropped }
 
 // Micros turns a duration into a record's unit.
 func Micros(d time.Duration) int64 { return d.Microseconds() }
