--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -94,36 +94,38 @@
 		t.Errorf("the settings are read as\n%+v, want\n%+v", got, goldenSettings)
 	}
 	// The object as it was read, written again: the same keys in the same order with the same values.
-	var in setup
-	if err := json.Unmarshal(raw, &in); err != nil {
+	var decoded setup
+	if err := json.Unmarshal(raw, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	if written, err := json.Marshal(in); err != nil || !bytes.Equal(written, bytes.TrimSpace(raw)) {
+	if written, err := json.Marshal(decoded); err != nil || !bytes.Equal(written, bytes.TrimSpace(raw)) {
 		t.Errorf("the settings are written as\n%s (error %v), want\n%s", written, err, raw)
 	}
 }
 
+// decodeGoldenWith decodes the golden settings with one of their texts replaced.
+func decodeGoldenWith(t *testing.T, old, replacement string) choice.Settings {
+	t.Helper()
+	raw := string(golden(t, "settings.json"))
+	if !strings.Contains(raw, old) {
+		t.Fatalf("%s is not in the golden settings", old)
+	}
+	got, err := DecodeSettings([]byte(strings.Replace(raw, old, replacement, 1)))
+	if err != nil {
+		t.Fatalf("with %s: %v", replacement, err)
+	}
+	return got.Settings
+}
+
 // TestGoldenSettingsWords holds the words that stand for values in the settings.
 func TestGoldenSettingsWords(t *testing.T) {
-	decode := func(old, with string) choice.Settings {
-		t.Helper()
-		raw := string(golden(t, "settings.json"))
-		if !strings.Contains(raw, old) {
-			t.Fatalf("%s is not in the golden settings", old)
-		}
-		got, err := DecodeSettings([]byte(strings.Replace(raw, old, with, 1)))
-		if err != nil {
-			t.Fatalf("with %s: %v", with, err)
-		}
-		return got.Settings
-	}
 	for word, want := range map[string]choice.ReportSource{
 		"":         choice.NoReports,
 		"off":      choice.NoReports,
 		"on_probe": choice.HealthCheckReports,
 		"inline":   choice.AllReports,
 	} {
-		if got := decode(`"via":"on_probe"`, `"via":"`+word+`"`).Reports; got != want {
+		if got := decodeGoldenWith(t, `"via":"on_probe"`, `"via":"`+word+`"`).Reports; got != want {
 			t.Errorf("loadReport.via %q is read as %d, want %d", word, got, want)
 		}
 	}
@@ -135,7 +137,7 @@
 		"live":      choice.LiveSize,
 		"not_known": choice.NoSize,
 	} {
-		if got := decode(`"weightSource":"live"`, `"weightSource":"`+word+`"`).Sizes; got != want {
+		if got := decodeGoldenWith(t, `"weightSource":"live"`, `"weightSource":"`+word+`"`).Sizes; got != want {
 			t.Errorf("weightSource %q is read as %d, want %d", word, got, want)
 		}
 	}
@@ -145,7 +147,8 @@
 		"zone": choice.ScopeZone,
 		"cell": choice.ScopeCell,
 	} {
-		if got := decode(`"dedupScope":"zone"`, `"dedupScope":"`+word+`"`).Classes[0].IdempotencyScope; got != want {
+		class := decodeGoldenWith(t, `"dedupScope":"zone"`, `"dedupScope":"`+word+`"`).Classes[0]
+		if got := class.IdempotencyScope; got != want {
 			t.Errorf("dedupScope %q is read as %d, want %d", word, got, want)
 		}
 	}
@@ -154,14 +157,19 @@
 		"keyed":  choice.IdempotentByKey,
 		"unsafe": choice.NotIdempotent,
 	} {
-		if got := decode(`"idempotency":"keyed"`, `"idempotency":"`+word+`"`).Classes[0].Idempotency; got != want {
+		class := decodeGoldenWith(t, `"idempotency":"keyed"`, `"idempotency":"`+word+`"`).Classes[0]
+		if got := class.Idempotency; got != want {
 			t.Errorf("idempotency %q is read as %d, want %d", word, got, want)
 		}
 	}
-	if decode(`"mode":"pass"`, `"mode":"proxy"`).PacketPassThrough || decode(`"membershipMode":"on_request"`,
-		`"membershipMode":"push"`).Subscribe ||
-		decode(`"worthBy":"work"`, `"worthBy":"request"`).PriorityPerWork {
-		t.Error("domain.mode proxy, membershipMode push or worthBy request is read as its opposite")
+	if decodeGoldenWith(t, `"mode":"pass"`, `"mode":"proxy"`).PacketPassThrough {
+		t.Error("domain.mode proxy is read as pass")
+	}
+	if decodeGoldenWith(t, `"membershipMode":"on_request"`, `"membershipMode":"push"`).Subscribe {
+		t.Error("membershipMode push is read as on_request")
+	}
+	if decodeGoldenWith(t, `"worthBy":"work"`, `"worthBy":"request"`).PriorityPerWork {
+		t.Error("worthBy request is read as work")
 	}
 }
 
@@ -173,18 +181,21 @@
 		t.Fatal(err)
 	}
 	num := func(v float64) *float64 { return &v }
-	trial, peer, ts, seq := 4, 15, 1.5, uint64(2)
-	want := batch{TsS: &ts, Seq: &seq, Inbox: []event{{
-		Op: "Completed", NodeID: "node-1", OpID: "op-2",
-		Host: "host-3", Trial: &trial, RttS: 0.5,
-		NoMore: true, RC: "reset", Feedback: []*float64{num(0.6), nil, num(0.7)}, Lane: "class-1",
-		Owner: "tenant-2", Object: 8, Group: 9,
-		ExpiresIn: num(10.5), EstimateS: 0.11, Options: 25, Token: "token-12", Sort: 13, X: num(1400), SrcPeer: &peer,
-		Payload: []byte{0, 255, 16, 128}, Form: "incr", Members: []member{{
-			Host: "host-16", RegionPart: "zone-17",
-			Shape: "kind-18", Pod: 19,
-			Status: "quiescing", Heft: num(20.5), StartedAtS: 21.5,
-		}}, Nonce: json.RawMessage("18446744073709551615"),
+	attempt := 4
+	peer := 15
+	now := 1.5
+	sequence := uint64(2)
+	want := batch{Time: &now, Sequence: &sequence, Events: []wireEvent{{
+		Op: "Completed", NodeID: "node-1", RequestID: "op-2",
+		Server: "host-3", Attempt: &attempt, Took: 0.5,
+		Final: true, Outcome: "reset", Report: []*float64{num(0.6), nil, num(0.7)}, Class: "class-1",
+		Tenant: "tenant-2", Key: 8, Group: 9,
+		TimeLeft: num(10.5), LoadEstimate: 0.11, Flags: 25, Token: "token-12", UpdateKind: 13, Value: num(1400),
+		From: &peer, Data: []byte{0, 255, 16, 128}, ListKind: "incr", Servers: []serverEntry{{
+			ID: "host-16", Zone: "zone-17",
+			Kind: "kind-18", Cell: 19,
+			State: "quiescing", Size: num(20.5), Started: 21.5,
+		}}, Seed: json.RawMessage("18446744073709551615"),
 		Setup: json.RawMessage(`{"az":"zone-22"}`),
 	}}}
 	if !reflect.DeepEqual(got, want) {
@@ -280,16 +291,16 @@
 
 // TestGoldenEvents has each kind of event of the simulator become an event of the module.
 func TestGoldenEvents(t *testing.T) {
-	instance := &node{
+	target := &instance{
 		classes: map[string]int{"class-1": 1, "class-2": 2},
 		tenants: map[string]int{"tenant-3": 3, "tenant-4": 4},
 	}
 	for _, test := range goldenEvents {
-		var e event
-		if err := json.Unmarshal([]byte(test.raw), &e); err != nil {
+		var event wireEvent
+		if err := json.Unmarshal([]byte(test.raw), &event); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := instance.event(&e); err != nil || !reflect.DeepEqual(got, test.want) {
+		if got, err := target.decode(&event); err != nil || !reflect.DeepEqual(got, test.want) {
 			t.Errorf("%s is read as %#v (error %v), want %#v", test.raw, got, err, test.want)
 		}
 	}
@@ -303,7 +314,7 @@
 		"cancelled":      choice.Cancelled,
 		"moot":           choice.NeverSent,
 	} {
-		got, err := instance.event(&event{Op: "Checked", Host: "host-1", RC: word})
+		got, err := target.decode(&wireEvent{Op: "Checked", Server: "host-1", Outcome: word})
 		if result, ok := got.(choice.HealthCheckResult); err != nil || !ok || result.Outcome != want {
 			t.Errorf("rc %q is read as %#v (error %v), want outcome %v", word, got, err, want)
 		}
@@ -312,7 +323,7 @@
 
 // TestGoldenReply writes each kind of step of a reply.
 func TestGoldenReply(t *testing.T) {
-	out := reply{Seq: 7}
+	out := reply{Sequence: 7}
 	for _, action := range []choice.Action{
 		choice.StartAttempt{
 			ID: "op-2", Server: "host-3", Timeout: 250 * time.Millisecond,
@@ -328,7 +339,7 @@
 		choice.SendPeerMessage{To: 13, Data: []byte{0, 255, 16, 128}},
 		choice.WatchList{},
 	} {
-		out.Steps = append(out.Steps, toStep("node-1", action))
+		out.Steps = append(out.Steps, encodeAction("node-1", action))
 	}
 	want := bytes.TrimSpace(golden(t, "reply.json"))
 	if got, err := json.Marshal(out); err != nil || !bytes.Equal(got, want) {
--- /dev/null
+++ b/internal/simwire/setup.go
@@ -0,0 +1,221 @@
+package simwire
+
+import (
+	"fmt"
+	"reflect"
+	"strings"
+
+	"spurwinch/choice"
+)
+
+// setup is the simulator's settings object. The tags are its words, the fields the terms of package choice. Times and
+// durations are seconds.
+type setup struct {
+	Zone              string      `json:"az"`
+	Tenants           []tenant    `json:"customers"`
+	Domain            domain      `json:"domain"`
+	Nodes             int         `json:"groupSize"`
+	Node              int         `json:"index"`
+	Rules             rules       `json:"invariants"`
+	LoadReports       loadReports `json:"loadReport"`
+	ListMode          string      `json:"membershipMode"`
+	OverQuotaPriority float64     `json:"overShareWorth"`
+	Limits            limits      `json:"policyLimits"`
+	Classes           []class     `json:"profiles"`
+	RoundTrip         float64     `json:"roundS"`
+	Costs             costs       `json:"tariffs"`
+	Sizes             string      `json:"weightSource"`
+	PriorityPer       string      `json:"worthBy"`
+}
+
+type tenant struct {
+	Name  string  `json:"name"`
+	Rate  float64 `json:"quotaRps"` // requests a second
+	Share float64 `json:"fraction"`
+}
+
+type domain struct {
+	GroupAffinity     bool      `json:"groups"`
+	MessageObjectives []float64 `json:"messageAimS"` // by class
+	Mode              string    `json:"mode"`
+	Park              float64   `json:"parkS"`
+	DelaysObserved    bool      `json:"tellsDelay"`
+	TenantConnections []float64 `json:"tenantQuotaConnections"` // by tenant
+}
+
+type rules struct {
+	AnswerSlack       float64 `json:"answerSlackS"`
+	MaxPollInterval   float64 `json:"askWithinS"`
+	SlowStartFraction float64 `json:"coldShare"`
+	OverloadMultiple  float64 `json:"fallMultiple"`
+	OverloadTime      float64 `json:"fallS"`
+	WarmUp            float64 `json:"rampTimeS"`
+	DrainGrace        float64 `json:"stopSendingWithinS"`
+}
+
+type loadReports struct {
+	Fields []string `json:"fields"`
+	Source string   `json:"via"`
+}
+
+type limits struct {
+	ConnectTimeout float64 `json:"connectTimeoutS"`
+	MaxRetryAfter  float64 `json:"maxRetryAfterS"`
+	Cancellation   bool    `json:"mayCancel"`
+	HealthChecks   bool    `json:"mayProbe"`
+	PeerMessages   bool    `json:"mayTell"`
+	RetryAfter     bool    `json:"retryAfter"`
+	HedgedRequests bool    `json:"secondCopies"`
+	MaxAttempts    int     `json:"sendCap"`
+}
+
+type class struct {
+	SetupObjective    float64 `json:"aimS"`
+	IdempotencyScope  string  `json:"dedupScope"`
+	IdempotencyWindow float64 `json:"dedupWindowS"`
+	Deadline          float64 `json:"giveUpS"`
+	Idempotency       string  `json:"idempotency"`
+	Name              string  `json:"name"`
+	Priority          float64 `json:"value"`
+}
+
+type costs struct {
+	CrossZone   float64 `json:"crossZone"`
+	LateFailure float64 `json:"lateFail"`
+	Migration   float64 `json:"moves"`
+	PeerMessage float64 `json:"peer"`
+	HealthCheck float64 `json:"probe"`
+	Waste       float64 `json:"waste"`
+}
+
+// Words of the setup object for settings of package choice.
+const (
+	modePassThrough = "pass"       // domain.mode
+	listOnRequest   = "on_request" // membershipMode
+	priorityPerWork = "work"       // worthBy
+)
+
+var (
+	idempotencyByWord = map[string]choice.Idempotency{
+		"safe":   choice.Idempotent,
+		"keyed":  choice.IdempotentByKey,
+		"unsafe": choice.NotIdempotent,
+	}
+	scopeByWord = map[string]choice.Scope{
+		"":     choice.ScopeAll,
+		"all":  choice.ScopeAll,
+		"zone": choice.ScopeZone,
+		"cell": choice.ScopeCell,
+	}
+	reportSourceByWord = map[string]choice.ReportSource{
+		"":         choice.NoReports,
+		"off":      choice.NoReports,
+		"on_probe": choice.HealthCheckReports,
+		"inline":   choice.AllReports,
+	}
+	sizeKindByWord = map[string]choice.SizeKind{ // another word: NoSize
+		"":        choice.NoSize,
+		"off":     choice.NoSize,
+		"nominal": choice.NominalSize,
+		"rough":   choice.NominalSize,
+		"live":    choice.LiveSize,
+	}
+	reportFieldByWord = map[string]choice.ReportField{ // another word: OtherField
+		"x0":           choice.Load,
+		"x1":           choice.Backlog,
+		"outstanding":  choice.InFlight,
+		"backlog":      choice.Queue,
+		"utilization":  choice.Utilization,
+		"recent_ms":    choice.Latency,
+		"throughput":   choice.Throughput,
+		"errors_per_s": choice.ErrorRate,
+	}
+)
+
+// checkComplete checks that a decoded JSON value has all keys of a type, in its objects and lists as well.
+func checkComplete(value any, wanted reflect.Type, path string) error {
+	switch wanted.Kind() {
+	case reflect.Struct:
+		object, ok := value.(map[string]any)
+		if !ok {
+			return setupErrorf("%s is no object", strings.TrimPrefix(path, "."))
+		}
+		return checkKeys(object, wanted, path)
+	case reflect.Slice:
+		list, ok := value.([]any)
+		if !ok {
+			return setupErrorf("%s is no list", strings.TrimPrefix(path, "."))
+		}
+		for i, element := range list {
+			if err := checkComplete(element, wanted.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
+				return err
+			}
+		}
+		return nil
+	default:
+		return nil // the decoder checks the other types
+	}
+}
+
+func checkKeys(object map[string]any, wanted reflect.Type, path string) error {
+	for i := range wanted.NumField() {
+		field := wanted.Field(i)
+		key := path + "." + field.Tag.Get("json")
+		value, ok := object[field.Tag.Get("json")]
+		if !ok || value == nil {
+			return setupErrorf("%s is missing: a value of its own is wanted", strings.TrimPrefix(key, "."))
+		}
+		if err := checkComplete(value, field.Type, key); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// check finds values that no node can serve by.
+func (s *setup) check() error {
+	switch {
+	case len(s.Classes) == 0:
+		return setupErrorf("no request class: profiles needs one")
+	case s.Limits.MaxAttempts <= 0:
+		return setupErrorf("policyLimits.sendCap is %d: 1 attempt or more is wanted", s.Limits.MaxAttempts)
+	case s.Nodes < 1 || s.Node < 0 || s.Node >= s.Nodes:
+		return setupErrorf(
+			"groupSize is %d and index %d: a number of nodes, and this one's among them from 0, are wanted",
+			s.Nodes, s.Node)
+	}
+	if err := s.checkClasses(); err != nil {
+		return err
+	}
+	return s.checkTenants()
+}
+
+func (s *setup) checkClasses() error {
+	seen := map[string]bool{}
+	for i, class := range s.Classes {
+		path := fmt.Sprintf("profiles[%d] (%q)", i, class.Name)
+		switch {
+		case class.Name == "" || seen[class.Name]:
+			return setupErrorf("%s: a name of its own is wanted", path)
+		case class.Deadline <= 0:
+			return setupErrorf("%s: giveUpS is %v: a deadline over 0 is wanted", path, class.Deadline)
+		case class.SetupObjective <= 0:
+			return setupErrorf("%s: aimS is %v: a time over 0 is wanted", path, class.SetupObjective)
+		case class.Priority < 0:
+			return setupErrorf("%s: value is %v: a worth of 0 or more is wanted", path, class.Priority)
+		}
+		seen[class.Name] = true
+	}
+	return nil
+}
+
+func (s *setup) checkTenants() error {
+	seen := map[string]bool{}
+	for i, tenant := range s.Tenants {
+		if tenant.Name == "" || seen[tenant.Name] {
+			return setupErrorf("customers[%d] (%q): a name of its own is wanted", i, tenant.Name)
+		}
+		seen[tenant.Name] = true
+	}
+	return nil
+}
