--- a/internal/config/nginx/nginx_test.go
+++ b/internal/config/nginx/nginx_test.go
@@ -9,70 +9,80 @@
 	"spurwinch/internal/config"
 )
 
-// TestImport compares what the importer makes of testdata/*.conf with the files beside them, and has the program's
-// own reader load the output: the round trip.
+// TestImport compares what the importer makes of testdata/*.conf with the files beside them, and has the program's own
+// reader load the output.
 func TestImport(t *testing.T) {
-	files, _ := filepath.Glob("testdata/*.conf")
-	if len(files) == 0 {
-		t.Fatal("no files")
+	files, err := filepath.Glob("testdata/*.conf")
+	if err != nil || len(files) == 0 {
+		t.Fatalf("got files %v and error %v, want one file or more", files, err)
 	}
-	for _, f := range files {
-		t.Run(filepath.Base(f), func(t *testing.T) {
-			src, err := os.ReadFile(f)
-			if err != nil {
-				t.Fatal(err)
-			}
-			out, warnings, err := Import(filepath.Base(f), string(src))
-			got := strings.Join(warnings, "\n") + "\n"
-			if err != nil {
-				got += err.Error() + "\n"
-			}
-			compare(t, strings.TrimSuffix(f, ".conf")+".notes", strings.TrimLeft(got, "\n"))
-			if err != nil {
-				return
-			}
-			compare(t, strings.TrimSuffix(f, ".conf")+".toml", string(out))
-			path := filepath.Join(t.TempDir(), "operator.toml")
-			if err := os.WriteFile(path, out, 0o600); err != nil {
-				t.Fatal(err)
-			}
-			o, err := config.ReadOperator(path)
-			if err != nil {
-				t.Fatal("the program does not load it:", err)
-			}
-			if len(o.Listeners) == 0 || len(o.Domains) == 0 || len(o.Clusters) == 0 {
-				t.Fatalf("nothing left of it: %+v", o)
-			}
-		})
+	for _, file := range files {
+		t.Run(filepath.Base(file), func(t *testing.T) { checkImport(t, file) })
 	}
 }
 
-func compare(t *testing.T, path, got string) {
-	want, err := os.ReadFile(path)
+// checkImport checks the import of one file.
+func checkImport(t *testing.T, file string) {
+	t.Helper()
+	source, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	base := strings.TrimSuffix(file, ".conf")
+	out, warnings, err := Import(filepath.Base(file), string(source))
+	notes := strings.Join(warnings, "\n") + "\n"
+	if err != nil {
+		notes += err.Error() + "\n"
+	}
+	compareWithFile(t, base+".notes", strings.TrimLeft(notes, "\n"))
+	if err != nil {
+		return
+	}
+	compareWithFile(t, base+".toml", string(out))
+	operator, err := config.ReadOperator(writeTemp(t, out))
+	if err != nil {
+		t.Fatalf("the program does not load the output: %v", err)
+	}
+	if len(operator.Listeners) == 0 || len(operator.Domains) == 0 || len(operator.Clusters) == 0 {
+		t.Fatalf("the output is read as %+v, want listeners, domains and clusters", operator)
+	}
+}
+
+// writeTemp writes a file of the test's own and returns its path.
+func writeTemp(t *testing.T, content []byte) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "operator.toml")
+	if err := os.WriteFile(path, content, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// compareWithFile compares a text with a file, or writes the file where UPDATE is set.
+func compareWithFile(t *testing.T, path, got string) {
+	t.Helper()
 	if os.Getenv("UPDATE") != "" {
 		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
+	want, err := os.ReadFile(path)
 	if err != nil || string(want) != got {
 		t.Errorf("%s: %v\ngot:\n%s\nwant:\n%s", path, err, got, want)
 	}
 }
 
+// FuzzImport has any text for a configuration: where there is an output, the program loads it.
 func FuzzImport(f *testing.F) {
 	f.Add("upstream a { server 127.0.0.1; }\nserver { location / { proxy_pass http://a; } }")
 	f.Add("server { listen '5222'; server_name \"a b\" ${x}; proxy_pass 127.0.0.1:1 # }")
-	f.Fuzz(func(t *testing.T, src string) {
-		out, _, err := Import("x", src)
+	f.Fuzz(func(t *testing.T, source string) {
+		out, _, err := Import("x", source)
 		if err != nil {
 			return
 		}
-		path := filepath.Join(t.TempDir(), "operator.toml")
-		if err := os.WriteFile(path, out, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := config.ReadOperator(path); err != nil {
+		if _, err := config.ReadOperator(writeTemp(t, out)); err != nil {
 			t.Fatalf("not loaded: %v\n%s", err, out)
 		}
 	})
