--- a/internal/operations/capture/helpers_test.go
+++ b/internal/operations/capture/helpers_test.go
@@ -74,7 +74,8 @@
 		switch record := record.(type) {
 		case Placed:
 			count.placed++
-			if record.Load != 0.25 || len(record.Tries) != 1 || record.Tries[0].Host != "h1" || record.Client < 5000 {
+			oneAttempt := len(record.Tries) == 1 && record.Tries[0].Host == "h1"
+			if record.Load != 0.25 || !oneAttempt || record.Client < 5000 {
 				tb.Fatalf("a request is read as %+v", record)
 			}
 		case Ended:
--- a/internal/operations/capture/writer.go
+++ b/internal/operations/capture/writer.go
@@ -25,7 +25,8 @@
 	Queue    int     // records that may wait for the writer
 	Header   Header
 	Began    time.Time // of offset 0; zero: now
-	// Fault is called with what could not be written, on the writer's goroutine; capturing goes on with the next block.
+	// Fault is called with what could not be written, on the writer's goroutine. Capturing goes on with the next
+	// block.
 	Fault func(error)
 }
 
@@ -102,8 +103,8 @@
 // PutWait queues a record and waits for room. It is for tools; a node must not wait.
 func (w *Writer) PutWait(record Record) { w.queue <- record }
 
-// Named sets the names of classes and tenants, of which there are more now: records put from now on may have indices of
-// the new ones. The open file ends, since its header has the old ones.
+// Named sets the names of classes and tenants, of which there are more now: records put from now on may have indices
+// of the new ones. The open file ends, since its header has the old ones.
 func (w *Writer) Named(classes, tenants []string) { w.newNames.Store(&names{classes, tenants}) }
 
 // Files are the files that are kept, oldest first. It may be called after Close, when they are complete.
@@ -194,11 +195,7 @@
 // encode appends a record to the next block.
 func (w *Writer) encode(record Record) {
 	length := w.buffer.Len()
-	err := w.encoder.Encode(record.kind())
-	if err == nil {
-		err = w.encoder.Encode(record)
-	}
-	if err != nil {
+	if err := encodeRecord(w.encoder, record); err != nil {
 		w.buffer.Truncate(length)
 		w.reportError(fmt.Errorf("capture: %w", err))
 	}
@@ -252,28 +249,36 @@
 	if err := w.files.writeBlock(header); err != nil {
 		return err
 	}
-	if len(w.hosts) == 0 {
-		return nil
-	}
-	hosts, err := w.encodeHosts()
-	if err != nil {
-		return fmt.Errorf("capture: %w", err)
-	}
-	return w.files.writeBlock(hosts)
+	return w.writeHosts()
 }
 
-// encodeHosts is the hosts of the endpoint list as records of now.
-func (w *Writer) encodeHosts() ([]byte, error) {
+// writeHosts writes the hosts of the endpoint list as records of now, in blocks of the usual size: a reader takes none
+// of over maxRawBytes.
+func (w *Writer) writeHosts() error {
 	var buffer bytes.Buffer
 	encoder := cbor.NewEncoder(&buffer)
 	for _, host := range w.hosts {
 		host.At = w.Offset(time.Now())
-		if err := encoder.Encode(host.kind()); err != nil {
-			return nil, err
+		if err := encodeRecord(encoder, host); err != nil {
+			return fmt.Errorf("capture: %w", err)
 		}
-		if err := encoder.Encode(host); err != nil {
-			return nil, err
+		if buffer.Len() >= blockBytes {
+			if err := w.files.writeBlock(buffer.Bytes()); err != nil {
+				return err
+			}
+			buffer.Reset()
 		}
 	}
-	return buffer.Bytes(), nil
+	if buffer.Len() == 0 {
+		return nil
+	}
+	return w.files.writeBlock(buffer.Bytes())
+}
+
+// encodeRecord encodes the kind of a record and the record.
+func encodeRecord(encoder *cbor.Encoder, record Record) error {
+	if err := encoder.Encode(record.kind()); err != nil {
+		return err
+	}
+	return encoder.Encode(record)
 }
