--- a/internal/operations/capture/format.go
+++ b/internal/operations/capture/format.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"slices"
 	"unicode/utf8"
 
 	"github.com/cespare/xxhash/v2"
@@ -82,3 +83,18 @@
 	}
 	return name[:end]
 }
+
+// truncateAttempts is the attempts that are recorded, with their hosts' ids as records of hosts have them. The caller's
+// attempts stay as they are.
+func truncateAttempts(attempts []Try) []Try {
+	attempts = attempts[:min(len(attempts), maxAttempts)]
+	isLong := func(attempt Try) bool { return len(attempt.Host) > maxNameBytes }
+	if !slices.ContainsFunc(attempts, isLong) {
+		return attempts
+	}
+	attempts = slices.Clone(attempts)
+	for i := range attempts {
+		attempts[i].Host = truncate(attempts[i].Host)
+	}
+	return attempts
+}
--- a/internal/operations/capture/limits_test.go
+++ b/internal/operations/capture/limits_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 )
 
@@ -22,3 +23,43 @@
 		t.Errorf("got %d hosts and faults %v, want %d and no fault", count.hosts, faults, hosts)
 	}
 }
+
+// TestLongHostOfAttempts has a host whose id is longer than a record holds, and so long that the attempts of one
+// request would fill more than a block: attempts and reports name it as its own record does.
+func TestLongHostOfAttempts(t *testing.T) {
+	writer := startWriter(t, options(t))
+	id := strings.Repeat("x", maxRawBytes/maxAttempts)
+	attempts := make([]Try, maxAttempts+1)
+	for i := range attempts {
+		attempts[i].Host = id
+	}
+	writer.Put(Host{ID: id})
+	writer.Put(Placed{Seq: 1, Tenant: -1, Tries: attempts})
+	writer.Put(Report{Host: id})
+	closeWriter(writer)
+	var names []string
+	_, faults, err := ReadFile(writer.Files()[0], func(_ Header, record Record) {
+		switch record := record.(type) {
+		case Host:
+			names = append(names, record.ID)
+		case Placed:
+			for _, attempt := range record.Tries {
+				names = append(names, attempt.Host)
+			}
+		case Report:
+			names = append(names, record.Host)
+		}
+	})
+	if err != nil || len(faults) > 0 || len(names) != 1+maxAttempts+1 {
+		t.Fatalf("got %d names, faults %v and error %v, want %d names and no fault",
+			len(names), faults, err, 1+maxAttempts+1)
+	}
+	for _, name := range names {
+		if name != id[:maxNameBytes] {
+			t.Errorf("got a host's id of %d bytes, want its first %d", len(name), maxNameBytes)
+		}
+	}
+	if attempts[0].Host != id {
+		t.Error("the caller's record was changed")
+	}
+}
--- a/internal/operations/capture/writer.go
+++ b/internal/operations/capture/writer.go
@@ -154,13 +154,16 @@
 	case Placed:
 		w.applyNames()
 		if w.sampler.takeRequest(&record) {
-			record.Tries = record.Tries[:min(len(record.Tries), maxAttempts)]
+			record.Tries = truncateAttempts(record.Tries)
 			w.encode(record)
 		}
 	case Ended:
 		if w.sampler.takeEnd(record.Seq) {
 			w.encode(record)
 		}
+	case Report:
+		record.Host = truncate(record.Host)
+		w.encode(record)
 	case Host:
 		w.takeHost(record)
 	default:
