--- /dev/null
+++ b/internal/xmpp/streamerror.go
@@ -0,0 +1,101 @@
+package xmpp
+
+import (
+	"strconv"
+	"strings"
+
+	"spurwinch/internal/edge"
+	"spurwinch/internal/trace"
+)
+
+// condition is a defined condition of a stream error (RFC 6120, section 4.9.3).
+type condition string
+
+const (
+	noCondition            condition = "" // the stream can go on
+	badFormat              condition = "bad-format"
+	conflict               condition = "conflict"
+	connectionTimeout      condition = "connection-timeout"
+	hostUnknown            condition = "host-unknown"
+	internalServerError    condition = "internal-server-error"
+	invalidNamespace       condition = "invalid-namespace"
+	notWellFormed          condition = "not-well-formed"
+	policyViolation        condition = "policy-violation"
+	remoteConnectionFailed condition = "remote-connection-failed"
+	resourceConstraint     condition = "resource-constraint"
+	restrictedXML          condition = "restricted-xml"
+	seeOtherHost           condition = "see-other-host"
+	streamReset            condition = "reset"
+	systemShutdown         condition = "system-shutdown"
+	unsupportedEncoding    condition = "unsupported-encoding"
+	unsupportedVersion     condition = "unsupported-version"
+)
+
+// closeReason returns the reason under which a close by a stream error is counted.
+func (c condition) closeReason() trace.Close {
+	return trace.Close("stream_error_" + strings.ReplaceAll(string(c), "-", "_"))
+}
+
+// localReplies has the stream error for each reason of a rejection by the core.
+var localReplies = map[edge.Why]struct {
+	condition condition
+	text      string
+}{
+	edge.Busy:           {resourceConstraint, "no server can take the session now"},
+	edge.ShuttingDown:   {systemShutdown, "connect again"},
+	edge.Unreachable:    {remoteConnectionFailed, "the server can't be reached"},
+	edge.ServerLost:     {remoteConnectionFailed, "the server was lost"},
+	edge.DeadlinePassed: {connectionTimeout, "the session was not set up in time"},
+}
+
+// LocalReply gives the session its final answer in place of a server's.
+func (s *clientSession) LocalReply(reply edge.LocalReply) {
+	streamError, known := localReplies[reply.Why]
+	if !known || !reply.Rejected {
+		streamError.condition = internalServerError
+		streamError.text = ""
+	}
+	if reply.RetryAfter > 0 {
+		milliseconds := strconv.FormatInt(reply.RetryAfter.Milliseconds(), 10)
+		streamError.text += "; come again after " + milliseconds + " ms"
+	}
+	s.fail(streamError.condition, streamError.text)
+}
+
+// fail ends the session with a stream error. It does nothing once the session is over.
+func (s *clientSession) fail(bad condition, text string) {
+	if s.over {
+		return
+	}
+	markup := s.errorMarkup(bad, text)
+	if s.upstream != nil && s.committed && !s.upstream.received.betweenStanzas() && s.upstream.partForwarded {
+		markup = "" // the client is inside a stanza: any markup would only garble it
+	}
+	if !s.established {
+		s.front.Answers.Errors++
+	}
+	s.end(markup, bad.closeReason())
+}
+
+// errorMarkup returns a stream error and the stream's end, after a stream header if the client waits for one.
+func (s *clientSession) errorMarkup(bad condition, text string) string {
+	var markup strings.Builder
+	prefix := "stream"
+	if s.headerPending {
+		markup.WriteString(s.streamHeader(s.domainName, "xml:lang='en' "))
+	} else if s.upstream != nil && s.upstream.received.prefix != "" {
+		prefix = s.upstream.received.prefix
+	}
+	markup.WriteString("<" + prefix + ":error><" + string(bad) + " xmlns='" + streamErrorNS + "'/>")
+	if text != "" {
+		markup.WriteString("<text xmlns='" + streamErrorNS + "' xml:lang='en'>" + escape(text) + "</text>")
+	}
+	markup.WriteString("</" + prefix + ":error></" + prefix + ":stream>")
+	return markup.String()
+}
+
+// streamHeader returns a stream header of this node. The attributes, each followed by a space, are added to it.
+func (s *clientSession) streamHeader(from, attributes string) string {
+	return "<?xml version='1.0'?><stream:stream from='" + escape(from) + "' id='" + s.front.newID() +
+		"' version='1.0' " + attributes + "xmlns='" + clientNS + "' xmlns:stream='" + streamNS + "'>"
+}
--- /dev/null
+++ b/internal/xmpp/token.go
@@ -0,0 +1,169 @@
+package xmpp
+
+import (
+	"bytes"
+	"strings"
+)
+
+const maxAttributes = 64 // of one tag
+
+// Depths of the elements that the front looks at. RFC 6120 calls the children of the root stanzas, or elements of the
+// stream; here each of them is a stanza.
+const (
+	rootDepth   = 1
+	stanzaDepth = 2
+	childDepth  = 3 // of a stanza's own children
+)
+
+type tokenKind uint8
+
+const (
+	declarationToken tokenKind = iota // an XML declaration
+	startToken
+	endToken
+	textToken // text, or a CDATA section
+)
+
+// token is one piece of markup or text. Its raw bytes are valid until the scanner's next call.
+type xmlToken struct {
+	kind        tokenKind
+	raw         []byte
+	name        string
+	attributes  []xmlAttribute
+	selfClosing bool // an element without content
+	depth       int  // of the element; of text: how many elements are open around it
+	endsStanza  bool // a stanza, or the root, is complete with this token
+}
+
+type xmlAttribute struct{ name, value string }
+
+// starts reports whether the token is the start tag of an element at a depth.
+func (t *xmlToken) starts(depth int) bool { return t.kind == startToken && t.depth == depth }
+
+// isElement reports whether the token names an element by its local name and its own declaration of a namespace.
+func (t *xmlToken) isElement(local, namespace string) bool {
+	return localName(t.name) == local && t.attribute("xmlns") == namespace
+}
+
+func (t *xmlToken) isBlank() bool { return t.kind == textToken && len(bytes.TrimSpace(t.raw)) == 0 }
+
+// attribute returns the value of an attribute, empty where the tag has none of the name.
+func (t *xmlToken) attribute(name string) string {
+	for _, attribute := range t.attributes {
+		if attribute.name == name {
+			return attribute.value
+		}
+	}
+	return ""
+}
+
+// parseTag parses a whole tag, from "<" to ">".
+func parseTag(raw []byte) (token xmlToken, ok bool) {
+	token = xmlToken{kind: startToken, raw: raw}
+	content := raw[1 : len(raw)-1]
+	switch {
+	case len(content) > 0 && content[0] == '/':
+		token.kind = endToken
+		content = content[1:]
+	case len(content) > 0 && content[len(content)-1] == '/':
+		token.selfClosing = true
+		content = content[:len(content)-1]
+	}
+	size := nameSize(content)
+	if size == 0 {
+		return token, false
+	}
+	token.name = string(content[:size])
+	content = content[size:]
+	for {
+		unspaced := trimSpace(content)
+		if len(unspaced) == 0 {
+			return token, true
+		}
+		separated := len(unspaced) < len(content)
+		if !separated || token.kind == endToken || len(token.attributes) == maxAttributes {
+			return token, false
+		}
+		next, rest, ok := parseAttribute(unspaced)
+		if !ok || token.has(next.name) {
+			return token, false
+		}
+		token.attributes = append(token.attributes, next)
+		content = rest
+	}
+}
+
+// parseAttribute parses the attribute that content begins with, and returns what follows it.
+func parseAttribute(content []byte) (parsed xmlAttribute, rest []byte, ok bool) {
+	size := nameSize(content)
+	if size == 0 {
+		return xmlAttribute{}, nil, false
+	}
+	parsed.name = string(content[:size])
+	content = trimSpace(content[size:])
+	if len(content) == 0 || content[0] != '=' {
+		return xmlAttribute{}, nil, false
+	}
+	content = trimSpace(content[1:])
+	if len(content) == 0 || content[0] != '"' && content[0] != '\'' {
+		return xmlAttribute{}, nil, false
+	}
+	quote := content[0]
+	content = content[1:]
+	size = bytes.IndexByte(content, quote)
+	if size < 0 || bytes.IndexByte(content[:size], '<') >= 0 {
+		return xmlAttribute{}, nil, false
+	}
+	parsed.value = unescape(string(content[:size]))
+	return parsed, content[size+1:], true
+}
+
+func (t *xmlToken) has(attributeName string) bool {
+	for _, attribute := range t.attributes {
+		if attribute.name == attributeName {
+			return true
+		}
+	}
+	return false
+}
+
+// tagEnd returns the index of the ">" that ends a tag, past quoted values; -1: it has not been received.
+func tagEnd(data []byte) int {
+	quote := byte(0)
+	for i, b := range data {
+		switch {
+		case quote != 0:
+			if b == quote {
+				quote = 0
+			}
+		case b == '"' || b == '\'':
+			quote = b
+		case b == '>':
+			return i
+		}
+	}
+	return -1
+}
+
+// nameSize counts the bytes of the name that data begins with.
+func nameSize(data []byte) int {
+	for i, b := range data {
+		switch {
+		case b >= 'a' && b <= 'z', b >= 'A' && b <= 'Z', b == '_', b == ':', b >= 0x80:
+		case i > 0 && (b >= '0' && b <= '9' || b == '-' || b == '.'):
+		default:
+			return i
+		}
+	}
+	return len(data)
+}
+
+func trimSpace(data []byte) []byte { return bytes.TrimLeft(data, " \t\r\n") }
+
+var unescaper = strings.NewReplacer("&lt;", "<", "&gt;", ">", "&apos;", "'", "&quot;", `"`, "&amp;", "&")
+
+func unescape(text string) string { return unescaper.Replace(text) }
+
+var escaper = strings.NewReplacer("&", "&amp;", "<", "&lt;", ">", "&gt;", "'", "&apos;", `"`, "&quot;")
+
+func escape(text string) string { return escaper.Replace(text) }
--- /dev/null
+++ b/internal/xmpp/transfer.go
@@ -0,0 +1,259 @@
+package xmpp
+
+import (
+	"errors"
+	"fmt"
+
+	"spurwinch/internal/edge"
+	"spurwinch/internal/loop"
+	resumable "spurwinch/internal/session"
+	"spurwinch/internal/trace"
+)
+
+// Errors of a connection's state that another process has sent.
+var (
+	// ErrStreamOverLimits is a stream that this node's limits don't allow.
+	ErrStreamOverLimits = errors.New("a stream that this node's limits don't allow")
+	// ErrSocketCount is a connection that came with fewer or more sockets than it has.
+	ErrSocketCount = errors.New("wrong number of sockets")
+	// ErrIncompleteSession is a state in which the client's and the server's side don't fit together.
+	ErrIncompleteSession = errors.New("incomplete session")
+)
+
+// Stream is the state of a scanner.
+type Stream struct {
+	Part    []byte   `cbor:"1,keyasint,omitempty"` // a token not whole yet
+	Stack   []string `cbor:"2,keyasint,omitempty"`
+	Prefix  string   `cbor:"3,keyasint,omitempty"`
+	Size    int      `cbor:"4,keyasint,omitempty"`
+	Started bool     `cbor:"5,keyasint,omitempty"`
+	Ended   bool     `cbor:"6,keyasint,omitempty"`
+	Restart bool     `cbor:"7,keyasint,omitempty"`
+}
+
+// Standing is what the front knows of a client's connection, as one process of a node sends it to another at a hot
+// restart. An established session has a server's side; any other connection has not sent a whole stream header yet.
+type Standing struct {
+	Conn   loop.ConnectionState `cbor:"1,keyasint"`
+	In     Stream               `cbor:"2,keyasint"`
+	To     string               `cbor:"3,keyasint,omitempty"`
+	Host   *Host                `cbor:"4,keyasint,omitempty"`
+	Until  int64                `cbor:"5,keyasint,omitempty"` // the header's deadline in Unix ns, read if Left is 0
+	Left   int64                `cbor:"8,keyasint,omitempty"` // until that deadline, in ns
+	Opened bool                 `cbor:"6,keyasint,omitempty"` // the client waits for a stream header
+
+	Resumes *resumable.Session `cbor:"7,keyasint,omitempty"` // that its client can resume
+}
+
+// Host is the server's side of an established session.
+type Host struct {
+	Conn   loop.ConnectionState `cbor:"1,keyasint"`
+	In     Stream               `cbor:"2,keyasint"`
+	Inside bool                 `cbor:"3,keyasint,omitempty"` // an unfinished stanza has been forwarded
+}
+
+// state returns what another process needs to go on with the scanner.
+func (s *scanner) state() Stream {
+	return Stream{
+		Part: s.pending, Stack: s.elements, Prefix: s.prefix, Size: s.size,
+		Started: s.started, Ended: s.ended, Restart: s.restart,
+	}
+}
+
+// restoreScanner returns a scanner in a state that passed checkStream.
+func (f *Front) restoreScanner(state Stream) scanner {
+	return scanner{
+		maxBytes: f.limits.Stanza, pending: state.Part, elements: state.Stack, prefix: state.Prefix, size: state.Size,
+		started: state.Started, ended: state.Ended, restart: state.Restart,
+	}
+}
+
+// checkStream checks the state of a scanner of another process.
+func (f *Front) checkStream(state Stream) error {
+	maxBytes := f.limits.Stanza
+	isSizeValid := state.Size >= 0 && state.Size <= maxBytes+len(state.Part)
+	if len(state.Part) > maxBytes || len(state.Stack) > maxDepth || !isSizeValid {
+		return ErrStreamOverLimits
+	}
+	return nil
+}
+
+// Detach takes both sides of an established session off the loop. A session below TLS or WebSocket stays: keys can't be
+// passed on, and messages may be incomplete. So does one that is about to end.
+func (s *clientSession) Detach() (fds []int, state any, ok bool) {
+	server := s.upstream
+	if s.layered || s.over || !s.established || s.migrating {
+		return nil, nil, false
+	}
+	if server == nil || server.over || len(server.held) > 0 {
+		return nil, nil, false
+	}
+	standing := Standing{
+		In: s.received.state(), To: s.domainName, Opened: s.headerPending,
+		Host: &Host{In: server.received.state(), Inside: server.partForwarded},
+	}
+	if known, ok := s.front.resumable.Find(s.front.loop.Now(), s.key); ok {
+		standing.Resumes = &known
+	}
+	fds = make([]int, 2)
+	fds[0], standing.Conn, ok = s.socket.Detach()
+	if !ok {
+		return nil, nil, false
+	}
+	fds[1], standing.Host.Conn, ok = server.conn.Detach()
+	if !ok {
+		s.socket.Reattach()
+		return nil, nil, false
+	}
+	return fds, standing, true
+}
+
+// Reattach puts a detached session on the loop again.
+func (s *clientSession) Reattach() {
+	s.socket.Reattach()
+	if s.upstream != nil {
+		s.upstream.conn.Reattach()
+	}
+}
+
+// Release closes this process's descriptors of a detached session that another process has taken.
+func (s *clientSession) Release() {
+	// The resumable session is the other process's to know.
+	delete(s.front.owners, s.key)
+	s.front.resumable.Forget(s.key)
+	s.key = resumable.Key{}
+	s.finish(trace.Transferred)
+	s.socket.Release()
+	if s.upstream != nil {
+		s.upstream.over = true
+		s.upstream.conn.Release()
+	}
+}
+
+// Idle is a connection whose stream header has not been received whole.
+type Idle struct{ session *clientSession }
+
+// Idle lists the connections whose stream header has not been received whole, the oldest first.
+func (f *Front) Idle() []Idle {
+	var connections []Idle
+	f.loop.EachIdle(func(handler loop.Handler) {
+		session, ok := handler.(*clientSession)
+		if ok && session.front == f && !session.over && session.request == nil {
+			connections = append(connections, Idle{session})
+		}
+	})
+	return connections
+}
+
+// Detach takes the connection off the loop.
+func (i Idle) Detach() (fds []int, state any, ok bool) {
+	session := i.session
+	if session.over || session.request != nil || session.awaitsStartTLS || session.layered {
+		return nil, nil, false
+	}
+	fd, conn, ok := session.socket.Detach()
+	if !ok {
+		return nil, nil, false
+	}
+	session.stopTimer()
+	return []int{fd}, Standing{
+		Conn:  conn,
+		In:    session.received.state(),
+		Until: session.headerDeadline.UnixNano(),
+		Left:  loop.TimeLeft(session.front.loop.Now(), session.headerDeadline),
+	}, true
+}
+
+// Reattach puts a detached connection on the loop again.
+func (i Idle) Reattach() {
+	i.session.Reattach()
+	i.session.awaitHeader(i.session.headerDeadline)
+}
+
+// Release closes this process's descriptor of a detached connection that another process has taken.
+func (i Idle) Release() { i.session.Release() }
+
+// Hold checks the whole state of a connection of another process, which readState decodes. The function that it returns
+// restores the connection here. It takes the descriptors of the client's side and, of an established session, the
+// server's; open is the core's state of such a session.
+func (f *Front) Hold(
+	core *edge.Core, open *edge.ConnectionState, readState func(into any) error, fds []int,
+) (restore func(), err error) {
+	var state Standing
+	if err := readState(&state); err != nil {
+		return nil, err
+	}
+	if err := f.checkState(state, open != nil, len(fds)); err != nil {
+		return nil, err
+	}
+	if open == nil {
+		return func() { f.restoreIdle(state, fds[0]) }, nil
+	}
+	return func() { f.restoreSession(core, *open, state, fds) }, nil
+}
+
+// checkState checks a connection's state against this node's limits, and its parts against each other.
+func (f *Front) checkState(state Standing, established bool, sockets int) error {
+	if err := f.checkStream(state.In); err != nil {
+		return err
+	}
+	wanted := 1
+	if state.Host != nil {
+		wanted = 2
+		if err := f.checkStream(state.Host.In); err != nil {
+			return err
+		}
+	}
+	if sockets != wanted {
+		return fmt.Errorf("%d sockets of a connection that has %d: %w", sockets, wanted, ErrSocketCount)
+	}
+	if established != (state.Host != nil) {
+		return ErrIncompleteSession
+	}
+	if resumed := state.Resumes; resumed != nil && (state.Host == nil || resumed.ID == "" || resumed.Host == "") {
+		return ErrIncompleteSession
+	}
+	return nil
+}
+
+// restoreSession goes on with an established session of another process.
+func (f *Front) restoreSession(core *edge.Core, open edge.ConnectionState, state Standing, fds []int) {
+	session := &clientSession{
+		front: f, received: f.restoreScanner(state.In), domainName: state.To, committed: true, established: true,
+		headerPending: state.Opened,
+	}
+	session.request, session.attempt = core.Adopt(open, session)
+	session.upstream = &upstreamRequest{
+		session: session, attempt: session.attempt, received: f.restoreScanner(state.Host.In), begun: true,
+		partForwarded: state.Host.Inside,
+	}
+	session.upstream.conn = f.loop.Restore(fds[1], state.Host.Conn, session.upstream)
+	session.attempt.Resume(session.upstream)
+	if state.Resumes != nil {
+		session.user = state.Resumes.User
+		session.connected(*state.Resumes)
+	}
+	session.restoreClient(fds[0], state.Conn, f.configuredName(session.domain()))
+	if len(state.Conn.Out) == 0 { // else the server's side is read once these bytes have gone to the kernel
+		session.upstream.conn.Resume()
+	}
+	if len(state.Host.Conn.Out) == 0 {
+		session.client.Resume()
+	}
+}
+
+// restoreIdle goes on with a connection of another process whose stream header has not been received whole.
+func (f *Front) restoreIdle(state Standing, fd int) {
+	f.Answers.Sessions++
+	session := &clientSession{front: f, received: f.restoreScanner(state.In), headerPending: true}
+	session.restoreClient(fd, state.Conn, "")
+	session.socket.EnterIdleQueue()
+	session.awaitHeader(loop.TimeFromLeft(f.loop.Now(), state.Left, state.Until, f.limits.HeaderTime))
+}
+
+// restoreClient sets the client's side of a connection of another process.
+func (s *clientSession) restoreClient(fd int, state loop.ConnectionState, configuredDomain string) {
+	s.socket = s.front.loop.Restore(fd, state, s)
+	s.client = s.socket
+	s.admission = s.front.admission.Restore(s.front.loop.Now(), s.socket.Peer, configuredDomain)
+}
--- a/internal/xmpp/websocket.go
+++ b/internal/xmpp/websocket.go
@@ -9,153 +9,190 @@
 )
 
 const (
-	framingNS = "urn:ietf:params:xml:ns:xmpp-framing"
-	webName   = "xmpp" // the sub-protocol (RFC 7395, 3.1)
+	subprotocol = "xmpp" // of WebSocket (RFC 7395, section 3.1)
+	openName    = "open"
+	closeName   = "close"
 )
 
-// framed turns messages (RFC 7395) into the stream that a session speaks, and back: its client has one element a message.
-type framed struct {
-	s     *session
-	under *websocket.Conn
-	in    scanner // of what the messages make up: each must leave it between two elements
-	out   scanner // of what the session writes
-	child []byte  // as far as it has come
-	ended bool    // <close/> has been sent
+// messageConn translates between the messages of a WebSocket client (RFC 7395), each of which is one element, and the
+// stream that a session reads and writes.
+type messageConn struct {
+	session   *clientSession
+	webSocket *websocket.Conn
+	received  scanner // of the stream that the client's messages make up: each must leave it between stanzas
+	sent      scanner // of the stream that the session writes
+	stanza    []byte  // of the session, as far as it was written
+	closeSent bool
 }
 
-// frame puts messages under a session.
-func (s *session) frame() *framed {
-	most := s.front.limits.Stanza
-	f := &framed{s: s, in: scanner{most: most, restart: true}, out: scanner{most: most, restart: true}}
-	f.under = websocket.Server(webName, most, func(fn func()) { s.front.loop.At(s.front.loop.Now(), fn) }, f)
-	s.conn = f
-	return f
+var _ loop.Handler = (*messageConn)(nil)
+
+// newMessageConn returns the connection that the session is to use. Bytes below WebSocket go to its webSocket.
+func (s *clientSession) newMessageConn() *messageConn {
+	m := &messageConn{session: s, received: s.front.newScanner(), sent: s.front.newScanner()}
+	m.received.restart = true
+	m.sent.restart = true
+	afterCallback := func(run func()) { s.front.loop.At(s.front.loop.Now(), run) }
+	m.webSocket = websocket.Server(subprotocol, s.front.limits.Stanza, afterCallback, m)
+	return m
 }
 
-// OnConnect is for connections dialled.
-func (f *framed) OnConnect() {}
+// OnConnect does nothing: the connection was accepted, not dialled.
+func (m *messageConn) OnConnect() {}
 
-// OnDrained tells the session.
-func (f *framed) OnDrained() { f.s.OnDrained() }
+// OnDrained tells the session that all written bytes have gone to the kernel.
+func (m *messageConn) OnDrained() { m.session.OnDrained() }
 
-// Evict tells the session that its connection is wanted for another one.
-func (f *framed) Evict() { f.s.Evict() }
+// Evict has the session give up its place for another connection.
+func (m *messageConn) Evict() { m.session.Evict() }
 
-// OnEnd tells the session of its client's end.
-func (f *framed) OnEnd(err error) { f.s.OnEnd(err) }
+// OnEnd tells the session that its client has ended.
+func (m *messageConn) OnEnd(err error) { m.session.OnEnd(err) }
 
 // OnData takes a message.
-func (f *framed) OnData(p []byte) {
-	if p = bytes.TrimSpace(p); len(p) == 0 { // a keepalive
+func (m *messageConn) OnData(message []byte) {
+	message = bytes.TrimSpace(message)
+	if len(message) == 0 { // a keepalive
 		return
 	}
-	if bytes.HasPrefix(p, []byte("<open")) || bytes.HasPrefix(p, []byte("<close")) {
-		t, ok := parseTag(p)
-		if !ok || t.kind != start || t.attr("xmlns") != framingNS || !t.empty && !bytes.HasSuffix(p, []byte("/>")) {
-			f.s.fail(badFormat, "a framing element that can't be read")
-			return
-		}
-		if t.name == "close" {
-			p = []byte("</stream:stream>")
-		} else {
-			p = header(t)
-		}
-	} else if bytes.HasPrefix(p, []byte("<?")) || bytes.HasPrefix(p, []byte("</")) || bytes.HasPrefix(p, []byte("<stream:stream")) {
-		f.s.fail(badFormat, "a stream's markup in a message")
+	markup, errorText := fromMessage(message)
+	if errorText != "" {
+		m.session.fail(badFormat, errorText)
 		return
 	}
-	f.in.restart = f.in.restart || len(f.in.stack) <= 1
-	// Each message is one element, whole (RFC 7395, 3.3.3): what is left open would have the next one read inside it.
-	_, bad := f.in.feed(p, func(token) bool { return true })
-	if bad == "" && (len(f.in.part) > 0 || !f.in.between()) {
+	m.received.restart = m.received.restart || m.received.betweenStanzas()
+	// Each message is one whole element (RFC 7395, section 3.3.3): an open one would have the next read inside it.
+	_, bad := m.received.feed(markup, func(xmlToken) bool { return true })
+	if bad == noCondition && (len(m.received.pending) > 0 || !m.received.betweenStanzas()) {
 		bad = badFormat
 	}
-	if bad != "" {
-		f.s.fail(bad, "")
+	if bad != noCondition {
+		m.session.fail(bad, "")
 		return
 	}
-	f.s.OnData(p)
+	m.session.OnData(markup)
 }
 
-// header is the stream header that an <open/> stands for.
-func header(t token) []byte {
-	var b strings.Builder
-	b.WriteString("<stream:stream xmlns='" + clientNS + "' xmlns:stream='" + streamNS + "'")
-	for _, name := range []string{"to", "from", "version", "xml:lang"} {
-		if v := t.attr(name); v != "" {
-			b.WriteString(" " + name + "='" + escape(v) + "'")
+// fromMessage returns the markup of a stream that a message stands for, or the text of an error.
+func fromMessage(message []byte) (markup []byte, errorText string) {
+	if bytes.HasPrefix(message, []byte("<"+openName)) || bytes.HasPrefix(message, []byte("<"+closeName)) {
+		return fromFraming(message)
+	}
+	for _, markup := range []string{"<?", "</", "<stream:stream"} {
+		if bytes.HasPrefix(message, []byte(markup)) {
+			return nil, "a stream's markup in a message"
 		}
 	}
-	b.WriteString(">")
-	return []byte(b.String())
+	return message, ""
 }
 
-// Write takes what the session has for its client, and sends each child of the stream as a message.
-func (f *framed) Write(p []byte) {
-	f.out.restart = f.out.restart || len(f.out.stack) <= 1
-	f.out.feed(p, func(t token) bool {
-		switch {
-		case t.kind == decl, t.depth <= 1 && t.kind == text:
-		case t.kind == start && t.depth == 1:
-			f.open(t)
-		case t.kind == end && t.depth == 1:
-			f.close()
-		default:
-			if t.kind == start && t.depth == 2 {
-				f.child = append(f.child, declared(t)...)
-			} else {
-				f.child = append(f.child, t.raw...)
-			}
-			if t.whole {
-				f.under.Write(f.child)
-				f.child = f.child[:0]
-			}
+// fromFraming returns the stream header that an <open/> stands for, or the end tag that a <close/> does.
+func fromFraming(message []byte) (markup []byte, errorText string) {
+	token, ok := parseTag(message)
+	isEmpty := token.selfClosing || bytes.HasSuffix(message, []byte("/>"))
+	if !ok || token.kind != startToken || token.attribute("xmlns") != framingNS || !isEmpty {
+		return nil, "a framing element that can't be read"
+	}
+	if token.name == closeName {
+		return []byte(streamEnd("stream")), ""
+	}
+	opening := "<stream:stream xmlns='" + clientNS + "' xmlns:stream='" + streamNS + "'"
+	return []byte(opening + token.copyAttributes("to", "from", "version", "xml:lang") + ">"), ""
+}
+
+// copyAttributes returns the markup of those of the named attributes that the tag has.
+func (t *xmlToken) copyAttributes(names ...string) string {
+	var markup strings.Builder
+	for _, name := range names {
+		if value := t.attribute(name); value != "" {
+			markup.WriteString(" " + name + "='" + escape(value) + "'")
 		}
+	}
+	return markup.String()
+}
+
+// Write takes what the session sends its client, and sends each stanza as a message.
+func (m *messageConn) Write(data []byte) {
+	m.sent.restart = m.sent.restart || m.sent.betweenStanzas()
+	// The bytes are the front's own, or have passed the scanner of the server's stream: no condition is expected.
+	_, _ = m.sent.feed(data, func(token xmlToken) bool {
+		m.writeToken(token)
 		return true
 	})
 }
 
-func (f *framed) open(t token) {
-	var b strings.Builder
-	b.WriteString("<open xmlns='" + framingNS + "'")
-	for _, name := range []string{"from", "to", "id", "version", "xml:lang"} {
-		if v := t.attr(name); v != "" {
-			b.WriteString(" " + name + "='" + escape(v) + "'")
-		}
+func (m *messageConn) writeToken(token xmlToken) {
+	switch {
+	case token.kind == declarationToken, token.kind == textToken && token.depth <= rootDepth:
+	case token.starts(rootDepth):
+		m.writeOpen(token)
+	case token.kind == endToken && token.depth == rootDepth:
+		m.writeClose()
+	default:
+		m.writeStanza(token)
 	}
-	b.WriteString("/>")
-	f.under.Write([]byte(b.String()))
 }
 
-func (f *framed) close() {
-	if !f.ended {
-		f.ended = true
-		f.under.Write([]byte("<close xmlns='" + framingNS + "'/>"))
+func (m *messageConn) writeOpen(token xmlToken) {
+	attributes := token.copyAttributes("from", "to", "id", "version", "xml:lang")
+	m.webSocket.Write([]byte("<" + openName + " xmlns='" + framingNS + "'" + attributes + "/>"))
+}
+
+func (m *messageConn) writeClose() {
+	if !m.closeSent {
+		m.closeSent = true
+		m.webSocket.Write([]byte("<" + closeName + " xmlns='" + framingNS + "'/>"))
 	}
 }
 
-// declared is a child's start tag with the namespaces that it had from the root, which a message doesn't have.
-func declared(t token) []byte {
-	prefix, _, prefixed := strings.Cut(t.name, ":")
-	name, space := "xmlns", clientNS
-	if prefixed {
-		if name, space = "xmlns:"+prefix, streamNS; prefix != "stream" {
-			return t.raw
+// writeStanza collects the tokens of a stanza and sends them once it is complete.
+func (m *messageConn) writeStanza(token xmlToken) {
+	if token.starts(stanzaDepth) {
+		m.stanza = append(m.stanza, withNamespace(token)...)
+	} else {
+		m.stanza = append(m.stanza, token.raw...)
+	}
+	if token.endsStanza {
+		m.webSocket.Write(m.stanza)
+		m.stanza = m.stanza[:0]
+	}
+}
+
+// withNamespace returns a stanza's start tag with a declaration of the namespace that its name has from the root: a
+// message has no root.
+func withNamespace(token xmlToken) []byte {
+	declaration := "xmlns"
+	namespace := clientNS
+	if prefix, _, prefixed := strings.Cut(token.name, ":"); prefixed {
+		if prefix != "stream" {
+			return token.raw
 		}
+		declaration = "xmlns:stream"
+		namespace = streamNS
 	}
-	if t.attr(name) != "" {
-		return t.raw
+	if token.attribute(declaration) != "" {
+		return token.raw
 	}
-	at := 1 + len(t.name)
-	return append(append(append([]byte(nil), t.raw[:at]...), " "+name+"='"+space+"'"...), t.raw[at:]...)
+	nameEnd := len("<") + len(token.name)
+	tag := append([]byte(nil), token.raw[:nameEnd]...)
+	tag = append(tag, " "+declaration+"='"+namespace+"'"...)
+	return append(tag, token.raw[nameEnd:]...)
 }
 
-// End ends the connection; what the session wrote has closed the stream already, unless the client is inside an element.
-func (f *framed) End()            { f.under.End() }
-func (f *framed) Abort()          { f.under.Abort() }
-func (f *framed) Pause()          { f.under.Pause() }
-func (f *framed) Resume()         { f.under.Resume() }
-func (f *framed) Full() bool      { return f.under.Full() }
-func (f *framed) LeaveIdleQueue() { f.under.LeaveIdleQueue() }
+// End ends the connection. What the session wrote has closed the stream already, unless the client is inside a stanza.
+func (m *messageConn) End() { m.webSocket.End() }
+
+// Abort resets the connection.
+func (m *messageConn) Abort() { m.webSocket.Abort() }
+
+// Pause stops reading.
+func (m *messageConn) Pause() { m.webSocket.Pause() }
+
+// Resume goes on reading.
+func (m *messageConn) Resume() { m.webSocket.Resume() }
+
+// Full reports whether so much waits to be sent that the writer should pause.
+func (m *messageConn) Full() bool { return m.webSocket.Full() }
 
-var _ loop.Handler = (*framed)(nil)
+// LeaveIdleQueue says that the client has named its domain: the connection is not evicted any more.
+func (m *messageConn) LeaveIdleQueue() { m.webSocket.LeaveIdleQueue() }
