--- a/internal/xmpp/session.go
+++ b/internal/xmpp/session.go
@@ -172,7 +172,7 @@
 	s.front.Answers.Left++
 	closing := ""
 	if !s.headerPending {
-		closing = streamEnd(s.upstream.received.prefix)
+		closing = streamEnd(s.sentPrefix())
 	}
 	if s.request != nil {
 		s.request.ClientGone()
@@ -251,4 +251,13 @@
 	}
 }
 
+// sentPrefix returns the prefix of the stream's namespace in the stream header that the client has been sent: its
+// server's, or this node's.
+func (s *clientSession) sentPrefix() string {
+	if s.upstream != nil && s.upstream.received.prefix != "" {
+		return s.upstream.received.prefix
+	}
+	return "stream"
+}
+
 func streamEnd(prefix string) string { return "</" + prefix + ":stream>" }
--- /dev/null
+++ b/internal/xmpp/starttls_test.go
@@ -0,0 +1,65 @@
+package xmpp
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"spurwinch/internal/loop"
+)
+
+// startFront starts a front that listens for clients and serves the domain farm.example, which has no core. It returns
+// the listener's address.
+func startFront(t *testing.T, security Security) string {
+	t.Helper()
+	eventLoop, err := loop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	limits := Limits{
+		Stanza: 1 << 10, Early: 1 << 10, HeaderTime: time.Minute, ShakeTime: time.Minute, MostOpen: 100, Resumable: 10,
+	}
+	front := New(eventLoop, map[string]Domain{"farm.example": {}}, limits, 1)
+	listener, err := eventLoop.Listen("127.0.0.1:0", front.AcceptBy(security))
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		if err := eventLoop.Run(); err != nil {
+			t.Error(err)
+		}
+	}()
+	t.Cleanup(func() {
+		eventLoop.Post(eventLoop.Stop)
+		<-done
+	})
+	return listener.Addr.String()
+}
+
+// TestCloseInsteadOfStartTLS has a client close its stream where it should start TLS: its stream is closed, too.
+func TestCloseInsteadOfStartTLS(t *testing.T) {
+	conn, err := net.Dial("tcp", startFront(t, StartTLS))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = conn.Close() }() // the server has ended it already
+	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	header := strings.Replace(root, "<stream:stream ", "<stream:stream to='farm.example' version='1.0' ", 1)
+	if _, err := io.WriteString(conn, header+"</stream:stream>"); err != nil {
+		t.Fatal(err)
+	}
+	answer, err := io.ReadAll(conn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	offered := strings.Contains(string(answer), "<starttls ")
+	if !offered || !strings.HasSuffix(string(answer), "</stream:features></stream:stream>") {
+		t.Errorf("got %q, wanted the offer of STARTTLS and the end of the stream", answer)
+	}
+}
--- a/internal/xmpp/streamerror.go
+++ b/internal/xmpp/streamerror.go
@@ -80,11 +80,10 @@
 // errorMarkup returns a stream error and the stream's end, after a stream header if the client waits for one.
 func (s *clientSession) errorMarkup(bad condition, text string) string {
 	var markup strings.Builder
-	prefix := "stream"
+	prefix := s.sentPrefix()
 	if s.headerPending {
+		prefix = "stream"
 		markup.WriteString(s.streamHeader(s.domainName, "xml:lang='en' "))
-	} else if s.upstream != nil && s.upstream.received.prefix != "" {
-		prefix = s.upstream.received.prefix
 	}
 	markup.WriteString("<" + prefix + ":error><" + string(bad) + " xmlns='" + streamErrorNS + "'/>")
 	if text != "" {
