--- /dev/null
+++ b/internal/transport/peerlimit/controller.go
@@ -0,0 +1,200 @@
+package peerlimit
+
+import (
+	"net/netip"
+	"time"
+)
+
+const (
+	defaultBits4 = 32 // of an IPv4 address that make up a peer
+	defaultBits6 = 64 // of an IPv6 address
+)
+
+// sweepFraction is which part of the peers that a sweep has left must find no place before the next sweep.
+const sweepFraction = 8
+
+// Controller counts the open streams and decides on new ones.
+type Controller struct {
+	Rejections [verdictCount]int // by verdict
+
+	rules        Rules
+	networks     *Networks // nil: none
+	domainLimits map[string]Limits
+	peers        map[netip.Prefix]*usage
+	otherPeers   usage // of all that have no place in peers
+	domains      map[string]*usage
+	untilSweep   int // lookups that find no place before peers is swept again
+}
+
+// NewController returns a controller with no open streams.
+func NewController(rules Rules, networks *Networks, domains map[string]Limits) *Controller {
+	controller := &Controller{peers: map[netip.Prefix]*usage{}, domains: map[string]*usage{}}
+	controller.SetRules(rules, networks, domains)
+	return controller
+}
+
+// SetRules replaces the rules, the networks and the limits of domains, for streams that are opened from now on. Open
+// streams count on.
+func (c *Controller) SetRules(rules Rules, networks *Networks, domains map[string]Limits) {
+	if rules.Bits4 == 0 {
+		rules.Bits4 = defaultBits4
+	}
+	if rules.Bits6 == 0 {
+		rules.Bits6 = defaultBits6
+	}
+	rules.Most = max(1, rules.Most)
+	c.rules = rules
+	c.networks = networks
+	c.domainLimits = domains
+}
+
+// Peers counts the peers that have a usage of their own.
+func (c *Controller) Peers() int { return len(c.peers) }
+
+// Stream is one that was admitted. Its methods may be called in any order and more than once.
+type Stream struct {
+	peer, domain    *usage // nil: no limit holds
+	unauthenticated bool
+	closed          bool
+}
+
+// Admit decides on a new stream from an address. The stream is nil unless the verdict is Admitted.
+func (c *Controller) Admit(now time.Time, from netip.Addr) (*Stream, Verdict) {
+	from = normalize(from)
+	exempt, listed := c.networks.find(from)
+	if listed && !exempt {
+		c.Rejections[Denied]++
+		return nil, Denied
+	}
+	stream := &Stream{unauthenticated: true}
+	if !c.limited(from, listed) {
+		return stream, Admitted
+	}
+	peer := c.peer(now, from)
+	if verdict := peer.check(now, c.rules.Peer); verdict != Admitted {
+		c.Rejections[verdict]++
+		return nil, verdict
+	}
+	peer.open()
+	stream.peer = peer
+	return stream, Admitted
+}
+
+// normalize returns the address under which a client is counted.
+func normalize(address netip.Addr) netip.Addr { return address.Unmap().WithZone("") }
+
+// limited reports whether the limits of peers hold for an address.
+func (c *Controller) limited(from netip.Addr, listed bool) bool {
+	return !listed && c.rules.Peer.any() && from.IsValid()
+}
+
+// AdmitToDomain decides whether a stream may be opened for a domain, which its header has named now.
+func (c *Controller) AdmitToDomain(now time.Time, stream *Stream, name string) Verdict {
+	limits := c.domainLimits[name]
+	if !limits.any() || stream == nil || stream.domain != nil || stream.closed {
+		return Admitted
+	}
+	domain := c.domain(name)
+	if verdict := domain.check(now, limits); verdict != Admitted {
+		c.Rejections[verdict]++
+		return verdict
+	}
+	domain.open()
+	stream.domain = domain
+	if !stream.unauthenticated {
+		domain.unauthenticated--
+	}
+	return Admitted
+}
+
+// Restore counts a stream that another process has admitted.
+func (c *Controller) Restore(now time.Time, from netip.Addr, domain string) *Stream {
+	stream := &Stream{}
+	from = normalize(from)
+	if _, listed := c.networks.find(from); c.limited(from, listed) {
+		stream.peer = c.peer(now, from)
+		stream.peer.restore(now, c.rules.Peer)
+	}
+	if limits := c.domainLimits[domain]; limits.any() {
+		stream.domain = c.domain(domain)
+		stream.domain.restore(now, limits)
+	}
+	return stream
+}
+
+// peer returns a peer's usage. Those that find no place share one.
+func (c *Controller) peer(now time.Time, from netip.Addr) *usage {
+	bits := c.rules.Bits6
+	if from.Is4() {
+		bits = c.rules.Bits4
+	}
+	prefix, err := from.Prefix(bits)
+	if err != nil {
+		return &c.otherPeers
+	}
+	if known := c.peers[prefix]; known != nil {
+		return known
+	}
+	if len(c.peers) >= c.rules.Most && !c.sweep(now) {
+		return &c.otherPeers
+	}
+	added := &usage{}
+	c.peers[prefix] = added
+	return added
+}
+
+// sweep removes the peers that differ in nothing from new ones, and reports whether there is a place now. As it visits
+// all peers, it doesn't run again before a part of them can have become removable.
+func (c *Controller) sweep(now time.Time) bool {
+	if c.untilSweep > 0 {
+		c.untilSweep--
+		return false
+	}
+	for prefix, peer := range c.peers {
+		peer.refill(now, c.rules.Peer)
+		if peer.streams == 0 && peer.tokens >= c.rules.Peer.burst() {
+			delete(c.peers, prefix)
+		}
+	}
+	c.untilSweep = len(c.peers) / sweepFraction
+	return len(c.peers) < c.rules.Most
+}
+
+// domain returns a domain's usage.
+func (c *Controller) domain(name string) *usage {
+	domain := c.domains[name]
+	if domain == nil {
+		domain = &usage{}
+		c.domains[name] = domain
+	}
+	return domain
+}
+
+// Authenticated notes that the stream's client has authenticated.
+func (s *Stream) Authenticated() {
+	if s == nil || !s.unauthenticated || s.closed {
+		return
+	}
+	s.unauthenticated = false
+	s.eachUsage(func(u *usage) { u.unauthenticated-- })
+}
+
+// Close notes that the stream has ended.
+func (s *Stream) Close() {
+	if s == nil || s.closed {
+		return
+	}
+	s.Authenticated() // it no longer counts as unauthenticated
+	s.closed = true
+	s.eachUsage(func(u *usage) { u.streams-- })
+}
+
+// eachUsage visits the usages that the stream counts in.
+func (s *Stream) eachUsage(visit func(*usage)) {
+	if s.peer != nil {
+		visit(s.peer)
+	}
+	if s.domain != nil {
+		visit(s.domain)
+	}
+}
--- a/internal/xmpp/accept.go
+++ b/internal/xmpp/accept.go
@@ -63,7 +63,7 @@
 	}
 	now := f.loop.Now()
 	stream, verdict := f.admission.Admit(now, conn.Peer)
-	if verdict == peerlimit.KeptOut {
+	if verdict == peerlimit.Denied {
 		return nil
 	}
 	f.Answers.Sessions++
--- a/internal/xmpp/front.go
+++ b/internal/xmpp/front.go
@@ -120,8 +120,5 @@
 
 // Guard replaces the rules of admission control, for streams that are opened from now on.
 func (f *Front) Guard(rules peerlimit.Rules, networks *peerlimit.Networks, domains map[string]peerlimit.Limits) {
-	f.admission.Adapt(rules, networks, domains)
+	f.admission.SetRules(rules, networks, domains)
 }
-
-// Turned counts the streams that were not admitted, by verdict.
-func (f *Front) Turned() [peerlimit.TooWaiting + 1]int { return f.admission.Rejections }
