--- a/internal/transport/tls/conn.go
+++ b/internal/transport/tls/conn.go
@@ -102,7 +102,7 @@
 // release marks the connection as over and frees what its handshake has.
 func (c *Conn) release() {
 	c.over = true
-	c.leaveRunning()
+	c.removeFromRunning()
 	c.stopTimer()
 	if c.cancel != nil {
 		c.cancel()
--- a/internal/transport/tls/handshake.go
+++ b/internal/transport/tls/handshake.go
@@ -86,7 +86,7 @@
 		return
 	}
 	c.stopTimer()
-	c.leaveRunning()
+	c.removeFromRunning()
 	c.handshakes.Done++
 	c.up = true
 	c.pipe.handOver()
@@ -98,8 +98,8 @@
 	c.read()
 }
 
-// leaveRunning gives up the place among the running handshakes.
-func (c *Conn) leaveRunning() {
+// removeFromRunning removes the connection from the running handshakes.
+func (c *Conn) removeFromRunning() {
 	if c.place != nil {
 		c.handshakes.running.Remove(c.place)
 		c.place = nil
--- /dev/null
+++ b/internal/transport/websocket/conn_test.go
@@ -0,0 +1,214 @@
+package websocket
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+
+	"github.com/gobwas/ws"
+)
+
+// fakeTransport records what is written, and the end.
+type fakeTransport struct {
+	bytes.Buffer
+	ended, full bool
+}
+
+func (f *fakeTransport) Write(data []byte) { f.Buffer.Write(data) }
+func (f *fakeTransport) End()              { f.ended = true }
+func (f *fakeTransport) Abort()            { f.ended = true }
+func (f *fakeTransport) Pause()            {}
+func (f *fakeTransport) Resume()           {}
+func (f *fakeTransport) Full() bool        { return f.full }
+func (f *fakeTransport) LeaveIdleQueue()   {}
+
+// recorder is a handler that records messages and the end.
+type recorder struct {
+	conn     *Conn
+	messages []string
+	end      error
+}
+
+func (r *recorder) OnConnect()            {}
+func (r *recorder) OnData(message []byte) { r.messages = append(r.messages, string(message)) }
+func (r *recorder) OnEnd(err error)       { r.end = err }
+func (r *recorder) OnDrained()            {}
+
+const request = "GET /xmpp HTTP/1.1\r\nHost: farm.example\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
+	"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n" +
+	"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Protocol: chat, xmpp\r\n\r\n"
+
+// start returns a connection before its handshake.
+func start(maxMessage int) (*recorder, *fakeTransport) {
+	handler, transport := &recorder{}, &fakeTransport{}
+	handler.conn = Server("xmpp", maxMessage, func(run func()) { run() }, handler)
+	handler.conn.SetTransport(transport)
+	return handler, transport
+}
+
+// maxTestMessage bounds the messages of a connection of startUp, in bytes.
+const maxTestMessage = 100
+
+// startUp returns a connection after its handshake.
+func startUp() (*recorder, *fakeTransport) {
+	handler, transport := start(maxTestMessage)
+	handler.conn.OnData([]byte(request))
+	return handler, transport
+}
+
+// frame returns a frame of a client.
+func frame(opCode ws.OpCode, last bool, payload string) []byte {
+	var written bytes.Buffer
+	mask := [4]byte{1, 2, 3, 4}
+	header := ws.Header{Fin: last, OpCode: opCode, Masked: true, Mask: mask, Length: int64(len(payload))}
+	_ = ws.WriteHeader(&written, header) // a buffer takes all, and the length is not negative
+	masked := []byte(payload)
+	ws.Cipher(masked, mask, 0)
+	written.Write(masked)
+	return written.Bytes()
+}
+
+// TestMessages receives messages whole, in fragments with a ping between, and byte by byte: the handler gets the same
+// for every split.
+func TestMessages(t *testing.T) {
+	long := strings.Repeat("oats ", 60)
+	stream := bytes.Join([][]byte{
+		[]byte(request),
+		frame(ws.OpText, true, "<open/>"),
+		frame(ws.OpText, false, "<mes"),
+		frame(ws.OpPing, true, "still there?"),
+		frame(ws.OpContinuation, false, "sage"),
+		frame(ws.OpContinuation, true, "/>"),
+		frame(ws.OpPong, true, ""),
+		frame(ws.OpText, true, long),
+		frame(ws.OpClose, true, "\x03\xe8"),
+	}, nil)
+	wantedMessages := fmt.Sprint([]string{"<open/>", "<message/>", long})
+	for _, size := range []int{1, 2, 3, 7, 50, len(stream)} {
+		handler, transport := start(1000)
+		for rest := stream; len(rest) > 0; {
+			received := min(size, len(rest))
+			handler.conn.OnData(bytes.Clone(rest[:received]))
+			rest = rest[received:]
+		}
+		if fmt.Sprint(handler.messages) != wantedMessages || !errors.Is(handler.end, io.EOF) || !transport.ended {
+			t.Errorf("in pieces of %d got %q and the end %v", size, handler.messages, handler.end)
+		}
+		written := transport.String()
+		if !strings.HasPrefix(written, "HTTP/1.1 101 ") || !strings.HasSuffix(written, "\x88\x02\x03\xe8") {
+			t.Errorf("in pieces of %d wrote %q, wanted a response and a close frame", size, written)
+		}
+		for _, part := range []string{
+			"Sec-WebSocket-Protocol: xmpp", "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=", "\x8a\x0cstill there?",
+		} {
+			if !strings.Contains(written, part) {
+				t.Errorf("in pieces of %d wrote %q, wanted %q in it", size, written, part)
+			}
+		}
+	}
+}
+
+// TestEndWhilePaused has a client send and end while the handler has paused: the messages come first, then the end.
+func TestEndWhilePaused(t *testing.T) {
+	handler, _ := startUp()
+	handler.conn.Pause()
+	handler.conn.OnData(append(frame(ws.OpText, true, "a"), frame(ws.OpText, true, "b")...))
+	handler.conn.OnEnd(io.EOF)
+	if len(handler.messages) != 0 || handler.end != nil {
+		t.Errorf("while paused got %q and the end %v, wanted nothing", handler.messages, handler.end)
+	}
+	handler.conn.Resume()
+	if fmt.Sprint(handler.messages) != "[a b]" || !errors.Is(handler.end, io.EOF) {
+		t.Errorf("after resuming got %q and the end %v, wanted a, b and %v", handler.messages, handler.end, io.EOF)
+	}
+}
+
+// TestInvalidFrames receives what the protocol doesn't allow: the connection ends with the code that says why.
+func TestInvalidFrames(t *testing.T) {
+	const (
+		protocolError   = "\x03\xea"
+		unsupportedData = "\x03\xeb"
+		invalidPayload  = "\x03\xef"
+		messageTooBig   = "\x03\xf1"
+	)
+	long := strings.Repeat("x", 60)
+	for name, test := range map[string]struct {
+		received []byte
+		code     string
+	}{
+		"no mask":             {[]byte{0x81, 1, 'x'}, protocolError},
+		"reserved bits":       {[]byte{0xf1, 0x80, 0, 0, 0, 0}, protocolError},
+		"unknown opcode":      {[]byte{0x83, 0x80, 0, 0, 0, 0}, protocolError},
+		"a lone continuation": {frame(ws.OpContinuation, true, "x"), protocolError},
+		"text within text":    {append(frame(ws.OpText, false, "x"), frame(ws.OpText, true, "y")...), protocolError},
+		"a ping in fragments": {frame(ws.OpPing, false, "x"), protocolError},
+		"a long ping":         {frame(ws.OpPing, true, strings.Repeat("x", 126)), protocolError},
+		"binary":              {frame(ws.OpBinary, true, "x"), unsupportedData},
+		"no UTF-8":            {frame(ws.OpText, true, "\xff"), invalidPayload},
+		"too long":            {frame(ws.OpText, true, strings.Repeat("x", maxTestMessage+1)), messageTooBig},
+		"too long in fragments": {
+			append(frame(ws.OpText, false, long), frame(ws.OpContinuation, true, long)...), messageTooBig,
+		},
+		"far too long a frame": {
+			[]byte{0x81, 0xff, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0}, messageTooBig,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			handler, transport := startUp()
+			transport.Reset()
+			handler.conn.OnData(test.received)
+			handler.conn.OnData(frame(ws.OpText, true, "more"))
+			if handler.end == nil || len(handler.messages) > 0 || !transport.ended {
+				t.Errorf("got %q and the end %v, wanted no message and an error", handler.messages, handler.end)
+			}
+			if want := "\x88\x02" + test.code; transport.String() != want {
+				t.Errorf("wrote %q, wanted %q", transport.String(), want)
+			}
+		})
+	}
+}
+
+// TestInvalidRequests receives requests that can't be upgraded: the connection ends.
+func TestInvalidRequests(t *testing.T) {
+	for name, received := range map[string]string{
+		"no HTTP":             "OPEN 1 1 c=chat\r\n\r\n",
+		"no WebSocket":        "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+		"no subprotocol":      strings.Replace(request, "Sec-WebSocket-Protocol: chat, xmpp\r\n", "", 1),
+		"another subprotocol": strings.Replace(request, "chat, xmpp", "chat", 1),
+		"another method":      strings.Replace(request, "GET", "POST", 1),
+		"too long":            "GET /" + strings.Repeat("x", maxRequest),
+	} {
+		t.Run(name, func(t *testing.T) {
+			handler, transport := start(100)
+			handler.conn.OnData([]byte(received))
+			if handler.end == nil || !transport.ended || strings.Contains(transport.String(), " 101 ") {
+				t.Errorf("got the end %v and wrote %q, wanted an error and no upgrade", handler.end, transport.String())
+			}
+		})
+	}
+}
+
+// FuzzFrames has any bytes follow the handshake: the outcome is the same for every split, and memory is bounded.
+func FuzzFrames(f *testing.F) {
+	f.Add(append(frame(ws.OpText, false, "<mes"), frame(ws.OpContinuation, true, "sage/>")...), 3)
+	f.Add([]byte{0x81, 0xfe, 0, 200, 0, 0, 0, 0}, 1)
+	f.Fuzz(func(t *testing.T, received []byte, splitAt int) {
+		whole, wholeTransport := startUp()
+		whole.conn.OnData(bytes.Clone(received))
+		split, splitTransport := startUp()
+		splitAt = max(0, min(splitAt, len(received)))
+		split.conn.OnData(bytes.Clone(received[:splitAt]))
+		split.conn.OnData(bytes.Clone(received[splitAt:]))
+		if fmt.Sprint(whole.messages, whole.end) != fmt.Sprint(split.messages, split.end) ||
+			wholeTransport.String() != splitTransport.String() {
+			t.Errorf("whole: %q, %v; split: %q, %v", whole.messages, whole.end, split.messages, split.end)
+		}
+		if len(whole.conn.message) > maxTestMessage || len(whole.conn.in) > len(received) {
+			t.Errorf("%d bytes of messages and %d of frames are held, over what was received or is allowed",
+				len(whole.conn.message), len(whole.conn.in))
+		}
+	})
+}
--- a/internal/xmpp/accept.go
+++ b/internal/xmpp/accept.go
@@ -98,10 +98,10 @@
 	s.client = messages
 	if directTLS {
 		secured := s.secure(s.front.loop.Now(), messages.webSocket, httpProtocol)
-		messages.webSocket.On(secured)
+		messages.webSocket.SetTransport(secured)
 		return secured
 	}
-	messages.webSocket.On(s.socket)
+	messages.webSocket.SetTransport(s.socket)
 	return messages.webSocket
 }
 
