--- a/internal/transport/websocket/conn_test.go
+++ b/internal/transport/websocket/conn_test.go
@@ -43,7 +43,8 @@
 
 // start returns a connection before its handshake.
 func start(maxMessage int) (*recorder, *fakeTransport) {
-	handler, transport := &recorder{}, &fakeTransport{}
+	handler := &recorder{}
+	transport := &fakeTransport{}
 	handler.conn = Server("xmpp", maxMessage, func(run func()) { run() }, handler)
 	handler.conn.SetTransport(transport)
 	return handler, transport
--- a/internal/xmpp/clientstream.go
+++ b/internal/xmpp/clientstream.go
@@ -11,6 +11,9 @@
 	"go.uber.org/zap"
 )
 
+// noTenant is the tenant of a request that counts against no quota.
+const noTenant = -1
+
 // inspect follows the client's stream and returns the condition with which it must end, if any.
 func (s *clientSession) inspect(token xmlToken) condition {
 	switch {
@@ -102,11 +105,11 @@
 	s.stopTimer()
 	id := choice.RequestID(s.front.newID())
 	spec := edge.Spec{
-		ID: id, Class: domain.Class, Tenant: -1, Key: s.front.random.Uint64(),
+		ID: id, Class: domain.Class, Tenant: noTenant, Key: s.front.random.Uint64(),
 		Deadline: s.front.loop.Now().Add(domain.Patience), StickyServer: s.stickyServer(domain),
 	}
 	if s.front.loop.Open()+2 > s.front.limits.MostOpen {
-		// A session that is taken needs a descriptor more for its server: they must not run out half way.
+		// A session needs one more descriptor for its server: they must not run out half way.
 		zap.L().Warn("connection_limit_refused", zap.String("front", "xmpp"))
 		domain.Core.Reject(spec, s, 0)
 		return
--- a/internal/xmpp/session.go
+++ b/internal/xmpp/session.go
@@ -11,7 +11,7 @@
 	"spurwinch/internal/transport/peerlimit"
 )
 
-// session is one client's connection and the session that is set up on it.
+// clientSession is one client's connection and the session that is set up on it.
 type clientSession struct {
 	front     *Front
 	client    clientConn
--- a/internal/xmpp/token.go
+++ b/internal/xmpp/token.go
@@ -24,7 +24,7 @@
 	textToken // text, or a CDATA section
 )
 
-// token is one piece of markup or text. Its raw bytes are valid until the scanner's next call.
+// xmlToken is one piece of markup or text. Its raw bytes are valid until the scanner's next call.
 type xmlToken struct {
 	kind        tokenKind
 	raw         []byte
