--- a/internal/platform/downstream/front.go
+++ b/internal/platform/downstream/front.go
@@ -13,7 +13,9 @@
 )
 
 const (
-	descriptorsPerRequest  = 2    // free descriptors that an accepted request needs: its server's, and one for a health check
+	// descriptorsPerRequest are the free descriptors that an accepted request needs: its server's, and one for a health
+	// check.
+	descriptorsPerRequest  = 2
 	maxRejectedConnections = 16   // connections beyond the limit that are still accepted, to be rejected with a reply
 	maxAwaitingReady       = 1024 // clients whose PING waits for the node to be ready
 )
@@ -59,7 +61,7 @@
 func (f *Front) Adapt(classes, tenants map[string]int, table []choice.Class) {
 	now := f.loop.Now()
 	for name, index := range f.classes {
-		if _, kept := classes[name]; !kept {
+		if _, stillNamed := classes[name]; !stillNamed {
 			f.removedClasses[name] = now.Add(f.classTable[index].Deadline)
 		}
 	}
@@ -103,8 +105,8 @@
 func (f *Front) Taking() bool { return f.ready && !f.core.Draining() }
 
 // Accept takes a new connection. The loop has made room for it, as far as there were connections that had sent no
-// request yet. Beyond the limit some are still accepted, to reply to PING and to reject politely; then none, which keeps
-// the descriptors that discovery, health checks and attempts in flight need.
+// request yet. Beyond the limit some are still accepted, to reply to PING and to reject politely; then none, which
+// keeps the descriptors that discovery, health checks and attempts in flight need.
 func (f *Front) Accept(conn *loop.Conn) loop.Handler {
 	if f.loop.Open() > f.maxConnections+maxRejectedConnections {
 		return nil
@@ -114,8 +116,9 @@
 	return s
 }
 
-// makeRoom evicts idle connections where a request would exceed the limit, and reports whether there is room now.
-func (f *Front) makeRoom() bool {
+// ensureCapacity evicts idle connections where a request would exceed the limit, and reports whether the request fits
+// now.
+func (f *Front) ensureCapacity() bool {
 	limit := f.maxConnections - descriptorsPerRequest
 	if f.loop.Open() > limit {
 		f.loop.EvictIdle(limit)
--- a/internal/platform/downstream/open_line.go
+++ b/internal/platform/downstream/open_line.go
@@ -126,9 +126,9 @@
 	return load, nil
 }
 
-// parseDeadline reads how long the client waits: its d in milliseconds, or the deadline of its class. A server answers a
-// d that it can't read with ERR; such a line is rejected here, or it would look like the server's failure. Connections
-// open before the run come with a d far beyond any real deadline.
+// parseDeadline reads how long the client waits: its d in milliseconds, or the deadline of its class. A server answers
+// a d that it can't read with ERR; such a line is rejected here, or it would look like the server's failure.
+// Connections open before the run come with a d far beyond any real deadline.
 func (f *Front) parseDeadline(fields fieldList, class int, standing bool) (time.Duration, error) {
 	text, given := fields.value("d")
 	if !given {
--- a/internal/platform/downstream/session.go
+++ b/internal/platform/downstream/session.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Evict replies to a client whose descriptor is needed for another one, before it has sent a request.
+// Evict ends a connection without a request whose descriptor is needed for another client.
 func (s *session) Evict() {
 	cause := trace.ClientEvicted
 	if s.front.core.Draining() {
@@ -137,7 +137,7 @@
 	s.cancelTimer()
 	s.openLine = bytes.Clone(raw)
 	s.conn.LeaveIdleQueue()
-	if !s.front.makeRoom() {
+	if !s.front.ensureCapacity() {
 		// Guards against running out of descriptors half way: a request needs one more for its server.
 		zap.L().Warn("connection_limit_refused",
 			zap.String("front", "platform"), zap.Int("open_connections", s.front.loop.Open()))
@@ -161,6 +161,7 @@
 	}
 }
 
+// sendPong replies to a PING.
 func (s *session) sendPong() {
 	if !s.closed {
 		s.conn.Write(pongLine)
@@ -210,6 +211,7 @@
 	s.markClosed()
 }
 
+// markClosed ends all that would still call the session.
 func (s *session) markClosed() {
 	s.closed = true
 	s.cancelTimer()
--- a/internal/platform/downstream/short_write_test.go
+++ b/internal/platform/downstream/short_write_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"fmt"
 	"io"
 	"sync"
 	"testing"
@@ -12,51 +11,53 @@
 	"spurwinch/internal/loop"
 )
 
-// shortWriter is a kernel that takes half of the first request line that is written to a host, and the rest only when it is told to.
+// shortWriter is a kernel that takes half of the first request line that is written to a server, and the rest only
+// after unblock.
 type shortWriter struct {
 	loop.Linux
-	mu   sync.Mutex
-	fd   int // that took half
-	full bool
+	mu      sync.Mutex
+	fd      int // that took half
+	blocked bool
 }
 
-func (k *shortWriter) Write(fd int, p []byte) (int, error) {
+func (k *shortWriter) Write(fd int, data []byte) (int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
-	case k.fd == 0 && bytes.HasPrefix(p, []byte("OPEN")):
-		k.fd, k.full = fd, true
-		return k.Linux.Write(fd, p[:len(p)/2])
-	case fd == k.fd && k.full:
+	case k.fd == 0 && bytes.HasPrefix(data, []byte("OPEN")):
+		k.fd = fd
+		k.blocked = true
+		return k.Linux.Write(fd, data[:len(data)/2])
+	case fd == k.fd && k.blocked:
 		return 0, unix.EAGAIN
 	}
-	return k.Linux.Write(fd, p)
+	return k.Linux.Write(fd, data)
 }
 
-func (k *shortWriter) goesOn() {
+func (k *shortWriter) unblock() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.full = false
+	k.blocked = false
 }
 
-// TestGivenUpHalfWritten has the kernel take half of a request line, and the attempt given up: the rest must never follow, since the
-// request has gone to another host by then, and must not run twice.
-func TestGivenUpHalfWritten(t *testing.T) {
-	k := &shortWriter{}
-	x := newCrossingOn(t, k, 2, `"safe"`, `"unsafe"`)
-	c, _ := x.client()
-	fmt.Fprint(c, opening+"\r\n")
-	first := x.accept()
-	second := x.accept() // the first one's time is over
-	k.goesOn()
-	x.gets(second, "OPEN 01 01")
-	fmt.Fprint(second, "UP 1\r\n")
-	x.gets(c, "UP 1")
-	got, _ := io.ReadAll(first)
-	if len(got) == 0 {
-		t.Error("the crossing did not take place: nothing was written at first")
+// TestAbandonedAttemptHalfWritten has the kernel take half of a request line, and the attempt given up: the rest must
+// never follow, since the request has gone to another server by then, and must not run twice.
+func TestAbandonedAttemptHalfWritten(t *testing.T) {
+	kernel := &shortWriter{}
+	node := newTestNodeOnKernel(t, kernel, 2, `"safe"`, `"unsafe"`)
+	client, _ := node.dialClient()
+	send(client, openLine+"\r\n")
+	first := node.acceptOnServer()
+	second := node.acceptOnServer() // the first one's time is over
+	kernel.unblock()
+	node.requireLine(second, "OPEN 01 01")
+	send(second, "UP 1\r\n")
+	node.requireLine(client, "UP 1")
+	received, _ := io.ReadAll(first) // ends by FIN or by a reset; what came before it counts
+	if len(received) == 0 {
+		t.Error("the race did not take place: nothing was written at first")
 	}
-	if bytes.HasSuffix(got, []byte("\n")) {
-		t.Errorf("the host that was given up got the whole line: %q", got)
+	if bytes.HasSuffix(received, []byte("\n")) {
+		t.Errorf("the server of the abandoned attempt got the whole line: %q", received)
 	}
 }
--- /dev/null
+++ b/internal/platform/downstream/testnode_test.go
@@ -0,0 +1,320 @@
+package downstream
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"spurwinch/choice"
+	"spurwinch/internal/edge"
+	"spurwinch/internal/lab/transcript"
+	"spurwinch/internal/loop"
+	"spurwinch/internal/platform/upstream"
+	"spurwinch/internal/simwire"
+)
+
+const (
+	openLine   = "OPEN 01 01 c=chat,d=2000"
+	ioTimeout  = 20 * time.Second // for anything that a test waits for
+	closeDelay = time.Millisecond // after which a close on the loopback interface is in the peer's socket
+)
+
+// testNode is a front with its core on a loop that a test can hold up: what the test writes to sockets meanwhile is
+// ready in one poll. A test whose race did not take place fails.
+type testNode struct {
+	t            *testing.T
+	loop         *loop.Loop
+	core         *edge.Core
+	front        *Front
+	addr         string
+	sessions     chan *session
+	accepted     chan serverConn
+	peerMessages chan peerMessage
+}
+
+// peerMessage is one that the node sends to another node.
+type peerMessage struct {
+	peer    int
+	payload []byte
+}
+
+// serverConn is a connection that a server has accepted.
+type serverConn struct {
+	server choice.ServerID
+	net.Conn
+}
+
+// newTestNode runs a front with so many servers. changes are pairs of old and new text, replaced in the settings.
+func newTestNode(t *testing.T, servers int, changes ...string) *testNode {
+	t.Helper()
+	return newTestNodeOnKernel(t, loop.Linux{}, servers, changes...)
+}
+
+func newTestNodeOnKernel(t *testing.T, kernel loop.Kernel, servers int, changes ...string) *testNode {
+	t.Helper()
+	eventLoop, err := loop.NewOn(kernel)
+	if err != nil {
+		t.Fatal(err)
+	}
+	node := &testNode{
+		t:            t,
+		loop:         eventLoop,
+		sessions:     make(chan *session, 8),
+		accepted:     make(chan serverConn, 8),
+		peerMessages: make(chan peerMessage, 64),
+	}
+	node.newFront(changes)
+	node.listen()
+	entries := make([]edge.ServerEntry, 0, servers)
+	for index := range servers {
+		entries = append(entries, node.startServer(choice.ServerID(fmt.Sprint("h", index))))
+	}
+	eventLoop.After(node.core.Flush)
+	node.core.Start(entries)
+	node.run()
+	return node
+}
+
+// newFront makes the front and its core. Load reports are off unless the changes set them.
+func (n *testNode) newFront(changes []string) {
+	n.t.Helper()
+	changes = append(changes, "REPORTS", "off")
+	settings, err := simwire.DecodeSettings([]byte(strings.NewReplacer(changes...).Replace(transcript.Settings)))
+	if err != nil {
+		n.t.Fatal(err)
+	}
+	settings.DelaysObserved = false
+	servers := upstream.New(n.loop, settings.ReportFields)
+	n.core, err = edge.New(edge.Options{
+		Clock:         n.loop,
+		Settings:      settings.Settings,
+		Seed:          1,
+		HealthChecker: servers,
+		SendPeerMessage: func(peer int, payload []byte) {
+			n.peerMessages <- peerMessage{peer, payload}
+		},
+	})
+	if err != nil {
+		n.t.Fatal(err)
+	}
+	n.front = New(Options{Loop: n.loop, Core: n.core, Upstream: servers, MostOpen: 100})
+	n.front.Adapt(settings.ClassByName, settings.TenantByName, settings.Classes)
+}
+
+// listen accepts the front's clients.
+func (n *testNode) listen() {
+	n.t.Helper()
+	listener, err := n.loop.Listen("127.0.0.1:0", func(conn *loop.Conn) loop.Handler {
+		handler := n.front.Accept(conn)
+		s, ok := handler.(*session)
+		if !ok {
+			n.t.Errorf("Accept returned %T, want a session", handler)
+			return nil
+		}
+		n.sessions <- s
+		return s
+	})
+	if err != nil {
+		n.t.Fatal(err)
+	}
+	n.addr = listener.Addr.String()
+}
+
+// startServer accepts connections as a server of the endpoint list.
+func (n *testNode) startServer(id choice.ServerID) edge.ServerEntry {
+	n.t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		n.t.Fatal(err)
+	}
+	closeAtEnd(n.t, listener)
+	go func() {
+		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
+			setDeadline(conn)
+			n.accepted <- serverConn{id, conn}
+		}
+	}()
+	return edge.ServerEntry{Addr: listener.Addr().String(), Server: choice.Server{ID: id, Size: 1}}
+}
+
+// run runs the loop until the test ends.
+func (n *testNode) run() {
+	done := make(chan error, 1)
+	go func() { done <- n.loop.Run() }()
+	n.t.Cleanup(func() {
+		n.loop.Post(n.loop.Stop)
+		if err := <-done; err != nil {
+			n.t.Error("loop:", err)
+		}
+		n.loop.Close()
+	})
+}
+
+// onLoop runs a function on the loop, which handles no events meanwhile.
+func (n *testNode) onLoop(fn func()) {
+	done := make(chan struct{})
+	n.loop.Post(func() {
+		fn()
+		close(done)
+	})
+	<-done
+}
+
+// dialClient connects a client.
+func (n *testNode) dialClient() (net.Conn, *session) {
+	n.t.Helper()
+	conn, err := net.Dial("tcp", n.addr)
+	if err != nil {
+		n.t.Fatal(err)
+	}
+	closeAtEnd(n.t, conn)
+	setDeadline(conn)
+	return conn, <-n.sessions
+}
+
+// waitDelivered waits until all that was sent on a connection is in the peer's socket, its FIN too where there is one.
+func (n *testNode) waitDelivered(conn net.Conn) {
+	n.t.Helper()
+	if !delivered(conn, time.Now().Add(ioTimeout)) {
+		n.t.Error("the race did not take place: bytes are still in flight")
+	}
+}
+
+// delivered reports whether the kernel has nothing left to send on a connection before the deadline.
+func delivered(conn net.Conn, deadline time.Time) bool {
+	tcpConn, ok := conn.(*net.TCPConn)
+	if !ok {
+		return false
+	}
+	raw, err := tcpConn.SyscallConn()
+	if err != nil {
+		return false
+	}
+	for time.Now().Before(deadline) {
+		empty := false
+		err := raw.Control(func(fd uintptr) {
+			queued, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
+			empty = err == nil && queued == 0
+		})
+		if err == nil && empty {
+			return true
+		}
+		time.Sleep(50 * time.Microsecond)
+	}
+	return false
+}
+
+// dialServer has the front read a client's line and dial its server: the connection is up, and the loop doesn't know it
+// yet. It is to be called on the loop.
+func (n *testNode) dialServer(client net.Conn, s *session, text string) serverConn {
+	n.t.Helper()
+	send(client, text+"\r\n")
+	n.waitDelivered(client)
+	s.conn.ReadAvailable()
+	n.core.Flush()
+	return n.acceptOnServer()
+}
+
+// onNextDial runs a function on the loop when the session has dialled its next server, before the loop knows that the
+// connection is up.
+func (n *testNode) onNextDial(s *session, fn func()) {
+	n.onLoop(func() {
+		last := s.server
+		n.loop.After(func() {
+			if s.server != last {
+				last = s.server
+				fn()
+			}
+		})
+	})
+}
+
+// acceptOnServer is the next connection that a server accepts.
+func (n *testNode) acceptOnServer() (conn serverConn) {
+	n.t.Helper()
+	select {
+	case conn = <-n.accepted:
+		closeAtEnd(n.t, conn)
+	case <-time.After(ioTimeout):
+		n.t.Fatal("no server is dialled")
+	}
+	return conn
+}
+
+// requireNothing checks that a server gets an end and no byte.
+func (n *testNode) requireNothing(conn net.Conn) {
+	n.t.Helper()
+	if received, err := io.ReadAll(conn); len(received) > 0 || err != nil {
+		n.t.Errorf("the server got %q, %v", received, err)
+	}
+}
+
+// requireLine checks that the next line begins with a prefix.
+func (n *testNode) requireLine(conn net.Conn, prefix string) {
+	n.t.Helper()
+	if text, err := bufio.NewReader(conn).ReadString('\n'); !strings.HasPrefix(text, prefix) {
+		n.t.Errorf("got %q, %v: want %s", text, err, prefix)
+	}
+}
+
+// requireInFlight checks the number of requests in flight. It is to be called on the loop.
+func (n *testNode) requireInFlight(want int) {
+	n.t.Helper()
+	if got := n.core.InFlight(); got != want {
+		n.t.Errorf("the race did not take place: %d requests in flight, want %d", got, want)
+	}
+}
+
+// send writes to a connection. A failed write shows in what the other side then doesn't get.
+func send(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
+
+// setDeadline keeps a test from waiting without end. It fails on a closed connection only, on which nothing waits.
+func setDeadline(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(ioTimeout)) }
+
+// closeAtEnd closes what the test may have closed itself, where the error doesn't matter.
+func closeAtEnd(t *testing.T, closer io.Closer) {
+	t.Helper()
+	t.Cleanup(func() { _ = closer.Close() })
+}
+
+// disconnect is a way in which a connection ends.
+type disconnect string
+
+const (
+	closed     disconnect = "end"
+	halfClosed disconnect = "half"
+	reset      disconnect = "reset"
+)
+
+// endConnection ends a connection: the end is in the peer's socket when endConnection returns.
+func (n *testNode) endConnection(conn net.Conn, how disconnect) {
+	n.t.Helper()
+	tcpConn, ok := conn.(*net.TCPConn)
+	if !ok {
+		n.t.Errorf("%T is no TCP connection", conn)
+		return
+	}
+	var err error
+	switch how {
+	case closed:
+		err = tcpConn.Close()
+	case halfClosed:
+		err = tcpConn.CloseWrite()
+		n.waitDelivered(conn)
+	case reset:
+		_ = tcpConn.SetLinger(0) // fails on a closed connection only, as does Close
+		err = tcpConn.Close()
+	}
+	if err != nil {
+		n.t.Errorf("%s of a connection: %v", how, err)
+	}
+	if how != halfClosed {
+		time.Sleep(closeDelay)
+	}
+}
--- a/internal/platform/downstream/transfer.go
+++ b/internal/platform/downstream/transfer.go
@@ -15,6 +15,7 @@
 var (
 	errClientState = errors.New("the state of a client's side is out of range")
 	errMissingSide = errors.New("the connection's state and its front's differ in whether it is established")
+	errSocketCount = errors.New("wrong number of sockets of a connection")
 )
 
 // ConnectionState is what the front knows of a client's connection besides its sockets, as one process of a node
@@ -41,7 +42,7 @@
 	}
 	switch {
 	case sockets != expected:
-		return fmt.Errorf("%d sockets of a connection that has %d", sockets, expected)
+		return fmt.Errorf("%w: %d, want %d", errSocketCount, sockets, expected)
 	case s.Behind < 0 || s.Behind > line.Max || len(s.Line) > line.Max:
 		return errClientState
 	}
@@ -66,7 +67,7 @@
 	return []int{clientFD, serverFD}, transferred, true
 }
 
-// Reattach has a detached connection go on.
+// Reattach resumes a detached connection in this process.
 func (s *session) Reattach() {
 	s.conn.Reattach()
 	if s.server != nil {
@@ -74,7 +75,7 @@
 	}
 }
 
-// Release lets go of a detached connection that another process has.
+// Release closes this process's descriptors of a detached connection that another process has taken over.
 func (s *session) Release() {
 	s.front.core.ConnectionClosedUnused(trace.Transferred)
 	s.markClosed()
@@ -84,8 +85,9 @@
 	}
 }
 
-// Hold checks a connection of another process whole and returns what has it go on here. read decodes what the other
-// process's front encoded.
+// Hold decodes and validates a connection that another process transfers, and returns the function that resumes it
+// here. Until that is called nothing has changed. read decodes what the other process's front encoded; open is nil for
+// a connection that has sent no request yet.
 func (f *Front) Hold(
 	core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int,
 ) (restore func(), err error) {
@@ -105,20 +107,20 @@
 	return func() { f.restore(core, *open, state, fds) }, nil
 }
 
-// restore goes on with an established connection of another process.
+// restore resumes an established connection of another process.
 func (f *Front) restore(core *edge.Core, open edge.ConnectionState, state ConnectionState, fds []int) {
-	s := &session{front: f, established: true, serverLines: line.NewScanner(state.Behind)}
-	request, attempt := core.Adopt(open, s)
-	s.request = request
-	s.server = f.upstream.Restore(attempt, fds[1], *state.Server, s)
-	attempt.Resume(s.server)
-	s.conn = f.loop.Restore(fds[0], state.Conn, s)
+	restored := &session{front: f, established: true, serverLines: line.NewScanner(state.Behind)}
+	request, attempt := core.Adopt(open, restored)
+	restored.request = request
+	restored.server = f.upstream.Restore(attempt, fds[1], *state.Server, restored)
+	attempt.Resume(restored.server)
+	restored.conn = f.loop.Restore(fds[0], state.Conn, restored)
 	// Each side is read again unless bytes for the other one still wait to be written.
 	if len(state.Conn.Out) == 0 {
-		s.server.Resume()
+		restored.server.Resume()
 	}
 	if len(state.Server.Conn.Out) == 0 {
-		s.conn.Resume()
+		restored.conn.Resume()
 	}
 }
 
@@ -137,35 +139,35 @@
 
 // Detach takes the connection off the loop.
 func (i Idle) Detach() (fds []int, state any, ok bool) {
-	s := i.session
-	if s.closed || s.request != nil {
+	client := i.session
+	if client.closed || client.request != nil {
 		return nil, nil, false
 	}
-	fd, conn, ok := s.conn.Detach()
+	fd, conn, ok := client.conn.Detach()
 	if !ok {
 		return nil, nil, false
 	}
-	s.cancelTimer()
+	client.cancelTimer()
 	transferred := ConnectionState{
 		Conn:   conn,
-		Line:   s.firstLineReader.Partial(),
-		Pinged: s.pinged,
-		Until:  s.firstLineDeadline.UnixNano(),
-		Left:   loop.TimeLeft(s.front.loop.Now(), s.firstLineDeadline),
+		Line:   client.firstLineReader.Partial(),
+		Pinged: client.pinged,
+		Until:  client.firstLineDeadline.UnixNano(),
+		Left:   loop.TimeLeft(client.front.loop.Now(), client.firstLineDeadline),
 	}
 	return []int{fd}, transferred, true
 }
 
-// Reattach has a detached connection go on.
+// Reattach resumes a detached connection in this process.
 func (i Idle) Reattach() {
 	i.session.Reattach()
 	i.session.awaitFirstLine(i.session.firstLineDeadline)
 }
 
-// Release lets go of a detached connection that another process has.
+// Release closes this process's descriptors of a detached connection that another process has taken over.
 func (i Idle) Release() { i.session.Release() }
 
-// restoreIdle goes on with a connection of another process that has sent no request yet.
+// restoreIdle resumes a connection of another process that has sent no request yet.
 func (f *Front) restoreIdle(state ConnectionState, fd int) {
 	s := &session{front: f, firstLineReader: line.NewReader(state.Line), pinged: state.Pinged}
 	s.conn = f.loop.Restore(fd, state.Conn, s)
