--- a/internal/platform/downstream/open_line.go
+++ b/internal/platform/downstream/open_line.go
@@ -25,14 +25,14 @@
 
 // What is wrong with a first line.
 var (
-	errNotOpen       = errors.New("a first line that is neither OPEN nor PING")
-	errID            = errors.New("an OPEN without an id, or with one that is too long")
-	errRepeatedField = errors.New("an OPEN that names a field twice")
-	errKey           = errors.New("an OPEN whose key is not a number")
-	errUnknownClass  = errors.New("an OPEN of an unknown class")
-	errGroup         = errors.New("an OPEN whose g is not a number")
-	errLoad          = errors.New("an OPEN whose h is not a load")
-	errDeadline      = errors.New("an OPEN whose d is not a time")
+	errNotOpen      = errors.New("a first line that is neither OPEN nor PING")
+	errID           = errors.New("an OPEN without an id, or with one that is too long")
+	errInvalidField = errors.New("an OPEN that names a field twice or gives it no value")
+	errKey          = errors.New("an OPEN whose key is not a number")
+	errUnknownClass = errors.New("an OPEN of an unknown class")
+	errGroup        = errors.New("an OPEN whose g is not a number")
+	errLoad         = errors.New("an OPEN whose h is not a load")
+	errDeadline     = errors.New("an OPEN whose d is not a time")
 )
 
 // fieldList is the "name=value,name=value" of an OPEN line.
@@ -40,7 +40,7 @@
 
 // value is a field's value; false: the line doesn't have the field.
 func (l fieldList) value(name string) (string, bool) {
-	from, to := line.Find(l, name)
+	from, to := line.FindField(l, name)
 	if from < 0 {
 		return "", false
 	}
@@ -57,8 +57,8 @@
 	if len(id) == 0 || len(id) > maxIDBytes {
 		return edge.Spec{}, errID
 	}
-	if line.Repeated(fields) != "" {
-		return edge.Spec{}, errRepeatedField
+	if line.InvalidField(fields) != "" {
+		return edge.Spec{}, errInvalidField
 	}
 	number, err := strconv.ParseUint(string(key), 16, 64)
 	if err != nil {
--- a/internal/platform/downstream/relay.go
+++ b/internal/platform/downstream/relay.go
@@ -103,7 +103,7 @@
 	if s.closed {
 		return
 	}
-	if s.serverLines.Mid() {
+	if s.serverLines.MidLine() {
 		s.migrating = true
 		s.stopTimer = s.front.loop.At(by, s.sendMove)
 		return
@@ -118,7 +118,7 @@
 	}
 	s.server.End(false)
 	lastLine := moveLine
-	if s.migrating && s.serverLines.Mid() { // MOVE behind an unfinished line would be a part of that line
+	if s.migrating && s.serverLines.MidLine() { // MOVE behind an unfinished line would be a part of that line
 		lastLine = midLineMoveLine
 	}
 	s.close(invariant.ByNode, trace.NodeMigratedClient)
--- a/internal/platform/downstream/session.go
+++ b/internal/platform/downstream/session.go
@@ -246,7 +246,7 @@
 		return
 	}
 	reset := !errors.Is(err, io.EOF)
-	if !reset && !s.established && s.firstLineReader.Mid() {
+	if !reset && !s.established && s.firstLineReader.MidLine() {
 		s.malformed(errUnfinished)
 		return
 	}
--- a/internal/platform/downstream/transfer.go
+++ b/internal/platform/downstream/transfer.go
@@ -43,7 +43,7 @@
 	switch {
 	case sockets != expected:
 		return fmt.Errorf("%w: %d, want %d", errSocketCount, sockets, expected)
-	case s.Behind < 0 || s.Behind > line.Max || len(s.Line) > line.Max:
+	case s.Behind < 0 || s.Behind > line.MaxBytes || len(s.Line) > line.MaxBytes:
 		return errClientState
 	}
 	return nil
@@ -63,7 +63,7 @@
 		s.conn.Reattach()
 		return nil, nil, false
 	}
-	transferred := ConnectionState{Conn: clientState, Behind: s.serverLines.Partial(), Server: &serverState}
+	transferred := ConnectionState{Conn: clientState, Behind: s.serverLines.PartialBytes(), Server: &serverState}
 	return []int{clientFD, serverFD}, transferred, true
 }
 
@@ -124,22 +124,22 @@
 	}
 }
 
-// Idle is a connection that has sent no request yet.
-type Idle struct{ session *session }
+// IdleConnection is a client's connection that has sent no request yet.
+type IdleConnection struct{ session *session }
 
-// Idle are the connections that have sent no request yet, the oldest first.
-func (f *Front) Idle() (all []Idle) {
+// Idle returns the connections that have sent no request yet, the oldest first.
+func (f *Front) Idle() (all []IdleConnection) {
 	f.loop.EachIdle(func(handler loop.Handler) {
 		if s, ok := handler.(*session); ok && s.front == f && !s.closed && s.request == nil {
-			all = append(all, Idle{s})
+			all = append(all, IdleConnection{s})
 		}
 	})
 	return all
 }
 
 // Detach takes the connection off the loop.
-func (i Idle) Detach() (fds []int, state any, ok bool) {
-	client := i.session
+func (c IdleConnection) Detach() (fds []int, state any, ok bool) {
+	client := c.session
 	if client.closed || client.request != nil {
 		return nil, nil, false
 	}
@@ -159,13 +159,13 @@
 }
 
 // Reattach resumes a detached connection in this process.
-func (i Idle) Reattach() {
-	i.session.Reattach()
-	i.session.awaitFirstLine(i.session.firstLineDeadline)
+func (c IdleConnection) Reattach() {
+	c.session.Reattach()
+	c.session.awaitFirstLine(c.session.firstLineDeadline)
 }
 
 // Release closes this process's descriptors of a detached connection that another process has taken over.
-func (i Idle) Release() { i.session.Release() }
+func (c IdleConnection) Release() { c.session.Release() }
 
 // restoreIdle resumes a connection of another process that has sent no request yet.
 func (f *Front) restoreIdle(state ConnectionState, fd int) {
--- a/internal/platform/downstream/transfer_test.go
+++ b/internal/platform/downstream/transfer_test.go
@@ -14,7 +14,7 @@
 		node := newTestNode(t, 1)
 		client, clientSession := node.dialClient()
 		node.onLoop(func() {
-			fds, detached, ok := Idle{clientSession}.Detach()
+			fds, detached, ok := IdleConnection{clientSession}.Detach()
 			state, isState := detached.(ConnectionState)
 			if !ok || !isState {
 				t.Error("the connection can't be detached")
@@ -25,7 +25,7 @@
 				t.Error(err)
 				return
 			}
-			Idle{clientSession}.Release()
+			IdleConnection{clientSession}.Release()
 			state.Until -= int64(ahead) // as the other process's clock has it
 			node.front.restoreIdle(state, fd)
 		})
--- a/internal/platform/line/line.go
+++ b/internal/platform/line/line.go
@@ -1,4 +1,5 @@
-// Package line reads the platform's lines incrementally: CRLF ends a line, and none is longer than 4 KiB.
+// Package line reads the lines of the platform's protocol incrementally: CRLF ends a line, and none is longer than 4
+// KiB.
 package line
 
 import (
@@ -7,15 +8,15 @@
 	"slices"
 )
 
-// Max is the length of the longest line in bytes, its CRLF included.
-const Max = 4 << 10
+// MaxBytes is the length of the longest line in bytes, its CRLF included.
+const MaxBytes = 4 << 10
 
 const (
-	maxFields          = 32 // in a list of names and values; none has that many
-	wordsBeforeTheList = 3  // in an OPEN line
+	maxFields         = 32 // of a line; none has that many
+	wordsBeforeFields = 3  // in an OPEN line
 )
 
-// ErrTooLong says that a line runs past Max.
+// ErrTooLong says that a line runs past MaxBytes.
 var ErrTooLong = errors.New("line too long")
 
 // Reader puts lines together from pieces. The zero Reader is at the start of a line.
@@ -24,12 +25,13 @@
 // NewReader goes on after the start of a line that another Reader returned as Partial.
 func NewReader(partial []byte) Reader { return Reader{partial} }
 
-// Next takes a piece and returns the first line in it, with its end, and what follows. The line is nil where the
-// piece holds no end; the piece is kept then. A line is valid until the next call, unless it came in pieces.
+// Next takes a piece and returns the first line in it, with its end, and what follows. The line is nil where the piece
+// holds no end; the piece is buffered then. A line is valid until the next call, unless it came in pieces. The error is
+// ErrTooLong.
 func (r *Reader) Next(piece []byte) (text, rest []byte, err error) {
 	end := bytes.IndexByte(piece, '\n')
 	if end < 0 {
-		if len(r.partial)+len(piece) > Max {
+		if len(r.partial)+len(piece) > MaxBytes {
 			return nil, nil, ErrTooLong
 		}
 		r.partial = append(r.partial, piece...)
@@ -40,20 +42,21 @@
 		text = append(r.partial, text...)
 		r.partial = nil
 	}
-	if len(text) > Max {
+	if len(text) > MaxBytes {
 		return nil, nil, ErrTooLong
 	}
 	return text, rest, nil
 }
 
-// Mid reports whether the last byte read is inside a line.
-func (r *Reader) Mid() bool { return len(r.partial) > 0 }
+// MidLine reports whether the last byte read is inside a line.
+func (r *Reader) MidLine() bool { return len(r.partial) > 0 }
 
 // Partial is the start of a line that has not ended yet.
 func (r *Reader) Partial() []byte { return r.partial }
 
-// Scan calls fn for each line that ends in piece and keeps the start of the next. It stops at a line that is too long.
-func (r *Reader) Scan(piece []byte, fn func(text []byte)) error {
+// Scan calls onLine for each line that ends in piece and buffers the start of the next. It stops at a line that is too
+// long.
+func (r *Reader) Scan(piece []byte, onLine func(text []byte)) error {
 	for len(piece) > 0 {
 		text, rest, err := r.Next(piece)
 		if err != nil {
@@ -62,29 +65,29 @@
 		if text == nil {
 			return nil
 		}
-		fn(text)
+		onLine(text)
 		piece = rest
 	}
 	return nil
 }
 
-// Scanner counts lines without keeping any. The zero Scanner is at the start of a line.
+// Scanner finds the ends of lines without buffering any. The zero Scanner is at the start of a line.
 type Scanner struct{ partialBytes int }
 
-// NewScanner goes on after the part of a line that another Scanner returned as Partial.
+// NewScanner goes on after the part of a line that another Scanner returned as PartialBytes.
 func NewScanner(partialBytes int) Scanner { return Scanner{partialBytes} }
 
-// Mid reports whether the last byte read is inside a line.
-func (s *Scanner) Mid() bool { return s.partialBytes > 0 }
+// MidLine reports whether the last byte read is inside a line.
+func (s *Scanner) MidLine() bool { return s.partialBytes > 0 }
 
-// Partial is the number of bytes of a line that has not ended yet.
-func (s *Scanner) Partial() int { return s.partialBytes }
+// PartialBytes is the number of bytes of a line that has not ended yet.
+func (s *Scanner) PartialBytes() int { return s.partialBytes }
 
-// Count calls fn for each line that ends in piece. It stops at a line that is too long.
-func (s *Scanner) Count(piece []byte, fn func()) error {
+// Count calls onLine for each line that ends in piece. It stops at a line that is too long.
+func (s *Scanner) Count(piece []byte, onLine func()) error {
 	for len(piece) > 0 {
 		end := bytes.IndexByte(piece, '\n')
-		if s.partialBytes+max(end+1, 1) > Max || end < 0 && s.partialBytes+len(piece) > Max {
+		if s.partialBytes+max(end+1, 1) > MaxBytes || end < 0 && s.partialBytes+len(piece) > MaxBytes {
 			return ErrTooLong
 		}
 		if end < 0 {
@@ -92,18 +95,18 @@
 			return nil
 		}
 		s.partialBytes = 0
-		fn()
+		onLine()
 		piece = piece[end+1:]
 	}
 	return nil
 }
 
-// Trim cuts the end off a line.
+// Trim returns a line without its LF or CRLF.
 func Trim(text []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(text, []byte("\n")), []byte("\r"))
 }
 
-// Printable reports whether a line holds printable ASCII and blanks only.
+// Printable reports whether a line holds printable ASCII and spaces only.
 func Printable(text []byte) bool {
 	for _, char := range text {
 		if char < ' ' || char > '~' {
@@ -113,8 +116,8 @@
 	return true
 }
 
-// Find returns where the value of a name stands in "name=value,name=value"; from is -1 where the name is absent.
-func Find(list []byte, name string) (from, to int) {
+// FindField returns where the value of a name stands in "name=value,name=value"; from is -1 where the name is absent.
+func FindField(list []byte, name string) (from, to int) {
 	if name == "" {
 		return -1, -1
 	}
@@ -141,9 +144,10 @@
 	return end
 }
 
-// Repeated returns a field whose name stands twice, or that has no value, in "name=value,name=value"; else nothing. A
-// reader of the first and a reader of the last of two would take the same line for two different requests.
-func Repeated(list []byte) string {
+// InvalidField returns the first field of "name=value,name=value" whose name was there before or that has no value;
+// empty: there is none. A server that reads the first of two fields and one that reads the last would take the same
+// line for two different requests.
+func InvalidField(list []byte) string {
 	var names [maxFields][]byte
 	count := 0
 	for field := range bytes.SplitSeq(list, []byte(",")) {
@@ -158,15 +162,15 @@
 	return ""
 }
 
-// FieldsAt is where the list of fields of an OPEN line starts: after its third blank.
-func FieldsAt(text []byte) int {
+// FieldsStart is where the list of fields of an OPEN line starts: after its third space.
+func FieldsStart(text []byte) int {
 	start := 0
-	for range wordsBeforeTheList {
-		blank := bytes.IndexByte(text[start:], ' ')
-		if blank < 0 {
+	for range wordsBeforeFields {
+		space := bytes.IndexByte(text[start:], ' ')
+		if space < 0 {
 			return len(text)
 		}
-		start += blank + 1
+		start += space + 1
 	}
 	return start
 }
--- a/internal/platform/upstream/cluster.go
+++ b/internal/platform/upstream/cluster.go
@@ -25,14 +25,14 @@
 }
 
 // Sink is the client's side of an upstream request. After ServerEnded or Served, and once the request is ended or given
-// up, nothing more comes.
+// up, nothing is called.
 type Sink interface {
 	Established(upLine []byte) // the server's own UP line, which serves the client
 	Forward(data []byte)       // what follows it, unchanged
 	ServerEnded(reset bool)    // the server ended the connection after UP, by FIN or by a reset
-	ServerDrained()            // what waited to be written to the server is with the kernel
+	ServerDrained()            // the kernel has all that was to be written to the server
 	Served(reply []byte)       // the server served the request to its end with this line, without UP
-	CheckClient()              // looks whether the client has left meanwhile, which has the attempt given up
+	CheckClient()              // reads the client's end, if it is in the socket; the attempt is given up then
 }
 
 // Cluster starts upstream requests and health checks at the platform's servers.
@@ -42,12 +42,12 @@
 	checkers     map[choice.ServerID]*healthChecker
 
 	connected           list.List // of *healthChecker: those with a connection, the longest unused first
-	maxCheckConnections int       // of them that are kept; 0: any number
+	maxCheckConnections int       // limit of connected; 0: none
 }
 
 // New makes a Cluster; reportFields are the names of a load report's values in the settings.
-func New(l *loop.Loop, reportFields []string) *Cluster {
-	return &Cluster{loop: l, reportFields: reportFields, checkers: map[choice.ServerID]*healthChecker{}}
+func New(eventLoop *loop.Loop, reportFields []string) *Cluster {
+	return &Cluster{loop: eventLoop, reportFields: reportFields, checkers: map[choice.ServerID]*healthChecker{}}
 }
 
 // Adapt sets the names of a load report's values from now on.
@@ -55,9 +55,9 @@
 
 // Attempt starts an attempt. openLine is the client's OPEN line; only its d is rewritten.
 func (c *Cluster) Attempt(attempt *edge.Attempt, openLine []byte, sink Sink) *Request {
-	r := &Request{cluster: c, attempt: attempt, sink: sink, openLine: openLine}
-	r.conn = c.loop.Dial(attempt.Server.Addr, attempt.ConnectBy(), r)
-	return r
+	request := &Request{cluster: c, attempt: attempt, sink: sink, openLine: openLine}
+	request.conn = c.loop.Dial(attempt.Server.Addr, attempt.ConnectBy(), request)
+	return request
 }
 
 // parseReport reads "name=value,name=value" into the order of the settings. A value that is absent, not a number or
@@ -68,9 +68,9 @@
 	}
 	var report []float64
 	for index, name := range c.reportFields {
-		from, to := line.Find(info, name)
+		from, to := line.FindField(info, name)
 		if from < 0 {
-			from, to = line.Find(info, reportFieldAliases[name])
+			from, to = line.FindField(info, reportFieldAliases[name])
 		}
 		if from < 0 {
 			continue
@@ -104,8 +104,8 @@
 
 // withDeadline rewrites d in the list of an OPEN line, in whole milliseconds; all else stays as it came.
 func withDeadline(openLine []byte, left time.Duration) []byte {
-	start := line.FieldsAt(openLine)
-	from, to := line.Find(openLine[start:], "d")
+	start := line.FieldsStart(openLine)
+	from, to := line.FindField(openLine[start:], "d")
 	if from < 0 {
 		return openLine
 	}
--- a/internal/platform/upstream/cluster_test.go
+++ b/internal/platform/upstream/cluster_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestWithDeadline(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		in, want string
 		left     time.Duration
 	}{
@@ -15,8 +15,8 @@
 		{"OPEN 1 2 d=2000\r\n", "OPEN 1 2 d=1\r\n", -time.Second},
 		{"OPEN d=9 2 c=a,x=d=7\r\n", "OPEN d=9 2 c=a,x=d=7\r\n", time.Second},
 	} {
-		if got := string(withDeadline([]byte(c.in), c.left)); got != c.want {
-			t.Errorf("%q becomes %q, want %q", c.in, got, c.want)
+		if got := string(withDeadline([]byte(test.in), test.left)); got != test.want {
+			t.Errorf("%q becomes %q, want %q", test.in, got, test.want)
 		}
 	}
 }
--- a/internal/platform/upstream/healthcheck.go
+++ b/internal/platform/upstream/healthcheck.go
@@ -34,19 +34,21 @@
 	element     *list.Element // of Cluster.connected; nil without a connection
 }
 
-// CheckHealth asks a server for its load report.
-func (c *Cluster) CheckHealth(server edge.ServerEntry, by time.Time, done func(choice.Outcome, []float64)) {
+// CheckHealth asks a server for its load report and calls done once, at the deadline at the latest. done gets the
+// report in the order of the settings, or nil. A server has one health check in flight at a time; another is never
+// sent.
+func (c *Cluster) CheckHealth(server edge.ServerEntry, deadline time.Time, done func(choice.Outcome, []float64)) {
 	checker := c.checker(server)
 	if checker.done != nil { // a second reply on its connection could not be told from the first
 		done(choice.NeverSent, nil)
 		return
 	}
 	checker.done = done
-	checker.stopTimer = c.loop.At(by, func() { checker.drop(choice.TimedOut) })
+	checker.stopTimer = c.loop.At(deadline, func() { checker.drop(choice.TimedOut) })
 	if checker.conn == nil {
 		c.closeIdleCheckers(1)
 		checker.lines = line.Reader{}
-		checker.conn = c.loop.Dial(server.Addr, by, checker)
+		checker.conn = c.loop.Dial(server.Addr, deadline, checker)
 		checker.element = c.connected.PushBack(checker)
 		return
 	}
@@ -56,7 +58,7 @@
 	}
 }
 
-// checker is the one of a server; one for a former address of the server is given up.
+// checker returns the health checker of a server. One for a former address of the server is dropped.
 func (c *Cluster) checker(server edge.ServerEntry) *healthChecker {
 	checker := c.checkers[server.ID]
 	if checker != nil && checker.addr == server.Addr {
@@ -70,21 +72,22 @@
 	return checker
 }
 
-// KeepHealthChecks sets how many connections for health checks are kept, besides those with a check in flight; 0: any
-// number. Guards against an endpoint list with more servers than the node has descriptors, whose health checks would
+// KeepHealthChecks limits the idle connections for health checks, besides those with a check in flight; 0: no limit.
+// Guards against an endpoint list with more servers than the node has descriptors, whose health checks would
 // leave none for clients.
 func (c *Cluster) KeepHealthChecks(maxConnections int) {
 	c.maxCheckConnections = maxConnections
 	c.closeIdleCheckers(0)
 }
 
-// closeIdleCheckers ends connections without a health check in flight, the longest unused first, until so many more fit.
-func (c *Cluster) closeIdleCheckers(more int) {
+// closeIdleCheckers ends connections without a health check in flight, the longest unused first, until so many more
+// fit.
+func (c *Cluster) closeIdleCheckers(needed int) {
 	if c.maxCheckConnections <= 0 {
 		return
 	}
 	element := c.connected.Front()
-	for element != nil && c.connected.Len()+more > c.maxCheckConnections {
+	for element != nil && c.connected.Len()+needed > c.maxCheckConnections {
 		checker, _ := element.Value.(*healthChecker) // the list holds nothing else
 		element = element.Next()
 		if checker.done == nil {
@@ -129,7 +132,7 @@
 	}
 }
 
-// connectionGone takes note that there is no connection any more.
+// connectionGone resets the state of a connection that has ended.
 func (h *healthChecker) connectionGone() {
 	h.conn = nil
 	h.established = false
--- a/internal/platform/upstream/transfer.go
+++ b/internal/platform/upstream/transfer.go
@@ -9,10 +9,10 @@
 	"spurwinch/internal/platform/line"
 )
 
-// maxTransferredWait is more than any line may wait for its reply.
+// maxTransferredWait bounds the time that a transferred line has awaited its reply; it is more than any line may wait.
 const maxTransferredWait = 10 * time.Second
 
-// errServerState says that the state that another process told can't be.
+// errServerState says that the state that another process transferred is invalid.
 var errServerState = errors.New("the state of a server's side is out of range")
 
 // ConnectionState is what a request of an established connection knows besides its socket, as one process of a node
@@ -22,14 +22,14 @@
 	Line   []byte               `cbor:"2,keyasint,omitempty"` // the start of the server's unfinished line
 	Behind int                  `cbor:"3,keyasint,omitempty"` // bytes of the client's unfinished line
 	Last   uint8                `cbor:"4,keyasint,omitempty"` // the server's last line: 0 any, 1 BYE, 2 MOVE
-	// Sent is the Unix time in nanoseconds of the line that waits for its reply, for releases without Waits; 0: none does.
+	// Sent is the Unix time in nanoseconds of the line that awaits a reply, for releases without Waits; 0: none does.
 	Sent  int64 `cbor:"5,keyasint,omitempty"`
-	Waits int64 `cbor:"6,keyasint,omitempty"` // nanoseconds that it has waited; 0: none does
+	Waits int64 `cbor:"6,keyasint,omitempty"` // nanoseconds since that line was sent; 0: none awaits a reply
 }
 
-// Check says what is wrong with the state that another process told.
+// Check validates the state that another process transferred.
 func (s ConnectionState) Check() error {
-	linesFit := len(s.Line) <= line.Max && s.Behind >= 0 && s.Behind <= line.Max
+	linesFit := len(s.Line) <= line.MaxBytes && s.Behind >= 0 && s.Behind <= line.MaxBytes
 	if !linesFit || s.Last > uint8(closingMove) || s.Sent < 0 || s.Waits < 0 {
 		return errServerState
 	}
@@ -52,7 +52,7 @@
 	}
 	fd, state.Conn, ok = r.conn.Detach()
 	state.Line = r.serverLines.Partial()
-	state.Behind = r.clientLines.Partial()
+	state.Behind = r.clientLines.PartialBytes()
 	state.Last = uint8(r.lastClosingLine)
 	if !r.awaitingReplySince.IsZero() {
 		state.Sent = r.awaitingReplySince.UnixNano()
@@ -62,21 +62,21 @@
 	return fd, state, ok
 }
 
-// Reattach has a detached connection go on.
+// Reattach resumes a detached connection in this process.
 func (r *Request) Reattach() {
 	r.conn.Reattach()
 	r.resumeReplyTimer()
 }
 
-// Release lets go of a detached connection that another process has.
+// Release closes this process's descriptor of a detached connection that another process has taken over.
 func (r *Request) Release() {
 	r.markClosed()
 	r.conn.Release()
 }
 
-// Restore goes on with an established connection of another process.
+// Restore resumes an established connection that another process has transferred.
 func (c *Cluster) Restore(attempt *edge.Attempt, fd int, state ConnectionState, sink Sink) *Request {
-	r := &Request{
+	restored := &Request{
 		cluster:         c,
 		attempt:         attempt,
 		sink:            sink,
@@ -86,14 +86,14 @@
 		clientLines:     line.NewScanner(state.Behind),
 	}
 	if state.Sent > 0 {
-		r.awaitingReplySince = state.awaitingReplySince(c.loop.Now())
+		restored.awaitingReplySince = state.awaitingReplySince(c.loop.Now())
 	}
-	r.conn = c.loop.Restore(fd, state.Conn, r)
-	r.resumeReplyTimer()
-	return r
+	restored.conn = c.loop.Restore(fd, state.Conn, restored)
+	restored.resumeReplyTimer()
+	return restored
 }
 
-// resumeReplyTimer has a late reply noticed on a connection where one is awaited.
+// resumeReplyTimer starts the timer of an awaited reply again.
 func (r *Request) resumeReplyTimer() {
 	if !r.awaitingReplySince.IsZero() && r.stopReplyTimer == nil && !r.closed {
 		r.stopReplyTimer = r.cluster.loop.At(r.cluster.loop.Now(), r.checkReplyDelay)
