--- /dev/null
+++ b/internal/platform/cluster/list.go
@@ -0,0 +1,114 @@
+package cluster
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"spurwinch/choice"
+	"spurwinch/internal/edge"
+)
+
+// List is an endpoint list in discovery's JSON form.
+type List struct {
+	Version int64   `json:"version"`
+	Full    bool    `json:"full"` // else it has the changes since an earlier version only
+	Servers []entry `json:"servers"`
+}
+
+// entry is a server in discovery's JSON form.
+type entry struct {
+	ID        string   `json:"id"`
+	Addr      string   `json:"addr"`
+	Zone      string   `json:"zone"`
+	Kind      string   `json:"kind"`
+	Cell      int      `json:"cell"`
+	State     string   `json:"state"`
+	Weight    *float64 `json:"weight"` // absent: 1
+	StartedMS int64    `json:"started_ms"`
+}
+
+var serverStates = map[string]choice.ServerState{
+	"SERVING":  choice.Ready,
+	"DRAINING": choice.Draining,
+	"DELETED":  choice.Gone,
+}
+
+// InvalidEntryError names an entry of an endpoint list that has no id or an unknown state.
+type InvalidEntryError struct {
+	ID    string
+	State string
+}
+
+func (e *InvalidEntryError) Error() string {
+	return fmt.Sprintf("entry %q has state %q", e.ID, e.State)
+}
+
+// Parse decodes a list. It does not check the entries: Hosts does.
+func Parse(raw []byte) (*List, error) {
+	list := &List{}
+	err := json.Unmarshal(raw, list)
+	return list, err
+}
+
+// Hosts returns the list's servers, or an *InvalidEntryError.
+func (l List) Hosts() ([]edge.ServerEntry, error) {
+	var servers []edge.ServerEntry
+	for _, listed := range l.Servers {
+		server, err := listed.server()
+		if err != nil {
+			return nil, err
+		}
+		servers = append(servers, server)
+	}
+	return servers, nil
+}
+
+// server decodes an entry.
+func (e entry) server() (edge.ServerEntry, error) {
+	state, known := serverStates[e.State]
+	if !known || e.ID == "" {
+		return edge.ServerEntry{}, &InvalidEntryError{ID: e.ID, State: e.State}
+	}
+	size := 1.0
+	if e.Weight != nil {
+		size = *e.Weight
+	}
+	return edge.ServerEntry{Addr: e.Addr, Server: choice.Server{
+		ID:      choice.ServerID(e.ID),
+		Zone:    e.Zone,
+		Kind:    e.Kind,
+		Cell:    e.Cell,
+		State:   state,
+		Size:    size,
+		Started: time.Duration(e.StartedMS) * time.Millisecond,
+	}}, nil
+}
+
+// ListOf returns a full list of servers in discovery's form. A version below 0 is none of discovery's.
+func ListOf(version int64, servers []edge.ServerEntry) List {
+	list := List{Version: version, Full: true, Servers: []entry{}}
+	for _, server := range servers {
+		list.Servers = append(list.Servers, entry{
+			ID:        string(server.ID),
+			Addr:      server.Addr,
+			Zone:      server.Zone,
+			Kind:      server.Kind,
+			Cell:      server.Cell,
+			State:     stateName(server.State),
+			Weight:    &server.Size,
+			StartedMS: server.Started.Milliseconds(),
+		})
+	}
+	return list
+}
+
+// stateName is discovery's name of a state.
+func stateName(state choice.ServerState) string {
+	for name, named := range serverStates {
+		if named == state {
+			return name
+		}
+	}
+	return ""
+}
--- a/internal/platform/cluster/response.go
+++ b/internal/platform/cluster/response.go
@@ -4,29 +4,50 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 )
 
 const (
-	maxHeadBytes = 16 << 10
-	maxBodyBytes = 4 << 20
+	maxHeadBytes   = 16 << 10 // of a head, and of a chunk's size line
+	maxBodyBytes   = 4 << 20
+	maxQuotedBytes = 60 // of a line that an error quotes
+	maxStatus      = 599
+
+	headEnd       = "\r\n\r\n"
+	lineEnd       = "\r\n"
+	unknownLength = -1 // of a body that ends with the connection
+)
+
+// What is wrong with a response.
+var (
+	errNotHTTP          = errors.New("no HTTP answer")
+	errHeadTooLong      = errors.New("answer head too long")
+	errBodyTooLong      = errors.New("answer too long")
+	errTrailingBytes    = errors.New("bytes after the answer")
+	errHeaderLine       = errors.New("bad header line")
+	errContentLength    = errors.New("bad Content-Length")
+	errTransferEncoding = errors.New("transfer encoding")
+	errChunkLineTooLong = errors.New("chunk size line too long")
+	errChunkSize        = errors.New("bad chunk size")
 )
 
-// response is an HTTP/1.1 answer, read piece by piece.
+// response is an HTTP/1.1 response that is read incrementally.
 type response struct {
 	status       int
-	close        bool
+	close        bool // the connection is not reused
 	body         []byte
 	unparsed     []byte
 	headComplete bool
-	received     int
-	length       int // of the body; -1: to the end of the connection
+	received     int // bytes
+	length       int // of the body, or unknownLength
 	chunked      bool
-	chunkLeft    int // left of the present chunk, its CRLF included; 0: a size line is next
+	chunkLeft    int // bytes left of the present chunk, its CRLF included; 0: a size line is next
 	inTrailer    bool
 }
 
+// begun reports whether any byte has come.
 func (r *response) begun() bool { return r.received > 0 }
 
 // bodyBegun reports whether something of the body has come.
@@ -34,128 +55,176 @@
 	return r.headComplete && (len(r.body) > 0 || len(r.unparsed) > 0)
 }
 
-// endsAnswer reports whether the end of the connection is the end of the answer.
-func (r *response) endsAnswer() bool { return r.headComplete && !r.chunked && r.length < 0 }
+// endsWithConnection reports whether the end of the connection is the end of the response.
+func (r *response) endsWithConnection() bool { return r.headComplete && !r.chunked && r.length < 0 }
+
+// feed takes a piece and reports whether the response is complete.
+func (r *response) feed(piece []byte) (complete bool, err error) {
+	r.received += len(piece)
+	r.unparsed = append(r.unparsed, piece...)
+	if err := r.feedHead(); err != nil || !r.headComplete {
+		return false, err
+	}
+	if r.chunked {
+		return r.feedChunks()
+	}
+	return r.feedBody()
+}
 
-// feed takes a piece and reports whether the answer is complete.
-func (r *response) feed(p []byte) (bool, error) {
-	r.received += len(p)
-	r.unparsed = append(r.unparsed, p...)
+// feedHead parses heads that are complete, up to that of the final response.
+func (r *response) feedHead() error {
 	for !r.headComplete {
-		i := bytes.Index(r.unparsed, []byte("\r\n\r\n"))
-		if i < 0 {
+		end := bytes.Index(r.unparsed, []byte(headEnd))
+		if end < 0 {
 			if len(r.unparsed) > maxHeadBytes {
-				return false, errors.New("answer head too long")
+				return errHeadTooLong
 			}
-			return false, nil
+			return nil
 		}
-		if err := r.parseHead(string(r.unparsed[:i])); err != nil {
-			return false, err
+		if err := r.parseHead(string(r.unparsed[:end])); err != nil {
+			return err
 		}
-		r.unparsed = r.unparsed[i+4:]
+		r.unparsed = r.unparsed[end+len(headEnd):]
 	}
-	switch {
-	case r.chunked:
-		return r.feedChunks()
-	case r.length < 0:
-		r.body, r.unparsed = append(r.body, r.unparsed...), r.unparsed[:0]
-	default:
-		n := min(len(r.unparsed), r.length-len(r.body))
-		r.body, r.unparsed = append(r.body, r.unparsed[:n]...), r.unparsed[n:]
-	}
-	if len(r.body) > maxBodyBytes {
-		return false, errors.New("answer too long")
+	return nil
+}
+
+// feedBody takes bytes of a body that is not chunked.
+func (r *response) feedBody() (complete bool, err error) {
+	count := len(r.unparsed)
+	if r.length >= 0 {
+		count = min(count, r.length-len(r.body))
 	}
-	if r.length >= 0 && len(r.body) == r.length {
-		if len(r.unparsed) > 0 {
-			return false, errors.New("bytes after the answer")
-		}
-		return true, nil
+	r.body = append(r.body, r.unparsed[:count]...)
+	r.unparsed = append(r.unparsed[:0], r.unparsed[count:]...)
+	switch {
+	case len(r.body) > maxBodyBytes:
+		return false, errBodyTooLong
+	case len(r.body) != r.length:
+		return false, nil
+	case len(r.unparsed) > 0:
+		return false, errTrailingBytes
 	}
-	return false, nil
+	return true, nil
 }
 
-func (r *response) parseHead(h string) error {
-	lines := strings.Split(h, "\r\n")
-	proto, rest, _ := strings.Cut(lines[0], " ")
+// parseHead parses a status line and its headers.
+func (r *response) parseHead(head string) error {
+	lines := strings.Split(head, lineEnd)
+	protocol, rest, _ := strings.Cut(lines[0], " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
-	if err != nil || status < 100 || status > 599 || proto != "HTTP/1.1" && proto != "HTTP/1.0" {
-		return fmt.Errorf("no HTTP answer: %q", lines[0][:min(len(lines[0]), 60)])
-	}
-	r.length, r.close, r.chunked = -1, proto == "HTTP/1.0", false
-	for _, l := range lines[1:] {
-		name, value, ok := strings.Cut(l, ":")
-		if !ok {
-			return fmt.Errorf("bad header line %q", l[:min(len(l), 60)])
-		}
-		value = strings.TrimSpace(value)
-		switch strings.ToLower(name) {
-		case "content-length":
-			n, err := strconv.Atoi(value)
-			if err != nil || n < 0 || n > maxBodyBytes {
-				return fmt.Errorf("bad Content-Length %q", value)
-			}
-			r.length = n
-		case "transfer-encoding":
-			if !strings.EqualFold(value, "chunked") {
-				return fmt.Errorf("transfer encoding %q", value)
-			}
-			r.chunked = true
-		case "connection":
-			if strings.EqualFold(value, "close") {
-				r.close = true
-			}
+	knownProtocol := protocol == "HTTP/1.1" || protocol == "HTTP/1.0"
+	if err != nil || status < http.StatusContinue || status > maxStatus || !knownProtocol {
+		return fmt.Errorf("%w: %q", errNotHTTP, quoted(lines[0]))
+	}
+	r.length = unknownLength
+	r.close = protocol == "HTTP/1.0"
+	r.chunked = false
+	for _, text := range lines[1:] {
+		if err := r.parseHeader(text); err != nil {
+			return err
 		}
 	}
-	switch {
-	case status < 200: // an interim answer: the real one follows
+	if status < http.StatusOK { // an interim response: the final one follows
 		return nil
-	case status == 204 || status == 304:
+	}
+	if status == http.StatusNoContent || status == http.StatusNotModified {
 		r.length = 0
 	}
-	r.status, r.headComplete = status, true
+	r.status = status
+	r.headComplete = true
+	return nil
+}
+
+// parseHeader parses a header line.
+func (r *response) parseHeader(text string) error {
+	name, value, ok := strings.Cut(text, ":")
+	if !ok {
+		return fmt.Errorf("%w %q", errHeaderLine, quoted(text))
+	}
+	value = strings.TrimSpace(value)
+	switch strings.ToLower(name) {
+	case "content-length":
+		length, err := strconv.Atoi(value)
+		if err != nil || length < 0 || length > maxBodyBytes {
+			return fmt.Errorf("%w %q", errContentLength, value)
+		}
+		r.length = length
+	case "transfer-encoding":
+		if !strings.EqualFold(value, "chunked") {
+			return fmt.Errorf("%w %q", errTransferEncoding, value)
+		}
+		r.chunked = true
+	case "connection":
+		if strings.EqualFold(value, "close") {
+			r.close = true
+		}
+	}
 	return nil
 }
 
-func (r *response) feedChunks() (bool, error) {
+// quoted is the part of a line that an error quotes.
+func quoted(text string) string { return text[:min(len(text), maxQuotedBytes)] }
+
+// feedChunks takes bytes of a chunked body.
+func (r *response) feedChunks() (complete bool, err error) {
 	for {
-		if r.chunkLeft > 0 {
-			n := min(r.chunkLeft, len(r.unparsed))
-			keep := min(n, max(0, r.chunkLeft-2))
-			r.body = append(r.body, r.unparsed[:keep]...)
-			r.unparsed, r.chunkLeft = r.unparsed[n:], r.chunkLeft-n
-			if len(r.body) > maxBodyBytes {
-				return false, errors.New("answer too long")
-			}
-			if r.chunkLeft > 0 {
-				return false, nil
-			}
+		if err := r.feedChunk(); err != nil || r.chunkLeft > 0 {
+			return false, err
 		}
-		i := bytes.Index(r.unparsed, []byte("\r\n"))
-		if i < 0 {
-			if len(r.unparsed) > maxHeadBytes {
-				return false, errors.New("chunk size line too long")
-			}
-			return false, nil
+		text, ok, err := r.nextChunkLine()
+		if err != nil || !ok {
+			return false, err
 		}
-		l := string(r.unparsed[:i])
-		r.unparsed = r.unparsed[i+2:]
-		if r.inTrailer {
-			if l == "" {
-				return true, nil
+		if !r.inTrailer {
+			if err := r.parseChunkSize(text); err != nil {
+				return false, err
 			}
-			continue
-		}
-		size, _, _ := strings.Cut(l, ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil || n > maxBodyBytes {
-			return false, fmt.Errorf("bad chunk size %q", size)
+		} else if text == "" {
+			return true, nil
 		}
-		if n == 0 {
-			r.inTrailer = true
-			continue
+	}
+}
+
+// feedChunk takes bytes of the present chunk. Its CRLF is no part of the body.
+func (r *response) feedChunk() error {
+	count := min(r.chunkLeft, len(r.unparsed))
+	inBody := min(count, max(0, r.chunkLeft-len(lineEnd)))
+	r.body = append(r.body, r.unparsed[:inBody]...)
+	r.unparsed = r.unparsed[count:]
+	r.chunkLeft -= count
+	if len(r.body) > maxBodyBytes {
+		return errBodyTooLong
+	}
+	return nil
+}
+
+// nextChunkLine returns the next line between chunks, without its CRLF, if it has come.
+func (r *response) nextChunkLine() (text string, ok bool, err error) {
+	end := bytes.Index(r.unparsed, []byte(lineEnd))
+	if end < 0 {
+		if len(r.unparsed) > maxHeadBytes {
+			return "", false, errChunkLineTooLong
 		}
-		r.chunkLeft = int(n) + 2
+		return "", false, nil
+	}
+	text = string(r.unparsed[:end])
+	r.unparsed = r.unparsed[end+len(lineEnd):]
+	return text, true, nil
+}
+
+// parseChunkSize begins the next chunk, or the trailer.
+func (r *response) parseChunkSize(text string) error {
+	digits, _, _ := strings.Cut(text, ";") // extensions follow
+	size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
+	if err != nil || size > maxBodyBytes {
+		return fmt.Errorf("%w %q", errChunkSize, digits)
+	}
+	if size == 0 {
+		r.inTrailer = true
+	} else {
+		r.chunkLeft = int(size) + len(lineEnd)
 	}
+	return nil
 }
