--- /dev/null
+++ b/internal/platform/cluster/discovery_test.go
@@ -0,0 +1,184 @@
+package cluster
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"spurwinch/choice"
+	"spurwinch/internal/edge"
+	"spurwinch/internal/loop"
+)
+
+// receiveTimeout is for anything that a test waits for.
+const receiveTimeout = 20 * time.Second
+
+// fakeDiscovery is the service or the agent. It has an empty list, whose version a test sets.
+type fakeDiscovery struct {
+	addr    string
+	version atomic.Int64
+	calls   chan string // each call, with the number of its connection
+	silent  atomic.Bool // calls get no response
+	resets  atomic.Bool // connections are reset under calls
+	raw     chan string // responses as they are written, each followed by the end of the connection
+}
+
+// startDiscovery runs a fake discovery until the test ends.
+func startDiscovery(t *testing.T, version int64) *fakeDiscovery {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, listener)
+	discovery := &fakeDiscovery{
+		addr:  listener.Addr().String(),
+		calls: make(chan string, 1024),
+		raw:   make(chan string, 8),
+	}
+	discovery.version.Store(version)
+	go acceptAll(listener, discovery.serve)
+	return discovery
+}
+
+// acceptAll serves each connection of a listener, which are numbered from 1.
+func acceptAll(listener net.Listener, serve func(conn net.Conn, number int)) {
+	for number := 1; ; number++ {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			serve(conn, number)
+			_ = conn.Close() // may have been reset
+		}()
+	}
+}
+
+// serve responds to the calls on a connection.
+func (d *fakeDiscovery) serve(conn net.Conn, number int) {
+	reader := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		d.calls <- fmt.Sprintf("%d %s", number, request.URL)
+		select {
+		case response := <-d.raw:
+			send(conn, response)
+			return
+		default:
+		}
+		if d.silent.Load() {
+			continue
+		}
+		if d.resets.Load() {
+			resetOnClose(conn)
+			return
+		}
+		d.waitForChange(request.URL.String())
+		send(conn, okResponse(fmt.Sprintf(
+			"{\n \"version\": %d,\n \"full\": false,\n \"servers\": [\n ]\n}\n", d.version.Load())))
+	}
+}
+
+// waitForChange returns when there is a version that a call doesn't have, or connections are to be reset.
+func (d *fakeDiscovery) waitForChange(url string) {
+	for !d.resets.Load() && strings.Contains(url, fmt.Sprintf("after=%d&", d.version.Load())) {
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// okResponse is a complete response with a body.
+func okResponse(body string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+}
+
+// send writes to a connection. A failed write shows in what the watch then doesn't get.
+func send(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
+
+// drip writes a byte each millisecond until the watch ends the connection.
+func drip(conn net.Conn) {
+	for {
+		if _, err := conn.Write([]byte(" ")); err != nil {
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// resetOnClose has a close send RST. It fails on a closed connection only.
+func resetOnClose(conn net.Conn) {
+	if tcpConn, ok := conn.(*net.TCPConn); ok {
+		_ = tcpConn.SetLinger(0)
+	}
+}
+
+// waitForEnd returns when the watch has ended the connection.
+func waitForEnd(conn net.Conn) {
+	_, _ = conn.Read(make([]byte, 1)) // the watch sends nothing meanwhile: any return is the end
+}
+
+// closeAtEnd closes what the test may have closed itself, where the error doesn't matter.
+func closeAtEnd(t *testing.T, closer io.Closer) {
+	t.Helper()
+	t.Cleanup(func() { _ = closer.Close() })
+}
+
+// shortTiming has calls abandoned after 40 ms.
+func shortTiming() timing {
+	short := defaultTiming
+	short.pollWait = 20 * time.Millisecond
+	short.pollWaitJitter = time.Millisecond
+	short.answerTimeout = 20 * time.Millisecond
+	return short
+}
+
+// startWatch runs a watch until the test ends. events are the kinds of the lists that it notifies of.
+func startWatch(
+	t *testing.T, addr string, known *List, mode Way, times timing,
+) (watch *Watch, events chan choice.ListKind) {
+	t.Helper()
+	eventLoop, err := loop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	events = make(chan choice.ListKind, 1024)
+	watch = New(eventLoop, addr, known, mode, 1, func(kind choice.ListKind, _ []edge.ServerEntry) { events <- kind })
+	watch.timing = times
+	eventLoop.At(eventLoop.Now(), watch.Follow)
+	runLoop(t, eventLoop)
+	return watch, events
+}
+
+// runLoop runs a loop until the test ends.
+func runLoop(t *testing.T, eventLoop *loop.Loop) {
+	t.Helper()
+	done := make(chan error, 1)
+	go func() { done <- eventLoop.Run() }()
+	t.Cleanup(func() {
+		eventLoop.Post(eventLoop.Stop)
+		if err := <-done; err != nil {
+			t.Error("loop:", err)
+		}
+		eventLoop.Close()
+	})
+}
+
+// receive is the next value of a channel.
+func receive[T any](t *testing.T, values chan T) (value T) {
+	t.Helper()
+	select {
+	case value = <-values:
+	case <-time.After(receiveTimeout):
+		t.Fatal("nothing received")
+	}
+	return value
+}
