--- a/internal/platform/cluster/outage_test.go
+++ b/internal/platform/cluster/outage_test.go
@@ -22,7 +22,7 @@
 type outageKind string
 
 const (
-	connectRefused  outageKind = "refused"
+	portClosed      outageKind = "refused"
 	connectHangs    outageKind = "never up"
 	unavailable     outageKind = "503"
 	connReset       outageKind = "reset"
@@ -38,7 +38,7 @@
 }
 
 // listens reports whether the service listens in such an outage.
-func (k outageKind) listens() bool { return k != connectRefused && k != connectHangs }
+func (k outageKind) listens() bool { return k != portClosed && k != connectHangs }
 
 // outage is a discovery that is down until it is restored, with a change in its list. A call that came before gets
 // nothing from it.
@@ -171,7 +171,7 @@
 	case stalledResponse:
 		send(conn, begun)
 		waitForEnd(conn)
-	case connectRefused, connectHangs, connClosed:
+	case portClosed, connectHangs, connClosed:
 	}
 	return false
 }
--- a/internal/platform/cluster/recovery_test.go
+++ b/internal/platform/cluster/recovery_test.go
@@ -21,7 +21,7 @@
 func TestChangeDeliveredAfterOutage(t *testing.T) {
 	const failures, hanging = 5, 3 // so many that backoffs are as long as they get
 	for _, kind := range []outageKind{
-		connectRefused, connectHangs, unavailable, connReset, connClosed, noResponse, endlessResponse, stalledResponse,
+		portClosed, connectHangs, unavailable, connReset, connClosed, noResponse, endlessResponse, stalledResponse,
 	} {
 		for _, known := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, list known: %v", kind, known), func(t *testing.T) {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -10,126 +11,190 @@
 	"spurwinch/choice"
 )
 
-// TestTable compares the table with a plain model over random histories in simulated time: it never holds more than its bound,
-// tells nothing that has aged or was forgotten, and of a user what was heard of last.
-func TestTable(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 12).Draw(t, "most")
-		table, now := New(most), time.Unix(1e9, 0)
-		var model []Session // by their last news, oldest first
-		drop := func(k Key) (s Session, ok bool) {
-			for i, o := range model {
-				if o.Key == k {
-					model = append(model[:i:i], model[i+1:]...)
-					return o, true
-				}
+const (
+	testDomain = "d"
+	keys       = 16
+	users      = 3
+)
+
+// model is a plain list of sessions without a bound, by their last update, the oldest first.
+type model []Session
+
+// index is where a key's session stands; -1: the model doesn't have it.
+func (m model) index(key Key) int {
+	return slices.IndexFunc(m, func(session Session) bool { return session.Key == key })
+}
+
+// forget removes a session.
+func (m *model) forget(key Key) {
+	if index := m.index(key); index >= 0 {
+		*m = slices.Delete(*m, index, index+1)
+	}
+}
+
+// connect adds a session as the last.
+func (m *model) connect(session Session) {
+	m.forget(session.Key)
+	*m = append(*m, session)
+}
+
+// disconnect has a session that is connected expire.
+func (m *model) disconnect(now time.Time, key Key) {
+	index := m.index(key)
+	if index < 0 || !(*m)[index].connected() {
+		return
+	}
+	session := (*m)[index]
+	m.forget(key)
+	session.Until = now.Add(session.Max)
+	*m = append(*m, session)
+}
+
+// trim removes what the table has dropped for capacity: sessions without a stream go first.
+func (m *model) trim(t *rapid.T, table *Table) {
+	t.Helper()
+	var held model
+	for _, session := range *m {
+		if table.byKey[session.Key] != nil {
+			held = append(held, session)
+			continue
+		}
+		if left := table.disconnected.Len(); session.connected() && left > 0 {
+			t.Fatalf("%+v was dropped for capacity, %d without a stream stay", session, left)
+		}
+	}
+	*m = held
+}
+
+// checkSizes checks the table's bound, and that its lists and indices hold the same sessions.
+func checkSizes(t *rapid.T, table *Table, capacity int) {
+	t.Helper()
+	connected := table.connected.Len()
+	disconnected := table.disconnected.Len()
+	if table.Len() > capacity || connected+disconnected != table.Len() {
+		t.Fatalf("%d sessions in a table for %d, %d connected, %d disconnected",
+			table.Len(), capacity, connected, disconnected)
+	}
+	byUser := 0
+	for _, all := range table.byUser {
+		byUser += len(all)
+	}
+	if byUser != table.Len() {
+		t.Fatalf("%d sessions by user, %d in all", byUser, table.Len())
+	}
+}
+
+// checkKeys checks what the table finds by key.
+func checkKeys(t *rapid.T, table *Table, want model, now time.Time) {
+	t.Helper()
+	for number := range keys {
+		key := Key{testDomain, fmt.Sprint(number)}
+		got, ok := table.Find(now, key)
+		var last Session
+		if index := want.index(key); index >= 0 {
+			last = want[index]
+		}
+		if ok && (got != last || got.expired(now)) {
+			t.Fatalf("found %+v, the last update is %+v", got, last)
+		}
+		if !ok && last.ID != "" && !last.expired(now) && len(want) <= table.capacity {
+			t.Fatalf("%+v is not found", last)
+		}
+	}
+}
+
+// checkUsers checks what the table finds by user.
+func checkUsers(t *rapid.T, table *Table, want model, now time.Time) {
+	t.Helper()
+	for number := range users {
+		user := fmt.Sprint("u", number)
+		got, ok := table.Of(now, testDomain, user)
+		if !ok || len(want) > table.capacity {
+			continue
+		}
+		for _, last := range slices.Backward(want) {
+			if last.User != user || last.expired(now) {
+				continue
 			}
-			return s, false
+			if last != got {
+				t.Fatalf("found %+v of the user, the last update is %+v", got, last)
+			}
+			break
 		}
+	}
+}
+
+// drawSession draws a session of one of the keys and users; the step names its server.
+func drawSession(t *rapid.T, step int) Session {
+	number := rapid.IntRange(0, keys-1).Draw(t, "session")
+	return Session{
+		Key:  Key{testDomain, fmt.Sprint(number)},
+		User: fmt.Sprint("u", number%users),
+		Host: choice.ServerID(fmt.Sprint("h", step)),
+		Max:  time.Duration(rapid.IntRange(0, 60).Draw(t, "max")) * time.Second,
+	}
+}
+
+// TestTable compares the table with a model over random histories in simulated time: it never holds more than its
+// capacity, finds nothing that has expired or was forgotten, and of a user the session that was updated last.
+func TestTable(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		capacity := rapid.IntRange(1, 12).Draw(t, "capacity")
+		table := New(capacity)
+		now := time.Unix(1e9, 0)
+		var want model
 		for step := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "later")) * time.Second)
-			n := rapid.IntRange(0, 15).Draw(t, "session")
-			s := Session{Key: Key{"d", fmt.Sprint(n)}, User: fmt.Sprint("u", n%3), Host: choice.ServerID(fmt.Sprint("h", step)),
-				Max: time.Duration(rapid.IntRange(0, 60).Draw(t, "max")) * time.Second}
+			session := drawSession(t, step)
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				table.Stands(now, s)
-				drop(s.Key)
-				model = append(model, s)
+				table.Stands(now, session)
+				want.connect(session)
 			case 2:
-				table.Broke(now, s.Key)
-				for _, o := range model {
-					if o.Key == s.Key && o.Until.IsZero() {
-						drop(s.Key)
-						o.Until = now.Add(o.Max)
-						model = append(model, o)
-						break
-					}
-				}
+				table.Broke(now, session.Key)
+				want.disconnect(now, session.Key)
 			case 3:
-				table.Forget(s.Key)
-				drop(s.Key)
-			}
-			if table.Len() > most || table.standing.Len()+table.broken.Len() != table.Len() {
-				t.Fatalf("%d sessions in a table for %d, %d standing, %d broken", table.Len(), most, table.standing.Len(), table.broken.Len())
-			}
-			if len(model) > most { // for room those without a stream go first, the oldest of each
-				for i := 0; i < len(model); {
-					if o := model[i]; table.by[o.Key] != nil {
-						i++
-						continue
-					}
-					if o, left := model[i], table.broken.Len(); o.Until.IsZero() && left > 0 {
-						t.Fatalf("%+v went for room, %d without a stream stay", o, left)
-					}
-					model = append(model[:i:i], model[i+1:]...)
-				}
-			}
-			indexed := 0
-			for _, all := range table.users {
-				indexed += len(all)
-			}
-			if indexed != table.Len() {
-				t.Fatalf("%d sessions by user, %d in all", indexed, table.Len())
-			}
-			for i := range 16 {
-				k := Key{"d", fmt.Sprint(i)}
-				got, ok := table.Find(now, k)
-				var want Session
-				for _, o := range model {
-					if o.Key == k {
-						want = o
-					}
-				}
-				if ok && (got != want || got.old(now)) {
-					t.Fatalf("found %+v, the last news is %+v", got, want)
-				}
-				if !ok && want.ID != "" && !want.old(now) && len(model) <= most {
-					t.Fatalf("%+v is not found", want)
-				}
+				table.Forget(session.Key)
+				want.forget(session.Key)
 			}
-			for u := range 3 {
-				got, ok := table.Of(now, "d", fmt.Sprint("u", u))
-				if !ok || len(model) > most {
-					continue
-				}
-				for i := len(model) - 1; i >= 0; i-- {
-					if o := model[i]; o.User == fmt.Sprint("u", u) && !o.old(now) {
-						if o != got {
-							t.Fatalf("of the user %+v, heard last of %+v", got, o)
-						}
-						break
-					}
-				}
+			checkSizes(t, table, capacity)
+			if len(want) > capacity {
+				want.trim(t, table)
 			}
+			checkKeys(t, table, want, now)
+			checkUsers(t, table, want, now)
 		}
 	})
 }
 
-// TestInherit has another process take over: what has no stream goes along newest first, what is known better stays.
+// TestInherit has another process take over: sessions without a stream are transferred, those updated last first; what
+// the table itself knows is newer and stays.
 func TestInherit(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	old, next := New(10), New(10)
-	for i := range 5 {
-		k := Key{"d", fmt.Sprint(i)}
-		old.Stands(now, Session{Key: k, User: "u", Host: "a", Max: time.Minute})
-		if i > 0 {
-			old.Broke(now.Add(time.Duration(i)*time.Second), k)
+	predecessor := New(10)
+	successor := New(10)
+	for number := range 5 {
+		key := Key{testDomain, fmt.Sprint(number)}
+		predecessor.Stands(now, Session{Key: key, User: "u", Host: "a", Max: time.Minute})
+		if number > 0 {
+			predecessor.Broke(now.Add(time.Duration(number)*time.Second), key)
 		}
 	}
-	next.Stands(now, Session{Key: Key{"d", "4"}, User: "u", Host: "b", Max: time.Minute})
-	told := old.Broken(now.Add(9*time.Second), 3)
-	told = append(told, Session{Key: Key{"d", "x"}, Host: "a", Until: now.Add(48 * time.Hour)}, Session{Key: Key{"d", "y"}, Until: now.Add(time.Hour)})
-	next.Inherit(now.Add(9*time.Second), told)
-	if s, _ := next.Find(now, Key{"d", "4"}); s.Host != "b" {
-		t.Error("what is known better was given up")
+	successor.Stands(now, Session{Key: Key{testDomain, "4"}, User: "u", Host: "b", Max: time.Minute})
+	transferredAt := now.Add(9 * time.Second)
+	transferred := append(predecessor.Broken(transferredAt, 3),
+		Session{Key: Key{testDomain, "x"}, Host: "a", Until: now.Add(48 * time.Hour)},
+		Session{Key: Key{testDomain, "y"}, Until: now.Add(time.Hour)})
+	successor.Inherit(transferredAt, transferred)
+	if session, _ := successor.Find(now, Key{testDomain, "4"}); session.Host != "b" {
+		t.Error("a newer session was overwritten")
 	}
 	for id, want := range map[string]bool{"0": false, "1": false, "2": true, "3": true, "x": false, "y": false} {
-		if _, ok := next.Find(now.Add(10*time.Second), Key{"d", id}); ok != want {
-			t.Errorf("session %s: %v", id, ok)
+		if _, ok := successor.Find(now.Add(10*time.Second), Key{testDomain, id}); ok != want {
+			t.Errorf("session %s: found %v, want %v", id, ok, want)
 		}
 	}
-	if _, ok := next.Find(now.Add(2*time.Minute), Key{"d", "3"}); ok {
-		t.Error("an aged session is found")
+	if _, ok := successor.Find(now.Add(2*time.Minute), Key{testDomain, "3"}); ok {
+		t.Error("an expired session is found")
 	}
 }
