--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -198,3 +198,51 @@
 		t.Error("an expired session is found")
 	}
 }
+
+// TestExpiry checks both sides of the moment in which a session expires.
+func TestExpiry(t *testing.T) {
+	now := time.Unix(1e9, 0)
+	table := New(10)
+	key := Key{testDomain, "0"}
+	table.Stands(now, Session{Key: key, User: "u", Host: "a", Max: time.Minute})
+	table.Broke(now, key)
+	expires := now.Add(time.Minute)
+	if _, ok := table.Find(expires.Add(-time.Nanosecond), key); !ok {
+		t.Error("expired too early")
+	}
+	if _, ok := table.Find(expires, key); ok {
+		t.Error("found after it has expired")
+	}
+	if _, ok := table.Of(expires, testDomain, "u"); ok {
+		t.Error("found by user after it has expired")
+	}
+}
+
+// TestMaxPerUser has one user begin one session too many: the oldest goes, and no other user's.
+func TestMaxPerUser(t *testing.T) {
+	now := time.Unix(1e9, 0)
+	table := New(100)
+	table.Stands(now, Session{Key: Key{testDomain, "other"}, User: "v", Host: "a"})
+	for number := range maxPerUser + 1 {
+		table.Stands(now, Session{Key: Key{testDomain, fmt.Sprint(number)}, User: "u", Host: "a"})
+	}
+	for id, want := range map[string]bool{"0": false, "1": true, fmt.Sprint(maxPerUser): true, "other": true} {
+		if _, ok := table.Find(now, Key{testDomain, id}); ok != want {
+			t.Errorf("session %s: found %v, want %v", id, ok, want)
+		}
+	}
+}
+
+// TestCapacityDropsOldest has more sessions connected than the table holds: the oldest goes.
+func TestCapacityDropsOldest(t *testing.T) {
+	now := time.Unix(1e9, 0)
+	table := New(2)
+	for _, id := range []string{"0", "1", "2"} {
+		table.Stands(now, Session{Key: Key{testDomain, id}, Host: "a"})
+	}
+	for id, want := range map[string]bool{"0": false, "1": true, "2": true} {
+		if _, ok := table.Find(now, Key{testDomain, id}); ok != want {
+			t.Errorf("session %s: found %v, want %v", id, ok, want)
+		}
+	}
+}
