--- a/internal/platform/downstream/session.go
+++ b/internal/platform/downstream/client.go
@@ -44,12 +44,13 @@
 	midLineMoveLine = []byte("\r\nMOVE\r\n") // ends the server's line first
 )
 
-// session is one client's connection: it waits for the first line, then for the reply, then it is established.
-type session struct {
+// client is one client's connection: it awaits the first line, then the reply, then it is established. It is the
+// edge.Client of its request and the upstream.Sink of the attempt.
+type client struct {
 	front             *Front
 	conn              *loop.Conn
 	firstLineReader   line.Reader
-	openLine          []byte // as it came; nil once the connection is established
+	openLine          []byte // as it was read; nil once the connection is established
 	pinged            bool
 	request           *edge.Request
 	server            *upstream.Request
@@ -61,119 +62,119 @@
 	firstLineDeadline time.Time
 }
 
-// awaitFirstLine ends the connection unless its request comes by a time.
-func (s *session) awaitFirstLine(deadline time.Time) {
-	s.firstLineDeadline = deadline
-	s.stopTimer = s.front.loop.At(deadline, s.onFirstLineTimeout)
+// awaitFirstLine sets the deadline of the client's request.
+func (c *client) awaitFirstLine(deadline time.Time) {
+	c.firstLineDeadline = deadline
+	c.stopTimer = c.front.loop.At(deadline, c.onFirstLineTimeout)
 }
 
 // onFirstLineTimeout ends a connection that has sent no request in time.
-func (s *session) onFirstLineTimeout() {
-	s.stopTimer = nil
-	s.conn.ReadAvailable() // its line may lie in the socket
+func (c *client) onFirstLineTimeout() {
+	c.stopTimer = nil
+	c.conn.ReadAvailable() // its line may be in the socket
 	switch {
-	case s.closed || s.request != nil || s.stopTimer != nil:
-	case s.pinged:
-		s.drop(trace.ClientTimedOut)
+	case c.closed || c.request != nil || c.stopTimer != nil:
+	case c.pinged:
+		c.drop(trace.ClientTimedOut)
 	default:
-		s.malformed(errNoLine)
+		c.malformed(errNoLine)
 	}
 }
 
 // Evict ends a connection without a request whose descriptor is needed for another client.
-func (s *session) Evict() {
+func (c *client) Evict() {
 	cause := trace.ClientEvicted
-	if s.front.core.Draining() {
+	if c.front.core.Draining() {
 		cause = trace.NodeStopping
 	}
-	if s.pinged {
-		s.drop(cause)
+	if c.pinged {
+		c.drop(cause)
 	} else {
-		s.finish(busyLine(0), invariant.ByNode, cause)
+		c.finish(busyLine(0), invariant.ByNode, cause)
 	}
 }
 
-// OnConnect is for connections dialled; a client's is up from the start.
-func (s *session) OnConnect() {}
+// OnConnect does nothing: it is called for dialled connections only.
+func (c *client) OnConnect() {}
 
-// OnData takes the client's bytes. Before its connection is established a client sends one line and waits: more than
-// that is no request, and must not reach a server behind a line that looks sound.
-func (s *session) OnData(data []byte) {
+// OnData takes the client's bytes. Before its connection is established a client sends one line and waits for the
+// reply: more than that is malformed, and must not reach a server behind a valid line.
+func (c *client) OnData(data []byte) {
 	switch {
-	case s.closed:
-	case s.established:
-		s.forwardToServer(data)
-	case s.request != nil:
-		s.malformed(errBeforeReply)
+	case c.closed:
+	case c.established:
+		c.forwardToServer(data)
+	case c.request != nil:
+		c.malformed(errBeforeReply)
 	default:
-		text, rest, err := s.firstLineReader.Next(data)
+		text, rest, err := c.firstLineReader.Next(data)
 		switch {
 		case err != nil:
-			s.malformed(errLineTooLong)
+			c.malformed(errLineTooLong)
 		case text != nil && len(rest) > 0:
-			s.malformed(errSecondLine)
+			c.malformed(errSecondLine)
 		case text != nil:
-			s.onFirstLine(text)
+			c.onFirstLine(text)
 		}
 	}
 }
 
 // onFirstLine takes a PING or an OPEN line.
-func (s *session) onFirstLine(raw []byte) {
+func (c *client) onFirstLine(raw []byte) {
 	text := line.Trim(raw)
 	if !bytes.HasSuffix(raw, []byte("\r\n")) || !line.Printable(text) {
-		s.malformed(errLineFormat)
+		c.malformed(errLineFormat)
 		return
 	}
 	if string(text) == "PING" {
-		s.onPing()
+		c.onPing()
 		return
 	}
-	spec, err := s.front.parseOpenLine(text)
+	spec, err := c.front.parseOpenLine(text)
 	if err != nil {
-		s.malformed(err)
+		c.malformed(err)
 		return
 	}
-	s.cancelTimer()
-	s.openLine = bytes.Clone(raw)
-	s.conn.LeaveIdleQueue()
-	if !s.front.ensureCapacity() {
+	c.cancelTimer()
+	c.openLine = bytes.Clone(raw)
+	c.conn.LeaveIdleQueue()
+	if !c.front.ensureCapacity() {
 		// Guards against running out of descriptors half way: a request needs one more for its server.
 		zap.L().Warn("connection_limit_refused",
-			zap.String("front", "platform"), zap.Int("open_connections", s.front.loop.Open()))
-		s.front.core.Reject(spec, s, connectionLimitRetry)
+			zap.String("front", "platform"), zap.Int("open_connections", c.front.loop.Open()))
+		c.front.core.Reject(spec, c, connectionLimitRetry)
 		return
 	}
-	s.request = s.front.core.Open(spec, s)
+	c.request = c.front.core.Open(spec, c)
 }
 
 // onPing replies to a PING, at once or when the node is ready.
-func (s *session) onPing() {
-	s.pinged = true
-	if s.front.ready {
-		s.sendPong()
+func (c *client) onPing() {
+	c.pinged = true
+	if c.front.ready {
+		c.sendPong()
 		return
 	}
-	if len(s.front.awaitingReady) < maxAwaitingReady {
-		s.cancelTimer()
-		s.stopTimer = s.front.loop.At(s.front.loop.Now().Add(readyTimeout), func() { s.drop(trace.ClientTimedOut) })
-		s.front.awaitingReady = append(s.front.awaitingReady, s)
+	if len(c.front.awaitingReady) < maxAwaitingReady {
+		c.cancelTimer()
+		c.stopTimer = c.front.loop.At(c.front.loop.Now().Add(readyTimeout), func() { c.drop(trace.ClientTimedOut) })
+		c.front.awaitingReady = append(c.front.awaitingReady, c)
 	}
 }
 
 // sendPong replies to a PING.
-func (s *session) sendPong() {
-	if !s.closed {
-		s.conn.Write(pongLine)
+func (c *client) sendPong() {
+	if !c.closed {
+		c.conn.Write(pongLine)
 	}
 }
 
-// malformed replies to what can't be served. A request that the client has in flight is cancelled.
-func (s *session) malformed(cause error) {
+// malformed replies ERR to what is no request and ends the connection. A request in flight is cancelled.
+func (c *client) malformed(cause error) {
 	zap.L().Warn("client_line_unreadable", zap.String("sent", cause.Error()))
-	s.finish(errorLine, invariant.ByClient, trace.ClientBrokeProtocol)
-	if s.request != nil {
-		s.request.ClientBrokeProtocol()
+	c.finish(errorLine, invariant.ByClient, trace.ClientBrokeProtocol)
+	if c.request != nil {
+		c.request.ClientBrokeProtocol()
 	}
 }
 
@@ -186,82 +187,82 @@
 }
 
 // finish writes a last line and ends the connection.
-func (s *session) finish(lastLine []byte, by invariant.Ending, cause trace.Close) {
-	if s.closed {
+func (c *client) finish(lastLine []byte, by invariant.Ending, cause trace.Close) {
+	if c.closed {
 		return
 	}
-	s.close(by, cause)
-	s.conn.Write(lastLine)
-	s.conn.End()
+	c.close(by, cause)
+	c.conn.Write(lastLine)
+	c.conn.End()
 }
 
 // drop ends a connection whose client has no reply coming.
-func (s *session) drop(cause trace.Close) {
-	s.close(invariant.ByClient, cause)
-	s.conn.End()
+func (c *client) drop(cause trace.Close) {
+	c.close(invariant.ByClient, cause)
+	c.conn.End()
 }
 
-// close ends the session, and has the invariant monitor check that no reply is outstanding.
-func (s *session) close(by invariant.Ending, cause trace.Close) {
-	if s.request != nil {
-		s.request.ConnectionClosed(by, cause)
+// close marks the client closed, and has the invariant monitor check that no reply is outstanding.
+func (c *client) close(by invariant.Ending, cause trace.Close) {
+	if c.request != nil {
+		c.request.ConnectionClosed(by, cause)
 	} else {
-		s.front.core.ConnectionClosedUnused(cause)
+		c.front.core.ConnectionClosedUnused(cause)
 	}
-	s.markClosed()
+	c.markClosed()
 }
 
-// markClosed ends all that would still call the session.
-func (s *session) markClosed() {
-	s.closed = true
-	s.cancelTimer()
-	s.openLine = nil
+// markClosed ends all that would still call the client.
+func (c *client) markClosed() {
+	c.closed = true
+	c.cancelTimer()
+	c.openLine = nil
 }
 
-func (s *session) cancelTimer() {
-	if s.stopTimer != nil {
-		s.stopTimer()
-		s.stopTimer = nil
+func (c *client) cancelTimer() {
+	if c.stopTimer != nil {
+		c.stopTimer()
+		c.stopTimer = nil
 	}
 }
 
 // Attempt starts an upstream request for the core.
-func (s *session) Attempt(attempt *edge.Attempt) edge.UpstreamRequest {
-	s.server = s.front.upstream.Attempt(attempt, s.openLine, s)
-	return s.server
+func (c *client) Attempt(attempt *edge.Attempt) edge.UpstreamRequest {
+	c.server = c.front.upstream.Attempt(attempt, c.openLine, c)
+	return c.server
 }
 
 // LocalReply writes the node's own reply.
-func (s *session) LocalReply(reply edge.LocalReply) {
+func (c *client) LocalReply(reply edge.LocalReply) {
 	lastLine := errorLine
 	if reply.Rejected {
 		lastLine = busyLine(reply.RetryAfter)
 	}
-	s.finish(lastLine, invariant.ByNode, trace.NodeAnswered)
+	c.finish(lastLine, invariant.ByNode, trace.NodeAnswered)
 }
 
 // OnEnd ends the server's side as the client did its own.
-func (s *session) OnEnd(err error) {
-	if s.closed {
+func (c *client) OnEnd(err error) {
+	if c.closed {
 		return
 	}
 	reset := !errors.Is(err, io.EOF)
-	if !reset && !s.established && s.firstLineReader.MidLine() {
-		s.malformed(errUnfinished)
+	if !reset && !c.established && c.firstLineReader.MidLine() {
+		c.malformed(errUnfinished)
 		return
 	}
 	cause := trace.ClientEnded
 	if reset {
 		cause = trace.ClientReset
 	}
-	s.close(invariant.ByClient, cause)
-	if s.established {
-		s.server.End(reset)
+	c.close(invariant.ByClient, cause)
+	if c.established {
+		c.server.End(reset)
 	}
-	if s.request != nil {
-		s.request.ClientGone()
+	if c.request != nil {
+		c.request.ClientGone()
 	}
 	if !reset {
-		s.conn.End()
+		c.conn.End()
 	}
 }
--- a/internal/platform/downstream/client_disconnect_test.go
+++ b/internal/platform/downstream/client_disconnect_test.go
@@ -139,8 +139,8 @@
 			t.Parallel()
 			node := newTestNode(t, 2, state.changes...)
 			lines := node.readServers()
-			client, _ := node.dialClient()
-			send(client, state.openLine+"\r\n")
+			conn, _ := node.dialClient()
+			send(conn, state.openLine+"\r\n")
 			node.onLoop(state.reach(node, lines))
 			node.waitForLine(lines, "OPEN")
 		})
@@ -156,15 +156,15 @@
 				t.Parallel()
 				node := newTestNode(t, 2, state.changes...)
 				lines := node.readServers()
-				client, clientSession := node.dialClient()
-				send(client, state.openLine+"\r\n")
+				conn, client := node.dialClient()
+				send(conn, state.openLine+"\r\n")
 				finish := state.reach(node, lines)
 				node.onLoop(func() {
 					node.requireInFlight(1)
-					clientSession.conn.Pause() // so that the poll names what ends the wait first
-					defer clientSession.conn.Resume()
+					client.conn.Pause() // so that the poll names what ends the wait first
+					defer client.conn.Resume()
 					finish()
-					node.endConnection(client, how)
+					node.endConnection(conn, how)
 				})
 				node.requireNoAttempt(lines, state.name)
 			})
@@ -180,10 +180,10 @@
 			t.Parallel()
 			node := newTestNode(t, 2, state.changes...)
 			lines := node.readServers()
-			client, _ := node.dialClient()
-			send(client, state.openLine+"\r\n")
+			conn, _ := node.dialClient()
+			send(conn, state.openLine+"\r\n")
 			finish := state.reach(node, lines)
-			node.endConnection(client, closed)
+			node.endConnection(conn, closed)
 			time.Sleep(10 * time.Millisecond)
 			node.onLoop(finish)
 			node.requireNoAttempt(lines, state.name)
@@ -201,15 +201,15 @@
 				node := newTestNode(t, 2, "REPORTS", reports)
 				lines := node.readServers()
 				node.onLoop(func() {
-					client, err := net.Dial("tcp", node.addr)
+					conn, err := net.Dial("tcp", node.addr)
 					if err != nil {
 						t.Error(err)
 						return
 					}
-					closeAtEnd(t, client)
-					send(client, openLine+"\r\n")
-					node.waitDelivered(client)
-					node.endConnection(client, how)
+					closeAtEnd(t, conn)
+					send(conn, openLine+"\r\n")
+					node.waitDelivered(conn)
+					node.endConnection(conn, how)
 				})
 				node.requireNoAttempt(lines, string(how))
 			})
@@ -236,15 +236,15 @@
 			node := newTestNode(t, 2, `"groupSize":1`, fmt.Sprintf(`"groupSize":%d`, nodes),
 				`"mayTell":false`, `"mayTell":true`, "REPORTS", "on_probe")
 			lines := node.readServers()
-			client, clientSession := node.dialClient()
-			send(client, openLine+"\r\n")
+			conn, client := node.dialClient()
+			send(conn, openLine+"\r\n")
 			question := <-node.peerMessages
 			node.onLoop(func() {
 				node.requireInFlight(1)
-				clientSession.conn.Pause()
-				defer clientSession.conn.Resume()
+				client.conn.Pause()
+				defer client.conn.Resume()
 				if test.disconnects {
-					node.endConnection(client, closed)
+					node.endConnection(conn, closed)
 				}
 				if test.replied {
 					reply := []byte{grant, question.payload[1], question.payload[2], 1, 0}
--- a/internal/platform/downstream/dial_race_test.go
+++ b/internal/platform/downstream/dial_race_test.go
@@ -15,18 +15,18 @@
 	for _, first := range []string{"", "PING\r\n"} {
 		node := newTestNode(t, 1)
 		node.onLoop(node.front.Ready)
-		client, clientSession := node.dialClient()
+		conn, client := node.dialClient()
 		if first != "" {
-			send(client, first)
-			node.requireLine(client, "PONG")
+			send(conn, first)
+			node.requireLine(conn, "PONG")
 		}
 		node.onLoop(func() {
-			send(client, openLine+"\r\n")
-			node.waitDelivered(client)
-			clientSession.onFirstLineTimeout()
+			send(conn, openLine+"\r\n")
+			node.waitDelivered(conn)
+			client.onFirstLineTimeout()
 		})
 		send(node.acceptOnServer(), "UP 1\r\n")
-		node.requireLine(client, "UP 1")
+		node.requireLine(conn, "UP 1")
 	}
 }
 
@@ -34,21 +34,21 @@
 // come up in one poll: nothing is written.
 func TestClientDisconnectsDuringDial(t *testing.T) {
 	for name, act := range map[string]func(*testNode, net.Conn){
-		"closes":      func(node *testNode, client net.Conn) { node.endConnection(client, closed) },
-		"half-closes": func(node *testNode, client net.Conn) { node.endConnection(client, halfClosed) },
-		"sends more": func(node *testNode, client net.Conn) {
-			send(client, "flood")
-			node.waitDelivered(client)
+		"closes":      func(node *testNode, conn net.Conn) { node.endConnection(conn, closed) },
+		"half-closes": func(node *testNode, conn net.Conn) { node.endConnection(conn, halfClosed) },
+		"sends more": func(node *testNode, conn net.Conn) {
+			send(conn, "flood")
+			node.waitDelivered(conn)
 		},
 	} {
 		node := newTestNode(t, 1)
-		client, clientSession := node.dialClient()
+		conn, client := node.dialClient()
 		var server serverConn
 		node.onLoop(func() {
-			server = node.dialServer(client, clientSession, openLine)
-			clientSession.conn.Pause() // so that the poll names the server's connection first
-			defer clientSession.conn.Resume()
-			act(node, client)
+			server = node.dialServer(conn, client, openLine)
+			client.conn.Pause() // so that the poll names the server's connection first
+			defer client.conn.Resume()
+			act(node, conn)
 		})
 		node.requireNothing(server)
 		node.onLoop(func() {
@@ -64,24 +64,24 @@
 // is written, and the client gets its reply.
 func TestDialCompletesAfterDeadline(t *testing.T) {
 	node := newTestNode(t, 1)
-	client, clientSession := node.dialClient()
+	conn, client := node.dialClient()
 	var server serverConn
 	node.onLoop(func() {
-		server = node.dialServer(client, clientSession, "OPEN 01 01 c=chat,d=300")
+		server = node.dialServer(conn, client, "OPEN 01 01 c=chat,d=300")
 		time.Sleep(350 * time.Millisecond)
 	})
 	node.requireNothing(server)
-	node.requireLine(client, "BUSY")
+	node.requireLine(conn, "BUSY")
 }
 
 // TestServerDrainsDuringDial has a server begin to drain while a connection to it is being made: nothing is written
 // there, whenever it comes up, and another server serves.
 func TestServerDrainsDuringDial(t *testing.T) {
 	node := newTestNode(t, 2)
-	client, clientSession := node.dialClient()
+	conn, client := node.dialClient()
 	var draining serverConn
 	node.onLoop(func() {
-		draining = node.dialServer(client, clientSession, openLine)
+		draining = node.dialServer(conn, client, openLine)
 		node.core.UpdateServers(choice.ListChange, []edge.ServerEntry{{
 			Addr:   draining.LocalAddr().String(),
 			Server: choice.Server{ID: draining.server, Size: 1, State: choice.Draining},
@@ -93,7 +93,7 @@
 		t.Error("the same server again")
 	}
 	send(other, "UP 1\r\n")
-	node.requireLine(client, "UP 1")
+	node.requireLine(conn, "UP 1")
 }
 
 // TestRetryAfterIdempotencyWindow has a retry's connection come up when the servers no longer know what they served: it
@@ -106,11 +106,11 @@
 		}
 		node := newTestNode(t, 2,
 			`"safe"`, `"keyed"`, `"dedupWindowS":5`, fmt.Sprintf(`"dedupWindowS":%v`, window.Seconds()))
-		client, clientSession := node.dialClient()
+		conn, client := node.dialClient()
 		var first serverConn
-		node.onLoop(func() { first = node.dialServer(client, clientSession, "OPEN 01 01 c=chat,d=8000") })
+		node.onLoop(func() { first = node.dialServer(conn, client, "OPEN 01 01 c=chat,d=8000") })
 		node.requireLine(first, "OPEN 01 01")
-		node.onNextDial(clientSession, func() {
+		node.onNextDial(client, func() {
 			if late {
 				time.Sleep(window)
 			}
@@ -119,11 +119,11 @@
 		second := node.acceptOnServer()
 		if late {
 			node.requireNothing(second)
-			node.requireLine(client, "BUSY")
+			node.requireLine(conn, "BUSY")
 			continue
 		}
 		node.requireLine(second, "OPEN 01 01")
 		send(second, "UP 1\r\n")
-		node.requireLine(client, "UP 1")
+		node.requireLine(conn, "UP 1")
 	}
 }
--- a/internal/platform/downstream/front.go
+++ b/internal/platform/downstream/front.go
@@ -32,7 +32,7 @@
 	maxConnections int                  // on both sides together, from which on clients are rejected
 	ready          bool
 	onReady        func()
-	awaitingReady  []*session // clients that sent PING before the node was ready
+	awaitingReady  []*client // clients that sent PING before the node was ready
 }
 
 // Options are what a Front works with.
@@ -95,8 +95,8 @@
 		f.onReady()
 	}
 	f.ready = true
-	for _, s := range f.awaitingReady {
-		s.sendPong()
+	for _, waiting := range f.awaitingReady {
+		waiting.sendPong()
 	}
 	f.awaitingReady = nil
 }
@@ -111,9 +111,9 @@
 	if f.loop.Open() > f.maxConnections+maxRejectedConnections {
 		return nil
 	}
-	s := &session{front: f, conn: conn}
-	s.awaitFirstLine(f.loop.Now().Add(firstLineTimeout))
-	return s
+	accepted := &client{front: f, conn: conn}
+	accepted.awaitFirstLine(f.loop.Now().Add(firstLineTimeout))
+	return accepted
 }
 
 // ensureCapacity evicts idle connections where a request would exceed the limit, and reports whether the request fits
--- a/internal/platform/downstream/relay.go
+++ b/internal/platform/downstream/relay.go
@@ -12,116 +12,116 @@
 )
 
 // Established forwards the server's UP line; from here on the server owns the connection.
-func (s *session) Established(upLine []byte) {
-	s.established = true
-	s.conn.Write(upLine)
-	s.openLine = nil
-	s.throttle()
+func (c *client) Established(upLine []byte) {
+	c.established = true
+	c.conn.Write(upLine)
+	c.openLine = nil
+	c.throttle()
 }
 
 // forwardToServer forwards the client's bytes.
-func (s *session) forwardToServer(data []byte) {
-	if err := s.server.Write(data); err != nil {
+func (c *client) forwardToServer(data []byte) {
+	if err := c.server.Write(data); err != nil {
 		zap.L().Warn("client_line_too_long")
-		s.server.End(false)
-		s.drop(trace.ClientBrokeProtocol)
-		s.request.ClientGone()
+		c.server.End(false)
+		c.drop(trace.ClientBrokeProtocol)
+		c.request.ClientGone()
 		return
 	}
-	s.throttle()
+	c.throttle()
 }
 
-// CheckClient looks for a client that has left, whose end may lie in the socket.
-func (s *session) CheckClient() { s.conn.ReadAvailable() }
+// CheckClient reads the client's socket, where the end of its connection may be.
+func (c *client) CheckClient() { c.conn.ReadAvailable() }
 
 // Served forwards the reply of a request that its server served to the end without a connection.
-func (s *session) Served(reply []byte) { s.finish(reply, invariant.ByServer, trace.ServerServed) }
+func (c *client) Served(reply []byte) { c.finish(reply, invariant.ByServer, trace.ServerServed) }
 
 // Forward forwards the server's bytes to the client.
-func (s *session) Forward(data []byte) {
-	if s.closed {
+func (c *client) Forward(data []byte) {
+	if c.closed {
 		return
 	}
-	if s.migrating {
+	if c.migrating {
 		// Only the rest of the present line: MOVE goes between two lines.
 		if end := bytes.IndexByte(data, '\n'); end >= 0 {
-			s.conn.Write(data[:end+1])
-			s.serverLines = line.Scanner{}
-			s.sendMove()
+			c.conn.Write(data[:end+1])
+			c.serverLines = line.Scanner{}
+			c.sendMove()
 			return
 		}
 	}
-	s.conn.Write(data)
+	c.conn.Write(data)
 	// The upstream request has scanned the same bytes, and ends the connection where a line is too long.
-	_ = s.serverLines.Count(data, func() {})
-	s.throttle()
+	_ = c.serverLines.Count(data, func() {})
+	c.throttle()
 }
 
 // throttle stops reading from a side whose bytes the other doesn't take.
-func (s *session) throttle() {
-	if s.closed || !s.established {
+func (c *client) throttle() {
+	if c.closed || !c.established {
 		return
 	}
-	if s.conn.Full() {
-		s.server.Pause()
+	if c.conn.Full() {
+		c.server.Pause()
 	}
-	if s.server.Full() {
-		s.conn.Pause()
+	if c.server.Full() {
+		c.conn.Pause()
 	}
 }
 
 // OnDrained goes on reading from the server.
-func (s *session) OnDrained() {
-	if s.established && !s.closed {
-		s.server.Resume()
+func (c *client) OnDrained() {
+	if c.established && !c.closed {
+		c.server.Resume()
 	}
 }
 
 // ServerDrained goes on reading from the client.
-func (s *session) ServerDrained() {
-	if s.established && !s.closed {
-		s.conn.Resume()
+func (c *client) ServerDrained() {
+	if c.established && !c.closed {
+		c.conn.Resume()
 	}
 }
 
 // ServerEnded ends the client's connection as its server did.
-func (s *session) ServerEnded(reset bool) {
-	if s.closed {
+func (c *client) ServerEnded(reset bool) {
+	if c.closed {
 		return
 	}
 	if reset {
-		s.close(invariant.ByServer, trace.ServerReset)
-		s.conn.Abort()
+		c.close(invariant.ByServer, trace.ServerReset)
+		c.conn.Abort()
 	} else {
-		s.close(invariant.ByServer, trace.ServerEnded)
-		s.conn.End()
+		c.close(invariant.ByServer, trace.ServerEnded)
+		c.conn.End()
 	}
 }
 
 // Migrate asks the client to reconnect, at the end of the server's present line or at a time, whichever comes first.
-func (s *session) Migrate(by time.Time) {
-	if s.closed {
+func (c *client) Migrate(by time.Time) {
+	if c.closed {
 		return
 	}
-	if s.serverLines.MidLine() {
-		s.migrating = true
-		s.stopTimer = s.front.loop.At(by, s.sendMove)
+	if c.serverLines.MidLine() {
+		c.migrating = true
+		c.stopTimer = c.front.loop.At(by, c.sendMove)
 		return
 	}
-	s.sendMove()
+	c.sendMove()
 }
 
 // sendMove ends the connection on both sides, with MOVE for the client.
-func (s *session) sendMove() {
-	if s.closed {
+func (c *client) sendMove() {
+	if c.closed {
 		return
 	}
-	s.server.End(false)
+	c.server.End(false)
 	lastLine := moveLine
-	if s.migrating && s.serverLines.MidLine() { // MOVE behind an unfinished line would be a part of that line
+	if c.migrating && c.serverLines.MidLine() { // MOVE behind an unfinished line would be a part of that line
 		lastLine = midLineMoveLine
 	}
-	s.close(invariant.ByNode, trace.NodeMigratedClient)
-	s.conn.Write(lastLine)
-	s.conn.End()
+	c.close(invariant.ByNode, trace.NodeMigratedClient)
+	c.conn.Write(lastLine)
+	c.conn.End()
 }
--- a/internal/platform/downstream/short_write_test.go
+++ b/internal/platform/downstream/short_write_test.go
@@ -45,14 +45,14 @@
 func TestAbandonedAttemptHalfWritten(t *testing.T) {
 	kernel := &shortWriter{}
 	node := newTestNodeOnKernel(t, kernel, 2, `"safe"`, `"unsafe"`)
-	client, _ := node.dialClient()
-	send(client, openLine+"\r\n")
+	conn, _ := node.dialClient()
+	send(conn, openLine+"\r\n")
 	first := node.acceptOnServer()
 	second := node.acceptOnServer() // the first one's time is over
 	kernel.unblock()
 	node.requireLine(second, "OPEN 01 01")
 	send(second, "UP 1\r\n")
-	node.requireLine(client, "UP 1")
+	node.requireLine(conn, "UP 1")
 	received, _ := io.ReadAll(first) // ends by FIN or by a reset; what came before it counts
 	if len(received) == 0 {
 		t.Error("the race did not take place: nothing was written at first")
--- a/internal/platform/downstream/testnode_test.go
+++ b/internal/platform/downstream/testnode_test.go
@@ -33,7 +33,7 @@
 	core         *edge.Core
 	front        *Front
 	addr         string
-	sessions     chan *session
+	clients      chan *client
 	accepted     chan serverConn
 	peerMessages chan peerMessage
 }
@@ -65,7 +65,7 @@
 	node := &testNode{
 		t:            t,
 		loop:         eventLoop,
-		sessions:     make(chan *session, 8),
+		clients:      make(chan *client, 8),
 		accepted:     make(chan serverConn, 8),
 		peerMessages: make(chan peerMessage, 64),
 	}
@@ -112,13 +112,13 @@
 	n.t.Helper()
 	listener, err := n.loop.Listen("127.0.0.1:0", func(conn *loop.Conn) loop.Handler {
 		handler := n.front.Accept(conn)
-		s, ok := handler.(*session)
+		accepted, ok := handler.(*client)
 		if !ok {
-			n.t.Errorf("Accept returned %T, want a session", handler)
+			n.t.Errorf("Accept returned %T, want a client", handler)
 			return nil
 		}
-		n.sessions <- s
-		return s
+		n.clients <- accepted
+		return accepted
 	})
 	if err != nil {
 		n.t.Fatal(err)
@@ -145,29 +145,38 @@
 
 // run runs the loop until the test ends.
 func (n *testNode) run() {
-	done := make(chan error, 1)
-	go func() { done <- n.loop.Run() }()
-	n.t.Cleanup(func() {
-		n.loop.Post(n.loop.Stop)
-		if err := <-done; err != nil {
+	done := make(chan struct{})
+	go func() {
+		defer close(done) // also where a function on the loop has ended the goroutine: see onLoop
+		if err := n.loop.Run(); err != nil {
 			n.t.Error("loop:", err)
 		}
+	}()
+	n.t.Cleanup(func() {
+		n.loop.Post(n.loop.Stop)
+		<-done
 		n.loop.Close()
 	})
 }
 
-// onLoop runs a function on the loop, which handles no events meanwhile.
+// onLoop runs a function on the loop, which handles no events meanwhile. Where the function fails the test with
+// FailNow, which ends the loop's goroutine, onLoop does so on the test's.
 func (n *testNode) onLoop(fn func()) {
-	done := make(chan struct{})
+	n.t.Helper()
+	completed := make(chan bool, 1)
 	n.loop.Post(func() {
+		returned := false
+		defer func() { completed <- returned }()
 		fn()
-		close(done)
+		returned = true
 	})
-	<-done
+	if !<-completed {
+		n.t.FailNow()
+	}
 }
 
 // dialClient connects a client.
-func (n *testNode) dialClient() (net.Conn, *session) {
+func (n *testNode) dialClient() (net.Conn, *client) {
 	n.t.Helper()
 	conn, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -175,7 +184,7 @@
 	}
 	closeAtEnd(n.t, conn)
 	setDeadline(conn)
-	return conn, <-n.sessions
+	return conn, <-n.clients
 }
 
 // waitDelivered waits until all that was sent on a connection is in the peer's socket, its FIN too where there is one.
@@ -212,23 +221,23 @@
 
 // dialServer has the front read a client's line and dial its server: the connection is up, and the loop doesn't know it
 // yet. It is to be called on the loop.
-func (n *testNode) dialServer(client net.Conn, s *session, text string) serverConn {
+func (n *testNode) dialServer(conn net.Conn, dialling *client, text string) serverConn {
 	n.t.Helper()
-	send(client, text+"\r\n")
-	n.waitDelivered(client)
-	s.conn.ReadAvailable()
+	send(conn, text+"\r\n")
+	n.waitDelivered(conn)
+	dialling.conn.ReadAvailable()
 	n.core.Flush()
 	return n.acceptOnServer()
 }
 
-// onNextDial runs a function on the loop when the session has dialled its next server, before the loop knows that the
+// onNextDial runs a function on the loop when the next server is dialled for a client, before the loop knows that the
 // connection is up.
-func (n *testNode) onNextDial(s *session, fn func()) {
+func (n *testNode) onNextDial(dialling *client, fn func()) {
 	n.onLoop(func() {
-		last := s.server
+		last := dialling.server
 		n.loop.After(func() {
-			if s.server != last {
-				last = s.server
+			if dialling.server != last {
+				last = dialling.server
 				fn()
 			}
 		})
--- a/internal/platform/downstream/transfer.go
+++ b/internal/platform/downstream/transfer.go
@@ -50,38 +50,38 @@
 }
 
 // Detach takes both sides of an established connection off the loop. One that is about to be migrated stays.
-func (s *session) Detach() (fds []int, state any, ok bool) {
-	if s.closed || !s.established || s.migrating {
+func (c *client) Detach() (fds []int, state any, ok bool) {
+	if c.closed || !c.established || c.migrating {
 		return nil, nil, false
 	}
-	clientFD, clientState, ok := s.conn.Detach()
+	clientFD, clientState, ok := c.conn.Detach()
 	if !ok {
 		return nil, nil, false
 	}
-	serverFD, serverState, ok := s.server.Detach()
+	serverFD, serverState, ok := c.server.Detach()
 	if !ok {
-		s.conn.Reattach()
+		c.conn.Reattach()
 		return nil, nil, false
 	}
-	transferred := ConnectionState{Conn: clientState, Behind: s.serverLines.PartialBytes(), Server: &serverState}
+	transferred := ConnectionState{Conn: clientState, Behind: c.serverLines.PartialBytes(), Server: &serverState}
 	return []int{clientFD, serverFD}, transferred, true
 }
 
 // Reattach resumes a detached connection in this process.
-func (s *session) Reattach() {
-	s.conn.Reattach()
-	if s.server != nil {
-		s.server.Reattach()
+func (c *client) Reattach() {
+	c.conn.Reattach()
+	if c.server != nil {
+		c.server.Reattach()
 	}
 }
 
 // Release closes this process's descriptors of a detached connection that another process has taken over.
-func (s *session) Release() {
-	s.front.core.ConnectionClosedUnused(trace.Transferred)
-	s.markClosed()
-	s.conn.Release()
-	if s.server != nil {
-		s.server.Release()
+func (c *client) Release() {
+	c.front.core.ConnectionClosedUnused(trace.Transferred)
+	c.markClosed()
+	c.conn.Release()
+	if c.server != nil {
+		c.server.Release()
 	}
 }
 
@@ -109,7 +109,7 @@
 
 // restore resumes an established connection of another process.
 func (f *Front) restore(core *edge.Core, open edge.ConnectionState, state ConnectionState, fds []int) {
-	restored := &session{front: f, established: true, serverLines: line.NewScanner(state.Behind)}
+	restored := &client{front: f, established: true, serverLines: line.NewScanner(state.Behind)}
 	request, attempt := core.Adopt(open, restored)
 	restored.request = request
 	restored.server = f.upstream.Restore(attempt, fds[1], *state.Server, restored)
@@ -125,13 +125,13 @@
 }
 
 // IdleConnection is a client's connection that has sent no request yet.
-type IdleConnection struct{ session *session }
+type IdleConnection struct{ client *client }
 
 // Idle returns the connections that have sent no request yet, the oldest first.
 func (f *Front) Idle() (all []IdleConnection) {
 	f.loop.EachIdle(func(handler loop.Handler) {
-		if s, ok := handler.(*session); ok && s.front == f && !s.closed && s.request == nil {
-			all = append(all, IdleConnection{s})
+		if idle, ok := handler.(*client); ok && idle.front == f && !idle.closed && idle.request == nil {
+			all = append(all, IdleConnection{idle})
 		}
 	})
 	return all
@@ -139,38 +139,38 @@
 
 // Detach takes the connection off the loop.
 func (c IdleConnection) Detach() (fds []int, state any, ok bool) {
-	client := c.session
-	if client.closed || client.request != nil {
+	idle := c.client
+	if idle.closed || idle.request != nil {
 		return nil, nil, false
 	}
-	fd, conn, ok := client.conn.Detach()
+	fd, conn, ok := idle.conn.Detach()
 	if !ok {
 		return nil, nil, false
 	}
-	client.cancelTimer()
+	idle.cancelTimer()
 	transferred := ConnectionState{
 		Conn:   conn,
-		Line:   client.firstLineReader.Partial(),
-		Pinged: client.pinged,
-		Until:  client.firstLineDeadline.UnixNano(),
-		Left:   loop.TimeLeft(client.front.loop.Now(), client.firstLineDeadline),
+		Line:   idle.firstLineReader.Partial(),
+		Pinged: idle.pinged,
+		Until:  idle.firstLineDeadline.UnixNano(),
+		Left:   loop.TimeLeft(idle.front.loop.Now(), idle.firstLineDeadline),
 	}
 	return []int{fd}, transferred, true
 }
 
 // Reattach resumes a detached connection in this process.
 func (c IdleConnection) Reattach() {
-	c.session.Reattach()
-	c.session.awaitFirstLine(c.session.firstLineDeadline)
+	c.client.Reattach()
+	c.client.awaitFirstLine(c.client.firstLineDeadline)
 }
 
 // Release closes this process's descriptors of a detached connection that another process has taken over.
-func (c IdleConnection) Release() { c.session.Release() }
+func (c IdleConnection) Release() { c.client.Release() }
 
 // restoreIdle resumes a connection of another process that has sent no request yet.
 func (f *Front) restoreIdle(state ConnectionState, fd int) {
-	s := &session{front: f, firstLineReader: line.NewReader(state.Line), pinged: state.Pinged}
-	s.conn = f.loop.Restore(fd, state.Conn, s)
-	s.conn.EnterIdleQueue()
-	s.awaitFirstLine(loop.TimeFromLeft(f.loop.Now(), state.Left, state.Until, firstLineTimeout))
+	idle := &client{front: f, firstLineReader: line.NewReader(state.Line), pinged: state.Pinged}
+	idle.conn = f.loop.Restore(fd, state.Conn, idle)
+	idle.conn.EnterIdleQueue()
+	idle.awaitFirstLine(loop.TimeFromLeft(f.loop.Now(), state.Left, state.Until, firstLineTimeout))
 }
--- a/internal/platform/downstream/transfer_test.go
+++ b/internal/platform/downstream/transfer_test.go
@@ -12,9 +12,9 @@
 func TestIdleTransferWithSteppedClock(t *testing.T) {
 	for _, ahead := range []time.Duration{time.Hour, -time.Hour} {
 		node := newTestNode(t, 1)
-		client, clientSession := node.dialClient()
+		conn, client := node.dialClient()
 		node.onLoop(func() {
-			fds, detached, ok := IdleConnection{clientSession}.Detach()
+			fds, detached, ok := IdleConnection{client}.Detach()
 			state, isState := detached.(ConnectionState)
 			if !ok || !isState {
 				t.Error("the connection can't be detached")
@@ -25,12 +25,12 @@
 				t.Error(err)
 				return
 			}
-			IdleConnection{clientSession}.Release()
+			IdleConnection{client}.Release()
 			state.Until -= int64(ahead) // as the other process's clock has it
 			node.front.restoreIdle(state, fd)
 		})
 		began := time.Now()
-		node.requireLine(client, "ERR")
+		node.requireLine(conn, "ERR")
 		if took := time.Since(began); took < firstLineTimeout/2 {
 			t.Errorf("%v ahead: ended after %v", ahead, took)
 		}
