--- a/internal/platform/downstream/open_line.go
+++ b/internal/platform/downstream/open_line.go
@@ -117,10 +117,10 @@
 	return unknownTenant
 }
 
-// parseLoad reads an h. ParseFloat accepts NaN and Inf: the balancer must see neither, nor a load below 0.
+// parseLoad reads an h.
 func parseLoad(text string) (float64, error) {
-	load, err := strconv.ParseFloat(text, 64)
-	if inRange := load >= 0 && load <= maxLoad; err != nil || !inRange {
+	load, ok := line.ParseNumber(text)
+	if !ok || load > maxLoad {
 		return 0, errLoad
 	}
 	return load, nil
@@ -134,9 +134,8 @@
 	if !given {
 		return f.classTable[class].Deadline, nil
 	}
-	milliseconds, err := strconv.ParseFloat(text, 64)
-	readable := err == nil && milliseconds >= 0 && !math.IsInf(milliseconds, 0)
-	if !readable || !standing && milliseconds > math.MaxUint32 {
+	milliseconds, ok := line.ParseNumber(text)
+	if !ok || !standing && milliseconds > math.MaxUint32 {
 		return 0, fmt.Errorf("%w: %s", errDeadline, strconv.QuoteToASCII(text[:min(len(text), maxQuotedBytes)]))
 	}
 	return time.Duration(min(milliseconds, float64(maxDeadline.Milliseconds())) * float64(time.Millisecond)), nil
--- a/internal/platform/line/line.go
+++ b/internal/platform/line/line.go
@@ -5,7 +5,9 @@
 import (
 	"bytes"
 	"errors"
+	"math"
 	"slices"
+	"strconv"
 )
 
 // MaxBytes is the length of the longest line in bytes, its CRLF included.
@@ -116,6 +118,12 @@
 	return true
 }
 
+// ParseNumber reads a number that is finite and not below 0, in the forms of strconv.ParseFloat.
+func ParseNumber(text string) (float64, bool) {
+	number, err := strconv.ParseFloat(text, 64) // accepts NaN and Inf
+	return number, err == nil && number >= 0 && !math.IsInf(number, 0)
+}
+
 // FindField returns where the value of a name stands in "name=value,name=value"; from is -1 where the name is absent.
 func FindField(list []byte, name string) (from, to int) {
 	if name == "" {
--- a/internal/platform/line/line_test.go
+++ b/internal/platform/line/line_test.go
@@ -75,3 +75,16 @@
 		}
 	}
 }
+
+func TestParseNumber(t *testing.T) {
+	for text, want := range map[string]float64{"0": 0, "-0": 0, "1.5": 1.5, "1e3": 1000} {
+		if got, ok := ParseNumber(text); !ok || got != want {
+			t.Errorf("%q: %v, %v", text, got, ok)
+		}
+	}
+	for _, text := range []string{"", "x", "1 ", "-1", "NaN", "Inf", "+Inf", "-Inf", "1e999"} {
+		if got, ok := ParseNumber(text); ok {
+			t.Errorf("%q is read as %v", text, got)
+		}
+	}
+}
--- a/internal/platform/upstream/cluster.go
+++ b/internal/platform/upstream/cluster.go
@@ -75,7 +75,7 @@
 		if from < 0 {
 			continue
 		}
-		value, ok := parseLoad(info[from:to])
+		value, ok := line.ParseNumber(string(info[from:to]))
 		if !ok {
 			continue
 		}
@@ -96,12 +96,6 @@
 	return report
 }
 
-// parseLoad reads a number that is finite and not below 0.
-func parseLoad(text []byte) (float64, bool) {
-	value, err := strconv.ParseFloat(string(text), 64)
-	return value, err == nil && value >= 0 && !math.IsInf(value, 0)
-}
-
 // withDeadline rewrites d in the list of an OPEN line, in whole milliseconds; all else stays as it came.
 func withDeadline(openLine []byte, left time.Duration) []byte {
 	start := line.FieldsStart(openLine)
--- a/internal/platform/upstream/healthcheck.go
+++ b/internal/platform/upstream/healthcheck.go
@@ -72,8 +72,8 @@
 	return checker
 }
 
-// KeepHealthChecks limits the idle connections for health checks, besides those with a check in flight; 0: no limit.
-// Guards against an endpoint list with more servers than the node has descriptors, whose health checks would
+// KeepHealthChecks limits the connections for health checks; 0: no limit. Beyond it those without a check in flight are
+// closed. Guards against an endpoint list with more servers than the node has descriptors, whose health checks would
 // leave none for clients.
 func (c *Cluster) KeepHealthChecks(maxConnections int) {
 	c.maxCheckConnections = maxConnections
--- a/internal/platform/upstream/relay.go
+++ b/internal/platform/upstream/relay.go
@@ -31,7 +31,7 @@
 	word, info, _ := bytes.Cut(line.Trim(text), []byte(" "))
 	switch string(word) {
 	case "LOAD":
-		if load, ok := parseLoad(info); ok {
+		if load, ok := line.ParseNumber(string(info)); ok {
 			r.attempt.UpdateLoad(load / loadUnit)
 		}
 		return
