--- a/internal/platform/downstream/front.go
+++ b/internal/platform/downstream/front.go
@@ -13,7 +13,9 @@
 )
 
 const (
-	descriptorsPerRequest  = 2    // free descriptors that an accepted request needs: its server's, and one for a health check
+	// descriptorsPerRequest are the free descriptors that an accepted request needs: its server's, and one for a health
+	// check.
+	descriptorsPerRequest  = 2
 	maxRejectedConnections = 16   // connections beyond the limit that are still accepted, to be rejected with a reply
 	maxAwaitingReady       = 1024 // clients whose PING waits for the node to be ready
 )
@@ -30,7 +32,7 @@
 	maxConnections int                  // on both sides together, from which on clients are rejected
 	ready          bool
 	onReady        func()
-	awaitingReady  []*session // clients that sent PING before the node was ready
+	awaitingReady  []*client // clients that sent PING before the node was ready
 }
 
 // Options are what a Front works with.
@@ -59,7 +61,7 @@
 func (f *Front) Adapt(classes, tenants map[string]int, table []choice.Class) {
 	now := f.loop.Now()
 	for name, index := range f.classes {
-		if _, kept := classes[name]; !kept {
+		if _, stillNamed := classes[name]; !stillNamed {
 			f.removedClasses[name] = now.Add(f.classTable[index].Deadline)
 		}
 	}
@@ -93,8 +95,8 @@
 		f.onReady()
 	}
 	f.ready = true
-	for _, s := range f.awaitingReady {
-		s.sendPong()
+	for _, waiting := range f.awaitingReady {
+		waiting.sendPong()
 	}
 	f.awaitingReady = nil
 }
@@ -103,19 +105,20 @@
 func (f *Front) Taking() bool { return f.ready && !f.core.Draining() }
 
 // Accept takes a new connection. The loop has made room for it, as far as there were connections that had sent no
-// request yet. Beyond the limit some are still accepted, to reply to PING and to reject politely; then none, which keeps
-// the descriptors that discovery, health checks and attempts in flight need.
+// request yet. Beyond the limit some are still accepted, to reply to PING and to reject politely; then none, which
+// keeps the descriptors that discovery, health checks and attempts in flight need.
 func (f *Front) Accept(conn *loop.Conn) loop.Handler {
 	if f.loop.Open() > f.maxConnections+maxRejectedConnections {
 		return nil
 	}
-	s := &session{front: f, conn: conn}
-	s.awaitFirstLine(f.loop.Now().Add(firstLineTimeout))
-	return s
+	accepted := &client{front: f, conn: conn}
+	accepted.awaitFirstLine(f.loop.Now().Add(firstLineTimeout))
+	return accepted
 }
 
-// makeRoom evicts idle connections where a request would exceed the limit, and reports whether there is room now.
-func (f *Front) makeRoom() bool {
+// ensureCapacity evicts idle connections where a request would exceed the limit, and reports whether the request fits
+// now.
+func (f *Front) ensureCapacity() bool {
 	limit := f.maxConnections - descriptorsPerRequest
 	if f.loop.Open() > limit {
 		f.loop.EvictIdle(limit)
--- a/internal/platform/downstream/open_line.go
+++ b/internal/platform/downstream/open_line.go
@@ -25,14 +25,14 @@
 
 // What is wrong with a first line.
 var (
-	errNotOpen       = errors.New("a first line that is neither OPEN nor PING")
-	errID            = errors.New("an OPEN without an id, or with one that is too long")
-	errRepeatedField = errors.New("an OPEN that names a field twice")
-	errKey           = errors.New("an OPEN whose key is not a number")
-	errUnknownClass  = errors.New("an OPEN of an unknown class")
-	errGroup         = errors.New("an OPEN whose g is not a number")
-	errLoad          = errors.New("an OPEN whose h is not a load")
-	errDeadline      = errors.New("an OPEN whose d is not a time")
+	errNotOpen      = errors.New("a first line that is neither OPEN nor PING")
+	errID           = errors.New("an OPEN without an id, or with one that is too long")
+	errInvalidField = errors.New("an OPEN that names a field twice or gives it no value")
+	errKey          = errors.New("an OPEN whose key is not a number")
+	errUnknownClass = errors.New("an OPEN of an unknown class")
+	errGroup        = errors.New("an OPEN whose g is not a number")
+	errLoad         = errors.New("an OPEN whose h is not a load")
+	errDeadline     = errors.New("an OPEN whose d is not a time")
 )
 
 // fieldList is the "name=value,name=value" of an OPEN line.
@@ -40,7 +40,7 @@
 
 // value is a field's value; false: the line doesn't have the field.
 func (l fieldList) value(name string) (string, bool) {
-	from, to := line.Find(l, name)
+	from, to := line.FindField(l, name)
 	if from < 0 {
 		return "", false
 	}
@@ -57,8 +57,8 @@
 	if len(id) == 0 || len(id) > maxIDBytes {
 		return edge.Spec{}, errID
 	}
-	if line.Repeated(fields) != "" {
-		return edge.Spec{}, errRepeatedField
+	if line.InvalidField(fields) != "" {
+		return edge.Spec{}, errInvalidField
 	}
 	number, err := strconv.ParseUint(string(key), 16, 64)
 	if err != nil {
@@ -117,26 +117,25 @@
 	return unknownTenant
 }
 
-// parseLoad reads an h. ParseFloat accepts NaN and Inf: the balancer must see neither, nor a load below 0.
+// parseLoad reads an h.
 func parseLoad(text string) (float64, error) {
-	load, err := strconv.ParseFloat(text, 64)
-	if inRange := load >= 0 && load <= maxLoad; err != nil || !inRange {
+	load, ok := line.ParseNumber(text)
+	if !ok || load > maxLoad {
 		return 0, errLoad
 	}
 	return load, nil
 }
 
-// parseDeadline reads how long the client waits: its d in milliseconds, or the deadline of its class. A server answers a
-// d that it can't read with ERR; such a line is rejected here, or it would look like the server's failure. Connections
-// open before the run come with a d far beyond any real deadline.
+// parseDeadline reads how long the client waits: its d in milliseconds, or the deadline of its class. A server answers
+// a d that it can't read with ERR; such a line is rejected here, or it would look like the server's failure.
+// Connections open before the run come with a d far beyond any real deadline.
 func (f *Front) parseDeadline(fields fieldList, class int, standing bool) (time.Duration, error) {
 	text, given := fields.value("d")
 	if !given {
 		return f.classTable[class].Deadline, nil
 	}
-	milliseconds, err := strconv.ParseFloat(text, 64)
-	readable := err == nil && milliseconds >= 0 && !math.IsInf(milliseconds, 0)
-	if !readable || !standing && milliseconds > math.MaxUint32 {
+	milliseconds, ok := line.ParseNumber(text)
+	if !ok || !standing && milliseconds > math.MaxUint32 {
 		return 0, fmt.Errorf("%w: %s", errDeadline, strconv.QuoteToASCII(text[:min(len(text), maxQuotedBytes)]))
 	}
 	return time.Duration(min(milliseconds, float64(maxDeadline.Milliseconds())) * float64(time.Millisecond)), nil
--- a/internal/platform/downstream/transfer.go
+++ b/internal/platform/downstream/transfer.go
@@ -15,6 +15,7 @@
 var (
 	errClientState = errors.New("the state of a client's side is out of range")
 	errMissingSide = errors.New("the connection's state and its front's differ in whether it is established")
+	errSocketCount = errors.New("wrong number of sockets of a connection")
 )
 
 // ConnectionState is what the front knows of a client's connection besides its sockets, as one process of a node
@@ -41,51 +42,52 @@
 	}
 	switch {
 	case sockets != expected:
-		return fmt.Errorf("%d sockets of a connection that has %d", sockets, expected)
-	case s.Behind < 0 || s.Behind > line.Max || len(s.Line) > line.Max:
+		return fmt.Errorf("%w: %d, want %d", errSocketCount, sockets, expected)
+	case s.Behind < 0 || s.Behind > line.MaxBytes || len(s.Line) > line.MaxBytes:
 		return errClientState
 	}
 	return nil
 }
 
 // Detach takes both sides of an established connection off the loop. One that is about to be migrated stays.
-func (s *session) Detach() (fds []int, state any, ok bool) {
-	if s.closed || !s.established || s.migrating {
+func (c *client) Detach() (fds []int, state any, ok bool) {
+	if c.closed || !c.established || c.migrating {
 		return nil, nil, false
 	}
-	clientFD, clientState, ok := s.conn.Detach()
+	clientFD, clientState, ok := c.conn.Detach()
 	if !ok {
 		return nil, nil, false
 	}
-	serverFD, serverState, ok := s.server.Detach()
+	serverFD, serverState, ok := c.server.Detach()
 	if !ok {
-		s.conn.Reattach()
+		c.conn.Reattach()
 		return nil, nil, false
 	}
-	transferred := ConnectionState{Conn: clientState, Behind: s.serverLines.Partial(), Server: &serverState}
+	transferred := ConnectionState{Conn: clientState, Behind: c.serverLines.PartialBytes(), Server: &serverState}
 	return []int{clientFD, serverFD}, transferred, true
 }
 
-// Reattach has a detached connection go on.
-func (s *session) Reattach() {
-	s.conn.Reattach()
-	if s.server != nil {
-		s.server.Reattach()
+// Reattach resumes a detached connection in this process.
+func (c *client) Reattach() {
+	c.conn.Reattach()
+	if c.server != nil {
+		c.server.Reattach()
 	}
 }
 
-// Release lets go of a detached connection that another process has.
-func (s *session) Release() {
-	s.front.core.ConnectionClosedUnused(trace.Transferred)
-	s.markClosed()
-	s.conn.Release()
-	if s.server != nil {
-		s.server.Release()
+// Release closes this process's descriptors of a detached connection that another process has taken over.
+func (c *client) Release() {
+	c.front.core.ConnectionClosedUnused(trace.Transferred)
+	c.markClosed()
+	c.conn.Release()
+	if c.server != nil {
+		c.server.Release()
 	}
 }
 
-// Hold checks a connection of another process whole and returns what has it go on here. read decodes what the other
-// process's front encoded.
+// Hold decodes and validates a connection that another process transfers, and returns the function that resumes it
+// here. Until that is called nothing has changed. read decodes what the other process's front encoded; open is nil for
+// a connection that has sent no request yet.
 func (f *Front) Hold(
 	core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int,
 ) (restore func(), err error) {
@@ -105,70 +107,70 @@
 	return func() { f.restore(core, *open, state, fds) }, nil
 }
 
-// restore goes on with an established connection of another process.
+// restore resumes an established connection of another process.
 func (f *Front) restore(core *edge.Core, open edge.ConnectionState, state ConnectionState, fds []int) {
-	s := &session{front: f, established: true, serverLines: line.NewScanner(state.Behind)}
-	request, attempt := core.Adopt(open, s)
-	s.request = request
-	s.server = f.upstream.Restore(attempt, fds[1], *state.Server, s)
-	attempt.Resume(s.server)
-	s.conn = f.loop.Restore(fds[0], state.Conn, s)
+	restored := &client{front: f, established: true, serverLines: line.NewScanner(state.Behind)}
+	request, attempt := core.Adopt(open, restored)
+	restored.request = request
+	restored.server = f.upstream.Restore(attempt, fds[1], *state.Server, restored)
+	attempt.Resume(restored.server)
+	restored.conn = f.loop.Restore(fds[0], state.Conn, restored)
 	// Each side is read again unless bytes for the other one still wait to be written.
 	if len(state.Conn.Out) == 0 {
-		s.server.Resume()
+		restored.server.Resume()
 	}
 	if len(state.Server.Conn.Out) == 0 {
-		s.conn.Resume()
+		restored.conn.Resume()
 	}
 }
 
-// Idle is a connection that has sent no request yet.
-type Idle struct{ session *session }
+// IdleConnection is a client's connection that has sent no request yet.
+type IdleConnection struct{ client *client }
 
-// Idle are the connections that have sent no request yet, the oldest first.
-func (f *Front) Idle() (all []Idle) {
+// Idle returns the connections that have sent no request yet, the oldest first.
+func (f *Front) Idle() (all []IdleConnection) {
 	f.loop.EachIdle(func(handler loop.Handler) {
-		if s, ok := handler.(*session); ok && s.front == f && !s.closed && s.request == nil {
-			all = append(all, Idle{s})
+		if idle, ok := handler.(*client); ok && idle.front == f && !idle.closed && idle.request == nil {
+			all = append(all, IdleConnection{idle})
 		}
 	})
 	return all
 }
 
 // Detach takes the connection off the loop.
-func (i Idle) Detach() (fds []int, state any, ok bool) {
-	s := i.session
-	if s.closed || s.request != nil {
+func (c IdleConnection) Detach() (fds []int, state any, ok bool) {
+	idle := c.client
+	if idle.closed || idle.request != nil {
 		return nil, nil, false
 	}
-	fd, conn, ok := s.conn.Detach()
+	fd, conn, ok := idle.conn.Detach()
 	if !ok {
 		return nil, nil, false
 	}
-	s.cancelTimer()
+	idle.cancelTimer()
 	transferred := ConnectionState{
 		Conn:   conn,
-		Line:   s.firstLineReader.Partial(),
-		Pinged: s.pinged,
-		Until:  s.firstLineDeadline.UnixNano(),
-		Left:   loop.TimeLeft(s.front.loop.Now(), s.firstLineDeadline),
+		Line:   idle.firstLineReader.Partial(),
+		Pinged: idle.pinged,
+		Until:  idle.firstLineDeadline.UnixNano(),
+		Left:   loop.TimeLeft(idle.front.loop.Now(), idle.firstLineDeadline),
 	}
 	return []int{fd}, transferred, true
 }
 
-// Reattach has a detached connection go on.
-func (i Idle) Reattach() {
-	i.session.Reattach()
-	i.session.awaitFirstLine(i.session.firstLineDeadline)
+// Reattach resumes a detached connection in this process.
+func (c IdleConnection) Reattach() {
+	c.client.Reattach()
+	c.client.awaitFirstLine(c.client.firstLineDeadline)
 }
 
-// Release lets go of a detached connection that another process has.
-func (i Idle) Release() { i.session.Release() }
+// Release closes this process's descriptors of a detached connection that another process has taken over.
+func (c IdleConnection) Release() { c.client.Release() }
 
-// restoreIdle goes on with a connection of another process that has sent no request yet.
+// restoreIdle resumes a connection of another process that has sent no request yet.
 func (f *Front) restoreIdle(state ConnectionState, fd int) {
-	s := &session{front: f, firstLineReader: line.NewReader(state.Line), pinged: state.Pinged}
-	s.conn = f.loop.Restore(fd, state.Conn, s)
-	s.conn.EnterIdleQueue()
-	s.awaitFirstLine(loop.TimeFromLeft(f.loop.Now(), state.Left, state.Until, firstLineTimeout))
+	idle := &client{front: f, firstLineReader: line.NewReader(state.Line), pinged: state.Pinged}
+	idle.conn = f.loop.Restore(fd, state.Conn, idle)
+	idle.conn.EnterIdleQueue()
+	idle.awaitFirstLine(loop.TimeFromLeft(f.loop.Now(), state.Left, state.Until, firstLineTimeout))
 }
