--- a/internal/failover/agent/leases.go
+++ b/internal/failover/agent/leases.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	recentLoadMemory  = 15   // seconds, time constant of the decay of recentLoad
+	recentLoadMemory  = 15   // seconds, time constant of the decay of recentLoad and regionLoad
 	fullLeasePart     = 0.95 // of what was requested: an owner that grants less has no more
 	leastRegionLoad   = 0.5  // load of regional classes under which nothing is reserved for them
 	regionLoadChanged = 0.1  // relative change from which on the load balancer gets a new plan
@@ -22,7 +22,9 @@
 	leases     map[string]*capacityLease // by zone
 	recentLoad map[string]float64        // peak of the declared load at this node by class, with decay
 	regionLoad float64                   // declared load of regional classes that has no place in the own zone
-	observedAt time.Duration             // time of the last observations
+	// reservedRegionLoad is regionLoad as the load balancer's plan has it: it follows larger changes alone.
+	reservedRegionLoad float64
+	observedAt         time.Duration // time of the last observations
 }
 
 func newBorrower(now time.Duration) borrower {
@@ -204,14 +206,15 @@
 }
 
 // setRegionLoad sets the load that needs capacity in the region. Small changes don't cause a new plan for the load
-// balancer.
+// balancer; they add up in regionLoad until they do.
 func (a *Agent) setRegionLoad(load float64) {
 	if load < leastRegionLoad {
 		load = 0
 	}
-	known := a.borrower.regionLoad
-	if math.Abs(load-known) > regionLoadChanged*max(load, known) {
-		a.borrower.regionLoad = load
+	a.borrower.regionLoad = load
+	reserved := a.borrower.reservedRegionLoad
+	if math.Abs(load-reserved) > regionLoadChanged*max(load, reserved) {
+		a.borrower.reservedRegionLoad = load
 		a.zonePlanChanged = true
 	}
 }
--- a/internal/failover/agent/leases_test.go
+++ b/internal/failover/agent/leases_test.go
@@ -1,9 +1,11 @@
 package agent
 
 import (
+	"math"
 	"testing"
 	"time"
 
+	"spurwinch/choice"
 	"spurwinch/internal/failover"
 )
 
@@ -78,3 +80,51 @@
 		t.Errorf("granted %+v, wanted %+v", grant, want)
 	}
 }
+
+// TestRegionLoadFades checks that capacity that was reserved for the classes of the region, while the own zone failed,
+// is given up over recentLoadMemory once that is over, however short the intervals between observations are.
+func TestRegionLoadFades(t *testing.T) {
+	const load = 10
+	for _, interval := range []time.Duration{observeInterval, 2 * time.Second} {
+		t.Run(interval.String(), func(t *testing.T) {
+			agent := newTestAgent(t)
+			agent.plan = &failover.Plan{Classes: []string{"c"}, StayInRegion: []bool{true}}
+			agent.updateRecentLoad(choice.Observations{
+				Zones: []choice.ZoneObservations{
+					{Zone: "y", Ready: 4, OwnLoad: []float64{load}},
+					{Zone: "z", Ready: 4, Ejected: 4, OwnLoad: []float64{0}},
+				},
+				Classes: []choice.ClassObservations{{Arrived: 1, Rejected: 1}},
+			}, interval)
+			if got := agent.borrower.reservedRegionLoad; got != load {
+				t.Fatalf("while the own zone fails: %v reserved, wanted %v", got, load)
+			}
+			recovered := choice.Observations{
+				Zones: []choice.ZoneObservations{
+					{Zone: "y", Ready: 4, OwnLoad: []float64{0}},
+					{Zone: "z", Ready: 4, OwnLoad: []float64{load}},
+				},
+				Classes: []choice.ClassObservations{{Arrived: 1}},
+			}
+			memory := recentLoadMemory * time.Second
+			plans := 0
+			for elapsed := interval; elapsed <= 4*memory; elapsed += interval {
+				agent.zonePlanChanged = false
+				agent.updateRecentLoad(recovered, interval)
+				if agent.zonePlanChanged {
+					plans++
+				}
+				faded := load * math.Exp(-elapsed.Seconds()/memory.Seconds())
+				if got := agent.borrower.reservedRegionLoad; faded > 1 && math.Abs(got-faded) > 2*regionLoadChanged*faded {
+					t.Fatalf("%v after the own zone recovered: %v reserved, wanted about %v", elapsed, got, faded)
+				}
+			}
+			if got := agent.borrower.reservedRegionLoad; got != 0 {
+				t.Errorf("%v after the own zone recovered: %v reserved, wanted none", 4*memory, got)
+			}
+			if plans > 40 {
+				t.Errorf("%d new plans for the load balancer, wanted one for each change by %v", plans, regionLoadChanged)
+			}
+		})
+	}
+}
