--- a/choice/healthcheck.go
+++ b/choice/healthcheck.go
@@ -41,7 +41,7 @@
 	if !b.reservations.enabled {
 		b.checkHealth(server)
 	} else if age > ownerCheckAfter {
-		b.sendToOwner(reliefRequest, server, nil, server.own.load/b.units.mean)
+		b.sendToOwner(reliefRequest, server, nil, server.own.load)
 	}
 }
 
--- a/choice/healthcheck_test.go
+++ b/choice/healthcheck_test.go
@@ -132,3 +132,41 @@
 		}
 	}
 }
+
+// TestReliefRequestCountsMeanConnections has a node ask the owners of servers for relief: the load that it names is its
+// own load there in mean connections, whatever the unit of loads is.
+func TestReliefRequestCountsMeanConnections(t *testing.T) {
+	settings := vast()
+	settings.Limits.PeerMessages = true
+	for _, unit := range []float64{1, 0.25, 4} {
+		balancer, err := New(settings, 1, time.Hour)
+		if err != nil {
+			t.Fatal(err)
+		}
+		events := []Event{fleet(13)}
+		for i := range 13 {
+			events = append(events, OpenConnection{
+				Request: Request{ID: RequestID(fmt.Sprint("o", i)), Load: unit, Tenant: -1},
+				Server:  ServerID(fmt.Sprintf("s%03d", i)),
+			})
+		}
+		requests := 0
+		for now := time.Hour; now < time.Hour+10*tick; now += tick {
+			for _, action := range balancer.Step(now, events) {
+				send, _ := action.(SendPeerMessage)
+				message, ok := decodePeerMessage(send.Data)
+				if !ok || message.kind != reliefRequest {
+					continue
+				}
+				requests++
+				if message.load != 1 {
+					t.Fatalf("unit %v: relief is requested for %v mean connections, wanted 1", unit, message.load)
+				}
+			}
+			events = []Event{TimerFired{timerTick}}
+		}
+		if requests == 0 {
+			t.Errorf("unit %v: no relief was requested", unit)
+		}
+	}
+}
