--- a/choice/admission.go
+++ b/choice/admission.go
@@ -8,8 +8,8 @@
 const (
 	passRateGain = 2.0 // how fast the pass rate moves, a second and unit of load over or under crowded
 	minPassRate  = 0.01
-	// sheddingCheckRate is the fraction of rejected requests that have a server checked: without these checks nothing
-	// would show that the load has gone.
+	// sheddingCheckRate is the probability that a rejected request has a server's health checked: without these checks
+	// nothing would show that the load has fallen.
 	sheddingCheckRate = 0.15
 	minPriority       = 1e-3
 	priorityMemory    = 50 // requests that the mean priority remembers
@@ -70,7 +70,7 @@
 		b.endWithoutConnection(request, Overloaded)
 		return
 	}
-	after := max(0, event.TimeLeft-2*b.settings.RoundTrip)
+	after := max(0, event.TimeLeft-deadlineRoundTrips*b.settings.RoundTrip)
 	b.actions = append(b.actions, SetTimer{timerDeadline + " " + string(event.ID), after, event.ID})
 	b.place(request)
 }
--- a/choice/balancer.go
+++ b/choice/balancer.go
@@ -58,7 +58,7 @@
 		zones:        zoneTable{ownLoad: map[zoneClass]float64{}, attempts: map[string]*zoneAttempts{}},
 	}
 	// Nodes that start together get their budget at different times.
-	balancer.slowStart.common = credit{amount: chanceOf(seed), at: now}
+	balancer.slowStart.common = tokenBucket{tokens: chanceOf(seed), refilledAt: now}
 	balancer.applySettings(settings)
 	return balancer, nil
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -6,35 +6,40 @@
 	"time"
 )
 
-// The placement of a request: servers are sampled by weight, health checks asked for where load reports are
-// old, and one of the sample is drawn. Each server has a predicted load, the load of its connections times a
-// learned cost, anchored at its last report; a PID controller keeps its weight, high where predicted load is
-// below average; a new connection stays where it was placed. All else are exceptions that say what they guard
-// against.
+// The placement of a request: servers are sampled by weight, those whose load report is old have their
+// health checked, and one of the sample is drawn by weight. Each server has a predicted load, the load of
+// its connections times a learned cost, anchored at its last report (load.go); a PID controller sets its
+// weight, high where the predicted load is below average (weight.go).
 
 const (
-	// checkSpending is the fraction of the service worth spending on health checks for a placement.
+	// checkSpending is the fraction of the service that the health checks of one placement may cost.
 	checkSpending = 0.006
 	minSampled    = 2 // servers in a sample
 	maxSampled    = 4
-	freshFor      = 300 * time.Millisecond // how long a report says enough
-	checkFraction = 5                      // a request waits its setup objective over this for its checks
+	freshFor      = 300 * time.Millisecond // age up to which a report is used as it is
+	checkFraction = 5                      // a request waits for its checks for its setup objective over this
 
-	// crowded is the predicted load from which on more servers are sampled, and in the end none is used.
+	// crowded is the predicted load, as a fraction of a server's capacity, above which further servers are
+	// sampled, and a request is rejected when there are none below it.
 	crowded    = 0.85
 	maxSamples = 8 // for one placement
-	// maxInferredSamples is the same where loads are inferred: each server further off pays for a group
-	// anew.
+	// maxInferredSamples is the same where loads are inferred and not reported: each further server of a
+	// group pays for the group's shared work again.
 	maxInferredSamples = 3
+
+	// checkedTimeouts is the least time left for a request to wait for its checks, in timeouts of these.
+	checkedTimeouts = 3
 )
 
-// place samples the table for a request, the draw being among these, and checks what is not fresh.
+// place begins the placement of a request, or goes on with it after a sample without a usable server: a
+// sticky server is taken first; where servers have owners a reservation is requested; else servers are
+// sampled, and those without a fresh report are checked. dispatch goes on once the checks have ended.
 func (b *Balancer) place(request *requestEntry) {
 	if sticky := b.findServer(request.StickyServer); sticky != nil && b.mayResumeOn(request, sticky) {
 		b.startAttempt(request, sticky)
 		return
 	}
-	if b.reservations.enabled && request.samples < maxLostQuestions {
+	if b.reservations.enabled && request.samples < maxLostPeerRequests {
 		b.requestReservation(request)
 		return
 	}
@@ -55,34 +60,36 @@
 	b.actions = append(b.actions, SetTimer{token, timeout, request.ID})
 }
 
-// mayResumeOn reports whether a request goes to the server that it has a session on. What one in slow start
-// bears its owner alone knows.
+// mayResumeOn reports whether a request goes to its sticky server. Where servers have owners, one in slow
+// start needs a reservation first.
 func (b *Balancer) mayResumeOn(request *requestEntry, server *serverEntry) bool {
 	return !server.outlier.ejected(b.now) && b.eligible(request, server) &&
 		(!b.reservations.enabled || b.capacityFraction(server) == 1)
 }
 
-// eligible says whether a request may go to a server at all: draining, retries, slow start.
+// eligible reports whether a request may go to a server at all: the server is ready, was not tried before
+// and is in the request's zone, and the scope of the idempotency key and slow start allow it. Load doesn't
+// count.
 func (b *Balancer) eligible(request *requestEntry, server *serverEntry) bool {
 	if !request.mayRetryOn(server, b.now) || server.State != Ready ||
 		slices.Contains(request.tried, server) || request.zone != "" && server.Zone != request.zone {
 		return false
 	}
 	if b.reservations.enabled {
-		return request.samples < maxLostQuestions || b.capacityFraction(server) == 1
+		return request.samples < maxLostPeerRequests || b.capacityFraction(server) == 1
 	}
-	return b.mayStartSlowly(request, server)
+	return b.hasSlowStartBudget(request, server)
 }
 
-// sampleSize is how many servers are sampled: by the cost of a health check, or as many as a group goes
-// on.
+// sampleSize is how many servers are sampled: as many as checkSpending pays health checks for, or as many as
+// a group is spread over.
 func (b *Balancer) sampleSize(request *requestEntry) int {
 	if request.affinity == 0 {
 		worthwhile := math.Round(checkSpending / max(b.settings.Costs.HealthCheck, 1e-9))
 		return int(clamp(worthwhile, minSampled, maxSampled))
 	}
 	count := b.groupSpread(request)
-	// Its client comes back from a server that is full, and which one it was is not known.
+	// A client that returns comes from a server that may be overloaded, and which one that was is not known.
 	if request.Returned && b.inference.slowMessages {
 		count += min(b.countUnreported(request, count), 1) * returnSpread
 	}
@@ -102,11 +109,11 @@
 	}
 }
 
-// sample draws some more servers by weight. A group draws by a hash in place of chance, and without a bonus
-// for low load, so that nodes choose alike without messages: each server that has any of a group pays for it.
+// sample adds up to count servers to the candidates, drawn by weight. For a group a hash takes the place of
+// chance and low load has no bonus, so that all nodes choose alike without messages.
 func (b *Balancer) sample(request *requestEntry, count int) {
 	ejected, ready := b.countEjected()
-	// Where most are ejected, the information is suspect, not the servers.
+	// Where more than half are ejected, the fault may be this node's network: ejections are ignored.
 	heedEjections := 2*ejected <= ready
 	sampled := lowest(b.servers, count, func(server *serverEntry) float64 {
 		if server.outlier.ejected(b.now) && heedEjections || slices.Contains(request.candidates, server) ||
@@ -118,7 +125,7 @@
 	request.candidates = append(request.candidates, sampled...)
 }
 
-// draw is a number between 0 and 1, by chance or by a hash that all nodes share.
+// draw is a number over 0 and up to 1, at random or by a hash that is the same on all nodes.
 func (b *Balancer) draw(request *requestEntry, server *serverEntry) float64 {
 	if request.affinity != 0 && !request.groupSpans {
 		return chanceOf(request.affinity ^ server.hash)
@@ -126,10 +133,10 @@
 	return 1 - b.random.Float64()
 }
 
-// checkCandidates asks for the load of candidates whose report is not fresh, where the request has time for
-// that.
+// checkCandidates checks the health of the candidates without a fresh report, where the request has time for
+// that, and counts the checks that it waits for.
 func (b *Balancer) checkCandidates(request *requestEntry, timeout time.Duration) {
-	if b.settings.Reports == NoReports || request.deadline-b.now < 3*timeout {
+	if b.settings.Reports == NoReports || request.deadline-b.now < checkedTimeouts*timeout {
 		return
 	}
 	for _, server := range request.candidates {
@@ -143,8 +150,8 @@
 	}
 }
 
-// dispatch starts an attempt on one of the sampled servers, drawn by weight; where all are crowded it samples
-// on.
+// dispatch starts an attempt on one of the candidates, drawn by weight with the checks' results. Where all
+// are above the limit, it samples further servers, up to maxSamples times, and then ends the request.
 func (b *Balancer) dispatch(request *requestEntry) {
 	b.stopWaiting(request)
 	candidates := b.usableCandidates(request)
@@ -162,7 +169,7 @@
 		b.place(request)
 		return
 	}
-	if least > crowded { // setups are work too, and servers that drop connections make them come again
+	if least > crowded { // one more setup there would cost load and likely be dropped and retried
 		reason := ServersCrowded
 		if len(candidates) == 0 {
 			reason = NoServer
@@ -177,7 +184,7 @@
 }
 
 // usableCandidates is the candidates that the request may still go to: without those whose health check is
-// out or that are ejected, if there are others, since silence is not low load.
+// in flight or that are ejected, if there are others.
 func (b *Balancer) usableCandidates(request *requestEntry) []*serverEntry {
 	usable := slices.DeleteFunc(slices.Clone(request.candidates), func(server *serverEntry) bool {
 		return !b.eligible(request, server) || !b.zones.allows(request, server)
--- a/choice/cost.go
+++ b/choice/cost.go
@@ -8,6 +8,11 @@
 	defaultInitialCost = 0.02 // load of a mean connection before anything is learned
 	serverCostPrior    = 3.0  // own mean connections from which a server's own cost outweighs its kind's
 	fleetCostPrior     = 4.0  // the same on all servers, for the initial cost against what is learned
+	fleetLoadPrior     = 0.5  // load of a server by which the initial cost counts in the fleet's from the start
+	maxInitialCost     = 0.5  // bounds of the initial cost that is computed from quotas or observed loads
+	minInitialCost     = defaultInitialCost / 4
+
+	peerMessageUnit = 256 // bytes that Costs.PeerMessage is for
 )
 
 // costStats is the evidence of a cost: reported load over the fleet's connection load, and the number of reports, all
@@ -75,8 +80,8 @@
 // connections or none: then the initial cost of a connection is taken, not reported load over next to nothing.
 func (b *Balancer) fleetCost(initial, ready float64) float64 {
 	nodes := float64(b.settings.Nodes)
-	load := 0.5
-	connections := 0.5 * b.units.mean / initial
+	load := fleetLoadPrior
+	connections := fleetLoadPrior * b.units.mean / initial
 	for _, kind := range b.kindOrder {
 		prior := 0.0
 		if !b.inFlightReported { // one server's own load is noise on a large fleet: take the kind's
@@ -111,17 +116,17 @@
 	}
 }
 
-// reservationsPay reports whether servers have owners: where a node has under one connection of a server on average,
-// and a question and its answer cost no more than a health check.
+// reservationsPay reports whether servers are to have owners (reservation.go): where a node has under one connection of
+// a server on average, there is no plan of zones, and a request and its reply cost no more than a health check.
 func (b *Balancer) reservationsPay(initial float64) bool {
 	limits, costs := b.settings.Limits, b.settings.Costs
 	return limits.PeerMessages && limits.HealthChecks && b.settings.Reports != NoReports &&
 		initial*float64(b.reservations.nodes()) > 1 && b.zones.plan == nil &&
-		costs.PeerMessage*(questionBytes+answerBytes)/256 <= costs.HealthCheck
+		costs.PeerMessage*(requestBytes+replyBytes)/peerMessageUnit <= costs.HealthCheck
 }
 
-// initialConnectionCost is the load of a mean connection before anything is learned: the tenants' quotas, where they
-// are known as connections, together are about what all servers bear.
+// initialConnectionCost is the load of a mean connection before anything is learned. The tenants' quotas, where they
+// are known as connections, together are taken for the capacity of all servers.
 func (b *Balancer) initialConnectionCost() float64 {
 	quotas := 0.0
 	for _, tenant := range b.settings.Tenants {
@@ -129,11 +134,11 @@
 	}
 	servers := float64(len(b.servers))
 	if b.settings.InitialCost == 0 && quotas > 0 && finite(quotas) && servers > 0 {
-		return clamp(servers/quotas, defaultInitialCost/4, 0.5)
+		return clamp(servers/quotas, minInitialCost, maxInitialCost)
 	}
 	// Loads are in seconds of a core, and sizes about in cores:
 	if b.units.observed.samples > 0 && b.settings.Sizes == NominalSize {
-		return min(b.units.mean, 0.5)
+		return min(b.units.mean, maxInitialCost)
 	}
 	return b.initialCost
 }
@@ -150,7 +155,8 @@
 	return sum / max(ready, 1)
 }
 
-// resetEstimates forgets what reports have said: it was of other values than those that come from now on.
+// resetEstimates forgets all that was learned from reports, after a change of settings that gives reports another
+// meaning.
 func (b *Balancer) resetEstimates() {
 	for _, kind := range b.kinds {
 		kind.costs = costStats{}
--- a/choice/healthcheck.go
+++ b/choice/healthcheck.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Health checks: a server is asked for its load report. Each check costs a part of the service, so they are made for
-// placements whose candidates have no fresh report, and for servers that might overload own connections unseen.
+// Health checks: a server is asked for its load report. Each check costs a part of the service (Costs.HealthCheck), so
+// they are made for placements whose candidates have no fresh report, and for servers with own connections that may
+// have become overloaded where nothing else would show it.
 
 const (
 	// unreportedAfter is how long a server with own connections may send no report before it is checked.
@@ -16,9 +17,10 @@
 	loadedCheckAfter = tick / 2
 	// loadedFrom is the reported load from which on a server is checked that often.
 	loadedFrom = crowded - 2*overflowMargin
-	// ownerCheckAfter is how long after a report a server's owner is asked for relief again.
+	// ownerCheckAfter is how long after a report relief is requested from a server's owner again: at each tick, which
+	// comes a little early at times.
 	ownerCheckAfter = tick * 9 / 10
-	maxLatency      = 1e6 // ms that a report of latency is taken for at most
+	maxLatency      = 1e6 // ms; a larger reported latency counts as this
 )
 
 // checkHealth asks a server for its load report, unless a check is out.
@@ -29,7 +31,8 @@
 	}
 }
 
-// checkOwnConnections guards connections whose server filled up later, where nothing else would show that.
+// checkOwnConnections is called for each server at each tick. It guards connections whose server became overloaded
+// after they were placed, where nobody observes slow messages: by a health check, or a request for relief to the owner.
 func (b *Balancer) checkOwnConnections(server *serverEntry) {
 	if b.settings.DelaysObserved || !(server.own.load > 0) || server.State != Ready {
 		return
@@ -45,7 +48,8 @@
 	}
 }
 
-// healthCheckEnded takes in what a health check found, and goes on with all that waited for it.
+// healthCheckEnded takes in the result of a health check, and goes on with all that waited for it: peer requests, a
+// migration and placements.
 func (b *Balancer) healthCheckEnded(result HealthCheckResult) {
 	server := b.findServer(result.Server)
 	if server == nil {
@@ -62,8 +66,8 @@
 	if served && !b.settings.DelaysObserved && !b.reservations.enabled {
 		b.relieve(server)
 	}
-	for _, question := range server.reserved.takeWaiting() {
-		b.decideReservation(question, server)
+	for _, waiting := range server.reserved.takeWaiting() {
+		b.decideReservation(waiting, server)
 	}
 	b.endMigrationCheck(server, served)
 	b.resumePlacements(server)
--- a/choice/healthcheck_test.go
+++ b/choice/healthcheck_test.go
@@ -152,12 +152,7 @@
 		}
 		requests := 0
 		for now := time.Hour; now < time.Hour+10*tick; now += tick {
-			for _, action := range balancer.Step(now, events) {
-				send, _ := action.(SendPeerMessage)
-				message, ok := decodePeerMessage(send.Data)
-				if !ok || message.kind != reliefRequest {
-					continue
-				}
+			for _, message := range reliefRequests(balancer.Step(now, events)) {
 				requests++
 				if message.load != 1 {
 					t.Fatalf("unit %v: relief is requested for %v mean connections, wanted 1", unit, message.load)
@@ -170,3 +165,17 @@
 		}
 	}
 }
+
+// reliefRequests are the requests for relief among the messages that are sent to other nodes.
+func reliefRequests(actions []Action) (requests []peerMessage) {
+	for _, action := range actions {
+		send, ok := action.(SendPeerMessage)
+		if !ok {
+			continue
+		}
+		if message, ok := decodePeerMessage(send.Data); ok && message.kind == reliefRequest {
+			requests = append(requests, message)
+		}
+	}
+	return requests
+}
--- a/choice/inference.go
+++ b/choice/inference.go
@@ -2,28 +2,36 @@
 
 import "time"
 
-// Loads where servers report nothing: the loads of connections, setup times, slow messages, and connections that stay
-// or are dropped become values of the same kind as reports.
+// Loads where servers report nothing (Settings.Reports is NoReports): they are inferred from the loads of connections,
+// setup times, slow messages, and connections that stay open or are dropped, and then used like reported ones.
 
 const (
 	// singleDropLoad is the load of a server that dropped one connection: it gets others only where there is no better.
 	singleDropLoad = 0.8
 	overloadedLoad = 1.3 // load of a server that drops connections or makes setups slow
-	// unsuspiciousLoad is most that a server is taken for of which nothing bad is seen: slower messages would show.
-	unsuspiciousLoad = 0.7
-	maxInferredLoad  = 1.5 // as for reports: how far over its capacity a server is makes no difference
-	restingLoad      = 0.5 // of the average server, while little or nothing is seen
-	restingWeight    = 3.0 // observations that this belief is worth
-	estimatePrior    = 4.0 // connections' worth of belief that a server has the average load
-	// setupSteps is from nothing to the typical setup time: the median is followed, outliers don't count.
+	// unsuspiciousLoad is the most load that a server is estimated at while nothing indicates overload: from about
+	// there on messages would be slower.
+	unsuspiciousLoad   = 0.7
+	maxInferredLoad    = 1.5 // how far over its capacity a server is makes no difference beyond this
+	priorAverageLoad   = 0.5 // prior of the fleet's average load, while there are few observations
+	priorAverageWeight = 3.0 // weight of that prior, in observations of a mean server
+	estimatePrior      = 4.0 // weight of the prior that a server has the average load, in connections
+	// setupSteps divides the typical setup time into the step by which it follows each observation: up or down by the
+	// same, so that it tends to the median and outliers don't count more than others.
 	setupSteps        = 20
-	slowSetupMultiple = 2 // of the typical setup time that is still no sign of load
+	slowSetupMultiple = 2 // of the typical setup time: only what is longer is a delay
+
+	// The load that a message's delay implies: none up to the latency objective over slowDelayDivisor, and from there
+	// on delayLoadBase plus delayLoadSlope for each objective that it took.
+	slowDelayDivisor = 3 // as in internal/edge, which notifies the balancer of slower messages only
+	delayLoadBase    = 0.7
+	delayLoadSlope   = 0.4
 )
 
 // inferenceState is what setups and messages have shown so far.
 type inferenceState struct {
 	typicalSetup time.Duration
-	slowMessages bool // slow messages were seen: where they never are, silence says nothing
+	slowMessages bool // slow messages were seen: where they never are, their absence is no evidence of low load
 }
 
 // estimateLoad is the load of a server as this node's own connections there suggest it. They are a sample of the
@@ -34,8 +42,8 @@
 	return (estimatePrior + server.own.load/b.units.mean) / (estimatePrior/average + 1/perConnection)
 }
 
-// inferLoad takes an observation for a report: a load over capacity as it was seen, and 0 as the sign that there was
-// none. Costs learn from it what they would from reports.
+// inferLoad uses an observation like a load report. seen is the load that the observation implies; 0: the server showed
+// no overload. The result is no less than the estimate where it did, and at most unsuspiciousLoad where it did not.
 func (b *Balancer) inferLoad(server *serverEntry, seen float64) {
 	estimated := b.estimateLoad(server)
 	load := min(estimated, unsuspiciousLoad)
@@ -46,14 +54,14 @@
 	b.observeLoad(server, load)
 }
 
-// inferFromOpenConnections takes connections that stay open for a sign that their servers bear them, unless these were
-// seen overloaded a moment ago.
+// inferFromOpenConnections is called once a tick. Connections that stay open are evidence that their server is not
+// overloaded, unless that was seen overloaded within two ticks.
 func (b *Balancer) inferFromOpenConnections() {
 	ready := 0.0
 	for _, kind := range b.kindOrder {
 		ready += kind.ready
 	}
-	b.average.rest(b.now, restingWeight*b.totalBaseWeight/max(ready, 1))
+	b.average.decayToPrior(b.now, priorAverageWeight*b.totalBaseWeight/max(ready, 1))
 	for _, server := range b.servers {
 		if server.State == Ready && server.own.load > negligibleLoad && b.now >= server.overloadedAt+2*tick {
 			b.inferLoad(server, b.loadOfDelay(server.messageTime))
@@ -61,14 +69,14 @@
 	}
 }
 
-// observeDrop takes in that a server dropped an open connection. One that is reset before that says nothing of load.
+// observeDrop infers a load from an open connection that a server dropped.
 func (b *Balancer) observeDrop(server *serverEntry) {
 	if b.settings.Reports != NoReports {
 		return
 	}
 	b.admission.throttle.add(b.now, 0, -1)
 	load := overloadedLoad
-	// A connection may break for other reasons: the next ones go elsewhere, if there is anywhere.
+	// One connection may break for other reasons: only a second one within rateMemory counts as overload.
 	if b.now >= server.overloadedAt+rateMemory || server.overloadedAt == 0 {
 		load = singleDropLoad
 	}
@@ -76,8 +84,8 @@
 	b.inferLoad(server, load)
 }
 
-// inferFromSetup takes the time that a connection took to be set up. Only a slow one says something: setups may be
-// quick at a server whose messages are late.
+// inferFromSetup infers a load from the time that a connection took to be set up, where that was slow. A fast setup is
+// no evidence: it may be fast at a server whose messages are slow.
 func (b *Balancer) inferFromSetup(server *serverEntry, took time.Duration) {
 	step := b.inference.typicalSetup / setupSteps
 	switch {
@@ -95,10 +103,10 @@
 	}
 }
 
-// loadOfDelay is the load that a message's time implies: messages slow down only near capacity. 0: not slow.
+// loadOfDelay is the load that a message's delay implies, since messages slow down only near capacity; 0: none.
 func (b *Balancer) loadOfDelay(took time.Duration) float64 {
-	if b.messageObjective == 0 || took <= b.messageObjective/3 {
+	if b.messageObjective == 0 || took <= b.messageObjective/slowDelayDivisor {
 		return 0
 	}
-	return min(0.7+0.4*took.Seconds()/b.messageObjective.Seconds(), maxInferredLoad)
+	return min(delayLoadBase+delayLoadSlope*took.Seconds()/b.messageObjective.Seconds(), maxInferredLoad)
 }
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -32,7 +32,7 @@
 	Now time.Duration `cbor:"14,keyasint,omitempty"`
 }
 
-// LearnedKind is what reports said of a kind of machine.
+// LearnedKind is what reports have shown of the servers of one kind of machine.
 type LearnedKind struct {
 	Kind           string  `cbor:"1,keyasint"`
 	ReportedLoad   float64 `cbor:"2,keyasint"` // decayed
@@ -101,8 +101,8 @@
 		ReportAt:         s.report.at,
 		EjectedUntil:     s.outlier.until,
 		Ejections:        s.outlier.ejections,
-		SlowStartCredit:  s.slowStart.amount,
-		SlowStartAt:      s.slowStart.at,
+		SlowStartCredit:  s.slowStart.tokens,
+		SlowStartAt:      s.slowStart.refilledAt,
 		PIDIntegral:      s.pid.integral,
 		PIDPreviousError: s.pid.previousError,
 		PIDCorrection:    s.pid.correction,
@@ -110,7 +110,8 @@
 	}
 }
 
-// valid says whether what another process sent is possible: a value that is not a number would be in every prediction.
+// valid reports whether what another process sent is possible. One value that is not a number would spread into every
+// prediction, so a state with any impossible value is dropped as a whole.
 func (l LearnedState) valid() bool {
 	if l.Version != LearnedStateVersion || !(l.Unit > 0) || l.Hints < 0 || !(l.MeanPriority > 0) {
 		return false
@@ -202,8 +203,9 @@
 	}
 	server.outlier.inherit(from.EjectedUntil, from.Ejections, b.now)
 	// What was spent there is spent.
-	if from.SlowStartAt <= b.now && from.SlowStartCredit < server.slowStart.amount {
-		server.slowStart = credit{amount: from.SlowStartCredit, at: max(server.slowStart.at, from.SlowStartAt)}
+	if from.SlowStartAt <= b.now && from.SlowStartCredit < server.slowStart.tokens {
+		refilledAt := max(server.slowStart.refilledAt, from.SlowStartAt)
+		server.slowStart = tokenBucket{tokens: from.SlowStartCredit, refilledAt: refilledAt}
 	}
 }
 
@@ -232,7 +234,7 @@
 	return l
 }
 
-// countAsReported has a connection count as one that the server's last report shows, and that costs are learned by.
+// countAsReported counts a connection that was taken over as one that the server's last report already shows.
 func (b *Balancer) countAsReported(server *serverEntry, load float64) {
 	server.own.lagged += load
 	if server.report.known {
@@ -241,8 +243,8 @@
 	b.costsStale = true
 }
 
-// transferred forgets a connection that another process of this node has now. The server bears it as before: what its
-// last report shows of it goes along.
+// transferred forgets a connection that another process of this node has now. It is still on the server, so it is taken
+// off the reported load as well, and the predicted load stays.
 func (b *Balancer) transferred(id RequestID) {
 	request := b.requests[id]
 	if request == nil {
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -236,7 +236,7 @@
 			Server: "s000", Outcome: Served,
 			Report: []float64{0.5, 0.5},
 		}})
-		before.findServer("s001").slowStart = credit{0, 2 * time.Hour}
+		before.findServer("s001").slowStart = tokenBucket{0, 2 * time.Hour}
 		before.findServer("s002").outlier.eject(before.now)
 		learned := before.LearnedState()
 		now := 2*time.Hour + off
@@ -249,9 +249,9 @@
 		if s := after.findServer("s000"); !s.report.known || s.report.at != now {
 			t.Errorf("%v off: a report of now is %v old, known %v", off, now-s.report.at, s.report.known)
 		}
-		if s := after.findServer("s001"); s.slowStart.amount != 0 || s.slowStart.at != now {
+		if s := after.findServer("s001"); s.slowStart.tokens != 0 || s.slowStart.refilledAt != now {
 			t.Errorf("%v off: a server in slow start that was sent all it bears may have %v, since %v", off,
-				s.slowStart.amount, now-s.slowStart.at)
+				s.slowStart.tokens, now-s.slowStart.refilledAt)
 		}
 		if s := after.findServer("s002"); s.outlier.until != now+firstEjection {
 			t.Errorf("%v off: a server that failed is left out for %v", off, s.outlier.until-now)
--- a/choice/load.go
+++ b/choice/load.go
@@ -11,11 +11,11 @@
 const (
 	reportMemory   = 8 * time.Second // a report's information fades with this: loads change, other nodes place too
 	reportLag      = time.Second     // about as long as a placement takes to show in a report
-	sharePrior     = 4.0             // mean connections' worth of evidence that a server has the average load
+	sharePrior     = 4.0             // weight of the prior that a server has the average load, in mean connections
 	averageMemory  = 0.97            // of the average, at each report
 	rateMemory     = 10 * time.Second
-	maxAverageLoad = 1.2  // most that a server counts in the average: few slow ones must not stop admission
-	negligibleLoad = 1e-9 // what sums of loads may be off by
+	maxAverageLoad = 1.2  // most that a server's load counts in the average: a few slow ones must not stop admission
+	negligibleLoad = 1e-9 // rounding error of a sum of loads: less counts as 0
 )
 
 // ownLoad is the load of this node's own connections on a server.
@@ -33,7 +33,7 @@
 	o.load = max(0, o.load+load)
 }
 
-// loadReport is the last load read off a report, a slow message, or a silence.
+// loadReport is the last observed load of a server: from a load report, a reply of its owner, or an inference.
 type loadReport struct {
 	load  float64
 	at    time.Duration
@@ -43,8 +43,8 @@
 // fresh reports whether a health check would bring nothing new.
 func (l *loadReport) fresh(now time.Duration) bool { return l.known && now-l.at < freshFor }
 
-// fleetAverage is the mean load of the fleet by weight of its servers. Only reports that were asked for count: slow
-// messages come from overloaded servers alone.
+// fleetAverage is the mean load of the fleet, by the base weight of its servers. Slow messages don't count in it, since
+// they come from overloaded servers alone.
 type fleetAverage struct {
 	load      float64
 	known     bool          // there was a report
@@ -61,12 +61,12 @@
 	f.load = f.loadSum / f.weightSum
 }
 
-// rest lets the average go back to a belief of some weight while nothing is seen: rejections bring no evidence, so
-// admission that was stopped by an overload would stay so for ever after it.
-func (f *fleetAverage) rest(now time.Duration, weight float64) {
+// decayToPrior has the average return to priorAverageLoad, of some weight, while there are no observations: rejections
+// bring none, so admission that an overload has stopped would stay so for ever.
+func (f *fleetAverage) decayToPrior(now time.Duration, weight float64) {
 	age := now - f.at
 	if sum := fade(f.weightSum, age, rateMemory) + weight; sum > 0 {
-		f.load = (fade(f.loadSum, age, rateMemory) + weight*restingLoad) / sum
+		f.load = (fade(f.loadSum, age, rateMemory) + weight*priorAverageLoad) / sum
 	}
 }
 
@@ -100,8 +100,8 @@
 	b.average.add(b.now, server.report.load, server.baseWeight)
 }
 
-// predictedLoad is a server's load over its capacity: the last report, which fades to the average since silence says
-// nothing, and what connections that it does not show add.
+// predictedLoad is a server's load as a fraction of its capacity: its last report, which decays to the fleet's average
+// as it ages, and what the connections that the report doesn't show yet add.
 func (b *Balancer) predictedLoad(server *serverEntry) float64 {
 	if !b.average.known {
 		return server.cost * server.own.load
--- a/choice/migration.go
+++ b/choice/migration.go
@@ -2,10 +2,14 @@
 
 // Migration of open connections off servers that are overloaded: the exception to "connections stay where they are".
 
-// migrationChance is the probability, for each message that misses its objective, of asking whether to migrate.
+// migrationChance is the probability that a message that misses its objective causes a health check for a migration.
 const migrationChance = 0.4
 
-// migrate migrates a part of this node's connections on a server, in complete ones by chance.
+// groupMigrationDivisor divides migrationChance where connections have groups: a connection that migrates away from its
+// group makes one more server pay for that.
+const groupMigrationDivisor = 2
+
+// migrate migrates a fraction of this node's connections on a server; the broken rest of one is rounded by chance.
 func (b *Balancer) migrate(server *serverEntry, fraction float64) {
 	connections := b.openConnectionsOn(server)
 	count := min(len(connections), int(fraction*float64(len(connections))+b.random.Float64()))
@@ -14,8 +18,8 @@
 	}
 }
 
-// relieve migrates the excess off a server that a report shows overloaded, where nobody observes slow messages: what
-// stays is served in time again, what goes was not. Not where no other server is much better.
+// relieve migrates the excess off a server that a report shows overloaded, where nobody observes slow messages. It
+// migrates nothing where no other server has much less load.
 func (b *Balancer) relieve(server *serverEntry) {
 	load := b.predictedLoad(server)
 	limit := max(crowded, b.leastLoad()+2*overflowMargin)
@@ -45,28 +49,28 @@
 	}
 }
 
-// startMigrationCheck has a server checked because a connection there misses its objective: its client gains nothing by
-// staying. Only some of these ask, and only the excess over what the server can do is migrated.
+// startMigrationCheck has a server's health checked, with some probability, because a message on a connection there
+// missed its latency objective. endMigrationCheck decides by the result.
 func (b *Balancer) startMigrationCheck(event DelayObservation, server *serverEntry) {
 	request := b.requests[event.ID]
 	chance := migrationChance
-	if b.settings.GroupAffinity { // who leaves its group makes one more server pay for it
-		chance /= 2
+	if b.settings.GroupAffinity {
+		chance /= groupMigrationDivisor
 	}
 	if request != nil && request.open && request.server == server &&
 		event.Took > request.class.MessageObjective && b.random.Float64() < chance {
-		server.migrating = request
+		server.migrationCandidate = request
 		b.checkHealth(server)
 	}
 }
 
-// endMigrationCheck migrates the connection that a health check was made for, by chance as much as the server has too
-// much.
+// endMigrationCheck decides on the migration that a health check was made for: always where the check failed, else with
+// the excess part of the server's load as the probability, so that no more than the excess goes.
 func (b *Balancer) endMigrationCheck(server *serverEntry, served bool) {
 	excess := 1 - crowded/server.report.load
-	request := server.migrating
+	request := server.migrationCandidate
 	if request != nil && request.open && request.server == server && (!served || b.random.Float64() < excess) {
 		b.actions = append(b.actions, Migrate{request.ID})
 	}
-	server.migrating = nil
+	server.migrationCandidate = nil
 }
--- a/choice/observations.go
+++ b/choice/observations.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// What a node observes of zones and classes, for those who plan for all nodes. No decisions here.
+// What a node observes of zones and classes, for the fleet's leader, which plans for all nodes. No decisions here.
 
 // ZoneObservations is what a node knows of one zone.
 type ZoneObservations struct {
@@ -21,7 +21,7 @@
 	Failed   float64   // of these: no connection, no answer in time, an error, a reset
 }
 
-// ClassObservations is what clients asked of a node since the last call, as connection load.
+// ClassObservations is the connection load of one class's requests at a node since the last call.
 type ClassObservations struct{ Arrived, Rejected float64 }
 
 // Observations is what the package saw since the last call, and the present state.
--- a/choice/peerclock.go
+++ b/choice/peerclock.go
@@ -2,40 +2,42 @@
 
 import "time"
 
-// Tokens of messages between nodes are the sender's clock: by them late and repeated messages are recognized.
+// The token of a request between nodes is its sender's clock, by which late and repeated requests are recognized. All
+// arithmetic on tokens is modulo 2^16 ms.
 
 const (
-	maxMessageAge    = 1000 // ms that a question may take: what is older says nothing of now
-	maxReceived      = 2048 // questions remembered, to recognize repeats
-	agreeingMessages = 3    // that set another node's clock
+	maxMessageAge    = 1000 // ms that a request may be on its way: an older one describes a past load
+	maxReceived      = 2048 // requests remembered, to recognize repeats
+	agreeingMessages = 3    // messages that agree in another offset, before it is taken for the node's
 )
 
+// tokenClock is the time that a token has: milliseconds modulo 2^16.
 func tokenClock(now time.Duration) uint16 { return uint16(now.Milliseconds()) }
 
-// newToken is the clock, or more where several questions go out in a millisecond.
+// newToken is the clock, or more where several requests are sent in a millisecond.
 func (p *peerReservations) newToken(now time.Duration) uint16 {
 	p.lastToken = max(p.lastToken+1, now.Milliseconds())
 	return uint16(p.lastToken)
 }
 
-// isNew reports whether a question was sent just now and did not come before, and remembers it.
+// isNew reports whether a request was sent within maxMessageAge and did not come before, and remembers it.
 func (p *peerReservations) isNew(from int, token uint16, now time.Duration) bool {
 	return p.inTime(from, token, now) && p.received.add(receivedToken{from, token})
 }
 
-// receivedToken names a question of another node.
+// receivedToken identifies a request of another node.
 type receivedToken struct {
 	from  int
 	token uint16
 }
 
-// replayWindow remembers the last questions.
+// replayWindow remembers the last maxReceived requests.
 type replayWindow struct {
-	tokens []receivedToken
-	next   int
+	tokens []receivedToken // a ring once it is full
+	next   int             // requests added so far
 }
 
-// add remembers a question; false: it came before.
+// add remembers a request; false: it came before.
 func (r *replayWindow) add(token receivedToken) bool {
 	for _, other := range r.tokens {
 		if other == token {
@@ -51,44 +53,45 @@
 	return true
 }
 
-// clockOffset is how far another node's clock is from this one's, as its messages show: machines' clocks may be
-// stepped, by seconds or an hour.
+// clockOffset is the offset between this node's clock and another node's, as that one's messages show it: the clock of
+// a machine may be stepped, by seconds or an hour.
 type clockOffset struct {
-	known int16 // ms
-	// Messages that are late or early by known, and agree with one another:
-	other int16
-	count int
-	since time.Duration
+	offset int16 // ms
+	// Of messages that are late or early by offset and agree in another one:
+	candidate      int16
+	agreeing       int
+	candidateSince time.Duration
 }
 
-// inTime reports whether a message was sent within the last moment, by its sender's clock. What several messages of a
-// second or more agree in is that clock; messages that were delayed on the way come all at once, and agree in nothing.
+// inTime reports whether a message was sent within maxMessageAge, by its sender's clock. An offset in which
+// agreeingMessages agree over a second or more is taken for the clock's; messages that were delayed on the way come all
+// at once, and so don't agree for that long.
 func (p *peerReservations) inTime(from int, token uint16, now time.Duration) bool {
 	offset := int16(tokenClock(now) - token)
 	clock := p.clocks[from]
-	if near(offset, clock.known) {
-		if clock.count > 0 {
-			clock.count = 0
+	if offsetsAgree(offset, clock.offset) {
+		if clock.agreeing > 0 {
+			clock.agreeing = 0
 			p.clocks[from] = clock
 		}
 		return true
 	}
-	if clock.count == 0 || !near(offset, clock.other) {
-		clock.other = offset
-		clock.count = 0
-		clock.since = now
+	if clock.agreeing == 0 || !offsetsAgree(offset, clock.candidate) {
+		clock.candidate = offset
+		clock.agreeing = 0
+		clock.candidateSince = now
 	}
-	clock.count++
-	agreed := clock.count >= agreeingMessages && now-clock.since >= maxMessageAge*time.Millisecond
+	clock.agreeing++
+	agreed := clock.agreeing >= agreeingMessages && now-clock.candidateSince >= maxMessageAge*time.Millisecond
 	if agreed {
-		clock = clockOffset{known: offset}
+		clock = clockOffset{offset: offset}
 	}
 	p.clocks[from] = clock
 	return agreed
 }
 
-// near says whether two offsets differ by no more than a message may be late.
-func near(x, y int16) bool {
+// offsetsAgree reports whether two offsets, in ms, differ by no more than a message may be late.
+func offsetsAgree(x, y int16) bool {
 	difference := x - y
 	return difference <= maxMessageAge && difference >= -maxMessageAge
 }
--- a/choice/reservation.go
+++ b/choice/reservation.go
@@ -7,58 +7,59 @@
 	"time"
 )
 
-// Reservations between peers. Where a node has under one connection of a server, what it sees there is late and mostly
-// noise. There each server has an owner, a node that all find by rendezvous hashing: it asks for load reports, counts
-// what it reserved for others since the last one, and spends the slow-start budget for all. The next node in the order
-// of hashes follows one that does not answer.
+// Reservations between peers. Where a node has under one connection of a server on average, its own observations are
+// too few to place by (reservationsPay in cost.go). Then each server has an owner, the node that all find by rendezvous
+// hashing; before a node starts an attempt it requests a reservation from the owner. The owner has the server's health
+// checked, counts what it reserved since the last report, and spends the slow-start budget for all nodes. A node that
+// does not reply is passed over for a while, and the next in the order of hashes takes its place.
 
 const (
-	peerTimeout      = 150 * time.Millisecond // an owner's answer, with a health check of its own before it
-	maxLostQuestions = 2                      // until a request is placed without owners
-	maxWaiting       = 1024                   // questions that wait for one server's report
-	maxGroups        = 256                    // groups remembered of one server
-	unknownLoad      = 2                      // answered for a server that is not ready here
+	peerTimeout         = 150 * time.Millisecond // for a reply, with a health check by the owner before it
+	maxLostPeerRequests = 2                      // timeouts, after which a request is placed without owners
+	maxWaiting          = 1024                   // peer requests that wait for one server's report
+	maxGroups           = 256                    // groups remembered of one server
+	unknownLoad         = 2                      // replied for a server that is not ready here; over any limit
 )
 
-// peerReservations is what a node has to do with the owners of servers, and as one of them.
+// peerReservations is the state of the exchange with other nodes, as a requester and as an owner.
 type peerReservations struct {
-	enabled          bool // servers have owners
-	pending          map[uint16]pendingPeerRequest
-	unreachableUntil []time.Duration // by node: until when it is taken to be gone
+	enabled          bool                          // servers have owners; set by updateCosts
+	pending          map[uint16]pendingPeerRequest // by token
+	unreachableUntil []time.Duration               // by node: passed over as an owner until then
 	lastToken        int64
 	clocks           map[int]clockOffset // by node, of those whose clocks differ
 	received         replayWindow
-	dropped          int // messages that were not believed
+	dropped          int // messages that were invalid, late, repeated or not requested
 }
 
-// pendingPeerRequest is a question of this node that has no answer yet.
+// pendingPeerRequest is a request of this node that has no reply yet.
 type pendingPeerRequest struct {
 	owner   int
 	server  *serverEntry
-	request *requestEntry // nil: for relief
+	request *requestEntry // that waits for a reservation; nil: it is a request for relief
 }
 
-// peerRequest is a question of a node to this one as the owner of a server.
+// peerRequest is a request that a node sent to this one as the owner of a server.
 type peerRequest struct {
 	from int
 	peerMessage
 }
 
-// reservationBook is what the owner of a server knows of it.
+// reservationBook is what the owner of a server has reserved on it.
 type reservationBook struct {
-	load    float64                  // reserved, and not shown by reports yet
+	load    float64                  // reserved and not in a report yet, in mean connections
 	waiting []peerRequest            // for a report
-	groups  map[uint16]time.Duration // groups that have connections there, when last heard of
+	groups  map[uint16]time.Duration // by group: when a connection of it was last reserved or reported there
 }
 
-// takeWaiting returns the questions that waited for a report, and empties the list.
+// takeWaiting returns the requests that waited for a report, and empties the list.
 func (r *reservationBook) takeWaiting() []peerRequest {
 	waiting := r.waiting
 	r.waiting = nil
 	return waiting
 }
 
-// noteGroup remembers that a group has a connection on the server.
+// noteGroup remembers that a group has a connection on the server. Where there are too many groups, all are forgotten.
 func (r *reservationBook) noteGroup(group uint16, now time.Duration) {
 	if r.groups == nil || len(r.groups) >= maxGroups {
 		r.groups = map[uint16]time.Duration{}
@@ -66,7 +67,7 @@
 	r.groups[group] = now
 }
 
-// hasGroup reports whether the server has likely connections of a group; true for no group.
+// hasGroup reports whether the server likely has connections of a group; true for a request without a group (0).
 func (r *reservationBook) hasGroup(group uint16, now time.Duration) bool {
 	at, found := r.groups[group]
 	return group == 0 || found && now-at <= groupMemory
@@ -74,7 +75,7 @@
 
 func (p *peerReservations) nodes() int { return len(p.unreachableUntil) }
 
-// setNodes takes in how many nodes there are.
+// setNodes sets how many nodes the settings have.
 func (p *peerReservations) setNodes(nodes int) {
 	for len(p.unreachableUntil) < nodes {
 		p.unreachableUntil = append(p.unreachableUntil, 0)
@@ -82,14 +83,15 @@
 	p.unreachableUntil = p.unreachableUntil[:nodes]
 }
 
-// passOver takes a node to be gone until a time. Settings may have fewer nodes than when it was asked.
-func (p *peerReservations) passOver(node int, until time.Duration) {
+// markUnreachable has a node passed over as an owner until a time. The settings may have fewer nodes by now than when
+// the request was sent to it.
+func (p *peerReservations) markUnreachable(node int, until time.Duration) {
 	if node < len(p.unreachableUntil) {
 		p.unreachableUntil[node] = until
 	}
 }
 
-// ownerOf is the node that owns a server: of those that answer, the one with the highest hash of both.
+// ownerOf is the node that owns a server: of the reachable ones, the one with the highest hash of both.
 func (b *Balancer) ownerOf(server *serverEntry) int {
 	owner, highest := b.settings.Node, uint64(0)
 	for node, until := range b.reservations.unreachableUntil {
@@ -101,7 +103,8 @@
 	return owner
 }
 
-// requestReservation asks the owner of the next server in a request's order whether it bears one more connection.
+// requestReservation requests a reservation for a request from the owner of the next server in the request's order. A
+// denial brings it here again, with that server among the candidates; after maxSamples servers the request ends.
 func (b *Balancer) requestReservation(request *requestEntry) {
 	next := lowest(b.servers, 1, func(server *serverEntry) float64 {
 		if server.outlier.ejected(b.now) || b.now < server.deniedUntil ||
@@ -121,7 +124,8 @@
 	b.sendToOwner(reservationRequest, next[0], request, request.load)
 }
 
-// sendToOwner asks a server's owner, which may be this node itself.
+// sendToOwner sends a message to a server's owner, which may be this node itself. load is in the unit of connection
+// loads (loadUnits); the message has it in mean connections. request is nil but for a reservation or a group's notice.
 func (b *Balancer) sendToOwner(kind messageKind, server *serverEntry, request *requestEntry, load float64) {
 	message := peerMessage{
 		kind:   kind,
@@ -137,18 +141,18 @@
 		b.reservations.pending[message.token] = pendingPeerRequest{owner, server, request}
 	}
 	if owner == b.settings.Node {
-		b.answerAsOwner(peerRequest{owner, message})
+		b.handlePeerRequest(peerRequest{owner, message})
 	} else {
 		b.actions = append(b.actions, SendPeerMessage{owner, message.encode()})
 	}
 	if _, waits := b.reservations.pending[message.token]; waits {
-		token := timerPeerAnswer + " " + strconv.FormatUint(uint64(message.token), 10)
+		token := timerPeerReply + " " + strconv.FormatUint(uint64(message.token), 10)
 		b.actions = append(b.actions, SetTimer{Token: token, After: peerTimeout})
 	}
 }
 
-// receivePeerMessage takes in a message of another node. What is cut off, of another version, late, a repeat or an
-// answer to no question of this node's is dropped and counted.
+// receivePeerMessage handles a message of another node. One that is cut off, of another version, late, a repeat or a
+// reply to no pending request is dropped and counted.
 func (b *Balancer) receivePeerMessage(event PeerMessage) {
 	peers := &b.reservations
 	message, ok := decodePeerMessage(event.Data)
@@ -156,7 +160,7 @@
 		peers.dropped++
 		return
 	}
-	if message.kind.isAnswer() {
+	if message.kind.isReply() {
 		pending, found := peers.pending[message.token]
 		if !found || pending.owner != event.From {
 			peers.dropped++
@@ -164,7 +168,7 @@
 		}
 		delete(peers.pending, message.token)
 		peers.unreachableUntil[event.From] = 0
-		b.applyAnswer(pending, message)
+		b.applyReply(pending, message)
 		return
 	}
 	if !peers.isNew(event.From, message.token, b.now) {
@@ -172,72 +176,77 @@
 		return
 	}
 	peers.unreachableUntil[event.From] = 0
-	b.answerAsOwner(peerRequest{event.From, message})
+	b.handlePeerRequest(peerRequest{event.From, message})
 }
 
-// DroppedPeerMessages counts the messages that were not believed.
+// DroppedPeerMessages counts the messages of other nodes that were invalid, late, repeated or not requested.
 func (b *Balancer) DroppedPeerMessages() int { return b.reservations.dropped }
 
-// answerAsOwner answers from a fresh report, or once there is one.
-func (b *Balancer) answerAsOwner(question peerRequest) {
-	server := b.findServerByKey(question.server)
+// handlePeerRequest handles a request as the owner of its server: by a fresh report, or once a health check has brought
+// one. Only a groupNotice has no reply.
+func (b *Balancer) handlePeerRequest(request peerRequest) {
+	server := b.findServerByKey(request.server)
 	switch {
 	case server == nil || server.State != Ready || len(server.reserved.waiting) >= maxWaiting:
-		if question.kind != groupNotice {
-			b.reply(question, peerMessage{kind: reservationDenied, load: unknownLoad})
+		if request.kind != groupNotice {
+			b.sendReply(request, peerMessage{kind: reservationDenied, load: unknownLoad})
 		}
-	case question.kind == groupNotice:
-		server.reserved.noteGroup(question.group, b.now)
+	case request.kind == groupNotice:
+		server.reserved.noteGroup(request.group, b.now)
 	case server.report.fresh(b.now) || server.outlier.ejected(b.now):
-		b.decideReservation(question, server)
+		b.decideReservation(request, server)
 	default:
-		server.reserved.waiting = append(server.reserved.waiting, question)
+		server.reserved.waiting = append(server.reserved.waiting, request)
 		b.checkHealth(server)
 	}
 }
 
-// decideReservation grants a connection while the server bears it; a group that it has nothing of yet must leave
-// headroom.
-func (b *Balancer) decideReservation(question peerRequest, server *serverEntry) {
+// decideReservation replies to a request by the server's predicted load: its last report and what was reserved since. A
+// reservation is granted while the load with it stays under crowded, or under crowded less overflowMargin for a group
+// that has nothing on the server yet, and while the slow-start budget allows it. A reply to a request for relief has
+// the fraction of its connections that the requester is to migrate; that much of its load is taken off the reservations
+// at once, so that the next requests don't relieve the same excess again.
+func (b *Balancer) decideReservation(request peerRequest, server *serverEntry) {
 	fraction := b.capacityFraction(server)
 	load := server.report.load + server.cost*b.units.mean*server.reserved.load/fraction
-	answer := peerMessage{kind: reservationDenied, load: load}
+	reply := peerMessage{kind: reservationDenied, load: load}
 	limit := crowded
-	if !server.reserved.hasGroup(question.group, b.now) {
+	if !server.reserved.hasGroup(request.group, b.now) {
 		limit -= overflowMargin
 	}
 	switch {
 	case server.outlier.ejected(b.now):
-		answer.kind = serverEjected
-	case question.kind == reliefRequest:
+		reply.kind = serverEjected
+	case request.kind == reliefRequest:
 		if load > crowded+overflowMargin {
-			answer.fraction = 1 - crowded/load
-			server.reserved.load -= answer.fraction * question.load
+			reply.fraction = 1 - crowded/load
+			server.reserved.load -= reply.fraction * request.load
 		}
-	case load+server.cost*b.units.mean*question.load/fraction <= limit && b.ownerMayGrant(server):
-		answer.kind = reservationGranted
-		server.reserved.load += question.load
-		server.slowStart.amount -= question.load
-		server.reserved.noteGroup(question.group, b.now)
+	case load+server.cost*b.units.mean*request.load/fraction <= limit && b.ownerHasSlowStartBudget(server):
+		reply.kind = reservationGranted
+		server.reserved.load += request.load
+		server.slowStart.tokens -= request.load
+		server.reserved.noteGroup(request.group, b.now)
 	}
-	b.reply(question, answer)
+	b.sendReply(request, reply)
 }
 
-// reply sends an answer to the node that asked, which may be this one.
-func (b *Balancer) reply(question peerRequest, answer peerMessage) {
-	answer.token = question.token
-	if question.from != b.settings.Node {
-		b.actions = append(b.actions, SendPeerMessage{question.from, answer.encode()})
+// sendReply sends a reply to the node that sent the request, which may be this one.
+func (b *Balancer) sendReply(request peerRequest, reply peerMessage) {
+	reply.token = request.token
+	if request.from != b.settings.Node {
+		b.actions = append(b.actions, SendPeerMessage{request.from, reply.encode()})
 		return
 	}
-	if pending, found := b.reservations.pending[question.token]; found {
-		delete(b.reservations.pending, question.token)
-		b.applyAnswer(pending, answer)
+	if pending, found := b.reservations.pending[request.token]; found {
+		delete(b.reservations.pending, request.token)
+		b.applyReply(pending, reply)
 	}
 }
 
-// peerAnswerTimedOut goes on without an answer: the owner may be gone, and after some no owner is asked.
-func (b *Balancer) peerAnswerTimedOut(token string) {
+// peerRequestTimedOut passes the owner over for a while and places the request again, after maxLostPeerRequests without
+// owners.
+func (b *Balancer) peerRequestTimedOut(token string) {
 	number, err := strconv.ParseUint(token, 10, 16)
 	if err != nil { // not a timer of this package
 		return
@@ -247,7 +256,7 @@
 		return
 	}
 	delete(b.reservations.pending, uint16(number))
-	b.reservations.passOver(pending.owner, b.now+firstEjection)
+	b.reservations.markUnreachable(pending.owner, b.now+firstEjection)
 	request := pending.request
 	if request == nil || b.requests[request.ID] != request || request.server != nil {
 		return
@@ -259,29 +268,30 @@
 	b.place(request)
 }
 
-// applyAnswer carries out what an owner said.
-func (b *Balancer) applyAnswer(pending pendingPeerRequest, answer peerMessage) {
+// applyReply carries out an owner's reply: a request goes to the server that was granted or on to the next one; on a
+// reply to a request for relief connections are migrated. The load that the owner sends counts as a report.
+func (b *Balancer) applyReply(pending pendingPeerRequest, reply peerMessage) {
 	server, request := pending.server, pending.request
 	if pending.owner != b.settings.Node {
-		if answer.kind == serverEjected {
+		if reply.kind == serverEjected {
 			server.outlier.eject(b.now)
 		} else {
-			b.observeLoad(server, answer.load)
+			b.observeLoad(server, reply.load)
 		}
 	}
 	if request == nil {
-		b.migrate(server, answer.fraction)
+		b.migrate(server, reply.fraction)
 		return
 	}
 	if b.requests[request.ID] != request || request.server != nil {
 		return
 	}
-	if answer.kind == reservationGranted && b.eligible(request, server) &&
+	if reply.kind == reservationGranted && b.eligible(request, server) &&
 		b.zones.allows(request, server) { // not if it drains by now
 		b.startAttempt(request, server)
 		return
 	}
-	if answer.load > crowded {
+	if reply.load > crowded {
 		server.deniedUntil = b.now + freshFor
 	}
 	b.requestReservation(request)
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -5,10 +5,27 @@
 // Attempts, retries and idempotency: a request without an answer goes to another server while the rules allow it and
 // time is left, and never runs twice where that does harm.
 
-// fullServerLoad is the least load that a server is taken for that sends a request back unseen.
-const fullServerLoad = 1.2
+const (
+	// fullServerLoad is the least load that a server is taken to have after it sent a request back unseen (Full).
+	fullServerLoad = 1.2
 
-// startAttempt sends a request to a server.
+	// These count Settings.RoundTrip, the longest time from a decision to the event that answers it.
+
+	// deadlineRoundTrips is how long before its deadline a request is answered, so that the answer arrives in time.
+	deadlineRoundTrips = 2
+	// keyRoundTrips is how long before a server drops an idempotency key the last retry by it is sent.
+	keyRoundTrips = 2
+	// retryRoundTrips is the least time left for a retry: it and the answer at the deadline take as long each.
+	retryRoundTrips = 2 + deadlineRoundTrips
+
+	// Rejections are spread over time, lest their clients come back in one wave: between these fractions of
+	// Limits.MaxRetryAfter, and between these multiples of a plan's RetryAfter.
+	minRetryAfterFraction = 0.25
+	minPlanRetryMultiple  = 0.5
+	maxPlanRetryMultiple  = 1.5
+)
+
+// startAttempt has an attempt of a request started at a server, or ends the request where no time is left for it.
 func (b *Balancer) startAttempt(request *requestEntry, server *serverEntry) {
 	timeout := b.attemptTimeout(request)
 	if timeout <= 0 {
@@ -25,7 +42,8 @@
 	b.actions = append(b.actions, StartAttempt{request.ID, server.ID, timeout, request.retryBefore})
 }
 
-// attemptTimeout is how long the next attempt may take; it leaves time for another one.
+// attemptTimeout is how long the next attempt may take: all the time left but a round trip, or half of it, and no less
+// than the setup objective, where a further attempt is possible. 0 or less: there is no time for one.
 func (b *Balancer) attemptTimeout(request *requestEntry) time.Duration {
 	left := request.deadline - b.now
 	timeout := left - b.settings.RoundTrip
@@ -36,7 +54,8 @@
 	return timeout
 }
 
-// attemptEnded closes an attempt, or the connection that came of it.
+// attemptEnded takes in the outcome of an attempt, or the end of the connection that came of it, and retries the
+// request where that is allowed. Outcomes of attempts other than the last one are ignored, but for their load report.
 func (b *Balancer) attemptEnded(event AttemptEnded) {
 	if server := b.findServer(event.Server); server != nil && b.settings.Reports == AllReports {
 		b.observeReport(server, event.Report)
@@ -59,7 +78,7 @@
 	}
 	if !event.Outcome.NeverRan() && request.mayHaveRunOn == nil {
 		request.mayHaveRunOn = server
-		request.retryBefore = request.class.keyExpires(request.startedAt) - 2*b.settings.RoundTrip
+		request.retryBefore = request.class.keyExpires(request.startedAt) - keyRoundTrips*b.settings.RoundTrip
 	}
 	request.tried = append(request.tried, server)
 	if reason := b.whyNoRetry(request); reason != Unspecified {
@@ -87,7 +106,7 @@
 		return MayHaveRun
 	case request.attempts >= request.maxAttempts:
 		return AttemptsUsed
-	case request.deadline-b.now <= 4*b.settings.RoundTrip:
+	case request.deadline-b.now <= retryRoundTrips*b.settings.RoundTrip:
 		return TimeShort
 	}
 	return Unspecified
@@ -128,7 +147,8 @@
 	return false
 }
 
-// endWithoutConnection ends a request: rejected where trying again is harmless, else failed.
+// endWithoutConnection ends a request that gets no connection: with Reject where a retry by the client is harmless,
+// else with Fail. An attempt in flight is cancelled.
 func (b *Balancer) endWithoutConnection(request *requestEntry, reason Reason) {
 	b.zones.rejected = append(b.zones.rejected, request.Class)
 	if request.safeToReject() {
@@ -142,22 +162,25 @@
 	b.forget(request)
 }
 
-// withdraw answers a request because the node can't wait any longer.
+// withdraw ends a request on TimeUp, as at a shutdown: the node can't wait any longer.
 func (b *Balancer) withdraw(id RequestID) {
 	if request := b.requests[id]; request != nil && !request.open {
 		b.endWithoutConnection(request, Withdrawn)
 	}
 }
 
-// retryAfter is how long a client whose request was rejected should stay away; 0: nothing is said.
+// retryAfter is the Retry-After of a rejection; 0: there is none, as after an attempt, since another server may have
+// capacity now.
 func (b *Balancer) retryAfter(request *requestEntry) (after time.Duration) {
 	limits := b.settings.Limits
 	if b.settings.Reports == NoReports && limits.RetryAfter && request.attempts == 0 && b.totalBaseWeight > 0 {
-		after = time.Duration((0.25 + 0.75*b.random.Float64()) * float64(limits.MaxRetryAfter))
+		spread := minRetryAfterFraction + (1-minRetryAfterFraction)*b.random.Float64()
+		after = time.Duration(spread * float64(limits.MaxRetryAfter))
 	}
 	plan := b.zones.plan
-	if plan != nil && request.attempts == 0 { // by then it may be another plan; spread, against waves
-		after = time.Duration((0.5 + b.random.Float64()) * float64(plan.RetryAfter))
+	if plan != nil && request.attempts == 0 { // by then it may be another plan
+		spread := minPlanRetryMultiple + (maxPlanRetryMultiple-minPlanRetryMultiple)*b.random.Float64()
+		after = time.Duration(spread * float64(plan.RetryAfter))
 	}
 	return after
 }
--- a/choice/server.go
+++ b/choice/server.go
@@ -8,6 +8,11 @@
 
 // The table of servers: what discovery lists, and what this node knows of each entry.
 
+const (
+	pollBackoff      = 250 * time.Millisecond // doubled with each failed poll in a row
+	maxPollDoublings = 5
+)
+
 // serverEntry is what this node knows of one server. Each of its states is owned by the methods of its type.
 type serverEntry struct {
 	Server
@@ -22,15 +27,15 @@
 	messageTime  time.Duration // the last that a message was seen to take here
 	overloadedAt time.Duration // when it was last seen overloaded, where servers report nothing
 	outlier      outlierState
-	slowStart    credit // what this node may still send while it is in slow start, in mean connections
-	checking     bool   // a health check is out
-	// migrating may be migrated once a health check confirms that the server is overloaded.
-	migrating   *requestEntry
-	reserved    reservationBook // of a server that this node owns
-	deniedUntil time.Duration   // its owner is not asked for a reservation until then
+	slowStart    tokenBucket // what this node may send it while it is in slow start; as its owner: what all nodes may
+	checking     bool        // a health check is in flight
+	// migrationCandidate is migrated if the health check in flight confirms that the server is overloaded; nil: none.
+	migrationCandidate *requestEntry
+	reserved           reservationBook // of a server that this node owns
+	deniedUntil        time.Duration   // no reservation is requested from its owner until then
 }
 
-// serverKind is what reports said of a kind of machine.
+// serverKind is what load reports have shown of the servers of one kind of machine (Server.Kind).
 type serverKind struct {
 	costs   costStats
 	ownLoad float64 // this node's load on ready servers of the kind
@@ -58,16 +63,17 @@
 	b.updateCosts()
 }
 
-// schedulePoll polls discovery again after a backoff with jitter, early enough for Rules.MaxPollInterval after some
-// failures.
+// schedulePoll polls discovery again after a backoff with jitter of half of it: it doubles with each failure, up to a
+// quarter of Rules.MaxPollInterval, so that one failed poll more stays within that.
 func (b *Balancer) schedulePoll() {
 	b.failedPolls++
-	backoff := min(b.settings.Rules.MaxPollInterval/4, 250*time.Millisecond<<min(b.failedPolls, 5))
+	backoff := min(b.settings.Rules.MaxPollInterval/4, pollBackoff<<min(b.failedPolls, maxPollDoublings))
 	after := time.Duration((0.5 + b.random.Float64()) * float64(backoff))
 	b.actions = append(b.actions, SetTimer{Token: timerPoll, After: after})
 }
 
-// mergeList takes in the entries of a list. A server that a complete list does not name is gone.
+// mergeList takes in the entries of a list. A server that a complete list does not name is Gone; its entry stays until
+// none of this node's connections is on it.
 func (b *Balancer) mergeList(list ServerList) {
 	if list.Kind != ListChange {
 		for _, server := range b.servers {
@@ -82,8 +88,8 @@
 	})
 }
 
-// mergeServer takes in one entry. A restarted process is in slow start, and what was learned of the one before it is
-// forgotten, but for what this node has there and has under way.
+// mergeServer takes in one entry. A restarted server is in slow start, and what was learned of its last process is
+// forgotten, but for this node's load there, its health check in flight and the peer requests that wait for that.
 func (b *Balancer) mergeServer(listed Server) {
 	i, found := slices.BinarySearchFunc(b.servers, listed.ID, compareID)
 	if !found {
@@ -94,7 +100,7 @@
 		*server = serverEntry{
 			hash:      server.hash,
 			own:       ownLoad{load: server.own.load},
-			slowStart: credit{amount: b.random.Float64(), at: b.now},
+			slowStart: tokenBucket{tokens: b.random.Float64(), refilledAt: b.now},
 			reserved:  reservationBook{waiting: server.reserved.waiting},
 			checking:  server.checking,
 		}
@@ -111,8 +117,8 @@
 	}
 }
 
-// registeredSize is a server's size as all nodes know it; 1 where the list has no sizes, or sizes that move with the
-// load.
+// registeredSize is a server's size as all nodes know it; 1 where the list has no sizes, or live ones, of which nodes
+// may know different values.
 func (b *Balancer) registeredSize(server *serverEntry) float64 {
 	if b.settings.Sizes == NominalSize {
 		return server.Size
@@ -120,7 +126,9 @@
 	return 1
 }
 
-// lowest is the count servers with the lowest keys, lowest first; one whose key is never is not among them.
+// lowest returns the servers with the lowest keys, count at most and lowest first, without those whose key is never.
+// With the key -ln(u)/weight, u uniform between 0 and 1, this is weighted sampling without replacement (Efraimidis and
+// Spirakis, 2006).
 func lowest(servers []*serverEntry, count int, key func(*serverEntry) float64) (chosen []*serverEntry) {
 	keys := make([]float64, 0, count+1)
 	for _, server := range servers {
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -25,8 +25,8 @@
 	// PacketPassThrough says that packets pass through: an open connection can reach another node, as a mid-flow
 	// request.
 	PacketPassThrough bool
-	Park              time.Duration
-	Subscribe         bool          // the server list must be asked for; else changes are pushed
+	Park              time.Duration // parkS of the platform's settings; the package doesn't use it
+	Subscribe         bool          // the server list has to be polled by WatchList; else changes are pushed
 	Reports           ReportSource  // where load reports come from
 	ReportFields      []ReportField // the values of a report, in order
 	Sizes             SizeKind      // what Server.Size means
@@ -135,7 +135,7 @@
 // Limits is what a node may do.
 type Limits struct {
 	MaxAttempts    int  // for one request
-	HealthChecks   bool // servers may be asked for a load report
+	HealthChecks   bool // HealthCheck actions are allowed
 	Cancellation   bool // attempts may be called off
 	PeerMessages   bool // nodes may send one another messages
 	HedgedRequests bool // two attempts of one request may be out at once; the package never does that
@@ -148,14 +148,14 @@
 type Rules struct {
 	AnswerSlack       time.Duration // how late after its deadline a request may be answered
 	MaxPollInterval   time.Duration // the longest time without asking for a list that was lost
-	DrainGrace        time.Duration
+	DrainGrace        time.Duration // a draining server gets no new connection from this after its state changed
 	SlowStartFraction float64       // a server starts with this fraction of its capacity or more
 	WarmUp            time.Duration // and has all of it after this
 	OverloadMultiple  float64       // sent more than this multiple of what it can do
 	OverloadTime      time.Duration // for this long, a server fails
 }
 
-// Costs are fractions of the service that one unit of each costs.
+// Costs are the fractions of the service that one unit of each costs. The package uses HealthCheck and PeerMessage.
 type Costs struct {
 	HealthCheck float64
 	Migration   float64
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -17,11 +17,11 @@
 		balancer.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{
 			{ID: "cold", Size: 2, Started: time.Hour}, {ID: "warm", Size: 2},
 		}}})
-		balancer.mayStartSlowly(&requestEntry{affinity: 1}, balancer.findServer("cold"))
-		if balancer.slowStart.common.amount < 0 || balancer.slowStart.common.amount >= 1 {
-			t.Fatalf("seed %d starts with leave of %.3f", seed, balancer.slowStart.common.amount)
+		balancer.hasSlowStartBudget(&requestEntry{affinity: 1}, balancer.findServer("cold"))
+		if balancer.slowStart.common.tokens < 0 || balancer.slowStart.common.tokens >= 1 {
+			t.Fatalf("seed %d starts with leave of %.3f", seed, balancer.slowStart.common.tokens)
 		}
-		seen[int(balancer.slowStart.common.amount*10)] = true
+		seen[int(balancer.slowStart.common.tokens*10)] = true
 	}
 	if len(seen) < 5 {
 		t.Errorf("%d nodes start in %d of ten phases", nodes, len(seen))
--- a/choice/step.go
+++ b/choice/step.go
@@ -7,11 +7,11 @@
 
 // How events reach the decisions.
 
-// The kinds of timers: the first word of a token. They are seen outside: the caller's records have them.
+// The kinds of timers: the first word of a token. Callers record tokens, so the words don't change.
 const (
 	timerTick        = "tick" // the controllers' step
 	timerPoll        = "ask"  // the next poll of the server list
-	timerPeerAnswer  = "mute" // "mute TOKEN": the owner of a server did not answer in time
+	timerPeerReply   = "mute" // "mute TOKEN": the owner of a server did not answer in time
 	timerHealthCheck = "hold" // "hold REQUEST": health checks that a request waits for took too long
 	timerDeadline    = "end"  // "end REQUEST": the request must be answered now
 )
@@ -98,8 +98,8 @@
 		b.actions = append(b.actions, SetTimer{Token: timerTick, After: tick})
 	case token == timerPoll:
 		b.actions = append(b.actions, WatchList{})
-	case kind == timerPeerAnswer:
-		b.peerAnswerTimedOut(id)
+	case kind == timerPeerReply:
+		b.peerRequestTimedOut(id)
 	case kind == timerHealthCheck && request != nil && request.pendingChecks > 0:
 		b.dispatch(request)
 	case kind == timerDeadline && request != nil && !request.open: // an answer while the client still waits
--- a/choice/units.go
+++ b/choice/units.go
@@ -1,10 +1,11 @@
 package choice
 
-// The unit of loads: connections report their load in any unit, or not at all.
+// The unit of connection loads: requests and connections bring their load in a unit of the deployment's, or not at all.
+// "Mean connections" elsewhere are connection loads over loadUnits.mean.
 
 const (
 	meanLoadSamples = 50 // loads that a mean remembers
-	hintMemory      = 50 // the same of the loads that requests bring
+	hintMemory      = 50 // the same for the mean of the loads that requests bring
 )
 
 // meanLoad is the mean of the loads that connections of one class reported.
--- a/choice/weight.go
+++ b/choice/weight.go
@@ -16,7 +16,15 @@
 	integralLimit     = 0.08        // most that the integral may have, of the controller's output: anti-windup
 	weightGain        = 5.0         // controller output to weight: the base weight is lost a third above average
 	minWeightFraction = 0.02        // least weight, of the base: a server is never quite forgotten
-	maxWeightFraction = 3.0         // most weight, of the base: bounds what one good report can draw
+	maxWeightFraction = 3.0         // most weight, of the base: bounds the effect of one report of low load
+
+	// Bounds of a relative error: a low average must not make a small difference a large error.
+	minErrorAverage  = 0.05
+	minRelativeError = -1.0
+	maxRelativeError = 3.0
+
+	// maxSlowStartBoost is the most that the weight of a server in slow start is multiplied by.
+	maxSlowStartBoost = 1000
 )
 
 // pidState is the controller of one server. The paper's err_sum is integral, its prev_err is previousError.
@@ -36,7 +44,7 @@
 
 // relativeError is how far a load is over the average, as a part of that.
 func relativeError(load, average float64) float64 {
-	return clamp((load-average)/max(average, 0.05), -1, 3)
+	return clamp((load-average)/max(average, minErrorAverage), minRelativeError, maxRelativeError)
 }
 
 // updateControllers is the step that comes once a tick: costs, admission, and the controller of each server.
@@ -52,19 +60,22 @@
 	}
 }
 
-// weight is the server's weight for a request of the given load, against an average.
+// weight is a server's weight in the draw for a request of the given load: the base weight, corrected by the controller
+// for the predicted load against an average. For a group that is on one server it is the registered size, and next to
+// nothing once that server is over overflowLoad.
 func (b *Balancer) weight(request *requestEntry, server *serverEntry, load, average float64) float64 {
 	if request.affinity != 0 && !request.groupSpans {
 		if b.predictedLoad(server)+server.cost*load > b.overflowLoad() {
 			return minWeightFraction
 		}
-		return b.registeredSize(server) // learned sizes differ, and nodes must choose alike: by what all know
+		return b.registeredSize(server) // all nodes must choose alike, and learned sizes differ between them
 	}
 	output := proportionalGain*relativeError(b.predictedLoad(server)+server.cost*load, average) + server.pid.correction
 	fraction := b.capacityFraction(server)
 	weight := server.baseWeight * fraction * clamp(1-weightGain*output, minWeightFraction, maxWeightFraction)
-	if fraction < 1 && !b.reservations.enabled { // credit that the usual draws would let lapse is taken first
-		weight *= clamp(1/(b.usualRate(server)*2*b.settings.Rules.OverloadTime.Seconds()), 1, 1000)
+	if fraction < 1 && !b.reservations.enabled { // preferred, where tokens would lapse before the next usual draw
+		window := b.settings.Rules.OverloadTime.Seconds()
+		weight *= clamp(1/(b.usualRate(server)*tokenWindows*window), 1, maxSlowStartBoost)
 	}
 	return weight
 }
--- a/choice/zones.go
+++ b/choice/zones.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// The plan of zones, which those who plan for all nodes make, and what this node has in each zone.
+// The plan of zones, which the fleet's leader makes for all nodes (internal/failover), and this node's load and
+// attempts in each zone.
 
-const maxZones = 256 // counted; guards against a list that names a zone for each server
+const maxZones = 256 // whose attempts are counted; guards against a list that names a zone for each server
 
 // zoneClass names the connections of one class in one zone.
 type zoneClass struct {
@@ -67,7 +68,8 @@
 	}
 }
 
-// allows says whether the plan in force lets a request go to a server: another plan may have come while it waited.
+// allows reports whether the plan in force has a grant for a request's class in a server's zone. It is asked again
+// before an attempt, since another plan may have come while the request waited for health checks or a reservation.
 func (z *zoneTable) allows(request *requestEntry, server *serverEntry) bool {
 	return z.plan == nil || slices.ContainsFunc(z.plan.Grants, func(grant Grant) bool {
 		return grant.Zone == server.Zone && !slices.Contains(grant.ExcludedClasses, request.Class)
@@ -117,10 +119,11 @@
 	b.updateCosts()
 }
 
-// limitRetryAfter keeps a plan's time under what clients heed, once it is spread by half; 0 where they heed none.
+// limitRetryAfter bounds a plan's Retry-After so that it is at most Limits.MaxRetryAfter once it is spread by up to
+// maxPlanRetryMultiple; 0 where clients heed none.
 func (b *Balancer) limitRetryAfter(after time.Duration) time.Duration {
 	if !b.settings.Limits.RetryAfter {
 		return 0
 	}
-	return min(after, b.settings.Limits.MaxRetryAfter*2/3)
+	return min(after, b.settings.Limits.MaxRetryAfter*2/3) // 2/3 is 1/maxPlanRetryMultiple
 }
