--- a/internal/failover/adoption.go
+++ b/internal/failover/adoption.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// maxAdoptions is how many are remembered of a node. What is forgotten counts from a later report: longer than needed.
+// maxAdoptions is how many adoptions are remembered of a node. One that is forgotten counts as of a later report, which
+// errs on the safe side: the plans before it count as in use for longer.
 const maxAdoptions = 64
 
-// adoption is when a node was first known to go by a plan.
+// adoption is when a node first reported that it had adopted a plan.
 type adoption struct {
 	plan uint64
 	at   time.Duration
 }
 
-// adoptions are the plans that nodes have reported to go by, as the leader knows them.
+// adoptions are the plans that nodes have reported to have adopted, as the leader knows them.
 type adoptions struct {
 	newest  map[int]uint64 // by node
 	history [][]adoption   // by node, oldest first
@@ -21,7 +22,7 @@
 	return adoptions{newest: map[int]uint64{}, history: make([][]adoption, nodes)}
 }
 
-// record takes a node's report of the plan that it goes by.
+// record takes in a node's report of the newest plan that it has adopted.
 func (a *adoptions) record(node int, plan uint64, now time.Duration) {
 	if plan <= a.newest[node] {
 		return
@@ -34,10 +35,10 @@
 	a.history[node] = history
 }
 
-// newestOf is the newest plan that a node has reported to go by; 0: none.
+// newestOf is the newest plan that a node has reported to have adopted; 0: none.
 func (a *adoptions) newestOf(node int) uint64 { return a.newest[node] }
 
-// since is when a node was first known to go by a plan of that number or a newer one. ok says whether it was.
+// since is when a node first reported a plan of that number or a newer one. ok is false where it has not.
 func (a *adoptions) since(node int, number uint64) (at time.Duration, ok bool) {
 	if node >= len(a.history) {
 		return 0, false
--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -68,8 +68,8 @@
 	leader      leaderContact
 	leaseEnd    time.Duration // grants into other zones are valid until then
 
-	leaseOwner *failover.LeaseOwner
-	borrower   borrower
+	leaseOwner  *failover.LeaseOwner
+	leaseHolder leaseHolder
 
 	localPolicy     localPolicy
 	committedPolicy committedPolicy
@@ -117,7 +117,7 @@
 		follower:        restoreFollower(options.Records),
 		evidence:        map[int]*nodeEvidence{},
 		leaseOwner:      failover.NewLeaseOwner(now),
-		borrower:        newBorrower(now),
+		leaseHolder:     newLeaseHolder(now),
 		localPolicy:     localPolicy{state: &policy.State{}},
 		committedPolicy: committedPolicy{state: &policy.State{}},
 		rollout:         rollout{statuses: map[int]policy.MemberStatus{}},
--- a/internal/failover/agent/entries.go
+++ b/internal/failover/agent/entries.go
@@ -94,7 +94,7 @@
 	}
 	if a.planner != nil {
 		for node, known := range a.peers {
-			if known.newest[kindSummary] > 0 && now-known.heardAt <= peerTimeout {
+			if known.newest[kindSummary] > 0 && now-known.lastMessageAt <= peerTimeout {
 				nodes = append(nodes, node)
 			}
 		}
--- a/internal/failover/agent/evidence.go
+++ b/internal/failover/agent/evidence.go
@@ -33,7 +33,7 @@
 	evidence := failover.Summarize(a.zone, a.options.Classes, observations, failover.NodeStatus{
 		Node:        a.options.Self,
 		Plan:        a.planNumber,
-		Unreachable: a.detector.Silent(now),
+		Unreachable: a.detector.Unreachable(now),
 		Policy:      a.policyStatus(now),
 	})
 	body := evidence.Encode()
--- a/internal/failover/agent/leader_contact_test.go
+++ b/internal/failover/agent/leader_contact_test.go
@@ -31,7 +31,7 @@
 	plan := &failover.Plan{
 		Zones:          []failover.Zone{{Name: "z", Nodes: 2, Listed: 2, Capacity: 5, Demand: []float32{}}},
 		AdmitFractions: [][]int{{}},
-		Before:         [][]float32{{0}},
+		EarlierLoads:   [][]float32{{0}},
 		GrantLifetime:  10,
 	}
 	agent.acceptEntry(7, consensus.Entry{Index: 3, Kind: failover.PlanKind, Data: plan.Encode()}, 1, time.Second)
--- a/internal/failover/agent/leases.go
+++ b/internal/failover/agent/leases.go
@@ -18,7 +18,7 @@
 )
 
 // borrower is the capacity that a node has leased of lease owners, and what its demand for it is computed from.
-type borrower struct {
+type leaseHolder struct {
 	leases     map[string]*capacityLease // by zone
 	recentLoad map[string]float64        // peak of the declared load at this node by class, with decay
 	regionLoad float64                   // declared load of regional classes that has no place in the own zone
@@ -27,8 +27,8 @@
 	observedAt         time.Duration // time of the last observations
 }
 
-func newBorrower(now time.Duration) borrower {
-	return borrower{leases: map[string]*capacityLease{}, recentLoad: map[string]float64{}, observedAt: now}
+func newLeaseHolder(now time.Duration) leaseHolder {
+	return leaseHolder{leases: map[string]*capacityLease{}, recentLoad: map[string]float64{}, observedAt: now}
 }
 
 // capacityLease is capacity that this node has leased in one zone, as declared load.
@@ -52,7 +52,7 @@
 // leasedLoads is the load that the load balancer may place on top of its grants, by zone.
 func (a *Agent) leasedLoads() map[string]float64 {
 	loads := map[string]float64{}
-	for zone, lease := range a.borrower.leases {
+	for zone, lease := range a.leaseHolder.leases {
 		if lease.load > 0 {
 			loads[zone] = lease.load
 		}
@@ -63,10 +63,10 @@
 // requestLeases requests leases for the load that finds no capacity in this node's grants, and releases capacity that
 // is no longer needed.
 func (a *Agent) requestLeases(observations choice.Observations, now time.Duration) {
-	elapsed := now - a.borrower.observedAt
-	a.borrower.observedAt = now
+	elapsed := now - a.leaseHolder.observedAt
+	a.leaseHolder.observedAt = now
 	recentLoad := a.updateRecentLoad(observations, elapsed)
-	leases := a.borrower.leases
+	leases := a.leaseHolder.leases
 	exhausted := map[string]bool{}
 	for zone, lease := range leases {
 		exhausted[zone] = lease.isExhausted()
@@ -89,7 +89,7 @@
 
 // requestLease requests or renews a lease in a zone, or ends it by a request of zero.
 func (a *Agent) requestLease(zone failover.Zone, demand float64, now time.Duration) {
-	lease := a.borrower.leases[zone.Name]
+	lease := a.leaseHolder.leases[zone.Name]
 	hasOwner := zone.LeaseOwner >= 0 && zone.LeaseOwner < a.options.List.Len()
 	isNeeded := demand > 0 || lease != nil && lease.requested != 0
 	if !hasOwner || !isNeeded {
@@ -97,7 +97,7 @@
 	}
 	if lease == nil {
 		lease = &capacityLease{}
-		a.borrower.leases[zone.Name] = lease
+		a.leaseHolder.leases[zone.Name] = lease
 	}
 	lease.requested = demand
 	lease.requestedAt = now
@@ -117,7 +117,7 @@
 		return
 	}
 	ownerZone := a.options.List.Node(head.from).Zone
-	for zone, lease := range a.borrower.leases {
+	for zone, lease := range a.leaseHolder.leases {
 		if zone == ownerZone && lease.requestClock == grant.RequestClock && lease.requestClock > 0 {
 			lease.requestClock = 0
 			a.takeLease(zone, lease, min(grant.Load, lease.requested), now)
@@ -146,7 +146,7 @@
 
 // expireLeases ends the leases that were not renewed in time.
 func (a *Agent) expireLeases(now time.Duration) {
-	leases := a.borrower.leases
+	leases := a.leaseHolder.leases
 	for _, zone := range slices.Sorted(maps.Keys(leases)) {
 		lease := leases[zone]
 		if lease.load > 0 && now >= lease.until {
@@ -190,8 +190,8 @@
 	regionLoad, rejected := 0.0, 0.0
 	for class, name := range a.options.Classes {
 		load, inOwnZone := classLoad(observations, class, a.zone)
-		recent := max(load, a.borrower.recentLoad[name]*fading)
-		a.borrower.recentLoad[name] = recent
+		recent := max(load, a.leaseHolder.recentLoad[name]*fading)
+		a.leaseHolder.recentLoad[name] = recent
 		recentLoad += recent
 		if class < len(observations.Classes) && a.staysInRegion(name) {
 			regionLoad = regionLoad + recent - inOwnZone // in this order: sums of floats are alike in one order only
@@ -199,7 +199,7 @@
 		}
 	}
 	if rejected == 0 && !a.isOwnZoneFailing(observations) {
-		regionLoad = a.borrower.regionLoad * fading
+		regionLoad = a.leaseHolder.regionLoad * fading
 	}
 	a.setRegionLoad(regionLoad)
 	return recentLoad
@@ -211,10 +211,10 @@
 	if load < leastRegionLoad {
 		load = 0
 	}
-	a.borrower.regionLoad = load
-	reserved := a.borrower.reservedRegionLoad
+	a.leaseHolder.regionLoad = load
+	reserved := a.leaseHolder.reservedRegionLoad
 	if math.Abs(load-reserved) > regionLoadChanged*max(load, reserved) {
-		a.borrower.reservedRegionLoad = load
+		a.leaseHolder.reservedRegionLoad = load
 		a.zonePlanChanged = true
 	}
 }
--- a/internal/failover/agent/leases_test.go
+++ b/internal/failover/agent/leases_test.go
@@ -12,7 +12,7 @@
 // newLease is a lease of node b's zone that this agent has requested at a time, by a message of clock 42.
 func newLease(agent *Agent, requestedAt time.Duration) *capacityLease {
 	lease := &capacityLease{requested: 3, requestClock: 42, requestedAt: requestedAt}
-	agent.borrower.leases["z"] = lease
+	agent.leaseHolder.leases["z"] = lease
 	return lease
 }
 
@@ -96,7 +96,7 @@
 				},
 				Classes: []choice.ClassObservations{{Arrived: 1, Rejected: 1}},
 			}, interval)
-			if got := agent.borrower.reservedRegionLoad; got != load {
+			if got := agent.leaseHolder.reservedRegionLoad; got != load {
 				t.Fatalf("while the own zone fails: %v reserved, wanted %v", got, load)
 			}
 			recovered := choice.Observations{
@@ -115,11 +115,11 @@
 					plans++
 				}
 				faded := load * math.Exp(-elapsed.Seconds()/memory.Seconds())
-				if got := agent.borrower.reservedRegionLoad; faded > 1 && math.Abs(got-faded) > 2*regionLoadChanged*faded {
+				if got := agent.leaseHolder.reservedRegionLoad; faded > 1 && math.Abs(got-faded) > 2*regionLoadChanged*faded {
 					t.Fatalf("%v after the own zone recovered: %v reserved, wanted about %v", elapsed, got, faded)
 				}
 			}
-			if got := agent.borrower.reservedRegionLoad; got != 0 {
+			if got := agent.leaseHolder.reservedRegionLoad; got != 0 {
 				t.Errorf("%v after the own zone recovered: %v reserved, wanted none", 4*memory, got)
 			}
 			if plans > 40 {
--- a/internal/failover/agent/peer.go
+++ b/internal/failover/agent/peer.go
@@ -11,10 +11,10 @@
 
 // peer is what an agent knows of another node, as its sender and receiver.
 type peer struct {
-	incarnation uint32
-	heardAt     time.Duration          // when it was last heard
-	clock       uint64                 // its newest, of this incarnation
-	newest      map[messageKind]uint64 // clock of the newest message of a kind
+	incarnation   uint32
+	lastMessageAt time.Duration          // when it was last heard
+	clock         uint64                 // its newest, of this incarnation
+	newest        map[messageKind]uint64 // clock of the newest message of a kind
 
 	// Of a peer that is sent evidence:
 	unansweredSince   time.Duration            // when the first evidence was sent that is not answered yet; 0: none is
@@ -36,12 +36,12 @@
 // counts, newer than those before.
 func (p *peer) accept(head header, now time.Duration) bool {
 	if p.incarnation != head.incarnation {
-		if p.incarnation != 0 && now-p.heardAt < incarnationTimeout {
+		if p.incarnation != 0 && now-p.lastMessageAt < incarnationTimeout {
 			return false // of a process that is gone, or of one whose predecessor is still heard
 		}
 		*p = peer{incarnation: head.incarnation, newest: map[messageKind]uint64{}}
 	}
-	p.heardAt = now
+	p.lastMessageAt = now
 	p.clock = max(p.clock, head.clock)
 	if !head.kind.newestOnly() {
 		return true
--- a/internal/failover/agent/plan.go
+++ b/internal/failover/agent/plan.go
@@ -15,7 +15,7 @@
 		return choice.ZonePlan{}, false
 	}
 	a.zonePlanChanged = false
-	leased := failover.LeasedCapacity{ByZone: a.leasedLoads(), InRegionOnly: a.borrower.reservedRegionLoad}
+	leased := failover.LeasedCapacity{ByZone: a.leasedLoads(), InRegionOnly: a.leaseHolder.reservedRegionLoad}
 	plan = failover.ZonePlanFor(a.mode, a.plan, a.options.Self, a.zone, a.options.Classes, a.options.RetryAfter, leased)
 	return plan, true
 }
--- a/internal/failover/agent/policy_calls.go
+++ b/internal/failover/agent/policy_calls.go
@@ -186,7 +186,7 @@
 		described := PolicyMember{
 			Name:         member.Name,
 			Live:         member.Live,
-			Heard:        member.Heard,
+			Heard:        member.HasStatus,
 			KnownNumber:  member.Status.KnownNumber,
 			ServedNumber: member.Status.ServedNumber,
 			MayServe:     member.Status.MayServe,
--- a/internal/failover/agent/policy_leader.go
+++ b/internal/failover/agent/policy_leader.go
@@ -131,7 +131,7 @@
 		node := a.options.List.Node(i)
 		status, heard := a.rollout.statuses[i]
 		members = append(members, policy.Member{
-			Name: node.Name, Node: i, Zone: node.Zone, Live: view.IsLive(i), Heard: heard, Status: status,
+			Name: node.Name, Node: i, Zone: node.Zone, Live: view.IsLive(i), HasStatus: heard, Status: status,
 		})
 	}
 	return members
--- a/internal/failover/agent/reply.go
+++ b/internal/failover/agent/reply.go
@@ -157,7 +157,7 @@
 		node := a.options.List.Node(i)
 		view := a.planner.NodeView(i, now)
 		reply.Nodes = append(reply.Nodes, NodeReply{
-			Name: node.Name, Zone: node.Zone, Live: view.Live, Plan: view.Plan, HeardSecondsAgo: view.HeardSecondsAgo,
+			Name: node.Name, Zone: node.Zone, Live: view.Live, Plan: view.Plan, HeardSecondsAgo: view.LastReportSecondsAgo,
 		})
 	}
 }
--- a/internal/failover/allocation.go
+++ b/internal/failover/allocation.go
@@ -104,7 +104,7 @@
 		left[from] = max(0, loads[from][class]-placed.admitted(from, class))
 	}
 	for _, cost := range d.distinctPathCosts() {
-		for range placementRounds { // what one zone leaves of its part, others take
+		for range placementRounds { // zones with more demand take what others don't need of their part
 			if d.placeRound(placed, capacity, left, class, cost) <= negligibleLoad {
 				break
 			}
@@ -112,8 +112,8 @@
 	}
 }
 
-// placeRound places load at one cost of the way and gives how much. Zones that want the same capacity share it by what
-// they have left.
+// placeRound places load at one path cost and returns how much. Zones that claim the same capacity share it by their
+// claims.
 func (d *demand) placeRound(placed allocation, capacity, left []float64, class int, cost float64) (total float64) {
 	claims, claimed := d.claims(capacity, left, class, cost)
 	for from := range claims {
@@ -133,7 +133,7 @@
 	return total
 }
 
-// claims divides what each zone has left among the capacities at one cost of the way, and sums the claims on each.
+// claims divides what each zone has left among the capacities at one path cost, and sums the claims on each.
 func (d *demand) claims(capacity, left []float64, class int, cost float64) (claims [][]float64, claimed []float64) {
 	claims = newMatrix(len(left))
 	claimed = make([]float64, len(left))
--- a/internal/failover/demand.go
+++ b/internal/failover/demand.go
@@ -10,7 +10,7 @@
 type demand struct {
 	loads        [][]float64 // wanted, by zone and class
 	capacity     []float64   // by zone
-	pathCosts    [][]float64 // from zone to zone; infinite: there is no way
+	pathCosts    [][]float64 // from zone to zone; infinite: attempts on the path fail
 	regions      []string    // by zone
 	priority     []float64   // by class
 	stayInRegion []bool      // by class
@@ -29,7 +29,7 @@
 	return classes
 }
 
-// distinctPathCosts is the costs of all ways, the least first.
+// distinctPathCosts is the finite path costs between all zones, the least first.
 func (d *demand) distinctPathCosts() (costs []float64) {
 	seen := map[float64]bool{}
 	for from := range d.pathCosts {
@@ -46,7 +46,7 @@
 	return costs
 }
 
-// mayPlace reports whether a class's load may go from one zone to another at this cost of the way.
+// mayPlace reports whether a class's load may go from one zone to another in the round for this path cost.
 func (d *demand) mayPlace(from, to, class int, cost float64) bool {
 	return d.pathCosts[from][to] == cost && (!d.stayInRegion[class] || d.regions[from] == d.regions[to])
 }
--- a/internal/failover/estimates.go
+++ b/internal/failover/estimates.go
@@ -9,18 +9,24 @@
 const (
 	costSmoothing     = 0.3 // weight of a new measurement of what a unit of reported load takes
 	capacitySmoothing = 0.2 // the same of capacity that grows; less capacity counts at once
-	capacityFade      = 0.9 // of the capacity that is kept at each step where nobody sees a zone
-	minMeasurableLoad = 0.1 // of what the servers can do: under this load its cost is not measured
-	enoughNodes       = 0.9 // of a zone's live nodes: what fewer of them have is not all
+	capacityFade      = 0.9 // of the capacity that remains at each step while no node reports on a zone
+	minMeasurableLoad = 0.1 // of the servers' capacity: under this load the cost is not measured
+	enoughNodes       = 0.9 // of a zone's live nodes: reports of fewer are incomplete
+
+	// A class's demand is at most the larger of these: a multiple of its peak load; a multiple of its load, and some
+	// load.
+	maxDemandOfPeak = 1.2
+	maxDemandOfLoad = 1.5
+	minDemandBound  = 2
 )
 
-// capacityEstimate is what a zone's servers can bear.
+// capacityEstimate is the load that a zone's servers have the capacity for.
 type capacityEstimate struct {
-	capacity float64 // smoothed; 0: not known
+	capacity float64 // in reported load, smoothed; 0: not known
 	cost     float64 // servers that a unit of reported load takes, smoothed; 0: not measured
 }
 
-// fade shrinks the capacity of a zone that nobody sees, but for what its own clients want there.
+// fade shrinks the capacity of a zone that no node reports on, but not below its own clients' demand.
 func (e *capacityEstimate) fade(ownDemand float64) {
 	e.capacity = max(capacityFade*e.capacity, min(e.capacity, ownDemand))
 }
@@ -60,8 +66,8 @@
 // total is the load that clients of all classes want.
 func (e *demandEstimate) total() float64 { return sumOf(e.byClass) }
 
-// update takes in what a zone's nodes have in all zones: clients want that, what they had before a failure, and more
-// where some are rejected.
+// update estimates the demand by the load that a zone's nodes have in all zones: it is that load, the demand before a
+// failure, which decays, and what was rejected.
 func (e *demandEstimate) update(classes []Class, summary *EvidenceSummary, now time.Duration) {
 	elapsed := now - e.updatedAt
 	e.updatedAt = now
@@ -75,13 +81,14 @@
 			load += float64(zone.OwnLoad[reported])
 		}
 		e.peaks[i] = decayTo(load, e.peaks[i], elapsed, peakMemory)
-		// What is rejected comes again and is counted again: it says that more is wanted, not how much.
+		// What is rejected is retried and counted again: it shows that demand is larger, not by how much. So it is
+		// bounded.
 		demand := decayTo(load, e.byClass[i], elapsed, demandMemory) + float64(summary.Rejected[reported])
-		e.byClass[i] = min(demand, max(1.2*e.peaks[i], 1.5*load+2))
+		e.byClass[i] = min(demand, max(maxDemandOfPeak*e.peaks[i], maxDemandOfLoad*load+minDemandBound))
 	}
 }
 
-// decayTo lets what a value has above a floor fade over time.
+// decayTo is a value after some time in which its part above a floor has decayed exponentially.
 func decayTo(floor, value float64, elapsed, memory time.Duration) float64 {
 	return floor + max(0, value-floor)*math.Exp(-elapsed.Seconds()/memory.Seconds())
 }
@@ -116,8 +123,8 @@
 }
 
 // loadCost is what a unit of reported load takes of a zone's servers. It is measured where enough load is there and all
-// nodes that may have a part of it are heard: nodes learn it on the view that all of them use all servers alike, which
-// under a plan they don't. It shows slow servers as well.
+// nodes that may have a part of it have reported. The cost that nodes learn themselves is only the last resort: they
+// assume that all nodes use all servers alike, which under a plan they don't.
 func (p *Planner) loadCost(zone string, view *zoneView, servers float64, now time.Duration) float64 {
 	estimate := &p.zoneStates[zone].capacity
 	load := float64(view.Load) / float64(view.Nodes)
@@ -150,7 +157,8 @@
 		for _, classLoad := range evidence.OwnLoad {
 			load += float64(classLoad)
 		}
-		// What some of a zone's nodes have, against all that the servers bear, would show a cost that is much too high.
+		// The load of some of a zone's nodes against that of all on the servers would give a cost that is much too
+		// high.
 		complete = complete && float64(evidence.Nodes) > enoughNodes*float64(p.liveNodes(from))
 	}
 	return load, complete
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -7,7 +7,7 @@
 	"spurwinch/internal/policy"
 )
 
-// maxQuantity bounds each number in evidence: more is no measurement.
+// maxQuantity bounds each number in evidence: a larger one is taken for corrupt.
 const maxQuantity = 1e9
 
 // maxRequestCount bounds the counts of requests in a member's status: up to it a float64 counts exactly.
@@ -44,7 +44,7 @@
 	_           struct{} `cbor:",toarray"`
 	Node        int      // its index in the membership list
 	Plan        uint64   // number of the newest plan that it has adopted
-	Unreachable []int    // nodes that it watches and doesn't hear
+	Unreachable []int    // nodes that it watches and gets no heartbeats of
 	Policy      *policy.MemberStatus
 }
 
--- a/internal/failover/explain.go
+++ b/internal/failover/explain.go
@@ -7,21 +7,24 @@
 
 // NodeView is what the leader knows of a node.
 type NodeView struct {
-	Live            bool    // in the common view
-	Plan            uint64  // number of the newest plan that it has reported to go by
-	HeardSecondsAgo float64 // seconds since it was heard; under 0: never
+	Live                 bool    // in the common view
+	Plan                 uint64  // number of the newest plan that it has reported to have adopted
+	LastReportSecondsAgo float64 // age of its last report in seconds; under 0: it has sent none
 }
 
-// NodeView tells what is known of a node.
+// NodeView is what is known of a node, by its number in the membership list.
 func (p *Planner) NodeView(node int, now time.Duration) NodeView {
-	view := NodeView{Live: p.cut.IsLive(node), Plan: p.adoptions.newestOf(node), HeardSecondsAgo: -1}
+	view := NodeView{Live: p.cut.IsLive(node), Plan: p.adoptions.newestOf(node), LastReportSecondsAgo: -1}
 	if at, heard := p.cut.LastReport(node); heard {
-		view.HeardSecondsAgo = (now - at).Seconds()
+		view.LastReportSecondsAgo = (now - at).Seconds()
 	}
 	return view
 }
 
-// Explain tells operators, line by line, what led to a zone's state. Nobody parses the lines.
+// Explain describes for operators, line by line, what led to a zone's state; nil: there is no such zone. "Room", "told
+// load" and "want" in the lines are capacity and demand in units of reported load; "hosts" are complete servers, and
+// what they can do and have is their mean capacity and predicted load as one node sees them. Programs don't parse the
+// lines.
 func (p *Planner) Explain(zone string, now time.Duration) (lines []string) {
 	state := p.zoneStates[zone]
 	if state == nil {
@@ -53,7 +56,7 @@
 	return lines
 }
 
-// explainView tells what is known of a zone's servers.
+// explainView describes what is known of a zone's servers, as the mean over the nodes that reported.
 func (p *Planner) explainView(zone string, now time.Duration) string {
 	view, ok := p.viewZone(zone, now)
 	if !ok {
--- a/internal/failover/failure_detection.go
+++ b/internal/failover/failure_detection.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// path is the way from the nodes of one zone to the servers of a zone.
+// path is the network path from the nodes of one zone to the servers of a zone.
 type path struct{ from, to string }
 
-// pathStats are the attempts on a path. They fade by a factor of e each second.
+// pathStats are the attempts on a path, which decay by a factor of e each second.
 type pathStats struct {
 	attempts, failed float64
 	at               time.Duration // of the newest
 }
 
-// fresh reports whether attempts were reported of late.
+// fresh reports whether attempts were reported within evidenceLifetime.
 func (s *pathStats) fresh(now time.Duration) bool { return s != nil && now-s.at <= evidenceLifetime }
 
-// failing reports whether attempts on a path fail. known says whether enough of them were reported of late.
+// failing reports whether attempts on a path fail. known is false where there were too few within evidenceLifetime.
 func (s *pathStats) failing(now time.Duration) (failing, known bool) {
 	if !s.fresh(now) || s.attempts < minAttempts {
 		return false, false
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -78,14 +78,14 @@
 			{From: 1, To: 2, Load: 44.4, RegionLoad: 2.5},
 			{From: 2, To: 0, Load: 13, RegionLoad: 12},
 		},
-		StayInRegion:   []bool{false, true},
-		AdmitFractions: [][]int{{255, 200}, {17, 51}, {1, 0}},
-		GrantLifetime:  10.5,
-		LostNodes:      []int{7, 260},
-		Reason:         "iasi-1 lost: no host is listed as serving",
-		Before:         [][]float32{{1.5, 2.25, 8}, {3.3, 4, 9}, {0.7, 6, 5}},
-		Reserves:       []CapacityReserve{{Zone: 1, Owner: 6, Load: 5.5}},
-		Previous:       1 << 40,
+		StayInRegion:    []bool{false, true},
+		AdmitFractions:  [][]int{{255, 200}, {17, 51}, {1, 0}},
+		GrantLifetime:   10.5,
+		LostNodes:       []int{7, 260},
+		Reason:          "iasi-1 lost: no host is listed as serving",
+		EarlierLoads:    [][]float32{{1.5, 2.25, 8}, {3.3, 4, 9}, {0.7, 6, 5}},
+		EarlierReserves: []CapacityReserve{{Zone: 1, Owner: 6, Load: 5.5}},
+		Previous:        1 << 40,
 	}
 }
 
--- a/internal/failover/grant_builder.go
+++ b/internal/failover/grant_builder.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// setTargets begins with what was allocated, and finds what capacity that leaves.
+// setTargets sets the targets to what was allocated, and free to the capacity that remains.
 func (b *grantBuilder) setTargets() {
 	b.free = slices.Clone(b.demand.capacity)
 	for to := range b.free {
@@ -65,8 +65,8 @@
 	}
 }
 
-// missingHeadroom is what each zone should get beyond its targets: clients come to its nodes by chance, and more of
-// them come than are estimated. Without it nodes reject what others have capacity for.
+// missingHeadroom is the load that each zone should get beyond its targets, since clients don't spread evenly over its
+// nodes, and more may come than are estimated. Without it nodes reject what others have capacity for.
 func (b *grantBuilder) missingHeadroom() []float64 {
 	missing := make([]float64, len(b.targets))
 	for from, targets := range b.targets {
@@ -103,7 +103,7 @@
 	}
 }
 
-// headroomClaims divides what each zone misses among the free capacities at one cost of the way, and sums the claims on
+// headroomClaims divides what each zone misses among the free capacities at one path cost, and sums the claims on
 // each.
 func (b *grantBuilder) headroomClaims(cost float64, missing []float64) (claims [][]float64, claimed []float64) {
 	claims = newMatrix(len(missing))
@@ -172,7 +172,8 @@
 	}
 }
 
-// tightRegions are those where so much is wanted that capacity is kept for classes that must stay there.
+// tightRegions are the regions whose demand is so near their capacity that some is reserved for classes that must stay
+// there.
 func (b *grantBuilder) tightRegions() map[string]bool {
 	wanted := map[string]float64{}
 	capacity := map[string]float64{}
@@ -199,7 +200,7 @@
 				most[to] = max(most[to], float32(load))
 			}
 		}
-		b.plan.Before = append(b.plan.Before, most)
+		b.plan.EarlierLoads = append(b.plan.EarlierLoads, most)
 	}
 }
 
--- a/internal/failover/lease_demand.go
+++ b/internal/failover/lease_demand.go
@@ -10,12 +10,12 @@
 
 const (
 	leaseAheadFraction  = 0.75 // of what a node may have: from this load on it requests leases before it needs them
-	minLeaseRequest     = 0.5  // load; less isn't worth a request
-	ejectedZoneFraction = 0.5  // of a zone's servers that are ejected: from here on nothing is leased there
+	minLeaseRequest     = 0.5  // load; less is not requested
+	ejectedZoneFraction = 0.5  // of a zone's servers that are ejected: from this on nothing is leased there
 )
 
 // LeaseDemand is the load that a node of a zone wants to lease, by zone, after what its module observed in the elapsed
-// time. recentPeak is the most load that the node had of late, leased what it has leased, and exhausted are the zones
+// time. recentPeak is the node's recent peak load, leased what it has leased, and exhausted are the zones
 // whose owners granted less than was requested.
 func LeaseDemand(
 	mode Mode, plan *Plan, node int, zone string, observed choice.Observations, elapsed time.Duration,
@@ -90,8 +90,8 @@
 }
 
 // expectedLoad is the load that comes soon beyond the present one: what comes within a second, and some for chance,
-// since what is requested only when it is needed comes too late. granted is what the node may have, recentPeak the most
-// that it had of late.
+// since what is requested only when it is needed comes too late. granted is what the node may have, recentPeak its
+// recent peak load.
 func (u zoneUse) expectedLoad(ownZone string, granted, recentPeak float64, elapsed time.Duration) (expected float64) {
 	if u.rejected > 0 || u.load > leaseAheadFraction*granted {
 		expected = min(u.arrived/elapsed.Seconds(), recentPeak/2) + math.Sqrt(u.load)
--- a/internal/failover/lease_owner.go
+++ b/internal/failover/lease_owner.go
@@ -14,8 +14,8 @@
 	leaseSettlePeriod = LeaseDuration + 500*time.Millisecond
 )
 
-// LeaseOwner leases the reserve of one zone's capacity out, at the node that the plan names for it. A lease counts
-// until its holder surely uses it no more, also when a newer plan leaves a smaller reserve.
+// LeaseOwner leases out the reserve of one zone's capacity, at the node that the plan names for it. A lease counts
+// until its holder can't use it any longer, also when a newer plan has a smaller reserve.
 type LeaseOwner struct {
 	leases     map[int][]lease // by holder: the newest is in use, or an older one whose successor was lost on its way
 	grantsFrom time.Duration   // when all leases of an earlier process of this node have ended
@@ -29,13 +29,14 @@
 
 func (l lease) expired(now time.Duration) bool { return l.expires <= now }
 
-// NewLeaseOwner begins without leases, where an earlier process of this node may have left some.
+// NewLeaseOwner is an owner without leases. It grants none for leaseSettlePeriod, since an earlier process of this node
+// may have granted some.
 func NewLeaseOwner(now time.Duration) *LeaseOwner {
 	return &LeaseOwner{leases: map[int][]lease{}, grantsFrom: now + leaseSettlePeriod}
 }
 
-// Grant leases a node up to what it requests, of a reserve, and gives the load of the lease; 0: there is none. A node
-// that requests less than it has goes by less already.
+// Grant leases a node up to what it requests out of a reserve, and returns the load of the lease; 0: there is none. A
+// node that requests less than it has uses no more than it requests from then on.
 func (o *LeaseOwner) Grant(node int, requested, reserve float64, now time.Duration) float64 {
 	if now < o.grantsFrom || !(requested >= 0) || !(reserve >= 0) { // negated, so that NaN gets nothing
 		return 0
--- a/internal/failover/lease_test.go
+++ b/internal/failover/lease_test.go
@@ -161,7 +161,7 @@
 		Classes:        []string{"x"},
 		StayInRegion:   []bool{false},
 		AdmitFractions: [][]int{{255}, {255}, {255}},
-		Before:         [][]float32{{0, 0, 0}, {0, 0, 0}, {0, 0, 0}},
+		EarlierLoads:   [][]float32{{0, 0, 0}, {0, 0, 0}, {0, 0, 0}},
 		Grants:         grants,
 		GrantLifetime:  10,
 	}
--- a/internal/failover/observe.go
+++ b/internal/failover/observe.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Observe takes the evidence of a zone's nodes in, as one of its aggregators adds it up. stale says that it was long on
-// its way: it shows which nodes are there, and nothing of how zones are.
+// Observe takes in the evidence of a zone's nodes, summed up by one of the zone's aggregators. Of stale evidence, which
+// was delayed on the way, only the nodes' own statuses are used.
 func (p *Planner) Observe(aggregator int, summary EvidenceSummary, stale bool, now time.Duration) {
 	state := p.zoneStates[summary.Zone]
 	if state == nil {
@@ -26,7 +26,7 @@
 	*report = zoneReport{summary: summary, at: now, aggregator: aggregator}
 }
 
-// observeNodes takes in which nodes a zone's nodes hear, and which plans they go by.
+// observeNodes takes in the failure detectors' reports of a zone's nodes, and which plans they have adopted.
 func (p *Planner) observeNodes(summary *EvidenceSummary, now time.Duration) {
 	for _, status := range summary.Nodes {
 		if status.Node < 0 || status.Node >= p.list.Len() || p.list.Node(status.Node).Zone != summary.Zone {
@@ -38,11 +38,11 @@
 }
 
 // observePath adds attempts to those on a path.
-func (p *Planner) observePath(way path, attempts, failed float64, now time.Duration) {
-	stats := p.paths[way]
+func (p *Planner) observePath(between path, attempts, failed float64, now time.Duration) {
+	stats := p.paths[between]
 	if stats == nil {
 		stats = &pathStats{at: now}
-		p.paths[way] = stats
+		p.paths[between] = stats
 	}
 	fade := math.Exp(-(now - stats.at).Seconds())
 	stats.attempts = stats.attempts*fade + attempts
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -35,18 +35,19 @@
 	Zones          []Zone
 	Classes        []string
 	Grants         []Grant
-	StayInRegion   []bool  // by class: it doesn't leave its region
+	StayInRegion   []bool  // by class: it is placed in its client's region only
 	AdmitFractions [][]int // by zone and class, in 255ths: which part of the arrivals is admitted
-	GrantLifetime  float32 // seconds for which a grant into another zone holds while no leader is heard
+	GrantLifetime  float32 // seconds for which a grant into another zone is valid without contact to a leader
 	LostNodes      []int   // nodes out of the common view, by their indices in the membership list
 	Reason         string  // why it was made, for operators
 
-	// Before is what earlier plans had left in use when this one was made: the most that a node of a zone may still
-	// have in a zone, by their places in Zones. A leader that never knew those plans goes by it.
-	Before [][]float32
-	// Reserves is the same for capacity leases: what their owners may still have leased out by earlier plans.
-	Reserves []CapacityReserve
-	Previous uint64 // number of the plan before this one; 0: there was none
+	// EarlierLoads is what earlier plans had left in use when this one was made: the most load that a node of a zone
+	// (first index, a place in Zones) may still have in a zone (second index). A leader that never knew those plans
+	// uses it.
+	EarlierLoads [][]float32
+	// EarlierReserves is the same for capacity leases: what their owners may still have leased out by earlier plans.
+	EarlierReserves []CapacityReserve
+	Previous        uint64 // number of the plan before this one; 0: there was none
 }
 
 // Zone is a zone in a plan.
--- a/internal/failover/plan_builder.go
+++ b/internal/failover/plan_builder.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	sameRegionCost   = 1    // of the way between two zones of one region
-	minScaledDemand  = 0.5  // load: less is admitted whole
+	sameRegionCost   = 1    // path cost between two zones of one region
+	minScaledDemand  = 0.5  // load: a smaller demand is admitted completely
 	admittedInEffect = 0.98 // of a demand: if as much is placed, all of it is admitted
 )
 
@@ -39,7 +39,7 @@
 	return slices.ContainsFunc(p.zones, func(name string) bool { return p.zoneStates[name].report.at > 0 })
 }
 
-// planZone is a zone's entry in a plan, without what its grants leave.
+// planZone is a zone's entry in a plan, but for GuestLoad and Reserve, which follow from the grants.
 func (p *Planner) planZone(name string) Zone {
 	state := p.zoneStates[name]
 	zone := Zone{
@@ -89,7 +89,8 @@
 	return wanted
 }
 
-// pathCost is the cost of the way from one zone to another; infinite where attempts on it fail.
+// pathCost is the cost of placing a zone's load in another zone, 0 in its own; infinite where attempts on the path
+// fail.
 func (p *Planner) pathCost(from, to int, now time.Duration) float64 {
 	if from == to {
 		return 0
--- a/internal/failover/plan_diff.go
+++ b/internal/failover/plan_diff.go
@@ -9,7 +9,7 @@
 type difference int
 
 const (
-	unchanged difference = iota // not worth a plan
+	unchanged difference = iota // too little for a new plan
 	changed                     // somewhat: it can wait
 	urgent                      // so that it presses
 )
@@ -26,7 +26,7 @@
 	scarceTolerance    = 0.03 // of its demand: such a zone gets noticeably more from here on
 )
 
-// comparePlans tells how much a new plan differs from an old one.
+// comparePlans is how much a new plan differs from an old one.
 func comparePlans(older, newer *Plan) difference {
 	if len(older.Zones) != len(newer.Zones) || !slices.Equal(older.LostNodes, newer.LostNodes) ||
 		!slices.Equal(older.Classes, newer.Classes) {
@@ -42,7 +42,7 @@
 	return largest
 }
 
-// compareZone tells how much one zone's entries and grants differ.
+// compareZone is how much one zone's entries and grants differ.
 func compareZone(older, newer *Plan, zone int) difference {
 	before := &older.Zones[zone]
 	after := &newer.Zones[zone]
--- a/internal/failover/plan_encoding.go
+++ b/internal/failover/plan_encoding.go
@@ -36,10 +36,10 @@
 			len(p.StayInRegion), len(p.Classes), len(p.AdmitFractions), len(p.Zones))
 	case !(p.GrantLifetime >= 0 && p.GrantLifetime < maxGrantLifetime): // negated, so that NaN is invalid as well
 		return fmt.Errorf("%w: grants hold for %v s", ErrInvalidPlan, p.GrantLifetime)
-	case len(p.Before) != 0 && len(p.Before) != len(p.Zones):
-		return fmt.Errorf("%w: earlier use of %d zones of %d", ErrInvalidPlan, len(p.Before), len(p.Zones))
-	case len(p.Reserves) > maxReservesPerZone*MaxZones:
-		return fmt.Errorf("%w: %d reserves", ErrInvalidPlan, len(p.Reserves))
+	case len(p.EarlierLoads) != 0 && len(p.EarlierLoads) != len(p.Zones):
+		return fmt.Errorf("%w: earlier use of %d zones of %d", ErrInvalidPlan, len(p.EarlierLoads), len(p.Zones))
+	case len(p.EarlierReserves) > maxReservesPerZone*MaxZones:
+		return fmt.Errorf("%w: %d reserves", ErrInvalidPlan, len(p.EarlierReserves))
 	}
 	return p.validateEntries()
 }
@@ -56,13 +56,13 @@
 			return fmt.Errorf("%w: grant %d", ErrInvalidPlan, i)
 		}
 	}
-	for i, loads := range p.Before {
+	for i, loads := range p.EarlierLoads {
 		invalid := func(load float32) bool { return !isLoad(load) }
 		if len(loads) != len(p.Zones) || slices.ContainsFunc(loads, invalid) {
 			return fmt.Errorf("%w: earlier use of zone %d", ErrInvalidPlan, i)
 		}
 	}
-	for i, reserve := range p.Reserves {
+	for i, reserve := range p.EarlierReserves {
 		if !p.hasZone(reserve.Zone) || reserve.Owner < 0 || !isLoad(reserve.Load) {
 			return fmt.Errorf("%w: reserve %d", ErrInvalidPlan, i)
 		}
--- a/internal/failover/plan_history.go
+++ b/internal/failover/plan_history.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// maxKnownPlans bounds the plans that are remembered: the oldest are forgotten even if they may be in use.
 const maxKnownPlans = 128
 
 // VersionedPlan is a plan that may be in use, with its number on the consensus log.
@@ -30,7 +31,8 @@
 	}
 }
 
-// ApplyPlan takes in which plan the consensus log has now, and forgets those that nobody can use any longer.
+// ApplyPlan records the plan that was committed to the consensus log, and forgets those that no node can use any
+// longer. The agent calls it for each committed plan; one that is not newer than the last changes nothing.
 func (p *Planner) ApplyPlan(number uint64, plan *Plan, now time.Duration) {
 	if count := len(p.known); count > 0 && p.known[count-1].Number >= number {
 		return
@@ -38,7 +40,7 @@
 	p.known = append(p.known, VersionedPlan{number, plan, now})
 	p.proposedAt = 0
 	oldest := p.oldestAdopted(number, now)
-	for len(p.known) > 1 && (p.isOldestInUse(p.known[1], oldest, now) || len(p.known) > maxKnownPlans) {
+	for len(p.known) > 1 && (p.supersedesOlder(p.known[1], oldest, now) || len(p.known) > maxKnownPlans) {
 		p.known = p.known[1:]
 	}
 }
@@ -51,7 +53,8 @@
 	return p.known[len(p.known)-1].Plan
 }
 
-// oldestAdopted is the number of the oldest plan that any node may still go by, newest at most.
+// oldestAdopted is the number of the oldest plan that any node may still use in its own zone, newest at most. Nodes
+// that were lost for lostNodeMemory don't count.
 func (p *Planner) oldestAdopted(newest uint64, now time.Duration) uint64 {
 	oldest := newest
 	for node := range p.list.Len() {
@@ -62,14 +65,14 @@
 	return oldest
 }
 
-// isOldestInUse reports whether nobody can use plans before this one any longer: all have reported to go by it or a
-// newer one, and those that can't be heard use other zones by older plans no more.
-func (p *Planner) isOldestInUse(plan VersionedPlan, oldestAdopted uint64, now time.Duration) bool {
+// supersedesOlder reports whether no node can use plans before this one any longer: all nodes have reported that they
+// adopted it or a newer one, and unreachable ones have lost their grants into other zones by the older ones.
+func (p *Planner) supersedesOlder(plan VersionedPlan, oldestAdopted uint64, now time.Duration) bool {
 	return plan.Number <= oldestAdopted && now-plan.From > p.crossZonePeriod()+leaseSettlePeriod
 }
 
-// crossZonePeriod is how long after a newer plan came nodes may still use other zones by the older one. They end that
-// by their own clocks.
+// crossZonePeriod is how long after a newer plan nodes may still use other zones by the older one: a grant's lifetime,
+// which each node counts by its own clock, and a margin.
 func (p *Planner) crossZonePeriod() time.Duration { return p.rules.GrantLifetime + crossZoneMargin }
 
 // followsKnown reports whether the plan before a known one is known too.
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -20,16 +20,17 @@
 // Rules are the operators' part of a plan.
 type Rules struct {
 	UtilizationLimit float64       // part of a server's capacity that is planned for
-	GrantLifetime    time.Duration // for which a grant into another zone holds while no leader is heard
-	RecoveryDelay    time.Duration // for which a lost zone's servers must answer before it takes load again
+	GrantLifetime    time.Duration // for which a grant into another zone is valid without contact to a leader
+	RecoveryDelay    time.Duration // for which a lost zone's servers must answer before it recovers
 	RecoveryRamp     float64       // part of a returning zone's capacity that is given back each second
 	Classes          []Class
-	// RegionDistance is the cost of the way between two regions, where 1 is the cost between two zones of one region.
+	// RegionDistance is the path cost between two regions, in addition to sameRegionCost, the cost between two zones of
+	// one region.
 	RegionDistance func(a, b string) float64
 }
 
 // Planner makes plans, at the leader of the fleet. It exists as long as this node leads, and is owned by the agent.
-// What plans that it never knew may have granted stands in Before and Reserves of the next plan that it knows.
+// What plans that it never knew may have granted is in EarlierLoads and EarlierReserves of the next plan that it knows.
 type Planner struct {
 	list   *membership.List
 	zones  []string
@@ -47,7 +48,7 @@
 	plannedAt  time.Duration // of the newest proposal, decided or not
 
 	suspectUntil time.Duration
-	suspect      bool // every zone looked lost of late: the evidence is taken for wrong, and not the zones
+	suspect      bool // all zones looked lost a short while ago: the evidence is taken for wrong, and not the zones
 	constrained  bool // the newest plan grants less than it should, because of older ones in use
 }
 
@@ -79,7 +80,7 @@
 // CutDetector is the common view of which nodes are live.
 func (p *Planner) CutDetector() *membership.CutDetector { return p.cut }
 
-// ApplyOrders takes in what operators have ordered.
+// ApplyOrders replaces the operators' orders by those that were committed to the log.
 func (p *Planner) ApplyOrders(orders OperatorOrders) { p.orders = orders }
 
 // Step makes a plan where one is wanted; nil: the newest will do. It is to be called four times a second.
@@ -101,7 +102,8 @@
 	return next
 }
 
-// observeChanges moves the view and the zones' states on, and gives the reasons that press for a new plan.
+// observeChanges updates the view of the nodes and the zones' states, and returns the changes, for which a new plan is
+// made without delay.
 func (p *Planner) observeChanges(now time.Duration) (reasons []string) {
 	if p.cut.Step(now) {
 		reasons = append(reasons, fmt.Sprintf("%d nodes are out of the view", len(p.cut.Lost())))
@@ -120,15 +122,16 @@
 	return reasons
 }
 
-// mayPlan reports whether it is time for a plan: pressing reasons don't wait.
-func (p *Planner) mayPlan(now time.Duration, pressing bool) bool {
+// mayPlan reports whether it is time for a plan: a change of the view or of a zone's state doesn't wait for
+// planInterval. There is no new plan while a proposal is undecided, nor within planInterval after the planner's start.
+func (p *Planner) mayPlan(now time.Duration, hasChanges bool) bool {
 	switch {
 	case now-p.startedAt < planInterval:
 		return false
 	case p.proposedAt > 0 && now-p.proposedAt < proposalTimeout:
 		return false
 	}
-	return pressing || now-p.plannedAt >= planInterval
+	return hasChanges || now-p.plannedAt >= planInterval
 }
 
 // shouldPropose reports whether a plan differs enough from the newest one.
@@ -147,7 +150,7 @@
 	return true
 }
 
-// joinReasons is what a plan says of its reasons.
+// joinReasons is the text of a plan's Reason.
 func joinReasons(reasons []string) string {
 	if len(reasons) == 0 {
 		return "demand and room"
--- a/internal/failover/plans_in_use.go
+++ b/internal/failover/plans_in_use.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// loadsInUse is the most load that each node may have in each zone, by any plan that it may still go by.
+// loadsInUse is the most load that each node may have in each zone, by any plan that it may still use.
 type loadsInUse struct {
 	places map[string]int // of zones in the rows
 	byNode [][]float64    // by node and zone
@@ -13,7 +13,8 @@
 	l.byNode[node][zone] = max(l.byNode[node][zone], load)
 }
 
-// inUse is the most load that each node may have, from its own zone, in each zone, by any plan that it may still go by.
+// inUse is the most load that each node may have in each zone by any plan that it may still use: the newest that it has
+// reported to have adopted, or a newer one.
 func (p *Planner) inUse(now time.Duration) [][]float64 {
 	loads := &loadsInUse{places: map[string]int{}, byNode: make([][]float64, p.list.Len())}
 	for place, zone := range p.zones {
@@ -55,10 +56,11 @@
 	}
 }
 
-// addUnknownInUse adds what plans that this planner never knew had left in use: each plan has that of those before it.
+// addUnknownInUse adds what plans that this planner never knew left in use, which is in EarlierLoads of the plan after
+// them.
 func (p *Planner) addUnknownInUse(loads *loadsInUse, known *VersionedPlan, now time.Duration) {
 	crossZoneEnded := now-known.From > p.crossZonePeriod()
-	for from, most := range known.Plan.Before {
+	for from, most := range known.Plan.EarlierLoads {
 		for _, node := range p.list.InZone(known.Plan.Zones[from].Name) {
 			if p.adoptions.newestOf(node) >= known.Number {
 				continue
--- a/internal/failover/reserves.go
+++ b/internal/failover/reserves.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// chooseLeaseOwner is the node that leases a zone's reserve out: the same as before while it is live. It is -1 where no
-// node is.
+// chooseLeaseOwner is the node that leases a zone's reserve out: the same as before while it is live; noLeaseOwner
+// where the zone has no live node.
 func (p *Planner) chooseLeaseOwner(zone string) int {
 	live := slices.Clone(p.list.InZone(zone))
 	live = slices.DeleteFunc(live, func(node int) bool { return !p.cut.IsLive(node) })
@@ -40,14 +40,14 @@
 	return byOwner, total
 }
 
-// addUnknownReserves adds what owners may have leased out by plans that this planner never knew: the next plan that it
-// knows has that.
+// addUnknownReserves adds what owners may have leased out by plans that this planner never knew, which is in
+// EarlierReserves of the next plan that it knows.
 func (p *Planner) addUnknownReserves(byOwner map[int]float64, place int, zone string, now time.Duration) {
 	known := &p.known[place]
 	if now-known.From > p.crossZonePeriod()+leaseSettlePeriod {
 		return
 	}
-	for _, reserve := range known.Plan.Reserves {
+	for _, reserve := range known.Plan.EarlierReserves {
 		if known.Plan.Zones[reserve.Zone].Name == zone && !p.hasSettledOn(reserve.Owner, known.Number, now) {
 			byOwner[reserve.Owner] = max(byOwner[reserve.Owner], float64(reserve.Load))
 		}
@@ -69,8 +69,8 @@
 	byOwner[owner] = max(byOwner[owner], float64(known.Plan.Zones[index].Reserve))
 }
 
-// hasSettledOn reports whether a lease owner has gone by a plan of that number or a newer one for so long that its
-// leases by older plans have ended.
+// hasSettledOn reports whether a lease owner adopted a plan of that number or a newer one so long ago that its leases
+// by older plans have ended.
 func (p *Planner) hasSettledOn(owner int, number uint64, now time.Duration) bool {
 	adopted, ok := p.adoptions.since(owner, number)
 	return ok && now-adopted > leaseSettlePeriod
--- a/internal/failover/schedule_test.go
+++ b/internal/failover/schedule_test.go
@@ -161,7 +161,7 @@
 	for node := range s.list.Len() {
 		view := s.planner.NodeView(node, s.now)
 		fmt.Fprintf(&s.text, "%s: live %v, plan %d, heard %.6g s ago\n",
-			s.list.Node(node).Name, view.Live, view.Plan, view.HeardSecondsAgo)
+			s.list.Node(node).Name, view.Live, view.Plan, view.LastReportSecondsAgo)
 		for _, mode := range []Mode{Standalone, Planned, OwnZoneOnly} {
 			s.noteZonePlan(node, mode)
 		}
--- a/internal/failover/tuning.go
+++ b/internal/failover/tuning.go
@@ -4,41 +4,41 @@
 
 // Timing of evidence and plans.
 const (
-	evidenceLifetime = 3 * time.Second // older evidence says nothing of now
+	evidenceLifetime = 3 * time.Second // older evidence is not used
 	stepInterval     = time.Second / 4 // between two calls of Planner.Step
-	planInterval     = time.Second     // between two plans, and the first one's wait for evidence
-	calmPlanInterval = 5 * time.Second // the same, where nothing presses
-	proposalTimeout  = 3 * time.Second // a proposal that is not decided by then is made anew
-	crossZoneMargin  = time.Second     // on top of a grant's lifetime, before it is taken for ended everywhere
+	planInterval     = time.Second     // between two plans; also from the start to the first one, so that evidence comes in
+	calmPlanInterval = 5 * time.Second // the same, where nothing urgent has changed
+	proposalTimeout  = 3 * time.Second // a proposal that is not committed by then is made anew
+	crossZoneMargin  = time.Second     // added to a grant's lifetime before it counts as ended on all nodes
 )
 
-// How long things are remembered.
+// How long state is kept.
 const (
-	flapPeriod        = time.Minute      // a zone comes back at most once in it
-	lostNodeMemory    = time.Minute      // of a node out of the view: then nothing is kept for it but a lost one's part
-	demandMemory      = time.Minute      // what clients wanted before a failure fades in it
-	peakMemory        = 2 * time.Minute  // the largest load of late fades in it
-	suspicionDuration = 20 * time.Second // after every zone looked lost: nodes keep servers ejected for 16 s at most
+	flapPeriod        = time.Minute      // a lost zone recovers at most once in it
+	lostNodeMemory    = time.Minute      // after that a node out of the view has no part of the grants but a lost node's
+	demandMemory      = time.Minute      // time constant by which demand before a failure decays
+	peakMemory        = 2 * time.Minute  // time constant by which a peak of the load decays
+	suspicionDuration = 20 * time.Second // after all zones looked lost: nodes eject servers for 16 s at most
 )
 
-// From which part of failures on something counts as failing.
+// When attempts or servers count as failing.
 const (
-	failingFraction = 0.5 // of the attempts on a path, or of a zone's servers
-	minAttempts     = 4   // on a path: fewer say nothing of it
+	failingFraction = 0.5 // of the attempts on a path, or of a zone's servers: more are a failure
+	minAttempts     = 4   // on a path: fewer are no evidence
 )
 
 // How free capacity is divided.
 const (
-	lostZoneFraction      = 0.05 // of a lost zone's capacity, for its own nodes: somebody must see when it is back
-	ownFreeFraction       = 0.1  // of the capacity that nobody needs: for the zone's own clients
-	standbyFraction       = 0.85 // of the rest: stands by for other zones; what is left is leased out
-	unmetReserveFraction  = 0.8  // of what guests need and have no grant for yet: is leased out meanwhile
-	tightRegionFraction   = 0.8  // of a region's capacity: from this demand on capacity is kept for classes that stay
-	regionLoadHeadroom    = 1.3  // times the load of classes that stay, that is kept for them then
-	constrainedFraction   = 0.05 // of a zone's capacity: a plan that misses more of its targets is made anew soon
+	lostZoneFraction      = 0.05 // of a lost zone's capacity, for its own nodes, which so detect its recovery
+	ownFreeFraction       = 0.1  // of the capacity that no demand needs: for the zone's own clients
+	standbyFraction       = 0.85 // of the rest: standby for other zones; the remainder is leased out
+	unmetReserveFraction  = 0.8  // of what guests need and have no grant for yet: leased out meanwhile
+	tightRegionFraction   = 0.8  // of a region's capacity: above this demand some is reserved for regional classes
+	regionLoadHeadroom    = 1.3  // times the load of regional classes: what is reserved for them then
+	constrainedFraction   = 0.05 // of a zone's capacity: a plan that misses its targets by more is soon replaced
 	negligibleGrant       = 1e-3 // load
 	negligibleLoad        = 1e-6 // load, or part of a load
 	negligibleCapacity    = 1e-9 // load
-	placementRounds       = 8    // in which zones share capacity that others leave
-	grantSearchIterations = 40   // halvings: more than a float's precision asks for
+	placementRounds       = 8    // rounds in which zones share capacity that others don't need
+	grantSearchIterations = 40   // bisection steps, enough for a float's precision
 )
--- a/internal/failover/zone_grants.go
+++ b/internal/failover/zone_grants.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// zoneGrants are the grants for one zone's capacity, in the making.
+// zoneGrants builds the grants of one zone's capacity, for a grantBuilder.
 type zoneGrants struct {
-	builder  *grantBuilder
-	to       int
-	order    []int           // zones that get grants: the zone itself first
-	grants   []float64       // by zone that gets it
-	granted  float64         // sum of the grants
-	used     []float64       // by zone: what plans in use and the new grants let its nodes have here
-	promised float64         // sum of that, with what is leased out
-	leased   map[int]float64 // by lease owner: what it may have leased out
+	builder   *grantBuilder
+	to        int
+	order     []int           // zones that get grants: the zone itself first
+	grants    []float64       // by zone that gets it
+	granted   float64         // sum of the grants
+	used      []float64       // by zone: the most that its nodes may have here by plans in use and the new grants
+	committed float64         // sum of used, and of what may be leased out
+	leased    map[int]float64 // by lease owner: what it may have leased out
 }
 
 // newZoneGrants finds what plans in use have committed of a zone's capacity.
@@ -31,14 +31,14 @@
 		for _, node := range b.planner.list.InZone(name) {
 			grants.used[from] += b.inUse[node][zone]
 		}
-		grants.promised += grants.used[from]
+		grants.committed += grants.used[from]
 		if from != zone {
 			grants.order = append(grants.order, from)
 		}
 	}
 	leased, total := b.planner.reservesInUse(b.planner.zones[zone], b.now)
 	grants.leased = leased
-	grants.promised += total
+	grants.committed += total
 	return grants
 }
 
@@ -48,17 +48,19 @@
 // allocated is the load that was allocated to a zone here.
 func (g *zoneGrants) allocated(from int) float64 { return g.builder.placed.between(from, g.to) }
 
-// target is the load that a zone should be granted here.
+// target is the load that the zone from should be granted in this zone; the grant may be less while older plans are in
+// use.
 func (g *zoneGrants) target(from int) float64 { return g.builder.targets[from][g.to] }
 
-// grant makes the grants: what clients need goes before what stands by for them, and a zone's own clients go first.
+// grant makes the grants: first what the demand needs, then the rest of the targets (headroom and standby), each time
+// the zone's own grant first.
 func (g *zoneGrants) grant() {
 	for _, from := range g.order {
 		g.raise(from, min(g.allocated(from), g.largestFitting(from)))
 	}
 	for _, from := range g.order {
 		load := min(g.target(from), g.largestFitting(from))
-		// To spare is only what the new grants together leave.
+		// The rest is bounded by the capacity that the new grants together leave free.
 		load = min(load, float64(g.capacityFor(from))-(g.granted-g.grants[from]))
 		g.raise(from, load)
 	}
@@ -78,7 +80,7 @@
 
 // largestFitting is the largest grant to a zone that fits beside all that is committed to others.
 func (g *zoneGrants) largestFitting(from int) float64 {
-	left := max(0, float64(g.capacityFor(from))-(g.promised-g.used[from]))
+	left := max(0, float64(g.capacityFor(from))-(g.committed-g.used[from]))
 	return g.builder.largestFitting(from, g.to, left)
 }
 
@@ -86,7 +88,7 @@
 func (g *zoneGrants) raise(from int, load float64) {
 	load = max(g.grants[from], load)
 	used := g.builder.committed(from, g.to, load)
-	g.promised = g.promised + used - g.used[from]
+	g.committed = g.committed + used - g.used[from]
 	g.granted = g.granted + load - g.grants[from]
 	g.grants[from] = load
 	g.used[from] = used
@@ -116,9 +118,9 @@
 	g.granted = g.grants[g.to]*unseen + guests
 }
 
-// setReserve has the zone's lease owner lease out what nobody needs and nobody stands by for, and for now what guests
-// have no grant for yet: that becomes grants as older plans go out of use. An owner may have leased out by its older
-// plans what its new one takes back.
+// setReserve sets what the zone's lease owner may lease out: the capacity that was set aside for it, or, if more, most
+// of what guests need and have no grant for yet, which becomes grants as older plans go out of use. It is bounded by
+// what the grants leave and by what plans in use have committed, without the owner's own leases by older plans.
 func (g *zoneGrants) setReserve() {
 	zone := g.zone()
 	if zone.LeaseOwner < 0 || zone.State != Healthy && zone.State != Returning {
@@ -132,11 +134,12 @@
 	}
 	capacity := float64(zone.Capacity)
 	wanted := max(g.builder.reserve[g.to], unmetReserveFraction*unmet)
-	reserve := min(wanted, capacity-g.granted, capacity-(g.promised-g.leased[zone.LeaseOwner]))
+	reserve := min(wanted, capacity-g.granted, capacity-(g.committed-g.leased[zone.LeaseOwner]))
 	zone.Reserve = float32(max(0, reserve))
 }
 
-// missesTargets reports whether the grants fall well short of their targets, because of older plans in use.
+// missesTargets reports whether grants and reserve together fall short of their targets by over constrainedFraction of
+// the capacity, because of older plans in use.
 func (g *zoneGrants) missesTargets() bool {
 	zone := g.zone()
 	missing := g.builder.reserve[g.to] - float64(zone.Reserve)
@@ -146,11 +149,11 @@
 	return missing > constrainedFraction*float64(zone.Capacity)
 }
 
-// addTo adds the grants to a plan, with what lease owners may have leased out. keepForRegion has a part of each kept
-// for classes that must stay in their region.
-func (g *zoneGrants) addTo(plan *Plan, keepForRegion bool) {
+// addTo adds the grants to a plan, with what lease owners may have leased out. reserveForRegion has a part of each
+// grant reserved for classes that must stay in their region.
+func (g *zoneGrants) addTo(plan *Plan, reserveForRegion bool) {
 	for _, owner := range slices.Sorted(maps.Keys(g.leased)) {
-		plan.Reserves = append(plan.Reserves, CapacityReserve{Zone: g.to, Owner: owner, Load: float32(g.leased[owner])})
+		plan.EarlierReserves = append(plan.EarlierReserves, CapacityReserve{Zone: g.to, Owner: owner, Load: float32(g.leased[owner])})
 	}
 	for from := range g.grants {
 		if from != g.to {
@@ -163,7 +166,7 @@
 			continue
 		}
 		regionLoad := 0.0
-		if keepForRegion {
+		if reserveForRegion {
 			regionLoad = min(regionLoadHeadroom*g.regionLoad(from), load)
 		}
 		grant := Grant{From: from, To: g.to, Load: float32(load), RegionLoad: float32(regionLoad)}
--- a/internal/failover/zone_plan.go
+++ b/internal/failover/zone_plan.go
@@ -23,8 +23,8 @@
 	Standalone Mode = iota
 	// Planned is the mode in which a plan is in force, as far as this node can know.
 	Planned
-	// OwnZoneOnly is the mode in which nothing is heard any more: what is left of a plan is the node's share of its own
-	// zone, which nobody else was promised.
+	// OwnZoneOnly is the mode in which the contact to a leader was lost: what is left of a plan is the node's share of
+	// its own zone, which nobody else was promised.
 	OwnZoneOnly
 )
 
@@ -85,21 +85,21 @@
 
 // planUser is one node that goes by a plan.
 type planUser struct {
-	mode    Mode
-	plan    *Plan
-	own     int  // place of its zone
-	lost    bool // it is out of the common view
-	leased  LeasedCapacity
-	staying []int // its classes that must stay in the region
-	leaving []int // its other classes
+	mode         Mode
+	plan         *Plan
+	own          int  // place of its zone
+	lost         bool // it is out of the common view
+	leased       LeasedCapacity
+	regional     []int // its classes that must stay in the region
+	otherClasses []int // its other classes
 }
 
 func (u *planUser) splitClasses(classes []string) {
 	for i, class := range classes {
 		if known := slices.Index(u.plan.Classes, class); known >= 0 && u.plan.StayInRegion[known] {
-			u.staying = append(u.staying, i)
+			u.regional = append(u.regional, i)
 		} else {
-			u.leaving = append(u.leaving, i)
+			u.otherClasses = append(u.otherClasses, i)
 		}
 	}
 }
@@ -116,14 +116,14 @@
 			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load})
 		case load <= 0:
 		case u.plan.proximity(u.own, to) == otherRegion:
-			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load, ExcludedClasses: u.staying})
+			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load, ExcludedClasses: u.regional})
 		case regionFraction == 0 && u.leased.InRegionOnly == 0:
 			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load})
 		default:
 			regionFraction = max(regionFraction, min(1, u.leased.InRegionOnly/regionLoad))
 			grants = append(grants,
-				choice.Grant{Zone: zone.Name, Load: load * (1 - regionFraction), ExcludedClasses: u.staying},
-				choice.Grant{Zone: zone.Name, Load: load * regionFraction, ExcludedClasses: u.leaving})
+				choice.Grant{Zone: zone.Name, Load: load * (1 - regionFraction), ExcludedClasses: u.regional},
+				choice.Grant{Zone: zone.Name, Load: load * regionFraction, ExcludedClasses: u.otherClasses})
 		}
 	}
 	return grants
--- a/internal/failover/zone_plan_test.go
+++ b/internal/failover/zone_plan_test.go
@@ -20,7 +20,7 @@
 		StayInRegion:   []bool{false, true},
 		LostNodes:      []int{2},
 		AdmitFractions: [][]int{{255, 51}, {255, 255}, {255, 255}},
-		Before:         [][]float32{{0, 0, 0}, {0, 0, 0}, {0, 0, 0}},
+		EarlierLoads:   [][]float32{{0, 0, 0}, {0, 0, 0}, {0, 0, 0}},
 		Grants: []Grant{
 			{From: 0, To: 0, Load: 30},
 			{From: 0, To: 1, Load: 8, RegionLoad: 4},
--- a/internal/failover/zone_state.go
+++ b/internal/failover/zone_state.go
@@ -14,14 +14,14 @@
 	report   zoneReport
 }
 
-// zoneLifecycle is where a zone stands between being lost and being fully used again.
+// zoneLifecycle is a zone's state and what its next transition depends on.
 type zoneLifecycle struct {
 	state        State
 	since        time.Duration // in this state
 	healthySince time.Duration // while lost: its servers answer since then; 0: they don't
-	returnedAt   time.Duration // when it last came back; 0: never
-	flaps        int           // how often it was lost soon after it came back
-	ramp         float64       // part of its capacity that is given back so far, while it returns
+	returnedAt   time.Duration // when its last recovery began; 0: never
+	flaps        int           // losses in a row within flapPeriod of a recovery; operators see it in the plan
+	ramp         float64       // fraction of its capacity that is in use again, while it is Returning
 }
 
 // zoneReport is the newest evidence of a zone's nodes.
@@ -31,7 +31,7 @@
 	aggregator int           // node that sent it
 }
 
-// fresh reports whether the evidence still says something of now.
+// fresh reports whether the evidence is no older than evidenceLifetime.
 func (r *zoneReport) fresh(now time.Duration) bool { return r.at > 0 && now-r.at <= evidenceLifetime }
 
 // newZoneState begins where the newest plan, if there is one, left a zone.
@@ -65,7 +65,7 @@
 	return z.capacity.capacity
 }
 
-// advanceRamp gives a part more of a returning zone's capacity back.
+// advanceRamp puts a further fraction of a returning zone's capacity into use.
 func (z *zoneLifecycle) advanceRamp(part float64) {
 	if z.state == Returning {
 		z.ramp = min(1, z.ramp+part)
@@ -81,7 +81,7 @@
 
 func (c stateChange) String() string { return fmt.Sprintf("%s %s: %s", c.zone, c.state, c.cause) }
 
-// Causes of changes that no evidence makes.
+// Causes of changes that don't come of evidence.
 const (
 	causeDrainOrdered = "an operator's order"
 	causeDrainRevoked = "the order to drain it was taken back"
@@ -124,8 +124,8 @@
 	return stateChange{zone: zone, state: state, cause: cause}, true
 }
 
-// returnSuspect gives a lost zone back while all zones look lost. Nobody has restarted its servers, as far as is known,
-// so all of its capacity is given at once: nodes' modules give those that are warming up little load anyway.
+// returnSuspect moves a lost zone to Returning while all zones look lost, with all of its capacity at once: nothing
+// indicates that its servers were restarted, and nodes send those in slow start little load anyway.
 func (p *Planner) returnSuspect(zone string, now time.Duration) (change stateChange, changed bool) {
 	state := p.zoneStates[zone]
 	if state.returnedAt != 0 && now-state.returnedAt < flapPeriod {
@@ -136,7 +136,7 @@
 	return p.enterState(zone, Returning, causeAllLookLost, now)
 }
 
-// loseZone takes a zone for lost, and counts how often that came soon after its return.
+// loseZone moves a zone to Lost, and counts the losses in a row that came within flapPeriod of a recovery.
 func (p *Planner) loseZone(zone, cause string, now time.Duration) (change stateChange, changed bool) {
 	state := p.zoneStates[zone]
 	if state.returnedAt > 0 && now-state.returnedAt < flapPeriod {
@@ -147,7 +147,7 @@
 	return p.enterState(zone, Lost, cause, now)
 }
 
-// recoverZone begins to give a lost zone back once its servers have answered for long enough.
+// recoverZone moves a lost zone to Returning once its servers have answered for Rules.RecoveryDelay.
 func (p *Planner) recoverZone(zone string, failing bool, now time.Duration) (change stateChange, changed bool) {
 	state := p.zoneStates[zone]
 	if _, seen := p.viewZone(zone, now); failing || !seen {
@@ -155,7 +155,7 @@
 		return stateChange{}, false
 	}
 	if state.healthySince == 0 {
-		// Servers that nobody has tried of late are not healthy: they were ejected, and the time for that is over.
+		// Servers without recent attempts are not healthy: their ejection has merely ended.
 		if !p.answers(zone, now) {
 			return stateChange{}, false
 		}
--- a/internal/membership/detection.go
+++ b/internal/membership/detection.go
@@ -9,82 +9,87 @@
 	// HeartbeatInterval is the time between two heartbeats of a node to its watchers.
 	HeartbeatInterval = 500 * time.Millisecond
 
-	silentAfter = 2 * time.Second // without a heartbeat: four in a row are lost or late
-	stallGap    = time.Second     // between two ticks: then this node itself has stalled
-	// minWatched is from how many watched nodes on a failure detector can tell its own bad line from theirs.
+	heartbeatTimeout = 2 * time.Second // without a heartbeat: then a node is unreachable; four in a row are lost or late
+	stallGap         = time.Second     // between two ticks: then this node itself was stalled
+	// minWatched is the least number of watched nodes by which a failure detector recognizes a fault of its own
+	// network.
 	minWatched = 3
 
 	reportTTL = 3 * time.Second // of a failure detector's report
-	// A node that may have failed waits so long for others that fail with it: what fails together is taken out
-	// together.
+	// settleTime is how long suspicions are collected before nodes are removed from the view, so that nodes that fail
+	// together are removed in one change.
 	settleTime = time.Second
-	// recoveryTime is how long a node that was taken out has to be heard before it is back.
+	// maxSettleTime is how long a failed node waits for suspicions of others that are undecided.
+	maxSettleTime = 2 * settleTime
+	// recoveryTime is how long a lost node has to be reachable before it is in the view again.
 	recoveryTime = 3 * time.Second
 )
 
 // FailureDetector is one node's failure detector for the nodes that it watches.
 type FailureDetector struct {
-	heard    map[int]time.Duration // by watched node: when its last heartbeat came
-	lastTick time.Duration
+	lastHeartbeat map[int]time.Duration // by watched node: when its last heartbeat came
+	lastTick      time.Duration
 }
 
-// NewFailureDetector begins to watch; all watched nodes count as heard now.
+// NewFailureDetector is the failure detector of a node, by its number in the list. All watched nodes count as reachable
+// now.
 func NewFailureDetector(list *List, self int, now time.Duration) *FailureDetector {
-	detector := &FailureDetector{heard: map[int]time.Duration{}, lastTick: now}
+	detector := &FailureDetector{lastHeartbeat: map[int]time.Duration{}, lastTick: now}
 	for i := range list.nodes {
 		if i != self && slices.Contains(list.Watchers(i), self) {
-			detector.heard[i] = now
+			detector.lastHeartbeat[i] = now
 		}
 	}
 	return detector
 }
 
-// RecordHeartbeat notes that a node's heartbeat came.
+// RecordHeartbeat notes the arrival of a node's heartbeat; one of a node that is not watched is ignored.
 func (d *FailureDetector) RecordHeartbeat(node int, now time.Duration) {
-	if _, watched := d.heard[node]; watched {
-		d.heard[node] = now
+	if _, watched := d.lastHeartbeat[node]; watched {
+		d.lastHeartbeat[node] = now
 	}
 }
 
-// Tick notices when this node itself has stalled: what it did not hear meanwhile says nothing of others, who count as
-// heard now (local health as in Lifeguard, Dadgar et al. 2018).
+// Tick has to be called several times a second. A longer gap shows that this node itself was stalled and may have
+// missed heartbeats: all watched nodes count as reachable now (local health as in Lifeguard, Dadgar et al. 2018).
 func (d *FailureDetector) Tick(now time.Duration) {
 	if now-d.lastTick > stallGap {
-		for node := range d.heard {
-			d.heard[node] = now
+		for node := range d.lastHeartbeat {
+			d.lastHeartbeat[node] = now
 		}
 	}
 	d.lastTick = now
 }
 
-// Silent are the watched nodes that are not heard. A node that hears next to nobody reports nobody: its own line is the
-// likelier cause.
-func (d *FailureDetector) Silent(now time.Duration) (silent []int) {
-	for node, at := range d.heard {
-		if now-at > silentAfter {
-			silent = append(silent, node)
+// Unreachable are the watched nodes without a heartbeat for heartbeatTimeout, in ascending order. Where these are more
+// than two thirds of all, none is reported, since a fault of this node's own network is the likelier cause.
+func (d *FailureDetector) Unreachable(now time.Duration) (unreachable []int) {
+	for node, at := range d.lastHeartbeat {
+		if now-at > heartbeatTimeout {
+			unreachable = append(unreachable, node)
 		}
 	}
-	if len(d.heard) >= minWatched && len(silent) > len(d.heard)*2/3 {
+	if len(d.lastHeartbeat) >= minWatched && len(unreachable) > len(d.lastHeartbeat)*2/3 {
 		return nil
 	}
-	slices.Sort(silent)
-	return silent
+	slices.Sort(unreachable)
+	return unreachable
 }
 
-// CutDetector is the leader's view of who is live (multi-node cut detection as in Rapid, Suresh et al. 2018).
+// CutDetector is the leader's view of which nodes are live (multi-node cut detection as in Rapid, Suresh et al. 2018).
+// A node is removed from the view once most of its watchers report it as unreachable.
 type CutDetector struct {
 	list      *List
 	reports   map[int]report        // by reporting node
-	lost      map[int]time.Duration // nodes out of the view: since when
-	recovered map[int]time.Duration // of those: since when they are heard again
-	suspected map[int]time.Duration // nodes in the view: when the first report against one came
+	lost      map[int]time.Duration // by node out of the view: since when
+	recovered map[int]time.Duration // by lost node that is reachable again: since when
+	suspected map[int]time.Duration // by node in the view: when its first watcher reported it as unreachable
 }
 
-// report is what one node's failure detector says.
+// report is the newest report of one node's failure detector.
 type report struct {
-	at     time.Duration
-	silent []int
+	at          time.Duration
+	unreachable []int
 }
 
 // NewCutDetector begins with all nodes live but those given.
@@ -102,18 +107,18 @@
 	return cut
 }
 
-// Report takes a node's report: which of the nodes that it watches it does not hear. It shows as well that the node
-// itself is live. The caller must not change the slice afterwards.
-func (c *CutDetector) Report(from int, silent []int, now time.Duration) {
-	c.reports[from] = report{at: now, silent: silent}
+// Report records a node's report: which of the nodes that it watches are unreachable. The report is also evidence that
+// the node itself is live. The caller must not change the slice afterwards.
+func (c *CutDetector) Report(from int, unreachable []int, now time.Duration) {
+	c.reports[from] = report{at: now, unreachable: unreachable}
 }
 
-// verdict is what the reports say of one node.
+// verdict is the sum of the reports on one node.
 type verdict struct {
-	against int  // of its watchers, those that do not hear it
-	fresh   int  // of its watchers, those that are in the view and have reported of late
-	reports bool // it has reported itself of late
-	failed  bool // most of its watchers say so
+	suspecting    int  // its watchers that report it as unreachable
+	reporting     int  // its watchers that are in the view and have reported within reportTTL
+	reportsItself bool // it has itself reported within reportTTL
+	failed        bool // more than half of the reporting watchers suspect it, and at least two, or its only one
 }
 
 // judge sums up what the reports say of a node.
@@ -124,14 +129,14 @@
 		if _, lost := c.lost[watcher]; !ok || lost {
 			continue
 		}
-		judged.fresh++
-		if slices.Contains(report.silent, node) {
-			judged.against++
+		judged.reporting++
+		if slices.Contains(report.unreachable, node) {
+			judged.suspecting++
 		}
 	}
-	_, judged.reports = c.freshReport(node, now)
-	judged.failed = judged.against > judged.fresh/2 &&
-		(judged.against >= 2 || judged.fresh == 1 && len(watchers) == 1)
+	_, judged.reportsItself = c.freshReport(node, now)
+	judged.failed = judged.suspecting > judged.reporting/2 &&
+		(judged.suspecting >= 2 || judged.reporting == 1 && len(watchers) == 1)
 	return judged
 }
 
@@ -140,7 +145,7 @@
 	return latest, ok && now-latest.at <= reportTTL
 }
 
-// Step goes by the reports; changed says that the view is another one.
+// Step updates the view by the reports, and reports whether it has changed.
 func (c *CutDetector) Step(now time.Duration) (changed bool) {
 	var failed []int
 	undecided := false
@@ -158,8 +163,8 @@
 			failed = append(failed, node)
 		}
 	}
-	// What fails together is taken out together: the undecided ones may be more of the same cut.
-	if undecided && !slices.ContainsFunc(failed, func(node int) bool { return now-c.suspected[node] >= 2*settleTime }) {
+	// While other suspicions are undecided, which may be of the same fault, failed nodes wait for them for a while.
+	if undecided && !slices.ContainsFunc(failed, func(node int) bool { return now-c.suspected[node] >= maxSettleTime }) {
 		return changed
 	}
 	for _, node := range failed {
@@ -170,19 +175,20 @@
 	return changed
 }
 
-// suspicion is how far a node in the view is from being taken out of it.
+// suspicion is the state of a node in the view.
 type suspicion uint8
 
 const (
-	suspicionNone suspicion = iota
-	suspicionUndecided
-	suspicionFailed
+	suspicionNone      suspicion = iota
+	suspicionUndecided           // suspected for less than settleTime, by too few of its watchers to be failed
+	suspicionFailed              // to be removed from the view
 )
 
-// suspect notes since when there are reports against a node of the view.
+// suspect returns the suspicion of a node in the view, and notes since when it is suspected. A node that reports itself
+// is not suspected, nor one that too few of its watchers still suspect after settleTime.
 func (c *CutDetector) suspect(node int, judged verdict, now time.Duration) suspicion {
 	switch {
-	case judged.against == 0 || judged.reports:
+	case judged.suspecting == 0 || judged.reportsItself:
 		delete(c.suspected, node)
 		return suspicionNone
 	case c.suspected[node] == 0:
@@ -197,14 +203,14 @@
 	return suspicionNone
 }
 
-// recover takes a lost node back into the view once it has been heard for long enough.
+// recover takes a lost node back into the view once it has been reachable for recoveryTime.
 func (c *CutDetector) recover(node int, judged verdict, now time.Duration) (back bool) {
-	if judged.failed || !judged.reports && (judged.against > 0 || judged.fresh == 0) {
+	if judged.failed || !judged.reportsItself && (judged.suspecting > 0 || judged.reporting == 0) {
 		delete(c.recovered, node)
 		return false
 	}
-	since, heard := c.recovered[node]
-	if !heard {
+	since, reachable := c.recovered[node]
+	if !reachable {
 		c.recovered[node] = now
 		return false
 	}
--- a/internal/membership/detection_test.go
+++ b/internal/membership/detection_test.go
@@ -25,20 +25,20 @@
 	list := newFleet(t, fleetNodes, 3)
 	none := func(int) []int { return nil }
 	for _, test := range []struct {
-		name      string
-		reporting []int                // nodes whose reports come
-		silent    func(from int) []int // the nodes that one does not hear
-		lost      []int
+		name        string
+		reporting   []int                // nodes whose reports come
+		unreachable func(from int) []int // the nodes that are unreachable for one
+		lost        []int
 	}{
-		{"all hear all", nodesBut(), none, nil},
+		{"all reach all", nodesBut(), none, nil},
 		{"one is gone", nodesBut(3), func(int) []int { return []int{3} }, []int{3}},
-		{"one hears nobody", nodesBut(), func(from int) []int {
+		{"one reaches none", nodesBut(), func(from int) []int {
 			if from == 7 {
 				return nodesBut(7)
 			}
 			return nil
 		}, nil},
-		{"one is not heard by one watcher", nodesBut(3), func(from int) []int {
+		{"one is unreachable for one watcher", nodesBut(3), func(from int) []int {
 			if from == list.Watchers(3)[0] {
 				return []int{3}
 			}
@@ -58,7 +58,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			cut := NewCutDetector(list, nil, 0)
-			now := playReports(cut, test.reporting, test.silent)
+			now := playReports(cut, test.reporting, test.unreachable)
 			if lost := cut.Lost(); !slices.Equal(lost, test.lost) {
 				t.Fatalf("out of the view are %v, wanted %v", lost, test.lost)
 			}
@@ -67,13 +67,13 @@
 	}
 }
 
-// playReports has nodes report for ten seconds whom they watch and do not hear.
-func playReports(cut *CutDetector, reporting []int, silent func(from int) []int) (now time.Duration) {
+// playReports has nodes report for ten seconds which of the nodes that they watch are unreachable.
+func playReports(cut *CutDetector, reporting []int, unreachable func(from int) []int) (now time.Duration) {
 	for range 40 {
 		now += reportEvery
 		for _, from := range reporting {
 			var notHeard []int
-			for _, node := range silent(from) {
+			for _, node := range unreachable(from) {
 				if slices.Contains(cut.list.Watchers(node), from) {
 					notHeard = append(notHeard, node)
 				}
@@ -85,7 +85,7 @@
 	return now
 }
 
-// checkRecovery wants all nodes back after a while in which all hear all, and not at once.
+// checkRecovery wants all nodes in the view again after a while in which all reach all, and not at once.
 func checkRecovery(t *testing.T, cut *CutDetector, lost []int, now time.Duration) {
 	t.Helper()
 	cut.Step(now)
@@ -104,11 +104,11 @@
 	}
 }
 
-// TestWatch holds which nodes a failure detector calls silent, also when its own node has stalled.
-func TestWatch(t *testing.T) {
+// TestUnreachable checks which nodes a failure detector reports as unreachable, also when its own node was stalled.
+func TestUnreachable(t *testing.T) {
 	watch := NewFailureDetector(newFleet(t, fleetNodes, 3), 0, 0)
 	var watched []int
-	for node := range watch.heard {
+	for node := range watch.lastHeartbeat {
 		watched = append(watched, node)
 	}
 	slices.Sort(watched)
@@ -123,12 +123,12 @@
 		}
 		watch.Tick(now)
 	}
-	if silent := watch.Silent(now); !slices.Equal(silent, watched[:1]) {
-		t.Errorf("silent are %v, wanted %v", silent, watched[:1])
+	if unreachable := watch.Unreachable(now); !slices.Equal(unreachable, watched[:1]) {
+		t.Errorf("unreachable are %v, wanted %v", unreachable, watched[:1])
 	}
 	now += 10 * time.Second // the node was stopped
 	watch.Tick(now)
-	if silent := watch.Silent(now); len(silent) > 0 {
-		t.Errorf("after its own node has stalled silent are %v, wanted none", silent)
+	if unreachable := watch.Unreachable(now); len(unreachable) > 0 {
+		t.Errorf("after its own node was stalled unreachable are %v, wanted none", unreachable)
 	}
 }
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -2,8 +2,8 @@
 //
 //   - List is the nodes as the operators name them, and who watches whom: the same on all nodes that have the same
 //     list.
-//   - FailureDetector is a node's failure detector: it takes heartbeats and tells which of the watched nodes are
-//     silent.
+//   - FailureDetector is a node's failure detector: it takes heartbeats and reports which of the watched nodes are
+//     unreachable.
 //   - CutDetector is the leader's multi-node cut detection: it takes what the failure detectors report and decides, for
 //     several nodes at once where they fail together, who is out of the view and who is back.
 //
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// describe tells all that a list gives, as text.
+// describe is all that a list gives, as text.
 func describe(list *List) []byte {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "zones %v\nvoters %v\n", list.Zones(), list.Voters())
--- a/internal/policy/member.go
+++ b/internal/policy/member.go
@@ -28,17 +28,17 @@
 
 // Member is one node of the list, as the leader knows it.
 type Member struct {
-	Name   string
-	Node   int // number in the list of nodes
-	Zone   string
-	Live   bool // it is in the leader's view of the fleet
-	Heard  bool // this leader has a status of it
-	Status MemberStatus
+	Name      string
+	Node      int // number in the list of nodes
+	Zone      string
+	Live      bool // it is in the leader's view of the fleet
+	HasStatus bool // this leader has a status of it
+	Status    MemberStatus
 }
 
 // hasAcknowledged says whether the leader has a member's verdict on the change of an entry.
 func (m *Member) hasAcknowledged(entry uint64) bool {
-	return m.Heard && m.Status.Entry == entry && m.Status.Verdict != VerdictPending
+	return m.HasStatus && m.Status.Entry == entry && m.Status.Verdict != VerdictPending
 }
 
 // serves says whether a member serves by a number.
@@ -59,7 +59,7 @@
 	sum := acknowledgements{oldestKnown: change.Number}
 	for i := range members {
 		member := &members[i]
-		if member.Heard {
+		if member.HasStatus {
 			sum.oldestKnown = min(sum.oldestKnown, member.Status.KnownNumber)
 		} else {
 			sum.oldestKnown = 0 // it may have any
--- a/internal/policy/rollout_test.go
+++ b/internal/policy/rollout_test.go
@@ -69,7 +69,7 @@
 		var members []Member
 		for i, status := range test.statuses {
 			members = append(members, Member{
-				Name: fmt.Sprint("m", i), Node: i, Live: true, Heard: status != MemberStatus{}, Status: status,
+				Name: fmt.Sprint("m", i), Node: i, Live: true, HasStatus: status != MemberStatus{}, Status: status,
 			})
 		}
 		for _, i := range test.dead {
@@ -110,8 +110,8 @@
 		outcome := "waits"
 		for at := time.Minute; at < time.Minute+20*time.Second && outcome == "waits"; at += 500 * time.Millisecond {
 			next := rollout.Step(at, 8, state, validDocument(), []Member{
-				{Name: "a", Zone: "z", Live: true, Heard: true, Status: inCanary},
-				{Name: "b", Node: 1, Zone: "y", Live: true, Heard: true, Status: elsewhere},
+				{Name: "a", Zone: "z", Live: true, HasStatus: true, Status: inCanary},
+				{Name: "b", Node: 1, Zone: "y", Live: true, HasStatus: true, Status: elsewhere},
 			})
 			outcome = outcomeOf(next)
 			rollout.Observe(0, inCanary)
