--- a/internal/failover/agent/aggregation.go
+++ b/internal/failover/agent/aggregation.go
@@ -16,7 +16,7 @@
 	evidence failover.EvidenceSummary
 	at       time.Duration // when it arrived
 	fresh    bool          // it is in no summary yet
-	stale    bool          // it was long on its way
+	stale    bool          // it was delayed on the way
 }
 
 // handleEvidence stores a node's evidence and answers with what this aggregator knows of the leader and the log.
@@ -40,8 +40,8 @@
 	a.send(head.from, kindEvidenceAck, encode(ack), now)
 }
 
-// storeEvidence keeps a node's evidence for the next summary. What was counted before and is in no summary yet is
-// added to it.
+// storeEvidence stores a node's evidence for the next summary. Counts of earlier evidence that are in no summary yet
+// are added to it.
 func (a *Agent) storeEvidence(node int, evidence failover.EvidenceSummary, stale bool, now time.Duration) {
 	if before := a.evidence[node]; before != nil && before.fresh {
 		addCounters(&evidence, before.evidence)
@@ -49,7 +49,7 @@
 	a.evidence[node] = &nodeEvidence{evidence: evidence, at: now, fresh: true, stale: stale}
 }
 
-// sendSummary sends the voters what this node knows of its zone.
+// sendSummary sends the voters the summary of its zone's evidence that this node has as an aggregator.
 func (a *Agent) sendSummary(now time.Duration) {
 	summary, stale, ok := a.summarizeZone(now)
 	if !ok {
@@ -70,8 +70,8 @@
 	}
 }
 
-// summarizeZone adds up the evidence of this zone's nodes. stale says that all of it was long on its way, ok that
-// there is any.
+// summarizeZone adds up the evidence of this zone's nodes. stale says that all of it was delayed on the way; ok is
+// false where there is none.
 func (a *Agent) summarizeZone(now time.Duration) (summary failover.EvidenceSummary, stale, ok bool) {
 	stale = true
 	for _, node := range a.options.List.InZone(a.zone) {
@@ -84,7 +84,7 @@
 		if !known.fresh {
 			evidence = withoutCounters(evidence)
 		}
-		if known.stale { // it shows who is there, and nothing more
+		if known.stale { // only its node's status is used
 			evidence.Zones = nil
 		} else {
 			stale = false
--- a/internal/failover/agent/calls.go
+++ b/internal/failover/agent/calls.go
@@ -43,6 +43,10 @@
 	Part policy.Canary
 }
 
+// callClock is the clock of an operator's call, which is sent alone on a stream: nothing is compared with it, and the
+// reply has the same.
+const callClock = 1
+
 // callError is why a call is not answered, and what its caller can do about it.
 type callError struct {
 	reason  string
@@ -66,12 +70,12 @@
 	errSuperseded  = &callError{reason: "given up: another change came first"}
 )
 
-// Seal makes an operator's call to node number to.
+// Seal encodes an operator's call to the node with the number to in the list, authenticated by the fleet's key.
 func Seal(key []byte, list *membership.List, to int, call Call) []byte {
-	return seal(key, digestOf(list), header{kind: kindCall, from: Operator, to: to, clock: 1}, encode(call))
+	return seal(key, digestOf(list), header{kind: kindCall, from: Operator, to: to, clock: callClock}, encode(call))
 }
 
-// Unseal reads a node's reply to a call.
+// Unseal decodes a node's reply to a call. The error says what of it is not valid.
 func Unseal(key []byte, list *membership.List, message []byte) (Reply, error) {
 	head, body, err := open(key, digestOf(list), message)
 	if err != nil {
@@ -87,7 +91,8 @@
 	return reply, nil
 }
 
-// Answer answers an operator's call that came by a stream; ok is false for anything else.
+// Answer handles an operator's call that came by a stream and returns the encoded reply; ok is false for anything else,
+// to which there is no reply. A call that fails is replied to with its error.
 func (a *Agent) Answer(message []byte, now time.Duration) (reply []byte, ok bool) {
 	head, body, err := open(a.options.Key, a.listDigest, message)
 	if err != nil || head.kind != kindCall || head.from != Operator || head.to != a.options.Self {
@@ -157,7 +162,7 @@
 		return errNotLeader
 	}
 	newest := a.follower.Newest(failover.OperatorOrdersKind)
-	orders, _ := failover.DecodeOperatorOrders(newest.Data) // of none, or of a later version: the new ones replace them
+	orders, _ := failover.DecodeOperatorOrders(newest.Data) // none, or of a later version: they are replaced
 	orders.Drained = slices.DeleteFunc(slices.Clone(orders.Drained), func(zone string) bool { return zone == call.Arg })
 	if Verb(call.Verb) == VerbDrain {
 		orders.Drained = append(orders.Drained, call.Arg)
@@ -168,7 +173,7 @@
 	})
 }
 
-// propose proposes what a call wants. What the voter doesn't take now it may take later.
+// propose proposes an entry to the log for a call. A proposal that the voter rejects now may be accepted later.
 func (a *Agent) propose(proposal consensus.Proposal) error {
 	if err := a.voter.Propose(proposal); err != nil {
 		return &callError{reason: err.Error(), retry: true}
--- a/internal/failover/agent/dispatch.go
+++ b/internal/failover/agent/dispatch.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// maxTransitTime is how long a message may have been on its way to be evidence of how zones are now.
+	// maxTransitTime is how old a message may be to be evidence of the present state of zones.
 	maxTransitTime = 3 * time.Second
-	// maxOutbox bounds the messages that wait to be sent, which the caller does after each call. What comes on top is
-	// lost, as a datagram may be on its way.
+	// maxOutbox bounds the messages that wait to be sent, which the caller does after each call. Further ones are
+	// dropped, as the network may drop a datagram.
 	maxOutbox = 4096
 )
 
@@ -21,14 +21,15 @@
 	Data []byte
 }
 
-// TakeMessages empties the outbox: the messages that the caller is to send.
+// TakeMessages returns the messages that the caller is to send, and empties the outbox.
 func (a *Agent) TakeMessages() []Message {
 	messages := a.outbox
 	a.outbox = nil
 	return messages
 }
 
-// send puts a message into the outbox and gives its clock. A message to this node itself only gets a clock.
+// send puts a message into the outbox and returns its clock. A message to this node itself gets a clock and is not
+// sent.
 func (a *Agent) send(receiver int, kind messageKind, body []byte, now time.Duration) (clock uint64) {
 	a.clock = max(a.clock+1, microseconds(now))
 	if receiver == a.options.Self {
@@ -52,7 +53,8 @@
 	return a.clock
 }
 
-// Receive handles a message of another node. What no node of this fleet sent to this one is counted and dropped.
+// Receive handles a message of another node. Messages that are corrupt, of another fleet, not for this node or replayed
+// are dropped and counted in Counts.
 func (a *Agent) Receive(message []byte, now time.Duration) {
 	head, body, err := open(a.options.Key, a.listDigest, message)
 	switch {
@@ -71,12 +73,12 @@
 	a.advance(now)
 }
 
-// mayBeStale says whether a message may have been on its way for long, by this node's clock as the sender saw it last.
+// mayBeStale reports whether a message may be older than maxTransitTime, by the echo of this node's clock.
 func mayBeStale(head header, now time.Duration) bool {
 	return head.echo == 0 || microseconds(now)-min(microseconds(now), head.echo) > microseconds(maxTransitTime)
 }
 
-// dispatch has a message handled by its kind. A body of another shape is dropped; kinds of later versions are too.
+// dispatch handles a message by its kind. Bodies that can't be decoded are dropped, and so are kinds of later versions.
 func (a *Agent) dispatch(head header, body []byte, stale bool, now time.Duration) {
 	switch head.kind {
 	case kindHeartbeat:
--- a/internal/failover/agent/golden_values_test.go
+++ b/internal/failover/agent/golden_values_test.go
@@ -54,8 +54,11 @@
 			Name: "z2", Region: "r2", State: failover.Lost, Nodes: 8, Listed: 9, Capacity: 10, Demand: []float32{11},
 			GuestLoad: 12, Flaps: 13, LeaseOwner: 2, Reserve: 14,
 		}},
-		Classes:         []string{"c1"},
-		Grants:          []failover.Grant{{From: 1, To: 1, Load: 16, RegionLoad: 15}, {To: 1, Load: 18, RegionLoad: 17}},
+		Classes: []string{"c1"},
+		Grants: []failover.Grant{
+			{From: 1, To: 1, Load: 16, RegionLoad: 15},
+			{To: 1, Load: 18, RegionLoad: 17},
+		},
 		StayInRegion:    []bool{true},
 		AdmitFractions:  [][]int{{100}, {200}},
 		GrantLifetime:   19,
--- a/internal/failover/agent/leader_contact.go
+++ b/internal/failover/agent/leader_contact.go
@@ -38,8 +38,8 @@
 	return number
 }
 
-// confirmLeader takes in that the leader was surely there at a time of this node's clock, with that newest plan and
-// notice. It extends the lease on grants into other zones, unless there is a plan that this node doesn't have yet.
+// confirmLeader records that the leader surely led at a time of this node's clock, with that newest plan and notice. It
+// extends the validity of grants into other zones, unless there is a plan that this node doesn't have yet.
 func (a *Agent) confirmLeader(at time.Duration, plan uint64, notice policy.LeaderNotice) {
 	if !a.leader.known || at > a.leader.confirmedAt {
 		a.leader = leaderContact{known: true, confirmedAt: at, plan: max(a.leader.plan, plan), notice: notice}
--- a/internal/failover/agent/leases.go
+++ b/internal/failover/agent/leases.go
@@ -13,15 +13,15 @@
 const (
 	recentLoadMemory  = 15   // seconds, time constant of the decay of recentLoad and regionLoad
 	fullLeasePart     = 0.95 // of what was requested: an owner that grants less has no more
-	leastRegionLoad   = 0.5  // load of regional classes under which nothing is reserved for them
+	leastRegionLoad   = 0.5  // reported load of regional classes under which nothing is reserved for them
 	regionLoadChanged = 0.1  // relative change from which on the load balancer gets a new plan
 )
 
-// borrower is the capacity that a node has leased of lease owners, and what its demand for it is computed from.
+// leaseHolder is the capacity that a node has leased of lease owners, and what its demand for it is computed from.
 type leaseHolder struct {
 	leases     map[string]*capacityLease // by zone
-	recentLoad map[string]float64        // peak of the declared load at this node by class, with decay
-	regionLoad float64                   // declared load of regional classes that has no place in the own zone
+	recentLoad map[string]float64        // by class: recent peak of the reported load at this node, with decay
+	regionLoad float64                   // reported load of regional classes, for the region's other zones
 	// reservedRegionLoad is regionLoad as the load balancer's plan has it: it follows larger changes alone.
 	reservedRegionLoad float64
 	observedAt         time.Duration // time of the last observations
@@ -31,17 +31,18 @@
 	return leaseHolder{leases: map[string]*capacityLease{}, recentLoad: map[string]float64{}, observedAt: now}
 }
 
-// capacityLease is capacity that this node has leased in one zone, as declared load.
+// capacityLease is capacity that this node has leased in one zone, as reported load.
 type capacityLease struct {
-	load         float64
+	load         float64 // 0: none
 	until        time.Duration
-	requested    float64
+	requested    float64       // by the newest request
 	requestClock uint64        // of the newest request: only its answer counts; 0: it is answered
 	requestedAt  time.Duration // when that was sent
 	answered     bool
 }
 
-// isExhausted says whether the zone's owner has no more: it granted less than was requested, or doesn't answer.
+// isExhausted reports whether the zone's owner has no further capacity: it granted less than was requested, or did not
+// answer.
 func (l *capacityLease) isExhausted() bool {
 	if !l.answered {
 		return l.requested > 0
@@ -183,8 +184,9 @@
 	return 0
 }
 
-// updateRecentLoad updates the recent peak of each class's load, and gives their sum: after a failure that much may
-// come back at once.
+// updateRecentLoad updates the recent peak of each class's load, and returns their sum: after a failure clients of that
+// load may reconnect at once. It also updates the load of regional classes: while requests of these are rejected or the
+// own zone fails, it is what they had of late outside the own zone; otherwise it decays.
 func (a *Agent) updateRecentLoad(observations choice.Observations, elapsed time.Duration) (recentLoad float64) {
 	fading := math.Exp(-elapsed.Seconds() / recentLoadMemory)
 	regionLoad, rejected := 0.0, 0.0
@@ -194,7 +196,7 @@
 		a.leaseHolder.recentLoad[name] = recent
 		recentLoad += recent
 		if class < len(observations.Classes) && a.staysInRegion(name) {
-			regionLoad = regionLoad + recent - inOwnZone // in this order: sums of floats are alike in one order only
+			regionLoad = regionLoad + recent - inOwnZone // in this order, which decides how it is rounded
 			rejected += observations.Classes[class].Rejected
 		}
 	}
--- a/internal/failover/agent/leases_test.go
+++ b/internal/failover/agent/leases_test.go
@@ -82,7 +82,7 @@
 }
 
 // TestRegionLoadFades checks that capacity that was reserved for the classes of the region, while the own zone failed,
-// is given up over recentLoadMemory once that is over, however short the intervals between observations are.
+// is released over recentLoadMemory once that is over, however short the intervals between observations are.
 func TestRegionLoadFades(t *testing.T) {
 	const load = 10
 	for _, interval := range []time.Duration{observeInterval, 2 * time.Second} {
@@ -99,32 +99,43 @@
 			if got := agent.leaseHolder.reservedRegionLoad; got != load {
 				t.Fatalf("while the own zone fails: %v reserved, wanted %v", got, load)
 			}
-			recovered := choice.Observations{
-				Zones: []choice.ZoneObservations{
-					{Zone: "y", Ready: 4, OwnLoad: []float64{0}},
-					{Zone: "z", Ready: 4, OwnLoad: []float64{load}},
-				},
-				Classes: []choice.ClassObservations{{Arrived: 1}},
-			}
-			memory := recentLoadMemory * time.Second
-			plans := 0
-			for elapsed := interval; elapsed <= 4*memory; elapsed += interval {
-				agent.zonePlanChanged = false
-				agent.updateRecentLoad(recovered, interval)
-				if agent.zonePlanChanged {
-					plans++
-				}
-				faded := load * math.Exp(-elapsed.Seconds()/memory.Seconds())
-				if got := agent.leaseHolder.reservedRegionLoad; faded > 1 && math.Abs(got-faded) > 2*regionLoadChanged*faded {
-					t.Fatalf("%v after the own zone recovered: %v reserved, wanted about %v", elapsed, got, faded)
-				}
-			}
-			if got := agent.leaseHolder.reservedRegionLoad; got != 0 {
-				t.Errorf("%v after the own zone recovered: %v reserved, wanted none", 4*memory, got)
-			}
-			if plans > 40 {
-				t.Errorf("%d new plans for the load balancer, wanted one for each change by %v", plans, regionLoadChanged)
-			}
+			checkRegionLoadFades(t, agent, load, interval)
 		})
 	}
 }
+
+// checkRegionLoadFades has an agent observe for a minute, at an interval, that its own zone has recovered. The load
+// that is reserved at first has to fade, and the load balancer to get few new plans for that.
+func checkRegionLoadFades(t *testing.T, agent *Agent, reserved float64, interval time.Duration) {
+	t.Helper()
+	recovered := choice.Observations{
+		Zones: []choice.ZoneObservations{
+			{Zone: "y", Ready: 4, OwnLoad: []float64{0}},
+			{Zone: "z", Ready: 4, OwnLoad: []float64{reserved}},
+		},
+		Classes: []choice.ClassObservations{{Arrived: 1}},
+	}
+	const (
+		memory   = recentLoadMemory * time.Second
+		maxPlans = 40
+	)
+	plans := 0
+	for elapsed := interval; elapsed <= 4*memory; elapsed += interval {
+		agent.zonePlanChanged = false
+		agent.updateRecentLoad(recovered, interval)
+		if agent.zonePlanChanged {
+			plans++
+		}
+		faded := reserved * math.Exp(-elapsed.Seconds()/memory.Seconds())
+		got := agent.leaseHolder.reservedRegionLoad
+		if faded > 1 && math.Abs(got-faded) > 2*regionLoadChanged*faded {
+			t.Fatalf("%v after the own zone recovered: %v reserved, wanted about %v", elapsed, got, faded)
+		}
+	}
+	if got := agent.leaseHolder.reservedRegionLoad; got != 0 {
+		t.Errorf("%v after the own zone recovered: %v reserved, wanted none", 4*memory, got)
+	}
+	if plans > maxPlans {
+		t.Errorf("%d new plans, wanted %d at most: one for each change by %v", plans, maxPlans, regionLoadChanged)
+	}
+}
--- a/internal/failover/agent/message.go
+++ b/internal/failover/agent/message.go
@@ -15,19 +15,20 @@
 //	2-5    digest of the list of nodes
 //	6-7    sender, 8-9 receiver: their numbers in the list
 //	10-13  the sender's incarnation, drawn at the start of its process
-//	14-21  the sender's clock, microseconds since its start: never twice
-//	22-29  the receiver's clock, as the sender last saw it; 0: never
+//	14-21  the sender's clock in microseconds, of its own epoch: never twice
+//	22-29  the newest clock of the receiver that the sender has received; 0: none
 //	30-    body, CBOR or, of the consensus kind, the voters' own
 //	last 16 bytes: HMAC-SHA256 of all before, by the fleet's key, cut
 //
-// Big-endian. The echo tells the receiver how long the message may have been on its way at most: clocks of two
-// machines are never compared.
+// Big-endian. By the echo of its own clock the receiver knows how old the message is at most: clocks of two machines
+// are never compared.
 const (
 	wireVersion = 1
 	headerBytes = 30
 	macBytes    = 16
-	// MaxMessage bounds a message, in bytes. Messages over MostDatagram go by a stream.
-	MaxMessage  = 512 << 10
+	// MaxMessage bounds a message, in bytes.
+	MaxMessage = 512 << 10
+	// MaxDatagram is the most bytes of a message that is sent as a datagram. Longer ones are sent by a stream.
 	MaxDatagram = 1200
 )
 
@@ -35,14 +36,14 @@
 type messageKind uint8
 
 const (
-	kindHeartbeat    messageKind = iota + 1 // to those that watch the sender; no body
+	kindHeartbeat    messageKind = iota + 1 // to the nodes that watch the sender; no body
 	kindEvidence                            // failover.EvidenceSummary of one node, to the aggregators of its zone
 	kindEvidenceAck                         // of an aggregator, for evidence
 	kindSummary                             // to the voters: a byte, 1 if stale, and a zone's failover.EvidenceSummary
 	kindSummaryAck                          // of the leader, for a summary
 	kindFetchEntries                        // asks for the newest entries of some kinds: []consensus.Kind
 	kindEntry                               // an entry of the log
-	kindLogDigest                           // agree.Digest, how far the sender knows the log; read, but not sent
+	kindLogDigest                           // consensus.Digest, how far the sender knows the log; read, but not sent
 	kindConsensus                           // of voters among themselves
 	kindCall                                // an operator's Call
 	kindReply                               // the Reply to it
@@ -74,7 +75,7 @@
 	errCorrupt     = errors.New("message corrupt, or of another key")
 )
 
-// seal makes a message.
+// seal encodes a message and authenticates it by the fleet's key.
 func seal(key []byte, listDigest uint32, head header, body []byte) []byte {
 	message := make([]byte, 0, headerBytes+len(body)+macBytes)
 	message = append(message, wireVersion, byte(head.kind))
@@ -88,7 +89,7 @@
 	return append(message, messageMAC(key, message)...)
 }
 
-// open reads a message. Only what a node of this fleet has sent passes.
+// open decodes a message that a node of this fleet has sent. The error is errForeignList or errCorrupt.
 func open(key []byte, listDigest uint32, message []byte) (head header, body []byte, err error) {
 	if len(message) < headerBytes+macBytes || len(message) > MaxMessage || message[0] != wireVersion {
 		return header{}, nil, errCorrupt
--- a/internal/failover/agent/peer.go
+++ b/internal/failover/agent/peer.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	aggregatorTimeout  = 3 * time.Second // an aggregator that has not answered so long is passed over
-	aggregatorRetry    = 5 * time.Second // and tried again after that
-	incarnationTimeout = 2 * time.Second // a process that is not heard so long may have been followed by another
+	aggregatorTimeout  = 3 * time.Second // an aggregator that has not answered for so long is passed over
+	aggregatorRetry    = 5 * time.Second // after that it is tried again
+	incarnationTimeout = 2 * time.Second // without a message of a process: then a new process of the node is accepted
 	maxPendingRequests = 32              // messages to a peer whose answers are awaited
 )
 
 // peer is what an agent knows of another node, as its sender and receiver.
 type peer struct {
 	incarnation   uint32
-	lastMessageAt time.Duration          // when it was last heard
-	clock         uint64                 // its newest, of this incarnation
+	lastMessageAt time.Duration          // when its last message came
+	clock         uint64                 // its newest clock, of this incarnation
 	newest        map[messageKind]uint64 // clock of the newest message of a kind
 
 	// Of a peer that is sent evidence:
@@ -22,7 +22,7 @@
 	pending           map[uint64]time.Duration // when a message was sent whose answer is awaited, by its clock
 }
 
-// peer gives the state of another node.
+// peer returns the state of another node, by its number in the list.
 func (a *Agent) peer(node int) *peer {
 	known := a.peers[node]
 	if known == nil {
@@ -32,12 +32,12 @@
 	return known
 }
 
-// accept says whether a message counts: it is of the sender's present process and, of a kind where only the newest
-// counts, newer than those before.
+// accept reports whether a message is valid now: it is of the sender's present process and, if of a kind of which only
+// the newest counts, newer than those before.
 func (p *peer) accept(head header, now time.Duration) bool {
 	if p.incarnation != head.incarnation {
 		if p.incarnation != 0 && now-p.lastMessageAt < incarnationTimeout {
-			return false // of a process that is gone, or of one whose predecessor is still heard
+			return false // a late message of an earlier process, or of a new one while the other still sends
 		}
 		*p = peer{incarnation: head.incarnation, newest: map[messageKind]uint64{}}
 	}
@@ -68,8 +68,8 @@
 	return sentAt, ok
 }
 
-// isPassedOver says whether a peer has left evidence unanswered for so long that another one is sent it. From time to
-// time it is tried again.
+// isPassedOver reports whether a peer has left evidence unanswered for so long that another aggregator takes its place.
+// After aggregatorRetry it is tried again; the call updates that state.
 func (p *peer) isPassedOver(now time.Duration) bool {
 	if p.unansweredSince > 0 && now-p.unansweredSince > aggregatorTimeout && p.unresponsiveSince == 0 {
 		p.unresponsiveSince = now
--- a/internal/failover/agent/policy_leader.go
+++ b/internal/failover/agent/policy_leader.go
@@ -90,7 +90,8 @@
 	return change != nil && change.Stage == policy.StageCanary
 }
 
-// leaderNotice is the policy in short, which the leader sends with its answers.
+// leaderNotice is the leader's summary of the policy, which it sends with its answers; empty in a fleet without a
+// policy. Nodes derive their leases to serve from it.
 func (a *Agent) leaderNotice() policy.LeaderNotice {
 	if a.options.Policy == nil {
 		return policy.LeaderNotice{}
--- a/internal/failover/agent/reply.go
+++ b/internal/failover/agent/reply.go
@@ -67,7 +67,7 @@
 	Zone            string  `json:"zone"`
 	Live            bool    `json:"live"`
 	Plan            uint64  `json:"plan"`
-	HeardSecondsAgo float64 `json:"heard_s_ago"` // seconds since it was heard; under 0: never
+	HeardSecondsAgo float64 `json:"heard_s_ago"` // age of its last report in seconds; under 0: it has sent none
 }
 
 // describe is a reply with what every reply has, the node's own state.
@@ -157,7 +157,8 @@
 		node := a.options.List.Node(i)
 		view := a.planner.NodeView(i, now)
 		reply.Nodes = append(reply.Nodes, NodeReply{
-			Name: node.Name, Zone: node.Zone, Live: view.Live, Plan: view.Plan, HeardSecondsAgo: view.LastReportSecondsAgo,
+			Name: node.Name, Zone: node.Zone, Live: view.Live, Plan: view.Plan,
+			HeardSecondsAgo: view.LastReportSecondsAgo,
 		})
 	}
 }
--- a/internal/failover/tuning.go
+++ b/internal/failover/tuning.go
@@ -6,7 +6,7 @@
 const (
 	evidenceLifetime = 3 * time.Second // older evidence is not used
 	stepInterval     = time.Second / 4 // between two calls of Planner.Step
-	planInterval     = time.Second     // between two plans; also from the start to the first one, so that evidence comes in
+	planInterval     = time.Second     // between two plans, and from the start to the first one
 	calmPlanInterval = 5 * time.Second // the same, where nothing urgent has changed
 	proposalTimeout  = 3 * time.Second // a proposal that is not committed by then is made anew
 	crossZoneMargin  = time.Second     // added to a grant's lifetime before it counts as ended on all nodes
@@ -15,7 +15,7 @@
 // How long state is kept.
 const (
 	flapPeriod        = time.Minute      // a lost zone recovers at most once in it
-	lostNodeMemory    = time.Minute      // after that a node out of the view has no part of the grants but a lost node's
+	lostNodeMemory    = time.Minute      // then a lost node keeps no part by plans from before its loss
 	demandMemory      = time.Minute      // time constant by which demand before a failure decays
 	peakMemory        = 2 * time.Minute  // time constant by which a peak of the load decays
 	suspicionDuration = 20 * time.Second // after all zones looked lost: nodes eject servers for 16 s at most
--- a/internal/failover/zone_grants.go
+++ b/internal/failover/zone_grants.go
@@ -153,7 +153,8 @@
 // grant reserved for classes that must stay in their region.
 func (g *zoneGrants) addTo(plan *Plan, reserveForRegion bool) {
 	for _, owner := range slices.Sorted(maps.Keys(g.leased)) {
-		plan.EarlierReserves = append(plan.EarlierReserves, CapacityReserve{Zone: g.to, Owner: owner, Load: float32(g.leased[owner])})
+		reserve := CapacityReserve{Zone: g.to, Owner: owner, Load: float32(g.leased[owner])}
+		plan.EarlierReserves = append(plan.EarlierReserves, reserve)
 	}
 	for from := range g.grants {
 		if from != g.to {
--- a/internal/membership/detection.go
+++ b/internal/membership/detection.go
@@ -9,7 +9,7 @@
 	// HeartbeatInterval is the time between two heartbeats of a node to its watchers.
 	HeartbeatInterval = 500 * time.Millisecond
 
-	heartbeatTimeout = 2 * time.Second // without a heartbeat: then a node is unreachable; four in a row are lost or late
+	heartbeatTimeout = 2 * time.Second // without a heartbeat: four in a row are lost or late
 	stallGap         = time.Second     // between two ticks: then this node itself was stalled
 	// minWatched is the least number of watched nodes by which a failure detector recognizes a fault of its own
 	// network.
@@ -164,7 +164,8 @@
 		}
 	}
 	// While other suspicions are undecided, which may be of the same fault, failed nodes wait for them for a while.
-	if undecided && !slices.ContainsFunc(failed, func(node int) bool { return now-c.suspected[node] >= maxSettleTime }) {
+	settled := func(node int) bool { return now-c.suspected[node] >= maxSettleTime }
+	if undecided && !slices.ContainsFunc(failed, settled) {
 		return changed
 	}
 	for _, node := range failed {
--- a/internal/policy/abort_reason.go
+++ b/internal/policy/abort_reason.go
@@ -47,7 +47,8 @@
 		100*r.canary.rejectedFraction(), r.canary.arrived, 100*r.others.rejectedFraction(), r.others.arrived)
 }
 
-// basesInUse says that no further base policy can be remembered: members were not heard of for too many changes.
+// basesInUse says that no further base policy can be remembered, since members have sent no status for too many
+// changes.
 type basesInUse struct{}
 
 func (basesInUse) String() string {
--- a/internal/policy/canary_analysis.go
+++ b/internal/policy/canary_analysis.go
@@ -55,8 +55,8 @@
 	return now-r.canaryServedSince >= change.Canary.duration(), nil
 }
 
-// awaitCanary begins the observation when all live members of the canary serve by the change, and gives up on them
-// after the time in which each of them should have acknowledged it and the policy before it went out of use.
+// awaitCanary begins the observation when all live members of the canary serve by the change. The change fails if they
+// don't after the time in which each has to acknowledge it, and the window after which the policy before is out of use.
 func (r *Rollout) awaitCanary(now time.Duration, live, serving int) abortReason {
 	if serving == live {
 		r.canaryServedSince = now
--- a/internal/policy/change.go
+++ b/internal/policy/change.go
@@ -9,8 +9,9 @@
 // reasonAccepted is the reason in the outcome of each change that was committed.
 const reasonAccepted = "all live members said yes"
 
-// Propose begins a change. id is the operator's name for it, base the number that it replaces and document what text
-// says. The error is an *InvalidProposalError, ErrChangeInProgress, ErrBaseMismatch or an *IncompatibleBaseError.
+// Propose begins a change. id is the operator's name for it, base the number that it replaces, text the document and
+// document the same decoded. The error is an *InvalidProposalError, ErrChangeInProgress, ErrBaseMismatch or an
+// *IncompatibleBaseError.
 func (s *State) Propose(id string, base uint64, text []byte, document *Document, canary Canary) (*State, error) {
 	if err := checkProposal(id, text); err != nil {
 		return nil, err
@@ -103,8 +104,8 @@
 	return text[:limit]
 }
 
-// acceptsBase says whether one more base policy can be remembered. If not, members that may still serve by the older
-// ones were not heard of since.
+// acceptsBase reports whether one more base policy can be remembered. If not, there are members that may still serve by
+// the older ones and have sent no status since.
 func (s *State) acceptsBase(base BasePolicy) bool {
 	return len(s.Bases) < maxBases || s.endsWithBase(base)
 }
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -7,9 +7,9 @@
 //	        -> canary:   some members serve by it first, and their rejections are compared with the others' (optional)
 //	        -> Commit:   the document is in force, or Abort: the one before it stays in force
 //
-// A member serves by a number only while it has a lease: for a limited time after the leader was surely there and told
-// which number is in force. Without a lease it serves by the base policy of its last document, or rejects. A base
-// policy may therefore be in use beside any later document, and a document that forbids what such a base policy
+// A member serves by a number only while it has a lease: for a limited time after a moment at which the leader surely
+// led and named the number in force. Without a lease it serves by the base policy of its last document, or rejects. A
+// base policy may therefore be in use beside any later document, and a document that forbids what such a base policy
 // allows is not accepted.
 //
 // Who calls it: the fleet agent (internal/failover/agent) owns the State, keeps it on the log and on disk, and on the
--- a/internal/policy/lease.go
+++ b/internal/policy/lease.go
@@ -11,13 +11,13 @@
 // clockDrift is the fraction by which the clocks of two machines may run apart.
 const clockDrift = 0.01
 
-// Lease is how long a node may serve by what the leader told, counted from a moment at which that leader surely led.
+// Lease is how long a node may serve by a leader's notice, counted from a moment at which that leader surely led.
 func (r Rules) Lease(notice LeaderNotice) time.Duration {
 	window := min(r.Window, time.Duration(notice.Window)*time.Millisecond)
 	return time.Duration(float64(window) * (1 - 2*clockDrift)) // each of the two clocks may be off
 }
 
-// LeaderNotice is what the leader told of the policy with its newest message.
+// LeaderNotice is the leader's summary of the policy in its newest message.
 type LeaderNotice struct {
 	_       struct{} `cbor:",toarray"`
 	Entry   uint64   // newest entry of the log that carries a State
@@ -42,9 +42,9 @@
 	Known  bool   // the node has the document; else it serves nothing
 }
 
-// ActiveFor tells under which number a node may serve: the newest that it knows to be in force, or the one on trial if
+// ActiveFor is the number that a node may serve under: the newest that it knows to be in force, or the one on trial if
 // the node is one of the canary. node is its number in the list of nodes. entry is that of state, which is on the
-// node's disk; what the leader told may be newer or older than it.
+// node's disk; the leader's notice may be newer or older than it.
 func ActiveFor(node int, zone string, entry uint64, state *State, notice LeaderNotice) Active {
 	inForce := max(state.Number, notice.InForce)
 	onTrial := NoticeOf(entry, state).OnTrial
--- a/internal/policy/member.go
+++ b/internal/policy/member.go
@@ -32,7 +32,7 @@
 	Node      int // number in the list of nodes
 	Zone      string
 	Live      bool // it is in the leader's view of the fleet
-	HasStatus bool // this leader has a status of it
+	HasStatus bool // this leader has received a status of it
 	Status    MemberStatus
 }
 
@@ -46,7 +46,7 @@
 	return m.Status.MayServe && m.Status.ServedNumber == number
 }
 
-// acknowledgements sum up what the members say of a change.
+// acknowledgements are the members' verdicts on a change, summed up.
 type acknowledgements struct {
 	rejectedBy  *Member // first live member that can't serve by it; nil: none
 	missing     *Member // first live member that has not answered; nil: none
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -13,9 +13,9 @@
 
 // Bounds of a state, so that it fits into a message and a record of the log.
 const (
-	maxOutcomes  = 64 // changes whose outcome is remembered
-	maxDocuments = 4  // documents that a rollback can name, the one in force among them
-	maxBases     = 16
+	maxOutcomes  = 64  // changes whose outcome is remembered
+	maxDocuments = 4   // documents that a rollback can name, the one in force among them
+	maxBases     = 16  // base policies that members may still serve by
 	maxReason    = 200 // bytes
 	maxID        = 48  // bytes
 )
@@ -141,7 +141,7 @@
 	return nil, false
 }
 
-// Find tells the outcome of a change by its id. known says whether the state still knows the id, ended whether the
+// Find returns the outcome of a change by its id. known says whether the state still knows the id, ended whether the
 // change has ended; while it has not, the outcome's reason is its stage.
 func (s *State) Find(id string) (outcome ChangeOutcome, ended, known bool) {
 	for _, outcome := range s.Ended {
