--- a/choice/inference_test.go
+++ b/choice/inference_test.go
@@ -276,7 +276,7 @@
 	}
 }
 
-// On a deployment that reports, none of this is in the way: no throttle, no advice of the module's own.
+// On a deployment that reports, none of this is in the way: no throttle, no advice of the balancer's own.
 func TestThrottleOnlyWithoutReports(t *testing.T) {
 	set := silentSettings(3)
 	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Load}
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -8,7 +8,7 @@
 	"unicode/utf8"
 )
 
-// Whoever is on call reads the module at night: at most 650 lines that are not blank, 110 columns with tabs as four.
+// Whoever is on call reads the balancer at night: at most 650 lines that are not blank, 110 columns with tabs as four.
 func TestModuleStaysReadable(t *testing.T) {
 	text, err := os.ReadFile("choice.go")
 	if err != nil {
--- a/choice/referee_test.go
+++ b/choice/referee_test.go
@@ -237,7 +237,7 @@
 		f.timers = f.timers[1:]
 		f.now = max(f.now, next.at)
 		f.step(TimerFired{next.token})
-		if f.load != nil { // health checks on the module's own account have answers as well
+		if f.load != nil { // health checks on the balancer's own account have answers as well
 			f.answerHealthChecks(f.load)
 		}
 	}
--- a/choice/reservation_test.go
+++ b/choice/reservation_test.go
@@ -306,7 +306,7 @@
 	}
 }
 
-// FuzzPeerMessage checks that no bytes of another node crash the module, and that what is read is in its range.
+// FuzzPeerMessage checks that no bytes of another node crash the balancer, and that what is read is in its range.
 func FuzzPeerMessage(f *testing.F) {
 	f.Add(peerMessage{kind: reservationRequest, token: 1, server: 2, group: 3, load: 1}.encode())
 	f.Add(peerMessage{kind: reservationGranted, token: 1, load: 0.5, fraction: 1}.encode())
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -107,7 +107,7 @@
 	}
 	referee.now += ms(1)
 	referee.step(ServerList{Kind: ListChange, Servers: l.Servers[:2]})
-	referee.set.Rules.DrainGrace = 0 // the module does not use the grace at all
+	referee.set.Rules.DrainGrace = 0 // the balancer does not use the grace at all
 	referee.run(ms(70))
 	for i := range 50 {
 		referee.step(Request{ID: RequestID(fmt.Sprint(i)), TimeLeft: ms(1800), Tenant: -1})
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -13,7 +13,7 @@
 const simulationStart = time.Hour
 
 // simulation plays real balancers among simulated servers, clients, discovery and links, in simulated time. All
-// chance comes from one seed. It uses the exported interface of the module alone and hands each action to a judge
+// chance comes from one seed. It uses the exported interface of the balancer alone and hands each action to a judge
 // before it carries it out.
 type simulation struct {
 	t        testing.TB
--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -13,10 +13,10 @@
 // healthCheckTimeout is for a health check's answer: longer than any round trip, short against a placement.
 const healthCheckTimeout = 150 * time.Millisecond
 
-// notify queues an event for the module until the next Flush.
+// notify queues an event for the balancer until the next Flush.
 func (c *Core) notify(event choice.Event) { c.pendingEvents = append(c.pendingEvents, event) }
 
-// withdraw takes back a request that the module has not been notified of yet.
+// withdraw takes back a request that the balancer has not been notified of yet.
 func (c *Core) withdraw(id choice.RequestID) bool {
 	i := slices.IndexFunc(c.pendingEvents, func(event choice.Event) bool {
 		request, ok := event.(choice.Request)
@@ -29,7 +29,7 @@
 	return true
 }
 
-// Flush hands the module what has happened and carries out its actions, until nothing is left. The loop calls it
+// Flush hands the balancer what has happened and carries out its actions, until nothing is left. The loop calls it
 // after each callback.
 func (c *Core) Flush() {
 	if c.flushing {
@@ -39,14 +39,14 @@
 	for len(c.pendingEvents) > 0 {
 		events := c.pendingEvents
 		c.pendingEvents = nil
-		for _, action := range c.balancer.Step(c.moduleTime(c.options.Clock.Now()), events) {
+		for _, action := range c.balancer.Step(c.balancerTime(c.options.Clock.Now()), events) {
 			c.execute(action)
 		}
 	}
 	c.flushing = false
 }
 
-// execute carries out one action of the module.
+// execute carries out one action of the balancer.
 func (c *Core) execute(action choice.Action) {
 	switch action := action.(type) {
 	case choice.StartAttempt:
@@ -107,17 +107,17 @@
 	}
 }
 
-// setTimer sets a timer of the module's. One that is for a request ends with it: a client may name a patience of an
+// setTimer sets a timer of the balancer's. One that is for a request ends with it: a client may name a patience of an
 // hour.
 func (c *Core) setTimer(action choice.SetTimer) {
 	at := c.options.Clock.Now().Add(action.After)
 	stop := c.options.Clock.At(at, func() { c.notify(choice.TimerFired{Token: action.Token}) })
 	if r := c.requests[action.For]; r != nil && action.For != "" {
-		r.stopModuleTimers = append(r.stopModuleTimers, stop)
+		r.stopBalancerTimers = append(r.stopBalancerTimers, stop)
 	}
 }
 
-// checkHealth asks a server for its load report and notifies the module of the result, once.
+// checkHealth asks a server for its load report and notifies the balancer of the result, once.
 func (c *Core) checkHealth(id choice.ServerID) {
 	begin := c.options.Clock.Now()
 	reported := false
--- a/internal/edge/answer_test.go
+++ b/internal/edge/answer_test.go
@@ -48,7 +48,7 @@
 	return world
 }
 
-// TestStopAnswersByEffect has a planned stop, and a deadline that the module missed, end requests that servers may
+// TestStopAnswersByEffect has a planned stop, and a deadline that the balancer missed, end requests that servers may
 // have run: a rejection says that a retry is harmless, so those whose effect forbids it fail.
 func TestStopAnswersByEffect(t *testing.T) {
 	classes := []choice.Class{
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestLostByTheModule has a request reach its deadline of which the module knows nothing: the core answers, by what was
-// sent.
-func TestLostByTheModule(t *testing.T) {
+// TestLostByTheBalancer has a request reach its deadline of which the balancer knows nothing: the core answers, by what
+// was sent.
+func TestLostByTheBalancer(t *testing.T) {
 	for _, written := range []bool{false, true} {
 		world := silentWorld(t, choice.Class{Name: "safe"})
 		core := world.core
--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -19,19 +19,19 @@
 	upstream   UpstreamRequest
 	stopTimer  func()
 	startedAt  time.Time
-	sendBefore time.Time // its first byte is out before, or it is not sent; zero: whenever
-	begun      bool      // its first byte may be out
+	sendBefore time.Time // its first byte is sent before, or not at all; zero: at any time
+	begun      bool      // its first byte may have been sent
 	started    bool      // the guard has let it start
 	written    bool      // its last byte is with the kernel
 	ended      bool      // it has its outcome
 
 	Number  int // among the attempts of its request, from 0
 	Server  ServerEntry
-	Expires time.Time // given up then
+	Expires time.Time // it is given up then
 }
 
 // startAttempt begins the next attempt of a request, at a server, until a time. Its first byte goes out before the
-// module time sendBefore or not at all; 0: whenever.
+// balancer time sendBefore or not at all; 0: at any time.
 func (r *Request) startAttempt(id choice.ServerID, until time.Time, sendBefore time.Duration) {
 	core := r.core
 	attempt := &Attempt{request: r, Number: r.attemptCount, Expires: until, startedAt: core.options.Clock.Now()}
@@ -87,7 +87,8 @@
 	return by
 }
 
-// Connected reports how long the connection took, so that the way to the server isn't held against it.
+// Connected records how long the connection took, as an estimate of the round trip, which is subtracted from observed
+// delays.
 func (a *Attempt) Connected() {
 	took := a.request.core.options.Clock.Now().Sub(a.startedAt)
 	if a.server.connectTime == 0 || took < a.server.connectTime {
@@ -146,7 +147,7 @@
 	if a.upstream != nil {
 		a.upstream.GiveUp()
 	}
-	switch { // what was never written whole has not run
+	switch { // what was not written completely has not run
 	case a.written:
 	case outcome == choice.TimedOut:
 		outcome = choice.ConnectFailed
@@ -171,7 +172,7 @@
 	case outcome == choice.Served && !request.finished:
 		request.served(a, Served)
 	}
-	// What the module knows under this id may be another request, of one that came from another process with it.
+	// What the balancer knows under this id may be another request, of one that came from another process with it.
 	if (request.OpenAt == "" || request.open) && request.registered() {
 		took := request.core.options.Clock.Now().Sub(a.startedAt)
 		request.core.notify(choice.AttemptEnded{
@@ -212,7 +213,7 @@
 	r.observeAnswer(answer)
 }
 
-// afterAttempt is what becomes of a request whose attempt has ended, where that is not the module's to decide.
+// afterAttempt is what becomes of a request whose attempt has ended, where that is not the balancer's to decide.
 func (r *Request) afterAttempt(outcome choice.Outcome) {
 	switch {
 	case r.finished || r.open || outcome == choice.Served:
--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -15,7 +15,8 @@
 	migrationGrace = time.Second
 	// slowDelayInterval is between two reports of slow messages at one server.
 	slowDelayInterval = time.Second
-	// slowDelayDivisor: a message counts as slow beyond this part of the strictest latency objective.
+	// slowDelayDivisor: a message counts as slow beyond the strictest latency objective over this. The balancer infers
+	// load from slower ones alone (choice/inference.go).
 	slowDelayDivisor = 3
 	// lateDrainDivisor: a connection that opens at a draining server migrates after this part of the drain period.
 	lateDrainDivisor = 4
@@ -54,7 +55,7 @@
 	request.core.notify(choice.LoadUpdate{ID: request.ID, Attempt: a.Number, Load: load})
 }
 
-// ObserveDelay reports how long a message took on the connection, or has taken so far. The module is notified of a
+// ObserveDelay reports how long a message took on the connection, or has taken so far. The balancer is notified of a
 // server's slow messages once a second at most, and of the first one that is fast again.
 func (a *Attempt) ObserveDelay(took time.Duration) {
 	request := a.request
@@ -98,8 +99,8 @@
 	}
 	r.observeEnd(Migrated)
 	by := r.core.options.Clock.Now().Add(migrationGrace)
-	if !drain.stopAt.IsZero() { // a server that stopped amid a line must not have its client held past the stop
-		by = earlier(by, drain.stopAt)
+	if !drain.endAt.IsZero() { // a server that stopped amid a line must not delay its client's migration past the end
+		by = earlier(by, drain.endAt)
 	}
 	r.client.Migrate(by)
 	r.attempt.Ended(choice.Cancelled, nil)
--- a/internal/edge/core.go
+++ b/internal/edge/core.go
@@ -13,17 +13,17 @@
 	balancer *choice.Balancer
 
 	startedAt     time.Time
-	epoch         time.Duration  // the module's clock at startedAt: Unix time
-	pendingEvents []choice.Event // for the module, not flushed yet
+	epoch         time.Duration  // the balancer's clock at startedAt: Unix time
+	pendingEvents []choice.Event // for the balancer, not flushed yet
 	flushing      bool
 
 	servers    map[choice.ServerID]*serverState
 	startTimes startTimeClock
 
 	requests     map[choice.RequestID]*Request
-	lastSequence uint64    // of the requests taken so far
+	lastSequence uint64    // of the newest request; the first one is 1
 	answerCounts []*Counts // by class
-	neverSent    int       // attempts whose connection came up when nothing was to be sent any more
+	neverSent    int       // see AttemptsNeverSent
 	// strictestMessageObjective is the least latency objective of a message, over all classes; 0: none has one.
 	strictestMessageObjective time.Duration
 
@@ -49,13 +49,13 @@
 	return core, nil
 }
 
-// Start hands the module the endpoint list that this node last held; the module's first actions follow.
+// Start hands the balancer the endpoint list that this node last cached; the balancer's first actions follow.
 func (c *Core) Start(cached []ServerEntry) {
 	c.UpdateServers(choice.ListCached, cached)
 	c.Flush()
 }
 
-// UpdateSettings takes in new settings, which the caller has checked. Classes and tenants keep their indices.
+// UpdateSettings replaces the settings by ones that the caller has checked. Classes and tenants keep their indices.
 func (c *Core) UpdateSettings(settings choice.Settings) {
 	c.options.Settings = settings
 	c.applySettings()
@@ -85,12 +85,12 @@
 // Classes are the settings' classes, by index.
 func (c *Core) Classes() []choice.Class { return c.options.Settings.Classes }
 
-// ApplyZonePlan has the module place requests by a plan of zones from now on.
+// ApplyZonePlan has the balancer place requests by a plan of zones from now on.
 func (c *Core) ApplyZonePlan(plan choice.ZonePlan) { c.notify(plan) }
 
-// Observations is what the module saw of zones since the last call.
+// Observations is what the balancer saw of zones since the last call.
 func (c *Core) Observations() choice.Observations {
-	return c.balancer.Observations(c.moduleTime(c.options.Clock.Now()))
+	return c.balancer.Observations(c.balancerTime(c.options.Clock.Now()))
 }
 
 // ReceivePeerMessage takes a message of another node.
@@ -98,14 +98,14 @@
 	c.notify(choice.PeerMessage{From: from, Data: message})
 }
 
-// DroppedPeerMessages counts the messages of other nodes that the module dropped.
+// DroppedPeerMessages counts the messages of other nodes that the balancer dropped.
 func (c *Core) DroppedPeerMessages() int { return c.balancer.DroppedPeerMessages() }
 
-// AttemptsNeverSent counts the attempts whose connection came up when their client, their time or their server was
-// gone: of these nothing was written.
+// AttemptsNeverSent counts the attempts of which nothing was written, since their client was gone, their time was over
+// or their server was draining when their connection came up.
 func (c *Core) AttemptsNeverSent() int { return c.neverSent }
 
-// InFlight counts the requests and open connections that the core holds.
+// InFlight counts the requests in flight and the open connections.
 func (c *Core) InFlight() int { return len(c.requests) }
 
 // String describes the core in a line of a log.
@@ -113,8 +113,8 @@
 	return fmt.Sprintf("%d servers, %d requests", len(c.servers), len(c.requests))
 }
 
-// moduleTime turns a time into the module's clock: Unix time that never goes back.
-func (c *Core) moduleTime(t time.Time) time.Duration { return c.epoch + t.Sub(c.startedAt) }
+// balancerTime converts a time to the balancer's clock: Unix time at the core's start, and monotonic from then on.
+func (c *Core) balancerTime(t time.Time) time.Duration { return c.epoch + t.Sub(c.startedAt) }
 
 // runNext calls fn once the current callback of the loop has returned.
 func (c *Core) runNext(fn func()) { c.options.Clock.At(c.options.Clock.Now(), fn) }
--- a/internal/edge/doc.go
+++ b/internal/edge/doc.go
@@ -2,9 +2,9 @@
 // has ended, each attempt at a server, the attempt's one outcome and the request's one final answer, and the timers
 // that bound them.
 //
-// A Core owns the decision module of its cluster (choice.Balancer). What happens becomes an event; Flush hands the
-// events to the module and carries out the actions that it returns, in order. The module decides, the core keeps the
-// promises: a request gets one final answer, an attempt one outcome, and what the module asks for is checked against
+// A Core owns the balancer of its cluster (choice.Balancer). What happens becomes an event; Flush hands the events to
+// the balancer and carries out the actions that it returns, in order. The balancer decides, the core keeps the
+// promises: a request gets one final answer, an attempt one outcome, and what the balancer asks for is checked against
 // package invariant before anything is sent.
 //
 // The callers are the fronts, which speak a protocol with clients and servers (they call Open and the methods of
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// routingDelay is how long new connections still come after a planned stop began. Until then they are placed as
-	// ever: a client that is migrated or rejected before that may well be sent here again.
+	// routingDelay is how long new connections still arrive after a graceful shutdown began. Until then they are placed
+	// as usual: a client that is migrated or rejected earlier may be routed here again.
 	routingDelay = 450 * time.Millisecond
-	// The process is killed no sooner than the longest deadline after the stop began, which counts as maxDeadline at
-	// most, and killDelay more.
+	// The process is killed no sooner than after the longest deadline of a class, which counts as maxDeadline at most,
+	// and killDelay.
 	maxDeadline = 3 * time.Second
 	killDelay   = 700 * time.Millisecond
-	// killMargin is how long before that nothing is held any more.
+	// killMargin is how long before that no request or connection is left.
 	killMargin = 500 * time.Millisecond
 	// migrationSlack is how long before the end of the drain the last clients are migrated.
 	migrationSlack = killMargin / 5
@@ -22,24 +22,25 @@
 	migrationSpread = 1500 * time.Millisecond
 )
 
-// drainState is how far a planned stop is.
+// drainState is the progress of a graceful shutdown.
 type drainState struct {
 	rejecting bool      // new requests are rejected
-	stopAt    time.Time // nothing is held from then on; zero: no stop is planned
-	// Of a hot restart, where another process already takes the clients:
-	migrateBy time.Time // the last connections that could not be transferred are migrated by then; zero: it is none
+	endAt     time.Time // no request or connection is left from then on; zero: there is no shutdown
+	// Of a hot restart, where another process already accepts the clients:
+	migrateBy time.Time // the last connections that could not be transferred are migrated by then; zero: no hot restart
 	migrating bool      // they are being migrated
 	migrated  int       // connections that were
 }
 
-// Draining reports whether the core rejects new requests.
+// Draining reports whether the core rejects new requests. That begins some time after Drain was called, and after
+// DrainToSuccessor only at the end of the shutdown.
 func (c *Core) Draining() bool { return c.drain.rejecting }
 
 // Migrated counts the connections that were migrated since DrainToSuccessor.
 func (c *Core) Migrated() int { return c.drain.migrated }
 
-// drainDuration is what a planned stop takes: all that can be had, since an open connection earns where it is, and a
-// node that leaves right after another one finds that one back by then.
+// drainDuration is how long a graceful shutdown takes: all the time there is, since an open connection is better not
+// migrated, and a node that is restarted right after another one finds that one running again by then.
 func (c *Core) drainDuration() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.options.Settings.Classes {
@@ -50,8 +51,8 @@
 	return min(longest, maxDeadline) + killDelay - killMargin
 }
 
-// Drain begins the planned stop: clients are asked to reconnect elsewhere, what comes is still answered, and done is
-// called once nothing is held.
+// Drain begins a graceful shutdown. Requests are placed as usual at first; then open connections are migrated one by
+// one and new requests rejected. done is called once no request or connection is left.
 func (c *Core) Drain(done func()) {
 	now := c.options.Clock.Now()
 	duration := c.drainDuration()
@@ -61,21 +62,22 @@
 		c.drain.rejecting = true
 		c.migrateAll(end.Add(-migrationSlack))
 	})
-	c.stopAt(end, done)
+	c.endDrainAt(end, done)
 }
 
-// DrainToSuccessor is Drain where another process already takes the clients: what this one has taken is placed as ever.
-// Its connections are transferred to the other process where they can; when that is over, MigrateRemaining is called.
+// DrainToSuccessor is Drain where another process already accepts the clients: requests that this one has are placed as
+// usual. The caller transfers open connections to the other process where it can, and then calls MigrateRemaining,
+// which is called here after half of the time at the latest.
 func (c *Core) DrainToSuccessor(done func()) {
 	duration := c.drainDuration()
 	end := c.options.Clock.Now().Add(duration)
 	c.drain.migrateBy = end.Add(-migrationSlack)
 	c.options.Clock.At(end.Add(-duration/2), c.MigrateRemaining)
-	c.stopAt(end, done)
+	c.endDrainAt(end, done)
 }
 
-// MigrateRemaining has the open connections migrate from now on, evenly over all the time there is, since each client
-// finds its node at once.
+// MigrateRemaining migrates the open connections from now on, evenly over all the time there is, since each client can
+// reconnect to the node at once. Calls after the first do nothing.
 func (c *Core) MigrateRemaining() {
 	if !c.drain.migrating {
 		c.drain.migrating = true
@@ -83,9 +85,9 @@
 	}
 }
 
-// stopAt leaves nothing held at the end of a drain.
-func (c *Core) stopAt(end time.Time, done func()) {
-	c.drain.stopAt = end
+// endDrainAt migrates and rejects what is left at the end of a drain, and then calls done.
+func (c *Core) endDrainAt(end time.Time, done func()) {
+	c.drain.endAt = end
 	c.options.Clock.At(end, func() {
 		c.drain.rejecting = true
 		for _, r := range c.requestsByID() {
@@ -99,14 +101,14 @@
 	c.options.Clock.At(end.Add(time.Millisecond), done)
 }
 
-// migrateAll has the open connections migrate one by one until the given time.
+// migrateAll migrates the open connections one by one until the given time.
 func (c *Core) migrateAll(end time.Time) {
 	open := slices.DeleteFunc(c.requestsByID(), func(r *Request) bool { return !r.open })
 	now := c.options.Clock.Now()
 	c.migrateOver(open, now, max(0, end.Sub(now)))
 }
 
-// migrateOver has connections migrate one by one over a period.
+// migrateOver migrates connections one by one over a period.
 func (c *Core) migrateOver(open []*Request, begin time.Time, period time.Duration) {
 	for i, r := range open {
 		c.options.Clock.At(begin.Add(period*time.Duration(i)/time.Duration(len(open))), r.migrate)
--- a/internal/edge/figures.go
+++ b/internal/edge/figures.go
@@ -5,7 +5,7 @@
 // Counts are the final answers of one class's requests.
 type Counts struct{ Served, Rejected, Failed uint64 }
 
-// Gauges are what a core holds now.
+// Gauges are counts of a core's present requests, connections and servers.
 type Gauges struct{ InFlight, ServersKnown, ServersExcluded int }
 
 // Add sums the gauges of several cores.
@@ -23,15 +23,15 @@
 	Attempt()
 }
 
-// uncounted is for a core whose figures nobody asks for.
+// uncounted is for a core without figures.
 type uncounted struct{}
 
 func (uncounted) Class(string) *Counts { return &Counts{} }
 func (uncounted) Attempt()             {}
 
-// Gauges are what the core holds now.
+// Gauges returns the core's present gauges.
 func (c *Core) Gauges() Gauges {
-	g := Gauges{InFlight: len(c.requests), ServersExcluded: c.balancer.Excluded(c.moduleTime(c.options.Clock.Now()))}
+	g := Gauges{InFlight: len(c.requests), ServersExcluded: c.balancer.Excluded(c.balancerTime(c.options.Clock.Now()))}
 	for _, server := range c.servers {
 		if server.State != choice.Gone {
 			g.ServersKnown++
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -45,5 +45,5 @@
 	r.core.options.Trace.Closed(string(r.ID), why)
 }
 
-// ConnectionClosedUnused notes the end of a client's connection on which nothing was asked.
+// ConnectionClosedUnused records the end of a client's connection on which there was no request.
 func (c *Core) ConnectionClosedUnused(why trace.Close) { c.options.Trace.Closed("", why) }
--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -38,12 +38,12 @@
 	}
 }
 
-// openUnnotified opens a request that the module doesn't know of yet.
+// openUnnotified opens a request that the balancer doesn't know of yet.
 func openUnnotified(w *world, client Client) *Request {
 	return w.core.Open(Spec{ID: "q", Tenant: -1, Deadline: w.now.Add(20 * time.Second)}, client)
 }
 
-// TestGuardDrainingServer has a module send to a server past its grace: the guard counts it, and the server is not
+// TestGuardDrainingServer has a balancer send to a server past its grace: the guard counts it, and the server is not
 // tried.
 func TestGuardDrainingServer(t *testing.T) {
 	world, violations := guardedWorld(t)
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestGuardNotIdempotent has a module repeat what may have run, and promise that a retry is harmless: neither reaches
+// TestGuardNotIdempotent has a balancer repeat what may have run, and promise that a retry is harmless: neither reaches
 // anybody.
 func TestGuardNotIdempotent(t *testing.T) {
 	world, violations := guardedWorld(t)
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -6,20 +6,20 @@
 	"spurwinch/choice"
 )
 
-// Lease says under which policy a core takes requests, and for how long without renewal.
+// Lease says under which policy a core admits requests, and for how long without renewal.
 type Lease struct {
 	Number uint64 // of the policy document
-	Known  bool   // this node has the document; else nothing is taken but by the base policy
-	// Expires is when the lease ends: a request that comes later is not taken under Number.
+	Known  bool   // this node has the document; else requests are admitted by the base policy alone
+	// Expires is when the lease ends: a request that arrives later is not admitted under Number.
 	Expires time.Time
 	// OnExpiry sets the settings of the base policy. It is called once, before the first request that comes after
 	// Expires.
 	OnExpiry func()
 	// BasePolicy reports whether a class is served by the base policy meanwhile; nil: none is.
 	BasePolicy func(class int) bool
-	// RetryAfter is advice for what is not taken, 0: none. It is spread by half.
+	// RetryAfter is the Retry-After of rejected requests, spread by half; 0: none.
 	RetryAfter time.Duration
-	// OnDecision is notified of each request that is asked for: how is an Admission. nil: nobody is.
+	// OnDecision is called for each request that arrives; how is an Admission. nil: it is not.
 	OnDecision func(id choice.RequestID, number uint64, how string)
 
 	expired bool // OnExpiry was called
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -62,7 +62,7 @@
 	Took    time.Duration
 }
 
-// observation is what a request keeps for the observer.
+// observation is a request's state for the observer.
 type observation struct {
 	sequence  uint64
 	arrivedAt time.Time
@@ -96,7 +96,7 @@
 	r.observed.openSince = time.Time{}
 }
 
-// observeResult keeps an attempt's outcome for the observer until the final answer.
+// observeResult records an attempt's outcome for the observer until the final answer.
 func (r *Request) observeResult(a *Attempt, outcome choice.Outcome) {
 	if r.core.options.Observer == nil || r.observed.answered {
 		return
--- a/internal/edge/options.go
+++ b/internal/edge/options.go
@@ -14,8 +14,8 @@
 	At(at time.Time, fn func()) (stop func())
 }
 
-// Client is a front's side of one request. Its methods are called by the core only, and never after it has told the
-// core that the client is gone.
+// Client is a front's side of one request. Its methods are called by the core alone, and never after the front has
+// reported by Request.ClientGone that the client is gone.
 type Client interface {
 	// Attempt starts the upstream request a; its outcome is reported by a's methods.
 	Attempt(a *Attempt) UpstreamRequest
@@ -62,13 +62,13 @@
 type Options struct {
 	Clock         Clock
 	Settings      choice.Settings
-	Seed          uint64 // of the decision module's random numbers
+	Seed          uint64 // of the balancer's random numbers
 	HealthChecker HealthChecker
 	WatchList     func() // asks discovery to push changes from now on
 	// SendPeerMessage sends a message to another node by its number; nil: there are no peers.
 	SendPeerMessage func(to int, message []byte)
-	// DrainPeriod is how long the clients of a draining server have to leave it; they are migrated one by one over that
-	// time. 0: servers send their clients away themselves.
+	// DrainPeriod is how long the migration of a draining server's clients, one by one, takes. 0: servers have their
+	// clients reconnect themselves.
 	DrainPeriod time.Duration
 	// Observer is notified of all that passes through; nil: nobody is.
 	Observer Observer
--- a/internal/edge/random_days_test.go
+++ b/internal/edge/random_days_test.go
@@ -8,7 +8,8 @@
 	"spurwinch/choice"
 )
 
-// A random day plays hundreds of clients against a core and its module, with servers that answer, hang, fail and drain.
+// A random day plays hundreds of clients against a core and its balancer, with servers that answer, hang, fail and
+// drain.
 
 // day is a world with what its clients saw.
 type day struct {
@@ -313,7 +314,7 @@
 	}
 }
 
-// TestRules plays random days against the core and the module: one final answer for each request, in time; four
+// TestRules plays random days against the core and the balancer: one final answer for each request, in time; four
 // attempts at most and never two at once; nothing new to a draining server after its grace; nothing held at the end.
 // The figures are what the clients saw.
 func TestRules(t *testing.T) {
--- a/internal/edge/redirect.go
+++ b/internal/edge/redirect.go
@@ -10,7 +10,7 @@
 		server != nil && server.State == choice.Ready
 }
 
-// RedirectTo cancels the current attempt and notifies the module of where the session that the request resumes lives.
+// RedirectTo cancels the current attempt and notifies the balancer of where the session that the request resumes lives.
 // The front vouches that nothing the client has seen of the first server binds it to that one.
 func (r *Request) RedirectTo(sticky choice.ServerID) {
 	r.StickyServer = sticky
--- a/internal/edge/reply.go
+++ b/internal/edge/reply.go
@@ -20,7 +20,7 @@
 type Why uint8
 
 const (
-	// Busy says that the module found no server that can take the request.
+	// Busy says that the balancer found no server that can take the request.
 	Busy Why = iota
 	// ShuttingDown says that this node is draining.
 	ShuttingDown
@@ -44,8 +44,8 @@
 	return reply
 }
 
-// rejectNow has the module answer a request now, and cancels its attempt. Whether a retry is harmless depends on what
-// may have run and on the class: the module says so, and reply is the rest of the answer.
+// rejectNow has the balancer answer a request now, and cancels its attempt. Whether a retry is harmless depends on what
+// may have run and on the class: the balancer says so, and reply is the rest of the answer.
 func (r *Request) rejectNow(reply LocalReply) {
 	switch {
 	case !r.waiting():
@@ -57,7 +57,7 @@
 	}
 }
 
-// conclude gives the module's answer.
+// conclude gives the balancer's answer.
 func (r *Request) conclude(reply LocalReply) {
 	if r.ownReply == nil {
 		r.answer(reply)
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -13,7 +13,7 @@
 // Request is one request of a client, from its arrival until its connection has ended.
 //
 // It is waiting (neither open nor finished), then open or finished, and finished for good: an open connection ends as
-// finished, too. It leaves the core's table when it is finished and its last attempt has its outcome.
+// finished, too. It is removed from the core's table when it is finished and its last attempt has its outcome.
 type Request struct {
 	Spec
 	core   *Core
@@ -30,10 +30,10 @@
 	committed    bool // bytes of a server have reached the client: no other server can take over
 	transferring bool // its sockets are off the loop: another process may have the connection
 
-	stopDeadline     func()
-	stopModuleTimers []func()
-	// ownReply is set where the core has asked the module to answer at once: the client gets this reply, rejected or
-	// failed as the module says.
+	stopDeadline       func()
+	stopBalancerTimers []func()
+	// ownReply is set where the core has asked the balancer to answer at once: the client gets this reply, rejected or
+	// failed as the balancer says.
 	ownReply *LocalReply
 
 	observed observation
@@ -55,7 +55,7 @@
 	request := c.newRequest(spec, client)
 	switch {
 	case c.requests[spec.ID] != nil:
-		// Guards against two requests under one id, of which the module would know only the first.
+		// Guards against two requests under one id, of which the balancer would know only the first.
 		c.runNext(func() { request.answer(LocalReply{Reason: trace.IDInUse}) })
 		return request
 	case c.drain.rejecting:
@@ -70,7 +70,7 @@
 	}
 	c.requests[spec.ID] = request
 	c.options.Trace.Read(string(request.ID), request.class.Name, request.Deadline.Sub(request.observed.arrivedAt))
-	// The module owns the deadline; this guards against a request that it has lost.
+	// The balancer owns the deadline; this guards against a request that it has lost.
 	request.stopDeadline = c.options.Clock.At(request.Deadline, request.expired)
 	if request.OpenAt != "" {
 		c.runNext(request.attemptOpenAt)
@@ -86,7 +86,7 @@
 	request.answer(LocalReply{Rejected: true, RetryAfter: retryAfter, Reason: trace.NoFileDescriptor})
 }
 
-// event is the request as the module is notified of it.
+// event is the request as the balancer is notified of it.
 func (r *Request) event() choice.Request {
 	return choice.Request{
 		ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group, Load: r.Load,
@@ -149,13 +149,13 @@
 		r.stopDeadline()
 		r.stopDeadline = nil
 	}
-	for _, stop := range r.stopModuleTimers {
+	for _, stop := range r.stopBalancerTimers {
 		stop()
 	}
-	r.stopModuleTimers = nil
+	r.stopBalancerTimers = nil
 }
 
-// expired is called at the deadline. The module should have answered before; one that has lost the request is made up
+// expired is called at the deadline. The balancer should have answered before; one that has lost the request is made up
 // for here.
 func (r *Request) expired() {
 	if !r.waiting() {
@@ -164,9 +164,9 @@
 	zap.L().Error("deadline_unanswered", zap.String("request", string(r.ID)))
 	r.rejectNow(LocalReply{Rejected: true, Reason: trace.PastDeadline})
 	r.core.runNext(func() {
-		if r.waiting() { // the module doesn't know it: what was sent may have run
+		if r.waiting() { // the balancer doesn't know it: what was sent may have run
 			r.core.notify(choice.ClientGone{ID: r.ID})
-			r.answerAndCancel(LocalReply{Rejected: r.attemptCount == 0, Reason: trace.LostByModule})
+			r.answerAndCancel(LocalReply{Rejected: r.attemptCount == 0, Reason: trace.LostByBalancer})
 		}
 	})
 }
--- a/internal/edge/server_drain.go
+++ b/internal/edge/server_drain.go
@@ -9,8 +9,8 @@
 // drainServerBy is the part of the drain grace, in tenths, after which attempts at a draining server are cancelled.
 const drainServerBy = 8
 
-// cancelUnsent ends the attempts at a server that takes nothing new any more of which no byte is out: their connections
-// may come up when its grace is over, and they find a better server now.
+// cancelUnsent cancels the attempts at a draining server of which no byte was sent: their connections might come up
+// after its grace, and now the balancer can still place them elsewhere.
 func (c *Core) cancelUnsent(server *serverState) {
 	if server.inFlight == 0 {
 		return
@@ -22,9 +22,9 @@
 	}
 }
 
-// drainServer empties a draining server: what is not open yet goes elsewhere, or gets its answer, before the
-// invariant on draining servers would forbid it; open connections migrate one by one, before the server cuts them
-// off.
+// drainServer clears a draining server: attempts without an answer are cancelled before its grace ends, when the
+// invariant monitor would object to them; open connections are migrated one by one over DrainPeriod, before the server
+// closes them.
 func (c *Core) drainServer(server *serverState) {
 	now := c.options.Clock.Now()
 	var open []*Request
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -13,23 +13,23 @@
 // of it is in flight.
 type serverState struct {
 	ServerEntry
-	connectTime     time.Duration         // the least seen: what a message takes on the way; 0: not known
-	delayObservedAt time.Time             // when the module was last notified of a message's delay here
+	connectTime     time.Duration         // the least so far, as an estimate of the round trip; 0: not known
+	delayObservedAt time.Time             // when the balancer was last notified of a message's delay here
 	slow            bool                  // as it was notified then
 	inFlight        int                   // attempts and connections there now
 	drainingSince   time.Time             // since when it is known to drain or to be gone; zero: it serves
-	slowStartCalls  *invariant.CallWindow // what this node sent it since its start; nil: it is warm
+	slowStartCalls  *invariant.CallWindow // attempts of this node in the present window; nil: it is not in slow start
 }
 
 // UpdateServers takes in an update of the endpoint list.
 func (c *Core) UpdateServers(kind choice.ListKind, list []ServerEntry) {
 	now := c.options.Clock.Now()
-	received := c.moduleTime(now)
+	received := c.balancerTime(now)
 	corrected := c.startTimes.observeAll(list, received)
 	update := choice.ServerList{Kind: kind}
 	var draining []*serverState
 	for _, entry := range list {
-		entry.SlowStartSince = c.startTimes.moduleTime(entry.Started)
+		entry.SlowStartSince = c.startTimes.balancerTime(entry.Started)
 		update.Servers = append(update.Servers, entry.Server)
 		if server, drains := c.updateServer(entry, now); drains {
 			draining = append(draining, server)
@@ -110,7 +110,7 @@
 	return draining
 }
 
-// forgetGoneServers drops the servers that are gone and have nothing in flight; the module has its own list.
+// forgetGoneServers drops the servers that are gone and have nothing in flight; the balancer has its own list.
 func (c *Core) forgetGoneServers() {
 	for id, server := range c.servers {
 		if server.State == choice.Gone && server.inFlight == 0 {
@@ -131,7 +131,7 @@
 		if inUpdate || server.Started <= 0 {
 			continue
 		}
-		server.SlowStartSince = c.startTimes.moduleTime(server.Started)
+		server.SlowStartSince = c.startTimes.balancerTime(server.Started)
 		corrected = append(corrected, server.Server)
 	}
 	slices.SortFunc(corrected, func(a, b choice.Server) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/edge/start_times.go
+++ b/internal/edge/start_times.go
@@ -6,20 +6,20 @@
 	"spurwinch/choice"
 )
 
-// startTimeClock computes by the module's clock when servers started. The endpoint list gives it in Unix time; this
+// startTimeClock computes by the balancer's clock when servers started. The endpoint list gives it in Unix time; this
 // process knows Unix time from its own start on, by a wall clock that may have been stepped then. Two things are
 // sure: no server starts later than the list names it, and one that is new to a list that was being watched has not
 // started long before the list was last received.
 type startTimeClock struct {
-	offset         time.Duration                     // of the module's clock from the list's
-	lastReceivedAt time.Duration                     // when this list last came, by the module's clock; 0: never
+	offset         time.Duration                     // of the balancer's clock from the list's
+	lastReceivedAt time.Duration                     // when this list last came, by the balancer's clock; 0: never
 	reported       map[choice.ServerID]time.Duration // starts as the list has them
 }
 
 const (
 	// listDelay is about how long discovery takes to report a start.
 	listDelay = 3 * time.Second
-	// clockSkew is how far the clocks of sound machines differ.
+	// clockSkew is how far the clocks of synchronized machines differ.
 	clockSkew = 100 * time.Millisecond
 	// maxGoneStarts is how many starts of servers that are gone are cached: one that comes back as it was has not
 	// started anew.
@@ -45,7 +45,7 @@
 		s.reported = map[choice.ServerID]time.Duration{}
 	}
 	s.reported[server.ID] = server.Started
-	age := now - s.moduleTime(server.Started)
+	age := now - s.balancerTime(server.Started)
 	if age >= -clockSkew && (s.lastReceivedAt == 0 || age <= now-s.lastReceivedAt+listDelay) {
 		return false
 	}
@@ -53,8 +53,8 @@
 	return true
 }
 
-// moduleTime turns a start as the list has it into the module's clock; 0: it started long ago.
-func (s *startTimeClock) moduleTime(started time.Duration) time.Duration {
+// balancerTime converts a start as the list has it to the balancer's clock; 0: it started long ago.
+func (s *startTimeClock) balancerTime(started time.Duration) time.Duration {
 	if started <= 0 {
 		return 0
 	}
--- a/internal/edge/start_times_test.go
+++ b/internal/edge/start_times_test.go
@@ -36,7 +36,7 @@
 	return ServerEntry{Server: choice.Server{ID: id, Size: 1, Started: time.Duration(at.UnixNano())}}
 }
 
-// slowStart reports whether a server is warming up for the module.
+// slowStart reports whether a server is warming up for the balancer.
 func (w *world) slowStart(id choice.ServerID) bool {
 	_, slowStart := w.core.balancer.SlowStartRate(id)
 	return slowStart
--- a/internal/edge/timers_test.go
+++ b/internal/edge/timers_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestClientGoneBeforeFlush has a client ask and go before the module is notified: it never is, and nothing is to be
+// TestClientGoneBeforeFlush has a client ask and go before the balancer is notified: it never is, and nothing is to be
 // sent for nobody.
 func TestClientGoneBeforeFlush(t *testing.T) {
 	logged, lines := observer.New(zapcore.ErrorLevel)
--- a/internal/edge/transfer.go
+++ b/internal/edge/transfer.go
@@ -117,14 +117,14 @@
 	r.forgetIfDone()
 }
 
-// LearnedState is what the module has learned so far, for another process.
+// LearnedState is what the balancer has learned so far, for another process.
 func (c *Core) LearnedState() choice.LearnedState {
 	state := c.balancer.LearnedState()
-	state.Now = c.moduleTime(c.options.Clock.Now())
+	state.Now = c.balancerTime(c.options.Clock.Now())
 	return state
 }
 
-// ImportLearnedState hands the module what that of another process has learned.
+// ImportLearnedState hands the balancer what that of another process has learned.
 func (c *Core) ImportLearnedState(state choice.LearnedState) {
 	c.notify(choice.LearnedStateReceived{LearnedState: state})
 }
@@ -142,7 +142,7 @@
 	request.guard = c.options.Monitor.Adopted(invariant.RequestFacts{ID: string(state.ID), Class: state.Class})
 	attempt.server.inFlight++
 	request.attempt = attempt
-	if c.requests[state.ID] != nil { // an id that is open here: the module knows the first only, and this one goes
+	if c.requests[state.ID] != nil { // an id that is open here: the balancer knows the first only, and this one goes
 		c.options.Clock.At(now, request.migrate)
 		return request, attempt
 	}
--- a/internal/failover/doc.go
+++ b/internal/failover/doc.go
@@ -3,12 +3,12 @@
 //
 // The decisions pass through these stages:
 //
-//   - Evidence. Each node summarizes what its placement module observed (Summarize). The aggregators of a zone add up
+//   - Evidence. Each node summarizes what its load balancer observed (Summarize). The aggregators of a zone add up
 //     the evidence of its nodes (EvidenceSummary.Add) and send it to the leader of the fleet.
 //   - Planning. At the leader, a Planner takes the evidence in (Planner.Observe), estimates demand and capacity, moves
 //     each zone through its states (healthy, lost, returning, drained) and makes a Plan where one is wanted
 //     (Planner.Step). The plan is proposed to the consensus log, and counts once it is decided (Planner.ApplyPlan).
-//   - Use. Each node turns the newest plan that it has persisted into what its placement module goes by (ZonePlanFor).
+//   - Use. Each node turns the newest plan that it has persisted into what its load balancer goes by (ZonePlanFor).
 //     What a node needs beyond its share it requests (LeaseDemand) from the owners of capacity leases (LeaseOwner).
 //
 // Nodes adopt plans at different times, and a node that hears nothing keeps the plan that it has. Grants are therefore
--- a/internal/failover/evidence_sum.go
+++ b/internal/failover/evidence_sum.go
@@ -6,7 +6,7 @@
 	"spurwinch/choice"
 )
 
-// Summarize makes a node's evidence of what its placement module observed.
+// Summarize makes a node's evidence of what its load balancer observed.
 func Summarize(
 	zone string, classes []string, observed choice.Observations, status NodeStatus,
 ) EvidenceSummary {
--- a/internal/failover/lease_demand.go
+++ b/internal/failover/lease_demand.go
@@ -14,9 +14,9 @@
 	ejectedZoneFraction = 0.5  // of a zone's servers that are ejected: from this on nothing is leased there
 )
 
-// LeaseDemand is the load that a node of a zone wants to lease, by zone, after what its module observed in the elapsed
-// time. recentPeak is the node's recent peak load, leased what it has leased, and exhausted are the zones
-// whose owners granted less than was requested.
+// LeaseDemand is the load that a node of a zone wants to lease, by zone, after what its balancer observed in the
+// elapsed time. recentPeak is the node's recent peak load, leased what it has leased, and exhausted are the zones whose
+// owners granted less than was requested.
 func LeaseDemand(
 	mode Mode, plan *Plan, node int, zone string, observed choice.Observations, elapsed time.Duration,
 	recentPeak float64, leased map[string]float64, exhausted map[string]bool,
--- a/internal/failover/zone_plan.go
+++ b/internal/failover/zone_plan.go
@@ -57,7 +57,7 @@
 	return shares
 }
 
-// ZonePlanFor is what the placement module of a node goes by. zone is the node's own and classes are its classes, by
+// ZonePlanFor is what the load balancer of a node goes by. zone is the node's own and classes are its classes, by
 // their places there; retryAfter is the advice to clients that are rejected.
 func ZonePlanFor(
 	mode Mode, plan *Plan, node int, zone string, classes []string, retryAfter time.Duration, leased LeasedCapacity,
@@ -153,7 +153,7 @@
 }
 
 // ownLoad is what the node may have in its own zone by the plan. It is more than its even part: all nodes together have
-// it only when more is wanted than was estimated. Then the servers' own reports, without which no module places
+// it only when more is wanted than was estimated. Then the servers' own reports, without which no balancer places
 // anything, keep the last part of their capacity; a guest leaves more of that to the zone's own clients.
 func (u *planUser) ownLoad() float64 {
 	zone := &u.plan.Zones[u.own]
--- a/internal/failover/zone_plan_test.go
+++ b/internal/failover/zone_plan_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestZonePlanFor holds what a node's module goes by, as cases.
+// TestZonePlanFor holds what a node's balancer goes by, as cases.
 func TestZonePlanFor(t *testing.T) {
 	plan := twoRegionPlan()
 	if _, err := DecodePlan(plan.Encode()); err != nil {
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -28,7 +28,7 @@
 	}
 	for i, why := range []Reason{
 		Stopping, NoFileDescriptor, NoPolicy, IDInUse, ServerLost, PastDeadline, Unreachable,
-		LostByModule, UnsafeToReject,
+		LostByBalancer, UnsafeToReject,
 	} {
 		for range 31 + i {
 			recorder.Answered("request", i%2 == 0, why)
--- a/internal/trace/reason.go
+++ b/internal/trace/reason.go
@@ -4,7 +4,7 @@
 // know.
 type Reason string
 
-// The reasons of answers that no decision of the module stands behind; choice.Reason has the module's.
+// The reasons of answers that no decision of the balancer stands behind; choice.Reason has the balancer's.
 const (
 	// Stopping: the node is draining.
 	Stopping Reason = "node_stopping"
@@ -20,9 +20,9 @@
 	PastDeadline Reason = "past_deadline"
 	// Unreachable: the server of a connection that was open before the node started can't be reached.
 	Unreachable Reason = "standing_host_unreachable"
-	// LostByModule: the module did not answer by the deadline.
-	LostByModule Reason = "lost_by_module"
-	// UnsafeToReject: the module meant to promise that a retry is harmless, and the invariant monitor objected.
+	// LostByBalancer: the balancer did not answer by the deadline.
+	LostByBalancer Reason = "lost_by_module"
+	// UnsafeToReject: the balancer meant to promise that a retry is harmless, and the invariant monitor objected.
 	UnsafeToReject Reason = "unsafe_to_refuse"
 )
 
