--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -28,6 +28,6 @@
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("the figures are told as\n%s\nwant\n%s", got.String(), want)
+		t.Errorf("the figures are\n%s\nwant\n%s", got.String(), want)
 	}
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -37,7 +37,7 @@
 	r.Ended(true)
 }
 
-// neverSent is an attempt of which no byte went out.
+// neverSent is an attempt of which no byte was sent.
 func neverSent(r *Request) {
 	r.Start(server, begin)
 	r.Ended(true)
@@ -147,17 +147,17 @@
 // cause.
 var closeHistories = []history{
 	{
-		name: "refused, nothing ran", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
+		name: "rejected, nothing ran", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
 		before: neverSent,
 		step:   func(r *Request) Rule { return r.Answer(true, begin) },
 	},
 	{
-		name: "refused, may have run", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRejection,
+		name: "rejected, may have run", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRejection,
 		before: ran,
 		step:   func(r *Request) Rule { return r.Answer(true, begin) },
 	},
 	{
-		name: "refused, may run yet", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRejection,
+		name: "rejected, may run yet", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRejection,
 		before: func(r *Request) {
 			r.Start(server, begin)
 			r.Send(server, begin)
@@ -165,12 +165,12 @@
 		step: func(r *Request) Rule { return r.Answer(true, begin) },
 	},
 	{
-		name: "keyed in all, refused", class: class(choice.IdempotentByKey, choice.ScopeAll), want: Holds,
+		name: "keyed in all, rejected", class: class(choice.IdempotentByKey, choice.ScopeAll), want: Holds,
 		before: ran,
 		step:   func(r *Request) Rule { return r.Answer(true, begin) },
 	},
 	{
-		name: "keyed in a zone, refused", class: class(choice.IdempotentByKey, choice.ScopeZone),
+		name: "keyed in a zone, rejected", class: class(choice.IdempotentByKey, choice.ScopeZone),
 		want:   UnsafeRejection,
 		before: ran,
 		step:   func(r *Request) Rule { return r.Answer(true, begin) },
@@ -217,7 +217,7 @@
 		step: func(r *Request) Rule { return r.Close(ByNode, false) },
 	},
 	{
-		name: "an open connection, moved", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		name: "an open connection, migrated", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
 		before: func(r *Request) {
 			r.Served(true, begin)
 		},
--- a/internal/loop/close.go
+++ b/internal/loop/close.go
@@ -65,8 +65,8 @@
 	c.close()
 }
 
-// fail closes a connection that failed and tells the handler. What the other side said before lies in the socket yet,
-// and is read first: its last answer may be there.
+// fail closes a connection that failed and reports it to the handler. Data that the socket still holds is read first:
+// the peer's last answer may be there.
 func (c *Conn) fail(err error) {
 	if !c.closed && !c.failing {
 		c.failing = true
@@ -81,7 +81,7 @@
 	}
 }
 
-// closeWrite sends the end of this side, and waits for the other side's.
+// closeWrite sends the end of this side (FIN), and waits for the peer's.
 func (c *Conn) closeWrite() {
 	if c.peerEnded {
 		c.close()
@@ -95,7 +95,7 @@
 	c.updateWatch()
 }
 
-// linger waits for the other side's end, as long as it goes on sending within the bounds.
+// linger waits for the peer's end, for as long as it sends within maxLinger and maxDiscarded.
 func (c *Conn) linger() {
 	c.receivedInLinger = false
 	until := c.loop.Now().Add(lingerTimeout)
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -18,13 +18,13 @@
 	maxReads = 8
 )
 
-// Handler takes what happens on a connection. After OnEnd with an error other than io.EOF the connection is closed;
-// after io.EOF the other side sends no more, but can still be written to. After End or Abort nothing is called.
+// Handler receives the events of a connection. After OnEnd with an error other than io.EOF the connection is closed;
+// after io.EOF the peer sends no more, but can still be written to. After End or Abort nothing is called.
 type Handler interface {
 	OnConnect()         // a dialled connection is up
 	OnData(data []byte) // data is the loop's: keep no reference to it
 	OnEnd(err error)
-	OnDrained() // all that waited to be written is with the kernel
+	OnDrained() // all pending data was written to the kernel
 }
 
 // Conn is one stream connection.
@@ -34,7 +34,7 @@
 	loop             *Loop
 	fd               int // -1: a dial has no socket yet
 	handler          Handler
-	pending          []byte // waits to be written
+	pending          []byte // not written yet
 	connected        bool
 	peerEnded        bool // the other side sends no more
 	paused           bool
@@ -44,7 +44,7 @@
 	writeFailed      bool // a write failed: not all that was to be written is with the kernel
 	failing          bool // fail was called: what lay in the socket was read
 	uncounted        bool // not among the loop's open connections
-	detached         bool // its socket is touched by nobody here: see Detach
+	detached         bool // nothing here uses its socket: see Detach
 	onDescriptors    func(fds []int)
 	watched          int // what the poller watches: a sum of watchRead and watchWrite
 	stopTimer        func()
@@ -76,7 +76,7 @@
 // Sent reports whether all that was to be written is with the kernel. It stays true to the end of the connection.
 func (c *Conn) Sent() bool { return c.connected && len(c.pending) == 0 && !c.writeFailed }
 
-// Write sends data, or keeps what the kernel does not take yet.
+// Write writes data, and queues what the kernel does not take yet.
 func (c *Conn) Write(data []byte) {
 	// Nothing may follow what a failed write has lost: the other side would find bytes missing in the middle.
 	if c.closed || c.writeClosed || c.ending || c.writeFailed || len(data) == 0 {
@@ -146,7 +146,7 @@
 	switch {
 	case err == nil:
 		c.watched = wanted
-	case isScarce(err): // what the poller watches now is not known: nothing, to begin with
+	case isResourceShortage(err): // what the poller watches now is not known: nothing, to begin with
 		_ = l.kernel.Watch(l.poller, c.fd, c.watched, 0) // the next call finds what this one leaves
 		c.watched = 0
 		l.At(l.Now().Add(transientRetryPause), c.updateWatch)
@@ -158,7 +158,7 @@
 
 // handleEvents handles what the poller has found.
 func (c *Conn) handleEvents(events uint32) {
-	if c.detached { // an event that was due already; what it tells of is another process's to read
+	if c.detached { // an event that was due already: another process reads the socket now
 		return
 	}
 	if !c.connected {
@@ -195,9 +195,9 @@
 	c.updateWatch()
 }
 
-// ReadAvailable reads what lies in the socket now, to its end if that is there: before something is decided that it may
-// change. Not from within OnData, whose bytes it would overwrite. A handler may find itself called, and the connection
-// over, when it returns.
+// ReadAvailable reads the data that the socket holds now, before a decision that this may change. It must not be called
+// from within OnData, whose bytes it would overwrite. The handler may be called by it, and the connection have ended
+// when it returns.
 func (c *Conn) ReadAvailable() {
 	for range maxReads {
 		if c.closed || c.ending || c.detached || c.paused || c.peerEnded || !c.connected || !c.read() {
--- a/internal/loop/datagram.go
+++ b/internal/loop/datagram.go
@@ -14,8 +14,8 @@
 	datagramMemory = 1 << 10
 )
 
-// Datagrams is a UDP socket on the loop. Nothing is kept for a later send: what the kernel doesn't take is lost, as on
-// the way.
+// Datagrams is a UDP socket on the loop. It has no queue of its own: a datagram that the kernel doesn't take is lost,
+// as it may be in the network.
 type Datagrams struct {
 	loop    *Loop
 	fd      int
@@ -26,8 +26,8 @@
 // DatagramHandler takes a datagram. Its data is the loop's: keep no reference to it.
 type DatagramHandler = func(from netip.AddrPort, data []byte)
 
-// ListenDatagrams takes datagrams at an address from now on. Of a datagram longer than maxSize bytes, handle gets
-// maxSize+1, so that it can tell.
+// ListenDatagrams receives datagrams at an address from now on. Of a datagram longer than maxSize bytes, handle gets
+// the first maxSize+1, by which it can recognize it.
 func (l *Loop) ListenDatagrams(
 	address string, maxSize int, handle DatagramHandler,
 ) (*Datagrams, netip.AddrPort, error) {
@@ -74,8 +74,8 @@
 	return d, bound, nil
 }
 
-// SetReceiveBuffer has the system keep so many short datagrams that wait to be read, as far as it lets a process: what
-// comes on top is lost.
+// SetReceiveBuffer sizes the kernel's receive buffer for a number of short datagrams, as far as the system allows a
+// process. Further ones are lost until some are read.
 func (d *Datagrams) SetReceiveBuffer(datagrams int) {
 	wanted := datagrams * datagramMemory
 	present, err := unix.GetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_RCVBUF)
@@ -111,10 +111,10 @@
 	closeFD(d.fd)
 }
 
-// FD is the socket, for another process to hold as well.
+// FD is the socket's descriptor, to send to another process.
 func (d *Datagrams) FD() int { return d.fd }
 
-// Send sends data, or loses it.
+// Send sends a datagram. After an error it is lost; the caller may ignore that as it would a loss in the network.
 func (d *Datagrams) Send(to netip.AddrPort, data []byte) error {
 	address, family := toSockaddr(to)
 	if family != d.family {
--- a/internal/loop/dial.go
+++ b/internal/loop/dial.go
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial starts a connection that must be up by the deadline. The handler hears of a failure through OnEnd, never before
-// Dial has returned. What this machine lacks for a moment is waited for.
+// Dial starts a connection that must be established by the deadline. A failure is reported to the handler's OnEnd,
+// never before Dial has returned: a LocalError after a shortage on this machine, for which Dial retries until the
+// deadline, ErrTimeout, or what the network has reported.
 func (l *Loop) Dial(address string, deadline time.Time, handler Handler) *Conn {
 	c := &Conn{loop: l, fd: -1, handler: handler}
 	server, err := netip.ParseAddrPort(address)
@@ -22,7 +23,7 @@
 	return c
 }
 
-// dial begins to connect, now or when this machine has what it takes.
+// dial begins to connect, and retries while this machine is short of resources or has no route.
 func (c *Conn) dial(server netip.AddrPort, deadline time.Time) {
 	eventLoop := c.loop
 	err := c.startConnect(server)
@@ -32,9 +33,9 @@
 		eventLoop.handlers[c.fd] = c.handleEvents
 		c.updateWatch()
 		c.stopTimer = eventLoop.At(deadline, func() { c.fail(ErrTimeout) })
-	case (isScarce(err) || isOneOf(err, unix.ENETUNREACH)) && retry.Before(deadline):
+	case (isResourceShortage(err) || isOneOf(err, unix.ENETUNREACH)) && retry.Before(deadline):
 		c.stopTimer = eventLoop.At(retry, func() { c.dial(server, deadline) })
-	case isScarce(err):
+	case isResourceShortage(err):
 		c.stopTimer = eventLoop.At(eventLoop.Now(), func() { c.fail(&LocalError{err}) })
 	default:
 		c.stopTimer = eventLoop.At(eventLoop.Now(), func() { c.fail(err) })
--- a/internal/loop/errors.go
+++ b/internal/loop/errors.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// How failures of system calls are told apart: those of the other side or of the way to it end a connection; those of
-// this machine are transient, and what they hindered is done again.
+// Classes of failed system calls: failures of the peer or of the network end a connection; failures of this machine are
+// transient, and the call is retried.
 
 const (
-	maxInterrupts       = 64                   // of one call in a row; then the next poll brings it again
-	transientRetryPause = 5 * time.Millisecond // until a call that failed for want of something here is made again
+	maxInterrupts       = 64                   // of one call in a row; after that it counts as one that would block
+	transientRetryPause = 5 * time.Millisecond // before a call is retried that failed for a shortage on this machine
 )
 
 var (
@@ -24,11 +24,11 @@
 	errDescriptorsLost = errors.New("descriptors were lost on the way: no room for them here")
 )
 
-// LocalError is a connection that was not made for want of something on this machine: it says nothing of the other
-// side.
+// LocalError is the error of a dial that failed for a shortage on this machine (see isResourceShortage): it is no
+// evidence against the server.
 type LocalError struct{ cause error }
 
-// Error says what was wanting.
+// Error names the failed call.
 func (e *LocalError) Error() string {
 	return "not connected for want of something here: " + e.cause.Error()
 }
@@ -36,7 +36,7 @@
 // Unwrap is the cause.
 func (e *LocalError) Unwrap() error { return e.cause }
 
-// IsLocal reports whether a connection failed for want of something on this machine.
+// IsLocal reports whether an error is a LocalError.
 func IsLocal(err error) bool {
 	var local *LocalError
 	return errors.As(err, &local)
@@ -51,16 +51,17 @@
 	return false
 }
 
-// isScarce says that this machine lacks something for a moment: descriptors, memory, ports.
-func isScarce(err error) bool {
+// isResourceShortage reports whether a call failed because this machine is short of something for a moment:
+// descriptors, memory, ports.
+func isResourceShortage(err error) bool {
 	return isOneOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EADDRNOTAVAIL,
 		unix.EAGAIN)
 }
 
-// IsTransient says that a call failed in a way that passes: for want of something on this machine, or since its disk
-// did not answer.
+// IsTransient reports whether a call may succeed if it is retried: it failed for a shortage on this machine, an
+// interruption, or an error of its disk.
 func IsTransient(err error) bool {
-	return isScarce(err) || isOneOf(err, unix.EINTR, unix.EIO, unix.ESTALE)
+	return isResourceShortage(err) || isOneOf(err, unix.EINTR, unix.EIO, unix.ESTALE)
 }
 
 // uninterrupted makes a call until no signal interrupts it. One that the kernel has no memory for has done nothing,
--- a/internal/loop/idle.go
+++ b/internal/loop/idle.go
@@ -2,10 +2,9 @@
 
 import "container/list"
 
-// Descriptors for those who have something to say. Clients that connect and say nothing, or that linger after their
-// answer, could otherwise hold all descriptors, and the next one that comes would be cut off, whoever it is. So they
-// wait in one queue, oldest first, and above a number of connections the oldest is evicted whenever another one
-// comes, or asks for something.
+// Eviction of idle connections. Clients that connect and send nothing, or stay connected after their answer, could
+// occupy all descriptors. So they are in one queue, oldest first, and above a number of open connections the oldest is
+// evicted whenever another one is accepted or needs a descriptor.
 
 const (
 	minHighWater = 4 << 10  // bytes
@@ -15,12 +14,12 @@
 	pendingMemoryPart = 8
 )
 
-// Evictable is a handler whose connection may be wanted for another one before it has said what it wants. Evict gives
-// it its answer; the connection ends right after.
+// Evictable is a handler whose connection may be evicted while it is idle. Evict is called to send a last answer; the
+// connection is closed right after.
 type Evictable interface{ Evict() }
 
 // Limit sets the number of connections from which on idle ones are evicted, and sizes the buffers so that all of
-// maxConnections fit the memory (bytes). 0: not told. Of several limits the tightest holds.
+// maxConnections fit the memory (bytes). 0: not known. Of several limits the tightest holds.
 func (l *Loop) Limit(idleAbove, maxConnections int, memory int64) {
 	if idleAbove > 0 && (l.ownIdleLimit == 0 || idleAbove < l.ownIdleLimit) {
 		l.idleLimit = idleAbove
@@ -66,7 +65,7 @@
 	}
 }
 
-// LeaveIdleQueue takes a connection out of the queue: it has said what it wants and stays.
+// LeaveIdleQueue takes a connection out of the queue: it has a request now, and is not evicted.
 func (c *Conn) LeaveIdleQueue() {
 	if c.idleElement != nil {
 		c.loop.idleQueue.Remove(c.idleElement)
@@ -74,8 +73,8 @@
 	}
 }
 
-// CloseIdle answers and ends each connection that has not said what it wants, but for what its socket holds by now:
-// at a graceful shutdown, whose end would cut them off with their words unread.
+// CloseIdle evicts all idle connections, at a graceful shutdown. Data that their sockets hold is read first: a
+// connection that so gets a request stays.
 func (l *Loop) CloseIdle() {
 	var idle []*Conn
 	for element := l.idleQueue.Front(); element != nil; element = element.Next() {
@@ -99,7 +98,7 @@
 }
 
 // EvictIdle evicts the oldest idle connections, until there are no more than open connections or none that is idle.
-// What they have said meanwhile is read first: within OnData, its data is overwritten when EvictIdle returns.
+// Data that their sockets hold is read first: within OnData, its data is overwritten when EvictIdle returns.
 func (l *Loop) EvictIdle(open int) {
 	for element := l.idleQueue.Front(); element != nil && l.open > open; {
 		c := connOf(element)
@@ -113,8 +112,8 @@
 	}
 }
 
-// evict ends a connection that has not spoken. What it may have said meanwhile is read first: a client whose words have
-// arrived must not go because the loop hasn't come to read them.
+// evict ends an idle connection. Data that its socket holds is read first: a client whose request has arrived must not
+// be evicted because the loop has not read it yet.
 func (c *Conn) evict(element *list.Element) {
 	c.ReadAvailable()
 	if c.closed || c.idleElement != element {
--- a/internal/loop/kernel.go
+++ b/internal/loop/kernel.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Kernel is the system calls that connections live by. Tests put others in its place, which fail as Linux documents.
+// Kernel is the system calls of connections. Tests replace it by one whose calls fail in the ways that Linux documents.
 type Kernel interface {
 	Socket(family int) (fd int, err error)
 	Connect(fd int, to unix.Sockaddr) error
@@ -40,7 +40,7 @@
 // Write writes what the kernel takes at once.
 func (Linux) Write(fd int, data []byte) (int, error) { return unix.Write(fd, data) }
 
-// Drop takes bytes without copying them: nothing is written to into.
+// Drop discards bytes of a socket without copying them: nothing is written to into.
 func (Linux) Drop(fd int, into []byte) (int, error) {
 	size, _, err := unix.Recvfrom(fd, into, unix.MSG_TRUNC)
 	return size, err
--- a/internal/loop/listen.go
+++ b/internal/loop/listen.go
@@ -11,8 +11,8 @@
 
 const listenBacklog = 1024
 
-// Listener is a listening socket on the loop. The socket may be held by another process as well; each connection is
-// then accepted by one of them.
+// Listener is a listening socket on the loop. Another process may have the socket open as well; each connection is then
+// accepted by one of them.
 type Listener struct {
 	Addr netip.AddrPort // none for a Unix socket
 	// ReusePort says that another process listened at the address when this socket was made.
@@ -44,13 +44,13 @@
 	}
 	listener := &Listener{Addr: bound, loop: l, accept: accept, uncounted: uncounted}
 	if !uncounted { // bound alone first, since a shared address doesn't tell whether somebody is there
-		fd, err := bind(bound, false)
+		fd, err := bindSocket(bound, false)
 		if err == nil {
 			closeFD(fd)
 		}
 		listener.ReusePort = errors.Is(err, unix.EADDRINUSE)
 	}
-	listener.fd, err = bind(bound, !uncounted)
+	listener.fd, err = bindSocket(bound, !uncounted)
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", address, err)
 	}
@@ -65,8 +65,9 @@
 	return listener, nil
 }
 
-// bind makes a socket that is bound to an address. A shared address is one that several sockets may be bound to.
-func bind(address netip.AddrPort, shared bool) (int, error) {
+// bindSocket creates a TCP socket that is bound to an address; shared lets several sockets be bound to it
+// (SO_REUSEPORT).
+func bindSocket(address netip.AddrPort, shared bool) (int, error) {
 	local, family := toSockaddr(address)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -107,10 +108,10 @@
 	return nil
 }
 
-// FD is the socket, for another process to hold as well.
+// FD is the socket's descriptor, to send to another process.
 func (k *Listener) FD() int { return k.fd }
 
-// Close ends accepting. Where another process holds the socket, what waits there is that one's.
+// Close closes the socket. Where another process has it open as well, pending connections stay for that one.
 func (k *Listener) Close() {
 	if k.listening {
 		k.listening = false
@@ -120,9 +121,9 @@
 	}
 }
 
-// PreferNewest has the kernel give new connections to the newer of two listeners at the address; what waits here is
-// still accepted. It means nothing where this one is alone. Guards against connections that are reset with the queue
-// of a listener that closes.
+// PreferNewest has the kernel give new connections to the newer of two listeners at the address, and has no effect
+// where this one is alone. Pending connections are still accepted here; without this, more would be pending when the
+// listener closes, and be reset.
 func (k *Listener) PreferNewest() {
 	if !k.listening {
 		return
@@ -153,7 +154,7 @@
 		case isOneOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO): // at most that one connection is gone
 			continue
 		case err != nil:
-			k.pause(err)
+			k.pauseAccepting(err)
 			return
 		}
 		c := k.serve(fd, from)
@@ -164,7 +165,8 @@
 	}
 }
 
-// serve has a connection that was accepted be served; nil: nobody serves it.
+// serve makes a connection of an accepted socket and gives it to its handler; nil: accept returned none, and it is
+// closed.
 func (k *Listener) serve(fd int, from unix.Sockaddr) *Conn {
 	setOptions(fd)
 	conn := k.loop.newConn(fd, k.uncounted)
@@ -183,9 +185,9 @@
 	return conn
 }
 
-// acceptWithSpare accepts with the descriptor that is kept back. Guards against a listener that spins, and clients that
-// hang, when descriptors run out: who comes then is heard, and goes with an answer. Where they were short for a moment
-// only, the spare one is back at once.
+// acceptWithSpare accepts a connection in place of the spare descriptor, when there is no other left: its client gets
+// an answer, and the listener does not spin. Where descriptors were exhausted for a moment only, the spare is opened
+// again at once.
 func (l *Loop) acceptWithSpare(listener int) (fd int, from unix.Sockaddr, err error) {
 	if l.spareFD < 0 {
 		l.openSpare()
@@ -200,19 +202,20 @@
 	return fd, from, err
 }
 
-// pause looks away from the listener for a moment: what keeps it from accepting would wake the loop again and again.
-func (k *Listener) pause(cause error) {
+// pauseAccepting stops watching the listener for transientRetryPause: a pending connection that can't be accepted would
+// wake the loop again and again.
+func (k *Listener) pauseAccepting(cause error) {
 	zap.L().Warn("accept_failed", zap.Error(cause))
 	k.loop.unwatch(k.fd)
 	k.loop.At(k.loop.Now().Add(transientRetryPause), k.resume)
 }
 
-// resume watches the listener again.
+// resume watches the listener again after pauseAccepting.
 func (k *Listener) resume() {
 	if !k.listening {
 		return
 	}
 	if err := k.loop.kernel.Watch(k.loop.poller, k.fd, 0, watchRead); err != nil {
-		k.pause(err)
+		k.pauseAccepting(err)
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -29,7 +29,7 @@
 	timersYielded bool // late timers wait for what lies ready
 	afterCallback []func()
 	readBuffer    [readSize]byte
-	spareFD       int // kept back, to answer a client when there is no other descriptor left; -1: none
+	spareFD       int // reserved, to answer a client when no other descriptor is left; -1: none
 	stopping      bool
 	open          int
 	idleQueue     list.List // of *Conn that may be evicted, oldest first: see idle.go
@@ -121,7 +121,7 @@
 // Serves reports whether a descriptor is one of the loop's.
 func (l *Loop) Serves(fd int) bool { return l.handlers[fd] != nil }
 
-// Close closes all that the loop served, as the process's end would. It is called once Run has returned.
+// Close closes all descriptors of the loop, as the end of the process would. It is called once Run has returned.
 func (l *Loop) Close() {
 	delete(l.handlers, l.posts.fd)
 	l.posts.close()
@@ -148,7 +148,7 @@
 	l.armTimer()
 }
 
-// openSpare opens the descriptor that is kept back, if there is one left.
+// openSpare opens the reserved descriptor, if there is one left.
 func (l *Loop) openSpare() {
 	fd, err := unix.Open(os.DevNull, unix.O_RDONLY|unix.O_CLOEXEC, 0)
 	if err != nil {
--- a/internal/loop/post.go
+++ b/internal/loop/post.go
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// postQueue holds the functions that other goroutines have the loop run. Its own descriptor wakes the loop, and not
-// gnet's: there a write that is interrupted leaves a mark that the loop was woken, and no later one wakes it.
+// postQueue holds the functions that other goroutines have the loop run. It wakes the loop by a descriptor of its own,
+// not by gnet's: there an interrupted write leaves the flag set that the loop was woken, and no later one wakes it.
 type postQueue struct {
 	fd      int // an eventfd, readable while functions wait
 	mu      sync.Mutex
 	waiting []func()
-	closed  bool // its descriptor is somebody else's, perhaps
+	closed  bool // the descriptor's number may belong to another file by now
 }
 
 func newPostQueue() (*postQueue, error) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// close gives the descriptor up; who posts later is not heard.
+// close closes the descriptor; functions that are posted later are dropped.
 func (p *postQueue) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/loop/socket.go
+++ b/internal/loop/socket.go
@@ -19,8 +19,7 @@
 	}
 }
 
-// closeFD closes a descriptor. It is gone whatever close returns, and what a socket still had to write is lost or not
-// without a word: there is nothing to do about an error.
+// closeFD closes a descriptor. It is closed whatever close returns, so there is nothing to do about an error.
 func closeFD(fd int) { _ = unix.Close(fd) }
 
 // setNonblock has calls on a descriptor return instead of waiting. It fails only for what is no descriptor, as the next
--- a/internal/loop/transfer.go
+++ b/internal/loop/transfer.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connections that change their process. One that is detached is off the poller: nobody here reads or writes it. It
-// comes back, or this process closes its copy of the socket, which another one holds by then.
+// Connections that are transferred to another process. A detached one is off the poller: nothing here reads or writes
+// it. It is reattached, or released once another process has a copy of its socket.
 
 // ConnectionState is what a process knows of a connection beside its socket.
 type ConnectionState struct {
@@ -15,13 +15,14 @@
 	Paused bool   `cbor:"2,keyasint,omitempty"`
 }
 
-// Times change their process as spans: the other one's wall clock may be stepped before or while it runs.
+// Times are transferred as durations from now, since the other process's wall clock may be stepped before or while it
+// runs.
 
-// TimeLeft is a time as it is told to another process: nanoseconds until it, at least one.
+// TimeLeft encodes a time for another process: nanoseconds until it, at least one.
 func TimeLeft(now, at time.Time) int64 { return max(1, int64(at.Sub(now))) }
 
-// TimeFromLeft is a time that another process has told by TimeLeft. Where that one is of a release that tells Unix time
-// only (unixNano), left is 0, and what its clock and this one's make of it is held within longest.
+// TimeFromLeft decodes a time that another process has encoded by TimeLeft, at most longest from now. A release that
+// sends Unix time only (unixNano) leaves left at 0.
 func TimeFromLeft(now time.Time, left, unixNano int64, longest time.Duration) time.Time {
 	if left == 0 {
 		left = int64(time.Unix(0, unixNano).Sub(now))
@@ -29,8 +30,8 @@
 	return now.Add(min(max(time.Duration(left), 0), longest))
 }
 
-// Detach takes an established connection off the poller and tells its socket and state. ok is false for one that is no
-// longer what its socket says: it ends, has ended, or had a write fail.
+// Detach takes an established connection off the poller and returns its socket and state. ok is false for one that is
+// ending, has ended, or had a write fail.
 func (c *Conn) Detach() (fd int, state ConnectionState, ok bool) {
 	if c.closed || c.ending || c.peerEnded || c.writeFailed || !c.connected || c.detached {
 		return -1, state, false
@@ -51,8 +52,8 @@
 	}
 }
 
-// Release closes this process's copy of a detached connection's socket. The connection stays with whoever else holds
-// it.
+// Release closes this process's copy of a detached connection's socket. The connection stays open by the other
+// process's.
 func (c *Conn) Release() {
 	if c.detached {
 		c.close()
--- a/internal/loop/unix.go
+++ b/internal/loop/unix.go
@@ -16,8 +16,8 @@
 // unixBacklog is the number of processes that may wait to be accepted at a Unix socket.
 const unixBacklog = 4
 
-// ListenUnix accepts connections of this machine at path, uncounted as those of ListenApart. The socket takes the
-// path's place at once and whole, whoever listened there.
+// ListenUnix accepts connections of this machine at path, uncounted as those of ListenApart. The socket replaces
+// atomically one that is at the path already.
 func (l *Loop) ListenUnix(path string, accept func(*Conn) Handler) (*Listener, error) {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return err == nil && int(credentials.Uid) == os.Getuid()
 }
 
-// SendDescriptors writes data whole, with descriptors for the other process to hold as well, on a Unix socket.
+// SendDescriptors writes all of data, with copies of descriptors for the other process, on a Unix socket.
 func (c *Conn) SendDescriptors(data []byte, fds ...int) error {
 	if c.closed || len(c.pending) > 0 {
 		return errNotAllWritten
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// OnDescriptors has fn get the descriptors that come along on a Unix connection; they are fn's to close. Where some
-// were lost on the way, for want of room, the connection breaks.
+// OnDescriptors has fn get the descriptors that are received on a Unix connection; they are fn's to close. Where some
+// were lost, for lack of descriptors in this process, the connection fails.
 func (c *Conn) OnDescriptors(fn func(fds []int)) { c.onDescriptors = fn }
 
 // receive reads once into the loop's buffer, and hands on the descriptors that came along.
--- a/internal/operations/hotrestart/batch.go
+++ b/internal/operations/hotrestart/batch.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// transferForm is the version of a batch and of what is in it. Nobody takes connections of another one.
+	// transferForm is the version of a batch and of its contents. A process rejects batches of another one.
 	transferForm = 1
 	// MostConnections is the most connections of a batch.
 	MostConnections = 64
--- a/internal/operations/hotrestart/coordinator.go
+++ b/internal/operations/hotrestart/coordinator.go
@@ -14,7 +14,8 @@
 	helloTimeout = time.Second
 )
 
-// Coordinator is this process's part among the processes of its node. All its methods belong to the event loop.
+// Coordinator is this process's side of the hot restart protocol: the link to its parent, and the links to its
+// successors. All its methods must be called on the event loop.
 type Coordinator struct {
 	options         Options
 	parent          *link   // to the process that ran when this one started; nil: it is gone, or there was none
@@ -29,9 +30,10 @@
 type Options struct {
 	Loop *loop.Loop
 	Path string // of the Unix socket: see Path
-	// Grant returns what a process that asks gets. Its DescriptorQuota is that process's from then on.
+	// Grant returns the grant for a successor. Its DescriptorQuota is the successor's from then on.
 	Grant func() Grant
-	// Changed is called when another process has come, is ready, is gone, or has granted more.
+	// Changed is called when a successor has its grant, is ready or has sent its free descriptors, when another process
+	// has ended, or when the parent has raised the quota.
 	Changed func()
 	TransferHandler
 }
@@ -117,7 +119,7 @@
 	return quota
 }
 
-// Ready tells the parent that this process takes clients.
+// Ready notifies the parent that this process accepts clients.
 func (c *Coordinator) Ready() {
 	if c.parent != nil {
 		c.parent.send(message{Kind: kindReady})
--- a/internal/operations/hotrestart/errors.go
+++ b/internal/operations/hotrestart/errors.go
@@ -12,7 +12,8 @@
 	ErrInvalidGrant = errors.New("invalid grant")
 	// ErrInvalidBatch says that a batch of connections cannot be read.
 	ErrInvalidBatch = errors.New("invalid batch")
-	// ErrNoSuccessor says that no process takes a batch now: there is none, or one batch is on its way already.
+	// ErrNoSuccessor says that no process accepts a batch now: there is no successor, or a batch is in transfer
+	// already.
 	ErrNoSuccessor = errors.New("no process takes a batch now")
 	// ErrBatchTooLarge says that the encoded batch is larger than a successor reads.
 	ErrBatchTooLarge = errors.New("the batch is too large")
@@ -28,7 +29,7 @@
 // Error names both versions.
 func (e *VersionError) Error() string { return fmt.Sprintf("version %d, want %d", e.Got, e.Want) }
 
-// UnexpectedMessageError says that a message came that has no place in the state of the link.
+// UnexpectedMessageError says that a message was received that is not valid in the state of the link.
 type UnexpectedMessageError struct{ Kind string }
 
 // Error names the kind as it came.
--- a/internal/operations/hotrestart/grant.go
+++ b/internal/operations/hotrestart/grant.go
@@ -22,12 +22,12 @@
 	Learned         []byte
 
 	fd           int    // the link to the parent
-	unread       []byte // came on the link behind the grant
+	unread       []byte // received on the link behind the grant
 	transferForm int    // of the connections that the parent sends; 0: it sends none
 }
 
 // Release closes what was granted and is not served by this process. A start that has failed calls it: an open link
-// would have the parent take this process to be there.
+// would have the parent take this process for running.
 func (g *Grant) Release(serves func(fd int) bool) {
 	descriptors := []int{g.fd}
 	for _, fd := range g.Sockets {
@@ -107,7 +107,7 @@
 		if len(g.Learned) <= maxLearnedBytes {
 			m.Learned = g.Learned
 		}
-		if len(m.encode()) > maxGrantBytes { // the list is worth more than what was learned of it
+		if len(m.encode()) > maxGrantBytes { // the list matters more than the learned state
 			m.Learned = nil
 		}
 	}
--- a/internal/operations/hotrestart/handshake.go
+++ b/internal/operations/hotrestart/handshake.go
@@ -22,8 +22,9 @@
 	connectRetryPause   = 5 * time.Millisecond
 )
 
-// Path returns where the processes of the node that listens at an address find each other. It is empty where they
-// cannot: without a directory, with a port that the system chooses, or with a name too long for a socket.
+// Path returns the path of the Unix socket by which processes of the node that listens at an address connect to each
+// other. It is empty where there can be none: without a directory, with a port that the system chooses, or with a name
+// too long.
 func Path(dir, listen string) string {
 	if dir == "" || strings.HasSuffix(listen, ":0") {
 		return ""
@@ -118,7 +119,8 @@
 	return nil
 }
 
-// receiveLine returns what comes until a line is whole, with the descriptors that came along, also beside an error.
+// receiveLine returns the bytes that it receives until there is a complete line, and the descriptors that were received
+// with them, also beside an error.
 func (h handshake) receiveLine() (received []byte, descriptors []int, err error) {
 	buffer := make([]byte, 16<<10)
 	control := make([]byte, unix.CmsgSpace(4*maxGrantDescriptors))
--- a/internal/operations/hotrestart/link.go
+++ b/internal/operations/hotrestart/link.go
@@ -10,29 +10,30 @@
 	"spurwinch/internal/loop"
 )
 
-// link is the connection to one other process of the node. It ends with either of the two.
+// link is the Unix connection to one other process of the node, with the state of the protocol on it: the hello and the
+// grant, quotas, and transfers of connections. It ends when either process does, or breaks the protocol.
 type link struct {
 	coordinator  *Coordinator
 	conn         *loop.Conn
 	toSuccessor  bool   // the other process was started after this one; else it is the parent
-	unread       []byte // came, and is no whole message or payload yet
-	grantedQuota int    // descriptors that the successor may hold; over 0 once it has its grant
-	ready        bool   // the successor takes clients
+	unread       []byte // received, but not a complete message or payload yet
+	grantedQuota int    // descriptors that the successor may have open; over 0 once it has its grant
+	ready        bool   // the successor accepts clients
 	closed       bool
-	transfers    bool // connections go over this link
+	transfers    bool // connections can be transferred: both know the form, and none has timed out
 	outgoing     outgoingTransfer
 	incoming     incomingTransfer
 }
 
 func (l *link) send(m message) { l.conn.Write(m.encode()) }
 
-// OnConnect is called for dialled connections only.
+// OnConnect is not called: a link is accepted, or attached to an established connection.
 func (l *link) OnConnect() {}
 
-// OnDrained has nothing to resume: a link reads no source that it paused.
+// OnDrained has nothing to do: a link pauses no source while its data is pending.
 func (l *link) OnDrained() {}
 
-// OnData handles each message and payload that is whole.
+// OnData handles the messages and payloads that are complete.
 func (l *link) OnData(data []byte) {
 	l.unread = append(l.unread, data...)
 	for !l.closed {
@@ -42,8 +43,8 @@
 			}
 			continue
 		}
-		line, rest, whole := bytes.Cut(l.unread, []byte("\n"))
-		if !whole {
+		line, rest, complete := bytes.Cut(l.unread, []byte("\n"))
+		if !complete {
 			if len(l.unread) > maxMessageBytes {
 				l.drop(errMessageTooLong)
 			}
@@ -59,7 +60,7 @@
 	}
 }
 
-// readPayload handles the payload that is due, and reports whether it was there whole.
+// readPayload handles the payload that the last message announced, and reports whether it was complete.
 func (l *link) readPayload() bool {
 	size := l.incoming.payloadSize
 	if len(l.unread) < size {
@@ -76,6 +77,7 @@
 	return true
 }
 
+// handle handles a message, and ends the link on one that is not valid in its state.
 func (l *link) handle(received message) {
 	var known bool
 	if l.toSuccessor {
@@ -88,7 +90,7 @@
 	}
 }
 
-// handleFromSuccessor reports whether the message has a place in the state of the link.
+// handleFromSuccessor handles a message of a successor, and reports whether it was valid in the state of the link.
 func (l *link) handleFromSuccessor(received message) bool {
 	granted := l.grantedQuota > 0
 	switch {
@@ -100,12 +102,12 @@
 		l.coordinator.options.Changed()
 		return true
 	}
-	// A successor that was silent for too long may still answer the batch that was recalled, though none follows it.
+	// A successor that did not answer in time may still answer the batch that was recalled, though no batch follows.
 	transfers := l.transfers || l.outgoing.recalled
 	return transfers && granted && l.handleTransferAnswer(received)
 }
 
-// handleFromParent reports whether the message has a place in the state of the link.
+// handleFromParent handles a message of the parent, and reports whether it was valid in the state of the link.
 func (l *link) handleFromParent(received message) bool {
 	c := l.coordinator
 	if received.Kind == kindQuotaRaised && received.Descriptors >= c.descriptorQuota {
@@ -117,7 +119,7 @@
 	return l.transfers && l.handleTransfer(received)
 }
 
-// answerHello sends the successor its grant.
+// answerHello sends the successor its grant, or ends the link if it speaks another version of the protocol.
 func (l *link) answerHello(hello message) {
 	if hello.Version != protocolVersion {
 		l.drop(&VersionError{Got: hello.Version, Want: protocolVersion})
@@ -126,7 +128,7 @@
 	l.transfers = hello.TransferForm == transferForm
 	grant := l.coordinator.options.Grant()
 	m, descriptors := grant.message(l.transfers)
-	l.grantedQuota = max(1, grant.DescriptorQuota)
+	l.grantedQuota = max(1, grant.DescriptorQuota) // over 0 marks the grant as sent
 	if err := l.conn.SendDescriptors(m.encode(), descriptors...); err != nil {
 		l.drop(fmt.Errorf("grant: %w", err))
 		return
@@ -136,7 +138,8 @@
 	l.coordinator.options.Changed()
 }
 
-// drop ends the link from this side, since the other process does not keep to the protocol.
+// drop ends the link from this side, since the other process broke the protocol. Batches that are in transfer are given
+// up: see abandonTransfers.
 func (l *link) drop(cause error) {
 	zap.L().Warn("hot_restart_link_dropped", zap.Error(cause))
 	l.abandonTransfers()
@@ -144,13 +147,13 @@
 	l.finish()
 }
 
-// OnEnd notes that the other process is gone, or is none of this node.
+// OnEnd handles the end of the link by the other process, which has ended or is none of this node.
 func (l *link) OnEnd(error) {
 	l.conn.End()
 	l.finish()
 }
 
-// finish settles what the link's end leaves, once.
+// finish settles the batches in transfer and removes the link from its coordinator, once.
 func (l *link) finish() {
 	if l.closed {
 		return
--- a/internal/operations/hotrestart/message.go
+++ b/internal/operations/hotrestart/message.go
@@ -20,9 +20,9 @@
 const (
 	// The successor sends these.
 	kindHello           messageKind = "hello"   // it asks for a grant
-	kindReady           messageKind = "ready"   // it takes clients
-	kindFreeDescriptors messageKind = "free"    // it has so many descriptors free for connections
-	kindBatchAccepted   messageKind = "held"    // it can serve the batch, and has so many descriptors free beside it
+	kindReady           messageKind = "ready"   // it accepts clients
+	kindFreeDescriptors messageKind = "free"    // its number of descriptors that are free for connections
+	kindBatchAccepted   messageKind = "held"    // it can serve the batch, and has so many descriptors free beside that
 	kindBatchRejected   messageKind = "refused" // it has closed the batch
 
 	// The parent sends these.
@@ -57,5 +57,5 @@
 	return append(encoded, '\n')
 }
 
-// hasPayload reports whether a payload of at most so many bytes follows the message.
+// hasPayload reports whether a payload follows the message, of maxBytes at most.
 func (m message) hasPayload(maxBytes int) bool { return m.Size > 0 && m.Size <= maxBytes }
--- a/internal/operations/hotrestart/transfer_parent.go
+++ b/internal/operations/hotrestart/transfer_parent.go
@@ -13,14 +13,14 @@
 
 const (
 	batchTimeout = time.Second       // for the answer to an offered batch; then it is recalled
-	recallPoll   = batchTimeout / 20 // between looks whether the recall is with the kernel
+	recallPoll   = batchTimeout / 20 // between checks whether the recall was written to the kernel
 )
 
 // outgoingTransfer is the parent's part of a link.
 type outgoingTransfer struct {
-	freeDescriptors int                 // that the successor has for connections
-	done            func(accepted bool) // hears what becomes of the offered batch; nil: none is on its way
-	recalled        bool                // the batch is recalled: what the successor says of it crossed the recall
+	freeDescriptors int                 // of the successor, for connections
+	done            func(accepted bool) // called with the outcome of the offered batch; nil: there is none
+	recalled        bool                // the batch is recalled: an answer of the successor crossed the recall
 	stopTimer       func()
 }
 
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// SuccessorAccepts reports whether a process is there that takes connections, and how many descriptors one batch may
-// have now: none while another batch is on its way.
+// SuccessorAccepts reports whether there is a successor that accepts connections, and how many descriptors one batch
+// may have now: none while another batch is in transfer.
 func (c *Coordinator) SuccessorAccepts() (there bool, descriptors int) {
 	successor := c.transferLink()
 	if successor == nil {
@@ -48,7 +48,7 @@
 	return true, min(successor.outgoing.freeDescriptors, loop.MaxDescriptorsPerMessage)
 }
 
-// SendLearnedState sends the process that takes connections what this one has learned.
+// SendLearnedState sends this process's learned state to the successor that accepts connections, if there is one.
 func (c *Coordinator) SendLearnedState(learned []byte) {
 	successor := c.transferLink()
 	if successor == nil || len(learned) == 0 || len(learned) > maxLearnedBytes {
@@ -91,9 +91,9 @@
 	return len(descriptors), l.conn.SendDescriptors(append(offered.encode(), encoded...), descriptors...)
 }
 
-// recall takes back a batch of which the successor has said nothing in time. The batch is the parent's again only once
-// the recall is with the kernel: from then on the successor cannot see the parent's end without reading the recall
-// first, and the parent's end is what would make the batch the successor's.
+// recall takes back a batch that the successor has not answered in time. The batch is the parent's again only once the
+// recall was written to the kernel: from then on the successor reads the recall before it sees the parent's end, which
+// would make the batch the successor's.
 func (l *link) recall() {
 	if l.outgoing.done == nil {
 		return
@@ -104,7 +104,7 @@
 		l.send(message{Kind: kindBatchRecalled})
 	}
 	if l.conn.Sent() {
-		l.transfers = false // it was silent once: no further batch is worth the wait
+		l.transfers = false // after one timeout no further batch is offered
 		l.finishBatch(false)
 		return
 	}
@@ -112,7 +112,7 @@
 	l.outgoing.stopTimer = eventLoop.At(eventLoop.Now().Add(recallPoll), l.recall)
 }
 
-// finishBatch tells the caller of Transfer what became of the batch on its way, if there is one.
+// finishBatch reports the outcome of the offered batch, if there is one, to the caller of Transfer.
 func (l *link) finishBatch(accepted bool) {
 	done := l.outgoing.done
 	if done == nil {
@@ -123,7 +123,7 @@
 	done(accepted)
 }
 
-// handleTransferAnswer handles what a successor says of transfers, and reports whether it has a place here.
+// handleTransferAnswer handles a successor's message on transfers, and reports whether it was valid.
 func (l *link) handleTransferAnswer(received message) bool {
 	if received.Descriptors < 0 {
 		return false
--- a/internal/operations/hotrestart/transfer_successor.go
+++ b/internal/operations/hotrestart/transfer_successor.go
@@ -6,9 +6,9 @@
 	"spurwinch/internal/loop"
 )
 
-// The successor's side of a transfer. It reads a batch whole, prepares it without touching its sockets, and says so.
-// The batch is the successor's once it is committed, or once the link ends before the parent could say anything more: a
-// parent that has neither recalled nor committed it has ended, and its copies are closed with it.
+// The successor's side of a transfer. It reads a complete batch, prepares it without using its sockets, and accepts it.
+// The batch is the successor's once the parent has committed it, or once the link ends before that: a parent that has
+// neither recalled nor committed it has ended, and its copies are closed with it.
 
 // TransferHandler is what a Coordinator needs in order to take connections over.
 type TransferHandler struct {
@@ -21,7 +21,7 @@
 	Learned func([]byte)
 }
 
-// PreparedBatch is a batch that was accepted and that nothing is done with yet. One of the two is called, once.
+// PreparedBatch is a batch that was accepted and not committed yet. One of the two functions is called, once.
 type PreparedBatch struct {
 	Commit func() // the connections are this process's
 	Abort  func() // they are not: their descriptors are closed and nothing else is done to them
@@ -29,13 +29,13 @@
 
 // incomingTransfer is the successor's part of a link.
 type incomingTransfer struct {
-	descriptors []int       // came, and belong to the batch that is being read
-	payloadSize int         // bytes of a payload that is due; 0: the next thing to read is a message
+	descriptors []int       // received, of the batch that is being read
+	payloadSize int         // bytes of the payload that follows; 0: a message follows
 	payloadKind messageKind // what that payload is: kindBatchOffered or kindLearnedState
 	prepared    *PreparedBatch
 }
 
-// handleTransfer handles what the parent says of transfers, and reports whether it has a place here.
+// handleTransfer handles a parent's message on transfers, and reports whether it was valid.
 func (l *link) handleTransfer(received message) bool {
 	switch {
 	case received.Kind == kindBatchOffered && received.hasPayload(maxBatchBytes) && l.incoming.prepared == nil,
@@ -61,7 +61,7 @@
 	}
 }
 
-// prepare checks a batch that has come whole, and answers the parent.
+// prepare checks a complete batch, and accepts or rejects it.
 func (l *link) prepare(encoded []byte) {
 	descriptors := l.incoming.descriptors
 	l.incoming.descriptors = nil
@@ -103,9 +103,9 @@
 	}
 }
 
-// abandonTransfers gives up either side's part before this process ends the link. The other process then sees the link
-// end without a word, and takes a batch that it holds for its own. So a batch that was prepared here is closed, and one
-// that was offered from here counts as accepted.
+// abandonTransfers gives up the batches in transfer before this process ends the link. The other process then sees the
+// link end without a further message, and treats a batch that it has as its own (see settleTransfers). So a batch that
+// was prepared here is closed, and one that was offered from here counts as accepted.
 func (l *link) abandonTransfers() {
 	l.abort()
 	l.finishBatch(true)
@@ -121,8 +121,8 @@
 	l.closeUnassigned()
 }
 
-// closeUnassigned closes the descriptors of a batch that never came whole. Descriptors may come along with the bytes of
-// earlier messages, so only the link's end says that nothing more belongs to them.
+// closeUnassigned closes the descriptors of a batch that never became complete. Descriptors may be received with the
+// bytes of earlier messages, so only the end of the link shows that no batch for them follows.
 func (l *link) closeUnassigned() {
 	loop.CloseAll(l.incoming.descriptors)
 	l.incoming.descriptors = nil
