--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -21,7 +21,7 @@
 	maxProposalID = 64 // bytes
 )
 
-// Kind tells entries of one use from those of another. A log has one newest entry of each kind.
+// Kind is what an entry is used for. A log has one newest entry of each kind.
 type Kind uint8
 
 // Entry is one decided entry.
@@ -55,7 +55,7 @@
 	Data     []byte
 }
 
-// Check returns an ErrInvalidProposal for what no log takes.
+// Check returns an ErrInvalidProposal for a proposal that every log rejects.
 func (p Proposal) Check() error {
 	switch {
 	case p.ID == "" || len(p.ID) > maxProposalID:
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// ProposalResult tells how a proposal ended.
+// ProposalResult is how a proposal ended.
 type ProposalResult struct {
 	_     struct{} `cbor:",toarray"`
 	ID    string
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -9,7 +9,7 @@
 	// ErrNotLeader says that this replica does not lead: the caller has to ask another one, or to wait for an election.
 	// Operators' commands, also of older versions, know the error by the end of its text.
 	ErrNotLeader = errors.New("this replica does not lead")
-	// ErrInvalidProposal says that no log takes a proposal of this form; proposing it again changes nothing.
+	// ErrInvalidProposal says that every log rejects a proposal of this form; proposing it again changes nothing.
 	ErrInvalidProposal = errors.New("invalid proposal")
 	// ErrInvalidEntry says that an entry is of a form that no log has.
 	ErrInvalidEntry = errors.New("invalid entry")
@@ -38,7 +38,7 @@
 	Err    error  // what is wrong there
 }
 
-// Error tells the place and the fault.
+// Error names the place and the fault.
 func (e *CorruptError) Error() string {
 	return fmt.Sprintf("%v: %s: byte %d: %v", ErrCorrupt, e.Path, e.Offset, e.Err)
 }
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -14,7 +14,7 @@
 	Sum   uint64 // Entry.Digest
 }
 
-// Digest tells how far a node knows a log. Nodes exchange it to find what one of them is missing.
+// Digest is how far a node knows a log. Nodes exchange it to find what one of them is missing.
 type Digest struct {
 	_     struct{} `cbor:",toarray"`
 	LogID uint64   // identity of the log; 0: nothing is known
@@ -28,7 +28,7 @@
 	newest map[Kind]Entry
 }
 
-// NewFollower starts from what was persisted. Without any it knows nothing yet.
+// NewFollower starts with the identity of the log, 0 if it is not known, and the entries that were persisted.
 func NewFollower(log uint64, persisted []Entry) *Follower {
 	follower := &Follower{log: log, newest: map[Kind]Entry{}}
 	for _, entry := range persisted {
@@ -52,7 +52,7 @@
 	return entries
 }
 
-// Digest tells how far this node knows the log.
+// Digest is how far this node knows the log.
 func (f *Follower) Digest() Digest {
 	digest := Digest{LogID: f.log}
 	for _, entry := range f.Entries() {
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -1,7 +1,7 @@
 package consensus
 
-// Record is what must be persisted before anything that follows from it leaves the machine. Where two records of a
-// store say something of one thing, the later one holds. The bytes of Raft are in its protobuf form.
+// Record is what must be persisted before any message that follows from it is sent. Where two records of a store have a
+// value of the same thing, the later one counts. The bytes of Raft are in its protobuf form.
 type Record struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64   // drawn with the first record of a disk: a replica that lost its disk is another replica
--- a/internal/consensus/replica/bootstrap.go
+++ b/internal/consensus/replica/bootstrap.go
@@ -21,8 +21,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// bootstrap begins a log once every replica has said that it has none. The word of a majority is not enough: the
-// others may have a log of which this majority lost its disks, and its indexes would be given a second time.
+// bootstrap begins a log once every replica has reported that it has none. A majority is not enough: the others may
+// have a log of which this majority lost its disks, and its indexes would be used a second time.
 func (r *Replica) bootstrap() {
 	r.peers[r.self] = peer{incarnation: r.incarnation, logID: r.logID}
 	if r.raft != nil {
@@ -41,7 +41,7 @@
 		return
 	}
 	r.err = r.start()
-	r.unstored = true // the log's beginning is persisted before anything is said
+	r.unstored = true // the log's beginning is persisted before any message is sent
 }
 
 // newLogID gives the identity of a log by its first members, so that all of them come to the same one.
@@ -64,7 +64,7 @@
 	}
 }
 
-// join begins to listen to a log that others have.
+// join begins to follow a log that others have.
 func (r *Replica) join(logID uint64) {
 	if logID == 0 || r.unstored {
 		return
--- a/internal/consensus/replica/errors.go
+++ b/internal/consensus/replica/errors.go
@@ -14,23 +14,23 @@
 	ErrInvalidMessage = errors.New("invalid message of a replica")
 )
 
-// TwoLogsError says that two logs were begun in one fleet, which only an operator can mend.
+// TwoLogsError says that two logs were begun in one fleet, which only an operator can repair.
 type TwoLogsError struct {
 	Own   uint64 // identity of this replica's log
 	Other uint64
 }
 
-// Error tells the operator what to do.
+// Error is for the operator, with what to do.
 func (e *TwoLogsError) Error() string {
 	return fmt.Sprintf("a log began twice, %x and %x: remove this replica's files and start it again", e.Own, e.Other)
 }
 
-// PanicError says that the Raft library found what can't follow from what it was told.
+// PanicError says that the Raft library panicked on an inconsistent state.
 type PanicError struct {
 	Cause any // of the panic
 }
 
-// Error tells the cause.
+// Error names the cause.
 func (e *PanicError) Error() string { return fmt.Sprintf("raft: %v", e.Cause) }
 
 // stopOnPanic has a panic of Raft stop this replica, not the process.
--- a/internal/consensus/replica/message.go
+++ b/internal/consensus/replica/message.go
@@ -11,8 +11,8 @@
 	"spurwinch/internal/consensus"
 )
 
-// envelope is the form of all messages between replicas. Without a message of Raft it is a hello: replicas tell one
-// another who they are while one of them is not a member of a log.
+// envelope is the form of all messages between replicas. Without a message of Raft it is a hello, by which replicas
+// exchange their identities while one of them is not a member of a log.
 type envelope struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64   // of the sender
@@ -20,7 +20,7 @@
 	Raft        []byte   // raftpb.Message; none: a hello
 }
 
-// raftID is a replica's id in Raft: its number, and which of its disks.
+// raftID is a replica's id in Raft: its number and its incarnation, which changes with its disk.
 func raftID(replica int, incarnation uint64) uint64 { return incarnation<<8 | uint64(replica+1) }
 
 // replicaOf is the number of the replica that an id in Raft is of; -1: of none.
@@ -78,11 +78,11 @@
 	return r.receiveRaft(from, message)
 }
 
-// receiveHello takes a hello; isNew says that the sender's incarnation was not heard before.
+// receiveHello handles a hello; isNew says that it is the first message of the sender's incarnation.
 func (r *Replica) receiveHello(from int, logID uint64, isNew bool) {
 	switch {
-	case logID == 0 && !r.unstored: // it wants to know
-		// Two replicas without a log tell each other once: an answer to each hello would be answered without end.
+	case logID == 0 && !r.unstored:
+		// Two replicas without a log answer each other once: answers to each hello would never end.
 		if r.logID != 0 || isNew {
 			r.send(from, nil)
 		}
@@ -90,7 +90,8 @@
 		r.join(logID)
 	case logID != 0 && logID != r.logID && r.raft != nil && r.applied <= firstIndex &&
 		r.raft.BasicStatus().GetTerm() <= firstTerm:
-		// A beginning of its own that came to nothing: two replicas heard different beginnings of a third one.
+		// This replica began a log that nobody joined: two replicas received hellos of different incarnations of a
+		// third.
 		r.err = &TwoLogsError{Own: r.logID, Other: logID}
 	}
 }
@@ -108,7 +109,7 @@
 	}
 	if replicaOf(message.GetFrom()) != from || message.GetTo() != raftID(r.self, r.incarnation) ||
 		raft.IsLocalMsg(message.GetType()) {
-		return nil // of an incarnation that is no more, or to one
+		return nil // from an earlier incarnation, or to one
 	}
 	err := r.raft.Step(message)
 	if err != nil && !errors.Is(err, raft.ErrProposalDropped) && !errors.Is(err, raft.ErrStepPeerNotFound) {
--- a/internal/consensus/replica/ready.go
+++ b/internal/consensus/replica/ready.go
@@ -61,7 +61,8 @@
 	return ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState)
 }
 
-// Persisted tells that the record of the last Ready is persisted, and gives what follows from it.
+// Persisted has to be called when the record of the last Ready is persisted. It returns the messages to send and the
+// results that follow from it.
 func (r *Replica) Persisted() (messages []consensus.Message, results []consensus.ProposalResult) {
 	if r.persisting == persistingNothing || r.err != nil {
 		return nil, nil
@@ -137,8 +138,8 @@
 	r.applied = entry.GetIndex()
 }
 
-// answerReads confirms the calls of ConfirmLeadership before which all that was decided is applied: the caller goes by
-// the state.
+// answerReads confirms the calls of ConfirmLeadership for which all that was committed before them is applied, since
+// the caller reads the state then.
 func (r *Replica) answerReads() {
 	for len(r.reads.waiting) > 0 && r.reads.waiting[0].Index <= r.applied {
 		if call := r.reads.waiting[0].RequestCtx; len(call) == 8 {
--- a/internal/consensus/replica/replica.go
+++ b/internal/consensus/replica/replica.go
@@ -44,17 +44,17 @@
 	err         error // why the replica has stopped
 }
 
-// peer is what another replica last said of itself.
+// peer is the state of another replica by its newest message.
 type peer struct {
-	incarnation uint64 // 0: nothing was heard of it
+	incarnation uint64 // 0: no message of it was received
 	logID       uint64 // 0: it has no log
 }
 
-// persisting tells what the record that is being persisted holds.
+// persisting is the kind of the record that is being persisted.
 type persisting uint8
 
 const (
-	persistingNothing   persisting = iota // no record is under way
+	persistingNothing   persisting = iota // there is none
 	persistingMessages                    // an empty record: only messages wait
 	persistingBeginning                   // the incarnation, and the log's beginning where there is one
 	persistingReady                       // what Raft has ready
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// Tick tells that consensus.TickInterval has passed.
+// Tick has to be called each consensus.TickInterval.
 func (r *Replica) Tick() {
 	if r.err != nil {
 		return
@@ -145,9 +145,9 @@
 	}
 }
 
-// Propose asks for an entry to be decided. How the proposal ended is in the results of Persisted, or later in Result;
-// it may never be told, and then the same proposal can be made again. The error is an consensus.ErrInvalidProposal,
-// consensus.ErrNotLeader or raft.ErrProposalDropped.
+// Propose proposes an entry to the log. How the proposal ended is in the results of Persisted, or later in Result;
+// a proposal may also be lost without a result, and then the same one can be made again. The error is a
+// consensus.ErrInvalidProposal, consensus.ErrNotLeader or raft.ErrProposalDropped.
 func (r *Replica) Propose(proposal consensus.Proposal) (err error) {
 	if err := proposal.Check(); err != nil {
 		return err
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// ConfirmLeadership asks the other replicas whether this one still leads, and gives the number of the call.
-// ConfirmedCall tells, later, up to which call they have said yes: the replica led when that call was made.
+// ConfirmLeadership has a majority of the replicas confirm that this one still leads, and returns the number of the
+// call. ConfirmedCall is, later, the newest call that was confirmed: the replica led when that call was made.
 func (r *Replica) ConfirmLeadership() (call uint64) {
 	if !r.IsLeader() {
 		return r.reads.calls
@@ -174,11 +174,11 @@
 	return r.reads.calls
 }
 
-// ConfirmedCall is the newest call of ConfirmLeadership that was answered with yes.
+// ConfirmedCall is the newest call of ConfirmLeadership that a majority confirmed.
 func (r *Replica) ConfirmedCall() uint64 { return r.reads.confirmed }
 
-// IsLeader says whether this replica leads, as far as it knows: one that was stopped learns of another leader only
-// afterwards. What it proposes until then is not decided.
+// IsLeader reports whether this replica leads, as far as it knows: one that was suspended learns of another leader only
+// afterwards. What it proposes until then is not committed.
 func (r *Replica) IsLeader() bool {
 	return r.err == nil && r.raft != nil && !r.unstored && r.raft.BasicStatus().RaftState == raft.StateLeader
 }
@@ -199,10 +199,10 @@
 	return r.raft.BasicStatus().GetTerm()
 }
 
-// State is what this replica knows to be decided. The caller must not change it.
+// State is the state of what this replica knows to be committed. The caller must not change it.
 func (r *Replica) State() consensus.State { return r.state }
 
-// Result tells how a proposal ended, while that is remembered.
+// Result is how a proposal ended; false: it has not, or that is no longer remembered.
 func (r *Replica) Result(id string) (consensus.ProposalResult, bool) { return r.state.Result(id) }
 
 // Err is why this replica has stopped for good; nil: it runs. It neither votes nor leads until the process starts
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	maxResults = 512 // results that are remembered: so long is a proposal's id an idempotency key
+	maxResults = 512 // results that are remembered, for which a proposal's id is an idempotency key
 	maxRetired = 64  // retired replicas that are remembered
 )
 
@@ -17,7 +17,7 @@
 	Retired []uint64         // Raft's ids of replicas whose disks were lost, oldest first
 }
 
-// Result finds how a proposal ended, while that is remembered.
+// Result is how a proposal ended; false: it has not, or that is no longer remembered.
 func (s *State) Result(id string) (ProposalResult, bool) {
 	i := slices.IndexFunc(s.Results, func(result ProposalResult) bool { return result.ID == id })
 	if i < 0 {
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -58,7 +58,7 @@
 
 func (s *Store) path() string { return filepath.Join(s.dir, storeName) }
 
-// replaceCorrupt sets a corrupt file aside for who wants to look into it, and begins a new one.
+// replaceCorrupt renames a corrupt file, for an operator to look into, and begins a new one.
 func (s *Store) replaceCorrupt(fault *CorruptError) (*Store, []Record, error) {
 	if err := s.disk.Rename(s.path(), s.path()+corruptSuffix); err != nil {
 		return nil, nil, fmt.Errorf("set the corrupt store aside: %w", err)
@@ -136,7 +136,7 @@
 	return s.file.Close()
 }
 
-// grow makes room by writing the file anew: its header must never name a size that the file does not have.
+// grow enlarges the file by writing it anew: its header must never name a size that the file does not have.
 func (s *Store) grow(atLeast int64) error {
 	contents := make([]byte, s.end)
 	if _, err := io.ReadFull(io.NewSectionReader(s.file, 0, s.end), contents); err != nil {
@@ -176,7 +176,7 @@
 
 // install writes a new file and gives it the store's name.
 func (s *Store) install(file *os.File, contents []byte) error {
-	// The whole size is written, not left as a hole: a full disk shows here and not in the middle of a promise.
+	// The whole size is written, not left as a hole: a full disk shows here and not when a record has to be persisted.
 	if err := s.disk.WriteAt(file, contents, 0); err != nil {
 		return fmt.Errorf("write the store's new file: %w", err)
 	}
--- a/internal/consensus/store_format.go
+++ b/internal/consensus/store_format.go
@@ -13,10 +13,10 @@
 //	header  8 bytes magic, 8 size of the file, 8 checksum of both
 //	record  4 bytes length of the body, 8 checksum of length and body, body (CBOR), 1 byte end mark
 //
-// Numbers are big-endian, checksums xxHash64. The file has its whole size from the beginning, so that one that was
-// cut short is known as such: what is missing at its end was promised to other replicas. A record whose end mark is
-// zero, with nothing but zeros behind it, was never complete: the machine stopped while it was written, and nobody
-// was told of it. Any other fault means that something is lost that was persisted.
+// Numbers are big-endian, checksums xxHash64. The file has its whole size from the beginning, so that one that was cut
+// short is recognized: the records that are missing at its end were acknowledged to other replicas. A record whose end
+// mark is zero, with nothing but zeros behind it, was never complete: the machine stopped while it was written, so
+// nothing that follows from it was sent. Any other fault means that something is lost that was persisted.
 //
 // A page store (bbolt) was tried first: it maps its file and ends with the process when that is cut short, and has
 // checksums for its roots only.
