--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -77,7 +77,7 @@
 	events = append(events, c.healthChecks()...)
 	events = append(events, c.openConnections()...)
 	events = append(events, c.others()...)
-	// One of the others may name a real attempt: keep the caller's book in line with it.
+	// One of the others may name a real attempt: keep the caller's record in line with it.
 	c.out = slices.DeleteFunc(c.out, func(attempt scriptAttempt) bool {
 		return slices.ContainsFunc(events, func(event Event) bool {
 			ended, ok := event.(AttemptEnded)
@@ -175,7 +175,7 @@
 		return []Event{ClientGone{ID: RequestID(fmt.Sprint("r", c.rng.IntN(c.requests+1)))}}
 	case 7:
 		events := []Event{TimerFired{fmt.Sprint("hold r", c.rng.IntN(c.requests+1))}}
-		// A caller tells nothing of attempts that it was not given.
+		// A caller reports nothing of attempts that it was not given.
 		if request := c.referee.reqs["r1"]; request != nil && request.sent > 0 {
 			attempt := c.rng.IntN(request.sent)
 			events = append(events, AttemptEnded{ID: "r1", Attempt: attempt, Server: "s000", Outcome: Full})
--- a/choice/golden_decisions_test.go
+++ b/choice/golden_decisions_test.go
@@ -39,7 +39,7 @@
 func (r *recorder) write(format string, args ...any) {
 	_, _ = fmt.Fprintf(r.hash, format, args...) // a hash takes all
 	if r.text != nil {
-		_, _ = fmt.Fprintf(r.text, format, args...) // told by Flush
+		_, _ = fmt.Fprintf(r.text, format, args...) // reported by Flush
 	}
 }
 
@@ -95,7 +95,8 @@
 	}
 }
 
-// state takes in what a balancer has found out, and what it tells of zones. That resets its counts since the last call.
+// state takes in what a balancer has found out, and its observations of zones. That resets its counts since the last
+// call.
 func (r *recorder) state(now time.Duration, node int, balancer *choice.Balancer) {
 	l := balancer.LearnedState()
 	r.write("%d learned %d %d %d %d %s %d", node, l.Version, l.Hints, l.ReportedAt, l.ArrivalsAt, l.Meaning, l.Now)
--- a/choice/golden_test.go
+++ b/choice/golden_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestGoldenLearnedState pins what one process of a node tells the next one.
+// TestGoldenLearnedState pins the form in which one process of a node sends the next one what it has learned.
 func TestGoldenLearnedState(t *testing.T) {
 	checkGoldenCBOR(t, "learned", LearnedState{
 		Version: 1, Unit: 2.5, Hints: 3, LoadSum: 4.25, WeightSum: 5.125, ReportedAt: 6 * time.Second, Arrivals: 7.5,
@@ -209,11 +209,11 @@
 		message peerMessage
 		bytes   string
 	}{
-		{"admission question", peerMessage{
+		{"admission request", peerMessage{
 			kind: reservationRequest, token: 0x0102, server: 0x030405, group: 0x0607,
 			load: 1.5,
 		}, "110102030405060718"},
-		{"relief question", peerMessage{
+		{"relief request", peerMessage{
 			kind: reliefRequest, token: 0x1112, server: 0x131415, group: 0x1617,
 			load: 15.9375,
 		}, "1211121314151617ff"},
--- a/choice/healthcheck_test.go
+++ b/choice/healthcheck_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestFullServerIsFound checks that a server that filled up under open connections is found and relieved where no
-// delay notes come, as on sockets, and that nothing is asked where they do.
+// delays are not observed, as on sockets, and that no server is checked where they are.
 func TestFullServerIsFound(t *testing.T) {
 	for _, observed := range []bool{false, true} {
 		balancer, err := New(Settings{
@@ -32,7 +32,7 @@
 			switch action := a.(type) {
 			case HealthCheck:
 				if checks++; action.Server != "full" {
-					t.Errorf("asked %s, which holds nothing", action.Server)
+					t.Errorf("checked %s, which has no connections", action.Server)
 				}
 				return []Event{HealthCheckResult{Server: action.Server, Report: []float64{3}}}
 			case Migrate:
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestNoHealthChecksWithoutReports guards servers whose protocol has no load reports against being asked.
+// TestNoHealthChecksWithoutReports guards servers whose protocol has no load reports against health checks.
 func TestNoHealthChecksWithoutReports(t *testing.T) {
 	balancer, err := New(Settings{
 		Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
@@ -85,7 +85,7 @@
 }
 
 // TestSlowMessagesCountAsLoad checks that a report of slow messages is as good as one of a full server where no notes
-// come: what piled up makes messages late although the load asked looks fine again. The excess goes, not all.
+// come: the backlog makes messages late although the reported load looks fine again. The excess is migrated, not all.
 func TestSlowMessagesCountAsLoad(t *testing.T) {
 	for _, test := range []struct {
 		late, load float64
--- a/choice/inference_test.go
+++ b/choice/inference_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// Where servers report, loads of connections leave the unit alone: costs and reservations are learned in it.
+// Where servers report, loads of connections don't change the unit: costs and reservations are learned in it.
 func TestConnectionLoadsKeepTheUnitWhereServersReport(t *testing.T) {
 	set := silentSettings(3)
 	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Utilization, Load}
@@ -107,7 +107,8 @@
 	}
 }
 
-// Slow messages have to raise a server's predicted load where nothing reports it, and connections to leave it.
+// Slow messages have to raise a server's predicted load where nothing reports it, and connections to be placed
+// elsewhere.
 func TestSlowMessagesCountWithoutReports(t *testing.T) {
 	balancer, now := silentNode(t, 3, 8)
 	const group = 7
@@ -230,7 +231,7 @@
 }
 
 // Connections that servers shed at once, only to come again at the next node, must stay a bounded part of all; what
-// is rejected is told when to come again, spread.
+// is rejected has a Retry-After, spread.
 func TestDroppedConnectionsAreThrottled(t *testing.T) {
 	balancer, now := silentNode(t, 300, 90)
 	placed, rejected, advice := 0, 0, map[time.Duration]bool{}
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -250,7 +250,7 @@
 			t.Errorf("%v off: a report of now is %v old, known %v", off, now-s.report.at, s.report.known)
 		}
 		if s := after.findServer("s001"); s.slowStart.tokens != 0 || s.slowStart.refilledAt != now {
-			t.Errorf("%v off: a server in slow start that was sent all it bears may have %v, since %v", off,
+			t.Errorf("%v off: a server in slow start whose budget is spent has %v tokens, since %v", off,
 				s.slowStart.tokens, now-s.slowStart.refilledAt)
 		}
 		if s := after.findServer("s002"); s.outlier.until != now+firstEjection {
--- a/choice/peerclock_test.go
+++ b/choice/peerclock_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestPeerClockIsStepped has another node's clock be an hour or some seconds off, from its start or later on: its
-// questions are answered again within two seconds, while late ones still are not.
+// requests are answered again within two seconds, while late ones still are not.
 func TestPeerClockIsStepped(t *testing.T) {
 	for _, off := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -3 * time.Second} {
 		referee := newReferee(t, keeping(), 1)
@@ -27,7 +27,7 @@
 			return false
 		}
 		if !answersAt(referee.now) {
-			t.Fatal("a question of now has no answer")
+			t.Fatal("a request of now has no reply")
 		}
 		answered := false
 		for range 8 {
@@ -35,10 +35,10 @@
 			answered = answersAt(referee.now + off)
 		}
 		if !answered {
-			t.Errorf("a clock that is %v off: no answer after two seconds", off)
+			t.Errorf("a clock that is %v off: no reply after two seconds", off)
 		}
 		if referee.now += 250 * time.Millisecond; answersAt(referee.now + off - 2*time.Second) {
-			t.Errorf("a clock that is %v off: a question that is two seconds late is answered", off)
+			t.Errorf("a clock that is %v off: a request that is two seconds late has a reply", off)
 		}
 	}
 }
@@ -61,6 +61,6 @@
 	}
 	good := peerMessage{kind: reservationRequest, token: tokenClock(referee.b.now), server: serverKey(server), load: 1}
 	if out := referee.step(PeerMessage{1, good.encode()}); len(out) == 0 {
-		t.Error("a question of now is dropped")
+		t.Error("a request of now is dropped")
 	}
 }
--- a/choice/plan_and_budget_test.go
+++ b/choice/plan_and_budget_test.go
@@ -136,7 +136,7 @@
 	}
 	t.Logf("worst window %.2f of the limit, part of an even spread %.2f", sum.worst, sum.fairPart)
 	if sum.broken > 0 {
-		t.Errorf("%d windows over what a server in slow start bears, sent by nodes that knew of its start", sum.broken)
+		t.Errorf("%d windows over a slow-start budget, sent by nodes that knew of its start", sum.broken)
 	}
 }
 
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -18,13 +18,14 @@
 	drawnSettings = 80
 	// drawnDay is how long a drawn world has clients; then it runs on until all is answered.
 	drawnDay = 16 * time.Second
-	// worldLimit is how long one world may take, far over what any does (under 1 s): it tells a Step that does not end.
+	// worldLimit is how long one world may take, far over what any does (under 1 s): it detects a Step that does not
+	// end.
 	worldLimit = time.Minute
 	// maxMessageBytes is the most bytes of a message between nodes.
 	maxMessageBytes = 256
 )
 
-// drawSettings draws what nodes are told and what the world is like.
+// drawSettings draws the settings of the nodes and the properties of the world.
 func drawSettings(rng *rand.Rand) (choice.Settings, terms, []choice.Server) {
 	draw := drawer{rng}
 	chance, between, seconds := draw.chance, draw.between, draw.seconds
--- a/choice/referee_test.go
+++ b/choice/referee_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// mayRejectAfterAttempt says whether a client may be told to try again after an attempt that may have run.
+// mayRejectAfterAttempt reports whether a request may be rejected after an attempt that may have run.
 func (c Class) mayRejectAfterAttempt() bool {
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll
 }
--- a/choice/regression_test.go
+++ b/choice/regression_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// Leave to send to a server in slow start must not be saved up at many idle nodes and spent at once.
+// Tokens for a server in slow start must not be saved up at many idle nodes and spent at once.
 func TestSlowStartCreditLapses(t *testing.T) {
 	worst, total := growth(t, 6)
 	t.Log(worst, total)
--- a/choice/reservation_test.go
+++ b/choice/reservation_test.go
@@ -201,7 +201,7 @@
 	}
 	// A server is full at 0.85, with 5 more connections; half a connection of rounding on the wire, and one of chance.
 	if over, rejected := worst(keeping()); over > 7 || rejected == 0 {
-		t.Errorf("with owners a server gets %d connections, %d rejected; it bears 5", over, rejected)
+		t.Errorf("with owners a server gets %d connections, %d rejected; it has the capacity for 5", over, rejected)
 	}
 	if over, _ := worst(vast()); over <= 7 {
 		t.Errorf("without owners a server gets only %d connections: the test shows nothing", over)
@@ -243,7 +243,7 @@
 	}
 }
 
-// TestRequestsOutliveTheirOwners has seven in ten nodes fall silent: what comes to the others is served all the same.
+// TestRequestsOutliveTheirOwners has seven in ten nodes fail: requests to the others are served all the same.
 func TestRequestsOutliveTheirOwners(t *testing.T) {
 	c := newCrowd(t, keeping(), 3, fleet(13), func(ServerID, int) float64 { return 0.3 })
 	c.run(2 * time.Second)
@@ -321,7 +321,7 @@
 	})
 }
 
-// TestReservationOfADrainingServerIsNotTaken has a server begin to drain while its owner's answer is on the way.
+// TestReservationOfADrainingServerIsNotTaken has a server begin to drain while its owner's reply is on the way.
 func TestReservationOfADrainingServerIsNotTaken(t *testing.T) {
 	referee := newReferee(t, keeping(), 1)
 	referee.now = time.Hour
@@ -339,7 +339,7 @@
 			return
 		}
 	}
-	t.Error("no owner was asked")
+	t.Error("no reservation was requested")
 }
 
 // TestClientGoneWhileAnOwnerIsAsked has a client leave, or a stop answer it, while another node's answer is on the
@@ -364,7 +364,7 @@
 				}
 			}
 			if sent := referee.sends(); !asked || len(sent) > 0 {
-				t.Errorf("%T, lost %v: asked %v, sent to %v", end, lost, asked, sent)
+				t.Errorf("%T, lost %v: requested from %v, sent to %v", end, lost, asked, sent)
 			}
 		}
 	}
@@ -388,7 +388,7 @@
 		}
 	}
 	if waiting == "" {
-		t.Fatal("no owner beyond the first four nodes was asked")
+		t.Fatal("no reservation was requested from a node beyond the first four")
 	}
 	referee.step(SettingsChanged{fewer})
 	referee.load = level(0.3)
--- a/choice/rules_judge_test.go
+++ b/choice/rules_judge_test.go
@@ -17,7 +17,7 @@
 // nodeBook is what the judge keeps of one node.
 type nodeBook struct {
 	everListed map[choice.ServerID]bool
-	offSince   map[choice.ServerID]time.Duration // since when it was told that the server drains or is gone
+	offSince   map[choice.ServerID]time.Duration // since when it knows that the server drains or is gone
 	lists      map[choice.ServerID]choice.ServerState
 	lostAt     time.Duration // since when it owes an ask for the list; 0: it owes none
 	planAt     time.Duration // what was decided in the step of its coming, before it, goes by the one before
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -146,7 +146,7 @@
 			look()
 		}
 		if asked < 0 {
-			t.Fatalf("not asked again within %v", settings.Rules.MaxPollInterval/2)
+			t.Fatalf("not polled again within %v", settings.Rules.MaxPollInterval/2)
 		}
 	}
 }
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -33,10 +33,10 @@
 	recorder *recorder // of all actions; nil: none
 }
 
-// terms are what a simulated world is like beyond the settings that nodes are told.
+// terms are what a simulated world is like beyond the settings of the nodes.
 type terms struct {
 	perServer      float64       // mean connections that fill a warm server
-	connectionTime time.Duration // mean life of a connection
+	connectionTime time.Duration // mean lifetime of a connection
 	listDelay      time.Duration // longest delay of a change on its way to a node
 	lossOfList     float64       // part of the asks for a list that fail
 	messageLoss    float64       // part of the messages between nodes that get lost
@@ -50,7 +50,7 @@
 	skew           int           // a fifth of the nodes gets this many times the traffic of the others
 }
 
-// judge sees what nodes are told and what they do. The first violation ends the test.
+// judge sees the events and actions of the nodes. The first violation ends the test.
 type judge interface {
 	delivered(n *simNode, e choice.Event)
 	acted(n *simNode, a choice.Action)
@@ -90,13 +90,13 @@
 	awake     bool // a batch is due
 	following bool // changes of the list reach it
 	listAt    time.Duration
-	listed    map[choice.ServerID]choice.Server // as it was last told
+	listed    map[choice.ServerID]choice.Server // as it was last published
 }
 
 // simServer is one server. Its capacity grows evenly over its warm-up.
 type simServer struct {
 	choice.Server
-	strength     float64 // what it can do when warm, in units of terms.perServer; nodes may be told otherwise
+	strength     float64 // what it can do when warm, in units of terms.perServer; nodes may know another value
 	running      bool
 	failingUntil time.Duration
 	held         []*simAttempt   // connections that stand, oldest first
@@ -109,7 +109,7 @@
 // arrival is one attempt that reached a server.
 type arrival struct {
 	at       time.Duration
-	informed bool // its node had been told of the server's present start
+	informed bool // its node knew of the server's present start
 }
 
 type simClient struct {
@@ -130,8 +130,8 @@
 	attempts []*simAttempt
 	open     bool // its node knows that a connection is open
 	answered bool // its node gave a final answer
-	over     bool // its node was told that it is over
-	gone     bool // its node was told that nobody waits
+	over     bool // its node was notified that it is over
+	gone     bool // its node was notified that nobody waits
 }
 
 type simAttempt struct {
@@ -141,7 +141,7 @@
 	sentAt      time.Duration
 	established bool
 	settled     bool // its outcome is known to the world
-	ended       bool // its outcome was told to the node
+	ended       bool // its node was notified of its outcome
 	outcome     choice.Outcome
 }
 
@@ -318,7 +318,7 @@
 	return all
 }
 
-// publish tells nodes of a server's entry, each after a delay of its own, in sequence for each node.
+// publish notifies nodes of a server's entry, each after a delay of its own, in sequence for each node.
 func (w *simulation) publish(h *simServer) {
 	for _, n := range w.nodes {
 		if n.following {
--- a/choice/slowstart_fleet_test.go
+++ b/choice/slowstart_fleet_test.go
@@ -19,7 +19,7 @@
 	rules     choice.Rules
 	skew      int     // a fifth of the nodes gets this many times the traffic of the others
 	homes     float64 // part of the requests that resume on some server
-	costKnown bool    // the load of a mean connection is told in the settings
+	costKnown bool    // the settings have the load of a mean connection
 	burst     float64
 	seed      uint64
 }
@@ -45,10 +45,10 @@
 
 // slowStartFigures say how servers in slow start fared in one run.
 type slowStartFigures struct {
-	worst      float64 // the most that one got in a window, over what it bears then
+	worst      float64 // the most that one got in a window, over its budget then
 	worstSum   int
 	worstBears float64
-	windows    int     // windows over what it bears
+	windows    int     // windows over its budget
 	broken     int     // of these: over two thirds came from nodes that knew of the start
 	budgetPart float64 // of all that servers in slow start might get
 	fairPart   float64 // of an even part of all connections placed, for what a server in slow start can do
@@ -248,7 +248,7 @@
 
 // TestSlowStartUnderManyNodes sets the sum of what all nodes send to a server in slow start against what makes it
 // fall, while traffic is uneven between nodes, a burst comes, servers join, vanish and restart, and clients retry. A
-// window over the limit breaks the rule if over two thirds of it came from nodes that had been told of the start; the
+// window over the limit breaks the rule if over two thirds of it came from nodes that knew of the start; the
 // others can't know. Nor may servers in slow start starve: they get at least a part of what an even spread by
 // capacity would bring them.
 //
@@ -294,7 +294,7 @@
 					sum.broken, sum.budgetPart,
 					sum.fairPart, sum.least)
 				if sum.broken > 0 {
-					t.Errorf("%d windows over what a server in slow start bears, sent by nodes that knew of its start",
+					t.Errorf("%d windows over a slow-start budget, sent by nodes that knew of its start",
 						sum.broken)
 				}
 				if sum.fairPart < test.leastFair {
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Nodes that start together must not all get their credit for servers in slow start in the same moment.
+// Nodes that start together must not all get their tokens for servers in slow start in the same moment.
 func TestCommonCreditHasASeededPhase(t *testing.T) {
 	const nodes = 20
 	seen := map[int]bool{}
@@ -19,7 +19,7 @@
 		}}})
 		balancer.hasSlowStartBudget(&requestEntry{affinity: 1}, balancer.findServer("cold"))
 		if balancer.slowStart.common.tokens < 0 || balancer.slowStart.common.tokens >= 1 {
-			t.Fatalf("seed %d starts with leave of %.3f", seed, balancer.slowStart.common.tokens)
+			t.Fatalf("seed %d starts with a budget of %.3f", seed, balancer.slowStart.common.tokens)
 		}
 		seen[int(balancer.slowStart.common.tokens*10)] = true
 	}
@@ -37,6 +37,6 @@
 		OriginalClass: &class, CurrentLoad: 0.05,
 	}})
 	if len(b.units.byClass) > len(b.settings.Classes) {
-		t.Errorf("%d classes are kept, the settings have %d", len(b.units.byClass), len(b.settings.Classes))
+		t.Errorf("%d classes have a mean load, the settings have %d", len(b.units.byClass), len(b.settings.Classes))
 	}
 }
--- a/choice/zones_test.go
+++ b/choice/zones_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestPlanOfZones plays requests of one class against plans: the nearest zone with room is taken, what has no room is
-// rejected at once with advice, and what stands in a zone counts against a later plan.
+// TestPlanOfZones plays requests of one class against plans: the nearest zone with capacity is taken, what has none is
+// rejected at once with a Retry-After, and what stands in a zone counts against a later plan.
 func TestPlanOfZones(t *testing.T) {
 	const wide = 100
 	for _, test := range []struct {
@@ -105,7 +105,7 @@
 		want   map[string]int
 	}{
 		{"no plan: any zone", nil, nil, "", nil},
-		{"own zone while it has room", []Grant{{"a", wide, nil}, {"b", wide, nil}}, nil, "", map[string]int{"a": 20}},
+		{"own zone with capacity", []Grant{{"a", wide, nil}, {"b", wide, nil}}, nil, "", map[string]int{"a": 20}},
 		{"what doesn't fit goes on", []Grant{{"a", 5, nil}, {"b", wide, nil}}, nil, "", map[string]int{
 			"a": 5,
 			"b": 15,
@@ -118,10 +118,10 @@
 			"a":        5,
 			"rejected": 15,
 		}},
-		{"a class that is not let in", []Grant{{"a", wide, nil}}, []float64{0}, "", map[string]int{"rejected": 20}},
+		{"a class that is not admitted", []Grant{{"a", wide, nil}}, []float64{0}, "", map[string]int{"rejected": 20}},
 		{"a plan without grants", []Grant{}, nil, "", map[string]int{"rejected": 20}},
 		{
-			"a zone that fails is left for the next",
+			"a zone that fails is replaced by the next",
 			[]Grant{{"a", wide, nil}, {"b", wide, nil}},
 			nil, "a",
 			map[string]int{"b": 20},
