--- a/internal/consensus/replica/replica_test.go
+++ b/internal/consensus/replica/replica_test.go
@@ -55,7 +55,7 @@
 	switch rapid.SampledFrom(faults).Draw(s.t, "fault") {
 	case faultCrash:
 		if s.rng.IntN(2) == 0 && node.pending != nil {
-			s.persist(node) // it was on the disk, and nobody was told
+			s.persist(node) // it was on the disk, and no message was sent
 		}
 		node.pending = nil
 		node.down = s.now + 1 + s.rng.IntN(40)
@@ -88,7 +88,7 @@
 	}
 }
 
-// checkProgress wants all results that were told to be known still, and all replicas to learn of a new entry.
+// checkProgress wants all results that were returned to be known still, and all replicas to learn of a new entry.
 func checkProgress(t *rapid.T, simulation *simulation) {
 	leader := simulation.leader()
 	if leader == nil {
@@ -96,7 +96,7 @@
 	}
 	for id, before := range simulation.results {
 		if result, ok := leader.Result(id); !ok || result != before {
-			t.Fatalf("proposal %s ended as %+v, %v, wanted %+v as was told", id, result, ok, before)
+			t.Fatalf("proposal %s ended as %+v, %v, wanted %+v as before", id, result, ok, before)
 		}
 	}
 	last := consensus.Proposal{ID: "last", Kind: 1, Replaces: leader.State().Newest[1].Index, Data: []byte("last")}
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestHellosEnd has two replicas without a log wait for a third one: each tells the other who it is, and then nothing
+// TestHellosEnd has two replicas without a log wait for a third one: each sends the other a hello, and then nothing
 // more is sent until the next tick.
 func TestHellosEnd(t *testing.T) {
 	const rounds = 20
--- a/internal/consensus/store_test.go
+++ b/internal/consensus/store_test.go
@@ -160,7 +160,7 @@
 }
 
 // TestStoreIncompleteRecord has a kill leave a long record half written, whose rest is longer than what comes next:
-// nobody was told of it, and what is saved from then on is read again.
+// nothing that follows from it was sent, and what is saved from then on is read again.
 func TestStoreIncompleteRecord(t *testing.T) {
 	for _, written := range []int{30, 5 << 10, 60 << 10} {
 		dir := t.TempDir()
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -27,8 +27,8 @@
 }
 
 // TestPlannedStopTakesTheTimeThereIs checks that open connections stay as long as the platform's time for a stop
-// allows, since the node that left before may not be back yet, and that nothing is held well before the process may
-// be killed.
+// allows, since the node that was restarted before may not be running yet, and that nothing is left well before the
+// process may be killed.
 func TestPlannedStopTakesTheTimeThereIs(t *testing.T) {
 	for _, test := range []struct{ deadline, first, last time.Duration }{
 		{4 * time.Second, 1500 * time.Millisecond, 3200 * time.Millisecond},
--- a/internal/edge/random_days_test.go
+++ b/internal/edge/random_days_test.go
@@ -116,7 +116,7 @@
 	if !u.givenUp && mood != 9 {
 		day.wantSent++
 		u.attempt.Written()
-		u.attempt.Written() // as a front may that hears of it twice
+		u.attempt.Written() // as a front may that is notified twice
 	}
 	switch {
 	case u.givenUp: // an answer that comes too late, which must not count
@@ -284,7 +284,7 @@
 	}
 }
 
-// checkEnd holds that the figures are what the clients saw, and that nothing is held after the stop.
+// checkEnd holds that the figures are what the clients saw, and that nothing is left after the stop.
 func (d *day) checkEnd() {
 	for i, name := range []string{"c", "u"} {
 		if got := *d.figures.Class(name); got != d.want[i] {
@@ -305,7 +305,7 @@
 	}
 	d.core.UpdateServers(choice.ListFull, d.servers[5:])
 	if len(d.core.servers) != 1 {
-		d.t.Errorf("seed %d: %d servers are kept of a list of one, want 1", d.seed, len(d.core.servers))
+		d.t.Errorf("seed %d: %d servers remain of a list of one, want 1", d.seed, len(d.core.servers))
 	}
 	for id, server := range d.core.servers {
 		if server.inFlight != 0 {
@@ -315,7 +315,7 @@
 }
 
 // TestRules plays random days against the core and the balancer: one final answer for each request, in time; four
-// attempts at most and never two at once; nothing new to a draining server after its grace; nothing held at the end.
+// attempts at most and never two at once; nothing new to a draining server after its grace; nothing left at the end.
 // The figures are what the clients saw.
 func TestRules(t *testing.T) {
 	for seed := range uint64(40) {
--- a/internal/failover/agent/dispatch_test.go
+++ b/internal/failover/agent/dispatch_test.go
@@ -8,7 +8,7 @@
 	"spurwinch/internal/membership"
 )
 
-// newTestAgent is node a of three, which doesn't vote. It has heard nobody.
+// newTestAgent is node a of three, which doesn't vote. It has received no message.
 func newTestAgent(tb testing.TB) *Agent {
 	tb.Helper()
 	list, err := membership.NewList([]membership.Node{
@@ -59,7 +59,7 @@
 		{"from a node that is not listed", heartbeat(header{from: 9, incarnation: 5, clock: 15}), 7, 1},
 		{"cut off", first[:20], 8, 1},
 		{"another process too soon", heartbeat(header{from: 1, incarnation: 6, clock: 1}), time.Second, 1},
-		{"another process, the first silent", heartbeat(header{from: 1, incarnation: 6, clock: 2}), 4 * time.Second, 2},
+		{"another process, the first ended", heartbeat(header{from: 1, incarnation: 6, clock: 2}), 4 * time.Second, 2},
 		{"late, of the first process", heartbeat(header{from: 1, incarnation: 5, clock: 99}), 4*time.Second + 1, 2},
 	} {
 		agent.Receive(test.message, test.at)
--- a/internal/failover/agent/leader_contact_test.go
+++ b/internal/failover/agent/leader_contact_test.go
@@ -24,7 +24,7 @@
 }
 
 // TestGrantsAreValidWhileTheLeaderIsConfirmed holds how long a node goes by grants into other zones: as long as the
-// leader was surely there, by this node's own clock, and the time that the word of it was on its way is counted
+// leader was surely there, by this node's own clock, and the age of the message is counted
 // against it.
 func TestGrantsAreValidWhileTheLeaderIsConfirmed(t *testing.T) {
 	agent := newTestAgent(t)
--- a/internal/failover/plans_in_use_test.go
+++ b/internal/failover/plans_in_use_test.go
@@ -113,7 +113,7 @@
 }
 
 // observe has the planner take in the evidence of a zone's nodes. Those that are drawn to adopt the newest plan say so,
-// the others aren't heard.
+// the others are unreachable.
 func (f *mixedFleet) observe(t *rapid.T, zone, lostZone int) {
 	summary := EvidenceSummary{
 		Zone:     zoneName(zone),
--- a/internal/failover/schedule_test.go
+++ b/internal/failover/schedule_test.go
@@ -14,8 +14,8 @@
 	"spurwinch/internal/membership"
 )
 
-// schedule plays a fleet of four zones in two regions. Clients want what is set; all nodes but the silent ones report
-// evidence and go by the newest plan.
+// schedule plays a fleet of four zones in two regions. Clients want what is set; all nodes but the unreachable ones
+// report evidence and go by the newest plan.
 type schedule struct {
 	t       *testing.T
 	list    *membership.List
@@ -29,7 +29,7 @@
 	loads      map[string][]float32 // by zone and class: what its clients have there
 	failing    map[string]bool      // zones whose servers fail
 	unreported map[string]bool      // zones whose nodes report nothing
-	silent     []int                // nodes that their watchers don't hear
+	silent     []int                // nodes that are unreachable for their watchers
 	rejecting  bool                 // clients are rejected
 }
 
--- a/internal/failover/zone_plan_test.go
+++ b/internal/failover/zone_plan_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestZonePlanFor holds what a node's balancer goes by, as cases.
+// TestZonePlanFor checks the plan of a node's balancer, as cases.
 func TestZonePlanFor(t *testing.T) {
 	plan := twoRegionPlan()
 	if _, err := DecodePlan(plan.Encode()); err != nil {
@@ -44,7 +44,7 @@
 	}{
 		{"standalone: own zone", Standalone, 0, "a[] "},
 		{"planned: near first, and what must stay has its part", Planned, 0, "a[] b[1] b[0] c[1] "},
-		{"no word of the leader: own zone", OwnZoneOnly, 0, "a[] "},
+		{"no contact to the leader: own zone", OwnZoneOnly, 0, "a[] "},
 		{"out of the view: own zone", Planned, 2, "a[] "},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/loop/helpers_test.go
+++ b/internal/loop/helpers_test.go
@@ -13,7 +13,7 @@
 // testTimeout bounds each wait for the other side.
 const testTimeout = 20 * time.Second
 
-// recordingHandler is a handler that tells what happens.
+// recordingHandler is a handler that records its events.
 type recordingHandler struct {
 	conn *Conn
 	up   chan bool
@@ -178,7 +178,7 @@
 	return receive(t, accepted), peer
 }
 
-// sendArrived has bytes lie in the other side's socket, which the kernel tells by their acknowledgement.
+// sendArrived has bytes lie in the other side's socket, which their acknowledgement shows.
 func sendArrived(t *testing.T, from *net.TCPConn, text string) {
 	t.Helper()
 	if _, err := from.Write([]byte(text)); err != nil {
--- a/internal/loop/kernel_test.go
+++ b/internal/loop/kernel_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// failingKernel is a kernel whose next calls fail as they are told to.
+// failingKernel is a kernel whose next calls fail as a test says.
 type failingKernel struct {
 	Linux
 	mu      sync.Mutex
@@ -86,7 +86,7 @@
 	change()
 }
 
-// TestTransientAcceptFailure has accept fail once in each way that Linux documents while a client has sent its words:
+// TestTransientAcceptFailure has accept fail once in each way that Linux documents while a client has sent data:
 // it is served.
 func TestTransientAcceptFailure(t *testing.T) {
 	for _, failure := range []error{
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestPauseHoldsUpSender checks that a paused connection takes nothing in: the sender is held up by the kernel.
+// TestPauseHoldsUpSender checks that a paused connection reads nothing: the kernel blocks the sender.
 func TestPauseHoldsUpSender(t *testing.T) {
 	eventLoop := startLoop(t)
 	got := 0
--- a/internal/loop/race_test.go
+++ b/internal/loop/race_test.go
@@ -127,7 +127,7 @@
 	})
 }
 
-// TestCloseIdle has idle connections answered and ended, but for one whose words lie in its socket.
+// TestCloseIdle has idle connections answered and ended, but for one whose data is in its socket.
 func TestCloseIdle(t *testing.T) {
 	eventLoop := startLoop(t)
 	heard := make(chan string, 1)
@@ -148,7 +148,7 @@
 		t.Errorf("read %q, want what it said", data)
 	}
 	if data, err := io.ReadAll(silent); string(data) != "BUSY" || err != nil {
-		t.Errorf("the silent one gets %q, %v, want its answer", data, err)
+		t.Errorf("the idle one gets %q, %v, want its answer", data, err)
 	}
 	onLoop(eventLoop, func() {
 		if speaking.closed || speaking.ending {
--- a/internal/loop/transfer_test.go
+++ b/internal/loop/transfer_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestDetachedIsNotTouched detaches a connection whose bytes the poller has told of already: they are not read here,
+// TestDetachedIsNotTouched detaches a connection whose bytes the poller has reported already: they are not read here,
 // nor is what came lost, and it is not evicted; reattached, it goes on.
 func TestDetachedIsNotTouched(t *testing.T) {
 	eventLoop := startLoop(t)
--- a/internal/operations/hotrestart/golden_test.go
+++ b/internal/operations/hotrestart/golden_test.go
@@ -172,7 +172,7 @@
 		got = append(got, buffer[:size]...)
 	}
 	if !bytes.Equal(got, want) {
-		t.Fatalf("%v: heard %q, want %q", names, got, want)
+		t.Fatalf("%v: received %q, want %q", names, got, want)
 	}
 	t.Cleanup(func() { loop.CloseAll(fds) })
 	return fds
@@ -210,7 +210,7 @@
 	}
 }
 
-// TestGoldenParent has the running process hear and say each message to one of another release.
+// TestGoldenParent has the running process exchange each message with one of another release.
 func TestGoldenParent(t *testing.T) {
 	skipUpdate(t)
 	path := socketPath(t)
@@ -321,7 +321,7 @@
 	return conversation{conn}, grant
 }
 
-// TestGoldenSuccessor has the process that starts hear and say each message to one of another release.
+// TestGoldenSuccessor has the process that starts exchange each message with one of another release.
 func TestGoldenSuccessor(t *testing.T) {
 	skipUpdate(t)
 	fds := threeSockets(t)
--- a/internal/operations/hotrestart/helpers_test.go
+++ b/internal/operations/hotrestart/helpers_test.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// nothingChanged ignores what a Coordinator tells of other processes.
+// nothingChanged ignores what a Coordinator reports of other processes.
 func nothingChanged() {}
 
 // grantOnly returns a function that grants descriptors and nothing else.
--- a/internal/operations/hotrestart/transfer_test.go
+++ b/internal/operations/hotrestart/transfer_test.go
@@ -26,7 +26,7 @@
 	then     string // what the successor must read behind the batch
 }
 
-// TestParentSide has the successor die, reject, fall silent or send nonsense at each step of a transfer: the parent
+// TestParentSide has the successor die, reject, not answer or send nonsense at each step of a transfer: the parent
 // learns whether the connection is its own, and never both have it.
 func TestParentSide(t *testing.T) {
 	for _, step := range []parentStep{
@@ -34,7 +34,7 @@
 		{"accepts it", `{"kind":"held","room":3}` + "\n", false, true, `{"kind":"given"}`},
 		{"dies once it has accepted it", `{"kind":"held","room":3}` + "\n", true, true, ""},
 		{"rejects it", `{"kind":"refused"}` + "\n", false, false, ""},
-		{"is silent", "", false, false, `{"kind":"back"}`},
+		{"does not answer", "", false, false, `{"kind":"back"}`},
 		// What follows ends the link from the parent's side, and the batch goes with it.
 		{"sends what it can't", `{"kind":"given"}` + "\n", false, true, ""},
 		{"sends nothing that can be read", "what?\n", false, true, ""},
@@ -79,7 +79,7 @@
 			t.Errorf("accepted is %v, want %v", got, step.accepted)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("nothing is heard of the batch")
+		t.Fatal("the batch has no outcome")
 	}
 	if step.then != "" {
 		step.checkNext(t, successor)
@@ -125,7 +125,7 @@
 }
 
 // TestSuccessorSide has the parent die or spoil what it sends at each step of a transfer: what is whole and not
-// recalled is taken once, all else leaves nothing behind.
+// recalled is taken once, all else has no effect.
 func TestSuccessorSide(t *testing.T) {
 	good := encodeItems(t, encodedItem{Sockets: 1, Body: []byte("state")})
 	none := encodeItems(t, encodedItem{Sockets: 0, Body: []byte("state")})
@@ -324,7 +324,7 @@
 			t.Errorf("linked %v, ready %v after a late answer, want both", linked, ready)
 		}
 		if there, _ := parent.SuccessorAccepts(); there {
-			t.Error("a successor that was silent is offered another batch")
+			t.Error("a successor that did not answer is offered another batch")
 		}
 	})
 	select {
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -143,7 +143,7 @@
 }
 
 // TestGoldenMessages holds the parts of messages between nodes that belong to this package: what a member reports, what
-// the leader told, and the canary of a proposal's call.
+// the leader sends, and the canary of a proposal's call.
 func TestGoldenMessages(t *testing.T) {
 	status := MemberStatus{
 		Entry: 11, Verdict: VerdictReject, Reason: "no room", KnownNumber: 12, ServedNumber: 13, MayServe: true,
--- a/internal/policy/state_test.go
+++ b/internal/policy/state_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// TestInvalidProposals holds that what no fleet can accept is told apart from what another state could accept.
+// TestInvalidProposals holds that what no fleet can accept is distinguished from what another state could accept.
 func TestInvalidProposals(t *testing.T) {
 	document := validDocument()
 	for _, test := range []struct {
