--- a/choice/doc.go
+++ b/choice/doc.go
@@ -15,8 +15,8 @@
 // Events with unknown ids are ignored.
 //
 // The package keeps four rules: one final answer in time for each request; no effect of a request twice; no new
-// connection to a server that is draining or gone; and no more to a server in slow start than this node's quota of
-// what it can bear.
+// connection to a server that is draining or gone; and no more to a server in slow start than this node's part of
+// its slow-start budget.
 //
 // Where to find what:
 //
@@ -25,7 +25,7 @@
 //   - choice.go: the placement of a request; zones.go: the zones that a plan allows; groups.go: affinity of groups.
 //   - server.go: the server table; outlier.go: ejection; slowstart.go: servers that have just started.
 //   - load.go, cost.go, units.go: predicted loads; weight.go: the PID controller and weights of the draw.
-//   - inference.go: loads where servers send no reports; healthcheck.go: reports that are asked for.
+//   - inference.go: loads where servers send no reports; healthcheck.go: reports on demand.
 //   - migration.go: connections migrated off overloaded servers.
 //   - reservation.go, peermessage.go, peerclock.go: reservations at the node that owns a server.
 //   - learned.go, observations.go: what other processes and the planner of zones receive.
--- a/choice/healthcheck.go
+++ b/choice/healthcheck.go
@@ -23,7 +23,7 @@
 	maxLatency      = 1e6 // ms; a larger reported latency counts as this
 )
 
-// checkHealth asks a server for its load report, unless a check is out.
+// checkHealth asks a server for its load report, unless a check is in flight.
 func (b *Balancer) checkHealth(server *serverEntry) {
 	if !server.checking && b.settings.Limits.HealthChecks {
 		server.checking = true
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -111,7 +111,7 @@
 }
 
 // valid reports whether what another process sent is possible. One value that is not a number would spread into every
-// prediction, so a state with any impossible value is dropped as a whole.
+// prediction, so a state with any impossible value is dropped completely.
 func (l LearnedState) valid() bool {
 	if l.Version != LearnedStateVersion || !(l.Unit > 0) || l.Hints < 0 || !(l.MeanPriority > 0) {
 		return false
--- a/choice/load.go
+++ b/choice/load.go
@@ -26,7 +26,7 @@
 	laggedAt time.Duration // up to when it has followed
 }
 
-// add takes in load that comes, or with a negative sign goes.
+// add adds load of new connections, or with a negative sign of ended ones.
 func (o *ownLoad) add(now time.Duration, load float64) {
 	o.lagged = o.load + fade(o.lagged-o.load, now-o.laggedAt, reportLag)
 	o.laggedAt = now
--- a/choice/request.go
+++ b/choice/request.go
@@ -19,7 +19,7 @@
 	attempts    int
 	startedAt   time.Duration // of the last attempt
 
-	// What retries go by.
+	// For retries.
 	tried        []*serverEntry
 	mayHaveRunOn *serverEntry  // server of the first attempt that may have run
 	retryBefore  time.Duration // a retry of that has to be sent by then
@@ -44,7 +44,7 @@
 	return 0
 }
 
-// adopt takes in a connection that is open already.
+// adopt adds a connection that was open before this process had it.
 func (b *Balancer) adopt(connection OpenConnection) {
 	server := b.findServer(connection.Server)
 	class := connection.OriginalClass
@@ -111,7 +111,7 @@
 	b.zones.add(zoneClass{request.server.Zone, request.Class}, load)
 }
 
-// updateLoad takes in the present load of an open connection.
+// updateLoad sets the present load of an open connection.
 func (b *Balancer) updateLoad(update LoadUpdate) {
 	request := b.requests[update.ID]
 	if request == nil || request.server == nil || !(update.Load >= 0) || !finite(update.Load) {
@@ -138,7 +138,7 @@
 	b.awaitingChecks = slices.DeleteFunc(b.awaitingChecks, func(other *requestEntry) bool { return other == request })
 }
 
-// attemptEstablished takes in that the connection of the attempt under way is open.
+// attemptEstablished marks the request of an attempt whose connection is open.
 func (b *Balancer) attemptEstablished(event Established) {
 	request := b.requests[event.ID]
 	if request == nil || request.server == nil || event.Attempt != request.attempts-1 {
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -88,7 +88,7 @@
 	b.place(request)
 }
 
-// observeOutcome takes in what an attempt's outcome says of its server.
+// observeOutcome ejects a server after a failed attempt, or notes that it is full.
 func (b *Balancer) observeOutcome(server *serverEntry, outcome Outcome) {
 	switch outcome {
 	case TimedOut, ConnectFailed, Reset, Failed:
--- a/choice/server.go
+++ b/choice/server.go
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// applyList takes in an update of the server list, or has it polled again.
+// applyList applies an update of the server list, or has it polled again.
 func (b *Balancer) applyList(list ServerList) {
 	if list.Kind == ListUnavailable {
 		b.schedulePoll()
@@ -72,7 +72,7 @@
 	b.actions = append(b.actions, SetTimer{Token: timerPoll, After: after})
 }
 
-// mergeList takes in the entries of a list. A server that a complete list does not name is Gone; its entry stays until
+// mergeList applies the entries of a list. A server that a complete list does not name is Gone; its entry stays until
 // none of this node's connections is on it.
 func (b *Balancer) mergeList(list ServerList) {
 	if list.Kind != ListChange {
@@ -88,7 +88,7 @@
 	})
 }
 
-// mergeServer takes in one entry. A restarted server is in slow start, and what was learned of its last process is
+// mergeServer applies one entry. A restarted server is in slow start, and what was learned of its last process is
 // forgotten, but for this node's load there, its health check in flight and the peer requests that wait for that.
 func (b *Balancer) mergeServer(listed Server) {
 	i, found := slices.BinarySearchFunc(b.servers, listed.ID, compareID)
--- a/choice/zones.go
+++ b/choice/zones.go
@@ -104,7 +104,8 @@
 	return i >= 0
 }
 
-// applyPlan takes a plan in, in a form that the decisions can go by without a look at its bounds.
+// applyPlan puts a plan into force, or ends the one in force, and bounds its values so that the decisions need no
+// checks.
 func (b *Balancer) applyPlan(plan ZonePlan) {
 	settings := b.settings
 	settings.Nodes = b.fleetNodes / max(1, settings.Processes)
--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -46,7 +46,7 @@
 	return hash.Sum64()
 }
 
-// Proposal asks for an entry to be decided.
+// Proposal is a proposed entry of the log.
 type Proposal struct {
 	_        struct{} `cbor:",toarray"`
 	ID       string   // idempotency key, unique in the log: proposing an id a second time changes nothing
--- a/internal/consensus/store_format.go
+++ b/internal/consensus/store_format.go
@@ -41,7 +41,7 @@
 	return (atLeast + sizeStep/2 + sizeStep - 1) / sizeStep * sizeStep
 }
 
-// encodeFile gives a whole file of some size with records that are encoded already.
+// encodeFile returns the complete contents of a file of some size with records that are encoded already.
 func encodeFile(records []byte, size int64) []byte {
 	file := make([]byte, 0, size)
 	file = append(file, magic...)
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -31,7 +31,7 @@
 const (
 	// Open is an open connection.
 	Open Answer = iota
-	// Served is a server's whole answer, without an open connection.
+	// Served is a server's complete answer, without an open connection.
 	Served
 	// Rejected is a local reply that promises that a retry is harmless.
 	Rejected
--- a/internal/edge/options.go
+++ b/internal/edge/options.go
@@ -64,7 +64,7 @@
 	Settings      choice.Settings
 	Seed          uint64 // of the balancer's random numbers
 	HealthChecker HealthChecker
-	WatchList     func() // asks discovery to push changes from now on
+	WatchList     func() // has discovery push changes from now on
 	// SendPeerMessage sends a message to another node by its number; nil: there are no peers.
 	SendPeerMessage func(to int, message []byte)
 	// DrainPeriod is how long the migration of a draining server's clients, one by one, takes. 0: servers have their
--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -62,11 +62,11 @@
 	observed choice.Observations   // since the last evidence was sent
 	evidence map[int]*nodeEvidence // of this zone's nodes, as one of its aggregators
 
-	voter       Voter             // nil: this node doesn't vote
-	planner     *failover.Planner // nil: this node doesn't lead
-	pendingAcks []pendingAck      // summaries that wait for a confirmation, oldest first
-	leader      leaderContact
-	leaseEnd    time.Duration // grants into other zones are valid until then
+	voter            Voter             // nil: this node doesn't vote
+	planner          *failover.Planner // nil: this node doesn't lead
+	pendingAcks      []pendingAck      // summaries that wait for a confirmation, oldest first
+	leader           leaderContact
+	grantsValidUntil time.Duration // end of the grants into other zones, by this node's clock
 
 	leaseOwner  *failover.LeaseOwner
 	leaseHolder leaseHolder
--- a/internal/failover/agent/body.go
+++ b/internal/failover/agent/body.go
@@ -35,20 +35,21 @@
 	Entry consensus.Entry
 }
 
-// leaseRequest asks the owner of a zone's capacity leases for capacity. It replaces what the sender asked for before.
+// leaseRequest requests capacity from the owner of a zone's capacity leases, in place of what the sender requested
+// before.
 type leaseRequest struct {
 	_    struct{} `cbor:",toarray"`
-	Load float64
+	Load float64  // reported load; 0 ends the lease
 }
 
 // leaseGrant is the owner's answer.
 type leaseGrant struct {
 	_            struct{} `cbor:",toarray"`
-	RequestClock uint64
-	Load         float64
+	RequestClock uint64   // clock of the request
+	Load         float64  // granted; 0: nothing
 }
 
-// maxLeaseLoad bounds what a message may ask for or grant.
+// maxLeaseLoad bounds the load that a message may request or grant.
 const maxLeaseLoad = 1e9
 
 // isLeaseLoad says whether a number can be the load of a lease; NaN can't.
--- a/internal/failover/agent/calls.go
+++ b/internal/failover/agent/calls.go
@@ -16,7 +16,7 @@
 // Operator is the sender's number in an operator's call: no node's.
 const Operator = 0xffff
 
-// Verb is what an operator's call asks for, as Call.Verb has it on the wire.
+// Verb is the operation of an operator's call, as Call.Verb has it on the wire.
 type Verb string
 
 // The verbs of calls.
@@ -32,7 +32,7 @@
 	VerbPolicyAbort   Verb = "policy-abort"   // give the change ID up; of the leader
 )
 
-// Call is what an operator asks a node.
+// Call is an operator's call to a node.
 type Call struct {
 	_    struct{} `cbor:",toarray"`
 	Verb string   // a Verb
--- a/internal/failover/agent/entries.go
+++ b/internal/failover/agent/entries.go
@@ -11,7 +11,7 @@
 // fromOwnVoter is the sender of an entry that this node's own voter has decided.
 const fromOwnVoter = -1
 
-// fetchMissing asks another node for the entries that it has and this one doesn't.
+// fetchMissing requests from another node the entries that this one is missing by that one's digest.
 func (a *Agent) fetchMissing(from int, digest consensus.Digest, now time.Duration) {
 	kinds, err := a.follower.MissingKinds(digest)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 }
 
-// handleFetchEntries sends the entries that another node asks for.
+// handleFetchEntries sends the entries that another node requests.
 func (a *Agent) handleFetchEntries(head header, kinds []consensus.Kind, now time.Duration) {
 	for _, kind := range kinds[:min(len(kinds), consensus.MaxKinds)] {
 		entry := a.follower.Newest(kind)
--- a/internal/failover/agent/leader.go
+++ b/internal/failover/agent/leader.go
@@ -11,7 +11,7 @@
 // maxPendingAcks bounds the summaries that wait for a confirmation.
 const maxPendingAcks = 4096
 
-// pendingAck is a summary that the leader answers when a majority has confirmed that it leads.
+// pendingAck is a summary that the leader acknowledges once a majority has confirmed that it leads.
 type pendingAck struct {
 	confirmation uint64 // the voter's call that has to be confirmed; 0: it is not made yet
 	to           int
@@ -33,7 +33,7 @@
 	if isDue(&a.schedule.confirm, confirmInterval, now) && len(a.pendingAcks) > 0 {
 		a.confirmLeadership()
 	}
-	if isDue(&a.schedule.plan, planInterval, now) {
+	if isDue(&a.schedule.plan, failover.StepInterval, now) {
 		a.advanceRollout(now)
 		a.proposePlan(now)
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-// confirmLeadership asks a majority to confirm that this node leads, for all summaries received before.
+// confirmLeadership has a majority confirm that this node leads, for all summaries received before.
 func (a *Agent) confirmLeadership() {
 	confirmation := a.voter.ConfirmLeadership()
 	for i := range a.pendingAcks {
@@ -124,7 +124,7 @@
 	}
 }
 
-// acknowledgeSummaries answers the summaries whose confirmation is there.
+// acknowledgeSummaries acknowledges the summaries for which a majority has confirmed the leadership.
 func (a *Agent) acknowledgeSummaries(now time.Duration) {
 	answered := 0
 	for _, pending := range a.pendingAcks {
--- a/internal/failover/agent/leader_contact.go
+++ b/internal/failover/agent/leader_contact.go
@@ -46,6 +46,6 @@
 	}
 	if a.plan != nil && a.leader.plan <= a.planNumber {
 		lifetime := time.Duration(float64(a.plan.GrantLifetime) * float64(time.Second))
-		a.leaseEnd = max(a.leaseEnd, a.leader.confirmedAt+lifetime)
+		a.grantsValidUntil = max(a.grantsValidUntil, a.leader.confirmedAt+lifetime)
 	}
 }
--- a/internal/failover/agent/leases.go
+++ b/internal/failover/agent/leases.go
@@ -173,7 +173,7 @@
 // grantLease grants a node load of this zone's reserve. The owner grants only while the plan's grants are valid: later
 // plans count on its leases to end with them.
 func (a *Agent) grantLease(node int, requested float64, now time.Duration) float64 {
-	if a.plan == nil || now >= a.leaseEnd {
+	if a.plan == nil || now >= a.grantsValidUntil {
 		return 0
 	}
 	for _, zone := range a.plan.Zones {
--- a/internal/failover/agent/plan.go
+++ b/internal/failover/agent/plan.go
@@ -27,7 +27,7 @@
 func (a *Agent) updateMode(now time.Duration) {
 	mode := failover.Standalone
 	switch {
-	case a.plan != nil && now < a.leaseEnd:
+	case a.plan != nil && now < a.grantsValidUntil:
 		mode = failover.Planned
 	case a.plan != nil:
 		mode = failover.OwnZoneOnly
--- a/internal/failover/agent/plan_rules.go
+++ b/internal/failover/agent/plan_rules.go
@@ -45,7 +45,7 @@
 	return rules
 }
 
-// distanceBetween gives the cost of the way between two regions, in both directions alike and 1 at least.
+// distanceBetween returns the cost between two regions, the same in both directions and 1 at least.
 func distanceBetween(distances []policy.RegionDistance) func(from, to string) float64 {
 	costs := map[[2]string]float64{}
 	for _, distance := range distances {
--- a/internal/failover/agent/reply.go
+++ b/internal/failover/agent/reply.go
@@ -55,7 +55,7 @@
 	Capacity       float64            `json:"room"`
 	GuestLoad      float64            `json:"guests"` // what clients of other zones need there now
 	LeaseOwner     string             `json:"lender,omitempty"`
-	Reserve        float64            `json:"lends"` // what the owner of its leases may lease of the room
+	Reserve        float64            `json:"lends"` // part of the capacity that the owner may lease out
 	Demand         map[string]float64 `json:"want"`
 	Grants         map[string]float64 `json:"grants"`
 	AdmitFractions map[string]float64 `json:"admit"`
@@ -85,8 +85,8 @@
 		LeasedFrom: a.leasedLoads(),
 		LeasedOut:  a.leaseOwner.Reserved(now),
 	}
-	if a.plan != nil && now < a.leaseEnd {
-		reply.Lease = (a.leaseEnd - now).Seconds()
+	if a.plan != nil && now < a.grantsValidUntil {
+		reply.Lease = (a.grantsValidUntil - now).Seconds()
 	}
 	if a.voter != nil {
 		reply.Term = a.voter.Term()
--- a/internal/failover/agent/schedule.go
+++ b/internal/failover/agent/schedule.go
@@ -4,6 +4,7 @@
 	"math/rand/v2"
 	"time"
 
+	"spurwinch/internal/failover"
 	"spurwinch/internal/membership"
 )
 
@@ -12,7 +13,6 @@
 	observeInterval  = 100 * time.Millisecond // what is rejected now can be leased capacity for now
 	evidenceInterval = 500 * time.Millisecond
 	summaryInterval  = 500 * time.Millisecond
-	planInterval     = 250 * time.Millisecond
 	confirmInterval  = 200 * time.Millisecond
 )
 
@@ -30,7 +30,7 @@
 		observe:   spread(observeInterval),
 		evidence:  spread(evidenceInterval),
 		summary:   spread(summaryInterval),
-		plan:      spread(planInterval),
+		plan:      spread(failover.StepInterval),
 		confirm:   now,
 	}
 }
--- a/internal/failover/agent/storage.go
+++ b/internal/failover/agent/storage.go
@@ -9,7 +9,7 @@
 // maxVoterSteps bounds the voter's steps at one call.
 const maxVoterSteps = 64
 
-// pendingRecord is a record that is to be on disk before anything else is done.
+// pendingRecord is a record that has to be on disk before the agent does anything else.
 type pendingRecord struct {
 	record      consensus.Record
 	replacesAll bool
@@ -49,8 +49,8 @@
 	}
 }
 
-// NextRecord gives the record that must be written next; whole says that it replaces all others. Persisted is to be
-// called when it is on disk.
+// NextRecord returns the record that has to be persisted next; whole says that it replaces all others. When it is on
+// disk, the caller calls Persisted.
 func (a *Agent) NextRecord() (record consensus.Record, whole, ok bool) {
 	if a.pendingRecord == nil {
 		return consensus.Record{}, false, false
@@ -58,7 +58,7 @@
 	return a.pendingRecord.record, a.pendingRecord.replacesAll, true
 }
 
-// Persisted says that the record of Save is on disk.
+// Persisted has to be called when the record of NextRecord is on disk. It puts into effect what depends on it.
 func (a *Agent) Persisted(now time.Duration) {
 	if pending := a.pendingRecord; pending != nil {
 		a.pendingRecord = nil
--- a/internal/failover/agent/voter.go
+++ b/internal/failover/agent/voter.go
@@ -9,7 +9,7 @@
 	"spurwinch/internal/consensus"
 )
 
-// Voter is one of those that agree on the log: internal/consensus/replica.
+// Voter is a replica of the log, as internal/consensus/replica implements it.
 type Voter interface {
 	Tick()
 	Receive(from int, data []byte) error
@@ -30,7 +30,7 @@
 // NewVoter makes voter number self of voters with what its disk has.
 type NewVoter func(self, voters int, records []consensus.Record, rng *rand.Rand) (Voter, error)
 
-// startVoter starts the node's vote, if it is a voter.
+// startVoter starts the node's replica, if the node is a voter.
 func (a *Agent) startVoter() error {
 	list := a.options.List
 	self := list.Voter(a.options.Self)
@@ -99,7 +99,7 @@
 	return false
 }
 
-// voterPersisted sends and applies what the voter may release now that its record is on disk.
+// voterPersisted sends and applies what the voter has released now that its record is on disk.
 func (a *Agent) voterPersisted(now time.Duration) {
 	messages, results := a.voter.Persisted()
 	voters := a.options.List.Voters()
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -72,7 +72,7 @@
 	_          struct{} `cbor:",toarray"`
 	From, To   int      // places in Plan.Zones
 	Load       float32
-	RegionLoad float32 // part of Load that is for classes that must stay in their region, which others leave to them
+	RegionLoad float32 // part of Load that is reserved for classes that must stay in their region
 }
 
 // CapacityReserve is what a lease owner may still have leased out of a zone's capacity.
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -117,7 +117,7 @@
 		if change, changed := p.advanceState(zone, now); changed {
 			reasons = append(reasons, change.String())
 		}
-		p.zoneStates[zone].advanceRamp(p.rules.RecoveryRamp * stepInterval.Seconds())
+		p.zoneStates[zone].advanceRamp(p.rules.RecoveryRamp * StepInterval.Seconds())
 	}
 	return reasons
 }
--- a/internal/failover/plans_in_use.go
+++ b/internal/failover/plans_in_use.go
@@ -49,7 +49,7 @@
 			continue
 		}
 		for _, node := range p.list.InZone(from.Name) {
-			if known.Number >= p.adoptions.newestOf(node) { // otherwise it goes by a newer one
+			if known.Number >= p.adoptions.newestOf(node) { // otherwise it has adopted a newer one
 				loads.raise(node, to, from.nodePart(float64(grant.Load), ownZone, lost[node]))
 			}
 		}
--- a/internal/failover/tuning.go
+++ b/internal/failover/tuning.go
@@ -2,10 +2,12 @@
 
 import "time"
 
+// StepInterval is the time between two calls of Planner.Step, by which recovery ramps advance.
+const StepInterval = time.Second / 4
+
 // Timing of evidence and plans.
 const (
 	evidenceLifetime = 3 * time.Second // older evidence is not used
-	stepInterval     = time.Second / 4 // between two calls of Planner.Step
 	planInterval     = time.Second     // between two plans, and from the start to the first one
 	calmPlanInterval = 5 * time.Second // the same, where nothing urgent has changed
 	proposalTimeout  = 3 * time.Second // a proposal that is not committed by then is made anew
--- a/internal/failover/zone_plan.go
+++ b/internal/failover/zone_plan.go
@@ -15,7 +15,7 @@
 	otherZoneDeviations = 1.5
 )
 
-// Mode is how a node goes by a plan.
+// Mode is the state of a node with respect to plans.
 type Mode uint8
 
 const (
@@ -23,8 +23,8 @@
 	Standalone Mode = iota
 	// Planned is the mode in which a plan is in force, as far as this node can know.
 	Planned
-	// OwnZoneOnly is the mode in which the contact to a leader was lost: what is left of a plan is the node's share of
-	// its own zone, which nobody else was promised.
+	// OwnZoneOnly is the mode in which the contact to a leader was lost: of the plan only the node's share of its own
+	// zone is valid, which is granted to no other node.
 	OwnZoneOnly
 )
 
@@ -33,10 +33,10 @@
 	return names[min(m, OwnZoneOnly)]
 }
 
-// LeasedCapacity is what a node has beyond the plan, and what it keeps within its region.
+// LeasedCapacity is what a node has leased beyond the plan, and what it reserves for regional classes.
 type LeasedCapacity struct {
 	ByZone       map[string]float64 // load that the node has leased there
-	InRegionOnly float64            // load of classes that must stay in the region and find no capacity in the own zone
+	InRegionOnly float64            // load of regional classes that has no capacity in the own zone: reserved for them
 }
 
 // GrantShare is the load that a node of a zone may have in each zone by a plan, as planning counts it: without leases,
@@ -57,7 +57,7 @@
 	return shares
 }
 
-// ZonePlanFor is what the load balancer of a node goes by. zone is the node's own and classes are its classes, by
+// ZonePlanFor is the plan for the load balancer of a node. zone is the node's own and classes are its classes, by
 // their places there; retryAfter is the advice to clients that are rejected.
 func ZonePlanFor(
 	mode Mode, plan *Plan, node int, zone string, classes []string, retryAfter time.Duration, leased LeasedCapacity,
@@ -83,7 +83,7 @@
 	return zonePlan
 }
 
-// planUser is one node that goes by a plan.
+// planUser computes one node's grants from a plan.
 type planUser struct {
 	mode         Mode
 	plan         *Plan
@@ -153,8 +153,8 @@
 }
 
 // ownLoad is what the node may have in its own zone by the plan. It is more than its even part: all nodes together have
-// it only when more is wanted than was estimated. Then the servers' own reports, without which no balancer places
-// anything, keep the last part of their capacity; a guest leaves more of that to the zone's own clients.
+// it only when more is wanted than was estimated. Then the servers' load reports, without which no balancer places
+// anything, protect the last part of their capacity.
 func (u *planUser) ownLoad() float64 {
 	zone := &u.plan.Zones[u.own]
 	load := u.plan.nodeLoad(u.own, u.own, u.lost)
--- a/internal/failover/zone_state_test.go
+++ b/internal/failover/zone_state_test.go
@@ -26,8 +26,8 @@
 		s.t.Fatalf("with all servers failing, zone %s is %v, want it lost", zone, state)
 	}
 	delete(s.failing, zone)
-	for range 2 * flapPeriod / stepInterval {
-		s.run(stepInterval)
+	for range 2 * flapPeriod / StepInterval {
+		s.run(StepInterval)
 		if s.planner.zoneStates[zone].state == Returning {
 			return s.now
 		}
--- a/internal/invariant/doc.go
+++ b/internal/invariant/doc.go
@@ -1,6 +1,6 @@
 // Package invariant checks at run time that a node keeps its promises to clients and servers.
 //
-// A Monitor is asked at each of the steps that can break a promise: when an attempt starts, when its first byte is
+// A Monitor is called at each of the steps that can break a promise: when an attempt starts, when its first byte is
 // sent, when either repeats an earlier attempt, and when a request or its connection is closed. It decides nothing: a
 // step that it objects to is a fault of the program, which is counted and reported, and which the caller must not
 // take.
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -61,7 +61,7 @@
 	return &Request{RequestFacts: facts, monitor: m, attempts: 1, answered: true, open: true}
 }
 
-// Start is asked before an attempt is begun. Unless the rule is Holds it must not be.
+// Start is called before an attempt is begun. Unless the rule is Holds it must not be.
 func (r *Request) Start(server Server, now time.Time) Rule {
 	rule := r.attemptRule(server, now)
 	if rule == Holds && r.inFlight {
@@ -79,7 +79,7 @@
 	return Holds
 }
 
-// Send is asked before the first byte of the attempt in flight. Unless the rule is Holds nothing must be written.
+// Send is called before the first byte of the attempt in flight. Unless the rule is Holds nothing must be written.
 func (r *Request) Send(server Server, now time.Time) Rule {
 	rule := r.attemptRule(server, now)
 	if rule == Holds && server.SlowStart != nil && !server.SlowStart.allow(server.Budget, now) {
@@ -151,8 +151,8 @@
 	r.inFlight = false
 }
 
-// Answer is asked before the node's own final answer. harmless says that the answer promises that a retry does no harm.
-// An UnsafeRejection must become a failure; after a SecondAnswer nothing may be said.
+// Answer is called before the node's own final answer. harmless says that the answer promises that a retry does no
+// harm. An UnsafeRejection must become a failure; after a SecondAnswer nothing may be said.
 func (r *Request) Answer(harmless bool, now time.Time) Rule {
 	rule := Holds
 	switch {
@@ -209,7 +209,7 @@
 	ByNode
 )
 
-// Close is asked when the client's connection ends; migrated says that the client was asked to reconnect.
+// Close is called when the client's connection ends; migrated says that the client was asked to reconnect.
 func (r *Request) Close(by Ending, migrated bool) Rule {
 	rule := Holds
 	switch {
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -51,7 +51,7 @@
 // String is the rule's name in logs and figures.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Step is a moment at which the monitor is asked.
+// Step is a moment at which the monitor is called.
 type Step uint8
 
 const (
--- a/internal/invariant/slow_start.go
+++ b/internal/invariant/slow_start.go
@@ -25,8 +25,8 @@
 	budget float64 // as it was then: it grows as the server warms up, and is learned
 }
 
-// MaxSlowStartCalls is what a server in slow start bears in the budget's time: the calls that the settings allow, and
-// some for chance.
+// MaxSlowStartCalls is the number of calls that a server in slow start may get within one window: its budget, and a
+// slack for chance.
 func MaxSlowStartCalls(budget float64) float64 {
 	slack := float64(largeBudgetSlack)
 	if budget < smallBudget {
--- a/internal/loop/listen.go
+++ b/internal/loop/listen.go
@@ -43,7 +43,7 @@
 		return nil, fmt.Errorf("listen address %q: %w", address, err)
 	}
 	listener := &Listener{Addr: bound, loop: l, accept: accept, uncounted: uncounted}
-	if !uncounted { // bound alone first, since a shared address doesn't tell whether somebody is there
+	if !uncounted { // bound alone first, since binding to a shared address doesn't show whether another socket is there
 		fd, err := bindSocket(bound, false)
 		if err == nil {
 			closeFD(fd)
@@ -74,7 +74,7 @@
 		return -1, err
 	}
 	setOption(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if shared { // from the first start on: the kernel asks it of all who listen at an address
+	if shared { // from the first start on: the kernel requires it of all sockets at an address
 		setOption(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	}
 	if err := unix.Bind(fd, local); err != nil {
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -28,7 +28,7 @@
 }
 
 // List is the nodes of a fleet, numbered by the order of their names. It does not change: a new list is another List.
-// A List belongs to one goroutine, since it computes watchers when they are asked for.
+// A List belongs to one goroutine, since it computes watchers on demand.
 type List struct {
 	nodes    []Node
 	numbers  map[string]int // by name
--- a/internal/policy/document.go
+++ b/internal/policy/document.go
@@ -23,7 +23,7 @@
 type Class struct {
 	Name             string
 	SetupObjective   time.Duration // latency objective of the connection's setup
-	Deadline         time.Duration // deadline of the whole setup
+	Deadline         time.Duration // of the setup with all its attempts
 	MessageObjective time.Duration // latency objective of a message on an open connection; 0: none
 	Priority         float64
 	ServedByBase     bool // without a lease it is served by the base policy; else it is rejected at once
@@ -54,7 +54,7 @@
 	UtilizationLimit float64       // fraction of a server's capacity that is planned for
 	RecoveryRamp     float64       // fraction of a recovered zone's capacity that is given back each second
 	RecoveryDelay    time.Duration // a zone must be healthy for so long before it takes load again
-	RegionalClasses  []string      // names of the classes that don't leave their region
+	RegionalClasses  []string      // names of the classes that must stay in their region
 	RegionDistances  []RegionDistance
 }
 
--- a/internal/policy/rollout.go
+++ b/internal/policy/rollout.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Rollout moves a change from stage to stage. The leader owns one from the moment it begins to lead; what a leader
-// before it has observed of a canary is lost, and the new one observes the whole time anew.
+// before it has observed of a canary is lost, and the new one begins the observation anew.
 type Rollout struct {
 	rules Rules
 
--- a/internal/trace/reason.go
+++ b/internal/trace/reason.go
@@ -45,7 +45,7 @@
 	ServerEnded Close = "host_ended"
 	// ServerReset: the server's connection broke.
 	ServerReset Close = "host_reset"
-	// ServerServed: the server's whole answer was passed on.
+	// ServerServed: the server's complete answer was forwarded.
 	ServerServed Close = "host_served_to_its_end"
 	// NodeAnswered: the node gave an answer of its own.
 	NodeAnswered Close = "node_answered"
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -27,10 +27,10 @@
 	(*counters)[key]++
 }
 
-// debug gives the log entry of an event, or nil where the log's level leaves it out: no field is made for nothing.
+// debug returns the log entry of an event, or nil below the log's level, for which no fields are made.
 func debug(event string) *zapcore.CheckedEntry { return zap.L().Check(zap.DebugLevel, event) }
 
-// Read records that a request was read whole; timeLeft is until its deadline.
+// Read records that a request was read completely; timeLeft is until its deadline.
 func (r *Recorder) Read(request, class string, timeLeft time.Duration) {
 	if entry := debug("request_read"); entry != nil {
 		entry.Write(zap.String("request", request), zap.String("class", class), zap.Duration("left", timeLeft))
@@ -84,7 +84,7 @@
 	}
 }
 
-// Closed records why a client's connection ended; request is empty where the client had asked for nothing.
+// Closed records why a client's connection ended; request is empty where the client had sent none.
 func (r *Recorder) Closed(request string, why Close) {
 	count(&r.closes, why)
 	if entry := debug("connection_closed"); entry != nil {
