--- a/choice/healthcheck_test.go
+++ b/choice/healthcheck_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestFullServerIsFound checks that a server that filled up under open connections is found and relieved where no
-// delay notes come, as on sockets, and that nothing is asked where they do.
+// delays are not observed, as on sockets, and that no server is checked where they are.
 func TestFullServerIsFound(t *testing.T) {
 	for _, observed := range []bool{false, true} {
 		balancer, err := New(Settings{
@@ -32,7 +32,7 @@
 			switch action := a.(type) {
 			case HealthCheck:
 				if checks++; action.Server != "full" {
-					t.Errorf("asked %s, which holds nothing", action.Server)
+					t.Errorf("checked %s, which has no connections", action.Server)
 				}
 				return []Event{HealthCheckResult{Server: action.Server, Report: []float64{3}}}
 			case Migrate:
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestNoHealthChecksWithoutReports guards servers whose protocol has no load reports against being asked.
+// TestNoHealthChecksWithoutReports guards servers whose protocol has no load reports against health checks.
 func TestNoHealthChecksWithoutReports(t *testing.T) {
 	balancer, err := New(Settings{
 		Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
@@ -85,7 +85,7 @@
 }
 
 // TestSlowMessagesCountAsLoad checks that a report of slow messages is as good as one of a full server where no notes
-// come: what piled up makes messages late although the load asked looks fine again. The excess goes, not all.
+// come: the backlog makes messages late although the reported load looks fine again. The excess is migrated, not all.
 func TestSlowMessagesCountAsLoad(t *testing.T) {
 	for _, test := range []struct {
 		late, load float64
@@ -169,3 +169,50 @@
 		t.Error("no owner was asked for relief")
 	}
 }
+
+// TestReliefRequestCountsMeanConnections has a node ask the owners of servers for relief: the load that it names is its
+// own load there in mean connections, whatever the unit of loads is.
+func TestReliefRequestCountsMeanConnections(t *testing.T) {
+	settings := vast()
+	settings.Limits.PeerMessages = true
+	for _, unit := range []float64{1, 0.25, 4} {
+		balancer, err := New(settings, 1, time.Hour)
+		if err != nil {
+			t.Fatal(err)
+		}
+		events := []Event{fleet(13)}
+		for i := range 13 {
+			events = append(events, OpenConnection{
+				Request: Request{ID: RequestID(fmt.Sprint("o", i)), Load: unit, Tenant: -1},
+				Server:  ServerID(fmt.Sprintf("s%03d", i)),
+			})
+		}
+		requests := 0
+		for now := time.Hour; now < time.Hour+10*tick; now += tick {
+			for _, message := range reliefRequests(balancer.Step(now, events)) {
+				requests++
+				if message.load != 1 {
+					t.Fatalf("unit %v: relief is requested for %v mean connections, wanted 1", unit, message.load)
+				}
+			}
+			events = []Event{TimerFired{timerTick}}
+		}
+		if requests == 0 {
+			t.Errorf("unit %v: no relief was requested", unit)
+		}
+	}
+}
+
+// reliefRequests are the requests for relief among the messages that are sent to other nodes.
+func reliefRequests(actions []Action) (requests []peerMessage) {
+	for _, action := range actions {
+		send, ok := action.(SendPeerMessage)
+		if !ok {
+			continue
+		}
+		if message, ok := decodePeerMessage(send.Data); ok && message.kind == reliefRequest {
+			requests = append(requests, message)
+		}
+	}
+	return requests
+}
--- a/choice/referee_test.go
+++ b/choice/referee_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// mayRejectAfterAttempt says whether a client may be told to try again after an attempt that may have run.
+// mayRejectAfterAttempt reports whether a request may be rejected after an attempt that may have run.
 func (c Class) mayRejectAfterAttempt() bool {
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll
 }
@@ -237,7 +237,7 @@
 		f.timers = f.timers[1:]
 		f.now = max(f.now, next.at)
 		f.step(TimerFired{next.token})
-		if f.load != nil { // health checks on the module's own account have answers as well
+		if f.load != nil { // health checks on the balancer's own account have answers as well
 			f.answerHealthChecks(f.load)
 		}
 	}
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Nodes that start together must not all get their credit for servers in slow start in the same moment.
+// Nodes that start together must not all get their tokens for servers in slow start in the same moment.
 func TestCommonCreditHasASeededPhase(t *testing.T) {
 	const nodes = 20
 	seen := map[int]bool{}
@@ -17,11 +17,11 @@
 		balancer.Step(time.Hour, []Event{ServerList{Kind: ListFull, Servers: []Server{
 			{ID: "cold", Size: 2, Started: time.Hour}, {ID: "warm", Size: 2},
 		}}})
-		balancer.mayStartSlowly(&requestEntry{affinity: 1}, balancer.findServer("cold"))
-		if balancer.slowStart.common.amount < 0 || balancer.slowStart.common.amount >= 1 {
-			t.Fatalf("seed %d starts with leave of %.3f", seed, balancer.slowStart.common.amount)
+		balancer.hasSlowStartBudget(&requestEntry{affinity: 1}, balancer.findServer("cold"))
+		if balancer.slowStart.common.tokens < 0 || balancer.slowStart.common.tokens >= 1 {
+			t.Fatalf("seed %d starts with a budget of %.3f", seed, balancer.slowStart.common.tokens)
 		}
-		seen[int(balancer.slowStart.common.amount*10)] = true
+		seen[int(balancer.slowStart.common.tokens*10)] = true
 	}
 	if len(seen) < 5 {
 		t.Errorf("%d nodes start in %d of ten phases", nodes, len(seen))
@@ -37,6 +37,6 @@
 		OriginalClass: &class, CurrentLoad: 0.05,
 	}})
 	if len(b.units.byClass) > len(b.settings.Classes) {
-		t.Errorf("%d classes are kept, the settings have %d", len(b.units.byClass), len(b.settings.Classes))
+		t.Errorf("%d classes have a mean load, the settings have %d", len(b.units.byClass), len(b.settings.Classes))
 	}
 }
--- a/internal/edge/random_days_test.go
+++ b/internal/edge/random_days_test.go
@@ -8,7 +8,8 @@
 	"spurwinch/choice"
 )
 
-// A random day plays hundreds of clients against a core and its module, with servers that answer, hang, fail and drain.
+// A random day plays hundreds of clients against a core and its balancer, with servers that answer, hang, fail and
+// drain.
 
 // day is a world with what its clients saw.
 type day struct {
@@ -115,7 +116,7 @@
 	if !u.givenUp && mood != 9 {
 		day.wantSent++
 		u.attempt.Written()
-		u.attempt.Written() // as a front may that hears of it twice
+		u.attempt.Written() // as a front may that is notified twice
 	}
 	switch {
 	case u.givenUp: // an answer that comes too late, which must not count
@@ -283,7 +284,7 @@
 	}
 }
 
-// checkEnd holds that the figures are what the clients saw, and that nothing is held after the stop.
+// checkEnd holds that the figures are what the clients saw, and that nothing is left after the stop.
 func (d *day) checkEnd() {
 	for i, name := range []string{"c", "u"} {
 		if got := *d.figures.Class(name); got != d.want[i] {
@@ -304,7 +305,7 @@
 	}
 	d.core.UpdateServers(choice.ListFull, d.servers[5:])
 	if len(d.core.servers) != 1 {
-		d.t.Errorf("seed %d: %d servers are kept of a list of one, want 1", d.seed, len(d.core.servers))
+		d.t.Errorf("seed %d: %d servers remain of a list of one, want 1", d.seed, len(d.core.servers))
 	}
 	for id, server := range d.core.servers {
 		if server.inFlight != 0 {
@@ -313,8 +314,8 @@
 	}
 }
 
-// TestRules plays random days against the core and the module: one final answer for each request, in time; four
-// attempts at most and never two at once; nothing new to a draining server after its grace; nothing held at the end.
+// TestRules plays random days against the core and the balancer: one final answer for each request, in time; four
+// attempts at most and never two at once; nothing new to a draining server after its grace; nothing left at the end.
 // The figures are what the clients saw.
 func TestRules(t *testing.T) {
 	for seed := range uint64(40) {
--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -62,14 +62,14 @@
 	observed choice.Observations   // since the last evidence was sent
 	evidence map[int]*nodeEvidence // of this zone's nodes, as one of its aggregators
 
-	voter       Voter             // nil: this node doesn't vote
-	planner     *failover.Planner // nil: this node doesn't lead
-	pendingAcks []pendingAck      // summaries that wait for a confirmation, oldest first
-	leader      leaderContact
-	leaseEnd    time.Duration // grants into other zones are valid until then
+	voter            Voter             // nil: this node doesn't vote
+	planner          *failover.Planner // nil: this node doesn't lead
+	pendingAcks      []pendingAck      // summaries that wait for a confirmation, oldest first
+	leader           leaderContact
+	grantsValidUntil time.Duration // end of the grants into other zones, by this node's clock
 
-	leaseOwner *failover.LeaseOwner
-	borrower   borrower
+	leaseOwner  *failover.LeaseOwner
+	leaseHolder leaseHolder
 
 	localPolicy     localPolicy
 	committedPolicy committedPolicy
@@ -117,7 +117,7 @@
 		follower:        restoreFollower(options.Records),
 		evidence:        map[int]*nodeEvidence{},
 		leaseOwner:      failover.NewLeaseOwner(now),
-		borrower:        newBorrower(now),
+		leaseHolder:     newLeaseHolder(now),
 		localPolicy:     localPolicy{state: &policy.State{}},
 		committedPolicy: committedPolicy{state: &policy.State{}},
 		rollout:         rollout{statuses: map[int]policy.MemberStatus{}},
--- a/internal/failover/agent/leader_contact_test.go
+++ b/internal/failover/agent/leader_contact_test.go
@@ -24,14 +24,14 @@
 }
 
 // TestGrantsAreValidWhileTheLeaderIsConfirmed holds how long a node goes by grants into other zones: as long as the
-// leader was surely there, by this node's own clock, and the time that the word of it was on its way is counted
+// leader was surely there, by this node's own clock, and the age of the message is counted
 // against it.
 func TestGrantsAreValidWhileTheLeaderIsConfirmed(t *testing.T) {
 	agent := newTestAgent(t)
 	plan := &failover.Plan{
 		Zones:          []failover.Zone{{Name: "z", Nodes: 2, Listed: 2, Capacity: 5, Demand: []float32{}}},
 		AdmitFractions: [][]int{{}},
-		Before:         [][]float32{{0}},
+		EarlierLoads:   [][]float32{{0}},
 		GrantLifetime:  10,
 	}
 	agent.acceptEntry(7, consensus.Entry{Index: 3, Kind: failover.PlanKind, Data: plan.Encode()}, 1, time.Second)
--- a/internal/failover/agent/leases.go
+++ b/internal/failover/agent/leases.go
@@ -11,35 +11,38 @@
 )
 
 const (
-	recentLoadMemory  = 15   // seconds, time constant of the decay of recentLoad
+	recentLoadMemory  = 15   // seconds, time constant of the decay of recentLoad and regionLoad
 	fullLeasePart     = 0.95 // of what was requested: an owner that grants less has no more
-	leastRegionLoad   = 0.5  // load of regional classes under which nothing is reserved for them
+	leastRegionLoad   = 0.5  // reported load of regional classes under which nothing is reserved for them
 	regionLoadChanged = 0.1  // relative change from which on the load balancer gets a new plan
 )
 
-// borrower is the capacity that a node has leased of lease owners, and what its demand for it is computed from.
-type borrower struct {
+// leaseHolder is the capacity that a node has leased of lease owners, and what its demand for it is computed from.
+type leaseHolder struct {
 	leases     map[string]*capacityLease // by zone
-	recentLoad map[string]float64        // peak of the declared load at this node by class, with decay
-	regionLoad float64                   // declared load of regional classes that has no place in the own zone
-	observedAt time.Duration             // time of the last observations
+	recentLoad map[string]float64        // by class: recent peak of the reported load at this node, with decay
+	regionLoad float64                   // reported load of regional classes, for the region's other zones
+	// reservedRegionLoad is regionLoad as the load balancer's plan has it: it follows larger changes alone.
+	reservedRegionLoad float64
+	observedAt         time.Duration // time of the last observations
 }
 
-func newBorrower(now time.Duration) borrower {
-	return borrower{leases: map[string]*capacityLease{}, recentLoad: map[string]float64{}, observedAt: now}
+func newLeaseHolder(now time.Duration) leaseHolder {
+	return leaseHolder{leases: map[string]*capacityLease{}, recentLoad: map[string]float64{}, observedAt: now}
 }
 
-// capacityLease is capacity that this node has leased in one zone, as declared load.
+// capacityLease is capacity that this node has leased in one zone, as reported load.
 type capacityLease struct {
-	load         float64
+	load         float64 // 0: none
 	until        time.Duration
-	requested    float64
+	requested    float64       // by the newest request
 	requestClock uint64        // of the newest request: only its answer counts; 0: it is answered
 	requestedAt  time.Duration // when that was sent
 	answered     bool
 }
 
-// isExhausted says whether the zone's owner has no more: it granted less than was requested, or doesn't answer.
+// isExhausted reports whether the zone's owner has no further capacity: it granted less than was requested, or did not
+// answer.
 func (l *capacityLease) isExhausted() bool {
 	if !l.answered {
 		return l.requested > 0
@@ -50,7 +53,7 @@
 // leasedLoads is the load that the load balancer may place on top of its grants, by zone.
 func (a *Agent) leasedLoads() map[string]float64 {
 	loads := map[string]float64{}
-	for zone, lease := range a.borrower.leases {
+	for zone, lease := range a.leaseHolder.leases {
 		if lease.load > 0 {
 			loads[zone] = lease.load
 		}
@@ -61,10 +64,10 @@
 // requestLeases requests leases for the load that finds no capacity in this node's grants, and releases capacity that
 // is no longer needed.
 func (a *Agent) requestLeases(observations choice.Observations, now time.Duration) {
-	elapsed := now - a.borrower.observedAt
-	a.borrower.observedAt = now
+	elapsed := now - a.leaseHolder.observedAt
+	a.leaseHolder.observedAt = now
 	recentLoad := a.updateRecentLoad(observations, elapsed)
-	leases := a.borrower.leases
+	leases := a.leaseHolder.leases
 	exhausted := map[string]bool{}
 	for zone, lease := range leases {
 		exhausted[zone] = lease.isExhausted()
@@ -87,7 +90,7 @@
 
 // requestLease requests or renews a lease in a zone, or ends it by a request of zero.
 func (a *Agent) requestLease(zone failover.Zone, demand float64, now time.Duration) {
-	lease := a.borrower.leases[zone.Name]
+	lease := a.leaseHolder.leases[zone.Name]
 	hasOwner := zone.LeaseOwner >= 0 && zone.LeaseOwner < a.options.List.Len()
 	isNeeded := demand > 0 || lease != nil && lease.requested != 0
 	if !hasOwner || !isNeeded {
@@ -95,7 +98,7 @@
 	}
 	if lease == nil {
 		lease = &capacityLease{}
-		a.borrower.leases[zone.Name] = lease
+		a.leaseHolder.leases[zone.Name] = lease
 	}
 	lease.requested = demand
 	lease.requestedAt = now
@@ -115,7 +118,7 @@
 		return
 	}
 	ownerZone := a.options.List.Node(head.from).Zone
-	for zone, lease := range a.borrower.leases {
+	for zone, lease := range a.leaseHolder.leases {
 		if zone == ownerZone && lease.requestClock == grant.RequestClock && lease.requestClock > 0 {
 			lease.requestClock = 0
 			a.takeLease(zone, lease, min(grant.Load, lease.requested), now)
@@ -144,7 +147,7 @@
 
 // expireLeases ends the leases that were not renewed in time.
 func (a *Agent) expireLeases(now time.Duration) {
-	leases := a.borrower.leases
+	leases := a.leaseHolder.leases
 	for _, zone := range slices.Sorted(maps.Keys(leases)) {
 		lease := leases[zone]
 		if lease.load > 0 && now >= lease.until {
@@ -170,7 +173,7 @@
 // grantLease grants a node load of this zone's reserve. The owner grants only while the plan's grants are valid: later
 // plans count on its leases to end with them.
 func (a *Agent) grantLease(node int, requested float64, now time.Duration) float64 {
-	if a.plan == nil || now >= a.leaseEnd {
+	if a.plan == nil || now >= a.grantsValidUntil {
 		return 0
 	}
 	for _, zone := range a.plan.Zones {
@@ -181,37 +184,39 @@
 	return 0
 }
 
-// updateRecentLoad updates the recent peak of each class's load, and gives their sum: after a failure that much may
-// come back at once.
+// updateRecentLoad updates the recent peak of each class's load, and returns their sum: after a failure clients of that
+// load may reconnect at once. It also updates the load of regional classes: while requests of these are rejected or the
+// own zone fails, it is what they had of late outside the own zone; otherwise it decays.
 func (a *Agent) updateRecentLoad(observations choice.Observations, elapsed time.Duration) (recentLoad float64) {
 	fading := math.Exp(-elapsed.Seconds() / recentLoadMemory)
 	regionLoad, rejected := 0.0, 0.0
 	for class, name := range a.options.Classes {
 		load, inOwnZone := classLoad(observations, class, a.zone)
-		recent := max(load, a.borrower.recentLoad[name]*fading)
-		a.borrower.recentLoad[name] = recent
+		recent := max(load, a.leaseHolder.recentLoad[name]*fading)
+		a.leaseHolder.recentLoad[name] = recent
 		recentLoad += recent
 		if class < len(observations.Classes) && a.staysInRegion(name) {
-			regionLoad = regionLoad + recent - inOwnZone // in this order: sums of floats are alike in one order only
+			regionLoad = regionLoad + recent - inOwnZone // in this order, which decides how it is rounded
 			rejected += observations.Classes[class].Rejected
 		}
 	}
 	if rejected == 0 && !a.isOwnZoneFailing(observations) {
-		regionLoad = a.borrower.regionLoad * fading
+		regionLoad = a.leaseHolder.regionLoad * fading
 	}
 	a.setRegionLoad(regionLoad)
 	return recentLoad
 }
 
 // setRegionLoad sets the load that needs capacity in the region. Small changes don't cause a new plan for the load
-// balancer.
+// balancer; they add up in regionLoad until they do.
 func (a *Agent) setRegionLoad(load float64) {
 	if load < leastRegionLoad {
 		load = 0
 	}
-	known := a.borrower.regionLoad
-	if math.Abs(load-known) > regionLoadChanged*max(load, known) {
-		a.borrower.regionLoad = load
+	a.leaseHolder.regionLoad = load
+	reserved := a.leaseHolder.reservedRegionLoad
+	if math.Abs(load-reserved) > regionLoadChanged*max(load, reserved) {
+		a.leaseHolder.reservedRegionLoad = load
 		a.zonePlanChanged = true
 	}
 }
--- a/internal/failover/agent/plan.go
+++ b/internal/failover/agent/plan.go
@@ -15,7 +15,7 @@
 		return choice.ZonePlan{}, false
 	}
 	a.zonePlanChanged = false
-	leased := failover.LeasedCapacity{ByZone: a.leasedLoads(), InRegionOnly: a.borrower.regionLoad}
+	leased := failover.LeasedCapacity{ByZone: a.leasedLoads(), InRegionOnly: a.leaseHolder.reservedRegionLoad}
 	plan = failover.ZonePlanFor(a.mode, a.plan, a.options.Self, a.zone, a.options.Classes, a.options.RetryAfter, leased)
 	return plan, true
 }
@@ -27,7 +27,7 @@
 func (a *Agent) updateMode(now time.Duration) {
 	mode := failover.Standalone
 	switch {
-	case a.plan != nil && now < a.leaseEnd:
+	case a.plan != nil && now < a.grantsValidUntil:
 		mode = failover.Planned
 	case a.plan != nil:
 		mode = failover.OwnZoneOnly
--- a/internal/failover/agent/reply.go
+++ b/internal/failover/agent/reply.go
@@ -55,7 +55,7 @@
 	Capacity       float64            `json:"room"`
 	GuestLoad      float64            `json:"guests"` // what clients of other zones need there now
 	LeaseOwner     string             `json:"lender,omitempty"`
-	Reserve        float64            `json:"lends"` // what the owner of its leases may lease of the room
+	Reserve        float64            `json:"lends"` // part of the capacity that the owner may lease out
 	Demand         map[string]float64 `json:"want"`
 	Grants         map[string]float64 `json:"grants"`
 	AdmitFractions map[string]float64 `json:"admit"`
@@ -67,7 +67,7 @@
 	Zone            string  `json:"zone"`
 	Live            bool    `json:"live"`
 	Plan            uint64  `json:"plan"`
-	HeardSecondsAgo float64 `json:"heard_s_ago"` // seconds since it was heard; under 0: never
+	HeardSecondsAgo float64 `json:"heard_s_ago"` // age of its last report in seconds; under 0: it has sent none
 }
 
 // describe is a reply with what every reply has, the node's own state.
@@ -85,8 +85,8 @@
 		LeasedFrom: a.leasedLoads(),
 		LeasedOut:  a.leaseOwner.Reserved(now),
 	}
-	if a.plan != nil && now < a.leaseEnd {
-		reply.Lease = (a.leaseEnd - now).Seconds()
+	if a.plan != nil && now < a.grantsValidUntil {
+		reply.Lease = (a.grantsValidUntil - now).Seconds()
 	}
 	if a.voter != nil {
 		reply.Term = a.voter.Term()
@@ -157,7 +157,8 @@
 		node := a.options.List.Node(i)
 		view := a.planner.NodeView(i, now)
 		reply.Nodes = append(reply.Nodes, NodeReply{
-			Name: node.Name, Zone: node.Zone, Live: view.Live, Plan: view.Plan, HeardSecondsAgo: view.HeardSecondsAgo,
+			Name: node.Name, Zone: node.Zone, Live: view.Live, Plan: view.Plan,
+			HeardSecondsAgo: view.LastReportSecondsAgo,
 		})
 	}
 }
