--- a/choice/cost.go
+++ b/choice/cost.go
@@ -94,8 +94,9 @@
 	return load / connections
 }
 
-// updateCost sets a server's cost, its own ratio shrunk to its kind's: where this node has few connections, its own
-// ratio is noise. Equal costs over registered size where there are no reports.
+// updateCost sets a server's cost and base weight. The cost is the ratio of reported load to connection load, shrunk
+// towards the one of its kind, and that towards the fleet's, since a ratio of few connections is noise. Before any
+// report it is the fleet's cost over the server's size.
 func (b *Balancer) updateCost(server *serverEntry, fleetCost float64) {
 	if !b.average.known {
 		server.baseWeight = server.Size
@@ -106,7 +107,7 @@
 	prior := serverCostPrior * b.units.mean * float64(b.settings.Nodes)
 	reports := max(1, kind.costs.reports/max(kind.ready, 1)) // reports of one server that were summed
 	kindCost := (kind.costs.load + prior*reports*fleetCost) / (kind.costs.connections + prior*reports)
-	if b.reservations.enabled { // all its reports are of the same few connections here: as one
+	if b.reservations.enabled { // all reports show the same few connections of this node: they weigh as one
 		prior *= max(1, server.costs.reports)
 	}
 	server.cost = (server.costs.load + prior*kindCost) / (server.costs.connections + prior)
--- a/choice/observations.go
+++ b/choice/observations.go
@@ -50,6 +50,7 @@
 	return observations
 }
 
+// observeZones sums up the servers by zone; zones are sorted by name.
 func (b *Balancer) observeZones() (zones []ZoneObservations) {
 	byName := map[string]*ZoneObservations{}
 	for _, server := range b.servers {
@@ -114,6 +115,7 @@
 	return &b.zones.classes[class]
 }
 
+// countArrival counts a new request of a class, by its own load or, if it brings none, as a mean connection.
 func (b *Balancer) countArrival(request Request) {
 	load := request.Load
 	if !(load > 0) || !finite(load) {
@@ -122,6 +124,7 @@
 	b.classCount(request.Class).Arrived += load
 }
 
+// countOutcome counts an attempt that ended without a connection; attemptEstablished counts the others.
 func (b *Balancer) countOutcome(event AttemptEnded) {
 	request := b.requests[event.ID]
 	if request == nil || request.server == nil || request.open || event.Attempt != request.attempts-1 {
@@ -136,6 +139,7 @@
 	}
 }
 
+// countHealthCheck counts a health check as an attempt at its server's zone.
 func (b *Balancer) countHealthCheck(result HealthCheckResult) {
 	server := b.findServer(result.Server)
 	if server != nil && server.State == Ready && result.Outcome != NeverSent {
--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -16,7 +16,7 @@
 // notify queues an event for the balancer until the next Flush.
 func (c *Core) notify(event choice.Event) { c.pendingEvents = append(c.pendingEvents, event) }
 
-// withdraw takes back a request that the balancer has not been notified of yet.
+// withdraw removes the event of a request that the balancer was not notified of yet; false: there is none.
 func (c *Core) withdraw(id choice.RequestID) bool {
 	i := slices.IndexFunc(c.pendingEvents, func(event choice.Event) bool {
 		request, ok := event.(choice.Request)
@@ -29,7 +29,7 @@
 	return true
 }
 
-// Flush hands the balancer what has happened and carries out its actions, until nothing is left. The loop calls it
+// Flush hands the balancer the queued events and carries out its actions, until no event is left. The loop calls it
 // after each callback.
 func (c *Core) Flush() {
 	if c.flushing {
@@ -107,8 +107,8 @@
 	}
 }
 
-// setTimer sets a timer of the balancer's. One that is for a request ends with it: a client may name a patience of an
-// hour.
+// setTimer sets a timer for the balancer. One that is for a request is cancelled with it: a client may set a deadline
+// of an hour.
 func (c *Core) setTimer(action choice.SetTimer) {
 	at := c.options.Clock.Now().Add(action.After)
 	stop := c.options.Clock.At(at, func() { c.notify(choice.TimerFired{Token: action.Token}) })
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -70,10 +70,10 @@
 // SetHandler hands the connection's callbacks to another handler.
 func (c *Conn) SetHandler(handler Handler) { c.handler = handler }
 
-// Full says that so much waits to be written that the source should be paused.
+// Full reports whether so much data is pending that its source should be paused until OnDrained.
 func (c *Conn) Full() bool { return len(c.pending) > c.loop.highWater }
 
-// Sent reports whether all that was to be written is with the kernel. It stays true to the end of the connection.
+// Sent reports whether all data was written to the kernel. It stays true to the end of the connection.
 func (c *Conn) Sent() bool { return c.connected && len(c.pending) == 0 && !c.writeFailed }
 
 // Write writes data, and queues what the kernel does not take yet.
@@ -220,7 +220,7 @@
 		c.fail(os.NewSyscallError("read", err))
 	case size == 0:
 		c.peerEnded = true
-		if c.failing { // a write has taken the error away: it is the failure that is reported, no end
+		if c.failing { // the failed write has consumed the socket's error: fail reports that, and not an end
 			return false
 		}
 		c.updateWatch()
