--- /dev/null
+++ b/internal/node/command/options.go
@@ -0,0 +1,59 @@
+package command
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+
+	"spurwinch/internal/operations/logs"
+)
+
+const usage = "usage: spurwinch [-operator FILE] [-log console|json] [-log-level LEVEL] | spurwinch import-nginx FILE"
+
+// importCommand is a subcommand that has moved to spurwinchctl.
+const importCommand = "import-nginx"
+
+var (
+	errImportArguments = errors.New("import-nginx takes one file")
+	errUnknownCommand  = errors.New("unknown command")
+)
+
+// usageError is a fault in the command line. Its text ends with the usage.
+type usageError struct{ err error }
+
+func (e *usageError) Error() string { return fmt.Sprintf("%v (%s)", e.err, usage) }
+
+func (e *usageError) Unwrap() error { return e.err }
+
+// options are the flags of the command line.
+type options struct {
+	operatorFile string // empty: there is none
+	log          logs.Options
+}
+
+// parseOptions parses the command line of a node.
+func parseOptions(commandLine []string) (options, error) {
+	var parsed options
+	flags := flag.NewFlagSet(nodeCommand, flag.ContinueOnError)
+	flags.SetOutput(io.Discard)
+	flags.StringVar(&parsed.operatorFile, "operator", "",
+		"the operator's `FILE`: fronts and clusters beside the platform's")
+	flags.StringVar(&parsed.log.Format, "log", "console", "the log's form: console or json")
+	flags.StringVar(&parsed.log.Level, "log-level", "info", "least level that is logged: debug, info, warn or error")
+	if err := flags.Parse(commandLine); err != nil {
+		return options{}, &usageError{err}
+	}
+	if flags.NArg() > 0 {
+		return options{}, &usageError{fmt.Errorf("%w %q", errUnknownCommand, flags.Arg(0))}
+	}
+	return parsed, nil
+}
+
+// runImport has spurwinchctl execute the subcommand that it has taken over.
+func runImport(commandLine []string) error {
+	if len(commandLine) != 2 {
+		return &usageError{errImportArguments}
+	}
+	return replaceProcess(controlCommand, commandLine)
+}
