--- a/internal/node/admissionlog.go
+++ b/internal/node/admissionlog.go
@@ -15,32 +15,38 @@
 	admissionLogInterval = 100 * time.Millisecond
 )
 
-// admissionRecorder notes which request was admitted under which policy, where the log wants it: a laboratory reads it
-// there. Nil: the log's level leaves it out.
+// admissionLog collects which request was admitted under which policy, for the debug log of laboratory runs.
+type admissionLog struct {
+	entries  []string
+	omitted  int // admissions beyond the most of one line
+	loggedAt time.Time
+}
+
+// admissionRecorder returns the function that adds to the admission log. Nil: the log's level omits it.
 func (f *fleet) admissionRecorder() func(id choice.RequestID, number uint64, how string) {
 	if !zap.L().Core().Enabled(zap.DebugLevel) {
 		return nil
 	}
 	return func(id choice.RequestID, number uint64, how string) {
-		state := &f.policy
-		if len(state.admitted) >= maxLoggedAdmissions {
-			state.unloggedAdmissions++
+		admissions := &f.admissions
+		if len(admissions.entries) >= maxLoggedAdmissions {
+			admissions.omitted++
 			return
 		}
 		entry := fmt.Sprintf("%s=%d=%s=%d", id, number, how, f.now().Microseconds())
-		state.admitted = append(state.admitted, entry)
+		admissions.entries = append(admissions.entries, entry)
 	}
 }
 
-// logAdmitted logs the admissions that were noted, a line for each interval at most.
-func (f *fleet) logAdmitted(now time.Time) {
-	state := &f.policy
-	if len(state.admitted) == 0 || now.Sub(state.loggedAt) < admissionLogInterval {
+// logAdmissions logs what was collected, a line for each interval at most.
+func (f *fleet) logAdmissions(now time.Time) {
+	admissions := &f.admissions
+	if len(admissions.entries) == 0 || now.Sub(admissions.loggedAt) < admissionLogInterval {
 		return
 	}
-	state.loggedAt = now
-	zap.L().Debug("fleet_admitted", zap.String("requests", strings.Join(state.admitted, " ")),
-		zap.Int64("now", f.now().Microseconds()), zap.Int("untold", state.unloggedAdmissions))
-	state.admitted = state.admitted[:0]
-	state.unloggedAdmissions = 0
+	admissions.loggedAt = now
+	zap.L().Debug("fleet_admitted", zap.String("requests", strings.Join(admissions.entries, " ")),
+		zap.Int64("now", f.now().Microseconds()), zap.Int("untold", admissions.omitted))
+	admissions.entries = admissions.entries[:0]
+	admissions.omitted = 0
 }
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -10,84 +10,41 @@
 	"spurwinch/internal/operations/hotrestart"
 )
 
-// files are the configuration that a process starts with.
-type files struct {
-	operatorPath string
-	operator     config.Operator
-	nodePath     string // GW_CONFIG
-	node         config.Node
-	onPlatform   bool   // the platform's front is set up
-	listen       string // the first front's address: a hot restart finds the predecessor by it
-	admin        string // address for operators; empty: none
-}
-
-// readConfiguration reads the operator's file, if there is one, and what the environment names.
-func readConfiguration(getenv func(string) string, operatorPath string) (read files, err error) {
-	read = files{
-		operatorPath: operatorPath,
-		nodePath:     getenv("GW_CONFIG"),
-		admin:        getenv("GW_MGMT"),
-	}
-	if operatorPath != "" {
-		if read.operator, err = config.ReadOperator(operatorPath); err != nil {
-			return read, err
-		}
-	}
-	if len(read.operator.Listeners) > 0 {
-		read.listen = read.operator.Listeners[0].Addr
-	}
-	return read, nil
-}
-
-// readEnvironment reads the platform's configuration, where the node has its front.
-func (f *files) readEnvironment(getenv func(string) string) (err error) {
-	f.onPlatform = f.nodePath != "" || f.operatorPath == ""
-	if !f.onPlatform {
-		return nil
-	}
-	if f.node, err = config.ReadNode(getenv); err != nil {
-		return err
-	}
-	f.listen = f.node.Listen
-	f.admin = f.node.Mgmt
-	return nil
-}
-
 // assemble sets up all parts of a new node.
 func (p *Program) assemble(getenv func(string) string, operatorPath string, newVoter agent.NewVoter) error {
 	seed := uint64(time.Now().UnixNano())
-	read, err := readConfiguration(getenv, operatorPath)
+	configuration, err := readConfiguration(getenv, operatorPath)
 	if err != nil {
 		return err
 	}
-	member := read.operator.Fleet
+	member := configuration.operator.Fleet
 	if member != nil && newVoter == nil && member.Votes() {
 		return ErrVoter
 	}
-	p.awaitsPolicy = member != nil && member.List.Policy != nil
-	if err := read.readEnvironment(getenv); err != nil {
+	p.readiness.awaitsPolicy = member != nil && member.List.Policy != nil
+	if err := configuration.readNode(getenv); err != nil {
 		return err
 	}
-	if read.admin != "" { // before any client can come: a start that fails must not take connections with it
-		if err := p.listenAdmin(read.admin); err != nil {
+	if configuration.admin != "" { // before any client can come: a start that fails must not take connections with it
+		if err := p.listenAdmin(configuration.admin); err != nil {
 			return err
 		}
 	}
-	path := hotrestart.Path(getenv("TMPDIR"), read.listen)
+	path := hotrestart.Path(getenv("TMPDIR"), configuration.listen)
 	p.restart.requestGrant(path)
 	if p.restart.grant != nil {
-		// The running process has the node's part in the fleet until it shuts down, which it does once this one says
-		// that it is ready: to wait for a lease here would be to wait for ever.
-		p.awaitsPolicy = false
-		p.hasPredecessor = true
+		// The running process has the node's part in the fleet until it shuts down, which it does once this one reports
+		// that it is ready: to wait for a lease here would be to wait forever.
+		p.readiness.awaitsPolicy = false
+		p.readiness.hasPredecessor = true
 	}
-	if read.onPlatform {
-		if err := p.assemblePlatform(read); err != nil {
+	if configuration.hasPlatform {
+		if err := p.assemblePlatform(configuration); err != nil {
 			return err
 		}
-		seed = read.node.Seed
+		seed = configuration.node.Seed
 	}
-	if err := p.assembleOperator(read, seed); err != nil {
+	if err := p.assembleOperator(configuration, seed); err != nil {
 		return err
 	}
 	if member != nil {
@@ -95,7 +52,7 @@
 			return err
 		}
 	}
-	p.restart.open(path)
+	p.restart.startCoordinator(path)
 	if p.platform == nil {
 		p.loop.At(p.loop.Now(), p.onReady)
 	}
@@ -103,36 +60,36 @@
 }
 
 // assemblePlatform sets up the platform's front.
-func (p *Program) assemblePlatform(read files) error {
-	settings := read.node.Settings
-	observer, err := p.startCapture(read.operator.Capture, read.node.Name, settings.Settings, settings.ReportFields)
+func (p *Program) assemblePlatform(configuration startConfiguration) error {
+	node := configuration.node
+	settings := node.Settings
+	observer, err := p.startCapture(
+		configuration.operator.Capture, node.Name, settings.Settings, settings.ReportFields)
 	if err != nil {
 		return err
 	}
-	front, _, err := p.newPlatform(read.node, observer)
+	platform, _, err := p.newPlatform(node, observer)
 	if err != nil {
 		return err
 	}
-	p.cores = append(p.cores, front.core)
 	p.shutdownTime = platformShutdownTime
-	p.onShutdown = append(p.onShutdown, func() { front.peers.logCounts(front.core.DroppedPeerMessages()) })
-	p.reloaders = append(p.reloaders, p.platformReloader(front, read.nodePath))
+	p.onShutdown = append(p.onShutdown, func() { platform.peers.logCounts(platform.core.DroppedPeerMessages()) })
+	p.reloaders = append(p.reloaders, p.platformReloader(platform, configuration.nodePath))
 	return nil
 }
 
 // assembleOperator sets up the fronts and clusters of the operator's file, where it has any.
-func (p *Program) assembleOperator(read files, seed uint64) error {
-	if len(read.operator.Clusters) == 0 {
+func (p *Program) assembleOperator(configuration startConfiguration, seed uint64) error {
+	if len(configuration.operator.Clusters) == 0 {
 		return nil
 	}
 	// A process started beside another one reads the same seed; the ids that it gives its sessions must differ from
 	// those that it takes over.
 	seed ^= uint64(time.Now().UnixNano())
-	cores, fronts, err := newOperatorFronts(p.loop, read.operatorPath, read.operator, seed, p)
+	fronts, err := newOperatorFronts(p, configuration.operatorPath, configuration.operator, seed)
 	if err != nil {
 		return err
 	}
-	p.cores = append(p.cores, cores...)
 	p.reloaders = append(p.reloaders, fronts.readFile)
 	return nil
 }
@@ -141,7 +98,7 @@
 func (p *Program) assembleFleet(member config.Fleet, operatorPath string, newVoter agent.NewVoter) error {
 	core := p.coreByCluster[member.Cluster]
 	if core == nil {
-		return fmt.Errorf("%s: [fleet] cluster = %q: no cluster has this name", operatorPath, member.Cluster)
+		return fmt.Errorf("%s: [fleet] cluster = %q: %w", operatorPath, member.Cluster, errUnknownCluster)
 	}
 	p.joinFleet(member, core, newVoter, func() (names []string, classes []choice.Class) {
 		classes = core.Classes()
--- a/internal/node/capture.go
+++ b/internal/node/capture.go
@@ -14,13 +14,14 @@
 
 const captureCloseTimeout = 2 * time.Second // for the rest of a capture, at the program's end
 
-// captureObserver hands what a core sees to a capture's writer.
+// captureObserver records what a core observes in a capture.
 type captureObserver struct {
-	writer           *capture.Writer
-	classes, tenants int // that the writer knows by name
+	writer  *capture.Writer
+	classes int // that the writer knows by name
+	tenants int // that the writer knows by name
 }
 
-// startCapture starts the capture of one core, or returns nil where none is set.
+// startCapture starts the capture of one core; without a path there is none, and the observer is nil.
 func (p *Program) startCapture(
 	options config.Capture, name string, settings choice.Settings, fields []string,
 ) (edge.Observer, error) {
@@ -48,7 +49,7 @@
 		writer.Close(time.Now().Add(captureCloseTimeout))
 	})
 	zap.L().Info("capturing", zap.String("path", path), zap.Float64("share", options.Fraction))
-	return &captureObserver{writer, len(header.Classes), len(header.Tenants)}, nil
+	return &captureObserver{writer: writer, classes: len(header.Classes), tenants: len(header.Tenants)}, nil
 }
 
 func classAndTenantNames(settings choice.Settings) (classes, tenants []string) {
@@ -61,7 +62,7 @@
 	return classes, tenants
 }
 
-// Settings tells the writer of new names; the tables only grow.
+// Settings records the names of new classes and tenants; the tables only grow.
 func (o *captureObserver) Settings(settings choice.Settings) {
 	classes, tenants := classAndTenantNames(settings)
 	if len(classes) > o.classes || len(tenants) > o.tenants {
@@ -71,7 +72,7 @@
 	}
 }
 
-// Answered records a request's final answer with its attempts.
+// Answered records a request's final answer and its attempts.
 func (o *captureObserver) Answered(answered edge.Answered) {
 	record := capture.Placed{
 		At: o.writer.Offset(answered.Arrived), Seq: answered.Sequence, Class: answered.Class, Tenant: answered.Tenant,
@@ -88,9 +89,12 @@
 }
 
 // Ended records the end of an open connection.
-func (o *captureObserver) Ended(seq uint64, life time.Duration, load float64, cause edge.EndCause) {
+func (o *captureObserver) Ended(
+	sequence uint64, lifetime time.Duration, load float64, cause edge.EndCause,
+) {
 	o.writer.Put(capture.Ended{
-		At: o.writer.Offset(time.Now()), Seq: seq, Life: capture.Micros(life), Load: load, Cause: capture.Cause(cause),
+		At: o.writer.Offset(time.Now()), Seq: sequence, Life: capture.Micros(lifetime), Load: load,
+		Cause: capture.Cause(cause),
 	})
 }
 
--- /dev/null
+++ b/internal/node/core.go
@@ -0,0 +1,39 @@
+package node
+
+import (
+	"net/netip"
+
+	"go.uber.org/zap"
+
+	"spurwinch/choice"
+	"spurwinch/internal/edge"
+)
+
+// platformCluster is the key of the platform's core among those of the clusters, which all have a name.
+const platformCluster = ""
+
+// coreOptions are the options that the cores of all fronts have in common.
+func (p *Program) coreOptions(settings choice.Settings, seed uint64, observer edge.Observer) edge.Options {
+	return edge.Options{
+		Clock:    p.loop,
+		Settings: settings,
+		Seed:     seed,
+		Observer: observer,
+		Figures:  &p.telemetry.figures,
+		Monitor:  &p.telemetry.monitor,
+		Trace:    &p.telemetry.trace,
+	}
+}
+
+// startCore adds a cluster's core to the program and starts it with the servers that are known.
+func (p *Program) startCore(cluster string, core *edge.Core, servers []edge.ServerEntry) {
+	p.cores = append(p.cores, core)
+	p.coreByCluster[cluster] = core
+	p.loop.After(core.Flush)
+	core.Start(servers)
+}
+
+// logListening logs that a listener is open.
+func logListening(protocol string, addr netip.AddrPort) {
+	zap.L().Info("listening", zap.String("protocol", protocol), zap.Stringer("address", addr))
+}
--- a/internal/node/door_test.go
+++ b/internal/node/door_test.go
@@ -108,7 +108,7 @@
 				start := time.Now()
 				var buf []byte
 				for range 1000 {
-					buf = p.telemetry(buf[:0])
+					buf = p.appendFigures(buf[:0])
 				}
 				b.ReportMetric(float64(time.Since(start).Nanoseconds())/1000, "ns/rendering")
 				done <- len(buf)
--- a/internal/node/exchange_test.go
+++ b/internal/node/exchange_test.go
@@ -24,7 +24,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return newOperatorFronts(l, path, o, seed, newProgram(l))
+	program := newProgram(l)
+	fronts, err := newOperatorFronts(program, path, o, seed)
+	return program.cores, fronts, err
 }
 
 // start runs a loop until the test ends.
@@ -112,7 +114,6 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		program.cores = []*edge.Core{node.core}
 		if err := program.listenAdmin("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -23,7 +23,8 @@
 	streamBacklog      = 16                     // connections that wait to be accepted
 )
 
-// fleet is the node's part in its fleet: the agent with its sockets, its files and its core. It belongs to the loop.
+// fleet is the node's part in its fleet: it gives the agent its sockets, its files and its ticks, and applies what the
+// agent decides to the core. It belongs to the loop.
 type fleet struct {
 	loop     *loop.Loop
 	core     *edge.Core
@@ -42,19 +43,24 @@
 
 	inboundStreams  int
 	outboundStreams int
-	lostMessages    uint64 // that no stream took
 
-	policy policyState
+	policy     policyState
+	admissions admissionLog
 }
 
-// joinFleet has a core go by the fleet's plans. The address and the files may be another process's yet: then the node
-// joins as soon as that one has released them.
+// joinFleet has a core serve by the fleet's plans. Another process may still have the address and the files: then the
+// node joins as soon as that one has released them.
 func (p *Program) joinFleet(
 	settings config.Fleet, core *edge.Core, newVoter agent.NewVoter, classes func() ([]string, []choice.Class),
 ) {
 	member := &fleet{
-		policy: policyState{program: p}, loop: p.loop, core: core, config: settings, newVoter: newVoter,
-		classes: classes, start: time.Now(),
+		loop:     p.loop,
+		core:     core,
+		config:   settings,
+		newVoter: newVoter,
+		classes:  classes,
+		start:    time.Now(),
+		policy:   policyState{program: p},
 	}
 	p.fleet = member
 	p.onShutdown = append(p.onShutdown, member.close)
@@ -62,8 +68,9 @@
 	// Until a plan is known the node serves by its own zone alone.
 	standalone := failover.ZonePlanFor(failover.Standalone, nil, 0, member.zone(), nil, 0, failover.LeasedCapacity{})
 	core.ApplyZonePlan(standalone)
-	if settings.List.Policy != nil { // nor does it admit anybody before it knows which policy is in force
-		core.UseLease(edge.Lease{RetryAfter: time.Duration(settings.RetryAfter), OnDecision: member.admissionRecorder()})
+	if settings.List.Policy != nil { // nor does it admit any request before it knows which policy is in force
+		retryAfter := time.Duration(settings.RetryAfter)
+		core.UseLease(edge.Lease{RetryAfter: retryAfter, OnDecision: member.admissionRecorder()})
 	}
 	member.open()
 }
@@ -73,15 +80,15 @@
 	return list.Node(list.Index(f.config.Self)).Zone
 }
 
-// now is the agent's time.
+// now is the time as the agent counts it.
 func (f *fleet) now() time.Duration { return time.Since(f.start) }
 
-// open takes the address and the files, and starts the agent. What fails is tried again.
+// open opens the address and the files, and starts the agent. What fails is retried.
 func (f *fleet) open() {
 	if f.closed {
 		return
 	}
-	// The listener first: only one process can have it, and who has it may touch the rest.
+	// The listener first: only one process can have it, and the one that has it may use the rest.
 	listener, err := f.loop.ListenApart(f.config.Listen, streamBacklog, f.accept)
 	if err != nil {
 		f.retry("fleet_listen_failed", err)
@@ -110,14 +117,14 @@
 	f.tick()
 }
 
-// retry logs why the node can't join yet, and has it try again.
+// retry logs why the node can't join yet, and schedules the next attempt.
 func (f *fleet) retry(event string, err error) {
 	zap.L().Warn(event, zap.Error(err))
 	f.release()
 	f.loop.At(f.loop.Now().Add(fleetRetryInterval), f.open)
 }
 
-// openStore opens the node's files and reads what is on them. A corrupt file is no error: the node learns anew.
+// openStore opens the node's store and reads its records. A corrupt file is no error: the node starts without it.
 func (f *fleet) openStore() ([]consensus.Record, error) {
 	if f.config.Dir == "" {
 		return nil, nil
@@ -169,7 +176,7 @@
 func (f *fleet) receiveDatagram(_ netip.AddrPort, message []byte) {
 	if f.agent != nil && !f.closed {
 		f.agent.Receive(message, f.now())
-		f.carryOut()
+		f.applyDecisions()
 	}
 }
 
@@ -186,22 +193,22 @@
 	if f.agent.WantsObservations(f.now()) {
 		f.agent.Observe(f.core.Observations(), f.now())
 	}
-	f.carryOut()
-	f.logAdmitted(now)
+	f.applyDecisions()
+	f.logAdmissions(now)
 	f.loop.At(now.Add(consensus.TickInterval), f.tick)
 }
 
-// updateClasses takes in the module's classes after a change of settings.
+// updateClasses gives the agent the module's classes after a change of settings.
 func (f *fleet) updateClasses() {
 	if f.agent != nil {
 		names, _ := f.classes()
 		f.agent.UpdateClasses(names)
-		f.carryOut()
+		f.applyDecisions()
 	}
 }
 
-// carryOut does what the agent has decided.
-func (f *fleet) carryOut() {
+// applyDecisions applies what the agent has decided: policy, plan, records to save and messages to send.
+func (f *fleet) applyDecisions() {
 	f.applyPolicy()
 	if plan, changed := f.agent.ZonePlan(); changed {
 		f.core.ApplyZonePlan(plan)
@@ -212,7 +219,7 @@
 	}
 }
 
-// send sends a message to a node's address, by a stream where no datagram holds it.
+// send sends a message to a node's address, by a stream if it is too long for a datagram.
 func (f *fleet) send(to string, data []byte) {
 	if len(data) > agent.MaxDatagram {
 		f.sendStream(to, data)
@@ -223,7 +230,7 @@
 	}
 }
 
-// close ends the part in the fleet at once; another process of the node may take the address and the files.
+// close leaves the fleet at once; another process of the node may open the address and the files.
 func (f *fleet) close() {
 	if f.closed {
 		return
@@ -236,12 +243,12 @@
 		f.listener.Close()
 		f.listener = nil
 	}
-	if !f.saving { // else when the record is written
+	if !f.saving { // else as soon as the record is written
 		f.release()
 	}
 }
 
-// release gives back the address and the files.
+// release closes the address and the files.
 func (f *fleet) release() {
 	if f.listener != nil {
 		f.listener.Close()
--- a/internal/node/fleetpolicy.go
+++ b/internal/node/fleetpolicy.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"fmt"
 	"slices"
 	"time"
 
@@ -14,21 +13,17 @@
 	"spurwinch/internal/simwire"
 )
 
-// policyState is what a node keeps of the fleet's policy.
+// policyState is the fleet's policy as the node applies it.
 type policyState struct {
 	program  *Program
-	applied  bool // the core goes by number
+	applied  bool // the policy of number is in use
 	number   uint64
 	document *policy.Document // nil: the node's own files
-	onBase   bool             // the lease is over: classes that have one are served by the base policy
-	unusable uint64           // number that this node can't go by: it is read, and logged, once; 0: none
-
-	admitted           []string // requests, for the log of a laboratory
-	unloggedAdmissions int
-	loggedAt           time.Time
+	onBase   bool             // the lease has expired: classes that have one are served by the base policy
+	unusable uint64           // number of a policy that can't be applied here: read, and logged, once; 0: none
 }
 
-// policyOptions has the agent read documents as this node can go by them; nil: the fleet has no policy on its log.
+// policyOptions has the agent check documents by this node's capacity; nil: the fleet has no policy on its log.
 func (f *fleet) policyOptions() *agent.Policy {
 	if f.config.List.Policy == nil {
 		return nil
@@ -36,7 +31,7 @@
 	return &agent.Policy{Rules: f.config.List.Policy.Rules(), Counts: f.core.AnswerCounts, Read: f.readPolicy}
 }
 
-// readPolicy reads a document. One that this node has not the capacity for is an error as well.
+// readPolicy reads a document. The error is a *policyCapacityError where this node has not the capacity for it.
 func (f *fleet) readPolicy(text []byte) (*policy.Document, error) {
 	document, err := config.ReadPolicy("policy", text, f.config.PolicyLevel)
 	if err != nil {
@@ -46,13 +41,13 @@
 	if platform := f.policy.program.platform; platform != nil {
 		capacity = policy.NodeCapacity{Descriptors: platform.config.Sockets, MemoryMB: platform.config.MemoryMB}
 	}
-	if why := document.Fits(capacity); why != "" {
-		return nil, fmt.Errorf("policy: %s", why)
+	if missing := document.Fits(capacity); missing != "" {
+		return nil, &policyCapacityError{missing}
 	}
 	return document, nil
 }
 
-// applyPolicy has the core admit requests under the number that this node may serve by.
+// applyPolicy has the core admit requests under the policy that this node has a lease on.
 func (f *fleet) applyPolicy() {
 	if f.agent == nil || f.config.List.Policy == nil {
 		return
@@ -71,13 +66,13 @@
 		f.overlayPolicy(false)
 	}
 	f.core.UseLease(f.policyLease(active.Number, active.Known, expires))
-	if live && state.program.awaitsPolicy {
-		state.program.awaitsPolicy = false
+	if live && state.program.readiness.awaitsPolicy {
+		state.program.readiness.awaitsPolicy = false
 		state.program.announceReady()
 	}
 }
 
-// usePolicy puts a policy into use; number 0 is the node's own files. False: this node can't go by it.
+// usePolicy puts a policy into use; number 0 is the node's own files. False: it can't be applied on this node.
 func (f *fleet) usePolicy(number uint64, text []byte) bool {
 	var document *policy.Document
 	if number > 0 {
@@ -86,7 +81,7 @@
 			f.policy.unusable = number
 			f.agent.RejectPolicy(number)
 			zap.L().Error("fleet_policy_unusable", zap.Uint64("number", number), zap.Error(err),
-				zap.String("what", "it takes nothing but classes with a ground, by the last policy that it could read"))
+				zap.String("what", "only classes with a base policy are served, by the last policy that could be read"))
 			return false
 		}
 	}
@@ -98,7 +93,7 @@
 	return true
 }
 
-// policyLease is what the core may do under a policy, and without one once the lease has expired.
+// policyLease is the core's lease on a policy, with what applies once it has expired.
 func (f *fleet) policyLease(number uint64, known bool, expires time.Time) edge.Lease {
 	lease := edge.Lease{
 		Number: number, Known: known, Expires: expires, OnDecision: f.admissionRecorder(),
@@ -119,7 +114,7 @@
 	return lease
 }
 
-// overlayPolicy puts the policy in use over the node's files, or its base policy.
+// overlayPolicy overlays the node's files with the policy in use, or with its base policy.
 func (f *fleet) overlayPolicy(onBase bool) {
 	state := &f.policy
 	state.onBase = onBase
@@ -129,7 +124,7 @@
 	}
 	if onBase {
 		zap.L().Warn("fleet_policy_lease_expired", zap.Uint64("number", state.number),
-			zap.String("what", "classes with a ground are served by it, others are refused"))
+			zap.String("what", "classes with a base policy are served by it, others are rejected"))
 	}
 	if document := state.document; document != nil {
 		platform.overlay = func(own simwire.Settings) simwire.Settings { return withPolicy(document, own, onBase) }
@@ -138,7 +133,7 @@
 	f.updateClasses()
 }
 
-// servesPolicy reports whether this node takes requests by the policy in force; without one on the log each does.
+// servesPolicy reports whether this node admits requests by the policy in force; without one on the log each node does.
 func (f *fleet) servesPolicy() bool {
 	if f.config.List.Policy == nil {
 		return true
--- a/internal/node/fleetstorage.go
+++ b/internal/node/fleetstorage.go
@@ -6,24 +6,24 @@
 	"go.uber.org/zap"
 )
 
-const diskRetryInterval = time.Second // between two attempts at a record that the disk didn't take
+const diskRetryInterval = time.Second // between two attempts at a record that couldn't be written
 
-// save has the next record written, apart from the loop: a disk may take long.
+// save has the next record written, outside the loop: a disk may take long.
 func (f *fleet) save() {
 	if f.saving {
 		return
 	}
-	record, whole, ok := f.agent.NextRecord()
+	record, replaces, ok := f.agent.NextRecord()
 	if !ok {
 		return
 	}
-	if f.store == nil { // a node that keeps nothing; voters always have a store
+	if f.store == nil { // a node that stores nothing; voters always have a store
 		f.agent.Persisted(f.now())
 		return
 	}
 	f.saving = true
 	write := f.store.Save
-	if whole {
+	if replaces {
 		write = f.store.Replace
 	}
 	go func() {
@@ -32,7 +32,7 @@
 	}()
 }
 
-// onSaved goes on once a record was written, or has it written again.
+// onSaved reports a written record to the agent, or schedules the next attempt at it.
 func (f *fleet) onSaved(err error) {
 	f.saving = false
 	if f.closed {
@@ -46,7 +46,7 @@
 		return
 	}
 	f.agent.Persisted(f.now())
-	f.carryOut()
+	f.applyDecisions()
 }
 
 func (f *fleet) saveAgain() {
--- a/internal/node/fleetstream.go
+++ b/internal/node/fleetstream.go
@@ -12,30 +12,29 @@
 
 const (
 	streamTimeout = 5 * time.Second // for one message by a stream
-	// maxStreams bounds streams each way at once: with a complete message in each, 4 MB of a node that has 32. What
-	// finds no place comes again with the next message of its kind.
-	maxStreams = 8
-	frameBytes = 4 // of the length before a message
+	// maxStreams bounds streams in each direction at once: with a complete message in each, 4 MB of a node that has 32.
+	// A message beyond it is lost; the agent sends the next of its kind anyway.
+	maxStreams  = 8
+	lengthBytes = 4 // of the prefix that has a message's length
 )
 
-// frame is a message with its length before it.
+// frame returns a message behind its length.
 func frame(message []byte) []byte {
-	framed := make([]byte, 0, len(message)+frameBytes)
+	framed := make([]byte, 0, len(message)+lengthBytes)
 	framed = binary.BigEndian.AppendUint32(framed, uint32(len(message)))
 	return append(framed, message...)
 }
 
-// sendStream sends a message that no datagram holds.
+// sendStream sends a message that is too long for a datagram.
 func (f *fleet) sendStream(to string, message []byte) {
 	if f.outboundStreams >= maxStreams {
-		f.lostMessages++
 		return
 	}
 	f.outboundStreams++
 	stream := &outboundStream{fleet: f, data: frame(message)}
 	deadline := f.loop.Now().Add(streamTimeout)
 	stream.conn = f.loop.Dial(to, deadline, stream)
-	stream.stop = f.loop.At(deadline, func() {
+	stream.cancel = f.loop.At(deadline, func() {
 		stream.OnEnd(loop.ErrTimeout)
 		stream.conn.Abort()
 	})
@@ -43,11 +42,11 @@
 
 // outboundStream is one message on its way by a stream. It is the handler of its connection.
 type outboundStream struct {
-	fleet *fleet
-	conn  *loop.Conn
-	data  []byte
-	stop  func() // of its timeout
-	over  bool
+	fleet  *fleet
+	conn   *loop.Conn
+	data   []byte
+	cancel func() // of its timeout
+	isDone bool
 }
 
 // OnConnect sends the message.
@@ -57,38 +56,34 @@
 	s.conn.End()
 }
 
-// OnData is of no use: nothing is answered.
+// OnData ignores data: the other side answers nothing.
 func (s *outboundStream) OnData([]byte) {}
 
-// OnDrained is of no use: End flushes.
+// OnDrained does nothing: End flushes.
 func (s *outboundStream) OnDrained() {}
 
-// OnEnd counts a message that was not sent.
-func (s *outboundStream) OnEnd(error) {
-	if !s.over {
-		s.fleet.lostMessages++
-		s.done()
-	}
-}
+// OnEnd frees the stream; a message that was not sent is lost.
+func (s *outboundStream) OnEnd(error) { s.done() }
 
+// done frees the stream's place, once.
 func (s *outboundStream) done() {
-	if s.over {
+	if s.isDone {
 		return
 	}
-	s.over = true
+	s.isDone = true
 	s.data = nil
 	s.fleet.outboundStreams--
-	s.stop()
+	s.cancel()
 }
 
-// accept takes a stream with one message of another node, or of an operator. Nil: there are too many.
+// accept accepts a stream with one message of another node, or of an operator. Nil: there are too many.
 func (f *fleet) accept(conn *loop.Conn) loop.Handler {
 	if f.inboundStreams >= maxStreams || f.closed {
 		return nil
 	}
 	f.inboundStreams++
 	stream := &inboundStream{fleet: f, conn: conn}
-	stream.stop = f.loop.At(f.loop.Now().Add(streamTimeout), func() {
+	stream.cancel = f.loop.At(f.loop.Now().Add(streamTimeout), func() {
 		stream.done()
 		conn.Abort()
 	})
@@ -100,34 +95,34 @@
 	fleet  *fleet
 	conn   *loop.Conn
 	buffer []byte
-	stop   func() // of its timeout
-	over   bool
+	cancel func() // of its timeout
+	isDone bool
 }
 
-// OnConnect is for connections dialled.
+// OnConnect does nothing: it is for dialled connections.
 func (s *inboundStream) OnConnect() {}
 
-// OnDrained is of no use here.
+// OnDrained does nothing: a reply is short.
 func (s *inboundStream) OnDrained() {}
 
-// OnData takes a piece of the message.
+// OnData receives a piece of the message.
 func (s *inboundStream) OnData(piece []byte) {
-	if s.over {
+	if s.isDone {
 		return
 	}
 	s.buffer = append(s.buffer, piece...)
-	if len(s.buffer) < frameBytes {
+	if len(s.buffer) < lengthBytes {
 		return
 	}
 	length := int(binary.BigEndian.Uint32(s.buffer))
-	received := len(s.buffer) - frameBytes
+	received := len(s.buffer) - lengthBytes
 	switch {
 	case length > agent.MaxMessage || received > length:
 		s.done()
 		s.conn.Abort()
 	case received == length:
 		s.done()
-		s.handle(s.buffer[frameBytes:])
+		s.handle(s.buffer[lengthBytes:])
 	}
 }
 
@@ -144,12 +139,12 @@
 		fleet.agent.Receive(message, fleet.now())
 	}
 	s.conn.End()
-	fleet.carryOut()
+	fleet.applyDecisions()
 }
 
-// OnEnd forgets a stream that ended before its message was complete.
+// OnEnd drops a stream that ended before its message was complete.
 func (s *inboundStream) OnEnd(err error) {
-	if s.over {
+	if s.isDone {
 		return
 	}
 	s.done()
@@ -158,11 +153,12 @@
 	}
 }
 
+// done frees the stream's place, once.
 func (s *inboundStream) done() {
-	if s.over {
+	if s.isDone {
 		return
 	}
-	s.over = true
+	s.isDone = true
 	s.fleet.inboundStreams--
-	s.stop()
+	s.cancel()
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -16,20 +16,20 @@
 func TestGoldenDoor(t *testing.T) {
 	var program Program
 	for range 2 {
-		program.trace.Closed("request", trace.ClientEnded)
+		program.telemetry.trace.Closed("request", trace.ClientEnded)
 	}
 	for range 3 {
-		program.trace.Retried("request", choice.TimedOut)
+		program.telemetry.trace.Retried("request", choice.TimedOut)
 	}
 	for range 4 {
-		program.trace.Answered("request", true, trace.Stopping)
+		program.telemetry.trace.Answered("request", true, trace.Stopping)
 	}
 	for range 5 {
-		program.trace.Answered("request", true, trace.Reason(choice.ServersCrowded.String()))
+		program.telemetry.trace.Answered("request", true, trace.Reason(choice.ServersCrowded.String()))
 	}
 	begin := time.Unix(1e9, 0)
 	for i := range 6 {
-		r := program.monitor.NewRequest(invariant.RequestFacts{
+		r := program.telemetry.monitor.NewRequest(invariant.RequestFacts{
 			ID: "request", Class: choice.Class{Idempotency: choice.Idempotent}, Deadline: begin, MaxAttempts: 2,
 		})
 		r.Start(invariant.Server{ID: "host"}, begin)
@@ -40,11 +40,11 @@
 			r.Close(invariant.ByNode, false)
 		}
 	}
-	holds(t, "testdata/reasons.txt", string(program.reasons(nil)))
+	holds(t, "testdata/reasons.txt", string(program.telemetry.appendReasons(nil)))
 
-	*program.figures.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
-	program.figures.Attempts, program.figures.ReloadsOK, program.figures.ReloadsFailed = 14, 15, 16
-	holds(t, "testdata/telemetry.txt", string(program.telemetry(nil)))
+	*program.telemetry.figures.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
+	program.telemetry.figures.Attempts, program.telemetry.figures.ReloadsOK, program.telemetry.figures.ReloadsFailed = 14, 15, 16
+	holds(t, "testdata/telemetry.txt", string(program.appendFigures(nil)))
 }
 
 // TestGoldenReasonWords holds the words for outcomes and for the reasons of the module's answers.
--- a/internal/node/golden_transfer_test.go
+++ b/internal/node/golden_transfer_test.go
@@ -134,9 +134,9 @@
 
 // TestGoldenConnection pins a connection as it goes into a batch.
 func TestGoldenConnection(t *testing.T) {
-	pinned(t, "connection", connectionState{Front: platformFront, Cluster: "k", Open: goldenOpen(), State: cbor.RawMessage{0xa1, 0x01, 0xa0}}, hotrestart.Decode)
-	for _, name := range []string{platformFront, xmppFront} {
-		if want := golden(t, "front-"+name+".txt", []byte(name)); name != string(want) {
+	pinned(t, "connection", connectionState{Front: frontPlatform, Cluster: "k", Open: goldenOpen(), State: cbor.RawMessage{0xa1, 0x01, 0xa0}}, hotrestart.Decode)
+	for _, name := range []frontName{frontPlatform, frontXMPP} {
+		if want := golden(t, "front-"+string(name)+".txt", []byte(name)); string(name) != string(want) {
 			t.Errorf("a front is called %q, want %q", name, want)
 		}
 	}
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -14,36 +14,27 @@
 )
 
 const (
-	grantTimeout     = 500 * time.Millisecond // a running process answers within a round of its loop
-	unaskedShareTime = 10 * time.Second       // that a process which can't be asked is taken to be still there
+	grantTimeout      = 500 * time.Millisecond // a running process answers within a round of its loop
+	unlinkedShareTime = 10 * time.Second       // that a process without a link to this one counts as still there
 )
 
 // hotRestart is this process's part in replacing the node's process while it serves: what it was granted by its
-// predecessor, how it shares the node's descriptors and memory with its predecessor or successor, and the transfer of
-// its connections. It belongs to the loop.
+// predecessor, its part of the node's descriptors and memory while there is another process, and the transfer of
+// connections. It belongs to the loop.
 type hotRestart struct {
 	program     *Program
-	grant       *hotrestart.Grant       // by the running process; nil: a start like any other
+	grant       *hotrestart.Grant       // by the running process; nil: there was none
 	coordinator *hotrestart.Coordinator // nil: no successor finds this process
 	listeners   map[string]*loop.Listener
 
-	maxDescriptors int       // that the node may hold; 0: not told
-	memoryMB       int       // 0: not told
-	sharedUntil    time.Time // another process that can't be asked is there till then
+	limits      nodeLimits
+	sharedUntil time.Time // a process without a link to this one counts as running until then; zero: there is none
 
 	shuttingDown    bool
-	listenersClosed bool // the clients are another process's
+	listenersClosed bool // new clients go to another process
 
-	transferring  bool // connections go to the successor
-	migrated      bool // what could not go was told to come again
-	reported      bool // all connections are gone, and this process ends
-	queue         []transferable
-	sent          int // connections
-	received      int // connections
-	sentBytes     int
-	transferStart time.Time
-	transferTime  time.Duration // to the last connection sent
-	longestBatch  time.Duration // that the loop was away for
+	received int // connections of the predecessor
+	transfer transfer
 }
 
 // requestGrant asks a process that runs already for its sockets, list and descriptors, where there is one.
@@ -65,8 +56,8 @@
 	}
 }
 
-// initialList is the server list to begin with: the predecessor's where there is one, since what was told to it was
-// told to the node.
+// initialList is the server list to begin with: the predecessor's where there is one, since what was pushed to it was
+// pushed to the node.
 func (h *hotRestart) initialList(own *cluster.List, discovery string) *cluster.List {
 	if h.grant == nil || len(h.grant.List.Servers) == 0 {
 		return own
@@ -79,7 +70,7 @@
 	return &list
 }
 
-// listen opens a client listener: the predecessor's own socket where it was granted, else one of this process.
+// listen opens a client listener: the predecessor's own socket where it was granted, else a new one.
 func (h *hotRestart) listen(addr string, accept func(*loop.Conn) loop.Handler) (*loop.Listener, error) {
 	if h.grant != nil {
 		if fd, ok := h.grant.Sockets[addr]; ok {
@@ -96,20 +87,25 @@
 	}
 	h.listeners[addr] = listener
 	if listener.ReusePort {
-		h.sharedUntil = time.Now().Add(unaskedShareTime)
+		h.sharedUntil = time.Now().Add(unlinkedShareTime)
 		zap.L().Warn("listener_shared_without_grant", zap.String("address", addr),
-			zap.Duration("shared_for", unaskedShareTime))
+			zap.Duration("shared_for", unlinkedShareTime))
 	}
 	return listener, nil
 }
 
-// open lets a successor find this process, once all is set up.
-func (h *hotRestart) open(path string) {
+// startCoordinator lets a successor find this process, once all is set up.
+func (h *hotRestart) startCoordinator(path string) {
 	if path != "" {
 		h.coordinator = hotrestart.NewCoordinator(hotrestart.Options{
-			Loop: h.program.loop, Path: path, Grant: h.newGrant, Changed: h.onCoordinatorChanged,
+			Loop:    h.program.loop,
+			Path:    path,
+			Grant:   h.newGrant,
+			Changed: h.onCoordinatorChanged,
 			TransferHandler: hotrestart.TransferHandler{
-				FreeDescriptors: h.freeDescriptors, Prepare: h.prepareBatch, Learned: h.importLearnedState,
+				FreeDescriptors: h.freeDescriptors,
+				Prepare:         h.prepareBatch,
+				Learned:         h.importLearnedState,
 			},
 		}, h.grant)
 	}
@@ -125,10 +121,10 @@
 	h.applyQuota()
 }
 
-// newGrant is what a successor gets.
+// newGrant is what a successor is granted.
 func (h *hotRestart) newGrant() hotrestart.Grant {
 	grant := hotrestart.Grant{Sockets: map[string]int{}, Datagrams: -1}
-	if !h.listenersClosed { // else they are another process's already
+	if !h.listenersClosed { // else another process has them already
 		for addr, listener := range h.listeners {
 			grant.Sockets[addr] = listener.FD()
 		}
@@ -162,10 +158,10 @@
 	return successorReady
 }
 
-// onCoordinatorChanged takes in that another process came, is ready or has gone.
+// onCoordinatorChanged is called when another process has linked to this one, is ready or has ended.
 func (h *hotRestart) onCoordinatorChanged() {
 	h.applyQuota()
-	if h.transferring {
+	if h.transfer.active {
 		h.program.loop.At(h.program.loop.Now(), h.transferAndFinish)
 	}
 }
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -31,12 +31,12 @@
 	}
 	p := &process{Program: newProgram(l), done: make(chan struct{})}
 	p.restart.requestGrant(place)
-	front, at, err := p.newPlatform(n, nil)
+	_, at, err := p.newPlatform(n, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.cores, p.at = []*edge.Core{front.core}, at.String()
-	p.restart.open(place)
+	p.at = at.String()
+	p.restart.startCoordinator(place)
 	go func() {
 		defer close(p.done)
 		l.Run()
@@ -95,7 +95,7 @@
 a < GET /v1/servers?after=9&wait_ms={*} HTTP/1.1\r\nHost: {*}\r\nAccept: application/json\r\n
 `[1:])
 	taken := func(p *process) (n int) {
-		p.on(func() { n = p.platform.peers.received })
+		p.on(func() { n = p.platform.peers.counts.received })
 		return n
 	}
 	var to net.Addr
--- a/internal/node/learnedstate.go
+++ b/internal/node/learnedstate.go
@@ -8,16 +8,16 @@
 	resumable "spurwinch/internal/session"
 )
 
-// maxSessions is how many sessions without a stream are sent to another process; those with one go with it.
+// maxSessions is the most sessions without a stream that are sent to another process; others go with their streams.
 const maxSessions = 1000
 
-// learnedState is what a process knows beside its connections.
+// learnedState is what a process has learned, beside its connections.
 type learnedState struct {
 	Modules  map[string]choice.LearnedState `cbor:"1,keyasint"` // by the names of their clusters
 	Sessions []resumable.Session            `cbor:"2,keyasint,omitempty"`
 }
 
-// encodeLearnedState is what this process knows, for its successor.
+// encodeLearnedState encodes what this process has learned, for its successor.
 func (h *hotRestart) encodeLearnedState() []byte {
 	state := learnedState{Modules: map[string]choice.LearnedState{}}
 	for cluster, core := range h.program.coreByCluster {
@@ -33,7 +33,7 @@
 	return encoded
 }
 
-// importLearnedState takes in what the predecessor knows.
+// importLearnedState adopts what the predecessor has learned.
 func (h *hotRestart) importLearnedState(encoded []byte) {
 	var state learnedState
 	if err := cbor.Unmarshal(encoded, &state); err != nil {
--- a/internal/node/many_test.go
+++ b/internal/node/many_test.go
@@ -118,7 +118,7 @@
 	}
 	heard := func(want int) {
 		transcript.Until(t, fmt.Sprintf("%d nodes are heard", want), func() (all bool) {
-			on(func() { all = node.peers.received == want })
+			on(func() { all = node.peers.counts.received == want })
 			return all
 		})
 	}
@@ -137,8 +137,8 @@
 		return all
 	})
 	on(func() {
-		if len(node.peers.addrs) != many || node.peers.strangers != 0 {
-			t.Errorf("%d nodes, %d strangers", len(node.peers.addrs), node.peers.strangers)
+		if len(node.peers.addrs) != many || node.peers.counts.unknown != 0 {
+			t.Errorf("%d nodes, %d strangers", len(node.peers.addrs), node.peers.counts.unknown)
 		}
 		if told := node.core.Gauges().ServersKnown; told != many {
 			t.Errorf("%d hosts told to operators", told)
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -11,7 +11,6 @@
 	"spurwinch/choice"
 	"spurwinch/internal/config"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/loop"
 	"spurwinch/internal/platform/cluster"
 	"spurwinch/internal/transport/tls"
 	"spurwinch/internal/xmpp"
@@ -19,7 +18,8 @@
 
 const expiryCheckInterval = 24 * time.Hour
 
-// sessionLoad reports a server's load as the operator's file sees it: the sessions in flight there over its capacity.
+// sessionLoad is the health checker of an operator's cluster. A server's load is its sessions in flight over its
+// capacity.
 type sessionLoad struct {
 	core     func() *edge.Core
 	capacity float64 // all nodes' sessions on a server of weight 1
@@ -33,39 +33,35 @@
 	done(choice.Served, []float64{load})
 }
 
-// operatorFronts is what the operator's file set up.
+// operatorFronts are the fronts and clusters that an operator's file sets up.
 type operatorFronts struct {
-	path      string
-	loop      *loop.Loop
 	program   *Program
+	path      string
 	seed      uint64
 	xmpp      *xmpp.Front
-	addrs     []netip.AddrPort // of the listeners
-	cores     map[string]*edge.Core
+	addrs     []netip.AddrPort          // of the listeners
 	watches   map[string]*cluster.Watch // of the clusters with a discovery
 	keys      tls.Keys
-	firstSeen map[string]time.Time // when a static server came in, by serverKey; zero: with the start
+	firstSeen map[string]time.Time // when a static server was added, by serverKey; zero: at the start
 }
 
-// newOperatorFronts sets up the fronts and clusters of an operator's file. The cores are in the file's order.
-func newOperatorFronts(
-	l *loop.Loop, path string, file config.Operator, seed uint64, program *Program,
-) ([]*edge.Core, *operatorFronts, error) {
+// newOperatorFronts sets up the fronts and clusters of an operator's file, on a loop that is not running yet.
+func newOperatorFronts(program *Program, path string, file config.Operator, seed uint64) (*operatorFronts, error) {
 	fronts := &operatorFronts{
-		path: path, loop: l, program: program, seed: seed, cores: map[string]*edge.Core{},
-		watches: map[string]*cluster.Watch{}, firstSeen: map[string]time.Time{},
+		program:   program,
+		path:      path,
+		seed:      seed,
+		watches:   map[string]*cluster.Watch{},
+		firstSeen: map[string]time.Time{},
 	}
-	var cores []*edge.Core
 	for i, entry := range file.Clusters {
-		core, err := fronts.newCluster(file, entry, i)
-		if err != nil {
-			return nil, nil, err
+		if err := fronts.addCluster(file, entry, i); err != nil {
+			return nil, err
 		}
-		cores = append(cores, core)
 	}
 	fronts.newXMPP(file)
 	if program.platform == nil {
-		program.restart.maxDescriptors = file.Limits.Connections + reservedDescriptors
+		program.restart.limits.descriptors = file.Limits.Connections + reservedDescriptors
 	}
 	if file.Keys != nil {
 		fronts.keys.Use(file.Keys)
@@ -73,39 +69,35 @@
 		fronts.checkExpiryDaily()
 	}
 	if err := fronts.listen(file.Listeners); err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	return cores, fronts, nil
+	return fronts, nil
 }
 
-// newCluster sets up the core of a cluster, which is the one of its number in the file.
-func (o *operatorFronts) newCluster(file config.Operator, entry config.Cluster, number int) (*edge.Core, error) {
-	var core *edge.Core
-	var watch *cluster.Watch
+// addCluster sets up the core of a cluster; number is the cluster's place in the file.
+func (o *operatorFronts) addCluster(file config.Operator, entry config.Cluster, number int) error {
 	settings := file.Settings(entry)
 	seed := o.seed + uint64(number)
 	observer, err := o.program.startCapture(file.Capture, entry.Name, settings, []string{"x0"})
 	if err != nil {
-		return nil, err
+		return err
 	}
-	core, err = edge.New(edge.Options{
-		Clock: o.loop, Settings: settings, Observer: observer, Figures: &o.program.figures,
-		Monitor: &o.program.monitor, Trace: &o.program.trace, Seed: seed,
-		HealthChecker: sessionLoad{func() *edge.Core { return core }, entry.Sessions / float64(entry.Nodes)},
-		WatchList:     func() { watch.Follow() }, DrainPeriod: time.Duration(entry.DrainPeriod),
-	})
+	var core *edge.Core
+	var watch *cluster.Watch
+	options := o.program.coreOptions(settings, seed, observer)
+	options.HealthChecker = sessionLoad{func() *edge.Core { return core }, entry.Sessions / float64(entry.Nodes)}
+	options.WatchList = func() { watch.Follow() }
+	options.DrainPeriod = time.Duration(entry.DrainPeriod)
+	core, err = edge.New(options)
 	if err != nil {
-		return nil, fmt.Errorf("%s: cluster %q: %w", o.path, entry.Name, err)
+		return fmt.Errorf("%s: cluster %q: %w", o.path, entry.Name, err)
 	}
 	if entry.Discovery != "" {
-		watch = cluster.New(o.loop, entry.Discovery, nil, watchMode(settings), seed, core.UpdateServers)
+		watch = cluster.New(o.program.loop, entry.Discovery, nil, watchMode(settings), seed, core.UpdateServers)
 		o.watches[entry.Name] = watch
 	}
-	o.cores[entry.Name] = core
-	o.program.coreByCluster[entry.Name] = core
-	o.loop.After(core.Flush)
-	core.Start(entry.StaticHosts(o.startedAt(entry.Name, time.Time{})))
-	return core, nil
+	o.program.startCore(entry.Name, core, entry.StaticHosts(o.startedAt(entry.Name, time.Time{})))
+	return nil
 }
 
 // newXMPP sets up the XMPP front with its domains and limits.
@@ -114,21 +106,21 @@
 	for _, domain := range file.Domains {
 		number, class := file.Class(domain.Class)
 		domains[domain.Name] = xmpp.Domain{
-			Core: o.cores[domain.Cluster], Class: number, Patience: time.Duration(class.Deadline),
+			Core: o.program.coreByCluster[domain.Cluster], Class: number, Patience: time.Duration(class.Deadline),
 		}
 	}
 	limits := file.Limits
-	o.loop.Limit(limits.Connections-limits.Connections/8, limits.Connections, 0)
-	o.xmpp = xmpp.New(o.loop, domains, xmpp.Limits{
+	o.program.loop.Limit(limits.Connections-limits.Connections/8, limits.Connections, 0)
+	o.xmpp = xmpp.New(o.program.loop, domains, xmpp.Limits{
 		Stanza: limits.StanzaBytes, Early: limits.EarlyBytes, HeaderTime: time.Duration(limits.HeaderTime),
 		ShakeTime: time.Duration(limits.HandshakeTimeout), MostOpen: limits.Connections, Resumable: limits.Resumable,
 	}, o.seed)
 	o.program.xmpp = o.xmpp
-	o.xmpp.Trace = &o.program.trace
+	o.xmpp.Trace = &o.program.telemetry.trace
 	o.xmpp.Guard(file.AdmissionRules())
 }
 
-// listen opens the listeners.
+// listen opens the listeners of the file.
 func (o *operatorFronts) listen(listeners []config.Listener) error {
 	security := map[string]xmpp.Security{"starttls": xmpp.StartTLS, "direct": xmpp.Direct}
 	for _, entry := range listeners {
@@ -141,19 +133,19 @@
 			return err
 		}
 		o.addrs = append(o.addrs, listener.Addr)
-		zap.L().Info("listening", zap.String("protocol", entry.Protocol), zap.Stringer("address", listener.Addr))
+		logListening(entry.Protocol, listener.Addr)
 	}
 	return nil
 }
 
-// checkExpiryDaily has certificates that expire soon in the log, each day.
+// checkExpiryDaily logs certificates that expire soon, each day.
 func (o *operatorFronts) checkExpiryDaily() {
 	o.logExpiring()
-	o.loop.At(o.loop.Now().Add(expiryCheckInterval), o.checkExpiryDaily)
+	o.program.loop.At(o.program.loop.Now().Add(expiryCheckInterval), o.checkExpiryDaily)
 }
 
 func (o *operatorFronts) logExpiring() {
-	for _, expiring := range o.keys.Ending(o.loop.Now()) {
+	for _, expiring := range o.keys.Ending(o.program.loop.Now()) {
 		zap.L().Warn("certificate_expiring", zap.String("file", expiring.File), zap.Strings("names", expiring.Names),
 			zap.Time("at", expiring.At),
 			zap.String("remedy", "put the new certificate and key in the files and send SIGHUP"))
@@ -163,7 +155,7 @@
 // serverKey is a static server's key in firstSeen.
 func serverKey(cluster, id string) string { return cluster + " " + id }
 
-// startedAt tells when a server came in; one not seen yet comes in now.
+// startedAt returns when a server was added; one not seen yet is added now.
 func (o *operatorFronts) startedAt(cluster string, now time.Time) func(id string) time.Time {
 	return func(id string) time.Time {
 		key := serverKey(cluster, id)
@@ -176,13 +168,13 @@
 	}
 }
 
-// readFile reads the file as it is now.
+// readFile reads and checks the file as it is now. The function that it returns applies it.
 func (o *operatorFronts) readFile() (apply func(), err error) {
 	file, err := config.ReadOperator(o.path)
 	return func() { o.apply(file) }, err
 }
 
-// apply takes in the limits by peer, the certificates, the static servers and the discovery addresses of a file.
+// apply applies the limits by peer, the certificates, the static servers and the discovery addresses of a file.
 func (o *operatorFronts) apply(file config.Operator) {
 	o.xmpp.Guard(file.AdmissionRules())
 	if file.Keys != nil {
@@ -191,7 +183,8 @@
 		zap.L().Info("certificates_loaded", zap.Int("certificates", len(file.Certificates)))
 	}
 	for _, entry := range file.Clusters {
-		core, watch := o.cores[entry.Name], o.watches[entry.Name]
+		core := o.program.coreByCluster[entry.Name]
+		watch := o.watches[entry.Name]
 		switch {
 		case core == nil || (watch != nil) != (entry.Discovery != ""):
 			zap.L().Warn("reload_needs_restart", zap.String("cluster", entry.Name),
@@ -206,9 +199,9 @@
 	}
 }
 
-// applyStaticServers takes in a cluster's servers. One that is out and comes in again later is a new one.
+// applyStaticServers applies a cluster's servers. One that is removed and added again later is a new one.
 func (o *operatorFronts) applyStaticServers(core *edge.Core, entry config.Cluster) {
-	servers := entry.StaticHosts(o.startedAt(entry.Name, o.loop.Now()))
+	servers := entry.StaticHosts(o.startedAt(entry.Name, o.program.loop.Now()))
 	listed := map[string]bool{}
 	for _, server := range servers {
 		listed[serverKey(entry.Name, string(server.ID))] = true
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,7 +11,8 @@
 
 const maxPeerMessage = 256 // bytes of a datagram; the protocol's
 
-// peerNetwork carries messages between the nodes of a tier. Its counts tell what was dropped before the module saw it.
+// peerNetwork sends and receives the messages between the nodes of a tier. Its counts include what was dropped before
+// the module saw it.
 type peerNetwork struct {
 	socket       *loop.Datagrams // nil: there are no other nodes
 	addrs        []netip.AddrPort
@@ -19,7 +20,16 @@
 	self         int
 	localAddr    netip.AddrPort // of the socket
 
-	sent, lost, received, strangers, tooLong int // messages
+	counts peerCounts
+}
+
+// peerCounts are numbers of messages.
+type peerCounts struct {
+	sent     int
+	lost     int // that the socket didn't accept
+	received int
+	unknown  int // from addresses that are no peer's
+	tooLong  int
 }
 
 // listenPeers opens the socket, where there are peers. receive gets each message with its sender's number. granted is
@@ -52,17 +62,17 @@
 	number, known := p.numberByAddr[from]
 	switch {
 	case !known || number == p.self: // a stranger could have this node believe anything
-		p.strangers++
+		p.counts.unknown++
 		return 0, false
 	case len(message) > maxPeerMessage:
-		p.tooLong++
+		p.counts.tooLong++
 		return 0, false
 	}
-	p.received++
+	p.counts.received++
 	return number, true
 }
 
-// setReading says whether this process reads what other nodes send.
+// setReading sets whether this process reads what other nodes send.
 func (p *peerNetwork) setReading(on bool) {
 	if p.socket == nil {
 		return
@@ -72,7 +82,7 @@
 	}
 }
 
-// setPeers takes in who the other nodes are.
+// setPeers applies the addresses of the other nodes.
 func (p *peerNetwork) setPeers(node config.Node) {
 	p.addrs = node.Peers
 	p.self = node.Settings.Node
@@ -94,16 +104,17 @@
 	if p.socket == nil || to < 0 || to >= len(p.addrs) || len(message) > maxPeerMessage {
 		return
 	}
-	p.sent++
+	p.counts.sent++
 	if err := p.socket.Send(p.addrs[to], message); err != nil {
-		p.lost++
+		p.counts.lost++
 	}
 }
 
 // logCounts logs the counts, once at the planned stop; dropped is how many the module did not believe.
 func (p *peerNetwork) logCounts(dropped int) {
 	if p.socket != nil {
-		zap.L().Info("peer_messages", zap.Int("sent", p.sent), zap.Int("lost", p.lost), zap.Int("taken", p.received),
-			zap.Int("strangers", p.strangers), zap.Int("long", p.tooLong), zap.Int("dropped", dropped))
+		zap.L().Info("peer_messages", zap.Int("sent", p.counts.sent), zap.Int("lost", p.counts.lost),
+			zap.Int("taken", p.counts.received), zap.Int("strangers", p.counts.unknown),
+			zap.Int("long", p.counts.tooLong), zap.Int("dropped", dropped))
 	}
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -50,7 +50,7 @@
 	p.send(1, []byte("answer"))
 	limit := time.Now().Add(20 * time.Second) // only a hang reaches it
 	l.After(func() {
-		if len(got) == 2 && p.strangers == 1 && p.tooLong == 1 || time.Now().After(limit) {
+		if len(got) == 2 && p.counts.unknown == 1 && p.counts.tooLong == 1 || time.Now().After(limit) {
 			l.Stop()
 		}
 	})
@@ -58,8 +58,8 @@
 	if err := l.Run(); err != nil && err != unix.EINTR {
 		t.Fatal(err)
 	}
-	if len(got) != 2 || got[0] != "one" || got[1] != "three" || p.strangers != 1 || p.tooLong != 1 || p.sent != 1 {
-		t.Errorf("heard %q, %d strangers, %d too long, %d sent", got, p.strangers, p.tooLong, p.sent)
+	if len(got) != 2 || got[0] != "one" || got[1] != "three" || p.counts.unknown != 1 || p.counts.tooLong != 1 || p.counts.sent != 1 {
+		t.Errorf("heard %q, %d strangers, %d too long, %d sent", got, p.counts.unknown, p.counts.tooLong, p.counts.sent)
 	}
 }
 
--- a/internal/node/policy_test.go
+++ b/internal/node/policy_test.go
@@ -44,16 +44,16 @@
 		}
 	}
 	f := &fleet{policy: policyState{number: 7, document: d}}
-	if why := f.conflictWithPolicy(own); !strings.Contains(why, "policy 7 of the fleet") {
-		t.Errorf("a file with a class that the policy doesn't have: %q", why)
+	if err := f.checkPolicyConflict(own); err == nil || !strings.Contains(err.Error(), "policy 7 of the fleet") {
+		t.Errorf("a file with a class that the policy doesn't have: %v", err)
 	}
 	own.ClassByName = map[string]int{"b": 1}
-	if why := f.conflictWithPolicy(own); !strings.HasPrefix(why, "giveUpS of b is 9s, policy 7 of the fleet has 3s") {
-		t.Errorf("a file with another patience: %q", why)
+	if err := f.checkPolicyConflict(own); err == nil || !strings.HasPrefix(err.Error(), "giveUpS of b is 9s, policy 7 of the fleet has 3s") {
+		t.Errorf("a file with another patience: %v", err)
 	}
 	own.Classes[1].Deadline, own.Classes[1].SetupObjective, own.Classes[1].Priority, own.Limits.MaxAttempts = 3*time.Second, time.Second, 2, 4
-	if why := f.conflictWithPolicy(own); why != "" {
-		t.Errorf("a file that agrees: %q", why)
+	if err := f.checkPolicyConflict(own); err != nil {
+		t.Errorf("a file that agrees: %v", err)
 	}
 }
 
--- a/internal/node/policyoverlay.go
+++ b/internal/node/policyoverlay.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"fmt"
 	"slices"
 
 	"spurwinch/choice"
@@ -9,7 +8,8 @@
 	"spurwinch/internal/simwire"
 )
 
-// withPolicy is a node's own settings with a policy over them, or with its base policy for the classes that have it.
+// withPolicy returns a node's own settings overlaid with a policy, or with its base policy for the classes that have
+// one.
 func withPolicy(document *policy.Document, settings simwire.Settings, onBase bool) simwire.Settings {
 	settings.Classes, settings.ClassByName = overlaidClasses(document, settings.Classes, onBase)
 	if len(document.Tenants) > 0 {
@@ -23,7 +23,7 @@
 	return settings
 }
 
-// overlaidClasses are the policy's classes. What a policy does not say of a class stays as the node's file has it.
+// overlaidClasses returns the policy's classes. What a policy doesn't set of a class stays as the node's file has it.
 func overlaidClasses(
 	document *policy.Document, own []choice.Class, onBase bool,
 ) (classes []choice.Class, indexByName map[string]int) {
@@ -48,7 +48,7 @@
 	return classes, indexByName
 }
 
-// overlaidTenants are the policy's tenants, with what the node's file has of them beside their quotas.
+// overlaidTenants returns the policy's tenants. What a policy doesn't set of a tenant stays as the node's file has it.
 func overlaidTenants(
 	document *policy.Document, own []choice.Tenant,
 ) (tenants []choice.Tenant, indexByName map[string]int) {
@@ -66,16 +66,15 @@
 	return tenants, indexByName
 }
 
-// conflictWithPolicy says what a file has otherwise than the policy in use; empty: nothing. Attempts are a node's own
-// limit as well: the lower one counts.
-func (f *fleet) conflictWithPolicy(settings simwire.Settings) string {
+// checkPolicyConflict compares a file with the policy in use; the error is a *policyConflictError. Attempts are a
+// node's own limit as well: the lower one counts.
+func (f *fleet) checkPolicyConflict(settings simwire.Settings) error {
 	document := f.policy.document
 	if document == nil {
-		return ""
+		return nil
 	}
-	conflict := func(key string, inFile, inPolicy any) string {
-		return fmt.Sprintf("%s is %v, policy %d of the fleet has %v: "+
-			"what is common is changed by spurwinchctl policy propose", key, inFile, f.policy.number, inPolicy)
+	conflict := func(key string, inFile, inPolicy any) error {
+		return &policyConflictError{key: key, inFile: inFile, inPolicy: inPolicy, number: f.policy.number}
 	}
 	for name, index := range settings.ClassByName {
 		class := settings.Classes[index]
@@ -92,5 +91,5 @@
 			return conflict("value of "+name, class.Priority, common.Priority)
 		}
 	}
-	return ""
+	return nil
 }
--- a/internal/node/pushed_test.go
+++ b/internal/node/pushed_test.go
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	p := newProgram(l)
-	p.firstListWait = time.Hour
+	p.readiness.firstListWait = time.Hour
 	_, at, err := p.newPlatform(n, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -8,20 +8,26 @@
 )
 
 const (
-	grantDivisor    = 4                      // a successor gets the free descriptors but for this part of them
-	quotaInterval   = 100 * time.Millisecond // between looks at what an emptying process can give up further
+	grantDivisor    = 4                      // one in so many free descriptors is not granted to a successor
+	quotaInterval   = 100 * time.Millisecond // between raises of the successor's quota while this process drains
 	shutdownReserve = 16                     // beside clients and servers: the loop's, listeners, the log
-	transferReserve = 32                     // and one that takes connections over: health checks, new clients
+	transferReserve = 32                     // kept free while connections are received: health checks, new clients
 )
 
-// setLimits takes in what the node may hold.
+// nodeLimits are the resources of the node, which all of its processes share.
+type nodeLimits struct {
+	descriptors int // 0: not set
+	memoryMB    int // 0: not set
+}
+
+// setLimits applies the limits of the platform's configuration.
 func (h *hotRestart) setLimits(node config.Node) {
-	h.maxDescriptors = node.Sockets
-	if h.maxDescriptors <= 0 {
-		h.maxDescriptors = defaultDescriptors
+	h.limits.descriptors = node.Sockets
+	if h.limits.descriptors <= 0 {
+		h.limits.descriptors = defaultDescriptors
 	}
-	h.memoryMB = node.MemoryMB
-	h.program.loop.Limit(0, h.maxDescriptors, int64(h.memoryMB)<<20)
+	h.limits.memoryMB = node.MemoryMB
+	h.program.loop.Limit(0, h.limits.descriptors, int64(h.limits.memoryMB)<<20)
 	h.applyQuota()
 }
 
@@ -29,11 +35,11 @@
 func (h *hotRestart) groupQuota() int {
 	switch {
 	case h.coordinator != nil && h.coordinator.HasPredecessor():
-		return min(h.maxDescriptors, h.coordinator.DescriptorQuota())
+		return min(h.limits.descriptors, h.coordinator.DescriptorQuota())
 	case !h.sharedUntil.IsZero():
-		return h.maxDescriptors / 2
+		return h.limits.descriptors / 2
 	}
-	return h.maxDescriptors
+	return h.limits.descriptors
 }
 
 // ownQuota is the number of descriptors that this process may hold.
@@ -44,8 +50,8 @@
 	return h.groupQuota() - h.coordinator.GrantedQuota()
 }
 
-// spareDescriptors is what this process can give up of a quota: what it doesn't hold, and in a crowd of idle
-// connections, which may be evicted, up to half.
+// spareDescriptors is what this process can give up of a quota: what it doesn't hold, and where many connections are
+// idle, which may be evicted, up to half.
 func (h *hotRestart) spareDescriptors(quota int) int {
 	loop := h.program.loop
 	unused := quota - reservedDescriptors - loop.Open()
@@ -55,13 +61,14 @@
 	return max(unused, min(quota/2, unused+loop.Idle()), 0)
 }
 
-// raiseQuotaRepeatedly gives up what this process needs no more, as its connections go.
+// raiseQuotaRepeatedly gives descriptors up to the successor as this process's connections end.
 func (h *hotRestart) raiseQuotaRepeatedly() {
 	h.raiseSuccessorQuota()
 	h.applyQuota()
 	h.program.loop.At(h.program.loop.Now().Add(quotaInterval), h.raiseQuotaRepeatedly)
 }
 
+// raiseSuccessorQuota gives the successor all descriptors that this process doesn't need.
 func (h *hotRestart) raiseSuccessorQuota() {
 	if linked, _ := h.coordinator.Successor(); linked {
 		quota := h.groupQuota()
@@ -69,7 +76,7 @@
 	}
 }
 
-// applyQuota keeps to this process's part of the node: all of it when it is alone.
+// applyQuota applies this process's part of the node's resources: all of them when it is alone.
 func (h *hotRestart) applyQuota() {
 	linked, successorReady, hasPredecessor := false, false, false
 	if h.coordinator != nil {
@@ -93,17 +100,17 @@
 	if platform.processes != processes {
 		platform.applySettings(processes)
 	}
-	// Whoever is to take the clients hears the other nodes, too.
+	// The process that accepts the clients receives the other nodes' messages, too.
 	predecessorServes := hasPredecessor && !h.program.ready()
 	platform.peers.setReading(!successorReady && !predecessorServes)
 }
 
-// limitMemory has the collector work harder well before the node would be killed.
+// limitMemory sets the garbage collector's limit well below the memory at which the node would be killed.
 func (h *hotRestart) limitMemory(alone bool) {
-	if h.memoryMB <= 0 {
+	if h.limits.memoryMB <= 0 {
 		return
 	}
-	limit := int64(h.memoryMB) << 20 * 6 / 10
+	limit := int64(h.limits.memoryMB) << 20 * 6 / 10
 	if !alone {
 		limit /= 2
 	}
@@ -122,7 +129,7 @@
 	quota := max(h.ownQuota()-reservedDescriptors, 0)
 	platform.front.Share(quota)
 	platform.upstream.KeepHealthChecks(max(quota/healthCheckDivisor, 1))
-	if h.listenersClosed { // nobody comes here any more, and who has said nothing yet goes to the successor
+	if h.listenersClosed { // no client connects here any more, and idle ones are transferred to the successor
 		h.program.loop.SetIdleLimit(0)
 	} else {
 		h.program.loop.SetIdleLimit(max(quota-h.ownQuota()/8, 1))
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -15,10 +15,10 @@
 	reloadRetryTime     = 30 * time.Second       // then the old configuration stays, until the next signal
 )
 
-// reloader reads and checks a part's files again; what it returns has them take effect.
+// reloader reads and checks a part's files again. The function that it returns applies them.
 type reloader = func() (apply func(), err error)
 
-// Reload reads the files again. They take effect all together, or one fault has everything stay as it was.
+// Reload reads the files again. They are applied all together; with a fault in one of them nothing is applied.
 func (p *Program) Reload() {
 	if p.cancelReload != nil {
 		p.cancelReload()
@@ -27,8 +27,8 @@
 	p.reloadUntil(p.loop.Now().Add(reloadRetryTime))
 }
 
-// reloadUntil tries again, up to a time, where files can't be read for a moment: no further signal would come for them.
-func (p *Program) reloadUntil(end time.Time) {
+// reloadUntil retries until a deadline where files can't be read for a moment: no further signal would come for them.
+func (p *Program) reloadUntil(deadline time.Time) {
 	apply, err := p.readFiles()
 	next := p.loop.Now().Add(reloadRetryInterval)
 	switch {
@@ -36,20 +36,20 @@
 		for _, applyPart := range apply {
 			applyPart()
 		}
-		p.figures.ReloadsOK++
-	case loop.IsTransient(err) && next.Before(end):
+		p.telemetry.figures.ReloadsOK++
+	case loop.IsTransient(err) && next.Before(deadline):
 		zap.L().Warn("reload_retried", zap.Error(err))
 		p.cancelReload = p.loop.At(next, func() {
 			p.cancelReload = nil
-			p.reloadUntil(end)
+			p.reloadUntil(deadline)
 		})
 	default:
-		p.figures.ReloadsFailed++
+		p.telemetry.figures.ReloadsFailed++
 		zap.L().Error("reload_rejected", zap.Error(err))
 	}
 }
 
-// readFiles reads and checks all files; what it returns has them take effect.
+// readFiles reads and checks all files. The functions that it returns apply them.
 func (p *Program) readFiles() (apply []func(), err error) {
 	for _, read := range p.reloaders {
 		applyPart, err := read()
@@ -61,17 +61,17 @@
 	return apply, nil
 }
 
-// platformReloader is the platform's front's part of a reload.
-func (p *Program) platformReloader(front *platform, path string) reloader {
+// platformReloader is the reloader of the platform's front.
+func (p *Program) platformReloader(platform *platform, path string) reloader {
 	return func() (apply func(), err error) {
-		next, err := config.ReloadNode(path, front.config)
+		next, err := config.ReloadNode(path, platform.config)
 		if err == nil && p.fleet != nil {
-			if conflict := p.fleet.conflictWithPolicy(next.Settings); conflict != "" {
-				err = fmt.Errorf("%s: %s", path, conflict)
+			if conflict := p.fleet.checkPolicyConflict(next.Settings); conflict != nil {
+				err = fmt.Errorf("%s: %w", path, conflict)
 			}
 		}
 		return func() {
-			front.reload(next)
+			platform.reload(next)
 			p.restart.setLimits(next)
 			if p.fleet != nil {
 				p.fleet.updateClasses()
--- a/internal/node/restore.go
+++ b/internal/node/restore.go
@@ -8,13 +8,13 @@
 	"spurwinch/internal/operations/hotrestart"
 )
 
-// connectionRestorer is a front's part in taking connections over: it checks one, and the function that it returns has
-// it go on.
+// connectionRestorer is a front that can take transferred connections over. Hold checks one; the function that it
+// returns attaches it to the front.
 type connectionRestorer interface {
 	Hold(core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int) (restore func(), err error)
 }
 
-// freeDescriptors is the number of descriptors of connections that this process has room for.
+// freeDescriptors is the number of descriptors that this process can receive with connections.
 func (h *hotRestart) freeDescriptors() int {
 	if h.shuttingDown {
 		return 0
@@ -22,7 +22,7 @@
 	return h.ownQuota() - transferReserve - h.program.loop.Open()
 }
 
-// prepareBatch checks connections of the predecessor, and takes them once they are this process's.
+// prepareBatch checks connections of the predecessor; with Commit they are this process's.
 func (h *hotRestart) prepareBatch(items []hotrestart.TransferItem) (hotrestart.PreparedBatch, error) {
 	var restores []func()
 	for i, item := range items {
@@ -47,7 +47,7 @@
 	}, nil
 }
 
-// prepareRestore checks one connection; the function that it returns has it go on here.
+// prepareRestore checks one connection; the function that it returns restores it.
 func (h *hotRestart) prepareRestore(item hotrestart.TransferItem) (restore func(), err error) {
 	var connection connectionState
 	if err := hotrestart.Decode(item.Body, &connection); err != nil {
@@ -55,7 +55,7 @@
 	}
 	front := h.program.frontNamed(connection.Front)
 	if front == nil {
-		return nil, fmt.Errorf("no front %q here", connection.Front)
+		return nil, &unknownTargetError{kind: "front", name: string(connection.Front)}
 	}
 	core := h.program.coreByCluster[connection.Cluster]
 	if connection.Open != nil {
@@ -63,19 +63,19 @@
 			return nil, err
 		}
 		if core == nil {
-			return nil, fmt.Errorf("no cluster %q here", connection.Cluster)
+			return nil, &unknownTargetError{kind: "cluster", name: connection.Cluster}
 		}
 	}
 	readState := func(into any) error { return hotrestart.Decode(connection.State, into) }
 	return front.Hold(core, connection.Open, readState, item.FDs)
 }
 
-// frontNamed is the front that a connection names; nil: there is none here.
-func (p *Program) frontNamed(name string) connectionRestorer {
+// frontNamed returns the front of a name; nil: this process has none.
+func (p *Program) frontNamed(name frontName) connectionRestorer {
 	switch {
-	case name == platformFront && p.platform != nil:
+	case name == frontPlatform && p.platform != nil:
 		return p.platform.front
-	case name == xmppFront && p.xmpp != nil:
+	case name == frontXMPP && p.xmpp != nil:
 		return p.xmpp
 	}
 	return nil
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -24,21 +24,21 @@
 	for _, core := range p.cores {
 		p.drain(core, toSuccessor)
 	}
-	if toSuccessor { // the platform has its process, and this one may go once its clients have their last bytes
+	if toSuccessor { // the platform has its process, and this one may end once its clients have their last bytes
 		p.shutdownTime = operatorShutdownTime
 		p.restart.transferAll()
 	}
 	p.loop.At(p.loop.Now().Add(p.shutdownTime), p.loop.Stop)
 }
 
-// drain has a core's clients go, to the successor if there is one.
+// drain drains a core, by transfer to the successor if there is one.
 func (p *Program) drain(core *edge.Core, toSuccessor bool) {
 	zap.L().Info("shutdown_started", zap.Stringer("core", core), zap.Bool("handed_over", toSuccessor))
 	drained := func() {
-		p.loop.CloseIdle() // whoever has not said yet what it wants would be cut off with the process
+		p.loop.CloseIdle() // a client without a request yet would be cut off with the process
 		zap.L().Info("shutdown_complete", zap.Stringer("core", core),
 			zap.Int("attempts_spared", core.AttemptsNeverSent()))
-		p.logReasons()
+		p.telemetry.logReasons()
 	}
 	if !toSuccessor {
 		core.Drain(drained)
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -96,7 +96,7 @@
 // reload has the next process read its files again, which are sound.
 func (r *replaced) reload() {
 	r.next.on(func() {
-		if r.next.Reload(); r.next.figures.ReloadsFailed > 0 {
+		if r.next.Reload(); r.next.telemetry.figures.ReloadsFailed > 0 {
 			r.t.Error("the files were turned down")
 		}
 	})
@@ -166,8 +166,8 @@
 		old := r.now
 		r.begin(func() {})
 		r.end()
-		if old.restart.sent != connections {
-			t.Errorf("process %d gave %d connections of %d", i, old.restart.sent, connections)
+		if old.restart.transfer.sent != connections {
+			t.Errorf("process %d gave %d connections of %d", i, old.restart.transfer.sent, connections)
 		}
 		// The giver may go once its last word is written, and a look into the taker may come before that word is read.
 		held, got := 0, 0
@@ -229,7 +229,7 @@
 				old := r.now
 				r.begin(func() {})
 				r.end()
-				size, took, away = size+old.restart.sentBytes, took+old.restart.transferTime, max(away, old.restart.longestBatch)
+				size, took, away = size+old.restart.transfer.sentBytes, took+old.restart.transfer.duration, max(away, old.restart.transfer.longestBatch)
 			}
 			b.StopTimer()
 			s.Stop(b)
@@ -243,7 +243,7 @@
 
 // BenchmarkTold writes and reads what is told of one connection.
 func BenchmarkTold(b *testing.B) {
-	c := connectionState{Front: platformFront, Open: &edge.ConnectionState{ID: "9b1f03aa5c7e2d41", Tenant: "ferma-ro", Key: 1 << 60, Group: 1 << 61, UsualLoad: 0.012, CurrentLoad: 0.013,
+	c := connectionState{Front: frontPlatform, Open: &edge.ConnectionState{ID: "9b1f03aa5c7e2d41", Tenant: "ferma-ro", Key: 1 << 60, Group: 1 << 61, UsualLoad: 0.012, CurrentLoad: 0.013,
 		Class: choice.Class{Name: "field-sync", SetupObjective: 8e8, Deadline: 48e8, MessageObjective: 15e7, Priority: 1}, Server: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Size: 1}, Addr: "10.1.0.18:3000"}}
 	c.State, _ = cbor.Marshal(downstream.ConnectionState{Server: &upstream.ConnectionState{}})
 	for name, code := range map[string]struct {
