--- /dev/null
+++ b/internal/node/admin_test.go
@@ -0,0 +1,100 @@
+package node
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"spurwinch/internal/lab/transcript"
+)
+
+// startSmallNode starts a node of few descriptors with its admin server.
+func startSmallNode(tb testing.TB, sockets int) (program *Program, addr string) {
+	tb.Helper()
+	node := platformConfig(tb, transcript.Host(tb))
+	node.Sockets = sockets
+	started := startProcess(tb, node, "")
+	var err error
+	started.on(func() { err = started.listenAdmin("127.0.0.1:0") })
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return started.Program, started.addr
+}
+
+// TestAdminServerUnderLoad has a node of few descriptors full of clients that send nothing or half a line, and its
+// admin server full of callers that finish no call, don't read, or send single bytes: each call gets an answer, and
+// usual clients are served.
+func TestAdminServerUnderLoad(t *testing.T) {
+	program, addr := startSmallNode(t, reservedDescriptors+80)
+	adminAddr := program.adminAddr.String()
+	player := &transcript.Player{Addr: addr, Values: map[string]string{}}
+	for i := range 400 {
+		send(dial(t, addr), "%s", [3]string{"", "OPEN 01", "PING\r\n"}[i%3])
+		if i%20 == 0 {
+			send(dial(t, adminAddr), "%s", [2]string{"", "GET /api/re"}[i/20%2])
+			send(dial(t, adminAddr), "GET /api/telemetry HTTP/1.1\r\n\r\n") // reads nothing
+		}
+		if i%100 == 99 {
+			checkAdminAnswers(t, adminAddr, i)
+			player.Play(t, fmt.Sprintf("c open\nc > OPEN %d 01 c=chat,d=4000\nc < UP 1\n", i))
+		}
+	}
+	slow := dial(t, adminAddr)
+	for _, single := range []byte("GET /api/ready HTTP/1.1\r\n\r\n") {
+		if _, err := slow.Write([]byte{single}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	got, err := io.ReadAll(slow)
+	if err != nil || !strings.HasSuffix(string(got), "\r\n\r\nready\n") {
+		t.Errorf("a call in single bytes got %q, %v", got, err)
+	}
+}
+
+func checkAdminAnswers(t *testing.T, adminAddr string, after int) {
+	t.Helper()
+	if status, body := transcript.Call(adminAddr, "/api/ready"); status != http.StatusOK {
+		t.Errorf("after %d: %d %s", after, status, body)
+	}
+	status, body := transcript.Call(adminAddr, "/api/telemetry")
+	if status != http.StatusOK || !strings.Contains(body, "gw.in_flight:") {
+		t.Errorf("after %d: %d %s", after, status, body)
+	}
+}
+
+// BenchmarkFigures is one fetch of the figures over a socket, with open connections.
+func BenchmarkFigures(b *testing.B) {
+	for _, connections := range []int{0, 1000} {
+		b.Run(fmt.Sprint(connections), func(b *testing.B) { benchmarkFigures(b, connections) })
+	}
+}
+
+func benchmarkFigures(b *testing.B, connections int) {
+	b.Helper()
+	program, addr := startSmallNode(b, 4096)
+	for i := range connections {
+		conn := dial(b, addr)
+		send(conn, "OPEN %d 01 c=chat,d=4000,at=s\r\n", i)
+		var up [6]byte
+		if _, err := io.ReadFull(conn, up[:]); err != nil || string(up[:]) != "UP 1\r\n" {
+			b.Fatal(string(up[:]), err)
+		}
+	}
+	for b.Loop() {
+		if status, body := transcript.Call(program.adminAddr.String(), "/api/telemetry"); status != http.StatusOK {
+			b.Fatal(body)
+		}
+	}
+	runOn(program.loop, func() {
+		begin := time.Now()
+		var buf []byte
+		for range 1000 {
+			buf = program.appendFigures(buf[:0])
+		}
+		b.ReportMetric(float64(time.Since(begin).Nanoseconds())/1000, "ns/rendering")
+	})
+}
--- a/internal/node/exchange_test.go
+++ b/internal/node/exchange_test.go
@@ -11,220 +11,190 @@
 	"spurwinch/internal/config"
 	"spurwinch/internal/edge"
 	"spurwinch/internal/lab/transcript"
-	"spurwinch/internal/loop"
 	"spurwinch/internal/platform/cluster"
-	"spurwinch/internal/simwire"
 )
 
-const settings = transcript.Settings
-
-// operate sets up what an operator's file names.
-func operate(l *loop.Loop, path string, seed uint64) ([]*edge.Core, *operatorFronts, error) {
-	o, err := config.ReadOperator(path)
-	if err != nil {
-		return nil, nil, err
-	}
-	program := newProgram(l)
-	fronts, err := newOperatorFronts(program, path, o, seed)
-	return program.cores, fronts, err
-}
-
-// start runs a loop until the test ends.
-func start(t *testing.T, l *loop.Loop) {
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		if err := l.Run(); err != nil {
-			t.Error(err)
-		}
-	}()
-	t.Cleanup(func() {
-		l.Post(l.Stop)
-		<-done
-	})
-}
-
-// hosts opens the listeners that the exchange names in its first line, "hosts: h1 h2".
-func hosts(t *testing.T, p *transcript.Player, text string) (names []string) {
+// listenAll opens the listeners that the exchange names in its first line, "hosts: h1 h2".
+func listenAll(t *testing.T, player *transcript.Player, text string) (names []string) {
+	t.Helper()
 	first, _, _ := strings.Cut(text, "\n")
 	list, ok := strings.CutPrefix(first, "# hosts:")
 	if !ok {
 		t.Fatal("the first line is not '# hosts: ...'")
 	}
-	for _, n := range strings.Fields(list) {
-		if n == "reports" || n == "notready" {
+	for _, name := range strings.Fields(list) {
+		if name == "reports" || name == "notready" {
 			continue
 		}
-		names = append(names, n)
-		p.Values[n] = p.Listen(t, n)
+		names = append(names, name)
+		player.Values[name] = player.Listen(t, name)
 	}
 	return names
 }
 
-func each(t *testing.T, dir string, fn func(t *testing.T, text string)) {
+// eachExchange plays each exchange of a folder of testdata in a test of its own.
+func eachExchange(t *testing.T, dir string, play func(t *testing.T, text string)) {
+	t.Helper()
 	files, err := filepath.Glob(filepath.Join("testdata", dir, "*.txt"))
 	if err != nil || len(files) == 0 {
 		t.Fatal("no exchanges", err)
 	}
-	for _, f := range files {
-		raw, err := os.ReadFile(f)
+	for _, file := range files {
+		raw, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
 			t.Parallel()
-			fn(t, string(raw))
+			play(t, string(raw))
 		})
 	}
 }
 
-// TestPlatform plays the exchanges of the platform's protocol: clients, hosts and discovery.
+// TestPlatform plays the exchanges of the platform's protocol: clients, servers and discovery.
 func TestPlatform(t *testing.T) {
-	each(t, "platform", func(t *testing.T, text string) {
-		p := &transcript.Player{Values: map[string]string{"long": strings.Repeat("x", 5000),
-			"hundreds": strings.Repeat(`OPEN 01 01 c=chat,d=2000\r\n`, 300)}}
-		l, err := loop.New()
-		if err != nil {
-			t.Fatal(err)
-		}
-		first, _, _ := strings.Cut(text, "\n")
-		via := "off"
-		if strings.Contains(first, " reports") {
-			via = "on_probe"
-		}
-		n := config.Node{Listen: "127.0.0.1:0", Seed: 1, Known: &cluster.List{}}
-		if n.Settings, err = simwire.DecodeSettings([]byte(strings.Replace(settings, "REPORTS", via, 1))); err != nil {
-			t.Fatal(err)
-		}
-		var entries []string
-		for _, h := range hosts(t, p, text) {
-			e := fmt.Sprintf(`{"id":"s-%s","addr":"%s","zone":"a","kind":"m","cell":0,"state":"SERVING","weight":1,"started_ms":0}`, h, p.Values[h])
-			p.Values["entry-"+h] = e
-			entries = append(entries, e)
-		}
-		n.Discovery = p.Listen(t, "d")
-		p.Values["d"] = n.Discovery
-		if !strings.Contains(first, " notready") {
-			if n.Known, err = cluster.Parse([]byte(`{"version":7,"full":true,"servers":[` + strings.Join(entries, ",") + `]}`)); err != nil {
-				t.Fatal(err)
-			}
-		}
-		program := newProgram(l)
-		node, at, err := program.newPlatform(n, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := program.listenAdmin("127.0.0.1:0"); err != nil {
-			t.Fatal(err)
-		}
-		path := filepath.Join(t.TempDir(), "config.json")
-		program.reloaders = append(program.reloaders, program.platformReloader(node, path))
-		reload := func(change ...string) func() {
-			return func() {
-				text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"sockets":512},"settings":%s}`, n.Discovery,
-					strings.NewReplacer(append(change, "REPORTS", via)...).Replace(settings))
-				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-					t.Error(err)
-				}
-				l.Post(program.Reload)
-				time.Sleep(100 * time.Millisecond)
-			}
-		}
-		p.Addr, p.Values["door"] = at.String(), program.adminAddr.String()
-		p.Do = map[string]func(){
-			"wait":    func() { time.Sleep(400 * time.Millisecond) },
-			"long":    func() { time.Sleep(5 * time.Second) },
-			"trade":   reload(`"name":"chat"`, `"name":"trade"`, `"safe"`, `"unsafe"`, `"sendCap":4`, `"sendCap":2`),
-			"chat":    reload(),
-			"broken":  reload(`"giveUpS":4`, `"giveUpS":0`),
-			"sigterm": func() { l.Post(program.Shutdown) },
+	eachExchange(t, "platform", playPlatform)
+}
+
+func playPlatform(t *testing.T, text string) {
+	t.Helper()
+	player := &transcript.Player{Values: map[string]string{
+		"long":     strings.Repeat("x", 5000),
+		"hundreds": strings.Repeat(`OPEN 01 01 c=chat,d=2000\r\n`, 300),
+	}}
+	eventLoop := newLoop(t)
+	first, _, _ := strings.Cut(text, "\n")
+	reports := "off"
+	if strings.Contains(first, " reports") {
+		reports = "on_probe"
+	}
+	node := config.Node{Listen: "127.0.0.1:0", Seed: 1, Known: &cluster.List{}}
+	node.Settings = decodeSettings(t, "REPORTS", reports)
+	var entries []string
+	for _, name := range listenAll(t, player, text) {
+		entry := serverEntry("s-"+name, player.Values[name], "SERVING")
+		player.Values["entry-"+name] = entry
+		entries = append(entries, entry)
+	}
+	node.Discovery = player.Listen(t, "d")
+	player.Values["d"] = node.Discovery
+	if !strings.Contains(first, " notready") {
+		node.Known = parseList(t, 7, entries...)
+	}
+	program := newProgram(eventLoop)
+	platform, addr, err := program.newPlatform(node, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := program.listenAdmin("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	player.Addr = addr.String()
+	player.Values["admin"] = program.adminAddr.String()
+	player.Do = platformActions(t, program, platform, reports)
+	program.shutdownTime = time.Minute // a process that ends by itself is not what is played
+	start(t, eventLoop)
+	player.Play(t, text)
+}
+
+// platformActions are what an exchange may have done to the node.
+func platformActions(t *testing.T, program *Program, platform *platform, reports string) map[string]func() {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	discovery := platform.config.Discovery
+	program.reloaders = append(program.reloaders, program.platformReloader(platform, path))
+	reload := func(changes ...string) func() {
+		return func() {
+			changed := strings.NewReplacer(append(changes, "REPORTS", reports)...).Replace(settings)
+			text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"sockets":512},`+
+				`"settings":%s}`, discovery, changed)
+			writeFile(t, path, text)
+			program.loop.Post(program.Reload)
+			time.Sleep(100 * time.Millisecond)
 		}
-		program.shutdownTime = time.Minute // a process that ends by itself is not what is played
-		start(t, l)
-		p.Play(t, text)
-	})
+	}
+	return map[string]func(){
+		"wait":    func() { time.Sleep(400 * time.Millisecond) },
+		"long":    func() { time.Sleep(5 * time.Second) },
+		"trade":   reload(`"name":"chat"`, `"name":"trade"`, `"safe"`, `"unsafe"`, `"sendCap":4`, `"sendCap":2`),
+		"chat":    reload(),
+		"broken":  reload(`"giveUpS":4`, `"giveUpS":0`),
+		"sigterm": func() { program.loop.Post(program.Shutdown) },
+	}
 }
 
 // TestXMPP plays the exchanges of XMPP clients and servers.
 func TestXMPP(t *testing.T) {
-	each(t, "xmpp", func(t *testing.T, text string) {
-		p := &transcript.Player{Values: map[string]string{"ns": "xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'", "big": strings.Repeat("x", 10001)}}
-		path := filepath.Join(t.TempDir(), "operator.toml")
-		names := hosts(t, p, text)
-		write := func(state func(string) string) {
-			var b strings.Builder
-			b.WriteString("[limits]\nstanza_bytes = 10000\nheader_time = \"1s\"\n[[listener]]\naddr = \"127.0.0.1:0\"\nprotocol = \"xmpp\"\n" +
-				"[[class]]\nname = \"c\"\npatience = \"5s\"\n[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n" +
-				"[[cluster]]\nname = \"k\"\nleave = \"400ms\"\ndrain_grace = \"1s\"\n")
-			for _, h := range names {
-				p.Values["entry-"+h] = fmt.Sprintf(`{"id":"s-%s","addr":"%s","zone":"a","kind":"m","cell":0,"state":"SERVING","weight":1,"started_ms":0}`, h, p.Values[h])
-				if names[0] == "d" { // discovery tells the hosts
-					if h == "d" {
-						fmt.Fprintf(&b, "discovery = %q\n", p.Values[h])
-					}
-					continue
-				}
-				fmt.Fprintf(&b, "[[cluster.host]]\nid = %q\naddr = %q\nstate = %q\n", h, p.Values[h], state(h))
+	eachExchange(t, "xmpp", playXMPP)
+}
+
+func playXMPP(t *testing.T, text string) {
+	t.Helper()
+	player := &transcript.Player{Values: map[string]string{"ns": xmppNamespaces, "big": strings.Repeat("x", 10001)}}
+	names := listenAll(t, player, text)
+	for _, name := range names {
+		player.Values["entry-"+name] = serverEntry("s-"+name, player.Values[name], "SERVING")
+	}
+	path := writeTemp(t, "operator.toml", xmppFile(player, names, "serving"))
+	node := newOperatorNode(t, path, 1)
+	player.Addr = node.addr()
+	player.Do = map[string]func(){
+		"sigterm": func() {
+			node.loop.Post(func() { drainAll(node.cores) })
+		},
+		"drain": func() {
+			writeFile(t, path, xmppFile(player, names, "draining"))
+			if err := node.reload(); err != nil {
+				t.Error(err)
 			}
-			if err := os.WriteFile(path, []byte(b.String()), 0o600); err != nil {
-				t.Fatal(err)
+		},
+		"wait": func() { time.Sleep(1200 * time.Millisecond) },
+	}
+	start(t, node.loop)
+	player.Play(t, text)
+	checkOneAnswerEach(t, node)
+}
+
+// xmppFile is an operator's file with all servers in one state. Where the first one's name is "d" it is the discovery,
+// which has the servers.
+func xmppFile(player *transcript.Player, names []string, state string) string {
+	var file strings.Builder
+	file.WriteString("[limits]\nstanza_bytes = 10000\nheader_time = \"1s\"\n" +
+		"[[listener]]\naddr = \"127.0.0.1:0\"\nprotocol = \"xmpp\"\n" +
+		"[[class]]\nname = \"c\"\npatience = \"5s\"\n[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n" +
+		"[[cluster]]\nname = \"k\"\nleave = \"400ms\"\ndrain_grace = \"1s\"\n")
+	if names[0] == "d" {
+		fmt.Fprintf(&file, "discovery = %q\n", player.Values["d"])
+		return file.String()
+	}
+	for _, name := range names {
+		fmt.Fprintf(&file, "[[cluster.host]]\nid = %q\naddr = %q\nstate = %q\n", name, player.Values[name], state)
+	}
+	return file.String()
+}
+
+// checkOneAnswerEach wants one final answer for each session, unless its client left.
+func checkOneAnswerEach(t *testing.T, node *operatorNode) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		fault := ""
+		runOn(node.loop, func() {
+			answers := node.fronts.xmpp.Answers
+			if answers.Sessions != answers.Established+answers.Errors+answers.Left {
+				fault = fmt.Sprintf("%+v", answers)
 			}
+		})
+		if fault == "" {
+			return
 		}
-		write(func(string) string { return "serving" })
-		l, err := loop.New()
-		if err != nil {
-			t.Fatal(err)
-		}
-		cores, op, err := operate(l, path, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		p.Addr = op.addrs[0].String()
-		p.Do = map[string]func(){
-			"sigterm": func() {
-				l.Post(func() { all(cores, func(c *edge.Core) { c.Drain(func() {}) }) })
-			},
-			"drain": func() {
-				write(func(string) string { return "draining" })
-				l.Post(func() { reread(t, op) })
-			},
-			"wait": func() { time.Sleep(1200 * time.Millisecond) },
-		}
-		start(t, l)
-		p.Play(t, text)
-		// Each session has one final answer, or its client left.
-		checked := make(chan string, 1)
-		for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-			l.Post(func() {
-				a := op.xmpp.Answers
-				if a.Sessions != a.Established+a.Errors+a.Left {
-					checked <- fmt.Sprintf("%+v", a)
-					return
-				}
-				checked <- ""
-			})
-			bad := <-checked
-			if bad == "" {
-				return
-			}
-			if time.Now().After(end) {
-				t.Fatal("not one answer a session: ", bad)
-			}
+		if time.Now().After(end) {
+			t.Fatal("not one answer a session: ", fault)
 		}
-	})
-}
-
-func reread(t *testing.T, op *operatorFronts) {
-	take, err := op.readFile()
-	if err != nil {
-		t.Error(err)
-		return
 	}
-	take()
 }
 
-func all(cores []*edge.Core, fn func(*edge.Core)) {
-	for _, c := range cores {
-		fn(c)
+func drainAll(cores []*edge.Core) {
+	for _, core := range cores {
+		core.Drain(func() {})
 	}
 }
--- /dev/null
+++ b/internal/node/golden_hotrestart_test.go
@@ -0,0 +1,184 @@
+package node
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"spurwinch/choice"
+	"spurwinch/internal/edge"
+	"spurwinch/internal/loop"
+	"spurwinch/internal/operations/hotrestart"
+	"spurwinch/internal/platform/downstream"
+	"spurwinch/internal/platform/upstream"
+	resumable "spurwinch/internal/session"
+	"spurwinch/internal/xmpp"
+)
+
+// The bytes under testdata/golden are what a released process of a node sends the next one of its connections and of
+// what it has learned. A process of another release reads them. go test ./internal/node -run TestGolden -update-golden
+
+var updateGolden = flag.Bool("update-golden", false, "write testdata/golden anew")
+
+// golden returns the content of a file; with -update-golden the file is written with got first.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *updateGolden {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// unset names the fields of a value that are zero, at any depth.
+func unset(value reflect.Value, name string) (all []string) {
+	if value.IsZero() {
+		return []string{name}
+	}
+	switch {
+	case value.Type() == reflect.TypeFor[time.Time](), value.Type() == reflect.TypeFor[cbor.RawMessage]():
+	case value.Kind() == reflect.Pointer:
+		return unset(value.Elem(), name)
+	case value.Kind() == reflect.Struct:
+		for i := range value.NumField() {
+			all = append(all, unset(value.Field(i), name+"."+value.Type().Field(i).Name)...)
+		}
+	case value.Kind() == reflect.Slice && value.Type().Elem().Kind() == reflect.Struct:
+		for i := range value.Len() {
+			all = append(all, unset(value.Index(i), name)...)
+		}
+	case value.Kind() == reflect.Map:
+		for _, key := range value.MapKeys() {
+			all = append(all, unset(value.MapIndex(key), name)...)
+		}
+	}
+	return all
+}
+
+// encode encodes a value as one process sends it.
+func encode(tb testing.TB, value any) []byte {
+	tb.Helper()
+	encoded, err := cbor.Marshal(value)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return encoded
+}
+
+// checkGolden wants a value written as the golden bytes, and read from them by the function that reads them in the
+// node.
+func checkGolden[T any](t *testing.T, name string, value T, read func([]byte, any) error) {
+	t.Helper()
+	if missing := unset(reflect.ValueOf(value), name); len(missing) > 0 {
+		t.Errorf("%s is to have each field, and has no %v", name, missing)
+	}
+	got := encode(t, value)
+	want := golden(t, name+".cbor", got)
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: written %x, want %x", name, got, want)
+	}
+	var back T
+	if err := read(want, &back); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(back, value) {
+		t.Errorf("%s: read %+v, want %+v", name, back, value)
+	}
+}
+
+func goldenOpen() *edge.ConnectionState {
+	return &edge.ConnectionState{
+		ID: "9b1f03aa5c7e2d41",
+		Class: choice.Class{
+			Name: "field-sync", Removed: true, SetupObjective: 800 * time.Millisecond,
+			Deadline: 4800 * time.Millisecond, MessageObjective: 150 * time.Millisecond,
+			Priority: 2.5, Idempotency: choice.IdempotentByKey,
+			IdempotencyScope: choice.ScopeCell, IdempotencyWindow: 30 * time.Second,
+		},
+		Tenant: "ferma-ro", Key: 1<<60 + 1, Group: 1<<61 + 2, UsualLoad: 0.012, CurrentLoad: 0.013, Returned: true,
+		Server: choice.Server{
+			ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Cell: 3, State: choice.Draining, Size: 1.5,
+			Started: 1700 * time.Second, SlowStartSince: 1701 * time.Second,
+		},
+		Addr: "10.1.0.18:3000",
+	}
+}
+
+func goldenSession() resumable.Session {
+	return resumable.Session{
+		Key: resumable.Key{Domain: "farm.example", ID: "sm-1"}, User: "ana", Host: "h-1", Started: 5 * time.Second,
+		Max: time.Minute, Until: time.Unix(1796234567, 0), Left: 40 * time.Second,
+	}
+}
+
+func goldenStream(part string) xmpp.Stream {
+	return xmpp.Stream{
+		Part: []byte(part), Stack: []string{"stream:stream", "message"}, Prefix: "stream", Size: 77, Started: true,
+		Ended: true, Restart: true,
+	}
+}
+
+// TestGoldenFrontStates checks the form of what each front knows of a connection.
+func TestGoldenFrontStates(t *testing.T) {
+	toClient := loop.ConnectionState{Out: []byte("to the client"), Paused: true}
+	toHost := loop.ConnectionState{Out: []byte("to the host"), Paused: true}
+	checkGolden(t, "platform-front", downstream.ConnectionState{
+		Conn: toClient, Behind: 11,
+		Server: &upstream.ConnectionState{
+			Conn: toHost, Line: []byte("of the host"), Behind: 12, Last: 1, Sent: 1796234567000000001, Waits: 13,
+		},
+		Line: []byte("of the client"), Pinged: true, Until: 1796234567000000002, Left: 14,
+	}, hotrestart.Decode)
+	session := goldenSession()
+	checkGolden(t, "xmpp-front", xmpp.Standing{
+		Conn: toClient, In: goldenStream("<client"), To: "farm.example",
+		Host:  &xmpp.Host{Conn: toHost, In: goldenStream("<host"), Inside: true},
+		Until: 1796234567000000003, Left: 15, Opened: true, Resumes: &session,
+	}, hotrestart.Decode)
+}
+
+// TestGoldenConnection checks the form of a connection in a batch.
+func TestGoldenConnection(t *testing.T) {
+	checkGolden(t, "connection", connectionState{
+		Front: frontPlatform, Cluster: "k", Open: goldenOpen(), State: cbor.RawMessage{0xa1, 0x01, 0xa0},
+	}, hotrestart.Decode)
+	for _, name := range []string{string(frontPlatform), string(frontXMPP)} {
+		if want := golden(t, "front-"+name+".txt", []byte(name)); name != string(want) {
+			t.Errorf("a front is called %q, want %q", name, want)
+		}
+	}
+}
+
+// TestGoldenLearned checks the form of what a process has learned beside its connections.
+func TestGoldenLearned(t *testing.T) {
+	kind := choice.LearnedKind{Kind: "std-2c", ReportedLoad: 1.1, ConnectionLoad: 1.2, Reports: 1.3}
+	server := choice.LearnedServer{
+		ID: "s-5be2a07c", Started: 21, ReportedLoad: 2.2, ConnectionLoad: 2.3, Reports: 2.4, Known: true, Report: 2.6,
+		ReportAt: 27, EjectedUntil: 28, Ejections: 29, SlowStartCredit: 3.1, SlowStartAt: 32, PIDIntegral: 3.3,
+		PIDPreviousError: 3.4, PIDCorrection: 3.5, UnreportedLoad: 3.6,
+	}
+	module := choice.LearnedState{
+		Version: choice.LearnedStateVersion, Unit: 0.1, Hints: 2, LoadSum: 0.3, WeightSum: 0.4, ReportedAt: 5,
+		Arrivals: 0.6, ArrivalsAt: 7, PassRate: 0.8, MeanPriority: 0.9, Kinds: []choice.LearnedKind{kind},
+		Servers: []choice.LearnedServer{server}, Meaning: "settings", Now: 37,
+	}
+	checkGolden(t, "learned", learnedState{
+		Modules:  map[string]choice.LearnedState{"k": module},
+		Sessions: []resumable.Session{goldenSession()},
+	}, cbor.Unmarshal)
+}
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_telemetry_test.go
@@ -12,8 +12,9 @@
 	"spurwinch/internal/trace"
 )
 
-// TestGoldenDoor holds the bodies of /api/reasons and /api/telemetry: all that is counted in a process, one a line.
-func TestGoldenDoor(t *testing.T) {
+// TestGoldenTelemetry compares the bodies of /api/reasons and /api/telemetry: all that is counted in a process, one a
+// line.
+func TestGoldenTelemetry(t *testing.T) {
 	var program Program
 	for range 2 {
 		program.telemetry.trace.Closed("request", trace.ClientEnded)
@@ -29,26 +30,28 @@
 	}
 	begin := time.Unix(1e9, 0)
 	for i := range 6 {
-		r := program.telemetry.monitor.NewRequest(invariant.RequestFacts{
+		request := program.telemetry.monitor.NewRequest(invariant.RequestFacts{
 			ID: "request", Class: choice.Class{Idempotency: choice.Idempotent}, Deadline: begin, MaxAttempts: 2,
 		})
-		r.Start(invariant.Server{ID: "host"}, begin)
+		request.Start(invariant.Server{ID: "host"}, begin)
 		if i > 1 {
-			r.Send(invariant.Server{ID: "host"}, begin)
+			request.Send(invariant.Server{ID: "host"}, begin)
 		}
 		if i > 2 {
-			r.Close(invariant.ByNode, false)
+			request.Close(invariant.ByNode, false)
 		}
 	}
-	holds(t, "testdata/reasons.txt", string(program.telemetry.appendReasons(nil)))
+	compareGolden(t, "testdata/reasons.txt", string(program.telemetry.appendReasons(nil)))
 
 	*program.telemetry.figures.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
-	program.telemetry.figures.Attempts, program.telemetry.figures.ReloadsOK, program.telemetry.figures.ReloadsFailed = 14, 15, 16
-	holds(t, "testdata/telemetry.txt", string(program.appendFigures(nil)))
+	program.telemetry.figures.Attempts = 14
+	program.telemetry.figures.ReloadsOK = 15
+	program.telemetry.figures.ReloadsFailed = 16
+	compareGolden(t, "testdata/telemetry.txt", string(program.appendFigures(nil)))
 }
 
-// TestGoldenReasonWords holds the words for outcomes and for the reasons of the module's answers.
-func TestGoldenReasonWords(t *testing.T) {
+// TestGoldenReasonStrings compares the strings of outcomes and of the reasons of the module's answers.
+func TestGoldenReasonStrings(t *testing.T) {
 	got := ""
 	for outcome := choice.Served; outcome <= choice.NeverSent; outcome++ {
 		got += fmt.Sprintf("outcome %d %s, never ran: %v\n", outcome, outcome, outcome.NeverRan())
@@ -56,11 +59,11 @@
 	for reason := choice.Unspecified; reason <= choice.Withdrawn; reason++ {
 		got += fmt.Sprintf("reason %d %s\n", reason, reason)
 	}
-	holds(t, "testdata/reason_words.txt", got)
+	compareGolden(t, "testdata/reason_words.txt", got)
 }
 
-// holds compares a text with a golden file.
-func holds(t *testing.T, name, got string) {
+// compareGolden compares a text with a golden file.
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	want, err := os.ReadFile(name)
 	if err != nil {
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -4,45 +4,41 @@
 	"fmt"
 	"net"
 	"net/netip"
-	"strings"
 	"testing"
 
 	"spurwinch/internal/config"
 	"spurwinch/internal/edge"
 	"spurwinch/internal/lab/transcript"
-	"spurwinch/internal/loop"
 	"spurwinch/internal/operations/hotrestart"
-	"spurwinch/internal/platform/cluster"
-	"spurwinch/internal/simwire"
 )
 
-// process is one of a node, in this program, on a loop of its own.
+// process is one process of a node, in this program, on a loop of its own.
 type process struct {
 	*Program
-	at   string
+	addr string
 	done chan struct{}
 }
 
-// process starts one at a place, as New does.
-func startProcess(t testing.TB, n config.Node, place string) *process {
-	l, err := loop.New()
+// startProcess starts one as New does; path is where the processes of the node find each other.
+func startProcess(tb testing.TB, node config.Node, path string) *process {
+	tb.Helper()
+	eventLoop := newLoop(tb)
+	started := &process{Program: newProgram(eventLoop), done: make(chan struct{})}
+	started.restart.requestGrant(path)
+	_, addr, err := started.newPlatform(node, nil)
 	if err != nil {
-		t.Fatal(err)
-	}
-	p := &process{Program: newProgram(l), done: make(chan struct{})}
-	p.restart.requestGrant(place)
-	_, at, err := p.newPlatform(n, nil)
-	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	p.at = at.String()
-	p.restart.startCoordinator(place)
+	started.addr = addr.String()
+	started.restart.startCoordinator(path)
 	go func() {
-		defer close(p.done)
-		l.Run()
+		defer close(started.done)
+		if err := eventLoop.Run(); err != nil {
+			tb.Error(err)
+		}
 	}()
-	t.Cleanup(p.kill)
-	return p
+	tb.Cleanup(started.kill)
+	return started
 }
 
 // kill has a process end as by SIGKILL, as far as others see it.
@@ -52,77 +48,113 @@
 	p.loop.Close()
 }
 
+// on runs a function on the process's loop, and waits for it.
 func (p *process) on(fn func()) {
 	ran := make(chan struct{})
-	p.loop.Post(func() { fn(); close(ran) })
+	p.loop.Post(func() {
+		fn()
+		close(ran)
+	})
 	select {
 	case <-ran:
 	case <-p.done: // the process has ended
 	}
 }
 
-// TestTwoProcessesAreOneNode checks what two of a node share: the list as it was told to the first, the descriptors, the
-// part in the fleet, and who hears the other nodes.
-func TestTwoProcessesAreOneNode(t *testing.T) {
+// number is a value of the process, read on its loop.
+func (p *process) number(read func(*process) int) (value int) {
+	p.on(func() { value = read(p) })
+	return value
+}
+
+func receivedPeerMessages(p *process) int { return p.platform.peers.counts.received }
+
+func processesOfNode(p *process) int { return p.platform.processes }
+
+func descriptorQuota(p *process) int { return p.restart.ownQuota() }
+
+const sharedDescriptors = 400 // of the node of TestProcessesShareNode
+
+// sharedNode is a node with two processes and a peer.
+type sharedNode struct {
+	t            *testing.T
+	player       *transcript.Player
+	predecessor  *process
+	successor    *process
+	peer         net.PacketConn
+	nodePeerAddr net.Addr
+}
+
+// newSharedNode starts the first process. Its list is what the configuration has.
+func newSharedNode(t *testing.T) (shared *sharedNode, node config.Node, path string) {
+	t.Helper()
 	player := &transcript.Player{Values: map[string]string{}}
-	h1, h2, d := player.Listen(t, "h1"), player.Listen(t, "h2"), player.Listen(t, "d")
-	other, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
-	const total = 400
-	n := config.Node{Listen: transcript.FreeAddr(t), Discovery: d, Seed: 1, Sockets: total, PeerListen: "127.0.0.1:0",
-		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:0"), other.LocalAddr().(*net.UDPAddr).AddrPort()}}
-	if n.Settings, err = simwire.DecodeSettings([]byte(strings.NewReplacer("REPORTS", "off", `"groupSize":1`, `"groupSize":2`, `"mayTell":false`, `"mayTell":true`).Replace(settings))); err != nil {
-		t.Fatal(err)
-	}
-	entry := func(id, addr, state string) string {
-		return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","kind":"m","cell":0,"state":%q,"weight":1,"started_ms":0}`, id, addr, state)
-	}
-	if n.Known, err = cluster.Parse([]byte(`{"version":7,"full":true,"servers":[` + entry("s-1", h1, "SERVING") + `]}`)); err != nil {
-		t.Fatal(err)
-	}
-	place := hotrestart.Path(t.TempDir(), n.Listen)
-	old := startProcess(t, n, place)
-	player.Addr = old.at
-	news := `{"version":9,"full":false,"servers":[` + entry("s-1", h1, "DRAINING") + "," + entry("s-2", h2, "SERVING") + `]}`
-	player.Values["news"], player.Values["length"] = news, fmt.Sprint(len(news))
-	player.Play(t, `
+	closeAtEnd(t, peer)
+	node = config.Node{
+		Listen: transcript.FreeAddr(t), Discovery: player.Listen(t, "d"), Seed: 1, Sockets: sharedDescriptors,
+		PeerListen: "127.0.0.1:0",
+		Peers: []netip.AddrPort{
+			netip.MustParseAddrPort("127.0.0.1:0"), netip.MustParseAddrPort(peer.LocalAddr().String()),
+		},
+		Settings: decodeSettings(t, "REPORTS", "off", `"groupSize":1`, `"groupSize":2`, `"mayTell":false`,
+			`"mayTell":true`),
+		Known: parseList(t, 7, serverEntry("s-1", player.Listen(t, "h1"), "SERVING")),
+	}
+	path = hotrestart.Path(t.TempDir(), node.Listen)
+	shared = &sharedNode{t: t, player: player, peer: peer, predecessor: startProcess(t, node, path)}
+	player.Addr = shared.predecessor.addr
+	shared.predecessor.on(func() {
+		shared.nodePeerAddr = net.UDPAddrFromAddrPort(shared.predecessor.platform.peers.localAddr)
+	})
+	return shared, node, path
+}
+
+// pushUpdate has discovery answer the first process with an update of the list.
+func (n *sharedNode) pushUpdate() {
+	n.t.Helper()
+	update := `{"version":9,"full":false,"servers":[` +
+		serverEntry("s-1", n.player.Listeners["h1"].Addr().String(), "DRAINING") + "," +
+		serverEntry("s-2", n.player.Listen(n.t, "h2"), "SERVING") + `]}`
+	n.player.Values["update"] = update
+	n.player.Values["length"] = fmt.Sprint(len(update))
+	n.player.Play(n.t, `
 a accept d
 a < GET /v1/servers?after=7&wait_ms={*} HTTP/1.1\r\nHost: {*}\r\nAccept: application/json\r\n
-a >> HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{news}
+a >> HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{update}
 a < GET /v1/servers?after=9&wait_ms={*} HTTP/1.1\r\nHost: {*}\r\nAccept: application/json\r\n
 `[1:])
-	taken := func(p *process) (n int) {
-		p.on(func() { n = p.platform.peers.counts.received })
-		return n
-	}
-	var to net.Addr
-	old.on(func() { to = net.UDPAddrFromAddrPort(old.platform.peers.localAddr) })
-	say := func() {
-		if _, err := other.WriteTo([]byte("x"), to); err != nil {
-			t.Error(err)
-		}
-	}
-	say()
-	transcript.Until(t, "the first one hears", func() bool { return taken(old) == 1 })
+}
 
-	// The second one knows no more than the file says, which is older than what the first was told.
-	next := startProcess(t, n, place)
-	if next.at != old.at {
-		t.Errorf("listens at %s, the first one at %s", next.at, old.at)
-	}
-	var listed []edge.ServerEntry
-	parts := func(p *process) (n int) {
-		p.on(func() { n = p.platform.processes })
-		return n
-	}
-	next.on(func() { listed = next.platform.core.Servers() })
-	if len(listed) != 2 || listed[0].State == listed[1].State {
-		t.Errorf("begins with %+v", listed)
+// sendPeerMessage sends a message of the other node.
+func (n *sharedNode) sendPeerMessage() {
+	n.t.Helper()
+	if _, err := n.peer.WriteTo([]byte("x"), n.nodePeerAddr); err != nil {
+		n.t.Error(err)
 	}
-	player.Play(t, `
+}
+
+// quotaSum is the sum of both processes' descriptors.
+func (n *sharedNode) quotaSum() int {
+	return n.predecessor.number(descriptorQuota) + n.successor.number(descriptorQuota)
+}
+
+// checkList wants the successor to know the list that was pushed to its predecessor: no more than that is in its file,
+// which is older.
+func (n *sharedNode) checkList() {
+	n.t.Helper()
+	if n.successor.addr != n.predecessor.addr {
+		n.t.Errorf("listens at %s, the first process at %s", n.successor.addr, n.predecessor.addr)
+	}
+	var servers []edge.ServerEntry
+	n.successor.on(func() { servers = n.successor.platform.core.Servers() })
+	if len(servers) != 2 || servers[0].State == servers[1].State {
+		n.t.Errorf("begins with %+v", servers)
+	}
+	n.player.Play(n.t, `
 b accept d
 b < GET /v1/servers?after=9&wait_ms={*} HTTP/1.1\r\nHost: {*}\r\nAccept: application/json\r\n
 c open
@@ -132,42 +164,60 @@
 s > UP 1
 c < UP 1
 `[1:])
-	transcript.Until(t, "both share a part", func() bool { return parts(old) == 2 && parts(next) == 2 })
-	transcript.Until(t, "the second one hears", func() bool {
-		say()
-		return taken(next) > 0
+}
+
+// checkPeerMessages wants the successor alone to receive what the other node sends.
+func (n *sharedNode) checkPeerMessages() {
+	n.t.Helper()
+	transcript.Until(n.t, "the second process receives", func() bool {
+		n.sendPeerMessage()
+		return n.successor.number(receivedPeerMessages) > 0
 	})
-	heard := taken(old)
-	say()
-	say()
-	transcript.Until(t, "and only it", func() bool { return taken(next) >= 3 })
-	if taken(old) != heard {
-		t.Error("both hear")
+	before := n.predecessor.number(receivedPeerMessages)
+	n.sendPeerMessage()
+	n.sendPeerMessage()
+	transcript.Until(n.t, "and only it", func() bool { return n.successor.number(receivedPeerMessages) >= 3 })
+	if n.predecessor.number(receivedPeerMessages) != before {
+		n.t.Error("both receive")
 	}
+}
 
-	// Descriptors: never more than the node's, however the two look at it.
-	sum := func() int {
-		a, b := 0, 0
-		old.on(func() { a = old.restart.ownQuota() })
-		next.on(func() { b = next.restart.ownQuota() })
-		return a + b
-	}
-	if n := sum(); n > total || n < total/2 {
-		t.Errorf("%d of %d descriptors", n, total)
-	}
-	room := func() (n int) {
-		next.on(func() { n = next.restart.ownQuota() })
-		return n
-	}
-	before := room()
-	old.on(func() { old.Shutdown() })
-	player.Play(t, "e open\ne > PING\ne < PONG\n")
-	transcript.Until(t, "the leaving one lends more", func() bool {
-		if n := sum(); n > total {
-			t.Fatalf("%d of %d descriptors", n, total)
+// checkQuotas wants the descriptors never to be more than the node's, however the two look at them, and all of them to
+// be the successor's in the end.
+func (n *sharedNode) checkQuotas() {
+	n.t.Helper()
+	if sum := n.quotaSum(); sum > sharedDescriptors || sum < sharedDescriptors/2 {
+		n.t.Errorf("%d of %d descriptors", sum, sharedDescriptors)
+	}
+	before := n.successor.number(descriptorQuota)
+	n.predecessor.on(n.predecessor.Shutdown)
+	n.player.Play(n.t, "e open\ne > PING\ne < PONG\n")
+	transcript.Until(n.t, "the process that shuts down raises the quota", func() bool {
+		if sum := n.quotaSum(); sum > sharedDescriptors {
+			n.t.Fatalf("%d of %d descriptors", sum, sharedDescriptors)
 		}
-		return room() > before
+		return n.successor.number(descriptorQuota) > before
+	})
+	n.predecessor.kill()
+	transcript.Until(n.t, "the second process is the node", func() bool {
+		return n.successor.number(descriptorQuota) == sharedDescriptors && n.successor.number(processesOfNode) == 1
+	})
+}
+
+// TestProcessesShareNode checks what two processes of a node share: the list as it was pushed to the first, the
+// descriptors, the part in the fleet, and who receives the other nodes' messages.
+func TestProcessesShareNode(t *testing.T) {
+	shared, node, path := newSharedNode(t)
+	shared.pushUpdate()
+	shared.sendPeerMessage()
+	transcript.Until(t, "the first process receives", func() bool {
+		return shared.predecessor.number(receivedPeerMessages) == 1
+	})
+	shared.successor = startProcess(t, node, path)
+	shared.checkList()
+	transcript.Until(t, "both count two processes", func() bool {
+		return shared.predecessor.number(processesOfNode) == 2 && shared.successor.number(processesOfNode) == 2
 	})
-	old.kill()
-	transcript.Until(t, "the second one is the node", func() bool { return room() == total && parts(next) == 1 })
+	shared.checkPeerMessages()
+	shared.checkQuotas()
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"errors"
 	"net/netip"
 	"testing"
 	"time"
@@ -11,63 +12,67 @@
 	"spurwinch/internal/loop"
 )
 
-// TestPeersBelieveOnlyPeers sends datagrams from a peer, a stranger and this node's own number, and one that is too long.
-func TestPeersBelieveOnlyPeers(t *testing.T) {
-	l, err := loop.New()
-	if err != nil {
-		t.Fatal(err)
-	}
-	socket := func() (*loop.Datagrams, netip.AddrPort) {
-		d, at, err := l.ListenDatagrams("127.0.0.1:0", maxPeerMessage, func(netip.AddrPort, []byte) {})
+// TestOnlyPeersAccepted sends datagrams from a peer, from an address that is no peer's and with this node's own number,
+// and one that is too long.
+func TestOnlyPeersAccepted(t *testing.T) {
+	eventLoop := newLoop(t)
+	listen := func() (*loop.Datagrams, netip.AddrPort) {
+		socket, addr, err := eventLoop.ListenDatagrams("127.0.0.1:0", maxPeerMessage, func(netip.AddrPort, []byte) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return d, at
+		return socket, addr
 	}
-	friend, friendAt := socket()
-	stranger, _ := socket()
-	var n config.Node
+	peer, peerAddr := listen()
+	stranger, _ := listen()
 	// Port 0 is none that a datagram can come from: this node's own place among the peers.
-	n.PeerListen, n.Peers = "127.0.0.1:0", []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:0"), friendAt}
+	node := config.Node{
+		PeerListen: "127.0.0.1:0",
+		Peers:      []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:0"), peerAddr},
+	}
 	var got []string
-	p, err := listenPeers(l, n, -1, func(from int, m []byte) {
+	network, err := listenPeers(eventLoop, node, -1, func(from int, message []byte) {
 		if from == 1 {
-			got = append(got, string(m))
+			got = append(got, string(message))
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := p.localAddr
-	for _, err := range []error{friend.Send(at, []byte("one")), stranger.Send(at, []byte("two")),
-		friend.Send(at, make([]byte, maxPeerMessage+1)), friend.Send(at, []byte("three"))} {
+	addr := network.localAddr
+	for _, err := range []error{
+		peer.Send(addr, []byte("one")), stranger.Send(addr, []byte("two")),
+		peer.Send(addr, make([]byte, maxPeerMessage+1)), peer.Send(addr, []byte("three")),
+	} {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	p.send(1, make([]byte, maxPeerMessage+1))
-	p.send(2, []byte("to nobody"))
-	p.send(1, []byte("answer"))
-	limit := time.Now().Add(20 * time.Second) // only a hang reaches it
-	l.After(func() {
-		if len(got) == 2 && p.counts.unknown == 1 && p.counts.tooLong == 1 || time.Now().After(limit) {
-			l.Stop()
+	network.send(1, make([]byte, maxPeerMessage+1))
+	network.send(2, []byte("to nobody"))
+	network.send(1, []byte("answer"))
+	counts := &network.counts
+	limit := time.Now().Add(testTimeout)
+	eventLoop.After(func() {
+		if len(got) == 2 && counts.unknown == 1 && counts.tooLong == 1 || time.Now().After(limit) {
+			eventLoop.Stop()
 		}
 	})
-	l.At(limit, l.Stop)
-	if err := l.Run(); err != nil && err != unix.EINTR {
+	eventLoop.At(limit, eventLoop.Stop)
+	if err := eventLoop.Run(); err != nil && !errors.Is(err, unix.EINTR) {
 		t.Fatal(err)
 	}
-	if len(got) != 2 || got[0] != "one" || got[1] != "three" || p.counts.unknown != 1 || p.counts.tooLong != 1 || p.counts.sent != 1 {
-		t.Errorf("heard %q, %d strangers, %d too long, %d sent", got, p.counts.unknown, p.counts.tooLong, p.counts.sent)
+	if len(got) != 2 || got[0] != "one" || got[1] != "three" || counts.unknown != 1 || counts.tooLong != 1 ||
+		counts.sent != 1 {
+		t.Errorf("received %q, %+v", got, *counts)
 	}
 }
 
 // TestNoPeersNoSocket guards installations and settings without peers against a socket that nobody needs.
 func TestNoPeersNoSocket(t *testing.T) {
-	p, err := listenPeers(nil, config.Node{PeerListen: "127.0.0.1:0"}, -1, nil)
-	if err != nil || p.socket != nil {
-		t.Errorf("%v, %v", p.socket, err)
+	network, err := listenPeers(nil, config.Node{PeerListen: "127.0.0.1:0"}, -1, nil)
+	if err != nil || network.socket != nil {
+		t.Errorf("%v, %v", network.socket, err)
 	}
-	p.send(0, []byte("x"))
+	network.send(0, []byte("x"))
 }
--- a/internal/node/reasons_test.go
+++ b/internal/node/reasons_test.go
@@ -8,18 +8,24 @@
 	"spurwinch/internal/lab/transcript"
 )
 
-// TestReasons has a connection served and a line that can't be read: the door tells why both ended, and that no promise was broken.
+// TestReasons has a connection served and a line that can't be parsed: the admin server reports why both ended, and
+// that no invariant was violated.
 func TestReasons(t *testing.T) {
-	p, at := small(t, reservedDescriptors+80)
-	player := &transcript.Player{Addr: at, Values: map[string]string{}}
-	player.Play(t, "c open\nc > OPEN 1 01 c=chat,d=4000\nc < UP 1\nc end\ne open\ne > NONSENSE\ne < ERR\ne < END\n")
+	program, addr := startSmallNode(t, reservedDescriptors+80)
+	player := &transcript.Player{Addr: addr, Values: map[string]string{}}
+	player.Play(t,
+		"c open\nc > OPEN 1 01 c=chat,d=4000\nc < UP 1\nc end\ne open\ne > NONSENSE\ne < ERR\ne < END\n")
 	var body string
-	transcript.Until(t, "both ends are told", func() bool {
+	transcript.Until(t, "both ends are reported", func() bool {
 		var status int
-		status, body = transcript.Call(p.adminAddr.String(), "/api/reasons")
-		return status == http.StatusOK && strings.Contains(body, "gw.closed.client_ended:1|c\n") && strings.Contains(body, "gw.closed.client_broke_protocol:1|c\n")
+		status, body = transcript.Call(program.adminAddr.String(), "/api/reasons")
+		return status == http.StatusOK && strings.Contains(body, "gw.closed.client_ended:1|c\n") &&
+			strings.Contains(body, "gw.closed.client_broke_protocol:1|c\n")
 	})
-	for _, want := range []string{"gw.checked.start:1|c\n", "gw.checked.send:1|c\n", "gw.checked.repeat:0|c\n", "gw.checked.close:2|c\n", "gw.broken.unanswered:0|c\n"} {
+	for _, want := range []string{
+		"gw.checked.start:1|c\n", "gw.checked.send:1|c\n", "gw.checked.repeat:0|c\n", "gw.checked.close:2|c\n",
+		"gw.broken.unanswered:0|c\n",
+	} {
 		if !strings.Contains(body, want) {
 			t.Errorf("%q is missing in\n%s", want, body)
 		}
--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"os"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -11,219 +10,221 @@
 
 	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/lab/xmppserver"
-	"spurwinch/internal/loop"
 )
 
-// village is a node before some stand-in XMPP servers.
-type village struct {
-	t       testing.TB
+const ping = "<iq type='get' id='p1'><ping xmlns='urn:xmpp:ping'/></iq>"
+
+// xmppNode is a node in front of some XMPP servers of the laboratory.
+type xmppNode struct {
+	*operatorNode
+	tb      testing.TB
 	servers []*xmppserver.Server
-	file    string
+	path    string
 	addr    string
-	more    string // further listeners, certificates
-	l       *loop.Loop
-	op      *operatorFronts
+	more    string // of the file: further listeners, certificates, limits
 }
 
-func newVillage(t testing.TB, servers int, more string) *village {
-	f := &village{t: t, file: filepath.Join(t.TempDir(), "operator.toml"), addr: transcript.FreeAddr(t), more: more}
+const noneDraining = -1
+
+func newXMPPNode(tb testing.TB, servers int, more string) *xmppNode {
+	tb.Helper()
+	node := &xmppNode{
+		tb: tb, path: filepath.Join(tb.TempDir(), "operator.toml"), addr: transcript.FreeAddr(tb), more: more,
+	}
 	for i := range servers {
-		s, err := xmppserver.Listen(fmt.Sprint("h", i))
+		server, err := xmppserver.Listen(fmt.Sprint("h", i))
 		if err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
-		t.Cleanup(s.Close)
-		f.servers = append(f.servers, s)
-	}
-	f.write(-1)
-	l, err := loop.New()
-	if err != nil {
-		t.Fatal(err)
+		tb.Cleanup(server.Close)
+		node.servers = append(node.servers, server)
 	}
-	if _, f.op, err = operate(l, f.file, 1); err != nil {
-		t.Fatal(err)
-	}
-	f.l = l
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		l.Run()
-	}()
-	t.Cleanup(func() {
-		l.Post(l.Stop)
-		<-done
-	})
-	return f
+	node.write(noneDraining)
+	node.operatorNode = newOperatorNode(tb, node.path, 1)
+	start(tb, node.loop)
+	return node
 }
 
-// write writes the operator's file, in which one of the servers drains; -1: none.
-func (f *village) write(drains int) {
-	var b strings.Builder
-	fmt.Fprintf(&b, f.more+"[[listener]]\naddr = %q\nprotocol = \"xmpp\"\n[[class]]\nname = \"c\"\n[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n[[cluster]]\nname = \"k\"\n", f.addr)
-	for i, s := range f.servers {
+// write writes the operator's file, in which one of the servers is draining, or noneDraining.
+func (n *xmppNode) write(draining int) {
+	n.tb.Helper()
+	var file strings.Builder
+	fmt.Fprintf(&file, n.more+"[[listener]]\naddr = %q\nprotocol = \"xmpp\"\n[[class]]\nname = \"c\"\n"+
+		"[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n[[cluster]]\nname = \"k\"\n", n.addr)
+	for i, server := range n.servers {
 		state := "serving"
-		if i == drains {
+		if i == draining {
 			state = "draining"
 		}
-		fmt.Fprintf(&b, "[[cluster.host]]\nid = \"h%d\"\naddr = %q\nstate = %q\n", i, s.Addr, state)
+		fmt.Fprintf(&file, "[[cluster.host]]\nid = \"h%d\"\naddr = %q\nstate = %q\n", i, server.Addr, state)
 	}
-	if err := os.WriteFile(f.file, []byte(b.String()), 0o600); err != nil {
-		f.t.Fatal(err)
+	writeFile(n.tb, n.path, file.String())
+}
+
+// writeAndReload writes the file as write does, and has the node read it.
+func (n *xmppNode) writeAndReload(draining int) {
+	n.tb.Helper()
+	n.write(draining)
+	if err := n.reload(); err != nil {
+		n.tb.Fatal(err)
 	}
 }
 
-// reload reads the file again.
-func (f *village) reload() (err error) {
-	done := make(chan error)
-	f.l.Post(func() {
-		take, err := f.op.readFile()
-		if err == nil {
-			take()
-		}
-		done <- err
-	})
-	return <-done
+// streams is the number of streams that all servers have had.
+func (n *xmppNode) streams() (count int) {
+	for _, server := range n.servers {
+		count += server.Count().Streams
+	}
+	return count
 }
 
-// all has so many clients connect at once, each to resume the session of its number, and counts the resumed.
-func (f *village) all(ids []string, how xmppserver.How) (clients []*xmppserver.Client, resumed int) {
+// connectAll has so many clients connect at once, each to resume the session of its number, and counts the resumed.
+func (n *xmppNode) connectAll(ids []string, how xmppserver.How) (clients []*xmppserver.Client, resumed int) {
+	n.tb.Helper()
 	clients = make([]*xmppserver.Client, len(ids))
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for i, id := range ids {
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
-			c, was, err := xmppserver.Connect(f.addr, fmt.Sprint("u", i), id, how, time.Now().Add(20*time.Second))
+			defer wg.Done()
+			user := fmt.Sprint("u", i)
+			client, wasResumed, err := xmppserver.Connect(n.addr, user, id, how, time.Now().Add(testTimeout))
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				f.t.Errorf("client %d: %v", i, err)
+				n.tb.Errorf("client %d: %v", i, err)
 				return
 			}
-			if clients[i] = c; was {
+			clients[i] = client
+			if wasResumed {
 				resumed++
 			}
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 	return clients, resumed
 }
 
 func idsOf(clients []*xmppserver.Client) (ids []string) {
-	for _, c := range clients {
-		ids = append(ids, c.ID)
+	for _, client := range clients {
+		ids = append(ids, client.ID)
 	}
 	return ids
 }
 
 func closeAll(clients []*xmppserver.Client) {
-	for _, c := range clients {
-		if c != nil {
-			c.Conn.Close()
+	for _, client := range clients {
+		if client != nil {
+			_ = client.Conn.Close() // a link that breaks, whatever its end says
 		}
 	}
 }
 
-// TestResumeWhereTheSessionLives has clients lose their link and come again, over four servers: each finds the one that has
-// its session, whichever way it says who it is, also while its old stream still stands. A server that drains, or that has
-// forgotten, costs the session and nothing else.
-func TestResumeWhereTheSessionLives(t *testing.T) {
-	const n = 24
-	f := newVillage(t, 4, "")
-	for _, how := range []xmppserver.How{xmppserver.Plain, xmppserver.Named, xmppserver.SASL2} {
-		first, resumed := f.all(make([]string, n), how)
-		if t.Failed() || resumed != 0 {
-			t.Fatalf("way %d: %d resumed of none", how, resumed)
-		}
-		ids := idsOf(first)
-		stood, resumed := f.all(ids, how) // the old streams still stand
-		if t.Failed() || resumed != n {
-			t.Fatalf("way %d: %d of %d resumed beside their old streams", how, resumed, n)
-		}
-		for i, c := range first {
-			if got, err := c.Say("", "</stream:stream>"); err == nil || !strings.Contains(got+err.Error(), "conflict") {
-				t.Errorf("way %d: the old stream %d got %q, %v", how, i, got, err)
-			}
-		}
-		for _, c := range stood {
-			if _, err := c.Say("<iq type='get' id='p1'><ping xmlns='urn:xmpp:ping'/></iq>", "/>"); err != nil {
-				t.Error(err)
-			}
-		}
-		closeAll(first)
-		closeAll(stood)
-		again, resumed := f.all(ids, how)
-		if t.Failed() || resumed != n {
-			t.Fatalf("way %d: %d of %d resumed after their streams broke", how, resumed, n)
-		}
-		closeAll(again)
-		f.servers[2].Restart() // it knows nothing any more
-		lost := 0
-		for _, id := range ids {
-			if strings.HasPrefix(id, "h2-") {
-				lost++
-			}
-		}
-		f.write(3)
-		if err := f.reload(); err != nil {
-			t.Fatal(err)
+// countOf is the number of ids that a server gave.
+func countOf(ids []string, server string) (count int) {
+	for _, id := range ids {
+		if strings.HasPrefix(id, server+"-") {
+			count++
 		}
-		before := f.servers[3].Count().Streams
-		for _, id := range ids {
-			if strings.HasPrefix(id, "h3-") {
-				lost++
-			}
-		}
-		last, resumed := f.all(ids, how)
-		if t.Failed() || resumed != n-lost {
-			t.Errorf("way %d: %d resumed of %d whose servers still know them", how, resumed, n-lost)
-		}
-		if f.servers[3].Count().Streams != before {
-			t.Errorf("way %d: streams to a server that drains", how)
+	}
+	return count
+}
+
+// TestResumeFindsServer has clients lose their link and connect again, over four servers: each finds the one that has
+// its session, whichever way it authenticates, also while its old stream is still open. A server that drains, or that
+// has lost its sessions, costs the session and nothing else.
+func TestResumeFindsServer(t *testing.T) {
+	node := newXMPPNode(t, 4, "")
+	for _, how := range []xmppserver.How{xmppserver.Plain, xmppserver.Named, xmppserver.SASL2} {
+		ids := checkResume(t, node, how)
+		checkLostSessions(t, node, how, ids)
+	}
+}
+
+// checkResume has clients resume their sessions twice: beside their old streams, and after their streams have broken.
+func checkResume(t *testing.T, node *xmppNode, how xmppserver.How) (ids []string) {
+	t.Helper()
+	const count = 24
+	first, resumed := node.connectAll(make([]string, count), how)
+	if t.Failed() || resumed != 0 {
+		t.Fatalf("way %d: %d resumed of none", how, resumed)
+	}
+	ids = idsOf(first)
+	second, resumed := node.connectAll(ids, how) // the old streams are still open
+	if t.Failed() || resumed != count {
+		t.Fatalf("way %d: %d of %d resumed beside their old streams", how, resumed, count)
+	}
+	for i, client := range first {
+		got, err := client.Say("", "</stream:stream>")
+		if err == nil || !strings.Contains(got+err.Error(), "conflict") {
+			t.Errorf("way %d: the old stream %d got %q, %v", how, i, got, err)
 		}
-		closeAll(last)
-		f.write(-1)
-		if err := f.reload(); err != nil {
-			t.Fatal(err)
+	}
+	for _, client := range second {
+		if _, err := client.Say(ping, "/>"); err != nil {
+			t.Error(err)
 		}
 	}
+	closeAll(first)
+	closeAll(second)
+	third, resumed := node.connectAll(ids, how)
+	if t.Failed() || resumed != count {
+		t.Fatalf("way %d: %d of %d resumed after their streams broke", how, resumed, count)
+	}
+	closeAll(third)
+	return ids
+}
+
+// checkLostSessions restarts one server and drains another: all sessions but those of the two are resumed.
+func checkLostSessions(t *testing.T, node *xmppNode, how xmppserver.How, ids []string) {
+	t.Helper()
+	const restarted, draining = 2, 3
+	node.servers[restarted].Restart() // it has no sessions any more
+	node.writeAndReload(draining)
+	before := node.servers[draining].Count().Streams
+	lost := countOf(ids, fmt.Sprint("h", restarted)) + countOf(ids, fmt.Sprint("h", draining))
+	clients, resumed := node.connectAll(ids, how)
+	if t.Failed() || resumed != len(ids)-lost {
+		t.Errorf("way %d: %d resumed of %d whose servers still have them", how, resumed, len(ids)-lost)
+	}
+	if node.servers[draining].Count().Streams != before {
+		t.Errorf("way %d: streams to a server that drains", how)
+	}
+	closeAll(clients)
+	node.writeAndReload(noneDraining)
 }
 
-// TestSeeOtherHost has hosts send sessions on to another one: to that one they go, with the next attempt, where it is in the list; an
-// address that is not is never tried.
+// TestSeeOtherHost has servers redirect sessions to another one: there they go, with the next attempt, if it is in the
+// list; an address that is not in the list is never tried.
 func TestSeeOtherHost(t *testing.T) {
 	const servers = 6
-	for to := range servers { // each in turn: one of them is the module's own next choice
-		f := newVillage(t, servers, "")
-		for i, s := range f.servers {
-			if i != to {
-				s.SeeOther = f.servers[to].Addr
+	for target := range servers { // each in turn: one of them is the module's own next choice
+		node := newXMPPNode(t, servers, "")
+		for i, server := range node.servers {
+			if i != target {
+				server.SeeOther = node.servers[target].Addr
 			}
 		}
-		clients, _ := f.all([]string{""}, xmppserver.Plain)
+		clients, _ := node.connectAll([]string{""}, xmppserver.Plain)
 		closeAll(clients)
-		astray := -f.servers[to].Count().Streams
-		for _, s := range f.servers {
-			astray += s.Count().Streams
-		}
-		if f.servers[to].Count().Bound != 1 || astray > 1 {
-			t.Errorf("%d attempts elsewhere before the host that was named", astray)
+		elsewhere := node.streams() - node.servers[target].Count().Streams
+		if node.servers[target].Count().Bound != 1 || elsewhere > 1 {
+			t.Errorf("%d attempts elsewhere before the server that was named", elsewhere)
 		}
 	}
-	const n = 16
-	f := newVillage(t, 3, "")
-	stranger, err := xmppserver.Listen("stranger")
+	node := newXMPPNode(t, 3, "")
+	unlisted, err := xmppserver.Listen("stranger")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stranger.Close()
-	for _, s := range f.servers[:2] {
-		s.SeeOther = stranger.Addr
+	defer unlisted.Close()
+	for _, server := range node.servers[:2] {
+		server.SeeOther = unlisted.Addr
 	}
-	clients, _ := f.all(make([]string, n), xmppserver.Plain)
+	clients, _ := node.connectAll(make([]string, 16), xmppserver.Plain)
 	closeAll(clients)
-	if stranger.Count().Streams != 0 {
-		t.Error("a session went to a host that is not in the list")
+	if unlisted.Count().Streams != 0 {
+		t.Error("a session went to a server that is not in the list")
 	}
 }
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -14,253 +14,292 @@
 	"spurwinch/choice"
 	"spurwinch/internal/edge"
 	"spurwinch/internal/lab/transcript"
-	"spurwinch/internal/loop"
 	"spurwinch/internal/platform/downstream"
 	"spurwinch/internal/platform/upstream"
 	resumable "spurwinch/internal/session"
 )
 
-// replaced is a node whose processes are all in this program, each on a loop of its own.
-type replaced struct {
-	t      testing.TB
-	env    map[string]string
-	file   string // the operator's
-	config string
-	now    *process
-	next   *process
+// restartedNode is a node whose processes are all in this program, each on a loop of its own.
+type restartedNode struct {
+	tb           testing.TB
+	env          map[string]string
+	operatorPath string
+	configPath   string
+	current      *process
+	successor    *process
 }
 
-// newReplaced sets a node up with both fronts, over one host of each.
-func newReplaced(t testing.TB, host string, sockets int) *replaced {
-	dir := t.TempDir()
-	r := &replaced{t: t, config: filepath.Join(dir, "config.json"), file: filepath.Join(dir, "operator.toml")}
-	r.env = map[string]string{"GW_CONFIG": r.config, "TMPDIR": dir, "GW_LISTEN": transcript.FreeAddr(t), "XMPP": transcript.FreeAddr(t)}
-	r.write(`{"name":"n1","listen":"` + r.env["GW_LISTEN"] + `","discovery":"` + (&transcript.Player{}).Listen(t, "d") + `","seed":"1","limits":{"cores":1,"sockets":` + fmt.Sprint(sockets) +
-		`},"known":{"version":41,"full":true,"servers":[{"id":"s-1","addr":"` + host + `","zone":"a","kind":"m","cell":0,"state":"SERVING","weight":1,"started_ms":0}]},"settings":` +
-		strings.NewReplacer("REPORTS", "off", `"messageAimS":[0.06]`, `"messageAimS":[600]`).Replace(settings) + `}`)
-	text := "[limits]\nheader_time = \"20s\"\n[[listener]]\naddr = \"" + r.env["XMPP"] + "\"\nprotocol = \"xmpp\"\n[[class]]\nname = \"c\"\n" +
-		"[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n[[cluster]]\nname = \"k\"\nleave = \"1s\"\n[[cluster.host]]\naddr = \"" + host + "\"\n"
-	if err := os.WriteFile(r.file, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
+// newRestartedNode sets a node up with both fronts, over one server of each.
+func newRestartedNode(tb testing.TB, server string, sockets int) *restartedNode {
+	tb.Helper()
+	dir := tb.TempDir()
+	node := &restartedNode{
+		tb:           tb,
+		configPath:   filepath.Join(dir, "config.json"),
+		operatorPath: filepath.Join(dir, "operator.toml"),
 	}
-	r.now = r.start()
-	return r
-}
-
-func (r *replaced) write(text string) {
-	if err := os.WriteFile(r.config, []byte(text), 0o600); err != nil {
-		r.t.Fatal(err)
+	node.env = map[string]string{
+		"GW_CONFIG": node.configPath, "TMPDIR": dir,
+		"GW_LISTEN": transcript.FreeAddr(tb), "XMPP": transcript.FreeAddr(tb),
 	}
+	discovery := (&transcript.Player{}).Listen(tb, "d")
+	changes := strings.NewReplacer("REPORTS", "off", `"messageAimS":[0.06]`, `"messageAimS":[600]`)
+	writeFile(tb, node.configPath, fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1",`+
+		`"limits":{"cores":1,"sockets":%d},"known":{"version":41,"full":true,"servers":[%s]},"settings":%s}`,
+		node.env["GW_LISTEN"], discovery, sockets, serverEntry("s-1", server, "SERVING"), changes.Replace(settings)))
+	writeFile(tb, node.operatorPath, "[limits]\nheader_time = \"20s\"\n"+
+		"[[listener]]\naddr = \""+node.env["XMPP"]+"\"\nprotocol = \"xmpp\"\n[[class]]\nname = \"c\"\n"+
+		"[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n"+
+		"[[cluster]]\nname = \"k\"\nleave = \"1s\"\n[[cluster.host]]\naddr = \""+server+"\"\n")
+	node.current = node.start()
+	return node
 }
 
-func (r *replaced) start() *process {
-	l, err := loop.New()
+// start starts a process and waits until it is ready.
+func (n *restartedNode) start() *process {
+	n.tb.Helper()
+	eventLoop := newLoop(n.tb)
+	program, err := New(eventLoop, func(name string) string { return n.env[name] }, n.operatorPath, nil)
 	if err != nil {
-		r.t.Fatal(err)
+		n.tb.Fatal(err)
 	}
-	program, err := New(l, func(k string) string { return r.env[k] }, r.file, nil)
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	p := &process{Program: program, done: make(chan struct{})}
+	started := &process{Program: program, done: make(chan struct{})}
 	go func() {
-		defer close(p.done)
-		l.Run()
-		l.Close()
+		defer close(started.done)
+		if err := eventLoop.Run(); err != nil {
+			n.tb.Error(err)
+		}
+		eventLoop.Close()
 	}()
-	r.t.Cleanup(func() {
-		p.loop.Post(p.loop.Stop)
-		<-p.done
+	n.tb.Cleanup(func() {
+		started.loop.Post(started.loop.Stop)
+		<-started.done
 	})
-	transcript.Until(r.t, "the process is ready", func() (ready bool) {
-		p.on(func() { ready = p.ready() })
+	transcript.Until(n.tb, "the process is ready", func() (ready bool) {
+		started.on(func() { ready = started.ready() })
 		return ready
 	})
-	return p
+	return started
 }
 
-// begin starts the next process and has the present one leave once after has returned; nothing happens there meanwhile.
-func (r *replaced) begin(after func()) {
-	r.next = r.start()
-	transcript.Until(r.t, "and the present one knows", func() (ready bool) {
-		r.now.on(func() { _, ready = r.now.restart.coordinator.Successor() })
+// begin starts the next process and has the present one shut down once after has returned; nothing happens there
+// meanwhile.
+func (n *restartedNode) begin(after func()) {
+	n.tb.Helper()
+	n.successor = n.start()
+	old := n.current
+	transcript.Until(n.tb, "the present process knows its successor", func() (ready bool) {
+		old.on(func() { _, ready = old.restart.coordinator.Successor() })
 		return ready
 	})
-	old := r.now
 	old.loop.Post(func() {
 		after()
 		old.Shutdown()
 	})
 }
 
-// reload has the next process read its files again, which are sound.
-func (r *replaced) reload() {
-	r.next.on(func() {
-		if r.next.Reload(); r.next.telemetry.figures.ReloadsFailed > 0 {
-			r.t.Error("the files were turned down")
+// reload has the next process read its files again, which are valid.
+func (n *restartedNode) reload() {
+	next := n.successor
+	next.on(func() {
+		next.Reload()
+		if next.telemetry.figures.ReloadsFailed > 0 {
+			n.tb.Error("the files were rejected")
 		}
 	})
 }
 
-// end waits until the process that leaves has ended by itself.
-func (r *replaced) end() {
-	r.t.Helper()
+// end waits until the process that shuts down has ended by itself.
+func (n *restartedNode) end() {
+	n.tb.Helper()
 	select {
-	case <-r.now.done:
-	case <-time.After(20 * time.Second):
-		r.t.Fatal("the process that leaves does not end")
+	case <-n.current.done:
+	case <-time.After(testTimeout):
+		n.tb.Fatal("the process that shuts down does not end")
 	}
-	r.now = r.next
+	n.current = n.successor
 }
 
-// TestCarried plays exchanges through changes of the process.
-func TestCarried(t *testing.T) {
-	each(t, "carry", func(t *testing.T, text string) {
-		p := &transcript.Player{Values: map[string]string{"ns": "xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'"}}
-		r := newReplaced(t, p.Listen(t, "h1"), 512)
-		p.Addr, p.Values["xmpp"] = r.env["GW_LISTEN"], r.env["XMPP"]
-		thaw := make(chan struct{})
-		p.Do = map[string]func(){
-			"wait":       func() { time.Sleep(1200 * time.Millisecond) },
-			"long":       func() { time.Sleep(3 * time.Second) },
-			"upgrade":    func() { r.begin(func() {}); r.end() },
-			"upgrade-on": func() { r.begin(func() {}) },
-			"upgraded":   func() { r.end() },
-			"freeze":     func() { r.begin(func() { <-thaw }) },
-			"thaw":       func() { close(thaw); r.end() },
-			"sigterm":    func() { r.now.loop.Post(r.now.Shutdown) },
-			"trade": func() {
-				raw, err := os.ReadFile(r.config)
-				if err != nil {
-					t.Fatal(err)
-				}
-				r.write(strings.Replace(string(raw), `"name":"chat"`, `"name":"trade"`, 1))
-			},
-			"drain": func() {
-				raw, err := os.ReadFile(r.file)
-				if err == nil {
-					err = os.WriteFile(r.file, append(raw, "state = \"draining\"\n"...), 0o600)
-				}
-				if err != nil {
-					t.Fatal(err)
-				}
-				r.reload()
-			},
-			"hup": func() {
-				r.now.loop.Post(r.now.Reload)
-				r.reload()
-			},
-		}
-		p.Play(t, text)
-	})
+// restart replaces the present process.
+func (n *restartedNode) restart() {
+	n.tb.Helper()
+	n.begin(func() {})
+	n.end()
+}
+
+// edit changes a file.
+func (n *restartedNode) edit(path string, change func(text string) string) {
+	n.tb.Helper()
+	raw, err := os.ReadFile(path)
+	if err == nil {
+		err = os.WriteFile(path, []byte(change(string(raw))), 0o600)
+	}
+	if err != nil {
+		n.tb.Fatal(err)
+	}
+}
+
+// TestConnectionsTransferred plays exchanges through changes of the process.
+func TestConnectionsTransferred(t *testing.T) {
+	eachExchange(t, "transfer", playTransfer)
 }
 
-// TestCarriedInBatches has a node with little room to spare pass on many connections, more at a time as room comes, and
-// through a chain of processes.
-func TestCarriedInBatches(t *testing.T) {
+func playTransfer(t *testing.T, text string) {
+	t.Helper()
+	player := &transcript.Player{Values: map[string]string{"ns": xmppNamespaces}}
+	node := newRestartedNode(t, player.Listen(t, "h1"), 512)
+	player.Addr = node.env["GW_LISTEN"]
+	player.Values["xmpp"] = node.env["XMPP"]
+	thaw := make(chan struct{})
+	player.Do = map[string]func(){
+		"wait":       func() { time.Sleep(1200 * time.Millisecond) },
+		"long":       func() { time.Sleep(3 * time.Second) },
+		"upgrade":    node.restart,
+		"upgrade-on": func() { node.begin(func() {}) },
+		"upgraded":   node.end,
+		"freeze":     func() { node.begin(func() { <-thaw }) },
+		"thaw": func() {
+			close(thaw)
+			node.end()
+		},
+		"sigterm": func() { node.current.loop.Post(node.current.Shutdown) },
+		"trade": func() {
+			node.edit(node.configPath, func(text string) string {
+				return strings.Replace(text, `"name":"chat"`, `"name":"trade"`, 1)
+			})
+		},
+		"drain": func() {
+			node.edit(node.operatorPath, func(text string) string { return text + "state = \"draining\"\n" })
+			node.reload()
+		},
+		"hup": func() {
+			node.current.loop.Post(node.current.Reload)
+			node.reload()
+		},
+	}
+	player.Play(t, text)
+}
+
+// TestTransferInBatches has a node with few free descriptors transfer many connections, more at a time as descriptors
+// are freed, and through a chain of processes.
+func TestTransferInBatches(t *testing.T) {
 	const connections = 400
-	r := newReplaced(t, transcript.Host(t), 2*connections+reservedDescriptors+256)
-	s := &transcript.Streams{Addr: r.env["GW_LISTEN"], At: "s-1"}
-	s.Run(t, connections, transcript.Steady)
+	node := newRestartedNode(t, transcript.Host(t), 2*connections+reservedDescriptors+256)
+	streams := &transcript.Streams{Addr: node.env["GW_LISTEN"], At: "s-1"}
+	streams.Run(t, connections, transcript.Steady)
 	for i := range 3 {
-		old := r.now
-		r.begin(func() {})
-		r.end()
+		old := node.current
+		node.restart()
 		if old.restart.transfer.sent != connections {
-			t.Errorf("process %d gave %d connections of %d", i, old.restart.transfer.sent, connections)
+			t.Errorf("process %d sent %d connections of %d", i, old.restart.transfer.sent, connections)
 		}
-		// The giver may go once its last word is written, and a look into the taker may come before that word is read.
-		held, got := 0, 0
-		transcript.Until(t, "the taker holds them all", func() bool {
-			r.now.on(func() { held, got = r.now.platform.core.InFlight(), r.now.restart.received })
-			return got >= connections
+		// The sender may end once its last message is written; the successor may not have read that yet.
+		current := node.current
+		inFlight, received := 0, 0
+		transcript.Until(t, "the successor has them all", func() bool {
+			current.on(func() {
+				inFlight = current.platform.core.InFlight()
+				received = current.restart.received
+			})
+			return received >= connections
 		})
-		if held != connections || got != connections {
-			t.Errorf("process %d holds %d of %d that it took", i+1, held, got)
+		if inFlight != connections || received != connections {
+			t.Errorf("process %d has %d of %d that it received", i+1, inFlight, received)
 		}
 	}
-	pauses := s.Stop(t)
+	pauses := streams.Stop(t)
 	t.Logf("%d lines, the slowest after %v", len(pauses), pauses[len(pauses)-1])
 }
 
-// TestSessionsGoAlong has a process take over from one that knows where sessions live whose streams are gone.
-func TestSessionsGoAlong(t *testing.T) {
-	r := newReplaced(t, transcript.Host(t), 200)
-	r.now.on(func() {
-		r.now.xmpp.Inherit([]resumable.Session{{Key: resumable.Key{Domain: "farm.example", ID: "1"}, User: "ana", Host: "h", Started: 5, Max: time.Minute,
-			Until: time.Now().Add(time.Minute)}})
-	})
-	r.begin(func() {})
-	r.end()
-	r.now.on(func() {
-		if all := r.now.xmpp.Broken(9); len(all) != 1 || all[0].Host != "h" || all[0].Started != 5 || time.Until(all[0].Until) < 50*time.Second {
-			t.Errorf("the new process knows of %+v", all)
-		}
-	})
+// TestSessionsTransferred has a process replace one that knows which servers have the sessions whose streams have
+// ended.
+func TestSessionsTransferred(t *testing.T) {
+	node := newRestartedNode(t, transcript.Host(t), 200)
+	session := resumable.Session{
+		Key: resumable.Key{Domain: "farm.example", ID: "1"}, User: "ana", Host: "h", Started: 5, Max: time.Minute,
+		Until: time.Now().Add(time.Minute),
+	}
+	node.current.on(func() { node.current.xmpp.Inherit([]resumable.Session{session}) })
+	node.restart()
+	var all []resumable.Session
+	node.current.on(func() { all = node.current.xmpp.Broken(9) })
+	if len(all) != 1 || all[0].Host != "h" || all[0].Started != 5 || time.Until(all[0].Until) < 50*time.Second {
+		t.Errorf("the new process knows of %+v", all)
+	}
 }
 
-// TestNoRoomForAll has the taker hold all but none of the descriptors: what can't go is told to move, and nobody is cut off.
-func TestNoRoomForAll(t *testing.T) {
-	r := newReplaced(t, transcript.Host(t), 120)
-	c := &transcript.Crowd{Addr: r.env["GW_LISTEN"]}
-	c.Run(20)
+// TestTransferWithoutFreeDescriptors has the successor use nearly all descriptors: connections that can't be
+// transferred are migrated, and none is cut off.
+func TestTransferWithoutFreeDescriptors(t *testing.T) {
+	node := newRestartedNode(t, transcript.Host(t), 120)
+	crowd := &transcript.Crowd{Addr: node.env["GW_LISTEN"]}
+	crowd.Run(20)
 	for range 3 {
-		r.begin(func() {})
-		r.end()
+		node.restart()
 	}
-	c.Stop()
-	c.Check(t, "a node without room")
+	crowd.Stop()
+	crowd.Check(t, "a node without free descriptors")
 }
 
-// BenchmarkCarry passes 400 connections on that say nothing, in batches of several sizes: bytes and time for one, and for how
-// long the loop is away at the most. go test -run - -bench Carry -benchtime 5x ./internal/node
+// BenchmarkCarry transfers 400 idle connections, in batches of several sizes: bytes and time for one, and for how long
+// the loop is blocked at the most. go test -run - -bench Carry -benchtime 5x ./internal/node
 func BenchmarkCarry(b *testing.B) {
+	for _, size := range []int{1, 8, 64} {
+		b.Run(fmt.Sprint(size), func(b *testing.B) { benchmarkTransfer(b, size) })
+	}
+}
+
+func benchmarkTransfer(b *testing.B, batchSize int) {
+	b.Helper()
 	const connections = 400
-	for _, most := range []int{1, 8, 64} {
-		b.Run(fmt.Sprint(most), func(b *testing.B) {
-			defer func(was int) { maxBatchConnections = was }(maxBatchConnections)
-			maxBatchConnections = most
-			r := newReplaced(b, transcript.Host(b), 8*connections)
-			s := &transcript.Streams{Addr: r.env["GW_LISTEN"], At: "s-1"}
-			s.Run(b, connections, transcript.Still)
-			size, took, away := 0, time.Duration(0), time.Duration(0)
-			b.ResetTimer()
-			for range b.N {
-				old := r.now
-				r.begin(func() {})
-				r.end()
-				size, took, away = size+old.restart.transfer.sentBytes, took+old.restart.transfer.duration, max(away, old.restart.transfer.longestBatch)
-			}
-			b.StopTimer()
-			s.Stop(b)
-			n := float64(b.N * connections)
-			b.ReportMetric(float64(size)/n, "B/conn")
-			b.ReportMetric(float64(took.Nanoseconds())/1000/n, "µs/conn")
-			b.ReportMetric(float64(away.Microseconds())/1000, "ms-away")
-		})
+	defer func(before int) { maxBatchConnections = before }(maxBatchConnections)
+	maxBatchConnections = batchSize
+	node := newRestartedNode(b, transcript.Host(b), 8*connections)
+	streams := &transcript.Streams{Addr: node.env["GW_LISTEN"], At: "s-1"}
+	streams.Run(b, connections, transcript.Still)
+	sentBytes := 0
+	var duration, longestBatch time.Duration
+	b.ResetTimer()
+	for range b.N {
+		old := node.current
+		node.restart()
+		sentBytes += old.restart.transfer.sentBytes
+		duration += old.restart.transfer.duration
+		longestBatch = max(longestBatch, old.restart.transfer.longestBatch)
 	}
+	b.StopTimer()
+	streams.Stop(b)
+	transferred := float64(b.N * connections)
+	b.ReportMetric(float64(sentBytes)/transferred, "B/conn")
+	b.ReportMetric(float64(duration.Nanoseconds())/1000/transferred, "µs/conn")
+	b.ReportMetric(float64(longestBatch.Microseconds())/1000, "ms-away")
 }
 
-// BenchmarkTold writes and reads what is told of one connection.
-func BenchmarkTold(b *testing.B) {
-	c := connectionState{Front: frontPlatform, Open: &edge.ConnectionState{ID: "9b1f03aa5c7e2d41", Tenant: "ferma-ro", Key: 1 << 60, Group: 1 << 61, UsualLoad: 0.012, CurrentLoad: 0.013,
-		Class: choice.Class{Name: "field-sync", SetupObjective: 8e8, Deadline: 48e8, MessageObjective: 15e7, Priority: 1}, Server: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Size: 1}, Addr: "10.1.0.18:3000"}}
-	c.State, _ = cbor.Marshal(downstream.ConnectionState{Server: &upstream.ConnectionState{}})
-	for name, code := range map[string]struct {
-		write func(any) ([]byte, error)
-		read  func([]byte, any) error
+// BenchmarkConnectionState encodes and decodes the state of one connection.
+func BenchmarkConnectionState(b *testing.B) {
+	connection := connectionState{Front: frontPlatform, Open: &edge.ConnectionState{
+		ID: "9b1f03aa5c7e2d41", Tenant: "ferma-ro", Key: 1 << 60, Group: 1 << 61, UsualLoad: 0.012, CurrentLoad: 0.013,
+		Class: choice.Class{
+			Name: "field-sync", SetupObjective: 8e8, Deadline: 48e8, MessageObjective: 15e7, Priority: 1,
+		},
+		Server: choice.Server{ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Size: 1}, Addr: "10.1.0.18:3000",
+	}}
+	connection.State = encode(b, downstream.ConnectionState{Server: &upstream.ConnectionState{}})
+	for name, codec := range map[string]struct {
+		encode func(any) ([]byte, error)
+		decode func([]byte, any) error
 	}{"cbor": {cbor.Marshal, cbor.Unmarshal}, "json": {json.Marshal, json.Unmarshal}} {
 		b.Run(name, func(b *testing.B) {
 			size := 0
 			for range b.N {
-				told, err := code.write(c)
+				encoded, err := codec.encode(connection)
 				if err == nil {
-					err = code.read(told, &connectionState{})
+					err = codec.decode(encoded, &connectionState{})
 				}
 				if err != nil {
 					b.Fatal(err)
 				}
-				size = len(told)
+				size = len(encoded)
 			}
 			b.ReportMetric(float64(size), "B")
 		})
