--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"time"
 
-	"spurwinch/choice"
 	"spurwinch/internal/config"
 	"spurwinch/internal/failover/agent"
 	"spurwinch/internal/operations/hotrestart"
@@ -100,12 +99,6 @@
 	if core == nil {
 		return fmt.Errorf("%s: [fleet] cluster = %q: %w", operatorPath, member.Cluster, errUnknownCluster)
 	}
-	p.joinFleet(member, core, newVoter, func() (names []string, classes []choice.Class) {
-		classes = core.Classes()
-		for _, class := range classes {
-			names = append(names, class.Name)
-		}
-		return names, classes
-	})
+	p.joinFleet(member, core, newVoter)
 	return nil
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -8,7 +8,6 @@
 
 	"go.uber.org/zap"
 
-	"spurwinch/choice"
 	"spurwinch/internal/config"
 	"spurwinch/internal/consensus"
 	"spurwinch/internal/edge"
@@ -31,7 +30,6 @@
 	config   config.Fleet
 	agent    *agent.Agent // nil until the address and the files are this process's
 	newVoter agent.NewVoter
-	classes  func() ([]string, []choice.Class)
 	start    time.Time // the agent's times count from it
 	socket   *loop.Datagrams
 	listener *loop.Listener
@@ -50,15 +48,12 @@
 
 // joinFleet has a core serve by the fleet's plans. Another process may still have the address and the files: then the
 // node joins as soon as that one has released them.
-func (p *Program) joinFleet(
-	settings config.Fleet, core *edge.Core, newVoter agent.NewVoter, classes func() ([]string, []choice.Class),
-) {
+func (p *Program) joinFleet(settings config.Fleet, core *edge.Core, newVoter agent.NewVoter) {
 	member := &fleet{
 		loop:     p.loop,
 		core:     core,
 		config:   settings,
 		newVoter: newVoter,
-		classes:  classes,
 		start:    time.Now(),
 		policy:   policyState{program: p},
 	}
@@ -141,7 +136,6 @@
 }
 
 func (f *fleet) agentOptions(records []consensus.Record) agent.Options {
-	names, _ := f.classes()
 	rules := f.config.List.Rules()
 	rules.Classes = f.plannedClasses()
 	list := f.config.List.List
@@ -150,7 +144,7 @@
 		Self:       list.Index(f.config.Self),
 		Key:        f.config.Secret,
 		Rules:      rules,
-		Classes:    names,
+		Classes:    f.classNames(),
 		RetryAfter: time.Duration(f.config.RetryAfter),
 		Records:    records,
 		Seed:       uint64(time.Now().UnixNano()),
@@ -160,10 +154,17 @@
 	}
 }
 
+// classNames are the names of all classes, by their index.
+func (f *fleet) classNames() (names []string) {
+	for _, class := range f.core.Classes() {
+		names = append(names, class.Name)
+	}
+	return names
+}
+
 // plannedClasses are the classes as plans know them.
 func (f *fleet) plannedClasses() (all []failover.Class) {
-	_, classes := f.classes()
-	for _, class := range classes {
+	for _, class := range f.core.Classes() {
 		if class.Removed {
 			continue
 		}
@@ -201,8 +202,7 @@
 // updateClasses gives the agent the module's classes after a change of settings.
 func (f *fleet) updateClasses() {
 	if f.agent != nil {
-		names, _ := f.classes()
-		f.agent.UpdateClasses(names)
+		f.agent.UpdateClasses(f.classNames())
 		f.applyDecisions()
 	}
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -18,6 +18,11 @@
 	unlinkedShareTime = 10 * time.Second       // that a process without a link to this one counts as still there
 )
 
+const (
+	unknownVersion = -1 // of a list that another discovery had: the whole list is requested again
+	noSocket       = -1 // in place of the descriptor of a socket for datagrams
+)
+
 // hotRestart is this process's part in replacing the node's process while it serves: what it was granted by its
 // predecessor, its part of the node's descriptors and memory while there is another process, and the transfer of
 // connections. It belongs to the loop.
@@ -39,7 +44,6 @@
 
 // requestGrant asks a process that runs already for its sockets, list and descriptors, where there is one.
 func (h *hotRestart) requestGrant(path string) {
-	h.listeners = map[string]*loop.Listener{}
 	if path == "" {
 		return
 	}
@@ -65,7 +69,7 @@
 	list := h.grant.List
 	list.Full = true
 	if h.grant.Discovery != discovery {
-		list.Version = -1
+		list.Version = unknownVersion
 	}
 	return &list
 }
@@ -123,7 +127,7 @@
 
 // newGrant is what a successor is granted.
 func (h *hotRestart) newGrant() hotrestart.Grant {
-	grant := hotrestart.Grant{Sockets: map[string]int{}, Datagrams: -1}
+	grant := hotrestart.Grant{Sockets: map[string]int{}, Datagrams: noSocket}
 	if !h.listenersClosed { // else another process has them already
 		for addr, listener := range h.listeners {
 			grant.Sockets[addr] = listener.FD()
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -16,7 +16,10 @@
 	"spurwinch/internal/xmpp"
 )
 
-const expiryCheckInterval = 24 * time.Hour
+const (
+	expiryCheckInterval = 24 * time.Hour
+	sessionLoadField    = "x0" // the field of a load report that sessionLoad fills
+)
 
 // sessionLoad is the health checker of an operator's cluster. A server's load is its sessions in flight over its
 // capacity.
@@ -78,7 +81,7 @@
 func (o *operatorFronts) addCluster(file config.Operator, entry config.Cluster, number int) error {
 	settings := file.Settings(entry)
 	seed := o.seed + uint64(number)
-	observer, err := o.program.startCapture(file.Capture, entry.Name, settings, []string{"x0"})
+	observer, err := o.program.startCapture(file.Capture, entry.Name, settings, []string{sessionLoadField})
 	if err != nil {
 		return err
 	}
@@ -110,7 +113,7 @@
 		}
 	}
 	limits := file.Limits
-	o.program.loop.Limit(limits.Connections-limits.Connections/8, limits.Connections, 0)
+	o.program.loop.Limit(limits.Connections-limits.Connections/idleReserveDivisor, limits.Connections, 0)
 	o.xmpp = xmpp.New(o.program.loop, domains, xmpp.Limits{
 		Stanza: limits.StanzaBytes, Early: limits.EarlyBytes, HeaderTime: time.Duration(limits.HeaderTime),
 		ShakeTime: time.Duration(limits.HandshakeTimeout), MostOpen: limits.Connections, Resumable: limits.Resumable,
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -33,7 +33,7 @@
 }
 
 // listenPeers opens the socket, where there are peers. receive gets each message with its sender's number. granted is
-// the socket of the process that runs already; under 0: there is none.
+// the socket of the process that runs already, or noSocket.
 func listenPeers(
 	eventLoop *loop.Loop, node config.Node, granted int, receive func(from int, message []byte),
 ) (*peerNetwork, error) {
@@ -48,7 +48,7 @@
 		}
 	}
 	var err error
-	if granted >= 0 {
+	if granted != noSocket {
 		network.socket, network.localAddr, err = eventLoop.AdoptDatagrams(granted, maxPeerMessage, onDatagram)
 	} else {
 		network.socket, network.localAddr, err = eventLoop.ListenDatagrams(node.PeerListen, maxPeerMessage, onDatagram)
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -128,7 +128,7 @@
 		return nil, err
 	}
 	platform.core = core
-	grantedSocket := -1
+	grantedSocket := noSocket
 	if p.restart.grant != nil {
 		grantedSocket = p.restart.grant.Datagrams
 	}
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -8,10 +8,16 @@
 )
 
 const (
-	grantDivisor    = 4                      // one in so many free descriptors is not granted to a successor
-	quotaInterval   = 100 * time.Millisecond // between raises of the successor's quota while this process drains
-	shutdownReserve = 16                     // beside clients and servers: the loop's, listeners, the log
-	transferReserve = 32                     // kept free while connections are received: health checks, new clients
+	quotaInterval = 100 * time.Millisecond // between raises of the successor's quota while this process drains
+
+	// Descriptors that are kept free.
+	shutdownReserve    = 16 // beside clients and servers: the loop's, listeners, the log
+	transferReserve    = 32 // while connections are received: health checks, new clients
+	grantDivisor       = 4  // one in so many free descriptors is not granted to a successor
+	idleReserveDivisor = 8  // one in so many descriptors is not used by idle connections
+
+	memoryLimitPercent = 60 // of the node's memory: the garbage collector's limit
+	bytesPerMB         = 1 << 20
 )
 
 // nodeLimits are the resources of the node, which all of its processes share.
@@ -27,7 +33,7 @@
 		h.limits.descriptors = defaultDescriptors
 	}
 	h.limits.memoryMB = node.MemoryMB
-	h.program.loop.Limit(0, h.limits.descriptors, int64(h.limits.memoryMB)<<20)
+	h.program.loop.Limit(0, h.limits.descriptors, int64(h.limits.memoryMB)*bytesPerMB)
 	h.applyQuota()
 }
 
@@ -110,7 +116,7 @@
 	if h.limits.memoryMB <= 0 {
 		return
 	}
-	limit := int64(h.limits.memoryMB) << 20 * 6 / 10
+	limit := int64(h.limits.memoryMB) * bytesPerMB * memoryLimitPercent / 100
 	if !alone {
 		limit /= 2
 	}
@@ -132,6 +138,6 @@
 	if h.listenersClosed { // no client connects here any more, and idle ones are transferred to the successor
 		h.program.loop.SetIdleLimit(0)
 	} else {
-		h.program.loop.SetIdleLimit(max(quota-h.ownQuota()/8, 1))
+		h.program.loop.SetIdleLimit(max(quota-h.ownQuota()/idleReserveDivisor, 1))
 	}
 }
