--- a/internal/node/failedstart_test.go
+++ b/internal/node/failedstart_test.go
@@ -23,8 +23,9 @@
 // has all of it back, and the next attempt finds it as the first did.
 func TestFailedStartReturnsGrant(t *testing.T) {
 	player := &transcript.Player{Values: map[string]string{}}
-	listen := transcript.FreeAddr(t)
-	path := writeTemp(t, "config.json", `{"name":"n1","listen":"`+listen+`","discovery":"`+player.Listen(t, "d")+
+	discovery := player.Listen(t, "d")
+	listen := transcript.FreeAddr(t) // after all listeners that get a port by themselves
+	path := writeTemp(t, "config.json", `{"name":"n1","listen":"`+listen+`","discovery":"`+discovery+
 		`","seed":"1","limits":{"sockets":1024},"settings":`+strings.Replace(settings, "REPORTS", "off", 1)+`}`)
 	dir := filepath.Dir(path)
 	env := func(name string) string { return map[string]string{"GW_CONFIG": path, "TMPDIR": dir}[name] }
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -94,15 +94,18 @@
 		t.Fatal(err)
 	}
 	closeAtEnd(t, peer)
+	discovery := player.Listen(t, "d")
+	server := player.Listen(t, "h1")
 	node = config.Node{
-		Listen: transcript.FreeAddr(t), Discovery: player.Listen(t, "d"), Seed: 1, Sockets: sharedDescriptors,
+		Listen:    transcript.FreeAddr(t), // after all listeners that get a port by themselves
+		Discovery: discovery, Seed: 1, Sockets: sharedDescriptors,
 		PeerListen: "127.0.0.1:0",
 		Peers: []netip.AddrPort{
 			netip.MustParseAddrPort("127.0.0.1:0"), netip.MustParseAddrPort(peer.LocalAddr().String()),
 		},
 		Settings: decodeSettings(t, "REPORTS", "off", `"groupSize":1`, `"groupSize":2`, `"mayTell":false`,
 			`"mayTell":true`),
-		Known: parseList(t, 7, serverEntry("s-1", player.Listen(t, "h1"), "SERVING")),
+		Known: parseList(t, 7, serverEntry("s-1", server, "SERVING")),
 	}
 	path = hotrestart.Path(t.TempDir(), node.Listen)
 	shared = &sharedNode{t: t, player: player, peer: peer, predecessor: startProcess(t, node, path)}
--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -28,9 +28,7 @@
 
 func newXMPPNode(tb testing.TB, servers int, more string) *xmppNode {
 	tb.Helper()
-	node := &xmppNode{
-		tb: tb, path: filepath.Join(tb.TempDir(), "operator.toml"), addr: transcript.FreeAddr(tb), more: more,
-	}
+	node := &xmppNode{tb: tb, path: filepath.Join(tb.TempDir(), "operator.toml"), more: more}
 	for i := range servers {
 		server, err := xmppserver.Listen(fmt.Sprint("h", i))
 		if err != nil {
@@ -39,6 +37,7 @@
 		tb.Cleanup(server.Close)
 		node.servers = append(node.servers, server)
 	}
+	node.addr = transcript.FreeAddr(tb) // after all listeners that get a port by themselves
 	node.write(noneDraining)
 	node.operatorNode = newOperatorNode(tb, node.path, 1)
 	start(tb, node.loop)
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -38,11 +38,11 @@
 		configPath:   filepath.Join(dir, "config.json"),
 		operatorPath: filepath.Join(dir, "operator.toml"),
 	}
-	node.env = map[string]string{
+	discovery := (&transcript.Player{}).Listen(tb, "d")
+	node.env = map[string]string{ // free addresses after all listeners that get a port by themselves
 		"GW_CONFIG": node.configPath, "TMPDIR": dir,
 		"GW_LISTEN": transcript.FreeAddr(tb), "XMPP": transcript.FreeAddr(tb),
 	}
-	discovery := (&transcript.Player{}).Listen(tb, "d")
 	changes := strings.NewReplacer("REPORTS", "off", `"messageAimS":[0.06]`, `"messageAimS":[600]`)
 	writeFile(tb, node.configPath, fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1",`+
 		`"limits":{"cores":1,"sockets":%d},"known":{"version":41,"full":true,"servers":[%s]},"settings":%s}`,
