--- a/internal/lab/fakeserver/fleet.go
+++ b/internal/lab/fakeserver/fleet.go
@@ -36,10 +36,10 @@
 func New(conf *fleet.Fleet, seed uint64, allCold bool) (*Fleet, error) {
 	f := &Fleet{Conf: conf, Start: time.Now(), seed: seed, store: &Store{conf: conf.Store}, version: 1, states: map[string]string{},
 		news: make(chan struct{}), stop: make(chan struct{})}
-	for _, s := range conf.Servers {
+	for _, s := range conf.ServerPools {
 		for range s.Count {
 			id := fmt.Sprintf("s-%04d", len(f.Hosts))
-			h, err := f.newHost(id, conf.Kind(s.Kind), conf.Centre(s.Centre), s.Cold || allCold, seed*1009+uint64(len(f.Hosts)))
+			h, err := f.newHost(id, conf.MachineKind(s.Kind), conf.Centre(s.Zone), s.WarmingUp || allCold, seed*1009+uint64(len(f.Hosts)))
 			if err != nil {
 				f.Close()
 				return nil, err
--- a/internal/lab/fakeserver/host.go
+++ b/internal/lab/fakeserver/host.go
@@ -47,7 +47,7 @@
 // Host is one stand-in server.
 type Host struct {
 	ID     string
-	Kind   *fleet.Kind
+	Kind   *fleet.MachineKind
 	Centre int
 
 	fleet  *Fleet
@@ -84,7 +84,7 @@
 	change time.Time
 }
 
-func (f *Fleet) newHost(id string, k *fleet.Kind, centre int, cold bool, seed uint64) (*Host, error) {
+func (f *Fleet) newHost(id string, k *fleet.MachineKind, centre int, cold bool, seed uint64) (*Host, error) {
 	h := &Host{ID: id, Kind: k, Centre: centre, fleet: f, cold: cold, rng: rand.New(rand.NewPCG(seed, 8)), conns: map[*conn]struct{}{},
 		groups: map[uint64]int{}, socks: map[net.Conn]struct{}{}, jobs: f.Start, free: make([]time.Time, max(1, int(k.Cores+0.5)))}
 	// Cores that are no whole number are made up for by their speed.
@@ -120,12 +120,12 @@
 }
 
 func (h *Host) warm(now time.Time) float64 {
-	c := h.fleet.Conf.Cold
+	c := h.fleet.Conf.SlowStart
 	age := now.Sub(h.fleet.Start)
 	if !h.cold || age >= time.Duration(c.WarmUp) {
 		return 1
 	}
-	return c.Share + (1-c.Share)*age.Seconds()/c.WarmUp.Seconds()
+	return c.Fraction + (1-c.Fraction)*age.Seconds()/c.WarmUp.Seconds()
 }
 
 // job takes a core for some work and returns when it is done. The lock is held.
@@ -192,13 +192,13 @@
 	h.asked += (h.work/(able*tick.Seconds()) - h.asked) * 0.085 // as slow as the model's mean over steps
 	h.work = 0
 	if now.After(h.next) {
-		h.next = now.Add(time.Duration(h.fleet.Conf.Reports.Every))
+		h.next = now.Add(time.Duration(h.fleet.Conf.LoadReports.Interval))
 		h.report = h.reportLine(h.asked)
 	}
 	if s := time.Duration(h.Kind.ShedAfter); s > 0 && h.piled(now) > s {
 		h.shed()
 	}
-	for len(h.budget) > 0 && now.Sub(h.budget[0].at) > time.Duration(h.fleet.Conf.Cold.FallTime) {
+	for len(h.budget) > 0 && now.Sub(h.budget[0].at) > time.Duration(h.fleet.Conf.SlowStart.OverloadTime) {
 		h.budget = h.budget[1:]
 	}
 }
@@ -227,7 +227,7 @@
 }
 
 func (h *Host) reportLine(asked float64) string {
-	noise := func() float64 { return max(0.1, 1+h.fleet.Conf.Reports.Noise*h.rng.NormFloat64()) }
+	noise := func() float64 { return max(0.1, 1+h.fleet.Conf.LoadReports.Noise*h.rng.NormFloat64()) }
 	return fmt.Sprintf("latency_ms=%.2f,util=%.3f,x0=%.3f", 1000*h.fleet.Conf.General.MessageWork.Seconds()/h.speed,
 		min(1, asked)*noise(), asked*noise())
 }
@@ -369,12 +369,12 @@
 	h.budget = append(h.budget, spent{now, c.Load * conf.CoreLoad()})
 	sum := 0.0
 	for _, b := range h.budget {
-		if now.Sub(b.at) <= time.Duration(conf.Cold.FallTime) {
+		if now.Sub(b.at) <= time.Duration(conf.SlowStart.OverloadTime) {
 			sum += b.load
 		}
 	}
-	able := float64(len(h.free)) * h.speed * h.warm(now) / conf.Cold.WarmUp.Seconds() * conf.Cold.FallTime.Seconds()
-	if sum <= conf.Cold.FallMultiple*able+4*conf.MeanLoad()*conf.CoreLoad() {
+	able := float64(len(h.free)) * h.speed * h.warm(now) / conf.SlowStart.WarmUp.Seconds() * conf.SlowStart.OverloadTime.Seconds()
+	if sum <= conf.SlowStart.OverloadMultiple*able+4*conf.MeanLoad()*conf.CoreLoad() {
 		return false
 	}
 	h.fleet.count(func(s *Stats) { s.Fallen++ })
@@ -424,7 +424,7 @@
 		h.mu.Lock()
 		now := time.Now()
 		h.draw(now)
-		work := h.fleet.Conf.Reports.ProbeWork.Seconds()
+		work := h.fleet.Conf.LoadReports.HealthCheckWork.Seconds()
 		h.job(work, now)
 		h.work += work
 		report := h.report
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -123,12 +123,12 @@
 }
 
 // startNode starts the program as the platform does.
-func (p *player) startNode(spec fleet.Nodes, total int) error {
-	i, centre := len(p.nodes), p.f.Centre(spec.Centre)
+func (p *player) startNode(spec fleet.NodePool, total int) error {
+	i, centre := len(p.nodes), p.f.Centre(spec.Zone)
 	name := fmt.Sprintf("n%d", i)
 	conf, err := json.Marshal(map[string]any{"name": name, "listen": "127.0.0.1:0", "discovery": p.stand.Discovery(centre),
 		"seed": fmt.Sprintf("%x", workload.Mix(p.o.Seed+uint64(i))), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": spec.Sockets},
-		"known": p.stand.Entries(centre), "settings": p.f.SettingsJSON(i, total, spec.Centre)})
+		"known": p.stand.Entries(centre), "settings": p.f.SettingsJSON(i, total, spec.Zone)})
 	if err != nil {
 		return err
 	}
@@ -329,8 +329,8 @@
 			}
 			sleep(ctx, time.Now().Add(wait))
 		case broken:
-			span := time.Duration(k.RejoinMax) - time.Duration(k.RejoinMin)
-			sleep(ctx, time.Now().Add(time.Duration(k.RejoinMin)+time.Duration(rng.Float64()*float64(span))))
+			span := time.Duration(k.ReconnectMax) - time.Duration(k.ReconnectMin)
+			sleep(ctx, time.Now().Add(time.Duration(k.ReconnectMin)+time.Duration(rng.Float64()*float64(span))))
 		}
 	}
 }
@@ -356,7 +356,7 @@
 		return refused, 0
 	}
 	defer c.Close()
-	patience := time.Duration(class.Patience)
+	patience := time.Duration(class.Deadline)
 	tenant := ""
 	if s.Edition >= 0 {
 		tenant = ",t=" + p.f.Editions[s.Edition].Name
@@ -385,7 +385,7 @@
 		p.count(func(t *Stats) { t.Failed++ })
 		return refused, 0
 	}
-	return p.talk(ctx, c, r, s, worth, time.Duration(class.MessageAim), rng), 0
+	return p.talk(ctx, c, r, s, worth, time.Duration(class.MessageObjective), rng), 0
 }
 
 // talk sends a message each messageEvery, at a phase of its own; one that is answered within the aim stands for that time.
--- a/internal/lab/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	f.Centres, f.Delays = f.Centres[:2], nil
-	f.Servers = []fleet.Servers{{Kind: "std-2c", Centre: "cluj-1", Count: 3}, {Kind: "slow-2c", Centre: "bucuresti-1", Count: 1}}
+	f.ServerPools = []fleet.ServerPool{{Kind: "std-2c", Zone: "cluj-1", Count: 3}, {Kind: "slow-2c", Zone: "bucuresti-1", Count: 1}}
 	f.Nodes = f.Nodes[:2]
 	l := workload.Draw(f, workload.Drawn{Seed: 1, Length: 6 * time.Second, Standing: 12})
 	for i := range l.Sessions {
--- /dev/null
+++ b/internal/plan/fleet/capacity.go
@@ -0,0 +1,95 @@
+package fleet
+
+import "time"
+
+// CoreLoad returns the fraction of a reference core that one standard connection takes.
+func (f *Fleet) CoreLoad() float64 { return 1 / f.General.ConnectionsPerCore }
+
+// MeanLoad returns the mean load of a new connection by the classes' shares, in standard connections.
+func (f *Fleet) MeanLoad() float64 {
+	loads := 0.0
+	shares := 0.0
+	for _, class := range f.Classes {
+		loads += class.Share * class.Load
+		shares += class.Share
+	}
+	return loads / shares
+}
+
+// MachineKind returns the kind of a name. It panics where there is none: a file that was validated has it.
+func (f *Fleet) MachineKind(name string) *MachineKind {
+	for i := range f.MachineKinds {
+		if f.MachineKinds[i].Name == name {
+			return &f.MachineKinds[i]
+		}
+	}
+	panic("fleet: unknown kind " + name)
+}
+
+// Centre returns the index of the zone of a name, or -1 where there is none.
+func (f *Fleet) Centre(name string) int {
+	for i, zone := range f.Centres {
+		if zone.Name == name {
+			return i
+		}
+	}
+	return -1
+}
+
+// Count returns the number of servers.
+func (f *Fleet) Count() int {
+	count := 0
+	for _, pool := range f.ServerPools {
+		count += pool.Count
+	}
+	return count
+}
+
+// NodeCount returns the number of nodes.
+func (f *Fleet) NodeCount() int {
+	count := 0
+	for _, pool := range f.Nodes {
+		count += pool.Count
+	}
+	return count
+}
+
+// Cores returns the capacity of all servers, in reference cores.
+func (f *Fleet) Cores() float64 {
+	cores := 0.0
+	for _, pool := range f.ServerPools {
+		kind := f.MachineKind(pool.Kind)
+		cores += float64(pool.Count) * kind.Cores * kind.Speed
+	}
+	return cores
+}
+
+// OneWay returns the one-way latency between two zones, by their indexes.
+func (f *Fleet) OneWay(from, to int) time.Duration {
+	if from == to {
+		return time.Duration(f.Network.SameZone)
+	}
+	for _, delay := range f.Delays {
+		first := f.Centre(delay.From)
+		second := f.Centre(delay.To)
+		if first == from && second == to || first == to && second == from {
+			return time.Duration(delay.OneWay)
+		}
+	}
+	return time.Duration(f.Network.CrossZone)
+}
+
+// Quota returns the number of connections of mean load that a tenant may hold over all nodes.
+func (f *Fleet) Quota(tenant int) float64 {
+	fraction := f.Editions[tenant].Share / f.tenantShares() * f.General.QuotaFraction
+	return fraction * f.Cores() / (f.MeanLoad() * f.CoreLoad())
+}
+
+// tenantShares is the sum of the tenants' shares.
+func (f *Fleet) tenantShares() float64 {
+	sum := 0.0
+	for _, tenant := range f.Editions {
+		sum += tenant.Share
+	}
+	return sum
+}
--- /dev/null
+++ b/internal/plan/fleet/resize.go
@@ -0,0 +1,48 @@
+package fleet
+
+import (
+	"math"
+	"slices"
+)
+
+// roundingTolerance keeps a remainder that is none but for rounding from counting as one.
+const roundingTolerance = 1e-9
+
+// Clone returns a copy whose pools of servers and nodes can be changed. The other tables are shared.
+func (f *Fleet) Clone() *Fleet {
+	clone := *f
+	clone.ServerPools = slices.Clone(f.ServerPools)
+	clone.Nodes = slices.Clone(f.Nodes)
+	return &clone
+}
+
+// Resize returns a copy with so many servers in all, in the proportions of the file: the pools with the largest
+// remainders are rounded up.
+func (f *Fleet) Resize(servers int) *Fleet {
+	resized := f.Clone()
+	before := float64(f.Count())
+	if before == 0 {
+		resized.ServerPools[0].Count = servers
+		return resized
+	}
+	missing := servers
+	remainders := make([]float64, len(resized.ServerPools))
+	for i := range resized.ServerPools {
+		pool := &resized.ServerPools[i]
+		exact := float64(servers) * float64(pool.Count) / before
+		pool.Count = int(math.Floor(exact + roundingTolerance))
+		remainders[i] = exact - float64(pool.Count)
+		missing -= pool.Count
+	}
+	for ; missing > 0; missing-- {
+		largest := 0
+		for i := range remainders {
+			if remainders[i] > remainders[largest]+roundingTolerance {
+				largest = i
+			}
+		}
+		resized.ServerPools[largest].Count++
+		remainders[largest] = -1
+	}
+	return resized
+}
--- a/internal/plan/planner/bound.go
+++ b/internal/plan/planner/bound.go
@@ -47,10 +47,10 @@
 		}
 		eachWindow(s.At, s.At+s.Life, func(i int, part float64) {
 			wins[i].work += x * usual * part
-			wins[i].worth += c.Worth * part
+			wins[i].worth += c.Priority * part
 			wins[i].standing += part
 			classes[i][s.Class].work += x * usual * part
-			classes[i][s.Class].worth += c.Worth * part
+			classes[i][s.Class].worth += c.Priority * part
 		})
 		if i := int(s.At / window); i < n {
 			wins[i].work += c.SetupWork.Seconds() / window.Seconds()
@@ -100,8 +100,8 @@
 	for _, k := range f.Nodes {
 		slots += float64(k.Count) * math.Max(0, float64(k.Sockets-spareSlots)) / 2
 	}
-	for _, s := range f.Servers {
-		caps += float64(s.Count) * float64(f.Kind(s.Kind).Connections)
+	for _, s := range f.ServerPools {
+		caps += float64(s.Count) * float64(f.MachineKind(s.Kind).Connections)
 	}
 	if peak.standing > slots {
 		b.Cannot = append(b.Cannot, fmt.Sprintf("%.0f standing connections need two descriptors each; all nodes have room for %.0f", peak.standing, slots))
@@ -110,8 +110,8 @@
 		b.Cannot = append(b.Cannot, fmt.Sprintf("%.0f standing connections; all servers hold %.0f at most", peak.standing, caps))
 	}
 	one := 0.0
-	for _, s := range f.Servers {
-		if k := f.Kind(s.Kind); s.Count > 0 {
+	for _, s := range f.ServerPools {
+		if k := f.MachineKind(s.Kind); s.Count > 0 {
 			one = max(one, k.Cores*k.Speed)
 		}
 	}
--- a/internal/plan/planner/client.go
+++ b/internal/plan/planner/client.go
@@ -156,7 +156,7 @@
 		told = c.s.Load * w.fleet.CoreLoad()
 	}
 	c.request = n.core.Open(edge.Spec{ID: choice.RequestID(strconv.Itoa(w.ids)), Class: c.s.Class, Tenant: c.s.Edition, Key: c.s.Client,
-		Group: c.s.Group, Load: told, OpenAt: at, Deadline: epoch.Add(w.now + time.Duration(c.class().Patience))}, c)
+		Group: c.s.Group, Load: told, OpenAt: at, Deadline: epoch.Add(w.now + time.Duration(c.class().Deadline))}, c)
 }
 
 // settled gives the client's descriptor back.
@@ -181,8 +181,8 @@
 // rejoin has the client come back after a break or a move.
 func (c *client) rejoin() {
 	k := c.w.fleet.Clients
-	span := time.Duration(k.RejoinMax) - time.Duration(k.RejoinMin)
-	c.w.at(c.w.now+time.Duration(k.RejoinMin)+time.Duration(c.w.rng.Float64()*float64(span)), nil, c.come)
+	span := time.Duration(k.ReconnectMax) - time.Duration(k.ReconnectMin)
+	c.w.at(c.w.now+time.Duration(k.ReconnectMin)+time.Duration(c.w.rng.Float64()*float64(span)), nil, c.come)
 }
 
 // Attempt starts an upstream request: a connection, the request's way, the set-up, and the answer's way back.
--- a/internal/plan/planner/host.go
+++ b/internal/plan/planner/host.go
@@ -16,7 +16,7 @@
 type host struct {
 	w       *world
 	id      choice.ServerID
-	kind    *fleet.Kind
+	kind    *fleet.MachineKind
 	centre  int
 	speed   float64
 	cold    bool
@@ -44,25 +44,25 @@
 	wander workload.Wander
 }
 
-func (w *world) addHost(k *fleet.Kind, centre int, cold bool) {
+func (w *world) addHost(k *fleet.MachineKind, centre int, cold bool) {
 	speed := k.Speed * max(0.3, 1+k.SpeedSpread*w.rng.NormFloat64())
 	h := &host{w: w, id: choice.ServerID(fmt.Sprintf("s-%04d", len(w.hosts))), kind: k, centre: centre, speed: speed, cold: cold,
 		conns: map[*conn]struct{}{}, groups: map[uint64]int{}}
 	for range w.fleet.Classes {
 		h.worth = append(h.worth, make([]float64, max(1, len(w.fleet.Editions))))
 	}
-	h.refresh = time.Duration(w.rng.Float64() * float64(w.fleet.Reports.Every))
+	h.refresh = time.Duration(w.rng.Float64() * float64(w.fleet.LoadReports.Interval))
 	w.hosts = append(w.hosts, h)
 	w.byID[h.id] = h
 }
 
 // warm is the part of its capacity that it has.
 func (h *host) warm() float64 {
-	c := h.w.fleet.Cold
+	c := h.w.fleet.SlowStart
 	if !h.cold || h.w.now >= time.Duration(c.WarmUp) {
 		return 1
 	}
-	return c.Share + (1-c.Share)*h.w.now.Seconds()/c.WarmUp.Seconds()
+	return c.Fraction + (1-c.Fraction)*h.w.now.Seconds()/c.WarmUp.Seconds()
 }
 
 // cores is what it can do now, in yardstick cores.
@@ -89,7 +89,7 @@
 		asked, all = asked+h.top*able, all+able
 		if len(h.conns) > 0 {
 			for k := range h.worth {
-				aim := (w.fleet.Classes[k].MessageAim.Seconds() - job/h.speed) * able
+				aim := (w.fleet.Classes[k].MessageObjective.Seconds() - job/h.speed) * able
 				if part := below(from, h.piled, aim); part > 0 {
 					got := w.got[k*editions : (k+1)*editions]
 					for e, x := range h.worth[k] {
@@ -99,8 +99,8 @@
 			}
 		}
 		if w.now >= h.refresh {
-			h.refresh += time.Duration(w.fleet.Reports.Every)
-			noise := func() float64 { return max(0.1, 1+w.fleet.Reports.Noise*w.rng.NormFloat64()) }
+			h.refresh += time.Duration(w.fleet.LoadReports.Interval)
+			noise := func() float64 { return max(0.1, 1+w.fleet.LoadReports.Noise*w.rng.NormFloat64()) }
 			h.seen = [3]float64{1000 * job / h.speed, min(1, h.asked) * noise(), h.asked * noise()}
 		}
 		w.limits.hit(w, limitServer, h, h.top)
@@ -207,16 +207,16 @@
 	if !h.cold || h.warm() == 1 {
 		return
 	}
-	w, c := h.w, h.w.fleet.Cold
+	w, c := h.w, h.w.fleet.SlowStart
 	load := k.client.class().Load * w.fleet.CoreLoad()
 	h.budget += load
-	w.at(w.now+time.Duration(c.FallTime), nil, func() { h.budget -= load })
+	w.at(w.now+time.Duration(c.OverloadTime), nil, func() { h.budget -= load })
 	// New connections a second that would fill it over its warm-up, times its warmth; and some slack for chance.
-	able := h.cores() / c.WarmUp.Seconds() * c.FallTime.Seconds()
+	able := h.cores() / c.WarmUp.Seconds() * c.OverloadTime.Seconds()
 	slack := 4 * w.fleet.MeanLoad() * w.fleet.CoreLoad()
-	if h.budget > c.FallMultiple*able+slack {
+	if h.budget > c.OverloadMultiple*able+slack {
 		w.stats.Fallen++
-		w.limits.hit(w, limitCold, h, h.budget/(c.FallMultiple*able+slack))
+		w.limits.hit(w, limitCold, h, h.budget/(c.OverloadMultiple*able+slack))
 		h.dead = true
 		h.breakAll()
 		w.at(w.now+time.Duration(w.fleet.Discovery.Delay), nil, w.tellAll)
--- a/internal/plan/planner/lose.go
+++ b/internal/plan/planner/lose.go
@@ -53,14 +53,14 @@
 	}
 	out := Loss{Classes: map[string]Phases{}}
 	centre := f.Centre(o.Lose)
-	for _, s := range f.Servers {
-		if f.Centre(s.Centre) == centre {
+	for _, s := range f.ServerPools {
+		if f.Centre(s.Zone) == centre {
 			out.ServersLost += s.Count
 		}
 	}
 	for _, n := range f.Nodes {
 		out.Nodes += n.Count
-		if f.Centre(n.Centre) == centre {
+		if f.Centre(n.Zone) == centre {
 			out.NodesLost += n.Count
 		}
 	}
--- a/internal/plan/planner/planner_test.go
+++ b/internal/plan/planner/planner_test.go
@@ -52,11 +52,11 @@
 func one(t testing.TB, n int) *fleet.Fleet {
 	f := evening(t)
 	f.Centres, f.Delays, f.Editions = f.Centres[:1], nil, nil
-	f.Servers = []fleet.Servers{{Kind: "std-2c", Centre: "cluj-1", Count: n}}
-	f.Nodes = []fleet.Nodes{{Centre: "cluj-1", Count: 2, Sockets: 4096}}
+	f.ServerPools = []fleet.ServerPool{{Kind: "std-2c", Zone: "cluj-1", Count: n}}
+	f.Nodes = []fleet.NodePool{{Zone: "cluj-1", Count: 2, Sockets: 4096}}
 	f.General.ConnectionsPerCore, f.Group.Cost, f.Store.Rate = 60, 0, 0
 	for i := range f.Classes {
-		f.Classes[i].Life = fleet.Duration(8 * time.Second)
+		f.Classes[i].Lifetime = fleet.Duration(8 * time.Second)
 	}
 	return f
 }
@@ -215,7 +215,7 @@
 // busiest stretch of a load finds the same within a server.
 func TestSizeIsLeast(t *testing.T) {
 	f := one(t, 4)
-	f.Servers = append(f.Servers, fleet.Servers{Kind: "slow-2c", Centre: "cluj-1", Count: 4})
+	f.ServerPools = append(f.ServerPools, fleet.ServerPool{Kind: "slow-2c", Zone: "cluj-1", Count: 4})
 	l := filled(one(t, 4), 0.7, 60)
 	o := SizeOptions{Options: Options{Seed: 1}, Target: 0.9, Reps: 3, Most: 60}
 	s, err := LeastServers(f, l, o)
--- a/internal/plan/planner/size.go
+++ b/internal/plan/planner/size.go
@@ -133,7 +133,7 @@
 
 func kinds(f *fleet.Fleet) map[string]int {
 	out := map[string]int{}
-	for _, s := range f.Servers {
+	for _, s := range f.ServerPools {
 		out[s.Kind] += s.Count
 	}
 	return out
@@ -147,7 +147,7 @@
 }
 
 func (s *search) size(f *fleet.Fleet) (Size, error) {
-	key := fmt.Sprint(f.Servers)
+	key := fmt.Sprint(f.ServerPools)
 	if v, ok := s.known[key]; ok {
 		return v, nil
 	}
@@ -245,10 +245,10 @@
 	for again := true; again; {
 		again = false
 		clear(out.OneBelow)
-		for k := range f.Kinds {
-			name, most := f.Kinds[k].Name, -1
-			for i, x := range best.Servers {
-				if x.Kind == name && x.Count > 0 && (most < 0 || x.Count > best.Servers[most].Count) {
+		for k := range f.MachineKinds {
+			name, most := f.MachineKinds[k].Name, -1
+			for i, x := range best.ServerPools {
+				if x.Kind == name && x.Count > 0 && (most < 0 || x.Count > best.ServerPools[most].Count) {
 					most = i
 				}
 			}
@@ -256,7 +256,7 @@
 				continue
 			}
 			c := best.Clone()
-			c.Servers[most].Count--
+			c.ServerPools[most].Count--
 			v, err := s.size(c)
 			if err != nil {
 				return out, err
--- a/internal/plan/planner/validate.go
+++ b/internal/plan/planner/validate.go
@@ -39,7 +39,7 @@
 	f := base.Clone()
 	f.General.Name = fmt.Sprintf("trial %d", i)
 	f.General.ConnectionsPerCore = 35 + 30*rng.Float64() // enough connections that chance doesn't hide what is wrong
-	f.Centres = append([]fleet.Centre(nil), base.Centres[:min(len(base.Centres), 2+rng.IntN(2))]...)
+	f.Centres = append([]fleet.Zone(nil), base.Centres[:min(len(base.Centres), 2+rng.IntN(2))]...)
 	f.Delays = nil
 	f.Classes = append([]fleet.Class(nil), base.Classes...)
 	for k := range f.Classes {
@@ -47,10 +47,10 @@
 		c.Share *= 0.6 + 0.8*rng.Float64()
 		c.Load *= 0.5 + 0.6*rng.Float64() // small fleets: no connection may fill a server
 		c.LoadSpread *= 0.3 + 0.7*rng.Float64()
-		c.Life = fleet.Duration(float64(8*time.Second) * (0.7 + 0.8*rng.Float64()))
+		c.Lifetime = fleet.Duration(float64(8*time.Second) * (0.7 + 0.8*rng.Float64()))
 	}
-	f.Editions = append([]fleet.Edition(nil), base.Editions...)
-	f.Servers, f.Nodes = nil, nil
+	f.Editions = append([]fleet.Tenant(nil), base.Editions...)
+	f.ServerPools, f.Nodes = nil, nil
 	n := 5 + rng.IntN(5)
 	slow := 0.2 + 0.4*rng.Float64()
 	if t.What == "mostly slow" {
@@ -63,17 +63,17 @@
 				k++
 			}
 			if k > 0 {
-				f.Servers = append(f.Servers, fleet.Servers{Kind: kind, Centre: f.Centres[c].Name, Count: k})
+				f.ServerPools = append(f.ServerPools, fleet.ServerPool{Kind: kind, Zone: f.Centres[c].Name, Count: k})
 			}
 		}
 	}
 	few := int(float64(n)*slow + 0.5)
-	place(f.Kinds[0].Name, n-few)
-	if len(f.Kinds) > 1 {
-		place(f.Kinds[1].Name, few)
+	place(f.MachineKinds[0].Name, n-few)
+	if len(f.MachineKinds) > 1 {
+		place(f.MachineKinds[1].Name, few)
 	}
 	for _, c := range f.Centres {
-		f.Nodes = append(f.Nodes, fleet.Nodes{Centre: c.Name, Count: 1, Sockets: 1024})
+		f.Nodes = append(f.Nodes, fleet.NodePool{Zone: c.Name, Count: 1, Sockets: 1024})
 	}
 	switch t.What {
 	case "group-heavy":
--- a/internal/plan/planner/world.go
+++ b/internal/plan/planner/world.go
@@ -209,9 +209,9 @@
 		}
 		w.ways = append(w.ways, row)
 	}
-	for _, s := range f.Servers {
+	for _, s := range f.ServerPools {
 		for range s.Count {
-			w.addHost(f.Kind(s.Kind), f.Centre(s.Centre), s.Cold || o.AllCold)
+			w.addHost(f.MachineKind(s.Kind), f.Centre(s.Zone), s.WarmingUp || o.AllCold)
 		}
 	}
 	total := 0
@@ -228,9 +228,9 @@
 	return w, nil
 }
 
-func (w *world) addNode(spec fleet.Nodes, total int) error {
-	n := &node{w: w, centre: w.fleet.Centre(spec.Centre), most: spec.Sockets - spareSlots}
-	s, err := w.fleet.Settings(len(w.nodes), total, spec.Centre)
+func (w *world) addNode(spec fleet.NodePool, total int) error {
+	n := &node{w: w, centre: w.fleet.Centre(spec.Zone), most: spec.Sockets - spareSlots}
+	s, err := w.fleet.Settings(len(w.nodes), total, spec.Zone)
 	if err != nil {
 		return fmt.Errorf("planner: settings of a node: %w", err)
 	}
@@ -270,7 +270,7 @@
 			w.at(w.now+way, n, func() { done(choice.ConnectFailed, nil) })
 			return
 		}
-		h.work += w.fleet.Reports.ProbeWork.Seconds()
+		h.work += w.fleet.LoadReports.HealthCheckWork.Seconds()
 		report := h.report()
 		w.at(w.now+way, n, func() { done(choice.Served, report) })
 	})
--- a/internal/plan/workload/capture.go
+++ b/internal/plan/workload/capture.go
@@ -185,7 +185,7 @@
 func editionsOf(c *Captured, f *fleet.Fleet) ([]int, error) {
 	places := make([]int, len(c.Tenants))
 	for i, name := range c.Tenants {
-		places[i] = slices.IndexFunc(f.Editions, func(edition fleet.Edition) bool { return edition.Name == name })
+		places[i] = slices.IndexFunc(f.Editions, func(edition fleet.Tenant) bool { return edition.Name == name })
 		if places[i] < 0 && len(f.Editions) > 0 {
 			return nil, fmt.Errorf("the capture holds edition %q, the fleet file has none of this name: add an [[edition]]", name)
 		}
@@ -221,7 +221,7 @@
 		k := classes[q.Class]
 		begin, end := q.At, q.At+capture.Duration(q.Took)+q.Life
 		if !q.Ended && q.Answer == capture.Up {
-			end += time.Duration(rng.ExpFloat64() * float64(f.Classes[k].Life))
+			end += time.Duration(rng.ExpFloat64() * float64(f.Classes[k].Lifetime))
 		}
 		if i, ok := last[q.Client]; ok && q.Client != 0 && out.Sessions[i].Class == k && begin-until[i] < again {
 			s := &out.Sessions[i]
@@ -245,7 +245,7 @@
 	// A session whose client was never served tells no life: it wanted what its class does.
 	for i := range out.Sessions {
 		if s := &out.Sessions[i]; s.Life <= 100*time.Millisecond {
-			s.Life = time.Duration(rng.ExpFloat64() * float64(f.Classes[s.Class].Life))
+			s.Life = time.Duration(rng.ExpFloat64() * float64(f.Classes[s.Class].Lifetime))
 		}
 	}
 	out.sort()
--- a/internal/plan/workload/load.go
+++ b/internal/plan/workload/load.go
@@ -182,7 +182,7 @@
 	sum := 0.0
 	for i, c := range f.Classes {
 		shares[i] = c.Share
-		meanLife, sum = meanLife+c.Share*c.Life.Seconds(), sum+c.Share
+		meanLife, sum = meanLife+c.Share*c.Lifetime.Seconds(), sum+c.Share
 	}
 	meanLife /= sum
 	for i, e := range f.Editions {
@@ -195,9 +195,9 @@
 	add := func(at time.Duration, group uint64, edition, centre int, residual bool) {
 		class := Pick(rng, shares)
 		c := f.Classes[class]
-		life := c.Life.Seconds() * Lognormal(rng, c.LifeSpread)
-		if c.LifeSpread == 0 {
-			life = c.Life.Seconds() * rng.ExpFloat64()
+		life := c.Lifetime.Seconds() * Lognormal(rng, c.LifetimeSpread)
+		if c.LifetimeSpread == 0 {
+			life = c.Lifetime.Seconds() * rng.ExpFloat64()
 		} else if residual {
 			life *= rng.Float64()
 		}
@@ -293,8 +293,8 @@
 
 // Next is the load from now on and how long it lasts; 0: for ever.
 func (w *Wander) Next() (load float64, lasts time.Duration) {
-	if w.class.Swing == 0 {
+	if w.class.LoadVariation == 0 {
 		return w.level, 0
 	}
-	return w.level * Lognormal(w.rng, w.class.Swing), max(10*time.Millisecond, time.Duration(w.rng.ExpFloat64()*float64(w.class.Change)))
+	return w.level * Lognormal(w.rng, w.class.LoadVariation), max(10*time.Millisecond, time.Duration(w.rng.ExpFloat64()*float64(w.class.LoadChangeInterval)))
 }
--- a/internal/plan/workload/service.go
+++ b/internal/plan/workload/service.go
@@ -18,12 +18,12 @@
 		for len(ends) > 0 && ends[0].at <= s.At {
 			held[heap.Pop(&ends).(ending).edition]--
 		}
-		out[i] = f.Classes[s.Class].Worth
+		out[i] = f.Classes[s.Class].Priority
 		if s.Edition < 0 {
 			continue
 		}
 		if float64(held[s.Edition]) >= f.Quota(s.Edition) {
-			out[i] *= f.General.OverShareWorth
+			out[i] *= f.General.OverQuotaPriority
 		}
 		held[s.Edition]++
 		heap.Push(&ends, ending{s.At + s.Life, s.Edition})
