--- a/internal/lab/fakeserver/host.go
+++ b/internal/lab/fakeserver/host.go
@@ -80,7 +80,7 @@
 	sock   net.Conn
 	group  uint64
 	load   float64
-	wander workload.Wander
+	wander workload.LoadProcess
 	change time.Time
 }
 
@@ -341,7 +341,7 @@
 		return false
 	}
 	now = time.Now()
-	k.wander = workload.NewWander(h.fleet.seed^key*3, c, 0)
+	k.wander = workload.NewLoadProcess(h.fleet.seed^key*3, c, 0)
 	h.conns[k] = struct{}{}
 	if k.group != 0 && h.fleet.Conf.Group.Cost > 0 {
 		if h.groups[k.group]++; h.groups[k.group] == 1 {
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -88,8 +88,8 @@
 		return r, err
 	}
 	defer stand.Close()
-	p := &player{o: o, f: f, l: l, stand: stand, worths: workload.Worths(f, l), account: workload.NewAccount(f, l.Length), rng: rand.New(rand.NewPCG(o.Seed, 3))}
-	p.account.Wanted(l, p.worths)
+	p := &player{o: o, f: f, l: l, stand: stand, worths: workload.Priorities(f, l), account: workload.NewAccount(f, l.Length), rng: rand.New(rand.NewPCG(o.Seed, 3))}
+	p.account.AddDemand(l, p.worths)
 	defer func() {
 		if e := p.stop(); err == nil {
 			err = e
@@ -117,7 +117,7 @@
 	r.Stats.Sheds, r.Stats.Fallen = s.Sheds, s.Fallen
 	r.Service, r.Classes, r.Editions = p.account.Service()
 	r.Editions = r.Editions[:len(f.Editions)]
-	r.Worst, _ = p.account.Worst(10 * time.Second)
+	r.Worst, _ = p.account.WorstWindow(10 * time.Second)
 	r.Lag = percentile(p.lags, 0.99)
 	return r, nil
 }
@@ -228,7 +228,7 @@
 	}
 	for i := range p.l.Sessions {
 		s := &p.l.Sessions[i]
-		if !sleep(ctx, p.begin.Add(s.At)) {
+		if !sleep(ctx, p.begin.Add(s.Arrival)) {
 			break
 		}
 		wait.Add(1)
@@ -308,7 +308,7 @@
 
 // session plays one client until it wants its connection no longer.
 func (p *player) session(ctx context.Context, s *workload.Session, worth float64) {
-	end := p.begin.Add(s.At + s.Life)
+	end := p.begin.Add(s.Arrival + s.Lifetime)
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	rng := rand.New(rand.NewPCG(p.o.Seed, s.Client))
@@ -316,7 +316,7 @@
 	failures := 0
 	for ctx.Err() == nil {
 		how, after := refused, time.Duration(0)
-		if n := p.pick(s.Centre); n != nil {
+		if n := p.pick(s.Zone); n != nil {
 			how, after = p.connect(ctx, n, s, worth, rng, &failures)
 		}
 		switch how {
@@ -358,8 +358,8 @@
 	defer c.Close()
 	patience := time.Duration(class.Deadline)
 	tenant := ""
-	if s.Edition >= 0 {
-		tenant = ",t=" + p.f.Editions[s.Edition].Name
+	if s.Tenant >= 0 {
+		tenant = ",t=" + p.f.Editions[s.Tenant].Name
 	}
 	group := ""
 	if s.Group != 0 {
@@ -402,7 +402,7 @@
 		defer p.mu.Unlock()
 		p.lags = append(p.lags, lags...)
 		for _, at := range got {
-			p.account.Served(at.Sub(p.begin), s.Class, s.Edition, worth*messageEvery.Seconds())
+			p.account.AddServed(at.Sub(p.begin), s.Class, s.Tenant, worth*messageEvery.Seconds())
 		}
 	}()
 	for {
--- a/internal/lab/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -28,7 +28,7 @@
 	f.Nodes = f.Nodes[:2]
 	l := workload.Draw(f, workload.Drawn{Seed: 1, Length: 6 * time.Second, Standing: 12})
 	for i := range l.Sessions {
-		l.Sessions[i].Life = max(l.Sessions[i].Life, time.Second)
+		l.Sessions[i].Lifetime = max(l.Sessions[i].Lifetime, time.Second)
 	}
 	r, err := Play(context.Background(), f, l, Options{Node: bin, Dir: t.TempDir(), Seed: 1, Capture: true, Lose: "bucuresti-1", LoseAt: 3 * time.Second})
 	if err != nil {
--- a/internal/plan/planner/bound.go
+++ b/internal/plan/planner/bound.go
@@ -11,16 +11,16 @@
 
 // Bound is what arithmetic alone tells: no placement can do better, however good.
 type Bound struct {
-	Service float64  `json:"service"` // at most
-	Cores   float64  `json:"cores"`   // that all servers have, warm
-	Asked   float64  `json:"asked"`   // in the busiest 10 s, with each group paid for once
-	AskedAt float64  `json:"asked_at_s"`
-	Cannot  []string `json:"cannot"` // what can't work, in words
+	Service   float64  `json:"service"` // at most
+	Cores     float64  `json:"cores"`   // that all servers have, warm
+	Demand    float64  `json:"asked"`   // in the busiest 10 s, with each group paid for once
+	DemandAtS float64  `json:"asked_at_s"`
+	Cannot    []string `json:"cannot"` // what can't work, in words
 }
 
 // Bounds takes the load in windows of 10 s against what the fleet has. A window that asks for more than all servers can do
 // is served in part at most: what earns most for its load first.
-func Bounds(f *fleet.Fleet, l *workload.Load) Bound {
+func UpperBound(f *fleet.Fleet, l *workload.Load) Bound {
 	b := Bound{Cores: f.Cores(), Service: 1}
 	n := int(l.Length/window) + 1
 
@@ -45,14 +45,14 @@
 		if x == 0 {
 			x = c.Load
 		}
-		eachWindow(s.At, s.At+s.Life, func(i int, part float64) {
+		eachWindow(s.Arrival, s.Arrival+s.Lifetime, func(i int, part float64) {
 			wins[i].work += x * usual * part
 			wins[i].worth += c.Priority * part
 			wins[i].standing += part
 			classes[i][s.Class].work += x * usual * part
 			classes[i][s.Class].worth += c.Priority * part
 		})
-		if i := int(s.At / window); i < n {
+		if i := int(s.Arrival / window); i < n {
 			wins[i].work += c.SetupWork.Seconds() / window.Seconds()
 			wins[i].setups += 1 / window.Seconds()
 		}
@@ -62,9 +62,9 @@
 	}
 	biggest := 0.0 // load of one group at once, with its cost
 	for _, g := range groups {
-		from, to, sum := g[0].At, g[0].At, 0.0
+		from, to, sum := g[0].Arrival, g[0].Arrival, 0.0
 		for _, s := range g {
-			from, to = min(from, s.At), max(to, s.At+s.Life)
+			from, to = min(from, s.Arrival), max(to, s.Arrival+s.Lifetime)
 			x := s.Load
 			if x == 0 {
 				x = f.Classes[s.Class].Load
@@ -79,8 +79,8 @@
 	for i, c := range wins {
 		want += c.worth
 		got += most(classes[i], c, b.Cores)
-		if c.work > b.Asked {
-			b.Asked, b.AskedAt = c.work, float64(i)*window.Seconds()
+		if c.work > b.Demand {
+			b.Demand, b.DemandAtS = c.work, float64(i)*window.Seconds()
 		}
 		peak.standing = max(peak.standing, c.standing)
 		setups = max(setups, c.setups)
@@ -90,8 +90,8 @@
 	}
 	if b.Cores <= 0 {
 		b.Cannot = append(b.Cannot, "there is no server at all")
-	} else if b.Asked > b.Cores {
-		b.Cannot = append(b.Cannot, fmt.Sprintf("the busiest 10 s, from %.0f s on, ask for %.1f cores; all servers have %.1f", b.AskedAt, b.Asked, b.Cores))
+	} else if b.Demand > b.Cores {
+		b.Cannot = append(b.Cannot, fmt.Sprintf("the busiest 10 s, from %.0f s on, ask for %.1f cores; all servers have %.1f", b.DemandAtS, b.Demand, b.Cores))
 	}
 	if r := f.Store.Rate; r > 0 && setups > r {
 		b.Cannot = append(b.Cannot, fmt.Sprintf("%.1f new connections a second need the session store, which bears %.1f", setups, r))
--- a/internal/plan/planner/client.go
+++ b/internal/plan/planner/client.go
@@ -16,18 +16,18 @@
 // client is one session's client: it comes, is answered, comes again after a break or a refusal, and leaves when it wants
 // its connection no longer.
 type client struct {
-	w        *world
+	w        *simulation
 	s        *workload.Session
 	worth    float64 // a second
 	node     *node   // where its request or connection is
 	request  *edge.Request
-	try      *try
+	try      *attempt
 	failures int
 	gone     bool
 }
 
 // try is one attempt.
-type try struct {
+type attempt struct {
 	c      *client
 	a      *edge.Attempt
 	node   *node
@@ -38,13 +38,13 @@
 func (c *client) class() *fleet.Class { return &c.w.fleet.Classes[c.s.Class] }
 
 // arrive begins a session.
-func (w *world) arrive(s *workload.Session, worth float64, standing bool) {
+func (w *simulation) arrive(s *workload.Session, worth float64, standing bool) {
 	c := &client{w: w, s: s, worth: worth}
-	e := max(0, s.Edition)
+	e := max(0, s.Tenant)
 	w.limits.hit(w, limitShare, nil, float64(w.held[e]+1)/w.quota[e])
 	w.held[e]++
 	w.stats.Sessions++
-	w.at(s.At+s.Life, nil, c.leave)
+	w.at(s.Arrival+s.Lifetime, nil, c.leave)
 	if !standing {
 		c.come()
 		return
@@ -55,7 +55,7 @@
 	if who == 0 {
 		who = s.Client
 	}
-	var two [2]*host // the first two of the group's own order of servers
+	var two [2]*server // the first two of the group's own order of servers
 	var most [2]float64
 	for i, h := range w.hosts {
 		u := (float64(workload.Mix(who^workload.Mix(uint64(i)))>>11) + 0.5) / (1 << 53)
@@ -83,7 +83,7 @@
 
 // leave ends the session.
 func (c *client) leave() {
-	e := max(0, c.s.Edition)
+	e := max(0, c.s.Tenant)
 	c.gone = true
 	c.w.held[e]--
 	if r := c.request; r != nil {
@@ -114,7 +114,7 @@
 		if n.dead {
 			continue
 		}
-		if far = append(far, n); c.s.Centre < 0 || n.centre == c.s.Centre {
+		if far = append(far, n); c.s.Zone < 0 || n.centre == c.s.Zone {
 			near = append(near, n)
 		}
 	}
@@ -143,7 +143,7 @@
 	w.stats.Requests++
 	w.requests[min(int(w.now/time.Second), len(w.requests)-1)]++
 	if w.limits.hit(w, limitSockets, nil, float64(n.open+2)/float64(n.most)); n.open+2 > n.most {
-		w.stats.Refused++
+		w.stats.Rejected++
 		c.again(time.Second) // the front's own refusal
 		return
 	}
@@ -155,7 +155,7 @@
 	if c.s.Load > 0 {
 		told = c.s.Load * w.fleet.CoreLoad()
 	}
-	c.request = n.core.Open(edge.Spec{ID: choice.RequestID(strconv.Itoa(w.ids)), Class: c.s.Class, Tenant: c.s.Edition, Key: c.s.Client,
+	c.request = n.core.Open(edge.Spec{ID: choice.RequestID(strconv.Itoa(w.ids)), Class: c.s.Class, Tenant: c.s.Tenant, Key: c.s.Client,
 		Group: c.s.Group, Load: told, OpenAt: at, Deadline: epoch.Add(w.now + time.Duration(c.class().Deadline))}, c)
 }
 
@@ -188,13 +188,13 @@
 // Attempt starts an upstream request: a connection, the request's way, the set-up, and the answer's way back.
 func (c *client) Attempt(a *edge.Attempt) edge.UpstreamRequest {
 	w, n, h := c.w, c.node, c.w.byID[a.Server.ID]
-	t := &try{c: c, a: a, node: n}
+	t := &attempt{c: c, a: a, node: n}
 	c.try = t
 	n.open++
 	if a.AlreadyOpen() { // set up before the load began
 		w.at(w.now, n, func() {
 			if !t.closed {
-				t.conn = &conn{host: h, client: c, wander: workload.NewWander(w.opts.Seed^c.s.Client, c.class(), c.s.Load)}
+				t.conn = &conn{host: h, client: c, wander: workload.NewLoadProcess(w.opts.Seed^c.s.Client, c.class(), c.s.Load)}
 				h.add(t.conn)
 				a.Established()
 			}
@@ -231,7 +231,7 @@
 				case k == nil:
 					t.end(o)
 				default:
-					w.stats.Up++
+					w.stats.Established++
 					c.failures = 0
 					a.Established()
 				}
@@ -242,14 +242,14 @@
 }
 
 // end tells the attempt's outcome.
-func (t *try) end(o choice.Outcome) {
+func (t *attempt) end(o choice.Outcome) {
 	t.close()
 	if !t.node.dead {
 		t.a.Ended(o, nil)
 	}
 }
 
-func (t *try) close() {
+func (t *attempt) close() {
 	if t.closed {
 		return
 	}
@@ -261,12 +261,12 @@
 }
 
 // GiveUp stops waiting, or ends the connection.
-func (t *try) GiveUp() { t.close() }
+func (t *attempt) GiveUp() { t.close() }
 
 // LocalReply is a refusal or failure.
 func (c *client) LocalReply(r edge.LocalReply) {
 	if r.Rejected {
-		c.w.stats.Refused++
+		c.w.stats.Rejected++
 	} else {
 		c.w.stats.Failed++
 	}
@@ -276,7 +276,7 @@
 
 // Migrate sends the client away.
 func (c *client) Migrate(time.Time) {
-	c.w.stats.Moves++
+	c.w.stats.Migrations++
 	c.try.close()
 	c.settled()
 	c.rejoin()
@@ -289,7 +289,7 @@
 		return
 	}
 	w, n := c.w, t.node
-	w.stats.Breaks++
+	w.stats.Resets++
 	w.at(w.now+w.ways[n.centre][t.conn.host.centre], n, func() {
 		if t.closed || n.dead || c.gone {
 			return
--- a/internal/plan/planner/forecast.go
+++ b/internal/plan/planner/forecast.go
@@ -16,19 +16,19 @@
 
 // Run is what one replication came to. Service is the worth of well-served seconds over that of all seconds asked for.
 type Run struct {
-	Service  float64
-	Worst    float64 // in the worst 10 s
-	WorstAt  time.Duration
-	Classes  []float64
-	Editions []float64
-	Series   []float64 // by second; NaN where nothing was wanted
-	Account  *workload.Account
+	Service         float64
+	WorstWindow     float64 // in the worst 10 s
+	WorstWindowAt   time.Duration
+	Classes         []float64
+	Tenants         []float64
+	ServiceBySecond []float64 // by second; NaN where nothing was wanted
+	Account         *workload.Account
 	// EndedEarly: the floor was out of reach; the service is the most that there could have been.
-	EndedEarly bool
-	Broken     bool  // a limit was reached
-	Requests   []int // by second
-	Limits     []Seen
-	Stats      Stats
+	EndedEarly       bool
+	LimitReached     bool  // a limit was reached
+	RequestsBySecond []int // by second
+	Limits           []LimitUsage
+	Stats            Stats
 }
 
 // Play simulates one replication.
@@ -41,14 +41,14 @@
 	return w.result(), nil
 }
 
-func (w *world) result() Run {
-	r := Run{Limits: w.limits.list(), Stats: w.stats, Account: w.account, Requests: w.requests, Broken: w.limits.broken(), Series: w.account.Series()}
-	r.Service, r.Classes, r.Editions = w.account.Service()
-	r.Editions = r.Editions[:len(w.fleet.Editions)]
+func (w *simulation) result() Run {
+	r := Run{Limits: w.limits.list(), Stats: w.stats, Account: w.account, RequestsBySecond: w.requests, LimitReached: w.limits.broken(), ServiceBySecond: w.account.ServiceBySecond()}
+	r.Service, r.Classes, r.Tenants = w.account.Service()
+	r.Tenants = r.Tenants[:len(w.fleet.Editions)]
 	if w.ended > 0 {
 		r.Service, r.EndedEarly = w.ended, true
 	}
-	r.Worst, r.WorstAt = w.account.Worst(window)
+	r.WorstWindow, r.WorstWindowAt = w.account.WorstWindow(window)
 	return r
 }
 
@@ -79,7 +79,7 @@
 	WorstAt  float64           `json:"worst_10s_at_s"`
 	Classes  map[string]Figure `json:"classes"`
 	Editions map[string]Figure `json:"editions"`
-	Limits   []Seen            `json:"limits"`
+	Limits   []LimitUsage      `json:"limits"`
 	Stats    Stats             `json:"stats"`
 	Bound    Bound             `json:"bound"`
 	Runs     []Run             `json:"-"`
@@ -132,13 +132,13 @@
 		}
 		return figure(xs)
 	}
-	out := Forecast{Service: pick(func(r Run) float64 { return r.Service }), Worst: pick(func(r Run) float64 { return r.Worst }),
-		Classes: map[string]Figure{}, Editions: map[string]Figure{}, Bound: Bounds(f, l), Runs: runs}
+	out := Forecast{Service: pick(func(r Run) float64 { return r.Service }), Worst: pick(func(r Run) float64 { return r.WorstWindow }),
+		Classes: map[string]Figure{}, Editions: map[string]Figure{}, Bound: UpperBound(f, l), Runs: runs}
 	for i, c := range f.Classes {
 		out.Classes[c.Name] = pick(func(r Run) float64 { return r.Classes[i] })
 	}
 	for i, e := range f.Editions {
-		out.Editions[e.Name] = pick(func(r Run) float64 { return r.Editions[i] })
+		out.Editions[e.Name] = pick(func(r Run) float64 { return r.Tenants[i] })
 	}
 	// What stands for all replications is the one in the middle.
 	mid := runs[0]
@@ -147,6 +147,6 @@
 			mid = r
 		}
 	}
-	out.Limits, out.Stats, out.WorstAt = mid.Limits, mid.Stats, mid.WorstAt.Seconds()
+	out.Limits, out.Stats, out.WorstAt = mid.Limits, mid.Stats, mid.WorstWindowAt.Seconds()
 	return out
 }
--- a/internal/plan/planner/host.go
+++ b/internal/plan/planner/host.go
@@ -13,8 +13,8 @@
 // host is the model of a server: a fluid of work with the noise that small jobs make of it, in steps. Work piled up is a
 // Brownian motion held at nought from below, the diffusion that a queue of many small jobs near its capacity goes to
 // (Harrison, Brownian Motion and Stochastic Flow Systems, 1985); its variance a second is load x the work of a job.
-type host struct {
-	w       *world
+type server struct {
+	w       *simulation
 	id      choice.ServerID
 	kind    *fleet.MachineKind
 	centre  int
@@ -38,15 +38,15 @@
 
 // conn is a connection that stands at a server.
 type conn struct {
-	host   *host
+	host   *server
 	client *client
 	load   float64
-	wander workload.Wander
+	wander workload.LoadProcess
 }
 
-func (w *world) addHost(k *fleet.MachineKind, centre int, cold bool) {
+func (w *simulation) addHost(k *fleet.MachineKind, centre int, cold bool) {
 	speed := k.Speed * max(0.3, 1+k.SpeedSpread*w.rng.NormFloat64())
-	h := &host{w: w, id: choice.ServerID(fmt.Sprintf("s-%04d", len(w.hosts))), kind: k, centre: centre, speed: speed, cold: cold,
+	h := &server{w: w, id: choice.ServerID(fmt.Sprintf("s-%04d", len(w.hosts))), kind: k, centre: centre, speed: speed, cold: cold,
 		conns: map[*conn]struct{}{}, groups: map[uint64]int{}}
 	for range w.fleet.Classes {
 		h.worth = append(h.worth, make([]float64, max(1, len(w.fleet.Editions))))
@@ -57,7 +57,7 @@
 }
 
 // warm is the part of its capacity that it has.
-func (h *host) warm() float64 {
+func (h *server) warm() float64 {
 	c := h.w.fleet.SlowStart
 	if !h.cold || h.w.now >= time.Duration(c.WarmUp) {
 		return 1
@@ -66,10 +66,10 @@
 }
 
 // cores is what it can do now, in yardstick cores.
-func (h *host) cores() float64 { return h.kind.Cores * h.speed * h.warm() }
+func (h *server) cores() float64 { return h.kind.Cores * h.speed * h.warm() }
 
 // advance moves all servers on by a step, and counts what was well served meanwhile.
-func (w *world) advance() {
+func (w *simulation) advance() {
 	dt := step.Seconds()
 	job := w.fleet.General.MessageWork.Seconds()
 	editions := len(w.quota)
@@ -110,7 +110,7 @@
 	}
 	for i, x := range w.got {
 		if x > 1e-9 {
-			w.account.Served(w.now-step/2, i/editions, i%editions, x*dt)
+			w.account.AddServed(w.now-step/2, i/editions, i%editions, x*dt)
 		}
 	}
 	if all > 0 {
@@ -134,10 +134,10 @@
 	}
 }
 
-func (h *host) report() []float64 { return []float64{h.seen[0], h.seen[1], h.seen[2]} }
+func (h *server) report() []float64 { return []float64{h.seen[0], h.seen[1], h.seen[2]} }
 
 // setup is a new connection at the server's door. done hears the outcome at the server, once.
-func (h *host) setup(c *client, done func(choice.Outcome, *conn)) {
+func (h *server) setup(c *client, done func(choice.Outcome, *conn)) {
 	w := h.w
 	class := &w.fleet.Classes[c.s.Class]
 	switch {
@@ -165,7 +165,7 @@
 				done(choice.Reset, nil)
 				return
 			}
-			k := &conn{host: h, client: c, wander: workload.NewWander(w.opts.Seed^c.s.Client, class, c.s.Load)}
+			k := &conn{host: h, client: c, wander: workload.NewLoadProcess(w.opts.Seed^c.s.Client, class, c.s.Load)}
 			if h.add(k); h.dead {
 				done(choice.Reset, nil)
 				return
@@ -176,7 +176,7 @@
 }
 
 // store is how long a call to the session store takes now.
-func (w *world) store() time.Duration {
+func (w *simulation) store() time.Duration {
 	s := w.fleet.Store
 	if s.Rate <= 0 {
 		return time.Duration(s.Latency)
@@ -190,20 +190,20 @@
 }
 
 // add has a connection stand at the server.
-func (h *host) add(k *conn) {
+func (h *server) add(k *conn) {
 	h.conns[k] = struct{}{}
 	if g := k.client.s.Group; g != 0 && h.w.fleet.Group.Cost > 0 {
 		if h.groups[g]++; h.groups[g] == 1 {
 			h.load += h.w.fleet.Group.Cost * h.w.fleet.CoreLoad()
 		}
 	}
-	h.worth[k.client.s.Class][max(0, k.client.s.Edition)] += k.client.worth
+	h.worth[k.client.s.Class][max(0, k.client.s.Tenant)] += k.client.worth
 	h.push(k)
 	k.change()
 }
 
 // push guards a cold server's budget of new connections: beyond it the server falls over and stays down.
-func (h *host) push(k *conn) {
+func (h *server) push(k *conn) {
 	if !h.cold || h.warm() == 1 {
 		return
 	}
@@ -215,7 +215,7 @@
 	able := h.cores() / c.WarmUp.Seconds() * c.OverloadTime.Seconds()
 	slack := 4 * w.fleet.MeanLoad() * w.fleet.CoreLoad()
 	if h.budget > c.OverloadMultiple*able+slack {
-		w.stats.Fallen++
+		w.stats.Overloaded++
 		w.limits.hit(w, limitCold, h, h.budget/(c.OverloadMultiple*able+slack))
 		h.dead = true
 		h.breakAll()
@@ -223,7 +223,7 @@
 	}
 }
 
-func (w *world) tellAll() {
+func (w *simulation) tellAll() {
 	for _, n := range w.nodes {
 		if !n.dead {
 			n.core.UpdateServers(choice.ListFull, w.list())
@@ -248,7 +248,7 @@
 }
 
 // remove takes a connection away; it reports whether it stood.
-func (h *host) remove(k *conn) bool {
+func (h *server) remove(k *conn) bool {
 	if _, ok := h.conns[k]; !ok {
 		return false
 	}
@@ -260,7 +260,7 @@
 			h.load -= h.w.fleet.Group.Cost * h.w.fleet.CoreLoad()
 		}
 	}
-	h.worth[k.client.s.Class][max(0, k.client.s.Edition)] -= k.client.worth
+	h.worth[k.client.s.Class][max(0, k.client.s.Tenant)] -= k.client.worth
 	if len(h.conns) == 0 {
 		h.load = 0 // sums and differences leave a rest
 		for i := range h.worth {
@@ -271,7 +271,7 @@
 }
 
 // shed drops the heaviest connection, as servers do when too much is piled up.
-func (h *host) shed() {
+func (h *server) shed() {
 	var worst *conn
 	for k := range h.conns {
 		if worst == nil || k.load > worst.load || k.load == worst.load && k.client.s.Client < worst.client.s.Client {
@@ -286,7 +286,7 @@
 }
 
 // breakAll resets all connections, in the order of their clients' numbers.
-func (h *host) breakAll() {
+func (h *server) breakAll() {
 	for _, k := range ordered(h.conns) {
 		h.remove(k)
 		k.client.broken()
--- a/internal/plan/planner/limits.go
+++ b/internal/plan/planner/limits.go
@@ -24,38 +24,38 @@
 	"session store", "descriptors of a node", "a cold server", "share of an edition"}
 
 // Seen is how far a limit was used.
-type Seen struct {
-	Limit string        `json:"limit"`
-	Peak  float64       `json:"peak"` // of the limit; from 1 on it was reached
-	At    time.Duration `json:"-"`    // when it was first reached, or came closest
-	AtS   float64       `json:"at_s"`
-	Where string        `json:"where"`
-	Hits  int           `json:"hits"` // times it was found reached
+type LimitUsage struct {
+	Limit   string        `json:"limit"`
+	Peak    float64       `json:"peak"` // of the limit; from 1 on it was reached
+	At      time.Duration `json:"-"`    // when it was first reached, or came closest
+	AtS     float64       `json:"at_s"`
+	Where   string        `json:"where"`
+	Reached int           `json:"hits"` // times it was found reached
 }
 
 type limits struct {
-	seen [limitCount]Seen
+	seen [limitCount]LimitUsage
 }
 
 // hit notes that so much of a limit is used now.
-func (l *limits) hit(w *world, k limit, h *host, part float64) {
+func (l *limits) hit(w *simulation, k limit, h *server, part float64) {
 	if w.now < settleTime && k != limitCold || !finite(part) {
 		return
 	}
 	s := &l.seen[k]
 	if part >= 1 {
-		if s.Hits++; s.Hits == 1 {
+		if s.Reached++; s.Reached == 1 {
 			s.At, s.Where = w.now, where(w, h)
 		}
 	}
 	if part > s.Peak {
-		if s.Peak = part; s.Hits == 0 {
+		if s.Peak = part; s.Reached == 0 {
 			s.At, s.Where = w.now, where(w, h)
 		}
 	}
 }
 
-func where(w *world, h *host) string {
+func where(w *simulation, h *server) string {
 	if h == nil {
 		return "all"
 	}
@@ -65,15 +65,15 @@
 // broken reports whether a limit was reached that is more than a moment's load of one server, or an edition's share.
 func (l *limits) broken() bool {
 	for k := range l.seen {
-		if limit(k) != limitServer && limit(k) != limitShare && l.seen[k].Hits >= enough {
+		if limit(k) != limitServer && limit(k) != limitShare && l.seen[k].Reached >= enough {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *limits) list() []Seen {
-	var out []Seen
+func (l *limits) list() []LimitUsage {
+	var out []LimitUsage
 	for k := range l.seen {
 		s := l.seen[k]
 		s.Limit, s.AtS = limitNames[k], s.At.Seconds()
--- a/internal/plan/planner/lose.go
+++ b/internal/plan/planner/lose.go
@@ -18,7 +18,7 @@
 }
 
 // Loss is what losing a centre does, in the mean of the replications.
-type Loss struct {
+type ZoneLoss struct {
 	All         Phases            `json:"all"`
 	Classes     map[string]Phases `json:"classes"`
 	StormS      float64           `json:"storm_s"` // how long returns stay over what is usual
@@ -38,20 +38,20 @@
 )
 
 // Lose plays the load with the loss that o names, and without.
-func Lose(f *fleet.Fleet, l *workload.Load, o Options, reps int, say func(string, ...any)) (Loss, error) {
+func Lose(f *fleet.Fleet, l *workload.Load, o Options, reps int, say func(string, ...any)) (ZoneLoss, error) {
 	say("with the loss")
 	with, err := Replicate(f, l, o, reps, nil)
 	if err != nil {
-		return Loss{}, err
+		return ZoneLoss{}, err
 	}
 	say("without the loss")
 	o2 := o
 	o2.Lose = ""
 	without, err := Replicate(f, l, o2, reps, nil)
 	if err != nil {
-		return Loss{}, err
+		return ZoneLoss{}, err
 	}
-	out := Loss{Classes: map[string]Phases{}}
+	out := ZoneLoss{Classes: map[string]Phases{}}
 	centre := f.Centre(o.Lose)
 	for _, s := range f.ServerPools {
 		if f.Centre(s.Zone) == centre {
@@ -65,14 +65,14 @@
 		}
 	}
 	storm := leastStorm
-	usual := make([]float64, len(without.Runs[0].Requests))
+	usual := make([]float64, len(without.Runs[0].RequestsBySecond))
 	hit := make([]float64, len(usual))
 	n := float64(reps)
 	for i := range with.Runs {
-		out.Breaks += float64(with.Runs[i].Stats.Breaks) / n
+		out.Breaks += float64(with.Runs[i].Stats.Resets) / n
 		for s := range usual {
-			usual[s] += float64(without.Runs[i].Requests[s]) / n
-			hit[s] += float64(with.Runs[i].Requests[s]) / n
+			usual[s] += float64(without.Runs[i].RequestsBySecond[s]) / n
+			hit[s] += float64(with.Runs[i].RequestsBySecond[s]) / n
 		}
 	}
 	at := int(o.LoseAt / time.Second)
@@ -101,7 +101,7 @@
 	add := func(p *Phases, k int) {
 		for i := range with.Runs {
 			get := func(r Run, from, to time.Duration) float64 {
-				all, classes := r.Account.Between(from, to)
+				all, classes := r.Account.ServiceBetween(from, to)
 				if k >= 0 {
 					return classes[k] / n
 				}
@@ -124,12 +124,12 @@
 }
 
 func meanSeries(runs []Run) []float64 {
-	out := make([]float64, len(runs[0].Series))
+	out := make([]float64, len(runs[0].ServiceBySecond))
 	for i := range out {
 		n := 0.0
 		for _, r := range runs {
-			if !math.IsNaN(r.Series[i]) {
-				out[i], n = out[i]+r.Series[i], n+1
+			if !math.IsNaN(r.ServiceBySecond[i]) {
+				out[i], n = out[i]+r.ServiceBySecond[i], n+1
 			}
 		}
 		out[i] /= n // not a number where nothing was wanted
--- a/internal/plan/planner/planner_test.go
+++ b/internal/plan/planner/planner_test.go
@@ -40,7 +40,7 @@
 	f := evening(t)
 	l := draw(f, 1, 90, 30)
 	a, b, c := play(t, f, l, Options{Seed: 3}), play(t, f, l, Options{Seed: 3}), play(t, f, l, Options{Seed: 4})
-	if fmt.Sprint(a.Service, a.Stats, a.Series) != fmt.Sprint(b.Service, b.Stats, b.Series) {
+	if fmt.Sprint(a.Service, a.Stats, a.ServiceBySecond) != fmt.Sprint(b.Service, b.Stats, b.ServiceBySecond) {
 		t.Errorf("one seed, two results: %v and %v", a.Stats, b.Stats)
 	}
 	if a.Service == c.Service {
@@ -66,7 +66,7 @@
 	return draw(f, 5, part*f.Cores()/(f.MeanLoad()*f.CoreLoad()), seconds)
 }
 
-func limitSeen(r Run, k limit) Seen { return r.Limits[k] }
+func limitSeen(r Run, k limit) LimitUsage { return r.Limits[k] }
 
 // TestNothingIsLeft plays random small fleets, with and without a loss, until all sessions are over: no descriptor,
 // connection, group or set-up may be left, and service is a part.
@@ -79,11 +79,11 @@
 			t.Fatal(err)
 		}
 		w.simulate()
-		if r := w.result(); !(r.Service >= 0 && r.Service <= 1 && r.Worst <= 1) {
-			t.Fatalf("service %v, worst %v", r.Service, r.Worst)
+		if r := w.result(); !(r.Service >= 0 && r.Service <= 1 && r.WorstWindow <= 1) {
+			t.Fatalf("service %v, worst %v", r.Service, r.WorstWindow)
 		}
 		for i := range tr.Load.Sessions {
-			if end := tr.Load.Sessions[i].At + tr.Load.Sessions[i].Life; end > w.now {
+			if end := tr.Load.Sessions[i].Arrival + tr.Load.Sessions[i].Lifetime; end > w.now {
 				w.run(end)
 			}
 		}
@@ -107,8 +107,8 @@
 	l := filled(f, 0.5, 40)
 	cut := l.Cut(20*time.Second, 30*time.Second)
 	a, b := play(t, f, l, Options{Seed: 1}), play(t, f, cut, Options{Seed: 1})
-	want, _ := a.Account.Between(20*time.Second, 30*time.Second)
-	if first, _ := b.Account.Between(0, time.Second); first < 0.8*want {
+	want, _ := a.Account.ServiceBetween(20*time.Second, 30*time.Second)
+	if first, _ := b.Account.ServiceBetween(0, time.Second); first < 0.8*want {
 		t.Errorf("the cut load's first second is served %.2f, the whole load's like part %.2f", first, want)
 	}
 }
@@ -134,10 +134,10 @@
 	f.Group.Cost = 1
 	l := &workload.Load{Length: 20 * time.Second}
 	for i := range 200 {
-		l.Sessions = append(l.Sessions, workload.Session{At: time.Duration(i) * 10 * time.Millisecond, Life: 20 * time.Second, Edition: -1,
-			Centre: 0, Client: uint64(i + 1), Group: 9, Load: 1})
+		l.Sessions = append(l.Sessions, workload.Session{Arrival: time.Duration(i) * 10 * time.Millisecond, Lifetime: 20 * time.Second, Tenant: -1,
+			Zone: 0, Client: uint64(i + 1), Group: 9, Load: 1})
 	}
-	if c := fmt.Sprint(Bounds(f, l).Cannot); !strings.Contains(c, "one group asks for up to") {
+	if c := fmt.Sprint(UpperBound(f, l).Cannot); !strings.Contains(c, "one group asks for up to") {
 		t.Errorf("the bound tells %s", c)
 	}
 	r := play(t, f, l, Options{Seed: 1})
@@ -152,8 +152,8 @@
 	f := one(t, 4)
 	l := filled(f, 0.4, 20)
 	warm, cold := play(t, f, l, Options{Seed: 1}), play(t, f, l, Options{Seed: 1, AllCold: true})
-	if cold.Service > warm.Service-0.2 || cold.Stats.Fallen > 0 {
-		t.Errorf("warm %.2f, cold %.2f, %d fell over", warm.Service, cold.Service, cold.Stats.Fallen)
+	if cold.Service > warm.Service-0.2 || cold.Stats.Overloaded > 0 {
+		t.Errorf("warm %.2f, cold %.2f, %d fell over", warm.Service, cold.Service, cold.Stats.Overloaded)
 	}
 	w, err := newWorld(f, l, Options{Seed: 1, AllCold: true})
 	if err != nil {
@@ -161,10 +161,10 @@
 	}
 	h := w.hosts[0]
 	for i := range 200 { // a crowd that no module held back
-		h.setup(&client{w: w, s: &workload.Session{Client: uint64(i), Life: time.Second}, try: &try{node: w.nodes[0], closed: true}}, func(choice.Outcome, *conn) {})
+		h.setup(&client{w: w, s: &workload.Session{Client: uint64(i), Lifetime: time.Second}, try: &attempt{node: w.nodes[0], closed: true}}, func(choice.Outcome, *conn) {})
 		w.run(w.now + 5*time.Millisecond)
 	}
-	if w.stats.Fallen != 1 || !h.dead || limitSeen(w.result(), limitCold).Hits == 0 {
+	if w.stats.Overloaded != 1 || !h.dead || limitSeen(w.result(), limitCold).Reached == 0 {
 		t.Errorf("a crowd at a cold server: %+v", w.stats)
 	}
 }
@@ -180,9 +180,9 @@
 	fast := play(t, f, l, o)
 	f.Store.Rate = 12
 	slow := play(t, f, l, o)
-	a, _ := fast.Account.Between(21*time.Second, 35*time.Second)
-	b, _ := slow.Account.Between(21*time.Second, 35*time.Second)
-	if b > a-0.1 || limitSeen(slow, limitStore).Hits == 0 || limitSeen(fast, limitStore).Hits != 0 {
+	a, _ := fast.Account.ServiceBetween(21*time.Second, 35*time.Second)
+	b, _ := slow.Account.ServiceBetween(21*time.Second, 35*time.Second)
+	if b > a-0.1 || limitSeen(slow, limitStore).Reached == 0 || limitSeen(fast, limitStore).Reached != 0 {
 		t.Errorf("after the loss %.2f, with a slow store %.2f; %+v", a, b, limitSeen(slow, limitStore))
 	}
 }
@@ -194,7 +194,7 @@
 	if r := play(t, f.Resize(0), l, Options{Seed: 1}); r.Service != 0 {
 		t.Errorf("no server serves %.2f", r.Service)
 	}
-	if c := fmt.Sprint(Bounds(f.Resize(0), l).Cannot); !strings.Contains(c, "no server") {
+	if c := fmt.Sprint(UpperBound(f.Resize(0), l).Cannot); !strings.Contains(c, "no server") {
 		t.Error(c)
 	}
 	f.Store.Rate = 0.01 // a set-up in a hundred seconds
--- a/internal/plan/planner/size.go
+++ b/internal/plan/planner/size.go
@@ -39,10 +39,10 @@
 	}
 	from := time.Duration(0)
 	if l.Length > breakWindow*3/2 {
-		from = l.Busiest(f, breakWindow)
+		from = l.BusiestWindow(f, breakWindow)
 		l = l.Cut(from, from+breakWindow)
 	}
-	o.Floor, o.StopBroken = least, true
+	o.MinService, o.StopAtLimit = least, true
 	lo, hi := 0.0, math.Inf(1)
 	var at, below Run
 	for tries := []float64{1}; len(tries) > 0; {
@@ -74,7 +74,7 @@
 	b := Broken{Limit: "service", Where: "all", Multiple: hi, Service: at.Service}
 	// A single server's load is a matter of a moment, and a share beyond is worth less but breaks nothing: they are named
 	// only where nothing else was reached.
-	rank := func(s Seen) int {
+	rank := func(s LimitUsage) int {
 		switch s.Limit {
 		case limitNames[limitServer]:
 			return 1
@@ -83,8 +83,8 @@
 		}
 		return 0
 	}
-	reached := slices.DeleteFunc(slices.Clone(at.Limits), func(s Seen) bool { return s.Hits < enough })
-	slices.SortStableFunc(reached, func(a, b Seen) int {
+	reached := slices.DeleteFunc(slices.Clone(at.Limits), func(s LimitUsage) bool { return s.Reached < enough })
+	slices.SortStableFunc(reached, func(a, b LimitUsage) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.At, b.At))
 	})
 	if len(reached) > 0 {
@@ -94,7 +94,7 @@
 }
 
 func broken(r Run) bool {
-	return r.Broken || r.Service < least
+	return r.LimitReached || r.Service < least
 }
 
 // Size is a number of servers with the service expected of it.
@@ -154,11 +154,11 @@
 	out := Size{Servers: f.Count(), Kinds: kinds(f)}
 	if out.Servers > 0 {
 		// Arithmetic first: what can't work needs no simulation.
-		if b := Bounds(f, s.load); b.Service < s.Target-slackBelow {
+		if b := UpperBound(f, s.load); b.Service < s.Target-slackBelow {
 			out.Service, out.AtMost = Figure{Mean: b.Service, High: b.Service}, true
 		} else {
 			o := s.Options
-			o.Floor = s.Target - slackBelow
+			o.MinService = s.Target - slackBelow
 			r, err := Replicate(f, s.load, o, s.Reps, nil)
 			if err != nil {
 				return out, err
@@ -215,7 +215,7 @@
 func newSearch(f *fleet.Fleet, l *workload.Load, o SizeOptions) (*search, time.Duration) {
 	from := time.Duration(0)
 	if o.Window > 0 && l.Length > o.Window*3/2 {
-		from = l.Busiest(f, o.Window)
+		from = l.BusiestWindow(f, o.Window)
 		l = l.Cut(from, from+o.Window)
 	}
 	return &search{SizeOptions: o, load: l, known: map[string]Size{}}, from
@@ -237,7 +237,7 @@
 	}
 	if !ok {
 		out.Why = fmt.Sprintf("not with %d servers either: something other than their number limits the service", best.Count())
-		if c := Bounds(best, s.load).Cannot; len(c) > 0 {
+		if c := UpperBound(best, s.load).Cannot; len(c) > 0 {
 			out.Why += ": " + c[0]
 		}
 		return out, nil
--- a/internal/plan/planner/validate.go
+++ b/internal/plan/planner/validate.go
@@ -12,13 +12,13 @@
 
 // Trial is a small fleet with a load, drawn to check forecasts against what a replay does.
 type Trial struct {
-	Number   int
-	What     string
-	Fleet    *fleet.Fleet
-	Standing float64
-	Load     *workload.Load
-	Lose     string
-	LoseAt   time.Duration
+	Number      int
+	What        string
+	Fleet       *fleet.Fleet
+	Concurrency float64
+	Load        *workload.Load
+	Lose        string
+	LoseAt      time.Duration
 }
 
 var trialKinds = []string{"usual", "mostly slow", "group-heavy", "edition over its share", "lost centre"}
@@ -89,8 +89,8 @@
 	if f.Group.Cost > 0 {
 		each += f.Group.Cost * f.CoreLoad() / f.Group.Size * 1.5
 	}
-	t.Standing = f.Cores() * (0.45 + 0.6*rng.Float64()) / each
-	f.Store.Rate = 4 * t.Standing / 8
-	t.Load = workload.Draw(f, workload.Drawn{Seed: rng.Uint64(), Length: length, Standing: t.Standing})
+	t.Concurrency = f.Cores() * (0.45 + 0.6*rng.Float64()) / each
+	f.Store.Rate = 4 * t.Concurrency / 8
+	t.Load = workload.Draw(f, workload.Drawn{Seed: rng.Uint64(), Length: length, Standing: t.Concurrency})
 	return t
 }
--- a/internal/plan/planner/world.go
+++ b/internal/plan/planner/world.go
@@ -32,9 +32,9 @@
 	// AllCold starts all servers with the load.
 	AllCold bool
 	// Floor ends a run that can no longer reach this service; what it would have got at most stands for its service.
-	Floor float64
+	MinService float64
 	// StopBroken ends a run some seconds after a limit was reached: what breaks is known then.
-	StopBroken bool
+	StopAtLimit bool
 }
 
 type event struct {
@@ -103,7 +103,7 @@
 var epoch = time.Unix(1_800_000_000, 0)
 
 // world is one run.
-type world struct {
+type simulation struct {
 	fleet    *fleet.Fleet
 	load     *workload.Load
 	opts     Options
@@ -111,8 +111,8 @@
 	now      time.Duration
 	seq      uint64
 	queue    events
-	hosts    []*host
-	byID     map[choice.ServerID]*host
+	hosts    []*server
+	byID     map[choice.ServerID]*server
 	nodes    []*node
 	storeAt  time.Duration // when the store is free again
 	account  *workload.Account
@@ -133,19 +133,25 @@
 
 // Stats counts what happened in a run.
 type Stats struct {
-	Sessions, Requests, Up, Refused, Failed int
-	Moves, Breaks, Sheds                    int
-	Fallen                                  int // cold servers that were pushed over
+	Sessions    int `json:"Sessions"`
+	Requests    int `json:"Requests"`
+	Established int `json:"Up"`
+	Rejected    int `json:"Refused"`
+	Failed      int `json:"Failed"`
+	Migrations  int `json:"Moves"`
+	Resets      int `json:"Breaks"`
+	Sheds       int `json:"Sheds"`
+	Overloaded  int `json:"Fallen"` // servers in slow start that failed of too many new connections
 }
 
-func (w *world) at(t time.Duration, n *node, fn func()) *event {
+func (w *simulation) at(t time.Duration, n *node, fn func()) *event {
 	w.seq++
 	e := &event{fn, n}
 	w.queue.push(slot{max(t, w.now), w.seq, e})
 	return e
 }
 
-func (w *world) run(until time.Duration) {
+func (w *simulation) run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		next := w.queue.pop()
 		w.now = next.at
@@ -163,7 +169,7 @@
 
 // clock is the simulated clock as a core sees it.
 type clock struct {
-	w *world
+	w *simulation
 	n *node
 }
 
@@ -180,7 +186,7 @@
 
 // node is a node of the fleet: the real core, with the descriptors that its front would count.
 type node struct {
-	w      *world
+	w      *simulation
 	core   *edge.Core
 	centre int
 	most   int // connections of both sides
@@ -189,11 +195,11 @@
 	here   map[*client]struct{}
 }
 
-func newWorld(f *fleet.Fleet, l *workload.Load, o Options) (*world, error) {
-	w := &world{fleet: f, load: l, opts: o, rng: rand.New(rand.NewPCG(o.Seed, 1213)), byID: map[choice.ServerID]*host{}}
-	w.account, w.worths = workload.NewAccount(f, l.Length), workload.Worths(f, l)
-	w.account.Wanted(l, w.worths)
-	w.requests = make([]int, len(w.account.WantSec))
+func newWorld(f *fleet.Fleet, l *workload.Load, o Options) (*simulation, error) {
+	w := &simulation{fleet: f, load: l, opts: o, rng: rand.New(rand.NewPCG(o.Seed, 1213)), byID: map[choice.ServerID]*server{}}
+	w.account, w.worths = workload.NewAccount(f, l.Length), workload.Priorities(f, l)
+	w.account.AddDemand(l, w.worths)
+	w.requests = make([]int, len(w.account.DemandBySecond))
 	editions := max(1, len(f.Editions))
 	w.got = make([]float64, len(f.Classes)*editions)
 	w.held, w.quota = make([]int, editions), make([]float64, editions)
@@ -228,7 +234,7 @@
 	return w, nil
 }
 
-func (w *world) addNode(spec fleet.NodePool, total int) error {
+func (w *simulation) addNode(spec fleet.NodePool, total int) error {
 	n := &node{w: w, centre: w.fleet.Centre(spec.Zone), most: spec.Sockets - spareSlots}
 	s, err := w.fleet.Settings(len(w.nodes), total, spec.Zone)
 	if err != nil {
@@ -243,7 +249,7 @@
 }
 
 // list is the list of servers as discovery tells it.
-func (w *world) list() []edge.ServerEntry {
+func (w *simulation) list() []edge.ServerEntry {
 	var all []edge.ServerEntry
 	for _, h := range w.hosts {
 		s := choice.Server{ID: h.id, Zone: w.fleet.Centres[h.centre].Name, Kind: h.kind.Name, Size: 1}
@@ -277,12 +283,12 @@
 }
 
 // simulate plays the whole load.
-func (w *world) simulate() {
+func (w *simulation) simulate() {
 	for _, n := range w.nodes {
 		n.core.Start(w.list())
 	}
 	first := 0
-	for ; first < len(w.load.Sessions) && w.load.Sessions[first].Standing; first++ {
+	for ; first < len(w.load.Sessions) && w.load.Sessions[first].AlreadyOpen; first++ {
 		w.arrive(&w.load.Sessions[first], w.worths[first], true)
 	}
 	w.arrivals(first)
@@ -301,26 +307,26 @@
 }
 
 // hopeless ends a run early, once a second, when all that is still to come could not bring the service to the floor.
-func (w *world) hopeless() bool {
+func (w *simulation) hopeless() bool {
 	if w.now%time.Second != 0 {
 		return false
 	}
-	if w.opts.StopBroken && w.limits.broken() {
+	if w.opts.StopAtLimit && w.limits.broken() {
 		if w.brokeAt == 0 {
 			w.brokeAt = w.now
 		}
 		if w.now >= w.brokeAt+afterBreak {
-			w.ended, _ = w.account.Between(0, w.now)
+			w.ended, _ = w.account.ServiceBetween(0, w.now)
 			w.ended = max(w.ended, 1e-9)
 			w.queue = nil
 			return true
 		}
 	}
-	if w.opts.Floor <= 0 {
+	if w.opts.MinService <= 0 {
 		return false
 	}
-	all, lost := w.account.Lost(w.now)
-	if all > 0 && 1-lost/all < w.opts.Floor {
+	all, lost := w.account.LostUntil(w.now)
+	if all > 0 && 1-lost/all < w.opts.MinService {
 		w.ended = 1 - lost/all
 		w.queue = nil
 		return true
@@ -329,10 +335,10 @@
 }
 
 // arrivals has the sessions come from number i on, one event at a time: the queue stays small.
-func (w *world) arrivals(i int) {
+func (w *simulation) arrivals(i int) {
 	if i < len(w.load.Sessions) {
 		s := &w.load.Sessions[i]
-		w.at(s.At, nil, func() {
+		w.at(s.Arrival, nil, func() {
 			w.arrive(s, w.worths[i], false)
 			w.arrivals(i + 1)
 		})
@@ -341,7 +347,7 @@
 
 // lose takes a centre away: its connections break, its nodes are gone for the front at once, and the others' lists tell of
 // its servers when discovery does.
-func (w *world) lose(centre int) {
+func (w *simulation) lose(centre int) {
 	for _, n := range w.nodes {
 		if n.centre == centre {
 			n.dead = true
--- a/internal/plan/workload/capture.go
+++ b/internal/plan/workload/capture.go
@@ -14,43 +14,45 @@
 
 // Captured is what files of a fleet's nodes hold, put in one order of time.
 type Captured struct {
-	Headers []capture.Header
-	Faults  []capture.Fault
-	Classes []string // all that the files name, in order of first mention
-	Tenants []string
-	Share   float64 // least share of the files: what the rates are divided by
-	Begin   time.Time
-	Length  time.Duration
-	Dropped uint64
-	Placed  []Request // by time
-	Reports int
-	Hosts   map[string]*HostSeen
+	Headers     []capture.Header
+	Faults      []capture.Fault
+	Classes     []string // all that the files name, in order of first mention
+	Tenants     []string
+	Share       float64 // least share of the files: what the rates are divided by
+	Begin       time.Time
+	Length      time.Duration
+	Dropped     uint64
+	Requests    []Request // by time
+	ReportCount int
+	Servers     map[string]*ServerStats
 }
 
 // Request is a captured request with the life of its connection.
 type Request struct {
 	capture.Placed
-	At     time.Duration // since Begin
-	Node   int           // in Headers
-	Zone   string
-	Class  int // in Captured.Classes
-	Tenant int // in Captured.Tenants; -1: none
-	Life   time.Duration
-	Ended  bool // else the connection still stood at the end of the capture, or its end was lost
-	Cause  capture.Cause
-	Told   float64 // load told last
+	At           time.Duration // since Begin
+	Node         int           // in Headers
+	Zone         string
+	Class        int // in Captured.Classes
+	Tenant       int // in Captured.Tenants; -1: none
+	Lifetime     time.Duration
+	Ended        bool // else the connection still stood at the end of the capture, or its end was lost
+	Cause        capture.Cause
+	ReportedLoad float64 // load told last
 }
 
 // HostSeen is what was seen of one host.
-type HostSeen struct {
-	Kind, Zone string
-	Reports    int
-	Load, Peak float64 // mean and largest of the load in reports, the first field named x0 or utilization
+type ServerStats struct {
+	Kind    string  `json:"Kind"`
+	Zone    string  `json:"Zone"`
+	Reports int     `json:"Reports"`
+	Load    float64 `json:"Load"` // mean of the load in reports: the field x0, else utilization
+	Peak    float64 `json:"Peak"` // largest
 }
 
 // ReadCaptures reads files of one or more nodes. An error means that a file can't be used at all.
 func ReadCaptures(files []string) (*Captured, error) {
-	c := &Captured{Share: 1, Hosts: map[string]*HostSeen{}}
+	c := &Captured{Share: 1, Servers: map[string]*ServerStats{}}
 	classes, tenants := map[string]int{}, map[string]int{}
 	number := func(m map[string]int, list *[]string, name string) int {
 		i, ok := m[name]
@@ -103,21 +105,21 @@
 					q.Tenant = number(tenants, &c.Tenants, h.Tenants[r.Tenant])
 				}
 				if r.Answer == capture.Up {
-					open[key{h.Node, h.Start, r.Seq}] = len(c.Placed)
+					open[key{h.Node, h.Start, r.Seq}] = len(c.Requests)
 				}
-				c.Placed = append(c.Placed, q)
+				c.Requests = append(c.Requests, q)
 				starts = append(starts, t)
 			case capture.Ended:
 				note(r.At)
 				k := key{h.Node, h.Start, r.Seq}
 				if i, ok := open[k]; ok {
-					q := &c.Placed[i]
-					q.Life, q.Ended, q.Cause, q.Told = capture.Duration(r.Life), r.Cause != capture.Carried, r.Cause, r.Load
+					q := &c.Requests[i]
+					q.Lifetime, q.Ended, q.Cause, q.ReportedLoad = capture.Duration(r.Life), r.Cause != capture.Carried, r.Cause, r.Load
 					delete(open, k)
 				}
 			case capture.Report:
 				note(r.At)
-				c.Reports++
+				c.ReportCount++
 				s := c.host(r.Host)
 				if field >= 0 && field < len(r.Values) && r.Values[field] == r.Values[field] {
 					x := float64(r.Values[field])
@@ -143,31 +145,31 @@
 	}
 	c.Begin = time.Unix(0, span.from)
 	c.Length = time.Duration(span.to - span.from)
-	for i := range c.Placed {
-		c.Placed[i].At = time.Duration(starts[i] - span.from)
+	for i := range c.Requests {
+		c.Requests[i].At = time.Duration(starts[i] - span.from)
 	}
 	for _, i := range open {
-		q := &c.Placed[i]
-		q.Life = c.Length - q.At - capture.Duration(q.Took)
+		q := &c.Requests[i]
+		q.Lifetime = c.Length - q.At - capture.Duration(q.Took)
 	}
-	sort.SliceStable(c.Placed, func(i, j int) bool { return c.Placed[i].At < c.Placed[j].At })
+	sort.SliceStable(c.Requests, func(i, j int) bool { return c.Requests[i].At < c.Requests[j].At })
 	return c, nil
 }
 
-const mostHosts = 1 << 17
+const maxServers = 1 << 17
 
-func (c *Captured) host(id string) *HostSeen {
-	s := c.Hosts[id]
+func (c *Captured) host(id string) *ServerStats {
+	s := c.Servers[id]
 	if s == nil {
-		if s = (&HostSeen{}); len(c.Hosts) < mostHosts {
-			c.Hosts[id] = s
+		if s = (&ServerStats{}); len(c.Servers) < maxServers {
+			c.Servers[id] = s
 		}
 	}
 	return s
 }
 
 // again is how long after its last sign a client that comes with the same key still is in the same session.
-const again = 15 * time.Second
+const sessionTimeout = 15 * time.Second
 
 // classesOf gives the place in a fleet of each class of a capture.
 func classesOf(c *Captured, f *fleet.Fleet) ([]int, error) {
@@ -207,7 +209,7 @@
 	}
 	// Told loads are in the hosts' own unit: they count in relation to the mean of their class.
 	told, count := make([]float64, len(f.Classes)), make([]float64, len(f.Classes))
-	for _, q := range c.Placed {
+	for _, q := range c.Requests {
 		if x := q.load(); x > 0 {
 			told[classes[q.Class]] += x
 			count[classes[q.Class]]++
@@ -217,20 +219,20 @@
 	rng := rand.New(rand.NewPCG(seed, 31))
 	last := map[uint64]int{}         // session of a client
 	until := map[int]time.Duration{} // its last sign
-	for _, q := range c.Placed {
+	for _, q := range c.Requests {
 		k := classes[q.Class]
-		begin, end := q.At, q.At+capture.Duration(q.Took)+q.Life
+		begin, end := q.At, q.At+capture.Duration(q.Took)+q.Lifetime
 		if !q.Ended && q.Answer == capture.Up {
 			end += time.Duration(rng.ExpFloat64() * float64(f.Classes[k].Lifetime))
 		}
-		if i, ok := last[q.Client]; ok && q.Client != 0 && out.Sessions[i].Class == k && begin-until[i] < again {
+		if i, ok := last[q.Client]; ok && q.Client != 0 && out.Sessions[i].Class == k && begin-until[i] < sessionTimeout {
 			s := &out.Sessions[i]
-			s.Life, until[i] = max(s.Life, end-s.At), max(until[i], end)
+			s.Lifetime, until[i] = max(s.Lifetime, end-s.Arrival), max(until[i], end)
 			continue
 		}
-		s := Session{At: begin, Life: max(end-begin, 100*time.Millisecond), Class: k, Edition: -1, Centre: f.Centre(q.Zone), Client: q.Client, Group: q.Group}
+		s := Session{Arrival: begin, Lifetime: max(end-begin, 100*time.Millisecond), Class: k, Tenant: -1, Zone: f.Centre(q.Zone), Client: q.Client, Group: q.Group}
 		if q.Tenant >= 0 {
-			s.Edition = editions[q.Tenant]
+			s.Tenant = editions[q.Tenant]
 		}
 		if s.Client == 0 {
 			s.Client = rng.Uint64() | 1
@@ -244,8 +246,8 @@
 	}
 	// A session whose client was never served tells no life: it wanted what its class does.
 	for i := range out.Sessions {
-		if s := &out.Sessions[i]; s.Life <= 100*time.Millisecond {
-			s.Life = time.Duration(rng.ExpFloat64() * float64(f.Classes[s.Class].Lifetime))
+		if s := &out.Sessions[i]; s.Lifetime <= 100*time.Millisecond {
+			s.Lifetime = time.Duration(rng.ExpFloat64() * float64(f.Classes[s.Class].Lifetime))
 		}
 	}
 	out.sort()
@@ -256,8 +258,8 @@
 }
 
 func (q *Request) load() float64 {
-	if q.Told > 0 {
-		return q.Told
+	if q.ReportedLoad > 0 {
+		return q.ReportedLoad
 	}
 	return q.Load
 }
--- a/internal/plan/workload/load.go
+++ b/internal/plan/workload/load.go
@@ -15,16 +15,16 @@
 // Session is one client that wants a connection from At on for Life. Where it lost its connection meanwhile it came again
 // and still was the same session.
 type Session struct {
-	At      time.Duration
-	Life    time.Duration
-	Class   int // in the fleet's classes
-	Edition int // in the fleet's editions; -1: none
-	Centre  int // in the fleet's centres; -1: any
-	Client  uint64
-	Group   uint64  // 0: none
-	Load    float64 // in usual connections; 0: not told
+	Arrival  time.Duration
+	Lifetime time.Duration
+	Class    int // in the fleet's classes
+	Tenant   int // in the fleet's editions; -1: none
+	Zone     int // in the fleet's centres; -1: any
+	Client   uint64
+	Group    uint64  // 0: none
+	Load     float64 // in usual connections; 0: not told
 	// Standing says that the connection stands when the load begins: it was set up before.
-	Standing bool
+	AlreadyOpen bool
 }
 
 // Load is sessions in the order of their arrival.
@@ -35,13 +35,13 @@
 
 func (l *Load) sort() {
 	slices.SortStableFunc(l.Sessions, func(a, b Session) int {
-		if a.Standing != b.Standing { // what stands comes first
-			if a.Standing {
+		if a.AlreadyOpen != b.AlreadyOpen { // what stands comes first
+			if a.AlreadyOpen {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(a.At, b.At)
+		return cmp.Compare(a.Arrival, b.Arrival)
 	})
 }
 
@@ -52,7 +52,7 @@
 	}
 	sum := 0.0
 	for _, s := range l.Sessions {
-		sum += min(s.Life, l.Length-s.At).Seconds()
+		sum += min(s.Lifetime, l.Length-s.Arrival).Seconds()
 	}
 	return sum / l.Length.Seconds()
 }
@@ -68,7 +68,7 @@
 		if x == 0 {
 			x = f.Classes[s.Class].Load
 		}
-		sum += x * f.CoreLoad() * min(s.Life, l.Length-s.At).Seconds()
+		sum += x * f.CoreLoad() * min(s.Lifetime, l.Length-s.Arrival).Seconds()
 	}
 	return sum / l.Length.Seconds()
 }
@@ -77,14 +77,14 @@
 func (l *Load) Cut(from, to time.Duration) *Load {
 	out := &Load{Length: min(to, l.Length) - from}
 	for _, s := range l.Sessions {
-		if s.At >= to || s.At+s.Life <= from {
+		if s.Arrival >= to || s.Arrival+s.Lifetime <= from {
 			continue
 		}
-		if s.At < from {
-			s.Life -= from - s.At
-			s.At, s.Standing = from, true
+		if s.Arrival < from {
+			s.Lifetime -= from - s.Arrival
+			s.Arrival, s.AlreadyOpen = from, true
 		}
-		s.At -= from
+		s.Arrival -= from
 		out.Sessions = append(out.Sessions, s)
 	}
 	out.sort()
@@ -92,7 +92,7 @@
 }
 
 // Busiest is the beginning of the stretch of a length in which most is asked for, in steps of an eighth of it.
-func (l *Load) Busiest(f *fleet.Fleet, length time.Duration) time.Duration {
+func (l *Load) BusiestWindow(f *fleet.Fleet, length time.Duration) time.Duration {
 	step := max(length/8, time.Second)
 	n := int(l.Length/step) + 1
 	change := make([]float64, n+1) // of the load asked for, at the beginning of each step
@@ -101,8 +101,8 @@
 		if x == 0 {
 			x = f.Classes[s.Class].Load
 		}
-		change[min(n, int(s.At/step))] += x
-		change[min(n, int((s.At+s.Life)/step))] -= x
+		change[min(n, int(s.Arrival/step))] += x
+		change[min(n, int((s.Arrival+s.Lifetime)/step))] -= x
 	}
 	asked := make([]float64, n)
 	sum := 0.0
@@ -145,8 +145,8 @@
 					s.Group = Mix(s.Group+uint64(copy)*0x9e3779b97f4a7c15) | 1
 				}
 				rng := rand.New(rand.NewPCG(seed, s.Client))
-				s.At += time.Duration((2*rng.Float64() - 1) * spread * float64(time.Second))
-				s.At = max(0, min(s.At, l.Length-1))
+				s.Arrival += time.Duration((2*rng.Float64() - 1) * spread * float64(time.Second))
+				s.Arrival = max(0, min(s.Arrival, l.Length-1))
 			}
 			out.Sessions = append(out.Sessions, s)
 		}
@@ -193,7 +193,7 @@
 	}
 	out := &Load{Length: d.Length}
 	add := func(at time.Duration, group uint64, edition, centre int, residual bool) {
-		class := Pick(rng, shares)
+		class := WeightedIndex(rng, shares)
 		c := f.Classes[class]
 		life := c.Lifetime.Seconds() * Lognormal(rng, c.LifetimeSpread)
 		if c.LifetimeSpread == 0 {
@@ -201,8 +201,8 @@
 		} else if residual {
 			life *= rng.Float64()
 		}
-		out.Sessions = append(out.Sessions, Session{At: at, Life: max(100*time.Millisecond, time.Duration(life*1e9)), Class: class,
-			Edition: edition, Centre: centre, Client: rng.Uint64() | 1, Group: group, Standing: residual && d.Stand})
+		out.Sessions = append(out.Sessions, Session{Arrival: at, Lifetime: max(100*time.Millisecond, time.Duration(life*1e9)), Class: class,
+			Tenant: edition, Zone: centre, Client: rng.Uint64() | 1, Group: group, AlreadyOpen: residual && d.Stand})
 	}
 	// A group is a farm with its visitors: they come within some seconds of one another.
 	group := func(at time.Duration, residual bool) {
@@ -215,9 +215,9 @@
 		}
 		edition := -1
 		if len(uses) > 0 {
-			edition = Pick(rng, uses)
+			edition = WeightedIndex(rng, uses)
 		}
-		centre := Pick(rng, places)
+		centre := WeightedIndex(rng, places)
 		for i := range n {
 			t := at
 			if i > 0 && !(residual && d.Stand) {
@@ -252,7 +252,7 @@
 }
 
 // Pick draws an index by weight.
-func Pick(rng *rand.Rand, weights []float64) int {
+func WeightedIndex(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -276,15 +276,15 @@
 
 // Wander is a connection's load over time, in usual connections: a level that is the connection's own, and a swing about
 // it that is drawn anew at times.
-type Wander struct {
+type LoadProcess struct {
 	rng   *rand.Rand
 	level float64
 	class *fleet.Class
 }
 
 // NewWander draws a connection's level; told is its load where that is known.
-func NewWander(seed uint64, c *fleet.Class, told float64) Wander {
-	w := Wander{rng: rand.New(rand.NewPCG(seed, 5)), class: c}
+func NewLoadProcess(seed uint64, c *fleet.Class, told float64) LoadProcess {
+	w := LoadProcess{rng: rand.New(rand.NewPCG(seed, 5)), class: c}
 	if w.level = told; told == 0 {
 		w.level = c.Load * Lognormal(w.rng, c.LoadSpread)
 	}
@@ -292,7 +292,7 @@
 }
 
 // Next is the load from now on and how long it lasts; 0: for ever.
-func (w *Wander) Next() (load float64, lasts time.Duration) {
+func (w *LoadProcess) Next() (load float64, lasts time.Duration) {
 	if w.class.LoadVariation == 0 {
 		return w.level, 0
 	}
--- a/internal/plan/workload/load_test.go
+++ b/internal/plan/workload/load_test.go
@@ -41,10 +41,10 @@
 		for _, s := range l.Sessions {
 			n[0]++
 			groups[s.Group] = true
-			if s.Edition == 1 {
+			if s.Tenant == 1 {
 				n[1]++
 			}
-			if s.Centre == 2 {
+			if s.Zone == 2 {
 				n[2]++
 			}
 		}
@@ -64,8 +64,8 @@
 	s := func(x float64) int64 { return int64(x * 1e6) }
 	c := &Captured{Classes: []string{"market"}, Length: time.Minute, Share: 1}
 	add := func(at float64, client uint64, a capture.Answer, life float64) {
-		c.Placed = append(c.Placed, Request{Placed: capture.Placed{At: s(at), Client: client, Answer: a, Took: s(0.01)},
-			At: time.Duration(at * 1e9), Tenant: -1, Life: time.Duration(life * 1e9), Ended: true})
+		c.Requests = append(c.Requests, Request{Placed: capture.Placed{At: s(at), Client: client, Answer: a, Took: s(0.01)},
+			At: time.Duration(at * 1e9), Tenant: -1, Lifetime: time.Duration(life * 1e9), Ended: true})
 	}
 	add(1, 7, capture.Refused, 0)
 	add(1.5, 7, capture.Refused, 0)
@@ -77,8 +77,8 @@
 	if err != nil || len(l.Sessions) != 3 {
 		t.Fatalf("%+v, %v", l, err)
 	}
-	if a := l.Sessions[0]; a.At != time.Second || (a.At+a.Life).Round(100*time.Millisecond) != 12*time.Second {
-		t.Errorf("the session lasts from %v to %v", a.At, a.At+a.Life)
+	if a := l.Sessions[0]; a.Arrival != time.Second || (a.Arrival+a.Lifetime).Round(100*time.Millisecond) != 12*time.Second {
+		t.Errorf("the session lasts from %v to %v", a.Arrival, a.Arrival+a.Lifetime)
 	}
 	c.Classes = []string{"unknown"}
 	if _, err := c.Sessions(evening(t), 1); err == nil {
@@ -112,18 +112,18 @@
 func TestCut(t *testing.T) {
 	f := evening(t)
 	l := Draw(f, Drawn{Seed: 3, Length: time.Minute, Standing: 200, Swing: 0.8})
-	if at := l.Busiest(f, 16*time.Second); at < 30*time.Second {
+	if at := l.BusiestWindow(f, 16*time.Second); at < 30*time.Second {
 		t.Errorf("a load that climbs is busiest from %v on", at)
 	}
 	c := l.Cut(20*time.Second, 40*time.Second)
 	stood := 0
 	for _, s := range l.Sessions {
-		if s.At < 20*time.Second && s.At+s.Life > 20*time.Second {
+		if s.Arrival < 20*time.Second && s.Arrival+s.Lifetime > 20*time.Second {
 			stood++
 		}
 	}
 	for i, s := range c.Sessions {
-		if s.Standing != (i < stood) || s.Standing && s.At != 0 || s.At >= 20*time.Second {
+		if s.AlreadyOpen != (i < stood) || s.AlreadyOpen && s.Arrival != 0 || s.Arrival >= 20*time.Second {
 			t.Fatalf("session %d of %d standing: %+v", i, stood, s)
 		}
 	}
@@ -138,10 +138,10 @@
 	q := int(math.Ceil(f.Quota(0)))
 	l := &Load{Length: time.Minute}
 	for i := range q + 5 {
-		l.Sessions = append(l.Sessions, Session{At: time.Duration(i), Life: time.Second, Edition: 0})
+		l.Sessions = append(l.Sessions, Session{Arrival: time.Duration(i), Lifetime: time.Second, Tenant: 0})
 	}
-	l.Sessions = append(l.Sessions, Session{At: 2 * time.Second, Life: time.Second})
-	w := Worths(f, l)
+	l.Sessions = append(l.Sessions, Session{Arrival: 2 * time.Second, Lifetime: time.Second})
+	w := Priorities(f, l)
 	for i, x := range w {
 		if beyond := i >= q && i < q+5; beyond != (x < 1) {
 			t.Errorf("session %d of a share of %d is worth %v", i, q, x)
--- a/internal/plan/workload/service.go
+++ b/internal/plan/workload/service.go
@@ -10,39 +10,39 @@
 
 // Worths is what a second of each session is worth: its class's worth, less for one that comes while its edition holds
 // more sessions than its share. It hangs on the load alone, not on how it is served.
-func Worths(f *fleet.Fleet, l *Load) []float64 {
+func Priorities(f *fleet.Fleet, l *Load) []float64 {
 	out := make([]float64, len(l.Sessions))
 	held := make([]int, max(1, len(f.Editions)))
-	var ends endings
+	var ends departureQueue
 	for i, s := range l.Sessions {
-		for len(ends) > 0 && ends[0].at <= s.At {
-			held[heap.Pop(&ends).(ending).edition]--
+		for len(ends) > 0 && ends[0].at <= s.Arrival {
+			held[heap.Pop(&ends).(departure).edition]--
 		}
 		out[i] = f.Classes[s.Class].Priority
-		if s.Edition < 0 {
+		if s.Tenant < 0 {
 			continue
 		}
-		if float64(held[s.Edition]) >= f.Quota(s.Edition) {
+		if float64(held[s.Tenant]) >= f.Quota(s.Tenant) {
 			out[i] *= f.General.OverQuotaPriority
 		}
-		held[s.Edition]++
-		heap.Push(&ends, ending{s.At + s.Life, s.Edition})
+		held[s.Tenant]++
+		heap.Push(&ends, departure{s.Arrival + s.Lifetime, s.Tenant})
 	}
 	return out
 }
 
-type ending struct {
+type departure struct {
 	at      time.Duration
 	edition int
 }
 
-type endings []ending
+type departureQueue []departure
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *endings) Push(x any)        { *e = append(*e, x.(ending)) }
-func (e *endings) Pop() any {
+func (e departureQueue) Len() int           { return len(e) }
+func (e departureQueue) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e departureQueue) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *departureQueue) Push(x any)        { *e = append(*e, x.(departure)) }
+func (e *departureQueue) Pop() any {
 	x := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return x
@@ -50,8 +50,8 @@
 
 // Account adds up the worth of the seconds that were wanted and of those that were well served.
 type Account struct {
-	Want, Got       [][]float64 // by class and edition
-	WantSec, GotSec [][]float64 // by second and class
+	Demand, ServedTotal            [][]float64 // by class and edition
+	DemandBySecond, ServedBySecond [][]float64 // by second and class
 }
 
 // NewAccount makes an account for a load.
@@ -68,32 +68,32 @@
 }
 
 // Wanted fills in what the sessions want.
-func (a *Account) Wanted(l *Load, worths []float64) {
+func (a *Account) AddDemand(l *Load, worths []float64) {
 	for i, s := range l.Sessions {
-		end := min(s.At+s.Life, l.Length)
-		a.Want[s.Class][max(0, s.Edition)] += worths[i] * (end - s.At).Seconds()
-		for t := s.At; t < end; {
+		end := min(s.Arrival+s.Lifetime, l.Length)
+		a.Demand[s.Class][max(0, s.Tenant)] += worths[i] * (end - s.Arrival).Seconds()
+		for t := s.Arrival; t < end; {
 			sec := int(t / time.Second)
 			next := min(end, time.Duration(sec+1)*time.Second)
-			a.WantSec[sec][s.Class] += worths[i] * (next - t).Seconds()
+			a.DemandBySecond[sec][s.Class] += worths[i] * (next - t).Seconds()
 			t = next
 		}
 	}
 }
 
 // Served adds well-served worth at a time.
-func (a *Account) Served(at time.Duration, class, edition int, worth float64) {
-	a.Got[class][max(0, edition)] += worth
-	a.GotSec[min(max(0, int(at/time.Second)), len(a.GotSec)-1)][class] += worth
+func (a *Account) AddServed(at time.Duration, class, edition int, worth float64) {
+	a.ServedTotal[class][max(0, edition)] += worth
+	a.ServedBySecond[min(max(0, int(at/time.Second)), len(a.ServedBySecond)-1)][class] += worth
 }
 
 // Lost is all the worth that is wanted, and what of it was not well served up to a time.
-func (a *Account) Lost(until time.Duration) (all, lost float64) {
-	for i := range a.WantSec {
-		for k := range a.Want {
-			all += a.WantSec[i][k]
+func (a *Account) LostUntil(until time.Duration) (all, lost float64) {
+	for i := range a.DemandBySecond {
+		for k := range a.Demand {
+			all += a.DemandBySecond[i][k]
 			if time.Duration(i+1)*time.Second <= until {
-				lost += a.WantSec[i][k] - a.GotSec[i][k]
+				lost += a.DemandBySecond[i][k] - a.ServedBySecond[i][k]
 			}
 		}
 	}
@@ -111,12 +111,12 @@
 // Service is the part that was well served, in all, by class and by edition.
 func (a *Account) Service() (all float64, classes, editions []float64) {
 	want, got := 0.0, 0.0
-	ew, eg := make([]float64, len(a.Want[0])), make([]float64, len(a.Want[0]))
-	for k := range a.Want {
+	ew, eg := make([]float64, len(a.Demand[0])), make([]float64, len(a.Demand[0]))
+	for k := range a.Demand {
 		cw, cg := 0.0, 0.0
-		for e := range a.Want[k] {
-			cw, cg = cw+a.Want[k][e], cg+a.Got[k][e]
-			ew[e], eg[e] = ew[e]+a.Want[k][e], eg[e]+a.Got[k][e]
+		for e := range a.Demand[k] {
+			cw, cg = cw+a.Demand[k][e], cg+a.ServedTotal[k][e]
+			ew[e], eg[e] = ew[e]+a.Demand[k][e], eg[e]+a.ServedTotal[k][e]
 		}
 		want, got = want+cw, got+cg
 		classes = append(classes, ratio(cg, cw))
@@ -128,14 +128,14 @@
 }
 
 // Between is the part well served from one time to another, in all and by class.
-func (a *Account) Between(from, to time.Duration) (all float64, classes []float64) {
-	n := len(a.Want)
+func (a *Account) ServiceBetween(from, to time.Duration) (all float64, classes []float64) {
+	n := len(a.Demand)
 	w, g := make([]float64, n), make([]float64, n)
 	want, got := 0.0, 0.0
-	for i := int(from / time.Second); i < min(int(to/time.Second), len(a.WantSec)); i++ {
+	for i := int(from / time.Second); i < min(int(to/time.Second), len(a.DemandBySecond)); i++ {
 		for k := range n {
-			w[k], g[k] = w[k]+a.WantSec[i][k], g[k]+a.GotSec[i][k]
-			want, got = want+a.WantSec[i][k], got+a.GotSec[i][k]
+			w[k], g[k] = w[k]+a.DemandBySecond[i][k], g[k]+a.ServedBySecond[i][k]
+			want, got = want+a.DemandBySecond[i][k], got+a.ServedBySecond[i][k]
 		}
 	}
 	for k := range n {
@@ -145,12 +145,12 @@
 }
 
 // Series is the part well served by second; not a number where nothing was wanted.
-func (a *Account) Series() []float64 {
-	out := make([]float64, len(a.WantSec))
+func (a *Account) ServiceBySecond() []float64 {
+	out := make([]float64, len(a.DemandBySecond))
 	for i := range out {
 		w, g := 0.0, 0.0
-		for k := range a.Want {
-			w, g = w+a.WantSec[i][k], g+a.GotSec[i][k]
+		for k := range a.Demand {
+			w, g = w+a.DemandBySecond[i][k], g+a.ServedBySecond[i][k]
 		}
 		if out[i] = math.NaN(); w > 0 {
 			out[i] = min(1, g/w)
@@ -160,11 +160,11 @@
 }
 
 // Worst is the least well served stretch of a length, and where it begins. A load shorter than that is one stretch.
-func (a *Account) Worst(length time.Duration) (float64, time.Duration) {
+func (a *Account) WorstWindow(length time.Duration) (float64, time.Duration) {
 	low, at := math.Inf(1), time.Duration(0)
-	total := time.Duration(len(a.WantSec)-1) * time.Second
+	total := time.Duration(len(a.DemandBySecond)-1) * time.Second
 	for t := time.Duration(0); t+length <= total || t == 0; t += time.Second {
-		if r, _ := a.Between(t, t+length); r < low {
+		if r, _ := a.ServiceBetween(t, t+length); r < low {
 			low, at = r, t
 		}
 	}
--- a/internal/plan/workload/summary.go
+++ b/internal/plan/workload/summary.go
@@ -9,32 +9,32 @@
 
 // Summary is what a capture tells at a glance.
 type Summary struct {
-	Nodes        int                  `json:"nodes"`
-	Begin        time.Time            `json:"begin"`
-	LengthS      float64              `json:"length_s"`
-	Share        float64              `json:"share"`
-	Requests     int                  `json:"requests"`
-	Clients      int                  `json:"clients"`
-	Answers      map[string]int       `json:"answers"`
-	Ends         map[string]int       `json:"ends"`
-	Attempts     float64              `json:"attempts_mean"`
-	Answer50ms   float64              `json:"answer_median_ms"`
-	Answer99ms   float64              `json:"answer_99_ms"`
-	Groups       int                  `json:"groups"`
-	GroupMean    float64              `json:"group_mean"`
-	GroupMost    int                  `json:"group_most"`
-	PeakRate     float64              `json:"peak_requests_per_s"` // over 10 s
-	PeakAtS      float64              `json:"peak_at_s"`
-	StandingMost int                  `json:"standing_most"`
-	StandingAtS  float64              `json:"standing_most_at_s"`
-	Classes      []Part               `json:"classes"`
-	Editions     []Part               `json:"editions"`
-	Hosts        map[string]*HostSeen `json:"hosts"`
-	Dropped      uint64               `json:"dropped_records"`
+	Nodes        int                     `json:"nodes"`
+	Begin        time.Time               `json:"begin"`
+	LengthS      float64                 `json:"length_s"`
+	Share        float64                 `json:"share"`
+	Requests     int                     `json:"requests"`
+	Clients      int                     `json:"clients"`
+	Answers      map[string]int          `json:"answers"`
+	Ends         map[string]int          `json:"ends"`
+	Attempts     float64                 `json:"attempts_mean"`
+	Answer50ms   float64                 `json:"answer_median_ms"`
+	Answer99ms   float64                 `json:"answer_99_ms"`
+	Groups       int                     `json:"groups"`
+	GroupMean    float64                 `json:"group_mean"`
+	GroupMost    int                     `json:"group_most"`
+	PeakRate     float64                 `json:"peak_requests_per_s"` // over 10 s
+	PeakAtS      float64                 `json:"peak_at_s"`
+	StandingMost int                     `json:"standing_most"`
+	StandingAtS  float64                 `json:"standing_most_at_s"`
+	Classes      []Breakdown             `json:"classes"`
+	Editions     []Breakdown             `json:"editions"`
+	Hosts        map[string]*ServerStats `json:"hosts"`
+	Dropped      uint64                  `json:"dropped_records"`
 }
 
 // Part is the requests of one class or edition.
-type Part struct {
+type Breakdown struct {
 	Name      string  `json:"name"`
 	Rate      float64 `json:"requests_per_s"`
 	LifeMeanS float64 `json:"life_mean_s"` // of connections that ended
@@ -43,22 +43,22 @@
 	Load      float64 `json:"told_load_mean"` // 0: not told
 	Refused   float64 `json:"refused"`        // part of the requests
 
-	lives          []float64
-	count, refused int
-	loads, told    float64
+	lifetimes          []float64
+	count, rejections  int
+	loadSum, loadCount float64
 }
 
 // Summary sums a capture up. Rates are of what the files hold; where a share was captured, they are that share's.
 func (c *Captured) Summary() Summary {
-	s := Summary{Begin: c.Begin, LengthS: c.Length.Seconds(), Share: c.Share, Requests: len(c.Placed), Answers: map[string]int{},
-		Ends: map[string]int{}, Hosts: c.Hosts, Dropped: c.Dropped}
+	s := Summary{Begin: c.Begin, LengthS: c.Length.Seconds(), Share: c.Share, Requests: len(c.Requests), Answers: map[string]int{},
+		Ends: map[string]int{}, Hosts: c.Servers, Dropped: c.Dropped}
 	nodes, clients, groups := map[string]bool{}, map[uint64]bool{}, map[uint64]int{}
 	for _, h := range c.Headers {
 		nodes[h.Node] = true
 	}
 	s.Nodes = len(nodes)
-	parts := func(names []string) []Part {
-		out := make([]Part, len(names))
+	parts := func(names []string) []Breakdown {
+		out := make([]Breakdown, len(names))
 		for i, n := range names {
 			out[i].Name = n
 		}
@@ -73,8 +73,8 @@
 	var changes []change
 	tries := 0
 	rate, first := 0, 0
-	for i := range c.Placed {
-		q := &c.Placed[i]
+	for i := range c.Requests {
+		q := &c.Requests[i]
 		s.Answers[q.Answer.String()]++
 		if q.Client != 0 {
 			clients[q.Client] = true
@@ -85,11 +85,11 @@
 		}
 		took = append(took, capture.Duration(q.Took).Seconds()*1000)
 		tries += len(q.Tries)
-		for c.Placed[first].At <= q.At-10*time.Second {
+		for c.Requests[first].At <= q.At-10*time.Second {
 			first++
 		}
 		if n := i - first + 1; n > rate {
-			rate, s.PeakAtS = n, c.Placed[first].At.Seconds()
+			rate, s.PeakAtS = n, c.Requests[first].At.Seconds()
 		}
 		s.Classes[q.Class].add(q)
 		if q.Tenant >= 0 {
@@ -104,13 +104,13 @@
 			s.Ends["none"]++
 			continue
 		}
-		changes = append(changes, change{stood + q.Life, -1})
+		changes = append(changes, change{stood + q.Lifetime, -1})
 		s.Ends[[]string{"client", "host", "moved"}[min(int(q.Cause), 2)]]++
 	}
 	s.Clients, s.Groups = len(clients), len(groups)
 	s.PeakRate = float64(rate) / min(10, max(1, s.LengthS))
-	if len(c.Placed) > 0 {
-		s.Attempts = float64(tries) / float64(len(c.Placed))
+	if len(c.Requests) > 0 {
+		s.Attempts = float64(tries) / float64(len(c.Requests))
 		sort.Float64s(took)
 		s.Answer50ms, s.Answer99ms = quantile(took, 0.5), quantile(took, 0.99)
 	}
@@ -128,7 +128,7 @@
 			s.StandingMost, s.StandingAtS = standing, x.at.Seconds()
 		}
 	}
-	for _, list := range [][]Part{s.Classes, s.Editions} {
+	for _, list := range [][]Breakdown{s.Classes, s.Editions} {
 		for i := range list {
 			list[i].finish(s.LengthS)
 		}
@@ -136,35 +136,35 @@
 	return s
 }
 
-func (p *Part) add(q *Request) {
+func (p *Breakdown) add(q *Request) {
 	p.count++
 	if q.Answer == capture.Refused {
-		p.refused++
+		p.rejections++
 	}
 	if x := q.load(); x > 0 {
-		p.loads, p.told = p.loads+x, p.told+1
+		p.loadSum, p.loadCount = p.loadSum+x, p.loadCount+1
 	}
 	if q.Ended {
-		p.lives = append(p.lives, q.Life.Seconds())
+		p.lifetimes = append(p.lifetimes, q.Lifetime.Seconds())
 	}
 }
 
-func (p *Part) finish(length float64) {
+func (p *Breakdown) finish(length float64) {
 	if length > 0 {
 		p.Rate = float64(p.count) / length
 	}
 	if p.count > 0 {
-		p.Refused = float64(p.refused) / float64(p.count)
+		p.Refused = float64(p.rejections) / float64(p.count)
 	}
-	if p.told > 0 {
-		p.Load = p.loads / p.told
+	if p.loadCount > 0 {
+		p.Load = p.loadSum / p.loadCount
 	}
-	if len(p.lives) > 0 {
-		sort.Float64s(p.lives)
-		for _, x := range p.lives {
-			p.LifeMeanS += x / float64(len(p.lives))
+	if len(p.lifetimes) > 0 {
+		sort.Float64s(p.lifetimes)
+		for _, x := range p.lifetimes {
+			p.LifeMeanS += x / float64(len(p.lifetimes))
 		}
-		p.Life50S, p.Life99S = quantile(p.lives, 0.5), quantile(p.lives, 0.99)
+		p.Life50S, p.Life99S = quantile(p.lifetimes, 0.5), quantile(p.lifetimes, 0.99)
 	}
 }
 
--- a/internal/plan/workload/write.go
+++ b/internal/plan/workload/write.go
@@ -19,7 +19,7 @@
 	for c := -1; c < len(f.Centres); c++ {
 		some := c == 0 // an empty load still has its length
 		for i := range l.Sessions {
-			some = some || l.Sessions[i].Centre == c
+			some = some || l.Sessions[i].Zone == c
 		}
 		if !some {
 			continue
@@ -57,13 +57,13 @@
 	}
 	var all []record
 	for i, s := range l.Sessions {
-		if s.Centre != centre {
+		if s.Zone != centre {
 			continue
 		}
-		at := s.At.Microseconds()
-		all = append(all, record{at, capture.Placed{At: at, Seq: uint64(i), Class: s.Class, Tenant: s.Edition, Client: s.Client, Group: s.Group, Load: s.Load}})
-		if end := s.At + s.Life; end < l.Length {
-			all = append(all, record{end.Microseconds(), capture.Ended{At: end.Microseconds(), Seq: uint64(i), Life: s.Life.Microseconds()}})
+		at := s.Arrival.Microseconds()
+		all = append(all, record{at, capture.Placed{At: at, Seq: uint64(i), Class: s.Class, Tenant: s.Tenant, Client: s.Client, Group: s.Group, Load: s.Load}})
+		if end := s.Arrival + s.Lifetime; end < l.Length {
+			all = append(all, record{end.Microseconds(), capture.Ended{At: end.Microseconds(), Seq: uint64(i), Life: s.Lifetime.Microseconds()}})
 		}
 	}
 	// The first and the last record tell how long the load is.
