--- a/internal/plan/planner/forecast.go
+++ b/internal/plan/planner/forecast.go
@@ -42,7 +42,7 @@
 }
 
 func (w *simulation) result() Run {
-	r := Run{Limits: w.limits.list(), Stats: w.stats, Account: w.account, RequestsBySecond: w.requests, LimitReached: w.limits.broken(), ServiceBySecond: w.account.ServiceBySecond()}
+	r := Run{Limits: w.limits.list(), Stats: w.stats, Account: w.account, RequestsBySecond: w.requests, LimitReached: w.limits.broken(), ServiceBySecond: w.account.ServiceSeries()}
 	r.Service, r.Classes, r.Tenants = w.account.Service()
 	r.Tenants = r.Tenants[:len(w.fleet.Editions)]
 	if w.ended > 0 {
--- a/internal/plan/workload/capture.go
+++ b/internal/plan/workload/capture.go
@@ -1,24 +1,20 @@
 package workload
 
 import (
-	"fmt"
-	"math/rand/v2"
-	"slices"
+	"math"
 	"sort"
-	"strings"
 	"time"
 
 	"spurwinch/internal/operations/capture"
-	"spurwinch/internal/plan/fleet"
 )
 
-// Captured is what files of a fleet's nodes hold, put in one order of time.
+// Captured holds the contents of the capture files of a fleet's nodes, merged in the order of time.
 type Captured struct {
 	Headers     []capture.Header
 	Faults      []capture.Fault
-	Classes     []string // all that the files name, in order of first mention
+	Classes     []string // all names in the files, in the order of first mention
 	Tenants     []string
-	Share       float64 // least share of the files: what the rates are divided by
+	Share       float64 // least sampled share of the files, which the rates are divided by
 	Begin       time.Time
 	Length      time.Duration
 	Dropped     uint64
@@ -27,21 +23,29 @@
 	Servers     map[string]*ServerStats
 }
 
-// Request is a captured request with the life of its connection.
+// Request is a captured request with the lifetime of its connection.
 type Request struct {
 	capture.Placed
 	At           time.Duration // since Begin
-	Node         int           // in Headers
+	Node         int           // index in Headers
 	Zone         string
-	Class        int // in Captured.Classes
-	Tenant       int // in Captured.Tenants; -1: none
+	Class        int // index in Captured.Classes
+	Tenant       int // index in Captured.Tenants; -1: none
 	Lifetime     time.Duration
-	Ended        bool // else the connection still stood at the end of the capture, or its end was lost
+	Ended        bool // else the connection was open at the end of the capture, or its end was lost
 	Cause        capture.Cause
-	ReportedLoad float64 // load told last
+	ReportedLoad float64 // as reported last; 0: never
 }
 
-// HostSeen is what was seen of one host.
+// load returns the load that was reported last, or else the one that the request announced; 0: unknown.
+func (r *Request) load() float64 {
+	if r.ReportedLoad > 0 {
+		return r.ReportedLoad
+	}
+	return r.Load
+}
+
+// ServerStats summarizes the load reports of one server.
 type ServerStats struct {
 	Kind    string  `json:"Kind"`
 	Zone    string  `json:"Zone"`
@@ -50,224 +54,200 @@
 	Peak    float64 `json:"Peak"` // largest
 }
 
-// ReadCaptures reads files of one or more nodes. An error means that a file can't be used at all.
+// ReadCaptures reads the files of one or more nodes. An error means that a file can't be used at all; damage within a
+// file is in Faults.
 func ReadCaptures(files []string) (*Captured, error) {
-	c := &Captured{Share: 1, Servers: map[string]*ServerStats{}}
-	classes, tenants := map[string]int{}, map[string]int{}
-	number := func(m map[string]int, list *[]string, name string) int {
-		i, ok := m[name]
-		if !ok {
-			i = len(*list)
-			m[name] = i
-			*list = append(*list, name)
-		}
-		return i
-	}
-	type key struct {
-		node string
-		run  int64
-		seq  uint64
+	merger := &captureMerger{
+		captured: &Captured{Share: 1, Servers: map[string]*ServerStats{}},
+		classes:  map[string]int{},
+		tenants:  map[string]int{},
+		open:     map[connectionKey]int{},
 	}
-	open := map[key]int{}
-	type absolute struct{ from, to int64 }
-	var span absolute
-	var starts []int64 // of each request, ns of Unix time
 	for _, name := range files {
-		var node, field int
-		first := true
-		head, faults, err := capture.ReadFile(name, func(h capture.Header, r capture.Record) {
-			if first {
-				first = false
-				node, field = len(c.Headers), -1
-				c.Headers = append(c.Headers, h)
-				for i, f := range h.Fields {
-					if f == "x0" || f == "utilization" && field < 0 {
-						field = i
-					}
-				}
-				if h.Share > 0 {
-					c.Share = min(c.Share, h.Share)
-				}
-			}
-			note := func(at int64) int64 {
-				t := h.Start + at*1000
-				if span.from == 0 || t < span.from {
-					span.from = t
-				}
-				span.to = max(span.to, t)
-				return t
-			}
-			switch r := r.(type) {
-			case capture.Placed:
-				t := note(r.At)
-				q := Request{Placed: r, Node: node, Zone: h.Zone, Class: number(classes, &c.Classes, h.Classes[r.Class]), Tenant: -1}
-				if r.Tenant >= 0 {
-					q.Tenant = number(tenants, &c.Tenants, h.Tenants[r.Tenant])
-				}
-				if r.Answer == capture.Up {
-					open[key{h.Node, h.Start, r.Seq}] = len(c.Requests)
-				}
-				c.Requests = append(c.Requests, q)
-				starts = append(starts, t)
-			case capture.Ended:
-				note(r.At)
-				k := key{h.Node, h.Start, r.Seq}
-				if i, ok := open[k]; ok {
-					q := &c.Requests[i]
-					q.Lifetime, q.Ended, q.Cause, q.ReportedLoad = capture.Duration(r.Life), r.Cause != capture.Carried, r.Cause, r.Load
-					delete(open, k)
-				}
-			case capture.Report:
-				note(r.At)
-				c.ReportCount++
-				s := c.host(r.Host)
-				if field >= 0 && field < len(r.Values) && r.Values[field] == r.Values[field] {
-					x := float64(r.Values[field])
-					s.Reports++
-					s.Load += (x - s.Load) / float64(s.Reports)
-					s.Peak = max(s.Peak, x)
-				}
-			case capture.Host:
-				s := c.host(r.ID)
-				s.Kind, s.Zone = r.Kind, r.Zone
-			case capture.Dropped:
-				note(r.At)
-				c.Dropped += r.Count
-			}
-		})
-		if err != nil {
+		if err := merger.readFile(name); err != nil {
 			return nil, err
 		}
-		if first { // nothing but a header
-			c.Headers = append(c.Headers, head)
-		}
-		c.Faults = append(c.Faults, faults...)
 	}
-	c.Begin = time.Unix(0, span.from)
-	c.Length = time.Duration(span.to - span.from)
-	for i := range c.Requests {
-		c.Requests[i].At = time.Duration(starts[i] - span.from)
-	}
-	for _, i := range open {
-		q := &c.Requests[i]
-		q.Lifetime = c.Length - q.At - capture.Duration(q.Took)
-	}
-	sort.SliceStable(c.Requests, func(i, j int) bool { return c.Requests[i].At < c.Requests[j].At })
-	return c, nil
+	return merger.finish(), nil
 }
 
-const maxServers = 1 << 17
-
-func (c *Captured) host(id string) *ServerStats {
-	s := c.Servers[id]
-	if s == nil {
-		if s = (&ServerStats{}); len(c.Servers) < maxServers {
-			c.Servers[id] = s
-		}
-	}
-	return s
+// connectionKey identifies a connection over all files: a node, its run, and a number of the run.
+type connectionKey struct {
+	node     string
+	run      int64
+	sequence uint64
 }
 
-// again is how long after its last sign a client that comes with the same key still is in the same session.
-const sessionTimeout = 15 * time.Second
-
-// classesOf gives the place in a fleet of each class of a capture.
-func classesOf(c *Captured, f *fleet.Fleet) ([]int, error) {
-	places := make([]int, len(c.Classes))
-	for i, name := range c.Classes {
-		places[i] = slices.IndexFunc(f.Classes, func(class fleet.Class) bool { return class.Name == name })
-		if places[i] < 0 {
-			return nil, fmt.Errorf("the capture holds class %q, the fleet file has none of this name: add a [[class]]; it has %s", name, classNames(f))
-		}
-	}
-	return places, nil
+// captureMerger merges the records of files into one Captured.
+type captureMerger struct {
+	captured *Captured
+	classes  map[string]int // indexes by name
+	tenants  map[string]int
+	open     map[connectionKey]int // index of the request whose connection has not ended yet
+	starts   []int64               // of each request, in nanoseconds of Unix time
+	first    int64                 // time of the earliest record, likewise; 0: none yet
+	last     int64
 }
 
-// editionsOf gives the place in a fleet of each edition of a capture; -1 where the fleet has no editions.
-func editionsOf(c *Captured, f *fleet.Fleet) ([]int, error) {
-	places := make([]int, len(c.Tenants))
-	for i, name := range c.Tenants {
-		places[i] = slices.IndexFunc(f.Editions, func(edition fleet.Tenant) bool { return edition.Name == name })
-		if places[i] < 0 && len(f.Editions) > 0 {
-			return nil, fmt.Errorf("the capture holds edition %q, the fleet file has none of this name: add an [[edition]]", name)
-		}
-	}
-	return places, nil
+// captureFile is the file that is being read.
+type captureFile struct {
+	header    capture.Header
+	started   bool // a record was read
+	node      int  // index in Captured.Headers
+	loadField int  // index of the load in reports; -1: none
 }
 
-// Sessions puts a client's tries, returns and connections together to what it wanted, in a fleet's terms. Connections that
-// still stood at the end go on for as long as their class's life says, by chance. What a share left out is made up for by
-// copies.
-func (c *Captured) Sessions(f *fleet.Fleet, seed uint64) (*Load, error) {
-	classes, err := classesOf(c, f)
-	if err != nil {
-		return nil, err
-	}
-	editions, err := editionsOf(c, f)
-	if err != nil {
-		return nil, err
-	}
-	// Told loads are in the hosts' own unit: they count in relation to the mean of their class.
-	told, count := make([]float64, len(f.Classes)), make([]float64, len(f.Classes))
-	for _, q := range c.Requests {
-		if x := q.load(); x > 0 {
-			told[classes[q.Class]] += x
-			count[classes[q.Class]]++
+func (m *captureMerger) readFile(name string) error {
+	var file captureFile
+	header, faults, err := capture.ReadFile(name, func(header capture.Header, record capture.Record) {
+		if !file.started {
+			file = m.startFile(header)
 		}
+		m.add(&file, record)
+	})
+	if err != nil {
+		return err
 	}
-	out := &Load{Length: c.Length}
-	rng := rand.New(rand.NewPCG(seed, 31))
-	last := map[uint64]int{}         // session of a client
-	until := map[int]time.Duration{} // its last sign
-	for _, q := range c.Requests {
-		k := classes[q.Class]
-		begin, end := q.At, q.At+capture.Duration(q.Took)+q.Lifetime
-		if !q.Ended && q.Answer == capture.Up {
-			end += time.Duration(rng.ExpFloat64() * float64(f.Classes[k].Lifetime))
-		}
-		if i, ok := last[q.Client]; ok && q.Client != 0 && out.Sessions[i].Class == k && begin-until[i] < sessionTimeout {
-			s := &out.Sessions[i]
-			s.Lifetime, until[i] = max(s.Lifetime, end-s.Arrival), max(until[i], end)
-			continue
-		}
-		s := Session{Arrival: begin, Lifetime: max(end-begin, 100*time.Millisecond), Class: k, Tenant: -1, Zone: f.Centre(q.Zone), Client: q.Client, Group: q.Group}
-		if q.Tenant >= 0 {
-			s.Tenant = editions[q.Tenant]
-		}
-		if s.Client == 0 {
-			s.Client = rng.Uint64() | 1
-		}
-		if x := q.load(); x > 0 {
-			s.Load = x / (told[k] / count[k]) * f.Classes[k].Load
-		}
-		last[s.Client] = len(out.Sessions)
-		until[len(out.Sessions)] = end
-		out.Sessions = append(out.Sessions, s)
+	if !file.started { // nothing but a header
+		m.captured.Headers = append(m.captured.Headers, header)
 	}
-	// A session whose client was never served tells no life: it wanted what its class does.
-	for i := range out.Sessions {
-		if s := &out.Sessions[i]; s.Lifetime <= 100*time.Millisecond {
-			s.Lifetime = time.Duration(rng.ExpFloat64() * float64(f.Classes[s.Class].Lifetime))
+	m.captured.Faults = append(m.captured.Faults, faults...)
+	return nil
+}
+
+func (m *captureMerger) startFile(header capture.Header) captureFile {
+	file := captureFile{header: header, started: true, node: len(m.captured.Headers), loadField: -1}
+	m.captured.Headers = append(m.captured.Headers, header)
+	for i, field := range header.Fields {
+		if field == "x0" || field == "utilization" && file.loadField < 0 {
+			file.loadField = i
 		}
 	}
-	out.sort()
-	if c.Share < 1 {
-		return out.Scale(1/c.Share, seed), nil
+	if header.Share > 0 {
+		m.captured.Share = min(m.captured.Share, header.Share)
 	}
-	return out, nil
+	return file
 }
 
-func (q *Request) load() float64 {
-	if q.ReportedLoad > 0 {
-		return q.ReportedLoad
+func (m *captureMerger) add(file *captureFile, record capture.Record) {
+	switch record := record.(type) {
+	case capture.Placed:
+		m.addRequest(file, record)
+	case capture.Ended:
+		m.observeTime(file, record.At)
+		m.endConnection(file, record)
+	case capture.Report:
+		m.observeTime(file, record.At)
+		m.addReport(file, record)
+	case capture.Host:
+		server := m.captured.server(record.ID)
+		server.Kind = record.Kind
+		server.Zone = record.Zone
+	case capture.Dropped:
+		m.observeTime(file, record.At)
+		m.captured.Dropped += record.Count
 	}
-	return q.Load
 }
 
-func classNames(f *fleet.Fleet) string {
-	var all []string
-	for _, c := range f.Classes {
-		all = append(all, c.Name)
+// observeTime extends the captured period by a time in microseconds since the file's start. It returns that time in
+// nanoseconds of Unix time.
+func (m *captureMerger) observeTime(file *captureFile, at int64) int64 {
+	unix := file.header.Start + at*1000
+	if m.first == 0 || unix < m.first {
+		m.first = unix
+	}
+	m.last = max(m.last, unix)
+	return unix
+}
+
+func (m *captureMerger) addRequest(file *captureFile, record capture.Placed) {
+	header := &file.header
+	request := Request{
+		Placed: record,
+		Node:   file.node,
+		Zone:   header.Zone,
+		Class:  indexOfName(m.classes, &m.captured.Classes, header.Classes[record.Class]),
+		Tenant: -1,
+	}
+	if record.Tenant >= 0 {
+		request.Tenant = indexOfName(m.tenants, &m.captured.Tenants, header.Tenants[record.Tenant])
+	}
+	if record.Answer == capture.Up {
+		m.open[connectionKey{header.Node, header.Start, record.Seq}] = len(m.captured.Requests)
+	}
+	m.captured.Requests = append(m.captured.Requests, request)
+	m.starts = append(m.starts, m.observeTime(file, record.At))
+}
+
+func (m *captureMerger) endConnection(file *captureFile, record capture.Ended) {
+	key := connectionKey{file.header.Node, file.header.Start, record.Seq}
+	i, ok := m.open[key]
+	if !ok {
+		return
+	}
+	request := &m.captured.Requests[i]
+	request.Lifetime = capture.Duration(record.Life)
+	request.Ended = record.Cause != capture.Carried
+	request.Cause = record.Cause
+	request.ReportedLoad = record.Load
+	delete(m.open, key)
+}
+
+func (m *captureMerger) addReport(file *captureFile, record capture.Report) {
+	m.captured.ReportCount++
+	server := m.captured.server(record.Host)
+	if file.loadField < 0 || file.loadField >= len(record.Values) {
+		return
+	}
+	load := float64(record.Values[file.loadField])
+	if math.IsNaN(load) { // the server left the field out
+		return
+	}
+	server.Reports++
+	server.Load += (load - server.Load) / float64(server.Reports)
+	server.Peak = max(server.Peak, load)
+}
+
+// finish puts the requests in the order of time, relative to the first record.
+func (m *captureMerger) finish() *Captured {
+	captured := m.captured
+	captured.Begin = time.Unix(0, m.first)
+	captured.Length = time.Duration(m.last - m.first)
+	for i := range captured.Requests {
+		captured.Requests[i].At = time.Duration(m.starts[i] - m.first)
+	}
+	for _, i := range m.open {
+		request := &captured.Requests[i]
+		request.Lifetime = captured.Length - request.At - capture.Duration(request.Took)
+	}
+	sort.SliceStable(captured.Requests, func(i, j int) bool {
+		return captured.Requests[i].At < captured.Requests[j].At
+	})
+	return captured
+}
+
+// indexOfName returns the index of a name in a list, which it is appended to where it is new.
+func indexOfName(indexes map[string]int, list *[]string, name string) int {
+	i, ok := indexes[name]
+	if !ok {
+		i = len(*list)
+		indexes[name] = i
+		*list = append(*list, name)
+	}
+	return i
+}
+
+// maxServers bounds the servers that a capture is summarized by; those beyond are not kept.
+const maxServers = 1 << 17
+
+func (c *Captured) server(id string) *ServerStats {
+	server := c.Servers[id]
+	if server != nil {
+		return server
+	}
+	server = &ServerStats{}
+	if len(c.Servers) < maxServers {
+		c.Servers[id] = server
 	}
-	return strings.Join(all, ", ")
+	return server
 }
--- a/internal/plan/workload/summary.go
+++ b/internal/plan/workload/summary.go
@@ -1,13 +1,17 @@
 package workload
 
 import (
+	"slices"
 	"sort"
 	"time"
 
 	"spurwinch/internal/operations/capture"
 )
 
-// Summary is what a capture tells at a glance.
+// peakRateWindow is what the highest rate of requests is taken over.
+const peakRateWindow = 10 * time.Second
+
+// Summary holds the figures of a capture.
 type Summary struct {
 	Nodes        int                     `json:"nodes"`
 	Begin        time.Time               `json:"begin"`
@@ -25,7 +29,7 @@
 	GroupMost    int                     `json:"group_most"`
 	PeakRate     float64                 `json:"peak_requests_per_s"` // over 10 s
 	PeakAtS      float64                 `json:"peak_at_s"`
-	StandingMost int                     `json:"standing_most"`
+	StandingMost int                     `json:"standing_most"` // most concurrent connections
 	StandingAtS  float64                 `json:"standing_most_at_s"`
 	Classes      []Breakdown             `json:"classes"`
 	Editions     []Breakdown             `json:"editions"`
@@ -33,142 +37,215 @@
 	Dropped      uint64                  `json:"dropped_records"`
 }
 
-// Part is the requests of one class or edition.
+// Breakdown holds the figures of the requests of one class or tenant.
 type Breakdown struct {
 	Name      string  `json:"name"`
 	Rate      float64 `json:"requests_per_s"`
 	LifeMeanS float64 `json:"life_mean_s"` // of connections that ended
 	Life50S   float64 `json:"life_median_s"`
 	Life99S   float64 `json:"life_99_s"`
-	Load      float64 `json:"told_load_mean"` // 0: not told
-	Refused   float64 `json:"refused"`        // part of the requests
+	Load      float64 `json:"told_load_mean"` // 0: unknown
+	Refused   float64 `json:"refused"`        // fraction of the requests
 
-	lifetimes          []float64
-	count, rejections  int
-	loadSum, loadCount float64
+	lifetimes  []float64
+	count      int
+	rejections int
+	loadSum    float64
+	loadCount  float64
 }
 
-// Summary sums a capture up. Rates are of what the files hold; where a share was captured, they are that share's.
+// Summary sums a capture up. Rates are those of the records: where a share of the load was captured, of that share.
 func (c *Captured) Summary() Summary {
-	s := Summary{Begin: c.Begin, LengthS: c.Length.Seconds(), Share: c.Share, Requests: len(c.Requests), Answers: map[string]int{},
-		Ends: map[string]int{}, Hosts: c.Servers, Dropped: c.Dropped}
-	nodes, clients, groups := map[string]bool{}, map[uint64]bool{}, map[uint64]int{}
-	for _, h := range c.Headers {
-		nodes[h.Node] = true
-	}
-	s.Nodes = len(nodes)
-	parts := func(names []string) []Breakdown {
-		out := make([]Breakdown, len(names))
-		for i, n := range names {
-			out[i].Name = n
-		}
-		return out
+	summary := Summary{
+		Nodes:    c.nodeCount(),
+		Begin:    c.Begin,
+		LengthS:  c.Length.Seconds(),
+		Share:    c.Share,
+		Requests: len(c.Requests),
+		Answers:  map[string]int{},
+		Ends:     c.endCounts(),
+		Classes:  c.breakdowns(c.Classes, func(r *Request) int { return r.Class }),
+		Editions: c.breakdowns(c.Tenants, func(r *Request) int { return r.Tenant }),
+		Hosts:    c.Servers,
+		Dropped:  c.Dropped,
 	}
-	s.Classes, s.Editions = parts(c.Classes), parts(c.Tenants)
-	var took []float64
-	type change struct {
-		at time.Duration
-		by int
+	for i := range c.Requests {
+		summary.Answers[c.Requests[i].Answer.String()]++
 	}
-	var changes []change
-	tries := 0
-	rate, first := 0, 0
+	summary.addClients(c)
+	summary.addAnswerTimes(c)
+	summary.addPeakRate(c)
+	summary.addPeakConcurrency(c)
+	return summary
+}
+
+func (c *Captured) nodeCount() int {
+	nodes := map[string]bool{}
+	for _, header := range c.Headers {
+		nodes[header.Node] = true
+	}
+	return len(nodes)
+}
+
+// endCounts counts the connections by how they ended.
+func (c *Captured) endCounts() map[string]int {
+	counts := map[string]int{}
 	for i := range c.Requests {
-		q := &c.Requests[i]
-		s.Answers[q.Answer.String()]++
-		if q.Client != 0 {
-			clients[q.Client] = true
+		request := &c.Requests[i]
+		switch {
+		case request.Answer != capture.Up:
+		case !request.Ended:
+			counts["none"]++
+		default:
+			counts[endName(request.Cause)]++
 		}
-		if q.Group != 0 {
-			groups[q.Group]++
-			s.GroupMost = max(s.GroupMost, groups[q.Group])
-		}
-		took = append(took, capture.Duration(q.Took).Seconds()*1000)
-		tries += len(q.Tries)
-		for c.Requests[first].At <= q.At-10*time.Second {
-			first++
-		}
-		if n := i - first + 1; n > rate {
-			rate, s.PeakAtS = n, c.Requests[first].At.Seconds()
+	}
+	return counts
+}
+
+// endName is the name that a cause has in replies.
+func endName(cause capture.Cause) string {
+	return []string{"client", "host", "moved"}[min(int(cause), 2)]
+}
+
+// addClients counts the clients and the groups.
+func (s *Summary) addClients(captured *Captured) {
+	clients := map[uint64]bool{}
+	groups := map[uint64]int{}
+	grouped := 0
+	for i := range captured.Requests {
+		request := &captured.Requests[i]
+		if request.Client != 0 {
+			clients[request.Client] = true
 		}
-		s.Classes[q.Class].add(q)
-		if q.Tenant >= 0 {
-			s.Editions[q.Tenant].add(q)
+		if request.Group != 0 {
+			grouped++
+			groups[request.Group]++
+			s.GroupMost = max(s.GroupMost, groups[request.Group])
 		}
-		if q.Answer != capture.Up {
-			continue
+	}
+	s.Clients = len(clients)
+	s.Groups = len(groups)
+	if len(groups) > 0 {
+		s.GroupMean = float64(grouped) / float64(len(groups))
+	}
+}
+
+func (s *Summary) addAnswerTimes(captured *Captured) {
+	if len(captured.Requests) == 0 {
+		return
+	}
+	attempts := 0
+	var times []float64 // in milliseconds
+	for i := range captured.Requests {
+		request := &captured.Requests[i]
+		times = append(times, capture.Duration(request.Took).Seconds()*1000)
+		attempts += len(request.Tries)
+	}
+	s.Attempts = float64(attempts) / float64(len(captured.Requests))
+	slices.Sort(times)
+	s.Answer50ms = quantile(times, 0.5)
+	s.Answer99ms = quantile(times, 0.99)
+}
+
+func (s *Summary) addPeakRate(captured *Captured) {
+	most := 0
+	first := 0 // request of the window that ends with the current one
+	for i := range captured.Requests {
+		for captured.Requests[first].At <= captured.Requests[i].At-peakRateWindow {
+			first++
 		}
-		stood := q.At + capture.Duration(q.Took)
-		changes = append(changes, change{stood, 1})
-		if !q.Ended {
-			s.Ends["none"]++
-			continue
+		if count := i - first + 1; count > most {
+			most = count
+			s.PeakAtS = captured.Requests[first].At.Seconds()
 		}
-		changes = append(changes, change{stood + q.Lifetime, -1})
-		s.Ends[[]string{"client", "host", "moved"}[min(int(q.Cause), 2)]]++
 	}
-	s.Clients, s.Groups = len(clients), len(groups)
-	s.PeakRate = float64(rate) / min(10, max(1, s.LengthS))
-	if len(c.Requests) > 0 {
-		s.Attempts = float64(tries) / float64(len(c.Requests))
-		sort.Float64s(took)
-		s.Answer50ms, s.Answer99ms = quantile(took, 0.5), quantile(took, 0.99)
+	s.PeakRate = float64(most) / min(peakRateWindow.Seconds(), max(1, s.LengthS))
+}
+
+func (s *Summary) addPeakConcurrency(captured *Captured) {
+	type change struct {
+		at time.Duration
+		by int
 	}
-	if len(groups) > 0 {
-		sum := 0
-		for _, n := range groups {
-			sum += n
+	var changes []change
+	for i := range captured.Requests {
+		request := &captured.Requests[i]
+		if request.Answer != capture.Up {
+			continue
+		}
+		established := request.At + capture.Duration(request.Took)
+		changes = append(changes, change{established, 1})
+		if request.Ended {
+			changes = append(changes, change{established + request.Lifetime, -1})
 		}
-		s.GroupMean = float64(sum) / float64(len(groups))
 	}
 	sort.SliceStable(changes, func(i, j int) bool { return changes[i].at < changes[j].at })
-	standing := 0
-	for _, x := range changes {
-		if standing += x.by; standing > s.StandingMost {
-			s.StandingMost, s.StandingAtS = standing, x.at.Seconds()
+	concurrent := 0
+	for _, change := range changes {
+		concurrent += change.by
+		if concurrent > s.StandingMost {
+			s.StandingMost = concurrent
+			s.StandingAtS = change.at.Seconds()
 		}
 	}
-	for _, list := range [][]Breakdown{s.Classes, s.Editions} {
-		for i := range list {
-			list[i].finish(s.LengthS)
+}
+
+// breakdowns sums up the requests by an index into names; a request of a negative index is in none.
+func (c *Captured) breakdowns(names []string, indexOf func(*Request) int) []Breakdown {
+	breakdowns := make([]Breakdown, len(names))
+	for i, name := range names {
+		breakdowns[i].Name = name
+	}
+	for i := range c.Requests {
+		request := &c.Requests[i]
+		if index := indexOf(request); index >= 0 {
+			breakdowns[index].add(request)
 		}
 	}
-	return s
+	for i := range breakdowns {
+		breakdowns[i].finish(c.Length.Seconds())
+	}
+	return breakdowns
 }
 
-func (p *Breakdown) add(q *Request) {
-	p.count++
-	if q.Answer == capture.Refused {
-		p.rejections++
+func (b *Breakdown) add(request *Request) {
+	b.count++
+	if request.Answer == capture.Refused {
+		b.rejections++
 	}
-	if x := q.load(); x > 0 {
-		p.loadSum, p.loadCount = p.loadSum+x, p.loadCount+1
+	if load := request.load(); load > 0 {
+		b.loadSum += load
+		b.loadCount++
 	}
-	if q.Ended {
-		p.lifetimes = append(p.lifetimes, q.Lifetime.Seconds())
+	if request.Ended {
+		b.lifetimes = append(b.lifetimes, request.Lifetime.Seconds())
 	}
 }
 
-func (p *Breakdown) finish(length float64) {
+// finish computes the figures once all requests of a capture of a length in seconds are added.
+func (b *Breakdown) finish(length float64) {
 	if length > 0 {
-		p.Rate = float64(p.count) / length
+		b.Rate = float64(b.count) / length
 	}
-	if p.count > 0 {
-		p.Refused = float64(p.rejections) / float64(p.count)
+	if b.count > 0 {
+		b.Refused = float64(b.rejections) / float64(b.count)
 	}
-	if p.loadCount > 0 {
-		p.Load = p.loadSum / p.loadCount
+	if b.loadCount > 0 {
+		b.Load = b.loadSum / b.loadCount
 	}
-	if len(p.lifetimes) > 0 {
-		sort.Float64s(p.lifetimes)
-		for _, x := range p.lifetimes {
-			p.LifeMeanS += x / float64(len(p.lifetimes))
-		}
-		p.Life50S, p.Life99S = quantile(p.lifetimes, 0.5), quantile(p.lifetimes, 0.99)
+	if len(b.lifetimes) == 0 {
+		return
+	}
+	slices.Sort(b.lifetimes)
+	for _, lifetime := range b.lifetimes {
+		b.LifeMeanS += lifetime / float64(len(b.lifetimes))
 	}
+	b.Life50S = quantile(b.lifetimes, 0.5)
+	b.Life99S = quantile(b.lifetimes, 0.99)
 }
 
-// quantile of a sorted list.
-func quantile(xs []float64, q float64) float64 {
-	return xs[min(len(xs)-1, int(q*float64(len(xs))))]
+// quantile returns a quantile, from 0 to 1, of values in ascending order.
+func quantile(values []float64, fraction float64) float64 {
+	return values[min(len(values)-1, int(fraction*float64(len(values))))]
 }
--- a/internal/plan/workload/write.go
+++ b/internal/plan/workload/write.go
@@ -11,20 +11,23 @@
 	"spurwinch/internal/plan/fleet"
 )
 
-// Write writes the load as captures, as if a node in each centre had served its clients, and returns the files' names. What
-// stands at the end has no end there.
-func (l *Load) Write(f *fleet.Fleet, path string) ([]string, error) {
+const (
+	generatedNode = "drawn" // what the name of a generated capture's node begins with
+	writeQueue    = 1024    // records
+	writeTimeout  = time.Hour
+)
+
+// Write writes the load as capture files, as if one node in each zone had served its clients, and returns the files'
+// names. A connection that is open at the end has no end there.
+func (l *Load) Write(description *fleet.Fleet, path string) ([]string, error) {
 	var files []string
 	began := time.Now()
-	for c := -1; c < len(f.Centres); c++ {
-		some := c == 0 // an empty load still has its length
-		for i := range l.Sessions {
-			some = some || l.Sessions[i].Zone == c
-		}
-		if !some {
+	for zone := -1; zone < len(description.Centres); zone++ {
+		hasSessions := slices.ContainsFunc(l.Sessions, func(session Session) bool { return session.Zone == zone })
+		if !hasSessions && zone != 0 { // an empty load still has its length
 			continue
 		}
-		name, err := l.write(f, path, c, began)
+		name, err := l.writeZone(description, path, zone, began)
 		if err != nil {
 			return nil, err
 		}
@@ -33,48 +36,80 @@
 	return files, nil
 }
 
-func (l *Load) write(f *fleet.Fleet, path string, centre int, began time.Time) (string, error) {
-	h := capture.Header{Node: "drawn"}
-	if centre >= 0 {
-		h.Zone = f.Centres[centre].Name
-		h.Node += "-" + h.Zone
+// writeZone writes the sessions of one zone; -1 is that of sessions without one.
+func (l *Load) writeZone(description *fleet.Fleet, path string, zone int, began time.Time) (string, error) {
+	header := capture.Header{Node: generatedNode}
+	if zone >= 0 {
+		header.Zone = description.Centres[zone].Name
+		header.Node += "-" + header.Zone
 	}
-	for _, c := range f.Classes {
-		h.Classes = append(h.Classes, c.Name)
+	for _, class := range description.Classes {
+		header.Classes = append(header.Classes, class.Name)
 	}
-	for _, e := range f.Editions {
-		h.Tenants = append(h.Tenants, e.Name)
+	for _, tenant := range description.Editions {
+		header.Tenants = append(header.Tenants, tenant.Name)
 	}
-	var fault error
-	w, err := capture.NewWriter(capture.Options{Path: path + "-" + h.Node, FileSize: math.MaxInt64, Files: 1, Share: 1,
-		Key: []byte("drawn: nobody's data"), Queue: 1024, Header: h, Began: began, Fault: func(err error) { fault = err }})
+	var failure error
+	writer, err := capture.NewWriter(capture.Options{
+		Path:     path + "-" + header.Node,
+		FileSize: math.MaxInt64,
+		Files:    1,
+		Share:    1,
+		Key:      []byte("drawn: nobody's data"),
+		Queue:    writeQueue,
+		Header:   header,
+		Began:    began,
+		Fault:    func(err error) { failure = err },
+	})
 	if err != nil {
 		return "", err
 	}
-	type record struct {
-		at int64
-		r  capture.Record
+	for _, record := range l.records(zone) {
+		writer.PutWait(record)
+	}
+	writer.Close(time.Now().Add(writeTimeout))
+	if failure != nil {
+		return "", fmt.Errorf("%s: %w", path, failure)
 	}
-	var all []record
-	for i, s := range l.Sessions {
-		if s.Zone != centre {
+	return writer.Files()[0], nil
+}
+
+// records returns the records of a zone's sessions in the order of time.
+func (l *Load) records(zone int) []capture.Record {
+	type timedRecord struct {
+		at     int64 // microseconds
+		record capture.Record
+	}
+	var timed []timedRecord
+	add := func(at int64, record capture.Record) { timed = append(timed, timedRecord{at, record}) }
+	for i := range l.Sessions {
+		session := &l.Sessions[i]
+		if session.Zone != zone {
 			continue
 		}
-		at := s.Arrival.Microseconds()
-		all = append(all, record{at, capture.Placed{At: at, Seq: uint64(i), Class: s.Class, Tenant: s.Tenant, Client: s.Client, Group: s.Group, Load: s.Load}})
-		if end := s.Arrival + s.Lifetime; end < l.Length {
-			all = append(all, record{end.Microseconds(), capture.Ended{At: end.Microseconds(), Seq: uint64(i), Life: s.Lifetime.Microseconds()}})
+		at := session.Arrival.Microseconds()
+		add(at, capture.Placed{
+			At:     at,
+			Seq:    uint64(i),
+			Class:  session.Class,
+			Tenant: session.Tenant,
+			Client: session.Client,
+			Group:  session.Group,
+			Load:   session.Load,
+		})
+		if session.End() < l.Length {
+			end := session.End().Microseconds()
+			add(end, capture.Ended{At: end, Seq: uint64(i), Life: session.Lifetime.Microseconds()})
 		}
 	}
-	// The first and the last record tell how long the load is.
-	all = append(all, record{0, capture.Dropped{}}, record{l.Length.Microseconds(), capture.Dropped{At: l.Length.Microseconds()}})
-	slices.SortStableFunc(all, func(a, b record) int { return cmp.Compare(a.at, b.at) })
-	for _, r := range all {
-		w.PutWait(r.r)
-	}
-	w.Close(time.Now().Add(time.Hour))
-	if fault != nil {
-		return "", fmt.Errorf("%s: %w", path, fault)
+	// The first and the last record give the load's length.
+	length := l.Length.Microseconds()
+	add(0, capture.Dropped{})
+	add(length, capture.Dropped{At: length})
+	slices.SortStableFunc(timed, func(a, b timedRecord) int { return cmp.Compare(a.at, b.at) })
+	records := make([]capture.Record, len(timed))
+	for i := range timed {
+		records[i] = timed[i].record
 	}
-	return w.Files()[0], nil
+	return records
 }
