--- a/internal/plan/planner/bound.go
+++ b/internal/plan/planner/bound.go
@@ -30,6 +30,7 @@
 		classes[i] = make([]cell, len(f.Classes))
 	}
 	groups := map[uint64][]*workload.Session{}
+	var groupIDs []uint64 // by first arrival: sums in the order of a map differ in their last digits
 	usual := f.CoreLoad()
 	eachWindow := func(from, to time.Duration, fn func(i int, part float64)) {
 		to = min(to, l.Length)
@@ -57,11 +58,15 @@
 			wins[i].setups += 1 / window.Seconds()
 		}
 		if s.Group != 0 && f.Group.Cost > 0 {
+			if groups[s.Group] == nil {
+				groupIDs = append(groupIDs, s.Group)
+			}
 			groups[s.Group] = append(groups[s.Group], s)
 		}
 	}
 	biggest := 0.0 // load of one group at once, with its cost
-	for _, g := range groups {
+	for _, id := range groupIDs {
+		g := groups[id]
 		from, to, sum := g[0].Arrival, g[0].Arrival, 0.0
 		for _, s := range g {
 			from, to = min(from, s.Arrival), max(to, s.Arrival+s.Lifetime)
--- /dev/null
+++ b/internal/plan/planner/bound_test.go
@@ -0,0 +1,19 @@
+package planner
+
+import (
+	"reflect"
+	"testing"
+)
+
+// TestUpperBoundRepeats checks that the bound of a load with groups is the same to the last digit each time: a sum in the
+// order of a map is not.
+func TestUpperBoundRepeats(t *testing.T) {
+	f := evening(t)
+	load := draw(f, 5, 300, 40)
+	first := UpperBound(f, load)
+	for range 20 {
+		if again := UpperBound(f, load); !reflect.DeepEqual(again, first) {
+			t.Fatalf("first %+v, then %+v", first, again)
+		}
+	}
+}
