--- a/internal/plan/planner/bound.go
+++ b/internal/plan/planner/bound.go
@@ -2,155 +2,244 @@
 
 import (
 	"fmt"
-	"math"
 	"time"
 
 	"spurwinch/internal/plan/fleet"
 	"spurwinch/internal/plan/workload"
 )
 
-// Bound is what arithmetic alone tells: no placement can do better, however good.
+// boundWindow is the length of the windows in which demand is compared with capacity.
+const boundWindow = 10 * time.Second
+
+// Bound is what arithmetic alone gives: no placement can do better, however good.
 type Bound struct {
-	Service   float64  `json:"service"` // at most
-	Cores     float64  `json:"cores"`   // that all servers have, warm
-	Demand    float64  `json:"asked"`   // in the busiest 10 s, with each group paid for once
-	DemandAtS float64  `json:"asked_at_s"`
-	Cannot    []string `json:"cannot"` // what can't work, in words
-}
-
-// Bounds takes the load in windows of 10 s against what the fleet has. A window that asks for more than all servers can do
-// is served in part at most: what earns most for its load first.
-func UpperBound(f *fleet.Fleet, l *workload.Load) Bound {
-	b := Bound{Cores: f.Cores(), Service: 1}
-	n := int(l.Length/window) + 1
-
-	wins := make([]cell, n)
-	classes := make([][]cell, n)
-	for i := range classes {
-		classes[i] = make([]cell, len(f.Classes))
-	}
-	groups := map[uint64][]*workload.Session{}
-	var groupIDs []uint64 // by first arrival: sums in the order of a map differ in their last digits
-	usual := f.CoreLoad()
-	eachWindow := func(from, to time.Duration, fn func(i int, part float64)) {
-		to = min(to, l.Length)
-		for i := int(from / window); i < n && time.Duration(i)*window < to; i++ {
-			a, z := max(from, time.Duration(i)*window), min(to, time.Duration(i+1)*window)
-			fn(i, float64(z-a)/float64(window))
-		}
-	}
-	for i := range l.Sessions {
-		s := &l.Sessions[i]
-		c := f.Classes[s.Class]
-		x := s.Load
-		if x == 0 {
-			x = c.Load
-		}
-		eachWindow(s.Arrival, s.Arrival+s.Lifetime, func(i int, part float64) {
-			wins[i].work += x * usual * part
-			wins[i].worth += c.Priority * part
-			wins[i].standing += part
-			classes[i][s.Class].work += x * usual * part
-			classes[i][s.Class].worth += c.Priority * part
-		})
-		if i := int(s.Arrival / window); i < n {
-			wins[i].work += c.SetupWork.Seconds() / window.Seconds()
-			wins[i].setups += 1 / window.Seconds()
-		}
-		if s.Group != 0 && f.Group.Cost > 0 {
-			if groups[s.Group] == nil {
-				groupIDs = append(groupIDs, s.Group)
-			}
-			groups[s.Group] = append(groups[s.Group], s)
-		}
-	}
-	biggest := 0.0 // load of one group at once, with its cost
-	for _, id := range groupIDs {
-		g := groups[id]
-		from, to, sum := g[0].Arrival, g[0].Arrival, 0.0
-		for _, s := range g {
-			from, to = min(from, s.Arrival), max(to, s.Arrival+s.Lifetime)
-			x := s.Load
-			if x == 0 {
-				x = f.Classes[s.Class].Load
-			}
-			sum += x * usual
-		}
-		biggest = max(biggest, sum+f.Group.Cost*usual)
-		eachWindow(from, to, func(i int, part float64) { wins[i].work += f.Group.Cost * usual * part })
-	}
-	want, got := 0.0, 0.0
-	peak, setups := cell{}, 0.0
-	for i, c := range wins {
-		want += c.worth
-		got += most(classes[i], c, b.Cores)
-		if c.work > b.Demand {
-			b.Demand, b.DemandAtS = c.work, float64(i)*window.Seconds()
+	Service   float64  `json:"service"`    // at most
+	Cores     float64  `json:"cores"`      // capacity of all servers after their slow start, in reference cores
+	Demand    float64  `json:"asked"`      // of the busiest window, with each group counted once
+	DemandAtS float64  `json:"asked_at_s"` // beginning of that window
+	Cannot    []string `json:"cannot"`     // what is infeasible, in words
+}
+
+// windowDemand is what a load demands in one window.
+type windowDemand struct {
+	work        float64 // reference cores
+	priority    float64 // weight a second
+	setups      float64 // new connections a second
+	connections float64 // mean number
+}
+
+// UpperBound compares the load with the capacity of the fleet in windows of 10 s. Where a window demands more than all
+// servers can do, the classes with the highest priority weight for their work are served first.
+func UpperBound(description *fleet.Fleet, load *workload.Load) Bound {
+	calculator := newBoundCalculator(description, load)
+	for i := range load.Sessions {
+		calculator.addSession(&load.Sessions[i])
+	}
+	calculator.addGroups()
+	return calculator.bound()
+}
+
+// boundCalculator sums up the demand of a load by window.
+type boundCalculator struct {
+	fleet        *fleet.Fleet
+	load         *workload.Load
+	windows      []windowDemand
+	classes      [][]windowDemand // by window and class
+	groups       map[uint64]*groupDemand
+	groupIDs     []uint64 // by first arrival: sums in the order of a map differ in their last digits
+	largestGroup float64  // load of one group with its cost, in reference cores
+}
+
+// groupDemand is what the sessions of one group demand together.
+type groupDemand struct {
+	from, to time.Duration
+	load     float64 // in reference cores
+}
+
+func newBoundCalculator(description *fleet.Fleet, load *workload.Load) *boundCalculator {
+	windows := int(load.Length/boundWindow) + 1
+	calculator := &boundCalculator{
+		fleet:   description,
+		load:    load,
+		windows: make([]windowDemand, windows),
+		classes: make([][]windowDemand, windows),
+		groups:  map[uint64]*groupDemand{},
+	}
+	for i := range calculator.classes {
+		calculator.classes[i] = make([]windowDemand, len(description.Classes))
+	}
+	return calculator
+}
+
+// eachWindow calls add for each window of a period, with the fraction of the window that the period covers.
+func (c *boundCalculator) eachWindow(from, to time.Duration, add func(window int, fraction float64)) {
+	to = min(to, c.load.Length)
+	for i := int(from / boundWindow); i < len(c.windows); i++ {
+		windowBegin := time.Duration(i) * boundWindow
+		if windowBegin >= to {
+			return
 		}
-		peak.standing = max(peak.standing, c.standing)
-		setups = max(setups, c.setups)
+		begin := max(from, windowBegin)
+		end := min(to, windowBegin+boundWindow)
+		add(i, float64(end-begin)/float64(boundWindow))
 	}
-	if want > 0 {
-		b.Service = min(1, got/want)
-	}
-	if b.Cores <= 0 {
-		b.Cannot = append(b.Cannot, "there is no server at all")
-	} else if b.Demand > b.Cores {
-		b.Cannot = append(b.Cannot, fmt.Sprintf("the busiest 10 s, from %.0f s on, ask for %.1f cores; all servers have %.1f", b.DemandAtS, b.Demand, b.Cores))
-	}
-	if r := f.Store.Rate; r > 0 && setups > r {
-		b.Cannot = append(b.Cannot, fmt.Sprintf("%.1f new connections a second need the session store, which bears %.1f", setups, r))
-	}
-	slots, caps := 0.0, 0.0
-	for _, k := range f.Nodes {
-		slots += float64(k.Count) * math.Max(0, float64(k.Sockets-spareSlots)) / 2
-	}
-	for _, s := range f.ServerPools {
-		caps += float64(s.Count) * float64(f.MachineKind(s.Kind).Connections)
-	}
-	if peak.standing > slots {
-		b.Cannot = append(b.Cannot, fmt.Sprintf("%.0f standing connections need two descriptors each; all nodes have room for %.0f", peak.standing, slots))
+}
+
+func (c *boundCalculator) addSession(session *workload.Session) {
+	class := &c.fleet.Classes[session.Class]
+	cores := session.ExpectedLoad(c.fleet) * c.fleet.CoreLoad()
+	c.eachWindow(session.Arrival, session.End(), func(i int, fraction float64) {
+		window := &c.windows[i]
+		window.work += cores * fraction
+		window.priority += class.Priority * fraction
+		window.connections += fraction
+		classWindow := &c.classes[i][session.Class]
+		classWindow.work += cores * fraction
+		classWindow.priority += class.Priority * fraction
+	})
+	if i := int(session.Arrival / boundWindow); i < len(c.windows) {
+		c.windows[i].work += class.SetupWork.Seconds() / boundWindow.Seconds()
+		c.windows[i].setups += 1 / boundWindow.Seconds()
+	}
+	if session.Group != 0 && c.fleet.Group.Cost > 0 {
+		c.addToGroup(session, cores)
 	}
-	if peak.standing > caps {
-		b.Cannot = append(b.Cannot, fmt.Sprintf("%.0f standing connections; all servers hold %.0f at most", peak.standing, caps))
+}
+
+func (c *boundCalculator) addToGroup(session *workload.Session, cores float64) {
+	group := c.groups[session.Group]
+	if group == nil {
+		group = &groupDemand{from: session.Arrival, to: session.Arrival}
+		c.groups[session.Group] = group
+		c.groupIDs = append(c.groupIDs, session.Group)
+	}
+	group.from = min(group.from, session.Arrival)
+	group.to = max(group.to, session.End())
+	group.load += cores
+}
+
+// addGroups adds the cost of each group once, as if it were on one server.
+func (c *boundCalculator) addGroups() {
+	cost := c.fleet.Group.Cost * c.fleet.CoreLoad()
+	for _, id := range c.groupIDs {
+		group := c.groups[id]
+		c.largestGroup = max(c.largestGroup, group.load+cost)
+		c.eachWindow(group.from, group.to, func(i int, fraction float64) { c.windows[i].work += cost * fraction })
 	}
-	one := 0.0
-	for _, s := range f.ServerPools {
-		if k := f.MachineKind(s.Kind); s.Count > 0 {
-			one = max(one, k.Cores*k.Speed)
+}
+
+func (c *boundCalculator) bound() Bound {
+	bound := Bound{Cores: c.fleet.Cores(), Service: 1}
+	demand := 0.0
+	served := 0.0
+	var peak windowDemand
+	for i, window := range c.windows {
+		demand += window.priority
+		served += mostServed(c.classes[i], window, bound.Cores)
+		if window.work > bound.Demand {
+			bound.Demand = window.work
+			bound.DemandAtS = float64(i) * boundWindow.Seconds()
 		}
+		peak.connections = max(peak.connections, window.connections)
+		peak.setups = max(peak.setups, window.setups)
 	}
-	if biggest > one && one > 0 {
-		b.Cannot = append(b.Cannot, fmt.Sprintf("one group asks for up to %.2f cores; the largest server has %.2f: it must be spread, and each server pays for it", biggest, one))
+	if demand > 0 {
+		bound.Service = min(1, served/demand)
 	}
-	return b
+	bound.Cannot = c.infeasible(&bound, peak)
+	return bound
 }
 
-// most is the most worth that a window's work can earn on so many cores: the best by its work first, groups and set-ups
-// for nothing.
-func most(classes []cell, c cell, cores float64) float64 {
-	if c.work <= cores {
-		return c.worth
-	}
-	got, left := 0.0, cores
+// mostServed returns the most priority weight that the work of a window can be served with: the classes with the
+// highest weight for their work first, groups and set-ups for nothing.
+func mostServed(classes []windowDemand, window windowDemand, cores float64) float64 {
+	if window.work <= cores {
+		return window.priority
+	}
+	served := 0.0
+	rest := cores
 	used := make([]bool, len(classes))
 	for range classes {
-		best := -1
-		for k, x := range classes {
-			if !used[k] && x.work > 0 && (best < 0 || x.worth/x.work > classes[best].worth/classes[best].work) {
-				best = k
-			}
-		}
+		best := bestClass(classes, used)
 		if best < 0 {
 			break
 		}
 		used[best] = true
-		part := min(1, left/classes[best].work)
-		got += classes[best].worth * part
-		left -= classes[best].work * part
+		fraction := min(1, rest/classes[best].work)
+		served += classes[best].priority * fraction
+		rest -= classes[best].work * fraction
 	}
-	return got
+	return served
 }
 
-// cell is what a window asks for: cores, worth a second, new connections a second, standing connections.
-type cell struct{ work, worth, setups, standing float64 }
+// bestClass returns the unused class with the highest priority weight for its work, or -1.
+func bestClass(classes []windowDemand, used []bool) int {
+	best := -1
+	for i, class := range classes {
+		if used[i] || class.work <= 0 {
+			continue
+		}
+		if best < 0 || class.priority/class.work > classes[best].priority/classes[best].work {
+			best = i
+		}
+	}
+	return best
+}
+
+// infeasible says in words which limits the load exceeds in any placement.
+func (c *boundCalculator) infeasible(bound *Bound, peak windowDemand) []string {
+	var reasons []string
+	add := func(format string, values ...any) { reasons = append(reasons, fmt.Sprintf(format, values...)) }
+	if bound.Cores <= 0 {
+		add("there is no server at all")
+	} else if bound.Demand > bound.Cores {
+		add("the busiest 10 s, from %.0f s on, ask for %.1f cores; all servers have %.1f",
+			bound.DemandAtS, bound.Demand, bound.Cores)
+	}
+	if rate := c.fleet.Store.Rate; rate > 0 && peak.setups > rate {
+		add("%.1f new connections a second need the session store, which bears %.1f", peak.setups, rate)
+	}
+	if nodes := c.nodeCapacity(); peak.connections > nodes {
+		add("%.0f standing connections need two descriptors each; all nodes have room for %.0f",
+			peak.connections, nodes)
+	}
+	if servers := c.serverConnections(); peak.connections > servers {
+		add("%.0f standing connections; all servers hold %.0f at most", peak.connections, servers)
+	}
+	if largest := c.largestServer(); c.largestGroup > largest && largest > 0 {
+		add("one group asks for up to %.2f cores; the largest server has %.2f: "+
+			"it must be spread, and each server pays for it",
+			c.largestGroup, largest)
+	}
+	return reasons
+}
+
+// nodeCapacity returns how many client connections the descriptors of all nodes are enough for.
+func (c *boundCalculator) nodeCapacity() float64 {
+	capacity := 0.0
+	for _, pool := range c.fleet.Nodes {
+		capacity += float64(pool.Count) * max(0, float64(pool.Sockets-reservedDescriptors)) / 2
+	}
+	return capacity
+}
+
+func (c *boundCalculator) serverConnections() float64 {
+	connections := 0.0
+	for _, pool := range c.fleet.ServerPools {
+		connections += float64(pool.Count) * float64(c.fleet.MachineKind(pool.Kind).Connections)
+	}
+	return connections
+}
+
+// largestServer returns the capacity of the largest server, in reference cores.
+func (c *boundCalculator) largestServer() float64 {
+	largest := 0.0
+	for _, pool := range c.fleet.ServerPools {
+		if pool.Count == 0 {
+			continue
+		}
+		kind := c.fleet.MachineKind(pool.Kind)
+		largest = max(largest, kind.Cores*kind.Speed)
+	}
+	return largest
+}
--- a/internal/plan/planner/bound_test.go
+++ b/internal/plan/planner/bound_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// TestUpperBoundRepeats checks that the bound of a load with groups is the same to the last digit each time: a sum in the
-// order of a map is not.
+// TestUpperBoundRepeats checks that the bound of a load with groups is the same to the last digit each time: a sum in
+// the order of a map is not.
 func TestUpperBoundRepeats(t *testing.T) {
-	f := evening(t)
-	load := draw(f, 5, 300, 40)
-	first := UpperBound(f, load)
+	description := eveningFleet(t)
+	load := draw(description, 5, 300, 40)
+	first := UpperBound(description, load)
 	for range 20 {
-		if again := UpperBound(f, load); !reflect.DeepEqual(again, first) {
+		if again := UpperBound(description, load); !reflect.DeepEqual(again, first) {
 			t.Fatalf("first %+v, then %+v", first, again)
 		}
 	}
--- a/internal/plan/planner/client.go
+++ b/internal/plan/planner/client.go
@@ -1,9 +1,7 @@
 package planner
 
 import (
-	"cmp"
 	"math"
-	"slices"
 	"strconv"
 	"time"
 
@@ -13,333 +11,249 @@
 	"spurwinch/internal/plan/workload"
 )
 
-// client is one session's client: it comes, is answered, comes again after a break or a refusal, and leaves when it wants
-// its connection no longer.
+// localRejectionDelay is how long a client waits that a node without a free descriptor has rejected.
+const localRejectionDelay = time.Second
+
+// client is the client of one session: it connects, waits for an answer, connects again after a reset or a rejection,
+// and leaves at the end of the session. It is the front end's side of its request (edge.Client).
 type client struct {
-	w        *simulation
-	s        *workload.Session
-	worth    float64 // a second
-	node     *node   // where its request or connection is
+	sim      *simulation
+	session  *workload.Session
+	priority float64 // of a second
+	node     *node   // that its request or connection is at
 	request  *edge.Request
-	try      *attempt
-	failures int
-	gone     bool
+	attempt  *attempt
+	failures int // since it was served
+	left     bool
 }
 
-// try is one attempt.
-type attempt struct {
-	c      *client
-	a      *edge.Attempt
-	node   *node
-	conn   *conn
-	closed bool
-}
+func (c *client) class() *fleet.Class { return &c.sim.fleet.Classes[c.session.Class] }
 
-func (c *client) class() *fleet.Class { return &c.w.fleet.Classes[c.s.Class] }
+// tenant returns the index that the session is counted under.
+func (c *client) tenant() int { return max(0, c.session.Tenant) }
 
-// arrive begins a session.
-func (w *simulation) arrive(s *workload.Session, worth float64, standing bool) {
-	c := &client{w: w, s: s, worth: worth}
-	e := max(0, s.Tenant)
-	w.limits.hit(w, limitShare, nil, float64(w.held[e]+1)/w.quota[e])
-	w.held[e]++
-	w.stats.Sessions++
-	w.at(s.Arrival+s.Lifetime, nil, c.leave)
-	if !standing {
-		c.come()
+// startSession begins the session of an index.
+func (s *simulation) startSession(index int) {
+	started := &client{sim: s, session: &s.load.Sessions[index], priority: s.priorities[index]}
+	tenant := started.tenant()
+	s.observeLimit(limitQuota, nil, float64(s.tenantHolds[tenant]+1)/s.tenantQuotas[tenant])
+	s.tenantHolds[tenant]++
+	s.stats.Sessions++
+	s.schedule(started.session.End(), nil, started.endSession)
+	if !started.session.AlreadyOpen {
+		started.connect()
 		return
 	}
-	// It stands at the emptier of two servers that its group draws by what servers bear, and came by a node of its centre:
-	// as even as a node would have placed it, or the load would begin with a wave of moves.
-	who := s.Group
-	if who == 0 {
-		who = s.Client
+	server := s.initialServer(started)
+	if server == nil {
+		started.connect()
+		return
 	}
-	var two [2]*server // the first two of the group's own order of servers
-	var most [2]float64
-	for i, h := range w.hosts {
-		u := (float64(workload.Mix(who^workload.Mix(uint64(i)))>>11) + 0.5) / (1 << 53)
-		x := math.Log(u) / h.cores()
-		if two[0] == nil || x > most[0] {
-			two[1], most[1] = two[0], most[0]
-			two[0], most[0] = h, x
-		} else if two[1] == nil || x > most[1] {
-			two[1], most[1] = h, x
-		}
+	server.initialLoad += started.class().Load
+	if node := started.pickNode(); node != nil {
+		s.schedule(s.now, node, func() { started.openAt(node, server.id) })
 	}
-	best := two[0]
-	if best == nil {
-		c.come()
-		return
+}
+
+// initialServer returns the server at which a connection is open when the load begins: the less loaded of the first two
+// in a rendezvous order of its group by capacity. That is as even as a node would have placed it; else the load would
+// begin with a wave of migrations. It is nil where there is no server.
+func (s *simulation) initialServer(c *client) *server {
+	key := c.session.Group
+	if key == 0 {
+		key = c.session.Client
 	}
-	if o := two[1]; o != nil && o.stood/o.cores() < best.stood/best.cores() {
-		best = o
+	var first, second *server
+	var firstScore, secondScore float64
+	for i, server := range s.servers {
+		hash := workload.Mix(key ^ workload.Mix(uint64(i)))
+		uniform := (float64(hash>>11) + 0.5) / (1 << 53)
+		score := math.Log(uniform) / server.cores()
+		switch {
+		case first == nil || score > firstScore:
+			second = first
+			secondScore = firstScore
+			first = server
+			firstScore = score
+		case second == nil || score > secondScore:
+			second = server
+			secondScore = score
+		}
 	}
-	best.stood += c.class().Load
-	if n := c.pick(); n != nil {
-		w.at(w.now, n, func() { c.openAt(n, best.id) })
+	if second != nil && second.initialLoad/second.cores() < first.initialLoad/first.cores() {
+		return second
 	}
+	return first
 }
 
-// leave ends the session.
-func (c *client) leave() {
-	e := max(0, c.s.Tenant)
-	c.gone = true
-	c.w.held[e]--
-	if r := c.request; r != nil {
-		c.settled()
-		r.ClientGone()
+// endSession is called when the client wants its connection no longer.
+func (c *client) endSession() {
+	c.left = true
+	c.sim.tenantHolds[c.tenant()]--
+	if request := c.request; request != nil {
+		c.releaseRequest()
+		request.ClientGone()
 		c.node.core.Flush()
 	}
 }
 
-// come has the client connect to a node of its centre, or of another one where its own has none.
-func (c *client) come() {
-	if c.gone {
+// connect has the client connect to a node.
+func (c *client) connect() {
+	if c.left {
 		return
 	}
-	n := c.pick()
-	if n == nil {
-		c.again(0)
+	node := c.pickNode()
+	if node == nil {
+		c.retry(0)
 		return
 	}
-	c.w.at(c.w.now+time.Duration(c.w.fleet.Network.Client), n, func() { c.open(n) })
+	latency := time.Duration(c.sim.fleet.Network.Client)
+	c.sim.schedule(c.sim.now+latency, node, func() { c.openAt(node, "") })
 }
 
-// pick is a node of the client's centre that runs, or of another one where its own has none; nil where none runs.
-func (c *client) pick() *node {
-	w := c.w
-	near, far := w.near[:0], w.far[:0]
-	for _, n := range w.nodes {
-		if n.dead {
+// pickNode draws a running node of the client's zone, or of any zone where its own has none; nil where none runs.
+func (c *client) pickNode() *node {
+	sim := c.sim
+	nearby := sim.nearby[:0]
+	running := sim.other[:0]
+	for _, node := range sim.nodes {
+		if node.lost {
 			continue
 		}
-		if far = append(far, n); c.s.Zone < 0 || n.centre == c.s.Zone {
-			near = append(near, n)
+		running = append(running, node)
+		if c.session.Zone < 0 || node.zone == c.session.Zone {
+			nearby = append(nearby, node)
 		}
 	}
-	if len(near) == 0 {
-		near = far
+	sim.nearby = nearby[:0]
+	sim.other = running[:0]
+	if len(nearby) == 0 {
+		nearby = running
 	}
-	w.near, w.far = near[:0], far[:0]
-	if len(near) == 0 {
+	if len(nearby) == 0 {
 		return nil
 	}
-	return near[w.rng.IntN(len(near))]
+	return nearby[sim.rng.IntN(len(nearby))]
 }
 
-func (c *client) open(n *node) { c.openAt(n, "") }
-
-// openAt hands the request to the node; at names the server where the connection stands already.
-func (c *client) openAt(n *node, at choice.ServerID) {
-	w := c.w
-	if c.gone {
+// openAt hands the request to the node. The server is the one at which the connection is already open, or empty.
+func (c *client) openAt(node *node, server choice.ServerID) {
+	sim := c.sim
+	if c.left {
 		return
 	}
-	if n.dead { // it died while the client was on its way
-		c.again(0)
+	if node.lost { // while the client was on its way
+		c.retry(0)
 		return
 	}
-	w.stats.Requests++
-	w.requests[min(int(w.now/time.Second), len(w.requests)-1)]++
-	if w.limits.hit(w, limitSockets, nil, float64(n.open+2)/float64(n.most)); n.open+2 > n.most {
-		w.stats.Rejected++
-		c.again(time.Second) // the front's own refusal
+	sim.stats.Requests++
+	sim.requestsBySecond[min(int(sim.now/time.Second), len(sim.requestsBySecond)-1)]++
+	needed := node.connections + 2 // the client's, and the one to the server
+	sim.observeLimit(limitDescriptors, nil, float64(needed)/float64(node.maxConnections))
+	if needed > node.maxConnections {
+		sim.stats.Rejected++
+		c.retry(localRejectionDelay)
 		return
 	}
-	n.open++
-	w.ids++
-	c.node = n
-	n.all(c, true)
-	told := 0.0
-	if c.s.Load > 0 {
-		told = c.s.Load * w.fleet.CoreLoad()
+	node.connections++
+	node.clients[c] = struct{}{}
+	c.node = node
+	sim.requests++
+	load := 0.0
+	if c.session.Load > 0 {
+		load = c.session.Load * sim.fleet.CoreLoad()
 	}
-	c.request = n.core.Open(edge.Spec{ID: choice.RequestID(strconv.Itoa(w.ids)), Class: c.s.Class, Tenant: c.s.Tenant, Key: c.s.Client,
-		Group: c.s.Group, Load: told, OpenAt: at, Deadline: epoch.Add(w.now + time.Duration(c.class().Deadline))}, c)
+	c.request = node.core.Open(edge.Spec{
+		ID:       choice.RequestID(strconv.Itoa(sim.requests)),
+		Class:    c.session.Class,
+		Tenant:   c.session.Tenant,
+		Key:      c.session.Client,
+		Group:    c.session.Group,
+		Load:     load,
+		OpenAt:   server,
+		Deadline: epoch.Add(sim.now + time.Duration(c.class().Deadline)),
+	}, c)
 }
 
-// settled gives the client's descriptor back.
-func (c *client) settled() {
-	if c.request != nil {
-		c.request = nil
-		c.node.open--
-		c.node.all(c, false)
+// releaseRequest gives the client's descriptor back.
+func (c *client) releaseRequest() {
+	if c.request == nil {
+		return
 	}
+	c.request = nil
+	c.node.connections--
+	delete(c.node.clients, c)
 }
 
-// again has the client come back after a failure.
-func (c *client) again(after time.Duration) {
-	k := c.w.fleet.Clients
-	wait := max(time.Duration(k.Backoff), after, time.Millisecond)
-	if c.failures++; c.failures > k.Retries {
-		c.failures, wait = 0, max(wait, time.Duration(k.Pause))
+// retry has the client connect again after a failure, no sooner than after a delay.
+func (c *client) retry(delay time.Duration) {
+	clients := &c.sim.fleet.Clients
+	wait := max(time.Duration(clients.Backoff), delay, time.Millisecond)
+	c.failures++
+	if c.failures > clients.Retries {
+		c.failures = 0
+		wait = max(wait, time.Duration(clients.Pause))
 	}
-	c.w.at(c.w.now+wait, nil, c.come)
-}
-
-// rejoin has the client come back after a break or a move.
-func (c *client) rejoin() {
-	k := c.w.fleet.Clients
-	span := time.Duration(k.ReconnectMax) - time.Duration(k.ReconnectMin)
-	c.w.at(c.w.now+time.Duration(k.ReconnectMin)+time.Duration(c.w.rng.Float64()*float64(span)), nil, c.come)
+	c.sim.schedule(c.sim.now+wait, nil, c.connect)
 }
 
-// Attempt starts an upstream request: a connection, the request's way, the set-up, and the answer's way back.
-func (c *client) Attempt(a *edge.Attempt) edge.UpstreamRequest {
-	w, n, h := c.w, c.node, c.w.byID[a.Server.ID]
-	t := &attempt{c: c, a: a, node: n}
-	c.try = t
-	n.open++
-	if a.AlreadyOpen() { // set up before the load began
-		w.at(w.now, n, func() {
-			if !t.closed {
-				t.conn = &conn{host: h, client: c, wander: workload.NewLoadProcess(w.opts.Seed^c.s.Client, c.class(), c.s.Load)}
-				h.add(t.conn)
-				a.Established()
-			}
-		})
-		return t
-	}
-	way := w.ways[n.centre][h.centre]
-	w.at(w.now+2*way, n, func() {
-		if t.closed {
-			return
-		}
-		if h.dead {
-			t.end(choice.ConnectFailed)
-			return
-		}
-		a.Connected()
-		if a.Begin() {
-			a.Written()
-		}
-	})
-	w.at(w.now+3*way, nil, func() {
-		if t.closed || h.dead {
-			return
-		}
-		h.setup(c, func(o choice.Outcome, k *conn) {
-			t.conn = k
-			if t.closed && k != nil { // given up meanwhile; the work was done all the same
-				h.remove(k)
-				return
-			}
-			w.at(w.now+way, n, func() {
-				switch {
-				case t.closed:
-				case k == nil:
-					t.end(o)
-				default:
-					w.stats.Established++
-					c.failures = 0
-					a.Established()
-				}
-			})
-		})
-	})
-	return t
+// reconnect has the client connect again after a reset or a migration.
+func (c *client) reconnect() {
+	clients := &c.sim.fleet.Clients
+	least := time.Duration(clients.ReconnectMin)
+	span := time.Duration(clients.ReconnectMax) - least
+	wait := least + time.Duration(c.sim.rng.Float64()*float64(span))
+	c.sim.schedule(c.sim.now+wait, nil, c.connect)
 }
 
-// end tells the attempt's outcome.
-func (t *attempt) end(o choice.Outcome) {
-	t.close()
-	if !t.node.dead {
-		t.a.Ended(o, nil)
-	}
-}
-
-func (t *attempt) close() {
-	if t.closed {
-		return
-	}
-	t.closed = true
-	t.node.open--
-	if t.conn != nil {
-		t.conn.host.remove(t.conn)
-	}
-}
-
-// GiveUp stops waiting, or ends the connection.
-func (t *attempt) GiveUp() { t.close() }
-
-// LocalReply is a refusal or failure.
-func (c *client) LocalReply(r edge.LocalReply) {
-	if r.Rejected {
-		c.w.stats.Rejected++
+// LocalReply ends the request with a rejection or a failure of the node.
+func (c *client) LocalReply(reply edge.LocalReply) {
+	if reply.Rejected {
+		c.sim.stats.Rejected++
 	} else {
-		c.w.stats.Failed++
+		c.sim.stats.Failed++
 	}
-	c.settled()
-	c.again(r.RetryAfter)
+	c.releaseRequest()
+	c.retry(reply.RetryAfter)
 }
 
-// Migrate sends the client away.
+// Migrate has the client connect again.
 func (c *client) Migrate(time.Time) {
-	c.w.stats.Migrations++
-	c.try.close()
-	c.settled()
-	c.rejoin()
+	c.sim.stats.Migrations++
+	c.attempt.close()
+	c.releaseRequest()
+	c.reconnect()
 }
 
-// broken says that the server lost the connection: the node hears of it a way later, and ends the client's side.
-func (c *client) broken() {
-	t := c.try
-	if t.conn == nil { // the set-up itself ends the server: the attempt's outcome tells
+// connectionReset is called when the server has lost the connection: the node notices a latency later, and ends the
+// client's side.
+func (c *client) connectionReset() {
+	attempt := c.attempt
+	if attempt.connection == nil { // it failed of this very set-up, whose outcome says so
 		return
 	}
-	w, n := c.w, t.node
-	w.stats.Resets++
-	w.at(w.now+w.ways[n.centre][t.conn.host.centre], n, func() {
-		if t.closed || n.dead || c.gone {
+	sim := c.sim
+	node := attempt.node
+	sim.stats.Resets++
+	latency := sim.latencies[node.zone][attempt.connection.server.zone]
+	sim.schedule(sim.now+latency, node, func() {
+		if attempt.closed || node.lost || c.left {
 			return
 		}
-		stood := c.request != nil
-		c.settled()
-		t.end(choice.Reset)
-		if stood {
-			c.rejoin()
+		wasOpen := c.request != nil
+		c.releaseRequest()
+		attempt.end(choice.Reset)
+		if wasOpen {
+			c.reconnect()
 		}
 	})
 }
 
-// nodeLost says that the client's node died under it.
-func (c *client) nodeLost() {
-	if c.try != nil {
-		c.try.close()
+// loseNode is called when the client's node is lost.
+func (c *client) loseNode() {
+	if c.attempt != nil {
+		c.attempt.close()
 	}
-	c.settled()
-	c.rejoin()
+	c.releaseRequest()
+	c.reconnect()
 }
-
-// ordered is a server's connections in the order of their clients: that of a map must not sway a run.
-func ordered(m map[*conn]struct{}) []*conn {
-	var out []*conn
-	for k := range m {
-		out = append(out, k)
-	}
-	slices.SortFunc(out, func(a, b *conn) int { return cmp.Compare(a.client.s.Client, b.client.s.Client) })
-	return out
-}
-
-func (n *node) all(c *client, in bool) {
-	if n.here == nil {
-		n.here = map[*client]struct{}{}
-	}
-	if in {
-		n.here[c] = struct{}{}
-	} else {
-		delete(n.here, c)
-	}
-}
-
-func (n *node) clients() []*client {
-	var out []*client
-	for c := range n.here {
-		out = append(out, c)
-	}
-	slices.SortFunc(out, func(a, b *client) int { return cmp.Compare(a.s.Client, b.s.Client) })
-	return out
-}
-
-func finite(x float64) bool { return !math.IsInf(x, 0) && !math.IsNaN(x) }
--- a/internal/plan/planner/forecast.go
+++ b/internal/plan/planner/forecast.go
@@ -14,46 +14,56 @@
 	"spurwinch/internal/plan/workload"
 )
 
-// Run is what one replication came to. Service is the worth of well-served seconds over that of all seconds asked for.
+// Run is the result of one replication. Service is the priority weight of the seconds that were served well over that
+// of all that were demanded, from 0 to 1.
 type Run struct {
 	Service         float64
-	WorstWindow     float64 // in the worst 10 s
+	WorstWindow     float64 // service of the worst 10 s
 	WorstWindowAt   time.Duration
-	Classes         []float64
-	Tenants         []float64
-	ServiceBySecond []float64 // by second; NaN where nothing was wanted
+	Classes         []float64 // service
+	Tenants         []float64 // service
+	ServiceBySecond []float64 // NaN where nothing was demanded
 	Account         *workload.Account
-	// EndedEarly: the floor was out of reach; the service is the most that there could have been.
+	// EndedEarly says that MinService was out of reach, or that StopAtLimit ended the run; Service is then the most
+	// that there could have been.
 	EndedEarly       bool
-	LimitReached     bool  // a limit was reached
-	RequestsBySecond []int // by second
+	LimitReached     bool // beyond the momentary load of one server and the quota of a tenant
+	RequestsBySecond []int
 	Limits           []LimitUsage
 	Stats            Stats
 }
 
 // Play simulates one replication.
-func Play(f *fleet.Fleet, l *workload.Load, o Options) (Run, error) {
-	w, err := newWorld(f, l, o)
+func Play(description *fleet.Fleet, load *workload.Load, options Options) (Run, error) {
+	sim, err := newSimulation(description, load, options)
 	if err != nil {
 		return Run{}, err
 	}
-	w.simulate()
-	return w.result(), nil
+	sim.run()
+	return sim.result(), nil
 }
 
-func (w *simulation) result() Run {
-	r := Run{Limits: w.limits.list(), Stats: w.stats, Account: w.account, RequestsBySecond: w.requests, LimitReached: w.limits.broken(), ServiceBySecond: w.account.ServiceSeries()}
-	r.Service, r.Classes, r.Tenants = w.account.Service()
-	r.Tenants = r.Tenants[:len(w.fleet.Editions)]
-	if w.ended > 0 {
-		r.Service, r.EndedEarly = w.ended, true
+func (s *simulation) result() Run {
+	run := Run{
+		Account:          s.account,
+		ServiceBySecond:  s.account.ServiceSeries(),
+		LimitReached:     s.limitReached(),
+		RequestsBySecond: s.requestsBySecond,
+		Limits:           s.limitUsages(),
+		Stats:            s.stats,
 	}
-	r.WorstWindow, r.WorstWindowAt = w.account.WorstWindow(window)
-	return r
+	run.Service, run.Classes, run.Tenants = s.account.Service()
+	run.Tenants = run.Tenants[:len(s.fleet.Editions)]
+	if s.earlyService > 0 {
+		run.Service = s.earlyService
+		run.EndedEarly = true
+	}
+	run.WorstWindow, run.WorstWindowAt = s.account.WorstWindow(worstWindow)
+	return run
 }
 
-// Figure is a mean over replications with its 95% interval by Student's t. One evening by itself varies by the standard
-// deviation.
+// Figure is a mean over replications with its 95% confidence interval by Student's t, within 0 to 1. A single evening
+// varies by the standard deviation.
 type Figure struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low95"`
@@ -61,18 +71,20 @@
 	SD   float64 `json:"sd"`
 }
 
-func figure(xs []float64) Figure {
-	m, s := stat.MeanStdDev(xs, nil)
-	f := Figure{Mean: m, Low: m, High: m}
-	if n := float64(len(xs)); n > 1 {
-		half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * s / math.Sqrt(n)
-		f.SD = s
-		f.Low, f.High = max(0, m-half), min(1, m+half)
+const confidenceQuantile = 0.975 // leaves 2.5% on each side
+
+func newFigure(values []float64) Figure {
+	mean, deviation := stat.MeanStdDev(values, nil)
+	count := float64(len(values))
+	if count <= 1 {
+		return Figure{Mean: mean, Low: mean, High: mean}
 	}
-	return f
+	student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: count - 1}
+	half := student.Quantile(confidenceQuantile) * deviation / math.Sqrt(count)
+	return Figure{Mean: mean, Low: max(0, mean-half), High: min(1, mean+half), SD: deviation}
 }
 
-// Forecast is what a fleet is expected to make of a load.
+// Forecast is how a fleet is expected to serve a load.
 type Forecast struct {
 	Service  Figure            `json:"service"`
 	Worst    Figure            `json:"worst_10s"`
@@ -85,68 +97,84 @@
 	Runs     []Run             `json:"-"`
 }
 
-// Replicate plays the load n times, each with its own chance, on all cores, and sums up. tell (may be nil) hears of each
-// finished replication, not at once of several.
-func Replicate(f *fleet.Fleet, l *workload.Load, o Options, n int, tell func()) (Forecast, error) {
+// Replicate simulates the load a number of times, each with a seed of its own, on all cores, and sums up. onDone, which
+// may be nil, is called after each replication, by one goroutine at a time.
+func Replicate(
+	description *fleet.Fleet, load *workload.Load, options Options, replications int, onDone func(),
+) (Forecast, error) {
 	var mu sync.Mutex
-	runs, err := each(n, func(i int) (Run, error) {
-		p := o
-		p.Seed = workload.Mix(o.Seed*1000 + uint64(i))
-		r, err := Play(f, l, p)
-		if tell != nil {
+	runs, err := inParallel(replications, func(i int) (Run, error) {
+		replicated := options
+		replicated.Seed = workload.Mix(options.Seed*1000 + uint64(i))
+		run, err := Play(description, load, replicated)
+		if onDone != nil {
 			mu.Lock()
 			defer mu.Unlock()
-			tell()
+			onDone()
 		}
-		return r, err
+		return run, err
 	})
 	if err != nil {
 		return Forecast{}, err
 	}
-	return sum(f, l, runs), nil
+	return summarize(description, load, runs), nil
 }
 
-// each calls fn for 0 to n-1, as many at once as there are cores.
-func each(n int, fn func(int) (Run, error)) ([]Run, error) {
-	runs, errs := make([]Run, n), make([]error, n)
+// inParallel calls simulate for 0 to count-1, as many at once as there are cores.
+func inParallel(count int, simulate func(int) (Run, error)) ([]Run, error) {
+	runs := make([]Run, count)
+	errs := make([]error, count)
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var wait sync.WaitGroup
-	for i := range n {
-		wait.Add(1)
+	var running sync.WaitGroup
+	for i := range count {
+		running.Add(1)
 		slots <- struct{}{}
 		go func() {
-			defer wait.Done()
+			defer running.Done()
 			defer func() { <-slots }()
-			runs[i], errs[i] = fn(i)
+			runs[i], errs[i] = simulate(i)
 		}()
 	}
-	wait.Wait()
+	running.Wait()
 	return runs, errors.Join(errs...)
 }
 
-func sum(f *fleet.Fleet, l *workload.Load, runs []Run) Forecast {
-	pick := func(get func(Run) float64) Figure {
-		var xs []float64
-		for _, r := range runs {
-			xs = append(xs, get(r))
+func summarize(description *fleet.Fleet, load *workload.Load, runs []Run) Forecast {
+	figureOf := func(value func(*Run) float64) Figure {
+		var values []float64
+		for i := range runs {
+			values = append(values, value(&runs[i]))
 		}
-		return figure(xs)
+		return newFigure(values)
+	}
+	forecast := Forecast{
+		Service:  figureOf(func(run *Run) float64 { return run.Service }),
+		Worst:    figureOf(func(run *Run) float64 { return run.WorstWindow }),
+		Classes:  map[string]Figure{},
+		Editions: map[string]Figure{},
+		Bound:    UpperBound(description, load),
+		Runs:     runs,
 	}
-	out := Forecast{Service: pick(func(r Run) float64 { return r.Service }), Worst: pick(func(r Run) float64 { return r.WorstWindow }),
-		Classes: map[string]Figure{}, Editions: map[string]Figure{}, Bound: UpperBound(f, l), Runs: runs}
-	for i, c := range f.Classes {
-		out.Classes[c.Name] = pick(func(r Run) float64 { return r.Classes[i] })
+	for i, class := range description.Classes {
+		forecast.Classes[class.Name] = figureOf(func(run *Run) float64 { return run.Classes[i] })
 	}
-	for i, e := range f.Editions {
-		out.Editions[e.Name] = pick(func(r Run) float64 { return r.Tenants[i] })
+	for i, tenant := range description.Editions {
+		forecast.Editions[tenant.Name] = figureOf(func(run *Run) float64 { return run.Tenants[i] })
 	}
-	// What stands for all replications is the one in the middle.
-	mid := runs[0]
-	for _, r := range runs {
-		if math.Abs(r.Service-out.Service.Mean) < math.Abs(mid.Service-out.Service.Mean) {
-			mid = r
+	middle := middleRun(runs, forecast.Service.Mean)
+	forecast.Limits = middle.Limits
+	forecast.Stats = middle.Stats
+	forecast.WorstAt = middle.WorstWindowAt.Seconds()
+	return forecast
+}
+
+// middleRun returns the run whose service is next to the mean: it stands for all where a mean says nothing.
+func middleRun(runs []Run, mean float64) *Run {
+	middle := &runs[0]
+	for i := range runs {
+		if math.Abs(runs[i].Service-mean) < math.Abs(middle.Service-mean) {
+			middle = &runs[i]
 		}
 	}
-	out.Limits, out.Stats, out.WorstAt = mid.Limits, mid.Stats, mid.WorstWindowAt.Seconds()
-	return out
+	return middle
 }
--- a/internal/plan/planner/limits.go
+++ b/internal/plan/planner/limits.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"time"
 )
 
@@ -14,70 +15,91 @@
 	limitConnections
 	limitSetups
 	limitStore
-	limitSockets
-	limitCold
-	limitShare
-	limitCount
+	limitDescriptors
+	limitSlowStart
+	limitQuota
+	limitCount // number of limits
 )
 
-var limitNames = [limitCount]string{"capacity of a server", "capacity of all servers", "connections of a server", "set-up queue of a server",
-	"session store", "descriptors of a node", "a cold server", "share of an edition"}
+// String returns the name that the limit has in replies.
+func (l limit) String() string {
+	return [limitCount]string{
+		limitServer:      "capacity of a server",
+		limitFleet:       "capacity of all servers",
+		limitConnections: "connections of a server",
+		limitSetups:      "set-up queue of a server",
+		limitStore:       "session store",
+		limitDescriptors: "descriptors of a node",
+		limitSlowStart:   "a cold server",
+		limitQuota:       "share of an edition",
+	}[l]
+}
+
+// minTimesReached is how often a limit must be found reached before it counts as such.
+const minTimesReached = 3
 
-// Seen is how far a limit was used.
+// LimitUsage is how much of a limit was used.
 type LimitUsage struct {
-	Limit   string        `json:"limit"`
-	Peak    float64       `json:"peak"` // of the limit; from 1 on it was reached
-	At      time.Duration `json:"-"`    // when it was first reached, or came closest
-	AtS     float64       `json:"at_s"`
-	Where   string        `json:"where"`
-	Reached int           `json:"hits"` // times it was found reached
-}
+	Limit        string        `json:"limit"`
+	Peak         float64       `json:"peak"` // fraction of the limit; from 1 on it was reached
+	At           time.Duration `json:"-"`    // when it was first reached, or else when the peak was
+	AtS          float64       `json:"at_s"` // likewise
+	Where        string        `json:"where"`
+	TimesReached int           `json:"hits"`
 
-type limits struct {
-	seen [limitCount]LimitUsage
+	limit limit
 }
 
-// hit notes that so much of a limit is used now.
-func (l *limits) hit(w *simulation, k limit, h *server, part float64) {
-	if w.now < settleTime && k != limitCold || !finite(part) {
+// observeLimit records that a fraction of a limit is used now, of one server or, where that is nil, of the fleet.
+func (s *simulation) observeLimit(observed limit, server *server, fraction float64) {
+	if s.now < settleTime && observed != limitSlowStart || !isFinite(fraction) {
 		return
 	}
-	s := &l.seen[k]
-	if part >= 1 {
-		if s.Reached++; s.Reached == 1 {
-			s.At, s.Where = w.now, where(w, h)
+	usage := &s.limits[observed]
+	if fraction >= 1 {
+		usage.TimesReached++
+		if usage.TimesReached == 1 {
+			usage.At = s.now
+			usage.Where = s.describePlace(server)
 		}
 	}
-	if part > s.Peak {
-		if s.Peak = part; s.Reached == 0 {
-			s.At, s.Where = w.now, where(w, h)
+	if fraction > usage.Peak {
+		usage.Peak = fraction
+		if usage.TimesReached == 0 {
+			usage.At = s.now
+			usage.Where = s.describePlace(server)
 		}
 	}
 }
 
-func where(w *simulation, h *server) string {
-	if h == nil {
+func (s *simulation) describePlace(server *server) string {
+	if server == nil {
 		return "all"
 	}
-	return fmt.Sprintf("%s (%s, %s)", h.id, h.kind.Name, w.fleet.Centres[h.centre].Name)
+	return fmt.Sprintf("%s (%s, %s)", server.id, server.kind.Name, s.fleet.Centres[server.zone].Name)
 }
 
-// broken reports whether a limit was reached that is more than a moment's load of one server, or an edition's share.
-func (l *limits) broken() bool {
-	for k := range l.seen {
-		if limit(k) != limitServer && limit(k) != limitShare && l.seen[k].Reached >= enough {
+// limitReached reports whether a limit was reached that is more than the momentary load of one server or the quota of a
+// tenant.
+func (s *simulation) limitReached() bool {
+	for i := range s.limits {
+		if limit(i) != limitServer && limit(i) != limitQuota && s.limits[i].TimesReached >= minTimesReached {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *limits) list() []LimitUsage {
-	var out []LimitUsage
-	for k := range l.seen {
-		s := l.seen[k]
-		s.Limit, s.AtS = limitNames[k], s.At.Seconds()
-		out = append(out, s)
+// limitUsages returns the usage of each limit.
+func (s *simulation) limitUsages() []LimitUsage {
+	var usages []LimitUsage
+	for i, usage := range s.limits {
+		usage.limit = limit(i)
+		usage.Limit = limit(i).String()
+		usage.AtS = usage.At.Seconds()
+		usages = append(usages, usage)
 	}
-	return out
+	return usages
 }
+
+func isFinite(x float64) bool { return !math.IsInf(x, 0) && !math.IsNaN(x) }
--- /dev/null
+++ b/internal/plan/planner/loss.go
@@ -0,0 +1,181 @@
+package planner
+
+import (
+	"math"
+	"time"
+
+	"spurwinch/internal/plan/fleet"
+	"spurwinch/internal/plan/workload"
+)
+
+// Phases is the service before the loss of a zone, while its clients reconnect, and after that. Whole is the service of
+// the last phase without the loss.
+type Phases struct {
+	Before float64 `json:"before"`
+	Storm  float64 `json:"storm"`
+	After  float64 `json:"after"`
+	Whole  float64 `json:"without_loss"`
+}
+
+// ZoneLoss is the effect of losing a zone, as a mean over the replications.
+type ZoneLoss struct {
+	All         Phases            `json:"all"`
+	Classes     map[string]Phases `json:"classes"`
+	StormS      float64           `json:"storm_s"` // how long requests stay over their usual rate
+	ServersLost int               `json:"servers_lost"`
+	NodesLost   int               `json:"nodes_lost"`
+	Nodes       int               `json:"nodes"`
+	Breaks      float64           `json:"breaks"`               // connections that were reset
+	PeakBefore  float64           `json:"peak_requests_before"` // in a second
+	PeakAfter   float64           `json:"peak_requests_after"`
+	Series      []float64         `json:"-"` // service by second
+}
+
+const (
+	minReconnectPhase = 3 * time.Second
+	calmSeconds       = 5   // in a row that end the phase
+	calmRate          = 1.5 // times the usual requests a second, over which clients still reconnect
+)
+
+// Lose simulates the load with the loss that the options name, and without. onPhase is called with what comes next.
+func Lose(
+	description *fleet.Fleet, load *workload.Load, options Options, replications int, onPhase func(string, ...any),
+) (ZoneLoss, error) {
+	onPhase("with the loss")
+	with, err := Replicate(description, load, options, replications, nil)
+	if err != nil {
+		return ZoneLoss{}, err
+	}
+	onPhase("without the loss")
+	unharmed := options
+	unharmed.Lose = ""
+	without, err := Replicate(description, load, unharmed, replications, nil)
+	if err != nil {
+		return ZoneLoss{}, err
+	}
+	comparison := lossComparison{
+		with:      with.Runs,
+		without:   without.Runs,
+		lossTime:  options.LoseAt,
+		length:    load.Length,
+		reconnect: minReconnectPhase,
+	}
+	loss := ZoneLoss{Classes: map[string]Phases{}}
+	loss.countLost(description, options.Lose)
+	loss.Breaks = comparison.meanResets()
+	usual := meanRequests(without.Runs)
+	actual := meanRequests(with.Runs)
+	loss.PeakBefore, loss.PeakAfter = comparison.peaks(actual)
+	comparison.findReconnectPhase(usual, actual)
+	loss.StormS = comparison.reconnect.Seconds()
+	loss.All = comparison.phases(func(overall float64, _ []float64) float64 { return overall })
+	for i, class := range description.Classes {
+		loss.Classes[class.Name] = comparison.phases(func(_ float64, classes []float64) float64 { return classes[i] })
+	}
+	loss.Series = meanSeries(with.Runs)
+	return loss, nil
+}
+
+// countLost counts the servers and nodes of the zone that is lost.
+func (l *ZoneLoss) countLost(description *fleet.Fleet, zone string) {
+	for _, pool := range description.ServerPools {
+		if pool.Zone == zone {
+			l.ServersLost += pool.Count
+		}
+	}
+	l.Nodes = description.NodeCount()
+	for _, pool := range description.Nodes {
+		if pool.Zone == zone {
+			l.NodesLost += pool.Count
+		}
+	}
+}
+
+// lossComparison compares replications with a loss to those without.
+type lossComparison struct {
+	with, without []Run
+	lossTime      time.Duration
+	length        time.Duration
+	reconnect     time.Duration // length of the phase in which clients reconnect
+}
+
+func (c *lossComparison) meanResets() float64 {
+	mean := 0.0
+	for i := range c.with {
+		mean += float64(c.with[i].Stats.Resets) / float64(len(c.with))
+	}
+	return mean
+}
+
+// meanRequests returns the mean number of requests of each second.
+func meanRequests(runs []Run) []float64 {
+	means := make([]float64, len(runs[0].RequestsBySecond))
+	for i := range runs {
+		for second := range means {
+			means[second] += float64(runs[i].RequestsBySecond[second]) / float64(len(runs))
+		}
+	}
+	return means
+}
+
+// peaks returns the most requests of a second before and after the loss. The initial arrivals don't count.
+func (c *lossComparison) peaks(requests []float64) (before, after float64) {
+	lost := int(c.lossTime / time.Second)
+	for second, count := range requests {
+		switch {
+		case second >= lost:
+			after = max(after, count)
+		case second >= int(settleTime/time.Second):
+			before = max(before, count)
+		}
+	}
+	return before, after
+}
+
+// findReconnectPhase sets the length of the phase: up to the first row of calm seconds.
+func (c *lossComparison) findReconnectPhase(usual, actual []float64) {
+	calm := 0
+	for second := int(c.lossTime / time.Second); second < len(actual) && calm < calmSeconds; second++ {
+		calm++
+		if actual[second] > calmRate*usual[second]+1 {
+			calm = 0
+			c.reconnect = max(c.reconnect, time.Duration(second+1)*time.Second-c.lossTime)
+		}
+	}
+	c.reconnect = min(c.reconnect, c.length-c.lossTime)
+}
+
+// phases returns the mean service of each phase, as picked from the service of all sessions and of each class.
+func (c *lossComparison) phases(pick func(overall float64, classes []float64) float64) Phases {
+	mean := func(runs []Run, from, to time.Duration) float64 {
+		sum := 0.0
+		for i := range runs {
+			sum += pick(runs[i].Account.ServiceBetween(from, to)) / float64(len(runs))
+		}
+		return sum
+	}
+	recovered := c.lossTime + c.reconnect
+	return Phases{
+		Before: mean(c.with, 0, c.lossTime),
+		Storm:  mean(c.with, c.lossTime, recovered),
+		After:  mean(c.with, recovered, c.length),
+		Whole:  mean(c.without, recovered, c.length),
+	}
+}
+
+// meanSeries returns the mean service of each second; not a number where nothing was demanded.
+func meanSeries(runs []Run) []float64 {
+	means := make([]float64, len(runs[0].ServiceBySecond))
+	for second := range means {
+		count := 0.0
+		for i := range runs {
+			service := runs[i].ServiceBySecond[second]
+			if !math.IsNaN(service) {
+				means[second] += service
+				count++
+			}
+		}
+		means[second] /= count
+	}
+	return means
+}
--- a/internal/plan/planner/main_test.go
+++ b/internal/plan/planner/main_test.go
@@ -2,16 +2,22 @@
 
 import (
 	"flag"
+	"fmt"
 	"os"
 	"testing"
 )
 
-// TestMain has the random tests draw the same each time: a verdict must not change between two runs of one text.
+// TestMain fixes the seed of the random tests: two runs of one source must have one result.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	for name, v := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
-		if f := flag.Lookup(name); f != nil && f.Value.String() == f.DefValue {
-			flag.Set(name, v)
+	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
+		option := flag.Lookup(name)
+		if option == nil || option.Value.String() != option.DefValue {
+			continue
+		}
+		if err := flag.Set(name, value); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(2)
 		}
 	}
 	os.Exit(m.Run())
--- /dev/null
+++ b/internal/plan/planner/node.go
@@ -0,0 +1,129 @@
+package planner
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"spurwinch/choice"
+	"spurwinch/internal/edge"
+	"spurwinch/internal/plan/fleet"
+)
+
+// reservedDescriptors is the number of descriptors of a node that are not for connections, as in internal/node.
+const reservedDescriptors = 48
+
+// epoch is when the simulated clock starts: the decision module's clock is Unix time, in which 0 means "long ago".
+var epoch = time.Unix(1_800_000_000, 0)
+
+// simulatedClock is the clock of a node's core.
+type simulatedClock struct {
+	sim  *simulation
+	node *node
+}
+
+// Now returns the simulated time.
+func (c simulatedClock) Now() time.Time { return epoch.Add(c.sim.now) }
+
+// At schedules a function unless the node is lost by then. The returned function cancels it.
+func (c simulatedClock) At(at time.Time, fn func()) func() {
+	event := c.sim.schedule(at.Sub(epoch), c.node, func() {
+		if !c.node.lost {
+			fn()
+		}
+	})
+	return func() { event.action = nil }
+}
+
+// node is a node of the fleet: the real core, with the descriptors that its front end would count.
+type node struct {
+	sim            *simulation
+	core           *edge.Core
+	zone           int
+	maxConnections int // on both sides
+	connections    int // likewise
+	lost           bool
+	clients        map[*client]struct{}
+}
+
+// addNode adds one of so many nodes.
+func (s *simulation) addNode(pool fleet.NodePool, total int) error {
+	added := &node{
+		sim:            s,
+		zone:           s.fleet.Centre(pool.Zone),
+		maxConnections: pool.Sockets - reservedDescriptors,
+		clients:        map[*client]struct{}{},
+	}
+	settings, err := s.fleet.Settings(len(s.nodes), total, pool.Zone)
+	if err != nil {
+		return fmt.Errorf("planner: settings of a node: %w", err)
+	}
+	added.core, err = edge.New(edge.Options{
+		Clock:         simulatedClock{s, added},
+		Settings:      settings.Settings,
+		Seed:          s.options.Seed*1000 + uint64(len(s.nodes)),
+		HealthChecker: added,
+	})
+	if err != nil {
+		return fmt.Errorf("planner: %w", err)
+	}
+	s.nodes = append(s.nodes, added)
+	return nil
+}
+
+// endpointList returns the servers as discovery lists them.
+func (s *simulation) endpointList() []edge.ServerEntry {
+	var entries []edge.ServerEntry
+	for _, server := range s.servers {
+		entry := choice.Server{ID: server.id, Zone: s.fleet.Centres[server.zone].Name, Kind: server.kind.Name, Size: 1}
+		if server.slowStart {
+			entry.Started = time.Duration(epoch.UnixNano())
+		}
+		if server.failed {
+			entry.State = choice.Gone
+		}
+		entries = append(entries, edge.ServerEntry{Server: entry})
+	}
+	return entries
+}
+
+// updateEndpointLists gives all nodes the present list.
+func (s *simulation) updateEndpointLists() {
+	for _, node := range s.nodes {
+		if !node.lost {
+			node.core.UpdateServers(choice.ListFull, s.endpointList())
+			node.core.Flush()
+		}
+	}
+}
+
+// CheckHealth asks a server for its load report. The server works for it, and each way takes the latency between the
+// zones.
+func (n *node) CheckHealth(entry edge.ServerEntry, _ time.Time, done func(choice.Outcome, []float64)) {
+	sim := n.sim
+	server := sim.serverByID[entry.ID]
+	if n.lost {
+		return
+	}
+	latency := sim.latencies[n.zone][server.zone]
+	sim.schedule(sim.now+latency, nil, func() {
+		if server.failed {
+			sim.schedule(sim.now+latency, n, func() { done(choice.ConnectFailed, nil) })
+			return
+		}
+		server.work += sim.fleet.LoadReports.HealthCheckWork.Seconds()
+		report := server.loadReport()
+		sim.schedule(sim.now+latency, n, func() { done(choice.Served, report) })
+	})
+}
+
+// sortedClients returns the node's clients in the order of their keys: the order of a map must not change a run.
+func (n *node) sortedClients() []*client {
+	var clients []*client
+	for client := range n.clients {
+		clients = append(clients, client)
+	}
+	slices.SortFunc(clients, func(a, b *client) int { return cmp.Compare(a.session.Client, b.session.Client) })
+	return clients
+}
--- a/internal/plan/planner/size.go
+++ b/internal/plan/planner/size.go
@@ -1,10 +1,7 @@
 package planner
 
 import (
-	"cmp"
 	"fmt"
-	"math"
-	"slices"
 	"sort"
 	"time"
 
@@ -12,97 +9,19 @@
 	"spurwinch/internal/plan/workload"
 )
 
-// Broken is the first limit that a growing load breaks.
-type Broken struct {
-	Limit    string  `json:"limit"`
-	Where    string  `json:"where"`
-	AtS      float64 `json:"at_s"`
-	Multiple float64 `json:"multiple"` // of the load given
-	Service  float64 `json:"service"`  // at that multiple
-	None     bool    `json:"none"`     // no limit up to the multiple tried
-}
-
 const (
-	mostMultiple = 16.0
-	exact        = 0.05 // of the multiple
-	enough       = 3    // times that a limit is found reached before it counts
-	least        = 0.8  // service under which a load counts as too much though no limit was reached
-	breakWindow  = time.Minute
+	// targetMargin is how far under the target a run must be sure to end before it is ended early.
+	targetMargin = 0.05
+	// fullLoadReplications is the most replications over the whole of a load that was searched on a window of it.
+	fullLoadReplications = 4
 )
 
-// FirstToBreak finds the least multiple of the load at which some limit is reached or service is much the worse for it, and
-// which limit that is; of several that are reached at that multiple, the one that is reached first. A longer load is looked
-// at on its busiest stretch of breakWindow. Several multiples are tried at once.
-func FirstToBreak(f *fleet.Fleet, l *workload.Load, o Options, tell func(multiple float64)) (Broken, error) {
-	if len(l.Sessions) == 0 {
-		return Broken{None: true, Multiple: math.Inf(1), Service: 1}, nil
-	}
-	from := time.Duration(0)
-	if l.Length > breakWindow*3/2 {
-		from = l.BusiestWindow(f, breakWindow)
-		l = l.Cut(from, from+breakWindow)
-	}
-	o.MinService, o.StopAtLimit = least, true
-	lo, hi := 0.0, math.Inf(1)
-	var at, below Run
-	for tries := []float64{1}; len(tries) > 0; {
-		if tell != nil {
-			tell(tries[len(tries)-1])
-		}
-		runs, err := each(len(tries), func(i int) (Run, error) { return Play(f, l.Scale(tries[i], o.Seed), o) })
-		if err != nil {
-			return Broken{}, err
-		}
-		for i, r := range runs {
-			if broken(r) {
-				hi, at = tries[i], r
-				break
-			}
-			lo, below = tries[i], r
-		}
-		if tries = nil; math.IsInf(hi, 1) { // one after the other: a large multiple of a large load takes much room
-			if lo >= mostMultiple {
-				return Broken{None: true, Multiple: mostMultiple, Service: below.Service}, nil
-			}
-			tries = []float64{2 * lo}
-			continue
-		}
-		for i := 1.0; i < 5 && hi-lo > max(exact, hi*exact); i++ {
-			tries = append(tries, lo+(hi-lo)*i/5)
-		}
-	}
-	b := Broken{Limit: "service", Where: "all", Multiple: hi, Service: at.Service}
-	// A single server's load is a matter of a moment, and a share beyond is worth less but breaks nothing: they are named
-	// only where nothing else was reached.
-	rank := func(s LimitUsage) int {
-		switch s.Limit {
-		case limitNames[limitServer]:
-			return 1
-		case limitNames[limitShare]:
-			return 2
-		}
-		return 0
-	}
-	reached := slices.DeleteFunc(slices.Clone(at.Limits), func(s LimitUsage) bool { return s.Reached < enough })
-	slices.SortStableFunc(reached, func(a, b LimitUsage) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.At, b.At))
-	})
-	if len(reached) > 0 {
-		b.Limit, b.Where, b.AtS = reached[0].Limit, reached[0].Where, from.Seconds()+reached[0].AtS
-	}
-	return b, nil
-}
-
-func broken(r Run) bool {
-	return r.LimitReached || r.Service < least
-}
-
-// Size is a number of servers with the service expected of it.
+// Size is a number of servers with the service that is expected of it.
 type Size struct {
 	Servers int            `json:"servers"`
 	Kinds   map[string]int `json:"kinds"`
 	Service Figure         `json:"service"`
-	AtMost  bool           `json:"at_most"` // the search had enough once it was clear that the target is out of reach
+	AtMost  bool           `json:"at_most"` // the target is out of reach, and the runs ended as soon as that was sure
 }
 
 // Sizing is the answer to how many servers a target needs.
@@ -112,180 +31,231 @@
 	Least    Size            `json:"least"`
 	OneBelow map[string]Size `json:"one_below"` // by kind: the least fleet with one server of the kind less
 	Tried    []Size          `json:"tried"`     // by servers, in the file's proportions
-	FromS    float64         `json:"from_s"`    // the stretch of the load that was searched on
+	FromS    float64         `json:"from_s"`    // the window of the load that was searched on
 	ToS      float64         `json:"to_s"`
-	Whole    *Figure         `json:"whole,omitempty"` // service of the least fleet over the whole load, where that is longer
+	Whole    *Figure         `json:"whole,omitempty"` // service of the least fleet over all of a longer load
 	Why      string          `json:"why,omitempty"`
 }
 
 // SizeOptions say how a size is searched for.
 type SizeOptions struct {
 	Options
-	Target float64
-	Reps   int
+	Target float64       // service
+	Reps   int           // replications
 	Most   int           // servers
-	Window time.Duration // a longer load is searched on its busiest stretch of this length
-	Tell   func(string)
+	Window time.Duration // a longer load is searched on its busiest window of this length; 0: on all of it
+	Tell   func(string)  // called with each result; may be nil
 }
 
-// slackBelow is how far under the target a run may be sure to end before it is ended early.
-const slackBelow = 0.05
+// sizeSearch evaluates fleets, each size once.
+type sizeSearch struct {
+	SizeOptions
+	load      *workload.Load
+	evaluated map[string]Size
+	tried     []Size // in the file's proportions
+}
 
-func kinds(f *fleet.Fleet) map[string]int {
-	out := map[string]int{}
-	for _, s := range f.ServerPools {
-		out[s.Kind] += s.Count
+// newSizeSearch returns a search, and when its window of the load begins.
+func newSizeSearch(
+	description *fleet.Fleet, load *workload.Load, options SizeOptions,
+) (search *sizeSearch, from time.Duration) {
+	window := load
+	if options.Window > 0 {
+		window, from = busiestPart(description, load, options.Window)
 	}
-	return out
+	return &sizeSearch{SizeOptions: options, load: window, evaluated: map[string]Size{}}, from
 }
 
-// search evaluates fleets once each.
-type search struct {
-	SizeOptions
-	load  *workload.Load
-	known map[string]Size
+// LeastServers finds the least fleet whose service reaches the target: in the proportions of the file first, then with
+// one server of a kind less at a time for as long as the target is reached. One less of any kind then misses it.
+func LeastServers(description *fleet.Fleet, load *workload.Load, options SizeOptions) (Sizing, error) {
+	search, from := newSizeSearch(description, load, options)
+	sizing := Sizing{
+		Target:   options.Target,
+		OneBelow: map[string]Size{},
+		FromS:    from.Seconds(),
+		ToS:      (from + search.load.Length).Seconds(),
+	}
+	least, reached, err := search.leastProportional(description)
+	sizing.Tried = search.tried
+	sort.Slice(sizing.Tried, func(i, j int) bool { return sizing.Tried[i].Servers < sizing.Tried[j].Servers })
+	if err != nil {
+		return sizing, err
+	}
+	if sizing.Least, err = search.evaluate(least); err != nil {
+		return sizing, err
+	}
+	if !reached {
+		sizing.Why = search.explain(least)
+		return sizing, nil
+	}
+	if least, err = search.reduce(least, &sizing); err != nil {
+		return sizing, err
+	}
+	sizing.Reached = true
+	if search.load != load {
+		full, err := Replicate(least, load, options.Options, min(options.Reps, fullLoadReplications), nil)
+		if err != nil {
+			return sizing, err
+		}
+		sizing.Whole = &full.Service
+	}
+	return sizing, nil
 }
 
-func (s *search) size(f *fleet.Fleet) (Size, error) {
-	key := fmt.Sprint(f.ServerPools)
-	if v, ok := s.known[key]; ok {
-		return v, nil
+// LeastTotal finds the least number of servers in the file's proportions whose service reaches the target; one more
+// than the maximum where none does.
+func LeastTotal(description *fleet.Fleet, load *workload.Load, options SizeOptions) (int, error) {
+	search, _ := newSizeSearch(description, load, options)
+	least, reached, err := search.leastProportional(description)
+	if err != nil || !reached {
+		return options.Most + 1, err
 	}
-	out := Size{Servers: f.Count(), Kinds: kinds(f)}
-	if out.Servers > 0 {
-		// Arithmetic first: what can't work needs no simulation.
-		if b := UpperBound(f, s.load); b.Service < s.Target-slackBelow {
-			out.Service, out.AtMost = Figure{Mean: b.Service, High: b.Service}, true
-		} else {
-			o := s.Options
-			o.MinService = s.Target - slackBelow
-			r, err := Replicate(f, s.load, o, s.Reps, nil)
-			if err != nil {
-				return out, err
-			}
-			out.Service = r.Service
-			for _, run := range r.Runs {
-				out.AtMost = out.AtMost || run.EndedEarly
-			}
+	return least.Count(), nil
+}
+
+// evaluate returns the size of a fleet with its service.
+func (s *sizeSearch) evaluate(description *fleet.Fleet) (Size, error) {
+	key := fmt.Sprint(description.ServerPools)
+	if size, ok := s.evaluated[key]; ok {
+		return size, nil
+	}
+	size := Size{Servers: description.Count(), Kinds: map[string]int{}}
+	for _, pool := range description.ServerPools {
+		size.Kinds[pool.Kind] += pool.Count
+	}
+	if size.Servers > 0 {
+		if err := s.addService(&size, description); err != nil {
+			return size, err
 		}
 	}
-	s.known[key] = out
+	s.evaluated[key] = size
 	if s.Tell != nil {
-		s.Tell(fmt.Sprintf("%d servers: service %.1f%%", out.Servers, 100*out.Service.Mean))
+		s.Tell(fmt.Sprintf("%d servers: service %.1f%%", size.Servers, 100*size.Service.Mean))
 	}
-	return out, nil
+	return size, nil
 }
 
-// total finds the least number of servers in the file's proportions; ok is false where the most are too few.
-func (s *search) total(f *fleet.Fleet) (least *fleet.Fleet, tried []Size, ok bool, err error) {
-	try := func(n int) (bool, error) {
-		v, err := s.size(f.Resize(n))
-		tried = append(tried, v)
-		return v.Service.Mean >= s.Target, err
+func (s *sizeSearch) addService(size *Size, description *fleet.Fleet) error {
+	// What arithmetic rules out needs no simulation.
+	if bound := UpperBound(description, s.load); bound.Service < s.Target-targetMargin {
+		size.Service = Figure{Mean: bound.Service, High: bound.Service}
+		size.AtMost = true
+		return nil
 	}
-	lo, hi := 0, max(1, min(f.Count(), s.Most))
+	options := s.Options
+	options.MinService = s.Target - targetMargin
+	forecast, err := Replicate(description, s.load, options, s.Reps, nil)
+	if err != nil {
+		return err
+	}
+	size.Service = forecast.Service
+	for i := range forecast.Runs {
+		size.AtMost = size.AtMost || forecast.Runs[i].EndedEarly
+	}
+	return nil
+}
+
+// tryCount evaluates so many servers in the file's proportions, and reports whether they reach the target.
+func (s *sizeSearch) tryCount(description *fleet.Fleet, servers int) (bool, error) {
+	size, err := s.evaluate(description.Resize(servers))
+	s.tried = append(s.tried, size)
+	return size.Service.Mean >= s.Target, err
+}
+
+// leastProportional finds the least fleet in the file's proportions that reaches the target, or the one with the most
+// servers where that is too few.
+func (s *sizeSearch) leastProportional(description *fleet.Fleet) (least *fleet.Fleet, reached bool, err error) {
+	tooFew := 0
+	enough := max(1, min(description.Count(), s.Most))
 	for {
-		enough, err := try(hi)
+		reached, err = s.tryCount(description, enough)
 		if err != nil {
-			return nil, tried, false, err
+			return nil, false, err
 		}
-		if enough {
+		if reached {
 			break
 		}
-		if hi >= s.Most {
-			return f.Resize(hi), tried, false, nil
+		if enough >= s.Most {
+			return description.Resize(enough), false, nil
 		}
-		lo, hi = hi, min(s.Most, hi*3/2+1)
+		tooFew = enough
+		enough = min(s.Most, enough*3/2+1)
 	}
-	for hi-lo > 1 {
-		mid := (lo + hi) / 2
-		enough, err := try(mid)
+	for enough-tooFew > 1 {
+		middle := (tooFew + enough) / 2
+		reached, err = s.tryCount(description, middle)
 		if err != nil {
-			return nil, tried, false, err
+			return nil, false, err
 		}
-		if enough {
-			hi = mid
+		if reached {
+			enough = middle
 		} else {
-			lo = mid
+			tooFew = middle
 		}
 	}
-	return f.Resize(hi), tried, true, nil
+	return description.Resize(enough), true, nil
 }
 
-func newSearch(f *fleet.Fleet, l *workload.Load, o SizeOptions) (*search, time.Duration) {
-	from := time.Duration(0)
-	if o.Window > 0 && l.Length > o.Window*3/2 {
-		from = l.BusiestWindow(f, o.Window)
-		l = l.Cut(from, from+o.Window)
+// explain says why the most servers miss the target.
+func (s *sizeSearch) explain(most *fleet.Fleet) string {
+	reason := fmt.Sprintf("not with %d servers either: something other than their number limits the service",
+		most.Count())
+	if cannot := UpperBound(most, s.load).Cannot; len(cannot) > 0 {
+		reason += ": " + cannot[0]
 	}
-	return &search{SizeOptions: o, load: l, known: map[string]Size{}}, from
+	return reason
 }
 
-// LeastServers finds the least fleet whose service reaches the target: in the proportions of the file first, then less one
-// server of a kind at a time for as long as the target holds. So one less of any kind misses it.
-func LeastServers(f *fleet.Fleet, l *workload.Load, o SizeOptions) (Sizing, error) {
-	s, from := newSearch(f, l, o)
-	out := Sizing{Target: o.Target, OneBelow: map[string]Size{}, FromS: from.Seconds(), ToS: (from + s.load.Length).Seconds()}
-	best, tried, ok, err := s.total(f)
-	out.Tried = tried
-	sort.Slice(out.Tried, func(i, j int) bool { return out.Tried[i].Servers < out.Tried[j].Servers })
-	if err != nil {
-		return out, err
-	}
-	if out.Least, err = s.size(best); err != nil {
-		return out, err
-	}
-	if !ok {
-		out.Why = fmt.Sprintf("not with %d servers either: something other than their number limits the service", best.Count())
-		if c := UpperBound(best, s.load).Cannot; len(c) > 0 {
-			out.Why += ": " + c[0]
+// reduce takes servers of single kinds away for as long as the target is reached. It records the least size, and those
+// with one server less.
+func (s *sizeSearch) reduce(least *fleet.Fleet, sizing *Sizing) (*fleet.Fleet, error) {
+	for {
+		smaller, err := s.reduceOnce(least, sizing)
+		if err != nil {
+			return nil, err
 		}
-		return out, nil
-	}
-	for again := true; again; {
-		again = false
-		clear(out.OneBelow)
-		for k := range f.MachineKinds {
-			name, most := f.MachineKinds[k].Name, -1
-			for i, x := range best.ServerPools {
-				if x.Kind == name && x.Count > 0 && (most < 0 || x.Count > best.ServerPools[most].Count) {
-					most = i
-				}
-			}
-			if most < 0 {
-				continue
-			}
-			c := best.Clone()
-			c.ServerPools[most].Count--
-			v, err := s.size(c)
-			if err != nil {
-				return out, err
-			}
-			if v.Service.Mean >= s.Target {
-				best, out.Least, again = c, v, true
-				break
-			}
-			out.OneBelow[name] = v
+		if smaller == nil {
+			return least, nil
 		}
+		least = smaller
 	}
-	out.Reached = true
-	if s.load != l {
-		r, err := Replicate(best, l, o.Options, min(o.Reps, 4), nil)
+}
+
+// reduceOnce returns the fleet with one server less that reaches the target, or nil where none does.
+func (s *sizeSearch) reduceOnce(least *fleet.Fleet, sizing *Sizing) (*fleet.Fleet, error) {
+	clear(sizing.OneBelow)
+	for i := range least.MachineKinds {
+		kind := least.MachineKinds[i].Name
+		pool := largestPool(least, kind)
+		if pool < 0 {
+			continue
+		}
+		smaller := least.Clone()
+		smaller.ServerPools[pool].Count--
+		size, err := s.evaluate(smaller)
 		if err != nil {
-			return out, err
+			return nil, err
+		}
+		if size.Service.Mean >= s.Target {
+			sizing.Least = size
+			return smaller, nil
 		}
-		out.Whole = &r.Service
+		sizing.OneBelow[kind] = size
 	}
-	return out, nil
+	return nil, nil
 }
 
-// LeastTotal finds the least number of servers in the file's proportions whose service reaches the target; one more than
-// the most where none does.
-func LeastTotal(f *fleet.Fleet, l *workload.Load, o SizeOptions) (int, error) {
-	s, _ := newSearch(f, l, o)
-	best, _, ok, err := s.total(f)
-	if err != nil || !ok {
-		return o.Most + 1, err
+// largestPool returns the index of the pool with the most servers of a kind, or -1 where it has none.
+func largestPool(description *fleet.Fleet, kind string) int {
+	largest := -1
+	for i, pool := range description.ServerPools {
+		if pool.Kind != kind || pool.Count == 0 {
+			continue
+		}
+		if largest < 0 || pool.Count > description.ServerPools[largest].Count {
+			largest = i
+		}
 	}
-	return best.Count(), nil
+	return largest
 }
