--- a/internal/lab/fakeserver/fleet.go
+++ b/internal/lab/fakeserver/fleet.go
@@ -12,13 +12,13 @@
 )
 
 // Stats counts what the stand-ins did.
-type Stats struct{ Sheds, Fallen int }
+type Stats struct{ Sheds, Overloaded int }
 
 // Fleet is a stand-in fleet: servers, store, and a list of servers for the nodes of each centre.
 type Fleet struct {
-	Conf  *fleet.Fleet
-	Start time.Time
-	Hosts []*Host
+	Description *fleet.Fleet
+	Start       time.Time
+	Servers     []*Server
 
 	seed    uint64
 	store   *Store
@@ -34,17 +34,17 @@
 
 // New starts a fleet's servers and lists on free loopback ports.
 func New(conf *fleet.Fleet, seed uint64, allCold bool) (*Fleet, error) {
-	f := &Fleet{Conf: conf, Start: time.Now(), seed: seed, store: &Store{conf: conf.Store}, version: 1, states: map[string]string{},
+	f := &Fleet{Description: conf, Start: time.Now(), seed: seed, store: &Store{conf: conf.Store}, version: 1, states: map[string]string{},
 		news: make(chan struct{}), stop: make(chan struct{})}
 	for _, s := range conf.ServerPools {
 		for range s.Count {
-			id := fmt.Sprintf("s-%04d", len(f.Hosts))
-			h, err := f.newHost(id, conf.MachineKind(s.Kind), conf.Centre(s.Zone), s.WarmingUp || allCold, seed*1009+uint64(len(f.Hosts)))
+			id := fmt.Sprintf("s-%04d", len(f.Servers))
+			h, err := f.newHost(id, conf.MachineKind(s.Kind), conf.Centre(s.Zone), s.WarmingUp || allCold, seed*1009+uint64(len(f.Servers)))
 			if err != nil {
 				f.Close()
 				return nil, err
 			}
-			f.Hosts = append(f.Hosts, h)
+			f.Servers = append(f.Servers, h)
 			f.states[id] = "SERVING"
 		}
 	}
@@ -65,7 +65,7 @@
 		for {
 			select {
 			case now := <-t.C:
-				for _, h := range f.Hosts {
+				for _, h := range f.Servers {
 					h.advance(now)
 				}
 			case <-f.stop:
@@ -93,8 +93,8 @@
 }
 
 // changed puts a server's death on the list, when discovery has noticed.
-func (f *Fleet) changed(h *Host) {
-	time.AfterFunc(time.Duration(f.Conf.Discovery.Delay), func() {
+func (f *Fleet) changed(h *Server) {
+	time.AfterFunc(time.Duration(f.Description.Discovery.Delay), func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.states[h.ID] = "DELETED"
@@ -113,11 +113,11 @@
 
 func (f *Fleet) entries(centre int) json.RawMessage {
 	var all []ListEntry
-	for _, h := range f.Hosts {
+	for _, h := range f.Servers {
 		if f.states[h.ID] == "DELETED" {
 			continue
 		}
-		e := ListEntry{ID: h.ID, Addr: h.listen[centre].Addr().String(), Zone: f.Conf.Centres[h.Centre].Name, Kind: h.Kind.Name, State: f.states[h.ID], Weight: 1}
+		e := ListEntry{ID: h.ID, Addr: h.listen[centre].Addr().String(), Zone: f.Description.Centres[h.Zone].Name, Kind: h.Kind.Name, State: f.states[h.ID], Weight: 1}
 		if h.cold {
 			e.Started = f.Start.UnixMilli()
 		}
@@ -140,7 +140,7 @@
 	for _, s := range f.servers {
 		s.Close()
 	}
-	for _, h := range f.Hosts {
+	for _, h := range f.Servers {
 		h.Kill()
 	}
 }
--- a/internal/lab/fakeserver/host.go
+++ b/internal/lab/fakeserver/host.go
@@ -45,10 +45,10 @@
 }
 
 // Host is one stand-in server.
-type Host struct {
-	ID     string
-	Kind   *fleet.MachineKind
-	Centre int
+type Server struct {
+	ID   string
+	Kind *fleet.MachineKind
+	Zone int
 
 	fleet  *Fleet
 	speed  float64
@@ -84,25 +84,25 @@
 	change time.Time
 }
 
-func (f *Fleet) newHost(id string, k *fleet.MachineKind, centre int, cold bool, seed uint64) (*Host, error) {
-	h := &Host{ID: id, Kind: k, Centre: centre, fleet: f, cold: cold, rng: rand.New(rand.NewPCG(seed, 8)), conns: map[*conn]struct{}{},
+func (f *Fleet) newHost(id string, k *fleet.MachineKind, centre int, cold bool, seed uint64) (*Server, error) {
+	h := &Server{ID: id, Kind: k, Zone: centre, fleet: f, cold: cold, rng: rand.New(rand.NewPCG(seed, 8)), conns: map[*conn]struct{}{},
 		groups: map[uint64]int{}, socks: map[net.Conn]struct{}{}, jobs: f.Start, free: make([]time.Time, max(1, int(k.Cores+0.5)))}
 	// Cores that are no whole number are made up for by their speed.
 	h.speed = k.Speed * max(0.3, 1+k.SpeedSpread*h.rng.NormFloat64()) * k.Cores / float64(len(h.free))
 	h.report = h.reportLine(0)
-	for c := range f.Conf.Centres {
+	for c := range f.Description.Centres {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
 		h.listen = append(h.listen, l)
-		way := f.Conf.OneWay(c, centre)
+		way := f.Description.OneWay(c, centre)
 		go h.accept(l, way)
 	}
 	return h, nil
 }
 
-func (h *Host) accept(l net.Listener, way time.Duration) {
+func (h *Server) accept(l net.Listener, way time.Duration) {
 	for {
 		s, err := l.Accept()
 		if err != nil {
@@ -119,8 +119,8 @@
 	}
 }
 
-func (h *Host) warm(now time.Time) float64 {
-	c := h.fleet.Conf.SlowStart
+func (h *Server) warm(now time.Time) float64 {
+	c := h.fleet.Description.SlowStart
 	age := now.Sub(h.fleet.Start)
 	if !h.cold || age >= time.Duration(c.WarmUp) {
 		return 1
@@ -129,7 +129,7 @@
 }
 
 // job takes a core for some work and returns when it is done. The lock is held.
-func (h *Host) job(work float64, at time.Time) time.Time {
+func (h *Server) job(work float64, at time.Time) time.Time {
 	best := 0
 	for i, t := range h.free {
 		if t.Before(h.free[best]) {
@@ -146,7 +146,7 @@
 
 // wait is when a message that comes now is answered: behind all work that came before. It counts among the connections'
 // own work and adds none.
-func (h *Host) wait(now time.Time) time.Time {
+func (h *Server) wait(now time.Time) time.Time {
 	h.draw(now)
 	begin := h.free[0]
 	for _, t := range h.free {
@@ -157,12 +157,12 @@
 	if begin.Before(now) {
 		begin = now
 	}
-	return begin.Add(time.Duration(h.fleet.Conf.General.MessageWork.Seconds() / (h.speed * h.warm(now)) * 1e9))
+	return begin.Add(time.Duration(h.fleet.Description.General.MessageWork.Seconds() / (h.speed * h.warm(now)) * 1e9))
 }
 
 // draw has the connections' work come up to now, as jobs at random times.
-func (h *Host) draw(now time.Time) {
-	size := h.fleet.Conf.General.MessageWork.Seconds()
+func (h *Server) draw(now time.Time) {
+	size := h.fleet.Description.General.MessageWork.Seconds()
 	for h.load > 1e-9 {
 		next := h.jobs.Add(time.Duration(h.rng.ExpFloat64() * size / h.load * 1e9))
 		if next.After(now) {
@@ -176,7 +176,7 @@
 }
 
 // advance looks after what changes with time: the connections' loads, the report, work piled up.
-func (h *Host) advance(now time.Time) {
+func (h *Server) advance(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.dead {
@@ -192,19 +192,19 @@
 	h.asked += (h.work/(able*tick.Seconds()) - h.asked) * 0.085 // as slow as the model's mean over steps
 	h.work = 0
 	if now.After(h.next) {
-		h.next = now.Add(time.Duration(h.fleet.Conf.LoadReports.Interval))
+		h.next = now.Add(time.Duration(h.fleet.Description.LoadReports.Interval))
 		h.report = h.reportLine(h.asked)
 	}
 	if s := time.Duration(h.Kind.ShedAfter); s > 0 && h.piled(now) > s {
 		h.shed()
 	}
-	for len(h.budget) > 0 && now.Sub(h.budget[0].at) > time.Duration(h.fleet.Conf.SlowStart.OverloadTime) {
+	for len(h.budget) > 0 && now.Sub(h.budget[0].at) > time.Duration(h.fleet.Description.SlowStart.OverloadTime) {
 		h.budget = h.budget[1:]
 	}
 }
 
 // piled is how long the work in hand takes.
-func (h *Host) piled(now time.Time) time.Duration {
+func (h *Server) piled(now time.Time) time.Duration {
 	sum := time.Duration(0)
 	for _, t := range h.free {
 		sum += max(0, t.Sub(now))
@@ -212,7 +212,7 @@
 	return sum / time.Duration(len(h.free))
 }
 
-func (h *Host) shed() {
+func (h *Server) shed() {
 	var worst *conn
 	for k := range h.conns {
 		if worst == nil || k.load > worst.load {
@@ -226,15 +226,15 @@
 	}
 }
 
-func (h *Host) reportLine(asked float64) string {
-	noise := func() float64 { return max(0.1, 1+h.fleet.Conf.LoadReports.Noise*h.rng.NormFloat64()) }
-	return fmt.Sprintf("latency_ms=%.2f,util=%.3f,x0=%.3f", 1000*h.fleet.Conf.General.MessageWork.Seconds()/h.speed,
+func (h *Server) reportLine(asked float64) string {
+	noise := func() float64 { return max(0.1, 1+h.fleet.Description.LoadReports.Noise*h.rng.NormFloat64()) }
+	return fmt.Sprintf("latency_ms=%.2f,util=%.3f,x0=%.3f", 1000*h.fleet.Description.General.MessageWork.Seconds()/h.speed,
 		min(1, asked)*noise(), asked*noise())
 }
 
-func (h *Host) swing(k *conn, now time.Time) {
+func (h *Server) swing(k *conn, now time.Time) {
 	x, lasts := k.wander.Next()
-	x *= h.fleet.Conf.CoreLoad()
+	x *= h.fleet.Description.CoreLoad()
 	h.load += x - k.load
 	k.load = x
 	k.change = time.Time{}
@@ -243,16 +243,16 @@
 	}
 }
 
-func (h *Host) remove(k *conn) {
+func (h *Server) remove(k *conn) {
 	if _, ok := h.conns[k]; !ok {
 		return
 	}
 	delete(h.conns, k)
 	h.load -= k.load
-	if k.group != 0 && h.fleet.Conf.Group.Cost > 0 {
+	if k.group != 0 && h.fleet.Description.Group.Cost > 0 {
 		if h.groups[k.group]--; h.groups[k.group] == 0 {
 			delete(h.groups, k.group)
-			h.load -= h.fleet.Conf.Group.Cost * h.fleet.Conf.CoreLoad()
+			h.load -= h.fleet.Description.Group.Cost * h.fleet.Description.CoreLoad()
 		}
 	}
 	if len(h.conns) == 0 {
@@ -261,7 +261,7 @@
 }
 
 // serve speaks with one connection of a node.
-func (h *Host) serve(s net.Conn, way time.Duration) {
+func (h *Server) serve(s net.Conn, way time.Duration) {
 	defer func() {
 		h.mu.Lock()
 		delete(h.socks, s)
@@ -289,7 +289,7 @@
 		fields[k] = v
 	}
 	class := -1
-	for i, c := range h.fleet.Conf.Classes {
+	for i, c := range h.fleet.Description.Classes {
 		if c.Name == fields["c"] {
 			class = i
 		}
@@ -314,8 +314,8 @@
 }
 
 // setup does the work of a new connection and says UP, or BUSY.
-func (h *Host) setup(s net.Conn, k *conn, class int, key uint64, way time.Duration) bool {
-	c := &h.fleet.Conf.Classes[class]
+func (h *Server) setup(s net.Conn, k *conn, class int, key uint64, way time.Duration) bool {
+	c := &h.fleet.Description.Classes[class]
 	h.mu.Lock()
 	if h.dead || len(h.conns)+h.setups >= h.Kind.Connections || h.setups >= h.Kind.SetupQueue {
 		h.mu.Unlock()
@@ -343,9 +343,9 @@
 	now = time.Now()
 	k.wander = workload.NewLoadProcess(h.fleet.seed^key*3, c, 0)
 	h.conns[k] = struct{}{}
-	if k.group != 0 && h.fleet.Conf.Group.Cost > 0 {
+	if k.group != 0 && h.fleet.Description.Group.Cost > 0 {
 		if h.groups[k.group]++; h.groups[k.group] == 1 {
-			h.load += h.fleet.Conf.Group.Cost * h.fleet.Conf.CoreLoad()
+			h.load += h.fleet.Description.Group.Cost * h.fleet.Description.CoreLoad()
 		}
 	}
 	h.swing(k, now)
@@ -361,11 +361,11 @@
 }
 
 // push books a new connection of a cold server and reports whether that was too much.
-func (h *Host) push(c *fleet.Class, now time.Time) bool {
+func (h *Server) push(c *fleet.Class, now time.Time) bool {
 	if !h.cold || h.warm(now) == 1 {
 		return false
 	}
-	conf := h.fleet.Conf
+	conf := h.fleet.Description
 	h.budget = append(h.budget, spent{now, c.Load * conf.CoreLoad()})
 	sum := 0.0
 	for _, b := range h.budget {
@@ -377,12 +377,12 @@
 	if sum <= conf.SlowStart.OverloadMultiple*able+4*conf.MeanLoad()*conf.CoreLoad() {
 		return false
 	}
-	h.fleet.count(func(s *Stats) { s.Fallen++ })
+	h.fleet.count(func(s *Stats) { s.Overloaded++ })
 	return true
 }
 
 // answer returns each line when its turn has come. What waits is bounded by the lines a client sends before it reads.
-func (h *Host) answer(s net.Conn, r *bufio.Reader, way time.Duration) {
+func (h *Server) answer(s net.Conn, r *bufio.Reader, way time.Duration) {
 	type due struct {
 		at   time.Time
 		line string
@@ -418,13 +418,13 @@
 }
 
 // probes answers PING and STATS, each at the price of a probe.
-func (h *Host) probes(s net.Conn, r *bufio.Reader, line string, way time.Duration) {
+func (h *Server) probes(s net.Conn, r *bufio.Reader, line string, way time.Duration) {
 	for {
 		time.Sleep(2 * way)
 		h.mu.Lock()
 		now := time.Now()
 		h.draw(now)
-		work := h.fleet.Conf.LoadReports.HealthCheckWork.Seconds()
+		work := h.fleet.Description.LoadReports.HealthCheckWork.Seconds()
 		h.job(work, now)
 		h.work += work
 		report := h.report
@@ -445,7 +445,7 @@
 }
 
 // Kill ends the server as a process that dies: its connections reset, new ones are refused.
-func (h *Host) Kill() {
+func (h *Server) Kill() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.dead {
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -27,30 +27,30 @@
 
 // Options are a replay's surroundings.
 type Options struct {
-	Node    string // the spurwinch program
-	Dir     string // for configurations, logs and captures
-	Seed    uint64
-	Capture bool // the nodes write their load down in Dir
-	Lose    string
-	LoseAt  time.Duration
-	AllCold bool
+	Node         string // the spurwinch program
+	Dir          string // for configurations, logs and captures
+	Seed         uint64
+	Capture      bool // the nodes write their load down in Dir
+	Lose         string
+	LoseAt       time.Duration
+	AllWarmingUp bool
 }
 
 // Result is what was measured. Lag is how much later than due the clients' own timers fired, at the 99th percentile: a
 // machine that is too busy measures itself.
 type Result struct {
-	Account  *workload.Account
-	Service  float64
-	Worst    float64
-	Classes  []float64
-	Editions []float64
-	Stats    Stats
-	Lag      time.Duration
-	Captures []string
+	Account     *workload.Account
+	Service     float64
+	WorstWindow float64
+	Classes     []float64
+	Tenants     []float64
+	Stats       Stats
+	Lag         time.Duration
+	Captures    []string
 }
 
 // Stats counts what the clients saw.
-type Stats struct{ Requests, Up, Refused, Failed, Moves, Breaks, Sheds, Fallen int }
+type Stats struct{ Requests, Established, Rejected, Failed, Migrations, Resets, Sheds, Overloaded int }
 
 const (
 	messageEvery = 400 * time.Millisecond // of a stand-in client: often enough to see short troubles
@@ -83,7 +83,7 @@
 
 // Play replays a load against a stand-in fleet.
 func Play(ctx context.Context, f *fleet.Fleet, l *workload.Load, o Options) (r Result, err error) {
-	stand, err := fakeserver.New(f, o.Seed, o.AllCold)
+	stand, err := fakeserver.New(f, o.Seed, o.AllWarmingUp)
 	if err != nil {
 		return r, err
 	}
@@ -114,10 +114,10 @@
 	}
 	r.Account, r.Stats = p.account, p.stats
 	s := stand.Stats()
-	r.Stats.Sheds, r.Stats.Fallen = s.Sheds, s.Fallen
-	r.Service, r.Classes, r.Editions = p.account.Service()
-	r.Editions = r.Editions[:len(f.Editions)]
-	r.Worst, _ = p.account.WorstWindow(10 * time.Second)
+	r.Stats.Sheds, r.Stats.Overloaded = s.Sheds, s.Overloaded
+	r.Service, r.Classes, r.Tenants = p.account.Service()
+	r.Tenants = r.Tenants[:len(f.Editions)]
+	r.WorstWindow, _ = p.account.WorstWindow(10 * time.Second)
 	r.Lag = percentile(p.lags, 0.99)
 	return r, nil
 }
@@ -255,8 +255,8 @@
 			n.mu.Unlock()
 		}
 	}
-	for _, h := range p.stand.Hosts {
-		if h.Centre == centre {
+	for _, h := range p.stand.Servers {
+		if h.Zone == centre {
 			h.Kill()
 		}
 	}
@@ -374,10 +374,10 @@
 	case err != nil && ctx.Err() != nil, err != nil && time.Now().After(ctxEnd(ctx)):
 		return wanted, 0
 	case word == "UP":
-		p.count(func(t *Stats) { t.Up++ })
+		p.count(func(t *Stats) { t.Established++ })
 		*failures = 0
 	case word == "BUSY":
-		p.count(func(t *Stats) { t.Refused++ })
+		p.count(func(t *Stats) { t.Rejected++ })
 		var ms int
 		fmt.Sscan(rest, &ms)
 		return refused, time.Duration(ms) * time.Millisecond
@@ -418,7 +418,7 @@
 				out = append(out, now)
 				c.SetWriteDeadline(now.Add(time.Second))
 				if _, err := c.Write([]byte("SYNC\r\n")); err != nil {
-					p.count(func(t *Stats) { t.Breaks++ })
+					p.count(func(t *Stats) { t.Resets++ })
 					return broken
 				}
 			}
@@ -437,7 +437,7 @@
 			part = part[i+1:]
 			switch {
 			case bytes.Equal(line, []byte("MOVE")):
-				p.count(func(t *Stats) { t.Moves++ })
+				p.count(func(t *Stats) { t.Migrations++ })
 				return broken
 			case bytes.Equal(line, []byte("SYNC")) && len(out) > 0:
 				if now.Sub(out[0]) <= aim {
@@ -450,7 +450,7 @@
 			if err == io.EOF && !time.Now().Before(end) {
 				return wanted
 			}
-			p.count(func(t *Stats) { t.Breaks++ })
+			p.count(func(t *Stats) { t.Resets++ })
 			return broken
 		}
 	}
--- a/internal/lab/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Stats.Up == 0 || r.Service == 0 || r.Service > 1 {
+	if r.Stats.Established == 0 || r.Service == 0 || r.Service > 1 {
 		t.Errorf("service %v, %+v", r.Service, r.Stats)
 	}
 	seen, err := workload.ReadCaptures(r.Captures)
--- a/internal/lab/transcript/standin.go
+++ b/internal/lab/transcript/standin.go
@@ -77,13 +77,13 @@
 // Crowd are clients of one node, over all its processes: each connects, opens, and keeps its connection for a while, with
 // a line now and then.
 type Crowd struct {
-	Addr            string
-	Up, Busy, Moved atomic.Int64
-	AtDoor          atomic.Int64 // lost at the door: not let in, closed on or left unread
-	Cut             atomic.Int64 // stood, and ended without MOVE
-	next            atomic.Int64
-	stop            atomic.Bool
-	wait            sync.WaitGroup
+	Addr                string
+	Up, Rejected, Moved atomic.Int64
+	AtDoor              atomic.Int64 // lost at the door: not let in, closed on or left unread
+	Cut                 atomic.Int64 // stood, and ended without MOVE
+	next                atomic.Int64
+	stop                atomic.Bool
+	wait                sync.WaitGroup
 }
 
 // Run starts clients, each of which comes again and again until Stop.
@@ -129,7 +129,7 @@
 		c.AtDoor.Add(1)
 		return
 	case !strings.HasPrefix(first, "UP"):
-		c.Busy.Add(1)
+		c.Rejected.Add(1)
 		return
 	}
 	c.Up.Add(1)
@@ -152,6 +152,6 @@
 	t.Helper()
 	if c.AtDoor.Load() != 0 || c.Cut.Load() != 0 || c.Up.Load() == 0 {
 		t.Errorf("%s: %d lost at the door, %d cut off, of %d that stood, %d refused, %d moved", what,
-			c.AtDoor.Load(), c.Cut.Load(), c.Up.Load(), c.Busy.Load(), c.Moved.Load())
+			c.AtDoor.Load(), c.Cut.Load(), c.Up.Load(), c.Rejected.Load(), c.Moved.Load())
 	}
 }
--- a/internal/lab/transcript/stream.go
+++ b/internal/lab/transcript/stream.go
@@ -30,13 +30,13 @@
 }
 
 // Kind is how a stream passes its lines.
-type Kind int
+type StreamKind int
 
 const (
-	Steady Kind = iota // one by one, each timed
-	Pieces             // byte by byte
-	Still              // none
-	Bulk               // as much as goes, to a client that reads in fits: all buffers on the way fill up
+	Steady StreamKind = iota // one by one, each timed
+	Pieces                   // byte by byte
+	Still                    // none
+	Bulk                     // as much as goes, to a client that reads in fits: all buffers on the way fill up
 )
 
 func (s *Streams) fault(format string, a ...any) {
@@ -46,7 +46,7 @@
 }
 
 // Run opens streams of a kind, and returns when all stand.
-func (s *Streams) Run(t testing.TB, n int, kind Kind) {
+func (s *Streams) Run(t testing.TB, n int, kind StreamKind) {
 	t.Helper()
 	if s.stop == nil {
 		s.stop = make(chan struct{})
@@ -118,7 +118,7 @@
 }
 
 // flow writes on and on; who reads checks every byte, up to the line that says that it was the last.
-func (s *Streams) flow(c net.Conn, in *bufio.Reader, id int, kind Kind) {
+func (s *Streams) flow(c net.Conn, in *bufio.Reader, id int, kind StreamKind) {
 	line := func(i int) []byte {
 		if kind == Pieces {
 			return fmt.Appendf(nil, "%d %d\r\n", id, i)
