--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -145,6 +145,10 @@
 		}
 		args = append(args, "-operator", op)
 	}
+	file, err := os.Create(filepath.Join(p.o.Dir, name+".log"))
+	if err != nil {
+		return err
+	}
 	n := &node{cmd: exec.Command(p.o.Node, args...), centre: centre, ended: make(chan struct{})}
 	n.cmd.Env = []string{"GW_CONFIG=" + path, "GOMAXPROCS=1"}
 	logged, err := n.cmd.StderrPipe()
@@ -152,13 +156,10 @@
 		err = n.cmd.Start()
 	}
 	if err != nil {
+		file.Close()
 		return fmt.Errorf("node program %s: %w", p.o.Node, err)
 	}
 	p.nodes = append(p.nodes, n)
-	file, err := os.Create(filepath.Join(p.o.Dir, name+".log"))
-	if err != nil {
-		return err
-	}
 	addr := make(chan string, 1)
 	go func() {
 		defer close(n.ended)
