--- a/internal/lab/replay/node_test.go
+++ b/internal/lab/replay/node_test.go
@@ -12,8 +12,8 @@
 	"spurwinch/internal/plan/workload"
 )
 
-// TestLogFileFails checks that a replay whose log file can't be created ends with that error, and doesn't wait for a node
-// whose end nobody watches.
+// TestLogFileFails checks that a replay whose log file can't be created ends with that error, and doesn't wait for a
+// node whose end nobody watches.
 func TestLogFileFails(t *testing.T) {
 	description, err := fleet.Parse("f", deploy.FleetEvening)
 	if err != nil {
