--- a/internal/lab/fakeserver/fleet.go
+++ b/internal/lab/fakeserver/fleet.go
@@ -1,3 +1,7 @@
+// Package fakeserver plays the parties around a node on loopback sockets, as a fleet's description has them: servers
+// that speak the platform's protocol, the endpoint list, the session store. Unlike the model of package planner it has
+// no fluids and averages: each server works through single jobs on its cores, and answers a line when the line's job
+// would be done.
 package fakeserver
 
 import (
@@ -11,136 +15,183 @@
 	"spurwinch/internal/plan/fleet"
 )
 
-// Stats counts what the stand-ins did.
-type Stats struct{ Sheds, Overloaded int }
+// listHeaderTimeout bounds how long a request to the endpoint list may take to arrive.
+const listHeaderTimeout = 5 * time.Second
 
-// Fleet is a stand-in fleet: servers, store, and a list of servers for the nodes of each centre.
+// States of a server in the endpoint list.
+const (
+	stateServing = "SERVING"
+	stateDeleted = "DELETED"
+)
+
+// Stats counts what happened to the servers.
+type Stats struct {
+	Sheds      int // connections
+	Overloaded int // servers that failed in slow start
+}
+
+// Fleet is a fake fleet: servers, session store, and an endpoint list for the nodes of each zone.
 type Fleet struct {
 	Description *fleet.Fleet
 	Start       time.Time
 	Servers     []*Server
 
-	seed    uint64
-	store   *Store
-	mu      sync.Mutex
+	seed  uint64
+	store *sessionStore
+	lists []*http.Server // by zone
+	addrs []string       // of the lists
+	stop  chan struct{}
+
+	mu      sync.Mutex // guards the fields below
 	stats   Stats
-	version int64
-	states  map[string]string
-	news    chan struct{} // closed at each change
-	servers []*http.Server
-	addrs   []string
-	stop    chan struct{}
+	version int64             // of the endpoint list
+	states  map[string]string // by server ID
+	changed chan struct{}     // closed at each change
 }
 
-// New starts a fleet's servers and lists on free loopback ports.
-func New(conf *fleet.Fleet, seed uint64, allCold bool) (*Fleet, error) {
-	f := &Fleet{Description: conf, Start: time.Now(), seed: seed, store: &Store{conf: conf.Store}, version: 1, states: map[string]string{},
-		news: make(chan struct{}), stop: make(chan struct{})}
-	for _, s := range conf.ServerPools {
-		for range s.Count {
-			id := fmt.Sprintf("s-%04d", len(f.Servers))
-			h, err := f.newHost(id, conf.MachineKind(s.Kind), conf.Centre(s.Zone), s.WarmingUp || allCold, seed*1009+uint64(len(f.Servers)))
-			if err != nil {
-				f.Close()
-				return nil, err
-			}
-			f.Servers = append(f.Servers, h)
-			f.states[id] = "SERVING"
+// New starts the servers and endpoint lists of a fleet on free loopback ports.
+func New(description *fleet.Fleet, seed uint64, allSlowStart bool) (*Fleet, error) {
+	started := &Fleet{
+		Description: description,
+		Start:       time.Now(),
+		seed:        seed,
+		store:       &sessionStore{store: description.Store},
+		version:     1,
+		states:      map[string]string{},
+		changed:     make(chan struct{}),
+		stop:        make(chan struct{}),
+	}
+	for _, pool := range description.ServerPools {
+		if err := started.startServers(pool, allSlowStart); err != nil {
+			started.Close()
+			return nil, err
 		}
 	}
-	for c := range conf.Centres {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			f.Close()
+	for zone := range description.Centres {
+		if err := started.startList(zone); err != nil {
+			started.Close()
 			return nil, err
 		}
-		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { f.list(w, r, c) }), ReadHeaderTimeout: 5 * time.Second}
-		f.servers = append(f.servers, s)
-		f.addrs = append(f.addrs, l.Addr().String())
-		go s.Serve(l)
 	}
-	go func() {
-		t := time.NewTicker(tick)
-		defer t.Stop()
-		for {
-			select {
-			case now := <-t.C:
-				for _, h := range f.Servers {
-					h.advance(now)
-				}
-			case <-f.stop:
-				return
+	go started.advanceServers()
+	return started, nil
+}
+
+func (f *Fleet) startServers(pool fleet.ServerPool, allSlowStart bool) error {
+	for range pool.Count {
+		index := len(f.Servers)
+		id := fmt.Sprintf("s-%04d", index)
+		kind := f.Description.MachineKind(pool.Kind)
+		zone := f.Description.Centre(pool.Zone)
+		server, err := f.newServer(id, kind, zone, pool.WarmingUp || allSlowStart, f.seed*1009+uint64(index))
+		if err != nil {
+			return err
+		}
+		f.Servers = append(f.Servers, server)
+		f.states[id] = stateServing
+	}
+	return nil
+}
+
+// startList serves the endpoint list to the nodes of a zone.
+func (f *Fleet) startList(zone int) error {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	handler := func(w http.ResponseWriter, r *http.Request) { f.serveList(w, r, zone) }
+	list := &http.Server{Handler: http.HandlerFunc(handler), ReadHeaderTimeout: listHeaderTimeout}
+	f.lists = append(f.lists, list)
+	f.addrs = append(f.addrs, listener.Addr().String())
+	go func() { _ = list.Serve(listener) }() // it ends with an error when the fleet is closed
+	return nil
+}
+
+// advanceServers updates the servers at each tick until the fleet is closed.
+func (f *Fleet) advanceServers() {
+	ticker := time.NewTicker(tick)
+	defer ticker.Stop()
+	for {
+		select {
+		case now := <-ticker.C:
+			for _, server := range f.Servers {
+				server.advance(now)
 			}
+		case <-f.stop:
+			return
 		}
-	}()
-	return f, nil
+	}
 }
 
-// Discovery is the address of the list for nodes of a centre.
-func (f *Fleet) Discovery(centre int) string { return f.addrs[centre] }
+// Discovery returns the address of the endpoint list for nodes of a zone.
+func (f *Fleet) Discovery(zone int) string { return f.addrs[zone] }
 
-func (f *Fleet) count(fn func(*Stats)) {
+func (f *Fleet) updateStats(update func(*Stats)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fn(&f.stats)
+	update(&f.stats)
 }
 
-// Stats is what was counted so far.
+// Stats returns what was counted so far.
 func (f *Fleet) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stats
 }
 
-// changed puts a server's death on the list, when discovery has noticed.
-func (f *Fleet) changed(h *Server) {
+// removeFromList takes a server that died from the endpoint list, when discovery has noticed.
+func (f *Fleet) removeFromList(server *Server) {
 	time.AfterFunc(time.Duration(f.Description.Discovery.Delay), func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.states[h.ID] = "DELETED"
+		f.states[server.ID] = stateDeleted
 		f.version++
-		close(f.news)
-		f.news = make(chan struct{})
+		close(f.changed)
+		f.changed = make(chan struct{})
 	})
 }
 
-// Entries is the list as a node of a centre is told it, in discovery's form.
-func (f *Fleet) Entries(centre int) json.RawMessage {
+// Entries returns the endpoint list for the nodes of a zone, in discovery's form.
+func (f *Fleet) Entries(zone int) json.RawMessage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.entries(centre)
-}
-
-func (f *Fleet) entries(centre int) json.RawMessage {
-	var all []ListEntry
-	for _, h := range f.Servers {
-		if f.states[h.ID] == "DELETED" {
+	var entries []ListEntry
+	for _, server := range f.Servers {
+		if f.states[server.ID] == stateDeleted {
 			continue
 		}
-		e := ListEntry{ID: h.ID, Addr: h.listen[centre].Addr().String(), Zone: f.Description.Centres[h.Zone].Name, Kind: h.Kind.Name, State: f.states[h.ID], Weight: 1}
-		if h.cold {
-			e.Started = f.Start.UnixMilli()
+		entry := ListEntry{
+			ID:     server.ID,
+			Addr:   server.listeners[zone].Addr().String(),
+			Zone:   f.Description.Centres[server.Zone].Name,
+			Kind:   server.Kind.Name,
+			State:  f.states[server.ID],
+			Weight: 1,
+		}
+		if server.slowStart {
+			entry.Started = f.Start.UnixMilli()
 		}
-		all = append(all, e)
+		entries = append(entries, entry)
 	}
-	return EncodeList(f.version, all)
+	return EncodeList(f.version, entries)
 }
 
-// list answers GET /v1/servers.
-func (f *Fleet) list(w http.ResponseWriter, r *http.Request, centre int) {
+// serveList answers GET /v1/servers for nodes of a zone.
+func (f *Fleet) serveList(w http.ResponseWriter, r *http.Request, zone int) {
 	f.mu.Lock()
-	news, version := f.news, f.version
+	changed := f.changed
+	version := f.version
 	f.mu.Unlock()
-	ServeList(w, r, version, news, f.stop, func() json.RawMessage { return f.Entries(centre) })
+	ServeList(w, r, version, changed, f.stop, func() json.RawMessage { return f.Entries(zone) })
 }
 
-// Close ends all stand-ins.
+// Close ends all servers and lists.
 func (f *Fleet) Close() {
 	close(f.stop)
-	for _, s := range f.servers {
-		s.Close()
+	for _, list := range f.lists {
+		_ = list.Close() // nobody is to be answered any more
 	}
-	for _, h := range f.Servers {
-		h.Kill()
+	for _, server := range f.Servers {
+		server.Kill()
 	}
 }
--- a/internal/lab/fakeserver/list.go
+++ b/internal/lab/fakeserver/list.go
@@ -7,7 +7,10 @@
 	"time"
 )
 
-// ListEntry is a server on a list in discovery's form.
+// maxWatch is the longest time that a watch waits for a change.
+const maxWatch = time.Minute
+
+// ListEntry is one server of an endpoint list, in discovery's form.
 type ListEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -16,10 +19,10 @@
 	Cell    int     `json:"cell"`
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"`
+	Started int64   `json:"started_ms"` // Unix time; 0: long ago
 }
 
-// EncodeList is a whole list of servers in discovery's form.
+// EncodeList returns a full endpoint list in discovery's form.
 func EncodeList(version int64, servers []ListEntry) json.RawMessage {
 	if servers == nil {
 		servers = []ListEntry{} // an empty list, not null
@@ -35,33 +38,39 @@
 	return raw
 }
 
-// ServeList answers a call to a list, at once or, as a watch, when there is something newer than the version that the call names. encode gives
-// the list as it is then; changed is closed at the next change, stop when nobody is to be answered any more.
-func ServeList(w http.ResponseWriter, r *http.Request, version int64, changed, stop <-chan struct{}, encode func() json.RawMessage) {
+// ServeList answers a request for an endpoint list: at once or, as a watch, when there is a newer version than the
+// request names. encode returns the list as it is then; changed is closed at the next change, stop when nobody is to be
+// answered any more.
+func ServeList(
+	w http.ResponseWriter, r *http.Request, version int64, changed, stop <-chan struct{}, encode func() json.RawMessage,
+) {
 	if !awaitNewer(r, version, changed, stop) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(encode())
+	_, _ = w.Write(encode()) // a node that has gone polls again
 }
 
-// awaitNewer waits, as a call asks it to, for something newer than the version that it names; ok is false where nobody is to be answered any
-// more.
-func awaitNewer(r *http.Request, version int64, changed, stop <-chan struct{}) (ok bool) {
-	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
-	ms, _ := strconv.ParseInt(r.URL.Query().Get("wait_ms"), 10, 64)
-	if !r.URL.Query().Has("after") || after < version {
+// awaitNewer waits, for as long as the request says, for a newer version than it names. It reports false where nobody
+// is to be answered any more.
+func awaitNewer(request *http.Request, version int64, changed, stop <-chan struct{}) bool {
+	query := request.URL.Query()
+	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)          // what is no number counts as 0
+	milliseconds, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64) // likewise
+	if !query.Has("after") || after < version {
 		return true
 	}
-	t := time.NewTimer(time.Duration(min(ms, 60000)) * time.Millisecond)
-	defer t.Stop()
+	wait := time.Duration(min(milliseconds, maxWatch.Milliseconds())) * time.Millisecond
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	select {
 	case <-changed:
-	case <-t.C:
+		return true
+	case <-timer.C:
+		return true
 	case <-stop:
 		return false
-	case <-r.Context().Done():
+	case <-request.Context().Done():
 		return false
 	}
-	return true
 }
