--- a/internal/lab/transcript/stream.go
+++ b/internal/lab/transcript/stream.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"slices"
@@ -14,78 +13,104 @@
 	"time"
 )
 
-// Streams are connections that stand and pass numbered lines to a host that returns them: each byte that comes back is
-// checked. They stay on one connection to the end.
-type Streams struct {
-	Addr string
-	At   string // the host, as for connections that were open before; no module has a say then
-
-	mu     sync.Mutex
-	wrong  []string
-	up     int
-	pauses []time.Duration // of lines sent one by one: until each came back
-	conns  []net.Conn
-	stop   chan struct{}
-	wait   sync.WaitGroup
-}
+const (
+	streamBuffer    = 64 << 10             // bytes read at a time
+	steadyInterval  = 5 * time.Millisecond // between the lines of a steady stream
+	pieceLineDelay  = time.Millisecond     // between the lines that are sent byte by byte
+	bulkLineLength  = 3000                 // bytes
+	bulkPauseEach   = 200                  // lines, in the mean, between pauses of a bulk reader
+	maxBulkPause    = 60                   // milliseconds
+	maxStreamFaults = 5                    // that a test prints
+	lastLine        = "last" + lineEnd
+)
 
-// Kind is how a stream passes its lines.
+// StreamKind is how a stream sends its lines.
 type StreamKind int
 
 const (
-	Steady StreamKind = iota // one by one, each timed
-	Pieces                   // byte by byte
-	Still                    // none
-	Bulk                     // as much as goes, to a client that reads in fits: all buffers on the way fill up
+	// Steady streams send one line after the other, and time each.
+	Steady StreamKind = iota
+	// Pieces streams send byte by byte.
+	Pieces
+	// Still streams send nothing.
+	Still
+	// Bulk streams send as much as they can, to a reader that pauses at random: all buffers on the way fill up.
+	Bulk
 )
 
-func (s *Streams) fault(format string, a ...any) {
+// Streams are connections that stay open and send numbered lines to a server that returns them: each byte that comes
+// back is checked. Each stays on one connection to the end.
+type Streams struct {
+	Addr string // of the node
+	At   string // ID of the server where connections are already open, which leaves the module no choice; empty: none
+
+	stop        chan struct{}
+	running     sync.WaitGroup
+	connections []net.Conn
+
+	mu         sync.Mutex // guards the fields below
+	faults     []string
+	roundTrips []time.Duration // of the lines of steady streams
+}
+
+// stream is one connection of a set of streams.
+type stream struct {
+	set        *Streams
+	id         int
+	kind       StreamKind
+	connection net.Conn
+	reader     *bufio.Reader
+}
+
+func (s *Streams) addFault(format string, values ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wrong = append(s.wrong, fmt.Sprintf(format, a...))
+	s.faults = append(s.faults, fmt.Sprintf(format, values...))
 }
 
-// Run opens streams of a kind, and returns when all stand.
-func (s *Streams) Run(t testing.TB, n int, kind StreamKind) {
-	t.Helper()
+// Run opens a number of streams of a kind, and returns when all are established.
+func (s *Streams) Run(tb testing.TB, count int, kind StreamKind) {
+	tb.Helper()
 	if s.stop == nil {
 		s.stop = make(chan struct{})
 	}
-	for range n {
-		c, err := net.DialTimeout("tcp", s.Addr, patience)
-		if err != nil {
-			t.Fatal(err)
-		}
-		s.up++
-		id := s.up
-		at := ""
-		if s.At != "" {
-			at = ",at=" + s.At
-		}
-		fmt.Fprintf(c, "OPEN %x %x c=chat,t=acme,d=900%s\r\n", id<<20, id, at)
-		in := bufio.NewReaderSize(c, 64<<10)
-		c.SetReadDeadline(time.Now().Add(patience))
-		if first, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(first, "UP") {
-			t.Fatalf("a stream got %q, %v", first, err)
-		}
-		c.SetReadDeadline(time.Time{})
-		s.conns = append(s.conns, c)
-		s.wait.Add(1)
+	for range count {
+		opened := s.open(tb, kind)
+		s.running.Add(1)
 		go func() {
-			defer s.wait.Done()
-			switch kind {
-			case Still:
-				<-s.stop
-			case Steady:
-				s.steady(c, in, id)
-			default:
-				s.flow(c, in, id, kind)
-			}
+			defer s.running.Done()
+			opened.run()
 		}()
 	}
 }
 
-func (s *Streams) over() bool {
+// open establishes one stream.
+func (s *Streams) open(tb testing.TB, kind StreamKind) *stream {
+	tb.Helper()
+	connection, err := net.DialTimeout("tcp", s.Addr, waitTimeout)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	s.connections = append(s.connections, connection)
+	id := len(s.connections)
+	at := ""
+	if s.At != "" {
+		at = ",at=" + s.At
+	}
+	// Where the write fails, so does the read of the answer.
+	_ = send(connection, fmt.Sprintf("OPEN %x %x c=chat,t=acme,d=900%s%s", id<<20, id, at, lineEnd))
+	reader := bufio.NewReaderSize(connection, streamBuffer)
+	_ = connection.SetReadDeadline(time.Now().Add(waitTimeout)) // it fails of a closed connection only
+	answer, err := reader.ReadString('\n')
+	if err != nil || !strings.HasPrefix(answer, "UP") {
+		tb.Fatalf("a stream got %q, %v", answer, err)
+	}
+	_ = connection.SetReadDeadline(time.Time{}) // likewise
+	return &stream{set: s, id: id, kind: kind, connection: connection, reader: reader}
+}
+
+// stopped reports whether the streams are to end.
+func (s *Streams) stopped() bool {
 	select {
 	case <-s.stop:
 		return true
@@ -94,99 +119,127 @@
 	}
 }
 
-func (s *Streams) steady(c net.Conn, in *bufio.Reader, id int) {
-	var pauses []time.Duration
-	for i := 0; !s.over(); i++ {
-		line := fmt.Sprintf("%d %d\r\n", id, i)
+func (s *stream) run() {
+	switch s.kind {
+	case Still:
+		<-s.set.stop
+	case Steady:
+		s.exchangeLines()
+	default:
+		s.sendAndCheck()
+	}
+}
+
+// exchangeLines sends a line and reads it back, again and again.
+func (s *stream) exchangeLines() {
+	var roundTrips []time.Duration
+	for i := 0; !s.set.stopped(); i++ {
+		line := fmt.Sprintf("%d %d%s", s.id, i, lineEnd)
 		began := time.Now()
-		c.SetReadDeadline(began.Add(patience))
-		_, err := io.WriteString(c, line)
+		_ = s.connection.SetReadDeadline(began.Add(waitTimeout)) // it fails of a closed connection only
 		got := ""
+		err := send(s.connection, line)
 		if err == nil {
-			got, err = in.ReadString('\n')
+			got, err = s.reader.ReadString('\n')
 		}
 		if err != nil || got != line {
-			s.fault("stream %d, line %d: %q, %v", id, i, got, err)
+			s.set.addFault("stream %d, line %d: %q, %v", s.id, i, got, err)
 			return
 		}
-		pauses = append(pauses, time.Since(began))
-		time.Sleep(5 * time.Millisecond)
+		roundTrips = append(roundTrips, time.Since(began))
+		time.Sleep(steadyInterval)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.pauses = append(s.pauses, pauses...)
+	s.set.mu.Lock()
+	defer s.set.mu.Unlock()
+	s.set.roundTrips = append(s.set.roundTrips, roundTrips...)
 }
 
-// flow writes on and on; who reads checks every byte, up to the line that says that it was the last.
-func (s *Streams) flow(c net.Conn, in *bufio.Reader, id int, kind StreamKind) {
-	line := func(i int) []byte {
-		if kind == Pieces {
-			return fmt.Appendf(nil, "%d %d\r\n", id, i)
+// line returns the line of a number.
+func (s *stream) line(number int) []byte {
+	if s.kind == Pieces {
+		return fmt.Appendf(nil, "%d %d%s", s.id, number, lineEnd)
+	}
+	filling := bytes.Repeat([]byte{byte('a' + number%26)}, bulkLineLength)
+	return fmt.Appendf(nil, "%d %d %s%s", s.id, number, filling, lineEnd)
+}
+
+// sendAndCheck sends lines while it reads and checks those that come back, up to the last one.
+func (s *stream) sendAndCheck() {
+	sent := make(chan int, 1)
+	go func() { sent <- s.sendLines() }()
+	received := s.checkLines()
+	if lines := <-sent; lines != received {
+		s.set.addFault("stream %d: %d lines came back of %d", s.id, received, lines)
+	}
+}
+
+// sendLines sends lines until the streams end, and then the last one. It returns how many came before that.
+func (s *stream) sendLines() int {
+	number := 0
+	for ; !s.set.stopped(); number++ {
+		if err := s.sendLine(s.line(number)); err != nil {
+			s.set.addFault("stream %d, line %d: %v", s.id, number, err)
+			return number
 		}
-		return fmt.Appendf(nil, "%d %d %s\r\n", id, i, bytes.Repeat([]byte{byte('a' + i%26)}, 3000))
-	}
-	written := make(chan int, 1)
-	go func() {
-		i := 0
-		for ; !s.over(); i++ {
-			l := line(i)
-			for len(l) > 0 {
-				n := len(l)
-				if kind == Pieces {
-					n = 1
-				}
-				if _, err := c.Write(l[:n]); err != nil {
-					s.fault("stream %d, line %d: %v", id, i, err)
-					written <- i
-					return
-				}
-				l = l[n:]
-			}
-			if kind == Pieces {
-				time.Sleep(time.Millisecond)
-			}
+		if s.kind == Pieces {
+			time.Sleep(pieceLineDelay)
 		}
-		io.WriteString(c, "last\r\n")
-		written <- i
-	}()
-	rng := rand.New(rand.NewPCG(uint64(id), 3))
-	i := 0
-	for ; ; i++ {
-		if kind == Bulk && rng.IntN(200) == 0 {
-			time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
+	}
+	_ = send(s.connection, lastLine) // where it fails, so does the read of it
+	return number
+}
+
+// sendLine sends a line as a whole, or byte by byte.
+func (s *stream) sendLine(line []byte) error {
+	if s.kind != Pieces {
+		_, err := s.connection.Write(line)
+		return err
+	}
+	for i := range line {
+		if _, err := s.connection.Write(line[i : i+1]); err != nil {
+			return err
 		}
-		c.SetReadDeadline(time.Now().Add(patience))
-		got, err := in.ReadBytes('\n')
-		if err == nil && string(got) == "last\r\n" {
-			break
+	}
+	return nil
+}
+
+// checkLines reads and checks all lines up to the last one. It returns how many came before that.
+func (s *stream) checkLines() int {
+	rng := rand.New(rand.NewPCG(uint64(s.id), 3))
+	for number := 0; ; number++ {
+		if s.kind == Bulk && rng.IntN(bulkPauseEach) == 0 {
+			time.Sleep(time.Duration(rng.IntN(maxBulkPause)) * time.Millisecond)
 		}
-		if want := line(i); err != nil || !bytes.Equal(got, want) {
-			s.fault("stream %d, line %d: %.40q for %.40q, %v", id, i, got, want, err)
-			c.Close()
-			break
+		_ = s.connection.SetReadDeadline(time.Now().Add(waitTimeout)) // it fails of a closed connection only
+		got, err := s.reader.ReadBytes('\n')
+		if err == nil && string(got) == lastLine {
+			return number
+		}
+		wanted := s.line(number)
+		if err != nil || !bytes.Equal(got, wanted) {
+			s.set.addFault("stream %d, line %d: %.40q for %.40q, %v", s.id, number, got, wanted, err)
+			_ = s.connection.Close() // it ends the writer
+			return number
 		}
-	}
-	if n := <-written; n != i {
-		s.fault("stream %d: %d lines came back of %d", id, i, n)
 	}
 }
 
-// Stop ends the streams, fails a test in which a byte was lost, repeated or out of place or a client told to move, and
-// returns the pauses of the steady ones, least first.
-func (s *Streams) Stop(t testing.TB) []time.Duration {
-	t.Helper()
+// Stop ends the streams. It fails the test where a byte was lost, repeated or out of place, or a client was asked to
+// migrate, and returns the round trips of the steady streams in ascending order.
+func (s *Streams) Stop(tb testing.TB) []time.Duration {
+	tb.Helper()
 	close(s.stop)
-	s.wait.Wait()
-	for _, c := range s.conns {
-		c.Close()
+	s.running.Wait()
+	for _, connection := range s.connections {
+		_ = connection.Close() // a stream with a fault has closed it
 	}
-	for i, w := range s.wrong {
-		if i == 5 {
-			t.Errorf("and %d more", len(s.wrong)-5)
+	for i, fault := range s.faults {
+		if i == maxStreamFaults {
+			tb.Errorf("and %d more", len(s.faults)-maxStreamFaults)
 			break
 		}
-		t.Error(w)
+		tb.Error(fault)
 	}
-	slices.Sort(s.pauses)
-	return s.pauses
+	slices.Sort(s.roundTrips)
+	return s.roundTrips
 }
