--- a/internal/lab/transcript/stream_test.go
+++ b/internal/lab/transcript/stream_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestCrowdCounts checks what clients count of nodes that accept, reject, migrate and lose them.
-func TestCrowdCounts(t *testing.T) {
+// TestClientCounts checks what clients count of nodes that accept, reject, migrate and lose them.
+func TestClientCounts(t *testing.T) {
 	echo := func(line []byte) []byte { return line }
 	migrate := func([]byte) []byte { return []byte("MOVE\r\n") }
 	end := func([]byte) []byte { return nil }
@@ -98,19 +98,19 @@
 		"not answered": {"", end, counts{notAccepted: true}},
 		"lost":         {"UP 1\r\n", end, counts{established: true, lost: true}},
 	} {
-		crowd := &Crowd{Addr: startServer(t, test.first, test.answer)}
+		clients := &Crowd{Addr: startServer(t, test.first, test.answer)}
 		if test.first == "" {
-			crowd.Addr = FreeAddr(t)
+			clients.Addr = FreeAddr(t)
 		}
 		for range 3 {
-			crowd.One()
+			clients.One()
 		}
 		got := counts{
-			established: crowd.Up.Load() > 0,
-			rejected:    crowd.Rejected.Load() > 0,
-			migrated:    crowd.Moved.Load() > 0,
-			notAccepted: crowd.AtDoor.Load() > 0,
-			lost:        crowd.Cut.Load() > 0,
+			established: clients.Up.Load() > 0,
+			rejected:    clients.Rejected.Load() > 0,
+			migrated:    clients.Moved.Load() > 0,
+			notAccepted: clients.AtDoor.Load() > 0,
+			lost:        clients.Cut.Load() > 0,
 		}
 		if got != test.wanted {
 			t.Errorf("%s: %+v", name, got)
