--- a/internal/plan/planner/planner_test.go
+++ b/internal/plan/planner/planner_test.go
@@ -82,7 +82,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64Range(0, 1<<20).Draw(t, "seed")
 		trial := DrawTrial(TrialBase(), seed, rapid.IntRange(0, 4).Draw(t, "kind"), 10*time.Second)
-		options := Options{Seed: 1, Lose: trial.Lose, LoseAt: trial.LoseAt, AllCold: rapid.Bool().Draw(t, "cold")}
+		cold := rapid.Bool().Draw(t, "cold")
+		options := Options{Seed: 1, Lose: trial.Lose, LoseAt: trial.LoseAt, AllCold: cold}
 		sim, err := newSimulation(trial.Fleet, trial.Load, options)
 		if err != nil {
 			t.Fatal(err)
@@ -239,7 +240,8 @@
 	if run := play(t, description.Resize(0), load, Options{Seed: 1}); run.Service != 0 {
 		t.Errorf("no server serves %.2f", run.Service)
 	}
-	if cannot := fmt.Sprint(UpperBound(description.Resize(0), load).Cannot); !strings.Contains(cannot, "no server") {
+	cannot := fmt.Sprint(UpperBound(description.Resize(0), load).Cannot)
+	if !strings.Contains(cannot, "no server") {
 		t.Error(cannot)
 	}
 	description.Store.Rate = 0.01 // a set-up in a hundred seconds
