--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -28,7 +28,7 @@
 }
 
 func (s Streams) limits() peerlimit.Limits {
-	return peerlimit.Limits{Streams: s.Streams, Waiting: s.Unauthenticated, Rate: s.Rate, Burst: s.Burst}
+	return peerlimit.Limits{Streams: s.Streams, Unauthenticated: s.Unauthenticated, Rate: s.Rate, Burst: s.Burst}
 }
 
 func (s Streams) check(file *tomlfile.File, path string) {
@@ -45,7 +45,12 @@
 	for _, domain := range o.Domains {
 		domains[domain.Name] = domain.limits()
 	}
-	rules := peerlimit.Rules{Bits4: o.Peers.Bits4, Bits6: o.Peers.Bits6, Peer: o.Peers.limits(), Most: o.Peers.Most}
+	rules := peerlimit.Rules{
+		PrefixBits4: o.Peers.Bits4,
+		PrefixBits6: o.Peers.Bits6,
+		Peer:        o.Peers.limits(),
+		MaxPeers:    o.Peers.Most,
+	}
 	return rules, o.Networks, domains
 }
 
@@ -82,7 +87,7 @@
 	}
 	raw, err := os.ReadFile(path)
 	if err == nil {
-		err = o.Networks.Read(path, raw, free)
+		err = o.Networks.AddList(path, raw, free)
 	}
 	if err != nil {
 		file.Fault(key, "%v", err)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	servers, err := got.Known.Hosts()
+	servers, err := got.Known.ServerEntries()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -159,7 +159,7 @@
 	if n.Known == nil {
 		return nil
 	}
-	if _, err := n.Known.Hosts(); err != nil {
+	if _, err := n.Known.ServerEntries(); err != nil {
 		return &KeyError{Key: "known", Problem: "known: " + err.Error(), Err: err}
 	}
 	return nil
--- a/internal/node/batch.go
+++ b/internal/node/batch.go
@@ -96,7 +96,7 @@
 	if !ok {
 		return item, false
 	}
-	if _, isXMPP := state.(xmpp.Standing); isXMPP {
+	if _, isXMPP := state.(xmpp.ConnectionState); isXMPP {
 		sent.Front = frontXMPP
 	}
 	body, err := sent.encode(state)
--- a/internal/node/exchange_test.go
+++ b/internal/node/exchange_test.go
@@ -180,7 +180,7 @@
 		fault := ""
 		runOn(node.loop, func() {
 			answers := node.fronts.xmpp.Answers
-			if answers.Sessions != answers.Established+answers.Errors+answers.Left {
+			if answers.Sessions != answers.Established+answers.Errors+answers.Abandoned {
 				fault = fmt.Sprintf("%+v", answers)
 			}
 		})
--- a/internal/node/golden_hotrestart_test.go
+++ b/internal/node/golden_hotrestart_test.go
@@ -121,13 +121,13 @@
 
 func goldenSession() resumable.Session {
 	return resumable.Session{
-		Key: resumable.Key{Domain: "farm.example", ID: "sm-1"}, User: "ana", Host: "h-1", Started: 5 * time.Second,
-		Max: time.Minute, Until: time.Unix(1796234567, 0), Left: 40 * time.Second,
+		Key: resumable.Key{Domain: "farm.example", ID: "sm-1"}, User: "ana", Server: "h-1", ServerStarted: 5 * time.Second,
+		ResumeTime: time.Minute, Expires: time.Unix(1796234567, 0), TimeLeft: 40 * time.Second,
 	}
 }
 
-func goldenStream(part string) xmpp.Stream {
-	return xmpp.Stream{
+func goldenStream(part string) xmpp.ScannerState {
+	return xmpp.ScannerState{
 		Part: []byte(part), Stack: []string{"stream:stream", "message"}, Prefix: "stream", Size: 77, Started: true,
 		Ended: true, Restart: true,
 	}
@@ -138,16 +138,16 @@
 	toClient := loop.ConnectionState{Out: []byte("to the client"), Paused: true}
 	toHost := loop.ConnectionState{Out: []byte("to the host"), Paused: true}
 	checkGolden(t, "platform-front", downstream.ConnectionState{
-		Conn: toClient, Behind: 11,
+		Conn: toClient, PartialServerLineBytes: 11,
 		Server: &upstream.ConnectionState{
-			Conn: toHost, Line: []byte("of the host"), Behind: 12, Last: 1, Sent: 1796234567000000001, Waits: 13,
+			Conn: toHost, PartialServerLine: []byte("of the host"), PartialClientLineBytes: 12, ClosingLine: 1, AwaitingReplySince: 1796234567000000001, AwaitingReplyFor: 13,
 		},
-		Line: []byte("of the client"), Pinged: true, Until: 1796234567000000002, Left: 14,
+		FirstLine: []byte("of the client"), Pinged: true, FirstLineDeadline: 1796234567000000002, FirstLineTimeLeft: 14,
 	}, hotrestart.Decode)
 	session := goldenSession()
-	checkGolden(t, "xmpp-front", xmpp.Standing{
+	checkGolden(t, "xmpp-front", xmpp.ConnectionState{
 		Conn: toClient, In: goldenStream("<client"), To: "farm.example",
-		Host:  &xmpp.Host{Conn: toHost, In: goldenStream("<host"), Inside: true},
+		Host:  &xmpp.ServerState{Conn: toHost, In: goldenStream("<host"), Inside: true},
 		Until: 1796234567000000003, Left: 15, Opened: true, Resumes: &session,
 	}, hotrestart.Decode)
 }
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -105,7 +105,7 @@
 func parseList(tb testing.TB, version int, entries ...string) *cluster.List {
 	tb.Helper()
 	text := fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
-	list, err := cluster.Parse([]byte(text))
+	list, err := cluster.ParseList([]byte(text))
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -135,8 +135,8 @@
 	}
 	if platform := h.program.platform; platform != nil {
 		var version int64
-		grant.Discovery, version = platform.listWatch.At()
-		grant.List = cluster.ListOf(version, platform.core.Servers())
+		grant.Discovery, version = platform.listWatch.Position()
+		grant.List = cluster.NewList(version, platform.core.Servers())
 		if socket := platform.peers.socket; socket != nil {
 			grant.Datagrams = socket.FD()
 		}
--- a/internal/node/learnedstate.go
+++ b/internal/node/learnedstate.go
@@ -24,7 +24,7 @@
 		state.Modules[cluster] = core.LearnedState()
 	}
 	if h.program.xmpp != nil {
-		state.Sessions = h.program.xmpp.Broken(maxSessions)
+		state.Sessions = h.program.xmpp.DisconnectedSessions(maxSessions)
 	}
 	encoded, err := cbor.Marshal(state)
 	if err != nil {
@@ -46,6 +46,6 @@
 		}
 	}
 	if h.program.xmpp != nil {
-		h.program.xmpp.Inherit(state.Sessions)
+		h.program.xmpp.AddDisconnectedSessions(state.Sessions)
 	}
 }
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -68,7 +68,7 @@
 	}
 	if file.Keys != nil {
 		fronts.keys.Use(file.Keys)
-		fronts.xmpp.Use(&fronts.keys)
+		fronts.xmpp.UseKeys(&fronts.keys)
 		fronts.checkExpiryDaily()
 	}
 	if err := fronts.listen(file.Listeners); err != nil {
@@ -109,27 +109,27 @@
 	for _, domain := range file.Domains {
 		number, class := file.Class(domain.Class)
 		domains[domain.Name] = xmpp.Domain{
-			Core: o.program.coreByCluster[domain.Cluster], Class: number, Patience: time.Duration(class.Deadline),
+			Core: o.program.coreByCluster[domain.Cluster], Class: number, SetupTimeout: time.Duration(class.Deadline),
 		}
 	}
 	limits := file.Limits
 	o.program.loop.Limit(limits.Connections-limits.Connections/idleReserveDivisor, limits.Connections, 0)
 	o.xmpp = xmpp.New(o.program.loop, domains, xmpp.Limits{
-		Stanza: limits.StanzaBytes, Early: limits.EarlyBytes, HeaderTime: time.Duration(limits.HeaderTime),
-		ShakeTime: time.Duration(limits.HandshakeTimeout), MostOpen: limits.Connections, Resumable: limits.Resumable,
+		MaxStanzaBytes: limits.StanzaBytes, MaxReplayBytes: limits.EarlyBytes, HeaderTimeout: time.Duration(limits.HeaderTime),
+		HandshakeTimeout: time.Duration(limits.HandshakeTimeout), MaxConnections: limits.Connections, MaxResumable: limits.Resumable,
 	}, o.seed)
 	o.program.xmpp = o.xmpp
 	o.xmpp.Trace = &o.program.telemetry.trace
-	o.xmpp.Guard(file.AdmissionRules())
+	o.xmpp.SetAdmissionRules(file.AdmissionRules())
 }
 
 // listen opens the listeners of the file.
 func (o *operatorFronts) listen(listeners []config.Listener) error {
-	security := map[string]xmpp.Security{"starttls": xmpp.StartTLS, "direct": xmpp.Direct}
+	security := map[string]xmpp.Security{"starttls": xmpp.StartTLS, "direct": xmpp.DirectTLS}
 	for _, entry := range listeners {
-		accept := o.xmpp.AcceptBy(security[entry.TLS])
+		accept := o.xmpp.AcceptWith(security[entry.TLS])
 		if entry.Protocol == "xmpp-websocket" {
-			accept = o.xmpp.AcceptWeb(security[entry.TLS])
+			accept = o.xmpp.AcceptWebSocket(security[entry.TLS])
 		}
 		listener, err := o.program.restart.listen(entry.Addr, accept)
 		if err != nil {
@@ -179,7 +179,7 @@
 
 // apply applies the limits by peer, the certificates, the static servers and the discovery addresses of a file.
 func (o *operatorFronts) apply(file config.Operator) {
-	o.xmpp.Guard(file.AdmissionRules())
+	o.xmpp.SetAdmissionRules(file.AdmissionRules())
 	if file.Keys != nil {
 		o.keys.Use(file.Keys)
 		o.logExpiring()
@@ -195,7 +195,7 @@
 		case watch != nil:
 			zap.L().Info("discovery_address_changed", zap.String("cluster", entry.Name),
 				zap.String("address", entry.Discovery))
-			watch.Move(entry.Discovery)
+			watch.SetAddress(entry.Discovery)
 		default:
 			o.applyStaticServers(core, entry)
 		}
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -41,10 +41,10 @@
 	p.peers.setPeers(next)
 	zap.L().Info("configuration_reloaded", zap.String("discovery", next.Discovery),
 		zap.Int("classes", len(next.Settings.ClassByName)), zap.Int("attempts", next.Settings.Limits.MaxAttempts))
-	if addr, _ := p.listWatch.At(); addr != next.Discovery {
+	if addr, _ := p.listWatch.Position(); addr != next.Discovery {
 		p.core.ListSourceChanged()
 	}
-	p.listWatch.Move(next.Discovery)
+	p.listWatch.SetAddress(next.Discovery)
 }
 
 // applySettings applies the configuration to all parts, in a node of so many processes.
@@ -58,13 +58,13 @@
 	hasPeers := p.peers.socket != nil && len(p.config.Peers) > 0
 	p.core.UpdateSettings(platformSettings(settings.Settings, hasPeers, processes))
 	p.front.Adapt(settings.ClassByName, settings.TenantByName, settings.Classes)
-	p.upstream.Adapt(settings.ReportFields)
-	p.listWatch.Adapt(watchMode(settings.Settings))
+	p.upstream.SetReportFields(settings.ReportFields)
+	p.listWatch.SetMode(watchMode(settings.Settings))
 }
 
 // watchMode is how the server list is obtained.
-func watchMode(settings choice.Settings) cluster.Way {
-	return cluster.Way{Pushed: !settings.Subscribe, Grace: settings.Rules.DrainGrace}
+func watchMode(settings choice.Settings) cluster.Mode {
+	return cluster.Mode{Pushed: !settings.Subscribe, DrainGrace: settings.Rules.DrainGrace}
 }
 
 // platformSettings adapts the settings to real sockets; hasPeers: the other nodes can be reached.
@@ -84,11 +84,11 @@
 		return nil, netip.AddrPort{}, err
 	}
 	platform.front = downstream.New(downstream.Options{
-		Loop:     p.loop,
-		Core:     platform.core,
-		Upstream: platform.upstream,
-		MostOpen: defaultDescriptors - reservedDescriptors,
-		OnReady:  func() { p.loop.At(p.loop.Now(), p.onReady) },
+		Loop:           p.loop,
+		Core:           platform.core,
+		Upstream:       platform.upstream,
+		MaxConnections: defaultDescriptors - reservedDescriptors,
+		OnReady:        func() { p.loop.At(p.loop.Now(), p.onReady) },
 	})
 	platform.front.Adapt(node.Settings.ClassByName, node.Settings.TenantByName, node.Settings.Classes)
 	known := p.restart.initialList(node.Known, node.Discovery)
@@ -101,7 +101,7 @@
 	logListening("platform", listener.Addr)
 	var servers []edge.ServerEntry
 	if known != nil {
-		servers, _ = known.Hosts() // the list was checked once, with the configuration or the grant
+		servers, _ = known.ServerEntries() // the list was checked once, with the configuration or the grant
 	}
 	p.startCore(platformCluster, platform.core, servers)
 	p.platform = platform
@@ -141,11 +141,11 @@
 	return func(kind choice.ListKind, servers []edge.ServerEntry) {
 		platform.core.UpdateServers(kind, servers)
 		if kind == choice.ListFull {
-			platform.upstream.ForgetOthers(servers)
+			platform.upstream.RetainServers(servers)
 		}
 		for _, server := range servers {
 			if server.State == choice.Gone {
-				platform.upstream.Forget(server.ID)
+				platform.upstream.RemoveServer(server.ID)
 			}
 		}
 		if kind != choice.ListUnavailable {
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -133,8 +133,8 @@
 // limitPlatform bounds the descriptors of clients, servers, health checks and idle connections.
 func (h *hotRestart) limitPlatform(platform *platform) {
 	quota := max(h.ownQuota()-reservedDescriptors, 0)
-	platform.front.Share(quota)
-	platform.upstream.KeepHealthChecks(max(quota/healthCheckDivisor, 1))
+	platform.front.SetMaxConnections(quota)
+	platform.upstream.SetMaxHealthCheckConnections(max(quota/healthCheckDivisor, 1))
 	if h.listenersClosed { // no client connects here any more, and idle ones are transferred to the successor
 		h.program.loop.SetIdleLimit(0)
 	} else {
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -28,7 +28,7 @@
 // announceReady has the platform's front announce that it accepts clients, once all that it waits for is known.
 func (p *Program) announceReady() {
 	if p.readiness.serversKnown && !p.readiness.awaitsPolicy && p.platform != nil {
-		p.platform.front.Ready()
+		p.platform.front.SetReady()
 	}
 }
 
@@ -53,5 +53,5 @@
 	if p.fleet != nil && !p.readiness.hasPredecessor && !p.fleet.servesPolicy() {
 		return false
 	}
-	return p.platform == nil || p.platform.front.Taking()
+	return p.platform == nil || p.platform.front.AcceptsNew()
 }
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -107,12 +107,12 @@
 		}
 	}
 	if program.platform != nil {
-		for _, idle := range program.platform.front.Idle() {
+		for _, idle := range program.platform.front.IdleConnections() {
 			all = append(all, transferable{detachable: idle})
 		}
 	}
 	if program.xmpp != nil {
-		for _, idle := range program.xmpp.Idle() {
+		for _, idle := range program.xmpp.IdleConnections() {
 			all = append(all, transferable{detachable: idle})
 		}
 	}
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -216,14 +216,14 @@
 func TestSessionsTransferred(t *testing.T) {
 	node := newRestartedNode(t, transcript.Host(t), 200)
 	session := resumable.Session{
-		Key: resumable.Key{Domain: "farm.example", ID: "1"}, User: "ana", Host: "h", Started: 5, Max: time.Minute,
-		Until: time.Now().Add(time.Minute),
+		Key: resumable.Key{Domain: "farm.example", ID: "1"}, User: "ana", Server: "h", ServerStarted: 5, ResumeTime: time.Minute,
+		Expires: time.Now().Add(time.Minute),
 	}
-	node.current.on(func() { node.current.xmpp.Inherit([]resumable.Session{session}) })
+	node.current.on(func() { node.current.xmpp.AddDisconnectedSessions([]resumable.Session{session}) })
 	node.restart()
 	var all []resumable.Session
-	node.current.on(func() { all = node.current.xmpp.Broken(9) })
-	if len(all) != 1 || all[0].Host != "h" || all[0].Started != 5 || time.Until(all[0].Until) < 50*time.Second {
+	node.current.on(func() { all = node.current.xmpp.DisconnectedSessions(9) })
+	if len(all) != 1 || all[0].Server != "h" || all[0].ServerStarted != 5 || time.Until(all[0].Expires) < 50*time.Second {
 		t.Errorf("the new process knows of %+v", all)
 	}
 }
--- a/internal/operations/hotrestart/coordinator_test.go
+++ b/internal/operations/hotrestart/coordinator_test.go
@@ -48,7 +48,7 @@
 // TestParentAndSuccessor follows two processes of a node from the hello to the end of each.
 func TestParentAndSuccessor(t *testing.T) {
 	path := socketPath(t)
-	list, err := cluster.Parse([]byte(endpointList))
+	list, err := cluster.ParseList([]byte(endpointList))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operations/hotrestart/golden_test.go
+++ b/internal/operations/hotrestart/golden_test.go
@@ -48,7 +48,7 @@
 
 // goldenList is a list with each field set.
 func goldenList() cluster.List {
-	return cluster.ListOf(71, []edge.ServerEntry{
+	return cluster.NewList(71, []edge.ServerEntry{
 		{Addr: "10.1.0.18:3000", Server: choice.Server{
 			ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Cell: 3, State: choice.Draining, Size: 1.5,
 			Started: 1800 * time.Millisecond,
--- a/internal/operations/hotrestart/grant.go
+++ b/internal/operations/hotrestart/grant.go
@@ -90,7 +90,7 @@
 	if m.List == nil {
 		return nil
 	}
-	if _, err := m.List.Hosts(); err != nil {
+	if _, err := m.List.ServerEntries(); err != nil {
 		return fmt.Errorf("endpoint list: %w", err)
 	}
 	return nil
--- a/internal/operations/hotrestart/handshake_test.go
+++ b/internal/operations/hotrestart/handshake_test.go
@@ -20,7 +20,7 @@
 	for i := range servers {
 		encoded := fmt.Appendf(nil, `{"servers":[{"id":"%064d","addr":"127.0.0.1:20000","zone":"zone-1","kind":"m2",`+
 			`"cell":3,"state":"SERVING","weight":1.5}]}`, i)
-		one, err := cluster.Parse(encoded)
+		one, err := cluster.ParseList(encoded)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/platform/cluster/discovery_test.go
+++ b/internal/platform/cluster/discovery_test.go
@@ -143,7 +143,7 @@
 
 // startWatch runs a watch until the test ends. events are the kinds of the lists that it notifies of.
 func startWatch(
-	t *testing.T, addr string, known *List, mode Way, times timing,
+	t *testing.T, addr string, known *List, mode Mode, times timing,
 ) (watch *Watch, events chan choice.ListKind) {
 	t.Helper()
 	eventLoop, err := loop.New()
--- a/internal/platform/cluster/list.go
+++ b/internal/platform/cluster/list.go
@@ -44,15 +44,15 @@
 	return fmt.Sprintf("entry %q has state %q", e.ID, e.State)
 }
 
-// Parse decodes a list. It does not check the entries: Hosts does.
-func Parse(raw []byte) (*List, error) {
+// ParseList decodes a list. It does not check the entries: Hosts does.
+func ParseList(raw []byte) (*List, error) {
 	list := &List{}
 	err := json.Unmarshal(raw, list)
 	return list, err
 }
 
-// Hosts returns the list's servers, or an *InvalidEntryError.
-func (l List) Hosts() ([]edge.ServerEntry, error) {
+// ServerEntries returns the list's servers, or an *InvalidEntryError.
+func (l List) ServerEntries() ([]edge.ServerEntry, error) {
 	var servers []edge.ServerEntry
 	for _, listed := range l.Servers {
 		server, err := listed.server()
@@ -85,8 +85,8 @@
 	}}, nil
 }
 
-// ListOf returns a full list of servers in discovery's form. A version below 0 is none of discovery's.
-func ListOf(version int64, servers []edge.ServerEntry) List {
+// NewList returns a full list of servers in discovery's form. A version below 0 is none of discovery's.
+func NewList(version int64, servers []edge.ServerEntry) List {
 	list := List{Version: version, Full: true, Servers: []entry{}}
 	for _, server := range servers {
 		list.Servers = append(list.Servers, entry{
--- a/internal/platform/cluster/outage_test.go
+++ b/internal/platform/cluster/outage_test.go
@@ -213,7 +213,7 @@
 			o.restore()
 		}
 	}
-	watch = New(eventLoop, o.addr, known, Way{Grace: grace}, 1, notify)
+	watch = New(eventLoop, o.addr, known, Mode{DrainGrace: grace}, 1, notify)
 	if o.kind.hangs() {
 		go func() {
 			for range hanging {
--- a/internal/platform/cluster/outcome.go
+++ b/internal/platform/cluster/outcome.go
@@ -63,10 +63,10 @@
 		w.callFailed(fmt.Errorf("%w %d", errStatus, w.call.response.status))
 		return
 	}
-	list, err := Parse(w.call.response.body)
+	list, err := ParseList(w.call.response.body)
 	var servers []edge.ServerEntry
 	if err == nil {
-		servers, err = list.Hosts()
+		servers, err = list.ServerEntries()
 	}
 	if err != nil {
 		w.responseUnreadable(fmt.Errorf("list: %w", err))
--- a/internal/platform/cluster/recovery_test.go
+++ b/internal/platform/cluster/recovery_test.go
@@ -63,7 +63,7 @@
 	times := shortTiming()
 	times.recoveryWait = times.pollWait
 	times.recoveryAnswerTimeout = times.answerTimeout
-	startWatch(t, discovery.addr, &List{Version: 7}, Way{}, times)
+	startWatch(t, discovery.addr, &List{Version: 7}, Mode{}, times)
 	receive(t, discovery.calls)
 	receive(t, discovery.calls)
 	second := time.Now()
@@ -78,7 +78,7 @@
 func TestBackoffWithinDeliveryDelay(t *testing.T) {
 	const lastCall = time.Second // for the call that brings the change
 	for seed := range uint64(50) {
-		watch := New(nil, "", nil, Way{Grace: 3 * time.Second}, seed, nil)
+		watch := New(nil, "", nil, Mode{DrainGrace: 3 * time.Second}, seed, nil)
 		watch.recovering = true
 		for watch.failures = 1; watch.failures < 100; watch.failures++ {
 			backoff := watch.backoff()
--- a/internal/platform/cluster/timing.go
+++ b/internal/platform/cluster/timing.go
@@ -62,12 +62,12 @@
 	}
 	// Guards against a poll that fell silent: a change that it misses counts as delivered 2 s after its wait.
 	jitter := time.Duration(w.rng.Int64N(int64(w.timing.pollWaitJitter)))
-	return w.timing.pollWait - jitter, min(w.timing.answerTimeout, w.mode.Grace+w.timing.graceMargin)
+	return w.timing.pollWait - jitter, min(w.timing.answerTimeout, w.mode.DrainGrace+w.timing.graceMargin)
 }
 
 // listTimeout is for the response to a call that doesn't wait.
 func (w *Watch) listTimeout() time.Duration {
-	timeout := min(maxListTimeout, w.mode.Grace+listGraceMargin)
+	timeout := min(maxListTimeout, w.mode.DrainGrace+listGraceMargin)
 	if w.recovering {
 		timeout = min(timeout, w.timing.recoveryAnswerTimeout)
 	}
--- a/internal/platform/cluster/watch.go
+++ b/internal/platform/cluster/watch.go
@@ -24,7 +24,7 @@
 	addr   string
 	notify func(choice.ListKind, []edge.ServerEntry)
 	rng    *rand.Rand
-	mode   Way
+	mode   Mode
 	timing timing
 
 	version      int64 // of the list, where versionKnown
@@ -50,16 +50,16 @@
 	deadline   time.Time // the call is abandoned then
 }
 
-// Way is how endpoint lists come to a node.
-type Way struct {
-	Pushed bool          // to an agent beside the node, which responds at once; else to a service for all nodes
-	Grace  time.Duration // for which a server that drains may still get requests
+// Mode is how endpoint lists come to a node.
+type Mode struct {
+	Pushed     bool          // to an agent beside the node, which responds at once; else to a service for all nodes
+	DrainGrace time.Duration // for which a server that drains may still get requests
 }
 
 // New makes a Watch that starts from a known list, which may be nil, and calls notify on the loop with each list that
 // comes. The seed spreads the polls of nodes.
 func New(
-	eventLoop *loop.Loop, addr string, known *List, mode Way, seed uint64,
+	eventLoop *loop.Loop, addr string, known *List, mode Mode, seed uint64,
 	notify func(choice.ListKind, []edge.ServerEntry),
 ) *Watch {
 	watch := &Watch{
@@ -78,8 +78,8 @@
 	return watch
 }
 
-// At returns discovery's address and the version of its last list; below 0: there was none yet.
-func (w *Watch) At() (addr string, version int64) {
+// Position returns discovery's address and the version of its last list; below 0: there was none yet.
+func (w *Watch) Position() (addr string, version int64) {
 	if !w.versionKnown {
 		return w.addr, -1
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// Adapt sets how lists come, from the next call on.
-func (w *Watch) Adapt(mode Way) {
+// SetMode sets how lists come, from the next call on.
+func (w *Watch) SetMode(mode Mode) {
 	w.mode = mode
 	if mode.Pushed && !w.polling {
 		w.cancelTimer()
@@ -102,9 +102,9 @@
 	}
 }
 
-// Move sets discovery's address. The list stays as it is; the service there may count its versions anew, so the full
-// list is asked for. A response from the old address is no longer read.
-func (w *Watch) Move(addr string) {
+// SetAddress sets discovery's address. The list stays as it is; the service there may count its versions anew, so the
+// full list is asked for. A response from the old address is no longer read.
+func (w *Watch) SetAddress(addr string) {
 	if addr == w.addr {
 		return
 	}
--- a/internal/platform/cluster/watch_test.go
+++ b/internal/platform/cluster/watch_test.go
@@ -17,7 +17,7 @@
 func TestSilentWatch(t *testing.T) {
 	discovery := startDiscovery(t, 0)
 	discovery.silent.Store(true)
-	_, events := startWatch(t, discovery.addr, &List{Version: 7}, Way{}, shortTiming())
+	_, events := startWatch(t, discovery.addr, &List{Version: 7}, Mode{}, shortTiming())
 	// On a busy machine a connection may come up too late for a call, and calls come in any order.
 	seen := map[int]bool{}
 	for range 3 {
@@ -41,7 +41,7 @@
 func TestFailedCall(t *testing.T) {
 	discovery := startDiscovery(t, 0)
 	discovery.resets.Store(true)
-	_, events := startWatch(t, discovery.addr, &List{Version: 7}, Way{}, defaultTiming)
+	_, events := startWatch(t, discovery.addr, &List{Version: 7}, Mode{}, defaultTiming)
 	if kind := receive(t, events); kind != choice.ListUnavailable {
 		t.Error("event of a failed call:", kind)
 	}
@@ -54,7 +54,7 @@
 func TestAgentPolling(t *testing.T) {
 	discovery := startDiscovery(t, 0)
 	discovery.silent.Store(true)
-	_, events := startWatch(t, discovery.addr, &List{Version: 7}, Way{Pushed: true}, defaultTiming)
+	_, events := startWatch(t, discovery.addr, &List{Version: 7}, Mode{Pushed: true}, defaultTiming)
 	first := receive(t, discovery.calls)
 	second := receive(t, discovery.calls)
 	if !strings.HasSuffix(first, "wait_ms=1000") || !strings.HasSuffix(second, "wait_ms=100") {
@@ -86,7 +86,7 @@
 	for _, grace := range []time.Duration{0, 200 * time.Millisecond, 500 * time.Millisecond, 3 * time.Second} {
 		waits := map[time.Duration]bool{}
 		for seed := range uint64(50) {
-			watch := New(nil, "", nil, Way{Grace: grace}, seed, nil)
+			watch := New(nil, "", nil, Mode{DrainGrace: grace}, seed, nil)
 			wait, timeout := watch.pollTimes()
 			waits[wait] = true
 			// After SIGHUP, with a first call that hangs and the longest of the balancer's first backoffs.
@@ -115,8 +115,8 @@
 		t.Fatal(err)
 	}
 	discovery := startDiscovery(t, 9)
-	watch, events := startWatch(t, closed.Addr().String(), nil, Way{Pushed: true}, defaultTiming)
-	watch.loop.Post(func() { watch.Move(discovery.addr) })
+	watch, events := startWatch(t, closed.Addr().String(), nil, Mode{Pushed: true}, defaultTiming)
+	watch.loop.Post(func() { watch.SetAddress(discovery.addr) })
 	if call := receive(t, discovery.calls); call != "1 /v1/servers" {
 		t.Error("the first call to the new address is", call)
 	}
@@ -143,7 +143,7 @@
 			for range times {
 				discovery.raw <- response
 			}
-			_, events := startWatch(t, discovery.addr, &List{Version: 7}, Way{}, defaultTiming)
+			_, events := startWatch(t, discovery.addr, &List{Version: 7}, Mode{}, defaultTiming)
 			if kind := receive(t, events); kind != want || len(discovery.calls) < 2 {
 				t.Errorf("%s, %d times: event %v after %d calls, want %v",
 					name, times, kind, len(discovery.calls), want)
@@ -156,7 +156,7 @@
 // don't tell what else it has forgotten.
 func TestVersionDecreases(t *testing.T) {
 	discovery := startDiscovery(t, 3)
-	_, events := startWatch(t, discovery.addr, &List{Version: 7}, Way{}, defaultTiming)
+	_, events := startWatch(t, discovery.addr, &List{Version: 7}, Mode{}, defaultTiming)
 	receive(t, events)
 	first := receive(t, discovery.calls)
 	second := receive(t, discovery.calls)
@@ -182,7 +182,7 @@
 		send(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")
 		drip(conn)
 	})
-	startWatch(t, listener.Addr().String(), &List{Version: 7}, Way{}, shortTiming())
+	startWatch(t, listener.Addr().String(), &List{Version: 7}, Mode{}, shortTiming())
 	seen := map[int]bool{}
 	for range 3 {
 		seen[receive(t, dripping)] = true
--- a/internal/platform/downstream/dial_race_test.go
+++ b/internal/platform/downstream/dial_race_test.go
@@ -14,7 +14,7 @@
 func TestFirstLineAtTimeout(t *testing.T) {
 	for _, first := range []string{"", "PING\r\n"} {
 		node := newTestNode(t, 1)
-		node.onLoop(node.front.Ready)
+		node.onLoop(node.front.SetReady)
 		conn, client := node.dialClient()
 		if first != "" {
 			send(conn, first)
--- a/internal/platform/downstream/front.go
+++ b/internal/platform/downstream/front.go
@@ -37,11 +37,11 @@
 
 // Options are what a Front works with.
 type Options struct {
-	Loop     *loop.Loop
-	Core     *edge.Core
-	Upstream *upstream.Cluster
-	MostOpen int    // connections on both sides together, from which on clients are rejected
-	OnReady  func() // called once, when the node can serve
+	Loop           *loop.Loop
+	Core           *edge.Core
+	Upstream       *upstream.Cluster
+	MaxConnections int    // connections on both sides together, from which on clients are rejected
+	OnReady        func() // called once, when the node can serve
 }
 
 // New makes a Front. It knows no classes before Adapt.
@@ -50,7 +50,7 @@
 		loop:           options.Loop,
 		core:           options.Core,
 		upstream:       options.Upstream,
-		maxConnections: options.MostOpen,
+		maxConnections: options.MaxConnections,
 		onReady:        options.OnReady,
 		removedClasses: map[string]time.Time{},
 	}
@@ -86,11 +86,11 @@
 	return 0, false
 }
 
-// Share sets the number of connections, on both sides together, from which on clients are rejected.
-func (f *Front) Share(maxConnections int) { f.maxConnections = maxConnections }
+// SetMaxConnections sets the number of connections, on both sides together, from which on clients are rejected.
+func (f *Front) SetMaxConnections(maxConnections int) { f.maxConnections = maxConnections }
 
-// Ready says that the node can serve; until then a PING has no reply.
-func (f *Front) Ready() {
+// SetReady says that the node can serve; until then a PING has no reply.
+func (f *Front) SetReady() {
 	if !f.ready && f.onReady != nil {
 		f.onReady()
 	}
@@ -101,8 +101,8 @@
 	f.awaitingReady = nil
 }
 
-// Taking reports whether clients are accepted and placed now.
-func (f *Front) Taking() bool { return f.ready && !f.core.Draining() }
+// AcceptsNew reports whether clients are accepted and placed now.
+func (f *Front) AcceptsNew() bool { return f.ready && !f.core.Draining() }
 
 // Accept takes a new connection. The loop has made room for it, as far as there were connections that had sent no
 // request yet. Beyond the limit some are still accepted, to reply to PING and to reject politely; then none, which
--- a/internal/platform/downstream/testnode_test.go
+++ b/internal/platform/downstream/testnode_test.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	n.front = New(Options{Loop: n.loop, Core: n.core, Upstream: servers, MostOpen: 100})
+	n.front = New(Options{Loop: n.loop, Core: n.core, Upstream: servers, MaxConnections: 100})
 	n.front.Adapt(settings.ClassByName, settings.TenantByName, settings.Classes)
 }
 
--- a/internal/platform/downstream/transfer.go
+++ b/internal/platform/downstream/transfer.go
@@ -21,14 +21,14 @@
 // ConnectionState is what the front knows of a client's connection besides its sockets, as one process of a node
 // transfers it to another. An established connection has a server's side; any other has sent no request yet.
 type ConnectionState struct {
-	Conn   loop.ConnectionState      `cbor:"1,keyasint"`
-	Behind int                       `cbor:"2,keyasint,omitempty"` // bytes of the server's unfinished line
-	Server *upstream.ConnectionState `cbor:"3,keyasint,omitempty"`
-	Line   []byte                    `cbor:"4,keyasint,omitempty"` // the start of the client's first line
-	Pinged bool                      `cbor:"5,keyasint,omitempty"`
-	// Until is the Unix time in nanoseconds by which that line must be there, for releases without Left.
-	Until int64 `cbor:"6,keyasint,omitempty"`
-	Left  int64 `cbor:"7,keyasint,omitempty"` // nanoseconds until then
+	Conn                   loop.ConnectionState      `cbor:"1,keyasint"`
+	PartialServerLineBytes int                       `cbor:"2,keyasint,omitempty"` // of an unfinished line
+	Server                 *upstream.ConnectionState `cbor:"3,keyasint,omitempty"`
+	FirstLine              []byte                    `cbor:"4,keyasint,omitempty"` // its start
+	Pinged                 bool                      `cbor:"5,keyasint,omitempty"`
+	// FirstLineDeadline is the Unix time in nanoseconds by which that line must be there, for releases without Left.
+	FirstLineDeadline int64 `cbor:"6,keyasint,omitempty"`
+	FirstLineTimeLeft int64 `cbor:"7,keyasint,omitempty"` // nanoseconds until then
 }
 
 // check says what is wrong with the state of a connection that came with a number of sockets.
@@ -43,7 +43,7 @@
 	switch {
 	case sockets != expected:
 		return fmt.Errorf("%w: %d, want %d", errSocketCount, sockets, expected)
-	case s.Behind < 0 || s.Behind > line.MaxBytes || len(s.Line) > line.MaxBytes:
+	case s.PartialServerLineBytes < 0 || s.PartialServerLineBytes > line.MaxBytes || len(s.FirstLine) > line.MaxBytes:
 		return errClientState
 	}
 	return nil
@@ -63,7 +63,11 @@
 		c.conn.Reattach()
 		return nil, nil, false
 	}
-	transferred := ConnectionState{Conn: clientState, Behind: c.serverLines.PartialBytes(), Server: &serverState}
+	transferred := ConnectionState{
+		Conn:                   clientState,
+		PartialServerLineBytes: c.serverLines.PartialBytes(),
+		Server:                 &serverState,
+	}
 	return []int{clientFD, serverFD}, transferred, true
 }
 
@@ -109,7 +113,7 @@
 
 // restore resumes an established connection of another process.
 func (f *Front) restore(core *edge.Core, open edge.ConnectionState, state ConnectionState, fds []int) {
-	restored := &client{front: f, established: true, serverLines: line.NewScanner(state.Behind)}
+	restored := &client{front: f, established: true, serverLines: line.NewScanner(state.PartialServerLineBytes)}
 	request, attempt := core.Adopt(open, restored)
 	restored.request = request
 	restored.server = f.upstream.Restore(attempt, fds[1], *state.Server, restored)
@@ -127,8 +131,8 @@
 // IdleConnection is a client's connection that has sent no request yet.
 type IdleConnection struct{ client *client }
 
-// Idle returns the connections that have sent no request yet, the oldest first.
-func (f *Front) Idle() (all []IdleConnection) {
+// IdleConnections returns the connections that have sent no request yet, the oldest first.
+func (f *Front) IdleConnections() (all []IdleConnection) {
 	f.loop.EachIdle(func(handler loop.Handler) {
 		if idle, ok := handler.(*client); ok && idle.front == f && !idle.closed && idle.request == nil {
 			all = append(all, IdleConnection{idle})
@@ -149,11 +153,11 @@
 	}
 	idle.cancelTimer()
 	transferred := ConnectionState{
-		Conn:   conn,
-		Line:   idle.firstLineReader.Partial(),
-		Pinged: idle.pinged,
-		Until:  idle.firstLineDeadline.UnixNano(),
-		Left:   loop.TimeLeft(idle.front.loop.Now(), idle.firstLineDeadline),
+		Conn:              conn,
+		FirstLine:         idle.firstLineReader.Partial(),
+		Pinged:            idle.pinged,
+		FirstLineDeadline: idle.firstLineDeadline.UnixNano(),
+		FirstLineTimeLeft: loop.TimeLeft(idle.front.loop.Now(), idle.firstLineDeadline),
 	}
 	return []int{fd}, transferred, true
 }
@@ -169,8 +173,9 @@
 
 // restoreIdle resumes a connection of another process that has sent no request yet.
 func (f *Front) restoreIdle(state ConnectionState, fd int) {
-	idle := &client{front: f, firstLineReader: line.NewReader(state.Line), pinged: state.Pinged}
+	idle := &client{front: f, firstLineReader: line.NewReader(state.FirstLine), pinged: state.Pinged}
 	idle.conn = f.loop.Restore(fd, state.Conn, idle)
 	idle.conn.EnterIdleQueue()
-	idle.awaitFirstLine(loop.TimeFromLeft(f.loop.Now(), state.Left, state.Until, firstLineTimeout))
+	deadline := loop.TimeFromLeft(f.loop.Now(), state.FirstLineTimeLeft, state.FirstLineDeadline, firstLineTimeout)
+	idle.awaitFirstLine(deadline)
 }
--- a/internal/platform/downstream/transfer_test.go
+++ b/internal/platform/downstream/transfer_test.go
@@ -26,7 +26,7 @@
 				return
 			}
 			IdleConnection{client}.Release()
-			state.Until -= int64(ahead) // as the other process's clock has it
+			state.FirstLineDeadline -= int64(ahead) // as the other process's clock has it
 			node.front.restoreIdle(state, fd)
 		})
 		began := time.Now()
--- a/internal/platform/upstream/cluster.go
+++ b/internal/platform/upstream/cluster.go
@@ -50,8 +50,8 @@
 	return &Cluster{loop: eventLoop, reportFields: reportFields, checkers: map[choice.ServerID]*healthChecker{}}
 }
 
-// Adapt sets the names of a load report's values from now on.
-func (c *Cluster) Adapt(reportFields []string) { c.reportFields = reportFields }
+// SetReportFields sets the names of a load report's values from now on.
+func (c *Cluster) SetReportFields(reportFields []string) { c.reportFields = reportFields }
 
 // Attempt starts an attempt. openLine is the client's OPEN line; only its d is rewritten.
 func (c *Cluster) Attempt(attempt *edge.Attempt, openLine []byte, sink Sink) *Request {
--- a/internal/platform/upstream/healthcheck.go
+++ b/internal/platform/upstream/healthcheck.go
@@ -72,10 +72,10 @@
 	return checker
 }
 
-// KeepHealthChecks limits the connections for health checks; 0: no limit. Beyond it those without a check in flight are
-// closed. Guards against an endpoint list with more servers than the node has descriptors, whose health checks would
-// leave none for clients.
-func (c *Cluster) KeepHealthChecks(maxConnections int) {
+// SetMaxHealthCheckConnections limits the connections for health checks; 0: no limit. Beyond it those without a check
+// in flight are closed. Guards against an endpoint list with more servers than the node has descriptors, whose health
+// checks would leave none for clients.
+func (c *Cluster) SetMaxHealthCheckConnections(maxConnections int) {
 	c.maxCheckConnections = maxConnections
 	c.closeIdleCheckers(0)
 }
@@ -96,24 +96,24 @@
 	}
 }
 
-// Forget closes the health check connection of a server that is gone.
-func (c *Cluster) Forget(id choice.ServerID) {
+// RemoveServer closes the health check connection of a server that is gone.
+func (c *Cluster) RemoveServer(id choice.ServerID) {
 	if checker := c.checkers[id]; checker != nil {
 		checker.drop(choice.ConnectFailed)
 		delete(c.checkers, id)
 	}
 }
 
-// ForgetOthers closes the health check connections of all servers but these: a full endpoint list says what is gone by
+// RetainServers closes the health check connections of all servers but these: a full endpoint list says what is gone by
 // not naming it.
-func (c *Cluster) ForgetOthers(servers []edge.ServerEntry) {
+func (c *Cluster) RetainServers(servers []edge.ServerEntry) {
 	listed := map[choice.ServerID]bool{}
 	for _, server := range servers {
 		listed[server.ID] = true
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.checkers)) {
 		if !listed[id] {
-			c.Forget(id)
+			c.RemoveServer(id)
 		}
 	}
 }
--- a/internal/platform/upstream/transfer.go
+++ b/internal/platform/upstream/transfer.go
@@ -18,19 +18,22 @@
 // ConnectionState is what a request of an established connection knows besides its socket, as one process of a node
 // transfers it to another.
 type ConnectionState struct {
-	Conn   loop.ConnectionState `cbor:"1,keyasint"`
-	Line   []byte               `cbor:"2,keyasint,omitempty"` // the start of the server's unfinished line
-	Behind int                  `cbor:"3,keyasint,omitempty"` // bytes of the client's unfinished line
-	Last   uint8                `cbor:"4,keyasint,omitempty"` // the server's last line: 0 any, 1 BYE, 2 MOVE
-	// Sent is the Unix time in nanoseconds of the line that awaits a reply, for releases without Waits; 0: none does.
-	Sent  int64 `cbor:"5,keyasint,omitempty"`
-	Waits int64 `cbor:"6,keyasint,omitempty"` // nanoseconds since that line was sent; 0: none awaits a reply
+	Conn                   loop.ConnectionState `cbor:"1,keyasint"`
+	PartialServerLine      []byte               `cbor:"2,keyasint,omitempty"` // of an unfinished line
+	PartialClientLineBytes int                  `cbor:"3,keyasint,omitempty"` // of an unfinished line
+	ClosingLine            uint8                `cbor:"4,keyasint,omitempty"` // the last: 0 any, 1 BYE, 2 MOVE
+	// AwaitingReplySince is the Unix time in nanoseconds of the line that awaits a reply, for releases without
+	// AwaitingReplyFor; 0: none does.
+	AwaitingReplySince int64 `cbor:"5,keyasint,omitempty"`
+	AwaitingReplyFor   int64 `cbor:"6,keyasint,omitempty"` // nanoseconds since that line; 0: none awaits one
 }
 
 // Check validates the state that another process transferred.
 func (s ConnectionState) Check() error {
-	linesFit := len(s.Line) <= line.MaxBytes && s.Behind >= 0 && s.Behind <= line.MaxBytes
-	if !linesFit || s.Last > uint8(closingMove) || s.Sent < 0 || s.Waits < 0 {
+	serverLineFits := len(s.PartialServerLine) <= line.MaxBytes
+	clientLineFits := s.PartialClientLineBytes >= 0 && s.PartialClientLineBytes <= line.MaxBytes
+	linesFit := serverLineFits && clientLineFits
+	if !linesFit || s.ClosingLine > uint8(closingMove) || s.AwaitingReplySince < 0 || s.AwaitingReplyFor < 0 {
 		return errServerState
 	}
 	return nil
@@ -38,9 +41,9 @@
 
 // awaitingReplySince is when the line was sent that waits for its reply.
 func (s ConnectionState) awaitingReplySince(now time.Time) time.Time {
-	waited := time.Duration(s.Waits)
+	waited := time.Duration(s.AwaitingReplyFor)
 	if waited == 0 {
-		waited = max(0, now.Sub(time.Unix(0, s.Sent)))
+		waited = max(0, now.Sub(time.Unix(0, s.AwaitingReplySince)))
 	}
 	return now.Add(-min(waited, maxTransferredWait))
 }
@@ -51,12 +54,12 @@
 		return -1, state, false
 	}
 	fd, state.Conn, ok = r.conn.Detach()
-	state.Line = r.serverLines.Partial()
-	state.Behind = r.clientLines.PartialBytes()
-	state.Last = uint8(r.lastClosingLine)
+	state.PartialServerLine = r.serverLines.Partial()
+	state.PartialClientLineBytes = r.clientLines.PartialBytes()
+	state.ClosingLine = uint8(r.lastClosingLine)
 	if !r.awaitingReplySince.IsZero() {
-		state.Sent = r.awaitingReplySince.UnixNano()
-		state.Waits = max(1, int64(r.cluster.loop.Now().Sub(r.awaitingReplySince)))
+		state.AwaitingReplySince = r.awaitingReplySince.UnixNano()
+		state.AwaitingReplyFor = max(1, int64(r.cluster.loop.Now().Sub(r.awaitingReplySince)))
 	}
 	r.cancelReplyTimer()
 	return fd, state, ok
@@ -81,11 +84,11 @@
 		attempt:         attempt,
 		sink:            sink,
 		established:     true,
-		lastClosingLine: closingLine(state.Last),
-		serverLines:     line.NewReader(state.Line),
-		clientLines:     line.NewScanner(state.Behind),
+		lastClosingLine: closingLine(state.ClosingLine),
+		serverLines:     line.NewReader(state.PartialServerLine),
+		clientLines:     line.NewScanner(state.PartialClientLineBytes),
 	}
-	if state.Sent > 0 {
+	if state.AwaitingReplySince > 0 {
 		restored.awaitingReplySince = state.awaitingReplySince(c.loop.Now())
 	}
 	restored.conn = c.loop.Restore(fd, state.Conn, restored)
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -10,8 +10,8 @@
 
 // Bounds of the time for which a session can be resumed once its stream is gone.
 const (
-	MostMax    = 24 * time.Hour  // a longer one counts as this
-	DefaultMax = 5 * time.Minute // where the server tells none
+	MaxResumeTime     = 24 * time.Hour  // a longer one counts as this
+	DefaultResumeTime = 5 * time.Minute // where the server tells none
 )
 
 // Key names a session: ids are unique within a domain only.
@@ -23,23 +23,23 @@
 // Session is one that can be resumed.
 type Session struct {
 	Key
-	User string          `cbor:"User"` // empty: not known
-	Host choice.ServerID `cbor:"Host"`
-	// Started is the start of the server's process, as the endpoint list has it: another process knows nothing of the
-	// session.
-	Started time.Duration `cbor:"Started"`
-	Max     time.Duration `cbor:"Max"`   // for which the server keeps it once its stream is gone
-	Until   time.Time     `cbor:"Until"` // when it expires; zero: its stream is connected
-	// Left is the time until then, as it is transferred to another process, whose clock may differ; 0: from a release
-	// that transfers Until only.
-	Left time.Duration `cbor:"Left"`
+	User   string          `cbor:"User"` // empty: not known
+	Server choice.ServerID `cbor:"Host"`
+	// ServerStarted is the start of the server's process, as the endpoint list has it: another process knows nothing of
+	// the session.
+	ServerStarted time.Duration `cbor:"Started"`
+	ResumeTime    time.Duration `cbor:"Max"`   // for which the server keeps it once its stream is gone
+	Expires       time.Time     `cbor:"Until"` // when it expires; zero: its stream is connected
+	// TimeLeft is the time until then, as it is transferred to another process, whose clock may differ; 0: from a
+	// release that transfers Until only.
+	TimeLeft time.Duration `cbor:"Left"`
 }
 
 // connected reports whether the session has a stream.
-func (s *Session) connected() bool { return s.Until.IsZero() }
+func (s *Session) connected() bool { return s.Expires.IsZero() }
 
 // expired reports whether the session can't be resumed any more.
-func (s *Session) expired(now time.Time) bool { return !s.connected() && !now.Before(s.Until) }
+func (s *Session) expired(now time.Time) bool { return !s.connected() && !now.Before(s.Expires) }
 
 // user is the owner of the session.
 func (s *Session) user() userKey { return userKey{domain: s.Domain, name: s.User} }
@@ -47,8 +47,8 @@
 // valid reports whether a session that another process transferred, with its Until by this one's clock, can be resumed
 // here.
 func (s *Session) valid(now time.Time) bool {
-	if s.ID == "" || s.Host == "" || s.connected() {
+	if s.ID == "" || s.Server == "" || s.connected() {
 		return false
 	}
-	return !s.expired(now) && s.Until.Sub(now) <= MostMax
+	return !s.expired(now) && s.Expires.Sub(now) <= MaxResumeTime
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -46,7 +46,7 @@
 	}
 	session := (*m)[index]
 	m.forget(key)
-	session.Until = now.Add(session.Max)
+	session.Expires = now.Add(session.ResumeTime)
 	*m = append(*m, session)
 }
 
@@ -108,7 +108,7 @@
 	t.Helper()
 	for number := range users {
 		user := fmt.Sprint("u", number)
-		got, ok := table.Of(now, testDomain, user)
+		got, ok := table.FindByUser(now, testDomain, user)
 		if !ok || len(want) > table.capacity {
 			continue
 		}
@@ -128,10 +128,10 @@
 func drawSession(t *rapid.T, step int) Session {
 	number := rapid.IntRange(0, keys-1).Draw(t, "session")
 	return Session{
-		Key:  Key{testDomain, fmt.Sprint(number)},
-		User: fmt.Sprint("u", number%users),
-		Host: choice.ServerID(fmt.Sprint("h", step)),
-		Max:  time.Duration(rapid.IntRange(0, 60).Draw(t, "max")) * time.Second,
+		Key:        Key{testDomain, fmt.Sprint(number)},
+		User:       fmt.Sprint("u", number%users),
+		Server:     choice.ServerID(fmt.Sprint("h", step)),
+		ResumeTime: time.Duration(rapid.IntRange(0, 60).Draw(t, "max")) * time.Second,
 	}
 }
 
@@ -148,10 +148,10 @@
 			session := drawSession(t, step)
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				table.Stands(now, session)
+				table.Connected(now, session)
 				want.connect(session)
 			case 2:
-				table.Broke(now, session.Key)
+				table.Disconnected(now, session.Key)
 				want.disconnect(now, session.Key)
 			case 3:
 				table.Forget(session.Key)
@@ -175,18 +175,18 @@
 	successor := New(10)
 	for number := range 5 {
 		key := Key{testDomain, fmt.Sprint(number)}
-		predecessor.Stands(now, Session{Key: key, User: "u", Host: "a", Max: time.Minute})
+		predecessor.Connected(now, Session{Key: key, User: "u", Server: "a", ResumeTime: time.Minute})
 		if number > 0 {
-			predecessor.Broke(now.Add(time.Duration(number)*time.Second), key)
+			predecessor.Disconnected(now.Add(time.Duration(number)*time.Second), key)
 		}
 	}
-	successor.Stands(now, Session{Key: Key{testDomain, "4"}, User: "u", Host: "b", Max: time.Minute})
+	successor.Connected(now, Session{Key: Key{testDomain, "4"}, User: "u", Server: "b", ResumeTime: time.Minute})
 	transferredAt := now.Add(9 * time.Second)
-	transferred := append(predecessor.Broken(transferredAt, 3),
-		Session{Key: Key{testDomain, "x"}, Host: "a", Until: now.Add(48 * time.Hour)},
-		Session{Key: Key{testDomain, "y"}, Until: now.Add(time.Hour)})
-	successor.Inherit(transferredAt, transferred)
-	if session, _ := successor.Find(now, Key{testDomain, "4"}); session.Host != "b" {
+	transferred := append(predecessor.Resumable(transferredAt, 3),
+		Session{Key: Key{testDomain, "x"}, Server: "a", Expires: now.Add(48 * time.Hour)},
+		Session{Key: Key{testDomain, "y"}, Expires: now.Add(time.Hour)})
+	successor.Import(transferredAt, transferred)
+	if session, _ := successor.Find(now, Key{testDomain, "4"}); session.Server != "b" {
 		t.Error("a newer session was overwritten")
 	}
 	for id, want := range map[string]bool{"0": false, "1": false, "2": true, "3": true, "x": false, "y": false} {
@@ -204,8 +204,8 @@
 	now := time.Unix(1e9, 0)
 	table := New(10)
 	key := Key{testDomain, "0"}
-	table.Stands(now, Session{Key: key, User: "u", Host: "a", Max: time.Minute})
-	table.Broke(now, key)
+	table.Connected(now, Session{Key: key, User: "u", Server: "a", ResumeTime: time.Minute})
+	table.Disconnected(now, key)
 	expires := now.Add(time.Minute)
 	if _, ok := table.Find(expires.Add(-time.Nanosecond), key); !ok {
 		t.Error("expired too early")
@@ -213,7 +213,7 @@
 	if _, ok := table.Find(expires, key); ok {
 		t.Error("found after it has expired")
 	}
-	if _, ok := table.Of(expires, testDomain, "u"); ok {
+	if _, ok := table.FindByUser(expires, testDomain, "u"); ok {
 		t.Error("found by user after it has expired")
 	}
 }
@@ -222,9 +222,9 @@
 func TestMaxPerUser(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	table := New(100)
-	table.Stands(now, Session{Key: Key{testDomain, "other"}, User: "v", Host: "a"})
+	table.Connected(now, Session{Key: Key{testDomain, "other"}, User: "v", Server: "a"})
 	for number := range maxPerUser + 1 {
-		table.Stands(now, Session{Key: Key{testDomain, fmt.Sprint(number)}, User: "u", Host: "a"})
+		table.Connected(now, Session{Key: Key{testDomain, fmt.Sprint(number)}, User: "u", Server: "a"})
 	}
 	for id, want := range map[string]bool{"0": false, "1": true, fmt.Sprint(maxPerUser): true, "other": true} {
 		if _, ok := table.Find(now, Key{testDomain, id}); ok != want {
@@ -238,7 +238,7 @@
 	now := time.Unix(1e9, 0)
 	table := New(2)
 	for _, id := range []string{"0", "1", "2"} {
-		table.Stands(now, Session{Key: Key{testDomain, id}, Host: "a"})
+		table.Connected(now, Session{Key: Key{testDomain, id}, Server: "a"})
 	}
 	for id, want := range map[string]bool{"0": false, "1": true, "2": true} {
 		if _, ok := table.Find(now, Key{testDomain, id}); ok != want {
--- a/internal/session/table.go
+++ b/internal/session/table.go
@@ -36,17 +36,17 @@
 // Len returns the number of sessions held.
 func (t *Table) Len() int { return len(t.byKey) }
 
-// Stands records that a session's stream is connected to a server: the session began there, or was resumed there.
-func (t *Table) Stands(now time.Time, session Session) {
+// Connected records that a session's stream is connected to a server: the session began there, or was resumed there.
+func (t *Table) Connected(now time.Time, session Session) {
 	t.remove(t.byKey[session.Key])
-	session.Max = min(max(session.Max, 0), MostMax)
-	session.Until = time.Time{}
+	session.ResumeTime = min(max(session.ResumeTime, 0), MaxResumeTime)
+	session.Expires = time.Time{}
 	t.insert(session)
 	t.trim(now)
 }
 
-// Broke records that a session's stream is gone. The session can be resumed for its Max from now on.
-func (t *Table) Broke(now time.Time, key Key) {
+// Disconnected records that a session's stream is gone. The session can be resumed for its Max from now on.
+func (t *Table) Disconnected(now time.Time, key Key) {
 	element := t.byKey[key]
 	if element == nil {
 		return
@@ -56,7 +56,7 @@
 		return
 	}
 	t.remove(element)
-	session.Until = now.Add(session.Max)
+	session.Expires = now.Add(session.ResumeTime)
 	t.insert(session)
 	t.trim(now)
 }
@@ -67,8 +67,8 @@
 // Find returns the session of a key, while it can be resumed.
 func (t *Table) Find(now time.Time, key Key) (Session, bool) { return resumable(now, t.byKey[key]) }
 
-// Of returns the session of a user that was updated last, while it can be resumed.
-func (t *Table) Of(now time.Time, domain, user string) (Session, bool) {
+// FindByUser returns the session of a user that was updated last, while it can be resumed.
+func (t *Table) FindByUser(now time.Time, domain, user string) (Session, bool) {
 	for _, element := range slices.Backward(t.byUser[userKey{domain, user}]) {
 		if session, ok := resumable(now, element); ok {
 			return session, true
@@ -77,26 +77,26 @@
 	return Session{}, false
 }
 
-// Broken returns the sessions without a stream, up to a number of them, those updated last first: another process can't
-// learn of them from the connections that are transferred to it.
-func (t *Table) Broken(now time.Time, limit int) (all []Session) {
+// Resumable returns the sessions without a stream, up to a number of them, those updated last first: another process
+// can't learn of them from the connections that are transferred to it.
+func (t *Table) Resumable(now time.Time, limit int) (all []Session) {
 	for element := t.disconnected.Back(); element != nil && len(all) < limit; element = element.Prev() {
 		session := *sessionOf(element)
 		if !session.expired(now) {
-			session.Left = session.Until.Sub(now)
+			session.TimeLeft = session.Expires.Sub(now)
 			all = append(all, session)
 		}
 	}
 	return all
 }
 
-// Inherit adds sessions without a stream that another process held, those updated last first. What this table has of
+// Import adds sessions without a stream that another process held, those updated last first. What this table has of
 // one is newer and stays.
-func (t *Table) Inherit(now time.Time, all []Session) {
+func (t *Table) Import(now time.Time, all []Session) {
 	for _, session := range slices.Backward(all) {
-		if session.Left > 0 {
-			session.Until = now.Add(session.Left)
-			session.Left = 0
+		if session.TimeLeft > 0 {
+			session.Expires = now.Add(session.TimeLeft)
+			session.TimeLeft = 0
 		}
 		if session.valid(now) && t.byKey[session.Key] == nil {
 			t.insert(session)
--- a/internal/transport/peerlimit/controller.go
+++ b/internal/transport/peerlimit/controller.go
@@ -36,13 +36,13 @@
 // SetRules replaces the rules, the networks and the limits of domains, for streams that are opened from now on. Open
 // streams count on.
 func (c *Controller) SetRules(rules Rules, networks *Networks, domains map[string]Limits) {
-	if rules.Bits4 == 0 {
-		rules.Bits4 = defaultBits4
+	if rules.PrefixBits4 == 0 {
+		rules.PrefixBits4 = defaultBits4
 	}
-	if rules.Bits6 == 0 {
-		rules.Bits6 = defaultBits6
+	if rules.PrefixBits6 == 0 {
+		rules.PrefixBits6 = defaultBits6
 	}
-	rules.Most = max(1, rules.Most)
+	rules.MaxPeers = max(1, rules.MaxPeers)
 	c.rules = rules
 	c.networks = networks
 	c.domainLimits = domains
@@ -124,9 +124,9 @@
 
 // peer returns a peer's usage. Those that find no place share one.
 func (c *Controller) peer(now time.Time, from netip.Addr) *usage {
-	bits := c.rules.Bits6
+	bits := c.rules.PrefixBits6
 	if from.Is4() {
-		bits = c.rules.Bits4
+		bits = c.rules.PrefixBits4
 	}
 	prefix, err := from.Prefix(bits)
 	if err != nil {
@@ -135,7 +135,7 @@
 	if known := c.peers[prefix]; known != nil {
 		return known
 	}
-	if len(c.peers) >= c.rules.Most && !c.sweep(now) {
+	if len(c.peers) >= c.rules.MaxPeers && !c.sweep(now) {
 		return &c.otherPeers
 	}
 	added := &usage{}
@@ -157,7 +157,7 @@
 		}
 	}
 	c.untilSweep = len(c.peers) / sweepFraction
-	return len(c.peers) < c.rules.Most
+	return len(c.peers) < c.rules.MaxPeers
 }
 
 // domain returns a domain's usage.
--- a/internal/transport/peerlimit/controller_test.go
+++ b/internal/transport/peerlimit/controller_test.go
@@ -31,17 +31,17 @@
 
 func newModel(t *rapid.T) *model {
 	peer := Limits{
-		Streams: rapid.IntRange(0, 4).Draw(t, "streams"),
-		Waiting: rapid.IntRange(0, 3).Draw(t, "unauthenticated"),
-		Rate:    float64(rapid.IntRange(0, 3).Draw(t, "rate")),
-		Burst:   rapid.IntRange(0, 3).Draw(t, "burst"),
+		Streams:         rapid.IntRange(0, 4).Draw(t, "streams"),
+		Unauthenticated: rapid.IntRange(0, 3).Draw(t, "unauthenticated"),
+		Rate:            float64(rapid.IntRange(0, 3).Draw(t, "rate")),
+		Burst:           rapid.IntRange(0, 3).Draw(t, "burst"),
 	}
 	domain := Limits{
-		Streams: rapid.IntRange(0, 6).Draw(t, "streams of the domain"),
-		Waiting: rapid.IntRange(0, 4).Draw(t, "unauthenticated of the domain"),
+		Streams:         rapid.IntRange(0, 6).Draw(t, "streams of the domain"),
+		Unauthenticated: rapid.IntRange(0, 4).Draw(t, "unauthenticated of the domain"),
 	}
 	return &model{
-		controller: NewController(Rules{Peer: peer, Most: 100}, nil, map[string]Limits{"d": domain}),
+		controller: NewController(Rules{Peer: peer, MaxPeers: 100}, nil, map[string]Limits{"d": domain}),
 		peer:       peer,
 		domain:     domain,
 		now:        time.Unix(1e9, 0),
@@ -65,7 +65,8 @@
 
 // full reports whether one more stream would be over the limits of streams.
 func full(limits Limits, streams, unauthenticated int) bool {
-	return limits.Streams > 0 && streams >= limits.Streams || limits.Waiting > 0 && unauthenticated >= limits.Waiting
+	tooMany := limits.Streams > 0 && streams >= limits.Streams
+	return tooMany || limits.Unauthenticated > 0 && unauthenticated >= limits.Unauthenticated
 }
 
 // open opens a stream of a random peer for the domain.
@@ -182,7 +183,7 @@
 // one peer, a known one keeps its own count, and once the flood is over there are places again.
 func TestFlood(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	controller := NewController(Rules{Peer: Limits{Streams: 3, Rate: 1, Burst: 3}, Most: 50}, nil, nil)
+	controller := NewController(Rules{Peer: Limits{Streams: 3, Rate: 1, Burst: 3}, MaxPeers: 50}, nil, nil)
 	known, verdict := controller.Admit(now, netip.MustParseAddr("192.0.2.1"))
 	if verdict != Admitted {
 		t.Fatal(verdict)
@@ -220,7 +221,7 @@
 // IPv4 address within IPv6 is IPv4's.
 func testPeerPrefixes(t *testing.T, now time.Time) {
 	t.Helper()
-	controller := NewController(Rules{Peer: Limits{Streams: 1}, Most: 50}, nil, nil)
+	controller := NewController(Rules{Peer: Limits{Streams: 1}, MaxPeers: 50}, nil, nil)
 	for _, address := range []string{"2001:db8::1", "2001:db8:0:1::1", "192.0.2.7"} {
 		if _, verdict := controller.Admit(now, netip.MustParseAddr(address)); verdict != Admitted {
 			t.Errorf("%s got %v, wanted %v", address, verdict, Admitted)
@@ -237,13 +238,13 @@
 func TestNetworks(t *testing.T) {
 	networks := &Networks{}
 	denied := "# farms\n10.0.0.0/8\n\n2001:db8::/32 # docs\n192.0.2.9\n::ffff:198.51.100.0/120\n"
-	if err := networks.Read("deny", []byte(denied), false); err != nil {
+	if err := networks.AddList("deny", []byte(denied), false); err != nil {
 		t.Fatal(err)
 	}
-	if err := networks.Read("allow", []byte("10.1.0.0/16\n"), true); err != nil {
+	if err := networks.AddList("allow", []byte("10.1.0.0/16\n"), true); err != nil {
 		t.Fatal(err)
 	}
-	controller := NewController(Rules{Peer: Limits{Streams: 1}, Most: 9}, networks, nil)
+	controller := NewController(Rules{Peer: Limits{Streams: 1}, MaxPeers: 9}, networks, nil)
 	now := time.Unix(1e9, 0)
 	const limited = "192.0.2.8" // in no network: its second stream is over the limit
 	for address, want := range map[string]Verdict{
@@ -267,12 +268,12 @@
 		t.Errorf("got the rejections %v, wanted 10 denied and 1 over the limit", controller.Rejections)
 	}
 	for _, entry := range []string{"10.0.0.0/33", "farm.example", "10.0.0", "::ffff:0:0/90", "fe80::1%eth0"} {
-		err := (&Networks{}).Read("deny", []byte("# one\n"+entry+"\n"), false)
+		err := (&Networks{}).AddList("deny", []byte("# one\n"+entry+"\n"), false)
 		if !errors.Is(err, ErrNotNetwork) || !strings.HasPrefix(err.Error(), "deny:2: ") {
 			t.Errorf("%s got the error %v, wanted %v in line 2", entry, err, ErrNotNetwork)
 		}
 	}
-	if err := networks.Read("allow", []byte("10.0.0.0/8"), true); !errors.Is(err, ErrConflictingNetwork) {
+	if err := networks.AddList("allow", []byte("10.0.0.0/8"), true); !errors.Is(err, ErrConflictingNetwork) {
 		t.Errorf("a network of both lists got the error %v, wanted %v", err, ErrConflictingNetwork)
 	}
 }
@@ -284,10 +285,10 @@
 	for i := range 100000 {
 		fmt.Fprintf(&list, "%d.%d.%d.0/24\n", 11+i>>16, i>>8&255, i&255)
 	}
-	if err := networks.Read("deny", []byte(list.String()), false); err != nil || networks.Len() != 100000 {
+	if err := networks.AddList("deny", []byte(list.String()), false); err != nil || networks.Len() != 100000 {
 		b.Fatal(networks.Len(), err)
 	}
-	controller := NewController(Rules{Peer: Limits{Streams: 1000000, Rate: 1e9}, Most: 100000}, networks, nil)
+	controller := NewController(Rules{Peer: Limits{Streams: 1000000, Rate: 1e9}, MaxPeers: 100000}, networks, nil)
 	now := time.Unix(1e9, 0)
 	for i := range b.N {
 		stream, _ := controller.Admit(now, netip.AddrFrom4([4]byte{byte(10 + i&7), byte(i >> 9), byte(i >> 3), 1}))
--- a/internal/transport/peerlimit/limits.go
+++ b/internal/transport/peerlimit/limits.go
@@ -4,10 +4,10 @@
 
 // Limits bound what one peer, or all clients of one domain, may have. 0: no limit.
 type Limits struct {
-	Streams int     // at once
-	Waiting int     // of these, not authenticated yet
-	Rate    float64 // new ones a second
-	Burst   int     // new ones at once, before Rate holds; 0: as many as a second has, 1 at least
+	Streams         int     // at once
+	Unauthenticated int     // of these, not authenticated yet
+	Rate            float64 // new ones a second
+	Burst           int     // new ones at once, before Rate holds; 0: as many as a second has, 1 at least
 }
 
 func (l Limits) any() bool { return l != Limits{} }
@@ -17,9 +17,9 @@
 
 // Rules hold for all peers.
 type Rules struct {
-	Bits4, Bits6 int    // of an address that make up a peer; 0: 32 and 64
-	Peer         Limits // of each peer
-	Most         int    // peers that have a usage of their own
+	PrefixBits4, PrefixBits6 int    // of an address that make up a peer; 0: 32 and 64
+	Peer                     Limits // of each peer
+	MaxPeers                 int    // peers that have a usage of their own
 }
 
 // Verdict says whether a stream may be opened, and if not, why.
@@ -65,7 +65,7 @@
 	switch {
 	case limits.Streams > 0 && u.streams >= limits.Streams:
 		return TooManyStreams
-	case limits.Waiting > 0 && u.unauthenticated >= limits.Waiting:
+	case limits.Unauthenticated > 0 && u.unauthenticated >= limits.Unauthenticated:
 		return TooManyUnauthenticated
 	case limits.Rate > 0 && u.tokens < 1:
 		return RateExceeded
--- a/internal/transport/peerlimit/networks.go
+++ b/internal/transport/peerlimit/networks.go
@@ -11,7 +11,7 @@
 	"github.com/gaissmai/bart"
 )
 
-// Errors of Networks.Read.
+// Errors of Networks.AddList.
 var (
 	// ErrNotNetwork is an entry that can't be read.
 	ErrNotNetwork = errors.New("is neither an address nor a prefix like 192.0.2.0/24 or 2001:db8::/32")
@@ -26,9 +26,9 @@
 // Networks must not be changed once it is in use.
 type Networks struct{ table bart.Table[bool] } // true: exempt; false: denied
 
-// Read reads a list of networks, an address or a prefix a line, with # before comments. The name is the list's in
+// AddList reads a list of networks, an address or a prefix a line, with # before comments. The name is the list's in
 // errors, which also have the line's number.
-func (n *Networks) Read(name string, list []byte, exempt bool) error {
+func (n *Networks) AddList(name string, list []byte, exempt bool) error {
 	lines := bufio.NewScanner(bytes.NewReader(list))
 	for number := 1; lines.Scan(); number++ {
 		text, _, _ := strings.Cut(lines.Text(), "#")
--- a/internal/xmpp/accept.go
+++ b/internal/xmpp/accept.go
@@ -14,12 +14,12 @@
 type Security int
 
 const (
-	// Clear is no TLS: it ends before this node, or all run on one machine.
-	Clear Security = iota
+	// Plaintext is no TLS: it ends before this node, or all run on one machine.
+	Plaintext Security = iota
 	// StartTLS requires the client to start TLS within its stream (RFC 6120, section 5).
 	StartTLS
-	// Direct has TLS from the connection's first byte on (XEP-0368).
-	Direct
+	// DirectTLS has TLS from the connection's first byte on (XEP-0368).
+	DirectTLS
 )
 
 // ALPN names (RFC 7301) of direct TLS.
@@ -39,26 +39,26 @@
 	LeaveIdleQueue()
 }
 
-// Use sets the TLS certificates, which may be replaced while the front runs.
-func (f *Front) Use(keys *tls.Keys) { f.keys = keys }
+// UseKeys sets the TLS certificates, which may be replaced while the front runs.
+func (f *Front) UseKeys(keys *tls.Keys) { f.keys = keys }
 
 // Accept handles a new connection without TLS.
-func (f *Front) Accept(conn *loop.Conn) loop.Handler { return f.accept(conn, Clear, false) }
+func (f *Front) Accept(conn *loop.Conn) loop.Handler { return f.accept(conn, Plaintext, false) }
 
-// AcceptBy returns Accept for a listener whose clients use TLS.
-func (f *Front) AcceptBy(security Security) func(*loop.Conn) loop.Handler {
+// AcceptWith returns Accept for a listener whose clients use TLS.
+func (f *Front) AcceptWith(security Security) func(*loop.Conn) loop.Handler {
 	return func(conn *loop.Conn) loop.Handler { return f.accept(conn, security, false) }
 }
 
-// AcceptWeb returns Accept for a listener whose clients use WebSocket (RFC 7395), without TLS or with direct TLS.
-func (f *Front) AcceptWeb(security Security) func(*loop.Conn) loop.Handler {
+// AcceptWebSocket returns Accept for a listener whose clients use WebSocket (RFC 7395), without TLS or with direct TLS.
+func (f *Front) AcceptWebSocket(security Security) func(*loop.Conn) loop.Handler {
 	return func(conn *loop.Conn) loop.Handler { return f.accept(conn, security, true) }
 }
 
 // accept returns the handler of a new connection; nil: it is closed. Some connections beyond the limit are still
 // accepted, to reject them with a stream error.
 func (f *Front) accept(conn *loop.Conn, security Security, webSocket bool) loop.Handler {
-	if f.loop.Open() > f.limits.MostOpen+maxOverLimit {
+	if f.loop.Open() > f.limits.MaxConnections+maxOverLimit {
 		return nil
 	}
 	now := f.loop.Now()
@@ -71,19 +71,19 @@
 		front: f, client: conn, socket: conn, admission: stream, received: f.newScanner(), headerPending: true,
 		awaitsStartTLS: security == StartTLS,
 	}
-	session.awaitHeader(now.Add(f.limits.HeaderTime))
+	session.awaitHeader(now.Add(f.limits.HeaderTimeout))
 	if verdict != peerlimit.Admitted { // without TLS also where it is due: a handshake would cost what the limit saves
 		f.loop.At(now, func() { session.reject(verdict) })
 		return session
 	}
-	if security == Direct {
+	if security == DirectTLS {
 		session.stopTimer()
-		session.awaitHeader(now.Add(f.limits.ShakeTime + f.limits.HeaderTime))
+		session.awaitHeader(now.Add(f.limits.HandshakeTimeout + f.limits.HeaderTimeout))
 	}
 	if webSocket {
-		return session.acceptWebSocket(security == Direct)
+		return session.acceptWebSocket(security == DirectTLS)
 	}
-	if security == Direct {
+	if security == DirectTLS {
 		secured := session.secure(now, session, xmppProtocol)
 		session.client = secured
 		return secured
@@ -120,6 +120,6 @@
 	s.awaitsStartTLS = false
 	s.startTLSReceived = false
 	s.layered = true
-	deadline := now.Add(s.front.limits.ShakeTime)
+	deadline := now.Add(s.front.limits.HandshakeTimeout)
 	return s.front.handshakes.Server(s.socket, s.front.keys.Config(protocol), deadline, handler)
 }
--- a/internal/xmpp/clientstream.go
+++ b/internal/xmpp/clientstream.go
@@ -106,9 +106,9 @@
 	id := choice.RequestID(s.front.newID())
 	spec := edge.Spec{
 		ID: id, Class: domain.Class, Tenant: noTenant, Key: s.front.random.Uint64(),
-		Deadline: s.front.loop.Now().Add(domain.Patience), StickyServer: s.stickyServer(domain),
+		Deadline: s.front.loop.Now().Add(domain.SetupTimeout), StickyServer: s.stickyServer(domain),
 	}
-	if s.front.loop.Open()+2 > s.front.limits.MostOpen {
+	if s.front.loop.Open()+2 > s.front.limits.MaxConnections {
 		// A session needs one more descriptor for its server: they must not run out half way.
 		zap.L().Warn("connection_limit_refused", zap.String("front", "xmpp"))
 		domain.Core.Reject(spec, s, 0)
--- a/internal/xmpp/front.go
+++ b/internal/xmpp/front.go
@@ -37,19 +37,19 @@
 
 // Domain is a domain that clients may name in the stream header.
 type Domain struct {
-	Core     *edge.Core
-	Class    int           // of the core's classes
-	Patience time.Duration // for the whole set-up of a session, from its stream header on
+	Core         *edge.Core
+	Class        int           // of the core's classes
+	SetupTimeout time.Duration // for the whole set-up of a session, from its stream header on
 }
 
 // Limits bound what one connection may use, and what all of them may.
 type Limits struct {
-	Stanza     int           // bytes of one stanza
-	Early      int           // bytes of a client that are kept to be replayed to another server
-	HeaderTime time.Duration // for the stream header, from the connection on
-	ShakeTime  time.Duration // for a TLS handshake
-	MostOpen   int           // connections, both sides, from which on new sessions are rejected
-	Resumable  int           // resumable sessions whose server is remembered
+	MaxStanzaBytes   int           // bytes of one stanza
+	MaxReplayBytes   int           // bytes of a client that are kept to be replayed to another server
+	HeaderTimeout    time.Duration // for the stream header, from the connection on
+	HandshakeTimeout time.Duration // for a TLS handshake
+	MaxConnections   int           // connections, both sides, from which on new sessions are rejected
+	MaxResumable     int           // resumable sessions whose server is remembered
 }
 
 // Front serves XMPP clients. Its methods must be called from the loop's goroutine.
@@ -75,7 +75,7 @@
 	Sessions    int // client connections that were accepted
 	Established int // sessions that were set up
 	Errors      int // stream errors in place of a session
-	Left        int // clients that ended before they had an answer
+	Abandoned   int // clients that ended before they had an answer
 }
 
 // New returns a front for the given domains; "*" stands for all that are not named. The seed is that of the random
@@ -88,7 +88,7 @@
 		random:     rand.New(rand.NewPCG(seed, 2)),
 		handshakes: tls.NewHandshakes(eventLoop),
 		admission:  peerlimit.NewController(peerlimit.Rules{}, nil, nil),
-		resumable:  resumable.New(limits.Resumable),
+		resumable:  resumable.New(limits.MaxResumable),
 		owners:     map[resumable.Key]*clientSession{},
 
 		channelBindingReported: map[choice.ServerID]bool{},
@@ -116,9 +116,11 @@
 func (f *Front) newID() string { return strconv.FormatUint(f.random.Uint64(), 16) }
 
 // newScanner returns a scanner at the start of a stream.
-func (f *Front) newScanner() scanner { return scanner{maxBytes: f.limits.Stanza} }
+func (f *Front) newScanner() scanner { return scanner{maxBytes: f.limits.MaxStanzaBytes} }
 
-// Guard replaces the rules of admission control, for streams that are opened from now on.
-func (f *Front) Guard(rules peerlimit.Rules, networks *peerlimit.Networks, domains map[string]peerlimit.Limits) {
+// SetAdmissionRules replaces the rules of admission control, for streams that are opened from now on.
+func (f *Front) SetAdmissionRules(
+	rules peerlimit.Rules, networks *peerlimit.Networks, domains map[string]peerlimit.Limits,
+) {
 	f.admission.SetRules(rules, networks, domains)
 }
--- a/internal/xmpp/resumption.go
+++ b/internal/xmpp/resumption.go
@@ -43,17 +43,17 @@
 	now := s.front.loop.Now()
 	known, ok := s.front.resumable.Find(now, resumable.Key{Domain: s.domain(), ID: s.previousID})
 	if !ok && s.user != "" {
-		known, ok = s.front.resumable.Of(now, s.domain(), s.user)
+		known, ok = s.front.resumable.FindByUser(now, s.domain(), s.user)
 	}
 	if !ok {
 		return ""
 	}
-	if !domain.Core.AcceptsNew(known.Host, known.Started) {
+	if !domain.Core.AcceptsNew(known.Server, known.ServerStarted) {
 		// The server drains, is gone, or has been started again and doesn't know the session.
 		s.front.resumable.Forget(known.Key)
 		return ""
 	}
-	return known.Host
+	return known.Server
 }
 
 // inspectAuthentication follows the client's first authentication, which is held back to its end: it settles the
@@ -190,7 +190,7 @@
 	}
 	s.key = resumed.Key
 	front.owners[resumed.Key] = s
-	front.resumable.Stands(front.loop.Now(), resumed)
+	front.resumable.Connected(front.loop.Now(), resumed)
 }
 
 // disconnected notes that a session has no connection any more. If its client closed the stream, it won't resume the
@@ -205,12 +205,16 @@
 	if closed {
 		f.resumable.Forget(key)
 	} else {
-		f.resumable.Broke(f.loop.Now(), key)
+		f.resumable.Disconnected(f.loop.Now(), key)
 	}
 }
 
-// Broken lists resumable sessions that have no connection, for another process; so many at most.
-func (f *Front) Broken(most int) []resumable.Session { return f.resumable.Broken(f.loop.Now(), most) }
+// DisconnectedSessions lists resumable sessions that have no connection, for another process; so many at most.
+func (f *Front) DisconnectedSessions(most int) []resumable.Session {
+	return f.resumable.Resumable(f.loop.Now(), most)
+}
 
-// Inherit adds the resumable sessions that another process knew.
-func (f *Front) Inherit(sessions []resumable.Session) { f.resumable.Inherit(f.loop.Now(), sessions) }
+// AddDisconnectedSessions adds the resumable sessions that another process knew.
+func (f *Front) AddDisconnectedSessions(sessions []resumable.Session) {
+	f.resumable.Import(f.loop.Now(), sessions)
+}
--- a/internal/xmpp/serverstream.go
+++ b/internal/xmpp/serverstream.go
@@ -163,7 +163,7 @@
 	}
 	session := u.session
 	id := ""
-	lifetime := resumable.DefaultMax
+	lifetime := resumable.DefaultResumeTime
 	switch localName(token.name) {
 	case "enabled":
 		if resume := token.attribute("resume"); resume != "true" && resume != "1" {
@@ -177,18 +177,18 @@
 		id = token.attribute("previd")
 		key := resumable.Key{Domain: session.domain(), ID: id}
 		if known, ok := session.front.resumable.Find(session.front.loop.Now(), key); ok {
-			lifetime = known.Max
+			lifetime = known.ResumeTime
 		}
 	}
 	if id == "" || len(id) > maxNameBytes {
 		return
 	}
 	session.connected(resumable.Session{
-		Key:     resumable.Key{Domain: session.domain(), ID: id},
-		User:    session.user,
-		Host:    u.attempt.Server.ID,
-		Started: u.attempt.Server.Started,
-		Max:     lifetime,
+		Key:           resumable.Key{Domain: session.domain(), ID: id},
+		User:          session.user,
+		Server:        u.attempt.Server.ID,
+		ServerStarted: u.attempt.Server.Started,
+		ResumeTime:    lifetime,
 	})
 }
 
--- a/internal/xmpp/session.go
+++ b/internal/xmpp/session.go
@@ -103,7 +103,7 @@
 	}
 	if !s.committed {
 		s.replay = append(s.replay, data...)
-		if len(s.replay) > s.front.limits.Early {
+		if len(s.replay) > s.front.limits.MaxReplayBytes {
 			s.fail(policyViolation, "too much was sent before the host's answer")
 			return
 		}
@@ -169,7 +169,7 @@
 // abandon ends a session whose client closed its stream before the session was established: nobody waits for an answer
 // any more, and no other server may be tried for it.
 func (s *clientSession) abandon() {
-	s.front.Answers.Left++
+	s.front.Answers.Abandoned++
 	closing := ""
 	if !s.headerPending {
 		closing = streamEnd(s.sentPrefix())
@@ -225,7 +225,7 @@
 		return
 	}
 	if !s.established {
-		s.front.Answers.Left++
+		s.front.Answers.Abandoned++
 	}
 	orderly := errors.Is(err, io.EOF)
 	reason := trace.ClientReset
--- a/internal/xmpp/starttls.go
+++ b/internal/xmpp/starttls.go
@@ -20,7 +20,7 @@
 	s.client.Write([]byte("<proceed xmlns='" + tlsNS + "'/>"))
 	now := s.front.loop.Now()
 	s.stopTimer()
-	s.awaitHeader(now.Add(s.front.limits.ShakeTime + s.front.limits.HeaderTime))
+	s.awaitHeader(now.Add(s.front.limits.HandshakeTimeout + s.front.limits.HeaderTimeout))
 	s.received = s.front.newScanner()
 	s.headerPending = true
 	s.domainName = ""
--- a/internal/xmpp/starttls_test.go
+++ b/internal/xmpp/starttls_test.go
@@ -19,10 +19,11 @@
 		t.Fatal(err)
 	}
 	limits := Limits{
-		Stanza: 1 << 10, Early: 1 << 10, HeaderTime: time.Minute, ShakeTime: time.Minute, MostOpen: 100, Resumable: 10,
+		MaxStanzaBytes: 1 << 10, MaxReplayBytes: 1 << 10, HeaderTimeout: time.Minute, HandshakeTimeout: time.Minute,
+		MaxConnections: 100, MaxResumable: 10,
 	}
 	front := New(eventLoop, map[string]Domain{"farm.example": {}}, limits, 1)
-	listener, err := eventLoop.Listen("127.0.0.1:0", front.AcceptBy(security))
+	listener, err := eventLoop.Listen("127.0.0.1:0", front.AcceptWith(security))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/xmpp/transfer.go
+++ b/internal/xmpp/transfer.go
@@ -20,8 +20,8 @@
 	ErrIncompleteSession = errors.New("incomplete session")
 )
 
-// Stream is the state of a scanner.
-type Stream struct {
+// ScannerState is the state of a scanner.
+type ScannerState struct {
 	Part    []byte   `cbor:"1,keyasint,omitempty"` // a token not whole yet
 	Stack   []string `cbor:"2,keyasint,omitempty"`
 	Prefix  string   `cbor:"3,keyasint,omitempty"`
@@ -31,13 +31,13 @@
 	Restart bool     `cbor:"7,keyasint,omitempty"`
 }
 
-// Standing is what the front knows of a client's connection, as one process of a node sends it to another at a hot
-// restart. An established session has a server's side; any other connection has not sent a whole stream header yet.
-type Standing struct {
+// ConnectionState is what the front knows of a client's connection, as one process of a node sends it to another at a
+// hot restart. An established session has a server's side; any other connection has not sent a whole stream header yet.
+type ConnectionState struct {
 	Conn   loop.ConnectionState `cbor:"1,keyasint"`
-	In     Stream               `cbor:"2,keyasint"`
+	In     ScannerState         `cbor:"2,keyasint"`
 	To     string               `cbor:"3,keyasint,omitempty"`
-	Host   *Host                `cbor:"4,keyasint,omitempty"`
+	Host   *ServerState         `cbor:"4,keyasint,omitempty"`
 	Until  int64                `cbor:"5,keyasint,omitempty"` // the header's deadline in Unix ns, read if Left is 0
 	Left   int64                `cbor:"8,keyasint,omitempty"` // until that deadline, in ns
 	Opened bool                 `cbor:"6,keyasint,omitempty"` // the client waits for a stream header
@@ -45,32 +45,38 @@
 	Resumes *resumable.Session `cbor:"7,keyasint,omitempty"` // that its client can resume
 }
 
-// Host is the server's side of an established session.
-type Host struct {
+// ServerState is the server's side of an established session.
+type ServerState struct {
 	Conn   loop.ConnectionState `cbor:"1,keyasint"`
-	In     Stream               `cbor:"2,keyasint"`
+	In     ScannerState         `cbor:"2,keyasint"`
 	Inside bool                 `cbor:"3,keyasint,omitempty"` // an unfinished stanza has been forwarded
 }
 
 // state returns what another process needs to go on with the scanner.
-func (s *scanner) state() Stream {
-	return Stream{
+func (s *scanner) state() ScannerState {
+	return ScannerState{
 		Part: s.pending, Stack: s.elements, Prefix: s.prefix, Size: s.size,
 		Started: s.started, Ended: s.ended, Restart: s.restart,
 	}
 }
 
 // restoreScanner returns a scanner in a state that passed checkStream.
-func (f *Front) restoreScanner(state Stream) scanner {
+func (f *Front) restoreScanner(state ScannerState) scanner {
 	return scanner{
-		maxBytes: f.limits.Stanza, pending: state.Part, elements: state.Stack, prefix: state.Prefix, size: state.Size,
-		started: state.Started, ended: state.Ended, restart: state.Restart,
+		maxBytes: f.limits.MaxStanzaBytes,
+		pending:  state.Part,
+		elements: state.Stack,
+		prefix:   state.Prefix,
+		size:     state.Size,
+		started:  state.Started,
+		ended:    state.Ended,
+		restart:  state.Restart,
 	}
 }
 
 // checkStream checks the state of a scanner of another process.
-func (f *Front) checkStream(state Stream) error {
-	maxBytes := f.limits.Stanza
+func (f *Front) checkStream(state ScannerState) error {
+	maxBytes := f.limits.MaxStanzaBytes
 	isSizeValid := state.Size >= 0 && state.Size <= maxBytes+len(state.Part)
 	if len(state.Part) > maxBytes || len(state.Stack) > maxDepth || !isSizeValid {
 		return ErrStreamOverLimits
@@ -88,9 +94,9 @@
 	if server == nil || server.over || len(server.held) > 0 {
 		return nil, nil, false
 	}
-	standing := Standing{
+	standing := ConnectionState{
 		In: s.received.state(), To: s.domainName, Opened: s.headerPending,
-		Host: &Host{In: server.received.state(), Inside: server.partForwarded},
+		Host: &ServerState{In: server.received.state(), Inside: server.partForwarded},
 	}
 	if known, ok := s.front.resumable.Find(s.front.loop.Now(), s.key); ok {
 		standing.Resumes = &known
@@ -130,23 +136,23 @@
 	}
 }
 
-// Idle is a connection whose stream header has not been received whole.
-type Idle struct{ session *clientSession }
+// IdleConnection is a connection whose stream header has not been received whole.
+type IdleConnection struct{ session *clientSession }
 
-// Idle lists the connections whose stream header has not been received whole, the oldest first.
-func (f *Front) Idle() []Idle {
-	var connections []Idle
+// IdleConnections lists the connections whose stream header has not been received whole, the oldest first.
+func (f *Front) IdleConnections() []IdleConnection {
+	var connections []IdleConnection
 	f.loop.EachIdle(func(handler loop.Handler) {
 		session, ok := handler.(*clientSession)
 		if ok && session.front == f && !session.over && session.request == nil {
-			connections = append(connections, Idle{session})
+			connections = append(connections, IdleConnection{session})
 		}
 	})
 	return connections
 }
 
 // Detach takes the connection off the loop.
-func (i Idle) Detach() (fds []int, state any, ok bool) {
+func (i IdleConnection) Detach() (fds []int, state any, ok bool) {
 	session := i.session
 	if session.over || session.request != nil || session.awaitsStartTLS || session.layered {
 		return nil, nil, false
@@ -156,7 +162,7 @@
 		return nil, nil, false
 	}
 	session.stopTimer()
-	return []int{fd}, Standing{
+	return []int{fd}, ConnectionState{
 		Conn:  conn,
 		In:    session.received.state(),
 		Until: session.headerDeadline.UnixNano(),
@@ -165,13 +171,13 @@
 }
 
 // Reattach puts a detached connection on the loop again.
-func (i Idle) Reattach() {
+func (i IdleConnection) Reattach() {
 	i.session.Reattach()
 	i.session.awaitHeader(i.session.headerDeadline)
 }
 
 // Release closes this process's descriptor of a detached connection that another process has taken.
-func (i Idle) Release() { i.session.Release() }
+func (i IdleConnection) Release() { i.session.Release() }
 
 // Hold checks the whole state of a connection of another process, which readState decodes. The function that it returns
 // restores the connection here. It takes the descriptors of the client's side and, of an established session, the
@@ -179,7 +185,7 @@
 func (f *Front) Hold(
 	core *edge.Core, open *edge.ConnectionState, readState func(into any) error, fds []int,
 ) (restore func(), err error) {
-	var state Standing
+	var state ConnectionState
 	if err := readState(&state); err != nil {
 		return nil, err
 	}
@@ -193,7 +199,7 @@
 }
 
 // checkState checks a connection's state against this node's limits, and its parts against each other.
-func (f *Front) checkState(state Standing, established bool, sockets int) error {
+func (f *Front) checkState(state ConnectionState, established bool, sockets int) error {
 	if err := f.checkStream(state.In); err != nil {
 		return err
 	}
@@ -210,14 +216,14 @@
 	if established != (state.Host != nil) {
 		return ErrIncompleteSession
 	}
-	if resumed := state.Resumes; resumed != nil && (state.Host == nil || resumed.ID == "" || resumed.Host == "") {
+	if resumed := state.Resumes; resumed != nil && (state.Host == nil || resumed.ID == "" || resumed.Server == "") {
 		return ErrIncompleteSession
 	}
 	return nil
 }
 
 // restoreSession goes on with an established session of another process.
-func (f *Front) restoreSession(core *edge.Core, open edge.ConnectionState, state Standing, fds []int) {
+func (f *Front) restoreSession(core *edge.Core, open edge.ConnectionState, state ConnectionState, fds []int) {
 	session := &clientSession{
 		front: f, received: f.restoreScanner(state.In), domainName: state.To, committed: true, established: true,
 		headerPending: state.Opened,
@@ -243,12 +249,12 @@
 }
 
 // restoreIdle goes on with a connection of another process whose stream header has not been received whole.
-func (f *Front) restoreIdle(state Standing, fd int) {
+func (f *Front) restoreIdle(state ConnectionState, fd int) {
 	f.Answers.Sessions++
 	session := &clientSession{front: f, received: f.restoreScanner(state.In), headerPending: true}
 	session.restoreClient(fd, state.Conn, "")
 	session.socket.EnterIdleQueue()
-	session.awaitHeader(loop.TimeFromLeft(f.loop.Now(), state.Left, state.Until, f.limits.HeaderTime))
+	session.awaitHeader(loop.TimeFromLeft(f.loop.Now(), state.Left, state.Until, f.limits.HeaderTimeout))
 }
 
 // restoreClient sets the client's side of a connection of another process.
--- a/internal/xmpp/websocket.go
+++ b/internal/xmpp/websocket.go
@@ -33,7 +33,7 @@
 	m.received.restart = true
 	m.sent.restart = true
 	afterCallback := func(run func()) { s.front.loop.At(s.front.loop.Now(), run) }
-	m.webSocket = websocket.Server(subprotocol, s.front.limits.Stanza, afterCallback, m)
+	m.webSocket = websocket.Server(subprotocol, s.front.limits.MaxStanzaBytes, afterCallback, m)
 	return m
 }
 
