--- a/choice/learned.go
+++ b/choice/learned.go
@@ -52,7 +52,7 @@
 	ReportAt         time.Duration `cbor:"8,keyasint,omitempty"`
 	EjectedUntil     time.Duration `cbor:"9,keyasint,omitempty"`
 	Ejections        int           `cbor:"10,keyasint,omitempty"` // in a row
-	SlowStartCredit  float64       `cbor:"11,keyasint,omitempty"` // that one in slow start still has
+	SlowStartCredit  float64       `cbor:"11,keyasint,omitempty"` // its slow-start budget; under 0: overdrawn
 	SlowStartAt      time.Duration `cbor:"12,keyasint,omitempty"`
 	PIDIntegral      float64       `cbor:"13,keyasint,omitempty"`
 	PIDPreviousError float64       `cbor:"14,keyasint,omitempty"`
@@ -128,8 +128,9 @@
 
 func (s LearnedServer) valid() bool {
 	return s.Ejections >= 0 &&
-		allPositive(s.ReportedLoad, s.ConnectionLoad, s.Reports, s.Report, s.SlowStartCredit) &&
-		finite(s.PIDIntegral) && finite(s.PIDPreviousError) && finite(s.PIDCorrection) && finite(s.UnreportedLoad)
+		allPositive(s.ReportedLoad, s.ConnectionLoad, s.Reports, s.Report) &&
+		finite(s.SlowStartCredit) && finite(s.UnreportedLoad) &&
+		finite(s.PIDIntegral) && finite(s.PIDPreviousError) && finite(s.PIDCorrection)
 }
 
 // allPositive reports whether all values are numbers and none is negative.
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -258,3 +258,33 @@
 		}
 	}
 }
+
+// TestLearnedStateOfAnOverdrawnBudget has a server in slow start get one connection of more load than its budget had:
+// the next process takes all that was learned, the debt included.
+func TestLearnedStateOfAnOverdrawnBudget(t *testing.T) {
+	const now = 2 * time.Hour
+	list := fleet(2)
+	list.Servers[1].Started = now - time.Second
+	before, err := New(plain(), 1, now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	before.Step(now, []Event{list, HealthCheckResult{Server: "s000", Outcome: Served, Report: []float64{0.5, 0.5}}})
+	before.findServer("s001").slowStart.tokens = 1
+	before.spendSlowStart(before.findServer("s001"), 3)
+	learned := before.LearnedState()
+	if got := learned.Servers[1].SlowStartCredit; got != -2 {
+		t.Fatalf("budget %v after a connection of load 3, wanted -2", got)
+	}
+	after, err := New(plain(), 2, now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	after.Step(now, []Event{list, LearnedStateReceived{learned}})
+	if got := after.findServer("s001").slowStart.tokens; got != -2 {
+		t.Errorf("the next process has a budget of %v, wanted -2", got)
+	}
+	if !after.findServer("s000").report.known {
+		t.Error("the next process has no report of another server, wanted the one that was learned")
+	}
+}
