--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -21,7 +21,7 @@
 }
 
 func run(in io.Reader, out io.Writer) error {
-	host, r, w := simwire.NewHost(), bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
+	host, r, w := simwire.NewHandler(), bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
 		switch {
--- a/cmd/spurwinchctl/fleet.go
+++ b/cmd/spurwinchctl/fleet.go
@@ -111,7 +111,7 @@
 	}
 	var errs []error
 	for i := 0; i < len(order) && i < 24; i++ {
-		r, err = fleetclient.Ask(l.Addr[l.List.Index(order[i])], key, l, order[i], c)
+		r, err = fleetclient.Call(l.Addr[l.List.Index(order[i])], key, l, order[i], c)
 		switch {
 		case err != nil:
 			errs = append(errs, err)
@@ -180,8 +180,8 @@
 	t.Flush()
 	behind := 0
 	for _, n := range r.Nodes {
-		if n.HeardSecondsAgo < 0 || n.HeardSecondsAgo > 3 {
-			fmt.Fprintf(w, "%s in %s: %s\n", n.Name, n.Zone, heard(n.HeardSecondsAgo))
+		if n.LastReportSecondsAgo < 0 || n.LastReportSecondsAgo > 3 {
+			fmt.Fprintf(w, "%s in %s: %s\n", n.Name, n.Zone, heard(n.LastReportSecondsAgo))
 		} else if n.Plan < r.Plan {
 			behind++
 		}
--- a/cmd/spurwinchctl/policy.go
+++ b/cmd/spurwinchctl/policy.go
@@ -344,7 +344,7 @@
 		switch {
 		case !m.Live:
 			fmt.Fprintf(t, "%s\tout of the view\t\n", m.Name)
-		case !m.Heard:
+		case !m.HasStatus:
 			fmt.Fprintf(t, "%s\tnot heard yet\t\n", m.Name)
 		case !m.MayServe:
 			fmt.Fprintf(t, "%s\tserves nothing\t%s\n", m.Name, m.Answer)
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -80,7 +80,7 @@
 			Key: key, Problem: key + " is missing: the configuration in force has it",
 		}}
 	}
-	node.Settings = node.Settings.After(inForce.Settings)
+	node.Settings = node.Settings.WithIndicesOf(inForce.Settings)
 	return node, nil
 }
 
--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -186,7 +186,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return settings.After(inForce)
+	return settings.WithIndicesOf(inForce)
 }
 
 // TestClassesKeepTheirPlace follows classes that appear, vanish and come back with another deadline.
@@ -222,7 +222,7 @@
 		if err := node.Settings.Check(); err != nil {
 			t.Errorf("the settings of an accepted file: %v", err)
 		}
-		for _, class := range node.Settings.After(node.Settings).Classes {
+		for _, class := range node.Settings.WithIndicesOf(node.Settings).Classes {
 			if class.Deadline <= 0 || class.Removed {
 				t.Errorf("class %+v has no deadline or was removed", class)
 			}
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -32,9 +32,9 @@
 	migrated  int       // connections that were
 }
 
-// Draining reports whether the core rejects new requests. That begins some time after Drain was called, and after
+// RejectsNew reports whether the core rejects new requests. That begins some time after Drain was called, and after
 // DrainToSuccessor only at the end of the shutdown.
-func (c *Core) Draining() bool { return c.drain.rejecting }
+func (c *Core) RejectsNew() bool { return c.drain.rejecting }
 
 // Migrated counts the connections that were migrated since DrainToSuccessor.
 func (c *Core) Migrated() int { return c.drain.migrated }
--- a/internal/failover/agent/golden_values_test.go
+++ b/internal/failover/agent/golden_values_test.go
@@ -107,7 +107,7 @@
 		}},
 		Reason: "a reason", LostNodes: []string{"c"}, LeasedFrom: map[string]float64{"z2": 18.5},
 		LeasedOut: 19.5, Drained: []string{"z2"},
-		Nodes:   []NodeReply{{Name: "b", Zone: "z1", Live: true, Plan: 20, HeardSecondsAgo: 21.5}},
+		Nodes:   []NodeReply{{Name: "b", Zone: "z1", Live: true, Plan: 20, LastReportSecondsAgo: 21.5}},
 		Explain: []string{"a line"},
 		Ended:   &ProposalOutcome{ID: "drain-1", Number: 22, Taken: true},
 		Policy:  goldenPolicyReply(),
@@ -126,7 +126,7 @@
 		Entry:     28,
 		Window:    29.5,
 		Members: []PolicyMember{{
-			Name: "a", Live: true, Heard: true, KnownNumber: 30, ServedNumber: 31, MayServe: true, Answer: "yes",
+			Name: "a", Live: true, HasStatus: true, KnownNumber: 30, ServedNumber: 31, MayServe: true, Answer: "yes",
 		}},
 		Bases: []policy.VersionedBase{{Number: 25, Attempts: 32, Deadline: 33}},
 	}
--- a/internal/failover/agent/policy_calls.go
+++ b/internal/failover/agent/policy_calls.go
@@ -39,7 +39,7 @@
 type PolicyMember struct {
 	Name         string `json:"name"`
 	Live         bool   `json:"live"`
-	Heard        bool   `json:"heard"`
+	HasStatus    bool   `json:"heard"`
 	KnownNumber  uint64 `json:"has"`
 	ServedNumber uint64 `json:"serves"`
 	MayServe     bool   `json:"may_serve"`
@@ -186,7 +186,7 @@
 		described := PolicyMember{
 			Name:         member.Name,
 			Live:         member.Live,
-			Heard:        member.HasStatus,
+			HasStatus:    member.HasStatus,
 			KnownNumber:  member.Status.KnownNumber,
 			ServedNumber: member.Status.ServedNumber,
 			MayServe:     member.Status.MayServe,
--- a/internal/failover/agent/reply.go
+++ b/internal/failover/agent/reply.go
@@ -63,11 +63,11 @@
 
 // NodeReply is a node as the leader sees it.
 type NodeReply struct {
-	Name            string  `json:"name"`
-	Zone            string  `json:"zone"`
-	Live            bool    `json:"live"`
-	Plan            uint64  `json:"plan"`
-	HeardSecondsAgo float64 `json:"heard_s_ago"` // age of its last report in seconds; under 0: it has sent none
+	Name                 string  `json:"name"`
+	Zone                 string  `json:"zone"`
+	Live                 bool    `json:"live"`
+	Plan                 uint64  `json:"plan"`
+	LastReportSecondsAgo float64 `json:"heard_s_ago"` // age of its last report in seconds; under 0: it has sent none
 }
 
 // describe is a reply with what every reply has, the node's own state.
@@ -158,7 +158,7 @@
 		view := a.planner.NodeView(i, now)
 		reply.Nodes = append(reply.Nodes, NodeReply{
 			Name: node.Name, Zone: node.Zone, Live: view.Live, Plan: view.Plan,
-			HeardSecondsAgo: view.LastReportSecondsAgo,
+			LastReportSecondsAgo: view.LastReportSecondsAgo,
 		})
 	}
 }
--- a/internal/lab/faults/injection.go
+++ b/internal/lab/faults/injection.go
@@ -238,7 +238,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := fleetclient.Ask(n.fleet, lab.key, l, n.name, agent.Call{Verb: verb, Arg: zone, ID: fmt.Sprintf("order-%d", time.Now().UnixNano())})
+	r, err := fleetclient.Call(n.fleet, lab.key, l, n.name, agent.Call{Verb: verb, Arg: zone, ID: fmt.Sprintf("order-%d", time.Now().UnixNano())})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
--- a/internal/node/capture.go
+++ b/internal/node/capture.go
@@ -37,7 +37,7 @@
 	writer, err := capture.NewWriter(capture.Options{
 		Path: path, FileSize: int64(options.FileMB) << 20, Files: options.Files, Share: options.Fraction,
 		Key: []byte(options.Key), Queue: options.Queue, Header: header,
-		Fault: func(err error) { zap.L().Error("capture_write_failed", zap.Error(err)) },
+		OnError: func(err error) { zap.L().Error("capture_write_failed", zap.Error(err)) },
 	})
 	if err != nil {
 		return nil, fmt.Errorf("[capture] path = %q: %w", options.Path, err)
@@ -68,7 +68,7 @@
 	if len(classes) > o.classes || len(tenants) > o.tenants {
 		o.classes = len(classes)
 		o.tenants = len(tenants)
-		o.writer.Named(classes, tenants)
+		o.writer.SetNames(classes, tenants)
 	}
 }
 
@@ -77,11 +77,11 @@
 	record := capture.Placed{
 		At: o.writer.Offset(answered.Arrived), Seq: answered.Sequence, Class: answered.Class, Tenant: answered.Tenant,
 		Client: answered.Key, Group: answered.Group, Load: answered.Load, Returned: answered.Returned,
-		Patience: capture.Micros(answered.Deadline.Sub(answered.Arrived)), Took: capture.Micros(answered.Took),
+		TimeLeft: capture.Micros(answered.Deadline.Sub(answered.Arrived)), Took: capture.Micros(answered.Took),
 		Answer: capture.Answer(answered.Answer),
 	}
 	for _, attempt := range answered.Attempts {
-		record.Tries = append(record.Tries, capture.Try{
+		record.Attempts = append(record.Attempts, capture.Attempt{
 			Host: string(attempt.Server), Outcome: uint8(attempt.Outcome), Took: capture.Micros(attempt.Took),
 		})
 	}
@@ -93,7 +93,7 @@
 	sequence uint64, lifetime time.Duration, load float64, cause edge.EndCause,
 ) {
 	o.writer.Put(capture.Ended{
-		At: o.writer.Offset(time.Now()), Seq: sequence, Life: capture.Micros(lifetime), Load: load,
+		At: o.writer.Offset(time.Now()), Seq: sequence, Lifetime: capture.Micros(lifetime), Load: load,
 		Cause: capture.Cause(cause),
 	})
 }
--- a/internal/node/fleetpolicy_test.go
+++ b/internal/node/fleetpolicy_test.go
@@ -52,7 +52,7 @@
 		attempts int
 		deadline time.Duration
 	}{{false, 3, 3 * time.Second}, {true, 1, 2 * time.Second}} {
-		overlaid := withPolicy(document, own, test.onBase).After(own)
+		overlaid := withPolicy(document, own, test.onBase).WithIndicesOf(own)
 		removed := overlaid.Classes[0]
 		if overlaid.ClassByName["b"] != 1 || overlaid.ClassByName["new"] != 2 || !removed.Removed ||
 			removed.Idempotency != choice.NotIdempotent {
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -52,7 +52,7 @@
 	p.processes = processes
 	settings := p.config.Settings
 	if p.overlay != nil {
-		settings = p.overlay(settings).After(p.settings) // classes keep their indices
+		settings = p.overlay(settings).WithIndicesOf(p.settings) // classes keep their indices
 	}
 	p.settings = settings
 	hasPeers := p.peers.socket != nil && len(p.config.Peers) > 0
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -43,7 +43,7 @@
 // ready reports whether this process accepts clients; the admin server answers by it.
 func (p *Program) ready() bool {
 	for _, core := range p.cores {
-		if core.Draining() {
+		if core.RejectsNew() {
 			return false
 		}
 	}
--- a/internal/node/telemetry.go
+++ b/internal/node/telemetry.go
@@ -12,7 +12,7 @@
 // telemetry is what a node counts of its requests, its reloads and the invariants that it checks. All cores of the
 // process share one.
 type telemetry struct {
-	figures stats.Figures
+	figures stats.Counters
 	monitor invariant.Monitor
 	trace   trace.Recorder
 }
--- a/internal/operations/capture/format.go
+++ b/internal/operations/capture/format.go
@@ -86,9 +86,9 @@
 
 // truncateAttempts is the attempts that are recorded, with their hosts' ids as records of hosts have them. The caller's
 // attempts stay as they are.
-func truncateAttempts(attempts []Try) []Try {
+func truncateAttempts(attempts []Attempt) []Attempt {
 	attempts = attempts[:min(len(attempts), maxAttempts)]
-	isLong := func(attempt Try) bool { return len(attempt.Host) > maxNameBytes }
+	isLong := func(attempt Attempt) bool { return len(attempt.Host) > maxNameBytes }
 	if !slices.ContainsFunc(attempts, isLong) {
 		return attempts
 	}
--- a/internal/operations/capture/golden_test.go
+++ b/internal/operations/capture/golden_test.go
@@ -28,20 +28,20 @@
 	records := []Record{
 		Host{At: 1, ID: "host-2", Zone: "zone-3", Kind: "kind-4", State: 1},
 		Placed{
-			At: 5, Seq: 6, Class: 2, Tenant: 1, Client: 7, Group: 8, Load: 0.9, Returned: true, Patience: 10,
+			At: 5, Seq: 6, Class: 2, Tenant: 1, Client: 7, Group: 8, Load: 0.9, Returned: true, TimeLeft: 10,
 			Took: 11, Answer: 3,
-			Tries: []Try{{Host: "host-12", Outcome: 5, Took: 13}, {Host: "host-14", Outcome: 1, Took: 15}},
+			Attempts: []Attempt{{Host: "host-12", Outcome: 5, Took: 13}, {Host: "host-14", Outcome: 1, Took: 15}},
 		},
-		Ended{At: 16, Seq: 17, Life: 18, Cause: 2, Load: 1.9},
+		Ended{At: 16, Seq: 17, Lifetime: 18, Cause: 2, Load: 1.9},
 		Report{At: 20, Host: "host-21", Values: []float32{22.5, -23.5, 24.5}},
 		Dropped{At: 25, Count: 26},
 		Host{At: 27, ID: "host-28", Zone: "zone-29", Kind: "kind-30", State: 2},
 		Placed{At: 31, Seq: 32, Tenant: -1},
 	}
-	for i, answer := range []Answer{Up, Served, Refused, Failed, Left} {
+	for i, answer := range []Answer{Open, Served, Rejected, Failed, ClientLeft} {
 		records = append(records, Placed{At: 40 + int64(i), Seq: 50, Tenant: 0, Answer: answer})
 	}
-	for i, cause := range []Cause{ByClient, ByHost, Moved, Carried} {
+	for i, cause := range []Cause{ByClient, ByServer, Migrated, Transferred} {
 		records = append(records, Ended{At: 60 + int64(i), Seq: 51, Cause: cause})
 	}
 	return records
@@ -53,8 +53,8 @@
 	t.Helper()
 	writer := newWriter(Options{
 		Path: filepath.Join(t.TempDir(), "load"), FileSize: 1 << 20, Files: 1, Share: 1,
-		Key: []byte("0123456789abcdef"), Began: time.Unix(0, goldenHeader.Start),
-		Fault: func(err error) { t.Error(err) },
+		Key: []byte("0123456789abcdef"), Start: time.Unix(0, goldenHeader.Start),
+		OnError: func(err error) { t.Error(err) },
 	})
 	writer.header = goldenHeader
 	writer.files.number = goldenHeader.File
--- a/internal/operations/capture/helpers_test.go
+++ b/internal/operations/capture/helpers_test.go
@@ -13,8 +13,8 @@
 	return Options{
 		Path: filepath.Join(tb.TempDir(), "load"), FileSize: 1 << 20, Files: 1, Share: 1,
 		Key: []byte("0123456789abcdef"), Queue: 64,
-		Header: Header{Node: "n1", Classes: []string{"a"}},
-		Fault:  func(err error) { tb.Error(err) },
+		Header:  Header{Node: "n1", Classes: []string{"a"}},
+		OnError: func(err error) { tb.Error(err) },
 	}
 }
 
@@ -49,9 +49,9 @@
 	for i := range requests {
 		writer.Put(Placed{
 			At: int64(i) * 1000, Seq: uint64(i), Class: i % 2, Client: uint64(i + 1), Group: uint64(i%7 + 1),
-			Load: 0.25, Took: 3000, Tries: []Try{{Host: "h1", Took: 2900}},
+			Load: 0.25, Took: 3000, Attempts: []Attempt{{Host: "h1", Took: 2900}},
 		})
-		writer.Put(Ended{At: int64(i)*1000 + 500, Seq: uint64(i), Life: 500})
+		writer.Put(Ended{At: int64(i)*1000 + 500, Seq: uint64(i), Lifetime: 500})
 	}
 	closeWriter(writer)
 	if writer.Dropped() > 0 {
@@ -74,7 +74,7 @@
 		switch record := record.(type) {
 		case Placed:
 			count.placed++
-			oneAttempt := len(record.Tries) == 1 && record.Tries[0].Host == "h1"
+			oneAttempt := len(record.Attempts) == 1 && record.Attempts[0].Host == "h1"
 			if record.Load != 0.25 || !oneAttempt || record.Client < 5000 {
 				tb.Fatalf("a request is read as %+v", record)
 			}
--- a/internal/operations/capture/limits_test.go
+++ b/internal/operations/capture/limits_test.go
@@ -29,12 +29,12 @@
 func TestLongHostOfAttempts(t *testing.T) {
 	writer := startWriter(t, options(t))
 	id := strings.Repeat("x", maxRawBytes/maxAttempts)
-	attempts := make([]Try, maxAttempts+1)
+	attempts := make([]Attempt, maxAttempts+1)
 	for i := range attempts {
 		attempts[i].Host = id
 	}
 	writer.Put(Host{ID: id})
-	writer.Put(Placed{Seq: 1, Tenant: -1, Tries: attempts})
+	writer.Put(Placed{Seq: 1, Tenant: -1, Attempts: attempts})
 	writer.Put(Report{Host: id})
 	closeWriter(writer)
 	var names []string
@@ -43,7 +43,7 @@
 		case Host:
 			names = append(names, record.ID)
 		case Placed:
-			for _, attempt := range record.Tries {
+			for _, attempt := range record.Attempts {
 				names = append(names, attempt.Host)
 			}
 		case Report:
--- a/internal/operations/capture/reader.go
+++ b/internal/operations/capture/reader.go
@@ -129,7 +129,7 @@
 	case kindEnded:
 		var record Ended
 		err := r.decode(&record)
-		if err == nil && record.Life < 0 {
+		if err == nil && record.Lifetime < 0 {
 			err = errNegativeLifetime
 		}
 		r.clock.adjust(&record.At)
--- a/internal/operations/capture/record.go
+++ b/internal/operations/capture/record.go
@@ -35,16 +35,16 @@
 type Answer uint8
 
 const (
-	// Up is an open connection.
-	Up Answer = iota
+	// Open is an open connection.
+	Open Answer = iota
 	// Served is a server's whole answer, without an open connection.
 	Served
-	// Refused is a local reply that promises that a retry is harmless.
-	Refused
+	// Rejected is a local reply that promises that a retry is harmless.
+	Rejected
 	// Failed is a local reply that promises nothing.
 	Failed
-	// Left says that the client left before any answer.
-	Left
+	// ClientLeft says that the client left before any answer.
+	ClientLeft
 )
 
 var answerNames = []string{"up", "served", "refused", "failed", "left"}
@@ -63,12 +63,12 @@
 const (
 	// ByClient says that the client ended it or lost it.
 	ByClient Cause = iota
-	// ByHost says that the host ended it or lost it.
-	ByHost
-	// Moved says that the node asked the client to reconnect.
-	Moved
-	// Carried says that it goes on in another process of the node, whose capture doesn't have it.
-	Carried
+	// ByServer says that the server ended it or lost it.
+	ByServer
+	// Migrated says that the node asked the client to reconnect.
+	Migrated
+	// Transferred says that it goes on in another process of the node, whose capture doesn't have it.
+	Transferred
 )
 
 // stateGone is Host.State of a host that is no longer on the endpoint list.
@@ -88,13 +88,13 @@
 		Group    uint64 // 0: none
 		Load     float64
 		Returned bool  // the client was asked to reconnect and comes back
-		Patience int64 // from the arrival to the deadline
+		TimeLeft int64 // from the arrival to the deadline
 		Took     int64 // to the answer
 		Answer   Answer
-		Tries    []Try
+		Attempts []Attempt
 	}
-	// Try is one attempt. Outcome counts as choice.Outcome does.
-	Try struct {
+	// Attempt is one attempt. Outcome counts as choice.Outcome does.
+	Attempt struct {
 		_       struct{} `cbor:",toarray"`
 		Host    string
 		Outcome uint8
@@ -102,12 +102,12 @@
 	}
 	// Ended is the end of an open connection.
 	Ended struct {
-		_     struct{} `cbor:",toarray"`
-		At    int64
-		Seq   uint64
-		Life  int64 // since it was opened
-		Cause Cause
-		Load  float64 // of its last load update; 0: there was none
+		_        struct{} `cbor:",toarray"`
+		At       int64
+		Seq      uint64
+		Lifetime int64 // since it was opened
+		Cause    Cause
+		Load     float64 // of its last load update; 0: there was none
 	}
 	// Report is a host's load report.
 	Report struct {
--- a/internal/operations/capture/sample.go
+++ b/internal/operations/capture/sample.go
@@ -44,7 +44,7 @@
 	if sampled <= s.limit {
 		return true
 	}
-	if request.Answer == Up {
+	if request.Answer == Open {
 		s.skip(request.Seq)
 	}
 	return false
--- a/internal/operations/capture/writer.go
+++ b/internal/operations/capture/writer.go
@@ -24,10 +24,10 @@
 	Key      []byte  // for the pseudonyms of clients and groups
 	Queue    int     // records that may wait for the writer
 	Header   Header
-	Began    time.Time // of offset 0; zero: now
-	// Fault is called with what could not be written, on the writer's goroutine. Capturing goes on with the next
+	Start    time.Time // of offset 0; zero: now
+	// OnError is called with what could not be written, on the writer's goroutine. Capturing goes on with the next
 	// block.
-	Fault func(error)
+	OnError func(error)
 }
 
 // Writer writes records on a goroutine of its own. Put never waits.
@@ -64,7 +64,7 @@
 
 // newWriter makes a writer without a file or a goroutine.
 func newWriter(options Options) *Writer {
-	start := options.Began
+	start := options.Start
 	if start.IsZero() {
 		start = time.Now()
 	}
@@ -72,7 +72,7 @@
 		queue:   make(chan Record, options.Queue),
 		done:    make(chan struct{}),
 		start:   start,
-		onError: options.Fault,
+		onError: options.OnError,
 		header:  options.Header,
 		sampler: newSampler(options.Key, options.Share),
 		hosts:   map[string]Host{},
@@ -103,9 +103,9 @@
 // PutWait queues a record and waits for room. It is for tools; a node must not wait.
 func (w *Writer) PutWait(record Record) { w.queue <- record }
 
-// Named sets the names of classes and tenants, of which there are more now: records put from now on may have indices
+// SetNames sets the names of classes and tenants, of which there are more now: records put from now on may have indices
 // of the new ones. The open file ends, since its header has the old ones.
-func (w *Writer) Named(classes, tenants []string) { w.newNames.Store(&names{classes, tenants}) }
+func (w *Writer) SetNames(classes, tenants []string) { w.newNames.Store(&names{classes, tenants}) }
 
 // Files are the files that are kept, oldest first. It may be called after Close, when they are complete.
 func (w *Writer) Files() []string { return w.files.names }
@@ -154,7 +154,7 @@
 	case Placed:
 		w.applyNames()
 		if w.sampler.takeRequest(&record) {
-			record.Tries = truncateAttempts(record.Tries)
+			record.Attempts = truncateAttempts(record.Attempts)
 			w.encode(record)
 		}
 	case Ended:
--- a/internal/operations/capture/writer_test.go
+++ b/internal/operations/capture/writer_test.go
@@ -52,7 +52,7 @@
 	options.Files = 9
 	writer := startWriter(t, options)
 	writer.Put(Placed{Seq: 1, Class: 0, Client: 1, Tenant: -1})
-	writer.Named([]string{"a", "b"}, []string{"t"})
+	writer.SetNames([]string{"a", "b"}, []string{"t"})
 	writer.Put(Placed{Seq: 2, Class: 1, Client: 2, Tenant: 0})
 	closeWriter(writer)
 	got := map[string]int{}
@@ -101,7 +101,7 @@
 	options.FileSize = 1 << 40
 	options.Queue = 1 << 16
 	options.Header = Header{Classes: []string{"a"}, Tenants: []string{"t"}}
-	options.Fault = nil
+	options.OnError = nil
 	writer := startWriter(b, options)
 	hosts := []string{"s-5be2a07c", "s-19ac04e1", "s-77f0b2d9", "s-c0ffee00"}
 	b.ResetTimer()
@@ -110,9 +110,9 @@
 		writer.Put(Placed{
 			At: int64(i)*700000 + int64(random>>50), Seq: uint64(i),
 			Client: random | 1, Group: random>>40 | 1, Took: int64(random >> 52),
-			Tries: []Try{{Host: hosts[random>>62], Took: int64(random >> 52)}},
+			Attempts: []Attempt{{Host: hosts[random>>62], Took: int64(random >> 52)}},
 		})
-		writer.Put(Ended{At: int64(i)*700000 + 30e6, Seq: uint64(i), Life: int64(random >> 38)})
+		writer.Put(Ended{At: int64(i)*700000 + 30e6, Seq: uint64(i), Lifetime: int64(random >> 38)})
 	}
 	b.StopTimer()
 	dropped := writer.Dropped()
--- a/internal/operations/fleetclient/fleetclient.go
+++ b/internal/operations/fleetclient/fleetclient.go
@@ -36,10 +36,10 @@
 	return fmt.Sprintf("%s: an answer of %d bytes", e.Node, e.Bytes)
 }
 
-// Ask sends an operator's call to the node with that name at addr (HOST:PORT) and returns its reply. The call is
+// Call sends an operator's call to the node with that name at addr (HOST:PORT) and returns its reply. The call is
 // sealed with the fleet's key. The error is ErrNoAnswer, a *ReplySizeError, one of the network, or one of agent.Unseal;
 // what the node itself objects to is in the reply.
-func Ask(addr string, key []byte, fleet *config.FleetList, node string, call agent.Call) (agent.Reply, error) {
+func Call(addr string, key []byte, fleet *config.FleetList, node string, call agent.Call) (agent.Reply, error) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return agent.Reply{}, err
--- a/internal/operations/stats/golden_test.go
+++ b/internal/operations/stats/golden_test.go
@@ -9,7 +9,7 @@
 
 // TestGoldenFigures writes each figure that there is with a value of its own.
 func TestGoldenFigures(t *testing.T) {
-	var f Figures
+	var f Counters
 	*f.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
 	*f.Class("class-2") = edge.Counts{Served: 21, Rejected: 22, Failed: 23}
 	f.Attempts = 31
--- a/internal/operations/stats/stats.go
+++ b/internal/operations/stats/stats.go
@@ -12,8 +12,8 @@
 	"spurwinch/internal/edge"
 )
 
-// Figures are the counts of one process, from its start on.
-type Figures struct {
+// Counters are the counts of one process, from its start on.
+type Counters struct {
 	Attempts      uint64        // written completely to a server
 	ReloadsOK     uint64        // reloads of the configuration that took effect
 	ReloadsFailed uint64        // reloads that were rejected
@@ -36,11 +36,11 @@
 )
 
 // Attempt counts an attempt whose line the kernel has taken completely.
-func (f *Figures) Attempt() { f.Attempts++ }
+func (f *Counters) Attempt() { f.Attempts++ }
 
 // Class is the counter of a class, the same one for a name as long as the process runs: a class that vanishes from the
 // settings and comes back goes on where it was.
-func (f *Figures) Class(name string) *edge.Counts {
+func (f *Counters) Class(name string) *edge.Counts {
 	name = escapeName(name)
 	i, ok := slices.BinarySearchFunc(f.classes, name, func(class classCounts, name string) int {
 		return strings.Compare(class.name, name)
@@ -62,7 +62,7 @@
 }
 
 // Append appends all counters and the given gauges to buf, one a line, and returns the extended buffer.
-func (f *Figures) Append(buf []byte, gauges edge.Gauges) []byte {
+func (f *Counters) Append(buf []byte, gauges edge.Gauges) []byte {
 	for _, class := range f.classes {
 		buf = AppendCounter(buf, class.Served, "requests", class.name, "served")
 		buf = AppendCounter(buf, class.Rejected, "requests", class.name, "refused")
@@ -76,7 +76,7 @@
 	return AppendCounter(buf, f.ReloadsFailed, "reloads_failed")
 }
 
-// AppendCounter appends one counter to buf, in the form of Figures.Append. The words of its name are joined by dots.
+// AppendCounter appends one counter to buf, in the form of Counters.Append. The words of its name are joined by dots.
 func AppendCounter(buf []byte, value uint64, name ...string) []byte {
 	return appendMetric(buf, value, counter, name...)
 }
--- a/internal/operations/stats/stats_test.go
+++ b/internal/operations/stats/stats_test.go
@@ -8,7 +8,7 @@
 
 // TestText checks the form, a class that is looked up twice, and names with characters that separate a line's parts.
 func TestText(t *testing.T) {
-	var f Figures
+	var f Counters
 	f.Class("b").Served = 812
 	f.Class("a.b:c|d e").Failed = 2
 	f.Class("b").Rejected++
--- a/internal/plan/workload/capture.go
+++ b/internal/plan/workload/capture.go
@@ -172,7 +172,7 @@
 	if record.Tenant >= 0 {
 		request.Tenant = indexOfName(m.tenants, &m.captured.Tenants, header.Tenants[record.Tenant])
 	}
-	if record.Answer == capture.Up {
+	if record.Answer == capture.Open {
 		m.open[connectionKey{header.Node, header.Start, record.Seq}] = len(m.captured.Requests)
 	}
 	m.captured.Requests = append(m.captured.Requests, request)
@@ -186,8 +186,8 @@
 		return
 	}
 	request := &m.captured.Requests[i]
-	request.Lifetime = capture.Duration(record.Life)
-	request.Ended = record.Cause != capture.Carried
+	request.Lifetime = capture.Duration(record.Lifetime)
+	request.Ended = record.Cause != capture.Transferred
 	request.Cause = record.Cause
 	request.ReportedLoad = record.Load
 	delete(m.open, key)
--- a/internal/plan/workload/load_test.go
+++ b/internal/plan/workload/load_test.go
@@ -86,12 +86,12 @@
 			Ended:    true,
 		})
 	}
-	add(1, 7, capture.Refused, 0)
-	add(1.5, 7, capture.Refused, 0)
-	add(2, 7, capture.Up, 5)
-	add(3, 8, capture.Up, 1)
-	add(8, 7, capture.Up, 4)  // after a reset
-	add(40, 7, capture.Up, 2) // much later: a session of its own
+	add(1, 7, capture.Rejected, 0)
+	add(1.5, 7, capture.Rejected, 0)
+	add(2, 7, capture.Open, 5)
+	add(3, 8, capture.Open, 1)
+	add(8, 7, capture.Open, 4)  // after a reset
+	add(40, 7, capture.Open, 2) // much later: a session of its own
 	load, err := captured.Sessions(eveningFleet(t), 1)
 	if err != nil || len(load.Sessions) != 3 {
 		t.Fatalf("%+v, %v", load, err)
--- a/internal/plan/workload/sessions.go
+++ b/internal/plan/workload/sessions.go
@@ -132,7 +132,7 @@
 	class := b.classes[request.Class]
 	begin := request.At
 	end := begin + capture.Duration(request.Took) + request.Lifetime
-	if !request.Ended && request.Answer == capture.Up {
+	if !request.Ended && request.Answer == capture.Open {
 		end += time.Duration(b.rng.ExpFloat64() * float64(b.fleet.Classes[class].Lifetime))
 	}
 	if b.extend(request.Client, class, begin, end) {
--- a/internal/plan/workload/summary.go
+++ b/internal/plan/workload/summary.go
@@ -93,7 +93,7 @@
 	for i := range c.Requests {
 		request := &c.Requests[i]
 		switch {
-		case request.Answer != capture.Up:
+		case request.Answer != capture.Open:
 		case !request.Ended:
 			counts["none"]++
 		default:
@@ -140,7 +140,7 @@
 	for i := range captured.Requests {
 		request := &captured.Requests[i]
 		times = append(times, capture.Duration(request.Took).Seconds()*1000)
-		attempts += len(request.Tries)
+		attempts += len(request.Attempts)
 	}
 	s.Attempts = float64(attempts) / float64(len(captured.Requests))
 	slices.Sort(times)
@@ -171,7 +171,7 @@
 	var changes []change
 	for i := range captured.Requests {
 		request := &captured.Requests[i]
-		if request.Answer != capture.Up {
+		if request.Answer != capture.Open {
 			continue
 		}
 		established := request.At + capture.Duration(request.Took)
@@ -211,7 +211,7 @@
 
 func (b *Breakdown) add(request *Request) {
 	b.count++
-	if request.Answer == capture.Refused {
+	if request.Answer == capture.Rejected {
 		b.rejections++
 	}
 	if load := request.load(); load > 0 {
--- a/internal/plan/workload/write.go
+++ b/internal/plan/workload/write.go
@@ -58,8 +58,8 @@
 		Key:      []byte("drawn: nobody's data"),
 		Queue:    writeQueue,
 		Header:   header,
-		Began:    began,
-		Fault:    func(err error) { failure = err },
+		Start:    began,
+		OnError:  func(err error) { failure = err },
 	})
 	if err != nil {
 		return "", err
@@ -99,7 +99,7 @@
 		})
 		if session.End() < l.Length {
 			end := session.End().Microseconds()
-			add(end, capture.Ended{At: end, Seq: uint64(i), Life: session.Lifetime.Microseconds()})
+			add(end, capture.Ended{At: end, Seq: uint64(i), Lifetime: session.Lifetime.Microseconds()})
 		}
 	}
 	// The first and the last record give the load's length.
--- a/internal/platform/downstream/client.go
+++ b/internal/platform/downstream/client.go
@@ -84,7 +84,7 @@
 // Evict ends a connection without a request whose descriptor is needed for another client.
 func (c *client) Evict() {
 	cause := trace.ClientEvicted
-	if c.front.core.Draining() {
+	if c.front.core.RejectsNew() {
 		cause = trace.NodeStopping
 	}
 	if c.pinged {
--- a/internal/platform/downstream/front.go
+++ b/internal/platform/downstream/front.go
@@ -102,7 +102,7 @@
 }
 
 // AcceptsNew reports whether clients are accepted and placed now.
-func (f *Front) AcceptsNew() bool { return f.ready && !f.core.Draining() }
+func (f *Front) AcceptsNew() bool { return f.ready && !f.core.RejectsNew() }
 
 // Accept takes a new connection. The loop has made room for it, as far as there were connections that had sent no
 // request yet. Beyond the limit some are still accepted, to reply to PING and to reject politely; then none, which
--- a/internal/simwire/handler.go
+++ b/internal/simwire/handler.go
@@ -27,8 +27,8 @@
 	events   []choice.Event // of the present batch; nil: none, and Step isn't called
 }
 
-// NewHost makes a handler without instances.
-func NewHost() *Handler { return &Handler{instances: map[string]*instance{}} }
+// NewHandler makes a handler without instances.
+func NewHandler() *Handler { return &Handler{instances: map[string]*instance{}} }
 
 // Handle takes one batch, a line of JSON, and returns its reply, a line of JSON. An error names the batch and the
 // event, and wraps one of this package's errors; the handler must not be used after one.
--- a/internal/simwire/handler_test.go
+++ b/internal/simwire/handler_test.go
@@ -45,7 +45,7 @@
 
 // TestBatchesBecomeReplies starts an instance, has it place a request, stops it and starts it anew.
 func TestBatchesBecomeReplies(t *testing.T) {
-	handler := NewHost()
+	handler := NewHandler()
 	const empty = "{\"seq\":0,\"steps\":[]}\n"
 	if got := handle(t, handler, `{"tsS":0.5,"seq":0,"inbox":[]}`); got != empty {
 		t.Fatalf("an empty batch: got reply %q, want %q", got, empty)
@@ -96,7 +96,7 @@
 		{invalidEvent(`"op":"Enlist","nodeId":"node_1","nonce64":1,"setup":{"az":"a"}`), "customers is missing"},
 		{invalidEvent(`"op":"Stop"`), "nodeId"},
 	} {
-		handler := NewHost()
+		handler := NewHandler()
 		handle(t, handler, startBatch("1"))
 		_, err := handler.Handle([]byte(test.line))
 		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -40,10 +40,10 @@
 	return decoded.settings()
 }
 
-// After is the settings with the indices of those in force: classes and tenants keep their indices by name, and
+// WithIndicesOf is the settings with the indices of those in force: classes and tenants keep their indices by name, and
 // new ones get the next. One that is not there any more keeps its index, without a name to be found by: a class as a
 // removed one, a tenant without a share.
-func (s Settings) After(inForce Settings) Settings {
+func (s Settings) WithIndicesOf(inForce Settings) Settings {
 	classes := slices.Clone(inForce.Classes)
 	for i := range classes {
 		classes[i].Removed = true
