--- a/internal/lab/mutations/mutations.go
+++ b/internal/lab/mutations/mutations.go
@@ -1,5 +1,6 @@
-// Package mutations breaks the program in known ways, one for each rule, and holds that the laboratory sees it: a checker that finds nothing
-// proves nothing until it has been seen to find something.
+// Package mutations is a mutation test of the history checker. It breaks the program in known ways, one for each rule,
+// and plays simulated schedules until the checker reports the rule: a checker that finds nothing proves nothing until
+// it has been seen to find something.
 package mutations
 
 import (
@@ -12,6 +13,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"time"
 
@@ -21,7 +23,14 @@
 //go:embed mutations.toml
 var listed []byte
 
-// Mutation is one way to break the program.
+// scheduleTimeout bounds the run of all schedules of one mutation.
+const scheduleTimeout = 5 * time.Minute
+
+// statusViolation is the exit status of "lab explore" when a rule was broken.
+const statusViolation = 1
+
+// Mutation is one way to break the program: up to three replacements of text in one file, the rule that they break, and
+// the scenario and the length of the schedules that show it.
 type Mutation struct {
 	Rule   string            `toml:"rule"`
 	What   string            `toml:"what"`
@@ -36,24 +45,63 @@
 	Length tomlfile.Duration `toml:"length,omitzero"`
 }
 
-// Result is what came of one.
+// Result is the outcome of one mutation.
 type Result struct {
 	Mutation
-	Caught bool     `json:"caught"`
-	Rules  []string `json:"rules"` // that were broken
-	Err    error    `json:"-"`
+	Caught bool     `json:"caught"` // its own rule was broken
+	Rules  []string `json:"rules"`  // all rules that were broken
+	Err    error    `json:"-"`      // it could not be applied, built or run
+}
+
+// MatchError reports a text that a mutation replaces and that doesn't occur exactly once in its file.
+type MatchError struct {
+	File     string
+	Mutation string // its description
+	Text     string
+	Count    int // occurrences of Text
+}
+
+func (e *MatchError) Error() string {
+	firstLine, _, _ := strings.Cut(e.Text, "\n")
+	return fmt.Sprintf("%s: the text that mutation %q replaces occurs %d times, not once: %s",
+		e.File, e.Mutation, e.Count, firstLine)
+}
+
+// BuildError reports a mutation that doesn't compile.
+type BuildError struct {
+	Err    error
+	Output []byte // of the compiler
 }
 
-// All are the mutations, as they are listed.
+func (e *BuildError) Error() string { return fmt.Sprintf("it doesn't build: %v: %s", e.Err, e.Output) }
+
+// Unwrap returns the error of the build command.
+func (e *BuildError) Unwrap() error { return e.Err }
+
+// All returns the listed mutations.
 func All() ([]Mutation, error) {
 	var file struct {
 		Mutations []Mutation `toml:"mutation"`
 	}
-	f := tomlfile.Decode("mutations.toml", listed, &file)
-	return file.Mutations, f.Err()
+	decoded := tomlfile.Decode("mutations.toml", listed, &file)
+	return file.Mutations, decoded.Err()
+}
+
+// replacement is one change of text.
+type replacement struct{ before, after string }
+
+// replacements returns the changes of text that make up the mutation.
+func (m Mutation) replacements() []replacement {
+	var listed []replacement
+	for _, pair := range []replacement{{m.Old, m.New}, {m.Old2, m.New2}, {m.Old3, m.New3}} {
+		if pair.before != "" {
+			listed = append(listed, pair)
+		}
+	}
+	return listed
 }
 
-// Apply makes the mutation in a copy of the source. What it looks for must stand there once.
+// Apply makes the mutation in a copy of the source. A text that doesn't occur exactly once is a *MatchError.
 func (m Mutation) Apply(root string) error {
 	path := filepath.Join(root, m.File)
 	raw, err := os.ReadFile(path)
@@ -61,20 +109,18 @@
 		return err
 	}
 	text := string(raw)
-	for _, x := range [][2]string{{m.Old, m.New}, {m.Old2, m.New2}, {m.Old3, m.New3}} {
-		if x[0] == "" {
-			continue
-		}
-		if n := strings.Count(text, x[0]); n != 1 {
-			return fmt.Errorf("%s: what mutation %q looks for stands there %d times, not once: %s", m.File, m.What, n, strings.SplitN(x[0], "\n", 2)[0])
+	for _, pair := range m.replacements() {
+		if count := strings.Count(text, pair.before); count != 1 {
+			return &MatchError{File: m.File, Mutation: m.What, Text: pair.before, Count: count}
 		}
-		text = strings.Replace(text, x[0], x[1], 1)
+		text = strings.Replace(text, pair.before, pair.after, 1)
 	}
 	return os.WriteFile(path, []byte(text), 0o600)
 }
 
-// Play makes each mutation in a copy of the source, builds it there and plays schedules by seed until a rule is broken. told hears of each.
-func Play(ctx context.Context, source string, seeds int, told func(Result)) error {
+// Play makes each mutation in a copy of the source, builds it there and plays schedules of the seeds 1 to seeds. report
+// is called after each mutation; an error of a single one is in its Result.
+func Play(ctx context.Context, source string, seeds int, report func(Result)) error {
 	all, err := All()
 	if err != nil {
 		return err
@@ -83,90 +129,112 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary directory; the system clears what stays
 	root := filepath.Join(dir, "source")
 	if err := copyTree(source, root); err != nil {
-		return err
+		return fmt.Errorf("copy the source: %w", err)
 	}
-	for _, m := range all {
+	for _, mutation := range all {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		path := filepath.Join(root, m.File)
-		before, err := os.ReadFile(path)
+		result, err := mutation.try(ctx, root, filepath.Join(dir, "mutant"), seeds)
 		if err != nil {
 			return err
 		}
-		r := Result{Mutation: m}
-		if r.Err = m.Apply(root); r.Err == nil {
-			r.Caught, r.Rules, r.Err = m.play(ctx, root, filepath.Join(dir, "mutant"), seeds)
-		}
-		if err := os.WriteFile(path, before, 0o600); err != nil {
-			return err
-		}
-		told(r)
+		report(result)
 	}
 	return nil
 }
 
-func (m Mutation) play(ctx context.Context, root, program string, seeds int) (caught bool, rules []string, err error) {
+// try applies the mutation below root, plays it and restores the file. Its error is one of the restoring.
+func (m Mutation) try(ctx context.Context, root, program string, seeds int) (Result, error) {
+	result := Result{Mutation: m}
+	path := filepath.Join(root, m.File)
+	original, err := os.ReadFile(path)
+	if err != nil {
+		return result, err
+	}
+	result.Err = m.Apply(root)
+	if result.Err == nil {
+		result.Rules, result.Err = m.play(ctx, root, program, seeds)
+		result.Caught = slices.Contains(result.Rules, m.Rule)
+	}
+	return result, os.WriteFile(path, original, 0o600)
+}
+
+// play builds the mutated source below root as program, plays its schedules and returns the rules that they broke.
+func (m Mutation) play(ctx context.Context, root, program string, seeds int) ([]string, error) {
 	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/spurwinchctl")
 	build.Dir = root
-	if out, err := build.CombinedOutput(); err != nil {
-		return false, nil, fmt.Errorf("it doesn't build: %w: %s", err, out)
+	if output, err := build.CombinedOutput(); err != nil {
+		return nil, &BuildError{Err: err, Output: output}
 	}
-	ctx, stop := context.WithTimeout(ctx, 5*time.Minute)
-	defer stop()
-	run := exec.CommandContext(ctx, program, "lab", "explore", "failover", "--seeds", fmt.Sprintf("1..%d", seeds), "--nodes", "24", "--zones", "4",
-		"--regions", "2", "--faults", m.Faults, "--length", time.Duration(m.Length).String(), "--json")
-	out, err := run.Output()
-	var ended *exec.ExitError
-	if err != nil && !(errors.As(err, &ended) && ended.ExitCode() == 1) {
-		return false, nil, err
+	ctx, cancel := context.WithTimeout(ctx, scheduleTimeout)
+	defer cancel()
+	run := exec.CommandContext(ctx, program, "lab", "explore", "failover",
+		"--seeds", fmt.Sprintf("1..%d", seeds), "--nodes", "24", "--zones", "4", "--regions", "2",
+		"--faults", m.Faults, "--length", time.Duration(m.Length).String(), "--json")
+	output, err := run.Output()
+	var exit *exec.ExitError
+	foundViolation := errors.As(err, &exit) && exit.ExitCode() == statusViolation
+	if err != nil && !foundViolation {
+		return nil, fmt.Errorf("play the schedules: %w", err)
 	}
-	var sum struct {
+	return brokenRules(output)
+}
+
+// brokenRules returns the rules that the JSON summary of "lab explore" names as broken, each once.
+func brokenRules(output []byte) ([]string, error) {
+	var summary struct {
 		Broken []struct {
-			Violations []struct{ Rule string }
-		}
+			Violations []struct {
+				Rule string `json:"rule"`
+			} `json:"violations"`
+		} `json:"broken"`
 	}
-	if err := json.Unmarshal(out, &sum); err != nil {
-		return false, nil, err
+	if err := json.Unmarshal(output, &summary); err != nil {
+		return nil, fmt.Errorf("read the summary: %w", err)
 	}
-	seen := map[string]bool{}
-	for _, b := range sum.Broken {
-		for _, v := range b.Violations {
-			if !seen[v.Rule] {
-				seen[v.Rule] = true
-				rules = append(rules, v.Rule)
+	var rules []string
+	for _, schedule := range summary.Broken {
+		for _, violation := range schedule.Violations {
+			if !slices.Contains(rules, violation.Rule) {
+				rules = append(rules, violation.Rule)
 			}
 		}
 	}
-	return seen[m.Rule], rules, nil
+	return rules, nil
 }
 
-// copyTree copies what a build needs.
-func copyTree(from, to string) error {
-	return filepath.WalkDir(from, func(path string, d fs.DirEntry, err error) error {
+// copyTree copies the files that a build needs.
+func copyTree(source, target string) error {
+	return filepath.WalkDir(source, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		rel, err := filepath.Rel(from, path)
+		relative, err := filepath.Rel(source, path)
 		if err != nil {
 			return err
 		}
-		if d.IsDir() {
-			if name := d.Name(); rel != "." && (name == "journal" || name == "bin" || strings.HasPrefix(name, ".")) {
+		if entry.IsDir() {
+			if relative != "." && notBuilt(entry.Name()) {
 				return filepath.SkipDir
 			}
-			return os.MkdirAll(filepath.Join(to, rel), 0o700)
+			return os.MkdirAll(filepath.Join(target, relative), 0o700)
 		}
-		if !d.Type().IsRegular() {
+		if !entry.Type().IsRegular() {
 			return nil
 		}
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		return os.WriteFile(filepath.Join(to, rel), raw, 0o600)
+		return os.WriteFile(filepath.Join(target, relative), raw, 0o600)
 	})
 }
+
+// notBuilt reports whether a build needs nothing of a directory of that name.
+func notBuilt(name string) bool {
+	return name == "journal" || name == "bin" || strings.HasPrefix(name, ".")
+}
--- a/internal/lab/mutations/mutations_test.go
+++ b/internal/lab/mutations/mutations_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// TestMutationsFit holds that each listed mutation still finds, once, what it changes: else the command that plays them would show nothing.
-func TestMutationsFit(t *testing.T) {
+// TestMutationsApply checks that each text that a mutation replaces still occurs once in its file: else the command
+// that plays them would show nothing.
+func TestMutationsApply(t *testing.T) {
 	all, err := All()
 	if err != nil {
 		t.Fatal(err)
@@ -18,34 +19,35 @@
 	if len(all) < 8 {
 		t.Errorf("%d mutations", len(all))
 	}
-	for _, m := range all {
-		raw, err := os.ReadFile(filepath.Join("..", "..", "..", m.File))
+	for _, mutation := range all {
+		raw, err := os.ReadFile(filepath.Join("..", "..", "..", mutation.File))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, old := range []string{m.Old, m.Old2, m.Old3} {
-			if n := strings.Count(string(raw), old); old != "" && n != 1 {
-				t.Errorf("%s: %q stands %d times in %s", m.What, old, n, m.File)
+		for _, old := range []string{mutation.Old, mutation.Old2, mutation.Old3} {
+			if count := strings.Count(string(raw), old); old != "" && count != 1 {
+				t.Errorf("%s: %q occurs %d times in %s", mutation.What, old, count, mutation.File)
 			}
 		}
 		root := t.TempDir()
-		path := filepath.Join(root, m.File)
+		path := filepath.Join(root, mutation.File)
 		if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.WriteFile(path, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := m.Apply(root); err != nil {
+		if err := mutation.Apply(root); err != nil {
 			t.Error(err)
 		}
-		if m.Apply(root) == nil && m.New != "" && !strings.Contains(m.New, m.Old) {
-			t.Errorf("%s: made twice", m.What)
+		if mutation.Apply(root) == nil && mutation.New != "" && !strings.Contains(mutation.New, mutation.Old) {
+			t.Errorf("%s: could be applied twice", mutation.What)
 		}
 	}
 }
 
-// TestMutationsBuild holds that the package of each listed mutation builds with it: one that doesn't would break no rule when it is played.
+// TestMutationsBuild checks that the package of each listed mutation compiles with it: one that doesn't would break no
+// rule when it is played.
 func TestMutationsBuild(t *testing.T) {
 	all, err := All()
 	if err != nil {
@@ -55,15 +57,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, m := range all {
-		t.Run(m.What, func(t *testing.T) { buildMutant(t, source, m) })
+	for _, mutation := range all {
+		t.Run(mutation.What, func(t *testing.T) { buildMutant(t, source, mutation) })
 	}
 }
 
 // buildMutant builds the package of a mutation, with the mutated file laid over the source.
-func buildMutant(t *testing.T, source string, m Mutation) {
-	original, root := filepath.Join(source, m.File), t.TempDir()
-	mutated := filepath.Join(root, m.File)
+func buildMutant(t *testing.T, source string, mutation Mutation) {
+	t.Helper()
+	original := filepath.Join(source, mutation.File)
+	root := t.TempDir()
+	mutated := filepath.Join(root, mutation.File)
 	text, err := os.ReadFile(original)
 	if err != nil {
 		t.Fatal(err)
@@ -74,7 +78,7 @@
 	if err := os.WriteFile(mutated, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := m.Apply(root); err != nil {
+	if err := mutation.Apply(root); err != nil {
 		t.Fatal(err)
 	}
 	overlay, err := json.Marshal(map[string]map[string]string{"Replace": {original: mutated}})
@@ -85,9 +89,9 @@
 	if err := os.WriteFile(overlayFile, overlay, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	build := exec.Command("go", "build", "-overlay", overlayFile, "./"+filepath.Dir(m.File))
+	build := exec.Command("go", "build", "-overlay", overlayFile, "./"+filepath.Dir(mutation.File))
 	build.Dir = source
-	if out, err := build.CombinedOutput(); err != nil {
-		t.Errorf("it doesn't build: %v\n%s", err, out)
+	if output, err := build.CombinedOutput(); err != nil {
+		t.Errorf("it doesn't build: %v\n%s", err, output)
 	}
 }
