--- a/internal/lab/faults/build.go
+++ b/internal/lab/faults/build.go
@@ -210,7 +210,7 @@
 	lab := n.lab
 	return json.Marshal(map[string]any{"name": n.name, "listen": "127.0.0.1:0", "discovery": discovery, "seed": fmt.Sprintf("%x", lab.o.Seed+uint64(n.i)*977),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": n.sockets()}, "known": lab.list.entries(n),
-		"settings": SettingsJSON(lab.o.Nodes, n.i, n.zone)})
+		"settings": NodeSettings(lab.o.Nodes, n.i, n.zone)})
 }
 
 // nodesFile is the fleet's list of nodes, with their addresses as this node sees them.
@@ -222,7 +222,7 @@
 	}
 	text.WriteString("[plan]\nstay = [")
 	for _, c := range Classes {
-		if c.Stay {
+		if c.StayInRegion {
 			fmt.Fprintf(&text, "%q,", c.Name)
 		}
 	}
--- a/internal/lab/faults/check.go
+++ b/internal/lab/faults/check.go
@@ -131,7 +131,7 @@
 }
 
 func (c *checker) event(e Event) {
-	c.v.Seen[e.Kind]++
+	c.v.Seen[string(e.Kind)]++
 	switch e.Kind {
 	case KindFault:
 		c.v.Seen["fault "+e.Detail]++
@@ -141,7 +141,7 @@
 		if (e.Detail == "out of descriptors" || e.Detail == "events lost") && e.Value > 0 {
 			c.v.Judged, c.v.Why = false, fmt.Sprintf("the laboratory itself: %s, %.0f times", e.Detail, e.Value)
 		}
-	case KindLate:
+	case KindHarnessDelay:
 		if e.Value > c.limits.Slack {
 			c.v.Judged, c.v.Why = false, fmt.Sprintf("the laboratory itself was late by %.2f s at %.1f s", e.Value, e.At)
 		}
@@ -158,7 +158,7 @@
 			}
 		}
 		c.room(e.Node, e.At)
-	case KindLoan:
+	case KindLease:
 		if c.loans[e.Node] == nil {
 			c.loans[e.Node] = map[string]float64{}
 		}
@@ -177,14 +177,14 @@
 		}
 		c.room(e.Node, e.At)
 	case KindLeads:
-	case KindPolicy, KindVerdict, KindTrial, KindEnded, KindAdmit, KindOp:
+	case KindPolicy, KindVerdict, KindCanary, KindChangeEnd, KindAdmission, KindCommand:
 		c.policy(e)
-	case KindDecided:
+	case KindProposalEnd:
 		if old, ok := c.told[e.ID]; ok && old != e.Number {
 			c.broken("agreed log (3)", e.At, "proposal %s ended at %d and at %d", e.ID, old, e.Number)
 		}
 		c.told[e.ID] = e.Number
-	case KindTry:
+	case KindAttempt:
 		c.sent++
 		if c.tries[e.ID]++; c.tries[e.ID] > c.limits.Attempts {
 			c.broken("placement: attempts", e.At, "request %s came to a host for the %d. time", e.ID, c.tries[e.ID])
@@ -196,7 +196,7 @@
 		if at, ok := c.drains[e.Node+" "+e.To]; ok && e.At-at > 3+c.limits.Slack {
 			c.broken("placement: drains", e.At, "request %s came to %s %.1f s after %s was told of its drain", e.ID, e.To, e.At-at, e.Node)
 		}
-	case KindTried:
+	case KindAttemptEnd:
 		delete(c.out, e.ID)
 	case KindGuard: // also where no harm was done: a node that needs its guard has a fault
 		c.broken(guardedRule(e.Detail), e.At, "request %s: %s's guard objected: %s", e.ID, e.Node, e.Detail)
@@ -213,7 +213,7 @@
 			c.broken("placement: in time", e.At, "request %s was answered after %.2f s", e.ID, e.Took)
 		}
 		c.quiet(e)
-	case KindHeld:
+	case KindConnections:
 		c.held[e.Zone] = e.Value
 		if b := c.bears[e.Zone]; b > 0 {
 			c.v.Figures.PeakOfRoom = max(c.v.Figures.PeakOfRoom, e.Value/b)
--- a/internal/lab/faults/checkpolicy.go
+++ b/internal/lab/faults/checkpolicy.go
@@ -72,12 +72,12 @@
 			p.no[e.Number] = append(p.no[e.Number], e.Node)
 			c.v.Seen["verdict no"]++
 		}
-	case KindTrial:
+	case KindCanary:
 		if _, ok := p.trial[e.Number]; !ok {
 			p.trial[e.Number] = e.At
 			c.v.Seen["trials"]++
 		}
-	case KindEnded:
+	case KindChangeEnd:
 		if old, ok := p.ended[e.ID]; ok {
 			if old.Result != e.Result || old.Number != e.Number {
 				c.broken("policy (10)", e.At, "change %s ended %s as number %d, and %s as number %d", e.ID, old.Result, old.Number, e.Result, e.Number)
@@ -85,11 +85,11 @@
 			return
 		}
 		p.ended[e.ID] = e
-		c.v.Seen["change "+e.Result]++
+		c.v.Seen["change "+string(e.Result)]++
 		if e.Result != "taken" {
 			p.gone[e.Number] = e.At
 		}
-	case KindAdmit:
+	case KindAdmission:
 		p.admits[e.Detail]++
 		if e.Detail == "none" && e.ID != "" {
 			p.none[e.ID] = true
@@ -116,7 +116,7 @@
 				c.broken("policy (9)", e.At, "%s took request %s under number %d, %.2f s after %d was decided", e.Node, e.ID, e.Number, e.At-at, next)
 			}
 		}
-	case KindOp:
+	case KindCommand:
 		if e.Detail == "again" {
 			c.v.Seen["proposed again"]++
 			if old, ok := p.ended[e.ID]; (e.Result == "taken" || e.Result == "given up") && (!ok || old.Result != e.Result || old.Number != e.Number) {
@@ -125,7 +125,7 @@
 			return
 		}
 		p.ops = append(p.ops, e)
-		c.v.Seen["op "+e.Result]++
+		c.v.Seen["op "+string(e.Result)]++
 	}
 }
 
@@ -194,7 +194,7 @@
 func (c *checker) linear(end float64) {
 	type in struct {
 		propose bool
-		result  string
+		result  Result
 		number  uint64
 		who     string
 	}
--- a/internal/lab/faults/checkpolicy_test.go
+++ b/internal/lab/faults/checkpolicy_test.go
@@ -9,13 +9,13 @@
 		return Event{At: at, Kind: KindPolicy, Node: "a", Number: number, Digest: digest, Detail: "decided"}
 	}
 	admit := func(at float64, number uint64) Event {
-		return Event{At: at, Kind: KindAdmit, Node: "a", Number: number, Detail: "lease", ID: "q"}
+		return Event{At: at, Kind: KindAdmission, Node: "a", Number: number, Detail: "lease", ID: "q"}
 	}
-	op := func(verb, id string, began, at float64, result string, number uint64) Event {
-		return Event{At: at, Kind: KindOp, ID: id, Detail: verb, Value: began, Result: result, Number: number}
+	op := func(verb, id string, began, at float64, result Result, number uint64) Event {
+		return Event{At: at, Kind: KindCommand, ID: id, Detail: verb, Value: began, Result: result, Number: number}
 	}
-	ended := func(at float64, id, result string, number uint64) Event {
-		return Event{At: at, Kind: KindEnded, Node: "a", ID: id, Result: result, Number: number}
+	ended := func(at float64, id string, result Result, number uint64) Event {
+		return Event{At: at, Kind: KindChangeEnd, Node: "a", ID: id, Result: result, Number: number}
 	}
 	for _, c := range []struct {
 		name   string
@@ -26,8 +26,8 @@
 		{"under a number that nobody decided", []Event{admit(1, 3)}, "policy (9)"},
 		{"before the decision", []Event{admit(1, 1), decided(3, 1, "x")}, "policy (9)"},
 		{"the old one after its window", []Event{decided(2, 1, "x"), decided(3, 2, "y"), admit(9, 1)}, "policy (9)"},
-		{"on trial", []Event{{At: 1, Kind: KindTrial, Node: "a", ID: "c", Number: 1}, admit(2, 1), ended(3, "c", "given up", 1), admit(7, 1)}, ""},
-		{"on trial after it was given up", []Event{{At: 1, Kind: KindTrial, Node: "a", ID: "c", Number: 1}, ended(3, "c", "given up", 1), admit(9, 1)}, "policy (9)"},
+		{"on trial", []Event{{At: 1, Kind: KindCanary, Node: "a", ID: "c", Number: 1}, admit(2, 1), ended(3, "c", "given up", 1), admit(7, 1)}, ""},
+		{"on trial after it was given up", []Event{{At: 1, Kind: KindCanary, Node: "a", ID: "c", Number: 1}, ended(3, "c", "given up", 1), admit(9, 1)}, "policy (9)"},
 		{"one number, two documents", []Event{decided(2, 1, "x"), decided(3, 1, "y")}, "policy (10)"},
 		{"one change, two ends", []Event{ended(2, "c", "taken", 1), ended(3, "c", "given up", 1)}, "policy (10)"},
 		{"somebody serves by the old one at the end", []Event{decided(2, 1, "x"), decided(20, 2, "y"), admit(26, 1)}, "policy (9)"},
--- a/internal/lab/faults/clients.go
+++ b/internal/lab/faults/clients.go
@@ -34,8 +34,8 @@
 // enter brings one client, after a while.
 func (lab *Lab) enter(zone string, rng *rand.Rand, after time.Duration) {
 	x, class := rng.Float64(), 0
-	for ; class < len(Classes)-1 && x > Classes[class].Part; class++ {
-		x -= Classes[class].Part
+	for ; class < len(Classes)-1 && x > Classes[class].Fraction; class++ {
+		x -= Classes[class].Fraction
 	}
 	life := min(time.Duration(rng.ExpFloat64()*float64(lab.o.Life)), 4*lab.o.Life)
 	if lab.clients.Add(1) > mostClients {
@@ -101,7 +101,7 @@
 func (c *client) once(n *proc) (up bool, after time.Duration) {
 	lab, class := c.lab, Classes[c.class]
 	id := fmt.Sprintf("%016x", c.rng.Uint64())
-	patience := time.Duration(class.Patience * float64(time.Second))
+	patience := time.Duration(class.Deadline * float64(time.Second))
 	began := time.Now()
 	e := Event{Kind: KindAnswer, ID: id, Node: n.name, Zone: n.zone, Class: class.Name, Result: "none"}
 	told := false
--- a/internal/lab/faults/lab.go
+++ b/internal/lab/faults/lab.go
@@ -63,7 +63,7 @@
 }
 
 func (lab *Lab) note(e Event) {
-	if !lab.running.Load() && e.Kind != KindZone && e.Kind != KindNode && e.Kind != KindStart && e.Kind != KindPlan && e.Kind != KindMode && e.Kind != KindLeads && e.Kind != KindDecided {
+	if !lab.running.Load() && e.Kind != KindZone && e.Kind != KindNode && e.Kind != KindStart && e.Kind != KindPlan && e.Kind != KindMode && e.Kind != KindLeads && e.Kind != KindProposalEnd {
 		return
 	}
 	lab.mu.Lock()
--- a/internal/lab/faults/operators.go
+++ b/internal/lab/faults/operators.go
@@ -41,7 +41,7 @@
 		if err1 != nil || err2 != nil {
 			continue
 		}
-		n.lab.note(Event{Kind: KindAdmit, ID: p[0], Node: n.name, Zone: n.zone, Number: number, Detail: p[2], At: max(1e-6, at-float64(now-when)/1e6)})
+		n.lab.note(Event{Kind: KindAdmission, ID: p[0], Node: n.name, Zone: n.zone, Number: number, Detail: p[2], At: max(1e-6, at-float64(now-when)/1e6)})
 	}
 }
 
@@ -57,7 +57,7 @@
 		if c.Name == "gold" {
 			without = "ground"
 		}
-		fmt.Fprintf(&b, "[[class]]\nname = %q\naim = \"%.1fs\"\npatience = \"%.0fs\"\nmessage_aim = \"150ms\"\nworth = %v\nwithout = %q\n", c.Name, c.Aim, c.Patience, c.Worth, without)
+		fmt.Fprintf(&b, "[[class]]\nname = %q\naim = \"%.1fs\"\npatience = \"%.0fs\"\nmessage_aim = \"150ms\"\nworth = %v\nwithout = %q\n", c.Name, c.SetupObjective, c.Deadline, c.Priority, without)
 	}
 	b.WriteString("[ground]\nattempts = 2\npatience = \"2s\"\n")
 	if kind == "room" {
@@ -135,7 +135,7 @@
 		Number uint64 `json:"number"`
 	}
 	json.Unmarshal(out.Bytes(), &answer)
-	e := Event{Kind: KindOp, ID: id, Node: "operator", Detail: verb, Number: answer.Number, Value: began, Result: "unknown"}
+	e := Event{Kind: KindCommand, ID: id, Node: "operator", Detail: verb, Number: answer.Number, Value: began, Result: "unknown"}
 	if verb == "rollback" {
 		e.Detail = "propose"
 	}
--- a/internal/lab/faults/processlog.go
+++ b/internal/lab/faults/processlog.go
@@ -42,7 +42,7 @@
 		return
 	}
 	event := fields.Text("event")
-	e, ok := EventFromLog(event, fields)
+	e, ok := EventOfLog(event, fields)
 	if !ok {
 		switch event {
 		case "listening":
--- a/internal/lab/faults/settings.go
+++ b/internal/lab/faults/settings.go
@@ -4,12 +4,12 @@
 
 // Class is a class of the laboratory's clients.
 type Class struct {
-	Name     string
-	Worth    float64
-	Part     float64 // of the requests
-	Stay     bool    // not out of its region
-	Aim      float64 // seconds
-	Patience float64
+	Name           string
+	Priority       float64
+	Fraction       float64 // of the requests
+	StayInRegion   bool    // not out of its region
+	SetupObjective float64 // seconds
+	Deadline       float64
 }
 
 // Classes are the laboratory's.
@@ -20,12 +20,12 @@
 }
 
 // SettingsJSON is what a node of the laboratory is told, as the platform tells it.
-func SettingsJSON(nodes, index int, zone string) json.RawMessage {
+func NodeSettings(nodes, index int, zone string) json.RawMessage {
 	type m = map[string]any
 	profiles, aims := []m{}, []float64{}
 	for _, c := range Classes {
-		profiles = append(profiles, m{"name": c.Name, "aimS": c.Aim, "giveUpS": c.Patience, "idempotency": "safe", "dedupScope": "all",
-			"dedupWindowS": 0, "value": c.Worth})
+		profiles = append(profiles, m{"name": c.Name, "aimS": c.SetupObjective, "giveUpS": c.Deadline, "idempotency": "safe", "dedupScope": "all",
+			"dedupWindowS": 0, "value": c.Priority})
 		aims = append(aims, 0.15)
 	}
 	raw, err := json.Marshal(m{
--- a/internal/lab/faults/standins.go
+++ b/internal/lab/faults/standins.go
@@ -93,7 +93,7 @@
 		case word == "OPEN" && id == "":
 			name, _, _ := strings.Cut(rest, " ")
 			node := ""
-			h.lab.note(Event{Kind: KindTry, ID: name, To: h.id, Node: node})
+			h.lab.note(Event{Kind: KindAttempt, ID: name, To: h.id, Node: node})
 			h.mu.Lock()
 			full := h.held >= h.bears*6/5 || h.state != "SERVING"
 			if !full {
@@ -101,7 +101,7 @@
 			}
 			h.mu.Unlock()
 			// What this one was, for the next host that hears of it, is over before the answer goes out: then two at once is the node's doing.
-			h.lab.note(Event{Kind: KindTried, ID: name, To: h.id})
+			h.lab.note(Event{Kind: KindAttemptEnd, ID: name, To: h.id})
 			if full {
 				fmt.Fprint(c, "BUSY\r\n")
 				return
--- a/internal/lab/faults/timetable.go
+++ b/internal/lab/faults/timetable.go
@@ -159,7 +159,7 @@
 		}
 		now := time.Now()
 		if missed := now.Sub(last) - labTick; missed > labTick {
-			lab.note(Event{Kind: KindLate, Value: missed.Seconds()})
+			lab.note(Event{Kind: KindHarnessDelay, Value: missed.Seconds()})
 		}
 		last = now
 		if n++; n%10 == 0 {
@@ -168,7 +168,7 @@
 				held[h.zone] += h.count()
 			}
 			for _, z := range lab.zones {
-				lab.note(Event{Kind: KindHeld, Zone: z, Value: float64(held[z])})
+				lab.note(Event{Kind: KindConnections, Zone: z, Value: float64(held[z])})
 			}
 		}
 	}
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -16,67 +16,99 @@
 	"spurwinch/internal/lab/faults"
 )
 
-// node is one node: its core with the module, its agent and its disk.
+// fleetKey authenticates the messages between nodes.
+const fleetKey = "a key of the laboratory"
+
+// The rules of the simulated fleet's plans.
+const (
+	utilizationLimit = 0.85
+	grantLifetime    = 30 * time.Second
+	recoveryDelay    = 4 * time.Second
+	recoveryRamp     = 0.2
+	retryAfter       = time.Second
+)
+
+// clockSkew is the difference between the monotonic clocks of two nodes, a multiple of it by their index.
+const clockSkew = time.Hour
+
+// node is one node: its core with the decision module, its fleet agent and its disk.
 type node struct {
-	w        *World
-	i        int
-	name     string
-	zone     string
-	core     *edge.Core
-	agent    *agent.Agent
-	disk     []consensus.Record
-	born     int // processes so far
-	up       bool
-	still    time.Duration // stopped until then
-	deaf     bool          // its link is bad: nothing comes or goes to other nodes
-	hard     bool          // it hears nobody, and is heard
-	badLine  bool          // its lines to hosts fail
-	diskBad  bool
-	diskSlow time.Duration
-	busy     bool // a record is on its way to the disk
-	list     []edge.ServerEntry
-	old      bool // of a version that doesn't know all keys
-	reached  bool // by operators, though nothing comes or goes to other nodes
-	came     float64
-	away     float64
-}
+	world       *World
+	index       int
+	name        string
+	zone        string
+	up          bool
+	incarnation int // processes so far
+	pausedUntil time.Duration
+	core        *edge.Core   // nil in a run without servers
+	agent       *agent.Agent // nil where the node decides for itself
+
+	disk      []consensus.Record
+	diskFull  bool
+	diskDelay time.Duration // beyond the usual time of a write
+	writing   bool          // a record is being written
+
+	isolated             bool // no message from or to other nodes arrives
+	receivesNothing      bool // no message from other nodes arrives
+	serversUnreachable   bool
+	reachableByOperators bool // although isolated
 
-// NewVoter makes a voter.
-func NewVoter(self, n int, kept []consensus.Record, rng *rand.Rand) (agent.Voter, error) {
-	return replica.New(self, n, kept, rng)
+	olderVersion bool    // it doesn't know all keys of a policy document
+	requests     float64 // of a run without servers
+	rejections   float64
 }
 
-// rules are the plans' rules of the simulated fleet.
-func rules() failover.Rules {
-	r := failover.Rules{UtilizationLimit: 0.85, GrantLifetime: 30 * time.Second, RecoveryDelay: 4 * time.Second, RecoveryRamp: 0.2, RegionDistance: func(a, b string) float64 { return 1 }}
-	for _, c := range faults.Classes {
-		r.Classes = append(r.Classes, failover.Class{Name: c.Name, Priority: c.Worth, StayInRegion: c.Stay})
+// planRules are the rules of the simulated fleet's plans.
+func planRules() failover.Rules {
+	rules := failover.Rules{
+		UtilizationLimit: utilizationLimit,
+		GrantLifetime:    grantLifetime,
+		RecoveryDelay:    recoveryDelay,
+		RecoveryRamp:     recoveryRamp,
+		RegionDistance:   func(_, _ string) float64 { return 1 },
 	}
-	return r
+	for _, class := range faults.Classes {
+		rules.Classes = append(rules.Classes, failover.Class{
+			Name: class.Name, Priority: class.Priority, StayInRegion: class.StayInRegion,
+		})
+	}
+	return rules
 }
 
-const labKey = "a key of the laboratory"
+// isVoter reports whether the node is a voter of the fleet's log.
+func (n *node) isVoter() bool { return n.world.list.Node(n.index).Voter }
 
-// on runs fn at a node, unless its process is another one by then; while it is stopped it waits.
-func (n *node) on(at time.Duration, fn func()) *item {
-	born := n.born
-	var run func()
-	run = func() {
-		if !n.up || n.born != born {
+// schedule runs a function at a node, unless its process is another one by then; while the node is paused it waits.
+func (n *node) schedule(when time.Duration, run func()) {
+	incarnation := n.incarnation
+	var runOrWait func()
+	runOrWait = func() {
+		if !n.up || n.incarnation != incarnation {
 			return
 		}
-		if n.still > n.w.now {
-			n.w.at(n.still, run)
+		if n.pausedUntil > n.world.now {
+			n.world.schedule(n.pausedUntil, runOrWait)
 			return
 		}
-		fn()
-		n.settle()
+		run()
+		n.flush()
 	}
-	return n.w.at(at, run)
+	n.world.schedule(when, runOrWait)
 }
 
-// settle carries out what a callback has led to.
-func (n *node) settle() {
+// scheduleWhileUp runs a function after a time, unless the node's process is another one by then. Unlike schedule it
+// doesn't wait while the node is paused: disks and links work on.
+func (n *node) scheduleWhileUp(after time.Duration, run func()) {
+	incarnation := n.incarnation
+	n.world.schedule(n.world.now+after, func() {
+		if n.incarnation == incarnation && n.up {
+			run()
+		}
+	})
+}
+
+// flush carries out what a callback has led to.
+func (n *node) flush() {
 	if !n.up {
 		return
 	}
@@ -84,237 +116,207 @@
 		n.core.Flush()
 	}
 	if n.agent != nil {
-		n.pump()
+		n.exchange()
 	}
 }
 
-// Now and At make a node the core's clock.
-func (n *node) Now() time.Time { return begin.Add(n.w.now) }
+// Now implements edge.Clock.
+func (n *node) Now() time.Time { return epoch.Add(n.world.now) }
 
-func (n *node) At(at time.Time, fn func()) (stop func()) {
-	off := false
-	n.on(max(at.Sub(begin), n.w.now), func() {
-		if !off {
-			fn()
+// At implements edge.Clock: it runs a function at a time, unless it is stopped before.
+func (n *node) At(at time.Time, run func()) (stop func()) {
+	stopped := false
+	n.schedule(max(at.Sub(epoch), n.world.now), func() {
+		if !stopped {
+			run()
 		}
 	})
-	return func() { off = true }
+	return func() { stopped = true }
 }
 
-// start starts a process of the node, with its files as they are to be.
+// clock is the node's own monotonic time.
+func (n *node) clock() time.Duration { return n.world.now + time.Duration(n.index)*clockSkew }
+
+// start starts a process of the node. files says what it finds on its disk, such as faults.FilesKept.
 func (n *node) start(files string) error {
-	w := n.w
-	n.born++
+	n.incarnation++
 	n.up = true
-	if files == "lost" {
+	if files == faults.FilesLost {
 		n.disk = nil
 	}
-	w.note(faults.Event{Kind: faults.KindStart, Node: n.name, Zone: n.zone, Detail: files})
-	if w.o.Light {
-		n.came, n.away = 0, 0
-		return n.join()
+	n.world.record(faults.Event{Kind: faults.KindStart, Node: n.name, Zone: n.zone, Detail: files})
+	if n.world.options.FleetOnly {
+		n.requests = 0
+		n.rejections = 0
+		return n.startAgent()
 	}
 	if err := n.startCore(); err != nil {
 		return err
 	}
 	n.agent = nil
-	if w.o.Policy == Common {
-		return n.join()
-	}
-	if w.o.Policy == Static {
+	switch n.world.options.Policy {
+	case CommonPlan:
+		return n.startAgent()
+	case StaticOrder:
 		n.core.ApplyZonePlan(n.staticPlan())
+	case EachNode:
+		// without a plan the node chooses among all zones
 	}
 	n.core.Flush()
 	return nil
 }
 
-// objects notes what the core's guard kept it from.
-func (n *node) objects(v invariant.Violation) {
-	n.w.note(faults.Event{Kind: faults.KindGuard, ID: v.Request, Node: n.name, Zone: n.zone, To: v.Server, Detail: v.Rule.String()})
-}
-
-// startCore makes the node's core, which knows all hosts.
+// startCore makes the node's core, which knows all servers.
 func (n *node) startCore() error {
-	w := n.w
-	told, err := Settings(w.o.Nodes, n.i, n.zone)
+	world := n.world
+	decoded, err := nodeSettings(world.options.Nodes, n.index, n.zone)
 	if err != nil {
 		return err
 	}
-	n.core, err = edge.New(edge.Options{Clock: n, Settings: told.Settings, Seed: w.o.Seed*4099 + uint64(n.i)*7 + uint64(n.born), HealthChecker: n,
-		WatchList: func() {}, Monitor: &invariant.Monitor{OnViolation: n.objects}})
+	n.core, err = edge.New(edge.Options{
+		Clock:         n,
+		Settings:      decoded.Settings,
+		Seed:          world.options.Seed*4099 + uint64(n.index)*7 + uint64(n.incarnation),
+		HealthChecker: n,
+		WatchList:     func() {},
+		Monitor:       &invariant.Monitor{OnViolation: n.recordViolation},
+	})
 	if err != nil {
 		return err
 	}
-	n.list = nil
-	for _, h := range w.hosts {
-		n.list = append(n.list, edge.ServerEntry{Server: choice.Server{ID: h.id, Zone: h.zone, Kind: "k", Size: 1}})
+	var endpoints []edge.ServerEntry
+	for _, s := range world.servers {
+		endpoints = append(endpoints, edge.ServerEntry{
+			Server: choice.Server{ID: s.id, Zone: s.zone, Kind: "k", Size: 1},
+		})
 	}
-	n.core.Start(n.list)
+	n.core.Start(endpoints)
 	return nil
 }
 
-// join begins the node's part in the fleet.
-func (n *node) join() (err error) {
-	w := n.w
-	o := agent.Options{List: w.list, Self: n.i, Key: []byte(labKey), Rules: rules(), Classes: w.classes,
-		RetryAfter: time.Second, Records: n.disk, Seed: w.o.Seed*31 + uint64(n.i)*1009 + uint64(n.born), Log: n.log, Voter: NewVoter}
-	if w.o.Light {
-		o.Policy = n.policyOptions()
+// startAgent begins the node's part in the fleet, with the records on its disk.
+func (n *node) startAgent() error {
+	world := n.world
+	options := agent.Options{
+		List:       world.list,
+		Self:       n.index,
+		Key:        []byte(fleetKey),
+		Rules:      planRules(),
+		Classes:    world.classes,
+		RetryAfter: retryAfter,
+		Records:    n.disk,
+		Seed:       world.options.Seed*31 + uint64(n.index)*1009 + uint64(n.incarnation),
+		Log:        n.log,
+		Voter:      newVoter,
 	}
-	if n.agent, err = agent.New(o, n.clock()); err != nil {
+	if world.options.FleetOnly {
+		options.Policy = n.policyOptions()
+	}
+	started, err := agent.New(options, n.clock())
+	n.agent = started
+	if err != nil {
 		return err
 	}
-	if w.o.Light {
-		n.admits()
+	if world.options.FleetOnly {
+		n.scheduleRequest()
 	}
-	n.tick()
-	n.settle()
+	n.scheduleTick()
+	n.flush()
 	return nil
 }
 
-// clock is the node's own monotonic time.
-func (n *node) clock() time.Duration { return n.w.now + time.Duration(n.i)*time.Hour }
+// recordViolation records a step that the core's invariant monitor has prevented.
+func (n *node) recordViolation(violation invariant.Violation) {
+	n.world.record(faults.Event{
+		Kind: faults.KindGuard, ID: violation.Request, Node: n.name, Zone: n.zone, To: violation.Server,
+		Detail: violation.Rule.String(),
+	})
+}
 
-// tick has the agent hear the time again and again.
-func (n *node) tick() {
-	n.on(n.w.now+consensus.TickInterval, func() {
+// scheduleTick gives the agent the time at each interval.
+func (n *node) scheduleTick() {
+	n.schedule(n.world.now+consensus.TickInterval, func() {
 		n.agent.Tick(n.clock())
 		if n.agent.WantsObservations(n.clock()) {
-			n.agent.Observe(n.moduleNews(), n.clock())
+			n.agent.Observe(n.observations(), n.clock())
 		}
-		n.tick()
+		n.scheduleTick()
 	})
 }
 
-// moduleNews is what the node's module saw since the last call.
-func (n *node) moduleNews() choice.Observations {
+// observations are what the node's decision module has observed since the last call.
+func (n *node) observations() choice.Observations {
 	if n.core == nil {
-		return n.lightNews()
+		return n.healthyObservations()
 	}
 	return n.core.Observations()
 }
 
-// staticPlan is the order of zones that a node goes by alone: its own, those of its region, the others. Classes that must stay in their region
-// don't go to the others.
+// staticPlan is the fixed order of zones of a node that decides for itself: its own, those of its region, the others.
+// Classes that must stay in their region don't go to the others.
 func (n *node) staticPlan() choice.ZonePlan {
 	var staying []int
-	for class, rule := range faults.Classes {
-		if rule.Stay {
+	for class, settings := range faults.Classes {
+		if settings.StayInRegion {
 			staying = append(staying, class)
 		}
 	}
-	var own, near, far []choice.Grant
-	for _, zone := range n.w.zones {
+	var own, sameRegion, others []choice.Grant
+	for _, zone := range n.world.zones {
 		grant := choice.Grant{Zone: zone, Load: math.Inf(1)}
 		switch {
 		case zone == n.zone:
 			own = append(own, grant)
-		case n.w.list.Region(zone) == n.w.list.Region(n.zone):
-			near = append(near, grant)
+		case n.world.list.Region(zone) == n.world.list.Region(n.zone):
+			sameRegion = append(sameRegion, grant)
 		default:
 			grant.ExcludedClasses = staying
-			far = append(far, grant)
+			others = append(others, grant)
 		}
 	}
-	return choice.ZonePlan{Grants: slices.Concat(own, near, far)}
+	return choice.ZonePlan{Grants: slices.Concat(own, sameRegion, others)}
 }
 
-// pump passes on what the agent has for the core, the disk and other nodes, until it has nothing more.
-func (n *node) pump() {
-	const rounds = 8
-	for range rounds {
-		if p, changed := n.agent.ZonePlan(); changed && n.core != nil {
-			n.core.ApplyZonePlan(p)
-			n.core.Flush()
-		}
-		n.save()
-		out := n.agent.TakeMessages()
-		if len(out) == 0 {
-			return
-		}
-		for _, m := range out {
-			n.send(m)
+// crash ends the node's process. Its clients connect again.
+func (n *node) crash() {
+	if !n.up {
+		return
+	}
+	n.world.record(faults.Event{Kind: faults.KindCrash, Node: n.name, Zone: n.zone})
+	n.up = false
+	n.writing = false
+	n.pausedUntil = 0
+	for _, s := range n.world.servers {
+		for _, connection := range s.sortedConnections() {
+			if connection.client.node == n {
+				delete(s.connections, connection)
+				connection.client.reconnect()
+			}
 		}
 	}
 }
 
-// save has the disk take a while, and lets a crash come before or after.
-func (n *node) save() {
-	rec, whole, ok := n.agent.NextRecord()
-	if !ok || n.busy {
-		return
-	}
-	n.w.saves++
-	n.busy = true
-	n.later(n.diskSlow+time.Duration(1+n.w.rng.IntN(8))*time.Millisecond, func() {
-		n.busy = false
-		if n.diskBad {
-			n.later(200*time.Millisecond, n.save)
+// restart crashes the node and starts it again after a time, with its files as said.
+func (n *node) restart(files string, after time.Duration) {
+	n.crash()
+	n.world.schedule(n.world.now+after, func() {
+		if n.up {
 			return
 		}
-		if whole {
-			n.disk = nil
+		if err := n.start(files); err != nil {
+			n.world.recordFailure(n, err)
 		}
-		n.disk = append(n.disk, rec)
-		n.on(n.w.now, func() { n.agent.Persisted(n.clock()) })
 	})
 }
 
-// later runs fn after a time, unless the node's process is another one by then. Other than on, it doesn't wait for a stopped node: disks and
-// links work on.
-func (n *node) later(after time.Duration, fn func()) {
-	born := n.born
-	n.w.at(n.w.now+after, func() {
-		if n.born == born && n.up {
-			fn()
-		}
-	})
-}
-
-// send has a message arrive at another node, once, twice or never.
-func (n *node) send(m agent.Message) {
-	w, to := n.w, n.w.nodes[m.To]
-	w.sent++
-	w.bytes += uint64(len(m.Data))
-	if n.deaf || to.deaf || to.hard || w.cut[[2]string{n.zone, to.zone}] || w.rng.Float64() < w.loss || !to.up {
-		return
-	}
-	deliver := func() { to.on(w.now+n.latency(to, m), func() { to.agent.Receive(m.Data, to.clock()) }) }
-	deliver()
-	if w.rng.Float64() < w.repeat {
-		deliver()
-	}
-}
-
-// latency draws how long a message is on its way.
-func (n *node) latency(to *node, m agent.Message) time.Duration {
-	w := n.w
-	d := 200*time.Microsecond + time.Duration(w.rng.Float64()*float64(time.Millisecond))
-	if n.zone != to.zone {
-		d += 4 * time.Millisecond
-	}
-	if w.o.Messages > 0 && w.rng.Float64() < 0.1 {
-		d += time.Duration(w.rng.IntN(w.o.Messages)) * time.Millisecond
-	}
-	if !agent.IsConsensusMessage(m.Data) { // else the log stands still, and nothing of what is late matters
-		d += w.late/2 + time.Duration(w.rng.Float64()*float64(w.late)) // what is late overtakes
-	}
-	return d
-}
+// pause stops the node's process for a time.
+func (n *node) pause(length time.Duration) { n.pausedUntil = n.world.now + length }
 
-// crash ends the node's process. Its clients come again.
-func (n *node) crash() {
-	if !n.up {
-		return
-	}
-	n.w.note(faults.Event{Kind: faults.KindCrash, Node: n.name, Zone: n.zone})
-	n.up, n.busy, n.still = false, false, 0
-	for _, h := range n.w.hosts {
-		for _, t := range h.inOrder() {
-			if t.c.node == n {
-				delete(h.held, t)
-				t.c.again()
-			}
-		}
+// newVoter makes the consensus replica of a voter.
+func newVoter(self, replicas int, records []consensus.Record, rng *rand.Rand) (agent.Voter, error) {
+	voter, err := replica.New(self, replicas, records, rng)
+	if err != nil {
+		return nil, err
 	}
+	return voter, nil
 }
--- /dev/null
+++ b/internal/lab/simulation/node_log.go
@@ -0,0 +1,76 @@
+package simulation
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"spurwinch/internal/lab/faults"
+)
+
+const (
+	crashFreeTail     = 14 * time.Second // before the end of a run no node crashes at a step any more
+	minStepRestart    = 100              // ms
+	stepRestartSpread = 4000             // ms
+)
+
+// logFields are the fields of a log line, names and values in turn. They implement faults.LogFields.
+type logFields []any
+
+// field returns the value of a field; the zero value, if there is none of that type.
+func field[T any](fields logFields, name string) T {
+	for i := 0; i+1 < len(fields); i += 2 {
+		if fields[i] == name {
+			value, _ := fields[i+1].(T)
+			return value
+		}
+	}
+	var zero T
+	return zero
+}
+
+func (f logFields) Text(name string) string   { return field[string](f, name) }
+func (f logFields) Number(name string) uint64 { return field[uint64](f, name) }
+func (f logFields) Float(name string) float64 { return field[float64](f, name) }
+func (f logFields) Bool(name string) bool     { return field[bool](f, name) }
+func (f logFields) Bytes(name string) []byte  { return field[[]byte](f, name) }
+
+// log records what the node's agent logs.
+func (n *node) log(event string, fields ...any) {
+	recorded, ok := faults.EventOfLog(event, logFields(fields))
+	switch {
+	case !ok:
+		recorded = faults.Event{Kind: faults.KindLog, Detail: event + fmt.Sprint(fields...)}
+	case recorded.Kind == faults.KindProposalEnd:
+		recorded.Result = faults.ResultAccepted
+	}
+	recorded.Node = n.name
+	recorded.Zone = n.zone
+	n.world.record(recorded)
+	if strings.HasPrefix(event, "fleet_policy_") {
+		n.maybeCrashAtStep()
+	}
+}
+
+// maybeCrashAtStep crashes the node at a step of a policy change, at the world's rate.
+func (n *node) maybeCrashAtStep() {
+	world := n.world
+	if world.stepCrashRate <= 0 || world.now >= world.options.Length-crashFreeTail {
+		return
+	}
+	if world.rng.Float64() >= world.stepCrashRate {
+		return
+	}
+	incarnation := n.incarnation
+	world.schedule(world.now, func() {
+		if n.incarnation == incarnation {
+			world.record(faults.Event{Kind: faults.KindFault, Detail: "killed at a step", Node: n.name})
+			n.restart(faults.FilesKept, world.milliseconds(minStepRestart, stepRestartSpread))
+		}
+	})
+}
+
+// milliseconds draws a duration of at least least and less than least+spread milliseconds.
+func (w *World) milliseconds(least, spread int) time.Duration {
+	return time.Duration(least+w.rng.IntN(spread)) * time.Millisecond
+}
--- /dev/null
+++ b/internal/lab/simulation/operator.go
@@ -0,0 +1,344 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"spurwinch/internal/failover/agent"
+	"spurwinch/internal/lab/faults"
+	"spurwinch/internal/policy"
+)
+
+const (
+	callTimeout       = time.Second      // of an operator's call to one voter
+	commandTimeout    = 20 * time.Second // of a command; then its end is unknown
+	commandFreeTail   = 8 * time.Second  // before the end of a run no command starts any more
+	firstCommand      = 4 * time.Second
+	firstCommandRange = 3 * time.Second
+	readOnlyPause     = 20 * time.Millisecond
+	statusRetryDelay  = 100 * time.Millisecond
+	confirmDelay      = 50 * time.Millisecond
+	maxConfirmations  = 20
+	proposalPollDelay = 150 * time.Millisecond
+	minCallDelay      = time.Millisecond
+	callDelaySpread   = 5 * time.Millisecond
+	maxAbortDelay     = 2 * time.Second
+)
+
+// Verbs of the commands of operators, as they are recorded.
+const (
+	verbStatus       = "status"
+	verbPropose      = "propose"
+	verbProposeAgain = "again"
+)
+
+// Verbs of the calls to voters.
+const (
+	callStatus  = "policy"
+	callPropose = "policy-propose"
+	callAbort   = "policy-abort"
+)
+
+// operator is a person or script that gives commands, on a machine of its own.
+type operator struct {
+	world       *World
+	name        string
+	knownNumber uint64 // the newest policy that it knows of
+	commands    int
+	lastChange  *agent.Call // its last change that has ended
+	readOnly    bool        // it only queries the status
+}
+
+// command is one command of an operator.
+type command struct {
+	operator *operator
+	id       string
+	start    time.Duration
+	deadline time.Duration
+}
+
+// addOperators adds operators, which give their first commands after some seconds.
+func (w *World) addOperators(count int) {
+	for range count {
+		added := &operator{world: w, name: fmt.Sprintf("op%d", len(w.operators))}
+		w.operators = append(w.operators, added)
+		w.schedule(firstCommand+time.Duration(w.rng.Float64()*float64(firstCommandRange)), added.next)
+	}
+}
+
+// pause draws the time until the operator's next command.
+func (o *operator) pause() time.Duration {
+	if o.readOnly {
+		return readOnlyPause
+	}
+	return time.Duration(o.world.rng.ExpFloat64() * float64(operatorPause))
+}
+
+// next draws and starts the operator's next command.
+func (o *operator) next() {
+	world := o.world
+	if world.now > world.options.Length-commandFreeTail {
+		return
+	}
+	o.commands++
+	started := &command{
+		operator: o,
+		id:       fmt.Sprintf("%s-%d", o.name, o.commands),
+		start:    world.now,
+		deadline: world.now + commandTimeout,
+	}
+	if !o.readOnly && o.lastChange != nil && world.rng.IntN(10) == 0 {
+		started.proposeAgain(*o.lastChange)
+		return
+	}
+	if queries := world.rng.IntN(10) < 4; queries || o.readOnly {
+		started.queryStatus()
+		return
+	}
+	started.proposeNew()
+}
+
+// end records the command's end and schedules the operator's next one.
+func (c *command) end(verb string, result faults.Result, number uint64) {
+	world := c.operator.world
+	world.record(faults.Event{
+		Kind: faults.KindCommand, ID: c.id, Node: c.operator.name, Detail: verb, Result: result, Number: number,
+		Value: c.start.Seconds(),
+	})
+	world.schedule(world.now+c.operator.pause(), c.operator.next)
+}
+
+// proposeAgain proposes a change that has ended under the same ID: it changes nothing, and reports the same end.
+func (c *command) proposeAgain(change agent.Call) {
+	c.id = change.ID
+	c.propose(change, 0, func(result faults.Result, number uint64) { c.end(verbProposeAgain, result, number) })
+}
+
+// queryStatus asks which policy is in force.
+func (c *command) queryStatus() {
+	c.operator.status(c.deadline, func(status *agent.PolicyReply) {
+		if status == nil {
+			c.end(verbStatus, faults.ResultUnknown, 0)
+			return
+		}
+		c.operator.knownNumber = status.Number
+		c.end(verbStatus, faults.ResultOK, status.Number)
+	})
+}
+
+// proposeNew draws and proposes a change; it may abort it after a while.
+func (c *command) proposeNew() {
+	world := c.operator.world
+	change := agent.Call{
+		Verb: callPropose,
+		ID:   c.id,
+		Data: []byte(world.drawDocument(c.id)),
+		Base: c.operator.knownNumber,
+	}
+	if world.rng.IntN(4) == 0 {
+		change.Part = policy.Canary{OneIn: 3, Seconds: 1 + 3*world.rng.Float64(), MaxExtraRejections: 0.2}
+	}
+	abortAt := time.Duration(0)
+	if world.rng.IntN(6) == 0 {
+		abortAt = world.now + time.Duration(world.rng.Float64()*float64(maxAbortDelay))
+	}
+	c.propose(change, abortAt, func(result faults.Result, number uint64) {
+		if result == faults.ResultAccepted || result == faults.ResultAbandoned {
+			c.operator.lastChange = &change
+		}
+		c.end(verbPropose, result, number)
+	})
+}
+
+// drawDocument draws a policy document, sometimes one that some nodes can't serve by.
+func (w *World) drawDocument(id string) string {
+	document := fmt.Sprintf("of=%s", id)
+	choices := 8
+	if w.hasOlderNodes {
+		choices = 3
+	}
+	switch w.rng.IntN(choices) {
+	case 0:
+		document += " " + keyNewer + "=1"
+	case 1:
+		document += " " + keyDescriptors + "=1"
+	}
+	return document
+}
+
+// call calls one voter. done gets the reply, or ok false after a timeout; the request and the reply may be lost.
+func (o *operator) call(voter *node, request agent.Call, done func(reply agent.Reply, ok bool)) {
+	world := o.world
+	finished := false
+	finish := func(reply agent.Reply, ok bool) {
+		if !finished {
+			finished = true
+			done(reply, ok)
+		}
+	}
+	world.schedule(world.now+max(callTimeout, world.minCallTimeout), func() { finish(agent.Reply{}, false) })
+	isLost := func() bool {
+		return voter.isolated && !voter.reachableByOperators || world.rng.Float64() < world.network.lossRate
+	}
+	if !voter.up || isLost() {
+		return
+	}
+	delay := func() time.Duration {
+		return minCallDelay + time.Duration(world.rng.Float64()*float64(callDelaySpread))
+	}
+	voter.schedule(world.now+delay(), func() {
+		sealed, ok := voter.agent.Answer(agent.Seal([]byte(fleetKey), world.list, voter.index, request), voter.clock())
+		if !ok || isLost() {
+			return
+		}
+		world.schedule(world.now+delay(), func() {
+			reply, err := agent.Unseal([]byte(fleetKey), world.list, sealed)
+			finish(reply, err == nil)
+		})
+	})
+}
+
+// statusQuery asks voters for the policy in force until one gives an answer that is not older than the query.
+type statusQuery struct {
+	operator *operator
+	deadline time.Duration
+	done     func(status *agent.PolicyReply) // nil: none answered in time
+}
+
+// status queries the policy in force.
+func (o *operator) status(deadline time.Duration, done func(status *agent.PolicyReply)) {
+	query := &statusQuery{operator: o, deadline: deadline, done: done}
+	query.start()
+}
+
+// start asks a random voter, which returns a token for its answer.
+func (q *statusQuery) start() {
+	world := q.operator.world
+	if world.now > q.deadline {
+		q.done(nil)
+		return
+	}
+	voters := world.voters()
+	voter := voters[world.rng.IntN(len(voters))]
+	q.operator.call(voter, agent.Call{Verb: callStatus}, func(reply agent.Reply, ok bool) {
+		if !ok || reply.Policy == nil {
+			q.retry()
+			return
+		}
+		q.confirm(voter, reply.Policy.Token, 1)
+	})
+}
+
+// retry asks again after a while.
+func (q *statusQuery) retry() {
+	world := q.operator.world
+	world.schedule(world.now+statusRetryDelay, q.start)
+}
+
+// confirm asks the voter with its token until its answer is known to be up to date.
+func (q *statusQuery) confirm(voter *node, token string, attempt int) {
+	world := q.operator.world
+	q.operator.call(voter, agent.Call{Verb: callStatus, Arg: token}, func(reply agent.Reply, ok bool) {
+		answered := ok && reply.Policy != nil
+		switch {
+		case answered && !reply.Retry:
+			q.done(reply.Policy)
+		case answered && attempt < maxConfirmations && world.now < q.deadline:
+			world.schedule(world.now+confirmDelay, func() { q.confirm(voter, token, attempt+1) })
+		default:
+			q.retry()
+		}
+	})
+}
+
+// proposal is a policy change that an operator proposes and follows to its end.
+type proposal struct {
+	operator   *operator
+	change     agent.Call
+	deadline   time.Duration
+	abortAt    time.Duration // zero: never, or done
+	maybeOnLog bool          // a voter may have it
+	done       func(result faults.Result, number uint64)
+}
+
+// propose proposes a change and waits for its end.
+func (c *command) propose(change agent.Call, abortAt time.Duration, done func(faults.Result, uint64)) {
+	started := &proposal{operator: c.operator, change: change, deadline: c.deadline, abortAt: abortAt, done: done}
+	started.send()
+}
+
+// after continues the proposal after a while.
+func (p *proposal) after(step func()) {
+	world := p.operator.world
+	world.schedule(world.now+proposalPollDelay, step)
+}
+
+// send sends the change to a random voter.
+func (p *proposal) send() {
+	world := p.operator.world
+	if world.now > p.deadline {
+		if p.maybeOnLog {
+			p.done(faults.ResultUnknown, 0)
+		} else {
+			p.done(faults.ResultRejected, 0)
+		}
+		return
+	}
+	voters := world.voters()
+	p.operator.call(voters[world.rng.IntN(len(voters))], p.change, p.handleReply)
+}
+
+// handleReply decides by a voter's reply whether to send the change again or to wait for its end.
+func (p *proposal) handleReply(reply agent.Reply, ok bool) {
+	isFollower := reply.Leader != "" && !reply.Leads
+	switch {
+	case !ok, reply.Error == "":
+		p.maybeOnLog = true
+		p.after(p.poll)
+	case isFollower:
+		p.after(p.send)
+	case !reply.Retry && !p.maybeOnLog:
+		p.done(faults.ResultRejected, 0)
+	case p.maybeOnLog:
+		p.after(p.poll)
+	default:
+		p.after(p.send)
+	}
+}
+
+// poll queries the status to learn the change's end.
+func (p *proposal) poll() {
+	p.operator.status(p.deadline, p.handleStatus)
+}
+
+// handleStatus ends the proposal if its end is known, and aborts a change that is to be aborted.
+func (p *proposal) handleStatus(status *agent.PolicyReply) {
+	if status == nil {
+		p.done(faults.ResultUnknown, 0)
+		return
+	}
+	p.operator.knownNumber = status.Number
+	for _, ended := range status.Ended {
+		if ended.ID != p.change.ID {
+			continue
+		}
+		result := faults.ResultAbandoned
+		if ended.Accepted {
+			result = faults.ResultAccepted
+		}
+		p.done(result, ended.Number)
+		return
+	}
+	world := p.operator.world
+	underWay := status.Change != nil && status.Change.ID == p.change.ID
+	switch {
+	case underWay && p.abortAt > 0 && world.now > p.abortAt:
+		p.abortAt = 0
+		abort := agent.Call{Verb: callAbort, ID: p.change.ID}
+		p.operator.call(world.leader(), abort, func(agent.Reply, bool) { p.after(p.poll) })
+	case underWay:
+		p.after(p.poll)
+	default:
+		p.after(p.send)
+	}
+}
--- a/internal/lab/simulation/options.go
+++ b/internal/lab/simulation/options.go
@@ -1,73 +1,80 @@
 package simulation
 
-import (
-	"encoding/json"
-	"strings"
-	"time"
-)
+import "time"
 
-// Options say what is played.
+// Options say what is played. A zero field takes its default.
 type Options struct {
-	Seed     uint64
-	Nodes    int
-	Zones    int
-	Regions  int
-	Hosts    int           // in each zone
-	Bears    int           // connections, a host
-	Use      float64       // part of what all hosts bear that clients ask for
-	Life     time.Duration // of a connection, in the mean
-	Length   time.Duration
-	Loss     float64 // of messages between nodes
-	Faults   string  // a name of Scenarios, or "drawn"
-	Policy   Policy
-	Voters   int
-	Messages int // the longest time on the way, ms
-	Mutation string
-	Light    bool // no hosts and no clients: changes of policy
+	Seed               uint64
+	Nodes              int
+	Zones              int
+	Regions            int
+	Hosts              int           // servers in each zone
+	Bears              int           // connections that a server bears
+	Use                float64       // part of what all servers bear that clients ask for
+	ConnectionLifetime time.Duration // mean
+	Length             time.Duration // of the run, simulated
+	Loss               float64       // part of the messages between nodes that is lost
+	Faults             string        // the name of a scenario
+	Policy             Policy
+	Voters             int
+	MaxMessageDelay    time.Duration // of the messages that take longer than usual; whole milliseconds
+	Mutation           string        // a note for whoever reads the command line; nothing goes by it
+	FleetOnly          bool          // nodes without servers and clients: only their part in the fleet
 }
 
-// Policy says who decides where clients of a zone go.
+// Policy says who decides where the clients of a zone go.
 type Policy string
 
+// The policies. The words are those of the command line.
 const (
-	Common Policy = "common" // the plan decided in common
-	Each   Policy = "each"   // each node for itself, among all zones: the program before
-	Static Policy = "static" // each node for itself, by a fixed order of zones: own, region, others
+	CommonPlan  Policy = "common" // the plan that the fleet has agreed on
+	EachNode    Policy = "each"   // each node for itself, among all zones
+	StaticOrder Policy = "static" // each node for itself, by a fixed order of zones: own, region, others
 )
 
-// Usual fills in what is left out.
-func (o Options) Usual() Options {
-	fill := func(v *int, d int) {
-		if *v == 0 {
-			*v = d
-		}
-	}
-	fill(&o.Nodes, 30)
-	fill(&o.Zones, 3)
-	fill(&o.Regions, min(3, o.Zones))
-	fill(&o.Hosts, 4)
-	fill(&o.Bears, max(50, 36*o.Nodes/o.Zones/o.Hosts)) // some 16 connections a node
-	fill(&o.Voters, 3)
-	if o.Use == 0 {
-		o.Use = 0.45
-	}
-	if o.Life == 0 {
-		o.Life = 12 * time.Second
-	}
-	if o.Length == 0 {
-		o.Length = 40 * time.Second
-	}
-	if o.Policy == "" {
-		o.Policy = Common
+const (
+	defaultNodes              = 30
+	defaultZones              = 3
+	maxDefaultRegions         = 3
+	defaultServersPerZone     = 4
+	defaultVoters             = 3
+	defaultUtilization        = 0.45
+	defaultConnectionLifetime = 12 * time.Second
+	defaultLength             = 40 * time.Second
+	defaultFleetOnlyLength    = 45 * time.Second
+	connectionsPerNode        = 36 // that all servers bear, by default; clients ask for some 16 of them
+	minServerCapacity         = 50
+)
+
+// setDefault gives a zero value its default.
+func setDefault[T comparable](value *T, defaultValue T) {
+	var zero T
+	if *value == zero {
+		*value = defaultValue
 	}
+}
+
+// withDefaults returns the options with the defaults of what is left out.
+func (o Options) withDefaults() Options {
+	setDefault(&o.Nodes, defaultNodes)
+	setDefault(&o.Zones, defaultZones)
+	setDefault(&o.Regions, min(maxDefaultRegions, o.Zones))
+	setDefault(&o.Hosts, defaultServersPerZone)
+	setDefault(&o.Bears, max(minServerCapacity, connectionsPerNode*o.Nodes/o.Zones/o.Hosts))
+	setDefault(&o.Voters, defaultVoters)
+	setDefault(&o.Use, defaultUtilization)
+	setDefault(&o.ConnectionLifetime, defaultConnectionLifetime)
+	setDefault(&o.Length, defaultLength)
+	setDefault(&o.Policy, CommonPlan)
 	return o
 }
 
-// JSON is a short form of options, to play a run again.
-func (o Options) JSON() string {
-	b, err := json.Marshal(o)
-	if err != nil {
-		return err.Error()
-	}
-	return strings.TrimSpace(string(b))
+// fleetOnly returns the options of a run without servers and clients.
+func (o Options) fleetOnly() Options {
+	o.FleetOnly = true
+	setDefault(&o.Length, defaultFleetOnlyLength)
+	return o
 }
+
+// zoneCapacity is the number of connections that the servers of one zone bear.
+func (o Options) zoneCapacity() int { return o.Hosts * o.Bears }
--- a/internal/lab/simulation/queue.go
+++ b/internal/lab/simulation/queue.go
@@ -5,46 +5,61 @@
 	"time"
 )
 
-// item is something that happens at a time.
-type item struct {
-	at  time.Duration
-	seq uint64
-	fn  func()
-	off bool
-	pos int
+// event is a function that runs at a point in simulated time.
+type event struct {
+	at       time.Duration
+	sequence uint64 // the order in which events were scheduled
+	run      func()
 }
 
-// queue is a heap of items, the next one first; those of one time in the order in which they were put.
-type queue []*item
+// eventQueue is a heap of events, the earliest first; those of one time in the order in which they were scheduled. It
+// implements heap.Interface.
+type eventQueue []*event
 
-func (q queue) Len() int { return len(q) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i]; q[i].pos, q[j].pos = i, j }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *queue) Push(x any) { it := x.(*item); it.pos = len(*q); *q = append(*q, it) }
+func (q *eventQueue) Push(x any) {
+	next, ok := x.(*event)
+	if !ok {
+		panic("the queue takes events only")
+	}
+	*q = append(*q, next)
+}
+
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	popped := (*q)[last]
+	(*q)[last] = nil
+	*q = (*q)[:last]
+	return popped
+}
 
-func (q *queue) Pop() any {
-	old := *q
-	it := old[len(old)-1]
-	old[len(old)-1] = nil
-	*q = old[:len(old)-1]
-	it.pos = -1
-	return it
+// next removes the earliest event and returns it; nil, if there is none until end.
+func (q *eventQueue) next(end time.Duration) *event {
+	if len(*q) == 0 || (*q)[0].at > end {
+		return nil
+	}
+	earliest := (*q)[0]
+	heap.Pop(q)
+	return earliest
 }
 
-// at has something happen at a time, or now where that is over.
-func (w *World) at(d time.Duration, fn func()) *item {
-	w.seq++
-	it := &item{at: max(w.now, d), seq: w.seq, fn: fn}
-	heap.Push(&w.q, it)
-	return it
+// schedule runs a function at a time, or now where that time is over.
+func (w *World) schedule(at time.Duration, run func()) {
+	w.lastSequence++
+	heap.Push(&w.queue, &event{at: max(w.now, at), sequence: w.lastSequence, run: run})
 }
 
-// every has something happen again and again.
-func (w *World) every(d time.Duration, fn func()) {
-	w.at(w.now+d, func() { fn(); w.every(d, fn) })
+// scheduleEvery runs a function again and again.
+func (w *World) scheduleEvery(interval time.Duration, run func()) {
+	w.schedule(w.now+interval, func() {
+		run()
+		w.scheduleEvery(interval, run)
+	})
 }
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -1,10 +1,10 @@
-// Package simulation plays a fleet in simulated time: hundreds of nodes, each with its own module (choice), core (edge) and part in the fleet
-// (failover/agent), as they are in service; the network, clocks, disks, hosts and clients are drawn by seed. What happens is a history as
-// the processes' laboratory writes it, and the same checker reads it.
+// Package simulation plays a fleet in simulated time: hundreds of nodes, each with its own decision module (choice),
+// core (edge) and fleet agent (failover/agent), as they are in service. The network, clocks, disks, servers and clients
+// are simulated, and all chance is drawn from one seed: a run of one seed is the same each time. What happens is
+// recorded as a history in the format of internal/lab/faults, and its checker judges it.
 package simulation
 
 import (
-	"container/heap"
 	crypto "crypto/rand"
 	"fmt"
 	"math/rand/v2"
@@ -16,172 +16,211 @@
 	"spurwinch/internal/simwire"
 )
 
-// firstClients is when the first clients come: there are plans by then.
-const firstClients = 3 * time.Second
+const (
+	firstClients     = 3 * time.Second // when the first clients connect: there are plans by then
+	initialClients   = 4 * time.Second // over which the clients that stand there at the start connect
+	samplingInterval = 500 * time.Millisecond
+	defaultOperators = 3
+	operatorPause    = 700 * time.Millisecond // mean, between two commands of an operator
+)
+
+// Streams of the random generators of one seed.
+const (
+	worldStream  = 77
+	cryptoStream = 78
+)
 
-var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// epoch is the start of simulated time.
+var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// World is one run.
+// zonePair names two zones, from the first to the second.
+type zonePair struct{ from, to string }
+
+// World is one run. It owns all state of the simulation; nothing in it is safe for concurrent use.
 type World struct {
-	o        Options
-	rng      *rand.Rand
-	now      time.Duration
-	q        queue
-	seq      uint64
-	list     *membership.List
-	nodes    []*node
-	hosts    []*host
-	byID     map[choice.ServerID]*host
-	zones    []string
-	events   []faults.Event
-	ids      int
-	cut      map[[2]string]bool // nodes' messages from zone to zone are lost
-	cutHosts map[[2]string]bool // and lines to hosts
-	loss     float64
-	late     time.Duration // more on the way for evidence of lateZone
-	repeat   float64
-	bytes    uint64
-	sent     uint64
-	settings choice.Settings
-	classes  []string
-	saves    int
-	served   map[string][2]int // by class: served, all
-	ops      []*operator
-	opPause  time.Duration
-	patience time.Duration // of an operator's call, where it is longer than usual
-	olds     bool          // some nodes are of an older version
-	crashy   float64       // part of the steps of policies at which the node is killed
+	options      Options
+	rng          *rand.Rand
+	now          time.Duration
+	queue        eventQueue
+	lastSequence uint64
+	history      []faults.Event
+
+	zones      []string
+	list       *membership.List
+	nodes      []*node
+	servers    []*server
+	serverByID map[choice.ServerID]*server
+	settings   choice.Settings
+	classes    []string
+	requests   int // of clients so far
+	operators  []*operator
+
+	network        network
+	minCallTimeout time.Duration // of operators' calls, if longer than usual
+	hasOlderNodes  bool
+	stepCrashRate  float64 // part of the steps of policy changes at which the node crashes
+}
+
+// network is the state of the links between nodes, and from nodes to servers.
+type network struct {
+	partitions    map[zonePair]bool // messages between nodes of these zones are lost
+	lossRate      float64
+	extraDelay    time.Duration // mean, of messages that are not of the consensus
+	duplicateRate float64
+	bytesSent     uint64
 }
 
-// seededReader makes a source drawn by seed a reader of random bytes.
+// seededReader makes a seeded random source a reader of random bytes.
 type seededReader struct{ *rand.Rand }
 
-func (d seededReader) Read(p []byte) (int, error) {
-	for i := range p {
-		p[i] = byte(d.Uint64())
+func (r seededReader) Read(buffer []byte) (int, error) {
+	for i := range buffer {
+		buffer[i] = byte(r.Uint64())
 	}
-	return len(p), nil
+	return len(buffer), nil
 }
 
-// New makes a world. Worlds of one process are made and played one after another: Raft draws its patience from crypto/rand.
-func New(o Options) (*World, error) {
-	o = o.Usual()
-	w := &World{o: o, rng: rand.New(rand.NewPCG(o.Seed, 77)), byID: map[choice.ServerID]*host{}, cut: map[[2]string]bool{},
-		cutHosts: map[[2]string]bool{}, loss: o.Loss, served: map[string][2]int{}}
-	crypto.Reader = seededReader{rand.New(rand.NewPCG(o.Seed, 78))}
-	region := w.makeZones()
-	if err := w.readSettings(); err != nil {
+// New makes a world and starts its nodes. Worlds of one process are made and played one after another: the Raft library
+// draws its election timeouts from crypto/rand, whose reader is replaced by a seeded one.
+func New(options Options) (*World, error) {
+	options = options.withDefaults()
+	world := &World{
+		options:    options,
+		rng:        rand.New(rand.NewPCG(options.Seed, worldStream)),
+		serverByID: map[choice.ServerID]*server{},
+		network:    network{partitions: map[zonePair]bool{}, lossRate: options.Loss},
+	}
+	crypto.Reader = seededReader{rand.New(rand.NewPCG(options.Seed, cryptoStream))}
+	regions := world.makeZones()
+	if err := world.readSettings(); err != nil {
 		return nil, err
 	}
-	if err := w.makeNodes(region); err != nil {
+	if err := world.makeNodes(regions); err != nil {
 		return nil, err
 	}
-	for _, n := range w.nodes {
-		if err := n.start("new"); err != nil {
-			return nil, err
+	for _, n := range world.nodes {
+		if err := n.start(faults.FilesNew); err != nil {
+			return nil, fmt.Errorf("start %s: %w", n.name, err)
 		}
 	}
-	if o.Light {
-		w.opPause = 700 * time.Millisecond
-		w.operators(3)
-		return w, nil
+	if options.FleetOnly {
+		world.addOperators(defaultOperators)
+		return world, nil
 	}
-	w.startClients()
-	w.every(500*time.Millisecond, w.sample)
-	return w, nil
+	world.startClients()
+	world.scheduleEvery(samplingInterval, world.recordConnections)
+	return world, nil
 }
 
-// makeZones makes the zones with their hosts, and gives the zones' regions.
+// makeZones makes the zones with their servers and returns the region of each zone.
 func (w *World) makeZones() map[string]string {
-	o, region := w.o, map[string]string{}
-	for z := range o.Zones {
-		name := fmt.Sprintf("z%d", z)
-		w.zones = append(w.zones, name)
-		region[name] = fmt.Sprintf("r%d", z*o.Regions/o.Zones)
-		w.note(faults.Event{Kind: faults.KindZone, Zone: name, Detail: region[name], Value: float64(o.Hosts * o.Bears)})
-		for range o.Hosts {
-			h := &host{id: choice.ServerID(fmt.Sprintf("h%03d", len(w.hosts))), zone: name, bears: o.Bears, held: map[*try]bool{}, slow: 1}
-			w.hosts = append(w.hosts, h)
-			w.byID[h.id] = h
+	regions := map[string]string{}
+	for i := range w.options.Zones {
+		zone := fmt.Sprintf("z%d", i)
+		region := fmt.Sprintf("r%d", i*w.options.Regions/w.options.Zones)
+		w.zones = append(w.zones, zone)
+		regions[zone] = region
+		w.record(faults.Event{
+			Kind: faults.KindZone, Zone: zone, Detail: region, Value: float64(w.options.zoneCapacity()),
+		})
+		for range w.options.Hosts {
+			added := &server{
+				id:          choice.ServerID(fmt.Sprintf("h%03d", len(w.servers))),
+				zone:        zone,
+				capacity:    w.options.Bears,
+				connections: map[*attempt]bool{},
+				slowdown:    1,
+			}
+			w.servers = append(w.servers, added)
+			w.serverByID[added.id] = added
 		}
 	}
-	return region
+	return regions
 }
 
-// readSettings reads the settings that all nodes are told alike.
+// readSettings reads the settings that all nodes share.
 func (w *World) readSettings() error {
-	s, err := Settings(w.o.Nodes, 0, w.zones[0])
+	decoded, err := nodeSettings(w.options.Nodes, 0, w.zones[0])
 	if err != nil {
 		return err
 	}
-	w.settings = s.Settings
-	for _, class := range s.Classes {
+	w.settings = decoded.Settings
+	for _, class := range decoded.Classes {
 		w.classes = append(w.classes, class.Name)
 	}
 	return nil
 }
 
-// makeNodes makes the list of nodes and the nodes. Zones take turns, so voters, the first ones, stand in different zones.
-func (w *World) makeNodes(region map[string]string) (err error) {
+// makeNodes makes the list of nodes and the nodes. Zones take turns, so voters, the first ones, are in different zones.
+func (w *World) makeNodes(regions map[string]string) error {
 	var members []membership.Node
-	for i := range w.o.Nodes {
-		zone := w.zones[i%w.o.Zones]
-		members = append(members, membership.Node{Name: fmt.Sprintf("n%04d", i), Zone: zone, Region: region[zone], Voter: i < w.o.Voters})
+	for i := range w.options.Nodes {
+		zone := w.zones[i%w.options.Zones]
+		members = append(members, membership.Node{
+			Name: fmt.Sprintf("n%04d", i), Zone: zone, Region: regions[zone], Voter: i < w.options.Voters,
+		})
 	}
-	if w.list, err = membership.NewList(members); err != nil {
+	list, err := membership.NewList(members)
+	if err != nil {
 		return err
 	}
-	for i := range w.list.Len() {
-		member := w.list.Node(i)
+	w.list = list
+	for i := range list.Len() {
+		member := list.Node(i)
 		votes := 0.0
 		if member.Voter {
 			votes = 1
 		}
-		w.note(faults.Event{Kind: faults.KindNode, Node: member.Name, Zone: member.Zone, Value: votes})
-		w.nodes = append(w.nodes, &node{w: w, i: i, name: member.Name, zone: member.Zone})
+		w.record(faults.Event{Kind: faults.KindNode, Node: member.Name, Zone: member.Zone, Value: votes})
+		w.nodes = append(w.nodes, &node{world: w, index: i, name: member.Name, zone: member.Zone})
 	}
 	return nil
 }
 
-// startClients has clients come to each zone. Who would stand there already comes over some seconds after the first plans.
+// startClients has clients connect in each zone. Those that stand there at the start connect over some seconds after
+// the first plans.
 func (w *World) startClients() {
 	for _, zone := range w.zones {
-		w.arrivals(zone)
-		for range int(w.o.Use * float64(w.o.Hosts*w.o.Bears)) {
-			w.at(firstClients+time.Duration(w.rng.Float64()*float64(4*time.Second)), func() { w.newClient(zone).come() })
+		w.scheduleArrival(zone)
+		for range int(w.options.Use * float64(w.options.zoneCapacity())) {
+			at := firstClients + time.Duration(w.rng.Float64()*float64(initialClients))
+			w.schedule(at, func() { w.newClient(zone).connect() })
 		}
 	}
 }
 
-// Settings are what a node of the laboratory is told.
-func Settings(nodes, index int, zone string) (simwire.Settings, error) {
-	return simwire.DecodeSettings(faults.SettingsJSON(nodes, index, zone))
+// nodeSettings are the settings that the platform gives a node.
+func nodeSettings(nodes, index int, zone string) (simwire.Settings, error) {
+	return simwire.DecodeSettings(faults.NodeSettings(nodes, index, zone))
 }
 
-func (w *World) note(e faults.Event) {
+// record adds an event to the history.
+func (w *World) record(e faults.Event) {
 	e.At = w.now.Seconds()
-	w.events = append(w.events, e)
+	w.history = append(w.history, e)
 }
 
-// Run plays the world to its end and gives its history.
+// recordFailure adds to the history what the simulation could not do.
+func (w *World) recordFailure(n *node, err error) {
+	w.record(faults.Event{Kind: faults.KindLog, Node: n.name, Detail: "start: " + err.Error()})
+}
+
+// Run plays the world to its end and returns its history.
 func (w *World) Run() []faults.Event {
-	for len(w.q) > 0 && w.q[0].at <= w.o.Length {
-		it := heap.Pop(&w.q).(*item)
-		w.now = it.at
-		if !it.off {
-			it.fn()
+	for {
+		next := w.queue.next(w.options.Length)
+		if next == nil {
+			return w.history
 		}
+		w.now = next.at
+		next.run()
 	}
-	return w.events
 }
 
-// Served tells, by class, how many requests came up, of how many.
-func (w *World) Served() map[string][2]int { return w.served }
-
-// Bytes tells the bytes that nodes have sent one another.
-func (w *World) Bytes() uint64 { return w.bytes }
+// BytesSent returns the number of bytes that nodes have sent one another.
+func (w *World) BytesSent() uint64 { return w.network.bytesSent }
 
-// Rate is the bytes that nodes sent one another, a node and second.
+// Rate returns the bytes that a node sent to others in a second, in the mean.
 func (w *World) Rate() float64 {
-	return float64(w.bytes) / float64(len(w.nodes)) / w.o.Length.Seconds()
+	return float64(w.network.bytesSent) / float64(len(w.nodes)) / w.options.Length.Seconds()
 }
