--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -12,280 +11,341 @@
 )
 
 const (
-	dialTime     = time.Second
-	rudeTime     = 3*time.Second + time.Second // in which a client that can't be served has its error or its end
-	silentTime   = 7*time.Second + 1500*time.Millisecond
-	meanLife     = 1500 * time.Millisecond
-	longestLife  = 6 * time.Second
-	restsFor     = 2500 * time.Millisecond
-	settlesAfter = 700 * time.Millisecond // the laboratory's two sides of a connection know the same
+	dialTimeout         = time.Second
+	invalidTimeout      = 3*time.Second + time.Second // in which a client that can't be served gets an error or an end
+	echoTimeout         = 7*time.Second + 1500*time.Millisecond
+	meanConnection      = 1500 * time.Millisecond
+	maxConnection       = 6 * time.Second
+	idleTime            = 2500 * time.Millisecond
+	idleJitter          = 4                      // ms, either way
+	settlingTime        = 700 * time.Millisecond // until the harness's two sides of a connection know the same
+	answerReadSlack     = 2 * time.Second
+	afterCloseRead      = time.Second
+	meanDisconnectDelay = 150 * time.Millisecond
+	minLineInterval     = 50  // ms
+	lineJitter          = 400 // ms
+	clientReadBuffer    = 8192
+	maxLineFragment     = 20 // bytes
+	fragmentJitter      = 40 // ms
 )
 
-// arrivals brings clients until the run is over.
-func (l *lab) arrivals(rng *rand.Rand) {
+// Parts of the clients that misbehave.
+const (
+	invalidRate = 0.03
+	idleRate    = 0.03
+)
+
+// Lines of the protocol between nodes and clients.
+const (
+	linePing = "PING\r\n"
+	linePong = "PONG\r\n"
+	lineMove = "MOVE\r\n"
+)
+
+// client is one connection of a client to a node.
+type client struct {
+	harness *harness
+	checker *Checker
+	node    *node
+	rng     *rand.Rand
+	conn    *net.TCPConn
+	reader  *bufio.Reader
+}
+
+// runArrivals has clients arrive until the run is over.
+func (h *harness) runArrivals(rng *rand.Rand) {
 	next := time.Now()
 	for {
-		next = next.Add(time.Duration(rng.ExpFloat64() / l.rate() * float64(time.Second)))
+		next = next.Add(time.Duration(rng.ExpFloat64() / h.rate() * float64(time.Second)))
 		select {
 		case <-time.After(time.Until(next)):
-		case <-l.done:
+		case <-h.done:
 			return
 		}
-		n, err := l.pick(rng)
-		if err != nil {
-			l.judge.saw("clients without a node")
+		admitted := h.admittedNodes()
+		if len(admitted) == 0 {
+			h.checker.count("clients without a node")
 			continue
 		}
-		c := &client{lab: l, node: n, rng: rand.New(rand.NewPCG(rng.Uint64(), 3))}
-		l.wait.Add(1)
-		go func() {
-			defer l.wait.Done()
-			c.come()
-		}()
+		arrived := &client{harness: h, checker: h.checker, node: admitted[rng.IntN(len(admitted))]}
+		arrived.rng = rand.New(rand.NewPCG(rng.Uint64(), clientStream))
+		h.inBackground(arrived.run)
 	}
 }
 
-// pick is what the front does.
-func (l *lab) pick(rng *rand.Rand) (*node, error) {
-	var all []*node
-	for _, n := range l.nodes {
-		n.mu.Lock()
-		if n.admitted {
-			all = append(all, n)
-		}
-		n.mu.Unlock()
-	}
-	if len(all) == 0 {
-		return nil, errNoNode
-	}
-	return all[rng.IntN(len(all))], nil
-}
-
-type client struct {
-	lab  *lab
-	node *node
-	rng  *rand.Rand
-	conn *net.TCPConn
-	in   *bufio.Reader
-}
-
-// come is one connection of a client.
-func (c *client) come() {
-	d, err := net.DialTimeout("tcp", c.node.addr, dialTime)
+// run opens the connection and uses it to its end.
+func (c *client) run() {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.Dial("tcp", c.node.addr)
 	if err != nil {
-		c.lab.judge.saw("connections refused")
+		c.checker.count("connections refused")
 		return
 	}
-	c.conn, c.in = d.(*net.TCPConn), bufio.NewReaderSize(d, 8192)
-	defer c.conn.Close()
-	switch x := c.rng.Float64(); {
-	case x < 0.03:
-		c.nonsense()
-	case x < 0.06:
-		c.rests()
+	defer closeQuietly(conn)
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		panic("the dialer gives TCP connections for tcp")
+	}
+	c.conn = tcp
+	c.reader = bufio.NewReaderSize(conn, clientReadBuffer)
+	switch kind := c.rng.Float64(); {
+	case kind < invalidRate:
+		c.sendInvalid()
+	case kind < invalidRate+idleRate:
+		c.sendAfterIdling()
 	default:
-		c.asks()
+		c.sendRequest()
 	}
 }
 
-var nonsense = []string{"HELLO world\r\n", "OPEN\r\n", "OPEN 1 2 c=none\r\n", "OPEN 0123456789abcdef 01 c=read,d=x\r\n", "OPEN 0123456789abcdef 01 c=read\r\nmore\r\n",
-	"OPEN 0123456789abcdef 01 c=re", "\r\n", "\x00\x01\x02", "PING\r\nOPEN 0123", "OPEN 0123456789abcdef 01 c=read,d=-5\r\n"}
-
-// nonsense sends what can't be served: an error or an end has to come.
-func (c *client) nonsense() {
-	began := time.Now()
-	fmt.Fprint(c.conn, nonsense[c.rng.IntN(len(nonsense))])
-	c.conn.SetReadDeadline(began.Add(rudeTime))
-	if _, err := io.Copy(io.Discard, c.conn); isTimeout(err) && !c.node.excused(began, time.Now()) {
-		c.lab.judge.broken(Answer, "%s: a client that can't be served has no end after %v", c.node.name, rudeTime)
-	}
-	c.lab.judge.saw("clients with nonsense")
+// invalidLines are what a node can't serve.
+var invalidLines = []string{
+	"HELLO world\r\n",
+	"OPEN\r\n",
+	"OPEN 1 2 c=none\r\n",
+	"OPEN 0123456789abcdef 01 c=read,d=x\r\n",
+	"OPEN 0123456789abcdef 01 c=read\r\nmore\r\n",
+	"OPEN 0123456789abcdef 01 c=re",
+	"\r\n",
+	"\x00\x01\x02",
+	"PING\r\nOPEN 0123",
+	"OPEN 0123456789abcdef 01 c=read,d=-5\r\n",
 }
 
-func isTimeout(err error) bool {
-	var timeout net.Error
-	return errors.As(err, &timeout) && timeout.Timeout()
+// write writes to the node. Where the node has ended the connection, the next read shows it.
+func (c *client) write(text string) { _, _ = io.WriteString(c.conn, text) }
+
+// sendInvalid sends what can't be served: an error or the connection's end has to come.
+func (c *client) sendInvalid() {
+	start := time.Now()
+	c.write(invalidLines[c.rng.IntN(len(invalidLines))])
+	setReadDeadline(c.conn, start.Add(invalidTimeout))
+	if _, err := io.Copy(io.Discard, c.conn); isTimeout(err) && !c.node.killedBetween(start, time.Now()) {
+		c.checker.violated(Answer, "%s: a client that can't be served has no end after %v", c.node.name, invalidTimeout)
+	}
+	c.checker.count("clients with nonsense")
 }
 
-// rests pings, rests about as long as a node lets it, and asks in the moment in which it may be ended.
-func (c *client) rests() {
-	began := time.Now()
+// sendAfterIdling may ping, idles about as long as a node allows, and sends a request at the moment at which the node
+// may end the connection.
+func (c *client) sendAfterIdling() {
+	start := time.Now()
 	if c.rng.IntN(2) == 0 {
-		fmt.Fprint(c.conn, "PING\r\n")
-		c.conn.SetReadDeadline(began.Add(rudeTime))
-		if line, err := c.in.ReadString('\n'); line != "PONG\r\n" && !c.node.excused(began, time.Now()) {
-			c.lab.judge.saw("rests ended before PONG: " + fmt.Sprint(err))
+		c.write(linePing)
+		setReadDeadline(c.conn, start.Add(invalidTimeout))
+		line, err := c.reader.ReadString('\n')
+		if line != linePong && !c.node.killedBetween(start, time.Now()) {
+			c.checker.count("rests ended before PONG: " + fmt.Sprint(err))
 			return
 		}
 	}
-	time.Sleep(time.Until(began.Add(restsFor + time.Duration(c.rng.IntN(8)-4)*time.Millisecond)))
-	r := c.request()
-	c.lab.judge.saw("requests across the end of a rest")
-	fmt.Fprint(c.conn, c.line(r)) // by then the node may have ended the connection: then this is nobody's
-	c.conn.SetReadDeadline(time.Now().Add(rudeTime))
-	c.in.ReadString('\n')
+	jitter := time.Duration(c.rng.IntN(2*idleJitter)-idleJitter) * time.Millisecond
+	time.Sleep(time.Until(start.Add(idleTime + jitter)))
+	line := c.openLine(c.newRequest())
+	c.checker.count("requests across the end of a rest")
+	c.write(line) // the node may have ended the connection by now: nothing is expected of this request
+	setReadDeadline(c.conn, time.Now().Add(invalidTimeout))
+	_, _ = c.reader.ReadString('\n') // an answer or the end: both are right
 }
 
-// request draws a request that nobody knows of yet.
-func (c *client) request() *request {
-	x, k := c.rng.Float64(), 0
-	for ; k < len(classes)-1 && x > classes[k].part; k++ {
-		x -= classes[k].part
+// newRequest draws a request; the checker doesn't know it yet.
+func (c *client) newRequest() *request {
+	drawn := 0
+	for point := c.rng.Float64(); drawn < len(classes)-1 && point > classes[drawn].fraction; drawn++ {
+		point -= classes[drawn].fraction
+	}
+	return &request{
+		id:          fmt.Sprintf("%016x", c.rng.Uint64()),
+		class:       &classes[drawn],
+		node:        c.node,
+		incarnation: c.node.currentIncarnation(),
 	}
-	c.node.mu.Lock()
-	run := c.node.run
-	c.node.mu.Unlock()
-	return &request{id: fmt.Sprintf("%016x", c.rng.Uint64()), class: &classes[k], node: c.node, run: run}
 }
 
-func (c *client) line(r *request) string {
-	return fmt.Sprintf("OPEN %s %016x c=%s,t=all,d=%d\r\n", r.id, c.rng.Uint64(), r.class.name, r.class.patience.Milliseconds())
+// openLine is the protocol's line that opens a request.
+func (c *client) openLine(opened *request) string {
+	return fmt.Sprintf("OPEN %s %016x c=%s,t=all,d=%d\r\n",
+		opened.id, c.rng.Uint64(), opened.class.name, opened.class.deadline.Milliseconds())
 }
 
-// asks makes a request and uses the connection that it gets.
-func (c *client) asks() {
-	r := c.request()
-	line := c.line(r)
-	if c.rng.IntN(6) == 0 { // in pieces
-		for len(line) > 1 {
-			n := 1 + c.rng.IntN(min(len(line)-1, 20))
-			if _, err := io.WriteString(c.conn, line[:n]); err != nil {
-				return
-			}
-			line = line[n:]
-			time.Sleep(time.Duration(c.rng.IntN(40)) * time.Millisecond)
+// sendRequest sends a request and uses the connection that it gets.
+func (c *client) sendRequest() {
+	sent := c.newRequest()
+	line := c.openLine(sent)
+	if c.rng.IntN(6) == 0 {
+		rest, err := c.writeInFragments(line)
+		if err != nil {
+			return
 		}
+		line = rest
 	}
-	r.sent = time.Now()
-	r.deadline = r.sent.Add(r.class.patience)
-	c.lab.judge.asked(r)
+	sent.sentAt = time.Now()
+	sent.deadline = sent.sentAt.Add(sent.class.deadline)
+	c.checker.requestSent(sent)
 	if _, err := io.WriteString(c.conn, line); err != nil {
-		c.lab.judge.leaves(r)
+		c.checker.clientGone(sent)
 		return
 	}
 	if c.rng.IntN(7) == 0 {
-		c.leavesEarly(r)
+		c.disconnectEarly(sent)
+		return
+	}
+	c.awaitAnswer(sent)
+}
+
+// writeInFragments writes a line in small pieces up to its last byte, which it returns.
+func (c *client) writeInFragments(line string) (lastByte string, err error) {
+	for len(line) > 1 {
+		size := 1 + c.rng.IntN(min(len(line)-1, maxLineFragment))
+		if _, err := io.WriteString(c.conn, line[:size]); err != nil {
+			return "", err
+		}
+		line = line[size:]
+		time.Sleep(time.Duration(c.rng.IntN(fragmentJitter)) * time.Millisecond)
+	}
+	return line, nil
+}
+
+// awaitAnswer reads the answer to a request, and uses the connection if it was served.
+func (c *client) awaitAnswer(sent *request) {
+	setReadDeadline(c.conn, sent.deadline.Add(answerSlack+answerReadSlack))
+	answer, err := c.reader.ReadString('\n')
+	if err != nil {
+		c.handleMissingAnswer(sent, answer, err)
 		return
 	}
-	c.conn.SetReadDeadline(r.deadline.Add(answerSlack + 2*time.Second))
-	answer, err := c.in.ReadString('\n')
 	word, rest, _ := strings.Cut(strings.TrimRight(answer, "\r\n"), " ")
-	switch {
-	case err != nil:
-		c.unanswered(r, answer, err)
-	case word == "UP":
-		c.lab.judge.answers(r, "UP")
-		if y := c.lab.judge.owns(r, rest); y != nil {
-			c.stands(r, y)
+	switch word {
+	case replyUp:
+		c.checker.requestAnswered(sent, word)
+		if served := c.checker.checkReceipt(sent, rest); served != nil {
+			c.useConnection(sent, served)
 		}
-	case word == "BUSY" || word == "ERR":
-		c.lab.judge.answers(r, word)
+	case replyBusy, replyError:
+		c.checker.requestAnswered(sent, word)
 	default:
-		c.lab.judge.broken(Receipt, "%s: answered %q by %s", r.id, answer, c.node.name)
+		c.checker.violated(Receipt, "%s: answered %q by %s", sent.id, answer, c.node.name)
 	}
 }
 
-// unanswered is a connection that ended before the answer.
-func (c *client) unanswered(r *request, part string, err error) {
-	defer c.lab.judge.leaves(r)
-	if c.node.excused(r.sent, time.Now()) {
-		c.lab.judge.saw("requests lost with a killed process")
+// handleMissingAnswer checks a connection that ended before the answer.
+func (c *client) handleMissingAnswer(sent *request, partial string, err error) {
+	defer c.checker.clientGone(sent)
+	if c.node.killedBetween(sent.sentAt, time.Now()) {
+		c.checker.count("requests lost with a killed process")
 		return
 	}
-	c.lab.judge.broken(Answer, "%s (%s): no answer from %s after %v: %q, %v", r.id, r.class.name, c.node.name, time.Since(r.sent).Round(time.Millisecond), part, err)
+	waited := time.Since(sent.sentAt).Round(time.Millisecond)
+	c.checker.violated(Answer, "%s (%s): no answer from %s after %v: %q, %v",
+		sent.id, sent.class.name, c.node.name, waited, partial, err)
 }
 
-// leavesEarly ends the connection before its answer, if that does not come first.
-func (c *client) leavesEarly(r *request) {
-	c.conn.SetReadDeadline(time.Now().Add(time.Duration(c.rng.ExpFloat64() * float64(150*time.Millisecond))))
-	if answer, err := c.in.ReadString('\n'); !isTimeout(err) {
+// disconnectEarly ends the connection before its answer, if that does not come first.
+func (c *client) disconnectEarly(sent *request) {
+	delay := time.Duration(c.rng.ExpFloat64() * float64(meanDisconnectDelay))
+	setReadDeadline(c.conn, time.Now().Add(delay))
+	answer, err := c.reader.ReadString('\n')
+	if !isTimeout(err) {
 		if err == nil {
 			word, _, _ := strings.Cut(strings.TrimRight(answer, "\r\n"), " ")
-			c.lab.judge.answers(r, word)
+			c.checker.requestAnswered(sent, word)
 		}
 		return
 	}
-	c.lab.judge.saw("clients that left early")
+	c.checker.count("clients that left early")
 	switch c.rng.IntN(3) {
 	case 0:
-		c.conn.Close()
+		closeQuietly(c.conn)
 	case 1:
 		reset(c.conn)
 	default:
-		c.conn.CloseWrite()
+		_ = c.conn.CloseWrite() // it fails where the node has ended the connection as well
 	}
-	c.lab.judge.leaves(r)
-	c.conn.SetReadDeadline(time.Now().Add(time.Second))
-	io.Copy(io.Discard, c.conn)
+	c.checker.clientGone(sent)
+	setReadDeadline(c.conn, time.Now().Add(afterCloseRead))
+	_, _ = io.Copy(io.Discard, c.conn) // what a client that has left still gets is not checked
 }
 
-// stands uses a connection that is up: each line has to come back.
-func (c *client) stands(r *request, y *try) {
-	end := time.Now().Add(min(time.Duration(c.rng.ExpFloat64()*float64(meanLife)), longestLife))
-	for k := 0; time.Now().Before(end) && !c.lab.over(); k++ {
-		line := fmt.Sprintf("line %d of %s\r\n", k, r.id)
-		sent := time.Now()
+// useConnection uses a connection that is open: each line has to be returned.
+func (c *client) useConnection(served *request, connection *attempt) {
+	length := time.Duration(c.rng.ExpFloat64() * float64(meanConnection))
+	end := time.Now().Add(min(length, maxConnection))
+	for number := 0; time.Now().Before(end) && !c.harness.over(); number++ {
+		line := fmt.Sprintf("line %d of %s\r\n", number, served.id)
+		sentAt := time.Now()
 		if _, err := io.WriteString(c.conn, line); err != nil {
-			c.cutOff(r, y, err)
+			c.checkEnd(served, connection, err)
 			return
 		}
-		if !c.comesBack(r, y, line, sent) {
+		if !c.awaitLine(served, connection, line, sentAt) {
 			return
 		}
-		time.Sleep(time.Duration(50+c.rng.IntN(400)) * time.Millisecond)
+		time.Sleep(time.Duration(minLineInterval+c.rng.IntN(lineJitter)) * time.Millisecond)
 	}
 	if c.rng.IntN(4) == 0 {
 		reset(c.conn)
 	}
 }
 
-// comesBack waits for a line's return and says whether the connection stands.
-func (c *client) comesBack(r *request, y *try, line string, sent time.Time) bool {
-	c.conn.SetReadDeadline(sent.Add(silentTime))
-	got, err := c.in.ReadString('\n')
+// awaitLine waits until a line is returned, and reports whether the connection is still open.
+func (c *client) awaitLine(served *request, connection *attempt, line string, sentAt time.Time) bool {
+	setReadDeadline(c.conn, sentAt.Add(echoTimeout))
+	got, err := c.reader.ReadString('\n')
 	switch {
-	case err == nil && got == line:
-		m, _ := y.host.now()
-		w := y.host.proxy.weather.Load()
-		if took := time.Since(sent); took > lineTime && m == well && w.hold == 0 && !c.lab.judge.endedByHost(y) {
-			c.lab.judge.broken(Line, "%s: a line came back by %s after %v", r.id, c.node.name, took)
-		}
-		return true
-	case err == nil && got == "MOVE\r\n":
-		c.lab.judge.saw("clients moved")
+	case isTimeout(err):
+		c.checker.violated(Line, "%s: nothing came back by %s for %v", served.id, c.node.name, echoTimeout)
 		return false
-	case err == nil && strings.HasPrefix(line, strings.TrimRight(got, "\r\n")): // the host's line was cut short: MOVE has to be a line of its own
-		if next, _ := c.in.ReadString('\n'); next == "MOVE\r\n" {
-			c.lab.judge.saw("clients moved")
-			return false
-		}
-		fallthrough
-	case err == nil:
-		c.lab.judge.broken(Line, "%s: %q came back by %s for %q", r.id, got, c.node.name, line)
+	case err != nil:
+		c.checkEnd(served, connection, err)
 		return false
-	case isTimeout(err):
-		c.lab.judge.broken(Line, "%s: nothing came back by %s for %v", r.id, c.node.name, silentTime)
+	case got == line:
+		c.checkLineTime(served, connection, time.Since(sentAt))
+		return true
+	case got == lineMove || c.isMoveAfterPartOf(line, got):
+		c.checker.count("clients moved")
 		return false
 	}
-	c.cutOff(r, y, err)
+	c.checker.violated(Line, "%s: %q came back by %s for %q", served.id, got, c.node.name, line)
 	return false
 }
 
-// cutOff judges the end of a connection that was up, without MOVE.
-func (c *client) cutOff(r *request, y *try, err error) {
+// isMoveAfterPartOf reports whether a node has ended the server's unfinished line and sent MOVE as a line of its own.
+func (c *client) isMoveAfterPartOf(line, got string) bool {
+	if !strings.HasPrefix(line, strings.TrimRight(got, "\r\n")) {
+		return false
+	}
+	next, err := c.reader.ReadString('\n')
+	return err == nil && next == lineMove
+}
+
+// checkLineTime checks the time in which a line was returned, where neither server nor proxy delays it.
+func (c *client) checkLineTime(served *request, connection *attempt, took time.Duration) {
+	if took <= lineTimeout {
+		return
+	}
+	behavior, _ := connection.server.current()
+	delayed := connection.server.proxy.impairment.Load().maxDelay > 0
+	if behavior == healthy && !delayed && !c.checker.endedByServer(connection) {
+		c.checker.violated(Line, "%s: a line came back by %s after %v", served.id, c.node.name, took)
+	}
+}
+
+// checkEnd checks the end, without MOVE, of a connection that was open.
+func (c *client) checkEnd(served *request, connection *attempt, err error) {
 	now := time.Now()
-	for end := now.Add(settlesAfter); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if c.lab.judge.endedByHost(y) {
-			c.lab.judge.saw("connections ended by their hosts")
+	for end := now.Add(settlingTime); time.Now().Before(end); time.Sleep(pollInterval) {
+		if c.checker.endedByServer(connection) {
+			c.checker.count("connections ended by their hosts")
 			return
 		}
 	}
 	switch {
-	case c.node.excused(now.Add(-settlesAfter), now):
-		c.lab.judge.saw("connections lost with a killed process")
-	case c.node.brokeUnder():
-		c.lab.judge.saw("connections broken under a node")
+	case c.node.killedBetween(now.Add(-settlingTime), now):
+		c.checker.count("connections lost with a killed process")
+	case c.node.connectionsBroken():
+		c.checker.count("connections broken under a node")
 	default:
-		c.lab.judge.broken(CutOff, "%s: %s ended the connection to %s without MOVE: %v", r.id, c.node.name, y.host.id, err)
+		c.checker.violated(CutOff, "%s: %s ended the connection to %s without MOVE: %v",
+			served.id, c.node.name, connection.server.id, err)
 	}
 }
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -11,184 +11,244 @@
 	"spurwinch/internal/lab/fakeserver"
 )
 
-// service is how discovery behaves.
-type service string
+// discoveryBehavior is how the discovery service behaves. The words are those of the reports.
+type discoveryBehavior string
 
 const (
-	up          service = ""
-	down        service = "down"          // answers 503, or resets
-	silent      service = "silent"        // takes calls and says nothing
-	sluggish    service = "sluggish"      // answers late
-	spoils      service = "spoils"        // answers what can't be read
-	neverEnds   service = "never ends"    // begins an answer
-	chunked     service = "chunked"       // sends answers in pieces
-	secondReply service = "second answer" // sends some answers twice
+	available     discoveryBehavior = ""
+	unavailable   discoveryBehavior = "down"          // answers 503
+	unresponsive  discoveryBehavior = "silent"        // takes calls and answers none
+	delayed       discoveryBehavior = "sluggish"      // answers late
+	truncated     discoveryBehavior = "spoils"        // answers with half a list and a reset
+	neverComplete discoveryBehavior = "never ends"    // answers with a list that never ends
+	fragmented    discoveryBehavior = "chunked"       // answers in pieces
+	duplicated    discoveryBehavior = "second answer" // sends an answer twice
 )
 
-var services = []service{down, silent, sluggish, spoils, neverEnds, chunked, secondReply}
+var discoveryBehaviors = []discoveryBehavior{
+	unavailable, unresponsive, delayed, truncated, neverComplete, fragmented, duplicated,
+}
 
-// discovery is a stand-in for the list service. Each node has addresses of its own, so that it is known who was told what.
-type discovery struct {
-	hosts []*host
+const (
+	maxWatch           = 60 * time.Second
+	discoveryDelay     = 1200 * time.Millisecond
+	discoveryFragment  = 97 // bytes
+	secondAnswerDelay  = 5 * time.Millisecond
+	missingBytes       = 10 // of a list that never ends
+	discoveryAddresses = 2  // of each node, of which its configuration names one
+)
 
-	mu      sync.Mutex
-	version int64
-	changed chan struct{}
-	is      service
-	since   time.Time // it can be reached, or can't
-	doors   []net.Listener
+// discovery is a fake of the platform's discovery service. Each node has addresses of its own at it, so that it is
+// known which node was notified of what.
+type discovery struct {
+	servers []*server
+
+	mu        sync.Mutex
+	version   int64
+	changed   chan struct{} // closed at the next change
+	behavior  discoveryBehavior
+	since     time.Time // of the behavior
+	listeners []net.Listener
 }
 
-func newDiscovery(hosts []*host) *discovery {
-	return &discovery{hosts: hosts, version: 1, changed: make(chan struct{}), since: time.Now()}
+func newDiscovery(servers []*server) *discovery {
+	return &discovery{servers: servers, version: 1, changed: make(chan struct{}), since: time.Now()}
 }
 
-// open makes one more address at which a node may ask.
-func (d *discovery) open(n *node) (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// open opens one more address for a node.
+func (d *discovery) open(caller *node) (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	d.mu.Lock()
-	d.doors = append(d.doors, l)
+	d.listeners = append(d.listeners, listener)
 	d.mu.Unlock()
-	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.answer(n, w, r) }))
-	return l.Addr().String(), nil
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(caller, w, r) })
+	go func() { _ = http.Serve(listener, handler) }() // it ends when the listener is closed
+	return listener.Addr().String(), nil
 }
 
+// close closes all addresses.
 func (d *discovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, l := range d.doors {
-		l.Close()
+	for _, listener := range d.listeners {
+		closeQuietly(listener)
 	}
 }
 
-// news has a change of hosts be told.
-func (d *discovery) news() {
+// serversChanged notifies the watching nodes of a change of servers.
+func (d *discovery) serversChanged() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	close(d.changed)
-	d.changed = make(chan struct{})
+	d.wakeWatchesLocked()
 }
 
-func (d *discovery) behave(s service) {
+// behave sets how the service behaves from now on; watches that are open end.
+func (d *discovery) behave(behavior discoveryBehavior) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.is, d.since = s, time.Now()
-	close(d.changed) // watches end when it goes down
+	d.behavior = behavior
+	d.since = time.Now()
+	d.wakeWatchesLocked()
+}
+
+func (d *discovery) wakeWatchesLocked() {
+	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// reachable is since when discovery can be reached without a break; ok is false while it can't.
-func (d *discovery) reachable() (since time.Time, ok bool) {
+// reachableSince returns since when the service can be reached without a break; ok is false while it can't.
+func (d *discovery) reachableSince() (since time.Time, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.since, d.is == up || d.is == chunked
+	return d.since, d.behavior == available || d.behavior == fragmented
 }
 
-func (d *discovery) now() (s service, version int64, changed chan struct{}) {
+// current returns the service's behavior, the version of its list, and a channel that is closed at the next change.
+func (d *discovery) current() (behavior discoveryBehavior, version int64, changed chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.is, d.version, d.changed
-}
-
-// answer answers one call.
-func (d *discovery) answer(n *node, w http.ResponseWriter, r *http.Request) {
-	s, version, changed := d.now()
-	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
-	wait, _ := strconv.ParseInt(r.URL.Query().Get("wait_ms"), 10, 64)
-	if s == up && r.URL.Query().Has("after") && after >= version {
-		select {
-		case <-changed:
-		case <-time.After(time.Duration(min(wait, 60000)) * time.Millisecond):
-		case <-r.Context().Done():
-			return
-		}
-		s, version, _ = d.now()
+	return d.behavior, d.version, d.changed
+}
+
+// serve answers one call of a node, by the service's behavior.
+func (d *discovery) serve(caller *node, w http.ResponseWriter, r *http.Request) {
+	behavior, version, ok := d.awaitChange(r)
+	if !ok {
+		return
 	}
-	switch s {
-	case down:
+	switch behavior {
+	case unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case silent:
+	case unresponsive:
 		<-r.Context().Done()
 		return
-	case sluggish:
-		time.Sleep(1200 * time.Millisecond)
+	case delayed:
+		time.Sleep(discoveryDelay)
+	default:
 	}
 	list, states := d.list(version)
 	w.Header().Set("Content-Type", "application/json")
-	switch s {
-	case spoils:
-		w.Header().Set("Content-Length", strconv.Itoa(len(list)))
-		w.Write(list[:len(list)/2])
-		hangUp(w)
+	switch behavior {
+	case truncated:
+		writeTruncated(w, list)
 		return
-	case neverEnds:
-		w.Header().Set("Content-Length", strconv.Itoa(len(list)+10))
-		w.Write(list)
-		w.(http.Flusher).Flush()
+	case neverComplete:
+		writeIncomplete(w, list)
 		<-r.Context().Done()
 		return
+	default:
 	}
-	n.told(states)
-	switch s {
-	case chunked:
-		for at := 0; at < len(list); at += 97 {
-			w.Write(list[at:min(at+97, len(list))])
-			w.(http.Flusher).Flush()
-			time.Sleep(time.Millisecond)
-		}
-	case secondReply:
-		twice(w, list)
+	caller.notified(states)
+	switch behavior {
+	case fragmented:
+		writeFragmented(w, list)
+	case duplicated:
+		writeTwice(w, list)
 	default:
-		w.Write(list)
+		write(w, list)
 	}
 }
 
-func hangUp(w http.ResponseWriter) {
-	if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
-		reset(c)
+// awaitChange waits, where the call is a watch, until there is a newer list or its time is over. ok is false when the
+// caller has gone.
+func (d *discovery) awaitChange(r *http.Request) (behavior discoveryBehavior, version int64, ok bool) {
+	behavior, version, changed := d.current()
+	query := r.URL.Query()
+	if behavior != available || !query.Has("after") || number(query.Get("after")) < version {
+		return behavior, version, true
+	}
+	watch := time.Duration(min(number(query.Get("wait_ms")), maxWatch.Milliseconds())) * time.Millisecond
+	select {
+	case <-changed:
+	case <-time.After(watch):
+	case <-r.Context().Done():
+		return behavior, version, false
 	}
+	behavior, version, _ = d.current()
+	return behavior, version, true
 }
 
-// twice answers, and some milliseconds later again.
-func twice(w http.ResponseWriter, list []byte) {
-	c, out, err := w.(http.Hijacker).Hijack()
+// number reads a number of a query; what is none counts as zero, as at the platform.
+func number(text string) int64 {
+	value, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		return 0
+	}
+	return value
+}
+
+// write writes a part of an answer. A caller that has gone needs it no longer.
+func write(w http.ResponseWriter, data []byte) { _, _ = w.Write(data) }
+
+// flush sends what was written so far.
+func flush(w http.ResponseWriter) {
+	_ = http.NewResponseController(w).Flush() // it fails where the caller has gone
+}
+
+// writeTruncated announces a list, writes half of it and resets the connection.
+func writeTruncated(w http.ResponseWriter, list []byte) {
+	w.Header().Set("Content-Length", strconv.Itoa(len(list)))
+	write(w, list[:len(list)/2])
+	if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
+		reset(conn)
+	}
+}
+
+// writeIncomplete writes a list and announces more than it has.
+func writeIncomplete(w http.ResponseWriter, list []byte) {
+	w.Header().Set("Content-Length", strconv.Itoa(len(list)+missingBytes))
+	write(w, list)
+	flush(w)
+}
+
+// writeFragmented writes a list in small pieces.
+func writeFragmented(w http.ResponseWriter, list []byte) {
+	for start := 0; start < len(list); start += discoveryFragment {
+		write(w, list[start:min(start+discoveryFragment, len(list))])
+		flush(w)
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// writeTwice writes an answer, and some milliseconds later the same again.
+func writeTwice(w http.ResponseWriter, list []byte) {
+	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
-	defer c.Close()
+	defer closeQuietly(conn)
+	header := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
+		strconv.Itoa(len(list)) + "\r\n\r\n"
 	for range 2 {
-		out.WriteString("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(list)) + "\r\n\r\n")
-		out.Write(list)
-		out.Flush()
-		time.Sleep(5 * time.Millisecond)
+		_, _ = buffered.WriteString(header) // an error stays in the buffer: Flush returns it
+		_, _ = buffered.Write(list)         // as above
+		if buffered.Flush() != nil {
+			return
+		}
+		time.Sleep(secondAnswerDelay)
 	}
 }
 
-// hostState is a host as a list names it.
-type hostState struct {
-	host    *host
+// serverState is a server as a list names it.
+type serverState struct {
+	server  *server
 	state   string
 	started time.Time
 }
 
-// list is the whole list, and what it says.
-func (d *discovery) list(version int64) (json.RawMessage, []hostState) {
-	var all []fakeserver.ListEntry
-	var states []hostState
-	for _, h := range d.hosts {
-		h.mu.Lock()
-		e := fakeserver.ListEntry{ID: h.id, Addr: h.proxy.listen.Addr().String(), Zone: h.zone, Kind: "k", State: h.state, Weight: 1}
-		if !h.started.IsZero() {
-			e.Started = h.started.UnixMilli()
-		}
-		states = append(states, hostState{h, h.state, h.started})
-		h.mu.Unlock()
-		all = append(all, e)
+// list returns the encoded list, and the states that it names.
+func (d *discovery) list(version int64) (json.RawMessage, []serverState) {
+	var entries []fakeserver.ListEntry
+	var states []serverState
+	for _, s := range d.servers {
+		entry, state := s.listEntry()
+		entries = append(entries, entry)
+		states = append(states, state)
 	}
-	return fakeserver.EncodeList(version, all), states
+	return fakeserver.EncodeList(version, entries), states
 }
--- /dev/null
+++ b/internal/lab/soak/fault.go
@@ -0,0 +1,309 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"spurwinch/internal/lab/shim"
+)
+
+const (
+	faultInterval   = 2500 * time.Millisecond // between two rounds
+	drainTime       = 7 * time.Second         // then a drained server starts again
+	minFaultLength  = time.Second
+	faultSpread     = 4 * time.Second // added to the least length, at most
+	minConcurrent   = 2               // faults of one round
+	maxConcurrent   = 3
+	maxFaultDelay   = 300 // ms, between two faults of a round
+	maxProxyDelay   = 300 // ms
+	proxyIdleTime   = 400 * time.Millisecond
+	breakRateFactor = 10 // by which connections are broken less often than other calls fail
+)
+
+// Parts of the nodes and servers that one fault takes.
+const (
+	stoppedNodes    = 0.2
+	killedNodes     = 0.1
+	pausedNodes     = 0.3
+	upgradedNodes   = 0.1
+	drainedServers  = 0.25
+	impairedServers = 0.5
+)
+
+// faultKind is a kind of fault: inject has it take effect until a time and describes it; empty: it does nothing now.
+type faultKind struct {
+	name   string
+	inject func(h *harness, rng *rand.Rand, until time.Time) string
+}
+
+// faultKinds are all kinds of faults; the names are those of the command line.
+var faultKinds = []faultKind{
+	{"stop", (*harness).stopNodes},
+	{"kill", (*harness).killNodes},
+	{"hold", (*harness).pauseNodes},
+	{"reload", (*harness).reloadNodes},
+	{"upgrade", (*harness).upgradeNodes},
+	{"hosts", (*harness).misbehavingServers},
+	{"drain", (*harness).drainServers},
+	{"restart", (*harness).restartServers},
+	{"proxy", (*harness).impairProxies},
+	{"discovery", (*harness).misbehavingDiscovery},
+	{"calls", (*harness).failSystemCalls},
+	{"clock", (*harness).stepClocks},
+	{"burst", (*harness).burstOfClients},
+}
+
+// Troubles returns the names of the kinds of faults.
+func Troubles() []string {
+	var names []string
+	for _, kind := range faultKinds {
+		names = append(names, kind.name)
+	}
+	return names
+}
+
+// injectFaults draws two or three kinds of faults at a time, until the time for faults is over.
+func (h *harness) injectFaults(ctx context.Context, rng *rand.Rand) {
+	var allowed []faultKind
+	for _, kind := range faultKinds {
+		if len(h.options.Only) == 0 || slices.Contains(h.options.Only, kind.name) {
+			allowed = append(allowed, kind)
+		}
+	}
+	for end := time.Now().Add(h.options.Time); time.Now().Before(end) && ctx.Err() == nil; {
+		order := rng.Perm(len(allowed))
+		count := minConcurrent + rng.IntN(maxConcurrent-minConcurrent+1)
+		for _, i := range order[:min(len(allowed), count)] {
+			h.injectFault(allowed[i], rng)
+			h.pause(ctx, time.Duration(rng.IntN(maxFaultDelay))*time.Millisecond)
+		}
+		h.pause(ctx, faultInterval)
+	}
+}
+
+// injectFault injects one fault of a kind and records it.
+func (h *harness) injectFault(kind faultKind, rng *rand.Rand) {
+	until := time.Now().Add(minFaultLength + time.Duration(rng.Float64()*float64(faultSpread)))
+	injected := kind.inject(h, rng, until)
+	if injected == "" {
+		return
+	}
+	at := time.Since(h.checker.start).Seconds()
+	h.faults = append(h.faults, fmt.Sprintf("%.1f s: %s: %s", at, kind.name, injected))
+	h.checker.count("trouble " + kind.name)
+}
+
+// endFaults ends the faults that have no end of their own.
+func (h *harness) endFaults() {
+	for _, s := range h.servers {
+		s.behave(healthy)
+		s.proxy.impairment.Store(&impairment{})
+	}
+	for _, n := range h.nodes {
+		n.control.Heal()
+	}
+	h.discovery.behave(available)
+	h.extraLoad.Store(0)
+}
+
+// runAt runs a function at a time, unless the run is over by then.
+func (h *harness) runAt(at time.Time, run func()) {
+	h.inBackground(func() {
+		select {
+		case <-time.After(time.Until(at)):
+			run()
+		case <-h.done:
+		}
+	})
+}
+
+// drawSome draws a part of a list, one element at least.
+func drawSome[T any](rng *rand.Rand, list []T, fraction float64) []T {
+	count := max(1, int(fraction*float64(len(list))))
+	var drawn []T
+	for _, i := range rng.Perm(len(list))[:count] {
+		drawn = append(drawn, list[i])
+	}
+	return drawn
+}
+
+// drawHalfOfNodes draws a half of the nodes, and one more where their number is even.
+func (h *harness) drawHalfOfNodes(rng *rand.Rand) []*node {
+	var drawn []*node
+	for _, i := range rng.Perm(len(h.nodes))[:1+len(h.nodes)/2] {
+		drawn = append(drawn, h.nodes[i])
+	}
+	return drawn
+}
+
+// nodeNames are the names of nodes.
+func nodeNames(nodes []*node) []string {
+	var names []string
+	for _, n := range nodes {
+		names = append(names, n.name)
+	}
+	return names
+}
+
+// serverNames are the IDs of servers.
+func serverNames(servers []*server) []string {
+	var names []string
+	for _, s := range servers {
+		names = append(names, s.id)
+	}
+	return names
+}
+
+// onSomeNodes has something happen to the processes of a part of the nodes that no other fault has claimed, each in the
+// background, and returns their names.
+func (h *harness) onSomeNodes(rng *rand.Rand, fraction float64, act func(n *node)) string {
+	var claimed []*node
+	for _, n := range drawSome(rng, h.nodes, fraction) {
+		if n.claim() {
+			claimed = append(claimed, n)
+			h.inBackground(func() { act(n) })
+		}
+	}
+	return fmt.Sprint(nodeNames(claimed))
+}
+
+func (h *harness) stopNodes(rng *rand.Rand, _ time.Time) string {
+	return h.onSomeNodes(rng, stoppedNodes, func(n *node) { n.stop(true) })
+}
+
+func (h *harness) killNodes(rng *rand.Rand, _ time.Time) string {
+	return h.onSomeNodes(rng, killedNodes, (*node).kill)
+}
+
+func (h *harness) pauseNodes(rng *rand.Rand, until time.Time) string {
+	return h.onSomeNodes(rng, pausedNodes, func(n *node) { n.pause(until) })
+}
+
+func (h *harness) upgradeNodes(rng *rand.Rand, _ time.Time) string {
+	return h.onSomeNodes(rng, upgradedNodes, (*node).upgrade)
+}
+
+func (h *harness) reloadNodes(rng *rand.Rand, _ time.Time) string {
+	drawn := h.drawHalfOfNodes(rng)
+	for _, n := range drawn {
+		n.reload()
+	}
+	return fmt.Sprint(nodeNames(drawn))
+}
+
+func (h *harness) misbehavingServers(rng *rand.Rand, until time.Time) string {
+	behavior := serverBehaviors[rng.IntN(len(serverBehaviors))]
+	drawn := drawSome(rng, h.servers, 0.15+0.35*rng.Float64())
+	for _, s := range drawn {
+		s.behave(behavior)
+	}
+	h.runAt(until, func() {
+		for _, s := range drawn {
+			s.behave(healthy)
+		}
+	})
+	return fmt.Sprint(behavior, " ", serverNames(drawn))
+}
+
+func (h *harness) drainServers(rng *rand.Rand, _ time.Time) string {
+	drawn := drawSome(rng, h.servers, drainedServers)
+	for _, s := range drawn {
+		s.drain()
+	}
+	h.discovery.serversChanged()
+	h.runAt(time.Now().Add(drainTime), func() { h.restartAll(drawn) })
+	return fmt.Sprint(serverNames(drawn))
+}
+
+func (h *harness) restartServers(rng *rand.Rand, _ time.Time) string {
+	drawn := drawSome(rng, h.servers, drainedServers)
+	h.restartAll(drawn)
+	return fmt.Sprint(serverNames(drawn))
+}
+
+// restartAll restarts servers and notifies the nodes.
+func (h *harness) restartAll(servers []*server) {
+	for _, s := range servers {
+		s.restart()
+	}
+	h.discovery.serversChanged()
+}
+
+func (h *harness) impairProxies(rng *rand.Rand, until time.Time) string {
+	drawn := impairment{fragment: rng.IntN(2) == 0}
+	switch rng.IntN(4) {
+	case 0:
+		drawn.maxDelay = time.Duration(rng.IntN(maxProxyDelay)) * time.Millisecond
+	case 1:
+		drawn.resetRate = 0.05 + 0.2*rng.Float64()
+	case 2:
+		drawn.idleTimeout = proxyIdleTime
+	default:
+		drawn.fragment = true
+	}
+	impaired := drawSome(rng, h.servers, impairedServers)
+	for _, s := range impaired {
+		s.proxy.impairment.Store(&drawn)
+	}
+	h.runAt(until, func() {
+		for _, s := range impaired {
+			s.proxy.impairment.Store(&impairment{})
+		}
+	})
+	return fmt.Sprintf("pieces %v hold %v reset %.2f idle %v %v",
+		drawn.fragment, drawn.maxDelay, drawn.resetRate, drawn.idleTimeout, serverNames(impaired))
+}
+
+func (h *harness) misbehavingDiscovery(rng *rand.Rand, until time.Time) string {
+	behavior := discoveryBehaviors[rng.IntN(len(discoveryBehaviors))]
+	if h.deployment.pushed && behavior != fragmented { // an agent says nothing while discovery is down
+		behavior = unresponsive
+	}
+	h.discovery.behave(behavior)
+	h.runAt(until, func() { h.discovery.behave(available) })
+	return string(behavior)
+}
+
+func (h *harness) failSystemCalls(rng *rand.Rand, until time.Time) string {
+	rate := []float64{0.002, 0.01, 0.05, 0.2, 0.7}[rng.IntN(5)]
+	var failing []shim.Kind
+	for kind := range shim.Kinds {
+		if rng.IntN(2) == 0 {
+			failing = append(failing, kind)
+		}
+	}
+	drawn := h.drawHalfOfNodes(rng)
+	for _, n := range drawn {
+		for _, kind := range failing {
+			n.failCalls(kind, rate, until)
+		}
+	}
+	h.runAt(until, func() {
+		for _, n := range drawn {
+			n.control.Heal()
+		}
+	})
+	return fmt.Sprintf("%.3f of %v %v", rate, failing, nodeNames(drawn))
+}
+
+func (h *harness) stepClocks(rng *rand.Rand, _ time.Time) string {
+	step := []time.Duration{2 * time.Second, 5 * time.Second, time.Minute, time.Hour}[rng.IntN(4)]
+	if rng.IntN(2) == 0 {
+		step = -step
+	}
+	drawn := h.drawHalfOfNodes(rng)
+	for _, n := range drawn {
+		n.control.Step(step)
+	}
+	return fmt.Sprint(step, " ", nodeNames(drawn))
+}
+
+func (h *harness) burstOfClients(rng *rand.Rand, until time.Time) string {
+	extra := int64(1 + rng.IntN(2))
+	h.extraLoad.Store(extra)
+	h.runAt(until, func() { h.extraLoad.Store(0) })
+	return fmt.Sprint(1 + extra)
+}
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -1,20 +1,13 @@
 package soak
 
 import (
-	"bufio"
-	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net"
-	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"spurwinch/internal/lab/fakeserver"
@@ -22,442 +15,240 @@
 )
 
 const (
-	readyWithin  = 10 * time.Second
-	readySlack   = 2 * time.Second
-	killAfter    = longestPatience + 700*time.Millisecond // after SIGTERM
-	noticeAfter  = 300 * time.Millisecond                 // the front learns of a planned stop
-	upgradeEnds  = 14 * time.Second
-	configTaken  = 4 * time.Second
-	breakExcuse  = 3 * time.Second // after connections were broken under the node
-	longestLine  = 1 << 20
-	lastLogLines = 6
+	configurationTime = 4 * time.Second // in which a reloaded configuration is in use
+	brokenGrace       = 3 * time.Second // after connections were broken under the node
+	nodeMemory        = 192             // MB
+	nodeDescriptors   = 1024
 )
 
-// process is one process of a node.
-type process struct {
-	cmd      *exec.Cmd
-	gone     chan struct{}
-	expected bool     // it is to end
-	door     string   // of operators; a start that is tried again has another one
-	last     []string // lines of its log
-}
+// Parts of a node's address range.
+const (
+	clientAddress = 0
+	peerAddress   = 1
+)
 
-// node is a node with its present process.
-type node struct {
-	lab     *lab
-	name    string
-	zone    string
-	index   int
-	dir     string
-	addr    string // where clients come
-	peer    string
-	doors   []string // of discovery, of which the configuration names one
-	control *shim.Control
+var errNodesNotReady = errors.New("not all nodes are ready")
 
-	mu       sync.Mutex
-	process  *process
-	run      int  // planned and other restarts so far
-	admitted bool // the front sends clients
-	busy     bool // a trouble of this node's process is under way
-	door     int  // of doors
-	begun    time.Time
-	reloaded time.Time
-	killed   []time.Time
-	broke    time.Time             // connections are broken under it until then
-	leaving  map[*host]time.Time   // since when this process was told that the host leaves
-	starts   map[*host][]time.Time // the starts that it was told of
+// node is a node with its current process.
+type node struct {
+	harness        *harness
+	name           string
+	zone           string
+	index          int
+	dir            string
+	addr           string   // of clients
+	peer           string   // of gossip
+	discoveryAddrs []string // of which the configuration names one
+	control        *shim.Control
+
+	mu            sync.Mutex
+	process       *process
+	incarnation   int  // planned and other restarts so far
+	admitted      bool // the front sends clients
+	claimed       bool // a fault of this node's process is under way
+	discoveryAddr int  // index of the address that the configuration names
+	startedAt     time.Time
+	reloadedAt    time.Time
+	killedAt      []time.Time
+	brokenUntil   time.Time               // connections are broken under the node
+	draining      map[*server]time.Time   // since when the process is notified that the server drains
+	starts        map[*server][]time.Time // the servers' starts that it was notified of
+}
+
+func newNode(h *harness, index int) *node {
+	name := fmt.Sprintf("n%02d", index)
+	return &node{
+		harness:  h,
+		name:     name,
+		zone:     zoneOf(index),
+		index:    index,
+		dir:      filepath.Join(h.options.Dir, name),
+		draining: map[*server]time.Time{},
+		starts:   map[*server][]time.Time{},
+	}
+}
+
+// reserveAddress returns an address with a port of the kernel's choice on a loopback IP of the node's own, where nobody
+// else gets a port. It is free for TCP and UDP.
+func (n *node) reserveAddress(part int) (string, error) {
+	pid := os.Getpid()
+	ip := net.IPv4(127, byte(64+pid%128), byte(pid/128%256), byte(part*MostNodes+n.index+1))
+	listener, err := net.Listen("tcp", net.JoinHostPort(ip.String(), "0"))
+	if err != nil {
+		return "", err
+	}
+	defer closeQuietly(listener)
+	return listener.Addr().String(), nil
 }
 
-// configuration writes the node's file as it is to be now.
-func (n *node) configuration() error {
+// configurationPath is the path of the node's configuration file.
+func (n *node) configurationPath() string { return filepath.Join(n.dir, "config.json") }
+
+// writeConfiguration replaces the node's configuration file. n.mu is held, or no process runs yet.
+func (n *node) writeConfiguration() error {
 	var peers []string
-	for _, o := range n.lab.nodes {
-		peers = append(peers, o.peer)
+	for _, peer := range n.harness.nodes {
+		peers = append(peers, peer.peer)
 	}
 	var known []fakeserver.ListEntry
-	for _, h := range n.lab.hosts {
-		known = append(known, fakeserver.ListEntry{ID: h.id, Addr: h.proxy.listen.Addr().String(), Zone: h.zone, Kind: "k", State: "SERVING", Weight: 1})
+	for _, s := range n.harness.servers {
+		known = append(known, fakeserver.ListEntry{
+			ID: s.id, Addr: s.addr(), Zone: s.zone, Kind: "k", State: stateServing, Weight: 1,
+		})
 	}
+	settings := n.harness.deployment.settings(len(n.harness.nodes), n.index, len(n.harness.servers), n.zone)
 	raw, err := json.Marshal(map[string]any{
-		"name": n.name, "listen": n.addr, "discovery": n.doors[n.door], "seed": fmt.Sprintf("%x", n.lab.o.Seed*1000+uint64(n.index)),
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "peer_listen": n.peer, "peers": peers,
-		"known": json.RawMessage(fakeserver.EncodeList(1, known)), "settings": settingsJSON(n.lab.deployment, len(n.lab.nodes), n.index, len(n.lab.hosts), n.zone)})
+		"name":        n.name,
+		"listen":      n.addr,
+		"discovery":   n.discoveryAddrs[n.discoveryAddr],
+		"seed":        fmt.Sprintf("%x", n.harness.options.Seed*1000+uint64(n.index)),
+		"limits":      map[string]any{"cores": 1, "memory_mb": nodeMemory, "sockets": nodeDescriptors},
+		"peer_listen": n.peer,
+		"peers":       peers,
+		"known":       fakeserver.EncodeList(1, known),
+		"settings":    settings,
+	})
 	if err != nil {
 		return err
 	}
-	path := n.configPath()
+	path := n.configurationPath()
 	if err := os.WriteFile(path+".new", raw, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
-func (n *node) configPath() string { return filepath.Join(n.dir, "config.json") }
-
-// start starts a process of the node.
-func (n *node) start() (*process, error) {
-	tmp := filepath.Join(n.dir, "tmp")
-	if err := os.MkdirAll(tmp, 0o700); err != nil {
-		return nil, err
-	}
-	cmd := exec.Command(n.lab.o.Program, "-log", "json", "-log-level", "debug")
-	cmd.Env = append([]string{"GW_CONFIG=" + n.configPath(), "GW_MGMT=127.0.0.1:0", "GOMAXPROCS=1", "TMPDIR=" + tmp}, n.control.Environment(n.lab.library)...)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing outlives the laboratory
-	log, err := cmd.StderrPipe()
-	if err != nil {
-		return nil, err
-	}
-	file, err := os.OpenFile(filepath.Join(n.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	if err != nil {
-		return nil, err
-	}
-	p := &process{cmd: cmd, gone: make(chan struct{})}
-	if err := cmd.Start(); err != nil {
-		file.Close()
-		return nil, fmt.Errorf("node program %s: %w", n.lab.o.Program, err)
-	}
-	n.lab.wait.Add(1)
-	go n.follow(p, log, file)
-	return p, nil
-}
-
-// follow reads a process's log to its end.
-func (n *node) follow(p *process, log io.Reader, file io.WriteCloser) {
-	defer n.lab.wait.Done()
-	defer file.Close()
-	lines := bufio.NewScanner(log)
-	lines.Buffer(nil, longestLine)
-	for lines.Scan() {
-		n.read(p, lines.Bytes())
-		fmt.Fprintf(file, "%s\n", lines.Text())
-	}
-	err := p.cmd.Wait()
+// isAdmitted reports whether the front sends clients to the node.
+func (n *node) isAdmitted() bool {
 	n.mu.Lock()
-	expected, last := p.expected, strings.Join(p.last, " | ")
-	n.mu.Unlock()
-	if !expected && !n.lab.over() {
-		n.lab.judge.broken(Crash, "%s: a process ended by itself (%v): %s", n.name, err, last)
-	}
-	close(p.gone)
+	defer n.mu.Unlock()
+	return n.admitted
 }
 
-// read takes what the laboratory needs out of a line of the log.
-func (n *node) read(p *process, raw []byte) {
+// currentProcess is the node's process; nil, if none was started.
+func (n *node) currentProcess() *process {
 	n.mu.Lock()
-	if !bytes.Contains(raw, []byte(`"level":"debug"`)) {
-		p.last = append(p.last, string(raw))
-		p.last = p.last[max(0, len(p.last)-lastLogLines):]
-	}
-	n.mu.Unlock()
-	var line struct{ Event, Protocol, Address, Rule, Request, Host string }
-	if json.Unmarshal(raw, &line) != nil {
-		return
-	}
-	switch line.Event {
-	case "listening":
-		if line.Protocol == "operators" {
-			n.mu.Lock()
-			p.door = line.Address
-			n.mu.Unlock()
-		}
-	case "invariant_broken":
-		n.lab.judge.broken(Guard, "%s: %s for %s at %s", n.name, line.Rule, line.Request, line.Host)
-	case "deadline_unanswered", "send_without_request":
-		n.lab.judge.broken(Guard, "%s: %s for %s", n.name, line.Event, line.Request)
-	case "configuration_reloaded":
-		n.lab.judge.saw("configurations taken")
-	}
+	defer n.mu.Unlock()
+	return n.process
 }
 
-// begin has a new process be the node's, and the front admit it once it answers.
-func (n *node) begin() error {
-	p, err := n.start()
-	if err != nil {
-		return err
-	}
+// currentIncarnation is the number of the node's restarts so far.
+func (n *node) currentIncarnation() int {
 	n.mu.Lock()
-	n.process, n.begun = p, time.Now()
-	n.run++
-	n.leaving, n.starts = map[*host]time.Time{}, map[*host][]time.Time{}
-	n.mu.Unlock()
-	go n.admit(p)
-	return nil
-}
-
-// admit waits for PONG.
-func (n *node) admit(p *process) {
-	for end := time.Now().Add(readyWithin + readySlack); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		select {
-		case <-p.gone:
-			return
-		default:
-		}
-		if answersPing(n.addr) {
-			n.mu.Lock()
-			if n.process == p && !p.expected {
-				n.admitted = true
-			}
-			n.mu.Unlock()
-			return
-		}
-	}
-	if !n.lab.over() {
-		n.lab.judge.broken(Start, "%s: no PONG %v after its start", n.name, readyWithin)
-	}
-}
-
-func answersPing(addr string) bool {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
-	if err != nil {
-		return false
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second))
-	fmt.Fprint(c, "PING\r\n")
-	line, _ := bufio.NewReader(c).ReadString('\n')
-	return line == "PONG\r\n"
+	defer n.mu.Unlock()
+	return n.incarnation
 }
 
-// take claims the node for a trouble of its process; false: another one is under way.
-func (n *node) take() bool {
+// claim claims the node for a fault of its process; false: another one is under way, or the node is not ready.
+func (n *node) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.busy || !n.admitted {
+	if n.claimed || !n.admitted {
 		return false
 	}
-	n.busy = true
+	n.claimed = true
 	return true
 }
 
-func (n *node) free() {
+// release ends what claim began.
+func (n *node) release() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.busy = false
+	n.claimed = false
 }
 
-// stop is a planned restart.
-func (n *node) stop(again bool) {
-	defer n.free()
-	n.mu.Lock()
-	p := n.process
-	p.expected = true
-	withFiles := (n.index+n.run)%3 == 0
-	n.mu.Unlock()
-	if withFiles { // two signals at once
-		n.reload()
-	}
-	p.cmd.Process.Signal(syscall.SIGTERM)
-	end := time.After(killAfter)
-	time.Sleep(noticeAfter)
-	n.mu.Lock()
-	n.admitted = false
-	n.mu.Unlock()
-	select {
-	case <-p.gone:
-		n.lab.judge.broken(Stop, "%s: ended before its time was up", n.name)
-	case <-end:
-	}
-	p.cmd.Process.Kill()
-	<-p.gone
-	n.lab.judge.saw("planned stops")
-	if again && !n.lab.over() {
-		n.beginAgain()
-	}
-}
-
-// kill ends the process without a word, and starts another one a little later.
-func (n *node) kill() {
-	defer n.free()
-	n.mu.Lock()
-	p := n.process
-	p.expected, n.admitted = true, false
-	n.killed = append(n.killed, time.Now())
-	n.mu.Unlock()
-	p.cmd.Process.Kill()
-	<-p.gone
-	n.lab.judge.saw("kills")
-	time.Sleep(300 * time.Millisecond)
-	if !n.lab.over() {
-		n.beginAgain()
-	}
-}
-
-func (n *node) beginAgain() {
-	if err := n.begin(); err != nil {
-		n.lab.judge.broken(Start, "%s: %v", n.name, err)
-	}
-}
-
-// hold stops the process for a moment, some times.
-func (n *node) hold(until time.Time) {
-	defer n.free()
-	n.mu.Lock()
-	p := n.process
-	n.mu.Unlock()
-	for time.Now().Before(until) {
-		p.cmd.Process.Signal(syscall.SIGSTOP)
-		time.Sleep(140 * time.Millisecond)
-		p.cmd.Process.Signal(syscall.SIGCONT)
-		time.Sleep(200 * time.Millisecond)
-	}
-	n.lab.judge.saw("holds")
-}
-
-// reload has the node follow discovery at its other address.
-func (n *node) reload() {
-	n.mu.Lock()
-	n.door = 1 - n.door
-	p := n.process
-	n.reloaded = time.Now()
-	err := n.configuration()
-	n.mu.Unlock()
-	if err == nil {
-		err = p.cmd.Process.Signal(syscall.SIGHUP)
-	}
-	if err == nil {
-		n.lab.judge.saw("reloads")
-	}
-}
-
-// upgrade starts a second process beside the running one, and stops that one when the second is ready.
-func (n *node) upgrade() {
-	defer n.free()
-	next, err := n.start()
-	if err != nil {
-		n.lab.judge.broken(Start, "%s: %v", n.name, err)
-		return
-	}
-	if !n.awaitReady(next) {
-		n.lab.judge.broken(Start, "%s: the process started beside the running one is not ready", n.name)
-		n.expect(next)
-		n.mu.Lock()
-		n.killed = append(n.killed, time.Now())
-		n.mu.Unlock()
-		next.cmd.Process.Kill()
-		<-next.gone
-		return
-	}
-	n.mu.Lock()
-	old := n.process
-	old.expected, n.process = true, next
-	n.mu.Unlock()
-	old.cmd.Process.Signal(syscall.SIGTERM)
-	select {
-	case <-old.gone:
-		if !old.cmd.ProcessState.Success() {
-			n.lab.judge.broken(Stop, "%s: the process that was replaced ended with %v", n.name, old.cmd.ProcessState)
-		}
-	case <-time.After(upgradeEnds):
-		n.lab.judge.broken(Stop, "%s: the process that was replaced is still there", n.name)
-		old.cmd.Process.Kill()
-		<-old.gone
-	}
-	n.lab.judge.saw("upgrades")
-}
-
-// expect notes that a process is to end.
-func (n *node) expect(p *process) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	p.expected = true
-}
-
-// awaitReady waits until a process says that it is ready.
-func (n *node) awaitReady(p *process) bool {
-	call := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(readyWithin + readySlack); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+// failCalls has a part of the system calls of a kind fail. Broken connections are rarer and excuse the node.
+func (n *node) failCalls(kind shim.Kind, rate float64, until time.Time) {
+	if kind == shim.Break {
+		rate /= breakRateFactor
 		n.mu.Lock()
-		door := p.door
+		n.brokenUntil = until.Add(brokenGrace)
 		n.mu.Unlock()
-		r, err := call.Get("http://" + door + "/api/ready")
-		if err != nil {
-			continue
-		}
-		r.Body.Close()
-		if r.StatusCode == http.StatusOK {
-			return true
-		}
 	}
-	return false
+	n.control.Fail(kind, rate)
 }
 
-// told notes what discovery writes to the node.
-func (n *node) told(states []hostState) {
+// notified records what discovery writes to the node.
+func (n *node) notified(states []serverState) {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, s := range states {
-		if s.state == "SERVING" {
-			delete(n.leaving, s.host)
-		} else if n.leaving[s.host].IsZero() {
-			n.leaving[s.host] = now
+	for _, listed := range states {
+		if listed.state == stateServing {
+			delete(n.draining, listed.server)
+		} else if n.draining[listed.server].IsZero() {
+			n.draining[listed.server] = now
 		}
-		if !s.started.IsZero() {
-			n.starts[s.host] = append(n.starts[s.host], s.started)
+		if !listed.started.IsZero() {
+			n.starts[listed.server] = append(n.starts[listed.server], listed.started)
 		}
 	}
 }
 
-// toldLeaving is since when the node knows, or counts as knowing, that a host leaves; zero: it doesn't.
-func (n *node) toldLeaving(h *host) time.Time {
-	h.mu.Lock()
-	changed, leaves := h.changed, h.state != "SERVING"
-	h.mu.Unlock()
-	if !leaves {
+// knownDraining returns since when the node knows, or has to know, that a server drains; zero: it need not.
+func (n *node) knownDraining(s *server) time.Time {
+	drainingSince := s.drainingSince()
+	if drainingSince.IsZero() {
 		return time.Time{}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	told := n.leaving[h]
-	if since, ok := n.lab.discovery.reachable(); ok {
-		by := changed
-		for _, t := range []time.Time{since, n.begun, n.reloaded.Add(configTaken)} {
-			if t.After(by) {
-				by = t
-			}
-		}
-		if !n.lab.deployment.pushed { // what an agent has counts as told
-			by = by.Add(toldWithin)
-		}
-		if told.IsZero() || by.Before(told) {
-			told = by
+	known := n.draining[s]
+	reachableSince, reachable := n.harness.discovery.reachableSince()
+	if !reachable {
+		return known
+	}
+	due := latest(drainingSince, reachableSince, n.startedAt, n.reloadedAt.Add(configurationTime))
+	if !n.harness.deployment.pushed { // a list that is pushed to the agent counts as known at once
+		due = due.Add(drainNoticeTime)
+	}
+	if known.IsZero() || due.Before(known) {
+		return due
+	}
+	return known
+}
+
+// latest returns the latest of some times.
+func latest(times ...time.Time) time.Time {
+	var last time.Time
+	for _, at := range times {
+		if at.After(last) {
+			last = at
 		}
 	}
-	return told
+	return last
 }
 
-// toldStart says whether the process that a request went to was told of a host's start.
-func (n *node) toldStart(h *host, started time.Time, run int) bool {
+// knowsStart reports whether the process that a request went to was notified of a server's start.
+func (n *node) knowsStart(s *server, started time.Time, incarnation int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if run != n.run {
+	if incarnation != n.incarnation {
 		return false
 	}
-	for _, t := range n.starts[h] {
-		if t.Equal(started) {
+	for _, known := range n.starts[s] {
+		if known.Equal(started) {
 			return true
 		}
 	}
 	return false
 }
 
-// excused says whether the node was killed between two times.
-func (n *node) excused(from, to time.Time) bool {
+// killedBetween reports whether the node's process was killed between two times.
+func (n *node) killedBetween(start, end time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, at := range n.killed {
-		if !at.Before(from) && !at.After(to) {
+	for _, at := range n.killedAt {
+		if !at.Before(start) && !at.After(end) {
 			return true
 		}
 	}
 	return false
 }
 
-// brokeUnder says whether the laboratory broke connections under the node lately.
-func (n *node) brokeUnder() bool {
+// connectionsBroken reports whether the harness breaks connections under the node, or did lately.
+func (n *node) connectionsBroken() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Now().Before(n.broke)
+	return time.Now().Before(n.brokenUntil)
 }
-
-var errNoNode = errors.New("no node takes clients")
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -1,6 +1,7 @@
 package soak
 
 import (
+	"errors"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -9,145 +10,157 @@
 	"time"
 )
 
-// weather is what a proxy does to the streams that pass it.
-type weather struct {
-	pieces bool          // bytes come in small pieces
-	hold   time.Duration // each read waits up to this
-	reset  float64       // part of the reads after which both sides are reset
-	idle   time.Duration // a stream with nothing to carry for so long is reset; 0: never
+const (
+	proxyBuffer      = 4096
+	readPollTimeout  = 500 * time.Millisecond // after which a stream's impairment is looked up again
+	maxFragment      = 12                     // bytes
+	fragmentInterval = time.Millisecond
+)
+
+// impairment is what a proxy does to the streams that pass it.
+type impairment struct {
+	fragment    bool          // bytes are passed on in small pieces
+	maxDelay    time.Duration // of each read
+	resetRate   float64       // part of the reads after which both sides are reset
+	idleTimeout time.Duration // after which a stream is reset; 0: never
 }
 
-// proxy stands before a host.
+// proxy is a TCP proxy in front of a server.
 type proxy struct {
-	listen  net.Listener
-	dest    string
-	weather atomic.Pointer[weather]
+	listener   net.Listener
+	target     string
+	impairment atomic.Pointer[impairment]
 
-	mu   sync.Mutex
-	rng  *rand.Rand
-	cuts map[string]bool // by the proxy's address as the host sees it: streams that the proxy has reset
+	mu        sync.Mutex
+	rng       *rand.Rand
+	resetFrom map[string]bool // by the address that the server sees: streams that the proxy has reset
 }
 
-func newProxy(dest string, seed uint64) (*proxy, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// newProxy starts a proxy to an address.
+func newProxy(target string, seed uint64) (*proxy, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listen: l, dest: dest, rng: rand.New(rand.NewPCG(seed, 21)), cuts: map[string]bool{}}
-	p.weather.Store(&weather{})
+	p := &proxy{
+		listener:  listener,
+		target:    target,
+		rng:       rand.New(rand.NewPCG(seed, proxyStream)),
+		resetFrom: map[string]bool{},
+	}
+	p.impairment.Store(&impairment{})
 	go p.accept()
 	return p, nil
 }
 
+// accept serves connections until the listener is closed.
 func (p *proxy) accept() {
 	for {
-		c, err := p.listen.Accept()
+		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.carry(c.(*net.TCPConn))
+		go p.forward(conn)
 	}
 }
 
-// cut says whether the proxy has reset the stream that a host sees from an address.
-func (p *proxy) cut(from string) bool {
+// hasReset reports whether the proxy has reset the stream that a server sees from an address.
+func (p *proxy) hasReset(from string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cuts[from]
+	return p.resetFrom[from]
 }
 
+// draw draws a number from 0 to 1.
 func (p *proxy) draw() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.Float64()
 }
 
-func (p *proxy) carry(near *net.TCPConn) {
-	d, err := net.Dial("tcp", p.dest)
+// forward connects a client to the server, and copies both directions until they end.
+func (p *proxy) forward(client net.Conn) {
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	far := d.(*net.TCPConn)
-	cut := func() {
+	resetBoth := func() {
 		p.mu.Lock()
-		p.cuts[far.LocalAddr().String()] = true
+		p.resetFrom[server.LocalAddr().String()] = true
 		p.mu.Unlock()
-		reset(near)
-		reset(far)
+		reset(client)
+		reset(server)
 	}
-	done := make(chan struct{}, 2)
-	go func() { p.pass(far, near, cut); done <- struct{}{} }()
-	go func() { p.pass(near, far, cut); done <- struct{}{} }()
-	<-done
-	<-done
-	near.Close()
-	far.Close()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copy(server, client, resetBoth) })
+	directions.Go(func() { p.copy(client, server, resetBoth) })
+	directions.Wait()
+	closeQuietly(client)
+	closeQuietly(server)
 }
 
-// pass carries one direction.
-func (p *proxy) pass(to, from *net.TCPConn, cut func()) {
-	buf := make([]byte, 4096)
+// copy copies one direction, impaired as the proxy is at each read.
+func (p *proxy) copy(target, source net.Conn, resetBoth func()) {
+	buffer := make([]byte, proxyBuffer)
 	for {
-		w := p.weather.Load()
-		if w.idle > 0 {
-			from.SetReadDeadline(time.Now().Add(w.idle))
-		} else {
-			from.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
+		timeout := readPollTimeout
+		if idle := p.impairment.Load().idleTimeout; idle > 0 {
+			timeout = idle
 		}
-		n, err := from.Read(buf)
-		w = p.weather.Load()
-		if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-			if w.idle > 0 {
-				cut()
+		setReadDeadline(source, time.Now().Add(timeout))
+		count, err := source.Read(buffer)
+		impaired := p.impairment.Load()
+		if isTimeout(err) {
+			if impaired.idleTimeout > 0 {
+				resetBoth()
 				return
 			}
 			continue
 		}
-		if w.hold > 0 {
-			time.Sleep(time.Duration(p.draw() * float64(w.hold)))
+		if impaired.maxDelay > 0 {
+			time.Sleep(time.Duration(p.draw() * float64(impaired.maxDelay)))
 		}
-		if n > 0 && w.reset > 0 && p.draw() < w.reset {
-			to.Write(buf[:int(p.draw()*float64(n))])
-			cut()
+		if count > 0 && impaired.resetRate > 0 && p.draw() < impaired.resetRate {
+			_, _ = target.Write(buffer[:int(p.draw()*float64(count))]) // the connection is reset next
+			resetBoth()
 			return
 		}
-		if !p.write(to, buf[:n], w.pieces) {
-			reset(from)
+		if !p.write(target, buffer[:count], impaired.fragment) {
+			reset(source)
 			return
 		}
-		switch {
-		case err == io.EOF:
-			to.CloseWrite()
-			return
-		case err != nil:
-			reset(to)
+		if err != nil {
+			endCopy(target, err)
 			return
 		}
 	}
 }
 
-func (p *proxy) write(to net.Conn, b []byte, pieces bool) bool {
-	for len(b) > 0 {
-		n := len(b)
-		if pieces {
-			n = 1 + int(p.draw()*float64(min(n, 12)))
-			n = min(n, len(b))
+// endCopy passes the end of a direction on to its target.
+func endCopy(target net.Conn, err error) {
+	half, ok := target.(interface{ CloseWrite() error })
+	if !ok || !errors.Is(err, io.EOF) {
+		reset(target)
+		return
+	}
+	_ = half.CloseWrite() // it fails where the target has ended as well
+}
+
+// write writes bytes, in small pieces if so said, and reports whether all were written.
+func (p *proxy) write(target net.Conn, data []byte, fragment bool) bool {
+	for len(data) > 0 {
+		size := len(data)
+		if fragment {
+			size = min(size, 1+int(p.draw()*float64(min(size, maxFragment))))
 		}
-		if _, err := to.Write(b[:n]); err != nil {
+		if _, err := target.Write(data[:size]); err != nil {
 			return false
 		}
-		if b = b[n:]; pieces && len(b) > 0 {
-			time.Sleep(time.Millisecond)
+		data = data[size:]
+		if fragment && len(data) > 0 {
+			time.Sleep(fragmentInterval)
 		}
 	}
 	return true
 }
-
-// reset ends a connection as a process that dies.
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
-	}
-	c.Close()
-}
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -5,80 +5,106 @@
 	"time"
 )
 
-type repeat string
+// idempotency says whether a request of a class may be repeated. The words are those of the settings.
+type idempotency string
 
 const (
-	safe   repeat = "safe"
-	keyed  repeat = "keyed"
-	unsafe repeat = "unsafe"
+	idempotent      idempotency = "safe"
+	idempotentByKey idempotency = "keyed"
+	notIdempotent   idempotency = "unsafe"
 )
 
-// class is a class of the laboratory's clients.
+// class is a class of the clients.
 type class struct {
-	name     string
-	repeat   repeat
-	scope    string
-	patience time.Duration
-	window   time.Duration // keyed
-	part     float64       // of the requests
+	name              string
+	idempotency       idempotency
+	scope             string // in which repeats of one key are recognized
+	deadline          time.Duration
+	idempotencyWindow time.Duration // in which they are
+	fraction          float64       // of the requests
 }
 
 var classes = []class{
-	{"read", safe, "all", 2500 * time.Millisecond, 0, 0.4},
-	{"post", keyed, "zone", 2 * time.Second, 1200 * time.Millisecond, 0.3},
-	{"pay", unsafe, "all", 3 * time.Second, 0, 0.3},
+	{name: "read", idempotency: idempotent, scope: "all", deadline: 2500 * time.Millisecond, fraction: 0.4},
+	{
+		name: "post", idempotency: idempotentByKey, scope: "zone", deadline: 2 * time.Second,
+		idempotencyWindow: 1200 * time.Millisecond, fraction: 0.3,
+	},
+	{name: "pay", idempotency: notIdempotent, scope: "all", deadline: maxDeadline, fraction: 0.3},
 }
 
 const (
-	longestPatience = 3 * time.Second
-	drainGrace      = 3 * time.Second
-	coldShare       = 0.15
-	warmUp          = 10 * time.Second
-	fallMultiple    = 4
-	fallTime        = 2 * time.Second
-	bears           = 20                 // connections that fill a host
-	firstCost       = 1 / float64(bears) // of one, as the quotas of the settings tell it
+	maxDeadline         = 3 * time.Second
+	drainGrace          = 3 * time.Second
+	initialCapacity     = 0.15 // part of its capacity that a server has at its start
+	warmUpTime          = 10 * time.Second
+	slowStartMultiple   = 4
+	slowStartWindow     = 2 * time.Second
+	serverCapacity      = 20                          // connections
+	costOfFirstRequests = 1 / float64(serverCapacity) // of one, as the settings' quotas say
+	maxAttempts         = 4
+	messageObjective    = 0.15 // s
+	setupObjective      = 0.5  // s
 )
 
 // deployment is what differs from one deployment to another.
 type deployment struct {
 	reports string // on_probe, inline or off
-	pushed  bool   // lists are pushed to an agent beside each node
-	peers   bool   // nodes may speak to one another
+	pushed  bool   // endpoint lists are pushed to an agent beside each node
+	peers   bool   // nodes may gossip
 }
 
-// drawDeployment gives seeds of all kinds.
+// drawDeployment returns the deployment of a seed; neighboring seeds have different ones.
 func drawDeployment(seed uint64) deployment {
-	return deployment{reports: []string{"on_probe", "on_probe", "inline", "off"}[seed%4], pushed: seed%3 == 2, peers: seed%5 != 4}
+	return deployment{
+		reports: []string{"on_probe", "on_probe", "inline", "off"}[seed%4],
+		pushed:  seed%3 == 2,
+		peers:   seed%5 != 4,
+	}
 }
 
-func (d deployment) membership() string {
+// membershipMode is the settings' word for how endpoint lists come.
+func (d deployment) membershipMode() string {
 	if d.pushed {
 		return "pushed"
 	}
 	return "on_request"
 }
 
-// settingsJSON is what a node is told, as the platform tells it.
-func settingsJSON(d deployment, nodes, index, hosts int, zone string) json.RawMessage {
-	type m = map[string]any
-	profiles, aims := []m{}, []float64{}
-	for _, c := range classes {
-		profiles = append(profiles, m{"name": c.name, "aimS": 0.5, "giveUpS": c.patience.Seconds(), "idempotency": c.repeat, "dedupScope": c.scope,
-			"dedupWindowS": c.window.Seconds(), "value": 1})
-		aims = append(aims, 0.15)
+// settings are the settings that the platform gives a node.
+func (d deployment) settings(nodes, index, servers int, zone string) json.RawMessage {
+	type object = map[string]any
+	profiles := []object{}
+	messageObjectives := []float64{}
+	for _, class := range classes {
+		profiles = append(profiles, object{
+			"name": class.name, "aimS": setupObjective, "giveUpS": class.deadline.Seconds(),
+			"idempotency": class.idempotency, "dedupScope": class.scope,
+			"dedupWindowS": class.idempotencyWindow.Seconds(), "value": 1,
+		})
+		messageObjectives = append(messageObjectives, messageObjective)
 	}
-	raw, err := json.Marshal(m{
-		"az": zone, "groupSize": nodes, "index": index, "membershipMode": d.membership(), "roundS": 0.005, "worthBy": "request",
-		"weightSource": "off", "overShareWorth": 0.05, "customers": []m{{"name": "all", "quotaRps": 0, "fraction": 1}}, "profiles": profiles,
-		"domain": m{"groups": false, "messageAimS": aims, "mode": "proxy", "tellsDelay": false, "parkS": 0,
-			"tenantQuotaConnections": []float64{float64(hosts * bears)}},
-		"invariants": m{"answerSlackS": 0.02, "askWithinS": 10, "coldShare": coldShare, "fallMultiple": fallMultiple, "fallS": fallTime.Seconds(),
-			"rampTimeS": warmUp.Seconds(), "stopSendingWithinS": drainGrace.Seconds()},
-		"loadReport": m{"via": d.reports, "fields": []string{"recent_ms", "utilization", "x0"}},
-		"policyLimits": m{"connectTimeoutS": 0.3, "mayCancel": true, "mayProbe": true, "mayTell": d.peers, "retryAfter": true, "maxRetryAfterS": 1,
-			"secondCopies": false, "sendCap": mostAttempts},
-		"tariffs": m{"probe": 0.0019, "moves": 0.01, "crossZone": 0.03, "lateFail": 0.049, "peer": 0.01, "waste": 0.017},
+	raw, err := json.Marshal(object{
+		"az": zone, "groupSize": nodes, "index": index, "membershipMode": d.membershipMode(), "roundS": 0.005,
+		"worthBy": "request", "weightSource": "off", "overShareWorth": 0.05,
+		"customers": []object{{"name": "all", "quotaRps": 0, "fraction": 1}}, "profiles": profiles,
+		"domain": object{
+			"groups": false, "messageAimS": messageObjectives, "mode": "proxy", "tellsDelay": false, "parkS": 0,
+			"tenantQuotaConnections": []float64{float64(servers * serverCapacity)},
+		},
+		"invariants": object{
+			"answerSlackS": 0.02, "askWithinS": 10, "coldShare": initialCapacity, "fallMultiple": slowStartMultiple,
+			"fallS": slowStartWindow.Seconds(), "rampTimeS": warmUpTime.Seconds(),
+			"stopSendingWithinS": drainGrace.Seconds(),
+		},
+		"loadReport": object{"via": d.reports, "fields": []string{"recent_ms", "utilization", "x0"}},
+		"policyLimits": object{
+			"connectTimeoutS": 0.3, "mayCancel": true, "mayProbe": true, "mayTell": d.peers, "retryAfter": true,
+			"maxRetryAfterS": 1, "secondCopies": false, "sendCap": maxAttempts,
+		},
+		"tariffs": object{
+			"probe": 0.0019, "moves": 0.01, "crossZone": 0.03, "lateFail": 0.049, "peer": 0.01, "waste": 0.017,
+		},
 	})
 	if err != nil {
 		panic(err) // numbers and names only
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,13 +1,13 @@
-// Package soak plays many processes of the program on loopback while rare events cross: signals, failing system calls, a stepped
-// clock, hosts, clients and a discovery that misbehave. A judge holds what clients and hosts saw to the node's promises. docs/soak.md has the
-// design.
+// Package soak plays many processes of the program on loopback while rare events coincide: signals, failing system
+// calls, a stepped clock, and servers, clients and a discovery service that misbehave. A checker holds what clients and
+// servers saw to the promises of a node (docs/promises.md). docs/soak.md has the design.
 package soak
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"os"
 	"path/filepath"
 	"sync"
@@ -18,267 +18,290 @@
 	"spurwinch/internal/lab/shim"
 )
 
-// Options are a run's surroundings.
+// Options say what a run plays.
 type Options struct {
 	Program string // the spurwinch program
 	Dir     string // for configurations, files and logs
 	Seed    uint64
-	Nodes   int
-	Time    time.Duration // that troubles are drawn for
-	Rate    float64       // requests a second of the whole fleet; 0: as the number of hosts bears
-	// Only names the troubles that may be drawn; none: all.
-	Only []string
+	Nodes   int           // 2 to MostNodes
+	Time    time.Duration // over which faults are drawn
+	Rate    float64       // requests a second to the whole fleet; 0: by the capacity of the servers
+	Only    []string      // kinds of faults that may be drawn; none: all
 }
 
-// Report is what a run came to.
+// Report is the outcome of a run.
 type Report struct {
 	Seed       uint64         `json:"seed"`
 	Nodes      int            `json:"nodes"`
 	Judged     bool           `json:"judged"`
 	Why        string         `json:"why,omitempty"` // it is not judged
 	Violations []Violation    `json:"violations"`
-	Troubles   []string       `json:"troubles"`
-	Seen       map[string]int `json:"seen"`
+	Troubles   []string       `json:"troubles"` // the faults that were injected, with their times
+	Seen       map[string]int `json:"seen"`     // what happened, and how often
 }
 
 const (
 	// MostNodes bounds the processes of one run; an upgrade has two of a node.
-	MostNodes   = 100
-	hostCount   = 12
-	zoneCount   = 2
-	usualLoad   = 0.45                   // of what the hosts bear
-	mostLate    = 400 * time.Millisecond // that the laboratory's own clock may be, or nothing is judged
-	clockTick   = 20 * time.Millisecond
-	calmBefore  = 1500 * time.Millisecond
-	calmAfter   = 4500 * time.Millisecond
-	startWithin = 30 * time.Second
+	MostNodes = 100
+
+	serverCount        = 12
+	zoneCount          = 2
+	defaultUtilization = 0.45                   // of the servers
+	maxHarnessDelay    = 400 * time.Millisecond // by which the harness itself may be late, or nothing is judged
+	clockTick          = 20 * time.Millisecond
+	pollInterval       = 20 * time.Millisecond
+	timeBeforeFaults   = 1500 * time.Millisecond
+	timeAfterFaults    = 4500 * time.Millisecond
+	startTimeout       = 30 * time.Second // of all nodes
 )
 
-// lab is one run.
-type lab struct {
-	o Options
-	deployment
-	judge     *Judge
-	library   string
-	hosts     []*host
-	nodes     []*node
-	discovery *discovery
-	done      chan struct{}
-	ended     atomic.Bool
-	wait      sync.WaitGroup
-	burst     atomic.Int64 // times the usual rate
-	late      atomic.Int64 // ns, the most
-	troubles  []string
+// Streams of the random generators of one seed.
+const (
+	arrivalStream = 1
+	faultStream   = 2
+	clientStream  = 3
+	proxyStream   = 21
+	serverStream  = 22
+)
+
+// ErrNodeCount is wrapped by the error of Run for a number of nodes that can't be played.
+var ErrNodeCount = errors.New("number of nodes out of range")
+
+// harness is one run. It owns the nodes, the servers and the discovery service.
+type harness struct {
+	options    Options
+	deployment deployment
+	checker    *Checker
+	library    string // of the shim
+	servers    []*server
+	nodes      []*node
+	discovery  *discovery
+	faults     []string // injected so far; of the run's own goroutine
+
+	done       chan struct{} // closed at the end
+	ended      atomic.Bool
+	background sync.WaitGroup
+	extraLoad  atomic.Int64 // added to the usual rate, a multiple of it
+	worstDelay atomic.Int64 // of the harness, ns
 }
 
-func (l *lab) over() bool { return l.ended.Load() }
+// over reports whether the run has ended.
+func (h *harness) over() bool { return h.ended.Load() }
 
-// rate is the requests a second now.
-func (l *lab) rate() float64 {
-	rate := l.o.Rate
+// rate is the number of requests a second at this time.
+func (h *harness) rate() float64 {
+	rate := h.options.Rate
 	if rate == 0 {
-		rate = usualLoad * hostCount * bears / meanLife.Seconds()
+		rate = defaultUtilization * serverCount * serverCapacity / meanConnection.Seconds()
 	}
-	return rate * float64(1+l.burst.Load())
+	return rate * float64(1+h.extraLoad.Load())
 }
 
 // Run plays one seed. All that was started has ended when it returns.
-func Run(ctx context.Context, o Options) (Report, error) {
-	if o.Nodes < 2 || o.Nodes > MostNodes {
-		return Report{}, fmt.Errorf("%d nodes: 2 to %d are played", o.Nodes, MostNodes)
+func Run(ctx context.Context, options Options) (Report, error) {
+	if options.Nodes < 2 || options.Nodes > MostNodes {
+		return Report{}, fmt.Errorf("%w: %d; 2 to %d are played", ErrNodeCount, options.Nodes, MostNodes)
+	}
+	run := &harness{
+		options:    options,
+		deployment: drawDeployment(options.Seed),
+		checker:    newChecker(),
+		done:       make(chan struct{}),
 	}
-	l := &lab{o: o, deployment: drawDeployment(o.Seed), judge: newJudge(), done: make(chan struct{})}
-	err := l.build()
+	err := run.build()
 	if err == nil {
-		l.play(ctx)
+		run.play(ctx)
 	}
-	l.close()
+	run.close()
 	if err != nil {
 		return Report{}, err
 	}
-	l.judge.finish()
-	return l.report(), nil
+	run.checker.finish()
+	return run.report(), nil
 }
 
-func (l *lab) build() (err error) {
-	if l.library, err = shim.Build(l.o.Dir); err != nil {
+// build starts the servers, the discovery service and the nodes, and waits until all nodes are ready.
+func (h *harness) build() error {
+	library, err := shim.Build(h.options.Dir)
+	if err != nil {
 		return err
 	}
-	for i := range hostCount {
-		h, err := newHost(fmt.Sprintf("h%02d", i), zoneOf(i), l.o.Seed*100+uint64(i), l.judge)
+	h.library = library
+	for i := range serverCount {
+		started, err := newServer(fmt.Sprintf("h%02d", i), zoneOf(i), h.options.Seed*100+uint64(i), h.checker)
 		if err != nil {
 			return err
 		}
-		h.silent = l.reports == "off"
-		l.hosts = append(l.hosts, h)
+		started.reportsLoad = h.deployment.reports != "off"
+		h.servers = append(h.servers, started)
 	}
-	l.discovery = newDiscovery(l.hosts)
-	for i := range l.o.Nodes {
-		if err := l.addNode(i); err != nil {
+	h.discovery = newDiscovery(h.servers)
+	for i := range h.options.Nodes {
+		if err := h.addNode(i); err != nil {
 			return err
 		}
 	}
-	for _, n := range l.nodes {
-		if err := n.configuration(); err != nil {
+	for _, n := range h.nodes {
+		if err := n.writeConfiguration(); err != nil {
 			return err
 		}
 		if err := n.begin(); err != nil {
 			return err
 		}
 	}
-	return l.awaitNodes()
+	return h.awaitNodes()
 }
 
-func zoneOf(i int) string { return fmt.Sprintf("z%d", i%zoneCount) }
+// zoneOf is the zone of a node or server with an index.
+func zoneOf(index int) string { return fmt.Sprintf("z%d", index%zoneCount) }
 
-func (l *lab) addNode(i int) error {
-	n := &node{lab: l, name: fmt.Sprintf("n%02d", i), zone: zoneOf(i), index: i, leaving: map[*host]time.Time{}, starts: map[*host][]time.Time{}}
-	n.dir = filepath.Join(l.o.Dir, n.name)
-	if err := os.MkdirAll(n.dir, 0o700); err != nil {
+// addNode makes a node with its addresses and its directory.
+func (h *harness) addNode(index int) error {
+	added := newNode(h, index)
+	if err := os.MkdirAll(added.dir, 0o700); err != nil {
 		return err
 	}
-	for range 2 {
-		at, err := l.discovery.open(n)
+	for range discoveryAddresses {
+		address, err := h.discovery.open(added)
 		if err != nil {
 			return err
 		}
-		n.doors = append(n.doors, at)
+		added.discoveryAddrs = append(added.discoveryAddrs, address)
 	}
 	var err error
-	if n.addr, err = n.ownAddress(0); err != nil {
+	if added.addr, err = added.reserveAddress(clientAddress); err != nil {
 		return err
 	}
-	if n.peer, err = n.ownAddress(1); err != nil {
+	if added.peer, err = added.reserveAddress(peerAddress); err != nil {
 		return err
 	}
-	if n.control, err = shim.NewControl(filepath.Join(n.dir, "faults"), l.o.Seed*7919+uint64(i)); err != nil {
+	seed := h.options.Seed*7919 + uint64(index)
+	if added.control, err = shim.NewControl(filepath.Join(added.dir, "faults"), seed); err != nil {
 		return err
 	}
-	l.nodes = append(l.nodes, n)
+	h.nodes = append(h.nodes, added)
 	return nil
 }
 
-// ownAddress is a loopback address of the node's own, where no port is given to anybody else, with a port of the kernel's choice. It holds for TCP and UDP.
-func (n *node) ownAddress(part int) (string, error) {
-	process := os.Getpid()
-	at := fmt.Sprintf("127.%d.%d.%d:0", 64+process%128, process/128%256, part*MostNodes+n.index+1)
-	c, err := net.Listen("tcp", at)
-	if err != nil {
-		return "", err
-	}
-	defer c.Close()
-	return c.Addr().String(), nil
-}
-
-func (l *lab) awaitNodes() error {
-	for end := time.Now().Add(startWithin); ; time.Sleep(20 * time.Millisecond) {
-		ready := 0
-		for _, n := range l.nodes {
-			n.mu.Lock()
-			if n.admitted {
-				ready++
-			}
-			n.mu.Unlock()
-		}
-		if ready == len(l.nodes) {
+// awaitNodes waits until all nodes take clients.
+func (h *harness) awaitNodes() error {
+	for end := time.Now().Add(startTimeout); ; time.Sleep(pollInterval) {
+		ready := len(h.admittedNodes())
+		if ready == len(h.nodes) {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d nodes are ready after %v (logs: %s)", ready, len(l.nodes), startWithin, l.o.Dir)
+			return fmt.Errorf("%w: %d of %d after %v (logs: %s)",
+				errNodesNotReady, ready, len(h.nodes), startTimeout, h.options.Dir)
+		}
+	}
+}
+
+// admittedNodes are the nodes that the front sends clients to.
+func (h *harness) admittedNodes() []*node {
+	var admitted []*node
+	for _, n := range h.nodes {
+		if n.isAdmitted() {
+			admitted = append(admitted, n)
 		}
 	}
+	return admitted
 }
 
-// play brings clients and troubles, heals everything, and stops all nodes as planned.
-func (l *lab) play(ctx context.Context) {
-	go l.watchClock()
-	l.wait.Add(1)
-	go func() {
-		defer l.wait.Done()
-		l.arrivals(rand.New(rand.NewPCG(l.o.Seed, 1)))
-	}()
-	l.troubles = append(l.troubles, fmt.Sprintf("deployment: reports %s, lists pushed %v, peers %v", l.reports, l.pushed, l.peers))
-	l.pause(ctx, calmBefore)
-	l.trouble(ctx, rand.New(rand.NewPCG(l.o.Seed, 2)))
-	l.heal()
-	l.pause(ctx, calmAfter)
+// play brings clients and faults, ends all faults, and stops half of the nodes as planned; the other half serves the
+// clients that are migrated.
+func (h *harness) play(ctx context.Context) {
+	go h.watchClock()
+	h.inBackground(func() { h.runArrivals(rand.New(rand.NewPCG(h.options.Seed, arrivalStream))) })
+	h.faults = append(h.faults, fmt.Sprintf("deployment: reports %s, lists pushed %v, peers %v",
+		h.deployment.reports, h.deployment.pushed, h.deployment.peers))
+	h.pause(ctx, timeBeforeFaults)
+	h.injectFaults(ctx, rand.New(rand.NewPCG(h.options.Seed, faultStream)))
+	h.endFaults()
+	h.pause(ctx, timeAfterFaults)
 	var stops sync.WaitGroup
-	for _, n := range l.nodes[:len(l.nodes)/2] { // the others go on, for the clients that are sent away
-		if n.take() {
-			stops.Add(1)
-			go func() {
-				defer stops.Done()
-				n.stop(false)
-			}()
+	for _, n := range h.nodes[:len(h.nodes)/2] {
+		if n.claim() {
+			stops.Go(func() { n.stop(false) })
 		}
 	}
 	stops.Wait()
 }
 
-func (l *lab) pause(ctx context.Context, d time.Duration) {
+// inBackground runs a function in a goroutine that the run waits for.
+func (h *harness) inBackground(run func()) { h.background.Go(run) }
+
+// pause waits for a time, or until the context ends.
+func (h *harness) pause(ctx context.Context, length time.Duration) {
 	select {
-	case <-time.After(d):
+	case <-time.After(length):
 	case <-ctx.Done():
 	}
 }
 
-// watchClock notes how late the laboratory itself is: what it calls late then may be its own doing.
-func (l *lab) watchClock() {
-	for last := time.Now(); !l.over(); {
+// watchClock measures how late the harness itself is: a delay that it sees then may be its own.
+func (h *harness) watchClock() {
+	for last := time.Now(); !h.over(); {
 		time.Sleep(clockTick)
 		now := time.Now()
-		l.late.Store(max(l.late.Load(), int64(now.Sub(last)-clockTick)))
+		h.worstDelay.Store(max(h.worstDelay.Load(), int64(now.Sub(last)-clockTick)))
 		last = now
 	}
 }
 
-func (l *lab) close() {
-	l.judge.close()
-	l.ended.Store(true)
-	close(l.done)
-	for _, n := range l.nodes {
-		n.mu.Lock()
-		p := n.process
-		n.mu.Unlock()
-		if p != nil {
-			n.expect(p)
-			p.cmd.Process.Signal(syscall.SIGCONT)
-			p.cmd.Process.Kill()
+// close ends all that the run has started.
+func (h *harness) close() {
+	h.checker.close()
+	h.ended.Store(true)
+	close(h.done)
+	for _, n := range h.nodes {
+		if p := n.currentProcess(); p != nil {
+			n.expectEnd(p)
+			p.signal(syscall.SIGCONT)
+			p.kill()
 		}
 	}
-	l.wait.Wait()
-	for _, h := range l.hosts {
-		h.listen.Close()
-		h.proxy.listen.Close()
+	h.background.Wait()
+	for _, s := range h.servers {
+		closeQuietly(s.listener)
+		closeQuietly(s.proxy.listener)
 	}
-	if l.discovery != nil {
-		l.discovery.close()
+	if h.discovery != nil {
+		h.discovery.close()
 	}
-	l.countFailures()
-	for _, n := range l.nodes {
-		n.control.Close()
+	h.countFailedCalls()
+	for _, n := range h.nodes {
+		_ = n.control.Close() // unmaps memory that nobody needs any more
 	}
 }
 
-// countFailures notes how many system calls failed.
-func (l *lab) countFailures() {
-	for _, n := range l.nodes {
-		for k := range shim.Kinds {
-			if failed := n.control.Injected(k); failed > 0 {
-				l.judge.seen["failed "+k.String()] += int(failed)
+// countFailedCalls counts the system calls that the shim had fail.
+func (h *harness) countFailedCalls() {
+	for _, n := range h.nodes {
+		for kind := range shim.Kinds {
+			if failed := n.control.Injected(kind); failed > 0 {
+				h.checker.seen["failed "+kind.String()] += int(failed)
 			}
 		}
 	}
 }
 
-func (l *lab) report() Report {
-	j := l.judge
-	r := Report{Seed: l.o.Seed, Nodes: l.o.Nodes, Judged: true, Violations: j.violations, Troubles: l.troubles, Seen: j.seen}
-	if late := time.Duration(l.late.Load()); late > mostLate {
-		r.Judged, r.Why = false, fmt.Sprintf("the laboratory's own clock was %v late", late.Round(time.Millisecond))
+// report is the outcome of the run.
+func (h *harness) report() Report {
+	report := Report{
+		Seed:       h.options.Seed,
+		Nodes:      h.options.Nodes,
+		Judged:     true,
+		Violations: h.checker.violations,
+		Troubles:   h.faults,
+		Seen:       h.checker.seen,
+	}
+	if delay := time.Duration(h.worstDelay.Load()); delay > maxHarnessDelay {
+		report.Judged = false
+		report.Why = fmt.Sprintf("the laboratory's own clock was %v late", delay.Round(time.Millisecond))
 	}
-	if j.seen["answer UP"] == 0 || j.seen["attempts"] == 0 {
-		r.Violations = append(r.Violations, Violation{0, Exercise, "no request was served"})
+	if report.Seen["answer UP"] == 0 || report.Seen["attempts"] == 0 {
+		report.Violations = append(report.Violations, Violation{0, Exercise, "no request was served"})
 	}
-	return r
+	return report
 }
