--- a/internal/lab/faults/check.go
+++ b/internal/lab/faults/check.go
@@ -1,38 +1,71 @@
 package faults
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
-	"sort"
 
 	"spurwinch/internal/failover"
-	"spurwinch/internal/invariant"
 	"spurwinch/internal/membership"
 )
 
-// Limits are the slack that rules on time and amounts have.
+// Limits are the tolerances of the rules on time and amounts. Times are in seconds.
 type Limits struct {
-	Patience  float64 `json:"patience"`  // seconds in which an answer is due
-	Slack     float64 `json:"slack"`     // seconds by which a machine may be late
-	Attempts  int     `json:"attempts"`  // for one request
-	RoomSlack float64 `json:"roomSlack"` // part of a zone's room that grants may be over it
-	Crossing  float64 `json:"crossing"`  // part of the requests that may cross zones beyond the least that is needed
-	TurnTime  float64 `json:"turnTime"`  // seconds in which a zone turns back at most once
-	Life      float64 `json:"life"`      // seconds that a node may cross zones without the log
-	Window    float64 `json:"window"`    // seconds after a decision in which the policy before it may be in use
+	Patience  float64 `json:"patience"  toml:"patience"`  // in which an answer is due
+	Slack     float64 `json:"slack"     toml:"slack"`     // by which a machine may be late
+	Attempts  int     `json:"attempts"  toml:"attempts"`  // of one request
+	RoomSlack float64 `json:"roomSlack" toml:"roomSlack"` // part of a zone's capacity by which grants may exceed it
+	Crossing  float64 `json:"crossing"  toml:"crossing"`  // part of the requests that may cross zones without need
+	TurnTime  float64 `json:"turnTime"  toml:"turnTime"`  // in which a zone may recover once
+	Life      float64 `json:"life"      toml:"life"`      // that a node may cross zones without the log
+	Window    float64 `json:"window"    toml:"window"`    // after a decision, in which the policy before may be in use
 }
 
-// UsualLimits are FAULTS.md's figures, with the slack of a machine that is busy.
-var UsualLimits = Limits{Patience: 4, Slack: 0.5, Attempts: 4, RoomSlack: 0.02, Crossing: 0.02, TurnTime: 60, Life: 10, Window: 5}
+// UsualLimits are the figures of docs/faults.md, with the slack of a busy machine.
+var UsualLimits = Limits{
+	Patience: 4, Slack: 0.5, Attempts: 4, RoomSlack: 0.02, Crossing: 0.02, TurnTime: 60, Life: 10, Window: 5,
+}
+
+// maxViolations bounds the violations of a verdict.
+const maxViolations = 50
+
+// Names of the rules that are not those of a node's own invariant monitor.
+const (
+	ruleLog            = "agreed log"
+	ruleSameContent    = "agreed log (1)"
+	ruleNoStepBack     = "agreed log (2)"
+	ruleOneEnd         = "agreed log (3)"
+	ruleCapacity       = "plans (5)"
+	ruleView           = "plans (6)"
+	ruleOwnZone        = "plans (7)"
+	ruleWithoutVoters  = "plans (8)"
+	ruleReversals      = "plans: reversals"
+	rulePolicyWindow   = "policy (9)"
+	rulePolicyEnd      = "policy (10)"
+	ruleLinearizable   = "policy (11)"
+	ruleAttempts       = "placement: attempts"
+	ruleTwoAtOnce      = "placement: two at once"
+	ruleDrains         = "placement: drains"
+	ruleInTime         = "placement: in time"
+	ruleOneAnswer      = "placement: one answer"
+	ruleExercise       = "exercise"
+	placementRulesWord = "placement: "
+)
 
-// Violation is one rule broken.
+// Details of KindCount after which a run is not judged.
+const (
+	countNoDescriptors = "out of descriptors"
+	countEventsLost    = "events lost"
+)
+
+// Violation is a broken rule.
 type Violation struct {
 	Rule string  `json:"rule"`
-	At   float64 `json:"at"`
+	At   float64 `json:"at"` // seconds since the run began
 	What string  `json:"what"`
 }
 
-// Verdict is what a history comes to.
+// Verdict is the outcome of checking a history.
 type Verdict struct {
 	Violations []Violation    `json:"violations"`
 	Judged     bool           `json:"judged"`
@@ -41,199 +74,209 @@
 	Figures    Figures        `json:"figures"`
 }
 
-type checker struct {
-	v      Verdict
-	limits Limits
-	list   *membership.List
-	zoneOf map[string]string
-	region map[string]string
-	bears  map[string]float64
-
-	digests map[uint64]string
-	plans   map[uint64]*failover.Plan
-	newest  map[string]uint64 // by node, since its files are these
-	mode    map[string]string
-	using   map[string]uint64
-	ground  map[string]bool
-	live    map[string]bool
-	started map[string]float64
-	first   map[uint64]float64
-	spread  []float64
-
-	answers map[string]Event
-	tries   map[string]int
-	out     map[string]string // request to the host that has it
-	drains  map[string]float64
-	turns   map[string][]turn
-	states  map[string]failover.State
-	windows map[int][2]int
-	sent    int
-	told    map[string]uint64 // proposal to number
-	stopped map[string]float64
-	part    map[string]part // what each node may have now
-	granted map[string]float64
-	loans   map[string]map[string]float64 // by node and zone
-	inUse   map[uint64]int
-
-	pol       policies
-	hurt      []Event            // faults so far
-	held      map[string]float64 // by zone
-	wellSince map[string]float64
-	calm      [2]int  // crossed, of all, where there was no need
-	alone     []Event // answers with no voter left
-}
-
-type turn struct {
-	at   float64
-	lost bool
-}
-
-// Check reads a history and nothing else.
+// Want adds a violation for each thing that a run should have exercised and did not. expected has the least counts.
+func (v *Verdict) Want(expected map[string]int) {
+	for what, least := range expected {
+		if v.Seen[what] >= least {
+			continue
+		}
+		v.Violations = append(v.Violations, Violation{ruleExercise, 0, fmt.Sprintf(
+			"%s was seen %d times, wanted %d: this run shows nothing", what, v.Seen[what], least)})
+	}
+}
+
+// Check checks a history; it reads nothing else.
 func Check(events []Event, limits Limits) Verdict {
-	c := &checker{limits: limits, zoneOf: map[string]string{}, region: map[string]string{}, bears: map[string]float64{}, digests: map[uint64]string{},
-		plans: map[uint64]*failover.Plan{}, newest: map[string]uint64{}, mode: map[string]string{}, using: map[string]uint64{}, ground: map[string]bool{},
-		live: map[string]bool{}, started: map[string]float64{}, first: map[uint64]float64{}, answers: map[string]Event{}, tries: map[string]int{}, out: map[string]string{},
-		drains: map[string]float64{}, turns: map[string][]turn{}, states: map[string]failover.State{}, windows: map[int][2]int{}, told: map[string]uint64{}, stopped: map[string]float64{},
-		part: map[string]part{}, granted: map[string]float64{}, loans: map[string]map[string]float64{}, inUse: map[uint64]int{},
-		held: map[string]float64{}, wellSince: map[string]float64{}}
-	c.v.Violations, c.v.Judged, c.v.Seen = []Violation{}, true, map[string]int{}
 	events = slices.Clone(events)
-	sort.SliceStable(events, func(i, j int) bool { return events[i].At < events[j].At })
+	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
+	c := newChecker(limits)
+	if err := c.readFleet(events); err != nil {
+		c.verdict.Judged = false
+		c.verdict.Why = "the history names no nodes: " + err.Error()
+		return c.verdict
+	}
+	for _, event := range events {
+		c.check(event)
+	}
+	c.checkPolicyEnd(events)
+	c.checkCrossings()
+	c.checkWithoutVoters()
+	c.computeFigures()
+	return c.verdict
+}
+
+// checker is the state of the fleet as the history so far shows it.
+type checker struct {
+	verdict Verdict
+	limits  Limits
+	list    *membership.List
+	zones   map[string]*zoneState
+	nodes   map[string]*nodeState
+	faults  []Event // so far
+
+	requests requestState
+	plans    planState
+	policies policyState
+	ends     map[string]uint64 // proposals, by their numbers on the log
+}
+
+// zoneState is what the history shows of one zone.
+type zoneState struct {
+	region       string
+	capacity     float64 // connections
+	connections  float64
+	state        failover.State // in the newest plan
+	hasState     bool
+	healthySince float64
+	isHealthy    bool
+	turns        []turn
+	granted      float64 // to all nodes together
+}
+
+// nodeState is what the history shows of one node.
+type nodeState struct {
+	live      bool
+	startedAt float64
+	mode      string
+	newest    uint64 // plan, since its files are these
+	inUse     uint64 // plan
+	leases    map[string]float64
+	grants    grants
+}
+
+func newChecker(limits Limits) *checker {
+	return &checker{
+		verdict: Verdict{Violations: []Violation{}, Judged: true, Seen: map[string]int{}},
+		limits:  limits,
+		zones:   map[string]*zoneState{},
+		nodes:   map[string]*nodeState{},
+		requests: requestState{
+			answers:  map[string]Event{},
+			attempts: map[string]int{},
+			inFlight: map[string]string{},
+			draining: map[drainNotice]float64{},
+		},
+		plans: planState{
+			digests:   map[uint64]string{},
+			decoded:   map[uint64]*failover.Plan{},
+			firstSeen: map[uint64]float64{},
+			users:     map[uint64]int{},
+		},
+		policies: newPolicyState(),
+		ends:     map[string]uint64{},
+	}
+}
+
+// readFleet reads the zones and the nodes of a history.
+func (c *checker) readFleet(events []Event) error {
 	var nodes []membership.Node
-	for _, e := range events {
-		switch e.Kind {
+	for _, event := range events {
+		switch event.Kind {
 		case KindZone:
-			c.region[e.Zone], c.bears[e.Zone] = e.Detail, e.Value
+			zone := c.zone(event.Zone)
+			zone.region = event.Detail
+			zone.capacity = event.Value
 		case KindNode:
-			c.zoneOf[e.Node] = e.Zone
-			nodes = append(nodes, membership.Node{Name: e.Node, Zone: e.Zone, Voter: e.Value > 0})
+			nodes = append(nodes, membership.Node{Name: event.Node, Zone: event.Zone, Voter: event.Value > 0})
+		default:
 		}
 	}
 	for i := range nodes {
-		nodes[i].Region = c.region[nodes[i].Zone]
+		nodes[i].Region = c.zone(nodes[i].Zone).region
 	}
-	var err error
-	if c.list, err = membership.NewList(nodes); err != nil {
-		c.v.Judged, c.v.Why = false, "the history names no nodes: "+err.Error()
-		return c.v
+	list, err := membership.NewList(nodes)
+	c.list = list
+	return err
+}
+
+// zone returns the state of a zone.
+func (c *checker) zone(name string) *zoneState {
+	if c.zones[name] == nil {
+		c.zones[name] = &zoneState{}
 	}
-	for _, e := range events {
-		c.event(e)
+	return c.zones[name]
+}
+
+// node returns the state of a node.
+func (c *checker) node(name string) *nodeState {
+	if c.nodes[name] == nil {
+		c.nodes[name] = &nodeState{leases: map[string]float64{}}
 	}
-	c.end(events)
-	return c.v
+	return c.nodes[name]
 }
 
-func (c *checker) broken(rule string, at float64, format string, args ...any) {
-	if len(c.v.Violations) < 50 {
-		c.v.Violations = append(c.v.Violations, Violation{rule, at, fmt.Sprintf(format, args...)})
+// isLive reports whether a node's process runs.
+func (c *checker) isLive(name string) bool { return c.nodes[name] != nil && c.nodes[name].live }
+
+// violated adds a violation.
+func (c *checker) violated(rule string, at float64, format string, args ...any) {
+	if len(c.verdict.Violations) < maxViolations {
+		c.verdict.Violations = append(c.verdict.Violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 	}
 }
 
-func (c *checker) event(e Event) {
-	c.v.Seen[string(e.Kind)]++
-	switch e.Kind {
+// count counts what happened.
+func (c *checker) count(what string) { c.verdict.Seen[what]++ }
+
+// notJudged notes that the run shows nothing since the harness itself had trouble.
+func (c *checker) notJudged(format string, args ...any) {
+	c.verdict.Judged = false
+	c.verdict.Why = fmt.Sprintf(format, args...)
+}
+
+// check checks one event after those before it.
+func (c *checker) check(event Event) {
+	c.count(string(event.Kind))
+	switch event.Kind {
 	case KindFault:
-		c.v.Seen["fault "+e.Detail]++
-		c.hurt = append(c.hurt, e)
-	case KindCount:
-		c.v.Seen[e.Detail] += int(e.Value)
-		if (e.Detail == "out of descriptors" || e.Detail == "events lost") && e.Value > 0 {
-			c.v.Judged, c.v.Why = false, fmt.Sprintf("the laboratory itself: %s, %.0f times", e.Detail, e.Value)
-		}
-	case KindHarnessDelay:
-		if e.Value > c.limits.Slack {
-			c.v.Judged, c.v.Why = false, fmt.Sprintf("the laboratory itself was late by %.2f s at %.1f s", e.Value, e.At)
-		}
-	case KindStart:
-		c.live[e.Node], c.started[e.Node] = true, e.At
-		if e.Detail != "kept" {
-			c.newest[e.Node] = 0
-		}
-		c.mode[e.Node], c.using[e.Node] = "alone", 0
-		if e.Detail == "kept" {
-			c.using[e.Node] = c.newest[e.Node]
-			if c.using[e.Node] > 0 {
-				c.mode[e.Node] = "ground"
-			}
-		}
-		c.room(e.Node, e.At)
-	case KindLease:
-		if c.loans[e.Node] == nil {
-			c.loans[e.Node] = map[string]float64{}
-		}
-		c.loans[e.Node][e.To] = e.Value
-		c.room(e.Node, e.At)
-	case KindCrash:
-		c.live[e.Node] = false
-		delete(c.loans, e.Node)
-		c.room(e.Node, e.At)
+		c.count("fault " + event.Detail)
+		c.faults = append(c.faults, event)
+	case KindCount, KindHarnessDelay:
+		c.checkHarness(event)
+	case KindStart, KindCrash, KindMode, KindLease:
+		c.checkNode(event)
 	case KindPlan:
-		c.plan(e)
-	case KindMode:
-		c.mode[e.Node] = e.Mode
-		if e.Number < c.newest[e.Node] {
-			c.broken("agreed log (2)", e.At, "%s goes by %d and had %d before", e.Node, e.Number, c.newest[e.Node])
-		}
-		c.room(e.Node, e.At)
-	case KindLeads:
-	case KindPolicy, KindVerdict, KindCanary, KindChangeEnd, KindAdmission, KindCommand:
-		c.policy(e)
+		c.checkPlan(event)
 	case KindProposalEnd:
-		if old, ok := c.told[e.ID]; ok && old != e.Number {
-			c.broken("agreed log (3)", e.At, "proposal %s ended at %d and at %d", e.ID, old, e.Number)
-		}
-		c.told[e.ID] = e.Number
-	case KindAttempt:
-		c.sent++
-		if c.tries[e.ID]++; c.tries[e.ID] > c.limits.Attempts {
-			c.broken("placement: attempts", e.At, "request %s came to a host for the %d. time", e.ID, c.tries[e.ID])
-		}
-		if at, ok := c.out[e.ID]; ok {
-			c.broken("placement: two at once", e.At, "request %s came to %s while %s had it", e.ID, e.To, at)
-		}
-		c.out[e.ID] = e.To
-		if at, ok := c.drains[e.Node+" "+e.To]; ok && e.At-at > 3+c.limits.Slack {
-			c.broken("placement: drains", e.At, "request %s came to %s %.1f s after %s was told of its drain", e.ID, e.To, e.At-at, e.Node)
-		}
-	case KindAttemptEnd:
-		delete(c.out, e.ID)
-	case KindGuard: // also where no harm was done: a node that needs its guard has a fault
-		c.broken(guardedRule(e.Detail), e.At, "request %s: %s's guard objected: %s", e.ID, e.Node, e.Detail)
-	case KindDrain:
-		if _, ok := c.drains[e.Node+" "+e.To]; !ok {
-			c.drains[e.Node+" "+e.To] = e.At
-		}
-	case KindAnswer:
-		if old, ok := c.answers[e.ID]; ok {
-			c.broken("placement: one answer", e.At, "request %s was answered %s and %s", e.ID, old.Result, e.Result)
-		}
-		c.answers[e.ID] = e
-		if e.Result != "none" && e.Took > c.limits.Patience+c.limits.Slack {
-			c.broken("placement: in time", e.At, "request %s was answered after %.2f s", e.ID, e.Took)
-		}
-		c.quiet(e)
+		c.checkProposalEnd(event)
+	case KindPolicy, KindVerdict, KindCanary, KindChangeEnd, KindAdmission, KindCommand:
+		c.checkPolicy(event)
+	case KindAttempt, KindAttemptEnd, KindAnswer, KindGuard, KindDrain:
+		c.checkRequest(event)
 	case KindConnections:
-		c.held[e.Zone] = e.Value
-		if b := c.bears[e.Zone]; b > 0 {
-			c.v.Figures.PeakOfRoom = max(c.v.Figures.PeakOfRoom, e.Value/b)
+		c.checkConnections(event)
+	default: // the others say nothing about a rule
+	}
+}
+
+// checkHarness decides whether the harness itself was in order.
+func (c *checker) checkHarness(event Event) {
+	if event.Kind == KindHarnessDelay {
+		if event.Value > c.limits.Slack {
+			c.notJudged("the laboratory itself was late by %.2f s at %.1f s", event.Value, event.At)
 		}
+		return
+	}
+	c.verdict.Seen[event.Detail] += int(event.Value)
+	if (event.Detail == countNoDescriptors || event.Detail == countEventsLost) && event.Value > 0 {
+		c.notJudged("the laboratory itself: %s, %.0f times", event.Detail, event.Value)
 	}
 }
 
-// guardedRules are the checker's names of rules that a node's guard knows.
-var guardedRules = map[string]string{
-	invariant.TooManyAttempts.String():   "placement: attempts",
-	invariant.ConcurrentAttempt.String(): "placement: two at once",
-	invariant.ServerDraining.String():    "placement: drains",
-	invariant.LateAnswer.String():        "placement: in time",
-	invariant.SecondAnswer.String():      "placement: one answer",
-	invariant.Unanswered.String():        "placement: one answer",
+// checkProposalEnd checks that a proposal has one end.
+func (c *checker) checkProposalEnd(event Event) {
+	if number, ok := c.ends[event.ID]; ok && number != event.Number {
+		c.violated(ruleOneEnd, event.At, "proposal %s ended at %d and at %d", event.ID, number, event.Number)
+	}
+	c.ends[event.ID] = event.Number
 }
 
-func guardedRule(name string) string {
-	if rule, ok := guardedRules[name]; ok {
-		return rule
+// checkConnections notes how full a zone's servers are.
+func (c *checker) checkConnections(event Event) {
+	zone := c.zone(event.Zone)
+	zone.connections = event.Value
+	if zone.capacity > 0 {
+		utilization := event.Value / zone.capacity
+		c.verdict.Figures.PeakOfRoom = max(c.verdict.Figures.PeakOfRoom, utilization)
 	}
-	return "placement: " + name
 }
--- a/internal/lab/faults/history.go
+++ b/internal/lab/faults/history.go
@@ -1,6 +1,6 @@
-// Package faults is a fault-injection harness for real processes. It starts the built program many times on loopback with
-// each link through a relay, injects faults into links and processes, records all that happens as a history of events,
-// and checks a history against the rules of docs/faults.md.
+// Package faults is a fault-injection harness for real processes. It starts the built program many times on loopback
+// with each link through a relay, injects faults into links and processes, records all that happens as a history of
+// events, and checks a history against the rules of docs/faults.md.
 package faults
 
 import (
