--- a/internal/lab/faults/check.go
+++ b/internal/lab/faults/check.go
@@ -11,19 +11,26 @@
 
 // Limits are the tolerances of the rules on time and amounts. Times are in seconds.
 type Limits struct {
-	Patience  float64 `json:"patience"  toml:"patience"`  // in which an answer is due
-	Slack     float64 `json:"slack"     toml:"slack"`     // by which a machine may be late
-	Attempts  int     `json:"attempts"  toml:"attempts"`  // of one request
-	RoomSlack float64 `json:"roomSlack" toml:"roomSlack"` // part of a zone's capacity by which grants may exceed it
-	Crossing  float64 `json:"crossing"  toml:"crossing"`  // part of the requests that may cross zones without need
-	TurnTime  float64 `json:"turnTime"  toml:"turnTime"`  // in which a zone may recover once
-	Life      float64 `json:"life"      toml:"life"`      // that a node may cross zones without the log
-	Window    float64 `json:"window"    toml:"window"`    // after a decision, in which the policy before may be in use
+	Deadline          float64 `json:"patience"  toml:"patience"`  // in which an answer is due
+	Slack             float64 `json:"slack"     toml:"slack"`     // by which a machine may be late
+	Attempts          int     `json:"attempts"  toml:"attempts"`  // of one request
+	CapacitySlack     float64 `json:"roomSlack" toml:"roomSlack"` // of grants over a zone's capacity, as part of it
+	UnneededCrossZone float64 `json:"crossing"  toml:"crossing"`  // part of the requests that may cross without need
+	RecoveryInterval  float64 `json:"turnTime"  toml:"turnTime"`  // in which a zone may recover once
+	GrantLifetime     float64 `json:"life"      toml:"life"`      // that a node may cross zones without the log
+	PolicyWindow      float64 `json:"window"    toml:"window"`    // after a decision, for the policy before it
 }
 
 // UsualLimits are the figures of docs/faults.md, with the slack of a busy machine.
 var UsualLimits = Limits{
-	Patience: 4, Slack: 0.5, Attempts: 4, RoomSlack: 0.02, Crossing: 0.02, TurnTime: 60, Life: 10, Window: 5,
+	Deadline:          4,
+	Slack:             0.5,
+	Attempts:          4,
+	CapacitySlack:     0.02,
+	UnneededCrossZone: 0.02,
+	RecoveryInterval:  60,
+	GrantLifetime:     10,
+	PolicyWindow:      5,
 }
 
 // maxViolations bounds the violations of a verdict.
@@ -70,7 +77,7 @@
 	Violations []Violation    `json:"violations"`
 	Judged     bool           `json:"judged"`
 	Why        string         `json:"why,omitempty"` // why it was not judged
-	Seen       map[string]int `json:"seen"`          // what happened, and how often: a run that exercised nothing proves nothing
+	Seen       map[string]int `json:"seen"`          // what happened, and how often
 	Figures    Figures        `json:"figures"`
 }
 
@@ -89,20 +96,20 @@
 func Check(events []Event, limits Limits) Verdict {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	c := newChecker(limits)
-	if err := c.readFleet(events); err != nil {
-		c.verdict.Judged = false
-		c.verdict.Why = "the history names no nodes: " + err.Error()
-		return c.verdict
+	state := newChecker(limits)
+	if err := state.readFleet(events); err != nil {
+		state.verdict.Judged = false
+		state.verdict.Why = "the history names no nodes: " + err.Error()
+		return state.verdict
 	}
 	for _, event := range events {
-		c.check(event)
+		state.check(event)
 	}
-	c.checkPolicyEnd(events)
-	c.checkCrossings()
-	c.checkWithoutVoters()
-	c.computeFigures()
-	return c.verdict
+	state.checkPolicyEnd(events)
+	state.checkCrossings()
+	state.checkWithoutVoters()
+	state.computeFigures()
+	return state.verdict
 }
 
 // checker is the state of the fleet as the history so far shows it.
--- a/internal/lab/faults/check_plans.go
+++ b/internal/lab/faults/check_plans.go
@@ -48,7 +48,8 @@
 	case KindMode:
 		node.mode = event.Mode
 		if event.Number < node.newest {
-			c.violated(ruleNoStepBack, event.At, "%s goes by %d and had %d before", event.Node, event.Number, node.newest)
+			c.violated(ruleNoStepBack, event.At, "%s goes by %d and had %d before",
+				event.Node, event.Number, node.newest)
 		}
 	default:
 	}
@@ -61,7 +62,7 @@
 	n.startedAt = event.At
 	n.mode = failover.Standalone.String()
 	n.inUse = 0
-	if event.Detail != FilesKept {
+	if event.Detail != FilesIntact {
 		n.newest = 0
 		return
 	}
@@ -110,13 +111,13 @@
 }
 
 // checkZoneState follows the state of a zone in the plans, and checks that it doesn't flap.
-func (c *checker) checkZoneState(at float64, planned failover.Zone) {
+func (c *checker) checkZoneState(when float64, planned failover.Zone) {
 	zone := c.zone(planned.Name)
 	if !zone.hasState || zone.state != planned.State {
 		zone.hasState = true
 		zone.state = planned.State
 		zone.isHealthy = planned.State == failover.Healthy
-		zone.healthySince = at
+		zone.healthySince = when
 		c.count("zone " + planned.State.String())
 	}
 	lost := planned.State == failover.Lost
@@ -127,9 +128,10 @@
 	if len(zone.turns) >= 2 { // lost, recovered, and now lost again
 		c.verdict.Figures.Reversals++
 	}
-	zone.turns = append(zone.turns, turn{at, lost})
-	if count := zone.recoveries(at - c.limits.TurnTime); count > 1 {
-		c.violated(ruleReversals, at, "zone %s came back %d times within %.0f s", planned.Name, count, c.limits.TurnTime)
+	zone.turns = append(zone.turns, turn{when, lost})
+	if count := zone.recoveries(when - c.limits.RecoveryInterval); count > 1 {
+		c.violated(ruleReversals, when, "zone %s came back %d times within %.0f s",
+			planned.Name, count, c.limits.RecoveryInterval)
 	}
 }
 
@@ -215,7 +217,7 @@
 }
 
 // checkCapacity checks what all nodes together may have in a zone.
-func (c *checker) checkCapacity(node string, number uint64, zone string, at float64) {
+func (c *checker) checkCapacity(node string, number uint64, zone string, when float64) {
 	stated := 0.0
 	for used := range c.plans.users {
 		if plan := c.plans.decoded[used]; plan != nil {
@@ -223,8 +225,8 @@
 		}
 	}
 	granted := c.zone(zone).granted
-	if granted > stated*(1+c.limits.RoomSlack)+loadTolerance {
-		c.violated(ruleCapacity, at,
+	if granted > stated*(1+c.limits.CapacitySlack)+loadTolerance {
+		c.violated(ruleCapacity, when,
 			"with plan %d at %s all nodes together may have %.2f in zone %s, its stated capacity is %.2f",
 			number, node, granted, zone, stated)
 	}
--- a/internal/lab/faults/check_policy.go
+++ b/internal/lab/faults/check_policy.go
@@ -9,7 +9,6 @@
 const (
 	verbStatus       = "status"
 	verbPropose      = "propose"
-	verbRollback     = "rollback"
 	verbProposeAgain = "again" // a change that had ended, under the same ID
 )
 
@@ -154,7 +153,7 @@
 			event.Node, event.ID, event.Number)
 		return
 	}
-	tolerance := c.limits.Window + c.limits.Slack
+	tolerance := c.limits.PolicyWindow + c.limits.Slack
 	if end, ok := state.abandonedAt[event.Number]; ok && event.At > end+tolerance {
 		c.violated(rulePolicyWindow, event.At, "%s took request %s under number %d, which was given up %.2f s before",
 			event.Node, event.ID, event.Number, event.At-end)
@@ -224,7 +223,7 @@
 // checkOnePolicyInUse checks that all nodes that serve at the end serve under one number.
 func (c *checker) checkOnePolicyInUse(end float64) {
 	newest := c.policies.newest()
-	if c.policies.decidedAt[newest] >= end-c.limits.Window-c.limits.Slack {
+	if c.policies.decidedAt[newest] >= end-c.limits.PolicyWindow-c.limits.Slack {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.policies.lastAdmission)) {
@@ -240,7 +239,7 @@
 func (c *checker) onTrialAt(number uint64, at float64) bool {
 	abandonedAt, abandoned := c.policies.abandonedAt[number]
 	_, onTrial := c.policies.canaryAt[number]
-	return onTrial && (!abandoned || abandonedAt > at-c.limits.Window-c.limits.Slack)
+	return onTrial && (!abandoned || abandonedAt > at-c.limits.PolicyWindow-c.limits.Slack)
 }
 
 // changeDurations are the times, sorted, from a command to the last node that learned of its decision. Nodes that were
@@ -253,7 +252,7 @@
 		}
 		last := 0.0
 		for _, at := range c.policies.learnedAt[command.Number] {
-			if at < c.policies.decidedAt[command.Number]+c.limits.Window {
+			if at < c.policies.decidedAt[command.Number]+c.limits.PolicyWindow {
 				last = max(last, at)
 			}
 		}
--- a/internal/lab/faults/check_requests.go
+++ b/internal/lab/faults/check_requests.go
@@ -6,10 +6,10 @@
 	drainGrace = 3 // seconds after its notice in which a node may still try a draining server
 
 	// A zone without need to cross: healthy for long and with free capacity.
-	minHealthyTime    = 10  // seconds
-	maxCalmFill       = 0.6 // of its capacity
-	minCalmRequests   = 100
-	crossingTolerance = 3 // requests
+	minHealthyTime     = 10  // seconds
+	maxCalmFill        = 0.6 // of its capacity
+	minCalmRequests    = 100
+	crossZoneTolerance = 3 // requests
 
 	minRequestsWithoutVoters = 50
 	minServedWithoutVoters   = 0.9
@@ -22,7 +22,7 @@
 	inFlight      map[string]string // request to the server that has it
 	draining      map[drainNotice]float64
 	calm          int // served requests of zones without need to cross
-	calmCrossed   int // of these, in another zone
+	calmCrossZone int // of these, in another zone
 	withoutVoters []Event
 }
 
@@ -92,7 +92,7 @@
 		c.violated(ruleOneAnswer, event.At, "request %s was answered %s and %s", event.ID, earlier.Result, event.Result)
 	}
 	c.requests.answers[event.ID] = event
-	if event.Result != ResultNone && event.Took > c.limits.Patience+c.limits.Slack {
+	if event.Result != ResultNone && event.Took > c.limits.Deadline+c.limits.Slack {
 		c.violated(ruleInTime, event.At, "request %s was answered after %.2f s", event.ID, event.Took)
 	}
 	c.noteAnswer(event)
@@ -111,7 +111,7 @@
 	}
 	c.requests.calm++
 	if event.To != event.Zone && event.To != "" {
-		c.requests.calmCrossed++
+		c.requests.calmCrossZone++
 	}
 }
 
@@ -125,8 +125,8 @@
 
 // checkCrossings checks that few requests have crossed zones without need.
 func (c *checker) checkCrossings() {
-	crossed, calm := c.requests.calmCrossed, c.requests.calm
-	if calm >= minCalmRequests && float64(crossed) > c.limits.Crossing*float64(calm)+crossingTolerance {
+	crossed, calm := c.requests.calmCrossZone, c.requests.calm
+	if calm >= minCalmRequests && float64(crossed) > c.limits.UnneededCrossZone*float64(calm)+crossZoneTolerance {
 		c.violated(ruleOwnZone, 0, "%d of %d requests crossed zones although their own was healthy and had capacity",
 			crossed, calm)
 	}
--- a/internal/lab/faults/history.go
+++ b/internal/lab/faults/history.go
@@ -42,7 +42,7 @@
 	KindNode         Kind = "node"    // Node, Zone; Value 1: a voter
 	KindFault        Kind = "fault"   // Detail: what was done
 	KindHealed       Kind = "healed"  // the last fault is over
-	KindStart        Kind = "start"   // Node; Detail: its files, such as FilesKept
+	KindStart        Kind = "start"   // Node; Detail: its files, such as FilesIntact
 	KindCrash        Kind = "crash"   // Node
 	KindPlan         Kind = "plan"    // Node adopts plan Number with Digest; Plan
 	KindMode         Kind = "mode"    // Node is in Mode, with plan Number
@@ -58,8 +58,8 @@
 	KindVerdict      Kind = "verdict" // Node has checked the change ID with Number; Result: yes or no
 	KindCanary       Kind = "trial"   // canaries may serve by policy Number from now on
 	KindChangeEnd    Kind = "ended"   // the change ID with Number has ended; Result
-	KindAdmission    Kind = "admit"   // Node got a request (ID where known) under Number; Detail, such as AdmittedByLease
-	KindCommand      Kind = "op"      // an operator's command ID has ended; Node: whose; Detail: its verb; Value: its start
+	KindAdmission    Kind = "admit"   // Node got a request (ID, if known) under Number; Detail, as AdmittedByLease
+	KindCommand      Kind = "op"      // Node, an operator, has ended the command ID; Detail: its verb; Value: its start
 	KindConnections  Kind = "held"    // Zone's servers have Value connections
 	KindHarnessDelay Kind = "late"    // the test harness itself was late by Value seconds
 	KindCount        Kind = "count"   // Detail: of what; Value: how many
@@ -84,7 +84,7 @@
 // What a node finds of its files at its start: Detail of KindStart.
 const (
 	FilesNew     = "new"
-	FilesKept    = "kept"
+	FilesIntact  = "kept"
 	FilesLost    = "lost"
 	FilesCut     = "cut"    // truncated
 	FilesSpoiled = "spoilt" // altered
--- /dev/null
+++ b/internal/lab/faults/relay_test.go
@@ -0,0 +1,67 @@
+package faults
+
+import (
+	"net"
+	"testing"
+	"time"
+)
+
+// listenUDP opens a UDP socket on loopback until the test ends.
+func listenUDP(t *testing.T) *net.UDPConn {
+	t.Helper()
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeQuietly(conn) })
+	return conn
+}
+
+// passes reports whether a datagram that is sent to an address comes to a socket.
+func passes(t *testing.T, sender, receiver *net.UDPConn, address string) bool {
+	t.Helper()
+	target, err := net.ResolveUDPAddr("udp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := sender.WriteToUDP([]byte("x"), target); err != nil {
+		t.Fatal(err)
+	}
+	setReadDeadline(receiver, time.Now().Add(400*time.Millisecond))
+	_, _, err = receiver.ReadFromUDP(make([]byte, 8))
+	return err == nil
+}
+
+// TestRelay checks that each direction has faults of its own, and that nothing passes a cut.
+func TestRelay(t *testing.T) {
+	relay := NewRelay(1)
+	defer relay.Close()
+	first := listenUDP(t)
+	second := listenUDP(t)
+	relay.Place("a", "zone:x")
+	toSecond, err := relay.Link("a", "b", second.LocalAddr().String(), true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	toFirst, err := relay.Link("b", "a", first.LocalAddr().String(), true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !passes(t, first, second, toSecond) || !passes(t, second, first, toFirst) {
+		t.Fatal("nothing passes a sound link")
+	}
+	relay.Set("zone:x", anyParty, LinkFault{Cut: true})
+	if passes(t, first, second, toSecond) {
+		t.Error("a datagram passed a cut")
+	}
+	if !passes(t, second, first, toFirst) {
+		t.Error("the other direction is cut as well")
+	}
+	relay.Heal()
+	if !passes(t, first, second, toSecond) {
+		t.Error("healed, and nothing passes")
+	}
+	if dropped := relay.Counts.Dropped.Load(); dropped != 1 {
+		t.Errorf("%d dropped, 1 is wanted", dropped)
+	}
+}
--- /dev/null
+++ b/internal/lab/faults/schedule.go
@@ -0,0 +1,183 @@
+package faults
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	planPollInterval = 50 * time.Millisecond
+	pulseInterval    = 50 * time.Millisecond
+	pulsesPerSample  = 10 // of the servers' connections
+)
+
+// play plays the scenario.
+func (h *harness) play(ctx context.Context) error {
+	h.background.Go(h.watchClock)
+	if err := h.awaitPlans(ctx); err != nil {
+		return err
+	}
+	h.running.Store(true)
+	length := time.Duration(h.scenario.Run.Length)
+	h.record(Event{Kind: KindBegin, Detail: h.scenario.Name, Value: length.Seconds()})
+	plan := &schedule{start: time.Now(), length: length}
+	h.startClients()
+	h.addSteps(plan)
+	if err := plan.run(ctx); err != nil {
+		return err
+	}
+	h.recordCounts()
+	return nil
+}
+
+// awaitPlans waits until all nodes have a plan, or none comes in time: clients start then.
+func (h *harness) awaitPlans(ctx context.Context) error {
+	if h.options.Alone {
+		return nil
+	}
+	for end := time.Now().Add(firstPlanTimeout); time.Now().Before(end) && !h.allHavePlans(); {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(planPollInterval):
+		}
+	}
+	return nil
+}
+
+// allHavePlans reports whether all nodes have adopted a plan.
+func (h *harness) allHavePlans() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	seen := map[string]bool{}
+	for _, event := range h.events {
+		if event.Kind == KindPlan {
+			seen[event.Node] = true
+		}
+	}
+	return len(seen) == len(h.nodes)
+}
+
+// startClients has clients arrive in each zone.
+func (h *harness) startClients() {
+	for i, zone := range h.zones {
+		rng := rand.New(rand.NewPCG(h.options.Seed, uint64(firstArrivalsOf+i)))
+		h.background.Go(func() { h.runArrivals(zone, rng) })
+	}
+}
+
+// addSteps schedules the scenario's steps; random ones are drawn.
+func (h *harness) addSteps(plan *schedule) {
+	for _, step := range h.scenario.Steps {
+		if step.Action != ActionRandom {
+			h.addStep(plan, step)
+			continue
+		}
+		for range max(1, step.Times) {
+			h.addStep(plan, h.drawStep(time.Duration(step.At), plan.length))
+		}
+	}
+}
+
+func (h *harness) addStep(plan *schedule, step Step) {
+	plan.add(time.Duration(step.At), func() error { return h.inject(step, plan) })
+}
+
+// schedule is what is done when. It belongs to the goroutine that runs it.
+type schedule struct {
+	start   time.Time
+	length  time.Duration
+	entries []scheduleEntry
+}
+
+// scheduleEntry is something that is done at a time after the start.
+type scheduleEntry struct {
+	at time.Duration
+	do func() error // nil: it was done
+}
+
+// add schedules something at a time after the start.
+func (s *schedule) add(at time.Duration, do func() error) {
+	s.entries = append(s.entries, scheduleEntry{at, do})
+}
+
+// next is the index of the first entry that is not done yet; ok is false if there is none.
+func (s *schedule) next() (index int, ok bool) {
+	for i, entry := range s.entries {
+		if entry.do != nil && (!ok || entry.at < s.entries[index].at) {
+			index = i
+			ok = true
+		}
+	}
+	return index, ok
+}
+
+// run does all entries at their times until the schedule's length is over.
+func (s *schedule) run(ctx context.Context) error {
+	end := time.NewTimer(s.length)
+	defer end.Stop()
+	for {
+		next, pending := s.next()
+		wake := s.length
+		if pending {
+			wake = min(wake, s.entries[next].at)
+		}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-end.C:
+			return nil
+		case <-time.After(max(0, time.Until(s.start.Add(wake)))):
+		}
+		if !pending || time.Since(s.start) < s.entries[next].at {
+			continue
+		}
+		do := s.entries[next].do
+		s.entries[next].do = nil
+		if err := do(); err != nil {
+			return err
+		}
+	}
+}
+
+// recordCounts records what the relay and the endpoint list have done.
+func (h *harness) recordCounts() {
+	h.mu.Lock()
+	lost := h.lostEvents
+	h.mu.Unlock()
+	counts := &h.relay.Counts
+	h.recordCount("datagrams", counts.Datagrams.Load())
+	h.recordCount("datagrams dropped", counts.Dropped.Load())
+	h.recordCount("datagrams repeated", counts.Repeated.Load())
+	h.recordCount("streams", counts.Streams.Load())
+	h.recordCount("list calls", h.endpoints.calls.Load())
+	h.recordCount(countEventsLost, int64(lost))
+	h.recordCount(countNoDescriptors, counts.DescriptorLack.Load())
+}
+
+// watchClock records when the harness itself is late, and at times the servers' connections.
+func (h *harness) watchClock() {
+	last := time.Now()
+	for pulse := 1; h.pause(pulseInterval); pulse++ {
+		now := time.Now()
+		if late := now.Sub(last) - pulseInterval; late > pulseInterval {
+			h.record(Event{Kind: KindHarnessDelay, Value: late.Seconds()})
+		}
+		last = now
+		if pulse%pulsesPerSample == 0 {
+			h.recordConnections()
+		}
+	}
+}
+
+// recordConnections records how many connections the servers of each zone have.
+func (h *harness) recordConnections() {
+	byZone := map[string]int{}
+	for _, s := range h.servers {
+		byZone[s.zone] += s.connections()
+	}
+	for _, zone := range h.zones {
+		h.record(Event{Kind: KindConnections, Zone: zone, Value: float64(byZone[zone])})
+	}
+}
--- /dev/null
+++ b/internal/lab/faults/setup.go
@@ -0,0 +1,182 @@
+package faults
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	maxAddressAttempts = 50
+	nodesPerSubnet     = 200 // loopback addresses 127.x.y.1
+	noTarget           = "127.0.0.1:1"
+)
+
+// Errors of the setup.
+var (
+	ErrNoFreeAddress = errors.New("no port is free for TCP and UDP")
+	ErrNotListening  = errors.New("the node does not listen")
+	ErrEndedAtStart  = errors.New("the node ended at its start")
+)
+
+// setUp makes the fleet's servers, nodes and links, and starts all processes.
+func (h *harness) setUp(ctx context.Context) error {
+	raiseDescriptorLimit()
+	if err := h.makeServers(); err != nil {
+		return err
+	}
+	if err := h.makeNodes(); err != nil {
+		return err
+	}
+	for _, n := range h.nodes {
+		if err := n.makeLinks(); err != nil {
+			return err
+		}
+		if err := n.writeFiles(); err != nil {
+			return err
+		}
+	}
+	if h.scenario.Fleet.Policy {
+		if err := h.writeOperatorFiles(); err != nil {
+			return err
+		}
+	}
+	return h.startAll(ctx)
+}
+
+// raiseDescriptorLimit has the harness open as many files as it is allowed to.
+func raiseDescriptorLimit() {
+	var limit unix.Rlimit
+	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil || limit.Cur >= limit.Max {
+		return
+	}
+	limit.Cur = limit.Max
+	_ = unix.Setrlimit(unix.RLIMIT_NOFILE, &limit) // a run that lacks descriptors says so, and is not judged
+}
+
+// makeServers makes the zones with their servers.
+func (h *harness) makeServers() error {
+	fleet := h.scenario.Fleet
+	for i := range fleet.Zones {
+		zone := fmt.Sprintf("z%d", i)
+		region := fmt.Sprintf("r%d", i*fleet.Regions/fleet.Zones)
+		h.zones = append(h.zones, zone)
+		h.regionOf[zone] = region
+		h.record(Event{Kind: KindZone, Zone: zone, Detail: region, Value: float64(h.zoneCapacity())})
+		for range fleet.ServersPerZone {
+			started, err := h.newServer(fmt.Sprintf("h%03d", len(h.servers)), zone, h.serverCapacity)
+			if err != nil {
+				return err
+			}
+			h.servers = append(h.servers, started)
+			h.serverByID[started.id] = started
+			h.relay.Place(started.id, serverGroup+zone)
+		}
+	}
+	return nil
+}
+
+// makeNodes makes the nodes with their addresses and directories. The first ones vote.
+func (h *harness) makeNodes() error {
+	fleet := h.scenario.Fleet
+	for i := range h.options.Nodes {
+		address, err := freeAddress(net.IPv4(127, byte(1+i/nodesPerSubnet), byte(i%nodesPerSubnet), 1))
+		if err != nil {
+			return err
+		}
+		made := newNode(h, i, address)
+		if err := os.MkdirAll(made.dir, 0o700); err != nil {
+			return err
+		}
+		h.relay.Place(made.name, nodeGroup+made.zone)
+		h.nodes = append(h.nodes, made)
+		votes := 0.0
+		made.isVoter = i < fleet.Voters
+		if made.isVoter {
+			votes = 1
+		}
+		h.record(Event{Kind: KindNode, Node: made.name, Zone: made.zone, Value: votes})
+	}
+	return nil
+}
+
+// makeLinks makes the node's links through the relay: to the other nodes, to the servers, and from its clients.
+func (n *node) makeLinks() error {
+	relay := n.harness.relay
+	for _, other := range n.harness.nodes {
+		address := other.fleetAddr
+		if other != n && !n.harness.options.Alone {
+			linked, err := relay.Link(n.name, other.name, other.fleetAddr, true)
+			if err != nil {
+				return err
+			}
+			address = linked
+		}
+		n.nodeLinks = append(n.nodeLinks, address)
+	}
+	for _, s := range n.harness.servers {
+		address, err := relay.Link(n.name, s.id, s.addr, false)
+		if err != nil {
+			return err
+		}
+		n.serverLinks = append(n.serverLinks, address)
+	}
+	address, err := relay.Link(clientGroup+n.zone, n.name, noTarget, false)
+	n.clientAddr = address
+	return err
+}
+
+// startAll starts all processes at once, as after a power cut; each reports its address when it listens.
+func (h *harness) startAll(ctx context.Context) error {
+	for _, n := range h.nodes {
+		if err := n.start(FilesNew); err != nil {
+			return err
+		}
+	}
+	for _, n := range h.nodes {
+		if err := n.awaitListening(ctx); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// awaitListening waits until a node listens, and has its clients come to that address.
+func (n *node) awaitListening(ctx context.Context) error {
+	log := filepath.Join(n.dir, "log")
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(startTimeout):
+		return fmt.Errorf("%s after %v: %w: see %s", n.name, startTimeout, ErrNotListening, log)
+	case <-n.gone:
+		return fmt.Errorf("%s: %w: see %s", n.name, ErrEndedAtStart, log)
+	case address := <-n.listening:
+		n.harness.relay.MoveClients(n.name, address)
+	}
+	return nil
+}
+
+// freeAddress returns an address with a port that is free for TCP and UDP, on an IP that no other part of the run uses.
+func freeAddress(ip net.IP) (string, error) {
+	for range maxAddressAttempts {
+		tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
+		if err != nil {
+			return "", err
+		}
+		address := tcp.Addr().String()
+		udp, err := net.ListenPacket("udp", address)
+		closeQuietly(tcp)
+		if err == nil {
+			closeQuietly(udp)
+			return address, nil
+		}
+	}
+	return "", fmt.Errorf("%w on %v", ErrNoFreeAddress, ip)
+}
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -137,7 +137,7 @@
 // clock is the node's own monotonic time.
 func (n *node) clock() time.Duration { return n.world.now + time.Duration(n.index)*clockSkew }
 
-// start starts a process of the node. files says what it finds on its disk, such as faults.FilesKept.
+// start starts a process of the node. files says what it finds on its disk, such as faults.FilesIntact.
 func (n *node) start(files string) error {
 	n.incarnation++
 	n.up = true
--- a/internal/lab/simulation/node_log.go
+++ b/internal/lab/simulation/node_log.go
@@ -65,7 +65,7 @@
 	world.schedule(world.now, func() {
 		if n.incarnation == incarnation {
 			world.record(faults.Event{Kind: faults.KindFault, Detail: "killed at a step", Node: n.name})
-			n.restart(faults.FilesKept, world.milliseconds(minStepRestart, stepRestartSpread))
+			n.restart(faults.FilesIntact, world.milliseconds(minStepRestart, stepRestartSpread))
 		}
 	})
 }
--- a/internal/lab/simulation/policy_scenarios.go
+++ b/internal/lab/simulation/policy_scenarios.go
@@ -36,7 +36,7 @@
 				world.scheduleFault(at, "leader killed", func() {
 					leader := world.leader()
 					if world.rng.IntN(2) == 0 {
-						leader.restart(faults.FilesKept, world.milliseconds(200, 2000))
+						leader.restart(faults.FilesIntact, world.milliseconds(200, 2000))
 					} else {
 						leader.pause(world.milliseconds(500, 6000))
 					}
@@ -52,7 +52,7 @@
 			world.scheduleFault(5*time.Second, "third killed", func() {
 				for i, n := range world.nodes {
 					if i%3 == 2 && !n.isVoter() {
-						n.restart(faults.FilesKept, 18*time.Second+world.milliseconds(0, 3000))
+						n.restart(faults.FilesIntact, 18*time.Second+world.milliseconds(0, 3000))
 					}
 				}
 			})
--- a/internal/lab/simulation/random_faults.go
+++ b/internal/lab/simulation/random_faults.go
@@ -70,7 +70,7 @@
 // restartAll kills all nodes; each comes back within some seconds.
 func (w *World) restartAll() {
 	for _, n := range w.nodes {
-		n.restart(faults.FilesKept, w.milliseconds(0, maxRestartDelay))
+		n.restart(faults.FilesIntact, w.milliseconds(0, maxRestartDelay))
 	}
 }
 
@@ -112,11 +112,11 @@
 }
 
 func (f *randomFault) killNode() {
-	f.world.scheduleNodeFault(f.at, "killed", f.node, func() { f.node.restart(faults.FilesKept, f.length) })
+	f.world.scheduleNodeFault(f.at, "killed", f.node, func() { f.node.restart(faults.FilesIntact, f.length) })
 }
 
 func (f *randomFault) killVoter() {
-	f.world.scheduleNodeFault(f.at, "voter killed", f.voter, func() { f.voter.restart(faults.FilesKept, f.length) })
+	f.world.scheduleNodeFault(f.at, "voter killed", f.voter, func() { f.voter.restart(faults.FilesIntact, f.length) })
 }
 
 // loseFiles kills a node and its files. Voters keep theirs: rule (3) holds for a majority that keeps its disks.
--- a/internal/lab/simulation/scenario.go
+++ b/internal/lab/simulation/scenario.go
@@ -61,7 +61,7 @@
 	history := world.Run()
 	limits := faults.UsualLimits
 	if options.FleetOnly {
-		limits.Window = policyRules.Window.Seconds()
+		limits.PolicyWindow = policyRules.Window.Seconds()
 		limits.Slack = fleetOnlySlack
 	}
 	verdict := faults.Check(history, limits)
--- a/internal/lab/simulation/scenarios.go
+++ b/internal/lab/simulation/scenarios.go
@@ -75,7 +75,7 @@
 		Setup: func(world *World) {
 			world.scheduleFault(12*time.Second, "voters killed", func() {
 				for _, n := range world.voters()[:2] {
-					n.restart(faults.FilesKept, 12*time.Second)
+					n.restart(faults.FilesIntact, 12*time.Second)
 				}
 			})
 			world.scheduleFault(16*time.Second, "zone lost", func() { world.failZone("z1", refusing) })
@@ -153,7 +153,7 @@
 				}
 			})
 			world.scheduleFault(22*time.Second, "leader killed", func() {
-				world.leader().restart(faults.FilesKept, 8*time.Second)
+				world.leader().restart(faults.FilesIntact, 8*time.Second)
 			})
 			world.scheduleFault(26*time.Second, "zone lost", func() { world.failZone("z1", refusing) })
 		},
@@ -266,7 +266,7 @@
 				world.scheduleFault(12*time.Second+time.Duration(i)*700*time.Millisecond, "killed", func() {
 					for j, n := range world.nodes {
 						if !n.isVoter() && j%12 == i {
-							n.restart(faults.FilesKept, time.Second/2)
+							n.restart(faults.FilesIntact, time.Second/2)
 						}
 					}
 				})
