--- a/internal/lab/faults/check_policy.go
+++ b/internal/lab/faults/check_policy.go
@@ -51,7 +51,9 @@
 func (p *policyState) next(number uint64) (next uint64, at float64, ok bool) {
 	for decided, decidedAt := range p.decidedAt {
 		if decided > number && (!ok || decided < next) {
-			next, at, ok = decided, decidedAt, true
+			next = decided
+			at = decidedAt
+			ok = true
 		}
 	}
 	return next, at, ok
--- a/internal/lab/faults/check_requests.go
+++ b/internal/lab/faults/check_requests.go
@@ -125,7 +125,8 @@
 
 // checkCrossings checks that few requests have crossed zones without need.
 func (c *checker) checkCrossings() {
-	crossed, calm := c.requests.calmCrossZone, c.requests.calm
+	crossed := c.requests.calmCrossZone
+	calm := c.requests.calm
 	if calm >= minCalmRequests && float64(crossed) > c.limits.UnneededCrossZone*float64(calm)+crossZoneTolerance {
 		c.violated(ruleOwnZone, 0, "%d of %d requests crossed zones although their own was healthy and had capacity",
 			crossed, calm)
--- a/internal/lab/simulation/node_log.go
+++ b/internal/lab/simulation/node_log.go
@@ -65,12 +65,12 @@
 	world.schedule(world.now, func() {
 		if n.incarnation == incarnation {
 			world.record(faults.Event{Kind: faults.KindFault, Detail: "killed at a step", Node: n.name})
-			n.restart(faults.FilesIntact, world.milliseconds(minStepRestart, stepRestartSpread))
+			n.restart(faults.FilesIntact, world.drawMilliseconds(minStepRestart, stepRestartSpread))
 		}
 	})
 }
 
-// milliseconds draws a duration of at least least and less than least+spread milliseconds.
-func (w *World) milliseconds(least, spread int) time.Duration {
+// drawMilliseconds draws a duration of at least least and less than least+spread milliseconds.
+func (w *World) drawMilliseconds(least, spread int) time.Duration {
 	return time.Duration(least+w.rng.IntN(spread)) * time.Millisecond
 }
--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -91,7 +91,8 @@
 		started.proposeAgain(*o.lastChange)
 		return
 	}
-	if queries := world.rng.IntN(10) < 4; queries || o.readOnly {
+	queries := world.rng.IntN(10) < 4
+	if queries || o.readOnly {
 		started.queryStatus()
 		return
 	}
--- a/internal/lab/simulation/policy_scenarios.go
+++ b/internal/lab/simulation/policy_scenarios.go
@@ -36,9 +36,9 @@
 				world.scheduleFault(at, "leader killed", func() {
 					leader := world.leader()
 					if world.rng.IntN(2) == 0 {
-						leader.restart(faults.FilesIntact, world.milliseconds(200, 2000))
+						leader.restart(faults.FilesIntact, world.drawMilliseconds(200, 2000))
 					} else {
-						leader.pause(world.milliseconds(500, 6000))
+						leader.pause(world.drawMilliseconds(500, 6000))
 					}
 				})
 			}
@@ -52,7 +52,7 @@
 			world.scheduleFault(5*time.Second, "third killed", func() {
 				for i, n := range world.nodes {
 					if i%3 == 2 && !n.isVoter() {
-						n.restart(faults.FilesIntact, 18*time.Second+world.milliseconds(0, 3000))
+						n.restart(faults.FilesIntact, 18*time.Second+world.drawMilliseconds(0, 3000))
 					}
 				}
 			})
@@ -66,7 +66,7 @@
 			for at := 5 * time.Second; at < world.options.Length-16*time.Second; at += 2 * time.Second {
 				world.scheduleFault(at, "stall", func() {
 					n := world.nodes[world.rng.IntN(len(world.nodes))]
-					n.pause(world.milliseconds(2000, 12000))
+					n.pause(world.drawMilliseconds(2000, 12000))
 				})
 			}
 		},
@@ -79,7 +79,7 @@
 			for at := 5 * time.Second; at < world.options.Length-16*time.Second; at += 3 * time.Second {
 				n := world.nodes[world.rng.IntN(len(world.nodes))]
 				world.scheduleNodeFault(at, "cut off", n, func() { n.isolated = true })
-				world.scheduleNodeFault(at+world.milliseconds(2000, 10000), "well", n, func() { n.isolated = false })
+				world.scheduleNodeFault(at+world.drawMilliseconds(2000, 10000), "well", n, func() { n.isolated = false })
 			}
 		},
 		Expected: map[string]int{"policies": 1},
@@ -140,7 +140,7 @@
 			for i, n := range world.nodes {
 				if i%4 == 3 && !n.isVoter() {
 					world.scheduleFault(time.Second, "not there yet", n.crash)
-					world.schedule(world.milliseconds(5000, 12000), func() { n.restart(faults.FilesLost, 0) })
+					world.schedule(world.drawMilliseconds(5000, 12000), func() { n.restart(faults.FilesLost, 0) })
 				}
 			}
 		},
--- a/internal/lab/simulation/random_faults.go
+++ b/internal/lab/simulation/random_faults.go
@@ -70,7 +70,7 @@
 // restartAll kills all nodes; each comes back within some seconds.
 func (w *World) restartAll() {
 	for _, n := range w.nodes {
-		n.restart(faults.FilesIntact, w.milliseconds(0, maxRestartDelay))
+		n.restart(faults.FilesIntact, w.drawMilliseconds(0, maxRestartDelay))
 	}
 }
 
@@ -135,7 +135,7 @@
 
 func (f *randomFault) delayMessages() {
 	f.world.scheduleFault(f.at, "late and twice", func() {
-		f.world.network.delayAndDuplicate(f.world.milliseconds(0, maxExtraDelay), duplicateRate)
+		f.world.network.delayAndDuplicate(f.world.drawMilliseconds(0, maxExtraDelay), duplicateRate)
 	})
 	f.world.scheduleFault(f.end(), "in time again", func() { f.world.network.delayAndDuplicate(0, 0) })
 }
