--- a/internal/lab/simulation/policy_scenarios.go
+++ b/internal/lab/simulation/policy_scenarios.go
@@ -79,7 +79,8 @@
 			for at := 5 * time.Second; at < world.options.Length-16*time.Second; at += 3 * time.Second {
 				n := world.nodes[world.rng.IntN(len(world.nodes))]
 				world.scheduleNodeFault(at, "cut off", n, func() { n.isolated = true })
-				world.scheduleNodeFault(at+world.drawMilliseconds(2000, 10000), "well", n, func() { n.isolated = false })
+				end := at + world.drawMilliseconds(2000, 10000)
+				world.scheduleNodeFault(end, "well", n, func() { n.isolated = false })
 			}
 		},
 		Expected: map[string]int{"policies": 1},
