--- a/cmd/spurwinchctl/check.go
+++ b/cmd/spurwinchctl/check.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"fmt"
 	"os"
 	"regexp"
 
@@ -11,83 +10,143 @@
 
 	"spurwinch/internal/config"
 	"spurwinch/internal/config/tomlfile"
-	lab "spurwinch/internal/lab/faults"
+	"spurwinch/internal/lab/faults"
 	"spurwinch/internal/operations/capture"
 	"spurwinch/internal/plan/fleet"
 )
 
-func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check FILE...", Short: "Check operator's files, lists of nodes, policies, fleet files, scenarios and captures",
-		Long: "Tells each fault as FILE:LINE: what is wrong, and what would be right; in a capture FILE: byte N: what.\nWhat a file is, is seen from what it holds.",
-		Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			bad := false
-			for _, path := range args {
-				kind, faults, err := check(path)
-				if err != nil {
-					return err
-				}
-				for _, f := range faults {
-					fmt.Fprintln(c.OutOrStdout(), f)
-				}
-				if bad = bad || len(faults) > 0; len(faults) == 0 {
-					fmt.Fprintf(c.OutOrStdout(), "%s: a sound %s\n", path, kind)
-				}
-			}
-			if bad {
-				return statusError{status: 2}
-			}
-			return nil
-		}}
-}
+// fileKind is the kind of a file that check reads, as it is printed.
+type fileKind string
 
-// fleetTables are tables that only a fleet file has.
-var fleetTables = regexp.MustCompile(`(?m)^\s*\[\[?\s*(kind|servers|centre|edition|fleet|store|clients|node)\b`)
+const (
+	kindCapture      fileKind = "capture"
+	kindScenario     fileKind = "fault scenario"
+	kindFleetList    fileKind = "list of a fleet's nodes"
+	kindPolicy       fileKind = "policy"
+	kindFleetFile    fileKind = "fleet file"
+	kindOperatorFile fileKind = "operator's file"
+)
+
+// captureMagic is how each capture file begins.
+const captureMagic = "spurwinch capture"
 
+// Patterns that tell the kinds of TOML files apart.
 var (
-	faultTables  = regexp.MustCompile(`(?m)^\s*\[\[\s*(fault|want)\s*\]\]`)                         // only a scenario of the laboratory has
-	policyKeys   = regexp.MustCompile(`(?m)^\s*(patience|come_again|without|over_share_worth)\s*=`) // with classes and without clusters: a fleet's policy
-	operatorKeys = regexp.MustCompile(`(?m)^\s*(key_file\s*=|\[\[\s*(listener|cluster)\b)`)         // only an operator's file
-	nodeAddr     = regexp.MustCompile(`(?m)^\s*\[\[\s*node\s*\]\][^[]*^\s*addr\s*=`)                // only a list of nodes: planners' fleets have no addresses
+	// Tables that only a planner's fleet file has.
+	fleetTables = regexp.MustCompile(`(?m)^\s*\[\[?\s*(kind|servers|centre|edition|fleet|store|clients|node)\b`)
+	// Tables that only a scenario of the laboratory has.
+	scenarioTables = regexp.MustCompile(`(?m)^\s*\[\[\s*(fault|want)\s*\]\]`)
+	// With classes and without clusters: a fleet's policy.
+	policyKeys = regexp.MustCompile(`(?m)^\s*(patience|come_again|without|over_share_worth)\s*=`)
+	// Keys that only an operator's file has.
+	operatorKeys = regexp.MustCompile(`(?m)^\s*(key_file\s*=|\[\[\s*(listener|cluster)\b)`)
+	// Only a list of nodes: planners' fleets have no addresses.
+	nodeAddress = regexp.MustCompile(`(?m)^\s*\[\[\s*node\s*\]\][^[]*^\s*addr\s*=`)
 )
 
-func check(path string) (kind string, faults []string, err error) {
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		return "", nil, err
+func checkCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check FILE...",
+		Short: "Check operator's files, lists of nodes, policies, fleet files, scenarios and captures",
+		Long: "Tells each fault as FILE:LINE: what is wrong, and what would be right; " +
+			"in a capture FILE: byte N: what.\n" +
+			"What a file is, is seen from what it holds.",
+		Args: cobra.MinimumNArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			return runCheck(command, args)
+		},
 	}
-	switch {
-	case bytes.HasPrefix(raw, []byte("spurwinch capture")):
-		_, list, err := capture.ReadFile(path, func(capture.Header, capture.Record) {})
-		for _, f := range list {
-			faults = append(faults, f.String())
-		}
+}
+
+func runCheck(command *cobra.Command, paths []string) error {
+	out := command.OutOrStdout()
+	faultsFound := false
+	for _, path := range paths {
+		kind, found, err := checkFile(path)
 		if err != nil {
-			faults = append(faults, err.Error())
+			return err
 		}
-		return "capture", faults, nil
-	case faultTables.Match(raw):
-		kind = "fault scenario"
-		_, err = lab.ReadScenario(path, raw)
-	case !operatorKeys.Match(raw) && nodeAddr.Match(raw):
-		kind = "list of a fleet's nodes"
-		_, err = config.ReadFleetList(path)
-	case !operatorKeys.Match(raw) && !fleetTables.Match(raw) && policyKeys.Match(raw):
-		kind = "policy"
-		_, err = config.ReadPolicy(path, raw, 0)
-	case !operatorKeys.Match(raw) && fleetTables.Match(raw):
-		kind = "fleet file"
-		_, err = fleet.Read(path)
-	default:
-		kind = "operator's file"
-		_, err = config.ReadOperator(path)
+		for _, fault := range found {
+			printLine(out, fault)
+		}
+		if len(found) > 0 {
+			faultsFound = true
+			continue
+		}
+		printf(out, "%s: a sound %s\n", path, kind)
+	}
+	if faultsFound {
+		return statusError{status: statusBadInput}
+	}
+	return nil
+}
+
+// checkFile reads a file by its kind. It returns the faults found; an error is a file that can't be read.
+func checkFile(path string) (kind fileKind, found []string, err error) {
+	content, err := os.ReadFile(path)
+	if err != nil {
+		return "", nil, err
+	}
+	kind = detectKind(content)
+	if kind == kindCapture {
+		return kind, checkCapture(path), nil
 	}
+	err = parseFile(kind, path, content)
 	var list tomlfile.Faults
 	if errors.As(err, &list) {
-		for _, f := range list {
-			faults = append(faults, f.String())
+		for _, fault := range list {
+			found = append(found, fault.String())
 		}
 		err = nil
 	}
-	return kind, faults, err
+	return kind, found, err
+}
+
+// detectKind recognizes the kind of a file by its content.
+func detectKind(content []byte) fileKind {
+	switch {
+	case bytes.HasPrefix(content, []byte(captureMagic)):
+		return kindCapture
+	case scenarioTables.Match(content):
+		return kindScenario
+	case operatorKeys.Match(content):
+		return kindOperatorFile
+	case nodeAddress.Match(content):
+		return kindFleetList
+	case fleetTables.Match(content):
+		return kindFleetFile
+	case policyKeys.Match(content):
+		return kindPolicy
+	}
+	return kindOperatorFile
+}
+
+// checkCapture returns the faults of a capture file.
+func checkCapture(path string) []string {
+	var found []string
+	_, list, err := capture.ReadFile(path, func(capture.Header, capture.Record) {})
+	for _, fault := range list {
+		found = append(found, fault.String())
+	}
+	if err != nil {
+		found = append(found, err.Error())
+	}
+	return found
+}
+
+// parseFile reads a TOML file of the given kind; faults of its content are a tomlfile.Faults.
+func parseFile(kind fileKind, path string, content []byte) (err error) {
+	switch kind {
+	case kindScenario:
+		_, err = faults.ReadScenario(path, content)
+	case kindFleetList:
+		_, err = config.ReadFleetList(path)
+	case kindPolicy:
+		_, err = config.ReadPolicy(path, content, 0)
+	case kindFleetFile:
+		_, err = fleet.Read(path)
+	default:
+		_, err = config.ReadOperator(path)
+	}
+	return err
 }
--- /dev/null
+++ b/cmd/spurwinchctl/fleet_client.go
@@ -0,0 +1,139 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"time"
+
+	"spurwinch/internal/config"
+	"spurwinch/internal/failover/agent"
+	"spurwinch/internal/operations/fleetclient"
+)
+
+const (
+	maxOtherNodes = 16 // nodes beside the voters that a call tries
+	maxCalls      = 24 // nodes that a call tries in all
+
+	proposalTimeout      = 10 * time.Second
+	proposalPollInterval = 200 * time.Millisecond
+)
+
+// Causes of status errors that callers tell apart: after either, the call may have had its effect all the same.
+var (
+	errNoAnswer  = errors.New("no node can answer")
+	errNotLeader = errors.New("does not lead")
+)
+
+// fleetClient calls the nodes of a fleet; its fields are the flags of fleet and policy.
+type fleetClient struct {
+	listPath string
+	keyPath  string
+	node     string // the only node that is called; empty: any
+	asJSON   bool
+}
+
+// load reads the list of nodes and the key.
+func (c *fleetClient) load() (*config.FleetList, []byte, error) {
+	list, err := config.ReadFleetList(c.listPath)
+	if err != nil {
+		return nil, nil, err
+	}
+	key, err := os.ReadFile(c.keyPath)
+	if err != nil {
+		return nil, nil, err
+	}
+	if c.node != "" && list.List.Index(c.node) < 0 {
+		return nil, nil, fmt.Errorf("--node %q: a name in %s is wanted", c.node, c.listPath)
+	}
+	return list, []byte(strings.TrimSpace(string(key))), nil
+}
+
+// candidates returns the names of the nodes to call, in order: voters first, since they know who leads.
+func (c *fleetClient) candidates(list *config.FleetList) []string {
+	if c.node != "" {
+		return []string{c.node}
+	}
+	var names []string
+	for _, voter := range list.List.Voters() {
+		names = append(names, list.List.Node(voter).Name)
+	}
+	for i := range min(list.List.Len(), maxOtherNodes) {
+		if node := list.List.Node(i); !node.Voter {
+			names = append(names, node.Name)
+		}
+	}
+	return names
+}
+
+// call calls one node after another until one answers. With toLeader only the leader's answer counts, unless --node
+// names the node; of a status call also the last answer does where nobody leads. A call that is wrong, or that was
+// answered by an error, is a statusError.
+func (c *fleetClient) call(call agent.Call, toLeader bool) (reply agent.Reply, err error) {
+	list, key, err := c.load()
+	if err != nil {
+		return reply, err
+	}
+	names := c.candidates(list)
+	answered := false
+	var failures []error
+	for i := 0; i < len(names) && i < maxCalls; i++ {
+		name := names[i]
+		reply, err = fleetclient.Ask(list.Addr[list.List.Index(name)], key, list, name, call)
+		answered = err == nil
+		if err != nil {
+			failures = append(failures, err)
+			continue
+		}
+		if !toLeader || c.node != "" || reply.Leads {
+			return reply, replyError(&reply)
+		}
+		failures = append(failures, fmt.Errorf("%s %w", name, errNotLeader))
+		// It may name the leader: that one is called next, once.
+		if reply.Leader != "" && !slices.Contains(names[:i+1], reply.Leader) {
+			names = slices.Insert(names, i+1, reply.Leader)
+		}
+	}
+	if answered && agent.Verb(call.Verb) == agent.VerbStatus {
+		return reply, nil
+	}
+	text := fmt.Sprintf("%v: %v", errNoAnswer, errors.Join(failures...))
+	return reply, statusError{status: statusNegative, text: text, cause: errNoAnswer}
+}
+
+// replyError returns the error that a reply is.
+func replyError(reply *agent.Reply) error {
+	switch {
+	case reply.BadCall:
+		return statusError{status: statusBadInput, text: reply.Error}
+	case strings.HasSuffix(reply.Error, errNotLeader.Error()):
+		return statusError{status: statusNegative, text: reply.Error, cause: errNotLeader}
+	case reply.Error != "":
+		return statusError{status: statusNegative, text: reply.Error}
+	}
+	return nil
+}
+
+// waitForProposal waits for the outcome of the proposal with an id.
+func (c *fleetClient) waitForProposal(id string) (reply agent.Reply, err error) {
+	deadline := time.Now().Add(proposalTimeout)
+	for ; time.Now().Before(deadline); time.Sleep(proposalPollInterval) {
+		reply, err = c.call(agent.Call{Verb: string(agent.VerbEnded), Arg: id}, true)
+		if err != nil || reply.Ended == nil {
+			continue
+		}
+		if !reply.Ended.Taken {
+			return reply, statusError{
+				status: statusNegative,
+				text:   "given up: another order came first; give it again",
+			}
+		}
+		return reply, nil
+	}
+	return reply, statusError{
+		status: statusNegative,
+		text:   "not known whether it was decided: spurwinchctl fleet status tells the orders in force",
+	}
+}
--- a/cmd/spurwinchctl/main_test.go
+++ b/cmd/spurwinchctl/main_test.go
@@ -11,79 +11,134 @@
 	"spurwinch/deploy"
 )
 
-// call runs a command and returns its output and its error's text.
-func call(t *testing.T, args ...string) (string, error) {
+// execute runs a command and returns its output and its error.
+func execute(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
-	c := root()
-	c.SetArgs(args)
-	c.SetOut(&out)
-	c.SetErr(&out)
-	err := c.Execute()
+	command := rootCommand()
+	command.SetArgs(args)
+	command.SetOut(&out)
+	command.SetErr(&out)
+	err := command.Execute()
 	return out.String(), err
 }
 
-// TestEvening goes the operators' way from a load to its plans, on a small fleet.
-func TestEvening(t *testing.T) {
+// planFiles are the files that a plan is made from.
+type planFiles struct {
+	fleet    string
+	captures string // a pattern
+}
+
+// plan runs a plan command on the files.
+func (f planFiles) plan(t *testing.T, name string, args ...string) (string, error) {
+	t.Helper()
+	common := []string{"plan", name, "--load", f.captures, "--fleet", f.fleet, "--reps", "2"}
+	return execute(t, append(common, args...)...)
+}
+
+// TestCaptureToPlans goes the operators' way from a load to its plans, on a small fleet.
+func TestCaptureToPlans(t *testing.T) {
 	dir := t.TempDir()
-	fleetFile := filepath.Join(dir, "fleet.toml")
-	if err := os.WriteFile(fleetFile, deploy.FleetEvening, 0o600); err != nil {
+	files := planFiles{fleet: filepath.Join(dir, "fleet.toml"), captures: filepath.Join(dir, "load*")}
+	if err := os.WriteFile(files.fleet, deploy.FleetEvening, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := call(t, "capture", "draw", "--fleet", fleetFile, "--standing", "40", "--length", "20s", "--out", filepath.Join(dir, "load")); err != nil {
+	if out, err := execute(t, "capture", "draw", "--fleet", files.fleet, "--standing", "40", "--length", "20s",
+		"--out", filepath.Join(dir, "load")); err != nil {
 		t.Fatal(out, err)
 	}
-	caps := filepath.Join(dir, "load*")
-	files, _ := filepath.Glob(caps)
-	if out, err := call(t, append([]string{"check", fleetFile}, files...)...); err != nil || strings.Count(out, "a sound") != 1+len(files) {
-		t.Error(out, err)
+	checkCaptures(t, files)
+	checkForecast(t, files)
+	checkSize(t, files, filepath.Join(dir, "size.svg"))
+	checkLoss(t, files)
+	checkStatuses(t, files, filepath.Join(dir, "none*"))
+}
+
+func checkCaptures(t *testing.T, files planFiles) {
+	t.Helper()
+	captures, err := filepath.Glob(files.captures)
+	if err != nil {
+		t.Fatal(err)
+	}
+	out, err := execute(t, append([]string{"check", files.fleet}, captures...)...)
+	if err != nil || strings.Count(out, "a sound") != 1+len(captures) {
+		t.Error("check:", out, err)
 	}
-	if out, err := call(t, "capture", "summary", caps); err != nil || !strings.Contains(out, "Capture of 4 nodes") {
-		t.Error(out, err)
+	out, err = execute(t, "capture", "summary", files.captures)
+	if err != nil || !strings.Contains(out, "Capture of 4 nodes") {
+		t.Error("capture summary:", out, err)
 	}
-	plan := func(args ...string) (string, error) {
-		return call(t, append([]string{"plan", args[0], "--load", caps, "--fleet", fleetFile, "--reps", "2"}, args[1:]...)...)
+}
+
+func checkForecast(t *testing.T, files planFiles) {
+	t.Helper()
+	first, err := files.plan(t, "forecast", "--json")
+	if err != nil {
+		t.Error("plan forecast:", err)
 	}
-	a, err := plan("forecast", "--json")
-	b, _ := plan("forecast", "--json")
-	var f struct {
+	second, err := files.plan(t, "forecast", "--json")
+	if err != nil {
+		t.Error("plan forecast:", err)
+	}
+	if first != second {
+		t.Error("the same seed gave two forecasts: ", first, second)
+	}
+	var forecast struct {
 		Service struct{ Mean float64 }
 		First   struct{ Limit string } `json:"first_to_break"`
 	}
-	if err != nil || a != b || json.Unmarshal([]byte(a), &f) != nil || f.Service.Mean <= 0.3 || f.First.Limit == "" {
-		t.Error("one seed, two answers, or none: ", a, b, err)
+	if err := json.Unmarshal([]byte(first), &forecast); err != nil {
+		t.Error("plan forecast:", err)
+	}
+	if forecast.Service.Mean <= 0.3 || forecast.First.Limit == "" {
+		t.Error("no forecast: ", first)
 	}
-	svg := filepath.Join(dir, "size.svg")
-	if out, err := plan("size", "--target", "0.8", "--plot", svg); err != nil || !strings.Contains(out, "Least: ") || !strings.Contains(out, "less: ") {
-		t.Error(out, err)
+}
+
+func checkSize(t *testing.T, files planFiles, plotPath string) {
+	t.Helper()
+	out, err := files.plan(t, "size", "--target", "0.8", "--plot", plotPath)
+	if err != nil || !strings.Contains(out, "Least: ") || !strings.Contains(out, "less: ") {
+		t.Error("plan size:", out, err)
 	}
-	if i, err := os.Stat(svg); err != nil || i.Size() < 1000 {
-		t.Error("no plot", err)
+	if info, err := os.Stat(plotPath); err != nil || info.Size() < 1000 {
+		t.Error("plan size made no plot:", err)
 	}
-	if out, err := plan("lose", "--centre", "cluj-1"); err != nil || !strings.Contains(out, "storm of returns") || !strings.Contains(out, "3 of 13 servers, 1 of 4 nodes") {
-		t.Error(out, err)
+}
+
+func checkLoss(t *testing.T, files planFiles) {
+	t.Helper()
+	out, err := files.plan(t, "lose", "--centre", "cluj-1")
+	if err != nil || !strings.Contains(out, "storm of returns") ||
+		!strings.Contains(out, "3 of 13 servers, 1 of 4 nodes") {
+		t.Error("plan lose:", out, err)
 	}
-	// What can't be has status 1 where the answer is no, and 2 where the question is bad.
+}
+
+// checkStatuses checks the exit statuses: 1 where the answer is no, 2 where the question is bad.
+func checkStatuses(t *testing.T, files planFiles, noFiles string) {
+	t.Helper()
 	slow := strings.Replace(string(deploy.FleetEvening), "rate = 40 ", "rate = 0.01 ", 1)
-	if err := os.WriteFile(fleetFile, []byte(slow), 0o600); err != nil {
+	if err := os.WriteFile(files.fleet, []byte(slow), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, k := range []struct {
+	load, fleet := files.captures, files.fleet
+	for _, test := range []struct {
 		want int
 		args []string
 	}{
-		{1, []string{"plan", "size", "--load", caps, "--fleet", fleetFile, "--reps", "1", "--most", "20"}},
-		{2, []string{"plan", "size", "--load", caps, "--fleet", fleetFile, "--target", "1.5"}},
-		{2, []string{"plan", "forecast", "--load", filepath.Join(dir, "none*"), "--fleet", fleetFile}},
-		{2, []string{"plan", "forecast", "--load", fleetFile, "--fleet", fleetFile}},
-		{2, []string{"plan", "lose", "--load", caps, "--fleet", fleetFile, "--centre", "mars"}},
-		{2, []string{"plan", "forecast", "--fleet", fleetFile}},
-		{2, []string{"check", caps}},
+		{1, []string{"plan", "size", "--load", load, "--fleet", fleet, "--reps", "1", "--most", "20"}},
+		{2, []string{"plan", "size", "--load", load, "--fleet", fleet, "--target", "1.5"}},
+		{2, []string{"plan", "forecast", "--load", noFiles, "--fleet", fleet}},
+		{2, []string{"plan", "forecast", "--load", fleet, "--fleet", fleet}},
+		{2, []string{"plan", "lose", "--load", load, "--fleet", fleet, "--centre", "mars"}},
+		{2, []string{"plan", "forecast", "--fleet", fleet}},
+		{2, []string{"check", load}},
 		{2, []string{"no-such"}},
 		{0, []string{"completion", "bash"}},
 	} {
-		if got := run(k.args); got != k.want {
-			t.Errorf("%v ended with status %d, want %d", k.args, got, k.want)
+		if got := run(test.args); got != test.want {
+			t.Errorf("%v ended with status %d, want %d", test.args, got, test.want)
 		}
 	}
 }
--- /dev/null
+++ b/cmd/spurwinchctl/plan_lose.go
@@ -0,0 +1,104 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"spurwinch/internal/plan/planner"
+)
+
+// lossPlan is the work of plan lose.
+type lossPlan struct {
+	planInput
+	centre string
+	at     time.Duration // since the load's beginning
+}
+
+func loseCommand() *cobra.Command {
+	var plan lossPlan
+	command := &cobra.Command{
+		Use:   "lose --load CAPTURE --fleet FLEET --centre NAME",
+		Short: "What losing a data centre does",
+		Args:  cobra.NoArgs,
+		RunE:  func(command *cobra.Command, _ []string) error { return plan.run(command) },
+	}
+	plan.addFlags(command)
+	flags := command.Flags()
+	flags.StringVar(&plan.centre, "centre", "", "the data centre that is lost, its servers and nodes")
+	flags.DurationVar(&plan.at, "at", 0, "when, after the load's beginning (default: half of it)")
+	requireFlags(command, "centre")
+	return command
+}
+
+// resolve checks the flags against the files that were read, and sets the default of --at.
+func (p *lossPlan) resolve() error {
+	if p.fleet.Centre(p.centre) < 0 {
+		var names []string
+		for _, centre := range p.fleet.Centres {
+			names = append(names, centre.Name)
+		}
+		return fmt.Errorf("--centre %q: the fleet file has %s", p.centre, strings.Join(names, ", "))
+	}
+	if p.at <= 0 {
+		p.at = p.load.Length / 2
+	}
+	if p.at >= p.load.Length {
+		return fmt.Errorf("--at %v: the load is %v long", p.at, p.load.Length.Round(time.Second))
+	}
+	return nil
+}
+
+func (p *lossPlan) run(command *cobra.Command) error {
+	if err := p.read(command.ErrOrStderr()); err != nil {
+		return err
+	}
+	if err := p.resolve(); err != nil {
+		return err
+	}
+	options := p.options()
+	options.Lose = p.centre
+	options.LoseAt = p.at
+	progress := newProgress(command)
+	loss, err := planner.Lose(p.fleet, p.load, options, p.replications, progress.show)
+	if err != nil {
+		return err
+	}
+	progress.done()
+	if p.plotPath != "" {
+		if err := plotLoss(p.plotPath, "Service as "+p.centre+" is lost", loss.Series, p.at); err != nil {
+			return err
+		}
+	}
+	if p.asJSON {
+		return writeJSON(command.OutOrStdout(), loss)
+	}
+	p.print(command.OutOrStdout(), &loss)
+	return nil
+}
+
+func (p *lossPlan) print(out io.Writer, loss *planner.Loss) {
+	p.describe(out)
+	atSeconds := p.at.Seconds()
+	printf(out, "\n%s is lost %.0f s in: %d of %d servers, %d of %d nodes\n",
+		p.centre, atSeconds, loss.ServersLost, p.fleet.Count(), loss.NodesLost, loss.Nodes)
+	table := newReportTable(out)
+	printf(table, "  \tbefore\tstorm of returns\tafter\twithout the loss\n")
+	printf(table, "  \t0 to %.0f s\t%.0f s on, %.0f s\tfrom %.0f s on\tafter\n",
+		atSeconds, atSeconds, loss.StormS, atSeconds+loss.StormS)
+	printRow := func(name string, phases planner.Phases) {
+		printf(table, "  %s\t%5.1f%%\t%5.1f%%\t%5.1f%%\t%5.1f%%\n",
+			name, 100*phases.Before, 100*phases.Storm, 100*phases.After, 100*phases.Whole)
+	}
+	printRow("in all", loss.All)
+	for i := range p.fleet.Classes {
+		name := p.fleet.Classes[i].Name
+		printRow("class "+name, loss.Classes[name])
+	}
+	flushTable(table)
+	printf(out, "Broken connections: %.0f; most new requests in a second: %.0f before, %.0f after the loss\n",
+		loss.Breaks, loss.PeakBefore, loss.PeakAfter)
+}
--- /dev/null
+++ b/cmd/spurwinchctl/plan_size.go
@@ -0,0 +1,124 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"spurwinch/internal/plan/planner"
+)
+
+// sizePlan is the work of plan size.
+type sizePlan struct {
+	planInput
+	target     float64
+	maxServers int
+	window     time.Duration
+}
+
+func sizeCommand() *cobra.Command {
+	var plan sizePlan
+	command := &cobra.Command{
+		Use:   "size --load CAPTURE --fleet FLEET --target 0.98",
+		Short: "The least servers of each kind that a target needs",
+		Args:  cobra.NoArgs,
+		RunE:  func(command *cobra.Command, _ []string) error { return plan.run(command) },
+	}
+	plan.addFlags(command)
+	flags := command.Flags()
+	flags.Float64Var(&plan.target, "target", 0.98, "service to reach, over 0 and under 1")
+	flags.IntVar(&plan.maxServers, "most", 2000, "servers to try at most")
+	flags.DurationVar(&plan.window, "window", 10*time.Minute,
+		"a load longer than 1.5 times this is searched on its busiest stretch of it (0: the whole)")
+	return command
+}
+
+func (p *sizePlan) run(command *cobra.Command) error {
+	if !(p.target > 0 && p.target < 1) { // rejects NaN too
+		return fmt.Errorf("--target %v: a part over 0 and under 1 is wanted", p.target)
+	}
+	if err := p.read(command.ErrOrStderr()); err != nil {
+		return err
+	}
+	progress := newProgress(command)
+	sizing, err := planner.LeastServers(p.fleet, p.load, planner.SizeOptions{
+		Options: p.options(),
+		Target:  p.target,
+		Reps:    p.replications,
+		Most:    p.maxServers,
+		Window:  p.window,
+		Tell:    func(text string) { progress.show("%s", text) },
+	})
+	if err != nil {
+		return err
+	}
+	progress.done()
+	if p.plotPath != "" {
+		if err := plotSizes(p.plotPath, &sizing); err != nil {
+			return err
+		}
+	}
+	if err := p.print(command.OutOrStdout(), &sizing); err != nil {
+		return err
+	}
+	if !sizing.Reached {
+		return statusError{status: statusNegative}
+	}
+	return nil
+}
+
+func (p *sizePlan) print(out io.Writer, sizing *planner.Sizing) error {
+	if p.asJSON {
+		return writeJSON(out, sizing)
+	}
+	p.describe(out)
+	printSizing(out, sizing)
+	return nil
+}
+
+func printSizing(out io.Writer, sizing *planner.Sizing) {
+	printf(out, "\nTarget: service of %.1f%%, over the load from %.0f to %.0f s\n",
+		100*sizing.Target, sizing.FromS, sizing.ToS)
+	table := newReportTable(out)
+	for _, size := range sizing.Tried {
+		printf(table, "  %d servers\t%s\t%s\n", size.Servers, sizeText(size), kindsText(size.Kinds))
+	}
+	flushTable(table)
+	if !sizing.Reached {
+		printf(out, "Not reachable: %s\n", sizing.Why)
+		return
+	}
+	least := sizing.Least
+	printf(out, "\nLeast: %d servers (%s), service %s\n", least.Servers, kindsText(least.Kinds), sizeText(least))
+	for _, kind := range slices.Sorted(maps.Keys(sizing.OneBelow)) {
+		printf(out, "  one %s less: %s\n", kind, sizeText(sizing.OneBelow[kind]))
+	}
+	if sizing.Whole != nil {
+		printf(out, "  the least over the whole load: %s\n", figureText(*sizing.Whole))
+	}
+}
+
+// sizeText prints the service of a size to the hundredth of a percent: sizes differ by less than a tenth.
+func sizeText(size planner.Size) string {
+	service := size.Service
+	if size.AtMost {
+		return fmt.Sprintf("under %.2f%%, not played to its end", 100*service.Mean)
+	}
+	return fmt.Sprintf("%5.2f%%  (%.1f to %.1f; one evening ±%.1f)",
+		100*service.Mean, 100*service.Low, 100*service.High, 100*service.SD)
+}
+
+// kindsText prints the servers of each kind.
+func kindsText(servers map[string]int) string {
+	var texts []string
+	for kind, count := range servers {
+		texts = append(texts, fmt.Sprintf("%d %s", count, kind))
+	}
+	slices.Sort(texts)
+	return strings.Join(texts, ", ")
+}
--- /dev/null
+++ b/cmd/spurwinchctl/policy_print.go
@@ -0,0 +1,64 @@
+package main
+
+import (
+	"io"
+
+	"spurwinch/internal/failover/agent"
+)
+
+// answerYes is the answer of a member that can serve by a proposed policy.
+const answerYes = "yes"
+
+func printPolicyStatus(out io.Writer, state *agent.PolicyReply) {
+	if state.Number == 0 {
+		printLine(out, "number 0: none was decided yet, each node goes by its own files")
+	} else {
+		printf(out, "number %d is in force, digest %s\n", state.Number, state.Digest)
+	}
+	if change := state.Change; change != nil {
+		printf(out, "on its way: change %s, number %d, digest %s: %s\n",
+			change.ID, change.Number, change.Digest, change.Step)
+	}
+	serving := 0
+	for i := range state.Members {
+		if member := &state.Members[i]; member.Live && member.MayServe && member.ServedNumber == state.Number {
+			serving++
+		}
+	}
+	printf(out, "%d of %d members serve by it\n", serving, len(state.Members))
+	printOtherMembers(out, state)
+}
+
+// printOtherMembers names the members that don't serve by the policy in force, or that reject the proposed one.
+func printOtherMembers(out io.Writer, state *agent.PolicyReply) {
+	table := newFleetTable(out)
+	for i := range state.Members {
+		member := &state.Members[i]
+		rejects := member.Answer != "" && member.Answer != answerYes
+		switch {
+		case !member.Live:
+			printf(table, "%s\tout of the view\t\n", member.Name)
+		case !member.Heard:
+			printf(table, "%s\tnot heard yet\t\n", member.Name)
+		case !member.MayServe:
+			printf(table, "%s\tserves nothing\t%s\n", member.Name, member.Answer)
+		case member.ServedNumber != state.Number || rejects:
+			printf(table, "%s\tserves by number %d\t%s\n", member.Name, member.ServedNumber, member.Answer)
+		}
+	}
+	flushTable(table)
+}
+
+func printPolicyHistory(out io.Writer, state *agent.PolicyReply) {
+	table := newFleetTable(out)
+	printLine(table, "number\tchange\tended\twhy")
+	for i := range state.Ended {
+		outcome := &state.Ended[i]
+		result := "given up"
+		if outcome.Accepted {
+			result = "in force"
+		}
+		printf(table, "%d\t%s\t%s\t%s\n", outcome.Number, outcome.ID, result, outcome.Reason)
+	}
+	flushTable(table)
+}
