--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -13,34 +13,50 @@
 	"spurwinch/internal/simwire"
 )
 
+// bufferSize is enough for most batches and replies.
+const bufferSize = 1 << 20
+
+// errTruncated is the last line of an input that ends without a line break.
+var errTruncated = errors.New("batch cut short")
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		_, _ = fmt.Fprintln(os.Stderr, "benchlink:", err) // the exit status says it too
 		os.Exit(1)
 	}
 }
 
+// run replies to batches, one a line, until the input ends. Errors name the line.
 func run(in io.Reader, out io.Writer) error {
-	host, r, w := simwire.NewHost(), bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	for n := 1; ; n++ {
-		line, err := r.ReadBytes('\n')
-		switch {
-		case errors.Is(err, io.EOF) && len(line) == 0:
+	host := simwire.NewHost()
+	reader := bufio.NewReaderSize(in, bufferSize)
+	writer := bufio.NewWriterSize(out, bufferSize)
+	for number := 1; ; number++ {
+		line, err := readBatch(reader)
+		if errors.Is(err, io.EOF) {
 			return nil
-		case errors.Is(err, io.EOF):
-			return fmt.Errorf("line %d: batch cut short", n)
-		case err != nil:
-			return fmt.Errorf("line %d: %w", n, err)
 		}
-		answer, err := host.Handle(line)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", n, err)
+			return fmt.Errorf("line %d: %w", number, err)
+		}
+		reply, err := host.Handle(line)
+		if err != nil {
+			return fmt.Errorf("line %d: %w", number, err)
 		}
-		if _, err := w.Write(answer); err != nil {
+		if _, err := writer.Write(reply); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil { // the simulator waits for each reply
 			return err
 		}
 	}
 }
+
+// readBatch reads a line. It returns io.EOF after the last one.
+func readBatch(reader *bufio.Reader) ([]byte, error) {
+	line, err := reader.ReadBytes('\n')
+	if errors.Is(err, io.EOF) && len(line) > 0 {
+		return nil, errTruncated
+	}
+	return line, err
+}
--- a/cmd/spurwinch-voter/main.go
+++ b/cmd/spurwinch-voter/main.go
@@ -1,5 +1,6 @@
-// Command spurwinch-voter is spurwinch with what a voter of the fleet's log needs. It is a program of its own because that part links
-// code of 3.4 MB which no other node uses; spurwinch gives way to it by itself where the list of nodes says that a node votes.
+// Command spurwinch-voter is spurwinch with what a voter of the fleet's log needs. It is a program of its own because
+// that part links code of 3.4 MB which no other node uses; spurwinch replaces itself by it where the list of nodes says
+// that a node votes.
 package main
 
 import (
@@ -12,8 +13,9 @@
 	"spurwinch/internal/node/command"
 )
 
-func main() {
-	os.Exit(command.Main(func(self, n int, kept []consensus.Record, rng *rand.Rand) (agent.Voter, error) {
-		return replica.New(self, n, kept, rng)
-	}))
+func main() { os.Exit(command.Main(newVoter)) }
+
+// newVoter makes the replica of the log from what it has persisted.
+func newVoter(self, voters int, persisted []consensus.Record, rng *rand.Rand) (agent.Voter, error) {
+	return replica.New(self, voters, persisted, rng)
 }
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -3,7 +3,7 @@
 
 import "embed"
 
-// FleetEvening is the fleet file of a harvest evening.
+// FleetEvening is the example of a planner's fleet file: four data centres at the hours of their highest load.
 //
 //go:embed fleet-evening.toml
 var FleetEvening []byte
--- a/internal/lab/shim/shim.go
+++ b/internal/lab/shim/shim.go
@@ -1,5 +1,6 @@
-// Package shim has system calls of one process fail, and its wall clock be stepped, while it runs: a small library in C, made by the
-// machine's C compiler, is preloaded into the process and goes by a file that it shares with the laboratory. It works on Linux, x86-64.
+// Package shim injects failures of system calls into a running process, and steps its wall clock: a small library in C,
+// built by the machine's C compiler, is preloaded into the process and reads a file that it shares with the laboratory.
+// It works on Linux, x86-64.
 package shim
 
 import (
@@ -19,45 +20,64 @@
 //go:embed source/shim.c
 var source []byte
 
-// Kind is a kind of failure. The order is that of the library.
+// Kind is a kind of failure.
 type Kind int
 
+// The kinds of failures, in the order of the library.
 const (
 	Accept     Kind = iota // accept fails for a moment
-	Socket                 // no socket is to be had
+	Socket                 // no socket is available
 	Connect                // connect fails at once, or is interrupted and goes on
 	Read                   // a read is interrupted
-	ShortRead              // a read takes a part of what is there
+	ShortRead              // a read returns a part of the available data
 	Write                  // a write is interrupted, or the kernel has no memory for it
-	ShortWrite             // a write takes a part
+	ShortWrite             // a write accepts a part
 	Wait                   // a wait is interrupted
-	Watch                  // epoll takes no descriptor
+	Watch                  // epoll accepts no descriptor
 	Break                  // a connection that the process has dialled times out
 	Open                   // the configuration can't be opened
-	Kinds
+	Kinds                  // how many kinds there are
 )
 
-var kindNames = [Kinds]string{"accept", "socket", "connect", "read", "short_read", "write", "short_write", "wait", "watch", "break", "open"}
+var kindNames = [Kinds]string{
+	Accept:     "accept",
+	Socket:     "socket",
+	Connect:    "connect",
+	Read:       "read",
+	ShortRead:  "short_read",
+	Write:      "write",
+	ShortWrite: "short_write",
+	Wait:       "wait",
+	Watch:      "watch",
+	Break:      "break",
+	Open:       "open",
+}
 
-// String is the kind's name.
+// String returns the kind's name.
 func (k Kind) String() string { return kindNames[k] }
 
-// The file that a process and the laboratory share.
+// Layout of the file that a process and the laboratory share, in the machine's byte order: the seed, the clock offset
+// in nanoseconds, the failure rate of each kind in parts per million, and after a word of padding the count of injected
+// failures of each kind.
 const (
-	offsetAt   = 8
-	ratesAt    = 16
-	injectedAt = ratesAt + 4*int(Kinds) + 4
-	fileBytes  = 4096
-	million    = 1_000_000
+	clockOffsetPosition = 8
+	ratesPosition       = 16
+	rateSize            = 4
+	countsPosition      = ratesPosition + rateSize*int(Kinds) + 4
+	countSize           = 8
+	fileSize            = 4096
+	partsPerMillion     = 1_000_000
 )
 
-// Build makes the library in a directory and returns its path.
+// Build compiles the library in a directory and returns its path.
 func Build(dir string) (string, error) {
-	code, library := filepath.Join(dir, "shim.c"), filepath.Join(dir, "shim.so")
+	code := filepath.Join(dir, "shim.c")
+	library := filepath.Join(dir, "shim.so")
 	if err := os.WriteFile(code, source, 0o600); err != nil {
 		return "", err
 	}
-	if out, err := exec.Command("cc", "-shared", "-fPIC", "-O2", "-o", library, code, "-ldl").CombinedOutput(); err != nil {
+	compiler := exec.Command("cc", "-shared", "-fPIC", "-O2", "-o", library, code, "-ldl")
+	if out, err := compiler.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("the C compiler does not make the library of failing system calls: %w\n%s", err, out)
 	}
 	return library, nil
@@ -69,49 +89,54 @@
 	shared []byte
 }
 
-// NewControl makes the file; the seed draws which calls fail.
+// NewControl creates the file; the seed determines which calls fail.
 func NewControl(path string, seed uint64) (*Control, error) {
-	head := binary.LittleEndian.AppendUint64(make([]byte, 0, fileBytes), seed)
-	if err := os.WriteFile(path, head[:fileBytes], 0o600); err != nil {
+	content := make([]byte, fileSize)
+	binary.LittleEndian.PutUint64(content, seed)
+	if err := os.WriteFile(path, content, 0o600); err != nil {
 		return nil, err
 	}
-	f, err := os.OpenFile(path, os.O_RDWR, 0)
+	file, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	shared, err := unix.Mmap(int(f.Fd()), 0, fileBytes, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
-	return &Control{path, shared}, err
+	defer func() { _ = file.Close() }() // the mapping stays
+	shared, err := unix.Mmap(int(file.Fd()), 0, fileSize, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
+	if err != nil {
+		return nil, fmt.Errorf("map %s: %w", path, err)
+	}
+	return &Control{path, shared}, nil
 }
 
-// Environment is what a process needs to be started with.
+// Environment returns the variables that a process needs to be started with.
 func (c *Control) Environment(library string) []string {
 	return []string{"LD_PRELOAD=" + library, "SPURWINCH_FAULTS=" + c.path}
 }
 
-// Fail has a part of the calls of a kind fail from now on.
-func (c *Control) Fail(k Kind, part float64) {
-	atomic.StoreUint32((*uint32)(c.at(ratesAt+4*int(k))), uint32(part*million))
+// Fail makes a fraction of the calls of a kind fail from now on.
+func (c *Control) Fail(kind Kind, fraction float64) {
+	rate := (*uint32)(c.pointer(ratesPosition + rateSize*int(kind)))
+	atomic.StoreUint32(rate, uint32(fraction*partsPerMillion))
 }
 
-// Heal has all calls succeed from now on; the wall clock stays where it is.
+// Heal makes all calls succeed from now on; the wall clock stays where it is.
 func (c *Control) Heal() {
-	for k := range Kinds {
-		c.Fail(k, 0)
+	for kind := range Kinds {
+		c.Fail(kind, 0)
 	}
 }
 
-// Step puts the process's wall clock so far ahead of the machine's; below 0: behind.
+// Step sets how far the process's wall clock is ahead of the machine's; below 0: behind.
 func (c *Control) Step(ahead time.Duration) {
-	atomic.StoreInt64((*int64)(c.at(offsetAt)), int64(ahead))
+	atomic.StoreInt64((*int64)(c.pointer(clockOffsetPosition)), int64(ahead))
 }
 
-// Injected counts the calls of a kind that have failed.
-func (c *Control) Injected(k Kind) uint64 {
-	return atomic.LoadUint64((*uint64)(c.at(injectedAt + 8*int(k))))
+// Injected returns how many calls of a kind have failed by injection.
+func (c *Control) Injected(kind Kind) uint64 {
+	return atomic.LoadUint64((*uint64)(c.pointer(countsPosition + countSize*int(kind))))
 }
 
-// Close gives the memory back.
+// Close unmaps the file. The process that shares it goes on by what the file says.
 func (c *Control) Close() error { return unix.Munmap(c.shared) }
 
-func (c *Control) at(offset int) unsafe.Pointer { return unsafe.Pointer(&c.shared[offset]) }
+func (c *Control) pointer(position int) unsafe.Pointer { return unsafe.Pointer(&c.shared[position]) }
