--- a/internal/lab/xmppserver/client.go
+++ b/internal/lab/xmppserver/client.go
@@ -4,155 +4,222 @@
 	"bufio"
 	"crypto/tls"
 	"encoding/base64"
+	"errors"
 	"fmt"
 	"net"
 	"strings"
 	"time"
 )
 
-// How is the way a client brings its session up.
+// How is the way a client logs in.
 type How int
 
+// The ways to log in.
 const (
 	Plain How = iota // SASL PLAIN, then bind
-	Named            // the same, with its name in the stream header
-	SASL2            // SASL2 with Bind 2, or the resumption, inside
+	Named            // the same, with the user's name in the stream header
+	SASL2            // SASL2 with Bind 2, or the resumption, inline
 )
 
+const (
+	streamHeaderStart = "<?xml version='1.0'?><stream:stream to='" + domain + "' "
+	streamHeaderEnd   = "version='1.0' xmlns='jabber:client' xmlns:stream='" + streamNS + "'>"
+	endOfFeatures     = "</stream:features>"
+	enableRequest     = "<enable xmlns='" + smNS + "' resume='true'/>"
+	bindRequest       = "<iq type='set' id='b1'><bind xmlns='" + bindNS + "'/></iq>"
+	startTLSRequest   = "<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"
+)
+
+// ErrStream is returned where the server ended the stream by a stream error.
+var ErrStream = errors.New("the stream ended")
+
 // Client is a plain client of one user.
 type Client struct {
 	Conn net.Conn
-	in   *bufio.Reader
-	by   time.Time
-	ID   string // of the session that can be resumed
+	// ID is of the session that can be resumed; empty: none.
+	ID string
+
+	reader   *bufio.Reader
+	deadline time.Time
 }
 
-// Connect brings a session up by a time: the one of id, where one is given and its host still has it, else a new one.
-// resumed tells which it was.
-func Connect(addr, user, id string, how How, by time.Time) (c *Client, resumed bool, err error) {
-	conn, err := net.DialTimeout("tcp", addr, time.Until(by))
+// Connect brings a session up before the deadline: the one of id, where one is given and its server still has it, else
+// a new one. resumed says which it was.
+func Connect(addr, user, id string, how How, deadline time.Time) (client *Client, resumed bool, err error) {
+	client, err = dial(addr, deadline)
 	if err != nil {
 		return nil, false, err
 	}
-	c = &Client{Conn: conn, in: bufio.NewReader(conn), by: by}
-	if resumed, err = c.up(user, id, how); err != nil {
-		conn.Close()
+	resumed, err = client.logIn(user, id, how)
+	return client.unlessFailed(resumed, err)
+}
+
+// ConnectTLS is Connect over TLS, direct or by STARTTLS.
+func ConnectTLS(
+	addr, user, id string, how How, config *tls.Config, direct bool, deadline time.Time,
+) (client *Client, resumed bool, err error) {
+	client, err = dial(addr, deadline)
+	if err != nil {
+		return nil, false, err
+	}
+	err = client.secure(config, direct)
+	if err == nil {
+		resumed, err = client.logIn(user, id, how)
+	}
+	return client.unlessFailed(resumed, err)
+}
+
+func dial(addr string, deadline time.Time) (*Client, error) {
+	conn, err := net.DialTimeout("tcp", addr, time.Until(deadline))
+	if err != nil {
+		return nil, err
+	}
+	return &Client{Conn: conn, reader: bufio.NewReader(conn), deadline: deadline}, nil
+}
+
+// unlessFailed closes the connection of a client that has failed.
+func (c *Client) unlessFailed(resumed bool, err error) (*Client, bool, error) {
+	if err != nil {
+		_ = c.Conn.Close() // the failure before is what counts
 		return nil, false, err
 	}
 	return c, resumed, nil
 }
 
-func (c *Client) up(user, id string, how How) (resumed bool, err error) {
-	from := ""
+// secure puts TLS on the connection.
+func (c *Client) secure(config *tls.Config, direct bool) error {
+	if !direct {
+		if _, err := c.Say(streamHeaderStart+streamHeaderEnd, endOfFeatures); err != nil {
+			return err
+		}
+		if _, err := c.Say(startTLSRequest, ">"); err != nil {
+			return err
+		}
+	}
+	if err := c.Conn.SetDeadline(c.deadline); err != nil {
+		return err
+	}
+	conn := tls.Client(c.Conn, config)
+	if err := conn.Handshake(); err != nil {
+		return err
+	}
+	c.Conn = conn
+	c.reader = bufio.NewReader(conn)
+	return nil
+}
+
+// logIn opens the stream, authenticates and resumes the session of id, or else binds a new one.
+func (c *Client) logIn(user, id string, how How) (resumed bool, err error) {
+	header := streamHeaderStart + streamHeaderEnd
 	if how == Named {
-		from = "from='" + user + "@farm.example' "
+		header = streamHeaderStart + "from='" + user + "@" + domain + "' " + streamHeaderEnd
 	}
-	header := "<?xml version='1.0'?><stream:stream to='farm.example' " + from + "version='1.0' xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'>"
-	secret := base64.StdEncoding.EncodeToString([]byte("\x00" + user + "\x00secret"))
-	if _, err := c.Say(header, "</stream:features>"); err != nil {
+	credentials := base64.StdEncoding.EncodeToString([]byte("\x00" + user + "\x00secret"))
+	if _, err := c.Say(header, endOfFeatures); err != nil {
 		return false, err
 	}
+	done := false
 	if how == SASL2 {
-		inner := "<bind xmlns='" + bind2NS + "'><enable xmlns='" + smNS + "' resume='true'/></bind>"
-		if id != "" {
-			inner = "<resume xmlns='" + smNS + "' previd='" + id + "' h='0'/>"
-		}
-		got, err := c.Say("<authenticate xmlns='"+sasl2NS+"' mechanism='PLAIN'><initial-response>"+secret+"</initial-response>"+inner+"</authenticate>", "</stream:features>")
-		if err != nil {
-			return false, err
-		}
-		if strings.Contains(got, "<resumed") {
-			c.ID = id
-			return true, nil
-		}
-		if c.ID = value(got, "id"); !strings.Contains(got, "<failed") {
-			return false, nil
-		}
+		resumed, done, err = c.authenticateInline(credentials, id)
 	} else {
-		if _, err := c.Say("<auth xmlns='"+saslNS+"' mechanism='PLAIN'>"+secret+"</auth>", "<success"); err != nil {
-			return false, err
-		}
-		if _, err := c.Say(header, "</stream:features>"); err != nil {
-			return false, err
-		}
-		if id != "" {
-			got, err := c.Say("<resume xmlns='"+smNS+"' previd='"+id+"' h='0'/>", ">")
-			if err != nil {
-				return false, err
-			}
-			if strings.Contains(got, "<resumed") {
-				c.ID = id
-				return true, nil
-			}
-			if _, err := c.Say("", "</failed>"); err != nil {
-				return false, err
-			}
-		}
+		resumed, err = c.authenticate(header, credentials, id)
+		done = resumed
 	}
-	if _, err := c.Say("<iq type='set' id='b1'><bind xmlns='"+bindNS+"'/></iq>", "</iq>"); err != nil {
-		return false, err
+	if err != nil || done {
+		return resumed, err
 	}
-	got, err := c.Say("<enable xmlns='"+smNS+"' resume='true'/>", ">")
-	c.ID = value(got, "id")
-	return false, err
+	return false, c.bind()
 }
 
-// ConnectTLS is Connect behind TLS, direct or by STARTTLS.
-func ConnectTLS(addr, user, id string, how How, config *tls.Config, direct bool, by time.Time) (c *Client, resumed bool, err error) {
-	conn, err := net.DialTimeout("tcp", addr, time.Until(by))
+// authenticateInline authenticates by SASL2. done says that the session stands, resumed or new.
+func (c *Client) authenticateInline(credentials, id string) (resumed, done bool, err error) {
+	inline := "<bind xmlns='" + bind2NS + "'>" + enableRequest + "</bind>"
+	if id != "" {
+		inline = resumeRequest(id)
+	}
+	reply, err := c.Say("<authenticate xmlns='"+sasl2NS+"' mechanism='PLAIN'><initial-response>"+credentials+
+		"</initial-response>"+inline+"</authenticate>", endOfFeatures)
 	if err != nil {
-		return nil, false, err
+		return false, false, err
 	}
-	c = &Client{Conn: conn, in: bufio.NewReader(conn), by: by}
-	if !direct {
-		_, err = c.Say("<?xml version='1.0'?><stream:stream to='farm.example' version='1.0' xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'>", "</stream:features>")
-		if err == nil {
-			_, err = c.Say("<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>", ">")
-		}
+	if strings.Contains(reply, "<resumed") {
+		c.ID = id
+		return true, true, nil
 	}
-	if err == nil {
-		secure := tls.Client(conn, config)
-		conn.SetDeadline(by)
-		if err = secure.Handshake(); err == nil {
-			c.Conn, c.in = secure, bufio.NewReader(secure)
-			resumed, err = c.up(user, id, how)
-		}
+	c.ID = attributeValue(reply, "id")
+	return false, !strings.Contains(reply, "<failed"), nil
+}
+
+// authenticate authenticates by SASL, starts the stream anew and resumes the session of id, if one is given.
+func (c *Client) authenticate(header, credentials, id string) (resumed bool, err error) {
+	request := "<auth xmlns='" + saslNS + "' mechanism='PLAIN'>" + credentials + "</auth>"
+	if _, err := c.Say(request, "<success"); err != nil {
+		return false, err
 	}
+	if _, err := c.Say(header, endOfFeatures); err != nil {
+		return false, err
+	}
+	if id == "" {
+		return false, nil
+	}
+	reply, err := c.Say(resumeRequest(id), ">")
 	if err != nil {
-		conn.Close()
-		return nil, false, err
+		return false, err
 	}
-	return c, resumed, nil
+	if strings.Contains(reply, "<resumed") {
+		c.ID = id
+		return true, nil
+	}
+	_, err = c.Say("", "</failed>")
+	return false, err
 }
 
-// Say writes and reads up to what must come.
-func (c *Client) Say(what, until string) (string, error) {
-	c.Conn.SetDeadline(c.by)
-	if _, err := c.Conn.Write([]byte(what)); err != nil {
+// bind makes a new session that can be resumed.
+func (c *Client) bind() error {
+	if _, err := c.Say(bindRequest, "</iq>"); err != nil {
+		return err
+	}
+	reply, err := c.Say(enableRequest, ">")
+	c.ID = attributeValue(reply, "id")
+	return err
+}
+
+// Say writes a text and reads up to a tag that ends or begins as until says. It returns what was read, also with an
+// error; a stream error is an ErrStream.
+func (c *Client) Say(text, until string) (string, error) {
+	if err := c.Conn.SetDeadline(c.deadline); err != nil {
 		return "", err
 	}
-	var got strings.Builder
+	if _, err := c.Conn.Write([]byte(text)); err != nil {
+		return "", err
+	}
+	var received strings.Builder
 	for {
-		part, err := c.in.ReadString('>')
-		got.WriteString(part)
+		part, err := c.reader.ReadString('>')
+		received.WriteString(part)
 		if err != nil {
-			return got.String(), fmt.Errorf("%q came, %w", got.String(), err)
+			return received.String(), fmt.Errorf("%q came, %w", received.String(), err)
 		}
 		if strings.Contains(part, "stream:error") {
-			rest, _ := c.in.ReadString(0)
-			return got.String(), fmt.Errorf("the stream ended: %s%s", part, rest)
+			rest, _ := c.reader.ReadString(0) // up to the end of the connection, whichever it is
+			return received.String(), fmt.Errorf("%w: %s%s", ErrStream, part, rest)
 		}
 		if strings.HasSuffix(part, until) || strings.HasPrefix(part, until) {
-			return got.String(), nil
+			return received.String(), nil
 		}
 	}
 }
 
-func value(text, name string) string {
-	_, after, ok := strings.Cut(text, " "+name+"='")
-	if !ok {
+func resumeRequest(id string) string {
+	return "<resume xmlns='" + smNS + "' previd='" + id + "' h='0'/>"
+}
+
+// attributeValue returns the value of the first attribute of a name, or an empty text.
+func attributeValue(text, name string) string {
+	_, after, found := strings.Cut(text, " "+name+"='")
+	if !found {
 		return ""
 	}
-	v, _, _ := strings.Cut(after, "'")
-	return v
+	value, _, _ := strings.Cut(after, "'")
+	return value
 }
--- /dev/null
+++ b/internal/lab/xmppserver/stream.go
@@ -0,0 +1,222 @@
+package xmppserver
+
+import (
+	"bufio"
+	"encoding/base64"
+	"encoding/xml"
+	"fmt"
+	"net"
+	"strings"
+)
+
+// element is a child of the stream.
+type element struct {
+	XMLName  xml.Name
+	Attrs    []xml.Attr `xml:",any,attr"`
+	Text     string     `xml:",chardata"`
+	Children []element  `xml:",any"`
+}
+
+// attribute returns the value of an attribute; empty: there is none.
+func (e *element) attribute(name string) string {
+	for _, attribute := range e.Attrs {
+		if attribute.Name.Local == name {
+			return attribute.Value
+		}
+	}
+	return ""
+}
+
+// child returns the first child of a name, or nil.
+func (e *element) child(space, name string) *element {
+	for i := range e.Children {
+		if e.Children[i].XMLName == (xml.Name{Space: space, Local: name}) {
+			return &e.Children[i]
+		}
+	}
+	return nil
+}
+
+// stream is the server's side of one connection.
+type stream struct {
+	server    *Server
+	conn      net.Conn
+	user      string // empty: not authenticated
+	sessionID string // of the session that can be resumed; empty: none
+}
+
+// serve answers a connection until it ends.
+func (s *Server) serve(conn net.Conn) {
+	current := &stream{server: s, conn: conn}
+	defer current.close()
+	reader := bufio.NewReader(conn)
+	decoder := xml.NewDecoder(reader)
+	for {
+		token, err := decoder.Token()
+		if err != nil {
+			return
+		}
+		switch token := token.(type) {
+		case xml.EndElement:
+			current.end()
+			return
+		case xml.StartElement:
+			if token.Name.Local == "stream" {
+				current.open()
+				continue
+			}
+			var child element
+			if decoder.DecodeElement(&child, &token) != nil {
+				return
+			}
+			if current.answer(&child) {
+				decoder = xml.NewDecoder(reader)
+			}
+		}
+	}
+}
+
+// close closes the connection. Its session stays and can be resumed.
+func (s *stream) close() {
+	s.server.mu.Lock()
+	delete(s.server.open, s.conn)
+	session := s.server.sessions[s.sessionID]
+	if session != nil && session.conn == s.conn {
+		session.conn = nil
+	}
+	s.server.mu.Unlock()
+	_ = s.conn.Close() // the stream is over either way
+}
+
+// end answers the end of the stream by the client, which ends the session too.
+func (s *stream) end() {
+	s.write("</stream:stream>")
+	s.server.mu.Lock()
+	delete(s.server.sessions, s.sessionID)
+	s.server.mu.Unlock()
+}
+
+// write sends a text. Errors are dropped: the next read from the connection fails too, and ends the stream.
+func (s *stream) write(format string, args ...any) {
+	_, _ = fmt.Fprintf(s.conn, format, args...) // see above
+}
+
+// open answers the stream's header.
+func (s *stream) open() {
+	s.write("<?xml version='1.0'?><stream:stream from='%s' id='%s' version='1.0' xmlns='%s' xmlns:stream='%s'>",
+		domain, s.server.name, clientNS, streamNS)
+	if other := s.server.SeeOther; other != "" {
+		s.write("<stream:error><see-other-host xmlns='urn:ietf:params:xml:ns:xmpp-streams'>%s</see-other-host>"+
+			"</stream:error></stream:stream>", other)
+		_ = s.conn.Close() // the next read ends the stream
+		return
+	}
+	s.writeFeatures()
+}
+
+func (s *stream) writeFeatures() {
+	if s.user == "" {
+		s.write("<stream:features><mechanisms xmlns='%s'><mechanism>PLAIN</mechanism></mechanisms>"+
+			"<authentication xmlns='%s'><mechanism>PLAIN</mechanism>"+
+			"<inline><bind xmlns='%s'/><sm xmlns='%s'/></inline></authentication></stream:features>",
+			saslNS, sasl2NS, bind2NS, smNS)
+		return
+	}
+	s.write("<stream:features><bind xmlns='%s'/><sm xmlns='%s'/></stream:features>", bindNS, smNS)
+}
+
+// answer answers a child of the stream. It returns whether the client starts its stream anew.
+func (s *stream) answer(child *element) (newStream bool) {
+	switch child.XMLName {
+	case xml.Name{Space: saslNS, Local: "auth"}:
+		s.user = userOf(child.Text)
+		s.write("<success xmlns='%s'/>", saslNS)
+		return true
+	case xml.Name{Space: sasl2NS, Local: "authenticate"}:
+		s.authenticateInline(child)
+	case xml.Name{Space: smNS, Local: "enable"}:
+		s.write("%s", s.enableResumption())
+	case xml.Name{Space: smNS, Local: "resume"}:
+		s.write("%s", s.resume(child.attribute("previd")))
+	case xml.Name{Space: smNS, Local: "r"}:
+		s.write("<a xmlns='%s' h='0'/>", smNS)
+	case xml.Name{Space: clientNS, Local: "iq"}:
+		s.answerRequest(child)
+	}
+	return false
+}
+
+// authenticateInline answers SASL2, with the resumption or Bind 2 inside.
+func (s *stream) authenticateInline(request *element) {
+	if response := request.child(sasl2NS, "initial-response"); response != nil {
+		s.user = userOf(response.Text)
+	}
+	inline := ""
+	resume := request.child(smNS, "resume")
+	bind := request.child(bind2NS, "bind")
+	switch {
+	case resume != nil:
+		inline = s.resume(resume.attribute("previd"))
+	case bind != nil:
+		enabled := ""
+		if bind.child(smNS, "enable") != nil {
+			enabled = s.enableResumption()
+		}
+		inline = "<bound xmlns='" + bind2NS + "'>" + enabled + "</bound>"
+		s.server.updateCount(func(count *Count) { count.Bound++ })
+	}
+	s.write("<success xmlns='%s'><authorization-identifier>%s@%s/x</authorization-identifier>%s</success>",
+		sasl2NS, s.user, domain, inline)
+	s.writeFeatures()
+}
+
+// answerRequest answers an iq request: a bind, or any other by an empty result.
+func (s *stream) answerRequest(request *element) {
+	id := request.attribute("id")
+	if request.child(bindNS, "bind") != nil {
+		s.server.updateCount(func(count *Count) { count.Bound++ })
+		s.write("<iq type='result' id='%s'><bind xmlns='%s'><jid>%s@%s/x</jid></bind></iq>", id, bindNS, s.user, domain)
+		return
+	}
+	s.server.updateCount(func(count *Count) { count.Answered++ })
+	s.write("<iq type='result' id='%s'/>", id)
+}
+
+// enableResumption makes the session one that can be resumed, and returns the answer.
+func (s *stream) enableResumption() string {
+	server := s.server
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	server.lastID++
+	s.sessionID = fmt.Sprintf("%s-%d", server.name, server.lastID)
+	server.sessions[s.sessionID] = &session{s.user, s.conn}
+	return fmt.Sprintf("<enabled xmlns='%s' id='%s' resume='true' max='%d'/>", smNS, s.sessionID, server.Max)
+}
+
+// resume continues the session of an id on this stream, and returns the answer. Of two streams that resume one session
+// the later has it.
+func (s *stream) resume(id string) string {
+	server := s.server
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	resumed := server.sessions[id]
+	if resumed == nil || resumed.user != s.user {
+		server.count.Failed++
+		return "<failed xmlns='" + smNS + "'>" +
+			"<item-not-found xmlns='urn:ietf:params:xml:ns:xmpp-stanzas'/></failed>"
+	}
+	resumed.conn = s.conn
+	s.sessionID = id
+	server.count.Resumed++
+	return fmt.Sprintf("<resumed xmlns='%s' previd='%s' h='0'/>", smNS, id)
+}
+
+// userOf returns the user of SASL PLAIN's credentials.
+func userOf(credentials string) string {
+	decoded, err := base64.StdEncoding.DecodeString(strings.TrimSpace(credentials))
+	parts := strings.Split(string(decoded), "\x00")
+	if err != nil || len(parts) != 3 {
+		return "unknown"
+	}
+	return parts[1]
+}
