--- a/cmd/spurwinch/compat_test.go
+++ b/cmd/spurwinch/compat_test.go
@@ -37,9 +37,10 @@
 // TestCompatUpgradeInPlace replaces a node of the old version by one of the new version and that by one of the old
 // version again, under load: standing connections pass from process to process and lose nothing.
 func TestCompatUpgradeInPlace(t *testing.T) {
-	surroundings := newSite(t)
-	newVersion, oldVersion := surroundings.bin, oldProgram(t)
-	surroundings.bin = oldVersion
+	surroundings := newSite(t, usualLimits)
+	newVersion := surroundings.program
+	oldVersion := oldProgram(t)
+	surroundings.program = oldVersion
 	running := surroundings.start(t, surroundings.tmp)
 	crowd := &transcript.Crowd{Addr: surroundings.listen}
 	crowd.Run(24)
@@ -53,16 +54,16 @@
 		{"old to new again", newVersion},
 	} {
 		servedBefore := crowd.Up.Load()
-		surroundings.bin = next.program
+		surroundings.program = next.program
 		successor := surroundings.start(t, surroundings.tmp)
 		running.signal(syscall.SIGTERM)
-		running.ends(t)
+		running.waitForExit(t)
 		running = successor
 		time.Sleep(time.Second)
 		if served := crowd.Up.Load(); served == servedBefore {
 			t.Errorf("%s: no new client was served", next.name)
 		}
-		if status := running.status(); status != http.StatusOK {
+		if status := running.readiness(); status != http.StatusOK {
 			t.Errorf("%s: ready answers %d, want %d", next.name, status, http.StatusOK)
 		}
 	}
@@ -119,7 +120,8 @@
 // laboratory hold that no node goes back behind its plan, that plans and policies of one number are the same and that
 // commands tell of the policy that was decided before; here is held that each node starts from the plan that it had.
 func TestCompatVoters(t *testing.T) {
-	old, current := oldProgram(t), programs(t)
+	old := oldProgram(t)
+	current := buildAll(t)
 	var starts atomic.Int64
 	history := playFleet(t, compatVotersScenario, func() faults.Options {
 		starts.Store(0)
@@ -177,7 +179,8 @@
 		number := event.Number
 		highest = max(highest, number)
 		if learned[number] == nil {
-			learned[number], digests[number] = map[string]bool{}, map[string]bool{}
+			learned[number] = map[string]bool{}
+			digests[number] = map[string]bool{}
 		}
 		learned[number][event.Node] = true
 		digests[number][event.Digest] = true
@@ -227,7 +230,8 @@
 
 // TestCompatMixedFleet has nodes of both versions in one fleet, among the voters and among the others.
 func TestCompatMixedFleet(t *testing.T) {
-	old, current := oldProgram(t), programs(t)
+	old := oldProgram(t)
+	current := buildAll(t)
 	for _, mix := range []struct {
 		name    string
 		current map[int]bool // the nodes of the new version; the first three nodes vote
@@ -273,7 +277,8 @@
 func checkServed(t *testing.T, history []faults.Event) {
 	t.Helper()
 	servedBy := map[string]int{}
-	served, requests := 0, 0
+	served := 0
+	requests := 0
 	for _, event := range history {
 		if event.Kind != faults.KindAnswer {
 			continue
@@ -301,7 +306,8 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		ctx, stop := context.WithTimeout(context.Background(), 2*time.Minute)
 		run := options()
-		run.Dir, run.Seed = t.TempDir(), seed
+		run.Dir = t.TempDir()
+		run.Seed = seed
 		history, err := faults.Run(ctx, scenario, run)
 		stop()
 		if err != nil {
--- a/cmd/spurwinch/crowd_test.go
+++ b/cmd/spurwinch/crowd_test.go
@@ -21,40 +21,44 @@
 	"spurwinch/internal/lab/transcript"
 )
 
-// reportingHost is a stand-in host that answers any number of probes on a connection, and takes each request with its name. It counts
-// the connections that it has in held.
-func reportingHost(t *testing.T, name string, held *atomic.Int64) (addr string) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	go func() {
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-			held.Add(1)
-			go func() {
-				defer held.Add(-1)
-				defer c.Close()
-				in := bufio.NewReader(c)
-				for {
-					switch line, err := in.ReadString('\n'); {
-					case err != nil:
-						return
-					case strings.HasPrefix(line, "OPEN"):
-						fmt.Fprintf(c, "UP %s\r\n", name)
-						io.Copy(c, in)
-						return
-					}
-					fmt.Fprint(c, "PONG utilization=0\r\n") // all that it has is this node's, which holds none for long
-				}
-			}()
+const (
+	busyAnswer     = "BUSY\r\n"
+	answerTimeout  = 20 * time.Second
+	maxNewIdle     = 1000                 // clients of idleClients.keepArriving that stay open
+	idleInterval   = 2 * time.Millisecond // between their arrivals
+	maxListAge     = 6 * time.Second      // from discovery's return to the poll that acknowledges its list
+	nodeSockets    = 160
+	serverCount    = 150 // nearly as many as descriptors
+	requestsAtOnce = 15
+	requestsInARow = 20
+)
+
+// startReportingServer starts a server that answers any number of health checks on a connection, and accepts each
+// request with its name. It counts its open connections in open.
+func startReportingServer(t *testing.T, name string, open *atomic.Int64) (addr string) {
+	t.Helper()
+	return serve(t, func(conn net.Conn) {
+		open.Add(1)
+		defer open.Add(-1)
+		reader := bufio.NewReader(conn)
+		for {
+			line, err := reader.ReadString('\n')
+			if err != nil {
+				return
+			}
+			if strings.HasPrefix(line, "OPEN") {
+				send(conn, "UP %s\r\n", name)
+				_, _ = io.Copy(conn, reader) // until the node closes it
+				return
+			}
+			send(conn, "PONG utilization=0\r\n") // all its connections are this node's, which keeps none for long
 		}
-	}()
-	return l.Addr().String()
+	})
 }
 
-// reserved is an address at which connections are refused until open makes a listener of it.
-func reserved(t *testing.T) (addr string, open func() net.Listener) {
+// reserveAddress returns an address at which connections are refused until listen makes a listener of it.
+func reserveAddress(t *testing.T) (addr string, listen func() net.Listener) {
+	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
 		err = unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
@@ -63,21 +67,25 @@
 		t.Fatal(err)
 	}
 	file := os.NewFile(uintptr(fd), "discovery")
-	t.Cleanup(func() { file.Close() })
-	at, err := unix.Getsockname(fd)
+	closeAtEnd(t, file)
+	bound, err := unix.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port), func() net.Listener {
-		l, err := net.FileListener(file)
+	boundIPv4, ok := bound.(*unix.SockaddrInet4)
+	if !ok {
+		t.Fatalf("bound to an address of %T", bound)
+	}
+	return fmt.Sprintf("127.0.0.1:%d", boundIPv4.Port), func() net.Listener {
+		listener, err := net.FileListener(file)
 		if err == nil {
 			err = unix.Listen(fd, 128)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { l.Close() })
-		return l
+		closeAtEnd(t, listener)
+		return listener
 	}
 }
 
@@ -87,199 +95,233 @@
 	State string `json:"state"`
 }
 
-func listOf(version int, entries []listEntry) string {
-	b, _ := json.Marshal(map[string]any{"version": version, "full": true, "servers": entries})
-	return string(b)
+// encodeList returns a full endpoint list as discovery sends it.
+func encodeList(t *testing.T, version int, entries []listEntry) string {
+	t.Helper()
+	list, err := json.Marshal(map[string]any{"version": version, "full": true, "servers": entries})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(list)
+}
+
+// sendRequest sends a request for a connection, by a number of its own.
+func sendRequest(conn net.Conn, number int) {
+	send(conn, "OPEN %x %x c=chat,d=3000\r\n", number, number)
 }
 
-// ask opens a connection with a request and returns its answer's words.
-func ask(addr string, n int) (answer string, c net.Conn) {
-	c, err := net.Dial("tcp", addr)
+// request opens a connection with a request and returns the words of its answer, or the error in their place. conn is
+// nil where the connection failed.
+func request(addr string, number int) (answer string, conn net.Conn) {
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err.Error(), nil
 	}
-	fmt.Fprintf(c, "OPEN %x %x c=chat,d=3000\r\n", n, n)
-	c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	line, err := bufio.NewReader(c).ReadString('\n')
+	sendRequest(conn, number)
+	setReadTimeout(conn, answerTimeout)
+	line, err := readLine(conn)
 	if err != nil {
-		return err.Error(), c
+		return err.Error(), conn
 	}
-	return strings.TrimSpace(line), c
+	return strings.TrimSpace(line), conn
 }
 
-// TestCrowdWhileDiscoveryIsDown has idle clients fill the descriptors of a node that the system gives no more than its configuration
-// says, while discovery is down and there are nearly as many hosts as descriptors. Who comes with a request is served all the time,
-// the one that has been idle longest goes first, and when discovery returns its list is taken and its new host is reached.
-func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
-	const sockets, count, toldAfter = 160, 150, 6 * time.Second
-	bin := build(t)
-	var known []listEntry
-	var held, heldFresh atomic.Int64
-	for i := range count {
-		id := fmt.Sprintf("s-%d", i)
-		known = append(known, listEntry{id, reportingHost(t, id, &held), "SERVING"})
-	}
-	discovery, comesBack := reserved(t)
-	path := filepath.Join(t.TempDir(), "config.json")
-	config := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"memory_mb":64,"sockets":%d},"known":%s,"settings":%s}`,
-		discovery, sockets, listOf(41, known), strings.Replace(transcript.Settings, "REPORTS", "on_probe", 1))
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	run := launch(t, "/bin/sh", []string{"GW_CONFIG=" + path}, "-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, bin))
-	requests := 0
-	serve := func(what, by string) {
-		t.Helper()
-		requests++
-		answer, c := ask(run.addr, requests)
-		if !strings.HasPrefix(answer, "UP "+by) {
-			t.Errorf("%s: request %d got %q", what, requests, answer)
-		}
-		if c != nil {
-			c.Close()
-		}
-	}
-	for range 2 * count { // by and by each host is asked how it is
-		serve("alone", "s-")
-	}
-	crowd := newCrowd(t, run.addr)
-	crowd.come(3 * sockets)
-	serve("in the crowd", "s-")
-	crowd.checkOrder()
-	stop := crowd.keepComing()
-	for range 20 {
-		serve("in the crowd", "s-")
-	}
-	stop()
-	requests = askTogether(t, run.addr, requests, 15)
-	stop = crowd.keepComing()
-	for range 20 {
-		serve("after many at once", "s-")
+// requester makes requests one after another and checks that each is accepted.
+type requester struct {
+	addr string
+	last int // number of the last request
+}
+
+// check makes a request. phase is of the test, prefix begins the name of the server that is to accept it.
+func (r *requester) check(t *testing.T, phase, prefix string) {
+	t.Helper()
+	r.last++
+	answer, conn := request(r.addr, r.last)
+	if !strings.HasPrefix(answer, "UP "+prefix) {
+		t.Errorf("%s: request %d got %q", phase, r.last, answer)
 	}
-	list := comesBack()
-	back, asked := time.Now(), make(chan time.Time, 1)
-	fresh := reportingHost(t, "fresh", &heldFresh)
-	go func() {
-		var once sync.Once
-		answer := listOf(42, []listEntry{{"fresh", fresh, "SERVING"}})
-		http.Serve(list, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if strings.Contains(r.URL.RawQuery, "after=42&") {
-				once.Do(func() { asked <- time.Now() })
-				<-r.Context().Done()
-				return
-			}
-			io.WriteString(w, answer)
-		}))
-	}()
-	select {
-	case at := <-asked:
-		if took := at.Sub(back); took > toldAfter {
-			t.Errorf("the list is taken %v after discovery's return", took)
-		}
-	case <-time.After(20 * time.Second):
-		t.Fatal("the list is not asked for")
+	if conn != nil {
+		_ = conn.Close() // its answer is in
 	}
-	for range 20 {
-		serve("after the return", "fresh")
+}
+
+func (r *requester) checkMany(t *testing.T, count int, phase, prefix string) {
+	t.Helper()
+	for range count {
+		r.check(t, phase, prefix)
 	}
-	stop()
-	transcript.Until(t, "no connection is kept to hosts that the whole list doesn't name", func() bool { return held.Load() == 0 })
 }
 
-// askTogether has clients come and then ask all at once: the crowd makes room for each of them and for its host.
-func askTogether(t *testing.T, addr string, from, count int) (requests int) {
-	var all []net.Conn
+// checkAtOnce has clients connect and then send their requests all at once: idle clients give way to each of them and
+// to its server's connection.
+func (r *requester) checkAtOnce(t *testing.T, count int) {
+	t.Helper()
+	var conns []net.Conn
+	defer func() { closeAll(conns) }()
 	for range count {
-		c, err := net.Dial("tcp", addr)
+		conn, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		all = append(all, c)
+		conns = append(conns, conn)
 	}
-	time.Sleep(50 * time.Millisecond) // accepted, in the place of others
-	for i, c := range all {
-		fmt.Fprintf(c, "OPEN %x %x c=chat,d=3000\r\n", from+i+1, from+i+1)
+	time.Sleep(50 * time.Millisecond) // they are accepted, in the place of others
+	for _, conn := range conns {
+		r.last++
+		sendRequest(conn, r.last)
 	}
-	for _, c := range all {
-		c.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if line, err := bufio.NewReader(c).ReadString('\n'); !strings.HasPrefix(line, "UP s-") {
+	for _, conn := range conns {
+		setReadTimeout(conn, answerTimeout)
+		line, err := readLine(conn)
+		if !strings.HasPrefix(line, "UP s-") {
 			t.Errorf("one of %d requests at once got %q, %v", count, line, err)
 		}
 	}
-	return from + count
 }
 
-// crowd are clients that say nothing, in the order in which they came.
-type crowd struct {
-	t    *testing.T
-	addr string
-	all  []net.Conn
+// TestCrowdWhileDiscoveryIsDown has idle clients fill the descriptors of a node that the system gives no more than its
+// configuration says, while discovery is down and there are nearly as many servers as descriptors. Clients with a
+// request are served all the time, the client that has been idle longest is evicted first, and when discovery returns
+// its list is in force and its new server is reached.
+func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
+	program := build(t)
+	var known []listEntry
+	var openToKnown, openToNew atomic.Int64
+	for i := range serverCount {
+		id := fmt.Sprintf("s-%d", i)
+		known = append(known, listEntry{id, startReportingServer(t, id, &openToKnown), "SERVING"})
+	}
+	discovery, returnDiscovery := reserveAddress(t)
+	path := filepath.Join(t.TempDir(), "config.json")
+	nodeConfig{
+		discovery: discovery,
+		limits:    fmt.Sprintf(`{"memory_mb":64,"sockets":%d}`, nodeSockets),
+		known:     encodeList(t, 41, known),
+		settings:  settings("on_probe"),
+	}.write(t, path)
+	command := fmt.Sprintf("ulimit -n %d && exec %s", nodeSockets, program)
+	proc := start(t, "/bin/sh", []string{"GW_CONFIG=" + path}, "-c", command)
+	requests := &requester{addr: proc.addr}
+	requests.checkMany(t, 2*serverCount, "alone", "s-") // meanwhile each server has its health check
+	idle := &idleClients{t: t, addr: proc.addr}
+	idle.connect(3 * nodeSockets)
+	requests.check(t, "among idle clients", "s-")
+	idle.checkOrder()
+	stop := idle.keepArriving()
+	requests.checkMany(t, requestsInARow, "among idle clients", "s-")
+	stop()
+	requests.checkAtOnce(t, requestsAtOnce)
+	stop = idle.keepArriving()
+	requests.checkMany(t, requestsInARow, "after many at once", "s-")
+	newServer := startReportingServer(t, "fresh", &openToNew)
+	checkDiscoveryReturns(t, returnDiscovery(), newServer)
+	requests.checkMany(t, requestsInARow, "after the return", "fresh")
+	stop()
+	transcript.Until(t, "no connection is kept to servers that the whole list doesn't name",
+		func() bool { return openToKnown.Load() == 0 })
 }
 
-func newCrowd(t *testing.T, addr string) *crowd { return &crowd{t: t, addr: addr} }
+// checkDiscoveryReturns serves a list of one server and checks that the node acknowledges it in time.
+func checkDiscoveryReturns(t *testing.T, listener net.Listener, server string) {
+	t.Helper()
+	returned := time.Now()
+	acknowledged := make(chan time.Time, 1)
+	var once sync.Once
+	list := encodeList(t, 42, []listEntry{{"fresh", server, "SERVING"}})
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if strings.Contains(r.URL.RawQuery, "after=42&") {
+			once.Do(func() { acknowledged <- time.Now() })
+			<-r.Context().Done()
+			return
+		}
+		_, _ = io.WriteString(w, list) // without it the node asks again
+	})
+	go func() { _ = http.Serve(listener, handler) }() // until the listener is closed
+	select {
+	case at := <-acknowledged:
+		if took := at.Sub(returned); took > maxListAge {
+			t.Errorf("the list is in force %v after discovery's return", took)
+		}
+	case <-time.After(answerTimeout):
+		t.Fatal("the list is not polled")
+	}
+}
+
+// idleClients are clients that send nothing, in the order in which they connected.
+type idleClients struct {
+	t     *testing.T
+	addr  string
+	conns []net.Conn
+}
 
-func (w *crowd) come(n int) {
-	for range n {
-		c, err := net.Dial("tcp", w.addr)
+func (c *idleClients) connect(count int) {
+	c.t.Helper()
+	for range count {
+		conn, err := net.Dial("tcp", c.addr)
 		if err != nil {
-			w.t.Fatal(err)
+			c.t.Fatal(err)
 		}
-		w.t.Cleanup(func() { c.Close() })
-		w.all = append(w.all, c)
+		closeAtEnd(c.t, conn)
+		c.conns = append(c.conns, conn)
 	}
 }
 
-// checkOrder holds that those who went, each with its answer, came before all who stay.
-func (w *crowd) checkOrder() {
-	gone, stays := 0, 0
-	for i, c := range w.all {
-		c.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
-		b, err := io.ReadAll(c)
+// checkOrder checks that the clients that were evicted, each with its answer, connected before all who stay.
+func (c *idleClients) checkOrder() {
+	c.t.Helper()
+	evicted := 0
+	staying := 0
+	for i, conn := range c.conns {
+		setReadTimeout(conn, 5*time.Millisecond)
+		received, err := io.ReadAll(conn)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			stays++
-		case string(b) != "BUSY\r\n" || err != nil:
-			w.t.Errorf("idle client %d got %q, %v", i, b, err)
-		case stays > 0:
-			w.t.Errorf("idle client %d went, and %d that came before it stayed", i, stays)
+			staying++
+		case string(received) != busyAnswer || err != nil:
+			c.t.Errorf("idle client %d got %q, %v", i, received, err)
+		case staying > 0:
+			c.t.Errorf("idle client %d was evicted, and %d that connected before it stayed", i, staying)
 		default:
-			gone++
+			evicted++
 		}
 	}
-	if gone == 0 || stays == 0 {
-		w.t.Errorf("no crossing: of the crowd %d went and %d stayed", gone, stays)
+	if evicted == 0 || staying == 0 {
+		c.t.Errorf("%d idle clients were evicted and %d stayed, want some of both", evicted, staying)
 	}
 }
 
-// keepComing has further idle clients come until stop.
-func (w *crowd) keepComing() (stop func()) {
-	end, done := make(chan bool), make(chan bool)
+// keepArriving has further idle clients connect until stop.
+func (c *idleClients) keepArriving() (stop func()) {
+	stopping := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		var all []net.Conn
-		defer func() {
-			for _, c := range all {
-				c.Close()
-			}
-		}()
-		for {
-			select {
-			case <-end:
-				return
-			case <-time.After(2 * time.Millisecond):
-			}
-			if c, err := net.Dial("tcp", w.addr); err == nil {
-				all = append(all, c)
-			}
-			if len(all) > 1000 {
-				all[0].Close()
-				all = all[1:]
-			}
-		}
+		c.arrive(stopping)
 	}()
 	return func() {
-		close(end)
+		close(stopping)
 		<-done
 	}
 }
+
+// arrive has idle clients connect until stopping is closed. The oldest leave as there are many.
+func (c *idleClients) arrive(stopping <-chan struct{}) {
+	var conns []net.Conn
+	defer func() { closeAll(conns) }()
+	for {
+		select {
+		case <-stopping:
+			return
+		case <-time.After(idleInterval):
+		}
+		conn, err := net.Dial("tcp", c.addr)
+		if err != nil {
+			continue // the queue of the listener is full
+		}
+		conns = append(conns, conn)
+		if len(conns) > maxNewIdle {
+			closeAll(conns[:1])
+			conns = conns[1:]
+		}
+	}
+}
--- a/cmd/spurwinch/fleet_test.go
+++ b/cmd/spurwinch/fleet_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"os"
+	"fmt"
 	"os/exec"
 	"path/filepath"
 	"strings"
@@ -12,27 +12,12 @@
 	"spurwinch/internal/lab/faults"
 )
 
-// programs builds the node's programs beside one another.
-func programs(t testing.TB) string {
-	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", dir+"/", ".", "../spurwinch-voter", "../spurwinchctl").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
-	}
-	return filepath.Join(dir, "spurwinch")
-}
+const (
+	fleetAttempts = 3
+	fleetTimeout  = 2 * time.Minute
+)
 
-// TestFleet plays short scenarios with several processes. The rules hold on any machine; what has to happen is given time that a slow one has
-// too. A run in which the laboratory itself was late is played again.
-func TestFleet(t *testing.T) {
-	if testing.Short() {
-		t.Skip("processes in real time")
-	}
-	bin := programs(t)
-	for _, c := range []struct {
-		name, text string
-		check      func(t *testing.T, events []faults.Event)
-	}{
-		{"the leader is killed and comes back with its file cut", `name = "a"
+const leaderKilledScenario = `name = "a"
 what = "a"
 [run]
 length = "22s"
@@ -55,8 +40,9 @@
 [[want]]
 seen = "plans"
 least = 2
-`, nil},
-		{"a zone is lost", `name = "b"
+`
+
+const zoneLostScenario = `name = "b"
 what = "b"
 [run]
 length = "12s"
@@ -73,8 +59,9 @@
 [[want]]
 seen = "plans"
 least = 2
-`, nil},
-		{"a policy is changed while a node is stopped, one is down and one has no room", `name = "d"
+`
+
+const policyChangedScenario = `name = "d"
 what = "d"
 [run]
 length = "24s"
@@ -114,8 +101,9 @@
 [[want]]
 seen = "commands in order"
 least = 2
-`, nil},
-		{"with all links cut nobody hears anybody", `name = "c"
+`
+
+const linksCutScenario = `name = "c"
 what = "c"
 [run]
 length = "8s"
@@ -131,69 +119,109 @@
 [[want]]
 seen = "datagrams dropped"
 least = 20
-`, func(t *testing.T, events []faults.Event) {
-			cut := 0.0
-			for _, e := range events {
-				switch {
-				case e.Kind == faults.KindFault && e.Detail == "cut":
-					cut = e.At
-				// What was on its way has come by then; a leader that hears nobody makes no plans that count.
-				case cut > 0 && e.At > cut+1 && (e.Kind == faults.KindPlan || e.Kind == faults.KindLeads || e.Kind == faults.KindAnswer && e.Result == "up"):
-					t.Errorf("at %.2f s, with all links cut since %.2f s: %+v", e.At, cut, e)
-				}
-			}
-		}},
+`
+
+// TestFleet plays short scenarios with several processes. The rules hold on any machine; what has to happen is given
+// time that a slow one has too. A run in which the laboratory itself was late is played again.
+func TestFleet(t *testing.T) {
+	if testing.Short() {
+		t.Skip("processes in real time")
+	}
+	program := buildAll(t)
+	for _, test := range []struct {
+		name     string
+		scenario string
+		check    func(t *testing.T, events []faults.Event)
+	}{
+		{"the leader is killed and comes back with its file cut", leaderKilledScenario, nil},
+		{"a zone is lost", zoneLostScenario, nil},
+		{
+			"a policy is changed while a node is stopped, one is down and one has no room",
+			policyChangedScenario, nil,
+		},
+		{"with all links cut nobody hears anybody", linksCutScenario, checkNothingAfterCut},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			s, err := faults.ReadScenario(c.name, []byte(c.text))
-			if err != nil {
-				t.Fatal(err)
+		t.Run(test.name, func(t *testing.T) {
+			events, verdict := playScenario(t, program, test.scenario)
+			for _, violation := range verdict.Violations {
+				t.Errorf("%s at %.2f s: %s", violation.Rule, violation.At, violation.What)
 			}
-			for try := range 3 {
-				ctx, stop := context.WithTimeout(context.Background(), 2*time.Minute)
-				events, err := faults.Run(ctx, s, faults.Options{Program: bin, Dir: t.TempDir(), Seed: uint64(try + 1)})
-				stop()
-				if err != nil {
-					t.Fatal(err)
-				}
-				v := faults.Check(events, s.Rules())
-				if !v.Judged {
-					t.Logf("not judged: %s", v.Why)
-					continue
-				}
-				s.Exercised(&v)
-				for _, x := range v.Violations {
-					t.Errorf("%s at %.2f s: %s", x.Rule, x.At, x.What)
-				}
-				if c.check != nil {
-					c.check(t, events)
-				}
-				return
+			if test.check != nil {
+				test.check(t, events)
 			}
-			t.Skip("this machine was late in each of three runs")
 		})
 	}
 }
 
-// TestVoterGivesWay holds that a node that is to vote says so where spurwinch-voter is not beside it.
-func TestVoterGivesWay(t *testing.T) {
+// playScenario plays a scenario, again by other seeds where this machine was late. It skips the test where it was late
+// each time.
+func playScenario(t *testing.T, program, text string) ([]faults.Event, faults.Verdict) {
+	t.Helper()
+	scenario, err := faults.ReadScenario(t.Name(), []byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for seed := uint64(1); seed <= fleetAttempts; seed++ {
+		ctx, stop := context.WithTimeout(context.Background(), fleetTimeout)
+		events, err := faults.Run(ctx, scenario, faults.Options{Program: program, Dir: t.TempDir(), Seed: seed})
+		stop()
+		if err != nil {
+			t.Fatal(err)
+		}
+		verdict := faults.Check(events, scenario.Rules())
+		if verdict.Judged {
+			scenario.Exercised(&verdict)
+			return events, verdict
+		}
+		t.Logf("not judged: %s", verdict.Why)
+	}
+	t.Skip("this machine was late in each of three runs")
+	return nil, faults.Verdict{}
+}
+
+// checkNothingAfterCut checks that nothing arrives once all links are cut. What was on its way has arrived a second
+// later; a leader that hears nobody makes no plans that count.
+func checkNothingAfterCut(t *testing.T, events []faults.Event) {
+	t.Helper()
+	cut := 0.0
+	for _, event := range events {
+		if event.Kind == faults.KindFault && event.Detail == "cut" {
+			cut = event.At
+			continue
+		}
+		if cut == 0 || event.At <= cut+1 {
+			continue
+		}
+		served := event.Kind == faults.KindAnswer && event.Result == "up"
+		if served || event.Kind == faults.KindPlan || event.Kind == faults.KindLeads {
+			t.Errorf("at %.2f s, with all links cut since %.2f s: %+v", event.At, cut, event)
+		}
+	}
+}
+
+// fleetFiles writes the operator's file of a node that votes in a fleet of its own, and returns its path. policy begins
+// the list of nodes.
+func fleetFiles(t *testing.T, policy, addr, listen string) string {
+	t.Helper()
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		writeFile(t, path, text)
 		return path
 	}
-	nodes := write("nodes.toml", "[[node]]\nname = \"a\"\naddr = \"127.0.0.1:1\"\nzone = \"z\"\nvoter = true\n")
-	op := write("op.toml", strings.NewReplacer("NODES", nodes, "KEY", write("key", strings.Repeat("k", 32)), "DIR", dir).Replace(
-		"[fleet]\nself = \"a\"\nlisten = \"127.0.0.1:0\"\nnodes = \"NODES\"\nkey_file = \"KEY\"\ndir = \"DIR\"\n"))
-	out, err := exec.Command(build(t), "-operator", op).CombinedOutput()
-	if err == nil || !strings.Contains(string(out), "spurwinch-voter is to go on here") || strings.Count(string(out), "\n") != 1 {
-		t.Errorf("%v: %s", err, out)
-	}
+	nodes := write("nodes.toml", policy+
+		fmt.Sprintf("[[node]]\nname = \"a\"\naddr = %q\nzone = \"a\"\nvoter = true\n", addr))
+	key := write("key", strings.Repeat("k", 32))
+	return write("op.toml", fmt.Sprintf("[fleet]\nself = \"a\"\nlisten = %q\nnodes = %q\nkey_file = %q\ndir = %q\n",
+		listen, nodes, key, filepath.Join(dir, "files")))
 }
 
-func writeFile(t testing.TB, path, text string) {
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
+// TestVoterWithoutItsProgram checks that a node that is to vote says so where spurwinch-voter is not beside it.
+func TestVoterWithoutItsProgram(t *testing.T) {
+	operatorFile := fleetFiles(t, "", "127.0.0.1:1", freePort)
+	out, err := exec.Command(build(t), "-operator", operatorFile).CombinedOutput()
+	if err == nil || !strings.Contains(string(out), "spurwinch-voter is to go on here") ||
+		strings.Count(string(out), "\n") != 1 {
+		t.Errorf("%v: %s", err, out)
 	}
 }
--- a/cmd/spurwinch/ready_test.go
+++ b/cmd/spurwinch/ready_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -17,138 +17,202 @@
 	"spurwinch/internal/lab/transcript"
 )
 
-// readyWithin is for the PONG of a process, from its start on.
-const readyWithin = 6 * time.Second
+const (
+	// readyTimeout is for the PONG of a process, from its start on.
+	readyTimeout = 6 * time.Second
+	// slowAnswer is after how long the slow discovery answers.
+	slowAnswer = 20 * time.Second
+)
 
-// poorDiscoveries are ways in which discovery has no list for a process that starts.
-var poorDiscoveries = map[string]func(t *testing.T) (addr string){
-	"refuses connections": func(t *testing.T) string {
-		addr, _ := reserved(t)
-		return addr
-	},
-	"lets no connection come up": func(t *testing.T) string {
-		addr, open := reserved(t)
-		fillQueue(t, open(), addr)
-		return addr
-	},
+// faultyDiscoveries are ways in which discovery has no list for a process that starts.
+var faultyDiscoveries = map[string]func(t *testing.T) (addr string){
+	"refuses connections":        startRefusing,
+	"lets no connection come up": startOverloaded,
 	"says nothing": func(t *testing.T) string {
-		return answering(t, func(c net.Conn) { io.Copy(io.Discard, c) })
+		t.Helper()
+		return startDiscovery(t, answerNothing)
 	},
 	"fails each call": func(t *testing.T) string {
-		return answering(t, func(c net.Conn) { fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n") })
+		t.Helper()
+		return startDiscovery(t, answerUnavailable)
 	},
 	"answers without end": func(t *testing.T) string {
-		return answering(t, func(c net.Conn) {
-			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")
-			for _, err := c.Write([]byte(" ")); err == nil; _, err = c.Write([]byte(" ")) {
-				time.Sleep(5 * time.Millisecond)
-			}
-		})
+		t.Helper()
+		return startDiscovery(t, answerEndlessly)
 	},
 	"answers after 20 s": func(t *testing.T) string {
-		return answering(t, func(c net.Conn) {
-			c.SetReadDeadline(time.Now().Add(20 * time.Second))
-			if _, err := c.Read(make([]byte, 1)); err == io.EOF {
-				return // given up
-			}
-			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 39\r\n\r\n"+`{"version":70,"full":true,"servers":[]}`)
-		})
+		t.Helper()
+		return startDiscovery(t, answerSlowly)
 	},
 }
 
-// answering is a discovery that reads each connection's first call and then does as it is told.
-func answering(t *testing.T, answer func(c net.Conn)) (addr string) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func startRefusing(t *testing.T) string {
+	t.Helper()
+	addr, _ := reserveAddress(t)
+	return addr
+}
+
+func startOverloaded(t *testing.T) string {
+	t.Helper()
+	addr, listen := reserveAddress(t)
+	fillAcceptQueue(t, listen(), addr)
+	return addr
+}
+
+func answerNothing(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) } // until the node closes it
+
+func answerUnavailable(conn net.Conn) {
+	send(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+}
+
+func answerEndlessly(conn net.Conn) {
+	send(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")
+	for {
+		if _, err := conn.Write([]byte(" ")); err != nil {
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+func answerSlowly(conn net.Conn) {
+	setReadTimeout(conn, slowAnswer)
+	if _, err := conn.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
+		return // the node has given up
+	}
+	send(conn, "HTTP/1.1 200 OK\r\nContent-Length: 39\r\n\r\n"+`{"version":70,"full":true,"servers":[]}`)
+}
+
+// startDiscovery starts a discovery that reads each connection's first call and then calls answer.
+func startDiscovery(t *testing.T, answer func(net.Conn)) (addr string) {
+	t.Helper()
+	return serve(t, func(conn net.Conn) {
+		if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+			answer(conn)
+		}
+	})
+}
+
+// serve starts a server on a free port; each connection is closed as its handler returns.
+func serve(t *testing.T, handle func(net.Conn)) (addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", freePort)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	closeAtEnd(t, listener)
 	go func() {
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
 			go func() {
-				defer c.Close()
-				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					answer(c)
-				}
+				defer func() { _ = conn.Close() }() // the node may have closed it
+				handle(conn)
 			}()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// fillQueue has a listener's queue full, so that the system leaves further connections unanswered.
-func fillQueue(t *testing.T, l net.Listener, addr string) {
-	raw, err := l.(*net.TCPListener).SyscallConn()
+// fillAcceptQueue fills a listener's queue, so that the system leaves further connections unanswered.
+func fillAcceptQueue(t *testing.T, listener net.Listener, addr string) {
+	t.Helper()
+	tcpListener, ok := listener.(*net.TCPListener)
+	if !ok {
+		t.Fatalf("listener of %T", listener)
+	}
+	control, err := tcpListener.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), 0) })
-	for err == nil {
-		var c net.Conn
-		if c, err = net.DialTimeout("tcp", addr, 200*time.Millisecond); err == nil {
-			t.Cleanup(func() { c.Close() })
+	var listenErr error
+	err = control.Control(func(fd uintptr) { listenErr = unix.Listen(int(fd), 0) })
+	if err = errors.Join(err, listenErr); err != nil {
+		t.Fatal(err)
+	}
+	for {
+		conn, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
+		if err != nil {
+			return
 		}
+		closeAtEnd(t, conn)
 	}
 }
 
-// TestReadyWithoutDiscovery starts the program where discovery is down, slow or silent: it says that it takes clients in time,
-// however its lists come, and also if it was given no list to begin with.
+// TestReadyWithoutDiscovery starts the program where discovery is down, slow or silent: it says that it accepts clients
+// in time, however its lists come, and also if it was given no list to begin with.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	bin := build(t)
+	program := build(t)
 	host := transcript.Host(t)
-	for name, discovery := range poorDiscoveries {
+	for name, startFaulty := range faultyDiscoveries {
 		for _, membership := range []string{"on_request", "pushed"} {
 			for _, known := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s, %s, list known: %v", name, membership, known), func(t *testing.T) {
 					t.Parallel()
 					list := `{"version":0,"full":true,"servers":[]}`
-					if known {
-						list = listOf(41, []listEntry{{"s-1", host, "SERVING"}})
-					}
-					settings := strings.NewReplacer("REPORTS", "off", "on_request", membership).Replace(transcript.Settings)
-					path := filepath.Join(t.TempDir(), "config.json")
-					config := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"memory_mb":64,"sockets":384},"known":%s,"settings":%s}`,
-						discovery(t), list, settings)
-					if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-						t.Fatal(err)
-					}
-					started := time.Now()
-					run := launch(t, bin, []string{"GW_CONFIG=" + path})
-					if took, err := pong(run.addr, started); err != nil || took > readyWithin {
-						t.Errorf("ready after %v, %v", took, err)
-					} else {
-						t.Logf("ready after %v", took)
-					}
 					want := "BUSY"
 					if known {
+						list = encodeList(t, 41, []listEntry{{"s-1", host, "SERVING"}})
 						want = "UP 1"
 					}
-					if answer, c := ask(run.addr, 1); !strings.HasPrefix(answer, want) {
-						t.Errorf("a request gets %q, %s is wanted", answer, want)
-					} else {
-						c.Close()
-					}
+					path := filepath.Join(t.TempDir(), "config.json")
+					nodeConfig{
+						discovery: startFaulty(t),
+						limits:    `{"memory_mb":64,"sockets":384}`,
+						known:     list,
+						settings:  settings("off", "on_request", membership),
+					}.write(t, path)
+					checkReady(t, program, path, want)
 				})
 			}
 		}
 	}
 }
 
-// pong asks a process whether it is ready, as often as it ends the connection without an answer, and returns when it said so.
-func pong(addr string, started time.Time) (took time.Duration, err error) {
-	for time.Since(started) < 2*readyWithin {
-		var c net.Conn
-		if c, err = net.Dial("tcp", addr); err != nil {
-			return time.Since(started), err
-		}
-		fmt.Fprint(c, "PING\r\n")
-		c.SetReadDeadline(started.Add(2 * readyWithin))
+// checkReady starts the program and checks that it is ready in time, and its answer to a request.
+func checkReady(t *testing.T, program, configPath, want string) {
+	t.Helper()
+	started := time.Now()
+	proc := start(t, program, []string{"GW_CONFIG=" + configPath})
+	took, err := waitForPong(proc.addr, started)
+	if err != nil || took > readyTimeout {
+		t.Errorf("ready after %v, %v", took, err)
+	} else {
+		t.Logf("ready after %v", took)
+	}
+	answer, conn := request(proc.addr, 1)
+	if !strings.HasPrefix(answer, want) {
+		t.Errorf("a request gets %q, want %s", answer, want)
+	}
+	if conn != nil {
+		_ = conn.Close() // its answer is in
+	}
+}
+
+// waitForPong sends PING, again as often as the process ends the connection without an answer, and returns when the
+// PONG came.
+func waitForPong(addr string, started time.Time) (took time.Duration, err error) {
+	for time.Since(started) < 2*readyTimeout {
 		var line string
-		line, err = bufio.NewReader(c).ReadString('\n')
-		c.Close()
-		if line == "PONG\r\n" {
+		line, err = ping(addr, started.Add(2*readyTimeout))
+		var dialErr *net.OpError
+		if errors.As(err, &dialErr) && dialErr.Op == "dial" || line == "PONG\r\n" {
 			break
 		}
 	}
 	return time.Since(started), err
 }
+
+// ping returns the first line that a process answers to PING.
+func ping(addr string, deadline time.Time) (string, error) {
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		return "", err
+	}
+	defer func() { _ = conn.Close() }() // the answer is in
+	send(conn, "PING\r\n")
+	setReadTimeout(conn, time.Until(deadline))
+	return readLine(conn)
+}
--- a/cmd/spurwinch/soak_test.go
+++ b/cmd/spurwinch/soak_test.go
@@ -8,39 +8,62 @@
 	"spurwinch/internal/lab/soak"
 )
 
-// TestSoak plays few processes for a few seconds while troubles cross, drawn by seed: the short form of spurwinchctl lab soak.
+const (
+	soakAttempts  = 4
+	soakTimeout   = 2 * time.Minute
+	firstSoakSeed = 11
+)
+
+// TestSoak plays few processes for a few seconds while faults overlap, drawn by seed: the short form of
+// spurwinchctl lab soak.
 func TestSoak(t *testing.T) {
-	bin := buildAsDeployed(t)
-	for name, c := range map[string]struct {
-		only  []string
-		wants []string // must have been seen
+	program := buildAsDeployed(t)
+	for name, test := range map[string]struct {
+		only []string // faults that may be drawn; nil: all
+		want []string // must have been seen
 	}{
-		"system calls and clocks": {[]string{"calls", "clock", "stop"}, []string{"trouble calls", "trouble clock", "planned stops"}},
-		"everything":              {nil, []string{"requests", "repeats"}},
+		"system calls and clocks": {
+			only: []string{"calls", "clock", "stop"},
+			want: []string{"trouble calls", "trouble clock", "planned stops"},
+		},
+		"everything": {want: []string{"requests", "repeats"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for try := range 4 {
-				ctx, stop := context.WithTimeout(context.Background(), 2*time.Minute)
-				r, err := soak.Run(ctx, soak.Options{Program: bin, Dir: t.TempDir(), Seed: uint64(11 + try), Nodes: 6, Time: 6 * time.Second, Only: c.only})
-				stop()
-				if err != nil {
-					t.Fatal(err)
-				}
-				if !r.Judged {
-					t.Logf("not judged: %s", r.Why)
-					continue
-				}
-				for _, v := range r.Violations {
-					t.Errorf("%.2f s: %s: %s", v.At.Seconds(), v.Promise, v.What)
-				}
-				for _, what := range c.wants {
-					if r.Seen[what] == 0 {
-						t.Errorf("no %s: the run shows nothing of it", what)
-					}
+			report := playSoak(t, program, test.only)
+			for _, violation := range report.Violations {
+				t.Errorf("%.2f s: %s: %s", violation.At.Seconds(), violation.Promise, violation.What)
+			}
+			for _, event := range test.want {
+				if report.Seen[event] == 0 {
+					t.Errorf("no %s: the run shows nothing of it", event)
 				}
-				return
 			}
-			t.Error("not judged: this machine was late in each of four runs")
 		})
 	}
 }
+
+// playSoak plays a run, again by other seeds where this machine was late.
+func playSoak(t *testing.T, program string, only []string) soak.Report {
+	t.Helper()
+	for attempt := range soakAttempts {
+		ctx, stop := context.WithTimeout(context.Background(), soakTimeout)
+		report, err := soak.Run(ctx, soak.Options{
+			Program: program,
+			Dir:     t.TempDir(),
+			Seed:    uint64(firstSoakSeed + attempt),
+			Nodes:   6,
+			Time:    6 * time.Second,
+			Only:    only,
+		})
+		stop()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if report.Judged {
+			return report
+		}
+		t.Logf("not judged: %s", report.Why)
+	}
+	t.Fatal("not judged: this machine was late in each of four runs")
+	return soak.Report{}
+}
--- a/cmd/spurwinch/xmpp_bench_test.go
+++ b/cmd/spurwinch/xmpp_bench_test.go
@@ -6,8 +6,10 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -15,107 +17,174 @@
 	"spurwinch/internal/lab/xmppserver"
 )
 
-// BenchmarkSessions brings XMPP sessions up on the built program, 32 at a time, leaves them idle, breaks and resumes them: sessions a
-// second, memory of an idle one, times of a resumption. SESSIONS=2000 go test -run - -bench Sessions -benchtime 1x ./cmd/spurwinch
+const (
+	defaultSessions  = 500
+	loginsAtOnce     = 32
+	loginTimeout     = 60 * time.Second
+	xmppServers      = 4
+	idleTime         = 2 * time.Second // the garbage collector has run by then
+	certificateValid = 90 * 24 * time.Hour
+)
+
+// connectionSecurity is how clients protect their connections, in the words of the operator's file.
+type connectionSecurity string
+
+const (
+	securityNone     connectionSecurity = "clear"
+	securityStartTLS connectionSecurity = "starttls"
+	securityDirect   connectionSecurity = "direct"
+)
+
+// BenchmarkSessions brings XMPP sessions up on the built program, 32 at a time, leaves them idle, breaks and resumes
+// them: sessions a second, memory of an idle one, times of a resumption.
+// SESSIONS=2000 go test -run - -bench Sessions -benchtime 1x ./cmd/spurwinch
 func BenchmarkSessions(b *testing.B) {
-	n := 500
-	fmt.Sscan(os.Getenv("SESSIONS"), &n)
-	bin := build(b)
-	for _, how := range []string{"clear", "starttls", "direct"} {
-		b.Run(how, func(b *testing.B) {
+	sessions := defaultSessions
+	if text := os.Getenv("SESSIONS"); text != "" {
+		var err error
+		if sessions, err = strconv.Atoi(text); err != nil {
+			b.Fatal("SESSIONS: ", err)
+		}
+	}
+	program := build(b)
+	for _, security := range []connectionSecurity{securityNone, securityStartTLS, securityDirect} {
+		b.Run(string(security), func(b *testing.B) {
+			bench := sessionBenchmark{security: security, sessions: sessions, addr: transcript.FreeAddr(b)}
 			dir := b.TempDir()
-			var text strings.Builder
-			addr := transcript.FreeAddr(b)
-			fmt.Fprintf(&text, "[limits]\nconnections = %d\n[[listener]]\naddr = %q\nprotocol = \"xmpp\"\n", 4*n+100, addr)
-			if how != "clear" {
-				cert, key := transcript.Keys(b, dir, time.Now().Add(time.Hour*24*90), "farm.example")
-				fmt.Fprintf(&text, "tls = %q\n[[certificate]]\ncert = %q\nkey = %q\n", how, cert, key)
-			}
-			text.WriteString("[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n[[cluster]]\nname = \"k\"\nsessions = 100000\n")
-			for i := range 4 {
-				s, err := xmppserver.Listen(fmt.Sprint("h", i))
-				if err != nil {
-					b.Fatal(err)
-				}
-				defer s.Close()
-				fmt.Fprintf(&text, "[[cluster.host]]\naddr = %q\n", s.Addr)
-			}
-			file := filepath.Join(dir, "operator.toml")
-			if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
-				b.Fatal(err)
-			}
-			p := launch(b, bin, []string{"TMPDIR=" + dir}, "-operator", file)
-			all := func(ids []string) (clients []*xmppserver.Client, took []time.Duration, resumed int) {
-				clients, took = make([]*xmppserver.Client, n), make([]time.Duration, n)
-				var wait sync.WaitGroup
-				var mu sync.Mutex
-				gate := make(chan bool, 32)
-				for i := range n {
-					wait.Add(1)
-					gate <- true
-					go func() {
-						defer func() { <-gate; wait.Done() }()
-						id := ""
-						if ids != nil {
-							id = ids[i]
-						}
-						began := time.Now()
-						by := began.Add(60 * time.Second)
-						var c *xmppserver.Client
-						var was bool
-						var err error
-						if how == "clear" {
-							c, was, err = xmppserver.Connect(addr, fmt.Sprint("u", i), id, xmppserver.Plain, by)
-						} else {
-							c, was, err = xmppserver.ConnectTLS(addr, fmt.Sprint("u", i), id, xmppserver.Plain, &tls.Config{InsecureSkipVerify: true}, how == "direct", by)
-						}
-						if err != nil {
-							b.Error(err)
-							return
-						}
-						clients[i], took[i] = c, time.Since(began)
-						mu.Lock()
-						defer mu.Unlock()
-						if was {
-							resumed++
-						}
-					}()
-				}
-				wait.Wait()
-				return clients, took, resumed
-			}
+			operatorFile := filepath.Join(dir, "operator.toml")
+			writeFile(b, operatorFile, bench.operatorFile(b, dir))
+			proc := start(b, program, []string{"TMPDIR=" + dir}, "-operator", operatorFile)
 			for range b.N {
-				_, before := holds(p)
-				began := time.Now()
-				clients, _, _ := all(nil)
-				b.ReportMetric(float64(n)/time.Since(began).Seconds(), "sessions/s")
-				if b.Failed() {
-					return
-				}
-				time.Sleep(2 * time.Second) // idle, and the collector has been there
-				_, after := holds(p)
-				b.ReportMetric(float64(after-before)*1024/float64(n), "KiB/idle")
-				var ids []string
-				for _, c := range clients {
-					ids = append(ids, c.ID)
-					if k, ok := c.Conn.(*tls.Conn); ok {
-						k.NetConn().Close()
-					}
-					c.Conn.Close()
-				}
-				again, took, resumed := all(ids)
-				slices.Sort(took)
-				b.ReportMetric(float64(resumed)/float64(n), "resumed")
-				b.ReportMetric(float64(took[n/2].Microseconds())/1000, "ms-p50")
-				b.ReportMetric(float64(took[n*99/100].Microseconds())/1000, "ms-p99")
-				for _, c := range again {
-					if c != nil {
-						c.Conn.Close()
-					}
-				}
+				bench.run(b, proc)
 			}
-			p.cmd.Process.Kill()
-			<-p.done
+			proc.signal(syscall.SIGKILL)
+			_ = proc.wait() // killed
 		})
 	}
 }
+
+// sessionBenchmark brings sessions up and resumes them.
+type sessionBenchmark struct {
+	security connectionSecurity
+	sessions int
+	addr     string
+}
+
+// operatorFile returns the operator's file of a node with XMPP servers, which it starts.
+func (s *sessionBenchmark) operatorFile(b *testing.B, dir string) string {
+	b.Helper()
+	var text strings.Builder
+	add := func(format string, args ...any) { _, _ = fmt.Fprintf(&text, format, args...) } // a builder has no errors
+	add("[limits]\nconnections = %d\n", 4*s.sessions+100)
+	add("[[listener]]\naddr = %q\nprotocol = \"xmpp\"\n", s.addr)
+	if s.security != securityNone {
+		cert, key := transcript.Keys(b, dir, time.Now().Add(certificateValid), "farm.example")
+		add("tls = %q\n[[certificate]]\ncert = %q\nkey = %q\n", s.security, cert, key)
+	}
+	add("[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n[[cluster]]\nname = \"k\"\nsessions = 100000\n")
+	for i := range xmppServers {
+		server, err := xmppserver.Listen(fmt.Sprint("h", i))
+		if err != nil {
+			b.Fatal(err)
+		}
+		b.Cleanup(server.Close)
+		add("[[cluster.host]]\naddr = %q\n", server.Addr)
+	}
+	return text.String()
+}
+
+func (s *sessionBenchmark) run(b *testing.B, proc *process) {
+	b.Helper()
+	_, memoryBefore := usage(proc)
+	began := time.Now()
+	logins := s.logInAll(b, make([]string, s.sessions))
+	b.ReportMetric(float64(s.sessions)/time.Since(began).Seconds(), "sessions/s")
+	if b.Failed() {
+		return
+	}
+	time.Sleep(idleTime)
+	_, memoryIdle := usage(proc)
+	b.ReportMetric(float64(memoryIdle-memoryBefore)*1024/float64(s.sessions), "KiB/idle")
+	var ids []string
+	for i := range logins {
+		ids = append(ids, logins[i].client.ID)
+		logins[i].breakOff()
+	}
+	resumptions := s.logInAll(b, ids)
+	s.reportResumptions(b, resumptions)
+}
+
+// reportResumptions reports how many sessions were resumed, and how long that took, and closes the connections.
+func (s *sessionBenchmark) reportResumptions(b *testing.B, resumptions []login) {
+	b.Helper()
+	var times []time.Duration
+	resumed := 0
+	for i := range resumptions {
+		resumption := &resumptions[i]
+		times = append(times, resumption.took)
+		if resumption.resumed {
+			resumed++
+		}
+		if resumption.client != nil {
+			_ = resumption.client.Conn.Close() // it has served
+		}
+	}
+	slices.Sort(times)
+	b.ReportMetric(float64(resumed)/float64(s.sessions), "resumed")
+	b.ReportMetric(milliseconds(times[s.sessions/2]), "ms-p50")
+	b.ReportMetric(milliseconds(times[s.sessions*99/100]), "ms-p99")
+}
+
+// login is a session that was brought up; client is nil where that failed.
+type login struct {
+	client  *xmppserver.Client
+	took    time.Duration
+	resumed bool
+}
+
+// breakOff closes the connection without an end of TLS.
+func (l *login) breakOff() {
+	if secure, ok := l.client.Conn.(*tls.Conn); ok {
+		_ = secure.NetConn().Close() // it is meant to break
+	}
+	_ = l.client.Conn.Close() // it is broken already
+}
+
+// logInAll brings a session up for each id, or resumes the one of the id where it isn't empty.
+func (s *sessionBenchmark) logInAll(b *testing.B, ids []string) []login {
+	b.Helper()
+	logins := make([]login, len(ids))
+	slots := make(chan struct{}, loginsAtOnce)
+	var running sync.WaitGroup
+	for i, id := range ids {
+		running.Add(1)
+		slots <- struct{}{}
+		go func() {
+			defer running.Done()
+			defer func() { <-slots }()
+			result, err := s.logIn(fmt.Sprint("u", i), id)
+			if err != nil {
+				b.Error(err)
+				return
+			}
+			logins[i] = result
+		}()
+	}
+	running.Wait()
+	return logins
+}
+
+func (s *sessionBenchmark) logIn(user, id string) (result login, err error) {
+	began := time.Now()
+	deadline := began.Add(loginTimeout)
+	if s.security == securityNone {
+		result.client, result.resumed, err = xmppserver.Connect(s.addr, user, id, xmppserver.Plain, deadline)
+	} else {
+		config := &tls.Config{InsecureSkipVerify: true}
+		direct := s.security == securityDirect
+		result.client, result.resumed, err = xmppserver.ConnectTLS(
+			s.addr, user, id, xmppserver.Plain, config, direct, deadline)
+	}
+	result.took = time.Since(began)
+	return result, err
+}
