--- a/cmd/spurwinch/compat_test.go
+++ b/cmd/spurwinch/compat_test.go
@@ -42,25 +42,25 @@
 	oldVersion := oldProgram(t)
 	surroundings.program = oldVersion
 	running := surroundings.start(t, surroundings.tmp)
-	crowd := &transcript.Crowd{Addr: surroundings.listen}
-	crowd.Run(24)
-	streams := &transcript.Streams{Addr: surroundings.listen, At: "s-1"}
-	streams.Run(t, 10, transcript.Steady)
-	streams.Run(t, 6, transcript.Pieces)
-	streams.Run(t, 4, transcript.Bulk)
+	crowd := &transcript.Clients{Addr: surroundings.listen}
+	crowd.Start(24)
+	streams := &transcript.Streams{Addr: surroundings.listen, Server: "s-1"}
+	streams.Start(t, 10, transcript.OneByOne)
+	streams.Start(t, 6, transcript.ByteByByte)
+	streams.Start(t, 4, transcript.Bulk)
 	for _, next := range []struct{ name, program string }{
 		{"old to new", newVersion},
 		{"new to old", oldVersion},
 		{"old to new again", newVersion},
 	} {
-		servedBefore := crowd.Up.Load()
+		servedBefore := crowd.Established.Load()
 		surroundings.program = next.program
 		successor := surroundings.start(t, surroundings.tmp)
 		running.signal(syscall.SIGTERM)
 		running.waitForExit(t)
 		running = successor
 		time.Sleep(time.Second)
-		if served := crowd.Up.Load(); served == servedBefore {
+		if served := crowd.Established.Load(); served == servedBefore {
 			t.Errorf("%s: no new client was served", next.name)
 		}
 		if status := running.readiness(); status != http.StatusOK {
@@ -70,7 +70,7 @@
 	crowd.Stop()
 	crowd.Check(t, "an upgrade, a downgrade and an upgrade")
 	streams.Stop(t)
-	if moved := crowd.Moved.Load(); moved > 0 {
+	if moved := crowd.Migrated.Load(); moved > 0 {
 		t.Errorf("%d connections were told to move, want 0: they change their process and stay", moved)
 	}
 }
@@ -313,12 +313,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		verdict := faults.Check(history, scenario.Rules())
+		verdict := faults.Check(history, scenario.EffectiveLimits())
 		if !verdict.Judged {
 			t.Logf("seed %d is not judged: %s", seed, verdict.Why)
 			continue
 		}
-		scenario.Exercised(&verdict)
+		scenario.CheckExercised(&verdict)
 		for _, violation := range verdict.Violations {
 			t.Errorf("%s at %.2f s: %s", violation.Rule, violation.At, violation.What)
 		}
--- a/cmd/spurwinch/crowd_test.go
+++ b/cmd/spurwinch/crowd_test.go
@@ -217,7 +217,7 @@
 	checkDiscoveryReturns(t, returnDiscovery(), newServer)
 	requests.checkMany(t, requestsInARow, "after the return", "fresh")
 	stop()
-	transcript.Until(t, "no connection is kept to servers that the whole list doesn't name",
+	transcript.WaitFor(t, "no connection is kept to servers that the whole list doesn't name",
 		func() bool { return openToKnown.Load() == 0 })
 }
 
--- a/cmd/spurwinch/fleet_test.go
+++ b/cmd/spurwinch/fleet_test.go
@@ -168,9 +168,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		verdict := faults.Check(events, scenario.Rules())
+		verdict := faults.Check(events, scenario.EffectiveLimits())
 		if verdict.Judged {
-			scenario.Exercised(&verdict)
+			scenario.CheckExercised(&verdict)
 			return events, verdict
 		}
 		t.Logf("not judged: %s", verdict.Why)
@@ -193,7 +193,7 @@
 			continue
 		}
 		served := event.Kind == faults.KindAnswer && event.Result == "up"
-		if served || event.Kind == faults.KindPlan || event.Kind == faults.KindLeads {
+		if served || event.Kind == faults.KindPlan || event.Kind == faults.KindLeader {
 			t.Errorf("at %.2f s, with all links cut since %.2f s: %+v", event.At, cut, event)
 		}
 	}
--- a/cmd/spurwinch/limits_test.go
+++ b/cmd/spurwinch/limits_test.go
@@ -78,15 +78,15 @@
 // checkUnderLimits checks that usual clients are served, that the node keeps to its limits and that it is ready.
 func checkUnderLimits(t *testing.T, addr string, connections int, running []*process) {
 	t.Helper()
-	clients := &transcript.Crowd{Addr: addr}
+	clients := &transcript.Clients{Addr: addr}
 	for range usualClients {
-		clients.One()
+		clients.Connect()
 	}
-	if clients.AtDoor.Load()+clients.Cut.Load() != 0 {
+	if clients.NotAccepted.Load()+clients.Lost.Load() != 0 {
 		t.Errorf("usual clients: %d lost before they were accepted, %d cut off",
-			clients.AtDoor.Load(), clients.Cut.Load())
+			clients.NotAccepted.Load(), clients.Lost.Load())
 	}
-	if served := clients.Up.Load(); served < minServedClients {
+	if served := clients.Established.Load(); served < minServedClients {
 		t.Errorf("after %d connections %d of 10 usual clients were served", connections, served)
 	}
 	descriptors, memory := usage(running...)
--- a/cmd/spurwinch/process_test.go
+++ b/cmd/spurwinch/process_test.go
@@ -132,14 +132,14 @@
 
 // readiness is the status of the admin server's readiness check; 0: there was no answer.
 func (p *process) readiness() int {
-	status, _ := transcript.Call(p.adminAddr, "/api/ready")
+	status, _ := transcript.AdminRequest(p.adminAddr, "/api/ready")
 	return status
 }
 
 // waitUntilReady waits until the process says that it accepts clients.
 func (p *process) waitUntilReady(tb testing.TB) {
 	tb.Helper()
-	transcript.Until(tb, "the process is ready", func() bool { return p.readiness() == http.StatusOK })
+	transcript.WaitFor(tb, "the process is ready", func() bool { return p.readiness() == http.StatusOK })
 }
 
 // usage is what processes use together: descriptors and resident memory in MB. A process that has ended uses nothing.
--- a/cmd/spurwinch/program_test.go
+++ b/cmd/spurwinch/program_test.go
@@ -29,8 +29,8 @@
 		settings:  settings("off"),
 	}.write(t, path)
 	proc := start(t, program, []string{"GW_CONFIG=" + path})
-	player.Addr = proc.addr
-	player.Do = map[string]func(){"sigterm": func() { proc.signal(syscall.SIGTERM) }}
+	player.Address = proc.addr
+	player.Callbacks = map[string]func(){"sigterm": func() { proc.signal(syscall.SIGTERM) }}
 	player.Play(t, `
 c open
 c > PING
@@ -130,8 +130,8 @@
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	writeFile(t, path, text)
 	proc := start(t, program, nil, "-operator", path)
-	player.Addr = proc.addr
-	player.Do = map[string]func(){"drain": func() {
+	player.Address = proc.addr
+	player.Callbacks = map[string]func(){"drain": func() {
 		text = strings.Replace(text, `id = "visits-2"`, "id = \"visits-2\"\nstate = \"draining\"", 1)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Error(err)
--- a/cmd/spurwinch/ready_test.go
+++ b/cmd/spurwinch/ready_test.go
@@ -145,7 +145,7 @@
 // in time, however its lists come, and also if it was given no list to begin with.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	program := build(t)
-	host := transcript.Host(t)
+	host := transcript.EchoServer(t)
 	for name, startFaulty := range faultyDiscoveries {
 		for _, membership := range []string{"on_request", "pushed"} {
 			for _, known := range []bool{true, false} {
--- a/cmd/spurwinch/reload_test.go
+++ b/cmd/spurwinch/reload_test.go
@@ -78,8 +78,8 @@
 		}
 		proc.signal(syscall.SIGHUP)
 	}
-	player.Addr = proc.addr
-	player.Do = map[string]func(){
+	player.Address = proc.addr
+	player.Callbacks = map[string]func(){
 		"bad":  func() { reload(`{"discovery":`) },
 		"none": func() { reload(`{"name":"n1"}`) },
 		"move": func() { reload(config(nextDiscovery)) },
--- a/cmd/spurwinch/shim_test.go
+++ b/cmd/spurwinch/shim_test.go
@@ -47,7 +47,7 @@
 	}.write(t, configPath)
 	env := append(control.Environment(library), "GW_CONFIG="+configPath)
 	proc := start(t, program, env)
-	player.Addr = proc.addr
+	player.Address = proc.addr
 	return &shimmedProcess{process: proc, Control: control, player: player, configPath: configPath}
 }
 
@@ -55,11 +55,11 @@
 // noticed all the same, and so is the planned stop.
 func TestInterruptedWake(t *testing.T) {
 	proc := startShimmed(t)
-	proc.player.Do = map[string]func(){
+	proc.player.Callbacks = map[string]func(){
 		"interrupt": func() {
 			proc.Fail(shim.Write, 1)
 			proc.signal(syscall.SIGHUP)
-			transcript.Until(t, "a wake is interrupted", func() bool { return proc.Injected(shim.Write) > 0 })
+			transcript.WaitFor(t, "a wake is interrupted", func() bool { return proc.Injected(shim.Write) > 0 })
 			proc.Heal()
 		},
 		"stop": func() { proc.signal(syscall.SIGTERM) },
@@ -104,7 +104,7 @@
 func testShortageAtReload(t *testing.T) {
 	proc := startShimmed(t)
 	next := proc.player.Listen(t, "next")
-	proc.player.Do = map[string]func(){"reload": func() {
+	proc.player.Callbacks = map[string]func(){"reload": func() {
 		text, err := os.ReadFile(proc.configPath)
 		if err != nil {
 			t.Error(err)
@@ -116,7 +116,7 @@
 		}
 		proc.Fail(shim.Open, 1)
 		proc.signal(syscall.SIGHUP)
-		transcript.Until(t, "the file can't be opened", func() bool { return proc.Injected(shim.Open) > 0 })
+		transcript.WaitFor(t, "the file can't be opened", func() bool { return proc.Injected(shim.Open) > 0 })
 		proc.Heal()
 	}}
 	proc.player.Play(t, `d accept d
--- a/cmd/spurwinch/soak_test.go
+++ b/cmd/spurwinch/soak_test.go
@@ -48,12 +48,12 @@
 	for attempt := range soakAttempts {
 		ctx, stop := context.WithTimeout(context.Background(), soakTimeout)
 		report, err := soak.Run(ctx, soak.Options{
-			Program: program,
-			Dir:     t.TempDir(),
-			Seed:    uint64(firstSoakSeed + attempt),
-			Nodes:   6,
-			Time:    6 * time.Second,
-			Only:    only,
+			Program:   program,
+			Dir:       t.TempDir(),
+			Seed:      uint64(firstSoakSeed + attempt),
+			Nodes:     6,
+			FaultTime: 6 * time.Second,
+			Only:      only,
 		})
 		stop()
 		if err != nil {
--- a/cmd/spurwinch/upgrade_test.go
+++ b/cmd/spurwinch/upgrade_test.go
@@ -40,7 +40,7 @@
 		listen:    surroundings.listen,
 		discovery: (&transcript.Player{}).Listen(tb, "d"),
 		limits:    limits,
-		known:     knownServers(41, serverEntry("s-1", transcript.Host(tb))),
+		known:     knownServers(41, serverEntry("s-1", transcript.EchoServer(tb))),
 		settings:  settings("off", `"giveUpS":4`, `"giveUpS":1`, `"messageAimS":[0.06]`, `"messageAimS":[600]`),
 	}.write(tb, surroundings.configPath)
 	return surroundings
@@ -62,20 +62,20 @@
 // lost, repeated or out of place, and each old process ends by itself.
 func TestUpgrades(t *testing.T) {
 	surroundings := newSite(t, usualLimits)
-	clients := &transcript.Crowd{Addr: surroundings.listen}
+	clients := &transcript.Clients{Addr: surroundings.listen}
 	current := surroundings.start(t, surroundings.tmp)
-	clients.Run(24)
-	streams := &transcript.Streams{Addr: surroundings.listen, At: "s-1"}
-	streams.Run(t, 10, transcript.Steady)
-	streams.Run(t, 6, transcript.Pieces)
-	streams.Run(t, 4, transcript.Bulk)
+	clients.Start(24)
+	streams := &transcript.Streams{Addr: surroundings.listen, Server: "s-1"}
+	streams.Start(t, 10, transcript.OneByOne)
+	streams.Start(t, 6, transcript.ByteByByte)
+	streams.Start(t, 4, transcript.Bulk)
 	var replaced []*process
 	for range upgradeCount {
 		next := surroundings.start(t, surroundings.tmp)
 		current.signal(syscall.SIGHUP) // the file is as it was: both reload it
 		next.signal(syscall.SIGHUP)
 		current.signal(syscall.SIGTERM)
-		transcript.Until(t, "the replaced process says that it accepts nobody",
+		transcript.WaitFor(t, "the replaced process says that it accepts nobody",
 			func() bool { return current.readiness() != http.StatusOK })
 		replaced = append(replaced, current)
 		current = next
@@ -87,10 +87,10 @@
 	clients.Stop()
 	clients.Check(t, "20 upgrades")
 	streams.Stop(t)
-	if moved := clients.Moved.Load(); moved > 0 {
+	if moved := clients.Migrated.Load(); moved > 0 {
 		t.Errorf("%d connections were told to move: they change their process and stay", moved)
 	}
-	_, figures := transcript.Call(current.adminAddr, "/api/telemetry")
+	_, figures := transcript.AdminRequest(current.adminAddr, "/api/telemetry")
 	if !strings.Contains(figures, "gw.reloads_ok:1|c") || !strings.Contains(figures, "gw.reloads_failed:0|c") {
 		t.Errorf("reloads beside another process: %s", figures)
 	}
@@ -141,8 +141,8 @@
 	t.Helper()
 	const clientCount = 12
 	old := surroundings.start(t, surroundings.tmp)
-	clients := &transcript.Crowd{Addr: surroundings.listen}
-	clients.Run(clientCount)
+	clients := &transcript.Clients{Addr: surroundings.listen}
+	clients.Start(clientCount)
 	time.Sleep(100 * time.Millisecond)
 	if u.prepare != nil {
 		u.prepare(t, old)
@@ -159,10 +159,11 @@
 	nextKilled := stays == old
 	if !nextKilled {
 		clients.Check(t, u.name)
-	} else if clients.AtDoor.Load()+clients.Cut.Load() > clientCount || clients.Up.Load() <= clientCount {
+	} else if lost := clients.NotAccepted.Load() + clients.Lost.Load(); lost > clientCount ||
+		clients.Established.Load() <= clientCount {
 		// The connections of the killed one end with it, one a client at most; all others are the old one's.
 		t.Errorf("%d lost before they were accepted, %d cut off, of %d that stood",
-			clients.AtDoor.Load(), clients.Cut.Load(), clients.Up.Load())
+			clients.NotAccepted.Load(), clients.Lost.Load(), clients.Established.Load())
 	}
 	stays.signal(syscall.SIGKILL)
 	old.signal(syscall.SIGKILL)
@@ -176,17 +177,17 @@
 	const clientCount = 12
 	old := surroundings.start(t, surroundings.tmp)
 	next := surroundings.start(t, surroundings.tmp)
-	clients := &transcript.Crowd{Addr: surroundings.listen}
-	clients.Run(clientCount)
+	clients := &transcript.Clients{Addr: surroundings.listen}
+	clients.Start(clientCount)
 	time.Sleep(300 * time.Millisecond)
 	old.signal(syscall.SIGKILL)
 	_ = old.wait() // killed
 	clients.Stop()
-	if clients.AtDoor.Load()+clients.Cut.Load() > clientCount {
-		t.Errorf("%d lost before they were accepted, %d cut off", clients.AtDoor.Load(), clients.Cut.Load())
+	if clients.NotAccepted.Load()+clients.Lost.Load() > clientCount {
+		t.Errorf("%d lost before they were accepted, %d cut off", clients.NotAccepted.Load(), clients.Lost.Load())
 	}
-	laterClients := &transcript.Crowd{Addr: surroundings.listen}
-	laterClients.Run(clientCount)
+	laterClients := &transcript.Clients{Addr: surroundings.listen}
+	laterClients.Start(clientCount)
 	time.Sleep(300 * time.Millisecond)
 	laterClients.Stop()
 	laterClients.Check(t, "after the old one was killed")
@@ -199,8 +200,8 @@
 	for range b.N {
 		surroundings := newSite(b, `{"cores":1,"memory_mb":128,"sockets":1024}`)
 		current := surroundings.start(b, surroundings.tmp)
-		streams := &transcript.Streams{Addr: surroundings.listen, At: "s-1"}
-		streams.Run(b, 300, transcript.Steady)
+		streams := &transcript.Streams{Addr: surroundings.listen, Server: "s-1"}
+		streams.Start(b, 300, transcript.OneByOne)
 		for range upgradeCount {
 			next := surroundings.start(b, surroundings.tmp)
 			began := time.Now()
@@ -241,12 +242,12 @@
 		return isServed(surroundings.listen, requests)
 	}
 	first := startNext()
-	transcript.Until(t, "a client is served by the first process", served)
+	transcript.WaitFor(t, "a client is served by the first process", served)
 	second := startNext()
 	first.signal(syscall.SIGTERM)
 	began := time.Now()
 	_ = first.wait() // what is served after it counts
-	transcript.Until(t, "a client is served by the second process", served)
+	transcript.WaitFor(t, "a client is served by the second process", served)
 	t.Logf("served again %v after the first was told to leave", time.Since(began).Round(10*time.Millisecond))
 	if second.readiness() != http.StatusOK {
 		t.Error("the second process is not ready")
--- a/cmd/spurwinch/xmpp_bench_test.go
+++ b/cmd/spurwinch/xmpp_bench_test.go
@@ -78,7 +78,7 @@
 	add("[limits]\nconnections = %d\n", 4*s.sessions+100)
 	add("[[listener]]\naddr = %q\nprotocol = \"xmpp\"\n", s.addr)
 	if s.security != securityNone {
-		cert, key := transcript.Keys(b, dir, time.Now().Add(certificateValid), "farm.example")
+		cert, key := transcript.WriteCertificate(b, dir, time.Now().Add(certificateValid), "farm.example")
 		add("tls = %q\n[[certificate]]\ncert = %q\nkey = %q\n", s.security, cert, key)
 	}
 	add("[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n[[cluster]]\nname = \"k\"\nsessions = 100000\n")
@@ -178,12 +178,12 @@
 	began := time.Now()
 	deadline := began.Add(loginTimeout)
 	if s.security == securityNone {
-		result.client, result.resumed, err = xmppserver.Connect(s.addr, user, id, xmppserver.Plain, deadline)
+		result.client, result.resumed, err = xmppserver.Connect(s.addr, user, id, xmppserver.LoginPlain, deadline)
 	} else {
 		config := &tls.Config{InsecureSkipVerify: true}
 		direct := s.security == securityDirect
 		result.client, result.resumed, err = xmppserver.ConnectTLS(
-			s.addr, user, id, xmppserver.Plain, config, direct, deadline)
+			s.addr, user, id, xmppserver.LoginPlain, config, direct, deadline)
 	}
 	result.took = time.Since(began)
 	return result, err
--- a/cmd/spurwinchctl/capture.go
+++ b/cmd/spurwinchctl/capture.go
@@ -111,7 +111,7 @@
 type drawOptions struct {
 	fleetPath string
 	outPrefix string
-	drawn     workload.Drawn
+	drawn     workload.GeneratorOptions
 }
 
 // captureDrawCommand makes a capture where there is none yet: the first plan is made from what a fleet file says of
@@ -129,8 +129,8 @@
 	flags := command.Flags()
 	flags.StringVar(&options.fleetPath, "fleet", "", "the `FLEET` file")
 	flags.StringVar(&options.outPrefix, "out", "drawn", "what the capture's file begins with")
-	flags.Float64Var(&options.drawn.Standing, "standing", 0, "sessions that want a connection, in the mean")
-	flags.Float64Var(&options.drawn.Swing, "swing", 0, "the rate climbs from 1-swing to 1+swing times its mean")
+	flags.Float64Var(&options.drawn.Concurrency, "standing", 0, "sessions that want a connection, in the mean")
+	flags.Float64Var(&options.drawn.RateVariation, "swing", 0, "the rate climbs from 1-swing to 1+swing times its mean")
 	flags.DurationVar(&options.drawn.Length, "length", time.Minute, "of the load")
 	flags.Uint64Var(&options.drawn.Seed, "seed", 1, "of all chance")
 	requireFlags(command, "fleet", "standing")
@@ -140,10 +140,10 @@
 // validate checks the bounds of the flags. Each condition is written so that NaN is rejected.
 func (o *drawOptions) validate() error {
 	switch {
-	case !(o.drawn.Standing >= 0 && o.drawn.Standing <= maxDrawnStanding):
-		return fmt.Errorf("--standing %v: 0 to 1000000 are wanted", o.drawn.Standing)
-	case !(o.drawn.Swing >= 0 && o.drawn.Swing <= 1):
-		return fmt.Errorf("--swing %v: 0 to 1 is wanted", o.drawn.Swing)
+	case !(o.drawn.Concurrency >= 0 && o.drawn.Concurrency <= maxDrawnStanding):
+		return fmt.Errorf("--standing %v: 0 to 1000000 are wanted", o.drawn.Concurrency)
+	case !(o.drawn.RateVariation >= 0 && o.drawn.RateVariation <= 1):
+		return fmt.Errorf("--swing %v: 0 to 1 is wanted", o.drawn.RateVariation)
 	case o.drawn.Length < minDrawnLength || o.drawn.Length > maxDrawnLength:
 		return fmt.Errorf("--length %v: 1s to 24h are wanted", o.drawn.Length)
 	}
@@ -158,13 +158,13 @@
 	if err != nil {
 		return err
 	}
-	load := workload.Draw(planned, o.drawn)
+	load := workload.Generate(planned, o.drawn)
 	names, err := load.Write(planned, o.outPrefix)
 	if err != nil {
 		return err
 	}
 	printf(out, "%s\n", strings.Join(names, "\n"))
 	printf(out, "%d sessions in %v, %.0f standing, %.1f cores asked in the mean, without groups\n",
-		len(load.Sessions), o.drawn.Length, load.Standing(), load.Cores(planned))
+		len(load.Sessions), o.drawn.Length, load.MeanConcurrency(), load.MeanCores(planned))
 	return nil
 }
--- a/cmd/spurwinchctl/capture_summary.go
+++ b/cmd/spurwinchctl/capture_summary.go
@@ -17,10 +17,10 @@
 	printLine(table, "  class\trequests/s\tlife mean\tmedian\t99%\tload mean\trefused")
 	printCategories(table, summary.Classes)
 	printLine(table, "  edition\t\t\t\t\t\t")
-	printCategories(table, summary.Editions)
+	printCategories(table, summary.Tenants)
 	printLine(table, "  host\tkind\tzone\treports\tload mean\tpeak\t")
-	for _, id := range slices.Sorted(maps.Keys(summary.Hosts)) {
-		host := summary.Hosts[id]
+	for _, id := range slices.Sorted(maps.Keys(summary.Servers)) {
+		host := summary.Servers[id]
 		printf(table, "  %s\t%s\t%s\t%d\t%.2f\t%.2f\t\n", id, host.Kind, host.Zone, host.Reports, host.Load, host.Peak)
 	}
 	flushTable(table)
@@ -35,14 +35,14 @@
 		summary.Requests, summary.Clients,
 		answers["up"], answers["served"], answers["refused"], answers["failed"], answers["left"])
 	printf(out, "Answers took %.1f ms in the median, %.1f ms at the 99th percentile; %.2f attempts each\n",
-		summary.Answer50ms, summary.Answer99ms, summary.Attempts)
+		summary.AnswerMedianMS, summary.Answer99MS, summary.AttemptsMean)
 	ends := summary.Ends
 	printf(out, "Ends of connections: %d by clients, %d by hosts, %d moved, %d stood at the end\n",
 		ends["client"], ends["host"], ends["moved"], ends["none"])
 	printf(out, "Groups: %d, of %.1f requests in the mean, %d in the largest\n",
-		summary.Groups, summary.GroupMean, summary.GroupMost)
+		summary.Groups, summary.GroupMean, summary.LargestGroup)
 	printf(out, "Peak: %.1f requests a second over the 10 s from %.0f s on; most standing %d at %.0f s\n\n",
-		summary.PeakRate, summary.PeakAtS, summary.StandingMost, summary.StandingAtS)
+		summary.PeakRate, summary.PeakAtS, summary.PeakConcurrency, summary.PeakConcurrencyAtS)
 }
 
 // loadText prints the mean load of a class, or that no host reported it.
@@ -58,7 +58,7 @@
 	for i := range categories {
 		category := &categories[i]
 		printf(table, "  %s\t%.2f\t%.1f s\t%.1f s\t%.1f s\t%s\t%.1f%%\n",
-			category.Name, category.Rate, category.LifeMeanS, category.Life50S, category.Life99S,
-			loadText(category.Load), 100*category.Refused)
+			category.Name, category.Rate, category.LifetimeMeanS, category.LifetimeMedianS, category.Lifetime99S,
+			loadText(category.Load), 100*category.RejectedFraction)
 	}
 }
--- a/cmd/spurwinchctl/lab_explore.go
+++ b/cmd/spurwinchctl/lab_explore.go
@@ -64,12 +64,13 @@
 	flags.IntVar(&e.options.Nodes, "nodes", 300, "nodes")
 	flags.IntVar(&e.options.Zones, "zones", 9, "zones")
 	flags.IntVar(&e.options.Regions, "regions", 3, "regions")
-	flags.IntVar(&e.options.Hosts, "hosts", 4, "hosts in each zone")
-	flags.IntVar(&e.options.Bears, "bears", 0, "connections that a host bears; 0: by the number of nodes")
-	flags.Float64Var(&e.options.Use, "use", 0.45, "part of what all hosts bear that clients ask for")
+	flags.IntVar(&e.options.ServersPerZone, "hosts", 4, "hosts in each zone")
+	flags.IntVar(&e.options.ConnectionsPerServer, "bears", 0,
+		"connections that a host bears; 0: by the number of nodes")
+	flags.Float64Var(&e.options.Utilization, "use", 0.45, "part of what all hosts bear that clients ask for")
 	flags.Float64Var(&e.options.Loss, "loss", 0.01, "part of the messages that are lost")
 	flags.DurationVar(&e.options.Length, "length", 0, "of a schedule, simulated")
-	flags.StringVar(&e.options.Faults, "faults", "", "a scenario's name; drawn: by seed")
+	flags.StringVar(&e.options.Scenario, "faults", "", "a scenario's name; drawn: by seed")
 	flags.StringVar(&e.options.Mutation, "mutation", "", "break the program in this way")
 	flags.StringVar(&e.policy, "policy", string(simulation.CommonPlan), "common, each or static")
 	flags.BoolVar(&e.asJSON, "json", false, "the result as JSON")
@@ -84,8 +85,8 @@
 	if err != nil {
 		return err
 	}
-	e.options.Faults = scenarioName(subject, e.options.Faults)
-	if _, err := simulation.Find(e.options.Faults); err != nil {
+	e.options.Scenario = scenarioName(subject, e.options.Scenario)
+	if _, err := simulation.Find(e.options.Scenario); err != nil {
 		return err
 	}
 	e.options.Policy = simulation.Policy(e.policy)
@@ -140,7 +141,7 @@
 		}
 		result := scheduleResult{
 			Seed:       seed,
-			Scenario:   options.Faults,
+			Scenario:   options.Scenario,
 			Violations: verdict.Violations,
 			Seen:       verdict.Seen,
 			Figures:    verdict.Figures,
--- a/cmd/spurwinchctl/lab_explore_summary.go
+++ b/cmd/spurwinchctl/lab_explore_summary.go
@@ -62,7 +62,7 @@
 func (s *exploreSummary) addExtremes(result *scheduleResult) {
 	figures := &result.Figures
 	s.Worst = min(s.Worst, figures.Worst)
-	s.Peak = max(s.Peak, figures.PeakOfRoom)
+	s.Peak = max(s.Peak, figures.PeakUtilization)
 	s.ChangeMost = max(s.ChangeMost, figures.ChangeMost)
 	s.OldPolicy = max(s.OldPolicy, figures.OldPolicy)
 }
--- a/cmd/spurwinchctl/lab_explore_workers.go
+++ b/cmd/spurwinchctl/lab_explore_workers.go
@@ -94,12 +94,12 @@
 		"--nodes", strconv.Itoa(options.Nodes),
 		"--zones", strconv.Itoa(options.Zones),
 		"--regions", strconv.Itoa(options.Regions),
-		"--hosts", strconv.Itoa(options.Hosts),
-		"--bears", strconv.Itoa(options.Bears),
-		"--use", fmt.Sprint(options.Use),
+		"--hosts", strconv.Itoa(options.ServersPerZone),
+		"--bears", strconv.Itoa(options.ConnectionsPerServer),
+		"--use", fmt.Sprint(options.Utilization),
 		"--loss", fmt.Sprint(options.Loss),
 		"--length", options.Length.String(),
-		"--faults", options.Faults,
+		"--faults", options.Scenario,
 		"--policy", string(options.Policy),
 		"--mutation", options.Mutation)
 	command.Stderr = os.Stderr
--- a/cmd/spurwinchctl/lab_faults.go
+++ b/cmd/spurwinchctl/lab_faults.go
@@ -40,7 +40,7 @@
 	flags := command.Flags()
 	flags.Uint64Var(&settings.options.Seed, "seed", 1, "for clients and drawn faults")
 	flags.IntVar(&settings.options.Nodes, "nodes", 0, "processes; 0: as the scenario says")
-	flags.BoolVar(&settings.options.Alone, "alone", false, "each node for itself, as without [fleet]")
+	flags.BoolVar(&settings.options.Standalone, "alone", false, "each node for itself, as without [fleet]")
 	flags.BoolVar(&settings.asJSON, "json", false, "the verdict as JSON")
 	flags.BoolVar(&settings.keep, "keep", false, "keep the nodes' files and logs")
 	flags.StringVar(&settings.historyPath, "history", "", "write the history to `FILE`")
@@ -64,7 +64,7 @@
 				if err != nil {
 					return err
 				}
-				printf(command.OutOrStdout(), "%-18s %s\n", scenario.Name, scenario.What)
+				printf(command.OutOrStdout(), "%-18s %s\n", scenario.Name, scenario.Description)
 			}
 			return nil
 		},
@@ -82,7 +82,7 @@
 			if err != nil {
 				return err
 			}
-			verdict := faults.Check(events, faults.UsualLimits)
+			verdict := faults.Check(events, faults.DefaultLimits)
 			return reportVerdict(command.OutOrStdout(), filepath.Base(args[0]), faults.Options{}, verdict, asJSON)
 		},
 	}
@@ -110,9 +110,9 @@
 	if !r.keep {
 		_ = os.RemoveAll(r.options.Dir) // what is left of a temporary directory doesn't change the verdict
 	}
-	verdict := faults.Check(events, scenario.Rules())
-	if !r.options.Alone {
-		scenario.Exercised(&verdict)
+	verdict := faults.Check(events, scenario.EffectiveLimits())
+	if !r.options.Standalone {
+		scenario.CheckExercised(&verdict)
 	}
 	return reportVerdict(out, scenario.Name, r.options, verdict, r.asJSON)
 }
@@ -196,7 +196,7 @@
 		name, figures.Requests, 100*figures.Served, 100*figures.Worst, 100*figures.Crossed, 100*figures.Regions)
 	printf(out, "plans %d, from the first node to the others p50 %.3f s, p99 %.3f s; "+
 		"fullest zone %.0f%%; zones turned back %d times\n",
-		verdict.Seen["plans"], figures.SpreadHalf, figures.Spread, 100*figures.PeakOfRoom, figures.Reversals)
+		verdict.Seen["plans"], figures.SpreadHalf, figures.Spread, 100*figures.PeakUtilization, figures.Reversals)
 	if verdict.Seen["policies"] > 0 {
 		printf(out, "policies %d, given up %d, from a command to the last node p50 %.2f s, p99 %.2f s, "+
 			"longest %.2f s; the old one in use for %.2f s at most\n",
--- a/cmd/spurwinchctl/lab_soak.go
+++ b/cmd/spurwinchctl/lab_soak.go
@@ -37,7 +37,7 @@
 			"draws overlapping troubles by seed (signals, failing\n" +
 			"system calls, stepped clocks, misbehaving hosts, clients and discovery), " +
 			"and holds all that was seen to docs/promises.md.\n" +
-			"Needs a C compiler. Troubles: " + strings.Join(soak.Troubles(), ", ") + ".\n" +
+			"Needs a C compiler. Troubles: " + strings.Join(soak.FaultKinds(), ", ") + ".\n" +
 			"Status 0: no promise broken; 1: one is, or a run was not judged since this machine itself was late; " +
 			"2: it can't be played.",
 		Args: cobra.NoArgs,
@@ -48,7 +48,7 @@
 	flags := command.Flags()
 	flags.StringVar(&settings.seeds, "seeds", "1..1", "`A..B`, played one after another")
 	flags.IntVar(&settings.options.Nodes, "nodes", 24, "nodes, each a process")
-	flags.DurationVar(&settings.options.Time, "time", 20*time.Second, "for which troubles are drawn")
+	flags.DurationVar(&settings.options.FaultTime, "time", 20*time.Second, "for which troubles are drawn")
 	flags.Float64Var(&settings.options.Rate, "rate", 0,
 		"requests a second of the whole fleet; 0: what its hosts bear well")
 	flags.StringSliceVar(&settings.options.Only, "only", nil, "troubles that may be drawn; without it all")
@@ -60,12 +60,12 @@
 
 func (r *soakRun) validate() error {
 	for _, name := range r.options.Only {
-		if !slices.Contains(soak.Troubles(), name) {
-			return fmt.Errorf("--only %s: no such trouble: one of %s", name, strings.Join(soak.Troubles(), ", "))
+		if !slices.Contains(soak.FaultKinds(), name) {
+			return fmt.Errorf("--only %s: no such trouble: one of %s", name, strings.Join(soak.FaultKinds(), ", "))
 		}
 	}
-	if r.options.Nodes < minSoakNodes || r.options.Nodes > soak.MostNodes {
-		return fmt.Errorf("--nodes %d: 2 to %d are played", r.options.Nodes, soak.MostNodes)
+	if r.options.Nodes < minSoakNodes || r.options.Nodes > soak.MaxNodes {
+		return fmt.Errorf("--nodes %d: 2 to %d are played", r.options.Nodes, soak.MaxNodes)
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 func printSoakReport(out io.Writer, report *soak.Report) {
 	printf(out, "seed %d, %d nodes: %d requests, %d served, %d violations\n",
 		report.Seed, report.Nodes, report.Seen["requests"], report.Seen["answer UP"], len(report.Violations))
-	for _, trouble := range report.Troubles {
+	for _, trouble := range report.Faults {
 		printf(out, "  %s\n", trouble)
 	}
 	for _, event := range slices.Sorted(maps.Keys(report.Seen)) {
--- a/cmd/spurwinchctl/main_test.go
+++ b/cmd/spurwinchctl/main_test.go
@@ -40,7 +40,7 @@
 func TestCaptureToPlans(t *testing.T) {
 	dir := t.TempDir()
 	files := planFiles{fleet: filepath.Join(dir, "fleet.toml"), captures: filepath.Join(dir, "load*")}
-	if err := os.WriteFile(files.fleet, deploy.FleetEvening, 0o600); err != nil {
+	if err := os.WriteFile(files.fleet, deploy.ExampleFleet, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := execute(t, "capture", "draw", "--fleet", files.fleet, "--standing", "40", "--length", "20s",
@@ -118,7 +118,7 @@
 // checkStatuses checks the exit statuses: 1 where the answer is no, 2 where the question is bad.
 func checkStatuses(t *testing.T, files planFiles, noFiles string) {
 	t.Helper()
-	slow := strings.Replace(string(deploy.FleetEvening), "rate = 40 ", "rate = 0.01 ", 1)
+	slow := strings.Replace(string(deploy.ExampleFleet), "rate = 40 ", "rate = 0.01 ", 1)
 	if err := os.WriteFile(files.fleet, []byte(slow), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/spurwinchctl/plan.go
+++ b/cmd/spurwinchctl/plan.go
@@ -126,15 +126,15 @@
 }
 
 func (p *planInput) options() planner.Options {
-	return planner.Options{Seed: p.seed, AllCold: p.allCold}
+	return planner.Options{Seed: p.seed, AllWarmingUp: p.allCold}
 }
 
 // describe prints the load and the fleet that a plan is for.
 func (p *planInput) describe(out io.Writer) {
 	printf(out, "Load   %d sessions in %.0f s, %.0f standing, %.1f cores asked in the mean, without groups\n",
-		len(p.load.Sessions), p.load.Length.Seconds(), p.load.Standing(), p.load.Cores(p.fleet))
+		len(p.load.Sessions), p.load.Length.Seconds(), p.load.MeanConcurrency(), p.load.MeanCores(p.fleet))
 	printf(out, "Fleet  %s: %d servers, %.1f cores of the yardstick, %d centres\n",
-		p.fleet.General.Name, p.fleet.Count(), p.fleet.Cores(), len(p.fleet.Centres))
+		p.fleet.General.Name, p.fleet.ServerCount(), p.fleet.Cores(), len(p.fleet.Zones))
 }
 
 // figureText prints the mean of a figure, its 95% interval and the standard deviation of one replication.
--- a/cmd/spurwinchctl/plan_cost.go
+++ b/cmd/spurwinchctl/plan_cost.go
@@ -105,23 +105,28 @@
 func (b *costBenchmark) measure(base *fleet.Fleet, servers int) (costMeasurement, error) {
 	resized := base.Resize(servers)
 	if resized.Store.Rate > 0 {
-		resized.Store.Rate *= float64(servers) / float64(base.Count())
+		resized.Store.Rate *= float64(servers) / float64(base.ServerCount())
 	}
 	standing := b.fill * resized.Cores() / (resized.MeanLoad() * resized.CoreLoad())
-	for i := range resized.Nodes {
-		node := &resized.Nodes[i]
-		node.Sockets = max(node.Sockets, int(standing))
+	for i := range resized.NodePools {
+		node := &resized.NodePools[i]
+		node.Descriptors = max(node.Descriptors, int(standing))
 	}
-	load := workload.Draw(resized, workload.Drawn{Seed: b.seed, Length: b.length, Standing: standing, Stand: true})
+	load := workload.Generate(resized, workload.GeneratorOptions{
+		Seed:        b.seed,
+		Length:      b.length,
+		Concurrency: standing,
+		StartOpen:   true,
+	})
 	runtime.GC()
 	start := time.Now()
-	run, err := planner.Play(resized, load, planner.Options{Seed: b.seed})
+	run, err := planner.Simulate(resized, load, planner.Options{Seed: b.seed})
 	if err != nil {
 		return costMeasurement{}, err
 	}
 	return costMeasurement{
 		Servers:  servers,
-		Standing: load.Standing(),
+		Standing: load.MeanConcurrency(),
 		Sessions: len(load.Sessions),
 		WallS:    time.Since(start).Seconds(),
 		Service:  run.Service,
--- a/cmd/spurwinchctl/plan_forecast.go
+++ b/cmd/spurwinchctl/plan_forecast.go
@@ -46,7 +46,7 @@
 	if p.asJSON {
 		return writeJSON(out, struct {
 			planner.Forecast
-			First planner.Broken `json:"first_to_break"`
+			First planner.Breakpoint `json:"first_to_break"`
 		}{forecast, withoutInfinity(first)})
 	}
 	p.describe(out)
@@ -57,14 +57,14 @@
 }
 
 // compute looks for what breaks first beside the replications: on a large load those leave a core free.
-func (p *forecastPlan) compute(progress *progress) (planner.Forecast, planner.Broken, error) {
+func (p *forecastPlan) compute(progress *progress) (planner.Forecast, planner.Breakpoint, error) {
 	type result struct {
-		first planner.Broken
+		first planner.Breakpoint
 		err   error
 	}
 	results := make(chan result, 1)
 	go func() {
-		first, err := planner.FirstToBreak(p.fleet, p.load, p.options(), func(multiple float64) {
+		first, err := planner.FindBreakpoint(p.fleet, p.load, p.options(), func(multiple float64) {
 			progress.show("what breaks first: %.2f times the load", multiple)
 		})
 		results <- result{first, err}
@@ -83,33 +83,33 @@
 		p.replications)
 	table := newReportTable(out)
 	printf(table, "  in all\t%s\n", figureText(forecast.Service))
-	printf(table, "  worst 10 s\t%s\tfrom %.0f s on\n", figureText(forecast.Worst), forecast.WorstAt)
+	printf(table, "  worst 10 s\t%s\tfrom %.0f s on\n", figureText(forecast.WorstWindow), forecast.WorstWindowAtS)
 	for i := range p.fleet.Classes {
 		name := p.fleet.Classes[i].Name
 		printf(table, "  class %s\t%s\n", name, figureText(forecast.Classes[name]))
 	}
-	for i := range p.fleet.Editions {
-		name := p.fleet.Editions[i].Name
-		printf(table, "  edition %s\t%s\n", name, figureText(forecast.Editions[name]))
+	for i := range p.fleet.Tenants {
+		name := p.fleet.Tenants[i].Name
+		printf(table, "  edition %s\t%s\n", name, figureText(forecast.Tenants[name]))
 	}
 	flushTable(table)
 }
 
 func printBounds(out io.Writer, forecast *planner.Forecast) {
 	printf(out, "\nNo placement can serve more than %.1f%%\n", 100*forecast.Bound.Service)
-	for _, reason := range forecast.Bound.Cannot {
+	for _, reason := range forecast.Bound.Infeasible {
 		printf(out, "  can't work: %s\n", reason)
 	}
 }
 
-func printFirstToBreak(out io.Writer, first planner.Broken) {
+func printFirstToBreak(out io.Writer, first planner.Breakpoint) {
 	printLine(out, "\nFirst to break")
 	if first.None {
-		printf(out, "  nothing, up to %.0f times the load\n", first.Multiple)
+		printf(out, "  nothing, up to %.0f times the load\n", first.LoadFactor)
 		return
 	}
 	printf(out, "  %s, at %.2f times the load, %.1f s in, at %s; service is then %.1f%%\n",
-		first.Limit, first.Multiple, first.AtS, first.Where, 100*first.Service)
+		first.Limit, first.LoadFactor, first.AtS, first.Where, 100*first.Service)
 }
 
 func printLimits(out io.Writer, forecast *planner.Forecast) error {
@@ -124,9 +124,9 @@
 }
 
 // withoutInfinity replaces the infinite multiple, which JSON can't express, by -1.
-func withoutInfinity(first planner.Broken) planner.Broken {
-	if math.IsInf(first.Multiple, 0) {
-		first.Multiple = -1
+func withoutInfinity(first planner.Breakpoint) planner.Breakpoint {
+	if math.IsInf(first.LoadFactor, 0) {
+		first.LoadFactor = -1
 	}
 	return first
 }
--- a/cmd/spurwinchctl/plan_lose.go
+++ b/cmd/spurwinchctl/plan_lose.go
@@ -36,9 +36,9 @@
 
 // resolve checks the flags against the files that were read, and sets the default of --at.
 func (p *lossPlan) resolve() error {
-	if p.fleet.Centre(p.centre) < 0 {
+	if p.fleet.ZoneIndex(p.centre) < 0 {
 		var names []string
-		for _, centre := range p.fleet.Centres {
+		for _, centre := range p.fleet.Zones {
 			names = append(names, centre.Name)
 		}
 		return fmt.Errorf("--centre %q: the fleet file has %s", p.centre, strings.Join(names, ", "))
@@ -60,16 +60,16 @@
 		return err
 	}
 	options := p.options()
-	options.Lose = p.centre
-	options.LoseAt = p.at
+	options.LostZone = p.centre
+	options.LossTime = p.at
 	progress := newProgress(command)
-	loss, err := planner.Lose(p.fleet, p.load, options, p.replications, progress.show)
+	loss, err := planner.SimulateZoneLoss(p.fleet, p.load, options, p.replications, progress.show)
 	if err != nil {
 		return err
 	}
 	progress.done()
 	if p.plotPath != "" {
-		if err := plotLoss(p.plotPath, "Service as "+p.centre+" is lost", loss.Series, p.at); err != nil {
+		if err := plotLoss(p.plotPath, "Service as "+p.centre+" is lost", loss.ServiceBySecond, p.at); err != nil {
 			return err
 		}
 	}
@@ -84,21 +84,21 @@
 	p.describe(out)
 	atSeconds := p.at.Seconds()
 	printf(out, "\n%s is lost %.0f s in: %d of %d servers, %d of %d nodes\n",
-		p.centre, atSeconds, loss.ServersLost, p.fleet.Count(), loss.NodesLost, loss.Nodes)
+		p.centre, atSeconds, loss.ServersLost, p.fleet.ServerCount(), loss.NodesLost, loss.Nodes)
 	table := newReportTable(out)
 	printf(table, "  \tbefore\tstorm of returns\tafter\twithout the loss\n")
 	printf(table, "  \t0 to %.0f s\t%.0f s on, %.0f s\tfrom %.0f s on\tafter\n",
-		atSeconds, atSeconds, loss.StormS, atSeconds+loss.StormS)
+		atSeconds, atSeconds, loss.ReconnectS, atSeconds+loss.ReconnectS)
 	printRow := func(name string, phases planner.Phases) {
 		printf(table, "  %s\t%5.1f%%\t%5.1f%%\t%5.1f%%\t%5.1f%%\n",
-			name, 100*phases.Before, 100*phases.Storm, 100*phases.After, 100*phases.Whole)
+			name, 100*phases.Before, 100*phases.Reconnecting, 100*phases.After, 100*phases.WithoutLoss)
 	}
-	printRow("in all", loss.All)
+	printRow("in all", loss.Overall)
 	for i := range p.fleet.Classes {
 		name := p.fleet.Classes[i].Name
 		printRow("class "+name, loss.Classes[name])
 	}
 	flushTable(table)
 	printf(out, "Broken connections: %.0f; most new requests in a second: %.0f before, %.0f after the loss\n",
-		loss.Breaks, loss.PeakBefore, loss.PeakAfter)
+		loss.Resets, loss.PeakRequestsBefore, loss.PeakRequestsAfter)
 }
--- a/cmd/spurwinchctl/plan_size.go
+++ b/cmd/spurwinchctl/plan_size.go
@@ -46,13 +46,13 @@
 		return err
 	}
 	progress := newProgress(command)
-	sizing, err := planner.LeastServers(p.fleet, p.load, planner.SizeOptions{
-		Options: p.options(),
-		Target:  p.target,
-		Reps:    p.replications,
-		Most:    p.maxServers,
-		Window:  p.window,
-		Tell:    func(text string) { progress.show("%s", text) },
+	sizing, err := planner.MinimumServers(p.fleet, p.load, planner.SizeOptions{
+		Options:      p.options(),
+		Target:       p.target,
+		Replications: p.replications,
+		MaxServers:   p.maxServers,
+		Window:       p.window,
+		Progress:     func(text string) { progress.show("%s", text) },
 	})
 	if err != nil {
 		return err
@@ -90,21 +90,21 @@
 	}
 	flushTable(table)
 	if !sizing.Reached {
-		printf(out, "Not reachable: %s\n", sizing.Why)
+		printf(out, "Not reachable: %s\n", sizing.Reason)
 		return
 	}
-	least := sizing.Least
+	least := sizing.Minimum
 	printf(out, "\nLeast: %d servers (%s), service %s\n", least.Servers, kindsText(least.Kinds), sizeText(least))
-	for _, kind := range slices.Sorted(maps.Keys(sizing.OneBelow)) {
-		printf(out, "  one %s less: %s\n", kind, sizeText(sizing.OneBelow[kind]))
+	for _, kind := range slices.Sorted(maps.Keys(sizing.OneServerLess)) {
+		printf(out, "  one %s less: %s\n", kind, sizeText(sizing.OneServerLess[kind]))
 	}
-	if sizing.Whole != nil {
-		printf(out, "  the least over the whole load: %s\n", figureText(*sizing.Whole))
+	if sizing.FullLoad != nil {
+		printf(out, "  the least over the whole load: %s\n", figureText(*sizing.FullLoad))
 	}
 }
 
 // sizeText prints the service of a size to the hundredth of a percent: sizes differ by less than a tenth.
-func sizeText(size planner.Size) string {
+func sizeText(size planner.Candidate) string {
 	service := size.Service
 	if size.AtMost {
 		return fmt.Sprintf("under %.2f%%, not played to its end", 100*service.Mean)
--- a/cmd/spurwinchctl/plan_trial.go
+++ b/cmd/spurwinchctl/plan_trial.go
@@ -55,7 +55,7 @@
 }
 
 func newTrial(settings *validation, base *fleet.Fleet, index int, dir string, progress *progress) *trial {
-	drawn := planner.DrawTrial(base, settings.seed, index, settings.length)
+	drawn := planner.GenerateTrial(base, settings.seed, index, settings.length)
 	return &trial{
 		settings: settings,
 		drawn:    drawn,
@@ -64,10 +64,10 @@
 		progress: progress,
 		result: trialResult{
 			Fleet:    index,
-			What:     drawn.What,
-			Servers:  drawn.Fleet.Count(),
+			What:     drawn.Scenario,
+			Servers:  drawn.Fleet.ServerCount(),
 			Sessions: len(drawn.Load.Sessions),
-			Asked:    drawn.Load.Cores(drawn.Fleet) / drawn.Fleet.Cores(),
+			Asked:    drawn.Load.MeanCores(drawn.Fleet) / drawn.Fleet.Cores(),
 			Classes:  map[string][2]float64{},
 			Target:   settings.target,
 		},
@@ -81,7 +81,7 @@
 		return err
 	}
 	t.showProgress("forecast")
-	options := planner.Options{Seed: t.seed, Lose: t.drawn.Lose, LoseAt: t.drawn.LoseAt}
+	options := planner.Options{Seed: t.seed, LostZone: t.drawn.LostZone, LossTime: t.drawn.LossTime}
 	forecast, err := planner.Replicate(t.drawn.Fleet, captured, options, t.settings.replications, nil)
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 }
 
 func (t *trial) showProgress(step string) {
-	t.progress.show("fleet %d (%s): %s", t.result.Fleet, t.drawn.What, step)
+	t.progress.show("fleet %d (%s): %s", t.result.Fleet, t.drawn.Scenario, step)
 }
 
 // replay plays the load through real nodes against a fleet; name is of the step and of its directory.
@@ -110,14 +110,14 @@
 	ctx context.Context, target *fleet.Fleet, name string, seed uint64, options replay.Options,
 ) (replay.Result, error) {
 	t.showProgress(fmt.Sprintf("%s, %v", name, t.settings.length))
-	options.Node = t.settings.nodeProgram
+	options.Program = t.settings.nodeProgram
 	options.Seed = seed
 	options.Dir = filepath.Join(t.dir, name)
 	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return replay.Result{}, err
 	}
 	result, err := replay.Play(ctx, target, t.drawn.Load, options)
-	lag := float64(result.Lag.Microseconds()) / 1000
+	lag := float64(result.TimerLag.Microseconds()) / 1000
 	t.result.LagMS = max(t.result.LagMS, lag)
 	return result, err
 }
@@ -125,7 +125,7 @@
 // captureLoad has nodes capture the load of a fleet with ample capacity, as on an evening before the one that is
 // planned.
 func (t *trial) captureLoad(ctx context.Context) (*workload.Load, error) {
-	ample := t.drawn.Fleet.Resize(3*t.drawn.Fleet.Count() + 4)
+	ample := t.drawn.Fleet.Resize(3*t.drawn.Fleet.ServerCount() + 4)
 	replayed, err := t.replay(ctx, ample, "capture", t.seed, replay.Options{Capture: true})
 	if err != nil {
 		return nil, err
@@ -149,7 +149,7 @@
 // chance from error.
 func (t *trial) measureService(ctx context.Context) ([]float64, error) {
 	var services []float64
-	options := replay.Options{Lose: t.drawn.Lose, LoseAt: t.drawn.LoseAt}
+	options := replay.Options{LostZone: t.drawn.LostZone, LossTime: t.drawn.LossTime}
 	for i := range t.settings.replays {
 		seed := t.seed + 1 + uint64(1000*i)
 		replayed, err := t.replay(ctx, t.drawn.Fleet, fmt.Sprintf("replay-%d", i), seed, options)
@@ -183,11 +183,11 @@
 // its neighbours, show.
 func (t *trial) compareLeastSize(ctx context.Context, captured *workload.Load) error {
 	t.showProgress("least servers")
-	forecast, err := planner.LeastTotal(t.drawn.Fleet, captured, planner.SizeOptions{
-		Options: planner.Options{Seed: t.seed},
-		Target:  t.settings.target,
-		Reps:    t.settings.replications,
-		Most:    maxTrialServers,
+	forecast, err := planner.MinimumTotal(t.drawn.Fleet, captured, planner.SizeOptions{
+		Options:      planner.Options{Seed: t.seed},
+		Target:       t.settings.target,
+		Replications: t.settings.replications,
+		MaxServers:   maxTrialServers,
 	})
 	if err != nil {
 		return err
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -3,10 +3,10 @@
 
 import "embed"
 
-// FleetEvening is the example of a planner's fleet file: four data centres at the hours of their highest load.
+// ExampleFleet is the example of a planner's fleet file: four data centres at the hours of their highest load.
 //
 //go:embed fleet-evening.toml
-var FleetEvening []byte
+var ExampleFleet []byte
 
 // Faults are the fault laboratory's scenarios.
 //
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	cert, key := transcript.Keys(t, dir, time.Now().Add(time.Hour), "chat.example.org")
+	cert, key := transcript.WriteCertificate(t, dir, time.Now().Add(time.Hour), "chat.example.org")
 	t.Chdir(dir)
 	write := func(name string, text []byte) {
 		if err := os.WriteFile(name, text, 0o600); err != nil {
--- a/internal/lab/fakeserver/fleet.go
+++ b/internal/lab/fakeserver/fleet.go
@@ -67,7 +67,7 @@
 			return nil, err
 		}
 	}
-	for zone := range description.Centres {
+	for zone := range description.Zones {
 		if err := started.startList(zone); err != nil {
 			started.Close()
 			return nil, err
@@ -82,7 +82,7 @@
 		index := len(f.Servers)
 		id := fmt.Sprintf("s-%04d", index)
 		kind := f.Description.MachineKind(pool.Kind)
-		zone := f.Description.Centre(pool.Zone)
+		zone := f.Description.ZoneIndex(pool.Zone)
 		server, err := f.newServer(id, kind, zone, pool.WarmingUp || allSlowStart, f.seed*1009+uint64(index))
 		if err != nil {
 			return err
@@ -163,7 +163,7 @@
 		entry := ListEntry{
 			ID:     server.ID,
 			Addr:   server.listeners[zone].Addr().String(),
-			Zone:   f.Description.Centres[server.Zone].Name,
+			Zone:   f.Description.Zones[server.Zone].Name,
 			Kind:   server.Kind.Name,
 			State:  f.states[server.ID],
 			Weight: 1,
--- a/internal/lab/fakeserver/server.go
+++ b/internal/lab/fakeserver/server.go
@@ -73,7 +73,7 @@
 	speed := kind.Speed * max(minSpeedFactor, 1+kind.SpeedSpread*server.rng.NormFloat64())
 	server.speed = speed * kind.Cores / float64(len(server.coreFree)) // it makes up for a fraction of a core
 	server.report = server.newReport()
-	for from := range f.Description.Centres {
+	for from := range f.Description.Zones {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			server.Kill()
--- a/internal/lab/faults/agent_log.go
+++ b/internal/lab/faults/agent_log.go
@@ -31,7 +31,7 @@
 	case "fleet_loan":
 		return Event{Kind: KindLease, To: fields.Text("zone"), Value: fields.Float("load")}, true
 	case "fleet_leads":
-		return Event{Kind: KindLeads, Number: fields.Number("term")}, true
+		return Event{Kind: KindLeader, Number: fields.Number("term")}, true
 	case "fleet_decided":
 		return Event{Kind: KindProposalEnd, ID: fields.Text("id"), Number: fields.Number("number")}, true
 	}
--- a/internal/lab/faults/check.go
+++ b/internal/lab/faults/check.go
@@ -21,8 +21,8 @@
 	PolicyWindow      float64 `json:"window"    toml:"window"`    // after a decision, for the policy before it
 }
 
-// UsualLimits are the figures of docs/faults.md, with the slack of a busy machine.
-var UsualLimits = Limits{
+// DefaultLimits are the figures of docs/faults.md, with the slack of a busy machine.
+var DefaultLimits = Limits{
 	Deadline:          4,
 	Slack:             0.5,
 	Attempts:          4,
@@ -284,6 +284,6 @@
 	zone.connections = event.Value
 	if zone.capacity > 0 {
 		utilization := event.Value / zone.capacity
-		c.verdict.Figures.PeakOfRoom = max(c.verdict.Figures.PeakOfRoom, utilization)
+		c.verdict.Figures.PeakUtilization = max(c.verdict.Figures.PeakUtilization, utilization)
 	}
 }
--- a/internal/lab/faults/check_policy_test.go
+++ b/internal/lab/faults/check_policy_test.go
@@ -111,7 +111,7 @@
 func TestCheckPolicy(t *testing.T) {
 	for _, test := range policyCases {
 		t.Run(test.name, func(t *testing.T) {
-			verdict := Check(append(slices.Clone(policyFleet), test.events...), UsualLimits)
+			verdict := Check(append(slices.Clone(policyFleet), test.events...), DefaultLimits)
 			rule := ""
 			if len(verdict.Violations) > 0 {
 				rule = verdict.Violations[0].Rule
--- a/internal/lab/faults/check_test.go
+++ b/internal/lab/faults/check_test.go
@@ -130,7 +130,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			verdict := Check(events, UsualLimits)
+			verdict := Check(events, DefaultLimits)
 			rule := ""
 			if len(verdict.Violations) > 0 {
 				rule = verdict.Violations[0].Rule
--- a/internal/lab/faults/figures.go
+++ b/internal/lab/faults/figures.go
@@ -4,19 +4,19 @@
 
 // Figures are measures of a run. Times are in seconds.
 type Figures struct {
-	Requests   int     `json:"requests"`
-	Served     float64 `json:"served"`           // part of the requests that were served
-	Crossed    float64 `json:"crossed"`          // part of the served that went to another zone
-	Regions    float64 `json:"regions"`          // and to another region
-	Worst      float64 `json:"worst"`            // least part served in a window of 5 s
-	Reversals  int     `json:"reversals"`        // zones that were lost again after a recovery
-	PeakOfRoom float64 `json:"peak"`             // most connections of a zone, as part of its capacity
-	ChangeHalf float64 `json:"change_p50_s"`     // from a command to a policy in force at the last node
-	Change99   float64 `json:"change_p99_s"`     // as above
-	ChangeMost float64 `json:"change_longest_s"` // as above
-	OldPolicy  float64 `json:"old_policy_s"`     // longest use of a policy after the next was decided
-	Spread     float64 `json:"spread_p99_s"`     // from the first node that adopted a plan to the others
-	SpreadHalf float64 `json:"spread_p50_s"`     // as above
+	Requests        int     `json:"requests"`
+	Served          float64 `json:"served"`           // part of the requests that were served
+	Crossed         float64 `json:"crossed"`          // part of the served that went to another zone
+	Regions         float64 `json:"regions"`          // and to another region
+	Worst           float64 `json:"worst"`            // least part served in a window of 5 s
+	Reversals       int     `json:"reversals"`        // zones that were lost again after a recovery
+	PeakUtilization float64 `json:"peak"`             // most connections of a zone, as part of its capacity
+	ChangeHalf      float64 `json:"change_p50_s"`     // from a command to a policy in force at the last node
+	Change99        float64 `json:"change_p99_s"`     // as above
+	ChangeMost      float64 `json:"change_longest_s"` // as above
+	OldPolicy       float64 `json:"old_policy_s"`     // longest use of a policy after the next was decided
+	Spread          float64 `json:"spread_p99_s"`     // from the first node that adopted a plan to the others
+	SpreadHalf      float64 `json:"spread_p50_s"`     // as above
 }
 
 const (
--- a/internal/lab/faults/harness.go
+++ b/internal/lab/faults/harness.go
@@ -16,16 +16,16 @@
 	Program string // the spurwinch program; spurwinch-voter stands beside it
 	// ProgramOf, if set, names the program of the node with an index at each of its starts, in place of Program: for
 	// fleets of several versions. Operators' commands stay those beside Program.
-	ProgramOf func(index int) string
-	Dir       string // for configurations, files and logs
-	Seed      uint64
-	Nodes     int  // 0: as the scenario says
-	Alone     bool // each node decides for itself, without a fleet
+	ProgramOf  func(index int) string
+	Dir        string // for configurations, files and logs
+	Seed       uint64
+	Nodes      int  // 0: as the scenario says
+	Standalone bool // each node decides for itself, without a fleet
 }
 
 const (
-	// MostNodes bounds the processes of one run.
-	MostNodes = 240
+	// MaxNodes bounds the processes of one run.
+	MaxNodes = 240
 
 	startTimeout      = 30 * time.Second // of one node
 	firstPlanTimeout  = 12 * time.Second
@@ -87,9 +87,9 @@
 	if options.Nodes == 0 {
 		options.Nodes = fleet.Nodes
 	}
-	if options.Nodes < fleet.Voters || options.Nodes < fleet.Zones || options.Nodes > MostNodes {
+	if options.Nodes < fleet.Voters || options.Nodes < fleet.Zones || options.Nodes > MaxNodes {
 		return nil, fmt.Errorf("%w: %d nodes: as many as voters and zones at least, %d at most",
-			ErrNodeCount, options.Nodes, MostNodes)
+			ErrNodeCount, options.Nodes, MaxNodes)
 	}
 	h := newHarness(scenario, options)
 	defer func() {
@@ -137,7 +137,7 @@
 // which the checker does not know the fleet.
 func isRecordedBeforeRun(kind Kind) bool {
 	switch kind {
-	case KindZone, KindNode, KindStart, KindPlan, KindMode, KindLeads, KindProposalEnd:
+	case KindZone, KindNode, KindStart, KindPlan, KindMode, KindLeader, KindProposalEnd:
 		return true
 	default:
 		return false
@@ -211,7 +211,7 @@
 	leader := h.nodes[0]
 	term := uint64(0)
 	for _, event := range h.events {
-		if event.Kind != KindLeads || event.Number < term {
+		if event.Kind != KindLeader || event.Number < term {
 			continue
 		}
 		for _, n := range h.nodes {
--- a/internal/lab/faults/history.go
+++ b/internal/lab/faults/history.go
@@ -46,7 +46,7 @@
 	KindCrash        Kind = "crash"   // Node
 	KindPlan         Kind = "plan"    // Node adopts plan Number with Digest; Plan
 	KindMode         Kind = "mode"    // Node is in Mode, with plan Number
-	KindLeads        Kind = "leads"   // Node is the leader of term Number
+	KindLeader       Kind = "leads"   // Node is the leader of term Number
 	KindProposalEnd  Kind = "decided" // Node reports that the proposal ID has ended at Number; Result
 	KindAnswer       Kind = "answer"  // ID, Node, Zone, Class; To: the server's zone; Result; Took
 	KindAttempt      Kind = "try"     // a server received the request ID; To: the server; Node
--- a/internal/lab/faults/node.go
+++ b/internal/lab/faults/node.go
@@ -146,7 +146,7 @@
 func (n *node) command() (*exec.Cmd, error) {
 	options := n.harness.options
 	args := []string{"-log", "json", "-log-level", "debug"}
-	if !options.Alone {
+	if !options.Standalone {
 		args = append(args, "-operator", filepath.Join(n.dir, "operator.toml"))
 	}
 	program := options.Program
--- a/internal/lab/faults/scenario.go
+++ b/internal/lab/faults/scenario.go
@@ -11,13 +11,13 @@
 
 // Scenario is a scenario's file.
 type Scenario struct {
-	Name   string        `toml:"name"`
-	What   string        `toml:"what"`
-	Run    RunLength     `toml:"run"`
-	Fleet  Fleet         `toml:"fleet,omitempty"`
-	Steps  []Step        `toml:"fault"`
-	Wants  []Expectation `toml:"want"`
-	Limits *Limits       `toml:"limits,omitempty"` // nil: UsualLimits
+	Name        string        `toml:"name"`
+	Description string        `toml:"what"`
+	Run         RunLength     `toml:"run"`
+	Fleet       Fleet         `toml:"fleet,omitempty"`
+	Steps       []Step        `toml:"fault"`
+	Wants       []Expectation `toml:"want"`
+	Limits      *Limits       `toml:"limits,omitempty"` // nil: UsualLimits
 }
 
 // RunLength is the table [run].
@@ -152,16 +152,16 @@
 	tomlfile.Fill(&f.ConnectionLifetime, Duration(defaultLifetime))
 }
 
-// Rules are the limits that the scenario's history is checked against.
-func (s *Scenario) Rules() Limits {
+// EffectiveLimits are the limits that the scenario's history is checked against.
+func (s *Scenario) EffectiveLimits() Limits {
 	if s.Limits != nil {
 		return *s.Limits
 	}
-	return UsualLimits
+	return DefaultLimits
 }
 
-// Exercised adds a violation for each thing that the scenario is made for and that did not happen.
-func (s *Scenario) Exercised(verdict *Verdict) {
+// CheckExercised adds a violation for each thing that the scenario is made for and that did not happen.
+func (s *Scenario) CheckExercised(verdict *Verdict) {
 	expected := map[string]int{}
 	for _, want := range s.Wants {
 		expected[want.Seen] = want.Least
--- a/internal/lab/faults/scenario_check.go
+++ b/internal/lab/faults/scenario_check.go
@@ -36,7 +36,7 @@
 
 // check reports what is wrong with a scenario.
 func (s *Scenario) check(file *tomlfile.File) {
-	if s.Name == "" || s.What == "" {
+	if s.Name == "" || s.Description == "" {
 		file.Fault("name", "a name and a line in what are wanted")
 	}
 	length := time.Duration(s.Run.Length)
--- a/internal/lab/faults/schedule.go
+++ b/internal/lab/faults/schedule.go
@@ -33,7 +33,7 @@
 
 // awaitPlans waits until all nodes have a plan, or none comes in time: clients start then.
 func (h *harness) awaitPlans(ctx context.Context) error {
-	if h.options.Alone {
+	if h.options.Standalone {
 		return nil
 	}
 	for end := time.Now().Add(firstPlanTimeout); time.Now().Before(end) && !h.allHavePlans(); {
--- a/internal/lab/faults/setup.go
+++ b/internal/lab/faults/setup.go
@@ -111,7 +111,7 @@
 	relay := n.harness.relay
 	for _, other := range n.harness.nodes {
 		address := other.fleetAddr
-		if other != n && !n.harness.options.Alone {
+		if other != n && !n.harness.options.Standalone {
 			linked, err := relay.Link(n.name, other.name, other.fleetAddr, true)
 			if err != nil {
 				return err
--- a/internal/lab/replay/client.go
+++ b/internal/lab/replay/client.go
@@ -160,7 +160,7 @@
 func (c *client) openRequest() string {
 	tenant := ""
 	if c.session.Tenant >= 0 {
-		tenant = ",t=" + c.player.fleet.Editions[c.session.Tenant].Name
+		tenant = ",t=" + c.player.fleet.Tenants[c.session.Tenant].Name
 	}
 	group := ""
 	if c.session.Group != 0 {
--- a/internal/lab/replay/node.go
+++ b/internal/lab/replay/node.go
@@ -71,7 +71,7 @@
 }
 
 func (p *player) startNodes() error {
-	for _, pool := range p.fleet.Nodes {
+	for _, pool := range p.fleet.NodePools {
 		for range pool.Count {
 			if err := p.startNode(pool); err != nil {
 				return err
@@ -101,8 +101,8 @@
 		return err
 	}
 	started := &node{
-		command: exec.Command(p.options.Node, arguments...),
-		zone:    p.fleet.Centre(pool.Zone),
+		command: exec.Command(p.options.Program, arguments...),
+		zone:    p.fleet.ZoneIndex(pool.Zone),
 		ended:   make(chan struct{}),
 	}
 	started.command.Env = []string{"GW_CONFIG=" + config, "GOMAXPROCS=1"}
@@ -112,7 +112,7 @@
 	}
 	if err != nil {
 		_ = logFile.Close() // nothing was written
-		return fmt.Errorf("node program %s: %w", p.options.Node, err)
+		return fmt.Errorf("node program %s: %w", p.options.Program, err)
 	}
 	p.nodes = append(p.nodes, started)
 	addresses := make(chan string, 1)
@@ -130,13 +130,13 @@
 // writeConfig writes the configuration of the next node and returns its path.
 func (p *player) writeConfig(name string, pool fleet.NodePool) (string, error) {
 	index := len(p.nodes)
-	zone := p.fleet.Centre(pool.Zone)
+	zone := p.fleet.ZoneIndex(pool.Zone)
 	config, err := json.Marshal(nodeConfig{
 		Name:      name,
 		Listen:    "127.0.0.1:0",
 		Discovery: p.servers.Discovery(zone),
 		Seed:      fmt.Sprintf("%x", workload.Mix(p.options.Seed+uint64(index))),
-		Limits:    nodeLimits{Cores: 1, MemoryMB: nodeMemoryMB, Sockets: pool.Sockets},
+		Limits:    nodeLimits{Cores: 1, MemoryMB: nodeMemoryMB, Sockets: pool.Descriptors},
 		Known:     p.servers.Entries(zone),
 		Settings:  p.fleet.SettingsJSON(index, p.fleet.NodeCount(), pool.Zone),
 	})
--- a/internal/lab/replay/node_test.go
+++ b/internal/lab/replay/node_test.go
@@ -15,7 +15,7 @@
 // TestLogFileFails checks that a replay whose log file can't be created ends with that error, and doesn't wait for a
 // node whose end nobody watches.
 func TestLogFileFails(t *testing.T) {
-	description, err := fleet.Parse("f", deploy.FleetEvening)
+	description, err := fleet.Parse("f", deploy.ExampleFleet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 	result := make(chan error, 1)
 	go func() {
 		load := &workload.Load{Length: time.Second}
-		_, err := Play(context.Background(), description, load, Options{Node: "true", Dir: dir})
+		_, err := Play(context.Background(), description, load, Options{Program: "true", Dir: dir})
 		result <- err
 	}()
 	select {
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -23,17 +23,17 @@
 
 // Options say how a load is replayed.
 type Options struct {
-	Node         string // path of the spurwinch program
+	Program      string // path of the spurwinch program
 	Dir          string // for configurations, logs and captures
 	Seed         uint64
 	Capture      bool   // the nodes capture their load in Dir
-	Lose         string // zone that is lost at LoseAt; empty: none
-	LoseAt       time.Duration
+	LostZone     string // zone that is lost at LossTime; empty: none
+	LossTime     time.Duration
 	AllWarmingUp bool // all servers start with the load, in slow start
 }
 
-// Result is what was measured. Lag is how much later than due the timers of the clients fired, at the 99th percentile:
-// on a machine that is too busy the result is about the machine.
+// Result is what was measured. TimerLag is how much later than due the timers of the clients fired, at the 99th
+// percentile: on a machine that is too busy the result is about the machine.
 type Result struct {
 	Account     *workload.Account
 	Service     float64
@@ -41,7 +41,7 @@
 	Classes     []float64 // service
 	Tenants     []float64 // service
 	Stats       Stats
-	Lag         time.Duration
+	TimerLag    time.Duration
 	Captures    []string // paths
 }
 
@@ -112,12 +112,12 @@
 }
 
 func (p *player) result() Result {
-	result := Result{Account: p.account, Stats: p.stats, Lag: percentile(p.lags, lagQuantile)}
+	result := Result{Account: p.account, Stats: p.stats, TimerLag: percentile(p.lags, lagQuantile)}
 	servers := p.servers.Stats()
 	result.Stats.Sheds = servers.Sheds
 	result.Stats.Overloaded = servers.Overloaded
 	result.Service, result.Classes, result.Tenants = p.account.Service()
-	result.Tenants = result.Tenants[:len(p.fleet.Editions)]
+	result.Tenants = result.Tenants[:len(p.fleet.Tenants)]
 	result.WorstWindow, _ = p.account.WorstWindow(worstWindow)
 	return result
 }
@@ -127,8 +127,8 @@
 	p.begin = time.Now().Add(startDelay)
 	ctx, cancel := context.WithDeadline(ctx, p.begin.Add(p.load.Length))
 	defer cancel()
-	if zone := p.fleet.Centre(p.options.Lose); zone >= 0 {
-		timer := time.AfterFunc(time.Until(p.begin.Add(p.options.LoseAt)), func() { p.loseZone(zone) })
+	if zone := p.fleet.ZoneIndex(p.options.LostZone); zone >= 0 {
+		timer := time.AfterFunc(time.Until(p.begin.Add(p.options.LossTime)), func() { p.loseZone(zone) })
 		defer timer.Stop()
 	}
 	var sessions sync.WaitGroup
--- a/internal/lab/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -19,28 +19,28 @@
 	if out, err := exec.Command("go", "build", "-o", program, "spurwinch/cmd/spurwinch").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	description, err := fleet.Parse("f", deploy.FleetEvening)
+	description, err := fleet.Parse("f", deploy.ExampleFleet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	description.Centres = description.Centres[:2]
+	description.Zones = description.Zones[:2]
 	description.Delays = nil
 	description.ServerPools = []fleet.ServerPool{
 		{Kind: "std-2c", Zone: "cluj-1", Count: 3},
 		{Kind: "slow-2c", Zone: "bucuresti-1", Count: 1},
 	}
-	description.Nodes = description.Nodes[:2]
-	load := workload.Draw(description, workload.Drawn{Seed: 1, Length: 6 * time.Second, Standing: 12})
+	description.NodePools = description.NodePools[:2]
+	load := workload.Generate(description, workload.GeneratorOptions{Seed: 1, Length: 6 * time.Second, Concurrency: 12})
 	for i := range load.Sessions {
 		load.Sessions[i].Lifetime = max(load.Sessions[i].Lifetime, time.Second)
 	}
 	result, err := Play(context.Background(), description, load, Options{
-		Node:    program,
-		Dir:     t.TempDir(),
-		Seed:    1,
-		Capture: true,
-		Lose:    "bucuresti-1",
-		LoseAt:  3 * time.Second,
+		Program:  program,
+		Dir:      t.TempDir(),
+		Seed:     1,
+		Capture:  true,
+		LostZone: "bucuresti-1",
+		LossTime: 3 * time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 		t.Fatalf("captures %v: %v", result.Captures, err)
 	}
 	summary := captured.Summary()
-	if summary.Requests == 0 || summary.Answers["up"] == 0 || summary.Nodes != 2 || len(summary.Hosts) != 4 {
+	if summary.Requests == 0 || summary.Answers["up"] == 0 || summary.Nodes != 2 || len(summary.Servers) != 4 {
 		t.Errorf("captured %+v", summary)
 	}
 	if _, err := captured.Sessions(description, 1); err != nil {
--- a/internal/lab/shim/shim.go
+++ b/internal/lab/shim/shim.go
@@ -36,10 +36,10 @@
 	Watch                  // epoll accepts no descriptor
 	Break                  // a connection that the process has dialled times out
 	Open                   // the configuration can't be opened
-	Kinds                  // how many kinds there are
+	KindCount              // how many kinds there are
 )
 
-var kindNames = [Kinds]string{
+var kindNames = [KindCount]string{
 	Accept:     "accept",
 	Socket:     "socket",
 	Connect:    "connect",
@@ -63,7 +63,7 @@
 	clockOffsetPosition = 8
 	ratesPosition       = 16
 	rateSize            = 4
-	countsPosition      = ratesPosition + rateSize*int(Kinds) + 4
+	countsPosition      = ratesPosition + rateSize*int(KindCount) + 4
 	countSize           = 8
 	fileSize            = 4096
 	partsPerMillion     = 1_000_000
@@ -121,13 +121,13 @@
 
 // Heal makes all calls succeed from now on; the wall clock stays where it is.
 func (c *Control) Heal() {
-	for kind := range Kinds {
+	for kind := range KindCount {
 		c.Fail(kind, 0)
 	}
 }
 
-// Step sets how far the process's wall clock is ahead of the machine's; below 0: behind.
-func (c *Control) Step(ahead time.Duration) {
+// StepClock sets how far the process's wall clock is ahead of the machine's; below 0: behind.
+func (c *Control) StepClock(ahead time.Duration) {
 	atomic.StoreInt64((*int64)(c.pointer(clockOffsetPosition)), int64(ahead))
 }
 
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -37,7 +37,7 @@
 
 // scheduleArrival has clients arrive in a zone as a Poisson process, at the rate that gives the wanted utilization.
 func (w *World) scheduleArrival(zone string) {
-	demand := w.options.Use * float64(w.options.zoneCapacity())
+	demand := w.options.Utilization * float64(w.options.zoneCapacity())
 	rate := demand / w.options.ConnectionLifetime.Seconds()
 	w.schedule(w.now+time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		arrived := w.newClient(zone)
--- a/internal/lab/simulation/options.go
+++ b/internal/lab/simulation/options.go
@@ -4,22 +4,22 @@
 
 // Options say what is played. A zero field takes its default.
 type Options struct {
-	Seed               uint64
-	Nodes              int
-	Zones              int
-	Regions            int
-	Hosts              int           // servers in each zone
-	Bears              int           // connections that a server bears
-	Use                float64       // part of what all servers bear that clients ask for
-	ConnectionLifetime time.Duration // mean
-	Length             time.Duration // of the run, simulated
-	Loss               float64       // part of the messages between nodes that is lost
-	Faults             string        // the name of a scenario
-	Policy             Policy
-	Voters             int
-	MaxMessageDelay    time.Duration // of the messages that take longer than usual; whole milliseconds
-	Mutation           string        // a note for whoever reads the command line; nothing goes by it
-	FleetOnly          bool          // nodes without servers and clients: only their part in the fleet
+	Seed                 uint64
+	Nodes                int
+	Zones                int
+	Regions              int
+	ServersPerZone       int           // servers in each zone
+	ConnectionsPerServer int           // connections that a server bears
+	Utilization          float64       // part of what all servers bear that clients ask for
+	ConnectionLifetime   time.Duration // mean
+	Length               time.Duration // of the run, simulated
+	Loss                 float64       // part of the messages between nodes that is lost
+	Scenario             string        // the name of a scenario
+	Policy               Policy
+	Voters               int
+	MaxMessageDelay      time.Duration // of the messages that take longer than usual; whole milliseconds
+	Mutation             string        // a note for whoever reads the command line; nothing goes by it
+	FleetOnly            bool          // nodes without servers and clients: only their part in the fleet
 }
 
 // Policy says who decides where the clients of a zone go.
@@ -59,10 +59,10 @@
 	setDefault(&o.Nodes, defaultNodes)
 	setDefault(&o.Zones, defaultZones)
 	setDefault(&o.Regions, min(maxDefaultRegions, o.Zones))
-	setDefault(&o.Hosts, defaultServersPerZone)
-	setDefault(&o.Bears, max(minServerCapacity, connectionsPerNode*o.Nodes/o.Zones/o.Hosts))
+	setDefault(&o.ServersPerZone, defaultServersPerZone)
+	setDefault(&o.ConnectionsPerServer, max(minServerCapacity, connectionsPerNode*o.Nodes/o.Zones/o.ServersPerZone))
 	setDefault(&o.Voters, defaultVoters)
-	setDefault(&o.Use, defaultUtilization)
+	setDefault(&o.Utilization, defaultUtilization)
 	setDefault(&o.ConnectionLifetime, defaultConnectionLifetime)
 	setDefault(&o.Length, defaultLength)
 	setDefault(&o.Policy, CommonPlan)
@@ -77,4 +77,4 @@
 }
 
 // zoneCapacity is the number of connections that the servers of one zone bear.
-func (o Options) zoneCapacity() int { return o.Hosts * o.Bears }
+func (o Options) zoneCapacity() int { return o.ServersPerZone * o.ConnectionsPerServer }
--- a/internal/lab/simulation/scenario.go
+++ b/internal/lab/simulation/scenario.go
@@ -42,11 +42,11 @@
 
 // Play plays the scenario that the options name and checks its history.
 func Play(options Options) (*World, faults.Verdict, error) {
-	scenario, err := Find(options.Faults)
+	scenario, err := Find(options.Scenario)
 	if err != nil {
 		return nil, faults.Verdict{}, err
 	}
-	if strings.HasPrefix(options.Faults, policyScenarioPrefix) {
+	if strings.HasPrefix(options.Scenario, policyScenarioPrefix) {
 		options = options.fleetOnly()
 	}
 	options = options.withDefaults()
@@ -59,7 +59,7 @@
 	}
 	scenario.Setup(world)
 	history := world.Run()
-	limits := faults.UsualLimits
+	limits := faults.DefaultLimits
 	if options.FleetOnly {
 		limits.PolicyWindow = policyRules.Window.Seconds()
 		limits.Slack = fleetOnlySlack
--- a/internal/lab/simulation/scenarios.go
+++ b/internal/lab/simulation/scenarios.go
@@ -138,7 +138,7 @@
 			})
 		},
 		Expected:  map[string]int{"zone lost": 1},
-		Configure: func(o *Options) { o.Use = 0.7 },
+		Configure: func(o *Options) { o.Utilization = 0.7 },
 	},
 	{
 		Name:        "disk-cut",
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -30,7 +30,7 @@
 func TestScenarios(t *testing.T) {
 	for _, scenario := range Scenarios {
 		t.Run(scenario.Name, func(t *testing.T) {
-			_, verdict := play(t, Options{Seed: 1, Nodes: 12, Faults: scenario.Name})
+			_, verdict := play(t, Options{Seed: 1, Nodes: 12, Scenario: scenario.Name})
 			reportViolations(t, 1, verdict)
 			figures, err := json.Marshal(verdict.Figures)
 			if err != nil {
@@ -45,7 +45,7 @@
 func TestPolicyScenarios(t *testing.T) {
 	for _, scenario := range PolicyScenarios {
 		t.Run(scenario.Name, func(t *testing.T) {
-			_, verdict := play(t, Options{Seed: 2, Nodes: 15, Faults: scenario.Name, Loss: 0.01})
+			_, verdict := play(t, Options{Seed: 2, Nodes: 15, Scenario: scenario.Name, Loss: 0.01})
 			reportViolations(t, 2, verdict)
 			admitted := verdict.Seen["admitted: lease"]
 			commands := verdict.Seen["commands in order"]
@@ -60,7 +60,7 @@
 func TestRandomSchedules(t *testing.T) {
 	for i := range uint64(12) {
 		options := Options{
-			Seed: i + 100, Nodes: 15, Faults: "drawn", Loss: 0.02, MaxMessageDelay: 400 * time.Millisecond,
+			Seed: i + 100, Nodes: 15, Scenario: "drawn", Loss: 0.02, MaxMessageDelay: 400 * time.Millisecond,
 		}
 		_, verdict := play(t, options)
 		reportViolations(t, options.Seed, verdict)
@@ -71,7 +71,7 @@
 func TestRunIsReproducible(t *testing.T) {
 	var first string
 	for run := range 2 {
-		world, verdict := play(t, Options{Seed: 7, Nodes: 12, Faults: "drawn", Loss: 0.05})
+		world, verdict := play(t, Options{Seed: 7, Nodes: 12, Scenario: "drawn", Loss: 0.05})
 		summary, err := json.Marshal(struct {
 			Figures   faults.Figures
 			Events    int
@@ -98,10 +98,10 @@
 		measure := func(policy Policy) (served, peak float64) {
 			for seed := range uint64(seeds) {
 				_, verdict := play(t, Options{
-					Seed: seed + 1, Nodes: 24, Zones: 4, Regions: 2, Faults: name, Policy: policy,
+					Seed: seed + 1, Nodes: 24, Zones: 4, Regions: 2, Scenario: name, Policy: policy,
 				})
 				served += verdict.Figures.Served / seeds
-				peak = max(peak, verdict.Figures.PeakOfRoom)
+				peak = max(peak, verdict.Figures.PeakUtilization)
 			}
 			return served, peak
 		}
@@ -119,7 +119,7 @@
 // TestRecoveryWhenAllZonesLookLost checks that a fleet whose links to all servers were cut recovers soon: when every
 // zone looks lost, the observations are suspect.
 func TestRecoveryWhenAllZonesLookLost(t *testing.T) {
-	world, _ := play(t, Options{Seed: 3, Nodes: 16, Zones: 4, Regions: 2, Faults: "all-look-lost"})
+	world, _ := play(t, Options{Seed: 3, Nodes: 16, Zones: 4, Regions: 2, Scenario: "all-look-lost"})
 	served, answered := 0, 0
 	for _, event := range world.history {
 		if event.Kind != faults.KindAnswer || event.At <= 26 || event.At >= 40 {
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -123,11 +123,11 @@
 		w.record(faults.Event{
 			Kind: faults.KindZone, Zone: zone, Detail: region, Value: float64(w.options.zoneCapacity()),
 		})
-		for range w.options.Hosts {
+		for range w.options.ServersPerZone {
 			added := &server{
 				id:          choice.ServerID(fmt.Sprintf("h%03d", len(w.servers))),
 				zone:        zone,
-				capacity:    w.options.Bears,
+				capacity:    w.options.ConnectionsPerServer,
 				connections: map[*attempt]bool{},
 				slowdown:    1,
 			}
@@ -182,7 +182,7 @@
 func (w *World) startClients() {
 	for _, zone := range w.zones {
 		w.scheduleArrival(zone)
-		for range int(w.options.Use * float64(w.options.zoneCapacity())) {
+		for range int(w.options.Utilization * float64(w.options.zoneCapacity())) {
 			at := firstClients + time.Duration(w.rng.Float64()*float64(initialClients))
 			w.schedule(at, func() { w.newClient(zone).connect() })
 		}
--- a/internal/lab/soak/fault.go
+++ b/internal/lab/soak/fault.go
@@ -56,8 +56,8 @@
 	{"burst", (*harness).burstOfClients},
 }
 
-// Troubles returns the names of the kinds of faults.
-func Troubles() []string {
+// FaultKinds returns the names of the kinds of faults.
+func FaultKinds() []string {
 	var names []string
 	for _, kind := range faultKinds {
 		names = append(names, kind.name)
@@ -73,7 +73,7 @@
 			allowed = append(allowed, kind)
 		}
 	}
-	for end := time.Now().Add(h.options.Time); time.Now().Before(end) && ctx.Err() == nil; {
+	for end := time.Now().Add(h.options.FaultTime); time.Now().Before(end) && ctx.Err() == nil; {
 		order := rng.Perm(len(allowed))
 		count := minConcurrent + rng.IntN(maxConcurrent-minConcurrent+1)
 		for _, i := range order[:min(len(allowed), count)] {
@@ -270,7 +270,7 @@
 func (h *harness) failSystemCalls(rng *rand.Rand, until time.Time) string {
 	rate := []float64{0.002, 0.01, 0.05, 0.2, 0.7}[rng.IntN(5)]
 	var failing []shim.Kind
-	for kind := range shim.Kinds {
+	for kind := range shim.KindCount {
 		if rng.IntN(2) == 0 {
 			failing = append(failing, kind)
 		}
@@ -296,7 +296,7 @@
 	}
 	drawn := h.drawHalfOfNodes(rng)
 	for _, n := range drawn {
-		n.control.Step(step)
+		n.control.StepClock(step)
 	}
 	return fmt.Sprint(step, " ", nodeNames(drawn))
 }
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -72,7 +72,7 @@
 // else gets a port. It is free for TCP and UDP.
 func (n *node) reserveAddress(part int) (string, error) {
 	pid := os.Getpid()
-	ip := net.IPv4(127, byte(64+pid%128), byte(pid/128%256), byte(part*MostNodes+n.index+1))
+	ip := net.IPv4(127, byte(64+pid%128), byte(pid/128%256), byte(part*MaxNodes+n.index+1))
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip.String(), "0"))
 	if err != nil {
 		return "", err
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -20,13 +20,13 @@
 
 // Options say what a run plays.
 type Options struct {
-	Program string // the spurwinch program
-	Dir     string // for configurations, files and logs
-	Seed    uint64
-	Nodes   int           // 2 to MostNodes
-	Time    time.Duration // over which faults are drawn
-	Rate    float64       // requests a second to the whole fleet; 0: by the capacity of the servers
-	Only    []string      // kinds of faults that may be drawn; none: all
+	Program   string // the spurwinch program
+	Dir       string // for configurations, files and logs
+	Seed      uint64
+	Nodes     int           // 2 to MostNodes
+	FaultTime time.Duration // over which faults are drawn
+	Rate      float64       // requests a second to the whole fleet; 0: by the capacity of the servers
+	Only      []string      // kinds of faults that may be drawn; none: all
 }
 
 // Report is the outcome of a run.
@@ -36,13 +36,13 @@
 	Judged     bool           `json:"judged"`
 	Why        string         `json:"why,omitempty"` // it is not judged
 	Violations []Violation    `json:"violations"`
-	Troubles   []string       `json:"troubles"` // the faults that were injected, with their times
+	Faults     []string       `json:"troubles"` // the faults that were injected, with their times
 	Seen       map[string]int `json:"seen"`     // what happened, and how often
 }
 
 const (
-	// MostNodes bounds the processes of one run; an upgrade has two of a node.
-	MostNodes = 100
+	// MaxNodes bounds the processes of one run; an upgrade has two of a node.
+	MaxNodes = 100
 
 	serverCount        = 12
 	zoneCount          = 2
@@ -99,8 +99,8 @@
 
 // Run plays one seed. All that was started has ended when it returns.
 func Run(ctx context.Context, options Options) (Report, error) {
-	if options.Nodes < 2 || options.Nodes > MostNodes {
-		return Report{}, fmt.Errorf("%w: %d; 2 to %d are played", ErrNodeCount, options.Nodes, MostNodes)
+	if options.Nodes < 2 || options.Nodes > MaxNodes {
+		return Report{}, fmt.Errorf("%w: %d; 2 to %d are played", ErrNodeCount, options.Nodes, MaxNodes)
 	}
 	run := &harness{
 		options:    options,
@@ -278,7 +278,7 @@
 // countFailedCalls counts the system calls that the shim had fail.
 func (h *harness) countFailedCalls() {
 	for _, n := range h.nodes {
-		for kind := range shim.Kinds {
+		for kind := range shim.KindCount {
 			if failed := n.control.Injected(kind); failed > 0 {
 				h.checker.seen["failed "+kind.String()] += int(failed)
 			}
@@ -293,7 +293,7 @@
 		Nodes:      h.options.Nodes,
 		Judged:     true,
 		Violations: h.checker.violations,
-		Troubles:   h.faults,
+		Faults:     h.faults,
 		Seen:       h.checker.seen,
 	}
 	if delay := time.Duration(h.worstDelay.Load()); delay > maxHarnessDelay {
--- a/internal/lab/transcript/certificate.go
+++ b/internal/lab/transcript/certificate.go
@@ -17,9 +17,9 @@
 // maxSerial is the least number that is too large for a certificate's serial number.
 const maxSerial = 1 << 62
 
-// Keys writes a self-signed certificate for the names, valid up to a time, and its key. It returns the paths of the
-// files.
-func Keys(tb testing.TB, dir string, until time.Time, names ...string) (certificate, key string) {
+// WriteCertificate writes a self-signed certificate for the names, valid up to a time, and its key. It returns the
+// paths of the files.
+func WriteCertificate(tb testing.TB, dir string, until time.Time, names ...string) (certificate, key string) {
 	tb.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/lab/transcript/clients.go
+++ b/internal/lab/transcript/clients.go
@@ -19,44 +19,44 @@
 	maxClientLines = 40
 )
 
-// Crowd is a number of clients of one node, over all its processes: each connects, asks for a connection, and keeps it
-// for a while, in which it sends lines.
-type Crowd struct {
+// Clients are a number of clients of one node, over all its processes: each connects, asks for a connection, and keeps
+// it for a while, in which it sends lines.
+type Clients struct {
 	Addr        string
-	Up          atomic.Int64 // established connections
+	Established atomic.Int64 // established connections
 	Rejected    atomic.Int64
-	Moved       atomic.Int64 // migrated
-	AtDoor      atomic.Int64 // not accepted, closed or left without an answer
-	Cut         atomic.Int64 // established, and ended without MOVE
+	Migrated    atomic.Int64 // migrated
+	NotAccepted atomic.Int64 // not accepted, closed or left without an answer
+	Lost        atomic.Int64 // established, and ended without MOVE
 	connections atomic.Int64
 	stopped     atomic.Bool
 	running     sync.WaitGroup
 }
 
-// Run starts clients, each of which connects again and again until Stop.
-func (c *Crowd) Run(clients int) {
+// Start starts clients, each of which connects again and again until Stop.
+func (c *Clients) Start(clients int) {
 	for range clients {
 		c.running.Add(1)
 		go func() {
 			defer c.running.Done()
 			for !c.stopped.Load() {
-				c.One()
+				c.Connect()
 			}
 		}()
 	}
 }
 
 // Stop ends the clients and waits for them.
-func (c *Crowd) Stop() {
+func (c *Clients) Stop() {
 	c.stopped.Store(true)
 	c.running.Wait()
 }
 
-// One makes one connection and keeps it to its end.
-func (c *Crowd) One() {
+// Connect makes one connection and keeps it to its end.
+func (c *Clients) Connect() {
 	connection, err := net.DialTimeout("tcp", c.Addr, waitTimeout)
 	if err != nil {
-		c.AtDoor.Add(1)
+		c.NotAccepted.Add(1)
 		return
 	}
 	defer func() { _ = connection.Close() }() // the node may have closed it
@@ -67,11 +67,11 @@
 	answer, err := reader.ReadString('\n')
 	switch {
 	case err != nil:
-		c.AtDoor.Add(1)
+		c.NotAccepted.Add(1)
 	case !strings.HasPrefix(answer, "UP"):
 		c.Rejected.Add(1)
 	default:
-		c.Up.Add(1)
+		c.Established.Add(1)
 		c.sendLines(connection, reader, int(number%maxClientLines))
 	}
 }
@@ -88,16 +88,16 @@
 }
 
 // sendLines sends a number of lines, each after the answer to the one before.
-func (c *Crowd) sendLines(connection net.Conn, reader *bufio.Reader, count int) {
+func (c *Clients) sendLines(connection net.Conn, reader *bufio.Reader, count int) {
 	for i := 0; i < count && !c.stopped.Load(); i++ {
 		_ = send(connection, fmt.Sprintf("line %d%s", i, lineEnd)) // where it fails, so does the read
 		answer, err := reader.ReadString('\n')
 		if err != nil {
-			c.Cut.Add(1)
+			c.Lost.Add(1)
 			return
 		}
 		if answer == "MOVE"+lineEnd {
-			c.Moved.Add(1)
+			c.Migrated.Add(1)
 			return
 		}
 		time.Sleep(lineInterval)
@@ -105,10 +105,10 @@
 }
 
 // Check fails a test in which a client lost its connection, or none got one.
-func (c *Crowd) Check(tb testing.TB, what string) {
+func (c *Clients) Check(tb testing.TB, what string) {
 	tb.Helper()
-	if c.AtDoor.Load() != 0 || c.Cut.Load() != 0 || c.Up.Load() == 0 {
+	if c.NotAccepted.Load() != 0 || c.Lost.Load() != 0 || c.Established.Load() == 0 {
 		tb.Errorf("%s: %d not accepted, %d lost, of %d established, %d rejected, %d migrated", what,
-			c.AtDoor.Load(), c.Cut.Load(), c.Up.Load(), c.Rejected.Load(), c.Moved.Load())
+			c.NotAccepted.Load(), c.Lost.Load(), c.Established.Load(), c.Rejected.Load(), c.Migrated.Load())
 	}
 }
--- a/internal/lab/transcript/player.go
+++ b/internal/lab/transcript/player.go
@@ -74,10 +74,10 @@
 
 // Player holds the two sides of the program.
 type Player struct {
-	Addr      string // of the program
+	Address   string // of the program
 	Listeners map[string]*net.TCPListener
 	Values    map[string]string
-	Do        map[string]func() // callbacks by name
+	Callbacks map[string]func() // callbacks by name
 
 	connections map[string]*net.TCPConn
 	incoming    chan accepted
@@ -145,7 +145,7 @@
 
 func (p *Player) step(name, operation, argument string) error {
 	if name == callbackKey {
-		callback := p.Do[operation]
+		callback := p.Callbacks[operation]
 		if callback == nil {
 			return ErrNoCallback
 		}
@@ -201,7 +201,7 @@
 
 // open connects to the program, or to the address in a value.
 func (p *Player) open(name, value string) error {
-	address := p.Addr
+	address := p.Address
 	if value != "" {
 		address = p.Values[value]
 	}
--- a/internal/lab/transcript/player_test.go
+++ b/internal/lab/transcript/player_test.go
@@ -10,9 +10,9 @@
 func TestPlay(t *testing.T) {
 	called := false
 	player := &Player{
-		Addr:   Host(t),
-		Values: map[string]string{"name": "x"},
-		Do:     map[string]func(){"call": func() { called = true }},
+		Address:   EchoServer(t),
+		Values:    map[string]string{"name": "x"},
+		Callbacks: map[string]func(){"call": func() { called = true }},
 	}
 	player.Play(t, `
 		# a comment
@@ -54,7 +54,7 @@
 
 // TestStepFails checks that a step whose outcome is another one fails.
 func TestStepFails(t *testing.T) {
-	player := &Player{Addr: Host(t)}
+	player := &Player{Address: EchoServer(t)}
 	player.Play(t, "# nothing")
 	for _, step := range [][3]string{{"c", "open", ""}, {"c", ">", "OPEN"}, {"c", "<", "UP 1"}} {
 		if err := player.step(step[0], step[1], step[2]); err != nil {
--- a/internal/lab/transcript/server.go
+++ b/internal/lab/transcript/server.go
@@ -12,8 +12,8 @@
 // pollInterval is the time between two looks for a condition.
 const pollInterval = 2 * time.Millisecond
 
-// Host starts a server of the platform's protocol that establishes each connection and returns its lines.
-func Host(tb testing.TB) (address string) {
+// EchoServer starts a server of the platform's protocol that establishes each connection and returns its lines.
+func EchoServer(tb testing.TB) (address string) {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,9 +56,9 @@
 	return listener.Addr().String()
 }
 
-// Call requests a path of an admin server. It returns the status and body of the answer; status 0 with the error's text
-// where none came.
-func Call(address, path string) (status int, body string) {
+// AdminRequest requests a path of an admin server. It returns the status and body of the answer; status 0 with the
+// error's text where none came.
+func AdminRequest(address, path string) (status int, body string) {
 	client := http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + address + path)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return response.StatusCode, string(contents)
 }
 
-// Until waits for a condition, and fails the test where it isn't met in time.
-func Until(tb testing.TB, what string, met func() bool) {
+// WaitFor waits for a condition, and fails the test where it isn't met in time.
+func WaitFor(tb testing.TB, what string, met func() bool) {
 	tb.Helper()
 	for deadline := time.Now().Add(waitTimeout); !met(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
--- a/internal/lab/transcript/stream.go
+++ b/internal/lab/transcript/stream.go
@@ -28,12 +28,12 @@
 type StreamKind int
 
 const (
-	// Steady streams send one line after the other, and time each.
-	Steady StreamKind = iota
-	// Pieces streams send byte by byte.
-	Pieces
-	// Still streams send nothing.
-	Still
+	// OneByOne streams send one line after the other, and time each.
+	OneByOne StreamKind = iota
+	// ByteByByte streams send byte by byte.
+	ByteByByte
+	// Idle streams send nothing.
+	Idle
 	// Bulk streams send as much as they can, to a reader that pauses at random: all buffers on the way fill up.
 	Bulk
 )
@@ -41,8 +41,8 @@
 // Streams are connections that stay open and send numbered lines to a server that returns them: each byte that comes
 // back is checked. Each stays on one connection to the end.
 type Streams struct {
-	Addr string // of the node
-	At   string // ID of the server where connections are already open, which leaves the module no choice; empty: none
+	Addr   string // of the node
+	Server string // ID of the server where connections are already open, which leaves the module no choice; empty: none
 
 	stop        chan struct{}
 	running     sync.WaitGroup
@@ -68,8 +68,8 @@
 	s.faults = append(s.faults, fmt.Sprintf(format, values...))
 }
 
-// Run opens a number of streams of a kind, and returns when all are established.
-func (s *Streams) Run(tb testing.TB, count int, kind StreamKind) {
+// Start opens a number of streams of a kind, and returns when all are established.
+func (s *Streams) Start(tb testing.TB, count int, kind StreamKind) {
 	tb.Helper()
 	if s.stop == nil {
 		s.stop = make(chan struct{})
@@ -94,8 +94,8 @@
 	s.connections = append(s.connections, connection)
 	id := len(s.connections)
 	at := ""
-	if s.At != "" {
-		at = ",at=" + s.At
+	if s.Server != "" {
+		at = ",at=" + s.Server
 	}
 	// Where the write fails, so does the read of the answer.
 	_ = send(connection, fmt.Sprintf("OPEN %x %x c=chat,t=acme,d=900%s%s", id<<20, id, at, lineEnd))
@@ -121,9 +121,9 @@
 
 func (s *stream) run() {
 	switch s.kind {
-	case Still:
+	case Idle:
 		<-s.set.stop
-	case Steady:
+	case OneByOne:
 		s.exchangeLines()
 	default:
 		s.sendAndCheck()
@@ -156,7 +156,7 @@
 
 // line returns the line of a number.
 func (s *stream) line(number int) []byte {
-	if s.kind == Pieces {
+	if s.kind == ByteByByte {
 		return fmt.Appendf(nil, "%d %d%s", s.id, number, lineEnd)
 	}
 	filling := bytes.Repeat([]byte{byte('a' + number%26)}, bulkLineLength)
@@ -181,7 +181,7 @@
 			s.set.addFault("stream %d, line %d: %v", s.id, number, err)
 			return number
 		}
-		if s.kind == Pieces {
+		if s.kind == ByteByByte {
 			time.Sleep(pieceLineDelay)
 		}
 	}
@@ -191,7 +191,7 @@
 
 // sendLine sends a line as a whole, or byte by byte.
 func (s *stream) sendLine(line []byte) error {
-	if s.kind != Pieces {
+	if s.kind != ByteByByte {
 		_, err := s.connection.Write(line)
 		return err
 	}
--- a/internal/lab/transcript/stream_test.go
+++ b/internal/lab/transcript/stream_test.go
@@ -55,18 +55,18 @@
 		"repeated": func(_ int, line []byte) []byte { return append(line, line...) },
 		"ended":    func(int, []byte) []byte { return nil },
 	} {
-		for _, kind := range []StreamKind{Steady, Pieces, Bulk} {
+		for _, kind := range []StreamKind{OneByOne, ByteByByte, Bulk} {
 			count := 0
 			streams := &Streams{Addr: startServer(t, "UP 1\r\n", func(line []byte) []byte {
 				count++
 				return answer(count, line)
 			})}
-			if name == "lost" && kind == Steady {
+			if name == "lost" && kind == OneByOne {
 				continue // it would wait for the line until its timeout
 			}
-			streams.Run(t, 1, kind)
+			streams.Start(t, 1, kind)
 			if name != "none" {
-				Until(t, "a fault is found", func() bool {
+				WaitFor(t, "a fault is found", func() bool {
 					streams.mu.Lock()
 					defer streams.mu.Unlock()
 					return len(streams.faults) > 0
@@ -98,19 +98,19 @@
 		"not answered": {"", end, counts{notAccepted: true}},
 		"lost":         {"UP 1\r\n", end, counts{established: true, lost: true}},
 	} {
-		clients := &Crowd{Addr: startServer(t, test.first, test.answer)}
+		clients := &Clients{Addr: startServer(t, test.first, test.answer)}
 		if test.first == "" {
 			clients.Addr = FreeAddr(t)
 		}
 		for range 3 {
-			clients.One()
+			clients.Connect()
 		}
 		got := counts{
-			established: clients.Up.Load() > 0,
+			established: clients.Established.Load() > 0,
 			rejected:    clients.Rejected.Load() > 0,
-			migrated:    clients.Moved.Load() > 0,
-			notAccepted: clients.AtDoor.Load() > 0,
-			lost:        clients.Cut.Load() > 0,
+			migrated:    clients.Migrated.Load() > 0,
+			notAccepted: clients.NotAccepted.Load() > 0,
+			lost:        clients.Lost.Load() > 0,
 		}
 		if got != test.wanted {
 			t.Errorf("%s: %+v", name, got)
--- a/internal/lab/xmppserver/client.go
+++ b/internal/lab/xmppserver/client.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// How is the way a client logs in.
-type How int
+// LoginMethod is the way a client logs in.
+type LoginMethod int
 
 // The ways to log in.
 const (
-	Plain How = iota // SASL PLAIN, then bind
-	Named            // the same, with the user's name in the stream header
-	SASL2            // SASL2 with Bind 2, or the resumption, inline
+	LoginPlain      LoginMethod = iota // SASL PLAIN, then bind
+	LoginPlainNamed                    // the same, with the user's name in the stream header
+	LoginSASL2                         // SASL2 with Bind 2, or the resumption, inline
 )
 
 const (
@@ -45,7 +45,7 @@
 
 // Connect brings a session up before the deadline: the one of id, where one is given and its server still has it, else
 // a new one. resumed says which it was.
-func Connect(addr, user, id string, how How, deadline time.Time) (client *Client, resumed bool, err error) {
+func Connect(addr, user, id string, how LoginMethod, deadline time.Time) (client *Client, resumed bool, err error) {
 	client, err = dial(addr, deadline)
 	if err != nil {
 		return nil, false, err
@@ -56,7 +56,7 @@
 
 // ConnectTLS is Connect over TLS, direct or by STARTTLS.
 func ConnectTLS(
-	addr, user, id string, how How, config *tls.Config, direct bool, deadline time.Time,
+	addr, user, id string, how LoginMethod, config *tls.Config, direct bool, deadline time.Time,
 ) (client *Client, resumed bool, err error) {
 	client, err = dial(addr, deadline)
 	if err != nil {
@@ -89,10 +89,10 @@
 // secure puts TLS on the connection.
 func (c *Client) secure(config *tls.Config, direct bool) error {
 	if !direct {
-		if _, err := c.Say(streamHeaderStart+streamHeaderEnd, endOfFeatures); err != nil {
+		if _, err := c.Exchange(streamHeaderStart+streamHeaderEnd, endOfFeatures); err != nil {
 			return err
 		}
-		if _, err := c.Say(startTLSRequest, ">"); err != nil {
+		if _, err := c.Exchange(startTLSRequest, ">"); err != nil {
 			return err
 		}
 	}
@@ -109,17 +109,17 @@
 }
 
 // logIn opens the stream, authenticates and resumes the session of id, or else binds a new one.
-func (c *Client) logIn(user, id string, how How) (resumed bool, err error) {
+func (c *Client) logIn(user, id string, how LoginMethod) (resumed bool, err error) {
 	header := streamHeaderStart + streamHeaderEnd
-	if how == Named {
+	if how == LoginPlainNamed {
 		header = streamHeaderStart + "from='" + user + "@" + domain + "' " + streamHeaderEnd
 	}
 	credentials := base64.StdEncoding.EncodeToString([]byte("\x00" + user + "\x00secret"))
-	if _, err := c.Say(header, endOfFeatures); err != nil {
+	if _, err := c.Exchange(header, endOfFeatures); err != nil {
 		return false, err
 	}
 	done := false
-	if how == SASL2 {
+	if how == LoginSASL2 {
 		resumed, done, err = c.authenticateInline(credentials, id)
 	} else {
 		resumed, err = c.authenticate(header, credentials, id)
@@ -137,7 +137,7 @@
 	if id != "" {
 		inline = resumeRequest(id)
 	}
-	reply, err := c.Say("<authenticate xmlns='"+sasl2NS+"' mechanism='PLAIN'><initial-response>"+credentials+
+	reply, err := c.Exchange("<authenticate xmlns='"+sasl2NS+"' mechanism='PLAIN'><initial-response>"+credentials+
 		"</initial-response>"+inline+"</authenticate>", endOfFeatures)
 	if err != nil {
 		return false, false, err
@@ -153,16 +153,16 @@
 // authenticate authenticates by SASL, starts the stream anew and resumes the session of id, if one is given.
 func (c *Client) authenticate(header, credentials, id string) (resumed bool, err error) {
 	request := "<auth xmlns='" + saslNS + "' mechanism='PLAIN'>" + credentials + "</auth>"
-	if _, err := c.Say(request, "<success"); err != nil {
+	if _, err := c.Exchange(request, "<success"); err != nil {
 		return false, err
 	}
-	if _, err := c.Say(header, endOfFeatures); err != nil {
+	if _, err := c.Exchange(header, endOfFeatures); err != nil {
 		return false, err
 	}
 	if id == "" {
 		return false, nil
 	}
-	reply, err := c.Say(resumeRequest(id), ">")
+	reply, err := c.Exchange(resumeRequest(id), ">")
 	if err != nil {
 		return false, err
 	}
@@ -170,23 +170,23 @@
 		c.ID = id
 		return true, nil
 	}
-	_, err = c.Say("", "</failed>")
+	_, err = c.Exchange("", "</failed>")
 	return false, err
 }
 
 // bind makes a new session that can be resumed.
 func (c *Client) bind() error {
-	if _, err := c.Say(bindRequest, "</iq>"); err != nil {
+	if _, err := c.Exchange(bindRequest, "</iq>"); err != nil {
 		return err
 	}
-	reply, err := c.Say(enableRequest, ">")
+	reply, err := c.Exchange(enableRequest, ">")
 	c.ID = attributeValue(reply, "id")
 	return err
 }
 
-// Say writes a text and reads up to a tag that ends or begins as until says. It returns what was read, also with an
-// error; a stream error is an ErrStream.
-func (c *Client) Say(text, until string) (string, error) {
+// Exchange writes a text and reads up to a tag that ends or begins as until says. It returns what was read, also with
+// an error; a stream error is an ErrStream.
+func (c *Client) Exchange(text, until string) (string, error) {
 	if err := c.Conn.SetDeadline(c.deadline); err != nil {
 		return "", err
 	}
--- a/internal/lab/xmppserver/server.go
+++ b/internal/lab/xmppserver/server.go
@@ -22,13 +22,13 @@
 // domain is the one that the server serves.
 const domain = "farm.example"
 
-// defaultMax is Server.Max of a new server.
+// defaultMax is Server.ResumeSeconds of a new server.
 const defaultMax = 60
 
 // Server is a test server. Its exported fields are set before the first client connects.
 type Server struct {
-	Addr string
-	Max  int // seconds that a session can be resumed, as clients are told
+	Addr          string
+	ResumeSeconds int // seconds that a session can be resumed, as clients are told
 	// SeeOther is the address that clients are sent to; empty: they are served here.
 	SeeOther string
 
@@ -58,12 +58,12 @@
 		return nil, err
 	}
 	server := &Server{
-		Addr:     listener.Addr().String(),
-		Max:      defaultMax,
-		name:     name,
-		listener: listener,
-		sessions: map[string]*session{},
-		open:     map[net.Conn]bool{},
+		Addr:          listener.Addr().String(),
+		ResumeSeconds: defaultMax,
+		name:          name,
+		listener:      listener,
+		sessions:      map[string]*session{},
+		open:          map[net.Conn]bool{},
 	}
 	go server.accept()
 	return server, nil
--- a/internal/lab/xmppserver/stream.go
+++ b/internal/lab/xmppserver/stream.go
@@ -190,7 +190,7 @@
 	server.lastID++
 	s.sessionID = fmt.Sprintf("%s-%d", server.name, server.lastID)
 	server.sessions[s.sessionID] = &session{s.user, s.conn}
-	return fmt.Sprintf("<enabled xmlns='%s' id='%s' resume='true' max='%d'/>", smNS, s.sessionID, server.Max)
+	return fmt.Sprintf("<enabled xmlns='%s' id='%s' resume='true' max='%d'/>", smNS, s.sessionID, server.ResumeSeconds)
 }
 
 // resume continues the session of an id on this stream, and returns the answer. Of two streams that resume one session
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -14,7 +14,7 @@
 // startSmallNode starts a node of few descriptors with its admin server.
 func startSmallNode(tb testing.TB, sockets int) (program *Program, addr string) {
 	tb.Helper()
-	node := platformConfig(tb, transcript.Host(tb))
+	node := platformConfig(tb, transcript.EchoServer(tb))
 	node.Sockets = sockets
 	started := startProcess(tb, node, "")
 	var err error
@@ -31,7 +31,7 @@
 func TestAdminServerUnderLoad(t *testing.T) {
 	program, addr := startSmallNode(t, reservedDescriptors+80)
 	adminAddr := program.adminAddr.String()
-	player := &transcript.Player{Addr: addr, Values: map[string]string{}}
+	player := &transcript.Player{Address: addr, Values: map[string]string{}}
 	for i := range 400 {
 		send(dial(t, addr), "%s", [3]string{"", "OPEN 01", "PING\r\n"}[i%3])
 		if i%20 == 0 {
@@ -57,10 +57,10 @@
 
 func checkAdminAnswers(t *testing.T, adminAddr string, after int) {
 	t.Helper()
-	if status, body := transcript.Call(adminAddr, "/api/ready"); status != http.StatusOK {
+	if status, body := transcript.AdminRequest(adminAddr, "/api/ready"); status != http.StatusOK {
 		t.Errorf("after %d: %d %s", after, status, body)
 	}
-	status, body := transcript.Call(adminAddr, "/api/telemetry")
+	status, body := transcript.AdminRequest(adminAddr, "/api/telemetry")
 	if status != http.StatusOK || !strings.Contains(body, "gw.in_flight:") {
 		t.Errorf("after %d: %d %s", after, status, body)
 	}
@@ -85,7 +85,8 @@
 		}
 	}
 	for b.Loop() {
-		if status, body := transcript.Call(program.adminAddr.String(), "/api/telemetry"); status != http.StatusOK {
+		status, body := transcript.AdminRequest(program.adminAddr.String(), "/api/telemetry")
+		if status != http.StatusOK {
 			b.Fatal(body)
 		}
 	}
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -20,7 +20,7 @@
 	if os.Getenv("XMPP_CLIENTS") == "" {
 		t.Skip("XMPP_CLIENTS is not set")
 	}
-	certificate, key := transcript.Keys(t, t.TempDir(), time.Now().Add(certificateLifetime), "farm.example")
+	certificate, key := transcript.WriteCertificate(t, t.TempDir(), time.Now().Add(certificateLifetime), "farm.example")
 	more := fmt.Sprintf("[[certificate]]\ncert = %q\nkey = %q\n", certificate, key)
 	services := map[string]string{} // URLs by the names of the listeners
 	for _, listener := range []struct{ name, scheme, protocol, tls string }{
--- a/internal/node/exchange_test.go
+++ b/internal/node/exchange_test.go
@@ -89,9 +89,9 @@
 	if err := program.listenAdmin("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	player.Addr = addr.String()
+	player.Address = addr.String()
 	player.Values["admin"] = program.adminAddr.String()
-	player.Do = platformActions(t, program, platform, reports)
+	player.Callbacks = platformActions(t, program, platform, reports)
 	program.shutdownTime = time.Minute // a process that ends by itself is not what is played
 	start(t, eventLoop)
 	player.Play(t, text)
@@ -137,8 +137,8 @@
 	}
 	path := writeTemp(t, "operator.toml", xmppFile(player, names, "serving"))
 	node := newOperatorNode(t, path, 1)
-	player.Addr = node.addr()
-	player.Do = map[string]func(){
+	player.Address = node.addr()
+	player.Callbacks = map[string]func(){
 		"sigterm": func() {
 			node.loop.Post(func() { drainAll(node.cores) })
 		},
--- a/internal/node/failedstart_test.go
+++ b/internal/node/failedstart_test.go
@@ -54,7 +54,7 @@
 		}
 		failing.Close()
 	}
-	transcript.Until(t, "the running process has its grant back", func() bool { return grantedQuota() == 0 })
+	transcript.WaitFor(t, "the running process has its grant back", func() bool { return grantedQuota() == 0 })
 	_, err = hotrestart.RequestGrant(hotrestart.Path(dir, listen), time.Now().Add(grantTimeout))
 	if err != nil {
 		t.Error("it grants no more: ", err)
--- a/internal/node/golden_hotrestart_test.go
+++ b/internal/node/golden_hotrestart_test.go
@@ -121,7 +121,8 @@
 
 func goldenSession() resumable.Session {
 	return resumable.Session{
-		Key: resumable.Key{Domain: "farm.example", ID: "sm-1"}, User: "ana", Server: "h-1", ServerStarted: 5 * time.Second,
+		Key:  resumable.Key{Domain: "farm.example", ID: "sm-1"},
+		User: "ana", Server: "h-1", ServerStarted: 5 * time.Second,
 		ResumeTime: time.Minute, Expires: time.Unix(1796234567, 0), TimeLeft: 40 * time.Second,
 	}
 }
@@ -140,7 +141,8 @@
 	checkGolden(t, "platform-front", downstream.ConnectionState{
 		Conn: toClient, PartialServerLineBytes: 11,
 		Server: &upstream.ConnectionState{
-			Conn: toHost, PartialServerLine: []byte("of the host"), PartialClientLineBytes: 12, ClosingLine: 1, AwaitingReplySince: 1796234567000000001, AwaitingReplyFor: 13,
+			Conn: toHost, PartialServerLine: []byte("of the host"), PartialClientLineBytes: 12, ClosingLine: 1,
+			AwaitingReplySince: 1796234567000000001, AwaitingReplyFor: 13,
 		},
 		FirstLine: []byte("of the client"), Pinged: true, FirstLineDeadline: 1796234567000000002, FirstLineTimeLeft: 14,
 	}, hotrestart.Decode)
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -109,7 +109,7 @@
 	}
 	path = hotrestart.Path(t.TempDir(), node.Listen)
 	shared = &sharedNode{t: t, player: player, peer: peer, predecessor: startProcess(t, node, path)}
-	player.Addr = shared.predecessor.addr
+	player.Address = shared.predecessor.addr
 	shared.predecessor.on(func() {
 		shared.nodePeerAddr = net.UDPAddrFromAddrPort(shared.predecessor.platform.peers.localAddr)
 	})
@@ -172,14 +172,14 @@
 // checkPeerMessages wants the successor alone to receive what the other node sends.
 func (n *sharedNode) checkPeerMessages() {
 	n.t.Helper()
-	transcript.Until(n.t, "the second process receives", func() bool {
+	transcript.WaitFor(n.t, "the second process receives", func() bool {
 		n.sendPeerMessage()
 		return n.successor.number(receivedPeerMessages) > 0
 	})
 	before := n.predecessor.number(receivedPeerMessages)
 	n.sendPeerMessage()
 	n.sendPeerMessage()
-	transcript.Until(n.t, "and only it", func() bool { return n.successor.number(receivedPeerMessages) >= 3 })
+	transcript.WaitFor(n.t, "and only it", func() bool { return n.successor.number(receivedPeerMessages) >= 3 })
 	if n.predecessor.number(receivedPeerMessages) != before {
 		n.t.Error("both receive")
 	}
@@ -195,14 +195,14 @@
 	before := n.successor.number(descriptorQuota)
 	n.predecessor.on(n.predecessor.Shutdown)
 	n.player.Play(n.t, "e open\ne > PING\ne < PONG\n")
-	transcript.Until(n.t, "the process that shuts down raises the quota", func() bool {
+	transcript.WaitFor(n.t, "the process that shuts down raises the quota", func() bool {
 		if sum := n.quotaSum(); sum > sharedDescriptors {
 			n.t.Fatalf("%d of %d descriptors", sum, sharedDescriptors)
 		}
 		return n.successor.number(descriptorQuota) > before
 	})
 	n.predecessor.kill()
-	transcript.Until(n.t, "the second process is the node", func() bool {
+	transcript.WaitFor(n.t, "the second process is the node", func() bool {
 		return n.successor.number(descriptorQuota) == sharedDescriptors && n.successor.number(processesOfNode) == 1
 	})
 }
@@ -213,12 +213,12 @@
 	shared, node, path := newSharedNode(t)
 	shared.pushUpdate()
 	shared.sendPeerMessage()
-	transcript.Until(t, "the first process receives", func() bool {
+	transcript.WaitFor(t, "the first process receives", func() bool {
 		return shared.predecessor.number(receivedPeerMessages) == 1
 	})
 	shared.successor = startProcess(t, node, path)
 	shared.checkList()
-	transcript.Until(t, "both count two processes", func() bool {
+	transcript.WaitFor(t, "both count two processes", func() bool {
 		return shared.predecessor.number(processesOfNode) == 2 && shared.successor.number(processesOfNode) == 2
 	})
 	shared.checkPeerMessages()
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -35,7 +35,7 @@
 // TestConnectionLimit checks that a node at its limit of descriptors rejects with a retry time, closes what comes
 // beyond, and serves again once it has capacity.
 func TestConnectionLimit(t *testing.T) {
-	node := platformConfig(t, transcript.Host(t))
+	node := platformConfig(t, transcript.EchoServer(t))
 	node.Sockets = reservedDescriptors + 24
 	client := &limitedClient{addr: startPlatform(t, node)}
 	const served, rejected, closed = "UP 1", "BUSY 1000", ""
@@ -78,10 +78,10 @@
 	node := platformConfig(t, player.Listen(t, "h1"))
 	node.Sockets = reservedDescriptors + 64
 	node.MemoryMB = 32
-	player.Addr = startPlatform(t, node)
+	player.Address = startPlatform(t, node)
 	connectIdle := func(text string) (all []net.Conn) {
 		for range 150 {
-			conn := dial(t, player.Addr)
+			conn := dial(t, player.Address)
 			send(conn, "%s", text)
 			all = append(all, conn)
 		}
@@ -133,10 +133,10 @@
 		"[[cluster]]\nname = \"k\"\n[[cluster.host]]\naddr = %q\n",
 		player.Listen(t, "h1")))
 	node := newOperatorNode(t, path, 1)
-	player.Addr = node.addr()
+	player.Address = node.addr()
 	start(t, node.loop)
 	for range 200 {
-		dial(t, player.Addr)
+		dial(t, player.Address)
 	}
 	player.Play(t, `
 c open
--- a/internal/node/many_test.go
+++ b/internal/node/many_test.go
@@ -142,7 +142,7 @@
 	sendFrom(peers[:atOnce]) // before the loop runs: all of it is in the node's socket
 	start(t, eventLoop)
 	awaitReceived := func(want int) {
-		transcript.Until(t, fmt.Sprintf("%d nodes are received from", want), func() (all bool) {
+		transcript.WaitFor(t, fmt.Sprintf("%d nodes are received from", want), func() (all bool) {
 			runOn(eventLoop, func() { all = platform.peers.counts.received == want })
 			return all
 		})
@@ -154,7 +154,7 @@
 		next += more
 		awaitReceived(next)
 	}
-	transcript.Until(t, "discovery's complete list is known", func() (all bool) {
+	transcript.WaitFor(t, "discovery's complete list is known", func() (all bool) {
 		runOn(eventLoop, func() {
 			servers := platform.core.Servers()
 			all = len(servers) == many && strings.HasPrefix(string(servers[0].ID), "fresh")
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -115,8 +115,12 @@
 	limits := file.Limits
 	o.program.loop.Limit(limits.Connections-limits.Connections/idleReserveDivisor, limits.Connections, 0)
 	o.xmpp = xmpp.New(o.program.loop, domains, xmpp.Limits{
-		MaxStanzaBytes: limits.StanzaBytes, MaxReplayBytes: limits.EarlyBytes, HeaderTimeout: time.Duration(limits.HeaderTime),
-		HandshakeTimeout: time.Duration(limits.HandshakeTimeout), MaxConnections: limits.Connections, MaxResumable: limits.Resumable,
+		MaxStanzaBytes:   limits.StanzaBytes,
+		MaxReplayBytes:   limits.EarlyBytes,
+		HeaderTimeout:    time.Duration(limits.HeaderTime),
+		HandshakeTimeout: time.Duration(limits.HandshakeTimeout),
+		MaxConnections:   limits.Connections,
+		MaxResumable:     limits.Resumable,
 	}, o.seed)
 	o.program.xmpp = o.xmpp
 	o.xmpp.Trace = &o.program.telemetry.trace
--- a/internal/node/peerlimit_test.go
+++ b/internal/node/peerlimit_test.go
@@ -13,7 +13,7 @@
 
 // connect opens one stream to a node and authenticates.
 func (n *xmppNode) connect() (*xmppserver.Client, error) {
-	client, _, err := xmppserver.Connect(n.addr, "u", "", xmppserver.Plain, time.Now().Add(testTimeout))
+	client, _, err := xmppserver.Connect(n.addr, "u", "", xmppserver.LoginPlain, time.Now().Add(testTimeout))
 	return client, err
 }
 
@@ -39,7 +39,7 @@
 	node.writeAndReload(noneDraining)
 	checkUnauthenticatedLimit(t, node)
 	for i, client := range open {
-		if _, err := client.Say(ping, "/>"); err != nil {
+		if _, err := client.Exchange(ping, "/>"); err != nil {
 			t.Errorf("stream %d, which was open all the time: %v", i, err)
 		}
 	}
@@ -50,7 +50,7 @@
 func checkStreamLimit(t *testing.T, node *xmppNode, open []*xmppserver.Client) {
 	t.Helper()
 	silent := dial(t, node.addr)
-	transcript.Until(t, "the fourth has come", func() bool {
+	transcript.WaitFor(t, "the fourth has come", func() bool {
 		sessions := 0
 		runOn(node.loop, func() { sessions = node.fronts.xmpp.Answers.Sessions })
 		return sessions == 4
@@ -60,7 +60,7 @@
 	}
 	_ = silent.Close()       // the node sees the end all the same
 	_ = open[0].Conn.Close() // as above
-	transcript.Until(t, "a stream is accepted again", func() bool {
+	transcript.WaitFor(t, "a stream is accepted again", func() bool {
 		client, err := node.connect()
 		open[0] = client
 		return err == nil
@@ -90,7 +90,7 @@
 		waiting := dial(t, node.addr)
 		defer func() { _ = waiting.Close() }() // the node sees the end all the same
 	}
-	transcript.Until(t, "those that don't authenticate are too many", func() bool {
+	transcript.WaitFor(t, "those that don't authenticate are too many", func() bool {
 		client, err := node.connect()
 		if err == nil {
 			_ = client.Conn.Close() // as above
--- a/internal/node/reasons_test.go
+++ b/internal/node/reasons_test.go
@@ -12,13 +12,13 @@
 // that no invariant was violated.
 func TestReasons(t *testing.T) {
 	program, addr := startSmallNode(t, reservedDescriptors+80)
-	player := &transcript.Player{Addr: addr, Values: map[string]string{}}
+	player := &transcript.Player{Address: addr, Values: map[string]string{}}
 	player.Play(t,
 		"c open\nc > OPEN 1 01 c=chat,d=4000\nc < UP 1\nc end\ne open\ne > NONSENSE\ne < ERR\ne < END\n")
 	var body string
-	transcript.Until(t, "both ends are reported", func() bool {
+	transcript.WaitFor(t, "both ends are reported", func() bool {
 		var status int
-		status, body = transcript.Call(program.adminAddr.String(), "/api/reasons")
+		status, body = transcript.AdminRequest(program.adminAddr.String(), "/api/reasons")
 		return status == http.StatusOK && strings.Contains(body, "gw.closed.client_ended:1|c\n") &&
 			strings.Contains(body, "gw.closed.client_broke_protocol:1|c\n")
 	})
--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -78,7 +78,7 @@
 }
 
 // connectAll has so many clients connect at once, each to resume the session of its number, and counts the resumed.
-func (n *xmppNode) connectAll(ids []string, how xmppserver.How) (clients []*xmppserver.Client, resumed int) {
+func (n *xmppNode) connectAll(ids []string, how xmppserver.LoginMethod) (clients []*xmppserver.Client, resumed int) {
 	n.tb.Helper()
 	clients = make([]*xmppserver.Client, len(ids))
 	var wg sync.WaitGroup
@@ -130,19 +130,24 @@
 	return count
 }
 
+// loginMethods are the ways in which the tests' clients log in.
+var loginMethods = []xmppserver.LoginMethod{
+	xmppserver.LoginPlain, xmppserver.LoginPlainNamed, xmppserver.LoginSASL2,
+}
+
 // TestResumeFindsServer has clients lose their link and connect again, over four servers: each finds the one that has
 // its session, whichever way it authenticates, also while its old stream is still open. A server that drains, or that
 // has lost its sessions, costs the session and nothing else.
 func TestResumeFindsServer(t *testing.T) {
 	node := newXMPPNode(t, 4, "")
-	for _, how := range []xmppserver.How{xmppserver.Plain, xmppserver.Named, xmppserver.SASL2} {
+	for _, how := range loginMethods {
 		ids := checkResume(t, node, how)
 		checkLostSessions(t, node, how, ids)
 	}
 }
 
 // checkResume has clients resume their sessions twice: beside their old streams, and after their streams have broken.
-func checkResume(t *testing.T, node *xmppNode, how xmppserver.How) (ids []string) {
+func checkResume(t *testing.T, node *xmppNode, how xmppserver.LoginMethod) (ids []string) {
 	t.Helper()
 	const count = 24
 	first, resumed := node.connectAll(make([]string, count), how)
@@ -155,13 +160,13 @@
 		t.Fatalf("way %d: %d of %d resumed beside their old streams", how, resumed, count)
 	}
 	for i, client := range first {
-		got, err := client.Say("", "</stream:stream>")
+		got, err := client.Exchange("", "</stream:stream>")
 		if err == nil || !strings.Contains(got+err.Error(), "conflict") {
 			t.Errorf("way %d: the old stream %d got %q, %v", how, i, got, err)
 		}
 	}
 	for _, client := range second {
-		if _, err := client.Say(ping, "/>"); err != nil {
+		if _, err := client.Exchange(ping, "/>"); err != nil {
 			t.Error(err)
 		}
 	}
@@ -176,7 +181,7 @@
 }
 
 // checkLostSessions restarts one server and drains another: all sessions but those of the two are resumed.
-func checkLostSessions(t *testing.T, node *xmppNode, how xmppserver.How, ids []string) {
+func checkLostSessions(t *testing.T, node *xmppNode, how xmppserver.LoginMethod, ids []string) {
 	t.Helper()
 	const restarted, draining = 2, 3
 	node.servers[restarted].Restart() // it has no sessions any more
@@ -205,7 +210,7 @@
 				server.SeeOther = node.servers[target].Addr
 			}
 		}
-		clients, _ := node.connectAll([]string{""}, xmppserver.Plain)
+		clients, _ := node.connectAll([]string{""}, xmppserver.LoginPlain)
 		closeAll(clients)
 		elsewhere := node.streams() - node.servers[target].Count().Streams
 		if node.servers[target].Count().Bound != 1 || elsewhere > 1 {
@@ -221,7 +226,7 @@
 	for _, server := range node.servers[:2] {
 		server.SeeOther = unlisted.Addr
 	}
-	clients, _ := node.connectAll(make([]string, 16), xmppserver.Plain)
+	clients, _ := node.connectAll(make([]string, 16), xmppserver.LoginPlain)
 	closeAll(clients)
 	if unlisted.Count().Streams != 0 {
 		t.Error("a session went to a server that is not in the list")
--- a/internal/node/tls_test.go
+++ b/internal/node/tls_test.go
@@ -32,7 +32,7 @@
 		dir: t.TempDir(), startTLS: transcript.FreeAddr(t), direct: transcript.FreeAddr(t),
 		deadline: time.Now().Add(time.Minute),
 	}
-	certificate, key := transcript.Keys(t, node.dir, time.Now().Add(certificateLifetime), "farm.example")
+	certificate, key := transcript.WriteCertificate(t, node.dir, time.Now().Add(certificateLifetime), "farm.example")
 	node.certificate = certificate
 	node.xmppNode = newXMPPNode(t, 3, fmt.Sprintf("[limits]\nheader_time = \"2s\"\nhandshake_time = \"2s\"\n"+
 		"[[certificate]]\ncert = %q\nkey = %q\n"+
@@ -55,14 +55,14 @@
 
 // connectTLS connects to one of the two listeners.
 func (n *tlsNode) connectTLS(
-	addr, user, id string, how xmppserver.How, config *tls.Config,
+	addr, user, id string, how xmppserver.LoginMethod, config *tls.Config,
 ) (client *xmppserver.Client, resumed bool, err error) {
 	return xmppserver.ConnectTLS(addr, user, id, how, config, addr == n.direct, n.deadline)
 }
 
 // connectAndResume has a client lose its link and resume.
 func (n *tlsNode) connectAndResume(
-	t *testing.T, addr, user string, how xmppserver.How, config *tls.Config,
+	t *testing.T, addr, user string, how xmppserver.LoginMethod, config *tls.Config,
 ) *xmppserver.Client {
 	t.Helper()
 	client, _, err := n.connectTLS(addr, user, "", how, config)
@@ -88,7 +88,7 @@
 	node := newTLSNode(t)
 	config := node.trust(t)
 	var open []*xmppserver.Client
-	for i, how := range []xmppserver.How{xmppserver.Plain, xmppserver.Named, xmppserver.SASL2} {
+	for i, how := range loginMethods {
 		for _, addr := range []string{node.startTLS, node.direct} {
 			user := fmt.Sprint("u", i, addr[len(addr)-5:])
 			open = append(open, node.connectAndResume(t, addr, user, how, config))
@@ -97,7 +97,7 @@
 	checkCleartext(t, node)
 	checkKeyChange(t, node, config)
 	for i, client := range open {
-		if _, err := client.Say(ping, "/>"); err != nil {
+		if _, err := client.Exchange(ping, "/>"); err != nil {
 			t.Errorf("open stream %d: %v", i, err)
 		}
 		_ = client.Conn.Close() // it has its answer
@@ -157,18 +157,18 @@
 	if err := node.reload(); err == nil || !strings.Contains(err.Error(), "operator.toml:") {
 		t.Errorf("a corrupt certificate: %v", err)
 	}
-	if _, _, err := node.connectTLS(node.direct, "v", "", xmppserver.Plain, config); err != nil {
+	if _, _, err := node.connectTLS(node.direct, "v", "", xmppserver.LoginPlain, config); err != nil {
 		t.Errorf("after a file that can't be read: %v", err)
 	}
 	writeFile(t, node.certificate, string(valid))
-	transcript.Keys(t, node.dir, time.Now().Add(certificateLifetime), "farm.example")
+	transcript.WriteCertificate(t, node.dir, time.Now().Add(certificateLifetime), "farm.example")
 	if err := node.reload(); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := node.connectTLS(node.direct, "w", "", xmppserver.Plain, config); err == nil {
+	if _, _, err := node.connectTLS(node.direct, "w", "", xmppserver.LoginPlain, config); err == nil {
 		t.Error("a new handshake used the old certificate")
 	}
-	if _, _, err := node.connectTLS(node.startTLS, "w", "", xmppserver.Plain, node.trust(t)); err != nil {
+	if _, _, err := node.connectTLS(node.startTLS, "w", "", xmppserver.LoginPlain, node.trust(t)); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -75,7 +75,7 @@
 		started.loop.Post(started.loop.Stop)
 		<-started.done
 	})
-	transcript.Until(n.tb, "the process is ready", func() (ready bool) {
+	transcript.WaitFor(n.tb, "the process is ready", func() (ready bool) {
 		started.on(func() { ready = started.ready() })
 		return ready
 	})
@@ -88,7 +88,7 @@
 	n.tb.Helper()
 	n.successor = n.start()
 	old := n.current
-	transcript.Until(n.tb, "the present process knows its successor", func() (ready bool) {
+	transcript.WaitFor(n.tb, "the present process knows its successor", func() (ready bool) {
 		old.on(func() { _, ready = old.restart.coordinator.Successor() })
 		return ready
 	})
@@ -148,10 +148,10 @@
 	t.Helper()
 	player := &transcript.Player{Values: map[string]string{"ns": xmppNamespaces}}
 	node := newRestartedNode(t, player.Listen(t, "h1"), 512)
-	player.Addr = node.env["GW_LISTEN"]
+	player.Address = node.env["GW_LISTEN"]
 	player.Values["xmpp"] = node.env["XMPP"]
 	thaw := make(chan struct{})
-	player.Do = map[string]func(){
+	player.Callbacks = map[string]func(){
 		"wait":       func() { time.Sleep(1200 * time.Millisecond) },
 		"long":       func() { time.Sleep(3 * time.Second) },
 		"upgrade":    node.restart,
@@ -184,9 +184,9 @@
 // are freed, and through a chain of processes.
 func TestTransferInBatches(t *testing.T) {
 	const connections = 400
-	node := newRestartedNode(t, transcript.Host(t), 2*connections+reservedDescriptors+256)
-	streams := &transcript.Streams{Addr: node.env["GW_LISTEN"], At: "s-1"}
-	streams.Run(t, connections, transcript.Steady)
+	node := newRestartedNode(t, transcript.EchoServer(t), 2*connections+reservedDescriptors+256)
+	streams := &transcript.Streams{Addr: node.env["GW_LISTEN"], Server: "s-1"}
+	streams.Start(t, connections, transcript.OneByOne)
 	for i := range 3 {
 		old := node.current
 		node.restart()
@@ -196,7 +196,7 @@
 		// The sender may end once its last message is written; the successor may not have read that yet.
 		current := node.current
 		inFlight, received := 0, 0
-		transcript.Until(t, "the successor has them all", func() bool {
+		transcript.WaitFor(t, "the successor has them all", func() bool {
 			current.on(func() {
 				inFlight = current.platform.core.InFlight()
 				received = current.restart.received
@@ -214,16 +214,18 @@
 // TestSessionsTransferred has a process replace one that knows which servers have the sessions whose streams have
 // ended.
 func TestSessionsTransferred(t *testing.T) {
-	node := newRestartedNode(t, transcript.Host(t), 200)
+	node := newRestartedNode(t, transcript.EchoServer(t), 200)
 	session := resumable.Session{
-		Key: resumable.Key{Domain: "farm.example", ID: "1"}, User: "ana", Server: "h", ServerStarted: 5, ResumeTime: time.Minute,
-		Expires: time.Now().Add(time.Minute),
+		Key:  resumable.Key{Domain: "farm.example", ID: "1"},
+		User: "ana", Server: "h", ServerStarted: 5,
+		ResumeTime: time.Minute, Expires: time.Now().Add(time.Minute),
 	}
 	node.current.on(func() { node.current.xmpp.AddDisconnectedSessions([]resumable.Session{session}) })
 	node.restart()
 	var all []resumable.Session
 	node.current.on(func() { all = node.current.xmpp.DisconnectedSessions(9) })
-	if len(all) != 1 || all[0].Server != "h" || all[0].ServerStarted != 5 || time.Until(all[0].Expires) < 50*time.Second {
+	isKnown := len(all) == 1 && all[0].Server == "h" && all[0].ServerStarted == 5
+	if !isKnown || time.Until(all[0].Expires) < 50*time.Second {
 		t.Errorf("the new process knows of %+v", all)
 	}
 }
@@ -231,9 +233,9 @@
 // TestTransferWithoutFreeDescriptors has the successor use nearly all descriptors: connections that can't be
 // transferred are migrated, and none is cut off.
 func TestTransferWithoutFreeDescriptors(t *testing.T) {
-	node := newRestartedNode(t, transcript.Host(t), 120)
-	crowd := &transcript.Crowd{Addr: node.env["GW_LISTEN"]}
-	crowd.Run(20)
+	node := newRestartedNode(t, transcript.EchoServer(t), 120)
+	crowd := &transcript.Clients{Addr: node.env["GW_LISTEN"]}
+	crowd.Start(20)
 	for range 3 {
 		node.restart()
 	}
@@ -254,9 +256,9 @@
 	const connections = 400
 	defer func(before int) { maxBatchConnections = before }(maxBatchConnections)
 	maxBatchConnections = batchSize
-	node := newRestartedNode(b, transcript.Host(b), 8*connections)
-	streams := &transcript.Streams{Addr: node.env["GW_LISTEN"], At: "s-1"}
-	streams.Run(b, connections, transcript.Still)
+	node := newRestartedNode(b, transcript.EchoServer(b), 8*connections)
+	streams := &transcript.Streams{Addr: node.env["GW_LISTEN"], Server: "s-1"}
+	streams.Start(b, connections, transcript.Idle)
 	sentBytes := 0
 	var duration, longestBatch time.Duration
 	b.ResetTimer()
--- a/internal/node/websocket_test.go
+++ b/internal/node/websocket_test.go
@@ -97,7 +97,7 @@
 // TestWebSocket has a client connect by WebSocket, in the clear and by TLS: it authenticates, binds, is answered, loses
 // its link, resumes, and closes its stream; one that sends what is no element gets an error.
 func TestWebSocket(t *testing.T) {
-	certificate, key := transcript.Keys(t, t.TempDir(), time.Now().Add(certificateLifetime), "farm.example")
+	certificate, key := transcript.WriteCertificate(t, t.TempDir(), time.Now().Add(certificateLifetime), "farm.example")
 	cleartext := transcript.FreeAddr(t)
 	direct := transcript.FreeAddr(t)
 	node := newXMPPNode(t, 3, fmt.Sprintf("[[certificate]]\ncert = %q\nkey = %q\n"+
--- a/internal/operations/hotrestart/helpers_test.go
+++ b/internal/operations/hotrestart/helpers_test.go
@@ -46,7 +46,7 @@
 // waitFor polls a condition on the loop until it holds.
 func waitFor(t *testing.T, onLoop func(func()), what string, condition func() bool) {
 	t.Helper()
-	transcript.Until(t, what, func() (holds bool) {
+	transcript.WaitFor(t, what, func() (holds bool) {
 		onLoop(func() { holds = condition() })
 		return holds
 	})
--- a/internal/operations/hotrestart/transfer_test.go
+++ b/internal/operations/hotrestart/transfer_test.go
@@ -260,7 +260,7 @@
 	_, _ = io.Copy(io.Discard, parent.reader)
 	_ = parent.conn.Close()
 	waitFor(t, onLoop, "the end of the batch", func() bool { return calls == step.end })
-	transcript.Until(t, "no descriptor is left", func() bool {
+	transcript.WaitFor(t, "no descriptor is left", func() bool {
 		return countDescriptors(t) <= before-2 // the link's two ends are gone too
 	})
 	loop.CloseAll(near)
--- a/internal/plan/fleet/capacity.go
+++ b/internal/plan/fleet/capacity.go
@@ -26,9 +26,9 @@
 	panic("fleet: unknown kind " + name)
 }
 
-// Centre returns the index of the zone of a name, or -1 where there is none.
-func (f *Fleet) Centre(name string) int {
-	for i, zone := range f.Centres {
+// ZoneIndex returns the index of the zone of a name, or -1 where there is none.
+func (f *Fleet) ZoneIndex(name string) int {
+	for i, zone := range f.Zones {
 		if zone.Name == name {
 			return i
 		}
@@ -36,8 +36,8 @@
 	return -1
 }
 
-// Count returns the number of servers.
-func (f *Fleet) Count() int {
+// ServerCount returns the number of servers.
+func (f *Fleet) ServerCount() int {
 	count := 0
 	for _, pool := range f.ServerPools {
 		count += pool.Count
@@ -48,7 +48,7 @@
 // NodeCount returns the number of nodes.
 func (f *Fleet) NodeCount() int {
 	count := 0
-	for _, pool := range f.Nodes {
+	for _, pool := range f.NodePools {
 		count += pool.Count
 	}
 	return count
@@ -70,8 +70,8 @@
 		return time.Duration(f.Network.SameZone)
 	}
 	for _, delay := range f.Delays {
-		first := f.Centre(delay.From)
-		second := f.Centre(delay.To)
+		first := f.ZoneIndex(delay.From)
+		second := f.ZoneIndex(delay.To)
 		if first == from && second == to || first == to && second == from {
 			return time.Duration(delay.OneWay)
 		}
@@ -81,14 +81,14 @@
 
 // Quota returns the number of connections of mean load that a tenant may hold over all nodes.
 func (f *Fleet) Quota(tenant int) float64 {
-	fraction := f.Editions[tenant].Share / f.tenantShares() * f.General.QuotaFraction
+	fraction := f.Tenants[tenant].Share / f.tenantShares() * f.General.QuotaFraction
 	return fraction * f.Cores() / (f.MeanLoad() * f.CoreLoad())
 }
 
 // tenantShares is the sum of the tenants' shares.
 func (f *Fleet) tenantShares() float64 {
 	sum := 0.0
-	for _, tenant := range f.Editions {
+	for _, tenant := range f.Tenants {
 		sum += tenant.Share
 	}
 	return sum
--- a/internal/plan/fleet/defaults.go
+++ b/internal/plan/fleet/defaults.go
@@ -13,23 +13,23 @@
 // setDefaults fills in what the file leaves out.
 func (f *Fleet) setDefaults(file *tomlfile.File) {
 	f.setFleetDefaults()
-	for i := range f.Centres {
+	for i := range f.Zones {
 		if !file.Has(fmt.Sprintf("centre.%d.clients", i)) { // zero is a share that a file may give
-			f.Centres[i].Clients = 1
+			f.Zones[i].Clients = 1
 		}
 	}
 	for i := range f.MachineKinds {
 		f.MachineKinds[i].setDefaults()
 	}
-	for i := range f.Nodes {
-		tomlfile.Fill(&f.Nodes[i].Sockets, 1024)
+	for i := range f.NodePools {
+		tomlfile.Fill(&f.NodePools[i].Descriptors, 1024)
 	}
 	for i := range f.Classes {
 		f.Classes[i].setDefaults()
 	}
-	for i := range f.Editions {
-		tomlfile.Fill(&f.Editions[i].Share, 1)
-		tomlfile.Fill(&f.Editions[i].Usage, 1)
+	for i := range f.Tenants {
+		tomlfile.Fill(&f.Tenants[i].Share, 1)
+		tomlfile.Fill(&f.Tenants[i].Usage, 1)
 	}
 }
 
--- a/internal/plan/fleet/fleet.go
+++ b/internal/plan/fleet/fleet.go
@@ -17,13 +17,13 @@
 type Fleet struct {
 	General      General       `toml:"fleet"`
 	Network      Network       `toml:"network"`
-	Centres      []Zone        `toml:"centre"`
+	Zones        []Zone        `toml:"centre"`
 	Delays       []ZoneDelay   `toml:"delay"`
 	MachineKinds []MachineKind `toml:"kind"`
 	ServerPools  []ServerPool  `toml:"servers"`
-	Nodes        []NodePool    `toml:"node"`
+	NodePools    []NodePool    `toml:"node"`
 	Classes      []Class       `toml:"class"`
-	Editions     []Tenant      `toml:"edition"`
+	Tenants      []Tenant      `toml:"edition"`
 	Group        Group         `toml:"group"`
 	Store        Store         `toml:"store"`
 	SlowStart    SlowStart     `toml:"cold"`
@@ -83,9 +83,9 @@
 
 // NodePool is a number of nodes of one size in one zone.
 type NodePool struct {
-	Zone    string `toml:"centre"`
-	Count   int    `toml:"count"`
-	Sockets int    `toml:"sockets"`
+	Zone        string `toml:"centre"`
+	Count       int    `toml:"count"`
+	Descriptors int    `toml:"sockets"`
 }
 
 // Class is a class of connections.
--- a/internal/plan/fleet/fleet_test.go
+++ b/internal/plan/fleet/fleet_test.go
@@ -64,8 +64,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(f.Nodes) != 1 || f.Nodes[0].Count != 1100 || f.Count() != 1100 {
-		t.Errorf("nodes %+v, %d servers", f.Nodes, f.Count())
+	if len(f.NodePools) != 1 || f.NodePools[0].Count != 1100 || f.ServerCount() != 1100 {
+		t.Errorf("nodes %+v, %d servers", f.NodePools, f.ServerCount())
 	}
 }
 
@@ -77,17 +77,17 @@
 	}
 	for n := range 60 {
 		resized := original.Resize(n)
-		if resized.Count() != n {
-			t.Errorf("resized to %d: %d servers", n, resized.Count())
+		if resized.ServerCount() != n {
+			t.Errorf("resized to %d: %d servers", n, resized.ServerCount())
 		}
 		for i, pool := range resized.ServerPools {
-			want := float64(n*original.ServerPools[i].Count) / float64(original.Count())
+			want := float64(n*original.ServerPools[i].Count) / float64(original.ServerCount())
 			if float64(pool.Count) < want-1 || float64(pool.Count) > want+1 {
 				t.Errorf("resized to %d: %d of %s in %s, %.1f wanted", n, pool.Count, pool.Kind, pool.Zone, want)
 			}
 		}
 	}
-	if got := fmt.Sprint(original.Resize(original.Count()).ServerPools); got != fmt.Sprint(original.ServerPools) {
+	if got := fmt.Sprint(original.Resize(original.ServerCount()).ServerPools); got != fmt.Sprint(original.ServerPools) {
 		t.Errorf("resized to its own size: %s", got)
 	}
 }
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		s, err := f.Settings(1, 4, "iasi-1")
-		if err != nil || len(s.Classes) != len(f.Classes) || len(s.Tenants) != len(f.Editions) || s.Zone != "iasi-1" ||
+		if err != nil || len(s.Classes) != len(f.Classes) || len(s.Tenants) != len(f.Tenants) || s.Zone != "iasi-1" ||
 			s.Rules.SlowStartFraction != f.SlowStart.Fraction || s.Classes[2].Priority != f.Classes[2].Priority ||
 			s.Tenants[0].Connections != f.Quota(0) {
 			t.Errorf("%s: %+v, %v", path, s, err)
--- a/internal/plan/fleet/resize.go
+++ b/internal/plan/fleet/resize.go
@@ -12,7 +12,7 @@
 func (f *Fleet) Clone() *Fleet {
 	clone := *f
 	clone.ServerPools = slices.Clone(f.ServerPools)
-	clone.Nodes = slices.Clone(f.Nodes)
+	clone.NodePools = slices.Clone(f.NodePools)
 	return &clone
 }
 
@@ -20,7 +20,7 @@
 // remainders are rounded up.
 func (f *Fleet) Resize(servers int) *Fleet {
 	resized := f.Clone()
-	before := float64(f.Count())
+	before := float64(f.ServerCount())
 	if before == 0 {
 		resized.ServerPools[0].Count = servers
 		return resized
--- a/internal/plan/fleet/settings.go
+++ b/internal/plan/fleet/settings.go
@@ -136,7 +136,7 @@
 func (f *Fleet) customerSettings() []customerSettings {
 	customers := []customerSettings{}
 	shares := f.tenantShares()
-	for _, tenant := range f.Editions {
+	for _, tenant := range f.Tenants {
 		customers = append(customers, customerSettings{Name: tenant.Name, Fraction: tenant.Share / shares})
 	}
 	return customers
@@ -167,7 +167,7 @@
 	for _, class := range f.Classes {
 		settings.MessageObjectiveS = append(settings.MessageObjectiveS, class.MessageObjective.Seconds())
 	}
-	for i := range f.Editions {
+	for i := range f.Tenants {
 		settings.TenantQuotas = append(settings.TenantQuotas, f.Quota(i))
 	}
 	return settings
--- a/internal/plan/fleet/validate.go
+++ b/internal/plan/fleet/validate.go
@@ -66,10 +66,10 @@
 }
 
 func (v *validator) zoneTables() {
-	if len(v.fleet.Centres) == 0 {
+	if len(v.fleet.Zones) == 0 {
 		v.file.Fault("", "no [[centre]]: at least one with a name is wanted")
 	}
-	for i, zone := range v.fleet.Centres {
+	for i, zone := range v.fleet.Zones {
 		table := fmt.Sprintf("centre.%d.", i)
 		v.define(table, "centre", zone.Name, v.zones)
 		v.inRange(table+"clients", zone.Clients, 0, 1e9)
@@ -103,24 +103,24 @@
 		v.defined(table+"centre", "centre", pool.Zone, v.zones)
 		v.inRange(table+"count", float64(pool.Count), 0, maxServers)
 	}
-	if servers := v.fleet.Count(); servers > maxServers {
+	if servers := v.fleet.ServerCount(); servers > maxServers {
 		v.file.Fault("servers.0", "%d servers: %d at most", servers, maxServers)
 	}
 }
 
 func (v *validator) nodePools() {
-	if len(v.fleet.Nodes) == 0 {
+	if len(v.fleet.NodePools) == 0 {
 		v.file.Fault("", "no [[node]]: centre and count of some are wanted")
 	}
 	nodes := 0
-	for i, pool := range v.fleet.Nodes {
+	for i, pool := range v.fleet.NodePools {
 		table := fmt.Sprintf("node.%d.", i)
 		v.defined(table+"centre", "centre", pool.Zone, v.zones)
 		v.inRange(table+"count", float64(pool.Count), 0, maxNodes)
-		v.inRange(table+"sockets", float64(pool.Sockets), 64, 1e8)
+		v.inRange(table+"sockets", float64(pool.Descriptors), 64, 1e8)
 		nodes += pool.Count
 	}
-	if nodes == 0 && len(v.fleet.Nodes) > 0 {
+	if nodes == 0 && len(v.fleet.NodePools) > 0 {
 		v.file.Fault("node.0", "no node at all: one or more are wanted")
 	}
 }
@@ -150,7 +150,7 @@
 }
 
 func (v *validator) tenantTables() {
-	for i, tenant := range v.fleet.Editions {
+	for i, tenant := range v.fleet.Tenants {
 		table := fmt.Sprintf("edition.%d.", i)
 		v.define(table, "edition", tenant.Name, v.tenants)
 		v.positive(table+"share", tenant.Share, 1e9)
--- a/internal/plan/planner/bound.go
+++ b/internal/plan/planner/bound.go
@@ -13,11 +13,11 @@
 
 // Bound is what arithmetic alone gives: no placement can do better, however good.
 type Bound struct {
-	Service   float64  `json:"service"`    // at most
-	Cores     float64  `json:"cores"`      // capacity of all servers after their slow start, in reference cores
-	Demand    float64  `json:"asked"`      // of the busiest window, with each group counted once
-	DemandAtS float64  `json:"asked_at_s"` // beginning of that window
-	Cannot    []string `json:"cannot"`     // what is infeasible, in words
+	Service    float64  `json:"service"`    // at most
+	Cores      float64  `json:"cores"`      // capacity of all servers after their slow start, in reference cores
+	Demand     float64  `json:"asked"`      // of the busiest window, with each group counted once
+	DemandAtS  float64  `json:"asked_at_s"` // beginning of that window
+	Infeasible []string `json:"cannot"`     // what is infeasible, in words
 }
 
 // windowDemand is what a load demands in one window.
@@ -146,7 +146,7 @@
 	if demand > 0 {
 		bound.Service = min(1, served/demand)
 	}
-	bound.Cannot = c.infeasible(&bound, peak)
+	bound.Infeasible = c.infeasible(&bound, peak)
 	return bound
 }
 
@@ -217,8 +217,8 @@
 // nodeCapacity returns how many client connections the descriptors of all nodes are enough for.
 func (c *boundCalculator) nodeCapacity() float64 {
 	capacity := 0.0
-	for _, pool := range c.fleet.Nodes {
-		capacity += float64(pool.Count) * max(0, float64(pool.Sockets-reservedDescriptors)) / 2
+	for _, pool := range c.fleet.NodePools {
+		capacity += float64(pool.Count) * max(0, float64(pool.Descriptors-reservedDescriptors)) / 2
 	}
 	return capacity
 }
--- a/internal/plan/planner/breakpoint.go
+++ b/internal/plan/planner/breakpoint.go
@@ -18,25 +18,25 @@
 	breakpointWindow    = time.Minute
 )
 
-// Broken is the first limit that is reached as a load grows.
-type Broken struct {
-	Limit    string  `json:"limit"`
-	Where    string  `json:"where"`
-	AtS      float64 `json:"at_s"`
-	Multiple float64 `json:"multiple"` // of the load given
-	Service  float64 `json:"service"`  // at that multiple
-	None     bool    `json:"none"`     // no limit up to the multiple tried
+// Breakpoint is the first limit that is reached as a load grows.
+type Breakpoint struct {
+	Limit      string  `json:"limit"`
+	Where      string  `json:"where"`
+	AtS        float64 `json:"at_s"`
+	LoadFactor float64 `json:"multiple"` // of the load given
+	Service    float64 `json:"service"`  // at that multiple
+	None       bool    `json:"none"`     // no limit up to the multiple tried
 }
 
-// FirstToBreak finds the least multiple of the load at which a limit is reached or the service is much worse for it,
+// FindBreakpoint finds the least multiple of the load at which a limit is reached or the service is much worse for it,
 // and which limit that is: of several, the one that is reached first. A longer load is searched on its busiest
 // breakpointWindow. Several multiples are simulated at once; onTry, which may be nil, is called with the largest of
 // them.
-func FirstToBreak(
+func FindBreakpoint(
 	description *fleet.Fleet, load *workload.Load, options Options, onTry func(multiple float64),
-) (Broken, error) {
+) (Breakpoint, error) {
 	if len(load.Sessions) == 0 {
-		return Broken{None: true, Multiple: math.Inf(1), Service: 1}, nil
+		return Breakpoint{None: true, LoadFactor: math.Inf(1), Service: 1}, nil
 	}
 	window, from := busiestPart(description, load, breakpointWindow)
 	options.MinService = minTolerableService
@@ -47,10 +47,10 @@
 			onTry(factors[len(factors)-1])
 		}
 		if err := search.try(factors); err != nil {
-			return Broken{}, err
+			return Breakpoint{}, err
 		}
 		if search.tolerable >= maxLoadFactor && math.IsInf(search.tooMuch, 1) {
-			return Broken{None: true, Multiple: maxLoadFactor, Service: search.tolerableRun.Service}, nil
+			return Breakpoint{None: true, LoadFactor: maxLoadFactor, Service: search.tolerableRun.Service}, nil
 		}
 	}
 	return search.result(from), nil
@@ -81,7 +81,7 @@
 // try simulates factors, in ascending order, and narrows the range.
 func (s *breakpointSearch) try(factors []float64) error {
 	runs, err := inParallel(len(factors), func(i int) (Run, error) {
-		return Play(s.fleet, s.load.Scale(factors[i], s.options.Seed), s.options)
+		return Simulate(s.fleet, s.load.Scale(factors[i], s.options.Seed), s.options)
 	})
 	if err != nil {
 		return err
@@ -115,8 +115,8 @@
 }
 
 // result returns the breakpoint of a load that begins at a time of the given one.
-func (s *breakpointSearch) result(from time.Duration) Broken {
-	found := Broken{Limit: "service", Where: "all", Multiple: s.tooMuch, Service: s.tooMuchRun.Service}
+func (s *breakpointSearch) result(from time.Duration) Breakpoint {
+	found := Breakpoint{Limit: "service", Where: "all", LoadFactor: s.tooMuch, Service: s.tooMuchRun.Service}
 	reached := slices.DeleteFunc(slices.Clone(s.tooMuchRun.Limits), func(usage LimitUsage) bool {
 		return usage.TimesReached < minTimesReached
 	})
--- a/internal/plan/planner/forecast.go
+++ b/internal/plan/planner/forecast.go
@@ -33,8 +33,8 @@
 	Stats            Stats
 }
 
-// Play simulates one replication.
-func Play(description *fleet.Fleet, load *workload.Load, options Options) (Run, error) {
+// Simulate simulates one replication.
+func Simulate(description *fleet.Fleet, load *workload.Load, options Options) (Run, error) {
 	sim, err := newSimulation(description, load, options)
 	if err != nil {
 		return Run{}, err
@@ -53,7 +53,7 @@
 		Stats:            s.stats,
 	}
 	run.Service, run.Classes, run.Tenants = s.account.Service()
-	run.Tenants = run.Tenants[:len(s.fleet.Editions)]
+	run.Tenants = run.Tenants[:len(s.fleet.Tenants)]
 	if s.earlyService > 0 {
 		run.Service = s.earlyService
 		run.EndedEarly = true
@@ -86,15 +86,15 @@
 
 // Forecast is how a fleet is expected to serve a load.
 type Forecast struct {
-	Service  Figure            `json:"service"`
-	Worst    Figure            `json:"worst_10s"`
-	WorstAt  float64           `json:"worst_10s_at_s"`
-	Classes  map[string]Figure `json:"classes"`
-	Editions map[string]Figure `json:"editions"`
-	Limits   []LimitUsage      `json:"limits"`
-	Stats    Stats             `json:"stats"`
-	Bound    Bound             `json:"bound"`
-	Runs     []Run             `json:"-"`
+	Service        Figure            `json:"service"`
+	WorstWindow    Figure            `json:"worst_10s"`
+	WorstWindowAtS float64           `json:"worst_10s_at_s"`
+	Classes        map[string]Figure `json:"classes"`
+	Tenants        map[string]Figure `json:"editions"`
+	Limits         []LimitUsage      `json:"limits"`
+	Stats          Stats             `json:"stats"`
+	Bound          Bound             `json:"bound"`
+	Runs           []Run             `json:"-"`
 }
 
 // Replicate simulates the load a number of times, each with a seed of its own, on all cores, and sums up. onDone, which
@@ -106,7 +106,7 @@
 	runs, err := inParallel(replications, func(i int) (Run, error) {
 		replicated := options
 		replicated.Seed = workload.Mix(options.Seed*1000 + uint64(i))
-		run, err := Play(description, load, replicated)
+		run, err := Simulate(description, load, replicated)
 		if onDone != nil {
 			mu.Lock()
 			defer mu.Unlock()
@@ -148,23 +148,23 @@
 		return newFigure(values)
 	}
 	forecast := Forecast{
-		Service:  figureOf(func(run *Run) float64 { return run.Service }),
-		Worst:    figureOf(func(run *Run) float64 { return run.WorstWindow }),
-		Classes:  map[string]Figure{},
-		Editions: map[string]Figure{},
-		Bound:    UpperBound(description, load),
-		Runs:     runs,
+		Service:     figureOf(func(run *Run) float64 { return run.Service }),
+		WorstWindow: figureOf(func(run *Run) float64 { return run.WorstWindow }),
+		Classes:     map[string]Figure{},
+		Tenants:     map[string]Figure{},
+		Bound:       UpperBound(description, load),
+		Runs:        runs,
 	}
 	for i, class := range description.Classes {
 		forecast.Classes[class.Name] = figureOf(func(run *Run) float64 { return run.Classes[i] })
 	}
-	for i, tenant := range description.Editions {
-		forecast.Editions[tenant.Name] = figureOf(func(run *Run) float64 { return run.Tenants[i] })
+	for i, tenant := range description.Tenants {
+		forecast.Tenants[tenant.Name] = figureOf(func(run *Run) float64 { return run.Tenants[i] })
 	}
 	middle := middleRun(runs, forecast.Service.Mean)
 	forecast.Limits = middle.Limits
 	forecast.Stats = middle.Stats
-	forecast.WorstAt = middle.WorstWindowAt.Seconds()
+	forecast.WorstWindowAtS = middle.WorstWindowAt.Seconds()
 	return forecast
 }
 
--- a/internal/plan/planner/limits.go
+++ b/internal/plan/planner/limits.go
@@ -76,7 +76,7 @@
 	if server == nil {
 		return "all"
 	}
-	return fmt.Sprintf("%s (%s, %s)", server.id, server.kind.Name, s.fleet.Centres[server.zone].Name)
+	return fmt.Sprintf("%s (%s, %s)", server.id, server.kind.Name, s.fleet.Zones[server.zone].Name)
 }
 
 // limitReached reports whether a limit was reached that is more than the momentary load of one server or the quota of a
--- a/internal/plan/planner/loss.go
+++ b/internal/plan/planner/loss.go
@@ -8,27 +8,27 @@
 	"spurwinch/internal/plan/workload"
 )
 
-// Phases is the service before the loss of a zone, while its clients reconnect, and after that. Whole is the service of
-// the last phase without the loss.
+// Phases is the service before the loss of a zone, while its clients reconnect, and after that. WithoutLoss is the
+// service of the last phase without the loss.
 type Phases struct {
-	Before float64 `json:"before"`
-	Storm  float64 `json:"storm"`
-	After  float64 `json:"after"`
-	Whole  float64 `json:"without_loss"`
+	Before       float64 `json:"before"`
+	Reconnecting float64 `json:"storm"`
+	After        float64 `json:"after"`
+	WithoutLoss  float64 `json:"without_loss"`
 }
 
 // ZoneLoss is the effect of losing a zone, as a mean over the replications.
 type ZoneLoss struct {
-	All         Phases            `json:"all"`
-	Classes     map[string]Phases `json:"classes"`
-	StormS      float64           `json:"storm_s"` // how long requests stay over their usual rate
-	ServersLost int               `json:"servers_lost"`
-	NodesLost   int               `json:"nodes_lost"`
-	Nodes       int               `json:"nodes"`
-	Breaks      float64           `json:"breaks"`               // connections that were reset
-	PeakBefore  float64           `json:"peak_requests_before"` // in a second
-	PeakAfter   float64           `json:"peak_requests_after"`
-	Series      []float64         `json:"-"` // service by second
+	Overall            Phases            `json:"all"`
+	Classes            map[string]Phases `json:"classes"`
+	ReconnectS         float64           `json:"storm_s"` // how long requests stay over their usual rate
+	ServersLost        int               `json:"servers_lost"`
+	NodesLost          int               `json:"nodes_lost"`
+	Nodes              int               `json:"nodes"`
+	Resets             float64           `json:"breaks"`               // connections that were reset
+	PeakRequestsBefore float64           `json:"peak_requests_before"` // in a second
+	PeakRequestsAfter  float64           `json:"peak_requests_after"`
+	ServiceBySecond    []float64         `json:"-"` // service by second
 }
 
 const (
@@ -37,8 +37,9 @@
 	calmRate          = 1.5 // times the usual requests a second, over which clients still reconnect
 )
 
-// Lose simulates the load with the loss that the options name, and without. onPhase is called with what comes next.
-func Lose(
+// SimulateZoneLoss simulates the load with the loss that the options name, and without. onPhase is called with what
+// comes next.
+func SimulateZoneLoss(
 	description *fleet.Fleet, load *workload.Load, options Options, replications int, onPhase func(string, ...any),
 ) (ZoneLoss, error) {
 	onPhase("with the loss")
@@ -48,7 +49,7 @@
 	}
 	onPhase("without the loss")
 	unharmed := options
-	unharmed.Lose = ""
+	unharmed.LostZone = ""
 	without, err := Replicate(description, load, unharmed, replications, nil)
 	if err != nil {
 		return ZoneLoss{}, err
@@ -56,23 +57,23 @@
 	comparison := lossComparison{
 		with:      with.Runs,
 		without:   without.Runs,
-		lossTime:  options.LoseAt,
+		lossTime:  options.LossTime,
 		length:    load.Length,
 		reconnect: minReconnectPhase,
 	}
 	loss := ZoneLoss{Classes: map[string]Phases{}}
-	loss.countLost(description, options.Lose)
-	loss.Breaks = comparison.meanResets()
+	loss.countLost(description, options.LostZone)
+	loss.Resets = comparison.meanResets()
 	usual := meanRequests(without.Runs)
 	actual := meanRequests(with.Runs)
-	loss.PeakBefore, loss.PeakAfter = comparison.peaks(actual)
+	loss.PeakRequestsBefore, loss.PeakRequestsAfter = comparison.peaks(actual)
 	comparison.findReconnectPhase(usual, actual)
-	loss.StormS = comparison.reconnect.Seconds()
-	loss.All = comparison.phases(func(overall float64, _ []float64) float64 { return overall })
+	loss.ReconnectS = comparison.reconnect.Seconds()
+	loss.Overall = comparison.phases(func(overall float64, _ []float64) float64 { return overall })
 	for i, class := range description.Classes {
 		loss.Classes[class.Name] = comparison.phases(func(_ float64, classes []float64) float64 { return classes[i] })
 	}
-	loss.Series = meanSeries(with.Runs)
+	loss.ServiceBySecond = meanSeries(with.Runs)
 	return loss, nil
 }
 
@@ -84,7 +85,7 @@
 		}
 	}
 	l.Nodes = description.NodeCount()
-	for _, pool := range description.Nodes {
+	for _, pool := range description.NodePools {
 		if pool.Zone == zone {
 			l.NodesLost += pool.Count
 		}
@@ -156,10 +157,10 @@
 	}
 	recovered := c.lossTime + c.reconnect
 	return Phases{
-		Before: mean(c.with, 0, c.lossTime),
-		Storm:  mean(c.with, c.lossTime, recovered),
-		After:  mean(c.with, recovered, c.length),
-		Whole:  mean(c.without, recovered, c.length),
+		Before:       mean(c.with, 0, c.lossTime),
+		Reconnecting: mean(c.with, c.lossTime, recovered),
+		After:        mean(c.with, recovered, c.length),
+		WithoutLoss:  mean(c.without, recovered, c.length),
 	}
 }
 
--- a/internal/plan/planner/node.go
+++ b/internal/plan/planner/node.go
@@ -51,8 +51,8 @@
 func (s *simulation) addNode(pool fleet.NodePool, total int) error {
 	added := &node{
 		sim:            s,
-		zone:           s.fleet.Centre(pool.Zone),
-		maxConnections: pool.Sockets - reservedDescriptors,
+		zone:           s.fleet.ZoneIndex(pool.Zone),
+		maxConnections: pool.Descriptors - reservedDescriptors,
 		clients:        map[*client]struct{}{},
 	}
 	settings, err := s.fleet.Settings(len(s.nodes), total, pool.Zone)
@@ -76,7 +76,7 @@
 func (s *simulation) endpointList() []edge.ServerEntry {
 	var entries []edge.ServerEntry
 	for _, server := range s.servers {
-		entry := choice.Server{ID: server.id, Zone: s.fleet.Centres[server.zone].Name, Kind: server.kind.Name, Size: 1}
+		entry := choice.Server{ID: server.id, Zone: s.fleet.Zones[server.zone].Name, Kind: server.kind.Name, Size: 1}
 		if server.slowStart {
 			entry.Started = time.Duration(epoch.UnixNano())
 		}
--- a/internal/plan/planner/planner_test.go
+++ b/internal/plan/planner/planner_test.go
@@ -24,12 +24,12 @@
 
 func draw(description *fleet.Fleet, seed uint64, sessions float64, seconds int) *workload.Load {
 	length := time.Duration(seconds) * time.Second
-	return workload.Draw(description, workload.Drawn{Seed: seed, Length: length, Standing: sessions})
+	return workload.Generate(description, workload.GeneratorOptions{Seed: seed, Length: length, Concurrency: sessions})
 }
 
 func play(tb testing.TB, description *fleet.Fleet, load *workload.Load, options Options) Run {
 	tb.Helper()
-	run, err := Play(description, load, options)
+	run, err := Simulate(description, load, options)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -56,11 +56,11 @@
 func singleZoneFleet(tb testing.TB, servers int) *fleet.Fleet {
 	tb.Helper()
 	description := eveningFleet(tb)
-	description.Centres = description.Centres[:1]
+	description.Zones = description.Zones[:1]
 	description.Delays = nil
-	description.Editions = nil
+	description.Tenants = nil
 	description.ServerPools = []fleet.ServerPool{{Kind: "std-2c", Zone: "cluj-1", Count: servers}}
-	description.Nodes = []fleet.NodePool{{Zone: "cluj-1", Count: 2, Sockets: 4096}}
+	description.NodePools = []fleet.NodePool{{Zone: "cluj-1", Count: 2, Descriptors: 4096}}
 	description.General.ConnectionsPerCore = 60
 	description.Group.Cost = 0
 	description.Store.Rate = 0
@@ -81,9 +81,9 @@
 func TestNothingLeaks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64Range(0, 1<<20).Draw(t, "seed")
-		trial := DrawTrial(TrialBase(), seed, rapid.IntRange(0, 4).Draw(t, "kind"), 10*time.Second)
+		trial := GenerateTrial(TrialBase(), seed, rapid.IntRange(0, 4).Draw(t, "kind"), 10*time.Second)
 		cold := rapid.Bool().Draw(t, "cold")
-		options := Options{Seed: 1, Lose: trial.Lose, LoseAt: trial.LoseAt, AllCold: cold}
+		options := Options{Seed: 1, LostZone: trial.LostZone, LossTime: trial.LossTime, AllWarmingUp: cold}
 		sim, err := newSimulation(trial.Fleet, trial.Load, options)
 		if err != nil {
 			t.Fatal(err)
@@ -175,7 +175,7 @@
 			Load:     1,
 		})
 	}
-	cannot := fmt.Sprint(UpperBound(description, load).Cannot)
+	cannot := fmt.Sprint(UpperBound(description, load).Infeasible)
 	if !strings.Contains(cannot, "one group asks for up to") {
 		t.Errorf("the bound reports %s", cannot)
 	}
@@ -191,11 +191,11 @@
 	description := singleZoneFleet(t, 4)
 	load := drawFraction(description, 0.4, 20)
 	warm := play(t, description, load, Options{Seed: 1})
-	cold := play(t, description, load, Options{Seed: 1, AllCold: true})
+	cold := play(t, description, load, Options{Seed: 1, AllWarmingUp: true})
 	if cold.Service > warm.Service-0.2 || cold.Stats.Overloaded > 0 {
 		t.Errorf("warm %.2f, in slow start %.2f, %d failed", warm.Service, cold.Service, cold.Stats.Overloaded)
 	}
-	sim, err := newSimulation(description, load, Options{Seed: 1, AllCold: true})
+	sim, err := newSimulation(description, load, Options{Seed: 1, AllWarmingUp: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,7 +220,7 @@
 	description.General.ConnectionsPerCore = 60
 	description.Group.Cost = 0
 	load := draw(description, 5, 300, 40)
-	options := Options{Seed: 1, Lose: "bucuresti-1", LoseAt: 20 * time.Second}
+	options := Options{Seed: 1, LostZone: "bucuresti-1", LossTime: 20 * time.Second}
 	description.Store.Rate = 0
 	fast := play(t, description, load, options)
 	description.Store.Rate = 12
@@ -240,60 +240,60 @@
 	if run := play(t, description.Resize(0), load, Options{Seed: 1}); run.Service != 0 {
 		t.Errorf("no server serves %.2f", run.Service)
 	}
-	cannot := fmt.Sprint(UpperBound(description.Resize(0), load).Cannot)
+	cannot := fmt.Sprint(UpperBound(description.Resize(0), load).Infeasible)
 	if !strings.Contains(cannot, "no server") {
 		t.Error(cannot)
 	}
 	description.Store.Rate = 0.01 // a set-up in a hundred seconds
-	sizeOptions := SizeOptions{Options: Options{Seed: 1}, Target: 0.9, Reps: 2, Most: 12}
-	sizing, err := LeastServers(description, load, sizeOptions)
-	if err != nil || sizing.Reached || !strings.Contains(sizing.Why, "session store") {
+	sizeOptions := SizeOptions{Options: Options{Seed: 1}, Target: 0.9, Replications: 2, MaxServers: 12}
+	sizing, err := MinimumServers(description, load, sizeOptions)
+	if err != nil || sizing.Reached || !strings.Contains(sizing.Reason, "session store") {
 		t.Errorf("%+v, %v", sizing, err)
 	}
 	empty := &workload.Load{Length: 10 * time.Second}
 	if run := play(t, description, empty, Options{Seed: 1}); run.Service != 1 {
 		t.Errorf("nothing demanded: %.2f of it is served", run.Service)
 	}
-	if broken, err := FirstToBreak(description, empty, Options{Seed: 1}, nil); err != nil || !broken.None {
+	if broken, err := FindBreakpoint(description, empty, Options{Seed: 1}, nil); err != nil || !broken.None {
 		t.Errorf("nothing demanded: %+v, %v", broken, err)
 	}
 }
 
-// TestLeastServers checks that the least fleet reaches its target, that one server less of any kind does not, and that
-// a search on the busiest window of a load finds the same within a server.
-func TestLeastServers(t *testing.T) {
+// TestMinimumServers checks that the least fleet reaches its target, that one server less of any kind does not, and
+// that a search on the busiest window of a load finds the same within a server.
+func TestMinimumServers(t *testing.T) {
 	description := singleZoneFleet(t, 4)
 	slow := fleet.ServerPool{Kind: "slow-2c", Zone: "cluj-1", Count: 4}
 	description.ServerPools = append(description.ServerPools, slow)
 	load := drawFraction(singleZoneFleet(t, 4), 0.7, 60)
-	options := SizeOptions{Options: Options{Seed: 1}, Target: 0.9, Reps: 3, Most: 60}
-	sizing, err := LeastServers(description, load, options)
-	if err != nil || !sizing.Reached || sizing.Least.Service.Mean < 0.9 {
+	options := SizeOptions{Options: Options{Seed: 1}, Target: 0.9, Replications: 3, MaxServers: 60}
+	sizing, err := MinimumServers(description, load, options)
+	if err != nil || !sizing.Reached || sizing.Minimum.Service.Mean < 0.9 {
 		t.Fatalf("%+v, %v", sizing, err)
 	}
-	for kind, below := range sizing.OneBelow {
-		if below.Service.Mean >= 0.9 || below.Servers != sizing.Least.Servers-1 {
+	for kind, below := range sizing.OneServerLess {
+		if below.Service.Mean >= 0.9 || below.Servers != sizing.Minimum.Servers-1 {
 			t.Errorf("one %s less: %+v", kind, below)
 		}
 	}
 	options.Window = 20 * time.Second
-	windowed, err := LeastServers(description, load, options)
-	difference := windowed.Least.Servers - sizing.Least.Servers
-	if err != nil || windowed.Whole == nil || difference < -1 || difference > 1 {
-		t.Errorf("least %d, on the busiest window %d (%v)", sizing.Least.Servers, windowed.Least.Servers, err)
+	windowed, err := MinimumServers(description, load, options)
+	difference := windowed.Minimum.Servers - sizing.Minimum.Servers
+	if err != nil || windowed.FullLoad == nil || difference < -1 || difference > 1 {
+		t.Errorf("least %d, on the busiest window %d (%v)", sizing.Minimum.Servers, windowed.Minimum.Servers, err)
 	}
 }
 
-// TestFirstToBreak checks that the limit that was made the tightest is the one named, at a multiple near where
+// TestFindBreakpoint checks that the limit that was made the tightest is the one named, at a multiple near where
 // arithmetic puts it.
-func TestFirstToBreak(t *testing.T) {
+func TestFindBreakpoint(t *testing.T) {
 	description := singleZoneFleet(t, 20)
 	load := drawFraction(singleZoneFleet(t, 4), 0.5, 20)
-	for i := range description.Nodes { // two nodes: enough for twice the load
-		description.Nodes[i].Sockets = 48 + int(2*load.Standing())
+	for i := range description.NodePools { // two nodes: enough for twice the load
+		description.NodePools[i].Descriptors = 48 + int(2*load.MeanConcurrency())
 	}
-	broken, err := FirstToBreak(description, load, Options{Seed: 1}, nil)
-	if err != nil || broken.Limit != limitDescriptors.String() || broken.Multiple < 1 || broken.Multiple > 2.2 {
+	broken, err := FindBreakpoint(description, load, Options{Seed: 1}, nil)
+	if err != nil || broken.Limit != limitDescriptors.String() || broken.LoadFactor < 1 || broken.LoadFactor > 2.2 {
 		t.Errorf("%+v, %v", broken, err)
 	}
 }
--- a/internal/plan/planner/server.go
+++ b/internal/plan/planner/server.go
@@ -71,7 +71,7 @@
 		groups:      map[uint64]int{},
 	}
 	for range s.fleet.Classes {
-		added.priorities = append(added.priorities, make([]float64, max(1, len(s.fleet.Editions))))
+		added.priorities = append(added.priorities, make([]float64, max(1, len(s.fleet.Tenants))))
 	}
 	added.nextReport = time.Duration(s.rng.Float64() * float64(s.fleet.LoadReports.Interval))
 	s.servers = append(s.servers, added)
--- a/internal/plan/planner/simulation.go
+++ b/internal/plan/planner/simulation.go
@@ -24,11 +24,11 @@
 // Options change a run.
 type Options struct {
 	Seed uint64
-	// Lose is the zone that is lost, its nodes and servers, at LoseAt. Empty: none.
-	Lose   string
-	LoseAt time.Duration
-	// AllCold starts all servers with the load, in slow start.
-	AllCold bool
+	// LostZone is lost, with its nodes and servers, at LossTime. Empty: none.
+	LostZone string
+	LossTime time.Duration
+	// AllWarmingUp starts all servers with the load, in slow start.
+	AllWarmingUp bool
 	// MinService ends a run that can no longer reach this service. Its result is the most that it could have reached.
 	MinService float64
 	// StopAtLimit ends a run soon after a limit was reached.
@@ -81,7 +81,7 @@
 }
 
 func newSimulation(description *fleet.Fleet, load *workload.Load, options Options) (*simulation, error) {
-	tenants := max(1, len(description.Editions))
+	tenants := max(1, len(description.Tenants))
 	sim := &simulation{
 		fleet:        description,
 		load:         load,
@@ -98,13 +98,13 @@
 	sim.requestsBySecond = make([]int, len(sim.account.DemandBySecond))
 	for i := range sim.tenantQuotas {
 		sim.tenantQuotas[i] = math.Inf(1)
-		if len(description.Editions) > 0 {
+		if len(description.Tenants) > 0 {
 			sim.tenantQuotas[i] = description.Quota(i)
 		}
 	}
-	for from := range description.Centres {
+	for from := range description.Zones {
 		var row []time.Duration
-		for to := range description.Centres {
+		for to := range description.Zones {
 			row = append(row, description.OneWay(from, to))
 		}
 		sim.latencies = append(sim.latencies, row)
@@ -112,10 +112,10 @@
 	for _, pool := range description.ServerPools {
 		for range pool.Count {
 			kind := description.MachineKind(pool.Kind)
-			sim.addServer(kind, description.Centre(pool.Zone), pool.WarmingUp || options.AllCold)
+			sim.addServer(kind, description.ZoneIndex(pool.Zone), pool.WarmingUp || options.AllWarmingUp)
 		}
 	}
-	for _, pool := range description.Nodes {
+	for _, pool := range description.NodePools {
 		for range pool.Count {
 			if err := sim.addNode(pool, description.NodeCount()); err != nil {
 				return nil, err
@@ -162,8 +162,8 @@
 	}
 	s.scheduleArrival(first)
 	s.schedule(step, nil, s.tick)
-	if zone := s.fleet.Centre(s.options.Lose); zone >= 0 {
-		s.schedule(s.options.LoseAt, nil, func() { s.loseZone(zone) })
+	if zone := s.fleet.ZoneIndex(s.options.LostZone); zone >= 0 {
+		s.schedule(s.options.LossTime, nil, func() { s.loseZone(zone) })
 	}
 	s.advanceTo(s.load.Length)
 }
--- a/internal/plan/planner/size.go
+++ b/internal/plan/planner/size.go
@@ -16,8 +16,8 @@
 	fullLoadReplications = 4
 )
 
-// Size is a number of servers with the service that is expected of it.
-type Size struct {
+// Candidate is a number of servers with the service that is expected of it.
+type Candidate struct {
 	Servers int            `json:"servers"`
 	Kinds   map[string]int `json:"kinds"`
 	Service Figure         `json:"service"`
@@ -26,33 +26,33 @@
 
 // Sizing is the answer to how many servers a target needs.
 type Sizing struct {
-	Target   float64         `json:"target"`
-	Reached  bool            `json:"reached"`
-	Least    Size            `json:"least"`
-	OneBelow map[string]Size `json:"one_below"` // by kind: the least fleet with one server of the kind less
-	Tried    []Size          `json:"tried"`     // by servers, in the file's proportions
-	FromS    float64         `json:"from_s"`    // the window of the load that was searched on
-	ToS      float64         `json:"to_s"`
-	Whole    *Figure         `json:"whole,omitempty"` // service of the least fleet over all of a longer load
-	Why      string          `json:"why,omitempty"`
+	Target        float64              `json:"target"`
+	Reached       bool                 `json:"reached"`
+	Minimum       Candidate            `json:"least"`
+	OneServerLess map[string]Candidate `json:"one_below"` // by kind: the least fleet with one server of the kind less
+	Tried         []Candidate          `json:"tried"`     // by servers, in the file's proportions
+	FromS         float64              `json:"from_s"`    // the window of the load that was searched on
+	ToS           float64              `json:"to_s"`
+	FullLoad      *Figure              `json:"whole,omitempty"` // service over all of a longer load
+	Reason        string               `json:"why,omitempty"`
 }
 
 // SizeOptions say how a size is searched for.
 type SizeOptions struct {
 	Options
-	Target float64       // service
-	Reps   int           // replications
-	Most   int           // servers
-	Window time.Duration // a longer load is searched on its busiest window of this length; 0: on all of it
-	Tell   func(string)  // called with each result; may be nil
+	Target       float64       // service
+	Replications int           // replications
+	MaxServers   int           // servers
+	Window       time.Duration // a longer load is searched on its busiest window of this length; 0: on all of it
+	Progress     func(string)  // called with each result; may be nil
 }
 
 // sizeSearch evaluates fleets, each size once.
 type sizeSearch struct {
 	SizeOptions
 	load      *workload.Load
-	evaluated map[string]Size
-	tried     []Size // in the file's proportions
+	evaluated map[string]Candidate
+	tried     []Candidate // in the file's proportions
 }
 
 // newSizeSearch returns a search, and when its window of the load begins.
@@ -63,18 +63,18 @@
 	if options.Window > 0 {
 		window, from = busiestPart(description, load, options.Window)
 	}
-	return &sizeSearch{SizeOptions: options, load: window, evaluated: map[string]Size{}}, from
+	return &sizeSearch{SizeOptions: options, load: window, evaluated: map[string]Candidate{}}, from
 }
 
-// LeastServers finds the least fleet whose service reaches the target: in the proportions of the file first, then with
-// one server of a kind less at a time for as long as the target is reached. One less of any kind then misses it.
-func LeastServers(description *fleet.Fleet, load *workload.Load, options SizeOptions) (Sizing, error) {
+// MinimumServers finds the least fleet whose service reaches the target: in the proportions of the file first, then
+// with one server of a kind less at a time for as long as the target is reached. One less of any kind then misses it.
+func MinimumServers(description *fleet.Fleet, load *workload.Load, options SizeOptions) (Sizing, error) {
 	search, from := newSizeSearch(description, load, options)
 	sizing := Sizing{
-		Target:   options.Target,
-		OneBelow: map[string]Size{},
-		FromS:    from.Seconds(),
-		ToS:      (from + search.load.Length).Seconds(),
+		Target:        options.Target,
+		OneServerLess: map[string]Candidate{},
+		FromS:         from.Seconds(),
+		ToS:           (from + search.load.Length).Seconds(),
 	}
 	least, reached, err := search.leastProportional(description)
 	sizing.Tried = search.tried
@@ -82,11 +82,11 @@
 	if err != nil {
 		return sizing, err
 	}
-	if sizing.Least, err = search.evaluate(least); err != nil {
+	if sizing.Minimum, err = search.evaluate(least); err != nil {
 		return sizing, err
 	}
 	if !reached {
-		sizing.Why = search.explain(least)
+		sizing.Reason = search.explain(least)
 		return sizing, nil
 	}
 	if least, err = search.reduce(least, &sizing); err != nil {
@@ -94,33 +94,33 @@
 	}
 	sizing.Reached = true
 	if search.load != load {
-		full, err := Replicate(least, load, options.Options, min(options.Reps, fullLoadReplications), nil)
+		full, err := Replicate(least, load, options.Options, min(options.Replications, fullLoadReplications), nil)
 		if err != nil {
 			return sizing, err
 		}
-		sizing.Whole = &full.Service
+		sizing.FullLoad = &full.Service
 	}
 	return sizing, nil
 }
 
-// LeastTotal finds the least number of servers in the file's proportions whose service reaches the target; one more
+// MinimumTotal finds the least number of servers in the file's proportions whose service reaches the target; one more
 // than the maximum where none does.
-func LeastTotal(description *fleet.Fleet, load *workload.Load, options SizeOptions) (int, error) {
+func MinimumTotal(description *fleet.Fleet, load *workload.Load, options SizeOptions) (int, error) {
 	search, _ := newSizeSearch(description, load, options)
 	least, reached, err := search.leastProportional(description)
 	if err != nil || !reached {
-		return options.Most + 1, err
+		return options.MaxServers + 1, err
 	}
-	return least.Count(), nil
+	return least.ServerCount(), nil
 }
 
 // evaluate returns the size of a fleet with its service.
-func (s *sizeSearch) evaluate(description *fleet.Fleet) (Size, error) {
+func (s *sizeSearch) evaluate(description *fleet.Fleet) (Candidate, error) {
 	key := fmt.Sprint(description.ServerPools)
 	if size, ok := s.evaluated[key]; ok {
 		return size, nil
 	}
-	size := Size{Servers: description.Count(), Kinds: map[string]int{}}
+	size := Candidate{Servers: description.ServerCount(), Kinds: map[string]int{}}
 	for _, pool := range description.ServerPools {
 		size.Kinds[pool.Kind] += pool.Count
 	}
@@ -130,13 +130,13 @@
 		}
 	}
 	s.evaluated[key] = size
-	if s.Tell != nil {
-		s.Tell(fmt.Sprintf("%d servers: service %.1f%%", size.Servers, 100*size.Service.Mean))
+	if s.Progress != nil {
+		s.Progress(fmt.Sprintf("%d servers: service %.1f%%", size.Servers, 100*size.Service.Mean))
 	}
 	return size, nil
 }
 
-func (s *sizeSearch) addService(size *Size, description *fleet.Fleet) error {
+func (s *sizeSearch) addService(size *Candidate, description *fleet.Fleet) error {
 	// What arithmetic rules out needs no simulation.
 	if bound := UpperBound(description, s.load); bound.Service < s.Target-targetMargin {
 		size.Service = Figure{Mean: bound.Service, High: bound.Service}
@@ -145,7 +145,7 @@
 	}
 	options := s.Options
 	options.MinService = s.Target - targetMargin
-	forecast, err := Replicate(description, s.load, options, s.Reps, nil)
+	forecast, err := Replicate(description, s.load, options, s.Replications, nil)
 	if err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 // servers where that is too few.
 func (s *sizeSearch) leastProportional(description *fleet.Fleet) (least *fleet.Fleet, reached bool, err error) {
 	tooFew := 0
-	enough := max(1, min(description.Count(), s.Most))
+	enough := max(1, min(description.ServerCount(), s.MaxServers))
 	for {
 		reached, err = s.tryCount(description, enough)
 		if err != nil {
@@ -176,11 +176,11 @@
 		if reached {
 			break
 		}
-		if enough >= s.Most {
+		if enough >= s.MaxServers {
 			return description.Resize(enough), false, nil
 		}
 		tooFew = enough
-		enough = min(s.Most, enough*3/2+1)
+		enough = min(s.MaxServers, enough*3/2+1)
 	}
 	for enough-tooFew > 1 {
 		middle := (tooFew + enough) / 2
@@ -200,8 +200,8 @@
 // explain says why the most servers miss the target.
 func (s *sizeSearch) explain(most *fleet.Fleet) string {
 	reason := fmt.Sprintf("not with %d servers either: something other than their number limits the service",
-		most.Count())
-	if cannot := UpperBound(most, s.load).Cannot; len(cannot) > 0 {
+		most.ServerCount())
+	if cannot := UpperBound(most, s.load).Infeasible; len(cannot) > 0 {
 		reason += ": " + cannot[0]
 	}
 	return reason
@@ -224,7 +224,7 @@
 
 // reduceOnce returns the fleet with one server less that reaches the target, or nil where none does.
 func (s *sizeSearch) reduceOnce(least *fleet.Fleet, sizing *Sizing) (*fleet.Fleet, error) {
-	clear(sizing.OneBelow)
+	clear(sizing.OneServerLess)
 	for i := range least.MachineKinds {
 		kind := least.MachineKinds[i].Name
 		pool := largestPool(least, kind)
@@ -238,10 +238,10 @@
 			return nil, err
 		}
 		if size.Service.Mean >= s.Target {
-			sizing.Least = size
+			sizing.Minimum = size
 			return smaller, nil
 		}
-		sizing.OneBelow[kind] = size
+		sizing.OneServerLess[kind] = size
 	}
 	return nil, nil
 }
--- a/internal/plan/planner/trial.go
+++ b/internal/plan/planner/trial.go
@@ -14,12 +14,12 @@
 // Trial is a small random fleet with a load. It serves to compare a forecast with what a replay measures.
 type Trial struct {
 	Number      int
-	What        string // the scenario, in words
+	Scenario    string // the scenario, in words
 	Fleet       *fleet.Fleet
 	Concurrency float64 // mean number of sessions
 	Load        *workload.Load
-	Lose        string // zone that is lost; empty: none
-	LoseAt      time.Duration
+	LostZone    string // zone that is lost; empty: none
+	LossTime    time.Duration
 }
 
 // scenario is what a trial is about.
@@ -46,15 +46,15 @@
 
 // TrialBase returns the fleet that trials are derived from where no fleet file is named: the example under deploy/.
 func TrialBase() *fleet.Fleet {
-	base, err := fleet.Parse("the built-in fleet", deploy.FleetEvening)
+	base, err := fleet.Parse("the built-in fleet", deploy.ExampleFleet)
 	if err != nil {
 		panic(err) // a test reads it
 	}
 	return base
 }
 
-// DrawTrial draws the trial of a number from a base fleet and a seed. The first five are of one scenario each.
-func DrawTrial(base *fleet.Fleet, seed uint64, number int, length time.Duration) Trial {
+// GenerateTrial draws the trial of a number from a base fleet and a seed. The first five are of one scenario each.
+func GenerateTrial(base *fleet.Fleet, seed uint64, number int, length time.Duration) Trial {
 	drawn := scenario(number % int(scenarioCount))
 	gen := &trialGenerator{
 		rng:      rand.New(rand.NewPCG(seed, uint64(number))),
@@ -64,22 +64,22 @@
 	gen.fleet.General.Name = fmt.Sprintf("trial %d", number)
 	gen.drawTables(base)
 	gen.drawServers()
-	trial := Trial{Number: number, What: drawn.String(), Fleet: gen.fleet}
+	trial := Trial{Number: number, Scenario: drawn.String(), Fleet: gen.fleet}
 	switch drawn {
 	case scenarioLargeGroups:
 		gen.fleet.Group.Cost = 2 + 2*gen.rng.Float64()
 		gen.fleet.Group.Size = 5 + 3*gen.rng.Float64()
 	case scenarioOverQuota:
-		gen.fleet.Editions[gen.rng.IntN(len(gen.fleet.Editions))].Usage = 5
+		gen.fleet.Tenants[gen.rng.IntN(len(gen.fleet.Tenants))].Usage = 5
 	case scenarioZoneLoss:
-		trial.Lose = gen.fleet.Centres[len(gen.fleet.Centres)-1].Name
-		trial.LoseAt = length / 3
+		trial.LostZone = gen.fleet.Zones[len(gen.fleet.Zones)-1].Name
+		trial.LossTime = length / 3
 	default: // as drawn
 	}
 	trial.Concurrency = gen.drawConcurrency()
 	gen.fleet.Store.Rate = 4 * trial.Concurrency / 8
-	options := workload.Drawn{Seed: gen.rng.Uint64(), Length: length, Standing: trial.Concurrency}
-	trial.Load = workload.Draw(gen.fleet, options)
+	options := workload.GeneratorOptions{Seed: gen.rng.Uint64(), Length: length, Concurrency: trial.Concurrency}
+	trial.Load = workload.Generate(gen.fleet, options)
 	return trial
 }
 
@@ -93,7 +93,7 @@
 // drawTables draws the zones, classes and tenants.
 func (g *trialGenerator) drawTables(base *fleet.Fleet) {
 	g.fleet.General.ConnectionsPerCore = 35 + 30*g.rng.Float64() // enough that chance doesn't hide an error
-	g.fleet.Centres = slices.Clone(base.Centres[:min(len(base.Centres), 2+g.rng.IntN(2))])
+	g.fleet.Zones = slices.Clone(base.Zones[:min(len(base.Zones), 2+g.rng.IntN(2))])
 	g.fleet.Delays = nil
 	g.fleet.Classes = slices.Clone(base.Classes)
 	for i := range g.fleet.Classes {
@@ -103,7 +103,7 @@
 		class.LoadSpread *= 0.3 + 0.7*g.rng.Float64()
 		class.Lifetime = fleet.Duration(float64(8*time.Second) * (0.7 + 0.8*g.rng.Float64()))
 	}
-	g.fleet.Editions = slices.Clone(base.Editions)
+	g.fleet.Tenants = slices.Clone(base.Tenants)
 }
 
 // drawServers draws the servers of the first two kinds, and adds a node for each zone.
@@ -119,15 +119,15 @@
 	if len(g.fleet.MachineKinds) > 1 {
 		g.addServers(g.fleet.MachineKinds[1].Name, slow)
 	}
-	g.fleet.Nodes = nil
-	for _, zone := range g.fleet.Centres {
-		g.fleet.Nodes = append(g.fleet.Nodes, fleet.NodePool{Zone: zone.Name, Count: 1, Sockets: 1024})
+	g.fleet.NodePools = nil
+	for _, zone := range g.fleet.Zones {
+		g.fleet.NodePools = append(g.fleet.NodePools, fleet.NodePool{Zone: zone.Name, Count: 1, Descriptors: 1024})
 	}
 }
 
 // addServers spreads a number of servers evenly over the zones, the first ones of which take what is left over.
 func (g *trialGenerator) addServers(kind string, servers int) {
-	zones := g.fleet.Centres
+	zones := g.fleet.Zones
 	for i := range zones {
 		count := servers / len(zones)
 		if i < servers%len(zones) {
--- a/internal/plan/workload/account.go
+++ b/internal/plan/workload/account.go
@@ -13,7 +13,7 @@
 // arrives while its tenant has used up its quota. It depends on the load alone, not on how it is served.
 func Priorities(description *fleet.Fleet, load *Load) []float64 {
 	priorities := make([]float64, len(load.Sessions))
-	concurrent := make([]int, max(1, len(description.Editions)))
+	concurrent := make([]int, max(1, len(description.Tenants)))
 	var departures departureQueue
 	for i := range load.Sessions {
 		session := &load.Sessions[i]
@@ -80,7 +80,7 @@
 // NewAccount returns an empty account for a load of a length.
 func NewAccount(description *fleet.Fleet, length time.Duration) *Account {
 	classes := len(description.Classes)
-	tenants := max(1, len(description.Editions))
+	tenants := max(1, len(description.Tenants))
 	seconds := int(length/time.Second) + 1
 	return &Account{
 		Demand:         newMatrix(classes, tenants),
--- a/internal/plan/workload/generate.go
+++ b/internal/plan/workload/generate.go
@@ -12,19 +12,19 @@
 	groupArrivalIn = 2 * time.Second // mean time after its first session at which another one of a group arrives
 )
 
-// Drawn are the options of Draw.
-type Drawn struct {
-	Seed     uint64
-	Length   time.Duration
-	Standing float64 // mean number of concurrent sessions of the plateau
-	Stand    bool    // the first sessions are already open when the load begins; else they arrive
-	Swing    float64 // of the arrival rate, which climbs from 1-Swing to 1+Swing times its mean over the length
+// GeneratorOptions are the options of Generate.
+type GeneratorOptions struct {
+	Seed          uint64
+	Length        time.Duration
+	Concurrency   float64 // mean number of concurrent sessions of the plateau
+	StartOpen     bool    // the first sessions are already open when the load begins; else they arrive
+	RateVariation float64 // of the arrival rate, which climbs from 1 less this to 1 and this, times its mean
 }
 
-// Draw generates a load from a fleet's classes, tenants and groups: Poisson arrivals of groups, with lifetimes and
+// Generate generates a load from a fleet's classes, tenants and groups: Poisson arrivals of groups, with lifetimes and
 // sizes as the file says. The sessions of its beginning arrive over the first third of a mean lifetime, a sixth of the
 // length at most: all at once they would be a storm that no evening begins with.
-func Draw(description *fleet.Fleet, options Drawn) *Load {
+func Generate(description *fleet.Fleet, options GeneratorOptions) *Load {
 	g := newGenerator(description, options)
 	g.initialSessions()
 	g.arrivals()
@@ -35,7 +35,7 @@
 // generator draws the sessions of one load. The order of its draws is part of what a seed means.
 type generator struct {
 	fleet        *fleet.Fleet
-	options      Drawn
+	options      GeneratorOptions
 	rng          *rand.Rand
 	load         *Load
 	classShares  []float64
@@ -45,7 +45,7 @@
 	groupSize    float64 // mean
 }
 
-func newGenerator(description *fleet.Fleet, options Drawn) *generator {
+func newGenerator(description *fleet.Fleet, options GeneratorOptions) *generator {
 	gen := &generator{
 		fleet:     description,
 		options:   options,
@@ -60,10 +60,10 @@
 		shares += class.Share
 	}
 	gen.meanLifetime /= shares
-	for _, tenant := range description.Editions {
+	for _, tenant := range description.Tenants {
 		gen.tenantUsage = append(gen.tenantUsage, tenant.Share*tenant.Usage)
 	}
-	for _, zone := range description.Centres {
+	for _, zone := range description.Zones {
 		gen.zoneClients = append(gen.zoneClients, zone.Clients)
 	}
 	if description.Group.Cost > 0 {
@@ -74,9 +74,9 @@
 
 // initialSessions adds the sessions that the load begins with.
 func (g *generator) initialSessions() {
-	count := int(g.options.Standing * (1 - g.options.Swing) / g.groupSize)
+	count := int(g.options.Concurrency * (1 - g.options.RateVariation) / g.groupSize)
 	over := min(g.meanLifetime/3, g.options.Length.Seconds()/6)
-	if g.options.Stand {
+	if g.options.StartOpen {
 		over = 0
 	}
 	for range count {
@@ -88,8 +88,8 @@
 // each moment.
 func (g *generator) arrivals() {
 	length := g.options.Length.Seconds()
-	swing := g.options.Swing
-	highest := g.options.Standing / g.groupSize / g.meanLifetime * (1 + swing)
+	swing := g.options.RateVariation
+	highest := g.options.Concurrency / g.groupSize / g.meanLifetime * (1 + swing)
 	for at := g.rng.ExpFloat64() / highest; at < length; at += g.rng.ExpFloat64() / highest {
 		rate := 1 - swing + 2*swing*at/length
 		if g.rng.Float64()*(1+swing) < rate {
@@ -102,7 +102,7 @@
 // initial group are in the middle of their lifetimes.
 func (g *generator) addGroup(arrival time.Duration, initial bool) {
 	size := 1
-	session := Session{Tenant: -1, AlreadyOpen: initial && g.options.Stand}
+	session := Session{Tenant: -1, AlreadyOpen: initial && g.options.StartOpen}
 	if g.fleet.Group.Cost > 0 {
 		session.Group = g.rng.Uint64() | 1
 		mean := g.fleet.Group.Size
--- a/internal/plan/workload/load.go
+++ b/internal/plan/workload/load.go
@@ -68,8 +68,8 @@
 	})
 }
 
-// Standing returns the mean number of sessions that want a connection over the load's length.
-func (l *Load) Standing() float64 {
+// MeanConcurrency returns the mean number of sessions that want a connection over the load's length.
+func (l *Load) MeanConcurrency() float64 {
 	if l.Length <= 0 {
 		return 0
 	}
@@ -81,8 +81,8 @@
 	return sum / l.Length.Seconds()
 }
 
-// Cores returns the mean demand of the sessions in reference cores, without the cost of groups and set-ups.
-func (l *Load) Cores(description *fleet.Fleet) float64 {
+// MeanCores returns the mean demand of the sessions in reference cores, without the cost of groups and set-ups.
+func (l *Load) MeanCores(description *fleet.Fleet) float64 {
 	if l.Length <= 0 {
 		return 0
 	}
--- a/internal/plan/workload/load_test.go
+++ b/internal/plan/workload/load_test.go
@@ -14,7 +14,7 @@
 
 func eveningFleet(tb testing.TB) *fleet.Fleet {
 	tb.Helper()
-	description, err := fleet.Parse("f", deploy.FleetEvening)
+	description, err := fleet.Parse("f", deploy.ExampleFleet)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 // be the same in number and shape.
 func TestCaptureRoundTrip(t *testing.T) {
 	description := eveningFleet(t)
-	written := Draw(description, Drawn{Seed: 3, Length: time.Minute, Standing: 300})
+	written := Generate(description, GeneratorOptions{Seed: 3, Length: time.Minute, Concurrency: 300})
 	files, err := written.Write(description, filepath.Join(t.TempDir(), "x"))
 	if err != nil {
 		t.Fatal(err)
@@ -65,8 +65,8 @@
 	if shapeOf(written) != shapeOf(read) {
 		t.Errorf("written %+v, read %+v", shapeOf(written), shapeOf(read))
 	}
-	before := written.Standing()
-	after := read.Standing()
+	before := written.MeanConcurrency()
+	after := read.MeanConcurrency()
 	if math.Abs(before-after) > before/50 || read.Length != written.Length {
 		t.Errorf("%.1f concurrent sessions in %v, then %.1f in %v", before, written.Length, after, read.Length)
 	}
@@ -110,11 +110,11 @@
 
 // TestScale checks that the demand grows by the factor and that groups stay whole.
 func TestScale(t *testing.T) {
-	load := Draw(eveningFleet(t), Drawn{Seed: 3, Length: time.Minute, Standing: 4000})
+	load := Generate(eveningFleet(t), GeneratorOptions{Seed: 3, Length: time.Minute, Concurrency: 4000})
 	groupSize := func(shape loadShape) float64 { return float64(shape.sessions) / float64(shape.groups) }
 	for _, factor := range []float64{0.25, 1, 1.5, 3} {
 		scaled := load.Scale(factor, 9)
-		if ratio := scaled.Standing() / load.Standing(); math.Abs(ratio/factor-1) > 0.12 {
+		if ratio := scaled.MeanConcurrency() / load.MeanConcurrency(); math.Abs(ratio/factor-1) > 0.12 {
 			t.Errorf("times %v: %.2f times the concurrent sessions", factor, ratio)
 		}
 		before := groupSize(shapeOf(load))
@@ -129,7 +129,7 @@
 // already open.
 func TestCut(t *testing.T) {
 	description := eveningFleet(t)
-	load := Draw(description, Drawn{Seed: 3, Length: time.Minute, Standing: 200, Swing: 0.8})
+	load := Generate(description, GeneratorOptions{Seed: 3, Length: time.Minute, Concurrency: 200, RateVariation: 0.8})
 	if at := load.BusiestWindow(description, 16*time.Second); at < 30*time.Second {
 		t.Errorf("a load that climbs is busiest from %v on", at)
 	}
--- a/internal/plan/workload/sessions.go
+++ b/internal/plan/workload/sessions.go
@@ -50,10 +50,10 @@
 func tenantIndexes(c *Captured, description *fleet.Fleet) ([]int, error) {
 	indexes := make([]int, len(c.Tenants))
 	for i, name := range c.Tenants {
-		indexes[i] = slices.IndexFunc(description.Editions, func(tenant fleet.Tenant) bool {
+		indexes[i] = slices.IndexFunc(description.Tenants, func(tenant fleet.Tenant) bool {
 			return tenant.Name == name
 		})
-		if indexes[i] < 0 && len(description.Editions) > 0 {
+		if indexes[i] < 0 && len(description.Tenants) > 0 {
 			return nil, &UnknownTenantError{Tenant: name}
 		}
 	}
@@ -143,7 +143,7 @@
 		Lifetime: max(end-begin, minLifetime),
 		Class:    class,
 		Tenant:   -1,
-		Zone:     b.fleet.Centre(request.Zone),
+		Zone:     b.fleet.ZoneIndex(request.Zone),
 		Client:   request.Client,
 		Group:    request.Group,
 	}
--- a/internal/plan/workload/summary.go
+++ b/internal/plan/workload/summary.go
@@ -13,39 +13,39 @@
 
 // Summary holds the figures of a capture.
 type Summary struct {
-	Nodes        int                     `json:"nodes"`
-	Begin        time.Time               `json:"begin"`
-	LengthS      float64                 `json:"length_s"`
-	Share        float64                 `json:"share"`
-	Requests     int                     `json:"requests"`
-	Clients      int                     `json:"clients"`
-	Answers      map[string]int          `json:"answers"`
-	Ends         map[string]int          `json:"ends"`
-	Attempts     float64                 `json:"attempts_mean"`
-	Answer50ms   float64                 `json:"answer_median_ms"`
-	Answer99ms   float64                 `json:"answer_99_ms"`
-	Groups       int                     `json:"groups"`
-	GroupMean    float64                 `json:"group_mean"`
-	GroupMost    int                     `json:"group_most"`
-	PeakRate     float64                 `json:"peak_requests_per_s"` // over 10 s
-	PeakAtS      float64                 `json:"peak_at_s"`
-	StandingMost int                     `json:"standing_most"` // most concurrent connections
-	StandingAtS  float64                 `json:"standing_most_at_s"`
-	Classes      []Breakdown             `json:"classes"`
-	Editions     []Breakdown             `json:"editions"`
-	Hosts        map[string]*ServerStats `json:"hosts"`
-	Dropped      uint64                  `json:"dropped_records"`
+	Nodes              int                     `json:"nodes"`
+	Begin              time.Time               `json:"begin"`
+	LengthS            float64                 `json:"length_s"`
+	Share              float64                 `json:"share"`
+	Requests           int                     `json:"requests"`
+	Clients            int                     `json:"clients"`
+	Answers            map[string]int          `json:"answers"`
+	Ends               map[string]int          `json:"ends"`
+	AttemptsMean       float64                 `json:"attempts_mean"`
+	AnswerMedianMS     float64                 `json:"answer_median_ms"`
+	Answer99MS         float64                 `json:"answer_99_ms"`
+	Groups             int                     `json:"groups"`
+	GroupMean          float64                 `json:"group_mean"`
+	LargestGroup       int                     `json:"group_most"`
+	PeakRate           float64                 `json:"peak_requests_per_s"` // over 10 s
+	PeakAtS            float64                 `json:"peak_at_s"`
+	PeakConcurrency    int                     `json:"standing_most"` // most concurrent connections
+	PeakConcurrencyAtS float64                 `json:"standing_most_at_s"`
+	Classes            []Breakdown             `json:"classes"`
+	Tenants            []Breakdown             `json:"editions"`
+	Servers            map[string]*ServerStats `json:"hosts"`
+	Dropped            uint64                  `json:"dropped_records"`
 }
 
 // Breakdown holds the figures of the requests of one class or tenant.
 type Breakdown struct {
-	Name      string  `json:"name"`
-	Rate      float64 `json:"requests_per_s"`
-	LifeMeanS float64 `json:"life_mean_s"` // of connections that ended
-	Life50S   float64 `json:"life_median_s"`
-	Life99S   float64 `json:"life_99_s"`
-	Load      float64 `json:"told_load_mean"` // 0: unknown
-	Refused   float64 `json:"refused"`        // fraction of the requests
+	Name             string  `json:"name"`
+	Rate             float64 `json:"requests_per_s"`
+	LifetimeMeanS    float64 `json:"life_mean_s"` // of connections that ended
+	LifetimeMedianS  float64 `json:"life_median_s"`
+	Lifetime99S      float64 `json:"life_99_s"`
+	Load             float64 `json:"told_load_mean"` // 0: unknown
+	RejectedFraction float64 `json:"refused"`        // fraction of the requests
 
 	lifetimes  []float64
 	count      int
@@ -65,8 +65,8 @@
 		Answers:  map[string]int{},
 		Ends:     c.endCounts(),
 		Classes:  c.breakdowns(c.Classes, func(r *Request) int { return r.Class }),
-		Editions: c.breakdowns(c.Tenants, func(r *Request) int { return r.Tenant }),
-		Hosts:    c.Servers,
+		Tenants:  c.breakdowns(c.Tenants, func(r *Request) int { return r.Tenant }),
+		Servers:  c.Servers,
 		Dropped:  c.Dropped,
 	}
 	for i := range c.Requests {
@@ -121,7 +121,7 @@
 		if request.Group != 0 {
 			grouped++
 			groups[request.Group]++
-			s.GroupMost = max(s.GroupMost, groups[request.Group])
+			s.LargestGroup = max(s.LargestGroup, groups[request.Group])
 		}
 	}
 	s.Clients = len(clients)
@@ -142,10 +142,10 @@
 		times = append(times, capture.Duration(request.Took).Seconds()*1000)
 		attempts += len(request.Attempts)
 	}
-	s.Attempts = float64(attempts) / float64(len(captured.Requests))
+	s.AttemptsMean = float64(attempts) / float64(len(captured.Requests))
 	slices.Sort(times)
-	s.Answer50ms = quantile(times, 0.5)
-	s.Answer99ms = quantile(times, 0.99)
+	s.AnswerMedianMS = quantile(times, 0.5)
+	s.Answer99MS = quantile(times, 0.99)
 }
 
 func (s *Summary) addPeakRate(captured *Captured) {
@@ -184,9 +184,9 @@
 	concurrent := 0
 	for _, change := range changes {
 		concurrent += change.by
-		if concurrent > s.StandingMost {
-			s.StandingMost = concurrent
-			s.StandingAtS = change.at.Seconds()
+		if concurrent > s.PeakConcurrency {
+			s.PeakConcurrency = concurrent
+			s.PeakConcurrencyAtS = change.at.Seconds()
 		}
 	}
 }
@@ -229,7 +229,7 @@
 		b.Rate = float64(b.count) / length
 	}
 	if b.count > 0 {
-		b.Refused = float64(b.rejections) / float64(b.count)
+		b.RejectedFraction = float64(b.rejections) / float64(b.count)
 	}
 	if b.loadCount > 0 {
 		b.Load = b.loadSum / b.loadCount
@@ -239,10 +239,10 @@
 	}
 	slices.Sort(b.lifetimes)
 	for _, lifetime := range b.lifetimes {
-		b.LifeMeanS += lifetime / float64(len(b.lifetimes))
+		b.LifetimeMeanS += lifetime / float64(len(b.lifetimes))
 	}
-	b.Life50S = quantile(b.lifetimes, 0.5)
-	b.Life99S = quantile(b.lifetimes, 0.99)
+	b.LifetimeMedianS = quantile(b.lifetimes, 0.5)
+	b.Lifetime99S = quantile(b.lifetimes, 0.99)
 }
 
 // quantile returns a quantile, from 0 to 1, of values in ascending order.
--- a/internal/plan/workload/write.go
+++ b/internal/plan/workload/write.go
@@ -22,7 +22,7 @@
 func (l *Load) Write(description *fleet.Fleet, path string) ([]string, error) {
 	var files []string
 	began := time.Now()
-	for zone := -1; zone < len(description.Centres); zone++ {
+	for zone := -1; zone < len(description.Zones); zone++ {
 		hasSessions := slices.ContainsFunc(l.Sessions, func(session Session) bool { return session.Zone == zone })
 		if !hasSessions && zone != 0 { // an empty load still has its length
 			continue
@@ -40,13 +40,13 @@
 func (l *Load) writeZone(description *fleet.Fleet, path string, zone int, began time.Time) (string, error) {
 	header := capture.Header{Node: generatedNode}
 	if zone >= 0 {
-		header.Zone = description.Centres[zone].Name
+		header.Zone = description.Zones[zone].Name
 		header.Node += "-" + header.Zone
 	}
 	for _, class := range description.Classes {
 		header.Classes = append(header.Classes, class.Name)
 	}
-	for _, tenant := range description.Editions {
+	for _, tenant := range description.Tenants {
 		header.Tenants = append(header.Tenants, tenant.Name)
 	}
 	var failure error
--- a/internal/transport/tls/tls_test.go
+++ b/internal/transport/tls/tls_test.go
@@ -66,7 +66,7 @@
 	var pairs []Pair
 	dir := tb.TempDir()
 	for _, name := range names {
-		cert, key := transcript.Keys(tb, dir, time.Now().Add(ExpiryWarning*2), name)
+		cert, key := transcript.WriteCertificate(tb, dir, time.Now().Add(ExpiryWarning*2), name)
 		pairs = append(pairs, Pair{cert, key})
 	}
 	set, err := Read(pairs, "")
@@ -265,7 +265,7 @@
 			t.Errorf("a stalled handshake ended with %v, wanted an error other than EOF", err)
 		}
 	}
-	transcript.Until(t, "nothing runs or waits", func() (none bool) {
+	transcript.WaitFor(t, "nothing runs or waits", func() (none bool) {
 		server.onLoop(func() {
 			none = server.handshakes.Running() == 0 && server.handshakes.Failed == len(stalled)
 		})
@@ -303,8 +303,8 @@
 	server := startServer(t, 20*time.Second, "a.example")
 	before := mustDialTLS(t, server.addr, "a.example")
 	dir := t.TempDir()
-	cert, key := transcript.Keys(t, dir, time.Now().Add(ExpiryWarning/2), "a.example")
-	_, otherKey := transcript.Keys(t, dir, time.Now().Add(ExpiryWarning*2), "b.example")
+	cert, key := transcript.WriteCertificate(t, dir, time.Now().Add(ExpiryWarning/2), "a.example")
+	_, otherKey := transcript.WriteCertificate(t, dir, time.Now().Add(ExpiryWarning*2), "b.example")
 	for _, faulty := range [][]Pair{{{cert, otherKey}}, {{cert, key}, {"none", key}}, {{key, cert}}} {
 		if _, err := Read(faulty, ""); err == nil {
 			t.Errorf("Read(%v) succeeded, wanted an error", faulty)
