--- a/cmd/spurwinch/crowd_test.go
+++ b/cmd/spurwinch/crowd_test.go
@@ -277,14 +277,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var peekErr error
+	var recvErr error
 	err = raw.Control(func(fd uintptr) {
-		_, _, peekErr = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		_, _, recvErr = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return !errors.Is(peekErr, unix.EAGAIN)
+	return !errors.Is(recvErr, unix.EAGAIN)
 }
 
 // checkOrder checks that the clients that were evicted, each with its answer, connected before all who stay. It looks
--- a/internal/platform/downstream/client.go
+++ b/internal/platform/downstream/client.go
@@ -140,7 +140,7 @@
 	c.conn.LeaveIdleQueue()
 	if !c.front.ensureCapacity() {
 		// Guards against running out of descriptors half way: a request needs one more for its server.
-		zap.L().Warn("connection_limit_refused",
+		zap.L().Warn("connection_limit_reached",
 			zap.String("front", "platform"), zap.Int("open_connections", c.front.loop.Open()))
 		c.front.core.Reject(spec, c, connectionLimitRetry)
 		return
--- a/internal/xmpp/clientstream.go
+++ b/internal/xmpp/clientstream.go
@@ -110,7 +110,7 @@
 	}
 	if s.front.loop.Open()+2 > s.front.limits.MaxConnections {
 		// A session needs one more descriptor for its server: they must not run out half way.
-		zap.L().Warn("connection_limit_refused", zap.String("front", "xmpp"))
+		zap.L().Warn("connection_limit_reached", zap.String("front", "xmpp"))
 		domain.Core.Reject(spec, s, 0)
 		return
 	}
