--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -69,13 +69,13 @@
 }
 
 func (p *Peers) check(file *tomlfile.File) {
-	const mostPeers = 1 << 20
+	const maxPeers = 1 << 20
 	tomlfile.Fill(&p.Bits4, 32)
 	tomlfile.Fill(&p.Bits6, 64)
 	tomlfile.Fill(&p.Most, 65536)
-	valid := p.Bits4 >= 1 && p.Bits4 <= 32 && p.Bits6 >= 1 && p.Bits6 <= 128 && p.Most >= 1 && p.Most <= mostPeers
+	valid := p.Bits4 >= 1 && p.Bits4 <= 32 && p.Bits6 >= 1 && p.Bits6 <= 128 && p.Most >= 1 && p.Most <= maxPeers
 	if !valid {
-		file.Fault("peers", "[peers] bits4 is 1 to 32, bits6 1 to 128, most 1 to %d", mostPeers)
+		file.Fault("peers", "[peers] bits4 is 1 to 32, bits6 1 to 128, most 1 to %d", maxPeers)
 	}
 	p.Streams.check(file, "peers")
 }
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -45,8 +45,8 @@
 	stateDraining = "draining"
 )
 
-// MostAttempts is the most attempts that a session may take.
-const MostAttempts = 4
+// MaxAttempts is the most attempts that a session may take.
+const MaxAttempts = 4
 
 // maxDrainGrace is how long the platform's rules let a draining server get new sessions.
 const maxDrainGrace = 3 * time.Second
@@ -68,7 +68,7 @@
 func (c *Cluster) setUsualValues() {
 	tomlfile.Fill(&c.Sessions, 1000)
 	tomlfile.Fill(&c.Nodes, 1)
-	tomlfile.Fill(&c.Attempts, MostAttempts)
+	tomlfile.Fill(&c.Attempts, MaxAttempts)
 	tomlfile.Fill(&c.ConnectTimeout, Duration(time.Second))
 	tomlfile.Fill(&c.DrainGrace, Duration(maxDrainGrace))
 	tomlfile.Fill(&c.DrainPeriod, Duration(10*time.Second))
@@ -81,7 +81,7 @@
 func (c *Cluster) check(file *tomlfile.File, path string) {
 	c.setUsualValues()
 	found := clusterCheck{file: file, path: path, cluster: c.Name}
-	found.addIf(c.Attempts < 1 || c.Attempts > MostAttempts, "attempts", "attempts must be 1 to %d", MostAttempts)
+	found.addIf(c.Attempts < 1 || c.Attempts > MaxAttempts, "attempts", "attempts must be 1 to %d", MaxAttempts)
 	validSessions := c.Sessions >= 1 // false for NaN, as the other numbers below
 	found.addIf(!validSessions, "sessions", "sessions must be 1 or more")
 	found.addIf(c.Nodes < 1, "nodes", "nodes must be 1 or more")
--- a/internal/config/nginx/proxy.go
+++ b/internal/config/nginx/proxy.go
@@ -48,9 +48,9 @@
 	if err != nil || attempts < 0 {
 		c.fail(setting.line, "proxy_next_upstream_tries %q is no count", setting.firstArg())
 	}
-	if attempts > config.MostAttempts || attempts == 0 {
-		c.warn(setting.line, "at most %d hosts are tried", config.MostAttempts)
-		return config.MostAttempts
+	if attempts > config.MaxAttempts || attempts == 0 {
+		c.warn(setting.line, "at most %d hosts are tried", config.MaxAttempts)
+		return config.MaxAttempts
 	}
 	return attempts
 }
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -10,7 +10,7 @@
 	"os"
 	"strconv"
 
-	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/platform/discovery"
 	"spurwinch/internal/simwire"
 )
 
@@ -21,9 +21,9 @@
 	Discovery string // IP:PORT of the discovery service
 	Mgmt      string // IP:PORT for operators' requests; empty: none
 	Seed      uint64
-	Sockets   int           // descriptors that the process may hold; 0: not known
-	MemoryMB  int           // megabytes that the process may use; 0: not known
-	Known     *cluster.List // servers to begin with, until discovery answers; nil: none
+	Sockets   int             // descriptors that the process may hold; 0: not known
+	MemoryMB  int             // megabytes that the process may use; 0: not known
+	Known     *discovery.List // servers to begin with, until discovery answers; nil: none
 	Settings  simwire.Settings
 	// PeerListen is where datagrams of other nodes arrive, Peers the addresses of all nodes by their numbers, this
 	// one's among them. Both are empty where nodes may not send messages to one another.
@@ -47,7 +47,7 @@
 	} `json:"limits"`
 	PeerListen string          `json:"peer_listen"`
 	Peers      []string        `json:"peers"`
-	Known      *cluster.List   `json:"known"`
+	Known      *discovery.List `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 }
 
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -23,7 +23,7 @@
 	Program   string // the spurwinch program
 	Dir       string // for configurations, files and logs
 	Seed      uint64
-	Nodes     int           // 2 to MostNodes
+	Nodes     int           // 2 to MaxNodes
 	FaultTime time.Duration // over which faults are drawn
 	Rate      float64       // requests a second to the whole fleet; 0: by the capacity of the servers
 	Only      []string      // kinds of faults that may be drawn; none: all
--- a/internal/node/batch.go
+++ b/internal/node/batch.go
@@ -15,7 +15,7 @@
 )
 
 // maxBatchConnections is the most connections of a batch; a variable, so that tests can lower it.
-var maxBatchConnections = hotrestart.MostConnections
+var maxBatchConnections = hotrestart.MaxBatchConnections
 
 // connectionState is one connection as it is sent to another process.
 type connectionState struct {
--- a/internal/node/exchange_test.go
+++ b/internal/node/exchange_test.go
@@ -11,7 +11,7 @@
 	"spurwinch/internal/config"
 	"spurwinch/internal/edge"
 	"spurwinch/internal/lab/transcript"
-	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/platform/discovery"
 )
 
 // listenAll opens the listeners that the exchange names in its first line, "hosts: h1 h2".
@@ -68,7 +68,7 @@
 	if strings.Contains(first, " reports") {
 		reports = "on_probe"
 	}
-	node := config.Node{Listen: "127.0.0.1:0", Seed: 1, Known: &cluster.List{}}
+	node := config.Node{Listen: "127.0.0.1:0", Seed: 1, Known: &discovery.List{}}
 	node.Settings = decodeSettings(t, "REPORTS", reports)
 	var entries []string
 	for _, name := range listenAll(t, player, text) {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -14,7 +14,7 @@
 	"spurwinch/internal/edge"
 	"spurwinch/internal/lab/transcript"
 	"spurwinch/internal/loop"
-	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/platform/discovery"
 	"spurwinch/internal/simwire"
 )
 
@@ -102,10 +102,10 @@
 }
 
 // parseList parses a complete server list.
-func parseList(tb testing.TB, version int, entries ...string) *cluster.List {
+func parseList(tb testing.TB, version int, entries ...string) *discovery.List {
 	tb.Helper()
 	text := fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
-	list, err := cluster.ParseList([]byte(text))
+	list, err := discovery.ParseList([]byte(text))
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -10,7 +10,7 @@
 
 	"spurwinch/internal/loop"
 	"spurwinch/internal/operations/hotrestart"
-	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/platform/discovery"
 )
 
 const (
@@ -62,7 +62,7 @@
 
 // initialList is the server list to begin with: the predecessor's where there is one, since what was pushed to it was
 // pushed to the node.
-func (h *hotRestart) initialList(own *cluster.List, discovery string) *cluster.List {
+func (h *hotRestart) initialList(own *discovery.List, discovery string) *discovery.List {
 	if h.grant == nil || len(h.grant.List.Servers) == 0 {
 		return own
 	}
@@ -136,7 +136,7 @@
 	if platform := h.program.platform; platform != nil {
 		var version int64
 		grant.Discovery, version = platform.listWatch.Position()
-		grant.List = cluster.NewList(version, platform.core.Servers())
+		grant.List = discovery.NewList(version, platform.core.Servers())
 		if socket := platform.peers.socket; socket != nil {
 			grant.Datagrams = socket.FD()
 		}
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -11,7 +11,7 @@
 	"spurwinch/choice"
 	"spurwinch/internal/config"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/platform/discovery"
 	"spurwinch/internal/transport/tls"
 	"spurwinch/internal/xmpp"
 )
@@ -42,8 +42,8 @@
 	path      string
 	seed      uint64
 	xmpp      *xmpp.Front
-	addrs     []netip.AddrPort          // of the listeners
-	watches   map[string]*cluster.Watch // of the clusters with a discovery
+	addrs     []netip.AddrPort            // of the listeners
+	watches   map[string]*discovery.Watch // of the clusters with a discovery
 	keys      tls.Keys
 	firstSeen map[string]time.Time // when a static server was added, by serverKey; zero: at the start
 }
@@ -54,7 +54,7 @@
 		program:   program,
 		path:      path,
 		seed:      seed,
-		watches:   map[string]*cluster.Watch{},
+		watches:   map[string]*discovery.Watch{},
 		firstSeen: map[string]time.Time{},
 	}
 	for i, entry := range file.Clusters {
@@ -86,7 +86,7 @@
 		return err
 	}
 	var core *edge.Core
-	var watch *cluster.Watch
+	var watch *discovery.Watch
 	options := o.program.coreOptions(settings, seed, observer)
 	options.HealthChecker = sessionLoad{func() *edge.Core { return core }, entry.Sessions / float64(entry.Nodes)}
 	options.WatchList = func() { watch.Follow() }
@@ -96,7 +96,7 @@
 		return fmt.Errorf("%s: cluster %q: %w", o.path, entry.Name, err)
 	}
 	if entry.Discovery != "" {
-		watch = cluster.New(o.program.loop, entry.Discovery, nil, watchMode(settings), seed, core.UpdateServers)
+		watch = discovery.New(o.program.loop, entry.Discovery, nil, watchMode(settings), seed, core.UpdateServers)
 		o.watches[entry.Name] = watch
 	}
 	o.program.startCore(entry.Name, core, entry.StaticHosts(o.startedAt(entry.Name, time.Time{})))
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -8,7 +8,7 @@
 	"spurwinch/choice"
 	"spurwinch/internal/config"
 	"spurwinch/internal/edge"
-	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/platform/discovery"
 	"spurwinch/internal/platform/downstream"
 	"spurwinch/internal/platform/upstream"
 	"spurwinch/internal/simwire"
@@ -24,7 +24,7 @@
 type platform struct {
 	core      *edge.Core
 	front     *downstream.Front
-	listWatch *cluster.Watch
+	listWatch *discovery.Watch
 	peers     *peerNetwork
 	upstream  *upstream.Cluster
 	processes int // of this node
@@ -63,8 +63,8 @@
 }
 
 // watchMode is how the server list is obtained.
-func watchMode(settings choice.Settings) cluster.Mode {
-	return cluster.Mode{Pushed: !settings.Subscribe, DrainGrace: settings.Rules.DrainGrace}
+func watchMode(settings choice.Settings) discovery.Mode {
+	return discovery.Mode{Pushed: !settings.Subscribe, DrainGrace: settings.Rules.DrainGrace}
 }
 
 // platformSettings adapts the settings to real sockets; hasPeers: the other nodes can be reached.
@@ -93,7 +93,7 @@
 	platform.front.Adapt(node.Settings.ClassByName, node.Settings.TenantByName, node.Settings.Classes)
 	known := p.restart.initialList(node.Known, node.Discovery)
 	mode := watchMode(node.Settings.Settings)
-	platform.listWatch = cluster.New(p.loop, node.Discovery, known, mode, node.Seed, p.listHandler(platform))
+	platform.listWatch = discovery.New(p.loop, node.Discovery, known, mode, node.Seed, p.listHandler(platform))
 	listener, err := p.restart.listen(node.Listen, platform.front.Accept)
 	if err != nil {
 		return nil, netip.AddrPort{}, err
@@ -155,7 +155,7 @@
 }
 
 // followList begins to watch the server list, and sets from when on the front announces that it accepts clients.
-func (p *Program) followList(watch *cluster.Watch, onRequest, known bool) {
+func (p *Program) followList(watch *discovery.Watch, onRequest, known bool) {
 	if !onRequest {
 		watch.Follow()
 	}
--- a/internal/node/restore.go
+++ b/internal/node/restore.go
@@ -8,10 +8,12 @@
 	"spurwinch/internal/operations/hotrestart"
 )
 
-// connectionRestorer is a front that can take transferred connections over. Hold checks one; the function that it
-// returns attaches it to the front.
+// connectionRestorer is a front that can take transferred connections over. PrepareRestore checks one; the function
+// that it returns attaches it to the front.
 type connectionRestorer interface {
-	Hold(core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int) (restore func(), err error)
+	PrepareRestore(
+		core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int,
+	) (restore func(), err error)
 }
 
 // freeDescriptors is the number of descriptors that this process can receive with connections.
@@ -67,7 +69,7 @@
 		}
 	}
 	readState := func(into any) error { return hotrestart.Decode(connection.State, into) }
-	return front.Hold(core, connection.Open, readState, item.FDs)
+	return front.PrepareRestore(core, connection.Open, readState, item.FDs)
 }
 
 // frontNamed returns the front of a name; nil: this process has none.
--- a/internal/operations/hotrestart/batch.go
+++ b/internal/operations/hotrestart/batch.go
@@ -11,8 +11,8 @@
 const (
 	// transferForm is the version of a batch and of its contents. A process rejects batches of another one.
 	transferForm = 1
-	// MostConnections is the most connections of a batch.
-	MostConnections = 64
+	// MaxBatchConnections is the most connections of a batch.
+	MaxBatchConnections = 64
 
 	maxBatchBytes   = 1 << 20
 	maxLearnedBytes = 512 << 10 // 202 bytes a server where ids have 64, and sessions that can be resumed
@@ -32,7 +32,7 @@
 }
 
 var decoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: MostConnections, MaxMapPairs: 64, MaxNestedLevels: 8}.DecMode()
+	mode, err := cbor.DecOptions{MaxArrayElements: MaxBatchConnections, MaxMapPairs: 64, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
--- a/internal/operations/hotrestart/coordinator_test.go
+++ b/internal/operations/hotrestart/coordinator_test.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/platform/discovery"
 )
 
 const endpointList = `{"version":7,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"DRAINING"}]}`
@@ -48,7 +48,7 @@
 // TestParentAndSuccessor follows two processes of a node from the hello to the end of each.
 func TestParentAndSuccessor(t *testing.T) {
 	path := socketPath(t)
-	list, err := cluster.ParseList([]byte(endpointList))
+	list, err := discovery.ParseList([]byte(endpointList))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operations/hotrestart/golden_test.go
+++ b/internal/operations/hotrestart/golden_test.go
@@ -18,7 +18,7 @@
 	"spurwinch/choice"
 	"spurwinch/internal/edge"
 	"spurwinch/internal/loop"
-	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/platform/discovery"
 )
 
 // The bytes under testdata/golden are what released processes of a node say to each other. A process of another release
@@ -47,8 +47,8 @@
 }
 
 // goldenList is a list with each field set.
-func goldenList() cluster.List {
-	return cluster.NewList(71, []edge.ServerEntry{
+func goldenList() discovery.List {
+	return discovery.NewList(71, []edge.ServerEntry{
 		{Addr: "10.1.0.18:3000", Server: choice.Server{
 			ID: "s-5be2a07c", Zone: "cluj-1", Kind: "std-2c", Cell: 3, State: choice.Draining, Size: 1.5,
 			Started: 1800 * time.Millisecond,
--- a/internal/operations/hotrestart/grant.go
+++ b/internal/operations/hotrestart/grant.go
@@ -6,7 +6,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/platform/discovery"
 )
 
 // noDescriptor stands in Grant.Datagrams where there is no socket.
@@ -17,7 +17,7 @@
 	Sockets         map[string]int // listening sockets by the address that the configuration names
 	Datagrams       int            // the gossip socket; -1: none
 	Discovery       string         // the discovery service that List is from
-	List            cluster.List
+	List            discovery.List
 	DescriptorQuota int // descriptors that the successor may hold
 	Learned         []byte
 
--- a/internal/operations/hotrestart/handshake_test.go
+++ b/internal/operations/hotrestart/handshake_test.go
@@ -10,17 +10,17 @@
 	"testing"
 	"time"
 
-	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/platform/discovery"
 )
 
 // listOf returns an endpoint list of so many servers with ids as long as they get.
-func listOf(t *testing.T, servers int) cluster.List {
+func listOf(t *testing.T, servers int) discovery.List {
 	t.Helper()
-	var list cluster.List
+	var list discovery.List
 	for i := range servers {
 		encoded := fmt.Appendf(nil, `{"servers":[{"id":"%064d","addr":"127.0.0.1:20000","zone":"zone-1","kind":"m2",`+
 			`"cell":3,"state":"SERVING","weight":1.5}]}`, i)
-		one, err := cluster.ParseList(encoded)
+		one, err := discovery.ParseList(encoded)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/operations/hotrestart/message.go
+++ b/internal/operations/hotrestart/message.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"spurwinch/internal/platform/cluster"
+	"spurwinch/internal/platform/discovery"
 )
 
 const (
@@ -36,16 +36,16 @@
 
 // message is what one process sends to the other, as JSON on a line of its own.
 type message struct {
-	Kind         messageKind   `json:"kind"`
-	Version      int           `json:"version,omitempty"`
-	Sockets      []string      `json:"sockets,omitempty"` // addresses, in the order of their descriptors
-	HasDatagrams bool          `json:"datagrams,omitempty"`
-	Discovery    string        `json:"discovery,omitempty"`
-	List         *cluster.List `json:"list,omitempty"`
-	Descriptors  int           `json:"room,omitempty"`
-	TransferForm int           `json:"carry,omitempty"` // of the connections that can be sent or received; 0: none
-	Learned      []byte        `json:"learned,omitempty"`
-	Size         int           `json:"size,omitempty"` // bytes of the payload behind the line
+	Kind         messageKind     `json:"kind"`
+	Version      int             `json:"version,omitempty"`
+	Sockets      []string        `json:"sockets,omitempty"` // addresses, in the order of their descriptors
+	HasDatagrams bool            `json:"datagrams,omitempty"`
+	Discovery    string          `json:"discovery,omitempty"`
+	List         *discovery.List `json:"list,omitempty"`
+	Descriptors  int             `json:"room,omitempty"`
+	TransferForm int             `json:"carry,omitempty"` // of the connections that can be sent or received; 0: none
+	Learned      []byte          `json:"learned,omitempty"`
+	Size         int             `json:"size,omitempty"` // bytes of the payload behind the line
 }
 
 // encode returns the line of a message, with its end.
--- a/internal/platform/cluster/response.go
+++ b/internal/platform/discovery/response.go
@@ -1,4 +1,4 @@
-package cluster
+package discovery
 
 import (
 	"bytes"
--- a/internal/platform/cluster/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -1,6 +1,6 @@
-// Package cluster watches the endpoint list of discovery: it long-polls discovery over HTTP/1.1, decodes the lists and
-// notifies its owner of them. Internals are described in docs/discovery.md.
-package cluster
+// Package discovery watches the endpoint list of the discovery service: it long-polls the service over HTTP/1.1, decodes
+// the lists and notifies its owner of them. Internals are described in docs/discovery.md.
+package discovery
 
 import (
 	"fmt"
--- a/internal/platform/downstream/transfer.go
+++ b/internal/platform/downstream/transfer.go
@@ -89,10 +89,10 @@
 	}
 }
 
-// Hold decodes and validates a connection that another process transfers, and returns the function that resumes it
-// here. Until that is called nothing has changed. read decodes what the other process's front encoded; open is nil for
-// a connection that has sent no request yet.
-func (f *Front) Hold(
+// PrepareRestore decodes and validates a connection that another process transfers, and returns the function that
+// resumes it here. Until that is called nothing has changed. read decodes what the other process's front encoded; open
+// is nil for a connection that has sent no request yet.
+func (f *Front) PrepareRestore(
 	core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int,
 ) (restore func(), err error) {
 	var state ConnectionState
--- a/internal/policy/document.go
+++ b/internal/policy/document.go
@@ -9,7 +9,7 @@
 
 // Document is what all nodes of a fleet do alike. Package config reads it from TOML.
 type Document struct {
-	Attempts          int           // attempts of one request at most, 1 to MostAttempts
+	Attempts          int           // attempts of one request at most, 1 to config.MaxAttempts
 	RetryAfter        time.Duration // advice to clients whose request is rejected
 	OverQuotaPriority float64       // fraction of its priority that a connection keeps beyond its tenant's quota
 	Classes           []Class
--- a/internal/xmpp/transfer.go
+++ b/internal/xmpp/transfer.go
@@ -179,10 +179,10 @@
 // Release closes this process's descriptor of a detached connection that another process has taken.
 func (i IdleConnection) Release() { i.session.Release() }
 
-// Hold checks the whole state of a connection of another process, which readState decodes. The function that it returns
-// restores the connection here. It takes the descriptors of the client's side and, of an established session, the
-// server's; open is the core's state of such a session.
-func (f *Front) Hold(
+// PrepareRestore checks the whole state of a connection of another process, which readState decodes. The function that
+// it returns restores the connection here. It takes the descriptors of the client's side and, of an established
+// session, the server's; open is the core's state of such a session.
+func (f *Front) PrepareRestore(
 	core *edge.Core, open *edge.ConnectionState, readState func(into any) error, fds []int,
 ) (restore func(), err error) {
 	var state ConnectionState
