--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -1,5 +1,5 @@
-// Package discovery watches the endpoint list of the discovery service: it long-polls the service over HTTP/1.1, decodes
-// the lists and notifies its owner of them. Internals are described in docs/discovery.md.
+// Package discovery watches the endpoint list of the discovery service: it long-polls the service over HTTP/1.1,
+// decodes the lists and notifies its owner of them. Internals are described in docs/discovery.md.
 package discovery
 
 import (
