--- a/internal/consensus/follower_test.go
+++ b/internal/consensus/follower_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestFollowerLacksErrors holds the errors for a digest that cannot be right together with what the node knows.
-func TestFollowerLacksErrors(t *testing.T) {
+// TestFollowerMissingKindsErrors holds the errors for a digest that cannot be right together with what the node knows.
+func TestFollowerMissingKindsErrors(t *testing.T) {
 	follower := NewFollower(7, []Entry{{Index: 4, Kind: 1, Data: []byte("one")}})
 	other := NewFollower(7, []Entry{{Index: 4, Kind: 1, Data: []byte("two")}})
 	if _, err := follower.MissingKinds(other.Digest()); !errors.Is(err, ErrConflict) {
