--- a/internal/node/golden_hotrestart_test.go
+++ b/internal/node/golden_hotrestart_test.go
@@ -129,8 +129,9 @@
 
 func goldenStream(part string) xmpp.ScannerState {
 	return xmpp.ScannerState{
-		Part: []byte(part), Stack: []string{"stream:stream", "message"}, Prefix: "stream", Size: 77, Started: true,
-		Ended: true, Restart: true,
+		Pending: []byte(part), Elements: []string{"stream:stream", "message"}, Prefix: "stream", Size: 77,
+		Started: true,
+		Ended:   true, Restart: true,
 	}
 }
 
@@ -148,9 +149,9 @@
 	}, hotrestart.Decode)
 	session := goldenSession()
 	checkGolden(t, "xmpp-front", xmpp.ConnectionState{
-		Conn: toClient, In: goldenStream("<client"), To: "farm.example",
-		Host:  &xmpp.ServerState{Conn: toHost, In: goldenStream("<host"), Inside: true},
-		Until: 1796234567000000003, Left: 15, Opened: true, Resumes: &session,
+		Conn: toClient, Received: goldenStream("<client"), Domain: "farm.example",
+		Server:         &xmpp.ServerState{Conn: toHost, Received: goldenStream("<host"), MidStanza: true},
+		HeaderDeadline: 1796234567000000003, HeaderTimeLeft: 15, HeaderPending: true, Resumable: &session,
 	}, hotrestart.Decode)
 }
 
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -152,7 +152,7 @@
 }
 
 func (o *operatorFronts) logExpiring() {
-	for _, expiring := range o.keys.Ending(o.program.loop.Now()) {
+	for _, expiring := range o.keys.Expiring(o.program.loop.Now()) {
 		zap.L().Warn("certificate_expiring", zap.String("file", expiring.File), zap.Strings("names", expiring.Names),
 			zap.Time("at", expiring.At),
 			zap.String("remedy", "put the new certificate and key in the files and send SIGHUP"))
--- a/internal/transport/tls/conn.go
+++ b/internal/transport/tls/conn.go
@@ -18,7 +18,7 @@
 	handler     loop.Handler
 	pipe        *pipe
 	tls         *tls.Conn
-	cancel      context.CancelFunc // of the handshake; nil: it has not begun
+	cancel      context.CancelFunc // of the handshake; nil: the client has sent nothing yet
 	stopTimer   func()             // of the handshake's deadline
 	up          bool               // the handshake is done
 	over        bool
--- a/internal/transport/tls/keys.go
+++ b/internal/transport/tls/keys.go
@@ -29,15 +29,15 @@
 // Set is a number of certificates that were read and checked together.
 type Set struct {
 	certificates      []tls.Certificate
-	files             []string // of the certificates, in the same order
-	clientAuthorities *x509.CertPool
+	files             []string       // of the certificates, in the same order
+	clientAuthorities *x509.CertPool // nil: clients are asked for no certificate
 	// configs has one *tls.Config a list of protocols, which is the key. A set keeps its configurations, as a session
 	// ticket is valid only with the configuration that issued it.
 	configs sync.Map
 }
 
-// Read reads certificates and, where a file is named, the authorities that sign clients' certificates. If any of them
-// is faulty, none is accepted.
+// Read reads certificates and, where clientAuthorities names a PEM file, the authorities that sign clients'
+// certificates. If any of them is faulty, none is accepted. The set isn't in force until Keys.Use.
 func Read(pairs []Pair, clientAuthorities string) (*Set, error) {
 	set := &Set{}
 	for _, pair := range pairs {
@@ -72,8 +72,8 @@
 	At    time.Time
 }
 
-// Ending lists the certificates in force that expire within ExpiryWarning.
-func (k *Keys) Ending(now time.Time) []Expiry {
+// Expiring lists the certificates in force that expire within ExpiryWarning.
+func (k *Keys) Expiring(now time.Time) []Expiry {
 	set := k.current.Load()
 	if set == nil {
 		return nil
--- a/internal/transport/tls/tls_test.go
+++ b/internal/transport/tls/tls_test.go
@@ -317,11 +317,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if expiries := server.keys.Ending(time.Now()); len(expiries) != 0 {
+	if expiries := server.keys.Expiring(time.Now()); len(expiries) != 0 {
 		t.Errorf("got the expiries %+v for a certificate that is valid for long, wanted none", expiries)
 	}
 	server.keys.Use(set)
-	expiries := server.keys.Ending(time.Now())
+	expiries := server.keys.Expiring(time.Now())
 	if len(expiries) != 1 || expiries[0].File != cert || expiries[0].Names[0] != "a.example" {
 		t.Errorf("got the expiries %+v, wanted one of %s for a.example", expiries, cert)
 	}
--- a/internal/xmpp/scanner.go
+++ b/internal/xmpp/scanner.go
@@ -197,7 +197,8 @@
 	return len(name) > 1 && name[0] == '#'
 }
 
-// checkCharacters checks that data is UTF-8 without control characters that XML forbids.
+// checkCharacters checks that data is valid UTF-8 without the control characters below U+0020 that XML 1.0 forbids.
+// nextText has taken off a character that is cut off at the end of data: it isn't a fault.
 func checkCharacters(data []byte) condition {
 	if !utf8.Valid(data) {
 		return notWellFormed
--- a/internal/xmpp/transfer.go
+++ b/internal/xmpp/transfer.go
@@ -22,40 +22,40 @@
 
 // ScannerState is the state of a scanner.
 type ScannerState struct {
-	Part    []byte   `cbor:"1,keyasint,omitempty"` // a token not whole yet
-	Stack   []string `cbor:"2,keyasint,omitempty"`
-	Prefix  string   `cbor:"3,keyasint,omitempty"`
-	Size    int      `cbor:"4,keyasint,omitempty"`
-	Started bool     `cbor:"5,keyasint,omitempty"`
-	Ended   bool     `cbor:"6,keyasint,omitempty"`
-	Restart bool     `cbor:"7,keyasint,omitempty"`
+	Pending  []byte   `cbor:"1,keyasint,omitempty"` // an unfinished token
+	Elements []string `cbor:"2,keyasint,omitempty"` // names of the open elements, the root first
+	Prefix   string   `cbor:"3,keyasint,omitempty"`
+	Size     int      `cbor:"4,keyasint,omitempty"`
+	Started  bool     `cbor:"5,keyasint,omitempty"`
+	Ended    bool     `cbor:"6,keyasint,omitempty"`
+	Restart  bool     `cbor:"7,keyasint,omitempty"`
 }
 
 // ConnectionState is what the front knows of a client's connection, as one process of a node sends it to another at a
 // hot restart. An established session has a server's side; any other connection has not sent a whole stream header yet.
 type ConnectionState struct {
-	Conn   loop.ConnectionState `cbor:"1,keyasint"`
-	In     ScannerState         `cbor:"2,keyasint"`
-	To     string               `cbor:"3,keyasint,omitempty"`
-	Host   *ServerState         `cbor:"4,keyasint,omitempty"`
-	Until  int64                `cbor:"5,keyasint,omitempty"` // the header's deadline in Unix ns, read if Left is 0
-	Left   int64                `cbor:"8,keyasint,omitempty"` // until that deadline, in ns
-	Opened bool                 `cbor:"6,keyasint,omitempty"` // the client waits for a stream header
+	Conn           loop.ConnectionState `cbor:"1,keyasint"`
+	Received       ScannerState         `cbor:"2,keyasint"`
+	Domain         string               `cbor:"3,keyasint,omitempty"` // as the client wrote it in its stream header
+	Server         *ServerState         `cbor:"4,keyasint,omitempty"` // nil: no session is established
+	HeaderDeadline int64                `cbor:"5,keyasint,omitempty"` // Unix ns, read if HeaderTimeLeft is 0
+	HeaderTimeLeft int64                `cbor:"8,keyasint,omitempty"` // until that deadline, in ns
+	HeaderPending  bool                 `cbor:"6,keyasint,omitempty"` // the client waits for a stream header
 
-	Resumes *resumable.Session `cbor:"7,keyasint,omitempty"` // that its client can resume
+	Resumable *resumable.Session `cbor:"7,keyasint,omitempty"` // that its client can resume
 }
 
 // ServerState is the server's side of an established session.
 type ServerState struct {
-	Conn   loop.ConnectionState `cbor:"1,keyasint"`
-	In     ScannerState         `cbor:"2,keyasint"`
-	Inside bool                 `cbor:"3,keyasint,omitempty"` // an unfinished stanza has been forwarded
+	Conn      loop.ConnectionState `cbor:"1,keyasint"`
+	Received  ScannerState         `cbor:"2,keyasint"`
+	MidStanza bool                 `cbor:"3,keyasint,omitempty"` // an unfinished stanza has been forwarded
 }
 
 // state returns what another process needs to go on with the scanner.
 func (s *scanner) state() ScannerState {
 	return ScannerState{
-		Part: s.pending, Stack: s.elements, Prefix: s.prefix, Size: s.size,
+		Pending: s.pending, Elements: s.elements, Prefix: s.prefix, Size: s.size,
 		Started: s.started, Ended: s.ended, Restart: s.restart,
 	}
 }
@@ -64,8 +64,8 @@
 func (f *Front) restoreScanner(state ScannerState) scanner {
 	return scanner{
 		maxBytes: f.limits.MaxStanzaBytes,
-		pending:  state.Part,
-		elements: state.Stack,
+		pending:  state.Pending,
+		elements: state.Elements,
 		prefix:   state.Prefix,
 		size:     state.Size,
 		started:  state.Started,
@@ -77,8 +77,8 @@
 // checkStream checks the state of a scanner of another process.
 func (f *Front) checkStream(state ScannerState) error {
 	maxBytes := f.limits.MaxStanzaBytes
-	isSizeValid := state.Size >= 0 && state.Size <= maxBytes+len(state.Part)
-	if len(state.Part) > maxBytes || len(state.Stack) > maxDepth || !isSizeValid {
+	isSizeValid := state.Size >= 0 && state.Size <= maxBytes+len(state.Pending)
+	if len(state.Pending) > maxBytes || len(state.Elements) > maxDepth || !isSizeValid {
 		return ErrStreamOverLimits
 	}
 	return nil
@@ -95,18 +95,18 @@
 		return nil, nil, false
 	}
 	standing := ConnectionState{
-		In: s.received.state(), To: s.domainName, Opened: s.headerPending,
-		Host: &ServerState{In: server.received.state(), Inside: server.partForwarded},
+		Received: s.received.state(), Domain: s.domainName, HeaderPending: s.headerPending,
+		Server: &ServerState{Received: server.received.state(), MidStanza: server.partForwarded},
 	}
 	if known, ok := s.front.resumable.Find(s.front.loop.Now(), s.key); ok {
-		standing.Resumes = &known
+		standing.Resumable = &known
 	}
 	fds = make([]int, 2)
 	fds[0], standing.Conn, ok = s.socket.Detach()
 	if !ok {
 		return nil, nil, false
 	}
-	fds[1], standing.Host.Conn, ok = server.conn.Detach()
+	fds[1], standing.Server.Conn, ok = server.conn.Detach()
 	if !ok {
 		s.socket.Reattach()
 		return nil, nil, false
@@ -163,10 +163,10 @@
 	}
 	session.stopTimer()
 	return []int{fd}, ConnectionState{
-		Conn:  conn,
-		In:    session.received.state(),
-		Until: session.headerDeadline.UnixNano(),
-		Left:  loop.TimeLeft(session.front.loop.Now(), session.headerDeadline),
+		Conn:           conn,
+		Received:       session.received.state(),
+		HeaderDeadline: session.headerDeadline.UnixNano(),
+		HeaderTimeLeft: loop.TimeLeft(session.front.loop.Now(), session.headerDeadline),
 	}, true
 }
 
@@ -200,23 +200,23 @@
 
 // checkState checks a connection's state against this node's limits, and its parts against each other.
 func (f *Front) checkState(state ConnectionState, established bool, sockets int) error {
-	if err := f.checkStream(state.In); err != nil {
+	if err := f.checkStream(state.Received); err != nil {
 		return err
 	}
 	wanted := 1
-	if state.Host != nil {
+	if state.Server != nil {
 		wanted = 2
-		if err := f.checkStream(state.Host.In); err != nil {
+		if err := f.checkStream(state.Server.Received); err != nil {
 			return err
 		}
 	}
 	if sockets != wanted {
 		return fmt.Errorf("%d sockets of a connection that has %d: %w", sockets, wanted, ErrSocketCount)
 	}
-	if established != (state.Host != nil) {
+	if established != (state.Server != nil) {
 		return ErrIncompleteSession
 	}
-	if resumed := state.Resumes; resumed != nil && (state.Host == nil || resumed.ID == "" || resumed.Server == "") {
+	if resumed := state.Resumable; resumed != nil && (state.Server == nil || resumed.ID == "" || resumed.Server == "") {
 		return ErrIncompleteSession
 	}
 	return nil
@@ -225,25 +225,29 @@
 // restoreSession goes on with an established session of another process.
 func (f *Front) restoreSession(core *edge.Core, open edge.ConnectionState, state ConnectionState, fds []int) {
 	session := &clientSession{
-		front: f, received: f.restoreScanner(state.In), domainName: state.To, committed: true, established: true,
-		headerPending: state.Opened,
+		front:         f,
+		received:      f.restoreScanner(state.Received),
+		domainName:    state.Domain,
+		committed:     true,
+		established:   true,
+		headerPending: state.HeaderPending,
 	}
 	session.request, session.attempt = core.Adopt(open, session)
 	session.upstream = &upstreamRequest{
-		session: session, attempt: session.attempt, received: f.restoreScanner(state.Host.In), begun: true,
-		partForwarded: state.Host.Inside,
+		session: session, attempt: session.attempt, received: f.restoreScanner(state.Server.Received), begun: true,
+		partForwarded: state.Server.MidStanza,
 	}
-	session.upstream.conn = f.loop.Restore(fds[1], state.Host.Conn, session.upstream)
+	session.upstream.conn = f.loop.Restore(fds[1], state.Server.Conn, session.upstream)
 	session.attempt.Resume(session.upstream)
-	if state.Resumes != nil {
-		session.user = state.Resumes.User
-		session.connected(*state.Resumes)
+	if state.Resumable != nil {
+		session.user = state.Resumable.User
+		session.connected(*state.Resumable)
 	}
 	session.restoreClient(fds[0], state.Conn, f.configuredName(session.domain()))
 	if len(state.Conn.Out) == 0 { // else the server's side is read once these bytes have gone to the kernel
 		session.upstream.conn.Resume()
 	}
-	if len(state.Host.Conn.Out) == 0 {
+	if len(state.Server.Conn.Out) == 0 {
 		session.client.Resume()
 	}
 }
@@ -251,10 +255,11 @@
 // restoreIdle goes on with a connection of another process whose stream header has not been received whole.
 func (f *Front) restoreIdle(state ConnectionState, fd int) {
 	f.Answers.Sessions++
-	session := &clientSession{front: f, received: f.restoreScanner(state.In), headerPending: true}
+	session := &clientSession{front: f, received: f.restoreScanner(state.Received), headerPending: true}
 	session.restoreClient(fd, state.Conn, "")
 	session.socket.EnterIdleQueue()
-	session.awaitHeader(loop.TimeFromLeft(f.loop.Now(), state.Left, state.Until, f.limits.HeaderTimeout))
+	deadline := loop.TimeFromLeft(f.loop.Now(), state.HeaderTimeLeft, state.HeaderDeadline, f.limits.HeaderTimeout)
+	session.awaitHeader(deadline)
 }
 
 // restoreClient sets the client's side of a connection of another process.
