--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -9,6 +9,13 @@
 	"spurwinch/internal/transport/tls"
 )
 
+// What an operator's file without these keys of [peers] has.
+const (
+	defaultPrefixBits4 = 32 // each IPv4 address is a peer
+	defaultPrefixBits6 = 64 // a subnet, all of whose IPv6 addresses one host can take
+	defaultMaxPeers    = 65536
+)
+
 // Peers says what one peer, which is a network prefix, may have, and which networks are kept out or free of limits.
 type Peers struct {
 	Bits4   int    `toml:"bits4,omitzero"`  // of an IPv4 address that make up one peer
@@ -70,9 +77,9 @@
 
 func (p *Peers) check(file *tomlfile.File) {
 	const maxPeers = 1 << 20
-	tomlfile.Fill(&p.Bits4, 32)
-	tomlfile.Fill(&p.Bits6, 64)
-	tomlfile.Fill(&p.Most, 65536)
+	tomlfile.Fill(&p.Bits4, defaultPrefixBits4)
+	tomlfile.Fill(&p.Bits6, defaultPrefixBits6)
+	tomlfile.Fill(&p.Most, defaultMaxPeers)
 	valid := p.Bits4 >= 1 && p.Bits4 <= 32 && p.Bits6 >= 1 && p.Bits6 <= 128 && p.Most >= 1 && p.Most <= maxPeers
 	if !valid {
 		file.Fault("peers", "[peers] bits4 is 1 to 32, bits6 1 to 128, most 1 to %d", maxPeers)
@@ -80,14 +87,15 @@
 	p.Streams.check(file, "peers")
 }
 
-// readNetworks reads a list of networks, which are free of limits or kept out.
-func (o *Operator) readNetworks(file *tomlfile.File, key, path string, free bool) {
+// readNetworks adds the list of networks in the file at path, which are exempt from limits or else denied. The key
+// names the list in a fault of the operator's file; an empty path is no list.
+func (o *Operator) readNetworks(file *tomlfile.File, key, path string, exempt bool) {
 	if path == "" {
 		return
 	}
 	raw, err := os.ReadFile(path)
 	if err == nil {
-		err = o.Networks.AddList(path, raw, free)
+		err = o.Networks.AddList(path, raw, exempt)
 	}
 	if err != nil {
 		file.Fault(key, "%v", err)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -26,7 +26,7 @@
 	Secret []byte     `toml:"-"` // of KeyFile
 }
 
-// minFleetKey is the least length of a fleet's key, in bytes.
+// minFleetKey is the least length of a fleet's key, in bytes: as long as the HMAC-SHA-256 that it signs messages with.
 const minFleetKey = 32
 
 // Votes says whether this node is a voter.
@@ -83,6 +83,7 @@
 	}
 }
 
+// readSecret reads the fleet's key: the whole text of the file, without the white space around it, is the key.
 func (c *Fleet) readSecret(file *tomlfile.File) {
 	raw, err := os.ReadFile(c.KeyFile)
 	if err != nil {
@@ -91,8 +92,8 @@
 	}
 	key := strings.TrimSpace(string(raw))
 	if len(key) < minFleetKey {
-		file.Fault("fleet.key_file", "[fleet] key_file: %s has a key of %d characters: 32 or more are wanted",
-			c.KeyFile, len(key))
+		file.Fault("fleet.key_file", "[fleet] key_file: %s has a key of %d characters: %d or more are wanted",
+			c.KeyFile, len(key), minFleetKey)
 		return
 	}
 	c.Secret = []byte(key)
--- a/internal/config/keyset.go
+++ b/internal/config/keyset.go
@@ -12,6 +12,7 @@
 // element stands for the elements of a list in a keySet and in a path.
 const element = "[]"
 
+// keysOf returns the keys of a value that encoding/json has decoded; nil: it has none.
 func keysOf(value any) keySet {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/config/nginx/errors.go
+++ b/internal/config/nginx/errors.go
@@ -66,6 +66,7 @@
 	return errors.Join(all...)
 }
 
-func sortByLine(notes []*Error) {
-	slices.SortStableFunc(notes, func(a, b *Error) int { return cmp.Compare(a.Line, b.Line) })
+// sortByLine sorts warnings or errors in place. Those of one line keep the order in which they were found.
+func sortByLine(reported []*Error) {
+	slices.SortStableFunc(reported, func(a, b *Error) int { return cmp.Compare(a.Line, b.Line) })
 }
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -97,6 +97,8 @@
 	return node, nil
 }
 
+// decodeNode decodes the text of a file and checks it. The order of the checks decides which error is reported: the
+// addresses, the settings, the peers (which the settings may forbid), the servers that are known.
 func decodeNode(raw []byte, override func(*nodeFile)) (Node, error) {
 	file, keys, err := parseNodeFile(raw)
 	if err != nil {
--- a/internal/config/tomlfile/lines.go
+++ b/internal/config/tomlfile/lines.go
@@ -43,6 +43,7 @@
 	return keys, line
 }
 
+// add records the line of an expression, whose kind says whether its keys name a table or stand in the present one.
 func (x *indexer) add(kind unstable.Kind, keys []string, line int) {
 	switch kind {
 	case unstable.Table:
--- a/internal/node/batch.go
+++ b/internal/node/batch.go
@@ -10,8 +10,10 @@
 )
 
 const (
-	maxBatchBytes = 256 << 10 // of one batch, but for a single connection with more
-	connectionFDs = 2         // the most descriptors of a connection: its client's and its server's
+	// maxBatchBytes is from how many bytes of connections' states on a batch is full. The last connection may exceed
+	// it: the successor accepts four times as much.
+	maxBatchBytes = 256 << 10
+	connectionFDs = 2 // the most descriptors of a connection: its client's and its server's
 )
 
 // maxBatchConnections is the most connections of a batch; a variable, so that tests can lower it.
@@ -67,6 +69,7 @@
 	b.descriptors -= len(item.FDs)
 }
 
+// full reports whether another connection might exceed what one batch, or the successor, may hold.
 func (b *transferBatch) full() bool {
 	return len(b.connections) >= maxBatchConnections || b.bytes > maxBatchBytes || b.descriptors < connectionFDs
 }
@@ -108,7 +111,7 @@
 	return hotrestart.TransferItem{FDs: fds, Body: body}, true
 }
 
-// encode encodes the connection for a batch, together with the state of its front.
+// encode returns the body of the connection's transfer item: its CBOR with frontState as its State.
 func (c connectionState) encode(frontState any) (body []byte, err error) {
 	c.State, err = cbor.Marshal(frontState)
 	if err != nil {
--- a/internal/node/capture.go
+++ b/internal/node/capture.go
@@ -14,7 +14,8 @@
 
 const captureCloseTimeout = 2 * time.Second // for the rest of a capture, at the program's end
 
-// captureObserver records what a core observes in a capture.
+// captureObserver records what a core observes in a capture. It is the edge.Observer of that one core, which calls it
+// on the loop; the writer writes on a goroutine of its own.
 type captureObserver struct {
 	writer  *capture.Writer
 	classes int // that the writer knows by name
@@ -98,7 +99,7 @@
 	})
 }
 
-// Report records a server's load report.
+// Report records a server's load report. The values are in the order of the header's Fields; NaN: not reported.
 func (o *captureObserver) Report(server choice.ServerID, values []float64) {
 	recorded := make([]float32, len(values))
 	for i, value := range values {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -13,7 +13,8 @@
 	admin        string // address of the admin server; empty: none
 }
 
-// readConfiguration reads the operator's file, if there is one, and the names that the environment has.
+// readConfiguration reads the operator's file, if there is one, and from the environment the path of the platform's
+// configuration and the admin address. readNode completes it for a node with the platform's front.
 func readConfiguration(getenv func(string) string, operatorPath string) (startConfiguration, error) {
 	configuration := startConfiguration{
 		operatorPath: operatorPath,
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// startCore adds a cluster's core to the program and starts it with the servers that are known.
+// startCore adds a cluster's core to the program and starts it with the servers that are known. The loop calls the
+// core's Flush after each callback, which carries out what the callback had the core decide.
 func (p *Program) startCore(cluster string, core *edge.Core, servers []edge.ServerEntry) {
 	p.cores = append(p.cores, core)
 	p.coreByCluster[cluster] = core
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -207,7 +207,8 @@
 	}
 }
 
-// applyDecisions applies what the agent has decided: policy, plan, records to save and messages to send.
+// applyDecisions applies what the agent has decided: policy, plan, records to save and messages to send. It must follow
+// each call of the agent. A message that depends on a record is held back by the agent until Persisted.
 func (f *fleet) applyDecisions() {
 	f.applyPolicy()
 	if plan, changed := f.agent.ZonePlan(); changed {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,7 +16,8 @@
 	"spurwinch/internal/xmpp"
 )
 
-// Program is a node on its loop. Its methods belong to the loop's goroutine, or to the time before the loop runs.
+// Program is a node on its loop. Its methods belong to the loop's goroutine, or to the time before the loop runs;
+// forwardSignals alone has a goroutine of its own.
 type Program struct {
 	loop          *loop.Loop
 	cores         []*edge.Core          // the platform's, then those of the operator's file in its order
@@ -27,10 +28,10 @@
 	adminAddr     netip.AddrPort
 
 	reloaders    []reloader
-	cancelReload func()   // cancels the next attempt at reading the files; nil: there is none
-	onShutdown   []func() // when the planned stop begins
-	onClose      []func() // when the loop has ended, or the start has failed
-	shutdownTime time.Duration
+	cancelReload func()        // cancels the next attempt at reading the files; nil: there is none
+	onShutdown   []func()      // when the planned stop begins
+	onClose      []func()      // when the loop has ended, or the start has failed
+	shutdownTime time.Duration // from the start of the planned stop to the end of the loop, at the most
 
 	restart   hotRestart
 	readiness readiness
@@ -100,7 +101,8 @@
 	return nil
 }
 
-// forwardSignals passes signals on to the loop, as long as the process runs.
+// forwardSignals passes signals on to the loop, as long as the process runs. It is the body of a goroutine, and touches
+// the program by Post alone.
 func (p *Program) forwardSignals(reload, stop <-chan os.Signal) {
 	for {
 		select {
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	reservedDescriptors = 48 // that are not for clients and servers: discovery, health checks, the runtime's own
-	healthCheckDivisor  = 3  // one in so many of the rest may be held by idle connections for health checks
-	defaultDescriptors  = 1024
+	reservedDescriptors = 48   // that are not for clients and servers: discovery, health checks, the runtime's own
+	healthCheckDivisor  = 3    // one in so many of the rest may be held by idle connections for health checks
+	defaultDescriptors  = 1024 // of the process, where the configuration doesn't say
 )
 
 // platform is the platform's front with its core.
@@ -62,7 +62,8 @@
 	p.listWatch.SetMode(watchMode(settings.Settings))
 }
 
-// watchMode is how the server list is obtained.
+// watchMode is how the server list is obtained: by long polls of a service for all nodes where the settings have the
+// node subscribe, else from an agent beside the node.
 func watchMode(settings choice.Settings) discovery.Mode {
 	return discovery.Mode{Pushed: !settings.Subscribe, DrainGrace: settings.Rules.DrainGrace}
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// The platform ends a process that shuts down by itself, and counts one that ends too early as crashed; elsewhere
-	// the program ends once all clients have gone.
+	// How long the loop runs on after SIGTERM. The platform kills a process that shuts down, and counts one that exits
+	// before that as crashed: there the program waits for longer than the platform does. Elsewhere it exits soon after
+	// the drain of its cores, which takes 3.2 s.
 	platformShutdownTime = 10 * time.Second
 	operatorShutdownTime = 4 * time.Second
 )
--- a/internal/node/telemetry.go
+++ b/internal/node/telemetry.go
@@ -17,6 +17,7 @@
 	trace   trace.Recorder
 }
 
+// logViolation logs a broken invariant; it is the monitor's OnViolation.
 func logViolation(violation invariant.Violation) {
 	zap.L().Error("invariant_broken", zap.Stringer("rule", violation.Rule), zap.Stringer("step", violation.Step),
 		zap.String("request", violation.Request), zap.String("host", violation.Server))
--- a/internal/operations/admin/admin.go
+++ b/internal/operations/admin/admin.go
@@ -22,6 +22,8 @@
 	headTimeout = 5 * time.Second // for a whole request head, from the accept on
 	maxHead     = 4 << 10         // bytes of a request head
 	maxLines    = 64              // lines of a request head
+	// listenBacklog is how many connections may wait to be accepted: as many as may be pending, and a few more.
+	listenBacklog = maxPending + 4
 )
 
 // Server answers the requests of operators. It belongs to its loop's goroutine.
@@ -44,7 +46,7 @@
 // Listen starts an admin server at addr and returns it with the address that it has.
 func Listen(events *loop.Loop, addr string, answers Answers) (*Server, netip.AddrPort, error) {
 	s := &Server{loop: events, answers: answers}
-	listener, err := events.ListenApart(addr, maxPending+4, s.accept)
+	listener, err := events.ListenApart(addr, listenBacklog, s.accept)
 	if err != nil {
 		return nil, netip.AddrPort{}, fmt.Errorf("admin server: %w", err)
 	}
--- a/internal/operations/admin/connection.go
+++ b/internal/operations/admin/connection.go
@@ -16,10 +16,10 @@
 type connection struct {
 	server    *Server
 	conn      *loop.Conn
-	head      []byte // of the request, as far as it came
-	place     *list.Element
-	stopTimer func()
-	finished  bool // answered or gone
+	head      []byte        // of the request, as far as it came
+	place     *list.Element // among the server's pending ones
+	stopTimer func()        // of the deadline for the head
+	finished  bool          // answered or gone
 }
 
 // OnConnect is not called: the server dials nobody.
--- a/internal/operations/capture/record.go
+++ b/internal/operations/capture/record.go
@@ -136,7 +136,7 @@
 // Record is one of the types above.
 type Record interface{ kind() recordKind }
 
-// recordKind is the number that stands before a record in a block.
+// recordKind is the number that stands before a record in a block. The numbers are part of the format.
 type recordKind uint8
 
 const (
--- a/internal/operations/capture/rotation.go
+++ b/internal/operations/capture/rotation.go
@@ -63,7 +63,7 @@
 // isFull reports whether the open file has its full size.
 func (f *rotatingFile) isFull() bool { return f.size >= f.maxBytes }
 
-// close closes the open file, if there is one.
+// close closes the open file, if there is one; the next block begins another.
 func (f *rotatingFile) close() {
 	if f.file == nil {
 		return
--- a/internal/operations/stats/stats.go
+++ b/internal/operations/stats/stats.go
@@ -36,19 +36,19 @@
 )
 
 // Attempt counts an attempt whose line the kernel has taken completely.
-func (f *Counters) Attempt() { f.Attempts++ }
+func (c *Counters) Attempt() { c.Attempts++ }
 
 // Class is the counter of a class, the same one for a name as long as the process runs: a class that vanishes from the
 // settings and comes back goes on where it was.
-func (f *Counters) Class(name string) *edge.Counts {
+func (c *Counters) Class(name string) *edge.Counts {
 	name = escapeName(name)
-	i, ok := slices.BinarySearchFunc(f.classes, name, func(class classCounts, name string) int {
+	i, ok := slices.BinarySearchFunc(c.classes, name, func(class classCounts, name string) int {
 		return strings.Compare(class.name, name)
 	})
 	if !ok {
-		f.classes = slices.Insert(f.classes, i, classCounts{name, &edge.Counts{}})
+		c.classes = slices.Insert(c.classes, i, classCounts{name, &edge.Counts{}})
 	}
-	return f.classes[i].Counts
+	return c.classes[i].Counts
 }
 
 // escapeName replaces what separates the parts of a line, and all but printable ASCII, by underscores.
@@ -62,18 +62,18 @@
 }
 
 // Append appends all counters and the given gauges to buf, one a line, and returns the extended buffer.
-func (f *Counters) Append(buf []byte, gauges edge.Gauges) []byte {
-	for _, class := range f.classes {
+func (c *Counters) Append(buf []byte, gauges edge.Gauges) []byte {
+	for _, class := range c.classes {
 		buf = AppendCounter(buf, class.Served, "requests", class.name, "served")
 		buf = AppendCounter(buf, class.Rejected, "requests", class.name, "refused")
 		buf = AppendCounter(buf, class.Failed, "requests", class.name, "failed")
 	}
-	buf = AppendCounter(buf, f.Attempts, "attempts")
+	buf = AppendCounter(buf, c.Attempts, "attempts")
 	buf = appendGauge(buf, gauges.InFlight, "in_flight")
 	buf = appendGauge(buf, gauges.ServersKnown, "hosts_known")
 	buf = appendGauge(buf, gauges.ServersExcluded, "hosts_excluded")
-	buf = AppendCounter(buf, f.ReloadsOK, "reloads_ok")
-	return AppendCounter(buf, f.ReloadsFailed, "reloads_failed")
+	buf = AppendCounter(buf, c.ReloadsOK, "reloads_ok")
+	return AppendCounter(buf, c.ReloadsFailed, "reloads_failed")
 }
 
 // AppendCounter appends one counter to buf, in the form of Counters.Append. The words of its name are joined by dots.
--- a/internal/platform/discovery/timing.go
+++ b/internal/platform/discovery/timing.go
@@ -10,7 +10,8 @@
 	listGraceMargin = 2500 * time.Millisecond // such a response takes no longer than this beyond the drain grace
 )
 
-// timing is how long calls wait, and for what.
+// timing is how long calls wait, and for what. Where a time "counts as delivered" the platform takes this node to know
+// the list from then on.
 type timing struct {
 	pollWait       time.Duration // the longest wait of a long poll for a change
 	pollWaitJitter time.Duration // shortens waits by up to this, so that polls that began together don't end together
@@ -60,7 +61,8 @@
 	case w.recovering:
 		return w.timing.recoveryWait, w.timing.recoveryAnswerTimeout
 	}
-	// Guards against a poll that fell silent: a change that it misses counts as delivered 2 s after its wait.
+	// The response may take no longer, lest a call that is lost without a sign hide a change: this node is taken to
+	// know of one 2 s after the wait, and that leaves time for another call.
 	jitter := time.Duration(w.rng.Int64N(int64(w.timing.pollWaitJitter)))
 	return w.timing.pollWait - jitter, min(w.timing.answerTimeout, w.mode.DrainGrace+w.timing.graceMargin)
 }
--- a/internal/platform/downstream/client.go
+++ b/internal/platform/downstream/client.go
@@ -148,7 +148,8 @@
 	c.request = c.front.core.Open(spec, c)
 }
 
-// onPing replies to a PING, at once or when the node is ready.
+// onPing replies to a PING, at once or when the node is ready. Beyond maxAwaitingReady clients that wait it gives no
+// reply, and the connection ends at its deadline for a first line.
 func (c *client) onPing() {
 	c.pinged = true
 	if c.front.ready {
--- a/internal/platform/downstream/relay.go
+++ b/internal/platform/downstream/relay.go
@@ -19,7 +19,8 @@
 	c.throttle()
 }
 
-// forwardToServer forwards the client's bytes.
+// forwardToServer forwards the bytes of an established connection's client. A line that is too long, the one error of
+// Write, ends the connection on both sides without a reply: it is the server's to reply now.
 func (c *client) forwardToServer(data []byte) {
 	if err := c.server.Write(data); err != nil {
 		zap.L().Warn("client_line_too_long")
--- a/internal/platform/downstream/transfer.go
+++ b/internal/platform/downstream/transfer.go
@@ -26,7 +26,8 @@
 	Server                 *upstream.ConnectionState `cbor:"3,keyasint,omitempty"`
 	FirstLine              []byte                    `cbor:"4,keyasint,omitempty"` // its start
 	Pinged                 bool                      `cbor:"5,keyasint,omitempty"`
-	// FirstLineDeadline is the Unix time in nanoseconds by which that line must be there, for releases without Left.
+	// FirstLineDeadline is the Unix time in nanoseconds by which that line must be there, for releases without
+	// FirstLineTimeLeft.
 	FirstLineDeadline int64 `cbor:"6,keyasint,omitempty"`
 	FirstLineTimeLeft int64 `cbor:"7,keyasint,omitempty"` // nanoseconds until then
 }
--- a/internal/platform/upstream/transfer.go
+++ b/internal/platform/upstream/transfer.go
@@ -48,7 +48,8 @@
 	return now.Add(-min(waited, maxTransferredWait))
 }
 
-// Detach takes the connection off the loop.
+// Detach takes an established connection off the loop and returns its socket, which this process still owns: Reattach
+// or Release must follow. If ok is false, nothing was taken: the connection is closed, not established or about to end.
 func (r *Request) Detach() (fd int, state ConnectionState, ok bool) {
 	if r.closed || !r.established {
 		return -1, state, false
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -31,7 +31,7 @@
 	ResumeTime    time.Duration `cbor:"Max"`   // for which the server keeps it once its stream is gone
 	Expires       time.Time     `cbor:"Until"` // when it expires; zero: its stream is connected
 	// TimeLeft is the time until then, as it is transferred to another process, whose clock may differ; 0: from a
-	// release that transfers Until only.
+	// release that transfers Expires only.
 	TimeLeft time.Duration `cbor:"Left"`
 }
 
@@ -44,8 +44,8 @@
 // user is the owner of the session.
 func (s *Session) user() userKey { return userKey{domain: s.Domain, name: s.User} }
 
-// valid reports whether a session that another process transferred, with its Until by this one's clock, can be resumed
-// here.
+// valid reports whether a session that another process transferred, with its Expires by this one's clock, can be
+// resumed here.
 func (s *Session) valid(now time.Time) bool {
 	if s.ID == "" || s.Server == "" || s.connected() {
 		return false
--- a/internal/session/table.go
+++ b/internal/session/table.go
@@ -45,7 +45,7 @@
 	t.trim(now)
 }
 
-// Disconnected records that a session's stream is gone. The session can be resumed for its Max from now on.
+// Disconnected records that a session's stream is gone. The session can be resumed for its ResumeTime from now on.
 func (t *Table) Disconnected(now time.Time, key Key) {
 	element := t.byKey[key]
 	if element == nil {
