--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -10,7 +10,7 @@
 // does no other I/O.
 //
 // Keys of files keep the words of the operators' pages. They are mapped to the terms of the code here and nowhere else:
-// by the tags of the file types, and for a policy document by documentFrom.
+// by the tags of the file types, and for a policy document by policyFile.document.
 //
 // A file that can't be used is an error with every fault in it: a *FileError for config.json, tomlfile.Faults, with
 // file, line and key, for the others. The texts say what was found and what is wanted.
--- a/internal/config/fleetlist.go
+++ b/internal/config/fleetlist.go
@@ -45,11 +45,11 @@
 	Cost    float64  `toml:"cost"`
 }
 
-// Usual values of the rules of plans, in the list of nodes as in a policy document.
+// Default values of the rules of plans, in the list of nodes as in a policy document.
 const (
-	usualUtilizationLimit = 0.85
-	usualRecoveryDelay    = Duration(4 * time.Second)
-	usualRecoveryRamp     = 0.2
+	defaultUtilizationLimit = 0.85
+	defaultRecoveryDelay    = Duration(4 * time.Second)
+	defaultRecoveryRamp     = 0.2
 )
 
 const (
@@ -86,10 +86,10 @@
 }
 
 func (p *FleetPlan) check(file *tomlfile.File) {
-	tomlfile.Fill(&p.UtilizationLimit, usualUtilizationLimit)
+	tomlfile.Fill(&p.UtilizationLimit, defaultUtilizationLimit)
 	tomlfile.Fill(&p.GrantLifetime, Duration(30*time.Second))
-	tomlfile.Fill(&p.RecoveryDelay, usualRecoveryDelay)
-	tomlfile.Fill(&p.RecoveryRamp, usualRecoveryRamp)
+	tomlfile.Fill(&p.RecoveryDelay, defaultRecoveryDelay)
+	tomlfile.Fill(&p.RecoveryRamp, defaultRecoveryRamp)
 	validLimit := p.UtilizationLimit > 0.1 && p.UtilizationLimit <= 1 // false for NaN, as validRamp is
 	if !validLimit {
 		file.Fault("plan.limit", "limit = %v: a part over 0.1, up to 1, is wanted", p.UtilizationLimit)
--- a/internal/config/nginx/upstream.go
+++ b/internal/config/nginx/upstream.go
@@ -18,6 +18,7 @@
 	settings proxySettings // of its first use
 }
 
+// convertUpstream converts an upstream block to a cluster. Until a proxy_pass uses it the cluster is in no file.
 func (c *converter) convertUpstream(block directive) {
 	if len(block.args) != 1 {
 		c.fail(block.line, "upstream needs one name")
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -119,7 +119,7 @@
 	return !hasFront && (file.Has("capture") || o.Fleet != nil)
 }
 
-// check sets the usual values, finds what can't be, and reads the files that the file names.
+// check sets the default values, finds what can't be, and reads the files that the file names.
 func (o *Operator) check(file *tomlfile.File) {
 	o.Limits.check(file)
 	if file.Has("capture") {
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -14,8 +14,8 @@
 // policyKeys are keys by the level that they came with, where that is not the first.
 var policyKeys = map[string]int{"over_share_worth": 2, "needs": 2}
 
-// policyFile is a policy document as it is written. The tags are its keys; documentFrom maps them to the terms of
-// package policy.
+// policyFile is a policy document as it is written. The tags are its keys; the method document maps them to the terms
+// of package policy.
 type policyFile struct {
 	Attempts          int                `toml:"attempts,omitzero"`
 	RetryAfter        Duration           `toml:"come_again,omitzero"`
@@ -77,6 +77,7 @@
 	return policy.Rules{Window: time.Duration(p.Window), AnswerTimeout: time.Duration(p.AnswerTimeout)}
 }
 
+// check sets the values of keys that the file leaves out, and checks those that it has.
 func (p *FleetPolicy) check(file *tomlfile.File) {
 	const shortest = 2 * time.Second
 	tomlfile.Fill(&p.Window, Duration(5*time.Second))
@@ -121,7 +122,7 @@
 	}
 }
 
-// check sets the usual values, and finds what the document's own check can't see.
+// check sets the values of keys that the document leaves out, and finds what the document's own check can't see.
 func (p *policyFile) check(file *tomlfile.File) {
 	tomlfile.Fill(&p.Attempts, policy.MaxAttempts)
 	tomlfile.Fill(&p.RetryAfter, Duration(time.Second))
@@ -141,9 +142,9 @@
 		}
 		return
 	}
-	tomlfile.Fill(&p.Failover.UtilizationLimit, usualUtilizationLimit)
-	tomlfile.Fill(&p.Failover.RecoveryDelay, usualRecoveryDelay)
-	tomlfile.Fill(&p.Failover.RecoveryRamp, usualRecoveryRamp)
+	tomlfile.Fill(&p.Failover.UtilizationLimit, defaultUtilizationLimit)
+	tomlfile.Fill(&p.Failover.RecoveryDelay, defaultRecoveryDelay)
+	tomlfile.Fill(&p.Failover.RecoveryRamp, defaultRecoveryRamp)
 	for i, far := range p.RegionDistances {
 		if len(far.Between) != 2 {
 			file.Fault(fmt.Sprintf("far.%d", i), farFormat)
--- a/internal/config/tomlfile/tomlfile_test.go
+++ b/internal/config/tomlfile/tomlfile_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestDuration holds how times are read and written, and that 0 takes the usual value.
+// TestDuration holds how times are read and written, and that 0 takes the default value.
 func TestDuration(t *testing.T) {
 	var got Duration
 	if err := got.UnmarshalText([]byte("1.5s")); err != nil || got.Seconds() != 1.5 {
--- a/internal/config/tomlfile/value.go
+++ b/internal/config/tomlfile/value.go
@@ -25,9 +25,9 @@
 func (d Duration) Seconds() float64 { return time.Duration(d).Seconds() }
 
 // Fill sets a value that the file left out.
-func Fill[T comparable](value *T, usual T) {
+func Fill[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
-		*value = usual
+		*value = defaultValue
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -181,6 +181,7 @@
 	}
 }
 
+// tick gives the agent the time, and the core's observations where they are due, every consensus.TickInterval.
 func (f *fleet) tick() {
 	if f.closed {
 		return
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -25,7 +25,7 @@
 // capacity.
 type sessionLoad struct {
 	core     func() *edge.Core
-	capacity float64 // all nodes' sessions on a server of weight 1
+	capacity float64 // this node's share of the sessions that a server of weight 1 has room for
 }
 
 // CheckHealth answers at once, from the core's own count.
@@ -151,6 +151,7 @@
 	o.program.loop.At(o.program.loop.Now().Add(expiryCheckInterval), o.checkExpiryDaily)
 }
 
+// logExpiring logs each certificate in force that expires within tls.ExpiryWarning.
 func (o *operatorFronts) logExpiring() {
 	for _, expiring := range o.keys.Expiring(o.program.loop.Now()) {
 		zap.L().Warn("certificate_expiring", zap.String("file", expiring.File), zap.Strings("names", expiring.Names),
--- a/internal/platform/discovery/list.go
+++ b/internal/platform/discovery/list.go
@@ -24,8 +24,8 @@
 	Kind      string   `json:"kind"`
 	Cell      int      `json:"cell"`
 	State     string   `json:"state"`
-	Weight    *float64 `json:"weight"` // absent: 1
-	StartedMS int64    `json:"started_ms"`
+	Weight    *float64 `json:"weight"`     // absent: 1
+	StartedMS int64    `json:"started_ms"` // clock time of its last start, in milliseconds; 0: long ago
 }
 
 var serverStates = map[string]choice.ServerState{
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("entry %q has state %q", e.ID, e.State)
 }
 
-// ParseList decodes a list. It does not check the entries: Hosts does.
+// ParseList decodes a list. It does not check the entries: ServerEntries does.
 func ParseList(raw []byte) (*List, error) {
 	list := &List{}
 	err := json.Unmarshal(raw, list)
--- a/internal/transport/tls/handshake.go
+++ b/internal/transport/tls/handshake.go
@@ -89,7 +89,7 @@
 	c.removeFromRunning()
 	c.handshakes.Done++
 	c.up = true
-	c.pipe.handOver()
+	c.pipe.switchToLoop()
 	if pending := c.pending; len(pending) > 0 {
 		c.pending = nil
 		c.Write(pending)
--- a/internal/transport/tls/pipe.go
+++ b/internal/transport/tls/pipe.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// handOver gives the pipe to the loop alone, once the handshake is done.
-func (p *pipe) handOver() {
+// switchToLoop gives the pipe to the loop alone, once the handshake is done.
+func (p *pipe) switchToLoop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.onLoop = true
--- a/internal/xmpp/front.go
+++ b/internal/xmpp/front.go
@@ -32,6 +32,9 @@
 // anyDomain is the key of the domain that stands for all that are not named.
 const anyDomain = "*"
 
+// rngStream is the second half of a front's seed, beside the node's own.
+const rngStream = 2
+
 // maxOverLimit is how many connections beyond the limit are accepted, to reject them with a stream error.
 const maxOverLimit = 16
 
@@ -85,7 +88,7 @@
 		loop:       eventLoop,
 		limits:     limits,
 		domains:    domains,
-		random:     rand.New(rand.NewPCG(seed, 2)),
+		random:     rand.New(rand.NewPCG(seed, rngStream)),
 		handshakes: tls.NewHandshakes(eventLoop),
 		admission:  peerlimit.NewController(peerlimit.Rules{}, nil, nil),
 		resumable:  resumable.New(limits.MaxResumable),
