--- a/internal/config/tomlfile/tomlfile.go
+++ b/internal/config/tomlfile/tomlfile.go
@@ -1,7 +1,7 @@
 // Package tomlfile reads settings in TOML 1.0 and tells each fault with the line it is on.
 //
-// A package with settings of its own decodes them into a struct by Decode, sets default values by Fill, notes what can't
-// be by File.Fault, and returns File.Err. It does no I/O but for Load, which reads one file, and keeps no state.
+// A package with settings of its own decodes them into a struct by Decode, sets default values by Fill, notes what
+// can't be by File.Fault, and returns File.Err. It does no I/O but for Load, which reads one file, and keeps no state.
 package tomlfile
 
 import (
