--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -181,6 +181,7 @@
 	}
 }
 
+// tick gives the agent the time, and the core's observations where they are due, every consensus.TickInterval.
 func (f *fleet) tick() {
 	if f.closed {
 		return
@@ -207,7 +208,8 @@
 	}
 }
 
-// applyDecisions applies what the agent has decided: policy, plan, records to save and messages to send.
+// applyDecisions applies what the agent has decided: policy, plan, records to save and messages to send. It must follow
+// each call of the agent. A message that depends on a record is held back by the agent until Persisted.
 func (f *fleet) applyDecisions() {
 	f.applyPolicy()
 	if plan, changed := f.agent.ZonePlan(); changed {
