--- a/internal/plan/fleet/capacity.go
+++ b/internal/plan/fleet/capacity.go
@@ -5,7 +5,8 @@
 // CoreLoad returns the fraction of a reference core that one standard connection takes.
 func (f *Fleet) CoreLoad() float64 { return 1 / f.General.ConnectionsPerCore }
 
-// MeanLoad returns the mean load of a new connection by the classes' shares, in standard connections.
+// MeanLoad returns the mean load of a new connection, in standard connections: the mean over the classes, weighted by
+// their shares of the new connections. A validated file has at least one class, and no share that is zero.
 func (f *Fleet) MeanLoad() float64 {
 	loads := 0.0
 	shares := 0.0
@@ -16,7 +17,8 @@
 	return loads / shares
 }
 
-// MachineKind returns the kind of a name. It panics where there is none: a file that was validated has it.
+// MachineKind returns the kind of machine with the given name, as a pointer into the fleet. It panics where there is
+// none: the kinds that the server pools of a validated file name are all defined.
 func (f *Fleet) MachineKind(name string) *MachineKind {
 	for i := range f.MachineKinds {
 		if f.MachineKinds[i].Name == name {
@@ -26,7 +28,7 @@
 	panic("fleet: unknown kind " + name)
 }
 
-// ZoneIndex returns the index of the zone of a name, or -1 where there is none.
+// ZoneIndex returns the index of the zone with the given name, or -1 where there is none.
 func (f *Fleet) ZoneIndex(name string) int {
 	for i, zone := range f.Zones {
 		if zone.Name == name {
--- a/internal/plan/fleet/defaults.go
+++ b/internal/plan/fleet/defaults.go
@@ -10,7 +10,8 @@
 // milliseconds is a Duration of a number of milliseconds.
 func milliseconds(n float64) Duration { return Duration(n * float64(time.Millisecond)) }
 
-// setDefaults fills in what the file leaves out.
+// setDefaults fills in what the file leaves out. It is called after parsing and before validation. Fill takes a zero
+// for a value that was left out: where zero is a value of its own, the file itself is asked.
 func (f *Fleet) setDefaults(file *tomlfile.File) {
 	f.setFleetDefaults()
 	for i := range f.Zones {
--- a/internal/plan/planner/loss.go
+++ b/internal/plan/planner/loss.go
@@ -24,21 +24,21 @@
 	ReconnectS         float64           `json:"storm_s"` // how long requests stay over their usual rate
 	ServersLost        int               `json:"servers_lost"`
 	NodesLost          int               `json:"nodes_lost"`
-	Nodes              int               `json:"nodes"`
+	Nodes              int               `json:"nodes"`                // of the whole fleet
 	Resets             float64           `json:"breaks"`               // connections that were reset
 	PeakRequestsBefore float64           `json:"peak_requests_before"` // in a second
 	PeakRequestsAfter  float64           `json:"peak_requests_after"`
-	ServiceBySecond    []float64         `json:"-"` // service by second
+	ServiceBySecond    []float64         `json:"-"` // with the loss; NaN where nothing was demanded
 }
 
 const (
-	minReconnectPhase = 3 * time.Second
-	calmSeconds       = 5   // in a row that end the phase
-	calmRate          = 1.5 // times the usual requests a second, over which clients still reconnect
+	minReconnectPhase = 3 * time.Second // also where the requests stay calm
+	calmSeconds       = 5               // in a row that end the phase
+	calmRate          = 1.5             // times the usual requests a second, over which clients still reconnect
 )
 
-// SimulateZoneLoss simulates the load with the loss that the options name, and without. onPhase is called with what
-// comes next.
+// SimulateZoneLoss simulates the load with the loss of options.LostZone at options.LossTime, and without it, each in a
+// number of replications of the same seeds. onPhase is called as a Printf with what is simulated next.
 func SimulateZoneLoss(
 	description *fleet.Fleet, load *workload.Load, options Options, replications int, onPhase func(string, ...any),
 ) (ZoneLoss, error) {
@@ -73,11 +73,11 @@
 	for i, class := range description.Classes {
 		loss.Classes[class.Name] = comparison.phases(func(_ float64, classes []float64) float64 { return classes[i] })
 	}
-	loss.ServiceBySecond = meanSeries(with.Runs)
+	loss.ServiceBySecond = meanServiceBySecond(with.Runs)
 	return loss, nil
 }
 
-// countLost counts the servers and nodes of the zone that is lost.
+// countLost sets the number of servers and nodes in the zone that is lost, and of all nodes.
 func (l *ZoneLoss) countLost(description *fleet.Fleet, zone string) {
 	for _, pool := range description.ServerPools {
 		if pool.Zone == zone {
@@ -164,8 +164,9 @@
 	}
 }
 
-// meanSeries returns the mean service of each second; not a number where nothing was demanded.
-func meanSeries(runs []Run) []float64 {
+// meanServiceBySecond returns the mean service of each second over the runs, of which there is at least one. A second
+// in which no run has any demand is NaN.
+func meanServiceBySecond(runs []Run) []float64 {
 	means := make([]float64, len(runs[0].ServiceBySecond))
 	for second := range means {
 		count := 0.0
--- a/internal/plan/planner/server.go
+++ b/internal/plan/planner/server.go
@@ -14,8 +14,8 @@
 
 const (
 	minSpeedFactor     = 0.3  // least speed of a machine, relative to its kind
-	utilizationWeight  = 0.2  // of one step in the reported utilization
-	sustainedWeight    = 0.05 // of one step in the utilization that is compared with the limit
+	utilizationWeight  = 0.2  // of one step in the reported utilization: a mean over some 5 steps
+	sustainedWeight    = 0.05 // of one step in the utilization that is compared with the limit: over some 20 steps
 	minReportNoise     = 0.1  // least factor of a report's noise
 	minCores           = 1e-3 // least capacity that a set-up's time is computed with
 	minServedRate      = 1e-9 // weight a second that is not worth an entry in the account
@@ -90,7 +90,9 @@
 // cores returns the present capacity in reference cores.
 func (s *server) cores() float64 { return s.kind.Cores * s.speed * s.warmth() }
 
-// advanceServers moves all servers on by a step, and accounts for what was served well in it.
+// advanceServers moves all servers that have not failed on by the step that ends now. It is called at each tick. What
+// was served well in the step, as addServedRates counts it, goes into the account at the step's middle, so that none is
+// counted in the second that begins at its end. The sustained demand of the whole fleet is compared with its capacity.
 func (s *simulation) advanceServers() {
 	clear(s.servedRates)
 	demand := 0.0
--- a/internal/plan/planner/trial.go
+++ b/internal/plan/planner/trial.go
@@ -22,6 +22,13 @@
 	LossTime    time.Duration
 }
 
+const (
+	trialLifetime     = 8 * time.Second // mean of each class, before its own factor is drawn
+	overQuotaUsage    = 5               // arrivals of the tenant that is over its quota, relative to its share
+	storeRateHeadroom = 4               // store calls a second that are possible, relative to those of the arrivals
+	lossTimeDivisor   = 3               // a zone is lost after the first third of the load
+)
+
 // scenario is what a trial is about.
 type scenario int
 
@@ -53,7 +60,8 @@
 	return base
 }
 
-// GenerateTrial draws the trial of a number from a base fleet and a seed. The first five are of one scenario each.
+// GenerateTrial draws the trial with the given number, from 0, from a base fleet, which it leaves as it is. The same
+// base, seed, number and length give the same trial. The scenarios take turns by the number.
 func GenerateTrial(base *fleet.Fleet, seed uint64, number int, length time.Duration) Trial {
 	drawn := scenario(number % int(scenarioCount))
 	gen := &trialGenerator{
@@ -70,14 +78,14 @@
 		gen.fleet.Group.Cost = 2 + 2*gen.rng.Float64()
 		gen.fleet.Group.Size = 5 + 3*gen.rng.Float64()
 	case scenarioOverQuota:
-		gen.fleet.Tenants[gen.rng.IntN(len(gen.fleet.Tenants))].Usage = 5
+		gen.fleet.Tenants[gen.rng.IntN(len(gen.fleet.Tenants))].Usage = overQuotaUsage
 	case scenarioZoneLoss:
 		trial.LostZone = gen.fleet.Zones[len(gen.fleet.Zones)-1].Name
-		trial.LossTime = length / 3
+		trial.LossTime = length / lossTimeDivisor
 	default: // as drawn
 	}
 	trial.Concurrency = gen.drawConcurrency()
-	gen.fleet.Store.Rate = 4 * trial.Concurrency / 8
+	gen.fleet.Store.Rate = storeRateHeadroom * trial.Concurrency / trialLifetime.Seconds()
 	options := workload.GeneratorOptions{Seed: gen.rng.Uint64(), Length: length, Concurrency: trial.Concurrency}
 	trial.Load = workload.Generate(gen.fleet, options)
 	return trial
@@ -101,7 +109,7 @@
 		class.Share *= 0.6 + 0.8*g.rng.Float64()
 		class.Load *= 0.5 + 0.6*g.rng.Float64() // small fleets: no connection may fill a server
 		class.LoadSpread *= 0.3 + 0.7*g.rng.Float64()
-		class.Lifetime = fleet.Duration(float64(8*time.Second) * (0.7 + 0.8*g.rng.Float64()))
+		class.Lifetime = fleet.Duration(float64(trialLifetime) * (0.7 + 0.8*g.rng.Float64()))
 	}
 	g.fleet.Tenants = slices.Clone(base.Tenants)
 }
--- a/internal/plan/workload/load.go
+++ b/internal/plan/workload/load.go
@@ -81,7 +81,8 @@
 	return sum / l.Length.Seconds()
 }
 
-// MeanCores returns the mean demand of the sessions in reference cores, without the cost of groups and set-ups.
+// MeanCores returns the mean demand of the sessions over the load's length in reference cores, whether it can be served
+// or not. The cost of groups and set-ups is not in it.
 func (l *Load) MeanCores(description *fleet.Fleet) float64 {
 	if l.Length <= 0 {
 		return 0
@@ -89,8 +90,8 @@
 	sum := 0.0
 	for i := range l.Sessions {
 		session := &l.Sessions[i]
-		served := min(session.Lifetime, l.Length-session.Arrival)
-		sum += session.ExpectedLoad(description) * description.CoreLoad() * served.Seconds()
+		present := min(session.Lifetime, l.Length-session.Arrival) // it may outlast the load
+		sum += session.ExpectedLoad(description) * description.CoreLoad() * present.Seconds()
 	}
 	return sum / l.Length.Seconds()
 }
--- a/internal/plan/workload/summary.go
+++ b/internal/plan/workload/summary.go
@@ -191,7 +191,8 @@
 	}
 }
 
-// breakdowns sums up the requests by an index into names; a request of a negative index is in none.
+// breakdowns sums up the requests by class or tenant: it returns an entry for each of the names, in their order.
+// indexOf returns the index of a request's name, or a negative number for a request that counts in no entry.
 func (c *Captured) breakdowns(names []string, indexOf func(*Request) int) []Breakdown {
 	breakdowns := make([]Breakdown, len(names))
 	for i, name := range names {
