--- a/cmd/spurwinchctl/lab_explore_workers.go
+++ b/cmd/spurwinchctl/lab_explore_workers.go
@@ -108,7 +108,8 @@
 	return command
 }
 
-// collect takes the results of a batch, also those before a failure.
+// collect takes the results of the batch from first to last: its worker's output has one as JSON on each line. After a
+// failure of the worker, err, the results before it are taken too. Of several failures the newest one is kept.
 func (p *schedulePool) collect(first, last uint64, output []byte, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,7 +118,10 @@
 	}
 	for _, line := range strings.Split(strings.TrimSpace(string(output)), "\n") {
 		var result scheduleResult
-		if json.Unmarshal([]byte(line), &result) == nil && result.Seed > 0 {
+		if json.Unmarshal([]byte(line), &result) != nil {
+			continue // the empty text of a worker that printed nothing, or a line that is cut short
+		}
+		if first <= result.Seed && result.Seed <= last {
 			p.results = append(p.results, result)
 		}
 	}
