--- a/internal/lab/faults/server.go
+++ b/internal/lab/faults/server.go
@@ -107,11 +107,15 @@
 	delete(s.conns, conn)
 }
 
-// establish takes a connection of a client, unless the server is full: a fifth over its capacity.
+// MaxConnections is how many connections a server of the laboratory takes before it is full: a fifth more than the
+// capacity, which is what its load reports relate to.
+func MaxConnections(capacity int) int { return capacity * 6 / 5 }
+
+// establish takes a connection of a client, unless the server is full.
 func (s *server) establish() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.established >= s.capacity*6/5 {
+	if s.established >= MaxConnections(s.capacity) {
 		return false
 	}
 	s.established++
--- a/internal/lab/faults/setup.go
+++ b/internal/lab/faults/setup.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	maxAddressAttempts = 50
-	nodesPerSubnet     = 200 // loopback addresses 127.x.y.1
-	noTarget           = "127.0.0.1:1"
+	maxAddressAttempts = 50            // ports that are tried for one node
+	nodesPerSubnet     = 200           // loopback addresses 127.x.y.1
+	noTarget           = "127.0.0.1:1" // of a link to a node that does not listen yet: nothing listens there
 )
 
 // Errors of the setup.
@@ -50,7 +50,8 @@
 	return h.startAll(ctx)
 }
 
-// raiseDescriptorLimit has the harness open as many files as it is allowed to.
+// raiseDescriptorLimit raises the soft limit of open files of this process to its hard limit. The servers and the links
+// of all nodes are sockets of this one process.
 func raiseDescriptorLimit() {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil || limit.Cur >= limit.Max {
@@ -132,7 +133,8 @@
 	return err
 }
 
-// startAll starts all processes at once, as after a power cut; each reports its address when it listens.
+// startAll starts all processes at once, as after a power cut, and waits until all listen. Each is waited for in turn,
+// up to startTimeout. Where it fails, harness.close ends those that run.
 func (h *harness) startAll(ctx context.Context) error {
 	for _, n := range h.nodes {
 		if err := n.start(FilesNew); err != nil {
--- a/internal/lab/mutations/mutations.go
+++ b/internal/lab/mutations/mutations.go
@@ -184,7 +184,8 @@
 	return brokenRules(output)
 }
 
-// brokenRules returns the rules that the JSON summary of "lab explore" names as broken, each once.
+// brokenRules returns the rules that the JSON summary of "lab explore" names as broken, each once, in the order of
+// their first violation. Its form is that of exploreSummary in cmd/spurwinchctl.
 func brokenRules(output []byte) ([]string, error) {
 	var summary struct {
 		Broken []struct {
--- a/internal/lab/replay/node.go
+++ b/internal/lab/replay/node.go
@@ -147,7 +147,8 @@
 	return path, os.WriteFile(path, config, 0o600)
 }
 
-// writeOperatorFile writes the operator's file that has nodes capture their load, and returns its path.
+// writeOperatorFile writes the operator's file that has nodes capture their load, and returns its path. It is called
+// for each node, always with the same contents: the nodes put their names into those of their capture files.
 func (p *player) writeOperatorFile() (string, error) {
 	path := filepath.Join(p.options.Dir, "capture.toml")
 	text := fmt.Sprintf("[capture]\npath = %q\nkey = \"a replay on loopback, nobody's data\"\n",
--- a/internal/lab/simulation/attempt.go
+++ b/internal/lab/simulation/attempt.go
@@ -16,10 +16,11 @@
 	client   *client
 	upstream *edge.Attempt
 	server   *server
-	ended    bool
+	ended    bool // without a connection, or cancelled by the node
 }
 
-// arrive has the server answer the attempt, by its state.
+// arrive has the server answer the attempt, by its state at this moment. It is called a network delay after the node
+// has sent the attempt, which may have been cancelled since. A server that became silent on the way gives no answer.
 func (a *attempt) arrive() {
 	if a.ended {
 		return
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -32,7 +32,7 @@
 type server struct {
 	id          choice.ServerID
 	zone        string
-	capacity    int // connections
+	capacity    int // connections at a reported load of 1
 	connections map[*attempt]bool
 	failure     failureMode
 	slowdown    float64 // factor on its reported load
@@ -43,8 +43,9 @@
 	return float64(len(s.connections)) / float64(s.capacity) * s.slowdown
 }
 
-// isFull reports whether the server takes no more connections: a fifth more than its capacity.
-func (s *server) isFull() bool { return len(s.connections) >= s.capacity*6/5 }
+// isFull reports whether the server takes no more connections. The limit is that of the servers of lab faults, whose
+// histories are checked by the same rules.
+func (s *server) isFull() bool { return len(s.connections) >= faults.MaxConnections(s.capacity) }
 
 // sortedConnections returns the server's connections in an order that is the same each time: that of the map would make
 // runs of one seed differ.
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -96,13 +96,15 @@
 	return &Checker{start: time.Now(), requests: map[string]*request{}, seen: map[string]int{}}
 }
 
-// violated records a violation.
+// violated records a violation at this moment, for the report of the run. One that comes after close is dropped: the
+// run then ends connections and processes itself.
 func (c *Checker) violated(promise Promise, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violatedLocked(promise, format, args...)
 }
 
+// violatedLocked is violated for a caller that holds the lock.
 func (c *Checker) violatedLocked(promise Promise, format string, args ...any) {
 	if c.closed {
 		return
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -168,11 +168,11 @@
 	return s.rng.Float64()
 }
 
-// isFull reports whether the server takes no more connections: a fifth more than its capacity.
+// isFull reports whether the server takes no more connections.
 func (s *server) isFull() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.established >= serverCapacity*6/5
+	return s.established >= maxConnections
 }
 
 // addEstablished changes the number of clients' connections.
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -41,6 +41,7 @@
 	slowStartMultiple   = 4
 	slowStartWindow     = 2 * time.Second
 	serverCapacity      = 20                          // connections
+	maxConnections      = serverCapacity * 6 / 5      // of a server; it is full then
 	costOfFirstRequests = 1 / float64(serverCapacity) // of one, as the settings' quotas say
 	maxAttempts         = 4
 	messageObjective    = 0.15 // s
--- a/internal/lab/transcript/certificate.go
+++ b/internal/lab/transcript/certificate.go
@@ -17,8 +17,9 @@
 // maxSerial is the least number that is too large for a certificate's serial number.
 const maxSerial = 1 << 62
 
-// WriteCertificate writes a self-signed certificate for the names, valid up to a time, and its key. It returns the
-// paths of the files.
+// WriteCertificate writes a self-signed certificate for one or more names, valid from an hour ago up to a time, and its
+// key, both as PEM files in dir that the first name gives its name to. It returns the paths of the files. Clients can
+// take the certificate as their root: it is marked as that of an authority.
 func WriteCertificate(tb testing.TB, dir string, until time.Time, names ...string) (certificate, key string) {
 	tb.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/lab/transcript/stream.go
+++ b/internal/lab/transcript/stream.go
@@ -137,6 +137,7 @@
 	}
 }
 
+// run plays the stream in a goroutine of its own, until Streams.Stop ends it or a fault does.
 func (s *stream) run() {
 	switch s.kind {
 	case Idle:
--- a/internal/lab/xmppserver/server.go
+++ b/internal/lab/xmppserver/server.go
@@ -22,8 +22,8 @@
 // domain is the one that the server serves.
 const domain = "farm.example"
 
-// defaultMax is Server.ResumeSeconds of a new server.
-const defaultMax = 60
+// defaultResumeSeconds is Server.ResumeSeconds of a new server.
+const defaultResumeSeconds = 60
 
 // Server is a test server. Its exported fields are set before the first client connects.
 type Server struct {
@@ -37,7 +37,7 @@
 
 	mu       sync.Mutex
 	sessions map[string]*session // by their ids
-	open     map[net.Conn]bool
+	conns    map[net.Conn]bool   // open ones
 	count    Count
 	lastID   int
 }
@@ -59,11 +59,11 @@
 	}
 	server := &Server{
 		Addr:          listener.Addr().String(),
-		ResumeSeconds: defaultMax,
+		ResumeSeconds: defaultResumeSeconds,
 		name:          name,
 		listener:      listener,
 		sessions:      map[string]*session{},
-		open:          map[net.Conn]bool{},
+		conns:         map[net.Conn]bool{},
 	}
 	go server.accept()
 	return server, nil
@@ -77,14 +77,14 @@
 			return
 		}
 		s.mu.Lock()
-		s.open[conn] = true
+		s.conns[conn] = true
 		s.count.Streams++
 		s.mu.Unlock()
 		go s.serve(conn)
 	}
 }
 
-// Close ends the server and all its streams.
+// Close ends the server and all its streams. It does not wait for the goroutines that serve them.
 func (s *Server) Close() {
 	_ = s.listener.Close() // it is over either way
 	s.Restart()
@@ -94,7 +94,7 @@
 func (s *Server) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for conn := range s.open {
+	for conn := range s.conns {
 		_ = conn.Close() // its goroutine notices
 	}
 	clear(s.sessions)
--- a/internal/lab/xmppserver/stream.go
+++ b/internal/lab/xmppserver/stream.go
@@ -79,7 +79,7 @@
 // close closes the connection. Its session stays and can be resumed.
 func (s *stream) close() {
 	s.server.mu.Lock()
-	delete(s.server.open, s.conn)
+	delete(s.server.conns, s.conn)
 	session := s.server.sessions[s.sessionID]
 	if session != nil && session.conn == s.conn {
 		session.conn = nil
