--- a/cmd/spurwinchctl/capture.go
+++ b/cmd/spurwinchctl/capture.go
@@ -27,6 +27,8 @@
 	return command
 }
 
+// captureSummaryCommand prints the figures of one load, which the capture files of all its nodes hold together. Damage
+// of a file is a warning, and does not change the status.
 func captureSummaryCommand() *cobra.Command {
 	asJSON := false
 	command := &cobra.Command{
@@ -72,8 +74,9 @@
 	return captured, nil
 }
 
-// expandPatterns returns the files that names and patterns stand for, each once. A pattern that matches nothing is an
-// error, since the answer would be of no load.
+// expandPatterns returns the files that names and patterns stand for, each once, in the order of the names. A file that
+// is missing is an error, and so is a pattern that matches nothing: the answer would be of a part of the load, or of
+// none.
 func expandPatterns(names []string) ([]string, error) {
 	var expanded []string
 	seen := map[string]bool{}
@@ -96,6 +99,7 @@
 	return expanded, nil
 }
 
+// expandPattern returns the files that one name or pattern, as of filepath.Match, stands for.
 func expandPattern(name string) ([]string, error) {
 	if !strings.ContainsAny(name, "*?[") {
 		return []string{name}, nil
--- a/cmd/spurwinchctl/check.go
+++ b/cmd/spurwinchctl/check.go
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// checkFile reads a file by its kind. It returns the faults found; an error is a file that can't be read.
+// checkFile detects the kind of a file and checks its contents. It returns the faults found, as they are printed. An
+// error means that it could not be read, which ends the command.
 func checkFile(path string) (kind fileKind, found []string, err error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/spurwinchctl/plan.go
+++ b/cmd/spurwinchctl/plan.go
@@ -34,7 +34,7 @@
 	defaultReplications   = 8
 	largeLoadReplications = 4
 	hugeLoadReplications  = 2
-	replicationsByLoad    = 0 // of --reps: choose by the load
+	replicationsByLoad    = 0 // the default of --reps: replicationsFor decides
 )
 
 // planInput is what the plan commands share: their common flags and the files that these name.
@@ -72,6 +72,8 @@
 	requireFlags(command, "load", "fleet")
 }
 
+// validate checks the values of the common flags; the files that they name are checked as they are read. Zero
+// replications are those that the load decides on.
 func (p *planInput) validate() error {
 	if !(p.scale > 0 && p.scale <= maxScale) { // rejects NaN too
 		return fmt.Errorf("--scale %v: a factor over 0, up to 1000, is wanted", p.scale)
--- a/cmd/spurwinchctl/plan_forecast.go
+++ b/cmd/spurwinchctl/plan_forecast.go
@@ -78,6 +78,8 @@
 	return forecast, breaking.first, errors.Join(err, breaking.err)
 }
 
+// printService prints the service, as figureText does: of the whole load, of its worst window, and by class and tenant
+// in the order of the fleet file. A forecast has a figure for each of these.
 func (p *forecastPlan) printService(out io.Writer, forecast *planner.Forecast) {
 	printf(out, "\nService, worth of well-served seconds over all asked for (95%% over %d replications)\n",
 		p.replications)
--- a/cmd/spurwinchctl/plan_plot.go
+++ b/cmd/spurwinchctl/plan_plot.go
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// axisStart returns where the percent axis begins so that it shows a value with some space under it.
+// axisStart returns where the percent axis begins so that it shows a value, in percent, with some space under it: a
+// multiple of axisStep, which is below 0 for the smallest values.
 func axisStart(value float64) float64 {
 	return math.Floor((value-axisMargin)/axisStep) * axisStep
 }
--- a/cmd/spurwinchctl/plan_validate.go
+++ b/cmd/spurwinchctl/plan_validate.go
@@ -161,7 +161,9 @@
 	return v.keepDir, func() {}, nil
 }
 
-// playAll plays the trials, as many at once as --parallel says. Results of trials that --only leaves out are empty.
+// playAll plays the trials, as many at once as --parallel says, each in a directory of its own below dir. It returns
+// when all have ended, with the errors of all: one that fails does not end the others, ctx does. Results are in the
+// order of the trials' numbers; those of trials that --only leaves out are empty.
 func (v *validation) playAll(
 	ctx context.Context, base *fleet.Fleet, dir string, progress *progress,
 ) ([]trialResult, error) {
--- a/cmd/spurwinchctl/policy_change.go
+++ b/cmd/spurwinchctl/policy_change.go
@@ -98,8 +98,10 @@
 	return c.waitForChange(out, call.ID, deadline, send)
 }
 
-// waitForChange waits for the outcome of a change. Where the leader doesn't know the change, resend (if not nil)
-// proposes it once more.
+// waitForChange polls the leader for the outcome of a change until the deadline, and without --json prints its steps.
+// It returns nil where the change is in force, and else a statusError: statusNegative where it was given up,
+// statusUnknown at the deadline, another error where the policy can't be read. At each poll at which the leader knows
+// nothing of the change, resend proposes it again; without a resend (nil), the wait ends with statusNegative.
 func (c *fleetClient) waitForChange(out io.Writer, id string, deadline time.Time, resend func() error) error {
 	printed := ""
 	for ; ; time.Sleep(policyPollInterval) {
