--- a/choice/action.go
+++ b/choice/action.go
@@ -2,48 +2,51 @@
 
 import "time"
 
-// Action is what the package has the node do: one of the types below.
+// Action is an action that the node must carry out: one of the types below.
 type Action interface{ action() }
 
 type (
-	// StartAttempt starts the next attempt of a request; it is given up after Timeout. Its first byte goes out before
-	// the clock time SendBefore or not at all; 0 or less: whenever its connection is up.
+	// StartAttempt starts the next attempt of a request. The node gives the attempt up after Timeout. If SendBefore is
+	// positive, the node must send the first byte before that clock time or not at all. Otherwise it sends the first
+	// byte once the connection is established.
 	StartAttempt struct {
 		ID         RequestID
 		Server     ServerID
 		Timeout    time.Duration
 		SendBefore time.Duration
 	}
-	// Reject ends a request that may be retried without harm. RetryAfter is for the client; 0: nothing is said.
+	// Reject ends a request that the client may safely retry, after RetryAfter. If RetryAfter is 0, the client is not
+	// told how long to wait.
 	Reject struct {
 		ID         RequestID
 		RetryAfter time.Duration
 		Reason     Reason
 	}
-	// Fail ends a request and promises nothing.
+	// Fail ends a request without telling the client that a retry is safe.
 	Fail struct {
 		ID     RequestID
 		Reason Reason
 	}
-	// CancelAttempt calls an attempt off.
+	// CancelAttempt cancels an attempt.
 	CancelAttempt struct {
 		ID      RequestID
 		Attempt int
 	}
-	// HealthCheck asks a server for its load report.
+	// HealthCheck requests a load report from a server.
 	HealthCheck struct{ Server ServerID }
-	// Migrate asks the client of an open connection to connect anew.
+	// Migrate asks the client of an open connection to reconnect.
 	Migrate struct{ ID RequestID }
-	// SetTimer asks for a TimerFired after a time. It cannot be taken back, but one that is for a request need not fire
-	// once that is over.
+	// SetTimer requests a TimerFired event after the given time. A timer can't be cancelled, but a timer for a request
+	// need not fire after the request has ended.
 	SetTimer struct {
 		Token string
 		After time.Duration
-		For   RequestID // empty: for none
+		For   RequestID // request that the timer is for; empty: none
 	}
-	// WatchList asks service discovery for changes from now on.
+	// WatchList subscribes to changes of the server list from service discovery.
 	WatchList struct{}
-	// SendPeerMessage sends another node, by its number, a message of at most 256 bytes. It may come late or never.
+	// SendPeerMessage sends a message of at most 256 bytes to another node, by its number. The message may arrive late
+	// or never.
 	SendPeerMessage struct {
 		To   int
 		Data []byte
@@ -60,20 +63,20 @@
 func (WatchList) action()       {}
 func (SendPeerMessage) action() {}
 
-// Reason is why the package ends a request without a connection.
+// Reason is the reason why the package ends a request without a connection.
 type Reason uint8
 
 // The reasons.
 const (
 	Unspecified     Reason = iota
-	UnknownClass           // no such class in the settings
+	UnknownClass           // the settings have no such class
 	Overloaded             // the fleet is full, or the plan admits only a fraction of the class
-	NoServer               // no server may take it
-	ServersCrowded         // those that may are full
+	NoServer               // no server may take the request
+	ServersCrowded         // all servers that may take the request are full
 	AttemptsUsed           // the last attempt that the settings allow has failed
 	TimeShort              // too little time is left for another attempt
-	MayHaveRun             // an attempt may have run, and must not run twice
-	DeadlineReached        // its time is up
+	MayHaveRun             // an attempt may have run, and the request must not run twice
+	DeadlineReached        // the request's deadline has been reached
 	Withdrawn              // the node can't wait any longer
 )
 
@@ -82,5 +85,5 @@
 	"may_have_run", "deadline_reached", "withdrawn",
 }
 
-// String is the reason's name in logs and figures.
+// String returns the reason's name in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
--- a/choice/event.go
+++ b/choice/event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is what a node reports to the package: one of the types below.
+// Event is an event that the node reports to the package: one of the types below.
 type Event interface{ event() }
 
 // ListKind is the kind of a ServerList.
@@ -12,11 +12,11 @@
 const (
 	ListChange      ListKind = iota // changed entries only
 	ListFull                        // the complete list
-	ListCached                      // the complete list as this node last had it
+	ListCached                      // the last complete list that this node received
 	ListUnavailable                 // a poll failed or the subscription broke; the old list stays in force
 )
 
-// ServerState is what service discovery knows of a server.
+// ServerState is a server's state according to service discovery.
 type ServerState uint8
 
 // The states of a server.
@@ -26,7 +26,8 @@
 	Gone
 )
 
-// Server is one entry of the list. It goes to the next process with each open connection: the tags name that form.
+// Server is one entry of the server list. It is passed to the next process with each open connection, and the tags are
+// the field names in that encoding.
 type Server struct {
 	ID   ServerID `cbor:"ID"`
 	Zone string   `cbor:"Zone"`
@@ -35,8 +36,9 @@
 	Cell    int           `cbor:"Cell"`
 	State   ServerState   `cbor:"State"`
 	Size    float64       `cbor:"Size"`
-	Started time.Duration `cbor:"Started"` // clock time of its last start, as in the list; 0: long ago
-	// SlowStartSince is when it started by the clock of Step, where that differs from the list's; 0: it does not.
+	Started time.Duration `cbor:"Started"` // clock time of the last start, as in the list; 0: long ago
+	// SlowStartSince is the time of the last start by the clock of Step, if that clock differs from the list's; 0: it
+	// does not differ.
 	SlowStartSince time.Duration `cbor:"ColdSince"`
 }
 
@@ -46,7 +48,7 @@
 		Kind    ListKind
 		Servers []Server
 	}
-	// Request is a new request of a client; it gets exactly one final answer.
+	// Request is a new request of a client. It gets exactly one final answer.
 	Request struct {
 		ID           RequestID
 		Class        int // index in Settings.Classes
@@ -54,36 +56,39 @@
 		Key          uint64
 		Group        uint64 // 0: none
 		TimeLeft     time.Duration
-		Load         float64  // its usual load, work a second; 0: not known
-		StickyServer ServerID // where what it resumes lives: it goes there while it may; empty: nowhere
-		MidFlow      bool     // packets of an open connection come here now
-		Returned     bool     // the client came back after a break or a migration
+		Load         float64  // usual load, in work per second; 0: unknown
+		StickyServer ServerID // server of the session that the request resumes; preferred if allowed; empty: none
+		MidFlow      bool     // the packets of an open connection now arrive at this node
+		Returned     bool     // the client reconnects after a break or a migration
 	}
-	// OpenConnection is a connection that is open already, as attempt 0: since before the node started, or taken over.
+	// OpenConnection is a connection that is already open, as attempt 0. It was opened before the node started or taken
+	// over from another process.
 	OpenConnection struct {
 		Request
 		Server ServerID
-		// OriginalClass is the class as it was when the request came to another process; nil: as in the settings.
+		// OriginalClass is the class as configured when the request arrived at another process; nil: as in the
+		// settings.
 		OriginalClass *Class
-		CurrentLoad   float64 // 0: not known
+		CurrentLoad   float64 // 0: unknown
 	}
-	// StickyServerFound says where what a request under way resumes lives.
+	// StickyServerFound reports the server of the session that a request in progress resumes.
 	StickyServerFound struct {
 		ID     RequestID
 		Server ServerID
 	}
-	// Transferred says that another process of this node has an open connection from now on. It has not ended.
+	// Transferred reports that an open connection was transferred to another process of this node. The connection has
+	// not ended.
 	Transferred struct{ ID RequestID }
-	// LearnedStateReceived is what another process of this node has learned.
+	// LearnedStateReceived has the learned state of another process of this node.
 	LearnedStateReceived struct{ LearnedState }
-	// Established says that an attempt's connection is open.
+	// Established reports that an attempt's connection is open.
 	Established struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
 		Took    time.Duration
 	}
-	// AttemptEnded is the one outcome of an attempt. Final: the request is over.
+	// AttemptEnded reports the outcome of an attempt, exactly once per attempt. If Final is set, the request has ended.
 	AttemptEnded struct {
 		ID      RequestID
 		Attempt int
@@ -93,43 +98,44 @@
 		Final   bool
 		Report  []float64
 	}
-	// HealthCheckResult answers a HealthCheck.
+	// HealthCheckResult reports the result of a HealthCheck.
 	HealthCheckResult struct {
 		Server  ServerID
 		Outcome Outcome
 		Took    time.Duration
 		Report  []float64
 	}
-	// LoadUpdate has the present load of an open connection, work a second.
+	// LoadUpdate reports the current load of an open connection, in work per second.
 	LoadUpdate struct {
 		ID      RequestID
 		Attempt int
 		Load    float64
 	}
-	// DelayObservation has the time that a message takes at a server now, as seen on one of its connections.
+	// DelayObservation reports how long a message currently takes on a server, as seen on one of its connections.
 	DelayObservation struct {
 		ID     RequestID
 		Server ServerID
 		Took   time.Duration
 	}
-	// ClientGone says that nobody waits for the request any more.
+	// ClientGone reports that the client no longer waits for the request.
 	ClientGone struct{ ID RequestID }
-	// TimeUp says that the node can't wait any longer: the request gets its answer now.
+	// TimeUp reports that the node can't wait any longer. The request gets its answer now.
 	TimeUp struct{ ID RequestID }
-	// TimerFired brings back a SetTimer.
+	// TimerFired reports that the timer of a SetTimer has fired.
 	TimerFired struct{ Token string }
-	// SettingsChanged replaces the settings. Classes and tenants keep their indices; new ones come behind. Requests
-	// under way keep the class and the number of attempts that they came with.
+	// SettingsChanged replaces the settings. Classes and tenants keep their indices, and new ones are appended.
+	// Requests in progress keep the class and the maximum number of attempts that they arrived with.
 	SettingsChanged struct{ Settings }
-	// ZonePlan says where this node's requests may go from now on. Without grants nothing is placed; nil Grants end
-	// the plan: the node chooses for itself, among all zones.
+	// ZonePlan determines the zones that this node's requests may go to from now on. If Grants is empty but not nil,
+	// nothing is placed. If Grants is nil, the plan ends, and the node chooses among all zones by itself.
 	ZonePlan struct {
 		Grants        []Grant       // nearest zone first
-		AdmitFraction []float64     // of each class's requests; classes beyond are admitted completely
-		RetryAfter    time.Duration // for what is rejected, spread by half
-		Nodes         int           // of the fleet that are there; 0: as in the settings
+		AdmitFraction []float64     // admitted fraction of requests by class; further classes are admitted completely
+		RetryAfter    time.Duration // for rejected requests; varied at random by up to half
+		Nodes         int           // nodes of the fleet that are running; 0: as in the settings
 	}
-	// PeerMessage is a message of another node, by its number. One that can't be read, is late or repeats is dropped.
+	// PeerMessage is a message from another node, by its number. Messages that are invalid, late or repeated are
+	// dropped.
 	PeerMessage struct {
 		From int
 		Data []byte
@@ -154,26 +160,27 @@
 func (ZonePlan) event()             {}
 func (PeerMessage) event()          {}
 
-// Grant lets this node's connections of the classes that it is for put so much load on a zone.
+// Grant allows this node's connections to use a zone up to a total load. It covers all classes except the excluded
+// ones.
 type Grant struct {
 	Zone            string
 	Load            float64
-	ExcludedClasses []int // classes that it is not for
+	ExcludedClasses []int // classes that the grant does not cover
 }
 
-// Outcome is how an attempt or a health check ended. The numbers stand in captures.
+// Outcome is how an attempt or a health check ended. Captures record the numbers, so they must not change.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Served        Outcome = iota
 	Failed                // the server answered with an error
-	Full                  // sent back unseen: queue full, or draining
+	Full                  // the server returned the request unprocessed: its queue is full, or it is draining
 	TimedOut              // no answer in time
-	ConnectFailed         // no connection could be made
+	ConnectFailed         // the connection could not be established
 	Reset                 // the connection broke
-	Cancelled             // called off
-	NeverSent             // superseded before anything was sent
+	Cancelled             // the attempt was cancelled
+	NeverSent             // the attempt became obsolete before anything was sent
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
@@ -181,5 +188,5 @@
 
 var outcomeNames = [...]string{"served", "failed", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
 
-// String is the outcome's name in logs and figures.
+// String returns the outcome's name in logs and metrics.
 func (o Outcome) String() string { return outcomeNames[o] }
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -6,61 +6,67 @@
 	"time"
 )
 
-// ServerID identifies a server. The package compares, sorts and hashes ids and reads nothing in them.
+// ServerID identifies a server. The package compares, sorts and hashes IDs but does not interpret them.
 type ServerID string
 
-// RequestID identifies a request, and the connection that comes of it. The package reads nothing in it.
+// RequestID identifies a request and the connection that results from it. The package does not interpret it.
 type RequestID string
 
-// Settings is the configuration of one node. Zero values mean "not known" or "not allowed".
+// Settings is the configuration of one node. Zero values mean "unknown" or "not allowed".
 type Settings struct {
-	Nodes     int    // nodes that share the fleet, this one among them
+	Nodes     int    // number of nodes that share the fleet, including this one
 	Node      int    // this node's number, from 0
-	Processes int    // processes that share this node's quota for now, in equal parts; 0: one
+	Processes int    // processes that currently share this node's quota in equal parts; 0: one
 	Zone      string // this node's zone
 	Classes   []Class
 	Tenants   []Tenant
-	// GroupAffinity says that connections of one group share work: each server that has any of a group pays for it.
+	// GroupAffinity indicates that connections of one group share work. Each server with a connection of the group has
+	// to do that work once.
 	GroupAffinity bool
-	// PacketPassThrough says that packets pass through: an open connection can reach another node, as a mid-flow
-	// request.
+	// PacketPassThrough indicates that nodes pass packets through, so that an open connection can move to another node,
+	// where it arrives as a mid-flow request.
 	PacketPassThrough bool
-	Park              time.Duration // parkS of the platform's settings; the package doesn't use it
-	Subscribe         bool          // the server list has to be polled by WatchList; else changes are pushed
-	Reports           ReportSource  // where load reports come from
+	Park              time.Duration // parkS of the platform's settings; not used by the package
+	Subscribe         bool          // the server list must be polled with WatchList; otherwise changes are pushed
+	Reports           ReportSource  // source of load reports
 	ReportFields      []ReportField // the values of a report, in order
-	Sizes             SizeKind      // what Server.Size means
-	// DelaysObserved says that a DelayObservation comes where messages take long; else only reports show a full server.
+	Sizes             SizeKind      // meaning of Server.Size
+	// DelaysObserved indicates that the node sends a DelayObservation for slow messages. Otherwise only reports show
+	// that a server is full.
 	DelaysObserved bool
-	// OverQuotaPriority is the fraction of its priority that a connection keeps beyond its tenant's quota.
+	// OverQuotaPriority is the fraction of its priority that a request keeps if its tenant is over its quota.
 	OverQuotaPriority float64
-	PriorityPerWork   bool          // priority counts for each unit of work, not for each request
-	RoundTrip         time.Duration // the longest time between a decision and the event that answers it
-	// InitialCost is the load that a mean connection puts on a server of size 1; 0: a guess until it is learned.
+	PriorityPerWork   bool          // priorities are per unit of work instead of per request
+	RoundTrip         time.Duration // longest time between a decision and the event that answers it
+	// InitialCost is the load that a mean connection adds to a server of size 1; 0: a default is used until it is
+	// learned.
 	InitialCost float64
 	Limits      Limits
 	Rules       Rules
 	Costs       Costs
 }
 
-// Class is a class of requests. It goes to the next process with each open connection: the tags name that form.
+// Class is a class of requests. It is passed to the next process with each open connection, and the tags are the field
+// names in that encoding.
 type Class struct {
 	Name string `cbor:"Name"`
-	// Removed says that the class left the settings: only requests that came before have it.
+	// Removed indicates that the class was removed from the settings. Only requests that arrived before still have it.
 	Removed        bool          `cbor:"Former"`
-	SetupObjective time.Duration `cbor:"SetupAim"` // latency objective of setting a connection up
-	Deadline       time.Duration `cbor:"Deadline"` // how long a client waits in all
-	// MessageObjective is the latency objective of a message on an open connection; 0: there is none.
+	SetupObjective time.Duration `cbor:"SetupAim"` // latency objective of a connection setup
+	Deadline       time.Duration `cbor:"Deadline"` // how long a client waits in total
+	// MessageObjective is the latency objective of a message on an open connection; 0: none.
 	MessageObjective time.Duration `cbor:"MessageAim"`
 	Priority         float64       `cbor:"Worth"`
 	Idempotency      Idempotency   `cbor:"Repeat"`
-	// IdempotencyScope says, for IdempotentByKey, which servers recognize a repeated request.
+	// IdempotencyScope is, for IdempotentByKey, the set of servers that recognize a repeated request.
 	IdempotencyScope Scope `cbor:"Scope"`
-	// IdempotencyWindow says, for IdempotentByKey, for how long, from the start of the attempt that may have run.
+	// IdempotencyWindow is, for IdempotentByKey, how long servers recognize a repeated request, counted from the start
+	// of the attempt that may have run.
 	IdempotencyWindow time.Duration `cbor:"Window"`
 }
 
-// keyExpires is when servers no longer recognize a repeat of what was sent at a time; 0: the class has no key.
+// keyExpires returns the time from which servers no longer recognize the idempotency key of a request that was sent at
+// the given time. It returns 0 if the class has no keys.
 func (c *Class) keyExpires(sent time.Duration) time.Duration {
 	if c.Idempotency != IdempotentByKey {
 		return 0
@@ -71,22 +77,22 @@
 // Tenant is a customer with a quota of the fleet.
 type Tenant struct {
 	Name        string
-	Rate        float64 // requests a second inside its quota, over all nodes
-	Connections float64 // open connections inside its quota, over all nodes; 0: not known
-	Share       float64 // fraction of the fleet that the quota is
+	Rate        float64 // quota of requests per second, over all nodes
+	Connections float64 // quota of open connections, over all nodes; 0: unknown
+	Share       float64 // quota as a fraction of the fleet
 }
 
-// Idempotency says what happens when a request runs twice.
+// Idempotency determines whether a request may run twice.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // harmless
-	IdempotentByKey                    // harmless inside the class's scope and window
-	NotIdempotent                      // never allowed
+	Idempotent      Idempotency = iota // may run twice
+	IdempotentByKey                    // may run twice within the class's scope and window
+	NotIdempotent                      // must not run twice
 )
 
-// Scope is the set of servers that share what they know of a request with an idempotency key.
+// Scope is the set of servers that share the idempotency keys of requests.
 type Scope uint8
 
 // The scopes of an idempotency key.
@@ -96,7 +102,8 @@
 	ScopeCell
 )
 
-// ReportSource says where load reports come from. It has no String method: its number is part of stored data.
+// ReportSource is the source of load reports. It must not have a String method, since its number is part of stored
+// data.
 type ReportSource uint8
 
 // The sources of load reports.
@@ -106,56 +113,58 @@
 	AllReports                      // in the results of health checks and in outcomes of attempts
 )
 
-// ReportField names one value of a load report. It has no String method: its number is part of stored data.
+// ReportField identifies one value of a load report. It must not have a String method, since its number is part of
+// stored data.
 type ReportField uint8
 
 // The values of a load report.
 const (
-	OtherField  ReportField = iota // a value that the package has no use for
-	Load                           // load offered over what the server can do
+	OtherField  ReportField = iota // a value that the package does not use
+	Load                           // offered load as a fraction of the server's capacity
 	Backlog                        // seconds of work queued
 	InFlight                       // requests or connections in flight
 	Queue                          // requests waiting
 	Utilization                    // busy fraction of the CPU
 	Latency                        // recent service time, ms
-	Throughput                     // requests served a second
-	ErrorRate                      // errors a second
+	Throughput                     // requests served per second
+	ErrorRate                      // errors per second
 )
 
-// SizeKind says what Server.Size means. It has no String method: its number is part of stored data.
+// SizeKind is the meaning of Server.Size. It must not have a String method, since its number is part of stored data.
 type SizeKind uint8
 
 // The kinds of sizes.
 const (
 	NoSize      SizeKind = iota
-	NominalSize          // the registered size, or about
-	LiveSize             // the registered size over 1 + requests in flight a core, some time ago
+	NominalSize          // the registered size, at least approximately
+	LiveSize             // the registered size divided by 1 + requests in flight per core, as of some time ago
 )
 
-// Limits is what a node may do.
+// Limits determines what a node may do.
 type Limits struct {
-	MaxAttempts    int  // for one request
+	MaxAttempts    int  // maximum number of attempts of one request
 	HealthChecks   bool // HealthCheck actions are allowed
-	Cancellation   bool // attempts may be called off
-	PeerMessages   bool // nodes may send one another messages
-	HedgedRequests bool // two attempts of one request may be out at once; the package never does that
-	RetryAfter     bool // rejections say how long clients should stay away
+	Cancellation   bool // attempts may be cancelled
+	PeerMessages   bool // nodes may send messages to each other
+	HedgedRequests bool // a request may have two attempts at the same time; the package doesn't use this
+	RetryAfter     bool // rejections tell clients how long to wait before they retry
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
 }
 
-// Rules holds the figures of the four rules.
+// Rules has the parameters of the four rules (see the package comment).
 type Rules struct {
-	AnswerSlack       time.Duration // how late after its deadline a request may be answered
-	MaxPollInterval   time.Duration // the longest time without asking for a list that was lost
-	DrainGrace        time.Duration // a draining server gets no new connection from this after its state changed
-	SlowStartFraction float64       // a server starts with this fraction of its capacity or more
-	WarmUp            time.Duration // and has all of it after this
-	OverloadMultiple  float64       // sent more than this multiple of what it can do
-	OverloadTime      time.Duration // for this long, a server fails
+	AnswerSlack       time.Duration // how long after its deadline a request may be answered
+	MaxPollInterval   time.Duration // longest time between polls for a list that is unavailable
+	DrainGrace        time.Duration // time after a change to draining from which a server gets no new connection
+	SlowStartFraction float64       // minimum fraction of its capacity with which a server starts
+	WarmUp            time.Duration // time from the start until a server has its complete capacity
+	OverloadMultiple  float64       // a server fails if it is sent more than this multiple of its capacity
+	OverloadTime      time.Duration // for at least this time
 }
 
-// Costs are the fractions of the service that one unit of each costs. The package uses HealthCheck and PeerMessage.
+// Costs has the cost of one unit of each activity as a fraction of the service. The package uses only HealthCheck and
+// PeerMessage.
 type Costs struct {
 	HealthCheck float64
 	Migration   float64
@@ -166,24 +175,24 @@
 }
 
 var (
-	// ErrNoClasses is the error of settings without a request class.
+	// ErrNoClasses is returned for settings without a request class.
 	ErrNoClasses = errors.New("choice: settings have no request class")
-	// ErrNegativeCount is the error of settings with a negative number of nodes, processes or attempts.
+	// ErrNegativeCount is returned for settings with a negative number of nodes, processes or attempts.
 	ErrNegativeCount = errors.New("choice: settings have a negative count")
 )
 
-// ClassError is the error of a class whose idempotency or scope is none of the known ones.
+// ClassError is returned for a class with an unknown idempotency or scope.
 type ClassError struct {
 	Class int // index in Settings.Classes
 }
 
-// Error names the class by its index.
+// Error returns a message with the index of the class.
 func (e *ClassError) Error() string {
 	return fmt.Sprintf("choice: class %d: unknown idempotency or scope", e.Class)
 }
 
-// Check says what is wrong with settings, for New and for SettingsChanged: ErrNoClasses, ErrNegativeCount or a
-// *ClassError.
+// Check validates settings for New and SettingsChanged. It returns ErrNoClasses, ErrNegativeCount or a *ClassError if
+// they are invalid.
 func (s Settings) Check() error {
 	switch {
 	case len(s.Classes) == 0:
@@ -199,14 +208,16 @@
 	return nil
 }
 
-// meaning is what of the settings gives learned values their sense: under another meaning they belong to some other
-// deployment. The text is stored and sent; numbers stand in it, so the types above must not get String methods.
+// meaning returns a text with the settings that determine the meaning of learned values. Values learned under a
+// different meaning belong to another deployment. The text is stored and sent with numbers, so the types above must not
+// get String methods.
 func (s Settings) meaning() string {
-	//nolint:staticcheck // QF1010 would have the fields printed as characters; the stored text has their numbers
+	//nolint:staticcheck // QF1010 would print the fields as characters, but the stored text has their numbers
 	return fmt.Sprint(s.Reports, s.ReportFields, s.Sizes, s.PriorityPerWork, s.DelaysObserved)
 }
 
-// shortestMessageObjective is the strictest latency objective of messages among the classes in use; 0: there is none.
+// shortestMessageObjective returns the strictest latency objective of messages among the classes in use, or 0 if there
+// is none.
 func (s Settings) shortestMessageObjective() (shortest time.Duration) {
 	for _, class := range s.Classes {
 		objective := class.MessageObjective
