--- a/choice/cost.go
+++ b/choice/cost.go
@@ -1,22 +1,23 @@
 package choice
 
-// Costs: the load that a unit of connection load puts on a server, learned from reports.
+// Costs. The cost of a server is the load that a unit of connection load adds to the server. It is learned from
+// reports.
 
 const (
-	serverCostMemory   = 0.9  // of a server's own cost at each report
-	kindCostMemory     = 0.98 // of a kind's cost at each report: costs are slow, noise is not
+	serverCostMemory   = 0.9  // decay factor of a server's cost evidence, per report
+	kindCostMemory     = 0.98 // decay factor of a kind's cost evidence, per report; costs change slowly, noise quickly
 	defaultInitialCost = 0.02 // load of a mean connection before anything is learned
-	serverCostPrior    = 3.0  // own mean connections from which a server's own cost outweighs its kind's
-	fleetCostPrior     = 4.0  // the same on all servers, for the initial cost against what is learned
-	fleetLoadPrior     = 0.5  // load of a server by which the initial cost counts in the fleet's from the start
-	maxInitialCost     = 0.5  // bounds of the initial cost that is computed from quotas or observed loads
+	serverCostPrior    = 3.0  // number of own mean connections above which a server's own cost outweighs its kind's
+	fleetCostPrior     = 4.0  // the same over all servers, for the initial cost against the learned cost
+	fleetLoadPrior     = 0.5  // weight of the initial cost in the fleet's cost from the start, as load of one server
+	maxInitialCost     = 0.5  // bounds of an initial cost that is computed from quotas or observed loads
 	minInitialCost     = defaultInitialCost / 4
 
-	peerMessageUnit = 256 // bytes that Costs.PeerMessage is for
+	peerMessageUnit = 256 // number of bytes that Costs.PeerMessage refers to
 )
 
-// costStats is the evidence of a cost: reported load over the fleet's connection load, and the number of reports, all
-// decayed.
+// costStats is the evidence for a cost: the reported load, the fleet's connection load that caused it, and the number
+// of reports. All values decay.
 type costStats struct {
 	load        float64
 	connections float64
@@ -29,14 +30,13 @@
 	c.reports = c.reports*memory + 1
 }
 
-// learnCost takes a load, and the fleet's connection load that made it, as evidence of a server's cost and of its
-// kind's.
+// learnCost adds a load, and the fleet's connection load that caused it, to the cost evidence of a server and its kind.
 func (b *Balancer) learnCost(server *serverEntry, load, connections float64) {
 	server.costs.add(load, connections, serverCostMemory)
 	server.kind.costs.add(load, connections, kindCostMemory)
 }
 
-// updateCosts sets each server's cost and base weight, and whether servers have owners.
+// updateCosts updates each server's cost and base weight, and decides whether servers have owners.
 func (b *Balancer) updateCosts() {
 	ready := b.countKinds()
 	initial := b.initialConnectionCost()
@@ -60,7 +60,7 @@
 	}
 }
 
-// countKinds counts the ready servers, and those of each kind with this node's load on them.
+// countKinds counts the ready servers, in total and by kind, and sums up this node's load on each kind.
 func (b *Balancer) countKinds() (ready float64) {
 	for _, kind := range b.kindOrder {
 		kind.ownLoad = 0
@@ -76,15 +76,16 @@
 	return ready
 }
 
-// fleetCost is the cost on the mean server. What this node holds is a sample of the fleet, on a large one of a few
-// connections or none: then the initial cost of a connection is taken, not reported load over next to nothing.
+// fleetCost returns the cost on the mean server. This node's connections are a sample of the fleet's. On a large fleet
+// the sample has few connections or none, and reported load divided by almost none would be meaningless. Therefore the
+// initial cost serves as a prior.
 func (b *Balancer) fleetCost(initial, ready float64) float64 {
 	nodes := float64(b.settings.Nodes)
 	load := fleetLoadPrior
 	connections := fleetLoadPrior * b.units.mean / initial
 	for _, kind := range b.kindOrder {
 		prior := 0.0
-		if !b.inFlightReported { // one server's own load is noise on a large fleet: take the kind's
+		if !b.inFlightReported { // on a large fleet, own load on one server is noise, so use the mean of the kind
 			kind.costs.connections = kind.costs.reports * nodes * kind.ownLoad / max(kind.ready, 1)
 			prior = kind.costs.reports * nodes * fleetCostPrior * b.units.mean / max(ready, 1)
 		}
@@ -94,9 +95,9 @@
 	return load / connections
 }
 
-// updateCost sets a server's cost and base weight. The cost is the ratio of reported load to connection load, shrunk
-// towards the one of its kind, and that towards the fleet's, since a ratio of few connections is noise. Before any
-// report it is the fleet's cost over the server's size.
+// updateCost sets a server's cost and base weight. The cost is the ratio of reported load to connection load. Since a
+// ratio over few connections is noise, it is shrunk towards the kind's ratio, and the kind's towards the fleet's.
+// Before any report, the cost is the fleet's cost divided by the server's size.
 func (b *Balancer) updateCost(server *serverEntry, fleetCost float64) {
 	if !b.average.known {
 		server.baseWeight = server.Size
@@ -105,9 +106,9 @@
 	}
 	kind := server.kind
 	prior := serverCostPrior * b.units.mean * float64(b.settings.Nodes)
-	reports := max(1, kind.costs.reports/max(kind.ready, 1)) // reports of one server that were summed
+	reports := max(1, kind.costs.reports/max(kind.ready, 1)) // mean number of reports per server in the sum
 	kindCost := (kind.costs.load + prior*reports*fleetCost) / (kind.costs.connections + prior*reports)
-	if b.reservations.enabled { // all reports show the same few connections of this node: they weigh as one
+	if b.reservations.enabled { // all reports cover the same few connections of this node, so they count as one
 		prior *= max(1, server.costs.reports)
 	}
 	server.cost = (server.costs.load + prior*kindCost) / (server.costs.connections + prior)
@@ -117,8 +118,9 @@
 	}
 }
 
-// reservationsPay reports whether servers are to have owners (reservation.go): where a node has under one connection of
-// a server on average, there is no plan of zones, and a request and its reply cost no more than a health check.
+// reservationsPay reports whether servers should have owners (reservation.go). They should if a node has less than one
+// connection per server on average, there is no zone plan, and a peer request with its reply costs no more than a
+// health check.
 func (b *Balancer) reservationsPay(initial float64) bool {
 	limits, costs := b.settings.Limits, b.settings.Costs
 	return limits.PeerMessages && limits.HealthChecks && b.settings.Reports != NoReports &&
@@ -126,8 +128,8 @@
 		costs.PeerMessage*(requestBytes+replyBytes)/peerMessageUnit <= costs.HealthCheck
 }
 
-// initialConnectionCost is the load of a mean connection before anything is learned. The tenants' quotas, where they
-// are known as connections, together are taken for the capacity of all servers.
+// initialConnectionCost returns the load of a mean connection before anything is learned. If the tenants' quotas are
+// known as numbers of connections, their sum is assumed to be the capacity of all servers.
 func (b *Balancer) initialConnectionCost() float64 {
 	quotas := 0.0
 	for _, tenant := range b.settings.Tenants {
@@ -137,14 +139,14 @@
 	if b.settings.InitialCost == 0 && quotas > 0 && finite(quotas) && servers > 0 {
 		return clamp(servers/quotas, minInitialCost, maxInitialCost)
 	}
-	// Loads are in seconds of a core, and sizes about in cores:
+	// Loads are in core seconds, and sizes approximately in cores.
 	if b.units.observed.samples > 0 && b.settings.Sizes == NominalSize {
 		return min(b.units.mean, maxInitialCost)
 	}
 	return b.initialCost
 }
 
-// meanCost is the load that a unit of connection load puts on the mean server.
+// meanCost returns the load that a unit of connection load adds to the mean server.
 func (b *Balancer) meanCost() float64 {
 	sum, ready := 0.0, 0.0
 	for _, server := range b.servers {
@@ -156,8 +158,8 @@
 	return sum / max(ready, 1)
 }
 
-// resetEstimates forgets all that was learned from reports, after a change of settings that gives reports another
-// meaning.
+// resetEstimates discards everything learned from reports, after a change of settings that changes the meaning of
+// reports.
 func (b *Balancer) resetEstimates() {
 	for _, kind := range b.kinds {
 		kind.costs = costStats{}
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// Attempts, retries and idempotency: a request without an answer goes to another server while the rules allow it and
-// time is left, and never runs twice where that does harm.
+// Attempts, retries and idempotency. A request without an answer is retried on another server while the rules allow it
+// and time is left. A request that must not run twice is not retried after an attempt that may have run.
 
 const (
-	// fullServerLoad is the least load that a server is taken to have after it sent a request back unseen (Full).
+	// fullServerLoad is the minimum load assumed for a server that returned a request without processing it (Full).
 	fullServerLoad = 1.2
 
-	// These count Settings.RoundTrip, the longest time from a decision to the event that answers it.
+	// The following constants are multiples of Settings.RoundTrip, the longest time from a decision to the event that
+	// answers it.
 
 	// deadlineRoundTrips is how long before its deadline a request is answered, so that the answer arrives in time.
 	deadlineRoundTrips = 2
-	// keyRoundTrips is how long before a server drops an idempotency key the last retry by it is sent.
+	// keyRoundTrips is how long before the server drops an idempotency key the last retry with this key is sent.
 	keyRoundTrips = 2
-	// retryRoundTrips is the least time left for a retry: it and the answer at the deadline take as long each.
+	// retryRoundTrips is the minimum time left for a retry. It covers two round trips for the retry itself and
+	// deadlineRoundTrips for the answer.
 	retryRoundTrips = 2 + deadlineRoundTrips
 
-	// Rejections are spread over time, lest their clients come back in one wave: between these fractions of
-	// Limits.MaxRetryAfter, and between these multiples of a plan's RetryAfter.
+	// Retry-After values are spread at random so that rejected clients do not all return at once: from
+	// minRetryAfterFraction to 1 of Limits.MaxRetryAfter, or between the two multiples of a plan's RetryAfter.
 	minRetryAfterFraction = 0.25
 	minPlanRetryMultiple  = 0.5
 	maxPlanRetryMultiple  = 1.5
 )
 
-// startAttempt has an attempt of a request started at a server, or ends the request where no time is left for it.
+// startAttempt starts an attempt of a request on a server, or ends the request if no time is left for an attempt.
 func (b *Balancer) startAttempt(request *requestEntry, server *serverEntry) {
 	timeout := b.attemptTimeout(request)
 	if timeout <= 0 {
@@ -42,8 +44,9 @@
 	b.actions = append(b.actions, StartAttempt{request.ID, server.ID, timeout, request.retryBefore})
 }
 
-// attemptTimeout is how long the next attempt may take: all the time left but a round trip, or half of it, and no less
-// than the setup objective, where a further attempt is possible. 0 or less: there is no time for one.
+// attemptTimeout returns how long the next attempt may take: the time left minus one round trip. If another attempt is
+// possible afterwards, the timeout is at most half of the time left, but no less than the setup objective. A result of
+// 0 or less means that no time is left for an attempt.
 func (b *Balancer) attemptTimeout(request *requestEntry) time.Duration {
 	left := request.deadline - b.now
 	timeout := left - b.settings.RoundTrip
@@ -54,8 +57,8 @@
 	return timeout
 }
 
-// attemptEnded takes in the outcome of an attempt, or the end of the connection that came of it, and retries the
-// request where that is allowed. Outcomes of attempts other than the last one are ignored, but for their load report.
+// attemptEnded processes the outcome of an attempt, or the end of the connection that the attempt established, and
+// retries the request if a retry is allowed. For attempts other than the last one, it uses only the load report.
 func (b *Balancer) attemptEnded(event AttemptEnded) {
 	if server := b.findServer(event.Server); server != nil && b.settings.Reports == AllReports {
 		b.observeReport(server, event.Report)
@@ -88,18 +91,18 @@
 	b.place(request)
 }
 
-// observeOutcome ejects a server after a failed attempt, or notes that it is full.
+// observeOutcome ejects a server after a failed attempt, or records that the server is full.
 func (b *Balancer) observeOutcome(server *serverEntry, outcome Outcome) {
 	switch outcome {
 	case TimedOut, ConnectFailed, Reset, Failed:
 		server.outlier.eject(b.now)
 	case Full:
 		b.setReport(server, max(fullServerLoad, b.predictedLoad(server)))
-	case Served, Cancelled, NeverSent: // these are no failures
+	case Served, Cancelled, NeverSent: // not failures of the server
 	}
 }
 
-// whyNoRetry is why a request must not be tried again; Unspecified: it may.
+// whyNoRetry returns the reason why a request must not be retried, or Unspecified if it may be retried.
 func (b *Balancer) whyNoRetry(request *requestEntry) Reason {
 	switch {
 	case request.mayHaveRunOn != nil && request.class.Idempotency == NotIdempotent:
@@ -112,8 +115,8 @@
 	return Unspecified
 }
 
-// mayRetryOn says whether a request with an idempotency key that may have run may be sent to a server: only while, and
-// where, servers recognize the key.
+// mayRetryOn reports whether idempotency allows a request to be sent to a server. After an attempt that may have run, a
+// request with an idempotency key may go only to servers that recognize the key, and only before the key expires.
 func (r *requestEntry) mayRetryOn(server *serverEntry, now time.Duration) bool {
 	first := r.mayHaveRunOn
 	if first == nil || r.class.Idempotency != IdempotentByKey {
@@ -132,7 +135,7 @@
 	return true
 }
 
-// safeToReject says whether a client may retry a request that ends now without harm.
+// safeToReject reports whether a client may safely retry a request that ends now.
 func (r *requestEntry) safeToReject() bool {
 	if r.server == nil && r.mayHaveRunOn == nil {
 		return true
@@ -147,8 +150,8 @@
 	return false
 }
 
-// endWithoutConnection ends a request that gets no connection: with Reject where a retry by the client is harmless,
-// else with Fail. An attempt in flight is cancelled.
+// endWithoutConnection ends a request that gets no connection: with Reject if the client may safely retry it, otherwise
+// with Fail. It cancels an attempt in flight if Limits.Cancellation allows that.
 func (b *Balancer) endWithoutConnection(request *requestEntry, reason Reason) {
 	b.zones.rejected = append(b.zones.rejected, request.Class)
 	if request.safeToReject() {
@@ -162,15 +165,15 @@
 	b.forget(request)
 }
 
-// withdraw ends a request on TimeUp, as at a shutdown: the node can't wait any longer.
+// withdraw ends a request on TimeUp because the node can't wait any longer, for example at a shutdown.
 func (b *Balancer) withdraw(id RequestID) {
 	if request := b.requests[id]; request != nil && !request.open {
 		b.endWithoutConnection(request, Withdrawn)
 	}
 }
 
-// retryAfter is the Retry-After of a rejection; 0: there is none, as after an attempt, since another server may have
-// capacity now.
+// retryAfter returns the Retry-After of a rejection, or 0 for none. After an attempt there is none, since another
+// server may have capacity now.
 func (b *Balancer) retryAfter(request *requestEntry) (after time.Duration) {
 	limits := b.settings.Limits
 	if b.settings.Reports == NoReports && limits.RetryAfter && request.attempts == 0 && b.totalBaseWeight > 0 {
@@ -178,7 +181,7 @@
 		after = time.Duration(spread * float64(limits.MaxRetryAfter))
 	}
 	plan := b.zones.plan
-	if plan != nil && request.attempts == 0 { // by then it may be another plan
+	if plan != nil && request.attempts == 0 { // after an attempt the plan may have changed
 		spread := minPlanRetryMultiple + (maxPlanRetryMultiple-minPlanRetryMultiple)*b.random.Float64()
 		after = time.Duration(spread * float64(plan.RetryAfter))
 	}
--- a/choice/units.go
+++ b/choice/units.go
@@ -1,11 +1,11 @@
 package choice
 
-// The unit of connection loads: requests and connections bring their load in a unit of the deployment's, or not at all.
-// "Mean connections" elsewhere are connection loads over loadUnits.mean.
+// The unit of connection loads. Requests and connections have their load in a unit of the deployment, or have none. In
+// other files, "mean connections" are connection loads divided by loadUnits.mean.
 
 const (
-	meanLoadSamples = 50 // loads that a mean remembers
-	hintMemory      = 50 // the same for the mean of the loads that requests bring
+	meanLoadSamples = 50 // number of samples over which a mean load is averaged
+	hintMemory      = 50 // the same for the mean of the loads that requests state
 )
 
 // meanLoad is the mean of the loads that connections of one class reported.
@@ -19,15 +19,15 @@
 	m.mean += (load - m.mean) / m.samples
 }
 
-// loadUnits is what is known of the load of a connection.
+// loadUnits is what the node has learned about the load of a connection.
 type loadUnits struct {
-	mean     float64    // of a connection; 1 where none is known
-	hints    int        // requests that brought their load
-	observed meanLoad   // of all connections that reported their load
+	mean     float64    // mean load of a connection; 1 if none is known
+	hints    int        // number of requests that stated their load
+	observed meanLoad   // mean over all connections that reported their load
 	byClass  []meanLoad // the same by class
 }
 
-// requestLoad is the load that a request counts: its own, or what is expected of its class.
+// requestLoad returns the load of a request: the load that it states, or the expected load of its class.
 func (b *Balancer) requestLoad(request Request) float64 {
 	if !(request.Load > 0) || !finite(request.Load) {
 		return b.expectedLoad(request.Class)
@@ -41,7 +41,7 @@
 	return request.Load
 }
 
-// expectedLoad is the load of a connection that brings no hint.
+// expectedLoad returns the load assumed for a connection whose request states none.
 func (b *Balancer) expectedLoad(class int) float64 {
 	if class >= 0 && class < len(b.units.byClass) && b.units.byClass[class].samples > 0 {
 		return b.units.byClass[class].mean
@@ -49,10 +49,10 @@
 	return b.units.mean
 }
 
-// observeConnectionLoad takes a connection's load as a sample of its class. Where nothing reports and requests bring no
-// hint, these loads alone give the unit in which connections are counted: without this, a connection counts 1 until it
-// reports its load and a small part of that afterwards. Where servers report, costs and reservations are learned with
-// the unit as it is.
+// observeConnectionLoad adds a connection's load as a sample of its class. If servers send no reports and requests
+// state no load, these samples alone determine the unit in which connections are counted. Without this, a connection
+// would count as 1 until it reports its load, and as a small fraction of 1 afterwards. If servers send reports, costs
+// and reservations are learned with the existing unit.
 func (b *Balancer) observeConnectionLoad(class int, load float64) {
 	if b.settings.Reports != NoReports || b.units.hints > 0 || class < 0 || !(load > 0) || !finite(load) {
 		return
@@ -62,7 +62,7 @@
 	}
 	b.units.observed.add(load)
 	b.units.mean = b.units.observed.mean
-	if class >= len(b.settings.Classes) { // of a connection that another process had under other settings
+	if class >= len(b.settings.Classes) { // the connection came from a process with other settings
 		return
 	}
 	for len(b.units.byClass) <= class {
@@ -71,7 +71,7 @@
 	b.units.byClass[class].add(load)
 }
 
-// rescale changes the unit of all loads that were counted before any was known.
+// rescale converts all loads that were counted before the first known load to the new unit.
 func (b *Balancer) rescale(factor float64) {
 	for _, request := range b.requests {
 		request.load *= factor
