--- a/choice/observations.go
+++ b/choice/observations.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// What a node observes of zones and classes, for the fleet's leader, which plans for all nodes. No decisions here.
+// Observations of zones and classes by this node, for the fleet's leader, which makes the plan for all nodes.
 
-// ZoneObservations is what a node knows of one zone.
+// ZoneObservations is what a node has observed of one zone.
 type ZoneObservations struct {
 	Zone     string
 	Ready    int       // servers that are listed as ready
-	Ejected  int       // of these, after failures
-	Capacity float64   // what the ready ones can do now, in complete servers
-	Load     float64   // their predicted load, in complete servers
-	Cost     float64   // learned: servers that a unit of connection load takes
-	OwnLoad  []float64 // of this node's connections there, by class
-	Attempts float64   // since the last call, health checks counted as attempts
-	Failed   float64   // of these: no connection, no answer in time, an error, a reset
+	Ejected  int       // ready servers that are ejected after failures
+	Capacity float64   // current capacity of the ready servers, in complete servers
+	Load     float64   // predicted load of the ready servers, in complete servers
+	Cost     float64   // learned cost: number of servers that a unit of connection load takes
+	OwnLoad  []float64 // load of this node's connections in the zone, by class
+	Attempts float64   // attempts since the last call, including health checks
+	Failed   float64   // of Attempts: no connection, no answer in time, an error or a reset
 }
 
 // ClassObservations is the connection load of one class's requests at a node since the last call.
 type ClassObservations struct{ Arrived, Rejected float64 }
 
-// Observations is what the package saw since the last call, and the present state.
+// Observations is what the package has observed since the last call, and the current state.
 type Observations struct {
 	Zones   []ZoneObservations // by name
 	Classes []ClassObservations
 }
 
-// classCount counts one class since the last observations.
+// classCount counts the requests of one class since the last call of Observations.
 type classCount struct{ Arrived, Rejected float64 }
 
-// Observations reports what was seen since the last call.
+// Observations returns what was observed since the last call.
 func (b *Balancer) Observations(now time.Duration) Observations {
 	b.now = max(b.now, now)
 	observations := Observations{
@@ -50,7 +50,7 @@
 	return observations
 }
 
-// observeZones sums up the servers by zone; zones are sorted by name.
+// observeZones returns the sums over the servers of each zone, sorted by the zone's name.
 func (b *Balancer) observeZones() (zones []ZoneObservations) {
 	byName := map[string]*ZoneObservations{}
 	for _, server := range b.servers {
@@ -76,7 +76,7 @@
 	return zones
 }
 
-// newZoneObservations is a zone's observations without those of its servers.
+// newZoneObservations returns the observations of a zone without the sums over its servers.
 func (b *Balancer) newZoneObservations(name string) *ZoneObservations {
 	zone := &ZoneObservations{Zone: name, Cost: b.zoneCost(name), OwnLoad: make([]float64, len(b.settings.Classes))}
 	if count := b.zones.attempts[name]; count != nil {
@@ -89,7 +89,7 @@
 	return zone
 }
 
-// zoneCost is the load that a unit of connection load puts on the mean server of a zone.
+// zoneCost returns the load that a unit of connection load adds to the mean server of a zone.
 func (b *Balancer) zoneCost(zone string) float64 {
 	sum, ready := 0.0, 0.0
 	for _, server := range b.servers {
@@ -104,7 +104,7 @@
 	return sum / ready
 }
 
-// classCount returns the count of a class; one that counts for nothing where the settings have no such class.
+// classCount returns the count of a class. If the settings have no such class, it returns a count that is not used.
 func (b *Balancer) classCount(class int) *classCount {
 	if class < 0 || class >= len(b.settings.Classes) {
 		return &classCount{}
@@ -115,7 +115,7 @@
 	return &b.zones.classes[class]
 }
 
-// countArrival counts a new request of a class, by its own load or, if it brings none, as a mean connection.
+// countArrival counts a new request of a class, by the load that it states or otherwise as a mean connection.
 func (b *Balancer) countArrival(request Request) {
 	load := request.Load
 	if !(load > 0) || !finite(load) {
@@ -124,7 +124,7 @@
 	b.classCount(request.Class).Arrived += load
 }
 
-// countOutcome counts an attempt that ended without a connection; attemptEstablished counts the others.
+// countOutcome counts an attempt that ended without a connection. attemptEstablished counts the other attempts.
 func (b *Balancer) countOutcome(event AttemptEnded) {
 	request := b.requests[event.ID]
 	if request == nil || request.server == nil || request.open || event.Attempt != request.attempts-1 {
@@ -135,11 +135,11 @@
 		b.zones.countAttempt(request.server.Zone, false)
 	case Failed, TimedOut, ConnectFailed, Reset:
 		b.zones.countAttempt(request.server.Zone, true)
-	case Cancelled, NeverSent: // these say nothing of the server
+	case Cancelled, NeverSent: // these give no information about the server
 	}
 }
 
-// countHealthCheck counts a health check as an attempt at its server's zone.
+// countHealthCheck counts a health check as an attempt in its server's zone.
 func (b *Balancer) countHealthCheck(result HealthCheckResult) {
 	server := b.findServer(result.Server)
 	if server != nil && server.State == Ready && result.Outcome != NeverSent {
--- a/choice/peermessage.go
+++ b/choice/peermessage.go
@@ -8,31 +8,32 @@
 // The encoding of messages between nodes.
 //
 //	byte 0      version (high half), kind (low half)
-//	bytes 1-2   token: the sender's clock in milliseconds, modulo 2^16, never twice; a reply has its request's
+//	bytes 1-2   token: sender's clock in milliseconds, modulo 2^16, unique; a reply has the token of its request
 //	request     bytes 3-5 server, 6-7 group (both the high bits of a hash; group 0: none), 8 load
 //	reply       byte 3 predicted load, 4 fraction to migrate
 //
-// Big-endian. Loads are in sixteenths, of a mean connection in requests and of a full server in replies, fractions in
-// 255ths. Costs.PeerMessage counts bytes, so fields have no bit to spare.
+// Numbers are big-endian. Loads are in sixteenths of a mean connection in requests, and in sixteenths of a full server
+// in replies. Fractions are in 255ths. Fields are as small as possible, since messages have a cost per byte
+// (Costs.PeerMessage).
 
 const (
 	messageVersion = 1
 	requestBytes   = 9
 	replyBytes     = 5
-	loadSteps      = 16  // of a load on the wire
-	fractionSteps  = 255 // of a fraction on the wire
+	loadSteps      = 16  // encoded value of a load of 1
+	fractionSteps  = 255 // encoded value of a fraction of 1
 )
 
 // messageKind is the kind of a message.
 type messageKind uint8
 
 const (
-	reservationRequest messageKind = iota + 1 // a reservation for one connection of that load
-	reliefRequest                             // for a server that may be overloaded; the load is the sender's there
-	groupNotice                               // a connection of that group is open there; no reply
+	reservationRequest messageKind = iota + 1 // requests a reservation for one connection of the given load
+	reliefRequest                             // for a server that may be overloaded; load is the sender's load there
+	groupNotice                               // a connection of the group is open on the server; gets no reply
 	reservationGranted
 	reservationDenied
-	serverEjected // denied: it did not answer its owner's health check
+	serverEjected // denied; the owner ejected the server, for example after a health check without an answer
 )
 
 // isReply reports whether a message of this kind has the form of a reply.
@@ -48,7 +49,7 @@
 	server   uint32 // 24 bits
 	group    uint16
 	load     float64 // in mean connections in a request, in full servers in a reply
-	fraction float64 // of the requester's connections on the server to migrate; only in the reply to a reliefRequest
+	fraction float64 // fraction of the requester's connections to migrate; only in the reply to a reliefRequest
 }
 
 func (m peerMessage) encode() []byte {
@@ -60,10 +61,10 @@
 	return append(binary.BigEndian.AppendUint16(data, m.group), encodeLoad(m.load))
 }
 
-// encodeLoad rounds a load to sixteenths; what is more than a byte has, 15.9, is sent as that.
+// encodeLoad rounds a load to sixteenths. A load above the largest value of a byte, 15.9, is sent as that value.
 func encodeLoad(load float64) byte { return byte(clamp(math.Round(load*loadSteps), 0, 255)) }
 
-// decodePeerMessage reads a message; ok is false for any but a complete one of this version.
+// decodePeerMessage decodes a message. ok is false unless the message is complete and of this version.
 func decodePeerMessage(data []byte) (message peerMessage, ok bool) {
 	if len(data) < replyBytes || data[0]>>4 != messageVersion {
 		return message, false
@@ -84,5 +85,5 @@
 	return message, false
 }
 
-// serverKey is how messages name a server: the high 24 bits of the hash of its id.
+// serverKey returns the key that identifies a server in messages: the high 24 bits of the hash of its ID.
 func serverKey(server *serverEntry) uint32 { return uint32(server.hash >> 40) }
--- a/choice/zones.go
+++ b/choice/zones.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// The plan of zones, which the fleet's leader makes for all nodes (internal/failover), and this node's load and
-// attempts in each zone.
+// The zone plan, which the fleet's leader makes for all nodes (internal/failover), and this node's load and attempts in
+// each zone.
 
-const maxZones = 256 // whose attempts are counted; guards against a list that names a zone for each server
+const maxZones = 256 // zones whose attempts are counted; a limit in case a list has a different zone for each server
 
-// zoneClass names the connections of one class in one zone.
+// zoneClass identifies the connections of one class in one zone.
 type zoneClass struct {
 	zone  string
 	class int
 }
 
-// zoneTable is the plan in force and what this node has in the zones.
+// zoneTable has the plan in force, and this node's load and attempts by zone.
 type zoneTable struct {
-	plan     *ZonePlan             // nil: there is none, and any zone will do
-	ownLoad  map[zoneClass]float64 // of this node's connections
+	plan     *ZonePlan             // nil: no plan, so requests may go to any zone
+	ownLoad  map[zoneClass]float64 // load of this node's connections
 	attempts map[string]*zoneAttempts
 	classes  []classCount
 	rejected []int // classes of the requests that this step ended without a connection
 }
 
-// zoneAttempts counts the attempts of one zone since the last observations.
+// zoneAttempts counts the attempts in one zone since the last call of Observations.
 type zoneAttempts struct {
 	attempts float64
 	failed   float64
 }
 
-// add adds to the load that this node has in a zone.
+// add adds to this node's load in a zone.
 func (z *zoneTable) add(key zoneClass, load float64) {
 	z.ownLoad[key] += load
 	if z.ownLoad[key] < negligibleLoad {
@@ -61,22 +61,22 @@
 	}
 }
 
-// admitNewClasses has classes that the plan does not know be admitted completely.
+// admitNewClasses sets the admitted fraction of classes that the plan does not include to 1.
 func (z *zoneTable) admitNewClasses(classes int) {
 	for z.plan != nil && len(z.plan.AdmitFraction) < classes {
 		z.plan.AdmitFraction = append(z.plan.AdmitFraction, 1)
 	}
 }
 
-// allows reports whether the plan in force has a grant for a request's class in a server's zone. It is asked again
-// before an attempt, since another plan may have come while the request waited for health checks or a reservation.
+// allows reports whether the plan in force has a grant for a request's class in a server's zone. It is checked again
+// before an attempt, since the plan may have changed while the request waited for health checks or a reservation.
 func (z *zoneTable) allows(request *requestEntry, server *serverEntry) bool {
 	return z.plan == nil || slices.ContainsFunc(z.plan.Grants, func(grant Grant) bool {
 		return grant.Zone == server.Zone && !slices.Contains(grant.ExcludedClasses, request.Class)
 	})
 }
 
-// loadUnder is the load that the node has under a grant.
+// loadUnder returns the load of this node's connections that a grant covers.
 func (z *zoneTable) loadUnder(grant Grant, classes int) (sum float64) {
 	for class := range classes {
 		if !slices.Contains(grant.ExcludedClasses, class) {
@@ -86,8 +86,9 @@
 	return sum
 }
 
-// chooseZone finds the nearest zone where the plan has capacity for a request. All that this node's connections have
-// there counts, whenever they came: plans change, and none may take what another has promised.
+// chooseZone sets a request's zone to the nearest zone where the plan has capacity for the request. All of this node's
+// connections in the zone count, including those placed under earlier plans, since the new plan must not give away the
+// capacity that they use. It returns false if no zone has capacity. Without a plan any zone may be used.
 func (b *Balancer) chooseZone(request *requestEntry) bool {
 	plan := b.zones.plan
 	if plan == nil {
@@ -104,8 +105,8 @@
 	return i >= 0
 }
 
-// applyPlan puts a plan into force, or ends the one in force, and bounds its values so that the decisions need no
-// checks.
+// applyPlan puts a plan into force, or ends the current plan if there are no grants (nil). It limits the plan's values
+// so that later decisions need no checks.
 func (b *Balancer) applyPlan(plan ZonePlan) {
 	settings := b.settings
 	settings.Nodes = b.fleetNodes / max(1, settings.Processes)
@@ -120,8 +121,8 @@
 	b.updateCosts()
 }
 
-// limitRetryAfter bounds a plan's Retry-After so that it is at most Limits.MaxRetryAfter once it is spread by up to
-// maxPlanRetryMultiple; 0 where clients heed none.
+// limitRetryAfter limits a plan's Retry-After so that it is at most Limits.MaxRetryAfter after it is multiplied by up
+// to maxPlanRetryMultiple. It returns 0 if rejections must not have a Retry-After (Limits.RetryAfter).
 func (b *Balancer) limitRetryAfter(after time.Duration) time.Duration {
 	if !b.settings.Limits.RetryAfter {
 		return 0
