--- a/choice/admission.go
+++ b/choice/admission.go
@@ -2,38 +2,38 @@
 
 import "math"
 
-// Admission control and load shedding: on a full fleet setups and drops would feed each other, so a part of all
-// requests is rejected at once, those of low priority first.
+// Admission control and load shedding. On a full fleet, dropped connections cause new setups, whose load causes further
+// drops. Therefore a fraction of all requests is rejected immediately, those of low priority first.
 
 const (
-	passRateGain = 2.0 // how fast the pass rate moves, a second and unit of load over or under crowded
+	passRateGain = 2.0 // change rate of the pass rate, per second and unit of load above or below crowdedLoad
 	minPassRate  = 0.01
-	// sheddingCheckRate is the probability that a rejected request has a server's health checked: without these checks
-	// nothing would show that the load has fallen.
+	// sheddingCheckRate is the probability that a rejected request triggers a health check of a server. Without these
+	// checks nothing would show that the load has fallen.
 	sheddingCheckRate = 0.15
 	minPriority       = 1e-3
-	priorityMemory    = 50 // requests that the mean priority remembers
+	priorityMemory    = 50 // number of requests over which the mean priority is averaged
 )
 
-// admissionControl decides which requests are admitted while no plan does.
+// admissionControl decides which requests are admitted while no plan is in force.
 type admissionControl struct {
-	passRate     float64 // fraction of all requests that is admitted
-	meanPriority float64 // of requests, for their load
+	passRate     float64 // fraction of all requests to admit
+	meanPriority float64 // mean priority of requests in relation to their load
 	throttle     throttle
 }
 
-// update moves the pass rate for one tick, up while the fleet has headroom and down while that is negative.
+// update adjusts the pass rate at each tick: up if headroom is positive, down if it is negative.
 func (a *admissionControl) update(headroom float64) {
 	a.passRate = clamp(a.passRate*math.Exp(passRateGain*headroom*tick.Seconds()), minPassRate, 1)
 }
 
-// observe takes in the priority of a request.
+// observe adds the priority of a request to the mean.
 func (a *admissionControl) observe(priority float64) {
 	a.meanPriority += (priority - a.meanPriority) / priorityMemory
 }
 
-// updatePassRate is the step of admission control. Health checks go to servers that look well, so the fraction of own
-// load on those just seen overloaded counts as well.
+// updatePassRate adjusts the pass rate at each tick. Health checks mostly go to servers that appear to have low load,
+// so the fraction of this node's load on servers that were recently reported overloaded also counts.
 func (b *Balancer) updatePassRate() {
 	var own, overloaded float64
 	for _, server := range b.servers {
@@ -43,10 +43,10 @@
 		}
 	}
 	fraction := overloaded / max(own, b.units.mean)
-	b.admission.update(crowded - b.average.load*(1-fraction) - maxAverageLoad*fraction)
+	b.admission.update(crowdedLoad - b.average.load*(1-fraction) - maxAverageLoad*fraction)
 }
 
-// admit takes in a request, and rejects it at once where the fleet is full.
+// admit handles a new request: it either rejects the request immediately because the fleet is full, or places it.
 func (b *Balancer) admit(event Request) {
 	if b.requests[event.ID] != nil || event.ID == "" {
 		return
@@ -75,14 +75,14 @@
 	b.place(request)
 }
 
-// shouldShed draws whether a request is rejected at once. An open connection whose packets come here is no new load,
-// and where servers have owners these decide.
+// shouldShed draws at random whether to reject a request immediately. A mid-flow request is never shed, since its
+// connection is open already and adds no load. If servers have owners, the owners decide instead.
 func (b *Balancer) shouldShed(request *requestEntry) bool {
 	return len(b.servers) > 0 && !request.MidFlow && !b.reservations.enabled &&
 		b.random.Float64() > b.admitRate(request)
 }
 
-// checkWhileShedding now and then checks a server in place of a rejected request.
+// checkWhileShedding checks the health of a random server for a fraction (sheddingCheckRate) of rejected requests.
 func (b *Balancer) checkWhileShedding() {
 	server := b.servers[b.random.IntN(len(b.servers))]
 	if server.State == Ready && b.random.Float64() < sheddingCheckRate {
@@ -90,8 +90,8 @@
 	}
 }
 
-// admitRate is the fraction of requests like this one that are admitted: what the plan has capacity for, else by the
-// pass rate and by priority.
+// admitRate returns the probability of admitting a request. With a plan, it is the plan's fraction for the class.
+// Otherwise it depends on the pass rate and on the request's priority.
 func (b *Balancer) admitRate(request *requestEntry) float64 {
 	if b.zones.plan != nil {
 		return b.zones.plan.AdmitFraction[request.Class]
@@ -105,7 +105,7 @@
 	return rate
 }
 
-// priority is the priority of a request for its load, lower beyond its tenant's quota.
+// priority returns the priority of a request in relation to its load. It is lower if the tenant is over its quota.
 func (b *Balancer) priority(request *requestEntry) float64 {
 	priority := max(request.class.Priority, minPriority)
 	if !b.settings.PriorityPerWork {
--- a/choice/balancer.go
+++ b/choice/balancer.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Balancer decides for one node. The goroutine that calls Step owns it.
+// Balancer makes the decisions of one node. The goroutine that calls Step owns it.
 type Balancer struct {
 	settings Settings
 	random   *rand.Rand
-	now      time.Duration // of the present step; never goes back
-	actions  []Action      // of the present step
+	now      time.Duration // time of the current step; never decreases
+	actions  []Action      // actions of the current step
 	started  bool
 
 	servers   []*serverEntry // by id
@@ -19,11 +19,11 @@
 
 	requests       map[RequestID]*requestEntry
 	awaitingChecks []*requestEntry // requests that wait for health checks, oldest first
-	openByTenant   []int           // connections of this node, index in Settings.Tenants
+	openByTenant   []int           // connections of this node, by index in Settings.Tenants
 
 	units           loadUnits
 	average         fleetAverage
-	totalBaseWeight float64 // of ready servers
+	totalBaseWeight float64 // sum over ready servers
 	arrivals        arrivalRate
 	admission       admissionControl
 	slowStart       slowStartBudget
@@ -32,15 +32,16 @@
 	reservations    peerReservations
 	zones           zoneTable
 
-	fleetNodes       int     // nodes that share the fleet; settings have those that share the zone of a plan
+	fleetNodes       int     // nodes that share the fleet; settings.Nodes has the nodes that share the zones of a plan
 	initialCost      float64 // load of a mean connection before anything is learned
-	inFlightReported bool    // reports have the connections in flight
+	inFlightReported bool    // load reports include the number of connections in flight
 	messageObjective time.Duration
-	failedPolls      int  // of the server list, in a row
-	costsStale       bool // connections of another process came: costs are to be set anew
+	failedPolls      int  // consecutive failed polls of the server list
+	costsStale       bool // connections came from another process, so costs must be recomputed
 }
 
-// New makes the balancer of one node. It acts first on its first Step. The error is that of Settings.Check.
+// New returns the balancer of one node. The balancer does nothing before its first Step. The error is the one of
+// Settings.Check.
 func New(settings Settings, seed uint64, now time.Duration) (*Balancer, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -57,17 +58,18 @@
 		reservations: peerReservations{pending: map[uint16]pendingPeerRequest{}, clocks: map[int]clockOffset{}},
 		zones:        zoneTable{ownLoad: map[zoneClass]float64{}, attempts: map[string]*zoneAttempts{}},
 	}
-	// Nodes that start together get their budget at different times.
-	balancer.slowStart.common = tokenBucket{tokens: chanceOf(seed), refilledAt: now}
+	// The initial tokens depend on the seed, so that nodes that start together don't spend their budget at the same
+	// time.
+	balancer.slowStart.common = tokenBucket{tokens: uniformFromHash(seed), refilledAt: now}
 	balancer.applySettings(settings)
 	return balancer, nil
 }
 
-// applySettings takes in settings that were checked. Requests under way keep the class that they came with, and what
-// was learned stays; tables only grow.
+// applySettings applies settings that were checked. Requests in progress keep the class that they arrived with. Learned
+// values are kept unless the meaning of reports changes, and tables of tenants and classes only grow.
 func (b *Balancer) applySettings(settings Settings) {
 	b.messageObjective = settings.shortestMessageObjective()
-	if settings.Reports == NoReports { // there is nothing to ask servers for on the package's own account
+	if settings.Reports == NoReports { // servers have no reports that the package could request on its own initiative
 		settings.DelaysObserved = true
 	}
 	b.initialCost = defaultInitialCost
@@ -86,7 +88,7 @@
 	if b.zones.plan != nil && b.zones.plan.Nodes > 0 {
 		settings.Nodes = b.zones.plan.Nodes
 	}
-	settings.Nodes *= processes // the processes of a node share its quota as nodes share the fleet
+	settings.Nodes *= processes // the processes of a node share its quota in the same way as nodes share the fleet
 	meaningChanged := len(b.settings.Classes) > 0 && b.settings.meaning() != settings.meaning()
 	b.settings = settings
 	if meaningChanged {
--- a/choice/cost.go
+++ b/choice/cost.go
@@ -41,7 +41,7 @@
 	ready := b.countKinds()
 	initial := b.initialConnectionCost()
 	fleetCost := b.fleetCost(initial, ready)
-	b.reservations.enabled = b.reservationsPay(initial)
+	b.reservations.enabled = b.reservationsWorthwhile(initial)
 	b.totalBaseWeight = 0
 	b.slowStart.rate = 0
 	ownLoads := 0.0
@@ -118,10 +118,10 @@
 	}
 }
 
-// reservationsPay reports whether servers should have owners (reservation.go). They should if a node has less than one
-// connection per server on average, there is no zone plan, and a peer request with its reply costs no more than a
-// health check.
-func (b *Balancer) reservationsPay(initial float64) bool {
+// reservationsWorthwhile reports whether servers should have owners (reservation.go). They should if a node has less
+// than one connection per server on average, there is no zone plan, and a peer request with its reply costs no more
+// than a health check.
+func (b *Balancer) reservationsWorthwhile(initial float64) bool {
 	limits, costs := b.settings.Limits, b.settings.Costs
 	return limits.PeerMessages && limits.HealthChecks && b.settings.Reports != NoReports &&
 		initial*float64(b.reservations.nodes()) > 1 && b.zones.plan == nil &&
--- a/choice/groups.go
+++ b/choice/groups.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Affinity of groups: connections of one group share work on a server, so they go to as few servers as have the
-// capacity for the group, and to the same ones from each node.
+// Group affinity. Connections of one group share work on a server. All nodes therefore place a group on the same
+// servers, and on as few servers as have the capacity for the group.
 
 const (
-	groupServerLoad = 0.7  // load that one group may put on a server before it takes a further one
-	overflowMargin  = 0.15 // predicted load over the average from which on a group's next server is taken
-	returnSpread    = 3    // further servers of its group for a client that returns after a break or a migration
-	// groupMemory is about how long a connection is open: a group that was not seen on a server for so long may have
-	// none there.
+	groupServerLoad = 0.7  // load that one group may add to a server before it uses a further server
+	overflowMargin  = 0.15 // excess of predicted load over the average at which a group uses its next server
+	returnSpread    = 3    // additional servers of the group for a client that returns after a break or a migration
+	// groupMemory is approximately how long a connection is open. A group that was not seen on a server for this long
+	// may have no connection there.
 	groupMemory = 40 * time.Second
 
-	// minOverflowLoad is the least load up to which a group stays on its server, however low the average is.
+	// minOverflowLoad is the load up to which a group stays on its server even if the average is low.
 	minOverflowLoad = 0.5
 )
 
@@ -38,19 +38,21 @@
 	}
 }
 
-// groupSpread is how many servers a request's group is spread over: as few as have the capacity for it, by
-// groupServerLoad each, since each server pays once for a group's shared work.
+// groupSpread returns the number of servers over which a request's group is spread: as few as have the capacity for the
+// group, at groupServerLoad each, since each server has to do the group's shared work once.
 func (b *Balancer) groupSpread(request *requestEntry) int {
-	// This node's connections are a sample of the group: one connection at one of many nodes says little of its size,
-	// and nodes that estimate it differently would scatter the group. So the estimate has a prior, initialGroupLoad.
+	// This node's connections are a sample of the group. One connection on one of many nodes is weak evidence of the
+	// group's size, and nodes with different estimates would scatter the group. Therefore the estimate has a prior,
+	// initialGroupLoad.
 	cost := max(b.meanCost(), 1e-9) * b.units.mean
 	connections := b.groups.load[request.affinity]/b.units.mean + 1
 	size := connections / (1/float64(b.settings.Nodes) + cost/b.initialGroupLoad())
 	return int(clamp(math.Ceil(size*cost/groupServerLoad), 1, float64(len(b.servers))))
 }
 
-// initialGroupLoad is the load that a group is taken to have before connections of it are seen: half of
-// groupServerLoad, or all of it where nothing is reported and too few servers would show only by dropped connections.
+// initialGroupLoad returns the load assumed for a group before any of its connections are seen: half of
+// groupServerLoad, or all of it if servers send no reports, because then only dropped connections would show that the
+// group has too few servers.
 func (b *Balancer) initialGroupLoad() float64 {
 	if b.settings.Reports == NoReports {
 		return groupServerLoad
@@ -58,16 +60,18 @@
 	return groupServerLoad / 2
 }
 
-// overflowLoad is the predicted load up to which a group stays on its server: overflowMargin over the fleet's average.
+// overflowLoad returns the predicted load up to which a group stays on its server: the fleet's average plus
+// overflowMargin, between minOverflowLoad and crowdedLoad.
 func (b *Balancer) overflowLoad() float64 {
-	return clamp(b.average.load+overflowMargin, minOverflowLoad, crowded)
+	return clamp(b.average.load+overflowMargin, minOverflowLoad, crowdedLoad)
 }
 
-// countUnreported counts the first servers in the order of a request's group of which nothing was seen lately.
+// countUnreported counts, among the first count servers in the order of a request's group, those without a report
+// within the last two ticks.
 func (b *Balancer) countUnreported(request *requestEntry, count int) (unreported int) {
-	first := lowest(b.servers, count, func(server *serverEntry) float64 {
+	first := selectLowest(b.servers, count, func(server *serverEntry) float64 {
 		if !b.eligible(request, server) {
-			return never
+			return excludedKey
 		}
 		return -math.Log(b.draw(request, server))
 	})
--- a/choice/healthcheck.go
+++ b/choice/healthcheck.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Health checks: a server is asked for its load report. Each check costs a part of the service (Costs.HealthCheck), so
-// they are made for placements whose candidates have no fresh report, and for servers with own connections that may
-// have become overloaded where nothing else would show it.
+// Health checks. A health check requests a server's load report. Each check costs a fraction of the service
+// (Costs.HealthCheck). Therefore checks are limited to placements whose candidates have no fresh report, and to servers
+// that have connections of this node and may have become overloaded without any other sign of it.
 
 const (
-	// unreportedAfter is how long a server with own connections may send no report before it is checked.
+	// unreportedAfter is how long a server with connections of this node may send no report before it is checked.
 	unreportedAfter = 3 * time.Second
-	// loadedCheckAfter is the same for one whose last report was a high load.
+	// loadedCheckAfter replaces unreportedAfter for a server whose last report was above loadedCheckThreshold.
 	loadedCheckAfter = tick / 2
-	// loadedFrom is the reported load from which on a server is checked that often.
-	loadedFrom = crowded - 2*overflowMargin
-	// ownerCheckAfter is how long after a report relief is requested from a server's owner again: at each tick, which
-	// comes a little early at times.
+	// loadedCheckThreshold is the reported load above which a server is checked after loadedCheckAfter.
+	loadedCheckThreshold = crowdedLoad - 2*overflowMargin
+	// ownerCheckAfter is the minimum age of a report before relief is requested from the server's owner again. It is a
+	// little shorter than a tick, so that the request is sent at each tick even if the tick comes slightly early.
 	ownerCheckAfter = tick * 9 / 10
 	maxLatency      = 1e6 // ms; a larger reported latency counts as this
 )
 
-// checkHealth asks a server for its load report, unless a check is in flight.
+// checkHealth requests a server's load report, unless a health check is already in flight.
 func (b *Balancer) checkHealth(server *serverEntry) {
 	if !server.checking && b.settings.Limits.HealthChecks {
 		server.checking = true
@@ -31,14 +31,15 @@
 	}
 }
 
-// checkOwnConnections is called for each server at each tick. It guards connections whose server became overloaded
-// after they were placed, where nobody observes slow messages: by a health check, or a request for relief to the owner.
+// checkOwnConnections is called for each server at each tick. If slow messages are not observed, it protects
+// connections whose server became overloaded after they were placed: it checks the server's health or sends a relief
+// request to the server's owner.
 func (b *Balancer) checkOwnConnections(server *serverEntry) {
 	if b.settings.DelaysObserved || !(server.own.load > 0) || server.State != Ready {
 		return
 	}
 	age := b.now - server.report.at
-	if !(age > unreportedAfter || server.report.load > loadedFrom && age > loadedCheckAfter) {
+	if !(age > unreportedAfter || server.report.load > loadedCheckThreshold && age > loadedCheckAfter) {
 		return
 	}
 	if !b.reservations.enabled {
@@ -48,8 +49,8 @@
 	}
 }
 
-// healthCheckEnded takes in the result of a health check, and goes on with all that waited for it: peer requests, a
-// migration and placements.
+// healthCheckEnded processes the result of a health check and continues with everything that waited for it: peer
+// requests, a migration and placements.
 func (b *Balancer) healthCheckEnded(result HealthCheckResult) {
 	server := b.findServer(result.Server)
 	if server == nil {
@@ -73,7 +74,7 @@
 	b.resumePlacements(server)
 }
 
-// resumePlacements goes on with the requests that waited for this server's health check alone.
+// resumePlacements continues the placement of requests for which this was the last pending health check.
 func (b *Balancer) resumePlacements(server *serverEntry) {
 	for _, request := range slices.Clone(b.awaitingChecks) {
 		if request.pendingChecks == 0 || !slices.Contains(request.candidates, server) {
@@ -88,13 +89,13 @@
 
 // reportValues are the values of a load report that the package uses.
 type reportValues struct {
-	load     float64 // not a number: there is none
-	inFlight float64 // not a number: there is none
+	load     float64 // NaN if the report has none
+	inFlight float64 // NaN if the report has none
 	backlog  float64 // seconds of work
 	latency  time.Duration
 }
 
-// readReport finds the values that the package uses in a report.
+// readReport extracts the values that the package uses from a report.
 func readReport(fields []ReportField, report []float64) reportValues {
 	values := reportValues{load: math.NaN(), inFlight: math.NaN()}
 	if len(report) != len(fields) {
@@ -124,20 +125,20 @@
 	return values
 }
 
-// observeReport takes a load report: the predicted load is anchored there, and costs learn.
+// observeReport uses a load report to learn costs and as the base of the server's predicted load.
 func (b *Balancer) observeReport(server *serverEntry, report []float64) {
 	values := readReport(b.settings.ReportFields, report)
 	if math.IsNaN(values.load) {
 		return
 	}
-	connections := float64(b.settings.Nodes) * server.own.load // nodes assumed to use the server alike
-	if !math.IsNaN(values.inFlight) {                          // reported outright
+	connections := float64(b.settings.Nodes) * server.own.load // assumes an equal load from each node
+	if !math.IsNaN(values.inFlight) {                          // the report has the number itself
 		connections = values.inFlight * b.units.mean
 		b.inFlightReported = true
 	}
 	b.learnCost(server, values.load, connections)
 	load := values.load + values.backlog
-	if !b.settings.DelaysObserved { // reports alone show slow messages
+	if !b.settings.DelaysObserved { // only reports show slow messages
 		load = max(load, b.loadOfDelay(values.latency))
 	}
 	b.observeLoad(server, load)
--- a/choice/inference.go
+++ b/choice/inference.go
@@ -2,28 +2,30 @@
 
 import "time"
 
-// Loads where servers report nothing (Settings.Reports is NoReports): they are inferred from the loads of connections,
-// setup times, slow messages, and connections that stay open or are dropped, and then used like reported ones.
+// Inferred loads, for servers that send no reports (Settings.Reports is NoReports). Loads are inferred from the loads
+// of connections, from setup times, from slow messages, and from connections that stay open or are dropped. They are
+// then used in the same way as reported loads.
 
 const (
-	// singleDropLoad is the load of a server that dropped one connection: it gets others only where there is no better.
+	// singleDropLoad is the load inferred for a server that dropped one connection. Such a server gets further
+	// connections only if no other server is better.
 	singleDropLoad = 0.8
-	overloadedLoad = 1.3 // load of a server that drops connections or makes setups slow
-	// unsuspiciousLoad is the most load that a server is estimated at while nothing indicates overload: from about
-	// there on messages would be slower.
-	unsuspiciousLoad   = 0.7
-	maxInferredLoad    = 1.5 // how far over its capacity a server is makes no difference beyond this
+	overloadedLoad = 1.3 // load inferred for a server that drops a further connection within rateMemory
+	// maxHealthyLoad is the highest load inferred for a server while nothing indicates overload. At about this load,
+	// messages start to become slower.
+	maxHealthyLoad     = 0.7
+	maxInferredLoad    = 1.5 // upper limit of an inferred load; the exact excess beyond it makes no difference
 	priorAverageLoad   = 0.5 // prior of the fleet's average load, while there are few observations
 	priorAverageWeight = 3.0 // weight of that prior, in observations of a mean server
 	estimatePrior      = 4.0 // weight of the prior that a server has the average load, in connections
-	// setupSteps divides the typical setup time into the step by which it follows each observation: up or down by the
-	// same, so that it tends to the median and outliers don't count more than others.
+	// setupSteps determines how far the typical setup time moves at each observation: by 1/setupSteps of its value, up
+	// or down. Since all steps have the same size, it converges to the median, and outliers have no higher weight.
 	setupSteps        = 20
-	slowSetupMultiple = 2 // of the typical setup time: only what is longer is a delay
+	slowSetupMultiple = 2 // multiple of the typical setup time; only the time beyond it counts as a delay
 
-	// The load that a message's delay implies: none up to the latency objective over slowDelayDivisor, and from there
-	// on delayLoadBase plus delayLoadSlope for each objective that it took.
-	slowDelayDivisor = 3 // as in internal/edge, which notifies the balancer of slower messages only
+	// The load that a message's delay implies: none up to 1/slowDelayDivisor of the latency objective. A longer delay
+	// implies delayLoadBase plus delayLoadSlope per latency objective of delay.
+	slowDelayDivisor = 3 // as in internal/edge, which notifies the balancer only of messages slower than that
 	delayLoadBase    = 0.7
 	delayLoadSlope   = 0.4
 )
@@ -31,22 +33,24 @@
 // inferenceState is what setups and messages have shown so far.
 type inferenceState struct {
 	typicalSetup time.Duration
-	slowMessages bool // slow messages were seen: where they never are, their absence is no evidence of low load
+	slowMessages bool // slow messages were seen; if they never are, their absence is no evidence of low load
 }
 
-// estimateLoad is the load of a server as this node's own connections there suggest it. They are a sample of the
-// fleet's: few say little, so the estimate leans on the average (the mean of a Gamma prior after a Poisson count).
+// estimateLoad estimates the load of a server from this node's own connections there. They are a sample of the fleet's
+// connections. Few connections are weak evidence, so the fleet's average serves as a prior (the result is the mean of a
+// Gamma prior after a Poisson count).
 func (b *Balancer) estimateLoad(server *serverEntry) float64 {
 	average := clamp(b.average.load, 0.1, 1)
 	perConnection := server.cost * b.units.mean * float64(b.settings.Nodes) / b.capacityFraction(server)
 	return (estimatePrior + server.own.load/b.units.mean) / (estimatePrior/average + 1/perConnection)
 }
 
-// inferLoad uses an observation like a load report. seen is the load that the observation implies; 0: the server showed
-// no overload. The result is no less than the estimate where it did, and at most unsuspiciousLoad where it did not.
+// inferLoad uses an observation in the same way as a load report. seen is the load that the observation implies, or 0
+// if the server showed no overload. With overload, the inferred load is at least the estimated load; without, it is at
+// most maxHealthyLoad.
 func (b *Balancer) inferLoad(server *serverEntry, seen float64) {
 	estimated := b.estimateLoad(server)
-	load := min(estimated, unsuspiciousLoad)
+	load := min(estimated, maxHealthyLoad)
 	if seen > 0 {
 		load = min(max(seen, estimated), maxInferredLoad)
 	}
@@ -54,8 +58,8 @@
 	b.observeLoad(server, load)
 }
 
-// inferFromOpenConnections is called once a tick. Connections that stay open are evidence that their server is not
-// overloaded, unless that was seen overloaded within two ticks.
+// inferFromOpenConnections is called at each tick. Connections that stay open are evidence that their server is not
+// overloaded, unless the server was seen overloaded within the last two ticks.
 func (b *Balancer) inferFromOpenConnections() {
 	ready := 0.0
 	for _, kind := range b.kindOrder {
@@ -69,14 +73,14 @@
 	}
 }
 
-// observeDrop infers a load from an open connection that a server dropped.
+// observeDrop infers a server's load after the server dropped an open connection.
 func (b *Balancer) observeDrop(server *serverEntry) {
 	if b.settings.Reports != NoReports {
 		return
 	}
 	b.admission.throttle.add(b.now, 0, -1)
 	load := overloadedLoad
-	// One connection may break for other reasons: only a second one within rateMemory counts as overload.
+	// A single connection may break for other reasons, so only a second one within rateMemory counts as overload.
 	if b.now >= server.overloadedAt+rateMemory || server.overloadedAt == 0 {
 		load = singleDropLoad
 	}
@@ -84,8 +88,8 @@
 	b.inferLoad(server, load)
 }
 
-// inferFromSetup infers a load from the time that a connection took to be set up, where that was slow. A fast setup is
-// no evidence: it may be fast at a server whose messages are slow.
+// inferFromSetup infers a server's load from a slow connection setup. A fast setup is no evidence of low load, since
+// setups may be fast on a server whose messages are slow.
 func (b *Balancer) inferFromSetup(server *serverEntry, took time.Duration) {
 	step := b.inference.typicalSetup / setupSteps
 	switch {
@@ -103,7 +107,8 @@
 	}
 }
 
-// loadOfDelay is the load that a message's delay implies, since messages slow down only near capacity; 0: none.
+// loadOfDelay returns the load that a message's delay implies, or 0 if the delay is no evidence of load. Messages slow
+// down only when a server is near its capacity.
 func (b *Balancer) loadOfDelay(took time.Duration) float64 {
 	if b.messageObjective == 0 || took <= b.messageObjective/slowDelayDivisor {
 		return 0
--- a/choice/inference_test.go
+++ b/choice/inference_test.go
@@ -128,7 +128,7 @@
 				balancer.Step(now, []Event{AttemptEnded{ID: a.ID, Server: home, Outcome: Cancelled, Final: true}})
 			}
 		}
-		if i == 0 && balancer.predictedLoad(server) < crowded {
+		if i == 0 && balancer.predictedLoad(server) < crowdedLoad {
 			t.Errorf("a server whose messages take 900 ms is predicted at %.2f", balancer.predictedLoad(server))
 		}
 	}
@@ -146,7 +146,7 @@
 			TimerFired{Token: "tick"},
 		})
 	}
-	if balancer.predictedLoad(server) >= quiet || balancer.predictedLoad(server) > crowded {
+	if balancer.predictedLoad(server) >= quiet || balancer.predictedLoad(server) > crowdedLoad {
 		t.Errorf("with quick messages again it is predicted at %.2f, %.2f before", balancer.predictedLoad(server),
 			quiet)
 	}
@@ -169,7 +169,7 @@
 		}
 		b.now = now
 		b.inferFromSetup(s, test.last)
-		if slow := s.report.known && s.report.load > crowded-overflowMargin; slow != test.slow {
+		if slow := s.report.known && s.report.load > crowdedLoad-overflowMargin; slow != test.slow {
 			t.Errorf("after set-ups of %v one of %v: taken for slow is %v", test.typical, test.last, slow)
 		}
 	}
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// What a process has learned, for the one that takes over from it in a hot restart.
+// The learned state of a process, which it passes to its successor in a hot restart.
 
-// LearnedStateVersion is the version of LearnedState; another one is not taken.
+// LearnedStateVersion is the version of LearnedState. A state of another version is ignored.
 const LearnedStateVersion = 1
 
-// LearnedState is what a balancer has learned of the fleet, as values: costs, last reports with their times, which
-// servers are ejected and until when, and the averages. Times are on the clock of Step. The keys of the encoded form
-// never change their meaning.
+// LearnedState is what a balancer has learned about the fleet: costs, the last reports and their times, which servers
+// are ejected and until when, and averages. Times are on the clock of Step. The keys of the encoded form never change
+// their meaning.
 type LearnedState struct {
 	Version      int             `cbor:"1,keyasint"`
 	Unit         float64         `cbor:"2,keyasint"` // mean load of a connection
-	Hints        int             `cbor:"3,keyasint"` // requests with a load that it rests on
-	LoadSum      float64         `cbor:"4,keyasint"` // of reports by weight, decayed
-	WeightSum    float64         `cbor:"5,keyasint"` // of weights, decayed
-	ReportedAt   time.Duration   `cbor:"6,keyasint"` // when the last of these reports came
+	Hints        int             `cbor:"3,keyasint"` // number of requests with a load that Unit is based on
+	LoadSum      float64         `cbor:"4,keyasint"` // decayed sum of reported loads, weighted
+	WeightSum    float64         `cbor:"5,keyasint"` // decayed sum of weights
+	ReportedAt   time.Duration   `cbor:"6,keyasint"` // time of the last of these reports
 	Arrivals     float64         `cbor:"7,keyasint"` // mean connections, decayed
 	ArrivalsAt   time.Duration   `cbor:"8,keyasint"`
-	PassRate     float64         `cbor:"9,keyasint"`  // of admission control
-	MeanPriority float64         `cbor:"10,keyasint"` // of requests, for their load
+	PassRate     float64         `cbor:"9,keyasint"`  // pass rate of admission control
+	MeanPriority float64         `cbor:"10,keyasint"` // mean priority of requests in relation to their load
 	Kinds        []LearnedKind   `cbor:"11,keyasint,omitempty"`
 	Servers      []LearnedServer `cbor:"12,keyasint,omitempty"`
-	Meaning      string          `cbor:"13,keyasint,omitempty"` // of the settings that the values were learned under
-	// Now is when it is handed over; 0: by a release that assumes its reader to have the same clock.
+	Meaning      string          `cbor:"13,keyasint,omitempty"` // Settings.meaning while the values were learned
+	// Now is the time when the state was taken. It is 0 in the state of a release that assumes the same clock in the
+	// process that reads it.
 	Now time.Duration `cbor:"14,keyasint,omitempty"`
 }
 
-// LearnedKind is what reports have shown of the servers of one kind of machine.
+// LearnedKind is what load reports have shown about the servers of one kind of machine.
 type LearnedKind struct {
 	Kind           string  `cbor:"1,keyasint"`
 	ReportedLoad   float64 `cbor:"2,keyasint"` // decayed
@@ -40,19 +41,19 @@
 	Reports        float64 `cbor:"4,keyasint"`
 }
 
-// LearnedServer is what is known of one server.
+// LearnedServer is what the balancer has learned about one server.
 type LearnedServer struct {
 	ID               ServerID      `cbor:"1,keyasint"`
-	Started          time.Duration `cbor:"2,keyasint,omitempty"` // another incarnation knows nothing of this one
+	Started          time.Duration `cbor:"2,keyasint,omitempty"` // the values apply to this incarnation only
 	ReportedLoad     float64       `cbor:"3,keyasint"`           // decayed
 	ConnectionLoad   float64       `cbor:"4,keyasint"`           // the fleet's, decayed
 	Reports          float64       `cbor:"5,keyasint"`
 	Known            bool          `cbor:"6,keyasint,omitempty"` // there is a last report
-	Report           float64       `cbor:"7,keyasint,omitempty"` // its load
+	Report           float64       `cbor:"7,keyasint,omitempty"` // load in the last report
 	ReportAt         time.Duration `cbor:"8,keyasint,omitempty"`
 	EjectedUntil     time.Duration `cbor:"9,keyasint,omitempty"`
-	Ejections        int           `cbor:"10,keyasint,omitempty"` // in a row
-	SlowStartCredit  float64       `cbor:"11,keyasint,omitempty"` // its slow-start budget; under 0: overdrawn
+	Ejections        int           `cbor:"10,keyasint,omitempty"` // consecutive ejections
+	SlowStartCredit  float64       `cbor:"11,keyasint,omitempty"` // slow-start budget in tokens; below 0: overdrawn
 	SlowStartAt      time.Duration `cbor:"12,keyasint,omitempty"`
 	PIDIntegral      float64       `cbor:"13,keyasint,omitempty"`
 	PIDPreviousError float64       `cbor:"14,keyasint,omitempty"`
@@ -110,7 +111,7 @@
 	}
 }
 
-// valid reports whether what another process sent is possible. One value that is not a number would spread into every
+// valid reports whether all values of a state from another process are possible. A single NaN would spread into every
 // prediction, so a state with any impossible value is dropped completely.
 func (l LearnedState) valid() bool {
 	if l.Version != LearnedStateVersion || !(l.Unit > 0) || l.Hints < 0 || !(l.MeanPriority > 0) {
@@ -133,7 +134,7 @@
 		finite(s.PIDIntegral) && finite(s.PIDPreviousError) && finite(s.PIDCorrection)
 }
 
-// allPositive reports whether all values are numbers and none is negative.
+// allPositive reports whether all values are finite and none is negative.
 func allPositive(values ...float64) bool {
 	for _, value := range values {
 		if !(value >= 0) || !finite(value) {
@@ -143,13 +144,13 @@
 	return true
 }
 
-// applyLearnedState takes in what another process has learned, where it is newer than what this one knows or rests on
-// more. A report keeps its age: it fades as it would have there.
+// applyLearnedState applies the learned state of another process wherever it is newer than this process's own state or
+// based on more evidence. Reports keep their age, so they decay as they would have in the other process.
 func (b *Balancer) applyLearnedState(learned LearnedState) {
 	if !learned.valid() || learned.Meaning != b.settings.meaning() {
 		return
 	}
-	learned = learned.onClock(b.now)
+	learned = learned.rebaseTimes(b.now)
 	b.inheritAverages(learned)
 	for _, from := range learned.Kinds {
 		if kind := b.kinds[from.Kind]; kind != nil && kind.costs.reports < from.Reports {
@@ -164,7 +165,7 @@
 	b.updateCosts()
 }
 
-// inheritAverages takes in what was learned of the fleet and of the traffic.
+// inheritAverages applies what another process has learned about the fleet and the traffic.
 func (b *Balancer) inheritAverages(learned LearnedState) {
 	if b.units.hints < learned.Hints {
 		b.units.mean = learned.Unit
@@ -187,7 +188,7 @@
 	}
 }
 
-// inheritServer takes in what was learned of one server.
+// inheritServer applies what another process has learned about one server.
 func (b *Balancer) inheritServer(server *serverEntry, from LearnedServer) {
 	if server.costs.reports < from.Reports {
 		server.costs = costStats{load: from.ReportedLoad, connections: from.ConnectionLoad, reports: from.Reports}
@@ -203,15 +204,15 @@
 		server.own.reported = server.own.load - from.UnreportedLoad
 	}
 	server.outlier.inherit(from.EjectedUntil, from.Ejections, b.now)
-	// What was spent there is spent.
+	// Slow-start tokens that the other process spent must not be spent again.
 	if from.SlowStartAt <= b.now && from.SlowStartCredit < server.slowStart.tokens {
 		refilledAt := max(server.slowStart.refilledAt, from.SlowStartAt)
 		server.slowStart = tokenBucket{tokens: from.SlowStartCredit, refilledAt: refilledAt}
 	}
 }
 
-// onClock is the same with its times on the clock of a reader that reads it now.
-func (l LearnedState) onClock(now time.Duration) LearnedState {
+// rebaseTimes returns the state with its times converted to the clock of this process, which shows now.
+func (l LearnedState) rebaseTimes(now time.Duration) LearnedState {
 	if l.Now == 0 {
 		return l
 	}
@@ -235,7 +236,7 @@
 	return l
 }
 
-// countAsReported counts a connection that was taken over as one that the server's last report already shows.
+// countAsReported adds the load of a connection that was taken over to the load that the server's last report shows.
 func (b *Balancer) countAsReported(server *serverEntry, load float64) {
 	server.own.lagged += load
 	if server.report.known {
@@ -244,8 +245,8 @@
 	b.costsStale = true
 }
 
-// transferred forgets a connection that another process of this node has now. It is still on the server, so it is taken
-// off the reported load as well, and the predicted load stays.
+// transferred removes a connection that was transferred to another process of this node. The connection is still on the
+// server, so its load is also subtracted from the reported own load, and the server's predicted load does not change.
 func (b *Balancer) transferred(id RequestID) {
 	request := b.requests[id]
 	if request == nil {
--- a/choice/migration.go
+++ b/choice/migration.go
@@ -1,15 +1,17 @@
 package choice
 
-// Migration of open connections off servers that are overloaded: the exception to "connections stay where they are".
+// Migration of open connections away from overloaded servers. All other connections stay on their server.
 
-// migrationChance is the probability that a message that misses its objective causes a health check for a migration.
+// migrationChance is the probability that a message that misses its latency objective causes a health check to decide
+// on a migration.
 const migrationChance = 0.4
 
-// groupMigrationDivisor divides migrationChance where connections have groups: a connection that migrates away from its
-// group makes one more server pay for that.
+// groupMigrationDivisor divides migrationChance if connections have groups, since a connection that migrates away from
+// its group makes another server do the group's shared work.
 const groupMigrationDivisor = 2
 
-// migrate migrates a fraction of this node's connections on a server; the broken rest of one is rounded by chance.
+// migrate migrates a fraction of this node's connections on a server. A fractional number of connections is rounded at
+// random, up or down.
 func (b *Balancer) migrate(server *serverEntry, fraction float64) {
 	connections := b.openConnectionsOn(server)
 	count := min(len(connections), int(fraction*float64(len(connections))+b.random.Float64()))
@@ -18,17 +20,17 @@
 	}
 }
 
-// relieve migrates the excess off a server that a report shows overloaded, where nobody observes slow messages. It
-// migrates nothing where no other server has much less load.
+// relieve migrates the excess load away from a server that a report shows to be overloaded. It is used if slow messages
+// are not observed. It migrates nothing if no other server has much less load.
 func (b *Balancer) relieve(server *serverEntry) {
 	load := b.predictedLoad(server)
-	limit := max(crowded, b.leastLoad()+2*overflowMargin)
-	if load > limit { // load may be under 0
+	limit := max(crowdedLoad, b.leastLoad()+2*overflowMargin)
+	if load > limit { // load may be below 0
 		b.migrate(server, 1-limit/load)
 	}
 }
 
-// observeDelay takes in how long a message took at a server.
+// observeDelay processes the time that a message took on a server.
 func (b *Balancer) observeDelay(event DelayObservation) {
 	server := b.findServer(event.Server)
 	if server == nil || b.messageObjective == 0 || event.Took <= 0 {
@@ -44,13 +46,13 @@
 		return
 	}
 	b.inference.slowMessages = b.inference.slowMessages || load > 0
-	if event.Took > b.messageObjective { // each node migrates its part of the excess: no health check would confirm it
-		b.migrate(server, (1-crowded/load)/2)
+	if event.Took > b.messageObjective { // no health check could confirm the excess; each node migrates its own part
+		b.migrate(server, (1-crowdedLoad/load)/2)
 	}
 }
 
-// startMigrationCheck has a server's health checked, with some probability, because a message on a connection there
-// missed its latency objective. endMigrationCheck decides by the result.
+// startMigrationCheck checks a server's health, with some probability, after a message on one of its connections missed
+// the latency objective. endMigrationCheck then decides on the migration.
 func (b *Balancer) startMigrationCheck(event DelayObservation, server *serverEntry) {
 	request := b.requests[event.ID]
 	chance := migrationChance
@@ -64,10 +66,11 @@
 	}
 }
 
-// endMigrationCheck decides on the migration that a health check was made for: always where the check failed, else with
-// the excess part of the server's load as the probability, so that no more than the excess goes.
+// endMigrationCheck decides whether to migrate the connection for which a health check was made. It migrates the
+// connection if the check failed. Otherwise the probability is the excess fraction of the server's load, so that no
+// more than the excess migrates.
 func (b *Balancer) endMigrationCheck(server *serverEntry, served bool) {
-	excess := 1 - crowded/server.report.load
+	excess := 1 - crowdedLoad/server.report.load
 	request := server.migrationCandidate
 	if request != nil && request.open && request.server == server && (!served || b.random.Float64() < excess) {
 		b.actions = append(b.actions, Migrate{request.ID})
--- a/choice/peerclock.go
+++ b/choice/peerclock.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// The token of a request between nodes is its sender's clock, by which late and repeated requests are recognized. All
-// arithmetic on tokens is modulo 2^16 ms.
+// The token of a request between nodes is the time on the sender's clock. The receiver uses it to detect late and
+// repeated requests. All arithmetic on tokens is modulo 2^16 ms.
 
 const (
-	maxMessageAge    = 1000 // ms that a request may be on its way: an older one describes a past load
-	maxReceived      = 2048 // requests remembered, to recognize repeats
-	agreeingMessages = 3    // messages that agree in another offset, before it is taken for the node's
+	maxMessageAge    = 1000 // ms between sending and receiving; an older request describes an outdated load
+	maxReceived      = 2048 // requests remembered to detect repeats
+	agreeingMessages = 3    // messages that must agree on a new offset before it replaces the node's offset
 )
 
-// tokenClock is the time that a token has: milliseconds modulo 2^16.
+// tokenClock converts a time to the clock of tokens: milliseconds modulo 2^16.
 func tokenClock(now time.Duration) uint16 { return uint16(now.Milliseconds()) }
 
-// newToken is the clock, or more where several requests are sent in a millisecond.
+// newToken returns a new token: the current time, or the last token plus 1 if several are made in a millisecond.
 func (p *peerReservations) newToken(now time.Duration) uint16 {
 	p.lastToken = max(p.lastToken+1, now.Milliseconds())
 	return uint16(p.lastToken)
 }
 
-// isNew reports whether a request was sent within maxMessageAge and did not come before, and remembers it.
+// isNew reports whether a request was sent within maxMessageAge and was not received before, and remembers it.
 func (p *peerReservations) isNew(from int, token uint16, now time.Duration) bool {
-	return p.inTime(from, token, now) && p.received.add(receivedToken{from, token})
+	return p.sentInTime(from, token, now) && p.received.add(receivedToken{from, token})
 }
 
 // receivedToken identifies a request of another node.
@@ -33,11 +33,11 @@
 
 // replayWindow remembers the last maxReceived requests.
 type replayWindow struct {
-	tokens []receivedToken // a ring once it is full
-	next   int             // requests added so far
+	tokens []receivedToken // a ring buffer once it is full
+	next   int             // number of requests added so far
 }
 
-// add remembers a request; false: it came before.
+// add remembers a request. It returns false if the request was received before.
 func (r *replayWindow) add(token receivedToken) bool {
 	for _, other := range r.tokens {
 		if other == token {
@@ -53,20 +53,20 @@
 	return true
 }
 
-// clockOffset is the offset between this node's clock and another node's, as that one's messages show it: the clock of
-// a machine may be stepped, by seconds or an hour.
+// clockOffset is the offset between this node's clock and another node's clock, as the other node's messages show it.
+// It may change, since the clock of a machine may be stepped by seconds or by an hour.
 type clockOffset struct {
 	offset int16 // ms
-	// Of messages that are late or early by offset and agree in another one:
+	// candidate is a possible new offset, on which several messages agree that are late or early by offset.
 	candidate      int16
 	agreeing       int
 	candidateSince time.Duration
 }
 
-// inTime reports whether a message was sent within maxMessageAge, by its sender's clock. An offset in which
-// agreeingMessages agree over a second or more is taken for the clock's; messages that were delayed on the way come all
-// at once, and so don't agree for that long.
-func (p *peerReservations) inTime(from int, token uint16, now time.Duration) bool {
+// sentInTime reports whether a message was sent within maxMessageAge, by its sender's clock. A new offset replaces the
+// current one if agreeingMessages messages in a row agree on it over a second or more. Messages that were delayed on
+// the way arrive all at once, and so don't agree for that long.
+func (p *peerReservations) sentInTime(from int, token uint16, now time.Duration) bool {
 	offset := int16(tokenClock(now) - token)
 	clock := p.clocks[from]
 	if offsetsAgree(offset, clock.offset) {
@@ -90,7 +90,7 @@
 	return agreed
 }
 
-// offsetsAgree reports whether two offsets, in ms, differ by no more than a message may be late.
+// offsetsAgree reports whether two offsets, in ms, differ by at most maxMessageAge.
 func offsetsAgree(x, y int16) bool {
 	difference := x - y
 	return difference <= maxMessageAge && difference >= -maxMessageAge
--- a/choice/request.go
+++ b/choice/request.go
@@ -6,46 +6,46 @@
 	"time"
 )
 
-// requestEntry is what this node knows of a request that is under way, or of the open connection that came of it.
+// requestEntry is this node's state of a request that is in progress, or of the open connection that resulted from it.
 type requestEntry struct {
 	Request
 	load        float64
-	affinity    uint64 // what draws by hash in place of chance: its group, or its key where packets pass; 0: nothing
+	affinity    uint64 // hash key that replaces random draws: the group, or the key with packet pass-through; 0: none
 	deadline    time.Duration
-	server      *serverEntry // of the attempt under way, or of the open connection
+	server      *serverEntry // server of the attempt in progress, or of the open connection
 	open        bool
-	class       *Class // as it was when the request came, like maxAttempts
-	maxAttempts int
+	class       *Class // as configured when the request arrived
+	maxAttempts int    // as configured when the request arrived
 	attempts    int
-	startedAt   time.Duration // of the last attempt
+	startedAt   time.Duration // start of the last attempt
 
-	// For retries.
+	// State for retries.
 	tried        []*serverEntry
 	mayHaveRunOn *serverEntry  // server of the first attempt that may have run
-	retryBefore  time.Duration // a retry of that has to be sent by then
+	retryBefore  time.Duration // latest time to send a retry after an attempt that may have run
 
-	// The placement in progress.
-	samples       int            // taken for it
-	pendingChecks int            // health checks that it waits for
+	// State of the placement in progress.
+	samples       int            // samples taken for this placement
+	pendingChecks int            // health checks that the request waits for
 	candidates    []*serverEntry // sampled servers
-	zone          string         // where the plan has it go; empty: anywhere
-	fullZones     []string       // in which it found nothing
-	groupSpans    bool           // its group is on several servers: among the candidates load decides
+	zone          string         // zone that the plan assigns to the request; empty: any zone
+	fullZones     []string       // zones in which no usable server was found
+	groupIsSpread bool           // the group is spread over several servers; load decides among the candidates
 }
 
-// affinityKey is what a request draws by in place of chance.
+// affinityKey returns the key whose hash replaces random draws for a request, or 0 if the request has no affinity.
 func (b *Balancer) affinityKey(request Request) uint64 {
 	switch {
 	case b.settings.GroupAffinity:
 		return request.Group
-	case b.settings.PacketPassThrough: // packets that come to another node are sent where that node's draw went
+	case b.settings.PacketPassThrough: // a node that receives the connection's packets later must draw the same server
 		return request.Key
 	}
 	return 0
 }
 
-// adopt adds a connection that was open before this process had it.
-func (b *Balancer) adopt(connection OpenConnection) {
+// addOpenConnection adds a connection that was already open when this process took it over.
+func (b *Balancer) addOpenConnection(connection OpenConnection) {
 	server := b.findServer(connection.Server)
 	class := connection.OriginalClass
 	if class == nil && connection.Class >= 0 && connection.Class < len(b.settings.Classes) {
@@ -78,14 +78,14 @@
 	}
 }
 
-// assign puts a request's load on a server.
+// assign assigns a request to a server and adds the request's load there.
 func (b *Balancer) assign(request *requestEntry, server *serverEntry) {
 	request.server = server
 	b.countOpen(request, 1)
 	b.addRequestLoad(request, request.load)
 }
 
-// release takes a request's load off its server.
+// release removes a request from its server and subtracts the request's load there.
 func (b *Balancer) release(request *requestEntry) {
 	if request.server != nil {
 		b.countOpen(request, -1)
@@ -95,14 +95,14 @@
 	request.open = false
 }
 
-// countOpen counts a tenant's connections.
+// countOpen adds change to the connection count of the request's tenant.
 func (b *Balancer) countOpen(request *requestEntry, change int) {
 	if request.Tenant >= 0 && request.Tenant < len(b.openByTenant) {
 		b.openByTenant[request.Tenant] += change
 	}
 }
 
-// addRequestLoad adds to the load of a request's server, of its group and of its zone.
+// addRequestLoad adds load to a request's server, group and zone.
 func (b *Balancer) addRequestLoad(request *requestEntry, load float64) {
 	request.server.own.add(b.now, load)
 	if b.settings.GroupAffinity && request.Group != 0 {
@@ -111,7 +111,7 @@
 	b.zones.add(zoneClass{request.server.Zone, request.Class}, load)
 }
 
-// updateLoad sets the present load of an open connection.
+// updateLoad sets the current load of an open connection.
 func (b *Balancer) updateLoad(update LoadUpdate) {
 	request := b.requests[update.ID]
 	if request == nil || request.server == nil || !(update.Load >= 0) || !finite(update.Load) {
@@ -122,23 +122,23 @@
 	request.load = update.Load
 }
 
-// forget ends the work on a request, if there is one.
+// forget removes a request and releases its server. A nil request is ignored.
 func (b *Balancer) forget(request *requestEntry) {
 	if request == nil {
 		return
 	}
 	b.release(request)
-	b.stopWaiting(request)
+	b.stopAwaitingChecks(request)
 	delete(b.requests, request.ID)
 }
 
-// stopWaiting has a request wait for no health check any more.
-func (b *Balancer) stopWaiting(request *requestEntry) {
+// stopAwaitingChecks removes a request from the requests that wait for health checks.
+func (b *Balancer) stopAwaitingChecks(request *requestEntry) {
 	request.pendingChecks = 0
 	b.awaitingChecks = slices.DeleteFunc(b.awaitingChecks, func(other *requestEntry) bool { return other == request })
 }
 
-// attemptEstablished marks the request of an attempt whose connection is open.
+// attemptEstablished marks a request as open once the connection of its last attempt is established.
 func (b *Balancer) attemptEstablished(event Established) {
 	request := b.requests[event.ID]
 	if request == nil || request.server == nil || event.Attempt != request.attempts-1 {
@@ -159,7 +159,8 @@
 	}
 }
 
-// openConnectionsOn is the open connections on a server, by id: the order of a map must not sway a choice.
+// openConnectionsOn returns the open connections on a server, sorted by ID so that the iteration order of the map
+// cannot influence a decision.
 func (b *Balancer) openConnectionsOn(server *serverEntry) (connections []*requestEntry) {
 	for _, request := range b.requests {
 		if request.server == server && request.open {
--- a/choice/reservation.go
+++ b/choice/reservation.go
@@ -7,75 +7,77 @@
 	"time"
 )
 
-// Reservations between peers. Where a node has under one connection of a server on average, its own observations are
-// too few to place by (reservationsPay in cost.go). Then each server has an owner, the node that all find by rendezvous
-// hashing; before a node starts an attempt it requests a reservation from the owner. The owner has the server's health
-// checked, counts what it reserved since the last report, and spends the slow-start budget for all nodes. A node that
-// does not reply is passed over for a while, and the next in the order of hashes takes its place.
+// Reservations between peers. If a node has less than one connection per server on average, its own observations are
+// too few to place connections by (reservationsWorthwhile in cost.go). Each server then has an owner: the node that all
+// nodes find by rendezvous hashing. Before a node starts an attempt, it requests a reservation from the owner. The
+// owner has the server's health checked, counts the load that it reserved since the last report, and spends the
+// slow-start budget for all nodes. A node that does not reply is skipped for a while, and the next node in the hash
+// order becomes the owner.
 
 const (
-	peerTimeout         = 150 * time.Millisecond // for a reply, with a health check by the owner before it
-	maxLostPeerRequests = 2                      // timeouts, after which a request is placed without owners
-	maxWaiting          = 1024                   // peer requests that wait for one server's report
-	maxGroups           = 256                    // groups remembered of one server
-	unknownLoad         = 2                      // replied for a server that is not ready here; over any limit
+	peerTimeout         = 150 * time.Millisecond // for a reply, including the owner's health check before it
+	maxLostPeerRequests = 2                      // timeouts after which a request is placed without owners
+	maxWaiting          = 1024                   // peer requests that may wait for the report of one server
+	maxGroups           = 256                    // groups remembered per server
+	unknownLoad         = 2                      // load in the reply for a server not ready here; above any limit
 )
 
-// peerReservations is the state of the exchange with other nodes, as a requester and as an owner.
+// peerReservations is the state of reservations between nodes, for this node as a requester and as an owner.
 type peerReservations struct {
 	enabled          bool                          // servers have owners; set by updateCosts
 	pending          map[uint16]pendingPeerRequest // by token
-	unreachableUntil []time.Duration               // by node: passed over as an owner until then
+	unreachableUntil []time.Duration               // by node: time until which the node is skipped as an owner
 	lastToken        int64
-	clocks           map[int]clockOffset // by node, of those whose clocks differ
+	clocks           map[int]clockOffset // by node, for nodes whose clocks differ
 	received         replayWindow
 	dropped          int // messages that were invalid, late, repeated or not requested
 }
 
-// pendingPeerRequest is a request of this node that has no reply yet.
+// pendingPeerRequest is a peer request of this node that has no reply yet.
 type pendingPeerRequest struct {
 	owner   int
 	server  *serverEntry
-	request *requestEntry // that waits for a reservation; nil: it is a request for relief
+	request *requestEntry // request that waits for the reservation; nil for a relief request
 }
 
-// peerRequest is a request that a node sent to this one as the owner of a server.
+// peerRequest is a message from a node to this node as the owner of a server.
 type peerRequest struct {
 	from int
 	peerMessage
 }
 
-// reservationBook is what the owner of a server has reserved on it.
-type reservationBook struct {
-	load    float64                  // reserved and not in a report yet, in mean connections
-	waiting []peerRequest            // for a report
+// ownerReservations records what the owner of a server has reserved on the server.
+type ownerReservations struct {
+	load    float64                  // reserved load that no report shows yet, in mean connections
+	waiting []peerRequest            // requests that wait for a report
 	groups  map[uint16]time.Duration // by group: when a connection of it was last reserved or reported there
 }
 
-// takeWaiting returns the requests that waited for a report, and empties the list.
-func (r *reservationBook) takeWaiting() []peerRequest {
+// takeWaiting returns the requests that wait for a report and empties the list.
+func (r *ownerReservations) takeWaiting() []peerRequest {
 	waiting := r.waiting
 	r.waiting = nil
 	return waiting
 }
 
-// noteGroup remembers that a group has a connection on the server. Where there are too many groups, all are forgotten.
-func (r *reservationBook) noteGroup(group uint16, now time.Duration) {
+// recordGroup records that a group has a connection on the server. Once maxGroups are recorded, it drops them all
+// first.
+func (r *ownerReservations) recordGroup(group uint16, now time.Duration) {
 	if r.groups == nil || len(r.groups) >= maxGroups {
 		r.groups = map[uint16]time.Duration{}
 	}
 	r.groups[group] = now
 }
 
-// hasGroup reports whether the server likely has connections of a group; true for a request without a group (0).
-func (r *reservationBook) hasGroup(group uint16, now time.Duration) bool {
+// hasGroup reports whether the server likely has connections of a group. It returns true for group 0 (no group).
+func (r *ownerReservations) hasGroup(group uint16, now time.Duration) bool {
 	at, found := r.groups[group]
 	return group == 0 || found && now-at <= groupMemory
 }
 
 func (p *peerReservations) nodes() int { return len(p.unreachableUntil) }
 
-// setNodes sets how many nodes the settings have.
+// setNodes sets the number of nodes.
 func (p *peerReservations) setNodes(nodes int) {
 	for len(p.unreachableUntil) < nodes {
 		p.unreachableUntil = append(p.unreachableUntil, 0)
@@ -83,15 +85,15 @@
 	p.unreachableUntil = p.unreachableUntil[:nodes]
 }
 
-// markUnreachable has a node passed over as an owner until a time. The settings may have fewer nodes by now than when
-// the request was sent to it.
+// markUnreachable excludes a node as an owner until the given time. It ignores a node that a change of settings removed
+// after the request was sent.
 func (p *peerReservations) markUnreachable(node int, until time.Duration) {
 	if node < len(p.unreachableUntil) {
 		p.unreachableUntil[node] = until
 	}
 }
 
-// ownerOf is the node that owns a server: of the reachable ones, the one with the highest hash of both.
+// ownerOf returns the node that owns a server: the reachable node with the highest hash of server and node.
 func (b *Balancer) ownerOf(server *serverEntry) int {
 	owner, highest := b.settings.Node, uint64(0)
 	for node, until := range b.reservations.unreachableUntil {
@@ -103,13 +105,14 @@
 	return owner
 }
 
-// requestReservation requests a reservation for a request from the owner of the next server in the request's order. A
-// denial brings it here again, with that server among the candidates; after maxSamples servers the request ends.
+// requestReservation requests a reservation from the owner of the next server, which it draws by weight or, for a
+// request with affinity, by hash. After a denial it is called again, with the denied server among the candidates. After
+// maxSamples servers it ends the request.
 func (b *Balancer) requestReservation(request *requestEntry) {
-	next := lowest(b.servers, 1, func(server *serverEntry) float64 {
+	next := selectLowest(b.servers, 1, func(server *serverEntry) float64 {
 		if server.outlier.ejected(b.now) || b.now < server.deniedUntil ||
 			slices.Contains(request.candidates, server) || !b.eligible(request, server) {
-			return never
+			return excludedKey
 		}
 		if request.affinity != 0 {
 			return -math.Log(b.draw(request, server))
@@ -125,7 +128,8 @@
 }
 
 // sendToOwner sends a message to a server's owner, which may be this node itself. load is in the unit of connection
-// loads (loadUnits); the message has it in mean connections. request is nil but for a reservation or a group's notice.
+// loads (loadUnits); the message carries it in mean connections. request is set only for a reservation request or a
+// group notice, and otherwise nil.
 func (b *Balancer) sendToOwner(kind messageKind, server *serverEntry, request *requestEntry, load float64) {
 	message := peerMessage{
 		kind:   kind,
@@ -145,14 +149,14 @@
 	} else {
 		b.actions = append(b.actions, SendPeerMessage{owner, message.encode()})
 	}
-	if _, waits := b.reservations.pending[message.token]; waits {
+	if _, pending := b.reservations.pending[message.token]; pending {
 		token := timerPeerReply + " " + strconv.FormatUint(uint64(message.token), 10)
 		b.actions = append(b.actions, SetTimer{Token: token, After: peerTimeout})
 	}
 }
 
-// receivePeerMessage handles a message of another node. One that is cut off, of another version, late, a repeat or a
-// reply to no pending request is dropped and counted.
+// receivePeerMessage handles a message from another node. It drops and counts messages that are truncated, late or
+// repeated, have another version, or reply to no pending request.
 func (b *Balancer) receivePeerMessage(event PeerMessage) {
 	peers := &b.reservations
 	message, ok := decodePeerMessage(event.Data)
@@ -179,11 +183,11 @@
 	b.handlePeerRequest(peerRequest{event.From, message})
 }
 
-// DroppedPeerMessages counts the messages of other nodes that were invalid, late, repeated or not requested.
+// DroppedPeerMessages returns how many messages from other nodes were invalid, late, repeated or not requested.
 func (b *Balancer) DroppedPeerMessages() int { return b.reservations.dropped }
 
-// handlePeerRequest handles a request as the owner of its server: by a fresh report, or once a health check has brought
-// one. Only a groupNotice has no reply.
+// handlePeerRequest handles a peer request as the owner of its server. Without a fresh report, the request waits for a
+// health check. Every request except a groupNotice gets a reply.
 func (b *Balancer) handlePeerRequest(request peerRequest) {
 	server := b.findServerByKey(request.server)
 	switch {
@@ -192,7 +196,7 @@
 			b.sendReply(request, peerMessage{kind: reservationDenied, load: unknownLoad})
 		}
 	case request.kind == groupNotice:
-		server.reserved.noteGroup(request.group, b.now)
+		server.reserved.recordGroup(request.group, b.now)
 	case server.report.fresh(b.now) || server.outlier.ejected(b.now):
 		b.decideReservation(request, server)
 	default:
@@ -201,16 +205,16 @@
 	}
 }
 
-// decideReservation replies to a request by the server's predicted load: its last report and what was reserved since. A
-// reservation is granted while the load with it stays under crowded, or under crowded less overflowMargin for a group
-// that has nothing on the server yet, and while the slow-start budget allows it. A reply to a request for relief has
-// the fraction of its connections that the requester is to migrate; that much of its load is taken off the reservations
-// at once, so that the next requests don't relieve the same excess again.
+// decideReservation replies to a peer request based on the server's predicted load: its last report plus the load
+// reserved since. It grants a reservation if the load including it is at most crowdedLoad and the slow-start budget
+// allows it. For a group without connections on the server, the limit is lower by overflowMargin. The reply to a relief
+// request has the fraction of its connections that the requester must migrate. That fraction of the requester's load is
+// subtracted from the reserved load at once, so that the next requests don't relieve the same excess again.
 func (b *Balancer) decideReservation(request peerRequest, server *serverEntry) {
 	fraction := b.capacityFraction(server)
 	load := server.report.load + server.cost*b.units.mean*server.reserved.load/fraction
 	reply := peerMessage{kind: reservationDenied, load: load}
-	limit := crowded
+	limit := crowdedLoad
 	if !server.reserved.hasGroup(request.group, b.now) {
 		limit -= overflowMargin
 	}
@@ -218,20 +222,20 @@
 	case server.outlier.ejected(b.now):
 		reply.kind = serverEjected
 	case request.kind == reliefRequest:
-		if load > crowded+overflowMargin {
-			reply.fraction = 1 - crowded/load
+		if load > crowdedLoad+overflowMargin {
+			reply.fraction = 1 - crowdedLoad/load
 			server.reserved.load -= reply.fraction * request.load
 		}
 	case load+server.cost*b.units.mean*request.load/fraction <= limit && b.ownerHasSlowStartBudget(server):
 		reply.kind = reservationGranted
 		server.reserved.load += request.load
 		server.slowStart.tokens -= request.load
-		server.reserved.noteGroup(request.group, b.now)
+		server.reserved.recordGroup(request.group, b.now)
 	}
 	b.sendReply(request, reply)
 }
 
-// sendReply sends a reply to the node that sent the request, which may be this one.
+// sendReply sends a reply to the node that sent the request, which may be this node.
 func (b *Balancer) sendReply(request peerRequest, reply peerMessage) {
 	reply.token = request.token
 	if request.from != b.settings.Node {
@@ -244,11 +248,11 @@
 	}
 }
 
-// peerRequestTimedOut passes the owner over for a while and places the request again, after maxLostPeerRequests without
-// owners.
+// peerRequestTimedOut marks the owner as unreachable for a while and places the request again. After
+// maxLostPeerRequests timeouts the request is placed without owners.
 func (b *Balancer) peerRequestTimedOut(token string) {
 	number, err := strconv.ParseUint(token, 10, 16)
-	if err != nil { // not a timer of this package
+	if err != nil { // this package did not set the timer
 		return
 	}
 	pending, found := b.reservations.pending[uint16(number)]
@@ -268,8 +272,9 @@
 	b.place(request)
 }
 
-// applyReply carries out an owner's reply: a request goes to the server that was granted or on to the next one; on a
-// reply to a request for relief connections are migrated. The load that the owner sends counts as a report.
+// applyReply acts on an owner's reply. It starts an attempt on a server that was granted, and otherwise requests a
+// reservation on the next server. After a reply to a relief request it migrates connections. The load that the owner
+// sends counts as a load report.
 func (b *Balancer) applyReply(pending pendingPeerRequest, reply peerMessage) {
 	server, request := pending.server, pending.request
 	if pending.owner != b.settings.Node {
@@ -287,17 +292,17 @@
 		return
 	}
 	if reply.kind == reservationGranted && b.eligible(request, server) &&
-		b.zones.allows(request, server) { // not if it drains by now
+		b.zones.allows(request, server) { // the server may have started to drain since the request
 		b.startAttempt(request, server)
 		return
 	}
-	if reply.load > crowded {
+	if reply.load > crowdedLoad {
 		server.deniedUntil = b.now + freshFor
 	}
 	b.requestReservation(request)
 }
 
-// findServerByKey returns the server that a message names, or nil.
+// findServerByKey returns the server with the key that messages use (serverKey), or nil.
 func (b *Balancer) findServerByKey(key uint32) *serverEntry {
 	for _, server := range b.servers {
 		if serverKey(server) == key {
--- a/choice/server.go
+++ b/choice/server.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// The table of servers: what discovery lists, and what this node knows of each entry.
+// The table of servers: the servers that service discovery lists, and this node's state of each.
 
 const (
-	pollBackoff      = 250 * time.Millisecond // doubled with each failed poll in a row
+	pollBackoff      = 250 * time.Millisecond // doubled with each consecutive failed poll
 	maxPollDoublings = 5
 )
 
-// serverEntry is what this node knows of one server. Each of its states is owned by the methods of its type.
+// serverEntry is this node's state of one server. Fields of a struct type are managed by the methods of that type.
 type serverEntry struct {
 	Server
 	hash         uint64
@@ -21,25 +21,25 @@
 	own          ownLoad
 	report       loadReport
 	costs        costStats
-	cost         float64 // load that a unit of connection load puts on it
-	baseWeight   float64 // before the controller corrects it
+	cost         float64 // load that a unit of connection load adds to the server
+	baseWeight   float64 // weight before the controller's correction
 	pid          pidState
-	messageTime  time.Duration // the last that a message was seen to take here
-	overloadedAt time.Duration // when it was last seen overloaded, where servers report nothing
+	messageTime  time.Duration // last observed duration of a message on the server
+	overloadedAt time.Duration // when the server was last seen overloaded; used if servers send no reports
 	outlier      outlierState
-	slowStart    tokenBucket // what this node may send it while it is in slow start; as its owner: what all nodes may
+	slowStart    tokenBucket // slow-start budget of this node, or of all nodes if this node owns the server
 	checking     bool        // a health check is in flight
 	// migrationCandidate is migrated if the health check in flight confirms that the server is overloaded; nil: none.
 	migrationCandidate *requestEntry
-	reserved           reservationBook // of a server that this node owns
-	deniedUntil        time.Duration   // no reservation is requested from its owner until then
+	reserved           ownerReservations // used if this node owns the server
+	deniedUntil        time.Duration     // no reservation is requested from the server's owner before this time
 }
 
-// serverKind is what load reports have shown of the servers of one kind of machine (Server.Kind).
+// serverKind is what load reports have shown about the servers of one kind of machine (Server.Kind).
 type serverKind struct {
 	costs   costStats
 	ownLoad float64 // this node's load on ready servers of the kind
-	ready   float64 // their count
+	ready   float64 // number of ready servers of the kind
 }
 
 // findServer returns the entry of a server, or nil.
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// applyList applies an update of the server list, or has it polled again.
+// applyList applies an update of the server list. If the list is unavailable, it schedules another poll.
 func (b *Balancer) applyList(list ServerList) {
 	if list.Kind == ListUnavailable {
 		b.schedulePoll()
@@ -63,8 +63,9 @@
 	b.updateCosts()
 }
 
-// schedulePoll polls discovery again after a backoff with jitter of half of it: it doubles with each failure, up to a
-// quarter of Rules.MaxPollInterval, so that one failed poll more stays within that.
+// schedulePoll schedules another poll of service discovery after a backoff with a jitter of up to half of it. The
+// backoff doubles with each failure, up to a quarter of Rules.MaxPollInterval, so that the interval is kept even if one
+// more poll fails.
 func (b *Balancer) schedulePoll() {
 	b.failedPolls++
 	backoff := min(b.settings.Rules.MaxPollInterval/4, pollBackoff<<min(b.failedPolls, maxPollDoublings))
@@ -72,8 +73,8 @@
 	b.actions = append(b.actions, SetTimer{Token: timerPoll, After: after})
 }
 
-// mergeList applies the entries of a list. A server that a complete list does not name is Gone; its entry stays until
-// none of this node's connections is on it.
+// mergeList applies the entries of a list. A server that is missing from a complete list is Gone. Its entry is removed
+// once this node has no connection on it.
 func (b *Balancer) mergeList(list ServerList) {
 	if list.Kind != ListChange {
 		for _, server := range b.servers {
@@ -88,8 +89,9 @@
 	})
 }
 
-// mergeServer applies one entry. A restarted server is in slow start, and what was learned of its last process is
-// forgotten, but for this node's load there, its health check in flight and the peer requests that wait for that.
+// mergeServer applies one entry. A restarted server is in slow start, and everything learned about its previous
+// incarnation is discarded, except this node's load on it, a health check in flight and the peer requests that wait for
+// that check.
 func (b *Balancer) mergeServer(listed Server) {
 	i, found := slices.BinarySearchFunc(b.servers, listed.ID, compareID)
 	if !found {
@@ -101,7 +103,7 @@
 			hash:      server.hash,
 			own:       ownLoad{load: server.own.load},
 			slowStart: tokenBucket{tokens: b.random.Float64(), refilledAt: b.now},
-			reserved:  reservationBook{waiting: server.reserved.waiting},
+			reserved:  ownerReservations{waiting: server.reserved.waiting},
 			checking:  server.checking,
 		}
 	}
@@ -117,8 +119,8 @@
 	}
 }
 
-// registeredSize is a server's size as all nodes know it; 1 where the list has no sizes, or live ones, of which nodes
-// may know different values.
+// registeredSize returns a server's size, which is the same on all nodes. It returns 1 if the list has no sizes, or if
+// it has live sizes, whose values may differ between nodes.
 func (b *Balancer) registeredSize(server *serverEntry) float64 {
 	if b.settings.Sizes == NominalSize {
 		return server.Size
@@ -126,14 +128,14 @@
 	return 1
 }
 
-// lowest returns the servers with the lowest keys, count at most and lowest first, without those whose key is never.
-// With the key -ln(u)/weight, u uniform between 0 and 1, this is weighted sampling without replacement (Efraimidis and
-// Spirakis, 2006).
-func lowest(servers []*serverEntry, count int, key func(*serverEntry) float64) (chosen []*serverEntry) {
+// selectLowest returns up to count servers with the lowest keys, lowest first. It leaves out servers with excludedKey.
+// With the key -ln(u)/weight, where u is uniform between 0 and 1, this is weighted sampling without replacement
+// (Efraimidis and Spirakis, 2006).
+func selectLowest(servers []*serverEntry, count int, key func(*serverEntry) float64) (chosen []*serverEntry) {
 	keys := make([]float64, 0, count+1)
 	for _, server := range servers {
 		k := key(server)
-		if i, _ := slices.BinarySearch(keys, k); k < never && i < count {
+		if i, _ := slices.BinarySearch(keys, k); k < excludedKey && i < count {
 			keys = slices.Insert(keys, i, k)
 			keys = keys[:min(count, len(keys))]
 			chosen = slices.Insert(chosen, i, server)
@@ -143,5 +145,5 @@
 	return chosen
 }
 
-// never is the key of a server that must not be chosen.
-var never = math.Inf(1)
+// excludedKey is the key of a server that must not be chosen.
+var excludedKey = math.Inf(1)
--- a/choice/step.go
+++ b/choice/step.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// How events reach the decisions.
+// Dispatch of events and timers.
 
-// The kinds of timers: the first word of a token. Callers record tokens, so the words don't change.
+// The kinds of timers. The kind is the first word of a timer's token. Callers record tokens, so the words must not
+// change.
 const (
-	timerTick        = "tick" // the controllers' step
-	timerPoll        = "ask"  // the next poll of the server list
-	timerPeerReply   = "mute" // "mute TOKEN": the owner of a server did not answer in time
-	timerHealthCheck = "hold" // "hold REQUEST": health checks that a request waits for took too long
+	timerTick        = "tick" // step of the controllers
+	timerPoll        = "ask"  // next poll of the server list
+	timerPeerReply   = "mute" // "mute TOKEN": timeout of the reply from a server's owner
+	timerHealthCheck = "hold" // "hold REQUEST": timeout of the health checks that a request waits for
 	timerDeadline    = "end"  // "end REQUEST": the request must be answered now
 )
 
-// Step takes what happened and returns what to do, in order.
+// Step processes events and returns the actions to carry out, in order.
 func (b *Balancer) Step(now time.Duration, events []Event) []Action {
 	b.now = max(b.now, now)
 	b.actions = nil
@@ -35,7 +36,8 @@
 	return b.actions
 }
 
-// start sets the first timers. Their phase differs by seed, so that nodes do not adjust in step.
+// start sets the first timer and subscribes to the server list if needed. The timer's phase depends on the seed, so
+// that nodes do not adjust at the same time.
 func (b *Balancer) start() {
 	b.started = true
 	phase := time.Duration(b.random.Float64() * float64(tick))
@@ -53,7 +55,7 @@
 		b.countArrival(event)
 		b.admit(event)
 	case OpenConnection:
-		b.adopt(event)
+		b.addOpenConnection(event)
 	case StickyServerFound:
 		b.setStickyServer(event)
 	case Transferred:
@@ -102,7 +104,7 @@
 		b.peerRequestTimedOut(id)
 	case kind == timerHealthCheck && request != nil && request.pendingChecks > 0:
 		b.dispatch(request)
-	case kind == timerDeadline && request != nil && !request.open: // an answer while the client still waits
+	case kind == timerDeadline && request != nil && !request.open: // answer while the client still waits
 		b.endWithoutConnection(request, DeadlineReached)
 	}
 }
--- a/choice/weight.go
+++ b/choice/weight.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// Weights of the draw (the paper, section 3, "Dynamic load balancing via PID controller"): each server has a base
-// weight by its cost, which a controller raises where the predicted load is below the fleet's average.
+// Weights of the draw (the paper, section 3, "Dynamic load balancing via PID controller"). Each server has a base
+// weight that depends on its cost. A controller increases the weight if the predicted load is below the fleet's
+// average, and decreases it if the load is above.
 
 const (
-	// The paper's kP, kI and kD (section 3), here on the relative error.
+	// The paper's kP, kI and kD (section 3), here applied to the relative error.
 	proportionalGain = 0.6
 	integralGain     = 0.5
 	derivativeGain   = 0.125
 
-	tick              = time.Second // step of the controllers: a placement needs about that long to show in a report
-	integralMemory    = 0.9         // of the integral, at each step
-	integralLimit     = 0.08        // most that the integral may have, of the controller's output: anti-windup
-	weightGain        = 5.0         // controller output to weight: the base weight is lost a third above average
-	minWeightFraction = 0.02        // least weight, of the base: a server is never quite forgotten
-	maxWeightFraction = 3.0         // most weight, of the base: bounds the effect of one report of low load
+	tick              = time.Second // controller interval: about the time until a placement shows in a report
+	integralMemory    = 0.9         // decay factor of the integral, per tick
+	integralLimit     = 0.08        // limit of the integral's part of the controller output (anti-windup)
+	weightGain        = 5.0         // from controller output to weight: the weight reaches 0 a third above average load
+	minWeightFraction = 0.02        // minimum weight as a fraction of the base weight: every server stays drawable
+	maxWeightFraction = 3.0         // maximum weight as a multiple of the base: bounds the effect of one low report
 
-	// Bounds of a relative error: a low average must not make a small difference a large error.
+	// Bounds of the relative error, so that a small difference from a low average does not become a large error.
 	minErrorAverage  = 0.05
 	minRelativeError = -1.0
 	maxRelativeError = 3.0
 
-	// maxSlowStartBoost is the most that the weight of a server in slow start is multiplied by.
+	// maxSlowStartBoost is the maximum factor by which the weight of a server in slow start is increased.
 	maxSlowStartBoost = 1000
 )
 
-// pidState is the controller of one server. The paper's err_sum is integral, its prev_err is previousError.
+// pidState is the PID controller of one server. The paper calls integral err_sum and previousError prev_err.
 type pidState struct {
 	integral      float64
 	previousError float64
-	correction    float64 // integral and derivative part of the output, set at each step
+	correction    float64 // integral and derivative parts of the output, set at each tick
 }
 
-// update is one step. The proportional part of the output is taken anew for each draw.
+// update runs one step of the controller. The proportional part of the output is computed at each draw instead.
 func (p *pidState) update(proportional float64) {
 	integral := p.integral*integralMemory + integralGain*proportional*tick.Seconds()*(1-integralMemory)
 	p.integral = clamp(integral, -integralLimit, integralLimit)
@@ -42,12 +43,12 @@
 	p.previousError = proportional
 }
 
-// relativeError is how far a load is over the average, as a part of that.
+// relativeError returns the difference between a load and the average, as a fraction of the average.
 func relativeError(load, average float64) float64 {
 	return clamp((load-average)/max(average, minErrorAverage), minRelativeError, maxRelativeError)
 }
 
-// updateControllers is the step that comes once a tick: costs, admission, and the controller of each server.
+// updateControllers is called at each tick. It updates the costs, admission control and each server's PID controller.
 func (b *Balancer) updateControllers() {
 	if b.settings.Reports == NoReports {
 		b.inferFromOpenConnections()
@@ -60,20 +61,20 @@
 	}
 }
 
-// weight is a server's weight in the draw for a request of the given load: the base weight, corrected by the controller
-// for the predicted load against an average. For a group that is on one server it is the registered size, and next to
-// nothing once that server is over overflowLoad.
+// weight returns a server's weight in the draw for a request of the given load. It is the base weight, corrected by the
+// controller for the difference between the predicted load and the given average. For a group on a single server, the
+// weight is the server's registered size, or minWeightFraction once the server is above overflowLoad.
 func (b *Balancer) weight(request *requestEntry, server *serverEntry, load, average float64) float64 {
-	if request.affinity != 0 && !request.groupSpans {
+	if request.affinity != 0 && !request.groupIsSpread {
 		if b.predictedLoad(server)+server.cost*load > b.overflowLoad() {
 			return minWeightFraction
 		}
-		return b.registeredSize(server) // all nodes must choose alike, and learned sizes differ between them
+		return b.registeredSize(server) // all nodes must choose the same server, and learned sizes differ by node
 	}
 	output := proportionalGain*relativeError(b.predictedLoad(server)+server.cost*load, average) + server.pid.correction
 	fraction := b.capacityFraction(server)
 	weight := server.baseWeight * fraction * clamp(1-weightGain*output, minWeightFraction, maxWeightFraction)
-	if fraction < 1 && !b.reservations.enabled { // preferred, where tokens would lapse before the next usual draw
+	if fraction < 1 && !b.reservations.enabled { // prefer the server if its tokens would expire before a usual draw
 		window := b.settings.Rules.OverloadTime.Seconds()
 		weight *= clamp(1/(b.usualRate(server)*tokenWindows*window), 1, maxSlowStartBoost)
 	}
