--- a/internal/failover/adoption.go
+++ b/internal/failover/adoption.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// maxAdoptions is how many adoptions are remembered of a node. One that is forgotten counts as of a later report, which
-// errs on the safe side: the plans before it count as in use for longer.
+// maxAdoptions is the number of adoptions kept for each node. An adoption that was dropped counts from the time of a
+// later report, which is safe: the plans before it only count as in use for longer.
 const maxAdoptions = 64
 
-// adoption is when a node first reported that it had adopted a plan.
+// adoption holds when a node first reported that it had adopted a plan.
 type adoption struct {
 	plan uint64
 	at   time.Duration
 }
 
-// adoptions are the plans that nodes have reported to have adopted, as the leader knows them.
+// adoptions holds the plans that nodes have reported to the leader as adopted.
 type adoptions struct {
 	newest  map[int]uint64 // by node
 	history [][]adoption   // by node, oldest first
@@ -22,7 +22,7 @@
 	return adoptions{newest: map[int]uint64{}, history: make([][]adoption, nodes)}
 }
 
-// record takes in a node's report of the newest plan that it has adopted.
+// record processes a node's report of the newest plan that it has adopted.
 func (a *adoptions) record(node int, plan uint64, now time.Duration) {
 	if plan <= a.newest[node] {
 		return
@@ -35,11 +35,11 @@
 	a.history[node] = history
 }
 
-// newestOf is the newest plan that a node has reported to have adopted; 0: none.
-func (a *adoptions) newestOf(node int) uint64 { return a.newest[node] }
+// newestPlanOf returns the newest plan that a node has reported to have adopted, or 0 if it has reported none.
+func (a *adoptions) newestPlanOf(node int) uint64 { return a.newest[node] }
 
-// since is when a node first reported a plan of that number or a newer one. ok is false where it has not.
-func (a *adoptions) since(node int, number uint64) (at time.Duration, ok bool) {
+// firstReportOf returns when a node first reported a plan of that number or a newer one. ok is false if it has not.
+func (a *adoptions) firstReportOf(node int, number uint64) (at time.Duration, ok bool) {
 	if node >= len(a.history) {
 		return 0, false
 	}
--- a/internal/failover/allocation.go
+++ b/internal/failover/allocation.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// allocation is how a demand is placed: the load by the zone that it comes from, the zone that takes it and class.
+// allocation is the placement of a demand: the load by the zone that it comes from, the zone that takes it and class.
 type allocation [][][]float64
 
 func newAllocation(zones, classes int) allocation {
@@ -19,10 +19,10 @@
 	return placed
 }
 
-// between is all load that goes from one zone to another.
+// between returns the load of all classes that goes from one zone to another.
 func (a allocation) between(from, to int) float64 { return sumOf(a[from][to]) }
 
-// admitted is the load that is placed of a zone's class.
+// admitted returns the load of a zone's class that is placed in any zone.
 func (a allocation) admitted(from, class int) (load float64) {
 	for to := range a[from] {
 		load += a[from][to][class]
@@ -30,8 +30,8 @@
 	return load
 }
 
-// allocate places a demand: where not all fits, classes of higher priority go first; of what fits, as much as possible
-// stays in its own zone, then in its region, and only the rest goes further.
+// allocate places a demand. If not all of it fits, classes of higher priority go first. As much as possible of the
+// admitted load stays in its own zone, then in its region, and only the rest goes further.
 func allocate(wanted *demand) allocation {
 	classes := wanted.classesByPriority()
 	byPriority := newAllocation(len(wanted.capacity), len(wanted.priority))
@@ -39,20 +39,21 @@
 	for _, class := range classes {
 		wanted.place(byPriority, capacity, wanted.loads, class)
 	}
-	// What is admitted is known now. It is placed once more, with all classes' own zones before any other zone.
+	// This pass determined which load is admitted. Place that load again, for all classes in their own zones before
+	// any load goes to another zone.
 	admitted := byPriority.admittedLoads()
 	nearFirst := wanted.allocateNearFirst(classes, admitted)
-	if !nearFirst.admitsAll(admitted) { // something fits only the other way
+	if !nearFirst.admitsAll(admitted) { // some load fits only when placed by priority
 		return byPriority
 	}
 	return nearFirst
 }
 
-// allocateNearFirst places loads that fit, as much as possible in their own zones.
+// allocateNearFirst places admitted loads, as much as possible in their own zones.
 func (d *demand) allocateNearFirst(classes []int, loads [][]float64) allocation {
 	placed := newAllocation(len(d.capacity), len(d.priority))
 	capacity := slices.Clone(d.capacity)
-	for _, class := range classes { // what must stay in its region has the first go at what is near
+	for _, class := range classes { // classes that must stay in their region get near capacity first
 		if d.stayInRegion[class] {
 			d.place(placed, capacity, loads, class)
 		}
@@ -72,7 +73,7 @@
 	return placed
 }
 
-// admittedLoads is the load that is placed, by the zone that it comes from and class.
+// admittedLoads returns the load that is placed, by the zone that it comes from and class.
 func (a allocation) admittedLoads() [][]float64 {
 	loads := make([][]float64, len(a))
 	for from := range a {
@@ -84,7 +85,7 @@
 	return loads
 }
 
-// admitsAll reports whether these loads are placed, but for what is negligible.
+// admitsAll reports whether the allocation places all of the loads, except for a negligible rest.
 func (a allocation) admitsAll(loads [][]float64) bool {
 	for from := range loads {
 		for class, load := range loads[from] {
@@ -96,26 +97,26 @@
 	return true
 }
 
-// place puts what is left of a class where there is capacity, nearest first for all zones alike, and takes it from the
-// capacity.
+// place places the unplaced load of a class where there is capacity, and subtracts it from the capacity. It proceeds
+// from the lowest path cost to the highest, for all zones at once.
 func (d *demand) place(placed allocation, capacity []float64, loads [][]float64, class int) {
-	left := make([]float64, len(capacity))
-	for from := range left {
-		left[from] = max(0, loads[from][class]-placed.admitted(from, class))
+	unplaced := make([]float64, len(capacity))
+	for from := range unplaced {
+		unplaced[from] = max(0, loads[from][class]-placed.admitted(from, class))
 	}
 	for _, cost := range d.distinctPathCosts() {
-		for range placementRounds { // zones with more demand take what others don't need of their part
-			if d.placeRound(placed, capacity, left, class, cost) <= negligibleLoad {
+		for range placementRounds { // zones with more demand take the part of their share that others don't need
+			if d.placeRound(placed, capacity, unplaced, class, cost) <= negligibleLoad {
 				break
 			}
 		}
 	}
 }
 
-// placeRound places load at one path cost and returns how much. Zones that claim the same capacity share it by their
-// claims.
-func (d *demand) placeRound(placed allocation, capacity, left []float64, class int, cost float64) (total float64) {
-	claims, claimed := d.claims(capacity, left, class, cost)
+// placeRound places load at one path cost and returns how much it placed. Zones that claim the same capacity share it
+// in proportion to their claims.
+func (d *demand) placeRound(placed allocation, capacity, unplaced []float64, class int, cost float64) (total float64) {
+	claims, claimed := d.claims(capacity, unplaced, class, cost)
 	for from := range claims {
 		for to, claim := range claims[from] {
 			if claim <= 0 {
@@ -123,7 +124,7 @@
 			}
 			load := claim * min(1, capacity[to]/claimed[to])
 			placed[from][to][class] += load
-			left[from] -= load
+			unplaced[from] -= load
 			total += load
 		}
 	}
@@ -133,23 +134,24 @@
 	return total
 }
 
-// claims divides what each zone has left among the capacities at one path cost, and sums the claims on each.
-func (d *demand) claims(capacity, left []float64, class int, cost float64) (claims [][]float64, claimed []float64) {
-	claims = newMatrix(len(left))
-	claimed = make([]float64, len(left))
-	for from := range left {
+// claims divides the unplaced load of each zone among the capacities at one path cost, and sums the claims on each
+// capacity.
+func (d *demand) claims(capacity, unplaced []float64, class int, cost float64) (claims [][]float64, claimed []float64) {
+	claims = newMatrix(len(unplaced))
+	claimed = make([]float64, len(unplaced))
+	for from := range unplaced {
 		reachable := 0.0
 		for to := range capacity {
 			if d.mayPlace(from, to, class, cost) {
 				reachable += capacity[to]
 			}
 		}
-		if left[from] <= negligibleCapacity || reachable <= negligibleCapacity {
+		if unplaced[from] <= negligibleCapacity || reachable <= negligibleCapacity {
 			continue
 		}
 		for to := range capacity {
 			if d.mayPlace(from, to, class, cost) {
-				claims[from][to] = left[from] * capacity[to] / reachable
+				claims[from][to] = unplaced[from] * capacity[to] / reachable
 				claimed[to] += claims[from][to]
 			}
 		}
@@ -157,7 +159,7 @@
 	return claims, claimed
 }
 
-// newMatrix is a square of zeros.
+// newMatrix returns a square matrix of zeros.
 func newMatrix(size int) [][]float64 {
 	rows := make([][]float64, size)
 	for i := range rows {
--- a/internal/failover/demand.go
+++ b/internal/failover/demand.go
@@ -6,20 +6,21 @@
 	"slices"
 )
 
-// demand is what is to be placed, and where there is capacity. Zones and classes are given by their places in the plan.
+// demand holds the load to place and the capacity of each zone. Zones and classes are given by their indices in the
+// plan.
 type demand struct {
-	loads        [][]float64 // wanted, by zone and class
+	loads        [][]float64 // load of the zone's clients, by zone and class
 	capacity     []float64   // by zone
-	pathCosts    [][]float64 // from zone to zone; infinite: attempts on the path fail
+	pathCosts    [][]float64 // from zone to zone; infinite if attempts on the path fail
 	regions      []string    // by zone
 	priority     []float64   // by class
-	stayInRegion []bool      // by class
+	stayInRegion []bool      // by class: whether it must stay in its client's region
 }
 
-// ofZone is the load that a zone's clients want, of all classes.
+// ofZone returns the demand of a zone's clients, over all classes.
 func (d *demand) ofZone(zone int) float64 { return sumOf(d.loads[zone]) }
 
-// classesByPriority is all classes, the ones of highest priority first.
+// classesByPriority returns all classes, the highest priority first.
 func (d *demand) classesByPriority() []int {
 	classes := make([]int, len(d.priority))
 	for class := range classes {
@@ -29,7 +30,7 @@
 	return classes
 }
 
-// distinctPathCosts is the finite path costs between all zones, the least first.
+// distinctPathCosts returns the finite path costs between all zones in ascending order, each once.
 func (d *demand) distinctPathCosts() (costs []float64) {
 	seen := map[float64]bool{}
 	for from := range d.pathCosts {
--- a/internal/failover/estimates.go
+++ b/internal/failover/estimates.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	costSmoothing     = 0.3 // weight of a new measurement of what a unit of reported load takes
-	capacitySmoothing = 0.2 // the same of capacity that grows; less capacity counts at once
-	capacityFade      = 0.9 // of the capacity that remains at each step while no node reports on a zone
-	minMeasurableLoad = 0.1 // of the servers' capacity: under this load the cost is not measured
-	enoughNodes       = 0.9 // of a zone's live nodes: reports of fewer are incomplete
-
-	// A class's demand is at most the larger of these: a multiple of its peak load; a multiple of its load, and some
-	// load.
+	costSmoothing     = 0.3 // weight of a new measurement of the cost of a unit of reported load
+	capacitySmoothing = 0.2 // weight of a new measurement of a growing capacity; a lower capacity applies at once
+	capacityFade      = 0.9 // fraction of the capacity that remains at each step while no node reports on a zone
+	minMeasurableLoad = 0.1 // fraction of the servers' capacity; the cost is not measured under a smaller load
+	enoughNodes       = 0.9 // fraction of a zone's live nodes; reports of fewer nodes are incomplete
+
+	// A class's demand is at most maxDemandOfPeak times its peak load, or maxDemandOfLoad times its load plus
+	// minDemandBound, whichever is larger.
 	maxDemandOfPeak = 1.2
 	maxDemandOfLoad = 1.5
 	minDemandBound  = 2
 )
 
-// capacityEstimate is the load that a zone's servers have the capacity for.
+// capacityEstimate is the estimated capacity of a zone's servers.
 type capacityEstimate struct {
-	capacity float64 // in reported load, smoothed; 0: not known
-	cost     float64 // servers that a unit of reported load takes, smoothed; 0: not measured
+	capacity float64 // in reported load, smoothed; 0: unknown
+	cost     float64 // servers that a unit of reported load occupies, smoothed; 0: not measured
 }
 
 // fade shrinks the capacity of a zone that no node reports on, but not below its own clients' demand.
@@ -31,8 +31,8 @@
 	e.capacity = max(capacityFade*e.capacity, min(e.capacity, ownDemand))
 }
 
-// update takes in what a zone's servers can do, and what a unit of reported load takes of it. Less capacity counts at
-// once; so does that of a returning zone, which is given back step by step anyway.
+// update adds a measurement of a zone's servers and of the cost of a unit of reported load. A lower capacity applies at
+// once, and so does any capacity of a returning zone, which plans use step by step anyway.
 func (e *capacityEstimate) update(servers, cost float64, returning bool) {
 	if e.cost == 0 {
 		e.cost = cost
@@ -46,10 +46,10 @@
 	e.capacity += (capacity - e.capacity) * capacitySmoothing
 }
 
-// demandEstimate is the load that a zone's clients want, by class of the rules.
+// demandEstimate is the estimated demand of a zone's clients, by class of the rules.
 type demandEstimate struct {
 	byClass   []float64
-	peaks     []float64 // the largest load of late
+	peaks     []float64 // recent peak load by class, which decays with peakMemory
 	updatedAt time.Duration
 }
 
@@ -57,17 +57,17 @@
 	return demandEstimate{byClass: make([]float64, classes), peaks: make([]float64, classes), updatedAt: now}
 }
 
-// start sets the estimate to what a plan has of it.
+// start sets the estimate of a class to the demand that a plan states.
 func (e *demandEstimate) start(class int, load float64) {
 	e.byClass[class] = load
 	e.peaks[class] = load
 }
 
-// total is the load that clients of all classes want.
+// total returns the demand over all classes.
 func (e *demandEstimate) total() float64 { return sumOf(e.byClass) }
 
-// update estimates the demand by the load that a zone's nodes have in all zones: it is that load, the demand before a
-// failure, which decays, and what was rejected.
+// update estimates the demand from the evidence of a zone's nodes. The estimate is the load that the nodes have in all
+// zones, plus the decaying rest of an earlier higher demand (as before a failure), plus the rejected load.
 func (e *demandEstimate) update(classes []Class, summary *EvidenceSummary, now time.Duration) {
 	elapsed := now - e.updatedAt
 	e.updatedAt = now
@@ -81,19 +81,19 @@
 			load += float64(zone.OwnLoad[reported])
 		}
 		e.peaks[i] = decayTo(load, e.peaks[i], elapsed, peakMemory)
-		// What is rejected is retried and counted again: it shows that demand is larger, not by how much. So it is
-		// bounded.
+		// Clients retry rejected requests, which then count again. Rejected load shows that the demand is larger, but
+		// not by how much, so the estimate is bounded.
 		demand := decayTo(load, e.byClass[i], elapsed, demandMemory) + float64(summary.Rejected[reported])
 		e.byClass[i] = min(demand, max(maxDemandOfPeak*e.peaks[i], maxDemandOfLoad*load+minDemandBound))
 	}
 }
 
-// decayTo is a value after some time in which its part above a floor has decayed exponentially.
+// decayTo returns a value whose excess over a floor has decayed exponentially for the elapsed time.
 func decayTo(floor, value float64, elapsed, memory time.Duration) float64 {
 	return floor + max(0, value-floor)*math.Exp(-elapsed.Seconds()/memory.Seconds())
 }
 
-// sumOf adds loads up, in their order: sums of floats are alike in one order only.
+// sumOf adds up loads in their order, since the sum of floats depends on the order.
 func sumOf(loads []float64) (sum float64) {
 	for _, load := range loads {
 		sum += load
@@ -122,9 +122,9 @@
 	}
 }
 
-// loadCost is what a unit of reported load takes of a zone's servers. It is measured where enough load is there and all
-// nodes that may have a part of it have reported. The cost that nodes learn themselves is only the last resort: they
-// assume that all nodes use all servers alike, which under a plan they don't.
+// loadCost returns how many of a zone's servers a unit of reported load occupies. It measures the cost if the zone has
+// enough load and all nodes that may contribute to it have reported. The cost that nodes learn themselves is the last
+// resort: nodes assume that all nodes use all servers evenly, which is not the case under a plan.
 func (p *Planner) loadCost(zone string, view *zoneView, servers float64, now time.Duration) float64 {
 	estimate := &p.zoneStates[zone].capacity
 	load := float64(view.Load) / float64(view.Nodes)
@@ -134,14 +134,14 @@
 		return load / reported
 	case estimate.cost > 0:
 		return estimate.cost
-	case estimate.capacity > 0: // of the plan before
+	case estimate.capacity > 0: // from the plan of an earlier planner
 		return servers / estimate.capacity
 	}
 	return float64(view.Cost) / float64(view.Nodes)
 }
 
-// reportedLoad is the load in a zone that nodes of all zones have reported. complete says whether all nodes that may
-// have some there are in it.
+// reportedLoad returns the load in a zone that nodes of all zones have reported. complete tells whether all nodes that
+// may have load there have reported.
 func (p *Planner) reportedLoad(zone string, now time.Duration) (load float64, complete bool) {
 	complete = true
 	for _, from := range p.zones {
@@ -150,15 +150,15 @@
 			complete = complete && from != zone && !p.mayUseZone(from, zone)
 			continue
 		}
-		evidence, there := report.summary.ofZone(zone)
-		if !there {
+		evidence, found := report.summary.ofZone(zone)
+		if !found {
 			continue
 		}
 		for _, classLoad := range evidence.OwnLoad {
 			load += float64(classLoad)
 		}
-		// The load of some of a zone's nodes against that of all on the servers would give a cost that is much too
-		// high.
+		// The servers' predicted load includes the load of all nodes. Dividing it by the reported load of only some
+		// nodes would give a cost that is much too high.
 		complete = complete && float64(evidence.Nodes) > enoughNodes*float64(p.liveNodes(from))
 	}
 	return load, complete
--- a/internal/failover/evidence.go
+++ b/internal/failover/evidence.go
@@ -7,51 +7,51 @@
 	"spurwinch/internal/policy"
 )
 
-// maxQuantity bounds each number in evidence: a larger one is taken for corrupt.
+// maxQuantity bounds each number in evidence. A message with a larger number is invalid.
 const maxQuantity = 1e9
 
-// maxRequestCount bounds the counts of requests in a member's status: up to it a float64 counts exactly.
+// maxRequestCount bounds the counts of requests in a member's status. A float64 counts exactly up to this number.
 const maxRequestCount = 1e15
 
-// EvidenceSummary is the evidence of one node, or of several nodes of one zone, added up.
+// EvidenceSummary is the evidence of one node, or the sum of the evidence of several nodes of one zone.
 type EvidenceSummary struct {
 	_        struct{} `cbor:",toarray"`
 	Zone     string
 	Classes  []string
 	Arrived  []float32 // load that clients requested since the last evidence, by class
-	Rejected []float32 // of it, what was rejected
+	Rejected []float32 // rejected part of Arrived, by class
 	Zones    []ZoneEvidence
 	Nodes    []NodeStatus
 }
 
-// ZoneEvidence is what the nodes of one zone know of the servers of a zone, added up over these nodes.
+// ZoneEvidence is the evidence of one zone's nodes about the servers of a zone, summed over these nodes.
 type ZoneEvidence struct {
 	_        struct{} `cbor:",toarray"`
 	Zone     string
-	Nodes    float32   // how many nodes reported
+	Nodes    float32   // number of nodes that reported
 	Ready    float32   // servers that are listed as serving
-	Ejected  float32   // of these, ejected after failures
-	Capacity float32   // what the ready ones can do now, in complete servers
-	Load     float32   // their predicted load, in complete servers
-	Cost     float32   // servers that a unit of reported load takes
-	Attempts float32   // since the last evidence, health checks included
-	Failed   float32   // of these attempts
-	OwnLoad  []float32 // load of the reporting nodes' connections there, by class
+	Ejected  float32   // of these servers, those that are ejected after failures
+	Capacity float32   // present capacity of the ready servers, in complete servers
+	Load     float32   // predicted load of the ready servers, in complete servers
+	Cost     float32   // servers that a unit of reported load occupies
+	Attempts float32   // attempts since the last evidence, health checks included
+	Failed   float32   // of these attempts, those that failed
+	OwnLoad  []float32 // load of the reporting nodes' connections to these servers, by class
 }
 
-// NodeStatus is what one node reports of itself with its evidence.
+// NodeStatus is what one node reports about itself with its evidence.
 type NodeStatus struct {
 	_           struct{} `cbor:",toarray"`
 	Node        int      // its index in the membership list
 	Plan        uint64   // number of the newest plan that it has adopted
-	Unreachable []int    // nodes that it watches and gets no heartbeats of
+	Unreachable []int    // watched nodes from which it receives no heartbeats
 	Policy      *policy.MemberStatus
 }
 
-// Encode gives the form in which evidence is sent.
+// Encode returns the evidence as it is sent between nodes.
 func (s EvidenceSummary) Encode() []byte { return must(encoding.Marshal(s)) }
 
-// DecodeEvidenceSummary reads evidence and validates it.
+// DecodeEvidenceSummary decodes and validates evidence.
 func DecodeEvidenceSummary(data []byte) (summary EvidenceSummary, err error) {
 	if err := decoding.Unmarshal(data, &summary); err != nil {
 		return summary, fmt.Errorf("%w: %w", ErrInvalidEvidence, err)
@@ -59,7 +59,7 @@
 	return summary, summary.validate()
 }
 
-// validate finds what no node would report: the leader calculates with it.
+// validate rejects evidence that no correct node reports, since the leader uses the numbers in its calculations.
 func (s *EvidenceSummary) validate() error {
 	classes := len(s.Classes)
 	switch {
@@ -67,27 +67,28 @@
 		return fmt.Errorf("%w: %d classes and %d zones are too many, or the zone's name is too long",
 			ErrInvalidEvidence, classes, len(s.Zones))
 	case len(s.Arrived) != classes || len(s.Rejected) != classes:
-		return fmt.Errorf("%w: %d classes, but arrivals of %d and rejections of %d",
+		return fmt.Errorf("%w: %d classes, but arrivals for %d and rejections for %d",
 			ErrInvalidEvidence, classes, len(s.Arrived), len(s.Rejected))
-	case !areQuantities(s.Arrived...) || !areQuantities(s.Rejected...):
-		return fmt.Errorf("%w: arrivals or rejections are no quantities", ErrInvalidEvidence)
+	case !validQuantities(s.Arrived...) || !validQuantities(s.Rejected...):
+		return fmt.Errorf("%w: arrivals and rejections must be finite and from 0 to 1e9", ErrInvalidEvidence)
 	}
 	for i := range s.Zones {
 		if !s.Zones[i].valid(classes) {
-			return fmt.Errorf("%w: numbers of zone %q", ErrInvalidEvidence, s.Zones[i].Zone)
+			return fmt.Errorf("%w: invalid numbers, class count or name of zone %q",
+				ErrInvalidEvidence, s.Zones[i].Zone)
 		}
 	}
 	for i := range s.Nodes {
 		if !s.Nodes[i].valid() {
-			return fmt.Errorf("%w: policy status of node %d", ErrInvalidEvidence, s.Nodes[i].Node)
+			return fmt.Errorf("%w: invalid policy status of node %d", ErrInvalidEvidence, s.Nodes[i].Node)
 		}
 	}
 	return nil
 }
 
 func (e *ZoneEvidence) valid(classes int) bool {
-	return len(e.OwnLoad) == classes && len(e.Zone) <= maxZoneName && areQuantities(e.OwnLoad...) &&
-		areQuantities(e.Nodes, e.Ready, e.Ejected, e.Capacity, e.Load, e.Cost, e.Attempts, e.Failed)
+	return len(e.OwnLoad) == classes && len(e.Zone) <= maxZoneName && validQuantities(e.OwnLoad...) &&
+		validQuantities(e.Nodes, e.Ready, e.Ejected, e.Capacity, e.Load, e.Cost, e.Attempts, e.Failed)
 }
 
 func (n *NodeStatus) valid() bool {
@@ -99,9 +100,9 @@
 		status.Rejected >= 0 && status.Rejected < maxRequestCount
 }
 
-// areQuantities reports whether all numbers are finite, not negative and of a credible size.
-func areQuantities(numbers ...float32) bool {
+// validQuantities reports whether all numbers are finite, not negative and at most maxQuantity.
+func validQuantities(numbers ...float32) bool {
 	return !slices.ContainsFunc(numbers, func(number float32) bool {
-		return !isLoad(number) || number > maxQuantity
+		return !isValidLoad(number) || number > maxQuantity
 	})
 }
--- a/internal/failover/evidence_sum.go
+++ b/internal/failover/evidence_sum.go
@@ -6,7 +6,7 @@
 	"spurwinch/choice"
 )
 
-// Summarize makes a node's evidence of what its load balancer observed.
+// Summarize converts the observations of a node's load balancer into evidence.
 func Summarize(
 	zone string, classes []string, observed choice.Observations, status NodeStatus,
 ) EvidenceSummary {
@@ -46,8 +46,8 @@
 	return evidence
 }
 
-// Accumulate adds the counts of earlier observations, not reported yet, to those of later ones. Levels, such as loads,
-// are the later ones.
+// Accumulate adds the counts of earlier observations that were not reported yet to those of later observations. Levels,
+// such as loads, are taken from the later observations.
 func Accumulate(earlier, later choice.Observations) choice.Observations {
 	sum := choice.Observations{Zones: slices.Clone(later.Zones), Classes: slices.Clone(later.Classes)}
 	for i, class := range earlier.Classes[:min(len(earlier.Classes), len(sum.Classes))] {
@@ -66,8 +66,8 @@
 	return sum
 }
 
-// Add adds other nodes' evidence of the same zone. Nodes may know other classes, after a change of settings: classes
-// are matched by name.
+// Add adds the evidence of other nodes of the same zone. It matches classes by name, since nodes may have different
+// classes after a change of settings.
 func (s *EvidenceSummary) Add(other EvidenceSummary) {
 	classes := s.matchClasses(other.Classes)
 	for i, class := range classes {
@@ -83,23 +83,23 @@
 	s.Nodes = append(s.Nodes, other.Nodes...)
 }
 
-// matchClasses gives the places of classes in this summary, which takes up those that it doesn't know; -1 is the place
-// of one beyond MaxClasses.
+// matchClasses returns the indices of classes in this summary and adds the classes that the summary doesn't have. The
+// index of a class beyond MaxClasses is -1.
 func (s *EvidenceSummary) matchClasses(names []string) []int {
-	places := make([]int, len(names))
+	indexes := make([]int, len(names))
 	for i, name := range names {
-		place := slices.Index(s.Classes, name)
-		if place < 0 && len(s.Classes) < MaxClasses {
-			place = len(s.Classes)
+		index := slices.Index(s.Classes, name)
+		if index < 0 && len(s.Classes) < MaxClasses {
+			index = len(s.Classes)
 			s.addClass(name)
 		}
-		places[i] = place
+		indexes[i] = index
 	}
-	return places
+	return indexes
 }
 
 func (s *EvidenceSummary) addClass(name string) {
-	s.Classes = append(slices.Clone(s.Classes), name) // the list may be another summary's as well
+	s.Classes = append(slices.Clone(s.Classes), name) // other summaries may share the list
 	s.Arrived = append(s.Arrived, 0)
 	s.Rejected = append(s.Rejected, 0)
 	for i := range s.Zones {
@@ -107,17 +107,17 @@
 	}
 }
 
-// addZone adds evidence of a zone. classes are the places of its classes in this summary.
+// addZone adds the evidence about a zone. classes are the indices of its classes in this summary.
 func (s *EvidenceSummary) addZone(evidence ZoneEvidence, classes []int) {
-	place := s.zoneIndex(evidence.Zone)
-	if place < 0 {
+	index := s.zoneIndex(evidence.Zone)
+	if index < 0 {
 		if len(s.Zones) >= MaxZones {
 			return
 		}
-		place = len(s.Zones)
+		index = len(s.Zones)
 		s.Zones = append(s.Zones, ZoneEvidence{Zone: evidence.Zone, OwnLoad: make([]float32, len(s.Classes))})
 	}
-	sum := &s.Zones[place]
+	sum := &s.Zones[index]
 	sum.Nodes += evidence.Nodes
 	sum.Ready += evidence.Ready
 	sum.Ejected += evidence.Ejected
@@ -133,16 +133,16 @@
 	}
 }
 
-// zoneIndex is the place of a zone's evidence; -1: there is none.
+// zoneIndex returns the index of the evidence about a zone, or -1 if there is none.
 func (s *EvidenceSummary) zoneIndex(zone string) int {
 	return slices.IndexFunc(s.Zones, func(evidence ZoneEvidence) bool { return evidence.Zone == zone })
 }
 
-// ofZone is the evidence of a zone, if there is any.
+// ofZone returns the evidence about a zone. ok is false if there is none.
 func (s *EvidenceSummary) ofZone(zone string) (evidence ZoneEvidence, ok bool) {
-	place := s.zoneIndex(zone)
-	if place < 0 {
+	index := s.zoneIndex(zone)
+	if index < 0 {
 		return ZoneEvidence{}, false
 	}
-	return s.Zones[place], true
+	return s.Zones[index], true
 }
--- a/internal/failover/explain.go
+++ b/internal/failover/explain.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// NodeView is what the leader knows of a node.
+// NodeView is what the leader knows about a node.
 type NodeView struct {
-	Live                 bool    // in the common view
+	Live                 bool    // whether the cut detector considers it live
 	Plan                 uint64  // number of the newest plan that it has reported to have adopted
-	LastReportSecondsAgo float64 // age of its last report in seconds; under 0: it has sent none
+	LastReportSecondsAgo float64 // age of its last report in seconds; negative if it has sent none
 }
 
-// NodeView is what is known of a node, by its number in the membership list.
+// NodeView returns what is known about a node, given by its index in the membership list.
 func (p *Planner) NodeView(node int, now time.Duration) NodeView {
-	view := NodeView{Live: p.cut.IsLive(node), Plan: p.adoptions.newestOf(node), LastReportSecondsAgo: -1}
-	if at, heard := p.cut.LastReport(node); heard {
+	view := NodeView{Live: p.cutDetector.IsLive(node), Plan: p.adoptions.newestPlanOf(node), LastReportSecondsAgo: -1}
+	if at, heard := p.cutDetector.LastReport(node); heard {
 		view.LastReportSecondsAgo = (now - at).Seconds()
 	}
 	return view
 }
 
-// Explain describes for operators, line by line, what led to a zone's state; nil: there is no such zone. "Room", "told
-// load" and "want" in the lines are capacity and demand in units of reported load; "hosts" are complete servers, and
-// what they can do and have is their mean capacity and predicted load as one node sees them. Programs don't parse the
-// lines.
+// Explain describes to operators, as lines of text, what led to a zone's state. It returns nil for an unknown zone. In
+// the lines, "room" is capacity and "want" is demand, both in units of reported load ("told load"). "Hosts" are
+// complete servers. What hosts "can do" and "have" is their mean capacity and predicted load, as one node sees them.
+// Programs don't parse the lines.
 func (p *Planner) Explain(zone string, now time.Duration) (lines []string) {
 	state := p.zoneStates[zone]
 	if state == nil {
@@ -56,19 +56,19 @@
 	return lines
 }
 
-// explainView describes what is known of a zone's servers, as the mean over the nodes that reported.
+// explainView describes a zone's servers as the mean over the nodes that reported on them.
 func (p *Planner) explainView(zone string, now time.Duration) string {
 	view, ok := p.viewZone(zone, now)
 	if !ok {
 		return fmt.Sprintf("nobody has told of its hosts within %v", evidenceLifetime)
 	}
-	who := "other zones' nodes tell"
+	observers := "other zones' nodes tell"
 	if view.own {
-		who = "its own nodes tell"
+		observers = "its own nodes tell"
 	}
 	nodes := float64(max(view.Nodes, 1))
 	return fmt.Sprintf(
 		"%s (%.0f of them): %.1f hosts serve, %.1f are left out, together they can do %.1f and have %.1f",
-		who, nodes, float64(view.Ready)/nodes, float64(view.Ejected)/nodes, float64(view.Capacity)/nodes,
+		observers, nodes, float64(view.Ready)/nodes, float64(view.Ejected)/nodes, float64(view.Capacity)/nodes,
 		float64(view.Load)/nodes)
 }
--- a/internal/failover/failure_detection.go
+++ b/internal/failover/failure_detection.go
@@ -9,16 +9,17 @@
 // path is the network path from the nodes of one zone to the servers of a zone.
 type path struct{ from, to string }
 
-// pathStats are the attempts on a path, which decay by a factor of e each second.
+// pathStats counts the attempts on a path. The counts decay by a factor of e each second.
 type pathStats struct {
 	attempts, failed float64
-	at               time.Duration // of the newest
+	at               time.Duration // when attempts were last reported
 }
 
 // fresh reports whether attempts were reported within evidenceLifetime.
 func (s *pathStats) fresh(now time.Duration) bool { return s != nil && now-s.at <= evidenceLifetime }
 
-// failing reports whether attempts on a path fail. known is false where there were too few within evidenceLifetime.
+// failing reports whether attempts on a path fail. known is false if there were too few attempts or none was reported
+// within evidenceLifetime.
 func (s *pathStats) failing(now time.Duration) (failing, known bool) {
 	if !s.fresh(now) || s.attempts < minAttempts {
 		return false, false
@@ -26,19 +27,20 @@
 	return s.failed > failingFraction*s.attempts, true
 }
 
-// zoneView is what is known in common of a zone's servers.
+// zoneView is the combined evidence about a zone's servers.
 type zoneView struct {
 	ZoneEvidence
-	own bool // by the zone's own nodes
+	own bool // whether the evidence is from the zone's own nodes
 }
 
-// ejectedFraction is the part of the listed servers that is ejected.
+// ejectedFraction returns the fraction of the ready servers that is ejected.
 func (v *zoneView) ejectedFraction() float64 { return float64(v.Ejected / v.Ready) }
 
-// viewZone is what is known of a zone's servers: its own nodes' view while there is one, else the others'.
+// viewZone returns the evidence about a zone's servers: that of its own nodes if it is fresh, otherwise the sum over
+// the nodes of other zones. ok is false if there is neither.
 func (p *Planner) viewZone(zone string, now time.Duration) (view zoneView, ok bool) {
 	if own := &p.zoneStates[zone].report; own.fresh(now) {
-		if evidence, there := own.summary.ofZone(zone); there && evidence.Nodes > 0 {
+		if evidence, found := own.summary.ofZone(zone); found && evidence.Nodes > 0 {
 			return zoneView{evidence, true}, true
 		}
 	}
@@ -48,7 +50,7 @@
 		if other == zone || !report.fresh(now) {
 			continue
 		}
-		if evidence, there := report.summary.ofZone(zone); there {
+		if evidence, found := report.summary.ofZone(zone); found {
 			classes := report.summary.Classes
 			sum.Add(EvidenceSummary{
 				Classes:  classes,
@@ -64,7 +66,7 @@
 	return zoneView{sum.Zones[0], false}, true
 }
 
-// zoneFailure reports whether a zone's servers fail, as far as is known in common, and what shows it.
+// zoneFailure reports whether a zone's servers fail according to the evidence of all zones, and why.
 func (p *Planner) zoneFailure(zone string, now time.Duration) (cause string, failing bool) {
 	view, ok := p.viewZone(zone, now)
 	if !ok {
@@ -77,7 +79,7 @@
 	fail, work := p.countOtherZones(zone, now)
 	ownFails, ownKnown := p.paths[path{zone, zone}].failing(now)
 	switch {
-	case view.own && ownKnown && !ownFails: // servers stay ejected for a while, but those that are tried answer
+	case view.own && ownKnown && !ownFails: // ejections outlast a failure, but attempts succeed
 		return "", false
 	case view.own && work <= fail && (ejected > failingFraction || ownKnown && ownFails && ejected > failingFraction/2):
 		return fmt.Sprintf("its own nodes leave out %.0f%% of its hosts; of other zones %d say the same and %d don't",
@@ -90,7 +92,7 @@
 	return "", false
 }
 
-// countOtherZones counts the other zones whose attempts at a zone's servers fail, and those whose attempts work.
+// countOtherZones counts the other zones whose attempts at a zone's servers fail, and those whose attempts succeed.
 func (p *Planner) countOtherZones(zone string, now time.Duration) (fail, work int) {
 	for _, other := range p.zones {
 		failing, known := p.paths[path{other, zone}].failing(now)
@@ -105,15 +107,15 @@
 	return fail, work
 }
 
-// answers reports whether a zone's servers were tried of late and answered.
-func (p *Planner) answers(zone string, now time.Duration) bool {
+// serversAnswer reports whether recent attempts at a zone's servers succeeded.
+func (p *Planner) serversAnswer(zone string, now time.Duration) bool {
 	return slices.ContainsFunc(p.zones, func(from string) bool {
 		stats := p.paths[path{from, zone}]
 		return stats.fresh(now) && stats.attempts >= 1 && stats.failed < failingFraction*stats.attempts
 	})
 }
 
-// allLookLost reports whether there is no zone left that looks healthy.
+// allLookLost reports whether no zone looks healthy.
 func (p *Planner) allLookLost(now time.Duration) bool {
 	for _, zone := range p.zones {
 		if state := p.zoneStates[zone].state; state == Lost || state == Drained {
--- a/internal/failover/grant_builder.go
+++ b/internal/failover/grant_builder.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// grantBuilder turns an allocation of the demand into the grants of a plan. All plans that may still be in use count:
-// what stays within a zone's capacity is the sum of the most that any of them gives each node.
+// grantBuilder turns an allocation of the demand into the grants of a plan. It considers all plans that may still be in
+// use: a zone's capacity bounds the sum, over all nodes, of the largest share that any of these plans gives the node.
 type grantBuilder struct {
 	planner *Planner
 	plan    *Plan
@@ -17,11 +17,11 @@
 
 	targets [][]float64 // load to be granted, by the zone that gets it and the zone that has the capacity
 	free    []float64   // by zone: capacity that no target claims
-	reserve []float64   // by zone: capacity that is meant to be leased out
-	inUse   [][]float64 // by node and zone: what plans in use let the node have there
+	reserve []float64   // by zone: capacity to lease out
+	inUse   [][]float64 // by node and zone: the most load that plans in use allow the node there
 }
 
-// addGrants fills in the grants and reserves of a plan, and what earlier plans left in use.
+// addGrants sets the grants and reserves of a plan, and the loads and reserves that earlier plans left in use.
 func (p *Planner) addGrants(plan *Plan, wanted demand, placed allocation, now time.Duration) {
 	builder := &grantBuilder{
 		planner: p,
@@ -53,7 +53,7 @@
 	}
 }
 
-// setTargets sets the targets to what was allocated, and free to the capacity that remains.
+// setTargets sets the targets to the allocated load, and free to the capacity that remains.
 func (b *grantBuilder) setTargets() {
 	b.free = slices.Clone(b.demand.capacity)
 	for to := range b.free {
@@ -65,8 +65,9 @@
 	}
 }
 
-// missingHeadroom is the load that each zone should get beyond its targets, since clients don't spread evenly over its
-// nodes, and more may come than are estimated. Without it nodes reject what others have capacity for.
+// missingHeadroom returns the load that each zone should get beyond its targets, since clients don't spread evenly over
+// its nodes, and more clients may come than estimated. Without headroom, nodes reject clients for whom other nodes have
+// capacity.
 func (b *grantBuilder) missingHeadroom() []float64 {
 	missing := make([]float64, len(b.targets))
 	for from, targets := range b.targets {
@@ -75,7 +76,7 @@
 			continue
 		}
 		wanted := b.demand.ofZone(from)
-		guests := max(0, wanted-targets[from]) // in their own zone nodes may each have more than their part
+		guests := max(0, wanted-targets[from]) // in its own zone, a node may exceed its share
 		missing[from] = wanted + math.Sqrt(guests*float64(nodes))
 		for _, load := range targets {
 			missing[from] -= load
@@ -84,7 +85,8 @@
 	return missing
 }
 
-// spreadHeadroom adds headroom to the targets, near capacity first: the own zone, then the region, then the rest.
+// spreadHeadroom adds headroom to the targets. It uses near capacity first: the zone's own, then that of its region,
+// then the rest.
 func (b *grantBuilder) spreadHeadroom(missing []float64) {
 	for _, cost := range b.demand.distinctPathCosts() {
 		claims, claimed := b.headroomClaims(cost, missing)
@@ -103,8 +105,8 @@
 	}
 }
 
-// headroomClaims divides what each zone misses among the free capacities at one path cost, and sums the claims on
-// each.
+// headroomClaims divides each zone's missing headroom among the free capacities at one path cost, and sums the claims
+// on each capacity.
 func (b *grantBuilder) headroomClaims(cost float64, missing []float64) (claims [][]float64, claimed []float64) {
 	claims = newMatrix(len(missing))
 	claimed = make([]float64, len(missing))
@@ -128,8 +130,8 @@
 	return claims, claimed
 }
 
-// divideFreeCapacity gives a part of a zone's free capacity to its own clients, lets most of the rest stand by for
-// other zones and keeps a reserve to lease out. A lost zone has capacity for its own nodes' attempts only.
+// divideFreeCapacity grants a part of a zone's free capacity to its own clients and most of the rest to other zones as
+// standby. The remainder is the reserve to lease out. A lost zone has capacity only for the attempts of its own nodes.
 func (b *grantBuilder) divideFreeCapacity(zone int) {
 	state := b.planner.zoneStates[b.planner.zones[zone]]
 	switch state.state {
@@ -148,8 +150,8 @@
 	b.grantStandby(zone)
 }
 
-// grantStandby grants a zone's free capacity to other zones: clients whose own zone fails can go there at once, before
-// any plan says so, and also when there is no leader that could make one.
+// grantStandby adds a zone's free capacity to the targets of other zones. Clients whose own zone fails can thus go
+// there at once, before the next plan and even if there is no leader to make one.
 func (b *grantBuilder) grantStandby(zone int) {
 	weights := make([]float64, len(b.targets))
 	sum := 0.0
@@ -172,8 +174,8 @@
 	}
 }
 
-// tightRegions are the regions whose demand is so near their capacity that some is reserved for classes that must stay
-// there.
+// tightRegions returns the regions whose demand is so near their capacity that plans reserve some of it for classes
+// that must stay there.
 func (b *grantBuilder) tightRegions() map[string]bool {
 	wanted := map[string]float64{}
 	capacity := map[string]float64{}
@@ -190,8 +192,7 @@
 	return tight
 }
 
-// recordInUse writes into the plan what plans before it left in use, for a planner that knows this plan and none
-// before it.
+// recordInUse sets Plan.EarlierLoads, for a planner that knows this plan but none before it.
 func (b *grantBuilder) recordInUse() {
 	for _, zone := range b.planner.zones {
 		most := make([]float32, len(b.planner.zones))
@@ -204,18 +205,19 @@
 	}
 }
 
-// committed is what all nodes of a zone may have in another once a grant is added to the plans in use.
+// committed returns the load that all nodes of the zone from may have in the zone to once a grant is added to the plans
+// in use.
 func (b *grantBuilder) committed(from, to int, grant float64) (load float64) {
 	zone := &b.plan.Zones[from]
 	for _, node := range b.planner.list.InZone(zone.Name) {
-		part := zone.nodePart(grant, from == to, !b.planner.cut.IsLive(node))
-		load += max(part, b.inUse[node][to])
+		share := zone.nodeShare(grant, from == to, !b.planner.cutDetector.IsLive(node))
+		load += max(share, b.inUse[node][to])
 	}
 	return load
 }
 
-// largestFitting is the largest grant with which a zone's nodes stay within a capacity. What they may have by older
-// plans can't be taken back here.
+// largestFitting returns the largest grant with which a zone's nodes stay within a capacity. It can't revoke the load
+// that they may have by older plans.
 func (b *grantBuilder) largestFitting(from, to int, capacity float64) float64 {
 	inUse, ok := b.grantInUse(from, to)
 	if !ok {
@@ -225,16 +227,17 @@
 		return inUse
 	}
 	fits := func(load float64) bool { return b.committed(from, to, load) <= capacity }
-	return max(largestWhere(fits, capacity*2+1), inUse)
+	return max(largestLoadWhere(fits, capacity*2+1), inUse)
 }
 
-// largestWhere is the largest load under a limit for which a condition holds that holds for all smaller loads.
-func largestWhere(holds func(load float64) bool, limit float64) float64 {
+// largestLoadWhere returns the largest load up to a limit that satisfies a condition. The condition must be satisfied
+// by all loads smaller than one that satisfies it.
+func largestLoadWhere(satisfies func(load float64) bool, limit float64) float64 {
 	lower := 0.0
 	upper := limit
 	for range grantSearchIterations {
 		middle := (lower + upper) / 2
-		if holds(middle) {
+		if satisfies(middle) {
 			lower = middle
 		} else {
 			upper = middle
@@ -243,13 +246,13 @@
 	return lower
 }
 
-// grantInUse is the grant that each live node of a zone may use already: nobody else was promised it, so it always
-// fits. ok says whether there is a live node.
+// grantInUse returns the grant that each live node of a zone may use already. Plans in use grant this capacity to no
+// other node, so it always fits. ok tells whether the zone has a live node.
 func (b *grantBuilder) grantInUse(from, to int) (grant float64, ok bool) {
 	zone := &b.plan.Zones[from]
 	least := math.Inf(1)
 	for _, node := range b.planner.list.InZone(zone.Name) {
-		if b.planner.cut.IsLive(node) {
+		if b.planner.cutDetector.IsLive(node) {
 			least = min(least, b.inUse[node][to])
 		}
 	}
--- a/internal/failover/lease_owner.go
+++ b/internal/failover/lease_owner.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// LeaseDuration is how long a capacity lease lasts: at its holder from when it made the request, at its owner from
-	// when the request came.
+	// LeaseDuration is how long a capacity lease is valid. Its holder counts from when it sent the request, its owner
+	// from when it received the request.
 	LeaseDuration = 2 * time.Second
-	// leaseSettlePeriod is how long after an owner's last answer a lease may still be in use.
+	// leaseSettlePeriod is how long after an owner's last reply a lease may still be in use.
 	leaseSettlePeriod = LeaseDuration + 500*time.Millisecond
 )
 
-// LeaseOwner leases out the reserve of one zone's capacity, at the node that the plan names for it. A lease counts
-// until its holder can't use it any longer, also when a newer plan has a smaller reserve.
+// LeaseOwner leases out the reserve of one zone's capacity. It runs at the node that the plan names as the lease owner.
+// A lease counts as long as its holder may use it, even if a newer plan has a smaller reserve.
 type LeaseOwner struct {
-	leases     map[int][]lease // by holder: the newest is in use, or an older one whose successor was lost on its way
+	leases     map[int][]lease // by holder; it uses the newest, or an older one if the later replies were lost
 	grantsFrom time.Duration   // when all leases of an earlier process of this node have ended
 }
 
-// lease is a load that a node may have.
+// lease is a load that a node may have until the lease expires.
 type lease struct {
 	load    float64
 	expires time.Duration
@@ -29,21 +29,21 @@
 
 func (l lease) expired(now time.Duration) bool { return l.expires <= now }
 
-// NewLeaseOwner is an owner without leases. It grants none for leaseSettlePeriod, since an earlier process of this node
-// may have granted some.
+// NewLeaseOwner returns an owner without leases. It grants none for leaseSettlePeriod, since leases granted by an
+// earlier process of this node may still be in use.
 func NewLeaseOwner(now time.Duration) *LeaseOwner {
 	return &LeaseOwner{leases: map[int][]lease{}, grantsFrom: now + leaseSettlePeriod}
 }
 
-// Grant leases a node up to what it requests out of a reserve, and returns the load of the lease; 0: there is none. A
-// node that requests less than it has uses no more than it requests from then on.
+// Grant leases up to the requested load out of a reserve to a node. It returns the load of the lease, or 0 if it grants
+// none. A node that requests less than it has leased uses no more than it requests from then on.
 func (o *LeaseOwner) Grant(node int, requested, reserve float64, now time.Duration) float64 {
-	if now < o.grantsFrom || !(requested >= 0) || !(reserve >= 0) { // negated, so that NaN gets nothing
+	if now < o.grantsFrom || !(requested >= 0) || !(reserve >= 0) { // the negation rejects NaN
 		return 0
 	}
 	o.removeExpired(now)
 	others := 0.0
-	for _, holder := range slices.Sorted(maps.Keys(o.leases)) { // sums of floats are alike in one order only
+	for _, holder := range slices.Sorted(maps.Keys(o.leases)) { // a fixed order, since the sum of floats depends on it
 		if holder != node {
 			others += largestLoad(o.leases[holder])
 		}
@@ -71,7 +71,7 @@
 	}
 }
 
-// Reserved is the load of all leases that may be in use.
+// Reserved returns the load of all leases that may be in use.
 func (o *LeaseOwner) Reserved(now time.Duration) (load float64) {
 	for _, holder := range slices.Sorted(maps.Keys(o.leases)) {
 		current := slices.DeleteFunc(slices.Clone(o.leases[holder]), func(l lease) bool { return l.expired(now) })
@@ -80,7 +80,7 @@
 	return load
 }
 
-// largestLoad is the most that a holder can make of its leases: it uses one at a time.
+// largestLoad returns the most load that a holder can use by its leases, of which it uses one at a time.
 func largestLoad(leases []lease) (load float64) {
 	for _, l := range leases {
 		load = max(load, l.load)
--- a/internal/failover/lease_test.go
+++ b/internal/failover/lease_test.go
@@ -16,7 +16,7 @@
 // lasts.
 func TestLeaseOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		market := &leaseMarket{now: time.Hour, reserve: 20, held: make([]lease, 4)}
+		market := &leaseModel{now: time.Hour, reserve: 20, held: make([]lease, 4)}
 		market.owner = NewLeaseOwner(market.now - 2*leaseSettlePeriod)
 		for range 200 {
 			market.step(t)
@@ -35,8 +35,8 @@
 	}
 }
 
-// leaseMarket is an owner of leases with their holders.
-type leaseMarket struct {
+// leaseModel is an owner of leases with their holders.
+type leaseModel struct {
 	now      time.Duration
 	owner    *LeaseOwner
 	held     []lease // by holder
@@ -46,7 +46,7 @@
 }
 
 // step draws a new reserve, another process of the owner or a request.
-func (m *leaseMarket) step(t *rapid.T) {
+func (m *leaseModel) step(t *rapid.T) {
 	m.now += time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
 	switch rapid.IntRange(0, 15).Draw(t, "what") {
 	case 0:
@@ -59,7 +59,7 @@
 	}
 }
 
-func (m *leaseMarket) request(t *rapid.T) {
+func (m *leaseModel) request(t *rapid.T) {
 	holder := rapid.IntRange(0, 3).Draw(t, "who")
 	sent := m.now
 	requested := rapid.Float64Range(0, 25).Draw(t, "asks")
@@ -74,7 +74,7 @@
 	}
 }
 
-func (m *leaseMarket) check(t *rapid.T) {
+func (m *leaseModel) check(t *rapid.T) {
 	held := 0.0
 	for _, holding := range m.held {
 		if m.now < holding.expires {
--- a/internal/failover/observe.go
+++ b/internal/failover/observe.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Observe takes in the evidence of a zone's nodes, summed up by one of the zone's aggregators. Of stale evidence, which
-// was delayed on the way, only the nodes' own statuses are used.
+// Observe processes the evidence of a zone's nodes, which one of the zone's aggregators has summed. Of stale evidence,
+// which was delayed in transit, only the statuses of the nodes are used.
 func (p *Planner) Observe(aggregator int, summary EvidenceSummary, stale bool, now time.Duration) {
 	state := p.zoneStates[summary.Zone]
 	if state == nil {
@@ -15,7 +15,7 @@
 	p.observeNodes(&summary, now)
 	report := &state.report
 	redundant := aggregator != report.aggregator && now-report.at < evidenceLifetime/2 &&
-		len(summary.Nodes) <= len(report.summary.Nodes) // the zone's other aggregator has reported the same, or more
+		len(summary.Nodes) <= len(report.summary.Nodes) // the other aggregator reported no fewer nodes
 	if stale || redundant {
 		return
 	}
@@ -26,18 +26,18 @@
 	*report = zoneReport{summary: summary, at: now, aggregator: aggregator}
 }
 
-// observeNodes takes in the failure detectors' reports of a zone's nodes, and which plans they have adopted.
+// observeNodes processes the reports of a zone's nodes about unreachable nodes and the plans that they have adopted.
 func (p *Planner) observeNodes(summary *EvidenceSummary, now time.Duration) {
 	for _, status := range summary.Nodes {
 		if status.Node < 0 || status.Node >= p.list.Len() || p.list.Node(status.Node).Zone != summary.Zone {
 			continue
 		}
-		p.cut.Report(status.Node, status.Unreachable, now)
+		p.cutDetector.Report(status.Node, status.Unreachable, now)
 		p.adoptions.record(status.Node, status.Plan, now)
 	}
 }
 
-// observePath adds attempts to those on a path.
+// observePath adds newly reported attempts to the statistics of a path.
 func (p *Planner) observePath(between path, attempts, failed float64, now time.Duration) {
 	stats := p.paths[between]
 	if stats == nil {
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -9,82 +9,82 @@
 )
 
 const (
-	noLeaseOwner  = -1  // Zone.LeaseOwner where nobody leases the reserve out
-	fullAdmission = 255 // Plan.AdmitFractions are 255ths
+	noLeaseOwner  = -1  // Zone.LeaseOwner of a zone without a lease owner
+	fullAdmission = 255 // the value in Plan.AdmitFractions that admits all arrivals
 )
 
-// State is what a plan takes a zone for. Its number is part of a plan's form.
+// State is the state of a zone in a plan. Its number is part of the encoding of a plan.
 type State uint8
 
 // The states of a zone.
 const (
 	Healthy   State = iota
-	Lost            // its servers fail: nothing new goes there but the attempts by which its own nodes watch it
-	Returning       // its servers work again; its capacity is given back step by step
-	Drained         // by an operator's order
+	Lost            // its servers fail; nothing new is placed there but the attempts by which its nodes detect recovery
+	Returning       // its servers work again; plans use its capacity again step by step
+	Drained         // an operator has ordered it to be drained
 )
 
 func (s State) String() string {
-	names := [...]string{"well", "lost", "returning", "drained"} // as operators and logs know them
+	names := [...]string{"well", "lost", "returning", "drained"} // names in logs and operators' output
 	return names[min(s, Drained)]
 }
 
-// Plan says how much load of each zone's clients may go to which zone. It doesn't change once it is made.
+// Plan defines how much load of each zone's clients may go to which zone. A Plan is immutable.
 type Plan struct {
 	_              struct{} `cbor:",toarray"`
 	Zones          []Zone
 	Classes        []string
 	Grants         []Grant
-	StayInRegion   []bool  // by class: it is placed in its client's region only
-	AdmitFractions [][]int // by zone and class, in 255ths: which part of the arrivals is admitted
+	StayInRegion   []bool  // by class: whether its requests are placed in their client's region only
+	AdmitFractions [][]int // by zone and class: the fraction of the arrivals to admit, in 255ths
 	GrantLifetime  float32 // seconds for which a grant into another zone is valid without contact to a leader
-	LostNodes      []int   // nodes out of the common view, by their indices in the membership list
-	Reason         string  // why it was made, for operators
+	LostNodes      []int   // nodes that the leader considers lost, by their indices in the membership list
+	Reason         string  // why the leader made the plan, for operators
 
-	// EarlierLoads is what earlier plans had left in use when this one was made: the most load that a node of a zone
-	// (first index, a place in Zones) may still have in a zone (second index). A leader that never knew those plans
-	// uses it.
+	// EarlierLoads is the most load that a node of a zone (first index) may still have in a zone (second index) by
+	// plans that were in use when this plan was made. Both are indices in Zones. A leader that doesn't know the earlier
+	// plans uses EarlierLoads in their place.
 	EarlierLoads [][]float32
-	// EarlierReserves is the same for capacity leases: what their owners may still have leased out by earlier plans.
+	// EarlierReserves is the load that lease owners may still have leased out by earlier plans.
 	EarlierReserves []CapacityReserve
-	Previous        uint64 // number of the plan before this one; 0: there was none
+	Previous        uint64 // number of the plan before this one; 0: this is the first plan
 }
 
-// Zone is a zone in a plan.
+// Zone is a plan's entry for a zone.
 type Zone struct {
 	_         struct{} `cbor:",toarray"`
 	Name      string
 	Region    string
 	State     State
-	Nodes     int       // that share its grants
-	Listed    int       // nodes that it has in the membership list
-	Capacity  float32   // load that all grants together may put there
-	Demand    []float32 // by class: estimate of the load that its clients want
-	GuestLoad float32   // what clients of other zones need there now
-	Flaps     int       // how often it was lost soon after it had come back
+	Nodes     int       // live nodes of the zone; they share its grants
+	Listed    int       // nodes of the zone in the membership list
+	Capacity  float32   // load that all grants together may place in the zone
+	Demand    []float32 // by class: estimated load of the zone's clients
+	GuestLoad float32   // load that clients of other zones need in this zone now
+	Flaps     int       // consecutive losses of the zone soon after a recovery
 
-	LeaseOwner int     // node that leases the reserve out; -1: nobody
-	Reserve    float32 // part of the capacity that the owner may lease to nodes of any zone
+	LeaseOwner int     // node that leases out the reserve; -1: none
+	Reserve    float32 // part of the capacity that the lease owner may lease to nodes of any zone
 }
 
 // Grant is the most load that the nodes of one zone together may have in a zone.
 type Grant struct {
 	_          struct{} `cbor:",toarray"`
-	From, To   int      // places in Plan.Zones
+	From, To   int      // indices in Plan.Zones
 	Load       float32
 	RegionLoad float32 // part of Load that is reserved for classes that must stay in their region
 }
 
-// CapacityReserve is what a lease owner may still have leased out of a zone's capacity.
+// CapacityReserve is the load that a lease owner may still have leased out of a zone's capacity.
 type CapacityReserve struct {
 	_     struct{} `cbor:",toarray"`
-	Zone  int      // place in Plan.Zones
-	Owner int      // node
+	Zone  int      // index in Plan.Zones
+	Owner int      // index in the membership list
 	Load  float32
 }
 
-// OperatorOrders are what operators have ordered.
+// OperatorOrders are the orders of operators that are in force.
 type OperatorOrders struct {
 	_       struct{} `cbor:",toarray"`
-	Drained []string // zones
+	Drained []string // zones to drain
 }
--- a/internal/failover/plan_builder.go
+++ b/internal/failover/plan_builder.go
@@ -8,16 +8,16 @@
 
 const (
 	sameRegionCost   = 1    // path cost between two zones of one region
-	minScaledDemand  = 0.5  // load: a smaller demand is admitted completely
-	admittedInEffect = 0.98 // of a demand: if as much is placed, all of it is admitted
+	minScaledDemand  = 0.5  // load; nodes admit a smaller demand completely
+	admittedInEffect = 0.98 // fraction of a demand; nodes admit all of a demand of which at least this much is placed
 )
 
-// buildPlan makes the plan for now; nil: no zone has reported anything yet.
+// buildPlan makes a plan for the current demand and capacity. It returns nil while no zone has reported evidence.
 func (p *Planner) buildPlan(now time.Duration) *Plan {
-	if !p.anyEvidence() {
+	if !p.hasEvidence() {
 		return nil
 	}
-	plan := &Plan{GrantLifetime: float32(p.rules.GrantLifetime.Seconds()), LostNodes: p.cut.Lost()}
+	plan := &Plan{GrantLifetime: float32(p.rules.GrantLifetime.Seconds()), LostNodes: p.cutDetector.Lost()}
 	for _, class := range p.rules.Classes {
 		plan.Classes = append(plan.Classes, class.Name)
 		plan.StayInRegion = append(plan.StayInRegion, class.StayInRegion)
@@ -34,12 +34,12 @@
 	return plan
 }
 
-// anyEvidence reports whether any zone has reported what it sees.
-func (p *Planner) anyEvidence() bool {
+// hasEvidence reports whether the planner has evidence of any zone's nodes.
+func (p *Planner) hasEvidence() bool {
 	return slices.ContainsFunc(p.zones, func(name string) bool { return p.zoneStates[name].report.at > 0 })
 }
 
-// planZone is a zone's entry in a plan, but for GuestLoad and Reserve, which follow from the grants.
+// planZone returns a plan's entry for a zone without GuestLoad and Reserve, which addGrants sets.
 func (p *Planner) planZone(name string) Zone {
 	state := p.zoneStates[name]
 	zone := Zone{
@@ -58,17 +58,17 @@
 	return zone
 }
 
-// liveNodes counts a zone's nodes that are in the common view.
+// liveNodes counts a zone's nodes that the cut detector considers live.
 func (p *Planner) liveNodes(zone string) (live int) {
 	for _, node := range p.list.InZone(zone) {
-		if p.cut.IsLive(node) {
+		if p.cutDetector.IsLive(node) {
 			live++
 		}
 	}
 	return live
 }
 
-// currentDemand is what all zones' clients want now, and where there is capacity for it.
+// currentDemand returns the estimated demand of all zones' clients and the capacity of all zones.
 func (p *Planner) currentDemand(now time.Duration) demand {
 	var wanted demand
 	for _, class := range p.rules.Classes {
@@ -89,8 +89,8 @@
 	return wanted
 }
 
-// pathCost is the cost of placing a zone's load in another zone, 0 in its own; infinite where attempts on the path
-// fail.
+// pathCost returns the cost of placing load of the zone from in the zone to. It is 0 within a zone and infinite if
+// attempts on the path fail.
 func (p *Planner) pathCost(from, to int, now time.Duration) float64 {
 	if from == to {
 		return 0
@@ -106,7 +106,7 @@
 	return sameRegionCost + p.rules.RegionDistance(fromRegion, toRegion)
 }
 
-// admitFractions is, by class, which part of a zone's arrivals is admitted, in 255ths.
+// admitFractions returns by class the fraction of a zone's arrivals that nodes admit, in 255ths.
 func admitFractions(wanted *demand, placed allocation, from int) []int {
 	fractions := make([]int, len(wanted.priority))
 	for class := range fractions {
--- a/internal/failover/plan_diff.go
+++ b/internal/failover/plan_diff.go
@@ -5,28 +5,29 @@
 	"slices"
 )
 
-// difference says how much two plans differ.
+// difference is how much two plans differ.
 type difference int
 
 const (
 	unchanged difference = iota // too little for a new plan
-	changed                     // somewhat: it can wait
-	urgent                      // so that it presses
+	changed                     // a new plan is due, but not urgent
+	urgent                      // a new plan is due at once
 )
 
-// What counts as a change, as parts of a zone's capacity or of what was granted before.
+// Thresholds for a change between two plans. Two loads differ noticeably only if their difference exceeds loadTolerance
+// as well as the sum of capacityTolerance and minLoadDifference.
 const (
-	capacityTolerance  = 0.1  // of the zone's capacity, and
-	loadTolerance      = 0.15 // of the larger load: loads that differ by less are alike
-	minLoadDifference  = 0.5  // load: whatever the capacity is
-	returnTolerance    = 0.9  // a returning zone's plan states at least so much of its capacity
-	newPathFraction    = 0.5  // of a new grant to another zone: an older one below that left clients nowhere to go
+	capacityTolerance  = 0.1  // of the zone's capacity
+	loadTolerance      = 0.15 // of the larger load
+	minLoadDifference  = 0.5  // load, for a zone of any capacity
+	returnTolerance    = 0.9  // of a returning zone's capacity; a plan that states less is replaced
+	newPathFraction    = 0.5  // of a new grant to another zone; an older grant below that left clients nowhere to go
 	admissionTolerance = 12   // 255ths
-	scarceFraction     = 1.3  // of its demand: a zone whose grants are less has little to spare
-	scarceTolerance    = 0.03 // of its demand: such a zone gets noticeably more from here on
+	scarceFraction     = 1.3  // of a zone's demand; a zone with smaller grants has little to spare
+	scarceTolerance    = 0.03 // of the demand of such a zone; a larger rise of its grants is a change
 )
 
-// comparePlans is how much a new plan differs from an old one.
+// comparePlans returns how much a new plan differs from an old one.
 func comparePlans(older, newer *Plan) difference {
 	if len(older.Zones) != len(newer.Zones) || !slices.Equal(older.LostNodes, newer.LostNodes) ||
 		!slices.Equal(older.Classes, newer.Classes) {
@@ -42,7 +43,7 @@
 	return largest
 }
 
-// compareZone is how much one zone's entries and grants differ.
+// compareZone returns how much the entries and grants of one zone differ.
 func compareZone(older, newer *Plan, zone int) difference {
 	before := &older.Zones[zone]
 	after := &newer.Zones[zone]
@@ -65,14 +66,14 @@
 	return unchanged
 }
 
-// loadsDiffer reports whether two loads differ noticeably, against the zone's capacity and against each other.
+// loadsDiffer reports whether two loads differ noticeably, relative to the zone's capacity and to the larger load.
 func (z *Zone) loadsDiffer(a, b float64) bool {
 	apart := math.Abs(a - b)
 	return apart > capacityTolerance*float64(z.Capacity)+minLoadDifference && apart > loadTolerance*max(a, b)
 }
 
-// opensPath reports whether a zone's clients get much more in another zone than they had: until then somebody has
-// nowhere to go.
+// opensPath reports whether a zone's clients get much more load in another zone than before. Until the new plan is in
+// use, some of these clients have nowhere to go.
 func opensPath(older, newer *Plan, from int) bool {
 	for to := range newer.Zones {
 		granted := newer.grantedLoad(from, to)
@@ -83,7 +84,7 @@
 	return false
 }
 
-// admissionDiffers reports whether the admitted part of a class's arrivals differs noticeably.
+// admissionDiffers reports whether the admitted fraction of any class's arrivals differs noticeably.
 func admissionDiffers(older, newer *Plan, zone int) bool {
 	for class := range newer.Zones[zone].Demand {
 		apart := older.AdmitFractions[zone][class] - newer.AdmitFractions[zone][class]
@@ -94,8 +95,8 @@
 	return false
 }
 
-// relievesScarcity reports whether a zone's clients, who have little to spare in all zones together, get noticeably
-// more.
+// relievesScarcity reports whether a zone whose grants in all zones together exceed its demand by little, or not at
+// all, gets noticeably more.
 func relievesScarcity(older, newer *Plan, from int) bool {
 	wanted := 0.0
 	for _, load := range newer.Zones[from].Demand {
@@ -110,7 +111,7 @@
 	return before < scarceFraction*wanted && after > before+scarceTolerance*wanted+minLoadDifference
 }
 
-// grantsDiffer reports whether a grant to a zone's clients differs noticeably.
+// grantsDiffer reports whether any grant to a zone's clients differs noticeably.
 func grantsDiffer(older, newer *Plan, from int) bool {
 	for to := range newer.Zones {
 		if newer.Zones[from].loadsDiffer(older.grantedLoad(from, to), newer.grantedLoad(from, to)) {
--- a/internal/failover/plan_history.go
+++ b/internal/failover/plan_history.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// maxKnownPlans bounds the plans that are remembered: the oldest are forgotten even if they may be in use.
+// maxKnownPlans bounds the number of plans kept. Beyond it, the oldest are dropped even if they may be in use.
 const maxKnownPlans = 128
 
 // VersionedPlan is a plan that may be in use, with its number on the consensus log.
 type VersionedPlan struct {
 	Number uint64
 	Plan   *Plan
-	From   time.Duration // when it became the newest here
+	From   time.Duration // when it became the newest plan on this node
 }
 
-// PlanHistory is what a node has seen of plans. One that comes to lead must consider all that may be in use.
+// PlanHistory holds the plans that a node has seen. A node that becomes leader must consider all plans that may be in
+// use.
 type PlanHistory struct {
 	Plans []VersionedPlan // oldest first
 }
 
-// Add takes a plan in, and forgets those that were superseded so long ago that nobody uses other zones by them.
+// Add adds a plan, and drops plans that were superseded so long ago that no node uses other zones by them.
 func (h *PlanHistory) Add(number uint64, plan *Plan, now time.Duration) {
 	if count := len(h.Plans); count > 0 && h.Plans[count-1].Number >= number {
 		return
@@ -31,58 +32,60 @@
 	}
 }
 
-// ApplyPlan records the plan that was committed to the consensus log, and forgets those that no node can use any
-// longer. The agent calls it for each committed plan; one that is not newer than the last changes nothing.
+// ApplyPlan records a plan that was committed to the consensus log, and drops the plans that no node can still use. The
+// agent calls it for each committed plan. A plan that is not newer than the newest known one has no effect.
 func (p *Planner) ApplyPlan(number uint64, plan *Plan, now time.Duration) {
-	if count := len(p.known); count > 0 && p.known[count-1].Number >= number {
+	if count := len(p.knownPlans); count > 0 && p.knownPlans[count-1].Number >= number {
 		return
 	}
-	p.known = append(p.known, VersionedPlan{number, plan, now})
+	p.knownPlans = append(p.knownPlans, VersionedPlan{number, plan, now})
 	p.proposedAt = 0
 	oldest := p.oldestAdopted(number, now)
-	for len(p.known) > 1 && (p.supersedesOlder(p.known[1], oldest, now) || len(p.known) > maxKnownPlans) {
-		p.known = p.known[1:]
+	for len(p.knownPlans) > 1 &&
+		(p.supersedesOlder(p.knownPlans[1], oldest, now) || len(p.knownPlans) > maxKnownPlans) {
+		p.knownPlans = p.knownPlans[1:]
 	}
 }
 
-// newestPlan is the newest plan known; nil: there is none.
+// newestPlan returns the newest known plan, or nil if no plan is known.
 func (p *Planner) newestPlan() *Plan {
-	if len(p.known) == 0 {
+	if len(p.knownPlans) == 0 {
 		return nil
 	}
-	return p.known[len(p.known)-1].Plan
+	return p.knownPlans[len(p.knownPlans)-1].Plan
 }
 
-// oldestAdopted is the number of the oldest plan that any node may still use in its own zone, newest at most. Nodes
-// that were lost for lostNodeMemory don't count.
+// oldestAdopted returns the number of the oldest plan that any node may still use in its own zone. The result is at
+// most newest. Nodes that have been lost for lostNodeMemory are ignored.
 func (p *Planner) oldestAdopted(newest uint64, now time.Duration) uint64 {
 	oldest := newest
 	for node := range p.list.Len() {
-		if at, lost := p.cut.LostSince(node); !lost || now-at < lostNodeMemory {
-			oldest = min(oldest, p.adoptions.newestOf(node))
+		if at, lost := p.cutDetector.LostSince(node); !lost || now-at < lostNodeMemory {
+			oldest = min(oldest, p.adoptions.newestPlanOf(node))
 		}
 	}
 	return oldest
 }
 
-// supersedesOlder reports whether no node can use plans before this one any longer: all nodes have reported that they
-// adopted it or a newer one, and unreachable ones have lost their grants into other zones by the older ones.
+// supersedesOlder reports whether no node can still use plans older than this one. This is so once all nodes have
+// reported that they adopted it or a newer plan, and the grants of older plans into other zones, which unreachable
+// nodes may have used, have expired.
 func (p *Planner) supersedesOlder(plan VersionedPlan, oldestAdopted uint64, now time.Duration) bool {
 	return plan.Number <= oldestAdopted && now-plan.From > p.crossZonePeriod()+leaseSettlePeriod
 }
 
-// crossZonePeriod is how long after a newer plan nodes may still use other zones by the older one: a grant's lifetime,
-// which each node counts by its own clock, and a margin.
+// crossZonePeriod returns how long after a newer plan nodes may still use other zones by the older plan. It is the
+// lifetime of a grant, which each node measures on its own clock, and a margin.
 func (p *Planner) crossZonePeriod() time.Duration { return p.rules.GrantLifetime + crossZoneMargin }
 
-// followsKnown reports whether the plan before a known one is known too.
-func (p *Planner) followsKnown(place int) bool {
-	return place > 0 && p.known[place].Plan.Previous == p.known[place-1].Number
+// previousPlanKnown reports whether the predecessor of a known plan is known too.
+func (p *Planner) previousPlanKnown(planIndex int) bool {
+	return planIndex > 0 && p.knownPlans[planIndex].Plan.Previous == p.knownPlans[planIndex-1].Number
 }
 
-// mayUseZone reports whether a zone's nodes may have connections in another one, by any known plan.
+// mayUseZone reports whether any known plan allows the nodes of the zone from to have connections in the zone to.
 func (p *Planner) mayUseZone(from, to string) bool {
-	return slices.ContainsFunc(p.known, func(known VersionedPlan) bool {
+	return slices.ContainsFunc(p.knownPlans, func(known VersionedPlan) bool {
 		return known.Plan.grantedLoadByName(from, to) > 0
 	})
 }
--- a/internal/failover/plan_lookup.go
+++ b/internal/failover/plan_lookup.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// proximity is how near one zone is to another, the nearest first.
+// proximity classifies how near one zone is to another. Smaller values are nearer.
 type proximity int
 
 const (
 	sameZone proximity = iota
 	sameRegion
 	otherRegion
-	proximities // how many there are
+	proximities // number of the values above
 )
 
-// zoneIndex is the place of a zone in Zones; -1: the plan doesn't know it.
+// zoneIndex returns the index of a zone in Zones, or -1 if the zone is not in the plan.
 func (p *Plan) zoneIndex(name string) int {
 	return slices.IndexFunc(p.Zones, func(zone Zone) bool { return zone.Name == name })
 }
 
-// StatedCapacity is the capacity that a plan states for a zone; 0: the plan doesn't know it.
+// StatedCapacity returns the capacity that a plan states for a zone, or 0 if the zone is not in the plan.
 func (p *Plan) StatedCapacity(zone string) float64 {
-	if place := p.zoneIndex(zone); place >= 0 {
-		return float64(p.Zones[place].Capacity)
+	if index := p.zoneIndex(zone); index >= 0 {
+		return float64(p.Zones[index].Capacity)
 	}
 	return 0
 }
 
-// grantedLoad is the grant from one zone to another.
+// grantedLoad returns the load that the nodes of the zone from are granted in the zone to.
 func (p *Plan) grantedLoad(from, to int) float64 {
 	for _, grant := range p.Grants {
 		if grant.From == from && grant.To == to {
@@ -38,7 +38,7 @@
 	return 0
 }
 
-// grantedLoadByName is the grant from one zone to another; 0 where the plan doesn't know them.
+// grantedLoadByName is grantedLoad for zones given by name. It returns 0 if one of them is not in the plan.
 func (p *Plan) grantedLoadByName(fromZone, toZone string) float64 {
 	from := p.zoneIndex(fromZone)
 	to := p.zoneIndex(toZone)
@@ -48,7 +48,7 @@
 	return p.grantedLoad(from, to)
 }
 
-// regionFraction is the part of a grant that is for classes that must stay in their region.
+// regionFraction returns the fraction of a grant that is reserved for classes that must stay in their region.
 func (p *Plan) regionFraction(from, to int) float64 {
 	for _, grant := range p.Grants {
 		if grant.From == from && grant.To == to && grant.Load > 0 {
@@ -58,14 +58,15 @@
 	return 0
 }
 
-// nodeLoad is what one node of a zone may have in a zone. lost says that the node is out of the common view.
+// nodeLoad returns the load that one node of the zone from may have in the zone to. lost tells whether the plan lists
+// the node as lost.
 func (p *Plan) nodeLoad(from, to int, lost bool) float64 {
-	return p.Zones[from].nodePart(p.grantedLoad(from, to), from == to, lost)
+	return p.Zones[from].nodeShare(p.grantedLoad(from, to), from == to, lost)
 }
 
-// nodePart is one node's part of a grant to its zone. A node that is out of the common view counts with all that are
-// listed, in its own zone: it may be there after all, and needs something to serve its clients by.
-func (z *Zone) nodePart(grant float64, ownZone, lost bool) float64 {
+// nodeShare returns one node's share of a grant to its zone. A lost node gets an equal share among all listed nodes,
+// and only in its own zone: it may still be running, and needs some capacity to serve its clients.
+func (z *Zone) nodeShare(grant float64, ownZone, lost bool) float64 {
 	switch {
 	case !lost && z.Nodes > 0:
 		return grant / float64(z.Nodes)
@@ -75,7 +76,7 @@
 	return 0
 }
 
-// proximity is how near a zone is to a node's own one.
+// proximity returns how near a zone is to a node's own zone.
 func (p *Plan) proximity(own, zone int) proximity {
 	switch {
 	case zone == own:
@@ -86,8 +87,8 @@
 	return otherRegion
 }
 
-// byPreference is all zones in the order in which a zone's nodes use them: itself, its region, then the others, of
-// which those with the larger grant come first.
+// byPreference returns all zones in the order in which a zone's nodes use them: their own zone, the other zones of its
+// region, then all others. Zones of equal proximity are ordered by their grant, the largest first.
 func (p *Plan) byPreference(own int) []int {
 	zones := make([]int, len(p.Zones))
 	for zone := range zones {
@@ -102,7 +103,7 @@
 	return zones
 }
 
-// byProximity is all zones, in groups of equal nearness to one of them.
+// byProximity returns all zones, grouped by their proximity to the zone own.
 func (p *Plan) byProximity(own int) (groups [proximities][]int) {
 	for zone := range p.Zones {
 		group := p.proximity(own, zone)
--- a/internal/failover/planner.go
+++ b/internal/failover/planner.go
@@ -10,49 +10,50 @@
 	"spurwinch/internal/policy"
 )
 
-// Class is what a plan knows of a class of requests.
+// Class holds the rules of planning for a class of requests.
 type Class struct {
 	Name         string
 	Priority     float64
 	StayInRegion bool
 }
 
-// Rules are the operators' part of a plan.
+// Rules are the settings of operators for planning.
 type Rules struct {
-	UtilizationLimit float64       // part of a server's capacity that is planned for
-	GrantLifetime    time.Duration // for which a grant into another zone is valid without contact to a leader
-	RecoveryDelay    time.Duration // for which a lost zone's servers must answer before it recovers
-	RecoveryRamp     float64       // part of a returning zone's capacity that is given back each second
+	UtilizationLimit float64       // fraction of a server's capacity that plans use
+	GrantLifetime    time.Duration // how long a grant into another zone is valid without contact to a leader
+	RecoveryDelay    time.Duration // how long a lost zone's servers must answer before the zone recovers
+	RecoveryRamp     float64       // fraction of a returning zone's capacity by which plans use more each second
 	Classes          []Class
 	// RegionDistance is the path cost between two regions, in addition to sameRegionCost, the cost between two zones of
 	// one region.
 	RegionDistance func(a, b string) float64
 }
 
-// Planner makes plans, at the leader of the fleet. It exists as long as this node leads, and is owned by the agent.
-// What plans that it never knew may have granted is in EarlierLoads and EarlierReserves of the next plan that it knows.
+// Planner makes the plans at the leader of the fleet. The agent owns it, and keeps it as long as this node leads. A
+// Planner need not know all plans that may be in use: EarlierLoads and EarlierReserves of the next plan that it knows
+// state what the unknown plans before it may have granted.
 type Planner struct {
 	list   *membership.List
 	zones  []string
 	rules  Rules
 	orders OperatorOrders
 
-	cut        *membership.CutDetector // the common view of which nodes are live
-	zoneStates map[string]*zoneState
-	paths      map[path]*pathStats
-	adoptions  adoptions
-	known      []VersionedPlan // plans that may be in use, oldest first
+	cutDetector *membership.CutDetector // the common view of which nodes are live
+	zoneStates  map[string]*zoneState
+	paths       map[path]*pathStats
+	adoptions   adoptions
+	knownPlans  []VersionedPlan // plans that may be in use, oldest first
 
 	startedAt  time.Duration
-	proposedAt time.Duration // of the newest proposal; 0: none is undecided
-	plannedAt  time.Duration // of the newest proposal, decided or not
+	proposedAt time.Duration // when the undecided proposal was made; 0: no proposal is undecided
+	plannedAt  time.Duration // when the newest proposal was made, decided or not
 
 	suspectUntil time.Duration
-	suspect      bool // all zones looked lost a short while ago: the evidence is taken for wrong, and not the zones
-	constrained  bool // the newest plan grants less than it should, because of older ones in use
+	suspect      bool // all zones looked lost within suspicionDuration, so the planner distrusts the evidence
+	constrained  bool // the newest plan grants less than its targets because older plans are still in use
 }
 
-// NewPlanner begins to lead, with the plans that this node has seen.
+// NewPlanner returns the planner of a new leader, which knows the plans in its node's history.
 func NewPlanner(list *membership.List, rules Rules, history PlanHistory, now time.Duration) *Planner {
 	planner := &Planner{
 		list:       list,
@@ -61,7 +62,7 @@
 		zoneStates: map[string]*zoneState{},
 		paths:      map[path]*pathStats{},
 		adoptions:  newAdoptions(list.Len()),
-		known:      slices.Clone(history.Plans),
+		knownPlans: slices.Clone(history.Plans),
 		startedAt:  now,
 		plannedAt:  now,
 	}
@@ -73,17 +74,18 @@
 	if newest != nil {
 		lostNodes = newest.LostNodes
 	}
-	planner.cut = membership.NewCutDetector(list, lostNodes, now)
+	planner.cutDetector = membership.NewCutDetector(list, lostNodes, now)
 	return planner
 }
 
-// CutDetector is the common view of which nodes are live.
-func (p *Planner) CutDetector() *membership.CutDetector { return p.cut }
+// CutDetector returns the detector of lost nodes, which keeps the common view of which nodes are live.
+func (p *Planner) CutDetector() *membership.CutDetector { return p.cutDetector }
 
-// ApplyOrders replaces the operators' orders by those that were committed to the log.
+// ApplyOrders replaces the operators' orders with newly committed ones.
 func (p *Planner) ApplyOrders(orders OperatorOrders) { p.orders = orders }
 
-// Step makes a plan where one is wanted; nil: the newest will do. It is to be called four times a second.
+// Step returns a new plan to propose, or nil while the newest plan needs no replacement. The caller calls it once per
+// StepInterval.
 func (p *Planner) Step(now time.Duration) *Plan {
 	reasons := p.observeChanges(now)
 	if !p.mayPlan(now, len(reasons) > 0) {
@@ -93,8 +95,8 @@
 	if next == nil || !p.shouldPropose(next, now) {
 		return nil
 	}
-	if count := len(p.known); count > 0 {
-		next.Previous = p.known[count-1].Number
+	if count := len(p.knownPlans); count > 0 {
+		next.Previous = p.knownPlans[count-1].Number
 	}
 	next.Reason = joinReasons(reasons)
 	p.proposedAt = now
@@ -102,11 +104,11 @@
 	return next
 }
 
-// observeChanges updates the view of the nodes and the zones' states, and returns the changes, for which a new plan is
-// made without delay.
+// observeChanges updates the view of live nodes and the states of the zones. It returns the changes, which allow a new
+// plan before planInterval has passed.
 func (p *Planner) observeChanges(now time.Duration) (reasons []string) {
-	if p.cut.Step(now) {
-		reasons = append(reasons, fmt.Sprintf("%d nodes are out of the view", len(p.cut.Lost())))
+	if p.cutDetector.Step(now) {
+		reasons = append(reasons, fmt.Sprintf("%d nodes are out of the view", len(p.cutDetector.Lost())))
 	}
 	if p.allLookLost(now) {
 		p.suspectUntil = now + suspicionDuration
@@ -122,8 +124,8 @@
 	return reasons
 }
 
-// mayPlan reports whether it is time for a plan: a change of the view or of a zone's state doesn't wait for
-// planInterval. There is no new plan while a proposal is undecided, nor within planInterval after the planner's start.
+// mayPlan reports whether the planner may make a plan now. A change of the view or of a zone's state doesn't wait for
+// planInterval. The planner makes no plan while a proposal is undecided, nor within planInterval after its start.
 func (p *Planner) mayPlan(now time.Duration, hasChanges bool) bool {
 	switch {
 	case now-p.startedAt < planInterval:
@@ -134,7 +136,7 @@
 	return hasChanges || now-p.plannedAt >= planInterval
 }
 
-// shouldPropose reports whether a plan differs enough from the newest one.
+// shouldPropose reports whether a plan differs enough from the newest one to be proposed now.
 func (p *Planner) shouldPropose(next *Plan, now time.Duration) bool {
 	newest := p.newestPlan()
 	if newest == nil {
@@ -144,13 +146,13 @@
 	case unchanged:
 		return false
 	case changed:
-		return p.constrained || now-p.plannedAt >= calmPlanInterval
+		return p.constrained || now-p.plannedAt >= minorChangeInterval
 	case urgent:
 	}
 	return true
 }
 
-// joinReasons is the text of a plan's Reason.
+// joinReasons returns the text for Plan.Reason. The result is cut to maxReason bytes.
 func joinReasons(reasons []string) string {
 	if len(reasons) == 0 {
 		return "demand and room"
--- a/internal/failover/reserves.go
+++ b/internal/failover/reserves.go
@@ -7,71 +7,72 @@
 	"time"
 )
 
-// chooseLeaseOwner is the node that leases a zone's reserve out: the same as before while it is live; noLeaseOwner
-// where the zone has no live node.
+// chooseLeaseOwner returns the node that leases out a zone's reserve. The owner remains the same while it is live. The
+// result is noLeaseOwner if the zone has no live node.
 func (p *Planner) chooseLeaseOwner(zone string) int {
 	live := slices.Clone(p.list.InZone(zone))
-	live = slices.DeleteFunc(live, func(node int) bool { return !p.cut.IsLive(node) })
+	live = slices.DeleteFunc(live, func(node int) bool { return !p.cutDetector.IsLive(node) })
 	if len(live) == 0 {
 		return noLeaseOwner
 	}
 	if newest := p.newestPlan(); newest != nil {
-		place := newest.zoneIndex(zone)
-		if place >= 0 && slices.Contains(live, newest.Zones[place].LeaseOwner) {
-			return newest.Zones[place].LeaseOwner
+		index := newest.zoneIndex(zone)
+		if index >= 0 && slices.Contains(live, newest.Zones[index].LeaseOwner) {
+			return newest.Zones[index].LeaseOwner
 		}
 	}
 	return slices.MinFunc(live, func(a, b int) int { return cmp.Compare(p.list.Key(a, a), p.list.Key(b, b)) })
 }
 
-// reservesInUse is the most that each lease owner may have leased out of a zone's capacity by plans that may still be
-// in use, and the sum of that.
+// reservesInUse returns the most load that each lease owner may have leased out of a zone's capacity by plans that may
+// still be in use, and the sum over all owners.
 func (p *Planner) reservesInUse(zone string, now time.Duration) (byOwner map[int]float64, total float64) {
 	byOwner = map[int]float64{}
-	for place := range p.known {
-		if !p.followsKnown(place) {
-			p.addUnknownReserves(byOwner, place, zone, now)
+	for planIndex := range p.knownPlans {
+		if !p.previousPlanKnown(planIndex) {
+			p.addEarlierReserves(byOwner, planIndex, zone, now)
 		}
-		p.addReserve(byOwner, place, zone, now)
+		p.addReserve(byOwner, planIndex, zone, now)
 	}
-	for _, owner := range slices.Sorted(maps.Keys(byOwner)) { // sums of floats are alike in one order only
+	for _, owner := range slices.Sorted(maps.Keys(byOwner)) { // a fixed order, since the sum of floats depends on it
 		total += byOwner[owner]
 	}
 	return byOwner, total
 }
 
-// addUnknownReserves adds what owners may have leased out by plans that this planner never knew, which is in
-// EarlierReserves of the next plan that it knows.
-func (p *Planner) addUnknownReserves(byOwner map[int]float64, place int, zone string, now time.Duration) {
-	known := &p.known[place]
+// addEarlierReserves adds the load that owners may have leased out by plans unknown to this planner. EarlierReserves of
+// the next known plan states it.
+func (p *Planner) addEarlierReserves(byOwner map[int]float64, planIndex int, zone string, now time.Duration) {
+	known := &p.knownPlans[planIndex]
 	if now-known.From > p.crossZonePeriod()+leaseSettlePeriod {
 		return
 	}
 	for _, reserve := range known.Plan.EarlierReserves {
-		if known.Plan.Zones[reserve.Zone].Name == zone && !p.hasSettledOn(reserve.Owner, known.Number, now) {
+		if known.Plan.Zones[reserve.Zone].Name == zone && !p.olderLeasesEnded(reserve.Owner, known.Number, now) {
 			byOwner[reserve.Owner] = max(byOwner[reserve.Owner], float64(reserve.Load))
 		}
 	}
 }
 
-// addReserve adds what the owner by a known plan may have leased out.
-func (p *Planner) addReserve(byOwner map[int]float64, place int, zone string, now time.Duration) {
-	known := &p.known[place]
-	index := known.Plan.zoneIndex(zone)
-	if index < 0 || !known.Plan.Zones[index].hasLeases() {
+// addReserve adds the load that the lease owner named in a known plan may have leased out.
+func (p *Planner) addReserve(byOwner map[int]float64, planIndex int, zone string, now time.Duration) {
+	known := &p.knownPlans[planIndex]
+	zoneIndex := known.Plan.zoneIndex(zone)
+	if zoneIndex < 0 || !known.Plan.Zones[zoneIndex].hasLeases() {
 		return
 	}
-	superseded := place+1 < len(p.known) && now-p.known[place+1].From > p.crossZonePeriod()+leaseSettlePeriod
-	owner := known.Plan.Zones[index].LeaseOwner
-	if superseded || p.hasSettledOn(owner, known.Number+1, now) {
+	superseded := planIndex+1 < len(p.knownPlans) &&
+		now-p.knownPlans[planIndex+1].From > p.crossZonePeriod()+leaseSettlePeriod
+	owner := known.Plan.Zones[zoneIndex].LeaseOwner
+	if superseded || p.olderLeasesEnded(owner, known.Number+1, now) {
 		return
 	}
-	byOwner[owner] = max(byOwner[owner], float64(known.Plan.Zones[index].Reserve))
+	byOwner[owner] = max(byOwner[owner], float64(known.Plan.Zones[zoneIndex].Reserve))
 }
 
-// hasSettledOn reports whether a lease owner adopted a plan of that number or a newer one so long ago that its leases
-// by older plans have ended.
-func (p *Planner) hasSettledOn(owner int, number uint64, now time.Duration) bool {
-	adopted, ok := p.adoptions.since(owner, number)
+// olderLeasesEnded reports whether a lease owner adopted a plan of that number or a newer one so long ago that its
+// leases by older plans have ended.
+func (p *Planner) olderLeasesEnded(owner int, number uint64, now time.Duration) bool {
+	adopted, ok := p.adoptions.firstReportOf(owner, number)
 	return ok && now-adopted > leaseSettlePeriod
 }
--- a/internal/failover/schedule_test.go
+++ b/internal/failover/schedule_test.go
@@ -16,7 +16,7 @@
 
 // schedule plays a fleet of four zones in two regions. Clients want what is set; all nodes but the unreachable ones
 // report evidence and go by the newest plan.
-type schedule struct {
+type testFleet struct {
 	t       *testing.T
 	list    *membership.List
 	rules   Rules
@@ -33,7 +33,7 @@
 	rejecting  bool                 // clients are rejected
 }
 
-func newSchedule(t *testing.T) *schedule {
+func newTestFleet(t *testing.T) *testFleet {
 	t.Helper()
 	regions := map[string]string{"a": "r", "b": "r", "c": "s", "d": "s"}
 	var nodes []membership.Node
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	play := &schedule{
+	fleet := &testFleet{
 		t:    t,
 		list: list,
 		now:  time.Hour,
@@ -63,27 +63,27 @@
 		failing:    map[string]bool{},
 		unreported: map[string]bool{},
 	}
-	play.planner = NewPlanner(list, play.rules, PlanHistory{}, play.now)
-	return play
+	fleet.planner = NewPlanner(list, fleet.rules, PlanHistory{}, fleet.now)
+	return fleet
 }
 
 // evidence is what one node of a zone reports.
-func (s *schedule) evidence(node int) EvidenceSummary {
-	zone := s.list.Node(node).Zone
-	nodes := float64(len(s.list.InZone(zone)))
+func (f *testFleet) evidence(node int) EvidenceSummary {
+	zone := f.list.Node(node).Zone
+	nodes := float64(len(f.list.InZone(zone)))
 	observed := choice.Observations{Classes: make([]choice.ClassObservations, 2)}
 	for class := range observed.Classes {
-		observed.Classes[class].Arrived = float64(s.loads[zone][class]) / nodes / 4
-		if s.rejecting {
+		observed.Classes[class].Arrived = float64(f.loads[zone][class]) / nodes / 4
+		if f.rejecting {
 			observed.Classes[class].Rejected = 0.25
 		}
 	}
-	for _, other := range s.list.Zones() {
-		observed.Zones = append(observed.Zones, s.observedZone(zone, other, nodes))
+	for _, other := range f.list.Zones() {
+		observed.Zones = append(observed.Zones, f.observedZone(zone, other, nodes))
 	}
-	status := NodeStatus{Node: node, Plan: s.number}
-	for _, silent := range s.silent {
-		if slices.Contains(s.list.Watchers(silent), node) {
+	status := NodeStatus{Node: node, Plan: f.number}
+	for _, silent := range f.silent {
+		if slices.Contains(f.list.Watchers(silent), node) {
 			status.Unreachable = append(status.Unreachable, silent)
 		}
 	}
@@ -91,20 +91,20 @@
 }
 
 // observedZone is what one of a zone's nodes observes of another zone, or its own.
-func (s *schedule) observedZone(zone, other string, nodes float64) choice.ZoneObservations {
+func (f *testFleet) observedZone(zone, other string, nodes float64) choice.ZoneObservations {
 	observed := choice.ZoneObservations{
 		Zone:     other,
 		Ready:    4,
 		Capacity: 3.9,
-		Load:     float64(s.loads[other][0]+s.loads[other][1]) / 25,
+		Load:     float64(f.loads[other][0]+f.loads[other][1]) / 25,
 		Cost:     0.04,
 		OwnLoad:  []float64{0, 0},
 		Attempts: 6,
 	}
-	if other == zone && !s.failing[zone] {
-		observed.OwnLoad = []float64{float64(s.loads[zone][0]) / nodes, float64(s.loads[zone][1]) / nodes}
+	if other == zone && !f.failing[zone] {
+		observed.OwnLoad = []float64{float64(f.loads[zone][0]) / nodes, float64(f.loads[zone][1]) / nodes}
 	}
-	if s.failing[other] {
+	if f.failing[other] {
 		observed.Ejected = 4
 		observed.Failed = 6
 		observed.Load = 0.1
@@ -113,81 +113,81 @@
 }
 
 // run plays for a time, and writes down the plans that are made.
-func (s *schedule) run(length time.Duration) {
-	s.t.Helper()
-	for end := s.now + length; s.now < end; {
-		s.now += 250 * time.Millisecond
-		for _, zone := range s.list.Zones() {
-			s.report(zone)
+func (f *testFleet) run(length time.Duration) {
+	f.t.Helper()
+	for end := f.now + length; f.now < end; {
+		f.now += 250 * time.Millisecond
+		for _, zone := range f.list.Zones() {
+			f.report(zone)
 		}
-		next := s.planner.Step(s.now)
+		next := f.planner.Step(f.now)
 		if next == nil {
 			continue
 		}
 		encoded := next.Encode()
 		decoded, err := DecodePlan(encoded)
 		if err != nil {
-			s.t.Fatal(err)
+			f.t.Fatal(err)
 		}
-		s.number++
-		s.newest = decoded
-		s.planner.ApplyPlan(s.number, decoded, s.now)
-		fmt.Fprintf(&s.text, "%v plan %d: %s: %x\n", s.now, s.number, next.Reason, sha256.Sum256(encoded))
+		f.number++
+		f.newest = decoded
+		f.planner.ApplyPlan(f.number, decoded, f.now)
+		fmt.Fprintf(&f.text, "%v plan %d: %s: %x\n", f.now, f.number, next.Reason, sha256.Sum256(encoded))
 	}
 }
 
 // report has a zone's nodes report their evidence.
-func (s *schedule) report(zone string) {
-	if s.unreported[zone] {
+func (f *testFleet) report(zone string) {
+	if f.unreported[zone] {
 		return
 	}
 	sum := EvidenceSummary{Zone: zone}
-	for _, node := range s.list.InZone(zone) {
-		if !slices.Contains(s.silent, node) {
-			sum.Add(s.evidence(node))
+	for _, node := range f.list.InZone(zone) {
+		if !slices.Contains(f.silent, node) {
+			sum.Add(f.evidence(node))
 		}
 	}
-	s.planner.Observe(s.list.InZone(zone)[0], sum, false, s.now)
+	f.planner.Observe(f.list.InZone(zone)[0], sum, false, f.now)
 }
 
 // note writes down what is known, and what each node makes of the newest plan.
-func (s *schedule) note(heading string) {
-	fmt.Fprintf(&s.text, "-- %s, at %v\n", heading, s.now)
-	for _, zone := range s.list.Zones() {
-		for _, line := range s.planner.Explain(zone, s.now) {
-			fmt.Fprintln(&s.text, line)
+func (f *testFleet) record(heading string) {
+	fmt.Fprintf(&f.text, "-- %s, at %v\n", heading, f.now)
+	for _, zone := range f.list.Zones() {
+		for _, line := range f.planner.Explain(zone, f.now) {
+			fmt.Fprintln(&f.text, line)
 		}
 	}
-	for node := range s.list.Len() {
-		view := s.planner.NodeView(node, s.now)
-		fmt.Fprintf(&s.text, "%s: live %v, plan %d, heard %.6g s ago\n",
-			s.list.Node(node).Name, view.Live, view.Plan, view.LastReportSecondsAgo)
+	for node := range f.list.Len() {
+		view := f.planner.NodeView(node, f.now)
+		fmt.Fprintf(&f.text, "%s: live %v, plan %d, heard %.6g s ago\n",
+			f.list.Node(node).Name, view.Live, view.Plan, view.LastReportSecondsAgo)
 		for _, mode := range []Mode{Standalone, Planned, OwnZoneOnly} {
-			s.noteZonePlan(node, mode)
+			f.recordZonePlan(node, mode)
 		}
-		s.noteLeaseDemand(node)
+		f.recordLeaseDemand(node)
 	}
 }
 
-func (s *schedule) noteZonePlan(node int, mode Mode) {
-	zone := s.list.Node(node).Zone
-	fmt.Fprintf(&s.text, " %v: parts", mode)
-	shares := GrantShare(mode, s.newest, node, zone)
+func (f *testFleet) recordZonePlan(node int, mode Mode) {
+	zone := f.list.Node(node).Zone
+	fmt.Fprintf(&f.text, " %v: parts", mode)
+	shares := GrantShare(mode, f.newest, node, zone)
 	for _, name := range slices.Sorted(maps.Keys(shares)) {
-		fmt.Fprintf(&s.text, " %s %.6g", name, shares[name])
+		fmt.Fprintf(&f.text, " %s %.6g", name, shares[name])
 	}
 	leased := LeasedCapacity{ByZone: map[string]float64{"b": 1.25}, InRegionOnly: 0.75}
-	plan := ZonePlanFor(mode, s.newest, node, zone, []string{"presence", "chat"}, time.Second, leased)
-	fmt.Fprintf(&s.text, "; use of %d nodes, again after %v, admit %.6g:",
+	plan := ZonePlanFor(mode, f.newest, node, zone, []string{"presence", "chat"}, time.Second, leased)
+	fmt.Fprintf(&f.text, "; use of %d nodes, again after %v, admit %.6g:",
 		plan.Nodes, plan.RetryAfter, plan.AdmitFraction)
 	for _, grant := range plan.Grants {
-		fmt.Fprintf(&s.text, " %s %.6g but %d", grant.Zone, grant.Load, grant.ExcludedClasses)
+		fmt.Fprintf(&f.text, " %s %.6g but %d", grant.Zone, grant.Load, grant.ExcludedClasses)
 	}
-	fmt.Fprintln(&s.text)
+	fmt.Fprintln(&f.text)
 }
 
-func (s *schedule) noteLeaseDemand(node int) {
-	zone := s.list.Node(node).Zone
+func (f *testFleet) recordLeaseDemand(node int) {
+	zone := f.list.Node(node).Zone
 	observed := choice.Observations{
 		Zones:   []choice.ZoneObservations{{Zone: zone, Ready: 4, OwnLoad: []float64{20, 3}}},
 		Classes: []choice.ClassObservations{{Arrived: 2, Rejected: 1}, {Arrived: 1}},
@@ -196,9 +196,9 @@
 	exhausted := map[string]bool{"a": true}
 	for _, ejected := range []int{0, 4} {
 		observed.Zones[0].Ejected = ejected
-		requests := LeaseDemand(Planned, s.newest, node, zone, observed, 100*time.Millisecond, 31, leased, exhausted)
+		requests := LeaseDemand(Planned, f.newest, node, zone, observed, 100*time.Millisecond, 31, leased, exhausted)
 		for _, name := range slices.Sorted(maps.Keys(requests)) {
-			fmt.Fprintf(&s.text, " %d hosts out: asks %s for %.6g\n", ejected, name, requests[name])
+			fmt.Fprintf(&f.text, " %d hosts out: asks %s for %.6g\n", ejected, name, requests[name])
 		}
 	}
 }
@@ -212,40 +212,40 @@
 		t.Skip("the golden plans were made without fused multiply-add, which the compiler uses on other machines: " +
 			"their last bits differ there")
 	}
-	play := newSchedule(t)
-	play.run(10 * time.Second)
-	play.note("calm")
-	play.failing["a"] = true
-	play.run(12 * time.Second)
-	play.note("a fails")
-	delete(play.failing, "a")
-	play.run(90 * time.Second)
-	play.note("a is back")
-	play.planner.ApplyOrders(OperatorOrders{Drained: []string{"b"}})
-	play.run(8 * time.Second)
-	play.note("b is drained")
-	play.planner.ApplyOrders(OperatorOrders{})
-	play.run(20 * time.Second)
-	play.silent = []int{1}
-	play.run(8 * time.Second)
-	play.note("a node of a is out of the view")
-	history := PlanHistory{Plans: []VersionedPlan{{play.number, play.newest, play.now}}}
-	play.planner = NewPlanner(play.list, play.rules, history, play.now)
-	play.loads["a"] = []float32{70, 30}
-	play.loads["b"] = []float32{80, 10}
-	play.rejecting = true
-	play.run(10 * time.Second)
-	play.note("another planner, and more than the region has room for")
-	play.rejecting = false
-	play.unreported["d"] = true
-	play.run(10 * time.Second)
-	play.note("d is not heard")
-	for _, zone := range play.list.Zones() {
-		play.failing[zone] = true
+	fleet := newTestFleet(t)
+	fleet.run(10 * time.Second)
+	fleet.record("calm")
+	fleet.failing["a"] = true
+	fleet.run(12 * time.Second)
+	fleet.record("a fails")
+	delete(fleet.failing, "a")
+	fleet.run(90 * time.Second)
+	fleet.record("a is back")
+	fleet.planner.ApplyOrders(OperatorOrders{Drained: []string{"b"}})
+	fleet.run(8 * time.Second)
+	fleet.record("b is drained")
+	fleet.planner.ApplyOrders(OperatorOrders{})
+	fleet.run(20 * time.Second)
+	fleet.silent = []int{1}
+	fleet.run(8 * time.Second)
+	fleet.record("a node of a is out of the view")
+	history := PlanHistory{Plans: []VersionedPlan{{fleet.number, fleet.newest, fleet.now}}}
+	fleet.planner = NewPlanner(fleet.list, fleet.rules, history, fleet.now)
+	fleet.loads["a"] = []float32{70, 30}
+	fleet.loads["b"] = []float32{80, 10}
+	fleet.rejecting = true
+	fleet.run(10 * time.Second)
+	fleet.record("another planner, and more than the region has room for")
+	fleet.rejecting = false
+	fleet.unreported["d"] = true
+	fleet.run(10 * time.Second)
+	fleet.record("d is not heard")
+	for _, zone := range fleet.list.Zones() {
+		fleet.failing[zone] = true
 	}
-	play.run(30 * time.Second)
-	play.note("all fail")
-	golden(t, "schedule.txt", []byte(play.text.String()))
+	fleet.run(30 * time.Second)
+	fleet.record("all fail")
+	golden(t, "schedule.txt", []byte(fleet.text.String()))
 }
 
 // TestGoldenLeaseOwner holds what a lease owner grants to requests that grow, shrink and come too late.
--- a/internal/failover/zone_grants.go
+++ b/internal/failover/zone_grants.go
@@ -8,16 +8,16 @@
 // zoneGrants builds the grants of one zone's capacity, for a grantBuilder.
 type zoneGrants struct {
 	builder   *grantBuilder
-	to        int
-	order     []int           // zones that get grants: the zone itself first
-	grants    []float64       // by zone that gets it
+	to        int             // index of the zone
+	order     []int           // zones that get grants, the zone itself first
+	grants    []float64       // by zone that gets the grant
 	granted   float64         // sum of the grants
 	used      []float64       // by zone: the most that its nodes may have here by plans in use and the new grants
-	committed float64         // sum of used, and of what may be leased out
-	leased    map[int]float64 // by lease owner: what it may have leased out
+	committed float64         // sum of used, plus the load that may be leased out
+	leased    map[int]float64 // by lease owner: the load that it may have leased out
 }
 
-// newZoneGrants finds what plans in use have committed of a zone's capacity.
+// newZoneGrants returns a zoneGrants for a zone, with the part of its capacity that plans in use have committed.
 func (b *grantBuilder) newZoneGrants(zone int) *zoneGrants {
 	zones := len(b.planner.zones)
 	grants := &zoneGrants{
@@ -42,49 +42,49 @@
 	return grants
 }
 
-// zone is the zone's entry in the plan.
+// zone returns the zone's entry in the plan.
 func (g *zoneGrants) zone() *Zone { return &g.builder.plan.Zones[g.to] }
 
-// allocated is the load that was allocated to a zone here.
+// allocated returns the load of the zone from that is allocated to this zone.
 func (g *zoneGrants) allocated(from int) float64 { return g.builder.placed.between(from, g.to) }
 
-// target is the load that the zone from should be granted in this zone; the grant may be less while older plans are in
-// use.
+// target returns the load that the zone from should be granted in this zone. The grant may be less while older plans
+// are in use.
 func (g *zoneGrants) target(from int) float64 { return g.builder.targets[from][g.to] }
 
-// grant makes the grants: first what the demand needs, then the rest of the targets (headroom and standby), each time
-// the zone's own grant first.
+// grant makes the grants: first those that the demand needs, then the rest of the targets (headroom and standby). Both
+// passes begin with the zone's own grant.
 func (g *zoneGrants) grant() {
 	for _, from := range g.order {
 		g.raise(from, min(g.allocated(from), g.largestFitting(from)))
 	}
 	for _, from := range g.order {
 		load := min(g.target(from), g.largestFitting(from))
-		// The rest is bounded by the capacity that the new grants together leave free.
+		// The capacity that the other new grants leave free bounds the rest.
 		load = min(load, float64(g.capacityFor(from))-(g.granted-g.grants[from]))
 		g.raise(from, load)
 	}
 }
 
-// capacityFor is the part of the zone's capacity that one zone's nodes may have.
+// capacityFor returns the part of the zone's capacity that the nodes of the zone from may have.
 func (g *zoneGrants) capacityFor(from int) float32 {
 	zone := g.zone()
 	switch {
 	case from != g.to && zone.State == Lost:
 		return 0
-	case from == g.to && zone.Listed > zone.Nodes: // nodes out of the view may be there, with a part of their own
+	case from == g.to && zone.Listed > zone.Nodes: // lost nodes may still be running, with shares of their own
 		return zone.Capacity / (1 + float32(zone.Listed-zone.Nodes)/float32(zone.Listed))
 	}
 	return zone.Capacity
 }
 
-// largestFitting is the largest grant to a zone that fits beside all that is committed to others.
+// largestFitting returns the largest grant to the zone from that fits beside the load committed to other zones.
 func (g *zoneGrants) largestFitting(from int) float64 {
 	left := max(0, float64(g.capacityFor(from))-(g.committed-g.used[from]))
 	return g.builder.largestFitting(from, g.to, left)
 }
 
-// raise raises the grant to a zone, if the load is larger than it.
+// raise raises the grant to the zone from to the load, if the load is larger.
 func (g *zoneGrants) raise(from int, load float64) {
 	load = max(g.grants[from], load)
 	used := g.builder.committed(from, g.to, load)
@@ -94,20 +94,20 @@
 	g.used[from] = used
 }
 
-// shrinkToCapacity cuts grants where the zone's capacity has shrunk below what nodes have already, guests first. Nodes
-// out of the view may be there, with a part of their own.
+// shrinkToCapacity cuts the grants if the zone's capacity has shrunk below the load that nodes may have already. It
+// cuts the grants to other zones first. Lost nodes may still be running, with shares of their own.
 func (g *zoneGrants) shrinkToCapacity() {
 	zone := g.zone()
 	capacity := float64(zone.Capacity)
-	unseen := 1 + float64(zone.Listed-zone.Nodes)/float64(max(1, zone.Listed))
-	g.grants[g.to] = min(g.grants[g.to], capacity/unseen)
+	lostNodesFactor := 1 + float64(zone.Listed-zone.Nodes)/float64(max(1, zone.Listed))
+	g.grants[g.to] = min(g.grants[g.to], capacity/lostNodesFactor)
 	guests := 0.0
 	for from, load := range g.grants {
 		if from != g.to {
 			guests += load
 		}
 	}
-	if left := max(0, capacity-g.grants[g.to]*unseen); guests > left {
+	if left := max(0, capacity-g.grants[g.to]*lostNodesFactor); guests > left {
 		for from := range g.grants {
 			if from != g.to {
 				g.grants[from] *= left / guests
@@ -115,12 +115,13 @@
 		}
 		guests = left
 	}
-	g.granted = g.grants[g.to]*unseen + guests
+	g.granted = g.grants[g.to]*lostNodesFactor + guests
 }
 
-// setReserve sets what the zone's lease owner may lease out: the capacity that was set aside for it, or, if more, most
-// of what guests need and have no grant for yet, which becomes grants as older plans go out of use. It is bounded by
-// what the grants leave and by what plans in use have committed, without the owner's own leases by older plans.
+// setReserve sets the load that the zone's lease owner may lease out: the capacity that was set aside for leases or, if
+// that is more, most of the guest load that has no grant yet. The latter becomes grants as older plans go out of use.
+// The reserve is bounded by the capacity that the grants leave free, and by the capacity that plans in use have not
+// committed, not counting the owner's own leases by older plans.
 func (g *zoneGrants) setReserve() {
 	zone := g.zone()
 	if zone.LeaseOwner < 0 || zone.State != Healthy && zone.State != Returning {
@@ -149,8 +150,8 @@
 	return missing > constrainedFraction*float64(zone.Capacity)
 }
 
-// addTo adds the grants to a plan, with what lease owners may have leased out. reserveForRegion has a part of each
-// grant reserved for classes that must stay in their region.
+// addTo adds the grants to a plan, and the load that lease owners may have leased out. If reserveForRegion is set, it
+// reserves a part of each grant for classes that must stay in their region.
 func (g *zoneGrants) addTo(plan *Plan, reserveForRegion bool) {
 	for _, owner := range slices.Sorted(maps.Keys(g.leased)) {
 		reserve := CapacityReserve{Zone: g.to, Owner: owner, Load: float32(g.leased[owner])}
@@ -175,7 +176,8 @@
 	}
 }
 
-// regionLoad is the load allocated to a zone here of classes that must stay in their region.
+// regionLoad returns the load of the zone from that is allocated to this zone and is of classes that must stay in their
+// region.
 func (g *zoneGrants) regionLoad(from int) (load float64) {
 	for class, rule := range g.builder.planner.rules.Classes {
 		if rule.StayInRegion {
--- a/internal/failover/zone_plan.go
+++ b/internal/failover/zone_plan.go
@@ -8,39 +8,41 @@
 	"spurwinch/choice"
 )
 
-// Standard deviations of its own load that a node may have beyond its even part of a grant, where there is capacity:
-// clients come to a zone's nodes by chance.
+// Load that a node may have beyond its equal share of a grant, in standard deviations of that share: clients arrive at
+// a zone's nodes at random.
 const (
 	ownZoneDeviations   = 2.5
 	otherZoneDeviations = 1.5
 )
 
-// Mode is the state of a node with respect to plans.
+// Mode is how a node uses plans.
 type Mode uint8
 
 const (
-	// Standalone is the mode before any plan is known: the own zone, as the node itself sees it.
+	// Standalone is the mode before the node knows any plan. It uses its own zone only, based on its own view of the
+	// servers.
 	Standalone Mode = iota
-	// Planned is the mode in which a plan is in force, as far as this node can know.
+	// Planned is the mode in which the node uses a plan that is in force, as far as the node can know.
 	Planned
-	// OwnZoneOnly is the mode in which the contact to a leader was lost: of the plan only the node's share of its own
-	// zone is valid, which is granted to no other node.
+	// OwnZoneOnly is the mode in which the node has lost contact to the leader. Only its share of its own zone, which
+	// the plan grants to no other node, remains valid.
 	OwnZoneOnly
 )
 
 func (m Mode) String() string {
-	names := [...]string{"alone", "planned", "ground"} // as operators and logs know them
+	names := [...]string{"alone", "planned", "ground"} // names in logs and operators' output
 	return names[min(m, OwnZoneOnly)]
 }
 
-// LeasedCapacity is what a node has leased beyond the plan, and what it reserves for regional classes.
+// LeasedCapacity is the load that a node has leased beyond the plan, and the load that it reserves for regional
+// classes.
 type LeasedCapacity struct {
-	ByZone       map[string]float64 // load that the node has leased there
-	InRegionOnly float64            // load of regional classes that has no capacity in the own zone: reserved for them
+	ByZone       map[string]float64 // load that the node has leased in each zone
+	InRegionOnly float64            // reserved for load of regional classes without capacity in the node's own zone
 }
 
-// GrantShare is the load that a node of a zone may have in each zone by a plan, as planning counts it: without leases,
-// and without what ZonePlanFor adds for chance.
+// GrantShare returns the load that a node of a zone may have in each zone by a plan, as the planner counts it: without
+// leases, and without the margin that ZonePlanFor adds for random variation.
 func GrantShare(mode Mode, plan *Plan, node int, zone string) map[string]float64 {
 	shares := map[string]float64{}
 	own := plan.zoneIndex(zone)
@@ -57,123 +59,123 @@
 	return shares
 }
 
-// ZonePlanFor is the plan for the load balancer of a node. zone is the node's own and classes are its classes, by
-// their places there; retryAfter is the advice to clients that are rejected.
+// ZonePlanFor returns the plan for the load balancer of a node. zone is the node's own zone, and classes are the node's
+// classes in its own order, in which the result refers to them. retryAfter is the delay that rejected clients are told.
 func ZonePlanFor(
 	mode Mode, plan *Plan, node int, zone string, classes []string, retryAfter time.Duration, leased LeasedCapacity,
 ) choice.ZonePlan {
 	if mode == Standalone || plan == nil || plan.zoneIndex(zone) < 0 {
 		return choice.ZonePlan{Grants: []choice.Grant{{Zone: zone, Load: math.Inf(1)}}}
 	}
-	user := &planUser{
+	calculator := &grantCalculator{
 		mode:   mode,
 		plan:   plan,
 		own:    plan.zoneIndex(zone),
 		lost:   slices.Contains(plan.LostNodes, node),
 		leased: leased,
 	}
-	user.splitClasses(classes)
-	zonePlan := choice.ZonePlan{RetryAfter: retryAfter, Grants: user.grants()}
+	calculator.splitClasses(classes)
+	zonePlan := choice.ZonePlan{RetryAfter: retryAfter, Grants: calculator.grants()}
 	for i := range plan.Zones {
 		zonePlan.Nodes += plan.Zones[i].Nodes
 	}
-	if mode != OwnZoneOnly { // there the grants, which are less than the plan's capacity, bound what is admitted
-		zonePlan.AdmitFraction = user.admitFractions(classes)
+	if mode != OwnZoneOnly { // in that mode the grants, which are less than the plan's capacity, bound the admission
+		zonePlan.AdmitFraction = calculator.admitFractions(classes)
 	}
 	return zonePlan
 }
 
-// planUser computes one node's grants from a plan.
-type planUser struct {
+// grantCalculator computes one node's grants from a plan.
+type grantCalculator struct {
 	mode         Mode
 	plan         *Plan
-	own          int  // place of its zone
-	lost         bool // it is out of the common view
+	own          int  // index of the node's zone in the plan
+	lost         bool // whether the plan lists the node as lost
 	leased       LeasedCapacity
-	regional     []int // its classes that must stay in the region
-	otherClasses []int // its other classes
+	regional     []int // the node's classes that must stay in the region
+	otherClasses []int // the node's other classes
 }
 
-func (u *planUser) splitClasses(classes []string) {
+func (c *grantCalculator) splitClasses(classes []string) {
 	for i, class := range classes {
-		if known := slices.Index(u.plan.Classes, class); known >= 0 && u.plan.StayInRegion[known] {
-			u.regional = append(u.regional, i)
+		if known := slices.Index(c.plan.Classes, class); known >= 0 && c.plan.StayInRegion[known] {
+			c.regional = append(c.regional, i)
 		} else {
-			u.otherClasses = append(u.otherClasses, i)
+			c.otherClasses = append(c.otherClasses, i)
 		}
 	}
 }
 
-// grants are what the node may have in each zone, the nearest first.
-func (u *planUser) grants() (grants []choice.Grant) {
-	regionLoad := u.regionLoad()
-	for _, to := range u.plan.byPreference(u.own) {
-		zone := &u.plan.Zones[to]
-		load := u.load(to)
-		regionFraction := u.plan.regionFraction(u.own, to)
+// grants returns the node's grants in all zones, the nearest zone first.
+func (c *grantCalculator) grants() (grants []choice.Grant) {
+	regionLoad := c.regionLoad()
+	for _, to := range c.plan.byPreference(c.own) {
+		zone := &c.plan.Zones[to]
+		load := c.load(to)
+		regionFraction := c.plan.regionFraction(c.own, to)
 		switch {
-		case to == u.own:
+		case to == c.own:
 			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load})
 		case load <= 0:
-		case u.plan.proximity(u.own, to) == otherRegion:
-			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load, ExcludedClasses: u.regional})
-		case regionFraction == 0 && u.leased.InRegionOnly == 0:
+		case c.plan.proximity(c.own, to) == otherRegion:
+			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load, ExcludedClasses: c.regional})
+		case regionFraction == 0 && c.leased.InRegionOnly == 0:
 			grants = append(grants, choice.Grant{Zone: zone.Name, Load: load})
 		default:
-			regionFraction = max(regionFraction, min(1, u.leased.InRegionOnly/regionLoad))
+			regionFraction = max(regionFraction, min(1, c.leased.InRegionOnly/regionLoad))
 			grants = append(grants,
-				choice.Grant{Zone: zone.Name, Load: load * (1 - regionFraction), ExcludedClasses: u.regional},
-				choice.Grant{Zone: zone.Name, Load: load * regionFraction, ExcludedClasses: u.otherClasses})
+				choice.Grant{Zone: zone.Name, Load: load * (1 - regionFraction), ExcludedClasses: c.regional},
+				choice.Grant{Zone: zone.Name, Load: load * regionFraction, ExcludedClasses: c.otherClasses})
 		}
 	}
 	return grants
 }
 
-// regionLoad is what the node may have in the other zones of its region.
-func (u *planUser) regionLoad() (load float64) {
-	for to := range u.plan.Zones {
-		if u.plan.proximity(u.own, to) == sameRegion {
-			load += u.load(to)
+// regionLoad returns the load that the node may have in the other zones of its region.
+func (c *grantCalculator) regionLoad() (load float64) {
+	for to := range c.plan.Zones {
+		if c.plan.proximity(c.own, to) == sameRegion {
+			load += c.load(to)
 		}
 	}
 	return load
 }
 
-// load is what the node may have in a zone, with what it has leased there.
-func (u *planUser) load(to int) float64 {
-	leased := u.leased.ByZone[u.plan.Zones[to].Name]
+// load returns the load that the node may have in a zone, leases included.
+func (c *grantCalculator) load(to int) float64 {
+	leased := c.leased.ByZone[c.plan.Zones[to].Name]
 	switch {
-	case to == u.own:
-		return u.ownLoad() + leased
-	case u.mode == OwnZoneOnly:
+	case to == c.own:
+		return c.ownLoad() + leased
+	case c.mode == OwnZoneOnly:
 		return leased
 	}
-	share := u.plan.nodeLoad(u.own, to, u.lost)
+	share := c.plan.nodeLoad(c.own, to, c.lost)
 	return share + otherZoneDeviations*math.Sqrt(share) + leased
 }
 
-// ownLoad is what the node may have in its own zone by the plan. It is more than its even part: all nodes together have
-// it only when more is wanted than was estimated. Then the servers' load reports, without which no balancer places
-// anything, protect the last part of their capacity.
-func (u *planUser) ownLoad() float64 {
-	zone := &u.plan.Zones[u.own]
-	load := u.plan.nodeLoad(u.own, u.own, u.lost)
+// ownLoad returns the load that the node may have in its own zone by the plan. It exceeds an equal share of the grant:
+// all nodes together reach it only if the demand is larger than estimated. In that case the servers' load reports,
+// without which no load balancer places requests, protect the last part of their capacity.
+func (c *grantCalculator) ownLoad() float64 {
+	zone := &c.plan.Zones[c.own]
+	load := c.plan.nodeLoad(c.own, c.own, c.lost)
 	if zone.State == Lost {
 		return load
 	}
 	load += ownZoneDeviations * math.Sqrt(load+1)
-	if zone.GuestLoad == 0 && zone.Nodes > 0 { // nobody else needs its capacity now: it may grow without a plan
+	if zone.GuestLoad == 0 && zone.Nodes > 0 { // no guest needs the capacity now: the load may grow without a new plan
 		load = max(load, float64(zone.Capacity)/float64(zone.Nodes))
 	}
 	return load
 }
 
-// admitFractions is, by the node's classes, which part of the arrivals is admitted.
-func (u *planUser) admitFractions(classes []string) (fractions []float64) {
+// admitFractions returns the fraction of the arrivals to admit for each of the node's classes.
+func (c *grantCalculator) admitFractions(classes []string) (fractions []float64) {
 	for _, class := range classes {
 		fraction := 1.0
-		if known := slices.Index(u.plan.Classes, class); known >= 0 {
-			fraction = float64(u.plan.AdmitFractions[u.own][known]) / fullAdmission
+		if known := slices.Index(c.plan.Classes, class); known >= 0 {
+			fraction = float64(c.plan.AdmitFractions[c.own][known]) / fullAdmission
 		}
 		fractions = append(fractions, fraction)
 	}
--- a/internal/failover/zone_state.go
+++ b/internal/failover/zone_state.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// zoneState is what the planner knows of a zone.
+// zoneState is what the planner knows about a zone.
 type zoneState struct {
 	zoneLifecycle
 	capacity capacityEstimate
@@ -14,27 +14,27 @@
 	report   zoneReport
 }
 
-// zoneLifecycle is a zone's state and what its next transition depends on.
+// zoneLifecycle holds a zone's state and the values on which its next transition depends.
 type zoneLifecycle struct {
 	state        State
-	since        time.Duration // in this state
-	healthySince time.Duration // while lost: its servers answer since then; 0: they don't
+	since        time.Duration // when it entered this state
+	healthySince time.Duration // since when its servers answer, while it is Lost; 0: they don't answer
 	returnedAt   time.Duration // when its last recovery began; 0: never
-	flaps        int           // losses in a row within flapPeriod of a recovery; operators see it in the plan
-	ramp         float64       // fraction of its capacity that is in use again, while it is Returning
+	flaps        int           // consecutive losses within flapPeriod of a recovery; operators see it in the plan
+	ramp         float64       // fraction of its capacity that plans use again, while it is Returning
 }
 
 // zoneReport is the newest evidence of a zone's nodes.
 type zoneReport struct {
 	summary    EvidenceSummary
-	at         time.Duration // 0: none came
+	at         time.Duration // when it was received; 0: never
 	aggregator int           // node that sent it
 }
 
-// fresh reports whether the evidence is no older than evidenceLifetime.
+// fresh reports whether evidence was received and is not older than evidenceLifetime.
 func (r *zoneReport) fresh(now time.Duration) bool { return r.at > 0 && now-r.at <= evidenceLifetime }
 
-// newZoneState begins where the newest plan, if there is one, left a zone.
+// newZoneState returns a zone's state with the values of the newest plan, if there is one.
 func newZoneState(zone string, classes []Class, newest *Plan, now time.Duration) *zoneState {
 	state := &zoneState{zoneLifecycle: zoneLifecycle{since: now}, demand: newDemandEstimate(len(classes), now)}
 	if newest == nil || newest.zoneIndex(zone) < 0 {
@@ -46,14 +46,14 @@
 	state.returnedAt = now
 	state.capacity.capacity = float64(planned.Capacity)
 	for i, class := range classes {
-		if place := slices.Index(newest.Classes, class.Name); place >= 0 {
-			state.demand.start(i, float64(planned.Demand[place]))
+		if index := slices.Index(newest.Classes, class.Name); index >= 0 {
+			state.demand.start(i, float64(planned.Demand[index]))
 		}
 	}
 	return state
 }
 
-// usable is what a plan may grant of a zone's capacity.
+// usable returns the part of a zone's capacity that a plan may grant.
 func (z *zoneState) usable() float64 {
 	switch z.state {
 	case Lost, Drained:
@@ -65,10 +65,10 @@
 	return z.capacity.capacity
 }
 
-// advanceRamp puts a further fraction of a returning zone's capacity into use.
-func (z *zoneLifecycle) advanceRamp(part float64) {
+// advanceRamp adds a fraction to the capacity of a returning zone that plans may use.
+func (z *zoneLifecycle) advanceRamp(fraction float64) {
 	if z.state == Returning {
-		z.ramp = min(1, z.ramp+part)
+		z.ramp = min(1, z.ramp+fraction)
 	}
 }
 
@@ -81,7 +81,7 @@
 
 func (c stateChange) String() string { return fmt.Sprintf("%s %s: %s", c.zone, c.state, c.cause) }
 
-// Causes of changes that don't come of evidence.
+// Causes of state changes that don't follow from evidence about the zone's servers.
 const (
 	causeDrainOrdered = "an operator's order"
 	causeDrainRevoked = "the order to drain it was taken back"
@@ -89,7 +89,7 @@
 	causeRampEnded    = "all of its room is given back"
 )
 
-// advanceState moves a zone's state on. changed says whether it changed.
+// advanceState moves a zone to its next state if a transition is due. changed tells whether the state changed.
 func (p *Planner) advanceState(zone string, now time.Duration) (change stateChange, changed bool) {
 	state := p.zoneStates[zone]
 	cause, failing := p.zoneFailure(zone, now)
@@ -124,8 +124,9 @@
 	return stateChange{zone: zone, state: state, cause: cause}, true
 }
 
-// returnSuspect moves a lost zone to Returning while all zones look lost, with all of its capacity at once: nothing
-// indicates that its servers were restarted, and nodes send those in slow start little load anyway.
+// returnSuspect moves a lost zone to Returning while the planner distrusts evidence that all zones are lost. Plans may
+// use all of its capacity at once: nothing indicates that its servers were restarted, and nodes send little load to
+// servers in slow start anyway.
 func (p *Planner) returnSuspect(zone string, now time.Duration) (change stateChange, changed bool) {
 	state := p.zoneStates[zone]
 	if state.returnedAt != 0 && now-state.returnedAt < flapPeriod {
@@ -136,7 +137,7 @@
 	return p.enterState(zone, Returning, causeAllLookLost, now)
 }
 
-// loseZone moves a zone to Lost, and counts the losses in a row that came within flapPeriod of a recovery.
+// loseZone moves a zone to Lost, and counts consecutive losses within flapPeriod of a recovery.
 func (p *Planner) loseZone(zone, cause string, now time.Duration) (change stateChange, changed bool) {
 	state := p.zoneStates[zone]
 	if state.returnedAt > 0 && now-state.returnedAt < flapPeriod {
@@ -155,8 +156,8 @@
 		return stateChange{}, false
 	}
 	if state.healthySince == 0 {
-		// Servers without recent attempts are not healthy: their ejection has merely ended.
-		if !p.answers(zone, now) {
+		// Without recent successful attempts the servers don't count as healthy: their ejection may merely have ended.
+		if !p.serversAnswer(zone, now) {
 			return stateChange{}, false
 		}
 		state.healthySince = now
@@ -165,7 +166,7 @@
 	if healthyFor < p.rules.RecoveryDelay {
 		return stateChange{}, false
 	}
-	// At most one reversal in a flap period, however often the zone comes and goes.
+	// A zone recovers at most once in a flap period, however often it comes and goes.
 	if state.returnedAt > 0 && now-state.returnedAt < flapPeriod {
 		return stateChange{}, false
 	}
