--- a/internal/failover/adoption.go
+++ b/internal/failover/adoption.go
@@ -6,7 +6,7 @@
 // later report, which is safe: the plans before it only count as in use for longer.
 const maxAdoptions = 64
 
-// adoption holds when a node first reported that it had adopted a plan.
+// adoption is a plan and the time at which a node first reported that it had adopted it.
 type adoption struct {
 	plan uint64
 	at   time.Duration
--- a/internal/failover/allocation_test.go
+++ b/internal/failover/allocation_test.go
@@ -8,18 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-// Classes of the drawn demands.
+// Classes of the randomly drawn demands.
 const (
 	highPriorityClass = iota
 	lowPriorityClass
-	regionalClass // of middle priority, and it may have to stay in its region
+	regionalClass // of medium priority; in some demands it must stay in its region
 	testClasses
 )
 
-// TestAllocate holds for drawn demands: nothing is placed that nobody wants or no capacity takes, classes that must
-// stay in their region do, no class of high priority is rejected where one of low priority is admitted beside it, and
-// no more load goes to other zones than must.
-func TestAllocate(t *testing.T) {
+// TestAllocateRandomDemands checks allocations of random demands. An allocation exceeds neither the demand nor the
+// capacity, keeps classes in their region that must stay there, rejects no load of high priority while it admits load
+// of low priority, and sends no more load to other zones than necessary.
+func TestAllocateRandomDemands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wanted := drawDemand(t)
 		placed := allocate(&wanted)
@@ -62,7 +62,8 @@
 	return wanted
 }
 
-// checkPlaced checks that each zone and class has no more than it may.
+// checkPlaced checks that the allocation exceeds neither the capacity of a zone nor the demand of a class, and that
+// classes that must stay in their region do.
 func checkPlaced(t *rapid.T, wanted *demand, placed allocation) {
 	for zone := range wanted.capacity {
 		taken := 0.0
@@ -70,21 +71,23 @@
 			taken += placed.between(other, zone)
 			crosses := wanted.regions[zone] != wanted.regions[other]
 			if crosses && wanted.stayInRegion[regionalClass] && placed[zone][other][regionalClass] > 1e-6 {
-				t.Fatalf("a class that must stay in its region went from zone %d to %d", zone, other)
+				t.Fatalf("allocate placed load of a class that must stay in its region: from zone %d to zone %d",
+					zone, other)
 			}
 		}
 		if taken > wanted.capacity[zone]+1e-6 {
-			t.Fatalf("zone %d has capacity %v and gets %v", zone, wanted.capacity[zone], taken)
+			t.Fatalf("allocate: zone %d with capacity %v got load %v", zone, wanted.capacity[zone], taken)
 		}
 		for class, load := range wanted.loads[zone] {
 			if admitted := placed.admitted(zone, class); admitted > load+1e-6 || admitted < 0 {
-				t.Fatalf("zone %d wants %v of class %d and gets %v", zone, load, class, admitted)
+				t.Fatalf("allocate: zone %d with demand %v of class %d got %v", zone, load, class, admitted)
 			}
 		}
 	}
 }
 
-// checkEfficient checks that no capacity is left over, where all classes may go anywhere.
+// checkEfficient checks an allocation whose classes may all go to any zone. It admits as much of the demand as the
+// capacity allows, sends no more load to other zones than necessary, and prefers the class of high priority.
 func checkEfficient(t *rapid.T, wanted *demand, placed allocation) {
 	load := 0.0
 	capacity := 0.0
@@ -110,13 +113,14 @@
 	}
 	tolerance := 1e-3 * (1 + load)
 	if math.Abs(admitted-min(load, capacity)) > tolerance {
-		t.Fatalf("%v is admitted, want %v: %v is wanted and capacity is %v",
+		t.Fatalf("allocate: got %v admitted, want %v, for demand %v and capacity %v",
 			admitted, min(load, capacity), load, capacity)
 	}
 	if load <= capacity && crossed > mustCross+tolerance {
-		t.Fatalf("%v goes to other zones, only %v must", crossed, mustCross)
+		t.Fatalf("allocate: got %v placed in other zones, want at most %v", crossed, mustCross)
 	}
 	if highRejected > tolerance && lowAdmitted > tolerance {
-		t.Fatalf("%v of the highest priority is rejected, %v of the lowest is admitted", highRejected, lowAdmitted)
+		t.Fatalf("allocate: rejected %v of the highest priority and admitted %v of the lowest, want one of them 0",
+			highRejected, lowAdmitted)
 	}
 }
--- a/internal/failover/encoding_test.go
+++ b/internal/failover/encoding_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// FuzzDecode holds that no bytes from a peer break the node, and that what is read can be used.
+// FuzzDecode checks that no bytes from a peer make decoding panic, and that the node can use what it decodes without a
+// panic.
 func FuzzDecode(f *testing.F) {
 	f.Add((&Plan{Zones: []Zone{{Name: "a"}}, AdmitFractions: [][]int{{}}}).Encode())
 	f.Add(EvidenceSummary{Zone: "a", Classes: []string{"c"}, Arrived: []float32{1}, Rejected: []float32{1}}.Encode())
@@ -21,30 +22,30 @@
 		if summary, err := DecodeEvidenceSummary(data); err == nil {
 			summary.Add(summary)
 		}
-		_, _ = DecodeOperatorOrders(data) // it must not panic; an error is right
+		_, _ = DecodeOperatorOrders(data) // it must not panic; errors are allowed
 	})
 }
 
-// TestDecodeErrors holds that callers can tell what was invalid.
+// TestDecodeErrors checks that decoding errors wrap the error that names the kind of the invalid message.
 func TestDecodeErrors(t *testing.T) {
 	if _, err := DecodePlan((&Plan{Zones: []Zone{{Name: "a"}}}).Encode()); !errors.Is(err, ErrInvalidPlan) {
-		t.Errorf("a plan without its zone's admission: %v, want ErrInvalidPlan", err)
+		t.Errorf("DecodePlan without the zone's admission: got %v, want ErrInvalidPlan", err)
 	}
 	if _, err := DecodePlan([]byte{0x9f}); !errors.Is(err, ErrInvalidPlan) {
-		t.Errorf("a plan that breaks off: %v, want ErrInvalidPlan", err)
+		t.Errorf("DecodePlan of truncated data: got %v, want ErrInvalidPlan", err)
 	}
 	evidence := EvidenceSummary{Classes: []string{"c"}}
 	if _, err := DecodeEvidenceSummary(evidence.Encode()); !errors.Is(err, ErrInvalidEvidence) {
-		t.Errorf("evidence of a class without its arrivals: %v, want ErrInvalidEvidence", err)
+		t.Errorf("DecodeEvidenceSummary without the class's arrivals: got %v, want ErrInvalidEvidence", err)
 	}
 	if _, err := DecodeEvidenceSummary([]byte{0x9f}); !errors.Is(err, ErrInvalidEvidence) {
-		t.Errorf("evidence that breaks off: %v, want ErrInvalidEvidence", err)
+		t.Errorf("DecodeEvidenceSummary of truncated data: got %v, want ErrInvalidEvidence", err)
 	}
 	orders := OperatorOrders{Drained: make([]string, MaxZones+1)}
 	if _, err := DecodeOperatorOrders(orders.Encode()); !errors.Is(err, ErrInvalidOrders) {
-		t.Errorf("orders for too many zones: %v, want ErrInvalidOrders", err)
+		t.Errorf("DecodeOperatorOrders with too many zones: got %v, want ErrInvalidOrders", err)
 	}
 	if _, err := DecodeOperatorOrders([]byte{0x9f}); !errors.Is(err, ErrInvalidOrders) {
-		t.Errorf("orders that break off: %v, want ErrInvalidOrders", err)
+		t.Errorf("DecodeOperatorOrders of truncated data: got %v, want ErrInvalidOrders", err)
 	}
 }
--- a/internal/failover/explain.go
+++ b/internal/failover/explain.go
@@ -38,7 +38,7 @@
 	} else if state.state == Lost {
 		healthyFor := (now - state.healthySince).Round(time.Second)
 		lines = append(lines,
-			fmt.Sprintf("it is well again since %v; it comes back after %v, and %v after it last came back",
+			fmt.Sprintf("its hosts have answered for %v; it returns after %v, at the earliest %v after its last return",
 				healthyFor, p.rules.RecoveryDelay, flapPeriod))
 	}
 	lines = append(lines,
@@ -60,7 +60,7 @@
 func (p *Planner) explainView(zone string, now time.Duration) string {
 	view, ok := p.viewZone(zone, now)
 	if !ok {
-		return fmt.Sprintf("nobody has told of its hosts within %v", evidenceLifetime)
+		return fmt.Sprintf("no node has reported on its hosts within %v", evidenceLifetime)
 	}
 	observers := "other zones' nodes tell"
 	if view.own {
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -11,11 +11,11 @@
 	"spurwinch/internal/policy"
 )
 
-// update has the golden files written anew. Nodes of older versions read and write what is in them: a change of a
-// golden file is a change of the protocol.
-var update = flag.Bool("update", false, "write the golden files of testdata anew")
+// update makes the tests rewrite the golden files. Nodes of older versions read and write the same encodings, so a
+// change of a golden file is a change of the protocol.
+var update = flag.Bool("update", false, "rewrite the golden files in testdata")
 
-// goldenEvidence is evidence with each field set. Some of its floats need 16, some 32 and some 64 bits.
+// goldenEvidence returns evidence with every field set. Some of its floats need 16, some 32 and some 64 bits.
 func goldenEvidence() EvidenceSummary {
 	return EvidenceSummary{
 		Zone:     "cluj-1",
@@ -49,14 +49,14 @@
 				Rejected:     89,
 			},
 		}, {
-			Node:        260, // one that has nothing to say of a policy
+			Node:        260, // a node without policy status
 			Plan:        69999,
 			Unreachable: []int{},
 		}},
 	}
 }
 
-// goldenPlan is a plan with each field set, in three zones of two regions.
+// goldenPlan returns a plan with every field set, for three zones in two regions.
 func goldenPlan() *Plan {
 	return &Plan{
 		Zones: []Zone{
@@ -89,77 +89,78 @@
 	}
 }
 
-// goldenOperatorOrders are orders with each field set.
+// goldenOperatorOrders returns orders with every field set.
 func goldenOperatorOrders() OperatorOrders {
 	return OperatorOrders{Drained: []string{"cluj-1", "iasi-1"}}
 }
 
-// TestGoldenEvidence holds the form in which evidence goes from node to aggregator and from aggregator to voter.
+// TestGoldenEvidence checks that the encoding of evidence is unchanged. Nodes send it to aggregators, and aggregators
+// send it to voters.
 func TestGoldenEvidence(t *testing.T) {
 	want := goldenEvidence()
 	wantAllSet(t, reflect.ValueOf(want), "EvidenceSummary")
 	encoded := golden(t, "evidence.cbor", want.Encode())
 	got, err := DecodeEvidenceSummary(encoded)
 	if err != nil {
-		t.Fatalf("golden evidence is not read: %v", err)
+		t.Fatalf("DecodeEvidenceSummary of the golden file: %v", err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("golden evidence is read as\n%+v, want\n%+v", got, want)
+		t.Errorf("DecodeEvidenceSummary of the golden file: got\n%+v, want\n%+v", got, want)
 	}
 }
 
-// TestGoldenPlan holds the form of a plan on the agreed log, where it is stored, and on its way between nodes.
+// TestGoldenPlan checks that the encoding of plans is unchanged, in the consensus log, in storage and between nodes.
 func TestGoldenPlan(t *testing.T) {
 	want := goldenPlan()
 	wantAllSet(t, reflect.ValueOf(*want), "Plan")
 	encoded := golden(t, "plan.cbor", want.Encode())
 	got, err := DecodePlan(encoded)
 	if err != nil {
-		t.Fatalf("the golden plan is not read: %v", err)
+		t.Fatalf("DecodePlan of the golden file: %v", err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("the golden plan is read as\n%+v, want\n%+v", got, want)
+		t.Errorf("DecodePlan of the golden file: got\n%+v, want\n%+v", got, want)
 	}
 }
 
-// TestGoldenOperatorOrders holds the form of operators' orders on the agreed log.
+// TestGoldenOperatorOrders checks that the encoding of operator orders in the consensus log is unchanged.
 func TestGoldenOperatorOrders(t *testing.T) {
 	want := goldenOperatorOrders()
-	wantAllSet(t, reflect.ValueOf(want), "Orders")
+	wantAllSet(t, reflect.ValueOf(want), "OperatorOrders")
 	encoded := golden(t, "operator_orders.cbor", want.Encode())
 	got, err := DecodeOperatorOrders(encoded)
 	if err != nil {
-		t.Fatalf("golden orders are not read: %v", err)
+		t.Fatalf("DecodeOperatorOrders of the golden file: %v", err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("golden orders are read as %+v, want %+v", got, want)
+		t.Errorf("DecodeOperatorOrders of the golden file: got %+v, want %+v", got, want)
 	}
 }
 
-// TestGoldenNumbers holds numbers and words that stand for states: plans carry the numbers, operators' answers and logs
-// the words.
-func TestGoldenNumbers(t *testing.T) {
+// TestStateAndModeNumbersAndNames checks that the numbers and names of states, modes and log entry kinds are unchanged.
+// Plans and log entries contain the numbers. Logs and the output for operators contain the names.
+func TestStateAndModeNumbersAndNames(t *testing.T) {
 	for state, want := range []string{"well", "lost", "returning", "drained"} {
 		if got := State(state).String(); got != want {
-			t.Errorf("zone state %d is %q, want %q", state, got, want)
+			t.Errorf("State(%d).String(): got %q, want %q", state, got, want)
 		}
 	}
 	for mode, want := range []string{"alone", "planned", "ground"} {
 		if got := Mode(mode).String(); got != want {
-			t.Errorf("mode %d is %q, want %q", mode, got, want)
+			t.Errorf("Mode(%d).String(): got %q, want %q", mode, got, want)
 		}
 	}
 	for want, state := range []State{Healthy, Lost, Returning, Drained} {
 		if int(state) != want {
-			t.Errorf("the number of zone state %s is %d, want %d", state, state, want)
+			t.Errorf("number of zone state %s: got %d, want %d", state, state, want)
 		}
 	}
 	if PlanKind != 1 || OperatorOrdersKind != 2 {
-		t.Errorf("kinds of entries: plan %d, orders %d, want 1 and 2", PlanKind, OperatorOrdersKind)
+		t.Errorf("kinds of log entries: got plan %d and orders %d, want 1 and 2", PlanKind, OperatorOrdersKind)
 	}
 }
 
-// golden gives the bytes of a golden file, and fails the test if the encoded ones are not the same.
+// golden returns the bytes of a golden file, and fails the test if the encoded bytes differ from them.
 func golden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -173,19 +174,19 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(encoded, want) {
-		t.Errorf("%s: encoded as\n%x, want\n%x", name, encoded, want)
+		t.Errorf("encoding for %s: got\n%x, want\n%x", name, encoded, want)
 	}
 	return want
 }
 
-// wantAllSet fails the test for a field that has its zero value: what a golden file doesn't show, it doesn't hold. Of
-// lists, the first element must have all set.
+// wantAllSet fails the test for each field that has its zero value, since a golden file can't check the encoding of a
+// field that is not set. Of a list of structs, the first element must have all fields set.
 func wantAllSet(t *testing.T, value reflect.Value, path string) {
 	t.Helper()
 	switch value.Kind() {
 	case reflect.Pointer:
 		if value.IsNil() {
-			t.Errorf("%s is not set", path)
+			t.Errorf("%s: got nil, want it set", path)
 			return
 		}
 		wantAllSet(t, value.Elem(), path)
@@ -197,7 +198,7 @@
 		}
 	case reflect.Slice:
 		if value.Len() == 0 {
-			t.Errorf("%s is empty", path)
+			t.Errorf("%s: got an empty list, want an element", path)
 			return
 		}
 		if value.Type().Elem().Kind() == reflect.Struct {
@@ -205,7 +206,7 @@
 		}
 	default:
 		if value.IsZero() {
-			t.Errorf("%s has its zero value", path)
+			t.Errorf("%s: got its zero value, want it set", path)
 		}
 	}
 }
--- a/internal/failover/lease_test.go
+++ b/internal/failover/lease_test.go
@@ -11,44 +11,44 @@
 	"spurwinch/choice"
 )
 
-// TestLeaseOwner plays lease holders whose requests and answers are lost, late or repeated, reserves that shrink, and
-// owners that are started anew: what all holders go by is never over the largest reserve of the time that a lease
-// lasts.
-func TestLeaseOwner(t *testing.T) {
+// TestLeasesStayWithinReserve simulates lease holders whose requests and replies are lost, late or repeated, reserves
+// that shrink, and owners that restart. The load of the leases that all holders use must never exceed the largest
+// reserve within the last LeaseDuration.
+func TestLeasesStayWithinReserve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		market := &leaseModel{now: time.Hour, reserve: 20, held: make([]lease, 4)}
-		market.owner = NewLeaseOwner(market.now - 2*leaseSettlePeriod)
+		model := &leaseModel{now: time.Hour, reserve: 20, held: make([]lease, 4)}
+		model.owner = NewLeaseOwner(model.now - 2*leaseSettlePeriod)
 		for range 200 {
-			market.step(t)
-			market.check(t)
+			model.step(t)
+			model.check(t)
 		}
-		if !market.granted {
-			t.Skip("nothing was leased")
+		if !model.granted {
+			t.Skip("the owner granted no lease")
 		}
 	})
 	owner := NewLeaseOwner(0)
 	if granted := owner.Grant(1, 5, 10, time.Second); granted != 0 {
-		t.Errorf("just started, where the process before may have leased all out: granted %v, want 0", granted)
+		t.Errorf("Grant just after a start, when leases of the earlier process may be in use: got %v, want 0", granted)
 	}
 	if granted := owner.Grant(1, 5, 10, 2*leaseSettlePeriod); granted != 5 {
-		t.Errorf("granted %v of 10 for a request of 5, want 5", granted)
+		t.Errorf("Grant for a request of 5 from a reserve of 10: got %v, want 5", granted)
 	}
 }
 
-// leaseModel is an owner of leases with their holders.
+// leaseModel simulates a lease owner and the holders of its leases.
 type leaseModel struct {
 	now      time.Duration
 	owner    *LeaseOwner
-	held     []lease // by holder
+	held     []lease // by holder: the lease that it uses
 	reserve  float64
-	reserves []lease // former reserves, with when they were in force last
-	granted  bool
+	reserves []lease // former reserves; a reserve "expires" when the next one replaces it
+	granted  bool    // whether the owner has granted any lease
 }
 
-// step draws a new reserve, another process of the owner or a request.
+// step draws the next event: a new reserve, a restart of the owner or a request of a holder.
 func (m *leaseModel) step(t *rapid.T) {
 	m.now += time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
-	switch rapid.IntRange(0, 15).Draw(t, "what") {
+	switch rapid.IntRange(0, 15).Draw(t, "event") {
 	case 0:
 		m.reserves = append(m.reserves, lease{m.reserve, m.now})
 		m.reserve = rapid.Float64Range(0, 40).Draw(t, "reserve")
@@ -60,12 +60,12 @@
 }
 
 func (m *leaseModel) request(t *rapid.T) {
-	holder := rapid.IntRange(0, 3).Draw(t, "who")
+	holder := rapid.IntRange(0, 3).Draw(t, "holder")
 	sent := m.now
-	requested := rapid.Float64Range(0, 25).Draw(t, "asks")
-	// A holder goes by less before it requests less.
+	requested := rapid.Float64Range(0, 25).Draw(t, "requested")
+	// A holder uses less before it requests less.
 	m.held[holder].load = min(m.held[holder].load, requested)
-	m.now += time.Duration(rapid.IntRange(0, 300).Draw(t, "way")) * time.Millisecond
+	m.now += time.Duration(rapid.IntRange(0, 300).Draw(t, "request delay")) * time.Millisecond
 	granted := m.owner.Grant(holder, requested, m.reserve, m.now)
 	m.granted = m.granted || granted > 0
 	lost := rapid.IntRange(0, 3).Draw(t, "lost") == 0
@@ -88,12 +88,12 @@
 		}
 	}
 	if held > largest+1e-6 {
-		t.Fatalf("%v is leased out, the largest reserve is %v", held, largest)
+		t.Fatalf("load of the leases in use: got %v, want at most the largest reserve %v", held, largest)
 	}
 }
 
-// TestLeaseDemand holds who leases where: nobody while there is capacity, near before far, nothing in zones whose
-// servers fail.
+// TestLeaseDemand checks in which zones a node requests leases: in none while its grants suffice, in near zones before
+// far ones, and never in zones whose servers fail.
 func TestLeaseDemand(t *testing.T) {
 	observed := func(ejected int, load, arrived, rejected float64) choice.Observations {
 		return choice.Observations{
@@ -114,23 +114,23 @@
 		exhausted map[string]bool
 		want      []string
 	}{
-		{"capacity of its own", observed(0, 5, 1, 0), []Grant{ownGrant}, nil, nil},
-		{"nearly full", observed(0, 17, 2, 0), []Grant{ownGrant}, nil, []string{"a"}},
+		{"load well below own share", observed(0, 5, 1, 0), []Grant{ownGrant}, nil, nil},
+		{"own share nearly full", observed(0, 17, 2, 0), []Grant{ownGrant}, nil, []string{"a"}},
 		{
-			"own share full, capacity elsewhere", observed(0, 18, 2, 0),
+			"own share nearly full, large grant in region", observed(0, 18, 2, 0),
 			[]Grant{ownGrant, regionGrant},
 			nil,
 			[]string{"a"},
 		},
 		{
-			"own zone has no more leases", observed(0, 18, 4, 2),
+			"own zone's lease owner exhausted", observed(0, 18, 4, 2),
 			[]Grant{ownGrant},
 			map[string]bool{"a": true},
 			[]string{"a", "b"},
 		},
 		{"own zone fails", observed(4, 0, 5, 5), []Grant{ownGrant}, nil, []string{"b"}},
 		{
-			"own zone fails, region has no more leases", observed(4, 0, 5, 5),
+			"own zone fails, region's lease owner exhausted", observed(4, 0, 5, 5),
 			[]Grant{ownGrant},
 			map[string]bool{"b": true},
 			[]string{"b", "c"},
@@ -141,13 +141,13 @@
 			requests := LeaseDemand(Planned, plan, 0, "a", test.observed, 100*time.Millisecond, 12,
 				map[string]float64{}, test.exhausted)
 			if zones := slices.Sorted(maps.Keys(requests)); !slices.Equal(zones, test.want) {
-				t.Errorf("requests %v, want them to be of zones %v", requests, test.want)
+				t.Errorf("LeaseDemand: got requests %v, want requests for zones %v", requests, test.want)
 			}
 		})
 	}
 }
 
-// leasePlan is a plan of three zones, of which the first two are in one region, with a lease owner each.
+// leasePlan returns a plan of three zones, each with a lease owner. The first two zones are in one region.
 func leasePlan(grants []Grant) *Plan {
 	return &Plan{
 		Zones: []Zone{
--- a/internal/failover/plans_in_use_test.go
+++ b/internal/failover/plans_in_use_test.go
@@ -10,10 +10,10 @@
 	"spurwinch/internal/membership"
 )
 
-// TestMixesOfPlansStayInCapacity plays plans one after another under drawn demands, capacities and adoptions: whatever
-// plan each node goes by, of those that it may still have, the shares of all nodes and what lease owners may have
-// leased out stay within the largest capacity that any of these plans states; also where another planner goes on that
-// knows nothing but the newest plan.
+// TestMixesOfPlansStayInCapacity makes plans one after another under random demands, zone losses and adoptions.
+// Whichever of the plans that it may still have each node uses, the sum of the shares of all nodes and of the load that
+// lease owners may have leased out must stay within the largest capacity that any of these plans states. This must also
+// hold if a new planner takes over that knows only the newest plan.
 func TestMixesOfPlansStayInCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawMixedFleet(t)
@@ -21,25 +21,25 @@
 			fleet.step(t, step)
 		}
 		if len(fleet.plans) == 0 {
-			t.Fatal("no plan was made")
+			t.Fatal("the planner made no plan")
 		}
 	})
 }
 
-// mixedFleet is a fleet whose nodes go by different plans. Plans are given by their places.
+// mixedFleet simulates a fleet whose nodes use different plans. Plans are given by their indices in plans.
 type mixedFleet struct {
-	list      *membership.List
-	rules     Rules
-	planner   *Planner
-	now       time.Duration
-	loads     []float64 // by zone
-	plans     []*Plan
-	from      []time.Duration // by plan: when it became the newest
-	adopted   []int           // by node: the newest plan that it goes by
-	abandoned [][]abandonment // by node
+	list        *membership.List
+	rules       Rules
+	planner     *Planner
+	now         time.Duration
+	loads       []float64 // by zone
+	plans       []*Plan
+	newestSince []time.Duration // by plan: when it became the newest
+	adopted     []int           // by node: the newest plan that it has adopted
+	abandoned   [][]abandonment // by node
 }
 
-// abandonment is when a node went over from a plan to a newer one.
+// abandonment is a plan and the time at which a node replaced it with a newer one.
 type abandonment struct {
 	plan int
 	at   time.Duration
@@ -82,7 +82,7 @@
 	return fleet
 }
 
-// step lets a quarter of a second pass. Zones are lost from the fifth second on, and report twice a second.
+// step simulates a quarter of a second. Zones report twice a second, and may be lost after the first five seconds.
 func (f *mixedFleet) step(t *rapid.T, step int) {
 	f.now += 250 * time.Millisecond
 	f.drawLoad(t)
@@ -112,8 +112,8 @@
 	}
 }
 
-// observe has the planner take in the evidence of a zone's nodes. Those that are drawn to adopt the newest plan say so,
-// the others are unreachable.
+// observe passes the evidence of a zone's nodes to the planner. Nodes that are drawn to adopt the newest plan report
+// it. The others are unreachable.
 func (f *mixedFleet) observe(t *rapid.T, zone, lostZone int) {
 	summary := EvidenceSummary{
 		Zone:     zoneName(zone),
@@ -140,7 +140,7 @@
 		switch {
 		case newest < 0:
 			summary.Nodes = append(summary.Nodes, NodeStatus{Node: node})
-		case rapid.IntRange(0, 3).Draw(t, "deaf") > 0:
+		case rapid.IntRange(0, 3).Draw(t, "adoption") > 0:
 			for plan := f.adopted[node]; plan < newest; plan++ {
 				f.abandoned[node] = append(f.abandoned[node], abandonment{plan, f.now})
 			}
@@ -151,7 +151,8 @@
 	f.planner.Observe(0, summary, false, f.now)
 }
 
-// plan takes the next plan in, if there is one, and may have another planner go on from it.
+// plan applies the planner's next plan, if it makes one, and may replace the planner by one that knows only this plan.
+// It reports whether there was a plan.
 func (f *mixedFleet) plan(t *rapid.T) bool {
 	next := f.planner.Step(f.now)
 	if next == nil {
@@ -162,7 +163,7 @@
 		t.Fatal(err)
 	}
 	f.plans = append(f.plans, next)
-	f.from = append(f.from, f.now)
+	f.newestSince = append(f.newestSince, f.now)
 	number := uint64(len(f.plans))
 	f.planner.ApplyPlan(number, next, f.now)
 	if rapid.IntRange(0, 9).Draw(t, "another planner") == 0 {
@@ -172,7 +173,8 @@
 	return true
 }
 
-// check has each node go by the worst plan for the zone that it may still have.
+// check assumes that each node uses, of the plans that it may still have, the one that gives it the largest share in a
+// zone, and checks that all nodes together stay within the zone's capacity.
 func (f *mixedFleet) check(t *rapid.T, step, zone int) {
 	name := zoneName(zone)
 	total := 0.0
@@ -189,25 +191,25 @@
 		capacity = max(capacity, ownerCapacity)
 	}
 	if total > capacity*1.001+0.01 {
-		t.Fatalf("step %d, plan %d: all may have %.3f in %s, the largest capacity of plans in use is %.3f",
+		t.Fatalf("step %d, plan %d: got a total load of %.3f allowed in %s, want at most the largest capacity %.3f",
 			step, len(f.plans), total, name, capacity)
 	}
 }
 
-// modeOf is how a node goes by a plan that it still has.
+// modeOf returns the mode in which a node uses a plan that it still has.
 func (f *mixedFleet) modeOf(plan int) Mode {
-	if plan+1 < len(f.plans) && f.now-f.from[plan+1] > f.rules.GrantLifetime {
+	if plan+1 < len(f.plans) && f.now-f.newestSince[plan+1] > f.rules.GrantLifetime {
 		return OwnZoneOnly
 	}
 	return Planned
 }
 
-// reserveOf is the most that a node may have leased out of a zone's capacity by plans that it has or had, and the
-// largest capacity that these state.
+// reserveOf returns the most load that a node may have leased out of a zone's capacity by plans that it has or had, and
+// the largest capacity that these plans state.
 func (f *mixedFleet) reserveOf(node int, zone string) (reserve, capacity float64) {
 	consider := func(plan int) {
 		planned := f.plans[plan].Zones[f.plans[plan].zoneIndex(zone)]
-		superseded := plan+1 < len(f.plans) && f.now-f.from[plan+1] > f.rules.GrantLifetime+LeaseDuration
+		superseded := plan+1 < len(f.plans) && f.now-f.newestSince[plan+1] > f.rules.GrantLifetime+LeaseDuration
 		if planned.LeaseOwner == node && !superseded {
 			reserve = max(reserve, float64(planned.Reserve))
 			capacity = max(capacity, float64(planned.Capacity))
--- a/internal/failover/schedule_test.go
+++ b/internal/failover/schedule_test.go
@@ -14,8 +14,8 @@
 	"spurwinch/internal/membership"
 )
 
-// schedule plays a fleet of four zones in two regions. Clients want what is set; all nodes but the unreachable ones
-// report evidence and go by the newest plan.
+// testFleet simulates a fleet of four zones in two regions, in steps of a quarter of a second. The test sets the
+// demand and the failures. All reachable nodes report evidence and use the newest plan.
 type testFleet struct {
 	t       *testing.T
 	list    *membership.List
@@ -24,13 +24,13 @@
 	now     time.Duration
 	number  uint64 // of the newest plan
 	newest  *Plan
-	text    strings.Builder // what is compared with the golden file
+	text    strings.Builder // output to compare with the golden file
 
-	loads      map[string][]float32 // by zone and class: what its clients have there
+	loads      map[string][]float32 // by zone and class: load of the zone's clients
 	failing    map[string]bool      // zones whose servers fail
 	unreported map[string]bool      // zones whose nodes report nothing
-	silent     []int                // nodes that are unreachable for their watchers
-	rejecting  bool                 // clients are rejected
+	silent     []int                // nodes that their watchers can't reach
+	rejecting  bool                 // whether nodes report rejections
 }
 
 func newTestFleet(t *testing.T) *testFleet {
@@ -67,7 +67,7 @@
 	return fleet
 }
 
-// evidence is what one node of a zone reports.
+// evidence returns the evidence that a node reports.
 func (f *testFleet) evidence(node int) EvidenceSummary {
 	zone := f.list.Node(node).Zone
 	nodes := float64(len(f.list.InZone(zone)))
@@ -90,7 +90,7 @@
 	return Summarize(zone, []string{"chat", "presence"}, observed, status)
 }
 
-// observedZone is what one of a zone's nodes observes of another zone, or its own.
+// observedZone returns what a node of one zone observes about another zone or its own.
 func (f *testFleet) observedZone(zone, other string, nodes float64) choice.ZoneObservations {
 	observed := choice.ZoneObservations{
 		Zone:     other,
@@ -112,7 +112,7 @@
 	return observed
 }
 
-// run plays for a time, and writes down the plans that are made.
+// run simulates a period of time, and records the plans that the planner makes.
 func (f *testFleet) run(length time.Duration) {
 	f.t.Helper()
 	for end := f.now + length; f.now < end; {
@@ -136,7 +136,7 @@
 	}
 }
 
-// report has a zone's nodes report their evidence.
+// report lets a zone's nodes report their evidence to the planner.
 func (f *testFleet) report(zone string) {
 	if f.unreported[zone] {
 		return
@@ -150,7 +150,8 @@
 	f.planner.Observe(f.list.InZone(zone)[0], sum, false, f.now)
 }
 
-// note writes down what is known, and what each node makes of the newest plan.
+// record records what the planner knows, and the zone plan and lease requests that each node derives from the newest
+// plan.
 func (f *testFleet) record(heading string) {
 	fmt.Fprintf(&f.text, "-- %s, at %v\n", heading, f.now)
 	for _, zone := range f.list.Zones() {
@@ -203,14 +204,14 @@
 	}
 }
 
-// TestGoldenSchedule holds what the planner makes of a schedule with all that it decides on: a zone lost and back, an
-// operator's drain, a node out of the view, a region short of capacity, another planner that knows the newest plan
-// only, every zone lost at once. All plans, the reasons, what is explained to operators and what nodes make of the
-// plans must stay as they are.
-func TestGoldenSchedule(t *testing.T) {
+// TestGoldenPlansOfFailureSchedule checks that the planner's output for a schedule of events is unchanged: a zone that
+// is lost and recovers, an operator's drain, a lost node, a region without enough capacity, a new planner that knows
+// only the newest plan, and the loss of all zones at once. The golden file holds all plans with their reasons, the
+// explanations for operators and what nodes derive from the plans.
+func TestGoldenPlansOfFailureSchedule(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("the golden plans were made without fused multiply-add, which the compiler uses on other machines: " +
-			"their last bits differ there")
+		t.Skip("the golden plans were computed without fused multiply-add; compilers for other architectures use it, " +
+			"so that the last bits of floats differ there")
 	}
 	fleet := newTestFleet(t)
 	fleet.run(10 * time.Second)
@@ -248,7 +249,8 @@
 	golden(t, "schedule.txt", []byte(fleet.text.String()))
 }
 
-// TestGoldenLeaseOwner holds what a lease owner grants to requests that grow, shrink and come too late.
+// TestGoldenLeaseOwner checks that a lease owner's grants are unchanged, for requests that grow, shrink and come too
+// late.
 func TestGoldenLeaseOwner(t *testing.T) {
 	var text strings.Builder
 	now := time.Minute
--- a/internal/failover/zone_plan_test.go
+++ b/internal/failover/zone_plan_test.go
@@ -8,7 +8,7 @@
 	"spurwinch/choice"
 )
 
-// twoRegionPlan is a plan of three zones, of which the first two are in one region. Node 2 is out of the view.
+// twoRegionPlan returns a plan of three zones, of which the first two are in one region. Node 2 is lost.
 func twoRegionPlan() *Plan {
 	return &Plan{
 		Zones: []Zone{
@@ -30,31 +30,31 @@
 	}
 }
 
-// TestZonePlanFor checks the plan of a node's balancer, as cases.
+// TestZonePlanFor checks the grants of a node's load balancer in each mode, and for a lost node.
 func TestZonePlanFor(t *testing.T) {
 	plan := twoRegionPlan()
 	if _, err := DecodePlan(plan.Encode()); err != nil {
-		t.Fatalf("the plan of the test is no valid one: %v", err)
+		t.Fatalf("DecodePlan of the test's plan: %v", err)
 	}
 	for _, test := range []struct {
 		name string
 		mode Mode
 		node int
-		want string // zones with the classes that are excluded there
+		want string // granted zones, each with the classes that are excluded there
 	}{
 		{"standalone: own zone", Standalone, 0, "a[] "},
-		{"planned: near first, and what must stay has its part", Planned, 0, "a[] b[1] b[0] c[1] "},
+		{"planned: nearest first, with a grant for the regional class", Planned, 0, "a[] b[1] b[0] c[1] "},
 		{"no contact to the leader: own zone", OwnZoneOnly, 0, "a[] "},
-		{"out of the view: own zone", Planned, 2, "a[] "},
+		{"lost node: own zone", Planned, 2, "a[] "},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			classes := []string{"x", "stays"}
 			zonePlan := ZonePlanFor(test.mode, plan, test.node, "a", classes, time.Second, LeasedCapacity{})
 			if got := describeGrants(zonePlan); got != test.want {
-				t.Errorf("grants are %s, want %s", got, test.want)
+				t.Errorf("ZonePlanFor: got grants %s, want %s", got, test.want)
 			}
 			if test.mode == Planned && (zonePlan.AdmitFraction[1] != 0.2 || zonePlan.RetryAfter != time.Second) {
-				t.Errorf("the plan is %+v, want class 1 admitted to 0.2 and a retry after 1 s", zonePlan)
+				t.Errorf("ZonePlanFor: got %+v, want AdmitFraction 0.2 for class 1 and RetryAfter 1 s", zonePlan)
 			}
 		})
 	}
@@ -67,13 +67,14 @@
 	return text
 }
 
-// TestGrantShare holds a node's share of its own zone's grant, which is smaller for one that is out of the view.
-func TestGrantShare(t *testing.T) {
+// TestGrantShareInOwnZone checks a node's share of its own zone's grant. A lost node has a smaller share than a live
+// one.
+func TestGrantShareInOwnZone(t *testing.T) {
 	plan := twoRegionPlan()
 	if share := GrantShare(Planned, plan, 0, "a")["a"]; share != 15 {
-		t.Errorf("a node in the view has a share of %v, want 15", share)
+		t.Errorf("GrantShare of a live node: got %v, want 15", share)
 	}
 	if share := GrantShare(Planned, plan, 2, "a")["a"]; share != 10 {
-		t.Errorf("a node out of the view has a share of %v, want 10", share)
+		t.Errorf("GrantShare of a lost node: got %v, want 10", share)
 	}
 }
--- a/internal/failover/zone_state_test.go
+++ b/internal/failover/zone_state_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// TestZoneReturnsOnceInFlapPeriod holds that a zone that is lost again soon after it came back stays lost until the
-// flap period since then is over, also where its servers answer all the while.
+// TestZoneReturnsOnceInFlapPeriod checks that a zone that is lost again soon after its recovery stays lost until
+// flapPeriod has passed since that recovery, even if its servers answer during that time.
 func TestZoneReturnsOnceInFlapPeriod(t *testing.T) {
 	fleet := newTestFleet(t)
 	fleet.run(10 * time.Second)
 	first := fleet.loseAndReturn("a")
 	second := fleet.loseAndReturn("a")
 	if apart := second - first; apart < flapPeriod {
-		t.Errorf("the zone came back %v after it had come back before, want %v at least", apart, flapPeriod)
+		t.Errorf("time between two recoveries of the zone: got %v, want at least %v", apart, flapPeriod)
 	}
 }
 
-// loseAndReturn has a zone's servers fail for a while and gives the time when the zone comes back then.
+// loseAndReturn lets a zone's servers fail for a while, and returns the time of the zone's recovery after that.
 func (f *testFleet) loseAndReturn(zone string) time.Duration {
 	f.t.Helper()
 	f.failing[zone] = true
 	f.run(5 * time.Second)
 	if state := f.planner.zoneStates[zone].state; state != Lost {
-		f.t.Fatalf("with all servers failing, zone %s is %v, want it lost", zone, state)
+		f.t.Fatalf("state of zone %s with all servers failing: got %v, want lost", zone, state)
 	}
 	delete(f.failing, zone)
 	for range 2 * flapPeriod / StepInterval {
@@ -32,6 +32,6 @@
 			return f.now
 		}
 	}
-	f.t.Fatalf("zone %s hasn't come back within %v", zone, 2*flapPeriod)
+	f.t.Fatalf("zone %s has not recovered within %v", zone, 2*flapPeriod)
 	return 0
 }
