--- a/internal/failover/lease_demand.go
+++ b/internal/failover/lease_demand.go
@@ -59,8 +59,8 @@
 
 // nodeLoads is a node's observed load, over all classes.
 type nodeLoads struct {
-	load     float64         // of the node's connections, in all zones
-	ownLoad  float64         // of it, in the node's own zone
+	load     float64         // load of the node's connections in all zones
+	ownLoad  float64         // part of load that is in the node's own zone
 	arrived  float64         // load that clients requested since the last observations
 	rejected float64         // rejected part of arrived
 	failing  map[string]bool // zones whose servers fail
--- a/internal/failover/zone_grants.go
+++ b/internal/failover/zone_grants.go
@@ -12,7 +12,7 @@
 	order     []int           // zones that get grants, the zone itself first
 	grants    []float64       // by zone that gets the grant
 	granted   float64         // sum of the grants
-	used      []float64       // by zone: the most that its nodes may have here by plans in use and the new grants
+	used      []float64       // by zone: the most load that its nodes may have here by plans in use and new grants
 	committed float64         // sum of used, plus the load that may be leased out
 	leased    map[int]float64 // by lease owner: the load that it may have leased out
 }
