--- a/internal/failover/adoption.go
+++ b/internal/failover/adoption.go
@@ -14,7 +14,7 @@
 
 // adoptions holds the plans that nodes have reported to the leader as adopted.
 type adoptions struct {
-	newest  map[int]uint64 // by node
+	newest  map[int]uint64 // by node: number of its newest plan
 	history [][]adoption   // by node, oldest first
 }
 
@@ -35,10 +35,11 @@
 	a.history[node] = history
 }
 
-// newestPlanOf returns the newest plan that a node has reported to have adopted, or 0 if it has reported none.
+// newestPlanOf returns the number of the newest plan that a node has reported as adopted, or 0 if it has reported none.
 func (a *adoptions) newestPlanOf(node int) uint64 { return a.newest[node] }
 
-// firstReportOf returns when a node first reported a plan of that number or a newer one. ok is false if it has not.
+// firstReportOf returns when a node first reported that it had adopted the plan with a number or a newer plan. ok is
+// false if it has reported neither.
 func (a *adoptions) firstReportOf(node int, number uint64) (at time.Duration, ok bool) {
 	if node >= len(a.history) {
 		return 0, false
--- a/internal/failover/allocation.go
+++ b/internal/failover/allocation.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// allocation is the placement of a demand: the load by the zone that it comes from, the zone that takes it and class.
+// allocation is the placement of a demand. It holds loads, indexed by the zone that a load comes from, the zone that
+// takes it, and its class.
 type allocation [][][]float64
 
 func newAllocation(zones, classes int) allocation {
@@ -43,7 +44,7 @@
 	// any load goes to another zone.
 	admitted := byPriority.admittedLoads()
 	nearFirst := wanted.allocateNearFirst(classes, admitted)
-	if !nearFirst.admitsAll(admitted) { // some load fits only when placed by priority
+	if !nearFirst.admitsAll(admitted) { // some load fits only in the order of priority
 		return byPriority
 	}
 	return nearFirst
@@ -73,7 +74,7 @@
 	return placed
 }
 
-// admittedLoads returns the load that is placed, by the zone that it comes from and class.
+// admittedLoads returns the placed load, indexed by the zone that it comes from and its class.
 func (a allocation) admittedLoads() [][]float64 {
 	loads := make([][]float64, len(a))
 	for from := range a {
@@ -97,15 +98,15 @@
 	return true
 }
 
-// place places the unplaced load of a class where there is capacity, and subtracts it from the capacity. It proceeds
-// from the lowest path cost to the highest, for all zones at once.
+// place assigns the unplaced load of a class to zones with capacity left, and subtracts it from their capacity. It
+// proceeds from the lowest path cost to the highest, for all zones at once.
 func (d *demand) place(placed allocation, capacity []float64, loads [][]float64, class int) {
 	unplaced := make([]float64, len(capacity))
 	for from := range unplaced {
 		unplaced[from] = max(0, loads[from][class]-placed.admitted(from, class))
 	}
 	for _, cost := range d.distinctPathCosts() {
-		for range placementRounds { // zones with more demand take the part of their share that others don't need
+		for range placementRounds { // in each further round, zones with more demand take capacity that others left
 			if d.placeRound(placed, capacity, unplaced, class, cost) <= negligibleLoad {
 				break
 			}
--- a/internal/failover/allocation_test.go
+++ b/internal/failover/allocation_test.go
@@ -17,8 +17,8 @@
 )
 
 // TestAllocateRandomDemands checks allocations of random demands. An allocation exceeds neither the demand nor the
-// capacity, keeps classes in their region that must stay there, rejects no load of high priority while it admits load
-// of low priority, and sends no more load to other zones than necessary.
+// capacity, and keeps a class in its region that must stay there. If no class must, the allocation rejects no load of
+// high priority while it admits load of low priority, and sends no more load to other zones than necessary.
 func TestAllocateRandomDemands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wanted := drawDemand(t)
@@ -63,7 +63,7 @@
 }
 
 // checkPlaced checks that the allocation exceeds neither the capacity of a zone nor the demand of a class, and that
-// classes that must stay in their region do.
+// the regional class stays in its region if it must.
 func checkPlaced(t *rapid.T, wanted *demand, placed allocation) {
 	for zone := range wanted.capacity {
 		taken := 0.0
@@ -71,23 +71,26 @@
 			taken += placed.between(other, zone)
 			crosses := wanted.regions[zone] != wanted.regions[other]
 			if crosses && wanted.stayInRegion[regionalClass] && placed[zone][other][regionalClass] > 1e-6 {
-				t.Fatalf("allocate placed load of a class that must stay in its region: from zone %d to zone %d",
+				t.Fatalf("allocate: got load of zone %d in zone %d, want its regional class to stay in its region",
 					zone, other)
 			}
 		}
 		if taken > wanted.capacity[zone]+1e-6 {
-			t.Fatalf("allocate: zone %d with capacity %v got load %v", zone, wanted.capacity[zone], taken)
+			t.Fatalf("allocate: zone %d of capacity %v: got load %v, want at most the capacity",
+				zone, wanted.capacity[zone], taken)
 		}
 		for class, load := range wanted.loads[zone] {
 			if admitted := placed.admitted(zone, class); admitted > load+1e-6 || admitted < 0 {
-				t.Fatalf("allocate: zone %d with demand %v of class %d got %v", zone, load, class, admitted)
+				t.Fatalf("allocate: zone %d, demand %v of class %d: got %v admitted, want 0 to the demand",
+					zone, load, class, admitted)
 			}
 		}
 	}
 }
 
-// checkEfficient checks an allocation whose classes may all go to any zone. It admits as much of the demand as the
-// capacity allows, sends no more load to other zones than necessary, and prefers the class of high priority.
+// checkEfficient checks an allocation for a demand whose classes may all go to any zone. The allocation must admit as
+// much of the demand as the capacity allows, send no more load to other zones than necessary, and prefer the class of
+// high priority.
 func checkEfficient(t *rapid.T, wanted *demand, placed allocation) {
 	load := 0.0
 	capacity := 0.0
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// golden returns the bytes of a golden file, and fails the test if the encoded bytes differ from them.
+// golden returns the content of a golden file, and fails the test if the bytes in encoded differ from it.
 func golden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -174,7 +174,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(encoded, want) {
-		t.Errorf("encoding for %s: got\n%x, want\n%x", name, encoded, want)
+		t.Errorf("content for the golden file %s: got\n%x, want\n%x", name, encoded, want)
 	}
 	return want
 }
@@ -186,7 +186,7 @@
 	switch value.Kind() {
 	case reflect.Pointer:
 		if value.IsNil() {
-			t.Errorf("%s: got nil, want it set", path)
+			t.Errorf("field %s: got nil, want a value", path)
 			return
 		}
 		wantAllSet(t, value.Elem(), path)
@@ -198,7 +198,7 @@
 		}
 	case reflect.Slice:
 		if value.Len() == 0 {
-			t.Errorf("%s: got an empty list, want an element", path)
+			t.Errorf("field %s: got an empty list, want at least one element", path)
 			return
 		}
 		if value.Type().Elem().Kind() == reflect.Struct {
@@ -206,7 +206,7 @@
 		}
 	default:
 		if value.IsZero() {
-			t.Errorf("%s: got its zero value, want it set", path)
+			t.Errorf("field %s: got its zero value, want another value", path)
 		}
 	}
 }
--- a/internal/failover/grant_builder.go
+++ b/internal/failover/grant_builder.go
@@ -15,7 +15,7 @@
 	placed  allocation
 	now     time.Duration
 
-	targets [][]float64 // load to be granted, by the zone that gets it and the zone that has the capacity
+	targets [][]float64 // load to grant, by the zone whose clients get it and the zone that has the capacity
 	free    []float64   // by zone: capacity that no target claims
 	reserve []float64   // by zone: capacity to lease out
 	inUse   [][]float64 // by node and zone: the most load that plans in use allow the node there
@@ -76,7 +76,7 @@
 			continue
 		}
 		wanted := b.demand.ofZone(from)
-		guests := max(0, wanted-targets[from]) // in its own zone, a node may exceed its share
+		guests := max(0, wanted-targets[from]) // load in other zones; in its own zone, a node may exceed its share
 		missing[from] = wanted + math.Sqrt(guests*float64(nodes))
 		for _, load := range targets {
 			missing[from] -= load
@@ -174,8 +174,8 @@
 	}
 }
 
-// tightRegions returns the regions whose demand is so near their capacity that plans reserve some of it for classes
-// that must stay there.
+// tightRegions returns the regions whose demand is so near their capacity that plans reserve some of the capacity for
+// classes that must stay there.
 func (b *grantBuilder) tightRegions() map[string]bool {
 	wanted := map[string]float64{}
 	capacity := map[string]float64{}
@@ -192,7 +192,8 @@
 	return tight
 }
 
-// recordInUse sets Plan.EarlierLoads, for a planner that knows this plan but none before it.
+// recordInUse sets Plan.EarlierLoads to the loads that earlier plans left in use, for a planner that knows this plan
+// but none before it.
 func (b *grantBuilder) recordInUse() {
 	for _, zone := range b.planner.zones {
 		most := make([]float32, len(b.planner.zones))
@@ -205,8 +206,8 @@
 	}
 }
 
-// committed returns the load that all nodes of the zone from may have in the zone to once a grant is added to the plans
-// in use.
+// committed returns the load that all nodes of zone from together may have in zone to, once a grant is added to the
+// plans in use.
 func (b *grantBuilder) committed(from, to int, grant float64) (load float64) {
 	zone := &b.plan.Zones[from]
 	for _, node := range b.planner.list.InZone(zone.Name) {
@@ -217,7 +218,7 @@
 }
 
 // largestFitting returns the largest grant with which a zone's nodes stay within a capacity. It can't revoke the load
-// that they may have by older plans.
+// that they may have under older plans.
 func (b *grantBuilder) largestFitting(from, to int, capacity float64) float64 {
 	inUse, ok := b.grantInUse(from, to)
 	if !ok {
--- a/internal/failover/lease_demand.go
+++ b/internal/failover/lease_demand.go
@@ -11,7 +11,7 @@
 const (
 	leaseAheadFraction  = 0.75 // of a node's granted load; above it the node requests leases before it needs them
 	minLeaseRequest     = 0.5  // load; nodes don't request less
-	ejectedZoneFraction = 0.5  // of a zone's servers; if this fraction is ejected, nodes lease nothing there
+	ejectedZoneFraction = 0.5  // of a zone's servers; if at least this fraction is ejected, nodes lease nothing there
 )
 
 // LeaseDemand returns the load that a node requests to lease, by zone. zone is the node's own zone, and observed is
@@ -117,8 +117,8 @@
 }
 
 // requestFrom adds the missing load to the requests for zones that are equally near, in proportion to their reserves.
-// It returns the load that is still missing: an exhausted zone's owner, which granted less than requested, is not
-// expected to grant more than the node has leased there.
+// It returns the load that is still missing after that. An exhausted zone's owner, which has granted less than the node
+// requested, will not grant more, so its zone counts only with the load that the node has leased there.
 func (p *Plan) requestFrom(
 	zones []int, missing float64, requests, leased map[string]float64, exhausted map[string]bool,
 ) (left float64) {
--- a/internal/failover/lease_owner.go
+++ b/internal/failover/lease_owner.go
@@ -80,7 +80,7 @@
 	return load
 }
 
-// largestLoad returns the most load that a holder can use by its leases, of which it uses one at a time.
+// largestLoad returns the load of a holder's largest lease, since a holder uses only one of its leases at a time.
 func largestLoad(leases []lease) (load float64) {
 	for _, l := range leases {
 		load = max(load, l.load)
--- a/internal/failover/plan.go
+++ b/internal/failover/plan.go
@@ -2,7 +2,7 @@
 
 import "spurwinch/internal/consensus"
 
-// Kinds of entries on the consensus log.
+// Kinds of entries in the consensus log.
 const (
 	PlanKind           consensus.Kind = 1
 	OperatorOrdersKind consensus.Kind = 2
@@ -41,11 +41,11 @@
 	LostNodes      []int   // nodes that the leader considers lost, by their indices in the membership list
 	Reason         string  // why the leader made the plan, for operators
 
-	// EarlierLoads is the most load that a node of a zone (first index) may still have in a zone (second index) by
+	// EarlierLoads is the most load that a node of a zone (first index) may still have in a zone (second index) under
 	// plans that were in use when this plan was made. Both are indices in Zones. A leader that doesn't know the earlier
 	// plans uses EarlierLoads in their place.
 	EarlierLoads [][]float32
-	// EarlierReserves is the load that lease owners may still have leased out by earlier plans.
+	// EarlierReserves is the load that lease owners may still have leased out under earlier plans.
 	EarlierReserves []CapacityReserve
 	Previous        uint64 // number of the plan before this one; 0: this is the first plan
 }
@@ -63,7 +63,7 @@
 	GuestLoad float32   // load that clients of other zones need in this zone now
 	Flaps     int       // consecutive losses of the zone soon after a recovery
 
-	LeaseOwner int     // node that leases out the reserve; -1: none
+	LeaseOwner int     // node that leases out the reserve, by its index in the membership list; -1: none
 	Reserve    float32 // part of the capacity that the lease owner may lease to nodes of any zone
 }
 
@@ -79,7 +79,7 @@
 type CapacityReserve struct {
 	_     struct{} `cbor:",toarray"`
 	Zone  int      // index in Plan.Zones
-	Owner int      // index in the membership list
+	Owner int      // node, by its index in the membership list
 	Load  float32
 }
 
--- a/internal/failover/plan_builder.go
+++ b/internal/failover/plan_builder.go
@@ -89,8 +89,8 @@
 	return wanted
 }
 
-// pathCost returns the cost of placing load of the zone from in the zone to. It is 0 within a zone and infinite if
-// attempts on the path fail.
+// pathCost returns the cost of placing load of zone from in zone to. It is 0 within a zone and infinite if attempts on
+// the path between two zones fail.
 func (p *Planner) pathCost(from, to int, now time.Duration) float64 {
 	if from == to {
 		return 0
--- a/internal/failover/plan_diff.go
+++ b/internal/failover/plan_diff.go
@@ -19,12 +19,12 @@
 const (
 	capacityTolerance  = 0.1  // of the zone's capacity
 	loadTolerance      = 0.15 // of the larger load
-	minLoadDifference  = 0.5  // load, for a zone of any capacity
+	minLoadDifference  = 0.5  // load, whatever the capacity of the zone
 	returnTolerance    = 0.9  // of a returning zone's capacity; a plan that states less is replaced
 	newPathFraction    = 0.5  // of a new grant to another zone; an older grant below that left clients nowhere to go
 	admissionTolerance = 12   // 255ths
 	scarceFraction     = 1.3  // of a zone's demand; a zone with smaller grants has little to spare
-	scarceTolerance    = 0.03 // of the demand of such a zone; a larger rise of its grants is a change
+	scarceTolerance    = 0.03 // of the demand of such a zone; its grants rise noticeably by this and minLoadDifference
 )
 
 // comparePlans returns how much a new plan differs from an old one.
--- a/internal/failover/plan_history.go
+++ b/internal/failover/plan_history.go
@@ -8,7 +8,7 @@
 // maxKnownPlans bounds the number of plans kept. Beyond it, the oldest are dropped even if they may be in use.
 const maxKnownPlans = 128
 
-// VersionedPlan is a plan that may be in use, with its number on the consensus log.
+// VersionedPlan is a plan that may be in use, with its number in the consensus log.
 type VersionedPlan struct {
 	Number uint64
 	Plan   *Plan
@@ -21,7 +21,7 @@
 	Plans []VersionedPlan // oldest first
 }
 
-// Add adds a plan, and drops plans that were superseded so long ago that no node uses other zones by them.
+// Add adds a plan, and drops plans that were superseded so long ago that no node uses other zones under them.
 func (h *PlanHistory) Add(number uint64, plan *Plan, now time.Duration) {
 	if count := len(h.Plans); count > 0 && h.Plans[count-1].Number >= number {
 		return
@@ -74,8 +74,8 @@
 	return plan.Number <= oldestAdopted && now-plan.From > p.crossZonePeriod()+leaseSettlePeriod
 }
 
-// crossZonePeriod returns how long after a newer plan nodes may still use other zones by the older plan. It is the
-// lifetime of a grant, which each node measures on its own clock, and a margin.
+// crossZonePeriod returns how long after a newer plan nodes may still use other zones under the older plan. It is the
+// lifetime of a grant, which each node measures on its own clock, plus a margin.
 func (p *Planner) crossZonePeriod() time.Duration { return p.rules.GrantLifetime + crossZoneMargin }
 
 // previousPlanKnown reports whether the predecessor of a known plan is known too.
@@ -83,7 +83,7 @@
 	return planIndex > 0 && p.knownPlans[planIndex].Plan.Previous == p.knownPlans[planIndex-1].Number
 }
 
-// mayUseZone reports whether any known plan allows the nodes of the zone from to have connections in the zone to.
+// mayUseZone reports whether any known plan allows nodes in zone from to have connections in zone to.
 func (p *Planner) mayUseZone(from, to string) bool {
 	return slices.ContainsFunc(p.knownPlans, func(known VersionedPlan) bool {
 		return known.Plan.grantedLoadByName(from, to) > 0
--- a/internal/failover/plan_lookup.go
+++ b/internal/failover/plan_lookup.go
@@ -28,7 +28,7 @@
 	return 0
 }
 
-// grantedLoad returns the load that the nodes of the zone from are granted in the zone to.
+// grantedLoad returns the load that the nodes of zone from are granted in zone to.
 func (p *Plan) grantedLoad(from, to int) float64 {
 	for _, grant := range p.Grants {
 		if grant.From == from && grant.To == to {
@@ -58,8 +58,8 @@
 	return 0
 }
 
-// nodeLoad returns the load that one node of the zone from may have in the zone to. lost tells whether the plan lists
-// the node as lost.
+// nodeLoad returns the load that one node of zone from may have in zone to. lost tells whether the plan lists the node
+// as lost.
 func (p *Plan) nodeLoad(from, to int, lost bool) float64 {
 	return p.Zones[from].nodeShare(p.grantedLoad(from, to), from == to, lost)
 }
@@ -103,7 +103,7 @@
 	return zones
 }
 
-// byProximity returns all zones, grouped by their proximity to the zone own.
+// byProximity returns all zones, grouped by their proximity to zone own.
 func (p *Plan) byProximity(own int) (groups [proximities][]int) {
 	for zone := range p.Zones {
 		group := p.proximity(own, zone)
--- a/internal/failover/plans_in_use.go
+++ b/internal/failover/plans_in_use.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// loadsInUse holds the most load that each node may have in each zone by any plan that it may still use.
+// loadsInUse holds the most load that each node may have in each zone under any plan that it may still use.
 type loadsInUse struct {
 	indexes map[string]int // index of each zone in the rows of byNode
 	byNode  [][]float64    // by node and zone
@@ -13,7 +13,7 @@
 	l.byNode[node][zone] = max(l.byNode[node][zone], load)
 }
 
-// inUse returns, by node and zone, the most load that each node may have in each zone by any plan that it may still
+// inUse returns, by node and zone, the most load that each node may have in each zone under any plan that it may still
 // use: the newest plan that it has reported to have adopted, and all newer ones.
 func (p *Planner) inUse(now time.Duration) [][]float64 {
 	loads := &loadsInUse{indexes: map[string]int{}, byNode: make([][]float64, p.list.Len())}
@@ -56,8 +56,8 @@
 	}
 }
 
-// addEarlierLoads raises the loads to those that plans unknown to this planner may have left in use. EarlierLoads of
-// the plan after them states these loads.
+// addEarlierLoads raises the loads to those that plans unknown to this planner may have left in use. The known plan
+// after them states these loads in EarlierLoads.
 func (p *Planner) addEarlierLoads(loads *loadsInUse, known *VersionedPlan, now time.Duration) {
 	crossZoneEnded := now-known.From > p.crossZonePeriod()
 	for from, most := range known.Plan.EarlierLoads {
--- a/internal/failover/plans_in_use_test.go
+++ b/internal/failover/plans_in_use_test.go
@@ -11,9 +11,9 @@
 )
 
 // TestMixesOfPlansStayInCapacity makes plans one after another under random demands, zone losses and adoptions.
-// Whichever of the plans that it may still have each node uses, the sum of the shares of all nodes and of the load that
-// lease owners may have leased out must stay within the largest capacity that any of these plans states. This must also
-// hold if a new planner takes over that knows only the newest plan.
+// Each node uses any one of the plans that it may still have. For every combination, the sum of the shares of all nodes
+// and of the load that lease owners may have leased out must stay within the largest capacity that any of these plans
+// states. This must also be the case if a new planner takes over that knows only the newest plan.
 func TestMixesOfPlansStayInCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawMixedFleet(t)
@@ -21,7 +21,7 @@
 			fleet.step(t, step)
 		}
 		if len(fleet.plans) == 0 {
-			t.Fatal("the planner made no plan")
+			t.Fatal("Step of the planner in 80 steps of the fleet: got no plan, want at least one")
 		}
 	})
 }
@@ -82,7 +82,8 @@
 	return fleet
 }
 
-// step simulates a quarter of a second. Zones report twice a second, and may be lost after the first five seconds.
+// step simulates a quarter of a second. All zones report twice a second. The servers of one of the first two zones may
+// fail after the first five seconds.
 func (f *mixedFleet) step(t *rapid.T, step int) {
 	f.now += 250 * time.Millisecond
 	f.drawLoad(t)
@@ -191,7 +192,7 @@
 		capacity = max(capacity, ownerCapacity)
 	}
 	if total > capacity*1.001+0.01 {
-		t.Fatalf("step %d, plan %d: got a total load of %.3f allowed in %s, want at most the largest capacity %.3f",
+		t.Fatalf("step %d, plan %d: got load %.3f in %s, want at most the largest capacity %.3f of plans in use",
 			step, len(f.plans), total, name, capacity)
 	}
 }
@@ -204,8 +205,8 @@
 	return Planned
 }
 
-// reserveOf returns the most load that a node may have leased out of a zone's capacity by plans that it has or had, and
-// the largest capacity that these plans state.
+// reserveOf returns the most load that a node may have leased out of a zone's capacity under plans that it has or had,
+// and the largest capacity that these plans state.
 func (f *mixedFleet) reserveOf(node int, zone string) (reserve, capacity float64) {
 	consider := func(plan int) {
 		planned := f.plans[plan].Zones[f.plans[plan].zoneIndex(zone)]
--- a/internal/failover/reserves.go
+++ b/internal/failover/reserves.go
@@ -24,8 +24,8 @@
 	return slices.MinFunc(live, func(a, b int) int { return cmp.Compare(p.list.Key(a, a), p.list.Key(b, b)) })
 }
 
-// reservesInUse returns the most load that each lease owner may have leased out of a zone's capacity by plans that may
-// still be in use, and the sum over all owners.
+// reservesInUse returns, by lease owner, the most load that the owner may have leased out of a zone's capacity under
+// plans that may still be in use. total is the sum over all owners.
 func (p *Planner) reservesInUse(zone string, now time.Duration) (byOwner map[int]float64, total float64) {
 	byOwner = map[int]float64{}
 	for planIndex := range p.knownPlans {
@@ -40,8 +40,8 @@
 	return byOwner, total
 }
 
-// addEarlierReserves adds the load that owners may have leased out by plans unknown to this planner. EarlierReserves of
-// the next known plan states it.
+// addEarlierReserves adds the load that owners may have leased out under plans unknown to this planner. The next known
+// plan states this load in EarlierReserves.
 func (p *Planner) addEarlierReserves(byOwner map[int]float64, planIndex int, zone string, now time.Duration) {
 	known := &p.knownPlans[planIndex]
 	if now-known.From > p.crossZonePeriod()+leaseSettlePeriod {
@@ -70,8 +70,8 @@
 	byOwner[owner] = max(byOwner[owner], float64(known.Plan.Zones[zoneIndex].Reserve))
 }
 
-// olderLeasesEnded reports whether a lease owner adopted a plan of that number or a newer one so long ago that its
-// leases by older plans have ended.
+// olderLeasesEnded reports whether a lease owner adopted the plan with a number, or a newer plan, so long ago that all
+// leases that it granted under older plans have ended.
 func (p *Planner) olderLeasesEnded(owner int, number uint64, now time.Duration) bool {
 	adopted, ok := p.adoptions.firstReportOf(owner, number)
 	return ok && now-adopted > leaseSettlePeriod
--- a/internal/failover/schedule_test.go
+++ b/internal/failover/schedule_test.go
@@ -15,21 +15,22 @@
 )
 
 // testFleet simulates a fleet of four zones in two regions, in steps of a quarter of a second. The test sets the
-// demand and the failures. All reachable nodes report evidence and use the newest plan.
+// demand and the failures. All nodes report evidence and use the newest plan, except for silent nodes and unreported
+// zones.
 type testFleet struct {
 	t       *testing.T
 	list    *membership.List
 	rules   Rules
 	planner *Planner
 	now     time.Duration
-	number  uint64 // of the newest plan
+	number  uint64 // number of the newest plan
 	newest  *Plan
 	text    strings.Builder // output to compare with the golden file
 
-	loads      map[string][]float32 // by zone and class: load of the zone's clients
+	loads      map[string][]float32 // load of a zone's clients, by zone and class
 	failing    map[string]bool      // zones whose servers fail
 	unreported map[string]bool      // zones whose nodes report nothing
-	silent     []int                // nodes that their watchers can't reach
+	silent     []int                // nodes that report nothing and that their watchers can't reach
 	rejecting  bool                 // whether nodes report rejections
 }
 
--- a/internal/failover/tuning.go
+++ b/internal/failover/tuning.go
@@ -10,17 +10,17 @@
 	evidenceLifetime    = 3 * time.Second // older evidence is not used
 	planInterval        = time.Second     // between two plans, and from the planner's start to its first plan
 	minorChangeInterval = 5 * time.Second // between two plans if nothing urgent has changed
-	proposalTimeout     = 3 * time.Second // after it, the planner may replace a proposal that is not committed
+	proposalTimeout     = 3 * time.Second // the planner may replace a proposal that is not committed within this time
 	crossZoneMargin     = time.Second     // added to a grant's lifetime before the grant counts as expired on all nodes
 )
 
 // How long state is kept.
 const (
 	flapPeriod        = time.Minute      // a lost zone recovers at most once in this period
-	lostNodeMemory    = time.Minute      // after it, a lost node's shares by plans from before its loss don't count
+	lostNodeMemory    = time.Minute      // how long a lost node's shares under plans from before its loss count
 	demandMemory      = time.Minute      // time constant of the decay of the demand before a failure
 	peakMemory        = 2 * time.Minute  // time constant of the decay of a peak load
-	suspicionDuration = 20 * time.Second // after all zones looked lost; nodes eject servers for at most 16 s
+	suspicionDuration = 20 * time.Second // distrust of evidence after all zones looked lost; ejections last up to 16 s
 )
 
 // When attempts or servers count as failing.
--- a/internal/failover/zone_grants.go
+++ b/internal/failover/zone_grants.go
@@ -12,7 +12,7 @@
 	order     []int           // zones that get grants, the zone itself first
 	grants    []float64       // by zone that gets the grant
 	granted   float64         // sum of the grants
-	used      []float64       // by zone: the most load that its nodes may have here by plans in use and new grants
+	used      []float64       // by zone: the most load that its nodes may have here under plans in use and new grants
 	committed float64         // sum of used, plus the load that may be leased out
 	leased    map[int]float64 // by lease owner: the load that it may have leased out
 }
@@ -45,11 +45,11 @@
 // zone returns the zone's entry in the plan.
 func (g *zoneGrants) zone() *Zone { return &g.builder.plan.Zones[g.to] }
 
-// allocated returns the load of the zone from that is allocated to this zone.
+// allocated returns the load of zone from that is allocated to this zone.
 func (g *zoneGrants) allocated(from int) float64 { return g.builder.placed.between(from, g.to) }
 
-// target returns the load that the zone from should be granted in this zone. The grant may be less while older plans
-// are in use.
+// target returns the load that zone from should be granted in this zone. The grant may be less while older plans are in
+// use.
 func (g *zoneGrants) target(from int) float64 { return g.builder.targets[from][g.to] }
 
 // grant makes the grants: first those that the demand needs, then the rest of the targets (headroom and standby). Both
@@ -66,7 +66,7 @@
 	}
 }
 
-// capacityFor returns the part of the zone's capacity that the nodes of the zone from may have.
+// capacityFor returns the part of the zone's capacity that the nodes of zone from may have.
 func (g *zoneGrants) capacityFor(from int) float32 {
 	zone := g.zone()
 	switch {
@@ -78,13 +78,13 @@
 	return zone.Capacity
 }
 
-// largestFitting returns the largest grant to the zone from that fits beside the load committed to other zones.
+// largestFitting returns the largest grant to zone from that fits beside the load committed to other zones.
 func (g *zoneGrants) largestFitting(from int) float64 {
 	left := max(0, float64(g.capacityFor(from))-(g.committed-g.used[from]))
 	return g.builder.largestFitting(from, g.to, left)
 }
 
-// raise raises the grant to the zone from to the load, if the load is larger.
+// raise sets the grant to zone from to a load, unless the grant is larger already.
 func (g *zoneGrants) raise(from int, load float64) {
 	load = max(g.grants[from], load)
 	used := g.builder.committed(from, g.to, load)
@@ -121,7 +121,7 @@
 // setReserve sets the load that the zone's lease owner may lease out: the capacity that was set aside for leases or, if
 // that is more, most of the guest load that has no grant yet. The latter becomes grants as older plans go out of use.
 // The reserve is bounded by the capacity that the grants leave free, and by the capacity that plans in use have not
-// committed, not counting the owner's own leases by older plans.
+// committed, not counting the owner's own leases under older plans.
 func (g *zoneGrants) setReserve() {
 	zone := g.zone()
 	if zone.LeaseOwner < 0 || zone.State != Healthy && zone.State != Returning {
@@ -150,8 +150,9 @@
 	return missing > constrainedFraction*float64(zone.Capacity)
 }
 
-// addTo adds the grants to a plan, and the load that lease owners may have leased out. If reserveForRegion is set, it
-// reserves a part of each grant for classes that must stay in their region.
+// addTo adds the grants to a plan, and the load that lease owners may have leased out as EarlierReserves. It also sets
+// the zone's GuestLoad. If reserveForRegion is set, it reserves a part of each grant for classes that must stay in
+// their region.
 func (g *zoneGrants) addTo(plan *Plan, reserveForRegion bool) {
 	for _, owner := range slices.Sorted(maps.Keys(g.leased)) {
 		reserve := CapacityReserve{Zone: g.to, Owner: owner, Load: float32(g.leased[owner])}
@@ -176,8 +177,8 @@
 	}
 }
 
-// regionLoad returns the load of the zone from that is allocated to this zone and is of classes that must stay in their
-// region.
+// regionLoad returns the load of zone from that is allocated to this zone, counting only classes that must stay in
+// their region.
 func (g *zoneGrants) regionLoad(from int) (load float64) {
 	for class, rule := range g.builder.planner.rules.Classes {
 		if rule.StayInRegion {
--- a/internal/failover/zone_plan.go
+++ b/internal/failover/zone_plan.go
@@ -8,8 +8,8 @@
 	"spurwinch/choice"
 )
 
-// Load that a node may have beyond its equal share of a grant, in standard deviations of that share: clients arrive at
-// a zone's nodes at random.
+// Load that a node may have beyond its equal share of a grant, in standard deviations of that share, since clients
+// arrive at a zone's nodes at random. In a lost zone, which has no capacity for it, a node has only its share.
 const (
 	ownZoneDeviations   = 2.5
 	otherZoneDeviations = 1.5
@@ -41,8 +41,8 @@
 	InRegionOnly float64            // reserved for load of regional classes without capacity in the node's own zone
 }
 
-// GrantShare returns the load that a node of a zone may have in each zone by a plan, as the planner counts it: without
-// leases, and without the margin that ZonePlanFor adds for random variation.
+// GrantShare returns the load that a node of a zone may have in each zone under a plan. Like the planner, it counts
+// neither leases nor the margin that ZonePlanFor adds for random variation.
 func GrantShare(mode Mode, plan *Plan, node int, zone string) map[string]float64 {
 	shares := map[string]float64{}
 	own := plan.zoneIndex(zone)
@@ -79,7 +79,7 @@
 	for i := range plan.Zones {
 		zonePlan.Nodes += plan.Zones[i].Nodes
 	}
-	if mode != OwnZoneOnly { // in that mode the grants, which are less than the plan's capacity, bound the admission
+	if mode != OwnZoneOnly { // in OwnZoneOnly, the grants bound the admission: they are less than the plan's capacity
 		zonePlan.AdmitFraction = calculator.admitFractions(classes)
 	}
 	return zonePlan
@@ -154,9 +154,10 @@
 	return share + otherZoneDeviations*math.Sqrt(share) + leased
 }
 
-// ownLoad returns the load that the node may have in its own zone by the plan. It exceeds an equal share of the grant:
-// all nodes together reach it only if the demand is larger than estimated. In that case the servers' load reports,
-// without which no load balancer places requests, protect the last part of their capacity.
+// ownLoad returns the load that the node may have in its own zone under the plan. Unless the zone is lost, it exceeds
+// an equal share of the grant. All nodes together reach that load only if the demand is larger than estimated. In that
+// case the servers' load reports, without which no load balancer places requests, protect the last part of their
+// capacity.
 func (c *grantCalculator) ownLoad() float64 {
 	zone := &c.plan.Zones[c.own]
 	load := c.plan.nodeLoad(c.own, c.own, c.lost)
--- a/internal/failover/zone_state.go
+++ b/internal/failover/zone_state.go
@@ -18,7 +18,7 @@
 type zoneLifecycle struct {
 	state        State
 	since        time.Duration // when it entered this state
-	healthySince time.Duration // since when its servers answer, while it is Lost; 0: they don't answer
+	healthySince time.Duration // when its servers began to answer, while it is Lost; 0: they don't answer
 	returnedAt   time.Duration // when its last recovery began; 0: never
 	flaps        int           // consecutive losses within flapPeriod of a recovery; operators see it in the plan
 	ramp         float64       // fraction of its capacity that plans use again, while it is Returning
--- a/internal/failover/zone_state_test.go
+++ b/internal/failover/zone_state_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// loseAndReturn lets a zone's servers fail for a while, and returns the time of the zone's recovery after that.
+// loseAndReturn makes a zone's servers fail for five seconds, and returns the time of the zone's recovery after that.
 func (f *testFleet) loseAndReturn(zone string) time.Duration {
 	f.t.Helper()
 	f.failing[zone] = true
@@ -32,6 +32,6 @@
 			return f.now
 		}
 	}
-	f.t.Fatalf("zone %s has not recovered within %v", zone, 2*flapPeriod)
+	f.t.Fatalf("state of zone %s with all servers answering: got no recovery within %v, want one", zone, 2*flapPeriod)
 	return 0
 }
