--- a/internal/failover/agent/calls.go
+++ b/internal/failover/agent/calls.go
@@ -13,61 +13,61 @@
 	"spurwinch/internal/policy"
 )
 
-// Operator is the sender's number in an operator's call: no node's.
+// Operator is the sender number of an operator's call. No node has this number.
 const Operator = 0xffff
 
-// Verb is the operation of an operator's call, as Call.Verb has it on the wire.
+// Verb is the operation of an operator's call. Call.Verb carries it on the wire.
 type Verb string
 
-// The verbs of calls.
+// The verbs of operators' calls.
 const (
-	VerbStatus        Verb = "status"         // the node, the plan and, of the leader, the nodes
-	VerbPlan          Verb = "plan"           // the same
-	VerbExplain       Verb = "explain"        // what led to the state of the zone Arg; of the leader
-	VerbDrain         Verb = "drain"          // have no load in the zone Arg; of the leader
-	VerbUndrain       Verb = "undrain"        // the opposite
-	VerbEnded         Verb = "ended"          // how the proposal Arg ended; of a voter
-	VerbPolicy        Verb = "policy"         // without Arg a token, with a token in Arg the policy; of the leader
-	VerbPolicyPropose Verb = "policy-propose" // propose the policy Data in place of number Base; of the leader
-	VerbPolicyAbort   Verb = "policy-abort"   // give the change ID up; of the leader
+	VerbStatus        Verb = "status"         // describe the node and the plan; the leader also describes all nodes
+	VerbPlan          Verb = "plan"           // same as VerbStatus
+	VerbExplain       Verb = "explain"        // explain the state of the zone in Arg; leader only
+	VerbDrain         Verb = "drain"          // drain the zone in Arg; leader only
+	VerbUndrain       Verb = "undrain"        // end the drain of the zone in Arg; leader only
+	VerbEnded         Verb = "ended"          // report the outcome of the proposal in Arg; voters only
+	VerbPolicy        Verb = "policy"         // return a token, or the policy if Arg is a token; leader only
+	VerbPolicyPropose Verb = "policy-propose" // propose the policy Data to replace policy number Base; leader only
+	VerbPolicyAbort   Verb = "policy-abort"   // abort the change ID; leader only
 )
 
 // Call is an operator's call to a node.
 type Call struct {
 	_    struct{} `cbor:",toarray"`
 	Verb string   // a Verb
-	Arg  string   // a zone, a proposal's id or a token, by the verb
-	ID   string   // of the proposal that drain, undrain or a change of the policy makes
-	Data []byte   // a policy
-	Base uint64   // the number of the policy that it is to replace
+	Arg  string   // a zone, a proposal's ID or a token, depending on the verb
+	ID   string   // ID of the proposal that drain, undrain or a policy change makes
+	Data []byte   // a policy document
+	Base uint64   // number of the policy that Data replaces
 	Part policy.Canary
 }
 
-// callClock is the clock of an operator's call, which is sent alone on a stream: nothing is compared with it, and the
-// reply has the same.
+// callClock is the clock of an operator's call and of its reply. A stream carries a single call, so the clock is not
+// compared with any other.
 const callClock = 1
 
-// callError is why a call is not answered, and what its caller can do about it.
+// callError is the reason why a call failed, and whether the caller can retry it.
 type callError struct {
 	reason  string
-	badCall bool // the call itself is wrong: no node will answer it otherwise
+	badCall bool // the call is invalid: no node accepts it
 	retry   bool // the same call may succeed later, or at the leader
 }
 
-// Error is the reason as the operator reads it.
+// Error returns the reason as the operator reads it.
 func (e *callError) Error() string { return e.reason }
 
 var (
 	errNotLeader  = &callError{reason: "this node does not lead", retry: true}
-	errNoEvidence = &callError{reason: "this node does not lead: evidence is with the one that does", retry: true}
-	errNotVoter   = &callError{reason: "this node does not vote: voters know how proposals ended", retry: true}
+	errNoEvidence = &callError{reason: "this node does not lead: only the leader has the evidence", retry: true}
+	errNotVoter   = &callError{reason: "this node does not vote: only voters know proposals' outcomes", retry: true}
 	errNoPolicy   = &callError{
-		reason:  "this fleet has no policy on its log: [policy] in the list of nodes has it",
+		reason:  "this fleet has no policy on its log: [policy] in the list of nodes enables it",
 		badCall: true,
 	}
-	errBadToken    = &callError{reason: "a token of an answer is wanted", badCall: true}
-	errLeaderMoved = &callError{reason: "another one leads since the call came", retry: true}
-	errSuperseded  = &callError{reason: "given up: another change came first"}
+	errBadToken      = &callError{reason: "invalid token: must be the token of an earlier reply", badCall: true}
+	errLeaderChanged = &callError{reason: "the leader changed after the token was issued", retry: true}
+	errSuperseded    = &callError{reason: "change not accepted: another change was accepted first"}
 )
 
 // Seal encodes an operator's call to the node with the number to in the list, authenticated by the fleet's key.
@@ -75,7 +75,7 @@
 	return seal(key, digestOf(list), header{kind: kindCall, from: Operator, to: to, clock: callClock}, encode(call))
 }
 
-// Unseal decodes a node's reply to a call. The error says what of it is not valid.
+// Unseal decodes a node's reply to a call. The error says which part of the reply is invalid.
 func Unseal(key []byte, list *membership.List, message []byte) (Reply, error) {
 	head, body, err := open(key, digestOf(list), message)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return reply, nil
 }
 
-// Answer handles an operator's call that came by a stream and returns the encoded reply; ok is false for anything else,
-// to which there is no reply. A call that fails is replied to with its error.
+// Answer handles an operator's call that arrived on a stream and returns the encoded reply. ok is false for messages
+// that are not valid calls, which get no reply. If a call fails, the reply contains the error.
 func (a *Agent) Answer(message []byte, now time.Duration) (reply []byte, ok bool) {
 	head, body, err := open(a.options.Key, a.listDigest, message)
 	if err != nil || head.kind != kindCall || head.from != Operator || head.to != a.options.Self {
@@ -111,7 +111,7 @@
 	return seal(a.options.Key, a.listDigest, head, encode(answer)), true
 }
 
-// handleCall answers a call, in a reply that describes the node already.
+// handleCall handles a call and adds the results to a reply that already describes the node.
 func (a *Agent) handleCall(call Call, reply *Reply, now time.Duration) error {
 	switch Verb(call.Verb) {
 	case VerbStatus, VerbPlan:
@@ -129,11 +129,11 @@
 		return a.handlePolicyCall(call, reply)
 	default:
 		const verbs = "status, plan, drain, undrain, explain, ended, policy, policy-propose and policy-abort"
-		return &callError{reason: fmt.Sprintf("no call %q: %s are there", call.Verb, verbs)}
+		return &callError{reason: fmt.Sprintf("unknown call %q: the calls are %s", call.Verb, verbs)}
 	}
 }
 
-// explainZone describes what led to a zone's state.
+// explainZone adds the reasons for a zone's state to a reply.
 func (a *Agent) explainZone(zone string, reply *Reply, now time.Duration) error {
 	if a.planner == nil {
 		return errNoEvidence
@@ -150,10 +150,10 @@
 	if slices.Contains(zones, zone) {
 		return nil
 	}
-	return &callError{reason: fmt.Sprintf("no zone %q: one of %v is wanted", zone, zones), badCall: true}
+	return &callError{reason: fmt.Sprintf("unknown zone %q: must be one of %v", zone, zones), badCall: true}
 }
 
-// orderDrain proposes that a zone is drained, or no longer is.
+// orderDrain proposes orders that drain a zone or end its drain.
 func (a *Agent) orderDrain(call Call) error {
 	if err := a.checkZone(call.Arg); err != nil {
 		return err
@@ -162,7 +162,7 @@
 		return errNotLeader
 	}
 	newest := a.follower.Newest(failover.OperatorOrdersKind)
-	orders, _ := failover.DecodeOperatorOrders(newest.Data) // none, or of a later version: they are replaced
+	orders, _ := failover.DecodeOperatorOrders(newest.Data) // missing or undecodable orders are replaced
 	orders.Drained = slices.DeleteFunc(slices.Clone(orders.Drained), func(zone string) bool { return zone == call.Arg })
 	if Verb(call.Verb) == VerbDrain {
 		orders.Drained = append(orders.Drained, call.Arg)
@@ -173,7 +173,7 @@
 	})
 }
 
-// propose proposes an entry to the log for a call. A proposal that the voter rejects now may be accepted later.
+// propose proposes a log entry for a call. If the voter rejects the proposal, the caller may retry it later.
 func (a *Agent) propose(proposal consensus.Proposal) error {
 	if err := a.voter.Propose(proposal); err != nil {
 		return &callError{reason: err.Error(), retry: true}
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// describeProposal describes how a proposal ended, if it has.
+// describeProposal adds the outcome of a proposal to a reply, if it is known.
 func (a *Agent) describeProposal(id string, reply *Reply) error {
 	if a.voter == nil {
 		return errNotVoter
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// setError puts an error into a reply.
+// setError sets a reply's error, and whether the call was invalid or can be retried.
 func (r *Reply) setError(err error) {
 	r.Error = err.Error()
 	var failed *callError
--- a/internal/failover/agent/calls_test.go
+++ b/internal/failover/agent/calls_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestCallsThatAreNotAnswered checks the error of a call that a node can't answer: is the call wrong, or the node the
-// wrong one?
-func TestCallsThatAreNotAnswered(t *testing.T) {
+// TestCallErrors checks the errors of calls that a node can't handle, in particular whether the error blames the call
+// or tells the caller to retry elsewhere.
+func TestCallErrors(t *testing.T) {
 	agent := newTestAgent(t)
 	for _, test := range []struct {
 		name       string
@@ -20,65 +20,65 @@
 			"an unknown verb",
 			Call{Verb: "dance"},
 			false, false,
-			`no call "dance": status, plan, drain, undrain, explain, ended, ` +
-				`policy, policy-propose and policy-abort are there`,
+			`unknown call "dance": the calls are status, plan, drain, undrain, explain, ended, ` +
+				`policy, policy-propose and policy-abort`,
 		},
 		{
 			"a zone that isn't listed",
 			Call{Verb: string(VerbDrain), Arg: "x"},
 			true, false,
-			`no zone "x": one of [y z] is wanted`,
+			`unknown zone "x": must be one of [y z]`,
 		},
 		{"a node that doesn't lead", Call{Verb: string(VerbDrain), Arg: "y"}, false, true, "this node does not lead"},
 		{
 			"evidence at a node that doesn't lead",
 			Call{Verb: string(VerbExplain), Arg: "y"},
 			false, true,
-			"this node does not lead: evidence is with the one that does",
+			"this node does not lead: only the leader has the evidence",
 		},
 		{
 			"a proposal at a node that doesn't vote",
 			Call{Verb: string(VerbEnded), Arg: "id"},
 			false, true,
-			"this node does not vote: voters know how proposals ended",
+			"this node does not vote: only voters know proposals' outcomes",
 		},
 		{
-			"a policy in a fleet without",
+			"a policy call in a fleet without a policy",
 			Call{Verb: string(VerbPolicy)},
 			true, false,
-			"this fleet has no policy on its log: [policy] in the list of nodes has it",
+			"this fleet has no policy on its log: [policy] in the list of nodes enables it",
 		},
-		{"a status", Call{Verb: string(VerbStatus)}, false, false, ""},
+		{"a status call", Call{Verb: string(VerbStatus)}, false, false, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			list, key := agent.options.List, agent.options.Key
 			message, ok := agent.Answer(Seal(key, list, 0, test.call), time.Second)
 			if !ok {
-				t.Fatal("the call is not answered, wanted a reply")
+				t.Fatal("Answer returned no reply, want one")
 			}
 			reply, err := Unseal(key, list, message)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if reply.Error != test.wantReason || reply.BadCall != test.wantBad || reply.Retry != test.wantRetry {
-				t.Errorf("replied %+v, wanted %+v", reply, test)
+				t.Errorf("reply: got %+v, want %+v", reply, test)
 			}
 			if reply.Node != "a" || reply.Zone != "z" {
-				t.Errorf("reply of %q in %q, wanted a in z", reply.Node, reply.Zone)
+				t.Errorf("reply: got node %q in zone %q, want node a in zone z", reply.Node, reply.Zone)
 			}
 		})
 	}
 }
 
-// TestReadToken holds that a token is read as it was written, and nothing else is.
+// TestReadToken checks that a token's text is parsed to the same token, and that any other text is an error.
 func TestReadToken(t *testing.T) {
 	token := readToken{term: 3, confirmation: 14}
 	if read, err := parseReadToken(token.String()); err != nil || read != token {
-		t.Errorf("token %q read as %+v, %v, wanted %+v", token, read, err, token)
+		t.Errorf("parse token %q: got %+v, %v, want %+v", token, read, err, token)
 	}
 	for _, text := range []string{"", "3", "3/", "/14", "3/14/15", "-3/14", "a/b"} {
 		if read, err := parseReadToken(text); err == nil {
-			t.Errorf("token %q read as %+v, wanted an error", text, read)
+			t.Errorf("parse token %q: got %+v, want an error", text, read)
 		}
 	}
 }
--- a/internal/failover/agent/policy_calls.go
+++ b/internal/failover/agent/policy_calls.go
@@ -10,9 +10,9 @@
 	"spurwinch/internal/policy"
 )
 
-// PolicyReply is what a node knows of the policy.
+// PolicyReply describes the policy as the leader knows it.
 type PolicyReply struct {
-	Token     string                     `json:"token,omitempty"` // the answer to a call with it is not older
+	Token     string                     `json:"token,omitempty"` // the reply to a call with the token is no older
 	Number    uint64                     `json:"number"`
 	Digest    string                     `json:"digest,omitempty"`
 	Change    *ChangeReply               `json:"change,omitempty"`
@@ -35,7 +35,7 @@
 	Text   []byte        `cbor:"text" json:"-"`
 }
 
-// PolicyMember is a member as the leader knows it.
+// PolicyMember is a member of the fleet as the leader knows it.
 type PolicyMember struct {
 	Name         string `json:"name"`
 	Live         bool   `json:"live"`
@@ -46,8 +46,8 @@
 	Answer       string `json:"answer,omitempty"`
 }
 
-// handlePolicyCall answers operators' calls about the policy. All of them go to the leader. Reads are linearizable: the
-// state is read only after a majority has confirmed, since the call came, that this node leads.
+// handlePolicyCall handles operators' calls about the policy, which only the leader accepts. Reads are linearizable:
+// the leader reads the state only after a majority has confirmed its leadership since the call arrived.
 func (a *Agent) handlePolicyCall(call Call, reply *Reply) error {
 	switch {
 	case a.options.Policy == nil:
@@ -66,12 +66,13 @@
 	}
 }
 
-// readToken is a call to confirm that this node leads: what is read when that is confirmed is not older than the token.
+// readToken identifies a ConfirmLeadership call of the voter. Once a majority has confirmed it, the state that is read
+// is no older than the token.
 type readToken struct {
 	term, confirmation uint64
 }
 
-// String is a token as callers give it back.
+// String returns the token's text, which callers send back in Call.Arg.
 func (t readToken) String() string { return fmt.Sprintf("%d/%d", t.term, t.confirmation) }
 
 func parseReadToken(text string) (readToken, error) {
@@ -84,7 +85,7 @@
 	return readToken{term: term, confirmation: confirmation}, nil
 }
 
-// readPolicy answers with the state, once the call of the token is confirmed.
+// readPolicy adds the policy to a reply once the token's call is confirmed. Until then the caller has to retry.
 func (a *Agent) readPolicy(tokenText string, reply *Reply) error {
 	token, err := parseReadToken(tokenText)
 	if err != nil {
@@ -92,7 +93,7 @@
 	}
 	switch {
 	case token.term != a.voter.Term():
-		return errLeaderMoved
+		return errLeaderChanged
 	case token.confirmation > a.voter.ConfirmedCall():
 		reply.Policy = &PolicyReply{Token: tokenText}
 		reply.Retry = true
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// proposePolicy proposes a change, or the abort of the pending one. It is idempotent, by the id of the change.
+// proposePolicy proposes a change, or the abort of the pending one. The change's ID makes the call idempotent.
 func (a *Agent) proposePolicy(call Call, reply *Reply) error {
 	state, entry := a.newestPolicy()
 	isNew := Verb(call.Verb) == VerbPolicyPropose
@@ -124,7 +125,7 @@
 		proposal.Data = next.Encode()
 	} else {
 		if state.Change == nil || state.Change.ID != call.ID {
-			return &callError{reason: fmt.Sprintf("no change %q is on its way", call.ID)}
+			return &callError{reason: fmt.Sprintf("no change %q is pending", call.ID)}
 		}
 		proposal.ID = stepAborted.proposalID(entry)
 		proposal.Data = state.Abort("aborted by an operator").Encode()
@@ -132,15 +133,15 @@
 	if err := a.propose(proposal); err != nil {
 		return err
 	}
-	reply.Retry = true // the next call with this id answers how it went
+	reply.Retry = true // the next call with this ID gets the outcome
 	return nil
 }
 
-// stateWithChange is the state with a call's change pending.
+// stateWithChange returns a copy of the state in which the call's change is pending.
 func (a *Agent) stateWithChange(state *policy.State, call Call) (*policy.State, error) {
 	if zone := call.Part.Zone; zone != "" && a.checkZone(zone) != nil {
 		zones := a.options.List.Zones()
-		return nil, &callError{reason: fmt.Sprintf("a part of zone %q: one of %v is wanted", zone, zones)}
+		return nil, &callError{reason: fmt.Sprintf("unknown canary zone %q: must be one of %v", zone, zones)}
 	}
 	document, err := a.options.Policy.Read(call.Data)
 	if err != nil {
@@ -153,7 +154,8 @@
 	return next, nil
 }
 
-// describePolicy describes the state in the log, and the members by their newest reports.
+// describePolicy describes the newest state in the log and, at the leader, the members according to their newest
+// reports.
 func (a *Agent) describePolicy() *PolicyReply {
 	state, entry := a.newestPolicy()
 	reply := &PolicyReply{
--- a/internal/failover/agent/reply.go
+++ b/internal/failover/agent/reply.go
@@ -7,22 +7,22 @@
 	"spurwinch/internal/failover"
 )
 
-// admitScale is what a plan's fraction of 1 is on the wire.
+// admitScale is the encoding of an admit fraction of 1 in a plan.
 const admitScale = 255
 
-// Reply is a node's answer to an operator's call. Tools print it as JSON; nodes send it as CBOR by the same keys.
+// Reply is a node's reply to an operator's call. Tools print it as JSON. Nodes send it as CBOR with the same keys.
 type Reply struct {
 	Error      string             `json:"error,omitempty"`
-	BadCall    bool               `json:"bad,omitempty"`   // the call itself is wrong: no node will answer it otherwise
+	BadCall    bool               `json:"bad,omitempty"`   // the call is invalid: no node accepts it
 	Retry      bool               `json:"retry,omitempty"` // the same call may succeed later, or at the leader
 	Leader     string             `json:"leader,omitempty"`
 	Node       string             `json:"node"`
 	Zone       string             `json:"zone"`
 	Mode       string             `json:"mode"`
 	Plan       uint64             `json:"plan"`
-	Lease      float64            `json:"lease_s"` // seconds that grants into other zones are valid for
+	Lease      float64            `json:"lease_s"` // seconds until the grants in other zones expire
 	Log        string             `json:"log"`
-	Term       uint64             `json:"term,omitempty"` // of a voter
+	Term       uint64             `json:"term,omitempty"` // voters only
 	Leads      bool               `json:"leads"`
 	Voter      bool               `json:"voter"`
 	Counts     Counts             `json:"messages"`
@@ -30,15 +30,15 @@
 	Reason     string             `json:"why,omitempty"`
 	LostNodes  []string           `json:"lost,omitempty"`
 	LeasedFrom map[string]float64 `json:"loans,omitempty"` // capacity that this node has leased, by zone
-	LeasedOut  float64            `json:"lent"`            // capacity of its zone that it has leased to others
+	LeasedOut  float64            `json:"lent"`            // capacity of its own zone that it has leased to other nodes
 	Drained    []string           `json:"drained,omitempty"`
-	Nodes      []NodeReply        `json:"nodes,omitempty"` // of the leader
+	Nodes      []NodeReply        `json:"nodes,omitempty"` // leader only
 	Explain    []string           `json:"explain,omitempty"`
 	Ended      *ProposalOutcome   `json:"ended,omitempty"`
 	Policy     *PolicyReply       `json:"policy,omitempty"`
 }
 
-// ProposalOutcome is how a proposal ended.
+// ProposalOutcome is the outcome of a proposal. Taken is true if it was accepted.
 type ProposalOutcome struct {
 	ID     string `json:"id"`
 	Number uint64 `json:"number"`
@@ -53,9 +53,9 @@
 	Nodes          int                `json:"nodes"`
 	Listed         int                `json:"listed"`
 	Capacity       float64            `json:"room"`
-	GuestLoad      float64            `json:"guests"` // what clients of other zones need there now
+	GuestLoad      float64            `json:"guests"` // load that clients of other zones currently need in this zone
 	LeaseOwner     string             `json:"lender,omitempty"`
-	Reserve        float64            `json:"lends"` // part of the capacity that the owner may lease out
+	Reserve        float64            `json:"lends"` // part of the capacity that the lease owner may lease out
 	Demand         map[string]float64 `json:"want"`
 	Grants         map[string]float64 `json:"grants"`
 	AdmitFractions map[string]float64 `json:"admit"`
@@ -67,10 +67,10 @@
 	Zone                 string  `json:"zone"`
 	Live                 bool    `json:"live"`
 	Plan                 uint64  `json:"plan"`
-	LastReportSecondsAgo float64 `json:"heard_s_ago"` // age of its last report in seconds; under 0: it has sent none
+	LastReportSecondsAgo float64 `json:"heard_s_ago"` // seconds since its last report; negative: no report yet
 }
 
-// describe is a reply with what every reply has, the node's own state.
+// describe returns a reply with the node's own state, which every reply contains.
 func (a *Agent) describe(now time.Duration) Reply {
 	self := a.options.List.Node(a.options.Self)
 	reply := Reply{
@@ -96,12 +96,12 @@
 		}
 	}
 	newest := a.follower.Newest(failover.OperatorOrdersKind)
-	orders, _ := failover.DecodeOperatorOrders(newest.Data) // of none: nothing is drained
+	orders, _ := failover.DecodeOperatorOrders(newest.Data) // without orders no zone is drained
 	reply.Drained = orders.Drained
 	return reply
 }
 
-// describePlan describes the plan in effect.
+// describePlan adds the plan in effect to a reply.
 func (a *Agent) describePlan(reply *Reply) {
 	if a.plan == nil {
 		return
@@ -117,7 +117,7 @@
 	}
 }
 
-// describeZone is zone number index of the plan.
+// describeZone describes the zone at an index of the plan.
 func (a *Agent) describeZone(index int) ZoneReply {
 	plan, zone := a.plan, a.plan.Zones[index]
 	reply := ZoneReply{
@@ -148,7 +148,7 @@
 	return reply
 }
 
-// describeNodes describes the nodes as the leader sees them.
+// describeNodes adds the nodes to a reply as the leader sees them.
 func (a *Agent) describeNodes(reply *Reply, now time.Duration) {
 	if a.planner == nil {
 		return
