--- a/internal/failover/agent/aggregation.go
+++ b/internal/failover/agent/aggregation.go
@@ -7,19 +7,19 @@
 	"spurwinch/internal/failover"
 )
 
-// peerTimeout is how long evidence is valid, and for how long a node that sent evidence or summaries subscribes to new
+// peerTimeout is how long evidence is valid. For as long, a node that sent evidence or a summary receives new log
 // entries.
 const peerTimeout = 2500 * time.Millisecond
 
-// nodeEvidence is the newest evidence of a node, at an aggregator of its zone.
+// nodeEvidence is the newest evidence from a node, stored by an aggregator of the node's zone.
 type nodeEvidence struct {
 	evidence failover.EvidenceSummary
-	at       time.Duration // when it arrived
-	fresh    bool          // it is in no summary yet
-	stale    bool          // it was delayed on the way
+	at       time.Duration // when the evidence arrived
+	fresh    bool          // the evidence is not in a summary yet
+	stale    bool          // the message may have been delayed in the network
 }
 
-// handleEvidence stores a node's evidence and answers with what this aggregator knows of the leader and the log.
+// handleEvidence stores a node's evidence and replies with what this aggregator knows about the leader and the log.
 func (a *Agent) handleEvidence(head header, body []byte, stale bool, now time.Duration) {
 	evidence, err := failover.DecodeEvidenceSummary(body)
 	if err != nil || evidence.Zone != a.zone || len(evidence.Nodes) != 1 || evidence.Nodes[0].Node != head.from {
@@ -40,8 +40,8 @@
 	a.send(head.from, kindEvidenceAck, encode(ack), now)
 }
 
-// storeEvidence stores a node's evidence for the next summary. Counts of earlier evidence that are in no summary yet
-// are added to it.
+// storeEvidence stores a node's evidence for the next summary. It adds the counts of the node's earlier evidence if no
+// summary includes them yet.
 func (a *Agent) storeEvidence(node int, evidence failover.EvidenceSummary, stale bool, now time.Duration) {
 	if before := a.evidence[node]; before != nil && before.fresh {
 		addCounters(&evidence, before.evidence)
@@ -49,7 +49,7 @@
 	a.evidence[node] = &nodeEvidence{evidence: evidence, at: now, fresh: true, stale: stale}
 }
 
-// sendSummary sends the voters the summary of its zone's evidence that this node has as an aggregator.
+// sendSummary sends the voters a summary of the evidence that this node has collected as an aggregator of its zone.
 func (a *Agent) sendSummary(now time.Duration) {
 	summary, stale, ok := a.summarizeZone(now)
 	if !ok {
@@ -70,8 +70,8 @@
 	}
 }
 
-// summarizeZone adds up the evidence of this zone's nodes. stale says that all of it was delayed on the way; ok is
-// false where there is none.
+// summarizeZone adds up the evidence of this zone's nodes. stale is true if all of the evidence may have been delayed
+// in the network; ok is false if there is no evidence.
 func (a *Agent) summarizeZone(now time.Duration) (summary failover.EvidenceSummary, stale, ok bool) {
 	stale = true
 	for _, node := range a.options.List.InZone(a.zone) {
@@ -84,7 +84,7 @@
 		if !known.fresh {
 			evidence = withoutCounters(evidence)
 		}
-		if known.stale { // only its node's status is used
+		if known.stale { // only the node's status is used
 			evidence.Zones = nil
 		} else {
 			stale = false
@@ -97,8 +97,8 @@
 	return summary, stale, ok
 }
 
-// addCounters adds what evidence counts since the one before: arrivals, rejections and attempts. Levels stay as they
-// were observed last.
+// addCounters adds the counters of earlier evidence to newer evidence: arrivals, rejections, attempts and failures.
+// Current values, such as loads and capacities, stay as in the newer evidence.
 func addCounters(evidence *failover.EvidenceSummary, before failover.EvidenceSummary) {
 	if slices.Equal(before.Classes, evidence.Classes) {
 		addEach(evidence.Arrived, before.Arrived)
@@ -121,7 +121,7 @@
 	}
 }
 
-// withoutCounters is evidence without what it counts, which is in a summary already.
+// withoutCounters returns evidence with its counters set to zero, for evidence whose counters are in a summary already.
 func withoutCounters(evidence failover.EvidenceSummary) failover.EvidenceSummary {
 	evidence.Arrived = make([]float32, len(evidence.Classes))
 	evidence.Rejected = make([]float32, len(evidence.Classes))
--- a/internal/failover/agent/evidence.go
+++ b/internal/failover/agent/evidence.go
@@ -9,16 +9,16 @@
 	"spurwinch/internal/failover"
 )
 
-// aggregatorsPerZone is the number of aggregators that a node sends its evidence.
+// aggregatorsPerZone is the number of aggregators to which a node sends its evidence.
 const aggregatorsPerZone = 2
 
-// WantsObservations says whether Observe is due.
+// WantsObservations reports whether a call of Observe is due.
 func (a *Agent) WantsObservations(now time.Duration) bool { return now >= a.schedule.observe }
 
-// Observe processes what the load balancer observed since the last call: evidence for the aggregators and demand for
-// capacity leases.
+// Observe processes the load balancer's observations since the last call. It sends evidence to the aggregators and
+// requests capacity leases.
 func (a *Agent) Observe(observations choice.Observations, now time.Duration) {
-	isDue(&a.schedule.observe, observeInterval, now) // moves the time of the next call on
+	isDue(&a.schedule.observe, observeInterval, now) // schedules the next call
 	a.observed = failover.Accumulate(a.observed, observations)
 	if isDue(&a.schedule.evidence, evidenceInterval, now) {
 		a.sendEvidence(a.observed, now)
@@ -54,11 +54,11 @@
 	}
 }
 
-// aggregators are the nodes of this zone that aggregate its evidence now, as this node sees it: the first ones that
-// answer, in an order that is the same for all nodes.
+// aggregators returns the nodes of this zone to which this node currently sends its evidence: the first responsive
+// nodes in an order that is the same for all nodes.
 func (a *Agent) aggregators(now time.Duration) (chosen []int) {
 	for _, node := range a.aggregatorOrder() {
-		if node != a.options.Self && a.peer(node).isPassedOver(now) {
+		if node != a.options.Self && a.peer(node).shouldSkip(now) {
 			continue
 		}
 		chosen = append(chosen, node)
@@ -76,17 +76,18 @@
 	return nodes
 }
 
-// handleEvidenceAck processes an aggregator's answer to evidence: when the leader was last confirmed.
+// handleEvidenceAck processes an aggregator's reply to evidence, which says when the leader was last confirmed.
 func (a *Agent) handleEvidenceAck(head header, ack evidenceAck, now time.Duration) {
 	aggregator := a.peer(head.from)
-	sentAt, ok := aggregator.answered(ack.EvidenceClock)
+	sentAt, ok := aggregator.takeSendTime(ack.EvidenceClock)
 	if !ok {
 		return
 	}
 	aggregator.unansweredSince = 0
 	aggregator.unresponsiveSince = 0
 	if ack.LeaderAge >= 0 {
-		// Counted from when the evidence was sent, not from when the answer came: that errs on the safe side.
+		// Subtracting the age from the send time, not from the reply's arrival, errs on the safe side: the leader was
+		// confirmed at this time or later.
 		confirmedAt := sentAt - time.Duration(ack.LeaderAge)*time.Microsecond
 		a.confirmLeader(confirmedAt, ack.LeaderPlan, ack.Notice)
 	}
--- a/internal/failover/agent/leader_contact.go
+++ b/internal/failover/agent/leader_contact.go
@@ -8,27 +8,27 @@
 	"spurwinch/internal/policy"
 )
 
-// leaderContact is the newest proof that the fleet has a leader. All leases of this node, to serve by a policy and to
-// use grants in other zones, run from it.
+// leaderContact is the newest proof that the fleet has a leader. The time of the proof determines how long this node
+// may serve by a policy and use grants in other zones.
 type leaderContact struct {
 	known       bool
-	confirmedAt time.Duration       // when the leader surely led, by this node's clock
-	plan        uint64              // its newest plan then
-	notice      policy.LeaderNotice // its notice of the policy then
+	confirmedAt time.Duration       // time by this node's clock at which the leader certainly led
+	plan        uint64              // number of the leader's newest plan at that time
+	notice      policy.LeaderNotice // the leader's notice of the policy at that time
 }
 
-// handleSummaryAck processes the leader's answer to a summary.
+// handleSummaryAck processes the leader's reply to a summary.
 func (a *Agent) handleSummaryAck(head header, ack summaryAck, now time.Duration) {
 	if a.options.List.Voter(head.from) < 0 {
 		return
 	}
-	if sentAt, ok := a.peer(head.from).answered(ack.SummaryClock); ok {
+	if sentAt, ok := a.peer(head.from).takeSendTime(ack.SummaryClock); ok {
 		a.confirmLeader(sentAt, planNumberIn(ack.Log), ack.Notice)
 	}
 	a.fetchMissing(head.from, ack.Log, now)
 }
 
-// planNumberIn is the number of the newest plan that a digest names; 0: none.
+// planNumberIn returns the number of the newest plan in a digest, or 0 if it contains none.
 func planNumberIn(digest consensus.Digest) (number uint64) {
 	for _, kind := range digest.Kinds {
 		if kind.Kind == failover.PlanKind {
@@ -38,8 +38,9 @@
 	return number
 }
 
-// confirmLeader records that the leader surely led at a time of this node's clock, with that newest plan and notice. It
-// extends the validity of grants into other zones, unless there is a plan that this node doesn't have yet.
+// confirmLeader records that the fleet certainly had a leader at a time of this node's clock, and the leader's newest
+// plan and notice. It extends the validity of grants in other zones, unless the leader has a plan that this node
+// doesn't have yet.
 func (a *Agent) confirmLeader(at time.Duration, plan uint64, notice policy.LeaderNotice) {
 	if !a.leader.known || at > a.leader.confirmedAt {
 		a.leader = leaderContact{known: true, confirmedAt: at, plan: max(a.leader.plan, plan), notice: notice}
--- a/internal/failover/agent/leader_contact_test.go
+++ b/internal/failover/agent/leader_contact_test.go
@@ -8,25 +8,25 @@
 	"spurwinch/internal/failover"
 )
 
-// modeAt is the mode that the agent is in at a time.
+// modeAt returns the agent's mode at a time.
 func modeAt(agent *Agent, now time.Duration) failover.Mode {
 	agent.updateMode(now)
 	mode, _ := agent.Mode()
 	return mode
 }
 
-// confirmLeaderBy has an aggregator answer evidence: the leader was there for the last time age before the evidence
-// was sent.
-func confirmLeaderBy(agent *Agent, sentAt, now, age time.Duration, plan uint64) {
+// confirmLeaderByAck has an aggregator reply to evidence that was sent at sentAt. In the reply, age is the time since
+// the leader was last confirmed.
+func confirmLeaderByAck(agent *Agent, sentAt, now, age time.Duration, plan uint64) {
 	agent.peer(1).pending = map[uint64]time.Duration{42: sentAt}
 	ack := evidenceAck{EvidenceClock: 42, LeaderAge: int64(age / time.Microsecond), LeaderPlan: plan}
 	agent.dispatch(header{kind: kindEvidenceAck, from: 1}, encode(ack), false, now)
 }
 
-// TestGrantsAreValidWhileTheLeaderIsConfirmed holds how long a node goes by grants into other zones: as long as the
-// leader was surely there, by this node's own clock, and the age of the message is counted
-// against it.
-func TestGrantsAreValidWhileTheLeaderIsConfirmed(t *testing.T) {
+// TestGrantsExpireWithoutConfirmedLeader checks that a node uses grants in other zones only for the plan's
+// GrantLifetime after the leader was certainly confirmed, by this node's own clock and allowing for the time that the
+// message took.
+func TestGrantsExpireWithoutConfirmedLeader(t *testing.T) {
 	agent := newTestAgent(t)
 	plan := &failover.Plan{
 		Zones:          []failover.Zone{{Name: "z", Nodes: 2, Listed: 2, Capacity: 5, Demand: []float32{}}},
@@ -36,29 +36,29 @@
 	}
 	agent.acceptEntry(7, consensus.Entry{Index: 3, Kind: failover.PlanKind, Data: plan.Encode()}, 1, time.Second)
 	if _, number := agent.Mode(); number != 0 {
-		t.Errorf("goes by plan %d before its disk has it, wanted none", number)
+		t.Errorf("plan in effect before it is on disk: got %d, want 0", number)
 	}
 	agent.advance(time.Second)
 	agent.Persisted(time.Second)
 	if mode := modeAt(agent, 2*time.Second); mode != failover.OwnZoneOnly {
-		t.Errorf("without a leader: mode %v, wanted %v", mode, failover.OwnZoneOnly)
+		t.Errorf("mode without a leader: got %v, want %v", mode, failover.OwnZoneOnly)
 	}
-	confirmLeaderBy(agent, 2*time.Second, 5*time.Second, time.Second, 3) // the leader was there at 1 s
+	confirmLeaderByAck(agent, 2*time.Second, 5*time.Second, time.Second, 3) // counts as confirmed at 1 s
 	for at, want := range map[time.Duration]failover.Mode{
 		5 * time.Second:          failover.Planned,
 		10900 * time.Millisecond: failover.Planned,
 		11100 * time.Millisecond: failover.OwnZoneOnly,
 	} {
 		if mode := modeAt(agent, at); mode != want {
-			t.Errorf("at %v: mode %v, wanted %v", at, mode, want)
+			t.Errorf("mode at %v: got %v, want %v", at, mode, want)
 		}
 	}
-	confirmLeaderBy(agent, 20*time.Second, 21*time.Second, 0, 4) // there is a newer plan, which this node doesn't have
+	confirmLeaderByAck(agent, 20*time.Second, 21*time.Second, 0, 4) // the leader has a newer plan than this node
 	if mode := modeAt(agent, 21*time.Second); mode != failover.OwnZoneOnly {
-		t.Errorf("by an old plan, when a newer one is known: mode %v, wanted %v", mode, failover.OwnZoneOnly)
+		t.Errorf("mode when the leader has a newer plan: got %v, want %v", mode, failover.OwnZoneOnly)
 	}
-	confirmLeaderBy(agent, 20*time.Second, 21*time.Second, -time.Microsecond, 3)
+	confirmLeaderByAck(agent, 20*time.Second, 21*time.Second, -time.Microsecond, 3)
 	if mode := modeAt(agent, 21*time.Second); mode != failover.OwnZoneOnly {
-		t.Errorf("by an aggregator that knows no leader: mode %v, wanted %v", mode, failover.OwnZoneOnly)
+		t.Errorf("mode after a reply without a leader: got %v, want %v", mode, failover.OwnZoneOnly)
 	}
 }
--- a/internal/failover/agent/peer.go
+++ b/internal/failover/agent/peer.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	aggregatorTimeout  = 3 * time.Second // an aggregator that has not answered for so long is passed over
-	aggregatorRetry    = 5 * time.Second // after that it is tried again
-	incarnationTimeout = 2 * time.Second // without a message of a process: then a new process of the node is accepted
-	maxPendingRequests = 32              // messages to a peer whose answers are awaited
+	aggregatorTimeout  = 3 * time.Second // after this time without a reply an aggregator is skipped
+	aggregatorRetry    = 5 * time.Second // how long an unresponsive aggregator is skipped before it is tried again
+	incarnationTimeout = 2 * time.Second // silence of a process after which a new process of its node is accepted
+	maxPendingRequests = 32              // messages to a peer that may wait for a reply at a time
 )
 
-// peer is what an agent knows of another node, as its sender and receiver.
+// peer is the state that an agent keeps of another node, for messages in both directions.
 type peer struct {
 	incarnation   uint32
-	lastMessageAt time.Duration          // when its last message came
-	clock         uint64                 // its newest clock, of this incarnation
-	newest        map[messageKind]uint64 // clock of the newest message of a kind
+	lastMessageAt time.Duration          // when the peer's last message arrived
+	clock         uint64                 // newest clock of the peer in this incarnation
+	newest        map[messageKind]uint64 // clock of the newest message by kind
 
-	// Of a peer that is sent evidence:
-	unansweredSince   time.Duration            // when the first evidence was sent that is not answered yet; 0: none is
-	unresponsiveSince time.Duration            // 0: it answers
-	pending           map[uint64]time.Duration // when a message was sent whose answer is awaited, by its clock
+	// For peers to which this node sends evidence or summaries:
+	unansweredSince   time.Duration            // when the first evidence without a reply was sent; 0: none
+	unresponsiveSince time.Duration            // 0: the peer replies
+	pending           map[uint64]time.Duration // send times of the messages that wait for a reply, by clock
 }
 
 // peer returns the state of another node, by its number in the list.
@@ -32,12 +32,12 @@
 	return known
 }
 
-// accept reports whether a message is valid now: it is of the sender's present process and, if of a kind of which only
-// the newest counts, newer than those before.
+// accept reports whether to handle a message, and records it. The message must be from the sender's current process. If
+// only the newest message of its kind counts, it must also be newer than the earlier ones.
 func (p *peer) accept(head header, now time.Duration) bool {
 	if p.incarnation != head.incarnation {
 		if p.incarnation != 0 && now-p.lastMessageAt < incarnationTimeout {
-			return false // a late message of an earlier process, or of a new one while the other still sends
+			return false // from an earlier process, or from a new process while the other one still sends
 		}
 		*p = peer{incarnation: head.incarnation, newest: map[messageKind]uint64{}}
 	}
@@ -53,7 +53,7 @@
 	return true
 }
 
-// awaitAnswer records when a message was sent, for when its answer comes.
+// awaitAnswer records when a message was sent, until its reply arrives.
 func (p *peer) awaitAnswer(clock uint64, now time.Duration) {
 	if p.pending == nil || len(p.pending) > maxPendingRequests {
 		p.pending = map[uint64]time.Duration{}
@@ -61,16 +61,17 @@
 	p.pending[clock] = now
 }
 
-// answered gives when the message was sent that is answered; ok is false where none was, or it was answered before.
-func (p *peer) answered(clock uint64) (sentAt time.Duration, ok bool) {
+// takeSendTime returns when the message that a reply refers to was sent, and forgets the message. ok is false if no
+// such message was sent or an earlier reply has already arrived.
+func (p *peer) takeSendTime(clock uint64) (sentAt time.Duration, ok bool) {
 	sentAt, ok = p.pending[clock]
 	delete(p.pending, clock)
 	return sentAt, ok
 }
 
-// isPassedOver reports whether a peer has left evidence unanswered for so long that another aggregator takes its place.
-// After aggregatorRetry it is tried again; the call updates that state.
-func (p *peer) isPassedOver(now time.Duration) bool {
+// shouldSkip reports whether a peer has not replied to evidence for so long that another aggregator replaces it. After
+// aggregatorRetry the peer is tried again. The call updates this state.
+func (p *peer) shouldSkip(now time.Duration) bool {
 	if p.unansweredSince > 0 && now-p.unansweredSince > aggregatorTimeout && p.unresponsiveSince == 0 {
 		p.unresponsiveSince = now
 	}
--- a/internal/failover/agent/peer_test.go
+++ b/internal/failover/agent/peer_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestAggregatorIsPassedOver checks that a peer that leaves evidence unanswered is passed over, tried again after a
-// while, and used again as soon as it answers.
-func TestAggregatorIsPassedOver(t *testing.T) {
+// TestUnresponsiveAggregatorIsSkipped checks that a peer that doesn't reply to evidence is skipped after
+// aggregatorTimeout and tried again after aggregatorRetry.
+func TestUnresponsiveAggregatorIsSkipped(t *testing.T) {
 	aggregator := &peer{}
 	const sentAt = time.Second
-	if aggregator.isPassedOver(sentAt) {
-		t.Error("passed over before it was sent evidence, wanted not")
+	if aggregator.shouldSkip(sentAt) {
+		t.Error("before evidence was sent: got skipped, want not skipped")
 	}
 	aggregator.unansweredSince = sentAt
 	timedOut := sentAt + aggregatorTimeout + time.Millisecond
@@ -24,25 +24,26 @@
 		{timedOut + aggregatorRetry - time.Millisecond, true},
 		{timedOut + aggregatorRetry, false},
 	} {
-		if got := aggregator.isPassedOver(test.at); got != test.want {
-			t.Errorf("at %v: passed over %t, wanted %t", test.at, got, test.want)
+		if got := aggregator.shouldSkip(test.at); got != test.want {
+			t.Errorf("at %v: got skipped %t, want %t", test.at, got, test.want)
 		}
 	}
 	if aggregator.unansweredSince != 0 {
-		t.Errorf("evidence unanswered since %v after the retry, wanted none", aggregator.unansweredSince)
+		t.Errorf("after the retry: got evidence unanswered since %v, want 0", aggregator.unansweredSince)
 	}
 }
 
-// TestAnswerIsTakenOnce checks that only the first answer to a message counts, and none to a message that was not sent.
-func TestAnswerIsTakenOnce(t *testing.T) {
+// TestOnlyFirstReplyCounts checks that only the first reply to a message counts, and that a reply to a message that was
+// not sent doesn't.
+func TestOnlyFirstReplyCounts(t *testing.T) {
 	receiver := &peer{}
 	receiver.awaitAnswer(7, time.Second)
-	if sentAt, ok := receiver.answered(7); !ok || sentAt != time.Second {
-		t.Errorf("first answer: sent at %v, %t, wanted 1s, true", sentAt, ok)
+	if sentAt, ok := receiver.takeSendTime(7); !ok || sentAt != time.Second {
+		t.Errorf("first reply: got send time %v, %t, want 1s, true", sentAt, ok)
 	}
 	for _, clock := range []uint64{7, 8} {
-		if _, ok := receiver.answered(clock); ok {
-			t.Errorf("answer to clock %d is taken, wanted not", clock)
+		if _, ok := receiver.takeSendTime(clock); ok {
+			t.Errorf("reply to clock %d: got a send time, want none", clock)
 		}
 	}
 }
