--- a/internal/failover/agent/leases.go
+++ b/internal/failover/agent/leases.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	recentLoadMemory  = 15   // seconds, time constant of the decay of recentLoad and regionLoad
-	fullLeasePart     = 0.95 // of what was requested: an owner that grants less has no more
-	leastRegionLoad   = 0.5  // reported load of regional classes under which nothing is reserved for them
-	regionLoadChanged = 0.1  // relative change from which on the load balancer gets a new plan
+	recentLoadDecaySeconds    = 15   // time constant of the decay of recentLoad and regionLoad
+	fullLeaseFraction         = 0.95 // an owner that grants a smaller fraction of a request has no more capacity
+	minRegionLoad             = 0.5  // reported load of regional classes below which no capacity is reserved for them
+	regionLoadChangeThreshold = 0.1  // relative change above which the load balancer gets a new plan
 )
 
-// leaseHolder is the capacity that a node has leased of lease owners, and what its demand for it is computed from.
+// leaseHolder is the capacity that a node has leased from lease owners, and the data that determines how much it
+// requests.
 type leaseHolder struct {
 	leases     map[string]*capacityLease // by zone
 	recentLoad map[string]float64        // by class: recent peak of the reported load at this node, with decay
 	regionLoad float64                   // reported load of regional classes, for the region's other zones
-	// reservedRegionLoad is regionLoad as the load balancer's plan has it: it follows larger changes alone.
+	// reservedRegionLoad is the value of regionLoad in the load balancer's plan. It follows larger changes only.
 	reservedRegionLoad float64
 	observedAt         time.Duration // time of the last observations
 }
@@ -31,26 +32,26 @@
 	return leaseHolder{leases: map[string]*capacityLease{}, recentLoad: map[string]float64{}, observedAt: now}
 }
 
-// capacityLease is capacity that this node has leased in one zone, as reported load.
+// capacityLease is capacity that this node has leased in one zone, in units of reported load.
 type capacityLease struct {
-	load         float64 // 0: none
+	load         float64 // leased capacity; 0: none
 	until        time.Duration
-	requested    float64       // by the newest request
-	requestClock uint64        // of the newest request: only its answer counts; 0: it is answered
-	requestedAt  time.Duration // when that was sent
-	answered     bool
+	requested    float64       // load of the newest request
+	requestClock uint64        // clock of the newest request, whose reply alone counts; 0: the reply has arrived
+	requestedAt  time.Duration // time of the newest request
+	answered     bool          // the reply to the newest request has arrived
 }
 
-// isExhausted reports whether the zone's owner has no further capacity: it granted less than was requested, or did not
-// answer.
+// isExhausted reports whether the zone's lease owner has no further capacity: it granted less than this node requested,
+// or did not reply.
 func (l *capacityLease) isExhausted() bool {
 	if !l.answered {
 		return l.requested > 0
 	}
-	return l.load < fullLeasePart*l.requested
+	return l.load < fullLeaseFraction*l.requested
 }
 
-// leasedLoads is the load that the load balancer may place on top of its grants, by zone.
+// leasedLoads returns, by zone, the leased load that the load balancer may place in addition to its grants.
 func (a *Agent) leasedLoads() map[string]float64 {
 	loads := map[string]float64{}
 	for zone, lease := range a.leaseHolder.leases {
@@ -61,8 +62,8 @@
 	return loads
 }
 
-// requestLeases requests leases for the load that finds no capacity in this node's grants, and releases capacity that
-// is no longer needed.
+// requestLeases requests leases for the load that exceeds this node's grants, and releases capacity that this node no
+// longer needs.
 func (a *Agent) requestLeases(observations choice.Observations, now time.Duration) {
 	elapsed := now - a.leaseHolder.observedAt
 	a.leaseHolder.observedAt = now
@@ -74,7 +75,8 @@
 	}
 	demand := failover.LeaseDemand(a.mode, a.plan, a.options.Self, a.zone, observations, elapsed,
 		recentLoad, a.leasedLoads(), exhausted)
-	// Before any request: an owner may grant to others at once what it learns is no longer needed here.
+	// Give up unneeded capacity before sending any request: a request tells the owner what this node no longer needs,
+	// and the owner may grant that to other nodes at once.
 	for _, zone := range slices.Sorted(maps.Keys(leases)) {
 		if lease := leases[zone]; lease.load > demand[zone] {
 			a.setLeasedLoad(zone, lease, demand[zone])
@@ -88,7 +90,7 @@
 	}
 }
 
-// requestLease requests or renews a lease in a zone, or ends it by a request of zero.
+// requestLease requests or renews a lease in a zone, or ends the lease by requesting zero.
 func (a *Agent) requestLease(zone failover.Zone, demand float64, now time.Duration) {
 	lease := a.leaseHolder.leases[zone.Name]
 	hasOwner := zone.LeaseOwner >= 0 && zone.LeaseOwner < a.options.List.Len()
@@ -104,13 +106,13 @@
 	lease.requestedAt = now
 	lease.answered = false
 	if zone.LeaseOwner == a.options.Self {
-		a.takeLease(zone.Name, lease, a.grantLease(a.options.Self, demand, now), now)
+		a.recordGrant(zone.Name, lease, a.grantLease(a.options.Self, demand, now), now)
 		return
 	}
 	lease.requestClock = a.send(zone.LeaseOwner, kindLeaseRequest, encode(leaseRequest{Load: demand}), now)
 }
 
-// handleLeaseGrant processes an owner's answer to a request.
+// handleLeaseGrant processes a lease owner's reply to a request.
 func (a *Agent) handleLeaseGrant(head header, body []byte, now time.Duration) {
 	grant, ok := decode[leaseGrant](body)
 	if !ok || !isLeaseLoad(grant.Load) {
@@ -121,13 +123,13 @@
 	for zone, lease := range a.leaseHolder.leases {
 		if zone == ownerZone && lease.requestClock == grant.RequestClock && lease.requestClock > 0 {
 			lease.requestClock = 0
-			a.takeLease(zone, lease, min(grant.Load, lease.requested), now)
+			a.recordGrant(zone, lease, min(grant.Load, lease.requested), now)
 		}
 	}
 }
 
-// takeLease records what was granted. A lease runs from when it was requested.
-func (a *Agent) takeLease(zone string, lease *capacityLease, load float64, now time.Duration) {
+// recordGrant records the load that an owner granted. The lease's duration starts at the time of the request.
+func (a *Agent) recordGrant(zone string, lease *capacityLease, load float64, now time.Duration) {
 	lease.answered = true
 	lease.until = lease.requestedAt + failover.LeaseDuration
 	if now >= lease.until {
@@ -145,7 +147,7 @@
 	a.options.Log("fleet_loan", "zone", zone, "load", load)
 }
 
-// expireLeases ends the leases that were not renewed in time.
+// expireLeases ends the leases that this node did not renew in time.
 func (a *Agent) expireLeases(now time.Duration) {
 	leases := a.leaseHolder.leases
 	for _, zone := range slices.Sorted(maps.Keys(leases)) {
@@ -159,7 +161,7 @@
 	}
 }
 
-// handleLeaseRequest answers a request, as the owner of this zone's leases.
+// handleLeaseRequest replies to a lease request, as the lease owner of this node's zone.
 func (a *Agent) handleLeaseRequest(head header, body []byte, now time.Duration) {
 	request, ok := decode[leaseRequest](body)
 	if !ok || !isLeaseLoad(request.Load) {
@@ -170,8 +172,8 @@
 	a.send(head.from, kindLeaseGrant, encode(grant), now)
 }
 
-// grantLease grants a node load of this zone's reserve. The owner grants only while the plan's grants are valid: later
-// plans count on its leases to end with them.
+// grantLease grants a node load from this zone's reserve. The owner grants leases only while the plan's grants are
+// valid, because later plans assume that its leases end together with the grants.
 func (a *Agent) grantLease(node int, requested float64, now time.Duration) float64 {
 	if a.plan == nil || now >= a.grantsValidUntil {
 		return 0
@@ -184,44 +186,44 @@
 	return 0
 }
 
-// updateRecentLoad updates the recent peak of each class's load, and returns their sum: after a failure clients of that
-// load may reconnect at once. It also updates the load of regional classes: while requests of these are rejected or the
-// own zone fails, it is what they had of late outside the own zone; otherwise it decays.
+// updateRecentLoad updates the recent peak of each class's load and returns the sum of the peaks. After a failure,
+// clients with that total load may reconnect at once. It also updates regionLoad: while requests of regional classes
+// are rejected or the own zone is failing, regionLoad is their recent load outside the own zone; otherwise it decays.
 func (a *Agent) updateRecentLoad(observations choice.Observations, elapsed time.Duration) (recentLoad float64) {
-	fading := math.Exp(-elapsed.Seconds() / recentLoadMemory)
+	decay := math.Exp(-elapsed.Seconds() / recentLoadDecaySeconds)
 	regionLoad, rejected := 0.0, 0.0
 	for class, name := range a.options.Classes {
 		load, inOwnZone := classLoad(observations, class, a.zone)
-		recent := max(load, a.leaseHolder.recentLoad[name]*fading)
+		recent := max(load, a.leaseHolder.recentLoad[name]*decay)
 		a.leaseHolder.recentLoad[name] = recent
 		recentLoad += recent
 		if class < len(observations.Classes) && a.staysInRegion(name) {
-			regionLoad = regionLoad + recent - inOwnZone // in this order, which decides how it is rounded
+			regionLoad = regionLoad + recent - inOwnZone // the order of the operations affects rounding
 			rejected += observations.Classes[class].Rejected
 		}
 	}
 	if rejected == 0 && !a.isOwnZoneFailing(observations) {
-		regionLoad = a.leaseHolder.regionLoad * fading
+		regionLoad = a.leaseHolder.regionLoad * decay
 	}
 	a.setRegionLoad(regionLoad)
 	return recentLoad
 }
 
-// setRegionLoad sets the load that needs capacity in the region. Small changes don't cause a new plan for the load
-// balancer; they add up in regionLoad until they do.
+// setRegionLoad sets the load of regional classes that needs capacity in the region. Small changes accumulate in
+// regionLoad until they cause a new plan for the load balancer.
 func (a *Agent) setRegionLoad(load float64) {
-	if load < leastRegionLoad {
+	if load < minRegionLoad {
 		load = 0
 	}
 	a.leaseHolder.regionLoad = load
 	reserved := a.leaseHolder.reservedRegionLoad
-	if math.Abs(load-reserved) > regionLoadChanged*max(load, reserved) {
+	if math.Abs(load-reserved) > regionLoadChangeThreshold*max(load, reserved) {
 		a.leaseHolder.reservedRegionLoad = load
 		a.zonePlanChanged = true
 	}
 }
 
-// classLoad is a class's load at this node, in all zones and in its own.
+// classLoad returns the load that this node has placed for a class, in all zones and in the own zone.
 func classLoad(observations choice.Observations, class int, ownZone string) (all, inOwnZone float64) {
 	for _, zone := range observations.Zones {
 		if class >= len(zone.OwnLoad) {
@@ -235,7 +237,7 @@
 	return all, inOwnZone
 }
 
-// staysInRegion says whether the plan keeps a class in its region.
+// staysInRegion reports whether the plan keeps a class in its region.
 func (a *Agent) staysInRegion(class string) bool {
 	if a.plan == nil {
 		return false
--- a/internal/failover/agent/leases_test.go
+++ b/internal/failover/agent/leases_test.go
@@ -9,14 +9,16 @@
 	"spurwinch/internal/failover"
 )
 
-// newLease is a lease of node b's zone that this agent has requested at a time, by a message of clock 42.
+// newLease adds a lease in zone z, the zone of node b, which the agent has requested at requestedAt with a message of
+// clock 42.
 func newLease(agent *Agent, requestedAt time.Duration) *capacityLease {
 	lease := &capacityLease{requested: 3, requestClock: 42, requestedAt: requestedAt}
 	agent.leaseHolder.leases["z"] = lease
 	return lease
 }
 
-// TestLeaseGrant checks which answers to a request count, and how long a lease lasts.
+// TestLeaseGrant checks which replies to a request count, and that a grant that arrives after the end of the lease has
+// no effect.
 func TestLeaseGrant(t *testing.T) {
 	const requestedAt = time.Second
 	for _, test := range []struct {
@@ -29,9 +31,9 @@
 		{"as requested", 1, leaseGrant{RequestClock: 42, Load: 3}, requestedAt, 3},
 		{"less than requested", 1, leaseGrant{RequestClock: 42, Load: 2}, requestedAt, 2},
 		{"more than requested", 1, leaseGrant{RequestClock: 42, Load: 4}, requestedAt, 3},
-		{"of an older request", 1, leaseGrant{RequestClock: 41, Load: 3}, requestedAt, 0},
-		{"of another zone's node", 2, leaseGrant{RequestClock: 42, Load: 3}, requestedAt, 0},
-		{"less than nothing", 1, leaseGrant{RequestClock: 42, Load: -1}, requestedAt, 0},
+		{"reply to an older request", 1, leaseGrant{RequestClock: 41, Load: 3}, requestedAt, 0},
+		{"from another zone's node", 2, leaseGrant{RequestClock: 42, Load: 3}, requestedAt, 0},
+		{"negative load", 1, leaseGrant{RequestClock: 42, Load: -1}, requestedAt, 0},
 		{"too late", 1, leaseGrant{RequestClock: 42, Load: 3}, requestedAt + failover.LeaseDuration, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -39,13 +41,13 @@
 			lease := newLease(agent, requestedAt)
 			agent.dispatch(header{kind: kindLeaseGrant, from: test.from}, encode(test.grant), false, test.at)
 			if lease.load != test.want {
-				t.Errorf("leased load %v, wanted %v", lease.load, test.want)
+				t.Errorf("leased load: got %v, want %v", lease.load, test.want)
 			}
 		})
 	}
 }
 
-// TestLeaseExpires checks that a lease that is not renewed ends, counted from its request.
+// TestLeaseExpires checks that a lease that is not renewed ends failover.LeaseDuration after its request.
 func TestLeaseExpires(t *testing.T) {
 	agent := newTestAgent(t)
 	const requestedAt = time.Second
@@ -55,35 +57,36 @@
 	end := requestedAt + failover.LeaseDuration
 	agent.expireLeases(end - 1)
 	if got := agent.leasedLoads()["z"]; got != 3 {
-		t.Errorf("just before its end: leased load %v, wanted 3", got)
+		t.Errorf("leased load just before the end of the lease: got %v, want 3", got)
 	}
 	agent.expireLeases(end)
 	if got, ok := agent.leasedLoads()["z"]; ok {
-		t.Errorf("at its end: leased load %v, wanted no lease", got)
+		t.Errorf("leased load at the end of the lease: got %v, want no lease", got)
 	}
 }
 
-// TestLeaseRequestWithoutPlan checks that an owner without a valid plan grants nothing, and still answers.
+// TestLeaseRequestWithoutPlan checks that an owner without a valid plan grants nothing but still replies.
 func TestLeaseRequestWithoutPlan(t *testing.T) {
 	agent := newTestAgent(t)
 	agent.dispatch(header{kind: kindLeaseRequest, from: 1, clock: 9}, encode(leaseRequest{Load: 5}), false, time.Minute)
 	messages := agent.TakeMessages()
 	if len(messages) != 1 || messages[0].To != 1 {
-		t.Fatalf("sent %d messages, wanted one to node 1", len(messages))
+		t.Fatalf("messages sent: got %d, want one to node 1", len(messages))
 	}
 	head, body, err := open(agent.options.Key, agent.listDigest, messages[0].Data)
 	if err != nil || head.kind != kindLeaseGrant {
-		t.Fatalf("answer of kind %d, %v, wanted %d", head.kind, err, kindLeaseGrant)
+		t.Fatalf("reply: got kind %d, %v, want %d", head.kind, err, kindLeaseGrant)
 	}
 	grant, ok := decode[leaseGrant](body)
 	if want := (leaseGrant{RequestClock: 9}); !ok || grant != want {
-		t.Errorf("granted %+v, wanted %+v", grant, want)
+		t.Errorf("grant: got %+v, want %+v", grant, want)
 	}
 }
 
-// TestRegionLoadFades checks that capacity that was reserved for the classes of the region, while the own zone failed,
-// is released over recentLoadMemory once that is over, however short the intervals between observations are.
-func TestRegionLoadFades(t *testing.T) {
+// TestRegionLoadDecaysAfterZoneRecovers checks that capacity that was reserved for regional classes while the own zone
+// was failing is released with the time constant recentLoadDecaySeconds after the zone recovers, however short the
+// intervals between observations are.
+func TestRegionLoadDecaysAfterZoneRecovers(t *testing.T) {
 	const load = 10
 	for _, interval := range []time.Duration{observeInterval, 2 * time.Second} {
 		t.Run(interval.String(), func(t *testing.T) {
@@ -97,16 +100,16 @@
 				Classes: []choice.ClassObservations{{Arrived: 1, Rejected: 1}},
 			}, interval)
 			if got := agent.leaseHolder.reservedRegionLoad; got != load {
-				t.Fatalf("while the own zone fails: %v reserved, wanted %v", got, load)
+				t.Fatalf("reserved load while the own zone is failing: got %v, want %v", got, load)
 			}
-			checkRegionLoadFades(t, agent, load, interval)
+			checkRegionLoadDecays(t, agent, load, interval)
 		})
 	}
 }
 
-// checkRegionLoadFades has an agent observe for a minute, at an interval, that its own zone has recovered. The load
-// that is reserved at first has to fade, and the load balancer to get few new plans for that.
-func checkRegionLoadFades(t *testing.T, agent *Agent, reserved float64, interval time.Duration) {
+// checkRegionLoadDecays has an agent observe for a minute, at an interval, that its own zone has recovered. The load
+// that is reserved at the start must decay, and the load balancer must get only a few new plans for that.
+func checkRegionLoadDecays(t *testing.T, agent *Agent, reserved float64, interval time.Duration) {
 	t.Helper()
 	recovered := choice.Observations{
 		Zones: []choice.ZoneObservations{
@@ -116,26 +119,27 @@
 		Classes: []choice.ClassObservations{{Arrived: 1}},
 	}
 	const (
-		memory   = recentLoadMemory * time.Second
-		maxPlans = 40
+		timeConstant = recentLoadDecaySeconds * time.Second
+		maxPlans     = 40
 	)
 	plans := 0
-	for elapsed := interval; elapsed <= 4*memory; elapsed += interval {
+	for elapsed := interval; elapsed <= 4*timeConstant; elapsed += interval {
 		agent.zonePlanChanged = false
 		agent.updateRecentLoad(recovered, interval)
 		if agent.zonePlanChanged {
 			plans++
 		}
-		faded := reserved * math.Exp(-elapsed.Seconds()/memory.Seconds())
+		want := reserved * math.Exp(-elapsed.Seconds()/timeConstant.Seconds())
 		got := agent.leaseHolder.reservedRegionLoad
-		if faded > 1 && math.Abs(got-faded) > 2*regionLoadChanged*faded {
-			t.Fatalf("%v after the own zone recovered: %v reserved, wanted about %v", elapsed, got, faded)
+		if want > 1 && math.Abs(got-want) > 2*regionLoadChangeThreshold*want {
+			t.Fatalf("reserved load %v after the own zone recovered: got %v, want about %v", elapsed, got, want)
 		}
 	}
 	if got := agent.leaseHolder.reservedRegionLoad; got != 0 {
-		t.Errorf("%v after the own zone recovered: %v reserved, wanted none", 4*memory, got)
+		t.Errorf("reserved load %v after the own zone recovered: got %v, want 0", 4*timeConstant, got)
 	}
 	if plans > maxPlans {
-		t.Errorf("%d new plans, wanted %d at most: one for each change by %v", plans, maxPlans, regionLoadChanged)
+		t.Errorf("new plans: got %d, want at most %d, one for each relative change of %v",
+			plans, maxPlans, regionLoadChangeThreshold)
 	}
 }
