--- a/internal/failover/agent/leader.go
+++ b/internal/failover/agent/leader.go
@@ -8,17 +8,17 @@
 	"spurwinch/internal/failover"
 )
 
-// maxPendingAcks bounds the summaries that wait for a confirmation.
+// maxPendingAcks bounds the summaries that wait for a confirmation of leadership.
 const maxPendingAcks = 4096
 
-// pendingAck is a summary that the leader acknowledges once a majority has confirmed that it leads.
+// pendingAck is a summary that the leader acknowledges once a majority has confirmed its leadership.
 type pendingAck struct {
-	confirmation uint64 // the voter's call that has to be confirmed; 0: it is not made yet
+	confirmation uint64 // number of the voter's ConfirmLeadership call to wait for; 0: not called yet
 	to           int
 	summaryClock uint64
 }
 
-// tickLeader does what the leader does periodically.
+// tickLeader does the leader's periodic work that is due.
 func (a *Agent) tickLeader(now time.Duration) {
 	if a.voter == nil {
 		return
@@ -39,23 +39,23 @@
 	}
 }
 
-// becomeLeader starts to make plans.
+// becomeLeader starts the planner and the rollout of policy changes.
 func (a *Agent) becomeLeader(now time.Duration) {
 	a.startPlanner(now)
 	a.startRollouts()
 	a.options.Log("fleet_leads", "term", a.voter.Term(), "plan", a.follower.Newest(failover.PlanKind).Index)
 }
 
-// startPlanner starts a planner with the rules of the policy in force and the operators' orders.
+// startPlanner creates a planner with the rules of the policy in force and the operators' orders.
 func (a *Agent) startPlanner(now time.Duration) {
 	a.planner = failover.NewPlanner(a.options.List, a.planRules(), a.planHistory, now)
 	orders, err := failover.DecodeOperatorOrders(a.follower.Newest(failover.OperatorOrdersKind).Data)
-	if err == nil { // there is an entry of orders, and this version can decode it
+	if err == nil { // the log has an entry with orders, and this version can decode it
 		a.planner.ApplyOrders(orders)
 	}
 }
 
-// stepDown ends what a leader does.
+// stepDown discards the leader's state.
 func (a *Agent) stepDown() {
 	if a.planner != nil {
 		a.options.Log("fleet_stepped_down", "term", a.voter.Term())
@@ -64,7 +64,7 @@
 	a.pendingAcks = nil
 }
 
-// proposePlan proposes a plan where one is wanted.
+// proposePlan proposes the planner's next plan, if there is one.
 func (a *Agent) proposePlan(now time.Duration) {
 	plan := a.planner.Step(now)
 	if plan == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// handleSummary processes an aggregator's summary of its zone, as the leader.
+// handleSummary processes an aggregator's summary of its zone, if this node is the leader.
 func (a *Agent) handleSummary(head header, body []byte, stale bool, now time.Duration) {
 	if a.voter == nil || !a.voter.IsLeader() || len(body) < 1 {
 		return
@@ -97,7 +97,8 @@
 	}
 }
 
-// observeSummary gives a zone's evidence to the planner and the policy's rollout, where this node leads.
+// observeSummary passes a zone's evidence to the planner and to the rollout of policy changes, if this node is the
+// leader.
 func (a *Agent) observeSummary(aggregator int, summary failover.EvidenceSummary, stale bool, now time.Duration) {
 	if a.planner == nil {
 		return
@@ -114,7 +115,8 @@
 	}
 }
 
-// confirmLeadership has a majority confirm that this node leads, for all summaries received before.
+// confirmLeadership requests a majority's confirmation that this node is the leader. The confirmation covers all
+// summaries received before.
 func (a *Agent) confirmLeadership() {
 	confirmation := a.voter.ConfirmLeadership()
 	for i := range a.pendingAcks {
@@ -124,7 +126,7 @@
 	}
 }
 
-// acknowledgeSummaries acknowledges the summaries for which a majority has confirmed the leadership.
+// acknowledgeSummaries acknowledges the summaries for which a majority has confirmed this node's leadership.
 func (a *Agent) acknowledgeSummaries(now time.Duration) {
 	answered := 0
 	for _, pending := range a.pendingAcks {
--- a/internal/failover/agent/leader_test.go
+++ b/internal/failover/agent/leader_test.go
@@ -11,9 +11,9 @@
 	"spurwinch/internal/policy"
 )
 
-// leadingVoter is a voter that leads and records what is proposed to it. It decides nothing by itself.
+// leadingVoter is a voter that is always the leader and records the plans proposed to it. It commits nothing itself.
 type leadingVoter struct {
-	Voter // what is not overridden must not be called
+	Voter // nil: methods that are not overridden must not be called
 	plans []*failover.Plan
 }
 
@@ -21,7 +21,7 @@
 func (v *leadingVoter) IsLeader() bool            { return true }
 func (v *leadingVoter) Term() uint64              { return 1 }
 func (v *leadingVoter) ConfirmLeadership() uint64 { return 1 }
-func (v *leadingVoter) Ready() (record consensus.Record, whole, ok bool) {
+func (v *leadingVoter) Ready() (record consensus.Record, replacesAll, ok bool) {
 	return consensus.Record{}, false, false
 }
 
@@ -31,7 +31,7 @@
 	return consensus.ProposalResult{}, false
 }
 
-// Propose records a plan.
+// Propose records a proposed plan and ignores other proposals.
 func (v *leadingVoter) Propose(proposal consensus.Proposal) error {
 	if proposal.Kind != failover.PlanKind {
 		return nil
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// newLeader is an agent whose voter leads, in a fleet with a policy.
+// newLeader returns an agent whose voter is the leader, in a fleet with a policy.
 func newLeader(t *testing.T) (*Agent, *leadingVoter) {
 	t.Helper()
 	list, err := membership.NewList([]membership.Node{{Name: "a", Zone: "y"}, {Name: "v", Zone: "z", Voter: true}})
@@ -70,7 +70,7 @@
 	return agent, voter
 }
 
-// healthySummary is the evidence of one node's zone, which finds servers healthy in its own zone.
+// healthySummary returns a summary with the evidence of one node, which finds the servers of its own zone healthy.
 func healthySummary(node int, zone string) failover.EvidenceSummary {
 	return failover.EvidenceSummary{
 		Zone:     zone,
@@ -84,7 +84,8 @@
 	}
 }
 
-// runUntil has the agent tick with evidence of all zones, and all that it saves reach the disk at once.
+// runUntil lets the agent tick from one time to another. The agent receives evidence from all zones, and its records
+// reach the disk at once.
 func runUntil(agent *Agent, from, to time.Duration) {
 	list := agent.options.List
 	for now := from; now < to; now += consensus.TickInterval {
@@ -102,8 +103,8 @@
 	}
 }
 
-// TestDrainOutlastsPolicyChange checks that a zone that operators have drained stays drained when the planner is
-// replaced by one with the rules of a new policy.
+// TestDrainOutlastsPolicyChange checks that a zone that operators have drained stays drained when a policy change
+// replaces the planner by one with new rules.
 func TestDrainOutlastsPolicyChange(t *testing.T) {
 	agent, voter := newLeader(t)
 	orders := failover.OperatorOrders{Drained: []string{"y"}}
@@ -111,25 +112,25 @@
 	agent.acceptEntry(1, ordersEntry, fromOwnVoter, 0)
 	const changed = 10 * time.Second
 	runUntil(agent, 0, changed)
-	wantDrained(t, "before the policy changed", voter.plans)
+	checkDrained(t, "before the policy changed", voter.plans)
 
 	state := &policy.State{Number: 1, LastNumber: 1, Documents: []policy.VersionedDocument{{Number: 1}}}
 	entry := consensus.Entry{Index: 2, Kind: policy.Kind, ID: "policy", Data: state.Encode()}
 	agent.acceptEntry(1, entry, fromOwnVoter, changed)
 	voter.plans = nil
 	runUntil(agent, changed, 2*changed)
-	wantDrained(t, "after the policy changed", voter.plans)
+	checkDrained(t, "after the policy changed", voter.plans)
 }
 
-// wantDrained checks the state of zone y in the newest plan.
-func wantDrained(t *testing.T, when string, plans []*failover.Plan) {
+// checkDrained checks that zone y is drained in the newest plan.
+func checkDrained(t *testing.T, when string, plans []*failover.Plan) {
 	t.Helper()
 	if len(plans) == 0 {
-		t.Fatalf("%s: no plan was proposed, wanted one", when)
+		t.Fatalf("%s: got no proposed plan, want one", when)
 	}
 	for _, zone := range plans[len(plans)-1].Zones {
 		if zone.Name == "y" && zone.State != failover.Drained {
-			t.Errorf("%s: zone y is %v, wanted %v", when, zone.State, failover.Drained)
+			t.Errorf("state of zone y %s: got %v, want %v", when, zone.State, failover.Drained)
 		}
 	}
 }
--- a/internal/failover/agent/plan.go
+++ b/internal/failover/agent/plan.go
@@ -9,7 +9,7 @@
 	"spurwinch/internal/failover"
 )
 
-// ZonePlan is the plan for the load balancer, if it has changed since the last call.
+// ZonePlan returns the load balancer's plan if it has changed since the last call.
 func (a *Agent) ZonePlan() (plan choice.ZonePlan, changed bool) {
 	if !a.zonePlanChanged {
 		return choice.ZonePlan{}, false
@@ -20,10 +20,11 @@
 	return plan, true
 }
 
-// Mode is the mode that this node is in, and the number of its plan.
+// Mode returns this node's mode and the number of its plan.
 func (a *Agent) Mode() (mode failover.Mode, planNumber uint64) { return a.mode, a.planNumber }
 
-// updateMode settles which mode this node is in.
+// updateMode determines this node's mode: Planned while it has a plan with valid grants, OwnZoneOnly after the grants
+// have expired, Standalone without a plan.
 func (a *Agent) updateMode(now time.Duration) {
 	mode := failover.Standalone
 	switch {
@@ -40,7 +41,7 @@
 	a.zonePlanChanged = true
 }
 
-// restorePlan puts the newest plan on the disk into effect at the start.
+// restorePlan puts the newest plan on disk into effect when the agent starts.
 func (a *Agent) restorePlan(now time.Duration) {
 	entry := a.follower.Newest(failover.PlanKind)
 	if entry.Index == 0 {
@@ -48,15 +49,15 @@
 	}
 	plan, err := failover.DecodePlan(entry.Data)
 	if err != nil {
-		return // logged when it was received
+		return // acceptPlan logged the error when the plan was received
 	}
 	a.plan = plan
 	a.planNumber = entry.Index
 	a.planHistory.Add(entry.Index, plan, now)
 }
 
-// acceptPlan adds a received plan to the history; it takes effect when it is on disk. It says whether the plan can be
-// decoded.
+// acceptPlan adds a received plan to the history and reports whether this version can decode it. The plan takes effect
+// once it is on disk.
 func (a *Agent) acceptPlan(entry consensus.Entry, now time.Duration) bool {
 	plan, err := failover.DecodePlan(entry.Data)
 	if err != nil {
@@ -70,14 +71,14 @@
 	return true
 }
 
-// adoptPlan puts a plan that is on disk into effect, if it is newer.
+// adoptPlan puts a plan that is on disk into effect if it is newer than the current one.
 func (a *Agent) adoptPlan(entry consensus.Entry) {
 	if entry.Kind != failover.PlanKind || entry.Index <= a.planNumber {
 		return
 	}
 	plan, err := failover.DecodePlan(entry.Data)
 	if err != nil {
-		return // logged when it was received
+		return // acceptPlan logged the error when the plan was received
 	}
 	a.plan = plan
 	a.planNumber = entry.Index
--- a/internal/failover/agent/plan_rules.go
+++ b/internal/failover/agent/plan_rules.go
@@ -7,8 +7,8 @@
 	"spurwinch/internal/policy"
 )
 
-// planRules are the rules of plans: those of the policy in force, where there is one and this node can read it, or
-// else the node's settings.
+// planRules returns the rules for making plans. They come from the policy in force if there is one that this node can
+// read, otherwise from the node's settings.
 func (a *Agent) planRules() failover.Rules {
 	rules := a.options.Rules
 	if a.options.Policy == nil {
@@ -21,7 +21,7 @@
 	}
 	document, err := a.options.Policy.Read(text)
 	if err != nil {
-		return rules // a plan by the settings is better than none; adoptPolicy has logged the error
+		return rules // a plan made with the settings is better than none; adoptPolicy has logged the error
 	}
 	var regional []string // classes that stay in their region
 	for _, class := range rules.Classes {
@@ -45,7 +45,8 @@
 	return rules
 }
 
-// distanceBetween returns the cost between two regions, the same in both directions and 1 at least.
+// distanceBetween returns a function that gives the cost between two regions. It is the same in both directions and at
+// least 1.
 func distanceBetween(distances []policy.RegionDistance) func(from, to string) float64 {
 	costs := map[[2]string]float64{}
 	for _, distance := range distances {
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -7,29 +7,29 @@
 	"spurwinch/internal/policy"
 )
 
-// maxReasonBytes bounds the reason that a node gives for rejecting a policy.
+// maxReasonBytes bounds the reason that a node reports for rejecting a policy.
 const maxReasonBytes = 160
 
-// Policy are the options of a fleet that has its policy on the log.
+// Policy configures an agent of a fleet that keeps its policy in the log.
 type Policy struct {
 	Rules policy.Rules
-	// Read decodes a document by this node's own code; err says why this node can't serve by it.
+	// Read decodes a document with this node's own code. The error says why this node can't serve by the document.
 	Read func(text []byte) (*policy.Document, error)
-	// Counts are the requests that arrived since the process started, and those that were rejected or failed.
+	// Counts returns how many requests arrived since the process started, and how many of them were rejected or failed.
 	Counts func() (arrived, rejected float64)
 }
 
-// localPolicy is the policy on this node's disk, and the node's answer to the pending change.
+// localPolicy is the policy on this node's disk, and the node's verdict on the pending change.
 type localPolicy struct {
 	state    *policy.State
-	entry    uint64 // of state
+	entry    uint64 // index of the log entry with state
 	verdict  policy.Verdict
-	reason   string           // of a rejection
-	document *policy.Document // of the pending change, if this node can serve by it
-	rejected uint64           // number whose document this node can't serve by
+	reason   string           // reason for a rejection
+	document *policy.Document // document of the pending change, if this node can serve by it
+	rejected uint64           // number of a policy whose document this node can't serve by
 }
 
-// adoptPolicy puts an entry of the policy that is on disk into effect, and checks its pending change.
+// adoptPolicy puts a policy entry that is on disk into effect, and checks its pending change.
 func (a *Agent) adoptPolicy(entry consensus.Entry) {
 	local := &a.localPolicy
 	if a.options.Policy == nil || entry.Kind != policy.Kind || entry.Index <= local.entry {
@@ -52,7 +52,7 @@
 	}
 }
 
-// check decides whether this node can serve by a change.
+// check sets the verdict: whether this node can serve by a change.
 func (p *localPolicy) check(options *Policy, change *policy.Change) {
 	document, err := options.Read(change.Text)
 	if err != nil {
@@ -64,7 +64,7 @@
 	p.document = document
 }
 
-// verdictText is a member's answer in logs and replies.
+// verdictText returns a member's verdict as logs and replies show it.
 func verdictText(verdict policy.Verdict, reason string) string {
 	switch verdict {
 	case policy.VerdictPending:
@@ -78,12 +78,12 @@
 
 // logPolicy logs the policy in force.
 func (a *Agent) logPolicy(event string, state *policy.State, entry uint64) {
-	text, _ := state.Text(state.Number) // of one that the log doesn't have any more the digest is that of no text
+	text, _ := state.Text(state.Number) // if the log no longer has the document, the digest is that of an empty text
 	a.options.Log(event, "number", state.Number, "digest", policy.Digest(text), "entry", entry)
 }
 
-// ActivePolicy is the policy that this node may serve by, and until when by its own clock. It is to be called only if
-// Options.Policy is set: without a policy on the log there is no such limit.
+// ActivePolicy returns the policy that this node may serve by, and until when by its own clock. It must be called only
+// if Options.Policy is set: a fleet without a policy in the log has no such limit.
 func (a *Agent) ActivePolicy() (active policy.Active, until time.Duration) {
 	local := &a.localPolicy
 	active = policy.ActiveFor(a.options.Self, a.zone, local.entry, local.state, a.leader.notice)
@@ -93,10 +93,11 @@
 	return active, a.leader.confirmedAt + a.options.Policy.Rules.Lease(a.leader.notice)
 }
 
-// RejectPolicy declares that this node can't serve by the document of a number.
+// RejectPolicy records that this node can't serve by the document of the policy with this number.
 func (a *Agent) RejectPolicy(number uint64) { a.localPolicy.rejected = number }
 
-// policyStatus is what this node reports of the policy with its evidence; nil: the fleet has none on its log.
+// policyStatus returns what this node reports about the policy with its evidence, or nil if the fleet has no policy in
+// its log.
 func (a *Agent) policyStatus(now time.Duration) *policy.MemberStatus {
 	if a.options.Policy == nil {
 		return nil
--- a/internal/failover/agent/policy_leader.go
+++ b/internal/failover/agent/policy_leader.go
@@ -8,52 +8,52 @@
 	"spurwinch/internal/policy"
 )
 
-// rolloutRetry is the time after which a step that was proposed and not decided is proposed again.
+// rolloutRetry is the time after which a step that was proposed but not committed is proposed again.
 const rolloutRetry = time.Second
 
-// rolloutStep is the last part of the id of a proposal that advances a change. The same step of a change has the same
-// id, whoever proposes it, so that it is decided once.
+// rolloutStep is the last part of the ID of a proposal that advances a change. A step of a change has the same ID
+// whichever node proposes it, so that it is committed only once.
 type rolloutStep string
 
 const (
-	stepCanary  rolloutStep = "tried"
-	stepDecided rolloutStep = "decided"
-	stepGivenUp rolloutStep = "given-up"
-	stepAborted rolloutStep = "aborted" // by an operator
+	stepCanary   rolloutStep = "tried"    // the canary starts
+	stepAccepted rolloutStep = "decided"  // the change is accepted
+	stepRejected rolloutStep = "given-up" // the rollout rejects the change
+	stepAborted  rolloutStep = "aborted"  // an operator aborts the change
 )
 
-// proposalID is the id of the proposal for this step of the change in an entry.
+// proposalID returns the ID of the proposal for this step of the change in an entry.
 func (s rolloutStep) proposalID(entry uint64) string {
 	return fmt.Sprintf("policy-%d-%s", entry, string(s))
 }
 
-// stepTo is the step from a state with a pending change to the next state.
+// stepTo returns the step that leads from a state with a pending change to the next state.
 func stepTo(next *policy.State) rolloutStep {
 	switch {
 	case next.Change != nil:
 		return stepCanary
 	case next.Ended[len(next.Ended)-1].Accepted:
-		return stepDecided
+		return stepAccepted
 	default:
-		return stepGivenUp
+		return stepRejected
 	}
 }
 
-// committedPolicy is the newest policy in the log, at a voter.
+// committedPolicy is the newest policy in a voter's log.
 type committedPolicy struct {
 	state *policy.State
-	entry uint64 // of state
+	entry uint64 // index of the log entry with state
 }
 
-// rollout is the leader's part in a change of the policy.
+// rollout is the leader's state for rolling out policy changes.
 type rollout struct {
-	controller  *policy.Rollout             // nil: this node has not led yet
-	statuses    map[int]policy.MemberStatus // by node, as it reported last
-	proposedAt  time.Duration               // when a step was proposed last; 0: never
-	rulesNumber uint64                      // of the policy whose rules the planner has
+	controller  *policy.Rollout             // nil: this node has not been the leader yet
+	statuses    map[int]policy.MemberStatus // newest reported status by node
+	proposedAt  time.Duration               // when the last step was proposed; 0: never
+	rulesNumber uint64                      // number of the policy whose rules the planner uses
 }
 
-// newestPolicy is the newest state in the log, at a voter. An entry that this version can't decode is skipped.
+// newestPolicy returns the newest state in a voter's log. It skips an entry that this version can't decode.
 func (a *Agent) newestPolicy() (state *policy.State, entry uint64) {
 	committed := &a.committedPolicy
 	newest := a.follower.Newest(policy.Kind)
@@ -66,7 +66,7 @@
 	return committed.state, committed.entry
 }
 
-// logCommittedPolicy logs what the log has decided since the last call, at a voter.
+// logCommittedPolicy logs, at a voter, the policies and outcomes committed since the last call.
 func (a *Agent) logCommittedPolicy() {
 	if a.options.Policy == nil {
 		return
@@ -81,17 +81,17 @@
 		a.options.Log("fleet_policy_ended", "id", outcome.ID, "number", outcome.Number,
 			"taken", outcome.Accepted, "why", outcome.Reason)
 	}
-	if isOnTrial(state.Change) && !isOnTrial(before.Change) {
+	if isInCanary(state.Change) && !isInCanary(before.Change) {
 		a.options.Log("fleet_policy_trial", "id", state.Change.ID, "number", state.Change.Number)
 	}
 }
 
-func isOnTrial(change *policy.Change) bool {
+func isInCanary(change *policy.Change) bool {
 	return change != nil && change.Stage == policy.StageCanary
 }
 
-// leaderNotice is the leader's summary of the policy, which it sends with its answers; empty in a fleet without a
-// policy. Nodes derive their leases to serve from it.
+// leaderNotice returns the summary of the policy that the leader sends with its replies. Nodes derive from it how long
+// they may serve by their policy. It is empty in a fleet without a policy.
 func (a *Agent) leaderNotice() policy.LeaderNotice {
 	if a.options.Policy == nil {
 		return policy.LeaderNotice{}
@@ -102,7 +102,7 @@
 	return notice
 }
 
-// startRollouts starts the leader's part in changes of the policy, if the fleet has one.
+// startRollouts starts the rollout of policy changes at a new leader, if the fleet has a policy.
 func (a *Agent) startRollouts() {
 	current, _ := a.newestPolicy()
 	if a.options.Policy == nil {
@@ -113,33 +113,33 @@
 	a.rollout.rulesNumber = current.Number
 }
 
-// observePolicyStatus records a member's report.
+// observePolicyStatus records a member's status unless the leader already has a newer one.
 func (a *Agent) observePolicyStatus(node int, status policy.MemberStatus) {
 	if a.rollout.controller == nil {
 		return
 	}
 	if known := a.rollout.statuses[node]; status.Entry < known.Entry && status.Arrived >= known.Arrived {
-		return // the other aggregator reported it before
+		return // the other aggregator has already reported a newer status
 	}
 	a.rollout.statuses[node] = status
 	a.rollout.controller.Observe(node, status)
 }
 
-// members are all nodes of the list, with what they reported to this leader.
+// members returns all nodes of the list with the statuses that they reported to this leader.
 func (a *Agent) members() (members []policy.Member) {
 	view := a.planner.CutDetector()
 	for i := range a.options.List.Len() {
 		node := a.options.List.Node(i)
-		status, heard := a.rollout.statuses[i]
+		status, hasStatus := a.rollout.statuses[i]
 		members = append(members, policy.Member{
-			Name: node.Name, Node: i, Zone: node.Zone, Live: view.IsLive(i), HasStatus: heard, Status: status,
+			Name: node.Name, Node: i, Zone: node.Zone, Live: view.IsLive(i), HasStatus: hasStatus, Status: status,
 		})
 	}
 	return members
 }
 
-// advanceRollout proposes the next step of the pending change, at the leader. After a change of the policy in force it
-// starts a planner with its rules.
+// advanceRollout proposes, at the leader, the next step of the pending change. When another policy has come into force,
+// it replaces the planner by one with the new rules.
 func (a *Agent) advanceRollout(now time.Duration) {
 	rollout := &a.rollout
 	if a.options.Policy == nil || rollout.controller == nil {
@@ -154,7 +154,7 @@
 	if state.Change == nil || isProposed {
 		return
 	}
-	if a.localPolicy.entry != entry { // what is not on this node's disk yet it can't judge
+	if a.localPolicy.entry != entry { // this node can't judge a change that is not on its disk yet
 		return
 	}
 	next := rollout.controller.Step(now, entry, state, a.localPolicy.document, a.members())
