--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -15,39 +15,41 @@
 	"spurwinch/internal/policy"
 )
 
-// suspendThreshold is the time between two ticks above which this process, or its machine, was suspended.
+// suspendThreshold is the time between two ticks above which the agent assumes that this process or its machine was
+// suspended.
 const suspendThreshold = time.Second
 
-// Errors of New, which the node's operator has to mend in its settings.
+// Errors of New that the operator has to fix in the node's settings.
 var (
-	ErrNotListed = errors.New("this node is not in the list")
-	ErrNoVoter   = errors.New("this program does not vote")
+	ErrNotListed = errors.New("this node is not in the list of nodes")
+	ErrNoVoter   = errors.New("this program cannot run a voter")
 )
 
-// Options are what an agent is made of.
+// Options configure an agent.
 type Options struct {
 	List       *membership.List
 	Self       int // this node's number in List
 	Key        []byte
 	Rules      failover.Rules
-	Classes    []string // of the load balancer, by index
+	Classes    []string // names of the load balancer's classes, by index
 	RetryAfter time.Duration
-	Records    []consensus.Record // what the disk has, oldest first
+	Records    []consensus.Record // records read from disk, oldest first
 	Seed       uint64
-	Log        func(event string, fields ...any) // names and values in turn
-	Voter      NewVoter                          // nil: this program doesn't vote
-	Policy     *Policy                           // nil: each node uses its own files
+	Log        func(event string, fields ...any) // fields alternates names and values
+	Voter      NewVoter                          // nil: this program can't run a voter
+	Policy     *Policy                           // nil: each node uses the policy of its own files
 }
 
-// Agent is one node's part in its fleet. Its methods belong to one goroutine; now is the node's own monotonic time.
+// Agent is a node's state machine in its fleet. One goroutine must call all of its methods. Their argument now is the
+// time of the node's own monotonic clock.
 type Agent struct {
 	options    Options
 	listDigest uint32
 	zone       string
 	rng        *rand.Rand
 
-	incarnation uint32 // drawn at the start of this process
-	clock       uint64 // of the last message sent
+	incarnation uint32 // random number of this process, drawn at its start
+	clock       uint64 // clock of the last message sent
 	peers       map[int]*peer
 	outbox      []Message
 
@@ -56,17 +58,17 @@
 	detector *membership.FailureDetector
 
 	follower      *consensus.Follower
-	unsaved       bool           // the follower has entries that the disk doesn't have yet
-	pendingRecord *pendingRecord // that the disk is writing; nil: none
+	unsaved       bool           // the follower has entries that are not on disk yet
+	pendingRecord *pendingRecord // record that the caller has to write to disk; nil: none
 
-	observed choice.Observations   // since the last evidence was sent
-	evidence map[int]*nodeEvidence // of this zone's nodes, as one of its aggregators
+	observed choice.Observations   // observations since the last evidence was sent
+	evidence map[int]*nodeEvidence // evidence of this zone's nodes, if this node is one of its aggregators
 
-	voter            Voter             // nil: this node doesn't vote
-	planner          *failover.Planner // nil: this node doesn't lead
-	pendingAcks      []pendingAck      // summaries that wait for a confirmation, oldest first
+	voter            Voter             // nil: this node is not a voter
+	planner          *failover.Planner // nil: this node is not the leader
+	pendingAcks      []pendingAck      // summaries to acknowledge once leadership is confirmed, oldest first
 	leader           leaderContact
-	grantsValidUntil time.Duration // end of the grants into other zones, by this node's clock
+	grantsValidUntil time.Duration // when the grants in other zones expire, by this node's clock
 
 	leaseOwner  *failover.LeaseOwner
 	leaseHolder leaseHolder
@@ -76,27 +78,27 @@
 	rollout         rollout
 
 	mode            failover.Mode
-	plan            *failover.Plan // on this node's disk; nil: none
+	plan            *failover.Plan // newest plan on this node's disk; nil: none
 	planNumber      uint64
 	planHistory     failover.PlanHistory
-	zonePlanChanged bool // since ZonePlan was called last
+	zonePlanChanged bool // the load balancer's plan has changed since the last call of ZonePlan
 
-	// Counts are for operators.
+	// Counts counts messages, for operators.
 	Counts Counts
 }
 
-// Counts are an agent's messages, for operators.
+// Counts counts an agent's messages, for operators.
 type Counts struct {
 	Sent      uint64 `json:"Sent"`
 	SentBytes uint64 `json:"SentBytes"`
 	Accepted  uint64 `json:"Taken"`   // received and handled
-	Foreign   uint64 `json:"Foreign"` // of a fleet with another list of nodes
-	Corrupt   uint64 `json:"Spoilt"`  // corrupt, of another key, or not for this node
-	Late      uint64 `json:"Late"`    // replayed, older than one before, or of a process that has ended
-	Dropped   uint64 `json:"Dropped"` // for want of space in the outbox
+	Foreign   uint64 `json:"Foreign"` // received from a fleet with another list of nodes
+	Corrupt   uint64 `json:"Spoilt"`  // corrupt, authenticated with another key, or not for this node
+	Late      uint64 `json:"Late"`    // replayed, older than an earlier message, or sent by a process that has ended
+	Dropped   uint64 `json:"Dropped"` // not sent because the outbox was full
 }
 
-// New starts a node's part in its fleet.
+// New returns an agent that starts with the records that are on disk.
 func New(options Options, now time.Duration) (*Agent, error) {
 	if options.Self < 0 || options.Self >= options.List.Len() {
 		return nil, ErrNotListed
@@ -133,7 +135,7 @@
 	return agent, nil
 }
 
-// digestOf identifies a list of nodes.
+// digestOf returns a hash that identifies a list of nodes.
 func digestOf(list *membership.List) uint32 {
 	digest := xxhash.New()
 	for i := range list.Len() {
@@ -143,15 +145,15 @@
 	return uint32(digest.Sum64())
 }
 
-// UpdateClasses replaces the load balancer's classes after a change of settings.
+// UpdateClasses replaces the names of the load balancer's classes after a change of settings.
 func (a *Agent) UpdateClasses(classes []string) {
 	a.options.Classes = classes
 	a.zonePlanChanged = true
 }
 
-// Tick does what is due at a time. It is to be called about every consensus.TickInterval.
+// Tick does the periodic work that is due. The caller must call it about every consensus.TickInterval.
 func (a *Agent) Tick(now time.Duration) {
-	if now-a.lastTick > suspendThreshold { // what this process knew before it was suspended may not be so any more
+	if now-a.lastTick > suspendThreshold { // the leader's state from before the suspension may be out of date
 		a.options.Log("fleet_process_suspended", "for", (now - a.lastTick).Round(time.Millisecond).String())
 		a.planner = nil
 		a.pendingAcks = nil
--- a/internal/failover/agent/dispatch.go
+++ b/internal/failover/agent/dispatch.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// maxTransitTime is how old a message may be to be evidence of the present state of zones.
+	// maxTransitTime is the age up to which a message is evidence of the current state of the zones.
 	maxTransitTime = 3 * time.Second
-	// maxOutbox bounds the messages that wait to be sent, which the caller does after each call. Further ones are
-	// dropped, as the network may drop a datagram.
+	// maxOutbox bounds the messages that wait to be sent. The caller sends them after each call. The agent drops
+	// further messages, as the network may drop a datagram.
 	maxOutbox = 4096
 )
 
-// Message is for another node.
+// Message is an encoded message to another node.
 type Message struct {
-	To   int // its number in the list
+	To   int // the receiver's number in the list
 	Data []byte
 }
 
-// TakeMessages returns the messages that the caller is to send, and empties the outbox.
+// TakeMessages returns the messages that the caller must send, and empties the outbox.
 func (a *Agent) TakeMessages() []Message {
 	messages := a.outbox
 	a.outbox = nil
 	return messages
 }
 
-// send puts a message into the outbox and returns its clock. A message to this node itself gets a clock and is not
+// send adds a message to the outbox and returns its clock. A message to this node itself is given a clock but is not
 // sent.
 func (a *Agent) send(receiver int, kind messageKind, body []byte, now time.Duration) (clock uint64) {
 	a.clock = max(a.clock+1, microseconds(now))
@@ -53,8 +53,8 @@
 	return a.clock
 }
 
-// Receive handles a message of another node. Messages that are corrupt, of another fleet, not for this node or replayed
-// are dropped and counted in Counts.
+// Receive handles a message from another node. It drops messages that are corrupt, from another fleet, not for this
+// node or replayed, and counts them in Counts.
 func (a *Agent) Receive(message []byte, now time.Duration) {
 	head, body, err := open(a.options.Key, a.listDigest, message)
 	switch {
@@ -73,12 +73,14 @@
 	a.advance(now)
 }
 
-// mayBeStale reports whether a message may be older than maxTransitTime, by the echo of this node's clock.
+// mayBeStale reports whether a message may be older than maxTransitTime. The echo of this node's clock shows the
+// message's greatest possible age.
 func mayBeStale(head header, now time.Duration) bool {
 	return head.echo == 0 || microseconds(now)-min(microseconds(now), head.echo) > microseconds(maxTransitTime)
 }
 
-// dispatch handles a message by its kind. Bodies that can't be decoded are dropped, and so are kinds of later versions.
+// dispatch handles a message according to its kind. It drops bodies that it can't decode, and kinds that only later
+// versions know.
 func (a *Agent) dispatch(head header, body []byte, stale bool, now time.Duration) {
 	switch head.kind {
 	case kindHeartbeat:
@@ -113,6 +115,6 @@
 		a.handleLeaseGrant(head, body, now)
 	case kindConsensus:
 		a.handleConsensus(head, body)
-	case kindCall, kindReply: // operators' calls come by Answer
+	case kindCall, kindReply: // Answer handles operators' calls
 	}
 }
--- a/internal/failover/agent/dispatch_test.go
+++ b/internal/failover/agent/dispatch_test.go
@@ -8,7 +8,8 @@
 	"spurwinch/internal/membership"
 )
 
-// newTestAgent is node a of three, which doesn't vote. It has received no message.
+// newTestAgent returns the agent of node a in a fleet of three nodes. The node is not a voter and has received no
+// messages.
 func newTestAgent(tb testing.TB) *Agent {
 	tb.Helper()
 	list, err := membership.NewList([]membership.Node{
@@ -32,8 +33,8 @@
 	return agent
 }
 
-// TestReceiveAcceptsOnlyNewMessagesOfItsFleet holds which messages are believed: whole ones of this fleet's key and
-// list, for this node, each once, and none of a process that another has followed.
+// TestReceiveAcceptsOnlyNewMessagesOfItsFleet checks that an agent accepts only intact messages with its fleet's key
+// and list that are for its node, accepts each message once, and accepts none from a process that another has replaced.
 func TestReceiveAcceptsOnlyNewMessagesOfItsFleet(t *testing.T) {
 	agent := newTestAgent(t)
 	key, list := agent.options.Key, agent.listDigest
@@ -48,28 +49,29 @@
 		name    string
 		message []byte
 		at      time.Duration
-		wanted  uint64 // messages accepted by then
+		want    uint64 // messages accepted so far
 	}{
 		{"a heartbeat", first, 1, 1},
-		{"the same again", first, 2, 1},
-		{"of another key", otherKey, 3, 1},
-		{"of another list", otherList, 4, 1},
+		{"the same heartbeat again", first, 2, 1},
+		{"with another key", otherKey, 3, 1},
+		{"with another list", otherList, 4, 1},
 		{"for another node", heartbeat(header{from: 1, to: 2, incarnation: 5, clock: 13}), 5, 1},
 		{"from itself", heartbeat(header{incarnation: 5, clock: 14}), 6, 1},
 		{"from a node that is not listed", heartbeat(header{from: 9, incarnation: 5, clock: 15}), 7, 1},
-		{"cut off", first[:20], 8, 1},
-		{"another process too soon", heartbeat(header{from: 1, incarnation: 6, clock: 1}), time.Second, 1},
+		{"truncated", first[:20], 8, 1},
+		{"another process, the first is alive", heartbeat(header{from: 1, incarnation: 6, clock: 1}), time.Second, 1},
 		{"another process, the first ended", heartbeat(header{from: 1, incarnation: 6, clock: 2}), 4 * time.Second, 2},
-		{"late, of the first process", heartbeat(header{from: 1, incarnation: 5, clock: 99}), 4*time.Second + 1, 2},
+		{"late, from the first process", heartbeat(header{from: 1, incarnation: 5, clock: 99}), 4*time.Second + 1, 2},
 	} {
 		agent.Receive(test.message, test.at)
-		if agent.Counts.Accepted != test.wanted {
-			t.Errorf("%s: %d messages accepted so far, wanted %d", test.name, agent.Counts.Accepted, test.wanted)
+		if agent.Counts.Accepted != test.want {
+			t.Errorf("%s: messages accepted so far: got %d, want %d", test.name, agent.Counts.Accepted, test.want)
 		}
 	}
 }
 
-// FuzzReceive holds that no bytes break a node, also with the fleet's key.
+// FuzzReceive checks that no message body makes an agent panic, even if the message is authenticated with the fleet's
+// key.
 func FuzzReceive(f *testing.F) {
 	agent := newTestAgent(f)
 	for kind := kindHeartbeat; kind <= kindReply; kind++ {
--- a/internal/failover/agent/entries.go
+++ b/internal/failover/agent/entries.go
@@ -8,10 +8,10 @@
 	"spurwinch/internal/failover"
 )
 
-// fromOwnVoter is the sender of an entry that this node's own voter has decided.
+// fromOwnVoter is the sender number of an entry that this node's own voter has committed.
 const fromOwnVoter = -1
 
-// fetchMissing requests from another node the entries that this one is missing by that one's digest.
+// fetchMissing requests from another node the entries that, according to that node's digest, this node doesn't have.
 func (a *Agent) fetchMissing(from int, digest consensus.Digest, now time.Duration) {
 	kinds, err := a.follower.MissingKinds(digest)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 }
 
-// handleFetchEntries sends the entries that another node requests.
+// handleFetchEntries sends another node the newest entries of the kinds that it requested.
 func (a *Agent) handleFetchEntries(head header, kinds []consensus.Kind, now time.Duration) {
 	for _, kind := range kinds[:min(len(kinds), consensus.MaxKinds)] {
 		entry := a.follower.Newest(kind)
@@ -33,7 +33,8 @@
 	}
 }
 
-// acceptEntry adds an entry to the follower and forwards it to the subscribers. It takes effect when it is on disk.
+// acceptEntry adds an entry to the follower and forwards it to the subscribers. The entry takes effect once it is on
+// disk.
 func (a *Agent) acceptEntry(log uint64, entry consensus.Entry, from int, now time.Duration) {
 	applied, err := a.follower.Apply(log, entry)
 	if err != nil {
@@ -65,7 +66,7 @@
 	a.updateMode(now)
 }
 
-// acceptOrders gives the planner the operators' orders.
+// acceptOrders applies the operators' orders to the planner, if this node is the leader.
 func (a *Agent) acceptOrders(entry consensus.Entry) {
 	orders, err := failover.DecodeOperatorOrders(entry.Data)
 	if err == nil && a.planner != nil {
@@ -74,8 +75,8 @@
 	a.options.Log("fleet_orders_accepted", "number", entry.Index)
 }
 
-// adoptEntries puts entries into effect that are on disk. Not earlier: after a crash the node would be back at older
-// ones than it has reported.
+// adoptEntries puts entries that are on disk into effect. Entries must not take effect earlier, because a crash would
+// take the node back to entries older than those that it has reported.
 func (a *Agent) adoptEntries(entries []consensus.Entry, now time.Duration) {
 	for _, entry := range entries {
 		a.adoptPolicy(entry)
@@ -84,8 +85,8 @@
 	a.updateMode(now)
 }
 
-// subscribers are the nodes that are sent new entries: those that send this one evidence, and for the leader the
-// aggregators as well.
+// subscribers returns the nodes to which this node sends new entries: the nodes that send it evidence and, if it is the
+// leader, also the aggregators that send it summaries.
 func (a *Agent) subscribers(now time.Duration) (nodes []int) {
 	for node, known := range a.evidence {
 		if node != a.options.Self && now-known.at <= peerTimeout {
--- a/internal/failover/agent/golden_test.go
+++ b/internal/failover/agent/golden_test.go
@@ -17,13 +17,13 @@
 	"spurwinch/internal/policy"
 )
 
-// The golden files pin what other releases send, keep and print. -update writes them anew, which is right only for a
-// form that no release has yet.
-var update = flag.Bool("update", false, "write the golden files anew")
+// The golden files contain what other releases send, store and print. -update rewrites them, which is correct only for
+// a format that no release uses yet.
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 var goldenKey = []byte("the key of the golden fleet")
 
-// goldenFile compares encoded bytes with those of a golden file, and gives the latter.
+// goldenFile compares encoded bytes with those of a golden file, and returns the bytes of the file.
 func goldenFile(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -47,42 +47,42 @@
 		t.Fatalf("%s: %v", path, err)
 	}
 	if !bytes.Equal(encoded, golden) {
-		t.Errorf("%s: encoded as\n%x, wanted\n%x", name, encoded, golden)
+		t.Errorf("encode %s: got\n%x, want\n%x", name, encoded, golden)
 	}
 	return golden
 }
 
-// wantFilled fails for a value with a field that is zero: it would pin nothing.
-func wantFilled(t *testing.T, path string, value reflect.Value) {
+// checkAllFieldsSet fails if a field of a value is zero, because a golden file would not show how it is encoded.
+func checkAllFieldsSet(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	switch value.Kind() {
 	case reflect.Pointer:
 		if value.IsNil() {
-			t.Errorf("%s is nil: every field is to be set", path)
+			t.Errorf("%s: got nil, want every field set", path)
 			return
 		}
-		wantFilled(t, path, value.Elem())
+		checkAllFieldsSet(t, path, value.Elem())
 	case reflect.Struct:
 		for i := range value.NumField() {
 			if field := value.Type().Field(i); field.Name != "_" {
-				wantFilled(t, path+"."+field.Name, value.Field(i))
+				checkAllFieldsSet(t, path+"."+field.Name, value.Field(i))
 			}
 		}
 	case reflect.Slice, reflect.Map:
 		if value.Len() == 0 {
-			t.Errorf("%s is empty: every field is to be set", path)
+			t.Errorf("%s: got an empty value, want every field set", path)
 		}
 		if value.Kind() == reflect.Slice && value.Len() > 0 {
-			wantFilled(t, path+"[0]", value.Index(0))
+			checkAllFieldsSet(t, path+"[0]", value.Index(0))
 		}
 	default:
 		if value.IsZero() {
-			t.Errorf("%s is zero: every field is to be set", path)
+			t.Errorf("%s: got a zero value, want every field set", path)
 		}
 	}
 }
 
-// TestGoldenMessages pins each kind of message of the fleet, with the envelope around it.
+// TestGoldenMessages checks the encoding of each kind of message between nodes, including its header.
 func TestGoldenMessages(t *testing.T) {
 	body := func(value any) func() (any, []byte) {
 		return func() (any, []byte) { return value, encode(value) }
@@ -120,8 +120,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			value, encoded := test.value()
-			if test.kind != kindHeartbeat { // which has no body
-				wantFilled(t, test.name, reflect.ValueOf(value))
+			if test.kind != kindHeartbeat { // a heartbeat has no body
+				checkAllFieldsSet(t, test.name, reflect.ValueOf(value))
 			}
 			list := digestOf(goldenList(t))
 			head := header{
@@ -134,16 +134,16 @@
 				t.Fatal(err)
 			}
 			if gotHead != head {
-				t.Errorf("header read as %+v, wanted %+v", gotHead, head)
+				t.Errorf("decode header: got %+v, want %+v", gotHead, head)
 			}
 			if got := decodeBody(t, test.kind, value, gotBody); !reflect.DeepEqual(got, value) {
-				t.Errorf("body read as\n%+v, wanted\n%+v", got, value)
+				t.Errorf("decode body: got\n%+v, want\n%+v", got, value)
 			}
 		})
 	}
 }
 
-// decodeBody reads a message's body as the agent does, into a value of the type of want.
+// decodeBody decodes a message's body as the agent does, into a value of the type of want.
 func decodeBody(t *testing.T, kind messageKind, want any, body []byte) any {
 	t.Helper()
 	switch kind {
@@ -153,7 +153,7 @@
 		return body
 	case kindSummary:
 		if body[0] != 1 {
-			t.Errorf("a summary's first byte is %d, wanted 1: it is stale", body[0])
+			t.Errorf("first byte of a stale summary: got %d, want 1", body[0])
 		}
 		body = body[1:]
 		fallthrough
@@ -172,23 +172,23 @@
 	}
 }
 
-// TestGoldenCall pins what an operator's tool sends, and that it reads a node's answer.
+// TestGoldenCall checks the encoding of an operator's call, and that the operator's tool can decode a node's reply.
 func TestGoldenCall(t *testing.T) {
 	call := Call{
 		Verb: "drain", Arg: "z1", ID: "drain-1", Data: []byte("data"), Base: 2,
 		Part: policy.Canary{Zone: "z2", OneIn: 3, Seconds: 4, MaxExtraRejections: 0.5},
 	}
-	wantFilled(t, "call", reflect.ValueOf(call))
+	checkAllFieldsSet(t, "call", reflect.ValueOf(call))
 	goldenFile(t, "call.hex", Seal(goldenKey, goldenList(t), 1, call))
 	head := header{kind: kindReply, from: 1, to: Operator, clock: 1}
 	golden := goldenFile(t, "reply.hex", seal(goldenKey, digestOf(goldenList(t)), head, encode(goldenReply())))
 	reply, err := Unseal(goldenKey, goldenList(t), golden)
 	if err != nil || !reflect.DeepEqual(reply, goldenReply()) {
-		t.Errorf("reply read as\n%+v, %v, wanted\n%+v", reply, err, goldenReply())
+		t.Errorf("decode reply: got\n%+v, %v, want\n%+v", reply, err, goldenReply())
 	}
 }
 
-// TestGoldenReplyJSON pins the reply as tools print it.
+// TestGoldenReplyJSON checks the JSON that tools print for a reply.
 func TestGoldenReplyJSON(t *testing.T) {
 	reply := goldenReply()
 	printed, err := json.MarshalIndent(reply, "", "  ")
@@ -206,19 +206,19 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(append(printed, '\n'), golden) {
-		t.Errorf("printed as\n%s, wanted\n%s", printed, golden)
+		t.Errorf("print reply: got\n%s, want\n%s", printed, golden)
 	}
 	var read Reply
 	if err := json.Unmarshal(golden, &read); err != nil {
 		t.Fatal(err)
 	}
-	reply.Policy.Documents, reply.Policy.Change.Text = nil, nil // documents are not printed
+	reply.Policy.Documents, reply.Policy.Change.Text = nil, nil // the JSON omits documents
 	if !reflect.DeepEqual(read, reply) {
-		t.Errorf("read as\n%+v, wanted\n%+v", read, reply)
+		t.Errorf("decode printed reply: got\n%+v, want\n%+v", read, reply)
 	}
 }
 
-// goldenEntries are one entry of each kind that an agent acts on.
+// goldenEntries returns one log entry of each kind that an agent uses.
 func goldenEntries() []consensus.Entry {
 	orders := failover.OperatorOrders{Drained: []string{"z2"}}
 	return []consensus.Entry{
@@ -243,11 +243,11 @@
 	}
 }
 
-// TestGoldenRecord pins what a node that doesn't vote has written to its disk by the entries that it was given, and
-// what is in effect after it has read that again.
+// TestGoldenRecord checks the record that a node that is not a voter writes to its disk for the entries that it has
+// received, and what is in effect after the node has restarted with that record.
 func TestGoldenRecord(t *testing.T) {
-	wantFilled(t, "plan", reflect.ValueOf(goldenPlan()))
-	wantFilled(t, "policy", reflect.ValueOf(goldenPolicyState()))
+	checkAllFieldsSet(t, "plan", reflect.ValueOf(goldenPlan()))
+	checkAllFieldsSet(t, "policy", reflect.ValueOf(goldenPolicyState()))
 	writer, err := New(goldenOptions(t), 0)
 	if err != nil {
 		t.Fatal(err)
@@ -256,9 +256,9 @@
 		writer.acceptEntry(64, entry, 1, time.Second)
 	}
 	writer.advance(time.Second)
-	record, whole, ok := writer.NextRecord()
-	if !ok || whole {
-		t.Fatalf("record to save: %t, whole %t, wanted one that is added", ok, whole)
+	record, replacesAll, ok := writer.NextRecord()
+	if !ok || replacesAll {
+		t.Fatalf("NextRecord: got a record %t, replaces all %t, want true, false", ok, replacesAll)
 	}
 	golden := goldenFile(t, "record.hex", consensus.Encode(record))
 
@@ -272,19 +272,19 @@
 		t.Fatal(err)
 	}
 	if log := reader.follower.LogID(); log != 64 {
-		t.Errorf("log %d, wanted 64", log)
+		t.Errorf("log ID: got %d, want 64", log)
 	}
 	if got := reader.follower.Entries(); !reflect.DeepEqual(got, goldenEntries()) {
-		t.Errorf("entries read as\n%+v, wanted\n%+v", got, goldenEntries())
+		t.Errorf("entries: got\n%+v, want\n%+v", got, goldenEntries())
 	}
 	if _, number := reader.Mode(); number != 61 || !reflect.DeepEqual(reader.plan, goldenPlan()) {
-		t.Errorf("goes by plan %d\n%+v, wanted 61\n%+v", number, reader.plan, goldenPlan())
+		t.Errorf("plan in effect: got number %d\n%+v, want 61\n%+v", number, reader.plan, goldenPlan())
 	}
 	orders, err := failover.DecodeOperatorOrders(reader.follower.Newest(failover.OperatorOrdersKind).Data)
 	if err != nil || !reflect.DeepEqual(orders.Drained, []string{"z2"}) {
-		t.Errorf("orders read as %v, %v, wanted z2 drained", orders.Drained, err)
+		t.Errorf("drained zones: got %v, %v, want [z2]", orders.Drained, err)
 	}
 	if local := reader.localPolicy; local.entry != 63 || !reflect.DeepEqual(local.state, goldenPolicyState()) {
-		t.Errorf("policy of entry %d\n%+v, wanted that of 63\n%+v", local.entry, local.state, goldenPolicyState())
+		t.Errorf("policy: got entry %d\n%+v, want entry 63\n%+v", local.entry, local.state, goldenPolicyState())
 	}
 }
--- a/internal/failover/agent/golden_values_test.go
+++ b/internal/failover/agent/golden_values_test.go
@@ -9,7 +9,7 @@
 	"spurwinch/internal/policy"
 )
 
-// The values of the golden files have every field set, each to another value as far as its type has them.
+// The values in the golden files have every field set. Fields have different values as far as their types allow.
 
 func goldenList(tb testing.TB) *membership.List {
 	tb.Helper()
--- a/internal/failover/agent/message.go
+++ b/internal/failover/agent/message.go
@@ -13,45 +13,47 @@
 //	0      version
 //	1      kind
 //	2-5    digest of the list of nodes
-//	6-7    sender, 8-9 receiver: their numbers in the list
-//	10-13  the sender's incarnation, drawn at the start of its process
-//	14-21  the sender's clock in microseconds, of its own epoch: never twice
-//	22-29  the newest clock of the receiver that the sender has received; 0: none
-//	30-    body, CBOR or, of the consensus kind, the voters' own
-//	last 16 bytes: HMAC-SHA256 of all before, by the fleet's key, cut
+//	6-7    the sender's number in the list
+//	8-9    the receiver's number in the list
+//	10-13  the sender's incarnation, a random number drawn at the start of its process
+//	14-21  the sender's clock: microseconds since its own epoch; never repeats
+//	22-29  echo: the receiver's newest clock that the sender has received; 0: none
+//	30-    body: CBOR, except that kindConsensus has the voters' own format
+//	last 16 bytes: truncated HMAC-SHA256 of all bytes before, with the fleet's key
 //
-// Big-endian. By the echo of its own clock the receiver knows how old the message is at most: clocks of two machines
-// are never compared.
+// Numbers are big-endian. The echo of its own clock tells the receiver the greatest possible age of the message. Clocks
+// of two machines are never compared.
 const (
 	wireVersion = 1
 	headerBytes = 30
 	macBytes    = 16
 	// MaxMessage bounds a message, in bytes.
 	MaxMessage = 512 << 10
-	// MaxDatagram is the most bytes of a message that is sent as a datagram. Longer ones are sent by a stream.
+	// MaxDatagram is the maximum size in bytes of a message that is sent as a datagram. Longer messages are sent on a
+	// stream.
 	MaxDatagram = 1200
 )
 
-// messageKind is what a message's body is. The numbers are on the wire.
+// messageKind is the kind of a message, which determines its body. The numbers are on the wire.
 type messageKind uint8
 
 const (
 	kindHeartbeat    messageKind = iota + 1 // to the nodes that watch the sender; no body
 	kindEvidence                            // failover.EvidenceSummary of one node, to the aggregators of its zone
-	kindEvidenceAck                         // of an aggregator, for evidence
+	kindEvidenceAck                         // an aggregator's reply to evidence
 	kindSummary                             // to the voters: a byte, 1 if stale, and a zone's failover.EvidenceSummary
-	kindSummaryAck                          // of the leader, for a summary
-	kindFetchEntries                        // asks for the newest entries of some kinds: []consensus.Kind
-	kindEntry                               // an entry of the log
-	kindLogDigest                           // consensus.Digest, how far the sender knows the log; read, but not sent
-	kindConsensus                           // of voters among themselves
+	kindSummaryAck                          // the leader's reply to a summary
+	kindFetchEntries                        // requests the newest entries of some kinds: []consensus.Kind
+	kindEntry                               // a log entry
+	kindLogDigest                           // consensus.Digest of the sender's entries; handled, but never sent
+	kindConsensus                           // from one voter to another
 	kindCall                                // an operator's Call
-	kindReply                               // the Reply to it
-	kindLeaseRequest                        // to the owner of a zone's capacity leases
-	kindLeaseGrant                          // of the owner
+	kindReply                               // the Reply to a Call
+	kindLeaseRequest                        // to the lease owner of a zone
+	kindLeaseGrant                          // the lease owner's reply to a request
 )
 
-// newestOnly says whether only the newest message of a kind counts, and that once.
+// newestOnly reports whether only the newest message of a kind counts. Such a message is handled at most once.
 func (k messageKind) newestOnly() bool {
 	switch k {
 	case kindHeartbeat, kindEvidence, kindSummary, kindLogDigest, kindLeaseRequest:
@@ -61,7 +63,7 @@
 	}
 }
 
-// header is a message's envelope without the list's digest, which is the same for all messages of a fleet.
+// header is a message's header without the digest of the list, which is the same for all messages of a fleet.
 type header struct {
 	kind        messageKind
 	from, to    int
@@ -71,11 +73,11 @@
 }
 
 var (
-	errForeignList = errors.New("message of a fleet with another list of nodes")
-	errCorrupt     = errors.New("message corrupt, or of another key")
+	errForeignList = errors.New("message from a fleet with another list of nodes")
+	errCorrupt     = errors.New("message is corrupt or authenticated with another key")
 )
 
-// seal encodes a message and authenticates it by the fleet's key.
+// seal encodes a message and authenticates it with the fleet's key.
 func seal(key []byte, listDigest uint32, head header, body []byte) []byte {
 	message := make([]byte, 0, headerBytes+len(body)+macBytes)
 	message = append(message, wireVersion, byte(head.kind))
@@ -89,7 +91,7 @@
 	return append(message, messageMAC(key, message)...)
 }
 
-// open decodes a message that a node of this fleet has sent. The error is errForeignList or errCorrupt.
+// open authenticates a message and decodes its header. The error is errForeignList or errCorrupt.
 func open(key []byte, listDigest uint32, message []byte) (head header, body []byte, err error) {
 	if len(message) < headerBytes+macBytes || len(message) > MaxMessage || message[0] != wireVersion {
 		return header{}, nil, errCorrupt
@@ -118,7 +120,7 @@
 	return mac.Sum(nil)[:macBytes]
 }
 
-// IsConsensusMessage says whether a message is one of voters among themselves, for simulated networks.
+// IsConsensusMessage reports whether a message is from one voter to another, for simulated networks.
 func IsConsensusMessage(message []byte) bool {
 	return len(message) > 1 && message[1] == byte(kindConsensus)
 }
--- a/internal/failover/agent/schedule.go
+++ b/internal/failover/agent/schedule.go
@@ -10,32 +10,34 @@
 
 // Intervals of an agent's periodic work.
 const (
-	observeInterval  = 100 * time.Millisecond // what is rejected now can be leased capacity for now
+	observeInterval  = 100 * time.Millisecond // short enough to lease capacity while requests are still being rejected
 	evidenceInterval = 500 * time.Millisecond
 	summaryInterval  = 500 * time.Millisecond
 	confirmInterval  = 200 * time.Millisecond
 )
 
-// schedule is when each kind of periodic work is due next.
+// schedule holds the time when each kind of periodic work is due next.
 type schedule struct {
 	voterTick, heartbeat, observe, evidence, summary, plan, confirm time.Duration
 }
 
-// newSchedule draws the first time of each kind of work: nodes that start at once are not to send at once.
+// newSchedule draws a random first time for each kind of work, so that nodes that start at the same time don't send at
+// the same time.
 func newSchedule(rng *rand.Rand, now time.Duration) schedule {
-	spread := func(interval time.Duration) time.Duration { return now + time.Duration(rng.Int64N(int64(interval))) }
-	return schedule{ // the order of the draws is fixed: a seed gives the same run
+	firstTime := func(interval time.Duration) time.Duration { return now + time.Duration(rng.Int64N(int64(interval))) }
+	return schedule{ // the order of the draws must not change: a seed must always give the same run
 		voterTick: now,
-		heartbeat: spread(membership.HeartbeatInterval),
-		observe:   spread(observeInterval),
-		evidence:  spread(evidenceInterval),
-		summary:   spread(summaryInterval),
-		plan:      spread(failover.StepInterval),
+		heartbeat: firstTime(membership.HeartbeatInterval),
+		observe:   firstTime(observeInterval),
+		evidence:  firstTime(evidenceInterval),
+		summary:   firstTime(summaryInterval),
+		plan:      firstTime(failover.StepInterval),
 		confirm:   now,
 	}
 }
 
-// isDue says whether work is due, and moves its time on by the interval if so. Work that is late is not made up for.
+// isDue reports whether work is due, and if so schedules it again after the interval. Missed intervals are not made up
+// for.
 func isDue(at *time.Duration, interval, now time.Duration) bool {
 	if now < *at {
 		return false
--- a/internal/failover/agent/storage.go
+++ b/internal/failover/agent/storage.go
@@ -6,17 +6,17 @@
 	"spurwinch/internal/consensus"
 )
 
-// maxVoterSteps bounds the voter's steps at one call.
+// maxVoterSteps bounds the voter's steps in one call of advance.
 const maxVoterSteps = 64
 
-// pendingRecord is a record that has to be on disk before the agent does anything else.
+// pendingRecord is a record that must be on disk before the voter and the follower continue.
 type pendingRecord struct {
 	record      consensus.Record
-	replacesAll bool
-	ofVoter     bool
+	replacesAll bool // the record replaces all earlier records on disk
+	fromVoter   bool
 }
 
-// restoreFollower starts with the newest entries that the disk has.
+// restoreFollower creates a follower with the newest entries in the records read from disk.
 func restoreFollower(records []consensus.Record) *consensus.Follower {
 	var log uint64
 	var entries []consensus.Entry
@@ -31,7 +31,7 @@
 	return consensus.NewFollower(log, entries)
 }
 
-// advance does what the voter and the follower have ready, up to the next record that has to be on disk first.
+// advance processes what the voter and the follower have ready, until a record must be written to disk.
 func (a *Agent) advance(now time.Duration) {
 	for range maxVoterSteps {
 		if a.pendingRecord != nil {
@@ -49,21 +49,22 @@
 	}
 }
 
-// NextRecord returns the record that has to be persisted next; whole says that it replaces all others. When it is on
-// disk, the caller calls Persisted.
-func (a *Agent) NextRecord() (record consensus.Record, whole, ok bool) {
+// NextRecord returns the record that the caller must write to disk next. If replacesAll is true, the record replaces
+// all earlier ones. The caller calls Persisted once the record is on disk.
+func (a *Agent) NextRecord() (record consensus.Record, replacesAll, ok bool) {
 	if a.pendingRecord == nil {
 		return consensus.Record{}, false, false
 	}
 	return a.pendingRecord.record, a.pendingRecord.replacesAll, true
 }
 
-// Persisted has to be called when the record of NextRecord is on disk. It puts into effect what depends on it.
+// Persisted must be called once the record of NextRecord is on disk. It puts the record's entries into effect and lets
+// the voter continue.
 func (a *Agent) Persisted(now time.Duration) {
 	if pending := a.pendingRecord; pending != nil {
 		a.pendingRecord = nil
 		a.adoptEntries(pending.record.Newest, now)
-		if pending.ofVoter && a.voter != nil {
+		if pending.fromVoter && a.voter != nil {
 			a.voterPersisted(now)
 		}
 	}
--- a/internal/failover/agent/voter.go
+++ b/internal/failover/agent/voter.go
@@ -9,14 +9,14 @@
 	"spurwinch/internal/consensus"
 )
 
-// Voter is a replica of the log, as internal/consensus/replica implements it.
+// Voter is a replica of the log. internal/consensus/replica implements it.
 type Voter interface {
 	Tick()
 	Receive(from int, data []byte) error
-	Ready() (rec consensus.Record, whole, ok bool)
-	Persisted() (out []consensus.Message, results []consensus.ProposalResult)
-	Compact() (rec consensus.Record, ok bool)
-	Propose(p consensus.Proposal) error
+	Ready() (record consensus.Record, replacesAll, ok bool)
+	Persisted() (messages []consensus.Message, results []consensus.ProposalResult)
+	Compact() (record consensus.Record, ok bool)
+	Propose(proposal consensus.Proposal) error
 	ConfirmLeadership() (call uint64)
 	ConfirmedCall() uint64
 	State() consensus.State
@@ -27,10 +27,10 @@
 	Err() error
 }
 
-// NewVoter makes voter number self of voters with what its disk has.
+// NewVoter creates the voter with number self of a log with this number of voters, from the records on its disk.
 type NewVoter func(self, voters int, records []consensus.Record, rng *rand.Rand) (Voter, error)
 
-// startVoter starts the node's replica, if the node is a voter.
+// startVoter starts this node's replica if the node is a voter.
 func (a *Agent) startVoter() error {
 	list := a.options.List
 	self := list.Voter(a.options.Self)
@@ -38,7 +38,7 @@
 		return nil
 	}
 	if a.options.Voter == nil {
-		return fmt.Errorf("%s is a voter, and %w", list.Node(a.options.Self).Name, ErrNoVoter)
+		return fmt.Errorf("node %s is a voter, but %w", list.Node(a.options.Self).Name, ErrNoVoter)
 	}
 	voter, err := a.options.Voter(self, len(list.Voters()), a.options.Records, a.rng)
 	if err != nil {
@@ -48,10 +48,11 @@
 	return nil
 }
 
-// IsLeader says whether this node makes the plans now, as far as it knows.
+// IsLeader reports whether this node is the leader and makes plans, as far as it knows.
 func (a *Agent) IsLeader() bool { return a.planner != nil && a.voter != nil && a.voter.IsLeader() }
 
-// tickVoter gives the voter its ticks; those that were missed while the process was suspended are not made up for.
+// tickVoter calls the voter's Tick for each tick that is due. Ticks missed while the process was suspended are not made
+// up for.
 func (a *Agent) tickVoter(now time.Duration) {
 	for ; a.schedule.voterTick <= now; a.schedule.voterTick += consensus.TickInterval {
 		if now-a.schedule.voterTick > suspendThreshold {
@@ -63,7 +64,7 @@
 	}
 }
 
-// handleConsensus passes a voter's message on to this node's voter.
+// handleConsensus passes a message from another voter to this node's voter.
 func (a *Agent) handleConsensus(head header, body []byte) {
 	from := a.options.List.Voter(head.from)
 	if a.voter == nil || from < 0 {
@@ -76,8 +77,8 @@
 	}
 }
 
-// advanceVoter takes the voter's next record to save, or continues if there is nothing to save. It says whether there
-// may be more to do.
+// advanceVoter sets the voter's next record as the pending one. If that record is empty, the voter continues at once.
+// more reports whether there may be more to do.
 func (a *Agent) advanceVoter(now time.Duration) (more bool) {
 	if record, ok := a.voter.Compact(); ok {
 		record.Newest = a.follower.Entries()
@@ -88,7 +89,7 @@
 		if record.Empty() {
 			a.voterPersisted(now)
 		} else {
-			a.pendingRecord = &pendingRecord{record: record, ofVoter: true}
+			a.pendingRecord = &pendingRecord{record: record, fromVoter: true}
 		}
 		return true
 	}
@@ -99,7 +100,7 @@
 	return false
 }
 
-// voterPersisted sends and applies what the voter has released now that its record is on disk.
+// voterPersisted sends the messages and applies the entries that the voter releases once its record is on disk.
 func (a *Agent) voterPersisted(now time.Duration) {
 	messages, results := a.voter.Persisted()
 	voters := a.options.List.Voters()
