--- a/internal/failover/agent/calls.go
+++ b/internal/failover/agent/calls.go
@@ -162,7 +162,7 @@
 		return errNotLeader
 	}
 	newest := a.follower.Newest(failover.OperatorOrdersKind)
-	orders, _ := failover.DecodeOperatorOrders(newest.Data) // missing or undecodable orders are replaced
+	orders, _ := failover.DecodeOperatorOrders(newest.Data) // missing orders, or those of a later version, are replaced
 	orders.Drained = slices.DeleteFunc(slices.Clone(orders.Drained), func(zone string) bool { return zone == call.Arg })
 	if Verb(call.Verb) == VerbDrain {
 		orders.Drained = append(orders.Drained, call.Arg)
--- a/internal/failover/agent/voter.go
+++ b/internal/failover/agent/voter.go
@@ -27,7 +27,7 @@
 	Err() error
 }
 
-// NewVoter creates the voter with number self of a log with this number of voters, from the records on its disk.
+// NewVoter creates voter number self of the given number of voters, with the records on its disk.
 type NewVoter func(self, voters int, records []consensus.Record, rng *rand.Rand) (Voter, error)
 
 // startVoter starts this node's replica if the node is a voter.
