--- a/internal/policy/abort_reason.go
+++ b/internal/policy/abort_reason.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// abortReason is why the leader aborts a change by itself. The texts go into the change's outcome on the log, and
-// operators read them.
+// abortReason is the reason why the leader aborts a change without an operator's request. Its text is stored in the
+// change's outcome on the log and shown to operators.
 type abortReason interface{ String() string }
 
-// rejectedByMember says that a live member can't serve by the change.
+// rejectedByMember means that a live member reported that it can't apply the change.
 type rejectedByMember struct{ member, reason string }
 
 func (r rejectedByMember) String() string { return r.member + ": " + r.reason }
 
-// memberUnreachable says that a live member did not acknowledge the change in time.
+// memberUnreachable means that a live member did not acknowledge the change in time.
 type memberUnreachable struct {
 	member  string
 	timeout time.Duration
@@ -24,12 +24,12 @@
 	return fmt.Sprintf("%s did not answer within %v", r.member, r.timeout)
 }
 
-// canaryEmpty says that no live member is one of the canary.
+// canaryEmpty means that the canary has no live member.
 type canaryEmpty struct{}
 
 func (canaryEmpty) String() string { return "no live member is of the part" }
 
-// canaryNotServing says that not all live members of the canary served by the change in time.
+// canaryNotServing means that some live members of the canary did not apply the change in time.
 type canaryNotServing struct {
 	serving, live int
 	timeout       time.Duration
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("%d of the part's %d members serve by it after %v", r.serving, r.live, r.timeout)
 }
 
-// canaryRejectsMore says that the canary rejected too many requests, compared with all others.
+// canaryRejectsMore means that the canary rejected too many requests compared with all other members.
 type canaryRejectsMore struct{ canary, others requestCounts }
 
 func (r canaryRejectsMore) String() string {
@@ -47,10 +47,10 @@
 		100*r.canary.rejectedFraction(), r.canary.arrived, 100*r.others.rejectedFraction(), r.others.arrived)
 }
 
-// basesInUse says that no further base policy can be remembered, since members have sent no status for too many
-// changes.
-type basesInUse struct{}
+// tooManyBases means that the state has no room for another base policy, because some members have not sent a status
+// for too many changes.
+type tooManyBases struct{}
 
-func (basesInUse) String() string {
+func (tooManyBases) String() string {
 	return "members that may still serve by older ground policies were not heard since"
 }
--- a/internal/policy/canary.go
+++ b/internal/policy/canary.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// Canary is the part of the fleet that serves by a change before all others do, and for how long its rejections are
-// compared with the others'. The zero value is no canary: the change is committed once it was acknowledged.
+// Canary selects the members that apply a change before all others, and sets how long their rejections are compared
+// with those of the others. The zero value means no canary: the change is committed once all live members have
+// acknowledged it.
 type Canary struct {
 	_                  struct{} `cbor:",toarray"`
-	Zone               string   `json:"Zone"`    // all nodes of a zone; empty: OneIn
-	OneIn              int      `json:"OneIn"`   // the nodes whose number in the list is a multiple of it; 0: Zone
-	Seconds            float64  `json:"Seconds"` // how long it is observed
-	MaxExtraRejections float64  `json:"Worse"`   // fraction of requests that may be rejected beyond that elsewhere
+	Zone               string   `json:"Zone"`    // selects all nodes of a zone; empty: OneIn
+	OneIn              int      `json:"OneIn"`   // selects the nodes whose list number is a multiple of it; 0: Zone
+	Seconds            float64  `json:"Seconds"` // length of the observation
+	MaxExtraRejections float64  `json:"Worse"`   // how much more of the requests it may reject than the others, 0 to 1
 }
 
 // Bounds of a canary.
@@ -25,10 +26,10 @@
 	maxCanarySeconds = 3600
 )
 
-// isNone says whether there is no canary.
+// isNone reports whether the change has no canary.
 func (c Canary) isNone() bool { return c == Canary{} }
 
-// Includes says whether a node is one of the canary. number is the node's in the list of nodes.
+// Includes reports whether a node belongs to the canary. number is the node's number in the list of nodes.
 func (c Canary) Includes(number int, zone string) bool {
 	inZone := c.Zone != "" && zone == c.Zone
 	return inZone || c.OneIn > 0 && number%c.OneIn == 0
@@ -40,23 +41,23 @@
 	if c.isNone() {
 		return nil
 	}
-	bothOrNeither := (c.Zone == "") == (c.OneIn == 0)
-	oneInPossible := c.OneIn == 0 || c.OneIn >= minCanaryOneIn && c.OneIn <= maxCanaryOneIn
-	validTime := c.Seconds >= minCanarySeconds && c.Seconds <= maxCanarySeconds // false for NaN
+	bothOrNeitherSet := (c.Zone == "") == (c.OneIn == 0)
+	validOneIn := c.OneIn == 0 || c.OneIn >= minCanaryOneIn && c.OneIn <= maxCanaryOneIn
+	validDuration := c.Seconds >= minCanarySeconds && c.Seconds <= maxCanarySeconds // false for NaN
 	switch {
-	case bothOrNeither || !oneInPossible:
-		return &InvalidProposalError{Problem: "a part is a zone, or one node in 2 to 1000"}
-	case !validTime:
-		return &InvalidProposalError{Problem: fmt.Sprintf("a trial of %v s: 1 to 3600 are possible", c.Seconds)}
+	case bothOrNeitherSet || !validOneIn:
+		return &InvalidProposalError{Problem: "a part must be either a zone, or one node in 2 to 1000"}
+	case !validDuration:
+		return &InvalidProposalError{Problem: fmt.Sprintf("a trial of %v s: must be between 1 and 3600 s", c.Seconds)}
 	case !isFraction(c.MaxExtraRejections):
 		return &InvalidProposalError{
-			Problem: fmt.Sprintf("worse by %v: a part from 0 to 1 is wanted", c.MaxExtraRejections),
+			Problem: fmt.Sprintf("worse by %v: must be a fraction between 0 and 1", c.MaxExtraRejections),
 		}
 	}
 	return nil
 }
 
-// ParseCanary reads the operators' form of a canary's members: "zone:NAME", or "1/N" for one node in N.
+// ParseCanary parses an operator's selection of the canary's members: "zone:NAME", or "1/N" for one node in N.
 func ParseCanary(text string) (Canary, error) {
 	if zone, ok := strings.CutPrefix(text, "zone:"); ok && zone != "" {
 		return Canary{Zone: zone}, nil
@@ -66,5 +67,5 @@
 			return Canary{OneIn: oneIn}, nil
 		}
 	}
-	return Canary{}, &InvalidProposalError{Problem: fmt.Sprintf("a part %q: zone:NAME or 1/N is wanted", text)}
+	return Canary{}, &InvalidProposalError{Problem: fmt.Sprintf("a part %q: must be zone:NAME or 1/N", text)}
 }
--- a/internal/policy/canary_analysis.go
+++ b/internal/policy/canary_analysis.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// minCanaryRequests is how many requests the canary must have had before its rejections count.
+// minCanaryRequests is the number of requests that the canary must have received before its rejections are evaluated.
 const minCanaryRequests = 20
 
-// requestCounts are requests that arrived, and those of them that were rejected or failed.
+// requestCounts holds the number of requests that arrived, and how many of these were rejected or failed.
 type requestCounts struct{ arrived, rejected float64 }
 
 func (c requestCounts) rejectedFraction() float64 {
@@ -15,10 +15,11 @@
 	return c.rejected / c.arrived
 }
 
-// memberTraffic are a member's counts when the observation of the canary began, and the newest ones.
+// memberTraffic holds a member's request counts at the start of the canary's observation and its latest counts.
 type memberTraffic struct{ first, latest requestCounts }
 
-// Observe takes in a member's newest status. It counts only while all of the canary serve by the change.
+// Observe records a member's request counts. It ignores them until all live members of the canary have applied the
+// change.
 func (r *Rollout) Observe(node int, status MemberStatus) {
 	if r.canaryServedSince == 0 {
 		return
@@ -29,15 +30,15 @@
 		member = &memberTraffic{first: counts}
 		r.traffic[node] = member
 	}
-	// A status comes on two ways, and an older one may come last.
+	// A status is delivered over two paths, and an older one may arrive after a newer one.
 	member.latest.arrived = max(member.latest.arrived, counts.arrived)
 	member.latest.rejected = max(member.latest.rejected, counts.rejected)
 }
 
-// judgeCanary waits until all live members of the canary serve by the change, and then compares their rejections with
-// those of all others for the canary's time. passed says that they served well, and long enough; failure is why the
-// change is aborted, nil where it is not.
-func (r *Rollout) judgeCanary(
+// evaluateCanary waits until all live members of the canary have applied the change, and then compares their rejections
+// with those of all other members for the canary's duration. passed reports whether the canary has completed the
+// observation successfully. failure is the reason to abort the change, or nil.
+func (r *Rollout) evaluateCanary(
 	now time.Duration, change *Change, members []Member,
 ) (passed bool, failure abortReason) {
 	live, serving := countCanary(change, members)
@@ -48,15 +49,16 @@
 		return false, r.awaitCanary(now, live, serving)
 	}
 	canary, others := r.compareTraffic(change.Canary, members)
-	mostRejected := others.rejectedFraction() + change.Canary.MaxExtraRejections
-	if canary.arrived >= minCanaryRequests && canary.rejectedFraction() > mostRejected {
+	maxRejectedFraction := others.rejectedFraction() + change.Canary.MaxExtraRejections
+	if canary.arrived >= minCanaryRequests && canary.rejectedFraction() > maxRejectedFraction {
 		return false, canaryRejectsMore{canary: canary, others: others}
 	}
 	return now-r.canaryServedSince >= change.Canary.duration(), nil
 }
 
-// awaitCanary begins the observation when all live members of the canary serve by the change. The change fails if they
-// don't after the time in which each has to acknowledge it, and the window after which the policy before is out of use.
+// awaitCanary begins the observation once all live members of the canary have applied the change. It returns a reason
+// to abort if some have not done so within the answer timeout plus the window, after which the previous policy is no
+// longer in use.
 func (r *Rollout) awaitCanary(now time.Duration, live, serving int) abortReason {
 	if serving == live {
 		r.canaryServedSince = now
@@ -69,7 +71,7 @@
 	return nil
 }
 
-// countCanary counts the live members of a change's canary, and those of them that serve by the change.
+// countCanary counts the live members of a change's canary, and how many of them have applied the change.
 func countCanary(change *Change, members []Member) (live, serving int) {
 	for _, member := range members {
 		if !member.Live || !change.Canary.Includes(member.Node, member.Zone) {
@@ -83,19 +85,19 @@
 	return live, serving
 }
 
-// compareTraffic sums up the requests since the observation began, of the canary and of all others.
-func (r *Rollout) compareTraffic(canary Canary, members []Member) (ofCanary, ofOthers requestCounts) {
+// compareTraffic sums the requests since the observation began, separately for the canary and for all other members.
+func (r *Rollout) compareTraffic(canary Canary, members []Member) (canaryCounts, otherCounts requestCounts) {
 	for _, member := range members {
 		traffic := r.traffic[member.Node]
 		if traffic == nil {
 			continue
 		}
-		sum := &ofOthers
+		sum := &otherCounts
 		if canary.Includes(member.Node, member.Zone) {
-			sum = &ofCanary
+			sum = &canaryCounts
 		}
 		sum.arrived = sum.arrived + traffic.latest.arrived - traffic.first.arrived
 		sum.rejected = sum.rejected + traffic.latest.rejected - traffic.first.rejected
 	}
-	return ofCanary, ofOthers
+	return canaryCounts, otherCounts
 }
--- a/internal/policy/change.go
+++ b/internal/policy/change.go
@@ -6,12 +6,12 @@
 	"unicode/utf8"
 )
 
-// reasonAccepted is the reason in the outcome of each change that was committed.
+// reasonAccepted is the reason that the outcome of each committed change holds.
 const reasonAccepted = "all live members said yes"
 
-// Propose begins a change. id is the operator's name for it, base the number that it replaces, text the document and
-// document the same decoded. The error is an *InvalidProposalError, ErrChangeInProgress, ErrBaseMismatch or an
-// *IncompatibleBaseError.
+// Propose begins a change. id is the operator's name for the change, base is the number of the document that it
+// replaces, text is the new document and document is the same text decoded. The error is an *InvalidProposalError,
+// ErrChangeInProgress, ErrBaseMismatch or an *IncompatibleBaseError.
 func (s *State) Propose(id string, base uint64, text []byte, document *Document, canary Canary) (*State, error) {
 	if err := checkProposal(id, text); err != nil {
 		return nil, err
@@ -20,7 +20,7 @@
 		return nil, fmt.Errorf("%w: %s, number %d, %s", ErrChangeInProgress, change.ID, change.Number, change.Stage)
 	}
 	if base != s.Number {
-		return nil, fmt.Errorf("%w: number %d, and this one is to replace %d", ErrBaseMismatch, s.Number, base)
+		return nil, fmt.Errorf("%w: number %d, but the proposal replaces number %d", ErrBaseMismatch, s.Number, base)
 	}
 	if err := canary.check(); err != nil {
 		return nil, err
@@ -38,17 +38,17 @@
 
 func checkProposal(id string, text []byte) error {
 	if id == "" || len(id) > maxID {
-		return &InvalidProposalError{Problem: fmt.Sprintf("an id has 1 to %d bytes", maxID)}
+		return &InvalidProposalError{Problem: fmt.Sprintf("an id must have 1 to %d bytes", maxID)}
 	}
 	if len(text) == 0 || len(text) > MaxTextBytes {
 		return &InvalidProposalError{
-			Problem: fmt.Sprintf("a policy of %d bytes: 1 to %d are possible", len(text), MaxTextBytes),
+			Problem: fmt.Sprintf("a policy of %d bytes: must have 1 to %d bytes", len(text), MaxTextBytes),
 		}
 	}
 	return nil
 }
 
-// StartCanary has the canary serve by the change in progress.
+// StartCanary moves the change in progress to the canary stage.
 func (s *State) StartCanary() *State {
 	change := *s.Change
 	change.Stage = StageCanary
@@ -57,23 +57,24 @@
 	return next
 }
 
-// Abort ends the change in progress; what was in force before it stays.
+// Abort ends the change in progress. The document in force stays in force.
 func (s *State) Abort(reason string) *State { return s.endChange(false, reason) }
 
-// abortFor is Abort where the leader decides it by itself.
+// abortFor aborts the change for a reason that the leader found without an operator's request.
 func (s *State) abortFor(reason abortReason) *State { return s.Abort(reason.String()) }
 
 // Commit puts the change in progress into force. base is the base policy of its document. oldestKnown is the oldest
-// number that a listed member may still have: base policies that were replaced before it are out of use.
+// number that a listed member may still have. Commit drops the base policies that had been replaced by then, because no
+// member uses them any longer.
 func (s *State) Commit(base BasePolicy, oldestKnown uint64) *State {
 	next := s.endChange(true, reasonAccepted)
 	next.Number = s.Change.Number
 	next.Documents = append(next.Documents, VersionedDocument{Number: next.Number, Text: s.Change.Text})
-	next.Documents = newest(next.Documents, maxDocuments)
+	next.Documents = cloneLast(next.Documents, maxDocuments)
 	for len(next.Bases) > 1 && next.Bases[1].Number <= oldestKnown {
 		next.Bases = next.Bases[1:]
 	}
-	if !next.endsWithBase(base) {
+	if !next.latestBaseEquals(base) {
 		next.Bases = append(next.Bases, VersionedBase{
 			Number: next.Number, Attempts: base.Attempts, Deadline: base.Deadline.Microseconds(),
 		})
@@ -82,18 +83,18 @@
 	return next
 }
 
-// endChange removes the change in progress and remembers its outcome.
+// endChange removes the change in progress and records its outcome.
 func (s *State) endChange(accepted bool, reason string) *State {
 	next := s.clone()
-	next.Ended = newest(append(next.Ended, ChangeOutcome{
+	next.Ended = cloneLast(append(next.Ended, ChangeOutcome{
 		ID: s.Change.ID, Number: s.Change.Number, Accepted: accepted, Reason: TruncateReason(reason, maxReason),
 	}), maxOutcomes)
 	next.Change = nil
 	return next
 }
 
-// TruncateReason is the beginning of a reason, limit bytes at most, without half a character at its end: neither the
-// form on the log nor a message between nodes could be decoded with one.
+// TruncateReason shortens a reason to at most limit bytes without splitting a UTF-8 character. Neither a log entry nor
+// a message between nodes could be decoded if the text ended in a partial character.
 func TruncateReason(text string, limit int) string {
 	if len(text) <= limit {
 		return text
@@ -104,19 +105,19 @@
 	return text[:limit]
 }
 
-// acceptsBase reports whether one more base policy can be remembered. If not, there are members that may still serve by
-// the older ones and have sent no status since.
-func (s *State) acceptsBase(base BasePolicy) bool {
-	return len(s.Bases) < maxBases || s.endsWithBase(base)
+// hasRoomForBase reports whether the state can hold base as its latest base policy. If it can't, some members have not
+// sent a status for a long time and may still serve by the older base policies.
+func (s *State) hasRoomForBase(base BasePolicy) bool {
+	return len(s.Bases) < maxBases || s.latestBaseEquals(base)
 }
 
-// endsWithBase says whether the newest base policy allows the same as another.
-func (s *State) endsWithBase(base BasePolicy) bool {
+// latestBaseEquals reports whether the latest base policy allows the same as base.
+func (s *State) latestBaseEquals(base BasePolicy) bool {
 	count := len(s.Bases)
-	return count > 0 && s.Bases[count-1].is(base)
+	return count > 0 && s.Bases[count-1].equals(base)
 }
 
-// newest is a copy of the last elements of a list, limit at most.
-func newest[T any](list []T, limit int) []T {
+// cloneLast returns a copy of at most the last limit elements of a list.
+func cloneLast[T any](list []T, limit int) []T {
 	return slices.Clone(list[max(0, len(list)-limit):])
 }
--- a/internal/policy/compatibility.go
+++ b/internal/policy/compatibility.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// IncompatibleBaseError says that a document is stricter than a base policy that some node may still serve by.
+// IncompatibleBaseError means that a document is stricter than a base policy that some node may still serve by.
 type IncompatibleBaseError struct {
-	Number      uint64 // of the document that the base policy came with
+	Number      uint64 // number of the document that contained the base policy
 	Base        BasePolicy
-	Class       string        // whose deadline is shorter than the base policy's; empty: the attempts are fewer
-	MaxAttempts int           // that the document allows
-	Deadline    time.Duration // of Class
+	Class       string        // class whose deadline is shorter than the base policy's; empty: MaxAttempts is exceeded
+	MaxAttempts int           // most attempts that the document allows; set if Class is empty
+	Deadline    time.Duration // deadline of Class
 }
 
-// Error says what the base policy allows and the document forbids, as operators read it.
+// Error describes to operators what the base policy allows and the document forbids.
 func (e *IncompatibleBaseError) Error() string {
 	if e.Class == "" {
-		return fmt.Sprintf("a ground policy with %d attempts may still be in use: attempts = %d is less (of number %d)",
+		return fmt.Sprintf(
+			"a ground policy with %d attempts may still be in use: attempts = %d is lower (of number %d)",
 			e.Base.Attempts, e.MaxAttempts, e.Number)
 	}
 	return fmt.Sprintf(
-		"a ground policy with a patience of %v may still be in use: class %q has less, %v (of number %d)",
+		"a ground policy with a patience of %v may still be in use: class %q has only %v (of number %d)",
 		e.Base.Deadline, e.Class, e.Deadline, e.Number)
 }
 
-// compatibleWith says whether a node that serves by this base policy does nothing that a document in force forbids all
-// others; else the error says what. number is that of the document that the base policy came with.
+// compatibleWith checks that a node that serves by this base policy does nothing that document d, once in force,
+// forbids to all other nodes. The error names what d forbids. number is the number of the document that contained the
+// base policy.
 func (b BasePolicy) compatibleWith(d *Document, number uint64) error {
 	if b.Attempts == 0 {
 		return nil
@@ -42,13 +44,14 @@
 	return nil
 }
 
-// NodeCapacity is the resources that a node has. A value of 0 is not known.
+// NodeCapacity holds the resources of a node. A value of 0 means unknown.
 type NodeCapacity struct {
 	Descriptors int // file descriptors that the process may open
 	MemoryMB    int // megabytes
 }
 
-// Fits says why a node can't serve by a document; empty: it can. What is not known of a node is no reason.
+// Fits returns the reason why a node can't serve by a document, or an empty string if it can. An unknown resource of
+// the node never prevents it from serving.
 func (d *Document) Fits(node NodeCapacity) string {
 	required := d.Requirements
 	switch {
--- a/internal/policy/diff.go
+++ b/internal/policy/diff.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Diff lists what differs between two documents, one line for each difference. The texts use the names of the
-// operators' pages, not those of Go fields: scripts may read them.
+// Diff lists the differences between two documents, one line for each difference. The lines use the names from the
+// operators' documentation instead of the names of the Go fields, because scripts may parse them.
 func Diff(before, after *Document) []string {
 	var diff differences
 	diff.compare("attempts", before.Attempts, after.Attempts)
@@ -22,7 +22,7 @@
 	return diff.lines
 }
 
-// differences collects the lines of Diff.
+// differences collects the lines that Diff returns.
 type differences struct{ lines []string }
 
 func (d *differences) add(format string, args ...any) {
@@ -37,14 +37,14 @@
 	}
 }
 
-// named is an element of a document's list, which is found by its name.
+// named is an element of a list in a document. Its label identifies it within the list.
 type named interface {
 	comparable
 	label() string
 	text() string
 }
 
-// compareLists compares two lists by the names of their elements, whatever their order.
+// compareLists compares two lists whose elements are matched by label. The order of the elements does not matter.
 func compareLists[T named](diff *differences, before, after []T) {
 	for _, old := range before {
 		i := indexByLabel(after, old.label())
--- a/internal/policy/document.go
+++ b/internal/policy/document.go
@@ -7,53 +7,53 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Document is what all nodes of a fleet do alike. Package config reads it from TOML.
+// Document holds the settings that are the same on all nodes of a fleet. Package config reads it from TOML.
 type Document struct {
-	Attempts          int           // attempts of one request at most, 1 to config.MaxAttempts
-	RetryAfter        time.Duration // advice to clients whose request is rejected
-	OverQuotaPriority float64       // fraction of its priority that a connection keeps beyond its tenant's quota
+	Attempts          int           // maximum for one request, 1 to MaxAttempts
+	RetryAfter        time.Duration // advertised to clients whose request is rejected
+	OverQuotaPriority float64       // fraction of its priority that a connection beyond its tenant's quota keeps
 	Classes           []Class
 	Tenants           []Tenant
 	Base              BasePolicy
 	Requirements      Requirements
-	Failover          *FailoverRules // nil: as the list of nodes says
+	Failover          *FailoverRules // nil: the rules of the list of nodes apply
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name             string
 	SetupObjective   time.Duration // latency objective of the connection's setup
-	Deadline         time.Duration // of the setup with all its attempts
+	Deadline         time.Duration // for the setup, including all attempts
 	MessageObjective time.Duration // latency objective of a message on an open connection; 0: none
 	Priority         float64
-	ServedByBase     bool // without a lease it is served by the base policy; else it is rejected at once
+	ServedByBase     bool // without a lease: true serves the class by the base policy, false rejects it at once
 }
 
-// Tenant is a customer's quota over all nodes. A value of 0 is not limited.
+// Tenant holds a customer's quota over all nodes. A value of 0 means unlimited.
 type Tenant struct {
 	Name        string
 	Connections float64 // open connections
 	Rate        float64 // requests a second
 }
 
-// BasePolicy is what a node without a lease serves by. It must be safe beside each document that may be in force
-// meanwhile.
+// BasePolicy is the policy that a node without a lease serves by. It must be safe to use alongside every document that
+// may be in force at that time.
 type BasePolicy struct {
-	Attempts int           // attempts of one request at most; 0: there is no base policy
+	Attempts int           // maximum for one request; 0: there is no base policy
 	Deadline time.Duration // deadline of a request
 }
 
-// Requirements are the resources that a node must have. A value of 0 is not required.
+// Requirements holds the resources that a node must have. A value of 0 means no requirement.
 type Requirements struct {
 	Descriptors int // file descriptors that the process may open
 	MemoryMB    int // megabytes
 }
 
-// FailoverRules are the rules of the plans that move load between zones.
+// FailoverRules holds the rules for the plans that move load between zones.
 type FailoverRules struct {
-	UtilizationLimit float64       // fraction of a server's capacity that is planned for
-	RecoveryRamp     float64       // fraction of a recovered zone's capacity that is given back each second
-	RecoveryDelay    time.Duration // a zone must be healthy for so long before it takes load again
+	UtilizationLimit float64       // fraction of a server's capacity that plans may use
+	RecoveryRamp     float64       // fraction of a recovered zone's capacity that is restored each second
+	RecoveryDelay    time.Duration // how long a zone must be healthy before it takes load again
 	RegionalClasses  []string      // names of the classes that must stay in their region
 	RegionDistances  []RegionDistance
 }
@@ -61,7 +61,7 @@
 // RegionDistance is the relative cost of traffic between two regions, in either direction.
 type RegionDistance struct {
 	A, B string
-	Cost float64 // 1 or more; within a region it is 1
+	Cost float64 // at least 1, which is the cost within a region
 }
 
 // Limits of a document.
@@ -82,5 +82,6 @@
 	minRegionCost       = 1
 )
 
-// Digest identifies a document's text in logs and answers to operators. It is a checksum, no protection from forgery.
+// Digest returns a checksum that identifies a document's text in logs and in answers to operators. It does not protect
+// against forgery.
 func Digest(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
--- a/internal/policy/document_test.go
+++ b/internal/policy/document_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// validDocument is one that any fleet can serve by.
+// validDocument returns a document that any fleet can serve by.
 func validDocument() *Document {
 	return &Document{
 		Attempts: 3, RetryAfter: time.Second,
@@ -20,13 +20,14 @@
 	}
 }
 
-// TestDocumentCheck holds which documents no fleet can serve by, and that the fault names the key.
-func TestDocumentCheck(t *testing.T) {
+// TestDocumentCheckNamesInvalidKey checks that Check finds documents that no fleet can serve by, and that the first
+// fault names the invalid key.
+func TestDocumentCheckNamesInvalidKey(t *testing.T) {
 	if faults := validDocument().Check(); len(faults) > 0 {
-		t.Fatalf("a valid document has the faults %v, wanted none", faults)
+		t.Fatalf("Check of a valid document: got faults %v, want none", faults)
 	}
 	distance := []RegionDistance{{A: "r", B: "s", Cost: 0}}
-	for key, spoil := range map[string]func(d *Document){
+	for key, invalidate := range map[string]func(d *Document){
 		"attempts":         func(d *Document) { d.Attempts = 5 },
 		"come_again":       func(d *Document) { d.RetryAfter = -1 },
 		"over_share_worth": func(d *Document) { d.OverQuotaPriority = 2 },
@@ -55,16 +56,16 @@
 		},
 	} {
 		document := validDocument()
-		spoil(document)
+		invalidate(document)
 		if faults := document.Check(); len(faults) == 0 || faults[0].Key != key {
-			t.Errorf("the faults are %v, wanted the first one at %s", faults, key)
+			t.Errorf("Check: got faults %v, want the first one at %s", faults, key)
 		}
 	}
 }
 
-// TestBasePolicyBarsStricterDocuments holds that a base policy that may still be in use bars documents that forbid what
-// it allows, until every member serves by a later one.
-func TestBasePolicyBarsStricterDocuments(t *testing.T) {
+// TestProposeRejectsDocumentStricterThanBaseInUse checks that a document that forbids what a base policy allows is
+// rejected while some member may still serve by that base policy, and is accepted once all members have a later one.
+func TestProposeRejectsDocumentStricterThanBaseInUse(t *testing.T) {
 	state := &State{}
 	propose := func(document *Document) error {
 		id := fmt.Sprint("c", state.LastNumber)
@@ -83,26 +84,27 @@
 	strict.Base.Deadline = time.Second
 	err := propose(strict)
 	if err == nil || !strings.Contains(err.Error(), "patience of 2s may still be in use") {
-		t.Errorf("a stricter document beside a looser base policy: %v, wanted that it may still be in use", err)
+		t.Errorf("Propose of a stricter document: got error %v, want that the base policy may still be in use", err)
 	}
 	var incompatible *IncompatibleBaseError
 	if !errors.As(err, &incompatible) || incompatible.Number != 1 || incompatible.Class != "b" {
-		t.Errorf("the error is %#v, wanted the base policy of number 1 and class b", err)
+		t.Errorf("Propose of a stricter document: got error %#v, want base policy of number 1 and class b", err)
 	}
-	tight := validDocument()
-	tight.Base.Deadline = time.Second
-	if err := propose(tight); err != nil {
+	tighterBase := validDocument()
+	tighterBase.Base.Deadline = time.Second
+	if err := propose(tighterBase); err != nil {
 		t.Fatal(err)
 	}
-	state = state.Commit(tight.Base, 1) // some member may still have number 1
+	state = state.Commit(tighterBase.Base, 1) // some member may still have number 1
 	if err := propose(strict); err == nil {
-		t.Error("a stricter document was accepted while a member may serve by the old base policy")
+		t.Error("Propose of a stricter document while the old base policy may be in use: got no error, want one")
 	}
-	if err := propose(tight); err != nil {
+	if err := propose(tighterBase); err != nil {
 		t.Fatal(err)
 	}
-	state = state.Commit(tight.Base, 2) // all have number 2 at least
+	state = state.Commit(tighterBase.Base, 2) // all members have at least number 2
 	if err := propose(strict); err != nil {
-		t.Errorf("all members have the tighter base policy, and the stricter document fails: %v", err)
+		t.Errorf("Propose of a stricter document after all members left the old base policy: got error %v, want none",
+			err)
 	}
 }
--- a/internal/policy/errors.go
+++ b/internal/policy/errors.go
@@ -3,19 +3,19 @@
 import "errors"
 
 var (
-	// ErrChangeInProgress says that another change is on its way: the caller may propose again when it has ended.
-	ErrChangeInProgress = errors.New("another change is on its way")
-	// ErrBaseMismatch says that another number is in force than the one that a change is to replace: the operator
-	// has to look at what is in force now.
+	// ErrChangeInProgress means that another change is in progress. The caller may propose again once it has ended.
+	ErrChangeInProgress = errors.New("another change is in progress")
+	// ErrBaseMismatch means that the number in force is not the one that a change replaces. The operator has to review
+	// the document that is now in force.
 	ErrBaseMismatch = errors.New("another policy is in force")
-	// ErrInconsistentState says that a State that was read from the log contradicts itself.
-	ErrInconsistentState = errors.New("policy: its parts don't fit together")
+	// ErrInconsistentState means that the fields of a State that was read from the log contradict each other.
+	ErrInconsistentState = errors.New("policy: the fields of the state contradict each other")
 )
 
-// InvalidProposalError says that a proposal can't be accepted by any fleet, whatever its state.
+// InvalidProposalError means that no fleet can accept a proposal, whatever its state.
 type InvalidProposalError struct {
-	Problem string // what was found and what is wanted, as operators read it
+	Problem string // the invalid value and what is allowed, for operators
 }
 
-// Error is the problem, as operators read it.
+// Error returns the problem, worded for operators.
 func (e *InvalidProposalError) Error() string { return e.Problem }
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -14,10 +14,10 @@
 	"spurwinch/internal/consensus"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden reads a golden file. With -update it is written first.
-func golden(t *testing.T, name string, got []byte) []byte {
+// readGolden returns the contents of a golden file. With -update it first overwrites the file with got.
+func readGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -32,13 +32,14 @@
 	return want
 }
 
-// requireSet fails where a field of a value, at any depth, is zero: such a field could be renamed or moved unseen.
+// requireSet fails the test if a field of a value, at any depth, is zero. The golden file would not reveal that such a
+// field was renamed or moved.
 func requireSet(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	switch value.Kind() {
 	case reflect.Pointer:
 		if value.IsNil() {
-			t.Errorf("%s is nil: the golden value has to set every field", path)
+			t.Errorf("%s is nil, want every field of the golden value set", path)
 			return
 		}
 		requireSet(t, path, value.Elem())
@@ -50,7 +51,7 @@
 		}
 	case reflect.Slice:
 		if value.Len() == 0 {
-			t.Errorf("%s is empty: the golden value has to set every field", path)
+			t.Errorf("%s is empty, want every field of the golden value set", path)
 		}
 		for i := range value.Len() {
 			if value.Type().Elem().Kind() == reflect.Struct {
@@ -59,12 +60,12 @@
 		}
 	default:
 		if value.IsZero() {
-			t.Errorf("%s is zero: the golden value has to set every field", path)
+			t.Errorf("%s is zero, want every field of the golden value set", path)
 		}
 	}
 }
 
-// goldenState has every field set, and no two fields of a type alike.
+// goldenState returns a state with every field set and no two fields of the same type equal.
 func goldenState() *State {
 	return &State{
 		Number: 7, LastNumber: 9,
@@ -84,66 +85,67 @@
 	}
 }
 
-// TestGoldenState holds the form of a state on the replicated log: in both directions, byte for byte.
+// TestGoldenState checks that the encoded form of a state on the replicated log encodes and decodes as in the golden
+// file, byte for byte.
 func TestGoldenState(t *testing.T) {
 	want := goldenState()
 	requireSet(t, "State", reflect.ValueOf(want))
-	raw := golden(t, "state.cbor", want.Encode())
+	raw := readGolden(t, "state.cbor", want.Encode())
 	got, err := Decode(raw)
 	if err != nil {
-		t.Fatalf("the golden state: %v", err)
+		t.Fatalf("Decode of the golden state: %v", err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("the golden state is read as %+v, wanted %+v", got, want)
+		t.Errorf("Decode of the golden state: got %+v, want %+v", got, want)
 	}
 	if again := want.Encode(); !bytes.Equal(again, raw) {
-		t.Errorf("the state is written as %x, wanted %x", again, raw)
+		t.Errorf("Encode: got %x, want %x", again, raw)
 	}
 }
 
-// TestGoldenCommands holds the states that each command puts on the replicated log, and the kind of their entries.
+// TestGoldenCommands checks the states that each command writes to the replicated log, and the kind of their entries.
 func TestGoldenCommands(t *testing.T) {
 	if Kind != 3 {
-		t.Errorf("entries of the log have kind %d, wanted 3", Kind)
+		t.Errorf("Kind: got %d, want 3", Kind)
 	}
-	begin := &State{
+	initial := &State{
 		Number: 7, LastNumber: 8,
 		Documents: []VersionedDocument{{Number: 7, Text: []byte("seven")}},
 		Bases:     []VersionedBase{{Number: 7, Attempts: 2, Deadline: 1500000}},
 	}
 	canary := Canary{OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25}
-	checking, err := begin.Propose("change-9", 7, []byte("nine"), validDocument(), canary)
+	checking, err := initial.Propose("change-9", 7, []byte("nine"), validDocument(), canary)
 	if err != nil {
 		t.Fatal(err)
 	}
-	onTrial := checking.StartCanary()
+	inCanary := checking.StartCanary()
 	for _, test := range []struct {
 		file string
 		next *State
 	}{
 		{"initial.cbor", &State{}},
 		{"proposed.cbor", checking},
-		{"trial.cbor", onTrial},
+		{"trial.cbor", inCanary},
 		{"given_up.cbor", checking.Abort("aborted by an operator")},
-		{"decided.cbor", onTrial.Commit(BasePolicy{Attempts: 1, Deadline: 2 * time.Second}, 7)},
+		{"decided.cbor", inCanary.Commit(BasePolicy{Attempts: 1, Deadline: 2 * time.Second}, 7)},
 	} {
-		raw := golden(t, test.file, test.next.Encode())
+		raw := readGolden(t, test.file, test.next.Encode())
 		if got := test.next.Encode(); !bytes.Equal(got, raw) {
-			t.Errorf("%s: the command writes %x, wanted %x", test.file, got, raw)
+			t.Errorf("%s: Encode: got %x, want %x", test.file, got, raw)
 		}
 		decoded, err := Decode(raw)
 		if err != nil {
-			t.Errorf("%s: %v", test.file, err)
+			t.Errorf("%s: Decode: %v", test.file, err)
 			continue
 		}
 		if !reflect.DeepEqual(decoded, test.next) {
-			t.Errorf("%s: read as %+v, wanted %+v", test.file, decoded, test.next)
+			t.Errorf("%s: Decode: got %+v, want %+v", test.file, decoded, test.next)
 		}
 	}
 }
 
-// TestGoldenMessages holds the parts of messages between nodes that belong to this package: what a member reports, what
-// the leader sends, and the canary of a proposal's call.
+// TestGoldenMessages checks the parts of messages between nodes that belong to this package: a member's status, the
+// leader's notice, and the canary in a call that proposes a change.
 func TestGoldenMessages(t *testing.T) {
 	status := MemberStatus{
 		Entry: 11, Verdict: VerdictReject, Reason: "no room", KnownNumber: 12, ServedNumber: 13, MayServe: true,
@@ -153,43 +155,43 @@
 	canary := Canary{Zone: "zone-a", OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25}
 	for _, test := range []struct {
 		file       string
-		value, got any // got: an empty one of the same type
+		value, got any // got: an empty value of the same type
 	}{
 		{"word.cbor", &status, &MemberStatus{}},
 		{"told.cbor", &notice, &LeaderNotice{}},
 		{"part.cbor", &canary, &Canary{}},
 	} {
 		requireSet(t, test.file, reflect.ValueOf(test.value))
-		raw := golden(t, test.file, consensus.Encode(test.value))
+		raw := readGolden(t, test.file, consensus.Encode(test.value))
 		if err := consensus.Unmarshal(raw, test.got); err != nil {
-			t.Errorf("%s: %v", test.file, err)
+			t.Errorf("%s: Unmarshal: %v", test.file, err)
 			continue
 		}
 		if !reflect.DeepEqual(test.got, test.value) {
-			t.Errorf("%s: read as %+v, wanted %+v", test.file, test.got, test.value)
+			t.Errorf("%s: Unmarshal: got %+v, want %+v", test.file, test.got, test.value)
 		}
 		if again := consensus.Encode(test.value); !bytes.Equal(again, raw) {
-			t.Errorf("%s: written as %x, wanted %x", test.file, again, raw)
+			t.Errorf("%s: Encode: got %x, want %x", test.file, again, raw)
 		}
 	}
 }
 
-// TestGoldenVerdicts holds the numbers that stand for verdicts and stages in the encoded forms.
-func TestGoldenVerdicts(t *testing.T) {
+// TestGoldenVerdictsAndStages checks the numbers that encode verdicts and stages, and the names of stages.
+func TestGoldenVerdictsAndStages(t *testing.T) {
 	for i, v := range []Verdict{VerdictPending, VerdictAccept, VerdictReject} {
 		if int(v) != i {
-			t.Errorf("a verdict is encoded as %d, wanted %d", v, i)
+			t.Errorf("verdict: got number %d, want %d", v, i)
 		}
 	}
 	for i, want := range []string{"checking", "trial"} {
 		if stage := []Stage{StageChecking, StageCanary}[i]; int(stage) != i || stage.String() != want {
-			t.Errorf("stage %d is encoded as %d and printed as %q, wanted %q", i, stage, stage, want)
+			t.Errorf("stage %d: got number %d and name %q, want name %q", i, stage, stage, want)
 		}
 	}
 }
 
-// TestGoldenJSON holds the names by which scripts read parts of the state, as spurwinchctl policy status --json has
-// them.
+// TestGoldenJSON checks the JSON names that scripts use to read parts of the state from spurwinchctl policy status
+// --json.
 func TestGoldenJSON(t *testing.T) {
 	s := goldenState()
 	got, err := json.MarshalIndent(struct {
@@ -201,12 +203,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := golden(t, "reply.json", got); !bytes.Equal(got, want) {
-		t.Errorf("written as\n%s\nwanted\n%s", got, want)
+	if want := readGolden(t, "reply.json", got); !bytes.Equal(got, want) {
+		t.Errorf("MarshalIndent: got\n%s\nwant\n%s", got, want)
 	}
 }
 
-// goldenDocument has every field set, and no two fields of a type alike.
+// goldenDocument returns a document with every field set and no two fields of the same type equal.
 func goldenDocument() *Document {
 	return &Document{
 		Attempts: 3, RetryAfter: 2 * time.Second, OverQuotaPriority: 0.1,
@@ -235,7 +237,8 @@
 	}
 }
 
-// changedDocument differs from goldenDocument in every value; a class and a tenant are new, and a class is gone.
+// changedDocument returns a document that differs from goldenDocument in every value. It adds a class and a tenant, and
+// removes a class.
 func changedDocument() *Document {
 	changed := goldenDocument()
 	changed.Attempts = 4
@@ -261,22 +264,23 @@
 	return changed
 }
 
-// TestGoldenDiff holds what spurwinchctl policy diff prints.
+// TestGoldenDiff checks the lines that spurwinchctl policy diff prints.
 func TestGoldenDiff(t *testing.T) {
 	requireSet(t, "Document", reflect.ValueOf(goldenDocument()))
 	withoutFailover := goldenDocument()
 	withoutFailover.Failover = nil
 	got := strings.Join(Diff(goldenDocument(), changedDocument()), "\n") + "\n--\n" +
 		strings.Join(Diff(withoutFailover, changedDocument()), "\n") + "\n"
-	if want := golden(t, "diff.txt", []byte(got)); got != string(want) {
-		t.Errorf("printed\n%s\nwanted\n%s", got, want)
+	if want := readGolden(t, "diff.txt", []byte(got)); got != string(want) {
+		t.Errorf("Diff: got\n%s\nwant\n%s", got, want)
 	}
 }
 
-// TestGoldenDigest holds the digest of a text: operators compare it between nodes of two versions.
+// TestGoldenDigest checks that the digest of a text does not change, because operators compare digests between nodes of
+// different versions.
 func TestGoldenDigest(t *testing.T) {
 	const text, want = "attempts = 3\n", "e4bfc264a4062eb3"
 	if got := Digest([]byte(text)); got != want {
-		t.Errorf("digest of %q is %s, wanted %s", text, got, want)
+		t.Errorf("Digest(%q): got %s, want %s", text, got, want)
 	}
 }
--- a/internal/policy/lease.go
+++ b/internal/policy/lease.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Rules are the fleet's timing of changes. They stand in the list of nodes, the same at all of them.
+// Rules holds the timing of policy changes. The list of nodes sets it, so that it is the same on all nodes.
 type Rules struct {
-	Window        time.Duration // after a decision the policy before it is in use for so long at most
-	AnswerTimeout time.Duration // a live member has so long to acknowledge a change
+	Window        time.Duration // longest time for which the previous policy is still in use after a decision
+	AnswerTimeout time.Duration // longest time that a live member may take to acknowledge a change
 }
 
-// clockDrift is the fraction by which the clocks of two machines may run apart.
+// clockDrift is the fraction by which a machine's clock may run fast or slow.
 const clockDrift = 0.01
 
-// Lease is how long a node may serve by a leader's notice, counted from a moment at which that leader surely led.
+// Lease returns how long a node may serve by a leader's notice, counted from a moment at which that leader was
+// certainly the leader.
 func (r Rules) Lease(notice LeaderNotice) time.Duration {
 	window := min(r.Window, time.Duration(notice.Window)*time.Millisecond)
-	return time.Duration(float64(window) * (1 - 2*clockDrift)) // each of the two clocks may be off
+	return time.Duration(float64(window) * (1 - 2*clockDrift)) // either of the two clocks may drift
 }
 
-// LeaderNotice is the leader's summary of the policy in its newest message.
+// LeaderNotice is the summary of the policy in the leader's newest message.
 type LeaderNotice struct {
 	_       struct{} `cbor:",toarray"`
 	Entry   uint64   // newest entry of the log that carries a State
-	InForce uint64   // number in force by it
-	OnTrial uint64   // number that its canary serves by; 0: none
-	Window  uint32   // of the leader's Rules, in milliseconds: where lists of nodes differ, the shorter one counts
+	InForce uint64   // number in force according to that entry
+	OnTrial uint64   // number that the canary serves by; 0: no canary
+	Window  uint32   // of the leader's Rules, in milliseconds; a node whose own window is shorter uses its own
 }
 
-// NoticeOf is what a state that stands in an entry of the log means to the nodes, but for the window.
+// NoticeOf returns the notice for a state and the log entry that carries it. The caller sets the window.
 func NoticeOf(entry uint64, state *State) LeaderNotice {
 	notice := LeaderNotice{Entry: entry, InForce: state.Number}
 	if state.Change != nil && state.Change.Stage == StageCanary {
@@ -35,25 +36,25 @@
 	return notice
 }
 
-// Active is the number that a node may serve under.
+// Active is the document that a node may serve by.
 type Active struct {
 	Number uint64
-	Text   []byte // the document; none for number 0, which is the node's own files
-	Known  bool   // the node has the document; else it serves nothing
+	Text   []byte // the document; empty for number 0, with which the node serves by its own files
+	Known  bool   // the node has the document; otherwise it can't serve
 }
 
-// ActiveFor is the number that a node may serve under: the newest that it knows to be in force, or the one on trial if
-// the node is one of the canary. node is its number in the list of nodes. entry is that of state, which is on the
-// node's disk; the leader's notice may be newer or older than it.
+// ActiveFor returns the document that a node may serve by: the newest one that the node knows to be in force or, if the
+// node belongs to the canary, the one that the canary serves by. node is the node's number in the list of nodes. state
+// is the state on the node's disk, entry is the log entry that carries it. The leader's notice may be newer or older.
 func ActiveFor(node int, zone string, entry uint64, state *State, notice LeaderNotice) Active {
 	inForce := max(state.Number, notice.InForce)
-	onTrial := NoticeOf(entry, state).OnTrial
-	if notice.Entry > entry { // what was decided meanwhile supersedes this node's state
-		onTrial = notice.OnTrial
+	canaryNumber := NoticeOf(entry, state).OnTrial
+	if notice.Entry > entry { // a later decision supersedes the state that this node has
+		canaryNumber = notice.OnTrial
 	}
 	change := state.Change
-	if change != nil && change.Number == onTrial && onTrial > inForce && change.Canary.Includes(node, zone) {
-		return Active{Number: onTrial, Text: change.Text, Known: true}
+	if change != nil && change.Number == canaryNumber && canaryNumber > inForce && change.Canary.Includes(node, zone) {
+		return Active{Number: canaryNumber, Text: change.Text, Known: true}
 	}
 	if inForce == 0 {
 		return Active{Known: true}
--- a/internal/policy/member.go
+++ b/internal/policy/member.go
@@ -1,29 +1,29 @@
 package policy
 
-// Verdict is a member's acknowledgement of a change. The numbers are part of the encoded form.
+// Verdict is a member's acknowledgement of a change. Its numeric values are part of the encoded form.
 type Verdict uint8
 
 const (
-	// VerdictPending says that the member has not judged the change yet.
+	// VerdictPending means that the member has not evaluated the change yet.
 	VerdictPending Verdict = iota
-	// VerdictAccept says that the member can serve by the change.
+	// VerdictAccept means that the member can apply the change.
 	VerdictAccept
-	// VerdictReject says that it can't.
+	// VerdictReject means that the member can't apply the change.
 	VerdictReject
 )
 
-// MemberStatus is what a member reports of the policy to the leader: its acknowledgement of the change in progress, the
+// MemberStatus is a member's report to the leader about the policy: its acknowledgement of the change in progress, the
 // number that it serves by, and its traffic.
 type MemberStatus struct {
 	_            struct{} `cbor:",toarray"`
-	Entry        uint64   // newest entry with a State that is on its disk
+	Entry        uint64   // newest log entry with a State that is on the member's disk
 	Verdict      Verdict  // on the change of that entry
-	Reason       string   // of a VerdictReject
-	KnownNumber  uint64   // newest number that its disk knows to be in force
-	ServedNumber uint64   // number that it serves under
-	MayServe     bool     // it has a lease and the document
-	Arrived      float64  // requests since the process began
-	Rejected     float64  // of these, rejected or failed
+	Reason       string   // why the verdict is VerdictReject
+	KnownNumber  uint64   // number in force according to the newest state on the member's disk
+	ServedNumber uint64   // number that the member serves by
+	MayServe     bool     // the member has a lease and the document
+	Arrived      float64  // requests since the process started
+	Rejected     float64  // requests among these that were rejected or failed
 }
 
 // Member is one node of the list, as the leader knows it.
@@ -31,38 +31,39 @@
 	Name      string
 	Node      int // number in the list of nodes
 	Zone      string
-	Live      bool // it is in the leader's view of the fleet
-	HasStatus bool // this leader has received a status of it
+	Live      bool // the leader's membership view includes the member
+	HasStatus bool // this leader has received a status from the member
 	Status    MemberStatus
 }
 
-// hasAcknowledged says whether the leader has a member's verdict on the change of an entry.
+// hasAcknowledged reports whether the leader has the member's verdict on the change in an entry.
 func (m *Member) hasAcknowledged(entry uint64) bool {
 	return m.HasStatus && m.Status.Entry == entry && m.Status.Verdict != VerdictPending
 }
 
-// serves says whether a member serves by a number.
+// serves reports whether the member serves by a number.
 func (m *Member) serves(number uint64) bool {
 	return m.Status.MayServe && m.Status.ServedNumber == number
 }
 
-// acknowledgements are the members' verdicts on a change, summed up.
+// acknowledgements summarizes the members' verdicts on a change.
 type acknowledgements struct {
-	rejectedBy  *Member // first live member that can't serve by it; nil: none
+	rejectedBy  *Member // first live member that can't apply it; nil: none
 	missing     *Member // first live member that has not answered; nil: none
 	oldestKnown uint64  // oldest number that any listed member may still have
 }
 
-// acknowledgementsOf sums up the members' verdicts on a change that stands in an entry of the log. A member that is not
-// live is not waited for, but its number counts: it may serve by its base policy.
-func acknowledgementsOf(members []Member, entry uint64, change *Change) acknowledgements {
+// collectAcknowledgements summarizes the members' verdicts on the change in a log entry. The leader does not wait for
+// members that are not live, but their known numbers count for oldestKnown, since they may serve by their base
+// policies.
+func collectAcknowledgements(members []Member, entry uint64, change *Change) acknowledgements {
 	sum := acknowledgements{oldestKnown: change.Number}
 	for i := range members {
 		member := &members[i]
 		if member.HasStatus {
 			sum.oldestKnown = min(sum.oldestKnown, member.Status.KnownNumber)
 		} else {
-			sum.oldestKnown = 0 // it may have any
+			sum.oldestKnown = 0 // the member may have any number
 		}
 		if !member.Live {
 			continue
--- a/internal/policy/rollout.go
+++ b/internal/policy/rollout.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Rollout moves a change from stage to stage. The leader owns one from the moment it begins to lead; what a leader
-// before it has observed of a canary is lost, and the new one begins the observation anew.
+// Rollout moves a change from stage to stage. A leader creates its Rollout when it begins to lead. The canary
+// observations of the previous leader are lost, and the new leader starts the observation again.
 type Rollout struct {
 	rules Rules
 
-	// Of the newest entry of the log; the rest starts anew with each.
+	// The newest log entry with a state. Each new entry resets the fields below.
 	entry             uint64
 	entrySeen         time.Duration // when this leader first saw the entry
-	unreachableSince  time.Duration // since when a live member's acknowledgement is missing; 0: none is
-	canaryServedSince time.Duration // when all live members of the canary served by the change; 0: they didn't yet
+	unreachableSince  time.Duration // since when a live member's acknowledgement has been missing; 0: none is missing
+	canaryServedSince time.Duration // when all live members of the canary had applied the change; 0: not yet
 	traffic           map[int]*memberTraffic
 }
 
-// NewRollout is that of a leader that begins to lead.
+// NewRollout returns the Rollout of a leader that begins to lead.
 func NewRollout(rules Rules) *Rollout {
 	return &Rollout{rules: rules, traffic: map[int]*memberTraffic{}}
 }
 
-// Step decides how a state goes on: the state to propose to the log, or nil while there is nothing to decide. entry is
-// that of state, document that of the change in progress, or nil where this leader could not read it. members are all
-// nodes of the list, in its order.
+// Step returns the next state to propose to the log, or nil while there is nothing to decide. entry is the log entry
+// that carries state. document is the document of the change in progress, or nil if this leader could not read it.
+// members holds all nodes of the list, in the order of the list.
 func (r *Rollout) Step(
 	now time.Duration, entry uint64, state *State, document *Document, members []Member,
 ) *State {
@@ -31,13 +31,13 @@
 		return nil
 	}
 	if entry != r.entry {
-		r.restart(now, entry)
+		r.resetForEntry(now, entry)
 	}
-	acks := acknowledgementsOf(members, entry, change)
+	acks := collectAcknowledgements(members, entry, change)
 	if acks.rejectedBy != nil {
 		return state.abortFor(rejectedByMember{member: acks.rejectedBy.Name, reason: acks.rejectedBy.Status.Reason})
 	}
-	if acks.missing != nil { // with a canary as well: a member that came meanwhile has to answer
+	if acks.missing != nil { // in the canary stage too, since a member that joined meanwhile has to answer
 		return r.awaitAcknowledgement(now, state, acks.missing)
 	}
 	r.unreachableSince = 0
@@ -45,7 +45,7 @@
 		return state.StartCanary()
 	}
 	if change.Stage == StageCanary {
-		passed, failure := r.judgeCanary(now, change, members)
+		passed, failure := r.evaluateCanary(now, change, members)
 		if failure != nil {
 			return state.abortFor(failure)
 		}
@@ -53,13 +53,14 @@
 			return nil
 		}
 	}
-	if document == nil || !state.acceptsBase(document.Base) {
-		return state.abortFor(basesInUse{})
+	if document == nil || !state.hasRoomForBase(document.Base) {
+		return state.abortFor(tooManyBases{})
 	}
 	return state.Commit(document.Base, acks.oldestKnown)
 }
 
-func (r *Rollout) restart(now time.Duration, entry uint64) {
+// resetForEntry starts the timers and observations again for a new log entry.
+func (r *Rollout) resetForEntry(now time.Duration, entry uint64) {
 	r.entry = entry
 	r.entrySeen = now
 	r.unreachableSince = 0
@@ -67,7 +68,8 @@
 	clear(r.traffic)
 }
 
-// awaitAcknowledgement aborts the change where live members have not answered for too long.
+// awaitAcknowledgement aborts the change if an acknowledgement from a live member has been missing for longer than the
+// answer timeout.
 func (r *Rollout) awaitAcknowledgement(now time.Duration, state *State, missing *Member) *State {
 	if r.unreachableSince == 0 {
 		r.unreachableSince = now
--- a/internal/policy/rollout_test.go
+++ b/internal/policy/rollout_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// proposed is a state with number 4 in force and a change to number 5 in progress.
-func proposed(t *testing.T, canary Canary) *State {
+// proposedState returns a state with number 4 in force and a change to number 5 in progress.
+func proposedState(t *testing.T, canary Canary) *State {
 	t.Helper()
 	inForce := &State{Number: 4, LastNumber: 4, Documents: []VersionedDocument{{Number: 4}}}
 	state, err := inForce.Propose("c", 4, []byte("x"), validDocument(), canary)
@@ -17,7 +17,7 @@
 	return state
 }
 
-// outcomeOf is what a step decided, in a word: the next stage, "accepted", the reason of an abort, or "waits".
+// outcomeOf describes what a step decided: the next stage, "accepted", the reason of an abort, or "waits".
 func outcomeOf(next *State) string {
 	switch {
 	case next == nil:
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestRolloutAcknowledgements holds how the members' acknowledgements end the check of a change.
+// TestRolloutAcknowledgements checks how the members' acknowledgements decide about a change in the checking stage.
 func TestRolloutAcknowledgements(t *testing.T) {
 	accept := MemberStatus{Entry: 7, Verdict: VerdictAccept, KnownNumber: 4, ServedNumber: 4, MayServe: true}
 	reject := MemberStatus{Entry: 7, Verdict: VerdictReject, Reason: "room"}
@@ -44,28 +44,28 @@
 		after    time.Duration
 		want     string
 	}{
-		{"all say yes", Canary{}, []MemberStatus{accept, accept, accept}, nil, 0, "accepted"},
-		{"one says no", Canary{}, []MemberStatus{accept, reject, accept}, nil, 0, "m1: room"},
-		{"one is unreachable", Canary{}, []MemberStatus{accept, {}, accept}, nil, 0, "waits"},
+		{"all members accept", Canary{}, []MemberStatus{accept, accept, accept}, nil, 0, "accepted"},
+		{"one member rejects", Canary{}, []MemberStatus{accept, reject, accept}, nil, 0, "m1: room"},
+		{"one member is unreachable", Canary{}, []MemberStatus{accept, {}, accept}, nil, 0, "waits"},
 		{
-			"for too long",
+			"one member is unreachable for too long",
 			Canary{},
 			[]MemberStatus{accept, {}, accept},
 			nil, 11 * time.Second,
 			"m1 did not answer within 10s",
 		},
 		{
-			"an unreachable one is out of the view",
+			"the unreachable member is not live",
 			Canary{},
 			[]MemberStatus{accept, {}, accept},
 			[]int{1},
 			0,
 			"accepted",
 		},
-		{"one answered an older entry", Canary{}, []MemberStatus{accept, older, accept}, nil, 0, "waits"},
-		{"a canary first", Canary{OneIn: 2, Seconds: 3}, []MemberStatus{accept, accept, accept}, nil, 0, "trial"},
+		{"one member answered an older entry", Canary{}, []MemberStatus{accept, older, accept}, nil, 0, "waits"},
+		{"change with a canary", Canary{OneIn: 2, Seconds: 3}, []MemberStatus{accept, accept, accept}, nil, 0, "trial"},
 	} {
-		state := proposed(t, test.canary)
+		state := proposedState(t, test.canary)
 		var members []Member
 		for i, status := range test.statuses {
 			members = append(members, Member{
@@ -81,29 +81,29 @@
 			next = rollout.Step(time.Minute+test.after, 7, state, validDocument(), members)
 		}
 		if got := outcomeOf(next); got != test.want {
-			t.Errorf("%s: the outcome is %q, wanted %q", test.name, got, test.want)
+			t.Errorf("%s: got outcome %q, want %q", test.name, got, test.want)
 		}
 		if test.want == "accepted" && (next.Number != 5 || string(next.Documents[1].Text) != "x") {
-			t.Errorf("%s: the state is %+v, wanted number 5 in force with its text", test.name, next)
+			t.Errorf("%s: got state %+v, want number 5 in force with its text", test.name, next)
 		}
 	}
 }
 
-// TestRolloutCanary holds when a canary passes, and when it ends the change.
+// TestRolloutCanary checks when a canary passes and when it aborts the change.
 func TestRolloutCanary(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		rejected, others float64 // of 100 requests, at the canary and elsewhere
+		rejected, others float64 // rejected of 100 requests, by the canary and by the other member
 		serves           uint64
 		want             string
 	}{
-		{"as elsewhere", 2, 2, 5, "accepted"},
-		{"a little worse", 6, 2, 5, "accepted"},
-		{"worse", 30, 2, 5, "on trial 30.0% of 100 requests were turned away, elsewhere 2.0% of 100"},
-		{"elsewhere as bad", 30, 28, 5, "accepted"},
-		{"the canary doesn't go over", 0, 0, 4, "0 of the part's 1 members serve by it after 15s"},
+		{"same rejections as the other member", 2, 2, 5, "accepted"},
+		{"slightly more rejections", 6, 2, 5, "accepted"},
+		{"far more rejections", 30, 2, 5, "on trial 30.0% of 100 requests were turned away, elsewhere 2.0% of 100"},
+		{"the other member rejects as many", 30, 28, 5, "accepted"},
+		{"the canary does not apply the change", 0, 0, 4, "0 of the part's 1 members serve by it after 15s"},
 	} {
-		state := proposed(t, Canary{Zone: "z", Seconds: 3, MaxExtraRejections: 0.05}).StartCanary()
+		state := proposedState(t, Canary{Zone: "z", Seconds: 3, MaxExtraRejections: 0.05}).StartCanary()
 		rollout := NewRollout(Rules{Window: 5 * time.Second, AnswerTimeout: 10 * time.Second})
 		inCanary := MemberStatus{Entry: 8, Verdict: VerdictAccept, ServedNumber: test.serves, MayServe: true}
 		elsewhere := MemberStatus{Entry: 8, Verdict: VerdictAccept, ServedNumber: 4, MayServe: true}
@@ -122,7 +122,7 @@
 			}
 		}
 		if outcome != test.want {
-			t.Errorf("%s: the outcome is %q, wanted %q", test.name, outcome, test.want)
+			t.Errorf("%s: got outcome %q, want %q", test.name, outcome, test.want)
 		}
 	}
 }
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -8,29 +8,29 @@
 	"spurwinch/internal/consensus"
 )
 
-// Kind is the replicated log's kind of entries that carry a State.
+// Kind marks the entries of the replicated log that carry a State.
 const Kind consensus.Kind = 3
 
-// Bounds of a state, so that it fits into a message and a record of the log.
+// Limits that keep a state small enough for a message and for a record of the log.
 const (
-	maxOutcomes  = 64  // changes whose outcome is remembered
-	maxDocuments = 4   // documents that a rollback can name, the one in force among them
+	maxOutcomes  = 64  // outcomes of earlier changes
+	maxDocuments = 4   // documents that a rollback can name, including the one in force
 	maxBases     = 16  // base policies that members may still serve by
 	maxReason    = 200 // bytes
 	maxID        = 48  // bytes
 )
 
-// Stage is the stage that a change is in.
+// Stage is the stage of a change in progress.
 type Stage uint8
 
 const (
-	// StageChecking has all live members acknowledge the change.
+	// StageChecking lasts until all live members have acknowledged the change.
 	StageChecking Stage = iota
-	// StageCanary has the canary serve by the change.
+	// StageCanary lasts while only the canary serves by the change.
 	StageCanary
 )
 
-// String is the stage as logs and answers to operators have it.
+// String returns the name of the stage in logs and in answers to operators.
 func (s Stage) String() string {
 	if s == StageChecking {
 		return "checking"
@@ -38,26 +38,26 @@
 	return "trial"
 }
 
-// State is what the replicated log has decided about the policy. Its methods that change something return a new state,
-// which the leader proposes to the log.
+// State holds the decisions about the policy that the replicated log has committed. Methods that change something do
+// not modify it. They return a new state, which the leader proposes to the log.
 type State struct {
 	_          struct{}            `cbor:",toarray"`
-	Number     uint64              // in force; 0: none was decided yet, and each node serves by its own files
-	LastNumber uint64              // newest number that was given to a change: none is given twice
-	Documents  []VersionedDocument // that were in force, oldest first; the last one is
-	Change     *Change             // in progress; nil: none
-	Ended      []ChangeOutcome     // oldest first
-	Bases      []VersionedBase     // that a listed member may still serve by, oldest first
+	Number     uint64              // in force; 0: no document was ever in force, and each node serves by its own files
+	LastNumber uint64              // newest number that was assigned to a change; a number is never assigned twice
+	Documents  []VersionedDocument // oldest first; the last one is in force, the others were before
+	Change     *Change             // change in progress; nil: none
+	Ended      []ChangeOutcome     // outcomes of earlier changes, oldest first
+	Bases      []VersionedBase     // base policies that a listed member may still serve by, oldest first
 }
 
-// VersionedDocument is the text of a document that was in force.
+// VersionedDocument is the text of a document that is or was in force.
 type VersionedDocument struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64   `json:"Number"`
 	Text   []byte   `json:"Text"`
 }
 
-// VersionedBase is the base policy of all documents from a number on, up to the number of the next one.
+// VersionedBase is the base policy of all documents from Number up to the Number of the next VersionedBase.
 type VersionedBase struct {
 	_        struct{} `cbor:",toarray"`
 	Number   uint64   `json:"Number"`
@@ -68,28 +68,28 @@
 // Change is a change in progress.
 type Change struct {
 	_      struct{} `cbor:",toarray"`
-	ID     string   // the operator's: proposing it again changes nothing
-	Number uint64   // that it will have
+	ID     string   // chosen by the operator; proposing the same ID again has no effect
+	Number uint64   // number that its document will have
 	Base   uint64   // number of the document that it replaces
 	Text   []byte
 	Stage  Stage
 	Canary Canary
 }
 
-// ChangeOutcome is how a change ended.
+// ChangeOutcome records how a change ended.
 type ChangeOutcome struct {
 	_        struct{} `cbor:",toarray"`
 	ID       string   `json:"ID"`
 	Number   uint64   `json:"Number"`
-	Accepted bool     `json:"Taken"` // it was in force; else it was aborted
+	Accepted bool     `json:"Taken"` // true: it was committed; false: it was aborted
 	Reason   string   `json:"Why"`
 }
 
-// Encode is a state's form on the log.
+// Encode returns the encoded form of a state for the log.
 func (s *State) Encode() []byte { return consensus.Encode(s) }
 
-// Decode reads a state and checks that it is consistent; if not, the error is ErrInconsistentState. Without bytes it is
-// the state before any change.
+// Decode decodes a state and checks that it is consistent. If it is not, the error is ErrInconsistentState. Empty input
+// decodes to the state before any change.
 func Decode(encoded []byte) (*State, error) {
 	state := &State{}
 	if len(encoded) == 0 {
@@ -127,8 +127,8 @@
 		c.ID != "" && len(c.ID) <= maxID && c.Stage <= StageCanary
 }
 
-// Text is the document of a number that is in force, in progress, or was in force not long ago. ok says whether the
-// state still has it.
+// Text returns the document with a number that is in force, in progress, or was recently in force. ok reports whether
+// the state still holds that document.
 func (s *State) Text(number uint64) (text []byte, ok bool) {
 	if s.Change != nil && s.Change.Number == number {
 		return s.Change.Text, true
@@ -141,8 +141,8 @@
 	return nil, false
 }
 
-// Find returns the outcome of a change by its id. known says whether the state still knows the id, ended whether the
-// change has ended; while it has not, the outcome's reason is its stage.
+// Find returns the outcome of the change with an id. known reports whether the state still holds a change with this id,
+// ended whether the change has ended. While the change is in progress, the outcome's reason is the change's stage.
 func (s *State) Find(id string) (outcome ChangeOutcome, ended, known bool) {
 	for _, outcome := range s.Ended {
 		if outcome.ID == id {
@@ -167,7 +167,8 @@
 	return BasePolicy{Attempts: v.Attempts, Deadline: time.Duration(v.Deadline) * time.Microsecond}
 }
 
-// is says whether two base policies allow the same, to the microsecond that the encoded form has.
-func (v VersionedBase) is(base BasePolicy) bool {
+// equals reports whether two base policies allow the same. It compares deadlines in microseconds, the precision of the
+// encoded form.
+func (v VersionedBase) equals(base BasePolicy) bool {
 	return v.Attempts == base.Attempts && v.Deadline == base.Deadline.Microseconds()
 }
--- a/internal/policy/validate.go
+++ b/internal/policy/validate.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// Fault is one thing that is wrong with a document. Key is the path of the TOML key at fault, as in "class.0.aim";
-// package config adds the file and line to it.
+// Fault is one error in a document. Key is the path of the invalid TOML key, for example "class.0.aim". Package config
+// adds the file and line.
 type Fault struct {
 	Key     string
-	Problem string // what was found and what is wanted, as operators read it
+	Problem string // the invalid value and what is allowed, for operators
 }
 
 // faultList collects the faults of a document.
 type faultList struct{ faults []Fault }
 
-// addIf adds a fault where a condition holds.
-func (l *faultList) addIf(wrong bool, key, format string, args ...any) {
-	if wrong {
+// addIf adds a fault if the value is invalid.
+func (l *faultList) addIf(invalid bool, key, format string, args ...any) {
+	if invalid {
 		l.faults = append(l.faults, Fault{Key: key, Problem: fmt.Sprintf(format, args...)})
 	}
 }
 
-// Check finds everything that keeps a fleet from serving by a document. The messages name the TOML keys.
+// Check returns all faults that prevent a fleet from serving by a document. The messages name the TOML keys.
 func (d *Document) Check() []Fault {
 	var found faultList
 	d.checkLimits(&found)
@@ -37,18 +37,18 @@
 	found.addIf(d.Attempts < 1 || d.Attempts > MaxAttempts, "attempts",
 		"attempts = %d: 1 to %d are wanted", d.Attempts, MaxAttempts)
 	found.addIf(d.RetryAfter < 0 || d.RetryAfter > maxRetryAfter, "come_again",
-		"come_again = %v: up to 1m is possible", d.RetryAfter)
+		"come_again = %v: must be between 0 and 1m", d.RetryAfter)
 	found.addIf(!isFraction(d.OverQuotaPriority), "over_share_worth",
-		"over_share_worth = %v: a part from 0 to 1 is wanted", d.OverQuotaPriority)
+		"over_share_worth = %v: must be a fraction between 0 and 1", d.OverQuotaPriority)
 }
 
 func (d *Document) checkClasses(found *faultList) {
 	found.addIf(len(d.Classes) == 0 || len(d.Classes) > maxClasses, "class",
-		"%d classes: 1 to %d are wanted", len(d.Classes), maxClasses)
+		"%d classes: must be between 1 and %d", len(d.Classes), maxClasses)
 	seen := map[string]bool{}
 	for i, class := range d.Classes {
 		found.addIf(class.Name == "" || seen[class.Name], fmt.Sprintf("class.%d.name", i),
-			"class %q: a name of its own is wanted", class.Name)
+			"class %q: the name must be unique and not empty", class.Name)
 		class.check(found, fmt.Sprintf("class.%d", i))
 		seen[class.Name] = true
 	}
@@ -56,14 +56,14 @@
 
 func (c Class) check(found *faultList, path string) {
 	found.addIf(c.Deadline <= 0 || c.Deadline > maxDeadline, path+".patience",
-		"class %q: patience = %v: a time over 0, up to 1h, is wanted", c.Name, c.Deadline)
+		"class %q: patience = %v: must be greater than 0 and at most 1h", c.Name, c.Deadline)
 	found.addIf(c.SetupObjective <= 0 || c.SetupObjective > c.Deadline, path+".aim",
-		"class %q: aim = %v: a time over 0, up to the patience, is wanted", c.Name, c.SetupObjective)
+		"class %q: aim = %v: must be greater than 0 and at most the patience", c.Name, c.SetupObjective)
 	found.addIf(c.MessageObjective < 0, path+".message_aim",
-		"class %q: message_aim = %v: 0, for none, or a time is wanted", c.Name, c.MessageObjective)
+		"class %q: message_aim = %v: must be 0 (no aim) or greater", c.Name, c.MessageObjective)
 	valid := c.Priority >= 0 && c.Priority < maxPriority // false for NaN
 	found.addIf(!valid, path+".worth",
-		"class %q: worth = %v: a number of 0 or more is wanted", c.Name, c.Priority)
+		"class %q: worth = %v: must be at least 0 and less than 1e9", c.Name, c.Priority)
 }
 
 func (d *Document) checkTenants(found *faultList) {
@@ -71,15 +71,15 @@
 	for i, tenant := range d.Tenants {
 		path := fmt.Sprintf("tenant.%d", i)
 		found.addIf(tenant.Name == "" || seen[tenant.Name], path+".name",
-			"tenant %q: a name of its own is wanted", tenant.Name)
+			"tenant %q: the name must be unique and not empty", tenant.Name)
 		valid := tenant.Connections >= 0 && tenant.Rate >= 0 // false for NaN
-		found.addIf(!valid, path, "tenant %q: connections and rate are 0, for none told, or more", tenant.Name)
+		found.addIf(!valid, path, "tenant %q: connections and rate must be 0 (unlimited) or greater", tenant.Name)
 		seen[tenant.Name] = true
 	}
-	found.addIf(len(d.Tenants) > maxTenants, "tenant", "%d tenants: %d at most", len(d.Tenants), maxTenants)
+	found.addIf(len(d.Tenants) > maxTenants, "tenant", "%d tenants: must be at most %d", len(d.Tenants), maxTenants)
 }
 
-// checkBase finds faults of the base policy, which only counts where a class is served by it.
+// checkBase checks the base policy. A document whose classes are all rejected without a lease doesn't need one.
 func (d *Document) checkBase(found *faultList) {
 	used := false
 	for _, class := range d.Classes {
@@ -89,9 +89,9 @@
 		return
 	}
 	found.addIf(d.Base.Attempts < 1 || d.Base.Deadline <= 0, "ground",
-		"classes with without = \"ground\" need a [ground] with attempts and patience")
+		"a class with without = \"ground\" requires a [ground] table with attempts and patience")
 	found.addIf(d.Base.Attempts > d.Attempts, "ground.attempts",
-		"[ground] attempts = %d: no more than attempts = %d are possible", d.Base.Attempts, d.Attempts)
+		"[ground] attempts = %d: must be at most attempts = %d", d.Base.Attempts, d.Attempts)
 	for _, class := range d.Classes {
 		found.addIf(class.ServedByBase && d.Base.Deadline > class.Deadline, "ground.patience",
 			"[ground] patience = %v: class %q has %v", d.Base.Deadline, class.Name, class.Deadline)
@@ -100,23 +100,23 @@
 
 func (d *Document) checkRequirements(found *faultList) {
 	found.addIf(d.Requirements.Descriptors < 0 || d.Requirements.MemoryMB < 0, "needs",
-		"[needs]: numbers of 0 or more are wanted")
+		"[needs]: descriptors and memory_mb must be 0 or greater")
 }
 
 func (r *FailoverRules) check(found *faultList, classes map[string]bool) {
-	validLimit := r.UtilizationLimit > minUtilizationLimit && r.UtilizationLimit <= 1 // false for NaN, as validRamp is
-	found.addIf(!validLimit, "plan.limit", "limit = %v: a part over 0.1, up to 1, is wanted", r.UtilizationLimit)
+	validLimit := r.UtilizationLimit > minUtilizationLimit && r.UtilizationLimit <= 1 // false for NaN, like validRamp
+	found.addIf(!validLimit, "plan.limit", "limit = %v: must be greater than 0.1 and at most 1", r.UtilizationLimit)
 	validRamp := r.RecoveryRamp > 0 && r.RecoveryRamp <= 1
-	found.addIf(!validRamp, "plan.ramp", "ramp = %v: a part over 0, up to 1, is wanted", r.RecoveryRamp)
+	found.addIf(!validRamp, "plan.ramp", "ramp = %v: must be greater than 0 and at most 1", r.RecoveryRamp)
 	found.addIf(r.RecoveryDelay < minRecoveryDelay || r.RecoveryDelay > maxRecoveryDelay, "plan.hold",
-		"hold = %v: 1s to 1h are possible", r.RecoveryDelay)
+		"hold = %v: must be between 1s and 1h", r.RecoveryDelay)
 	for _, name := range r.RegionalClasses {
 		found.addIf(!classes[name], "plan.stay", "stay: no class %q", name)
 	}
 	for i, distance := range r.RegionDistances {
 		valid := distance.A != "" && distance.B != "" && distance.Cost >= minRegionCost // false for NaN
 		found.addIf(!valid, fmt.Sprintf("far.%d", i),
-			"[[far]]: between = [REGION, REGION] and a cost of 1 or more are wanted")
+			"[[far]]: between = [REGION, REGION] and a cost of 1 or more are required")
 	}
 }
 
@@ -128,5 +128,5 @@
 	return names
 }
 
-// isFraction says whether a value is from 0 to 1; NaN is not.
+// isFraction reports whether a value is between 0 and 1. It returns false for NaN.
 func isFraction(v float64) bool { return v >= 0 && v <= 1 }
