--- a/internal/membership/detection.go
+++ b/internal/membership/detection.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	// HeartbeatInterval is the time between two heartbeats of a node to its watchers.
+	// HeartbeatInterval is the time between two heartbeats that a node sends to its watchers.
 	HeartbeatInterval = 500 * time.Millisecond
 
-	heartbeatTimeout = 2 * time.Second // without a heartbeat: four in a row are lost or late
-	stallGap         = time.Second     // between two ticks: then this node itself was stalled
-	// minWatched is the least number of watched nodes by which a failure detector recognizes a fault of its own
+	heartbeatTimeout = 2 * time.Second // time without a heartbeat, after four in a row were lost or late
+	stallThreshold   = time.Second     // a longer gap between two ticks means that this node itself was stalled
+	// minWatched is the number of watched nodes that a failure detector needs to recognize a fault of its own node's
 	// network.
 	minWatched = 3
 
-	reportTTL = 3 * time.Second // of a failure detector's report
-	// settleTime is how long suspicions are collected before nodes are removed from the view, so that nodes that fail
-	// together are removed in one change.
+	reportTTL = 3 * time.Second // how long a failure detector's report is valid
+	// settleTime is how long the cut detector collects suspicions before it removes nodes from the view, so that it
+	// removes nodes that fail together in one change.
 	settleTime = time.Second
-	// maxSettleTime is how long a failed node waits for suspicions of others that are undecided.
+	// maxSettleTime limits how long the removal of a failed node waits for undecided suspicions of other nodes.
 	maxSettleTime = 2 * settleTime
-	// recoveryTime is how long a lost node has to be reachable before it is in the view again.
+	// recoveryTime is how long a lost node must be reachable before it is added to the view again.
 	recoveryTime = 3 * time.Second
 )
 
-// FailureDetector is one node's failure detector for the nodes that it watches.
+// FailureDetector is the failure detector of one node for the nodes that it watches.
 type FailureDetector struct {
-	lastHeartbeat map[int]time.Duration // by watched node: when its last heartbeat came
+	lastHeartbeat map[int]time.Duration // when the last heartbeat arrived, by watched node
 	lastTick      time.Duration
 }
 
-// NewFailureDetector is the failure detector of a node, by its number in the list. All watched nodes count as reachable
-// now.
+// NewFailureDetector returns the failure detector of a node. self is the node's number in the list. All watched nodes
+// count as reachable at first.
 func NewFailureDetector(list *List, self int, now time.Duration) *FailureDetector {
 	detector := &FailureDetector{lastHeartbeat: map[int]time.Duration{}, lastTick: now}
 	for i := range list.nodes {
@@ -43,17 +43,18 @@
 	return detector
 }
 
-// RecordHeartbeat notes the arrival of a node's heartbeat; one of a node that is not watched is ignored.
+// RecordHeartbeat records the arrival of a node's heartbeat. It ignores heartbeats of nodes that are not watched.
 func (d *FailureDetector) RecordHeartbeat(node int, now time.Duration) {
 	if _, watched := d.lastHeartbeat[node]; watched {
 		d.lastHeartbeat[node] = now
 	}
 }
 
-// Tick has to be called several times a second. A longer gap shows that this node itself was stalled and may have
-// missed heartbeats: all watched nodes count as reachable now (local health as in Lifeguard, Dadgar et al. 2018).
+// Tick must be called several times a second. A gap longer than stallThreshold means that this node itself was stalled
+// and may have missed heartbeats. Tick then counts all watched nodes as reachable (local health as in Lifeguard, Dadgar
+// et al. 2018).
 func (d *FailureDetector) Tick(now time.Duration) {
-	if now-d.lastTick > stallGap {
+	if now-d.lastTick > stallThreshold {
 		for node := range d.lastHeartbeat {
 			d.lastHeartbeat[node] = now
 		}
@@ -61,8 +62,9 @@
 	d.lastTick = now
 }
 
-// Unreachable are the watched nodes without a heartbeat for heartbeatTimeout, in ascending order. Where these are more
-// than two thirds of all, none is reported, since a fault of this node's own network is the likelier cause.
+// Unreachable returns the watched nodes without a heartbeat for heartbeatTimeout, in ascending order. If at least
+// minWatched nodes are watched and more than two thirds of them are unreachable, it returns none, because a fault of
+// this node's own network is then the more likely cause.
 func (d *FailureDetector) Unreachable(now time.Duration) (unreachable []int) {
 	for node, at := range d.lastHeartbeat {
 		if now-at > heartbeatTimeout {
@@ -76,23 +78,23 @@
 	return unreachable
 }
 
-// CutDetector is the leader's view of which nodes are live (multi-node cut detection as in Rapid, Suresh et al. 2018).
-// A node is removed from the view once most of its watchers report it as unreachable.
+// CutDetector maintains the leader's view of which nodes are live (multi-node cut detection as in Rapid, Suresh et al.
+// 2018). It removes a node from the view once most of the node's watchers report it as unreachable.
 type CutDetector struct {
 	list      *List
 	reports   map[int]report        // by reporting node
-	lost      map[int]time.Duration // by node out of the view: since when
-	recovered map[int]time.Duration // by lost node that is reachable again: since when
-	suspected map[int]time.Duration // by node in the view: when its first watcher reported it as unreachable
+	lost      map[int]time.Duration // when a node was removed from the view, by node
+	recovered map[int]time.Duration // when a lost node became reachable again, by node
+	suspected map[int]time.Duration // when a watcher first reported a node in the view as unreachable, by node
 }
 
-// report is the newest report of one node's failure detector.
+// report is the latest report of one node's failure detector.
 type report struct {
 	at          time.Duration
 	unreachable []int
 }
 
-// NewCutDetector begins with all nodes live but those given.
+// NewCutDetector returns a cut detector whose view includes all nodes except the lost ones.
 func NewCutDetector(list *List, lost []int, now time.Duration) *CutDetector {
 	cut := &CutDetector{
 		list:      list,
@@ -107,55 +109,56 @@
 	return cut
 }
 
-// Report records a node's report: which of the nodes that it watches are unreachable. The report is also evidence that
-// the node itself is live. The caller must not change the slice afterwards.
+// Report records the report of node from, which lists the watched nodes that it can't reach. The report is also evidence
+// that the reporting node is live. The caller must not change the slice afterwards.
 func (c *CutDetector) Report(from int, unreachable []int, now time.Duration) {
 	c.reports[from] = report{at: now, unreachable: unreachable}
 }
 
-// verdict is the sum of the reports on one node.
-type verdict struct {
-	suspecting    int  // its watchers that report it as unreachable
-	reporting     int  // its watchers that are in the view and have reported within reportTTL
-	reportsItself bool // it has itself reported within reportTTL
-	failed        bool // more than half of the reporting watchers suspect it, and at least two, or its only one
+// reportSummary summarizes the reports about one node.
+type reportSummary struct {
+	suspecting    int  // number of reporting watchers that report the node as unreachable
+	reporting     int  // number of its watchers that are in the view and have reported within reportTTL
+	reportsItself bool // the node itself has reported within reportTTL
+	failed        bool // more than half of the reporting watchers, and at least two or its only one, suspect the node
 }
 
-// judge sums up what the reports say of a node.
-func (c *CutDetector) judge(node int, now time.Duration) (judged verdict) {
+// summarizeReports summarizes the reports about a node.
+func (c *CutDetector) summarizeReports(node int, now time.Duration) (summary reportSummary) {
 	watchers := c.list.Watchers(node)
 	for _, watcher := range watchers {
-		report, ok := c.freshReport(watcher, now)
+		latest, ok := c.freshReport(watcher, now)
 		if _, lost := c.lost[watcher]; !ok || lost {
 			continue
 		}
-		judged.reporting++
-		if slices.Contains(report.unreachable, node) {
-			judged.suspecting++
+		summary.reporting++
+		if slices.Contains(latest.unreachable, node) {
+			summary.suspecting++
 		}
 	}
-	_, judged.reportsItself = c.freshReport(node, now)
-	judged.failed = judged.suspecting > judged.reporting/2 &&
-		(judged.suspecting >= 2 || judged.reporting == 1 && len(watchers) == 1)
-	return judged
+	_, summary.reportsItself = c.freshReport(node, now)
+	summary.failed = summary.suspecting > summary.reporting/2 &&
+		(summary.suspecting >= 2 || summary.reporting == 1 && len(watchers) == 1)
+	return summary
 }
 
+// freshReport returns a node's latest report, and whether it is still valid.
 func (c *CutDetector) freshReport(from int, now time.Duration) (report, bool) {
 	latest, ok := c.reports[from]
 	return latest, ok && now-latest.at <= reportTTL
 }
 
-// Step updates the view by the reports, and reports whether it has changed.
+// Step updates the view from the reports, and reports whether the view has changed.
 func (c *CutDetector) Step(now time.Duration) (changed bool) {
 	var failed []int
 	undecided := false
 	for node := range c.list.nodes {
-		judged := c.judge(node, now)
+		summary := c.summarizeReports(node, now)
 		if _, lost := c.lost[node]; lost {
-			changed = c.recover(node, judged, now) || changed
+			changed = c.recover(node, summary, now) || changed
 			continue
 		}
-		switch c.suspect(node, judged, now) {
+		switch c.updateSuspicion(node, summary, now) {
 		case suspicionNone:
 		case suspicionUndecided:
 			undecided = true
@@ -163,9 +166,10 @@
 			failed = append(failed, node)
 		}
 	}
-	// While other suspicions are undecided, which may be of the same fault, failed nodes wait for them for a while.
-	settled := func(node int) bool { return now-c.suspected[node] >= maxSettleTime }
-	if undecided && !slices.ContainsFunc(failed, settled) {
+	// Undecided suspicions of other nodes may have the same cause, so the removal of failed nodes waits for them, at
+	// most for maxSettleTime.
+	waitedLongEnough := func(node int) bool { return now-c.suspected[node] >= maxSettleTime }
+	if undecided && !slices.ContainsFunc(failed, waitedLongEnough) {
 		return changed
 	}
 	for _, node := range failed {
@@ -176,27 +180,27 @@
 	return changed
 }
 
-// suspicion is the state of a node in the view.
+// suspicion is the degree to which a node in the view is suspected of failure.
 type suspicion uint8
 
 const (
 	suspicionNone      suspicion = iota
-	suspicionUndecided           // suspected for less than settleTime, by too few of its watchers to be failed
+	suspicionUndecided           // suspected for less than settleTime, by too few watchers to count as failed
 	suspicionFailed              // to be removed from the view
 )
 
-// suspect returns the suspicion of a node in the view, and notes since when it is suspected. A node that reports itself
-// is not suspected, nor one that too few of its watchers still suspect after settleTime.
-func (c *CutDetector) suspect(node int, judged verdict, now time.Duration) suspicion {
+// updateSuspicion returns the suspicion of a node in the view, and records when the node was first suspected. A node
+// that itself sends reports is not suspected. A node that too few watchers suspect is not suspected after settleTime.
+func (c *CutDetector) updateSuspicion(node int, summary reportSummary, now time.Duration) suspicion {
 	switch {
-	case judged.suspecting == 0 || judged.reportsItself:
+	case summary.suspecting == 0 || summary.reportsItself:
 		delete(c.suspected, node)
 		return suspicionNone
 	case c.suspected[node] == 0:
 		c.suspected[node] = now
 	}
 	switch {
-	case judged.failed:
+	case summary.failed:
 		return suspicionFailed
 	case now-c.suspected[node] < settleTime:
 		return suspicionUndecided
@@ -204,9 +208,10 @@
 	return suspicionNone
 }
 
-// recover takes a lost node back into the view once it has been reachable for recoveryTime.
-func (c *CutDetector) recover(node int, judged verdict, now time.Duration) (back bool) {
-	if judged.failed || !judged.reportsItself && (judged.suspecting > 0 || judged.reporting == 0) {
+// recover adds a lost node to the view again once it has been reachable for recoveryTime. It reports whether it
+// added the node.
+func (c *CutDetector) recover(node int, summary reportSummary, now time.Duration) (added bool) {
+	if summary.failed || !summary.reportsItself && (summary.suspecting > 0 || summary.reporting == 0) {
 		delete(c.recovered, node)
 		return false
 	}
@@ -223,19 +228,19 @@
 	return true
 }
 
-// IsLive says whether a node is in the view.
+// IsLive reports whether a node is in the view.
 func (c *CutDetector) IsLive(node int) bool {
 	_, lost := c.lost[node]
 	return !lost
 }
 
-// LostSince says since when a node is out of the view.
+// LostSince returns when a node was removed from the view, and whether it is out of the view.
 func (c *CutDetector) LostSince(node int) (time.Duration, bool) {
 	since, lost := c.lost[node]
 	return since, lost
 }
 
-// Lost are the nodes out of the view.
+// Lost returns the nodes that are out of the view, in ascending order.
 func (c *CutDetector) Lost() (nodes []int) {
 	for node := range c.lost {
 		nodes = append(nodes, node)
@@ -244,7 +249,7 @@
 	return nodes
 }
 
-// LastReport says when a node's last report came.
+// LastReport returns when a node's latest report arrived, and whether there is one.
 func (c *CutDetector) LastReport(node int) (time.Duration, bool) {
 	latest, ok := c.reports[node]
 	return latest.at, ok
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,12 +1,13 @@
-// Package membership says which nodes of a fleet are live, in one view that all share.
+// Package membership determines which nodes of a fleet are live, as one view that all nodes share.
 //
-//   - List is the nodes as the operators name them, and who watches whom: the same on all nodes that have the same
-//     list.
-//   - FailureDetector is a node's failure detector: it takes heartbeats and reports which of the watched nodes are
+//   - List holds the nodes that the operators configured, and determines which nodes watch which. All nodes with the
+//     same list get the same result.
+//   - FailureDetector is a node's failure detector. It receives heartbeats and reports which of the watched nodes are
 //     unreachable.
-//   - CutDetector is the leader's multi-node cut detection: it takes what the failure detectors report and decides, for
-//     several nodes at once where they fail together, who is out of the view and who is back.
+//   - CutDetector is the leader's multi-node cut detector. From the reports of the failure detectors it decides which
+//     nodes to remove from the view and which to add again. Nodes that fail together are removed together.
 //
-// The agent of a node owns its failure detector, the planner of the leader the cut detector; both call them from one
-// goroutine. The package is free of I/O and clocks: time is a parameter, on a monotonic clock of the caller's own.
+// A node's agent owns the failure detector, and the leader's planner owns the cut detector. Each owner calls its
+// detector from one goroutine. The package does no I/O and reads no clock. Callers pass the time in, from a monotonic
+// clock of their own.
 package membership
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew: only for a form that is new")
+var update = flag.Bool("update", false, "rewrite the golden files, only after an intended change of the form")
 
-// TestGoldenList holds what all nodes of a fleet must work out alike from one list, whatever their version: numbers,
-// zones, voters, keys and watchers.
+// TestGoldenList checks the numbers, zones, voters, keys and watchers of a list. All nodes of a fleet must compute the
+// same ones from the same list, whatever their version.
 func TestGoldenList(t *testing.T) {
 	var nodes []Node
 	for i := range 24 {
@@ -39,11 +39,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("got\n%s\nwanted\n%s", got, want)
+		t.Errorf("describe: got\n%s\nwant\n%s", got, want)
 	}
 }
 
-// describe is all that a list gives, as text.
+// describe returns everything that a list provides, as text.
 func describe(list *List) []byte {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "zones %v\nvoters %v\n", list.Zones(), list.Voters())
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -10,39 +10,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxNodes bounds a fleet's list.
+// MaxNodes is the most nodes that a list can hold.
 const MaxNodes = 4096
 
-// watchersPerNode is how many nodes watch one node, where there are as many.
+// watchersPerNode is how many nodes watch one node, if the list has enough nodes.
 const watchersPerNode = 5
 
-// ErrInvalidList says that nodes do not make a list: their number, a name, a zone or a region is wrong.
+// ErrInvalidList means that a list of nodes is invalid, because of the number of nodes, a name, a zone or a region.
 var ErrInvalidList = errors.New("invalid list of nodes")
 
-// Node is one node as the operators name it.
+// Node is one node as the operators configured it.
 type Node struct {
 	Name   string
 	Zone   string
 	Region string
-	Voter  bool // a replica of the replicated log
+	Voter  bool // the node is a replica of the replicated log
 }
 
-// List is the nodes of a fleet, numbered by the order of their names. It does not change: a new list is another List.
-// A List belongs to one goroutine, since it computes watchers on demand.
+// List holds the nodes of a fleet, numbered in the order of their names. Its nodes do not change. A new list of nodes
+// needs another List. A List must be used by only one goroutine, because it computes watchers on demand.
 type List struct {
 	nodes    []Node
-	numbers  map[string]int // by name
-	zones    []string
+	numbers  map[string]int    // by name
+	zones    []string          // sorted by name
 	regions  map[string]string // by zone
-	inZone   map[string][]int
+	inZone   map[string][]int  // nodes by zone
 	voters   []int
-	watchers [][]int // by node; nil: not computed yet
+	watchers [][]int // by node; nil until computed
 }
 
-// NewList makes a list. The error is an ErrInvalidList.
+// NewList returns a list of nodes. The error is an ErrInvalidList.
 func NewList(nodes []Node) (*List, error) {
 	if len(nodes) == 0 || len(nodes) > MaxNodes {
-		return nil, fmt.Errorf("%w: %d nodes, 1 to %d are possible", ErrInvalidList, len(nodes), MaxNodes)
+		return nil, fmt.Errorf("%w: %d nodes, must be between 1 and %d", ErrInvalidList, len(nodes), MaxNodes)
 	}
 	list := &List{
 		nodes:    slices.Clone(nodes),
@@ -61,14 +61,14 @@
 	return list, nil
 }
 
-// add takes node number i into the maps.
+// add adds node number i to the maps and lists.
 func (l *List) add(i int, node Node) error {
-	if _, twice := l.numbers[node.Name]; twice || node.Name == "" || node.Zone == "" {
-		return fmt.Errorf("%w: node %q: a name of its own and a zone are wanted", ErrInvalidList, node.Name)
+	if _, duplicate := l.numbers[node.Name]; duplicate || node.Name == "" || node.Zone == "" {
+		return fmt.Errorf("%w: node %q must have a unique name and a zone", ErrInvalidList, node.Name)
 	}
 	region, known := l.regions[node.Zone]
 	if known && region != node.Region {
-		return fmt.Errorf("%w: node %q: its zone %q is in region %q, elsewhere in the list in %q",
+		return fmt.Errorf("%w: node %q: zone %q has region %q here, but region %q at an earlier node",
 			ErrInvalidList, node.Name, node.Zone, node.Region, region)
 	}
 	if !known {
@@ -83,13 +83,13 @@
 	return nil
 }
 
-// Len counts the nodes.
+// Len returns the number of nodes.
 func (l *List) Len() int { return len(l.nodes) }
 
-// Node is node number i.
+// Node returns node number i.
 func (l *List) Node(i int) Node { return l.nodes[i] }
 
-// Index is a node's number; -1: the list does not have it.
+// Index returns a node's number, or -1 if the list does not have the node.
 func (l *List) Index(name string) int {
 	if i, ok := l.numbers[name]; ok {
 		return i
@@ -97,35 +97,35 @@
 	return -1
 }
 
-// Zones are the zones, by name.
+// Zones returns the zones, sorted by name.
 func (l *List) Zones() []string { return l.zones }
 
-// Region is a zone's region.
+// Region returns a zone's region.
 func (l *List) Region(zone string) string { return l.regions[zone] }
 
-// InZone are the nodes of a zone.
+// InZone returns the nodes of a zone, in ascending order.
 func (l *List) InZone(zone string) []int { return l.inZone[zone] }
 
-// Voters are the replicas of the replicated log.
+// Voters returns the nodes that are replicas of the replicated log, in ascending order.
 func (l *List) Voters() []int { return l.voters }
 
-// Voter is a node's place among the voters; -1: it is none.
+// Voter returns a node's index among the voters, or -1 if it is not a voter.
 func (l *List) Voter(i int) int { return slices.Index(l.voters, i) }
 
-// Key is a hash of two nodes' names, for rendezvous hashing: all nodes order the others of one node alike by it, and
-// differently for each node.
+// Key returns a hash of the names of two nodes, for rendezvous hashing. All nodes get the same order of the other nodes
+// for a given node a, and that order differs between nodes a.
 func (l *List) Key(a, b int) uint64 {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(l.nodes[a].Name)))
 	hash := xxhash.New()
-	_, _ = hash.WriteString(l.nodes[a].Name) // a hash never fails to write, here and below
+	_, _ = hash.WriteString(l.nodes[a].Name) // writing to a hash never fails, here and below
 	_, _ = hash.Write(length[:])
 	_, _ = hash.WriteString(l.nodes[b].Name)
 	return hash.Sum64()
 }
 
-// Watchers are the nodes that watch a node: few, the same for all who ask, and from as many zones as there are, so
-// that the view of a node does not hang on one zone's lines.
+// Watchers returns the nodes that watch a node. They are few, every node computes the same ones, and they come from as
+// many zones as possible, so that the view of a node does not depend on the network links of one zone.
 func (l *List) Watchers(i int) []int {
 	if l.watchers[i] == nil {
 		l.watchers[i] = l.selectWatchers(l.othersByKey(i))
@@ -133,7 +133,7 @@
 	return l.watchers[i]
 }
 
-// othersByKey are all nodes but one, in the order of their keys with it.
+// othersByKey returns all nodes except node i, in the order of their keys with it.
 func (l *List) othersByKey(i int) []int {
 	type candidate struct {
 		node int
@@ -147,16 +147,16 @@
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.key, b.key) })
 	others := make([]int, len(candidates))
-	for place, candidate := range candidates {
-		others[place] = candidate.node
+	for position, candidate := range candidates {
+		others[position] = candidate.node
 	}
 	return others
 }
 
-// selectWatchers takes, round by round, the first candidate of each zone that is not taken yet.
+// selectWatchers selects watchers in rounds. Each round selects the first remaining candidate of each zone.
 func (l *List) selectWatchers(candidates []int) []int {
 	selected := []int{}
-	rounds := map[string]int{} // by zone: the rounds that it has taken part in
+	rounds := map[string]int{} // number of rounds that a zone has taken part in, by zone
 	for round := 0; len(selected) < min(watchersPerNode, len(candidates)); round++ {
 		for _, node := range candidates {
 			zone := l.nodes[node].Zone
@@ -165,7 +165,7 @@
 				rounds[zone]++
 			}
 		}
-		for zone := range l.inZone { // a zone that has no more nodes must not hold up the round
+		for zone := range l.inZone { // a zone without further candidates must not block the next round
 			rounds[zone] = max(rounds[zone], round+1)
 		}
 	}
--- a/internal/membership/list_test.go
+++ b/internal/membership/list_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// newFleet makes a list of nodes whose zones take turns.
+// newFleet returns a list of nodes that are assigned to the zones in turn.
 func newFleet(tb testing.TB, nodes, zones int) *List {
 	tb.Helper()
 	var all []Node
@@ -21,8 +21,9 @@
 	return list
 }
 
-// TestWatchers holds that each node is watched by few, none of them itself, from as many zones as there are.
-func TestWatchers(t *testing.T) {
+// TestWatchersAreFewAndSpreadOverZones checks that few nodes watch each node, that no node watches itself, that the
+// watchers come from as many zones as possible, and that no node watches too many.
+func TestWatchersAreFewAndSpreadOverZones(t *testing.T) {
 	for _, test := range []struct{ nodes, zones, watchers, spread int }{
 		{1, 1, 0, 0}, {2, 1, 1, 1}, {4, 2, 3, 2}, {30, 3, 5, 3}, {300, 9, 5, 5},
 	} {
@@ -36,29 +37,30 @@
 				watched[watcher]++
 			}
 			if len(watchers) != test.watchers || slices.Contains(watchers, node) || len(zones) < test.spread {
-				t.Errorf("%+v: node %d is watched by %v", test, node, watchers)
+				t.Errorf("%+v: Watchers(%d): got %v, want that many, from that many zones", test, node, watchers)
 			}
 		}
 		for watcher, count := range watched {
 			if count > 6*max(1, test.watchers) {
-				t.Errorf("%+v: node %d watches %d, wanted at most %d", test, watcher, count, 6*max(1, test.watchers))
+				t.Errorf("%+v: node %d watches %d nodes, want at most %d",
+					test, watcher, count, 6*max(1, test.watchers))
 			}
 		}
 	}
 }
 
-// TestNewListErrors holds which nodes do not make a list.
-func TestNewListErrors(t *testing.T) {
+// TestNewListRejectsInvalidNodes checks which nodes NewList rejects.
+func TestNewListRejectsInvalidNodes(t *testing.T) {
 	for name, nodes := range map[string][]Node{
-		"no node":               nil,
-		"too many":              make([]Node, MaxNodes+1),
-		"no name":               {{Zone: "z"}},
-		"no zone":               {{Name: "a"}},
-		"a name twice":          {{Name: "a", Zone: "z"}, {Name: "a", Zone: "z"}},
-		"a zone in two regions": {{Name: "a", Zone: "z", Region: "r"}, {Name: "b", Zone: "z", Region: "s"}},
+		"no nodes":            nil,
+		"too many nodes":      make([]Node, MaxNodes+1),
+		"no name":             {{Zone: "z"}},
+		"no zone":             {{Name: "a"}},
+		"duplicate name":      {{Name: "a", Zone: "z"}, {Name: "a", Zone: "z"}},
+		"zone in two regions": {{Name: "a", Zone: "z", Region: "r"}, {Name: "b", Zone: "z", Region: "s"}},
 	} {
 		if _, err := NewList(nodes); !errors.Is(err, ErrInvalidList) {
-			t.Errorf("%s: NewList gives %v, wanted %v", name, err, ErrInvalidList)
+			t.Errorf("%s: NewList: got error %v, want %v", name, err, ErrInvalidList)
 		}
 	}
 }
