--- a/internal/membership/detection.go
+++ b/internal/membership/detection.go
@@ -109,8 +109,8 @@
 	return cut
 }
 
-// Report records the report of node from, which lists the watched nodes that it can't reach. The report is also evidence
-// that the reporting node is live. The caller must not change the slice afterwards.
+// Report records the report of node from, which lists the watched nodes that it can't reach. The report is also
+// evidence that the reporting node is live. The caller must not change the slice afterwards.
 func (c *CutDetector) Report(from int, unreachable []int, now time.Duration) {
 	c.reports[from] = report{at: now, unreachable: unreachable}
 }
