--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestGoldenFigures counts each step and the violations of each rule a number of times of its own: their names, order
-// and counts are those of the golden file.
-func TestGoldenFigures(t *testing.T) {
+// TestGoldenCounts gives each step and each rule a different count. It checks that their names, order and counts match
+// the golden file.
+func TestGoldenCounts(t *testing.T) {
 	var monitor Monitor
 	for i, step := range []Step{Start, Send, Repeat, Close} {
 		monitor.checked[step] = uint64(11 + i)
@@ -18,7 +18,7 @@
 		SecondAnswer, Unanswered, LateAnswer, TooManyAttempts, ConcurrentAttempt, UnsafeRetry,
 		UnsafeRejection, ClientGone, ServerDraining, SlowStart, ClosedWithoutMigration,
 	} {
-		monitor.broken[rule] = uint64(21 + i)
+		monitor.violations[rule] = uint64(21 + i)
 	}
 	var got strings.Builder
 	monitor.Each(func(kind, name string, count uint64) { fmt.Fprintf(&got, "%s %s %d\n", kind, name, count) })
@@ -28,6 +28,6 @@
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("the figures are\n%s\nwant\n%s", got.String(), want)
+		t.Errorf("Each: got\n%s\nwant\n%s", got.String(), want)
 	}
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -8,17 +8,19 @@
 	"spurwinch/choice"
 )
 
-var begin = time.Unix(1e9, 0)
+var startTime = time.Unix(1e9, 0)
 
-func class(repeat choice.Idempotency, scope choice.Scope) choice.Class {
-	return choice.Class{Name: "c", Idempotency: repeat, IdempotencyScope: scope, IdempotencyWindow: 2 * time.Second}
+func class(idempotency choice.Idempotency, scope choice.Scope) choice.Class {
+	return choice.Class{
+		Name: "c", Idempotency: idempotency, IdempotencyScope: scope, IdempotencyWindow: 2 * time.Second,
+	}
 }
 
-// history is a request's past and the step that breaks a rule, or none.
+// history is a sequence of earlier steps of a request, and a last step that breaks a rule or none.
 type history struct {
 	name   string
 	class  choice.Class
-	before func(r *Request) // nil: nothing
+	before func(r *Request) // earlier steps; nil: none
 	step   func(r *Request) Rule
 	want   Rule
 }
@@ -27,308 +29,311 @@
 	server      = Server{ID: "h", Zone: "a", Grace: 3 * time.Second}
 	otherServer = Server{ID: "i", Zone: "b", Grace: 3 * time.Second}
 	otherCell   = Server{ID: "h", Zone: "a", Cell: 1, Grace: 3 * time.Second}
-	draining    = Server{ID: "h", Zone: "a", Grace: 3 * time.Second, DrainingSince: begin}
+	draining    = Server{ID: "h", Zone: "a", Grace: 3 * time.Second, DrainingSince: startTime}
 )
 
-// ran is an attempt that may have run.
-func ran(r *Request) {
-	r.Start(server, begin)
-	r.Send(server, begin)
+// attemptMayHaveRun starts, sends and ends an attempt, which may have run.
+func attemptMayHaveRun(r *Request) {
+	r.Start(server, startTime)
+	r.Send(server, startTime)
 	r.Ended(true)
 }
 
-// neverSent is an attempt of which no byte was sent.
-func neverSent(r *Request) {
-	r.Start(server, begin)
+// attemptNeverSent starts and ends an attempt without sending its first byte.
+func attemptNeverSent(r *Request) {
+	r.Start(server, startTime)
 	r.Ended(true)
 }
 
-// attemptHistories are the shortest ones that break each rule of attempts, and the same without their last cause.
+// attemptHistories holds the shortest histories that break each rule about attempts, and the same histories without the
+// last cause.
 var attemptHistories = []history{
 	{
 		name: "first attempt", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
-		step: func(r *Request) Rule { return r.Start(server, begin) },
+		step: func(r *Request) Rule { return r.Start(server, startTime) },
 	},
 	{
-		name: "after the answer", class: class(choice.Idempotent, choice.ScopeAll), want: SecondAnswer,
+		name: "started after the answer", class: class(choice.Idempotent, choice.ScopeAll), want: SecondAnswer,
 		before: func(r *Request) {
-			r.Answer(true, begin)
+			r.Answer(true, startTime)
 		},
-		step: func(r *Request) Rule { return r.Start(server, begin) },
+		step: func(r *Request) Rule { return r.Start(server, startTime) },
 	},
 	{
 		name: "answered twice", class: class(choice.Idempotent, choice.ScopeAll), want: SecondAnswer,
 		before: func(r *Request) {
-			r.Served(true, begin)
+			r.Served(true, startTime)
 		},
-		step: func(r *Request) Rule { return r.Answer(true, begin) },
+		step: func(r *Request) Rule { return r.Answer(true, startTime) },
 	},
 	{
-		name: "after its client", class: class(choice.Idempotent, choice.ScopeAll), want: ClientGone,
+		name: "started after the client left", class: class(choice.Idempotent, choice.ScopeAll), want: ClientGone,
 		before: (*Request).Gone,
-		step:   func(r *Request) Rule { return r.Start(server, begin) },
+		step:   func(r *Request) Rule { return r.Start(server, startTime) },
 	},
 	{
-		name: "sent after its client", class: class(choice.Idempotent, choice.ScopeAll), want: ClientGone,
+		name: "sent after the client left", class: class(choice.Idempotent, choice.ScopeAll), want: ClientGone,
 		before: func(r *Request) {
-			r.Start(server, begin)
+			r.Start(server, startTime)
 			r.Gone()
 		},
-		step: func(r *Request) Rule { return r.Send(server, begin) },
+		step: func(r *Request) Rule { return r.Send(server, startTime) },
 	},
 	{
-		name: "two at once", class: class(choice.Idempotent, choice.ScopeAll), want: ConcurrentAttempt,
+		name: "two concurrent attempts", class: class(choice.Idempotent, choice.ScopeAll), want: ConcurrentAttempt,
 		before: func(r *Request) {
-			r.Start(server, begin)
+			r.Start(server, startTime)
 		},
-		step: func(r *Request) Rule { return r.Start(otherServer, begin) },
+		step: func(r *Request) Rule { return r.Start(otherServer, startTime) },
 	},
 	{
-		name: "a third of two", class: class(choice.Idempotent, choice.ScopeAll), want: TooManyAttempts,
+		name: "third attempt of at most two", class: class(choice.Idempotent, choice.ScopeAll), want: TooManyAttempts,
 		before: func(r *Request) {
-			ran(r)
-			ran(r)
+			attemptMayHaveRun(r)
+			attemptMayHaveRun(r)
 		},
-		step: func(r *Request) Rule { return r.Start(server, begin) },
+		step: func(r *Request) Rule { return r.Start(server, startTime) },
 	},
 	{
-		name: "unsafe repeat", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRetry,
-		before: ran,
-		step:   func(r *Request) Rule { return r.Start(otherServer, begin) },
+		name: "unsafe retry", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRetry,
+		before: attemptMayHaveRun,
+		step:   func(r *Request) Rule { return r.Start(otherServer, startTime) },
 	},
 	{
-		name: "unsafe, never written", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
-		before: neverSent,
-		step:   func(r *Request) Rule { return r.Start(otherServer, begin) },
+		name: "unsafe, but never sent", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
+		before: attemptNeverSent,
+		step:   func(r *Request) Rule { return r.Start(otherServer, startTime) },
 	},
 	{
-		name: "keyed, in the window", class: class(choice.IdempotentByKey, choice.ScopeAll), want: Holds,
-		before: ran,
-		step:   func(r *Request) Rule { return r.Start(otherServer, begin.Add(2*time.Second)) },
+		name: "keyed, within the window", class: class(choice.IdempotentByKey, choice.ScopeAll), want: Holds,
+		before: attemptMayHaveRun,
+		step:   func(r *Request) Rule { return r.Start(otherServer, startTime.Add(2*time.Second)) },
 	},
 	{
-		name: "keyed, past the window", class: class(choice.IdempotentByKey, choice.ScopeAll), want: UnsafeRetry,
-		before: ran,
-		step:   func(r *Request) Rule { return r.Start(otherServer, begin.Add(2*time.Second+1)) },
+		name: "keyed, after the window", class: class(choice.IdempotentByKey, choice.ScopeAll), want: UnsafeRetry,
+		before: attemptMayHaveRun,
+		step:   func(r *Request) Rule { return r.Start(otherServer, startTime.Add(2*time.Second+1)) },
 	},
 	{
 		name: "keyed, another zone", class: class(choice.IdempotentByKey, choice.ScopeZone), want: UnsafeRetry,
-		before: ran,
-		step:   func(r *Request) Rule { return r.Start(otherServer, begin) },
+		before: attemptMayHaveRun,
+		step:   func(r *Request) Rule { return r.Start(otherServer, startTime) },
 	},
 	{
 		name: "keyed, the same zone", class: class(choice.IdempotentByKey, choice.ScopeZone), want: Holds,
-		before: ran,
-		step:   func(r *Request) Rule { return r.Start(server, begin) },
+		before: attemptMayHaveRun,
+		step:   func(r *Request) Rule { return r.Start(server, startTime) },
 	},
 	{
 		name: "keyed, another cell", class: class(choice.IdempotentByKey, choice.ScopeCell), want: UnsafeRetry,
-		before: ran,
-		step:   func(r *Request) Rule { return r.Start(otherCell, begin) },
+		before: attemptMayHaveRun,
+		step:   func(r *Request) Rule { return r.Start(otherCell, startTime) },
 	},
 	{
-		name: "in the grace", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
-		step: func(r *Request) Rule { return r.Start(draining, begin.Add(3*time.Second)) },
+		name: "within the grace period", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		step: func(r *Request) Rule { return r.Start(draining, startTime.Add(3*time.Second)) },
 	},
 	{
-		name: "past the grace", class: class(choice.Idempotent, choice.ScopeAll), want: ServerDraining,
-		step: func(r *Request) Rule { return r.Start(draining, begin.Add(3*time.Second+1)) },
+		name: "after the grace period", class: class(choice.Idempotent, choice.ScopeAll), want: ServerDraining,
+		step: func(r *Request) Rule { return r.Start(draining, startTime.Add(3*time.Second+1)) },
 	},
 	{
-		name: "sent past the grace", class: class(choice.Idempotent, choice.ScopeAll), want: ServerDraining,
+		name: "sent after the grace period", class: class(choice.Idempotent, choice.ScopeAll), want: ServerDraining,
 		before: func(r *Request) {
-			r.Start(server, begin)
+			r.Start(server, startTime)
 		},
-		step: func(r *Request) Rule { return r.Send(draining, begin.Add(4*time.Second)) },
+		step: func(r *Request) Rule { return r.Send(draining, startTime.Add(4*time.Second)) },
 	},
 }
 
-// closeHistories are the shortest ones that break each rule of answers and closes, and the same without their last
-// cause.
+// closeHistories holds the shortest histories that break each rule about answers and closes, and the same histories
+// without the last cause.
 var closeHistories = []history{
 	{
 		name: "rejected, nothing ran", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
-		before: neverSent,
-		step:   func(r *Request) Rule { return r.Answer(true, begin) },
+		before: attemptNeverSent,
+		step:   func(r *Request) Rule { return r.Answer(true, startTime) },
 	},
 	{
 		name: "rejected, may have run", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRejection,
-		before: ran,
-		step:   func(r *Request) Rule { return r.Answer(true, begin) },
+		before: attemptMayHaveRun,
+		step:   func(r *Request) Rule { return r.Answer(true, startTime) },
 	},
 	{
-		name: "rejected, may run yet", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRejection,
+		name: "rejected, may still run", class: class(choice.NotIdempotent, choice.ScopeAll), want: UnsafeRejection,
 		before: func(r *Request) {
-			r.Start(server, begin)
-			r.Send(server, begin)
+			r.Start(server, startTime)
+			r.Send(server, startTime)
 		},
-		step: func(r *Request) Rule { return r.Answer(true, begin) },
+		step: func(r *Request) Rule { return r.Answer(true, startTime) },
 	},
 	{
-		name: "keyed in all, rejected", class: class(choice.IdempotentByKey, choice.ScopeAll), want: Holds,
-		before: ran,
-		step:   func(r *Request) Rule { return r.Answer(true, begin) },
+		name: "keyed in all zones, rejected", class: class(choice.IdempotentByKey, choice.ScopeAll), want: Holds,
+		before: attemptMayHaveRun,
+		step:   func(r *Request) Rule { return r.Answer(true, startTime) },
 	},
 	{
 		name: "keyed in a zone, rejected", class: class(choice.IdempotentByKey, choice.ScopeZone),
 		want:   UnsafeRejection,
-		before: ran,
-		step:   func(r *Request) Rule { return r.Answer(true, begin) },
+		before: attemptMayHaveRun,
+		step:   func(r *Request) Rule { return r.Answer(true, startTime) },
 	},
 	{
-		name: "failed", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
-		before: ran,
-		step:   func(r *Request) Rule { return r.Answer(false, begin) },
+		name: "answered with a failure", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
+		before: attemptMayHaveRun,
+		step:   func(r *Request) Rule { return r.Answer(false, startTime) },
 	},
 	{
-		name: "late", class: class(choice.Idempotent, choice.ScopeAll), want: LateAnswer,
-		step: func(r *Request) Rule { return r.Answer(true, begin.Add(10*time.Second+AnswerSlack+1)) },
+		name: "answered late", class: class(choice.Idempotent, choice.ScopeAll), want: LateAnswer,
+		step: func(r *Request) Rule { return r.Answer(true, startTime.Add(10*time.Second+AnswerSlack+1)) },
 	},
 	{
-		name: "just in time", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
-		step: func(r *Request) Rule { return r.Answer(true, begin.Add(10*time.Second+AnswerSlack)) },
+		name: "answered just in time", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		step: func(r *Request) Rule { return r.Answer(true, startTime.Add(10*time.Second+AnswerSlack)) },
 	},
 	{
 		name: "closed without an answer", class: class(choice.Idempotent, choice.ScopeAll), want: Unanswered,
 		step: func(r *Request) Rule { return r.Close(ByNode, false) },
 	},
 	{
-		name: "closed by its client", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		name: "closed by the client", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
 		step: func(r *Request) Rule { return r.Close(ByClient, false) },
 	},
 	{
-		name: "closed with its server, no answer", class: class(choice.Idempotent, choice.ScopeAll),
+		name: "closed by the server without an answer", class: class(choice.Idempotent, choice.ScopeAll),
 		want: Unanswered,
 		step: func(r *Request) Rule { return r.Close(ByServer, false) },
 	},
 	{
 		name: "closed after the answer", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
 		before: func(r *Request) {
-			r.Answer(true, begin)
+			r.Answer(true, startTime)
 		},
 		step: func(r *Request) Rule { return r.Close(ByNode, false) },
 	},
 	{
-		name: "an open connection, cut off", class: class(choice.Idempotent, choice.ScopeAll),
+		name: "open connection closed without migration", class: class(choice.Idempotent, choice.ScopeAll),
 		want: ClosedWithoutMigration,
 		before: func(r *Request) {
-			r.Served(true, begin)
+			r.Served(true, startTime)
 		},
 		step: func(r *Request) Rule { return r.Close(ByNode, false) },
 	},
 	{
-		name: "an open connection, migrated", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		name: "open connection migrated", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
 		before: func(r *Request) {
-			r.Served(true, begin)
+			r.Served(true, startTime)
 		},
 		step: func(r *Request) Rule { return r.Close(ByNode, true) },
 	},
 	{
-		name: "an open connection, ended by a server", class: class(choice.Idempotent, choice.ScopeAll),
+		name: "open connection closed by the server", class: class(choice.Idempotent, choice.ScopeAll),
 		want: Holds,
 		before: func(r *Request) {
-			r.Served(true, begin)
+			r.Served(true, startTime)
 		},
 		step: func(r *Request) Rule { return r.Close(ByServer, false) },
 	},
 }
 
-// TestRules has each rule broken by the shortest history that breaks it, and checks that the same history without its
-// last cause breaks none.
-func TestRules(t *testing.T) {
+// TestRulesByShortestHistory checks that the shortest history that breaks a rule breaks that rule, and that the same
+// history without its last cause breaks none.
+func TestRulesByShortestHistory(t *testing.T) {
 	for _, test := range slices.Concat(attemptHistories, closeHistories) {
 		t.Run(test.name, func(t *testing.T) {
 			var violations []Violation
 			monitor := &Monitor{OnViolation: func(v Violation) { violations = append(violations, v) }}
 			request := monitor.NewRequest(RequestFacts{
 				ID: "q", Class: test.class,
-				Deadline: begin.Add(10 * time.Second), MaxAttempts: 2,
+				Deadline: startTime.Add(10 * time.Second), MaxAttempts: 2,
 			})
 			if test.before != nil {
 				test.before(request)
 			}
 			if len(violations) > 0 {
-				t.Errorf("violations before the step: %v, want none", violations)
+				t.Errorf("before the step: got violations %v, want none", violations)
 			}
 			got := test.step(request)
 			if got != test.want {
-				t.Errorf("the step gives %v, want %v", got, test.want)
+				t.Errorf("step: got rule %v, want %v", got, test.want)
 			}
 			if (got == Holds) != (len(violations) == 0) || monitor.Violations() != uint64(len(violations)) {
-				t.Errorf("the step gives %v with violations %v, %d counted; want all or none",
+				t.Errorf("step: got rule %v, violations %v and count %d, want all three to agree",
 					got, violations, monitor.Violations())
 			}
 		})
 	}
 }
 
-// TestAlreadyOpen holds that a connection that was open before the run goes back to its server as often as it takes,
-// but not for nobody.
-func TestAlreadyOpen(t *testing.T) {
+// TestAlreadyOpenHasNoAttemptLimit checks that a connection that was open before the node started may be retried at its
+// server any number of times, but not after its client has left.
+func TestAlreadyOpenHasNoAttemptLimit(t *testing.T) {
 	monitor := &Monitor{}
-	request := monitor.NewRequest(RequestFacts{ID: "q", MaxAttempts: 1, AlreadyOpen: true, Deadline: begin})
+	request := monitor.NewRequest(RequestFacts{ID: "q", MaxAttempts: 1, AlreadyOpen: true, Deadline: startTime})
 	for attempt := range 5 {
-		if rule := request.Start(Server{}, begin); rule != Holds {
-			t.Fatalf("attempt %d gives %v, want %v", attempt, rule, Holds)
+		if rule := request.Start(Server{}, startTime); rule != Holds {
+			t.Fatalf("Start of attempt %d: got %v, want %v", attempt, rule, Holds)
 		}
 		request.Ended(false)
 	}
 	request.Gone()
-	if rule := request.Start(Server{}, begin); rule != ClientGone {
-		t.Errorf("an attempt for nobody gives %v, want %v", rule, ClientGone)
+	if rule := request.Start(Server{}, startTime); rule != ClientGone {
+		t.Errorf("Start after the client left: got %v, want %v", rule, ClientGone)
 	}
 }
 
-// TestSlowStart has one node send a server in slow start all that the budget of all nodes allows, and one call more.
-func TestSlowStart(t *testing.T) {
+// TestSlowStartAllowsBudgetOfAllNodes checks that one node may send a server in slow start all calls that the budget of
+// all nodes allows, but no further call until the first one has left the window.
+func TestSlowStartAllowsBudgetOfAllNodes(t *testing.T) {
 	for _, budget := range []float64{0, 1, 9, 29, 30, 100} {
 		window := &CallWindow{Window: 2 * time.Second}
-		most := int(MaxSlowStartCalls(budget))
-		for i := range most {
-			if !window.allow(budget, begin.Add(time.Duration(i)*time.Millisecond)) {
-				t.Fatalf("budget %v: call %d of %d is forbidden, want it allowed", budget, i+1, most)
+		maxCalls := int(MaxSlowStartCalls(budget))
+		for i := range maxCalls {
+			if !window.allow(budget, startTime.Add(time.Duration(i)*time.Millisecond)) {
+				t.Fatalf("allow(%v): got call %d of %d forbidden, want it allowed", budget, i+1, maxCalls)
 			}
 		}
-		if window.allow(budget, begin.Add(2*time.Second)) {
-			t.Errorf("budget %v: call %d of %d is allowed, want it forbidden", budget, most+1, most)
+		if window.allow(budget, startTime.Add(2*time.Second)) {
+			t.Errorf("allow(%v): got call %d of %d allowed, want it forbidden", budget, maxCalls+1, maxCalls)
 		}
-		if !window.allow(budget, begin.Add(2*time.Second+time.Millisecond)) {
-			t.Errorf("budget %v: a call is forbidden when the first is out of the window, want it allowed", budget)
+		if !window.allow(budget, startTime.Add(2*time.Second+time.Millisecond)) {
+			t.Errorf("allow(%v) after the first call left the window: got the call forbidden, want it allowed", budget)
 		}
 	}
 }
 
-// TestSlowStartOfAttempts has an attempt at a server in slow start whose window is full: it may start, but not be sent.
-func TestSlowStartOfAttempts(t *testing.T) {
-	request := (&Monitor{}).NewRequest(RequestFacts{ID: "q", MaxAttempts: 1, Deadline: begin.Add(time.Second)})
-	warming := Server{ID: "h", SlowStart: &CallWindow{Window: time.Second}, Budget: -1}
-	if rule := request.Start(warming, begin); rule != Holds {
-		t.Fatalf("the start gives %v, want %v", rule, Holds)
+// TestSlowStartForbidsSendInFullWindow checks that an attempt at a server in slow start may start, but may not be sent
+// once the window is full.
+func TestSlowStartForbidsSendInFullWindow(t *testing.T) {
+	request := (&Monitor{}).NewRequest(RequestFacts{ID: "q", MaxAttempts: 1, Deadline: startTime.Add(time.Second)})
+	warmingUp := Server{ID: "h", SlowStart: &CallWindow{Window: time.Second}, Budget: -1}
+	if rule := request.Start(warmingUp, startTime); rule != Holds {
+		t.Fatalf("Start: got %v, want %v", rule, Holds)
 	}
-	warming.SlowStart.calls = make([]call, 1000)
-	for i := range warming.SlowStart.calls {
-		warming.SlowStart.calls[i].at = begin
+	warmingUp.SlowStart.calls = make([]call, 1000)
+	for i := range warmingUp.SlowStart.calls {
+		warmingUp.SlowStart.calls[i].at = startTime
 	}
-	if rule := request.Send(warming, begin); rule != SlowStart {
-		t.Errorf("the send gives %v, want %v", rule, SlowStart)
+	if rule := request.Send(warmingUp, startTime); rule != SlowStart {
+		t.Errorf("Send: got %v, want %v", rule, SlowStart)
 	}
 }
 
-// TestFigures holds the names under which steps and rules are reported, and that each rule has one.
-func TestFigures(t *testing.T) {
+// TestCountsHaveNames checks that Each reports every step and every rule under a name, and with the right counts.
+func TestCountsHaveNames(t *testing.T) {
 	monitor := &Monitor{}
 	monitor.NewRequest(RequestFacts{}).Close(ByNode, false)
 	seen := map[string]uint64{}
 	monitor.Each(func(kind, name string, count uint64) {
 		if name == "" {
-			t.Errorf("a figure of kind %s has no name, want one", kind)
+			t.Errorf("Each: got a count of kind %s without a name, want a name", kind)
 		}
 		seen[kind+" "+name] = count
 	})
 	if len(seen) != int(stepCount)+int(ruleCount)-1 {
-		t.Errorf("%d figures, want one for each step and each rule", len(seen))
+		t.Errorf("Each: got %d counts, want one for each step and each rule", len(seen))
 	}
 	if seen["checked close"] != 1 || seen["broken unanswered"] != 1 || seen["broken cut_off"] != 0 {
-		t.Errorf("figures %v, want one checked close and one broken unanswered", seen)
+		t.Errorf("Each: got %v, want one checked close and one broken unanswered", seen)
 	}
 }
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -6,62 +6,62 @@
 	"spurwinch/choice"
 )
 
-// AnswerSlack is how long after its deadline a request's final answer still counts.
+// AnswerSlack is how long after a request's deadline a final answer is still on time.
 const AnswerSlack = 500 * time.Millisecond
 
-// RequestFacts are what is known of a request when it is read.
+// RequestFacts holds what is known about a request when it is read.
 type RequestFacts struct {
 	ID          string
 	Class       choice.Class
 	Deadline    time.Time
 	MaxAttempts int
-	// AlreadyOpen says that the connection was open at its server before the node ran: it goes back to that server
-	// alone, as often as it takes.
+	// AlreadyOpen means that the connection was open at its server before the node started. All attempts then go to
+	// that server, and their number is not limited.
 	AlreadyOpen bool
 }
 
-// Server is what is known of an attempt's server at the moment of a step.
+// Server holds what is known about an attempt's server at the time of a step.
 type Server struct {
 	ID            string
 	Zone          string
 	Cell          int
-	DrainingSince time.Time     // when the node learned that it drains or is gone; zero: it serves
-	Grace         time.Duration // for what is sent after that
-	// SlowStart counts what this node sent the server since its start; nil: the server is warm.
+	DrainingSince time.Time     // when the node learned that the server drains or is gone; zero: it serves
+	Grace         time.Duration // how long after DrainingSince attempts may still be sent
+	// SlowStart counts the calls of this node to the server since the server started; nil: the server is warm.
 	SlowStart *CallWindow
-	Budget    float64 // calls that all nodes together may send it now within SlowStart's window; without one: unused
+	Budget    float64 // calls that all nodes together may send within SlowStart's window; unused if that is nil
 }
 
-// Request is one request of a client, from when it was read until its connection has ended.
+// Request is one request of a client, from the time it is read until its connection ends.
 type Request struct {
 	RequestFacts
 	monitor  *Monitor
-	attempts int // begun so far
+	attempts int // number of attempts started so far
 
-	inFlight bool      // an attempt is
-	sentAt   time.Time // when its first byte went out; zero: it did not yet
-	sentTo   Server
+	inFlight bool      // an attempt is in flight
+	sentAt   time.Time // when the first byte of the attempt in flight was sent; zero: not yet
+	sentTo   Server    // server of the last attempt whose first byte was sent
 
-	mayHaveRun bool // an earlier attempt may have run, the first of them as follows
-	ranAt      Server
-	ranSince   time.Time
+	mayHaveRun     bool      // an earlier attempt may have run
+	firstRunServer Server    // server of the first of these attempts
+	firstRunSentAt time.Time // when the first byte of the first of these attempts was sent
 
-	answered   bool // it has its final answer
+	answered   bool // the request has its final answer
 	clientGone bool
-	open       bool // the connection is established
+	open       bool // the connection is open beyond its answer
 }
 
-// NewRequest begins to watch a request.
+// NewRequest returns a Request that the monitor checks from now on.
 func (m *Monitor) NewRequest(facts RequestFacts) *Request {
 	return &Request{RequestFacts: facts, monitor: m}
 }
 
-// Adopted begins to watch an open connection that another process has served until now.
+// Adopted returns a Request for an open connection that another process has served until now.
 func (m *Monitor) Adopted(facts RequestFacts) *Request {
 	return &Request{RequestFacts: facts, monitor: m, attempts: 1, answered: true, open: true}
 }
 
-// Start is called before an attempt is begun. Unless the rule is Holds it must not be.
+// Start must be called before an attempt starts. The attempt must not start unless the rule is Holds.
 func (r *Request) Start(server Server, now time.Time) Rule {
 	rule := r.attemptRule(server, now)
 	if rule == Holds && r.inFlight {
@@ -70,7 +70,7 @@
 	if rule == Holds && r.attempts >= r.MaxAttempts && !r.AlreadyOpen {
 		rule = TooManyAttempts
 	}
-	if r.check(r.stepOfAttempt(Start), rule, server.ID) != Holds {
+	if r.check(r.attemptStep(Start), rule, server.ID) != Holds {
 		return rule
 	}
 	r.attempts++
@@ -79,20 +79,21 @@
 	return Holds
 }
 
-// Send is called before the first byte of the attempt in flight. Unless the rule is Holds nothing must be written.
+// Send must be called before the first byte of the attempt in flight is sent. Nothing may be sent unless the rule is
+// Holds.
 func (r *Request) Send(server Server, now time.Time) Rule {
 	rule := r.attemptRule(server, now)
 	if rule == Holds && server.SlowStart != nil && !server.SlowStart.allow(server.Budget, now) {
 		rule = SlowStart
 	}
-	if r.check(r.stepOfAttempt(Send), rule, server.ID) == Holds {
+	if r.check(r.attemptStep(Send), rule, server.ID) == Holds {
 		r.sentAt = now
 		r.sentTo = server
 	}
 	return rule
 }
 
-// attemptRule is the rule that forbids an attempt at whatever stage.
+// attemptRule returns the rule that forbids an attempt at any stage, or Holds.
 func (r *Request) attemptRule(server Server, now time.Time) Rule {
 	switch {
 	case r.clientGone:
@@ -109,50 +110,51 @@
 	return Holds
 }
 
-// mayRetry reports whether the class allows an attempt at a server after an earlier one may have run.
+// mayRetry reports whether the class allows an attempt at a server after an earlier attempt may have run.
 func (r *Request) mayRetry(server Server, now time.Time) bool {
 	switch r.Class.Idempotency {
 	case choice.Idempotent:
 		return true
 	case choice.IdempotentByKey:
-		return now.Sub(r.ranSince) <= r.Class.IdempotencyWindow && r.inScope(server)
+		return now.Sub(r.firstRunSentAt) <= r.Class.IdempotencyWindow && r.inScope(server)
 	default: // choice.NotIdempotent
 		return false
 	}
 }
 
-// inScope reports whether a server shares the idempotency keys of the one where an attempt may have run.
+// inScope reports whether a server shares the idempotency keys of the server where the first attempt may have run.
 func (r *Request) inScope(server Server) bool {
 	switch r.Class.IdempotencyScope {
 	case choice.ScopeZone:
-		return server.Zone == r.ranAt.Zone
+		return server.Zone == r.firstRunServer.Zone
 	case choice.ScopeCell:
-		return server.Zone == r.ranAt.Zone && server.Cell == r.ranAt.Cell
+		return server.Zone == r.firstRunServer.Zone && server.Cell == r.firstRunServer.Cell
 	default: // choice.ScopeAll
 		return true
 	}
 }
 
-// stepOfAttempt is the step of an attempt, or Repeat where it is not the request's first.
-func (r *Request) stepOfAttempt(step Step) Step {
+// attemptStep returns step, or Repeat if the attempt is not the request's first.
+func (r *Request) attemptStep(step Step) Step {
 	if step == Start && r.attempts > 0 || step == Send && r.attempts > 1 {
 		return Repeat
 	}
 	return step
 }
 
-// Ended says that the attempt in flight has ended; ran says that it may have run.
+// Ended records that the attempt in flight has ended. ran means that the attempt may have run at its server.
 func (r *Request) Ended(ran bool) {
 	if ran && !r.mayHaveRun && !r.sentAt.IsZero() {
 		r.mayHaveRun = true
-		r.ranAt = r.sentTo
-		r.ranSince = r.sentAt
+		r.firstRunServer = r.sentTo
+		r.firstRunSentAt = r.sentAt
 	}
 	r.inFlight = false
 }
 
-// Answer is called before the node's own final answer. harmless says that the answer promises that a retry does no
-// harm. An UnsafeRejection must become a failure; after a SecondAnswer nothing may be said.
+// Answer must be called before the node sends its own final answer. harmless means that the answer promises that a
+// retry does no harm. If the rule is UnsafeRejection, the node must answer with a failure instead. If the rule is
+// SecondAnswer, the node must not answer at all.
 func (r *Request) Answer(harmless bool, now time.Time) Rule {
 	rule := Holds
 	switch {
@@ -160,30 +162,30 @@
 		rule = SecondAnswer
 	case harmless && !r.mayReject():
 		rule = UnsafeRejection
-	case r.late(now):
+	case r.isLate(now):
 		rule = LateAnswer
 	}
 	r.answered = true
 	return r.check(Close, rule, "")
 }
 
-// mayReject reports whether a retry elsewhere is harmless: an attempt in flight may run yet.
+// mayReject reports whether a retry elsewhere would be harmless. An attempt in flight may still run at its server.
 func (r *Request) mayReject() bool {
-	mayRunYet := r.inFlight && !r.sentAt.IsZero()
-	if !r.mayHaveRun && !mayRunYet {
+	mayStillRun := r.inFlight && !r.sentAt.IsZero()
+	if !r.mayHaveRun && !mayStillRun {
 		return true
 	}
 	return r.Class.Idempotency == choice.Idempotent ||
 		r.Class.Idempotency == choice.IdempotentByKey && r.Class.IdempotencyScope == choice.ScopeAll
 }
 
-// Served says that a server's own answer is passed on; open, that the connection stays open.
+// Served must be called when a server's own answer is forwarded. open means that the connection stays open.
 func (r *Request) Served(open bool, now time.Time) Rule {
 	rule := Holds
 	switch {
 	case r.answered || r.clientGone:
 		rule = SecondAnswer
-	case !r.AlreadyOpen && r.late(now):
+	case !r.AlreadyOpen && r.isLate(now):
 		rule = LateAnswer
 	}
 	r.answered = true
@@ -191,25 +193,26 @@
 	return r.check(Close, rule, r.sentTo.ID)
 }
 
-// late reports whether it is too late for the final answer.
-func (r *Request) late(now time.Time) bool { return now.After(r.Deadline.Add(AnswerSlack)) }
+// isLate reports whether it is too late for the final answer.
+func (r *Request) isLate(now time.Time) bool { return now.After(r.Deadline.Add(AnswerSlack)) }
 
-// Gone says that the client has left by itself, or broke the protocol.
+// Gone records that the client has left by itself, or broke the protocol.
 func (r *Request) Gone() { r.clientGone = true }
 
-// Ending says who ends a client's connection.
+// Ending identifies who ends a client's connection.
 type Ending uint8
 
 const (
-	// ByClient says that the client has ended it, or broke the protocol.
+	// ByClient means that the client ended it, or broke the protocol.
 	ByClient Ending = iota
-	// ByServer says that its server has.
+	// ByServer means that the server ended it.
 	ByServer
-	// ByNode says that the node does, after a last message of its own: an answer, or the request to reconnect.
+	// ByNode means that the node ends it, after a last message of its own. The message is an answer or a request to
+	// reconnect.
 	ByNode
 )
 
-// Close is called when the client's connection ends; migrated says that the client was asked to reconnect.
+// Close must be called when the client's connection ends. migrated means that the node asked the client to reconnect.
 func (r *Request) Close(by Ending, migrated bool) Rule {
 	rule := Holds
 	switch {
@@ -223,7 +226,7 @@
 	return r.check(Close, rule, r.sentTo.ID)
 }
 
-// check has the monitor count a step of the request.
+// check lets the monitor count a step of the request.
 func (r *Request) check(step Step, rule Rule, server string) Rule {
 	return r.monitor.check(Violation{Rule: rule, Step: step, Request: r.ID, Server: server})
 }
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -1,38 +1,39 @@
 package invariant
 
-// Rule is a promise that a step can break.
+// Rule is a promise to clients and servers that a step can break.
 type Rule uint8
 
 const (
-	// Holds says that a step breaks no rule.
+	// Holds means that a step breaks no rule.
 	Holds Rule = iota
-	// SecondAnswer is another final answer, or an attempt, for a request that has its final answer.
+	// SecondAnswer forbids another final answer or an attempt for a request that already has its final answer.
 	SecondAnswer
-	// Unanswered is a request that was read and whose connection the node closes without an answer.
+	// Unanswered forbids ending the connection of a request without an answer once the request was read, unless the
+	// client ends it.
 	Unanswered
-	// LateAnswer is a final answer later than AnswerSlack after the request's deadline.
+	// LateAnswer forbids a final answer that comes more than AnswerSlack after the request's deadline.
 	LateAnswer
-	// TooManyAttempts is an attempt beyond the number that the settings allow.
+	// TooManyAttempts forbids an attempt beyond the number that the settings allow.
 	TooManyAttempts
-	// ConcurrentAttempt is an attempt while an earlier one of the request is in flight.
+	// ConcurrentAttempt forbids an attempt while an earlier attempt of the request is in flight.
 	ConcurrentAttempt
-	// UnsafeRetry is an attempt that may repeat an effect outside of what the class allows.
+	// UnsafeRetry forbids an attempt that may repeat an effect in a way that the class does not allow.
 	UnsafeRetry
-	// UnsafeRejection promises that a retry is harmless when it is not.
+	// UnsafeRejection forbids an answer that promises that a retry is harmless when it is not.
 	UnsafeRejection
-	// ClientGone is an attempt for a client that has left.
+	// ClientGone forbids an attempt for a client that has left.
 	ClientGone
-	// ServerDraining is an attempt at a server whose grace after it began to drain is over.
+	// ServerDraining forbids an attempt at a server after the grace period since it began to drain.
 	ServerDraining
-	// SlowStart is more for a server in slow start than the budget of all nodes together.
+	// SlowStart forbids more calls to a server in slow start than the budget of all nodes together.
 	SlowStart
-	// ClosedWithoutMigration is an open connection that the node ends without asking its client to reconnect.
+	// ClosedWithoutMigration forbids that the node ends an open connection without asking its client to reconnect.
 	ClosedWithoutMigration
 
 	ruleCount
 )
 
-// ruleNames are the names in logs and figures, which operators' tools know.
+// ruleNames holds the names in logs and metrics, which operators' tools depend on.
 var ruleNames = [ruleCount]string{
 	Holds:                  "kept",
 	SecondAnswer:           "second_answer",
@@ -48,18 +49,18 @@
 	ClosedWithoutMigration: "cut_off",
 }
 
-// String is the rule's name in logs and figures.
+// String returns the rule's name in logs and metrics.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Step is a moment at which the monitor is called.
+// Step is a point at which the program calls the monitor.
 type Step uint8
 
 const (
-	// Start is the beginning of an attempt: its server is to be dialled.
+	// Start is the start of an attempt, before its server is dialled.
 	Start Step = iota
 	// Send is the first byte of an attempt.
 	Send
-	// Repeat is a Start or Send of an attempt that is not the request's first.
+	// Repeat is the Start or Send of an attempt that is not the request's first.
 	Repeat
 	// Close is a final answer, or the end of a client's connection.
 	Close
@@ -69,5 +70,5 @@
 
 var stepNames = [stepCount]string{Start: "start", Send: "send", Repeat: "repeat", Close: "close"}
 
-// String is the step's name in logs and figures.
+// String returns the step's name in logs and metrics.
 func (s Step) String() string { return stepNames[s] }
--- a/internal/invariant/slow_start.go
+++ b/internal/invariant/slow_start.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Chance may bring a server more calls than were meant for it. The slack for it, in standard deviations and in calls,
-// is wider for a small budget.
+// A server may by chance get more calls than its budget. The slack for this is used both as a number of standard
+// deviations and as a number of calls. It is wider for a small budget.
 const (
 	smallBudget      = 30 // calls
 	smallBudgetSlack = 3
 	largeBudgetSlack = 2
 )
 
-// CallWindow counts what one node sent a server since its start. One node alone must never send what all nodes together
-// may.
+// CallWindow counts the calls of one node to a server since the server started. One node alone must not send more calls
+// than the budget allows to all nodes together.
 type CallWindow struct {
-	Window time.Duration // of the budget
-	calls  []call        // within Window, oldest first
+	Window time.Duration // period that the budget covers
+	calls  []call        // calls within Window, oldest first
 }
 
 type call struct {
 	at     time.Time
-	budget float64 // as it was then: it grows as the server warms up, and is learned
+	budget float64 // at the time of the call; the budget is learned and grows as the server warms up
 }
 
-// MaxSlowStartCalls is the number of calls that a server in slow start may get within one window: its budget, and a
-// slack for chance.
+// MaxSlowStartCalls returns the number of calls that a server in slow start may get within one window. It is the budget
+// plus a slack for random variation.
 func MaxSlowStartCalls(budget float64) float64 {
 	slack := float64(largeBudgetSlack)
 	if budget < smallBudget {
@@ -35,7 +35,8 @@
 	return budget + slack*math.Sqrt(budget) + slack
 }
 
-// allow counts one more call, unless that would be more than the largest budget of the window allows.
+// allow counts one more call, unless there would then be more calls than the largest budget in the window allows. It
+// reports whether it counted the call.
 func (w *CallWindow) allow(budget float64, now time.Time) bool {
 	for len(w.calls) > 0 && now.Sub(w.calls[0].at) > w.Window {
 		w.calls = w.calls[1:]
