--- a/internal/trace/doc.go
+++ b/internal/trace/doc.go
@@ -1,7 +1,7 @@
-// Package trace records what becomes of requests: each change of state in the log with the request's id (level
-// debug), and how often connections were closed, attempts retried and requests answered by the node itself, by
-// reason.
+// Package trace records the progress of requests. It logs each change of a request's state at level debug, with the
+// request's id. It counts by reason how often connections were closed, attempts were retried, and the node itself
+// answered a request.
 //
-// Package edge and the fronts call the one Recorder of a process; the node owns it and serves its counts. The package
-// writes to the process's log and does no other I/O. A Recorder belongs to one goroutine.
+// Package edge and the front ends call the only Recorder of a process. The node owns the Recorder and serves its
+// counts. The package writes to the process's log and does no other I/O. A Recorder must be used by only one goroutine.
 package trace
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -9,16 +9,16 @@
 	"spurwinch/choice"
 )
 
-// TestGoldenReasons counts each reason a number of times of its own: their kinds, names, order and counts are those
-// of the golden file.
+// TestGoldenReasons gives each reason a different count. It checks that their kinds, names, order and counts match the
+// golden file.
 func TestGoldenReasons(t *testing.T) {
 	var recorder Recorder
-	for i, why := range []Close{
+	for i, reason := range []Close{
 		ClientEnded, ClientReset, ClientBrokeProtocol, ClientTimedOut, ClientEvicted, ServerEnded, ServerReset,
 		ServerServed, NodeAnswered, NodeStopping, NodeMigratedClient, Transferred,
 	} {
 		for range 1 + i {
-			recorder.Closed("request", why)
+			recorder.Closed("request", reason)
 		}
 	}
 	for i, outcome := range []choice.Outcome{choice.TimedOut, choice.Reset} {
@@ -26,12 +26,12 @@
 			recorder.Retried("request", outcome)
 		}
 	}
-	for i, why := range []Reason{
+	for i, reason := range []Reason{
 		Stopping, NoFileDescriptor, NoPolicy, IDInUse, ServerLost, PastDeadline, Unreachable,
 		LostByBalancer, UnsafeToReject,
 	} {
 		for range 31 + i {
-			recorder.Answered("request", i%2 == 0, why)
+			recorder.Answered("request", i%2 == 0, reason)
 		}
 	}
 	var got strings.Builder
@@ -41,6 +41,6 @@
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("the reasons are told as\n%s\nwant\n%s", got.String(), want)
+		t.Errorf("Each: got\n%s\nwant\n%s", got.String(), want)
 	}
 }
