--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -112,8 +112,8 @@
 // Voter returns a node's index among the voters, or -1 if it is not a voter.
 func (l *List) Voter(i int) int { return slices.Index(l.voters, i) }
 
-// Key returns a hash of the names of two nodes, for rendezvous hashing. All nodes get the same order of the other nodes
-// for a given node a, and that order differs between nodes a.
+// Key returns a hash of the names of two nodes, for rendezvous hashing. It gives each node an order of the other nodes.
+// All nodes compute the same order for a node, and the order differs from node to node.
 func (l *List) Key(a, b int) uint64 {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(l.nodes[a].Name)))
--- a/internal/policy/canary.go
+++ b/internal/policy/canary.go
@@ -15,7 +15,7 @@
 	Zone               string   `json:"Zone"`    // selects all nodes of a zone; empty: OneIn
 	OneIn              int      `json:"OneIn"`   // selects the nodes whose list number is a multiple of it; 0: Zone
 	Seconds            float64  `json:"Seconds"` // length of the observation
-	MaxExtraRejections float64  `json:"Worse"`   // how much more of the requests it may reject than the others, 0 to 1
+	MaxExtraRejections float64  `json:"Worse"`   // by how much its rejected fraction may exceed the others'
 }
 
 // Bounds of a canary.
--- a/internal/policy/change.go
+++ b/internal/policy/change.go
@@ -64,8 +64,8 @@
 func (s *State) abortFor(reason abortReason) *State { return s.Abort(reason.String()) }
 
 // Commit puts the change in progress into force. base is the base policy of its document. oldestKnown is the oldest
-// number that a listed member may still have. Commit drops the base policies that had been replaced by then, because no
-// member uses them any longer.
+// number that a listed member may still have. Commit drops the base policies that were replaced up to that number,
+// because no member can still use them.
 func (s *State) Commit(base BasePolicy, oldestKnown uint64) *State {
 	next := s.endChange(true, reasonAccepted)
 	next.Number = s.Change.Number
--- a/internal/policy/lease.go
+++ b/internal/policy/lease.go
@@ -8,14 +8,14 @@
 	AnswerTimeout time.Duration // longest time that a live member may take to acknowledge a change
 }
 
-// clockDrift is the fraction by which a machine's clock may run fast or slow.
+// clockDrift is the largest fraction by which the clock of one machine may run fast or slow.
 const clockDrift = 0.01
 
 // Lease returns how long a node may serve by a leader's notice, counted from a moment at which that leader was
 // certainly the leader.
 func (r Rules) Lease(notice LeaderNotice) time.Duration {
 	window := min(r.Window, time.Duration(notice.Window)*time.Millisecond)
-	return time.Duration(float64(window) * (1 - 2*clockDrift)) // either of the two clocks may drift
+	return time.Duration(float64(window) * (1 - 2*clockDrift)) // each of the two clocks may drift
 }
 
 // LeaderNotice is the summary of the policy in the leader's newest message.
@@ -24,7 +24,7 @@
 	Entry   uint64   // newest entry of the log that carries a State
 	InForce uint64   // number in force according to that entry
 	OnTrial uint64   // number that the canary serves by; 0: no canary
-	Window  uint32   // of the leader's Rules, in milliseconds; a node whose own window is shorter uses its own
+	Window  uint32   // of the leader's Rules, in milliseconds; if lists of nodes differ, the shorter one counts
 }
 
 // NoticeOf returns the notice for a state and the log entry that carries it. The caller sets the window.
