--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -2,7 +2,7 @@
 
 import "os"
 
-// disk has the calls of a Store that change what is on a disk. Tests replace it by one on which calls fail.
+// disk is the set of calls by which a Store changes the disk. Tests replace it with an implementation whose calls fail.
 type disk interface {
 	WriteAt(file *os.File, data []byte, offset int64) error
 	Sync(file *os.File) error
@@ -10,7 +10,7 @@
 	SyncDir(dir string) error
 }
 
-// osDisk is the disk of the operating system.
+// osDisk implements disk with the calls of the operating system.
 type osDisk struct{}
 
 func (osDisk) WriteAt(file *os.File, data []byte, offset int64) error {
@@ -27,6 +27,6 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dir.Close() }() // only read
+	defer func() { _ = dir.Close() }() // opened for Sync only, nothing is written through it
 	return dir.Sync()
 }
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -1,17 +1,17 @@
-// Package consensus is the replicated log of a fleet: a sequence of numbered entries that a few replicas decide by
-// consensus and that every other node follows. It does not know what the entries carry.
+// Package consensus contains the replicated log of a fleet. The log is a sequence of numbered entries: a few replicas
+// commit them by consensus, and every other node follows the log. The package does not interpret the data of entries.
 //
-// The replicas run Raft (Ongaro and Ousterhout, In Search of an Understandable Consensus Algorithm, 2014); their
-// state machine is in the package below this one. This package has what replicas and followers share:
+// The replicas run Raft (Ongaro and Ousterhout, In Search of an Understandable Consensus Algorithm, 2014). Package
+// replica, in a subdirectory, contains the Raft replica. This package contains what replicas and followers share:
 //
-//   - Entry, Proposal and ProposalResult, the values that are decided;
-//   - State, the replicated state machine that each replica applies the log to;
-//   - Follower, the newest entries as a node that is not a replica knows them;
-//   - Record and Message, what a replica hands out to be persisted and sent;
-//   - Store, the file that records are persisted in.
+//   - Entry, Proposal and ProposalResult are the values that the log decides.
+//   - State is the replicated state machine to which each replica applies the log.
+//   - Follower stores the newest entries that a node without a replica has received.
+//   - Record is what a replica returns to be persisted, Message what it returns to be sent.
+//   - Store is the file in which records are persisted.
 //
-// The agent of the failover package calls all of this from one goroutine and owns the Follower; the node package owns
-// the Store and calls it from the goroutine that persists records. Everything but Store is free of I/O, clocks and
-// goroutines: a call takes what has happened and returns what is to be done, so that each fault can be tested in
-// memory.
+// The agent of the failover package owns the Follower and calls this package from one goroutine, except for the Store:
+// the node package owns it and calls it from the goroutine that persists records. Everything but Store is free of I/O,
+// clocks and goroutines. Each call takes an event and returns the actions that follow from it, so that tests can inject
+// each fault in memory.
 package consensus
--- a/internal/consensus/encoding.go
+++ b/internal/consensus/encoding.go
@@ -3,13 +3,14 @@
 import "github.com/fxamacker/cbor/v2"
 
 var (
-	// Canonical: replicas compare and digest encoded values, so equal values must have equal bytes on all of them.
+	// The encoding is canonical because replicas compare and hash encoded values: equal values must have equal bytes on
+	// all replicas.
 	encoding = must(cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode())
-	// The limits bound what a message of another node may make this one allocate.
+	// The limits bound how much memory a message from another node can make this node allocate.
 	decoding = must(cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 4096, MaxMapPairs: 256}.DecMode())
 )
 
-// must is for calls that fail at each start of the program or at none.
+// must panics on an error. It is for calls that fail either at every start of the program or never.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
@@ -17,9 +18,9 @@
 	return value
 }
 
-// Encode gives the form in which values are persisted and sent: CBOR, the same bytes for the same value on all nodes.
-// It panics on a type that CBOR cannot express.
+// Encode encodes a value as CBOR, the form in which values are persisted and sent. Equal values have the same bytes on
+// all nodes. It panics on a type that CBOR cannot express.
 func Encode(value any) []byte { return must(encoding.Marshal(value)) }
 
-// Unmarshal decodes what Encode made into the value that is pointed to.
+// Unmarshal decodes the output of Encode into the value that the second argument points to.
 func Unmarshal(encoded []byte, value any) error { return decoding.Unmarshal(encoded, value) }
--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// TickInterval is the time between two calls of a replica's Tick.
+	// TickInterval is the time between two calls of Replica.Tick.
 	TickInterval = 50 * time.Millisecond
-	// MaxReplicas bounds the replicas of a log.
+	// MaxReplicas is the maximum number of replicas of a log.
 	MaxReplicas = 7
-	// MaxData bounds an entry's data, in bytes.
+	// MaxData is the maximum size of an entry's data, in bytes.
 	MaxData = 256 << 10
-	// MaxKinds bounds how many kinds of entries a log has.
+	// MaxKinds is the maximum number of kinds of entries in a log.
 	MaxKinds = 16
 
 	maxProposalID = 64 // bytes
 )
 
-// Kind is what an entry is used for. A log has one newest entry of each kind.
+// Kind identifies the purpose of an entry. The newest entry of a kind replaces the earlier entries of that kind.
 type Kind uint8
 
-// Entry is one decided entry.
+// Entry is one committed entry of the log whose proposal was accepted.
 type Entry struct {
 	_     struct{} `cbor:",toarray"`
-	Index uint64   // index in the log, from 1; 0: there is no entry of this kind yet
+	Index uint64   // index in the log, starting at 1; 0 means that the log has no entry of this kind yet
 	Kind  Kind
-	ID    string // of the proposal
+	ID    string // ID of the proposal
 	Data  []byte
 }
 
-// Digest is a hash of all that an entry has. Nodes compare it to find two contents of one index.
+// Digest is a hash of the whole entry. Nodes compare digests to detect that one index has two different contents.
 func (e Entry) Digest() uint64 {
 	var fixed [17]byte
 	binary.BigEndian.PutUint64(fixed[:8], e.Index)
@@ -48,33 +48,35 @@
 
 // Proposal is a proposed entry of the log.
 type Proposal struct {
-	_        struct{} `cbor:",toarray"`
-	ID       string   // idempotency key, unique in the log: proposing an id a second time changes nothing
-	Kind     Kind
-	Replaces uint64 // index of the newest entry of the kind; the proposal is rejected where another one is the newest
+	_    struct{} `cbor:",toarray"`
+	ID   string   // idempotency key, unique in the log: a second proposal with the same ID has no effect
+	Kind Kind
+	// Replaces is the index of the newest entry of the kind, or 0 if there is none. The proposal is rejected if another
+	// entry is the newest one by then.
+	Replaces uint64
 	Data     []byte
 }
 
-// Check returns an ErrInvalidProposal for a proposal that every log rejects.
+// Check returns an ErrInvalidProposal if the proposal is malformed, so that every log would reject it.
 func (p Proposal) Check() error {
 	switch {
 	case p.ID == "" || len(p.ID) > maxProposalID:
-		return fmt.Errorf("%w: an id of %d bytes, 1 to %d are possible", ErrInvalidProposal, len(p.ID), maxProposalID)
+		return fmt.Errorf("%w: the id has %d bytes, must have 1 to %d", ErrInvalidProposal, len(p.ID), maxProposalID)
 	case p.Kind == 0:
-		return fmt.Errorf("%w: kind 0", ErrInvalidProposal)
+		return fmt.Errorf("%w: kind must not be 0", ErrInvalidProposal)
 	case len(p.Data) > MaxData:
-		return fmt.Errorf("%w: %d bytes of data, at most %d are possible", ErrInvalidProposal, len(p.Data), MaxData)
+		return fmt.Errorf("%w: %d bytes of data, must have at most %d", ErrInvalidProposal, len(p.Data), MaxData)
 	}
 	return nil
 }
 
-// ProposalResult is how a proposal ended.
+// ProposalResult is the outcome of a proposal that the log has committed.
 type ProposalResult struct {
 	_     struct{} `cbor:",toarray"`
 	ID    string
 	Kind  Kind
 	Index uint64 // index in the log
-	// Accepted says that the entry was decided. Other proposals were rejected: they replaced another entry than the
-	// newest, or the log has as many kinds as it may have.
+	// Accepted is true if the proposal became the newest entry of its kind. A proposal is rejected if its Replaces is
+	// not the index of the newest entry, or if it has a new kind and the log already has MaxKinds kinds.
 	Accepted bool
 }
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -6,23 +6,24 @@
 )
 
 var (
-	// ErrNotLeader says that this replica does not lead: the caller has to ask another one, or to wait for an election.
-	// Operators' commands, also of older versions, know the error by the end of its text.
+	// ErrNotLeader means that this replica is not the leader. The caller must ask another replica or wait for an
+	// election. Operators' commands, including those of older versions, recognize the error by the end of its text.
 	ErrNotLeader = errors.New("this replica does not lead")
-	// ErrInvalidProposal says that every log rejects a proposal of this form; proposing it again changes nothing.
+	// ErrInvalidProposal means that the proposal is malformed. Every log rejects it, so a retry does not help.
 	ErrInvalidProposal = errors.New("invalid proposal")
-	// ErrInvalidEntry says that an entry is of a form that no log has.
+	// ErrInvalidEntry means that an entry is malformed: no log can contain it.
 	ErrInvalidEntry = errors.New("invalid entry")
-	// ErrForeignLog says that something belongs to another log than the one that this node follows: to that of another
-	// fleet, or to an earlier one of this fleet.
+	// ErrForeignLog means that an entry or digest does not belong to the log that this node follows, but to the log of
+	// another fleet or to an earlier log of this fleet.
 	ErrForeignLog = errors.New("entry of another log")
-	// ErrConflict says that two contents were given for one index of a log, which consensus rules out.
-	ErrConflict = errors.New("conflicting contents of one index")
-	// ErrCorrupt says that a store's file no longer has what was persisted in it. See CorruptError.
+	// ErrConflict means that one index of a log has two different contents. Correct replicas never cause this.
+	ErrConflict = errors.New("conflicting contents at one index")
+	// ErrCorrupt means that the file of a store no longer contains everything that was persisted in it. See
+	// CorruptError.
 	ErrCorrupt = errors.New("the store is corrupt")
-	// ErrLocked says that another process has the store open.
+	// ErrLocked means that another process has opened the store.
 	ErrLocked = errors.New("the store is in use by another process")
-	// ErrStoreFull says that a store's file would become larger than a store may be.
+	// ErrStoreFull means that the file of a store would exceed its maximum size.
 	ErrStoreFull = errors.New("the store is full")
 
 	errBadHeader     = errors.New("bad header")
@@ -31,27 +32,27 @@
 	errBadChecksum   = errors.New("bad checksum")
 )
 
-// CorruptError is an ErrCorrupt with its place.
+// CorruptError is an ErrCorrupt that names the file, the offset and the cause.
 type CorruptError struct {
-	Path   string // of the file, before it was set aside
-	Offset int64  // of the record that cannot be read, in bytes from the beginning of the file; 0: the header
-	Err    error  // what is wrong there
+	Path   string // path of the corrupt file before it was renamed
+	Offset int64  // offset of the unreadable record in the file, in bytes; 0 means the header
+	Err    error  // cause
 }
 
-// Error names the place and the fault.
+// Error returns a text with the file, the offset and the cause.
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("%v: %s: byte %d: %v", ErrCorrupt, e.Path, e.Offset, e.Err)
+	return fmt.Sprintf("%v: %s at byte %d: %v", ErrCorrupt, e.Path, e.Offset, e.Err)
 }
 
-// Unwrap makes the error an ErrCorrupt and gives the fault.
+// Unwrap returns ErrCorrupt and the cause.
 func (e *CorruptError) Unwrap() []error { return []error{ErrCorrupt, e.Err} }
 
-// foreignLog is the error for something of a log that is not followed.
+// foreignLog returns an ErrForeignLog for an entry or digest of log got on a node that follows another log.
 func foreignLog(got, followed uint64) error {
-	return fmt.Errorf("%w: %016x, this node follows %016x", ErrForeignLog, got, followed)
+	return fmt.Errorf("%w: got log %016x, this node follows %016x", ErrForeignLog, got, followed)
 }
 
-// conflict is the error for a second content of an index. The digests are those of the two contents.
-func conflict(index, got, known uint64) error {
-	return fmt.Errorf("%w: index %d has digest %016x, here %016x", ErrConflict, index, got, known)
+// conflict returns an ErrConflict for an index that has two contents. gotDigest and ownDigest are their digests.
+func conflict(index, gotDigest, ownDigest uint64) error {
+	return fmt.Errorf("%w: index %d: got digest %016x, this node has %016x", ErrConflict, index, gotDigest, ownDigest)
 }
--- a/internal/consensus/lock.go
+++ b/internal/consensus/lock.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// lockFile guards against two processes that run a replica on one disk: they would give one index two contents. The
-// lock ends with the file's descriptor.
+// lockFile locks the file so that two processes cannot run a replica on the same disk: they would give one index of the
+// log two contents. The lock is released when the file descriptor is closed.
 func lockFile(file *os.File) error {
 	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return fmt.Errorf("lock %s: %w: %w", file.Name(), ErrLocked, err)
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -1,25 +1,25 @@
 package consensus
 
-// Record is what must be persisted before any message that follows from it is sent. Where two records of a store have a
-// value of the same thing, the later one counts. The bytes of Raft are in its protobuf form.
+// Record is a set of changes that must be persisted before any message that depends on them is sent. If several records
+// of a store set the same field, the latest one applies. Raft's values are encoded in protobuf.
 type Record struct {
 	_           struct{} `cbor:",toarray"`
-	Incarnation uint64   // drawn with the first record of a disk: a replica that lost its disk is another replica
-	LogID       uint64   // identity of the log; 0: as before
-	HardState   []byte   // raftpb.HardState: term, vote and commit index; none: as before
-	Entries     [][]byte // raftpb.Entry
-	Snapshot    []byte   // raftpb.Snapshot; nothing before it is needed any more
-	Newest      []Entry  // what a follower acts on; none: as before
+	Incarnation uint64   // random; set in a disk's first record, so a replica that lost its disk gets a new one
+	LogID       uint64   // identity of the log; 0 means unchanged
+	HardState   []byte   // raftpb.HardState: term, vote and commit index; empty means unchanged
+	Entries     [][]byte // each is a raftpb.Entry
+	Snapshot    []byte   // raftpb.Snapshot; log entries before it are no longer needed
+	Newest      []Entry  // newest entries that a follower knows; empty means unchanged
 }
 
-// Empty says that a record has nothing to persist.
+// Empty reports whether a record has nothing to persist.
 func (r Record) Empty() bool {
 	return r.Incarnation == 0 && len(r.HardState) == 0 && len(r.Entries) == 0 &&
 		len(r.Snapshot) == 0 && len(r.Newest) == 0
 }
 
-// Message is for another replica.
+// Message is a message to another replica.
 type Message struct {
-	To   int // its number among the replicas
+	To   int // number of the receiving replica, from 0
 	Data []byte
 }
--- a/internal/consensus/store_format.go
+++ b/internal/consensus/store_format.go
@@ -8,40 +8,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A store's file is a header, records, each with a checksum, and zeros up to the size that the header names:
+// The file of a store consists of a header, records that each have a checksum, and zeros up to the size in the header:
 //
-//	header  8 bytes magic, 8 size of the file, 8 checksum of both
-//	record  4 bytes length of the body, 8 checksum of length and body, body (CBOR), 1 byte end mark
+//	header  8 bytes magic, 8 bytes size of the file, 8 bytes checksum of both
+//	record  4 bytes length of the body, 8 bytes checksum of length and body, body (CBOR), 1 byte end mark
 //
-// Numbers are big-endian, checksums xxHash64. The file has its whole size from the beginning, so that one that was cut
-// short is recognized: the records that are missing at its end were acknowledged to other replicas. A record whose end
-// mark is zero, with nothing but zeros behind it, was never complete: the machine stopped while it was written, so
-// nothing that follows from it was sent. Any other fault means that something is lost that was persisted.
+// Numbers are big-endian, and checksums are xxHash64. The file has its full size from the start, so that a truncated
+// file is detected. This matters because the replica has already acknowledged the records that are missing at its end
+// to other replicas. If the end mark of a record is zero and only zeros follow, the record is incomplete: the machine
+// stopped during the write, so no message that depends on the record was sent. Any other fault means that persisted
+// data is lost.
 //
-// A page store (bbolt) was tried first: it maps its file and ends with the process when that is cut short, and has
-// checksums for its roots only.
+// A page store (bbolt) was tried first. It maps its file into memory and crashes the process when the file is
+// truncated, and it has checksums for its root pages only.
 const (
 	magic = "spwlog1\n"
 
 	headerSize       = 24 // bytes
-	headerSizeAt     = 8  // where the header has the file's size
+	headerSizeAt     = 8  // offset of the file size in the header
 	headerChecksumAt = 16
 
-	frameSize       = 13 // bytes of a record besides its body
+	frameSize       = 13 // bytes of a record in addition to its body
 	frameChecksumAt = 4
 	frameBodyAt     = 12
 	endMark         = 0xed
 
-	sizeStep    = 1 << 20 // bytes; files grow in whole steps
-	maxFileSize = 64 << 20
+	sizeStep    = 1 << 20  // bytes; the size of a file is a multiple of this
+	maxFileSize = 64 << 20 // bytes
 )
 
-// fileSizeFor is the size of a file that has to have at least some bytes, with half a step or more to grow into.
-func fileSizeFor(atLeast int64) int64 {
-	return (atLeast + sizeStep/2 + sizeStep - 1) / sizeStep * sizeStep
+// fileSizeFor returns the size of a file that must have at least minSize bytes. It leaves at least half a sizeStep for
+// later records.
+func fileSizeFor(minSize int64) int64 {
+	return (minSize + sizeStep/2 + sizeStep - 1) / sizeStep * sizeStep
 }
 
-// encodeFile returns the complete contents of a file of some size with records that are encoded already.
+// encodeFile returns the complete contents of a file of the given size. records are already encoded.
 func encodeFile(records []byte, size int64) []byte {
 	file := make([]byte, 0, size)
 	file = append(file, magic...)
@@ -51,7 +53,7 @@
 	return file[:size]
 }
 
-// encodeRecord gives a record with its frame.
+// encodeRecord encodes a record with its frame.
 func encodeRecord(record Record) []byte {
 	body := Encode(record)
 	encoded := make([]byte, 0, len(body)+frameSize)
@@ -68,8 +70,8 @@
 	return hash.Sum64()
 }
 
-// decodeFile gives the records of a whole file and the offset behind the last one. Of a file that does not have what
-// was persisted in it, offset is the place of the fault.
+// decodeFile returns the records of a whole file and the offset of the end of the last one. If the file is corrupt, it
+// returns an error, and offset is the position of the fault.
 func decodeFile(file []byte) (records []Record, offset int64, err error) {
 	if err := checkHeader(file); err != nil {
 		return nil, 0, err
@@ -94,13 +96,13 @@
 		return errBadHeader
 	}
 	if size := binary.BigEndian.Uint64(file[headerSizeAt:]); size != uint64(len(file)) {
-		return fmt.Errorf("%w: %d bytes of %d", errTruncated, len(file), size)
+		return fmt.Errorf("%w: got %d bytes, want %d", errTruncated, len(file), size)
 	}
 	return nil
 }
 
-// decodeRecord gives the record at the beginning of what is left of a file, and its size with its frame. The size is
-// 0 where no record follows, or one that was never complete.
+// decodeRecord decodes the record at the start of rest, the remaining bytes of a file, and returns its size including
+// the frame. The size is 0 if no record follows or if the record is incomplete.
 func decodeRecord(rest []byte) (record Record, size int64, err error) {
 	if len(rest) < frameSize || allZero(rest[:frameSize]) {
 		if !allZero(rest) {
@@ -109,9 +111,9 @@
 		return record, 0, nil
 	}
 	bodySize := int64(binary.BigEndian.Uint32(rest))
-	end := frameBodyAt + bodySize // of the body: there is the end mark
+	end := frameBodyAt + bodySize // end of the body, which is the offset of the end mark
 	if end >= int64(len(rest)) {
-		return record, 0, errBadChecksum // its length is wrong
+		return record, 0, errBadChecksum // the length is wrong
 	}
 	body := rest[frameBodyAt:end]
 	checksum := binary.BigEndian.Uint64(rest[frameChecksumAt:])
@@ -129,7 +131,7 @@
 
 func allZero(data []byte) bool { return usedSize(data) == 0 }
 
-// usedSize is the number of bytes up to the last one that is not zero.
+// usedSize returns the number of bytes up to and including the last non-zero byte.
 func usedSize(data []byte) int64 {
 	size := len(data)
 	for size > 0 && data[size-1] == 0 {
