--- a/internal/consensus/replica/bootstrap.go
+++ b/internal/consensus/replica/bootstrap.go
@@ -9,20 +9,21 @@
 	"spurwinch/internal/consensus"
 )
 
-// The log begins with a snapshot at this index and term, which names its members.
+// The log begins with a snapshot at this index and term. The snapshot contains the members.
 const (
 	firstIndex = 1
 	firstTerm  = 1
 )
 
-// The 64-bit FNV-1a hash.
+// Parameters of the 64-bit FNV-1a hash.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// bootstrap begins a log once every replica has reported that it has none. A majority is not enough: the others may
-// have a log of which this majority lost its disks, and its indexes would be used a second time.
+// bootstrap creates a log once every replica has reported that it has none. Reports from a majority are not enough: the
+// majority may have lost its disks while the other replicas still have a log, and the new log would reuse the indexes
+// of that log.
 func (r *Replica) bootstrap() {
 	r.peers[r.self] = peer{incarnation: r.incarnation, logID: r.logID}
 	if r.raft != nil {
@@ -37,20 +38,20 @@
 	}
 	r.logID = newLogID(members)
 	if err := r.storage.ApplySnapshot(firstSnapshot(r.logID, members)); err != nil {
-		r.err = fmt.Errorf("begin a log: %w", err)
+		r.err = fmt.Errorf("create a log: %w", err)
 		return
 	}
 	r.err = r.start()
-	r.unstored = true // the log's beginning is persisted before any message is sent
+	r.initialRecordPending = true // the initial snapshot of the log is persisted before any message is sent
 }
 
-// newLogID gives the identity of a log by its first members, so that all of them come to the same one.
+// newLogID derives the identity of a log from its first members, so that all of them compute the same one.
 func newLogID(members []uint64) uint64 {
 	hash := uint64(fnvOffset)
 	for _, member := range members {
 		hash = (hash ^ member) * fnvPrime
 	}
-	return hash | 1 // never 0, which stands for no log
+	return hash | 1 // never 0, which means that there is no log
 }
 
 func firstSnapshot(logID uint64, members []uint64) *raftpb.Snapshot {
@@ -64,12 +65,12 @@
 	}
 }
 
-// join begins to follow a log that others have.
+// join starts Raft for a log that other replicas already have.
 func (r *Replica) join(logID uint64) {
-	if logID == 0 || r.unstored {
+	if logID == 0 || r.initialRecordPending {
 		return
 	}
 	r.logID = logID
 	r.err = r.start()
-	r.unstored = true
+	r.initialRecordPending = true
 }
--- a/internal/consensus/replica/configuration.go
+++ b/internal/consensus/replica/configuration.go
@@ -13,17 +13,18 @@
 	"spurwinch/internal/consensus"
 )
 
-// caughtUpWithin is how many entries a learner may be behind the leader's commit index to be made a voter.
-const caughtUpWithin = 8
+// maxLearnerLag is the maximum number of entries by which a learner may lag behind the leader's commit index when it
+// becomes a voter.
+const maxLearnerLag = 8
 
-// isMember says whether this replica votes, as far as it knows the log's members.
-func (r *Replica) isMember() bool {
+// isVoter reports whether this replica is a voter in the configuration that it knows.
+func (r *Replica) isVoter() bool {
 	_, ok := r.raft.Status().Config.Voters.IDs()[raftID(r.self, r.incarnation)]
 	return ok
 }
 
-// reconfigure has the leader put a replica that lost its disk in the place of the one that it was: first as a
-// learner, so that no majority leans on a disk that has nothing yet.
+// reconfigure makes the leader replace the earlier incarnation of a replica that lost its disk by the present one. The
+// present incarnation first becomes a learner, so that no majority depends on a disk without data.
 func (r *Replica) reconfigure() {
 	status := r.raft.Status()
 	if status.RaftState != raft.StateLeader || r.ticks%helloTicks != 0 {
@@ -31,21 +32,22 @@
 	}
 	for i, peer := range r.peers {
 		id := raftID(i, peer.incarnation)
-		// A late message of a disk that is lost must not bring it back.
+		// A delayed message from an incarnation whose disk is lost must not make that incarnation a member again.
 		if peer.incarnation == 0 || i == r.self || slices.Contains(r.state.Retired, id) {
 			continue
 		}
 		if changes := membershipChange(status, i, id); len(changes) > 0 {
-			// One that Raft does not take, as while another change is under way, is proposed again after the next
-			// hellos.
+			// Raft may reject the change, for example while another change is in progress. The leader then proposes it
+			// again after the next hellos.
 			_ = r.raft.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes})
 			return
 		}
 	}
 }
 
-// membershipChange gives the next change that a replica's present incarnation needs to become a voter; none: it is
-// one, or a learner that has not caught up.
+// membershipChange returns the next change on the way to making the present incarnation of a replica a voter; id is the
+// Raft ID of that incarnation. It returns no change if the incarnation is a voter already, or a learner that has not
+// caught up.
 func membershipChange(status raft.Status, replica int, id uint64) []*raftpb.ConfChangeSingle {
 	if _, voter := status.Config.Voters.IDs()[id]; voter {
 		return nil
@@ -54,13 +56,13 @@
 	if !learner {
 		changes := []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeAddLearnerNode, id)}
 		for _, member := range slices.Sorted(maps.Keys(status.Progress)) {
-			if replicaOf(member) == replica {
+			if replicaNumber(member) == replica {
 				changes = append(changes, confChange(raftpb.ConfChangeRemoveNode, member))
 			}
 		}
 		return changes
 	}
-	if progress.Match+caughtUpWithin < status.GetCommit() {
+	if progress.Match+maxLearnerLag < status.GetCommit() {
 		return nil
 	}
 	return []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeAddNode, id)}
@@ -70,7 +72,7 @@
 	return &raftpb.ConfChangeSingle{Type: &changeType, NodeId: &id}
 }
 
-// applyConfChange applies a committed change of the members.
+// applyConfChange applies a committed change of the membership.
 func (r *Replica) applyConfChange(entry *raftpb.Entry) {
 	if entry.GetType() == raftpb.EntryConfChange {
 		change := &raftpb.ConfChange{}
@@ -92,12 +94,12 @@
 	r.setMembers(entry.GetIndex(), members)
 }
 
-// setMembers has the next snapshot that Raft hands out name the members as they are now: a replica does not take one
-// that does not name it.
+// setMembers creates a snapshot with the present members, which Raft sends to replicas that lag behind. A replica
+// rejects a snapshot whose members do not include it.
 func (r *Replica) setMembers(index uint64, members *raftpb.ConfState) {
 	r.confState = members
 	_, err := r.storage.CreateSnapshot(index, members, consensus.Encode(r.state))
 	if err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
-		r.err = fmt.Errorf("make a snapshot of the members: %w", err)
+		r.err = fmt.Errorf("create a snapshot with the new members: %w", err)
 	}
 }
--- a/internal/consensus/replica/doc.go
+++ b/internal/consensus/replica/doc.go
@@ -1,14 +1,15 @@
-// Package replica is one replica of the replicated log: etcd's implementation of Raft as a pure state machine, between
-// messages and records. It stands apart from package consensus because what it links keeps 3.4 MB of code in a program
-// that only follows the log.
+// Package replica implements one replica of the replicated log. It wraps etcd's implementation of Raft as a pure state
+// machine that consumes messages and produces messages and records. It is separate from package consensus because the
+// Raft library and its dependencies would add 3.4 MB of code to a program that only follows the log.
 //
-// The agent of a node that the list of nodes names as a replica owns its Replica and calls it from one goroutine:
+// If the node list names a node as a replica, the node's agent owns a Replica and calls it from one goroutine:
 //
-//   - Tick and Receive take time and messages of other replicas, Propose and ConfirmLeadership what the node wants;
-//   - Ready gives the record that has to be persisted next; when it is, Persisted gives the messages to send and the
-//     results of proposals;
-//   - Compact gives, now and then, one record that replaces all others.
+//   - Tick advances the time, and Receive takes the messages of other replicas.
+//   - Propose and ConfirmLeadership take the requests of the node.
+//   - Ready returns the record that must be persisted next. Once the caller has persisted it, Persisted returns the
+//     messages to send and the results of proposals.
+//   - Compact occasionally returns one record that replaces all others.
 //
-// The package is free of I/O, clocks and goroutines. A panic of the Raft library stops the replica, not the process:
+// The package is free of I/O, clocks and goroutines. A panic of the Raft library stops the replica but not the process,
 // see Err.
 package replica
--- a/internal/consensus/replica/golden_exchange_test.go
+++ b/internal/consensus/replica/golden_exchange_test.go
@@ -135,7 +135,7 @@
 	for range 60 {
 		play.tick(0)
 	}
-	if !play.replicas[2].isMember() {
+	if !play.replicas[2].isVoter() {
 		t.Fatal("the replica that lost its disk is not a member again")
 	}
 	play.propose("three", play.replicas[0].State().Newest[1].Index)
@@ -162,8 +162,8 @@
 				replica.Persisted()
 			}
 		}
-		if replica.logID == 0 || replica.logID != logID || !replica.isMember() {
-			t.Errorf("replica %d: log %x, member %v, wanted %x and true", i, replica.logID, replica.isMember(), logID)
+		if replica.logID == 0 || replica.logID != logID || !replica.isVoter() {
+			t.Errorf("replica %d: log %x, member %v, wanted %x and true", i, replica.logID, replica.isVoter(), logID)
 		}
 		state := replica.State()
 		if newest := state.Newest[1]; newest.ID != "three" || string(newest.Data) != "data of three" {
--- a/internal/consensus/replica/logger.go
+++ b/internal/consensus/replica/logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// silentLogger is Raft's logger. What goes wrong comes out of the calls; what is fatal is a panic, which the calls
-// recover from.
+// silentLogger is the logger that Raft uses. It discards all messages, because Raft's calls return their errors. Fatal
+// errors become panics, from which the methods of Replica recover.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any)            {}
--- a/internal/consensus/replica/message.go
+++ b/internal/consensus/replica/message.go
@@ -11,38 +11,39 @@
 	"spurwinch/internal/consensus"
 )
 
-// envelope is the form of all messages between replicas. Without a message of Raft it is a hello, by which replicas
-// exchange their identities while one of them is not a member of a log.
+// envelope is the format of all messages between replicas. An envelope without a Raft message is a hello: replicas use
+// hellos to exchange their identities while one of them is not a voter of a log.
 type envelope struct {
 	_           struct{} `cbor:",toarray"`
-	Incarnation uint64   // of the sender
-	LogID       uint64   // 0: it has no log
-	Raft        []byte   // raftpb.Message; none: a hello
+	Incarnation uint64   // incarnation of the sender
+	LogID       uint64   // log of the sender; 0 means that it has none
+	Raft        []byte   // raftpb.Message; empty in a hello
 }
 
-// raftID is a replica's id in Raft: its number and its incarnation, which changes with its disk.
+// raftID returns the ID of a replica in Raft. It combines the replica's number with its incarnation, which changes when
+// the replica loses its disk.
 func raftID(replica int, incarnation uint64) uint64 { return incarnation<<8 | uint64(replica+1) }
 
-// replicaOf is the number of the replica that an id in Raft is of; -1: of none.
-func replicaOf(id uint64) int { return int(id&0xff) - 1 }
+// replicaNumber returns the number of the replica with a Raft ID, or -1 for Raft's ID 0, which means no replica.
+func replicaNumber(id uint64) int { return int(id&0xff) - 1 }
 
 func (r *Replica) send(to int, raftMessage []byte) {
 	data := consensus.Encode(envelope{Incarnation: r.incarnation, LogID: r.logID, Raft: raftMessage})
 	r.messages = append(r.messages, consensus.Message{To: to, Data: data})
 }
 
-// sendRaft sends Raft's messages.
+// sendRaft queues Raft's messages for sending.
 func (r *Replica) sendRaft(messages []*raftpb.Message) {
 	for _, message := range messages {
-		r.send(replicaOf(message.GetTo()), mustMarshal(message))
+		r.send(replicaNumber(message.GetTo()), mustMarshal(message))
 		if message.GetType() == raftpb.MsgSnap {
-			// One that is lost is sent again after the next heartbeat.
+			// If the snapshot is lost, Raft sends it again after the next heartbeat.
 			r.raft.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 		}
 	}
 }
 
-// mustMarshal encodes what Raft made, which can be encoded.
+// mustMarshal encodes a message that Raft created. It panics on an error, which such a message cannot cause.
 func mustMarshal(message proto.Message) []byte {
 	encoded, err := proto.Marshal(message)
 	if err != nil {
@@ -52,16 +53,17 @@
 }
 
 func (r *Replica) broadcastHello() {
-	for i := range r.replicas {
+	for i := range r.replicaCount {
 		if i != r.self {
 			r.send(i, nil)
 		}
 	}
 }
 
-// Receive takes a message of another replica. The error, an ErrInvalidMessage, is for the log: the message is dropped.
+// Receive processes a message from another replica. It drops an invalid message and returns an ErrInvalidMessage, which
+// the caller only needs to log.
 func (r *Replica) Receive(from int, data []byte) error {
-	if r.err != nil || from < 0 || from >= r.replicas || from == r.self {
+	if r.err != nil || from < 0 || from >= r.replicaCount || from == r.self {
 		return nil
 	}
 	var message envelope
@@ -69,29 +71,30 @@
 		return fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 	}
 	defer r.stopOnPanic()
-	isNew := r.peers[from].incarnation != message.Incarnation
+	newIncarnation := r.peers[from].incarnation != message.Incarnation
 	r.peers[from] = peer{incarnation: message.Incarnation, logID: message.LogID}
 	if len(message.Raft) == 0 {
-		r.receiveHello(from, message.LogID, isNew)
+		r.receiveHello(from, message.LogID, newIncarnation)
 		return nil
 	}
 	return r.receiveRaft(from, message)
 }
 
-// receiveHello handles a hello; isNew says that it is the first message of the sender's incarnation.
-func (r *Replica) receiveHello(from int, logID uint64, isNew bool) {
+// receiveHello handles a hello. newIncarnation is true for the first message from the sender's incarnation.
+func (r *Replica) receiveHello(from int, logID uint64, newIncarnation bool) {
 	switch {
-	case logID == 0 && !r.unstored:
-		// Two replicas without a log answer each other once: answers to each hello would never end.
-		if r.logID != 0 || isNew {
+	case logID == 0 && !r.initialRecordPending:
+		// Two replicas without a log answer only the first hello of each other. If they answered every hello, the
+		// exchange would never end.
+		if r.logID != 0 || newIncarnation {
 			r.send(from, nil)
 		}
 	case r.logID == 0:
 		r.join(logID)
 	case logID != 0 && logID != r.logID && r.raft != nil && r.applied <= firstIndex &&
 		r.raft.BasicStatus().GetTerm() <= firstTerm:
-		// This replica began a log that nobody joined: two replicas received hellos of different incarnations of a
-		// third.
+		// This replica created a log that no other replica joined. This happens when two replicas received hellos from
+		// different incarnations of a third replica.
 		r.err = &TwoLogsError{Own: r.logID, Other: logID}
 	}
 }
@@ -100,16 +103,16 @@
 	if r.logID == 0 {
 		r.join(received.LogID)
 	}
-	if r.raft == nil || r.unstored || received.LogID != r.logID {
+	if r.raft == nil || r.initialRecordPending || received.LogID != r.logID {
 		return nil
 	}
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(received.Raft, message); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 	}
-	if replicaOf(message.GetFrom()) != from || message.GetTo() != raftID(r.self, r.incarnation) ||
+	if replicaNumber(message.GetFrom()) != from || message.GetTo() != raftID(r.self, r.incarnation) ||
 		raft.IsLocalMsg(message.GetType()) {
-		return nil // from an earlier incarnation, or to one
+		return nil // the message is from or to an earlier incarnation
 	}
 	err := r.raft.Step(message)
 	if err != nil && !errors.Is(err, raft.ErrProposalDropped) && !errors.Is(err, raft.ErrStepPeerNotFound) {
--- a/internal/consensus/replica/ready.go
+++ b/internal/consensus/replica/ready.go
@@ -10,19 +10,19 @@
 	"spurwinch/internal/consensus"
 )
 
-// Ready gives the record that has to be persisted next, or ok false where there is nothing to do yet. After ok the
-// caller persists the record, calls Persisted, and may call Ready again; until Persisted is called, Ready gives
-// nothing. An empty record needs no disk. whole would say that the record replaces all others, and is always false:
-// that is what Compact gives.
+// Ready returns the record that must be persisted next; ok is false if there is nothing to do yet. If ok is true, the
+// caller persists the record, calls Persisted, and may then call Ready again. Until the caller calls Persisted, Ready
+// returns ok false. An empty record does not have to be written to disk. whole would mean that the record replaces all
+// others; it is always false, because only Compact returns such a record.
 func (r *Replica) Ready() (record consensus.Record, whole, ok bool) {
 	if r.persisting != persistingNothing || r.err != nil {
 		return record, false, false
 	}
 	defer r.stopOnPanic()
 	switch {
-	case r.unstored:
-		r.persisting = persistingBeginning
-		return r.beginningRecord(), false, true
+	case r.initialRecordPending:
+		r.persisting = persistingInitial
+		return r.initialRecord(), false, true
 	case r.raft != nil && r.raft.HasReady():
 		ready := r.raft.Ready()
 		r.ready = &ready
@@ -35,8 +35,8 @@
 	return record, false, false
 }
 
-// beginningRecord is the first record of a disk or of a log.
-func (r *Replica) beginningRecord() consensus.Record {
+// initialRecord returns the first record of a disk or of a log.
+func (r *Replica) initialRecord() consensus.Record {
 	record := consensus.Record{Incarnation: r.incarnation, LogID: r.logID}
 	if snapshot, err := r.storage.Snapshot(); err == nil && r.raft != nil && !raft.IsEmptySnap(snapshot) {
 		record.Snapshot = mustMarshal(snapshot)
@@ -61,8 +61,8 @@
 	return ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState)
 }
 
-// Persisted has to be called when the record of the last Ready is persisted. It returns the messages to send and the
-// results that follow from it.
+// Persisted must be called once the record of the last Ready is persisted. It returns the messages that may now be sent
+// and the results of proposals.
 func (r *Replica) Persisted() (messages []consensus.Message, results []consensus.ProposalResult) {
 	if r.persisting == persistingNothing || r.err != nil {
 		return nil, nil
@@ -72,8 +72,8 @@
 	r.persisting = persistingNothing
 	switch persisted {
 	case persistingNothing, persistingMessages:
-	case persistingBeginning:
-		r.unstored = false
+	case persistingInitial:
+		r.initialRecordPending = false
 	case persistingReady:
 		if err := r.advance(); err != nil {
 			r.err = err
@@ -87,24 +87,25 @@
 	return messages, results
 }
 
-// advance carries out what Raft had ready, now that it is persisted.
+// advance processes the persisted raft.Ready: it updates the storage, queues the messages and applies the committed
+// entries.
 func (r *Replica) advance() error {
 	ready := *r.ready
 	r.ready = nil
 	if err := r.store(ready); err != nil {
 		return err
 	}
-	r.reads.waiting = append(r.reads.waiting, ready.ReadStates...)
+	r.confirmations.waiting = append(r.confirmations.waiting, ready.ReadStates...)
 	r.sendRaft(ready.Messages)
 	for _, entry := range ready.CommittedEntries {
 		r.apply(entry)
 	}
-	r.answerReads()
+	r.confirmAppliedCalls()
 	r.raft.Advance(ready)
 	return nil
 }
 
-// store puts what was persisted into Raft's storage.
+// store copies the persisted snapshot, hard state and entries into Raft's storage.
 func (r *Replica) store(ready raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := r.storage.ApplySnapshot(ready.Snapshot); err != nil {
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// apply applies a committed entry.
+// apply applies a committed entry to the state or to the membership.
 func (r *Replica) apply(entry *raftpb.Entry) {
 	switch entry.GetType() {
 	case raftpb.EntryNormal:
@@ -138,13 +139,13 @@
 	r.applied = entry.GetIndex()
 }
 
-// answerReads confirms the calls of ConfirmLeadership for which all that was committed before them is applied, since
-// the caller reads the state then.
-func (r *Replica) answerReads() {
-	for len(r.reads.waiting) > 0 && r.reads.waiting[0].Index <= r.applied {
-		if call := r.reads.waiting[0].RequestCtx; len(call) == 8 {
-			r.reads.confirmed = max(r.reads.confirmed, binary.BigEndian.Uint64(call))
+// confirmAppliedCalls confirms each call of ConfirmLeadership for which this replica has applied all entries that were
+// committed before the call, because the caller reads the state after the confirmation.
+func (r *Replica) confirmAppliedCalls() {
+	for len(r.confirmations.waiting) > 0 && r.confirmations.waiting[0].Index <= r.applied {
+		if call := r.confirmations.waiting[0].RequestCtx; len(call) == 8 {
+			r.confirmations.confirmed = max(r.confirmations.confirmed, binary.BigEndian.Uint64(call))
 		}
-		r.reads.waiting = r.reads.waiting[1:]
+		r.confirmations.waiting = r.confirmations.waiting[1:]
 	}
 }
--- a/internal/consensus/replica/replica.go
+++ b/internal/consensus/replica/replica.go
@@ -11,75 +11,79 @@
 	"spurwinch/internal/consensus"
 )
 
-// Times are in ticks of consensus.TickInterval.
+// The unit of times is one tick, consensus.TickInterval.
 const (
-	electionTicks  = 12 // without a message of a leader, and up to as many more by chance, until an election
+	// electionTicks is the minimum election timeout: the time without a message from a leader until an election. Raft
+	// adds a random delay of up to the same length.
+	electionTicks  = 12
 	heartbeatTicks = 3
-	helloTicks     = 10 // between two hellos of a replica that is not a member of a log
+	helloTicks     = 10 // interval between two hellos of a replica that is not a voter of a log
 
-	maxMessageSize     = 512 << 10 // bytes of entries in one message
-	maxInflight        = 64        // messages to a replica that it has not answered
-	maxUncommittedSize = 4 << 20   // bytes of proposals that are not committed
+	maxMessageSize      = 512 << 10 // bytes of entries in one message
+	maxInflightMessages = 64        // unacknowledged messages to one replica
+	maxUncommittedSize  = 4 << 20   // bytes of uncommitted proposals
 )
 
 // Replica is one replica of a log.
 type Replica struct {
-	self        int // its number among the replicas
-	replicas    int // how many there are
-	incarnation uint64
-	logID       uint64 // 0: there is no log yet
-	raft        *raft.RawNode
-	storage     *raft.MemoryStorage // what has been persisted, as Raft reads it
-	state       consensus.State     // what the log up to applied has come to
-	applied     uint64              // index
-	confState   *raftpb.ConfState   // the members at applied
-	peers       []peer              // by number
-	ticks       int
-	messages    []consensus.Message // to be sent with the next call of Persisted
-	results     []consensus.ProposalResult
-	persisting  persisting
-	unstored    bool        // the incarnation, or the log's beginning, is not persisted yet
-	ready       *raft.Ready // what is being persisted of Raft
-	reads       reads
-	err         error // why the replica has stopped
+	self         int // number of this replica, from 0
+	replicaCount int
+	incarnation  uint64
+	logID        uint64 // 0 means that there is no log yet
+	raft         *raft.RawNode
+	storage      *raft.MemoryStorage // persisted log as Raft reads it
+	state        consensus.State     // result of applying the log up to applied
+	applied      uint64              // index of the last applied entry
+	confState    *raftpb.ConfState   // members at index applied
+	peers        []peer              // by replica number
+	ticks        int
+	messages     []consensus.Message // returned by the next call of Persisted
+	results      []consensus.ProposalResult
+	persisting   persisting
+	// initialRecordPending is true until the incarnation and, if a log was created or joined, its first record are
+	// persisted.
+	initialRecordPending bool
+	ready                *raft.Ready // Raft's changes that are being persisted
+	confirmations        leadershipConfirmations
+	err                  error // cause for which the replica has stopped
 }
 
-// peer is the state of another replica by its newest message.
+// peer is the state of another replica according to its newest message.
 type peer struct {
-	incarnation uint64 // 0: no message of it was received
-	logID       uint64 // 0: it has no log
+	incarnation uint64 // 0 means that no message from it was received
+	logID       uint64 // 0 means that it has no log
 }
 
 // persisting is the kind of the record that is being persisted.
 type persisting uint8
 
 const (
-	persistingNothing   persisting = iota // there is none
-	persistingMessages                    // an empty record: only messages wait
-	persistingBeginning                   // the incarnation, and the log's beginning where there is one
-	persistingReady                       // what Raft has ready
+	persistingNothing  persisting = iota // no record
+	persistingMessages                   // an empty record, because only messages are waiting
+	persistingInitial                    // the initial record of a disk or of a log
+	persistingReady                      // the changes of a raft.Ready
 )
 
-// reads is how far the calls of ConfirmLeadership have come.
-type reads struct {
-	calls     uint64
-	confirmed uint64           // the newest call that was confirmed
-	waiting   []raft.ReadState // confirmed, but what was decided before is not all applied yet
+// leadershipConfirmations tracks the calls of ConfirmLeadership.
+type leadershipConfirmations struct {
+	calls     uint64           // number of calls, which is also the number of the newest call
+	confirmed uint64           // number of the newest confirmed call
+	waiting   []raft.ReadState // calls that a majority confirmed, before all entries committed earlier are applied
 }
 
-// New makes replica number self of a number of replicas, with the records that were persisted, oldest first. rng
-// draws the incarnation of a replica that has none.
-func New(self, replicas int, records []consensus.Record, rng *rand.Rand) (replica *Replica, err error) {
-	if replicas < 1 || replicas > consensus.MaxReplicas || self < 0 || self >= replicas {
-		return nil, fmt.Errorf("%w: number %d of %d, at most %d are possible",
-			ErrInvalidReplica, self, replicas, consensus.MaxReplicas)
+// New creates replica number self of replicaCount replicas from the persisted records, oldest first. If the records
+// contain no incarnation, New draws one from rng.
+func New(self, replicaCount int, records []consensus.Record, rng *rand.Rand) (replica *Replica, err error) {
+	if replicaCount < 1 || replicaCount > consensus.MaxReplicas || self < 0 || self >= replicaCount {
+		return nil, fmt.Errorf("%w: number %d of %d replicas: numbers start at 0, at most %d replicas are allowed",
+			ErrInvalidReplica, self, replicaCount, consensus.MaxReplicas)
 	}
 	replica = &Replica{
-		self:     self,
-		replicas: replicas,
-		peers:    make([]peer, replicas),
-		storage:  raft.NewMemoryStorage(),
-		state:    consensus.State{Newest: map[consensus.Kind]consensus.Entry{}},
+		self:         self,
+		replicaCount: replicaCount,
+		peers:        make([]peer, replicaCount),
+		storage:      raft.NewMemoryStorage(),
+		state:        consensus.State{Newest: map[consensus.Kind]consensus.Entry{}},
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -91,7 +95,7 @@
 	}
 	if replica.incarnation == 0 {
 		replica.incarnation = rng.Uint64()>>9 | 1
-		replica.unstored = true
+		replica.initialRecordPending = true
 	}
 	if replica.logID != 0 {
 		return replica, replica.start()
@@ -99,7 +103,7 @@
 	return replica, nil
 }
 
-// start starts Raft on what is in storage.
+// start starts Raft from the contents of the storage.
 func (r *Replica) start() error {
 	snapshot, err := r.storage.Snapshot()
 	if err != nil {
@@ -115,7 +119,7 @@
 		Storage:                   r.storage,
 		Applied:                   r.applied,
 		MaxSizePerMsg:             maxMessageSize,
-		MaxInflightMsgs:           maxInflight,
+		MaxInflightMsgs:           maxInflightMessages,
 		MaxUncommittedEntriesSize: maxUncommittedSize,
 		CheckQuorum:               true,
 		PreVote:                   true,
@@ -128,7 +132,7 @@
 	return nil
 }
 
-// Tick has to be called each consensus.TickInterval.
+// Tick must be called once every consensus.TickInterval.
 func (r *Replica) Tick() {
 	if r.err != nil {
 		return
@@ -139,14 +143,14 @@
 		r.raft.Tick()
 		r.reconfigure()
 	}
-	if !r.unstored && r.ticks%helloTicks == 1 && (r.raft == nil || !r.isMember()) {
+	if !r.initialRecordPending && r.ticks%helloTicks == 1 && (r.raft == nil || !r.isVoter()) {
 		r.broadcastHello()
 		r.bootstrap()
 	}
 }
 
-// Propose proposes an entry to the log. How the proposal ended is in the results of Persisted, or later in Result;
-// a proposal may also be lost without a result, and then the same one can be made again. The error is a
+// Propose proposes an entry to the log. Persisted returns the result of the proposal, and Result returns it later. A
+// proposal can be lost without a result; the caller can then propose it again. The error is a
 // consensus.ErrInvalidProposal, consensus.ErrNotLeader or raft.ErrProposalDropped.
 func (r *Replica) Propose(proposal consensus.Proposal) (err error) {
 	if err := proposal.Check(); err != nil {
@@ -162,36 +166,38 @@
 	return nil
 }
 
-// ConfirmLeadership has a majority of the replicas confirm that this one still leads, and returns the number of the
-// call. ConfirmedCall is, later, the newest call that was confirmed: the replica led when that call was made.
+// ConfirmLeadership asks a majority of the replicas to confirm that this replica is still the leader, and returns the
+// number of the call. Once ConfirmedCall returns that number or a higher one, the caller knows that this replica was
+// the leader at the time of the call.
 func (r *Replica) ConfirmLeadership() (call uint64) {
 	if !r.IsLeader() {
-		return r.reads.calls
+		return r.confirmations.calls
 	}
 	defer r.stopOnPanic()
-	r.reads.calls++
-	r.raft.ReadIndex(binary.BigEndian.AppendUint64(nil, r.reads.calls))
-	return r.reads.calls
+	r.confirmations.calls++
+	r.raft.ReadIndex(binary.BigEndian.AppendUint64(nil, r.confirmations.calls))
+	return r.confirmations.calls
 }
 
-// ConfirmedCall is the newest call of ConfirmLeadership that a majority confirmed.
-func (r *Replica) ConfirmedCall() uint64 { return r.reads.confirmed }
+// ConfirmedCall returns the number of the newest call of ConfirmLeadership that a majority confirmed.
+func (r *Replica) ConfirmedCall() uint64 { return r.confirmations.confirmed }
 
-// IsLeader reports whether this replica leads, as far as it knows: one that was suspended learns of another leader only
-// afterwards. What it proposes until then is not committed.
+// IsLeader reports whether this replica considers itself the leader. A replica whose process was suspended learns only
+// after it resumes that there is another leader. Its proposals until then are not committed.
 func (r *Replica) IsLeader() bool {
-	return r.err == nil && r.raft != nil && !r.unstored && r.raft.BasicStatus().RaftState == raft.StateLeader
+	return r.err == nil && r.raft != nil && !r.initialRecordPending &&
+		r.raft.BasicStatus().RaftState == raft.StateLeader
 }
 
-// Leader is the number of the replica that leads, as far as known; -1: none.
+// Leader returns the number of the leader that this replica knows, or -1 if it knows none.
 func (r *Replica) Leader() int {
 	if r.raft == nil {
 		return -1
 	}
-	return replicaOf(r.raft.BasicStatus().Lead)
+	return replicaNumber(r.raft.BasicStatus().Lead)
 }
 
-// Term is Raft's term, which counts elections; 0: there is no log yet.
+// Term returns Raft's term, which counts elections, or 0 if there is no log yet.
 func (r *Replica) Term() uint64 {
 	if r.raft == nil {
 		return 0
@@ -199,12 +205,13 @@
 	return r.raft.BasicStatus().GetTerm()
 }
 
-// State is the state of what this replica knows to be committed. The caller must not change it.
+// State returns the state after all entries that this replica has applied. The caller must not change it.
 func (r *Replica) State() consensus.State { return r.state }
 
-// Result is how a proposal ended; false: it has not, or that is no longer remembered.
+// Result returns the result of a proposal. It returns false if the proposal has no result yet, or if the state no
+// longer contains the result.
 func (r *Replica) Result(id string) (consensus.ProposalResult, bool) { return r.state.Result(id) }
 
-// Err is why this replica has stopped for good; nil: it runs. It neither votes nor leads until the process starts
-// it anew.
+// Err returns the error that stopped this replica permanently, or nil if it is running. A stopped replica neither votes
+// nor leads until the process restarts it.
 func (r *Replica) Err() error { return r.err }
--- a/internal/consensus/replica/simulation_test.go
+++ b/internal/consensus/replica/simulation_test.go
@@ -230,7 +230,7 @@
 	}
 	for _, node := range s.replicas {
 		replica := node.replica
-		if node.down > s.now || node.stalled > s.now || replica.raft == nil || !replica.isMember() ||
+		if node.down > s.now || node.stalled > s.now || replica.raft == nil || !replica.isVoter() ||
 			replica.applied+2 < leader.applied || len(leader.raft.Status().Config.Voters.IDs()) != simulatedReplicas {
 			return false
 		}
@@ -242,8 +242,8 @@
 func (s *simulation) describe() {
 	for i, node := range s.replicas {
 		replica := node.replica
-		s.t.Logf("replica %d: %x applied %d unstored %v persisting %v messages %d log %x %+v peers %+v",
-			i, raftID(i, replica.incarnation), replica.applied, replica.unstored, replica.persisting,
+		s.t.Logf("replica %d: %x applied %d initialRecordPending %v persisting %v messages %d log %x %+v peers %+v",
+			i, raftID(i, replica.incarnation), replica.applied, replica.initialRecordPending, replica.persisting,
 			len(replica.messages), replica.logID, replica.raft.Status(), replica.peers)
 	}
 }
--- a/internal/consensus/replica/storage.go
+++ b/internal/consensus/replica/storage.go
@@ -12,10 +12,11 @@
 	"spurwinch/internal/consensus"
 )
 
-// retainedEntries are the applied entries that stay in storage, for replicas that lag behind: others get a snapshot.
+// retainedEntries is the number of applied entries that stay in storage for replicas that lag behind. A replica that
+// lags further behind receives a snapshot.
 const retainedEntries = 256
 
-// load puts the records that were persisted, oldest first, into Raft's storage.
+// load copies the persisted records, oldest first, into Raft's storage.
 func (r *Replica) load(records []consensus.Record) error {
 	for _, record := range records {
 		if record.Incarnation != 0 {
@@ -62,7 +63,7 @@
 	return r.storage.SetHardState(hardState)
 }
 
-// restore goes back to the state of a snapshot.
+// restore sets the state to that of a snapshot.
 func (r *Replica) restore(snapshot *raftpb.Snapshot) error {
 	r.applied = snapshot.GetMetadata().GetIndex()
 	r.confState = snapshot.GetMetadata().GetConfState()
@@ -80,10 +81,11 @@
 	return nil
 }
 
-// Compact compacts the log once it has grown: it gives one record, with a snapshot, that has to replace all others. It
-// does nothing while another record is being persisted.
+// Compact compacts the log once it contains more than 2*retainedEntries applied entries. It then returns one record
+// with a snapshot, and the caller must replace all other records with it. Compact does nothing while another record is
+// being persisted.
 func (r *Replica) Compact() (record consensus.Record, ok bool) {
-	if r.raft == nil || r.persisting != persistingNothing || r.unstored || r.err != nil {
+	if r.raft == nil || r.persisting != persistingNothing || r.initialRecordPending || r.err != nil {
 		return record, false
 	}
 	first, err := r.storage.FirstIndex()
@@ -93,19 +95,20 @@
 	defer r.stopOnPanic()
 	snapshot, err := r.storage.CreateSnapshot(r.applied, r.confState, consensus.Encode(r.state))
 	if err != nil {
-		return record, false // at the next call
+		return record, false // the next call tries again
 	}
 	record, err = r.compactedRecord(snapshot)
 	if err != nil {
 		return consensus.Record{}, false
 	}
 	if upTo := r.applied - retainedEntries; upTo > first {
-		_ = r.storage.Compact(upTo) // it fails only for what is compacted already
+		_ = r.storage.Compact(upTo) // fails only if these entries are already compacted
 	}
 	return record, true
 }
 
-// compactedRecord is all that a replica knows: a snapshot, its hard state, and the entries that are not applied yet.
+// compactedRecord returns a record with everything that a replica knows: the snapshot, its hard state, and the entries
+// that are not applied yet.
 func (r *Replica) compactedRecord(snapshot *raftpb.Snapshot) (record consensus.Record, err error) {
 	hardState, _, err := r.storage.InitialState()
 	if err != nil {
