--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -12,9 +12,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew: only for a form that is new")
+var update = flag.Bool("update", false, "rewrite the golden files; use it only for a new format")
 
-// golden gives the bytes of a golden file, which is hexadecimal text; with -update it writes them first.
+// golden returns the contents of a golden file, which are stored as hexadecimal text. With -update it first writes
+// encoded to the file.
 func golden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name+".hex")
@@ -34,19 +35,19 @@
 	return want
 }
 
-// goldenValue wants a value to be encoded as the golden file has it, and the golden file to be decoded to that value.
-func goldenValue[T any](t *testing.T, name string, value T) {
+// checkGoldenValue checks that a value is encoded as in the golden file, and that the golden file is decoded to it.
+func checkGoldenValue[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	encoded := Encode(value)
 	want := golden(t, name, encoded)
 	if !bytes.Equal(encoded, want) {
-		t.Errorf("%s is encoded as\n%x\nwanted\n%x", name, encoded, want)
+		t.Errorf("Encode %s: got\n%x\nwant\n%x", name, encoded, want)
 	}
 	var decoded T
 	if err := Unmarshal(want, &decoded); err != nil {
-		t.Errorf("%s: %v", name, err)
+		t.Errorf("Unmarshal %s: %v", name, err)
 	} else if !reflect.DeepEqual(decoded, value) {
-		t.Errorf("%s is decoded as\n%+v\nwanted\n%+v", name, decoded, value)
+		t.Errorf("Unmarshal %s: got\n%+v\nwant\n%+v", name, decoded, value)
 	}
 }
 
@@ -80,35 +81,36 @@
 	}
 }
 
-// TestGoldenForms holds the encoded forms of all that is stored or sent.
-func TestGoldenForms(t *testing.T) {
-	goldenValue(t, "entry", goldenEntry())
-	goldenValue(t, "proposal", Proposal{
+// TestGoldenEncodings checks the encodings of all types that are stored or sent.
+func TestGoldenEncodings(t *testing.T) {
+	checkGoldenValue(t, "entry", goldenEntry())
+	checkGoldenValue(t, "proposal", Proposal{
 		ID: "proposal-id", Kind: 7, Replaces: 0x0708090a, Data: []byte("proposal data"),
 	})
-	goldenValue(t, "decided", ProposalResult{ID: "decided-id", Kind: 9, Index: 0x0a0b0c0d, Accepted: true})
-	goldenValue(t, "state", goldenState())
-	goldenValue(t, "record", goldenRecord())
-	goldenValue(t, "record-empty", Record{})
-	goldenValue(t, "kind-digest", KindDigest{Kind: 4, Index: 0x0e0f, Sum: 0x7172737475767778})
-	goldenValue(t, "digest", Digest{
+	checkGoldenValue(t, "decided", ProposalResult{ID: "decided-id", Kind: 9, Index: 0x0a0b0c0d, Accepted: true})
+	checkGoldenValue(t, "state", goldenState())
+	checkGoldenValue(t, "record", goldenRecord())
+	checkGoldenValue(t, "record-empty", Record{})
+	checkGoldenValue(t, "kind-digest", KindDigest{Kind: 4, Index: 0x0e0f, Sum: 0x7172737475767778})
+	checkGoldenValue(t, "digest", Digest{
 		LogID: 0x8182838485868788,
 		Kinds: []KindDigest{{Kind: 5, Index: 91, Sum: 92}, {Kind: 6, Index: 93, Sum: 94}},
 	})
-	goldenValue(t, "kinds", []Kind{2, 1, 3})
+	checkGoldenValue(t, "kinds", []Kind{2, 1, 3})
 }
 
-// TestGoldenDigest holds the digests that nodes compare, also of different versions.
+// TestGoldenDigest checks that digests do not change between versions: nodes of different versions compare them.
 func TestGoldenDigest(t *testing.T) {
 	const want = 0xa539f21774aa8e41
 	if got := goldenEntry().Digest(); got != want {
-		t.Errorf("the entry's digest is %#x, wanted %#x", got, uint64(want))
+		t.Errorf("Digest of the entry: got %#x, want %#x", got, uint64(want))
 	}
 	follower := NewFollower(0x99, []Entry{goldenEntry(), {Index: 5, Kind: 1, ID: "x", Data: []byte("y")}})
-	goldenValue(t, "follower-digest", follower.Digest())
+	checkGoldenValue(t, "follower-digest", follower.Digest())
 }
 
-// TestGoldenStore holds the whole file of a store: its bytes after Save and after Replace, and what is read from them.
+// TestGoldenStore checks the bytes of a store's whole file after Save and after Replace, and the records that OpenStore
+// reads from them.
 func TestGoldenStore(t *testing.T) {
 	records := []Record{
 		{Incarnation: 5},
@@ -117,7 +119,7 @@
 		{HardState: []byte("later")},
 	}
 	t.Run("saved", func(t *testing.T) {
-		goldenStore(t, "store-saved", records, func(s *Store) error {
+		checkGoldenStore(t, "store-saved", records, func(s *Store) error {
 			for _, r := range records {
 				if err := s.Save(r); err != nil {
 					return err
@@ -127,7 +129,7 @@
 		})
 	})
 	t.Run("replaced", func(t *testing.T) {
-		goldenStore(t, "store-replaced", []Record{goldenRecord(), {LogID: 8}}, func(s *Store) error {
+		checkGoldenStore(t, "store-replaced", []Record{goldenRecord(), {LogID: 8}}, func(s *Store) error {
 			if err := s.Save(Record{Incarnation: 7}); err != nil {
 				return err
 			}
@@ -139,7 +141,9 @@
 	})
 }
 
-func goldenStore(t *testing.T, name string, want []Record, write func(*Store) error) {
+// checkGoldenStore checks that write creates the same file as the golden one, and that OpenStore reads the records want
+// from the golden file.
+func checkGoldenStore(t *testing.T, name string, want []Record, write func(*Store) error) {
 	t.Helper()
 	dir := t.TempDir()
 	store, _ := openStore(t, dir)
@@ -153,21 +157,22 @@
 	}
 	file := goldenFile(t, name, written)
 	if !bytes.Equal(written, file) {
-		t.Errorf("%s: the file of %d bytes is not the golden one of %d", name, len(written), len(file))
+		t.Errorf("%s: got a file of %d bytes that differs from the golden file of %d bytes",
+			name, len(written), len(file))
 	}
 
-	old := t.TempDir()
-	if err := os.WriteFile(filepath.Join(old, storeName), file, 0o600); err != nil {
+	goldenDir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(goldenDir, storeName), file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	store, read := openStore(t, old)
+	store, read := openStore(t, goldenDir)
 	defer closeStore(t, store)
 	if !reflect.DeepEqual(read, want) {
-		t.Errorf("%s: read\n%+v\nwanted\n%+v", name, read, want)
+		t.Errorf("%s: OpenStore: got\n%+v\nwant\n%+v", name, read, want)
 	}
 }
 
-// goldenFile gives the contents of a golden file that is compressed; with -update it writes them first.
+// goldenFile returns the contents of a compressed golden file. With -update it first writes the file.
 func goldenFile(t *testing.T, name string, written []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name+".gz")
@@ -188,7 +193,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = packed.Close() }() // only read
+	defer func() { _ = packed.Close() }() // opened only for reading
 	r, err := gzip.NewReader(packed)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/consensus/state_test.go
+++ b/internal/consensus/state_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestStateApply holds which proposals become the newest entry, and which results are given and remembered.
+// TestStateApply checks which proposals become the newest entry of their kind, and which get a result. A proposal with
+// an ID that already has a result gets none.
 func TestStateApply(t *testing.T) {
 	state := State{LogID: 1, Newest: map[Kind]Entry{}}
 	for _, step := range []struct {
@@ -25,46 +26,46 @@
 	} {
 		result, ok := state.Apply(step.index, Encode(step.proposal))
 		if ok != step.ok || result.Accepted != step.accepted {
-			t.Errorf("Apply(%d, %+v) = %+v, %v, wanted accepted %v, %v",
+			t.Errorf("Apply(%d, %+v): got %+v, %v, want accepted %v, %v",
 				step.index, step.proposal, result, ok, step.accepted, step.ok)
 		}
 	}
 	if newest := state.Newest[1]; newest.Index != 6 || string(newest.Data) != "two" {
-		t.Errorf("the newest entry of kind 1 is %+v, wanted index 6 with data \"two\"", newest)
+		t.Errorf("newest entry of kind 1: got %+v, want index 6 with data \"two\"", newest)
 	}
 }
 
-// TestProposalCheck holds the limits of a proposal.
+// TestProposalCheck checks the limits of a proposal.
 func TestProposalCheck(t *testing.T) {
 	longestID := strings.Repeat("i", maxProposalID)
 	for name, test := range map[string]struct {
 		proposal Proposal
 		want     error
 	}{
-		"the largest":   {Proposal{ID: longestID, Kind: 1, Data: make([]byte, MaxData)}, nil},
-		"no id":         {Proposal{Kind: 1}, ErrInvalidProposal},
-		"long id":       {Proposal{ID: longestID + "i", Kind: 1}, ErrInvalidProposal},
-		"no kind":       {Proposal{ID: "a"}, ErrInvalidProposal},
-		"too much data": {Proposal{ID: "a", Kind: 1, Data: make([]byte, MaxData+1)}, ErrInvalidProposal},
+		"largest valid proposal": {Proposal{ID: longestID, Kind: 1, Data: make([]byte, MaxData)}, nil},
+		"no id":                  {Proposal{Kind: 1}, ErrInvalidProposal},
+		"long id":                {Proposal{ID: longestID + "i", Kind: 1}, ErrInvalidProposal},
+		"no kind":                {Proposal{ID: "a"}, ErrInvalidProposal},
+		"too much data":          {Proposal{ID: "a", Kind: 1, Data: make([]byte, MaxData+1)}, ErrInvalidProposal},
 	} {
 		if err := test.proposal.Check(); !errors.Is(err, test.want) {
-			t.Errorf("%s: Check gives %v, wanted %v", name, err, test.want)
+			t.Errorf("%s: Check: got %v, want %v", name, err, test.want)
 		}
 	}
 }
 
-// TestStateBounds holds that a state does not grow with its log.
-func TestStateBounds(t *testing.T) {
+// TestStateSizeIsBounded checks that the state does not grow without bound as the log grows.
+func TestStateSizeIsBounded(t *testing.T) {
 	state := State{LogID: 1, Newest: map[Kind]Entry{}}
 	for i := range uint64(2 * maxResults) {
 		state.Apply(i+2, Encode(Proposal{ID: strconv.FormatUint(i, 10), Kind: Kind(i%100 + 1)}))
 		state.Retire(i)
 	}
 	if len(state.Results) != maxResults || len(state.Retired) != maxRetired || len(state.Newest) != MaxKinds {
-		t.Errorf("%d results, %d retired, %d kinds; wanted %d, %d and %d",
+		t.Errorf("state size: got %d results, %d retired, %d kinds, want %d, %d and %d",
 			len(state.Results), len(state.Retired), len(state.Newest), maxResults, maxRetired, MaxKinds)
 	}
 	if last := state.Retired[maxRetired-1]; last != 2*maxResults-1 {
-		t.Errorf("the last retired replica is %d, wanted the newest, %d", last, 2*maxResults-1)
+		t.Errorf("last retired replica: got %d, want the newest, %d", last, 2*maxResults-1)
 	}
 }
--- a/internal/consensus/store_test.go
+++ b/internal/consensus/store_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// openStore opens a store that is not corrupt.
+// openStore opens a store and fails the test on any error, also if the store is corrupt.
 func openStore(t *testing.T, dir string) (*Store, []Record) {
 	t.Helper()
 	store, records, err := OpenStore(dir)
@@ -26,18 +26,19 @@
 	}
 }
 
-// TestStore damages files in each way that a disk has, and holds which records are read again and which error is given.
-func TestStore(t *testing.T) {
+// TestOpenStoreDamagedFile damages a store's file in the ways in which disks damage files. It checks which records
+// OpenStore reads, which error it returns, and that the store is usable afterwards.
+func TestOpenStoreDamagedFile(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		damage  func(file []byte, ends []int64) []byte // ends: the offsets behind the three records
-		records int                                    // that are read again
-		offset  int64                                  // of the CorruptError; under 0: the file is not corrupt
+		damage  func(file []byte, ends []int64) []byte // ends are the end offsets of the three records
+		records int                                    // number of records that OpenStore reads
+		offset  int64                                  // of the CorruptError; negative if the file is not corrupt
 	}{
-		{"as it was left", func(file []byte, _ []int64) []byte { return file }, 3, -1},
-		{"cut short inside the last record", func(file []byte, ends []int64) []byte { return file[:ends[2]-4] }, 0, 0},
-		{"cut short between two records", func(file []byte, ends []int64) []byte { return file[:ends[1]] }, 0, 0},
-		{"cut short behind all records", func(file []byte, _ []int64) []byte { return file[:len(file)-1] }, 0, 0},
+		{"undamaged", func(file []byte, _ []int64) []byte { return file }, 3, -1},
+		{"truncated inside the last record", func(file []byte, ends []int64) []byte { return file[:ends[2]-4] }, 0, 0},
+		{"truncated between two records", func(file []byte, ends []int64) []byte { return file[:ends[1]] }, 0, 0},
+		{"truncated after all records", func(file []byte, _ []int64) []byte { return file[:len(file)-1] }, 0, 0},
 		{"empty", func([]byte, []int64) []byte { return nil }, 0, 0},
 		{"a bit of the first record flipped", func(file []byte, _ []int64) []byte {
 			file[headerSize+frameBodyAt] ^= 4
@@ -59,7 +60,7 @@
 			clear(file[ends[2]-9 : ends[2]])
 			return file
 		}, 2, -1},
-		{"the header flipped", func(file []byte, _ []int64) []byte {
+		{"a bit of the header flipped", func(file []byte, _ []int64) []byte {
 			file[9] ^= 1
 			return file
 		}, 0, 0},
@@ -69,7 +70,7 @@
 			path, ends := writeDamaged(t, dir, test.damage)
 			store, records, err := OpenStore(dir)
 			if store == nil || len(records) != test.records {
-				t.Fatalf("%d records are read again, %v, wanted %d", len(records), err, test.records)
+				t.Fatalf("OpenStore: got %d records, %v, want %d", len(records), err, test.records)
 			}
 			checkCorrupt(t, err, path, test.offset, ends)
 			checkUsable(t, store, dir)
@@ -77,18 +78,18 @@
 	}
 }
 
-// Where a test's offset stands for the end of a record.
+// Placeholders for the end offset of a record, which a test case cannot know.
 const (
 	firstRecordEnd  = 1 << 40
 	secondRecordEnd = 2 << 40
 )
 
-// writeDamaged writes three records, damages the file, and gives its path and the ends of the records.
+// writeDamaged writes three records, damages the file, and returns its path and the end offsets of the records.
 func writeDamaged(t *testing.T, dir string, damage func([]byte, []int64) []byte) (path string, ends []int64) {
 	t.Helper()
 	store, records := openStore(t, dir)
 	if len(records) != 0 {
-		t.Fatalf("a new store has %d records", len(records))
+		t.Fatalf("OpenStore of a new store: got %d records, want 0", len(records))
 	}
 	for i, record := range []Record{
 		{Incarnation: 5},
@@ -112,12 +113,12 @@
 	return path, ends
 }
 
-// checkCorrupt wants a CorruptError of an offset, or no error where the offset is under 0.
+// checkCorrupt checks that err is a CorruptError with the offset, or nil if the offset is negative.
 func checkCorrupt(t *testing.T, err error, path string, offset int64, ends []int64) {
 	t.Helper()
 	if offset < 0 {
 		if err != nil {
-			t.Fatalf("OpenStore gives %v, wanted no error", err)
+			t.Fatalf("OpenStore: got error %v, want none", err)
 		}
 		return
 	}
@@ -129,24 +130,25 @@
 	}
 	var corrupt *CorruptError
 	if !errors.Is(err, ErrCorrupt) || !errors.As(err, &corrupt) {
-		t.Fatalf("OpenStore gives %v, wanted %v", err, ErrCorrupt)
+		t.Fatalf("OpenStore: got error %v, want %v", err, ErrCorrupt)
 	}
 	if corrupt.Path != path || corrupt.Offset != offset {
-		t.Errorf("the error names byte %d of %s, wanted byte %d of %s", corrupt.Offset, corrupt.Path, offset, path)
+		t.Errorf("CorruptError: got byte %d of %s, want byte %d of %s", corrupt.Offset, corrupt.Path, offset, path)
 	}
 	if _, err := os.Stat(path + corruptSuffix); err != nil {
-		t.Errorf("the corrupt file is not set aside: %v", err)
+		t.Errorf("the corrupt file was not renamed: %v", err)
 	}
 }
 
-// checkUsable wants a store to persist what comes next, to keep other processes out, and to replace all its records.
+// checkUsable checks that a store persists another record, that it cannot be opened a second time, and that Replace
+// replaces all its records.
 func checkUsable(t *testing.T, store *Store, dir string) {
 	t.Helper()
 	if err := store.Save(Record{Incarnation: 8}); err != nil {
 		t.Fatalf("Save: %v", err)
 	}
 	if _, _, err := OpenStore(dir); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second OpenStore gives %v, wanted %v", err, ErrLocked)
+		t.Errorf("second OpenStore: got error %v, want %v", err, ErrLocked)
 	}
 	if err := store.Replace(Record{Incarnation: 6}); err != nil {
 		t.Fatalf("Replace: %v", err)
@@ -154,13 +156,14 @@
 	closeStore(t, store)
 	store, records := openStore(t, dir)
 	if len(records) != 1 || records[0].Incarnation != 6 {
-		t.Fatalf("after Replace the store has %+v, wanted one record of incarnation 6", records)
+		t.Fatalf("records after Replace: got %+v, want one record with incarnation 6", records)
 	}
 	closeStore(t, store)
 }
 
-// TestStoreIncompleteRecord has a kill leave a long record half written, whose rest is longer than what comes next:
-// nothing that follows from it was sent, and what is saved from then on is read again.
+// TestStoreIncompleteRecord simulates a kill during the write of a long record. The incomplete record is longer than
+// the records that are saved next. OpenStore ignores it, because no message that depends on it was sent, and later
+// starts read all records that were saved after it.
 func TestStoreIncompleteRecord(t *testing.T) {
 	for _, written := range []int{30, 5 << 10, 60 << 10} {
 		dir := t.TempDir()
@@ -173,10 +176,10 @@
 			t.Fatal(err)
 		}
 		closeStore(t, store)
-		for starts := range 3 { // a record each time, over what was left
+		for starts := range 3 { // each start saves one record over the incomplete one
 			store, records, err := OpenStore(dir)
 			if err != nil || len(records) != 1+starts {
-				t.Fatalf("%d bytes written, %d starts: %d records, %v, wanted %d",
+				t.Fatalf("OpenStore after %d bytes of an incomplete record and %d starts: got %d records, %v, want %d",
 					written, starts, len(records), err, 1+starts)
 			}
 			if err := store.Save(Record{LogID: uint64(starts + 1)}); err != nil {
@@ -187,11 +190,11 @@
 	}
 }
 
-// TestStoreFull holds the error for a record that would make the file too large.
+// TestStoreFull checks the error for a record that would make the file too large.
 func TestStoreFull(t *testing.T) {
 	store, _ := openStore(t, t.TempDir())
 	if err := store.Save(Record{Snapshot: make([]byte, maxFileSize)}); !errors.Is(err, ErrStoreFull) {
-		t.Errorf("Save of %d bytes gives %v, wanted %v", maxFileSize, err, ErrStoreFull)
+		t.Errorf("Save of %d bytes: got error %v, want %v", maxFileSize, err, ErrStoreFull)
 	}
 	if err := store.Save(Record{Incarnation: 1}); err != nil {
 		t.Errorf("Save of a small record afterwards: %v", err)
@@ -199,7 +202,7 @@
 	closeStore(t, store)
 }
 
-// faultyCall is a call of the disk that fails.
+// faultyCall names a disk call that a test makes fail.
 type faultyCall string
 
 const (
@@ -210,8 +213,9 @@
 	callSyncDir   faultyCall = "sync of the directory"
 )
 
-// TestStoreDiskErrors has writes, syncs, renames and the directory's sync fail while records are saved and replaced:
-// what Save or Replace took is there when the store is opened again, whatever failed before and after it.
+// TestStoreDiskErrors makes one kind of disk call fail while a record is saved, while the file grows, or while all
+// records are replaced. All records for which Save or Replace returned without an error must be there when the store is
+// opened again, regardless of the calls that failed before and afterwards.
 func TestStoreDiskErrors(t *testing.T) {
 	for _, call := range []faultyCall{callWrite, callHalfWrite, callSync, callRename, callSyncDir} {
 		for _, step := range []struct {
@@ -229,7 +233,7 @@
 	}
 }
 
-// failOnce has one kind of call fail the first time that a record is persisted, and not the second time.
+// failOnce makes one kind of call fail during the first attempt to persist a record, but not during the second attempt.
 func failOnce(t *testing.T, call faultyCall, persist func(*Store) error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -245,33 +249,33 @@
 	err = persist(store)
 	disk.faulty = ""
 	if disk.failures > 0 && !errors.Is(err, disk.err(call)) {
-		t.Errorf("the disk failed with %v, and the store gives %v", disk.err(call), err)
+		t.Errorf("persist on a disk that fails with %v: got error %v, want the disk's error", disk.err(call), err)
 	}
 	if err := persist(store); err != nil {
-		t.Fatalf("the second time: %v", err)
+		t.Fatalf("second attempt to persist: %v", err)
 	}
 	if disk.dirUnsynced {
-		t.Error("it counts as persisted, but the directory's new entry was not synced")
+		t.Error("the store reported success, but did not sync the directory after the rename")
 	}
 	closeStore(t, store)
 	store, records := openStore(t, dir)
 	defer closeStore(t, store)
 	last := records[len(records)-1]
 	if last.LogID != 2 || records[0].Incarnation != 1 {
-		t.Errorf("read again: %d records, the first of incarnation %d, the last of log %d, wanted 1 and 2",
+		t.Errorf("reopened store of %d records: got incarnation %d in the first, log %d in the last, want 1 and 2",
 			len(records), records[0].Incarnation, last.LogID)
 	}
 }
 
-// faultyDisk is a disk on which one kind of call fails.
+// faultyDisk is a disk on which one kind of call can be made to fail.
 type faultyDisk struct {
 	osDisk
-	faulty      faultyCall
+	faulty      faultyCall // the kind of call that fails; empty if none
 	failures    int
-	dirUnsynced bool // there was a rename since the directory was synced
+	dirUnsynced bool // a rename has happened since the last sync of the directory
 }
 
-// err is what a call fails with.
+// err returns the error with which a call fails.
 func (*faultyDisk) err(call faultyCall) error {
 	if call == callWrite {
 		return syscall.ENOSPC
