--- a/internal/consensus/replica/golden_exchange_test.go
+++ b/internal/consensus/replica/golden_exchange_test.go
@@ -8,142 +8,142 @@
 	"spurwinch/internal/consensus"
 )
 
-// exchange is a play of three replicas in a fixed order, with all that they persist and send.
-type exchange struct {
+// exchangeRecorder runs three replicas in a fixed order and records everything that they persist and send.
+type exchangeRecorder struct {
 	t        *testing.T
 	rng      *rand.Rand
 	replicas []*Replica
 	disks    [][]consensus.Record
 	inFlight []message
-	lines    []string
+	lines    []string // records and Raft messages in the format of the golden file
 }
 
-func (x *exchange) start(i int) {
-	replica, err := New(i, 3, x.disks[i], x.rng)
+func (e *exchangeRecorder) start(i int) {
+	replica, err := New(i, 3, e.disks[i], e.rng)
 	if err != nil {
-		x.t.Fatal(err)
+		e.t.Fatal(err)
 	}
-	if i < len(x.replicas) {
-		x.replicas[i] = replica
+	if i < len(e.replicas) {
+		e.replicas[i] = replica
 		return
 	}
-	x.replicas = append(x.replicas, replica)
+	e.replicas = append(e.replicas, replica)
 }
 
-// settle has all replicas persist and send until none has anything more.
-func (x *exchange) settle() {
+// runUntilIdle delivers messages and lets all replicas persist and send until no message is in flight.
+func (e *exchangeRecorder) runUntilIdle() {
 	const rounds = 12
 	for range rounds {
-		sent := x.inFlight
-		x.inFlight = nil
+		sent := e.inFlight
+		e.inFlight = nil
 		for _, m := range sent {
-			if err := x.replicas[m.to].Receive(m.from, m.data); err != nil {
-				x.t.Fatal(err)
+			if err := e.replicas[m.to].Receive(m.from, m.data); err != nil {
+				e.t.Fatal(err)
 			}
 		}
-		for i := range x.replicas {
-			x.work(i)
+		for i := range e.replicas {
+			e.persistAndSend(i)
 		}
 	}
-	if len(x.inFlight) > 0 {
-		x.t.Fatalf("after %d rounds %d messages are in flight, wanted none", rounds, len(x.inFlight))
+	if len(e.inFlight) > 0 {
+		e.t.Fatalf("messages in flight after %d rounds: got %d, want none", rounds, len(e.inFlight))
 	}
 }
 
-// work has a replica persist and send all that it has to.
-func (x *exchange) work(i int) {
-	replica := x.replicas[i]
+// persistAndSend persists all records that a replica has ready and sends its messages.
+func (e *exchangeRecorder) persistAndSend(i int) {
+	replica := e.replicas[i]
 	for {
 		record, whole, ok := replica.Ready()
 		if !ok {
 			break
 		}
 		if whole {
-			x.t.Fatal("a record that replaces all others")
+			e.t.Fatal("Ready: got a record that replaces all others, want one that does not")
 		}
 		if !record.Empty() {
-			x.lines = append(x.lines, fmt.Sprintf("keep %d %x", i, consensus.Encode(record)))
-			x.disks[i] = append(x.disks[i], record)
+			e.lines = append(e.lines, fmt.Sprintf("keep %d %x", i, consensus.Encode(record)))
+			e.disks[i] = append(e.disks[i], record)
 		}
 		messages, _ := replica.Persisted()
 		for _, m := range messages {
-			x.send(i, m)
+			e.send(i, m)
 		}
 	}
 	if err := replica.Err(); err != nil {
-		x.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 }
 
-// send sends a message. The lines leave out hellos: TestGoldenEnvelope has those.
-func (x *exchange) send(from int, m consensus.Message) {
-	x.inFlight = append(x.inFlight, message{from: from, to: m.To, data: m.Data})
+// send sends a message and records it, unless it is a hello: TestGoldenEnvelope covers hellos.
+func (e *exchangeRecorder) send(from int, m consensus.Message) {
+	e.inFlight = append(e.inFlight, message{from: from, to: m.To, data: m.Data})
 	var sent envelope
 	if err := consensus.Unmarshal(m.Data, &sent); err != nil {
-		x.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 	if len(sent.Raft) > 0 {
-		x.lines = append(x.lines, fmt.Sprintf("send %d %d %x", from, m.To, m.Data))
+		e.lines = append(e.lines, fmt.Sprintf("send %d %d %x", from, m.To, m.Data))
 	}
 }
 
-func (x *exchange) tick(ids ...int) {
-	for _, i := range ids {
-		x.replicas[i].Tick()
+func (e *exchangeRecorder) tick(numbers ...int) {
+	for _, i := range numbers {
+		e.replicas[i].Tick()
 	}
-	x.settle()
+	e.runUntilIdle()
 }
 
-func (x *exchange) propose(id string, replaces uint64) {
+func (e *exchangeRecorder) propose(id string, replaces uint64) {
 	proposal := consensus.Proposal{ID: id, Kind: 1, Replaces: replaces, Data: []byte("data of " + id)}
-	if err := x.replicas[0].Propose(proposal); err != nil {
-		x.t.Fatal(err)
+	if err := e.replicas[0].Propose(proposal); err != nil {
+		e.t.Fatal(err)
 	}
-	x.settle()
+	e.runUntilIdle()
 }
 
-// TestGoldenExchange holds every record and message, byte for byte, of replicas that begin a log, choose a leader,
-// decide, confirm, and take in a replica that lost its disk.
+// TestGoldenExchange compares every record and Raft message with the golden file, byte for byte. The replicas create a
+// log, elect a leader, commit proposals, confirm the leadership, and make a replica that lost its disk a voter again.
 func TestGoldenExchange(t *testing.T) {
 	seedRaft(t, 1)
-	play := &exchange{t: t, rng: rand.New(rand.NewPCG(3, 4)), disks: make([][]consensus.Record, 3)}
+	recorder := &exchangeRecorder{t: t, rng: rand.New(rand.NewPCG(3, 4)), disks: make([][]consensus.Record, 3)}
 	for i := range 3 {
-		play.start(i)
+		recorder.start(i)
 	}
-	play.settle()
-	for range helloTicks + 1 { // until all have begun the log
-		play.tick(0, 1, 2)
+	recorder.runUntilIdle()
+	for range helloTicks + 1 { // until all replicas have created the log
+		recorder.tick(0, 1, 2)
 	}
 	for range 40 {
-		play.tick(0)
-	}
-	if !play.replicas[0].IsLeader() {
-		t.Fatal("replica 0 does not lead")
-	}
-	play.propose("one", 0)
-	play.propose("two", play.replicas[0].State().Newest[1].Index)
-	play.propose("late", 0)
-	play.replicas[0].ConfirmLeadership()
-	play.settle()
-	if play.replicas[0].ConfirmedCall() != 1 {
-		t.Fatal("the leader is not confirmed")
-	}
-	play.disks[2] = nil
-	play.start(2)
-	play.settle()
-	play.tick(2)
+		recorder.tick(0)
+	}
+	if !recorder.replicas[0].IsLeader() {
+		t.Fatal("replica 0 is not the leader, want it to be")
+	}
+	recorder.propose("one", 0)
+	recorder.propose("two", recorder.replicas[0].State().Newest[1].Index)
+	recorder.propose("late", 0)
+	recorder.replicas[0].ConfirmLeadership()
+	recorder.runUntilIdle()
+	if recorder.replicas[0].ConfirmedCall() != 1 {
+		t.Fatal("ConfirmedCall does not return call 1, the leadership is not confirmed")
+	}
+	recorder.disks[2] = nil
+	recorder.start(2)
+	recorder.runUntilIdle()
+	recorder.tick(2)
 	for range 60 {
-		play.tick(0)
+		recorder.tick(0)
 	}
-	if !play.replicas[2].isVoter() {
-		t.Fatal("the replica that lost its disk is not a member again")
+	if !recorder.replicas[2].isVoter() {
+		t.Fatal("the replica that lost its disk is not a voter again")
 	}
-	play.propose("three", play.replicas[0].State().Newest[1].Index)
-	want := goldenText(t, "exchange.txt", play.lines)
+	recorder.propose("three", recorder.replicas[0].State().Newest[1].Index)
+	want := goldenText(t, "exchange.txt", recorder.lines)
 	checkGoldenDisks(t, want)
 }
 
-// checkGoldenDisks starts replicas on the records of the golden file and holds what they know by them.
+// checkGoldenDisks starts replicas from the records of the golden file and checks the state that they load.
 func checkGoldenDisks(t *testing.T, lines []string) {
 	t.Helper()
 	disks := goldenDisks(t, lines)
@@ -157,26 +157,26 @@
 			t.Fatal(err)
 		}
 		checkGoldenHardState(t, i, replica)
-		for range 5 { // what is decided is applied
+		for range 5 { // apply the committed entries
 			if _, _, ok := replica.Ready(); ok {
 				replica.Persisted()
 			}
 		}
 		if replica.logID == 0 || replica.logID != logID || !replica.isVoter() {
-			t.Errorf("replica %d: log %x, member %v, wanted %x and true", i, replica.logID, replica.isVoter(), logID)
+			t.Errorf("replica %d: got log %x, voter %v, want %x and true", i, replica.logID, replica.isVoter(), logID)
 		}
 		state := replica.State()
 		if newest := state.Newest[1]; newest.ID != "three" || string(newest.Data) != "data of three" {
-			t.Errorf("replica %d: the newest entry is %+v, wanted that of proposal three", i, newest)
+			t.Errorf("replica %d: newest entry: got %+v, want the entry of proposal three", i, newest)
 		}
 		if len(state.Results) != 4 || len(state.Retired) != 1 {
-			t.Errorf("replica %d: %d results and %d retired replicas, wanted 4 and 1",
+			t.Errorf("replica %d: got %d results and %d retired replicas, want 4 and 1",
 				i, len(state.Results), len(state.Retired))
 		}
 	}
 }
 
-// goldenDisks are the records of the golden file, by replica.
+// goldenDisks returns the records of the golden file for each replica.
 func goldenDisks(t *testing.T, lines []string) [][]consensus.Record {
 	t.Helper()
 	disks := make([][]consensus.Record, 3)
@@ -184,30 +184,30 @@
 		var i int
 		var text string
 		if _, err := fmt.Sscanf(line, "keep %d %s", &i, &text); err != nil {
-			continue // it is of a message
+			continue // the line contains a message
 		}
 		var record consensus.Record
 		if err := consensus.Unmarshal(fromHex(t, text), &record); err != nil {
 			t.Fatal(err)
 		}
 		if record.Incarnation != 0 {
-			disks[i] = nil // a new disk
+			disks[i] = nil // the replica has a new disk
 		}
 		disks[i] = append(disks[i], record)
 	}
 	return disks
 }
 
-// checkGoldenHardState wants the term, vote and commit index of the exchange.
+// checkGoldenHardState checks that a replica loads the term, the vote and the commit index of the recorded exchange.
 func checkGoldenHardState(t *testing.T, i int, replica *Replica) {
 	t.Helper()
 	hardState, _, err := replica.storage.InitialState()
 	if err != nil {
 		t.Fatal(err)
 	}
-	voted := hardState.GetVote() != 0 // the replica that lost its disk has not voted since
+	voted := hardState.GetVote() != 0 // replica 2, which lost its disk, has not voted since then
 	if hardState.GetTerm() != 1 || voted != (i != 2) || hardState.GetCommit() < 6 {
-		t.Errorf("replica %d: term, vote and commit are %v, wanted term 1, voted %v, commit from 6 on",
+		t.Errorf("replica %d: hard state: got %v, want term 1, voted %v and a commit index of at least 6",
 			i, hardState, i != 2)
 	}
 }
--- a/internal/consensus/replica/golden_test.go
+++ b/internal/consensus/replica/golden_test.go
@@ -18,9 +18,10 @@
 	"spurwinch/internal/consensus"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew: only for a form that is new")
+var update = flag.Bool("update", false, "rewrite the golden files; use it only for a new format")
 
-// goldenText wants lines to be those of a golden file, and gives them; with -update it writes the file first.
+// goldenText checks that the lines got equal those of a golden file, and returns the lines of the file. With -update it
+// first writes got to the file.
 func goldenText(t *testing.T, name string, got []string) (want []string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -36,7 +37,8 @@
 	want = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	for i := range max(len(got), len(want)) {
 		if i >= len(got) || i >= len(want) || got[i] != want[i] {
-			t.Errorf("%s: line %d of %d is not that of the golden file's %d", name, i+1, len(got), len(want))
+			t.Errorf("%s: line %d differs: got %d lines, want the %d lines of the golden file",
+				name, i+1, len(got), len(want))
 			break
 		}
 	}
@@ -52,7 +54,7 @@
 	return b
 }
 
-// TestGoldenEnvelope holds the form of all messages between replicas.
+// TestGoldenEnvelope checks the encoding of the envelope, in which replicas send all messages.
 func TestGoldenEnvelope(t *testing.T) {
 	value := envelope{Incarnation: 0x1112131415161718, LogID: 0x2122232425262728, Raft: []byte("raft message")}
 	want := goldenText(t, "envelope.hex", []string{hex.EncodeToString(consensus.Encode(value))})
@@ -61,15 +63,15 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(decoded, value) {
-		t.Errorf("decoded %+v, wanted %+v", decoded, value)
+		t.Errorf("decoded envelope: got %+v, want %+v", decoded, value)
 	}
 }
 
-// TestGoldenFold holds the one record that a replica makes of a log that has grown, and what a replica that starts on
-// it knows.
-func TestGoldenFold(t *testing.T) {
-	replica, folded := compactGrownLog(t)
-	lines := goldenText(t, "fold.hex", []string{hex.EncodeToString(consensus.Encode(folded))})
+// TestGoldenCompactedRecord checks the record that Compact returns for a log that has grown, and the state of a replica
+// that starts from this record.
+func TestGoldenCompactedRecord(t *testing.T) {
+	replica, compacted := compactGrownLog(t)
+	lines := goldenText(t, "fold.hex", []string{hex.EncodeToString(consensus.Encode(compacted))})
 	var golden consensus.Record
 	if err := consensus.Unmarshal(fromHex(t, lines[0]), &golden); err != nil {
 		t.Fatal(err)
@@ -83,21 +85,22 @@
 		t.Fatal(err)
 	}
 	if again.incarnation != replica.incarnation || again.Term() != replica.Term() {
-		t.Errorf("from the golden record: incarnation %x, term %d, wanted %x and %d",
+		t.Errorf("replica from the golden record: got incarnation %x, term %d, want %x and %d",
 			again.incarnation, again.Term(), replica.incarnation, replica.Term())
 	}
 	if index := snapshot.GetMetadata().GetIndex(); again.applied != replica.applied || index != replica.applied {
-		t.Errorf("from the golden record: applied %d, snapshot of %d, wanted %d", again.applied, index, replica.applied)
+		t.Errorf("replica from the golden record: got applied %d, snapshot index %d, want %d",
+			again.applied, index, replica.applied)
 	}
 	if !reflect.DeepEqual(again.State(), replica.State()) {
-		t.Errorf("from the golden record: state %+v, wanted %+v", again.State(), replica.State())
+		t.Errorf("replica from the golden record: got state %+v, want %+v", again.State(), replica.State())
 	}
 	if !bytes.Equal(consensus.Encode(again.State()), snapshot.GetData()) {
-		t.Errorf("the state is encoded as %x, wanted %x", consensus.Encode(again.State()), snapshot.GetData())
+		t.Errorf("encoded state: got %x, want %x", consensus.Encode(again.State()), snapshot.GetData())
 	}
 }
 
-// compactGrownLog has a replica that is the only one decide proposals until Compact gives a record.
+// compactGrownLog makes a single replica commit proposals until Compact returns a record.
 func compactGrownLog(t *testing.T) (*Replica, consensus.Record) {
 	t.Helper()
 	replica, err := New(0, 1, nil, rand.New(rand.NewPCG(5, 6)))
@@ -125,11 +128,11 @@
 		}
 		persistAll(t, replica)
 	}
-	t.Fatal("no record of 2000 proposals")
+	t.Fatal("Compact returned no record during 2000 proposals")
 	return nil, consensus.Record{}
 }
 
-// persistAll persists what a replica has ready, and drops what it sends.
+// persistAll reports all records that a replica has ready as persisted, and drops its messages.
 func persistAll(t *testing.T, replica *Replica) {
 	t.Helper()
 	for range 10 {
@@ -138,5 +141,5 @@
 		}
 		replica.Persisted()
 	}
-	t.Fatal("the replica always has something more to persist")
+	t.Fatal("Ready still returns a record after 10 calls of Persisted")
 }
--- a/internal/consensus/replica/simulation_test.go
+++ b/internal/consensus/replica/simulation_test.go
@@ -10,41 +10,41 @@
 	"spurwinch/internal/consensus"
 )
 
-// simulatedReplicas is how many replicas a simulation has.
+// simulatedReplicas is the number of replicas in a simulation.
 const simulatedReplicas = 3
 
-// simulation plays replicas in simulated time, in ticks: messages are lost, late and repeated, replicas stall, crash
-// before or after a record is on their disk, and lose their disks.
+// simulation runs replicas in simulated time, whose unit is one tick. Messages are lost, delayed and duplicated.
+// Replicas stall, crash before or after a record is on their disk, and lose their disks.
 type simulation struct {
 	t         *rapid.T
 	rng       *rand.Rand
 	replicas  []*node
 	inFlight  []message
 	now       int
-	digests   map[uint64]uint64 // by index, of all entries that any replica ever knew
+	digests   map[uint64]uint64 // of all entries that any replica ever knew, by index
 	results   map[string]consensus.ProposalResult
 	loss      float64 // probability that a message is lost
-	partition int     // replicas with a number below it hear only one another
+	partition int     // replicas with lower numbers exchange messages only among themselves, and so do the others
 }
 
 // node is a replica with its disk.
 type node struct {
-	replica *Replica
-	disk    []consensus.Record
-	pending *consensus.Record // what is being persisted
-	due     int               // when it is
-	stalled int               // until then the process stands still
-	down    int               // then the process starts again
-	highest uint64            // index of the newest entry
+	replica      *Replica
+	disk         []consensus.Record
+	pending      *consensus.Record // record that is being persisted
+	persistedAt  int               // time at which the pending record is on disk
+	stalledUntil int               // the process is suspended until this time
+	downUntil    int               // the process restarts at this time
+	newestIndex  uint64            // newest index that checkConsistency has seen
 }
 
 type message struct {
-	due      int
+	due      int // earliest time of arrival
 	from, to int
 	data     []byte
 }
 
-// seededReader makes a generator a reader of random bytes.
+// seededReader implements io.Reader with the bytes of a random generator.
 type seededReader struct{ *rand.Rand }
 
 func (s seededReader) Read(random []byte) (int, error) {
@@ -54,7 +54,7 @@
 	return len(random), nil
 }
 
-// seedRaft has Raft draw its election timeouts from a seed for the time of a test.
+// seedRaft makes Raft draw its election timeouts from a seeded generator until the end of the test.
 func seedRaft(tb testing.TB, seed uint64) {
 	tb.Helper()
 	before := crypto.Reader
@@ -63,25 +63,25 @@
 }
 
 func newSimulation(t *rapid.T, seed uint64) *simulation {
-	crypto.Reader = seededReader{rand.New(rand.NewPCG(seed, 2))} // Raft draws its election timeouts from there
-	played := &simulation{
+	crypto.Reader = seededReader{rand.New(rand.NewPCG(seed, 2))} // Raft draws its election timeouts from crypto.Reader
+	created := &simulation{
 		t:       t,
 		rng:     rand.New(rand.NewPCG(seed, 1)),
 		digests: map[uint64]uint64{},
 		results: map[string]consensus.ProposalResult{},
 	}
 	for i := range simulatedReplicas {
-		played.replicas = append(played.replicas, &node{})
-		played.start(i)
+		created.replicas = append(created.replicas, &node{})
+		created.start(i)
 	}
-	return played
+	return created
 }
 
 func (s *simulation) start(i int) {
 	node := s.replicas[i]
 	replica, err := New(i, simulatedReplicas, node.disk, s.rng)
 	if err != nil {
-		s.t.Fatalf("replica %d does not start: %v", i, err)
+		s.t.Fatalf("start replica %d: %v", i, err)
 	}
 	node.replica = replica
 	node.pending = nil
@@ -93,11 +93,11 @@
 	}
 }
 
-// tick is one tick of all replicas.
+// tick advances the time by one tick: it restarts crashed replicas, delivers messages and runs the replicas.
 func (s *simulation) tick() {
 	s.now++
 	for i, node := range s.replicas {
-		if node.down == s.now {
+		if node.downUntil == s.now {
 			s.start(i)
 		}
 	}
@@ -107,41 +107,42 @@
 		s.deliver(m)
 	}
 	for i, node := range s.replicas {
-		if node.down > s.now || node.stalled > s.now {
+		if node.downUntil > s.now || node.stalledUntil > s.now {
 			continue
 		}
 		node.replica.Tick()
-		s.work(i)
+		s.advanceReplica(i)
 		if err := node.replica.Err(); err != nil {
-			s.t.Fatalf("replica %d has stopped: %v", i, err)
+			s.t.Fatalf("replica %d stopped with an error: %v", i, err)
 		}
 	}
 }
 
-// deliver has a message arrive, where it is due and its receiver runs.
+// deliver delivers a message if it is due and its receiver is running. The message is lost if the receiver is down or
+// in the other partition, and waits if the receiver is stalled.
 func (s *simulation) deliver(arriving message) {
 	receiver := s.replicas[arriving.to]
 	switch {
 	case arriving.due > s.now:
 		s.inFlight = append(s.inFlight, arriving)
-	case receiver.down > s.now || (arriving.from < s.partition) != (arriving.to < s.partition):
-	case receiver.stalled > s.now:
-		arriving.due = receiver.stalled
+	case receiver.downUntil > s.now || (arriving.from < s.partition) != (arriving.to < s.partition):
+	case receiver.stalledUntil > s.now:
+		arriving.due = receiver.stalledUntil
 		s.inFlight = append(s.inFlight, arriving)
 	default:
 		if err := receiver.replica.Receive(arriving.from, arriving.data); err != nil {
-			s.t.Fatalf("replica %d receives of %d: %v", arriving.to, arriving.from, err)
+			s.t.Fatalf("Receive on replica %d of a message from replica %d: %v", arriving.to, arriving.from, err)
 		}
-		s.work(arriving.to)
+		s.advanceReplica(arriving.to)
 	}
 }
 
-// work has a replica do what it can until it waits for its disk or for messages.
-func (s *simulation) work(i int) {
+// advanceReplica runs a replica until it waits for its disk or for messages.
+func (s *simulation) advanceReplica(i int) {
 	node := s.replicas[i]
 	for range 100 {
 		if node.pending != nil {
-			if node.due > s.now {
+			if node.persistedAt > s.now {
 				return
 			}
 			s.persist(node)
@@ -155,7 +156,7 @@
 			return
 		}
 		node.pending = &record
-		node.due = s.now + s.rng.IntN(3)
+		node.persistedAt = s.now + s.rng.IntN(3)
 	}
 }
 
@@ -166,7 +167,7 @@
 	node.pending = nil
 }
 
-// publish does what follows from a record that is persisted.
+// publish sends the messages and stores the results that a replica returns once its record is persisted.
 func (s *simulation) publish(i int) {
 	node := s.replicas[i]
 	messages, results := node.replica.Persisted()
@@ -175,14 +176,14 @@
 	}
 	for _, result := range results {
 		if before, ok := s.results[result.ID]; ok && before != result {
-			s.t.Fatalf("proposal %s ended twice: %+v and %+v", result.ID, before, result)
+			s.t.Fatalf("proposal %s has two results: %+v and %+v", result.ID, before, result)
 		}
 		s.results[result.ID] = result
 	}
-	s.check(node)
+	s.checkConsistency(node)
 }
 
-// send has a message arrive late, twice or never.
+// send sends a message with a random delay. The message may be lost or duplicated.
 func (s *simulation) send(from int, outgoing consensus.Message) {
 	if s.rng.Float64() < s.loss {
 		return
@@ -197,24 +198,24 @@
 	}
 }
 
-// check holds what a replica knows against all that any replica ever knew.
-func (s *simulation) check(node *node) {
+// checkConsistency compares the newest entries of a replica with all entries that any replica ever knew.
+func (s *simulation) checkConsistency(node *node) {
 	for _, entry := range node.replica.State().Newest {
 		if before, ok := s.digests[entry.Index]; ok && before != entry.Digest() {
-			s.t.Fatalf("index %d has two contents, of digests %x and %x", entry.Index, before, entry.Digest())
+			s.t.Fatalf("index %d has two contents, with digests %x and %x", entry.Index, before, entry.Digest())
 		}
 		s.digests[entry.Index] = entry.Digest()
-		if entry.Index < node.highest {
-			s.t.Fatalf("the newest index went back from %d to %d", node.highest, entry.Index)
+		if entry.Index < node.newestIndex {
+			s.t.Fatalf("the newest index decreased from %d to %d", node.newestIndex, entry.Index)
 		}
-		node.highest = entry.Index
+		node.newestIndex = entry.Index
 	}
 }
 
-// leader is the replica that leads by the newest term; nil: none.
+// leader returns the running leader with the highest term, or nil if there is none.
 func (s *simulation) leader() (leader *Replica) {
 	for _, node := range s.replicas {
-		if node.down <= s.now && node.stalled <= s.now && node.replica.IsLeader() &&
+		if node.downUntil <= s.now && node.stalledUntil <= s.now && node.replica.IsLeader() &&
 			(leader == nil || node.replica.Term() > leader.Term()) {
 			leader = node.replica
 		}
@@ -222,15 +223,16 @@
 	return leader
 }
 
-// healthy says that all replicas vote and know what is decided.
-func (s *simulation) healthy() bool {
+// allCaughtUp reports whether all replicas are running, connected and voters, and have applied nearly all entries that
+// the leader has applied.
+func (s *simulation) allCaughtUp() bool {
 	leader := s.leader()
 	if leader == nil || s.partition != 0 {
 		return false
 	}
 	for _, node := range s.replicas {
 		replica := node.replica
-		if node.down > s.now || node.stalled > s.now || replica.raft == nil || !replica.isVoter() ||
+		if node.downUntil > s.now || node.stalledUntil > s.now || replica.raft == nil || !replica.isVoter() ||
 			replica.applied+2 < leader.applied || len(leader.raft.Status().Config.Voters.IDs()) != simulatedReplicas {
 			return false
 		}
@@ -238,7 +240,7 @@
 	return true
 }
 
-// describe logs all replicas, for a test that fails.
+// describe logs the state of all replicas when a test fails.
 func (s *simulation) describe() {
 	for i, node := range s.replicas {
 		replica := node.replica
