--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -27,6 +27,6 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dir.Close() }() // opened for Sync only, nothing is written through it
+	defer func() { _ = dir.Close() }() // nothing is written through it
 	return dir.Sync()
 }
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -6,7 +6,7 @@
 //
 //   - Entry, Proposal and ProposalResult are the values that the log decides.
 //   - State is the replicated state machine to which each replica applies the log.
-//   - Follower stores the newest entries that a node without a replica has received.
+//   - Follower stores the newest entries that a node has received, on nodes with and without a replica.
 //   - Record is what a replica returns to be persisted, Message what it returns to be sent.
 //   - Store is the file in which records are persisted.
 //
--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -61,11 +61,11 @@
 func (p Proposal) Check() error {
 	switch {
 	case p.ID == "" || len(p.ID) > maxProposalID:
-		return fmt.Errorf("%w: the id has %d bytes, must have 1 to %d", ErrInvalidProposal, len(p.ID), maxProposalID)
+		return fmt.Errorf("%w: id of %d bytes, must be 1 to %d", ErrInvalidProposal, len(p.ID), maxProposalID)
 	case p.Kind == 0:
 		return fmt.Errorf("%w: kind must not be 0", ErrInvalidProposal)
 	case len(p.Data) > MaxData:
-		return fmt.Errorf("%w: %d bytes of data, must have at most %d", ErrInvalidProposal, len(p.Data), MaxData)
+		return fmt.Errorf("%w: %d bytes of data, must be at most %d", ErrInvalidProposal, len(p.Data), MaxData)
 	}
 	return nil
 }
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -16,12 +16,12 @@
 	// ErrForeignLog means that an entry or digest does not belong to the log that this node follows, but to the log of
 	// another fleet or to an earlier log of this fleet.
 	ErrForeignLog = errors.New("entry of another log")
-	// ErrConflict means that one index of a log has two different contents. Correct replicas never cause this.
+	// ErrConflict means that one index of a log has two different contents, which consensus rules out.
 	ErrConflict = errors.New("conflicting contents at one index")
 	// ErrCorrupt means that the file of a store no longer contains everything that was persisted in it. See
 	// CorruptError.
 	ErrCorrupt = errors.New("the store is corrupt")
-	// ErrLocked means that another process has opened the store.
+	// ErrLocked means that another process currently has the store open.
 	ErrLocked = errors.New("the store is in use by another process")
 	// ErrStoreFull means that the file of a store would exceed its maximum size.
 	ErrStoreFull = errors.New("the store is full")
@@ -47,7 +47,7 @@
 // Unwrap returns ErrCorrupt and the cause.
 func (e *CorruptError) Unwrap() []error { return []error{ErrCorrupt, e.Err} }
 
-// foreignLog returns an ErrForeignLog for an entry or digest of log got on a node that follows another log.
+// foreignLog returns an ErrForeignLog for an entry or a digest of a log other than the followed one.
 func foreignLog(got, followed uint64) error {
 	return fmt.Errorf("%w: got log %016x, this node follows %016x", ErrForeignLog, got, followed)
 }
--- a/internal/consensus/replica/configuration.go
+++ b/internal/consensus/replica/configuration.go
@@ -23,8 +23,8 @@
 	return ok
 }
 
-// reconfigure makes the leader replace the earlier incarnation of a replica that lost its disk by the present one. The
-// present incarnation first becomes a learner, so that no majority depends on a disk without data.
+// reconfigure makes the leader replace the earlier incarnation of a replica that lost its disk with the present one.
+// The present incarnation first becomes a learner, so that no majority depends on a disk without data.
 func (r *Replica) reconfigure() {
 	status := r.raft.Status()
 	if status.RaftState != raft.StateLeader || r.ticks%helloTicks != 0 {
--- a/internal/consensus/replica/replica.go
+++ b/internal/consensus/replica/replica.go
@@ -68,7 +68,7 @@
 type leadershipConfirmations struct {
 	calls     uint64           // number of calls, which is also the number of the newest call
 	confirmed uint64           // number of the newest confirmed call
-	waiting   []raft.ReadState // calls that a majority confirmed, before all entries committed earlier are applied
+	waiting   []raft.ReadState // calls that a majority confirmed, but whose read index is not applied yet
 }
 
 // New creates replica number self of replicaCount replicas from the persisted records, oldest first. If the records
--- a/internal/consensus/replica/replica_test.go
+++ b/internal/consensus/replica/replica_test.go
@@ -33,7 +33,7 @@
 		simulation.run(60)
 		faults := &schedule{simulation: simulation}
 		for range rapid.IntRange(5, 25).Draw(t, "faults") {
-			faults.step()
+			faults.injectFault()
 			simulation.run(simulation.rng.IntN(60))
 		}
 		simulation.partition = 0
@@ -50,8 +50,8 @@
 	disksLost int
 }
 
-// step injects one random fault.
-func (s *schedule) step() {
+// injectFault injects one random fault.
+func (s *schedule) injectFault() {
 	node := s.replicas[rapid.IntRange(0, simulatedReplicas-1).Draw(s.t, "replica")]
 	faults := []fault{faultCrash, faultStall, faultPartition, faultHeal, faultDiskLost, faultPropose}
 	switch rapid.SampledFrom(faults).Draw(s.t, "fault") {
--- a/internal/consensus/store.go
+++ b/internal/consensus/store.go
@@ -176,7 +176,7 @@
 	return s.syncDir()
 }
 
-// install writes a new file and renames it to the path of the store.
+// install writes a new file, locks it and renames it to the path of the store.
 func (s *Store) install(file *os.File, contents []byte) error {
 	// The file is written in full size instead of being sparse, so that a full disk causes an error here and not when a
 	// record has to be persisted.
