--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,5 +1,6 @@
-// Package session records which server holds a resumable session, beyond the life of its client's connection. It knows
-// no protocol and does no I/O; time is passed as a value. The table is bounded, and its entries expire.
+// Package session records which server holds each resumable session, also after the connection of its client has ended.
+// It is independent of the protocol, does no I/O and takes the current time as an argument. The table has a limited
+// size, and its entries expire.
 package session
 
 import (
@@ -8,44 +9,44 @@
 	"spurwinch/choice"
 )
 
-// Bounds of the time for which a session can be resumed once its stream is gone.
+// The time for which a session can be resumed after its stream has ended.
 const (
-	MaxResumeTime     = 24 * time.Hour  // a longer one counts as this
-	DefaultResumeTime = 5 * time.Minute // where the server tells none
+	MaxResumeTime     = 24 * time.Hour  // the table shortens longer times to this
+	DefaultResumeTime = 5 * time.Minute // used if the server gives no time
 )
 
-// Key names a session: ids are unique within a domain only.
+// Key identifies a session. Session ids are unique only within a domain.
 type Key struct {
 	Domain string `cbor:"Domain"`
 	ID     string `cbor:"ID"`
 }
 
-// Session is one that can be resumed.
+// Session is a session that a client can resume.
 type Session struct {
 	Key
-	User   string          `cbor:"User"` // empty: not known
+	User   string          `cbor:"User"` // empty: unknown
 	Server choice.ServerID `cbor:"Host"`
-	// ServerStarted is the start of the server's process, as the endpoint list has it: another process knows nothing of
-	// the session.
+	// ServerStarted is the start time of the server's process, from the endpoint list. A later process of the server
+	// does not have the session.
 	ServerStarted time.Duration `cbor:"Started"`
-	ResumeTime    time.Duration `cbor:"Max"`   // for which the server keeps it once its stream is gone
-	Expires       time.Time     `cbor:"Until"` // when it expires; zero: its stream is connected
-	// TimeLeft is the time until then, as it is transferred to another process, whose clock may differ; 0: from a
-	// release that transfers Expires only.
+	ResumeTime    time.Duration `cbor:"Max"`   // how long the server keeps the session after its stream has ended
+	Expires       time.Time     `cbor:"Until"` // zero: its stream is connected
+	// TimeLeft is the time until Expires. It is set for the transfer to another process, whose clock may differ; 0: the
+	// session comes from a release that transfers only Expires.
 	TimeLeft time.Duration `cbor:"Left"`
 }
 
-// connected reports whether the session has a stream.
+// connected reports whether the session has a connected stream.
 func (s *Session) connected() bool { return s.Expires.IsZero() }
 
-// expired reports whether the session can't be resumed any more.
+// expired reports whether the time to resume the session is over.
 func (s *Session) expired(now time.Time) bool { return !s.connected() && !now.Before(s.Expires) }
 
-// user is the owner of the session.
+// user returns the key of the session's user.
 func (s *Session) user() userKey { return userKey{domain: s.Domain, name: s.User} }
 
-// valid reports whether a session that another process transferred, with its Expires by this one's clock, can be
-// resumed here.
+// valid reports whether a session that another process has transferred can be resumed here. Its Expires must already be
+// converted to this process's clock.
 func (s *Session) valid(now time.Time) bool {
 	if s.ID == "" || s.Server == "" || s.connected() {
 		return false
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -17,10 +17,10 @@
 	users      = 3
 )
 
-// model is a plain list of sessions without a bound, by their last update, the oldest first.
+// model is a reference implementation of Table: an unbounded list of sessions, least recently updated first.
 type model []Session
 
-// index is where a key's session stands; -1: the model doesn't have it.
+// index returns the position of the session with the given key, or -1 if the model doesn't have it.
 func (m model) index(key Key) int {
 	return slices.IndexFunc(m, func(session Session) bool { return session.Key == key })
 }
@@ -32,13 +32,13 @@
 	}
 }
 
-// connect adds a session as the last.
+// connect adds a session as the most recently updated one.
 func (m *model) connect(session Session) {
 	m.forget(session.Key)
 	*m = append(*m, session)
 }
 
-// disconnect has a session that is connected expire.
+// disconnect sets the expiry of a connected session.
 func (m *model) disconnect(now time.Time, key Key) {
 	index := m.index(key)
 	if index < 0 || !(*m)[index].connected() {
@@ -50,7 +50,8 @@
 	*m = append(*m, session)
 }
 
-// trim removes what the table has dropped for capacity: sessions without a stream go first.
+// trim removes the sessions that the table has removed for capacity. It checks that the table removed sessions without
+// a stream first.
 func (m *model) trim(t *rapid.T, table *Table) {
 	t.Helper()
 	var held model
@@ -60,19 +61,19 @@
 			continue
 		}
 		if left := table.disconnected.Len(); session.connected() && left > 0 {
-			t.Fatalf("%+v was dropped for capacity, %d without a stream stay", session, left)
+			t.Fatalf("%+v was removed for capacity: got %d sessions without a stream left, want 0", session, left)
 		}
 	}
 	*m = held
 }
 
-// checkSizes checks the table's bound, and that its lists and indices hold the same sessions.
+// checkSizes checks that the table is within its capacity and that its lists and indices hold equally many sessions.
 func checkSizes(t *rapid.T, table *Table, capacity int) {
 	t.Helper()
 	connected := table.connected.Len()
 	disconnected := table.disconnected.Len()
 	if table.Len() > capacity || connected+disconnected != table.Len() {
-		t.Fatalf("%d sessions in a table for %d, %d connected, %d disconnected",
+		t.Fatalf("Len: got %d, want at most %d and the sum of %d connected and %d disconnected",
 			table.Len(), capacity, connected, disconnected)
 	}
 	byUser := 0
@@ -80,11 +81,11 @@
 		byUser += len(all)
 	}
 	if byUser != table.Len() {
-		t.Fatalf("%d sessions by user, %d in all", byUser, table.Len())
+		t.Fatalf("index by user: got %d sessions, want %d", byUser, table.Len())
 	}
 }
 
-// checkKeys checks what the table finds by key.
+// checkKeys compares the results of Find with the model.
 func checkKeys(t *rapid.T, table *Table, want model, now time.Time) {
 	t.Helper()
 	for number := range keys {
@@ -95,15 +96,15 @@
 			last = want[index]
 		}
 		if ok && (got != last || got.expired(now)) {
-			t.Fatalf("found %+v, the last update is %+v", got, last)
+			t.Fatalf("Find: got %+v, want %+v unless it has expired", got, last)
 		}
 		if !ok && last.ID != "" && !last.expired(now) && len(want) <= table.capacity {
-			t.Fatalf("%+v is not found", last)
+			t.Fatalf("Find: got no session, want %+v", last)
 		}
 	}
 }
 
-// checkUsers checks what the table finds by user.
+// checkUsers compares the results of FindByUser with the model.
 func checkUsers(t *rapid.T, table *Table, want model, now time.Time) {
 	t.Helper()
 	for number := range users {
@@ -117,14 +118,14 @@
 				continue
 			}
 			if last != got {
-				t.Fatalf("found %+v of the user, the last update is %+v", got, last)
+				t.Fatalf("FindByUser: got %+v, want %+v", got, last)
 			}
 			break
 		}
 	}
 }
 
-// drawSession draws a session of one of the keys and users; the step names its server.
+// drawSession draws a session with one of the keys and users. Its server is named after the step.
 func drawSession(t *rapid.T, step int) Session {
 	number := rapid.IntRange(0, keys-1).Draw(t, "session")
 	return Session{
@@ -135,8 +136,9 @@
 	}
 }
 
-// TestTable compares the table with a model over random histories in simulated time: it never holds more than its
-// capacity, finds nothing that has expired or was forgotten, and of a user the session that was updated last.
+// TestTable compares the table with a model over random histories in simulated time. The table never holds
+// more sessions than its capacity, never finds a session that has expired or was forgotten, and finds the most recently
+// updated session of a user.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 12).Draw(t, "capacity")
@@ -167,9 +169,9 @@
 	})
 }
 
-// TestInherit has another process take over: sessions without a stream are transferred, those updated last first; what
-// the table itself knows is newer and stays.
-func TestInherit(t *testing.T) {
+// TestImportKeepsNewerSessions checks the transfer to another process: the most recently updated sessions without a
+// stream are transferred, invalid ones are ignored, and a session that the table already has is newer and stays.
+func TestImportKeepsNewerSessions(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	predecessor := New(10)
 	successor := New(10)
@@ -187,20 +189,20 @@
 		Session{Key: Key{testDomain, "y"}, Expires: now.Add(time.Hour)})
 	successor.Import(transferredAt, transferred)
 	if session, _ := successor.Find(now, Key{testDomain, "4"}); session.Server != "b" {
-		t.Error("a newer session was overwritten")
+		t.Error("Import replaced a newer session, want it kept")
 	}
 	for id, want := range map[string]bool{"0": false, "1": false, "2": true, "3": true, "x": false, "y": false} {
 		if _, ok := successor.Find(now.Add(10*time.Second), Key{testDomain, id}); ok != want {
-			t.Errorf("session %s: found %v, want %v", id, ok, want)
+			t.Errorf("Find of session %s: got %v, want %v", id, ok, want)
 		}
 	}
 	if _, ok := successor.Find(now.Add(2*time.Minute), Key{testDomain, "3"}); ok {
-		t.Error("an expired session is found")
+		t.Error("Find after the expiry: got a session, want none")
 	}
 }
 
-// TestExpiry checks both sides of the moment in which a session expires.
-func TestExpiry(t *testing.T) {
+// TestSessionExpiresAfterResumeTime checks the moments just before and at the expiry of a session.
+func TestSessionExpiresAfterResumeTime(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	table := New(10)
 	key := Key{testDomain, "0"}
@@ -208,18 +210,19 @@
 	table.Disconnected(now, key)
 	expires := now.Add(time.Minute)
 	if _, ok := table.Find(expires.Add(-time.Nanosecond), key); !ok {
-		t.Error("expired too early")
+		t.Error("Find just before the expiry: got no session, want one")
 	}
 	if _, ok := table.Find(expires, key); ok {
-		t.Error("found after it has expired")
+		t.Error("Find at the expiry: got a session, want none")
 	}
 	if _, ok := table.FindByUser(expires, testDomain, "u"); ok {
-		t.Error("found by user after it has expired")
+		t.Error("FindByUser at the expiry: got a session, want none")
 	}
 }
 
-// TestMaxPerUser has one user begin one session too many: the oldest goes, and no other user's.
-func TestMaxPerUser(t *testing.T) {
+// TestMaxPerUserRemovesOldest checks that one session too many of a user removes the oldest session of that user and
+// none of another user.
+func TestMaxPerUserRemovesOldest(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	table := New(100)
 	table.Connected(now, Session{Key: Key{testDomain, "other"}, User: "v", Server: "a"})
@@ -228,13 +231,14 @@
 	}
 	for id, want := range map[string]bool{"0": false, "1": true, fmt.Sprint(maxPerUser): true, "other": true} {
 		if _, ok := table.Find(now, Key{testDomain, id}); ok != want {
-			t.Errorf("session %s: found %v, want %v", id, ok, want)
+			t.Errorf("Find of session %s: got %v, want %v", id, ok, want)
 		}
 	}
 }
 
-// TestCapacityDropsOldest has more sessions connected than the table holds: the oldest goes.
-func TestCapacityDropsOldest(t *testing.T) {
+// TestCapacityRemovesOldest checks that the oldest session is removed when more sessions are connected than the table
+// can hold.
+func TestCapacityRemovesOldest(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	table := New(2)
 	for _, id := range []string{"0", "1", "2"} {
@@ -242,7 +246,7 @@
 	}
 	for id, want := range map[string]bool{"0": false, "1": true, "2": true} {
 		if _, ok := table.Find(now, Key{testDomain, id}); ok != want {
-			t.Errorf("session %s: found %v, want %v", id, ok, want)
+			t.Errorf("Find of session %s: got %v, want %v", id, ok, want)
 		}
 	}
 }
--- a/internal/session/table.go
+++ b/internal/session/table.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// maxPerUser bounds the sessions of one user; the oldest is dropped for another.
+// maxPerUser is the maximum number of sessions of one user. A further session replaces the user's oldest one.
 const maxPerUser = 8
 
-// userKey names a user: names are unique within a domain only.
+// userKey identifies a user. User names are unique only within a domain.
 type userKey struct{ domain, name string }
 
-// Table holds sessions, each once. It is no longer than its capacity. The zero Table is not usable: use New.
+// Table holds sessions by key and by user, up to its capacity. The zero Table is not usable: use New.
 type Table struct {
 	capacity int
 	byKey    map[Key]*list.Element
-	byUser   map[userKey][]*list.Element // the one updated last is last; sessions without a known user are not in it
+	byUser   map[userKey][]*list.Element // least recently updated first; without sessions of unknown users
 
-	// Each element is in one of these lists of *Session; the one updated last is last.
+	// Each element is in exactly one of the following lists of *Session, least recently updated first.
 
 	connected    list.List
 	disconnected list.List
 }
 
-// New makes a table for so many sessions at most, one at the least.
+// New creates a table for at most the given number of sessions. A capacity below 1 counts as 1.
 func New(capacity int) *Table {
 	return &Table{
 		capacity: max(1, capacity),
@@ -36,7 +36,7 @@
 // Len returns the number of sessions held.
 func (t *Table) Len() int { return len(t.byKey) }
 
-// Connected records that a session's stream is connected to a server: the session began there, or was resumed there.
+// Connected records that a session was started or resumed at a server, where its stream is now connected.
 func (t *Table) Connected(now time.Time, session Session) {
 	t.remove(t.byKey[session.Key])
 	session.ResumeTime = min(max(session.ResumeTime, 0), MaxResumeTime)
@@ -45,7 +45,7 @@
 	t.trim(now)
 }
 
-// Disconnected records that a session's stream is gone. The session can be resumed for its ResumeTime from now on.
+// Disconnected records that a session's stream has ended. The session can be resumed for its ResumeTime from now on.
 func (t *Table) Disconnected(now time.Time, key Key) {
 	element := t.byKey[key]
 	if element == nil {
@@ -64,10 +64,10 @@
 // Forget removes a session that its client or server has ended.
 func (t *Table) Forget(key Key) { t.remove(t.byKey[key]) }
 
-// Find returns the session of a key, while it can be resumed.
+// Find returns the session of a key, if it can be resumed.
 func (t *Table) Find(now time.Time, key Key) (Session, bool) { return resumable(now, t.byKey[key]) }
 
-// FindByUser returns the session of a user that was updated last, while it can be resumed.
+// FindByUser returns a user's most recently updated session that can be resumed.
 func (t *Table) FindByUser(now time.Time, domain, user string) (Session, bool) {
 	for _, element := range slices.Backward(t.byUser[userKey{domain, user}]) {
 		if session, ok := resumable(now, element); ok {
@@ -77,8 +77,8 @@
 	return Session{}, false
 }
 
-// Resumable returns the sessions without a stream, up to a number of them, those updated last first: another process
-// can't learn of them from the connections that are transferred to it.
+// Resumable returns at most limit sessions that have no stream and can be resumed, most recently updated first. They
+// must be transferred to another process on their own, since no transferred connection tells that process of them.
 func (t *Table) Resumable(now time.Time, limit int) (all []Session) {
 	for element := t.disconnected.Back(); element != nil && len(all) < limit; element = element.Prev() {
 		session := *sessionOf(element)
@@ -90,8 +90,8 @@
 	return all
 }
 
-// Import adds sessions without a stream that another process held, those updated last first. What this table has of
-// one is newer and stays.
+// Import adds sessions without a stream that another process held, given most recently updated first. If this table
+// already has a session of the same key, it keeps its own, which is newer.
 func (t *Table) Import(now time.Time, all []Session) {
 	for _, session := range slices.Backward(all) {
 		if session.TimeLeft > 0 {
@@ -105,7 +105,7 @@
 	t.trim(now)
 }
 
-// insert adds a session that the table doesn't hold.
+// insert adds a session whose key is not in the table.
 func (t *Table) insert(session Session) {
 	element := t.listOf(&session).PushBack(&session)
 	t.byKey[session.Key] = element
@@ -119,7 +119,7 @@
 	}
 }
 
-// remove takes an element out, which may be nil.
+// remove removes an element from the table. The element may be nil.
 func (t *Table) remove(element *list.Element) {
 	if element == nil {
 		return
@@ -142,8 +142,9 @@
 	}
 }
 
-// trim removes expired sessions, and for capacity first those without a stream, the oldest of each. Expired sessions
-// behind one that has not expired stay until there is no capacity; they are not found.
+// trim removes expired sessions. While the table exceeds its capacity, it also removes the oldest sessions without a
+// stream, and then the oldest connected ones. Expired sessions that follow an unexpired one in the list may stay until
+// the table exceeds its capacity; Find and FindByUser don't return them.
 func (t *Table) trim(now time.Time) {
 	for element := t.disconnected.Front(); element != nil; element = t.disconnected.Front() {
 		if !sessionOf(element).expired(now) && len(t.byKey) <= t.capacity {
@@ -156,7 +157,7 @@
 	}
 }
 
-// listOf returns the list that a session belongs to.
+// listOf returns the list for the state of a session.
 func (t *Table) listOf(session *Session) *list.List {
 	if session.connected() {
 		return &t.connected
@@ -164,13 +165,13 @@
 	return &t.disconnected
 }
 
-// sessionOf returns an element's session.
+// sessionOf returns the session of an element.
 func sessionOf(element *list.Element) *Session {
 	session, _ := element.Value.(*Session) // the lists hold nothing else
 	return session
 }
 
-// resumable returns an element's session, while it can be resumed. The element may be nil.
+// resumable returns the session of an element, if it can be resumed. The element may be nil.
 func resumable(now time.Time, element *list.Element) (Session, bool) {
 	if element == nil {
 		return Session{}, false
