--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -10,13 +10,14 @@
 	"spurwinch/internal/trace"
 )
 
-// healthCheckTimeout is for a health check's answer: longer than any round trip, short against a placement.
+// healthCheckTimeout is how long a server may take to answer a health check. It is longer than any round trip and short
+// compared with the time that a placement takes.
 const healthCheckTimeout = 150 * time.Millisecond
 
 // notify queues an event for the balancer until the next Flush.
 func (c *Core) notify(event choice.Event) { c.pendingEvents = append(c.pendingEvents, event) }
 
-// withdraw removes the event of a request that the balancer was not notified of yet; false: there is none.
+// withdraw removes the event of a new request that is still queued for the balancer, and reports whether there was one.
 func (c *Core) withdraw(id choice.RequestID) bool {
 	i := slices.IndexFunc(c.pendingEvents, func(event choice.Event) bool {
 		request, ok := event.(choice.Request)
@@ -29,8 +30,8 @@
 	return true
 }
 
-// Flush hands the balancer the queued events and carries out its actions, until no event is left. The loop calls it
-// after each callback.
+// Flush passes the queued events to the balancer and executes the balancer's actions, until no event is left. The event
+// loop calls it after each callback.
 func (c *Core) Flush() {
 	if c.flushing {
 		return
@@ -46,7 +47,7 @@
 	c.flushing = false
 }
 
-// execute carries out one action of the balancer.
+// execute executes one action of the balancer.
 func (c *Core) execute(action choice.Action) {
 	switch action := action.(type) {
 	case choice.StartAttempt:
@@ -55,7 +56,7 @@
 		c.reject(action)
 	case choice.Fail:
 		if r := c.requests[action.ID]; r != nil {
-			r.conclude(LocalReply{Reason: trace.Reason(action.Reason.String())})
+			r.answerFromBalancer(LocalReply{Reason: trace.Reason(action.Reason.String())})
 		}
 	case choice.CancelAttempt:
 		c.cancelAttempt(action)
@@ -97,7 +98,7 @@
 	if r.committed {
 		reply.Why = DeadlinePassed
 	}
-	r.conclude(reply)
+	r.answerFromBalancer(reply)
 }
 
 func (c *Core) cancelAttempt(action choice.CancelAttempt) {
@@ -107,8 +108,8 @@
 	}
 }
 
-// setTimer sets a timer for the balancer. One that is for a request is cancelled with it: a client may set a deadline
-// of an hour.
+// setTimer sets a timer for the balancer. The timer of a request is stopped when the request has its answer, since
+// the deadline that a client sets may be an hour away.
 func (c *Core) setTimer(action choice.SetTimer) {
 	at := c.options.Clock.Now().Add(action.After)
 	stop := c.options.Clock.At(at, func() { c.notify(choice.TimerFired{Token: action.Token}) })
@@ -117,7 +118,7 @@
 	}
 }
 
-// checkHealth asks a server for its load report and notifies the balancer of the result, once.
+// checkHealth requests a server's load report and notifies the balancer once of the result.
 func (c *Core) checkHealth(id choice.ServerID) {
 	begin := c.options.Clock.Now()
 	reported := false
--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -8,30 +8,30 @@
 	"spurwinch/internal/trace"
 )
 
-// openAtRetryInterval is between attempts at the server of a connection that was open before the node started.
+// openAtRetryInterval is the time between attempts at the server of a connection that was open before the node started.
 const openAtRetryInterval = 250 * time.Millisecond
 
-// Attempt is one upstream request. The front reports its progress: Connected, then Begin, Written, and either
-// Established or Commit, and Ended with its one outcome.
+// Attempt is one upstream request. The front end reports its progress by calling Connected, then Begin, Written, either
+// Established or Commit, and finally Ended with the attempt's one outcome.
 type Attempt struct {
 	request    *Request
 	server     *serverState
 	upstream   UpstreamRequest
 	stopTimer  func()
 	startedAt  time.Time
-	sendBefore time.Time // its first byte is sent before, or not at all; zero: at any time
+	sendBefore time.Time // its first byte may only be sent before this time; zero: at any time
 	begun      bool      // its first byte may have been sent
-	started    bool      // the guard has let it start
-	written    bool      // its last byte is with the kernel
-	ended      bool      // it has its outcome
+	started    bool      // the guard has allowed the start
+	written    bool      // its last byte was passed to the kernel
+	ended      bool      // it has an outcome
 
-	Number  int // among the attempts of its request, from 0
+	Number  int // index among the attempts of its request, from 0
 	Server  ServerEntry
-	Expires time.Time // it is given up then
+	Expires time.Time // when the core gives the attempt up
 }
 
-// startAttempt begins the next attempt of a request, at a server, until a time. Its first byte goes out before the
-// balancer time sendBefore or not at all; 0: at any time.
+// startAttempt starts the next attempt of a request, at the given server. The attempt expires at until. Its first byte
+// may only be sent before sendBefore, by the balancer's clock; 0: at any time.
 func (r *Request) startAttempt(id choice.ServerID, until time.Time, sendBefore time.Duration) {
 	core := r.core
 	attempt := &Attempt{request: r, Number: r.attemptCount, Expires: until, startedAt: core.options.Clock.Now()}
@@ -65,7 +65,7 @@
 	}
 }
 
-// attemptOpenAt goes back to the server of a connection that was open before the node started.
+// attemptOpenAt starts an attempt at the server of a connection that was open before the node started.
 func (r *Request) attemptOpenAt() {
 	if !r.finished {
 		r.startAttempt(r.OpenAt, r.Deadline, 0)
@@ -75,7 +75,7 @@
 // AlreadyOpen reports whether the attempt is for a connection that was open at its server before the node started.
 func (a *Attempt) AlreadyOpen() bool { return a.request.OpenAt != "" }
 
-// ConnectBy is when the attempt's connection must be up.
+// ConnectBy returns the time by which the attempt's connection must be established.
 func (a *Attempt) ConnectBy() time.Time {
 	by := a.Expires
 	if timeout := a.request.core.options.Settings.Limits.ConnectTimeout; timeout > 0 {
@@ -87,8 +87,8 @@
 	return by
 }
 
-// Connected records how long the connection took, as an estimate of the round trip, which is subtracted from observed
-// delays.
+// Connected reports that the upstream connection is established. The shortest connect time of a server serves as an
+// estimate of the round trip, which ObserveDelay subtracts from the delays that it is given.
 func (a *Attempt) Connected() {
 	took := a.request.core.options.Clock.Now().Sub(a.startedAt)
 	if a.server.connectTime == 0 || took < a.server.connectTime {
@@ -96,8 +96,9 @@
 	}
 }
 
-// Begin reports whether the attempt's first byte may go out. A connection may take long to come up, and what made the
-// decision right may be over by then: where this says no the attempt has ended, and never ran.
+// Begin reports whether the front end may send the attempt's first byte. It checks again because setting up the
+// connection may have taken so long that the decision to try this server is out of date. If Begin returns false, the
+// attempt has ended and never ran.
 func (a *Attempt) Begin() bool {
 	request := a.request
 	now := request.core.options.Clock.Now()
@@ -118,7 +119,7 @@
 	return false
 }
 
-// Written says that the attempt's last byte is with the kernel: from here on it counts.
+// Written reports that the attempt's last byte was passed to the kernel. From now on the attempt is counted.
 func (a *Attempt) Written() {
 	if !a.written {
 		a.written = true
@@ -126,8 +127,8 @@
 	}
 }
 
-// Commit says that bytes of the server are about to reach the client: no other server can take over from here, and so
-// the attempt may use all the time that the client has.
+// Commit reports that bytes from the server are about to reach the client. From now on no other server can take over,
+// so the attempt may run until the request's deadline.
 func (a *Attempt) Commit() {
 	request := a.request
 	if a.ended || request.open || request.committed {
@@ -139,7 +140,7 @@
 	a.stopTimer = request.core.options.Clock.At(a.Expires, func() { a.giveUp(choice.TimedOut) })
 }
 
-// giveUp ends an attempt from this side.
+// giveUp ends an attempt on the node's initiative.
 func (a *Attempt) giveUp(outcome choice.Outcome) {
 	if a.ended {
 		return
@@ -147,7 +148,7 @@
 	if a.upstream != nil {
 		a.upstream.GiveUp()
 	}
-	switch { // what was not written completely has not run
+	switch { // an attempt that was not written completely has not run
 	case a.written:
 	case outcome == choice.TimedOut:
 		outcome = choice.ConnectFailed
@@ -157,7 +158,8 @@
 	a.Ended(outcome, nil)
 }
 
-// Ended gives the attempt its one outcome. What is reported after it, or after GiveUp, doesn't count.
+// Ended reports the attempt's one outcome, with the server's load report if there is one. Reports that arrive after
+// that, or after GiveUp, have no effect.
 func (a *Attempt) Ended(outcome choice.Outcome, report []float64) {
 	if a.ended {
 		return
@@ -170,9 +172,10 @@
 	case request.open:
 		request.observeEnd(ByServer)
 	case outcome == choice.Served && !request.finished:
-		request.served(a, Served)
+		request.recordServed(a, Served)
 	}
-	// What the balancer knows under this id may be another request, of one that came from another process with it.
+	// The balancer is notified only of registered requests: a connection that another process transferred may have the
+	// id of another request, which is the one that the balancer knows.
 	if (request.OpenAt == "" || request.open) && request.registered() {
 		took := request.core.options.Clock.Now().Sub(a.startedAt)
 		request.core.notify(choice.AttemptEnded{
@@ -185,7 +188,7 @@
 	request.forgetIfDone()
 }
 
-// finish closes the attempt's accounts with its server, its guard and its request.
+// finish marks the attempt as ended and updates its server, its guard, its request and the trace.
 func (a *Attempt) finish(outcome choice.Outcome) {
 	request := a.request
 	a.ended = true
@@ -202,8 +205,8 @@
 	request.core.options.Trace.Ended(string(request.ID), a.Number, string(a.server.ID), outcome, a.written, took)
 }
 
-// served notes that the server's own answer is the final one.
-func (r *Request) served(a *Attempt, answer Answer) {
+// recordServed records that the server's own answer is the request's final answer.
+func (r *Request) recordServed(a *Attempt, answer Answer) {
 	r.guard.Served(answer == Open, r.core.options.Clock.Now())
 	r.core.options.Trace.Served(string(r.ID), string(a.server.ID))
 	r.answerCounts().Served++
@@ -213,7 +216,8 @@
 	r.observeAnswer(answer)
 }
 
-// afterAttempt is what becomes of a request whose attempt has ended, where that is not the balancer's to decide.
+// afterAttempt finishes, answers or retries a request whose attempt has ended, in the cases that the balancer doesn't
+// decide.
 func (r *Request) afterAttempt(outcome choice.Outcome) {
 	switch {
 	case r.finished || r.open || outcome == choice.Served:
@@ -227,8 +231,8 @@
 	}
 }
 
-// retryOpenAt tries the server of a connection that was open before the node started once more, while there is time:
-// no other server has the connection.
+// retryOpenAt schedules another attempt at the server of a connection that was open before the node started, if the
+// deadline allows one. No other server has the connection.
 func (r *Request) retryOpenAt() {
 	clock := r.core.options.Clock
 	next := clock.Now().Add(openAtRetryInterval)
--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// unresponsiveAfter is how long a message may go unanswered before its server counts as lost.
+	// unresponsiveAfter is how long a message may remain unanswered before its server counts as lost.
 	unresponsiveAfter = 4500 * time.Millisecond
-	// migrationGrace is for the end of a server's current line, where a client is to be migrated.
+	// migrationGrace is how long a server may take to complete its current line before its client is migrated.
 	migrationGrace = time.Second
-	// slowDelayInterval is between two reports of slow messages at one server.
+	// slowDelayInterval is the minimum time between two reports of slow messages at one server.
 	slowDelayInterval = time.Second
-	// slowDelayDivisor: a message counts as slow beyond the strictest latency objective over this. The balancer infers
-	// load from slower ones alone (choice/inference.go).
+	// slowDelayDivisor sets the delay above which a message counts as slow: the strictest message latency objective
+	// divided by it. The balancer infers load only from messages slower than that (choice/inference.go).
 	slowDelayDivisor = 3
-	// lateDrainDivisor: a connection that opens at a draining server migrates after this part of the drain period.
+	// lateDrainDivisor sets when a connection that opens at a draining server is migrated: after the drain period
+	// divided by it.
 	lateDrainDivisor = 4
 )
 
-// Established says that the server took the connection.
+// Established reports that the server has accepted the connection.
 func (a *Attempt) Established() {
 	request := a.request
 	if a.ended || !request.waiting() {
 		return
 	}
 	request.open = true
-	request.served(a, Open)
+	request.recordServed(a, Open)
 	request.observed.openSince = request.core.options.Clock.Now()
 	if a.stopTimer != nil {
 		a.stopTimer()
@@ -45,7 +46,7 @@
 	request.migrateIfDraining(a.server, request.core.options.Clock.Now())
 }
 
-// UpdateLoad reports the connection's present load, in work a second.
+// UpdateLoad reports the connection's current load, in work per second.
 func (a *Attempt) UpdateLoad(load float64) {
 	request := a.request
 	if a.ended || !request.open {
@@ -55,8 +56,8 @@
 	request.core.notify(choice.LoadUpdate{ID: request.ID, Attempt: a.Number, Load: load})
 }
 
-// ObserveDelay reports how long a message took on the connection, or has taken so far. The balancer is notified of a
-// server's slow messages once a second at most, and of the first one that is fast again.
+// ObserveDelay reports how long a message took on the connection, or has taken so far. The core notifies the balancer
+// of a server's slow messages at most once a second, and of the first fast message after slow ones.
 func (a *Attempt) ObserveDelay(took time.Duration) {
 	request := a.request
 	if a.ended || !request.open || request.finished {
@@ -74,11 +75,11 @@
 	request.core.notify(choice.DelayObservation{ID: request.ID, Server: server.ID, Took: took})
 }
 
-// UnresponsiveAfter is how long a connection may return nothing to a message before its client is migrated: its
-// server is lost although the connection stands.
+// UnresponsiveAfter returns how long a message may remain unanswered before the front end calls Unresponsive. The
+// server then counts as lost although its connection is still open.
 func (a *Attempt) UnresponsiveAfter() time.Duration { return unresponsiveAfter }
 
-// Unresponsive migrates the client of a connection that returns nothing.
+// Unresponsive migrates the client of a connection on which the server has stopped responding.
 func (a *Attempt) Unresponsive() {
 	if a.ended {
 		return
@@ -99,7 +100,7 @@
 	}
 	r.observeEnd(Migrated)
 	by := r.core.options.Clock.Now().Add(migrationGrace)
-	if !drain.endAt.IsZero() { // a server that stopped amid a line must not delay its client's migration past the end
+	if !drain.endAt.IsZero() { // an incomplete line of the server must not delay the migration past endAt
 		by = earlier(by, drain.endAt)
 	}
 	r.client.Migrate(by)
@@ -107,7 +108,7 @@
 	r.forgetIfDone()
 }
 
-// migrateIfDraining has a connection that opens now migrate in time where the node or its server is draining.
+// migrateIfDraining schedules the migration of a connection that opens now, if the node or the server is draining.
 func (r *Request) migrateIfDraining(server *serverState, now time.Time) {
 	core := r.core
 	switch {
@@ -116,7 +117,7 @@
 	case !core.drain.migrateBy.IsZero():
 		core.options.Clock.At(core.drain.migrateBy, r.migrate)
 	case server.State != choice.Ready && core.options.DrainPeriod > 0:
-		// It began to drain while the connection was set up.
+		// The server began to drain while the connection was being set up.
 		core.options.Clock.At(now.Add(core.options.DrainPeriod/lateDrainDivisor), r.migrate)
 	}
 }
--- a/internal/edge/core.go
+++ b/internal/edge/core.go
@@ -13,25 +13,25 @@
 	balancer *choice.Balancer
 
 	startedAt     time.Time
-	epoch         time.Duration  // the balancer's clock at startedAt: Unix time
-	pendingEvents []choice.Event // for the balancer, not flushed yet
+	epoch         time.Duration  // startedAt by the balancer's clock (Unix time)
+	pendingEvents []choice.Event // events that Flush has not yet passed to the balancer
 	flushing      bool
 
 	servers    map[choice.ServerID]*serverState
 	startTimes startTimeClock
 
 	requests     map[choice.RequestID]*Request
-	lastSequence uint64    // of the newest request; the first one is 1
+	lastSequence uint64    // sequence number of the newest request; the first request has 1
 	answerCounts []*Counts // by class
 	neverSent    int       // see AttemptsNeverSent
-	// strictestMessageObjective is the least latency objective of a message, over all classes; 0: none has one.
+	// strictestMessageObjective is the shortest message latency objective of all classes; 0: no class has one.
 	strictestMessageObjective time.Duration
 
-	lease *Lease // nil: requests are taken by the settings alone
+	lease *Lease // nil: the core admits requests without a policy lease
 	drain drainState
 }
 
-// New makes the core of one cluster. Its balancer acts first on the first Flush.
+// New creates the core of one cluster. Its balancer takes no action before the first Flush.
 func New(options Options) (*Core, error) {
 	core := &Core{
 		options:   options.withDefaults(),
@@ -49,13 +49,14 @@
 	return core, nil
 }
 
-// Start hands the balancer the endpoint list that this node last cached; the balancer's first actions follow.
+// Start passes the endpoint list that this node cached last to the balancer, and executes the balancer's first actions.
 func (c *Core) Start(cached []ServerEntry) {
 	c.UpdateServers(choice.ListCached, cached)
 	c.Flush()
 }
 
-// UpdateSettings replaces the settings by ones that the caller has checked. Classes and tenants keep their indices.
+// UpdateSettings replaces the settings. The caller must have validated the new settings, in which each existing class
+// and tenant keeps its index.
 func (c *Core) UpdateSettings(settings choice.Settings) {
 	c.options.Settings = settings
 	c.applySettings()
@@ -65,7 +66,8 @@
 	c.notify(choice.SettingsChanged{Settings: settings})
 }
 
-// applySettings derives from the settings what the core keeps by class.
+// applySettings updates the state that the core derives from the classes of the settings: their counters and
+// strictestMessageObjective.
 func (c *Core) applySettings() {
 	c.strictestMessageObjective = 0
 	for i, class := range c.options.Settings.Classes {
@@ -82,44 +84,45 @@
 	}
 }
 
-// Classes are the settings' classes, by index.
+// Classes returns the classes of the settings, in the order of their indices.
 func (c *Core) Classes() []choice.Class { return c.options.Settings.Classes }
 
-// ApplyZonePlan has the balancer place requests by a plan of zones from now on.
+// ApplyZonePlan makes the balancer place new requests according to a zone plan.
 func (c *Core) ApplyZonePlan(plan choice.ZonePlan) { c.notify(plan) }
 
-// Observations is what the balancer saw of zones since the last call.
+// Observations returns what the balancer has observed of the zones since the last call.
 func (c *Core) Observations() choice.Observations {
 	return c.balancer.Observations(c.balancerTime(c.options.Clock.Now()))
 }
 
-// ReceivePeerMessage takes a message of another node.
+// ReceivePeerMessage passes a message from another node to the balancer.
 func (c *Core) ReceivePeerMessage(from int, message []byte) {
 	c.notify(choice.PeerMessage{From: from, Data: message})
 }
 
-// DroppedPeerMessages counts the messages of other nodes that the balancer dropped.
+// DroppedPeerMessages returns how many messages from other nodes the balancer has dropped.
 func (c *Core) DroppedPeerMessages() int { return c.balancer.DroppedPeerMessages() }
 
-// AttemptsNeverSent counts the attempts of which nothing was written, since their client was gone, their time was over
-// or their server was draining when their connection came up.
+// AttemptsNeverSent returns how many attempts ended without a byte sent: when their upstream connection was ready, the
+// client had left, the attempt had expired or the server was draining.
 func (c *Core) AttemptsNeverSent() int { return c.neverSent }
 
-// InFlight counts the requests in flight and the open connections.
+// InFlight returns the number of requests in flight and open connections.
 func (c *Core) InFlight() int { return len(c.requests) }
 
-// String describes the core in a line of a log.
+// String summarizes the core for logs.
 func (c *Core) String() string {
 	return fmt.Sprintf("%d servers, %d requests", len(c.servers), len(c.requests))
 }
 
-// balancerTime converts a time to the balancer's clock: Unix time at the core's start, and monotonic from then on.
+// balancerTime converts a time to the balancer's clock, which starts at the Unix time of the core's start and is
+// monotonic from then on.
 func (c *Core) balancerTime(t time.Time) time.Duration { return c.epoch + t.Sub(c.startedAt) }
 
-// runNext calls fn once the current callback of the loop has returned.
+// runNext calls fn after the current callback of the event loop has returned.
 func (c *Core) runNext(fn func()) { c.options.Clock.At(c.options.Clock.Now(), fn) }
 
-// earlier is the first of two times.
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -7,40 +7,43 @@
 )
 
 const (
-	// routingDelay is how long new connections still arrive after a graceful shutdown began. Until then they are placed
-	// as usual: a client that is migrated or rejected earlier may be routed here again.
+	// routingDelay is how long new connections still arrive after a graceful shutdown has begun. Until then the core
+	// places them as usual, since a client that is migrated or rejected earlier may be routed to this node again.
 	routingDelay = 450 * time.Millisecond
-	// The process is killed no sooner than after the longest deadline of a class, which counts as maxDeadline at most,
-	// and killDelay.
+	// The platform kills the process after the longest deadline of a class, of which at most maxDeadline counts, plus
+	// killDelay at the earliest.
 	maxDeadline = 3 * time.Second
 	killDelay   = 700 * time.Millisecond
-	// killMargin is how long before that no request or connection is left.
+	// killMargin is the time between the end of the last request or connection and the kill.
 	killMargin = 500 * time.Millisecond
-	// migrationSlack is how long before the end of the drain the last clients are migrated.
+	// migrationSlack is the time between the migration of the last clients and the end of the drain.
 	migrationSlack = killMargin / 5
-	// migrationSpread is the time over which clients are migrated, so that they don't come back in one wave.
+	// migrationSpread is the time over which migrations are spread, so that the clients don't all reconnect at once.
 	migrationSpread = 1500 * time.Millisecond
 )
 
 // drainState is the progress of a graceful shutdown.
 type drainState struct {
 	rejecting bool      // new requests are rejected
-	endAt     time.Time // no request or connection is left from then on; zero: there is no shutdown
-	// Of a hot restart, where another process already accepts the clients:
-	migrateBy time.Time // the last connections that could not be transferred are migrated by then; zero: no hot restart
-	migrating bool      // they are being migrated
-	migrated  int       // connections that were
+	endAt     time.Time // the last request or connection ends by then; zero: there is no shutdown
+
+	// The following fields belong to a hot restart, in which another process already accepts the clients.
+
+	migrateBy time.Time // the connections that can't be transferred are migrated by then; zero: no hot restart
+	migrating bool      // MigrateRemaining was called
+	migrated  int       // connections migrated so far
 }
 
-// RejectsNew reports whether the core rejects new requests. That begins some time after Drain was called, and after
-// DrainToSuccessor only at the end of the shutdown.
+// RejectsNew reports whether the core rejects new requests. It begins to reject them some time after Drain was called,
+// and after DrainToSuccessor only at the end of the shutdown.
 func (c *Core) RejectsNew() bool { return c.drain.rejecting }
 
-// Migrated counts the connections that were migrated since DrainToSuccessor.
+// Migrated returns the number of connections migrated since DrainToSuccessor was called.
 func (c *Core) Migrated() int { return c.drain.migrated }
 
-// drainDuration is how long a graceful shutdown takes: all the time there is, since an open connection is better not
-// migrated, and a node that is restarted right after another one finds that one running again by then.
+// drainDuration returns how long a graceful shutdown takes. It uses all the time available: open connections are not
+// migrated sooner than necessary, and when nodes are restarted one after another, the previous node is running again
+// by then.
 func (c *Core) drainDuration() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.options.Settings.Classes {
@@ -51,8 +54,8 @@
 	return min(longest, maxDeadline) + killDelay - killMargin
 }
 
-// Drain begins a graceful shutdown. Requests are placed as usual at first; then open connections are migrated one by
-// one and new requests rejected. done is called once no request or connection is left.
+// Drain begins a graceful shutdown. At first the core places requests as usual; then it migrates open connections one
+// by one and rejects new requests. It calls done once no request or connection is left.
 func (c *Core) Drain(done func()) {
 	now := c.options.Clock.Now()
 	duration := c.drainDuration()
@@ -65,9 +68,9 @@
 	c.endDrainAt(end, done)
 }
 
-// DrainToSuccessor is Drain where another process already accepts the clients: requests that this one has are placed as
-// usual. The caller transfers open connections to the other process where it can, and then calls MigrateRemaining,
-// which is called here after half of the time at the latest.
+// DrainToSuccessor is Drain for a hot restart, in which another process already accepts the clients. The core places
+// the requests that it has as usual. The caller transfers open connections to the other process if possible, and then
+// calls MigrateRemaining. The core calls MigrateRemaining itself after half of the drain.
 func (c *Core) DrainToSuccessor(done func()) {
 	duration := c.drainDuration()
 	end := c.options.Clock.Now().Add(duration)
@@ -76,8 +79,8 @@
 	c.endDrainAt(end, done)
 }
 
-// MigrateRemaining migrates the open connections from now on, evenly over all the time there is, since each client can
-// reconnect to the node at once. Calls after the first do nothing.
+// MigrateRemaining migrates the open connections one by one, evenly over the remaining time of the drain, since each
+// client can reconnect to this node at once. Calls after the first do nothing.
 func (c *Core) MigrateRemaining() {
 	if !c.drain.migrating {
 		c.drain.migrating = true
@@ -85,7 +88,8 @@
 	}
 }
 
-// endDrainAt migrates and rejects what is left at the end of a drain, and then calls done.
+// endDrainAt schedules the end of a drain: the core migrates the remaining connections, rejects the remaining requests
+// and then calls done.
 func (c *Core) endDrainAt(end time.Time, done func()) {
 	c.drain.endAt = end
 	c.options.Clock.At(end, func() {
@@ -101,21 +105,21 @@
 	c.options.Clock.At(end.Add(time.Millisecond), done)
 }
 
-// migrateAll migrates the open connections one by one until the given time.
+// migrateAll migrates the open connections one by one, from now until the given time.
 func (c *Core) migrateAll(end time.Time) {
 	open := slices.DeleteFunc(c.requestsByID(), func(r *Request) bool { return !r.open })
 	now := c.options.Clock.Now()
 	c.migrateOver(open, now, max(0, end.Sub(now)))
 }
 
-// migrateOver migrates connections one by one over a period.
+// migrateOver migrates connections one by one, evenly over a period.
 func (c *Core) migrateOver(open []*Request, begin time.Time, period time.Duration) {
 	for i, r := range open {
 		c.options.Clock.At(begin.Add(period*time.Duration(i)/time.Duration(len(open))), r.migrate)
 	}
 }
 
-// requestsByID is the requests in the order of their ids, which says nothing of their age, servers or classes.
+// requestsByID returns the requests in the order of their ids, which is independent of their age, server and class.
 func (c *Core) requestsByID() []*Request {
 	var all []*Request
 	for _, r := range c.requests {
--- a/internal/edge/figures.go
+++ b/internal/edge/figures.go
@@ -2,34 +2,34 @@
 
 import "spurwinch/choice"
 
-// Counts are the final answers of one class's requests.
+// Counts holds the numbers of final answers to the requests of one class.
 type Counts struct{ Served, Rejected, Failed uint64 }
 
-// Gauges are counts of a core's present requests, connections and servers.
+// Gauges holds the current numbers of a core's requests, connections and servers.
 type Gauges struct{ InFlight, ServersKnown, ServersExcluded int }
 
-// Add sums the gauges of several cores.
+// Add adds the gauges of another core.
 func (g *Gauges) Add(other Gauges) {
 	g.InFlight += other.InFlight
 	g.ServersKnown += other.ServersKnown
 	g.ServersExcluded += other.ServersExcluded
 }
 
-// Figures holds the counters of a process, which all its cores raise.
+// Figures provides the counters of a process, which all cores of the process increment.
 type Figures interface {
-	// Class is the counter of a class by its name, the same one for the lifetime of the process.
+	// Class returns the counters of the class with the given name. They stay the same for the lifetime of the process.
 	Class(name string) *Counts
-	// Attempt counts an attempt whose last byte is with the kernel.
+	// Attempt counts an attempt whose last byte was passed to the kernel.
 	Attempt()
 }
 
-// uncounted is for a core without figures.
-type uncounted struct{}
+// discardFigures implements Figures for a core without counters.
+type discardFigures struct{}
 
-func (uncounted) Class(string) *Counts { return &Counts{} }
-func (uncounted) Attempt()             {}
+func (discardFigures) Class(string) *Counts { return &Counts{} }
+func (discardFigures) Attempt()             {}
 
-// Gauges returns the core's present gauges.
+// Gauges returns the core's current gauges.
 func (c *Core) Gauges() Gauges {
 	g := Gauges{InFlight: len(c.requests), ServersExcluded: c.balancer.Excluded(c.balancerTime(c.options.Clock.Now()))}
 	for _, server := range c.servers {
@@ -40,7 +40,7 @@
 	return g
 }
 
-// AnswerCounts counts the requests that were answered, and those of them that were rejected or failed.
+// AnswerCounts returns how many requests have a final answer, and how many of these were rejected or failed.
 func (c *Core) AnswerCounts() (answered, unserved float64) {
 	for _, counts := range c.answerCounts {
 		unserved += float64(counts.Rejected + counts.Failed)
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -5,9 +5,9 @@
 	"spurwinch/internal/trace"
 )
 
-// The core's side of the invariant monitor: what it says of requests and servers. Package invariant has the rules.
+// This file describes requests and servers to the invariant monitor. Package invariant has the rules.
 
-// startGuard has the monitor follow a new request.
+// startGuard registers a new request with the invariant monitor.
 func (r *Request) startGuard() {
 	r.guard = r.core.options.Monitor.NewRequest(invariant.RequestFacts{
 		ID:          string(r.ID),
@@ -18,7 +18,7 @@
 	})
 }
 
-// guardedServer is what the monitor is given of a server.
+// guardedServer describes a server to the invariant monitor.
 func (c *Core) guardedServer(server *serverState) invariant.Server {
 	rules := c.options.Settings.Rules
 	guarded := invariant.Server{
@@ -39,11 +39,12 @@
 	return guarded
 }
 
-// ConnectionClosed says why the client's connection ends, and has the monitor check that nothing is still owed.
+// ConnectionClosed records why the client's connection ends. The invariant monitor checks that the client is not still
+// owed an answer.
 func (r *Request) ConnectionClosed(by invariant.Ending, why trace.Close) {
 	r.guard.Close(by, why == trace.NodeMigratedClient)
 	r.core.options.Trace.Closed(string(r.ID), why)
 }
 
-// ConnectionClosedUnused records the end of a client's connection on which there was no request.
+// ConnectionClosedUnused records the end of a client connection that carried no request.
 func (c *Core) ConnectionClosedUnused(why trace.Close) { c.options.Trace.Closed("", why) }
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -6,54 +6,55 @@
 	"spurwinch/choice"
 )
 
-// Lease says under which policy a core admits requests, and for how long without renewal.
+// Lease specifies under which policy a core admits requests, and when that permission ends unless it is renewed.
 type Lease struct {
-	Number uint64 // of the policy document
-	Known  bool   // this node has the document; else requests are admitted by the base policy alone
-	// Expires is when the lease ends: a request that arrives later is not admitted under Number.
+	Number uint64 // number of the policy document
+	Known  bool   // this node has the document; if not, it admits requests only under the base policy
+	// Expires is when the lease ends. The core admits no request under Number from then on.
 	Expires time.Time
-	// OnExpiry sets the settings of the base policy. It is called once, before the first request that comes after
-	// Expires.
+	// OnExpiry applies the settings of the base policy. The core calls it once, before it decides on the first request
+	// that it can't admit under Number.
 	OnExpiry func()
-	// BasePolicy reports whether a class is served by the base policy meanwhile; nil: none is.
+	// BasePolicy reports whether the core admits a class under the base policy without a lease; nil: it admits none.
 	BasePolicy func(class int) bool
-	// RetryAfter is the Retry-After of rejected requests, spread by half; 0: none.
+	// RetryAfter is the mean retry delay for rejected requests, varied by up to half of it; 0: none.
 	RetryAfter time.Duration
-	// OnDecision is called for each request that arrives; how is an Admission. nil: it is not.
+	// OnDecision is called for each request that arrives; how is an Admission. nil: there is no callback.
 	OnDecision func(id choice.RequestID, number uint64, how string)
 
 	expired bool // OnExpiry was called
 }
 
-// Admission says by which policy a request is taken.
+// Admission is the policy under which a request is admitted.
 type Admission string
 
 const (
-	// AdmittedByLease is a request taken under the policy of the lease.
+	// AdmittedByLease means that the request is admitted under the policy of the lease.
 	AdmittedByLease Admission = "lease"
-	// AdmittedByBasePolicy is a request taken under the base policy, without a lease.
+	// AdmittedByBasePolicy means that the request is admitted under the base policy, without a lease.
 	AdmittedByBasePolicy Admission = "ground"
-	// NotAdmitted is a request that is rejected for want of a policy.
+	// NotAdmitted means that the request is rejected because no policy admits it.
 	NotAdmitted Admission = "none"
 )
 
 const (
-	// jitterHash spreads sequence numbers evenly (Knuth's multiplicative hash).
-	jitterHash = 2654435761
-	// jitterSteps is the number of different delays.
+	// jitterMultiplier distributes sequence numbers evenly (Knuth's multiplicative hash).
+	jitterMultiplier = 2654435761
+	// jitterSteps is the number of distinct delays.
 	jitterSteps = 1000
 )
 
-// UseLease has the core take requests by a lease. What was taken before goes on as it came.
+// UseLease makes the core admit new requests under a lease. Requests that were admitted before are not affected.
 func (c *Core) UseLease(lease Lease) {
 	if c.lease != nil && c.lease.expired && !c.options.Clock.Now().Before(lease.Expires) {
-		lease.expired = true // it expired before, and still is
+		lease.expired = true // the previous lease expired, and so has this one: OnExpiry was already called
 	}
 	c.lease = &lease
 }
 
-// admitUnderLease decides by the clock as it is now: a process that was stopped finds its clients' requests before it
-// is notified of anything else. A request that is taken gets the class and the deadline of the policy.
+// admitUnderLease decides whether a request is admitted, and gives an admitted request the class and the deadline of
+// the policy. It reads the clock at each request: a process that was suspended reads waiting requests before it is
+// notified of anything else.
 func (c *Core) admitUnderLease(request *Request) (retryAfter time.Duration, admitted bool) {
 	lease := c.lease
 	if lease == nil || request.OpenAt != "" {
@@ -74,7 +75,7 @@
 	return 0, true
 }
 
-// admit says by which policy a request of a class is taken now.
+// admit returns the policy under which a request of a class is admitted now.
 func (l *Lease) admit(class int, now time.Time) Admission {
 	if l.Known && now.Before(l.Expires) {
 		return AdmittedByLease
@@ -91,11 +92,11 @@
 	return NotAdmitted
 }
 
-// retryAfter is the advice for a request, spread by its sequence number, so that those who come at once don't come
-// back at once.
+// retryAfter returns the retry delay for a request. It varies with the sequence number, so that clients that are
+// rejected at the same time don't retry at the same time.
 func (l *Lease) retryAfter(sequence uint64) time.Duration {
 	if l.RetryAfter <= 0 {
 		return 0
 	}
-	return l.RetryAfter/2 + time.Duration(sequence*jitterHash%jitterSteps)*l.RetryAfter/jitterSteps
+	return l.RetryAfter/2 + time.Duration(sequence*jitterMultiplier%jitterSteps)*l.RetryAfter/jitterSteps
 }
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -6,70 +6,71 @@
 	"spurwinch/choice"
 )
 
-// Observer is notified of what passes through a core, at once and on its goroutine: it must neither wait nor call back.
+// Observer is notified of the requests, connections, load reports and servers of a core. The core calls it
+// synchronously on its own goroutine, so its methods must neither block nor call the core.
 type Observer interface {
 	Answered(answered Answered)
 	Ended(sequence uint64, lifetime time.Duration, load float64, cause EndCause)
 	Report(server choice.ServerID, values []float64)
-	ServerChanged(server ServerEntry) // new to the list, or changed
+	ServerChanged(server ServerEntry) // a new server of the endpoint list, or a changed one
 	Settings(settings choice.Settings)
 }
 
-// Answered is a request with its one final answer.
+// Answered describes a request with its final answer.
 type Answered struct {
 	Spec
-	Sequence uint64 // of the core's requests
+	Sequence uint64 // position among the core's requests, from 1
 	Arrived  time.Time
 	Took     time.Duration
 	Answer   Answer
-	Attempts []AttemptResult // in order; the last one may be the connection that is open
+	Attempts []AttemptResult // in order; the last one may be the open connection
 }
 
 // Answer is the final answer of a request.
 type Answer uint8
 
 const (
-	// Open is an open connection.
+	// Open means that the connection was opened.
 	Open Answer = iota
-	// Served is a server's complete answer, without an open connection.
+	// Served means that a server answered completely, without an open connection.
 	Served
-	// Rejected is a local reply that promises that a retry is harmless.
+	// Rejected means a local reply which guarantees that a retry is harmless.
 	Rejected
-	// Failed is a local reply that promises nothing.
+	// Failed means a local reply without that guarantee.
 	Failed
-	// ClientLeft says that the client left before any answer.
+	// ClientLeft means that the client left before it had an answer.
 	ClientLeft
 )
 
-// EndCause says who ended an open connection.
+// EndCause is the cause of an open connection's end.
 type EndCause uint8
 
 const (
-	// ByClient says that the client ended it or lost it.
+	// ByClient means that the client closed or lost the connection.
 	ByClient EndCause = iota
-	// ByServer says that the server ended it or lost it.
+	// ByServer means that the server closed or lost the connection.
 	ByServer
-	// Migrated says that the node asked the client to reconnect.
+	// Migrated means that the node asked the client to reconnect.
 	Migrated
-	// Transferred says that it goes on in another process of the node.
+	// Transferred means that another process of the node has taken over the connection.
 	Transferred
 )
 
-// AttemptResult is an attempt with its outcome, as far as there is one.
+// AttemptResult describes an attempt and its outcome.
 type AttemptResult struct {
 	Server  choice.ServerID
 	Outcome choice.Outcome
 	Took    time.Duration
 }
 
-// observation is a request's state for the observer.
+// observation is the state of a request that the core keeps for the observer.
 type observation struct {
 	sequence  uint64
 	arrivedAt time.Time
-	openSince time.Time // zero: there is no open connection, or its end was observed
-	load      float64   // of the open connection, as last reported
+	openSince time.Time // zero: there is no open connection, or the observer was notified of its end
+	load      float64   // last reported load of the open connection
 	results   []AttemptResult
-	answered  bool // the final answer was observed
+	answered  bool // the observer was notified of the final answer
 }
 
 // observeAnswer notifies the observer of the request's final answer, once.
@@ -96,7 +97,7 @@
 	r.observed.openSince = time.Time{}
 }
 
-// observeResult records an attempt's outcome for the observer until the final answer.
+// observeResult records an attempt's outcome for the observer, unless the request already has its final answer.
 func (r *Request) observeResult(a *Attempt, outcome choice.Outcome) {
 	if r.core.options.Observer == nil || r.observed.answered {
 		return
--- a/internal/edge/options.go
+++ b/internal/edge/options.go
@@ -8,82 +8,83 @@
 	"spurwinch/internal/trace"
 )
 
-// Clock is the event loop's time and timers. A timer never fires before the call that sets it has returned.
+// Clock provides the event loop's time and timers. A timer never fires before the call that sets it has returned.
 type Clock interface {
 	Now() time.Time
 	At(at time.Time, fn func()) (stop func())
 }
 
-// Client is a front's side of one request. Its methods are called by the core alone, and never after the front has
-// reported by Request.ClientGone that the client is gone.
+// Client is the front end's side of one request. Only the core calls its methods, and never after the front end has
+// called Request.ClientGone.
 type Client interface {
-	// Attempt starts the upstream request a; its outcome is reported by a's methods.
+	// Attempt starts the upstream request for a. The front end reports its progress and outcome by a's methods.
 	Attempt(a *Attempt) UpstreamRequest
-	// LocalReply gives the client the final answer of a request that no server serves.
+	// LocalReply sends the client the node's own final answer to a request that no server serves.
 	LocalReply(reply LocalReply)
-	// Migrate asks the client of an open connection to reconnect, and ends its connection on both sides: between two of
-	// the server's lines where the current one ends by the given time, else then.
+	// Migrate asks the client of an open connection to reconnect, and ends its connection on both sides. The connection
+	// ends after the server's current line, or at the given time if that line is not complete by then.
 	Migrate(by time.Time)
 }
 
-// UpstreamRequest is a front's side of one attempt.
+// UpstreamRequest is the front end's side of one attempt.
 type UpstreamRequest interface {
-	// GiveUp stops waiting: nothing of the attempt may reach the client any more, nor the server. An attempt whose last
-	// byte is not reported as Written by then has not run.
+	// GiveUp cancels the attempt: from now on the front end sends none of its bytes to the client or to the server. If
+	// the front end has not called Attempt.Written before, the server has not run the attempt.
 	GiveUp()
 }
 
-// HealthChecker is a front's way to ask a server for its load report by a time; done is called once.
+// HealthChecker is implemented by a front end. CheckHealth requests a server's load report and calls done once, by the
+// given time.
 type HealthChecker interface {
 	CheckHealth(server ServerEntry, by time.Time, done func(outcome choice.Outcome, report []float64))
 }
 
-// ServerEntry is one entry of the cluster's endpoint list with its address.
+// ServerEntry is one entry of the cluster's endpoint list, with the server's address.
 type ServerEntry struct {
 	choice.Server
 	Addr string
 }
 
-// Spec is what a front knows of a new request.
+// Spec describes a new request, as far as the front end knows it.
 type Spec struct {
 	ID           choice.RequestID
 	Class        int // index in Settings.Classes
 	Tenant       int // index in Settings.Tenants; -1: none
 	Key          uint64
 	Group        uint64  // affinity group; 0: none
-	Load         float64 // expected load, work a second; 0: not known
+	Load         float64 // expected load, in work per second; 0: unknown
 	Returned     bool    // the client came back after a broken connection or a migration
 	Deadline     time.Time
-	StickyServer choice.ServerID // where the session that it resumes lives; empty: nowhere
-	OpenAt       choice.ServerID // a connection that was open at this server before the node started; else empty
+	StickyServer choice.ServerID // server that holds the session which the request resumes; empty: none
+	OpenAt       choice.ServerID // server at which the connection was open before the node started; empty: it is new
 }
 
-// Options are what a core works with.
+// Options configures a core.
 type Options struct {
 	Clock         Clock
 	Settings      choice.Settings
-	Seed          uint64 // of the balancer's random numbers
+	Seed          uint64 // seed of the balancer's random numbers
 	HealthChecker HealthChecker
-	WatchList     func() // has discovery push changes from now on
-	// SendPeerMessage sends a message to another node by its number; nil: there are no peers.
+	WatchList     func() // asks service discovery to push changes of the endpoint list
+	// SendPeerMessage sends a message to the node with the given number; nil: there are no peers.
 	SendPeerMessage func(to int, message []byte)
-	// DrainPeriod is how long the migration of a draining server's clients, one by one, takes. 0: servers have their
-	// clients reconnect themselves.
+	// DrainPeriod is the time over which the core migrates a draining server's clients, one by one. 0: the core
+	// migrates none; the servers themselves ask their clients to reconnect.
 	DrainPeriod time.Duration
-	// Observer is notified of all that passes through; nil: nobody is.
+	// Observer is notified of all requests, connections, load reports and servers of the core; nil: no observer.
 	Observer Observer
-	// Figures are the process's counters, raised here for all fronts; nil: nothing is counted.
+	// Figures are the counters of the process, which the core increments for all front ends; nil: no counters.
 	Figures Figures
-	// Monitor checks each step against the node's promises; nil: the core has one of its own.
+	// Monitor checks each step of a request against the node's invariants; nil: the core creates its own.
 	Monitor *invariant.Monitor
-	// Trace records what becomes of requests; nil: the core has one of its own.
+	// Trace records the steps of each request; nil: the core creates its own.
 	Trace *trace.Recorder
 }
 
-// withDefaults fills in what may be left out.
+// withDefaults returns the options with the defaults of optional fields filled in.
 func (o Options) withDefaults() Options {
 	if o.Figures == nil {
-		o.Figures = uncounted{}
+		o.Figures = discardFigures{}
 	}
 	if o.Monitor == nil {
 		o.Monitor = &invariant.Monitor{}
--- a/internal/edge/redirect.go
+++ b/internal/edge/redirect.go
@@ -2,7 +2,7 @@
 
 import "spurwinch/choice"
 
-// MayRedirect reports whether a request that has no answer yet may go to another server with one more attempt.
+// MayRedirect reports whether the core may move an unanswered request to the server sticky with one more attempt.
 func (r *Request) MayRedirect(sticky choice.ServerID) bool {
 	server := r.core.servers[sticky]
 	return r.waiting() && r.OpenAt == "" && r.attempt != nil &&
@@ -10,8 +10,9 @@
 		server != nil && server.State == choice.Ready
 }
 
-// RedirectTo cancels the current attempt and notifies the balancer of where the session that the request resumes lives.
-// The front vouches that nothing the client has seen of the first server binds it to that one.
+// RedirectTo cancels the current attempt and notifies the balancer of the server that holds the session which the
+// request resumes. The front end guarantees that nothing that the client has received from the first server binds the
+// client to that server.
 func (r *Request) RedirectTo(sticky choice.ServerID) {
 	r.StickyServer = sticky
 	r.committed = false
@@ -19,8 +20,8 @@
 	r.attempt.giveUp(choice.Cancelled)
 }
 
-// Redirected says that a server has named another one, by its address or id, before its attempt ends. A server that
-// is not in the endpoint list, or is draining, is ignored.
+// Redirected reports that a server has redirected the request to another server, given by its address or id. The front
+// end calls it before the attempt ends. Redirected ignores servers that are draining or not in the endpoint list.
 func (r *Request) Redirected(to string) {
 	for _, server := range r.core.servers {
 		if (server.Addr == to || string(server.ID) == to) && server.State == choice.Ready {
--- a/internal/edge/reply.go
+++ b/internal/edge/reply.go
@@ -8,34 +8,34 @@
 	"spurwinch/internal/trace"
 )
 
-// LocalReply is a final answer that the node gives by itself.
+// LocalReply is a final answer that the node itself generates.
 type LocalReply struct {
-	Rejected   bool          // a retry does no harm; else the request failed
-	RetryAfter time.Duration // advice for when to retry; 0: none
+	Rejected   bool          // a retry is harmless; false: the request failed
+	RetryAfter time.Duration // delay that the client is asked to wait before a retry; 0: none
 	Why        Why
-	Reason     trace.Reason // for logs and figures
+	Reason     trace.Reason // for logs and metrics
 }
 
-// Why gives a front the reason of a local reply, for protocols that name it.
+// Why is the reason of a local reply, for protocols that tell the client the reason.
 type Why uint8
 
 const (
-	// Busy says that the balancer found no server that can take the request.
+	// Busy means that the balancer found no server that can take the request.
 	Busy Why = iota
-	// ShuttingDown says that this node is draining.
+	// ShuttingDown means that this node is draining.
 	ShuttingDown
-	// Unreachable says that the server that the request is bound to can't be reached.
+	// Unreachable means that the server that the request is bound to can't be reached.
 	Unreachable
-	// ServerLost says that the server failed after its first bytes had reached the client.
+	// ServerLost means that the server failed after its first bytes had reached the client.
 	ServerLost
-	// DeadlinePassed says that the deadline came first.
+	// DeadlinePassed means that the deadline passed before the request was served.
 	DeadlinePassed
 )
 
-// shutdownRetryAfter is the advice for clients that a draining node rejects.
+// shutdownRetryAfter is the retry delay that a draining node sends to the clients that it rejects.
 const shutdownRetryAfter = 300 * time.Millisecond
 
-// shuttingDownReply is the answer of a node that is draining.
+// shuttingDownReply returns the reply of a draining node.
 func (c *Core) shuttingDownReply() LocalReply {
 	reply := LocalReply{Rejected: true, Why: ShuttingDown, Reason: trace.Stopping}
 	if limits := c.options.Settings.Limits; limits.RetryAfter {
@@ -44,33 +44,35 @@
 	return reply
 }
 
-// rejectNow has the balancer answer a request now, and cancels its attempt. Whether a retry is harmless depends on what
-// may have run and on the class: the balancer says so, and reply is the rest of the answer.
+// rejectNow asks the balancer to answer a request now; the request's attempt is then cancelled. The balancer decides
+// whether the request is rejected or fails, since whether a retry is harmless depends on which attempts may have run
+// and on the class. The other fields of the answer are those of reply.
 func (r *Request) rejectNow(reply LocalReply) {
 	switch {
 	case !r.waiting():
 	case r.OpenAt != "" || !r.registered():
 		r.answerAndCancel(reply)
 	default:
-		r.ownReply = &reply
+		r.pendingReply = &reply
 		r.core.notify(choice.TimeUp{ID: r.ID})
 	}
 }
 
-// conclude gives the balancer's answer.
-func (r *Request) conclude(reply LocalReply) {
-	if r.ownReply == nil {
+// answerFromBalancer answers a request as the balancer has decided. If the core has asked for the answer, by rejectNow,
+// the client gets pendingReply.
+func (r *Request) answerFromBalancer(reply LocalReply) {
+	if r.pendingReply == nil {
 		r.answer(reply)
 		return
 	}
-	r.ownReply.Rejected = reply.Rejected
+	r.pendingReply.Rejected = reply.Rejected
 	if !reply.Rejected {
-		r.ownReply.RetryAfter = 0
+		r.pendingReply.RetryAfter = 0
 	}
-	r.answerAndCancel(*r.ownReply)
+	r.answerAndCancel(*r.pendingReply)
 }
 
-// answerAndCancel answers a request and cancels its attempt.
+// answerAndCancel answers a request and cancels its current attempt.
 func (r *Request) answerAndCancel(reply LocalReply) {
 	r.answer(reply)
 	if r.attempt != nil && !r.open {
@@ -78,7 +80,7 @@
 	}
 }
 
-// answer gives the final answer, unless there is one already.
+// answer sends the final answer, unless the request already has one.
 func (r *Request) answer(reply LocalReply) {
 	if !r.waiting() {
 		return
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -12,34 +12,35 @@
 
 // Request is one request of a client, from its arrival until its connection has ended.
 //
-// It is waiting (neither open nor finished), then open or finished, and finished for good: an open connection ends as
-// finished, too. It is removed from the core's table when it is finished and its last attempt has its outcome.
+// A request starts as waiting (neither open nor finished) and becomes open or finished. An open request becomes
+// finished when its connection ends. The core removes a request from its table once the request is finished and its
+// last attempt has an outcome.
 type Request struct {
 	Spec
 	core   *Core
 	client Client
-	guard  *invariant.Request // checks each step against the node's promises
-	class  choice.Class       // as the settings had it when the request came
+	guard  *invariant.Request // checks each step against the node's invariants
+	class  choice.Class       // from the settings at the request's arrival
 
-	attempt      *Attempt       // the one in flight, or the open connection's; nil: none
-	attemptCount int            // attempts begun so far
-	lastOutcome  choice.Outcome // of the attempt before; means nothing before the first has ended
+	attempt      *Attempt       // the attempt in flight or of the open connection; nil: none
+	attemptCount int            // attempts started so far
+	lastOutcome  choice.Outcome // outcome of the previous attempt; undefined until the first attempt has ended
 
 	open         bool // the connection is established
-	finished     bool // it has its final answer or nobody waits for it; for an open connection: it has ended
-	committed    bool // bytes of a server have reached the client: no other server can take over
-	transferring bool // its sockets are off the loop: another process may have the connection
+	finished     bool // it has its final answer, its client left, or its connection has ended
+	committed    bool // a server's bytes have reached the client, so no other server can take over
+	transferring bool // its sockets are detached from the event loop; another process may have the connection
 
 	stopDeadline       func()
 	stopBalancerTimers []func()
-	// ownReply is set where the core has asked the balancer to answer at once: the client gets this reply, rejected or
-	// failed as the balancer says.
-	ownReply *LocalReply
+	// pendingReply is set when the core has asked the balancer to answer at once. The client gets this reply; the
+	// balancer decides whether it is a rejection or a failure.
+	pendingReply *LocalReply
 
 	observed observation
 }
 
-// newRequest gives a request its sequence number and has the invariant monitor follow it.
+// newRequest creates a request with the next sequence number and registers it with the invariant monitor.
 func (c *Core) newRequest(spec Spec, client Client) *Request {
 	c.lastSequence++
 	request := &Request{
@@ -50,12 +51,12 @@
 	return request
 }
 
-// Open takes a new request. The client is called back through its methods, at the earliest when this has returned.
+// Open accepts a new request. The core calls the client's methods only after Open has returned.
 func (c *Core) Open(spec Spec, client Client) *Request {
 	request := c.newRequest(spec, client)
 	switch {
 	case c.requests[spec.ID] != nil:
-		// Guards against two requests under one id, of which the balancer would know only the first.
+		// Fail a second request with the same id: the balancer would know only the first one.
 		c.runNext(func() { request.answer(LocalReply{Reason: trace.IDInUse}) })
 		return request
 	case c.drain.rejecting:
@@ -70,7 +71,7 @@
 	}
 	c.requests[spec.ID] = request
 	c.options.Trace.Read(string(request.ID), request.class.Name, request.Deadline.Sub(request.observed.arrivedAt))
-	// The balancer owns the deadline; this guards against a request that it has lost.
+	// The balancer enforces the deadline; this timer covers a request that the balancer has lost.
 	request.stopDeadline = c.options.Clock.At(request.Deadline, request.expired)
 	if request.OpenAt != "" {
 		c.runNext(request.attemptOpenAt)
@@ -80,13 +81,13 @@
 	return request
 }
 
-// Reject rejects a request that the node has no capacity to take: the client is called back like Open's, but at once.
+// Reject rejects a request that the node has no capacity to accept. Unlike Open it calls the client before it returns.
 func (c *Core) Reject(spec Spec, client Client, retryAfter time.Duration) {
 	request := c.newRequest(spec, client)
 	request.answer(LocalReply{Rejected: true, RetryAfter: retryAfter, Reason: trace.NoFileDescriptor})
 }
 
-// event is the request as the balancer is notified of it.
+// event returns the event that notifies the balancer of the request.
 func (r *Request) event() choice.Request {
 	return choice.Request{
 		ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group, Load: r.Load,
@@ -97,21 +98,23 @@
 // waiting reports whether the client still waits for its final answer.
 func (r *Request) waiting() bool { return !r.finished && !r.open }
 
-// registered reports whether the request is the core's under its id: a second one under the id of another is not.
+// registered reports whether the request is the one that the core's table has under its id. A second request with the
+// id of another is not.
 func (r *Request) registered() bool { return r.core.requests[r.ID] == r }
 
-// answerCounts is the counter of the request's class.
+// answerCounts returns the counters of the request's class.
 func (r *Request) answerCounts() *Counts { return r.core.answerCounts[r.Class] }
 
-// ClientBrokeProtocol says that the client broke the protocol and that its front has answered so.
+// ClientBrokeProtocol reports that the client violated the protocol and that the front end has answered it with an
+// error.
 func (r *Request) ClientBrokeProtocol() {
 	if r.waiting() {
 		r.answerCounts().Failed++
 	}
-	r.ClientGone() // for the guard, too: the front has given the answer that it owes a client that broke the protocol
+	r.ClientGone() // the guard expects no further answer either: the front end has already sent the error
 }
 
-// ClientGone says that the client left, before its answer or on an open connection.
+// ClientGone reports that the client left, before its answer or on an open connection.
 func (r *Request) ClientGone() {
 	if r.finished {
 		return
@@ -132,7 +135,7 @@
 	r.forgetIfDone()
 }
 
-// forgetIfDone removes a request of which nothing is left from the core's table.
+// forgetIfDone stops the timers of a finished request, and removes it from the core's table if no attempt is left.
 func (r *Request) forgetIfDone() {
 	if !r.finished {
 		return
@@ -143,7 +146,7 @@
 	r.stopTimers()
 }
 
-// stopTimers ends what was set for a request that has its answer.
+// stopTimers stops the timers of a request that has its answer.
 func (r *Request) stopTimers() {
 	if r.stopDeadline != nil {
 		r.stopDeadline()
@@ -155,8 +158,8 @@
 	r.stopBalancerTimers = nil
 }
 
-// expired is called at the deadline. The balancer should have answered before; one that has lost the request is made up
-// for here.
+// expired is called at the deadline. The balancer should have answered the request before; if it has lost the request,
+// the core answers in its place.
 func (r *Request) expired() {
 	if !r.waiting() {
 		return
@@ -164,7 +167,7 @@
 	zap.L().Error("deadline_unanswered", zap.String("request", string(r.ID)))
 	r.rejectNow(LocalReply{Rejected: true, Reason: trace.PastDeadline})
 	r.core.runNext(func() {
-		if r.waiting() { // the balancer doesn't know it: what was sent may have run
+		if r.waiting() { // the balancer doesn't know the request; an attempt that was started may have run
 			r.core.notify(choice.ClientGone{ID: r.ID})
 			r.answerAndCancel(LocalReply{Rejected: r.attemptCount == 0, Reason: trace.LostByBalancer})
 		}
--- a/internal/edge/server_drain.go
+++ b/internal/edge/server_drain.go
@@ -6,11 +6,12 @@
 	"spurwinch/choice"
 )
 
-// drainServerBy is the part of the drain grace, in tenths, after which attempts at a draining server are cancelled.
-const drainServerBy = 8
+// cancelAtGraceTenths is the part of the drain grace, in tenths, after which attempts at a draining server are
+// cancelled.
+const cancelAtGraceTenths = 8
 
-// cancelUnsent cancels the attempts at a draining server of which no byte was sent: their connections might come up
-// after its grace, and now the balancer can still place them elsewhere.
+// cancelUnsent cancels the attempts at a draining server that have sent no byte. Their connections might only be
+// established after the server's grace, and the balancer can still place the requests on another server now.
 func (c *Core) cancelUnsent(server *serverState) {
 	if server.inFlight == 0 {
 		return
@@ -22,9 +23,9 @@
 	}
 }
 
-// drainServer clears a draining server: attempts without an answer are cancelled before its grace ends, when the
-// invariant monitor would object to them; open connections are migrated one by one over DrainPeriod, before the server
-// closes them.
+// drainServer removes requests and connections from a draining server. It cancels unanswered attempts before the
+// server's grace ends, since after that they violate an invariant. It migrates open connections one by one over
+// DrainPeriod, before the server closes them.
 func (c *Core) drainServer(server *serverState) {
 	now := c.options.Clock.Now()
 	var open []*Request
@@ -40,10 +41,10 @@
 	c.migrateOver(open, now, c.options.DrainPeriod)
 }
 
-// cancelBeforeGraceEnds ends an attempt that has no answer shortly before its server's grace is over.
+// cancelBeforeGraceEnds schedules the end of an unanswered attempt for shortly before its server's grace is over.
 func (c *Core) cancelBeforeGraceEnds(a *Attempt, now time.Time) {
 	r := a.request
-	c.options.Clock.At(now.Add(c.options.Settings.Rules.DrainGrace*drainServerBy/10), func() {
+	c.options.Clock.At(now.Add(c.options.Settings.Rules.DrainGrace*cancelAtGraceTenths/10), func() {
 		switch {
 		case a.ended || r.open:
 		case r.committed:
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -9,19 +9,19 @@
 	"spurwinch/internal/invariant"
 )
 
-// serverState is a server of the endpoint list with what this node knows of it. One that is gone stays while anything
-// of it is in flight.
+// serverState is a server of the endpoint list with this node's state for it. The state of a server that is gone is
+// kept while the server has requests or connections in flight.
 type serverState struct {
 	ServerEntry
-	connectTime     time.Duration         // the least so far, as an estimate of the round trip; 0: not known
-	delayObservedAt time.Time             // when the balancer was last notified of a message's delay here
-	slow            bool                  // as it was notified then
-	inFlight        int                   // attempts and connections there now
-	drainingSince   time.Time             // since when it is known to drain or to be gone; zero: it serves
-	slowStartCalls  *invariant.CallWindow // attempts of this node in the present window; nil: it is not in slow start
+	connectTime     time.Duration         // the shortest so far, as an estimate of the round trip; 0: unknown
+	delayObservedAt time.Time             // when the balancer was last notified of a message delay at this server
+	slow            bool                  // whether that delay was slow
+	inFlight        int                   // current attempts and connections at this server
+	drainingSince   time.Time             // when this node learned that it is draining or gone; zero: it is ready
+	slowStartCalls  *invariant.CallWindow // attempts of this node in the current window; nil: no slow start
 }
 
-// UpdateServers takes in an update of the endpoint list.
+// UpdateServers applies an update of the endpoint list.
 func (c *Core) UpdateServers(kind choice.ListKind, list []ServerEntry) {
 	now := c.options.Clock.Now()
 	received := c.balancerTime(now)
@@ -45,7 +45,7 @@
 	if corrected && kind == choice.ListChange {
 		update.Servers = append(update.Servers, c.correctStartTimes(list)...)
 	}
-	c.notify(update) // first: what is cancelled below goes to none of them
+	c.notify(update) // before the cancellations below, so that no draining server gets a cancelled request again
 	for _, server := range draining {
 		c.cancelUnsent(server)
 		if c.options.DrainPeriod > 0 {
@@ -54,7 +54,8 @@
 	}
 }
 
-// updateServer takes in one entry of the list and reports whether its server begins to drain, or is gone, by it.
+// updateServer applies one entry of the endpoint list, and reports whether the server begins to drain or is gone with
+// this update.
 func (c *Core) updateServer(entry ServerEntry, now time.Time) (server *serverState, drains bool) {
 	server = c.servers[entry.ID]
 	observer := c.options.Observer
@@ -73,12 +74,12 @@
 		drains = server.State == choice.Ready && entry.State != choice.Ready
 		server.ServerEntry = entry
 	}
-	server.noteState(now)
+	server.updateDrainingSince(now)
 	return server, drains
 }
 
-// noteState notes since when a server is known to drain.
-func (s *serverState) noteState(now time.Time) {
+// updateDrainingSince records when this node learned that a server is draining or gone.
+func (s *serverState) updateDrainingSince(now time.Time) {
 	switch {
 	case s.State == choice.Ready:
 		s.drainingSince = time.Time{}
@@ -87,8 +88,7 @@
 	}
 }
 
-// removeUnlisted marks the servers that a full list doesn't name as gone, and returns those that were serving until
-// now.
+// removeUnlisted marks servers that are missing from a full list as gone, and returns those that were ready until now.
 func (c *Core) removeUnlisted(list []ServerEntry, now time.Time) (draining []*serverState) {
 	listed := map[choice.ServerID]bool{}
 	for _, entry := range list {
@@ -102,7 +102,7 @@
 			draining = append(draining, server)
 		}
 		server.State = choice.Gone
-		server.noteState(now)
+		server.updateDrainingSince(now)
 		if c.options.Observer != nil {
 			c.options.Observer.ServerChanged(server.ServerEntry)
 		}
@@ -110,7 +110,7 @@
 	return draining
 }
 
-// forgetGoneServers drops the servers that are gone and have nothing in flight; the balancer has its own list.
+// forgetGoneServers removes servers that are gone and have nothing in flight. The balancer has its own list.
 func (c *Core) forgetGoneServers() {
 	for id, server := range c.servers {
 		if server.State == choice.Gone && server.inFlight == 0 {
@@ -119,12 +119,12 @@
 	}
 }
 
-// ListSourceChanged says that the next list is of another discovery service, whose servers may have started at any
-// time.
+// ListSourceChanged tells the core that the next endpoint list comes from another discovery service, whose servers may
+// have started at any time.
 func (c *Core) ListSourceChanged() { c.startTimes.sourceChanged() }
 
-// correctStartTimes computes the starts of all servers but those of an update anew, by a clock offset that was
-// corrected, and returns these servers.
+// correctStartTimes recalculates the start times of all servers except those in the update, after a correction of the
+// clock offset, and returns the servers that it changed.
 func (c *Core) correctStartTimes(update []ServerEntry) (corrected []choice.Server) {
 	for _, server := range c.servers {
 		inUpdate := slices.ContainsFunc(update, func(entry ServerEntry) bool { return entry.ID == server.ID })
@@ -138,7 +138,7 @@
 	return corrected
 }
 
-// Servers are the servers that are not gone, by id.
+// Servers returns the servers that are not gone, sorted by id.
 func (c *Core) Servers() []ServerEntry {
 	var all []ServerEntry
 	for _, server := range c.servers {
@@ -150,13 +150,13 @@
 	return all
 }
 
-// AcceptsNew reports whether a server takes new requests, as the process that started then.
+// AcceptsNew reports whether a server accepts new requests and is still the process that started at the given time.
 func (c *Core) AcceptsNew(id choice.ServerID, started time.Duration) bool {
 	server := c.servers[id]
 	return server != nil && server.State == choice.Ready && server.Started == started
 }
 
-// InFlightOn counts the requests and connections that the core has at a server.
+// InFlightOn returns the number of requests and connections that the core has at a server.
 func (c *Core) InFlightOn(id choice.ServerID) int {
 	if server := c.servers[id]; server != nil {
 		return server.inFlight
--- a/internal/edge/servers_test.go
+++ b/internal/edge/servers_test.go
@@ -68,12 +68,12 @@
 	draining := serversNamed("s")
 	draining[0].State = choice.Draining
 	core.UpdateServers(choice.ListChange, draining)
-	world.run(from.Add(grace*drainServerBy/10 - time.Millisecond))
+	world.run(from.Add(grace*cancelAtGraceTenths/10 - time.Millisecond))
 	if attempt.ended || open.migratedAt.Before(from) || open.migratedAt.After(from.Add(4*time.Second)) {
 		t.Errorf("attempt ended %v, connection migrated after %v; want false and within 4 s",
 			attempt.ended, open.migratedAt.Sub(from))
 	}
-	world.run(from.Add(grace * drainServerBy / 10))
+	world.run(from.Add(grace * cancelAtGraceTenths / 10))
 	if !attempt.ended || core.InFlightOn("s") != 0 {
 		t.Errorf("attempt ended %v with %d in flight before the grace is over, want true and 0",
 			attempt.ended, core.InFlightOn("s"))
--- a/internal/edge/start_times.go
+++ b/internal/edge/start_times.go
@@ -6,27 +6,28 @@
 	"spurwinch/choice"
 )
 
-// startTimeClock computes by the balancer's clock when servers started. The endpoint list gives it in Unix time; this
-// process knows Unix time from its own start on, by a wall clock that may have been stepped then. Two things are
-// sure: no server starts later than the list names it, and one that is new to a list that was being watched has not
-// started long before the list was last received.
+// startTimeClock converts the start times of servers to the balancer's clock. The endpoint list has start times in Unix
+// time. This process read Unix time once, when it started, from a wall clock that may have been stepped, and so
+// wrong, at that moment. startTimeClock therefore corrects the offset between the clocks by two facts: no server starts
+// after the list reports its start, and a server that is new in a watched list did not start long before the list was
+// last received.
 type startTimeClock struct {
-	offset         time.Duration                     // of the balancer's clock from the list's
-	lastReceivedAt time.Duration                     // when this list last came, by the balancer's clock; 0: never
-	reported       map[choice.ServerID]time.Duration // starts as the list has them
+	offset         time.Duration                     // balancer's clock minus the list's clock
+	lastReceivedAt time.Duration                     // last receipt of this list, by the balancer's clock; 0: never
+	reported       map[choice.ServerID]time.Duration // start times from the list, by its clock
 }
 
 const (
-	// listDelay is about how long discovery takes to report a start.
+	// listDelay is approximately how long service discovery takes to report the start of a server.
 	listDelay = 3 * time.Second
-	// clockSkew is how far the clocks of synchronized machines differ.
+	// clockSkew is the maximum difference between the clocks of synchronized machines.
 	clockSkew = 100 * time.Millisecond
-	// maxGoneStarts is how many starts of servers that are gone are cached: one that comes back as it was has not
-	// started anew.
+	// maxGoneStarts is the number of start times that are cached for servers that are gone. A server that returns with
+	// the same start time has not restarted.
 	maxGoneStarts = 256
 )
 
-// observeAll takes in the starts of a list and reports whether the offset was corrected by one of them.
+// observeAll records the start times of a list and reports whether one of them corrected the offset.
 func (s *startTimeClock) observeAll(list []ServerEntry, now time.Duration) (corrected bool) {
 	for _, entry := range list {
 		if s.observe(entry.Server, now) {
@@ -36,7 +37,7 @@
 	return corrected
 }
 
-// observe takes in the start of a server that a list names now, and reports whether the offset was corrected.
+// observe records the start time of a server from a list received now, and reports whether it corrected the offset.
 func (s *startTimeClock) observe(server choice.Server, now time.Duration) (corrected bool) {
 	if server.Started <= 0 || s.reported[server.ID] == server.Started {
 		return false
@@ -49,11 +50,11 @@
 	if age >= -clockSkew && (s.lastReceivedAt == 0 || age <= now-s.lastReceivedAt+listDelay) {
 		return false
 	}
-	s.offset = now - server.Started // as if it had started now: the youngest that it can be
+	s.offset = now - server.Started // assumes that the server has just started, which is the latest possible start
 	return true
 }
 
-// balancerTime converts a start as the list has it to the balancer's clock; 0: it started long ago.
+// balancerTime converts a start time from the list to the balancer's clock; 0: the server started long ago.
 func (s *startTimeClock) balancerTime(started time.Duration) time.Duration {
 	if started <= 0 {
 		return 0
@@ -61,7 +62,8 @@
 	return max(1, started+s.offset)
 }
 
-// listReceived notes that the list was received, and drops the starts of servers that are gone where there are many.
+// listReceived records when the list was received. It drops the start times of servers that are gone if there are more
+// than maxGoneStarts.
 func (s *startTimeClock) listReceived(now time.Duration, servers map[choice.ServerID]*serverState) {
 	s.lastReceivedAt = now
 	if len(s.reported) <= maxGoneStarts+len(servers) {
@@ -74,5 +76,6 @@
 	}
 }
 
-// sourceChanged says that the next list is of another discovery service, whose servers may have started at any time.
+// sourceChanged records that the next list comes from another discovery service, whose servers may have started at any
+// time.
 func (s *startTimeClock) sourceChanged() { s.lastReceivedAt = 0 }
--- a/internal/edge/transfer.go
+++ b/internal/edge/transfer.go
@@ -8,35 +8,37 @@
 	"spurwinch/internal/invariant"
 )
 
-// Connections that another process of this node takes over, in a hot restart: the client and the server notice nothing.
+// This file transfers open connections to another process of this node in a hot restart, without any effect on the
+// client or the server.
 
-// Faults of a connection's state as another process has sent it.
+// Errors of ConnectionState.Check.
 var (
-	ErrNoConnectionID = errors.New("connection state without an id of its request or its server")
-	ErrImpossibleLoad = errors.New("connection state with a load that is negative or no number")
+	ErrNoConnectionID = errors.New("connection state must have a request id and a server id")
+	ErrInvalidLoad    = errors.New("loads of a connection state must be numbers of at least 0")
 )
 
-// ConnectionState is an open connection as one process sends it to another: by names and values, since tables differ.
+// ConnectionState is the encoding of an open connection for its transfer to another process. It has names and values in
+// place of indices, since the tables of the two processes may differ.
 type ConnectionState struct {
 	ID          choice.RequestID `cbor:"1,keyasint"`
-	Class       choice.Class     `cbor:"2,keyasint"` // as it was when the request came
+	Class       choice.Class     `cbor:"2,keyasint"` // from the settings at the request's arrival
 	Tenant      string           `cbor:"3,keyasint,omitempty"`
 	Key         uint64           `cbor:"4,keyasint,omitempty"`
 	Group       uint64           `cbor:"5,keyasint,omitempty"`
-	UsualLoad   float64          `cbor:"6,keyasint,omitempty"` // as the request had it, work a second
-	CurrentLoad float64          `cbor:"7,keyasint,omitempty"` // as last reported, work a second
+	UsualLoad   float64          `cbor:"6,keyasint,omitempty"` // expected load of the request, in work per second
+	CurrentLoad float64          `cbor:"7,keyasint,omitempty"` // last reported load, in work per second
 	Returned    bool             `cbor:"8,keyasint,omitempty"`
 	Server      choice.Server    `cbor:"9,keyasint"`
-	Addr        string           `cbor:"10,keyasint"` // of the server
+	Addr        string           `cbor:"10,keyasint"` // address of the server
 }
 
-// Check reports a fault of what another process sent: ErrNoConnectionID or ErrImpossibleLoad.
+// Check validates a state that another process has sent. It returns ErrNoConnectionID, ErrInvalidLoad or nil.
 func (s ConnectionState) Check() error {
 	if s.ID == "" || s.Server.ID == "" {
 		return ErrNoConnectionID
 	}
-	if !(s.UsualLoad >= 0) || !(s.CurrentLoad >= 0) { // not a number, too
-		return ErrImpossibleLoad
+	if !(s.UsualLoad >= 0) || !(s.CurrentLoad >= 0) { // the negation also catches NaN
+		return ErrInvalidLoad
 	}
 	return nil
 }
@@ -44,16 +46,16 @@
 // TransferableClient is a Client whose open connection another process can take over.
 type TransferableClient interface {
 	Client
-	// Detach takes the connection's sockets off the loop and returns them, and what the front knows of it. ok is false
-	// where it can't be transferred now.
+	// Detach removes the connection's sockets from the event loop and returns them with the front end's state of the
+	// connection. ok is false if the connection can't be transferred now.
 	Detach() (fds []int, state any, ok bool)
-	// Reattach has it go on here.
+	// Reattach resumes the detached connection in this process.
 	Reattach()
-	// Release closes this process's side of it: another process has it.
+	// Release closes this process's copies of the sockets; another process has taken over the connection.
 	Release()
 }
 
-// Transferable are the open connections that may be transferred now, in no order.
+// Transferable returns the open connections that may be transferred now, in no particular order.
 func (c *Core) Transferable() (all []*Request) {
 	for _, r := range c.requests {
 		if _, ok := r.client.(TransferableClient); ok && r.open && !r.finished && !r.transferring {
@@ -63,8 +65,8 @@
 	return all
 }
 
-// Detach takes an open connection off the loop and returns its sockets and what its front knows. Until it is
-// reattached or released nothing happens on it.
+// Detach removes an open connection from the event loop and returns its sockets and the front end's state of it. The
+// connection stays idle until the caller reattaches or releases it.
 func (r *Request) Detach() (fds []int, front any, ok bool) {
 	client, transferable := r.client.(TransferableClient)
 	if !transferable || !r.open || r.finished || r.transferring {
@@ -77,7 +79,7 @@
 	return fds, front, ok
 }
 
-// ConnectionState is what the core knows of an open connection.
+// ConnectionState returns the core's state of an open connection; ok is false if the connection is not open.
 func (r *Request) ConnectionState() (state ConnectionState, ok bool) {
 	if !r.open || r.finished {
 		return ConnectionState{}, false
@@ -93,7 +95,7 @@
 	return state, true
 }
 
-// Reattach has a detached connection go on here.
+// Reattach resumes a detached connection in this process.
 func (r *Request) Reattach() {
 	r.transferring = false
 	if client, ok := r.client.(TransferableClient); ok {
@@ -102,7 +104,7 @@
 	r.migrateIfDraining(r.attempt.server, r.core.options.Clock.Now())
 }
 
-// Release forgets a detached connection: it is another process's, and has not ended.
+// Release removes a detached connection from the core without ending it: another process has taken it over.
 func (r *Request) Release() {
 	r.finished = true
 	attempt := r.attempt
@@ -117,32 +119,32 @@
 	r.forgetIfDone()
 }
 
-// LearnedState is what the balancer has learned so far, for another process.
+// LearnedState returns the balancer's learned state, for another process.
 func (c *Core) LearnedState() choice.LearnedState {
 	state := c.balancer.LearnedState()
 	state.Now = c.balancerTime(c.options.Clock.Now())
 	return state
 }
 
-// ImportLearnedState hands the balancer what that of another process has learned.
+// ImportLearnedState passes the learned state of another process to the balancer.
 func (c *Core) ImportLearnedState(state choice.LearnedState) {
 	c.notify(choice.LearnedStateReceived{LearnedState: state})
 }
 
-// Adopt takes over an open connection of another process, of which Check has found no fault. It counts as none that
-// this one has served.
+// Adopt takes over an open connection from another process. The caller must have validated state with Check. The
+// connection doesn't count as a request that this process has served.
 func (c *Core) Adopt(state ConnectionState, client Client) (*Request, *Attempt) {
 	now := c.options.Clock.Now()
 	request := c.adoptedRequest(state, client, now)
 	attempt := &Attempt{request: request, startedAt: now, written: true, server: c.servers[state.Server.ID]}
-	if attempt.server == nil { // it may be gone from the list here
+	if attempt.server == nil { // this process's endpoint list may no longer have the server
 		attempt.server = &serverState{ServerEntry: ServerEntry{Server: state.Server, Addr: state.Addr}}
 	}
 	attempt.Server = attempt.server.ServerEntry
 	request.guard = c.options.Monitor.Adopted(invariant.RequestFacts{ID: string(state.ID), Class: state.Class})
 	attempt.server.inFlight++
 	request.attempt = attempt
-	if c.requests[state.ID] != nil { // an id that is open here: the balancer knows the first only, and this one goes
+	if c.requests[state.ID] != nil { // the id is in use; the balancer knows only the first request
 		c.options.Clock.At(now, request.migrate)
 		return request, attempt
 	}
@@ -155,8 +157,8 @@
 	return request, attempt
 }
 
-// adoptedRequest is the request of an open connection of another process, whose class and tenant are found by their
-// names.
+// adoptedRequest creates the request of an open connection of another process. It looks up the class and the tenant by
+// their names.
 func (c *Core) adoptedRequest(state ConnectionState, client Client, now time.Time) *Request {
 	c.lastSequence++
 	request := &Request{
@@ -180,5 +182,5 @@
 	return request
 }
 
-// Resume says which upstream connection an adopted attempt is.
+// Resume sets the upstream request of an adopted attempt.
 func (a *Attempt) Resume(upstream UpstreamRequest) { a.upstream = upstream }
