--- a/internal/edge/answer_test.go
+++ b/internal/edge/answer_test.go
@@ -7,9 +7,9 @@
 	"spurwinch/choice"
 )
 
-// silentClient is a client whose servers say nothing; written says whether its attempts reach them.
+// silentClient is a client whose servers never answer. written reports whether its attempts are written to a server.
 type silentClient struct {
-	world    *world
+	harness  *harness
 	written  bool
 	attempts int
 	reply    *LocalReply
@@ -17,7 +17,7 @@
 
 func (c *silentClient) Attempt(a *Attempt) UpstreamRequest {
 	c.attempts++
-	c.world.At(c.world.now, func() {
+	c.harness.At(c.harness.now, func() {
 		if c.written && a.Begin() {
 			a.Written()
 		}
@@ -27,30 +27,31 @@
 func (c *silentClient) GiveUp()                     {}
 func (c *silentClient) LocalReply(reply LocalReply) { c.reply = &reply }
 func (c *silentClient) Migrate(time.Time) {
-	c.world.t.Error("a connection is migrated that was never open, want none")
+	c.harness.t.Error("Migrate: got a call without an open connection, want none")
 }
 
-// silentWorld is a core of four servers that say nothing, with these classes.
-func silentWorld(t *testing.T, classes ...choice.Class) *world {
+// newSilentHarness creates a core with the given classes and four servers that never answer.
+func newSilentHarness(t *testing.T, classes ...choice.Class) *harness {
 	t.Helper()
-	world := newWorld(t, time.Unix(1_800_000_000, 0), 1, 1)
+	harness := newHarness(t, time.Unix(1_800_000_000, 0), 1, 1)
 	for i := range classes {
 		classes[i].SetupObjective = 500 * time.Millisecond
 		classes[i].Deadline = 10 * time.Second
 		classes[i].Priority = 1
 	}
-	world.create(Options{Settings: choice.Settings{Classes: classes, Limits: choice.Limits{
+	harness.create(Options{Settings: choice.Settings{Classes: classes, Limits: choice.Limits{
 		MaxAttempts:    4,
 		Cancellation:   true,
 		ConnectTimeout: time.Second, RetryAfter: true, MaxRetryAfter: time.Second,
 	}}})
-	world.core.Start(serversNamed("a", "b", "c", "d"))
-	return world
+	harness.core.Start(serversNamed("a", "b", "c", "d"))
+	return harness
 }
 
-// TestStopAnswersByEffect has a planned stop, and a deadline that the balancer missed, end requests that servers may
-// have run: a rejection says that a retry is harmless, so those whose effect forbids it fail.
-func TestStopAnswersByEffect(t *testing.T) {
+// TestUnsafeRequestFailsAtShutdownOrDeadline checks how requests that servers may have run end at a planned shutdown,
+// or at a deadline that the balancer has missed. A rejection promises that a retry is harmless, so requests of classes
+// that are not safe to retry must fail instead.
+func TestUnsafeRequestFailsAtShutdownOrDeadline(t *testing.T) {
 	classes := []choice.Class{
 		{Name: "safe"},
 		{Name: "unsafe", Idempotency: choice.NotIdempotent},
@@ -62,79 +63,83 @@
 	}
 	for i, rejected := range []bool{true, false, true, false} {
 		for _, stop := range []bool{true, false} {
-			checkStopAnswer(t, classes, i, stop, rejected)
+			checkShutdownAnswer(t, classes, i, stop, rejected)
 		}
 	}
 }
 
-// checkStopAnswer ends one request of a class, by a planned stop or by its deadline, after a server may have run it.
-func checkStopAnswer(t *testing.T, classes []choice.Class, class int, stop, rejected bool) {
+// checkShutdownAnswer ends one request of a class after a server may have run it, by a planned shutdown (stop) or by
+// its deadline, and checks its answer.
+func checkShutdownAnswer(t *testing.T, classes []choice.Class, class int, stop, rejected bool) {
 	t.Helper()
 	name := classes[class].Name
-	world := silentWorld(t, classes...)
-	client := &silentClient{world: world, written: true}
-	request := world.core.Open(Spec{ID: "1", Class: class, Tenant: -1, Deadline: world.now.Add(10 * time.Second)},
+	harness := newSilentHarness(t, classes...)
+	client := &silentClient{harness: harness, written: true}
+	request := harness.core.Open(Spec{ID: "1", Class: class, Tenant: -1, Deadline: harness.now.Add(10 * time.Second)},
 		client)
-	world.core.Flush()
-	world.run(world.now.Add(100 * time.Millisecond))
+	harness.core.Flush()
+	harness.run(harness.now.Add(100 * time.Millisecond))
 	if client.attempts != 1 || client.reply != nil {
-		t.Fatalf("%s: %d attempts and reply %v before the end, want 1 and none", name, client.attempts, client.reply)
+		t.Fatalf("%s before the end: got %d attempts and reply %v, want 1 and no reply",
+			name, client.attempts, client.reply)
 	}
 	if stop {
-		world.core.Drain(func() {})
-		world.run(world.now.Add(maxDeadline + killDelay))
+		harness.core.Drain(func() {})
+		harness.run(harness.now.Add(maxDeadline + killDelay))
 	} else {
 		request.expired()
-		world.core.Flush()
-		world.run(world.now)
+		harness.core.Flush()
+		harness.run(harness.now)
 	}
 	reply := client.reply
 	if reply == nil {
-		t.Fatalf("%s, stop %v: no reply, want one", name, stop)
+		t.Fatalf("%s, stop %v: got no reply, want one", name, stop)
 	}
-	if reply.Rejected != rejected || world.core.InFlight() != 0 {
-		t.Errorf("%s, stop %v: reply %+v with %d in flight, want rejected %v and 0",
-			name, stop, reply, world.core.InFlight(), rejected)
+	if reply.Rejected != rejected || harness.core.InFlight() != 0 {
+		t.Errorf("%s, stop %v: got reply %+v with %d in flight, want rejected %v and 0",
+			name, stop, reply, harness.core.InFlight(), rejected)
 	}
 	if stop && (reply.Why != ShuttingDown || (reply.RetryAfter > 0) != rejected) {
-		t.Errorf("%s: reply %+v, want that of a shutdown, with advice where it is a rejection", name, reply)
+		t.Errorf("%s: got reply %+v, want reason ShuttingDown, and a retry delay exactly if it is a rejection",
+			name, reply)
 	}
 }
 
-// TestLostByTheBalancer has a request reach its deadline of which the balancer knows nothing: the core answers, by what
-// was sent.
-func TestLostByTheBalancer(t *testing.T) {
+// TestDeadlineOfRequestLostByBalancer checks that the core itself answers a request at its deadline if the balancer
+// doesn't know the request. The answer is a failure if an attempt was sent, else a rejection.
+func TestDeadlineOfRequestLostByBalancer(t *testing.T) {
 	for _, written := range []bool{false, true} {
-		world := silentWorld(t, choice.Class{Name: "safe"})
-		core := world.core
-		client := &silentClient{world: world, written: true}
-		request := core.Open(Spec{ID: "1", Tenant: -1, Deadline: world.now.Add(10 * time.Second)}, client)
+		harness := newSilentHarness(t, choice.Class{Name: "safe"})
+		core := harness.core
+		client := &silentClient{harness: harness, written: true}
+		request := core.Open(Spec{ID: "1", Tenant: -1, Deadline: harness.now.Add(10 * time.Second)}, client)
 		if written {
 			core.Flush()
-			world.run(world.now.Add(100 * time.Millisecond))
+			harness.run(harness.now.Add(100 * time.Millisecond))
 		} else {
 			core.pendingEvents = nil
 		}
 		core.notify(choice.ClientGone{ID: "1"})
 		core.Flush()
 		request.expired()
-		world.run(world.now)
+		harness.run(harness.now)
 		if client.reply == nil || client.reply.Rejected == written || core.InFlight() != 0 {
-			t.Errorf("written %v: reply %+v with %d in flight, want rejected %v and 0",
+			t.Errorf("written %v: got reply %+v with %d in flight, want rejected %v and 0",
 				written, client.reply, core.InFlight(), !written)
 		}
 	}
 }
 
-// TestNeverWrittenNeverRan has connections come up too late, or not: what was never written is tried again whatever its
-// effect.
-func TestNeverWrittenNeverRan(t *testing.T) {
-	world := silentWorld(t, choice.Class{Name: "unsafe", Idempotency: choice.NotIdempotent})
-	client := &silentClient{world: world}
-	world.core.Open(Spec{ID: "1", Tenant: -1, Deadline: world.now.Add(10 * time.Second)}, client)
-	world.core.Flush()
-	world.run(world.now.Add(11 * time.Second))
-	if client.attempts != 4 || client.reply == nil { // the last one is out when the time is up, and so it fails
-		t.Errorf("%d attempts and reply %+v, want 4 and one", client.attempts, client.reply)
+// TestUnwrittenAttemptIsRetried checks that an attempt whose connection is never established, or too late, counts as
+// not run: the core retries the request even though its class is not idempotent.
+func TestUnwrittenAttemptIsRetried(t *testing.T) {
+	harness := newSilentHarness(t, choice.Class{Name: "unsafe", Idempotency: choice.NotIdempotent})
+	client := &silentClient{harness: harness}
+	harness.core.Open(Spec{ID: "1", Tenant: -1, Deadline: harness.now.Add(10 * time.Second)}, client)
+	harness.core.Flush()
+	harness.run(harness.now.Add(11 * time.Second))
+	// The last attempt is in flight at the deadline, so the request fails.
+	if client.attempts != 4 || client.reply == nil {
+		t.Errorf("got %d attempts and reply %+v, want 4 and a reply", client.attempts, client.reply)
 	}
 }
--- a/internal/edge/fakes_test.go
+++ b/internal/edge/fakes_test.go
@@ -9,75 +9,75 @@
 	"spurwinch/choice"
 )
 
-// world is a clock that never waits, and the health checker and the surroundings of one core.
-type world struct {
+// harness runs one core in simulated time. It is the clock and the health checker of the core.
+type harness struct {
 	t      *testing.T
 	rng    *rand.Rand
 	now    time.Time
 	timers timerQueue
 	core   *Core
-	set    int // timers so far
+	set    int // number of timers set so far
 }
 
-// newWorld is a world at a time, with random numbers of a seed.
-func newWorld(t *testing.T, now time.Time, seed1, seed2 uint64) *world {
+// newHarness creates a harness that starts at the given time. The seeds determine its random numbers.
+func newHarness(t *testing.T, now time.Time, seed1, seed2 uint64) *harness {
 	t.Helper()
-	return &world{t: t, rng: rand.New(rand.NewPCG(seed1, seed2)), now: now}
+	return &harness{t: t, rng: rand.New(rand.NewPCG(seed1, seed2)), now: now}
 }
 
-// create gives the world its core.
-func (w *world) create(options Options) *Core {
-	w.t.Helper()
-	options.Clock = w
-	options.HealthChecker = w
+// create creates the core of the harness.
+func (h *harness) create(options Options) *Core {
+	h.t.Helper()
+	options.Clock = h
+	options.HealthChecker = h
 	core, err := New(options)
 	if err != nil {
-		w.t.Fatalf("New fails: %v", err)
+		h.t.Fatalf("New: got error %v, want none", err)
 	}
-	w.core = core
+	h.core = core
 	return core
 }
 
-func (w *world) Now() time.Time { return w.now }
+func (h *harness) Now() time.Time { return h.now }
 
-func (w *world) At(at time.Time, fn func()) func() {
-	w.set++
-	timer := &timer{at: at, number: w.set, fn: fn}
-	heap.Push(&w.timers, timer)
+func (h *harness) At(at time.Time, fn func()) func() {
+	h.set++
+	timer := &timer{at: at, number: h.set, fn: fn}
+	heap.Push(&h.timers, timer)
 	return func() { timer.fn = nil }
 }
 
-// run fires the timers until a time, and flushes the core after each.
-func (w *world) run(until time.Time) {
-	for len(w.timers) > 0 && !w.timers[0].at.After(until) {
-		timer, ok := heap.Pop(&w.timers).(*timer)
+// run fires the timers that are due until the given time, and flushes the core after each.
+func (h *harness) run(until time.Time) {
+	for len(h.timers) > 0 && !h.timers[0].at.After(until) {
+		timer, ok := heap.Pop(&h.timers).(*timer)
 		if !ok {
-			w.t.Fatal("the queue holds something else than timers")
+			h.t.Fatal("timer queue: got an element of another type, want *timer")
 		}
-		if timer.at.After(w.now) {
-			w.now = timer.at
+		if timer.at.After(h.now) {
+			h.now = timer.at
 		}
 		if timer.fn != nil {
 			timer.fn()
-			w.core.Flush()
+			h.core.Flush()
 		}
 	}
-	w.now = until
+	h.now = until
 }
 
-// CheckHealth answers each health check after some time with some load.
-func (w *world) CheckHealth(_ ServerEntry, _ time.Time, done func(choice.Outcome, []float64)) {
-	in := time.Duration(w.rng.IntN(200)) * time.Millisecond
-	w.At(w.now.Add(in), func() { done(choice.Served, []float64{w.rng.Float64() * 0.6}) })
+// CheckHealth answers each health check after a random time with a random load.
+func (h *harness) CheckHealth(_ ServerEntry, _ time.Time, done func(choice.Outcome, []float64)) {
+	in := time.Duration(h.rng.IntN(200)) * time.Millisecond
+	h.At(h.now.Add(in), func() { done(choice.Served, []float64{h.rng.Float64() * 0.6}) })
 }
 
 type timer struct {
 	at     time.Time
 	number int
-	fn     func() // nil: it was stopped
+	fn     func() // nil: the timer was stopped
 }
 
-// timerQueue is a heap of timers, by time and then by number.
+// timerQueue is a heap of timers, ordered by time and then by number.
 type timerQueue []*timer
 
 func (q timerQueue) Len() int { return len(q) }
@@ -89,7 +89,7 @@
 func (q *timerQueue) Push(x any) {
 	added, ok := x.(*timer)
 	if !ok {
-		panic("not a timer")
+		panic("timerQueue.Push: the element must be a *timer")
 	}
 	*q = append(*q, added)
 }
@@ -101,7 +101,7 @@
 	return removed
 }
 
-// serversNamed are servers of size 1 that serve.
+// serversNamed returns ready servers of size 1 with the given ids.
 func serversNamed(ids ...choice.ServerID) []ServerEntry {
 	var all []ServerEntry
 	for _, id := range ids {
@@ -110,7 +110,7 @@
 	return all
 }
 
-// idleClient is a client that keeps its reply, and whose servers say nothing.
+// idleClient is a client that records its reply and whose servers never answer.
 type idleClient struct {
 	reply *LocalReply
 	tried bool
--- a/internal/edge/golden_test.go
+++ b/internal/edge/golden_test.go
@@ -14,10 +14,10 @@
 	"spurwinch/choice"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestGoldenConnectionState holds the bytes of an open connection that one process sends to another, each field with
-// a value of its own.
+// TestGoldenConnectionState checks the encoding of an open connection that one process sends to another. Each field has
+// a distinct value.
 func TestGoldenConnectionState(t *testing.T) {
 	want := ConnectionState{
 		ID: "request-1",
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if got := hex.EncodeToString(body); got != strings.TrimSpace(string(text)) {
-		t.Errorf("the state is written as\n%s\nwant\n%s", got, text)
+		t.Errorf("Marshal: got\n%s\nwant\n%s", got, text)
 	}
 	raw, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil {
@@ -58,9 +58,9 @@
 	}
 	var got ConnectionState
 	if err := cbor.Unmarshal(raw, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("the state is read as\n%+v (error %v), want\n%+v", got, err, want)
+		t.Errorf("Unmarshal: got\n%+v (error %v), want\n%+v", got, err, want)
 	}
 	if err := got.Check(); err != nil {
-		t.Errorf("Check finds %v, want nothing", err)
+		t.Errorf("Check: got error %v, want none", err)
 	}
 }
--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -8,14 +8,14 @@
 	"spurwinch/internal/invariant"
 )
 
-// guardedWorld is a core of one class that is not idempotent, with a server that serves and one that drains, and the
-// violations that its monitor saw.
-func guardedWorld(t *testing.T) (w *world, violations *[]invariant.Violation) {
+// newGuardedHarness creates a core with one class that is not idempotent, a ready server and a draining one. It also
+// returns the violations that the invariant monitor reports.
+func newGuardedHarness(t *testing.T) (h *harness, violations *[]invariant.Violation) {
 	t.Helper()
 	violations = &[]invariant.Violation{}
 	monitor := &invariant.Monitor{OnViolation: func(v invariant.Violation) { *violations = append(*violations, v) }}
-	w = newWorld(t, time.Unix(1e9, 0), 1, 1)
-	w.create(Options{Seed: 1, Monitor: monitor, Settings: choice.Settings{
+	h = newHarness(t, time.Unix(1e9, 0), 1, 1)
+	h.create(Options{Seed: 1, Monitor: monitor, Settings: choice.Settings{
 		Nodes: 1,
 		Classes: []choice.Class{{
 			Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second, Priority: 1,
@@ -26,47 +26,47 @@
 	}})
 	servers := serversNamed("h", "draining")
 	servers[1].State = choice.Draining
-	w.core.Start(servers)
-	return w, violations
+	h.core.Start(servers)
+	return h, violations
 }
 
-// wantLast fails the test unless the last violation is of that rule.
+// wantLast checks that the last violation is one of the given rule.
 func wantLast(t *testing.T, violations []invariant.Violation, rule invariant.Rule) {
 	t.Helper()
 	if count := len(violations); count == 0 || violations[count-1].Rule != rule {
-		t.Errorf("violations %v, want %v as the last one", violations, rule)
+		t.Errorf("violations: got %v, want %v as the last one", violations, rule)
 	}
 }
 
-// openUnnotified opens a request that the balancer doesn't know of yet.
-func openUnnotified(w *world, client Client) *Request {
-	return w.core.Open(Spec{ID: "q", Tenant: -1, Deadline: w.now.Add(20 * time.Second)}, client)
+// openUnnotified opens a request of which the balancer is not notified yet.
+func openUnnotified(h *harness, client Client) *Request {
+	return h.core.Open(Spec{ID: "q", Tenant: -1, Deadline: h.now.Add(20 * time.Second)}, client)
 }
 
-// TestGuardDrainingServer has a balancer send to a server past its grace: the guard counts it, and the server is not
-// tried.
-func TestGuardDrainingServer(t *testing.T) {
-	world, violations := guardedWorld(t)
-	world.run(world.now.Add(3*time.Second + time.Millisecond))
+// TestGuardStopsAttemptAtDrainingServer checks that the guard reports and prevents an attempt that the balancer starts
+// at a draining server after the server's grace.
+func TestGuardStopsAttemptAtDrainingServer(t *testing.T) {
+	harness, violations := newGuardedHarness(t)
+	harness.run(harness.now.Add(3*time.Second + time.Millisecond))
 	client := &idleClient{}
-	request := openUnnotified(world, client)
+	request := openUnnotified(harness, client)
 	request.startAttempt("draining", request.Deadline, 0)
 	wantLast(t, *violations, invariant.ServerDraining)
 	if client.tried || request.attempt != nil {
-		t.Errorf("the server is tried (%v) or has an attempt (%v), want neither", client.tried, request.attempt)
+		t.Errorf("startAttempt: got server tried %v and attempt %v, want false and nil", client.tried, request.attempt)
 	}
 }
 
-// TestGuardNotIdempotent has a balancer repeat what may have run, and promise that a retry is harmless: neither reaches
-// anybody.
-func TestGuardNotIdempotent(t *testing.T) {
-	world, violations := guardedWorld(t)
+// TestGuardStopsUnsafeRetryAndRejection checks that the guard stops a retry of a request that may have run and is not
+// idempotent, and that it turns a rejection, which would promise that a retry is harmless, into a failure.
+func TestGuardStopsUnsafeRetryAndRejection(t *testing.T) {
+	harness, violations := newGuardedHarness(t)
 	client := &idleClient{}
-	request := openUnnotified(world, client)
+	request := openUnnotified(harness, client)
 	request.startAttempt("h", request.Deadline, 0)
 	first := request.attempt
 	if first == nil || !first.Begin() {
-		t.Fatal("the first attempt does not begin, want it to")
+		t.Fatal("Begin of the first attempt: got no attempt or false, want true")
 	}
 	first.Written()
 	first.Ended(choice.Reset, nil)
@@ -74,25 +74,25 @@
 	request.startAttempt("h", request.Deadline, 0)
 	wantLast(t, *violations, invariant.UnsafeRetry)
 	if client.tried {
-		t.Error("the server is tried again, want it not to be")
+		t.Error("second startAttempt: got an attempt at the server, want none")
 	}
 	request.answer(LocalReply{Rejected: true})
 	wantLast(t, *violations, invariant.UnsafeRejection)
 	if client.reply == nil || client.reply.Rejected {
-		t.Errorf("the client got %+v, want a failure", client.reply)
+		t.Errorf("answer: got reply %+v, want a failure", client.reply)
 	}
 }
 
-// TestGuardClientGone has an attempt's connection come up for a client that the guard knows to be gone: nothing is
-// sent.
-func TestGuardClientGone(t *testing.T) {
-	world, violations := guardedWorld(t)
-	request := openUnnotified(world, &idleClient{})
+// TestGuardStopsAttemptOfGoneClient checks that an attempt sends nothing if its connection is established after the
+// guard was told that the client is gone.
+func TestGuardStopsAttemptOfGoneClient(t *testing.T) {
+	harness, violations := newGuardedHarness(t)
+	request := openUnnotified(harness, &idleClient{})
 	request.startAttempt("h", request.Deadline, 0)
 	first := request.attempt
 	request.guard.Gone()
 	if first.Begin() {
-		t.Error("an attempt begins for a client that is gone, want it not to")
+		t.Error("Begin for a client that is gone: got true, want false")
 	}
 	wantLast(t, *violations, invariant.ClientGone)
 }
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -19,8 +19,8 @@
 	BasePolicy func(class int) bool
 	// RetryAfter is the mean retry delay for rejected requests, varied by up to half of it; 0: none.
 	RetryAfter time.Duration
-	// OnDecision is called for each request that arrives; how is an Admission. nil: there is no callback.
-	OnDecision func(id choice.RequestID, number uint64, how string)
+	// OnDecision is called for each request that arrives; admission is an Admission. nil: there is no callback.
+	OnDecision func(id choice.RequestID, number uint64, admission string)
 
 	expired bool // OnExpiry was called
 }
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -27,7 +27,7 @@
 	lastOutcome  choice.Outcome // outcome of the previous attempt; undefined until the first attempt has ended
 
 	open         bool // the connection is established
-	finished     bool // it has its final answer, its client left, or its connection has ended
+	finished     bool // answered without an open connection, its client left, or its connection has ended
 	committed    bool // a server's bytes have reached the client, so no other server can take over
 	transferring bool // its sockets are detached from the event loop; another process may have the connection
 
--- a/internal/edge/transfer.go
+++ b/internal/edge/transfer.go
@@ -67,16 +67,16 @@
 
 // Detach removes an open connection from the event loop and returns its sockets and the front end's state of it. The
 // connection stays idle until the caller reattaches or releases it.
-func (r *Request) Detach() (fds []int, front any, ok bool) {
+func (r *Request) Detach() (fds []int, state any, ok bool) {
 	client, transferable := r.client.(TransferableClient)
 	if !transferable || !r.open || r.finished || r.transferring {
 		return nil, nil, false
 	}
-	fds, front, ok = client.Detach()
+	fds, state, ok = client.Detach()
 	if ok {
 		r.transferring = true
 	}
-	return fds, front, ok
+	return fds, state, ok
 }
 
 // ConnectionState returns the core's state of an open connection; ok is false if the connection is not open.
