--- a/internal/edge/core.go
+++ b/internal/edge/core.go
@@ -103,8 +103,8 @@
 // DroppedPeerMessages returns how many messages from other nodes the balancer has dropped.
 func (c *Core) DroppedPeerMessages() int { return c.balancer.DroppedPeerMessages() }
 
-// AttemptsNeverSent returns how many attempts ended without a byte sent: when their upstream connection was ready, the
-// client had left, the attempt had expired or the server was draining.
+// AttemptsNeverSent returns how many attempts sent nothing because the client had left, the attempt had expired or the
+// server was draining when the upstream connection was established.
 func (c *Core) AttemptsNeverSent() int { return c.neverSent }
 
 // InFlight returns the number of requests in flight and open connections.
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -10,8 +10,8 @@
 	// routingDelay is how long new connections still arrive after a graceful shutdown has begun. Until then the core
 	// places them as usual, since a client that is migrated or rejected earlier may be routed to this node again.
 	routingDelay = 450 * time.Millisecond
-	// The platform kills the process after the longest deadline of a class, of which at most maxDeadline counts, plus
-	// killDelay at the earliest.
+	// The platform kills the process, at the earliest, killDelay after the longest deadline of a class. A deadline
+	// counts as maxDeadline at most.
 	maxDeadline = 3 * time.Second
 	killDelay   = 700 * time.Millisecond
 	// killMargin is the time between the end of the last request or connection and the kill.
@@ -70,7 +70,8 @@
 
 // DrainToSuccessor is Drain for a hot restart, in which another process already accepts the clients. The core places
 // the requests that it has as usual. The caller transfers open connections to the other process if possible, and then
-// calls MigrateRemaining. The core calls MigrateRemaining itself after half of the drain.
+// calls MigrateRemaining. If the caller has not called MigrateRemaining after half of the drain, the core
+// calls it.
 func (c *Core) DrainToSuccessor(done func()) {
 	duration := c.drainDuration()
 	end := c.options.Clock.Now().Add(duration)
--- a/internal/edge/transfer.go
+++ b/internal/edge/transfer.go
@@ -144,7 +144,7 @@
 	request.guard = c.options.Monitor.Adopted(invariant.RequestFacts{ID: string(state.ID), Class: state.Class})
 	attempt.server.inFlight++
 	request.attempt = attempt
-	if c.requests[state.ID] != nil { // the id is in use; the balancer knows only the first request
+	if c.requests[state.ID] != nil { // the id is in use: the balancer knows only the first request, so migrate this one
 		c.options.Clock.At(now, request.migrate)
 		return request, attempt
 	}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -30,7 +30,7 @@
 	// does not have the session.
 	ServerStarted time.Duration `cbor:"Started"`
 	ResumeTime    time.Duration `cbor:"Max"`   // how long the server keeps the session after its stream has ended
-	Expires       time.Time     `cbor:"Until"` // zero: its stream is connected
+	Expires       time.Time     `cbor:"Until"` // when it expires; zero: its stream is connected
 	// TimeLeft is the time until Expires. It is set for the transfer to another process, whose clock may differ; 0: the
 	// session comes from a release that transfers only Expires.
 	TimeLeft time.Duration `cbor:"Left"`
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestTable compares the table with a model over random histories in simulated time. The table never holds
-// more sessions than its capacity, never finds a session that has expired or was forgotten, and finds the most recently
+// TestTable compares the table with a model over random histories in simulated time. The table never holds more
+// sessions than its capacity, never finds a session that has expired or was forgotten, and finds the most recently
 // updated session of a user.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
