--- a/internal/failover/agent/aggregation.go
+++ b/internal/failover/agent/aggregation.go
@@ -7,8 +7,8 @@
 	"spurwinch/internal/failover"
 )
 
-// peerTimeout is how long evidence is valid. For as long, a node that sent evidence or a summary receives new log
-// entries.
+// peerTimeout is how long evidence is valid. It is also how long a node that has sent evidence or a summary receives
+// new log entries from the receiver.
 const peerTimeout = 2500 * time.Millisecond
 
 // nodeEvidence is the newest evidence from a node, stored by an aggregator of the node's zone.
@@ -16,7 +16,7 @@
 	evidence failover.EvidenceSummary
 	at       time.Duration // when the evidence arrived
 	fresh    bool          // the evidence is not in a summary yet
-	stale    bool          // the message may have been delayed in the network
+	stale    bool          // the evidence may have been delayed in the network
 }
 
 // handleEvidence stores a node's evidence and replies with what this aggregator knows about the leader and the log.
@@ -66,12 +66,12 @@
 			continue
 		}
 		clock := a.send(voter, kindSummary, body, now)
-		a.peer(voter).awaitAnswer(clock, now)
+		a.peer(voter).recordSendTime(clock, now)
 	}
 }
 
 // summarizeZone adds up the evidence of this zone's nodes. stale is true if all of the evidence may have been delayed
-// in the network; ok is false if there is no evidence.
+// in the network; ok is false if there is no valid evidence.
 func (a *Agent) summarizeZone(now time.Duration) (summary failover.EvidenceSummary, stale, ok bool) {
 	stale = true
 	for _, node := range a.options.List.InZone(a.zone) {
--- a/internal/failover/agent/body.go
+++ b/internal/failover/agent/body.go
@@ -51,7 +51,7 @@
 // maxLeaseLoad bounds the load that a message may request or grant.
 const maxLeaseLoad = 1e9
 
-// isLeaseLoad reports whether a number is a valid load of a lease. NaN is not.
+// isLeaseLoad reports whether a number is a valid load of a lease. NaN is invalid.
 func isLeaseLoad(load float64) bool { return load >= 0 && load < maxLeaseLoad }
 
 var (
--- a/internal/failover/agent/dispatch.go
+++ b/internal/failover/agent/dispatch.go
@@ -74,7 +74,7 @@
 }
 
 // mayBeStale reports whether a message may be older than maxTransitTime. The echo of this node's clock shows the
-// message's greatest possible age.
+// message's greatest possible age; without an echo, the age is unknown.
 func mayBeStale(head header, now time.Duration) bool {
 	return head.echo == 0 || microseconds(now)-min(microseconds(now), head.echo) > microseconds(maxTransitTime)
 }
--- a/internal/failover/agent/evidence.go
+++ b/internal/failover/agent/evidence.go
@@ -50,12 +50,12 @@
 		if aggregator.unansweredSince == 0 {
 			aggregator.unansweredSince = now
 		}
-		aggregator.awaitAnswer(clock, now)
+		aggregator.recordSendTime(clock, now)
 	}
 }
 
-// aggregators returns the nodes of this zone to which this node currently sends its evidence: the first responsive
-// nodes in an order that is the same for all nodes.
+// aggregators returns the nodes of this zone to which this node currently sends its evidence. They are the first nodes
+// that respond to this node, in an order that is the same for all nodes. This node itself may be one of them.
 func (a *Agent) aggregators(now time.Duration) (chosen []int) {
 	for _, node := range a.aggregatorOrder() {
 		if node != a.options.Self && a.peer(node).shouldSkip(now) {
--- a/internal/failover/agent/message.go
+++ b/internal/failover/agent/message.go
@@ -27,7 +27,7 @@
 	wireVersion = 1
 	headerBytes = 30
 	macBytes    = 16
-	// MaxMessage bounds a message, in bytes.
+	// MaxMessage is the maximum size in bytes of a message.
 	MaxMessage = 512 << 10
 	// MaxDatagram is the maximum size in bytes of a message that is sent as a datagram. Longer messages are sent on a
 	// stream.
@@ -45,7 +45,7 @@
 	kindSummaryAck                          // the leader's reply to a summary
 	kindFetchEntries                        // requests the newest entries of some kinds: []consensus.Kind
 	kindEntry                               // a log entry
-	kindLogDigest                           // consensus.Digest of the sender's entries; handled, but never sent
+	kindLogDigest                           // how far the sender knows the log: consensus.Digest; handled, never sent
 	kindConsensus                           // from one voter to another
 	kindCall                                // an operator's Call
 	kindReply                               // the Reply to a Call
@@ -53,7 +53,8 @@
 	kindLeaseGrant                          // the lease owner's reply to a request
 )
 
-// newestOnly reports whether only the newest message of a kind counts. Such a message is handled at most once.
+// newestOnly reports whether only the newest message of a kind counts. The agent drops messages of such a kind that are
+// repeated or older than one that it has handled.
 func (k messageKind) newestOnly() bool {
 	switch k {
 	case kindHeartbeat, kindEvidence, kindSummary, kindLogDigest, kindLeaseRequest:
@@ -63,7 +64,8 @@
 	}
 }
 
-// header is a message's header without the digest of the list, which is the same for all messages of a fleet.
+// header holds the fields of a message's header, except the version and the digest of the list, which are the same for
+// all messages of a fleet.
 type header struct {
 	kind        messageKind
 	from, to    int
--- a/internal/failover/agent/peer.go
+++ b/internal/failover/agent/peer.go
@@ -6,10 +6,10 @@
 	aggregatorTimeout  = 3 * time.Second // after this time without a reply an aggregator is skipped
 	aggregatorRetry    = 5 * time.Second // how long an unresponsive aggregator is skipped before it is tried again
 	incarnationTimeout = 2 * time.Second // silence of a process after which a new process of its node is accepted
-	maxPendingRequests = 32              // messages to a peer that may wait for a reply at a time
+	maxPendingRequests = 32              // limit of the messages to a peer that wait for a reply
 )
 
-// peer is the state that an agent keeps of another node, for messages in both directions.
+// peer is the state that an agent keeps about another node, for messages in both directions.
 type peer struct {
 	incarnation   uint32
 	lastMessageAt time.Duration          // when the peer's last message arrived
@@ -53,8 +53,9 @@
 	return true
 }
 
-// awaitAnswer records when a message was sent, until its reply arrives.
-func (p *peer) awaitAnswer(clock uint64, now time.Duration) {
+// recordSendTime records when a message was sent, until its reply arrives. If more than maxPendingRequests messages
+// already wait for a reply, it first forgets all of them.
+func (p *peer) recordSendTime(clock uint64, now time.Duration) {
 	if p.pending == nil || len(p.pending) > maxPendingRequests {
 		p.pending = map[uint64]time.Duration{}
 	}
--- a/internal/failover/agent/peer_test.go
+++ b/internal/failover/agent/peer_test.go
@@ -6,12 +6,12 @@
 )
 
 // TestUnresponsiveAggregatorIsSkipped checks that a peer that doesn't reply to evidence is skipped after
-// aggregatorTimeout and tried again after aggregatorRetry.
+// aggregatorTimeout and tried again after aggregatorRetry, and that the retry starts a new timeout.
 func TestUnresponsiveAggregatorIsSkipped(t *testing.T) {
 	aggregator := &peer{}
 	const sentAt = time.Second
 	if aggregator.shouldSkip(sentAt) {
-		t.Error("before evidence was sent: got skipped, want not skipped")
+		t.Error("shouldSkip before evidence was sent: got true, want false")
 	}
 	aggregator.unansweredSince = sentAt
 	timedOut := sentAt + aggregatorTimeout + time.Millisecond
@@ -25,11 +25,11 @@
 		{timedOut + aggregatorRetry, false},
 	} {
 		if got := aggregator.shouldSkip(test.at); got != test.want {
-			t.Errorf("at %v: got skipped %t, want %t", test.at, got, test.want)
+			t.Errorf("shouldSkip at %v: got %t, want %t", test.at, got, test.want)
 		}
 	}
 	if aggregator.unansweredSince != 0 {
-		t.Errorf("after the retry: got evidence unanswered since %v, want 0", aggregator.unansweredSince)
+		t.Errorf("unansweredSince after the retry: got %v, want 0", aggregator.unansweredSince)
 	}
 }
 
@@ -37,9 +37,9 @@
 // not sent doesn't.
 func TestOnlyFirstReplyCounts(t *testing.T) {
 	receiver := &peer{}
-	receiver.awaitAnswer(7, time.Second)
+	receiver.recordSendTime(7, time.Second)
 	if sentAt, ok := receiver.takeSendTime(7); !ok || sentAt != time.Second {
-		t.Errorf("first reply: got send time %v, %t, want 1s, true", sentAt, ok)
+		t.Errorf("send time of the message of the first reply: got %v, %t, want 1s, true", sentAt, ok)
 	}
 	for _, clock := range []uint64{7, 8} {
 		if _, ok := receiver.takeSendTime(clock); ok {
