--- a/internal/failover/agent/calls.go
+++ b/internal/failover/agent/calls.go
@@ -16,7 +16,7 @@
 // Operator is the sender number of an operator's call. No node has this number.
 const Operator = 0xffff
 
-// Verb is the operation of an operator's call. Call.Verb carries it on the wire.
+// Verb is the operation of an operator's call, with the value of Call.Verb on the wire.
 type Verb string
 
 // The verbs of operators' calls.
@@ -34,20 +34,20 @@
 
 // Call is an operator's call to a node.
 type Call struct {
-	_    struct{} `cbor:",toarray"`
-	Verb string   // a Verb
-	Arg  string   // a zone, a proposal's ID or a token, depending on the verb
-	ID   string   // ID of the proposal that drain, undrain or a policy change makes
-	Data []byte   // a policy document
-	Base uint64   // number of the policy that Data replaces
-	Part policy.Canary
+	_    struct{}      `cbor:",toarray"`
+	Verb string        // a Verb
+	Arg  string        // a zone, a proposal's ID or a token, depending on the verb
+	ID   string        // ID of the proposal that drain, undrain or a policy change makes
+	Data []byte        // a policy document
+	Base uint64        // number of the policy that Data replaces
+	Part policy.Canary // the change's canary
 }
 
 // callClock is the clock of an operator's call and of its reply. A stream carries a single call, so the clock is not
 // compared with any other.
 const callClock = 1
 
-// callError is the reason why a call failed, and whether the caller can retry it.
+// callError is the reason why a call failed, and whether the call is invalid or the caller can retry it.
 type callError struct {
 	reason  string
 	badCall bool // the call is invalid: no node accepts it
@@ -62,15 +62,16 @@
 	errNoEvidence = &callError{reason: "this node does not lead: only the leader has the evidence", retry: true}
 	errNotVoter   = &callError{reason: "this node does not vote: only voters know proposals' outcomes", retry: true}
 	errNoPolicy   = &callError{
-		reason:  "this fleet has no policy on its log: [policy] in the list of nodes enables it",
+		reason:  "this fleet has no policy in its log: [policy] in the list of nodes enables it",
 		badCall: true,
 	}
 	errBadToken      = &callError{reason: "invalid token: must be the token of an earlier reply", badCall: true}
 	errLeaderChanged = &callError{reason: "the leader changed after the token was issued", retry: true}
-	errSuperseded    = &callError{reason: "change not accepted: another change was accepted first"}
+	errSuperseded    = &callError{reason: "change not accepted: another change entered the log first"}
 )
 
-// Seal encodes an operator's call to the node with the number to in the list, authenticated by the fleet's key.
+// Seal encodes an operator's call to a node and authenticates it with the fleet's key. The parameter to is the node's
+// number in the list.
 func Seal(key []byte, list *membership.List, to int, call Call) []byte {
 	return seal(key, digestOf(list), header{kind: kindCall, from: Operator, to: to, clock: callClock}, encode(call))
 }
--- a/internal/failover/agent/calls_test.go
+++ b/internal/failover/agent/calls_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestCallErrors checks the errors of calls that a node can't handle, in particular whether the error blames the call
-// or tells the caller to retry elsewhere.
+// TestCallErrors checks the errors of calls that a node can't handle, in particular whether the reply reports that the
+// call is invalid or that the caller can retry it.
 func TestCallErrors(t *testing.T) {
 	agent := newTestAgent(t)
 	for _, test := range []struct {
@@ -46,7 +46,7 @@
 			"a policy call in a fleet without a policy",
 			Call{Verb: string(VerbPolicy)},
 			true, false,
-			"this fleet has no policy on its log: [policy] in the list of nodes enables it",
+			"this fleet has no policy in its log: [policy] in the list of nodes enables it",
 		},
 		{"a status call", Call{Verb: string(VerbStatus)}, false, false, ""},
 	} {
@@ -61,10 +61,10 @@
 				t.Fatal(err)
 			}
 			if reply.Error != test.wantReason || reply.BadCall != test.wantBad || reply.Retry != test.wantRetry {
-				t.Errorf("reply: got %+v, want %+v", reply, test)
+				t.Errorf("error of the reply: got %+v, want that of %+v", reply, test)
 			}
 			if reply.Node != "a" || reply.Zone != "z" {
-				t.Errorf("reply: got node %q in zone %q, want node a in zone z", reply.Node, reply.Zone)
+				t.Errorf("sender of the reply: got node %q in zone %q, want node a in zone z", reply.Node, reply.Zone)
 			}
 		})
 	}
--- a/internal/failover/agent/plan.go
+++ b/internal/failover/agent/plan.go
@@ -20,7 +20,7 @@
 	return plan, true
 }
 
-// Mode returns this node's mode and the number of its plan.
+// Mode returns this node's mode and the number of the plan in effect; 0: none.
 func (a *Agent) Mode() (mode failover.Mode, planNumber uint64) { return a.mode, a.planNumber }
 
 // updateMode determines this node's mode: Planned while it has a plan with valid grants, OwnZoneOnly after the grants
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -13,7 +13,8 @@
 // Policy configures an agent of a fleet that keeps its policy in the log.
 type Policy struct {
 	Rules policy.Rules
-	// Read decodes a document with this node's own code. The error says why this node can't serve by the document.
+	// Read decodes a document and checks it with this node's own code. The error says why this node can't serve by the
+	// document.
 	Read func(text []byte) (*policy.Document, error)
 	// Counts returns how many requests arrived since the process started, and how many of them were rejected or failed.
 	Counts func() (arrived, rejected float64)
@@ -52,7 +53,7 @@
 	}
 }
 
-// check sets the verdict: whether this node can serve by a change.
+// check decides whether this node can serve by a change, and sets the verdict.
 func (p *localPolicy) check(options *Policy, change *policy.Change) {
 	document, err := options.Read(change.Text)
 	if err != nil {
@@ -78,7 +79,7 @@
 
 // logPolicy logs the policy in force.
 func (a *Agent) logPolicy(event string, state *policy.State, entry uint64) {
-	text, _ := state.Text(state.Number) // if the log no longer has the document, the digest is that of an empty text
+	text, _ := state.Text(state.Number) // if the state has no such document, the digest is that of an empty text
 	a.options.Log(event, "number", state.Number, "digest", policy.Digest(text), "entry", entry)
 }
 
--- a/internal/failover/agent/policy_calls.go
+++ b/internal/failover/agent/policy_calls.go
@@ -12,14 +12,15 @@
 
 // PolicyReply describes the policy as the leader knows it.
 type PolicyReply struct {
-	Token     string                     `json:"token,omitempty"` // the reply to a call with the token is no older
+	// Token is the Call.Arg for reading the policy. The policy that is read is no older than the token.
+	Token     string                     `json:"token,omitempty"`
 	Number    uint64                     `json:"number"`
 	Digest    string                     `json:"digest,omitempty"`
 	Change    *ChangeReply               `json:"change,omitempty"`
 	Ended     []policy.ChangeOutcome     `json:"ended,omitempty"`
 	Documents []policy.VersionedDocument `cbor:"docs" json:"-"`
-	Entry     uint64                     `json:"entry"`
-	Window    float64                    `json:"window_s"`
+	Entry     uint64                     `json:"entry"`    // index of the log entry with the policy
+	Window    float64                    `json:"window_s"` // seconds that a replaced policy may stay in use
 	Members   []PolicyMember             `json:"members,omitempty"`
 	Bases     []policy.VersionedBase     `json:"grounds,omitempty"`
 }
@@ -43,7 +44,7 @@
 	KnownNumber  uint64 `json:"has"`
 	ServedNumber uint64 `json:"serves"`
 	MayServe     bool   `json:"may_serve"`
-	Answer       string `json:"answer,omitempty"`
+	Answer       string `json:"answer,omitempty"` // verdict on the pending change
 }
 
 // handlePolicyCall handles operators' calls about the policy, which only the leader accepts. Reads are linearizable:
@@ -66,8 +67,8 @@
 	}
 }
 
-// readToken identifies a ConfirmLeadership call of the voter. Once a majority has confirmed it, the state that is read
-// is no older than the token.
+// readToken identifies a ConfirmLeadership call of the voter. Once a majority has confirmed that call, the policy that
+// the leader reads is no older than the token.
 type readToken struct {
 	term, confirmation uint64
 }
@@ -127,7 +128,7 @@
 		if state.Change == nil || state.Change.ID != call.ID {
 			return &callError{reason: fmt.Sprintf("no change %q is pending", call.ID)}
 		}
-		proposal.ID = stepAborted.proposalID(entry)
+		proposal.ID = stepAbortedByOperator.proposalID(entry)
 		proposal.Data = state.Abort("aborted by an operator").Encode()
 	}
 	if err := a.propose(proposal); err != nil {
--- a/internal/failover/agent/policy_leader.go
+++ b/internal/failover/agent/policy_leader.go
@@ -8,7 +8,7 @@
 	"spurwinch/internal/policy"
 )
 
-// rolloutRetry is the time after which a step that was proposed but not committed is proposed again.
+// rolloutRetry is the time after which the leader proposes a step again that the log has not committed.
 const rolloutRetry = time.Second
 
 // rolloutStep is the last part of the ID of a proposal that advances a change. A step of a change has the same ID
@@ -16,13 +16,13 @@
 type rolloutStep string
 
 const (
-	stepCanary   rolloutStep = "tried"    // the canary starts
-	stepAccepted rolloutStep = "decided"  // the change is accepted
-	stepRejected rolloutStep = "given-up" // the rollout rejects the change
-	stepAborted  rolloutStep = "aborted"  // an operator aborts the change
+	stepCanary            rolloutStep = "tried"    // the canary starts
+	stepCommitted         rolloutStep = "decided"  // the change is committed
+	stepAbortedByRollout  rolloutStep = "given-up" // the rollout aborts the change
+	stepAbortedByOperator rolloutStep = "aborted"  // an operator aborts the change
 )
 
-// proposalID returns the ID of the proposal for this step of the change in an entry.
+// proposalID returns the ID of the proposal for this step of the change that is pending in a log entry.
 func (s rolloutStep) proposalID(entry uint64) string {
 	return fmt.Sprintf("policy-%d-%s", entry, string(s))
 }
@@ -33,9 +33,9 @@
 	case next.Change != nil:
 		return stepCanary
 	case next.Ended[len(next.Ended)-1].Accepted:
-		return stepAccepted
+		return stepCommitted
 	default:
-		return stepRejected
+		return stepAbortedByRollout
 	}
 }
 
@@ -90,8 +90,8 @@
 	return change != nil && change.Stage == policy.StageCanary
 }
 
-// leaderNotice returns the summary of the policy that the leader sends with its replies. Nodes derive from it how long
-// they may serve by their policy. It is empty in a fleet without a policy.
+// leaderNotice returns the summary of the policy that the leader sends with its replies. Nodes derive from the summary
+// how long they may serve by their policy. The summary is empty in a fleet without a policy.
 func (a *Agent) leaderNotice() policy.LeaderNotice {
 	if a.options.Policy == nil {
 		return policy.LeaderNotice{}
--- a/internal/failover/agent/reply.go
+++ b/internal/failover/agent/reply.go
@@ -7,7 +7,7 @@
 	"spurwinch/internal/failover"
 )
 
-// admitScale is the encoding of an admit fraction of 1 in a plan.
+// admitScale is the value in a plan's AdmitFractions that means that all arrivals are admitted.
 const admitScale = 255
 
 // Reply is a node's reply to an operator's call. Tools print it as JSON. Nodes send it as CBOR with the same keys.
@@ -20,10 +20,10 @@
 	Zone       string             `json:"zone"`
 	Mode       string             `json:"mode"`
 	Plan       uint64             `json:"plan"`
-	Lease      float64            `json:"lease_s"` // seconds until the grants in other zones expire
-	Log        string             `json:"log"`
+	Lease      float64            `json:"lease_s"`        // seconds until the grants in other zones expire
+	Log        string             `json:"log"`            // ID of the log, in hexadecimal
 	Term       uint64             `json:"term,omitempty"` // voters only
-	Leads      bool               `json:"leads"`
+	Leads      bool               `json:"leads"`          // this node is the leader
 	Voter      bool               `json:"voter"`
 	Counts     Counts             `json:"messages"`
 	Zones      []ZoneReply        `json:"zones,omitempty"`
@@ -51,7 +51,7 @@
 	Region         string             `json:"region"`
 	State          string             `json:"state"`
 	Nodes          int                `json:"nodes"`
-	Listed         int                `json:"listed"`
+	Listed         int                `json:"listed"` // nodes of the zone in the list of nodes
 	Capacity       float64            `json:"room"`
 	GuestLoad      float64            `json:"guests"` // load that clients of other zones currently need in this zone
 	LeaseOwner     string             `json:"lender,omitempty"`
@@ -70,7 +70,7 @@
 	LastReportSecondsAgo float64 `json:"heard_s_ago"` // seconds since its last report; negative: no report yet
 }
 
-// describe returns a reply with the node's own state, which every reply contains.
+// describe returns a reply that describes the node's own state, as every reply does.
 func (a *Agent) describe(now time.Duration) Reply {
 	self := a.options.List.Node(a.options.Self)
 	reply := Reply{
