--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -25,7 +25,7 @@
 	ErrNoVoter   = errors.New("this program cannot run a voter")
 )
 
-// Options configure an agent.
+// Options configures an agent.
 type Options struct {
 	List       *membership.List
 	Self       int // this node's number in List
@@ -40,15 +40,15 @@
 	Policy     *Policy                           // nil: each node uses the policy of its own files
 }
 
-// Agent is a node's state machine in its fleet. One goroutine must call all of its methods. Their argument now is the
-// time of the node's own monotonic clock.
+// Agent is a node's state machine in its fleet. One goroutine must call all of its methods. Their parameter now is the
+// current time of the node's own monotonic clock.
 type Agent struct {
 	options    Options
 	listDigest uint32
 	zone       string
 	rng        *rand.Rand
 
-	incarnation uint32 // random number of this process, drawn at its start
+	incarnation uint32 // random number that identifies this process, drawn at its start
 	clock       uint64 // clock of the last message sent
 	peers       map[int]*peer
 	outbox      []Message
@@ -83,11 +83,11 @@
 	planHistory     failover.PlanHistory
 	zonePlanChanged bool // the load balancer's plan has changed since the last call of ZonePlan
 
-	// Counts counts messages, for operators.
+	// Counts holds the numbers of messages, for operators.
 	Counts Counts
 }
 
-// Counts counts an agent's messages, for operators.
+// Counts holds the numbers of an agent's messages, for operators.
 type Counts struct {
 	Sent      uint64 `json:"Sent"`
 	SentBytes uint64 `json:"SentBytes"`
@@ -98,7 +98,7 @@
 	Dropped   uint64 `json:"Dropped"` // not sent because the outbox was full
 }
 
-// New returns an agent that starts with the records that are on disk.
+// New creates an agent that continues from the records read from disk.
 func New(options Options, now time.Duration) (*Agent, error) {
 	if options.Self < 0 || options.Self >= options.List.Len() {
 		return nil, ErrNotListed
--- a/internal/failover/agent/doc.go
+++ b/internal/failover/agent/doc.go
@@ -4,7 +4,7 @@
 // own zone, two nodes that combine it into a summary. The aggregators send summaries to the voters, the nodes that
 // replicate the fleet's log. The voter that is the leader turns summaries into plans. A plan grants the nodes of each
 // zone load in some zones. Grants are valid for a limited time after the last contact with the leader. The plan leaves
-// a part of each zone's capacity to a lease owner, which leases it for seconds to nodes that need more than their
+// a part of each zone's capacity to a lease owner, which leases it for a few seconds to nodes that need more than their
 // grants. Plans, operators' orders and the fleet's policy are entries of the log. Nodes that are not voters fetch them
 // from other nodes.
 //
--- a/internal/failover/agent/golden_test.go
+++ b/internal/failover/agent/golden_test.go
@@ -44,7 +44,7 @@
 	}
 	golden, err := hex.DecodeString(strings.ReplaceAll(string(text), "\n", ""))
 	if err != nil {
-		t.Fatalf("%s: %v", path, err)
+		t.Fatalf("decode %s: %v", path, err)
 	}
 	if !bytes.Equal(encoded, golden) {
 		t.Errorf("encode %s: got\n%x, want\n%x", name, encoded, golden)
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestGoldenMessages checks the encoding of each kind of message between nodes, including its header.
+// TestGoldenMessages checks the encoding of each kind of message, including its header and its MAC.
 func TestGoldenMessages(t *testing.T) {
 	body := func(value any) func() (any, []byte) {
 		return func() (any, []byte) { return value, encode(value) }
@@ -212,7 +212,7 @@
 	if err := json.Unmarshal(golden, &read); err != nil {
 		t.Fatal(err)
 	}
-	reply.Policy.Documents, reply.Policy.Change.Text = nil, nil // the JSON omits documents
+	reply.Policy.Documents, reply.Policy.Change.Text = nil, nil // the JSON omits policy documents
 	if !reflect.DeepEqual(read, reply) {
 		t.Errorf("decode printed reply: got\n%+v, want\n%+v", read, reply)
 	}
--- a/internal/failover/agent/leader.go
+++ b/internal/failover/agent/leader.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// stepDown discards the leader's state.
+// stepDown discards the planner and the summaries that still have to be acknowledged.
 func (a *Agent) stepDown() {
 	if a.planner != nil {
 		a.options.Log("fleet_stepped_down", "term", a.voter.Term())
@@ -116,7 +116,7 @@
 }
 
 // confirmLeadership requests a majority's confirmation that this node is the leader. The confirmation covers all
-// summaries received before.
+// summaries that the node has received so far.
 func (a *Agent) confirmLeadership() {
 	confirmation := a.voter.ConfirmLeadership()
 	for i := range a.pendingAcks {
@@ -128,12 +128,12 @@
 
 // acknowledgeSummaries acknowledges the summaries for which a majority has confirmed this node's leadership.
 func (a *Agent) acknowledgeSummaries(now time.Duration) {
-	answered := 0
+	acknowledged := 0
 	for _, pending := range a.pendingAcks {
 		if pending.confirmation == 0 || pending.confirmation > a.voter.ConfirmedCall() {
 			break
 		}
-		answered++
+		acknowledged++
 		if pending.to == a.options.Self {
 			confirmedAt := time.Duration(pending.summaryClock) * time.Microsecond
 			a.confirmLeader(confirmedAt, a.follower.Newest(failover.PlanKind).Index, a.leaderNotice())
@@ -142,5 +142,5 @@
 		ack := summaryAck{SummaryClock: pending.summaryClock, Log: a.follower.Digest(), Notice: a.leaderNotice()}
 		a.send(pending.to, kindSummaryAck, encode(ack), now)
 	}
-	a.pendingAcks = a.pendingAcks[answered:]
+	a.pendingAcks = a.pendingAcks[acknowledged:]
 }
--- a/internal/failover/agent/leader_contact_test.go
+++ b/internal/failover/agent/leader_contact_test.go
@@ -24,8 +24,8 @@
 }
 
 // TestGrantsExpireWithoutConfirmedLeader checks that a node uses grants in other zones only for the plan's
-// GrantLifetime after the leader was certainly confirmed, by this node's own clock and allowing for the time that the
-// message took.
+// GrantLifetime after a time, by the node's own clock, at which the leader certainly led. The time that messages took
+// shortens the use of the grants.
 func TestGrantsExpireWithoutConfirmedLeader(t *testing.T) {
 	agent := newTestAgent(t)
 	plan := &failover.Plan{
--- a/internal/failover/agent/leader_test.go
+++ b/internal/failover/agent/leader_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// runUntil lets the agent tick from one time to another. The agent receives evidence from all zones, and its records
-// reach the disk at once.
+// runUntil calls the agent's Tick at each tick from one time to another. The agent receives evidence from all zones,
+// and its records reach the disk at once.
 func runUntil(agent *Agent, from, to time.Duration) {
 	list := agent.options.List
 	for now := from; now < to; now += consensus.TickInterval {
@@ -126,7 +126,7 @@
 func checkDrained(t *testing.T, when string, plans []*failover.Plan) {
 	t.Helper()
 	if len(plans) == 0 {
-		t.Fatalf("%s: got no proposed plan, want one", when)
+		t.Fatalf("plans proposed %s: got none, want at least one", when)
 	}
 	for _, zone := range plans[len(plans)-1].Zones {
 		if zone.Name == "y" && zone.State != failover.Drained {
--- a/internal/failover/agent/leases.go
+++ b/internal/failover/agent/leases.go
@@ -22,7 +22,7 @@
 type leaseHolder struct {
 	leases     map[string]*capacityLease // by zone
 	recentLoad map[string]float64        // by class: recent peak of the reported load at this node, with decay
-	regionLoad float64                   // reported load of regional classes, for the region's other zones
+	regionLoad float64                   // reported load of regional classes that the region's other zones must take
 	// reservedRegionLoad is the value of regionLoad in the load balancer's plan. It follows larger changes only.
 	reservedRegionLoad float64
 	observedAt         time.Duration // time of the last observations
@@ -37,7 +37,7 @@
 	load         float64 // leased capacity; 0: none
 	until        time.Duration
 	requested    float64       // load of the newest request
-	requestClock uint64        // clock of the newest request, whose reply alone counts; 0: the reply has arrived
+	requestClock uint64        // clock of the newest request: only its reply counts; 0: the reply has arrived
 	requestedAt  time.Duration // time of the newest request
 	answered     bool          // the reply to the newest request has arrived
 }
@@ -209,8 +209,8 @@
 	return recentLoad
 }
 
-// setRegionLoad sets the load of regional classes that needs capacity in the region. Small changes accumulate in
-// regionLoad until they cause a new plan for the load balancer.
+// setRegionLoad sets the load of regional classes that needs capacity in the region. Small changes don't cause a new
+// plan for the load balancer. They accumulate in regionLoad until they do.
 func (a *Agent) setRegionLoad(load float64) {
 	if load < minRegionLoad {
 		load = 0
--- a/internal/failover/agent/leases_test.go
+++ b/internal/failover/agent/leases_test.go
@@ -71,7 +71,7 @@
 	agent.dispatch(header{kind: kindLeaseRequest, from: 1, clock: 9}, encode(leaseRequest{Load: 5}), false, time.Minute)
 	messages := agent.TakeMessages()
 	if len(messages) != 1 || messages[0].To != 1 {
-		t.Fatalf("messages sent: got %d, want one to node 1", len(messages))
+		t.Fatalf("messages sent: got %d, want 1, to node 1", len(messages))
 	}
 	head, body, err := open(agent.options.Key, agent.listDigest, messages[0].Data)
 	if err != nil || head.kind != kindLeaseGrant {
--- a/internal/failover/agent/voter.go
+++ b/internal/failover/agent/voter.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// advanceVoter sets the voter's next record as the pending one. If that record is empty, the voter continues at once.
-// more reports whether there may be more to do.
+// advanceVoter sets pendingRecord to the voter's next record. If that record is empty, the voter continues at once.
+// more is true if there may be more to do.
 func (a *Agent) advanceVoter(now time.Duration) (more bool) {
 	if record, ok := a.voter.Compact(); ok {
 		record.Newest = a.follower.Entries()
