--- a/internal/failover/agent/policy_leader.go
+++ b/internal/failover/agent/policy_leader.go
@@ -113,7 +113,8 @@
 	a.rollout.rulesNumber = current.Number
 }
 
-// observePolicyStatus records a member's status unless the leader already has a newer one.
+// observePolicyStatus records a member's status. It ignores a status of an older log entry, unless the status counts
+// fewer arrivals than the recorded one, as it does after the member's process has restarted.
 func (a *Agent) observePolicyStatus(node int, status policy.MemberStatus) {
 	if a.rollout.controller == nil {
 		return
