--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// TickInterval is the time between two calls of Replica.Tick.
+	// TickInterval is the time between two calls of the Tick method of a replica (package replica).
 	TickInterval = 50 * time.Millisecond
 	// MaxReplicas is the maximum number of replicas of a log.
 	MaxReplicas = 7
@@ -40,7 +40,7 @@
 	binary.BigEndian.PutUint64(fixed[8:16], uint64(len(e.ID)))
 	fixed[16] = byte(e.Kind)
 	hash := xxhash.New()
-	_, _ = hash.Write(fixed[:]) // a hash never fails to write, here and below
+	_, _ = hash.Write(fixed[:]) // writing to a hash never fails, here and below
 	_, _ = hash.WriteString(e.ID)
 	_, _ = hash.Write(e.Data)
 	return hash.Sum64()
@@ -51,8 +51,8 @@
 	_    struct{} `cbor:",toarray"`
 	ID   string   // idempotency key, unique in the log: a second proposal with the same ID has no effect
 	Kind Kind
-	// Replaces is the index of the newest entry of the kind, or 0 if there is none. The proposal is rejected if another
-	// entry is the newest one by then.
+	// Replaces is the index of the newest entry of the kind, or 0 if there is none. The proposal is rejected if a
+	// different entry is the newest one when the proposal is applied.
 	Replaces uint64
 	Data     []byte
 }
--- a/internal/consensus/follower_test.go
+++ b/internal/consensus/follower_test.go
@@ -14,7 +14,7 @@
 	newer := Entry{Index: 9, Kind: 1, Data: []byte("two")}
 	for _, step := range []struct {
 		name    string
-		log     uint64
+		logID   uint64
 		entry   Entry
 		applied bool
 		want    error
@@ -26,10 +26,10 @@
 		{"entry of another log", 8, Entry{Index: 12, Kind: 1}, false, ErrForeignLog},
 		{"entry without an index", 7, Entry{Kind: 1}, false, ErrInvalidEntry},
 	} {
-		applied, err := follower.Apply(step.log, step.entry)
+		applied, err := follower.Apply(step.logID, step.entry)
 		if applied != step.applied || !errors.Is(err, step.want) {
 			t.Errorf("%s: Apply(%d, %+v): got %v, %v, want %v, %v",
-				step.name, step.log, step.entry, applied, err, step.applied, step.want)
+				step.name, step.logID, step.entry, applied, err, step.applied, step.want)
 		}
 	}
 	other := NewFollower(7, []Entry{older, {Index: 5, Kind: 2}})
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -172,29 +172,29 @@
 	}
 }
 
-// goldenFile returns the contents of a compressed golden file. With -update it first writes the file.
+// goldenFile returns the contents of a compressed golden file. With -update it first writes them.
 func goldenFile(t *testing.T, name string, written []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name+".gz")
 	if *update {
-		var packed bytes.Buffer
-		w := gzip.NewWriter(&packed)
+		var compressed bytes.Buffer
+		w := gzip.NewWriter(&compressed)
 		if _, err := w.Write(written); err != nil {
 			t.Fatal(err)
 		}
 		if err := w.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(path, packed.Bytes(), 0o644); err != nil {
+		if err := os.WriteFile(path, compressed.Bytes(), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	packed, err := os.Open(path)
+	compressed, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = packed.Close() }() // opened only for reading
-	r, err := gzip.NewReader(packed)
+	defer func() { _ = compressed.Close() }() // opened only for reading
+	r, err := gzip.NewReader(compressed)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -1,15 +1,16 @@
 package consensus
 
 // Record is a set of changes that must be persisted before any message that depends on them is sent. If several records
-// of a store set the same field, the latest one applies. Raft's values are encoded in protobuf.
+// of a store contain the same item, such as the hard state or the Raft entry at one index, the latest record applies.
+// Raft's values are encoded in protobuf.
 type Record struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64   // random; set in a disk's first record, so a replica that lost its disk gets a new one
 	LogID       uint64   // identity of the log; 0 means unchanged
 	HardState   []byte   // raftpb.HardState: term, vote and commit index; empty means unchanged
 	Entries     [][]byte // each is a raftpb.Entry
-	Snapshot    []byte   // raftpb.Snapshot; log entries before it are no longer needed
-	Newest      []Entry  // newest entries that a follower knows; empty means unchanged
+	Snapshot    []byte   // raftpb.Snapshot; earlier entries and snapshots of the log are no longer needed
+	Newest      []Entry  // entries of the Follower, on which the node acts; empty means unchanged
 }
 
 // Empty reports whether a record has nothing to persist.
--- a/internal/consensus/store_format.go
+++ b/internal/consensus/store_format.go
@@ -65,7 +65,7 @@
 
 func recordChecksum(length, body []byte) uint64 {
 	hash := xxhash.New()
-	_, _ = hash.Write(length) // a hash never fails to write
+	_, _ = hash.Write(length) // writing to a hash never fails
 	_, _ = hash.Write(body)
 	return hash.Sum64()
 }
--- a/internal/consensus/store_test.go
+++ b/internal/consensus/store_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// openStore opens a store and fails the test on any error, also if the store is corrupt.
+// openStore opens a store. It fails the test on any error, including a corrupt store.
 func openStore(t *testing.T, dir string) (*Store, []Record) {
 	t.Helper()
 	store, records, err := OpenStore(dir)
@@ -33,7 +33,7 @@
 		name    string
 		damage  func(file []byte, ends []int64) []byte // ends are the end offsets of the three records
 		records int                                    // number of records that OpenStore reads
-		offset  int64                                  // of the CorruptError; negative if the file is not corrupt
+		offset  int64                                  // offset of the CorruptError; negative if the file is intact
 	}{
 		{"undamaged", func(file []byte, _ []int64) []byte { return file }, 3, -1},
 		{"truncated inside the last record", func(file []byte, ends []int64) []byte { return file[:ends[2]-4] }, 0, 0},
@@ -136,7 +136,7 @@
 		t.Errorf("CorruptError: got byte %d of %s, want byte %d of %s", corrupt.Offset, corrupt.Path, offset, path)
 	}
 	if _, err := os.Stat(path + corruptSuffix); err != nil {
-		t.Errorf("the corrupt file was not renamed: %v", err)
+		t.Errorf("Stat of the renamed corrupt file: %v", err)
 	}
 }
 
@@ -248,14 +248,14 @@
 	disk.faulty = call
 	err = persist(store)
 	disk.faulty = ""
-	if disk.failures > 0 && !errors.Is(err, disk.err(call)) {
-		t.Errorf("persist on a disk that fails with %v: got error %v, want the disk's error", disk.err(call), err)
+	if disk.failures > 0 && !errors.Is(err, disk.errorOf(call)) {
+		t.Errorf("persist on a disk that fails with %v: got error %v, want the disk's error", disk.errorOf(call), err)
 	}
 	if err := persist(store); err != nil {
 		t.Fatalf("second attempt to persist: %v", err)
 	}
 	if disk.dirUnsynced {
-		t.Error("the store reported success, but did not sync the directory after the rename")
+		t.Error("second attempt to persist: got a directory that was not synced after the rename, want it synced")
 	}
 	closeStore(t, store)
 	store, records := openStore(t, dir)
@@ -275,20 +275,21 @@
 	dirUnsynced bool // a rename has happened since the last sync of the directory
 }
 
-// err returns the error with which a call fails.
-func (*faultyDisk) err(call faultyCall) error {
+// errorOf returns the error with which a call fails.
+func (*faultyDisk) errorOf(call faultyCall) error {
 	if call == callWrite {
 		return syscall.ENOSPC
 	}
 	return syscall.EIO
 }
 
+// fail counts a failure and returns its error if the call is to fail. It returns nil otherwise.
 func (d *faultyDisk) fail(call faultyCall) error {
 	if d.faulty != call {
 		return nil
 	}
 	d.failures++
-	return d.err(call)
+	return d.errorOf(call)
 }
 
 func (d *faultyDisk) WriteAt(file *os.File, data []byte, offset int64) error {
