--- a/internal/consensus/replica/configuration.go
+++ b/internal/consensus/replica/configuration.go
@@ -38,7 +38,7 @@
 		}
 		if changes := membershipChange(status, i, id); len(changes) > 0 {
 			// Raft may reject the change, for example while another change is in progress. The leader then proposes it
-			// again after the next hellos.
+			// again after helloTicks, when the next hellos have arrived.
 			_ = r.raft.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes})
 			return
 		}
@@ -94,8 +94,8 @@
 	r.setMembers(entry.GetIndex(), members)
 }
 
-// setMembers creates a snapshot with the present members, which Raft sends to replicas that lag behind. A replica
-// rejects a snapshot whose members do not include it.
+// setMembers stores the members and creates a snapshot that contains them. Raft sends this snapshot to replicas that
+// lag behind. A replica rejects a snapshot whose members do not include it.
 func (r *Replica) setMembers(index uint64, members *raftpb.ConfState) {
 	r.confState = members
 	_, err := r.storage.CreateSnapshot(index, members, consensus.Encode(r.state))
--- a/internal/consensus/replica/doc.go
+++ b/internal/consensus/replica/doc.go
@@ -10,6 +10,6 @@
 //     messages to send and the results of proposals.
 //   - Compact occasionally returns one record that replaces all others.
 //
-// The package is free of I/O, clocks and goroutines. A panic of the Raft library stops the replica but not the process,
+// The package is free of I/O, clocks and goroutines. A panic of the Raft library stops the replica but not the process;
 // see Err.
 package replica
--- a/internal/consensus/replica/golden_exchange_test.go
+++ b/internal/consensus/replica/golden_exchange_test.go
@@ -8,7 +8,8 @@
 	"spurwinch/internal/consensus"
 )
 
-// exchangeRecorder runs three replicas in a fixed order and records everything that they persist and send.
+// exchangeRecorder runs three replicas in a fixed order and records everything that they persist, and all Raft messages
+// that they send.
 type exchangeRecorder struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -59,7 +60,7 @@
 			break
 		}
 		if whole {
-			e.t.Fatal("Ready: got a record that replaces all others, want one that does not")
+			e.t.Fatal("Ready: got whole true, want false")
 		}
 		if !record.Empty() {
 			e.lines = append(e.lines, fmt.Sprintf("keep %d %x", i, consensus.Encode(record)))
@@ -75,7 +76,7 @@
 	}
 }
 
-// send sends a message and records it, unless it is a hello: TestGoldenEnvelope covers hellos.
+// send sends a message and records it, except for hellos, whose encoding TestGoldenEnvelope checks.
 func (e *exchangeRecorder) send(from int, m consensus.Message) {
 	e.inFlight = append(e.inFlight, message{from: from, to: m.To, data: m.Data})
 	var sent envelope
@@ -118,7 +119,7 @@
 		recorder.tick(0)
 	}
 	if !recorder.replicas[0].IsLeader() {
-		t.Fatal("replica 0 is not the leader, want it to be")
+		t.Fatal("IsLeader of replica 0: got false, want true")
 	}
 	recorder.propose("one", 0)
 	recorder.propose("two", recorder.replicas[0].State().Newest[1].Index)
@@ -126,7 +127,7 @@
 	recorder.replicas[0].ConfirmLeadership()
 	recorder.runUntilIdle()
 	if recorder.replicas[0].ConfirmedCall() != 1 {
-		t.Fatal("ConfirmedCall does not return call 1, the leadership is not confirmed")
+		t.Fatal("ConfirmedCall of replica 0 after ConfirmLeadership: got another call, want call 1")
 	}
 	recorder.disks[2] = nil
 	recorder.start(2)
@@ -136,7 +137,7 @@
 		recorder.tick(0)
 	}
 	if !recorder.replicas[2].isVoter() {
-		t.Fatal("the replica that lost its disk is not a voter again")
+		t.Fatal("isVoter of replica 2, which lost its disk: got false, want true")
 	}
 	recorder.propose("three", recorder.replicas[0].State().Newest[1].Index)
 	want := goldenText(t, "exchange.txt", recorder.lines)
@@ -184,7 +185,7 @@
 		var i int
 		var text string
 		if _, err := fmt.Sscanf(line, "keep %d %s", &i, &text); err != nil {
-			continue // the line contains a message
+			continue // the line contains a message instead of a record
 		}
 		var record consensus.Record
 		if err := consensus.Unmarshal(fromHex(t, text), &record); err != nil {
--- a/internal/consensus/replica/golden_test.go
+++ b/internal/consensus/replica/golden_test.go
@@ -20,7 +20,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files; use it only for a new format")
 
-// goldenText checks that the lines got equal those of a golden file, and returns the lines of the file. With -update it
+// goldenText checks that got equals the lines of a golden file, and returns the lines of the file. With -update it
 // first writes got to the file.
 func goldenText(t *testing.T, name string, got []string) (want []string) {
 	t.Helper()
@@ -37,7 +37,7 @@
 	want = strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	for i := range max(len(got), len(want)) {
 		if i >= len(got) || i >= len(want) || got[i] != want[i] {
-			t.Errorf("%s: line %d differs: got %d lines, want the %d lines of the golden file",
+			t.Errorf("%s: line %d differs from the golden file: got %d lines, want %d",
 				name, i+1, len(got), len(want))
 			break
 		}
@@ -54,7 +54,7 @@
 	return b
 }
 
-// TestGoldenEnvelope checks the encoding of the envelope, in which replicas send all messages.
+// TestGoldenEnvelope checks the encoding of the envelope in which replicas send all messages.
 func TestGoldenEnvelope(t *testing.T) {
 	value := envelope{Incarnation: 0x1112131415161718, LogID: 0x2122232425262728, Raft: []byte("raft message")}
 	want := goldenText(t, "envelope.hex", []string{hex.EncodeToString(consensus.Encode(value))})
@@ -80,23 +80,23 @@
 	if err := proto.Unmarshal(golden.Snapshot, snapshot); err != nil {
 		t.Fatal(err)
 	}
-	again, err := New(0, 1, []consensus.Record{golden}, rand.New(rand.NewPCG(7, 8)))
+	restarted, err := New(0, 1, []consensus.Record{golden}, rand.New(rand.NewPCG(7, 8)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again.incarnation != replica.incarnation || again.Term() != replica.Term() {
+	if restarted.incarnation != replica.incarnation || restarted.Term() != replica.Term() {
 		t.Errorf("replica from the golden record: got incarnation %x, term %d, want %x and %d",
-			again.incarnation, again.Term(), replica.incarnation, replica.Term())
+			restarted.incarnation, restarted.Term(), replica.incarnation, replica.Term())
 	}
-	if index := snapshot.GetMetadata().GetIndex(); again.applied != replica.applied || index != replica.applied {
+	if index := snapshot.GetMetadata().GetIndex(); restarted.applied != replica.applied || index != replica.applied {
 		t.Errorf("replica from the golden record: got applied %d, snapshot index %d, want %d",
-			again.applied, index, replica.applied)
+			restarted.applied, index, replica.applied)
 	}
-	if !reflect.DeepEqual(again.State(), replica.State()) {
-		t.Errorf("replica from the golden record: got state %+v, want %+v", again.State(), replica.State())
+	if !reflect.DeepEqual(restarted.State(), replica.State()) {
+		t.Errorf("replica from the golden record: got state %+v, want %+v", restarted.State(), replica.State())
 	}
-	if !bytes.Equal(consensus.Encode(again.State()), snapshot.GetData()) {
-		t.Errorf("encoded state: got %x, want %x", consensus.Encode(again.State()), snapshot.GetData())
+	if !bytes.Equal(consensus.Encode(restarted.State()), snapshot.GetData()) {
+		t.Errorf("encoded state: got %x, want %x", consensus.Encode(restarted.State()), snapshot.GetData())
 	}
 }
 
--- a/internal/consensus/replica/message.go
+++ b/internal/consensus/replica/message.go
@@ -24,7 +24,8 @@
 // the replica loses its disk.
 func raftID(replica int, incarnation uint64) uint64 { return incarnation<<8 | uint64(replica+1) }
 
-// replicaNumber returns the number of the replica with a Raft ID, or -1 for Raft's ID 0, which means no replica.
+// replicaNumber returns the number of the replica to which a Raft ID belongs. It returns -1 for the Raft ID 0, which
+// means no replica.
 func replicaNumber(id uint64) int { return int(id&0xff) - 1 }
 
 func (r *Replica) send(to int, raftMessage []byte) {
@@ -43,7 +44,7 @@
 	}
 }
 
-// mustMarshal encodes a message that Raft created. It panics on an error, which such a message cannot cause.
+// mustMarshal encodes a value that Raft created. It panics on an error, which cannot occur for such a value.
 func mustMarshal(message proto.Message) []byte {
 	encoded, err := proto.Marshal(message)
 	if err != nil {
@@ -84,8 +85,8 @@
 func (r *Replica) receiveHello(from int, logID uint64, newIncarnation bool) {
 	switch {
 	case logID == 0 && !r.initialRecordPending:
-		// Two replicas without a log answer only the first hello of each other. If they answered every hello, the
-		// exchange would never end.
+		// Two replicas without a log answer only the first hello of each other's incarnation. If they answered every
+		// hello, the exchange would never end.
 		if r.logID != 0 || newIncarnation {
 			r.send(from, nil)
 		}
@@ -112,7 +113,7 @@
 	}
 	if replicaNumber(message.GetFrom()) != from || message.GetTo() != raftID(r.self, r.incarnation) ||
 		raft.IsLocalMsg(message.GetType()) {
-		return nil // the message is from or to an earlier incarnation
+		return nil // from or to an earlier incarnation, or of a type that replicas do not send
 	}
 	err := r.raft.Step(message)
 	if err != nil && !errors.Is(err, raft.ErrProposalDropped) && !errors.Is(err, raft.ErrStepPeerNotFound) {
--- a/internal/consensus/replica/ready.go
+++ b/internal/consensus/replica/ready.go
@@ -35,7 +35,8 @@
 	return record, false, false
 }
 
-// initialRecord returns the first record of a disk or of a log.
+// initialRecord returns the record that a replica persists first on a new disk, and again when it creates or joins a
+// log. If the replica created the log, the record contains the log's first snapshot.
 func (r *Replica) initialRecord() consensus.Record {
 	record := consensus.Record{Incarnation: r.incarnation, LogID: r.logID}
 	if snapshot, err := r.storage.Snapshot(); err == nil && r.raft != nil && !raft.IsEmptySnap(snapshot) {
--- a/internal/consensus/replica/replica.go
+++ b/internal/consensus/replica/replica.go
@@ -11,7 +11,7 @@
 	"spurwinch/internal/consensus"
 )
 
-// The unit of times is one tick, consensus.TickInterval.
+// The unit of the constants named ...Ticks is one tick, consensus.TickInterval.
 const (
 	// electionTicks is the minimum election timeout: the time without a message from a leader until an election. Raft
 	// adds a random delay of up to the same length.
@@ -40,12 +40,11 @@
 	messages     []consensus.Message // returned by the next call of Persisted
 	results      []consensus.ProposalResult
 	persisting   persisting
-	// initialRecordPending is true until the incarnation and, if a log was created or joined, its first record are
-	// persisted.
+	// initialRecordPending is true while the result of initialRecord is not persisted yet.
 	initialRecordPending bool
 	ready                *raft.Ready // Raft's changes that are being persisted
 	confirmations        leadershipConfirmations
-	err                  error // cause for which the replica has stopped
+	err                  error // error that stopped the replica; nil while it runs
 }
 
 // peer is the state of another replica according to its newest message.
@@ -59,8 +58,8 @@
 
 const (
 	persistingNothing  persisting = iota // no record
-	persistingMessages                   // an empty record, because only messages are waiting
-	persistingInitial                    // the initial record of a disk or of a log
+	persistingMessages                   // an empty record, because there are only messages to send
+	persistingInitial                    // the result of initialRecord
 	persistingReady                      // the changes of a raft.Ready
 )
 
@@ -167,8 +166,9 @@
 }
 
 // ConfirmLeadership asks a majority of the replicas to confirm that this replica is still the leader, and returns the
-// number of the call. Once ConfirmedCall returns that number or a higher one, the caller knows that this replica was
-// the leader at the time of the call.
+// number of the call. Once ConfirmedCall returns that number, this replica is known to have been the leader at the time
+// of the call. A higher number proves the same only if the term has not changed since the call. A replica that is not
+// the leader asks no other replica and returns the number of its previous call.
 func (r *Replica) ConfirmLeadership() (call uint64) {
 	if !r.IsLeader() {
 		return r.confirmations.calls
--- a/internal/consensus/replica/simulation_test.go
+++ b/internal/consensus/replica/simulation_test.go
@@ -16,15 +16,17 @@
 // simulation runs replicas in simulated time, whose unit is one tick. Messages are lost, delayed and duplicated.
 // Replicas stall, crash before or after a record is on their disk, and lose their disks.
 type simulation struct {
-	t         *rapid.T
-	rng       *rand.Rand
-	replicas  []*node
-	inFlight  []message
-	now       int
-	digests   map[uint64]uint64 // of all entries that any replica ever knew, by index
-	results   map[string]consensus.ProposalResult
-	loss      float64 // probability that a message is lost
-	partition int     // replicas with lower numbers exchange messages only among themselves, and so do the others
+	t        *rapid.T
+	rng      *rand.Rand
+	replicas []*node
+	inFlight []message
+	now      int                                 // in ticks
+	digests  map[uint64]uint64                   // digest of each entry that any replica ever knew, by index
+	results  map[string]consensus.ProposalResult // by proposal ID
+	loss     float64                             // probability that a message is lost
+	// partition separates the replicas with lower numbers from the others: messages pass only within each of the two
+	// groups. 0 means that the network is not partitioned.
+	partition int
 }
 
 // node is a replica with its disk.
@@ -160,6 +162,8 @@
 	}
 }
 
+// persist appends the pending record of a node to its disk, unless the record is empty. The node then has no pending
+// record.
 func (s *simulation) persist(node *node) {
 	if !node.pending.Empty() {
 		node.disk = append(node.disk, *node.pending)
--- a/internal/consensus/replica/storage.go
+++ b/internal/consensus/replica/storage.go
@@ -63,7 +63,7 @@
 	return r.storage.SetHardState(hardState)
 }
 
-// restore sets the state to that of a snapshot.
+// restore sets the state, the applied index and the members to those of a snapshot.
 func (r *Replica) restore(snapshot *raftpb.Snapshot) error {
 	r.applied = snapshot.GetMetadata().GetIndex()
 	r.confState = snapshot.GetMetadata().GetConfState()
