--- a/internal/consensus/replica/replica.go
+++ b/internal/consensus/replica/replica.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	if replica.incarnation == 0 {
-		replica.incarnation = rng.Uint64()>>9 | 1
+		replica.incarnation = rng.Uint64()>>9 | 1 // never 0; raftID shifts it left by 8 bits without loss
 		replica.initialRecordPending = true
 	}
 	if replica.logID != 0 {
