--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -30,7 +30,7 @@
 	return true
 }
 
-// Flush passes the queued events to the balancer and executes the balancer's actions, until no event is left. The event
+// Flush passes the queued events to the balancer and performs the balancer's actions, until no event is left. The event
 // loop calls it after each callback.
 func (c *Core) Flush() {
 	if c.flushing {
@@ -47,7 +47,7 @@
 	c.flushing = false
 }
 
-// execute executes one action of the balancer.
+// execute performs one action of the balancer.
 func (c *Core) execute(action choice.Action) {
 	switch action := action.(type) {
 	case choice.StartAttempt:
@@ -108,7 +108,7 @@
 	}
 }
 
-// setTimer sets a timer for the balancer. The timer of a request is stopped when the request has its answer, since
+// setTimer sets a timer for the balancer. The core stops the timer of a request when the request has its answer, since
 // the deadline that a client sets may be an hour away.
 func (c *Core) setTimer(action choice.SetTimer) {
 	at := c.options.Clock.Now().Add(action.After)
--- a/internal/edge/answer_test.go
+++ b/internal/edge/answer_test.go
@@ -7,7 +7,7 @@
 	"spurwinch/choice"
 )
 
-// silentClient is a client whose servers never answer. written reports whether its attempts are written to a server.
+// silentClient is a client whose servers never answer. written determines whether its attempts reach a server.
 type silentClient struct {
 	harness  *harness
 	written  bool
@@ -62,15 +62,15 @@
 		},
 	}
 	for i, rejected := range []bool{true, false, true, false} {
-		for _, stop := range []bool{true, false} {
-			checkShutdownAnswer(t, classes, i, stop, rejected)
+		for _, shutdown := range []bool{true, false} {
+			checkFinalAnswer(t, classes, i, shutdown, rejected)
 		}
 	}
 }
 
-// checkShutdownAnswer ends one request of a class after a server may have run it, by a planned shutdown (stop) or by
-// its deadline, and checks its answer.
-func checkShutdownAnswer(t *testing.T, classes []choice.Class, class int, stop, rejected bool) {
+// checkFinalAnswer ends one request of a class after a server may have run it, by a planned shutdown or by its
+// deadline, and checks whether it is rejected or fails.
+func checkFinalAnswer(t *testing.T, classes []choice.Class, class int, shutdown, rejected bool) {
 	t.Helper()
 	name := classes[class].Name
 	harness := newSilentHarness(t, classes...)
@@ -80,10 +80,10 @@
 	harness.core.Flush()
 	harness.run(harness.now.Add(100 * time.Millisecond))
 	if client.attempts != 1 || client.reply != nil {
-		t.Fatalf("%s before the end: got %d attempts and reply %v, want 1 and no reply",
+		t.Fatalf("%s, request in flight: got %d attempts and reply %v, want 1 and no reply",
 			name, client.attempts, client.reply)
 	}
-	if stop {
+	if shutdown {
 		harness.core.Drain(func() {})
 		harness.run(harness.now.Add(maxDeadline + killDelay))
 	} else {
@@ -93,14 +93,14 @@
 	}
 	reply := client.reply
 	if reply == nil {
-		t.Fatalf("%s, stop %v: got no reply, want one", name, stop)
+		t.Fatalf("%s, shutdown %v: got no reply, want one", name, shutdown)
 	}
 	if reply.Rejected != rejected || harness.core.InFlight() != 0 {
-		t.Errorf("%s, stop %v: got reply %+v with %d in flight, want rejected %v and 0",
-			name, stop, reply, harness.core.InFlight(), rejected)
+		t.Errorf("%s, shutdown %v: got reply %+v with %d in flight, want rejected %v and 0",
+			name, shutdown, reply, harness.core.InFlight(), rejected)
 	}
-	if stop && (reply.Why != ShuttingDown || (reply.RetryAfter > 0) != rejected) {
-		t.Errorf("%s: got reply %+v, want reason ShuttingDown, and a retry delay exactly if it is a rejection",
+	if shutdown && (reply.Why != ShuttingDown || (reply.RetryAfter > 0) != rejected) {
+		t.Errorf("%s, shutdown: got reply %+v, want Why ShuttingDown, and a retry delay if and only if rejected",
 			name, reply)
 	}
 }
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestUnwrittenAttemptIsRetried checks that an attempt whose connection is never established, or too late, counts as
-// not run: the core retries the request even though its class is not idempotent.
+// TestUnwrittenAttemptIsRetried checks that an attempt counts as not run if its connection is established too late or
+// not at all. The core then retries the request even though its class is not idempotent.
 func TestUnwrittenAttemptIsRetried(t *testing.T) {
 	harness := newSilentHarness(t, choice.Class{Name: "unsafe", Idempotency: choice.NotIdempotent})
 	client := &silentClient{harness: harness}
--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -21,7 +21,7 @@
 	startedAt  time.Time
 	sendBefore time.Time // its first byte may only be sent before this time; zero: at any time
 	begun      bool      // its first byte may have been sent
-	started    bool      // the guard has allowed the start
+	started    bool      // the invariant monitor has allowed the start
 	written    bool      // its last byte was passed to the kernel
 	ended      bool      // it has an outcome
 
@@ -30,8 +30,8 @@
 	Expires time.Time // when the core gives the attempt up
 }
 
-// startAttempt starts the next attempt of a request, at the given server. The attempt expires at until. Its first byte
-// may only be sent before sendBefore, by the balancer's clock; 0: at any time.
+// startAttempt starts the next attempt of a request, at the given server. The core gives the attempt up at the time
+// until. Its first byte may only be sent before sendBefore, by the balancer's clock; 0: at any time.
 func (r *Request) startAttempt(id choice.ServerID, until time.Time, sendBefore time.Duration) {
 	core := r.core
 	attempt := &Attempt{request: r, Number: r.attemptCount, Expires: until, startedAt: core.options.Clock.Now()}
@@ -119,7 +119,8 @@
 	return false
 }
 
-// Written reports that the attempt's last byte was passed to the kernel. From now on the attempt is counted.
+// Written reports that the attempt's last byte was passed to the kernel. From now on the attempt is counted, and the
+// server may have run it.
 func (a *Attempt) Written() {
 	if !a.written {
 		a.written = true
@@ -148,7 +149,7 @@
 	if a.upstream != nil {
 		a.upstream.GiveUp()
 	}
-	switch { // an attempt that was not written completely has not run
+	switch { // the server has not run an attempt that was not written completely
 	case a.written:
 	case outcome == choice.TimedOut:
 		outcome = choice.ConnectFailed
@@ -188,7 +189,7 @@
 	request.forgetIfDone()
 }
 
-// finish marks the attempt as ended and updates its server, its guard, its request and the trace.
+// finish marks the attempt as ended and updates its server, the invariant monitor, its request and the trace.
 func (a *Attempt) finish(outcome choice.Outcome) {
 	request := a.request
 	a.ended = true
--- a/internal/edge/connection.go
+++ b/internal/edge/connection.go
@@ -16,10 +16,10 @@
 	// slowDelayInterval is the minimum time between two reports of slow messages at one server.
 	slowDelayInterval = time.Second
 	// slowDelayDivisor sets the delay above which a message counts as slow: the strictest message latency objective
-	// divided by it. The balancer infers load only from messages slower than that (choice/inference.go).
+	// divided by slowDelayDivisor. The balancer infers load only from slower messages (choice/inference.go).
 	slowDelayDivisor = 3
-	// lateDrainDivisor sets when a connection that opens at a draining server is migrated: after the drain period
-	// divided by it.
+	// lateDrainDivisor sets when the core migrates a connection that opens at a draining server: after the drain period
+	// divided by lateDrainDivisor.
 	lateDrainDivisor = 4
 )
 
--- a/internal/edge/core.go
+++ b/internal/edge/core.go
@@ -49,7 +49,7 @@
 	return core, nil
 }
 
-// Start passes the endpoint list that this node cached last to the balancer, and executes the balancer's first actions.
+// Start passes the endpoint list that this node cached last to the balancer, and performs the balancer's first actions.
 func (c *Core) Start(cached []ServerEntry) {
 	c.UpdateServers(choice.ListCached, cached)
 	c.Flush()
@@ -103,8 +103,8 @@
 // DroppedPeerMessages returns how many messages from other nodes the balancer has dropped.
 func (c *Core) DroppedPeerMessages() int { return c.balancer.DroppedPeerMessages() }
 
-// AttemptsNeverSent returns how many attempts sent nothing because the client had left, the attempt had expired or the
-// server was draining when the upstream connection was established.
+// AttemptsNeverSent returns how many attempts sent nothing because, when the upstream connection was established, the
+// client had left, the time to send the attempt was over or the server was draining.
 func (c *Core) AttemptsNeverSent() int { return c.neverSent }
 
 // InFlight returns the number of requests in flight and open connections.
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -10,8 +10,8 @@
 	// routingDelay is how long new connections still arrive after a graceful shutdown has begun. Until then the core
 	// places them as usual, since a client that is migrated or rejected earlier may be routed to this node again.
 	routingDelay = 450 * time.Millisecond
-	// The platform kills the process, at the earliest, killDelay after the longest deadline of a class. A deadline
-	// counts as maxDeadline at most.
+	// The platform kills the process no sooner than killDelay plus the longest deadline of a class after the shutdown
+	// has begun. A deadline above maxDeadline counts as maxDeadline.
 	maxDeadline = 3 * time.Second
 	killDelay   = 700 * time.Millisecond
 	// killMargin is the time between the end of the last request or connection and the kill.
@@ -70,8 +70,7 @@
 
 // DrainToSuccessor is Drain for a hot restart, in which another process already accepts the clients. The core places
 // the requests that it has as usual. The caller transfers open connections to the other process if possible, and then
-// calls MigrateRemaining. If the caller has not called MigrateRemaining after half of the drain, the core
-// calls it.
+// calls MigrateRemaining. The core calls MigrateRemaining itself if the caller hasn't done so after half of the drain.
 func (c *Core) DrainToSuccessor(done func()) {
 	duration := c.drainDuration()
 	end := c.options.Clock.Now().Add(duration)
@@ -106,14 +105,14 @@
 	c.options.Clock.At(end.Add(time.Millisecond), done)
 }
 
-// migrateAll migrates the open connections one by one, from now until the given time.
+// migrateAll schedules the migration of the open connections, one by one, from now until the given time.
 func (c *Core) migrateAll(end time.Time) {
 	open := slices.DeleteFunc(c.requestsByID(), func(r *Request) bool { return !r.open })
 	now := c.options.Clock.Now()
 	c.migrateOver(open, now, max(0, end.Sub(now)))
 }
 
-// migrateOver migrates connections one by one, evenly over a period.
+// migrateOver schedules the migration of connections, one by one, evenly over a period that starts at begin.
 func (c *Core) migrateOver(open []*Request, begin time.Time, period time.Duration) {
 	for i, r := range open {
 		c.options.Clock.At(begin.Add(period*time.Duration(i)/time.Duration(len(open))), r.migrate)
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -58,10 +58,10 @@
 		first, last := time.Duration(1<<62), time.Duration(0)
 		for _, client := range clients {
 			first = min(first, client.migratedAt.Sub(from))
-			last = max(last, client.by.Sub(from)) // the server may not have completed its line before
+			last = max(last, client.by.Sub(from)) // an incomplete line of the server may delay the end until then
 		}
 		if first < test.first || last > test.last || last-first < (test.last-test.first)/2 {
-			t.Errorf("deadline %v: got migrations from %v to %v, want them from %v to %v, over half of that at least",
+			t.Errorf("deadline %v: got migrations from %v to %v, want them between %v and %v, over at least half of that",
 				test.deadline, first, last, test.first, test.last)
 		}
 	}
--- a/internal/edge/fakes_test.go
+++ b/internal/edge/fakes_test.go
@@ -11,12 +11,12 @@
 
 // harness runs one core in simulated time. It is the clock and the health checker of the core.
 type harness struct {
-	t      *testing.T
-	rng    *rand.Rand
-	now    time.Time
-	timers timerQueue
-	core   *Core
-	set    int // number of timers set so far
+	t          *testing.T
+	rng        *rand.Rand
+	now        time.Time
+	timers     timerQueue
+	core       *Core
+	timerCount int // number of timers set so far
 }
 
 // newHarness creates a harness that starts at the given time. The seeds determine its random numbers.
@@ -41,13 +41,13 @@
 func (h *harness) Now() time.Time { return h.now }
 
 func (h *harness) At(at time.Time, fn func()) func() {
-	h.set++
-	timer := &timer{at: at, number: h.set, fn: fn}
+	h.timerCount++
+	timer := &timer{at: at, number: h.timerCount, fn: fn}
 	heap.Push(&h.timers, timer)
 	return func() { timer.fn = nil }
 }
 
-// run fires the timers that are due until the given time, and flushes the core after each.
+// run fires the timers that are due by the given time, and flushes the core after each one.
 func (h *harness) run(until time.Time) {
 	for len(h.timers) > 0 && !h.timers[0].at.After(until) {
 		timer, ok := heap.Pop(&h.timers).(*timer)
--- a/internal/edge/figures.go
+++ b/internal/edge/figures.go
@@ -17,7 +17,8 @@
 
 // Figures provides the counters of a process, which all cores of the process increment.
 type Figures interface {
-	// Class returns the counters of the class with the given name. They stay the same for the lifetime of the process.
+	// Class returns the counters of the class with the given name. It returns the same counters for the lifetime of the
+	// process.
 	Class(name string) *Counts
 	// Attempt counts an attempt whose last byte was passed to the kernel.
 	Attempt()
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -5,7 +5,7 @@
 	"spurwinch/internal/trace"
 )
 
-// This file describes requests and servers to the invariant monitor. Package invariant has the rules.
+// This file describes requests and servers to the invariant monitor. Package invariant defines the rules.
 
 // startGuard registers a new request with the invariant monitor.
 func (r *Request) startGuard() {
@@ -39,8 +39,8 @@
 	return guarded
 }
 
-// ConnectionClosed records why the client's connection ends. The invariant monitor checks that the client is not still
-// owed an answer.
+// ConnectionClosed records why the client's connection ends. The invariant monitor checks that the node doesn't still
+// owe the client an answer.
 func (r *Request) ConnectionClosed(by invariant.Ending, why trace.Close) {
 	r.guard.Close(by, why == trace.NodeMigratedClient)
 	r.core.options.Trace.Closed(string(r.ID), why)
--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -38,13 +38,13 @@
 	}
 }
 
-// openUnnotified opens a request of which the balancer is not notified yet.
+// openUnnotified opens a request without notifying the balancer of it.
 func openUnnotified(h *harness, client Client) *Request {
 	return h.core.Open(Spec{ID: "q", Tenant: -1, Deadline: h.now.Add(20 * time.Second)}, client)
 }
 
-// TestGuardStopsAttemptAtDrainingServer checks that the guard reports and prevents an attempt that the balancer starts
-// at a draining server after the server's grace.
+// TestGuardStopsAttemptAtDrainingServer checks that the invariant monitor reports, and the core prevents, an attempt
+// that the balancer starts at a draining server after the server's grace.
 func TestGuardStopsAttemptAtDrainingServer(t *testing.T) {
 	harness, violations := newGuardedHarness(t)
 	harness.run(harness.now.Add(3*time.Second + time.Millisecond))
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestGuardStopsUnsafeRetryAndRejection checks that the guard stops a retry of a request that may have run and is not
-// idempotent, and that it turns a rejection, which would promise that a retry is harmless, into a failure.
+// TestGuardStopsUnsafeRetryAndRejection checks a request that may have run and is not idempotent. The invariant monitor
+// must stop a retry, and the core must turn a rejection, which would promise that a retry is harmless, into a failure.
 func TestGuardStopsUnsafeRetryAndRejection(t *testing.T) {
 	harness, violations := newGuardedHarness(t)
 	client := &idleClient{}
@@ -66,7 +66,7 @@
 	request.startAttempt("h", request.Deadline, 0)
 	first := request.attempt
 	if first == nil || !first.Begin() {
-		t.Fatal("Begin of the first attempt: got no attempt or false, want true")
+		t.Fatal("startAttempt and Begin: got no attempt or false, want an attempt and true")
 	}
 	first.Written()
 	first.Ended(choice.Reset, nil)
@@ -84,7 +84,7 @@
 }
 
 // TestGuardStopsAttemptOfGoneClient checks that an attempt sends nothing if its connection is established after the
-// guard was told that the client is gone.
+// invariant monitor was notified that the client is gone.
 func TestGuardStopsAttemptOfGoneClient(t *testing.T) {
 	harness, violations := newGuardedHarness(t)
 	request := openUnnotified(harness, &idleClient{})
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -10,10 +10,10 @@
 type Lease struct {
 	Number uint64 // number of the policy document
 	Known  bool   // this node has the document; if not, it admits requests only under the base policy
-	// Expires is when the lease ends. The core admits no request under Number from then on.
+	// Expires is when the lease ends. From then on the core admits no request under the policy Number.
 	Expires time.Time
 	// OnExpiry applies the settings of the base policy. The core calls it once, before it decides on the first request
-	// that it can't admit under Number.
+	// that it can't admit under the policy Number.
 	OnExpiry func()
 	// BasePolicy reports whether the core admits a class under the base policy without a lease; nil: it admits none.
 	BasePolicy func(class int) bool
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -18,6 +18,7 @@
 	expiries  int
 }
 
+// newLeaseHarness creates a core with one server, and a lease that expires after 5 s and isn't in use yet.
 func newLeaseHarness(t *testing.T) *leaseHarness {
 	t.Helper()
 	harness := &leaseHarness{harness: newHarness(t, time.Unix(1e9, 0), 1, 1)}
@@ -64,14 +65,14 @@
 	core.UseLease(harness.lease)
 	client, request := harness.open(1, "")
 	if client.reply != nil || request.Deadline.After(harness.now.Add(4*time.Second)) || harness.expiries != 0 {
-		t.Errorf("under a lease: got reply %+v, deadline in %v, %d expiries; want no reply, 4 s at most, and 0",
+		t.Errorf("under a lease: got reply %+v, deadline in %v, %d expiries; want no reply, at most 4 s, and 0",
 			client.reply, request.Deadline.Sub(harness.now), harness.expiries)
 	}
 	harness.now = harness.now.Add(30 * time.Second) // the process was suspended: no timer has run
 	client, _ = harness.open(1, "")
 	if client.tried || client.reply == nil || !client.reply.Rejected ||
 		client.reply.RetryAfter < time.Second/2 || client.reply.RetryAfter > 3*time.Second/2 {
-		t.Errorf("after the lease: got reply %+v, want a rejection without an attempt and with a retry delay",
+		t.Errorf("after the lease: got reply %+v, want a rejection without an attempt, to retry in 0.5 to 1.5 s",
 			client.reply)
 	}
 	if client, _ := harness.open(0, ""); client.reply != nil {
--- a/internal/edge/observer.go
+++ b/internal/edge/observer.go
@@ -34,9 +34,9 @@
 	Open Answer = iota
 	// Served means that a server answered completely, without an open connection.
 	Served
-	// Rejected means a local reply which guarantees that a retry is harmless.
+	// Rejected means that the node sent a local reply which guarantees that a retry is harmless.
 	Rejected
-	// Failed means a local reply without that guarantee.
+	// Failed means that the node sent a local reply without that guarantee.
 	Failed
 	// ClientLeft means that the client left before it had an answer.
 	ClientLeft
@@ -56,7 +56,7 @@
 	Transferred
 )
 
-// AttemptResult describes an attempt and its outcome.
+// AttemptResult describes an attempt and its outcome, which is choice.Served if its connection is open.
 type AttemptResult struct {
 	Server  choice.ServerID
 	Outcome choice.Outcome
--- a/internal/edge/options.go
+++ b/internal/edge/options.go
@@ -17,7 +17,7 @@
 // Client is the front end's side of one request. Only the core calls its methods, and never after the front end has
 // called Request.ClientGone.
 type Client interface {
-	// Attempt starts the upstream request for a. The front end reports its progress and outcome by a's methods.
+	// Attempt starts the upstream request for a. The front end reports its progress and outcome by calling a's methods.
 	Attempt(a *Attempt) UpstreamRequest
 	// LocalReply sends the client the node's own final answer to a request that no server serves.
 	LocalReply(reply LocalReply)
@@ -28,8 +28,8 @@
 
 // UpstreamRequest is the front end's side of one attempt.
 type UpstreamRequest interface {
-	// GiveUp cancels the attempt: from now on the front end sends none of its bytes to the client or to the server. If
-	// the front end has not called Attempt.Written before, the server has not run the attempt.
+	// GiveUp cancels the attempt. From now on the front end sends none of its bytes to the client or to the server. An
+	// attempt for which the front end has not called Attempt.Written counts as not run.
 	GiveUp()
 }
 
@@ -56,7 +56,7 @@
 	Returned     bool    // the client came back after a broken connection or a migration
 	Deadline     time.Time
 	StickyServer choice.ServerID // server that holds the session which the request resumes; empty: none
-	OpenAt       choice.ServerID // server at which the connection was open before the node started; empty: it is new
+	OpenAt       choice.ServerID // server of a connection that was open before the node started; empty: a new one
 }
 
 // Options configures a core.
--- a/internal/edge/random_scenarios_test.go
+++ b/internal/edge/random_scenarios_test.go
@@ -84,7 +84,7 @@
 	}
 	in := time.Duration(scenario.rng.IntN(900)) * time.Millisecond
 	behavior := scenario.rng.IntN(10)
-	scenario.At(scenario.now.Add(in), func() { created.play(behavior) })
+	scenario.At(scenario.now.Add(in), func() { created.simulate(behavior) })
 	return created
 }
 
@@ -109,8 +109,9 @@
 	}
 }
 
-// play simulates the server's reaction to the attempt.
-func (u *upstream) play(behavior int) {
+// simulate simulates how a server with the given behavior handles the attempt. With behavior 9 the front end doesn't
+// report the attempt as written.
+func (u *upstream) simulate(behavior int) {
 	scenario := u.client.scenario
 	if !u.givenUp && behavior != 9 {
 		scenario.wantSent++
@@ -194,7 +195,7 @@
 	}
 	c.gone = true
 	c.ended = true
-	if c.scenario.rng.IntN(4) == 0 && !c.open { // its front end has answered a protocol violation
+	if c.scenario.rng.IntN(4) == 0 && !c.open { // the front end has answered a protocol violation
 		c.scenario.want[c.request.Class].Failed++
 		c.request.ClientBrokeProtocol()
 	} else {
@@ -242,8 +243,7 @@
 	return created
 }
 
-// scheduleRequest schedules the arrival of a request at a random time, and for some requests the departure of the
-// client.
+// scheduleRequest makes a request arrive at a random time, and makes the clients of some requests leave later.
 func (s *scenario) scheduleRequest(begin time.Time, number int) {
 	s.At(begin.Add(time.Duration(s.rng.IntN(22500))*time.Millisecond), func() {
 		c := &client{scenario: s, deadline: s.now.Add(time.Duration(200+s.rng.IntN(4000)) * time.Millisecond)}
@@ -259,7 +259,7 @@
 	})
 }
 
-// drainOne schedules a random time at which a random server, except the last one, begins to drain.
+// drainOne makes a random server begin to drain at a random time. The last server never drains.
 func (s *scenario) drainOne(begin time.Time) {
 	s.At(begin.Add(time.Duration(s.rng.IntN(20000))*time.Millisecond), func() {
 		server := s.servers[s.rng.IntN(5)]
@@ -300,7 +300,7 @@
 	}
 	for _, c := range s.clients {
 		if c.answers != 1 && !c.gone {
-			s.t.Errorf("seed %d: %s: got %d answers, want 1", s.seed, c.request.ID, c.answers)
+			s.t.Errorf("seed %d: %s: got %d answers at the end, want 1", s.seed, c.request.ID, c.answers)
 		}
 	}
 	if len(s.clients) != 300 {
@@ -312,7 +312,7 @@
 	}
 	for id, server := range s.core.servers {
 		if server.inFlight != 0 {
-			s.t.Errorf("seed %d: in flight: got %d at %s, want 0", s.seed, server.inFlight, id)
+			s.t.Errorf("seed %d: at the end: got %d in flight at %s, want 0", s.seed, server.inFlight, id)
 		}
 	}
 }
--- a/internal/edge/redirect.go
+++ b/internal/edge/redirect.go
@@ -2,7 +2,7 @@
 
 import "spurwinch/choice"
 
-// MayRedirect reports whether the core may move an unanswered request to the server sticky with one more attempt.
+// MayRedirect reports whether the core may move an unanswered request to the given server with one more attempt.
 func (r *Request) MayRedirect(sticky choice.ServerID) bool {
 	server := r.core.servers[sticky]
 	return r.waiting() && r.OpenAt == "" && r.attempt != nil &&
@@ -10,8 +10,8 @@
 		server != nil && server.State == choice.Ready
 }
 
-// RedirectTo cancels the current attempt and notifies the balancer of the server that holds the session which the
-// request resumes. The front end guarantees that nothing that the client has received from the first server binds the
+// RedirectTo cancels the current attempt and notifies the balancer that the given server holds the session which the
+// request resumes. The front end guarantees that the client has received nothing from the first server that binds the
 // client to that server.
 func (r *Request) RedirectTo(sticky choice.ServerID) {
 	r.StickyServer = sticky
--- a/internal/edge/reply.go
+++ b/internal/edge/reply.go
@@ -24,7 +24,7 @@
 	Busy Why = iota
 	// ShuttingDown means that this node is draining.
 	ShuttingDown
-	// Unreachable means that the server that the request is bound to can't be reached.
+	// Unreachable means that the node can't reach the server to which the request is bound.
 	Unreachable
 	// ServerLost means that the server failed after its first bytes had reached the client.
 	ServerLost
@@ -44,9 +44,10 @@
 	return reply
 }
 
-// rejectNow asks the balancer to answer a request now; the request's attempt is then cancelled. The balancer decides
+// rejectNow asks the balancer to answer a request now, and then cancels the request's attempt. The balancer decides
 // whether the request is rejected or fails, since whether a retry is harmless depends on which attempts may have run
-// and on the class. The other fields of the answer are those of reply.
+// and on the class. The other fields of the answer are those of reply. A request that the balancer doesn't know is
+// answered with reply at once.
 func (r *Request) rejectNow(reply LocalReply) {
 	switch {
 	case !r.waiting():
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -98,8 +98,8 @@
 // waiting reports whether the client still waits for its final answer.
 func (r *Request) waiting() bool { return !r.finished && !r.open }
 
-// registered reports whether the request is the one that the core's table has under its id. A second request with the
-// id of another is not.
+// registered reports whether the core's table has this request under its id. A second request with an id that is in use
+// is not registered.
 func (r *Request) registered() bool { return r.core.requests[r.ID] == r }
 
 // answerCounts returns the counters of the request's class.
@@ -111,10 +111,10 @@
 	if r.waiting() {
 		r.answerCounts().Failed++
 	}
-	r.ClientGone() // the guard expects no further answer either: the front end has already sent the error
+	r.ClientGone() // the invariant monitor expects no answer either, since the front end has sent the error
 }
 
-// ClientGone reports that the client left, before its answer or on an open connection.
+// ClientGone reports that the client left, either before it had an answer or by closing its open connection.
 func (r *Request) ClientGone() {
 	if r.finished {
 		return
--- a/internal/edge/server_drain.go
+++ b/internal/edge/server_drain.go
@@ -24,8 +24,8 @@
 }
 
 // drainServer removes requests and connections from a draining server. It cancels unanswered attempts before the
-// server's grace ends, since after that they violate an invariant. It migrates open connections one by one over
-// DrainPeriod, before the server closes them.
+// server's grace ends, since the invariant monitor would report them after that. It migrates open connections one by
+// one over DrainPeriod, before the server closes them.
 func (c *Core) drainServer(server *serverState) {
 	now := c.options.Clock.Now()
 	var open []*Request
--- a/internal/edge/servers_test.go
+++ b/internal/edge/servers_test.go
@@ -62,7 +62,7 @@
 	attempt := request.attempt
 	harness.run(harness.now.Add(time.Second))
 	if core.InFlightOn("s") != 2 || core.InFlightOn("unknown") != 0 {
-		t.Fatalf("InFlightOn: got %d at the server, want 2 and none at an unknown server", core.InFlightOn("s"))
+		t.Fatalf("InFlightOn: got %d at server s, want 2, and 0 at an unknown server", core.InFlightOn("s"))
 	}
 	from := harness.now
 	draining := serversNamed("s")
--- a/internal/edge/start_times.go
+++ b/internal/edge/start_times.go
@@ -7,8 +7,8 @@
 )
 
 // startTimeClock converts the start times of servers to the balancer's clock. The endpoint list has start times in Unix
-// time. This process read Unix time once, when it started, from a wall clock that may have been stepped, and so
-// wrong, at that moment. startTimeClock therefore corrects the offset between the clocks by two facts: no server starts
+// time. This process read Unix time only once, when it started, and a step of the wall clock may have made that reading
+// wrong. startTimeClock therefore corrects the offset between the clocks. It relies on two facts: no server starts
 // after the list reports its start, and a server that is new in a watched list did not start long before the list was
 // last received.
 type startTimeClock struct {
@@ -22,7 +22,7 @@
 	listDelay = 3 * time.Second
 	// clockSkew is the maximum difference between the clocks of synchronized machines.
 	clockSkew = 100 * time.Millisecond
-	// maxGoneStarts is the number of start times that are cached for servers that are gone. A server that returns with
+	// maxGoneStarts is the maximum number of cached start times of servers that are gone. A server that returns with
 	// the same start time has not restarted.
 	maxGoneStarts = 256
 )
--- a/internal/edge/start_times_test.go
+++ b/internal/edge/start_times_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestSlowStartUnderSteppedClock checks the slow start of servers that start while a node with a wrong wall clock runs.
-// For this node, too, a server is in slow start while it warms up, and at most two seconds longer.
+// Such a node, too, must keep a server in slow start while it warms up, and at most two seconds longer.
 func TestSlowStartUnderSteppedClock(t *testing.T) {
 	for _, ahead := range []time.Duration{
 		0, time.Hour, -time.Hour, time.Minute, -time.Minute, 15 * time.Second, -5 * time.Second,
@@ -69,7 +69,7 @@
 		}
 		harness.run(harness.now.Add(warmUp + 2*time.Second))
 		if harness.slowStart("new") || harness.slowStart("newer") {
-			t.Errorf("%v ahead: slow start long after the warm-up: got new %v, newer %v; want false, false",
+			t.Errorf("%v ahead: slow start over 2 s after the warm-up: got new %v, newer %v; want false, false",
 				ahead, harness.slowStart("new"), harness.slowStart("newer"))
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // TestServersOfNewListSourceAreWarm checks that a node that switches to another discovery service takes the start times
-// of its servers as they are: servers that started long ago are warm, and the clock offset is not corrected.
+// of its servers as they are. Servers that started long ago are warm, since they must not correct the clock offset.
 func TestServersOfNewListSourceAreWarm(t *testing.T) {
 	harness := newSteppedHarness(t, 0)
 	harness.run(harness.now.Add(time.Minute))
@@ -131,7 +131,7 @@
 	harness.run(harness.now.Add(warmUp + 2*time.Second))
 	for _, id := range []choice.ServerID{"cold", "new"} {
 		if harness.slowStart(id) {
-			t.Errorf("%s long after the warm-up: got slow start, want none", id)
+			t.Errorf("%s over 2 s after the warm-up: got slow start, want none", id)
 		}
 	}
 }
--- a/internal/edge/timers_test.go
+++ b/internal/edge/timers_test.go
@@ -25,8 +25,8 @@
 	return h
 }
 
-// TestTimersStopWithTheirRequests checks that the timers of requests with a deadline of an hour stop when their clients
-// are served, are rejected or leave at once. Otherwise a few clients per second would fill the node's memory.
+// TestTimersStopWithTheirRequests checks that the timers of a request with a deadline of an hour stop at once when its
+// client is served, is rejected or leaves. Otherwise a few clients per second would fill the node's memory.
 func TestTimersStopWithTheirRequests(t *testing.T) {
 	const requests = 60
 	harness := newOneServerHarness(t)
@@ -73,7 +73,7 @@
 	core.Open(Spec{ID: "q", Tenant: -1, Deadline: harness.now.Add(time.Second)}, client).ClientGone()
 	core.Flush()
 	if client.tried || core.InFlight() > 0 || lines.Len() > 0 {
-		t.Errorf("got tried %v, %d in flight, logged %v; want false, 0 and nothing",
+		t.Errorf("got tried %v, %d in flight, logged %v; want false, 0 and no error",
 			client.tried, core.InFlight(), lines.All())
 	}
 }
--- a/internal/edge/transfer.go
+++ b/internal/edge/transfer.go
@@ -17,8 +17,8 @@
 	ErrInvalidLoad    = errors.New("loads of a connection state must be numbers of at least 0")
 )
 
-// ConnectionState is the encoding of an open connection for its transfer to another process. It has names and values in
-// place of indices, since the tables of the two processes may differ.
+// ConnectionState is the encoding of an open connection for its transfer to another process. It has names and values
+// instead of indices, since the tables of the two processes may differ.
 type ConnectionState struct {
 	ID          choice.RequestID `cbor:"1,keyasint"`
 	Class       choice.Class     `cbor:"2,keyasint"` // from the settings at the request's arrival
@@ -144,7 +144,7 @@
 	request.guard = c.options.Monitor.Adopted(invariant.RequestFacts{ID: string(state.ID), Class: state.Class})
 	attempt.server.inFlight++
 	request.attempt = attempt
-	if c.requests[state.ID] != nil { // the id is in use: the balancer knows only the first request, so migrate this one
+	if c.requests[state.ID] != nil { // the balancer knows only the first request of an id, so migrate this one
 		c.options.Clock.At(now, request.migrate)
 		return request, attempt
 	}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -9,9 +9,9 @@
 	"spurwinch/choice"
 )
 
-// The time for which a session can be resumed after its stream has ended.
+// Limit and default of the time for which a session can be resumed after its stream has ended.
 const (
-	MaxResumeTime     = 24 * time.Hour  // the table shortens longer times to this
+	MaxResumeTime     = 24 * time.Hour  // the table shortens longer times to this one
 	DefaultResumeTime = 5 * time.Minute // used if the server gives no time
 )
 
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -50,8 +50,8 @@
 	*m = append(*m, session)
 }
 
-// trim removes the sessions that the table has removed for capacity. It checks that the table removed sessions without
-// a stream first.
+// trim removes from the model the sessions that the table has removed to stay within its capacity. It checks that the
+// table removed sessions without a stream first.
 func (m *model) trim(t *rapid.T, table *Table) {
 	t.Helper()
 	var held model
@@ -61,7 +61,7 @@
 			continue
 		}
 		if left := table.disconnected.Len(); session.connected() && left > 0 {
-			t.Fatalf("%+v was removed for capacity: got %d sessions without a stream left, want 0", session, left)
+			t.Fatalf("table removed connected %+v: got %d sessions without a stream left, want 0", session, left)
 		}
 	}
 	*m = held
@@ -132,7 +132,7 @@
 		Key:        Key{testDomain, fmt.Sprint(number)},
 		User:       fmt.Sprint("u", number%users),
 		Server:     choice.ServerID(fmt.Sprint("h", step)),
-		ResumeTime: time.Duration(rapid.IntRange(0, 60).Draw(t, "max")) * time.Second,
+		ResumeTime: time.Duration(rapid.IntRange(0, 60).Draw(t, "resume time")) * time.Second,
 	}
 }
 
@@ -146,9 +146,9 @@
 		now := time.Unix(1e9, 0)
 		var want model
 		for step := range rapid.IntRange(1, 80).Draw(t, "steps") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "later")) * time.Second)
+			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "time step")) * time.Second)
 			session := drawSession(t, step)
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0, 1:
 				table.Connected(now, session)
 				want.connect(session)
@@ -189,7 +189,7 @@
 		Session{Key: Key{testDomain, "y"}, Expires: now.Add(time.Hour)})
 	successor.Import(transferredAt, transferred)
 	if session, _ := successor.Find(now, Key{testDomain, "4"}); session.Server != "b" {
-		t.Error("Import replaced a newer session, want it kept")
+		t.Error("Import: got the table's newer session replaced or missing, want it kept")
 	}
 	for id, want := range map[string]bool{"0": false, "1": false, "2": true, "3": true, "x": false, "y": false} {
 		if _, ok := successor.Find(now.Add(10*time.Second), Key{testDomain, id}); ok != want {
--- a/internal/session/table.go
+++ b/internal/session/table.go
@@ -16,7 +16,7 @@
 type Table struct {
 	capacity int
 	byKey    map[Key]*list.Element
-	byUser   map[userKey][]*list.Element // least recently updated first; without sessions of unknown users
+	byUser   map[userKey][]*list.Element // least recently updated first; excludes sessions of unknown users
 
 	// Each element is in exactly one of the following lists of *Session, least recently updated first.
 
@@ -167,7 +167,7 @@
 
 // sessionOf returns the session of an element.
 func sessionOf(element *list.Element) *Session {
-	session, _ := element.Value.(*Session) // the lists hold nothing else
+	session, _ := element.Value.(*Session) // the lists contain only *Session values
 	return session
 }
 
