--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -61,7 +61,7 @@
 			last = max(last, client.by.Sub(from)) // an incomplete line of the server may delay the end until then
 		}
 		if first < test.first || last > test.last || last-first < (test.last-test.first)/2 {
-			t.Errorf("deadline %v: got migrations from %v to %v, want them between %v and %v, over at least half of that",
+			t.Errorf("deadline %v: got migrations from %v to %v, want between %v and %v, over at least half of that",
 				test.deadline, first, last, test.first, test.last)
 		}
 	}
--- a/internal/edge/fakes_test.go
+++ b/internal/edge/fakes_test.go
@@ -67,8 +67,8 @@
 
 // CheckHealth answers each health check after a random time with a random load.
 func (h *harness) CheckHealth(_ ServerEntry, _ time.Time, done func(choice.Outcome, []float64)) {
-	in := time.Duration(h.rng.IntN(200)) * time.Millisecond
-	h.At(h.now.Add(in), func() { done(choice.Served, []float64{h.rng.Float64() * 0.6}) })
+	delay := time.Duration(h.rng.IntN(200)) * time.Millisecond
+	h.At(h.now.Add(delay), func() { done(choice.Served, []float64{h.rng.Float64() * 0.6}) })
 }
 
 type timer struct {
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -39,8 +39,8 @@
 	return guarded
 }
 
-// ConnectionClosed records why the client's connection ends. The invariant monitor checks that the node doesn't still
-// owe the client an answer.
+// ConnectionClosed records why the client's connection ends. The invariant monitor checks that the client had an
+// answer, and that a node which ends an open connection has asked the client to reconnect.
 func (r *Request) ConnectionClosed(by invariant.Ending, why trace.Close) {
 	r.guard.Close(by, why == trace.NodeMigratedClient)
 	r.core.options.Trace.Closed(string(r.ID), why)
--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -30,7 +30,7 @@
 	return h, violations
 }
 
-// wantLast checks that the last violation is one of the given rule.
+// wantLast checks that the last violation is a violation of the given rule.
 func wantLast(t *testing.T, violations []invariant.Violation, rule invariant.Rule) {
 	t.Helper()
 	if count := len(violations); count == 0 || violations[count-1].Rule != rule {
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -57,8 +57,8 @@
 	return client, request
 }
 
-// TestLeaseIsCheckedAtArrival checks which requests a core admits under a lease by the time of their arrival: a process
-// that was suspended until after the lease's expiry must not admit the waiting requests under it.
+// TestLeaseIsCheckedAtArrival checks that the core reads the clock to decide which arriving requests it admits under a
+// lease. A process that was suspended until after the lease's expiry must not admit the waiting requests under it.
 func TestLeaseIsCheckedAtArrival(t *testing.T) {
 	harness := newLeaseHarness(t)
 	core := harness.core
--- a/internal/edge/random_scenarios_test.go
+++ b/internal/edge/random_scenarios_test.go
@@ -82,9 +82,9 @@
 		created.end(choice.ConnectFailed)
 		return created
 	}
-	in := time.Duration(scenario.rng.IntN(900)) * time.Millisecond
+	delay := time.Duration(scenario.rng.IntN(900)) * time.Millisecond
 	behavior := scenario.rng.IntN(10)
-	scenario.At(scenario.now.Add(in), func() { created.simulate(behavior) })
+	scenario.At(scenario.now.Add(delay), func() { created.simulate(behavior) })
 	return created
 }
 
--- a/internal/edge/servers_test.go
+++ b/internal/edge/servers_test.go
@@ -8,8 +8,8 @@
 	"spurwinch/choice"
 )
 
-// TestServersFollowEndpointList checks that the core applies the latest endpoint list: servers that change, drain or
-// disappear from it.
+// TestServersFollowEndpointList checks that the core follows endpoint lists in which servers change, begin to drain or
+// disappear.
 func TestServersFollowEndpointList(t *testing.T) {
 	core := newHarness(t, time.Unix(1e9, 0), 1, 1).create(Options{Settings: choice.Settings{
 		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second}},
--- a/internal/edge/start_times_test.go
+++ b/internal/edge/start_times_test.go
@@ -115,13 +115,13 @@
 func TestLaterStartCorrectsStartTimes(t *testing.T) {
 	const ahead = time.Hour
 	harness := newSteppedHarness(t, ahead)
-	unix := func() time.Time { return harness.now.Add(-ahead) }
-	first := startedAt("cold", unix().Add(-time.Second))
+	actualTime := func() time.Time { return harness.now.Add(-ahead) }
+	first := startedAt("cold", actualTime().Add(-time.Second))
 	harness.timers = nil
 	harness.create(harness.core.options) // a new process at the current time
 	harness.startList([]ServerEntry{first})
 	harness.run(harness.now.Add(time.Second))
-	harness.core.UpdateServers(choice.ListChange, []ServerEntry{startedAt("new", unix().Add(-time.Second))})
+	harness.core.UpdateServers(choice.ListChange, []ServerEntry{startedAt("new", actualTime().Add(-time.Second))})
 	harness.core.Flush()
 	for _, id := range []choice.ServerID{"cold", "new"} {
 		if !harness.slowStart(id) {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -169,8 +169,9 @@
 	})
 }
 
-// TestImportKeepsNewerSessions checks the transfer to another process: the most recently updated sessions without a
-// stream are transferred, invalid ones are ignored, and a session that the table already has is newer and stays.
+// TestImportKeepsNewerSessions checks the transfer of sessions to another process. The most recently updated sessions
+// without a stream are transferred. Import ignores invalid ones and keeps the sessions that its table already has,
+// which are newer.
 func TestImportKeepsNewerSessions(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	predecessor := New(10)
