--- a/internal/edge/guard_test.go
+++ b/internal/edge/guard_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// openUnnotified opens a request without notifying the balancer of it.
+// openUnnotified opens a request without a flush, so that the balancer is not notified of it yet.
 func openUnnotified(h *harness, client Client) *Request {
 	return h.core.Open(Spec{ID: "q", Tenant: -1, Deadline: h.now.Add(20 * time.Second)}, client)
 }
