--- a/internal/edge/servers_test.go
+++ b/internal/edge/servers_test.go
@@ -8,8 +8,8 @@
 	"spurwinch/choice"
 )
 
-// TestServersFollowEndpointList checks that the core applies the latest endpoint list: servers that change, drain or
-// disappear from it.
+// TestServersFollowEndpointList checks that the core follows endpoint lists in which servers change, begin to drain or
+// disappear.
 func TestServersFollowEndpointList(t *testing.T) {
 	core := newHarness(t, time.Unix(1e9, 0), 1, 1).create(Options{Settings: choice.Settings{
 		Classes: []choice.Class{{Name: "a", SetupObjective: time.Second, Deadline: 4 * time.Second}},
@@ -62,7 +62,7 @@
 	attempt := request.attempt
 	harness.run(harness.now.Add(time.Second))
 	if core.InFlightOn("s") != 2 || core.InFlightOn("unknown") != 0 {
-		t.Fatalf("InFlightOn: got %d at the server, want 2 and none at an unknown server", core.InFlightOn("s"))
+		t.Fatalf("InFlightOn: got %d at server s, want 2, and 0 at an unknown server", core.InFlightOn("s"))
 	}
 	from := harness.now
 	draining := serversNamed("s")
