--- a/internal/policy/canary.go
+++ b/internal/policy/canary.go
@@ -37,6 +37,7 @@
 
 func (c Canary) duration() time.Duration { return time.Duration(c.Seconds * float64(time.Second)) }
 
+// check returns an *InvalidProposalError if the canary is invalid.
 func (c Canary) check() error {
 	if c.isNone() {
 		return nil
--- a/internal/policy/canary_analysis.go
+++ b/internal/policy/canary_analysis.go
@@ -8,6 +8,7 @@
 // requestCounts holds the number of requests that arrived, and how many of these were rejected or failed.
 type requestCounts struct{ arrived, rejected float64 }
 
+// rejectedFraction returns the rejected fraction of the requests, or 0 if none arrived.
 func (c requestCounts) rejectedFraction() float64 {
 	if c.arrived == 0 {
 		return 0
--- a/internal/policy/change.go
+++ b/internal/policy/change.go
@@ -36,6 +36,7 @@
 	return next, nil
 }
 
+// checkProposal checks the lengths of a proposal's id and text. The error is an *InvalidProposalError.
 func checkProposal(id string, text []byte) error {
 	if id == "" || len(id) > maxID {
 		return &InvalidProposalError{Problem: fmt.Sprintf("an id must have 1 to %d bytes", maxID)}
@@ -106,7 +107,7 @@
 }
 
 // hasRoomForBase reports whether the state can hold base as its latest base policy. If it can't, some members have not
-// sent a status for a long time and may still serve by the older base policies.
+// sent a status for a long time and may still use the older base policies.
 func (s *State) hasRoomForBase(base BasePolicy) bool {
 	return len(s.Bases) < maxBases || s.latestBaseEquals(base)
 }
--- a/internal/policy/compatibility.go
+++ b/internal/policy/compatibility.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// IncompatibleBaseError means that a document is stricter than a base policy that some node may still serve by.
+// IncompatibleBaseError means that a document is stricter than a base policy that some node may still use.
 type IncompatibleBaseError struct {
 	Number      uint64 // number of the document that contained the base policy
 	Base        BasePolicy
-	Class       string        // class whose deadline is shorter than the base policy's; empty: MaxAttempts is exceeded
+	Class       string        // class with a deadline below Base.Deadline; empty: Base.Attempts exceeds MaxAttempts
 	MaxAttempts int           // most attempts that the document allows; set if Class is empty
 	Deadline    time.Duration // deadline of Class
 }
@@ -26,9 +26,8 @@
 		e.Base.Deadline, e.Class, e.Deadline, e.Number)
 }
 
-// compatibleWith checks that a node that serves by this base policy does nothing that document d, once in force,
-// forbids to all other nodes. The error names what d forbids. number is the number of the document that contained the
-// base policy.
+// compatibleWith checks that a node that uses this base policy does nothing that document d, once in force, forbids to
+// all other nodes. The error names what d forbids. number is the number of the document that contained the base policy.
 func (b BasePolicy) compatibleWith(d *Document, number uint64) error {
 	if b.Attempts == 0 {
 		return nil
@@ -50,8 +49,8 @@
 	MemoryMB    int // megabytes
 }
 
-// Fits returns the reason why a node can't serve by a document, or an empty string if it can. An unknown resource of
-// the node never prevents it from serving.
+// Fits returns the reason why a node can't apply a document, or an empty string if it can. An unknown resource of the
+// node is never such a reason.
 func (d *Document) Fits(node NodeCapacity) string {
 	required := d.Requirements
 	switch {
--- a/internal/policy/diff.go
+++ b/internal/policy/diff.go
@@ -25,10 +25,12 @@
 // differences collects the lines that Diff returns.
 type differences struct{ lines []string }
 
+// add adds a formatted line.
 func (d *differences) add(format string, args ...any) {
 	d.lines = append(d.lines, fmt.Sprintf(format, args...))
 }
 
+// compare adds a line for key if the two values differ as text.
 func (d *differences) compare(key string, before, after any) {
 	beforeText := fmt.Sprint(before)
 	afterText := fmt.Sprint(after)
@@ -62,6 +64,7 @@
 	}
 }
 
+// indexByLabel returns the index of the element with a label, or -1 if the list has none.
 func indexByLabel[T named](list []T, label string) int {
 	return slices.IndexFunc(list, func(element T) bool { return element.label() == label })
 }
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -3,15 +3,15 @@
 //
 // A change passes through stages. Each stage is one entry of the fleet's replicated log:
 //
-//	Propose -> checking: every live member acknowledges that it can serve by the document
+//	Propose -> checking: every live member acknowledges that it can apply the document
 //	        -> canary:   some members apply it first, and their rejections are compared with the others' (optional)
 //	        -> Commit:   the document comes into force
 //	        or Abort:    the previous document stays in force
 //
-// A member serves by a document only while it has a lease. A lease lasts for a limited time after a moment at which the
-// leader was certainly the leader and named the number in force. Without a lease, the member serves by the base policy
-// of its last document or rejects requests. A base policy may therefore be in use at the same time as any later
-// document. For this reason, a document that forbids what such a base policy allows is not accepted.
+// A member applies a document only while it has a lease. A lease lasts for a limited time after a moment at which the
+// leader was certainly the leader and named the number in force. Without a lease, the member uses the base policy of
+// its last document or rejects requests. A base policy may therefore be in use at the same time as any later document.
+// For this reason, Propose rejects a document that forbids what such a base policy allows.
 //
 // The fleet agent (internal/failover/agent) owns the State, keeps it on the log and on disk, and on the leader also
 // owns the Rollout. internal/config reads a Document from TOML, internal/node applies it on top of the node's own
--- a/internal/policy/document.go
+++ b/internal/policy/document.go
@@ -26,7 +26,7 @@
 	Deadline         time.Duration // for the setup, including all attempts
 	MessageObjective time.Duration // latency objective of a message on an open connection; 0: none
 	Priority         float64
-	ServedByBase     bool // without a lease: true serves the class by the base policy, false rejects it at once
+	ServedByBase     bool // without a lease: true applies the base policy, false rejects requests at once
 }
 
 // Tenant holds a customer's quota over all nodes. A value of 0 means unlimited.
@@ -36,8 +36,8 @@
 	Rate        float64 // requests a second
 }
 
-// BasePolicy is the policy that a node without a lease serves by. It must be safe to use alongside every document that
-// may be in force at that time.
+// BasePolicy is the policy that a node without a lease uses. It must be safe to use alongside every document that may
+// be in force at that time.
 type BasePolicy struct {
 	Attempts int           // maximum for one request; 0: there is no base policy
 	Deadline time.Duration // deadline of a request
--- a/internal/policy/document_test.go
+++ b/internal/policy/document_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// validDocument returns a document that any fleet can serve by.
+// validDocument returns a document that any fleet can apply.
 func validDocument() *Document {
 	return &Document{
 		Attempts: 3, RetryAfter: time.Second,
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestDocumentCheckNamesInvalidKey checks that Check finds documents that no fleet can serve by, and that the first
-// fault names the invalid key.
+// TestDocumentCheckNamesInvalidKey checks that Check finds faults in documents that no fleet can apply, and that the
+// first fault names the invalid key.
 func TestDocumentCheckNamesInvalidKey(t *testing.T) {
 	if faults := validDocument().Check(); len(faults) > 0 {
 		t.Fatalf("Check of a valid document: got faults %v, want none", faults)
@@ -64,7 +64,7 @@
 }
 
 // TestProposeRejectsDocumentStricterThanBaseInUse checks that a document that forbids what a base policy allows is
-// rejected while some member may still serve by that base policy, and is accepted once all members have a later one.
+// rejected while some member may still use that base policy, and is accepted once all members have a later one.
 func TestProposeRejectsDocumentStricterThanBaseInUse(t *testing.T) {
 	state := &State{}
 	propose := func(document *Document) error {
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// goldenState returns a state with every field set and no two fields of the same type equal.
+// goldenState returns a state with every field set. Within a struct, no two numbers or texts are equal, because the
+// golden file would not reveal that equal fields were exchanged.
 func goldenState() *State {
 	return &State{
 		Number: 7, LastNumber: 9,
@@ -85,8 +86,8 @@
 	}
 }
 
-// TestGoldenState checks that the encoded form of a state on the replicated log encodes and decodes as in the golden
-// file, byte for byte.
+// TestGoldenState checks the encoded form of a state on the replicated log. A state must encode to the golden file,
+// byte for byte, and the golden file must decode to the same state.
 func TestGoldenState(t *testing.T) {
 	want := goldenState()
 	requireSet(t, "State", reflect.ValueOf(want))
@@ -208,7 +209,7 @@
 	}
 }
 
-// goldenDocument returns a document with every field set and no two fields of the same type equal.
+// goldenDocument returns a document with every field set. Within a struct, no two fields of the same type are equal.
 func goldenDocument() *Document {
 	return &Document{
 		Attempts: 3, RetryAfter: 2 * time.Second, OverQuotaPriority: 0.1,
--- a/internal/policy/lease.go
+++ b/internal/policy/lease.go
@@ -11,8 +11,8 @@
 // clockDrift is the largest fraction by which the clock of one machine may run fast or slow.
 const clockDrift = 0.01
 
-// Lease returns how long a node may serve by a leader's notice, counted from a moment at which that leader was
-// certainly the leader.
+// Lease returns how long a node may apply the document that a leader's notice names, counted from a moment at which
+// that leader was certainly the leader.
 func (r Rules) Lease(notice LeaderNotice) time.Duration {
 	window := min(r.Window, time.Duration(notice.Window)*time.Millisecond)
 	return time.Duration(float64(window) * (1 - 2*clockDrift)) // each of the two clocks may drift
@@ -23,7 +23,7 @@
 	_       struct{} `cbor:",toarray"`
 	Entry   uint64   // newest entry of the log that carries a State
 	InForce uint64   // number in force according to that entry
-	OnTrial uint64   // number that the canary serves by; 0: no canary
+	OnTrial uint64   // number that the canary applies; 0: no canary
 	Window  uint32   // of the leader's Rules, in milliseconds; if lists of nodes differ, the shorter one counts
 }
 
@@ -36,16 +36,16 @@
 	return notice
 }
 
-// Active is the document that a node may serve by.
+// Active is the document that a node may apply.
 type Active struct {
 	Number uint64
-	Text   []byte // the document; empty for number 0, with which the node serves by its own files
+	Text   []byte // the document; empty for number 0, with which the node uses its own files
 	Known  bool   // the node has the document; otherwise it can't serve
 }
 
-// ActiveFor returns the document that a node may serve by: the newest one that the node knows to be in force or, if the
-// node belongs to the canary, the one that the canary serves by. node is the node's number in the list of nodes. state
-// is the state on the node's disk, entry is the log entry that carries it. The leader's notice may be newer or older.
+// ActiveFor returns the document that a node may apply: the newest one that the node knows to be in force or, if the
+// node belongs to the canary, the one that the canary applies. node is the node's number in the list of nodes. state is
+// the state on the node's disk, entry is the log entry that carries it. The leader's notice may be newer or older.
 func ActiveFor(node int, zone string, entry uint64, state *State, notice LeaderNotice) Active {
 	inForce := max(state.Number, notice.InForce)
 	canaryNumber := NoticeOf(entry, state).OnTrial
--- a/internal/policy/member.go
+++ b/internal/policy/member.go
@@ -13,14 +13,14 @@
 )
 
 // MemberStatus is a member's report to the leader about the policy: its acknowledgement of the change in progress, the
-// number that it serves by, and its traffic.
+// number of the document that it applies, and its traffic.
 type MemberStatus struct {
 	_            struct{} `cbor:",toarray"`
 	Entry        uint64   // newest log entry with a State that is on the member's disk
-	Verdict      Verdict  // on the change of that entry
+	Verdict      Verdict  // the member's verdict on the change in that entry
 	Reason       string   // why the verdict is VerdictReject
 	KnownNumber  uint64   // number in force according to the newest state on the member's disk
-	ServedNumber uint64   // number that the member serves by
+	ServedNumber uint64   // number of the document that the member applies
 	MayServe     bool     // the member has a lease and the document
 	Arrived      float64  // requests since the process started
 	Rejected     float64  // requests among these that were rejected or failed
@@ -41,7 +41,7 @@
 	return m.HasStatus && m.Status.Entry == entry && m.Status.Verdict != VerdictPending
 }
 
-// serves reports whether the member serves by a number.
+// serves reports whether the member applies the document with a number.
 func (m *Member) serves(number uint64) bool {
 	return m.Status.MayServe && m.Status.ServedNumber == number
 }
@@ -54,8 +54,8 @@
 }
 
 // collectAcknowledgements summarizes the members' verdicts on the change in a log entry. The leader does not wait for
-// members that are not live, but their known numbers count for oldestKnown, since they may serve by their base
-// policies.
+// members that are not live, but their known numbers count for oldestKnown, since they may still use the base policies
+// of these documents.
 func collectAcknowledgements(members []Member, entry uint64, change *Change) acknowledgements {
 	sum := acknowledgements{oldestKnown: change.Number}
 	for i := range members {
--- a/internal/policy/rollout.go
+++ b/internal/policy/rollout.go
@@ -7,7 +7,7 @@
 type Rollout struct {
 	rules Rules
 
-	// The newest log entry with a state. Each new entry resets the fields below.
+	// The newest log entry with a state. A new entry resets all fields that follow.
 	entry             uint64
 	entrySeen         time.Duration // when this leader first saw the entry
 	unreachableSince  time.Duration // since when a live member's acknowledgement has been missing; 0: none is missing
@@ -37,7 +37,7 @@
 	if acks.rejectedBy != nil {
 		return state.abortFor(rejectedByMember{member: acks.rejectedBy.Name, reason: acks.rejectedBy.Status.Reason})
 	}
-	if acks.missing != nil { // in the canary stage too, since a member that joined meanwhile has to answer
+	if acks.missing != nil { // in the canary stage too, because a member that has joined since must also answer
 		return r.awaitAcknowledgement(now, state, acks.missing)
 	}
 	r.unreachableSince = 0
--- a/internal/policy/rollout_test.go
+++ b/internal/policy/rollout_test.go
@@ -40,8 +40,8 @@
 		name     string
 		canary   Canary
 		statuses []MemberStatus
-		dead     []int
-		after    time.Duration
+		notLive  []int         // members that are not live
+		after    time.Duration // when a second step follows the first; 0: no second step
 		want     string
 	}{
 		{"all members accept", Canary{}, []MemberStatus{accept, accept, accept}, nil, 0, "accepted"},
@@ -72,7 +72,7 @@
 				Name: fmt.Sprint("m", i), Node: i, Live: true, HasStatus: status != MemberStatus{}, Status: status,
 			})
 		}
-		for _, i := range test.dead {
+		for _, i := range test.notLive {
 			members[i].Live = false
 		}
 		rollout := NewRollout(Rules{Window: 5 * time.Second, AnswerTimeout: 10 * time.Second})
@@ -94,7 +94,7 @@
 	for _, test := range []struct {
 		name             string
 		rejected, others float64 // rejected of 100 requests, by the canary and by the other member
-		serves           uint64
+		serves           uint64  // number of the document that the canary applies
 		want             string
 	}{
 		{"same rejections as the other member", 2, 2, 5, "accepted"},
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -15,7 +15,7 @@
 const (
 	maxOutcomes  = 64  // outcomes of earlier changes
 	maxDocuments = 4   // documents that a rollback can name, including the one in force
-	maxBases     = 16  // base policies that members may still serve by
+	maxBases     = 16  // base policies that members may still use
 	maxReason    = 200 // bytes
 	maxID        = 48  // bytes
 )
@@ -26,7 +26,7 @@
 const (
 	// StageChecking lasts until all live members have acknowledged the change.
 	StageChecking Stage = iota
-	// StageCanary lasts while only the canary serves by the change.
+	// StageCanary lasts while only the canary applies the change.
 	StageCanary
 )
 
@@ -42,12 +42,12 @@
 // not modify it. They return a new state, which the leader proposes to the log.
 type State struct {
 	_          struct{}            `cbor:",toarray"`
-	Number     uint64              // in force; 0: no document was ever in force, and each node serves by its own files
+	Number     uint64              // in force; 0: no document was ever in force, and each node uses its own files
 	LastNumber uint64              // newest number that was assigned to a change; a number is never assigned twice
 	Documents  []VersionedDocument // oldest first; the last one is in force, the others were before
 	Change     *Change             // change in progress; nil: none
 	Ended      []ChangeOutcome     // outcomes of earlier changes, oldest first
-	Bases      []VersionedBase     // base policies that a listed member may still serve by, oldest first
+	Bases      []VersionedBase     // base policies that a listed member may still use, oldest first
 }
 
 // VersionedDocument is the text of a document that is or was in force.
@@ -104,6 +104,7 @@
 	return state, nil
 }
 
+// isConsistent reports whether the state's fields agree with each other and are within their limits.
 func (s *State) isConsistent() bool {
 	if s.Number > s.LastNumber || len(s.Ended) > maxOutcomes || len(s.Bases) > maxBases {
 		return false
@@ -111,6 +112,7 @@
 	return s.documentsConsistent() && (s.Change == nil || s.Change.isConsistentWith(s))
 }
 
+// documentsConsistent reports whether the documents are within their limits and the last one is the one in force.
 func (s *State) documentsConsistent() bool {
 	count := len(s.Documents)
 	if count > maxDocuments {
@@ -122,6 +124,7 @@
 	return !slices.ContainsFunc(s.Documents, func(d VersionedDocument) bool { return len(d.Text) > MaxTextBytes })
 }
 
+// isConsistentWith reports whether the change is valid and replaces the document that state s has in force.
 func (c *Change) isConsistentWith(s *State) bool {
 	return len(c.Text) <= MaxTextBytes && c.Number == s.LastNumber && c.Base == s.Number &&
 		c.ID != "" && len(c.ID) <= maxID && c.Stage <= StageCanary
@@ -141,8 +144,9 @@
 	return nil, false
 }
 
-// Find returns the outcome of the change with an id. known reports whether the state still holds a change with this id,
-// ended whether the change has ended. While the change is in progress, the outcome's reason is the change's stage.
+// Find returns the outcome of the change with an id. known reports whether the state still holds a change with this id.
+// ended reports whether the change has ended. While the change is in progress, the outcome's reason is the name of the
+// change's stage.
 func (s *State) Find(id string) (outcome ChangeOutcome, ended, known bool) {
 	for _, outcome := range s.Ended {
 		if outcome.ID == id {
@@ -155,6 +159,7 @@
 	return ChangeOutcome{}, false, false
 }
 
+// clone returns a copy of the state whose lists can be changed without changing s.
 func (s *State) clone() *State {
 	copied := *s
 	copied.Documents = slices.Clone(s.Documents)
@@ -163,12 +168,13 @@
 	return &copied
 }
 
+// base returns the decoded base policy.
 func (v VersionedBase) base() BasePolicy {
 	return BasePolicy{Attempts: v.Attempts, Deadline: time.Duration(v.Deadline) * time.Microsecond}
 }
 
-// equals reports whether two base policies allow the same. It compares deadlines in microseconds, the precision of the
-// encoded form.
+// equals reports whether v has the same attempts and deadline as base. It compares deadlines in microseconds, the
+// precision of the encoded form.
 func (v VersionedBase) equals(base BasePolicy) bool {
 	return v.Attempts == base.Attempts && v.Deadline == base.Deadline.Microseconds()
 }
--- a/internal/policy/state_test.go
+++ b/internal/policy/state_test.go
@@ -38,6 +38,8 @@
 	m.state = next
 }
 
+// commit commits the change in progress. It checks that no second change can begin before, that the change's document
+// is then in force, and that the change has not ended before.
 func (m *changeModel) commit(t *rapid.T) {
 	_, err := m.state.Propose("x", m.state.Number, []byte("x"), validDocument(), Canary{})
 	if !errors.Is(err, ErrChangeInProgress) {
@@ -51,6 +53,8 @@
 	m.ended[id] = true
 }
 
+// abort aborts the change in progress, with a reason longer than maxReason. It checks that the change has not ended
+// before.
 func (m *changeModel) abort(t *rapid.T) {
 	id := m.state.Change.ID
 	if m.ended[id] {
--- a/internal/policy/validate.go
+++ b/internal/policy/validate.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// Check returns all faults that prevent a fleet from serving by a document. The messages name the TOML keys.
+// Check returns all faults that prevent a fleet from applying a document. The messages name the TOML keys.
 func (d *Document) Check() []Fault {
 	var found faultList
 	d.checkLimits(&found)
@@ -79,7 +79,7 @@
 	found.addIf(len(d.Tenants) > maxTenants, "tenant", "%d tenants: must be at most %d", len(d.Tenants), maxTenants)
 }
 
-// checkBase checks the base policy. A document whose classes are all rejected without a lease doesn't need one.
+// checkBase checks the base policy, unless all classes are rejected without a lease. The base policy is then not used.
 func (d *Document) checkBase(found *faultList) {
 	used := false
 	for _, class := range d.Classes {
