--- a/internal/membership/detection.go
+++ b/internal/membership/detection.go
@@ -9,15 +9,18 @@
 	// HeartbeatInterval is the time between two heartbeats that a node sends to its watchers.
 	HeartbeatInterval = 500 * time.Millisecond
 
-	heartbeatTimeout = 2 * time.Second // time without a heartbeat, after four in a row were lost or late
-	stallThreshold   = time.Second     // a longer gap between two ticks means that this node itself was stalled
-	// minWatched is the number of watched nodes that a failure detector needs to recognize a fault of its own node's
-	// network.
+	// heartbeatTimeout is the time without a heartbeat after which a node counts as unreachable. Four heartbeats in a
+	// row were then lost or late.
+	heartbeatTimeout = 2 * time.Second
+	// stallThreshold limits the gap between two ticks. A longer gap means that this node itself was stalled.
+	stallThreshold = time.Second
+	// minWatched is the least number of watched nodes with which a failure detector can recognize a fault of its own
+	// node's network.
 	minWatched = 3
 
 	reportTTL = 3 * time.Second // how long a failure detector's report is valid
-	// settleTime is how long the cut detector collects suspicions before it removes nodes from the view, so that it
-	// removes nodes that fail together in one change.
+	// settleTime is how long a suspicion by too few watchers counts as undecided. The cut detector waits for undecided
+	// suspicions before it removes nodes from the view, so that it removes nodes that fail together in one change.
 	settleTime = time.Second
 	// maxSettleTime limits how long the removal of a failed node waits for undecided suspicions of other nodes.
 	maxSettleTime = 2 * settleTime
@@ -120,7 +123,7 @@
 	suspecting    int  // number of reporting watchers that report the node as unreachable
 	reporting     int  // number of its watchers that are in the view and have reported within reportTTL
 	reportsItself bool // the node itself has reported within reportTTL
-	failed        bool // more than half of the reporting watchers, and at least two or its only one, suspect the node
+	failed        bool // more than half of the reporting watchers suspect it, and at least two or its only watcher
 }
 
 // summarizeReports summarizes the reports about a node.
@@ -166,8 +169,8 @@
 			failed = append(failed, node)
 		}
 	}
-	// Undecided suspicions of other nodes may have the same cause, so the removal of failed nodes waits for them, at
-	// most for maxSettleTime.
+	// Undecided suspicions of other nodes may have the same cause. The removal of failed nodes therefore waits for
+	// them, but at most for maxSettleTime.
 	waitedLongEnough := func(node int) bool { return now-c.suspected[node] >= maxSettleTime }
 	if undecided && !slices.ContainsFunc(failed, waitedLongEnough) {
 		return changed
@@ -190,7 +193,7 @@
 )
 
 // updateSuspicion returns the suspicion of a node in the view, and records when the node was first suspected. A node
-// that itself sends reports is not suspected. A node that too few watchers suspect is not suspected after settleTime.
+// that itself sends reports is not suspected. Suspicion by too few watchers is ignored after settleTime.
 func (c *CutDetector) updateSuspicion(node int, summary reportSummary, now time.Duration) suspicion {
 	switch {
 	case summary.suspecting == 0 || summary.reportsItself:
--- a/internal/membership/detection_test.go
+++ b/internal/membership/detection_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// playReports lets nodes report for ten seconds which of the nodes that they watch are unreachable.
+// playReports makes the reporting nodes report for ten seconds which of the nodes that they watch are unreachable.
 func playReports(cut *CutDetector, reporting []int, unreachable func(from int) []int) (now time.Duration) {
 	for range 40 {
 		now += reportInterval
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files, only after an intended change of the form")
+var update = flag.Bool("update", false, "rewrite the golden files; use it only to add a new form")
 
 // TestGoldenList checks the numbers, zones, voters, keys and watchers of a list. All nodes of a fleet must compute the
 // same ones from the same list, whatever their version.
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -27,8 +27,8 @@
 	Voter  bool // the node is a replica of the replicated log
 }
 
-// List holds the nodes of a fleet, numbered in the order of their names. Its nodes do not change. A new list of nodes
-// needs another List. A List must be used by only one goroutine, because it computes watchers on demand.
+// List holds the nodes of a fleet, numbered in the order of their names. Its nodes do not change. Different nodes need
+// another List. A List must be used by only one goroutine, because it computes watchers on demand.
 type List struct {
 	nodes    []Node
 	numbers  map[string]int    // by name
@@ -112,8 +112,8 @@
 // Voter returns a node's index among the voters, or -1 if it is not a voter.
 func (l *List) Voter(i int) int { return slices.Index(l.voters, i) }
 
-// Key returns a hash of the names of two nodes, for rendezvous hashing. It gives each node an order of the other nodes.
-// All nodes compute the same order for a node, and the order differs from node to node.
+// Key returns a hash of the names of two nodes, for rendezvous hashing. Sorting the other nodes by their keys with one
+// node gives that node's order. All nodes compute the same order for a node, and the order differs from node to node.
 func (l *List) Key(a, b int) uint64 {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(l.nodes[a].Name)))
--- a/internal/membership/list_test.go
+++ b/internal/membership/list_test.go
@@ -37,7 +37,8 @@
 				watched[watcher]++
 			}
 			if len(watchers) != test.watchers || slices.Contains(watchers, node) || len(zones) < test.spread {
-				t.Errorf("%+v: Watchers(%d): got %v, want that many, from that many zones", test, node, watchers)
+				t.Errorf("%+v: Watchers(%d): got %v, want other nodes, as many and from as many zones as given",
+					test, node, watchers)
 			}
 		}
 		for watcher, count := range watched {
