--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -10,6 +10,7 @@
 
 var startTime = time.Unix(1e9, 0)
 
+// class returns a class whose idempotency keys are valid for 2 s.
 func class(idempotency choice.Idempotency, scope choice.Scope) choice.Class {
 	return choice.Class{
 		Name: "c", Idempotency: idempotency, IdempotencyScope: scope, IdempotencyWindow: 2 * time.Second,
@@ -32,14 +33,14 @@
 	draining    = Server{ID: "h", Zone: "a", Grace: 3 * time.Second, DrainingSince: startTime}
 )
 
-// attemptMayHaveRun starts, sends and ends an attempt, which may have run.
+// attemptMayHaveRun makes an attempt that is sent and ends, and that may have run at its server.
 func attemptMayHaveRun(r *Request) {
 	r.Start(server, startTime)
 	r.Send(server, startTime)
 	r.Ended(true)
 }
 
-// attemptNeverSent starts and ends an attempt without sending its first byte.
+// attemptNeverSent makes an attempt that ends before its first byte is sent, and that therefore can't have run.
 func attemptNeverSent(r *Request) {
 	r.Start(server, startTime)
 	r.Ended(true)
@@ -302,8 +303,8 @@
 	}
 }
 
-// TestSlowStartForbidsSendInFullWindow checks that an attempt at a server in slow start may start, but may not be sent
-// once the window is full.
+// TestSlowStartForbidsSendInFullWindow checks that an attempt at a server in slow start may start, but that its first
+// byte may not be sent once the window is full.
 func TestSlowStartForbidsSendInFullWindow(t *testing.T) {
 	request := (&Monitor{}).NewRequest(RequestFacts{ID: "q", MaxAttempts: 1, Deadline: startTime.Add(time.Second)})
 	warmingUp := Server{ID: "h", SlowStart: &CallWindow{Window: time.Second}, Budget: -1}
@@ -334,6 +335,6 @@
 		t.Errorf("Each: got %d counts, want one for each step and each rule", len(seen))
 	}
 	if seen["checked close"] != 1 || seen["broken unanswered"] != 1 || seen["broken cut_off"] != 0 {
-		t.Errorf("Each: got %v, want one checked close and one broken unanswered", seen)
+		t.Errorf("Each: got %v, want one checked close, one broken unanswered and no broken cut_off", seen)
 	}
 }
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -6,7 +6,7 @@
 	"spurwinch/choice"
 )
 
-// AnswerSlack is how long after a request's deadline a final answer is still on time.
+// AnswerSlack is how long after a request's deadline a final answer still counts as on time.
 const AnswerSlack = 500 * time.Millisecond
 
 // RequestFacts holds what is known about a request when it is read.
@@ -29,7 +29,7 @@
 	Grace         time.Duration // how long after DrainingSince attempts may still be sent
 	// SlowStart counts the calls of this node to the server since the server started; nil: the server is warm.
 	SlowStart *CallWindow
-	Budget    float64 // calls that all nodes together may send within SlowStart's window; unused if that is nil
+	Budget    float64 // calls that all nodes together may now send within SlowStart's window; unused if that is nil
 }
 
 // Request is one request of a client, from the time it is read until its connection ends.
@@ -48,7 +48,7 @@
 
 	answered   bool // the request has its final answer
 	clientGone bool
-	open       bool // the connection is open beyond its answer
+	open       bool // the connection stays open after the answer
 }
 
 // NewRequest returns a Request that the monitor checks from now on.
@@ -169,7 +169,8 @@
 	return r.check(Close, rule, "")
 }
 
-// mayReject reports whether a retry elsewhere would be harmless. An attempt in flight may still run at its server.
+// mayReject reports whether the node may promise that a retry elsewhere is harmless. An attempt in flight whose first
+// byte was sent may still run at its server.
 func (r *Request) mayReject() bool {
 	mayStillRun := r.inFlight && !r.sentAt.IsZero()
 	if !r.mayHaveRun && !mayStillRun {
@@ -207,8 +208,7 @@
 	ByClient Ending = iota
 	// ByServer means that the server ended it.
 	ByServer
-	// ByNode means that the node ends it, after a last message of its own. The message is an answer or a request to
-	// reconnect.
+	// ByNode means that the node ended it, after a last message of its own: an answer or a request to reconnect.
 	ByNode
 )
 
@@ -226,7 +226,7 @@
 	return r.check(Close, rule, r.sentTo.ID)
 }
 
-// check lets the monitor count a step of the request.
+// check passes a step of the request to the monitor, which counts it, and returns the rule.
 func (r *Request) check(step Step, rule Rule, server string) Rule {
 	return r.monitor.check(Violation{Rule: rule, Step: step, Request: r.ID, Server: server})
 }
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -1,6 +1,6 @@
 package invariant
 
-// Rule is a promise to clients and servers that a step can break.
+// Rule identifies a promise to clients and servers that a step can break.
 type Rule uint8
 
 const (
@@ -23,11 +23,11 @@
 	UnsafeRejection
 	// ClientGone forbids an attempt for a client that has left.
 	ClientGone
-	// ServerDraining forbids an attempt at a server after the grace period since it began to drain.
+	// ServerDraining forbids an attempt at a draining server after its grace period.
 	ServerDraining
-	// SlowStart forbids more calls to a server in slow start than the budget of all nodes together.
+	// SlowStart forbids more calls to a server in slow start than the budget allows to all nodes together.
 	SlowStart
-	// ClosedWithoutMigration forbids that the node ends an open connection without asking its client to reconnect.
+	// ClosedWithoutMigration forbids the node to end an open connection without asking its client to reconnect.
 	ClosedWithoutMigration
 
 	ruleCount
--- a/internal/invariant/slow_start.go
+++ b/internal/invariant/slow_start.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A server may by chance get more calls than its budget. The slack for this is used both as a number of standard
-// deviations and as a number of calls. It is wider for a small budget.
+// A server may by chance get more calls than its budget. The slack for this is added twice: as a number of standard
+// deviations and as a number of calls. It is larger for a small budget.
 const (
 	smallBudget      = 30 // calls
 	smallBudgetSlack = 3
--- a/internal/trace/reason.go
+++ b/internal/trace/reason.go
@@ -22,7 +22,8 @@
 	Unreachable Reason = "standing_host_unreachable"
 	// LostByBalancer means that the balancer did not answer by the deadline.
 	LostByBalancer Reason = "lost_by_module"
-	// UnsafeToReject means that the invariant monitor objected to the balancer's promise that a retry is harmless.
+	// UnsafeToReject means that the balancer decided to promise that a retry is harmless, but the invariant monitor
+	// objected.
 	UnsafeToReject Reason = "unsafe_to_refuse"
 )
 
