--- a/internal/loop/close.go
+++ b/internal/loop/close.go
@@ -8,21 +8,24 @@
 )
 
 const (
-	// flushTimeout is for what still waits when a connection ends: a server that ended must be seen within a second.
+	// flushTimeout bounds how long an ending connection may take to write its pending data. It is below one second
+	// because the end of a server must become visible within a second.
 	flushTimeout = 900 * time.Millisecond
-	// lingerTimeout is for the other side's end, once ours is sent and nothing more comes.
+	// lingerTimeout bounds the wait for the peer's FIN after this side's FIN was sent, while the peer sends nothing.
 	lingerTimeout = time.Second
-	// While the other side still sends, its bytes are discarded a little longer: closing over them would be a reset,
-	// which may eat the answer before it is read. 60 MB at full speed take a fraction of this.
+	// While the peer still sends, its bytes are discarded for up to maxLinger. Closing a socket with unread bytes sends
+	// a reset, and the peer may then lose a reply that it has not read yet. Receiving 60 MB at full speed takes a
+	// fraction of maxLinger.
 	maxLinger    = 5 * time.Second
 	maxDiscarded = 128 << 20 // bytes
 )
 
-// discardBuffer takes bytes that are discarded. The kernel writes nothing there (MSG_TRUNC), so it costs no memory.
+// discardBuffer is passed to reads whose bytes are discarded. The kernel writes nothing into it (MSG_TRUNC), so it
+// occupies no memory.
 var discardBuffer [256 << 10]byte
 
-// End sends what waits and then the end of the connection (FIN). What still comes from the other side is read and
-// discarded for a moment, since closing over unread bytes would turn the end into a reset.
+// End sends the pending data and then the end of the connection (FIN). Bytes that the peer still sends are read and
+// discarded for a moment, since closing a socket with unread bytes would send a reset instead.
 func (c *Conn) End() {
 	if c.closed || c.ending {
 		return
@@ -44,7 +47,8 @@
 	c.closeWrite()
 }
 
-// Cancel is End for a connection on which nothing more must go out: what waits is dropped, and with it the connection.
+// Cancel is End for a connection on which no more data may be sent. If data is pending, Cancel drops it and resets the
+// connection.
 func (c *Conn) Cancel() {
 	if len(c.pending) > 0 {
 		c.Abort()
@@ -53,20 +57,20 @@
 	}
 }
 
-// Abort cuts the connection off (RST); what waits is dropped.
+// Abort resets the connection (RST) and drops its pending data.
 func (c *Conn) Abort() {
 	if c.closed {
 		return
 	}
 	if c.fd >= 0 {
-		// Without the option it ends with a FIN, which cuts it off as well.
+		// If the option can't be set, the connection is closed with a FIN, which ends it as well.
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 	c.close()
 }
 
-// fail closes a connection that failed and reports it to the handler. Data that the socket still holds is read first:
-// the peer's last answer may be there.
+// fail closes a connection that failed and reports the error to the handler. It first reads the data that the socket
+// still holds, which may contain the peer's last reply.
 func (c *Conn) fail(err error) {
 	if !c.closed && !c.failing {
 		c.failing = true
@@ -81,21 +85,22 @@
 	}
 }
 
-// closeWrite sends the end of this side (FIN), and waits for the peer's.
+// closeWrite sends this side's FIN and waits for the peer's.
 func (c *Conn) closeWrite() {
 	if c.peerEnded {
 		c.close()
 		return
 	}
 	c.writeClosed = true
-	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // where the connection is broken, lingering finds that
+	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // linger detects a broken connection
 	c.cancelTimer()
 	c.lingerDeadline = c.loop.Now().Add(maxLinger)
 	c.linger()
 	c.updateWatch()
 }
 
-// linger waits for the peer's end, for as long as it sends within maxLinger and maxDiscarded.
+// linger waits up to lingerTimeout for the peer's FIN. lingerExpired prolongs the wait while the peer sends, up to
+// maxLinger and maxDiscarded.
 func (c *Conn) linger() {
 	c.receivedInLinger = false
 	until := c.loop.Now().Add(lingerTimeout)
@@ -105,8 +110,9 @@
 	c.stopTimer = c.loop.At(until, c.lingerExpired)
 }
 
+// lingerExpired closes the connection, or prolongs the wait if bytes arrived during it.
 func (c *Conn) lingerExpired() {
-	for range maxReads { // closing over what lies there would be a reset
+	for range maxReads { // closing the socket with unread bytes would send a reset
 		if !c.discard() {
 			break
 		}
@@ -120,7 +126,8 @@
 	}
 }
 
-// discard takes what comes after the end of this side, and reports whether there was any.
+// discard reads and discards bytes that arrive after End was called. It reports whether it discarded any and the
+// connection is still open.
 func (c *Conn) discard() bool {
 	size, err := c.loop.discard(c.fd, discardBuffer[:])
 	switch {
@@ -144,6 +151,7 @@
 	return false
 }
 
+// close closes the socket and releases what the loop holds for the connection. It does not call the handler.
 func (c *Conn) close() {
 	if c.closed {
 		return
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -12,46 +12,47 @@
 )
 
 const (
-	// maxPending guards memory against a source that ignores Full: such a connection is cut off.
+	// maxPending bounds the pending data of a connection, in bytes, to protect memory from a source that ignores Full:
+	// a connection that would exceed it fails.
 	maxPending = 1 << 20
-	// maxReads bounds the reads of one look into a socket, so that no sender can hold the loop.
+	// maxReads bounds the consecutive reads from one socket, so that no sender can monopolize the loop.
 	maxReads = 8
 )
 
 // Handler receives the events of a connection. After OnEnd with an error other than io.EOF the connection is closed;
-// after io.EOF the peer sends no more, but can still be written to. After End or Abort nothing is called.
+// after io.EOF the peer sends no more data, but can still be written to. No method is called after End or Abort.
 type Handler interface {
-	OnConnect()         // a dialled connection is up
-	OnData(data []byte) // data is the loop's: keep no reference to it
+	OnConnect()         // a dialled connection is established
+	OnData(data []byte) // data belongs to the loop and must not be retained
 	OnEnd(err error)
 	OnDrained() // all pending data was written to the kernel
 }
 
 // Conn is one stream connection.
 type Conn struct {
-	Peer netip.Addr // of a connection accepted or taken over; not valid where there is none
+	Peer netip.Addr // the remote address of an accepted or restored connection; invalid if it has none
 
 	loop             *Loop
-	fd               int // -1: a dial has no socket yet
+	fd               int // -1 while a dial has no socket yet
 	handler          Handler
-	pending          []byte // not written yet
+	pending          []byte // data that the kernel has not taken yet
 	connected        bool
-	peerEnded        bool // the other side sends no more
+	peerEnded        bool // the peer sends no more data
 	paused           bool
 	ending           bool // End was called
-	writeClosed      bool // our end is sent
+	writeClosed      bool // this side's FIN was sent
 	closed           bool
-	writeFailed      bool // a write failed: not all that was to be written is with the kernel
-	failing          bool // fail was called: what lay in the socket was read
-	uncounted        bool // not among the loop's open connections
-	detached         bool // nothing here uses its socket: see Detach
+	writeFailed      bool // a write failed, so the kernel did not get all the data
+	failing          bool // fail was called or a read failed: fail must not read the socket again
+	uncounted        bool // not counted among the loop's open connections
+	detached         bool // this process must not use the socket: see Detach
 	onDescriptors    func(fds []int)
-	watched          int // what the poller watches: a sum of watchRead and watchWrite
+	watched          int // events that the poller watches: a sum of watchRead and watchWrite
 	stopTimer        func()
-	idleElement      *list.Element // in the queue of connections that may be evicted
-	lingerDeadline   time.Time     // ending: closed by then whatever still comes
-	discarded        int           // ending: bytes that came and were discarded
-	receivedInLinger bool          // ending: bytes came since the timer was set
+	idleElement      *list.Element // position in the queue of connections that may be evicted
+	lingerDeadline   time.Time     // ending: closed by then even if the peer still sends
+	discarded        int           // ending: number of bytes that were received and discarded
+	receivedInLinger bool          // ending: bytes arrived since the linger timer was set
 }
 
 const (
@@ -59,7 +60,7 @@
 	watchWrite = 2
 )
 
-// newConn makes a connection of a connected socket.
+// newConn returns a connection for a connected socket.
 func (l *Loop) newConn(fd int, uncounted bool) *Conn {
 	if !uncounted {
 		l.open++
@@ -67,18 +68,18 @@
 	return &Conn{loop: l, fd: fd, connected: true, uncounted: uncounted}
 }
 
-// SetHandler hands the connection's callbacks to another handler.
+// SetHandler makes another handler receive the connection's events.
 func (c *Conn) SetHandler(handler Handler) { c.handler = handler }
 
 // Full reports whether so much data is pending that its source should be paused until OnDrained.
 func (c *Conn) Full() bool { return len(c.pending) > c.loop.highWater }
 
-// Sent reports whether all data was written to the kernel. It stays true to the end of the connection.
+// Sent reports whether all data was written to the kernel. It stays true after the connection has ended.
 func (c *Conn) Sent() bool { return c.connected && len(c.pending) == 0 && !c.writeFailed }
 
-// Write writes data, and queues what the kernel does not take yet.
+// Write writes data and queues the part that the kernel does not take yet.
 func (c *Conn) Write(data []byte) {
-	// Nothing may follow what a failed write has lost: the other side would find bytes missing in the middle.
+	// After a failed write nothing more is written: the peer would receive a stream with bytes missing in the middle.
 	if c.closed || c.writeClosed || c.ending || c.writeFailed || len(data) == 0 {
 		return
 	}
@@ -105,28 +106,28 @@
 	c.updateWatch()
 }
 
-// failLater reports a failure found while writing, once the present callback has returned.
+// failLater calls fail once the present callback has returned.
 func (c *Conn) failLater(err error) {
 	c.loop.At(c.loop.Now(), func() {
-		if !c.detached { // detached meanwhile: it shows again to whoever has it
+		if !c.detached { // if detached meanwhile, the process that holds the socket gets the error itself
 			c.fail(err)
 		}
 	})
 }
 
-// Pause stops reading; Resume goes on.
+// Pause stops reading until Resume is called.
 func (c *Conn) Pause() {
 	c.paused = true
 	c.updateWatch()
 }
 
-// Resume goes on reading after Pause.
+// Resume continues reading after Pause.
 func (c *Conn) Resume() {
 	c.paused = false
 	c.updateWatch()
 }
 
-// updateWatch has the poller watch for what is wanted now.
+// updateWatch makes the poller watch the events that the connection's present state needs.
 func (c *Conn) updateWatch() {
 	if c.closed || c.fd < 0 || c.detached {
 		return
@@ -141,24 +142,26 @@
 	if wanted == c.watched {
 		return
 	}
-	l := c.loop
-	err := l.kernel.Watch(l.poller, c.fd, c.watched, wanted)
+	eventLoop := c.loop
+	err := eventLoop.kernel.Watch(eventLoop.poller, c.fd, c.watched, wanted)
 	switch {
 	case err == nil:
 		c.watched = wanted
-	case isResourceShortage(err): // what the poller watches now is not known: nothing, to begin with
-		_ = l.kernel.Watch(l.poller, c.fd, c.watched, 0) // the next call finds what this one leaves
+	case isResourceShortage(err):
+		// It is unknown what the poller watches now, so the socket is removed from it first. If that fails too, the
+		// next call deals with it.
+		_ = eventLoop.kernel.Watch(eventLoop.poller, c.fd, c.watched, 0)
 		c.watched = 0
-		l.At(l.Now().Add(transientRetryPause), c.updateWatch)
+		eventLoop.At(eventLoop.Now().Add(transientRetryPause), c.updateWatch)
 	default:
 		c.watched = wanted
 		c.failLater(err)
 	}
 }
 
-// handleEvents handles what the poller has found.
+// handleEvents handles events that the poller reported for the socket.
 func (c *Conn) handleEvents(events uint32) {
-	if c.detached { // an event that was due already: another process reads the socket now
+	if c.detached { // the poller reported the event before Detach; another process reads the socket now
 		return
 	}
 	if !c.connected {
@@ -174,7 +177,7 @@
 	}
 }
 
-// flush writes what waits.
+// flush writes pending data.
 func (c *Conn) flush() {
 	written, err := c.loop.write(c.fd, c.pending)
 	if written > 0 {
@@ -195,9 +198,9 @@
 	c.updateWatch()
 }
 
-// ReadAvailable reads the data that the socket holds now, before a decision that this may change. It must not be called
-// from within OnData, whose bytes it would overwrite. The handler may be called by it, and the connection have ended
-// when it returns.
+// ReadAvailable reads the data that the socket holds now, before a decision that depends on it. It must not be called
+// from within OnData, whose data it would overwrite. It may call the handler, and the connection may have ended when it
+// returns.
 func (c *Conn) ReadAvailable() {
 	for range maxReads {
 		if c.closed || c.ending || c.detached || c.paused || c.peerEnded || !c.connected || !c.read() {
@@ -206,7 +209,7 @@
 	}
 }
 
-// read reads once and reports whether there was anything.
+// read reads once and reports whether it found data, the peer's end or an error.
 func (c *Conn) read() bool {
 	if c.ending {
 		return c.discard()
@@ -220,7 +223,7 @@
 		c.fail(os.NewSyscallError("read", err))
 	case size == 0:
 		c.peerEnded = true
-		if c.failing { // the failed write has consumed the socket's error: fail reports that, and not an end
+		if c.failing { // a failed write consumed the socket's error, so this is no orderly end: fail reports that error
 			return false
 		}
 		c.updateWatch()
--- a/internal/loop/datagram.go
+++ b/internal/loop/datagram.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	datagramBurst = 64 // datagrams taken in one go; the rest wait for the next round
-	// datagramMemory is the bytes that the system counts for a short datagram that waits to be read.
+	datagramBurst = 64 // datagrams read in a row; the others wait for the next poll
+	// datagramMemory is the number of bytes that the kernel charges to the receive buffer for a short unread datagram.
 	datagramMemory = 1 << 10
 )
 
-// Datagrams is a UDP socket on the loop. It has no queue of its own: a datagram that the kernel doesn't take is lost,
-// as it may be in the network.
+// Datagrams is a UDP socket on the loop. It has no send queue: a datagram that the kernel doesn't take is lost, as it
+// may be in the network.
 type Datagrams struct {
 	loop    *Loop
 	fd      int
@@ -23,32 +23,32 @@
 	reading bool
 }
 
-// DatagramHandler takes a datagram. Its data is the loop's: keep no reference to it.
+// DatagramHandler handles a received datagram. The data belongs to the loop and must not be retained.
 type DatagramHandler = func(from netip.AddrPort, data []byte)
 
-// ListenDatagrams receives datagrams at an address from now on. Of a datagram longer than maxSize bytes, handle gets
-// the first maxSize+1, by which it can recognize it.
+// ListenDatagrams starts to receive datagrams at an address. If a datagram is longer than maxSize bytes, handle gets
+// its first maxSize+1 bytes, by which it can recognize that the datagram is too long.
 func (l *Loop) ListenDatagrams(
 	address string, maxSize int, handle DatagramHandler,
 ) (*Datagrams, netip.AddrPort, error) {
 	bound, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, bound, fmt.Errorf("datagram address %q: %w", address, err)
+		return nil, bound, fmt.Errorf("invalid datagram address %q: %w", address, err)
 	}
 	local, family := toSockaddr(bound)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, bound, fmt.Errorf("datagrams at %s: %w", address, err)
+		return nil, bound, fmt.Errorf("receive datagrams at %s: %w", address, err)
 	}
-	setOption(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) // a process started beside this one sends from here too
+	setOption(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) // lets a second process of the node send from this address too
 	if err = unix.Bind(fd, local); err != nil {
 		closeFD(fd)
-		return nil, bound, fmt.Errorf("datagrams at %s: %w", address, err)
+		return nil, bound, fmt.Errorf("receive datagrams at %s: %w", address, err)
 	}
 	return l.AdoptDatagrams(fd, maxSize, handle)
 }
 
-// AdoptDatagrams is ListenDatagrams for a socket that is bound already.
+// AdoptDatagrams is like ListenDatagrams, for a socket that is already bound.
 func (l *Loop) AdoptDatagrams(fd, maxSize int, handle DatagramHandler) (*Datagrams, netip.AddrPort, error) {
 	var bound netip.AddrPort
 	if local, err := unix.Getsockname(fd); err == nil {
@@ -69,26 +69,26 @@
 	if err := d.SetReading(true); err != nil {
 		delete(l.handlers, fd)
 		closeFD(fd)
-		return nil, bound, fmt.Errorf("datagrams at %s: %w", bound, err)
+		return nil, bound, fmt.Errorf("receive datagrams at %s: %w", bound, err)
 	}
 	return d, bound, nil
 }
 
-// SetReceiveBuffer sizes the kernel's receive buffer for a number of short datagrams, as far as the system allows a
-// process. Further ones are lost until some are read.
+// SetReceiveBuffer makes the kernel's receive buffer large enough for a number of short datagrams, within the system's
+// limit for a process. When the buffer is full, the kernel drops datagrams until some are read.
 func (d *Datagrams) SetReceiveBuffer(datagrams int) {
 	wanted := datagrams * datagramMemory
 	present, err := unix.GetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_RCVBUF)
 	if err == nil && present < wanted {
-		err = unix.SetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, wanted/2) // the system doubles it
+		err = unix.SetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, wanted/2) // the kernel doubles the value
 	}
 	if err != nil {
 		zap.L().Debug("datagram_receive_buffer_not_set", zap.Error(err))
 	}
 }
 
-// SetReading says whether datagrams are read here. Where two processes hold one socket, only one of them may: each
-// datagram is read once.
+// SetReading sets whether this process reads datagrams. If two processes hold the socket, only one of them may read,
+// since each datagram can be read only once.
 func (d *Datagrams) SetReading(reading bool) error {
 	if reading == d.reading {
 		return nil
@@ -106,19 +106,20 @@
 
 // Close closes the socket.
 func (d *Datagrams) Close() {
-	_ = d.SetReading(false) // the poller forgets a descriptor that is closed
+	_ = d.SetReading(false) // closing the descriptor removes it from the poller in any case
 	delete(d.loop.handlers, d.fd)
 	closeFD(d.fd)
 }
 
-// FD is the socket's descriptor, to send to another process.
+// FD returns the socket's descriptor, for the transfer to another process.
 func (d *Datagrams) FD() int { return d.fd }
 
-// Send sends a datagram. After an error it is lost; the caller may ignore that as it would a loss in the network.
+// Send sends a datagram. If it returns an error, the datagram is lost; the caller may ignore that like a loss in the
+// network.
 func (d *Datagrams) Send(to netip.AddrPort, data []byte) error {
 	address, family := toSockaddr(to)
 	if family != d.family {
-		return fmt.Errorf("datagram to %s: not of the socket's address family", to)
+		return fmt.Errorf("send datagram to %s: the address is not of the socket's address family", to)
 	}
 	_, err := uninterrupted(func() (int, error) { return 0, unix.Sendto(d.fd, data, 0, address) })
 	return err
--- a/internal/loop/dial.go
+++ b/internal/loop/dial.go
@@ -9,32 +9,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial starts a connection that must be established by the deadline. A failure is reported to the handler's OnEnd,
-// never before Dial has returned: a LocalError after a shortage on this machine, for which Dial retries until the
-// deadline, ErrTimeout, or what the network has reported.
+// Dial starts to connect to an IP:PORT address. The connection must be established by the deadline. A failure is
+// reported to the handler's OnEnd, never before Dial has returned. The error is ErrTimeout, an error from the network,
+// or a LocalError if this machine is short of a resource, in which case Dial retries until the deadline.
 func (l *Loop) Dial(address string, deadline time.Time, handler Handler) *Conn {
 	c := &Conn{loop: l, fd: -1, handler: handler}
 	server, err := netip.ParseAddrPort(address)
 	if err != nil {
-		c.failLater(fmt.Errorf("address %q: %w", address, err))
+		c.failLater(fmt.Errorf("invalid address %q: %w", address, err))
 		return c
 	}
 	c.dial(server, deadline)
 	return c
 }
 
-// dial begins to connect, and retries while this machine is short of resources or has no route.
+// dial starts to connect, and retries while this machine is short of resources or has no route to the server.
 func (c *Conn) dial(server netip.AddrPort, deadline time.Time) {
 	eventLoop := c.loop
 	err := c.startConnect(server)
-	retry := eventLoop.Now().Add(transientRetryPause)
+	retryAt := eventLoop.Now().Add(transientRetryPause)
 	switch {
 	case err == nil:
 		eventLoop.handlers[c.fd] = c.handleEvents
 		c.updateWatch()
 		c.stopTimer = eventLoop.At(deadline, func() { c.fail(ErrTimeout) })
-	case (isResourceShortage(err) || isOneOf(err, unix.ENETUNREACH)) && retry.Before(deadline):
-		c.stopTimer = eventLoop.At(retry, func() { c.dial(server, deadline) })
+	case (isResourceShortage(err) || isOneOf(err, unix.ENETUNREACH)) && retryAt.Before(deadline):
+		c.stopTimer = eventLoop.At(retryAt, func() { c.dial(server, deadline) })
 	case isResourceShortage(err):
 		c.stopTimer = eventLoop.At(eventLoop.Now(), func() { c.fail(&LocalError{err}) })
 	default:
@@ -42,7 +42,7 @@
 	}
 }
 
-// startConnect makes the connection's socket and begins to connect it. Without an error it is under way.
+// startConnect creates the connection's socket and starts to connect it. If it returns nil, the connect is in progress.
 func (c *Conn) startConnect(server netip.AddrPort) error {
 	address, family := toSockaddr(server)
 	fd, err := c.loop.kernel.Socket(family)
@@ -51,7 +51,7 @@
 	}
 	setOptions(fd)
 	err = c.loop.kernel.Connect(fd, address)
-	if err != nil && !isOneOf(err, unix.EINPROGRESS, unix.EINTR) { // one that is interrupted goes on by itself
+	if err != nil && !isOneOf(err, unix.EINPROGRESS, unix.EINTR) { // an interrupted connect continues in the kernel
 		closeFD(fd)
 		return os.NewSyscallError("connect", err)
 	}
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// finishConnect is called when a connect may have ended. An event can be left over from an earlier connection of the
-// same descriptor, so the socket itself is asked.
+// finishConnect is called when a connect may have ended. The event may be left over from an earlier connection with the
+// same descriptor number, so finishConnect queries the socket itself.
 func (c *Conn) finishConnect() {
 	code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
--- a/internal/loop/doc.go
+++ b/internal/loop/doc.go
@@ -1,9 +1,8 @@
-// Package loop is the one event loop of a process: gnet's poller under connections that are objects with callbacks,
-// with non-blocking dialling, accepting, datagrams and timers. All callbacks run on the loop's goroutine, which owns
-// the state of the whole program; nothing is started for a single connection. Other goroutines reach it through Post
-// alone.
+// Package loop is the single event loop of a process. It provides connections with callbacks, non-blocking dialling,
+// listeners, datagrams and timers. All callbacks run on the loop's goroutine, which owns the state of the whole
+// program; no goroutine is started for a single connection. Other goroutines hand work to the loop only through Post.
 //
-// It stands on gnet's poller (pkg/netpoll) and not on gnet's engine. The engine was tried and lacks three things that
-// the node can't do without: a connect that doesn't block, a pause in reading (back-pressure), and outliving an
-// accept that fails for want of descriptors.
+// The package uses gnet's poller (pkg/netpoll) and not gnet's engine. The engine was tried and lacks three features
+// that the node needs: a connect that doesn't block, a pause in reading (back-pressure), and a listener that survives
+// an accept that fails because no descriptor is left.
 package loop
--- a/internal/loop/errors.go
+++ b/internal/loop/errors.go
@@ -7,33 +7,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// Classes of failed system calls: failures of the peer or of the network end a connection; failures of this machine are
-// transient, and the call is retried.
+// Failed system calls are of two classes. Failures of the peer or of the network end the connection. Failures of this
+// machine are transient, and the loop retries the call.
 
 const (
-	maxInterrupts       = 64                   // of one call in a row; after that it counts as one that would block
-	transientRetryPause = 5 * time.Millisecond // before a call is retried that failed for a shortage on this machine
+	// maxInterrupts bounds the consecutive interrupts of a call, after which it is treated as a call that would block.
+	maxInterrupts = 64
+	// transientRetryPause is the pause before a call is retried that failed because of a shortage on this machine.
+	transientRetryPause = 5 * time.Millisecond
 )
 
 var (
-	// ErrTimeout says that a connection was not made in time.
-	ErrTimeout = errors.New("not connected in time")
+	// ErrTimeout is reported if a connection was not established by its deadline.
+	ErrTimeout = errors.New("connection not established by the deadline")
 
-	errTooMuchPending  = errors.New("too much waits to be written")
-	errNotAllWritten   = errors.New("earlier bytes wait to be written, or the connection is closed")
-	errDescriptorsLost = errors.New("descriptors were lost on the way: no room for them here")
+	errTooMuchPending  = errors.New("too much pending data")
+	errNotAllWritten   = errors.New("earlier data is still pending, or the connection is closed")
+	errDescriptorsLost = errors.New("received descriptors were lost: this process has no free descriptors")
 )
 
-// LocalError is the error of a dial that failed for a shortage on this machine (see isResourceShortage): it is no
-// evidence against the server.
+// LocalError is the error of a dial that failed because of a shortage on this machine (see isResourceShortage). It is
+// no evidence against the server.
 type LocalError struct{ cause error }
 
-// Error names the failed call.
+// Error describes the failed call.
 func (e *LocalError) Error() string {
-	return "not connected for want of something here: " + e.cause.Error()
+	return "not connected because of a resource shortage on this machine: " + e.cause.Error()
 }
 
-// Unwrap is the cause.
+// Unwrap returns the error of the failed call.
 func (e *LocalError) Unwrap() error { return e.cause }
 
 // IsLocal reports whether an error is a LocalError.
@@ -42,6 +44,7 @@
 	return errors.As(err, &local)
 }
 
+// isOneOf reports whether an error is one of the given error numbers.
 func isOneOf(err error, codes ...unix.Errno) bool {
 	for _, code := range codes {
 		if errors.Is(err, code) {
@@ -51,21 +54,21 @@
 	return false
 }
 
-// isResourceShortage reports whether a call failed because this machine is short of something for a moment:
-// descriptors, memory, ports.
+// isResourceShortage reports whether a call failed because this machine is temporarily short of a resource such as
+// descriptors, memory or ports.
 func isResourceShortage(err error) bool {
 	return isOneOf(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EADDRNOTAVAIL,
 		unix.EAGAIN)
 }
 
-// IsTransient reports whether a call may succeed if it is retried: it failed for a shortage on this machine, an
-// interruption, or an error of its disk.
+// IsTransient reports whether a call may succeed if it is retried, because it failed with a resource shortage on this
+// machine, an interrupt or a disk error.
 func IsTransient(err error) bool {
 	return isResourceShortage(err) || isOneOf(err, unix.EINTR, unix.EIO, unix.ESTALE)
 }
 
-// uninterrupted makes a call until no signal interrupts it. One that the kernel has no memory for has done nothing,
-// as one that would block.
+// uninterrupted repeats a call while signals interrupt it, up to maxInterrupts times. If the kernel had no memory for
+// the call, it returns EAGAIN, since the call had no effect, like one that would block.
 func uninterrupted(call func() (int, error)) (count int, err error) {
 	for range maxInterrupts {
 		count, err = call()
@@ -88,5 +91,5 @@
 }
 
 func (l *Loop) discard(fd int, into []byte) (int, error) {
-	return uninterrupted(func() (int, error) { return l.kernel.Drop(fd, into) })
+	return uninterrupted(func() (int, error) { return l.kernel.Discard(fd, into) })
 }
--- a/internal/loop/idle.go
+++ b/internal/loop/idle.go
@@ -2,37 +2,37 @@
 
 import "container/list"
 
-// Eviction of idle connections. Clients that connect and send nothing, or stay connected after their answer, could
-// occupy all descriptors. So they are in one queue, oldest first, and above a number of open connections the oldest is
-// evicted whenever another one is accepted or needs a descriptor.
+// Eviction of idle connections. Clients that connect and send nothing, or stay connected after their reply, could
+// occupy all descriptors. The loop therefore keeps them in one queue, oldest first. When the number of open connections
+// is above a limit, it evicts the oldest whenever another connection is accepted or needs a descriptor.
 
 const (
 	minHighWater = 4 << 10  // bytes
 	maxHighWater = 64 << 10 // bytes
-	// pendingMemoryPart is the part of the memory, as a divisor, that may wait to be written on all connections
-	// together.
-	pendingMemoryPart = 8
+	// All connections together may use 1/pendingMemoryDivisor of the memory for pending data.
+	pendingMemoryDivisor = 8
 )
 
-// Evictable is a handler whose connection may be evicted while it is idle. Evict is called to send a last answer; the
-// connection is closed right after.
+// Evictable is a handler whose connection may be evicted while it is idle. Evict is called to send a last reply; the
+// connection is closed as soon as that is written.
 type Evictable interface{ Evict() }
 
-// Limit sets the number of connections from which on idle ones are evicted, and sizes the buffers so that all of
-// maxConnections fit the memory (bytes). 0: not known. Of several limits the tightest holds.
+// Limit sets the number of open connections above which idle ones are evicted, and sizes the write buffers so that
+// those of maxConnections connections fit into the memory (in bytes). 0 means unknown. Of several calls, the lowest
+// idleAbove holds.
 func (l *Loop) Limit(idleAbove, maxConnections int, memory int64) {
 	if idleAbove > 0 && (l.ownIdleLimit == 0 || idleAbove < l.ownIdleLimit) {
 		l.idleLimit = idleAbove
 		l.ownIdleLimit = idleAbove
 	}
 	if maxConnections > 0 && memory > 0 {
-		each := memory / pendingMemoryPart / int64(maxConnections)
-		l.highWater = int(min(max(each, minHighWater), maxHighWater))
+		perConnection := memory / pendingMemoryDivisor / int64(maxConnections)
+		l.highWater = int(min(max(perConnection, minHighWater), maxHighWater))
 	}
 }
 
-// SetIdleLimit sets the number for a node that may share its descriptors with another process, as it is now. What Limit
-// set holds beside it. 0: none is evicted.
+// SetIdleLimit sets the present number of open connections above which idle ones are evicted, for a node that may share
+// its descriptors with another process. A lower limit set by Limit still holds. 0: no connection is evicted.
 func (l *Loop) SetIdleLimit(idleAbove int) {
 	l.idleLimit = idleAbove
 	if l.ownIdleLimit > 0 {
@@ -41,10 +41,11 @@
 	l.enforceIdleLimit()
 }
 
-// Idle counts the connections that may be evicted.
+// Idle returns the number of connections that may be evicted.
 func (l *Loop) Idle() int { return l.idleQueue.Len() }
 
-// EachIdle calls fn for the handler of each connection that may be evicted, the oldest first. fn changes none of them.
+// EachIdle calls fn with the handler of each connection that may be evicted, oldest first. fn must not change the
+// queue.
 func (l *Loop) EachIdle(fn func(Handler)) {
 	for element := l.idleQueue.Front(); element != nil; element = element.Next() {
 		c := connOf(element)
@@ -54,18 +55,19 @@
 	}
 }
 
+// connOf returns the connection of an element of the idle queue.
 func connOf(element *list.Element) *Conn {
-	return element.Value.(*Conn) //nolint:forcetypeassert // the queue holds connections alone
+	return element.Value.(*Conn) //nolint:forcetypeassert // the queue holds only connections
 }
 
-// EnterIdleQueue puts a connection at the end of the queue of those that may be evicted.
+// EnterIdleQueue appends the connection to the queue of those that may be evicted.
 func (c *Conn) EnterIdleQueue() {
 	if !c.closed && !c.uncounted && c.idleElement == nil {
 		c.idleElement = c.loop.idleQueue.PushBack(c)
 	}
 }
 
-// LeaveIdleQueue takes a connection out of the queue: it has a request now, and is not evicted.
+// LeaveIdleQueue removes the connection from the queue, so that it is not evicted: it has a request now.
 func (c *Conn) LeaveIdleQueue() {
 	if c.idleElement != nil {
 		c.loop.idleQueue.Remove(c.idleElement)
@@ -73,8 +75,8 @@
 	}
 }
 
-// CloseIdle evicts all idle connections, at a graceful shutdown. Data that their sockets hold is read first: a
-// connection that so gets a request stays.
+// CloseIdle evicts all idle connections during a graceful shutdown. It first reads the data that their sockets hold: a
+// connection whose request is found there is not evicted.
 func (l *Loop) CloseIdle() {
 	var idle []*Conn
 	for element := l.idleQueue.Front(); element != nil; element = element.Next() {
@@ -90,20 +92,20 @@
 	}
 }
 
-// enforceIdleLimit evicts the oldest idle connections, until there are few enough connections.
+// enforceIdleLimit evicts the oldest idle connections until the limit is met or no connection is idle.
 func (l *Loop) enforceIdleLimit() {
 	if l.idleLimit > 0 {
 		l.EvictIdle(l.idleLimit)
 	}
 }
 
-// EvictIdle evicts the oldest idle connections, until there are no more than open connections or none that is idle.
-// Data that their sockets hold is read first: within OnData, its data is overwritten when EvictIdle returns.
+// EvictIdle evicts the oldest idle connections until at most open connections are left or none is idle. It first reads
+// the data that their sockets hold, so it overwrites the data of an OnData from which it is called.
 func (l *Loop) EvictIdle(open int) {
 	for element := l.idleQueue.Front(); element != nil && l.open > open; {
 		c := connOf(element)
 		if c.detached || c.ending && len(c.pending) > 0 {
-			// Another process may have it already, or the rest of its answer goes out yet.
+			// Another process may already serve it, or the rest of its reply is still being written.
 			element = element.Next()
 			continue
 		}
@@ -112,8 +114,8 @@
 	}
 }
 
-// evict ends an idle connection. Data that its socket holds is read first: a client whose request has arrived must not
-// be evicted because the loop has not read it yet.
+// evict ends an idle connection. It first reads the data that the socket holds: a client whose request has arrived must
+// not be evicted only because the loop has not read the request yet.
 func (c *Conn) evict(element *list.Element) {
 	c.ReadAvailable()
 	if c.closed || c.idleElement != element {
@@ -121,7 +123,7 @@
 	}
 	if handler, ok := c.handler.(Evictable); ok && !c.ending {
 		handler.Evict()
-		if len(c.pending) > 0 { // the rest of its answer is written first
+		if len(c.pending) > 0 { // the rest of its reply is written first
 			return
 		}
 	}
--- a/internal/loop/listen.go
+++ b/internal/loop/listen.go
@@ -9,30 +9,31 @@
 	"golang.org/x/sys/unix"
 )
 
+// listenBacklog is the number of connections that may wait to be accepted.
 const listenBacklog = 1024
 
-// Listener is a listening socket on the loop. Another process may have the socket open as well; each connection is then
-// accepted by one of them.
+// Listener is a listening socket on the loop. If another process also has the socket open, each connection is accepted
+// by one of the two.
 type Listener struct {
-	Addr netip.AddrPort // none for a Unix socket
-	// ReusePort says that another process listened at the address when this socket was made.
+	Addr netip.AddrPort // the zero value for a Unix socket
+	// ReusePort is true if another process listened at the address when this socket was created.
 	ReusePort bool
 
 	loop      *Loop
 	fd        int
 	accept    func(*Conn) Handler
-	uncounted bool // its connections are not among the loop's open ones
+	uncounted bool // its connections are not counted among the loop's open connections
 	listening bool
 }
 
-// Listen accepts connections at an address from now on; accept gives each its handler. A nil handler closes it. A
-// process of the same user that listens there already in this way goes on.
+// Listen starts to accept connections at an address. accept returns the handler of a connection; if it returns nil, the
+// connection is closed. A process of the same user that already listens at the address through Listen keeps listening.
 func (l *Loop) Listen(address string, accept func(*Conn) Handler) (*Listener, error) {
 	return l.listen(address, listenBacklog, accept, false)
 }
 
-// ListenApart is Listen for connections that are uncounted: they are not among the loop's open ones, evict nobody and
-// are never evicted. The caller bounds them; backlog bounds those that wait to be accepted.
+// ListenApart is like Listen, for uncounted connections: they are not counted among the loop's open connections, cause
+// no eviction and are never evicted. The caller must bound their number. backlog bounds those that wait to be accepted.
 func (l *Loop) ListenApart(address string, backlog int, accept func(*Conn) Handler) (*Listener, error) {
 	return l.listen(address, backlog, accept, true)
 }
@@ -40,10 +41,11 @@
 func (l *Loop) listen(address string, backlog int, accept func(*Conn) Handler, uncounted bool) (*Listener, error) {
 	bound, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, fmt.Errorf("listen address %q: %w", address, err)
+		return nil, fmt.Errorf("invalid listen address %q: %w", address, err)
 	}
 	listener := &Listener{Addr: bound, loop: l, accept: accept, uncounted: uncounted}
-	if !uncounted { // bound alone first, since binding to a shared address doesn't show whether another socket is there
+	if !uncounted {
+		// The first bind is exclusive, since a shared bind doesn't show whether another socket is bound to the address.
 		fd, err := bindSocket(bound, false)
 		if err == nil {
 			closeFD(fd)
@@ -65,7 +67,7 @@
 	return listener, nil
 }
 
-// bindSocket creates a TCP socket that is bound to an address; shared lets several sockets be bound to it
+// bindSocket creates a TCP socket and binds it to an address. shared allows several sockets to be bound to the address
 // (SO_REUSEPORT).
 func bindSocket(address netip.AddrPort, shared bool) (int, error) {
 	local, family := toSockaddr(address)
@@ -74,7 +76,7 @@
 		return -1, err
 	}
 	setOption(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if shared { // from the first start on: the kernel requires it of all sockets at an address
+	if shared { // also for the first process: the kernel requires the option of all sockets at an address
 		setOption(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	}
 	if err := unix.Bind(fd, local); err != nil {
@@ -84,80 +86,80 @@
 	return fd, nil
 }
 
-// Adopt is Listen for a socket that another process listens on and has transferred.
+// Adopt is like Listen, for a listening socket that another process has transferred.
 func (l *Loop) Adopt(fd int, accept func(*Conn) Handler) (*Listener, error) {
 	listener := &Listener{loop: l, fd: fd, accept: accept}
 	if err := listener.watch(); err != nil {
-		return nil, fmt.Errorf("transferred listening socket: %w", err)
+		return nil, fmt.Errorf("adopt transferred listening socket: %w", err)
 	}
 	return listener, nil
 }
 
-// watch begins to accept.
-func (k *Listener) watch() error {
-	local, err := unix.Getsockname(k.fd)
+// watch starts to accept connections.
+func (ln *Listener) watch() error {
+	local, err := unix.Getsockname(ln.fd)
 	if err != nil {
 		return err
 	}
-	k.Addr = toAddrPort(local)
-	if err := k.loop.kernel.Watch(k.loop.poller, k.fd, 0, watchRead); err != nil {
+	ln.Addr = toAddrPort(local)
+	if err := ln.loop.kernel.Watch(ln.loop.poller, ln.fd, 0, watchRead); err != nil {
 		return err
 	}
-	k.listening = true
-	k.loop.handlers[k.fd] = func(uint32) { k.acceptReady() }
+	ln.listening = true
+	ln.loop.handlers[ln.fd] = func(uint32) { ln.acceptReady() }
 	return nil
 }
 
-// FD is the socket's descriptor, to send to another process.
-func (k *Listener) FD() int { return k.fd }
+// FD returns the socket's descriptor, for the transfer to another process.
+func (ln *Listener) FD() int { return ln.fd }
 
-// Close closes the socket. Where another process has it open as well, pending connections stay for that one.
-func (k *Listener) Close() {
-	if k.listening {
-		k.listening = false
-		k.loop.unwatch(k.fd)
-		delete(k.loop.handlers, k.fd)
-		closeFD(k.fd)
+// Close closes the socket. If another process also has it open, that process accepts the pending connections.
+func (ln *Listener) Close() {
+	if ln.listening {
+		ln.listening = false
+		ln.loop.unwatch(ln.fd)
+		delete(ln.loop.handlers, ln.fd)
+		closeFD(ln.fd)
 	}
 }
 
-// PreferNewest has the kernel give new connections to the newer of two listeners at the address, and has no effect
-// where this one is alone. Pending connections are still accepted here; without this, more would be pending when the
-// listener closes, and be reset.
-func (k *Listener) PreferNewest() {
-	if !k.listening {
+// PreferNewest makes the kernel give new connections to the newer of two listeners at the address. It has no effect if
+// this listener is the only one. Pending connections are still accepted here. Without PreferNewest more connections
+// would be pending when this listener closes, and they would be reset.
+func (ln *Listener) PreferNewest() {
+	if !ln.listening {
 		return
 	}
-	selectSecond := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}} // the second socket of the group
+	selectSecond := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}} // index of the group's second socket
 	program := &unix.SockFprog{Len: uint16(len(selectSecond)), Filter: &selectSecond[0]}
-	err := unix.SetsockoptSockFprog(k.fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, program)
+	err := unix.SetsockoptSockFprog(ln.fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, program)
 	if err != nil {
 		zap.L().Debug("listener_preference_not_set", zap.Error(err))
 	}
 }
 
-// acceptReady accepts what waits. An accept that fails for a moment is made again.
-func (k *Listener) acceptReady() {
+// acceptReady accepts pending connections. It retries an accept that failed temporarily.
+func (ln *Listener) acceptReady() {
 	for range acceptBurst {
-		if !k.listening {
+		if !ln.listening {
 			return
 		}
-		fd, from, err := k.loop.kernel.Accept(k.fd)
+		fd, from, err := ln.loop.kernel.Accept(ln.fd)
 		exhausted := false
 		if isOneOf(err, unix.EMFILE, unix.ENFILE) {
-			fd, from, err = k.loop.acceptWithSpare(k.fd)
-			exhausted = k.loop.spareFD < 0
+			fd, from, err = ln.loop.acceptWithSpare(ln.fd)
+			exhausted = ln.loop.spareFD < 0
 		}
 		switch {
 		case errors.Is(err, unix.EAGAIN):
 			return
-		case isOneOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO): // at most that one connection is gone
+		case isOneOf(err, unix.EINTR, unix.ECONNABORTED, unix.EPROTO): // at most one pending connection is lost
 			continue
 		case err != nil:
-			k.pauseAccepting(err)
+			ln.pauseAccepting(err)
 			return
 		}
-		c := k.serve(fd, from)
+		c := ln.serve(fd, from)
 		if exhausted && c != nil {
 			zap.L().Warn("descriptors_exhausted")
 			c.evict(c.idleElement)
@@ -165,29 +167,29 @@
 	}
 }
 
-// serve makes a connection of an accepted socket and gives it to its handler; nil: accept returned none, and it is
-// closed.
-func (k *Listener) serve(fd int, from unix.Sockaddr) *Conn {
+// serve creates the connection of an accepted socket and assigns its handler. If accept returns no handler, serve
+// closes the connection and returns nil.
+func (ln *Listener) serve(fd int, from unix.Sockaddr) *Conn {
 	setOptions(fd)
-	conn := k.loop.newConn(fd, k.uncounted)
+	conn := ln.loop.newConn(fd, ln.uncounted)
 	conn.Peer = toAddrPort(from).Addr()
-	if !k.uncounted {
-		k.loop.enforceIdleLimit()
+	if !ln.uncounted {
+		ln.loop.enforceIdleLimit()
 	}
-	conn.handler = k.accept(conn)
+	conn.handler = ln.accept(conn)
 	if conn.handler == nil {
 		conn.Abort()
 		return nil
 	}
 	conn.EnterIdleQueue()
-	k.loop.handlers[fd] = conn.handleEvents
+	ln.loop.handlers[fd] = conn.handleEvents
 	conn.updateWatch()
 	return conn
 }
 
-// acceptWithSpare accepts a connection in place of the spare descriptor, when there is no other left: its client gets
-// an answer, and the listener does not spin. Where descriptors were exhausted for a moment only, the spare is opened
-// again at once.
+// acceptWithSpare closes the spare descriptor and accepts a connection in its place when no other descriptor is left.
+// The client then gets a reply, and the listener does not spin. If descriptors were exhausted only for a moment, the
+// spare is opened again at once.
 func (l *Loop) acceptWithSpare(listener int) (fd int, from unix.Sockaddr, err error) {
 	if l.spareFD < 0 {
 		l.openSpare()
@@ -202,20 +204,20 @@
 	return fd, from, err
 }
 
-// pauseAccepting stops watching the listener for transientRetryPause: a pending connection that can't be accepted would
-// wake the loop again and again.
-func (k *Listener) pauseAccepting(cause error) {
+// pauseAccepting stops watching the listener for transientRetryPause, since a pending connection that can't be accepted
+// would wake the loop again and again.
+func (ln *Listener) pauseAccepting(cause error) {
 	zap.L().Warn("accept_failed", zap.Error(cause))
-	k.loop.unwatch(k.fd)
-	k.loop.At(k.loop.Now().Add(transientRetryPause), k.resume)
+	ln.loop.unwatch(ln.fd)
+	ln.loop.At(ln.loop.Now().Add(transientRetryPause), ln.resume)
 }
 
 // resume watches the listener again after pauseAccepting.
-func (k *Listener) resume() {
-	if !k.listening {
+func (ln *Listener) resume() {
+	if !ln.listening {
 		return
 	}
-	if err := k.loop.kernel.Watch(k.loop.poller, k.fd, 0, watchRead); err != nil {
-		k.pauseAccepting(err)
+	if err := ln.loop.kernel.Watch(ln.loop.poller, ln.fd, 0, watchRead); err != nil {
+		ln.pauseAccepting(err)
 	}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	readSize    = 16 << 10 // bytes that one read takes at the most
-	acceptBurst = 64       // connections accepted in one go; the rest wait for the next round
+	readSize    = 16 << 10 // maximum bytes of one read
+	acceptBurst = 64       // connections accepted in a row; the others wait for the next poll
 )
 
-// Loop runs callbacks. All methods but Post belong to the loop's goroutine, or to the time before Run.
+// Loop is an event loop that runs callbacks. All methods except Post must be called on the loop's goroutine, or while
+// Run is not running.
 type Loop struct {
 	poller        *netpoll.Poller
 	kernel        Kernel
@@ -26,69 +27,69 @@
 	posts         *postQueue
 	timerFD       int
 	timerArmedFor time.Time
-	timersYielded bool // late timers wait for what lies ready
+	timersYielded bool // late timers wait until the events that are ready have been handled
 	afterCallback []func()
 	readBuffer    [readSize]byte
-	spareFD       int // reserved, to answer a client when no other descriptor is left; -1: none
+	spareFD       int // reserved, to reply to a client when no other descriptor is left; -1: none
 	stopping      bool
-	open          int
+	open          int       // counted connections that are open
 	idleQueue     list.List // of *Conn that may be evicted, oldest first: see idle.go
-	idleLimit     int       // connections from which on they are evicted; 0: never
-	ownIdleLimit  int       // the same, when no other process shares the node's descriptors
-	highWater     int       // bytes that wait to be written on a connection before its source should pause
+	idleLimit     int       // open connections above which idle ones are evicted; 0: never
+	ownIdleLimit  int       // the limit while no other process shares the node's descriptors; 0: none
+	highWater     int       // pending bytes of a connection above which its source should pause
 }
 
-// New makes a loop that is not running yet.
+// New returns a loop that is not running yet.
 func New() (*Loop, error) { return NewOn(Linux{}) }
 
-// NewOn makes a loop on another kernel.
+// NewOn is like New, with another implementation of the system calls.
 func NewOn(kernel Kernel) (*Loop, error) {
 	poller, err := netpoll.OpenPoller()
 	if err != nil {
-		return nil, fmt.Errorf("loop: %w", err)
+		return nil, fmt.Errorf("event loop: %w", err)
 	}
 	created := &Loop{
 		poller: poller, kernel: kernel, handlers: map[int]func(uint32){}, spareFD: -1, highWater: maxHighWater,
 	}
 	created.timerFD, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("loop: timerfd: %w", err)
+		return nil, fmt.Errorf("event loop: timerfd: %w", err)
 	}
-	if err := created.watchOwn(created.timerFD, created.timerReady); err != nil {
+	if err := created.watchInternal(created.timerFD, created.timerReady); err != nil {
 		return nil, err
 	}
 	if created.posts, err = newPostQueue(); err != nil {
-		return nil, fmt.Errorf("loop: %w", err)
+		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	if err := created.watchOwn(created.posts.fd, created.runPosted); err != nil {
+	if err := created.watchInternal(created.posts.fd, created.runPosted); err != nil {
 		return nil, err
 	}
 	created.openSpare()
 	return created, nil
 }
 
-// watchOwn has the poller watch a descriptor of the loop itself.
-func (l *Loop) watchOwn(fd int, ready func(events uint32)) error {
+// watchInternal makes the poller watch a descriptor that the loop itself uses.
+func (l *Loop) watchInternal(fd int, ready func(events uint32)) error {
 	l.handlers[fd] = ready
 	if err := l.poller.AddRead(&netpoll.PollAttachment{FD: fd}, false); err != nil {
-		return fmt.Errorf("loop: %w", err)
+		return fmt.Errorf("event loop: %w", err)
 	}
 	return nil
 }
 
-// Now is the time, from the system's clocks.
+// Now returns the present time of the system's clocks.
 func (l *Loop) Now() time.Time { return time.Now() }
 
-// Open counts the connections, those of clients and those to servers.
+// Open returns the number of open connections from clients and to servers. Uncounted connections are not included.
 func (l *Loop) Open() int { return l.open }
 
-// After adds a function that runs whenever a callback has returned.
+// After registers a function that runs after every callback.
 func (l *Loop) After(fn func()) { l.afterCallback = append(l.afterCallback, fn) }
 
-// Post runs fn on the loop; any goroutine may call it.
+// Post runs fn on the loop's goroutine. Any goroutine may call it.
 func (l *Loop) Post(fn func()) { l.posts.add(fn) }
 
-// runPosted runs what other goroutines have posted.
+// runPosted runs the posted functions.
 func (l *Loop) runPosted(uint32) {
 	for _, fn := range l.posts.take() {
 		fn()
@@ -96,10 +97,10 @@
 	}
 }
 
-// Stop ends Run.
+// Stop makes Run return.
 func (l *Loop) Stop() { l.stopping = true }
 
-// Run runs until Stop.
+// Run handles events until Stop is called.
 func (l *Loop) Run() error {
 	l.finishRound()
 	err := l.poller.Polling(func(fd int, events netpoll.IOEvent, _ netpoll.IOFlags) error {
@@ -118,10 +119,10 @@
 	return err
 }
 
-// Serves reports whether a descriptor is one of the loop's.
+// Serves reports whether the loop handles a descriptor.
 func (l *Loop) Serves(fd int) bool { return l.handlers[fd] != nil }
 
-// Close closes all descriptors of the loop, as the end of the process would. It is called once Run has returned.
+// Close closes all descriptors of the loop, as the end of the process would. It must be called after Run has returned.
 func (l *Loop) Close() {
 	delete(l.handlers, l.posts.fd)
 	l.posts.close()
@@ -129,26 +130,27 @@
 		closeFD(fd)
 	}
 	clear(l.handlers)
-	_ = l.poller.Close() // nothing runs on it any more
+	_ = l.poller.Close() // the poller is no longer used
 	if l.spareFD >= 0 {
 		closeFD(l.spareFD)
 		l.spareFD = -1
 	}
 }
 
-// runAfterCallback runs what is to run whenever a callback has returned.
+// runAfterCallback runs the functions that After has registered.
 func (l *Loop) runAfterCallback() {
 	for _, fn := range l.afterCallback {
 		fn()
 	}
 }
 
+// finishRound completes the handling of one event.
 func (l *Loop) finishRound() {
 	l.runAfterCallback()
 	l.armTimer()
 }
 
-// openSpare opens the reserved descriptor, if there is one left.
+// openSpare opens the spare descriptor, if the process has a descriptor left.
 func (l *Loop) openSpare() {
 	fd, err := unix.Open(os.DevNull, unix.O_RDONLY|unix.O_CLOEXEC, 0)
 	if err != nil {
--- a/internal/loop/post.go
+++ b/internal/loop/post.go
@@ -8,13 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// postQueue holds the functions that other goroutines have the loop run. It wakes the loop by a descriptor of its own,
-// not by gnet's: there an interrupted write leaves the flag set that the loop was woken, and no later one wakes it.
+// postQueue holds the functions that goroutines post to the loop. It wakes the loop through its own descriptor and not
+// through gnet's: if a signal interrupts gnet's write, gnet's flag that the loop was woken stays set, and no later post
+// wakes the loop.
 type postQueue struct {
 	fd      int // an eventfd, readable while functions wait
 	mu      sync.Mutex
 	waiting []func()
-	closed  bool // the descriptor's number may belong to another file by now
+	closed  bool // the descriptor's number may belong to another file now
 }
 
 func newPostQueue() (*postQueue, error) {
@@ -25,7 +26,7 @@
 	return &postQueue{fd: fd}, nil
 }
 
-// add has the loop run fn, unless the loop is closed.
+// add queues fn and wakes the loop. It drops fn if the loop is closed.
 func (p *postQueue) add(fn func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -35,7 +36,7 @@
 	p.waiting = append(p.waiting, fn)
 	one := [8]byte{1}
 	for {
-		// EAGAIN says that the counter is full: then it is readable, which is all that is wanted.
+		// EAGAIN means that the eventfd's counter is full. The descriptor is readable then, which suffices.
 		if _, err := unix.Write(p.fd, one[:]); !errors.Is(err, unix.EINTR) {
 			return
 		}
@@ -52,10 +53,11 @@
 	}
 }
 
-// take returns what waits, in the order in which it was added.
+// take removes and returns the waiting functions, in the order in which they were added.
 func (p *postQueue) take() []func() {
 	var count [8]byte
-	// Before the functions are taken; where it is interrupted, the next poll finds the descriptor again.
+	// The counter must be reset before the functions are taken. If the read is interrupted, the next poll reports the
+	// descriptor again.
 	_, _ = unix.Read(p.fd, count[:])
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/loop/socket.go
+++ b/internal/loop/socket.go
@@ -8,28 +8,28 @@
 
 // IsStreamSocket reports whether a descriptor is a stream socket.
 func IsStreamSocket(fd int) bool {
-	kind, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
-	return err == nil && kind == unix.SOCK_STREAM
+	socketType, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
+	return err == nil && socketType == unix.SOCK_STREAM
 }
 
-// CloseAll closes descriptors that nobody serves.
+// CloseAll closes descriptors that the loop does not serve.
 func CloseAll(fds []int) {
 	for _, fd := range fds {
 		closeFD(fd)
 	}
 }
 
-// closeFD closes a descriptor. It is closed whatever close returns, so there is nothing to do about an error.
+// closeFD closes a descriptor. It ignores an error, since the descriptor is closed even if close returns one.
 func closeFD(fd int) { _ = unix.Close(fd) }
 
-// setNonblock has calls on a descriptor return instead of waiting. It fails only for what is no descriptor, as the next
-// call on it shows.
+// setNonblock makes a descriptor non-blocking. It fails only for an invalid descriptor, with which the next call fails
+// too.
 func setNonblock(fd int) { _ = unix.SetNonblock(fd, true) }
 
-// setOption sets an option that a socket also works without.
+// setOption sets an option of a socket. It ignores an error, since the socket also works without the option.
 func setOption(fd, level, option, value int) { _ = unix.SetsockoptInt(fd, level, option, value) }
 
-// setOptions has small writes go out at once, and the kernel notice in minutes peers that vanished.
+// setOptions makes the kernel send small writes immediately, and detect a peer that vanished within minutes.
 func setOptions(fd int) {
 	setOption(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	setOption(fd, unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1)
@@ -37,7 +37,7 @@
 	setOption(fd, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, 20)
 }
 
-// toSockaddr returns an address as the kernel takes it, and its address family.
+// toSockaddr converts an address to the form of system calls and returns its address family.
 func toSockaddr(address netip.AddrPort) (sockaddr unix.Sockaddr, family int) {
 	port := int(address.Port())
 	if address.Addr().Is4() {
@@ -46,7 +46,7 @@
 	return &unix.SockaddrInet6{Port: port, Addr: address.Addr().As16()}, unix.AF_INET6
 }
 
-// toAddrPort returns an address that the kernel gave; the zero value for one that is not of the Internet.
+// toAddrPort converts an address from a system call. It returns the zero value unless the address is IPv4 or IPv6.
 func toAddrPort(sockaddr unix.Sockaddr) netip.AddrPort {
 	switch inet := sockaddr.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/loop/timer.go
+++ b/internal/loop/timer.go
@@ -8,17 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// timerTolerance is how late a timer may be and still count as on time. A later one lets all that lies ready go first.
+// timerTolerance is how late a timer may run and still count as on time. Timers that are later than this run after the
+// events that are ready.
 const timerTolerance = 2 * time.Millisecond
 
+// timer is a callback that runs at a time.
 type timer struct {
 	due      time.Time
 	sequence uint64
 	callback func()
-	position int // in the heap; -1: it is not there
+	position int // index in the heap; -1: not in the heap
 }
 
-// timers is a heap.Interface. Of two that are due at the same time the one that was set first comes first.
+// timers is a heap.Interface. If two timers are due at the same time, the one that was set first comes first.
 type timers struct {
 	heap     []*timer
 	sequence uint64
@@ -38,7 +40,7 @@
 }
 
 func (t *timers) Push(added any) {
-	last := added.(*timer) //nolint:forcetypeassert // heap.Push is called with timers alone
+	last := added.(*timer) //nolint:forcetypeassert // heap.Push is called only with timers
 	last.position = len(t.heap)
 	t.heap = append(t.heap, last)
 }
@@ -52,12 +54,12 @@
 	return last
 }
 
-// pop takes out the timer that is due next.
+// pop removes and returns the timer that is due next.
 func (t *timers) pop() *timer {
-	return heap.Pop(t).(*timer) //nolint:forcetypeassert // the heap holds timers alone
+	return heap.Pop(t).(*timer) //nolint:forcetypeassert // the heap holds only timers
 }
 
-// At runs fn at a time, never before the present callback has returned. The function that it returns cancels it.
+// At runs fn at the time due, but never before the present callback has returned. stop cancels the timer.
 func (l *Loop) At(due time.Time, fn func()) (stop func()) {
 	l.timers.sequence++
 	added := &timer{due: due, sequence: l.timers.sequence, callback: fn}
@@ -69,9 +71,10 @@
 	}
 }
 
-// timerReady runs the timers that are due. Late ones go last: on a small part of a core an answer and the time set
-// for it are found in one poll, and whichever the kernel names first must not decide. Their descriptor is left unread
-// then, so that the next poll finds it again.
+// timerReady runs the timers that are due. Late timers run after the other events that are ready: when the process has
+// only a small part of a core, one poll may report both a reply and its timeout, and the order in which the kernel
+// lists them must not decide which one is handled first. To delay the late timers, timerReady leaves their descriptor
+// unread, so that the next poll reports it again.
 func (l *Loop) timerReady(uint32) {
 	late := len(l.timers.heap) > 0 && time.Since(l.timers.heap[0].due) > timerTolerance
 	if late && !l.timersYielded {
@@ -79,19 +82,21 @@
 		return
 	}
 	var expirations [8]byte
-	_, _ = unix.Read(l.timerFD, expirations[:]) // where it is interrupted, the next poll finds it once more
+	_, _ = unix.Read(l.timerFD, expirations[:]) // if interrupted, the next poll reports the descriptor again
 	l.timerArmedFor = time.Time{}
 	l.runTimers()
 }
 
+// runTimers runs the timers that are due.
 func (l *Loop) runTimers() {
 	l.timersYielded = false
 	now := time.Now()
-	last := l.timers.sequence // what these callbacks set waits for the next round, so that none can hold the loop
+	// Timers that these callbacks set wait for the next round, so that no callback can monopolize the loop.
+	lastSequence := l.timers.sequence
 	var nextRound []*timer
 	for len(l.timers.heap) > 0 && !l.timers.heap[0].due.After(now) {
 		next := l.timers.pop()
-		if next.sequence > last {
+		if next.sequence > lastSequence {
 			nextRound = append(nextRound, next)
 			continue
 		}
@@ -103,7 +108,7 @@
 	}
 }
 
-// armTimer has the timer's descriptor become ready when the next timer is due.
+// armTimer makes the timer descriptor become readable when the next timer is due.
 func (l *Loop) armTimer() {
 	if len(l.timers.heap) == 0 || l.timersYielded {
 		return
@@ -113,10 +118,10 @@
 		return
 	}
 	l.timerArmedFor = due
-	left := max(time.Until(due), time.Microsecond) // 0 would disarm it
-	spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(left))}
+	remaining := max(time.Until(due), time.Microsecond) // 0 would disarm the descriptor
+	spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(remaining))}
 	if err := unix.TimerfdSettime(l.timerFD, 0, &spec, nil); err != nil {
-		l.timerArmedFor = time.Time{} // set again after the next callback
+		l.timerArmedFor = time.Time{} // armTimer sets it again after the next callback
 		zap.L().Error("loop_timer_failed", zap.Error(err))
 	}
 }
--- a/internal/loop/transfer.go
+++ b/internal/loop/transfer.go
@@ -6,23 +6,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connections that are transferred to another process. A detached one is off the poller: nothing here reads or writes
-// it. It is reattached, or released once another process has a copy of its socket.
+// Transfer of connections to another process. A detached connection is removed from the poller, and this process
+// neither reads nor writes it. It is either reattached, or released once another process has a copy of its socket.
 
-// ConnectionState is what a process knows of a connection beside its socket.
+// ConnectionState is the state of a connection that a process keeps in addition to the socket.
 type ConnectionState struct {
-	Out    []byte `cbor:"1,keyasint,omitempty"` // waits to be written
+	Out    []byte `cbor:"1,keyasint,omitempty"` // data that is not written yet
 	Paused bool   `cbor:"2,keyasint,omitempty"`
 }
 
-// Times are transferred as durations from now, since the other process's wall clock may be stepped before or while it
-// runs.
+// Times are transferred as durations from the present time, since the wall clock may be stepped before or while the
+// other process runs.
 
-// TimeLeft encodes a time for another process: nanoseconds until it, at least one.
+// TimeLeft encodes a time for another process as the nanoseconds until then, at least one.
 func TimeLeft(now, at time.Time) int64 { return max(1, int64(at.Sub(now))) }
 
-// TimeFromLeft decodes a time that another process has encoded by TimeLeft, at most longest from now. A release that
-// sends Unix time only (unixNano) leaves left at 0.
+// TimeFromLeft decodes a time that another process encoded with TimeLeft. The result is at most longest from now. A
+// release that sends only Unix time (unixNano) leaves left at 0.
 func TimeFromLeft(now time.Time, left, unixNano int64, longest time.Duration) time.Time {
 	if left == 0 {
 		left = int64(time.Unix(0, unixNano).Sub(now))
@@ -30,8 +30,8 @@
 	return now.Add(min(max(time.Duration(left), 0), longest))
 }
 
-// Detach takes an established connection off the poller and returns its socket and state. ok is false for one that is
-// ending, has ended, or had a write fail.
+// Detach removes an established connection from the poller and returns its socket and state. ok is false if the
+// connection is ending, has ended, had a failed write or is already detached.
 func (c *Conn) Detach() (fd int, state ConnectionState, ok bool) {
 	if c.closed || c.ending || c.peerEnded || c.writeFailed || !c.connected || c.detached {
 		return -1, state, false
@@ -44,7 +44,7 @@
 	return c.fd, ConnectionState{Out: c.pending, Paused: c.paused}, true
 }
 
-// Reattach has a detached connection go on here.
+// Reattach makes this process serve a detached connection again.
 func (c *Conn) Reattach() {
 	if c.detached {
 		c.detached = false
@@ -52,15 +52,15 @@
 	}
 }
 
-// Release closes this process's copy of a detached connection's socket. The connection stays open by the other
-// process's.
+// Release closes this process's copy of a detached connection's socket. The copy of the other process keeps the
+// connection open.
 func (c *Conn) Release() {
 	if c.detached {
 		c.close()
 	}
 }
 
-// Restore has the loop serve a connection that another process has transferred, with what that one knew of it.
+// Restore makes the loop serve a connection that another process has transferred with its state.
 func (l *Loop) Restore(fd int, state ConnectionState, handler Handler) *Conn {
 	setNonblock(fd)
 	conn := l.newConn(fd, false)
--- a/internal/loop/unix.go
+++ b/internal/loop/unix.go
@@ -8,23 +8,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Connections to other processes of this machine, over which descriptors can go.
+// Unix socket connections to other processes of this machine. They can pass descriptors.
 
-// MaxDescriptorsPerMessage is the most descriptors that the kernel passes with one message.
+// MaxDescriptorsPerMessage is the maximum number of descriptors that the kernel passes with one message.
 const MaxDescriptorsPerMessage = 253
 
-// unixBacklog is the number of processes that may wait to be accepted at a Unix socket.
+// unixBacklog is the number of connections that may wait to be accepted at a Unix socket.
 const unixBacklog = 4
 
-// ListenUnix accepts connections of this machine at path, uncounted as those of ListenApart. The socket replaces
-// atomically one that is at the path already.
+// ListenUnix starts to accept connections from this machine at path. They are uncounted, like those of ListenApart. The
+// socket atomically replaces one that is already at the path.
 func (l *Loop) ListenUnix(path string, accept func(*Conn) Handler) (*Listener, error) {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, os.NewSyscallError("socket", err)
 	}
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
-	_ = os.Remove(temporary) // of an earlier process with this number; the bind fails where it stays
+	_ = os.Remove(temporary) // left by an earlier process with this ID; if it can't be removed, the bind fails
 	err = unix.Bind(fd, &unix.SockaddrUnix{Name: temporary})
 	if err == nil {
 		err = errors.Join(unix.Chmod(temporary, 0o600), unix.Listen(fd, unixBacklog))
@@ -37,14 +37,14 @@
 		err = listener.watch()
 	}
 	if err != nil {
-		_ = os.Remove(temporary) // it may not be there
+		_ = os.Remove(temporary) // it may not exist
 		closeFD(fd)
 		return nil, fmt.Errorf("listen %s: %w", path, err)
 	}
 	return listener, nil
 }
 
-// Attach has the loop serve a connected stream socket, uncounted.
+// Attach makes the loop serve a connected stream socket as an uncounted connection.
 func (l *Loop) Attach(fd int, handler Handler) *Conn {
 	setNonblock(fd)
 	conn := l.newConn(fd, true)
@@ -54,13 +54,13 @@
 	return conn
 }
 
-// SameUser reports whether a Unix connection's other side is a process of this user.
+// SameUser reports whether the peer of a Unix connection is a process of the same user as this process.
 func (c *Conn) SameUser() bool {
 	credentials, err := unix.GetsockoptUcred(c.fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	return err == nil && int(credentials.Uid) == os.Getuid()
 }
 
-// SendDescriptors writes all of data, with copies of descriptors for the other process, on a Unix socket.
+// SendDescriptors writes all of data to a Unix connection and passes copies of descriptors to the other process.
 func (c *Conn) SendDescriptors(data []byte, fds ...int) error {
 	if c.closed || len(c.pending) > 0 {
 		return errNotAllWritten
@@ -75,11 +75,11 @@
 	return nil
 }
 
-// OnDescriptors has fn get the descriptors that are received on a Unix connection; they are fn's to close. Where some
-// were lost, for lack of descriptors in this process, the connection fails.
+// OnDescriptors sets the function that gets the descriptors received on a Unix connection. fn must close them. If some
+// are lost because this process has no free descriptors, the connection fails.
 func (c *Conn) OnDescriptors(fn func(fds []int)) { c.onDescriptors = fn }
 
-// receive reads once into the loop's buffer, and hands on the descriptors that came along.
+// receive reads once into the loop's buffer, and gives received descriptors to the function set by OnDescriptors.
 func (c *Conn) receive() (int, error) {
 	buffer := c.loop.readBuffer[:]
 	if c.onDescriptors == nil {
@@ -100,15 +100,15 @@
 	return size, err
 }
 
-// ReceivedDescriptors reads the descriptors out of a control message.
+// ReceivedDescriptors returns the descriptors in the control data of a received message.
 func ReceivedDescriptors(control []byte) (fds []int) {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
-		return nil // none of the kernel's
+		return nil // not the kernel's format
 	}
 	for _, message := range messages {
 		rights, err := unix.ParseUnixRights(&message)
-		if err == nil { // else it is a message of another kind
+		if err == nil { // otherwise the message is of another kind
 			fds = append(fds, rights...)
 		}
 	}
