--- a/internal/loop/helpers_test.go
+++ b/internal/loop/helpers_test.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// testTimeout bounds each wait for the other side.
+// testTimeout bounds each wait for the peer.
 const testTimeout = 20 * time.Second
 
-// recordingHandler is a handler that records its events.
+// recordingHandler is a handler that reports its events on channels and through a function.
 type recordingHandler struct {
 	conn *Conn
 	up   chan bool
@@ -21,7 +21,7 @@
 	data func([]byte)
 }
 
-func record() *recordingHandler {
+func newRecordingHandler() *recordingHandler {
 	return &recordingHandler{up: make(chan bool, 1), end: make(chan error, 1), data: func([]byte) {}}
 }
 
@@ -30,7 +30,7 @@
 func (r *recordingHandler) OnEnd(err error)    { r.end <- err }
 func (r *recordingHandler) OnDrained()         {}
 
-// evictableHandler may be evicted, with an answer.
+// evictableHandler may be evicted, and sends a reply when it is.
 type evictableHandler struct {
 	*recordingHandler
 	conn *Conn
@@ -47,7 +47,7 @@
 	return startLoopOn(t, Linux{})
 }
 
-// startLoopOn runs a loop on a kernel until the test ends.
+// startLoopOn is like startLoop, with an implementation of the system calls.
 func startLoopOn(t *testing.T, kernel Kernel) *Loop {
 	t.Helper()
 	started, err := NewOn(kernel)
@@ -65,7 +65,7 @@
 	return started
 }
 
-// onLoop runs fn on the loop and waits for it.
+// onLoop runs fn on the loop and waits until it has returned.
 func onLoop(l *Loop, fn func()) {
 	done := make(chan bool)
 	l.Post(func() {
@@ -75,32 +75,31 @@
 	<-done
 }
 
-// whileLoopHeld runs fn on the loop, which finds nothing meanwhile: what fn does lies ready, all of it, in the next
-// poll.
-func whileLoopHeld(t *testing.T, l *Loop, fn func()) {
+// whileLoopBlocked runs fn on the loop and so blocks it: the next poll finds all events together that fn causes.
+func whileLoopBlocked(t *testing.T, l *Loop, fn func()) {
 	t.Helper()
 	onLoop(l, func() {
-		if l.timersYielded { // a poll of before
-			t.Error("timers wait already")
+		if l.timersYielded { // left over from an earlier poll
+			t.Error("late timers are already waiting before the test starts")
 			return
 		}
 		fn()
 	})
 }
 
-// receive waits for a value.
+// receive waits for a value from a channel.
 func receive[T any](t *testing.T, from chan T) T {
 	t.Helper()
 	select {
 	case value := <-from:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("no value received before the test timeout")
 	}
 	panic("not reached")
 }
 
-// listenOn has the loop listen, and returns the address.
+// listenOn makes the loop listen and returns the address.
 func listenOn(t *testing.T, l *Loop, accept func(*Conn) Handler) (address string) {
 	t.Helper()
 	onLoop(l, func() {
@@ -114,28 +113,28 @@
 	return address
 }
 
-// listenEcho listens on the loop and sends back what comes.
+// listenEcho makes the loop listen and send back the data that it receives.
 func listenEcho(t *testing.T, l *Loop) string {
 	t.Helper()
 	return listenOn(t, l, func(c *Conn) Handler {
-		handler := record()
+		handler := newRecordingHandler()
 		handler.data = func(data []byte) { c.Write(data) }
 		return handler
 	})
 }
 
-// dialTCP connects to an address until the test ends.
+// dialTCP connects to an address. The connection is closed when the test ends.
 func dialTCP(t *testing.T, address string) *net.TCPConn {
 	t.Helper()
 	conn, err := dialDeadline(address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it already
 	return conn
 }
 
-// dialDeadline connects to an address; nothing on the connection takes longer than testTimeout.
+// dialDeadline connects to an address. Operations on the connection fail after testTimeout.
 func dialDeadline(address string) (*net.TCPConn, error) {
 	server, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -148,7 +147,7 @@
 	return conn, conn.SetDeadline(time.Now().Add(testTimeout))
 }
 
-// checkServed sends a byte to an echo and waits for it to come back.
+// checkServed sends a byte to an echo server and waits until it comes back.
 func checkServed(address string) error {
 	conn, err := dialDeadline(address)
 	if err != nil {
@@ -160,13 +159,13 @@
 	return errors.Join(err, conn.Close())
 }
 
-// readEcho waits for the byte that was sent.
+// readEcho waits until the byte that was sent comes back.
 func readEcho(conn net.Conn) error {
 	_, err := io.ReadFull(conn, make([]byte, 1))
 	return err
 }
 
-// acceptedPair is a connection that the loop has accepted, and the test's side of it.
+// acceptedPair returns a connection that the loop has accepted, and the test's side of it.
 func acceptedPair(t *testing.T, l *Loop, handle func(c *Conn) Handler) (c *Conn, peer *net.TCPConn) {
 	t.Helper()
 	accepted := make(chan *Conn, 1)
@@ -178,7 +177,7 @@
 	return receive(t, accepted), peer
 }
 
-// sendArrived has bytes lie in the other side's socket, which their acknowledgement shows.
+// sendArrived sends bytes and waits until they are in the peer's socket, which their acknowledgement shows.
 func sendArrived(t *testing.T, from *net.TCPConn, text string) {
 	t.Helper()
 	if _, err := from.Write([]byte(text)); err != nil {
@@ -201,6 +200,6 @@
 		}
 	}
 	if !arrived {
-		t.Error("the race did not take place: bytes are on their way")
+		t.Error("sent bytes are not acknowledged, so the test did not provoke the race")
 	}
 }
--- a/internal/loop/kernel_test.go
+++ b/internal/loop/kernel_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// failingKernel is a kernel whose next calls fail as a test says.
+// failingKernel is a Kernel whose next calls fail with the errors that a test sets.
 type failingKernel struct {
 	Linux
 	mu      sync.Mutex
@@ -20,10 +20,10 @@
 	connect []error
 	watch   []error
 	write   []error
-	short   int // writes that take one byte
+	short   int // number of next writes that take only one byte
 }
 
-// next is the error with which a call fails now; nil: it doesn't.
+// next removes and returns the error with which a call must fail, or nil if it must succeed.
 func (k *failingKernel) next(errs *[]error) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -64,9 +64,9 @@
 
 func (k *failingKernel) Connect(fd int, to unix.Sockaddr) error {
 	err := k.next(&k.connect)
-	if err == nil || errors.Is(err, unix.EINTR) { // one that is interrupted goes on
-		if made := k.Linux.Connect(fd, to); err == nil {
-			return made
+	if err == nil || errors.Is(err, unix.EINTR) { // an interrupted connect continues
+		if connectErr := k.Linux.Connect(fd, to); err == nil {
+			return connectErr
 		}
 	}
 	return err
@@ -79,84 +79,86 @@
 	return k.Linux.Watch(poller, fd, watched, wanted)
 }
 
-// set changes what fails next.
+// set changes which calls fail next.
 func (k *failingKernel) set(change func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	change()
 }
 
-// TestTransientAcceptFailure has accept fail once in each way that Linux documents while a client has sent data:
-// it is served.
-func TestTransientAcceptFailure(t *testing.T) {
+// TestClientServedAfterTransientAcceptFailure makes accept fail once with each error that Linux documents, after a
+// client has sent data. The client must be served.
+func TestClientServedAfterTransientAcceptFailure(t *testing.T) {
 	for _, failure := range []error{
 		unix.EINTR, unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM,
 	} {
 		kernel := &failingKernel{}
 		eventLoop := startLoopOn(t, kernel)
 		address := listenEcho(t, eventLoop)
-		answered := make(chan error, 1)
-		whileLoopHeld(t, eventLoop, func() {
+		echoed := make(chan error, 1)
+		whileLoopBlocked(t, eventLoop, func() {
 			conn, err := dialDeadline(address)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			t.Cleanup(func() { _ = conn.Close() }) // it may have been cut off
+			t.Cleanup(func() { _ = conn.Close() }) // the loop may have closed it
 			sendArrived(t, conn, "x")
 			kernel.set(func() { kernel.accept = []error{failure} })
-			go func() { answered <- readEcho(conn) }()
+			go func() { echoed <- readEcho(conn) }()
 		})
-		if err := receive(t, answered); err != nil {
-			t.Errorf("%v: the client gets %v, want an answer", failure, err)
+		if err := receive(t, echoed); err != nil {
+			t.Errorf("accept failed with %v: client got %v, want a reply", failure, err)
 		}
 		kernel.set(func() {
 			if len(kernel.accept) > 0 {
-				t.Errorf("the race did not take place: accept did not fail with %v", failure)
+				t.Errorf("accept did not fail with %v, so the test did not provoke the race", failure)
 			}
 		})
 	}
 }
 
-// TestNothingWrittenAfterFailedWrite has a write fail and the next one succeed before the failure is reported: the
-// second is not written, since the other side would read its bytes behind those that came before the failure.
+// TestNothingWrittenAfterFailedWrite makes a write fail while the next one would succeed before the failure is
+// reported. The next write must send nothing, since the peer would read its bytes directly after those from before the
+// failure.
 func TestNothingWrittenAfterFailedWrite(t *testing.T) {
 	kernel := &failingKernel{}
 	eventLoop := startLoopOn(t, kernel)
-	handler := record()
+	handler := newRecordingHandler()
 	conn, peer := acceptedPair(t, eventLoop, func(*Conn) Handler { return handler })
-	whileLoopHeld(t, eventLoop, func() {
+	whileLoopBlocked(t, eventLoop, func() {
 		conn.Write([]byte("one "))
 		kernel.set(func() { kernel.write = []error{unix.EHOSTUNREACH} })
 		conn.Write([]byte("two "))
 		conn.Write([]byte("three"))
 	})
 	if err := receive(t, handler.end); err == nil {
-		t.Error("no failure is reported")
+		t.Error("OnEnd got no error, want the write failure")
 	}
-	// How the other side's connection ends does not matter, only what came before.
+	// Only the received bytes matter, not how the peer's connection ends.
 	if got, _ := io.ReadAll(peer); string(got) != "one " {
-		t.Errorf("the other side gets %q, want what was written before the failure", got)
+		t.Errorf("peer read %q, want only the data written before the failure", got)
 	}
 }
 
-// TestEvictedGetsWholeAnswer has the kernel take a part of the answer to a client that is evicted: the rest follows.
-func TestEvictedGetsWholeAnswer(t *testing.T) {
+// TestEvictedClientGetsWholeReply makes the kernel take only a part of the reply to a client that is evicted. The rest
+// must follow.
+func TestEvictedClientGetsWholeReply(t *testing.T) {
 	kernel := &failingKernel{}
 	eventLoop := startLoopOn(t, kernel)
-	_, peer := acceptedPair(t, eventLoop, func(c *Conn) Handler { return &evictableHandler{record(), c} })
+	_, peer := acceptedPair(t, eventLoop, func(c *Conn) Handler { return &evictableHandler{newRecordingHandler(), c} })
 	onLoop(eventLoop, func() {
 		kernel.set(func() { kernel.short = 1 })
 		eventLoop.EvictIdle(0)
 	})
 	if got, err := io.ReadAll(peer); string(got) != "BUSY" || err != nil {
-		t.Errorf("it gets %q, %v, want the whole answer", got, err)
+		t.Errorf("evicted client read %q, error %v, want the whole reply", got, err)
 	}
 }
 
-// TestTransientDialFailure has what a dial needs be short once, in each way that Linux documents: the connection
-// comes up in its time.
-func TestTransientDialFailure(t *testing.T) {
+// TestDialSucceedsAfterTransientFailure makes a system call of a dial fail once with each error that Linux documents
+// for a shortage. The connection must be established by its deadline.
+func TestDialSucceedsAfterTransientFailure(t *testing.T) {
 	for _, failure := range []error{
 		unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM,
 		unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EAGAIN, unix.EINTR,
@@ -164,10 +166,10 @@
 		kernel := &failingKernel{}
 		eventLoop := startLoopOn(t, kernel)
 		address := listenEcho(t, eventLoop)
-		handler := record()
+		handler := newRecordingHandler()
 		onLoop(eventLoop, func() {
 			kernel.set(func() {
-				if isOneOf(failure, unix.ENFILE, unix.EMFILE) { // what a socket needs
+				if isOneOf(failure, unix.ENFILE, unix.EMFILE) { // errors of socket
 					kernel.socket = []error{failure}
 				} else {
 					kernel.connect = []error{failure}
@@ -178,15 +180,16 @@
 		select {
 		case <-handler.up:
 		case err := <-handler.end:
-			t.Errorf("%v: the dial ends with %v, want a connection", failure, err)
+			t.Errorf("dial after %v: got error %v, want a connection", failure, err)
 		case <-time.After(testTimeout):
-			t.Errorf("%v: nothing comes of the dial", failure)
+			t.Errorf("dial after %v: got neither a connection nor an error", failure)
 		}
 	}
 }
 
-// TestTransientWatchFailure has epoll find no memory for a client's connection: the client is served.
-func TestTransientWatchFailure(t *testing.T) {
+// TestClientServedAfterTransientWatchFailure makes epoll run out of memory for a client's connection. The client must
+// be served.
+func TestClientServedAfterTransientWatchFailure(t *testing.T) {
 	for _, failure := range []error{unix.ENOMEM, unix.ENOSPC} {
 		kernel := &failingKernel{}
 		eventLoop := startLoopOn(t, kernel)
@@ -195,7 +198,7 @@
 			kernel.set(func() { kernel.watch = []error{failure, failure} })
 		})
 		if err := checkServed(address); err != nil {
-			t.Errorf("%v: the client gets %v, want an answer", failure, err)
+			t.Errorf("epoll failed with %v: client got %v, want a reply", failure, err)
 		}
 	}
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// TestDescriptorsExhausted guards against a listener that dies, or clients that hang, when descriptors run out. (gnet's
-// own engine ends with an error there.)
-func TestDescriptorsExhausted(t *testing.T) {
+// TestListenerSurvivesDescriptorExhaustion guards against a listener that stops, or clients that hang, when the process
+// runs out of descriptors. (gnet's own engine ends with an error in this case.)
+func TestListenerSurvivesDescriptorExhaustion(t *testing.T) {
 	eventLoop := startLoop(t)
 	address := listenEcho(t, eventLoop)
 	if err := checkServed(address); err != nil {
 		t.Fatal(err)
 	}
-	conn := dialTCP(t, address) // its descriptor is there before they run out
+	conn := dialTCP(t, address) // opened before the descriptors run out
 	if _, err := conn.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
@@ -37,24 +37,25 @@
 	}
 	size, connectErr, readErr := readWithoutDescriptors(t, fd, address)
 	if connectErr != nil || size > 0 || errors.Is(readErr, syscall.EAGAIN) {
-		t.Errorf("connect %v, read %d %v: want the connection closed", connectErr, size, readErr)
+		t.Errorf("without descriptors: connect got %v, read got %d bytes, error %v, want the connection closed",
+			connectErr, size, readErr)
 	}
 	if err := checkServed(address); err != nil {
-		t.Error("not served afterwards:", err)
+		t.Error("a connection after the exhaustion is not served:", err)
 	}
 }
 
-// readWithoutDescriptors connects a socket to an address and reads, while no descriptor is left behind the socket's
-// own.
+// readWithoutDescriptors connects a socket to an address and reads from it, while the process may open no descriptor
+// above the socket's own.
 func readWithoutDescriptors(t *testing.T, fd int, address string) (size int, connectErr, readErr error) {
 	t.Helper()
 	var before syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
 		t.Fatal(err)
 	}
-	tight := before
-	tight.Cur = uint64(fd)
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &tight); err != nil {
+	lowered := before
+	lowered.Cur = uint64(fd)
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &lowered); err != nil {
 		t.Fatal(err)
 	}
 	port := int(netip.MustParseAddrPort(address).Port())
@@ -66,8 +67,8 @@
 	return size, connectErr, readErr
 }
 
-// listenSilently returns an address whose queue takes one connection that nobody accepts.
-func listenSilently(t *testing.T) (address string) {
+// listenWithoutAccepting returns the address of a listener that accepts no connection and whose queue holds one.
+func listenWithoutAccepting(t *testing.T) (address string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -86,22 +87,23 @@
 	}
 	inet, ok := local.(*syscall.SockaddrInet4)
 	if !ok {
-		t.Fatalf("the address is %v", local)
+		t.Fatalf("Getsockname: got %v, want an IPv4 address", local)
 	}
 	return netip.AddrPortFrom(netip.AddrFrom4(inet.Addr), uint16(inet.Port)).String()
 }
 
-// TestDialTimeout checks that a connect that nobody answers ends by its time, and a rejected one at once.
-func TestDialTimeout(t *testing.T) {
+// TestDialFailures checks that a dial without a reply ends at its deadline, and that a dial that is rejected or has an
+// invalid address ends at once.
+func TestDialFailures(t *testing.T) {
 	eventLoop := startLoop(t)
-	full := listenSilently(t)
-	var late *recordingHandler
+	full := listenWithoutAccepting(t)
+	var unanswered *recordingHandler
 	for range 4 { // the first ones fill the listener's queue
-		late = record()
-		onLoop(eventLoop, func() { eventLoop.Dial(full, eventLoop.Now().Add(200*time.Millisecond), late) })
+		unanswered = newRecordingHandler()
+		onLoop(eventLoop, func() { eventLoop.Dial(full, eventLoop.Now().Add(200*time.Millisecond), unanswered) })
 	}
-	if err := receive(t, late.end); !errors.Is(err, ErrTimeout) {
-		t.Errorf("no answer: got %v, want %v", err, ErrTimeout)
+	if err := receive(t, unanswered.end); !errors.Is(err, ErrTimeout) {
+		t.Errorf("dial without a reply: got %v, want %v", err, ErrTimeout)
 	}
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -110,23 +112,23 @@
 	if err := closed.Close(); err != nil {
 		t.Fatal(err)
 	}
-	rejected := record()
+	rejected := newRecordingHandler()
 	onLoop(eventLoop, func() { eventLoop.Dial(closed.Addr().String(), eventLoop.Now().Add(time.Minute), rejected) })
 	if err := receive(t, rejected.end); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("rejected: got %v, want %v", err, syscall.ECONNREFUSED)
+		t.Errorf("rejected dial: got %v, want %v", err, syscall.ECONNREFUSED)
 	}
-	invalid := record()
+	invalid := newRecordingHandler()
 	onLoop(eventLoop, func() { eventLoop.Dial("nowhere", eventLoop.Now().Add(time.Minute), invalid) })
 	if err := receive(t, invalid.end); err == nil {
-		t.Error("an invalid address is dialled, want an error")
+		t.Error("dial of an invalid address: got no error, want one")
 	}
 }
 
-// TestPauseHoldsUpSender checks that a paused connection reads nothing: the kernel blocks the sender.
-func TestPauseHoldsUpSender(t *testing.T) {
+// TestPauseBlocksSender checks that a paused connection reads nothing, so that the kernel blocks the sender.
+func TestPauseBlocksSender(t *testing.T) {
 	eventLoop := startLoop(t)
 	got := 0
-	handler := record()
+	handler := newRecordingHandler()
 	conn := dialTCP(t, listenOn(t, eventLoop, func(c *Conn) Handler {
 		handler.conn = c
 		handler.data = func(data []byte) {
@@ -135,37 +137,38 @@
 		}
 		return handler
 	}))
-	const all = 32 << 20
+	const total = 32 << 20 // bytes
 	sent := make(chan int, 1)
 	go func() {
-		size, _ := conn.Write(make([]byte, all)) // the size says whether it failed
+		size, _ := conn.Write(make([]byte, total)) // the size shows whether it failed
 		sent <- size
 	}()
 	time.Sleep(200 * time.Millisecond)
 	onLoop(eventLoop, func() {
 		if got > readSize {
-			t.Errorf("%d bytes taken in while paused, want %d at the most", got, readSize)
+			t.Errorf("got %d bytes while paused, want at most %d", got, readSize)
 		}
 		handler.data = func(data []byte) { got += len(data) }
 		handler.conn.Resume()
 	})
-	if size := receive(t, sent); size != all {
-		t.Errorf("%d bytes sent, want %d", size, all)
+	if size := receive(t, sent); size != total {
+		t.Errorf("Write: got %d bytes sent, want %d", size, total)
 	}
 	if err := conn.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := receive(t, handler.end); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection ends with %v, want %v", err, io.EOF)
+		t.Errorf("OnEnd: got %v, want %v", err, io.EOF)
 	}
 	onLoop(eventLoop, func() {
-		if got != all {
-			t.Errorf("%d bytes came, want %d", got, all)
+		if got != total {
+			t.Errorf("got %d bytes, want %d", got, total)
 		}
 	})
 }
 
-// TestTimerOrder checks the order of timers, that one can be cancelled, and that one set in a callback waits for it.
+// TestTimerOrder checks that timers run in the order of their times, that a timer can be cancelled, and that a timer
+// set in a callback runs only after the callback has returned.
 func TestTimerOrder(t *testing.T) {
 	eventLoop := startLoop(t)
 	var order []int
@@ -190,6 +193,6 @@
 	})
 	receive(t, done)
 	if want := []int{1, 2, 3, 4}; !slices.Equal(order, want) {
-		t.Errorf("the order is %v, want %v", order, want)
+		t.Errorf("timers ran in the order %v, want %v", order, want)
 	}
 }
--- a/internal/loop/race_test.go
+++ b/internal/loop/race_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// TestLateTimer has a timer become due, late, before bytes arrive, with both found in one poll: the bytes are read
-// first, and the timer runs right after them.
-func TestLateTimer(t *testing.T) {
+// TestLateTimerRunsAfterReadyData makes a timer late before bytes arrive, so that one poll finds both. The loop must
+// read the bytes first and run the timer right after them.
+func TestLateTimerRunsAfterReadyData(t *testing.T) {
 	eventLoop := startLoop(t)
 	var order []string
 	done := make(chan bool, 1)
-	handler := record()
+	handler := newRecordingHandler()
 	handler.data = func(data []byte) { order = append(order, string(data)) }
 	_, peer := acceptedPair(t, eventLoop, func(*Conn) Handler { return handler })
-	whileLoopHeld(t, eventLoop, func() {
+	whileLoopBlocked(t, eventLoop, func() {
 		eventLoop.At(eventLoop.Now().Add(time.Millisecond), func() {
 			order = append(order, "timer")
 			done <- true
@@ -32,127 +32,129 @@
 	receive(t, done)
 	onLoop(eventLoop, func() {
 		if want := []string{"answer", "timer"}; !slices.Equal(order, want) {
-			t.Errorf("the order is %v, want %v", order, want)
+			t.Errorf("got the order %v, want %v", order, want)
 		}
 	})
 }
 
-// TestReadBeforeFailure has the other side answer and cut the connection off while a write of ours fails: the answer is
-// read, then the failure reported.
-func TestReadBeforeFailure(t *testing.T) {
+// TestReplyReadBeforeWriteFailure makes the peer reply and reset the connection, so that a write of this side fails.
+// The loop must read the reply before it reports the failure.
+func TestReplyReadBeforeWriteFailure(t *testing.T) {
 	eventLoop := startLoop(t)
 	got := make(chan string, 4)
-	handler := record()
+	handler := newRecordingHandler()
 	handler.data = func(data []byte) { got <- string(data) }
 	conn, peer := acceptedPair(t, eventLoop, func(*Conn) Handler { return handler })
-	whileLoopHeld(t, eventLoop, func() {
+	whileLoopBlocked(t, eventLoop, func() {
 		sendArrived(t, peer, "BUSY\r\n")
 		if err := errors.Join(peer.SetLinger(0), peer.Close()); err != nil {
 			t.Error(err)
 		}
 		for end := time.Now().Add(testTimeout); !conn.writeFailed && time.Now().Before(end); {
-			conn.Write([]byte("x")) // until the kernel knows
+			conn.Write([]byte("x")) // until the kernel has processed the reset
 			time.Sleep(time.Millisecond)
 		}
 		if !conn.writeFailed {
-			t.Error("the race did not take place: writes go on")
+			t.Error("writes still succeed after the reset, so the test did not provoke the race")
 		}
-		conn.fail(errors.New("as failLater reports it"))
+		conn.fail(errors.New("error as reported by failLater"))
 	})
 	if data := receive(t, got); data != "BUSY\r\n" {
-		t.Errorf("read %q, want the answer", data)
+		t.Errorf("OnData: got %q, want the reply", data)
 	}
 	if err := receive(t, handler.end); err == nil {
-		t.Error("no failure is reported")
+		t.Error("OnEnd got no error, want the write failure")
 	}
 }
 
-// TestLingerOverUnreadBytes has bytes arrive just as a connection that lingers is to be closed: they are read and it
-// lingers on, since a reset may eat the answer that the other side has not read yet.
-func TestLingerOverUnreadBytes(t *testing.T) {
+// TestLingerContinuesWhenBytesArrive makes bytes arrive just when a lingering connection would be closed. The loop must
+// read them and keep lingering: closing would send a reset, and the peer could lose the reply that it has not read yet.
+func TestLingerContinuesWhenBytesArrive(t *testing.T) {
 	eventLoop := startLoop(t)
-	conn, peer := acceptedPair(t, eventLoop, func(*Conn) Handler { return record() })
-	answer := strings.Repeat("a", 1<<10)
+	conn, peer := acceptedPair(t, eventLoop, func(*Conn) Handler { return newRecordingHandler() })
+	reply := strings.Repeat("a", 1<<10)
 	onLoop(eventLoop, func() {
-		conn.Write([]byte(answer))
+		conn.Write([]byte(reply))
 		conn.End()
 	})
-	whileLoopHeld(t, eventLoop, func() {
+	whileLoopBlocked(t, eventLoop, func() {
 		sendArrived(t, peer, "a line that nobody expects\r\n")
-		conn.lingerExpired() // as its timer does
+		conn.lingerExpired() // called by its timer in production
 		if conn.closed {
-			t.Error("closed over bytes that lay there: a reset")
+			t.Error("lingerExpired closed the connection with unread bytes, which sends a reset")
 		}
 	})
 	data, err := io.ReadAll(peer)
-	if string(data) != answer || errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("read %d bytes, %v, want the %d of the answer", len(data), err, len(answer))
+	if string(data) != reply || errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("peer read %d bytes, error %v, want the %d bytes of the reply", len(data), err, len(reply))
 	}
 }
 
-// TestHeardBeforeEviction has a connection that may be evicted say what it wants before it goes: it is read and stays.
-func TestHeardBeforeEviction(t *testing.T) {
+// TestConnectionWithUnreadRequestIsNotEvicted makes a request arrive on an idle connection just before it would be
+// evicted. The loop must read the request and keep the connection.
+func TestConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	eventLoop := startLoop(t)
-	heard := make(chan string, 1)
+	received := make(chan string, 1)
 	first := true
 	conn, peer := acceptedPair(t, eventLoop, func(c *Conn) Handler {
-		handler := &evictableHandler{recordingHandler: record(), conn: c}
+		handler := &evictableHandler{recordingHandler: newRecordingHandler(), conn: c}
 		if first {
 			first = false
 			eventLoop.idleLimit = 1
 			handler.data = func(data []byte) {
 				c.LeaveIdleQueue()
-				heard <- string(data)
+				received <- string(data)
 			}
 		}
 		return handler
 	})
 	address := peer.RemoteAddr().String()
-	whileLoopHeld(t, eventLoop, func() {
+	whileLoopBlocked(t, eventLoop, func() {
 		second, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		t.Cleanup(func() { _ = second.Close() }) // it may have been cut off
+		t.Cleanup(func() { _ = second.Close() }) // the loop may have closed it
 		sendArrived(t, peer, "OPEN")
 	})
-	if data := receive(t, heard); data != "OPEN" {
-		t.Errorf("read %q, want what it said", data)
+	if data := receive(t, received); data != "OPEN" {
+		t.Errorf("OnData: got %q, want the request", data)
 	}
 	onLoop(eventLoop, func() {
 		if conn.closed || conn.ending {
-			t.Error("it is evicted although it had spoken")
+			t.Error("connection was evicted although its request had arrived")
 		}
 	})
 }
 
-// TestCloseIdle has idle connections answered and ended, but for one whose data is in its socket.
-func TestCloseIdle(t *testing.T) {
+// TestCloseIdleKeepsConnectionWithUnreadRequest checks that CloseIdle sends a reply to idle connections and ends them,
+// but keeps a connection whose request is still unread in its socket.
+func TestCloseIdleKeepsConnectionWithUnreadRequest(t *testing.T) {
 	eventLoop := startLoop(t)
-	heard := make(chan string, 1)
-	_, silent := acceptedPair(t, eventLoop, func(c *Conn) Handler { return &evictableHandler{record(), c} })
-	speaking, peer := acceptedPair(t, eventLoop, func(c *Conn) Handler {
-		handler := &evictableHandler{record(), c}
+	received := make(chan string, 1)
+	_, idle := acceptedPair(t, eventLoop, func(c *Conn) Handler { return &evictableHandler{newRecordingHandler(), c} })
+	active, peer := acceptedPair(t, eventLoop, func(c *Conn) Handler {
+		handler := &evictableHandler{newRecordingHandler(), c}
 		handler.data = func(data []byte) {
 			c.LeaveIdleQueue()
-			heard <- string(data)
+			received <- string(data)
 		}
 		return handler
 	})
-	whileLoopHeld(t, eventLoop, func() {
+	whileLoopBlocked(t, eventLoop, func() {
 		sendArrived(t, peer, "OPEN")
 		eventLoop.CloseIdle()
 	})
-	if data := receive(t, heard); data != "OPEN" {
-		t.Errorf("read %q, want what it said", data)
+	if data := receive(t, received); data != "OPEN" {
+		t.Errorf("OnData: got %q, want the request", data)
 	}
-	if data, err := io.ReadAll(silent); string(data) != "BUSY" || err != nil {
-		t.Errorf("the idle one gets %q, %v, want its answer", data, err)
+	if data, err := io.ReadAll(idle); string(data) != "BUSY" || err != nil {
+		t.Errorf("idle client read %q, error %v, want its reply", data, err)
 	}
 	onLoop(eventLoop, func() {
-		if speaking.closed || speaking.ending {
-			t.Error("it is ended although it had spoken")
+		if active.closed || active.ending {
+			t.Error("connection was ended although its request had arrived")
 		}
 	})
 }
--- a/internal/loop/transfer_test.go
+++ b/internal/loop/transfer_test.go
@@ -6,37 +6,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// detachedPair is two restored connections, each of which detaches the other one when bytes come.
+// detachedPair is two restored connections. The first that receives bytes detaches the other one.
 type detachedPair struct {
-	loop  *Loop
-	conns [2]*Conn
-	heard chan string
+	loop     *Loop
+	conns    [2]*Conn
+	received chan string
 }
 
-// restorePair restores two connections whose bytes and ends are due in one round of the poller.
+// restorePair restores two connections and makes one poll report the bytes and the ends of both.
 func restorePair(t *testing.T, eventLoop *Loop) *detachedPair {
 	t.Helper()
-	pair := &detachedPair{loop: eventLoop, heard: make(chan string, 8)}
+	pair := &detachedPair{loop: eventLoop, received: make(chan string, 8)}
 	onLoop(eventLoop, func() {
-		var far [2]int
+		var peerFDs [2]int
 		for i := range pair.conns {
 			ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			far[i] = ends[1]
-			handler := record()
+			peerFDs[i] = ends[1]
+			handler := newRecordingHandler()
 			handler.data = func(data []byte) {
-				pair.heard <- string(data)
+				pair.received <- string(data)
 				if _, state, ok := pair.conns[1-i].Detach(); !ok || len(state.Out) != 0 {
-					t.Error("the other one is not detached")
+					t.Error("Detach of the other connection failed or returned pending data")
 				}
 			}
 			pair.conns[i] = eventLoop.Restore(ends[0], ConnectionState{}, handler)
 			pair.conns[i].EnterIdleQueue()
 		}
-		for _, fd := range far {
+		for _, fd := range peerFDs {
 			if _, err := unix.Write(fd, []byte("x")); err != nil {
 				t.Error(err)
 			}
@@ -46,43 +46,43 @@
 	return pair
 }
 
-// reattach has the detached one go on.
+// reattach reattaches the detached connection.
 func (p *detachedPair) reattach() {
 	for _, conn := range p.conns {
 		if conn.detached {
-			handler := record()
-			handler.data = func(data []byte) { p.heard <- string(data) }
+			handler := newRecordingHandler()
+			handler.data = func(data []byte) { p.received <- string(data) }
 			conn.SetHandler(handler)
 			conn.Reattach()
 		}
 	}
 }
 
-// TestDetachedIsNotTouched detaches a connection whose bytes the poller has reported already: they are not read here,
-// nor is what came lost, and it is not evicted; reattached, it goes on.
-func TestDetachedIsNotTouched(t *testing.T) {
+// TestDetachedConnectionIsNeitherReadNorEvicted detaches a connection whose bytes the poller has already reported. This
+// process must not read or lose them and must not evict the connection. After Reattach the bytes are read.
+func TestDetachedConnectionIsNeitherReadNorEvicted(t *testing.T) {
 	eventLoop := startLoop(t)
 	pair := restorePair(t, eventLoop)
-	receive(t, pair.heard)
+	receive(t, pair.received)
 	onLoop(eventLoop, func() {
-		if len(pair.heard) != 0 {
-			t.Error("a detached connection is read")
+		if len(pair.received) != 0 {
+			t.Error("detached connection was read")
 		}
-		eventLoop.SetIdleLimit(1) // one of the two must go; the detached one isn't this process's to end
+		eventLoop.SetIdleLimit(1) // one connection must be evicted, but not the detached one
 		if eventLoop.Open() != 1 {
-			t.Errorf("%d connections are open, want 1", eventLoop.Open())
+			t.Errorf("Open after SetIdleLimit(1): got %d, want 1", eventLoop.Open())
 		}
 		pair.reattach()
 	})
-	if got := receive(t, pair.heard); got != "x" {
-		t.Errorf("then came %q, want %q", got, "x")
+	if got := receive(t, pair.received); got != "x" {
+		t.Errorf("OnData after Reattach: got %q, want %q", got, "x")
 	}
 	onLoop(eventLoop, func() {
 		for _, conn := range pair.conns {
 			conn.Abort()
 		}
 		if eventLoop.Open() != 0 || len(eventLoop.handlers) > 2 {
-			t.Errorf("%d connections, %d descriptors served, want none and the loop's own two",
+			t.Errorf("got %d connections and %d served descriptors, want 0 and at most the loop's own 2",
 				eventLoop.Open(), len(eventLoop.handlers))
 		}
 	})
