--- a/internal/transport/peerlimit/controller.go
+++ b/internal/transport/peerlimit/controller.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
+// Default prefix lengths that identify a peer.
 const (
-	defaultBits4 = 32 // of an IPv4 address that make up a peer
-	defaultBits6 = 64 // of an IPv6 address
+	defaultPrefixBits4 = 32
+	defaultPrefixBits6 = 64
 )
 
-// sweepFraction is which part of the peers that a sweep has left must find no place before the next sweep.
-const sweepFraction = 8
+// A sweep may run again only after 1/sweepDivisor as many lookups found no place as the last sweep left peers.
+const sweepDivisor = 8
 
-// Controller counts the open streams and decides on new ones.
+// Controller counts open streams and decides whether new ones are admitted.
 type Controller struct {
-	Rejections [verdictCount]int // by verdict
+	Rejections [verdictCount]int // number of rejected streams by verdict
 
 	rules        Rules
-	networks     *Networks // nil: none
+	networks     *Networks // nil: no networks
 	domainLimits map[string]Limits
 	peers        map[netip.Prefix]*usage
-	otherPeers   usage // of all that have no place in peers
+	otherPeers   usage // shared by all peers that found no place in peers
 	domains      map[string]*usage
-	untilSweep   int // lookups that find no place before peers is swept again
+	untilSweep   int // number of lookups without a place before the next sweep
 }
 
 // NewController returns a controller with no open streams.
@@ -33,14 +34,14 @@
 	return controller
 }
 
-// SetRules replaces the rules, the networks and the limits of domains, for streams that are opened from now on. Open
-// streams count on.
+// SetRules replaces the rules, the networks and the limits of domains for streams that are opened later. Open streams
+// are still counted.
 func (c *Controller) SetRules(rules Rules, networks *Networks, domains map[string]Limits) {
 	if rules.PrefixBits4 == 0 {
-		rules.PrefixBits4 = defaultBits4
+		rules.PrefixBits4 = defaultPrefixBits4
 	}
 	if rules.PrefixBits6 == 0 {
-		rules.PrefixBits6 = defaultBits6
+		rules.PrefixBits6 = defaultPrefixBits6
 	}
 	rules.MaxPeers = max(1, rules.MaxPeers)
 	c.rules = rules
@@ -48,17 +49,18 @@
 	c.domainLimits = domains
 }
 
-// Peers counts the peers that have a usage of their own.
+// Peers returns the number of peers that are counted separately.
 func (c *Controller) Peers() int { return len(c.peers) }
 
-// Stream is one that was admitted. Its methods may be called in any order and more than once.
+// Stream is an admitted stream. Its methods may be called in any order and more than once.
 type Stream struct {
-	peer, domain    *usage // nil: no limit holds
+	peer, domain    *usage // nil: no limits apply
 	unauthenticated bool
 	closed          bool
 }
 
-// Admit decides on a new stream from an address. The stream is nil unless the verdict is Admitted.
+// Admit decides whether a new stream from an address is admitted. The returned stream is nil unless the verdict is
+// Admitted.
 func (c *Controller) Admit(now time.Time, from netip.Addr) (*Stream, Verdict) {
 	from = normalize(from)
 	exempt, listed := c.networks.find(from)
@@ -83,12 +85,12 @@
 // normalize returns the address under which a client is counted.
 func normalize(address netip.Addr) netip.Addr { return address.Unmap().WithZone("") }
 
-// limited reports whether the limits of peers hold for an address.
+// limited reports whether the limits of peers apply to an address.
 func (c *Controller) limited(from netip.Addr, listed bool) bool {
 	return !listed && c.rules.Peer.any() && from.IsValid()
 }
 
-// AdmitToDomain decides whether a stream may be opened for a domain, which its header has named now.
+// AdmitToDomain decides whether a stream may be opened for the domain that the stream's header has named.
 func (c *Controller) AdmitToDomain(now time.Time, stream *Stream, name string) Verdict {
 	limits := c.domainLimits[name]
 	if !limits.any() || stream == nil || stream.domain != nil || stream.closed {
@@ -107,7 +109,7 @@
 	return Admitted
 }
 
-// Restore counts a stream that another process has admitted.
+// Restore counts a stream that another process admitted.
 func (c *Controller) Restore(now time.Time, from netip.Addr, domain string) *Stream {
 	stream := &Stream{}
 	from = normalize(from)
@@ -122,7 +124,7 @@
 	return stream
 }
 
-// peer returns a peer's usage. Those that find no place share one.
+// peer returns the usage of an address's peer. All peers that find no place in the table share one usage.
 func (c *Controller) peer(now time.Time, from netip.Addr) *usage {
 	bits := c.rules.PrefixBits6
 	if from.Is4() {
@@ -143,8 +145,8 @@
 	return added
 }
 
-// sweep removes the peers that differ in nothing from new ones, and reports whether there is a place now. As it visits
-// all peers, it doesn't run again before a part of them can have become removable.
+// sweep removes the peers whose usage is the same as that of a new peer, and reports whether the table has a place now.
+// Since a sweep visits all peers, it is not repeated before some of them can have become removable.
 func (c *Controller) sweep(now time.Time) bool {
 	if c.untilSweep > 0 {
 		c.untilSweep--
@@ -156,11 +158,11 @@
 			delete(c.peers, prefix)
 		}
 	}
-	c.untilSweep = len(c.peers) / sweepFraction
+	c.untilSweep = len(c.peers) / sweepDivisor
 	return len(c.peers) < c.rules.MaxPeers
 }
 
-// domain returns a domain's usage.
+// domain returns the usage of a domain.
 func (c *Controller) domain(name string) *usage {
 	domain := c.domains[name]
 	if domain == nil {
@@ -170,7 +172,7 @@
 	return domain
 }
 
-// Authenticated notes that the stream's client has authenticated.
+// Authenticated records that the stream's client has authenticated.
 func (s *Stream) Authenticated() {
 	if s == nil || !s.unauthenticated || s.closed {
 		return
@@ -179,7 +181,7 @@
 	s.eachUsage(func(u *usage) { u.unauthenticated-- })
 }
 
-// Close notes that the stream has ended.
+// Close records that the stream has ended.
 func (s *Stream) Close() {
 	if s == nil || s.closed {
 		return
@@ -189,7 +191,7 @@
 	s.eachUsage(func(u *usage) { u.streams-- })
 }
 
-// eachUsage visits the usages that the stream counts in.
+// eachUsage calls visit with each usage that counts the stream.
 func (s *Stream) eachUsage(visit func(*usage)) {
 	if s.peer != nil {
 		visit(s.peer)
--- a/internal/transport/peerlimit/controller_test.go
+++ b/internal/transport/peerlimit/controller_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// modelStream is a stream of the model that TestLimits compares a controller with.
+// modelStream is a stream of the model with which the test compares a controller.
 type modelStream struct {
 	stream          *Stream
 	peer            int
@@ -19,14 +19,14 @@
 	unauthenticated bool
 }
 
-// model counts streams apart from the controller under test.
+// model counts streams independently of the controller under test.
 type model struct {
 	controller *Controller
-	peer       Limits // of each peer
-	domain     Limits // of the domain "d"
+	peer       Limits // limits of each peer
+	domain     Limits // limits of the domain "d"
 	now        time.Time
 	streams    []*modelStream
-	admitted   map[int][]time.Time // when streams of a peer were
+	admitted   map[int][]time.Time // times at which streams of a peer were admitted
 }
 
 func newModel(t *rapid.T) *model {
@@ -49,7 +49,7 @@
 	}
 }
 
-// count counts the streams for which counted is true, and of these the unauthenticated.
+// count returns the number of streams for which counted is true, and how many of these are unauthenticated.
 func (m *model) count(counted func(*modelStream) bool) (streams, unauthenticated int) {
 	for _, stream := range m.streams {
 		if !counted(stream) {
@@ -63,7 +63,7 @@
 	return streams, unauthenticated
 }
 
-// full reports whether one more stream would be over the limits of streams.
+// full reports whether one more stream would exceed the limits of open or unauthenticated streams.
 func full(limits Limits, streams, unauthenticated int) bool {
 	tooMany := limits.Streams > 0 && streams >= limits.Streams
 	return tooMany || limits.Unauthenticated > 0 && unauthenticated >= limits.Unauthenticated
@@ -76,7 +76,8 @@
 	isFull := full(m.peer, streams, unauthenticated)
 	stream, verdict := m.controller.Admit(m.now, netip.AddrFrom4([4]byte{10, 0, 0, byte(peer)}))
 	if verdict == Admitted && isFull || verdict != Admitted && !isFull && m.peer.Rate == 0 {
-		t.Fatalf("%v with %d streams, %d unauthenticated, limits %+v", verdict, streams, unauthenticated, m.peer)
+		t.Fatalf("Admit: got %v with %d streams, %d unauthenticated, limits %+v",
+			verdict, streams, unauthenticated, m.peer)
 	}
 	if verdict != Admitted {
 		return
@@ -88,7 +89,7 @@
 	m.streams = append(m.streams, opened)
 }
 
-// checkRate checks that, from any of a peer's streams on, no more were admitted than burst and rate allow.
+// checkRate checks that since each of a peer's streams no more were admitted than burst and rate allow.
 func (m *model) checkRate(t *rapid.T, peer int) {
 	if m.peer.Rate == 0 {
 		return
@@ -96,24 +97,25 @@
 	admitted := m.admitted[peer]
 	for i, since := range admitted {
 		got := float64(len(admitted) - i)
-		wanted := m.peer.burst() + m.peer.Rate*m.now.Sub(since).Seconds()
-		if got > wanted+1e-6 {
-			t.Fatalf("%v streams in %v, rate %v, burst %v", got, m.now.Sub(since), m.peer.Rate, m.peer.burst())
+		allowed := m.peer.burst() + m.peer.Rate*m.now.Sub(since).Seconds()
+		if got > allowed+1e-6 {
+			t.Fatalf("got %v streams in %v with rate %v, burst %v", got, m.now.Sub(since), m.peer.Rate, m.peer.burst())
 		}
 	}
 }
 
+// openInDomain opens a stream for the domain "d", and for a domain without limits.
 func (m *model) openInDomain(t *rapid.T, opened *modelStream) {
 	streams, unauthenticated := m.count(func(stream *modelStream) bool { return stream.inDomain })
 	isFull := full(m.domain, streams, unauthenticated)
 	verdict := m.controller.AdmitToDomain(m.now, opened.stream, "d")
 	if (verdict != Admitted) != isFull {
-		t.Fatalf("domain: %v with %d streams, %d unauthenticated, limits %+v",
+		t.Fatalf("AdmitToDomain: got %v with %d streams, %d unauthenticated, limits %+v",
 			verdict, streams, unauthenticated, m.domain)
 	}
 	opened.inDomain = verdict == Admitted
 	if verdict := m.controller.AdmitToDomain(m.now, opened.stream, "other"); verdict != Admitted {
-		t.Fatalf("%v for a domain without limits, wanted %v", verdict, Admitted)
+		t.Fatalf("AdmitToDomain for a domain without limits: got %v, want %v", verdict, Admitted)
 	}
 }
 
@@ -141,27 +143,27 @@
 	m.streams = append(m.streams[:i:i], m.streams[i+1:]...)
 }
 
-// closeAll closes all streams and checks that nothing counts any more.
+// closeAll closes all streams and checks that all counts are zero.
 func (m *model) closeAll(t *rapid.T) {
 	for _, stream := range m.streams {
 		stream.stream.Close()
 	}
 	for prefix, peer := range m.controller.peers {
 		if peer.streams != 0 || peer.unauthenticated != 0 {
-			t.Fatalf("%v ends with %+v, wanted no streams", prefix, *peer)
+			t.Fatalf("peer %v after closing all streams: got %+v, want no streams", prefix, *peer)
 		}
 	}
 	for name, domain := range m.controller.domains {
 		if domain.streams != 0 || domain.unauthenticated != 0 {
-			t.Fatalf("the domain %s ends with %+v, wanted no streams", name, *domain)
+			t.Fatalf("domain %s after closing all streams: got %+v, want no streams", name, *domain)
 		}
 	}
 }
 
-// TestLimits plays random histories of streams in simulated time: no peer and no domain ever has more than its limits,
-// no more new streams are admitted than rate and burst allow, what is within all limits is admitted, and all counts end
-// at zero.
-func TestLimits(t *testing.T) {
+// TestLimitsHoldInRandomHistories plays random histories of streams in simulated time. No peer and no domain may exceed
+// its limits, and no more new streams may be admitted than rate and burst allow. A stream within all limits must be
+// admitted, and all counts must end at zero.
+func TestLimitsHoldInRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := newModel(t)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -179,9 +181,10 @@
 	})
 }
 
-// TestFlood has streams of far more networks than have a place: the table stays bounded, the flood meets the limits of
-// one peer, a known one keeps its own count, and once the flood is over there are places again.
-func TestFlood(t *testing.T) {
+// TestPeerTableStaysBoundedInFlood opens streams from far more networks than the table has places. The table must stay
+// bounded, and the peers without a place must share the limits of one peer. A known peer must keep its own count, and
+// after the flood the table must have places again.
+func TestPeerTableStaysBoundedInFlood(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	controller := NewController(Rules{Peer: Limits{Streams: 3, Rate: 1, Burst: 3}, MaxPeers: 50}, nil, nil)
 	known, verdict := controller.Admit(now, netip.MustParseAddr("192.0.2.1"))
@@ -196,11 +199,11 @@
 		}
 	}
 	if controller.Peers() != 50 || len(admitted) != 49+3 {
-		t.Errorf("got %d peers and %d streams, wanted 50 and 52", controller.Peers(), len(admitted))
+		t.Errorf("got %d peers and %d streams, want 50 and 52", controller.Peers(), len(admitted))
 	}
 	for range 2 {
 		if _, verdict := controller.Admit(now, netip.MustParseAddr("192.0.2.1")); verdict != Admitted {
-			t.Errorf("the known peer got %v, wanted %v", verdict, Admitted)
+			t.Errorf("Admit of the known peer: got %v, want %v", verdict, Admitted)
 		}
 	}
 	known.Close()
@@ -211,31 +214,31 @@
 	for i := range 45 {
 		_, verdict := controller.Admit(now, netip.AddrFrom4([4]byte{10, 2, 0, byte(i)}))
 		if verdict != Admitted && i > 20 {
-			t.Fatalf("network %d after the flood got %v, wanted %v", i, verdict, Admitted)
+			t.Fatalf("Admit of network %d after the flood: got %v, want %v", i, verdict, Admitted)
 		}
 	}
 	testPeerPrefixes(t, now)
 }
 
-// testPeerPrefixes checks which addresses are one peer: those of an IPv6 network, as an address costs nothing there. An
-// IPv4 address within IPv6 is IPv4's.
+// testPeerPrefixes checks which addresses count as one peer. All addresses of an IPv6 network do, since a client there
+// has many addresses at no cost. An IPv4-mapped IPv6 address counts as the IPv4 address.
 func testPeerPrefixes(t *testing.T, now time.Time) {
 	t.Helper()
 	controller := NewController(Rules{Peer: Limits{Streams: 1}, MaxPeers: 50}, nil, nil)
 	for _, address := range []string{"2001:db8::1", "2001:db8:0:1::1", "192.0.2.7"} {
 		if _, verdict := controller.Admit(now, netip.MustParseAddr(address)); verdict != Admitted {
-			t.Errorf("%s got %v, wanted %v", address, verdict, Admitted)
+			t.Errorf("Admit(%s): got %v, want %v", address, verdict, Admitted)
 		}
 	}
 	for _, address := range []string{"2001:db8::2", "2001:db8::1%eth0", "::ffff:192.0.2.7"} {
 		if _, verdict := controller.Admit(now, netip.MustParseAddr(address)); verdict != TooManyStreams {
-			t.Errorf("%s beside another of its peer got %v, wanted %v", address, verdict, TooManyStreams)
+			t.Errorf("Admit(%s) beside another stream of its peer: got %v, want %v", address, verdict, TooManyStreams)
 		}
 	}
 }
 
-// TestNetworks reads lists: the longest prefix of them decides, and errors name the line that can't be read.
-func TestNetworks(t *testing.T) {
+// TestNetworkLists checks that the longest prefix of all lists decides, and that errors name the invalid line.
+func TestNetworkLists(t *testing.T) {
 	networks := &Networks{}
 	denied := "# farms\n10.0.0.0/8\n\n2001:db8::/32 # docs\n192.0.2.9\n::ffff:198.51.100.0/120\n"
 	if err := networks.AddList("deny", []byte(denied), false); err != nil {
@@ -246,7 +249,7 @@
 	}
 	controller := NewController(Rules{Peer: Limits{Streams: 1}, MaxPeers: 9}, networks, nil)
 	now := time.Unix(1e9, 0)
-	const limited = "192.0.2.8" // in no network: its second stream is over the limit
+	const limited = "192.0.2.8" // in no listed network, so its second stream exceeds the limit
 	for address, want := range map[string]Verdict{
 		"10.0.0.1":        Denied,
 		"10.1.2.3":        Admitted,
@@ -260,25 +263,25 @@
 			_, verdict := controller.Admit(now, netip.MustParseAddr(address))
 			isOverLimit := address == limited && verdict == TooManyStreams
 			if verdict != want && !isOverLimit {
-				t.Errorf("%s got %v, wanted %v", address, verdict, want)
+				t.Errorf("Admit(%s): got %v, want %v", address, verdict, want)
 			}
 		}
 	}
 	if controller.Rejections[Denied] != 10 || controller.Rejections[TooManyStreams] != 1 {
-		t.Errorf("got the rejections %v, wanted 10 denied and 1 over the limit", controller.Rejections)
+		t.Errorf("got the rejections %v, want 10 denied and 1 over the limit", controller.Rejections)
 	}
 	for _, entry := range []string{"10.0.0.0/33", "farm.example", "10.0.0", "::ffff:0:0/90", "fe80::1%eth0"} {
 		err := (&Networks{}).AddList("deny", []byte("# one\n"+entry+"\n"), false)
 		if !errors.Is(err, ErrNotNetwork) || !strings.HasPrefix(err.Error(), "deny:2: ") {
-			t.Errorf("%s got the error %v, wanted %v in line 2", entry, err, ErrNotNetwork)
+			t.Errorf("AddList of %s: got error %v, want %v in line 2", entry, err, ErrNotNetwork)
 		}
 	}
 	if err := networks.AddList("allow", []byte("10.0.0.0/8"), true); !errors.Is(err, ErrConflictingNetwork) {
-		t.Errorf("a network of both lists got the error %v, wanted %v", err, ErrConflictingNetwork)
+		t.Errorf("AddList of a network in both lists: got error %v, want %v", err, ErrConflictingNetwork)
 	}
 }
 
-// BenchmarkAdmit decides on streams with 100,000 networks listed.
+// BenchmarkAdmit measures the admission of streams while 100,000 networks are listed.
 func BenchmarkAdmit(b *testing.B) {
 	networks := &Networks{}
 	var list strings.Builder
--- a/internal/transport/peerlimit/limits.go
+++ b/internal/transport/peerlimit/limits.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// Limits bound what one peer, or all clients of one domain, may have. 0: no limit.
+// Limits bound the streams of one peer, or of all clients of one domain. 0 means no limit.
 type Limits struct {
-	Streams         int     // at once
-	Unauthenticated int     // of these, not authenticated yet
-	Rate            float64 // new ones a second
-	Burst           int     // new ones at once, before Rate holds; 0: as many as a second has, 1 at least
+	Streams         int     // open at the same time
+	Unauthenticated int     // open streams that have not authenticated yet
+	Rate            float64 // new streams per second
+	Burst           int     // new streams at once, before Rate applies; 0: those of one second, at least 1
 }
 
+// any reports whether any limit is set.
 func (l Limits) any() bool { return l != Limits{} }
 
-// burst returns how many tokens the bucket of new streams has.
+// burst returns the capacity of the token bucket of new streams.
 func (l Limits) burst() float64 { return max(1, l.Rate, float64(l.Burst)) }
 
-// Rules hold for all peers.
+// Rules apply to all peers.
 type Rules struct {
-	PrefixBits4, PrefixBits6 int    // of an address that make up a peer; 0: 32 and 64
-	Peer                     Limits // of each peer
-	MaxPeers                 int    // peers that have a usage of their own
+	PrefixBits4, PrefixBits6 int    // prefix length of an address that identifies a peer; 0: 32 and 64
+	Peer                     Limits // limits of each peer
+	MaxPeers                 int    // maximum number of peers that are counted separately
 }
 
-// Verdict says whether a stream may be opened, and if not, why.
+// Verdict is the decision whether a stream may be opened, with the reason if not.
 type Verdict int
 
 const (
-	// Admitted streams may be opened.
+	// Admitted means that the stream may be opened.
 	Admitted Verdict = iota
-	// Denied is a client's network.
+	// Denied means that the client's network is denied.
 	Denied
-	// TooManyStreams are open for the peer or the domain.
+	// TooManyStreams means that the peer or the domain has reached its limit of open streams.
 	TooManyStreams
-	// RateExceeded is the rate of new streams.
+	// RateExceeded means that the peer or the domain has exceeded its rate of new streams.
 	RateExceeded
-	// TooManyUnauthenticated streams are open for the peer or the domain.
+	// TooManyUnauthenticated means that the peer or the domain has reached its limit of unauthenticated streams.
 	TooManyUnauthenticated
 
 	verdictCount
 )
 
-// verdictTexts go to clients and into the log.
+// verdictTexts are sent to clients and written to the log.
 var verdictTexts = [verdictCount]string{
 	Admitted:               "welcome",
 	Denied:                 "kept out",
@@ -51,12 +52,12 @@
 
 func (v Verdict) String() string { return verdictTexts[v] }
 
-// usage is what one peer, or one domain, has now.
+// usage counts the streams of one peer or one domain.
 type usage struct {
 	streams         int
-	unauthenticated int       // of streams
-	tokens          float64   // of the bucket that limits the rate of new streams
-	refilled        time.Time // when the bucket was refilled last; zero: never, and it is full
+	unauthenticated int       // streams that have not authenticated
+	tokens          float64   // in the token bucket that limits the rate of new streams
+	refilled        time.Time // time of the bucket's last refill; zero: never refilled, so the bucket is full
 }
 
 // check returns the verdict on one more stream.
@@ -73,7 +74,7 @@
 	return Admitted
 }
 
-// refill adds the tokens of the time since it was called last.
+// refill adds the tokens for the time since the last refill.
 func (u *usage) refill(now time.Time, limits Limits) {
 	switch {
 	case u.refilled.IsZero():
--- a/internal/transport/peerlimit/networks.go
+++ b/internal/transport/peerlimit/networks.go
@@ -13,21 +13,21 @@
 
 // Errors of Networks.AddList.
 var (
-	// ErrNotNetwork is an entry that can't be read.
+	// ErrNotNetwork is returned for an entry that is no network.
 	ErrNotNetwork = errors.New("is neither an address nor a prefix like 192.0.2.0/24 or 2001:db8::/32")
-	// ErrConflictingNetwork is a network that stands in both kinds of list.
-	ErrConflictingNetwork = errors.New("is both kept out and free of limits")
+	// ErrConflictingNetwork is returned for a network that is in lists of both kinds.
+	ErrConflictingNetwork = errors.New("is both denied and exempt from limits")
 )
 
-// ipv4MappedBits is the length of the prefix of IPv6 that has the addresses of IPv4 (::ffff:0:0/96).
+// ipv4MappedBits is the length of the IPv6 prefix of IPv4-mapped addresses (::ffff:0:0/96).
 const ipv4MappedBits = 96
 
-// Networks are those that are denied, and those that are exempt from the limits of peers. The longest prefix decides. A
-// Networks must not be changed once it is in use.
+// Networks holds the networks that are denied, and those that are exempt from the limits of peers. If several networks
+// contain an address, the one with the longest prefix decides. Networks must not be changed once it is in use.
 type Networks struct{ table bart.Table[bool] } // true: exempt; false: denied
 
-// AddList reads a list of networks, an address or a prefix a line, with # before comments. The name is the list's in
-// errors, which also have the line's number.
+// AddList adds a list of networks with one address or prefix per line. Comments start with #. Errors contain the name
+// of the list and the line number.
 func (n *Networks) AddList(name string, list []byte, exempt bool) error {
 	lines := bufio.NewScanner(bytes.NewReader(list))
 	for number := 1; lines.Scan(); number++ {
@@ -40,7 +40,7 @@
 		if !ok {
 			return fmt.Errorf("%s:%d: %q %w", name, number, text, ErrNotNetwork)
 		}
-		if before, listed := n.table.Get(prefix); listed && before != exempt {
+		if listedExempt, listed := n.table.Get(prefix); listed && listedExempt != exempt {
 			return fmt.Errorf("%s:%d: %s %w", name, number, prefix, ErrConflictingNetwork)
 		}
 		n.table.Insert(prefix, exempt)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// parseNetwork parses an address or a prefix. Those of IPv4 in IPv6 become IPv4's.
+// parseNetwork parses an address or a prefix. It converts IPv4-mapped IPv6 networks to IPv4.
 func parseNetwork(text string) (netip.Prefix, bool) {
 	if !strings.Contains(text, "/") {
 		address, err := netip.ParseAddr(text)
@@ -74,10 +74,11 @@
 	return prefix.Masked(), true
 }
 
-// Len counts the networks.
+// Len returns the number of networks.
 func (n *Networks) Len() int { return n.table.Size() }
 
-// find returns what holds for an address, if a network of it is listed. A nil Networks has none.
+// find reports whether a listed network contains an address, and whether that network is exempt. A nil Networks lists
+// nothing.
 func (n *Networks) find(address netip.Addr) (exempt, listed bool) {
 	if n == nil {
 		return false, false
