--- a/internal/transport/tls/conn.go
+++ b/internal/transport/tls/conn.go
@@ -10,29 +10,30 @@
 	"spurwinch/internal/loop"
 )
 
-// Conn is a TLS connection. It has the methods of the loop's connection, and its handler has the same callbacks: OnData
-// gets plain text, and OnEnd is called when the client has ended the connection or the connection has failed.
+// Conn is the server's side of a TLS connection. It has the methods of the loop's connection and calls the same methods
+// of its handler. OnData gets plain text, and OnEnd is called when the client has ended the connection or the
+// connection has failed.
 type Conn struct {
-	handshakes  *Handshakes
-	under       *loop.Conn
-	handler     loop.Handler
-	pipe        *pipe
-	tls         *tls.Conn
-	cancel      context.CancelFunc // of the handshake; nil: the client has sent nothing yet
-	stopTimer   func()             // of the handshake's deadline
-	up          bool               // the handshake is done
-	over        bool
-	paused      bool
-	reading     bool   // read is on the stack
-	ended       bool   // the client has ended the connection
-	endReported bool   // and the handler knows
-	pending     []byte // plain text that was written before the handshake was done
-	place       *list.Element
+	handshakes     *Handshakes
+	underlying     *loop.Conn
+	handler        loop.Handler
+	pipe           *pipe
+	tls            *tls.Conn
+	cancel         context.CancelFunc // cancels the handshake; nil while the client has sent nothing
+	stopTimer      func()             // cancels the timer of the handshake's deadline
+	established    bool               // the handshake has succeeded
+	closed         bool               // the connection has ended or failed
+	paused         bool
+	reading        bool          // read is on the stack
+	clientEnded    bool          // the client has ended the connection
+	endReported    bool          // the handler was told that the client has ended the connection
+	pending        []byte        // plain text written before the handshake was done
+	runningElement *list.Element // position in Handshakes.running
 }
 
-// ServerName is the name that the client asked for; empty before the handshake is done.
+// ServerName returns the server name that the client requested. It is empty before the handshake is done.
 func (c *Conn) ServerName() string {
-	if !c.up {
+	if !c.established {
 		return ""
 	}
 	return c.tls.ConnectionState().ServerName
@@ -41,13 +42,13 @@
 // OnConnect does nothing: the connection was accepted, not dialled.
 func (c *Conn) OnConnect() {}
 
-// OnData takes bytes that the client has sent.
+// OnData handles bytes that the client has sent.
 func (c *Conn) OnData(data []byte) {
-	if c.over {
+	if c.closed {
 		return
 	}
 	waiting := c.pipe.feed(data)
-	if c.up {
+	if c.established {
 		c.read()
 		return
 	}
@@ -60,14 +61,14 @@
 	}
 }
 
-// read gives plain text to the handler until none is left or the handler pauses.
+// read passes plain text to the handler until none is left or the handler pauses.
 func (c *Conn) read() {
-	if c.reading { // called from the handler's callback: the loop below goes on once that has returned
+	if c.reading { // called from a callback of the handler: the loop below continues once that has returned
 		return
 	}
 	c.reading = true
 	defer func() { c.reading = false }()
-	for !c.over && !c.paused && !c.endReported {
+	for !c.closed && !c.paused && !c.endReported {
 		n, err := c.tls.Read(c.handshakes.readBuffer[:])
 		if n > 0 {
 			c.handler.OnData(c.handshakes.readBuffer[:n])
@@ -75,7 +76,7 @@
 		}
 		nothingYet := err == nil || errors.Is(err, errWouldBlock)
 		switch {
-		case nothingYet && !c.ended:
+		case nothingYet && !c.clientEnded:
 			return
 		case nothingYet, errors.Is(err, io.EOF):
 			c.endReported = true
@@ -86,22 +87,22 @@
 	}
 }
 
-// fail ends a connection that can't go on.
+// fail ends a connection that failed, and reports the error to the handler.
 func (c *Conn) fail(err error) {
-	if c.over {
+	if c.closed {
 		return
 	}
-	if !c.up {
+	if !c.established {
 		c.handshakes.Failed++
 	}
 	c.release()
-	c.under.End() // an alert that crypto/tls has written is sent first
+	c.underlying.End() // sends an alert that crypto/tls has written before it ends the connection
 	c.handler.OnEnd(err)
 }
 
-// release marks the connection as over and frees what its handshake has.
+// release marks the connection as closed and releases the resources of its handshake.
 func (c *Conn) release() {
-	c.over = true
+	c.closed = true
 	c.removeFromRunning()
 	c.stopTimer()
 	if c.cancel != nil {
@@ -111,51 +112,51 @@
 	c.pending = nil
 }
 
-// OnEnd takes the end of the connection below.
+// OnEnd handles the end of the underlying connection.
 func (c *Conn) OnEnd(err error) {
-	if c.over || c.endReported {
+	if c.closed || c.endReported {
 		return
 	}
-	if !c.up {
+	if !c.established {
 		c.handshakes.Failed++
 	}
 	orderly := errors.Is(err, io.EOF)
-	if !orderly || !c.up {
+	if !orderly || !c.established {
 		c.release()
-		if orderly { // in the middle of a handshake the client waits for no answer
-			c.under.End()
+		if orderly { // the client ended the connection during the handshake, so it expects no reply
+			c.underlying.End()
 		}
 		c.handler.OnEnd(io.ErrUnexpectedEOF)
 		return
 	}
-	c.ended = true
-	c.read() // plain text that came before the end goes to the handler first, also if it has paused
+	c.clientEnded = true
+	c.read() // plain text from before the end goes to the handler first; if it has paused, after Resume
 }
 
-// OnDrained tells the handler that all written bytes have gone to the kernel.
+// OnDrained tells the handler that all written bytes were passed to the kernel.
 func (c *Conn) OnDrained() {
-	if c.up && !c.over {
+	if c.established && !c.closed {
 		c.handler.OnDrained()
 	}
 }
 
-// Evict ends a connection whose place is needed for another one. Once TLS is up its handler decides how.
+// Evict ends the connection so that another one can take its place. After the handshake the handler decides how.
 func (c *Conn) Evict() {
 	evictable, ok := c.handler.(loop.Evictable)
-	if ok && c.up && !c.over {
+	if ok && c.established && !c.closed {
 		evictable.Evict()
-	} else if !c.up {
+	} else if !c.established {
 		c.fail(errEvicted)
 	}
 }
 
-// Write sends plain text. It never blocks; an error ends the connection once the present callback has returned.
+// Write sends plain text. It never blocks. An error ends the connection once the present callback has returned.
 func (c *Conn) Write(data []byte) {
 	switch {
-	case c.over || len(data) == 0:
-	case !c.up && len(c.pending)+len(data) > maxPendingBytes:
+	case c.closed || len(data) == 0:
+	case !c.established && len(c.pending)+len(data) > maxPendingBytes:
 		c.failLater(errTooMuch)
-	case !c.up:
+	case !c.established:
 		c.pending = append(c.pending, data...)
 	default:
 		if _, err := c.tls.Write(data); err != nil {
@@ -169,46 +170,46 @@
 	c.handshakes.loop.At(c.handshakes.loop.Now(), func() { c.fail(err) })
 }
 
-// End sends what is still to be sent, then TLS's close_notify, and ends the connection.
+// End sends the data that is still pending and then TLS's close_notify, and ends the connection.
 func (c *Conn) End() {
-	if c.over {
+	if c.closed {
 		return
 	}
-	if c.up {
-		_ = c.tls.CloseWrite() // the connection ends all the same
+	if c.established {
+		_ = c.tls.CloseWrite() // the connection ends also if this fails
 	}
 	c.release()
-	c.under.End()
+	c.underlying.End()
 }
 
 // Abort resets the connection.
 func (c *Conn) Abort() {
 	c.release()
-	c.under.Abort()
+	c.underlying.Abort()
 }
 
-// Pause stops reading.
+// Pause stops reading until Resume is called.
 func (c *Conn) Pause() {
 	c.paused = true
-	c.under.Pause()
+	c.underlying.Pause()
 }
 
-// Resume goes on reading.
+// Resume continues reading after Pause.
 func (c *Conn) Resume() {
 	if !c.paused {
 		return
 	}
 	c.paused = false
-	c.under.Resume()
-	c.handshakes.loop.At(c.handshakes.loop.Now(), func() { // the loop doesn't report bytes that were received already
-		if c.up {
+	c.underlying.Resume()
+	c.handshakes.loop.At(c.handshakes.loop.Now(), func() { // the loop doesn't report delivered bytes again
+		if c.established {
 			c.read()
 		}
 	})
 }
 
-// Full reports whether so much waits to be sent that the writer should pause.
-func (c *Conn) Full() bool { return c.under.Full() }
+// Full reports whether so much data is pending that its source should pause.
+func (c *Conn) Full() bool { return c.underlying.Full() }
 
-// LeaveIdleQueue says that the client has named its domain: the connection is not evicted any more.
-func (c *Conn) LeaveIdleQueue() { c.under.LeaveIdleQueue() }
+// LeaveIdleQueue excludes the connection from eviction. It is called when the client has named its domain.
+func (c *Conn) LeaveIdleQueue() { c.underlying.LeaveIdleQueue() }
--- a/internal/transport/tls/doc.go
+++ b/internal/transport/tls/doc.go
@@ -1,5 +1,5 @@
-// Package tls puts TLS between a connection of the event loop and its handler. Handshakes run in goroutines of their
-// own, since crypto/tls can't suspend one. Their number is bounded: a new one evicts the oldest, and only a few use the
-// processor at a time. Once a handshake is done, its connection is read and written by the event loop alone, and no
-// goroutine is kept for it.
+// Package tls adds TLS between a connection of the event loop and its handler. Each handshake runs in its own
+// goroutine, since crypto/tls can't suspend a handshake. The number of handshakes is bounded: a new one above the limit
+// evicts the oldest, and only a few use the processor at a time. After the handshake only the event loop reads and
+// writes the connection, and no goroutine is kept for it.
 package tls
--- a/internal/transport/tls/handshake.go
+++ b/internal/transport/tls/handshake.go
@@ -13,56 +13,56 @@
 )
 
 const (
-	maxEarlyBytes   = 64 << 10 // received and not yet read by a handshake
-	maxPendingBytes = 1 << 20  // of plain text to be sent once the handshake is done
-	maxRunning      = 256      // handshakes that have begun, most of them waiting for the client
-	maxComputing    = 2        // of these, that use the processor at a time: the event loop must not wait for them
-	readBufferSize  = 16 << 10 // the plain text of the largest record
+	maxEarlyBytes   = 64 << 10 // bytes received and not yet read by a handshake
+	maxPendingBytes = 1 << 20  // bytes of plain text to be sent after the handshake
+	maxRunning      = 256      // handshakes in progress, most of which wait for the client
+	maxComputing    = 2        // handshakes that use the processor at a time; more would delay the event loop
+	readBufferSize  = 16 << 10 // bytes: the plain text of the largest record
 )
 
 var (
-	// ErrHandshakeTime says that a handshake took too long.
-	ErrHandshakeTime = errors.New("the TLS handshake was not done in time")
-	errEvicted       = errors.New("evicted: the connection's place was needed for another one")
-	errTooMuch       = errors.New("more bytes than a TLS handshake may have")
+	// ErrHandshakeTime is reported if a handshake did not finish by its deadline.
+	ErrHandshakeTime = errors.New("TLS handshake not finished by the deadline")
+	errEvicted       = errors.New("connection evicted to make room for another one")
+	errTooMuch       = errors.New("too many bytes before the end of the TLS handshake")
 )
 
-// Handshakes runs the handshakes of a loop's connections, a bounded number at once. Its methods must be called from the
-// loop's goroutine.
+// Handshakes runs the handshakes of a loop's connections, with a bounded number at once. Its methods must be called on
+// the loop's goroutine.
 type Handshakes struct {
 	loop       *loop.Loop
-	running    list.List     // of *Conn, oldest first
-	computing  chan struct{} // has one element for each handshake that uses the processor
+	running    list.List     // handshakes in progress: *Conn, oldest first
+	computing  chan struct{} // holds one element for each handshake that uses the processor
 	readBuffer [readBufferSize]byte
 	Done       int // handshakes that succeeded
 	Failed     int // handshakes that failed
 }
 
-// NewHandshakes returns the handshakes for a loop.
+// NewHandshakes returns the Handshakes of a loop.
 func NewHandshakes(eventLoop *loop.Loop) *Handshakes {
 	return &Handshakes{loop: eventLoop, computing: make(chan struct{}, maxComputing)}
 }
 
-// Running counts the handshakes that have begun and not ended.
+// Running returns the number of handshakes in progress.
 func (hs *Handshakes) Running() int { return hs.running.Len() }
 
-// Server returns the server's side of TLS on a connection. The handshake fails unless it is done by the deadline.
-func (hs *Handshakes) Server(under *loop.Conn, config *tls.Config, deadline time.Time, handler loop.Handler) *Conn {
-	c := &Conn{handshakes: hs, under: under, handler: handler, pipe: newPipe(hs)}
-	c.pipe.write = under.Write
+// Server returns the server's side of TLS on a connection. The handshake fails if it is not done by the deadline.
+func (hs *Handshakes) Server(conn *loop.Conn, config *tls.Config, deadline time.Time, handler loop.Handler) *Conn {
+	c := &Conn{handshakes: hs, underlying: conn, handler: handler, pipe: newPipe(hs)}
+	c.pipe.write = conn.Write
 	c.tls = tls.Server(c.pipe, config)
 	c.stopTimer = hs.loop.At(deadline, func() { c.fail(ErrHandshakeTime) })
 	return c
 }
 
-// begin starts a handshake. It is called once the first bytes have come, so that silent clients take no place. If all
-// places are taken, it evicts the oldest handshake, which has had the most time.
+// begin starts a handshake. It is called when the first bytes arrive, so that clients that send nothing take no place.
+// If maxRunning handshakes are in progress, it evicts the oldest, which has had the most time.
 func (hs *Handshakes) begin(conn *Conn) {
 	if hs.running.Len() >= maxRunning {
-		oldest := hs.running.Front().Value.(*Conn) //nolint:forcetypeassert // the list has nothing else
+		oldest := hs.running.Front().Value.(*Conn) //nolint:forcetypeassert // the list holds only connections
 		oldest.fail(errEvicted)
 	}
-	conn.place = hs.running.PushBack(conn)
+	conn.runningElement = hs.running.PushBack(conn)
 	ctx, cancel := context.WithCancel(context.Background())
 	conn.cancel = cancel
 	go func() {
@@ -76,7 +76,7 @@
 // handshakeEnded is called on the loop once a handshake has succeeded or failed.
 func (c *Conn) handshakeEnded(err error) {
 	c.cancel()
-	if c.over {
+	if c.closed {
 		return
 	}
 	c.pipe.flush()
@@ -88,7 +88,7 @@
 	c.stopTimer()
 	c.removeFromRunning()
 	c.handshakes.Done++
-	c.up = true
+	c.established = true
 	c.pipe.switchToLoop()
 	if pending := c.pending; len(pending) > 0 {
 		c.pending = nil
@@ -100,8 +100,8 @@
 
 // removeFromRunning removes the connection from the running handshakes.
 func (c *Conn) removeFromRunning() {
-	if c.place != nil {
-		c.handshakes.running.Remove(c.place)
-		c.place = nil
+	if c.runningElement != nil {
+		c.handshakes.running.Remove(c.runningElement)
+		c.runningElement = nil
 	}
 }
--- a/internal/transport/tls/pipe.go
+++ b/internal/transport/tls/pipe.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// pipe is the network as crypto/tls sees it. Received bytes wait in it to be read, and what crypto/tls writes goes to
-// the event loop. During a handshake two goroutines use it and its reader blocks. Afterwards only the event loop uses
-// it and nothing blocks.
+// pipe is the net.Conn that crypto/tls reads and writes. It buffers received bytes until crypto/tls reads them, and
+// passes the bytes that crypto/tls writes to the event loop. During a handshake, both the event loop and the
+// handshake's goroutine use it, and Read blocks. After the handshake only the event loop uses it, and nothing blocks.
 type pipe struct {
 	handshakes *Handshakes
-	write      func([]byte) // sends on the connection; called on the loop
+	write      func([]byte) // sends on the underlying connection; called on the loop
 
 	mu          sync.Mutex
-	received    *sync.Cond // signalled when there is more in in, or the pipe is closed
-	in          []byte
-	out         []byte // of a handshake, for the loop to send
-	flushPosted bool
-	onLoop      bool // the handshake is done: only the loop uses the pipe
+	received    *sync.Cond // signalled when bytes are added to in or the pipe is closed
+	in          []byte     // received bytes that crypto/tls has not read yet
+	out         []byte     // bytes written by the handshake that the loop has not sent yet
+	flushPosted bool       // a call of flush is posted to the loop
+	onLoop      bool       // the handshake is done, and only the loop uses the pipe
 	closed      bool
 }
 
@@ -28,16 +28,17 @@
 	return p
 }
 
-// wouldBlockError says that no more bytes have come yet. crypto/tls goes on after an error that is temporary.
+// wouldBlockError means that no more bytes have arrived yet. It is a temporary error, after which crypto/tls can
+// continue to read.
 type wouldBlockError struct{}
 
-func (wouldBlockError) Error() string   { return "no bytes have come yet" }
+func (wouldBlockError) Error() string   { return "no bytes received yet" }
 func (wouldBlockError) Timeout() bool   { return true }
 func (wouldBlockError) Temporary() bool { return true }
 
 var errWouldBlock net.Error = wouldBlockError{}
 
-// feed takes received bytes and returns how many wait to be read.
+// feed adds received bytes and returns how many bytes are not read yet.
 func (p *pipe) feed(data []byte) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,13 +68,14 @@
 	return n, nil
 }
 
-// wait blocks a handshake until more bytes have come. Meanwhile another handshake may use the processor.
+// wait blocks a handshake until more bytes arrive or the pipe is closed. Meanwhile another handshake may use the
+// processor.
 func (p *pipe) wait() {
 	<-p.handshakes.computing
 	for len(p.in) == 0 && !p.closed {
 		p.received.Wait()
 	}
-	p.mu.Unlock() // the loop must not wait until this handshake has its turn
+	p.mu.Unlock() // the loop must not wait for p.mu until this handshake may use the processor
 	p.handshakes.computing <- struct{}{}
 	p.mu.Lock()
 }
@@ -97,7 +99,7 @@
 	return len(data), nil
 }
 
-// flush sends what a handshake has written. It is called on the loop.
+// flush sends the bytes that a handshake has written. It is called on the loop.
 func (p *pipe) flush() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,13 +111,14 @@
 	}
 }
 
-// switchToLoop gives the pipe to the loop alone, once the handshake is done.
+// switchToLoop makes the loop the only user of the pipe after the handshake.
 func (p *pipe) switchToLoop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.onLoop = true
 }
 
+// close makes reads and writes fail and wakes a blocked handshake.
 func (p *pipe) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/websocket/conn.go
+++ b/internal/transport/websocket/conn.go
@@ -9,7 +9,7 @@
 	"spurwinch/internal/loop"
 )
 
-// Transport is the connection below: one of the loop's, or TLS over one.
+// Transport is the underlying connection: a connection of the event loop, or TLS on one.
 type Transport interface {
 	Write(data []byte)
 	End()
@@ -20,29 +20,30 @@
 	LeaveIdleQueue()
 }
 
-// Conn is the server's side of a WebSocket connection. Its handler's OnData gets a whole message at a time, and each
-// Write sends one.
+// Conn is the server's side of a WebSocket connection. Each call of the handler's OnData gets one whole message, and
+// each Write sends one message.
 type Conn struct {
 	transport     Transport
 	handler       loop.Handler
 	subprotocol   string
-	maxMessage    int // bytes
-	afterCallback func(run func())
+	maxMessage    int              // maximum length of a message in bytes
+	afterCallback func(run func()) // runs a function once the present callback has returned
 
-	in      []byte // received and not yet read
-	message []byte // fragments so far
+	in      []byte // received bytes that were not read as frames yet
+	message []byte // received fragments of the present message
 	state   ws.State
 
-	up        bool // the handshake is done
-	over      bool
-	paused    bool
-	reading   bool // read is on the stack
-	ended     bool // the client has ended the connection
-	closeSent bool
+	established bool // the handshake has succeeded
+	closed      bool // the connection has ended or failed
+	paused      bool
+	reading     bool // read is on the stack
+	clientEnded bool // the client has ended the connection
+	closeSent   bool // a close frame was sent
 }
 
-// Server returns a connection that begins with the client's HTTP request. The client must offer the subprotocol.
-// maxMessage bounds a message, in bytes. afterCallback runs a function once the present callback has returned.
+// Server returns a connection that expects the client's HTTP request first. The client must offer the subprotocol.
+// maxMessage is the maximum length of a message in bytes. afterCallback must run a function once the present callback
+// has returned.
 func Server(subprotocol string, maxMessage int, afterCallback func(run func()), handler loop.Handler) *Conn {
 	return &Conn{
 		handler: handler, subprotocol: subprotocol, maxMessage: maxMessage, afterCallback: afterCallback,
@@ -50,51 +51,51 @@
 	}
 }
 
-// SetTransport sets the connection below. It must be called before anything is received.
+// SetTransport sets the underlying connection. It must be called before any bytes are received.
 func (c *Conn) SetTransport(transport Transport) { c.transport = transport }
 
-// OnConnect does nothing: the handshake comes first, also where TLS is up now.
+// OnConnect does nothing: also after a TLS handshake, the WebSocket handshake comes first.
 func (c *Conn) OnConnect() {}
 
-// OnDrained tells the handler that all written bytes have gone to the kernel.
+// OnDrained tells the handler that all written bytes were passed to the kernel.
 func (c *Conn) OnDrained() {
-	if c.up && !c.over {
+	if c.established && !c.closed {
 		c.handler.OnDrained()
 	}
 }
 
-// Evict ends a connection whose place is needed for another one. After the handshake its handler decides how.
+// Evict ends the connection so that another one can take its place. After the handshake the handler decides how.
 func (c *Conn) Evict() {
 	evictable, ok := c.handler.(loop.Evictable)
-	if ok && c.up && !c.over {
+	if ok && c.established && !c.closed {
 		evictable.Evict()
-	} else if !c.over {
+	} else if !c.closed {
 		c.fail(io.ErrUnexpectedEOF, ws.StatusGoingAway)
 	}
 }
 
-// OnData takes bytes of the client.
+// OnData handles bytes that the client has sent.
 func (c *Conn) OnData(data []byte) {
-	if c.over {
+	if c.closed {
 		return
 	}
 	c.in = append(c.in, data...)
 	c.read()
 }
 
-// read takes what was received until no whole frame is left or the handler pauses.
+// read handles received bytes until no whole frame is left or the handler pauses.
 func (c *Conn) read() {
-	if c.reading { // called from the handler's callback: the loop below goes on once that has returned
+	if c.reading { // called from a callback of the handler: the loop below continues once that has returned
 		return
 	}
 	c.reading = true
 	defer func() { c.reading = false }()
-	if !c.up && !c.handshake() {
+	if !c.established && !c.handshake() {
 		return
 	}
-	for !c.over && !c.paused && c.readFrame() {
+	for !c.closed && !c.paused && c.readFrame() {
 	}
-	if c.ended && !c.over && !c.paused {
+	if c.clientEnded && !c.closed && !c.paused {
 		c.finish(io.EOF)
 	}
 	if len(c.in) == 0 {
@@ -102,82 +103,83 @@
 	}
 }
 
-// OnEnd takes the end of the connection below.
+// OnEnd handles the end of the underlying connection.
 func (c *Conn) OnEnd(err error) {
-	if c.over {
+	if c.closed {
 		return
 	}
-	c.ended = true
+	c.clientEnded = true
 	orderly := errors.Is(err, io.EOF)
-	if orderly && c.up && c.paused {
-		return // messages that came before the end go to the handler first, once it resumes
+	if orderly && c.established && c.paused {
+		return // the handler gets the messages from before the end first, once it resumes
 	}
-	c.over = true
+	c.closed = true
 	c.handler.OnEnd(err)
 	if orderly {
 		c.transport.End()
 	}
 }
 
-// fail ends a connection whose client broke the protocol.
+// fail ends a connection whose client violated the protocol or that is evicted. It sends a close frame with a status
+// code and reports the error to the handler.
 func (c *Conn) fail(err error, code ws.StatusCode) {
 	c.sendClose(code)
 	c.finish(err)
 }
 
-// finish ends the connection after what was written.
+// finish reports the end to the handler, and ends the connection once all written bytes are sent.
 func (c *Conn) finish(err error) {
-	if !c.over {
-		c.over = true
+	if !c.closed {
+		c.closed = true
 		c.handler.OnEnd(err)
 		c.transport.End()
 	}
 }
 
-// Write sends a message.
+// Write sends one text message.
 func (c *Conn) Write(message []byte) {
-	if !c.over && c.up && !c.closeSent && len(message) > 0 {
+	if !c.closed && c.established && !c.closeSent && len(message) > 0 {
 		c.send(ws.OpText, message)
 	}
 }
 
-// End sends what is still to be sent, then WebSocket's close, and ends the connection.
+// End sends the data that is still pending and then a close frame, and ends the connection.
 func (c *Conn) End() {
-	if !c.over {
+	if !c.closed {
 		c.sendClose(ws.StatusNormalClosure)
-		c.over = true
+		c.closed = true
 	}
 	c.transport.End()
 }
 
 // Abort resets the connection.
 func (c *Conn) Abort() {
-	c.over = true
+	c.closed = true
 	c.transport.Abort()
 }
 
-// Pause stops reading.
+// Pause stops reading until Resume is called.
 func (c *Conn) Pause() {
 	c.paused = true
 	c.transport.Pause()
 }
 
-// Resume goes on reading.
+// Resume continues reading after Pause.
 func (c *Conn) Resume() {
 	if !c.paused {
 		return
 	}
 	c.paused = false
 	c.transport.Resume()
-	c.afterCallback(func() { // the loop doesn't report bytes that were received already
-		if !c.over {
+	c.afterCallback(func() { // the loop doesn't report delivered bytes again
+		if !c.closed {
 			c.read()
 		}
 	})
 }
 
-// Full reports whether so much waits to be sent that the writer should pause.
+// Full reports whether so much data is pending that its source should pause.
 func (c *Conn) Full() bool { return c.transport.Full() }
 
-// LeaveIdleQueue says that the client has named its domain: the connection is not evicted any more.
+// LeaveIdleQueue excludes the connection from eviction. It is called when the client has named its domain.
 func (c *Conn) LeaveIdleQueue() { c.transport.LeaveIdleQueue() }
--- a/internal/transport/websocket/doc.go
+++ b/internal/transport/websocket/doc.go
@@ -1,4 +1,4 @@
-// Package websocket is the server's side of WebSocket (RFC 6455) on the event loop: the handshake, frames, fragments,
-// pings and the close. Nothing blocks: what has not been received is read later. The handshake, headers and masks are
-// gobwas/ws's.
+// Package websocket implements the server's side of WebSocket (RFC 6455) on the event loop: the handshake, frames,
+// fragments, pings and the close. Nothing blocks: an incomplete frame is read once the rest has arrived. The handshake,
+// frame headers and masking are implemented by gobwas/ws.
 package websocket
--- a/internal/transport/websocket/frame.go
+++ b/internal/transport/websocket/frame.go
@@ -10,13 +10,13 @@
 )
 
 var (
-	errTooLong = errors.New("a message that is too long")
-	errBinary  = errors.New("a binary message")
-	errNotUTF8 = errors.New("a message that is no UTF-8")
+	errTooLong = errors.New("message is too long")
+	errBinary  = errors.New("binary messages are not supported")
+	errNotUTF8 = errors.New("message is not valid UTF-8")
 )
 
-// readFrame reads one frame. It reports whether another may follow: not if the frame was not received whole, or ended
-// the connection.
+// readFrame reads one frame. It reports whether to read on: false if the frame is still incomplete or has ended the
+// connection.
 func (c *Conn) readFrame() bool {
 	reader := bytes.NewReader(c.in)
 	header, err := ws.ReadHeader(reader)
@@ -44,7 +44,7 @@
 	return c.handleFrame(header, payload)
 }
 
-// handleFrame takes a frame, and reports whether another may follow.
+// handleFrame handles a frame and reports whether to read on.
 func (c *Conn) handleFrame(header ws.Header, payload []byte) bool {
 	switch header.OpCode {
 	case ws.OpPing:
@@ -59,12 +59,13 @@
 	case ws.OpBinary:
 		c.fail(errBinary, ws.StatusUnsupportedData)
 		return false
-	default: // text, or its continuation: ws.CheckHeader allows no other
+	default: // text or a continuation of it: ws.CheckHeader allows no other
 		return c.handleFragment(header.Fin, payload)
 	}
 }
 
-// handleFragment takes a part of a message, and the message to the handler if the part is its last.
+// handleFragment adds a fragment to the message. If the fragment is the last, it passes the message to the handler. It
+// reports whether to read on.
 func (c *Conn) handleFragment(last bool, payload []byte) bool {
 	if !last {
 		c.state = c.state.Set(ws.StateFragmented)
@@ -90,14 +91,14 @@
 	var frame bytes.Buffer
 	frame.Grow(ws.MaxHeaderSize + len(payload))
 	header := ws.Header{Fin: true, OpCode: opCode, Length: int64(len(payload))}
-	_ = ws.WriteHeader(&frame, header) // a buffer takes all, and the length is not negative
+	_ = ws.WriteHeader(&frame, header) // can't fail: a buffer accepts all bytes, and the length is not negative
 	frame.Write(payload)
 	c.transport.Write(frame.Bytes())
 }
 
-// sendClose sends a close frame, once.
+// sendClose sends a close frame unless one was already sent or the handshake is not done.
 func (c *Conn) sendClose(code ws.StatusCode) {
-	if c.up && !c.closeSent {
+	if c.established && !c.closeSent {
 		c.closeSent = true
 		c.send(ws.OpClose, ws.NewCloseFrameBody(code, ""))
 	}
--- a/internal/transport/websocket/handshake.go
+++ b/internal/transport/websocket/handshake.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	maxRequest = 8 << 10 // bytes of the HTTP request
+	maxRequest = 8 << 10 // maximum length of the HTTP request in bytes
 	requestEnd = "\r\n\r\n"
 )
 
 var (
-	errRequestTooLong = errors.New("an HTTP request that is too long")
+	errRequestTooLong = errors.New("HTTP request is too long")
 	errSubprotocol    = errors.New("the client does not offer the subprotocol")
 )
 
-// handshake answers the HTTP request once it was received whole, and reports whether the connection is up.
+// handshake replies to the HTTP request once it is complete, and reports whether the handshake has succeeded.
 func (c *Conn) handshake() bool {
 	end := bytes.Index(c.in, []byte(requestEnd))
 	if end < 0 {
@@ -36,18 +36,18 @@
 		return false
 	}
 	c.in = c.in[end:]
-	c.up = true
+	c.established = true
 	return true
 }
 
-// upgrade returns the response to a request. With an error it is a rejection.
+// upgrade returns the response to a request. If it returns an error, the response is a rejection.
 func (c *Conn) upgrade(request []byte) (response []byte, err error) {
 	offered := false
 	upgrader := ws.Upgrader{
 		Protocol: func(name []byte) bool {
-			isOurs := string(name) == c.subprotocol
-			offered = offered || isOurs
-			return isOurs
+			matches := string(name) == c.subprotocol
+			offered = offered || matches
+			return matches
 		},
 		OnBeforeUpgrade: func() (ws.HandshakeHeader, error) {
 			if offered {
