--- a/internal/transport/tls/tls_test.go
+++ b/internal/transport/tls/tls_test.go
@@ -15,15 +15,15 @@
 	"spurwinch/internal/loop"
 )
 
-// echoHandler sends back what it receives, as fast as the client takes it.
+// echoHandler sends back the data that it receives, as fast as the client reads it.
 type echoHandler struct {
-	conn  *Conn
-	under *loop.Conn
-	ends  chan error // every OnEnd of every handler of a server
-	up    chan bool
+	conn        *Conn
+	underlying  *loop.Conn
+	ends        chan error // errors of OnEnd, shared by all handlers of a server
+	established chan bool
 }
 
-func (e *echoHandler) OnConnect() { e.up <- true }
+func (e *echoHandler) OnConnect() { e.established <- true }
 
 func (e *echoHandler) OnData(data []byte) {
 	e.conn.Write(data)
@@ -41,7 +41,7 @@
 	}
 }
 
-// echoServer is a loop that listens and serves each connection by an echoHandler over TLS.
+// echoServer is a loop that serves each accepted connection with an echoHandler over TLS.
 type echoServer struct {
 	addr       string
 	loop       *loop.Loop
@@ -51,7 +51,7 @@
 }
 
 // startServer starts a server that has a certificate for each name.
-func startServer(tb testing.TB, handshakeTime time.Duration, names ...string) *echoServer {
+func startServer(tb testing.TB, handshakeTimeout time.Duration, names ...string) *echoServer {
 	tb.Helper()
 	eventLoop, err := loop.New()
 	if err != nil {
@@ -75,9 +75,9 @@
 	}
 	server.keys.Use(set)
 	config := server.keys.Config("proto")
-	accept := func(under *loop.Conn) loop.Handler {
-		handler := &echoHandler{ends: server.ends, under: under, up: make(chan bool, 1)}
-		handler.conn = server.handshakes.Server(under, config, time.Now().Add(handshakeTime), handler)
+	accept := func(underlying *loop.Conn) loop.Handler {
+		handler := &echoHandler{ends: server.ends, underlying: underlying, established: make(chan bool, 1)}
+		handler.conn = server.handshakes.Server(underlying, config, time.Now().Add(handshakeTimeout), handler)
 		return handler.conn
 	}
 	server.addr = freeAddress(tb, eventLoop)
@@ -110,7 +110,7 @@
 	return addr.String()
 }
 
-// onLoop runs a function on the server's loop and waits for it.
+// onLoop runs a function on the server's loop and waits until it has returned.
 func (s *echoServer) onLoop(fn func()) {
 	done := make(chan bool)
 	s.loop.Post(func() {
@@ -120,6 +120,7 @@
 	<-done
 }
 
+// dialTCP connects to an address.
 func dialTCP(tb testing.TB, addr string) net.Conn {
 	tb.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -129,18 +130,18 @@
 	return conn
 }
 
-// dialTLS connects and returns the handshake's error.
+// dialTLS connects to an address and returns the connection with the error of its TLS handshake.
 func dialTLS(tb testing.TB, addr, name string, protocols ...string) (*tls.Conn, error) {
 	tb.Helper()
-	under := dialTCP(tb, addr)
-	if err := under.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+	underlying := dialTCP(tb, addr)
+	if err := underlying.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		tb.Fatal(err)
 	}
-	conn := tls.Client(under, &tls.Config{InsecureSkipVerify: true, ServerName: name, NextProtos: protocols})
+	conn := tls.Client(underlying, &tls.Config{InsecureSkipVerify: true, ServerName: name, NextProtos: protocols})
 	return conn, conn.Handshake()
 }
 
-// mustDialTLS is dialTLS where the handshake must succeed.
+// mustDialTLS is like dialTLS, but a failed handshake ends the test.
 func mustDialTLS(tb testing.TB, addr, name string, protocols ...string) *tls.Conn {
 	tb.Helper()
 	conn, err := dialTLS(tb, addr, name, protocols...)
@@ -150,7 +151,7 @@
 	return conn
 }
 
-// roundTrip writes data and wants it back.
+// roundTrip writes data and checks that the same data comes back.
 func roundTrip(conn net.Conn, data []byte) error {
 	if _, err := conn.Write(data); err != nil {
 		return err
@@ -160,12 +161,12 @@
 		return err
 	}
 	if !bytes.Equal(got, data) {
-		return errors.New("other bytes came back than were sent")
+		return errors.New("the received bytes differ from the sent bytes")
 	}
 	return nil
 }
 
-// byteWriter writes byte by byte, so that records of a handshake are cut anywhere.
+// byteWriter writes byte by byte, so that the receiver gets incomplete records of a handshake.
 type byteWriter struct{ net.Conn }
 
 func (w byteWriter) Write(data []byte) (int, error) {
@@ -177,49 +178,50 @@
 	return len(data), nil
 }
 
-// TestEcho passes bytes both ways in every size, through full buffers and records cut anywhere, picks the certificate
-// by name, and ends as TLS ends.
+// TestEcho checks that bytes pass in both directions, also through full buffers and with records that arrive byte by
+// byte. It also checks that the server selects the certificate by name and rejects an unknown ALPN protocol, and both
+// an orderly end of TLS and one without close_notify.
 func TestEcho(t *testing.T) {
 	server := startServer(t, 20*time.Second, "a.example", "b.example")
 	conn := mustDialTLS(t, server.addr, "b.example", "proto")
 	if got := conn.ConnectionState().PeerCertificates[0].DNSNames[0]; got != "b.example" {
-		t.Errorf("got the certificate of %s, wanted that of b.example", got)
+		t.Errorf("got the certificate of %s, want that of b.example", got)
 	}
-	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<17) // 2 MB: more than all buffers on the way
+	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<17) // 2 MB: more than all buffers between client and handler
 	go func() { _, _ = conn.Write(sent) }()                 // if it fails, the read below does
 	got := make([]byte, len(sent))
 	if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, sent) {
-		t.Fatalf("wanted the 2 MB back as sent, got other bytes or the error %v", err)
+		t.Fatalf("echo of 2 MB: got other bytes or error %v, want the sent bytes", err)
 	}
 	if err := conn.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := conn.Read(got); !errors.Is(err, io.EOF) {
-		t.Errorf("after the end the client read %v, wanted EOF", err)
+		t.Errorf("Read after the end: got error %v, want EOF", err)
 	}
 	if err := <-server.ends; !errors.Is(err, io.EOF) {
-		t.Errorf("at the end the handler got %v, wanted EOF", err)
+		t.Errorf("OnEnd: got %v, want EOF", err)
 	}
-	under := dialTCP(t, server.addr)
-	slow := tls.Client(byteWriter{under}, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12})
+	underlying := dialTCP(t, server.addr)
+	slow := tls.Client(byteWriter{underlying}, &tls.Config{InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12})
 	for _, message := range []string{"x", strings.Repeat("y", 5000)} {
 		if err := roundTrip(slow, []byte(message)); err != nil {
-			t.Errorf("wanted %.9s back, got %v", message, err)
+			t.Errorf("echo of %.9s: got error %v, want none", message, err)
 		}
 	}
-	if err := under.Close(); err != nil { // without TLS's close_notify
+	if err := underlying.Close(); err != nil { // without TLS's close_notify
 		t.Fatal(err)
 	}
 	if err := <-server.ends; err == nil {
-		t.Error("after the connection was cut the handler got no error")
+		t.Error("OnEnd after an end without close_notify: got no error, want one")
 	}
 	if _, err := dialTLS(t, server.addr, "a.example", "other"); err == nil {
-		t.Error("a handshake with an ALPN protocol that the server doesn't have succeeded")
+		t.Error("handshake with an ALPN protocol that the server doesn't offer: got no error, want one")
 	}
 }
 
-// stalledClients opens connections that never finish a handshake: one in four sends half a record, one sends HTTP, one
-// sends a record that is too long, and one sends nothing.
+// stalledClients opens connections that never finish a handshake. Of every four, one sends half a record, one sends
+// HTTP, one sends a record that is too long, and one sends nothing.
 func stalledClients(t *testing.T, addr string, count int) []net.Conn {
 	t.Helper()
 	firstBytes := [][]byte{
@@ -237,39 +239,39 @@
 	return clients
 }
 
-// TestStalledHandshakes has many clients begin handshakes that they don't finish, and others that send no TLS or
-// nothing: a bounded number of handshakes runs, each ends in its time, and meanwhile an established connection and a
-// new one are served.
-func TestStalledHandshakes(t *testing.T) {
+// TestStalledHandshakesAreBounded makes many clients start handshakes that they don't finish, or send no TLS or
+// nothing. The number of running handshakes must stay bounded, and each must end by its deadline. Meanwhile an
+// established connection and a new one must be served.
+func TestStalledHandshakesAreBounded(t *testing.T) {
 	server := startServer(t, time.Second, "a.example")
 	established := mustDialTLS(t, server.addr, "a.example")
-	defer func() { _ = established.Close() }() // else it ends when the garbage collector finds it
+	defer func() { _ = established.Close() }() // otherwise the garbage collector may close it early
 	stalled := stalledClients(t, server.addr, 400)
 	for i := range 20 {
 		if err := roundTrip(established, []byte{byte(i)}); err != nil {
-			t.Fatal("the established connection: ", err)
+			t.Fatal("echo on the established connection: ", err)
 		}
 		server.onLoop(func() {
 			if server.handshakes.Running() > maxRunning {
-				t.Errorf("%d handshakes run, wanted at most %d", server.handshakes.Running(), maxRunning)
+				t.Errorf("got %d running handshakes, want at most %d", server.handshakes.Running(), maxRunning)
 			}
 		})
 	}
 	if conn, err := dialTLS(t, server.addr, "a.example"); err != nil {
-		t.Error("a new handshake among those that stall: ", err)
+		t.Error("new handshake among stalled ones: ", err)
 	} else {
 		defer func() { _ = conn.Close() }() // only the handshake is tested
 	}
 	for range stalled {
 		if err := <-server.ends; err == nil || errors.Is(err, io.EOF) {
-			t.Errorf("a stalled handshake ended with %v, wanted an error other than EOF", err)
+			t.Errorf("OnEnd of a stalled handshake: got %v, want an error other than EOF", err)
 		}
 	}
-	transcript.WaitFor(t, "nothing runs or waits", func() (none bool) {
+	transcript.WaitFor(t, "no handshake is running or waiting", func() (finished bool) {
 		server.onLoop(func() {
-			none = server.handshakes.Running() == 0 && server.handshakes.Failed == len(stalled)
+			finished = server.handshakes.Running() == 0 && server.handshakes.Failed == len(stalled)
 		})
-		return none
+		return finished
 	})
 	echoConcurrently(t, server.addr, 30)
 	for _, client := range stalled {
@@ -277,7 +279,7 @@
 	}
 }
 
-// echoConcurrently opens connections at once and wants each to be served.
+// echoConcurrently opens connections concurrently and checks that each is served.
 func echoConcurrently(t *testing.T, addr string, count int) {
 	t.Helper()
 	var clients sync.WaitGroup
@@ -297,44 +299,44 @@
 	clients.Wait()
 }
 
-// TestReplaceKeys replaces the certificates while connections are established, and keeps the old ones where the new
-// ones are faulty.
-func TestReplaceKeys(t *testing.T) {
+// TestReplaceKeysWhileConnected replaces the certificates while connections are established. Read must reject invalid
+// certificates, so that the old ones stay in use, and established connections must keep working.
+func TestReplaceKeysWhileConnected(t *testing.T) {
 	server := startServer(t, 20*time.Second, "a.example")
 	before := mustDialTLS(t, server.addr, "a.example")
 	dir := t.TempDir()
 	cert, key := transcript.WriteCertificate(t, dir, time.Now().Add(ExpiryWarning/2), "a.example")
 	_, otherKey := transcript.WriteCertificate(t, dir, time.Now().Add(ExpiryWarning*2), "b.example")
-	for _, faulty := range [][]Pair{{{cert, otherKey}}, {{cert, key}, {"none", key}}, {{key, cert}}} {
-		if _, err := Read(faulty, ""); err == nil {
-			t.Errorf("Read(%v) succeeded, wanted an error", faulty)
+	for _, invalid := range [][]Pair{{{cert, otherKey}}, {{cert, key}, {"none", key}}, {{key, cert}}} {
+		if _, err := Read(invalid, ""); err == nil {
+			t.Errorf("Read(%v): got no error, want one", invalid)
 		}
 	}
 	if _, err := Read([]Pair{{cert, key}}, key); err == nil {
-		t.Error("Read took a private key for a client authority, wanted an error")
+		t.Error("Read with a private key as client authority: got no error, want one")
 	}
 	set, err := Read([]Pair{{cert, key}}, cert)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if expiries := server.keys.Expiring(time.Now()); len(expiries) != 0 {
-		t.Errorf("got the expiries %+v for a certificate that is valid for long, wanted none", expiries)
+		t.Errorf("Expiring with a certificate of long validity: got %+v, want none", expiries)
 	}
 	server.keys.Use(set)
 	expiries := server.keys.Expiring(time.Now())
 	if len(expiries) != 1 || expiries[0].File != cert || expiries[0].Names[0] != "a.example" {
-		t.Errorf("got the expiries %+v, wanted one of %s for a.example", expiries, cert)
+		t.Errorf("Expiring: got %+v, want one of %s for a.example", expiries, cert)
 	}
 	after := mustDialTLS(t, server.addr, "a.example")
 	if before.ConnectionState().PeerCertificates[0].Equal(after.ConnectionState().PeerCertificates[0]) {
-		t.Error("a new handshake used the old certificate, wanted the new one")
+		t.Error("new handshake: got the old certificate, want the new one")
 	}
 	for _, conn := range []*tls.Conn{before, after} {
 		if err := roundTrip(conn, []byte("x")); err != nil {
 			t.Error(err)
 		}
 	}
-	pair, err := tls.LoadX509KeyPair(cert, key) // a client's certificate that a named authority signed
+	pair, err := tls.LoadX509KeyPair(cert, key) // a client certificate that one of the client authorities signed
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -344,7 +346,7 @@
 			err = roundTrip(conn, []byte("x"))
 		}
 		if err != nil {
-			t.Errorf("a client with %d certificates: %v", len(certificates), err)
+			t.Errorf("echo for a client with %d certificates: got error %v, want none", len(certificates), err)
 		}
 	}
 }
