--- a/internal/loop/datagram.go
+++ b/internal/loop/datagram.go
@@ -77,10 +77,10 @@
 // SetReceiveBuffer makes the kernel's receive buffer large enough for a number of short datagrams, within the system's
 // limit for a process. When the buffer is full, the kernel drops datagrams until some are read.
 func (d *Datagrams) SetReceiveBuffer(datagrams int) {
-	wanted := datagrams * datagramMemory
-	present, err := unix.GetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_RCVBUF)
-	if err == nil && present < wanted {
-		err = unix.SetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, wanted/2) // the kernel doubles the value
+	wantedSize := datagrams * datagramMemory
+	presentSize, err := unix.GetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_RCVBUF)
+	if err == nil && presentSize < wantedSize {
+		err = unix.SetsockoptInt(d.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, wantedSize/2) // the kernel doubles the value
 	}
 	if err != nil {
 		zap.L().Debug("datagram_receive_buffer_not_set", zap.Error(err))
--- a/internal/loop/kernel_test.go
+++ b/internal/loop/kernel_test.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestNothingWrittenAfterFailedWrite makes a write fail while the next one would succeed before the failure is
-// reported. The next write must send nothing, since the peer would read its bytes directly after those from before the
-// failure.
+// TestNothingWrittenAfterFailedWrite makes a write fail and calls Write again, when the kernel would take the data,
+// before the failure is reported. The second Write must send nothing, since the peer would read its bytes directly
+// after those from before the failure.
 func TestNothingWrittenAfterFailedWrite(t *testing.T) {
 	kernel := &failingKernel{}
 	eventLoop := startLoopOn(t, kernel)
--- a/internal/transport/peerlimit/controller.go
+++ b/internal/transport/peerlimit/controller.go
@@ -11,7 +11,7 @@
 	defaultPrefixBits6 = 64
 )
 
-// A sweep may run again only after 1/sweepDivisor as many lookups found no place as the last sweep left peers.
+// After a sweep that left n peers, n/sweepDivisor lookups must find no place before the next sweep.
 const sweepDivisor = 8
 
 // Controller counts open streams and decides whether new ones are admitted.
