--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	fleetRetryInterval = 250 * time.Millisecond // while another process has the fleet's address and files
-	lateTickThreshold  = time.Second            // a tick that is later is logged
-	streamBacklog      = 16                     // connections that wait to be accepted
+	fleetRetryInterval = 250 * time.Millisecond // while another process holds the fleet's address and files
+	lateTickThreshold  = time.Second            // ticks that are delayed by more than this are logged
+	streamBacklog      = 16                     // maximum number of connections waiting to be accepted
 )
 
-// fleet is the node's part in its fleet: it gives the agent its sockets, its files and its ticks, and applies what the
-// agent decides to the core. It belongs to the loop.
+// fleet connects the node to its fleet. It provides the agent with sockets, files and ticks, and applies the agent's
+// decisions to the core. Only the loop may use it.
 type fleet struct {
 	loop     *loop.Loop
 	core     *edge.Core
 	config   config.Fleet
-	agent    *agent.Agent // nil until the address and the files are this process's
+	agent    *agent.Agent // nil until this process holds the address and the files
 	newVoter agent.NewVoter
-	start    time.Time // the agent's times count from it
+	start    time.Time // the agent's times are relative to it
 	socket   *loop.Datagrams
 	listener *loop.Listener
 	closed   bool
 	lastTick time.Time
 
-	store  *consensus.Store // nil: the node keeps nothing
-	saving bool             // a record is being written, apart from the loop
+	store  *consensus.Store // nil: the node stores no records
+	saving bool             // a record is being written outside the loop
 
 	inboundStreams  int
 	outboundStreams int
@@ -46,8 +46,8 @@
 	admissions admissionLog
 }
 
-// joinFleet has a core serve by the fleet's plans. Another process may still have the address and the files: then the
-// node joins as soon as that one has released them.
+// joinFleet makes a core follow the fleet's plans. If another process still holds the address and the files, the node
+// joins as soon as that process has released them.
 func (p *Program) joinFleet(settings config.Fleet, core *edge.Core, newVoter agent.NewVoter) {
 	member := &fleet{
 		loop:     p.loop,
@@ -60,10 +60,10 @@
 	p.fleet = member
 	p.onShutdown = append(p.onShutdown, member.close)
 	p.onClose = append(p.onClose, member.close)
-	// Until a plan is known the node serves by its own zone alone.
+	// Until it receives a plan, the node uses the servers of its own zone only.
 	standalone := failover.ZonePlanFor(failover.Standalone, nil, 0, member.zone(), nil, 0, failover.LeasedCapacity{})
 	core.ApplyZonePlan(standalone)
-	if settings.List.Policy != nil { // nor does it admit any request before it knows which policy is in force
+	if settings.List.Policy != nil { // the node admits no request until it knows which policy is in force
 		retryAfter := time.Duration(settings.RetryAfter)
 		core.UseLease(edge.Lease{RetryAfter: retryAfter, OnDecision: member.admissionRecorder()})
 	}
@@ -75,15 +75,15 @@
 	return list.Node(list.Index(f.config.Self)).Zone
 }
 
-// now is the time as the agent counts it.
+// now returns the current time on the agent's clock, which starts at f.start.
 func (f *fleet) now() time.Duration { return time.Since(f.start) }
 
-// open opens the address and the files, and starts the agent. What fails is retried.
+// open opens the address and the files, and starts the agent. It retries all steps after a failure.
 func (f *fleet) open() {
 	if f.closed {
 		return
 	}
-	// The listener first: only one process can have it, and the one that has it may use the rest.
+	// The listener is opened first because only one process can hold it. The process that holds it may open the rest.
 	listener, err := f.loop.ListenApart(f.config.Listen, streamBacklog, f.accept)
 	if err != nil {
 		f.retry("fleet_listen_failed", err)
@@ -119,7 +119,7 @@
 	f.loop.At(f.loop.Now().Add(fleetRetryInterval), f.open)
 }
 
-// openStore opens the node's store and reads its records. A corrupt file is no error: the node starts without it.
+// openStore opens the node's store and reads its records. A corrupt file is not an error: the node starts without it.
 func (f *fleet) openStore() ([]consensus.Record, error) {
 	if f.config.Dir == "" {
 		return nil, nil
@@ -129,7 +129,7 @@
 	f.store, records, err = consensus.OpenStore(f.config.Dir)
 	if errors.Is(err, consensus.ErrCorrupt) {
 		zap.L().Error("fleet_files_spoilt", zap.Error(err),
-			zap.String("what", "this node learns anew; as a voter it comes in as a new one"))
+			zap.String("what", "this node starts without its stored records; a voter rejoins as a new voter"))
 		return records, nil
 	}
 	return records, err
@@ -154,7 +154,7 @@
 	}
 }
 
-// classNames are the names of all classes, by their index.
+// classNames returns the names of all classes, in the order of their indices.
 func (f *fleet) classNames() (names []string) {
 	for _, class := range f.core.Classes() {
 		names = append(names, class.Name)
@@ -162,14 +162,14 @@
 	return names
 }
 
-// plannedClasses are the classes as plans know them.
+// plannedClasses returns the classes in the form that plans use, without removed classes.
 func (f *fleet) plannedClasses() (all []failover.Class) {
 	for _, class := range f.core.Classes() {
 		if class.Removed {
 			continue
 		}
-		stays := slices.Contains(f.config.List.Plan.RegionalClasses, class.Name)
-		all = append(all, failover.Class{Name: class.Name, Priority: class.Priority, StayInRegion: stays})
+		stayInRegion := slices.Contains(f.config.List.Plan.RegionalClasses, class.Name)
+		all = append(all, failover.Class{Name: class.Name, Priority: class.Priority, StayInRegion: stayInRegion})
 	}
 	return all[:min(len(all), failover.MaxClasses)]
 }
@@ -181,7 +181,8 @@
 	}
 }
 
-// tick gives the agent the time, and the core's observations where they are due, every consensus.TickInterval.
+// tick passes the time to the agent, and the core's observations when they are due. It runs every
+// consensus.TickInterval.
 func (f *fleet) tick() {
 	if f.closed {
 		return
@@ -200,7 +201,7 @@
 	f.loop.At(now.Add(consensus.TickInterval), f.tick)
 }
 
-// updateClasses gives the agent the module's classes after a change of settings.
+// updateClasses passes the module's classes to the agent after the settings have changed.
 func (f *fleet) updateClasses() {
 	if f.agent != nil {
 		f.agent.UpdateClasses(f.classNames())
@@ -208,8 +209,9 @@
 	}
 }
 
-// applyDecisions applies what the agent has decided: policy, plan, records to save and messages to send. It must follow
-// each call of the agent. A message that depends on a record is held back by the agent until Persisted.
+// applyDecisions applies the agent's decisions: it applies the policy and the plan, saves records and sends messages.
+// It must be called after each call to the agent. The agent holds back a message that depends on a record until
+// Persisted is called for that record.
 func (f *fleet) applyDecisions() {
 	f.applyPolicy()
 	if plan, changed := f.agent.ZonePlan(); changed {
@@ -221,18 +223,18 @@
 	}
 }
 
-// send sends a message to a node's address, by a stream if it is too long for a datagram.
+// send sends a message to a node's address, over a stream if the message is too long for a datagram.
 func (f *fleet) send(to string, data []byte) {
 	if len(data) > agent.MaxDatagram {
 		f.sendStream(to, data)
 		return
 	}
 	if addr, err := netip.ParseAddrPort(to); err == nil {
-		_ = f.socket.Send(addr, data) // a datagram may be lost on its way as well
+		_ = f.socket.Send(addr, data) // a send error is ignored because a datagram can also be lost in transit
 	}
 }
 
-// close leaves the fleet at once; another process of the node may open the address and the files.
+// close leaves the fleet immediately. Another process of the node may then open the address and the files.
 func (f *fleet) close() {
 	if f.closed {
 		return
@@ -245,18 +247,18 @@
 		f.listener.Close()
 		f.listener = nil
 	}
-	if !f.saving { // else as soon as the record is written
+	if !f.saving { // otherwise onSaved releases them once the record is written
 		f.release()
 	}
 }
 
-// release closes the address and the files.
+// release closes the listener and the store, so that another process can open them.
 func (f *fleet) release() {
 	if f.listener != nil {
 		f.listener.Close()
 	}
 	if f.store != nil {
-		_ = f.store.Close() // each record was synced when it was saved
+		_ = f.store.Close() // Save has already synced each record
 	}
 	f.listener = nil
 	f.store = nil
--- a/internal/node/fleetlog.go
+++ b/internal/node/fleetlog.go
@@ -2,7 +2,7 @@
 
 import "go.uber.org/zap"
 
-// logAgentEvent writes an agent's event to the log; fields are names and values in turn.
+// logAgentEvent logs an event of the agent. fields alternates between field names and values.
 func logAgentEvent(event string, fields ...any) {
 	level := zap.L().Info
 	switch event {
@@ -11,9 +11,9 @@
 	}
 	var logged []zap.Field
 	for i := 0; i+1 < len(fields); i += 2 {
-		name, _ := fields[i].(string) // a name that is none stays empty
+		name, _ := fields[i].(string) // a name that is not a string becomes empty
 		if data, ok := fields[i+1].([]byte); ok {
-			if zap.L().Core().Enabled(zap.DebugLevel) { // a plan as it stands on the log, for tools
+			if zap.L().Core().Enabled(zap.DebugLevel) { // an encoded plan of the Raft log, for tools
 				logged = append(logged, zap.Binary(name, data))
 			}
 			continue
--- a/internal/node/fleetpolicy.go
+++ b/internal/node/fleetpolicy.go
@@ -13,17 +13,18 @@
 	"spurwinch/internal/simwire"
 )
 
-// policyState is the fleet's policy as the node applies it.
+// policyState is the state of the fleet's policy on this node.
 type policyState struct {
 	program  *Program
-	applied  bool // the policy of number is in use
+	applied  bool // the policy with this number is in use
 	number   uint64
-	document *policy.Document // nil: the node's own files
-	onBase   bool             // the lease has expired: classes that have one are served by the base policy
-	unusable uint64           // number of a policy that can't be applied here: read, and logged, once; 0: none
+	document *policy.Document // nil: the node uses its own files
+	onBase   bool             // the lease has expired; classes with a base policy are served under it
+	unusable uint64           // number of a policy that this node can't apply, read and logged only once; 0: none
 }
 
-// policyOptions has the agent check documents by this node's capacity; nil: the fleet has no policy on its log.
+// policyOptions returns options with which the agent checks policy documents against this node's capacity. It returns
+// nil if the fleet has no policy on its log.
 func (f *fleet) policyOptions() *agent.Policy {
 	if f.config.List.Policy == nil {
 		return nil
@@ -31,7 +32,7 @@
 	return &agent.Policy{Rules: f.config.List.Policy.Rules(), Counts: f.core.AnswerCounts, Read: f.readPolicy}
 }
 
-// readPolicy reads a document. The error is a *policyCapacityError where this node has not the capacity for it.
+// readPolicy parses a policy document. The error is a *policyCapacityError if this node lacks the capacity for it.
 func (f *fleet) readPolicy(text []byte) (*policy.Document, error) {
 	document, err := config.ReadPolicy("policy", text, f.config.PolicyLevel)
 	if err != nil {
@@ -47,7 +48,7 @@
 	return document, nil
 }
 
-// applyPolicy has the core admit requests under the policy that this node has a lease on.
+// applyPolicy makes the core admit requests under the policy for which this node holds a lease.
 func (f *fleet) applyPolicy() {
 	if f.agent == nil || f.config.List.Policy == nil {
 		return
@@ -60,19 +61,20 @@
 	if active.Known && (!state.applied || active.Number != state.number) {
 		active.Known = f.usePolicy(active.Number, active.Text)
 	}
-	expires := f.start.Add(max(0, leaseEnd))
-	live := active.Known && f.loop.Now().Before(expires)
-	if live && state.onBase {
+	leaseExpires := f.start.Add(max(0, leaseEnd))
+	leaseValid := active.Known && f.loop.Now().Before(leaseExpires)
+	if leaseValid && state.onBase {
 		f.overlayPolicy(false)
 	}
-	f.core.UseLease(f.policyLease(active.Number, active.Known, expires))
-	if live && state.program.readiness.awaitsPolicy {
+	f.core.UseLease(f.policyLease(active.Number, active.Known, leaseExpires))
+	if leaseValid && state.program.readiness.awaitsPolicy {
 		state.program.readiness.awaitsPolicy = false
 		state.program.announceReady()
 	}
 }
 
-// usePolicy puts a policy into use; number 0 is the node's own files. False: it can't be applied on this node.
+// usePolicy applies a policy; number 0 stands for the node's own files. It returns false if this node can't apply the
+// policy.
 func (f *fleet) usePolicy(number uint64, text []byte) bool {
 	var document *policy.Document
 	if number > 0 {
@@ -81,7 +83,7 @@
 			f.policy.unusable = number
 			f.agent.RejectPolicy(number)
 			zap.L().Error("fleet_policy_unusable", zap.Uint64("number", number), zap.Error(err),
-				zap.String("what", "only classes with a base policy are served, by the last policy that could be read"))
+				zap.String("what", "this node serves only classes with a base policy, under the last usable policy"))
 			return false
 		}
 	}
@@ -93,7 +95,7 @@
 	return true
 }
 
-// policyLease is the core's lease on a policy, with what applies once it has expired.
+// policyLease returns the core's lease on a policy, including the rules that apply after it has expired.
 func (f *fleet) policyLease(number uint64, known bool, expires time.Time) edge.Lease {
 	lease := edge.Lease{
 		Number: number, Known: known, Expires: expires, OnDecision: f.admissionRecorder(),
@@ -114,7 +116,7 @@
 	return lease
 }
 
-// overlayPolicy overlays the node's files with the policy in use, or with its base policy.
+// overlayPolicy overlays the settings of the node's files with the policy in use, or with its base policy.
 func (f *fleet) overlayPolicy(onBase bool) {
 	state := &f.policy
 	state.onBase = onBase
@@ -124,7 +126,7 @@
 	}
 	if onBase {
 		zap.L().Warn("fleet_policy_lease_expired", zap.Uint64("number", state.number),
-			zap.String("what", "classes with a base policy are served by it, others are rejected"))
+			zap.String("what", "classes with a base policy are served under it, other classes are rejected"))
 	}
 	if document := state.document; document != nil {
 		platform.overlay = func(own simwire.Settings) simwire.Settings { return withPolicy(document, own, onBase) }
@@ -133,7 +135,8 @@
 	f.updateClasses()
 }
 
-// servesPolicy reports whether this node admits requests by the policy in force; without one on the log each node does.
+// servesPolicy reports whether this node admits requests under the policy in force. It is always true if the fleet has
+// no policy on its log.
 func (f *fleet) servesPolicy() bool {
 	if f.config.List.Policy == nil {
 		return true
--- a/internal/node/fleetstorage.go
+++ b/internal/node/fleetstorage.go
@@ -6,9 +6,9 @@
 	"go.uber.org/zap"
 )
 
-const diskRetryInterval = time.Second // between two attempts at a record that couldn't be written
+const diskRetryInterval = time.Second // between attempts to write a record after a failure
 
-// save has the next record written, outside the loop: a disk may take long.
+// save writes the agent's next record in a goroutine, because a disk write could block the loop for long.
 func (f *fleet) save() {
 	if f.saving {
 		return
@@ -17,7 +17,7 @@
 	if !ok {
 		return
 	}
-	if f.store == nil { // a node that stores nothing; voters always have a store
+	if f.store == nil { // the node stores no records; voters always have a store
 		f.agent.Persisted(f.now())
 		return
 	}
@@ -32,7 +32,7 @@
 	}()
 }
 
-// onSaved reports a written record to the agent, or schedules the next attempt at it.
+// onSaved reports a written record to the agent, or schedules another attempt if the write failed.
 func (f *fleet) onSaved(err error) {
 	f.saving = false
 	if f.closed {
@@ -41,7 +41,7 @@
 	}
 	if err != nil {
 		zap.L().Error("fleet_record_not_saved", zap.Error(err),
-			zap.String("what", "this node promises nothing until its disk takes records again"))
+			zap.String("what", "this node promises nothing to other nodes until it can write records again"))
 		f.loop.At(f.loop.Now().Add(diskRetryInterval), f.saveAgain)
 		return
 	}
@@ -49,6 +49,7 @@
 	f.applyDecisions()
 }
 
+// saveAgain retries a record that could not be written, unless the fleet is closed.
 func (f *fleet) saveAgain() {
 	if !f.closed {
 		f.save()
--- a/internal/node/fleetstream.go
+++ b/internal/node/fleetstream.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	streamTimeout = 5 * time.Second // for one message by a stream
-	// maxStreams bounds streams in each direction at once: with a complete message in each, 4 MB of a node that has 32.
-	// A message beyond it is lost; the agent sends the next of its kind anyway.
+	streamTimeout = 5 * time.Second // for transferring one message over a stream
+	// maxStreams limits the concurrent streams in each direction. With a complete message in each, they use 4 MB of a
+	// node that has 32 MB. A message beyond the limit is lost; the agent sends the next message of the same kind
+	// anyway.
 	maxStreams  = 8
-	lengthBytes = 4 // of the prefix that has a message's length
+	lengthBytes = 4 // size of the prefix that holds a message's length
 )
 
-// frame returns a message behind its length.
+// frame returns a message with its length as a prefix.
 func frame(message []byte) []byte {
 	framed := make([]byte, 0, len(message)+lengthBytes)
 	framed = binary.BigEndian.AppendUint32(framed, uint32(len(message)))
@@ -40,12 +41,12 @@
 	})
 }
 
-// outboundStream is one message on its way by a stream. It is the handler of its connection.
+// outboundStream sends one message over a stream. It is the handler of its connection.
 type outboundStream struct {
 	fleet  *fleet
 	conn   *loop.Conn
 	data   []byte
-	cancel func() // of its timeout
+	cancel func() // cancels its timeout
 	isDone bool
 }
 
@@ -56,16 +57,16 @@
 	s.conn.End()
 }
 
-// OnData ignores data: the other side answers nothing.
+// OnData ignores data: the receiver sends no answer.
 func (s *outboundStream) OnData([]byte) {}
 
-// OnDrained does nothing: End flushes.
+// OnDrained does nothing because End flushes the connection.
 func (s *outboundStream) OnDrained() {}
 
-// OnEnd frees the stream; a message that was not sent is lost.
+// OnEnd frees the stream's place. A message that was not sent is lost.
 func (s *outboundStream) OnEnd(error) { s.done() }
 
-// done frees the stream's place, once.
+// done frees the stream's place among maxStreams. Further calls have no effect.
 func (s *outboundStream) done() {
 	if s.isDone {
 		return
@@ -76,7 +77,8 @@
 	s.cancel()
 }
 
-// accept accepts a stream with one message of another node, or of an operator. Nil: there are too many.
+// accept accepts a stream with one message from another node or from an operator. It returns nil if there are too many
+// streams or the fleet is closed.
 func (f *fleet) accept(conn *loop.Conn) loop.Handler {
 	if f.inboundStreams >= maxStreams || f.closed {
 		return nil
@@ -95,17 +97,17 @@
 	fleet  *fleet
 	conn   *loop.Conn
 	buffer []byte
-	cancel func() // of its timeout
+	cancel func() // cancels its timeout
 	isDone bool
 }
 
-// OnConnect does nothing: it is for dialled connections.
+// OnConnect does nothing because it is called for dialed connections only.
 func (s *inboundStream) OnConnect() {}
 
-// OnDrained does nothing: a reply is short.
+// OnDrained does nothing because a reply is short.
 func (s *inboundStream) OnDrained() {}
 
-// OnData receives a piece of the message.
+// OnData appends a piece of the message, and handles the message once it is complete.
 func (s *inboundStream) OnData(piece []byte) {
 	if s.isDone {
 		return
@@ -115,18 +117,18 @@
 		return
 	}
 	length := int(binary.BigEndian.Uint32(s.buffer))
-	received := len(s.buffer) - lengthBytes
+	receivedBytes := len(s.buffer) - lengthBytes
 	switch {
-	case length > agent.MaxMessage || received > length:
+	case length > agent.MaxMessage || receivedBytes > length:
 		s.done()
 		s.conn.Abort()
-	case received == length:
+	case receivedBytes == length:
 		s.done()
 		s.handle(s.buffer[lengthBytes:])
 	}
 }
 
-// handle answers an operator's call, or passes another node's message on to the agent.
+// handle answers an operator's call, or passes a message from another node to the agent.
 func (s *inboundStream) handle(message []byte) {
 	fleet := s.fleet
 	if fleet.agent == nil || fleet.closed {
@@ -142,7 +144,7 @@
 	fleet.applyDecisions()
 }
 
-// OnEnd drops a stream that ended before its message was complete.
+// OnEnd drops a stream that ends before its message is complete.
 func (s *inboundStream) OnEnd(err error) {
 	if s.isDone {
 		return
@@ -153,7 +155,7 @@
 	}
 }
 
-// done frees the stream's place, once.
+// done frees the stream's place among maxStreams. Further calls have no effect.
 func (s *inboundStream) done() {
 	if s.isDone {
 		return
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	grantTimeout      = 500 * time.Millisecond // a running process answers within a round of its loop
-	unlinkedShareTime = 10 * time.Second       // that a process without a link to this one counts as still there
+	grantTimeout      = 500 * time.Millisecond // a running process answers within one iteration of its loop
+	unlinkedShareTime = 10 * time.Second       // how long another process without a link to this one is assumed to run
 )
 
 const (
-	unknownVersion = -1 // of a list that another discovery had: the whole list is requested again
-	noSocket       = -1 // in place of the descriptor of a socket for datagrams
+	unknownVersion = -1 // version of a list from another discovery address, so that the whole list is requested again
+	noSocket       = -1 // stands for a missing datagram socket descriptor
 )
 
-// hotRestart is this process's part in replacing the node's process while it serves: what it was granted by its
-// predecessor, its part of the node's descriptors and memory while there is another process, and the transfer of
-// connections. It belongs to the loop.
+// hotRestart is this process's state for replacing the node's process without interrupting service. It holds the grant
+// from the predecessor, this process's share of the node's descriptors and memory while another process runs, and the
+// transfer of connections. Only the loop may use it.
 type hotRestart struct {
 	program     *Program
-	grant       *hotrestart.Grant       // by the running process; nil: there was none
-	coordinator *hotrestart.Coordinator // nil: no successor finds this process
+	grant       *hotrestart.Grant       // from the running process; nil: there was none
+	coordinator *hotrestart.Coordinator // nil: a successor can't find this process
 	listeners   map[string]*loop.Listener
 
 	limits      nodeLimits
-	sharedUntil time.Time // a process without a link to this one counts as running until then; zero: there is none
+	sharedUntil time.Time // until then, a process without a link to this one is assumed to run; zero: none
 
 	shuttingDown    bool
-	listenersClosed bool // new clients go to another process
+	listenersClosed bool // another process accepts new clients
 
-	received int // connections of the predecessor
+	received int // connections received from the predecessor
 	transfer transfer
 }
 
-// requestGrant asks a process that runs already for its sockets, list and descriptors, where there is one.
+// requestGrant requests sockets, the server list and descriptors from the process that already runs, if there is one.
 func (h *hotRestart) requestGrant(path string) {
 	if path == "" {
 		return
@@ -60,8 +60,8 @@
 	}
 }
 
-// initialList is the server list to begin with: the predecessor's where there is one, since what was pushed to it was
-// pushed to the node.
+// initialList returns the server list at the start. It is the predecessor's list if there is one, because updates that
+// were pushed to the predecessor were meant for the whole node.
 func (h *hotRestart) initialList(own *discovery.List, discovery string) *discovery.List {
 	if h.grant == nil || len(h.grant.List.Servers) == 0 {
 		return own
@@ -74,7 +74,7 @@
 	return &list
 }
 
-// listen opens a client listener: the predecessor's own socket where it was granted, else a new one.
+// listen opens a client listener, on the predecessor's socket if that was granted, otherwise on a new one.
 func (h *hotRestart) listen(addr string, accept func(*loop.Conn) loop.Handler) (*loop.Listener, error) {
 	if h.grant != nil {
 		if fd, ok := h.grant.Sockets[addr]; ok {
@@ -98,7 +98,7 @@
 	return listener, nil
 }
 
-// startCoordinator lets a successor find this process, once all is set up.
+// startCoordinator makes this process available to a successor. It is called once all parts are set up.
 func (h *hotRestart) startCoordinator(path string) {
 	if path != "" {
 		h.coordinator = hotrestart.NewCoordinator(hotrestart.Options{
@@ -125,10 +125,10 @@
 	h.applyQuota()
 }
 
-// newGrant is what a successor is granted.
+// newGrant returns the grant for a successor.
 func (h *hotRestart) newGrant() hotrestart.Grant {
 	grant := hotrestart.Grant{Sockets: map[string]int{}, Datagrams: noSocket}
-	if !h.listenersClosed { // else another process has them already
+	if !h.listenersClosed { // otherwise another process already has them
 		for addr, listener := range h.listeners {
 			grant.Sockets[addr] = listener.FD()
 		}
@@ -147,7 +147,7 @@
 	return grant
 }
 
-// shutdown begins the planned stop, and reports whether a successor takes the clients over.
+// shutdown begins the planned stop, and reports whether a successor takes over the clients.
 func (h *hotRestart) shutdown() (successorReady bool) {
 	h.shuttingDown = true
 	if h.coordinator != nil {
@@ -162,7 +162,7 @@
 	return successorReady
 }
 
-// onCoordinatorChanged is called when another process has linked to this one, is ready or has ended.
+// onCoordinatorChanged is called when another process has linked to this one, has become ready or has ended.
 func (h *hotRestart) onCoordinatorChanged() {
 	h.applyQuota()
 	if h.transfer.active {
--- a/internal/node/policyoverlay.go
+++ b/internal/node/policyoverlay.go
@@ -23,51 +23,53 @@
 	return settings
 }
 
-// overlaidClasses returns the policy's classes. What a policy doesn't set of a class stays as the node's file has it.
+// overlaidClasses returns the policy's classes. Settings of a class that the policy doesn't set keep their values from
+// the node's file.
 func overlaidClasses(
 	document *policy.Document, own []choice.Class, onBase bool,
 ) (classes []choice.Class, indexByName map[string]int) {
 	indexByName = map[string]int{}
-	for i, common := range document.Classes {
-		class := choice.Class{Name: common.Name}
-		if j := slices.IndexFunc(own, func(c choice.Class) bool { return c.Name == common.Name }); j >= 0 {
+	for i, policyClass := range document.Classes {
+		class := choice.Class{Name: policyClass.Name}
+		if j := slices.IndexFunc(own, func(c choice.Class) bool { return c.Name == policyClass.Name }); j >= 0 {
 			class = own[j]
 		}
 		class.Removed = false
-		class.SetupObjective = common.SetupObjective
-		class.Deadline = common.Deadline
-		class.MessageObjective = common.MessageObjective
-		class.Priority = common.Priority
-		if onBase && common.ServedByBase {
+		class.SetupObjective = policyClass.SetupObjective
+		class.Deadline = policyClass.Deadline
+		class.MessageObjective = policyClass.MessageObjective
+		class.Priority = policyClass.Priority
+		if onBase && policyClass.ServedByBase {
 			class.Deadline = min(class.Deadline, document.Base.Deadline)
 			class.SetupObjective = min(class.SetupObjective, class.Deadline)
 		}
 		classes = append(classes, class)
-		indexByName[common.Name] = i
+		indexByName[policyClass.Name] = i
 	}
 	return classes, indexByName
 }
 
-// overlaidTenants returns the policy's tenants. What a policy doesn't set of a tenant stays as the node's file has it.
+// overlaidTenants returns the policy's tenants. Settings of a tenant that the policy doesn't set keep their values from
+// the node's file.
 func overlaidTenants(
 	document *policy.Document, own []choice.Tenant,
 ) (tenants []choice.Tenant, indexByName map[string]int) {
 	indexByName = map[string]int{}
-	for i, common := range document.Tenants {
-		tenant := choice.Tenant{Name: common.Name}
-		if j := slices.IndexFunc(own, func(t choice.Tenant) bool { return t.Name == common.Name }); j >= 0 {
+	for i, policyTenant := range document.Tenants {
+		tenant := choice.Tenant{Name: policyTenant.Name}
+		if j := slices.IndexFunc(own, func(t choice.Tenant) bool { return t.Name == policyTenant.Name }); j >= 0 {
 			tenant = own[j]
 		}
-		tenant.Connections = common.Connections
-		tenant.Rate = common.Rate
+		tenant.Connections = policyTenant.Connections
+		tenant.Rate = policyTenant.Rate
 		tenants = append(tenants, tenant)
-		indexByName[common.Name] = i
+		indexByName[policyTenant.Name] = i
 	}
 	return tenants, indexByName
 }
 
-// checkPolicyConflict compares a file with the policy in use; the error is a *policyConflictError. Attempts are a
-// node's own limit as well: the lower one counts.
+// checkPolicyConflict compares the settings of a file with the policy in use. The error is a *policyConflictError. The
+// maximum number of attempts is not compared because a node may set its own limit, and the lower limit applies.
 func (f *fleet) checkPolicyConflict(settings simwire.Settings) error {
 	document := f.policy.document
 	if document == nil {
@@ -82,13 +84,13 @@
 		if i < 0 {
 			return conflict("class "+name, "there", "none")
 		}
-		switch common := document.Classes[i]; {
-		case class.Deadline != common.Deadline:
-			return conflict("giveUpS of "+name, class.Deadline, common.Deadline)
-		case class.SetupObjective != common.SetupObjective:
-			return conflict("aimS of "+name, class.SetupObjective, common.SetupObjective)
-		case class.Priority != common.Priority:
-			return conflict("value of "+name, class.Priority, common.Priority)
+		switch policyClass := document.Classes[i]; {
+		case class.Deadline != policyClass.Deadline:
+			return conflict("giveUpS of "+name, class.Deadline, policyClass.Deadline)
+		case class.SetupObjective != policyClass.SetupObjective:
+			return conflict("aimS of "+name, class.SetupObjective, policyClass.SetupObjective)
+		case class.Priority != policyClass.Priority:
+			return conflict("value of "+name, class.Priority, policyClass.Priority)
 		}
 	}
 	return nil
--- a/internal/node/restore.go
+++ b/internal/node/restore.go
@@ -8,15 +8,15 @@
 	"spurwinch/internal/operations/hotrestart"
 )
 
-// connectionRestorer is a front that can take transferred connections over. PrepareRestore checks one; the function
-// that it returns attaches it to the front.
+// connectionRestorer is a front that can take over transferred connections. PrepareRestore checks a connection and
+// returns a function that attaches it to the front.
 type connectionRestorer interface {
 	PrepareRestore(
 		core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int,
 	) (restore func(), err error)
 }
 
-// freeDescriptors is the number of descriptors that this process can receive with connections.
+// freeDescriptors returns how many descriptors this process can receive with transferred connections.
 func (h *hotRestart) freeDescriptors() int {
 	if h.shuttingDown {
 		return 0
@@ -24,7 +24,7 @@
 	return h.ownQuota() - transferReserve - h.program.loop.Open()
 }
 
-// prepareBatch checks connections of the predecessor; with Commit they are this process's.
+// prepareBatch checks connections from the predecessor. Commit of the prepared batch restores them in this process.
 func (h *hotRestart) prepareBatch(items []hotrestart.TransferItem) (hotrestart.PreparedBatch, error) {
 	var restores []func()
 	for i, item := range items {
@@ -49,7 +49,7 @@
 	}, nil
 }
 
-// prepareRestore checks one connection; the function that it returns restores it.
+// prepareRestore checks one connection and returns a function that restores it.
 func (h *hotRestart) prepareRestore(item hotrestart.TransferItem) (restore func(), err error) {
 	var connection connectionState
 	if err := hotrestart.Decode(item.Body, &connection); err != nil {
@@ -72,7 +72,7 @@
 	return front.PrepareRestore(core, connection.Open, readState, item.FDs)
 }
 
-// frontNamed returns the front of a name; nil: this process has none.
+// frontNamed returns the front with a name, or nil if this process has no such front.
 func (p *Program) frontNamed(name frontName) connectionRestorer {
 	switch {
 	case name == frontPlatform && p.platform != nil:
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	transferInterval = 20 * time.Millisecond // between searches for connections that can be transferred meanwhile
-	maxBatchTime     = time.Millisecond      // that one batch may block the loop
+	transferInterval = 20 * time.Millisecond // between searches for connections that have become transferable
+	maxBatchTime     = time.Millisecond      // how long one batch may block the loop
 )
 
 // transfer is the state of the transfer of this process's connections to its successor.
 type transfer struct {
-	active       bool // connections go to the successor
-	migrated     bool // the clients that are left were told to connect again
-	logged       bool // all connections are gone, and this process ends
+	active       bool // connections are being sent to the successor
+	migrated     bool // the remaining clients were told to reconnect
+	logged       bool // the result of the transfer was logged
 	queue        []transferable
 	started      time.Time
-	sent         int // connections
+	sent         int // number of connections sent
 	sentBytes    int
-	duration     time.Duration // to the last connection sent
-	longestBatch time.Duration // that the loop was blocked for
+	duration     time.Duration // from the start until the last connection was sent
+	longestBatch time.Duration // longest time that one batch blocked the loop
 }
 
-// transferAll begins to send connections to the successor, and ends this process once none is left here.
+// transferAll begins to send connections to the successor. This process ends once it has no connections left.
 func (h *hotRestart) transferAll() {
 	h.transfer.active = true
 	h.transfer.started = h.program.loop.Now()
@@ -32,13 +32,13 @@
 	h.transferRepeatedly()
 }
 
-// transferRepeatedly sends what can be transferred meanwhile, each transferInterval.
+// transferRepeatedly sends a batch of transferable connections every transferInterval.
 func (h *hotRestart) transferRepeatedly() {
 	h.transferAndFinish()
 	h.program.loop.At(h.program.loop.Now().Add(transferInterval), h.transferRepeatedly)
 }
 
-// transferAndFinish sends a batch, and ends the process if there is nothing left.
+// transferAndFinish sends a batch, and ends the process if no clients are left.
 func (h *hotRestart) transferAndFinish() {
 	h.transferNext()
 	if h.isEmpty() && !h.transfer.logged {
@@ -47,7 +47,8 @@
 	}
 }
 
-// transferNext sends a batch of open connections to the successor; once it accepts none, the rest is migrated.
+// transferNext sends a batch of open connections to the successor. Once the successor accepts no more connections, it
+// migrates the remaining clients.
 func (h *hotRestart) transferNext() {
 	accepting, descriptors := h.coordinator.SuccessorAccepts()
 	if !h.transfer.active || !accepting {
@@ -59,8 +60,8 @@
 		return
 	}
 	loop := h.program.loop
-	begin := loop.Now()
-	batch := h.nextBatch(begin, descriptors)
+	began := loop.Now()
+	batch := h.nextBatch(began, descriptors)
 	if len(batch.connections) == 0 {
 		return
 	}
@@ -76,17 +77,18 @@
 		}
 		loop.At(loop.Now(), h.transferAndFinish)
 	})
-	h.transfer.longestBatch = max(h.transfer.longestBatch, loop.Now().Sub(begin))
+	h.transfer.longestBatch = max(h.transfer.longestBatch, loop.Now().Sub(began))
 }
 
-// nextBatch takes connections off the loop until the batch is full, its time is over or there are no more.
-func (h *hotRestart) nextBatch(begin time.Time, descriptors int) transferBatch {
+// nextBatch detaches connections from the loop until the batch is full, maxBatchTime is over or no transferable
+// connections are left.
+func (h *hotRestart) nextBatch(began time.Time, descriptors int) transferBatch {
 	batch := transferBatch{descriptors: descriptors}
-	searched := false
-	for !batch.full() && h.program.loop.Now().Sub(begin) <= maxBatchTime {
-		if len(h.transfer.queue) == 0 && !searched {
+	hasSearched := false
+	for !batch.full() && h.program.loop.Now().Sub(began) <= maxBatchTime {
+		if len(h.transfer.queue) == 0 && !hasSearched {
 			h.transfer.queue = h.transferables()
-			searched = true
+			hasSearched = true
 		}
 		if len(h.transfer.queue) == 0 {
 			break
@@ -98,7 +100,7 @@
 	return batch
 }
 
-// transferables are the connections that can be transferred now.
+// transferables returns the connections that can be transferred now.
 func (h *hotRestart) transferables() (all []transferable) {
 	program := h.program
 	for cluster, core := range program.coreByCluster {
@@ -119,7 +121,7 @@
 	return all
 }
 
-// migrateRest has the clients that are left told to connect again, once.
+// migrateRest tells the remaining clients to reconnect. It does so only once.
 func (h *hotRestart) migrateRest() {
 	if h.transfer.migrated {
 		return
@@ -130,7 +132,7 @@
 	}
 }
 
-// isEmpty reports whether this process has no client any more, not even one whose answer is still being sent.
+// isEmpty reports whether this process has no clients left, including clients whose answer is still being sent.
 func (h *hotRestart) isEmpty() bool {
 	for _, core := range h.program.cores {
 		if core.InFlight() > 0 {
@@ -140,7 +142,7 @@
 	return h.listenersClosed && h.program.loop.Idle() == 0
 }
 
-// logTransfer logs what became of the connections, once.
+// logTransfer logs how many connections were transferred and migrated. It does so only once.
 func (h *hotRestart) logTransfer() {
 	if h.transfer.logged {
 		return
