--- a/internal/node/admissionlog.go
+++ b/internal/node/admissionlog.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	maxLoggedAdmissions  = 400 // requests in one line of the log
+	maxLoggedAdmissions  = 400 // maximum number of requests in one log line
 	admissionLogInterval = 100 * time.Millisecond
 )
 
-// admissionLog collects which request was admitted under which policy, for the debug log of laboratory runs.
+// admissionLog collects which request was admitted under which policy. Laboratory runs read it from the debug log.
 type admissionLog struct {
 	entries  []string
-	omitted  int // admissions beyond the most of one line
+	omitted  int // number of admissions beyond maxLoggedAdmissions
 	loggedAt time.Time
 }
 
-// admissionRecorder returns the function that adds to the admission log. Nil: the log's level omits it.
+// admissionRecorder returns a function that adds an entry to the admission log, or nil if the log level excludes it.
 func (f *fleet) admissionRecorder() func(id choice.RequestID, number uint64, how string) {
 	if !zap.L().Core().Enabled(zap.DebugLevel) {
 		return nil
@@ -38,7 +38,7 @@
 	}
 }
 
-// logAdmissions logs what was collected, a line for each interval at most.
+// logAdmissions logs the collected admissions, with at most one line per admissionLogInterval.
 func (f *fleet) logAdmissions(now time.Time) {
 	admissions := &f.admissions
 	if len(admissions.entries) == 0 || now.Sub(admissions.loggedAt) < admissionLogInterval {
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -24,7 +24,7 @@
 	if err := configuration.readNode(getenv); err != nil {
 		return err
 	}
-	if configuration.admin != "" { // before any client can come: a start that fails must not take connections with it
+	if configuration.admin != "" { // first: if it failed after clients connect, they would be cut off
 		if err := p.listenAdmin(configuration.admin); err != nil {
 			return err
 		}
@@ -32,8 +32,8 @@
 	path := hotrestart.Path(getenv("TMPDIR"), configuration.listen)
 	p.restart.requestGrant(path)
 	if p.restart.grant != nil {
-		// The running process has the node's part in the fleet until it shuts down, which it does once this one reports
-		// that it is ready: to wait for a lease here would be to wait forever.
+		// The running process remains the node's member of the fleet until it shuts down, and it shuts down only once
+		// this process reports that it is ready. Waiting for a lease here would therefore never end.
 		p.readiness.awaitsPolicy = false
 		p.readiness.hasPredecessor = true
 	}
@@ -77,13 +77,13 @@
 	return nil
 }
 
-// assembleOperator sets up the fronts and clusters of the operator's file, where it has any.
+// assembleOperator sets up the fronts and clusters of the operator's file, if it has clusters.
 func (p *Program) assembleOperator(configuration startConfiguration, seed uint64) error {
 	if len(configuration.operator.Clusters) == 0 {
 		return nil
 	}
-	// A process started beside another one reads the same seed; the ids that it gives its sessions must differ from
-	// those that it takes over.
+	// A process that starts while another process of the node runs reads the same seed. The ids of its own sessions
+	// must differ from the ids of the sessions that it takes over.
 	seed ^= uint64(time.Now().UnixNano())
 	fronts, err := newOperatorFronts(p, configuration.operatorPath, configuration.operator, seed)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// assembleFleet sets up the node's part in its fleet.
+// assembleFleet makes the node join its fleet.
 func (p *Program) assembleFleet(member config.Fleet, operatorPath string, newVoter agent.NewVoter) error {
 	core := p.coreByCluster[member.Cluster]
 	if core == nil {
--- a/internal/node/batch.go
+++ b/internal/node/batch.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// maxBatchBytes is from how many bytes of connections' states on a batch is full. The last connection may exceed
-	// it: the successor accepts four times as much.
+	// maxBatchBytes is the total size of connection states above which a batch is full. The last connection may exceed
+	// it because the successor accepts four times as much.
 	maxBatchBytes = 256 << 10
-	connectionFDs = 2 // the most descriptors of a connection: its client's and its server's
+	connectionFDs = 2 // maximum descriptors of a connection: one of its client and one of its server
 )
 
-// maxBatchConnections is the most connections of a batch; a variable, so that tests can lower it.
+// maxBatchConnections is the maximum number of connections in a batch. It is a variable so that tests can lower it.
 var maxBatchConnections = hotrestart.MaxBatchConnections
 
-// connectionState is one connection as it is sent to another process.
+// connectionState is the state of one connection in the form that is sent to another process.
 type connectionState struct {
 	Front   frontName             `cbor:"1,keyasint"`
 	Cluster string                `cbor:"2,keyasint,omitempty"`
-	Open    *edge.ConnectionState `cbor:"3,keyasint,omitempty"` // nil: it has no request yet
-	State   cbor.RawMessage       `cbor:"4,keyasint"`           // of its front
+	Open    *edge.ConnectionState `cbor:"3,keyasint,omitempty"` // nil: the client has sent no request yet
+	State   cbor.RawMessage       `cbor:"4,keyasint"`           // state of its front
 }
 
 // frontName names a front in a connectionState.
@@ -36,28 +36,29 @@
 	frontXMPP     frontName = "xmpp"
 )
 
-// detachable is a connection that can be transferred: Detach takes it off the loop, then it is reattached or released.
+// detachable is a connection that can be transferred. Detach removes it from the loop; afterwards the caller calls
+// Reattach or Release.
 type detachable interface {
 	Detach() (fds []int, state any, ok bool)
 	Reattach()
 	Release()
 }
 
-// transferable is a connection with the cluster that it is in; a client without a request is in none.
+// transferable is a connection with the name of its cluster. A client without a request belongs to no cluster.
 type transferable struct {
 	detachable
 	cluster string
 }
 
-// transferBatch is a batch of connections on its way to the successor.
+// transferBatch is a batch of connections for the successor.
 type transferBatch struct {
 	connections []detachable
 	items       []hotrestart.TransferItem
 	bytes       int
-	descriptors int // that the successor can accept beyond the batch
+	descriptors int // descriptors that the successor can accept in addition to the batch
 }
 
-// add takes a connection off the loop and into the batch, if it can be transferred now.
+// add moves a connection from the loop to the batch if the connection can be transferred now.
 func (b *transferBatch) add(connection transferable) {
 	item, ok := detach(connection.detachable, connection.cluster)
 	if !ok {
@@ -69,12 +70,12 @@
 	b.descriptors -= len(item.FDs)
 }
 
-// full reports whether another connection might exceed what one batch, or the successor, may hold.
+// full reports whether another connection might exceed the limits of the batch or of the successor.
 func (b *transferBatch) full() bool {
 	return len(b.connections) >= maxBatchConnections || b.bytes > maxBatchBytes || b.descriptors < connectionFDs
 }
 
-// finish releases the connections once the successor has accepted them, or reattaches all of them.
+// finish releases all connections if the successor has accepted them, otherwise it reattaches them.
 func (b *transferBatch) finish(accepted bool) {
 	for _, connection := range b.connections {
 		if accepted {
@@ -85,7 +86,7 @@
 	}
 }
 
-// detach takes a connection off the loop and encodes its state.
+// detach removes a connection from the loop and encodes its state.
 func detach(connection detachable, cluster string) (item hotrestart.TransferItem, ok bool) {
 	sent := connectionState{Front: frontPlatform, Cluster: cluster}
 	if request, isRequest := connection.(*edge.Request); isRequest {
@@ -111,7 +112,7 @@
 	return hotrestart.TransferItem{FDs: fds, Body: body}, true
 }
 
-// encode returns the body of the connection's transfer item: its CBOR with frontState as its State.
+// encode returns the body of the connection's transfer item, which is its CBOR encoding with frontState as State.
 func (c connectionState) encode(frontState any) (body []byte, err error) {
 	c.State, err = cbor.Marshal(frontState)
 	if err != nil {
--- a/internal/node/capture.go
+++ b/internal/node/capture.go
@@ -12,17 +12,17 @@
 	"spurwinch/internal/operations/capture"
 )
 
-const captureCloseTimeout = 2 * time.Second // for the rest of a capture, at the program's end
+const captureCloseTimeout = 2 * time.Second // for writing the rest of a capture when the program ends
 
-// captureObserver records what a core observes in a capture. It is the edge.Observer of that one core, which calls it
-// on the loop; the writer writes on a goroutine of its own.
+// captureObserver records the events of one core in a capture. The core calls it on the loop as its edge.Observer. The
+// writer writes in its own goroutine.
 type captureObserver struct {
 	writer  *capture.Writer
-	classes int // that the writer knows by name
-	tenants int // that the writer knows by name
+	classes int // number of classes whose names the writer knows
+	tenants int // number of tenants whose names the writer knows
 }
 
-// startCapture starts the capture of one core; without a path there is none, and the observer is nil.
+// startCapture starts the capture of one core. Without a path it starts no capture and returns a nil observer.
 func (p *Program) startCapture(
 	options config.Capture, name string, settings choice.Settings, fields []string,
 ) (edge.Observer, error) {
@@ -53,6 +53,7 @@
 	return &captureObserver{writer: writer, classes: len(header.Classes), tenants: len(header.Tenants)}, nil
 }
 
+// classAndTenantNames returns the names of all classes and tenants, in the order of the settings.
 func classAndTenantNames(settings choice.Settings) (classes, tenants []string) {
 	for _, class := range settings.Classes {
 		classes = append(classes, class.Name)
@@ -63,7 +64,7 @@
 	return classes, tenants
 }
 
-// Settings records the names of new classes and tenants; the tables only grow.
+// Settings records the names of new classes and tenants. The tables of classes and tenants only grow.
 func (o *captureObserver) Settings(settings choice.Settings) {
 	classes, tenants := classAndTenantNames(settings)
 	if len(classes) > o.classes || len(tenants) > o.tenants {
@@ -89,7 +90,7 @@
 	o.writer.Put(record)
 }
 
-// Ended records the end of an open connection.
+// Ended records the end of an established connection.
 func (o *captureObserver) Ended(
 	sequence uint64, lifetime time.Duration, load float64, cause edge.EndCause,
 ) {
@@ -99,7 +100,8 @@
 	})
 }
 
-// Report records a server's load report. The values are in the order of the header's Fields; NaN: not reported.
+// Report records a server's load report. The values are in the order of the header's Fields. NaN means that the server
+// did not report the value.
 func (o *captureObserver) Report(server choice.ServerID, values []float64) {
 	recorded := make([]float32, len(values))
 	for i, value := range values {
--- a/internal/node/command/command.go
+++ b/internal/node/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the main program of a node: its flags, its signals and its exit codes. The commands spurwinch and
+// Package command is the main program of a node. It handles flags, signals and exit codes. The commands spurwinch and
 // spurwinch-voter share it.
 package command
 
@@ -23,17 +23,18 @@
 	controlCommand = "spurwinchctl"
 )
 
-// Main runs a node until its shutdown is complete, and returns the exit code. newVoter makes a voter of the fleet's
-// log; where it is nil and the node is a voter, spurwinch-voter replaces this program.
+// Main runs a node until its shutdown is complete, and returns the exit code. newVoter creates a voter of the fleet's
+// log. If it is nil and the node is a voter, spurwinch-voter replaces this program.
 func Main(newVoter agent.NewVoter) int {
-	// Before anything else: a signal that nobody handles yet would end the process. Each kind has a channel that holds
-	// one: no number of SIGHUPs can crowd out the planned stop, and those that come while one waits are one with it.
+	// Signal handlers are installed first because an unhandled signal would end the process. Each kind of signal has
+	// its own channel with room for one signal. Therefore SIGHUPs can't displace the signal for a planned shutdown, and
+	// SIGHUPs that arrive while another one is pending are merged with it.
 	reload := make(chan os.Signal, 1)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	if err := run(os.Args[1:], reload, stop, newVoter); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "spurwinch:", err) // without a standard error there is nobody to tell
+		_, _ = fmt.Fprintln(os.Stderr, "spurwinch:", err) // a failure to write to standard error can't be reported
 		return exitFailure
 	}
 	return exitSuccess
--- a/internal/node/command/options.go
+++ b/internal/node/command/options.go
@@ -11,15 +11,15 @@
 
 const usage = "usage: spurwinch [-operator FILE] [-log console|json] [-log-level LEVEL] | spurwinch import-nginx FILE"
 
-// importCommand is a subcommand that has moved to spurwinchctl.
+// importCommand is a subcommand that spurwinchctl implements now.
 const importCommand = "import-nginx"
 
 var (
-	errImportArguments = errors.New("import-nginx takes one file")
+	errImportArguments = errors.New("import-nginx requires exactly one file")
 	errUnknownCommand  = errors.New("unknown command")
 )
 
-// usageError is a fault in the command line. Its text ends with the usage.
+// usageError is an error in the command line. Its text ends with the usage.
 type usageError struct{ err error }
 
 func (e *usageError) Error() string { return fmt.Sprintf("%v (%s)", e.err, usage) }
@@ -28,7 +28,7 @@
 
 // options are the flags of the command line.
 type options struct {
-	operatorFile string // empty: there is none
+	operatorFile string // path; empty: there is no operator's file
 	log          logs.Options
 }
 
@@ -38,9 +38,9 @@
 	flags := flag.NewFlagSet(nodeCommand, flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	flags.StringVar(&parsed.operatorFile, "operator", "",
-		"the operator's `FILE`: fronts and clusters beside the platform's")
-	flags.StringVar(&parsed.log.Format, "log", "console", "the log's form: console or json")
-	flags.StringVar(&parsed.log.Level, "log-level", "info", "least level that is logged: debug, info, warn or error")
+		"the operator's `FILE`, defining fronts and clusters in addition to the platform's")
+	flags.StringVar(&parsed.log.Format, "log", "console", "format of the log: console or json")
+	flags.StringVar(&parsed.log.Level, "log-level", "info", "minimum level to log: debug, info, warn or error")
 	if err := flags.Parse(commandLine); err != nil {
 		return options{}, &usageError{err}
 	}
@@ -50,7 +50,7 @@
 	return parsed, nil
 }
 
-// runImport has spurwinchctl execute the subcommand that it has taken over.
+// runImport replaces this program by spurwinchctl, which executes the import subcommand.
 func runImport(commandLine []string) error {
 	if len(commandLine) != 2 {
 		return &usageError{errImportArguments}
--- a/internal/node/command/start.go
+++ b/internal/node/command/start.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	startTimeout       = 5 * time.Second // for what a start lacks; a node must accept clients within 10 s
+	startTimeout       = 5 * time.Second // for retries of a failed start; a node must accept clients within 10 s
 	startRetryInterval = 50 * time.Millisecond
 )
 
@@ -27,7 +27,7 @@
 		return err
 	}
 	program, err := newNode(options.operatorFile, newVoter)
-	if errors.Is(err, node.ErrVoter) { // nothing is open yet that the other program could lack
+	if errors.Is(err, node.ErrVoter) { // this program holds no resource yet that the other program needs
 		return replaceProcess(voterCommand, commandLine)
 	}
 	if err != nil {
@@ -36,8 +36,8 @@
 	return program.Run(reload, stop)
 }
 
-// newNode sets up a node. What this machine lacks for a moment is waited for: a process that ends at its start is a
-// node that is lost.
+// newNode sets up a node. It retries while the machine temporarily lacks resources, because the node is lost if its
+// process ends during the start.
 func newNode(operatorFile string, newVoter agent.NewVoter) (*node.Program, error) {
 	deadline := time.Now().Add(startTimeout)
 	for {
@@ -49,7 +49,7 @@
 	}
 }
 
-// tryNewNode makes one attempt at setting up a node, on a loop of its own.
+// tryNewNode makes one attempt to set up a node, on a new loop.
 func tryNewNode(operatorFile string, newVoter agent.NewVoter) (*node.Program, error) {
 	eventLoop, err := loop.New()
 	if err != nil {
@@ -57,12 +57,12 @@
 	}
 	program, err := node.New(eventLoop, os.Getenv, operatorFile, newVoter)
 	if err != nil {
-		eventLoop.Close() // nothing of it may stand in the way of the next attempt
+		eventLoop.Close() // its open resources must not block the next attempt
 	}
 	return program, err
 }
 
-// replaceProcess replaces this process's program by another one of the same directory. It returns only on an error.
+// replaceProcess replaces this process's program by another program in the same directory. It returns only on an error.
 func replaceProcess(command string, commandLine []string) error {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -9,12 +9,13 @@
 	nodePath     string // GW_CONFIG
 	node         config.Node
 	hasPlatform  bool   // the platform's front is set up
-	listen       string // the first front's address: a hot restart finds the predecessor by it
+	listen       string // the first front's address; a hot restart uses it to find the predecessor
 	admin        string // address of the admin server; empty: none
 }
 
-// readConfiguration reads the operator's file, if there is one, and from the environment the path of the platform's
-// configuration and the admin address. readNode completes it for a node with the platform's front.
+// readConfiguration reads the operator's file, if there is one. From the environment it reads the path of the
+// platform's configuration and the admin address. For a node with the platform's front, readNode completes the
+// configuration.
 func readConfiguration(getenv func(string) string, operatorPath string) (startConfiguration, error) {
 	configuration := startConfiguration{
 		operatorPath: operatorPath,
@@ -34,7 +35,7 @@
 	return configuration, nil
 }
 
-// readNode reads the platform's configuration, where the node has the platform's front.
+// readNode reads the platform's configuration if the node has the platform's front.
 func (c *startConfiguration) readNode(getenv func(string) string) error {
 	c.hasPlatform = c.nodePath != "" || c.operatorPath == ""
 	if !c.hasPlatform {
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -9,10 +9,10 @@
 	"spurwinch/internal/edge"
 )
 
-// platformCluster is the key of the platform's core among those of the clusters, which all have a name.
+// platformCluster is the key of the platform's core. It differs from the keys of all clusters because they have names.
 const platformCluster = ""
 
-// coreOptions are the options that the cores of all fronts have in common.
+// coreOptions returns the options that the cores of all fronts share.
 func (p *Program) coreOptions(settings choice.Settings, seed uint64, observer edge.Observer) edge.Options {
 	return edge.Options{
 		Clock:    p.loop,
@@ -25,8 +25,8 @@
 	}
 }
 
-// startCore adds a cluster's core to the program and starts it with the servers that are known. The loop calls the
-// core's Flush after each callback, which carries out what the callback had the core decide.
+// startCore adds a cluster's core to the program and starts it with the known servers. After each callback, the loop
+// calls the core's Flush, which executes the decisions that the core made during the callback.
 func (p *Program) startCore(cluster string, core *edge.Core, servers []edge.ServerEntry) {
 	p.cores = append(p.cores, core)
 	p.coreByCluster[cluster] = core
--- a/internal/node/learnedstate.go
+++ b/internal/node/learnedstate.go
@@ -8,16 +8,17 @@
 	resumable "spurwinch/internal/session"
 )
 
-// maxSessions is the most sessions without a stream that are sent to another process; others go with their streams.
+// maxSessions is the maximum number of sessions without a stream that are sent to another process. Sessions with a
+// stream are transferred together with it.
 const maxSessions = 1000
 
-// learnedState is what a process has learned, beside its connections.
+// learnedState is the state that a process has learned. It doesn't include the state of connections.
 type learnedState struct {
-	Modules  map[string]choice.LearnedState `cbor:"1,keyasint"` // by the names of their clusters
+	Modules  map[string]choice.LearnedState `cbor:"1,keyasint"` // by cluster name
 	Sessions []resumable.Session            `cbor:"2,keyasint,omitempty"`
 }
 
-// encodeLearnedState encodes what this process has learned, for its successor.
+// encodeLearnedState encodes this process's learned state for its successor.
 func (h *hotRestart) encodeLearnedState() []byte {
 	state := learnedState{Modules: map[string]choice.LearnedState{}}
 	for cluster, core := range h.program.coreByCluster {
@@ -33,7 +34,7 @@
 	return encoded
 }
 
-// importLearnedState adopts what the predecessor has learned.
+// importLearnedState applies the predecessor's learned state to this process.
 func (h *hotRestart) importLearnedState(encoded []byte) {
 	var state learnedState
 	if err := cbor.Unmarshal(encoded, &state); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node composes the program of a node: the platform's front, the operator's fronts and clusters, the node's
-// part in its fleet, and what happens to them on a reload, at a hot restart and at a planned stop.
-// internal/node/command adds flags and signals, and nothing else.
+// Package node assembles the program of a node: the platform's front, the operator's fronts and clusters, and the
+// node's membership in its fleet. It also implements reloads, hot restarts and the planned shutdown. Package
+// internal/node/command adds only flags and signals.
 package node
 
 import (
@@ -16,22 +16,22 @@
 	"spurwinch/internal/xmpp"
 )
 
-// Program is a node on its loop. Its methods belong to the loop's goroutine, or to the time before the loop runs;
-// forwardSignals alone has a goroutine of its own.
+// Program is a node on its loop. Its methods must be called on the loop's goroutine, or before the loop runs. Only
+// forwardSignals has its own goroutine.
 type Program struct {
 	loop          *loop.Loop
-	cores         []*edge.Core          // the platform's, then those of the operator's file in its order
-	coreByCluster map[string]*edge.Core // the platform's by platformCluster
-	platform      *platform             // nil: there is only an operator's file
-	xmpp          *xmpp.Front           // nil: no operator's file has clusters
+	cores         []*edge.Core          // the platform's core, then those of the operator's file in its order
+	coreByCluster map[string]*edge.Core // by cluster name; platformCluster for the platform's core
+	platform      *platform             // nil: the node has only an operator's file
+	xmpp          *xmpp.Front           // nil: there is no operator's file with clusters
 	fleet         *fleet                // nil: the node belongs to no fleet
 	adminAddr     netip.AddrPort
 
 	reloaders    []reloader
-	cancelReload func()        // cancels the next attempt at reading the files; nil: there is none
-	onShutdown   []func()      // when the planned stop begins
-	onClose      []func()      // when the loop has ended, or the start has failed
-	shutdownTime time.Duration // from the start of the planned stop to the end of the loop, at the most
+	cancelReload func()        // cancels the next attempt to read the files; nil: none is scheduled
+	onShutdown   []func()      // called when the planned shutdown begins
+	onClose      []func()      // called when the loop has ended or the start has failed
+	shutdownTime time.Duration // maximum time from the start of the planned shutdown to the end of the loop
 
 	restart   hotRestart
 	readiness readiness
@@ -51,17 +51,17 @@
 	return program
 }
 
-// New sets a node up on a loop that is not running yet: the platform's front where GW_CONFIG is set or there is no
-// operator's file, and what the operator's file (if any) sets up beside it. If it fails, all that a running process
-// granted is given back.
+// New sets up a node on a loop that must not run yet. It sets up the platform's front if GW_CONFIG is set or there is
+// no operator's file, and also the fronts and clusters of the operator's file, if there is one. If New fails, it
+// returns everything that a running process granted.
 //
-// newVoter makes a voter of the fleet's log; where it is nil and the node is a voter, the error is ErrVoter.
+// newVoter creates a voter of the fleet's log. If it is nil and the node is a voter, the error is ErrVoter.
 func New(
 	eventLoop *loop.Loop, getenv func(string) string, operatorFile string, newVoter agent.NewVoter,
 ) (*Program, error) {
 	program := newProgram(eventLoop)
 	if err := program.assemble(getenv, operatorFile, newVoter); err != nil {
-		program.Close() // the files that are open
+		program.Close() // closes the files that are already open
 		if grant := program.restart.grant; grant != nil {
 			grant.Release(eventLoop.Serves)
 		}
@@ -82,15 +82,16 @@
 	return nil
 }
 
-// Close closes what outlives the loop. It is called once the loop has ended.
+// Close closes the parts that stay open after the loop has ended. It must be called after the end of the loop.
 func (p *Program) Close() {
 	for _, closePart := range p.onClose {
 		closePart()
 	}
 }
 
-// Run runs the loop until the planned stop is complete. A signal on reload reloads the files; the first on stop begins
-// the planned stop. Of two that come at once the reload goes first: how long a stop may take depends on the files.
+// Run runs the loop until the planned shutdown is complete. A signal on reload reloads the files; the first signal on
+// stop begins the planned shutdown. If both signals are pending, the reload comes first, because the files determine
+// how long the shutdown may take.
 func (p *Program) Run(reload, stop <-chan os.Signal) error {
 	go p.forwardSignals(reload, stop)
 	err := p.loop.Run()
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// forwardSignals passes signals on to the loop, as long as the process runs. It is the body of a goroutine, and touches
-// the program by Post alone.
+// forwardSignals forwards signals to the loop as long as the process runs. It runs in its own goroutine and accesses
+// the program only through Post.
 func (p *Program) forwardSignals(reload, stop <-chan os.Signal) {
 	for {
 		select {
@@ -115,7 +116,7 @@
 			default:
 			}
 			p.loop.Post(p.Shutdown)
-			stop = nil // a second one has nothing to add
+			stop = nil // further stop signals have no effect
 		}
 	}
 }
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -18,17 +18,17 @@
 
 const (
 	expiryCheckInterval = 24 * time.Hour
-	sessionLoadField    = "x0" // the field of a load report that sessionLoad fills
+	sessionLoadField    = "x0" // field of a load report in which sessionLoad reports the load
 )
 
-// sessionLoad is the health checker of an operator's cluster. A server's load is its sessions in flight over its
-// capacity.
+// sessionLoad is the health checker of an operator's cluster. A server's load is its number of sessions in flight
+// divided by its capacity.
 type sessionLoad struct {
 	core     func() *edge.Core
-	capacity float64 // this node's share of the sessions that a server of weight 1 has room for
+	capacity float64 // this node's share of the sessions that a server of weight 1 can hold
 }
 
-// CheckHealth answers at once, from the core's own count.
+// CheckHealth calls done immediately, with the load from the core's own count of sessions.
 func (s sessionLoad) CheckHealth(
 	server edge.ServerEntry, _ time.Time, done func(choice.Outcome, []float64),
 ) {
@@ -36,19 +36,19 @@
 	done(choice.Served, []float64{load})
 }
 
-// operatorFronts are the fronts and clusters that an operator's file sets up.
+// operatorFronts contains the fronts and clusters that an operator's file defines.
 type operatorFronts struct {
 	program   *Program
 	path      string
 	seed      uint64
 	xmpp      *xmpp.Front
-	addrs     []netip.AddrPort            // of the listeners
-	watches   map[string]*discovery.Watch // of the clusters with a discovery
+	addrs     []netip.AddrPort            // addresses of the listeners
+	watches   map[string]*discovery.Watch // by cluster name; only clusters that use discovery have one
 	keys      tls.Keys
-	firstSeen map[string]time.Time // when a static server was added, by serverKey; zero: at the start
+	firstSeen map[string]time.Time // when a static server was added, by serverKey; zero: at the start of the node
 }
 
-// newOperatorFronts sets up the fronts and clusters of an operator's file, on a loop that is not running yet.
+// newOperatorFronts sets up the fronts and clusters of an operator's file. The loop must not run yet.
 func newOperatorFronts(program *Program, path string, file config.Operator, seed uint64) (*operatorFronts, error) {
 	fronts := &operatorFronts{
 		program:   program,
@@ -77,7 +77,7 @@
 	return fronts, nil
 }
 
-// addCluster sets up the core of a cluster; number is the cluster's place in the file.
+// addCluster sets up the core of a cluster; number is the cluster's index in the file.
 func (o *operatorFronts) addCluster(file config.Operator, entry config.Cluster, number int) error {
 	settings := file.Settings(entry)
 	seed := o.seed + uint64(number)
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// checkExpiryDaily logs certificates that expire soon, each day.
+// checkExpiryDaily logs the certificates that expire soon, immediately and then every expiryCheckInterval.
 func (o *operatorFronts) checkExpiryDaily() {
 	o.logExpiring()
 	o.program.loop.At(o.program.loop.Now().Add(expiryCheckInterval), o.checkExpiryDaily)
@@ -163,7 +163,8 @@
 // serverKey is a static server's key in firstSeen.
 func serverKey(cluster, id string) string { return cluster + " " + id }
 
-// startedAt returns when a server was added; one not seen yet is added now.
+// startedAt returns a function that returns when a server of the cluster was added. It records now for a server that it
+// has not seen before.
 func (o *operatorFronts) startedAt(cluster string, now time.Time) func(id string) time.Time {
 	return func(id string) time.Time {
 		key := serverKey(cluster, id)
@@ -176,13 +177,13 @@
 	}
 }
 
-// readFile reads and checks the file as it is now. The function that it returns applies it.
+// readFile reads and checks the current file. It returns a function that applies the file.
 func (o *operatorFronts) readFile() (apply func(), err error) {
 	file, err := config.ReadOperator(o.path)
 	return func() { o.apply(file) }, err
 }
 
-// apply applies the limits by peer, the certificates, the static servers and the discovery addresses of a file.
+// apply applies the per-peer limits, the certificates, the static servers and the discovery addresses of a file.
 func (o *operatorFronts) apply(file config.Operator) {
 	o.xmpp.SetAdmissionRules(file.AdmissionRules())
 	if file.Keys != nil {
@@ -196,7 +197,7 @@
 		switch {
 		case core == nil || (watch != nil) != (entry.Discovery != ""):
 			zap.L().Warn("reload_needs_restart", zap.String("cluster", entry.Name),
-				zap.String("cause", "a new cluster, or one that gains or loses its discovery"))
+				zap.String("cause", "the cluster is new, or its discovery address was added or removed"))
 		case watch != nil:
 			zap.L().Info("discovery_address_changed", zap.String("cluster", entry.Name),
 				zap.String("address", entry.Discovery))
@@ -207,7 +208,8 @@
 	}
 }
 
-// applyStaticServers applies a cluster's servers. One that is removed and added again later is a new one.
+// applyStaticServers applies a cluster's static servers. A server that is removed and later added again counts as a new
+// server.
 func (o *operatorFronts) applyStaticServers(core *edge.Core, entry config.Cluster) {
 	servers := entry.StaticHosts(o.startedAt(entry.Name, o.program.loop.Now()))
 	listed := map[string]bool{}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -9,31 +9,31 @@
 	"spurwinch/internal/loop"
 )
 
-const maxPeerMessage = 256 // bytes of a datagram; the protocol's
+const maxPeerMessage = 256 // maximum bytes of a datagram in the peer protocol
 
-// peerNetwork sends and receives the messages between the nodes of a tier. Its counts include what was dropped before
-// the module saw it.
+// peerNetwork sends and receives the messages between the nodes of a tier. Its counts include messages that were
+// dropped before they reached the module.
 type peerNetwork struct {
 	socket       *loop.Datagrams // nil: there are no other nodes
 	addrs        []netip.AddrPort
 	numberByAddr map[netip.AddrPort]int
 	self         int
-	localAddr    netip.AddrPort // of the socket
+	localAddr    netip.AddrPort // address of the socket
 
 	counts peerCounts
 }
 
-// peerCounts are numbers of messages.
+// peerCounts counts messages by what happened to them.
 type peerCounts struct {
 	sent     int
-	lost     int // that the socket didn't accept
+	lost     int // the socket didn't accept them
 	received int
-	unknown  int // from addresses that are no peer's
+	unknown  int // from addresses that don't belong to a peer
 	tooLong  int
 }
 
-// listenPeers opens the socket, where there are peers. receive gets each message with its sender's number. granted is
-// the socket of the process that runs already, or noSocket.
+// listenPeers opens the socket if there are peers. It passes each message to receive with the sender's number. granted
+// is the socket of the process that already runs, or noSocket.
 func listenPeers(
 	eventLoop *loop.Loop, node config.Node, granted int, receive func(from int, message []byte),
 ) (*peerNetwork, error) {
@@ -57,11 +57,11 @@
 	return network, err
 }
 
-// accept counts a message and says whose it is; ok is false for one that is dropped.
+// accept counts a message and returns the number of its sender. ok is false if the message is dropped.
 func (p *peerNetwork) accept(from netip.AddrPort, message []byte) (number int, ok bool) {
 	number, known := p.numberByAddr[from]
 	switch {
-	case !known || number == p.self: // a stranger could have this node believe anything
+	case !known || number == p.self: // an unknown sender could send this node false data
 		p.counts.unknown++
 		return 0, false
 	case len(message) > maxPeerMessage:
@@ -72,7 +72,7 @@
 	return number, true
 }
 
-// setReading sets whether this process reads what other nodes send.
+// setReading sets whether this process reads the messages that other nodes send.
 func (p *peerNetwork) setReading(on bool) {
 	if p.socket == nil {
 		return
@@ -93,13 +93,15 @@
 	p.sizeReceiveBuffer()
 }
 
-// sizeReceiveBuffer guards against a fleet whose nodes all send at once, of which most would not be heard.
+// sizeReceiveBuffer adapts the socket's receive buffer to the number of peers. Otherwise most messages would be lost if
+// all nodes sent at once.
 func (p *peerNetwork) sizeReceiveBuffer() {
 	if p.socket != nil {
 		p.socket.SetReceiveBuffer(len(p.addrs))
 	}
 }
 
+// send sends a message to the node with a number. It ignores an unknown node and a message that is too long.
 func (p *peerNetwork) send(to int, message []byte) {
 	if p.socket == nil || to < 0 || to >= len(p.addrs) || len(message) > maxPeerMessage {
 		return
@@ -110,7 +112,8 @@
 	}
 }
 
-// logCounts logs the counts, once at the planned stop; dropped is how many the module did not believe.
+// logCounts logs the counts; it is called once, at the planned shutdown. dropped is the number of messages that the
+// module rejected.
 func (p *peerNetwork) logCounts(dropped int) {
 	if p.socket != nil {
 		zap.L().Info("peer_messages", zap.Int("sent", p.counts.sent), zap.Int("lost", p.counts.lost),
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	reservedDescriptors = 48   // that are not for clients and servers: discovery, health checks, the runtime's own
-	healthCheckDivisor  = 3    // one in so many of the rest may be held by idle connections for health checks
-	defaultDescriptors  = 1024 // of the process, where the configuration doesn't say
+	reservedDescriptors = 48   // not available to clients and servers: discovery, health checks, the Go runtime
+	healthCheckDivisor  = 3    // idle health check connections may hold one in healthCheckDivisor of the rest
+	defaultDescriptors  = 1024 // of the process, if the configuration sets no limit
 )
 
-// platform is the platform's front with its core.
+// platform contains the platform's front, its core and its connections to servers and other nodes.
 type platform struct {
 	core      *edge.Core
 	front     *downstream.Front
 	listWatch *discovery.Watch
 	peers     *peerNetwork
 	upstream  *upstream.Cluster
-	processes int // of this node
+	processes int // number of processes of this node
 
 	config   config.Node                             // in force
-	overlay  func(simwire.Settings) simwire.Settings // the fleet's policy; nil: it has none, and the file says all
-	settings simwire.Settings                        // in use: the file's, or overlaid with the policy
+	overlay  func(simwire.Settings) simwire.Settings // applies the fleet's policy; nil: there is none
+	settings simwire.Settings                        // in use: the file's settings with the overlay, if any
 }
 
-// reload applies a configuration that was checked.
+// reload applies a configuration that has been checked.
 func (p *platform) reload(next config.Node) {
 	p.config = next
 	p.applySettings(p.processes)
@@ -47,7 +47,7 @@
 	p.listWatch.SetAddress(next.Discovery)
 }
 
-// applySettings applies the configuration to all parts, in a node of so many processes.
+// applySettings applies the configuration to all parts; processes is the number of processes of the node.
 func (p *platform) applySettings(processes int) {
 	p.processes = processes
 	settings := p.config.Settings
@@ -62,23 +62,23 @@
 	p.listWatch.SetMode(watchMode(settings.Settings))
 }
 
-// watchMode is how the server list is obtained: by long polls of a service for all nodes where the settings have the
-// node subscribe, else from an agent beside the node.
+// watchMode returns how the node obtains the server list. If the settings make the node subscribe, it sends long polls
+// to a service that serves all nodes. Otherwise an agent on the same machine pushes the list.
 func watchMode(settings choice.Settings) discovery.Mode {
 	return discovery.Mode{Pushed: !settings.Subscribe, DrainGrace: settings.Rules.DrainGrace}
 }
 
-// platformSettings adapts the settings to real sockets; hasPeers: the other nodes can be reached.
+// platformSettings adapts the settings to real sockets. hasPeers tells whether the other nodes can be reached.
 func platformSettings(settings choice.Settings, hasPeers bool, processes int) choice.Settings {
-	// Servers return a line at once however full they are, and no line has a message's time: the simulator's delay
-	// observations have no counterpart here.
+	// Servers return a line immediately however loaded they are, and no line contains the time of a message. Therefore
+	// the delay observations of the simulator are not available here.
 	settings.DelaysObserved = false
 	settings.Limits.PeerMessages = hasPeers
 	settings.Processes = processes
 	return settings
 }
 
-// newPlatform sets up the platform's front on a loop that is not running yet. The address is its listener's.
+// newPlatform sets up the platform's front and returns the address of its listener. The loop must not run yet.
 func (p *Program) newPlatform(node config.Node, observer edge.Observer) (*platform, netip.AddrPort, error) {
 	platform, err := p.newPlatformCore(node, observer)
 	if err != nil {
@@ -102,7 +102,7 @@
 	logListening("platform", listener.Addr)
 	var servers []edge.ServerEntry
 	if known != nil {
-		servers, _ = known.ServerEntries() // the list was checked once, with the configuration or the grant
+		servers, _ = known.ServerEntries() // the list was already checked with the configuration or the grant
 	}
 	p.startCore(platformCluster, platform.core, servers)
 	p.platform = platform
@@ -111,7 +111,7 @@
 	return platform, listener.Addr, nil
 }
 
-// newPlatformCore creates the platform's core with what it needs towards servers and other nodes.
+// newPlatformCore creates the platform's core with its connections to servers and other nodes.
 func (p *Program) newPlatformCore(node config.Node, observer edge.Observer) (*platform, error) {
 	platform := &platform{
 		upstream:  upstream.New(p.loop, node.Settings.ReportFields),
@@ -137,7 +137,7 @@
 	return platform, err
 }
 
-// listHandler takes in what the watch reports of the server list.
+// listHandler returns a function that applies the server lists and changes that the watch reports.
 func (p *Program) listHandler(platform *platform) func(choice.ListKind, []edge.ServerEntry) {
 	return func(kind choice.ListKind, servers []edge.ServerEntry) {
 		platform.core.UpdateServers(kind, servers)
@@ -155,7 +155,8 @@
 	}
 }
 
-// followList begins to watch the server list, and sets from when on the front announces that it accepts clients.
+// followList begins to watch the server list, and schedules when the front announces that it accepts clients. onRequest
+// tells that the core starts the watch itself when it needs the list; known tells that the node already knows servers.
 func (p *Program) followList(watch *discovery.Watch, onRequest, known bool) {
 	if !onRequest {
 		watch.Follow()
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	quotaInterval = 100 * time.Millisecond // between raises of the successor's quota while this process drains
+	quotaInterval = 100 * time.Millisecond // between increases of the successor's quota while this process drains
 
 	// Descriptors that are kept free.
-	shutdownReserve    = 16 // beside clients and servers: the loop's, listeners, the log
+	shutdownReserve    = 16 // during shutdown, besides clients and servers: the loop, listeners, the log
 	transferReserve    = 32 // while connections are received: health checks, new clients
-	grantDivisor       = 4  // one in so many free descriptors is not granted to a successor
-	idleReserveDivisor = 8  // one in so many descriptors is not used by idle connections
+	grantDivisor       = 4  // one in grantDivisor free descriptors is not granted to a successor
+	idleReserveDivisor = 8  // idle connections may not use one in idleReserveDivisor descriptors
 
-	memoryLimitPercent = 60 // of the node's memory: the garbage collector's limit
+	memoryLimitPercent = 60 // garbage collector's limit as a share of the node's memory
 	bytesPerMB         = 1 << 20
 )
 
-// nodeLimits are the resources of the node, which all of its processes share.
+// nodeLimits contains the resources of the node, which all its processes share.
 type nodeLimits struct {
 	descriptors int // 0: not set
 	memoryMB    int // 0: not set
@@ -37,7 +37,7 @@
 	h.applyQuota()
 }
 
-// groupQuota is the number of descriptors that this process and its successors may hold.
+// groupQuota returns the number of descriptors that this process and its successors may hold.
 func (h *hotRestart) groupQuota() int {
 	switch {
 	case h.coordinator != nil && h.coordinator.HasPredecessor():
@@ -48,7 +48,7 @@
 	return h.limits.descriptors
 }
 
-// ownQuota is the number of descriptors that this process may hold.
+// ownQuota returns the number of descriptors that this process may hold.
 func (h *hotRestart) ownQuota() int {
 	if h.coordinator == nil {
 		return h.groupQuota()
@@ -56,8 +56,8 @@
 	return h.groupQuota() - h.coordinator.GrantedQuota()
 }
 
-// spareDescriptors is what this process can give up of a quota: what it doesn't hold, and where many connections are
-// idle, which may be evicted, up to half.
+// spareDescriptors returns how many descriptors of a quota this process can give up. These are the descriptors that it
+// doesn't use. Because idle connections may be evicted, their descriptors count too, up to half of the quota.
 func (h *hotRestart) spareDescriptors(quota int) int {
 	loop := h.program.loop
 	unused := quota - reservedDescriptors - loop.Open()
@@ -67,7 +67,7 @@
 	return max(unused, min(quota/2, unused+loop.Idle()), 0)
 }
 
-// raiseQuotaRepeatedly gives descriptors up to the successor as this process's connections end.
+// raiseQuotaRepeatedly passes descriptors to the successor as this process's connections end, every quotaInterval.
 func (h *hotRestart) raiseQuotaRepeatedly() {
 	h.raiseSuccessorQuota()
 	h.applyQuota()
@@ -82,15 +82,15 @@
 	}
 }
 
-// applyQuota applies this process's part of the node's resources: all of them when it is alone.
+// applyQuota applies this process's share of the node's resources. A process that runs alone gets all of them.
 func (h *hotRestart) applyQuota() {
 	linked, successorReady, hasPredecessor := false, false, false
 	if h.coordinator != nil {
 		linked, successorReady = h.coordinator.Successor()
 		hasPredecessor = h.coordinator.HasPredecessor()
 	}
-	alone := h.sharedUntil.IsZero() && !linked && !hasPredecessor
-	h.limitMemory(alone)
+	isAlone := h.sharedUntil.IsZero() && !linked && !hasPredecessor
+	h.limitMemory(isAlone)
 	if h.shuttingDown && (successorReady || linked && !h.program.ready()) {
 		h.closeListeners()
 	}
@@ -100,29 +100,30 @@
 	}
 	h.limitPlatform(platform)
 	processes := 1
-	if !alone {
+	if !isAlone {
 		processes = 2
 	}
 	if platform.processes != processes {
 		platform.applySettings(processes)
 	}
-	// The process that accepts the clients receives the other nodes' messages, too.
+	// The process that accepts clients also receives the messages from the other nodes.
 	predecessorServes := hasPredecessor && !h.program.ready()
 	platform.peers.setReading(!successorReady && !predecessorServes)
 }
 
-// limitMemory sets the garbage collector's limit well below the memory at which the node would be killed.
-func (h *hotRestart) limitMemory(alone bool) {
+// limitMemory sets the garbage collector's limit well below the memory size at which the node would be killed.
+func (h *hotRestart) limitMemory(isAlone bool) {
 	if h.limits.memoryMB <= 0 {
 		return
 	}
 	limit := int64(h.limits.memoryMB) * bytesPerMB * memoryLimitPercent / 100
-	if !alone {
+	if !isAlone {
 		limit /= 2
 	}
 	debug.SetMemoryLimit(limit)
 }
 
+// closeListeners stops accepting clients in this process.
 func (h *hotRestart) closeListeners() {
 	h.listenersClosed = true
 	for _, listener := range h.listeners {
@@ -130,12 +131,12 @@
 	}
 }
 
-// limitPlatform bounds the descriptors of clients, servers, health checks and idle connections.
+// limitPlatform limits the descriptors of clients, servers, health checks and idle connections.
 func (h *hotRestart) limitPlatform(platform *platform) {
 	quota := max(h.ownQuota()-reservedDescriptors, 0)
 	platform.front.SetMaxConnections(quota)
 	platform.upstream.SetMaxHealthCheckConnections(max(quota/healthCheckDivisor, 1))
-	if h.listenersClosed { // no client connects here any more, and idle ones are transferred to the successor
+	if h.listenersClosed { // no new client connects here, and idle connections are transferred to the successor
 		h.program.loop.SetIdleLimit(0)
 	} else {
 		h.program.loop.SetIdleLimit(max(quota-h.ownQuota()/idleReserveDivisor, 1))
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -3,29 +3,30 @@
 import "time"
 
 const (
-	// maxReadyWait is after how long a process announces that it accepts clients, whether it knows servers or not: a
+	// maxReadyWait is the time after which a process announces that it accepts clients even if it knows no servers. A
 	// node must be ready within 6 s, and a rejected request can be retried.
 	maxReadyWait = 4 * time.Second
-	// maxFirstListWait is for the first list of an agent: what the agent has counts as known to a process from its
-	// start.
+	// maxFirstListWait is the longest wait for the first list from an agent. A process is treated as knowing the
+	// agent's list from its start.
 	maxFirstListWait = 2 * time.Second
 )
 
-// readiness is what has to be known before a process accepts clients.
+// readiness records which information a process has or awaits before it accepts clients.
 type readiness struct {
-	serversKnown   bool          // the platform's front knows servers, or has waited long enough for some
-	firstListWait  time.Duration // for an agent's first list
-	awaitsPolicy   bool          // which policy of the fleet is in force isn't known yet
-	hasPredecessor bool          // started beside a running process, which has the node's part in the fleet meanwhile
+	serversKnown   bool          // the platform's front knows servers, or has waited long enough for them
+	firstListWait  time.Duration // maximum wait for an agent's first list
+	awaitsPolicy   bool          // the process doesn't know yet which fleet policy is in force
+	hasPredecessor bool          // another process was running at the start; it is the node's member of the fleet
 }
 
-// onServersKnown is called once the platform's front knows servers, or has waited long enough for some.
+// onServersKnown is called once the platform's front knows servers, or has waited long enough for them.
 func (p *Program) onServersKnown() {
 	p.readiness.serversKnown = true
 	p.announceReady()
 }
 
-// announceReady has the platform's front announce that it accepts clients, once all that it waits for is known.
+// announceReady makes the platform's front announce that it accepts clients, once the process has all information that
+// it waits for.
 func (p *Program) announceReady() {
 	if p.readiness.serversKnown && !p.readiness.awaitsPolicy && p.platform != nil {
 		p.platform.front.SetReady()
@@ -40,7 +41,7 @@
 	p.restart.applyQuota()
 }
 
-// ready reports whether this process accepts clients; the admin server answers by it.
+// ready reports whether this process accepts clients. The admin server uses it for its readiness answer.
 func (p *Program) ready() bool {
 	for _, core := range p.cores {
 		if core.RejectsNew() {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	reloadRetryInterval = 100 * time.Millisecond // while files can't be read for a moment
-	reloadRetryTime     = 30 * time.Second       // then the old configuration stays, until the next signal
+	reloadRetryInterval = 100 * time.Millisecond // while files are temporarily unreadable
+	reloadRetryTime     = 30 * time.Second       // after this, the old configuration stays until the next signal
 )
 
-// reloader reads and checks a part's files again. The function that it returns applies them.
+// reloader rereads and checks the files of a part. It returns a function that applies them.
 type reloader = func() (apply func(), err error)
 
-// Reload reads the files again. They are applied all together; with a fault in one of them nothing is applied.
+// Reload rereads the files and applies all of them together. If one of them is invalid, it applies none.
 func (p *Program) Reload() {
 	if p.cancelReload != nil {
 		p.cancelReload()
@@ -27,7 +27,8 @@
 	p.reloadUntil(p.loop.Now().Add(reloadRetryTime))
 }
 
-// reloadUntil retries until a deadline where files can't be read for a moment: no further signal would come for them.
+// reloadUntil rereads the files, and retries until a deadline while files are temporarily unreadable, because no
+// further signal would trigger another reload.
 func (p *Program) reloadUntil(deadline time.Time) {
 	apply, err := p.readFiles()
 	next := p.loop.Now().Add(reloadRetryInterval)
@@ -49,7 +50,7 @@
 	}
 }
 
-// readFiles reads and checks all files. The functions that it returns apply them.
+// readFiles reads and checks all files. It returns functions that apply them.
 func (p *Program) readFiles() (apply []func(), err error) {
 	for _, read := range p.reloaders {
 		applyPart, err := read()
@@ -61,7 +62,7 @@
 	return apply, nil
 }
 
-// platformReloader is the reloader of the platform's front.
+// platformReloader returns the reloader of the platform's front.
 func (p *Program) platformReloader(platform *platform, path string) reloader {
 	return func() (apply func(), err error) {
 		next, err := config.ReloadNode(path, platform.config)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// How long the loop runs on after SIGTERM. The platform kills a process that shuts down, and counts one that exits
-	// before that as crashed: there the program waits for longer than the platform does. Elsewhere it exits soon after
-	// the drain of its cores, which takes 3.2 s.
+	// How long the loop continues to run after SIGTERM. The platform kills a process that shuts down, and treats a
+	// process that exits earlier as crashed. On the platform the program therefore waits longer than the platform does.
+	// Elsewhere it exits soon after its cores have drained, which takes 3.2 s.
 	platformShutdownTime = 10 * time.Second
 	operatorShutdownTime = 4 * time.Second
 )
 
-// Shutdown begins the planned stop, which ends the loop.
+// Shutdown begins the planned shutdown, which ends the loop.
 func (p *Program) Shutdown() {
 	for _, begin := range p.onShutdown {
 		begin()
@@ -25,18 +25,18 @@
 	for _, core := range p.cores {
 		p.drain(core, toSuccessor)
 	}
-	if toSuccessor { // the platform has its process, and this one may end once its clients have their last bytes
+	if toSuccessor { // the successor serves the node, so this process may end once its clients have their last bytes
 		p.shutdownTime = operatorShutdownTime
 		p.restart.transferAll()
 	}
 	p.loop.At(p.loop.Now().Add(p.shutdownTime), p.loop.Stop)
 }
 
-// drain drains a core, by transfer to the successor if there is one.
+// drain drains a core, and transfers its connections to the successor if there is one.
 func (p *Program) drain(core *edge.Core, toSuccessor bool) {
 	zap.L().Info("shutdown_started", zap.Stringer("core", core), zap.Bool("handed_over", toSuccessor))
 	drained := func() {
-		p.loop.CloseIdle() // a client without a request yet would be cut off with the process
+		p.loop.CloseIdle() // the end of the process would otherwise cut off clients that have sent no request
 		zap.L().Info("shutdown_complete", zap.Stringer("core", core),
 			zap.Int("attempts_spared", core.AttemptsNeverSent()))
 		p.telemetry.logReasons()
--- a/internal/node/telemetry.go
+++ b/internal/node/telemetry.go
@@ -9,22 +9,21 @@
 	"spurwinch/internal/trace"
 )
 
-// telemetry is what a node counts of its requests, its reloads and the invariants that it checks. All cores of the
-// process share one.
+// telemetry counts requests, reloads and invariant checks of a node. All cores of the process share one telemetry.
 type telemetry struct {
 	figures stats.Counters
 	monitor invariant.Monitor
 	trace   trace.Recorder
 }
 
-// logViolation logs a broken invariant; it is the monitor's OnViolation.
+// logViolation logs a violated invariant. The monitor calls it as its OnViolation.
 func logViolation(violation invariant.Violation) {
 	zap.L().Error("invariant_broken", zap.Stringer("rule", violation.Rule), zap.Stringer("step", violation.Step),
 		zap.String("request", violation.Request), zap.String("host", violation.Server))
 }
 
-// appendReasons appends how often connections were closed, attempts retried and requests rejected, by reason, and what
-// the invariant monitor saw.
+// appendReasons appends the counts of closed connections, retried attempts and rejected requests by reason, and the
+// counters of the invariant monitor.
 func (t *telemetry) appendReasons(buf []byte) []byte {
 	counter := func(kind, name string, count uint64) { buf = stats.AppendCounter(buf, count, kind, name) }
 	t.trace.Each(counter)
@@ -32,7 +31,7 @@
 	return buf
 }
 
-// logReasons puts the same into the log, at the planned stop.
+// logReasons logs the counts by reason and the number of invariant violations, at the planned shutdown.
 func (t *telemetry) logReasons() {
 	var fields []zap.Field
 	t.trace.Each(func(kind, name string, count uint64) {
@@ -42,7 +41,7 @@
 	zap.L().Info("request_totals", fields...)
 }
 
-// appendFigures appends the figures of the process and the gauges of its cores.
+// appendFigures appends the counters of the process and the gauges of its cores.
 func (p *Program) appendFigures(buf []byte) []byte {
 	var gauges edge.Gauges
 	for _, core := range p.cores {
