--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -11,23 +11,23 @@
 	"spurwinch/internal/lab/transcript"
 )
 
-// startSmallNode starts a node of few descriptors with its admin server.
+// startSmallNode starts a node with few descriptors and its admin server.
 func startSmallNode(tb testing.TB, sockets int) (program *Program, addr string) {
 	tb.Helper()
 	node := platformConfig(tb, transcript.EchoServer(tb))
 	node.Sockets = sockets
 	started := startProcess(tb, node, "")
 	var err error
-	started.on(func() { err = started.listenAdmin("127.0.0.1:0") })
+	started.runOn(func() { err = started.listenAdmin("127.0.0.1:0") })
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return started.Program, started.addr
 }
 
-// TestAdminServerUnderLoad has a node of few descriptors full of clients that send nothing or half a line, and its
-// admin server full of callers that finish no call, don't read, or send single bytes: each call gets an answer, and
-// usual clients are served.
+// TestAdminServerUnderLoad fills a node that has few descriptors with clients that send nothing or half a line, and its
+// admin server with callers that don't finish their call, don't read, or send single bytes. The node must answer each
+// call and serve normal clients.
 func TestAdminServerUnderLoad(t *testing.T) {
 	program, addr := startSmallNode(t, reservedDescriptors+80)
 	adminAddr := program.adminAddr.String()
@@ -36,7 +36,7 @@
 		send(dial(t, addr), "%s", [3]string{"", "OPEN 01", "PING\r\n"}[i%3])
 		if i%20 == 0 {
 			send(dial(t, adminAddr), "%s", [2]string{"", "GET /api/re"}[i/20%2])
-			send(dial(t, adminAddr), "GET /api/telemetry HTTP/1.1\r\n\r\n") // reads nothing
+			send(dial(t, adminAddr), "GET /api/telemetry HTTP/1.1\r\n\r\n") // the caller doesn't read the answer
 		}
 		if i%100 == 99 {
 			checkAdminAnswers(t, adminAddr, i)
@@ -51,22 +51,25 @@
 	}
 	got, err := io.ReadAll(slow)
 	if err != nil || !strings.HasSuffix(string(got), "\r\n\r\nready\n") {
-		t.Errorf("a call in single bytes got %q, %v", got, err)
+		t.Errorf("request sent byte by byte: got %q, %v, want the answer \"ready\"", got, err)
 	}
 }
 
+// checkAdminAnswers checks that the admin server answers; after is the number of clients that the test has opened.
 func checkAdminAnswers(t *testing.T, adminAddr string, after int) {
 	t.Helper()
 	if status, body := transcript.AdminRequest(adminAddr, "/api/ready"); status != http.StatusOK {
-		t.Errorf("after %d: %d %s", after, status, body)
+		t.Errorf("admin request after client %d: got status %d and body %s, want 200 and the body of its path",
+			after, status, body)
 	}
 	status, body := transcript.AdminRequest(adminAddr, "/api/telemetry")
 	if status != http.StatusOK || !strings.Contains(body, "gw.in_flight:") {
-		t.Errorf("after %d: %d %s", after, status, body)
+		t.Errorf("admin request after client %d: got status %d and body %s, want 200 and the body of its path",
+			after, status, body)
 	}
 }
 
-// BenchmarkFigures is one fetch of the figures over a socket, with open connections.
+// BenchmarkFigures fetches the telemetry over a socket, with open connections.
 func BenchmarkFigures(b *testing.B) {
 	for _, connections := range []int{0, 1000} {
 		b.Run(fmt.Sprint(connections), func(b *testing.B) { benchmarkFigures(b, connections) })
--- a/internal/node/admissionlog.go
+++ b/internal/node/admissionlog.go
@@ -23,17 +23,17 @@
 }
 
 // admissionRecorder returns a function that adds an entry to the admission log, or nil if the log level excludes it.
-func (f *fleet) admissionRecorder() func(id choice.RequestID, number uint64, how string) {
+func (f *fleet) admissionRecorder() func(id choice.RequestID, number uint64, admission string) {
 	if !zap.L().Core().Enabled(zap.DebugLevel) {
 		return nil
 	}
-	return func(id choice.RequestID, number uint64, how string) {
+	return func(id choice.RequestID, number uint64, admission string) {
 		admissions := &f.admissions
 		if len(admissions.entries) >= maxLoggedAdmissions {
 			admissions.omitted++
 			return
 		}
-		entry := fmt.Sprintf("%s=%d=%s=%d", id, number, how, f.now().Microseconds())
+		entry := fmt.Sprintf("%s=%d=%s=%d", id, number, admission, f.now().Microseconds())
 		admissions.entries = append(admissions.entries, entry)
 	}
 }
--- a/internal/node/fleetpolicy_test.go
+++ b/internal/node/fleetpolicy_test.go
@@ -19,7 +19,7 @@
 	"spurwinch/internal/simwire"
 )
 
-// overlaySettings are a node's own settings, and overlayDocument a policy over them.
+// overlaySettings returns a node's own settings, which the policy of overlayDocument overlays.
 func overlaySettings() simwire.Settings {
 	own := simwire.Settings{ClassByName: map[string]int{"a": 0, "b": 1}, TenantByName: map[string]int{}}
 	own.Classes = []choice.Class{
@@ -30,6 +30,7 @@
 	return own
 }
 
+// overlayDocument returns a policy without class a of overlaySettings and with an additional class "new".
 func overlayDocument() *policy.Document {
 	return &policy.Document{
 		Attempts: 4,
@@ -42,9 +43,10 @@
 	}
 }
 
-// TestPolicyOverlay checks a node's settings under a policy, and under its base policy: classes keep their indices, and
-// what the policy doesn't set is the node's own. A file must not conflict with the policy.
-func TestPolicyOverlay(t *testing.T) {
+// TestPolicyOverlaysNodeSettings checks a node's settings under a policy and under its base policy. Classes keep their
+// indices, and settings that the policy doesn't set keep the node's own values. It also checks that a file that
+// conflicts with the policy is reported.
+func TestPolicyOverlaysNodeSettings(t *testing.T) {
 	own := overlaySettings()
 	document := overlayDocument()
 	for _, test := range []struct {
@@ -56,49 +58,53 @@
 		removed := overlaid.Classes[0]
 		if overlaid.ClassByName["b"] != 1 || overlaid.ClassByName["new"] != 2 || !removed.Removed ||
 			removed.Idempotency != choice.NotIdempotent {
-			t.Errorf("base %v: classes %+v, by name %v", test.onBase, overlaid.Classes, overlaid.ClassByName)
+			t.Errorf("withPolicy with base %v: got classes %+v with indices %v, want a removed, b at 1 and new at 2",
+				test.onBase, overlaid.Classes, overlaid.ClassByName)
 		}
-		if _, there := overlaid.ClassByName["a"]; there {
-			t.Errorf("base %v: a class that the policy doesn't have can be requested", test.onBase)
+		if _, isKnown := overlaid.ClassByName["a"]; isKnown {
+			t.Errorf("withPolicy with base %v: got an index for class a, want none because the policy doesn't have it",
+				test.onBase)
 		}
 		class := overlaid.Classes[1]
 		attempts := overlaid.Limits.MaxAttempts
 		if class.Deadline != test.deadline || class.Priority != 2 || attempts != test.attempts ||
 			overlaid.OverQuotaPriority != 0.3 {
-			t.Errorf("base %v: %+v, %d attempts", test.onBase, class, attempts)
+			t.Errorf("withPolicy with base %v: got class %+v and %d attempts, want the values of the policy",
+				test.onBase, class, attempts)
 		}
 	}
 	member := &fleet{policy: policyState{number: 7, document: document}}
 	if text := policyConflict(t, member, own); !strings.Contains(text, "policy 7 of the fleet") {
-		t.Errorf("a file with a class that the policy doesn't have: %q", text)
+		t.Errorf("checkPolicyConflict of a file with an unknown class: got %q, want \"policy 7 of the fleet\" in it",
+			text)
 	}
 	own.ClassByName = map[string]int{"b": 1}
 	text := policyConflict(t, member, own)
 	if !strings.HasPrefix(text, "giveUpS of b is 9s, policy 7 of the fleet has 3s") {
-		t.Errorf("a file with another deadline: %q", text)
+		t.Errorf("checkPolicyConflict of a file with a different deadline: got %q, want the two deadlines", text)
 	}
 	own.Classes[1].Deadline = 3 * time.Second
 	own.Classes[1].SetupObjective = time.Second
 	own.Classes[1].Priority = 2
 	own.Limits.MaxAttempts = 4
 	if err := member.checkPolicyConflict(own); err != nil {
-		t.Errorf("a file that agrees: %v", err)
+		t.Errorf("checkPolicyConflict of a file without a conflict: got %v, want nil", err)
 	}
 }
 
-// policyConflict is the text of a file's conflict with the policy in use.
+// policyConflict returns the error text of a file's conflict with the policy in use.
 func policyConflict(t *testing.T, member *fleet, file simwire.Settings) string {
 	t.Helper()
 	err := member.checkPolicyConflict(file)
 	var conflict *policyConflictError
 	if !errors.As(err, &conflict) {
-		t.Fatalf("%v is no conflict with the policy", err)
+		t.Fatalf("checkPolicyConflict: got %v, want a *policyConflictError", err)
 	}
 	return err.Error()
 }
 
-// TestUnusablePolicyLoggedOnce checks that a node that can't apply the policy in force reads it, and logs that, once:
-// not with each message that comes.
+// TestUnusablePolicyLoggedOnce checks that a node that can't apply the policy in force reads it and logs the error only
+// once, and not for each message that it receives.
 func TestUnusablePolicyLoggedOnce(t *testing.T) {
 	eventLoop := newLoop(t)
 	list, err := membership.NewList([]membership.Node{{Name: "a", Zone: "z"}, {Name: "v", Zone: "z", Voter: true}})
@@ -135,9 +141,9 @@
 		member.applyPolicy()
 	}
 	if count := logged.FilterMessage("fleet_policy_unusable").Len(); count != 1 {
-		t.Errorf("logged %d times, wanted once", count)
+		t.Errorf("fleet_policy_unusable: got %d log lines, want 1", count)
 	}
 	if member.servesPolicy() {
-		t.Error("it reports that it serves")
+		t.Error("servesPolicy: got true, want false")
 	}
 }
--- a/internal/node/golden_hotrestart_test.go
+++ b/internal/node/golden_hotrestart_test.go
@@ -21,12 +21,13 @@
 	"spurwinch/internal/xmpp"
 )
 
-// The bytes under testdata/golden are what a released process of a node sends the next one of its connections and of
-// what it has learned. A process of another release reads them. go test ./internal/node -run TestGolden -update-golden
+// The files under testdata/golden contain the bytes in which a process of a released version sends its connections and
+// its learned state to its successor. A process of another release must be able to read them. This command rewrites
+// them: go test ./internal/node -run TestGolden -update-golden
 
-var updateGolden = flag.Bool("update-golden", false, "write testdata/golden anew")
+var updateGolden = flag.Bool("update-golden", false, "rewrite the files under testdata/golden")
 
-// golden returns the content of a file; with -update-golden the file is written with got first.
+// golden returns the content of a golden file. With -update-golden it first overwrites the file with got.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -45,32 +46,32 @@
 	return want
 }
 
-// unset names the fields of a value that are zero, at any depth.
-func unset(value reflect.Value, name string) (all []string) {
+// zeroFields returns the names of a value's fields that are zero, at any depth.
+func zeroFields(value reflect.Value, name string) (all []string) {
 	if value.IsZero() {
 		return []string{name}
 	}
 	switch {
 	case value.Type() == reflect.TypeFor[time.Time](), value.Type() == reflect.TypeFor[cbor.RawMessage]():
 	case value.Kind() == reflect.Pointer:
-		return unset(value.Elem(), name)
+		return zeroFields(value.Elem(), name)
 	case value.Kind() == reflect.Struct:
 		for i := range value.NumField() {
-			all = append(all, unset(value.Field(i), name+"."+value.Type().Field(i).Name)...)
+			all = append(all, zeroFields(value.Field(i), name+"."+value.Type().Field(i).Name)...)
 		}
 	case value.Kind() == reflect.Slice && value.Type().Elem().Kind() == reflect.Struct:
 		for i := range value.Len() {
-			all = append(all, unset(value.Index(i), name)...)
+			all = append(all, zeroFields(value.Index(i), name)...)
 		}
 	case value.Kind() == reflect.Map:
 		for _, key := range value.MapKeys() {
-			all = append(all, unset(value.MapIndex(key), name)...)
+			all = append(all, zeroFields(value.MapIndex(key), name)...)
 		}
 	}
 	return all
 }
 
-// encode encodes a value as one process sends it.
+// encode encodes a value in the form in which one process sends it to another.
 func encode(tb testing.TB, value any) []byte {
 	tb.Helper()
 	encoded, err := cbor.Marshal(value)
@@ -80,24 +81,24 @@
 	return encoded
 }
 
-// checkGolden wants a value written as the golden bytes, and read from them by the function that reads them in the
-// node.
+// checkGolden checks that a value is encoded as the golden bytes, and that read, the function with which the node reads
+// them, decodes them to the same value.
 func checkGolden[T any](t *testing.T, name string, value T, read func([]byte, any) error) {
 	t.Helper()
-	if missing := unset(reflect.ValueOf(value), name); len(missing) > 0 {
-		t.Errorf("%s is to have each field, and has no %v", name, missing)
+	if zero := zeroFields(reflect.ValueOf(value), name); len(zero) > 0 {
+		t.Errorf("golden value %s: got zero fields %v, want each field set", name, zero)
 	}
 	got := encode(t, value)
 	want := golden(t, name+".cbor", got)
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: written %x, want %x", name, got, want)
+		t.Errorf("encode %s: got %x, want %x", name, got, want)
 	}
-	var back T
-	if err := read(want, &back); err != nil {
+	var decoded T
+	if err := read(want, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(back, value) {
-		t.Errorf("%s: read %+v, want %+v", name, back, value)
+	if !reflect.DeepEqual(decoded, value) {
+		t.Errorf("decode %s: got %+v, want %+v", name, decoded, value)
 	}
 }
 
@@ -127,15 +128,15 @@
 	}
 }
 
-func goldenStream(part string) xmpp.ScannerState {
+func goldenStream(pending string) xmpp.ScannerState {
 	return xmpp.ScannerState{
-		Pending: []byte(part), Elements: []string{"stream:stream", "message"}, Prefix: "stream", Size: 77,
+		Pending: []byte(pending), Elements: []string{"stream:stream", "message"}, Prefix: "stream", Size: 77,
 		Started: true,
 		Ended:   true, Restart: true,
 	}
 }
 
-// TestGoldenFrontStates checks the form of what each front knows of a connection.
+// TestGoldenFrontStates checks the encoding of each front's state of a connection.
 func TestGoldenFrontStates(t *testing.T) {
 	toClient := loop.ConnectionState{Out: []byte("to the client"), Paused: true}
 	toHost := loop.ConnectionState{Out: []byte("to the host"), Paused: true}
@@ -155,19 +156,19 @@
 	}, hotrestart.Decode)
 }
 
-// TestGoldenConnection checks the form of a connection in a batch.
+// TestGoldenConnection checks the encoding of a connection in a batch, and the names of the fronts.
 func TestGoldenConnection(t *testing.T) {
 	checkGolden(t, "connection", connectionState{
 		Front: frontPlatform, Cluster: "k", Open: goldenOpen(), State: cbor.RawMessage{0xa1, 0x01, 0xa0},
 	}, hotrestart.Decode)
 	for _, name := range []string{string(frontPlatform), string(frontXMPP)} {
 		if want := golden(t, "front-"+name+".txt", []byte(name)); name != string(want) {
-			t.Errorf("a front is called %q, want %q", name, want)
+			t.Errorf("name of a front: got %q, want %q", name, want)
 		}
 	}
 }
 
-// TestGoldenLearned checks the form of what a process has learned beside its connections.
+// TestGoldenLearned checks the encoding of a process's learned state, which doesn't include its connections.
 func TestGoldenLearned(t *testing.T) {
 	kind := choice.LearnedKind{Kind: "std-2c", ReportedLoad: 1.1, ConnectionLoad: 1.2, Reports: 1.3}
 	server := choice.LearnedServer{
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -20,7 +20,7 @@
 
 const (
 	settings    = transcript.Settings
-	testTimeout = 20 * time.Second // only a hang reaches it
+	testTimeout = 20 * time.Second // exceeded only if the test hangs
 
 	xmppNamespaces = "xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'"
 	streamHeader   = "<stream:stream to='farm.example' version='1.0' " + xmppNamespaces + ">"
@@ -51,7 +51,7 @@
 	})
 }
 
-// runOn runs a function on a loop that runs, and waits for it.
+// runOn runs a function on a running loop, and waits until it has returned.
 func runOn(eventLoop *loop.Loop, fn func()) {
 	done := make(chan struct{})
 	eventLoop.Post(func() {
@@ -61,7 +61,7 @@
 	<-done
 }
 
-// dial connects to an address until the test ends.
+// dial connects to an address, and closes the connection when the test ends.
 func dial(tb testing.TB, addr string) net.Conn {
 	tb.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -72,18 +72,19 @@
 	return conn
 }
 
-// closeAtEnd closes what the test may have closed before.
+// closeAtEnd closes closer when the test ends. The test may have closed it earlier.
 func closeAtEnd(tb testing.TB, closer io.Closer) {
 	tb.Helper()
-	tb.Cleanup(func() { _ = closer.Close() }) // it only frees the descriptor
+	tb.Cleanup(func() { _ = closer.Close() }) // the error is ignored because closer may already be closed
 }
 
-// send writes to a connection that the other side may have closed: what the test reads from it decides.
+// send writes to a connection that the other side may have closed. It ignores errors because the test checks what it
+// reads from the connection.
 func send(conn io.Writer, format string, args ...any) {
-	_, _ = fmt.Fprintf(conn, format, args...) // as the comment says
+	_, _ = fmt.Fprintf(conn, format, args...) // see the doc comment
 }
 
-// limitTime bounds all reads and writes of a connection.
+// limitTime sets a deadline of testTimeout for all reads and writes of a connection.
 func limitTime(tb testing.TB, conn net.Conn) {
 	tb.Helper()
 	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -91,7 +92,7 @@
 	}
 }
 
-// decodeSettings decodes the usual settings with changes, which are old and new strings in turn.
+// decodeSettings decodes the default settings with changes, which alternate between old and new strings.
 func decodeSettings(tb testing.TB, changes ...string) simwire.Settings {
 	tb.Helper()
 	decoded, err := simwire.DecodeSettings([]byte(strings.NewReplacer(changes...).Replace(settings)))
@@ -112,14 +113,14 @@
 	return list
 }
 
-// serverEntry is a server's entry in a list.
+// serverEntry returns a server's entry in a list.
 func serverEntry(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"a","kind":"m","cell":0,"state":%q,"weight":1,"started_ms":0}`,
 		id, addr, state)
 }
 
-// platformConfig is the configuration of a node without discovery that knows one server; without an address it knows
-// none.
+// platformConfig returns the configuration of a node without discovery that knows one server, or no server if the
+// address is empty.
 func platformConfig(tb testing.TB, server string) config.Node {
 	tb.Helper()
 	node := config.Node{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:9", Seed: 1}
@@ -142,14 +143,14 @@
 	return listener.String()
 }
 
-// operatorNode is a node of an operator's file.
+// operatorNode is a node that is set up from an operator's file.
 type operatorNode struct {
 	loop   *loop.Loop
 	cores  []*edge.Core
 	fronts *operatorFronts
 }
 
-// newOperatorNode sets up what an operator's file has. Its loop doesn't run yet.
+// newOperatorNode sets up the fronts and clusters of an operator's file. It doesn't run the loop.
 func newOperatorNode(tb testing.TB, path string, seed uint64) *operatorNode {
 	tb.Helper()
 	file, err := config.ReadOperator(path)
@@ -164,10 +165,10 @@
 	return &operatorNode{loop: program.loop, cores: program.cores, fronts: fronts}
 }
 
-// addr is the address of the first listener.
+// addr returns the address of the first listener.
 func (n *operatorNode) addr() string { return n.fronts.addrs[0].String() }
 
-// reload reads the file again.
+// reload rereads the file and applies it if it is valid.
 func (n *operatorNode) reload() (err error) {
 	runOn(n.loop, func() {
 		var apply func()
@@ -179,7 +180,7 @@
 	return err
 }
 
-// writeFile writes a file as a configuration is written.
+// writeFile writes a file with the permissions of a configuration file.
 func writeFile(tb testing.TB, path, text string) {
 	tb.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -187,7 +188,7 @@
 	}
 }
 
-// writeTemp writes a file of this name into a folder of its own.
+// writeTemp writes a file with a name into a new temporary directory.
 func writeTemp(tb testing.TB, name, text string) (path string) {
 	tb.Helper()
 	path = filepath.Join(tb.TempDir(), name)
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -12,14 +12,14 @@
 	"spurwinch/internal/operations/hotrestart"
 )
 
-// process is one process of a node, in this program, on a loop of its own.
+// process is a simulated process of a node. It runs in the test program on its own loop.
 type process struct {
 	*Program
 	addr string
 	done chan struct{}
 }
 
-// startProcess starts one as New does; path is where the processes of the node find each other.
+// startProcess starts a process in the same way as New. The processes of a node find each other through path.
 func startProcess(tb testing.TB, node config.Node, path string) *process {
 	tb.Helper()
 	eventLoop := newLoop(tb)
@@ -41,15 +41,15 @@
 	return started
 }
 
-// kill has a process end as by SIGKILL, as far as others see it.
+// kill ends a process in a way that looks like SIGKILL to other processes.
 func (p *process) kill() {
 	p.loop.Post(p.loop.Stop)
 	<-p.done
 	p.loop.Close()
 }
 
-// on runs a function on the process's loop, and waits for it.
-func (p *process) on(fn func()) {
+// runOn runs a function on the process's loop, and waits for it.
+func (p *process) runOn(fn func()) {
 	ran := make(chan struct{})
 	p.loop.Post(func() {
 		fn()
@@ -61,9 +61,9 @@
 	}
 }
 
-// number is a value of the process, read on its loop.
-func (p *process) number(read func(*process) int) (value int) {
-	p.on(func() { value = read(p) })
+// readInt returns a value of the process that is read on its loop.
+func (p *process) readInt(read func(*process) int) (value int) {
+	p.runOn(func() { value = read(p) })
 	return value
 }
 
@@ -73,7 +73,7 @@
 
 func descriptorQuota(p *process) int { return p.restart.ownQuota() }
 
-const sharedDescriptors = 400 // of the node of TestProcessesShareNode
+const sharedDescriptors = 400 // descriptor limit of the node in TestProcessesShareNode
 
 // sharedNode is a node with two processes and a peer.
 type sharedNode struct {
@@ -85,7 +85,7 @@
 	nodePeerAddr net.Addr
 }
 
-// newSharedNode starts the first process. Its list is what the configuration has.
+// newSharedNode starts the first process. Its server list is the one of its configuration.
 func newSharedNode(t *testing.T) (shared *sharedNode, node config.Node, path string) {
 	t.Helper()
 	player := &transcript.Player{Values: map[string]string{}}
@@ -97,7 +97,7 @@
 	discovery := player.Listen(t, "d")
 	server := player.Listen(t, "h1")
 	node = config.Node{
-		Listen:    transcript.FreeAddr(t), // after all listeners that get a port by themselves
+		Listen:    transcript.FreeAddr(t), // chosen after all listeners that let the system choose their port
 		Discovery: discovery, Seed: 1, Sockets: sharedDescriptors,
 		PeerListen: "127.0.0.1:0",
 		Peers: []netip.AddrPort{
@@ -110,13 +110,13 @@
 	path = hotrestart.Path(t.TempDir(), node.Listen)
 	shared = &sharedNode{t: t, player: player, peer: peer, predecessor: startProcess(t, node, path)}
 	player.Address = shared.predecessor.addr
-	shared.predecessor.on(func() {
+	shared.predecessor.runOn(func() {
 		shared.nodePeerAddr = net.UDPAddrFromAddrPort(shared.predecessor.platform.peers.localAddr)
 	})
 	return shared, node, path
 }
 
-// pushUpdate has discovery answer the first process with an update of the list.
+// pushUpdate makes discovery answer the first process with an update of the server list.
 func (n *sharedNode) pushUpdate() {
 	n.t.Helper()
 	update := `{"version":9,"full":false,"servers":[` +
@@ -132,7 +132,7 @@
 `[1:])
 }
 
-// sendPeerMessage sends a message of the other node.
+// sendPeerMessage sends a message from the other node.
 func (n *sharedNode) sendPeerMessage() {
 	n.t.Helper()
 	if _, err := n.peer.WriteTo([]byte("x"), n.nodePeerAddr); err != nil {
@@ -140,22 +140,23 @@
 	}
 }
 
-// quotaSum is the sum of both processes' descriptors.
+// quotaSum returns the sum of both processes' descriptor quotas.
 func (n *sharedNode) quotaSum() int {
-	return n.predecessor.number(descriptorQuota) + n.successor.number(descriptorQuota)
+	return n.predecessor.readInt(descriptorQuota) + n.successor.readInt(descriptorQuota)
 }
 
-// checkList wants the successor to know the list that was pushed to its predecessor: no more than that is in its file,
-// which is older.
+// checkList checks that the successor knows the list that was pushed to its predecessor. The list in the successor's
+// file is older.
 func (n *sharedNode) checkList() {
 	n.t.Helper()
 	if n.successor.addr != n.predecessor.addr {
-		n.t.Errorf("listens at %s, the first process at %s", n.successor.addr, n.predecessor.addr)
+		n.t.Errorf("address of the second process: got %s, want %s, the address of the first process",
+			n.successor.addr, n.predecessor.addr)
 	}
 	var servers []edge.ServerEntry
-	n.successor.on(func() { servers = n.successor.platform.core.Servers() })
+	n.successor.runOn(func() { servers = n.successor.platform.core.Servers() })
 	if len(servers) != 2 || servers[0].State == servers[1].State {
-		n.t.Errorf("begins with %+v", servers)
+		n.t.Errorf("servers at the start of the second process: got %+v, want 2 in different states", servers)
 	}
 	n.player.Play(n.t, `
 b accept d
@@ -169,57 +170,60 @@
 `[1:])
 }
 
-// checkPeerMessages wants the successor alone to receive what the other node sends.
+// checkPeerMessages checks that only the successor receives the messages from the other node.
 func (n *sharedNode) checkPeerMessages() {
 	n.t.Helper()
-	transcript.WaitFor(n.t, "the second process receives", func() bool {
+	transcript.WaitFor(n.t, "the second process receives peer messages", func() bool {
 		n.sendPeerMessage()
-		return n.successor.number(receivedPeerMessages) > 0
+		return n.successor.readInt(receivedPeerMessages) > 0
 	})
-	before := n.predecessor.number(receivedPeerMessages)
+	before := n.predecessor.readInt(receivedPeerMessages)
 	n.sendPeerMessage()
 	n.sendPeerMessage()
-	transcript.WaitFor(n.t, "and only it", func() bool { return n.successor.number(receivedPeerMessages) >= 3 })
-	if n.predecessor.number(receivedPeerMessages) != before {
-		n.t.Error("both receive")
+	transcript.WaitFor(n.t, "the second process receives all further peer messages", func() bool {
+		return n.successor.readInt(receivedPeerMessages) >= 3
+	})
+	if n.predecessor.readInt(receivedPeerMessages) != before {
+		n.t.Error("peer messages: got some in the first process, want all in the second")
 	}
 }
 
-// checkQuotas wants the descriptors never to be more than the node's, however the two look at them, and all of them to
-// be the successor's in the end.
+// checkQuotas checks that the quotas of both processes together never exceed the node's descriptors, and that the
+// successor has all descriptors in the end.
 func (n *sharedNode) checkQuotas() {
 	n.t.Helper()
 	if sum := n.quotaSum(); sum > sharedDescriptors || sum < sharedDescriptors/2 {
-		n.t.Errorf("%d of %d descriptors", sum, sharedDescriptors)
+		n.t.Errorf("sum of the quotas: got %d, want between half and all of %d", sum, sharedDescriptors)
 	}
-	before := n.successor.number(descriptorQuota)
-	n.predecessor.on(n.predecessor.Shutdown)
+	before := n.successor.readInt(descriptorQuota)
+	n.predecessor.runOn(n.predecessor.Shutdown)
 	n.player.Play(n.t, "e open\ne > PING\ne < PONG\n")
-	transcript.WaitFor(n.t, "the process that shuts down raises the quota", func() bool {
+	transcript.WaitFor(n.t, "the process that shuts down raises the quota of its successor", func() bool {
 		if sum := n.quotaSum(); sum > sharedDescriptors {
-			n.t.Fatalf("%d of %d descriptors", sum, sharedDescriptors)
+			n.t.Fatalf("sum of the quotas during shutdown: got %d, want at most %d", sum, sharedDescriptors)
 		}
-		return n.successor.number(descriptorQuota) > before
+		return n.successor.readInt(descriptorQuota) > before
 	})
 	n.predecessor.kill()
-	transcript.WaitFor(n.t, "the second process is the node", func() bool {
-		return n.successor.number(descriptorQuota) == sharedDescriptors && n.successor.number(processesOfNode) == 1
+	transcript.WaitFor(n.t, "the second process has all descriptors and counts one process", func() bool {
+		return n.successor.readInt(descriptorQuota) == sharedDescriptors && n.successor.readInt(processesOfNode) == 1
 	})
 }
 
-// TestProcessesShareNode checks what two processes of a node share: the list as it was pushed to the first, the
-// descriptors, the part in the fleet, and who receives the other nodes' messages.
+// TestProcessesShareNode checks what two processes of a node share during a hot restart: the server list that was
+// pushed to the first one, the descriptors, the number of processes, and which of them receives the other nodes'
+// messages.
 func TestProcessesShareNode(t *testing.T) {
 	shared, node, path := newSharedNode(t)
 	shared.pushUpdate()
 	shared.sendPeerMessage()
-	transcript.WaitFor(t, "the first process receives", func() bool {
-		return shared.predecessor.number(receivedPeerMessages) == 1
+	transcript.WaitFor(t, "the first process receives a peer message", func() bool {
+		return shared.predecessor.readInt(receivedPeerMessages) == 1
 	})
 	shared.successor = startProcess(t, node, path)
 	shared.checkList()
-	transcript.WaitFor(t, "both count two processes", func() bool {
-		return shared.predecessor.number(processesOfNode) == 2 && shared.successor.number(processesOfNode) == 2
+	transcript.WaitFor(t, "both processes count two processes", func() bool {
+		return shared.predecessor.readInt(processesOfNode) == 2 && shared.successor.readInt(processesOfNode) == 2
 	})
 	shared.checkPeerMessages()
 	shared.checkQuotas()
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -19,7 +19,7 @@
 	resumable "spurwinch/internal/session"
 )
 
-// restartedNode is a node whose processes are all in this program, each on a loop of its own.
+// restartedNode is a node whose simulated processes all run in the test program, each on its own loop.
 type restartedNode struct {
 	tb           testing.TB
 	env          map[string]string
@@ -29,7 +29,7 @@
 	successor    *process
 }
 
-// newRestartedNode sets a node up with both fronts, over one server of each.
+// newRestartedNode sets up a node with both fronts, each of which has one server.
 func newRestartedNode(tb testing.TB, server string, sockets int) *restartedNode {
 	tb.Helper()
 	dir := tb.TempDir()
@@ -39,7 +39,7 @@
 		operatorPath: filepath.Join(dir, "operator.toml"),
 	}
 	discovery := (&transcript.Player{}).Listen(tb, "d")
-	node.env = map[string]string{ // free addresses after all listeners that get a port by themselves
+	node.env = map[string]string{ // free addresses are chosen after all listeners that let the system choose their port
 		"GW_CONFIG": node.configPath, "TMPDIR": dir,
 		"GW_LISTEN": transcript.FreeAddr(tb), "XMPP": transcript.FreeAddr(tb),
 	}
@@ -76,58 +76,58 @@
 		<-started.done
 	})
 	transcript.WaitFor(n.tb, "the process is ready", func() (ready bool) {
-		started.on(func() { ready = started.ready() })
+		started.runOn(func() { ready = started.ready() })
 		return ready
 	})
 	return started
 }
 
-// begin starts the next process and has the present one shut down once after has returned; nothing happens there
-// meanwhile.
-func (n *restartedNode) begin(after func()) {
+// beginRestart starts the next process and makes the current one shut down after beforeShutdown has returned.
+// beforeShutdown blocks the loop of the current process.
+func (n *restartedNode) beginRestart(beforeShutdown func()) {
 	n.tb.Helper()
 	n.successor = n.start()
 	old := n.current
-	transcript.WaitFor(n.tb, "the present process knows its successor", func() (ready bool) {
-		old.on(func() { _, ready = old.restart.coordinator.Successor() })
+	transcript.WaitFor(n.tb, "the current process has a successor that is ready", func() (ready bool) {
+		old.runOn(func() { _, ready = old.restart.coordinator.Successor() })
 		return ready
 	})
 	old.loop.Post(func() {
-		after()
+		beforeShutdown()
 		old.Shutdown()
 	})
 }
 
-// reload has the next process read its files again, which are valid.
+// reload makes the next process reread its files, which are valid.
 func (n *restartedNode) reload() {
 	next := n.successor
-	next.on(func() {
+	next.runOn(func() {
 		next.Reload()
 		if next.telemetry.figures.ReloadsFailed > 0 {
-			n.tb.Error("the files were rejected")
+			n.tb.Error("Reload: got rejected files, want them applied")
 		}
 	})
 }
 
-// end waits until the process that shuts down has ended by itself.
-func (n *restartedNode) end() {
+// endRestart waits until the process that shuts down has ended.
+func (n *restartedNode) endRestart() {
 	n.tb.Helper()
 	select {
 	case <-n.current.done:
 	case <-time.After(testTimeout):
-		n.tb.Fatal("the process that shuts down does not end")
+		n.tb.Fatal("Shutdown: got a running process after testTimeout, want its end")
 	}
 	n.current = n.successor
 }
 
-// restart replaces the present process.
+// restart replaces the current process.
 func (n *restartedNode) restart() {
 	n.tb.Helper()
-	n.begin(func() {})
-	n.end()
+	n.beginRestart(func() {})
+	n.endRestart()
 }
 
-// edit changes a file.
+// edit rewrites a file with a function.
 func (n *restartedNode) edit(path string, change func(text string) string) {
 	n.tb.Helper()
 	raw, err := os.ReadFile(path)
@@ -139,7 +139,7 @@
 	}
 }
 
-// TestConnectionsTransferred plays exchanges through changes of the process.
+// TestConnectionsTransferred plays exchanges that continue while the node's process is replaced.
 func TestConnectionsTransferred(t *testing.T) {
 	eachExchange(t, "transfer", playTransfer)
 }
@@ -150,17 +150,17 @@
 	node := newRestartedNode(t, player.Listen(t, "h1"), 512)
 	player.Address = node.env["GW_LISTEN"]
 	player.Values["xmpp"] = node.env["XMPP"]
-	thaw := make(chan struct{})
+	unblock := make(chan struct{})
 	player.Callbacks = map[string]func(){
 		"wait":       func() { time.Sleep(1200 * time.Millisecond) },
 		"long":       func() { time.Sleep(3 * time.Second) },
 		"upgrade":    node.restart,
-		"upgrade-on": func() { node.begin(func() {}) },
-		"upgraded":   node.end,
-		"freeze":     func() { node.begin(func() { <-thaw }) },
+		"upgrade-on": func() { node.beginRestart(func() {}) },
+		"upgraded":   node.endRestart,
+		"freeze":     func() { node.beginRestart(func() { <-unblock }) },
 		"thaw": func() {
-			close(thaw)
-			node.end()
+			close(unblock)
+			node.endRestart()
 		},
 		"sigterm": func() { node.current.loop.Post(node.current.Shutdown) },
 		"trade": func() {
@@ -180,12 +180,12 @@
 	player.Play(t, text)
 }
 
-// minTransferTime is less than what edge.Core.DrainToSuccessor leaves for the transfer of connections before it
-// migrates the rest: half of a shutdown of 3.2 s.
+// minTransferTime is the least time for the transfer of connections before the rest is migrated. It is slightly less
+// than the time that edge.Core.DrainToSuccessor allows, which is half of a shutdown of 3.2 s.
 const minTransferTime = 1500 * time.Millisecond
 
-// checkTransfer checks that a process sent all its connections to its successor. Where the machine is so slow that this
-// takes longer than there is time, the rest must have been migrated, and that not before. It returns how many were
+// checkTransfer checks that a process sent all its connections to its successor. On a machine that is too slow for
+// this, the process must have migrated the rest, but not before minTransferTime. It returns the number of connections
 // sent.
 func checkTransfer(t *testing.T, number int, old *process, connections int) (sent int) {
 	t.Helper()
@@ -195,49 +195,52 @@
 	}
 	sent = old.restart.transfer.sent
 	if sent+migrated != connections {
-		t.Errorf("process %d sent %d and migrated %d connections of %d", number, sent, migrated, connections)
+		t.Errorf("shutdown of process %d: got %d connections sent and %d migrated, want %d together",
+			number, sent, migrated, connections)
 	}
 	if took := old.restart.transfer.duration; migrated > 0 && took < minTransferTime {
-		t.Errorf("process %d migrated %d connections, the last one was sent after %v", number, migrated, took)
+		t.Errorf("shutdown of process %d: got %d connections migrated, the last one sent after %v, want later",
+			number, migrated, took)
 	}
 	return sent
 }
 
-// TestTransferInBatches has a node with few free descriptors transfer many connections, more at a time as descriptors
-// are freed, and through a chain of processes.
+// TestTransferInBatches transfers many connections through a chain of processes of a node with few free descriptors.
+// The batches grow as descriptors become free.
 func TestTransferInBatches(t *testing.T) {
 	const connections = 400
 	node := newRestartedNode(t, transcript.EchoServer(t), 2*connections+reservedDescriptors+256)
 	streams := &transcript.Streams{Addr: node.env["GW_LISTEN"], Server: "s-1", CountMigrated: true}
 	streams.Start(t, connections, transcript.OneByOne)
-	left := connections
+	remaining := connections
 	for i := range 3 {
 		old := node.current
 		node.restart()
-		left = checkTransfer(t, i, old, left)
-		// The sender may end once its last message is written; the successor may not have read that yet.
+		remaining = checkTransfer(t, i, old, remaining)
+		// The sender may end after it has written its last message, before the successor has read it.
 		current := node.current
 		inFlight, received := 0, 0
-		transcript.WaitFor(t, "the successor has them all", func() bool {
-			current.on(func() {
+		transcript.WaitFor(t, "the successor has received all connections", func() bool {
+			current.runOn(func() {
 				inFlight = current.platform.core.InFlight()
 				received = current.restart.received
 			})
-			return received >= left
+			return received >= remaining
 		})
-		if inFlight != left || received != left {
-			t.Errorf("process %d has %d connections and received %d, wanted %d", i+1, inFlight, received, left)
+		if inFlight != remaining || received != remaining {
+			t.Errorf("process %d: got %d connections in flight and %d received, want %d of each",
+				i+1, inFlight, received, remaining)
 		}
 	}
 	pauses := streams.Stop(t)
-	if got := streams.Migrated(); got != connections-left {
-		t.Errorf("%d clients were asked to migrate, wanted %d", got, connections-left)
+	if got := streams.Migrated(); got != connections-remaining {
+		t.Errorf("migrated clients: got %d, want %d", got, connections-remaining)
 	}
 	t.Logf("%d lines, the slowest after %v", len(pauses), pauses[len(pauses)-1])
 }
 
-// TestSessionsTransferred has a process replace one that knows which servers have the sessions whose streams have
-// ended.
+// TestSessionsTransferred checks that a process passes the sessions without a stream, with their servers, to its
+// successor.
 func TestSessionsTransferred(t *testing.T) {
 	node := newRestartedNode(t, transcript.EchoServer(t), 200)
 	session := resumable.Session{
@@ -245,31 +248,32 @@
 		User: "ana", Server: "h", ServerStarted: 5,
 		ResumeTime: time.Minute, Expires: time.Now().Add(time.Minute),
 	}
-	node.current.on(func() { node.current.xmpp.AddDisconnectedSessions([]resumable.Session{session}) })
+	node.current.runOn(func() { node.current.xmpp.AddDisconnectedSessions([]resumable.Session{session}) })
 	node.restart()
-	var all []resumable.Session
-	node.current.on(func() { all = node.current.xmpp.DisconnectedSessions(9) })
-	isKnown := len(all) == 1 && all[0].Server == "h" && all[0].ServerStarted == 5
-	if !isKnown || time.Until(all[0].Expires) < 50*time.Second {
-		t.Errorf("the new process knows of %+v", all)
+	var sessions []resumable.Session
+	node.current.runOn(func() { sessions = node.current.xmpp.DisconnectedSessions(9) })
+	isKnown := len(sessions) == 1 && sessions[0].Server == "h" && sessions[0].ServerStarted == 5
+	if !isKnown || time.Until(sessions[0].Expires) < 50*time.Second {
+		t.Errorf("DisconnectedSessions of the new process: got %+v, want the session of the old process", sessions)
 	}
 }
 
-// TestTransferWithoutFreeDescriptors has the successor use nearly all descriptors: connections that can't be
-// transferred are migrated, and none is cut off.
+// TestTransferWithoutFreeDescriptors checks that connections that can't be transferred, because the successor uses
+// nearly all descriptors, are migrated and none is cut off.
 func TestTransferWithoutFreeDescriptors(t *testing.T) {
 	node := newRestartedNode(t, transcript.EchoServer(t), 120)
-	crowd := &transcript.Clients{Addr: node.env["GW_LISTEN"]}
-	crowd.Start(20)
+	clients := &transcript.Clients{Addr: node.env["GW_LISTEN"]}
+	clients.Start(20)
 	for range 3 {
 		node.restart()
 	}
-	crowd.Stop()
-	crowd.Check(t, "a node without free descriptors")
+	clients.Stop()
+	clients.Check(t, "a node without free descriptors")
 }
 
-// BenchmarkCarry transfers 400 idle connections, in batches of several sizes: bytes and time for one, and for how long
-// the loop is blocked at the most. go test -run - -bench Carry -benchtime 5x ./internal/node
+// BenchmarkCarry transfers 400 idle connections in batches of several sizes. It reports the bytes and the time for each
+// connection, and the longest time that the loop is blocked. Run it with:
+// go test -run - -bench Carry -benchtime 5x ./internal/node
 func BenchmarkCarry(b *testing.B) {
 	for _, size := range []int{1, 8, 64} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) { benchmarkTransfer(b, size) })
@@ -279,7 +283,7 @@
 func benchmarkTransfer(b *testing.B, batchSize int) {
 	b.Helper()
 	const connections = 400
-	defer func(before int) { maxBatchConnections = before }(maxBatchConnections)
+	defer func(original int) { maxBatchConnections = original }(maxBatchConnections)
 	maxBatchConnections = batchSize
 	node := newRestartedNode(b, transcript.EchoServer(b), 8*connections)
 	streams := &transcript.Streams{Addr: node.env["GW_LISTEN"], Server: "s-1"}
