--- a/internal/node/burst_test.go
+++ b/internal/node/burst_test.go
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// burst is a number of sessions that start at nearly the same time.
+// burst is a set of sessions that start at nearly the same time.
 type burst struct {
 	t    *testing.T
 	addr string
 
-	stop        chan struct{} // closed: all clients end their streams
+	stop        chan struct{} // when it is closed, all clients end their streams
 	running     sync.WaitGroup
 	mu          sync.Mutex
 	established int
-	failed      int // with a stream error
+	failed      int // number of sessions that got a stream error
 }
 
-// run plays one session, which must have one answer.
+// run plays one session, which must get exactly one answer.
 func (b *burst) run(number int) {
 	defer b.running.Done()
-	answer, later, err := runSession(b.addr, fmt.Sprintf("u%d", number), b.stop)
+	answer, afterAnswer, err := runSession(b.addr, fmt.Sprintf("u%d", number), b.stop)
 	results := strings.Count(answer, "<iq type='result'")
 	errors := strings.Count(answer, "<stream:error>")
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.established += results
 	b.failed += errors
-	if results+errors != 1 || strings.Contains(later, "<iq") {
-		b.t.Errorf("session %d: answer %q, then %q, %v", number, answer, later, err)
+	if results+errors != 1 || strings.Contains(afterAnswer, "<iq") {
+		b.t.Errorf("session %d: got answer %q, then %q, %v, want exactly one answer", number, answer, afterAnswer, err)
 	}
 }
 
-// TestBurst lets many sessions bind at once while one server drains, one restarts, one rejects and one is warming up.
-// Each session has one answer, at most four attempts and never two at once, and the cold server isn't overloaded.
-func TestBurst(t *testing.T) {
+// TestBurstWhileServersChange makes many sessions bind at once while one server drains, one restarts, one rejects and
+// one is warming up. Each session must get one answer after at most four attempts that never overlap, and the cold
+// server must not be overloaded.
+func TestBurstWhileServersChange(t *testing.T) {
 	stubs := &stubServers{attempts: map[string]int{}, current: map[string]int{}, bindings: map[string]int{}}
 	var servers []*stubServer
 	byName := map[string]*stubServer{}
@@ -68,31 +69,33 @@
 		go clients.run(i)
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(time.Second) // the drained server's clients are told to end their streams meanwhile
+	time.Sleep(time.Second) // meanwhile the node tells the drained server's clients to end their streams
 	close(clients.stop)
 	clients.running.Wait()
 	t.Logf("%d established, %d stream errors", clients.established, clients.failed)
 	if clients.established < sessions/2 {
-		t.Errorf("only %d of %d sessions established", clients.established, sessions)
+		t.Errorf("established sessions: got %d of %d, want at least half", clients.established, sessions)
 	}
 	stubs.check(t)
 }
 
-// check wants at most four attempts of a session, never two at once, and few bindings at the cold server.
+// check checks that each session had at most four attempts, which never overlapped, and that the cold server got few
+// bindings.
 func (s *stubServers) check(t *testing.T) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t.Logf("bindings %v", s.bindings)
 	if s.concurrent > 0 {
-		t.Errorf("%d times two attempts of a session at once", s.concurrent)
+		t.Errorf("overlapping attempts of a session: got %d, want 0", s.concurrent)
 	}
 	for session, attempts := range s.attempts {
 		if attempts > 4 {
-			t.Errorf("session %s had %d attempts", session, attempts)
+			t.Errorf("attempts of session %s: got %d, want at most 4", session, attempts)
 		}
 	}
 	if s.bindings["cold"] > s.bindings["warm"]/2 {
-		t.Errorf("the cold server got %d bindings, the warm one %d", s.bindings["cold"], s.bindings["warm"])
+		t.Errorf("bindings of the cold server: got %d, want at most half of the warm server's %d",
+			s.bindings["cold"], s.bindings["warm"])
 	}
 }
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -11,9 +11,9 @@
 	"spurwinch/internal/lab/transcript"
 )
 
-// TestClients has unmodified client libraries connect through the node, authenticate, bind, be answered, lose the link
-// and resume, over STARTTLS, direct TLS and WebSocket. It needs node and the packages in testdata/clients, so it is
-// left out of the usual run:
+// TestClients runs unmodified client libraries through the node. They connect, authenticate, bind, get an answer, lose
+// the connection and resume, over STARTTLS, direct TLS and WebSocket. The test needs Node.js and the packages in
+// testdata/clients. It is therefore skipped by default; run it with:
 //
 //	(cd internal/node/testdata/clients && npm install) && XMPP_CLIENTS=1 go test -run TestClients -v ./internal/node
 func TestClients(t *testing.T) {
@@ -21,8 +21,8 @@
 		t.Skip("XMPP_CLIENTS is not set")
 	}
 	certificate, key := transcript.WriteCertificate(t, t.TempDir(), time.Now().Add(certificateLifetime), "farm.example")
-	more := fmt.Sprintf("[[certificate]]\ncert = %q\nkey = %q\n", certificate, key)
-	services := map[string]string{} // URLs by the names of the listeners
+	extraConfig := fmt.Sprintf("[[certificate]]\ncert = %q\nkey = %q\n", certificate, key)
+	services := map[string]string{} // URLs by listener name
 	for _, listener := range []struct{ name, scheme, protocol, tls string }{
 		{"STARTTLS", "xmpp", "xmpp", "starttls"},
 		{"direct TLS", "xmpps", "xmpp", "direct"},
@@ -30,10 +30,11 @@
 		{"WebSocket over TLS", "wss", "xmpp-websocket", "direct"},
 	} {
 		addr := transcript.FreeAddr(t)
-		more += fmt.Sprintf("[[listener]]\naddr = %q\nprotocol = %q\ntls = %q\n", addr, listener.protocol, listener.tls)
+		extraConfig += fmt.Sprintf("[[listener]]\naddr = %q\nprotocol = %q\ntls = %q\n",
+			addr, listener.protocol, listener.tls)
 		services[listener.name] = listener.scheme + "://" + addr
 	}
-	node := newXMPPNode(t, 4, more)
+	node := newXMPPNode(t, 4, extraConfig)
 	for i, run := range []struct{ script, listener string }{
 		{"client.mjs", "STARTTLS"},
 		{"client.mjs", "direct TLS"},
@@ -42,7 +43,7 @@
 		{"stanza.mjs", "WebSocket"},
 		{"stanza.mjs", "WebSocket over TLS"},
 	} {
-		t.Run(run.script+" by "+run.listener, func(t *testing.T) {
+		t.Run(run.script+" over "+run.listener, func(t *testing.T) {
 			command := exec.Command("node", run.script, services[run.listener], fmt.Sprint("user", i))
 			command.Dir = "testdata/clients"
 			command.Env = append(os.Environ(), "NODE_TLS_REJECT_UNAUTHORIZED=0", "NODE_NO_WARNINGS=1",
--- a/internal/node/dialrace_test.go
+++ b/internal/node/dialrace_test.go
@@ -12,9 +12,10 @@
 	"spurwinch/internal/edge"
 )
 
-// TestXMPPDial has a server's connection come up when the session's time is over, or when the server drains: nothing of
-// what the client sent is written there. The loop is blocked from the dial on until that is so.
-func TestXMPPDial(t *testing.T) {
+// TestNothingSentAfterLateXMPPDial checks that the node writes none of the client's data to a server whose connection
+// is established only after the session's deadline, or after the server has begun to drain. The test blocks the loop
+// from the dial until one of these has happened.
+func TestNothingSentAfterLateXMPPDial(t *testing.T) {
 	checkDial(t, "late", func(*edge.Core, string) { time.Sleep(2100 * time.Millisecond) })
 	checkDial(t, "drains", func(core *edge.Core, addr string) {
 		draining := choice.Server{ID: "h", Size: 1, State: choice.Draining}
@@ -22,7 +23,7 @@
 	})
 }
 
-// checkDial has one client connect; duringDial runs on the loop while the connection to the server is dialled.
+// checkDial makes one client connect. duringDial runs on the loop while the node dials the server.
 func checkDial(t *testing.T, name string, duringDial func(core *edge.Core, addr string)) {
 	t.Helper()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,12 +37,12 @@
 		"[[cluster]]\nname = \"k\"\n[[cluster.host]]\nid = \"h\"\naddr = %q\n", addr))
 	node := newOperatorNode(t, path, 1)
 	core := node.cores[0]
-	dialled := false
+	hasDialed := false
 	node.loop.After(func() {
-		if dialled || core.InFlightOn("h") == 0 {
+		if hasDialed || core.InFlightOn("h") == 0 {
 			return
 		}
-		dialled = true
+		hasDialed = true
 		duringDial(core, addr)
 	})
 	start(t, node.loop)
@@ -53,7 +54,7 @@
 		if err != nil {
 			return
 		}
-		defer func() { _ = conn.Close() }() // all of it was read
+		defer func() { _ = conn.Close() }() // all data was read
 		limitTime(t, conn)
 		text, err := io.ReadAll(conn)
 		received <- fmt.Sprint(string(text), err)
@@ -61,9 +62,9 @@
 	limitTime(t, client)
 	answer, err := io.ReadAll(client)
 	if !strings.Contains(string(answer), "</stream:error></stream:stream>") || err != nil {
-		t.Errorf("%s: the client got %q, %v", name, answer, err)
+		t.Errorf("%s: client: got %q, %v, want a stream error and the end of the stream", name, answer, err)
 	}
 	if text := <-received; text != "<nil>" {
-		t.Errorf("%s: the server got %q", name, text)
+		t.Errorf("%s: server: got %q, want no data and no error", name, text)
 	}
 }
--- a/internal/node/exchange_test.go
+++ b/internal/node/exchange_test.go
@@ -14,13 +14,13 @@
 	"spurwinch/internal/platform/discovery"
 )
 
-// listenAll opens the listeners that the exchange names in its first line, "hosts: h1 h2".
+// listenAll opens the listeners that the exchange names in its first line, for example "# hosts: h1 h2".
 func listenAll(t *testing.T, player *transcript.Player, text string) (names []string) {
 	t.Helper()
 	first, _, _ := strings.Cut(text, "\n")
 	list, ok := strings.CutPrefix(first, "# hosts:")
 	if !ok {
-		t.Fatal("the first line is not '# hosts: ...'")
+		t.Fatal("first line of the exchange must begin with '# hosts:'")
 	}
 	for _, name := range strings.Fields(list) {
 		if name == "reports" || name == "notready" {
@@ -32,12 +32,12 @@
 	return names
 }
 
-// eachExchange plays each exchange of a folder of testdata in a test of its own.
+// eachExchange plays each exchange of a directory in testdata as a subtest.
 func eachExchange(t *testing.T, dir string, play func(t *testing.T, text string)) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("testdata", dir, "*.txt"))
 	if err != nil || len(files) == 0 {
-		t.Fatal("no exchanges", err)
+		t.Fatal("list exchanges: got none, want at least one", err)
 	}
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestPlatform plays the exchanges of the platform's protocol: clients, servers and discovery.
-func TestPlatform(t *testing.T) {
+// TestPlatformExchanges plays the exchanges of the platform's protocol with clients, servers and discovery.
+func TestPlatformExchanges(t *testing.T) {
 	eachExchange(t, "platform", playPlatform)
 }
 
@@ -92,12 +92,12 @@
 	player.Address = addr.String()
 	player.Values["admin"] = program.adminAddr.String()
 	player.Callbacks = platformActions(t, program, platform, reports)
-	program.shutdownTime = time.Minute // a process that ends by itself is not what is played
+	program.shutdownTime = time.Minute // the process must not end during an exchange
 	start(t, eventLoop)
 	player.Play(t, text)
 }
 
-// platformActions are what an exchange may have done to the node.
+// platformActions returns the actions on the node that an exchange may use, by name.
 func platformActions(t *testing.T, program *Program, platform *platform, reports string) map[string]func() {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestXMPP plays the exchanges of XMPP clients and servers.
-func TestXMPP(t *testing.T) {
+// TestXMPPExchanges plays the exchanges of XMPP clients and servers.
+func TestXMPPExchanges(t *testing.T) {
 	eachExchange(t, "xmpp", playXMPP)
 }
 
@@ -155,8 +155,8 @@
 	checkOneAnswerEach(t, node)
 }
 
-// xmppFile is an operator's file with all servers in one state. Where the first one's name is "d" it is the discovery,
-// which has the servers.
+// xmppFile returns an operator's file with all servers in one state. If the first name is "d", the file contains the
+// address of that discovery instead of the servers.
 func xmppFile(player *transcript.Player, names []string, state string) string {
 	var file strings.Builder
 	file.WriteString("[limits]\nstanza_bytes = 10000\nheader_time = \"1s\"\n" +
@@ -173,26 +173,27 @@
 	return file.String()
 }
 
-// checkOneAnswerEach wants one final answer for each session, unless its client left.
+// checkOneAnswerEach checks that each session got exactly one final answer, unless its client left.
 func checkOneAnswerEach(t *testing.T, node *operatorNode) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
-		fault := ""
+		mismatch := ""
 		runOn(node.loop, func() {
 			answers := node.fronts.xmpp.Answers
 			if answers.Sessions != answers.Established+answers.Errors+answers.Abandoned {
-				fault = fmt.Sprintf("%+v", answers)
+				mismatch = fmt.Sprintf("%+v", answers)
 			}
 		})
-		if fault == "" {
+		if mismatch == "" {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("not one answer a session: ", fault)
+			t.Fatal("final answers: want one for each session, got ", mismatch)
 		}
 	}
 }
 
+// drainAll begins to drain all cores.
 func drainAll(cores []*edge.Core) {
 	for _, core := range cores {
 		core.Drain(func() {})
--- a/internal/node/failedstart_test.go
+++ b/internal/node/failedstart_test.go
@@ -14,22 +14,22 @@
 	"spurwinch/internal/operations/hotrestart"
 )
 
-// kernelWithoutWatches is a kernel that watches no descriptor.
+// kernelWithoutWatches is a kernel that fails to watch any descriptor.
 type kernelWithoutWatches struct{ loop.Linux }
 
 func (kernelWithoutWatches) Watch(*netpoll.Poller, int, int, int) error { return unix.ENOMEM }
 
-// TestFailedStartReturnsGrant has a process start beside a running one, receive its grant, and fail: the running one
-// has all of it back, and the next attempt finds it as the first did.
+// TestFailedStartReturnsGrant starts processes that receive a grant from a running process and then fail. The running
+// process must get back everything that it granted, and must grant the same to the next attempt.
 func TestFailedStartReturnsGrant(t *testing.T) {
 	player := &transcript.Player{Values: map[string]string{}}
 	discovery := player.Listen(t, "d")
-	listen := transcript.FreeAddr(t) // after all listeners that get a port by themselves
+	listen := transcript.FreeAddr(t) // chosen after all listeners that let the system choose their port
 	path := writeTemp(t, "config.json", `{"name":"n1","listen":"`+listen+`","discovery":"`+discovery+
 		`","seed":"1","limits":{"sockets":1024},"settings":`+strings.Replace(settings, "REPORTS", "off", 1)+`}`)
 	dir := filepath.Dir(path)
 	env := func(name string) string { return map[string]string{"GW_CONFIG": path, "TMPDIR": dir}[name] }
-	begin := func(kernel loop.Kernel) (*loop.Loop, *Program, error) {
+	startOn := func(kernel loop.Kernel) (*loop.Loop, *Program, error) {
 		eventLoop, err := loop.NewOn(kernel)
 		if err != nil {
 			t.Fatal(err)
@@ -37,7 +37,7 @@
 		program, err := New(eventLoop, env, "", nil)
 		return eventLoop, program, err
 	}
-	eventLoop, running, err := begin(loop.Linux{})
+	eventLoop, running, err := startOn(loop.Linux{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,15 +48,17 @@
 		return quota
 	}
 	for range 6 {
-		failing, _, err := begin(kernelWithoutWatches{})
+		failing, _, err := startOn(kernelWithoutWatches{})
 		if !loop.IsTransient(err) {
-			t.Fatalf("the start that was to fail: %v", err)
+			t.Fatalf("New without watches: got error %v, want a transient error", err)
 		}
 		failing.Close()
 	}
-	transcript.WaitFor(t, "the running process has its grant back", func() bool { return grantedQuota() == 0 })
+	transcript.WaitFor(t, "the running process has the quota of its grant back", func() bool {
+		return grantedQuota() == 0
+	})
 	_, err = hotrestart.RequestGrant(hotrestart.Path(dir, listen), time.Now().Add(grantTimeout))
 	if err != nil {
-		t.Error("it grants no more: ", err)
+		t.Error("RequestGrant after failed starts: ", err)
 	}
 }
--- a/internal/node/golden_telemetry_test.go
+++ b/internal/node/golden_telemetry_test.go
@@ -12,8 +12,8 @@
 	"spurwinch/internal/trace"
 )
 
-// TestGoldenTelemetry compares the bodies of /api/reasons and /api/telemetry: all that is counted in a process, one a
-// line.
+// TestGoldenTelemetry compares the bodies of /api/reasons and /api/telemetry with golden files. They contain all
+// counters of a process, one on each line.
 func TestGoldenTelemetry(t *testing.T) {
 	var program Program
 	for range 2 {
@@ -50,7 +50,8 @@
 	compareGolden(t, "testdata/telemetry.txt", string(program.appendFigures(nil)))
 }
 
-// TestGoldenReasonStrings compares the strings of outcomes and of the reasons of the module's answers.
+// TestGoldenReasonStrings compares the strings of the outcomes and of the reasons for the module's answers with a
+// golden file.
 func TestGoldenReasonStrings(t *testing.T) {
 	got := ""
 	for outcome := choice.Served; outcome <= choice.NeverSent; outcome++ {
--- a/internal/node/many_test.go
+++ b/internal/node/many_test.go
@@ -17,10 +17,10 @@
 	"spurwinch/internal/loop"
 )
 
-// many is more servers, and more nodes, than any bound on their lists may be.
+// many is a number of servers and nodes that exceeds every limit that their lists could have.
 const many = 1100
 
-// manyServers is a complete list in discovery's form, indented, with ids as long as they get.
+// manyServers returns a complete server list in discovery's format, indented and with ids of the maximum length.
 func manyServers(t *testing.T, version int, name string) string {
 	t.Helper()
 	var entries []map[string]any
@@ -38,8 +38,8 @@
 	return string(list)
 }
 
-// sendersAtOnce is how many nodes may send at once: all of them, unless the system gives the socket a smaller buffer
-// than they need.
+// sendersAtOnce returns how many nodes may send at once. These are all nodes, unless the system gives the socket a
+// smaller buffer than they need.
 func sendersAtOnce(t *testing.T, socket int) int {
 	t.Helper()
 	buffer, err := unix.GetsockoptInt(socket, unix.SOL_SOCKET, unix.SO_RCVBUF)
@@ -54,18 +54,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const each = 1 << 10 // that the system counts for a short datagram, and some
+	const each = 1 << 10 // bytes that the system accounts for a short datagram, with some reserve
 	if want := min(many*each, 2*limit); buffer < want {
-		t.Errorf("a buffer of %d bytes for datagrams: %d are wanted", buffer, want)
+		t.Errorf("receive buffer for datagrams: got %d bytes, want at least %d", buffer, want)
 	}
 	return min(many-1, buffer/each)
 }
 
-// startDiscovery starts a discovery that answers with a list of version 8.
+// startDiscovery starts a discovery service that answers with a list of version 8.
 func startDiscovery(t *testing.T, list string) (addr string) {
 	t.Helper()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.FormValue("after") == "8" { // nothing newer
+		if r.FormValue("after") == "8" { // there is no newer list
 			<-r.Context().Done()
 			return
 		}
@@ -75,7 +75,7 @@
 	return discovery.Listener.Addr().String()
 }
 
-// listenPeersOf opens the sockets of all other nodes; the first address is the node's own.
+// listenPeersOf opens the sockets of all other nodes. The first address that it returns is the node's own.
 func listenPeersOf(t *testing.T) (addrs []string, peers []net.PacketConn) {
 	t.Helper()
 	own, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -92,13 +92,13 @@
 		addrs = append(addrs, peer.LocalAddr().String())
 		peers = append(peers, peer)
 	}
-	if err := own.Close(); err != nil { // the node's, from here on
+	if err := own.Close(); err != nil { // the node opens this address later
 		t.Fatal(err)
 	}
 	return addrs, peers
 }
 
-// newNodeOfMany sets up a node with a list of servers, a discovery and peers. Its loop doesn't run yet.
+// newNodeOfMany sets up a node with a server list, a discovery address and peers. It doesn't run the loop.
 func newNodeOfMany(t *testing.T, discovery string, peers []string) (*loop.Loop, *platform) {
 	t.Helper()
 	changed := strings.NewReplacer("REPORTS", "on_probe", `"groupSize":1`, fmt.Sprintf(`"groupSize":%d`, many),
@@ -121,14 +121,14 @@
 	return eventLoop, program.platform
 }
 
-// TestManyServersAndNodes gives a node a list of 1,100 servers, another one from discovery, and 1,099 other nodes, all
-// of which send to it at once: it knows every server and receives from every node.
+// TestManyServersAndNodes gives a node a list of 1,100 servers, another list of 1,100 servers from discovery, and 1,099
+// other nodes that all send to it at once. The node must know every server and receive from every node.
 func TestManyServersAndNodes(t *testing.T) {
 	discovery := startDiscovery(t, manyServers(t, 8, "fresh"))
 	addrs, peers := listenPeersOf(t)
 	eventLoop, platform := newNodeOfMany(t, discovery, addrs)
 	if servers := len(platform.core.Servers()); servers != many {
-		t.Errorf("%d servers known at the start", servers)
+		t.Errorf("servers known at the start: got %d, want 1100", servers)
 	}
 	sendFrom := func(senders []net.PacketConn) {
 		to := net.UDPAddrFromAddrPort(platform.peers.localAddr)
@@ -139,22 +139,22 @@
 		}
 	}
 	atOnce := sendersAtOnce(t, platform.peers.socket.FD())
-	sendFrom(peers[:atOnce]) // before the loop runs: all of it is in the node's socket
+	sendFrom(peers[:atOnce]) // before the loop runs, so that all messages wait in the node's socket
 	start(t, eventLoop)
 	awaitReceived := func(want int) {
-		transcript.WaitFor(t, fmt.Sprintf("%d nodes are received from", want), func() (all bool) {
+		transcript.WaitFor(t, fmt.Sprintf("the node receives from %d nodes", want), func() (all bool) {
 			runOn(eventLoop, func() { all = platform.peers.counts.received == want })
 			return all
 		})
 	}
 	awaitReceived(atOnce)
-	for next := atOnce; next < many-1; { // where the system gives a smaller buffer than is asked for
+	for next := atOnce; next < many-1; { // only if the system gives a smaller buffer than requested
 		more := min(atOnce, many-1-next)
 		sendFrom(peers[next : next+more])
 		next += more
 		awaitReceived(next)
 	}
-	transcript.WaitFor(t, "discovery's complete list is known", func() (all bool) {
+	transcript.WaitFor(t, "the node knows the complete list from discovery", func() (all bool) {
 		runOn(eventLoop, func() {
 			servers := platform.core.Servers()
 			all = len(servers) == many && strings.HasPrefix(string(servers[0].ID), "fresh")
@@ -163,10 +163,11 @@
 	})
 	runOn(eventLoop, func() {
 		if len(platform.peers.addrs) != many || platform.peers.counts.unknown != 0 {
-			t.Errorf("%d nodes, %d unknown senders", len(platform.peers.addrs), platform.peers.counts.unknown)
+			t.Errorf("peers: got %d nodes and %d messages from unknown senders, want 1100 and 0",
+				len(platform.peers.addrs), platform.peers.counts.unknown)
 		}
 		if known := platform.core.Gauges().ServersKnown; known != many {
-			t.Errorf("%d servers in the figures", known)
+			t.Errorf("ServersKnown gauge: got %d, want 1100", known)
 		}
 	})
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -12,8 +12,8 @@
 	"spurwinch/internal/loop"
 )
 
-// TestOnlyPeersAccepted sends datagrams from a peer, from an address that is no peer's and with this node's own number,
-// and one that is too long.
+// TestOnlyPeersAccepted sends datagrams from a peer and from an unknown address, and a datagram that is too long. The
+// node must accept only datagrams from the peer that aren't too long. One entry of the peer list is this node itself.
 func TestOnlyPeersAccepted(t *testing.T) {
 	eventLoop := newLoop(t)
 	listen := func() (*loop.Datagrams, netip.AddrPort) {
@@ -24,8 +24,8 @@
 		return socket, addr
 	}
 	peer, peerAddr := listen()
-	stranger, _ := listen()
-	// Port 0 is none that a datagram can come from: this node's own place among the peers.
+	unknownSender, _ := listen()
+	// The entry with port 0 is this node itself. No datagram can come from port 0.
 	node := config.Node{
 		PeerListen: "127.0.0.1:0",
 		Peers:      []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:0"), peerAddr},
@@ -41,7 +41,7 @@
 	}
 	addr := network.localAddr
 	for _, err := range []error{
-		peer.Send(addr, []byte("one")), stranger.Send(addr, []byte("two")),
+		peer.Send(addr, []byte("one")), unknownSender.Send(addr, []byte("two")),
 		peer.Send(addr, make([]byte, maxPeerMessage+1)), peer.Send(addr, []byte("three")),
 	} {
 		if err != nil {
@@ -49,7 +49,7 @@
 		}
 	}
 	network.send(1, make([]byte, maxPeerMessage+1))
-	network.send(2, []byte("to nobody"))
+	network.send(2, []byte("to an unknown node"))
 	network.send(1, []byte("answer"))
 	counts := &network.counts
 	limit := time.Now().Add(testTimeout)
@@ -64,15 +64,15 @@
 	}
 	if len(got) != 2 || got[0] != "one" || got[1] != "three" || counts.unknown != 1 || counts.tooLong != 1 ||
 		counts.sent != 1 {
-		t.Errorf("received %q, %+v", got, *counts)
+		t.Errorf("accepted messages: got %q with counts %+v, want one and three", got, *counts)
 	}
 }
 
-// TestNoPeersNoSocket guards installations and settings without peers against a socket that nobody needs.
-func TestNoPeersNoSocket(t *testing.T) {
+// TestNoSocketWithoutPeers checks that a node without peers, by its installation or its settings, opens no socket.
+func TestNoSocketWithoutPeers(t *testing.T) {
 	network, err := listenPeers(nil, config.Node{PeerListen: "127.0.0.1:0"}, -1, nil)
 	if err != nil || network.socket != nil {
-		t.Errorf("%v, %v", network.socket, err)
+		t.Errorf("listenPeers without peers: got socket %v, %v, want none", network.socket, err)
 	}
 	network.send(0, []byte("x"))
 }
--- a/internal/node/pushed_test.go
+++ b/internal/node/pushed_test.go
@@ -13,10 +13,10 @@
 	"spurwinch/internal/config"
 )
 
-// TestPushedList guards the start of a node whose lists are pushed: what the agent has counts as known from the first
-// moment, so it is asked before the node announces that it accepts clients, and none goes to a server that is draining
-// by now.
-func TestPushedList(t *testing.T) {
+// TestPushedListReadBeforeReady starts a node whose server lists are pushed by an agent. The agent's list counts as
+// known from the start. Therefore the node must request it before it announces that it accepts clients, so that no
+// client is placed on a server that is already draining.
+func TestPushedListReadBeforeReady(t *testing.T) {
 	draining, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	hold := make(chan struct{})
 	defer close(hold)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.FormValue("after") == "8" { // nothing newer
+		if r.FormValue("after") == "8" { // there is no newer list
 			<-hold
 			return
 		}
@@ -52,7 +52,8 @@
 		send(conn, "%s\r\n", exchange.line)
 		got, err := bufio.NewReader(conn).ReadString('\n')
 		if strings.TrimSpace(got) != exchange.answer || !answered.Load() {
-			t.Errorf("%s has the answer %q (%v), the agent was asked: %v", exchange.line, got, err, answered.Load())
+			t.Errorf("answer to %s: got %q (%v), agent requested: %v, want PONG or BUSY after the request",
+				exchange.line, got, err, answered.Load())
 		}
 	}
 }
--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -14,21 +14,22 @@
 
 const ping = "<iq type='get' id='p1'><ping xmlns='urn:xmpp:ping'/></iq>"
 
-// xmppNode is a node in front of some XMPP servers of the laboratory.
+// xmppNode is a node in front of XMPP servers of the laboratory.
 type xmppNode struct {
 	*operatorNode
-	tb      testing.TB
-	servers []*xmppserver.Server
-	path    string
-	addr    string
-	more    string // of the file: further listeners, certificates, limits
+	tb          testing.TB
+	servers     []*xmppserver.Server
+	path        string
+	addr        string
+	extraConfig string // beginning of the operator's file: further listeners, certificates, limits
 }
 
+// noneDraining stands for the index of a draining server if no server is draining.
 const noneDraining = -1
 
-func newXMPPNode(tb testing.TB, servers int, more string) *xmppNode {
+func newXMPPNode(tb testing.TB, servers int, extraConfig string) *xmppNode {
 	tb.Helper()
-	node := &xmppNode{tb: tb, path: filepath.Join(tb.TempDir(), "operator.toml"), more: more}
+	node := &xmppNode{tb: tb, path: filepath.Join(tb.TempDir(), "operator.toml"), extraConfig: extraConfig}
 	for i := range servers {
 		server, err := xmppserver.Listen(fmt.Sprint("h", i))
 		if err != nil {
@@ -37,18 +38,18 @@
 		tb.Cleanup(server.Close)
 		node.servers = append(node.servers, server)
 	}
-	node.addr = transcript.FreeAddr(tb) // after all listeners that get a port by themselves
+	node.addr = transcript.FreeAddr(tb) // chosen after all listeners that let the system choose their port
 	node.write(noneDraining)
 	node.operatorNode = newOperatorNode(tb, node.path, 1)
 	start(tb, node.loop)
 	return node
 }
 
-// write writes the operator's file, in which one of the servers is draining, or noneDraining.
+// write writes the operator's file. draining is the index of the server that is draining, or noneDraining.
 func (n *xmppNode) write(draining int) {
 	n.tb.Helper()
 	var file strings.Builder
-	fmt.Fprintf(&file, n.more+"[[listener]]\naddr = %q\nprotocol = \"xmpp\"\n[[class]]\nname = \"c\"\n"+
+	fmt.Fprintf(&file, n.extraConfig+"[[listener]]\naddr = %q\nprotocol = \"xmpp\"\n[[class]]\nname = \"c\"\n"+
 		"[[domain]]\nname = \"farm.example\"\ncluster = \"k\"\n[[cluster]]\nname = \"k\"\n", n.addr)
 	for i, server := range n.servers {
 		state := "serving"
@@ -60,7 +61,7 @@
 	writeFile(n.tb, n.path, file.String())
 }
 
-// writeAndReload writes the file as write does, and has the node read it.
+// writeAndReload writes the file in the same way as write, and makes the node reload it.
 func (n *xmppNode) writeAndReload(draining int) {
 	n.tb.Helper()
 	n.write(draining)
@@ -69,7 +70,7 @@
 	}
 }
 
-// streams is the number of streams that all servers have had.
+// streams returns the number of streams that all servers have received so far.
 func (n *xmppNode) streams() (count int) {
 	for _, server := range n.servers {
 		count += server.Count().Streams
@@ -77,8 +78,9 @@
 	return count
 }
 
-// connectAll has so many clients connect at once, each to resume the session of its number, and counts the resumed.
-func (n *xmppNode) connectAll(ids []string, how xmppserver.LoginMethod) (clients []*xmppserver.Client, resumed int) {
+// connectAll makes a client connect for each id, all at once. Each client tries to resume the session with its id; an
+// empty id begins a new session. connectAll returns the clients and the number of resumed sessions.
+func (n *xmppNode) connectAll(ids []string, method xmppserver.LoginMethod) (clients []*xmppserver.Client, resumed int) {
 	n.tb.Helper()
 	clients = make([]*xmppserver.Client, len(ids))
 	var wg sync.WaitGroup
@@ -88,7 +90,7 @@
 		go func() {
 			defer wg.Done()
 			user := fmt.Sprint("u", i)
-			client, wasResumed, err := xmppserver.Connect(n.addr, user, id, how, time.Now().Add(testTimeout))
+			client, wasResumed, err := xmppserver.Connect(n.addr, user, id, method, time.Now().Add(testTimeout))
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -105,6 +107,7 @@
 	return clients, resumed
 }
 
+// idsOf returns the session ids of clients.
 func idsOf(clients []*xmppserver.Client) (ids []string) {
 	for _, client := range clients {
 		ids = append(ids, client.ID)
@@ -112,15 +115,16 @@
 	return ids
 }
 
+// closeAll breaks the connections of clients without closing their streams.
 func closeAll(clients []*xmppserver.Client) {
 	for _, client := range clients {
 		if client != nil {
-			_ = client.Conn.Close() // a link that breaks, whatever its end says
+			_ = client.Conn.Close() // the connection counts as broken even if Close fails
 		}
 	}
 }
 
-// countOf is the number of ids that a server gave.
+// countOf returns the number of session ids that a server assigned.
 func countOf(ids []string, server string) (count int) {
 	for _, id := range ids {
 		if strings.HasPrefix(id, server+"-") {
@@ -130,39 +134,40 @@
 	return count
 }
 
-// loginMethods are the ways in which the tests' clients log in.
+// loginMethods contains the login methods of the tests' clients.
 var loginMethods = []xmppserver.LoginMethod{
 	xmppserver.LoginPlain, xmppserver.LoginPlainNamed, xmppserver.LoginSASL2,
 }
 
-// TestResumeFindsServer has clients lose their link and connect again, over four servers: each finds the one that has
-// its session, whichever way it authenticates, also while its old stream is still open. A server that drains, or that
-// has lost its sessions, costs the session and nothing else.
+// TestResumeFindsServer makes clients lose their connection and reconnect, with four servers. With each login method,
+// the node must place each client on the server that has its session, also while the client's old stream is still open.
+// If that server drains or has lost its sessions, the client loses its session but nothing else.
 func TestResumeFindsServer(t *testing.T) {
 	node := newXMPPNode(t, 4, "")
-	for _, how := range loginMethods {
-		ids := checkResume(t, node, how)
-		checkLostSessions(t, node, how, ids)
+	for _, method := range loginMethods {
+		ids := checkResume(t, node, method)
+		checkLostSessions(t, node, method, ids)
 	}
 }
 
-// checkResume has clients resume their sessions twice: beside their old streams, and after their streams have broken.
-func checkResume(t *testing.T, node *xmppNode, how xmppserver.LoginMethod) (ids []string) {
+// checkResume makes clients resume their sessions twice: while their old streams are open, and after their streams have
+// broken.
+func checkResume(t *testing.T, node *xmppNode, method xmppserver.LoginMethod) (ids []string) {
 	t.Helper()
 	const count = 24
-	first, resumed := node.connectAll(make([]string, count), how)
+	first, resumed := node.connectAll(make([]string, count), method)
 	if t.Failed() || resumed != 0 {
-		t.Fatalf("way %d: %d resumed of none", how, resumed)
+		t.Fatalf("login method %d, first connections: got %d resumed, want 0", method, resumed)
 	}
 	ids = idsOf(first)
-	second, resumed := node.connectAll(ids, how) // the old streams are still open
+	second, resumed := node.connectAll(ids, method) // the old streams are still open
 	if t.Failed() || resumed != count {
-		t.Fatalf("way %d: %d of %d resumed beside their old streams", how, resumed, count)
+		t.Fatalf("login method %d, old streams open: got %d of %d resumed, want all", method, resumed, count)
 	}
 	for i, client := range first {
 		got, err := client.Exchange("", "</stream:stream>")
 		if err == nil || !strings.Contains(got+err.Error(), "conflict") {
-			t.Errorf("way %d: the old stream %d got %q, %v", how, i, got, err)
+			t.Errorf("login method %d, old stream %d: got %q, %v, want a conflict", method, i, got, err)
 		}
 	}
 	for _, client := range second {
@@ -172,38 +177,40 @@
 	}
 	closeAll(first)
 	closeAll(second)
-	third, resumed := node.connectAll(ids, how)
+	third, resumed := node.connectAll(ids, method)
 	if t.Failed() || resumed != count {
-		t.Fatalf("way %d: %d of %d resumed after their streams broke", how, resumed, count)
+		t.Fatalf("login method %d, after the streams broke: got %d of %d resumed, want all", method, resumed, count)
 	}
 	closeAll(third)
 	return ids
 }
 
-// checkLostSessions restarts one server and drains another: all sessions but those of the two are resumed.
-func checkLostSessions(t *testing.T, node *xmppNode, how xmppserver.LoginMethod, ids []string) {
+// checkLostSessions restarts one server and drains another. All sessions except those of the two servers must be
+// resumed.
+func checkLostSessions(t *testing.T, node *xmppNode, method xmppserver.LoginMethod, ids []string) {
 	t.Helper()
 	const restarted, draining = 2, 3
-	node.servers[restarted].Restart() // it has no sessions any more
+	node.servers[restarted].Restart() // the restart removes all its sessions
 	node.writeAndReload(draining)
 	before := node.servers[draining].Count().Streams
 	lost := countOf(ids, fmt.Sprint("h", restarted)) + countOf(ids, fmt.Sprint("h", draining))
-	clients, resumed := node.connectAll(ids, how)
+	clients, resumed := node.connectAll(ids, method)
 	if t.Failed() || resumed != len(ids)-lost {
-		t.Errorf("way %d: %d resumed of %d whose servers still have them", how, resumed, len(ids)-lost)
+		t.Errorf("login method %d: got %d resumed, want the %d sessions that their servers still have",
+			method, resumed, len(ids)-lost)
 	}
 	if node.servers[draining].Count().Streams != before {
-		t.Errorf("way %d: streams to a server that drains", how)
+		t.Errorf("login method %d: got streams to a draining server, want none", method)
 	}
 	closeAll(clients)
 	node.writeAndReload(noneDraining)
 }
 
-// TestSeeOtherHost has servers redirect sessions to another one: there they go, with the next attempt, if it is in the
-// list; an address that is not in the list is never tried.
-func TestSeeOtherHost(t *testing.T) {
+// TestSeeOtherHostFollowedToListedServersOnly makes servers redirect sessions to another server. If that server is in
+// the list, the next attempt must go to it. An address that is not in the list must never be tried.
+func TestSeeOtherHostFollowedToListedServersOnly(t *testing.T) {
 	const servers = 6
-	for target := range servers { // each in turn: one of them is the module's own next choice
+	for target := range servers { // each server in turn, because one of them would be the module's next choice anyway
 		node := newXMPPNode(t, servers, "")
 		for i, server := range node.servers {
 			if i != target {
@@ -212,13 +219,14 @@
 		}
 		clients, _ := node.connectAll([]string{""}, xmppserver.LoginPlain)
 		closeAll(clients)
-		elsewhere := node.streams() - node.servers[target].Count().Streams
-		if node.servers[target].Count().Bound != 1 || elsewhere > 1 {
-			t.Errorf("%d attempts elsewhere before the server that was named", elsewhere)
+		otherAttempts := node.streams() - node.servers[target].Count().Streams
+		if node.servers[target].Count().Bound != 1 || otherAttempts > 1 {
+			t.Errorf("attempts before the redirect target: got %d, want at most 1 and one bound session",
+				otherAttempts)
 		}
 	}
 	node := newXMPPNode(t, 3, "")
-	unlisted, err := xmppserver.Listen("stranger")
+	unlisted, err := xmppserver.Listen("unlisted")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -229,6 +237,6 @@
 	clients, _ := node.connectAll(make([]string, 16), xmppserver.LoginPlain)
 	closeAll(clients)
 	if unlisted.Count().Streams != 0 {
-		t.Error("a session went to a server that is not in the list")
+		t.Error("redirect to an unlisted server: got a stream there, want none")
 	}
 }
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestSignalsAtOnce has SIGHUP and two SIGTERM wait together: the files are read first, since the stop depends on them,
-// and there is one stop.
-func TestSignalsAtOnce(t *testing.T) {
+// TestReloadPrecedesShutdownOnPendingSignals runs a node while a SIGHUP and two SIGTERMs are pending. The node must
+// reload the files first, because the shutdown depends on them, and must shut down only once.
+func TestReloadPrecedesShutdownOnPendingSignals(t *testing.T) {
 	for range 50 {
 		eventLoop := newLoop(t)
 		program := newProgram(eventLoop)
--- a/internal/node/slow_test.go
+++ b/internal/node/slow_test.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// sendAfterOpen accepts one connection, answers its request and sends it lines. It returns how many bytes it could
-// send.
+// sendAfterOpen accepts one connection, answers its request and sends lines. It returns the number of bytes that it
+// could send.
 func sendAfterOpen(listener net.Listener, lines string) (sent int) {
 	conn, err := listener.Accept()
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = conn.Close() }()           // what was sent is counted
-	_, _ = bufio.NewReader(conn).ReadString('\n') // a request that didn't come is seen by the client
+	defer func() { _ = conn.Close() }()           // only the number of sent bytes matters
+	_, _ = bufio.NewReader(conn).ReadString('\n') // the client notices if the request didn't arrive
 	send(conn, "UP 1\r\n")
-	sent, _ = conn.Write([]byte(lines)) // the count says whether it failed
+	sent, _ = conn.Write([]byte(lines)) // the number of sent bytes shows whether Write failed
 	return sent
 }
 
-// TestSlowReader checks that a client that doesn't read slows its server down instead of filling the node's memory, and
-// that nothing is lost once it reads.
+// TestSlowReader checks that a client that doesn't read slows down its server instead of filling the node's memory, and
+// that no data is lost once the client reads.
 func TestSlowReader(t *testing.T) {
 	const size = 48 << 20
 	server, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,14 +46,14 @@
 	time.Sleep(500 * time.Millisecond)
 	select {
 	case count := <-sent:
-		t.Fatalf("the server could send all of %d bytes to a client that doesn't read", count)
+		t.Fatalf("Write to a client that doesn't read: got all of %d bytes sent, want the server to wait", count)
 	default:
 	}
 	got, err := io.Copy(io.Discard, reader)
 	if got != size || err != nil {
-		t.Errorf("%d bytes of %d came: %v", got, size, err)
+		t.Errorf("Copy from the node: got %d bytes, want %d: %v", got, size, err)
 	}
 	if count := <-sent; count != size {
-		t.Errorf("%d bytes sent", count)
+		t.Errorf("Write of the server: got %d bytes sent, want 48 MiB", count)
 	}
 }
--- a/internal/node/tls_test.go
+++ b/internal/node/tls_test.go
@@ -16,7 +16,7 @@
 
 const certificateLifetime = 90 * 24 * time.Hour
 
-// tlsNode is a node with a listener for STARTTLS and one for direct TLS.
+// tlsNode is a node with one listener for STARTTLS and one for direct TLS.
 type tlsNode struct {
 	*xmppNode
 	dir         string
@@ -42,7 +42,7 @@
 	return node
 }
 
-// trust is the client's configuration that trusts the certificate as it is now.
+// trust returns a client configuration that trusts the node's current certificate.
 func (n *tlsNode) trust(t *testing.T) *tls.Config {
 	t.Helper()
 	pool := x509.NewCertPool()
@@ -55,84 +55,85 @@
 
 // connectTLS connects to one of the two listeners.
 func (n *tlsNode) connectTLS(
-	addr, user, id string, how xmppserver.LoginMethod, config *tls.Config,
+	addr, user, id string, method xmppserver.LoginMethod, config *tls.Config,
 ) (client *xmppserver.Client, resumed bool, err error) {
-	return xmppserver.ConnectTLS(addr, user, id, how, config, addr == n.direct, n.deadline)
+	return xmppserver.ConnectTLS(addr, user, id, method, config, addr == n.direct, n.deadline)
 }
 
-// connectAndResume has a client lose its link and resume.
+// connectAndResume makes a client lose its connection and resume its session.
 func (n *tlsNode) connectAndResume(
-	t *testing.T, addr, user string, how xmppserver.LoginMethod, config *tls.Config,
+	t *testing.T, addr, user string, method xmppserver.LoginMethod, config *tls.Config,
 ) *xmppserver.Client {
 	t.Helper()
-	client, _, err := n.connectTLS(addr, user, "", how, config)
+	client, _, err := n.connectTLS(addr, user, "", method, config)
 	if err != nil {
-		t.Fatal(how, addr, err)
+		t.Fatal(method, addr, err)
 	}
 	id := client.ID
 	secure, ok := client.Conn.(*tls.Conn)
 	if !ok {
-		t.Fatalf("the client's connection is a %T", client.Conn)
+		t.Fatalf("type of the client's connection: got %T, want *tls.Conn", client.Conn)
 	}
-	_ = secure.NetConn().Close() // the link is lost, whatever its end says
-	client, resumed, err := n.connectTLS(addr, user, id, how, config)
+	_ = secure.NetConn().Close() // the connection counts as lost even if Close fails
+	client, resumed, err := n.connectTLS(addr, user, id, method, config)
 	if err != nil || !resumed {
-		t.Fatal(how, addr, "resumed: ", resumed, err)
+		t.Fatal(method, addr, "resumed: ", resumed, err)
 	}
 	return client
 }
 
-// TestTLS has clients connect by STARTTLS and by direct TLS, with every way to authenticate, lose their link and
-// resume; what must not be sent in the clear is rejected; and keys change while streams are open, all or none.
+// TestTLS makes clients connect over STARTTLS and direct TLS with every login method, lose their connection and resume.
+// It also checks that the node rejects data that must not be sent unencrypted, and that a reload replaces either all
+// keys or none while streams are open.
 func TestTLS(t *testing.T) {
 	node := newTLSNode(t)
 	config := node.trust(t)
 	var open []*xmppserver.Client
-	for i, how := range loginMethods {
+	for i, method := range loginMethods {
 		for _, addr := range []string{node.startTLS, node.direct} {
 			user := fmt.Sprint("u", i, addr[len(addr)-5:])
-			open = append(open, node.connectAndResume(t, addr, user, how, config))
+			open = append(open, node.connectAndResume(t, addr, user, method, config))
 		}
 	}
 	checkCleartext(t, node)
 	checkKeyChange(t, node, config)
 	for i, client := range open {
 		if _, err := client.Exchange(ping, "/>"); err != nil {
-			t.Errorf("open stream %d: %v", i, err)
+			t.Errorf("Exchange on open stream %d: %v", i, err)
 		}
-		_ = client.Conn.Close() // it has its answer
+		_ = client.Conn.Close() // the client has received its answer
 	}
 }
 
-// checkCleartext sends what must not be sent in the clear: it is rejected, and no server hears of it.
+// checkCleartext sends data that must not be sent unencrypted. The node must reject it and open no stream to a server.
 func checkCleartext(t *testing.T, node *tlsNode) {
 	t.Helper()
 	before := node.streams()
 	const startTLS = "<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"
 	const password = "<auth xmlns='urn:ietf:params:xml:ns:xmpp-sasl' mechanism='PLAIN'>AGEAYg==</auth>"
 	for name, parts := range map[string][]string{
-		"a password in the clear":           {streamHeader, password},
-		"a stanza in the clear":             {streamHeader, "<presence/>"},
-		"a header behind STARTTLS":          {streamHeader, startTLS + streamHeader},
-		"half a tag behind it":              {streamHeader, startTLS + "<auth"},
-		"an element that goes on":           {streamHeader, strings.Replace(startTLS, "/>", ">", 1)},
-		"another domain":                    {strings.Replace(streamHeader, "farm", "other", 1)},
-		"STARTTLS, and then silence":        {streamHeader, startTLS},
-		"STARTTLS, and then what is no TLS": {streamHeader, startTLS, streamHeader},
-		"a header, and then silence":        {streamHeader},
+		"an unencrypted password":                     {streamHeader, password},
+		"an unencrypted stanza":                       {streamHeader, "<presence/>"},
+		"a header after STARTTLS in the same write":   {streamHeader, startTLS + streamHeader},
+		"half a tag after STARTTLS in the same write": {streamHeader, startTLS + "<auth"},
+		"a STARTTLS element that isn't closed":        {streamHeader, strings.Replace(startTLS, "/>", ">", 1)},
+		"another domain":                              {strings.Replace(streamHeader, "farm", "other", 1)},
+		"STARTTLS, then no data":                      {streamHeader, startTLS},
+		"STARTTLS, then data that isn't TLS":          {streamHeader, startTLS, streamHeader},
+		"a header, then no data":                      {streamHeader},
 	} {
 		got := sendParts(t, node.startTLS, parts)
 		rejected := strings.Contains(got, "<stream:error>") || strings.Contains(got, "<proceed")
 		if strings.Contains(got, "<mechanism") || !rejected {
-			t.Errorf("%s: %q", name, got)
+			t.Errorf("%s: got %q, want a stream error or <proceed, and no <mechanism", name, got)
 		}
 	}
 	if after := node.streams(); after != before {
-		t.Errorf("%d streams to servers for what was sent in the clear", after-before)
+		t.Errorf("streams to servers for unencrypted data: got %d, want 0", after-before)
 	}
 }
 
-// sendParts sends texts one after the other and returns all that is answered.
+// sendParts sends texts one after another and returns everything that the node answers.
 func sendParts(t *testing.T, addr string, parts []string) string {
 	t.Helper()
 	conn := dial(t, addr)
@@ -141,12 +142,13 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	limitTime(t, conn)
-	got, _ := io.ReadAll(conn) // what came before the end, however the connection ended
-	_ = conn.Close()           // it has ended
+	got, _ := io.ReadAll(conn) // the answer counts however the connection ended
+	_ = conn.Close()           // the connection has already ended
 	return string(got)
 }
 
-// checkKeyChange reloads certificates: one that can't be read changes nothing, a new one is used for new handshakes.
+// checkKeyChange reloads certificates. An invalid certificate must have no effect, and a new certificate must be used
+// for new handshakes.
 func checkKeyChange(t *testing.T, node *tlsNode, config *tls.Config) {
 	t.Helper()
 	valid, err := os.ReadFile(node.certificate)
@@ -155,10 +157,10 @@
 	}
 	writeFile(t, node.certificate, "corrupt")
 	if err := node.reload(); err == nil || !strings.Contains(err.Error(), "operator.toml:") {
-		t.Errorf("a corrupt certificate: %v", err)
+		t.Errorf("reload of a corrupt certificate: got error %v, want one that names operator.toml", err)
 	}
 	if _, _, err := node.connectTLS(node.direct, "v", "", xmppserver.LoginPlain, config); err != nil {
-		t.Errorf("after a file that can't be read: %v", err)
+		t.Errorf("connect after the reload of a corrupt certificate: %v", err)
 	}
 	writeFile(t, node.certificate, string(valid))
 	transcript.WriteCertificate(t, node.dir, time.Now().Add(certificateLifetime), "farm.example")
@@ -166,7 +168,7 @@
 		t.Fatal(err)
 	}
 	if _, _, err := node.connectTLS(node.direct, "w", "", xmppserver.LoginPlain, config); err == nil {
-		t.Error("a new handshake used the old certificate")
+		t.Error("new handshake after a reload: got the old certificate, want the new one")
 	}
 	if _, _, err := node.connectTLS(node.startTLS, "w", "", xmppserver.LoginPlain, node.trust(t)); err != nil {
 		t.Error(err)
--- a/internal/node/websocket_test.go
+++ b/internal/node/websocket_test.go
@@ -17,14 +17,14 @@
 
 const openFrame = "<open xmlns='urn:ietf:params:xml:ns:xmpp-framing' to='farm.example' version='1.0'/>"
 
-// browser is a client that connects by WebSocket.
-type browser struct {
+// webSocketClient is a client that connects over WebSocket.
+type webSocketClient struct {
 	tb   testing.TB
 	conn net.Conn
 }
 
-// browse opens a WebSocket.
-func browse(tb testing.TB, url string) *browser {
+// dialWebSocket opens a WebSocket connection.
+func dialWebSocket(tb testing.TB, url string) *webSocketClient {
 	tb.Helper()
 	dialer := ws.Dialer{
 		Protocols: []string{"xmpp"}, TLSConfig: &tls.Config{InsecureSkipVerify: true}, Timeout: testTimeout,
@@ -34,11 +34,12 @@
 		tb.Fatal(handshake, err)
 	}
 	limitTime(tb, conn)
-	return &browser{tb: tb, conn: conn}
+	return &webSocketClient{tb: tb, conn: conn}
 }
 
-// say sends a message and reads messages up to one with a prefix; each must be one element with its namespace.
-func (b *browser) say(message, prefix string) string {
+// exchange sends a message, unless it is empty, and reads messages until one has the prefix. Each message that it reads
+// must begin with an element that declares its namespace.
+func (b *webSocketClient) exchange(message, prefix string) string {
 	b.tb.Helper()
 	if message != "" {
 		if err := wsutil.WriteClientText(b.conn, []byte(message)); err != nil {
@@ -48,10 +49,10 @@
 	for {
 		got, err := wsutil.ReadServerText(b.conn)
 		if err != nil {
-			b.tb.Fatalf("for %q: %v", message, err)
+			b.tb.Fatalf("read after sending %q: %v", message, err)
 		}
 		if head, _, _ := strings.Cut(string(got), ">"); !strings.Contains(head, "xmlns") {
-			b.tb.Errorf("a message without its namespace: %s", got)
+			b.tb.Errorf("message from the node: got %s, want a namespace", got)
 		}
 		if strings.HasPrefix(string(got), prefix) {
 			return string(got)
@@ -60,42 +61,44 @@
 }
 
 // openStream opens a stream and authenticates.
-func openStream(tb testing.TB, url, credentials string) *browser {
+func openStream(tb testing.TB, url, credentials string) *webSocketClient {
 	tb.Helper()
-	client := browse(tb, url)
-	got := client.say(openFrame, "<open")
+	client := dialWebSocket(tb, url)
+	got := client.exchange(openFrame, "<open")
 	if !strings.Contains(got, "from='farm.example'") || !strings.Contains(got, "version='1.0'") {
-		tb.Errorf("the stream opens with %s", got)
+		tb.Errorf("opening of the stream: got %s, want the domain and version 1.0", got)
 	}
-	features := client.say("", "<stream:features")
+	features := client.exchange("", "<stream:features")
 	if !strings.Contains(features, "xmlns:stream='http://etherx.jabber.org/streams'") ||
 		!strings.HasSuffix(features, "</stream:features>") {
-		tb.Errorf("features: %s", features)
+		tb.Errorf("stream features: got %s, want one complete element with its namespace", features)
 	}
-	client.say("<auth xmlns='urn:ietf:params:xml:ns:xmpp-sasl' mechanism='PLAIN'>"+credentials+"</auth>", "<success")
-	client.say(openFrame, "<stream:features")
+	client.exchange("<auth xmlns='urn:ietf:params:xml:ns:xmpp-sasl' mechanism='PLAIN'>"+credentials+"</auth>",
+		"<success")
+	client.exchange(openFrame, "<stream:features")
 	return client
 }
 
-// bindAndResume has a client bind, lose its link, resume, get an answer and close its stream.
+// bindAndResume makes a client bind, lose its connection, resume, get an answer and close its stream.
 func bindAndResume(tb testing.TB, url, credentials string) {
 	tb.Helper()
 	client := openStream(tb, url, credentials)
-	client.say("<iq xmlns='jabber:client' type='set' id='1'><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'/></iq>",
+	client.exchange("<iq xmlns='jabber:client' type='set' id='1'><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'/></iq>",
 		"<iq xmlns='jabber:client' ")
-	enabled := client.say("<enable xmlns='urn:xmpp:sm:3' resume='true'/>", "<enabled")
+	enabled := client.exchange("<enable xmlns='urn:xmpp:sm:3' resume='true'/>", "<enabled")
 	_, id, _ := strings.Cut(enabled, " id='")
 	id, _, _ = strings.Cut(id, "'")
-	_ = client.conn.Close() // the link is lost, whatever its end says
+	_ = client.conn.Close() // the connection counts as lost even if Close fails
 	client = openStream(tb, url, credentials)
-	client.say("<resume xmlns='urn:xmpp:sm:3' previd='"+id+"' h='0'/>", "<resumed")
-	client.say("<iq xmlns='jabber:client' type='get' id='2'><ping xmlns='urn:xmpp:ping'/></iq>",
+	client.exchange("<resume xmlns='urn:xmpp:sm:3' previd='"+id+"' h='0'/>", "<resumed")
+	client.exchange("<iq xmlns='jabber:client' type='get' id='2'><ping xmlns='urn:xmpp:ping'/></iq>",
 		"<iq xmlns='jabber:client' type='result' id='2'")
-	client.say("<close xmlns='urn:ietf:params:xml:ns:xmpp-framing'/>", "<close")
+	client.exchange("<close xmlns='urn:ietf:params:xml:ns:xmpp-framing'/>", "<close")
 }
 
-// TestWebSocket has a client connect by WebSocket, in the clear and by TLS: it authenticates, binds, is answered, loses
-// its link, resumes, and closes its stream; one that sends what is no element gets an error.
+// TestWebSocket makes clients connect over WebSocket, with and without TLS. They authenticate, bind, lose their
+// connection, resume, get an answer and close their stream. A client that sends anything but a complete element must
+// get an error.
 func TestWebSocket(t *testing.T) {
 	certificate, key := transcript.WriteCertificate(t, t.TempDir(), time.Now().Add(certificateLifetime), "farm.example")
 	cleartext := transcript.FreeAddr(t)
@@ -114,20 +117,20 @@
 		resumed += server.Count().Resumed
 	}
 	if resumed != 4 {
-		t.Errorf("%d of 4 resumed", resumed)
+		t.Errorf("resumed sessions: got %d, want 4", resumed)
 	}
 	for name, message := range map[string]string{
-		"half an element": "<message><body>", "two ends": "</message>",
-		"a stream's markup": "<stream:stream to='farm.example'>", "an end of ours": "</stream:stream>",
+		"half an element": "<message><body>", "an end without a start": "</message>",
+		"a stream's markup": "<stream:stream to='farm.example'>", "the end of a stream": "</stream:stream>",
 		"a declaration": "<?xml version='1.0'?>", "text": "oats",
-		"an open of another kind": "<open to='farm.example'/>",
+		"an open without the framing namespace": "<open to='farm.example'/>",
 	} {
-		client := browse(t, "ws://"+cleartext+"/xmpp")
-		client.say(openFrame, "<stream:features")
-		got := client.say(message, "<stream:error")
+		client := dialWebSocket(t, "ws://"+cleartext+"/xmpp")
+		client.exchange(openFrame, "<stream:features")
+		got := client.exchange(message, "<stream:error")
 		if !strings.Contains(got, "bad-format") && !strings.Contains(got, "not-well-formed") {
-			t.Errorf("%s: %s", name, got)
+			t.Errorf("stream error for %s: got %s, want bad-format or not-well-formed", name, got)
 		}
-		client.say("", "<close")
+		client.exchange("", "<close")
 	}
 }
--- a/internal/node/xmppstub_test.go
+++ b/internal/node/xmppstub_test.go
@@ -18,23 +18,24 @@
 	bindFeatures = "<stream:features><bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'/></stream:features>"
 )
 
-// stubServers is a set of scripted XMPP servers. It records which session is attempted where, and when.
+// stubServers is a set of scripted XMPP servers. It records the attempts of each session and the bindings of each
+// server.
 type stubServers struct {
 	mu         sync.Mutex
 	attempts   map[string]int // by session
-	current    map[string]int // attempts of a session at this time
-	concurrent int            // sessions with two attempts at once
+	current    map[string]int // attempts in progress, by session
+	concurrent int            // number of attempts that overlapped another one of their session
 	bindings   map[string]int // by server
 }
 
 var fromAttribute = regexp.MustCompile(`from='([^']*)'`)
 
-// stubServer is one server; stop closes its connections and rejects new ones until start.
+// stubServer is one server. stop closes its connections and makes it reject new ones until start.
 type stubServer struct {
 	servers     *stubServers
 	name        string
 	addr        string
-	streamError string // in place of features; empty: none
+	streamError string // sent instead of features; empty: none
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -76,14 +77,14 @@
 	}
 }
 
-// stop resets all connections, as a process that is killed.
+// stop resets all connections, like a process that is killed.
 func (s *stubServer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.listener.Close() // closed twice at the end
+	_ = s.listener.Close() // stop may run twice; the second Close fails
 	for conn := range s.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // it may have ended by itself
+			_ = tcp.SetLinger(0) // fails if the connection has already ended
 		}
 		_ = conn.Close() // as above
 		delete(s.conns, conn)
@@ -102,7 +103,7 @@
 	}
 }
 
-// serve answers one stream; without a readable header it has no session.
+// serve answers one stream. It ignores a stream without a readable header because that has no session.
 func (s *stubServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }() // stop may have closed it
 	reader := bufio.NewReader(conn)
@@ -127,15 +128,17 @@
 	time.Sleep(20 * time.Millisecond)
 	s.servers.countBinding(s.name)
 	send(conn, bindResult)
-	_, _ = io.Copy(io.Discard, reader) // up to the end, whatever it is
+	_, _ = io.Copy(io.Discard, reader) // until the connection ends, with or without an error
 }
 
+// beginAttempt records the start of an attempt, and whether it overlaps another attempt of the same session.
 func (s *stubServers) beginAttempt(session string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.attempts[session]++
 	s.current[session]++
-	// The node ended the one before; its goroutine here may hear of that later than this one of its connection.
+	// The node has ended the previous attempt before this one, but the goroutine that serves the previous attempt may
+	// notice that only after this attempt has begun. Therefore wait for it for at most 1 s.
 	for limit := time.Now().Add(time.Second); s.current[session] > 1 && time.Now().Before(limit); {
 		s.mu.Unlock()
 		time.Sleep(time.Millisecond)
@@ -158,13 +161,14 @@
 	s.bindings[server]++
 }
 
-// runSession plays a client until stop. It returns all that the client got up to its answer, and what came later.
-func runSession(addr, id string, stop <-chan struct{}) (answer, later string, err error) {
+// runSession plays a client until stop is closed. It returns everything that the client received up to its answer, and
+// what it received afterwards.
+func runSession(addr, id string, stop <-chan struct{}) (answer, afterAnswer string, err error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return "", "", err
 	}
-	defer func() { _ = conn.Close() }() // what was read decides
+	defer func() { _ = conn.Close() }() // the test checks only what was read
 	if err := conn.SetDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		return "", "", err
 	}
@@ -187,7 +191,7 @@
 			case <-time.After(testTimeout):
 			}
 			if tcp, ok := conn.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // the node may have ended the connection
+				_ = tcp.CloseWrite() // fails if the node has already ended the connection
 			}
 			rest, err := io.ReadAll(reader)
 			return answer, string(rest), err
@@ -195,7 +199,7 @@
 	}
 }
 
-// stubFile is the operator's file for a set of servers, of which one may be draining.
+// stubFile returns the operator's file for a set of servers. draining is the name of the draining server; empty: none.
 func stubFile(servers []*stubServer, draining string) string {
 	var file strings.Builder
 	file.WriteString("[[listener]]\naddr = \"127.0.0.1:0\"\nprotocol = \"xmpp\"\n" +
