--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -24,7 +24,7 @@
 	if err := configuration.readNode(getenv); err != nil {
 		return err
 	}
-	if configuration.admin != "" { // first: if it failed after clients connect, they would be cut off
+	if configuration.admin != "" { // first, because a later failure would cut off clients that have connected
 		if err := p.listenAdmin(configuration.admin); err != nil {
 			return err
 		}
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -147,7 +147,7 @@
 	return grant
 }
 
-// shutdown begins the planned stop, and reports whether a successor takes over the clients.
+// shutdown begins the planned shutdown, and reports whether a successor takes over the clients.
 func (h *hotRestart) shutdown() (successorReady bool) {
 	h.shuttingDown = true
 	if h.coordinator != nil {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -61,7 +61,7 @@
 func (p *peerNetwork) accept(from netip.AddrPort, message []byte) (number int, ok bool) {
 	number, known := p.numberByAddr[from]
 	switch {
-	case !known || number == p.self: // an unknown sender could send this node false data
+	case !known || number == p.self: // an unknown sender could make this node believe anything
 		p.counts.unknown++
 		return 0, false
 	case len(message) > maxPeerMessage:
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -63,12 +63,12 @@
 }
 
 // watchMode returns how the node obtains the server list. If the settings make the node subscribe, it sends long polls
-// to a service that serves all nodes. Otherwise an agent on the same machine pushes the list.
+// to a service for all nodes. Otherwise it polls an agent beside the node, to which lists are pushed.
 func watchMode(settings choice.Settings) discovery.Mode {
 	return discovery.Mode{Pushed: !settings.Subscribe, DrainGrace: settings.Rules.DrainGrace}
 }
 
-// platformSettings adapts the settings to real sockets. hasPeers tells whether the other nodes can be reached.
+// platformSettings adapts the settings to real sockets. hasPeers is whether the other nodes can be reached.
 func platformSettings(settings choice.Settings, hasPeers bool, processes int) choice.Settings {
 	// Servers return a line immediately however loaded they are, and no line contains the time of a message. Therefore
 	// the delay observations of the simulator are not available here.
@@ -156,7 +156,7 @@
 }
 
 // followList begins to watch the server list, and schedules when the front announces that it accepts clients. onRequest
-// tells that the core starts the watch itself when it needs the list; known tells that the node already knows servers.
+// means that the core starts the watch itself when it needs the list. known means that the node already knows servers.
 func (p *Program) followList(watch *discovery.Watch, onRequest, known bool) {
 	if !onRequest {
 		watch.Follow()
--- a/internal/node/pushed_test.go
+++ b/internal/node/pushed_test.go
@@ -13,9 +13,9 @@
 	"spurwinch/internal/config"
 )
 
-// TestPushedListReadBeforeReady starts a node whose server lists are pushed by an agent. The agent's list counts as
-// known from the start. Therefore the node must request it before it announces that it accepts clients, so that no
-// client is placed on a server that is already draining.
+// TestPushedListReadBeforeReady starts a node whose server lists are pushed to an agent beside it. The agent's list
+// counts as known from the start. Therefore the node must request it before it announces that it accepts clients, so
+// that no client is placed on a server that is already draining.
 func TestPushedListReadBeforeReady(t *testing.T) {
 	draining, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -16,7 +16,7 @@
 	serversKnown   bool          // the platform's front knows servers, or has waited long enough for them
 	firstListWait  time.Duration // maximum wait for an agent's first list
 	awaitsPolicy   bool          // the process doesn't know yet which fleet policy is in force
-	hasPredecessor bool          // another process was running at the start; it is the node's member of the fleet
+	hasPredecessor bool          // started beside a running process, which is the node's fleet member until it ends
 }
 
 // onServersKnown is called once the platform's front knows servers, or has waited long enough for them.
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -25,7 +25,7 @@
 	for _, core := range p.cores {
 		p.drain(core, toSuccessor)
 	}
-	if toSuccessor { // the successor serves the node, so this process may end once its clients have their last bytes
+	if toSuccessor { // the platform has the successor, so this process may end once its clients have their last bytes
 		p.shutdownTime = operatorShutdownTime
 		p.restart.transferAll()
 	}
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -15,7 +15,7 @@
 type transfer struct {
 	active       bool // connections are being sent to the successor
 	migrated     bool // the remaining clients were told to reconnect
-	logged       bool // the result of the transfer was logged
+	logged       bool // the result was logged, because all connections are gone or the drain has ended
 	queue        []transferable
 	started      time.Time
 	sent         int // number of connections sent
