--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -59,12 +59,11 @@
 func checkAdminAnswers(t *testing.T, adminAddr string, after int) {
 	t.Helper()
 	if status, body := transcript.AdminRequest(adminAddr, "/api/ready"); status != http.StatusOK {
-		t.Errorf("admin request after client %d: got status %d and body %s, want 200 and the body of its path",
-			after, status, body)
+		t.Errorf("GET /api/ready after client %d: got status %d and body %s, want status 200", after, status, body)
 	}
 	status, body := transcript.AdminRequest(adminAddr, "/api/telemetry")
 	if status != http.StatusOK || !strings.Contains(body, "gw.in_flight:") {
-		t.Errorf("admin request after client %d: got status %d and body %s, want 200 and the body of its path",
+		t.Errorf("GET /api/telemetry after client %d: got status %d and body %s, want 200 and gw.in_flight in the body",
 			after, status, body)
 	}
 }
--- a/internal/node/batch.go
+++ b/internal/node/batch.go
@@ -44,7 +44,8 @@
 	Release()
 }
 
-// transferable is a connection with the name of its cluster. A client without a request belongs to no cluster.
+// transferable is a connection that can be transferred, with the name of its cluster. A client without a request
+// belongs to no cluster.
 type transferable struct {
 	detachable
 	cluster string
--- a/internal/node/command/start.go
+++ b/internal/node/command/start.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	startTimeout       = 5 * time.Second // while a start lacks resources; a node must accept clients within 10 s
+	startTimeout       = 5 * time.Second // limit for retries of a start; a node must accept clients within 10 s
 	startRetryInterval = 50 * time.Millisecond
 )
 
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -9,7 +9,7 @@
 	"spurwinch/internal/edge"
 )
 
-// platformCluster is the key of the platform's core. It differs from the keys of all clusters because they have names.
+// platformCluster is the key of the platform's core. No other core has this key because each cluster's name is set.
 const platformCluster = ""
 
 // coreOptions returns the options that the cores of all fronts share.
--- a/internal/node/dialrace_test.go
+++ b/internal/node/dialrace_test.go
@@ -16,8 +16,8 @@
 // is established only after the session's deadline, or after the server has begun to drain. The test blocks the loop
 // from the dial until one of these has happened.
 func TestNothingSentAfterLateXMPPDial(t *testing.T) {
-	checkDial(t, "late", func(*edge.Core, string) { time.Sleep(2100 * time.Millisecond) })
-	checkDial(t, "drains", func(core *edge.Core, addr string) {
+	checkDial(t, "dial past the deadline", func(*edge.Core, string) { time.Sleep(2100 * time.Millisecond) })
+	checkDial(t, "dial of a draining server", func(core *edge.Core, addr string) {
 		draining := choice.Server{ID: "h", Size: 1, State: choice.Draining}
 		core.UpdateServers(choice.ListChange, []edge.ServerEntry{{Addr: addr, Server: draining}})
 	})
@@ -62,9 +62,10 @@
 	limitTime(t, client)
 	answer, err := io.ReadAll(client)
 	if !strings.Contains(string(answer), "</stream:error></stream:stream>") || err != nil {
-		t.Errorf("%s: client: got %q, %v, want a stream error and the end of the stream", name, answer, err)
+		t.Errorf("%s: answer to the client: got %q, %v, want a stream error and the end of the stream",
+			name, answer, err)
 	}
 	if text := <-received; text != "<nil>" {
-		t.Errorf("%s: server: got %q, want no data and no error", name, text)
+		t.Errorf("%s: data and error at the server: got %q, want only <nil>", name, text)
 	}
 }
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -36,5 +36,5 @@
 
 func (e *policyConflictError) Error() string {
 	return fmt.Sprintf("%s is %v, policy %d of the fleet has %v: "+
-		"use spurwinchctl policy propose to change settings of the policy", e.key, e.inFile, e.number, e.inPolicy)
+		"use spurwinchctl policy propose to change a setting of the policy", e.key, e.inFile, e.number, e.inPolicy)
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -78,7 +78,7 @@
 // now returns the current time on the agent's clock, which starts at f.start.
 func (f *fleet) now() time.Duration { return time.Since(f.start) }
 
-// open opens the address and the files, and starts the agent. It retries all steps after a failure.
+// open opens the address and the files, and starts the agent. After a failure it retries all steps.
 func (f *fleet) open() {
 	if f.closed {
 		return
@@ -119,7 +119,8 @@
 	f.loop.At(f.loop.Now().Add(fleetRetryInterval), f.open)
 }
 
-// openStore opens the node's store and reads its records. A corrupt file is not an error: the node starts without it.
+// openStore opens the node's store and reads its records. If the file is corrupt, it logs that and returns no error, so
+// that the node starts without the records.
 func (f *fleet) openStore() ([]consensus.Record, error) {
 	if f.config.Dir == "" {
 		return nil, nil
@@ -162,7 +163,8 @@
 	return names
 }
 
-// plannedClasses returns the classes in the form that plans use, without removed classes.
+// plannedClasses returns the classes in the form that plans use. It leaves out removed classes and all classes beyond
+// failover.MaxClasses.
 func (f *fleet) plannedClasses() (all []failover.Class) {
 	for _, class := range f.core.Classes() {
 		if class.Removed {
@@ -201,7 +203,7 @@
 	f.loop.At(now.Add(consensus.TickInterval), f.tick)
 }
 
-// updateClasses passes the module's classes to the agent after the settings have changed.
+// updateClasses passes the core's classes to the agent after the settings have changed.
 func (f *fleet) updateClasses() {
 	if f.agent != nil {
 		f.agent.UpdateClasses(f.classNames())
@@ -247,7 +249,7 @@
 		f.listener.Close()
 		f.listener = nil
 	}
-	if !f.saving { // otherwise onSaved releases them once the record is written
+	if !f.saving { // otherwise onSaved calls release once the record is written
 		f.release()
 	}
 }
--- a/internal/node/fleetpolicy.go
+++ b/internal/node/fleetpolicy.go
@@ -16,11 +16,11 @@
 // policyState is the state of the fleet's policy on this node.
 type policyState struct {
 	program  *Program
-	applied  bool // the policy with this number is in use
+	applied  bool // the policy that number stands for is in use
 	number   uint64
 	document *policy.Document // nil: the node uses its own files
 	onBase   bool             // the lease has expired; classes with a base policy are served under it
-	unusable uint64           // number of a policy that this node can't apply, read and logged only once; 0: none
+	unusable uint64           // number of a policy that can't be applied here, to read and log it only once; 0: none
 }
 
 // policyOptions returns options with which the agent checks policy documents against this node's capacity. It returns
--- a/internal/node/fleetpolicy_test.go
+++ b/internal/node/fleetpolicy_test.go
@@ -58,18 +58,18 @@
 		removed := overlaid.Classes[0]
 		if overlaid.ClassByName["b"] != 1 || overlaid.ClassByName["new"] != 2 || !removed.Removed ||
 			removed.Idempotency != choice.NotIdempotent {
-			t.Errorf("withPolicy with base %v: got classes %+v with indices %v, want a removed, b at 1 and new at 2",
+			t.Errorf("withPolicy with onBase %v: got classes %+v with indices %v, want a removed, b at 1, new at 2",
 				test.onBase, overlaid.Classes, overlaid.ClassByName)
 		}
 		if _, isKnown := overlaid.ClassByName["a"]; isKnown {
-			t.Errorf("withPolicy with base %v: got an index for class a, want none because the policy doesn't have it",
+			t.Errorf("withPolicy with onBase %v: got an index for class a, want none because the policy lacks it",
 				test.onBase)
 		}
 		class := overlaid.Classes[1]
 		attempts := overlaid.Limits.MaxAttempts
 		if class.Deadline != test.deadline || class.Priority != 2 || attempts != test.attempts ||
 			overlaid.OverQuotaPriority != 0.3 {
-			t.Errorf("withPolicy with base %v: got class %+v and %d attempts, want the values of the policy",
+			t.Errorf("withPolicy with onBase %v: got class b as %+v and %d attempts, want the policy's values",
 				test.onBase, class, attempts)
 		}
 	}
--- a/internal/node/golden_telemetry_test.go
+++ b/internal/node/golden_telemetry_test.go
@@ -50,8 +50,7 @@
 	compareGolden(t, "testdata/telemetry.txt", string(program.appendFigures(nil)))
 }
 
-// TestGoldenReasonStrings compares the strings of the outcomes and of the reasons for the module's answers with a
-// golden file.
+// TestGoldenReasonStrings compares the strings of package choice's outcomes and reasons with a golden file.
 func TestGoldenReasonStrings(t *testing.T) {
 	got := ""
 	for outcome := choice.Served; outcome <= choice.NeverSent; outcome++ {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// decodeSettings decodes the default settings with changes, which alternate between old and new strings.
+// decodeSettings decodes the default settings after replacing strings in them. changes alternates between a string and
+// its replacement.
 func decodeSettings(tb testing.TB, changes ...string) simwire.Settings {
 	tb.Helper()
 	decoded, err := simwire.DecodeSettings([]byte(strings.NewReplacer(changes...).Replace(settings)))
@@ -188,7 +189,7 @@
 	}
 }
 
-// writeTemp writes a file with a name into a new temporary directory.
+// writeTemp writes a file with the given name into a new temporary directory.
 func writeTemp(tb testing.TB, name, text string) (path string) {
 	tb.Helper()
 	path = filepath.Join(tb.TempDir(), name)
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -48,7 +48,7 @@
 	p.loop.Close()
 }
 
-// runOn runs a function on the process's loop, and waits for it.
+// runOn runs a function on the process's loop, and waits until it has returned or the process has ended.
 func (p *process) runOn(fn func()) {
 	ran := make(chan struct{})
 	p.loop.Post(func() {
@@ -57,7 +57,7 @@
 	})
 	select {
 	case <-ran:
-	case <-p.done: // the process has ended
+	case <-p.done:
 	}
 }
 
@@ -145,8 +145,8 @@
 	return n.predecessor.readInt(descriptorQuota) + n.successor.readInt(descriptorQuota)
 }
 
-// checkList checks that the successor knows the list that was pushed to its predecessor. The list in the successor's
-// file is older.
+// checkList checks that the successor accepts clients at its predecessor's address and knows the server list that was
+// pushed to the predecessor. The list in the configuration of both is older.
 func (n *sharedNode) checkList() {
 	n.t.Helper()
 	if n.successor.addr != n.predecessor.addr {
--- a/internal/node/many_test.go
+++ b/internal/node/many_test.go
@@ -17,14 +17,15 @@
 	"spurwinch/internal/loop"
 )
 
-// many is a number of servers and nodes that exceeds every limit that their lists could have.
-const many = 1100
+// listLength is the number of servers and of nodes in the lists of this test. It exceeds every fixed limit that such a
+// list could have.
+const listLength = 1100
 
 // manyServers returns a complete server list in discovery's format, indented and with ids of the maximum length.
 func manyServers(t *testing.T, version int, name string) string {
 	t.Helper()
 	var entries []map[string]any
-	for i := range many {
+	for i := range listLength {
 		entries = append(entries, map[string]any{
 			"id": fmt.Sprintf("%s-%060d", name, i), "addr": fmt.Sprintf("127.0.0.1:%d", 20000+i),
 			"zone": fmt.Sprintf("zone-%d", i%7), "kind": "m2", "cell": i % 11, "state": "SERVING", "weight": 1.0,
@@ -54,11 +55,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const each = 1 << 10 // bytes that the system accounts for a short datagram, with some reserve
-	if want := min(many*each, 2*limit); buffer < want {
+	const bytesPerDatagram = 1 << 10 // memory that the system accounts for a short datagram, with some reserve
+	if want := min(listLength*bytesPerDatagram, 2*limit); buffer < want {
 		t.Errorf("receive buffer for datagrams: got %d bytes, want at least %d", buffer, want)
 	}
-	return min(many-1, buffer/each)
+	return min(listLength-1, buffer/bytesPerDatagram)
 }
 
 // startDiscovery starts a discovery service that answers with a list of version 8.
@@ -75,15 +76,15 @@
 	return discovery.Listener.Addr().String()
 }
 
-// listenPeersOf opens the sockets of all other nodes. The first address that it returns is the node's own.
-func listenPeersOf(t *testing.T) (addrs []string, peers []net.PacketConn) {
+// openPeerSockets opens the sockets of all other nodes. The first address that it returns is the node's own.
+func openPeerSockets(t *testing.T) (addrs []string, peers []net.PacketConn) {
 	t.Helper()
 	own, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addrs = []string{own.LocalAddr().String()}
-	for range many - 1 {
+	for range listLength - 1 {
 		peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -98,10 +99,10 @@
 	return addrs, peers
 }
 
-// newNodeOfMany sets up a node with a server list, a discovery address and peers. It doesn't run the loop.
-func newNodeOfMany(t *testing.T, discovery string, peers []string) (*loop.Loop, *platform) {
+// newNodeWithPeers sets up a node with a server list, a discovery address and peers. It doesn't run the loop.
+func newNodeWithPeers(t *testing.T, discovery string, peers []string) (*loop.Loop, *platform) {
 	t.Helper()
-	changed := strings.NewReplacer("REPORTS", "on_probe", `"groupSize":1`, fmt.Sprintf(`"groupSize":%d`, many),
+	changed := strings.NewReplacer("REPORTS", "on_probe", `"groupSize":1`, fmt.Sprintf(`"groupSize":%d`, listLength),
 		`"mayTell":false`, `"mayTell":true`).Replace(settings)
 	config, err := json.Marshal(map[string]any{
 		"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1",
@@ -125,9 +126,9 @@
 // other nodes that all send to it at once. The node must know every server and receive from every node.
 func TestManyServersAndNodes(t *testing.T) {
 	discovery := startDiscovery(t, manyServers(t, 8, "fresh"))
-	addrs, peers := listenPeersOf(t)
-	eventLoop, platform := newNodeOfMany(t, discovery, addrs)
-	if servers := len(platform.core.Servers()); servers != many {
+	addrs, peers := openPeerSockets(t)
+	eventLoop, platform := newNodeWithPeers(t, discovery, addrs)
+	if servers := len(platform.core.Servers()); servers != listLength {
 		t.Errorf("servers known at the start: got %d, want 1100", servers)
 	}
 	sendFrom := func(senders []net.PacketConn) {
@@ -148,8 +149,8 @@
 		})
 	}
 	awaitReceived(atOnce)
-	for next := atOnce; next < many-1; { // only if the system gives a smaller buffer than requested
-		more := min(atOnce, many-1-next)
+	for next := atOnce; next < listLength-1; { // only if the system gives a smaller buffer than requested
+		more := min(atOnce, listLength-1-next)
 		sendFrom(peers[next : next+more])
 		next += more
 		awaitReceived(next)
@@ -157,16 +158,16 @@
 	transcript.WaitFor(t, "the node knows the complete list from discovery", func() (all bool) {
 		runOn(eventLoop, func() {
 			servers := platform.core.Servers()
-			all = len(servers) == many && strings.HasPrefix(string(servers[0].ID), "fresh")
+			all = len(servers) == listLength && strings.HasPrefix(string(servers[0].ID), "fresh")
 		})
 		return all
 	})
 	runOn(eventLoop, func() {
-		if len(platform.peers.addrs) != many || platform.peers.counts.unknown != 0 {
+		if len(platform.peers.addrs) != listLength || platform.peers.counts.unknown != 0 {
 			t.Errorf("peers: got %d nodes and %d messages from unknown senders, want 1100 and 0",
 				len(platform.peers.addrs), platform.peers.counts.unknown)
 		}
-		if known := platform.core.Gauges().ServersKnown; known != many {
+		if known := platform.core.Gauges().ServersKnown; known != listLength {
 			t.Errorf("ServersKnown gauge: got %d, want 1100", known)
 		}
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -52,8 +52,8 @@
 }
 
 // New sets up a node on a loop that must not run yet. It sets up the platform's front if GW_CONFIG is set or there is
-// no operator's file, and also the fronts and clusters of the operator's file, if there is one. If New fails, it
-// returns everything that a running process granted.
+// no operator's file, and also the fronts and clusters of the operator's file, if there is one. If New fails, it gives
+// everything that a running process granted back to that process.
 //
 // newVoter creates a voter of the fleet's log. If it is nil and the node is a voter, the error is ErrVoter.
 func New(
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// Close closes the parts that stay open after the loop has ended. It must be called after the end of the loop.
+// Close closes the parts that the end of the loop leaves open. It must be called after the loop has ended or after the
+// start has failed.
 func (p *Program) Close() {
 	for _, closePart := range p.onClose {
 		closePart()
@@ -90,7 +91,7 @@
 }
 
 // Run runs the loop until the planned shutdown is complete. A signal on reload reloads the files; the first signal on
-// stop begins the planned shutdown. If both signals are pending, the reload comes first, because the files determine
+// stop begins the planned shutdown. If both signals are pending, Run reloads the files first, because they determine
 // how long the shutdown may take.
 func (p *Program) Run(reload, stop <-chan os.Signal) error {
 	go p.forwardSignals(reload, stop)
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -160,11 +160,11 @@
 	}
 }
 
-// serverKey is a static server's key in firstSeen.
+// serverKey returns a static server's key in firstSeen.
 func serverKey(cluster, id string) string { return cluster + " " + id }
 
-// startedAt returns a function that returns when a server of the cluster was added. It records now for a server that it
-// has not seen before.
+// startedAt returns a function that looks up when a server of the cluster was added. For a server without an entry in
+// firstSeen, that function adds one with now.
 func (o *operatorFronts) startedAt(cluster string, now time.Time) func(id string) time.Time {
 	return func(id string) time.Time {
 		key := serverKey(cluster, id)
--- a/internal/node/peerlimit_test.go
+++ b/internal/node/peerlimit_test.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// checkStreamLimit reaches the limit of four streams with a silent stream. A fifth stream must be rejected until the
-// silent stream and the first stream have ended. A new stream replaces the first one in open.
+// checkStreamLimit reaches the limit of four streams with a stream that sends nothing. The node must reject a fifth
+// stream, and accept a stream again once the silent stream and the first stream in open have ended. The accepted stream
+// replaces the first one in open.
 func checkStreamLimit(t *testing.T, node *xmppNode, open []*xmppserver.Client) {
 	t.Helper()
 	silent := dial(t, node.addr)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,8 +11,8 @@
 
 const maxPeerMessage = 256 // maximum bytes of a datagram in the peer protocol
 
-// peerNetwork sends and receives the messages between the nodes of a tier. Its counts include messages that were
-// dropped before they reached the module.
+// peerNetwork sends messages to the other nodes and receives theirs. Its counts include messages that were dropped
+// before they reached the core.
 type peerNetwork struct {
 	socket       *loop.Datagrams // nil: there are no other nodes
 	addrs        []netip.AddrPort
@@ -82,7 +82,7 @@
 	}
 }
 
-// setPeers applies the addresses of the other nodes.
+// setPeers applies the addresses of all nodes, including this one.
 func (p *peerNetwork) setPeers(node config.Node) {
 	p.addrs = node.Peers
 	p.self = node.Settings.Node
@@ -101,7 +101,8 @@
 	}
 }
 
-// send sends a message to the node with a number. It ignores an unknown node and a message that is too long.
+// send sends a message to the node with the given number. It sends nothing if the node is unknown or the message is too
+// long.
 func (p *peerNetwork) send(to int, message []byte) {
 	if p.socket == nil || to < 0 || to >= len(p.addrs) || len(message) > maxPeerMessage {
 		return
@@ -113,7 +114,7 @@
 }
 
 // logCounts logs the counts; it is called once, at the planned shutdown. dropped is the number of messages that the
-// module rejected.
+// core dropped because they were invalid, late, repeated or not requested.
 func (p *peerNetwork) logCounts(dropped int) {
 	if p.socket != nil {
 		zap.L().Info("peer_messages", zap.Int("sent", p.counts.sent), zap.Int("lost", p.counts.lost),
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -64,7 +64,8 @@
 	}
 	if len(got) != 2 || got[0] != "one" || got[1] != "three" || counts.unknown != 1 || counts.tooLong != 1 ||
 		counts.sent != 1 {
-		t.Errorf("accepted messages: got %q with counts %+v, want one and three", got, *counts)
+		t.Errorf("accepted messages: got %q with counts %+v, want one, three, and 1 unknown, 1 tooLong, 1 sent",
+			got, *counts)
 	}
 }
 
--- a/internal/node/policyoverlay.go
+++ b/internal/node/policyoverlay.go
@@ -82,7 +82,7 @@
 		class := settings.Classes[index]
 		i := slices.IndexFunc(document.Classes, func(c policy.Class) bool { return c.Name == name })
 		if i < 0 {
-			return conflict("class "+name, "there", "none")
+			return conflict("class "+name, "defined", "none")
 		}
 		switch policyClass := document.Classes[i]; {
 		case class.Deadline != policyClass.Deadline:
--- a/internal/node/pushed_test.go
+++ b/internal/node/pushed_test.go
@@ -52,7 +52,7 @@
 		send(conn, "%s\r\n", exchange.line)
 		got, err := bufio.NewReader(conn).ReadString('\n')
 		if strings.TrimSpace(got) != exchange.answer || !answered.Load() {
-			t.Errorf("answer to %s: got %q (%v), agent requested: %v, want PONG or BUSY after the request",
+			t.Errorf("answer to %s: got %q (%v), agent asked: %v, want PONG to PING, BUSY to OPEN, and the agent asked",
 				exchange.line, got, err, answered.Load())
 		}
 	}
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -14,7 +14,7 @@
 	shutdownReserve    = 16 // during shutdown, besides clients and servers: the loop, listeners, the log
 	transferReserve    = 32 // while connections are received: health checks, new clients
 	grantDivisor       = 4  // one in grantDivisor free descriptors is not granted to a successor
-	idleReserveDivisor = 8  // idle connections may not use one in idleReserveDivisor descriptors
+	idleReserveDivisor = 8  // one in idleReserveDivisor descriptors is not available to idle connections
 
 	memoryLimitPercent = 60 // garbage collector's limit as a share of the node's memory
 	bytesPerMB         = 1 << 20
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -6,8 +6,8 @@
 	// maxReadyWait is the time after which a process announces that it accepts clients even if it knows no servers. A
 	// node must be ready within 6 s, and a rejected request can be retried.
 	maxReadyWait = 4 * time.Second
-	// maxFirstListWait is the longest wait for the first list from an agent. A process is treated as knowing the
-	// agent's list from its start.
+	// maxFirstListWait is the longest wait for the first list from an agent. The process waits for it before it accepts
+	// clients because the agent's list counts as known to the process from its start.
 	maxFirstListWait = 2 * time.Second
 )
 
@@ -16,7 +16,7 @@
 	serversKnown   bool          // the platform's front knows servers, or has waited long enough for them
 	firstListWait  time.Duration // maximum wait for an agent's first list
 	awaitsPolicy   bool          // the process doesn't know yet which fleet policy is in force
-	hasPredecessor bool          // started beside a running process, which is the node's fleet member until it ends
+	hasPredecessor bool          // started beside a running process, the node's fleet member until it shuts down
 }
 
 // onServersKnown is called once the platform's front knows servers, or has waited long enough for them.
@@ -25,8 +25,8 @@
 	p.announceReady()
 }
 
-// announceReady makes the platform's front announce that it accepts clients, once the process has all information that
-// it waits for.
+// announceReady makes the platform's front announce that this process accepts clients, unless the process still waits
+// for the server list or for the fleet's policy.
 func (p *Program) announceReady() {
 	if p.readiness.serversKnown && !p.readiness.awaitsPolicy && p.platform != nil {
 		p.platform.front.SetReady()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -15,7 +15,7 @@
 	reloadRetryTime     = 30 * time.Second       // after this, the old configuration stays until the next signal
 )
 
-// reloader rereads and checks the files of a part. It returns a function that applies them.
+// reloader rereads and checks the files of one part of the program. It returns a function that applies them.
 type reloader = func() (apply func(), err error)
 
 // Reload rereads the files and applies all of them together. If one of them is invalid, it applies none.
--- a/internal/node/restore.go
+++ b/internal/node/restore.go
@@ -72,7 +72,7 @@
 	return front.PrepareRestore(core, connection.Open, readState, item.FDs)
 }
 
-// frontNamed returns the front with a name, or nil if this process has no such front.
+// frontNamed returns the front with the given name, or nil if this process has no such front.
 func (p *Program) frontNamed(name frontName) connectionRestorer {
 	switch {
 	case name == frontPlatform && p.platform != nil:
--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -14,7 +14,7 @@
 
 const ping = "<iq type='get' id='p1'><ping xmlns='urn:xmpp:ping'/></iq>"
 
-// xmppNode is a node in front of XMPP servers of the laboratory.
+// xmppNode is a node with test servers of package xmppserver.
 type xmppNode struct {
 	*operatorNode
 	tb          testing.TB
@@ -124,7 +124,7 @@
 	}
 }
 
-// countOf returns the number of session ids that a server assigned.
+// countOf returns how many of the session ids a server assigned.
 func countOf(ids []string, server string) (count int) {
 	for _, id := range ids {
 		if strings.HasPrefix(id, server+"-") {
@@ -210,7 +210,7 @@
 // the list, the next attempt must go to it. An address that is not in the list must never be tried.
 func TestSeeOtherHostFollowedToListedServersOnly(t *testing.T) {
 	const servers = 6
-	for target := range servers { // each server in turn, because one of them would be the module's next choice anyway
+	for target := range servers { // each server in turn, because one would be chosen next even without a redirect
 		node := newXMPPNode(t, servers, "")
 		for i, server := range node.servers {
 			if i != target {
@@ -221,7 +221,7 @@
 		closeAll(clients)
 		otherAttempts := node.streams() - node.servers[target].Count().Streams
 		if node.servers[target].Count().Bound != 1 || otherAttempts > 1 {
-			t.Errorf("attempts before the redirect target: got %d, want at most 1 and one bound session",
+			t.Errorf("redirect to a listed server: got %d attempts elsewhere, want at most 1, and 1 at the target",
 				otherAttempts)
 		}
 	}
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -83,7 +83,7 @@
 }
 
 // beginRestart starts the next process and makes the current one shut down after beforeShutdown has returned.
-// beforeShutdown blocks the loop of the current process.
+// beforeShutdown runs on the current process's loop and blocks it.
 func (n *restartedNode) beginRestart(beforeShutdown func()) {
 	n.tb.Helper()
 	n.successor = n.start()
@@ -115,7 +115,7 @@
 	select {
 	case <-n.current.done:
 	case <-time.After(testTimeout):
-		n.tb.Fatal("Shutdown: got a running process after testTimeout, want its end")
+		n.tb.Fatal("Shutdown: the process still runs after testTimeout, want it to end")
 	}
 	n.current = n.successor
 }
@@ -127,7 +127,7 @@
 	n.endRestart()
 }
 
-// edit rewrites a file with a function.
+// edit replaces the text of a file with the result of change.
 func (n *restartedNode) edit(path string, change func(text string) string) {
 	n.tb.Helper()
 	raw, err := os.ReadFile(path)
@@ -199,7 +199,7 @@
 			number, sent, migrated, connections)
 	}
 	if took := old.restart.transfer.duration; migrated > 0 && took < minTransferTime {
-		t.Errorf("shutdown of process %d: got %d connections migrated, the last one sent after %v, want later",
+		t.Errorf("shutdown of process %d: got %d migrated, the last one sent after %v, want at least minTransferTime",
 			number, migrated, took)
 	}
 	return sent
@@ -258,8 +258,8 @@
 	}
 }
 
-// TestTransferWithoutFreeDescriptors checks that connections that can't be transferred, because the successor uses
-// nearly all descriptors, are migrated and none is cut off.
+// TestTransferWithoutFreeDescriptors replaces the process of a node with so few descriptors that the successor can't
+// receive all connections. The others must be migrated, and none may be cut off.
 func TestTransferWithoutFreeDescriptors(t *testing.T) {
 	node := newRestartedNode(t, transcript.EchoServer(t), 120)
 	clients := &transcript.Clients{Addr: node.env["GW_LISTEN"]}
--- a/internal/node/websocket_test.go
+++ b/internal/node/websocket_test.go
@@ -39,20 +39,20 @@
 
 // exchange sends a message, unless it is empty, and reads messages until one has the prefix. Each message that it reads
 // must begin with an element that declares its namespace.
-func (b *webSocketClient) exchange(message, prefix string) string {
-	b.tb.Helper()
+func (c *webSocketClient) exchange(message, prefix string) string {
+	c.tb.Helper()
 	if message != "" {
-		if err := wsutil.WriteClientText(b.conn, []byte(message)); err != nil {
-			b.tb.Fatal(err)
+		if err := wsutil.WriteClientText(c.conn, []byte(message)); err != nil {
+			c.tb.Fatal(err)
 		}
 	}
 	for {
-		got, err := wsutil.ReadServerText(b.conn)
+		got, err := wsutil.ReadServerText(c.conn)
 		if err != nil {
-			b.tb.Fatalf("read after sending %q: %v", message, err)
+			c.tb.Fatalf("read after sending %q: %v", message, err)
 		}
 		if head, _, _ := strings.Cut(string(got), ">"); !strings.Contains(head, "xmlns") {
-			b.tb.Errorf("message from the node: got %s, want a namespace", got)
+			c.tb.Errorf("message from the node: got %s, want xmlns in its first tag", got)
 		}
 		if strings.HasPrefix(string(got), prefix) {
 			return string(got)
