--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -96,7 +96,7 @@
 		begin := time.Now()
 		var buf []byte
 		for range 1000 {
-			buf = program.appendFigures(buf[:0])
+			buf = program.appendTelemetry(buf[:0])
 		}
 		b.ReportMetric(float64(time.Since(begin).Nanoseconds())/1000, "ns/rendering")
 	})
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -19,7 +19,7 @@
 		Settings: settings,
 		Seed:     seed,
 		Observer: observer,
-		Figures:  &p.telemetry.figures,
+		Figures:  &p.telemetry.counters,
 		Monitor:  &p.telemetry.monitor,
 		Trace:    &p.telemetry.trace,
 	}
--- a/internal/node/dialrace_test.go
+++ b/internal/node/dialrace_test.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			return
 		}
-		defer func() { _ = conn.Close() }() // all data was read
+		defer func() { _ = conn.Close() }() // the error is ignored because all data has been read
 		limitTime(t, conn)
 		text, err := io.ReadAll(conn)
 		received <- fmt.Sprint(string(text), err)
--- a/internal/node/exchange_test.go
+++ b/internal/node/exchange_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("testdata", dir, "*.txt"))
 	if err != nil || len(files) == 0 {
-		t.Fatal("list exchanges: got none, want at least one", err)
+		t.Fatal("list exchanges: got none or an error, want at least one file: ", err)
 	}
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
--- a/internal/node/failedstart_test.go
+++ b/internal/node/failedstart_test.go
@@ -59,6 +59,6 @@
 	})
 	_, err = hotrestart.RequestGrant(hotrestart.Path(dir, listen), time.Now().Add(grantTimeout))
 	if err != nil {
-		t.Error("RequestGrant after failed starts: ", err)
+		t.Error("RequestGrant after failed starts: want a grant, got error ", err)
 	}
 }
--- a/internal/node/golden_telemetry_test.go
+++ b/internal/node/golden_telemetry_test.go
@@ -43,11 +43,11 @@
 	}
 	compareGolden(t, "testdata/reasons.txt", string(program.telemetry.appendReasons(nil)))
 
-	*program.telemetry.figures.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
-	program.telemetry.figures.Attempts = 14
-	program.telemetry.figures.ReloadsOK = 15
-	program.telemetry.figures.ReloadsFailed = 16
-	compareGolden(t, "testdata/telemetry.txt", string(program.appendFigures(nil)))
+	*program.telemetry.counters.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
+	program.telemetry.counters.Attempts = 14
+	program.telemetry.counters.ReloadsOK = 15
+	program.telemetry.counters.ReloadsFailed = 16
+	compareGolden(t, "testdata/telemetry.txt", string(program.appendTelemetry(nil)))
 }
 
 // TestGoldenReasonStrings compares the strings of package choice's outcomes and reasons with a golden file.
--- a/internal/node/limit_test.go
+++ b/internal/node/limit_test.go
@@ -62,7 +62,7 @@
 	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
 		answer, conn := client.open(t)
 		if conn != nil {
-			_ = conn.Close() // as above
+			_ = conn.Close() // the node sees the end of the connection even if Close fails
 		}
 		if answer == served {
 			return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -72,7 +72,7 @@
 
 // listenAdmin starts the admin server.
 func (p *Program) listenAdmin(addr string) error {
-	answers := admin.Answers{Ready: p.ready, Telemetry: p.appendFigures, Reasons: p.telemetry.appendReasons}
+	answers := admin.Answers{Ready: p.ready, Telemetry: p.appendTelemetry, Reasons: p.telemetry.appendReasons}
 	_, bound, err := admin.Listen(p.loop, addr, answers)
 	if err != nil {
 		return err
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -29,9 +29,9 @@
 	upstream  *upstream.Cluster
 	processes int // number of processes of this node
 
-	config   config.Node                             // in force
+	config   config.Node                             // the file's configuration in use
 	overlay  func(simwire.Settings) simwire.Settings // applies the fleet's policy; nil: there is none
-	settings simwire.Settings                        // in use: the file's settings with the overlay, if any
+	settings simwire.Settings                        // settings in use: those of config with the overlay, if any
 }
 
 // reload applies a configuration that has been checked.
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -37,7 +37,7 @@
 		for _, applyPart := range apply {
 			applyPart()
 		}
-		p.telemetry.figures.ReloadsOK++
+		p.telemetry.counters.ReloadsOK++
 	case loop.IsTransient(err) && next.Before(deadline):
 		zap.L().Warn("reload_retried", zap.Error(err))
 		p.cancelReload = p.loop.At(next, func() {
@@ -45,7 +45,7 @@
 			p.reloadUntil(deadline)
 		})
 	default:
-		p.telemetry.figures.ReloadsFailed++
+		p.telemetry.counters.ReloadsFailed++
 		zap.L().Error("reload_rejected", zap.Error(err))
 	}
 }
--- a/internal/node/telemetry.go
+++ b/internal/node/telemetry.go
@@ -11,9 +11,9 @@
 
 // telemetry counts requests, reloads and invariant checks of a node. All cores of the process share one telemetry.
 type telemetry struct {
-	figures stats.Counters
-	monitor invariant.Monitor
-	trace   trace.Recorder
+	counters stats.Counters
+	monitor  invariant.Monitor
+	trace    trace.Recorder
 }
 
 // logViolation logs a violated invariant. The monitor calls it as its OnViolation.
@@ -41,11 +41,11 @@
 	zap.L().Info("request_totals", fields...)
 }
 
-// appendFigures appends the counters of the process and the gauges of its cores.
-func (p *Program) appendFigures(buf []byte) []byte {
+// appendTelemetry appends the counters of the process and the gauges of its cores.
+func (p *Program) appendTelemetry(buf []byte) []byte {
 	var gauges edge.Gauges
 	for _, core := range p.cores {
 		gauges.Add(core.Gauges())
 	}
-	return p.telemetry.figures.Append(buf, gauges)
+	return p.telemetry.counters.Append(buf, gauges)
 }
--- a/internal/node/tls_test.go
+++ b/internal/node/tls_test.go
@@ -77,7 +77,7 @@
 	_ = secure.NetConn().Close() // the connection counts as lost even if Close fails
 	client, resumed, err := n.connectTLS(addr, user, id, method, config)
 	if err != nil || !resumed {
-		t.Fatal(method, addr, "resumed: ", resumed, err)
+		t.Fatal(method, addr, "resume a session: want true without an error, got ", resumed, err)
 	}
 	return client
 }
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -103,7 +103,7 @@
 	next := n.successor
 	next.runOn(func() {
 		next.Reload()
-		if next.telemetry.figures.ReloadsFailed > 0 {
+		if next.telemetry.counters.ReloadsFailed > 0 {
 			n.tb.Error("Reload: got rejected files, want them applied")
 		}
 	})
