--- a/internal/node/admissionlog.go
+++ b/internal/node/admissionlog.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	maxLoggedAdmissions  = 400 // requests in one line of the log
+	maxLoggedAdmissions  = 400 // maximum number of requests in one log line
 	admissionLogInterval = 100 * time.Millisecond
 )
 
-// admissionLog collects which request was admitted under which policy, for the debug log of laboratory runs.
+// admissionLog collects which request was admitted under which policy. Laboratory runs read it from the debug log.
 type admissionLog struct {
 	entries  []string
-	omitted  int // admissions beyond the most of one line
+	omitted  int // number of admissions beyond maxLoggedAdmissions
 	loggedAt time.Time
 }
 
-// admissionRecorder returns the function that adds to the admission log. Nil: the log's level omits it.
-func (f *fleet) admissionRecorder() func(id choice.RequestID, number uint64, how string) {
+// admissionRecorder returns a function that adds an entry to the admission log, or nil if the log level excludes it.
+func (f *fleet) admissionRecorder() func(id choice.RequestID, number uint64, admission string) {
 	if !zap.L().Core().Enabled(zap.DebugLevel) {
 		return nil
 	}
-	return func(id choice.RequestID, number uint64, how string) {
+	return func(id choice.RequestID, number uint64, admission string) {
 		admissions := &f.admissions
 		if len(admissions.entries) >= maxLoggedAdmissions {
 			admissions.omitted++
 			return
 		}
-		entry := fmt.Sprintf("%s=%d=%s=%d", id, number, how, f.now().Microseconds())
+		entry := fmt.Sprintf("%s=%d=%s=%d", id, number, admission, f.now().Microseconds())
 		admissions.entries = append(admissions.entries, entry)
 	}
 }
 
-// logAdmissions logs what was collected, a line for each interval at most.
+// logAdmissions logs the collected admissions, with at most one line per admissionLogInterval.
 func (f *fleet) logAdmissions(now time.Time) {
 	admissions := &f.admissions
 	if len(admissions.entries) == 0 || now.Sub(admissions.loggedAt) < admissionLogInterval {
--- a/internal/node/golden_telemetry_test.go
+++ b/internal/node/golden_telemetry_test.go
@@ -12,8 +12,8 @@
 	"spurwinch/internal/trace"
 )
 
-// TestGoldenTelemetry compares the bodies of /api/reasons and /api/telemetry: all that is counted in a process, one a
-// line.
+// TestGoldenTelemetry compares the bodies of /api/reasons and /api/telemetry with golden files. They contain all
+// counters of a process, one on each line.
 func TestGoldenTelemetry(t *testing.T) {
 	var program Program
 	for range 2 {
@@ -43,14 +43,14 @@
 	}
 	compareGolden(t, "testdata/reasons.txt", string(program.telemetry.appendReasons(nil)))
 
-	*program.telemetry.figures.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
-	program.telemetry.figures.Attempts = 14
-	program.telemetry.figures.ReloadsOK = 15
-	program.telemetry.figures.ReloadsFailed = 16
-	compareGolden(t, "testdata/telemetry.txt", string(program.appendFigures(nil)))
+	*program.telemetry.counters.Class("class-1") = edge.Counts{Served: 11, Rejected: 12, Failed: 13}
+	program.telemetry.counters.Attempts = 14
+	program.telemetry.counters.ReloadsOK = 15
+	program.telemetry.counters.ReloadsFailed = 16
+	compareGolden(t, "testdata/telemetry.txt", string(program.appendTelemetry(nil)))
 }
 
-// TestGoldenReasonStrings compares the strings of outcomes and of the reasons of the module's answers.
+// TestGoldenReasonStrings compares the strings of package choice's outcomes and reasons with a golden file.
 func TestGoldenReasonStrings(t *testing.T) {
 	got := ""
 	for outcome := choice.Served; outcome <= choice.NeverSent; outcome++ {
