--- a/internal/xmpp/accept.go
+++ b/internal/xmpp/accept.go
@@ -10,25 +10,25 @@
 	"go.uber.org/zap"
 )
 
-// Security is how the clients of a listener use TLS.
+// Security selects how the clients of a listener use TLS.
 type Security int
 
 const (
-	// Plaintext is no TLS: it ends before this node, or all run on one machine.
+	// Plaintext means no TLS, because TLS ends in front of this node or everything runs on one machine.
 	Plaintext Security = iota
 	// StartTLS requires the client to start TLS within its stream (RFC 6120, section 5).
 	StartTLS
-	// DirectTLS has TLS from the connection's first byte on (XEP-0368).
+	// DirectTLS uses TLS from the first byte of the connection (XEP-0368).
 	DirectTLS
 )
 
-// ALPN names (RFC 7301) of direct TLS.
+// ALPN protocol names (RFC 7301) that the front offers with direct TLS.
 const (
-	xmppProtocol = "xmpp-client"
-	httpProtocol = "http/1.1"
+	alpnXMPP = "xmpp-client"
+	alpnHTTP = "http/1.1"
 )
 
-// clientConn is a client's connection: one of the loop's, or TLS or WebSocket over one.
+// clientConn is a client's connection: a connection of the event loop, or TLS or WebSocket on top of one.
 type clientConn interface {
 	Write(data []byte)
 	End()
@@ -39,24 +39,25 @@
 	LeaveIdleQueue()
 }
 
-// UseKeys sets the TLS certificates, which may be replaced while the front runs.
+// UseKeys sets the TLS certificates. They may be replaced while the front runs.
 func (f *Front) UseKeys(keys *tls.Keys) { f.keys = keys }
 
 // Accept handles a new connection without TLS.
 func (f *Front) Accept(conn *loop.Conn) loop.Handler { return f.accept(conn, Plaintext, false) }
 
-// AcceptWith returns Accept for a listener whose clients use TLS.
+// AcceptWith returns an accept function for a listener whose clients use TLS as given.
 func (f *Front) AcceptWith(security Security) func(*loop.Conn) loop.Handler {
 	return func(conn *loop.Conn) loop.Handler { return f.accept(conn, security, false) }
 }
 
-// AcceptWebSocket returns Accept for a listener whose clients use WebSocket (RFC 7395), without TLS or with direct TLS.
+// AcceptWebSocket returns an accept function for a listener whose clients use WebSocket (RFC 7395), without TLS or with
+// direct TLS.
 func (f *Front) AcceptWebSocket(security Security) func(*loop.Conn) loop.Handler {
 	return func(conn *loop.Conn) loop.Handler { return f.accept(conn, security, true) }
 }
 
-// accept returns the handler of a new connection; nil: it is closed. Some connections beyond the limit are still
-// accepted, to reject them with a stream error.
+// accept returns the handler of a new connection, or nil if the connection must be closed. It still accepts up to
+// maxOverLimit connections beyond the limit, so that it can reject them with a stream error.
 func (f *Front) accept(conn *loop.Conn, security Security, webSocket bool) loop.Handler {
 	if f.loop.Open() > f.limits.MaxConnections+maxOverLimit {
 		return nil
@@ -72,7 +73,9 @@
 		awaitsStartTLS: security == StartTLS,
 	}
 	session.awaitHeader(now.Add(f.limits.HeaderTimeout))
-	if verdict != peerlimit.Admitted { // without TLS also where it is due: a handshake would cost what the limit saves
+	if verdict != peerlimit.Admitted {
+		// The rejection is sent without TLS even on a TLS listener, because a handshake would cost the work that the
+		// limit saves.
 		f.loop.At(now, func() { session.reject(verdict) })
 		return session
 	}
@@ -84,28 +87,28 @@
 		return session.acceptWebSocket(security == DirectTLS)
 	}
 	if security == DirectTLS {
-		secured := session.secure(now, session, xmppProtocol)
-		session.client = secured
-		return secured
+		tlsConn := session.wrapInTLS(now, session, alpnXMPP)
+		session.client = tlsConn
+		return tlsConn
 	}
 	return session
 }
 
-// acceptWebSocket puts WebSocket, and TLS below it if it is direct, between the session and its socket.
+// acceptWebSocket puts WebSocket between the session and its socket, and with directTLS also TLS below WebSocket.
 func (s *clientSession) acceptWebSocket(directTLS bool) loop.Handler {
 	s.layered = true
 	messages := s.newMessageConn()
 	s.client = messages
 	if directTLS {
-		secured := s.secure(s.front.loop.Now(), messages.webSocket, httpProtocol)
-		messages.webSocket.SetTransport(secured)
-		return secured
+		tlsConn := s.wrapInTLS(s.front.loop.Now(), messages.webSocket, alpnHTTP)
+		messages.webSocket.SetTransport(tlsConn)
+		return tlsConn
 	}
 	messages.webSocket.SetTransport(s.socket)
 	return messages.webSocket
 }
 
-// reject tells a client that it is not admitted, and why.
+// reject ends the session of a client that is not admitted, with a stream error that names the reason.
 func (s *clientSession) reject(verdict peerlimit.Verdict) {
 	zap.L().Warn("client_rejected",
 		zap.Stringer("peer", s.socket.Peer),
@@ -114,9 +117,9 @@
 	s.fail(resourceConstraint, verdict.String())
 }
 
-// secure returns the server's side of TLS on the socket, which is the socket's handler from now on. Its own handler
-// gets the plain text. The protocol is the one offered by ALPN.
-func (s *clientSession) secure(now time.Time, handler loop.Handler, protocol string) *tls.Conn {
+// wrapInTLS returns the server side of TLS on the socket. The caller must make it the socket's handler; the given
+// handler receives the decrypted data. The protocol is the one that the server side offers by ALPN.
+func (s *clientSession) wrapInTLS(now time.Time, handler loop.Handler, protocol string) *tls.Conn {
 	s.awaitsStartTLS = false
 	s.startTLSReceived = false
 	s.layered = true
--- a/internal/xmpp/clientstream.go
+++ b/internal/xmpp/clientstream.go
@@ -11,10 +11,11 @@
 	"go.uber.org/zap"
 )
 
-// noTenant is the tenant of a request that counts against no quota.
+// noTenant is the tenant of a request that counts against no tenant's quota.
 const noTenant = -1
 
-// inspect follows the client's stream and returns the condition with which it must end, if any.
+// inspect updates the session's state with a token of the client's stream. If the stream must end, it returns the
+// condition of the stream error.
 func (s *clientSession) inspect(token xmlToken) condition {
 	switch {
 	case token.starts(rootDepth):
@@ -29,14 +30,14 @@
 	return noCondition
 }
 
-// requestsBinding reports whether a token is the request in the present stanza to bind a resource (RFC 6120, section
-// 7).
+// requestsBinding reports whether a token makes the current stanza a request to bind a resource (RFC 6120, section 7).
 func (s *clientSession) requestsBinding(token xmlToken) bool {
 	return token.starts(childDepth) && token.isElement("bind", bindNS) &&
 		s.stanza.name == "iq" && s.stanza.attribute("type") == "set"
 }
 
-// inspectStanza takes the start tag of a stanza. STARTTLS is answered here; before it no other stanza is allowed.
+// inspectStanza handles the start tag of a stanza. The front itself answers STARTTLS. While STARTTLS is required, the
+// client may send no other stanza before it.
 func (s *clientSession) inspectStanza(token xmlToken) condition {
 	s.stanza = xmlToken{name: localName(token.name), attributes: token.attributes}
 	s.inspectAuthentication(token)
@@ -52,11 +53,11 @@
 	return noCondition
 }
 
-// inspectHeader takes a stream header. The first opens the request, later ones restart the stream.
+// inspectHeader handles a stream header. The first header opens the request; later headers restart the stream.
 func (s *clientSession) inspectHeader(token xmlToken) condition {
 	s.headerPending = true
-	if bad := s.checkHeader(token); bad != noCondition {
-		return bad
+	if errorCondition := s.checkHeader(token); errorCondition != noCondition {
+		return errorCondition
 	}
 	name := token.attribute("to")
 	if s.request != nil {
@@ -65,7 +66,7 @@
 		}
 		return noCondition
 	}
-	domain, ok := s.front.domain(name)
+	domain, ok := s.front.findDomain(name)
 	if !ok || name == "" {
 		return hostUnknown
 	}
@@ -74,7 +75,7 @@
 		return noCondition
 	}
 	s.domainName = name
-	configured := s.front.configuredName(s.domain())
+	configured := s.front.configuredName(s.domainKey())
 	verdict := s.front.admission.AdmitToDomain(s.front.loop.Now(), s.admission, configured)
 	if verdict != peerlimit.Admitted {
 		s.reject(verdict)
@@ -85,8 +86,8 @@
 	return noCondition
 }
 
-// checkHeader checks the namespaces of a stream header and its version, of which RFC 6120 (section 4.7.5) wants 1.0 at
-// least.
+// checkHeader checks the namespaces and the version of a stream header. RFC 6120 (section 4.7.5) requires at least
+// version 1.0.
 func (s *clientSession) checkHeader(token xmlToken) condition {
 	prefix := s.received.prefix
 	if prefix == "" || localName(token.name) != "stream" ||
@@ -100,7 +101,7 @@
 	return noCondition
 }
 
-// openRequest asks the core for a server.
+// openRequest asks the core to place the session on a server.
 func (s *clientSession) openRequest(domain Domain) {
 	s.stopTimer()
 	id := choice.RequestID(s.front.newID())
@@ -109,7 +110,8 @@
 		Deadline: s.front.loop.Now().Add(domain.SetupTimeout), StickyServer: s.stickyServer(domain),
 	}
 	if s.front.loop.Open()+2 > s.front.limits.MaxConnections {
-		// A session needs one more descriptor for its server: they must not run out half way.
+		// A session needs one more descriptor for its connection to the server. Rejecting it now avoids running out of
+		// descriptors after the request was opened.
 		zap.L().Warn("connection_limit_reached", zap.String("front", "xmpp"))
 		domain.Core.Reject(spec, s, 0)
 		return
--- a/internal/xmpp/front.go
+++ b/internal/xmpp/front.go
@@ -29,77 +29,78 @@
 	framingNS     = "urn:ietf:params:xml:ns:xmpp-framing" // WebSocket, RFC 7395
 )
 
-// anyDomain is the key of the domain that stands for all that are not named.
+// anyDomain is the key of the default domain, which serves all domains that are not configured by name.
 const anyDomain = "*"
 
-// rngStream is the second half of a front's seed, beside the node's own.
+// rngStream is the second half of the random generator's seed. The first half is the node's seed.
 const rngStream = 2
 
-// maxOverLimit is how many connections beyond the limit are accepted, to reject them with a stream error.
+// maxOverLimit is the number of connections beyond the limit that the front still accepts, so that it can reject them
+// with a stream error.
 const maxOverLimit = 16
 
-// Domain is a domain that clients may name in the stream header.
+// Domain is a domain that clients may name in their stream header.
 type Domain struct {
 	Core         *edge.Core
-	Class        int           // of the core's classes
-	SetupTimeout time.Duration // for the whole set-up of a session, from its stream header on
+	Class        int           // index of the core's request class
+	SetupTimeout time.Duration // limit of the whole set-up of a session, from its stream header on
 }
 
-// Limits bound what one connection may use, and what all of them may.
+// Limits bound the resources of one connection and of all connections together.
 type Limits struct {
-	MaxStanzaBytes   int           // bytes of one stanza
-	MaxReplayBytes   int           // bytes of a client that are kept to be replayed to another server
-	HeaderTimeout    time.Duration // for the stream header, from the connection on
-	HandshakeTimeout time.Duration // for a TLS handshake
-	MaxConnections   int           // connections, both sides, from which on new sessions are rejected
-	MaxResumable     int           // resumable sessions whose server is remembered
+	MaxStanzaBytes   int           // maximum size of one stanza
+	MaxReplayBytes   int           // bytes of a client that the front keeps to replay them to another server
+	HeaderTimeout    time.Duration // limit for receiving the stream header, from the connection's start on
+	HandshakeTimeout time.Duration // limit for a TLS handshake
+	MaxConnections   int           // connections to clients and servers, above which new sessions are rejected
+	MaxResumable     int           // resumable sessions whose server the front remembers
 }
 
 // Front serves XMPP clients. Its methods must be called from the loop's goroutine.
 type Front struct {
 	Answers Answers
-	Trace   *trace.Recorder // records why connections end; nil: nothing is recorded
-
-	loop       *loop.Loop
-	limits     Limits
-	domains    map[string]Domain // by name, in lower case
-	random     *rand.Rand
-	handshakes *tls.Handshakes
-	keys       *tls.Keys // nil: no listener has TLS
-	admission  *peerlimit.Controller
-	resumable  *resumable.Table
-	owners     map[resumable.Key]*clientSession // of the resumable sessions that have a connection of this process
-
-	channelBindingReported map[choice.ServerID]bool // servers that were logged for offering channel binding
+	Trace   *trace.Recorder // records why connections end; nil disables recording
+
+	loop              *loop.Loop
+	limits            Limits
+	domains           map[string]Domain // by name, in lower case
+	random            *rand.Rand
+	handshakes        *tls.Handshakes
+	keys              *tls.Keys // nil if no listener uses TLS
+	admission         *peerlimit.Controller
+	resumable         *resumable.Table
+	connectedSessions map[resumable.Key]*clientSession // resumable sessions with a client connection in this process
+
+	channelBindingReported map[choice.ServerID]bool // servers already logged for offering channel binding
 }
 
-// Answers counts the final answers given.
+// Answers counts accepted connections and the final answers of their sessions.
 type Answers struct {
-	Sessions    int // client connections that were accepted
-	Established int // sessions that were set up
-	Errors      int // stream errors in place of a session
-	Abandoned   int // clients that ended before they had an answer
+	Sessions    int // client connections accepted
+	Established int // sessions established
+	Errors      int // sessions that ended with a stream error before they were established
+	Abandoned   int // clients that closed their stream or connection before they had an answer
 }
 
-// New returns a front for the given domains; "*" stands for all that are not named. The seed is that of the random
-// stream and request identifiers.
+// New returns a front for the given domains. The domain "*" serves all domains that are not named. The seed initializes
+// the generator of random stream identifiers, request identifiers and placement keys.
 func New(eventLoop *loop.Loop, domains map[string]Domain, limits Limits, seed uint64) *Front {
 	return &Front{
-		loop:       eventLoop,
-		limits:     limits,
-		domains:    domains,
-		random:     rand.New(rand.NewPCG(seed, rngStream)),
-		handshakes: tls.NewHandshakes(eventLoop),
-		admission:  peerlimit.NewController(peerlimit.Rules{}, nil, nil),
-		resumable:  resumable.New(limits.MaxResumable),
-		owners:     map[resumable.Key]*clientSession{},
+		loop:              eventLoop,
+		limits:            limits,
+		domains:           domains,
+		random:            rand.New(rand.NewPCG(seed, rngStream)),
+		handshakes:        tls.NewHandshakes(eventLoop),
+		admission:         peerlimit.NewController(peerlimit.Rules{}, nil, nil),
+		resumable:         resumable.New(limits.MaxResumable),
+		connectedSessions: map[resumable.Key]*clientSession{},
 
 		channelBindingReported: map[choice.ServerID]bool{},
 	}
 }
 
-// domain returns the domain that a client has named.
-func (f *Front) domain(name string) (Domain, bool) {
+// findDomain returns the domain that a client has named, or else the default domain.
+func (f *Front) findDomain(name string) (Domain, bool) {
 	if domain, ok := f.domains[strings.ToLower(name)]; ok {
 		return domain, true
 	}
@@ -107,7 +108,7 @@
 	return domain, ok
 }
 
-// configuredName returns the name under which a domain, in lower case, is configured.
+// configuredName returns the name under which a domain is configured. The domain must be in lower case.
 func (f *Front) configuredName(domain string) string {
 	if _, ok := f.domains[domain]; ok {
 		return domain
@@ -115,13 +116,13 @@
 	return anyDomain
 }
 
-// newID returns a random identifier of a stream or a request.
+// newID returns a random identifier for a stream or a request.
 func (f *Front) newID() string { return strconv.FormatUint(f.random.Uint64(), 16) }
 
 // newScanner returns a scanner at the start of a stream.
 func (f *Front) newScanner() scanner { return scanner{maxBytes: f.limits.MaxStanzaBytes} }
 
-// SetAdmissionRules replaces the rules of admission control, for streams that are opened from now on.
+// SetAdmissionRules replaces the rules of admission control. The new rules apply to streams that are opened afterwards.
 func (f *Front) SetAdmissionRules(
 	rules peerlimit.Rules, networks *peerlimit.Networks, domains map[string]peerlimit.Limits,
 ) {
--- a/internal/xmpp/nesting.go
+++ b/internal/xmpp/nesting.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// track updates the open elements with a token of so many bytes, sets the token's place among them, and checks that
-// elements nest.
+// track updates the stack of open elements with a token of the given size in bytes, sets the token's depth, and checks
+// that the elements nest correctly.
 func (s *scanner) track(token *xmlToken, size int) condition {
 	declarationAllowed := !s.started
-	if s.restarts(token) {
+	if s.startsNewStream(token) {
 		s.elements = s.elements[:0]
-		s.restart = false
+		s.mayRestart = false
 		declarationAllowed = true
 	}
 	s.started = s.started || !token.isBlank()
@@ -23,9 +23,9 @@
 		return notWellFormed
 	}
 	if len(s.elements) > 1 || token.kind == startToken {
-		s.size += size
+		s.stanzaBytes += size
 	}
-	if s.size > s.maxBytes {
+	if s.stanzaBytes > s.maxBytes {
 		return policyViolation
 	}
 	switch token.kind {
@@ -38,9 +38,9 @@
 	}
 }
 
-// restarts reports whether a token starts a new stream in place of the present one, where that is allowed.
-func (s *scanner) restarts(token *xmlToken) bool {
-	if !s.restart {
+// startsNewStream reports whether a token starts a new stream in place of the current one and may do so.
+func (s *scanner) startsNewStream(token *xmlToken) bool {
+	if !s.mayRestart {
 		return false
 	}
 	return token.kind == declarationToken ||
@@ -56,14 +56,14 @@
 		if token.selfClosing {
 			return badFormat
 		}
-		s.size = 0
+		s.stanzaBytes = 0
 		s.prefix, _ = splitName(token.name)
 	}
 	if !token.selfClosing {
 		s.elements = append(s.elements, token.name)
 	} else if token.depth == stanzaDepth {
 		token.endsStanza = true
-		s.size = 0
+		s.stanzaBytes = 0
 	}
 	return noCondition
 }
@@ -76,13 +76,13 @@
 	s.elements = s.elements[:token.depth-1]
 	if token.depth <= stanzaDepth {
 		token.endsStanza = true
-		s.size = 0
+		s.stanzaBytes = 0
 	}
 	s.ended = token.depth == rootDepth
 	return noCondition
 }
 
-// trackText allows nothing but white space around the root element and between stanzas.
+// trackText rejects text other than white space outside the root element and between stanzas.
 func (s *scanner) trackText(token *xmlToken) condition {
 	token.depth = len(s.elements)
 	if token.depth > rootDepth || token.isBlank() {
@@ -94,10 +94,10 @@
 	return badFormat
 }
 
-// betweenStanzas reports whether other markup may be put in here: inside the stream and outside any stanza.
+// betweenStanzas reports whether the position is outside any stanza, so that the front may insert markup of its own.
 func (s *scanner) betweenStanzas() bool { return len(s.elements) <= rootDepth }
 
-// splitName splits a qualified name into its prefix, empty where it has none, and its local name.
+// splitName splits a qualified name into its prefix and its local name. The prefix is empty if the name has none.
 func splitName(name string) (prefix, local string) {
 	colon := strings.IndexByte(name, ':')
 	return name[:max(colon, 0)], name[colon+1:]
--- a/internal/xmpp/resumption.go
+++ b/internal/xmpp/resumption.go
@@ -10,54 +10,54 @@
 	"go.uber.org/zap"
 )
 
-// A session that its client can resume (XEP-0198) is known to one server only. Who a client is shows in its stream
-// header, or at the latest when it authenticates; where the table knows a resumable session of that user, the request
-// goes to the session's server. What the client claims picks a server and nothing else: the server decides.
+// Only one server knows a session that its client can resume (XEP-0198). The stream header, or at the latest the
+// authentication, names the user. If the table has a resumable session of that user, the request goes to the session's
+// server. The client's claim only selects a server; the server decides whether to accept it.
 
 const (
-	maxGreeting       = 4 << 10  // bytes of a client before its authentication, kept to replay them to another server
-	maxAuthentication = 16 << 10 // bytes of a client's first authentication
-	maxNameBytes      = 1023     // of a session's identifier, or of a user's name
+	maxOpeningBytes        = 4 << 10  // bytes before the authentication that are kept to replay them to another server
+	maxAuthenticationBytes = 16 << 10 // bytes of a client's first authentication
+	maxNameBytes           = 1023     // bytes of a session's identifier, or of a user name
 )
 
-// resumption is what a session knows of the resumable session that its client has, or had.
+// resumption is the state of a client's connection that concerns its current or previous resumable session.
 type resumption struct {
-	user       string        // as the client claims; empty: not known yet
-	previousID string        // of the session that the client asks to resume
-	key        resumable.Key // of the resumable session that this connection has; zero: none
-
-	greeting           []byte // what the client sent before it authenticated; nil: nothing, or too much
-	authenticating     bool   // the client's first authentication is being received
-	authentication     []byte // as far as it was received
-	initialResponse    []byte // in it, encoded
-	authenticationSeen bool   // it began
-	dropGreeting       bool   // the next server's greeting is not forwarded: the client has had one
+	user       string        // the user name that the client claims; empty if not known yet
+	previousID string        // identifier of the session that the client asks to resume
+	key        resumable.Key // resumable session that uses this connection; zero if there is none
+
+	openingBytes       []byte // bytes that the client sent before it authenticated; nil if none, or too many
+	authenticating     bool   // the front is receiving the client's first authentication
+	authentication     []byte // bytes received of the first authentication so far
+	initialResponse    []byte // encoded initial response of the first authentication
+	authenticationSeen bool   // the first authentication has begun
+	dropServerGreeting bool   // don't forward the next server's greeting, because the client already has one
 }
 
-// domain returns the session's domain as it is compared.
-func (s *clientSession) domain() string { return strings.ToLower(s.domainName) }
+// domainKey returns the session's domain in lower case, as used in comparisons and keys.
+func (s *clientSession) domainKey() string { return strings.ToLower(s.domainName) }
 
-// stickyServer returns the server of the session that the client may want to resume; empty: none that takes it is
-// known.
+// stickyServer returns the server of the session that the client may want to resume. It returns an empty identifier if
+// the front knows no such session, or if its server accepts no new sessions.
 func (s *clientSession) stickyServer(domain Domain) choice.ServerID {
 	now := s.front.loop.Now()
-	known, ok := s.front.resumable.Find(now, resumable.Key{Domain: s.domain(), ID: s.previousID})
+	known, ok := s.front.resumable.Find(now, resumable.Key{Domain: s.domainKey(), ID: s.previousID})
 	if !ok && s.user != "" {
-		known, ok = s.front.resumable.FindByUser(now, s.domain(), s.user)
+		known, ok = s.front.resumable.FindByUser(now, s.domainKey(), s.user)
 	}
 	if !ok {
 		return ""
 	}
 	if !domain.Core.AcceptsNew(known.Server, known.ServerStarted) {
-		// The server drains, is gone, or has been started again and doesn't know the session.
+		// The server is draining, is gone, or was restarted and doesn't know the session.
 		s.front.resumable.Forget(known.Key)
 		return ""
 	}
 	return known.Server
 }
 
-// inspectAuthentication follows the client's first authentication, which is held back to its end: it settles the
-// server.
+// inspectAuthentication reads the user name and the session to resume from the client's first authentication. The front
+// holds the authentication back until it is complete, because it determines the server.
 func (s *clientSession) inspectAuthentication(token xmlToken) {
 	switch {
 	case s.beginsAuthentication(token):
@@ -67,7 +67,7 @@
 	case token.starts(childDepth) && token.isElement("resume", managementNS):
 		s.previousID = token.attribute("previd")
 	case token.kind == textToken && token.depth <= childDepth:
-		if len(s.initialResponse)+len(token.raw) <= maxAuthentication {
+		if len(s.initialResponse)+len(token.raw) <= maxAuthenticationBytes {
 			s.initialResponse = append(s.initialResponse, token.raw...)
 		}
 	}
@@ -80,22 +80,22 @@
 	return token.isElement("auth", saslNS) || token.isElement("authenticate", sasl2NS)
 }
 
-// authenticated forwards the client's first authentication: to the server that has greeted the client, or to the one
-// that has its resumable session.
-func (s *clientSession) authenticated() {
+// forwardAuthentication forwards the client's complete first authentication, either to the server of the current
+// attempt or, after a redirect, to the server that has the client's resumable session.
+func (s *clientSession) forwardAuthentication() {
 	authentication := s.authentication
-	if user := userOf(s.stanza.attribute("mechanism"), s.initialResponse); user != "" {
+	if user := saslUser(s.stanza.attribute("mechanism"), s.initialResponse); user != "" {
 		s.user = user
 	}
 	s.authenticating = false
 	s.authentication = nil
 	s.initialResponse = nil
-	greeting := s.greeting
+	openingBytes := s.openingBytes
 	if !s.committed {
-		greeting = s.replay
+		openingBytes = s.replay
 	}
-	sticky, ok := s.otherSticky()
-	canReplay := len(greeting) > 0 && len(authentication) <= maxAuthentication
+	sticky, ok := s.differentStickyServer()
+	canReplay := len(openingBytes) > 0 && len(authentication) <= maxAuthenticationBytes
 	if !ok || !canReplay || !s.request.MayRedirect(sticky) {
 		s.forward(authentication)
 		return
@@ -103,15 +103,16 @@
 	zap.L().Debug("session_redirected",
 		zap.String("from", string(s.attempt.Server.ID)),
 		zap.String("to", string(sticky)))
-	s.dropGreeting = s.committed
+	s.dropServerGreeting = s.committed
 	s.committed = false
-	s.replay = append(append([]byte(nil), greeting...), authentication...)
+	s.replay = append(append([]byte(nil), openingBytes...), authentication...)
 	s.request.RedirectTo(sticky)
 }
 
-// otherSticky returns the server of the client's resumable session, if it is another one than the session has now.
-func (s *clientSession) otherSticky() (choice.ServerID, bool) {
-	domain, ok := s.front.domain(s.domainName)
+// differentStickyServer returns the server of the client's resumable session, if it differs from the server that the
+// session has now.
+func (s *clientSession) differentStickyServer() (choice.ServerID, bool) {
+	domain, ok := s.front.findDomain(s.domainName)
 	if !ok {
 		return "", false
 	}
@@ -122,11 +123,11 @@
 	return sticky, true
 }
 
-// userOf returns the user's name in the initial response of PLAIN (RFC 4616) or SCRAM (RFC 5802). It is empty for other
-// mechanisms, and where the response can't be read.
-func userOf(mechanism string, encoded []byte) string {
+// saslUser returns the user name in the initial response of PLAIN (RFC 4616) or SCRAM (RFC 5802), in lower case. It
+// returns an empty string for other mechanisms, for an invalid response and for a name that is too long.
+func saslUser(mechanism string, encoded []byte) string {
 	response, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(encoded)))
-	if err != nil || len(response) > maxAuthentication {
+	if err != nil || len(response) > maxAuthenticationBytes {
 		return ""
 	}
 	name := ""
@@ -142,7 +143,7 @@
 	return strings.ToLower(name)
 }
 
-// plainUser reads the second of three fields: authorization identity, user, password.
+// plainUser returns the second of the three fields of PLAIN: authorization identity, user, password.
 func plainUser(response string) string {
 	fields := strings.Split(response, "\x00")
 	if len(fields) != 3 {
@@ -151,8 +152,8 @@
 	return fields[1]
 }
 
-// scramUser reads the third of four fields: channel binding, authorization identity, "n=" and the user, "r=" and a
-// nonce.
+// scramUser returns the user in the third of the four fields of SCRAM: channel binding, authorization identity, "n="
+// with the user, "r=" with a nonce.
 func scramUser(response string) string {
 	fields := strings.SplitN(response, ",", 4)
 	if len(fields) < 4 {
@@ -165,7 +166,7 @@
 	return strings.NewReplacer("=2C", ",", "=3D", "=").Replace(name)
 }
 
-// localPart returns the local part of a JID, if its domain is the given one.
+// localPart returns the local part of a JID in lower case, or an empty string if the JID has another domain.
 func localPart(jid, domain string) string {
 	bare, _, _ := strings.Cut(jid, "/")
 	name, jidDomain, ok := strings.Cut(bare, "@")
@@ -175,33 +176,34 @@
 	return strings.ToLower(name)
 }
 
-// connected notes that a resumable session has this connection. The one that the connection had before is disconnected,
-// and a connection that the resumed session had before is ended: nobody uses it any more.
-func (s *clientSession) connected(resumed resumable.Session) {
+// recordConnected records that a resumable session uses this connection. If the connection belonged to another
+// resumable session, that session becomes disconnected. If the resumed session had another connection, the front ends
+// that connection, because its client no longer uses it.
+func (s *clientSession) recordConnected(resumed resumable.Session) {
 	front := s.front
 	if s.key.ID != "" && s.key != resumed.Key {
-		front.disconnected(s, false)
+		front.recordDisconnected(s, false)
 	}
-	if previous := front.owners[resumed.Key]; previous != nil && previous != s {
-		delete(front.owners, resumed.Key)
+	if previous := front.connectedSessions[resumed.Key]; previous != nil && previous != s {
+		delete(front.connectedSessions, resumed.Key)
 		front.loop.At(front.loop.Now(), func() {
 			previous.fail(conflict, "resumed on another connection")
 		})
 	}
 	s.key = resumed.Key
-	front.owners[resumed.Key] = s
+	front.connectedSessions[resumed.Key] = s
 	front.resumable.Connected(front.loop.Now(), resumed)
 }
 
-// disconnected notes that a session has no connection any more. If its client closed the stream, it won't resume the
-// session.
-func (f *Front) disconnected(session *clientSession, closed bool) {
+// recordDisconnected records that a resumable session no longer has a connection. If the client closed its stream, the
+// front forgets the session, because the client won't resume it.
+func (f *Front) recordDisconnected(session *clientSession, closed bool) {
 	key := session.key
-	if key.ID == "" || f.owners[key] != session {
+	if key.ID == "" || f.connectedSessions[key] != session {
 		return
 	}
 	session.key = resumable.Key{}
-	delete(f.owners, key)
+	delete(f.connectedSessions, key)
 	if closed {
 		f.resumable.Forget(key)
 	} else {
@@ -209,12 +211,13 @@
 	}
 }
 
-// DisconnectedSessions lists resumable sessions that have no connection, for another process; so many at most.
+// DisconnectedSessions returns at most the given number of resumable sessions that have no connection, to be passed to
+// another process.
 func (f *Front) DisconnectedSessions(most int) []resumable.Session {
 	return f.resumable.Resumable(f.loop.Now(), most)
 }
 
-// AddDisconnectedSessions adds the resumable sessions that another process knew.
+// AddDisconnectedSessions adds resumable sessions that another process has passed on.
 func (f *Front) AddDisconnectedSessions(sessions []resumable.Session) {
 	f.resumable.Import(f.loop.Now(), sessions)
 }
--- a/internal/xmpp/resumption_test.go
+++ b/internal/xmpp/resumption_test.go
@@ -9,8 +9,9 @@
 	return []byte(base64.StdEncoding.EncodeToString([]byte(response)))
 }
 
-// TestUserOf reads the user's name out of initial responses, and of JIDs; where it can't be read it is empty.
-func TestUserOf(t *testing.T) {
+// TestUserNameOfInitialResponseAndJID checks that the user name is read from initial responses and from JIDs, and that
+// it is empty if it can't be read.
+func TestUserNameOfInitialResponseAndJID(t *testing.T) {
 	for _, test := range []struct{ mechanism, response, user string }{
 		{"PLAIN", "\x00Ana\x00secret", "ana"},
 		{"PLAIN", "root@farm.example\x00ana\x00secret", "ana"},
@@ -22,16 +23,16 @@
 		{"EXTERNAL", "ana", ""},
 		{"", "", ""},
 	} {
-		if got := userOf(test.mechanism, encode(test.response)); got != test.user {
-			t.Errorf("userOf(%s, %q) = %q, wanted %q", test.mechanism, test.response, got, test.user)
+		if got := saslUser(test.mechanism, encode(test.response)); got != test.user {
+			t.Errorf("saslUser(%s, %q): got %q, want %q", test.mechanism, test.response, got, test.user)
 		}
 	}
-	if got := userOf("PLAIN", []byte("no base64!")); got != "" {
-		t.Errorf("a response that is no base64 gave the user %q, wanted none", got)
+	if got := saslUser("PLAIN", []byte("no base64!")); got != "" {
+		t.Errorf("saslUser of a response with invalid base64: got user %q, want none", got)
 	}
 	tooLong := "\x00" + string(make([]byte, maxNameBytes+1)) + "\x00x"
-	if got := userOf("PLAIN", encode(tooLong)); got != "" {
-		t.Errorf("a name that is too long gave a user of %d bytes, wanted none", len(got))
+	if got := saslUser("PLAIN", encode(tooLong)); got != "" {
+		t.Errorf("saslUser of a name that is too long: got a user of %d bytes, want none", len(got))
 	}
 	for jid, want := range map[string]string{
 		"Ana@farm.example/x": "ana",
@@ -41,7 +42,7 @@
 		"":                   "",
 	} {
 		if got := localPart(jid, "farm.example"); got != want {
-			t.Errorf("localPart(%q) = %q, wanted %q", jid, got, want)
+			t.Errorf("localPart(%q): got %q, want %q", jid, got, want)
 		}
 	}
 }
--- a/internal/xmpp/scanner.go
+++ b/internal/xmpp/scanner.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	maxDepth          = 128 // of nested elements
-	maxReferenceBytes = 12  // of an unfinished entity reference that is waited for
+	maxDepth          = 128 // nested elements
+	maxReferenceBytes = 12  // length up to which the scanner waits for the end of an entity reference
 )
 
-// scanner reads one direction of a stream piece by piece. It is a parser of restricted XML (RFC 6120, section 11) that
-// yields whole tokens as the bytes that were received. It keeps an unfinished token back, so that no part of forbidden
+// scanner reads one direction of a stream incrementally. It is a parser of restricted XML (RFC 6120, section 11) that
+// yields whole tokens with their bytes as received. It holds back an unfinished token, so that no part of forbidden
 // markup is forwarded.
 type scanner struct {
-	maxBytes int      // of a stanza, and of a token
-	pending  []byte   // an unfinished token
-	elements []string // names of the open elements, the root first
-	prefix   string   // of the stream's namespace, from the root element
-	size     int      // bytes of the present stanza so far
-	started  bool     // a token of the present stream was seen: an XML declaration can't follow
-	ended    bool     // the root element was closed
-	restart  bool     // a new stream may start in place of the present one
+	maxBytes    int      // limit of a stanza, and of a token
+	pending     []byte   // bytes of an unfinished token
+	elements    []string // names of the open elements, the root first
+	prefix      string   // prefix of the stream's namespace, from the root element
+	stanzaBytes int      // bytes of the current stanza so far
+	started     bool     // a token of the current stream was seen; an XML declaration can't follow
+	ended       bool     // the root element was closed
+	mayRestart  bool     // a new stream may start in place of the current one
 }
 
-// feed takes received bytes and calls visit for each whole token in them, until visit returns false; it then returns
-// the bytes behind that token. A condition other than noCondition says why the stream can't go on; feed must not be
-// called again after one.
-func (s *scanner) feed(data []byte, visit func(xmlToken) bool) (rest []byte, bad condition) {
+// feed scans received bytes and calls visit for each whole token. If visit returns false, feed returns the bytes after
+// that token. A condition other than noCondition tells why the stream can't continue, and feed must not be called again
+// after it.
+func (s *scanner) feed(data []byte, visit func(xmlToken) bool) (rest []byte, errorCondition condition) {
 	if len(s.pending) > 0 {
 		data = append(s.pending, data...)
 		s.pending = nil
 	}
 	for len(data) > 0 {
-		next, size, bad := s.next(data)
-		if bad != noCondition {
-			return nil, bad
+		next, size, errorCondition := s.next(data)
+		if errorCondition != noCondition {
+			return nil, errorCondition
 		}
 		if size == 0 {
 			if len(data) > s.maxBytes {
@@ -45,8 +45,8 @@
 			s.pending = bytes.Clone(data)
 			return nil, noCondition
 		}
-		if bad := s.track(&next, size); bad != noCondition {
-			return nil, bad
+		if errorCondition := s.track(&next, size); errorCondition != noCondition {
+			return nil, errorCondition
 		}
 		data = data[size:]
 		if !visit(next) {
@@ -56,8 +56,9 @@
 	return nil, noCondition
 }
 
-// next reads the first token of data, which is not empty, and its size in bytes; 0: the token is not whole yet.
-func (s *scanner) next(data []byte) (token xmlToken, size int, bad condition) {
+// next returns the first token of data and its size in bytes. The size is 0 if the token is not complete yet. The data
+// must not be empty.
+func (s *scanner) next(data []byte) (token xmlToken, size int, errorCondition condition) {
 	if data[0] != '<' {
 		return nextText(data)
 	}
@@ -75,8 +76,8 @@
 		return xmlToken{}, 0, noCondition
 	}
 	raw := data[:end+1]
-	if bad := checkCharacters(raw); bad != noCondition {
-		return xmlToken{}, 0, bad
+	if errorCondition := checkCharacters(raw); errorCondition != noCondition {
+		return xmlToken{}, 0, errorCondition
 	}
 	token, ok := parseTag(raw)
 	if !ok {
@@ -85,8 +86,8 @@
 	return token, len(raw), noCondition
 }
 
-// nextCDATA reads a CDATA section, the only markup with "<!" that is allowed: comments and DTDs are restricted XML.
-func nextCDATA(data []byte) (token xmlToken, size int, bad condition) {
+// nextCDATA reads a CDATA section, the only markup with "<!" that is allowed. Comments and DTDs yield restrictedXML.
+func nextCDATA(data []byte) (token xmlToken, size int, errorCondition condition) {
 	const opening, closing = "<![CDATA[", "]]>"
 	if len(data) < len(opening) && strings.HasPrefix(opening, string(data)) {
 		return xmlToken{}, 0, noCondition
@@ -102,9 +103,9 @@
 	return xmlToken{kind: textToken, raw: raw}, len(raw), checkCharacters(raw)
 }
 
-// nextDeclaration reads an XML declaration, which may stand only before a root element. Processing instructions are
-// restricted XML.
-func (s *scanner) nextDeclaration(data []byte) (token xmlToken, size int, bad condition) {
+// nextDeclaration reads an XML declaration, which is allowed only before a root element. Processing instructions yield
+// restrictedXML.
+func (s *scanner) nextDeclaration(data []byte) (token xmlToken, size int, errorCondition condition) {
 	const opening, closing = "<?xml", "?>"
 	if len(data) <= len(opening) {
 		if strings.HasPrefix(opening, string(data)) {
@@ -115,14 +116,14 @@
 	if !bytes.HasPrefix(data, []byte(opening)) || !isSpace(data[len(opening)]) {
 		return xmlToken{}, 0, restrictedXML
 	}
-	if s.started && (!s.restart || len(s.elements) != 1) {
+	if s.started && (!s.mayRestart || len(s.elements) != 1) {
 		return xmlToken{}, 0, restrictedXML
 	}
 	content := bytes.Index(data, []byte(closing))
 	if content < 0 {
 		return xmlToken{}, 0, noCondition
 	}
-	asTag := append([]byte("<x"), data[len(opening):content]...) // a declaration has the attributes of a tag
+	asTag := append([]byte("<x"), data[len(opening):content]...) // a declaration has the same attribute syntax as a tag
 	declaration, ok := parseTag(append(asTag, '>'))
 	if !ok || declaration.attribute("version") != "1.0" {
 		return xmlToken{}, 0, notWellFormed
@@ -134,23 +135,23 @@
 	return xmlToken{kind: declarationToken, raw: raw}, len(raw), noCondition
 }
 
-// nextText reads text up to the next markup, or as much of it as can be judged now.
-func nextText(data []byte) (token xmlToken, size int, bad condition) {
+// nextText reads text up to the next markup, or as much of it as can be checked now.
+func nextText(data []byte) (token xmlToken, size int, errorCondition condition) {
 	size = bytes.IndexByte(data, '<')
 	mayContinue := size < 0
 	if mayContinue {
-		size = len(data) - cutRuneBytes(data)
+		size = len(data) - partialRuneBytes(data)
 	}
-	size, bad = checkReferences(data[:size], mayContinue)
-	if bad != noCondition || size == 0 {
-		return xmlToken{}, 0, bad
+	size, errorCondition = checkReferences(data[:size], mayContinue)
+	if errorCondition != noCondition || size == 0 {
+		return xmlToken{}, 0, errorCondition
 	}
 	raw := data[:size]
 	return xmlToken{kind: textToken, raw: raw}, size, checkCharacters(raw)
 }
 
-// cutRuneBytes counts the bytes of a character at the end of text whose other bytes have not been received.
-func cutRuneBytes(text []byte) int {
+// partialRuneBytes returns the number of bytes at the end of text that belong to a character not yet fully received.
+func partialRuneBytes(text []byte) int {
 	for size := 1; size <= min(utf8.UTFMax-1, len(text)); size++ {
 		last := text[len(text)-size:]
 		if !utf8.RuneStart(last[0]) {
@@ -164,9 +165,9 @@
 	return 0
 }
 
-// checkReferences checks the entity references of text and returns how many of its bytes can be judged: if the text may
-// continue, an unfinished reference at its end is not among them.
-func checkReferences(text []byte, mayContinue bool) (size int, bad condition) {
+// checkReferences checks the entity references of text and returns how many bytes of the text have been checked. If the
+// text may continue, these exclude an unfinished reference at its end.
+func checkReferences(text []byte, mayContinue bool) (size int, errorCondition condition) {
 	for checked := 0; checked < len(text); {
 		offset := bytes.IndexByte(text[checked:], '&')
 		if offset < 0 {
@@ -187,8 +188,8 @@
 	return len(text), noCondition
 }
 
-// isAllowedReference reports whether a name is one of XML's predefined entities or a character reference: others would
-// need a DTD.
+// isAllowedReference reports whether a name is one of XML's predefined entities or a character reference. Other
+// entities would need a DTD.
 func isAllowedReference(name string) bool {
 	switch name {
 	case "lt", "gt", "amp", "apos", "quot":
@@ -198,7 +199,7 @@
 }
 
 // checkCharacters checks that data is valid UTF-8 without the control characters below U+0020 that XML 1.0 forbids.
-// nextText has taken off a character that is cut off at the end of data: it isn't a fault.
+// The data doesn't end inside a character, because nextText excludes an incomplete one, which is no error.
 func checkCharacters(data []byte) condition {
 	if !utf8.Valid(data) {
 		return notWellFormed
--- a/internal/xmpp/serverstream.go
+++ b/internal/xmpp/serverstream.go
@@ -12,34 +12,34 @@
 	"go.uber.org/zap"
 )
 
-const maxRedirectBytes = 300 // of the address that a server names
+const maxRedirectBytes = 300 // of the address in a server's see-other-host
 
-// receive takes a token of the server's stream.
-func (u *upstreamRequest) receive(token xmlToken) {
+// handleToken handles a token of the server's stream.
+func (u *upstreamRequest) handleToken(token xmlToken) {
 	if token.starts(rootDepth) {
-		u.receiveHeader(token)
+		u.handleHeader(token)
 		return
 	}
 	u.inspect(token)
 	if token.kind == endToken && token.depth == rootDepth {
-		u.streamClosed(token)
+		u.handleStreamEnd(token)
 		return
 	}
-	u.held = append(u.held, token.raw...)
+	u.unforwarded = append(u.unforwarded, token.raw...)
 	if token.endsStanza {
-		u.stanzaReceived()
+		u.handleStanza()
 	}
 }
 
-func (u *upstreamRequest) receiveHeader(token xmlToken) {
+func (u *upstreamRequest) handleHeader(token xmlToken) {
 	if u.received.prefix == "" || localName(token.name) != "stream" {
 		u.failProtocol("sent no stream header")
 		return
 	}
-	u.held = append(u.held, token.raw...)
+	u.unforwarded = append(u.unforwarded, token.raw...)
 }
 
-// inspect follows the server's stream.
+// inspect updates the state of the attempt and the session with a token of the server's stream.
 func (u *upstreamRequest) inspect(token xmlToken) {
 	switch {
 	case token.starts(stanzaDepth):
@@ -58,22 +58,22 @@
 	}
 }
 
-// inspectStanza takes the start tag of a stanza. After a success in SASL both sides restart their streams.
+// inspectStanza handles the start tag of a stanza. After SASL succeeds, both sides restart their streams.
 func (u *upstreamRequest) inspectStanza(token xmlToken) {
 	session := u.session
 	u.stanza = xmlToken{name: localName(token.name), attributes: token.attributes}
 	u.sasl2Bound = false
 	if token.isElement("success", saslNS) {
-		session.received.restart = true
-		u.received.restart = true
+		session.received.mayRestart = true
+		u.received.mayRestart = true
 	}
 	if u.stanza.name == "success" {
 		session.admission.Authenticated()
 	}
 }
 
-// inspectChild takes the start tag of a child of a stanza: the condition of a stream error, or a part of SASL2's
-// success.
+// inspectChild handles the start tag of a stanza's child. The child may be the condition of a stream error or a part of
+// a SASL2 success.
 func (u *upstreamRequest) inspectChild(token xmlToken) {
 	if name := localName(token.name); u.stanza.name == "error" && name != "text" {
 		u.streamError = condition(name)
@@ -84,8 +84,9 @@
 	}
 }
 
-// stanzaReceived forwards a stanza that is complete, unless it is the server's rejection of the session.
-func (u *upstreamRequest) stanzaReceived() {
+// handleStanza handles a complete stanza. It forwards the stanza, unless it is the server's rejection of the session or
+// a greeting to drop.
+func (u *upstreamRequest) handleStanza() {
 	session := u.session
 	switch {
 	case session.established:
@@ -94,14 +95,14 @@
 			session.migrate()
 		}
 	case u.stanza.name == "error" && u.streamError != noCondition:
-		u.rejected()
-	case session.dropGreeting:
-		session.dropGreeting = false
-		u.held = u.held[:0]
+		u.handleRejection()
+	case session.dropServerGreeting:
+		session.dropServerGreeting = false
+		u.unforwarded = u.unforwarded[:0]
 		u.commit()
 	default:
 		if u.establishes() {
-			// The core is told first and the answer forwarded next: nothing comes in between within this call.
+			// Tell the core before forwarding the answer. Nothing else runs between the two within this call.
 			session.established = true
 			session.front.Answers.Established++
 			u.attempt.Established()
@@ -111,7 +112,7 @@
 	}
 }
 
-// establishes reports whether the present stanza establishes the session: the result of the resource binding, or a
+// establishes reports whether the current stanza establishes the session, as the result of the resource binding or as a
 // resumption.
 func (u *upstreamRequest) establishes() bool {
 	session := u.session
@@ -120,16 +121,16 @@
 	return isBinding || u.stanza.name == "resumed" || u.stanza.name == "success" && u.sasl2Bound
 }
 
-// rejected takes a stream error of the server before the session is established. Where nothing of the server has been
-// forwarded, another one may be tried; else the error is the session's answer.
-func (u *upstreamRequest) rejected() {
+// handleRejection handles a stream error that the server sends before the session is established. If the client has
+// received no bytes of the server, the core may try another server. Otherwise the error is the session's answer.
+func (u *upstreamRequest) handleRejection() {
 	session := u.session
 	if session.committed {
-		u.over = true
+		u.finished = true
 		u.conn.End()
 		session.front.Answers.Errors++
 		session.finish(trace.ServerEnded)
-		session.client.Write([]byte(string(u.held) + streamEnd(u.received.prefix)))
+		session.client.Write([]byte(string(u.unforwarded) + streamEnd(u.received.prefix)))
 		session.client.End()
 		u.attempt.Ended(choice.Failed, nil)
 		return
@@ -137,7 +138,7 @@
 	switch u.streamError {
 	case resourceConstraint, systemShutdown, policyViolation, streamReset:
 		u.fail(choice.Full)
-	case seeOtherHost: // followed only to a server of the list, as one of the attempts that the request has
+	case seeOtherHost: // only a server of the endpoint list is followed, and it counts as one of the request's attempts
 		session.request.Redirected(strings.TrimSpace(string(u.redirect)))
 		u.fail(choice.Full)
 	default:
@@ -145,20 +146,22 @@
 	}
 }
 
-// streamClosed takes the end of the server's stream.
-func (u *upstreamRequest) streamClosed(token xmlToken) {
+// handleStreamEnd handles the end of the server's stream.
+func (u *upstreamRequest) handleStreamEnd(token xmlToken) {
 	if !u.session.established {
-		u.lose(choice.Reset)
+		u.dropServer(choice.Reset)
 		return
 	}
-	u.held = append(u.held, token.raw...)
+	u.unforwarded = append(u.unforwarded, token.raw...)
 	u.forward()
 }
 
-// inspectManagement follows stream management (XEP-0198): which resumable session the connection has from now on.
+// inspectManagement handles stream management (XEP-0198). It records which resumable session uses the connection from
+// now on.
 func (u *upstreamRequest) inspectManagement(token xmlToken) {
-	isPlaced := token.depth >= stanzaDepth && token.depth <= childDepth+1 // a stanza, or within a SASL2 success
-	if token.kind != startToken || !isPlaced || token.attribute("xmlns") != managementNS {
+	// The element is a stanza, or it is inside a SASL2 success.
+	hasValidDepth := token.depth >= stanzaDepth && token.depth <= childDepth+1
+	if token.kind != startToken || !hasValidDepth || token.attribute("xmlns") != managementNS {
 		return
 	}
 	session := u.session
@@ -175,7 +178,7 @@
 		}
 	case "resumed":
 		id = token.attribute("previd")
-		key := resumable.Key{Domain: session.domain(), ID: id}
+		key := resumable.Key{Domain: session.domainKey(), ID: id}
 		if known, ok := session.front.resumable.Find(session.front.loop.Now(), key); ok {
 			lifetime = known.ResumeTime
 		}
@@ -183,8 +186,8 @@
 	if id == "" || len(id) > maxNameBytes {
 		return
 	}
-	session.connected(resumable.Session{
-		Key:           resumable.Key{Domain: session.domain(), ID: id},
+	session.recordConnected(resumable.Session{
+		Key:           resumable.Key{Domain: session.domainKey(), ID: id},
 		User:          session.user,
 		Server:        u.attempt.Server.ID,
 		ServerStarted: u.attempt.Server.Started,
@@ -192,8 +195,8 @@
 	})
 }
 
-// reportChannelBinding logs, once, a server that offers channel binding to a client whose TLS ends at this node: it
-// can't succeed.
+// reportChannelBinding logs a server that offers channel binding to a client whose TLS ends at this node, where channel
+// binding can't succeed. It logs each server once.
 func (u *upstreamRequest) reportChannelBinding(token xmlToken) {
 	reported := u.session.front.channelBindingReported
 	server := u.attempt.Server.ID
@@ -205,5 +208,5 @@
 	zap.L().Warn("host_offers_channel_binding",
 		zap.String("host", string(server)),
 		zap.String("mechanism", string(token.raw)),
-		zap.String("remedy", "TLS ends at this node, so no binding can hold: have the host offer no -PLUS mechanisms"))
+		zap.String("remedy", "TLS ends at this node, so channel binding fails; offer no -PLUS mechanisms on the host"))
 }
--- a/internal/xmpp/session.go
+++ b/internal/xmpp/session.go
@@ -11,92 +11,92 @@
 	"spurwinch/internal/transport/peerlimit"
 )
 
-// clientSession is one client's connection and the session that is set up on it.
+// clientSession is a client's connection together with the session that is set up on it.
 type clientSession struct {
 	front     *Front
 	client    clientConn
-	socket    *loop.Conn        // below TLS and WebSocket
+	socket    *loop.Conn        // the connection below TLS and WebSocket
 	layered   bool              // TLS or WebSocket is between client and socket
-	admission *peerlimit.Stream // its place among the streams that are limited
+	admission *peerlimit.Stream // the stream's entry in admission control
 
 	received      scanner  // the client's stream
-	stanza        xmlToken // the present stanza of the client: its local name and attributes
+	stanza        xmlToken // local name and attributes of the client's current stanza
 	domainName    string   // as the client wrote it in the stream header
-	headerPending bool     // the client waits for a stream header
-	bindID        string   // of the client's request to bind a resource
+	headerPending bool     // the client is waiting for a stream header
+	bindID        string   // identifier of the client's request to bind a resource
 
-	awaitsStartTLS   bool // the front itself answers the stream, up to <starttls/>
+	awaitsStartTLS   bool // the front itself answers the stream until <starttls/>
 	startTLSReceived bool
 
-	request     *edge.Request // nil: the stream header has not been accepted yet
+	request     *edge.Request // nil until the stream header is accepted
 	attempt     *edge.Attempt
 	upstream    *upstreamRequest
-	replay      []byte // what the client sent, kept until no other server can take over
+	replay      []byte // the client's bytes, kept while another server can still take over
 	committed   bool   // bytes of the server have reached the client
 	established bool
-	over        bool
-	migrating   bool // ends with the server's present stanza
+	finished    bool
+	migrating   bool // the session ends after the server's current stanza
 
-	cancelTimer    func() // of the stream header's deadline, or the migration's; nil: none runs
+	cancelTimer    func() // cancels the timer of the stream header or the migration; nil if none runs
 	headerDeadline time.Time
 
 	resumption
 }
 
-// OnConnect does nothing: the connection was accepted, not dialled.
+// OnConnect does nothing, because the connection was accepted, not dialled.
 func (s *clientSession) OnConnect() {}
 
-// OnData takes bytes of the client. Whole tokens are forwarded to the server as they were received.
+// OnData handles bytes of the client. It forwards whole tokens to the server as they were received.
 func (s *clientSession) OnData(data []byte) {
-	if s.over {
+	if s.finished {
 		return
 	}
 	var accepted []byte
-	rest, bad := s.received.feed(data, func(token xmlToken) bool {
-		if bad := s.inspect(token); bad != noCondition {
-			s.fail(bad, "")
+	rest, errorCondition := s.received.feed(data, func(token xmlToken) bool {
+		if errorCondition := s.inspect(token); errorCondition != noCondition {
+			s.fail(errorCondition, "")
 		}
-		if !s.over {
+		if !s.finished {
 			accepted = s.collect(accepted, token)
 		}
-		return !s.over && !s.startTLSReceived
+		return !s.finished && !s.startTLSReceived
 	})
-	if s.over {
+	if s.finished {
 		return
 	}
 	if s.startTLSReceived {
 		s.startTLS(rest)
 		return
 	}
-	if !s.awaitsStartTLS { // before TLS nothing is for a server
+	if !s.awaitsStartTLS { // no bytes before TLS are meant for a server
 		s.forward(accepted)
 	}
 	switch {
-	case bad != noCondition:
-		s.fail(bad, "")
-	case s.received.ended && !s.established && !s.over:
+	case errorCondition != noCondition:
+		s.fail(errorCondition, "")
+	case s.received.ended && !s.established && !s.finished:
 		s.abandon()
 	}
 }
 
-// collect appends a token to the bytes that are to be forwarded, and returns what of them is still to be. The client's
-// first authentication is held back to its end, and then settles the server.
+// collect appends a token to the accepted bytes and returns those that are still to be forwarded. It holds back the
+// client's first authentication until it is complete, because it determines the server.
 func (s *clientSession) collect(accepted []byte, token xmlToken) []byte {
 	if !s.authenticating {
 		return append(accepted, token.raw...)
 	}
 	s.authentication = append(s.authentication, token.raw...)
-	if !token.endsStanza && len(s.authentication) <= maxAuthentication {
+	if !token.endsStanza && len(s.authentication) <= maxAuthenticationBytes {
 		return accepted
 	}
 	s.forward(accepted)
-	if !s.over {
-		s.authenticated()
+	if !s.finished {
+		s.forwardAuthentication()
 	}
 	return nil
 }
 
-// forward sends the client's bytes to the server, and keeps them while another server may yet need them.
+// forward sends the client's bytes to the server, and keeps a copy while another server may still need them.
 func (s *clientSession) forward(data []byte) {
 	if len(data) == 0 {
 		return
@@ -108,7 +108,7 @@
 			return
 		}
 	}
-	if s.upstream != nil && s.upstream.begun && !s.upstream.over {
+	if s.upstream != nil && s.upstream.begun && !s.upstream.finished {
 		s.upstream.conn.Write(data)
 		if s.upstream.conn.Full() {
 			s.client.Pause()
@@ -124,10 +124,10 @@
 	return s.upstream
 }
 
-// Migrate ends an established session between two stanzas, at the latest by the deadline, so that its client connects
-// again.
+// Migrate ends an established session between two stanzas so that its client connects again. It ends the session by the
+// deadline at the latest.
 func (s *clientSession) Migrate(deadline time.Time) {
-	if s.over {
+	if s.finished {
 		return
 	}
 	if s.upstream != nil && !s.upstream.received.betweenStanzas() {
@@ -139,15 +139,15 @@
 }
 
 func (s *clientSession) migrate() {
-	if !s.over {
+	if !s.finished {
 		s.fail(systemShutdown, "connect again")
 	}
 }
 
-// Evict answers a client whose place is needed for another connection, before its stream header has named a domain.
+// Evict ends the connection to make room for another one, before the client's stream header has named a domain.
 func (s *clientSession) Evict() { s.fail(resourceConstraint, "connect again") }
 
-// awaitHeader ends the session unless its stream header is received by a deadline.
+// awaitHeader ends the session unless the client's stream header is received by the deadline.
 func (s *clientSession) awaitHeader(deadline time.Time) {
 	s.headerDeadline = deadline
 	s.cancelTimer = s.front.loop.At(deadline, func() {
@@ -166,8 +166,8 @@
 	}
 }
 
-// abandon ends a session whose client closed its stream before the session was established: nobody waits for an answer
-// any more, and no other server may be tried for it.
+// abandon ends a session whose client closed its stream before the session was established. The client no longer waits
+// for an answer, so the core must not try another server.
 func (s *clientSession) abandon() {
 	s.front.Answers.Abandoned++
 	closing := ""
@@ -180,14 +180,15 @@
 	s.end(closing, trace.ClientEnded)
 }
 
-// end writes the last markup to the client and ends both sides.
+// end writes the given markup to the client as the last bytes and ends both sides.
 func (s *clientSession) end(markup string, reason trace.Close) {
 	isResumable := s.key.ID != ""
 	s.finish(reason)
 	s.client.Write([]byte(markup))
 	s.client.End()
 	if s.upstream != nil {
-		// The end of the stream would end a resumable session at its server, but its client may connect elsewhere.
+		// Closing the stream would end a resumable session at its server, but its client may still resume it on another
+		// connection.
 		s.upstream.finishStream(!isResumable)
 	}
 	if s.request != nil {
@@ -195,14 +196,14 @@
 	}
 }
 
-// finish marks the session as over and frees what it has.
+// finish marks the session as finished and frees its resources.
 func (s *clientSession) finish(reason trace.Close) {
-	s.over = true
+	s.finished = true
 	s.recordClose(reason)
-	s.front.disconnected(s, s.received.ended)
+	s.front.recordDisconnected(s, s.received.ended)
 	s.admission.Close()
 	s.replay = nil
-	s.greeting = nil
+	s.openingBytes = nil
 	s.authentication = nil
 	s.stopTimer()
 }
@@ -219,9 +220,9 @@
 	s.front.Trace.Closed(requestID, reason)
 }
 
-// OnEnd ends the server's side the way the client ended its own.
+// OnEnd ends the server's side in the same way as the client's side, orderly or by a reset.
 func (s *clientSession) OnEnd(err error) {
-	if s.over {
+	if s.finished {
 		return
 	}
 	if !s.established {
@@ -244,15 +245,15 @@
 	}
 }
 
-// OnDrained resumes reading from the server.
+// OnDrained resumes reading from the server once all bytes for the client are written.
 func (s *clientSession) OnDrained() {
-	if s.upstream != nil && !s.over {
+	if s.upstream != nil && !s.finished {
 		s.upstream.conn.Resume()
 	}
 }
 
-// sentPrefix returns the prefix of the stream's namespace in the stream header that the client has been sent: its
-// server's, or this node's.
+// sentPrefix returns the prefix of the stream's namespace in the stream header that the client has received, either
+// from its server or from this node.
 func (s *clientSession) sentPrefix() string {
 	if s.upstream != nil && s.upstream.received.prefix != "" {
 		return s.upstream.received.prefix
--- a/internal/xmpp/starttls.go
+++ b/internal/xmpp/starttls.go
@@ -10,8 +10,8 @@
 		"<stream:features><starttls xmlns='" + tlsNS + "'><required/></starttls></stream:features>"))
 }
 
-// startTLS starts TLS after <starttls/>. Bytes that follow it without TLS end the stream: an attacker could put them
-// there, to have them taken for the client's.
+// startTLS starts TLS after <starttls/>. Unencrypted bytes after it end the stream, because an attacker could have
+// injected them to make the front treat them as the client's.
 func (s *clientSession) startTLS(following []byte) {
 	if len(following) > 0 || len(s.received.pending) > 0 || !s.received.betweenStanzas() {
 		s.fail(policyViolation, "bytes behind <starttls/>")
@@ -25,12 +25,12 @@
 	s.headerPending = true
 	s.domainName = ""
 	s.stanza = xmlToken{}
-	secured := s.secure(now, s, xmppProtocol)
-	s.client = secured
-	s.socket.SetHandler(secured)
+	tlsConn := s.wrapInTLS(now, s, alpnXMPP)
+	s.client = tlsConn
+	s.socket.SetHandler(tlsConn)
 }
 
-// rejectStartTLS ends the stream of a client that asks for TLS where there is none, or where it is up already.
+// rejectStartTLS ends the stream of a client that requests TLS where it isn't available or is already in use.
 func (s *clientSession) rejectStartTLS() {
 	s.end("<failure xmlns='"+tlsNS+"'/></stream:stream>", trace.ClientBrokeProtocol)
 	s.front.Answers.Errors++
--- a/internal/xmpp/starttls_test.go
+++ b/internal/xmpp/starttls_test.go
@@ -10,8 +10,8 @@
 	"spurwinch/internal/loop"
 )
 
-// startFront starts a front that listens for clients and serves the domain farm.example, which has no core. It returns
-// the listener's address.
+// startFront starts a front that listens for clients and serves the domain farm.example without a core. It returns the
+// listener's address.
 func startFront(t *testing.T, security Security) string {
 	t.Helper()
 	eventLoop, err := loop.New()
@@ -41,13 +41,14 @@
 	return listener.Addr.String()
 }
 
-// TestCloseInsteadOfStartTLS has a client close its stream where it should start TLS: its stream is closed, too.
-func TestCloseInsteadOfStartTLS(t *testing.T) {
+// TestStreamEndsWhenClientClosesItInsteadOfStartingTLS checks that the front closes its stream, too, if the client
+// closes its stream where it should start TLS.
+func TestStreamEndsWhenClientClosesItInsteadOfStartingTLS(t *testing.T) {
 	conn, err := net.Dial("tcp", startFront(t, StartTLS))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // the server has ended it already
+	defer func() { _ = conn.Close() }() // the front has already closed its side
 	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -61,6 +62,6 @@
 	}
 	offered := strings.Contains(string(answer), "<starttls ")
 	if !offered || !strings.HasSuffix(string(answer), "</stream:features></stream:stream>") {
-		t.Errorf("got %q, wanted the offer of STARTTLS and the end of the stream", answer)
+		t.Errorf("read answer: got %q, want the offer of STARTTLS and the end of the stream", answer)
 	}
 }
--- a/internal/xmpp/streamerror.go
+++ b/internal/xmpp/streamerror.go
@@ -12,7 +12,7 @@
 type condition string
 
 const (
-	noCondition            condition = "" // the stream can go on
+	noCondition            condition = "" // the stream can continue
 	badFormat              condition = "bad-format"
 	conflict               condition = "conflict"
 	connectionTimeout      condition = "connection-timeout"
@@ -31,12 +31,12 @@
 	unsupportedVersion     condition = "unsupported-version"
 )
 
-// closeReason returns the reason under which a close by a stream error is counted.
+// closeReason returns the reason under which the trace counts a close by this stream error.
 func (c condition) closeReason() trace.Close {
 	return trace.Close("stream_error_" + strings.ReplaceAll(string(c), "-", "_"))
 }
 
-// localReplies has the stream error for each reason of a rejection by the core.
+// localReplies maps each reason for a rejection by the core to a stream error.
 var localReplies = map[edge.Why]struct {
 	condition condition
 	text      string
@@ -48,7 +48,7 @@
 	edge.DeadlinePassed: {connectionTimeout, "the session was not set up in time"},
 }
 
-// LocalReply gives the session its final answer in place of a server's.
+// LocalReply gives the session its final answer from this node instead of from a server.
 func (s *clientSession) LocalReply(reply edge.LocalReply) {
 	streamError, known := localReplies[reply.Why]
 	if !known || !reply.Rejected {
@@ -62,30 +62,31 @@
 	s.fail(streamError.condition, streamError.text)
 }
 
-// fail ends the session with a stream error. It does nothing once the session is over.
-func (s *clientSession) fail(bad condition, text string) {
-	if s.over {
+// fail ends the session with a stream error. It does nothing if the session is already finished.
+func (s *clientSession) fail(errorCondition condition, text string) {
+	if s.finished {
 		return
 	}
-	markup := s.errorMarkup(bad, text)
-	if s.upstream != nil && s.committed && !s.upstream.received.betweenStanzas() && s.upstream.partForwarded {
-		markup = "" // the client is inside a stanza: any markup would only garble it
+	markup := s.errorMarkup(errorCondition, text)
+	if s.upstream != nil && s.committed && !s.upstream.received.betweenStanzas() && s.upstream.partialStanzaForwarded {
+		markup = "" // the client is inside a stanza, which any further markup would corrupt
 	}
 	if !s.established {
 		s.front.Answers.Errors++
 	}
-	s.end(markup, bad.closeReason())
+	s.end(markup, errorCondition.closeReason())
 }
 
-// errorMarkup returns a stream error and the stream's end, after a stream header if the client waits for one.
-func (s *clientSession) errorMarkup(bad condition, text string) string {
+// errorMarkup returns a stream error and the end tag of the stream, preceded by a stream header if the client is
+// waiting for one.
+func (s *clientSession) errorMarkup(errorCondition condition, text string) string {
 	var markup strings.Builder
 	prefix := s.sentPrefix()
 	if s.headerPending {
 		prefix = "stream"
 		markup.WriteString(s.streamHeader(s.domainName, "xml:lang='en' "))
 	}
-	markup.WriteString("<" + prefix + ":error><" + string(bad) + " xmlns='" + streamErrorNS + "'/>")
+	markup.WriteString("<" + prefix + ":error><" + string(errorCondition) + " xmlns='" + streamErrorNS + "'/>")
 	if text != "" {
 		markup.WriteString("<text xmlns='" + streamErrorNS + "' xml:lang='en'>" + escape(text) + "</text>")
 	}
@@ -93,7 +94,7 @@
 	return markup.String()
 }
 
-// streamHeader returns a stream header of this node. The attributes, each followed by a space, are added to it.
+// streamHeader returns a stream header of this node with additional attributes, each of which must end with a space.
 func (s *clientSession) streamHeader(from, attributes string) string {
 	return "<?xml version='1.0'?><stream:stream from='" + escape(from) + "' id='" + s.front.newID() +
 		"' version='1.0' " + attributes + "xmlns='" + clientNS + "' xmlns:stream='" + streamNS + "'>"
--- a/internal/xmpp/token.go
+++ b/internal/xmpp/token.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-const maxAttributes = 64 // of one tag
+const maxAttributes = 64 // attributes of one tag
 
-// Depths of the elements that the front looks at. RFC 6120 calls the children of the root stanzas, or elements of the
-// stream; here each of them is a stanza.
+// Depths of the elements that the front inspects. RFC 6120 distinguishes stanzas from other children of the root; this
+// package calls every child of the root a stanza.
 const (
 	rootDepth   = 1
 	stanzaDepth = 2
-	childDepth  = 3 // of a stanza's own children
+	childDepth  = 3 // children of a stanza
 )
 
 type tokenKind uint8
@@ -24,15 +24,15 @@
 	textToken // text, or a CDATA section
 )
 
-// xmlToken is one piece of markup or text. Its raw bytes are valid until the scanner's next call.
+// xmlToken is one piece of markup or text. Its raw bytes are valid until the next call of the scanner.
 type xmlToken struct {
 	kind        tokenKind
 	raw         []byte
 	name        string
 	attributes  []xmlAttribute
-	selfClosing bool // an element without content
-	depth       int  // of the element; of text: how many elements are open around it
-	endsStanza  bool // a stanza, or the root, is complete with this token
+	selfClosing bool // the tag ends with "/>", so the element has no content
+	depth       int  // depth of the element; for text, the number of open elements around it
+	endsStanza  bool // the token completes a stanza or the root element
 }
 
 type xmlAttribute struct{ name, value string }
@@ -40,14 +40,14 @@
 // starts reports whether the token is the start tag of an element at a depth.
 func (t *xmlToken) starts(depth int) bool { return t.kind == startToken && t.depth == depth }
 
-// isElement reports whether the token names an element by its local name and its own declaration of a namespace.
+// isElement reports whether the token has the local name and itself declares the namespace as its default namespace.
 func (t *xmlToken) isElement(local, namespace string) bool {
 	return localName(t.name) == local && t.attribute("xmlns") == namespace
 }
 
 func (t *xmlToken) isBlank() bool { return t.kind == textToken && len(bytes.TrimSpace(t.raw)) == 0 }
 
-// attribute returns the value of an attribute, empty where the tag has none of the name.
+// attribute returns the value of the named attribute, or an empty string if the tag doesn't have it.
 func (t *xmlToken) attribute(name string) string {
 	for _, attribute := range t.attributes {
 		if attribute.name == name {
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// parseTag parses a whole tag, from "<" to ">".
+// parseTag parses a complete tag, from "<" to ">".
 func parseTag(raw []byte) (token xmlToken, ok bool) {
 	token = xmlToken{kind: startToken, raw: raw}
 	content := raw[1 : len(raw)-1]
@@ -76,16 +76,16 @@
 	token.name = string(content[:size])
 	content = content[size:]
 	for {
-		unspaced := trimSpace(content)
-		if len(unspaced) == 0 {
+		trimmed := trimSpace(content)
+		if len(trimmed) == 0 {
 			return token, true
 		}
-		separated := len(unspaced) < len(content)
+		separated := len(trimmed) < len(content)
 		if !separated || token.kind == endToken || len(token.attributes) == maxAttributes {
 			return token, false
 		}
-		next, rest, ok := parseAttribute(unspaced)
-		if !ok || token.has(next.name) {
+		next, rest, ok := parseAttribute(trimmed)
+		if !ok || token.hasAttribute(next.name) {
 			return token, false
 		}
 		token.attributes = append(token.attributes, next)
@@ -93,7 +93,7 @@
 	}
 }
 
-// parseAttribute parses the attribute that content begins with, and returns what follows it.
+// parseAttribute parses the attribute at the start of content and returns the bytes after it.
 func parseAttribute(content []byte) (parsed xmlAttribute, rest []byte, ok bool) {
 	size := nameSize(content)
 	if size == 0 {
@@ -118,7 +118,7 @@
 	return parsed, content[size+1:], true
 }
 
-func (t *xmlToken) has(attributeName string) bool {
+func (t *xmlToken) hasAttribute(attributeName string) bool {
 	for _, attribute := range t.attributes {
 		if attribute.name == attributeName {
 			return true
@@ -127,7 +127,8 @@
 	return false
 }
 
-// tagEnd returns the index of the ">" that ends a tag, past quoted values; -1: it has not been received.
+// tagEnd returns the index of the ">" that ends a tag, ignoring quoted values. It returns -1 if the end has not been
+// received.
 func tagEnd(data []byte) int {
 	quote := byte(0)
 	for i, b := range data {
@@ -145,7 +146,7 @@
 	return -1
 }
 
-// nameSize counts the bytes of the name that data begins with.
+// nameSize returns the size in bytes of the name at the start of data.
 func nameSize(data []byte) int {
 	for i, b := range data {
 		switch {
--- a/internal/xmpp/transfer.go
+++ b/internal/xmpp/transfer.go
@@ -10,19 +10,19 @@
 	"spurwinch/internal/trace"
 )
 
-// Errors of a connection's state that another process has sent.
+// Errors in the state of a connection that another process has sent.
 var (
-	// ErrStreamOverLimits is a stream that this node's limits don't allow.
-	ErrStreamOverLimits = errors.New("a stream that this node's limits don't allow")
-	// ErrSocketCount is a connection that came with fewer or more sockets than it has.
+	// ErrStreamOverLimits reports a stream that exceeds this node's limits.
+	ErrStreamOverLimits = errors.New("stream exceeds this node's limits")
+	// ErrSocketCount reports a connection that was sent with too few or too many sockets.
 	ErrSocketCount = errors.New("wrong number of sockets")
-	// ErrIncompleteSession is a state in which the client's and the server's side don't fit together.
+	// ErrIncompleteSession reports a state whose client's side and server's side don't match.
 	ErrIncompleteSession = errors.New("incomplete session")
 )
 
-// ScannerState is the state of a scanner.
+// ScannerState is the encoded state of a scanner.
 type ScannerState struct {
-	Pending  []byte   `cbor:"1,keyasint,omitempty"` // an unfinished token
+	Pending  []byte   `cbor:"1,keyasint,omitempty"` // bytes of an unfinished token
 	Elements []string `cbor:"2,keyasint,omitempty"` // names of the open elements, the root first
 	Prefix   string   `cbor:"3,keyasint,omitempty"`
 	Size     int      `cbor:"4,keyasint,omitempty"`
@@ -31,18 +31,19 @@
 	Restart  bool     `cbor:"7,keyasint,omitempty"`
 }
 
-// ConnectionState is what the front knows of a client's connection, as one process of a node sends it to another at a
-// hot restart. An established session has a server's side; any other connection has not sent a whole stream header yet.
+// ConnectionState is the front's state of a client's connection, which one process of a node sends to another at a hot
+// restart. An established session also has the server's side. The client of any other connection has not sent a
+// complete stream header yet.
 type ConnectionState struct {
 	Conn           loop.ConnectionState `cbor:"1,keyasint"`
 	Received       ScannerState         `cbor:"2,keyasint"`
 	Domain         string               `cbor:"3,keyasint,omitempty"` // as the client wrote it in its stream header
-	Server         *ServerState         `cbor:"4,keyasint,omitempty"` // nil: no session is established
-	HeaderDeadline int64                `cbor:"5,keyasint,omitempty"` // Unix ns, read if HeaderTimeLeft is 0
-	HeaderTimeLeft int64                `cbor:"8,keyasint,omitempty"` // until that deadline, in ns
-	HeaderPending  bool                 `cbor:"6,keyasint,omitempty"` // the client waits for a stream header
+	Server         *ServerState         `cbor:"4,keyasint,omitempty"` // nil if no session is established
+	HeaderDeadline int64                `cbor:"5,keyasint,omitempty"` // Unix ns, used if HeaderTimeLeft is 0
+	HeaderTimeLeft int64                `cbor:"8,keyasint,omitempty"` // ns until that deadline
+	HeaderPending  bool                 `cbor:"6,keyasint,omitempty"` // the client is waiting for a stream header
 
-	Resumable *resumable.Session `cbor:"7,keyasint,omitempty"` // that its client can resume
+	Resumable *resumable.Session `cbor:"7,keyasint,omitempty"` // the session that the client can resume, if any
 }
 
 // ServerState is the server's side of an established session.
@@ -52,29 +53,29 @@
 	MidStanza bool                 `cbor:"3,keyasint,omitempty"` // an unfinished stanza has been forwarded
 }
 
-// state returns what another process needs to go on with the scanner.
+// state returns the state that another process needs to continue the scan.
 func (s *scanner) state() ScannerState {
 	return ScannerState{
-		Pending: s.pending, Elements: s.elements, Prefix: s.prefix, Size: s.size,
-		Started: s.started, Ended: s.ended, Restart: s.restart,
+		Pending: s.pending, Elements: s.elements, Prefix: s.prefix, Size: s.stanzaBytes,
+		Started: s.started, Ended: s.ended, Restart: s.mayRestart,
 	}
 }
 
-// restoreScanner returns a scanner in a state that passed checkStream.
+// restoreScanner returns a scanner with the given state, which must have passed checkStream.
 func (f *Front) restoreScanner(state ScannerState) scanner {
 	return scanner{
-		maxBytes: f.limits.MaxStanzaBytes,
-		pending:  state.Pending,
-		elements: state.Elements,
-		prefix:   state.Prefix,
-		size:     state.Size,
-		started:  state.Started,
-		ended:    state.Ended,
-		restart:  state.Restart,
+		maxBytes:    f.limits.MaxStanzaBytes,
+		pending:     state.Pending,
+		elements:    state.Elements,
+		prefix:      state.Prefix,
+		stanzaBytes: state.Size,
+		started:     state.Started,
+		ended:       state.Ended,
+		mayRestart:  state.Restart,
 	}
 }
 
-// checkStream checks the state of a scanner of another process.
+// checkStream checks the state of another process's scanner against this node's limits.
 func (f *Front) checkStream(state ScannerState) error {
 	maxBytes := f.limits.MaxStanzaBytes
 	isSizeValid := state.Size >= 0 && state.Size <= maxBytes+len(state.Pending)
@@ -84,37 +85,38 @@
 	return nil
 }
 
-// Detach takes both sides of an established session off the loop. A session below TLS or WebSocket stays: keys can't be
-// passed on, and messages may be incomplete. So does one that is about to end.
+// Detach removes both sides of an established session from the event loop. It refuses a session that uses TLS, whose
+// keys can't be passed on, a session that uses WebSocket, whose messages may be incomplete, and a session that is about
+// to end.
 func (s *clientSession) Detach() (fds []int, state any, ok bool) {
 	server := s.upstream
-	if s.layered || s.over || !s.established || s.migrating {
+	if s.layered || s.finished || !s.established || s.migrating {
 		return nil, nil, false
 	}
-	if server == nil || server.over || len(server.held) > 0 {
+	if server == nil || server.finished || len(server.unforwarded) > 0 {
 		return nil, nil, false
 	}
-	standing := ConnectionState{
+	connectionState := ConnectionState{
 		Received: s.received.state(), Domain: s.domainName, HeaderPending: s.headerPending,
-		Server: &ServerState{Received: server.received.state(), MidStanza: server.partForwarded},
+		Server: &ServerState{Received: server.received.state(), MidStanza: server.partialStanzaForwarded},
 	}
 	if known, ok := s.front.resumable.Find(s.front.loop.Now(), s.key); ok {
-		standing.Resumable = &known
+		connectionState.Resumable = &known
 	}
 	fds = make([]int, 2)
-	fds[0], standing.Conn, ok = s.socket.Detach()
+	fds[0], connectionState.Conn, ok = s.socket.Detach()
 	if !ok {
 		return nil, nil, false
 	}
-	fds[1], standing.Server.Conn, ok = server.conn.Detach()
+	fds[1], connectionState.Server.Conn, ok = server.conn.Detach()
 	if !ok {
 		s.socket.Reattach()
 		return nil, nil, false
 	}
-	return fds, standing, true
+	return fds, connectionState, true
 }
 
-// Reattach puts a detached session on the loop again.
+// Reattach adds a detached session to the event loop again.
 func (s *clientSession) Reattach() {
 	s.socket.Reattach()
 	if s.upstream != nil {
@@ -122,39 +124,39 @@
 	}
 }
 
-// Release closes this process's descriptors of a detached session that another process has taken.
+// Release closes this process's descriptors of a detached session that another process has taken over.
 func (s *clientSession) Release() {
-	// The resumable session is the other process's to know.
-	delete(s.front.owners, s.key)
+	// From now on the other process keeps the record of the resumable session.
+	delete(s.front.connectedSessions, s.key)
 	s.front.resumable.Forget(s.key)
 	s.key = resumable.Key{}
 	s.finish(trace.Transferred)
 	s.socket.Release()
 	if s.upstream != nil {
-		s.upstream.over = true
+		s.upstream.finished = true
 		s.upstream.conn.Release()
 	}
 }
 
-// IdleConnection is a connection whose stream header has not been received whole.
+// IdleConnection is a connection whose stream header has not been received completely.
 type IdleConnection struct{ session *clientSession }
 
-// IdleConnections lists the connections whose stream header has not been received whole, the oldest first.
+// IdleConnections returns the connections whose stream header has not been received completely, the oldest first.
 func (f *Front) IdleConnections() []IdleConnection {
 	var connections []IdleConnection
 	f.loop.EachIdle(func(handler loop.Handler) {
 		session, ok := handler.(*clientSession)
-		if ok && session.front == f && !session.over && session.request == nil {
+		if ok && session.front == f && !session.finished && session.request == nil {
 			connections = append(connections, IdleConnection{session})
 		}
 	})
 	return connections
 }
 
-// Detach takes the connection off the loop.
+// Detach removes the connection from the event loop.
 func (i IdleConnection) Detach() (fds []int, state any, ok bool) {
 	session := i.session
-	if session.over || session.request != nil || session.awaitsStartTLS || session.layered {
+	if session.finished || session.request != nil || session.awaitsStartTLS || session.layered {
 		return nil, nil, false
 	}
 	fd, conn, ok := session.socket.Detach()
@@ -170,18 +172,19 @@
 	}, true
 }
 
-// Reattach puts a detached connection on the loop again.
+// Reattach adds a detached connection to the event loop again.
 func (i IdleConnection) Reattach() {
 	i.session.Reattach()
 	i.session.awaitHeader(i.session.headerDeadline)
 }
 
-// Release closes this process's descriptor of a detached connection that another process has taken.
+// Release closes this process's descriptor of a detached connection that another process has taken over.
 func (i IdleConnection) Release() { i.session.Release() }
 
-// PrepareRestore checks the whole state of a connection of another process, which readState decodes. The function that
-// it returns restores the connection here. It takes the descriptors of the client's side and, of an established
-// session, the server's; open is the core's state of such a session.
+// PrepareRestore decodes the state of another process's connection with readState and checks it completely. It returns
+// a function that restores the connection in this process. The descriptors fds are those of the client's side and, for
+// an established session, of the server's side. The argument open is the core's state of an established session, and
+// nil for any other connection.
 func (f *Front) PrepareRestore(
 	core *edge.Core, open *edge.ConnectionState, readState func(into any) error, fds []int,
 ) (restore func(), err error) {
@@ -198,20 +201,20 @@
 	return func() { f.restoreSession(core, *open, state, fds) }, nil
 }
 
-// checkState checks a connection's state against this node's limits, and its parts against each other.
+// checkState checks that a connection's state conforms to this node's limits and that its parts are consistent.
 func (f *Front) checkState(state ConnectionState, established bool, sockets int) error {
 	if err := f.checkStream(state.Received); err != nil {
 		return err
 	}
-	wanted := 1
+	wantSockets := 1
 	if state.Server != nil {
-		wanted = 2
+		wantSockets = 2
 		if err := f.checkStream(state.Server.Received); err != nil {
 			return err
 		}
 	}
-	if sockets != wanted {
-		return fmt.Errorf("%d sockets of a connection that has %d: %w", sockets, wanted, ErrSocketCount)
+	if sockets != wantSockets {
+		return fmt.Errorf("got %d sockets of a connection, want %d: %w", sockets, wantSockets, ErrSocketCount)
 	}
 	if established != (state.Server != nil) {
 		return ErrIncompleteSession
@@ -222,7 +225,7 @@
 	return nil
 }
 
-// restoreSession goes on with an established session of another process.
+// restoreSession continues an established session of another process.
 func (f *Front) restoreSession(core *edge.Core, open edge.ConnectionState, state ConnectionState, fds []int) {
 	session := &clientSession{
 		front:         f,
@@ -235,16 +238,16 @@
 	session.request, session.attempt = core.Adopt(open, session)
 	session.upstream = &upstreamRequest{
 		session: session, attempt: session.attempt, received: f.restoreScanner(state.Server.Received), begun: true,
-		partForwarded: state.Server.MidStanza,
+		partialStanzaForwarded: state.Server.MidStanza,
 	}
 	session.upstream.conn = f.loop.Restore(fds[1], state.Server.Conn, session.upstream)
 	session.attempt.Resume(session.upstream)
 	if state.Resumable != nil {
 		session.user = state.Resumable.User
-		session.connected(*state.Resumable)
+		session.recordConnected(*state.Resumable)
 	}
-	session.restoreClient(fds[0], state.Conn, f.configuredName(session.domain()))
-	if len(state.Conn.Out) == 0 { // else the server's side is read once these bytes have gone to the kernel
+	session.restoreClient(fds[0], state.Conn, f.configuredName(session.domainKey()))
+	if len(state.Conn.Out) == 0 { // otherwise OnDrained resumes reading once these bytes are written to the kernel
 		session.upstream.conn.Resume()
 	}
 	if len(state.Server.Conn.Out) == 0 {
@@ -252,7 +255,7 @@
 	}
 }
 
-// restoreIdle goes on with a connection of another process whose stream header has not been received whole.
+// restoreIdle continues a connection of another process whose stream header has not been received completely.
 func (f *Front) restoreIdle(state ConnectionState, fd int) {
 	f.Answers.Sessions++
 	session := &clientSession{front: f, received: f.restoreScanner(state.Received), headerPending: true}
@@ -262,7 +265,7 @@
 	session.awaitHeader(deadline)
 }
 
-// restoreClient sets the client's side of a connection of another process.
+// restoreClient restores the client's side of a connection of another process.
 func (s *clientSession) restoreClient(fd int, state loop.ConnectionState, configuredDomain string) {
 	s.socket = s.front.loop.Restore(fd, state, s)
 	s.client = s.socket
--- a/internal/xmpp/upstream.go
+++ b/internal/xmpp/upstream.go
@@ -12,31 +12,32 @@
 	"go.uber.org/zap"
 )
 
-// upstreamRequest is one attempt: the connection to an XMPP server that a session tries or uses.
+// upstreamRequest is one attempt, which is a connection to an XMPP server that a session tries or uses.
 //
-// Until the session is established its bytes are held back to the end of each stanza, so that the session's one answer
-// can always be put between two of them. The stream header and the first stanza are forwarded together: an error in
-// their place is the server's rejection, and another server may be tried.
+// Until the session is established, the server's bytes are held back to the end of each stanza, so that the front can
+// always insert the session's final answer between two stanzas. The stream header and the first stanza are forwarded
+// together, because an error in place of the first stanza is the server's rejection, and the core may then try another
+// server.
 type upstreamRequest struct {
 	session  *clientSession
 	attempt  *edge.Attempt
 	conn     *loop.Conn
 	received scanner // the server's stream
 	begun    bool    // the client's bytes have been sent
-	over     bool
-
-	held          []byte   // received, and not forwarded yet
-	partForwarded bool     // an unfinished stanza has been forwarded
-	stanza        xmlToken // the present stanza of the server: its local name and attributes
-	streamError   condition
-	redirect      []byte // the address in a see-other-host
-	sasl2Bound    bool   // in a SASL2 success: the resource is bound, or the session resumed (XEP-0386, XEP-0198)
+	finished bool
+
+	unforwarded            []byte   // bytes received but not forwarded yet
+	partialStanzaForwarded bool     // an unfinished stanza has been forwarded
+	stanza                 xmlToken // local name and attributes of the server's current stanza
+	streamError            condition
+	redirect               []byte // address in the server's see-other-host
+	sasl2Bound             bool   // a SASL2 success binds the resource or resumes the session (XEP-0386, XEP-0198)
 }
 
-// OnConnect sends the server all that the client has sent so far.
+// OnConnect sends the server all bytes that the client has sent so far.
 func (u *upstreamRequest) OnConnect() {
 	u.attempt.Connected()
-	u.session.socket.ReadAvailable() // the client may have ended meanwhile
+	u.session.socket.ReadAvailable() // the client may have ended its side in the meantime
 	if !u.attempt.Begin() {
 		return
 	}
@@ -45,75 +46,75 @@
 	u.reportWritten()
 }
 
-// reportWritten tells the core once all that the client had sent is written.
+// reportWritten tells the core when all bytes that the client had sent are written.
 func (u *upstreamRequest) reportWritten() {
 	if u.begun && u.conn.Sent() {
 		u.attempt.Written()
 	}
 }
 
-// OnData takes bytes of the server.
+// OnData handles bytes of the server.
 func (u *upstreamRequest) OnData(data []byte) {
-	if u.over {
+	if u.finished {
 		return
 	}
-	_, bad := u.received.feed(data, func(token xmlToken) bool {
-		u.receive(token)
-		return !u.over
+	_, errorCondition := u.received.feed(data, func(token xmlToken) bool {
+		u.handleToken(token)
+		return !u.finished
 	})
-	if u.over {
+	if u.finished {
 		return
 	}
-	if u.session.established && len(u.held) > 0 {
-		u.partForwarded = !u.received.betweenStanzas()
+	if u.session.established && len(u.unforwarded) > 0 {
+		u.partialStanzaForwarded = !u.received.betweenStanzas()
 		u.forward()
 	}
-	if bad != noCondition {
-		u.failProtocol("sent what is no XMPP stream: " + string(bad))
+	if errorCondition != noCondition {
+		u.failProtocol("sent an invalid XMPP stream: " + string(errorCondition))
 	}
 }
 
-// commit notes that the client is about to get bytes of this server: no other can take over.
+// commit records that the client is about to receive bytes of this server, so that no other server can take over.
 func (u *upstreamRequest) commit() {
 	session := u.session
 	if session.committed {
 		return
 	}
-	if !session.authenticationSeen && len(session.replay) <= maxGreeting {
-		session.greeting = session.replay
+	if !session.authenticationSeen && len(session.replay) <= maxOpeningBytes {
+		session.openingBytes = session.replay
 	}
 	session.committed = true
 	session.replay = nil
 	u.attempt.Commit()
 }
 
-// forward sends the bytes held back to the client.
+// forward sends the client the bytes that were held back.
 func (u *upstreamRequest) forward() {
 	session := u.session
-	if session.over {
+	if session.finished {
 		return
 	}
-	if len(u.held) > 0 {
+	if len(u.unforwarded) > 0 {
 		session.headerPending = false
-		session.client.Write(u.held)
-		u.held = u.held[:0]
+		session.client.Write(u.unforwarded)
+		u.unforwarded = u.unforwarded[:0]
 	}
 	if session.client.Full() {
 		u.conn.Pause()
 	}
 }
 
-// failProtocol ends the connection to a server that broke the protocol.
+// failProtocol ends the connection to a server that violated the protocol.
 func (u *upstreamRequest) failProtocol(cause string) {
 	zap.L().Warn("host_stream_unreadable",
 		zap.String("host", string(u.attempt.Server.ID)),
 		zap.String("cause", cause))
-	u.lose(choice.Failed)
+	u.dropServer(choice.Failed)
 }
 
-// lose ends the connection to a server that is of no more use. Before the session is established the core tries another
-// one, or answers.
-func (u *upstreamRequest) lose(outcome choice.Outcome) {
+// dropServer ends the connection to a server that can no longer be used. It ends an established session with a stream
+// error; before that, the core tries another server or gives the final answer.
+func (u *upstreamRequest) dropServer(outcome choice.Outcome) {
 	if u.session.established {
 		u.session.fail(remoteConnectionFailed, "the server was lost")
 		return
@@ -121,19 +122,19 @@
 	u.fail(outcome)
 }
 
-// fail ends the attempt with an outcome.
+// fail ends the attempt with the given outcome.
 func (u *upstreamRequest) fail(outcome choice.Outcome) {
-	u.over = true
+	u.finished = true
 	u.conn.Cancel()
 	u.attempt.Ended(outcome, nil)
 }
 
-// finish ends the connection after its client's has ended.
+// finish ends the connection after the client's connection has ended.
 func (u *upstreamRequest) finish(reset bool) {
-	if u.over {
+	if u.finished {
 		return
 	}
-	u.over = true
+	u.finished = true
 	if reset {
 		u.conn.Abort()
 	} else {
@@ -141,10 +142,10 @@
 	}
 }
 
-// finishStream ends the connection where the front, not the client, ends a session. If the stream is to be closed too,
-// that is done in the client's place.
+// finishStream ends the connection of a session that the front, not the client, ends. With closeStream, it first closes
+// the stream on behalf of the client.
 func (u *upstreamRequest) finishStream(closeStream bool) {
-	if u.over {
+	if u.finished {
 		return
 	}
 	fromClient := &u.session.received
@@ -155,23 +156,23 @@
 	u.finish(false)
 }
 
-// GiveUp ends the attempt for the core. What is half written before the session is established stays half: the core
-// counts the attempt as one that has not run.
+// GiveUp ends the attempt on behalf of the core. Before the session is established it doesn't finish a partial write,
+// because the core counts the attempt as one that has not run.
 func (u *upstreamRequest) GiveUp() {
-	if u.over || u.session.established {
+	if u.finished || u.session.established {
 		u.finish(false)
 		return
 	}
-	u.over = true
+	u.finished = true
 	u.conn.Cancel()
 }
 
-// OnEnd reports the outcome of a connection that failed or ended.
+// OnEnd reports the outcome of a connection that has failed or ended.
 func (u *upstreamRequest) OnEnd(err error) {
-	if u.over {
+	if u.finished {
 		return
 	}
-	u.over = true
+	u.finished = true
 	sent := u.conn.Sent()
 	orderly := errors.Is(err, io.EOF)
 	if u.session.established {
@@ -191,7 +192,7 @@
 	}
 }
 
-// endEstablished ends the client's side the way the server ended its own.
+// endEstablished ends the client's side in the same way as the server's side, orderly or by a reset.
 func (u *upstreamRequest) endEstablished(orderly bool) {
 	reason := trace.ServerReset
 	if orderly {
@@ -207,10 +208,10 @@
 	}
 }
 
-// OnDrained resumes reading from the client.
+// OnDrained resumes reading from the client once all bytes for the server are written.
 func (u *upstreamRequest) OnDrained() {
 	u.reportWritten()
-	if !u.session.over {
+	if !u.session.finished {
 		u.session.client.Resume()
 	}
 }
--- a/internal/xmpp/websocket.go
+++ b/internal/xmpp/websocket.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	subprotocol = "xmpp" // of WebSocket (RFC 7395, section 3.1)
-	openName    = "open"
-	closeName   = "close"
+	subprotocol  = "xmpp" // WebSocket subprotocol (RFC 7395, section 3.1)
+	openElement  = "open"
+	closeElement = "close"
 )
 
-// messageConn translates between the messages of a WebSocket client (RFC 7395), each of which is one element, and the
-// stream that a session reads and writes.
+// messageConn translates between the messages of a WebSocket client (RFC 7395) and the stream that a session reads and
+// writes. Each message is one element.
 type messageConn struct {
 	session   *clientSession
 	webSocket *websocket.Conn
-	received  scanner // of the stream that the client's messages make up: each must leave it between stanzas
-	sent      scanner // of the stream that the session writes
-	stanza    []byte  // of the session, as far as it was written
+	received  scanner // stream formed by the client's messages, each of which must end between stanzas
+	sent      scanner // stream that the session writes
+	stanza    []byte  // stanza of the session, as far as written so far
 	closeSent bool
 }
 
 var _ loop.Handler = (*messageConn)(nil)
 
-// newMessageConn returns the connection that the session is to use. Bytes below WebSocket go to its webSocket.
+// newMessageConn returns the connection for the session to use. Its webSocket handles the bytes of the layer below.
 func (s *clientSession) newMessageConn() *messageConn {
 	m := &messageConn{session: s, received: s.front.newScanner(), sent: s.front.newScanner()}
-	m.received.restart = true
-	m.sent.restart = true
+	m.received.mayRestart = true
+	m.sent.mayRestart = true
 	afterCallback := func(run func()) { s.front.loop.At(s.front.loop.Now(), run) }
 	m.webSocket = websocket.Server(subprotocol, s.front.limits.MaxStanzaBytes, afterCallback, m)
 	return m
 }
 
-// OnConnect does nothing: the connection was accepted, not dialled.
+// OnConnect does nothing, because the connection was accepted, not dialled.
 func (m *messageConn) OnConnect() {}
 
-// OnDrained tells the session that all written bytes have gone to the kernel.
+// OnDrained tells the session that all written bytes are with the kernel.
 func (m *messageConn) OnDrained() { m.session.OnDrained() }
 
-// Evict has the session give up its place for another connection.
+// Evict ends the session to make room for another connection.
 func (m *messageConn) Evict() { m.session.Evict() }
 
 // OnEnd tells the session that its client has ended.
 func (m *messageConn) OnEnd(err error) { m.session.OnEnd(err) }
 
-// OnData takes a message.
+// OnData handles a message of the client.
 func (m *messageConn) OnData(message []byte) {
 	message = bytes.TrimSpace(message)
-	if len(message) == 0 { // a keepalive
+	if len(message) == 0 { // an empty message is a keepalive
 		return
 	}
 	markup, errorText := fromMessage(message)
@@ -60,22 +60,23 @@
 		m.session.fail(badFormat, errorText)
 		return
 	}
-	m.received.restart = m.received.restart || m.received.betweenStanzas()
-	// Each message is one whole element (RFC 7395, section 3.3.3): an open one would have the next read inside it.
-	_, bad := m.received.feed(markup, func(xmlToken) bool { return true })
-	if bad == noCondition && (len(m.received.pending) > 0 || !m.received.betweenStanzas()) {
-		bad = badFormat
+	m.received.mayRestart = m.received.mayRestart || m.received.betweenStanzas()
+	// Each message is one complete element (RFC 7395, section 3.3.3). The next message would be read inside an element
+	// that was left open.
+	_, errorCondition := m.received.feed(markup, func(xmlToken) bool { return true })
+	if errorCondition == noCondition && (len(m.received.pending) > 0 || !m.received.betweenStanzas()) {
+		errorCondition = badFormat
 	}
-	if bad != noCondition {
-		m.session.fail(bad, "")
+	if errorCondition != noCondition {
+		m.session.fail(errorCondition, "")
 		return
 	}
 	m.session.OnData(markup)
 }
 
-// fromMessage returns the markup of a stream that a message stands for, or the text of an error.
+// fromMessage returns the markup of the stream that corresponds to a message, or the text of a stream error.
 func fromMessage(message []byte) (markup []byte, errorText string) {
-	if bytes.HasPrefix(message, []byte("<"+openName)) || bytes.HasPrefix(message, []byte("<"+closeName)) {
+	if bytes.HasPrefix(message, []byte("<"+openElement)) || bytes.HasPrefix(message, []byte("<"+closeElement)) {
 		return fromFraming(message)
 	}
 	for _, markup := range []string{"<?", "</", "<stream:stream"} {
@@ -86,21 +87,22 @@
 	return message, ""
 }
 
-// fromFraming returns the stream header that an <open/> stands for, or the end tag that a <close/> does.
+// fromFraming returns the stream header that corresponds to an <open/>, or the end tag that corresponds to a <close/>.
+// If the element is invalid, it returns the text of a stream error.
 func fromFraming(message []byte) (markup []byte, errorText string) {
 	token, ok := parseTag(message)
 	isEmpty := token.selfClosing || bytes.HasSuffix(message, []byte("/>"))
 	if !ok || token.kind != startToken || token.attribute("xmlns") != framingNS || !isEmpty {
 		return nil, "a framing element that can't be read"
 	}
-	if token.name == closeName {
+	if token.name == closeElement {
 		return []byte(streamEnd("stream")), ""
 	}
 	opening := "<stream:stream xmlns='" + clientNS + "' xmlns:stream='" + streamNS + "'"
 	return []byte(opening + token.copyAttributes("to", "from", "version", "xml:lang") + ">"), ""
 }
 
-// copyAttributes returns the markup of those of the named attributes that the tag has.
+// copyAttributes returns the markup of the named attributes, without those that the tag doesn't have.
 func (t *xmlToken) copyAttributes(names ...string) string {
 	var markup strings.Builder
 	for _, name := range names {
@@ -111,10 +113,11 @@
 	return markup.String()
 }
 
-// Write takes what the session sends its client, and sends each stanza as a message.
+// Write sends each stanza of the bytes that the session writes to its client as one message.
 func (m *messageConn) Write(data []byte) {
-	m.sent.restart = m.sent.restart || m.sent.betweenStanzas()
-	// The bytes are the front's own, or have passed the scanner of the server's stream: no condition is expected.
+	m.sent.mayRestart = m.sent.mayRestart || m.sent.betweenStanzas()
+	// No condition is expected, because the bytes are the front's own or have passed the scanner of the server's
+	// stream.
 	_, _ = m.sent.feed(data, func(token xmlToken) bool {
 		m.writeToken(token)
 		return true
@@ -135,17 +138,17 @@
 
 func (m *messageConn) writeOpen(token xmlToken) {
 	attributes := token.copyAttributes("from", "to", "id", "version", "xml:lang")
-	m.webSocket.Write([]byte("<" + openName + " xmlns='" + framingNS + "'" + attributes + "/>"))
+	m.webSocket.Write([]byte("<" + openElement + " xmlns='" + framingNS + "'" + attributes + "/>"))
 }
 
 func (m *messageConn) writeClose() {
 	if !m.closeSent {
 		m.closeSent = true
-		m.webSocket.Write([]byte("<" + closeName + " xmlns='" + framingNS + "'/>"))
+		m.webSocket.Write([]byte("<" + closeElement + " xmlns='" + framingNS + "'/>"))
 	}
 }
 
-// writeStanza collects the tokens of a stanza and sends them once it is complete.
+// writeStanza collects the tokens of a stanza and sends the stanza once it is complete.
 func (m *messageConn) writeStanza(token xmlToken) {
 	if token.starts(stanzaDepth) {
 		m.stanza = append(m.stanza, withNamespace(token)...)
@@ -158,8 +161,8 @@
 	}
 }
 
-// withNamespace returns a stanza's start tag with a declaration of the namespace that its name has from the root: a
-// message has no root.
+// withNamespace returns a stanza's start tag with a declaration of the namespace that the stream's root element
+// declares for it, because a message has no root element.
 func withNamespace(token xmlToken) []byte {
 	declaration := "xmlns"
 	namespace := clientNS
@@ -179,7 +182,7 @@
 	return append(tag, token.raw[nameEnd:]...)
 }
 
-// End ends the connection. What the session wrote has closed the stream already, unless the client is inside a stanza.
+// End ends the connection. The session has already closed the stream, unless the client is inside a stanza.
 func (m *messageConn) End() { m.webSocket.End() }
 
 // Abort resets the connection.
@@ -188,11 +191,11 @@
 // Pause stops reading.
 func (m *messageConn) Pause() { m.webSocket.Pause() }
 
-// Resume goes on reading.
+// Resume resumes reading.
 func (m *messageConn) Resume() { m.webSocket.Resume() }
 
-// Full reports whether so much waits to be sent that the writer should pause.
+// Full reports whether so many bytes are waiting to be sent that the writer should pause.
 func (m *messageConn) Full() bool { return m.webSocket.Full() }
 
-// LeaveIdleQueue says that the client has named its domain: the connection is not evicted any more.
+// LeaveIdleQueue exempts the connection from eviction, because the client has named its domain.
 func (m *messageConn) LeaveIdleQueue() { m.webSocket.LeaveIdleQueue() }
