--- a/choice/settings.go
+++ b/choice/settings.go
@@ -156,15 +156,15 @@
 type Rules struct {
 	AnswerSlack       time.Duration // how long after its deadline a request may be answered
 	MaxPollInterval   time.Duration // longest time between polls for a list that is unavailable
-	DrainGrace        time.Duration // time after a change to draining from which a server gets no new connection
+	DrainGrace        time.Duration // how long a server may still get new connections after it began to drain
 	SlowStartFraction float64       // minimum fraction of its capacity with which a server starts
 	WarmUp            time.Duration // time from the start until a server has its complete capacity
-	OverloadMultiple  float64       // a server fails if it is sent more than this multiple of its capacity
-	OverloadTime      time.Duration // for at least this time
+	OverloadMultiple  float64       // a server fails if sent more than this multiple of its capacity for OverloadTime
+	OverloadTime      time.Duration // how long such an overload must last before the server fails
 }
 
-// Costs has the cost of one unit of each activity as a fraction of the service. The package uses only HealthCheck and
-// PeerMessage.
+// Costs has the costs of activities, each as the fraction of the service that one unit of the activity costs. The
+// package uses only HealthCheck and PeerMessage.
 type Costs struct {
 	HealthCheck float64
 	Migration   float64
@@ -176,9 +176,9 @@
 
 var (
 	// ErrNoClasses is returned for settings without a request class.
-	ErrNoClasses = errors.New("choice: settings have no request class")
+	ErrNoClasses = errors.New("choice: settings have no request class; at least one is required")
 	// ErrNegativeCount is returned for settings with a negative number of nodes, processes or attempts.
-	ErrNegativeCount = errors.New("choice: settings have a negative count")
+	ErrNegativeCount = errors.New("choice: numbers of nodes, processes and attempts must not be negative")
 )
 
 // ClassError is returned for a class with an unknown idempotency or scope.
