--- a/choice/admission.go
+++ b/choice/admission.go
@@ -18,7 +18,7 @@
 // admissionControl decides which requests are admitted while no plan is in force.
 type admissionControl struct {
 	passRate     float64 // fraction of all requests to admit
-	meanPriority float64 // mean priority of requests in relation to their load
+	meanPriority float64 // mean of Balancer.priority over recent requests
 	throttle     throttle
 }
 
--- a/choice/balancer.go
+++ b/choice/balancer.go
@@ -13,7 +13,7 @@
 	actions  []Action      // actions of the current step
 	started  bool
 
-	servers   []*serverEntry // by id
+	servers   []*serverEntry // sorted by ID
 	kinds     map[string]*serverKind
 	kindOrder []*serverKind // the same kinds, in the order first seen
 
@@ -32,7 +32,10 @@
 	reservations    peerReservations
 	zones           zoneTable
 
-	fleetNodes       int     // nodes that share the fleet; settings.Nodes has the nodes that share the zones of a plan
+	// fleetNodes is the number of nodes in the settings, each counted once per process (Settings.Processes).
+	// settings.Nodes is the same number, except while a plan with ZonePlan.Nodes is in force: it then has the nodes of
+	// the plan, counted in the same way.
+	fleetNodes       int
 	initialCost      float64 // load of a mean connection before anything is learned
 	inFlightReported bool    // load reports include the number of connections in flight
 	messageObjective time.Duration
@@ -40,8 +43,8 @@
 	costsStale       bool // connections came from another process, so costs must be recomputed
 }
 
-// New returns the balancer of one node. The balancer does nothing before its first Step. The error is the one of
-// Settings.Check.
+// New returns the balancer of one node. The balancer does nothing before its first Step. If the settings are invalid,
+// New returns the error of Settings.Check.
 func New(settings Settings, seed uint64, now time.Duration) (*Balancer, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -69,7 +72,7 @@
 // values are kept unless the meaning of reports changes, and tables of tenants and classes only grow.
 func (b *Balancer) applySettings(settings Settings) {
 	b.messageObjective = settings.shortestMessageObjective()
-	if settings.Reports == NoReports { // servers have no reports that the package could request on its own initiative
+	if settings.Reports == NoReports { // without reports, health checks can't show overload
 		settings.DelaysObserved = true
 	}
 	b.initialCost = defaultInitialCost
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -8,15 +8,16 @@
 
 // Placement of requests. Servers are sampled by weight, the sampled servers with an old load report have
 // their health checked, and one server of the sample is drawn by weight. The predicted load of a server is
-// the load of its connections multiplied by a learned cost, corrected at its last report (load.go). A PID
-// controller adjusts the server's weight, which is high if the predicted load is below average (weight.go).
+// its last reported load plus the load of the connections placed since then, which is their connection load
+// multiplied by a learned cost (load.go). A PID controller adjusts the server's weight, which is high if the
+// predicted load is below average (weight.go).
 
 const (
 	// maxCheckCost is the fraction of the service that the health checks of one placement may cost.
 	maxCheckCost        = 0.006
 	minSampled          = 2 // bounds of the number of servers in a sample
 	maxSampled          = 4
-	freshFor            = 300 * time.Millisecond // age up to which a report needs no new health check
+	freshFor            = 300 * time.Millisecond // age up to which a report replaces a health check
 	checkTimeoutDivisor = 5                      // the checks may take the setup objective divided by this
 
 	// crowdedLoad is the predicted load, as a fraction of a server's capacity, above which a placement
@@ -69,7 +70,9 @@
 }
 
 // eligible reports whether a request may go to a server at all, regardless of load. The server must be ready,
-// not tried before and in the request's zone, and the idempotency key and slow start must allow it.
+// not tried before and in the request's zone, and the idempotency key and slow start must allow it. If
+// servers have owners, the owner checks the slow-start budget. After maxLostPeerRequests timeouts no owner
+// does, so servers in slow start are not eligible.
 func (b *Balancer) eligible(request *requestEntry, server *serverEntry) bool {
 	if !request.mayRetryOn(server, b.now) || server.State != Ready ||
 		slices.Contains(request.tried, server) || request.zone != "" && server.Zone != request.zone {
@@ -154,8 +157,8 @@
 }
 
 // dispatch starts an attempt on one of the candidates, drawn by weight after their health checks. If all
-// candidates are above the load limit, it samples further servers, up to maxSamples times. If all are then
-// above crowdedLoad, it ends the request.
+// candidates are above the load limit (crowdedLoad, or overflowLoad for a group), it samples further servers,
+// up to maxSamples times. If all are then above crowdedLoad, it ends the request.
 func (b *Balancer) dispatch(request *requestEntry) {
 	b.stopAwaitingChecks(request)
 	candidates := b.usableCandidates(request)
--- a/choice/cost.go
+++ b/choice/cost.go
@@ -5,11 +5,11 @@
 
 const (
 	serverCostMemory   = 0.9  // decay factor of a server's cost evidence, per report
-	kindCostMemory     = 0.98 // decay factor of a kind's cost evidence, per report; costs change slowly, noise quickly
+	kindCostMemory     = 0.98 // the same for a kind; higher, since costs change slowly and noise quickly
 	defaultInitialCost = 0.02 // load of a mean connection before anything is learned
-	serverCostPrior    = 3.0  // number of own mean connections above which a server's own cost outweighs its kind's
-	fleetCostPrior     = 4.0  // the same over all servers, for the initial cost against the learned cost
-	fleetLoadPrior     = 0.5  // weight of the initial cost in the fleet's cost from the start, as load of one server
+	serverCostPrior    = 3.0  // own mean connections above which a server's own cost outweighs its kind's cost
+	fleetCostPrior     = 4.0  // own mean connections on all servers above which the learned cost outweighs the initial
+	fleetLoadPrior     = 0.5  // the initial cost counts in the fleet's cost like an observed load of this size
 	maxInitialCost     = 0.5  // bounds of an initial cost that is computed from quotas or observed loads
 	minInitialCost     = defaultInitialCost / 4
 
@@ -119,8 +119,8 @@
 }
 
 // reservationsWorthwhile reports whether servers should have owners (reservation.go). They should if a node has less
-// than one connection per server on average, there is no zone plan, and a peer request with its reply costs no more
-// than a health check.
+// than one connection per full server on average, there is no zone plan, and a peer request with its reply costs no
+// more than a health check. Owners also need peer messages, health checks and servers that send load reports.
 func (b *Balancer) reservationsWorthwhile(initial float64) bool {
 	limits, costs := b.settings.Limits, b.settings.Costs
 	return limits.PeerMessages && limits.HealthChecks && b.settings.Reports != NoReports &&
--- a/choice/doc.go
+++ b/choice/doc.go
@@ -28,5 +28,5 @@
 //   - inference.go: loads where servers send no reports; healthcheck.go: reports on demand.
 //   - migration.go: connections migrated off overloaded servers.
 //   - reservation.go, peermessage.go, peerclock.go: reservations at the node that owns a server.
-//   - learned.go, observations.go: state for other processes of the node and for the planner of zones.
+//   - learned.go: learned state for other processes of the node; observations.go: observations for the fleet's leader.
 package choice
--- a/choice/event.go
+++ b/choice/event.go
@@ -132,7 +132,7 @@
 		Grants        []Grant       // nearest zone first
 		AdmitFraction []float64     // admitted fraction of requests by class; further classes are admitted completely
 		RetryAfter    time.Duration // for rejected requests; varied at random by up to half
-		Nodes         int           // nodes of the fleet that are running; 0: as in the settings
+		Nodes         int           // live nodes of all zones when the plan was made; 0: as in the settings
 	}
 	// PeerMessage is a message from another node, by its number. Messages that are invalid, late or repeated are
 	// dropped.
@@ -160,8 +160,8 @@
 func (ZonePlan) event()             {}
 func (PeerMessage) event()          {}
 
-// Grant allows this node's connections to use a zone up to a total load. It covers all classes except the excluded
-// ones.
+// Grant allows this node's connections to use a zone, up to a total load of Load. It covers all classes except
+// ExcludedClasses.
 type Grant struct {
 	Zone            string
 	Load            float64
--- a/choice/groups.go
+++ b/choice/groups.go
@@ -9,7 +9,7 @@
 // servers, and on as few servers as have the capacity for the group.
 
 const (
-	groupServerLoad = 0.7  // load that one group may add to a server before it uses a further server
+	groupServerLoad = 0.7  // load that one group may add to a server before the group uses another server
 	overflowMargin  = 0.15 // excess of predicted load over the average at which a group uses its next server
 	returnSpread    = 3    // additional servers of the group for a client that returns after a break or a migration
 	// groupMemory is approximately how long a connection is open. A group that was not seen on a server for this long
--- a/choice/inference.go
+++ b/choice/inference.go
@@ -23,17 +23,17 @@
 	setupSteps        = 20
 	slowSetupMultiple = 2 // multiple of the typical setup time; only the time beyond it counts as a delay
 
-	// The load that a message's delay implies: none up to 1/slowDelayDivisor of the latency objective. A longer delay
-	// implies delayLoadBase plus delayLoadSlope per latency objective of delay.
+	// A delay of up to 1/slowDelayDivisor of the messages' latency objective is no evidence of load. A longer delay
+	// implies a load of delayLoadBase + delayLoadSlope * delay / latency objective.
 	slowDelayDivisor = 3 // as in internal/edge, which notifies the balancer only of messages slower than that
 	delayLoadBase    = 0.7
 	delayLoadSlope   = 0.4
 )
 
-// inferenceState is what setups and messages have shown so far.
+// inferenceState is what the node has learned from connection setups and slow messages.
 type inferenceState struct {
-	typicalSetup time.Duration
-	slowMessages bool // slow messages were seen; if they never are, their absence is no evidence of low load
+	typicalSetup time.Duration // approximate median of setup times; 0: none observed
+	slowMessages bool          // slow messages were seen; if they never are, their absence is no evidence of low load
 }
 
 // estimateLoad estimates the load of a server from this node's own connections there. They are a sample of the fleet's
@@ -45,14 +45,14 @@
 	return (estimatePrior + server.own.load/b.units.mean) / (estimatePrior/average + 1/perConnection)
 }
 
-// inferLoad uses an observation in the same way as a load report. seen is the load that the observation implies, or 0
-// if the server showed no overload. With overload, the inferred load is at least the estimated load; without, it is at
-// most maxHealthyLoad.
-func (b *Balancer) inferLoad(server *serverEntry, seen float64) {
+// inferLoad uses an observation in the same way as a load report. implied is the load that the observation implies, or
+// 0 if the server showed no overload. With overload, the inferred load is at least the estimated load; without
+// overload, it is at most maxHealthyLoad.
+func (b *Balancer) inferLoad(server *serverEntry, implied float64) {
 	estimated := b.estimateLoad(server)
 	load := min(estimated, maxHealthyLoad)
-	if seen > 0 {
-		load = min(max(seen, estimated), maxInferredLoad)
+	if implied > 0 {
+		load = min(max(implied, estimated), maxInferredLoad)
 	}
 	b.learnCost(server, load, estimated/server.cost)
 	b.observeLoad(server, load)
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -24,7 +24,7 @@
 	Arrivals     float64         `cbor:"7,keyasint"` // mean connections, decayed
 	ArrivalsAt   time.Duration   `cbor:"8,keyasint"`
 	PassRate     float64         `cbor:"9,keyasint"`  // pass rate of admission control
-	MeanPriority float64         `cbor:"10,keyasint"` // mean priority of requests in relation to their load
+	MeanPriority float64         `cbor:"10,keyasint"` // mean of Balancer.priority
 	Kinds        []LearnedKind   `cbor:"11,keyasint,omitempty"`
 	Servers      []LearnedServer `cbor:"12,keyasint,omitempty"`
 	Meaning      string          `cbor:"13,keyasint,omitempty"` // Settings.meaning while the values were learned
@@ -48,7 +48,7 @@
 	ReportedLoad     float64       `cbor:"3,keyasint"`           // decayed
 	ConnectionLoad   float64       `cbor:"4,keyasint"`           // the fleet's, decayed
 	Reports          float64       `cbor:"5,keyasint"`
-	Known            bool          `cbor:"6,keyasint,omitempty"` // there is a last report
+	Known            bool          `cbor:"6,keyasint,omitempty"` // a load was observed; Report and ReportAt are valid
 	Report           float64       `cbor:"7,keyasint,omitempty"` // load in the last report
 	ReportAt         time.Duration `cbor:"8,keyasint,omitempty"`
 	EjectedUntil     time.Duration `cbor:"9,keyasint,omitempty"`
@@ -211,7 +211,7 @@
 	}
 }
 
-// rebaseTimes returns the state with its times converted to the clock of this process, which shows now.
+// rebaseTimes returns the state with its times converted to the clock of this process. now is the time on that clock.
 func (l LearnedState) rebaseTimes(now time.Duration) LearnedState {
 	if l.Now == 0 {
 		return l
--- a/choice/load.go
+++ b/choice/load.go
@@ -6,7 +6,8 @@
 )
 
 // Load prediction (the paper, section 3, "Model-based load estimation"). The predicted load of a server is its last
-// reported load, plus the load of the connections placed since, multiplied by the server's cost.
+// reported load plus the load that the connections placed since then add: their connection load multiplied by the
+// server's cost.
 
 const (
 	reportMemory   = 8 * time.Second // decay time of a report: loads change, and other nodes place connections too
@@ -43,8 +44,8 @@
 // fresh reports whether the report is recent enough that a health check would add no information.
 func (l *loadReport) fresh(now time.Duration) bool { return l.known && now-l.at < freshFor }
 
-// fleetAverage is the mean load of the fleet, weighted by the base weight of its servers. Slow messages don't count,
-// since only overloaded servers have them.
+// fleetAverage is the mean load of the fleet, weighted by the base weight of its servers. It does not include the loads
+// that observeDelay sets, since only overloaded servers have slow messages.
 type fleetAverage struct {
 	load      float64
 	known     bool          // at least one report was received
@@ -61,8 +62,9 @@
 	f.load = f.loadSum / f.weightSum
 }
 
-// decayToPrior moves the average towards priorAverageLoad, which has the given weight, while there are no observations.
-// Rejected requests give no observations, so without this, admission that an overload has stopped would never resume.
+// decayToPrior moves the average towards priorAverageLoad while there are no new observations. weight is the weight of
+// priorAverageLoad in the average. Rejected requests give no observations, so without this, admission that an overload
+// has stopped would never resume.
 func (f *fleetAverage) decayToPrior(now time.Duration, weight float64) {
 	age := now - f.at
 	if sum := decay(f.weightSum, age, rateMemory) + weight; sum > 0 {
--- a/choice/peerclock.go
+++ b/choice/peerclock.go
@@ -53,14 +53,15 @@
 	return true
 }
 
-// clockOffset is the offset between this node's clock and another node's clock, as the other node's messages show it.
+// clockOffset is the offset between this node's clock and another node's clock, computed from the tokens of the other
+// node's messages.
 // It may change, since the clock of a machine may be stepped by seconds or by an hour.
 type clockOffset struct {
 	offset int16 // ms
-	// candidate is a possible new offset, on which several messages agree that are late or early by offset.
+	// candidate is a possible new offset, in ms. Messages that are late or early by the current offset show it.
 	candidate      int16
-	agreeing       int
-	candidateSince time.Duration
+	agreeing       int           // number of consecutive messages that agree on candidate
+	candidateSince time.Duration // when the first of these messages arrived
 }
 
 // sentInTime reports whether a message was sent within maxMessageAge, by its sender's clock. A new offset replaces the
--- a/choice/peermessage.go
+++ b/choice/peermessage.go
@@ -36,10 +36,10 @@
 	serverEjected // denied; the owner ejected the server, for example after a health check without an answer
 )
 
-// isReply reports whether a message of this kind has the form of a reply.
+// isReply reports whether messages of this kind use the reply format.
 func (k messageKind) isReply() bool { return k >= reservationGranted && k <= serverEjected }
 
-// isRequest reports whether a message of this kind has the form of a request.
+// isRequest reports whether messages of this kind use the request format.
 func (k messageKind) isRequest() bool { return k >= reservationRequest && k < reservationGranted }
 
 // peerMessage is a message between nodes.
@@ -49,7 +49,7 @@
 	server   uint32 // 24 bits
 	group    uint16
 	load     float64 // in mean connections in a request, in full servers in a reply
-	fraction float64 // fraction of the requester's connections to migrate; only in the reply to a reliefRequest
+	fraction float64 // part of the requester's connections on the server to migrate; only in a reply to a reliefRequest
 }
 
 func (m peerMessage) encode() []byte {
--- a/choice/request.go
+++ b/choice/request.go
@@ -10,7 +10,7 @@
 type requestEntry struct {
 	Request
 	load        float64
-	affinity    uint64 // hash key that replaces random draws: the group, or the key with packet pass-through; 0: none
+	affinity    uint64 // its hash replaces random draws: Group, or Key with packet pass-through; 0: none
 	deadline    time.Duration
 	server      *serverEntry // server of the attempt in progress, or of the open connection
 	open        bool
@@ -44,7 +44,7 @@
 	return 0
 }
 
-// addOpenConnection adds a connection that was already open when this process took it over.
+// addOpenConnection adds a connection that was opened before this process started or took it over.
 func (b *Balancer) addOpenConnection(connection OpenConnection) {
 	server := b.findServer(connection.Server)
 	class := connection.OriginalClass
--- a/choice/reservation.go
+++ b/choice/reservation.go
@@ -15,11 +15,11 @@
 // order becomes the owner.
 
 const (
-	peerTimeout         = 150 * time.Millisecond // for a reply, including the owner's health check before it
+	peerTimeout         = 150 * time.Millisecond // of a reply, including the owner's health check before it
 	maxLostPeerRequests = 2                      // timeouts after which a request is placed without owners
 	maxWaiting          = 1024                   // peer requests that may wait for the report of one server
 	maxGroups           = 256                    // groups remembered per server
-	unknownLoad         = 2                      // load in the reply for a server not ready here; above any limit
+	unknownLoad         = 2                      // load in a reply without a check of the server; above any limit
 )
 
 // peerReservations is the state of reservations between nodes, for this node as a requester and as an owner.
@@ -50,7 +50,7 @@
 type ownerReservations struct {
 	load    float64                  // reserved load that no report shows yet, in mean connections
 	waiting []peerRequest            // requests that wait for a report
-	groups  map[uint16]time.Duration // by group: when a connection of it was last reserved or reported there
+	groups  map[uint16]time.Duration // by group: when a connection of the group was last reserved or reported
 }
 
 // takeWaiting returns the requests that wait for a report and empties the list.
@@ -77,7 +77,7 @@
 
 func (p *peerReservations) nodes() int { return len(p.unreachableUntil) }
 
-// setNodes sets the number of nodes.
+// setNodes changes the number of nodes. Nodes that are added count as reachable.
 func (p *peerReservations) setNodes(nodes int) {
 	for len(p.unreachableUntil) < nodes {
 		p.unreachableUntil = append(p.unreachableUntil, 0)
@@ -272,9 +272,10 @@
 	b.place(request)
 }
 
-// applyReply acts on an owner's reply. It starts an attempt on a server that was granted, and otherwise requests a
-// reservation on the next server. After a reply to a relief request it migrates connections. The load that the owner
-// sends counts as a load report.
+// applyReply acts on an owner's reply. If the owner granted the reservation, it starts an attempt on the server.
+// Otherwise it requests a reservation for the next server. After a reply to a relief request it migrates connections.
+// The load in another node's reply counts as a load report, and a server that the other node ejected is ejected here
+// too.
 func (b *Balancer) applyReply(pending pendingPeerRequest, reply peerMessage) {
 	server, request := pending.server, pending.request
 	if pending.owner != b.settings.Node {
--- a/choice/server.go
+++ b/choice/server.go
@@ -64,8 +64,8 @@
 }
 
 // schedulePoll schedules another poll of service discovery after a backoff with a jitter of up to half of it. The
-// backoff doubles with each failure, up to a quarter of Rules.MaxPollInterval, so that the interval is kept even if one
-// more poll fails.
+// backoff doubles with each failure, up to a quarter of Rules.MaxPollInterval, so that the polls stay within
+// MaxPollInterval even if one more poll fails.
 func (b *Balancer) schedulePoll() {
 	b.failedPolls++
 	backoff := min(b.settings.Rules.MaxPollInterval/4, pollBackoff<<min(b.failedPolls, maxPollDoublings))
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -11,16 +11,18 @@
 // servers have owners (reservation.go), only the owner spends from its bucket, for all nodes.
 
 const (
-	// slowStartSafety is the fraction of the budget that refills a bucket. A bucket saves up to two windows of refill
-	// (see refill), so half of the rate keeps what all nodes can spend in one window within the budget.
+	// slowStartSafety is the fraction of the budget that refills a bucket. A bucket saves tokens for up to two windows
+	// (see refill), so at half of the rate all nodes together can't spend more than the budget in one window.
 	slowStartSafety = 0.5
 	// tokenWindows is the number of windows (Rules.OverloadTime) for which a bucket saves tokens.
 	tokenWindows = 2
-	// commonBudget is the fraction of the sum of all slow-start budgets that may go to any server in slow start.
+	// commonBudget is the fraction of the sum of all slow-start budgets that refills the common bucket. The tokens of
+	// this bucket may be spent on any server in slow start.
 	commonBudget = 0.15
-	// ownerBudget is the fraction of the budget at which the owner refills a server's bucket.
+	// ownerBudget is the fraction of a server's slow-start budget that refills the owner's bucket for the server.
 	ownerBudget = 0.7
-	// minAverageForQuota is the minimum average load by which the usual traffic is scaled up to that of a full server.
+	// minAverageForQuota is the lower limit of the fleet's average load in slowStartQuota, which divides the usual
+	// traffic by this average to get the traffic of a full server.
 	minAverageForQuota = 0.5
 )
 
@@ -111,8 +113,8 @@
 // slowStartBudgetOf returns one node's part of the budget of a server in slow start, in mean connections per second,
 // before any safety factor. It is based on the load that fills the server over its warm-up, and not on the usual
 // traffic, which in a retry storm does not indicate the server's capacity. A node with more than its part of the
-// traffic learns a cost that is too low. Therefore, if servers have owners or send no reports, the cost is at least the
-// initial one.
+// traffic learns a cost that is too low. Therefore, if there is no other evidence of the cost because servers have
+// owners or send no reports, the cost is at least the initial one.
 func (b *Balancer) slowStartBudgetOf(server *serverEntry) float64 {
 	rules := b.settings.Rules
 	cost := server.cost * b.units.mean
--- a/choice/throttle.go
+++ b/choice/throttle.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	throttleMemory    = 10 * time.Second
-	throttleMultiple  = 1.1 // requests admitted per connection that lasts
-	throttleAllowance = 1.0 // dropped connections that cause no rejection, since one may break for other reasons
+	throttleMemory    = 10 * time.Second // decay time of the counts
+	throttleMultiple  = 1.1              // requests admitted per connection that lasts
+	throttleAllowance = 1.0              // tolerated number of dropped connections: one may break without overload
 )
 
 // throttle implements adaptive client-side throttling (Beyer et al., "Site Reliability Engineering", chapter 21). Each
--- a/choice/units.go
+++ b/choice/units.go
@@ -1,7 +1,7 @@
 package choice
 
-// The unit of connection loads. Requests and connections have their load in a unit of the deployment, or have none. In
-// other files, "mean connections" are connection loads divided by loadUnits.mean.
+// The unit of connection loads. Requests and connections state their load in a unit that the deployment chooses, or
+// state none. In other files, "mean connections" are connection loads divided by loadUnits.mean.
 
 const (
 	meanLoadSamples = 50 // number of samples over which a mean load is averaged
--- a/choice/weight.go
+++ b/choice/weight.go
@@ -15,16 +15,16 @@
 	tick              = time.Second // controller interval: about the time until a placement shows in a report
 	integralMemory    = 0.9         // decay factor of the integral, per tick
 	integralLimit     = 0.08        // limit of the integral's part of the controller output (anti-windup)
-	weightGain        = 5.0         // from controller output to weight: the weight reaches 0 a third above average load
-	minWeightFraction = 0.02        // minimum weight as a fraction of the base weight: every server stays drawable
-	maxWeightFraction = 3.0         // maximum weight as a multiple of the base: bounds the effect of one low report
+	weightGain        = 5.0         // output to weight: the weight is at its minimum from a third above average load
+	minWeightFraction = 0.02        // minimum weight as a fraction of the base weight, so that any server may be drawn
+	maxWeightFraction = 3.0         // maximum weight as a multiple of the base: limits the effect of one low report
 
 	// Bounds of the relative error, so that a small difference from a low average does not become a large error.
 	minErrorAverage  = 0.05
 	minRelativeError = -1.0
 	maxRelativeError = 3.0
 
-	// maxSlowStartBoost is the maximum factor by which the weight of a server in slow start is increased.
+	// maxSlowStartBoost is the maximum factor by which the weight of a server in slow start is multiplied.
 	maxSlowStartBoost = 1000
 )
 
@@ -43,7 +43,8 @@
 	p.previousError = proportional
 }
 
-// relativeError returns the difference between a load and the average, as a fraction of the average.
+// relativeError returns the excess of a load over the average, as a fraction of the average. It is negative for a load
+// below the average.
 func relativeError(load, average float64) float64 {
 	return clamp((load-average)/max(average, minErrorAverage), minRelativeError, maxRelativeError)
 }
@@ -74,7 +75,7 @@
 	output := proportionalGain*relativeError(b.predictedLoad(server)+server.cost*load, average) + server.pid.correction
 	fraction := b.capacityFraction(server)
 	weight := server.baseWeight * fraction * clamp(1-weightGain*output, minWeightFraction, maxWeightFraction)
-	if fraction < 1 && !b.reservations.enabled { // prefer the server if its tokens would expire before a usual draw
+	if fraction < 1 && !b.reservations.enabled { // prefer it if its tokens would expire before it is usually drawn
 		window := b.settings.Rules.OverloadTime.Seconds()
 		weight *= clamp(1/(b.usualRate(server)*tokenWindows*window), 1, maxSlowStartBoost)
 	}
--- a/choice/zones.go
+++ b/choice/zones.go
@@ -87,8 +87,8 @@
 }
 
 // chooseZone sets a request's zone to the nearest zone where the plan has capacity for the request. All of this node's
-// connections in the zone count, including those placed under earlier plans, since the new plan must not give away the
-// capacity that they use. It returns false if no zone has capacity. Without a plan any zone may be used.
+// connections in the zone count, including those placed under earlier plans: plans change, and no plan may use capacity
+// that another plan has promised. It returns false if no zone has capacity. Without a plan any zone may be used.
 func (b *Balancer) chooseZone(request *requestEntry) bool {
 	plan := b.zones.plan
 	if plan == nil {
@@ -105,8 +105,8 @@
 	return i >= 0
 }
 
-// applyPlan puts a plan into force, or ends the current plan if there are no grants (nil). It limits the plan's values
-// so that later decisions need no checks.
+// applyPlan puts a plan into force, or ends the current plan if the new plan's Grants is nil. It limits the plan's
+// values so that later decisions need no checks.
 func (b *Balancer) applyPlan(plan ZonePlan) {
 	settings := b.settings
 	settings.Nodes = b.fleetNodes / max(1, settings.Processes)
