--- a/choice/balancer.go
+++ b/choice/balancer.go
@@ -36,11 +36,11 @@
 	// settings.Nodes is the same number, except while a plan with ZonePlan.Nodes is in force: it then has the nodes of
 	// the plan, counted in the same way.
 	fleetNodes       int
-	initialCost      float64 // load of a mean connection before anything is learned
-	inFlightReported bool    // load reports include the number of connections in flight
-	messageObjective time.Duration
-	failedPolls      int  // consecutive failed polls of the server list
-	costsStale       bool // connections came from another process, so costs must be recomputed
+	initialCost      float64       // load of a mean connection before anything is learned
+	inFlightReported bool          // load reports include the number of connections in flight
+	messageObjective time.Duration // strictest latency objective of a message; 0: none
+	failedPolls      int           // consecutive failed polls of the server list
+	costsStale       bool          // connections came from another process, so costs must be recomputed
 }
 
 // New returns the balancer of one node. The balancer does nothing before its first Step. If the settings are invalid,
--- a/choice/load.go
+++ b/choice/load.go
@@ -10,13 +10,13 @@
 // server's cost.
 
 const (
-	reportMemory   = 8 * time.Second // decay time of a report: loads change, and other nodes place connections too
-	reportLag      = time.Second     // approximate time until a placement shows in a report
-	sharePrior     = 4.0             // weight of the prior that a server has the average load, in mean connections
-	averageMemory  = 0.97            // decay factor of the average, per report
-	rateMemory     = 10 * time.Second
-	maxAverageLoad = 1.2  // limit of one server's load in the average: a few slow servers must not stop admission
-	negligibleLoad = 1e-9 // a smaller sum of loads is a rounding error and counts as 0
+	reportMemory   = 8 * time.Second  // decay time of a report: loads change, and other nodes place connections too
+	reportLag      = time.Second      // approximate time until a placement shows in a report
+	sharePrior     = 4.0              // weight of the prior that a server has the average load, in mean connections
+	averageMemory  = 0.97             // decay factor of the average, per report
+	rateMemory     = 10 * time.Second // decay time of the average and of the arrival rate
+	maxAverageLoad = 1.2              // limit of a load in the average, so that a few slow servers can't stop admission
+	negligibleLoad = 1e-9             // a smaller sum of loads is a rounding error and counts as 0
 )
 
 // ownLoad is the load of this node's own connections on a server.
--- a/choice/request.go
+++ b/choice/request.go
@@ -20,9 +20,9 @@
 	startedAt   time.Duration // start of the last attempt
 
 	// State for retries.
-	tried        []*serverEntry
-	mayHaveRunOn *serverEntry  // server of the first attempt that may have run
-	retryBefore  time.Duration // latest time to send a retry after an attempt that may have run
+	tried        []*serverEntry // servers of earlier attempts
+	mayHaveRunOn *serverEntry   // server of the first attempt that may have run
+	retryBefore  time.Duration  // latest time to send a retry after an attempt that may have run
 
 	// State of the placement in progress.
 	samples       int            // samples taken for this placement
--- a/choice/reservation.go
+++ b/choice/reservation.go
@@ -30,7 +30,7 @@
 	lastToken        int64
 	clocks           map[int]clockOffset // by node, for nodes whose clocks differ
 	received         replayWindow
-	dropped          int // messages that were invalid, late, repeated or not requested
+	dropped          int // messages that were invalid, late, repeated or a reply to no pending request
 }
 
 // pendingPeerRequest is a peer request of this node that has no reply yet.
@@ -183,7 +183,8 @@
 	b.handlePeerRequest(peerRequest{event.From, message})
 }
 
-// DroppedPeerMessages returns how many messages from other nodes were invalid, late, repeated or not requested.
+// DroppedPeerMessages returns how many messages from other nodes were dropped because they were invalid, late, repeated
+// or a reply to no pending request.
 func (b *Balancer) DroppedPeerMessages() int { return b.reservations.dropped }
 
 // handlePeerRequest handles a peer request as the owner of its server. Without a fresh report, the request waits for a
--- a/choice/server.go
+++ b/choice/server.go
@@ -29,7 +29,7 @@
 	outlier      outlierState
 	slowStart    tokenBucket // slow-start budget of this node, or of all nodes if this node owns the server
 	checking     bool        // a health check is in flight
-	// migrationCandidate is migrated if the health check in flight confirms that the server is overloaded; nil: none.
+	// migrationCandidate may be migrated if the health check in flight fails or shows overload; nil: none.
 	migrationCandidate *requestEntry
 	reserved           ownerReservations // used if this node owns the server
 	deniedUntil        time.Duration     // no reservation is requested from the server's owner before this time
--- a/choice/throttle.go
+++ b/choice/throttle.go
@@ -14,9 +14,9 @@
 // servers drop immediately and whose clients then retry on the next node. Requests that found no server are not
 // counted, since they give no information about the fleet's load.
 type throttle struct {
-	requested float64 // decayed count
-	lasted    float64 // decayed count
-	at        time.Duration
+	requested float64       // established connections and rejected requests, decayed
+	lasted    float64       // connections that lasted, decayed
+	at        time.Duration // time up to which the counts are decayed
 }
 
 // add adds to the counts of requests and of connections that lasted. An established connection is counted as lasting,
