--- a/choice/golden_test.go
+++ b/choice/golden_test.go
@@ -15,19 +15,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The encoded forms of the package. Other versions read and write them: a golden file changes only with a new version
-// of its form.
+// Tests of the encoded forms of the package. Other versions of the program read and write these forms, so a golden file
+// may change only together with the version number of its form.
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// goldenHex returns the bytes of a golden file, which has them as hexadecimal digits, 32 bytes a line. With -update
-// it is written first.
-func goldenHex(t *testing.T, name string, have []byte) []byte {
+// goldenBytes returns the bytes of a golden file, which contains them as hexadecimal digits, 32 bytes per line. With
+// -update it first writes got to the file.
+func goldenBytes(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".hex")
 	if *update {
 		var text strings.Builder
-		for rest := have; len(rest) > 0; {
+		for rest := got; len(rest) > 0; {
 			line := rest[:min(32, len(rest))]
 			rest = rest[len(line):]
 			fmt.Fprintf(&text, "%x\n", line)
@@ -47,47 +47,47 @@
 	return want
 }
 
-// checkGoldenCBOR wants a value to be written as the golden bytes, and these to be read as the value. Every field of
-// the value has to be set: what is omitted when empty would otherwise not be in the bytes.
+// checkGoldenCBOR checks that a value is encoded as the golden bytes and that these are decoded to the value. Every
+// field of the value must be set, because fields that are omitted if empty would not appear in the bytes.
 func checkGoldenCBOR[T any](t *testing.T, name string, value T) {
 	t.Helper()
-	wantNoZeroField(t, name, reflect.ValueOf(value))
-	have, err := cbor.Marshal(value)
+	checkNoZeroField(t, name, reflect.ValueOf(value))
+	got, err := cbor.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := goldenHex(t, name, have)
-	if !bytes.Equal(have, want) {
-		t.Errorf("%s is written as\n%x, want\n%x", name, have, want)
+	want := goldenBytes(t, name, got)
+	if !bytes.Equal(got, want) {
+		t.Errorf("Marshal of %s: got\n%x, want\n%x", name, got, want)
 	}
-	var read T
-	if err := cbor.Unmarshal(want, &read); err != nil {
+	var decoded T
+	if err := cbor.Unmarshal(want, &decoded); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	if !reflect.DeepEqual(read, value) {
-		t.Errorf("%s is read as\n%+v, want\n%+v", name, read, value)
+	if !reflect.DeepEqual(decoded, value) {
+		t.Errorf("Unmarshal of %s: got\n%+v, want\n%+v", name, decoded, value)
 	}
 }
 
-// wantNoZeroField fails for a struct with a field that is zero, at any depth.
-func wantNoZeroField(t *testing.T, name string, value reflect.Value) {
+// checkNoZeroField fails the test if a field of a struct is zero, at any depth.
+func checkNoZeroField(t *testing.T, name string, value reflect.Value) {
 	t.Helper()
 	switch value.Kind() { //nolint:exhaustive // other kinds have no fields
 	case reflect.Struct:
 		for i := range value.NumField() {
-			wantNoZeroField(t, name+"."+value.Type().Field(i).Name, value.Field(i))
+			checkNoZeroField(t, name+"."+value.Type().Field(i).Name, value.Field(i))
 		}
 	case reflect.Slice:
 		for i := range value.Len() {
-			wantNoZeroField(t, fmt.Sprintf("%s[%d]", name, i), value.Index(i))
+			checkNoZeroField(t, fmt.Sprintf("%s[%d]", name, i), value.Index(i))
 		}
 	}
 	if value.IsZero() {
-		t.Errorf("%s is zero: the golden bytes don't show it", name)
+		t.Errorf("got a zero %s, want a value that appears in the golden bytes", name)
 	}
 }
 
-// TestGoldenLearnedState pins the form in which one process of a node sends the next one what it has learned.
+// TestGoldenLearnedState checks the encoding of the learned state that a process of a node sends to the next one.
 func TestGoldenLearnedState(t *testing.T) {
 	checkGoldenCBOR(t, "learned", LearnedState{
 		Version: 1, Unit: 2.5, Hints: 3, LoadSum: 4.25, WeightSum: 5.125, ReportedAt: 6 * time.Second, Arrivals: 7.5,
@@ -116,7 +116,8 @@
 	})
 }
 
-// TestGoldenClass pins the form of a class, which goes with each connection that another process takes over.
+// TestGoldenClass checks the encoding of a class, which is passed on with each connection that another process takes
+// over.
 func TestGoldenClass(t *testing.T) {
 	checkGoldenCBOR(t, "class", Class{
 		Name: "pay", Removed: true, SetupObjective: 1 * time.Second, Deadline: 2 * time.Second,
@@ -125,7 +126,8 @@
 	})
 }
 
-// TestGoldenServer pins the form of a server, which goes with each connection that another process takes over.
+// TestGoldenServer checks the encoding of a server, which is passed on with each connection that another process takes
+// over.
 func TestGoldenServer(t *testing.T) {
 	checkGoldenCBOR(t, "server", Server{
 		ID: "s1", Zone: "z1", Kind: "k1", Cell: 6, State: Draining, Size: 7.5, Started: 8 * time.Second,
@@ -133,7 +135,8 @@
 	})
 }
 
-// TestGoldenMeaning pins the text by which a process knows whether learned values are of a deployment like its own.
+// TestGoldenMeaning checks the text by which a process recognizes whether learned state comes from a deployment like
+// its own.
 func TestGoldenMeaning(t *testing.T) {
 	for _, test := range []struct {
 		settings Settings
@@ -155,14 +158,14 @@
 			"2 [1] 2 false true",
 		},
 	} {
-		if have := test.settings.meaning(); have != test.want {
-			t.Errorf("%+v means %q, want %q", test.settings, have, test.want)
+		if got := test.settings.meaning(); got != test.want {
+			t.Errorf("meaning of %+v: got %q, want %q", test.settings, got, test.want)
 		}
 	}
 }
 
-// TestGoldenNames pins the numbers and names of outcomes and reasons: captures have the numbers, logs and figures the
-// names.
+// TestGoldenNames checks the numbers and names of outcomes and reasons. Captures contain the numbers; logs and metrics
+// contain the names.
 func TestGoldenNames(t *testing.T) {
 	for i, test := range []struct {
 		outcome Outcome
@@ -178,7 +181,7 @@
 		{NeverSent, "moot"},
 	} {
 		if int(test.outcome) != i || test.outcome.String() != test.name {
-			t.Errorf("outcome %d is %d %q, want %q", i, test.outcome, test.outcome, test.name)
+			t.Errorf("outcome %d: got %d %q, want %q", i, test.outcome, test.outcome, test.name)
 		}
 	}
 	for i, test := range []struct {
@@ -197,19 +200,20 @@
 		{Withdrawn, "withdrawn"},
 	} {
 		if int(test.reason) != i || test.reason.String() != test.name {
-			t.Errorf("reason %d is %d %q, want %q", i, test.reason, test.reason, test.name)
+			t.Errorf("reason %d: got %d %q, want %q", i, test.reason, test.reason, test.name)
 		}
 	}
 }
 
-// TestGoldenMessages pins the datagrams between nodes: each kind with all of its fields, in both directions.
+// TestGoldenMessages checks the encoding and decoding of the datagrams between nodes, for each kind with all of its
+// fields.
 func TestGoldenMessages(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		message peerMessage
 		bytes   string
 	}{
-		{"admission request", peerMessage{
+		{"reservation request", peerMessage{
 			kind: reservationRequest, token: 0x0102, server: 0x030405, group: 0x0607,
 			load: 1.5,
 		}, "110102030405060718"},
@@ -222,19 +226,23 @@
 			peerMessage{kind: groupNotice, token: 0x2122, server: 0x232425, group: 0x2627, load: 0.0625},
 			"132122232425262701",
 		},
-		{"yes", peerMessage{kind: reservationGranted, token: 0x3132, load: 0.75, fraction: 0.2}, "1431320c33"},
-		{"no", peerMessage{kind: reservationDenied, token: 0x4142, load: 2, fraction: 1}, "15414220ff"},
-		{"ejected", peerMessage{kind: serverEjected, token: 0x5152, load: 1.0625, fraction: 0.4}, "1651521166"},
+		{
+			"reservation granted",
+			peerMessage{kind: reservationGranted, token: 0x3132, load: 0.75, fraction: 0.2},
+			"1431320c33",
+		},
+		{"reservation denied", peerMessage{kind: reservationDenied, token: 0x4142, load: 2, fraction: 1}, "15414220ff"},
+		{"server ejected", peerMessage{kind: serverEjected, token: 0x5152, load: 1.0625, fraction: 0.4}, "1651521166"},
 	} {
-		if have := hex.EncodeToString(test.message.encode()); have != test.bytes {
-			t.Errorf("%s is written as %s, want %s", test.name, have, test.bytes)
+		if got := hex.EncodeToString(test.message.encode()); got != test.bytes {
+			t.Errorf("encode of %s: got %s, want %s", test.name, got, test.bytes)
 		}
 		raw, err := hex.DecodeString(test.bytes)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if read, ok := decodePeerMessage(raw); !ok || read != test.message {
-			t.Errorf("%s is read as %+v, %v, want %+v", test.name, read, ok, test.message)
+		if got, ok := decodePeerMessage(raw); !ok || got != test.message {
+			t.Errorf("decode of %s: got %+v, %v, want %+v, true", test.name, got, ok, test.message)
 		}
 	}
 }
--- a/choice/groups_test.go
+++ b/choice/groups_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// groupWorld is one node before five servers, each loaded by its connections alone.
-type groupWorld struct {
-	balancer *Balancer
-	now      time.Duration
-	next     []Event
-	held     map[ServerID]int
-	where    map[uint64]map[ServerID]bool // servers of a group
-	group    map[RequestID]uint64
+// groupSimulation simulates one node and five servers whose load comes only from the connections of the node.
+type groupSimulation struct {
+	balancer      *Balancer
+	now           time.Duration
+	pendingEvents []Event
+	connections   map[ServerID]int
+	groupServers  map[uint64]map[ServerID]bool // servers by group
+	requestGroup  map[RequestID]uint64
 }
 
-func newGroupWorld(t *testing.T) *groupWorld {
+func newGroupSimulation(t *testing.T) *groupSimulation {
 	t.Helper()
 	balancer, err := New(Settings{
 		Nodes: 1, GroupAffinity: true, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
@@ -26,75 +26,77 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &groupWorld{
+	return &groupSimulation{
 		balancer: balancer,
 		now:      time.Hour,
-		next: []Event{ServerList{
+		pendingEvents: []Event{ServerList{
 			Kind:    ListFull,
 			Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}},
 		}},
-		held:  map[ServerID]int{},
-		where: map[uint64]map[ServerID]bool{},
-		group: map[RequestID]uint64{},
+		connections:  map[ServerID]int{},
+		groupServers: map[uint64]map[ServerID]bool{},
+		requestGroup: map[RequestID]uint64{},
 	}
 }
 
-func (w *groupWorld) arrive(id RequestID, group uint64) {
-	w.group[id] = group
-	w.next = append(w.next, Request{ID: id, Tenant: -1, Group: group, TimeLeft: 4 * time.Second})
+// addRequest adds a request to the events of the next step.
+func (s *groupSimulation) addRequest(id RequestID, group uint64) {
+	s.requestGroup[id] = group
+	s.pendingEvents = append(s.pendingEvents, Request{ID: id, Tenant: -1, Group: group, TimeLeft: 4 * time.Second})
 }
 
-// step plays half a second.
-func (w *groupWorld) step() {
-	events := w.next
-	w.next = nil
-	for _, a := range w.balancer.Step(w.now, events) {
+// advance passes the pending events to the balancer, carries out its actions, and advances the time by 500 ms.
+func (s *groupSimulation) advance() {
+	events := s.pendingEvents
+	s.pendingEvents = nil
+	for _, a := range s.balancer.Step(s.now, events) {
 		switch action := a.(type) {
 		case HealthCheck:
-			load := 0.06 * float64(w.held[action.Server])
-			w.next = append(w.next, HealthCheckResult{Server: action.Server, Report: []float64{load}})
+			load := 0.06 * float64(s.connections[action.Server])
+			s.pendingEvents = append(s.pendingEvents, HealthCheckResult{Server: action.Server, Report: []float64{load}})
 		case StartAttempt:
-			w.held[action.Server]++
-			group := w.group[action.ID]
-			if w.where[group] == nil {
-				w.where[group] = map[ServerID]bool{}
+			s.connections[action.Server]++
+			group := s.requestGroup[action.ID]
+			if s.groupServers[group] == nil {
+				s.groupServers[group] = map[ServerID]bool{}
 			}
-			w.where[group][action.Server] = true
-			w.next = append(w.next, Established{ID: action.ID, Server: action.Server})
+			s.groupServers[group][action.Server] = true
+			s.pendingEvents = append(s.pendingEvents, Established{ID: action.ID, Server: action.Server})
 		case SetTimer:
 			if action.Token == "tick" {
-				w.next = append(w.next, TimerFired{action.Token})
+				s.pendingEvents = append(s.pendingEvents, TimerFired{action.Token})
 			}
 		}
 	}
-	w.now += 500 * time.Millisecond
+	s.now += 500 * time.Millisecond
 }
 
-// TestGroupsSpreadByTheirLoad checks that a small group stays together, since each server that holds any of it pays for
-// it, and that one group that holds nearly everything does not fill server after server while others idle.
+// TestGroupsSpreadByTheirLoad checks that a small group stays on one server, since each server with connections of a
+// group has to do the group's shared work. It also checks that a single group with nearly all connections does not fill
+// one server after the other while the rest stay idle.
 func TestGroupsSpreadByTheirLoad(t *testing.T) {
-	for _, test := range []struct{ groups, most int }{{1, 12}, {20, 2}} {
-		world := newGroupWorld(t)
+	for _, test := range []struct{ groups, maxConnections int }{{1, 12}, {20, 2}} {
+		simulation := newGroupSimulation(t)
 		for i := range 40 {
-			world.arrive(RequestID(fmt.Sprint(i)), uint64(1+i%test.groups))
+			simulation.addRequest(RequestID(fmt.Sprint(i)), uint64(1+i%test.groups))
 			for range 3 {
-				world.step()
+				simulation.advance()
 			}
 		}
-		held, where := world.held, world.where
-		t.Logf("%d groups: %v", test.groups, held)
+		connections, groupServers := simulation.connections, simulation.groupServers
+		t.Logf("%d groups: connections by server: %v", test.groups, connections)
 		split := 0
-		for _, on := range where {
-			if len(on) > 1 {
+		for _, servers := range groupServers {
+			if len(servers) > 1 {
 				split++
 			}
 		}
 		if test.groups > 1 && split > test.groups/4 {
-			t.Errorf("%d of %d groups are on several servers", split, test.groups)
+			t.Errorf("got %d of %d groups on several servers, want at most a quarter", split, test.groups)
 		}
-		for id, n := range held {
-			if test.groups == 1 && n > test.most {
-				t.Errorf("one group: %d of 40 connections on %s", n, id)
+		for id, n := range connections {
+			if test.groups == 1 && n > test.maxConnections {
+				t.Errorf("one group: got %d of 40 connections on %s, want fewer", n, id)
 			}
 		}
 	}
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -8,8 +8,9 @@
 	"unicode/utf8"
 )
 
-// Whoever is on call reads the balancer at night: at most 650 lines that are not blank, 110 columns with tabs as four.
-func TestModuleStaysReadable(t *testing.T) {
+// TestPlacementFileSizeIsLimited limits choice.go to 650 lines that are not blank and 110 columns, with tabs counted as
+// 4, because on-call engineers have to read it during incidents.
+func TestPlacementFileSizeIsLimited(t *testing.T) {
 	text, err := os.ReadFile("choice.go")
 	if err != nil {
 		t.Fatal(err)
@@ -19,17 +20,18 @@
 		if strings.TrimSpace(line) != "" {
 			count++
 		}
-		if w := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); w > 110 {
-			t.Errorf("choice.go:%d: %d columns", i+1, w)
+		if columns := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); columns > 110 {
+			t.Errorf("choice.go:%d: got %d columns, want at most 110", i+1, columns)
 		}
 	}
 	if count > 650 {
-		t.Errorf("choice.go has %d lines", count)
+		t.Errorf("choice.go: got %d lines, want at most 650", count)
 	}
 }
 
-// TestFilesStaySmall keeps each mechanism in a file of its own: under 400 lines of at most 120 columns.
-func TestFilesStaySmall(t *testing.T) {
+// TestFileSizesAreLimited limits each file to fewer than 400 lines of at most 120 columns, so that each mechanism gets
+// a file of its own.
+func TestFileSizesAreLimited(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -46,15 +48,15 @@
 		}
 		lines := strings.Split(string(text), "\n")
 		if len(lines) >= 400 {
-			t.Errorf("%s has %d lines, want under 400", file, len(lines))
+			t.Errorf("%s: got %d lines, want fewer than 400", file, len(lines))
 		}
 		for i, line := range lines {
 			if columns := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); columns > 120 {
-				t.Errorf("%s:%d has %d columns, want at most 120", file, i+1, columns)
+				t.Errorf("%s:%d: got %d columns, want at most 120", file, i+1, columns)
 			}
 		}
 	}
 	if checked < 20 {
-		t.Errorf("%d files found, want all of the package", checked)
+		t.Errorf("got %d files, want at least 20, all of the package", checked)
 	}
 }
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// resetAllAttempts plays a request whose attempts are all reset, and returns its answer and how many there were.
+// resetAllAttempts sends a request and resets all of its attempts, each after the events that change returns. It
+// returns the number of attempts and the final answer.
 func resetAllAttempts(
 	t *testing.T, balancer *Balancer, now *time.Duration, request Request, change func() []Event,
 ) (attempts int, answer Action) {
@@ -28,14 +29,14 @@
 			}
 		}
 		if events == nil {
-			t.Fatal(request.ID, " has no answer")
+			t.Fatal(request.ID, ": got no answer, want one")
 		}
 	}
 }
 
-// TestRequestsKeepWhatTheyCameWith has settings change under a request: its class stays what it was, and so does the
-// number of its attempts; the next request goes by the new ones.
-func TestRequestsKeepWhatTheyCameWith(t *testing.T) {
+// TestRequestsKeepTheSettingsOfTheirArrival checks a change of settings during a request. The request keeps its class
+// and its maximum number of attempts, and the next request uses the new settings.
+func TestRequestsKeepTheSettingsOfTheirArrival(t *testing.T) {
 	settings := Settings{
 		Nodes: 1, RoundTrip: 5 * time.Millisecond, Classes: []Class{{
 			Name: "a", SetupObjective: time.Second,
@@ -48,7 +49,7 @@
 		t.Fatal(err)
 	}
 	now := time.Duration(0)
-	sends := func(id RequestID, class int, change func() []Event) (n int, answer Action) {
+	sendRequest := func(id RequestID, class int, change func() []Event) (attempts int, answer Action) {
 		request := Request{ID: id, Class: class, Tenant: class, TimeLeft: 9 * time.Second}
 		return resetAllAttempts(t, balancer, &now, request, change)
 	}
@@ -63,30 +64,33 @@
 		Idempotency: NotIdempotent,
 	}, {Name: "b", SetupObjective: time.Second, Deadline: 10 * time.Second}}
 	next.Tenants, next.Limits.MaxAttempts = []Tenant{{Name: "t"}, {Name: "u", Connections: 9}}, 2
-	none := func() []Event { return nil }
-	if n, a := sends("1", 0, func() []Event { return []Event{SettingsChanged{next}} }); n != 3 ||
-		a != (Reject{ID: "1", Reason: AttemptsUsed}) {
-		t.Errorf("the request under way: %d attempts, %+v", n, a)
+	noChange := func() []Event { return nil }
+	if attempts, answer := sendRequest("1", 0, func() []Event {
+		return []Event{SettingsChanged{next}}
+	}); attempts != 3 ||
+		answer != (Reject{ID: "1", Reason: AttemptsUsed}) {
+		t.Errorf("request in progress: got %d attempts, %+v, want 3 and a rejection", attempts, answer)
 	}
-	if n, a := sends("2", 0, none); n != 1 || a != (Fail{"2", MayHaveRun}) {
-		t.Errorf("one that must not run twice: %d attempts, %+v", n, a)
+	if attempts, answer := sendRequest("2", 0, noChange); attempts != 1 || answer != (Fail{"2", MayHaveRun}) {
+		t.Errorf("request that is not idempotent: got %d attempts, %+v, want 1 and a failure", attempts, answer)
 	}
-	if n, a := sends("3", 1, none); n != 2 || a != (Reject{ID: "3", Reason: AttemptsUsed}) {
-		t.Errorf("a new class: %d attempts, %+v", n, a)
+	if attempts, answer := sendRequest("3", 1, noChange); attempts != 2 ||
+		answer != (Reject{ID: "3", Reason: AttemptsUsed}) {
+		t.Errorf("request of a new class: got %d attempts, %+v, want 2 and a rejection", attempts, answer)
 	}
-	// Settings without a class are none.
+	// The balancer ignores invalid settings, such as settings without classes.
 	balancer.Step(now, []Event{SettingsChanged{}})
-	if n, _ := sends("4", 1, none); n != 2 {
-		t.Errorf("after settings that are none: %d attempts", n)
+	if attempts, _ := sendRequest("4", 1, noChange); attempts != 2 {
+		t.Errorf("request after invalid settings: got %d attempts, want 2", attempts)
 	}
 }
 
-// TestTwoProcessesShareTheSlowStartBudget has a server in slow start get no more from two processes of a node than
-// from the one before.
+// TestTwoProcessesShareTheSlowStartBudget checks that two processes of a node together send a server in slow start as
+// many connections as one process, within a quarter.
 func TestTwoProcessesShareTheSlowStartBudget(t *testing.T) {
-	sent := func(parts int, seed uint64) (n int) {
+	countConnections := func(processes int, seed uint64) (connections int) {
 		balancer, err := New(Settings{
-			Nodes: 4, Processes: parts, RoundTrip: 5 * time.Millisecond, Classes: []Class{{
+			Nodes: 4, Processes: processes, RoundTrip: 5 * time.Millisecond, Classes: []Class{{
 				Name:           "a",
 				SetupObjective: time.Second, Deadline: 10 * time.Second,
 			}},
@@ -108,22 +112,25 @@
 			now += 10 * time.Millisecond
 			id := RequestID(fmt.Sprint(i))
 			for _, a := range balancer.Step(now, []Event{Request{ID: id, Tenant: -1, TimeLeft: time.Second}}) {
-				if a, ok := a.(StartAttempt); ok {
-					if a.Server == "cold" {
-						n++
+				if start, ok := a.(StartAttempt); ok {
+					if start.Server == "cold" {
+						connections++
 					}
-					balancer.Step(now, []Event{AttemptEnded{ID: a.ID, Server: a.Server, Outcome: Served, Final: true}})
+					balancer.Step(now, []Event{AttemptEnded{
+						ID: start.ID, Server: start.Server, Outcome: Served, Final: true,
+					}})
 				}
 			}
 		}
-		return n
+		return connections
 	}
 	one, two := 0, 0
 	for seed := range uint64(20) {
-		one += sent(0, seed)
-		two += sent(2, 2*seed) + sent(2, 2*seed+1)
+		one += countConnections(0, seed)
+		two += countConnections(2, 2*seed) + countConnections(2, 2*seed+1)
 	}
 	if one < 40 || float64(two) > 1.25*float64(one) || float64(two) < 0.75*float64(one) {
-		t.Errorf("%d connections to a server in slow start from one process, %d from two that share", one, two)
+		t.Errorf("got %d connections in slow start from one process, %d from two, want at least 40 and nearly as many",
+			one, two)
 	}
 }
--- a/choice/throttle_test.go
+++ b/choice/throttle_test.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// One connection that breaks must not turn anybody away; many that do must, and be forgotten in time.
+// TestThrottle checks that one connection that breaks causes no rejections, that many do, and that the throttle
+// forgets them within a minute.
 func TestThrottle(t *testing.T) {
 	var limiter throttle
 	now := time.Hour
-	if p := limiter.admitRate(now); p != 1 {
-		t.Errorf("a new node lets in %.2f", p)
+	if rate := limiter.admitRate(now); rate != 1 {
+		t.Errorf("new node: got admit rate %.2f, want 1", rate)
 	}
 	limiter.add(now, 1, 1)
 	limiter.add(now, 0, -1)
-	if p := limiter.admitRate(now); p != 1 {
-		t.Errorf("after one connection that broke %.2f are let in", p)
+	if rate := limiter.admitRate(now); rate != 1 {
+		t.Errorf("after one broken connection: got admit rate %.2f, want 1", rate)
 	}
 	for range 20 {
 		limiter.add(now, 1, 1)
 		limiter.add(now, 0, -1)
 	}
-	if p := limiter.admitRate(now); p > 0.2 {
-		t.Errorf("while each connection is dropped %.2f are let in", p)
+	if rate := limiter.admitRate(now); rate > 0.2 {
+		t.Errorf("all connections dropped: got admit rate %.2f, want at most 0.2", rate)
 	}
-	if p := limiter.admitRate(now + time.Minute); p != 1 {
-		t.Errorf("a minute later %.2f are let in", p)
+	if rate := limiter.admitRate(now + time.Minute); rate != 1 {
+		t.Errorf("a minute later: got admit rate %.2f, want 1", rate)
 	}
-	for range 100 { // four in five last
+	for range 100 { // 4 of 5 connections last
 		limiter.add(now, 1, 1)
 	}
 	for range 20 {
 		limiter.add(now, 0, -1)
 	}
-	if p := limiter.admitRate(now); p < 0.7 || p > 0.9 { // a bound of 1.1 for each that lasts
-		t.Errorf("with four connections in five lasting %.2f are let in", p)
+	// The throttle admits 1.1 requests for each connection that lasts.
+	if rate := limiter.admitRate(now); rate < 0.7 || rate > 0.9 {
+		t.Errorf("4 of 5 connections last: got admit rate %.2f, want 0.7 to 0.9", rate)
 	}
-	for range 300 { // nineteen in twenty last
+	for range 300 { // 19 of 20 connections last
 		limiter.add(now+time.Minute, 1, 1)
 	}
 	limiter.add(now+time.Minute, 0, -15)
-	if p := limiter.admitRate(now + time.Minute); p < 0.99 {
-		t.Errorf("with nineteen connections in twenty lasting %.2f are let in", p)
+	if rate := limiter.admitRate(now + time.Minute); rate < 0.99 {
+		t.Errorf("19 of 20 connections last: got admit rate %.2f, want at least 0.99", rate)
 	}
 }
--- a/choice/zones_test.go
+++ b/choice/zones_test.go
@@ -8,13 +8,13 @@
 
 // zoneNode is a node with six servers in the zones a and b.
 type zoneNode struct {
-	balancer   *Balancer
-	ends       string         // zone whose servers can't be reached
-	got        map[string]int // connections by zone, and "rejected"
-	retryAfter []time.Duration
+	balancer        *Balancer
+	unreachableZone string
+	results         map[string]int // connections by zone, and the count of "rejected"
+	retryAfter      []time.Duration
 }
 
-func newZoneNode(t *testing.T, grants []Grant, admit []float64, ends string) *zoneNode {
+func newZoneNode(t *testing.T, grants []Grant, admitFraction []float64, unreachableZone string) *zoneNode {
 	t.Helper()
 	balancer, err := New(Settings{
 		Nodes: 1, Zone: "a", InitialCost: 0.02,
@@ -33,13 +33,13 @@
 	}
 	balancer.Step(time.Hour, []Event{
 		ServerList{Kind: ListFull, Servers: servers},
-		ZonePlan{Grants: grants, AdmitFraction: admit, RetryAfter: time.Second},
+		ZonePlan{Grants: grants, AdmitFraction: admitFraction, RetryAfter: time.Second},
 	})
-	return &zoneNode{balancer: balancer, ends: ends, got: map[string]int{}}
+	return &zoneNode{balancer: balancer, unreachableZone: unreachableZone, results: map[string]int{}}
 }
 
-// request plays a request with all of its attempts.
-func (z *zoneNode) request(id RequestID, now time.Duration) {
+// sendRequest sends a request, carries out all of its attempts and counts the result.
+func (z *zoneNode) sendRequest(id RequestID, now time.Duration) {
 	events := []Event{Request{ID: id, Tenant: -1, TimeLeft: 4 * time.Second}}
 	for attempt := 0; len(events) > 0 && attempt < 10; attempt++ {
 		actions := z.balancer.Step(now, events)
@@ -47,100 +47,102 @@
 		for _, a := range actions {
 			switch action := a.(type) {
 			case StartAttempt:
-				events = append(events, z.start(action, attempt))
+				events = append(events, z.attemptResult(action, attempt))
 			case Reject:
-				z.got["rejected"]++
+				z.results["rejected"]++
 				z.retryAfter = append(z.retryAfter, action.RetryAfter)
 			}
 		}
 	}
 }
 
-// start is what becomes of an attempt.
-func (z *zoneNode) start(action StartAttempt, attempt int) Event {
+// attemptResult returns the event that reports the result of an attempt.
+func (z *zoneNode) attemptResult(action StartAttempt, attempt int) Event {
 	zone := string("ab"[(action.Server[0]-'0')&1])
-	if zone == z.ends {
+	if zone == z.unreachableZone {
 		return AttemptEnded{ID: action.ID, Attempt: attempt, Server: action.Server, Outcome: ConnectFailed}
 	}
-	z.got[zone]++
+	z.results[zone]++
 	return Established{ID: action.ID, Attempt: attempt, Server: action.Server}
 }
 
-// checkRetryAfter wants rejections to spread the plan's second by half.
+// checkRetryAfter checks that the rejections vary the plan's retry-after time of 1 s by at most half.
 func (z *zoneNode) checkRetryAfter(t *testing.T) {
 	t.Helper()
 	for _, after := range z.retryAfter {
 		if after < time.Second/2 || after > 3*time.Second/2 {
-			t.Errorf("retry after %v, want 0.5 to 1.5 s", after)
+			t.Errorf("got retry after %v, want 0.5 to 1.5 s", after)
 		}
 	}
 }
 
-// checkNextPlan has a plan come that takes all capacity back: what is open counts, and nothing new is placed.
+// checkNextPlan passes a plan without free capacity to the balancer: the open connections use up its grant, so that the
+// balancer must not place another request.
 func (z *zoneNode) checkNextPlan(t *testing.T) {
 	t.Helper()
 	now := time.Hour + time.Second
 	observations := z.balancer.Observations(now)
 	zone := observations.Zones[0]
-	if zone.Zone != "a" || zone.Ready != 3 || zone.OwnLoad[0] != float64(z.got["a"]) {
-		t.Errorf("observations of zone a: %+v, want 3 ready servers and load %d", zone, z.got["a"])
+	if zone.Zone != "a" || zone.Ready != 3 || zone.OwnLoad[0] != float64(z.results["a"]) {
+		t.Errorf("observations of zone a: got %+v, want 3 ready servers and load %d", zone, z.results["a"])
 	}
 	z.balancer.Step(now, []Event{ZonePlan{Grants: []Grant{{"b", observations.Zones[1].OwnLoad[0], nil}}}})
 	for _, action := range z.balancer.Step(now, []Event{Request{ID: "late", Tenant: -1, TimeLeft: 4 * time.Second}}) {
 		if start, ok := action.(StartAttempt); ok {
-			t.Errorf("sent to %s beyond the new plan", start.Server)
+			t.Errorf("got an attempt on %s, want none beyond the new plan", start.Server)
 		}
 	}
 }
 
-// TestPlanOfZones plays requests of one class against plans: the nearest zone with capacity is taken, what has none is
-// rejected at once with a Retry-After, and what stands in a zone counts against a later plan.
-func TestPlanOfZones(t *testing.T) {
-	const wide = 100
+// TestZonePlan sends requests of one class under different plans. The balancer must choose the nearest zone with
+// capacity, reject requests without capacity at once with a retry-after time, and count the open connections of a zone
+// against a later plan.
+func TestZonePlan(t *testing.T) {
+	const ample = 100 // a load that the test does not reach
 	for _, test := range []struct {
-		name   string
-		grants []Grant
-		admit  []float64
-		ends   string // zone whose servers can't be reached
-		want   map[string]int
+		name            string
+		grants          []Grant
+		admitFraction   []float64
+		unreachableZone string // zone whose servers are unreachable
+		want            map[string]int
 	}{
-		{"no plan: any zone", nil, nil, "", nil},
-		{"own zone with capacity", []Grant{{"a", wide, nil}, {"b", wide, nil}}, nil, "", map[string]int{"a": 20}},
-		{"what doesn't fit goes on", []Grant{{"a", 5, nil}, {"b", wide, nil}}, nil, "", map[string]int{
+		{"without a plan all zones are allowed", nil, nil, "", nil},
+		{"own zone has capacity", []Grant{{"a", ample, nil}, {"b", ample, nil}}, nil, "", map[string]int{"a": 20}},
+		{"excess goes to the next zone", []Grant{{"a", 5, nil}, {"b", ample, nil}}, nil, "", map[string]int{
 			"a": 5,
 			"b": 15,
 		}},
-		{"and what fits nowhere is rejected", []Grant{{"a", 5, nil}, {"b", 5, nil}}, nil, "", map[string]int{
+		{"excess of all zones is rejected", []Grant{{"a", 5, nil}, {"b", 5, nil}}, nil, "", map[string]int{
 			"a": 5,
 			"b": 5, "rejected": 10,
 		}},
-		{"a class that must stay", []Grant{{"a", 5, nil}, {"b", wide, []int{0}}}, nil, "", map[string]int{
+		{"class excluded from the next zone", []Grant{{"a", 5, nil}, {"b", ample, []int{0}}}, nil, "", map[string]int{
 			"a":        5,
 			"rejected": 15,
 		}},
-		{"a class that is not admitted", []Grant{{"a", wide, nil}}, []float64{0}, "", map[string]int{"rejected": 20}},
-		{"a plan without grants", []Grant{}, nil, "", map[string]int{"rejected": 20}},
+		{"class is not admitted", []Grant{{"a", ample, nil}}, []float64{0}, "", map[string]int{"rejected": 20}},
+		{"plan without grants", []Grant{}, nil, "", map[string]int{"rejected": 20}},
 		{
-			"a zone that fails is replaced by the next",
-			[]Grant{{"a", wide, nil}, {"b", wide, nil}},
+			"unreachable zone is replaced by the next",
+			[]Grant{{"a", ample, nil}, {"b", ample, nil}},
 			nil, "a",
 			map[string]int{"b": 20},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			node := newZoneNode(t, test.grants, test.admit, test.ends)
+			node := newZoneNode(t, test.grants, test.admitFraction, test.unreachableZone)
 			for i := range 20 {
-				node.request(RequestID(fmt.Sprint(i)), time.Hour+time.Duration(i)*time.Millisecond)
+				node.sendRequest(RequestID(fmt.Sprint(i)), time.Hour+time.Duration(i)*time.Millisecond)
 			}
-			got := node.got
+			got := node.results
 			if test.grants != nil {
 				node.checkRetryAfter(t)
 			}
 			if test.want != nil && fmt.Sprint(got) != fmt.Sprint(test.want) {
-				t.Errorf("went to %v, wanted %v", got, test.want)
+				t.Errorf("got results %v, want %v", got, test.want)
 			}
 			if test.want == nil && (got["a"] < 3 || got["b"] < 3 || got["rejected"] > 0) {
-				t.Errorf("without a plan %v", got)
+				t.Errorf("without a plan: got results %v, want at least 3 in each zone and no rejections", got)
 			}
 			node.checkNextPlan(t)
 		})
