--- a/choice/export_test.go
+++ b/choice/export_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// RandomScript has the tests outside the package play a random but legal caller.
+// RandomScript exports runRandomScript to the tests in package choice_test.
 func RandomScript(tb testing.TB, seed uint64, steps int) [][]Action {
 	tb.Helper()
-	return script(tb, seed, steps)
+	return runRandomScript(tb, seed, steps)
 }
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// script plays a random but legal caller, with odd events mixed in, for a while; the referee judges. It returns all
-// actions.
-func script(tb testing.TB, seed uint64, steps int) [][]Action {
+// runRandomScript simulates a caller that passes random but valid events, and some unusual ones, for a number of steps.
+// A ruleChecker checks all actions. It returns the actions of each step.
+func runRandomScript(tb testing.TB, seed uint64, steps int) [][]Action {
 	tb.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
-	settings := plain()
+	settings := defaultTestSettings()
 	settings.Nodes, settings.GroupAffinity, settings.Subscribe = 1+rng.IntN(50), rng.IntN(2) == 0, rng.IntN(2) == 0
 	settings.PacketPassThrough = rng.IntN(4) == 0
 	settings.Reports = ReportSource(rng.IntN(3))
@@ -24,73 +24,79 @@
 			SetupObjective: ms(200), Deadline: ms(900), Idempotency: IdempotentByKey,
 			IdempotencyScope: Scope(rng.IntN(3)), IdempotencyWindow: ms(rng.IntN(900)),
 		})
-	referee := newReferee(tb, settings, seed)
-	servers := fleet(1 + rng.IntN(12))
-	caller := &scriptCaller{rng: rng, referee: referee, servers: servers}
-	caller.step(servers)
+	checker := newRuleChecker(tb, settings, seed)
+	list := newServerList(1 + rng.IntN(12))
+	caller := &scriptCaller{rng: rng, checker: checker, list: list}
+	caller.stepAndRecord(list)
 	for range steps {
-		caller.play()
+		caller.advance()
 	}
-	referee.run(referee.now) // no timer left behind; every deadline passed is answered
-	return caller.all
+	checker.runUntil(checker.now) // fires the timers that are due and checks the answers to expired requests
+	return caller.allActions
 }
 
-// scriptCaller plays what a node may do, by chance.
+// scriptCaller passes random events of a node to the balancer.
 type scriptCaller struct {
-	rng       *rand.Rand
-	referee   *referee
-	servers   ServerList
-	all       [][]Action
-	out, open []scriptAttempt
-	checks    []ServerID
-	requests  int
+	rng                   *rand.Rand
+	checker               *ruleChecker
+	list                  ServerList
+	allActions            [][]Action
+	inFlight, established []scriptAttempt
+	pendingChecks         []ServerID
+	requestCount          int
 }
 
+// scriptAttempt is an attempt of which the caller has not yet reported the end.
 type scriptAttempt struct {
-	id     RequestID
-	number int
-	server ServerID
-	until  time.Duration
+	id        RequestID
+	attempt   int
+	server    ServerID
+	timeoutAt time.Duration
 }
 
-// ended is the attempt's end.
-func (a scriptAttempt) ended(outcome Outcome, final bool) AttemptEnded {
-	return AttemptEnded{ID: a.id, Attempt: a.number, Server: a.server, Outcome: outcome, Final: final}
+// endEvent returns the event that reports the end of the attempt.
+func (a scriptAttempt) endEvent(outcome Outcome, final bool) AttemptEnded {
+	return AttemptEnded{ID: a.id, Attempt: a.attempt, Server: a.server, Outcome: outcome, Final: final}
 }
 
-func (c *scriptCaller) step(events ...Event) { c.all = append(c.all, c.referee.step(events...)) }
+// stepAndRecord passes events to the balancer and records the actions that it returns.
+func (c *scriptCaller) stepAndRecord(events ...Event) {
+	c.allActions = append(c.allActions, c.checker.stepAndCheck(events...))
+}
 
-// play is five milliseconds.
-func (c *scriptCaller) play() {
-	c.referee.now += ms(5)
-	for _, a := range c.referee.last {
+// advance advances the time by 5 ms, generates the events of that time and passes them to the balancer.
+func (c *scriptCaller) advance() {
+	c.checker.now += ms(5)
+	for _, a := range c.checker.lastActions {
 		switch action := a.(type) {
 		case StartAttempt:
-			number := c.referee.reqs[action.ID].sent - 1
-			c.out = append(c.out, scriptAttempt{action.ID, number, action.Server, c.referee.now + action.Timeout})
+			attempt := c.checker.requests[action.ID].attempts - 1
+			c.inFlight = append(c.inFlight, scriptAttempt{
+				action.ID, attempt, action.Server, c.checker.now + action.Timeout,
+			})
 		case HealthCheck:
-			c.checks = append(c.checks, action.Server)
+			c.pendingChecks = append(c.pendingChecks, action.Server)
 		}
 	}
-	events := c.dueTimers()
-	events = append(events, c.attempts()...)
-	events = append(events, c.healthChecks()...)
-	events = append(events, c.openConnections()...)
-	events = append(events, c.others()...)
-	// One of the others may name a real attempt: keep the caller's record in line with it.
-	c.out = slices.DeleteFunc(c.out, func(attempt scriptAttempt) bool {
+	events := c.timerEvents()
+	events = append(events, c.attemptEvents()...)
+	events = append(events, c.healthCheckEvents()...)
+	events = append(events, c.connectionEvents()...)
+	events = append(events, c.otherEvents()...)
+	// otherEvents may report the end of a real attempt, which is then no longer in flight.
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(attempt scriptAttempt) bool {
 		return slices.ContainsFunc(events, func(event Event) bool {
 			ended, ok := event.(AttemptEnded)
-			return ok && ended.ID == attempt.id && ended.Attempt == attempt.number
+			return ok && ended.ID == attempt.id && ended.Attempt == attempt.attempt
 		})
 	})
-	c.step(events...)
+	c.stepAndRecord(events...)
 }
 
-// dueTimers fires the timers whose time has come.
-func (c *scriptCaller) dueTimers() (events []Event) {
-	c.referee.timers = slices.DeleteFunc(c.referee.timers, func(timer timer) bool {
-		due := timer.at <= c.referee.now
+// timerEvents returns the events of the timers that are due.
+func (c *scriptCaller) timerEvents() (events []Event) {
+	c.checker.timers = slices.DeleteFunc(c.checker.timers, func(timer timer) bool {
+		due := timer.at <= c.checker.now
 		if due {
 			events = append(events, TimerFired{timer.token})
 		}
@@ -99,19 +105,19 @@
 	return events
 }
 
-// attempts has some of the attempts that are out succeed or end.
-func (c *scriptCaller) attempts() (events []Event) {
-	c.out = slices.DeleteFunc(c.out, func(sent scriptAttempt) bool {
+// attemptEvents lets some of the attempts in flight succeed or end, and returns the events.
+func (c *scriptCaller) attemptEvents() (events []Event) {
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(sent scriptAttempt) bool {
 		roll := c.rng.IntN(20)
-		over := c.referee.reqs[sent.id].done || c.referee.reqs[sent.id].gone
+		ended := c.checker.requests[sent.id].ended || c.checker.requests[sent.id].clientGone
 		switch {
-		case c.referee.now+ms(5) >= sent.until:
-			events = append(events, sent.ended(TimedOut, over))
-		case roll == 0 && !over:
-			events = append(events, Established{ID: sent.id, Attempt: sent.number, Server: sent.server})
-			c.open = append(c.open, sent)
+		case c.checker.now+ms(5) >= sent.timeoutAt:
+			events = append(events, sent.endEvent(TimedOut, ended))
+		case roll == 0 && !ended:
+			events = append(events, Established{ID: sent.id, Attempt: sent.attempt, Server: sent.server})
+			c.established = append(c.established, sent)
 		case roll == 1:
-			events = append(events, sent.ended(Outcome(1+c.rng.IntN(7)), over))
+			events = append(events, sent.endEvent(Outcome(1+c.rng.IntN(7)), ended))
 		default:
 			return false
 		}
@@ -120,13 +126,13 @@
 	return events
 }
 
-// healthChecks answers at most one health check.
-func (c *scriptCaller) healthChecks() (events []Event) {
-	for i, server := range c.checks {
+// healthCheckEvents returns the answer to at most one health check.
+func (c *scriptCaller) healthCheckEvents() (events []Event) {
+	for i, server := range c.pendingChecks {
 		if c.rng.IntN(3) != 0 {
 			continue
 		}
-		c.checks = slices.Delete(c.checks, i, i+1)
+		c.pendingChecks = slices.Delete(c.pendingChecks, i, i+1)
 		return []Event{HealthCheckResult{
 			Server: server, Outcome: Outcome(c.rng.IntN(8) * c.rng.IntN(2)),
 			Report: []float64{c.rng.Float64() * 1.5, float64(c.rng.IntN(50))},
@@ -135,49 +141,49 @@
 	return nil
 }
 
-// openConnections has something happen to an open connection now and then.
-func (c *scriptCaller) openConnections() []Event {
-	if len(c.open) == 0 || c.rng.IntN(6) != 0 {
+// connectionEvents returns an event of an open connection in about one of six steps.
+func (c *scriptCaller) connectionEvents() []Event {
+	if len(c.established) == 0 || c.rng.IntN(6) != 0 {
 		return nil
 	}
-	i := c.rng.IntN(len(c.open))
-	connection := c.open[i]
+	i := c.rng.IntN(len(c.established))
+	connection := c.established[i]
 	switch c.rng.IntN(3) {
 	case 0:
-		c.open = slices.Delete(c.open, i, i+1)
-		return []Event{connection.ended(Reset, true)}
+		c.established = slices.Delete(c.established, i, i+1)
+		return []Event{connection.endEvent(Reset, true)}
 	case 1:
-		return []Event{LoadUpdate{ID: connection.id, Attempt: connection.number, Load: c.rng.Float64() * 5}}
+		return []Event{LoadUpdate{ID: connection.id, Attempt: connection.attempt, Load: c.rng.Float64() * 5}}
 	default:
 		return []Event{DelayObservation{ID: connection.id, Server: connection.server, Took: ms(c.rng.IntN(400))}}
 	}
 }
 
-// others is requests, changes of the list, and odd events.
-func (c *scriptCaller) others() []Event {
+// otherEvents returns requests, changes of the server list, and unusual events.
+func (c *scriptCaller) otherEvents() []Event {
 	switch c.rng.IntN(12) {
 	case 0, 1, 2, 3:
-		c.requests++
+		c.requestCount++
 		return []Event{Request{
-			ID: RequestID(fmt.Sprint("r", c.requests)), Class: c.rng.IntN(3), Tenant: -1,
+			ID: RequestID(fmt.Sprint("r", c.requestCount)), Class: c.rng.IntN(3), Tenant: -1,
 			Key: c.rng.Uint64N(9), Group: c.rng.Uint64N(5), TimeLeft: ms(c.rng.IntN(900)), Load: c.rng.Float64(),
 		}}
 	case 4:
-		i := c.rng.IntN(len(c.servers.Servers))
-		c.servers.Servers[i].State = ServerState(c.rng.IntN(3) * c.rng.IntN(2))
+		i := c.rng.IntN(len(c.list.Servers))
+		c.list.Servers[i].State = ServerState(c.rng.IntN(3) * c.rng.IntN(2))
 		if c.rng.IntN(3) == 0 {
-			c.servers.Servers[i].Started = c.referee.now
+			c.list.Servers[i].Started = c.checker.now
 		}
-		return []Event{ServerList{Kind: ListChange, Servers: c.servers.Servers[i : i+1]}}
+		return []Event{ServerList{Kind: ListChange, Servers: c.list.Servers[i : i+1]}}
 	case 5:
 		return []Event{ServerList{Kind: ListUnavailable}}
 	case 6:
-		return []Event{ClientGone{ID: RequestID(fmt.Sprint("r", c.rng.IntN(c.requests+1)))}}
+		return []Event{ClientGone{ID: RequestID(fmt.Sprint("r", c.rng.IntN(c.requestCount+1)))}}
 	case 7:
-		events := []Event{TimerFired{fmt.Sprint("hold r", c.rng.IntN(c.requests+1))}}
-		// A caller reports nothing of attempts that it was not given.
-		if request := c.referee.reqs["r1"]; request != nil && request.sent > 0 {
-			attempt := c.rng.IntN(request.sent)
+		events := []Event{TimerFired{fmt.Sprint("hold r", c.rng.IntN(c.requestCount+1))}}
+		// A caller reports only attempts that the balancer has started.
+		if request := c.checker.requests["r1"]; request != nil && request.attempts > 0 {
+			attempt := c.rng.IntN(request.attempts)
 			events = append(events, AttemptEnded{ID: "r1", Attempt: attempt, Server: "s000", Outcome: Full})
 		}
 		return events
@@ -185,16 +191,16 @@
 	return nil
 }
 
-func TestRulesOverRandomScripts(t *testing.T) {
+func TestRandomScriptsKeepTheRules(t *testing.T) {
 	for seed := range uint64(150) {
-		script(t, seed, 600)
+		runRandomScript(t, seed, 600)
 	}
 }
 
-func TestSameEventsGiveTheSameActions(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	for seed := range uint64(10) {
-		if !reflect.DeepEqual(script(t, seed, 400), script(t, seed, 400)) {
-			t.Fatalf("seed %d: two runs differ", seed)
+		if !reflect.DeepEqual(runRandomScript(t, seed, 400), runRandomScript(t, seed, 400)) {
+			t.Fatalf("seed %d: got different actions from two runs, want the same", seed)
 		}
 	}
 }
@@ -203,5 +209,5 @@
 	for seed := range uint64(4) {
 		f.Add(seed, uint16(300))
 	}
-	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) { script(t, seed, int(steps%2000)) })
+	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) { runRandomScript(t, seed, int(steps%2000)) })
 }
--- a/choice/healthcheck_test.go
+++ b/choice/healthcheck_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// TestFullServerIsFound checks that a server that filled up under open connections is found and relieved where no
-// delays are not observed, as on sockets, and that no server is checked where they are.
-func TestFullServerIsFound(t *testing.T) {
+// TestFullServerIsDetectedWithoutObservedDelays checks that health checks detect a server that became full with its
+// open connections, and that connections are migrated off it, if delays are not observed, as on sockets. If delays are
+// observed, no server is checked.
+func TestFullServerIsDetectedWithoutObservedDelays(t *testing.T) {
 	for _, observed := range []bool{false, true} {
 		balancer, err := New(Settings{
 			Nodes: 1, DelaysObserved: observed, Reports: HealthCheckReports, ReportFields: []ReportField{Load},
@@ -18,25 +19,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var next []Event
+		var pendingEvents []Event
 		now := time.Hour
-		next = append(next, ServerList{Kind: ListFull, Servers: []Server{{ID: "full"}, {ID: "idle"}}})
+		pendingEvents = append(pendingEvents, ServerList{Kind: ListFull, Servers: []Server{{ID: "full"}, {ID: "idle"}}})
 		for i := range 20 {
-			next = append(next, OpenConnection{
+			pendingEvents = append(pendingEvents, OpenConnection{
 				Request: Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1},
 				Server:  "full",
 			})
 		}
-		checks, moves := 0, 0
+		checks, migrations := 0, 0
 		answer := func(a Action) []Event {
 			switch action := a.(type) {
 			case HealthCheck:
 				if checks++; action.Server != "full" {
-					t.Errorf("checked %s, which has no connections", action.Server)
+					t.Errorf("got a health check of %s, want none of a server without connections", action.Server)
 				}
 				return []Event{HealthCheckResult{Server: action.Server, Report: []float64{3}}}
 			case Migrate:
-				moves++
+				migrations++
 				return []Event{AttemptEnded{ID: action.ID, Server: "full", Outcome: Cancelled, Final: true}}
 			case SetTimer:
 				return []Event{TimerFired{action.Token}}
@@ -44,20 +45,21 @@
 			return nil
 		}
 		for range 30 {
-			events := next
-			next = nil
+			events := pendingEvents
+			pendingEvents = nil
 			for _, action := range balancer.Step(now, events) {
-				next = append(next, answer(action)...)
+				pendingEvents = append(pendingEvents, answer(action)...)
 			}
 			now += time.Second
 		}
-		if want := !observed; checks > 0 != want || moves > 0 != want || checks > 15 {
-			t.Errorf("delays observed %v: %d health checks, %d migrations", observed, checks, moves)
+		if want := !observed; checks > 0 != want || migrations > 0 != want || checks > 15 {
+			t.Errorf("delays observed %v: got %d health checks, %d migrations, want both only without observed delays",
+				observed, checks, migrations)
 		}
 	}
 }
 
-// TestNoHealthChecksWithoutReports guards servers whose protocol has no load reports against health checks.
+// TestNoHealthChecksWithoutReports checks that servers whose protocol has no load reports get no health checks.
 func TestNoHealthChecksWithoutReports(t *testing.T) {
 	balancer, err := New(Settings{
 		Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
@@ -66,30 +68,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := []Event{ServerList{Kind: ListFull, Servers: []Server{{ID: "s"}}}, OpenConnection{Request: Request{
-		ID:     "1",
-		Tenant: -1,
-	}, Server: "s"}}
+	pendingEvents := []Event{
+		ServerList{Kind: ListFull, Servers: []Server{{ID: "s"}}},
+		OpenConnection{Request: Request{ID: "1", Tenant: -1}, Server: "s"},
+	}
 	for i := range 20 {
-		events := next
-		next = nil
+		events := pendingEvents
+		pendingEvents = nil
 		for _, a := range balancer.Step(time.Hour+time.Duration(i)*time.Second, events) {
-			switch a := a.(type) {
+			switch action := a.(type) {
 			case HealthCheck:
-				t.Fatal("a health check after ", i, " s")
+				t.Fatal("got a health check after ", i, " s, want none")
 			case SetTimer:
-				next = append(next, TimerFired{a.Token})
+				pendingEvents = append(pendingEvents, TimerFired{action.Token})
 			}
 		}
 	}
 }
 
-// TestSlowMessagesCountAsLoad checks that a report of slow messages is as good as one of a full server where no notes
-// come: the backlog makes messages late although the reported load looks fine again. The excess is migrated, not all.
+// TestSlowMessagesCountAsLoad checks that a report of slow messages counts like a report of a full server if no delays
+// are observed: a backlog still delays messages after the reported load is low again. Only the excess connections are
+// migrated, not all of them.
 func TestSlowMessagesCountAsLoad(t *testing.T) {
 	for _, test := range []struct {
-		late, load float64
-		moves      bool
+		latency, load float64
+		migrates      bool
 	}{{5, 0.6, false}, {400, 0.6, true}, {5, 0, false}} {
 		balancer, err := New(Settings{
 			Nodes: 1, Reports: HealthCheckReports, ReportFields: []ReportField{Latency, Load},
@@ -111,40 +114,41 @@
 		}
 		balancer.Step(time.Hour, events)
 		balancer.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{Server: "idle", Report: []float64{3, 0.1}}})
-		// Connections that left since a report shows take the prediction under 0, which must not read as an excess.
+		// Connections that ended since the report make the predicted load negative, which must not count as an excess.
 		for i := range 30 {
 			balancer.Step(time.Hour+9*time.Second, []Event{AttemptEnded{
 				ID: RequestID(fmt.Sprint(i)), Server: "late",
 				Final: true,
 			}})
 		}
-		moves := 0
+		migrations := 0
 		for _, a := range balancer.Step(time.Hour+9*time.Second, []Event{HealthCheckResult{
 			Server: "late",
-			Report: []float64{test.late, test.load},
+			Report: []float64{test.latency, test.load},
 		}}) {
 			if _, ok := a.(Migrate); ok {
-				moves++
+				migrations++
 			}
 		}
-		if moves > 0 != test.moves || moves > 30 {
-			t.Errorf("messages of %v ms at %v: %d of 40 moved", test.late, test.load, moves)
+		if migrations > 0 != test.migrates || migrations > 30 {
+			t.Errorf("latency %v ms at load %v: got %d of 40 connections migrated, want at most 30 and only if slow",
+				test.latency, test.load, migrations)
 		}
 	}
 }
 
-// TestReliefRequestCountsLoadInMeanConnections has a node ask owners for relief where a connection's load is 4: the
-// message counts the node's load in mean connections, as a reservation does, whatever the unit of loads is.
-func TestReliefRequestCountsLoadInMeanConnections(t *testing.T) {
+// TestReliefRequestConvertsLoadToMeanConnections checks the load in relief requests if the mean connection has a load
+// of 4. The message must count the node's load in mean connections, like a reservation, whatever the unit of loads is.
+func TestReliefRequestConvertsLoadToMeanConnections(t *testing.T) {
 	const meanLoad, connections = 4, 6
 	now := time.Hour
-	balancer, err := New(keeping(), 1, now)
+	balancer, err := New(reservationSettings(), 1, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	balancer.Step(now, []Event{fleet(13)})
+	balancer.Step(now, []Event{newServerList(13)})
 	balancer.units.mean = meanLoad
-	asked := false
+	requested := false
 	for _, server := range balancer.servers {
 		if balancer.ownerOf(server) == balancer.settings.Node {
 			continue
@@ -158,29 +162,30 @@
 			if !ok {
 				continue
 			}
-			question, valid := decodePeerMessage(message.Data)
-			if !valid || question.kind != reliefRequest || question.load != connections {
-				t.Errorf("server %s: question %+v, want relief from %d connections", server.ID, question, connections)
+			request, valid := decodePeerMessage(message.Data)
+			if !valid || request.kind != reliefRequest || request.load != connections {
+				t.Errorf("server %s: got message %+v, want a relief request for %d connections", server.ID, request,
+					connections)
 			}
-			asked = true
+			requested = true
 		}
 	}
-	if !asked {
-		t.Error("no owner was asked for relief")
+	if !requested {
+		t.Error("got no relief request, want at least one")
 	}
 }
 
-// TestReliefRequestCountsMeanConnections has a node ask the owners of servers for relief: the load that it names is its
-// own load there in mean connections, whatever the unit of loads is.
+// TestReliefRequestCountsMeanConnections checks that a relief request to the owner of a server contains the node's own
+// load on the server in mean connections, whatever the unit of loads is.
 func TestReliefRequestCountsMeanConnections(t *testing.T) {
-	settings := vast()
+	settings := largeFleetSettings()
 	settings.Limits.PeerMessages = true
 	for _, unit := range []float64{1, 0.25, 4} {
 		balancer, err := New(settings, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
-		events := []Event{fleet(13)}
+		events := []Event{newServerList(13)}
 		for i := range 13 {
 			events = append(events, OpenConnection{
 				Request: Request{ID: RequestID(fmt.Sprint("o", i)), Load: unit, Tenant: -1},
@@ -192,18 +197,18 @@
 			for _, message := range reliefRequests(balancer.Step(now, events)) {
 				requests++
 				if message.load != 1 {
-					t.Fatalf("unit %v: relief is requested for %v mean connections, wanted 1", unit, message.load)
+					t.Fatalf("unit %v: got a relief request for %v mean connections, want 1", unit, message.load)
 				}
 			}
 			events = []Event{TimerFired{timerTick}}
 		}
 		if requests == 0 {
-			t.Errorf("unit %v: no relief was requested", unit)
+			t.Errorf("unit %v: got no relief request, want at least one", unit)
 		}
 	}
 }
 
-// reliefRequests are the requests for relief among the messages that are sent to other nodes.
+// reliefRequests returns the relief requests among the messages that actions send to other nodes.
 func reliefRequests(actions []Action) (requests []peerMessage) {
 	for _, action := range actions {
 		send, ok := action.(SendPeerMessage)
--- a/choice/inference_test.go
+++ b/choice/inference_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// silentSettings are those of a deployment whose servers report nothing and whose nodes don't talk.
-func silentSettings(nodes int) Settings {
+// noReportSettings returns the settings of a fleet whose servers send no load reports and whose nodes exchange no
+// messages.
+func noReportSettings(nodes int) Settings {
 	return Settings{
 		Nodes: nodes, GroupAffinity: true, Sizes: NominalSize, DelaysObserved: true, RoundTrip: 4 * time.Millisecond,
 		Classes: []Class{
@@ -28,10 +29,11 @@
 	}
 }
 
-// silentNode is one node of it, with a fleet of equal warm servers.
-func silentNode(t *testing.T, nodes, servers int) (*Balancer, time.Duration) {
+// newNoReportNode returns one node with noReportSettings and a list of equal servers that are warmed up, and the
+// current time.
+func newNoReportNode(t *testing.T, nodes, servers int) (*Balancer, time.Duration) {
 	t.Helper()
-	balancer, err := New(silentSettings(nodes), 1, time.Hour)
+	balancer, err := New(noReportSettings(nodes), 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,117 +45,125 @@
 	return balancer, time.Hour
 }
 
-// connect places a request and has its connection stand; it returns the server, or "" where the request was rejected.
+// connect sends a request and establishes its connection. It returns the server, or "" if the request was rejected.
 func connect(balancer *Balancer, now time.Duration, id RequestID, class int, group uint64) ServerID {
 	for _, a := range balancer.Step(now, []Event{Request{
 		ID: id, Class: class, Tenant: -1, Group: group,
 		TimeLeft: 5 * time.Second,
 	}}) {
-		if a, ok := a.(StartAttempt); ok {
-			balancer.Step(now, []Event{Established{ID: id, Server: a.Server, Took: 20 * time.Millisecond}})
-			return a.Server
+		if start, ok := a.(StartAttempt); ok {
+			balancer.Step(now, []Event{Established{ID: id, Server: start.Server, Took: 20 * time.Millisecond}})
+			return start.Server
 		}
 	}
 	return ""
 }
 
-// A connection must not count 1 until its server reports its load, and a small part of that afterwards: no limit would
-// ever bind.
-func TestReportedConnectionLoadsGiveTheUnit(t *testing.T) {
-	balancer, now := silentNode(t, 3, 8)
+// TestReportedConnectionLoadsDetermineTheUnit checks that connections with and without a reported load count in the
+// same unit. If a connection counted 1 until its load is reported and a small fraction of that afterwards, no limit
+// would ever apply.
+func TestReportedConnectionLoadsDetermineTheUnit(t *testing.T) {
+	balancer, now := newNoReportNode(t, 3, 8)
 	servers := map[RequestID]ServerID{}
 	for i := range 20 {
 		id := RequestID(fmt.Sprint(i))
 		servers[id] = connect(balancer, now, id, i%2, uint64(i+1))
 	}
 	before := 0.0
-	for _, s := range balancer.servers {
-		before += s.cost * s.own.load
+	for _, server := range balancer.servers {
+		before += server.cost * server.own.load
 	}
-	for i := range 10 { // half of the connections report their load: those of the second class are nine times as heavy
+	// Half of the connections report their load. Those of the second class have nine times the load of the first.
+	for i := range 10 {
 		balancer.Step(now, []Event{LoadUpdate{ID: RequestID(fmt.Sprint(i)), Load: []float64{0.02, 0.18}[i%2]}})
 	}
 	sum := 0.0
-	for _, s := range balancer.servers {
-		sum += s.own.load
+	for _, server := range balancer.servers {
+		sum += server.own.load
 	}
-	if sum < 1 || sum > 3 { // ten of 0.02 and ten of 0.18 are 2
-		t.Errorf("20 connections count %.2f in all, reported and unreported ones together", sum)
+	if sum < 1 || sum > 3 { // 10 connections of 0.02 and 10 of 0.18 are 2
+		t.Errorf("total load of 20 connections, half of them reported: got %.2f, want 1 to 3", sum)
 	}
 	if light, heavy := balancer.expectedLoad(0), balancer.expectedLoad(1); light < 0.019 || light > 0.021 ||
 		heavy < 0.179 || heavy > 0.181 {
-		t.Errorf("new connections are guessed at %.3f and %.3f", light, heavy)
+		t.Errorf("expected loads of new connections: got %.3f and %.3f, want 0.02 and 0.18", light, heavy)
 	}
 	balancer.updateCosts()
 	if balancer.units.mean < 0.05 || balancer.units.mean > 0.15 {
-		t.Errorf("the mean connection counts %.3f", balancer.units.mean)
+		t.Errorf("load of the mean connection: got %.3f, want 0.05 to 0.15", balancer.units.mean)
 	}
 	if before <= 0 {
-		t.Error("nothing stood before")
+		t.Error("load before the reports: got none, want some")
 	}
 }
 
-// Where servers report, loads of connections don't change the unit: costs and reservations are learned in it.
-func TestConnectionLoadsKeepTheUnitWhereServersReport(t *testing.T) {
-	set := silentSettings(3)
-	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Utilization, Load}
-	b, err := New(set, 1, time.Hour)
+// TestConnectionLoadsKeepTheUnitIfServersReport checks that loads of connections do not change the unit if servers send
+// reports, because costs and reservations are learned in that unit.
+func TestConnectionLoadsKeepTheUnitIfServersReport(t *testing.T) {
+	settings := noReportSettings(3)
+	settings.Reports, settings.ReportFields = HealthCheckReports, []ReportField{Utilization, Load}
+	balancer, err := New(settings, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.observeConnectionLoad(0, 0.02)
-	if b.units.mean != 1 || b.expectedLoad(0) != 1 {
-		t.Errorf("a connection counts %.3f, a new one %.3f", b.units.mean, b.expectedLoad(0))
+	balancer.observeConnectionLoad(0, 0.02)
+	if balancer.units.mean != 1 || balancer.expectedLoad(0) != 1 {
+		t.Errorf("load of a connection: got mean %.3f, expected %.3f, want 1 and 1", balancer.units.mean,
+			balancer.expectedLoad(0))
 	}
 }
 
-// Slow messages have to raise a server's predicted load where nothing reports it, and connections to be placed
-// elsewhere.
-func TestSlowMessagesCountWithoutReports(t *testing.T) {
-	balancer, now := silentNode(t, 3, 8)
+// TestSlowMessagesRaisePredictedLoad checks that slow messages raise a server's predicted load if servers send no
+// reports, and that new connections are then placed on other servers.
+func TestSlowMessagesRaisePredictedLoad(t *testing.T) {
+	balancer, now := newNoReportNode(t, 3, 8)
 	const group = 7
-	var home ServerID
+	var slow ServerID
 	for i := range 6 {
-		home = connect(balancer, now, RequestID(fmt.Sprint(i)), 0, group)
+		slow = connect(balancer, now, RequestID(fmt.Sprint(i)), 0, group)
 	}
-	server, moved := balancer.findServer(home), 0
+	server, migrated := balancer.findServer(slow), 0
 	for i := range 5 {
 		now += time.Second
 		for _, a := range balancer.Step(now, []Event{DelayObservation{
-			ID: "0", Server: home,
+			ID: "0", Server: slow,
 			Took: 900 * time.Millisecond,
 		}, TimerFired{Token: "tick"}}) {
-			if a, ok := a.(Migrate); ok {
-				moved++
-				balancer.Step(now, []Event{AttemptEnded{ID: a.ID, Server: home, Outcome: Cancelled, Final: true}})
+			if migration, ok := a.(Migrate); ok {
+				migrated++
+				balancer.Step(now, []Event{AttemptEnded{
+					ID: migration.ID, Server: slow, Outcome: Cancelled, Final: true,
+				}})
 			}
 		}
 		if i == 0 && balancer.predictedLoad(server) < crowdedLoad {
-			t.Errorf("a server whose messages take 900 ms is predicted at %.2f", balancer.predictedLoad(server))
+			t.Errorf("server with messages of 900 ms: got predicted load %.2f, want at least crowdedLoad",
+				balancer.predictedLoad(server))
 		}
 	}
-	if moved == 0 {
-		t.Error("nobody was moved off it")
+	if migrated == 0 {
+		t.Error("server with slow messages: got no migrations, want some")
 	}
-	if to := connect(balancer, now, "next", 0, group); to == home {
-		t.Error("the group's next connection went there all the same")
+	if next := connect(balancer, now, "next", 0, group); next == slow {
+		t.Error("next connection of the group: got the slow server, want another one")
 	}
-	quiet := balancer.predictedLoad(server)
-	for range 20 { // it is over: once more when messages are quick again
+	before := balancer.predictedLoad(server)
+	for range 20 { // messages are fast again
 		now += time.Second
 		balancer.Step(now, []Event{
-			DelayObservation{ID: "0", Server: home, Took: 5 * time.Millisecond},
+			DelayObservation{ID: "0", Server: slow, Took: 5 * time.Millisecond},
 			TimerFired{Token: "tick"},
 		})
 	}
-	if balancer.predictedLoad(server) >= quiet || balancer.predictedLoad(server) > crowdedLoad {
-		t.Errorf("with quick messages again it is predicted at %.2f, %.2f before", balancer.predictedLoad(server),
-			quiet)
+	if balancer.predictedLoad(server) >= before || balancer.predictedLoad(server) > crowdedLoad {
+		t.Errorf("with fast messages again: got predicted load %.2f, want less than %.2f before and not crowded",
+			balancer.predictedLoad(server), before)
 	}
 }
 
-// A setup that takes long shows an overload; one that is just as long as the others doesn't, however long they are.
-func TestSlowSetupsCount(t *testing.T) {
+// TestSlowSetupsRaiseLoad checks that a connection setup that takes longer than the others raises a server's load. A
+// setup that takes as long as the others does not, however long they are.
+func TestSlowSetupsRaiseLoad(t *testing.T) {
 	for _, test := range []struct {
 		typical, last time.Duration
 		slow          bool
@@ -162,50 +172,51 @@
 		{20 * time.Millisecond, 60 * time.Millisecond, false},
 		{300 * time.Millisecond, 400 * time.Millisecond, false},
 	} {
-		b, now := silentNode(t, 3, 8)
-		s := b.servers[0]
+		balancer, now := newNoReportNode(t, 3, 8)
+		server := balancer.servers[0]
 		for range 40 {
-			b.inferFromSetup(b.servers[1], test.typical)
+			balancer.inferFromSetup(balancer.servers[1], test.typical)
 		}
-		b.now = now
-		b.inferFromSetup(s, test.last)
-		if slow := s.report.known && s.report.load > crowdedLoad-overflowMargin; slow != test.slow {
-			t.Errorf("after set-ups of %v one of %v: taken for slow is %v", test.typical, test.last, slow)
+		balancer.now = now
+		balancer.inferFromSetup(server, test.last)
+		if slow := server.report.known && server.report.load > crowdedLoad-overflowMargin; slow != test.slow {
+			t.Errorf("after setups of %v, a setup of %v: got slow %v, want the opposite", test.typical, test.last, slow)
 		}
 	}
 }
 
-// What one node sees of a server of a large fleet is next to nothing: its estimate has to lean on the average, and on
-// its own connections where there are enough.
+// TestEstimateLeansOnTheAverage checks the estimated load of a server. A node of a large fleet has few connections on a
+// server, so the estimate must stay near the average load. A node with enough own connections must rely on them.
 func TestEstimateLeansOnTheAverage(t *testing.T) {
 	for _, test := range []struct {
 		nodes, own int
 		low, high  float64
 	}{
-		{300, 0, 0.3, 0.55}, {300, 1, 0.4, 0.75}, // 1 x 300 times the cost of one would be 3
+		{300, 0, 0.3, 0.55}, {300, 1, 0.4, 0.75}, // one connection on each of 300 nodes would be a load of 3
 		{2, 0, 0.05, 0.45}, {2, 40, 0.6, 2},
 	} {
-		b, _ := silentNode(t, test.nodes, 8)
-		b.average.load = 0.5
-		s := b.servers[0]
-		s.own.add(b.now, float64(test.own)*b.units.mean)
-		if e := b.estimateLoad(s); e < test.low || e > test.high {
-			t.Errorf("%d own connections at one of %d nodes: estimated at %.2f, wanted %.2f to %.2f", test.own,
-				test.nodes, e, test.low, test.high)
+		balancer, _ := newNoReportNode(t, test.nodes, 8)
+		balancer.average.load = 0.5
+		server := balancer.servers[0]
+		server.own.add(balancer.now, float64(test.own)*balancer.units.mean)
+		if load := balancer.estimateLoad(server); load < test.low || load > test.high {
+			t.Errorf("%d own connections on one of %d nodes: got estimated load %.2f, want %.2f to %.2f", test.own,
+				test.nodes, load, test.low, test.high)
 		}
 	}
 }
 
-// A group has to go to the same few servers from each node, more of them large than small, and to none that is just
-// starting more often than its warm-up allows: all nodes know sizes and starts alike.
-func TestGroupsGoByRegisteredSize(t *testing.T) {
+// TestGroupsAreDistributedByServerSize checks that all nodes place a group on the same server, and that large servers
+// get more groups than small ones. This is possible because all nodes know the same sizes and start times. For the same
+// reason a server in slow start must not get a group more often than its warm-up allows.
+func TestGroupsAreDistributedByServerSize(t *testing.T) {
 	first := map[ServerID]int{}
 	for group := range uint64(600) {
-		seen := map[ServerID]bool{}
+		servers := map[ServerID]bool{}
 		for node := range 3 {
-			set := silentSettings(3)
-			set.Node = node
-			balancer, err := New(set, uint64(node), time.Hour)
+			settings := noReportSettings(3)
+			settings.Node = node
+			balancer, err := New(settings, uint64(node), time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -214,28 +225,30 @@
 				{ID: "small", Size: 1},
 				{ID: "mid", Size: 2},
 			}}})
-			seen[connect(balancer, time.Hour, "r", 0, group+1)] = true
+			servers[connect(balancer, time.Hour, "r", 0, group+1)] = true
 			if node == 0 {
-				for id := range seen {
+				for id := range servers {
 					first[id]++
 				}
 			}
 		}
-		if len(seen) != 1 {
-			t.Fatalf("three nodes send group %d to %v", group, seen)
+		if len(servers) != 1 {
+			t.Fatalf("group %d on three nodes: got servers %v, want one", group, servers)
 		}
 	}
 	if first["large"] < 300 || first["small"] > 130 || first["small"] == 0 {
-		t.Errorf("of 600 groups go to sizes 4, 2 and 1: %v", first)
+		t.Errorf("600 groups on servers of sizes 4, 2 and 1: got %v, want at least 300 on large, 1 to 130 on small",
+			first)
 	}
 }
 
-// Connections that servers shed at once, only to come again at the next node, must stay a bounded part of all; what
-// is rejected has a Retry-After, spread.
+// TestDroppedConnectionsAreThrottled checks that only a bounded fraction of the requests is placed if servers drop each
+// connection at once and the clients reconnect to the next node. Rejections must have different retry-after times, so
+// that the clients do not return in waves.
 func TestDroppedConnectionsAreThrottled(t *testing.T) {
-	balancer, now := silentNode(t, 300, 90)
-	placed, rejected, advice := 0, 0, map[time.Duration]bool{}
-	for i := range 300 { // a storm: each connection is dropped 200 ms after it came up
+	balancer, now := newNoReportNode(t, 300, 90)
+	placed, rejected, retryAfters := 0, 0, map[time.Duration]bool{}
+	for i := range 300 { // servers drop each connection 200 ms after its setup
 		now += 10 * time.Millisecond
 		id := RequestID(fmt.Sprint(i))
 		for _, a := range balancer.Step(now, []Event{Request{
@@ -252,36 +265,38 @@
 				}})
 			case Reject:
 				rejected++
-				if advice[action.RetryAfter] = true; action.RetryAfter <= 0 || action.RetryAfter > 2*time.Second {
-					t.Fatalf("advice of %v where clients heed 2 s", action.RetryAfter)
+				if retryAfters[action.RetryAfter] = true; action.RetryAfter <= 0 || action.RetryAfter > 2*time.Second {
+					t.Fatalf("got retry after %v, want above 0 and at most 2 s", action.RetryAfter)
 				}
 			}
 		}
 	}
 	if placed > 60 || placed == 0 {
-		t.Errorf("%d of 300 connections were placed while servers shed each of them", placed)
+		t.Errorf("servers drop each connection: got %d of 300 requests placed, want 1 to 60", placed)
 	}
-	if len(advice) < rejected/2 {
-		t.Errorf("%d rejections have %d different advices: they come back as waves", rejected, len(advice))
+	if len(retryAfters) < rejected/2 {
+		t.Errorf("%d rejections: got %d different retry-after times, want at least half as many", rejected,
+			len(retryAfters))
 	}
-	now += time.Minute // servers hold again: what comes is let in, at once and all of it
+	now += time.Minute // servers keep connections again: all requests must be admitted soon
 	for i := range 50 {
 		now += 200 * time.Millisecond
 		balancer.Step(now, []Event{TimerFired{Token: "tick"}})
 		if connect(balancer, now, RequestID(fmt.Sprint("calm", i)), 0, uint64(1+i%5)) == "" {
 			rejected++
 			if i > 10 {
-				t.Errorf("request %d is rejected in a calm minute", i)
+				t.Errorf("request %d after a minute without drops: got a rejection, want it placed", i)
 			}
 		}
 	}
 }
 
-// On a deployment that reports, none of this is in the way: no throttle, no advice of the balancer's own.
-func TestThrottleOnlyWithoutReports(t *testing.T) {
-	set := silentSettings(3)
-	set.Reports, set.ReportFields = HealthCheckReports, []ReportField{Load}
-	balancer, err := New(set, 1, time.Hour)
+// TestNoThrottleWithReports checks that the throttle does not apply if servers send reports. The balancer then also
+// sends no retry-after times of its own.
+func TestNoThrottleWithReports(t *testing.T) {
+	settings := noReportSettings(3)
+	settings.Reports, settings.ReportFields = HealthCheckReports, []ReportField{Load}
+	balancer, err := New(settings, 1, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -289,8 +304,8 @@
 	for range 50 {
 		balancer.admission.throttle.add(balancer.now, 1, 0)
 	}
-	r := &requestEntry{class: &balancer.settings.Classes[0], load: balancer.units.mean}
-	if part := balancer.admitRate(r); part < 1 {
-		t.Errorf("%.2f of all requests are let in", part)
+	request := &requestEntry{class: &balancer.settings.Classes[0], load: balancer.units.mean}
+	if rate := balancer.admitRate(request); rate < 1 {
+		t.Errorf("got admit rate %.2f, want 1", rate)
 	}
 }
--- a/choice/invariance_test.go
+++ b/choice/invariance_test.go
@@ -7,67 +7,70 @@
 	"time"
 )
 
-// Names of zones, kinds, classes and tenants, and the unit of loads, must not sway a choice.
-func TestOtherNamesAndUnitsChooseAlike(t *testing.T) {
-	play := func(prefix string, unit float64) (to []ServerID) {
-		s := plain()
-		s.Zone, s.Classes[0].Name = prefix+s.Zone, prefix+"c"
-		referee := newReferee(t, s, 21)
-		l := fleet(15)
-		for i := range l.Servers {
-			l.Servers[i].Zone, l.Servers[i].Kind = prefix+l.Servers[i].Zone, prefix+l.Servers[i].Kind
+// TestPlacementIgnoresNamesAndUnits checks that names of zones, kinds, classes and tenants, and the unit of loads, have
+// no influence on placement.
+func TestPlacementIgnoresNamesAndUnits(t *testing.T) {
+	placements := func(prefix string, unit float64) (servers []ServerID) {
+		settings := defaultTestSettings()
+		settings.Zone, settings.Classes[0].Name = prefix+settings.Zone, prefix+"c"
+		checker := newRuleChecker(t, settings, 21)
+		list := newServerList(15)
+		for i := range list.Servers {
+			list.Servers[i].Zone, list.Servers[i].Kind = prefix+list.Servers[i].Zone, prefix+list.Servers[i].Kind
 		}
-		referee.step(l)
+		checker.stepAndCheck(list)
 		load := func(id ServerID) float64 { return 0.3 + 0.05*float64(id[3]-'0') }
 		for i := range 300 {
-			referee.run(ms(40 * i))
+			checker.runUntil(ms(40 * i))
 			id := RequestID(fmt.Sprint(i))
-			referee.step(Request{ID: id, TimeLeft: ms(1800), Tenant: -1, Load: unit * float64(1+i%7)})
-			referee.answerHealthChecks(load)
-			got := referee.sends()
-			to = append(to, got...)
+			checker.stepAndCheck(Request{ID: id, TimeLeft: ms(1800), Tenant: -1, Load: unit * float64(1+i%7)})
+			checker.answerHealthChecks(load)
+			got := checker.attemptedServers()
+			servers = append(servers, got...)
 			if len(got) == 1 {
-				referee.step(Established{ID: id, Attempt: 0, Server: got[0]})
-				referee.step(LoadUpdate{ID: id, Attempt: 0, Load: unit * float64(2+i%3)})
+				checker.stepAndCheck(Established{ID: id, Attempt: 0, Server: got[0]})
+				checker.stepAndCheck(LoadUpdate{ID: id, Attempt: 0, Load: unit * float64(2+i%3)})
 			}
 		}
-		return to
+		return servers
 	}
-	want := play("", 1)
+	want := placements("", 1)
 	if len(want) < 290 {
-		t.Fatalf("only %d of 300 placed", len(want))
+		t.Fatalf("got %d of 300 requests placed, want at least 290", len(want))
 	}
-	if got := play("other-", 1.0/1024); !reflect.DeepEqual(got, want) { // a power of two: no rounding
-		t.Error("other names and a smaller unit choose otherwise")
+	if got := placements("other-", 1.0/1024); !reflect.DeepEqual(got, want) { // a power of two avoids rounding
+		t.Error("other names and a smaller unit: got other placements, want the same")
 	}
 }
 
-// One node, one server, many servers: requests are placed, and health checks stay within a few a request.
-func TestSizes(t *testing.T) {
+// TestFleetSizes checks for fleets from one node and one server to many of both that requests are placed with a few
+// health checks per request.
+func TestFleetSizes(t *testing.T) {
 	for _, test := range []struct{ nodes, servers int }{{1, 1}, {1, 10}, {200, 1}, {200, 1000}, {3, 1000}} {
-		s := plain()
-		s.Nodes = test.nodes
-		referee := newReferee(t, s, 31)
-		referee.step(fleet(test.servers))
+		settings := defaultTestSettings()
+		settings.Nodes = test.nodes
+		checker := newRuleChecker(t, settings, 31)
+		checker.stepAndCheck(newServerList(test.servers))
 		placed, open := 0, []AttemptEnded(nil)
 		for i := range 100 {
-			referee.run(time.Duration(i) * 400 * time.Millisecond)
-			if to := referee.place(fmt.Sprint(i), 0, level(0.5)); to != "" {
+			checker.runUntil(time.Duration(i) * 400 * time.Millisecond)
+			if server := checker.placeRequest(fmt.Sprint(i), 0, constantLoad(0.5)); server != "" {
 				placed++
-				referee.step(Established{ID: RequestID(fmt.Sprint(i)), Attempt: 0, Server: to})
-				open = append(open, AttemptEnded{ID: RequestID(fmt.Sprint(i)), Server: to, Final: true})
+				checker.stepAndCheck(Established{ID: RequestID(fmt.Sprint(i)), Attempt: 0, Server: server})
+				open = append(open, AttemptEnded{ID: RequestID(fmt.Sprint(i)), Server: server, Final: true})
 			}
 			if len(open) > 3 {
-				referee.step(open[0])
+				checker.stepAndCheck(open[0])
 				open = open[1:]
 			}
 		}
 		checks := 0
-		for _, n := range referee.checks {
+		for _, n := range checker.healthChecks {
 			checks += n
 		}
 		if placed < 95 || checks > 400 {
-			t.Errorf("%+v: %d of 100 placed with %d health checks", test, placed, checks)
+			t.Errorf("%+v: got %d of 100 placed with %d health checks, want at least 95 with at most 400", test,
+				placed, checks)
 		}
 	}
 }
@@ -75,20 +78,20 @@
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{20, 200, 1000} {
 		b.Run(fmt.Sprint(n, "servers"), func(b *testing.B) {
-			referee := newReferee(b, plain(), 1)
-			referee.step(fleet(n))
+			checker := newRuleChecker(b, defaultTestSettings(), 1)
+			checker.stepAndCheck(newServerList(n))
 			b.ReportAllocs()
 			for i := range b.N {
 				id := RequestID(fmt.Sprint(i))
-				out := referee.b.Step(time.Duration(i)*10*time.Millisecond,
+				actions := checker.balancer.Step(time.Duration(i)*10*time.Millisecond,
 					[]Event{Request{ID: id, TimeLeft: ms(1800), Tenant: -1}})
-				var probed []Event
-				for _, a := range out {
-					if p, ok := a.(HealthCheck); ok {
-						probed = append(probed, HealthCheckResult{Server: p.Server, Report: []float64{0.5, 10}})
+				var results []Event
+				for _, a := range actions {
+					if check, ok := a.(HealthCheck); ok {
+						results = append(results, HealthCheckResult{Server: check.Server, Report: []float64{0.5, 10}})
 					}
 				}
-				referee.b.Step(time.Duration(i)*10*time.Millisecond, append(probed, ClientGone{ID: id}))
+				checker.balancer.Step(time.Duration(i)*10*time.Millisecond, append(results, ClientGone{ID: id}))
 			}
 		})
 	}
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// TestLearnedStateIsInherited has one process take over from another: with what that one found out, its forecasts of
-// the servers' loads are as good at once; without, they are not in the first seconds.
-func TestLearnedStateIsInherited(t *testing.T) {
+// TestLearnedStateKeepsPredictionsAccurate checks the predicted loads after a successor process took over the
+// connections. With the learned state of its parent its predictions are as good at once; without it they are worse in
+// the first seconds.
+func TestLearnedStateKeepsPredictionsAccurate(t *testing.T) {
 	list := ServerList{Kind: ListFull}
 	for i := range 12 {
 		list.Servers = append(list.Servers, Server{
@@ -20,47 +21,49 @@
 	}
 	const seeds = 8
 	errors := map[string]float64{}
-	for _, how := range []string{"stays", "learned", "empty"} {
+	for _, successor := range []string{"none", "learned", "empty"} {
 		for seed := uint64(1); seed <= seeds; seed++ {
 			start := 1000 * time.Hour
-			b, err := New(knows(), seed, start)
+			balancer, err := New(learnedStateSettings(), seed, start)
 			if err != nil {
 				t.Fatal(err)
 			}
-			fleet := &fleetOf{
-				b: b, rng: rand.New(rand.NewPCG(seed, 9)), now: start, cost: map[ServerID]float64{},
-				on: map[RequestID]ServerID{}, ends: map[RequestID]time.Duration{}, timer: map[time.Duration][]string{},
+			fleet := &fleetSimulation{
+				balancer: balancer, rng: rand.New(rand.NewPCG(seed, 9)), now: start,
+				connectionCost: map[ServerID]float64{}, connections: map[RequestID]ServerID{},
+				endTimes: map[RequestID]time.Duration{}, timers: map[time.Duration][]string{},
 			}
-			for i, s := range list.Servers {
-				fleet.cost[s.ID] = 0.03 + 0.03*float64(i%2) + 0.004*float64(i%5)
+			for i, server := range list.Servers {
+				fleet.connectionCost[server.ID] = 0.03 + 0.03*float64(i%2) + 0.004*float64(i%5)
 			}
-			fleet.step(list)
-			fleet.run(start+90*time.Second, 500*time.Millisecond)
-			if how != "stays" {
-				fleet.takeOver(t, seed+100, list, how == "learned")
+			fleet.processEvents(list)
+			fleet.runUntil(start+90*time.Second, 500*time.Millisecond)
+			if successor != "none" {
+				fleet.replaceBalancer(t, seed+100, list, successor == "learned")
 			}
 			for _, span := range []time.Duration{time.Second, 4 * time.Second} {
-				fleet.off, fleet.n = 0, 0
-				fleet.run(fleet.now+span, 500*time.Millisecond)
-				errors[fmt.Sprint(how, span)] += fleet.off / float64(fleet.n) / seeds
+				fleet.errorSum, fleet.predictionCount = 0, 0
+				fleet.runUntil(fleet.now+span, 500*time.Millisecond)
+				errors[fmt.Sprint(successor, span)] += fleet.errorSum / float64(fleet.predictionCount) / seeds
 			}
 		}
 	}
 	for _, span := range []time.Duration{time.Second, 4 * time.Second} {
-		t.Logf("mean error of a predicted load in the next %v: "+
-			"the same process %.3f, with what was learned %.3f, without %.3f",
-			span, errors[fmt.Sprint("stays", span)], errors[fmt.Sprint("learned", span)], errors[fmt.Sprint("empty",
-				span)])
+		t.Logf("mean error of predicted loads in the next %v: "+
+			"same process %.3f, successor with learned state %.3f, successor without %.3f",
+			span, errors[fmt.Sprint("none", span)], errors[fmt.Sprint("learned", span)],
+			errors[fmt.Sprint("empty", span)])
 	}
-	if e := errors["learned1s"]; e > 1.2*errors["stays1s"] || e > 0.8*errors["empty1s"] {
-		t.Error("what was learned is of no use")
+	if e := errors["learned1s"]; e > 1.2*errors["none1s"] || e > 0.8*errors["empty1s"] {
+		t.Error("got a larger error in the first second with learned state, want one near that of the same process")
 	}
 }
 
-// TestLearnedStateIsChecked has another process send what can't be, or what is older than what this one knows.
-func TestLearnedStateIsChecked(t *testing.T) {
+// TestInvalidOrOldLearnedStateIsIgnored checks that a balancer ignores learned state with invalid values, and reports
+// that are older than its own, from an earlier start of the server, or from the future.
+func TestInvalidOrOldLearnedStateIsIgnored(t *testing.T) {
 	now := time.Hour
-	balancer, err := New(knows(), 1, now)
+	balancer, err := New(learnedStateSettings(), 1, now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,10 +81,10 @@
 			{ID: "a", Started: 5, Known: true, Report: 0.9, ReportAt: now - time.Second, EjectedUntil: now +
 				time.Hour, ReportedLoad: 9, ConnectionLoad: 90, Reports: 9},
 			{ID: "b", Known: true, Report: 0.1, ReportAt: now - time.Second},
-			{ID: "nobody"},
+			{ID: "unknown"},
 		},
 	}
-	for i, spoil := range []func(*LearnedState){
+	for i, invalidate := range []func(*LearnedState){
 		func(l *LearnedState) { l.Version = 9 }, func(l *LearnedState) { l.Meaning = "" },
 		func(l *LearnedState) { l.Unit = 0 }, func(l *LearnedState) { l.Unit = math.NaN() },
 		func(l *LearnedState) { l.PassRate = math.Inf(1) }, func(l *LearnedState) { l.WeightSum = 0 },
@@ -91,10 +94,10 @@
 		func(l *LearnedState) { l.Kinds = []LearnedKind{{"k", 1, math.NaN(), 1}} },
 	} {
 		bad := good
-		spoil(&bad)
+		invalidate(&bad)
 		balancer.Step(now, []Event{LearnedStateReceived{bad}})
 		if a := balancer.findServer("a"); a.report.known || a.outlier.until != 0 {
-			t.Errorf("spoilt value %d was taken", i)
+			t.Errorf("learned state with invalid value %d: got it applied, want it ignored", i)
 		}
 	}
 	later := good
@@ -104,26 +107,26 @@
 	}
 	balancer.Step(now, []Event{LearnedStateReceived{later}})
 	if balancer.findServer("a").report.known || balancer.findServer("b").report.load != 0.5 {
-		t.Error("taken: a report of an earlier start, or one of the future")
+		t.Error("got a report of an earlier start or of the future applied, want it ignored")
 	}
 	balancer.Step(now, []Event{LearnedStateReceived{good}})
 	a, other := balancer.findServer("a"), balancer.findServer("b")
 	if a.report.load != 0.9 || a.report.at != now-time.Second || a.outlier.until != now+firstEjection<<3 ||
 		a.costs.reports != 9 {
-		t.Errorf("not taken: %+v", a)
+		t.Errorf("valid learned state: got server %+v, want its values applied", a)
 	}
 	if other.report.load != 0.5 {
-		t.Error("an older report was taken for a newer one")
+		t.Error("got an older report applied, want the newer one kept")
 	}
 }
 
-// TestOtherMeaningResetsEstimates has settings come under which reports say something else: what they said before is
-// another deployment's, for the balancer that takes them and for one that inherits from another process. Settings that
-// change nothing in that change nothing in what was learned.
+// TestOtherMeaningResetsEstimates checks that settings which change the meaning of reports discard the estimates
+// learned from earlier reports, both in the balancer that gets the settings and in one that gets learned state from
+// another process. Settings that keep the meaning keep the learned state.
 func TestOtherMeaningResetsEstimates(t *testing.T) {
 	now := time.Hour
-	learned := func() *Balancer {
-		balancer, err := New(knows(), 1, now)
+	newLearnedBalancer := func() *Balancer {
+		balancer, err := New(learnedStateSettings(), 1, now)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -134,33 +137,34 @@
 		})
 		return balancer
 	}
-	same := knows()
+	same := learnedStateSettings()
 	same.Limits.MaxAttempts, same.Classes = 2, append(same.Classes, Class{
 		Name: "d", Priority: 9,
 		Deadline: time.Second,
 	})
-	b := learned()
-	b.Step(now, []Event{SettingsChanged{same}})
-	if !b.findServer("a").report.known || b.average.load == 0 || len(b.LearnedState().Kinds) != 1 {
-		t.Error("forgotten with settings under which reports say the same")
+	unchanged := newLearnedBalancer()
+	unchanged.Step(now, []Event{SettingsChanged{same}})
+	if !unchanged.findServer("a").report.known || unchanged.average.load == 0 ||
+		len(unchanged.LearnedState().Kinds) != 1 {
+		t.Error("settings with the same meaning of reports: got estimates discarded, want them kept")
 	}
 	for i, change := range []func(*Settings){
 		func(s *Settings) { s.ReportFields = []ReportField{InFlight} }, func(s *Settings) { s.Reports = AllReports },
 		func(s *Settings) { s.Sizes = LiveSize }, func(s *Settings) { s.PriorityPerWork = true },
 	} {
-		other := knows()
+		other := learnedStateSettings()
 		change(&other)
-		balancer := learned()
+		balancer := newLearnedBalancer()
 		inherited := balancer.LearnedState()
 		balancer.Step(now, []Event{SettingsChanged{other}})
 		fresh, err := New(other, 1, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := ServerList{Kind: ListFull, Servers: []Server{{ID: "a", Kind: "k", Size: 1}, {
-			ID: "b", Kind: "k",
-			Size: 1,
-		}}}
+		list := ServerList{Kind: ListFull, Servers: []Server{
+			{ID: "a", Kind: "k", Size: 1},
+			{ID: "b", Kind: "k", Size: 1},
+		}}
 		fresh.Step(now, []Event{list})
 		for _, inherits := range []bool{false, true} {
 			if inherits {
@@ -168,25 +172,25 @@
 				balancer.Step(now, []Event{LearnedStateReceived{inherited}})
 			}
 			for _, id := range []ServerID{"a", "b"} {
-				s, clean := balancer.findServer(id), fresh.findServer(id)
-				if s.report.known || s.costs.reports != 0 || balancer.kinds["k"].costs.reports != 0 ||
-					s.cost != clean.cost || balancer.predictedLoad(s) != fresh.predictedLoad(clean) ||
+				server, clean := balancer.findServer(id), fresh.findServer(id)
+				if server.report.known || server.costs.reports != 0 || balancer.kinds["k"].costs.reports != 0 ||
+					server.cost != clean.cost || balancer.predictedLoad(server) != fresh.predictedLoad(clean) ||
 					balancer.average.load != fresh.average.load {
-					t.Errorf("settings %d, inherits %v: of %s it knows %+v, average %v", i, inherits, id, s,
-						balancer.average.load)
+					t.Errorf("settings %d, inherits %v: got server %s %+v, average %v, want no estimates", i, inherits,
+						id, server, balancer.average.load)
 				}
 			}
 		}
 	}
 }
 
-// TestInitialCost has far more connections come than the guess of a connection's load allows for, before reports can
-// tell better: where the settings know the load, all are placed.
+// TestInitialCost sends far more connections than the default initial cost of a connection allows, before reports can
+// correct the cost. With the actual cost in the settings, all requests are placed.
 func TestInitialCost(t *testing.T) {
-	for _, known := range []float64{1e-5, 0} {
-		s := knows()
-		s.Nodes, s.InitialCost = 1, known
-		balancer, err := New(s, 1, time.Hour)
+	for _, initialCost := range []float64{1e-5, 0} {
+		settings := learnedStateSettings()
+		settings.Nodes, settings.InitialCost = 1, initialCost
+		balancer, err := New(settings, 1, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -198,9 +202,9 @@
 		for i := range 2000 {
 			events = append(events, Request{ID: RequestID(fmt.Sprint(i)), Tenant: -1, TimeLeft: 4 * time.Second})
 			for len(events) > 0 {
-				acts := balancer.Step(time.Hour+time.Duration(i)*time.Millisecond, events)
+				actions := balancer.Step(time.Hour+time.Duration(i)*time.Millisecond, events)
 				events = nil
-				for _, a := range acts {
+				for _, a := range actions {
 					switch action := a.(type) {
 					case StartAttempt:
 						placed[action.Server]++
@@ -216,19 +220,20 @@
 				}
 			}
 		}
-		if rejected > 0 == (known > 0) {
-			t.Errorf("known cost %v: %d rejected, %v placed", known, rejected, placed)
+		if rejected > 0 == (initialCost > 0) {
+			t.Errorf("initial cost %v: got %d rejected, %v placed, want rejections only for cost 0", initialCost,
+				rejected, placed)
 		}
 	}
 }
 
-// TestLearnedStateByAnotherClock has a process begin on a clock that is an hour off the one before it: what that one
-// learned keeps its age, and what it spent at a server in slow start stays spent.
+// TestLearnedStateByAnotherClock checks that learned state keeps its age, and spent slow-start budgets stay spent, if
+// the clock of the next process is an hour ahead or behind.
 func TestLearnedStateByAnotherClock(t *testing.T) {
-	for _, off := range []time.Duration{time.Hour, -time.Hour} {
-		list := fleet(3)
+	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
+		list := newServerList(3)
 		list.Servers[1].Started = 2*time.Hour - time.Second
-		before, err := New(plain(), 1, 2*time.Hour)
+		before, err := New(defaultTestSettings(), 1, 2*time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -239,33 +244,35 @@
 		before.findServer("s001").slowStart = tokenBucket{0, 2 * time.Hour}
 		before.findServer("s002").outlier.eject(before.now)
 		learned := before.LearnedState()
-		now := 2*time.Hour + off
-		after, err := New(plain(), 2, now)
+		now := 2*time.Hour + offset
+		after, err := New(defaultTestSettings(), 2, now)
 		if err != nil {
 			t.Fatal(err)
 		}
 		list.Servers[1].SlowStartSince = now - time.Second
 		after.Step(now, []Event{list, LearnedStateReceived{learned}})
 		if s := after.findServer("s000"); !s.report.known || s.report.at != now {
-			t.Errorf("%v off: a report of now is %v old, known %v", off, now-s.report.at, s.report.known)
+			t.Errorf("clock offset %v: got a report of age %v, known %v, want age 0, known", offset, now-s.report.at,
+				s.report.known)
 		}
 		if s := after.findServer("s001"); s.slowStart.tokens != 0 || s.slowStart.refilledAt != now {
-			t.Errorf("%v off: a server in slow start whose budget is spent has %v tokens, since %v", off,
+			t.Errorf("clock offset %v: got %v tokens refilled %v ago, want a spent budget of age 0", offset,
 				s.slowStart.tokens, now-s.slowStart.refilledAt)
 		}
 		if s := after.findServer("s002"); s.outlier.until != now+firstEjection {
-			t.Errorf("%v off: a server that failed is left out for %v", off, s.outlier.until-now)
+			t.Errorf("clock offset %v: got a remaining ejection of %v, want the first ejection's duration", offset,
+				s.outlier.until-now)
 		}
 	}
 }
 
-// TestLearnedStateOfAnOverdrawnBudget has a server in slow start get one connection of more load than its budget had:
-// the next process takes all that was learned, the debt included.
+// TestLearnedStateOfAnOverdrawnBudget checks that the next process applies the whole learned state, including the
+// negative budget, after a connection overdrew the budget of a server in slow start.
 func TestLearnedStateOfAnOverdrawnBudget(t *testing.T) {
 	const now = 2 * time.Hour
-	list := fleet(2)
+	list := newServerList(2)
 	list.Servers[1].Started = now - time.Second
-	before, err := New(plain(), 1, now)
+	before, err := New(defaultTestSettings(), 1, now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -274,17 +281,17 @@
 	before.spendSlowStart(before.findServer("s001"), 3)
 	learned := before.LearnedState()
 	if got := learned.Servers[1].SlowStartCredit; got != -2 {
-		t.Fatalf("budget %v after a connection of load 3, wanted -2", got)
+		t.Fatalf("budget after a connection of load 3: got %v, want -2", got)
 	}
-	after, err := New(plain(), 2, now)
+	after, err := New(defaultTestSettings(), 2, now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	after.Step(now, []Event{list, LearnedStateReceived{learned}})
 	if got := after.findServer("s001").slowStart.tokens; got != -2 {
-		t.Errorf("the next process has a budget of %v, wanted -2", got)
+		t.Errorf("budget in the next process: got %v, want -2", got)
 	}
 	if !after.findServer("s000").report.known {
-		t.Error("the next process has no report of another server, wanted the one that was learned")
+		t.Error("report of another server in the next process: got none, want the learned one")
 	}
 }
--- a/choice/peerclock_test.go
+++ b/choice/peerclock_test.go
@@ -5,62 +5,64 @@
 	"time"
 )
 
-// TestPeerClockIsStepped has another node's clock be an hour or some seconds off, from its start or later on: its
-// requests are answered again within two seconds, while late ones still are not.
-func TestPeerClockIsStepped(t *testing.T) {
-	for _, off := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -3 * time.Second} {
-		referee := newReferee(t, keeping(), 1)
-		referee.now = 2 * time.Hour
-		referee.step(fleet(13))
-		answersAt := func(clock time.Duration) (answered bool) {
-			s := referee.b.servers[3]
-			s.report = loadReport{load: 0.1, at: referee.now, known: true}
-			q := peerMessage{
-				kind: reservationRequest, token: uint16(clock.Milliseconds()), server: serverKey(s),
+// TestPeerClockOffsetIsLearned checks a peer whose clock is an hour or some seconds off, from its start or later on.
+// Within two seconds the node replies to its requests again, while requests that arrive late still get no reply.
+func TestPeerClockOffsetIsLearned(t *testing.T) {
+	for _, offset := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -3 * time.Second} {
+		checker := newRuleChecker(t, reservationSettings(), 1)
+		checker.now = 2 * time.Hour
+		checker.stepAndCheck(newServerList(13))
+		repliesAt := func(clock time.Duration) (replied bool) {
+			server := checker.balancer.servers[3]
+			server.report = loadReport{load: 0.1, at: checker.now, known: true}
+			request := peerMessage{
+				kind: reservationRequest, token: uint16(clock.Milliseconds()), server: serverKey(server),
 				load: 1,
 			}
-			for _, a := range referee.step(PeerMessage{1, q.encode()}) {
+			for _, a := range checker.stepAndCheck(PeerMessage{1, request.encode()}) {
 				if message, ok := a.(SendPeerMessage); ok && message.To == 1 {
 					return true
 				}
 			}
 			return false
 		}
-		if !answersAt(referee.now) {
-			t.Fatal("a request of now has no reply")
+		if !repliesAt(checker.now) {
+			t.Fatal("request of the current time: got no reply, want one")
 		}
-		answered := false
+		replied := false
 		for range 8 {
-			referee.now += 250 * time.Millisecond
-			answered = answersAt(referee.now + off)
+			checker.now += 250 * time.Millisecond
+			replied = repliesAt(checker.now + offset)
 		}
-		if !answered {
-			t.Errorf("a clock that is %v off: no reply after two seconds", off)
+		if !replied {
+			t.Errorf("clock offset %v: got no reply after two seconds, want one", offset)
 		}
-		if referee.now += 250 * time.Millisecond; answersAt(referee.now + off - 2*time.Second) {
-			t.Errorf("a clock that is %v off: a request that is two seconds late has a reply", off)
+		if checker.now += 250 * time.Millisecond; repliesAt(checker.now + offset - 2*time.Second) {
+			t.Errorf("clock offset %v: got a reply to a request that is two seconds late, want none", offset)
 		}
 	}
 }
 
-// TestStalledPeerIsLate has a node that was held up for two seconds send what it had to say all at once: that is
-// late, and stays so.
-func TestStalledPeerIsLate(t *testing.T) {
-	referee := newReferee(t, keeping(), 1)
-	referee.now = time.Hour
-	referee.step(fleet(13))
-	server := referee.b.servers[3]
+// TestMessagesOfStalledPeerAreLate checks that a node drops all messages of a peer that stalled for two seconds and
+// then sends its messages at once. The node must not learn the delay as a clock offset.
+func TestMessagesOfStalledPeerAreLate(t *testing.T) {
+	checker := newRuleChecker(t, reservationSettings(), 1)
+	checker.now = time.Hour
+	checker.stepAndCheck(newServerList(13))
+	server := checker.balancer.servers[3]
 	for i := range 20 {
-		token := uint16((referee.now - 2*time.Second + time.Duration(i)*20*time.Millisecond).Milliseconds())
-		if out := referee.step(PeerMessage{1, peerMessage{
+		token := uint16((checker.now - 2*time.Second + time.Duration(i)*20*time.Millisecond).Milliseconds())
+		if actions := checker.stepAndCheck(PeerMessage{1, peerMessage{
 			kind: reservationRequest, token: token,
 			server: serverKey(server), load: 1,
-		}.encode()}); len(out) > 0 {
-			t.Fatalf("message %d, late, has %v follow", i, out)
+		}.encode()}); len(actions) > 0 {
+			t.Fatalf("late message %d: got actions %v, want none", i, actions)
 		}
 	}
-	good := peerMessage{kind: reservationRequest, token: tokenClock(referee.b.now), server: serverKey(server), load: 1}
-	if out := referee.step(PeerMessage{1, good.encode()}); len(out) == 0 {
-		t.Error("a request of now is dropped")
+	timely := peerMessage{
+		kind: reservationRequest, token: tokenClock(checker.balancer.now), server: serverKey(server), load: 1,
+	}
+	if actions := checker.stepAndCheck(PeerMessage{1, timely.encode()}); len(actions) == 0 {
+		t.Error("request of the current time: got no actions, want a reply or a health check")
 	}
 }
--- a/choice/predicted_fleet_test.go
+++ b/choice/predicted_fleet_test.go
@@ -8,101 +8,105 @@
 	"time"
 )
 
-// fleetOf plays a fleet under one of four nodes that have the same: each of its connections is one of four.
-type fleetOf struct {
-	b     *Balancer
-	rng   *rand.Rand
-	now   time.Duration
-	cost  map[ServerID]float64
-	on    map[RequestID]ServerID
-	ends  map[RequestID]time.Duration
-	timer map[time.Duration][]string
-	next  int
-	off   float64 // predicted less true load of all servers, summed each 10 ms
-	n     int
+// fleetSimulation simulates the servers of a node whose three peers have the same connections: each connection of the
+// node loads its server four times.
+type fleetSimulation struct {
+	balancer        *Balancer
+	rng             *rand.Rand
+	now             time.Duration
+	connectionCost  map[ServerID]float64
+	connections     map[RequestID]ServerID
+	endTimes        map[RequestID]time.Duration
+	timers          map[time.Duration][]string
+	requestCount    int
+	errorSum        float64 // sum of |predicted - true load| over all servers and steps of 10 ms
+	predictionCount int
 }
 
-func (f *fleetOf) load(id ServerID) (x float64) {
-	for _, s := range f.on {
-		if s == id {
-			x += 4 * f.cost[id]
+func (f *fleetSimulation) trueLoad(id ServerID) (load float64) {
+	for _, server := range f.connections {
+		if server == id {
+			load += 4 * f.connectionCost[id]
 		}
 	}
-	return x
+	return load
 }
 
-// step hands over events and plays the servers' fraction: attempts stand at once, health checks are answered with
-// some noise.
-func (f *fleetOf) step(events ...Event) {
+// processEvents passes events to the balancer and simulates the servers: attempts are established at once, and answers
+// to health checks contain some noise.
+func (f *fleetSimulation) processEvents(events ...Event) {
 	for len(events) > 0 {
-		acts := f.b.Step(f.now, events)
+		actions := f.balancer.Step(f.now, events)
 		events = nil
-		for _, a := range acts {
+		for _, a := range actions {
 			switch action := a.(type) {
 			case StartAttempt:
-				f.on[action.ID] = action.Server
-				f.ends[action.ID] = f.now + time.Duration(10+f.rng.IntN(40))*time.Second
+				f.connections[action.ID] = action.Server
+				f.endTimes[action.ID] = f.now + time.Duration(10+f.rng.IntN(40))*time.Second
 				events = append(events, Established{ID: action.ID, Server: action.Server})
 			case HealthCheck:
 				events = append(events, HealthCheckResult{
 					Server: action.Server,
-					Report: []float64{f.load(action.Server) * (0.95 + 0.1*f.rng.Float64())},
+					Report: []float64{f.trueLoad(action.Server) * (0.95 + 0.1*f.rng.Float64())},
 				})
 			case SetTimer:
 				at := f.now + action.After
-				f.timer[at] = append(f.timer[at], action.Token)
+				f.timers[at] = append(f.timers[at], action.Token)
 			case Migrate:
-				delete(f.on, action.ID)
+				delete(f.connections, action.ID)
 				events = append(events, AttemptEnded{ID: action.ID, Outcome: Cancelled, Final: true})
 			}
 		}
 	}
 }
 
-// due is the timers and the ends of connections whose time has come.
-func (f *fleetOf) due() (events []Event) {
-	for at, tokens := range f.timer {
+// dueEvents returns the events of the timers and of the ends of connections that are due.
+func (f *fleetSimulation) dueEvents() (events []Event) {
+	for at, tokens := range f.timers {
 		if at > f.now {
 			continue
 		}
 		for _, token := range tokens {
 			events = append(events, TimerFired{token})
 		}
-		delete(f.timer, at)
+		delete(f.timers, at)
 	}
-	for id, at := range f.ends {
+	for id, at := range f.endTimes {
 		if at > f.now {
 			continue
 		}
-		delete(f.on, id)
-		delete(f.ends, id)
+		delete(f.connections, id)
+		delete(f.endTimes, id)
 		events = append(events, AttemptEnded{ID: id, Server: "", Outcome: Served, Final: true})
 	}
 	return events
 }
 
-func (f *fleetOf) run(until time.Duration, every time.Duration) {
+// runUntil advances the time to until in steps of 10 ms, with a request at each multiple of every. In the last five
+// seconds it adds up the prediction errors.
+func (f *fleetSimulation) runUntil(until time.Duration, every time.Duration) {
 	for ; f.now < until; f.now += 10 * time.Millisecond {
-		events := f.due()
+		events := f.dueEvents()
 		if f.now%every == 0 {
-			f.next++
+			f.requestCount++
 			events = append(events, Request{
-				ID: RequestID(fmt.Sprint("r", f.next)), Tenant: -1,
+				ID: RequestID(fmt.Sprint("r", f.requestCount)), Tenant: -1,
 				TimeLeft: 4 * time.Second,
 			})
 		}
-		f.step(events...)
+		f.processEvents(events...)
 		if until-f.now > 5*time.Second {
-			continue // the figures of before are of no interest
+			continue // only the predictions of the last five seconds are measured
 		}
-		f.b.Step(f.now, nil)
-		for _, s := range f.b.servers {
-			f.off, f.n = f.off+math.Abs(f.b.predictedLoad(s)-f.load(s.ID)), f.n+1
+		f.balancer.Step(f.now, nil)
+		for _, server := range f.balancer.servers {
+			f.errorSum, f.predictionCount =
+				f.errorSum+math.Abs(f.balancer.predictedLoad(server)-f.trueLoad(server.ID)), f.predictionCount+1
 		}
 	}
 }
 
-func knows() Settings {
+func learnedStateSettings() Settings {
 	return Settings{
 		Nodes: 4, Reports: HealthCheckReports, ReportFields: []ReportField{Load}, RoundTrip: 5 * time.Millisecond,
 		Classes: []Class{{
@@ -113,42 +117,44 @@
 	}
 }
 
-// takeOver has another process take the balancer's place, with what the first one has learned or without, and checks
-// that the first one's predictions stay and that the second one's are alike.
-func (f *fleetOf) takeOver(t *testing.T, seed uint64, list ServerList, learned bool) {
+// replaceBalancer transfers the connections to the balancer of a successor process, with or without the learned state.
+// It checks that the predictions of the parent do not change, and that with the learned state the successor's
+// predictions are nearly the same.
+func (f *fleetSimulation) replaceBalancer(t *testing.T, seed uint64, list ServerList, learned bool) {
 	t.Helper()
-	was, before := f.b, map[ServerID]float64{}
-	was.Step(f.now, nil)
-	for _, server := range was.servers {
-		before[server.ID] = was.predictedLoad(server)
+	parent, before := f.balancer, map[ServerID]float64{}
+	parent.Step(f.now, nil)
+	for _, server := range parent.servers {
+		before[server.ID] = parent.predictedLoad(server)
 	}
-	next, err := New(knows(), seed, f.now)
+	successor, err := New(learnedStateSettings(), seed, f.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.b = next
-	f.timer = map[time.Duration][]string{}
-	f.step(list)
+	f.balancer = successor
+	f.timers = map[time.Duration][]string{}
+	f.processEvents(list)
 	if learned {
-		f.step(LearnedStateReceived{was.LearnedState()})
+		f.processEvents(LearnedStateReceived{parent.LearnedState()})
 	}
-	for id, server := range f.on {
-		f.step(OpenConnection{
+	for id, server := range f.connections {
+		f.processEvents(OpenConnection{
 			Request: Request{ID: id, Tenant: -1}, Server: server, OriginalClass: &Class{Name: "gone"},
 		})
-		was.Step(f.now, []Event{Transferred{id}})
+		parent.Step(f.now, []Event{Transferred{id}})
 	}
-	for _, server := range was.servers {
+	for _, server := range parent.servers {
 		want := before[server.ID]
-		if load := was.predictedLoad(server); math.Abs(load-want) > 1e-9 {
-			t.Errorf("learned %v: the giver predicts %v for %v, want %v as before", learned, load, server.ID, want)
+		if load := parent.predictedLoad(server); math.Abs(load-want) > 1e-9 {
+			t.Errorf("learned %v: parent: got predicted load %v of %v, want %v as before", learned, load,
+				server.ID, want)
 		}
-		load := f.b.predictedLoad(f.b.findServer(server.ID))
+		load := f.balancer.predictedLoad(f.balancer.findServer(server.ID))
 		if learned && math.Abs(load-want) > 5e-3 {
-			t.Errorf("the taker predicts %v for %v, want %v as the giver", load, server.ID, want)
+			t.Errorf("successor: got predicted load %v of %v, want %v as at the parent", load, server.ID, want)
 		}
 	}
-	if len(was.requests) != 0 {
-		t.Errorf("%d requests stay with the giver, want none", len(was.requests))
+	if len(parent.requests) != 0 {
+		t.Errorf("got %d requests left at the parent, want none", len(parent.requests))
 	}
 }
--- a/choice/regression_test.go
+++ b/choice/regression_test.go
@@ -6,253 +6,261 @@
 	"time"
 )
 
-// One small test for each failure found on the bench; docs/incidents says where.
+// Each of these tests guards against a failure that the benchmarks showed; docs/incidents describes the failures.
 
-// place sends one request with all health checks answered, and returns where it went ("" if rejected).
-func (f *referee) place(id string, group uint64, load func(ServerID) float64) ServerID {
-	f.t.Helper()
-	f.now += ms(1)
-	f.step(Request{ID: RequestID(id), TimeLeft: ms(1800), Tenant: -1, Group: group})
-	f.answerHealthChecks(load)
-	if got := f.sends(); len(got) == 1 {
+// placeRequest sends a request, answers all health checks with the given load, and returns the server that the request
+// was placed on, or "" if it was rejected.
+func (c *ruleChecker) placeRequest(id string, group uint64, load func(ServerID) float64) ServerID {
+	c.tb.Helper()
+	c.now += ms(1)
+	c.stepAndCheck(Request{ID: RequestID(id), TimeLeft: ms(1800), Tenant: -1, Group: group})
+	c.answerHealthChecks(load)
+	if got := c.attemptedServers(); len(got) == 1 {
 		return got[0]
 	}
 	return ""
 }
 
+// TestFirstRequestsAreNotRejected guards against an initial cost of a connection that is as high as the capacity of a
+// whole server, which caused rejections on an idle fleet.
 func TestFirstRequestsAreNotRejected(t *testing.T) {
-	f := newReferee(t, plain(), 1)
-	f.step(fleet(10))
+	checker := newRuleChecker(t, defaultTestSettings(), 1)
+	checker.stepAndCheck(newServerList(10))
 	for i := range 10 { // all before the first tick
-		if f.place(fmt.Sprint(i), 0, level(0.4)) == "" {
-			t.Fatal("rejected on an idle fleet: the cost of a connection was guessed as a whole server")
+		if checker.placeRequest(fmt.Sprint(i), 0, constantLoad(0.4)) == "" {
+			t.Fatal("idle fleet: got a rejection, want all requests placed")
 		}
 	}
 }
 
-func TestDelaysDoNotMoveTheAverage(t *testing.T) {
-	referee := newReferee(t, plain(), 2)
-	referee.step(fleet(10))
-	to := referee.place("a", 0, level(0.5))
-	referee.step(Established{ID: "a", Attempt: 0, Server: to})
+func TestObservedDelaysDoNotChangeTheAverageLoad(t *testing.T) {
+	checker := newRuleChecker(t, defaultTestSettings(), 2)
+	checker.stepAndCheck(newServerList(10))
+	server := checker.placeRequest("a", 0, constantLoad(0.5))
+	checker.stepAndCheck(Established{ID: "a", Attempt: 0, Server: server})
 	for i := range 60 {
-		referee.run(time.Duration(i+1) * time.Second)
-		referee.step(DelayObservation{ID: "a", Server: to, Took: ms(900)})
+		checker.runUntil(time.Duration(i+1) * time.Second)
+		checker.stepAndCheck(DelayObservation{ID: "a", Server: server, Took: ms(900)})
 	}
-	if referee.b.average.load > 0.51 {
-		t.Fatalf("average %.2f, all reports said 0.5", referee.b.average.load)
+	if checker.balancer.average.load > 0.51 {
+		t.Fatalf("got average load %.2f, want that of the reports, 0.5", checker.balancer.average.load)
 	}
 }
 
 func TestPassRateFallsOnAFullFleetAndRecovers(t *testing.T) {
-	referee := newReferee(t, plain(), 3)
-	referee.step(fleet(10))
-	placed := func(from, seconds int, load float64) (n int) {
+	checker := newRuleChecker(t, defaultTestSettings(), 3)
+	checker.stepAndCheck(newServerList(10))
+	sendRequests := func(from, seconds int, load float64) (placed int) {
 		for i := range seconds * 20 {
-			referee.run(time.Duration(from)*time.Second + ms(50*i))
-			if referee.place(fmt.Sprint(from, "-", i), 0, level(load)) != "" {
-				n++
+			checker.runUntil(time.Duration(from)*time.Second + ms(50*i))
+			if checker.placeRequest(fmt.Sprint(from, "-", i), 0, constantLoad(load)) != "" {
+				placed++
 			}
 		}
-		return n
+		return placed
 	}
-	placed(0, 10, 1.3)
-	if checks := len(referee.b.actions); checks > 3 {
-		t.Errorf("%d actions for one rejection", checks)
+	sendRequests(0, 10, 1.3)
+	if actions := len(checker.balancer.actions); actions > 3 {
+		t.Errorf("got %d actions for one rejection, want at most 3", actions)
 	}
-	if g := referee.b.admission.passRate; g > 0.1 {
-		t.Errorf("pass rate at %.2f after 10 s at load 1.3", g)
+	if passRate := checker.balancer.admission.passRate; passRate > 0.1 {
+		t.Errorf("pass rate after 10 s at load 1.3: got %.2f, want at most 0.1", passRate)
 	}
-	placed(10, 20, 0.5)
-	if n := placed(30, 5, 0.5); n < 95 {
-		t.Errorf("only %d of 100 placed 20 s after the load has gone", n)
+	sendRequests(10, 20, 0.5)
+	if placed := sendRequests(30, 5, 0.5); placed < 95 {
+		t.Errorf("20 s after the load fell: got %d of 100 requests placed, want at least 95", placed)
 	}
 }
 
-func TestAFewSlowServersDoNotStopAdmission(t *testing.T) {
-	referee := newReferee(t, plain(), 4)
-	referee.step(fleet(12))
-	slow := func(id ServerID) float64 {
+func TestFewSlowServersDoNotStopAdmission(t *testing.T) {
+	checker := newRuleChecker(t, defaultTestSettings(), 4)
+	checker.stepAndCheck(newServerList(12))
+	load := func(id ServerID) float64 {
 		if id == "s000" || id == "s001" || id == "s002" {
 			return 9
 		}
 		return 0.6
 	}
-	count := 0
+	placed := 0
 	for i := range 400 {
-		referee.run(ms(50 * i))
-		if to := referee.place(fmt.Sprint(i), 0, slow); to != "" {
-			count++
-			if i > 200 && slow(to) > 1 {
-				t.Fatalf("request %d went to slow %s", i, to)
+		checker.runUntil(ms(50 * i))
+		if server := checker.placeRequest(fmt.Sprint(i), 0, load); server != "" {
+			placed++
+			if i > 200 && load(server) > 1 {
+				t.Fatalf("request %d: got slow server %s, want a fast one", i, server)
 			}
 		}
 	}
-	if count < 390 {
-		t.Errorf("%d of 400 placed with nine of twelve servers at 0.6", count)
+	if placed < 390 {
+		t.Errorf("9 of 12 servers at load 0.6: got %d of 400 requests placed, want at least 390", placed)
 	}
 }
 
 func TestNodesAgreeOnAGroupsServerAndOverflow(t *testing.T) {
-	s := plain()
-	s.GroupAffinity = true
-	homes := map[uint64]ServerID{}
+	settings := defaultTestSettings()
+	settings.GroupAffinity = true
+	groupServers := map[uint64]ServerID{}
 	for node := range 6 {
-		referee := newReferee(t, s, uint64(50+node))
-		referee.step(fleet(40))
-		for g := uint64(1); g < 30; g++ {
-			to := referee.place(fmt.Sprint(g), g, level(0.4))
-			if homes[g] == "" {
-				homes[g] = to
+		checker := newRuleChecker(t, settings, uint64(50+node))
+		checker.stepAndCheck(newServerList(40))
+		for group := uint64(1); group < 30; group++ {
+			server := checker.placeRequest(fmt.Sprint(group), group, constantLoad(0.4))
+			if groupServers[group] == "" {
+				groupServers[group] = server
 			}
-			if to != homes[g] {
-				t.Fatalf("node %d sends group %d to %s, others to %s", node, g, to, homes[g])
+			if server != groupServers[group] {
+				t.Fatalf("node %d, group %d: got server %s, want %s as on other nodes", node, group, server,
+					groupServers[group])
 			}
 		}
-		// one home is crowded: the group goes on to its next server, others stay
-		crowd := func(id ServerID) float64 {
-			if id == homes[7] {
+		// If a group's server is crowded, the group must use its next server. Other groups stay.
+		crowded := func(id ServerID) float64 {
+			if id == groupServers[7] {
 				return 0.9
 			}
 			return 0.4
 		}
-		referee.run(referee.now + time.Second)
-		if to := referee.place("7 again", 7, crowd); to == homes[7] || to == "" {
-			t.Fatalf("group 7 went to %q with its home at 0.9", to)
+		checker.runUntil(checker.now + time.Second)
+		if server := checker.placeRequest("7 again", 7, crowded); server == groupServers[7] || server == "" {
+			t.Fatalf("group 7 with its server at load 0.9: got server %q, want another one", server)
 		}
 	}
 }
 
 func TestMigrationIsConfirmedByAHealthCheck(t *testing.T) {
-	moves := func(load float64, outcome Outcome) (n int) {
-		referee := newReferee(t, plain(), 6)
-		referee.step(fleet(10))
-		to := referee.place("a", 0, level(0.5))
-		referee.step(Established{ID: "a", Attempt: 0, Server: to})
+	countMigrations := func(load float64, outcome Outcome) (migrations int) {
+		checker := newRuleChecker(t, defaultTestSettings(), 6)
+		checker.stepAndCheck(newServerList(10))
+		server := checker.placeRequest("a", 0, constantLoad(0.5))
+		checker.stepAndCheck(Established{ID: "a", Attempt: 0, Server: server})
 		for range 40 {
-			referee.now += ms(100)
-			referee.step(DelayObservation{ID: "a", Server: to, Took: ms(500)})
-			if len(referee.last) > 0 {
-				referee.step(HealthCheckResult{Server: to, Outcome: outcome, Report: []float64{load, 5}})
-				for _, a := range referee.last {
+			checker.now += ms(100)
+			checker.stepAndCheck(DelayObservation{ID: "a", Server: server, Took: ms(500)})
+			if len(checker.lastActions) > 0 {
+				checker.stepAndCheck(HealthCheckResult{Server: server, Outcome: outcome, Report: []float64{load, 5}})
+				for _, a := range checker.lastActions {
 					if _, ok := a.(Migrate); ok {
-						n++
+						migrations++
 					}
 				}
 			}
 		}
-		return n
+		return migrations
 	}
-	if n := moves(0.6, Served); n != 0 {
-		t.Errorf("%d moves off a server that reports 0.6", n)
+	if migrations := countMigrations(0.6, Served); migrations != 0 {
+		t.Errorf("server that reports load 0.6: got %d migrations, want none", migrations)
 	}
-	if n := moves(5, Served); n == 0 {
-		t.Error("no move off a server that reports 5")
+	if migrations := countMigrations(5, Served); migrations == 0 {
+		t.Error("server that reports load 5: got no migration, want some")
 	}
-	if n := moves(0, TimedOut); n == 0 {
-		t.Error("no move off a server that does not answer")
+	if migrations := countMigrations(0, TimedOut); migrations == 0 {
+		t.Error("server that does not answer: got no migration, want some")
 	}
 }
 
-// Tokens for a server in slow start must not be saved up at many idle nodes and spent at once.
-func TestSlowStartCreditLapses(t *testing.T) {
-	worst, total := growth(t, 6)
-	t.Log(worst, total)
-	if worst > 3 {
-		t.Errorf("after six idle seconds a server in slow start got %.1f times what it could do", worst)
+// TestSlowStartTokensExpire checks that many idle nodes do not save up tokens for a server in slow start and then spend
+// them at once.
+func TestSlowStartTokensExpire(t *testing.T) {
+	maxOverload, total := simulateFleetGrowth(t, 6)
+	t.Log(maxOverload, total)
+	if maxOverload > 3 {
+		t.Errorf("server in slow start after 6 idle seconds: got %.1f times its capacity, want at most 3", maxOverload)
 	}
 }
 
-// On a full fleet what has a higher priority for its load is admitted more often, and a tenant over its quota less.
+// TestAdmissionByPriorityAndQuota checks that a full fleet admits requests with a higher priority for their load more
+// often, and requests of a tenant over its quota less often.
 func TestAdmissionByPriorityAndQuota(t *testing.T) {
-	s := plain()
-	s.PriorityPerWork, s.OverQuotaPriority = true, 0.05
-	s.Classes = append(s.Classes, s.Classes[0])
-	s.Classes[0].Priority, s.Classes[1].Priority = 1, 5
-	s.Tenants = []Tenant{{Name: "in", Connections: 1e6}, {Name: "over", Connections: 1}}
-	referee := newReferee(t, s, 8)
-	referee.step(fleet(10))
-	for i := range 100 { // learn the mean priority, and put the second tenant over its quota
+	settings := defaultTestSettings()
+	settings.PriorityPerWork, settings.OverQuotaPriority = true, 0.05
+	settings.Classes = append(settings.Classes, settings.Classes[0])
+	settings.Classes[0].Priority, settings.Classes[1].Priority = 1, 5
+	settings.Tenants = []Tenant{{Name: "in", Connections: 1e6}, {Name: "over", Connections: 1}}
+	checker := newRuleChecker(t, settings, 8)
+	checker.stepAndCheck(newServerList(10))
+	for i := range 100 { // the balancer learns the mean priority, and the second tenant exceeds its quota
 		id := RequestID(fmt.Sprint("warm", i))
-		referee.now += ms(10)
-		referee.step(Request{ID: id, TimeLeft: ms(1800), Class: i % 2, Tenant: i % 4 / 2})
-		referee.answerHealthChecks(level(0.5))
-		if to := referee.sends(); len(to) == 1 {
-			referee.step(Established{ID: id, Attempt: 0, Server: to[0]})
+		checker.now += ms(10)
+		checker.stepAndCheck(Request{ID: id, TimeLeft: ms(1800), Class: i % 2, Tenant: i % 4 / 2})
+		checker.answerHealthChecks(constantLoad(0.5))
+		if servers := checker.attemptedServers(); len(servers) == 1 {
+			checker.stepAndCheck(Established{ID: id, Attempt: 0, Server: servers[0]})
 		}
 	}
-	pass := map[[2]int]int{}
+	admitted := map[[2]int]int{} // by class and tenant
 	for i := range 4000 {
-		referee.b.admission.passRate = 0.3
+		checker.balancer.admission.passRate = 0.3
 		class, tenant := i%2, i%4/2
 		id := RequestID(fmt.Sprint(i))
-		referee.step(Request{ID: id, TimeLeft: ms(1800), Class: class, Tenant: tenant})
-		if !referee.reqs[id].done {
-			pass[[2]int{class, tenant}]++
+		checker.stepAndCheck(Request{ID: id, TimeLeft: ms(1800), Class: class, Tenant: tenant})
+		if !checker.requests[id].ended {
+			admitted[[2]int{class, tenant}]++
 		}
-		referee.step(ClientGone{ID: id})
+		checker.stepAndCheck(ClientGone{ID: id})
 	}
-	if low, high := pass[[2]int{0, 0}], pass[[2]int{1, 0}]; high < 3*low || high == 0 {
-		t.Errorf("priority 5 was admitted %d times, priority 1 %d times", high, low)
+	if low, high := admitted[[2]int{0, 0}], admitted[[2]int{1, 0}]; high < 3*low || high == 0 {
+		t.Errorf("got priority 5 admitted %d times, priority 1 %d times, want at least 3 times as many", high, low)
 	}
-	if over, in := pass[[2]int{1, 1}], pass[[2]int{1, 0}]; 2*over > in {
-		t.Errorf("over its quota a tenant passed %d times, inside %d times", over, in)
+	if over, in := admitted[[2]int{1, 1}], admitted[[2]int{1, 0}]; 2*over > in {
+		t.Errorf("got a tenant over its quota admitted %d times, within it %d times, want at most half", over, in)
 	}
 }
 
-// Health checks go to servers that look well: the pass rate must also heed that this node's own clients sit on full
-// ones.
+// TestPassRateSeesOwnClientsOnFullServers checks that the pass rate also falls if this node's own clients are on full
+// servers. Health checks alone do not show this, because they go to servers with a low predicted load.
 func TestPassRateSeesOwnClientsOnFullServers(t *testing.T) {
-	referee := newReferee(t, plain(), 12)
-	referee.step(fleet(20))
-	var open []DelayObservation
+	checker := newRuleChecker(t, defaultTestSettings(), 12)
+	checker.stepAndCheck(newServerList(20))
+	var delays []DelayObservation
 	for i := range 20 {
 		id := RequestID(fmt.Sprint("c", i))
-		if to := referee.place(string(id), 0, level(0.6)); to != "" {
-			referee.step(Established{ID: id, Attempt: 0, Server: to})
-			open = append(open, DelayObservation{ID: id, Server: to, Took: ms(900)})
+		if server := checker.placeRequest(string(id), 0, constantLoad(0.6)); server != "" {
+			checker.stepAndCheck(Established{ID: id, Attempt: 0, Server: server})
+			delays = append(delays, DelayObservation{ID: id, Server: server, Took: ms(900)})
 		}
 	}
 	for range 8 {
-		referee.run(referee.now + time.Second)
-		for _, n := range open {
-			referee.step(n)
+		checker.runUntil(checker.now + time.Second)
+		for _, delay := range delays {
+			checker.stepAndCheck(delay)
 		}
-		referee.run(referee.now + ms(500))
-		referee.step(HealthCheckResult{Server: "s019", Report: []float64{0.4, 10}})
+		checker.runUntil(checker.now + ms(500))
+		checker.stepAndCheck(HealthCheckResult{Server: "s019", Report: []float64{0.4, 10}})
 	}
-	if referee.b.admission.passRate > 0.3 {
-		t.Errorf("pass rate at %.2f with all own clients on servers that answer in 900 ms, and reports of 0.4",
-			referee.b.admission.passRate)
+	if checker.balancer.admission.passRate > 0.3 {
+		t.Errorf("own clients on servers that answer in 900 ms, reports of 0.4: got pass rate %.2f, want at most 0.3",
+			checker.balancer.admission.passRate)
 	}
 }
 
-// An open connection whose packets come to another node is no new load: it is admitted, to the same server.
-func TestMidFlowGoesWhereOtherNodesSendIt(t *testing.T) {
-	s := plain()
-	s.PacketPassThrough = true
+// TestMidFlowConnectionKeepsItsServer checks that an open connection whose packets arrive at another node is admitted,
+// as it adds no load, and placed on the same server by all nodes.
+func TestMidFlowConnectionKeepsItsServer(t *testing.T) {
+	settings := defaultTestSettings()
+	settings.PacketPassThrough = true
 	for key := uint64(1); key < 20; key++ {
-		homes := map[ServerID]bool{}
+		servers := map[ServerID]bool{}
 		for node := range 4 {
-			f := newReferee(t, s, uint64(node))
-			f.step(fleet(12))
-			f.b.admission.passRate = 0.01
-			f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1, Key: key, MidFlow: true})
-			f.answerHealthChecks(level(0.4))
-			for _, to := range f.sends() {
-				homes[to] = true
+			checker := newRuleChecker(t, settings, uint64(node))
+			checker.stepAndCheck(newServerList(12))
+			checker.balancer.admission.passRate = 0.01
+			checker.stepAndCheck(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1, Key: key, MidFlow: true})
+			checker.answerHealthChecks(constantLoad(0.4))
+			for _, server := range checker.attemptedServers() {
+				servers[server] = true
 			}
 		}
-		if len(homes) != 1 {
-			t.Errorf("key %d went to %d servers", key, len(homes))
+		if len(servers) != 1 {
+			t.Errorf("key %d: got %d servers, want 1", key, len(servers))
 		}
 	}
 }
 
-// TestDroppedConnections has a server reset a connection that stood. Where servers report no load, it is left out for
-// a time: what it drops is all that shows a full one, and its clients come again at once. Where they report, the
-// report decides; and an end that the server announced, or one that its client made, says nothing anywhere.
-func TestDroppedConnections(t *testing.T) {
+// TestDroppedConnectionEjectsServerWithoutReports checks a server that resets an established connection. If servers
+// send no load reports, the server is ejected for a while, because drops are the only sign of a full server and the
+// clients reconnect at once. If servers send reports, only the report counts. The end of a connection that the server
+// announced or that the client caused never ejects the server.
+func TestDroppedConnectionEjectsServerWithoutReports(t *testing.T) {
 	for _, reports := range []ReportSource{NoReports, HealthCheckReports} {
 		for _, outcome := range []Outcome{Reset, Served, Cancelled} {
 			balancer, err := New(Settings{
@@ -262,7 +270,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			acts := balancer.Step(time.Hour, []Event{
+			actions := balancer.Step(time.Hour, []Event{
 				ServerList{Kind: ListFull, Servers: []Server{
 					{ID: "a", Size: 1},
 					{ID: "b", Size: 1},
@@ -271,9 +279,9 @@
 				Request{ID: "1", Tenant: -1, TimeLeft: 4 * time.Second},
 			})
 			var target ServerID
-			for _, a := range acts {
-				if s, ok := a.(StartAttempt); ok {
-					target = s.Server
+			for _, a := range actions {
+				if start, ok := a.(StartAttempt); ok {
+					target = start.Server
 				}
 			}
 			balancer.Step(time.Hour, []Event{Established{ID: "1", Server: target}})
@@ -281,9 +289,10 @@
 				ID: "1", Server: target,
 				Outcome: outcome, Final: true,
 			}})
-			out := balancer.findServer(target).outlier.until > balancer.now
-			if want := reports == NoReports && outcome == Reset; target == "" || out != want {
-				t.Errorf("reports %v, outcome %v: %s is left out: %v", reports, outcome, target, out)
+			ejected := balancer.findServer(target).outlier.until > balancer.now
+			if want := reports == NoReports && outcome == Reset; target == "" || ejected != want {
+				t.Errorf("reports %v, outcome %v: got server %s ejected %v, want it only for a reset without reports",
+					reports, outcome, target, ejected)
 			}
 		}
 	}
--- a/choice/reservation_test.go
+++ b/choice/reservation_test.go
@@ -7,393 +7,435 @@
 	"time"
 )
 
-// vast is a fleet of many nodes, each of which holds a connection or two or none.
-func vast() Settings {
-	s := plain()
-	s.Nodes, s.GroupAffinity, s.Subscribe = 80, true, false
-	s.ReportFields = []ReportField{Load, Utilization}
-	s.Tenants = []Tenant{{Name: "t", Connections: 165}}
-	s.OverQuotaPriority = 1
-	return s
+// largeFleetSettings returns the settings of a fleet of many nodes with zero to two connections each.
+func largeFleetSettings() Settings {
+	settings := defaultTestSettings()
+	settings.Nodes, settings.GroupAffinity, settings.Subscribe = 80, true, false
+	settings.ReportFields = []ReportField{Load, Utilization}
+	settings.Tenants = []Tenant{{Name: "t", Connections: 165}}
+	settings.OverQuotaPriority = 1
+	return settings
 }
 
-// TestCostOnANodeWithoutConnections guards against reported load set against no connections of a node's own: that
-// reads as servers that one connection fills, and all requests are rejected.
+// TestCostOnANodeWithoutConnections checks the learned cost on a node without connections of its own. If it related the
+// reported load to zero connections, one connection would seem to fill a server, and all requests would be rejected.
 func TestCostOnANodeWithoutConnections(t *testing.T) {
 	rejected := 0
 	for seed := range uint64(20) {
-		referee := newReferee(t, vast(), seed)
-		referee.step(fleet(13))
+		checker := newRuleChecker(t, largeFleetSettings(), seed)
+		checker.stepAndCheck(newServerList(13))
 		for range 60 {
-			for _, s := range fleet(13).Servers {
-				referee.step(HealthCheckResult{Server: s.ID, Outcome: Served, Report: []float64{0.6, 0.6}})
+			for _, server := range newServerList(13).Servers {
+				checker.stepAndCheck(HealthCheckResult{Server: server.ID, Outcome: Served, Report: []float64{0.6, 0.6}})
 			}
-			referee.run(referee.now + ms(200))
+			checker.runUntil(checker.now + ms(200))
 		}
-		referee.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
-		referee.answerHealthChecks(func(ServerID) float64 { return 0.6 })
-		if len(referee.sends()) == 0 {
+		checker.stepAndCheck(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
+		checker.answerHealthChecks(func(ServerID) float64 { return 0.6 })
+		if len(checker.attemptedServers()) == 0 {
 			rejected++
 		}
 	}
 	if rejected > 0 {
-		t.Errorf("%d of 20 nodes reject a connection while all servers are at 0.6", rejected)
+		t.Errorf("got %d of 20 nodes that reject a connection with all servers at load 0.6, want none", rejected)
 	}
 }
 
-// TestManyNodesKeepAGroupTogether has 80 nodes that hold at most one connection of a group each place a further one.
+// TestManyNodesKeepAGroupTogether checks that 80 nodes, with at most one connection of a group each, place a further
+// connection of the group on at most two servers.
 func TestManyNodesKeepAGroupTogether(t *testing.T) {
 	used := map[ServerID]int{}
 	for node := range 80 {
-		referee := newReferee(t, vast(), uint64(node))
-		referee.step(fleet(13))
+		checker := newRuleChecker(t, largeFleetSettings(), uint64(node))
+		checker.stepAndCheck(newServerList(13))
 		var events []Event
-		for i, s := range fleet(13).Servers { // each node's reports differ a little
-			events = append(events, HealthCheckResult{Server: s.ID, Outcome: Served, Report: []float64{0.3 +
-				0.2*float64((node*7+i*5)%11)/10, 0.4}})
+		for i, server := range newServerList(13).Servers { // the reports differ a little between nodes
+			events = append(events, HealthCheckResult{
+				Server: server.ID, Outcome: Served,
+				Report: []float64{0.3 + 0.2*float64((node*7+i*5)%11)/10, 0.4},
+			})
 		}
-		referee.step(events...)
+		checker.stepAndCheck(events...)
 		if node%3 == 0 {
-			referee.step(OpenConnection{
+			checker.stepAndCheck(OpenConnection{
 				Request: Request{ID: RequestID(fmt.Sprint("o", node)), Group: 7, Tenant: -1},
 				Server:  "s003",
 			})
 		}
-		referee.run(referee.now + 2*time.Second)
-		referee.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
-		referee.answerHealthChecks(func(ServerID) float64 { return 0.4 })
-		for _, s := range referee.sends() {
-			used[s]++
+		checker.runUntil(checker.now + 2*time.Second)
+		checker.stepAndCheck(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1})
+		checker.answerHealthChecks(func(ServerID) float64 { return 0.4 })
+		for _, server := range checker.attemptedServers() {
+			used[server]++
 		}
 	}
 	if len(used) > 2 {
-		t.Errorf("a group of 80 nodes goes to %d of 13 servers: %v", len(used), used)
+		t.Errorf("group on 80 nodes: got %d of 13 servers, %v, want at most 2", len(used), used)
 	}
 }
 
-// crowd is many nodes before a few servers in simulated time. Messages take 20 ms, reports are 200 ms old.
-type crowd struct {
-	nodes    []*Balancer
-	now      time.Duration
-	queue    []occurrence // by time
-	load     func(server ServerID, held int) float64
-	held     map[ServerID]int
-	seen     map[ServerID][]int           // held, at each 10 ms
-	times    map[ServerID][]time.Duration // of sends
-	messages int
-	end      map[string]int
-	dead     map[int]bool
+// nodeSimulation simulates many nodes and a few servers. Messages between nodes take 20 ms, and reports are 200 ms old.
+type nodeSimulation struct {
+	nodes             []*Balancer
+	now               time.Duration
+	queue             []scheduledEvent // ordered by time
+	load              func(server ServerID, connections int) float64
+	connections       map[ServerID]int
+	connectionHistory map[ServerID][]int           // connections of the server, every 10 ms
+	attemptTimes      map[ServerID][]time.Duration // of starts of attempts
+	messageCount      int
+	outcomeCounts     map[string]int
+	failedNodes       map[int]bool
 }
 
-type occurrence struct {
-	at   time.Duration
-	node int
-	e    Event
+// scheduledEvent is an event that a node will receive.
+type scheduledEvent struct {
+	at    time.Duration
+	node  int
+	event Event
 }
 
-func newCrowd(tb testing.TB, s Settings, seed uint64, list ServerList, load func(ServerID, int) float64) *crowd {
+func newNodeSimulation(
+	tb testing.TB, settings Settings, seed uint64, list ServerList, load func(ServerID, int) float64,
+) *nodeSimulation {
 	tb.Helper()
-	nodes := &crowd{
-		now: time.Hour, load: load, held: map[ServerID]int{}, seen: map[ServerID][]int{},
-		times: map[ServerID][]time.Duration{}, end: map[string]int{}, dead: map[int]bool{},
+	simulation := &nodeSimulation{
+		now: time.Hour, load: load, connections: map[ServerID]int{}, connectionHistory: map[ServerID][]int{},
+		attemptTimes: map[ServerID][]time.Duration{}, outcomeCounts: map[string]int{}, failedNodes: map[int]bool{},
 	}
-	for n := range s.Nodes {
-		s.Node = n
-		b, err := New(s, seed*1000+uint64(n), nodes.now)
+	for node := range settings.Nodes {
+		settings.Node = node
+		balancer, err := New(settings, seed*1000+uint64(node), simulation.now)
 		if err != nil {
 			tb.Fatal(err)
 		}
-		nodes.nodes = append(nodes.nodes, b)
-		nodes.later(n, 0, list)
+		simulation.nodes = append(simulation.nodes, balancer)
+		simulation.schedule(node, 0, list)
 	}
-	return nodes
+	return simulation
 }
 
-func (c *crowd) later(node int, after time.Duration, e Event) {
-	o := occurrence{c.now + after, node, e}
-	i, _ := slices.BinarySearchFunc(c.queue, o.at+1, func(o occurrence, at time.Duration) int { return int(o.at - at) })
-	c.queue = slices.Insert(c.queue, i, o)
+// schedule inserts an event for a node into the queue, after the events of the same time.
+func (s *nodeSimulation) schedule(node int, after time.Duration, event Event) {
+	scheduled := scheduledEvent{s.now + after, node, event}
+	i, _ := slices.BinarySearchFunc(s.queue, scheduled.at+1, func(queued scheduledEvent, at time.Duration) int {
+		return int(queued.at - at)
+	})
+	s.queue = slices.Insert(s.queue, i, scheduled)
 }
 
-func (c *crowd) run(d time.Duration) {
-	for to := c.now + d; len(c.queue) > 0 && c.queue[0].at <= to; {
-		o := c.queue[0]
-		c.queue = c.queue[1:]
-		c.now = o.at
-		if c.dead[o.node] {
+// runFor passes the events of a span of time to their nodes. It drops events of failed nodes.
+func (s *nodeSimulation) runFor(span time.Duration) {
+	for end := s.now + span; len(s.queue) > 0 && s.queue[0].at <= end; {
+		next := s.queue[0]
+		s.queue = s.queue[1:]
+		s.now = next.at
+		if s.failedNodes[next.node] {
 			continue
 		}
-		for _, a := range c.nodes[o.node].Step(c.now, []Event{o.e}) {
-			c.perform(o.node, a)
+		for _, action := range s.nodes[next.node].Step(s.now, []Event{next.event}) {
+			s.performAction(next.node, action)
 		}
 	}
 }
 
-func (c *crowd) perform(node int, a Action) {
+// performAction carries out an action of a node.
+func (s *nodeSimulation) performAction(node int, a Action) {
 	switch action := a.(type) {
 	case SetTimer:
-		c.later(node, max(action.After, 1), TimerFired{action.Token})
+		s.schedule(node, max(action.After, 1), TimerFired{action.Token})
 	case SendPeerMessage:
-		c.messages++
-		c.later(action.To, ms(20), PeerMessage{node, action.Data})
+		s.messageCount++
+		s.schedule(action.To, ms(20), PeerMessage{node, action.Data})
 	case HealthCheck:
-		held := 0
-		if l := c.seen[action.Server]; len(l) > 0 {
-			held = l[max(0, len(l)-20)]
+		connections := 0
+		if history := s.connectionHistory[action.Server]; len(history) > 0 {
+			connections = history[max(0, len(history)-20)]
 		}
-		c.later(node, ms(10), HealthCheckResult{Server: action.Server, Report: []float64{
-			c.load(action.Server, held),
+		s.schedule(node, ms(10), HealthCheckResult{Server: action.Server, Report: []float64{
+			s.load(action.Server, connections),
 			0,
 		}})
 	case StartAttempt:
-		c.held[action.Server]++
-		c.times[action.Server] = append(c.times[action.Server], c.now)
-		c.later(node, ms(5), Established{ID: action.ID, Server: action.Server})
-		c.end["sent"]++
+		s.connections[action.Server]++
+		s.attemptTimes[action.Server] = append(s.attemptTimes[action.Server], s.now)
+		s.schedule(node, ms(5), Established{ID: action.ID, Server: action.Server})
+		s.outcomeCounts["sent"]++
 	case Reject:
-		c.end["rejected"]++
+		s.outcomeCounts["rejected"]++
 	case Fail:
-		c.end["failed"]++
+		s.outcomeCounts["failed"]++
 	}
 }
 
-// arrivals has n requests come at nodes drawn by seed, over a time.
-func (c *crowd) arrivals(n int, over time.Duration, group func(i int) uint64) {
-	steps := ms(10)
-	done := 0
-	for t := time.Duration(0); t < over; t += steps {
-		for ; done < int(int64(n)*int64(t+steps)/int64(over)); done++ {
-			node := int(mix(uint64(done)+99) % uint64(len(c.nodes)))
-			c.later(node, 0, Request{
-				ID: RequestID(fmt.Sprint("r", done)), TimeLeft: 2 * time.Second, Tenant: -1,
-				Group: group(done),
+// sendRequests sends n requests, evenly spread over the given time, to nodes chosen by hash. It then runs the
+// simulation for 3 s.
+func (s *nodeSimulation) sendRequests(n int, over time.Duration, group func(i int) uint64) {
+	step := ms(10)
+	sent := 0
+	for t := time.Duration(0); t < over; t += step {
+		for ; sent < int(int64(n)*int64(t+step)/int64(over)); sent++ {
+			node := int(mix(uint64(sent)+99) % uint64(len(s.nodes)))
+			s.schedule(node, 0, Request{
+				ID: RequestID(fmt.Sprint("r", sent)), TimeLeft: 2 * time.Second, Tenant: -1,
+				Group: group(sent),
 			})
 		}
-		for id := range c.held {
-			c.seen[id] = append(c.seen[id], c.held[id])
+		for id := range s.connections {
+			s.connectionHistory[id] = append(s.connectionHistory[id], s.connections[id])
 		}
-		c.run(steps)
+		s.runFor(step)
 	}
-	c.run(3 * time.Second)
+	s.runFor(3 * time.Second)
 }
 
-func keeping() Settings {
-	s := vast()
-	s.Limits.PeerMessages = true
-	s.Costs.PeerMessage = 0.01
-	return s
+// reservationSettings returns the settings of a large fleet whose servers have owners.
+func reservationSettings() Settings {
+	settings := largeFleetSettings()
+	settings.Limits.PeerMessages = true
+	settings.Costs.PeerMessage = 0.01
+	return settings
 }
 
-// TestManyNodesDoNotOverloadAServer has eighty nodes place a burst on servers that are half full, each by reports 200
-// ms old.
+// TestManyNodesDoNotOverloadAServer checks that 80 nodes do not overload a server with a burst of requests while the
+// servers are half full and the reports are 200 ms old.
 func TestManyNodesDoNotOverloadAServer(t *testing.T) {
-	worst := func(s Settings) (over, rejected int) {
+	run := func(settings Settings) (most, rejected int) {
 		for seed := range uint64(3) {
-			c := newCrowd(t, s, seed, fleet(13), func(_ ServerID, held int) float64 { return 0.5 + 0.06*float64(held) })
-			c.run(2 * time.Second)
-			c.arrivals(150, ms(500), func(i int) uint64 { return uint64(1 + i%20) })
-			for _, n := range c.held {
-				over = max(over, n)
+			simulation := newNodeSimulation(t, settings, seed, newServerList(13),
+				func(_ ServerID, connections int) float64 { return 0.5 + 0.06*float64(connections) })
+			simulation.runFor(2 * time.Second)
+			simulation.sendRequests(150, ms(500), func(i int) uint64 { return uint64(1 + i%20) })
+			for _, n := range simulation.connections {
+				most = max(most, n)
 			}
-			rejected += c.end["rejected"]
+			rejected += simulation.outcomeCounts["rejected"]
 		}
-		return over, rejected
+		return most, rejected
 	}
-	// A server is full at 0.85, with 5 more connections; half a connection of rounding on the wire, and one of chance.
-	if over, rejected := worst(keeping()); over > 7 || rejected == 0 {
-		t.Errorf("with owners a server gets %d connections, %d rejected; it has the capacity for 5", over, rejected)
+	// A server is full at 0.85, that is with 5 more connections. The limit allows half a connection for rounding in
+	// messages and one for random variation.
+	if most, rejected := run(reservationSettings()); most > 7 || rejected == 0 {
+		t.Errorf("with owners: got %d connections on a server, %d rejected, want at most 7 and some rejected", most,
+			rejected)
 	}
-	if over, _ := worst(vast()); over <= 7 {
-		t.Errorf("without owners a server gets only %d connections: the test shows nothing", over)
+	if most, _ := run(largeFleetSettings()); most <= 7 {
+		t.Errorf("without owners: got %d connections on a server, want more than 7, or the test proves nothing", most)
 	}
 }
 
-// TestSlowStartServerGetsItsBudgetAndNoMore has a storm at eighty nodes while all warm servers are nearly full.
+// TestSlowStartServerGetsItsBudgetAndNoMore checks the connections of a server in slow start during a burst of requests
+// at 80 nodes, while all other servers are nearly full.
 func TestSlowStartServerGetsItsBudgetAndNoMore(t *testing.T) {
-	list := fleet(13)
+	list := newServerList(13)
 	list.Servers[4].Started = time.Hour - time.Second
-	settings := keeping()
-	nodes := newCrowd(t, settings, 5, list, func(id ServerID, held int) float64 {
+	settings := reservationSettings()
+	simulation := newNodeSimulation(t, settings, 5, list, func(id ServerID, connections int) float64 {
 		if id == list.Servers[4].ID {
-			return 0.1 * float64(held)
+			return 0.1 * float64(connections)
 		}
 		return 0.84
 	})
-	nodes.run(2 * time.Second)
-	nodes.arrivals(600, 4*time.Second, func(int) uint64 { return 0 })
+	simulation.runFor(2 * time.Second)
+	simulation.sendRequests(600, 4*time.Second, func(int) uint64 { return 0 })
 	started := list.Servers[4]
-	if len(nodes.times[started.ID]) < 5 {
-		t.Errorf("a server in slow start gets %d connections in a storm of 4 s", len(nodes.times[started.ID]))
+	if len(simulation.attemptTimes[started.ID]) < 5 {
+		t.Errorf("server in slow start: got %d connections in a burst of 4 s, want at least 5",
+			len(simulation.attemptTimes[started.ID]))
 	}
-	for i, from := range nodes.times[started.ID] {
+	for i, from := range simulation.attemptTimes[started.ID] {
 		count := 0
-		for _, at := range nodes.times[started.ID][i:] {
+		for _, at := range simulation.attemptTimes[started.ID][i:] {
 			if at < from+settings.Rules.OverloadTime {
 				count++
 			}
 		}
-		// FallMultiple times the part that is warm at the end, of the rate that fills it over its warm-up: the
-		// tenants' shares give 165 connections to 13 servers. One more for the first, as there are no halves.
+		// The budget is the rate that fills the server within its warm-up, multiplied by OverloadMultiple and the
+		// capacity fraction at the end of the window. The tenant's quota gives 165 connections to 13 servers. The first
+		// connection is allowed in addition, since connections are not divisible.
 		warm := 0.2 + 0.8*(from+settings.Rules.OverloadTime-started.Started).Seconds()/10
 		budget := settings.Rules.OverloadMultiple * warm * 165.0 / 13 / 10 * settings.Rules.OverloadTime.Seconds()
 		if float64(count) > budget+1 {
-			t.Errorf("a server in slow start gets %d connections in %v; its budget is %.1f", count,
-				settings.Rules.OverloadTime, budget)
+			t.Errorf("server in slow start: got %d connections in %v, want at most one more than its budget of %.1f",
+				count, settings.Rules.OverloadTime, budget)
 		}
 	}
 }
 
-// TestRequestsOutliveTheirOwners has seven in ten nodes fail: requests to the others are served all the same.
-func TestRequestsOutliveTheirOwners(t *testing.T) {
-	c := newCrowd(t, keeping(), 3, fleet(13), func(ServerID, int) float64 { return 0.3 })
-	c.run(2 * time.Second)
-	for n := range c.nodes {
-		c.dead[n] = n%10 < 7
+// TestRequestsAreServedAfterOwnersFail checks that the other nodes still serve their requests after 7 of 10 nodes have
+// failed.
+func TestRequestsAreServedAfterOwnersFail(t *testing.T) {
+	simulation := newNodeSimulation(t, reservationSettings(), 3, newServerList(13),
+		func(ServerID, int) float64 { return 0.3 })
+	simulation.runFor(2 * time.Second)
+	for node := range simulation.nodes {
+		simulation.failedNodes[node] = node%10 < 7
 	}
-	c.arrivals(100, 2*time.Second, func(i int) uint64 { return uint64(i % 7) })
-	if c.end["rejected"]+c.end["failed"] > 0 || c.end["sent"] == 0 {
-		t.Errorf("after the loss of most nodes: %v", c.end)
+	simulation.sendRequests(100, 2*time.Second, func(i int) uint64 { return uint64(i % 7) })
+	if simulation.outcomeCounts["rejected"]+simulation.outcomeCounts["failed"] > 0 ||
+		simulation.outcomeCounts["sent"] == 0 {
+		t.Errorf("after most nodes failed: got %v, want only sent requests", simulation.outcomeCounts)
 	}
 }
 
-// TestNoPeerMessagesWhereForbidden also covers fleets so small that a node sees enough by itself.
-func TestNoPeerMessagesWhereForbidden(t *testing.T) {
-	few := keeping()
-	few.Nodes = 4
-	expensive := keeping()
+// TestNoPeerMessagesIfDisabled checks that nodes send no peer messages if the settings forbid them, if messages are too
+// expensive, and in fleets so small that a node's own observations are enough.
+func TestNoPeerMessagesIfDisabled(t *testing.T) {
+	fewNodes := reservationSettings()
+	fewNodes.Nodes = 4
+	expensive := reservationSettings()
 	expensive.Costs.PeerMessage = 1
-	for name, s := range map[string]Settings{"forbidden": vast(), "few nodes": few, "expensive messages": expensive} {
-		c := newCrowd(t, s, 1, fleet(13), func(ServerID, int) float64 { return 0.3 })
-		c.arrivals(50, time.Second, func(i int) uint64 { return uint64(i) })
-		if c.messages > 0 || c.end["sent"] == 0 {
-			t.Errorf("%s: %d messages, %v", name, c.messages, c.end)
+	for name, settings := range map[string]Settings{
+		"forbidden": largeFleetSettings(), "few nodes": fewNodes, "expensive messages": expensive,
+	} {
+		simulation := newNodeSimulation(t, settings, 1, newServerList(13), func(ServerID, int) float64 { return 0.3 })
+		simulation.sendRequests(50, time.Second, func(i int) uint64 { return uint64(i) })
+		if simulation.messageCount > 0 || simulation.outcomeCounts["sent"] == 0 {
+			t.Errorf("%s: got %d messages, %v, want no messages and some requests sent", name, simulation.messageCount,
+				simulation.outcomeCounts)
 		}
 	}
 }
 
-// TestInvalidPeerMessagesAreDropped guards against messages that are cut off, of another version, late, repeated, or
-// from nobody.
+// TestInvalidPeerMessagesAreDropped checks that a node drops messages that are truncated, of another version, late,
+// repeated, not requested, or from an invalid node.
 func TestInvalidPeerMessagesAreDropped(t *testing.T) {
-	referee := newReferee(t, keeping(), 1)
-	referee.now = time.Hour
-	referee.step(fleet(13))
-	s := referee.b.servers[3]
-	good := peerMessage{kind: reservationRequest, token: tokenClock(referee.b.now), server: serverKey(s), load: 1}
-	late, other := good, good.encode()
+	checker := newRuleChecker(t, reservationSettings(), 1)
+	checker.now = time.Hour
+	checker.stepAndCheck(newServerList(13))
+	server := checker.balancer.servers[3]
+	valid := peerMessage{
+		kind: reservationRequest, token: tokenClock(checker.balancer.now), server: serverKey(server), load: 1,
+	}
+	late, otherVersion := valid, valid.encode()
 	late.token -= maxMessageAge + 1
-	other[0] = 2<<4 | byte(reservationRequest)
+	otherVersion[0] = 2<<4 | byte(reservationRequest)
 	for i, message := range []PeerMessage{
 		{1, nil},
-		{1, good.encode()[:8]},
-		{1, append(good.encode(), 0)},
-		{1, other},
+		{1, valid.encode()[:8]},
+		{1, append(valid.encode(), 0)},
+		{1, otherVersion},
 		{1, late.encode()},
-		{-1, good.encode()},
-		{80, good.encode()},
-		{0, good.encode()},
-		{1, peerMessage{kind: reservationGranted, token: good.token}.encode()},
+		{-1, valid.encode()},
+		{80, valid.encode()},
+		{0, valid.encode()},
+		{1, peerMessage{kind: reservationGranted, token: valid.token}.encode()},
 		{1, make([]byte, 300)},
 	} {
-		if out := referee.step(message); len(out) > 0 || referee.b.DroppedPeerMessages() != i+1 {
-			t.Errorf("message %d: %d dropped, actions %v", i, referee.b.DroppedPeerMessages(), out)
+		if actions := checker.stepAndCheck(message); len(actions) > 0 ||
+			checker.balancer.DroppedPeerMessages() != i+1 {
+			t.Errorf("message %d: got %d dropped, actions %v, want all dropped and no actions", i,
+				checker.balancer.DroppedPeerMessages(), actions)
 		}
 	}
-	if out := referee.step(PeerMessage{1, good.encode()}); len(out) != 1 {
-		t.Fatalf("a good message: %v", out)
+	if actions := checker.stepAndCheck(PeerMessage{1, valid.encode()}); len(actions) != 1 {
+		t.Fatalf("valid message: got actions %v, want one", actions)
 	}
-	if out := referee.step(PeerMessage{1, good.encode()}); len(out) > 0 {
-		t.Errorf("a repeat: %v", out)
+	if actions := checker.stepAndCheck(PeerMessage{1, valid.encode()}); len(actions) > 0 {
+		t.Errorf("repeated message: got actions %v, want none", actions)
 	}
 }
 
-// FuzzPeerMessage checks that no bytes of another node crash the balancer, and that what is read is in its range.
+// FuzzPeerMessage checks that no bytes from another node crash the balancer, and that decoded values are in their
+// range.
 func FuzzPeerMessage(f *testing.F) {
 	f.Add(peerMessage{kind: reservationRequest, token: 1, server: 2, group: 3, load: 1}.encode())
 	f.Add(peerMessage{kind: reservationGranted, token: 1, load: 0.5, fraction: 1}.encode())
-	f.Fuzz(func(t *testing.T, p []byte) {
-		m, ok := decodePeerMessage(p)
-		if ok && (m.load < 0 || m.load > 16 || m.fraction < 0 || m.fraction > 1 || string(m.encode()) != string(p)) {
-			t.Errorf("%v read as %+v", p, m)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		message, ok := decodePeerMessage(data)
+		if ok && (message.load < 0 || message.load > 16 || message.fraction < 0 || message.fraction > 1 ||
+			string(message.encode()) != string(data)) {
+			t.Errorf("decode of %v: got %+v, want values in range that encode to the same bytes", data, message)
 		}
-		r := newReferee(t, keeping(), 1)
-		r.step(fleet(3))
-		r.step(PeerMessage{1, p})
+		checker := newRuleChecker(t, reservationSettings(), 1)
+		checker.stepAndCheck(newServerList(3))
+		checker.stepAndCheck(PeerMessage{1, data})
 	})
 }
 
-// TestReservationOfADrainingServerIsNotTaken has a server begin to drain while its owner's reply is on the way.
-func TestReservationOfADrainingServerIsNotTaken(t *testing.T) {
-	referee := newReferee(t, keeping(), 1)
-	referee.now = time.Hour
-	referee.step(fleet(13))
-	for _, a := range referee.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
-		if a, ok := a.(SendPeerMessage); ok {
-			q, _ := decodePeerMessage(a.Data)
-			drained := referee.b.findServerByKey(q.server).Server
-			drained.State = Draining
-			referee.step(ServerList{Kind: ListChange, Servers: []Server{drained}})
-			referee.step(PeerMessage{a.To, peerMessage{kind: reservationGranted, token: q.token}.encode()})
-			if slices.Contains(referee.sends(), drained.ID) {
-				t.Error("sent to a server that drains")
+// TestReservationOnDrainingServerIsNotUsed checks that a node does not use a reservation on a server that began to
+// drain before the owner's reply arrived.
+func TestReservationOnDrainingServerIsNotUsed(t *testing.T) {
+	checker := newRuleChecker(t, reservationSettings(), 1)
+	checker.now = time.Hour
+	checker.stepAndCheck(newServerList(13))
+	for _, a := range checker.stepAndCheck(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
+		if message, ok := a.(SendPeerMessage); ok {
+			request, _ := decodePeerMessage(message.Data)
+			draining := checker.balancer.findServerByKey(request.server).Server
+			draining.State = Draining
+			checker.stepAndCheck(ServerList{Kind: ListChange, Servers: []Server{draining}})
+			checker.stepAndCheck(PeerMessage{
+				message.To,
+				peerMessage{kind: reservationGranted, token: request.token}.encode(),
+			})
+			if slices.Contains(checker.attemptedServers(), draining.ID) {
+				t.Error("got an attempt on the draining server, want none")
 			}
 			return
 		}
 	}
-	t.Error("no reservation was requested")
+	t.Error("got no reservation request, want one")
 }
 
-// TestClientGoneWhileAnOwnerIsAsked has a client leave, or a stop answer it, while another node's answer is on the
-// way, or lost: nothing is sent for it.
-func TestClientGoneWhileAnOwnerIsAsked(t *testing.T) {
+// TestNoAttemptIfRequestEndsDuringReservation checks that a node starts no attempt for a request whose client left, or
+// which the node's stop ended, while the owner's reply was in flight or lost.
+func TestNoAttemptIfRequestEndsDuringReservation(t *testing.T) {
 	for _, end := range []Event{ClientGone{"r"}, TimeUp{"r"}} {
 		for _, lost := range []bool{false, true} {
-			referee := newReferee(t, keeping(), 1)
-			referee.now = time.Hour
-			referee.step(fleet(13))
-			asked := false
-			for _, a := range referee.step(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
-				if a, ok := a.(SendPeerMessage); ok {
-					asked = true
-					q, _ := decodePeerMessage(a.Data)
-					referee.step(end)
+			checker := newRuleChecker(t, reservationSettings(), 1)
+			checker.now = time.Hour
+			checker.stepAndCheck(newServerList(13))
+			requested := false
+			for _, a := range checker.stepAndCheck(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
+				if message, ok := a.(SendPeerMessage); ok {
+					requested = true
+					request, _ := decodePeerMessage(message.Data)
+					checker.stepAndCheck(end)
 					if lost {
-						referee.run(referee.now + 2*peerTimeout)
+						checker.runUntil(checker.now + 2*peerTimeout)
 					} else {
-						referee.step(PeerMessage{a.To, peerMessage{kind: reservationGranted, token: q.token}.encode()})
+						checker.stepAndCheck(PeerMessage{
+							message.To,
+							peerMessage{kind: reservationGranted, token: request.token}.encode(),
+						})
 					}
 				}
 			}
-			if sent := referee.sends(); !asked || len(sent) > 0 {
-				t.Errorf("%T, lost %v: requested from %v, sent to %v", end, lost, asked, sent)
+			if servers := checker.attemptedServers(); !requested || len(servers) > 0 {
+				t.Errorf("%T, lost %v: got reservation requested %v, attempts on %v, want a request and no attempts",
+					end, lost, requested, servers)
 			}
 		}
 	}
 }
 
-// TestFewerNodesWhileAnOwnerIsAsked has settings name fewer nodes while the answer of one that is no longer there is
-// awaited: the request is placed without it.
-func TestFewerNodesWhileAnOwnerIsAsked(t *testing.T) {
-	referee := newReferee(t, keeping(), 1)
-	referee.now = time.Hour
-	referee.step(fleet(13))
-	fewer := keeping()
+// TestOwnerIsRemovedDuringReservation checks that a request is placed without the owner's reply if a change of settings
+// removes the owner from the fleet while the request waits for the reply.
+func TestOwnerIsRemovedDuringReservation(t *testing.T) {
+	checker := newRuleChecker(t, reservationSettings(), 1)
+	checker.now = time.Hour
+	checker.stepAndCheck(newServerList(13))
+	fewer := reservationSettings()
 	fewer.Nodes = 4
 	var waiting RequestID
 	for group := uint64(1); waiting == "" && group < 20; group++ {
 		id := RequestID(fmt.Sprint("r", group))
-		for _, action := range referee.step(Request{ID: id, Group: group, TimeLeft: 2 * time.Second, Tenant: -1}) {
+		for _, action := range checker.stepAndCheck(Request{
+			ID: id, Group: group, TimeLeft: 2 * time.Second, Tenant: -1,
+		}) {
 			if message, ok := action.(SendPeerMessage); ok && message.To >= fewer.Nodes {
 				waiting = id
 			}
 		}
 	}
 	if waiting == "" {
-		t.Fatal("no reservation was requested from a node beyond the first four")
+		t.Fatal("got no reservation request to a node beyond the first four, want one")
 	}
-	referee.step(SettingsChanged{fewer})
-	referee.load = level(0.3)
-	referee.run(referee.now + 4*peerTimeout)
-	if sent := referee.reqs[waiting].sent; sent != 1 {
-		t.Errorf("the request was sent %d times, want once", sent)
+	checker.stepAndCheck(SettingsChanged{fewer})
+	checker.reportedLoad = constantLoad(0.3)
+	checker.runUntil(checker.now + 4*peerTimeout)
+	if attempts := checker.requests[waiting].attempts; attempts != 1 {
+		t.Errorf("got %d attempts of the request, want 1", attempts)
 	}
 }
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -7,52 +7,55 @@
 	"time"
 )
 
-func level(v float64) func(ServerID) float64 { return func(ServerID) float64 { return v } }
+// constantLoad returns a load function for servers that all have the same load.
+func constantLoad(load float64) func(ServerID) float64 { return func(ServerID) float64 { return load } }
 
 func TestEveryRequestIsAnsweredInTime(t *testing.T) {
-	f := newReferee(t, plain(), 1)
-	f.step(fleet(6))
-	f.step(Request{ID: "quiet", TimeLeft: ms(1800), Tenant: -1}) // health checks and servers stay silent
-	f.run(ms(2000))
-	f.step(Request{ID: "late", TimeLeft: ms(1), Tenant: -1})
-	f.step(Request{ID: "past", TimeLeft: -ms(5), Tenant: -1})
-	f.run(f.now + ms(3000))
+	checker := newRuleChecker(t, defaultTestSettings(), 1)
+	checker.stepAndCheck(newServerList(6))
+	// Neither health checks nor attempts of this request get an answer.
+	checker.stepAndCheck(Request{ID: "quiet", TimeLeft: ms(1800), Tenant: -1})
+	checker.runUntil(ms(2000))
+	checker.stepAndCheck(Request{ID: "late", TimeLeft: ms(1), Tenant: -1})
+	checker.stepAndCheck(Request{ID: "past", TimeLeft: -ms(5), Tenant: -1})
+	checker.runUntil(checker.now + ms(3000))
 
-	g := newReferee(t, plain(), 1) // nobody to send to: rejected while the client waits
-	g.step(ServerList{Kind: ListFull})
-	g.step(Request{ID: "r", TimeLeft: ms(500), Tenant: -1})
-	g.run(ms(600))
-	if !g.reqs["r"].done {
-		t.Fatal("no answer without servers")
+	// Without servers, a request is rejected while the client waits.
+	noServers := newRuleChecker(t, defaultTestSettings(), 1)
+	noServers.stepAndCheck(ServerList{Kind: ListFull})
+	noServers.stepAndCheck(Request{ID: "r", TimeLeft: ms(500), Tenant: -1})
+	noServers.runUntil(ms(600))
+	if !noServers.requests["r"].ended {
+		t.Fatal("request without servers: got no answer, want a rejection")
 	}
 }
 
-func TestFullIsRetriedElsewhereAndThenRejected(t *testing.T) {
-	referee := newReferee(t, plain(), 3)
-	referee.step(fleet(8))
-	referee.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
+func TestAttemptsOnFullServersAreRetriedElsewhereAndThenRejected(t *testing.T) {
+	checker := newRuleChecker(t, defaultTestSettings(), 3)
+	checker.stepAndCheck(newServerList(8))
+	checker.stepAndCheck(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
 	used := map[ServerID]bool{}
 	for i := range 4 {
-		referee.answerHealthChecks(level(0.3))
-		got := referee.sends()
+		checker.answerHealthChecks(constantLoad(0.3))
+		got := checker.attemptedServers()
 		if len(got) != 1 || used[got[0]] {
-			t.Fatalf("attempt %d went to %v, used %v", i, got, used)
+			t.Fatalf("attempt %d: got servers %v, want one that is not among %v", i, got, used)
 		}
 		used[got[0]] = true
-		referee.now += ms(5)
-		referee.step(AttemptEnded{ID: "r", Attempt: i, Server: got[0], Outcome: Full})
+		checker.now += ms(5)
+		checker.stepAndCheck(AttemptEnded{ID: "r", Attempt: i, Server: got[0], Outcome: Full})
 	}
-	if !referee.reqs["r"].done {
-		t.Fatal("not answered after the attempt limit")
+	if !checker.requests["r"].ended {
+		t.Fatal("after the attempt limit: got no answer, want a rejection")
 	}
 }
 
-func TestNoEffectTwice(t *testing.T) {
+func TestRequestsAreRetriedAsTheirIdempotencyAllows(t *testing.T) {
 	for _, test := range []struct {
-		repeat  Idempotency
-		scope   Scope
-		outcome Outcome
-		again   bool
+		idempotency Idempotency
+		scope       Scope
+		outcome     Outcome
+		retried     bool
 	}{
 		{NotIdempotent, ScopeAll, TimedOut, false},
 		{NotIdempotent, ScopeAll, Full, true},
@@ -62,192 +65,199 @@
 		{IdempotentByKey, ScopeCell, Failed, true},
 		{Idempotent, ScopeAll, TimedOut, true},
 	} {
-		s := plain()
-		s.Classes[0].Idempotency, s.Classes[0].IdempotencyScope, s.Classes[0].IdempotencyWindow = test.repeat,
-			test.scope, time.Second
-		referee := newReferee(t, s, 5)
-		referee.step(fleet(30))
-		referee.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
-		referee.answerHealthChecks(level(0.3))
-		referee.now += ms(20)
-		referee.step(AttemptEnded{ID: "r", Attempt: 0, Server: referee.sends()[0], Outcome: test.outcome})
-		referee.answerHealthChecks(level(0.3))
-		if again := len(referee.sends()) == 1; again != test.again {
-			t.Errorf("%+v: sent again: %v", test, again)
+		settings := defaultTestSettings()
+		settings.Classes[0].Idempotency, settings.Classes[0].IdempotencyScope,
+			settings.Classes[0].IdempotencyWindow = test.idempotency, test.scope, time.Second
+		checker := newRuleChecker(t, settings, 5)
+		checker.stepAndCheck(newServerList(30))
+		checker.stepAndCheck(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
+		checker.answerHealthChecks(constantLoad(0.3))
+		checker.now += ms(20)
+		checker.stepAndCheck(AttemptEnded{
+			ID: "r", Attempt: 0, Server: checker.attemptedServers()[0], Outcome: test.outcome,
+		})
+		checker.answerHealthChecks(constantLoad(0.3))
+		if retried := len(checker.attemptedServers()) == 1; retried != test.retried {
+			t.Errorf("%+v: got retried %v, want the opposite", test, retried)
 		}
-		if !test.again && !referee.reqs["r"].done {
-			t.Errorf("%+v: neither sent nor answered", test)
+		if !test.retried && !checker.requests["r"].ended {
+			t.Errorf("%+v: got neither a retry nor an answer, want an answer", test)
 		}
 	}
 }
 
 func TestIdempotencyWindowEnds(t *testing.T) {
-	s := plain()
-	s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = IdempotentByKey, ms(400)
-	f := newReferee(t, s, 5)
-	f.step(fleet(10))
-	f.step(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
-	f.answerHealthChecks(level(0.3))
-	to := f.sends()[0]
-	f.now += ms(410) // the servers have forgotten it
-	f.step(AttemptEnded{ID: "r", Attempt: 0, Server: to, Outcome: TimedOut})
-	f.answerHealthChecks(level(0.3))
-	if !f.reqs["r"].done {
-		t.Fatal("a keyed request past its window was not answered")
+	settings := defaultTestSettings()
+	settings.Classes[0].Idempotency, settings.Classes[0].IdempotencyWindow = IdempotentByKey, ms(400)
+	checker := newRuleChecker(t, settings, 5)
+	checker.stepAndCheck(newServerList(10))
+	checker.stepAndCheck(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
+	checker.answerHealthChecks(constantLoad(0.3))
+	server := checker.attemptedServers()[0]
+	checker.now += ms(410) // the servers no longer know the idempotency key
+	checker.stepAndCheck(AttemptEnded{ID: "r", Attempt: 0, Server: server, Outcome: TimedOut})
+	checker.answerHealthChecks(constantLoad(0.3))
+	if !checker.requests["r"].ended {
+		t.Fatal("request with a key after its idempotency window: got no answer, want one")
 	}
 }
 
-func TestNothingGoesToADrainingServer(t *testing.T) {
-	referee := newReferee(t, plain(), 7)
-	l := fleet(3)
-	referee.step(l)
-	referee.step(Request{ID: "held", TimeLeft: ms(1800), Tenant: -1}) // waits for health checks while the list changes
-	for i := range l.Servers[:2] {
-		l.Servers[i].State = Draining
+func TestNoAttemptOnDrainingServers(t *testing.T) {
+	checker := newRuleChecker(t, defaultTestSettings(), 7)
+	list := newServerList(3)
+	checker.stepAndCheck(list)
+	// This request waits for health checks while the list changes.
+	checker.stepAndCheck(Request{ID: "held", TimeLeft: ms(1800), Tenant: -1})
+	for i := range list.Servers[:2] {
+		list.Servers[i].State = Draining
 	}
-	referee.now += ms(1)
-	referee.step(ServerList{Kind: ListChange, Servers: l.Servers[:2]})
-	referee.set.Rules.DrainGrace = 0 // the balancer does not use the grace at all
-	referee.run(ms(70))
+	checker.now += ms(1)
+	checker.stepAndCheck(ServerList{Kind: ListChange, Servers: list.Servers[:2]})
+	checker.settings.Rules.DrainGrace = 0 // the balancer must not use the grace period
+	checker.runUntil(ms(70))
 	for i := range 50 {
-		referee.step(Request{ID: RequestID(fmt.Sprint(i)), TimeLeft: ms(1800), Tenant: -1})
-		referee.answerHealthChecks(level(0.3))
+		checker.stepAndCheck(Request{ID: RequestID(fmt.Sprint(i)), TimeLeft: ms(1800), Tenant: -1})
+		checker.answerHealthChecks(constantLoad(0.3))
 	}
-	referee.step(ServerList{Kind: ListFull}) // a whole list without it: gone
-	referee.step(Request{ID: "none", TimeLeft: ms(1800), Tenant: -1})
-	if !referee.reqs["none"].done {
-		t.Fatal("not rejected with an empty list")
+	checker.stepAndCheck(ServerList{Kind: ListFull}) // a complete list without servers: all are gone
+	checker.stepAndCheck(Request{ID: "none", TimeLeft: ms(1800), Tenant: -1})
+	if !checker.requests["none"].ended {
+		t.Fatal("request with an empty list: got no answer, want a rejection")
 	}
 }
 
-func TestListIsPolledAgainInTime(t *testing.T) {
-	settings := plain()
+func TestUnavailableListIsRequestedAgainInTime(t *testing.T) {
+	settings := defaultTestSettings()
 	settings.Subscribe = true
-	referee := newReferee(t, settings, 9)
-	asked := time.Duration(-1)
-	look := func() {
-		for _, a := range referee.last {
-			if _, ok := a.(WatchList); ok {
-				asked = referee.now
+	checker := newRuleChecker(t, settings, 9)
+	requestedAt := time.Duration(-1)
+	recordWatch := func() {
+		for _, action := range checker.lastActions {
+			if _, ok := action.(WatchList); ok {
+				requestedAt = checker.now
 			}
 		}
 	}
-	referee.step(fleet(3))
-	look()
-	if asked != 0 {
-		t.Fatal("did not follow at start")
+	checker.stepAndCheck(newServerList(3))
+	recordWatch()
+	if requestedAt != 0 {
+		t.Fatal("got no watch of the list at the start, want one")
 	}
 	for range 20 {
-		referee.step(ServerList{Kind: ListUnavailable})
-		lost := referee.now
-		asked = -1
-		for asked < 0 && referee.now < lost+settings.Rules.MaxPollInterval/2 {
-			referee.run(referee.now + ms(5))
-			look()
+		checker.stepAndCheck(ServerList{Kind: ListUnavailable})
+		lostAt := checker.now
+		requestedAt = -1
+		for requestedAt < 0 && checker.now < lostAt+settings.Rules.MaxPollInterval/2 {
+			checker.runUntil(checker.now + ms(5))
+			recordWatch()
 		}
-		if asked < 0 {
-			t.Fatalf("not polled again within %v", settings.Rules.MaxPollInterval/2)
+		if requestedAt < 0 {
+			t.Fatalf("got no further watch of the list, want one within %v", settings.Rules.MaxPollInterval/2)
 		}
 	}
 }
 
-// startedServers is a change of the list by servers that have just started.
+// startedServers returns a change of the list that adds servers in slow start.
 func startedServers(count int, at time.Duration) ServerList {
-	grown := ServerList{Kind: ListChange}
+	list := ServerList{Kind: ListChange}
 	for i := range count {
-		grown.Servers = append(grown.Servers, Server{
+		list.Servers = append(list.Servers, Server{
 			ID: ServerID(fmt.Sprint("cold", i)), Zone: "z0", Kind: "k0", Size: 1, Started: at,
 		})
 	}
-	return grown
+	return list
 }
 
-// loadOfGrown is none for servers that have just started.
-func loadOfGrown(id ServerID) float64 {
+// startedServerLoad returns a load of 0 for the servers of startedServers, and 0.6 for the others.
+func startedServerLoad(id ServerID) float64 {
 	if id[0] == 'c' {
 		return 0
 	}
 	return 0.6
 }
 
-// placeSome sends five requests, with ids that count on, and returns the servers in slow start that they went to.
-func (f *referee) placeSome(count *int) (started []ServerID) {
-	f.t.Helper()
+// placeFiveRequests sends five requests with consecutive IDs and returns the servers in slow start that they were
+// placed on.
+func (c *ruleChecker) placeFiveRequests(count *int) (started []ServerID) {
+	c.tb.Helper()
 	for range 5 {
 		*count++
-		if to := f.place(fmt.Sprint(*count), 0, loadOfGrown); to != "" && to[0] == 'c' {
-			started = append(started, to)
+		if server := c.placeRequest(fmt.Sprint(*count), 0, startedServerLoad); server != "" && server[0] == 'c' {
+			started = append(started, server)
 		}
 	}
 	return started
 }
 
-// growth plays a fleet that grows from 5 to 20 servers at second 20: 40 nodes with 5 requests a second each, or none
-// at all for some seconds after the growth. It returns the most that one server in slow start got in one second, as a
-// multiple of what it could do then, and how much all ones in slow start got.
-func growth(t *testing.T, quiet int) (worst float64, total int) {
+// simulateFleetGrowth simulates 40 nodes with 5 requests per second each and a fleet that grows from 5 to 20 servers at
+// second 20. For idleSeconds after the growth there are no requests. It returns the maximum number of connections that
+// a server in slow start got in one second, as a multiple of its capacity at that time, and the total number of
+// connections that servers in slow start got.
+func simulateFleetGrowth(t *testing.T, idleSeconds int) (maxOverload float64, total int) {
 	t.Helper()
-	const nodes, hot, started, start, warmUp = 40, 5, 15, 20, 10
-	s := plain()
-	s.Nodes = nodes
-	var referees []*referee
+	const nodes, warm, started, start, warmUp = 40, 5, 15, 20, 10
+	settings := defaultTestSettings()
+	settings.Nodes = nodes
+	var checkers []*ruleChecker
 	for i := range nodes {
-		f := newReferee(t, s, uint64(100+i))
-		f.step(fleet(hot))
-		referees = append(referees, f)
+		checker := newRuleChecker(t, settings, uint64(100+i))
+		checker.stepAndCheck(newServerList(warm))
+		checkers = append(checkers, checker)
 	}
-	grown := startedServers(started, start*time.Second)
+	added := startedServers(started, start*time.Second)
 	count := 0
-	for sec := range start + 8 {
-		got := map[ServerID]int{}
-		for i, referee := range referees {
-			referee.run(time.Duration(sec)*time.Second + ms(i))
-			if sec == start {
-				referee.step(grown)
+	for second := range start + 8 {
+		placed := map[ServerID]int{}
+		for i, checker := range checkers {
+			checker.runUntil(time.Duration(second)*time.Second + ms(i))
+			if second == start {
+				checker.stepAndCheck(added)
 			}
-			if sec >= start && sec < start+quiet {
+			if second >= start && second < start+idleSeconds {
 				continue
 			}
-			for _, to := range referee.placeSome(&count) {
-				got[to]++
+			for _, server := range checker.placeFiveRequests(&count) {
+				placed[server]++
 				total++
 			}
 		}
-		// 10 connections make load 0.6, so a warm server holds 16.7 and takes that many over its warm-up
-		able := 10 / 0.6 / warmUp * (0.2 + 0.8*float64(sec-start)/warmUp)
-		for _, c := range got {
-			worst = max(worst, (float64(c)-3)/able) // three of slack: counts are small and by chance
+		// 10 connections cause load 0.6, so a warm server has the capacity for 16.7, which it fills over its warm-up.
+		capacity := 10 / 0.6 / warmUp * (0.2 + 0.8*float64(second-start)/warmUp)
+		for _, connections := range placed {
+			// Three connections are tolerated, because the counts are small and random.
+			maxOverload = max(maxOverload, (float64(connections)-3)/capacity)
 		}
 	}
-	return worst, total
+	return maxOverload, total
 }
 
-// All nodes together must not send a server in slow start more than a multiple of what it can do.
+// TestSlowStartServerIsNotOverloaded checks that all nodes together do not send a server in slow start more than three
+// times its capacity.
 func TestSlowStartServerIsNotOverloaded(t *testing.T) {
-	worst, total := growth(t, 0)
-	t.Log(worst, total)
-	if worst > 3 {
-		t.Errorf("a server in slow start got %.1f times what it could do", worst)
+	maxOverload, total := simulateFleetGrowth(t, 0)
+	t.Log(maxOverload, total)
+	if maxOverload > 3 {
+		t.Errorf("server in slow start: got %.1f times its capacity, want at most 3", maxOverload)
 	}
 	if total < 10 {
-		t.Errorf("all servers in slow start together got %d connections in 8 s", total)
+		t.Errorf("all servers in slow start: got %d connections in 8 s, want at least 10", total)
 	}
 }
 
-func TestOddInputIsHarmless(t *testing.T) {
-	referee := newReferee(t, plain(), 11)
-	referee.step(fleet(4))
+func TestInvalidInputIsIgnored(t *testing.T) {
+	checker := newRuleChecker(t, defaultTestSettings(), 11)
+	checker.stepAndCheck(newServerList(4))
 	nan := math.NaN()
-	referee.step(
-		AttemptEnded{ID: "nobody", Server: "nowhere"}, Established{ID: "nobody"}, ClientGone{ID: "nobody"},
-		HealthCheckResult{Server: "nowhere"}, HealthCheckResult{Server: "s000", Report: []float64{1}},
+	checker.stepAndCheck(
+		AttemptEnded{ID: "unknown", Server: "unlisted"}, Established{ID: "unknown"}, ClientGone{ID: "unknown"},
+		HealthCheckResult{Server: "unlisted"}, HealthCheckResult{Server: "s000", Report: []float64{1}},
 		HealthCheckResult{Server: "s000", Report: []float64{nan, math.Inf(1)}}, HealthCheckResult{
 			Server: "s001",
 			Report: []float64{-3, -1},
 		},
-		LoadUpdate{ID: "nobody", Load: nan}, DelayObservation{Server: "nowhere", Took: -5},
+		LoadUpdate{ID: "unknown", Load: nan}, DelayObservation{Server: "unlisted", Took: -5},
 		DelayObservation{Server: "s000", Took: math.MaxInt64},
-		TimerFired{"hold nobody"}, TimerFired{""}, PeerMessage{}, OpenConnection{Server: "nowhere"},
+		TimerFired{"hold unknown"}, TimerFired{""}, PeerMessage{}, OpenConnection{Server: "unlisted"},
 		OpenConnection{Request: Request{ID: "x", Class: 99}, Server: "s000"},
 		Request{ID: "odd", TimeLeft: ms(100), Load: nan, Tenant: 7}, Request{ID: "odd", TimeLeft: ms(100)},
 		Request{ID: "neg", TimeLeft: ms(100), Load: -1}, ServerList{Kind: ListChange, Servers: []Server{{
@@ -255,25 +265,25 @@
 			Size: nan,
 		}}},
 	)
-	referee.set.Classes = append(referee.set.Classes, referee.set.Classes[0])
-	referee.step(Request{ID: "class", Class: 1, TimeLeft: ms(100)})
-	referee.run(ms(300))
-	referee.now = 0 // time going back counts as the maxMessageAge seen
-	if a := referee.b.Step(0, []Event{TimerFired{"tick"}}); len(a) == 0 {
-		t.Fatal("tick lost")
+	checker.settings.Classes = append(checker.settings.Classes, checker.settings.Classes[0])
+	checker.stepAndCheck(Request{ID: "class", Class: 1, TimeLeft: ms(100)})
+	checker.runUntil(ms(300))
+	checker.now = 0 // a time that goes back counts as the latest one seen
+	if actions := checker.balancer.Step(0, []Event{TimerFired{"tick"}}); len(actions) == 0 {
+		t.Fatal("Step with a tick at an earlier time: got no actions, want some")
 	}
 	if _, err := New(Settings{}, 1, 0); err == nil {
-		t.Fatal("settings without classes accepted")
+		t.Fatal("New with settings without classes: got no error, want one")
 	}
 	if _, err := New(Settings{Classes: []Class{{Idempotency: 9}}}, 1, 0); err == nil {
-		t.Fatal("unknown repeat kind accepted")
+		t.Fatal("New with an unknown idempotency: got no error, want one")
 	}
-	b, err := New(Settings{Classes: []Class{{}}}, 1, 0) // zeros everywhere
+	balancer, err := New(Settings{Classes: []Class{{}}}, 1, 0) // all values are zero
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Step(0, []Event{
-		fleet(2),
+	balancer.Step(0, []Event{
+		newServerList(2),
 		Request{ID: "a", TimeLeft: ms(100)},
 		TimerFired{"tick"},
 		DelayObservation{Server: "s000", Took: 1},
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// Nodes that start together must not all get their tokens for servers in slow start in the same moment.
-func TestCommonCreditHasASeededPhase(t *testing.T) {
+// TestCommonBudgetHasASeededPhase checks that nodes that start together do not all get their tokens for servers in slow
+// start at the same time.
+func TestCommonBudgetHasASeededPhase(t *testing.T) {
 	const nodes = 20
-	seen := map[int]bool{}
+	phases := map[int]bool{}
 	for seed := range uint64(nodes) {
-		balancer, err := New(silentSettings(nodes), seed, time.Hour)
+		balancer, err := New(noReportSettings(nodes), seed, time.Hour)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -19,24 +20,27 @@
 		}}})
 		balancer.hasSlowStartBudget(&requestEntry{affinity: 1}, balancer.findServer("cold"))
 		if balancer.slowStart.common.tokens < 0 || balancer.slowStart.common.tokens >= 1 {
-			t.Fatalf("seed %d starts with a budget of %.3f", seed, balancer.slowStart.common.tokens)
+			t.Fatalf("seed %d: got an initial budget of %.3f, want at least 0 and below 1", seed,
+				balancer.slowStart.common.tokens)
 		}
-		seen[int(balancer.slowStart.common.tokens*10)] = true
+		phases[int(balancer.slowStart.common.tokens*10)] = true
 	}
-	if len(seen) < 5 {
-		t.Errorf("%d nodes start in %d of ten phases", nodes, len(seen))
+	if len(phases) < 5 {
+		t.Errorf("got %d nodes that start in %d of ten phases, want at least 5 phases", nodes, len(phases))
 	}
 }
 
-// A connection that comes with a class of other settings must not make a table of its own size.
+// TestConnectionLoadsOfUnknownClasses checks that the class index of a connection from other settings does not
+// determine the size of the table of class loads.
 func TestConnectionLoadsOfUnknownClasses(t *testing.T) {
-	b, now := silentNode(t, 3, 4)
-	class := b.settings.Classes[0]
-	b.Step(now, []Event{OpenConnection{
+	balancer, now := newNoReportNode(t, 3, 4)
+	class := balancer.settings.Classes[0]
+	balancer.Step(now, []Event{OpenConnection{
 		Request: Request{ID: "x", Class: 1 << 20, Tenant: -1}, Server: "h0",
 		OriginalClass: &class, CurrentLoad: 0.05,
 	}})
-	if len(b.units.byClass) > len(b.settings.Classes) {
-		t.Errorf("%d classes have a mean load, the settings have %d", len(b.units.byClass), len(b.settings.Classes))
+	if len(balancer.units.byClass) > len(balancer.settings.Classes) {
+		t.Errorf("got mean loads of %d classes, want at most the %d of the settings", len(balancer.units.byClass),
+			len(balancer.settings.Classes))
 	}
 }
