--- a/choice/server.go
+++ b/choice/server.go
@@ -29,7 +29,7 @@
 	outlier      outlierState
 	slowStart    tokenBucket // slow-start budget of this node, or of all nodes if this node owns the server
 	checking     bool        // a health check is in flight
-	// migrationCandidate is migrated if the health check in flight confirms that the server is overloaded; nil: none.
+	// migrationCandidate may be migrated if the health check in flight fails or shows overload; nil: none.
 	migrationCandidate *requestEntry
 	reserved           ownerReservations // used if this node owns the server
 	deniedUntil        time.Duration     // no reservation is requested from the server's owner before this time
@@ -64,8 +64,8 @@
 }
 
 // schedulePoll schedules another poll of service discovery after a backoff with a jitter of up to half of it. The
-// backoff doubles with each failure, up to a quarter of Rules.MaxPollInterval, so that the interval is kept even if one
-// more poll fails.
+// backoff doubles with each failure, up to a quarter of Rules.MaxPollInterval, so that the polls stay within
+// MaxPollInterval even if one more poll fails.
 func (b *Balancer) schedulePoll() {
 	b.failedPolls++
 	backoff := min(b.settings.Rules.MaxPollInterval/4, pollBackoff<<min(b.failedPolls, maxPollDoublings))
--- a/choice/throttle.go
+++ b/choice/throttle.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	throttleMemory    = 10 * time.Second
-	throttleMultiple  = 1.1 // requests admitted per connection that lasts
-	throttleAllowance = 1.0 // dropped connections that cause no rejection, since one may break for other reasons
+	throttleMemory    = 10 * time.Second // decay time of the counts
+	throttleMultiple  = 1.1              // requests admitted per connection that lasts
+	throttleAllowance = 1.0              // tolerated number of dropped connections: one may break without overload
 )
 
 // throttle implements adaptive client-side throttling (Beyer et al., "Site Reliability Engineering", chapter 21). Each
@@ -14,9 +14,9 @@
 // servers drop immediately and whose clients then retry on the next node. Requests that found no server are not
 // counted, since they give no information about the fleet's load.
 type throttle struct {
-	requested float64 // decayed count
-	lasted    float64 // decayed count
-	at        time.Duration
+	requested float64       // established connections and rejected requests, decayed
+	lasted    float64       // connections that lasted, decayed
+	at        time.Duration // time up to which the counts are decayed
 }
 
 // add adds to the counts of requests and of connections that lasted. An established connection is counted as lasting,
