--- a/choice/rulechecker_test.go
+++ b/choice/balancer_checker_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// ruleChecker passes events to a balancer and checks the returned actions against the four rules of the package. It
-// sees only events and actions, not the balancer's state.
-type ruleChecker struct {
+// balancerChecker passes events to a balancer and checks the returned actions against the rules of the package (see
+// doc.go). It uses only events and actions, not the balancer's state. (The tests in package choice_test check all nodes
+// of a simulation with a simulationChecker.)
+type balancerChecker struct {
 	tb               testing.TB
 	settings         Settings
 	balancer         *Balancer
@@ -21,10 +22,10 @@
 	timers           []timer
 	healthChecks     map[ServerID]int
 	lastActions      []Action
-	reportedLoad     func(ServerID) float64 // load in answers of runUntil to health checks; nil: no answers
+	reportedLoad     func(ServerID) float64 // load in runUntil's answers to health checks; nil: no answers
 }
 
-// requestRecord is what the ruleChecker knows about a request. The fields mayHaveRunServer and mayHaveRunSentAt
+// requestRecord is what the balancerChecker knows about a request. The fields mayHaveRunServer and mayHaveRunSentAt
 // describe the first attempt that may have run.
 type requestRecord struct {
 	class                          int
@@ -46,13 +47,13 @@
 	token string
 }
 
-func newRuleChecker(tb testing.TB, settings Settings, seed uint64) *ruleChecker {
+func newBalancerChecker(tb testing.TB, settings Settings, seed uint64) *balancerChecker {
 	tb.Helper()
 	balancer, err := New(settings, seed, 0)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return &ruleChecker{
+	return &balancerChecker{
 		tb: tb, settings: settings, balancer: balancer,
 		requests: map[RequestID]*requestRecord{}, servers: map[ServerID]Server{},
 		unavailableSince: map[ServerID]time.Duration{}, healthChecks: map[ServerID]int{},
@@ -60,7 +61,7 @@
 }
 
 // stepAndCheck passes events to the balancer at the current time and checks the actions that it returns.
-func (c *ruleChecker) stepAndCheck(events ...Event) []Action {
+func (c *balancerChecker) stepAndCheck(events ...Event) []Action {
 	c.tb.Helper()
 	for _, event := range events {
 		c.record(event)
@@ -78,7 +79,7 @@
 	return c.lastActions
 }
 
-func (c *ruleChecker) record(e Event) {
+func (c *balancerChecker) record(e Event) {
 	switch event := e.(type) {
 	case ServerList:
 		c.recordServerList(event)
@@ -97,7 +98,7 @@
 	}
 }
 
-func (c *ruleChecker) recordServerList(list ServerList) {
+func (c *balancerChecker) recordServerList(list ServerList) {
 	if list.Kind == ListUnavailable {
 		return
 	}
@@ -120,7 +121,7 @@
 	}
 }
 
-func (c *ruleChecker) recordAttemptEnd(event AttemptEnded) {
+func (c *balancerChecker) recordAttemptEnd(event AttemptEnded) {
 	request := c.requests[event.ID]
 	if request == nil || request.inFlight[event.Attempt] == "" {
 		return
@@ -137,7 +138,7 @@
 	}
 }
 
-func (c *ruleChecker) checkAction(a Action) {
+func (c *balancerChecker) checkAction(a Action) {
 	c.tb.Helper()
 	switch action := a.(type) {
 	case StartAttempt:
@@ -157,13 +158,13 @@
 		c.timers = append(c.timers, timer{c.now + action.After, action.Token})
 	case HealthCheck:
 		if _, ok := c.servers[action.Server]; !ok {
-			c.tb.Fatalf("got a health check of %s, want only servers of the list", action.Server)
+			c.tb.Fatalf("got a health check of %s, want only checks of listed servers", action.Server)
 		}
 		c.healthChecks[action.Server]++
 	case Migrate:
 		request := c.requests[action.ID]
 		if request == nil || !request.established || request.ended && request.endedAt < c.now {
-			c.tb.Fatalf("%v: got a migration of %s, want only open connections", c.now, action.ID)
+			c.tb.Fatalf("%v: got a migration of %s, want only migrations of open connections", c.now, action.ID)
 		}
 	}
 }
@@ -173,7 +174,7 @@
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.IdempotencyScope == ScopeAll
 }
 
-func (c *ruleChecker) checkStart(action StartAttempt) {
+func (c *balancerChecker) checkStart(action StartAttempt) {
 	c.tb.Helper()
 	request, ok := c.requests[action.ID]
 	if !ok || request.ended || request.clientGone {
@@ -183,7 +184,7 @@
 		c.tb.Fatalf("%v: got a second attempt in flight for %s, want at most one", c.now, action.ID)
 	}
 	if request.attempts++; request.attempts > max(1, c.settings.Limits.MaxAttempts) {
-		c.tb.Fatalf("%v: got %d attempts for %s, want at most the attempt limit", c.now, request.attempts, action.ID)
+		c.tb.Fatalf("%v: got %d attempts for %s, want at most Limits.MaxAttempts", c.now, request.attempts, action.ID)
 	}
 	server, ok := c.servers[action.Server]
 	if since, unavailable := c.unavailableSince[action.Server]; !ok ||
@@ -201,8 +202,8 @@
 	request.sentAt = append(request.sentAt, c.now)
 }
 
-// checkRetry checks a further attempt of a request that may have run.
-func (c *ruleChecker) checkRetry(request *requestRecord, server Server) {
+// checkRetry checks that a further attempt of a request that may have run can't take effect twice.
+func (c *balancerChecker) checkRetry(request *requestRecord, server Server) {
 	c.tb.Helper()
 	class := c.settings.Classes[request.class]
 	if class.Idempotency == NotIdempotent {
@@ -220,7 +221,7 @@
 }
 
 // recordFinalAnswer records the final answer to a request and checks that it is the only one and in time.
-func (c *ruleChecker) recordFinalAnswer(id RequestID) *requestRecord {
+func (c *balancerChecker) recordFinalAnswer(id RequestID) *requestRecord {
 	c.tb.Helper()
 	request := c.requests[id]
 	// The batch may contain the end of the request after the event that the balancer answers here.
@@ -228,7 +229,7 @@
 		c.tb.Fatalf("%v: got an answer for %s, want none for an unknown or ended request", c.now, id)
 	}
 	if c.now > request.deadline+c.settings.Rules.AnswerSlack && !request.clientGone {
-		c.tb.Fatalf("%v: got an answer for %s, want one by the deadline %v", c.now, id, request.deadline)
+		c.tb.Fatalf("%v: got a late answer for %s, want one by the deadline %v", c.now, id, request.deadline)
 	}
 	request.ended, request.answered, request.endedAt = true, true, c.now
 	return request
@@ -236,7 +237,7 @@
 
 // runUntil advances the time to until and fires the timers that expire on the way. It then checks that every request
 // whose deadline has passed has an answer. The caller has to end the attempts that exceed their timeout.
-func (c *ruleChecker) runUntil(until time.Duration) {
+func (c *balancerChecker) runUntil(until time.Duration) {
 	c.tb.Helper()
 	for n := 0; ; n++ {
 		slices.SortStableFunc(c.timers, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
@@ -293,7 +294,7 @@
 }
 
 // attemptedServers returns the servers on which the last step started attempts.
-func (c *ruleChecker) attemptedServers() (ids []ServerID) {
+func (c *balancerChecker) attemptedServers() (ids []ServerID) {
 	for _, action := range c.lastActions {
 		if start, ok := action.(StartAttempt); ok {
 			ids = append(ids, start.Server)
@@ -303,7 +304,7 @@
 }
 
 // answerHealthChecks answers the health checks of the last step with the given load, and those that the answers cause.
-func (c *ruleChecker) answerHealthChecks(load func(ServerID) float64) {
+func (c *balancerChecker) answerHealthChecks(load func(ServerID) float64) {
 	c.tb.Helper()
 	c.reportedLoad = load
 	for range 50 {
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -10,7 +10,7 @@
 )
 
 // runRandomScript simulates a caller that passes random but valid events, and some unusual ones, for a number of steps.
-// A ruleChecker checks all actions. It returns the actions of each step.
+// A balancerChecker checks all actions. It returns the actions of each step.
 func runRandomScript(tb testing.TB, seed uint64, steps int) [][]Action {
 	tb.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -24,7 +24,7 @@
 			SetupObjective: ms(200), Deadline: ms(900), Idempotency: IdempotentByKey,
 			IdempotencyScope: Scope(rng.IntN(3)), IdempotencyWindow: ms(rng.IntN(900)),
 		})
-	checker := newRuleChecker(tb, settings, seed)
+	checker := newBalancerChecker(tb, settings, seed)
 	list := newServerList(1 + rng.IntN(12))
 	caller := &scriptCaller{rng: rng, checker: checker, list: list}
 	caller.stepAndRecord(list)
@@ -38,7 +38,7 @@
 // scriptCaller passes random events of a node to the balancer.
 type scriptCaller struct {
 	rng                   *rand.Rand
-	checker               *ruleChecker
+	checker               *balancerChecker
 	list                  ServerList
 	allActions            [][]Action
 	inFlight, established []scriptAttempt
@@ -191,12 +191,16 @@
 	return nil
 }
 
+// TestRandomScriptsKeepTheRules guards against sequences of events that make a balancer break a rule. The checker ends
+// the test at the first violation.
 func TestRandomScriptsKeepTheRules(t *testing.T) {
 	for seed := range uint64(150) {
 		runRandomScript(t, seed, 600)
 	}
 }
 
+// TestSameEventsGiveSameActions guards against decisions that depend on something else than the seed and the events,
+// such as the iteration order of a map.
 func TestSameEventsGiveSameActions(t *testing.T) {
 	for seed := range uint64(10) {
 		if !reflect.DeepEqual(runRandomScript(t, seed, 400), runRandomScript(t, seed, 400)) {
@@ -205,6 +209,7 @@
 	}
 }
 
+// FuzzRules runs random scripts of seeds and lengths that the fuzzer chooses. A violation of a rule fails the test.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(4) {
 		f.Add(seed, uint16(300))
--- a/choice/invariance_test.go
+++ b/choice/invariance_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// TestPlacementIgnoresNamesAndUnits checks that names of zones, kinds, classes and tenants, and the unit of loads, have
-// no influence on placement.
+// TestPlacementIgnoresNamesAndUnits checks that the names of zones, kinds and classes, and the unit of loads, have no
+// influence on placement.
 func TestPlacementIgnoresNamesAndUnits(t *testing.T) {
 	placements := func(prefix string, unit float64) (servers []ServerID) {
 		settings := defaultTestSettings()
 		settings.Zone, settings.Classes[0].Name = prefix+settings.Zone, prefix+"c"
-		checker := newRuleChecker(t, settings, 21)
+		checker := newBalancerChecker(t, settings, 21)
 		list := newServerList(15)
 		for i := range list.Servers {
 			list.Servers[i].Zone, list.Servers[i].Kind = prefix+list.Servers[i].Zone, prefix+list.Servers[i].Kind
@@ -36,20 +36,20 @@
 	}
 	want := placements("", 1)
 	if len(want) < 290 {
-		t.Fatalf("got %d of 300 requests placed, want at least 290", len(want))
+		t.Fatalf("15 servers at loads of 0.3 to 0.75: got %d of 300 requests placed, want at least 290", len(want))
 	}
 	if got := placements("other-", 1.0/1024); !reflect.DeepEqual(got, want) { // a power of two avoids rounding
 		t.Error("other names and a smaller unit: got other placements, want the same")
 	}
 }
 
-// TestFleetSizes checks for fleets from one node and one server to many of both that requests are placed with a few
-// health checks per request.
-func TestFleetSizes(t *testing.T) {
+// TestPlacementInFleetsOfAllSizes guards against rejections on a half-full fleet and against more than four health
+// checks per request. The fleets have from one node and one server to 200 nodes and 1000 servers.
+func TestPlacementInFleetsOfAllSizes(t *testing.T) {
 	for _, test := range []struct{ nodes, servers int }{{1, 1}, {1, 10}, {200, 1}, {200, 1000}, {3, 1000}} {
 		settings := defaultTestSettings()
 		settings.Nodes = test.nodes
-		checker := newRuleChecker(t, settings, 31)
+		checker := newBalancerChecker(t, settings, 31)
 		checker.stepAndCheck(newServerList(test.servers))
 		placed, open := 0, []AttemptEnded(nil)
 		for i := range 100 {
@@ -69,16 +69,17 @@
 			checks += n
 		}
 		if placed < 95 || checks > 400 {
-			t.Errorf("%+v: got %d of 100 placed with %d health checks, want at least 95 with at most 400", test,
+			t.Errorf("fleet %+v: got %d of 100 placed with %d health checks, want at least 95 with at most 400", test,
 				placed, checks)
 		}
 	}
 }
 
+// BenchmarkStep measures a request, the answers to its health checks and the end of the request, by number of servers.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{20, 200, 1000} {
 		b.Run(fmt.Sprint(n, "servers"), func(b *testing.B) {
-			checker := newRuleChecker(b, defaultTestSettings(), 1)
+			checker := newBalancerChecker(b, defaultTestSettings(), 1)
 			checker.stepAndCheck(newServerList(n))
 			b.ReportAllocs()
 			for i := range b.N {
--- a/choice/peerclock_test.go
+++ b/choice/peerclock_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// TestPeerClockOffsetIsLearned checks a peer whose clock is an hour or some seconds off, from its start or later on.
-// Within two seconds the node replies to its requests again, while requests that arrive late still get no reply.
+// TestPeerClockOffsetIsLearned guards against a node that drops all requests of a peer as late after the peer's clock
+// was stepped by some seconds or an hour. Within two seconds the node must reply to the peer's requests again, while
+// requests that arrive late still get no reply.
 func TestPeerClockOffsetIsLearned(t *testing.T) {
 	for _, offset := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second, -3 * time.Second} {
-		checker := newRuleChecker(t, reservationSettings(), 1)
+		checker := newBalancerChecker(t, reservationSettings(), 1)
 		checker.now = 2 * time.Hour
 		checker.stepAndCheck(newServerList(13))
 		repliesAt := func(clock time.Duration) (replied bool) {
@@ -27,7 +28,7 @@
 			return false
 		}
 		if !repliesAt(checker.now) {
-			t.Fatal("request of the current time: got no reply, want one")
+			t.Fatal("request with the current time in its token: got no reply, want one")
 		}
 		replied := false
 		for range 8 {
@@ -46,7 +47,7 @@
 // TestMessagesOfStalledPeerAreLate checks that a node drops all messages of a peer that stalled for two seconds and
 // then sends its messages at once. The node must not learn the delay as a clock offset.
 func TestMessagesOfStalledPeerAreLate(t *testing.T) {
-	checker := newRuleChecker(t, reservationSettings(), 1)
+	checker := newBalancerChecker(t, reservationSettings(), 1)
 	checker.now = time.Hour
 	checker.stepAndCheck(newServerList(13))
 	server := checker.balancer.servers[3]
@@ -63,6 +64,6 @@
 		kind: reservationRequest, token: tokenClock(checker.balancer.now), server: serverKey(server), load: 1,
 	}
 	if actions := checker.stepAndCheck(PeerMessage{1, timely.encode()}); len(actions) == 0 {
-		t.Error("request of the current time: got no actions, want a reply or a health check")
+		t.Error("request with the current time in its token: got no actions, want a reply or a health check")
 	}
 }
--- a/choice/random_settings_test.go
+++ b/choice/random_settings_test.go
@@ -14,9 +14,10 @@
 )
 
 const (
-	// randomRuns is the number of random settings that a test run simulates. RANDOM_SETTINGS=1000 simulates more.
+	// randomRuns is the number of simulations, each with other random settings, in a test run. The environment variable
+	// RANDOM_SETTINGS replaces it: RANDOM_SETTINGS=1000 runs 1000 simulations.
 	randomRuns = 80
-	// arrivalTime is how long clients arrive in a simulation, which then continues until all requests are answered.
+	// arrivalPeriod is how long clients arrive in a simulation, which then continues until all requests are answered.
 	arrivalPeriod = 16 * time.Second
 	// simulationTimeout detects a Step that does not return. Every simulation takes less than 1 s.
 	simulationTimeout = time.Minute
@@ -134,7 +135,7 @@
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 5))
 	settings, env, servers := randomSettings(rng)
-	checker := newRuleChecker()
+	checker := newSimulationChecker()
 	sim := newSimulation(t, fmt.Sprintf("seed %d", seed), settings, env, servers, seed, checker)
 	checker.sim, sim.recorder = sim, recorder
 	watchdog := time.AfterFunc(simulationTimeout, func() {
@@ -231,7 +232,7 @@
 // TestRulesHoldWithRandomSettings runs simulations with random settings and checks the rules in each. A request gets
 // one final answer in time, has at most the allowed number of attempts, one at a time and none after its end, and never
 // has its effect twice. Servers that drain or are gone get no requests. Nodes perform no action that the settings
-// forbid.
+// forbid. The test also fails if the simulations contain too few incidents of a kind to test the rules.
 func TestRulesHoldWithRandomSettings(t *testing.T) {
 	runs := randomRuns
 	if count, err := strconv.Atoi(os.Getenv("RANDOM_SETTINGS")); err == nil {
@@ -263,7 +264,8 @@
 		"requests pending when their node stops",
 	} {
 		if total[incident] < runs/4 {
-			t.Errorf("%s: got %d in %d simulations, want at least one in four", incident, total[incident], runs)
+			t.Errorf("%s: got %d in %d simulations, want at least one in four simulations", incident, total[incident],
+				runs)
 		}
 	}
 }
--- a/choice/regression_test.go
+++ b/choice/regression_test.go
@@ -10,7 +10,7 @@
 
 // placeRequest sends a request, answers all health checks with the given load, and returns the server that the request
 // was placed on, or "" if it was rejected.
-func (c *ruleChecker) placeRequest(id string, group uint64, load func(ServerID) float64) ServerID {
+func (c *balancerChecker) placeRequest(id string, group uint64, load func(ServerID) float64) ServerID {
 	c.tb.Helper()
 	c.now += ms(1)
 	c.stepAndCheck(Request{ID: RequestID(id), TimeLeft: ms(1800), Tenant: -1, Group: group})
@@ -24,7 +24,7 @@
 // TestFirstRequestsAreNotRejected guards against an initial cost of a connection that is as high as the capacity of a
 // whole server, which caused rejections on an idle fleet.
 func TestFirstRequestsAreNotRejected(t *testing.T) {
-	checker := newRuleChecker(t, defaultTestSettings(), 1)
+	checker := newBalancerChecker(t, defaultTestSettings(), 1)
 	checker.stepAndCheck(newServerList(10))
 	for i := range 10 { // all before the first tick
 		if checker.placeRequest(fmt.Sprint(i), 0, constantLoad(0.4)) == "" {
@@ -33,8 +33,10 @@
 	}
 }
 
+// TestObservedDelaysDoNotChangeTheAverageLoad guards against observed delays that raise the fleet's average load. Only
+// overloaded servers have slow messages, so one slow server would make the whole fleet seem full.
 func TestObservedDelaysDoNotChangeTheAverageLoad(t *testing.T) {
-	checker := newRuleChecker(t, defaultTestSettings(), 2)
+	checker := newBalancerChecker(t, defaultTestSettings(), 2)
 	checker.stepAndCheck(newServerList(10))
 	server := checker.placeRequest("a", 0, constantLoad(0.5))
 	checker.stepAndCheck(Established{ID: "a", Attempt: 0, Server: server})
@@ -43,12 +45,16 @@
 		checker.stepAndCheck(DelayObservation{ID: "a", Server: server, Took: ms(900)})
 	}
 	if checker.balancer.average.load > 0.51 {
-		t.Fatalf("got average load %.2f, want that of the reports, 0.5", checker.balancer.average.load)
+		t.Fatalf("delays of 900 ms, all reports 0.5: got average load %.2f, want at most 0.51",
+			checker.balancer.average.load)
 	}
 }
 
+// TestPassRateFallsOnAFullFleetAndRecovers guards against a full fleet that admits too many requests, and against one
+// that still rejects requests after its load fell. Rejected requests place no connections whose reports would show the
+// lower load, so only health checks can.
 func TestPassRateFallsOnAFullFleetAndRecovers(t *testing.T) {
-	checker := newRuleChecker(t, defaultTestSettings(), 3)
+	checker := newBalancerChecker(t, defaultTestSettings(), 3)
 	checker.stepAndCheck(newServerList(10))
 	sendRequests := func(from, seconds int, load float64) (placed int) {
 		for i := range seconds * 20 {
@@ -61,7 +67,7 @@
 	}
 	sendRequests(0, 10, 1.3)
 	if actions := len(checker.balancer.actions); actions > 3 {
-		t.Errorf("got %d actions for one rejection, want at most 3", actions)
+		t.Errorf("last step of a rejection at load 1.3: got %d actions, want at most 3", actions)
 	}
 	if passRate := checker.balancer.admission.passRate; passRate > 0.1 {
 		t.Errorf("pass rate after 10 s at load 1.3: got %.2f, want at most 0.1", passRate)
@@ -72,8 +78,11 @@
 	}
 }
 
+// TestFewSlowServersDoNotStopAdmission guards against rejections caused by three very slow servers, whose load of 9, if
+// it counted in full, would raise the average of all 12 servers far above the limit of admission, and against requests
+// placed on these servers.
 func TestFewSlowServersDoNotStopAdmission(t *testing.T) {
-	checker := newRuleChecker(t, defaultTestSettings(), 4)
+	checker := newBalancerChecker(t, defaultTestSettings(), 4)
 	checker.stepAndCheck(newServerList(12))
 	load := func(id ServerID) float64 {
 		if id == "s000" || id == "s001" || id == "s002" {
@@ -96,12 +105,14 @@
 	}
 }
 
+// TestNodesAgreeOnAGroupsServerAndOverflow guards against nodes that place a group on different servers, each of which
+// would have to do the group's shared work, and against a group that stays on a server after it became crowded.
 func TestNodesAgreeOnAGroupsServerAndOverflow(t *testing.T) {
 	settings := defaultTestSettings()
 	settings.GroupAffinity = true
 	groupServers := map[uint64]ServerID{}
 	for node := range 6 {
-		checker := newRuleChecker(t, settings, uint64(50+node))
+		checker := newBalancerChecker(t, settings, uint64(50+node))
 		checker.stepAndCheck(newServerList(40))
 		for group := uint64(1); group < 30; group++ {
 			server := checker.placeRequest(fmt.Sprint(group), group, constantLoad(0.4))
@@ -113,7 +124,7 @@
 					groupServers[group])
 			}
 		}
-		// If a group's server is crowded, the group must use its next server. Other groups stay.
+		// If a group's server is crowded, the group must use its next server. Other groups stay, which is not checked.
 		crowded := func(id ServerID) float64 {
 			if id == groupServers[7] {
 				return 0.9
@@ -127,9 +138,11 @@
 	}
 }
 
+// TestMigrationIsConfirmedByAHealthCheck guards against migrations off a server only because some of its messages are
+// slow. A health check must first show that the server is overloaded or does not answer.
 func TestMigrationIsConfirmedByAHealthCheck(t *testing.T) {
 	countMigrations := func(load float64, outcome Outcome) (migrations int) {
-		checker := newRuleChecker(t, defaultTestSettings(), 6)
+		checker := newBalancerChecker(t, defaultTestSettings(), 6)
 		checker.stepAndCheck(newServerList(10))
 		server := checker.placeRequest("a", 0, constantLoad(0.5))
 		checker.stepAndCheck(Established{ID: "a", Attempt: 0, Server: server})
@@ -151,10 +164,10 @@
 		t.Errorf("server that reports load 0.6: got %d migrations, want none", migrations)
 	}
 	if migrations := countMigrations(5, Served); migrations == 0 {
-		t.Error("server that reports load 5: got no migration, want some")
+		t.Error("server that reports load 5: got no migration, want at least one")
 	}
 	if migrations := countMigrations(0, TimedOut); migrations == 0 {
-		t.Error("server that does not answer: got no migration, want some")
+		t.Error("server that does not answer: got no migration, want at least one")
 	}
 }
 
@@ -176,7 +189,7 @@
 	settings.Classes = append(settings.Classes, settings.Classes[0])
 	settings.Classes[0].Priority, settings.Classes[1].Priority = 1, 5
 	settings.Tenants = []Tenant{{Name: "in", Connections: 1e6}, {Name: "over", Connections: 1}}
-	checker := newRuleChecker(t, settings, 8)
+	checker := newBalancerChecker(t, settings, 8)
 	checker.stepAndCheck(newServerList(10))
 	for i := range 100 { // the balancer learns the mean priority, and the second tenant exceeds its quota
 		id := RequestID(fmt.Sprint("warm", i))
@@ -199,17 +212,19 @@
 		checker.stepAndCheck(ClientGone{ID: id})
 	}
 	if low, high := admitted[[2]int{0, 0}], admitted[[2]int{1, 0}]; high < 3*low || high == 0 {
-		t.Errorf("got priority 5 admitted %d times, priority 1 %d times, want at least 3 times as many", high, low)
+		t.Errorf("full fleet: got %d requests of priority 5 admitted, %d of priority 1, want at least 3 times as many",
+			high, low)
 	}
 	if over, in := admitted[[2]int{1, 1}], admitted[[2]int{1, 0}]; 2*over > in {
-		t.Errorf("got a tenant over its quota admitted %d times, within it %d times, want at most half", over, in)
+		t.Errorf("full fleet: got %d requests of a tenant over its quota admitted, %d of one within, want at most half",
+			over, in)
 	}
 }
 
 // TestPassRateSeesOwnClientsOnFullServers checks that the pass rate also falls if this node's own clients are on full
 // servers. Health checks alone do not show this, because they go to servers with a low predicted load.
 func TestPassRateSeesOwnClientsOnFullServers(t *testing.T) {
-	checker := newRuleChecker(t, defaultTestSettings(), 12)
+	checker := newBalancerChecker(t, defaultTestSettings(), 12)
 	checker.stepAndCheck(newServerList(20))
 	var delays []DelayObservation
 	for i := range 20 {
@@ -241,7 +256,7 @@
 	for key := uint64(1); key < 20; key++ {
 		servers := map[ServerID]bool{}
 		for node := range 4 {
-			checker := newRuleChecker(t, settings, uint64(node))
+			checker := newBalancerChecker(t, settings, uint64(node))
 			checker.stepAndCheck(newServerList(12))
 			checker.balancer.admission.passRate = 0.01
 			checker.stepAndCheck(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1, Key: key, MidFlow: true})
@@ -251,7 +266,7 @@
 			}
 		}
 		if len(servers) != 1 {
-			t.Errorf("key %d: got %d servers, want 1", key, len(servers))
+			t.Errorf("mid-flow connection with key %d on four nodes: got %d servers, want 1", key, len(servers))
 		}
 	}
 }
@@ -291,7 +306,7 @@
 			}})
 			ejected := balancer.findServer(target).outlier.until > balancer.now
 			if want := reports == NoReports && outcome == Reset; target == "" || ejected != want {
-				t.Errorf("reports %v, outcome %v: got server %s ejected %v, want it only for a reset without reports",
+				t.Errorf("reports %v, outcome %v: got server %s ejected %v, want true only for a reset without reports",
 					reports, outcome, target, ejected)
 			}
 		}
--- a/choice/reservation_test.go
+++ b/choice/reservation_test.go
@@ -22,7 +22,7 @@
 func TestCostOnANodeWithoutConnections(t *testing.T) {
 	rejected := 0
 	for seed := range uint64(20) {
-		checker := newRuleChecker(t, largeFleetSettings(), seed)
+		checker := newBalancerChecker(t, largeFleetSettings(), seed)
 		checker.stepAndCheck(newServerList(13))
 		for range 60 {
 			for _, server := range newServerList(13).Servers {
@@ -37,16 +37,16 @@
 		}
 	}
 	if rejected > 0 {
-		t.Errorf("got %d of 20 nodes that reject a connection with all servers at load 0.6, want none", rejected)
+		t.Errorf("request with all servers at load 0.6: got it rejected by %d of 20 nodes, want by none", rejected)
 	}
 }
 
 // TestManyNodesKeepAGroupTogether checks that 80 nodes, with at most one connection of a group each, place a further
-// connection of the group on at most two servers.
+// connection of the group on at most two servers. Nodes whose estimates of the group's size differ would scatter it.
 func TestManyNodesKeepAGroupTogether(t *testing.T) {
 	used := map[ServerID]int{}
 	for node := range 80 {
-		checker := newRuleChecker(t, largeFleetSettings(), uint64(node))
+		checker := newBalancerChecker(t, largeFleetSettings(), uint64(node))
 		checker.stepAndCheck(newServerList(13))
 		var events []Event
 		for i, server := range newServerList(13).Servers { // the reports differ a little between nodes
@@ -198,7 +198,8 @@
 }
 
 // TestManyNodesDoNotOverloadAServer checks that 80 nodes do not overload a server with a burst of requests while the
-// servers are half full and the reports are 200 ms old.
+// servers are half full and the reports are 200 ms old. Without owners, nodes do not see each other's connections in
+// these reports and overload a server.
 func TestManyNodesDoNotOverloadAServer(t *testing.T) {
 	run := func(settings Settings) (most, rejected int) {
 		for seed := range uint64(3) {
@@ -224,8 +225,9 @@
 	}
 }
 
-// TestSlowStartServerGetsItsBudgetAndNoMore checks the connections of a server in slow start during a burst of requests
-// at 80 nodes, while all other servers are nearly full.
+// TestSlowStartServerGetsItsBudgetAndNoMore checks that a server in slow start gets some connections, but no more than
+// its budget, during a burst of requests at 80 nodes. All other servers are nearly full, so that every node prefers the
+// server in slow start.
 func TestSlowStartServerGetsItsBudgetAndNoMore(t *testing.T) {
 	list := newServerList(13)
 	list.Servers[4].Started = time.Hour - time.Second
@@ -262,8 +264,8 @@
 	}
 }
 
-// TestRequestsAreServedAfterOwnersFail checks that the other nodes still serve their requests after 7 of 10 nodes have
-// failed.
+// TestRequestsAreServedAfterOwnersFail checks that after the failure of 7 of 10 nodes the other nodes still serve their
+// requests, although most owners no longer reply to reservation requests.
 func TestRequestsAreServedAfterOwnersFail(t *testing.T) {
 	simulation := newNodeSimulation(t, reservationSettings(), 3, newServerList(13),
 		func(ServerID, int) float64 { return 0.3 })
@@ -300,7 +302,7 @@
 // TestInvalidPeerMessagesAreDropped checks that a node drops messages that are truncated, of another version, late,
 // repeated, not requested, or from an invalid node.
 func TestInvalidPeerMessagesAreDropped(t *testing.T) {
-	checker := newRuleChecker(t, reservationSettings(), 1)
+	checker := newBalancerChecker(t, reservationSettings(), 1)
 	checker.now = time.Hour
 	checker.stepAndCheck(newServerList(13))
 	server := checker.balancer.servers[3]
@@ -324,7 +326,7 @@
 	} {
 		if actions := checker.stepAndCheck(message); len(actions) > 0 ||
 			checker.balancer.DroppedPeerMessages() != i+1 {
-			t.Errorf("message %d: got %d dropped, actions %v, want all dropped and no actions", i,
+			t.Errorf("message %d: got %d messages dropped so far, actions %v, want all dropped and no actions", i,
 				checker.balancer.DroppedPeerMessages(), actions)
 		}
 	}
@@ -337,7 +339,7 @@
 }
 
 // FuzzPeerMessage checks that no bytes from another node crash the balancer, and that decoded values are in their
-// range.
+// ranges and encode to the same bytes.
 func FuzzPeerMessage(f *testing.F) {
 	f.Add(peerMessage{kind: reservationRequest, token: 1, server: 2, group: 3, load: 1}.encode())
 	f.Add(peerMessage{kind: reservationGranted, token: 1, load: 0.5, fraction: 1}.encode())
@@ -347,7 +349,7 @@
 			string(message.encode()) != string(data)) {
 			t.Errorf("decode of %v: got %+v, want values in range that encode to the same bytes", data, message)
 		}
-		checker := newRuleChecker(t, reservationSettings(), 1)
+		checker := newBalancerChecker(t, reservationSettings(), 1)
 		checker.stepAndCheck(newServerList(3))
 		checker.stepAndCheck(PeerMessage{1, data})
 	})
@@ -356,7 +358,7 @@
 // TestReservationOnDrainingServerIsNotUsed checks that a node does not use a reservation on a server that began to
 // drain before the owner's reply arrived.
 func TestReservationOnDrainingServerIsNotUsed(t *testing.T) {
-	checker := newRuleChecker(t, reservationSettings(), 1)
+	checker := newBalancerChecker(t, reservationSettings(), 1)
 	checker.now = time.Hour
 	checker.stepAndCheck(newServerList(13))
 	for _, a := range checker.stepAndCheck(Request{ID: "r", Group: 7, TimeLeft: 2 * time.Second, Tenant: -1}) {
@@ -370,20 +372,21 @@
 				peerMessage{kind: reservationGranted, token: request.token}.encode(),
 			})
 			if slices.Contains(checker.attemptedServers(), draining.ID) {
-				t.Error("got an attempt on the draining server, want none")
+				t.Error("reservation granted on a draining server: got an attempt on it, want none")
 			}
 			return
 		}
 	}
-	t.Error("got no reservation request, want one")
+	t.Error("request of a group: got no reservation request, want one")
 }
 
-// TestNoAttemptIfRequestEndsDuringReservation checks that a node starts no attempt for a request whose client left, or
-// which the node's stop ended, while the owner's reply was in flight or lost.
+// TestNoAttemptIfRequestEndsDuringReservation checks that a node starts no attempt for a request that ended while the
+// node waited for the owner's reply. The request ends because its client leaves or because the node stops, and the
+// reply arrives or is lost.
 func TestNoAttemptIfRequestEndsDuringReservation(t *testing.T) {
 	for _, end := range []Event{ClientGone{"r"}, TimeUp{"r"}} {
 		for _, lost := range []bool{false, true} {
-			checker := newRuleChecker(t, reservationSettings(), 1)
+			checker := newBalancerChecker(t, reservationSettings(), 1)
 			checker.now = time.Hour
 			checker.stepAndCheck(newServerList(13))
 			requested := false
@@ -413,7 +416,7 @@
 // TestOwnerIsRemovedDuringReservation checks that a request is placed without the owner's reply if a change of settings
 // removes the owner from the fleet while the request waits for the reply.
 func TestOwnerIsRemovedDuringReservation(t *testing.T) {
-	checker := newRuleChecker(t, reservationSettings(), 1)
+	checker := newBalancerChecker(t, reservationSettings(), 1)
 	checker.now = time.Hour
 	checker.stepAndCheck(newServerList(13))
 	fewer := reservationSettings()
@@ -430,12 +433,12 @@
 		}
 	}
 	if waiting == "" {
-		t.Fatal("got no reservation request to a node beyond the first four, want one")
+		t.Fatal("requests of 19 groups: got no reservation request to a node beyond the first four, want one")
 	}
 	checker.stepAndCheck(SettingsChanged{fewer})
 	checker.reportedLoad = constantLoad(0.3)
 	checker.runUntil(checker.now + 4*peerTimeout)
 	if attempts := checker.requests[waiting].attempts; attempts != 1 {
-		t.Errorf("got %d attempts of the request, want 1", attempts)
+		t.Errorf("request whose owner was removed: got %d attempts, want 1", attempts)
 	}
 }
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -10,8 +10,11 @@
 // constantLoad returns a load function for servers that all have the same load.
 func constantLoad(load float64) func(ServerID) float64 { return func(ServerID) float64 { return load } }
 
+// TestEveryRequestIsAnsweredInTime guards against a request that gets no final answer by its deadline: because health
+// checks and attempts get no reply, because it arrives with hardly any time or none left, or because there are no
+// servers. runUntil fails the test if an answer is missing.
 func TestEveryRequestIsAnsweredInTime(t *testing.T) {
-	checker := newRuleChecker(t, defaultTestSettings(), 1)
+	checker := newBalancerChecker(t, defaultTestSettings(), 1)
 	checker.stepAndCheck(newServerList(6))
 	// Neither health checks nor attempts of this request get an answer.
 	checker.stepAndCheck(Request{ID: "quiet", TimeLeft: ms(1800), Tenant: -1})
@@ -21,7 +24,7 @@
 	checker.runUntil(checker.now + ms(3000))
 
 	// Without servers, a request is rejected while the client waits.
-	noServers := newRuleChecker(t, defaultTestSettings(), 1)
+	noServers := newBalancerChecker(t, defaultTestSettings(), 1)
 	noServers.stepAndCheck(ServerList{Kind: ListFull})
 	noServers.stepAndCheck(Request{ID: "r", TimeLeft: ms(500), Tenant: -1})
 	noServers.runUntil(ms(600))
@@ -30,8 +33,10 @@
 	}
 }
 
+// TestAttemptsOnFullServersAreRetriedElsewhereAndThenRejected guards against a retry on a server that has just rejected
+// the request, and against a request without an answer after its last attempt. All servers reject it as full.
 func TestAttemptsOnFullServersAreRetriedElsewhereAndThenRejected(t *testing.T) {
-	checker := newRuleChecker(t, defaultTestSettings(), 3)
+	checker := newBalancerChecker(t, defaultTestSettings(), 3)
 	checker.stepAndCheck(newServerList(8))
 	checker.stepAndCheck(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
 	used := map[ServerID]bool{}
@@ -50,6 +55,8 @@
 	}
 }
 
+// TestRequestsAreRetriedAsTheirIdempotencyAllows guards against a request that takes effect twice, because the node
+// retries it after an attempt that may have run, and against a missing retry of a request that can't take effect twice.
 func TestRequestsAreRetriedAsTheirIdempotencyAllows(t *testing.T) {
 	for _, test := range []struct {
 		idempotency Idempotency
@@ -68,7 +75,7 @@
 		settings := defaultTestSettings()
 		settings.Classes[0].Idempotency, settings.Classes[0].IdempotencyScope,
 			settings.Classes[0].IdempotencyWindow = test.idempotency, test.scope, time.Second
-		checker := newRuleChecker(t, settings, 5)
+		checker := newBalancerChecker(t, settings, 5)
 		checker.stepAndCheck(newServerList(30))
 		checker.stepAndCheck(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
 		checker.answerHealthChecks(constantLoad(0.3))
@@ -78,18 +85,20 @@
 		})
 		checker.answerHealthChecks(constantLoad(0.3))
 		if retried := len(checker.attemptedServers()) == 1; retried != test.retried {
-			t.Errorf("%+v: got retried %v, want the opposite", test, retried)
+			t.Errorf("test case %+v: got retried %v, want the value of retried in the test case", test, retried)
 		}
 		if !test.retried && !checker.requests["r"].ended {
-			t.Errorf("%+v: got neither a retry nor an answer, want an answer", test)
+			t.Errorf("test case %+v: got neither a retry nor an answer, want an answer", test)
 		}
 	}
 }
 
+// TestIdempotencyWindowEnds guards against a request that takes effect twice because the node retries it after its
+// idempotency window: the servers no longer recognize the key then. The node must answer the request instead.
 func TestIdempotencyWindowEnds(t *testing.T) {
 	settings := defaultTestSettings()
 	settings.Classes[0].Idempotency, settings.Classes[0].IdempotencyWindow = IdempotentByKey, ms(400)
-	checker := newRuleChecker(t, settings, 5)
+	checker := newBalancerChecker(t, settings, 5)
 	checker.stepAndCheck(newServerList(10))
 	checker.stepAndCheck(Request{ID: "r", TimeLeft: ms(1800), Tenant: -1})
 	checker.answerHealthChecks(constantLoad(0.3))
@@ -102,8 +111,10 @@
 	}
 }
 
+// TestNoAttemptOnDrainingServers guards against an attempt on a server that drains or is gone: for a request that waits
+// for health checks when the list changes, for later requests, and with an empty list.
 func TestNoAttemptOnDrainingServers(t *testing.T) {
-	checker := newRuleChecker(t, defaultTestSettings(), 7)
+	checker := newBalancerChecker(t, defaultTestSettings(), 7)
 	list := newServerList(3)
 	checker.stepAndCheck(list)
 	// This request waits for health checks while the list changes.
@@ -126,10 +137,13 @@
 	}
 }
 
+// TestUnavailableListIsRequestedAgainInTime guards against a node that keeps an old server list, because it does not
+// watch the list again, or waits too long, after the list became unavailable. 20 failures in a row must not make it
+// wait longer than half of MaxPollInterval.
 func TestUnavailableListIsRequestedAgainInTime(t *testing.T) {
 	settings := defaultTestSettings()
 	settings.Subscribe = true
-	checker := newRuleChecker(t, settings, 9)
+	checker := newBalancerChecker(t, settings, 9)
 	requestedAt := time.Duration(-1)
 	recordWatch := func() {
 		for _, action := range checker.lastActions {
@@ -141,7 +155,7 @@
 	checker.stepAndCheck(newServerList(3))
 	recordWatch()
 	if requestedAt != 0 {
-		t.Fatal("got no watch of the list at the start, want one")
+		t.Fatal("first step with Subscribe: got no WatchList at time 0, want one")
 	}
 	for range 20 {
 		checker.stepAndCheck(ServerList{Kind: ListUnavailable})
@@ -152,7 +166,7 @@
 			recordWatch()
 		}
 		if requestedAt < 0 {
-			t.Fatalf("got no further watch of the list, want one within %v", settings.Rules.MaxPollInterval/2)
+			t.Fatalf("list unavailable: got no WatchList, want one within %v", settings.Rules.MaxPollInterval/2)
 		}
 	}
 }
@@ -178,7 +192,7 @@
 
 // placeFiveRequests sends five requests with consecutive IDs and returns the servers in slow start that they were
 // placed on.
-func (c *ruleChecker) placeFiveRequests(count *int) (started []ServerID) {
+func (c *balancerChecker) placeFiveRequests(count *int) (started []ServerID) {
 	c.tb.Helper()
 	for range 5 {
 		*count++
@@ -198,9 +212,9 @@
 	const nodes, warm, started, start, warmUp = 40, 5, 15, 20, 10
 	settings := defaultTestSettings()
 	settings.Nodes = nodes
-	var checkers []*ruleChecker
+	var checkers []*balancerChecker
 	for i := range nodes {
-		checker := newRuleChecker(t, settings, uint64(100+i))
+		checker := newBalancerChecker(t, settings, uint64(100+i))
 		checker.stepAndCheck(newServerList(warm))
 		checkers = append(checkers, checker)
 	}
@@ -232,7 +246,7 @@
 }
 
 // TestSlowStartServerIsNotOverloaded checks that all nodes together do not send a server in slow start more than three
-// times its capacity.
+// times its capacity. Each of the 40 nodes sees an empty server, and without a common limit all would send it clients.
 func TestSlowStartServerIsNotOverloaded(t *testing.T) {
 	maxOverload, total := simulateFleetGrowth(t, 0)
 	t.Log(maxOverload, total)
@@ -244,8 +258,10 @@
 	}
 }
 
+// TestInvalidInputIsIgnored guards against a crash or a wrong state after events with unknown IDs, numbers that are not
+// finite, negative values, or a time that goes back, and against invalid settings that New accepts.
 func TestInvalidInputIsIgnored(t *testing.T) {
-	checker := newRuleChecker(t, defaultTestSettings(), 11)
+	checker := newBalancerChecker(t, defaultTestSettings(), 11)
 	checker.stepAndCheck(newServerList(4))
 	nan := math.NaN()
 	checker.stepAndCheck(
@@ -270,7 +286,7 @@
 	checker.runUntil(ms(300))
 	checker.now = 0 // a time that goes back counts as the latest one seen
 	if actions := checker.balancer.Step(0, []Event{TimerFired{"tick"}}); len(actions) == 0 {
-		t.Fatal("Step with a tick at an earlier time: got no actions, want some")
+		t.Fatal("Step with a tick at an earlier time: got no actions, want at least one")
 	}
 	if _, err := New(Settings{}, 1, 0); err == nil {
 		t.Fatal("New with settings without classes: got no error, want one")
--- a/choice/rule_checker_test.go
+++ b/choice/simulation_checker_test.go
@@ -8,8 +8,9 @@
 	"spurwinch/choice"
 )
 
-// ruleChecker checks the rules for every node and request of a simulation. It uses only the events and actions.
-type ruleChecker struct {
+// simulationChecker checks the rules for every node and request of a simulation. It uses only the events and actions.
+// (The tests inside package choice check a single balancer with a balancerChecker.)
+type simulationChecker struct {
 	sim   *simulation
 	nodes map[*simNode]*nodeState
 }
@@ -30,9 +31,11 @@
 // change the request after the event that an action responds to.
 type requestState struct{ open, ended, clientGone bool }
 
-func newRuleChecker() *ruleChecker { return &ruleChecker{nodes: map[*simNode]*nodeState{}} }
+func newSimulationChecker() *simulationChecker {
+	return &simulationChecker{nodes: map[*simNode]*nodeState{}}
+}
 
-func (c *ruleChecker) nodeState(node *simNode) *nodeState {
+func (c *simulationChecker) nodeState(node *simNode) *nodeState {
 	state := c.nodes[node]
 	if state == nil {
 		state = &nodeState{
@@ -44,14 +47,14 @@
 	return state
 }
 
-func (c *ruleChecker) violation(node *simNode, format string, args ...any) {
+func (c *simulationChecker) violation(node *simNode, format string, args ...any) {
 	c.sim.t.Helper()
 	c.sim.t.Fatalf("%s, node %d at %v: %s\nsettings: %+v", c.sim.name, node.index, c.sim.now-simulationStart,
 		fmt.Sprintf(format, args...),
 		c.sim.settings)
 }
 
-func (c *ruleChecker) onEvent(node *simNode, delivered choice.Event) {
+func (c *simulationChecker) onEvent(node *simNode, delivered choice.Event) {
 	state := c.nodeState(node)
 	switch event := delivered.(type) {
 	case choice.ServerList:
@@ -90,7 +93,7 @@
 	return requestState{request.open, request.ended, request.clientGone}
 }
 
-func (c *ruleChecker) onServerList(node *simNode, state *nodeState, list choice.ServerList) {
+func (c *simulationChecker) onServerList(node *simNode, state *nodeState, list choice.ServerList) {
 	if list.Kind == choice.ListUnavailable {
 		unavailableAt := c.sim.now
 		state.watchDueSince = unavailableAt
@@ -121,14 +124,15 @@
 	}
 }
 
-func (c *ruleChecker) checkAnswered(node *simNode, request *simRequest) {
+// checkAnswered runs after a request's deadline and AnswerSlack have passed.
+func (c *simulationChecker) checkAnswered(node *simNode, request *simRequest) {
 	if !request.answered && !request.open && !request.ended && !request.clientGone {
 		c.violation(node, "final answer to %s: got none by its deadline %v plus the slack, want one", request.ID,
 			request.deadline-simulationStart)
 	}
 }
 
-func (c *ruleChecker) onAction(node *simNode, returned choice.Action) {
+func (c *simulationChecker) onAction(node *simNode, returned choice.Action) {
 	state := c.nodeState(node)
 	switch action := returned.(type) {
 	case choice.StartAttempt:
@@ -160,7 +164,7 @@
 }
 
 // checkLimits checks the actions that Settings.Limits allow or forbid.
-func (c *ruleChecker) checkLimits(node *simNode, state *nodeState, returned choice.Action) {
+func (c *simulationChecker) checkLimits(node *simNode, state *nodeState, returned choice.Action) {
 	limits := c.sim.settings.Limits
 	switch action := returned.(type) {
 	case choice.CancelAttempt:
@@ -175,14 +179,15 @@
 	case choice.SendPeerMessage:
 		if !limits.PeerMessages || action.To < 0 || action.To >= len(c.sim.nodes) || action.To == node.index ||
 			len(action.Data) > maxPeerMessageBytes {
-			c.violation(node, "peer message: got %d bytes to node %d, want an allowed message to another node",
+			c.violation(node, "peer message: got %d bytes to node %d, want at most 256 to another node, if allowed",
 				len(action.Data), action.To)
 		}
 	}
 }
 
-// checkReject checks a rejection.
-func (c *ruleChecker) checkReject(node *simNode, state *nodeState, action choice.Reject) {
+// checkReject checks that a node rejects a request that may have run only if a retry by the client can't take effect
+// twice. Other requests that may have run must fail.
+func (c *simulationChecker) checkReject(node *simNode, state *nodeState, action choice.Reject) {
 	request := c.checkFinalAnswer(node, state, action.ID)
 	if request.attemptThatMayHaveRun() != nil {
 		class := request.class
@@ -196,8 +201,8 @@
 	c.checkRetryAfter(node, action)
 }
 
-// checkRetryAfter checks the retry-after time of a rejection.
-func (c *ruleChecker) checkRetryAfter(node *simNode, rejection choice.Reject) {
+// checkRetryAfter checks that the retry-after time of a rejection is allowed and at most Limits.MaxRetryAfter.
+func (c *simulationChecker) checkRetryAfter(node *simNode, rejection choice.Reject) {
 	if rejection.RetryAfter == 0 {
 		return
 	}
@@ -222,7 +227,7 @@
 
 // checkFinalAnswer checks that a final answer is the only one of its request, comes from the request's node and is in
 // time.
-func (c *ruleChecker) checkFinalAnswer(node *simNode, state *nodeState, id choice.RequestID) *simRequest {
+func (c *simulationChecker) checkFinalAnswer(node *simNode, state *nodeState, id choice.RequestID) *simRequest {
 	request := c.sim.requests[id]
 	if request == nil || request.node != node || request.answered {
 		c.violation(node, "final answer to %s: got a second one or one from another node, want one from its node", id)
@@ -237,7 +242,7 @@
 	return request
 }
 
-func (c *ruleChecker) checkStartAttempt(node *simNode, state *nodeState, action choice.StartAttempt) {
+func (c *simulationChecker) checkStartAttempt(node *simNode, state *nodeState, action choice.StartAttempt) {
 	request, server, rules := c.sim.requests[action.ID], c.sim.byID[action.Server], c.sim.settings.Rules
 	switch {
 	case request == nil || request.node != node || server == nil || !state.listedServers[action.Server]:
@@ -247,7 +252,7 @@
 	case state.stateBeforeBatch(request).clientGone:
 		c.violation(node, "attempt of %s: got one after its client has gone, want none", action.ID)
 	case len(request.attempts) >= c.sim.settings.Limits.MaxAttempts:
-		c.violation(node, "attempts of %s: got %d, want at most the maximum of the settings", action.ID,
+		c.violation(node, "attempts of %s: got %d, want at most Limits.MaxAttempts", action.ID,
 			len(request.attempts)+1)
 	case len(request.attempts) > 0 && !request.attempts[len(request.attempts)-1].outcomeReported:
 		c.violation(node, "attempts of %s in progress: got 2, want 1", action.ID)
@@ -270,9 +275,9 @@
 	}
 }
 
-// checkRetry checks another attempt of a request that may have run.
-func (c *ruleChecker) checkRetry(node *simNode, action choice.StartAttempt, request *simRequest, earlier *simAttempt,
-	server *simServer,
+// checkRetry checks that another attempt of a request that may have run can't take effect twice.
+func (c *simulationChecker) checkRetry(node *simNode, action choice.StartAttempt, request *simRequest,
+	earlier *simAttempt, server *simServer,
 ) {
 	class := request.class
 	switch {
@@ -295,7 +300,7 @@
 	}
 }
 
-func (c *ruleChecker) onStep(node *simNode, events []choice.Event, actions []choice.Action) {
+func (c *simulationChecker) onStep(node *simNode, events []choice.Event, actions []choice.Action) {
 	state := c.nodeState(node)
 	clear(state.requestsBefore)
 	pending := 0
@@ -306,6 +311,7 @@
 		}
 	}
 	if limit := 40 * (1 + len(events) + len(c.sim.servers) + pending); len(actions) > limit {
-		c.violation(node, "actions of a step: got %d for %d events, want at most the limit", len(actions), len(events))
+		c.violation(node, "actions of a step: got %d for %d events, want at most 40*(1+events+servers+pending)",
+			len(actions), len(events))
 	}
 }
