--- a/choice/golden_decisions_test.go
+++ b/choice/golden_decisions_test.go
@@ -20,9 +20,9 @@
 	"spurwinch/choice"
 )
 
-// The golden tests record seeded runs of the simulation: every action, and the learned state of the balancers at the
-// end. A different order of random draws or a single different rounding changes the record. Renaming identifiers does
-// not.
+// The golden tests detect changes of decisions that nobody intended. They record seeded runs of the simulation: every
+// action, and the learned state of the balancers at the end. A different order of random draws or a single different
+// rounding changes the record. Renaming identifiers does not.
 
 // recorder writes a canonical text of actions into a running hash and records the hash at the end of each simulated
 // second.
@@ -50,7 +50,7 @@
 		hex.EncodeToString(r.hash.Sum(nil)[:8])))
 }
 
-// step records the actions that one step of a node returned.
+// recordStep records the actions that one step of a node returned.
 func (r *recorder) recordStep(now time.Duration, node int, actions []choice.Action) {
 	if r == nil {
 		return
@@ -355,8 +355,8 @@
 	}
 }
 
-// TestGoldenDecisionsOfRandomScripts compares the decisions for random but legal sequences of events, unusual ones
-// included, to the golden file.
+// TestGoldenDecisionsOfRandomScripts compares the decisions of the scripts of FuzzRules to the golden file. The scripts
+// consist of random but valid events, and some unusual ones.
 func TestGoldenDecisionsOfRandomScripts(t *testing.T) {
 	r := newTestRecorder(t, "scripts")
 	for seed := range uint64(60) {
@@ -368,7 +368,8 @@
 	checkGoldenLines(t, "scripts", r.lines)
 }
 
-// TestGoldenRecordDependsOnLastBit checks that the record changes with the last bit of a number.
+// TestGoldenRecordDependsOnLastBit checks that the record changes with the last bit of a number. If numbers were
+// written with fewer digits, the golden tests would not detect a different rounding.
 func TestGoldenRecordDependsOnLastBit(t *testing.T) {
 	hashOf := func(v float64) string {
 		r := newRecorder(0)
@@ -382,6 +383,6 @@
 	var first [8]byte
 	binary.BigEndian.PutUint64(first[:], math.Float64bits(0.1))
 	if hex.EncodeToString(first[:]) != "3fb999999999999a" {
-		t.Error("bits of 0.1: got another value, want 3fb999999999999a as of a 64-bit float")
+		t.Error("bits of 0.1: got another value, want 3fb999999999999a, the bits of a 64-bit float")
 	}
 }
--- a/choice/golden_test.go
+++ b/choice/golden_test.go
@@ -83,11 +83,11 @@
 		}
 	}
 	if value.IsZero() {
-		t.Errorf("got a zero %s, want a value that appears in the golden bytes", name)
+		t.Errorf("field %s of the test value: got zero, want a value that appears in the golden bytes", name)
 	}
 }
 
-// TestGoldenLearnedState checks the encoding of the learned state that a process of a node sends to the next one.
+// TestGoldenLearnedState checks the encoding of the learned state that a process of a node sends to its successor.
 func TestGoldenLearnedState(t *testing.T) {
 	checkGoldenCBOR(t, "learned", LearnedState{
 		Version: 1, Unit: 2.5, Hints: 3, LoadSum: 4.25, WeightSum: 5.125, ReportedAt: 6 * time.Second, Arrivals: 7.5,
@@ -135,8 +135,8 @@
 	})
 }
 
-// TestGoldenMeaning checks the text by which a process recognizes whether learned state comes from a deployment like
-// its own.
+// TestGoldenMeaning checks the text by which a process recognizes whether reports have the same meaning in learned
+// state as in its own settings.
 func TestGoldenMeaning(t *testing.T) {
 	for _, test := range []struct {
 		settings Settings
--- a/choice/groups_test.go
+++ b/choice/groups_test.go
@@ -92,11 +92,11 @@
 			}
 		}
 		if test.groups > 1 && split > test.groups/4 {
-			t.Errorf("got %d of %d groups on several servers, want at most a quarter", split, test.groups)
+			t.Errorf("small groups: got %d of %d on several servers, want at most a quarter", split, test.groups)
 		}
 		for id, n := range connections {
 			if test.groups == 1 && n > test.maxConnections {
-				t.Errorf("one group: got %d of 40 connections on %s, want fewer", n, id)
+				t.Errorf("one group: got %d of 40 connections on %s, want at most 12", n, id)
 			}
 		}
 	}
--- a/choice/healthcheck_test.go
+++ b/choice/healthcheck_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestFullServerIsDetectedWithoutObservedDelays checks that health checks detect a server that became full with its
-// open connections, and that connections are migrated off it, if delays are not observed, as on sockets. If delays are
-// observed, no server is checked.
+// TestFullServerIsDetectedWithoutObservedDelays guards against connections that stay on a server whose open connections
+// have filled it. If delays are not observed, as on sockets, only health checks can detect such a server, and
+// connections must then migrate away from it. If delays are observed, no server is checked.
 func TestFullServerIsDetectedWithoutObservedDelays(t *testing.T) {
 	for _, observed := range []bool{false, true} {
 		balancer, err := New(Settings{
@@ -33,7 +33,7 @@
 			switch action := a.(type) {
 			case HealthCheck:
 				if checks++; action.Server != "full" {
-					t.Errorf("got a health check of %s, want none of a server without connections", action.Server)
+					t.Errorf("health check: got one of %s, want none of a server without connections", action.Server)
 				}
 				return []Event{HealthCheckResult{Server: action.Server, Report: []float64{3}}}
 			case Migrate:
@@ -53,13 +53,14 @@
 			now += time.Second
 		}
 		if want := !observed; checks > 0 != want || migrations > 0 != want || checks > 15 {
-			t.Errorf("delays observed %v: got %d health checks, %d migrations, want both only without observed delays",
+			t.Errorf("delays observed %v: got %d checks, %d migrations, want none if true, else 1 to 15 and at least 1",
 				observed, checks, migrations)
 		}
 	}
 }
 
-// TestNoHealthChecksWithoutReports checks that servers whose protocol has no load reports get no health checks.
+// TestNoHealthChecksWithoutReports checks that servers whose protocol has no load reports get no health checks. The
+// answers would contain no load, and each check costs a server some of its capacity.
 func TestNoHealthChecksWithoutReports(t *testing.T) {
 	balancer, err := New(Settings{
 		Nodes: 1, Classes: []Class{{Name: "c", SetupObjective: time.Second, Deadline: 4 * time.Second}},
@@ -78,7 +79,7 @@
 		for _, a := range balancer.Step(time.Hour+time.Duration(i)*time.Second, events) {
 			switch action := a.(type) {
 			case HealthCheck:
-				t.Fatal("got a health check after ", i, " s, want none")
+				t.Fatal("servers without reports: got a health check after ", i, " s, want none")
 			case SetTimer:
 				pendingEvents = append(pendingEvents, TimerFired{action.Token})
 			}
@@ -87,8 +88,8 @@
 }
 
 // TestSlowMessagesCountAsLoad checks that a report of slow messages counts like a report of a full server if no delays
-// are observed: a backlog still delays messages after the reported load is low again. Only the excess connections are
-// migrated, not all of them.
+// are observed, because a backlog still delays messages after the reported load is low again. Only the excess
+// connections are migrated, not all of them.
 func TestSlowMessagesCountAsLoad(t *testing.T) {
 	for _, test := range []struct {
 		latency, load float64
@@ -131,7 +132,7 @@
 			}
 		}
 		if migrations > 0 != test.migrates || migrations > 30 {
-			t.Errorf("latency %v ms at load %v: got %d of 40 connections migrated, want at most 30 and only if slow",
+			t.Errorf("latency %v ms at load %v: got %d migrations, want 1 to 30 with latency 400 ms and otherwise none",
 				test.latency, test.load, migrations)
 		}
 	}
@@ -171,7 +172,7 @@
 		}
 	}
 	if !requested {
-		t.Error("got no relief request, want at least one")
+		t.Error("servers with old reports: got no relief request to their owners, want at least one")
 	}
 }
 
--- a/choice/inference_test.go
+++ b/choice/inference_test.go
@@ -93,7 +93,7 @@
 		t.Errorf("load of the mean connection: got %.3f, want 0.05 to 0.15", balancer.units.mean)
 	}
 	if before <= 0 {
-		t.Error("load before the reports: got none, want some")
+		t.Error("predicted load before the reports of connections: got 0 or less, want above 0")
 	}
 }
 
@@ -137,12 +137,12 @@
 			}
 		}
 		if i == 0 && balancer.predictedLoad(server) < crowdedLoad {
-			t.Errorf("server with messages of 900 ms: got predicted load %.2f, want at least crowdedLoad",
+			t.Errorf("server with messages of 900 ms: got predicted load %.2f, want at least crowdedLoad, 0.85",
 				balancer.predictedLoad(server))
 		}
 	}
 	if migrated == 0 {
-		t.Error("server with slow messages: got no migrations, want some")
+		t.Error("server with slow messages: got no migrations, want at least one")
 	}
 	if next := connect(balancer, now, "next", 0, group); next == slow {
 		t.Error("next connection of the group: got the slow server, want another one")
@@ -156,7 +156,7 @@
 		})
 	}
 	if balancer.predictedLoad(server) >= before || balancer.predictedLoad(server) > crowdedLoad {
-		t.Errorf("with fast messages again: got predicted load %.2f, want less than %.2f before and not crowded",
+		t.Errorf("with fast messages again: got predicted load %.2f, want less than %.2f and at most 0.85",
 			balancer.predictedLoad(server), before)
 	}
 }
@@ -180,14 +180,15 @@
 		balancer.now = now
 		balancer.inferFromSetup(server, test.last)
 		if slow := server.report.known && server.report.load > crowdedLoad-overflowMargin; slow != test.slow {
-			t.Errorf("after setups of %v, a setup of %v: got slow %v, want the opposite", test.typical, test.last, slow)
+			t.Errorf("after setups of %v, a setup of %v: got slow %v, want true only for 400 ms after 20 ms",
+				test.typical, test.last, slow)
 		}
 	}
 }
 
-// TestEstimateLeansOnTheAverage checks the estimated load of a server. A node of a large fleet has few connections on a
-// server, so the estimate must stay near the average load. A node with enough own connections must rely on them.
-func TestEstimateLeansOnTheAverage(t *testing.T) {
+// TestEstimatedLoadStaysNearAverage checks the estimated load of a server. A node of a large fleet has few connections
+// on a server, so the estimate must stay near the average load. A node with enough own connections must rely on them.
+func TestEstimatedLoadStaysNearAverage(t *testing.T) {
 	for _, test := range []struct {
 		nodes, own int
 		low, high  float64
@@ -207,8 +208,8 @@
 }
 
 // TestGroupsAreDistributedByServerSize checks that all nodes place a group on the same server, and that large servers
-// get more groups than small ones. This is possible because all nodes know the same sizes and start times. For the same
-// reason a server in slow start must not get a group more often than its warm-up allows.
+// get more groups than small ones. The nodes can agree because all of them know the same sizes and start times. A
+// server in slow start must not get a group more often than its warm-up allows, but this test has no such server.
 func TestGroupsAreDistributedByServerSize(t *testing.T) {
 	first := map[ServerID]int{}
 	for group := range uint64(600) {
@@ -266,7 +267,7 @@
 			case Reject:
 				rejected++
 				if retryAfters[action.RetryAfter] = true; action.RetryAfter <= 0 || action.RetryAfter > 2*time.Second {
-					t.Fatalf("got retry after %v, want above 0 and at most 2 s", action.RetryAfter)
+					t.Fatalf("retry-after time of a rejection: got %v, want above 0 and at most 2 s", action.RetryAfter)
 				}
 			}
 		}
@@ -291,8 +292,8 @@
 	}
 }
 
-// TestNoThrottleWithReports checks that the throttle does not apply if servers send reports. The balancer then also
-// sends no retry-after times of its own.
+// TestNoThrottleWithReports checks that the throttle does not apply if servers send reports. The reports then show the
+// load, and the throttle would reject requests for which there is capacity.
 func TestNoThrottleWithReports(t *testing.T) {
 	settings := noReportSettings(3)
 	settings.Reports, settings.ReportFields = HealthCheckReports, []ReportField{Load}
@@ -306,6 +307,6 @@
 	}
 	request := &requestEntry{class: &balancer.settings.Classes[0], load: balancer.units.mean}
 	if rate := balancer.admitRate(request); rate < 1 {
-		t.Errorf("got admit rate %.2f, want 1", rate)
+		t.Errorf("after 50 dropped connections, with reports: got admit rate %.2f, want at least 1", rate)
 	}
 }
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -55,7 +55,7 @@
 			errors[fmt.Sprint("empty", span)])
 	}
 	if e := errors["learned1s"]; e > 1.2*errors["none1s"] || e > 0.8*errors["empty1s"] {
-		t.Error("got a larger error in the first second with learned state, want one near that of the same process")
+		t.Error("error with learned state: got over 1.2 times the same process's or 0.8 times that without, want less")
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 	balancer.Step(now, []Event{LearnedStateReceived{later}})
 	if balancer.findServer("a").report.known || balancer.findServer("b").report.load != 0.5 {
-		t.Error("got a report of an earlier start or of the future applied, want it ignored")
+		t.Error("learned reports of an earlier start and of the future: got one applied, want both ignored")
 	}
 	balancer.Step(now, []Event{LearnedStateReceived{good}})
 	a, other := balancer.findServer("a"), balancer.findServer("b")
@@ -116,7 +116,7 @@
 		t.Errorf("valid learned state: got server %+v, want its values applied", a)
 	}
 	if other.report.load != 0.5 {
-		t.Error("got an older report applied, want the newer one kept")
+		t.Error("learned report older than the balancer's own: got it applied, want the newer one kept")
 	}
 }
 
@@ -184,8 +184,9 @@
 	}
 }
 
-// TestInitialCost sends far more connections than the default initial cost of a connection allows, before reports can
-// correct the cost. With the actual cost in the settings, all requests are placed.
+// TestInitialCost guards against rejections on an idle fleet whose connections cost far less than the default initial
+// cost. It sends more connections than that cost allows, before reports can correct it. With the actual cost in the
+// settings, all requests are placed.
 func TestInitialCost(t *testing.T) {
 	for _, initialCost := range []float64{1e-5, 0} {
 		settings := learnedStateSettings()
@@ -260,7 +261,7 @@
 				s.slowStart.tokens, now-s.slowStart.refilledAt)
 		}
 		if s := after.findServer("s002"); s.outlier.until != now+firstEjection {
-			t.Errorf("clock offset %v: got a remaining ejection of %v, want the first ejection's duration", offset,
+			t.Errorf("clock offset %v: got a remaining ejection of %v, want firstEjection, 2 s", offset,
 				s.outlier.until-now)
 		}
 	}
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -57,6 +57,6 @@
 		}
 	}
 	if checked < 20 {
-		t.Errorf("got %d files, want at least 20, all of the package", checked)
+		t.Errorf("files of the package: got %d, want at least 20", checked)
 	}
 }
--- a/choice/plan_and_budget_test.go
+++ b/choice/plan_and_budget_test.go
@@ -29,8 +29,9 @@
 	return list
 }
 
-// TestRetryAfterOfPlanNeverExceedsMaximum gives a plan the longest retry-after time that the settings allow. The random
-// variation of up to half must not make it longer.
+// TestRetryAfterOfPlanNeverExceedsMaximum guards against a retry-after time above the maximum of the settings, the
+// longest that clients obey. The plan contains this maximum, and the random variation of up to half must not make it
+// longer.
 func TestRetryAfterOfPlanNeverExceedsMaximum(t *testing.T) {
 	settings := testSettings(1)
 	balancer, err := choice.New(settings, 1, simulationStart)
@@ -60,8 +61,8 @@
 	}
 }
 
-// TestRequestAwaitingChecksUsesNewPlan delivers a plan while a request waits for health checks. The request must not be
-// sent to a zone without a grant.
+// TestRequestAwaitingChecksUsesNewPlan guards against a request that is placed by the plan of its arrival. A new plan
+// arrives while the request waits for health checks, and the request must not be sent to a zone without a grant in it.
 func TestRequestAwaitingChecksUsesNewPlan(t *testing.T) {
 	waited := 0
 	for seed := range uint64(20) {
@@ -96,8 +97,9 @@
 	}
 }
 
-// TestStickyRequestsStayWithinSlowStartBudget lets all clients of a restarted server return at once to resume their
-// sessions there, in a fleet in which servers have owners. The server is in slow start and must not get all of them.
+// TestStickyRequestsStayWithinSlowStartBudget guards against clients that overload a restarted server because all of
+// them return at once to resume their sessions there. The server is in slow start and must not get all of them. Servers
+// have owners in this fleet.
 func TestStickyRequestsStayWithinSlowStartBudget(t *testing.T) {
 	balancer, err := choice.New(testSettings(30), 1, simulationStart)
 	if err != nil {
@@ -123,8 +125,9 @@
 	}
 }
 
-// TestOwnersStayWithinSlowStartBudgetUnderSkewedTraffic runs 30 nodes with owners. A fifth of the nodes gets four times
-// the traffic of the others.
+// TestOwnersStayWithinSlowStartBudgetUnderSkewedTraffic guards against an overload of servers in slow start by the
+// nodes with the most traffic. It runs 30 nodes with owners, and a fifth of the nodes gets four times the traffic of
+// the others.
 func TestOwnersStayWithinSlowStartBudgetUnderSkewedTraffic(t *testing.T) {
 	var total slowStartStats
 	const seeds = 12
@@ -138,13 +141,14 @@
 	}
 	t.Logf("fullest window %.2f of its limit, fraction of an even share %.2f", total.worstRatio, total.fairShare)
 	if total.violations > 0 {
-		t.Errorf("windows over a slow-start limit, sent by nodes that knew of the start: got %d, want 0",
+		t.Errorf("windows over a slow-start limit, mostly by nodes that knew of the start: got %d, want 0",
 			total.violations)
 	}
 }
 
-// TestSlowStartServersOfManyNodesGetTraffic runs 300 nodes without owners. Servers in slow start must get at least a
-// tenth of an even share.
+// TestSlowStartServersOfManyNodesGetTraffic guards against servers in slow start that get almost no traffic, because
+// each of 300 nodes without owners has only a very small part of their budget. They must get at least a tenth of an
+// even share.
 func TestSlowStartServersOfManyNodesGetTraffic(t *testing.T) {
 	for _, reports := range []choice.ReportSource{choice.NoReports, choice.HealthCheckReports} {
 		var total slowStartStats
--- a/choice/predicted_fleet_test.go
+++ b/choice/predicted_fleet_test.go
@@ -155,6 +155,6 @@
 		}
 	}
 	if len(parent.requests) != 0 {
-		t.Errorf("got %d requests left at the parent, want none", len(parent.requests))
+		t.Errorf("after the transfer: got %d requests left at the parent, want none", len(parent.requests))
 	}
 }
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -86,7 +86,8 @@
 }
 
 // TestTwoProcessesShareTheSlowStartBudget checks that two processes of a node together send a server in slow start as
-// many connections as one process, within a quarter.
+// many connections as one process, within a quarter. If each process used the node's whole budget, it would be twice as
+// many.
 func TestTwoProcessesShareTheSlowStartBudget(t *testing.T) {
 	countConnections := func(processes int, seed uint64) (connections int) {
 		balancer, err := New(Settings{
@@ -130,7 +131,7 @@
 		two += countConnections(2, 2*seed) + countConnections(2, 2*seed+1)
 	}
 	if one < 40 || float64(two) > 1.25*float64(one) || float64(two) < 0.75*float64(one) {
-		t.Errorf("got %d connections in slow start from one process, %d from two, want at least 40 and nearly as many",
+		t.Errorf("one process: got %d connections in slow start, two: %d, want at least 40 and 0.75 to 1.25 times that",
 			one, two)
 	}
 }
--- a/choice/simulated_request_test.go
+++ b/choice/simulated_request_test.go
@@ -7,7 +7,7 @@
 	"spurwinch/choice"
 )
 
-// randomNode returns the node that a client reaches.
+// randomNode returns the node that a client reaches. With trafficSkew, the first fifth of the nodes gets more clients.
 func (s *simulation) randomNode() *simNode {
 	if s.env.trafficSkew > 1 {
 		busyNodes := (len(s.nodes) + 4) / 5
@@ -79,10 +79,10 @@
 	}
 }
 
-// receiveAnswer processes a node's final answer to a request.
+// receiveAnswer processes a node's final answer to a request. If retry is true, the client sends another request.
 func (s *simulation) receiveAnswer(request *simRequest, retry bool, retryAfter time.Duration) {
 	request.answered = true
-	if attempt := request.openAttempt(); attempt != nil { // the answer crossed the Established event
+	if attempt := request.openAttempt(); attempt != nil { // the node answered before it received the Established event
 		s.closeConnection(attempt, choice.Cancelled, false)
 	}
 	if retry && !request.clientGone {
@@ -160,7 +160,7 @@
 	}
 }
 
-// closeConnection ends an open connection.
+// closeConnection ends an open connection. If reconnect is true, the client sends another request.
 func (s *simulation) closeConnection(attempt *simAttempt, outcome choice.Outcome, reconnect bool) {
 	if attempt.completed {
 		return
--- a/choice/slowstart_fleet_test.go
+++ b/choice/slowstart_fleet_test.go
@@ -55,7 +55,7 @@
 	minFairShare     float64 // lowest fairShare of a single slow start
 }
 
-// noChecker checks nothing.
+// noChecker is the checker of simulations whose statistics are tested, not the rules.
 type noChecker struct{}
 
 func (noChecker) onEvent(*simNode, choice.Event)                   {}
@@ -85,8 +85,8 @@
 	return settings
 }
 
-// run waits until the fleet is balanced. During a burst, servers in slow start then join and others restart in slow
-// start. It returns the statistics.
+// run simulates the fleet and returns the statistics. The fleet first settles until its load is balanced. During a
+// burst, servers then join in slow start, and others restart in slow start.
 func (f slowStartFleet) run(t *testing.T) slowStartStats {
 	t.Helper()
 	return f.runRecorded(t, false, nil).slowStartStats(f)
@@ -163,8 +163,8 @@
 }
 
 // windowBudget returns how many requests of mean work a server in slow start may get in a window that ends at the given
-// age of the server. It is the rate that fills the server over its warm-up, times the fraction of its capacity that it
-// has, times the overload multiple, over the length of a window. overloadLimit adds the slack for random variation.
+// age of the server. It is the product of the rate that fills the server over its warm-up, the fraction of its capacity
+// that it has, the overload multiple and the length of a window. overloadLimit adds the slack for random variation.
 func windowBudget(rules choice.Rules, capacity float64, age time.Duration) float64 {
 	return rules.OverloadMultiple * warmFractionAt(rules, age) * capacity * connectionsPerServer /
 		rules.WarmUp.Seconds() * rules.OverloadTime.Seconds()
@@ -213,7 +213,8 @@
 	return total, withStartKnown
 }
 
-// addSlowStart adds the windows of one slow start and returns the number of arrivals during it.
+// addSlowStart adds the windows of one slow start and returns the number of arrivals during it. Each arrival ends one
+// window of length OverloadTime, or shorter if the start was less than that ago.
 func (stats *slowStartStats) addSlowStart(fleet slowStartFleet, server *simServer,
 	start, end time.Duration,
 ) (arrived float64) {
@@ -300,11 +301,11 @@
 					total.windowsOverLimit, total.violations, total.budgetFraction,
 					total.fairShare, total.minFairShare)
 				if total.violations > 0 {
-					t.Errorf("windows over a slow-start limit, sent by nodes that knew of the start: got %d, want 0",
+					t.Errorf("windows over a slow-start limit, mostly by nodes that knew of the start: got %d, want 0",
 						total.violations)
 				}
 				if total.fairShare < test.wantFairShare {
-					t.Errorf("fraction of an even share in slow start: got %.2f, want at least wantFairShare",
+					t.Errorf("arrivals in slow start: got %.2f of an even share, want at least wantFairShare",
 						total.fairShare)
 				}
 			})
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestCommonBudgetHasASeededPhase checks that nodes that start together do not all get their tokens for servers in slow
-// start at the same time.
-func TestCommonBudgetHasASeededPhase(t *testing.T) {
+// TestSlowStartTokensOfNodesHaveDifferentPhases checks that nodes that start together do not all get their tokens for
+// servers in slow start at the same time. Otherwise all of them would send such a server connections at the same time.
+func TestSlowStartTokensOfNodesHaveDifferentPhases(t *testing.T) {
 	const nodes = 20
 	phases := map[int]bool{}
 	for seed := range uint64(nodes) {
@@ -20,18 +20,19 @@
 		}}})
 		balancer.hasSlowStartBudget(&requestEntry{affinity: 1}, balancer.findServer("cold"))
 		if balancer.slowStart.common.tokens < 0 || balancer.slowStart.common.tokens >= 1 {
-			t.Fatalf("seed %d: got an initial budget of %.3f, want at least 0 and below 1", seed,
+			t.Fatalf("seed %d: got a common budget of %.3f tokens, want at least 0 and below 1", seed,
 				balancer.slowStart.common.tokens)
 		}
 		phases[int(balancer.slowStart.common.tokens*10)] = true
 	}
 	if len(phases) < 5 {
-		t.Errorf("got %d nodes that start in %d of ten phases, want at least 5 phases", nodes, len(phases))
+		t.Errorf("initial tokens of %d nodes: got %d of ten phases, want at least 5", nodes, len(phases))
 	}
 }
 
-// TestConnectionLoadsOfUnknownClasses checks that the class index of a connection from other settings does not
-// determine the size of the table of class loads.
+// TestConnectionLoadsOfUnknownClasses guards against a very large table of class loads. A connection from a process
+// with other settings may have a class index that this process does not know, here 2^20, and the table must not grow to
+// it.
 func TestConnectionLoadsOfUnknownClasses(t *testing.T) {
 	balancer, now := newNoReportNode(t, 3, 4)
 	class := balancer.settings.Classes[0]
--- a/choice/throttle_test.go
+++ b/choice/throttle_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestThrottle checks that one connection that breaks causes no rejections, that many do, and that the throttle
-// forgets them within a minute.
+// TestThrottle checks that a single broken connection causes no rejections, that many broken connections cause
+// rejections, and that the throttle forgets them within a minute.
 func TestThrottle(t *testing.T) {
 	var limiter throttle
 	now := time.Hour
--- a/choice/zones_test.go
+++ b/choice/zones_test.go
@@ -71,7 +71,7 @@
 	t.Helper()
 	for _, after := range z.retryAfter {
 		if after < time.Second/2 || after > 3*time.Second/2 {
-			t.Errorf("got retry after %v, want 0.5 to 1.5 s", after)
+			t.Errorf("retry-after time of a rejection: got %v, want 0.5 to 1.5 s", after)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 	z.balancer.Step(now, []Event{ZonePlan{Grants: []Grant{{"b", observations.Zones[1].OwnLoad[0], nil}}}})
 	for _, action := range z.balancer.Step(now, []Event{Request{ID: "late", Tenant: -1, TimeLeft: 4 * time.Second}}) {
 		if start, ok := action.(StartAttempt); ok {
-			t.Errorf("got an attempt on %s, want none beyond the new plan", start.Server)
+			t.Errorf("request under a plan without free capacity: got an attempt on %s, want none", start.Server)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 				node.checkRetryAfter(t)
 			}
 			if test.want != nil && fmt.Sprint(got) != fmt.Sprint(test.want) {
-				t.Errorf("got results %v, want %v", got, test.want)
+				t.Errorf("20 requests: got results %v, want %v", got, test.want)
 			}
 			if test.want == nil && (got["a"] < 3 || got["b"] < 3 || got["rejected"] > 0) {
 				t.Errorf("without a plan: got results %v, want at least 3 in each zone and no rejections", got)
