--- a/choice/balancer_checker_test.go
+++ b/choice/balancer_checker_test.go
@@ -153,7 +153,7 @@
 		c.recordFinalAnswer(action.ID)
 	case SetTimer:
 		if action.Token == "" || len(action.Token) > 64 || action.After < 0 {
-			c.tb.Fatalf("got timer %+v, want a token of 1 to 64 bytes and a delay of at least 0", action)
+			c.tb.Fatalf("SetTimer: got %+v, want a token of 1 to 64 bytes and a delay of at least 0", action)
 		}
 		c.timers = append(c.timers, timer{c.now + action.After, action.Token})
 	case HealthCheck:
--- a/choice/golden_decisions_test.go
+++ b/choice/golden_decisions_test.go
@@ -20,9 +20,9 @@
 	"spurwinch/choice"
 )
 
-// The golden tests detect changes of decisions that nobody intended. They record seeded runs of the simulation: every
-// action, and the learned state of the balancers at the end. A different order of random draws or a single different
-// rounding changes the record. Renaming identifiers does not.
+// The golden tests detect unintended changes of decisions. They record seeded runs of the simulation: every action, and
+// the learned state of the balancers at the end. A different order of random draws or a single different rounding
+// changes the record. Renaming identifiers does not.
 
 // recorder writes a canonical text of actions into a running hash and records the hash at the end of each simulated
 // second.
--- a/choice/golden_test.go
+++ b/choice/golden_test.go
@@ -42,7 +42,7 @@
 	}
 	want, err := hex.DecodeString(strings.Join(strings.Fields(string(text)), ""))
 	if err != nil {
-		t.Fatalf("%s: %v", path, err)
+		t.Fatalf("golden file %s: got error %v, want hexadecimal digits", path, err)
 	}
 	return want
 }
@@ -62,7 +62,7 @@
 	}
 	var decoded T
 	if err := cbor.Unmarshal(want, &decoded); err != nil {
-		t.Fatalf("%s: %v", name, err)
+		t.Fatalf("Unmarshal of golden file %s: got error %v, want none", name, err)
 	}
 	if !reflect.DeepEqual(decoded, value) {
 		t.Errorf("Unmarshal of %s: got\n%+v, want\n%+v", name, decoded, value)
--- a/choice/healthcheck_test.go
+++ b/choice/healthcheck_test.go
@@ -138,8 +138,9 @@
 	}
 }
 
-// TestReliefRequestConvertsLoadToMeanConnections checks the load in relief requests if the mean connection has a load
-// of 4. The message must count the node's load in mean connections, like a reservation, whatever the unit of loads is.
+// TestReliefRequestConvertsLoadToMeanConnections guards against relief requests with a load in the node's own unit,
+// which the owner would misread. Here the mean connection has a load of 4. The message must count the node's load in
+// mean connections, like a reservation, whatever the unit of loads is.
 func TestReliefRequestConvertsLoadToMeanConnections(t *testing.T) {
 	const meanLoad, connections = 4, 6
 	now := time.Hour
--- a/choice/learned_test.go
+++ b/choice/learned_test.go
@@ -20,7 +20,7 @@
 		})
 	}
 	const seeds = 8
-	errors := map[string]float64{}
+	meanErrors := map[string]float64{}
 	for _, successor := range []string{"none", "learned", "empty"} {
 		for seed := uint64(1); seed <= seeds; seed++ {
 			start := 1000 * time.Hour
@@ -44,17 +44,17 @@
 			for _, span := range []time.Duration{time.Second, 4 * time.Second} {
 				fleet.errorSum, fleet.predictionCount = 0, 0
 				fleet.runUntil(fleet.now+span, 500*time.Millisecond)
-				errors[fmt.Sprint(successor, span)] += fleet.errorSum / float64(fleet.predictionCount) / seeds
+				meanErrors[fmt.Sprint(successor, span)] += fleet.errorSum / float64(fleet.predictionCount) / seeds
 			}
 		}
 	}
 	for _, span := range []time.Duration{time.Second, 4 * time.Second} {
 		t.Logf("mean error of predicted loads in the next %v: "+
 			"same process %.3f, successor with learned state %.3f, successor without %.3f",
-			span, errors[fmt.Sprint("none", span)], errors[fmt.Sprint("learned", span)],
-			errors[fmt.Sprint("empty", span)])
+			span, meanErrors[fmt.Sprint("none", span)], meanErrors[fmt.Sprint("learned", span)],
+			meanErrors[fmt.Sprint("empty", span)])
 	}
-	if e := errors["learned1s"]; e > 1.2*errors["none1s"] || e > 0.8*errors["empty1s"] {
+	if e := meanErrors["learned1s"]; e > 1.2*meanErrors["none1s"] || e > 0.8*meanErrors["empty1s"] {
 		t.Error("error with learned state: got over 1.2 times the same process's or 0.8 times that without, want less")
 	}
 }
@@ -100,12 +100,12 @@
 			t.Errorf("learned state with invalid value %d: got it applied, want it ignored", i)
 		}
 	}
-	later := good
-	later.Servers = []LearnedServer{
+	mistimed := good
+	mistimed.Servers = []LearnedServer{
 		{ID: "a", Started: 4, Known: true, Report: 0.9, ReportAt: now},
 		{ID: "b", Known: true, Report: 0.1, ReportAt: now + time.Hour},
 	}
-	balancer.Step(now, []Event{LearnedStateReceived{later}})
+	balancer.Step(now, []Event{LearnedStateReceived{mistimed}})
 	if balancer.findServer("a").report.known || balancer.findServer("b").report.load != 0.5 {
 		t.Error("learned reports of an earlier start and of the future: got one applied, want both ignored")
 	}
--- a/choice/predicted_fleet_test.go
+++ b/choice/predicted_fleet_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// fleetSimulation simulates the servers of a node whose three peers have the same connections: each connection of the
-// node loads its server four times.
+// fleetSimulation simulates one of four nodes, and the servers. The other three nodes have the same connections, so
+// each connection of the node loads its server four times.
 type fleetSimulation struct {
 	balancer        *Balancer
 	rng             *rand.Rand
@@ -32,8 +32,8 @@
 	return load
 }
 
-// processEvents passes events to the balancer and simulates the servers: attempts are established at once, and answers
-// to health checks contain some noise.
+// processEvents passes events to the balancer and simulates the servers, which establish attempts at once and answer
+// health checks with some noise in the reported load.
 func (f *fleetSimulation) processEvents(events ...Event) {
 	for len(events) > 0 {
 		actions := f.balancer.Step(f.now, events)
--- a/choice/simulated_server_test.go
+++ b/choice/simulated_server_test.go
@@ -25,7 +25,8 @@
 }
 
 // refreshReport updates the values that a server reports and, while the server is overloaded, sheds its newest
-// connections. It repeats itself at random intervals.
+// connections. It also delivers a delay observation if the load is high, and in some runs now and then a new load of a
+// connection. It repeats itself at random intervals.
 func (s *simulation) refreshReport(server *simServer) {
 	s.after(s.jitter(250*time.Millisecond), func() { s.refreshReport(server) })
 	for len(server.connections) > 0 && s.load(server) > s.env.shedThreshold {
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -170,7 +170,7 @@
 		settings.Node = index
 		balancer, err := choice.New(settings, seed*1000+uint64(index), sim.now)
 		if err != nil {
-			tb.Fatalf("%s: %v", name, err)
+			tb.Fatalf("%s: New: got error %v, want none", name, err)
 		}
 		node := &simNode{
 			index: index, balancer: balancer, knownServers: map[choice.ServerID]choice.Server{},
--- a/choice/slowstart_fleet_test.go
+++ b/choice/slowstart_fleet_test.go
@@ -149,6 +149,7 @@
 		}
 	}
 	sim.run(sim.now + duration)
+	// A run without these incidents would not test slow start.
 	for _, incident := range []string{"slow starts", "attempts at servers in slow start", "client retries", "retries"} {
 		if sim.counts[incident] == 0 {
 			t.Errorf("%s: %s: got 0, want at least 1", f.name, incident)
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -41,7 +41,7 @@
 		OriginalClass: &class, CurrentLoad: 0.05,
 	}})
 	if len(balancer.units.byClass) > len(balancer.settings.Classes) {
-		t.Errorf("got mean loads of %d classes, want at most the %d of the settings", len(balancer.units.byClass),
-			len(balancer.settings.Classes))
+		t.Errorf("unknown class: got mean loads of %d classes, want at most the %d of the settings",
+			len(balancer.units.byClass), len(balancer.settings.Classes))
 	}
 }
