--- a/internal/loop/close.go
+++ b/internal/loop/close.go
@@ -92,7 +92,7 @@
 		return
 	}
 	c.writeClosed = true
-	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // linger detects a broken connection
+	_ = unix.Shutdown(c.fd, unix.SHUT_WR) // if the connection is broken, discard closes it
 	c.cancelTimer()
 	c.lingerDeadline = c.loop.Now().Add(maxLinger)
 	c.linger()
--- a/internal/loop/errors.go
+++ b/internal/loop/errors.go
@@ -67,8 +67,9 @@
 	return isResourceShortage(err) || isOneOf(err, unix.EINTR, unix.EIO, unix.ESTALE)
 }
 
-// uninterrupted repeats a call while signals interrupt it, up to maxInterrupts times. If the kernel had no memory for
-// the call, it returns EAGAIN, since the call had no effect, like one that would block.
+// uninterrupted repeats a call that a signal interrupts, up to maxInterrupts times in all. If the last call was still
+// interrupted, or the kernel had no memory for it, uninterrupted returns EAGAIN: like a call that would block, it had
+// no effect.
 func uninterrupted(call func() (int, error)) (count int, err error) {
 	for range maxInterrupts {
 		count, err = call()
--- a/internal/loop/helpers_test.go
+++ b/internal/loop/helpers_test.go
@@ -10,22 +10,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// testTimeout bounds each wait for the peer.
+// testTimeout bounds each wait of a test for the peer or the loop.
 const testTimeout = 20 * time.Second
 
 // recordingHandler is a handler that reports its events on channels and through a function.
 type recordingHandler struct {
-	conn *Conn
-	up   chan bool
-	end  chan error
-	data func([]byte)
+	conn      *Conn
+	connected chan bool
+	end       chan error
+	data      func([]byte)
 }
 
 func newRecordingHandler() *recordingHandler {
-	return &recordingHandler{up: make(chan bool, 1), end: make(chan error, 1), data: func([]byte) {}}
+	return &recordingHandler{connected: make(chan bool, 1), end: make(chan error, 1), data: func([]byte) {}}
 }
 
-func (r *recordingHandler) OnConnect()         { r.up <- true }
+func (r *recordingHandler) OnConnect()         { r.connected <- true }
 func (r *recordingHandler) OnData(data []byte) { r.data(data) }
 func (r *recordingHandler) OnEnd(err error)    { r.end <- err }
 func (r *recordingHandler) OnDrained()         {}
@@ -75,12 +75,13 @@
 	<-done
 }
 
-// whileLoopBlocked runs fn on the loop and so blocks it: the next poll finds all events together that fn causes.
+// whileLoopBlocked runs fn on the loop. The loop can't poll meanwhile, so that the next poll reports all events that fn
+// causes together.
 func whileLoopBlocked(t *testing.T, l *Loop, fn func()) {
 	t.Helper()
 	onLoop(l, func() {
 		if l.timersYielded { // left over from an earlier poll
-			t.Error("late timers are already waiting before the test starts")
+			t.Error("late timers are waiting before the events of the test, want none")
 			return
 		}
 		fn()
@@ -177,8 +178,9 @@
 	return receive(t, accepted), peer
 }
 
-// sendArrived sends bytes and waits until they are in the peer's socket, which their acknowledgement shows.
-func sendArrived(t *testing.T, from *net.TCPConn, text string) {
+// sendAndAwaitAck sends bytes and waits until the peer's kernel has acknowledged them: they are in the peer's socket
+// then.
+func sendAndAwaitAck(t *testing.T, from *net.TCPConn, text string) {
 	t.Helper()
 	if _, err := from.Write([]byte(text)); err != nil {
 		t.Error(err)
--- a/internal/loop/idle.go
+++ b/internal/loop/idle.go
@@ -13,8 +13,8 @@
 	pendingMemoryDivisor = 8
 )
 
-// Evictable is a handler whose connection may be evicted while it is idle. Evict is called to send a last reply; the
-// connection is closed as soon as that is written.
+// Evictable is a handler whose connection may be evicted while it is idle. Evict ends the connection and may send a
+// last reply before that. EvictIdle closes the connection right after Evict, unless a part of the reply is pending.
 type Evictable interface{ Evict() }
 
 // Limit sets the number of open connections above which idle ones are evicted, and sizes the write buffers so that
--- a/internal/loop/kernel_test.go
+++ b/internal/loop/kernel_test.go
@@ -103,7 +103,7 @@
 				return
 			}
 			t.Cleanup(func() { _ = conn.Close() }) // the loop may have closed it
-			sendArrived(t, conn, "x")
+			sendAndAwaitAck(t, conn, "x")
 			kernel.set(func() { kernel.accept = []error{failure} })
 			go func() { echoed <- readEcho(conn) }()
 		})
@@ -156,8 +156,8 @@
 	}
 }
 
-// TestDialSucceedsAfterTransientFailure makes a system call of a dial fail once with each error that Linux documents
-// for a shortage. The connection must be established by its deadline.
+// TestDialSucceedsAfterTransientFailure makes a system call of a dial fail once with each transient error that Linux
+// documents for it. The connection must be established by its deadline.
 func TestDialSucceedsAfterTransientFailure(t *testing.T) {
 	for _, failure := range []error{
 		unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM,
@@ -169,7 +169,7 @@
 		handler := newRecordingHandler()
 		onLoop(eventLoop, func() {
 			kernel.set(func() {
-				if isOneOf(failure, unix.ENFILE, unix.EMFILE) { // errors of socket
+				if isOneOf(failure, unix.ENFILE, unix.EMFILE) { // errors of socket; the others are errors of connect
 					kernel.socket = []error{failure}
 				} else {
 					kernel.connect = []error{failure}
@@ -178,17 +178,17 @@
 			eventLoop.Dial(address, eventLoop.Now().Add(10*time.Second), handler)
 		})
 		select {
-		case <-handler.up:
+		case <-handler.connected:
 		case err := <-handler.end:
 			t.Errorf("dial after %v: got error %v, want a connection", failure, err)
 		case <-time.After(testTimeout):
-			t.Errorf("dial after %v: got neither a connection nor an error", failure)
+			t.Errorf("dial after %v: got neither a connection nor an error, want a connection", failure)
 		}
 	}
 }
 
-// TestClientServedAfterTransientWatchFailure makes epoll run out of memory for a client's connection. The client must
-// be served.
+// TestClientServedAfterTransientWatchFailure makes epoll run out of memory (ENOMEM) or of watches (ENOSPC) for a
+// client's connection. The client must be served.
 func TestClientServedAfterTransientWatchFailure(t *testing.T) {
 	for _, failure := range []error{unix.ENOMEM, unix.ENOSPC} {
 		kernel := &failingKernel{}
--- a/internal/loop/listen.go
+++ b/internal/loop/listen.go
@@ -76,7 +76,7 @@
 		return -1, err
 	}
 	setOption(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if shared { // also for the first process: the kernel requires the option of all sockets at an address
+	if shared { // also for the first process: the kernel requires the option on every socket at the address
 		setOption(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	}
 	if err := unix.Bind(fd, local); err != nil {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	readSize    = 16 << 10 // maximum bytes of one read
+	readSize    = 16 << 10 // maximum number of bytes of one read
 	acceptBurst = 64       // connections accepted in a row; the others wait for the next poll
 )
 
@@ -102,12 +102,12 @@
 
 // Run handles events until Stop is called.
 func (l *Loop) Run() error {
-	l.finishRound()
+	l.finishEvent()
 	err := l.poller.Polling(func(fd int, events netpoll.IOEvent, _ netpoll.IOFlags) error {
 		if ready := l.handlers[fd]; ready != nil {
 			ready(events)
 		}
-		l.finishRound()
+		l.finishEvent()
 		if l.stopping {
 			return gneterrors.ErrEngineShutdown
 		}
@@ -144,8 +144,9 @@
 	}
 }
 
-// finishRound completes the handling of one event.
-func (l *Loop) finishRound() {
+// finishEvent is called before the first event and after each event. It runs the functions that After has
+// registered and arms the timer.
+func (l *Loop) finishEvent() {
 	l.runAfterCallback()
 	l.armTimer()
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -41,7 +41,7 @@
 			connectErr, size, readErr)
 	}
 	if err := checkServed(address); err != nil {
-		t.Error("a connection after the exhaustion is not served:", err)
+		t.Error("a client after the exhaustion got no echo, want one:", err)
 	}
 }
 
@@ -162,13 +162,13 @@
 	}
 	onLoop(eventLoop, func() {
 		if got != total {
-			t.Errorf("got %d bytes, want %d", got, total)
+			t.Errorf("got %d bytes by the end, want %d", got, total)
 		}
 	})
 }
 
-// TestTimerOrder checks that timers run in the order of their times, that a timer can be cancelled, and that a timer
-// set in a callback runs only after the callback has returned.
+// TestTimerOrder checks that timers run in the order of their times, that a timer can be cancelled, also twice, and
+// that a timer set in a callback runs only after the callback has returned.
 func TestTimerOrder(t *testing.T) {
 	eventLoop := startLoop(t)
 	var order []int
--- a/internal/loop/race_test.go
+++ b/internal/loop/race_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// TestLateTimerRunsAfterReadyData makes a timer late before bytes arrive, so that one poll finds both. The loop must
-// read the bytes first and run the timer right after them.
+// TestLateTimerRunsAfterReadyData lets a timer become overdue before bytes arrive, so that one poll reports both. The
+// loop must read the bytes first and run the timer right after them.
 func TestLateTimerRunsAfterReadyData(t *testing.T) {
 	eventLoop := startLoop(t)
 	var order []string
@@ -27,7 +27,7 @@
 		})
 		eventLoop.armTimer()
 		time.Sleep(time.Millisecond + 5*timerTolerance)
-		sendArrived(t, peer, "answer")
+		sendAndAwaitAck(t, peer, "answer")
 	})
 	receive(t, done)
 	onLoop(eventLoop, func() {
@@ -46,7 +46,7 @@
 	handler.data = func(data []byte) { got <- string(data) }
 	conn, peer := acceptedPair(t, eventLoop, func(*Conn) Handler { return handler })
 	whileLoopBlocked(t, eventLoop, func() {
-		sendArrived(t, peer, "BUSY\r\n")
+		sendAndAwaitAck(t, peer, "BUSY\r\n")
 		if err := errors.Join(peer.SetLinger(0), peer.Close()); err != nil {
 			t.Error(err)
 		}
@@ -78,10 +78,10 @@
 		conn.End()
 	})
 	whileLoopBlocked(t, eventLoop, func() {
-		sendArrived(t, peer, "a line that nobody expects\r\n")
+		sendAndAwaitAck(t, peer, "a line that nobody expects\r\n")
 		conn.lingerExpired() // called by its timer in production
 		if conn.closed {
-			t.Error("lingerExpired closed the connection with unread bytes, which sends a reset")
+			t.Error("lingerExpired closed the connection with unread bytes, which sends a reset; want it open")
 		}
 	})
 	data, err := io.ReadAll(peer)
@@ -116,14 +116,14 @@
 			return
 		}
 		t.Cleanup(func() { _ = second.Close() }) // the loop may have closed it
-		sendArrived(t, peer, "OPEN")
+		sendAndAwaitAck(t, peer, "OPEN")
 	})
 	if data := receive(t, received); data != "OPEN" {
 		t.Errorf("OnData: got %q, want the request", data)
 	}
 	onLoop(eventLoop, func() {
 		if conn.closed || conn.ending {
-			t.Error("connection was evicted although its request had arrived")
+			t.Error("connection was evicted although its request had arrived, want it open")
 		}
 	})
 }
@@ -143,7 +143,7 @@
 		return handler
 	})
 	whileLoopBlocked(t, eventLoop, func() {
-		sendArrived(t, peer, "OPEN")
+		sendAndAwaitAck(t, peer, "OPEN")
 		eventLoop.CloseIdle()
 	})
 	if data := receive(t, received); data != "OPEN" {
@@ -154,7 +154,7 @@
 	}
 	onLoop(eventLoop, func() {
 		if active.closed || active.ending {
-			t.Error("connection was ended although its request had arrived")
+			t.Error("CloseIdle ended a connection whose request had arrived, want it open")
 		}
 	})
 }
--- a/internal/loop/timer.go
+++ b/internal/loop/timer.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// timerReady runs the timers that are due. Late timers run after the other events that are ready: when the process has
-// only a small part of a core, one poll may report both a reply and its timeout, and the order in which the kernel
+// timerReady runs the timers that are due. Late timers run after the other events that are ready: when the process gets
+// only a small share of a core, one poll may report both a reply and its timeout, and the order in which the kernel
 // lists them must not decide which one is handled first. To delay the late timers, timerReady leaves their descriptor
 // unread, so that the next poll reports it again.
 func (l *Loop) timerReady(uint32) {
@@ -91,19 +91,19 @@
 func (l *Loop) runTimers() {
 	l.timersYielded = false
 	now := time.Now()
-	// Timers that these callbacks set wait for the next round, so that no callback can monopolize the loop.
+	// Timers that these callbacks set run only in the next call, so that no callback can monopolize the loop.
 	lastSequence := l.timers.sequence
-	var nextRound []*timer
+	var deferred []*timer
 	for len(l.timers.heap) > 0 && !l.timers.heap[0].due.After(now) {
 		next := l.timers.pop()
 		if next.sequence > lastSequence {
-			nextRound = append(nextRound, next)
+			deferred = append(deferred, next)
 			continue
 		}
 		next.callback()
 		l.runAfterCallback()
 	}
-	for _, next := range nextRound {
+	for _, next := range deferred {
 		heap.Push(&l.timers, next)
 	}
 }
--- a/internal/loop/transfer.go
+++ b/internal/loop/transfer.go
@@ -18,11 +18,12 @@
 // Times are transferred as durations from the present time, since the wall clock may be stepped before or while the
 // other process runs.
 
-// TimeLeft encodes a time for another process as the nanoseconds until then, at least one.
+// TimeLeft encodes a time for another process as the nanoseconds until then. It returns at least 1, since TimeFromLeft
+// takes 0 to mean that no duration was sent.
 func TimeLeft(now, at time.Time) int64 { return max(1, int64(at.Sub(now))) }
 
-// TimeFromLeft decodes a time that another process encoded with TimeLeft. The result is at most longest from now. A
-// release that sends only Unix time (unixNano) leaves left at 0.
+// TimeFromLeft decodes a time that another process encoded with TimeLeft. The result is at most longest from now. left
+// is 0 if the other process runs a release of the program that sends only Unix time (unixNano).
 func TimeFromLeft(now time.Time, left, unixNano int64, longest time.Duration) time.Time {
 	if left == 0 {
 		left = int64(time.Unix(0, unixNano).Sub(now))
@@ -31,7 +32,7 @@
 }
 
 // Detach removes an established connection from the poller and returns its socket and state. ok is false if the
-// connection is ending, has ended, had a failed write or is already detached.
+// connection is not established or is already detached, if either side has ended it, or if a write has failed.
 func (c *Conn) Detach() (fd int, state ConnectionState, ok bool) {
 	if c.closed || c.ending || c.peerEnded || c.writeFailed || !c.connected || c.detached {
 		return -1, state, false
--- a/internal/loop/transfer_test.go
+++ b/internal/loop/transfer_test.go
@@ -13,7 +13,8 @@
 	received chan string
 }
 
-// restorePair restores two connections and makes one poll report the bytes and the ends of both.
+// restorePair restores two connections whose peers send a byte and close their end, so that one poll reports the bytes
+// and the ends of both.
 func restorePair(t *testing.T, eventLoop *Loop) *detachedPair {
 	t.Helper()
 	pair := &detachedPair{loop: eventLoop, received: make(chan string, 8)}
@@ -30,7 +31,7 @@
 			handler.data = func(data []byte) {
 				pair.received <- string(data)
 				if _, state, ok := pair.conns[1-i].Detach(); !ok || len(state.Out) != 0 {
-					t.Error("Detach of the other connection failed or returned pending data")
+					t.Error("Detach of the other connection: got a failure or pending data, want neither")
 				}
 			}
 			pair.conns[i] = eventLoop.Restore(ends[0], ConnectionState{}, handler)
@@ -66,9 +67,10 @@
 	receive(t, pair.received)
 	onLoop(eventLoop, func() {
 		if len(pair.received) != 0 {
-			t.Error("detached connection was read")
+			t.Error("detached connection: data was read, want none read before Reattach")
 		}
-		eventLoop.SetIdleLimit(1) // one connection must be evicted, but not the detached one
+		// One of the two must be evicted, but not the detached one, which this process must not end.
+		eventLoop.SetIdleLimit(1)
 		if eventLoop.Open() != 1 {
 			t.Errorf("Open after SetIdleLimit(1): got %d, want 1", eventLoop.Open())
 		}
