--- a/internal/transport/peerlimit/controller.go
+++ b/internal/transport/peerlimit/controller.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Default prefix lengths that identify a peer.
+// Default lengths of the prefix of an IPv4 and an IPv6 address that identifies a peer.
 const (
 	defaultPrefixBits4 = 32
 	defaultPrefixBits6 = 64
 )
 
-// After a sweep that left n peers, n/sweepDivisor lookups must find no place before the next sweep.
+// After a sweep that leaves n peers in the table, the next n/sweepDivisor lookups that find the table full don't sweep.
 const sweepDivisor = 8
 
 // Controller counts open streams and decides whether new ones are admitted.
@@ -24,7 +24,7 @@
 	peers        map[netip.Prefix]*usage
 	otherPeers   usage // shared by all peers that found no place in peers
 	domains      map[string]*usage
-	untilSweep   int // number of lookups without a place before the next sweep
+	untilSweep   int // number of lookups that may still find the table full before the next sweep
 }
 
 // NewController returns a controller with no open streams.
@@ -145,8 +145,9 @@
 	return added
 }
 
-// sweep removes the peers whose usage is the same as that of a new peer, and reports whether the table has a place now.
-// Since a sweep visits all peers, it is not repeated before some of them can have become removable.
+// sweep removes the peers that have no open streams and a full token bucket, as a new peer has, and reports whether the
+// table has a place now. Since a sweep visits all peers, it is not repeated before some of them can have become
+// removable.
 func (c *Controller) sweep(now time.Time) bool {
 	if c.untilSweep > 0 {
 		c.untilSweep--
--- a/internal/transport/peerlimit/controller_test.go
+++ b/internal/transport/peerlimit/controller_test.go
@@ -76,7 +76,7 @@
 	isFull := full(m.peer, streams, unauthenticated)
 	stream, verdict := m.controller.Admit(m.now, netip.AddrFrom4([4]byte{10, 0, 0, byte(peer)}))
 	if verdict == Admitted && isFull || verdict != Admitted && !isFull && m.peer.Rate == 0 {
-		t.Fatalf("Admit: got %v with %d streams, %d unauthenticated, limits %+v",
+		t.Fatalf("Admit: got %v with %d streams, %d unauthenticated, limits %+v, want a rejection iff at a limit",
 			verdict, streams, unauthenticated, m.peer)
 	}
 	if verdict != Admitted {
@@ -89,7 +89,8 @@
 	m.streams = append(m.streams, opened)
 }
 
-// checkRate checks that since each of a peer's streams no more were admitted than burst and rate allow.
+// checkRate checks that, from the admission of each of a peer's streams until now, no more streams were admitted than
+// burst and rate allow.
 func (m *model) checkRate(t *rapid.T, peer int) {
 	if m.peer.Rate == 0 {
 		return
@@ -99,7 +100,8 @@
 		got := float64(len(admitted) - i)
 		allowed := m.peer.burst() + m.peer.Rate*m.now.Sub(since).Seconds()
 		if got > allowed+1e-6 {
-			t.Fatalf("got %v streams in %v with rate %v, burst %v", got, m.now.Sub(since), m.peer.Rate, m.peer.burst())
+			t.Fatalf("Admit: got %v streams in %v, want at most those of rate %v and burst %v",
+				got, m.now.Sub(since), m.peer.Rate, m.peer.burst())
 		}
 	}
 }
@@ -110,7 +112,7 @@
 	isFull := full(m.domain, streams, unauthenticated)
 	verdict := m.controller.AdmitToDomain(m.now, opened.stream, "d")
 	if (verdict != Admitted) != isFull {
-		t.Fatalf("AdmitToDomain: got %v with %d streams, %d unauthenticated, limits %+v",
+		t.Fatalf("AdmitToDomain: got %v with %d streams, %d unauthenticated, limits %+v, want a rejection iff at a limit",
 			verdict, streams, unauthenticated, m.domain)
 	}
 	opened.inDomain = verdict == Admitted
@@ -130,7 +132,7 @@
 	authenticated.unauthenticated = false
 }
 
-// close closes a random stream, twice.
+// close closes a random stream, twice, and then authenticates it, which must have no effect.
 func (m *model) close(t *rapid.T) {
 	if len(m.streams) == 0 {
 		return
@@ -199,7 +201,7 @@
 		}
 	}
 	if controller.Peers() != 50 || len(admitted) != 49+3 {
-		t.Errorf("got %d peers and %d streams, want 50 and 52", controller.Peers(), len(admitted))
+		t.Errorf("after the flood: got %d peers and %d streams, want 50 and 52", controller.Peers(), len(admitted))
 	}
 	for range 2 {
 		if _, verdict := controller.Admit(now, netip.MustParseAddr("192.0.2.1")); verdict != Admitted {
@@ -220,8 +222,8 @@
 	testPeerPrefixes(t, now)
 }
 
-// testPeerPrefixes checks which addresses count as one peer. All addresses of an IPv6 network do, since a client there
-// has many addresses at no cost. An IPv4-mapped IPv6 address counts as the IPv4 address.
+// testPeerPrefixes checks which addresses count as one peer. All addresses of an IPv6 network (/64) do, since a client
+// there can use many addresses at no cost. An IPv4-mapped IPv6 address counts as the IPv4 address.
 func testPeerPrefixes(t *testing.T, now time.Time) {
 	t.Helper()
 	controller := NewController(Rules{Peer: Limits{Streams: 1}, MaxPeers: 50}, nil, nil)
--- a/internal/transport/peerlimit/limits.go
+++ b/internal/transport/peerlimit/limits.go
@@ -7,7 +7,7 @@
 	Streams         int     // open at the same time
 	Unauthenticated int     // open streams that have not authenticated yet
 	Rate            float64 // new streams per second
-	Burst           int     // new streams at once, before Rate applies; 0: those of one second, at least 1
+	Burst           int     // new streams at once, before Rate applies; raised to max(1, Rate) if lower
 }
 
 // any reports whether any limit is set.
@@ -18,7 +18,7 @@
 
 // Rules apply to all peers.
 type Rules struct {
-	PrefixBits4, PrefixBits6 int    // prefix length of an address that identifies a peer; 0: 32 and 64
+	PrefixBits4, PrefixBits6 int    // length of the prefix of an address that identifies a peer; 0: 32 and 64
 	Peer                     Limits // limits of each peer
 	MaxPeers                 int    // maximum number of peers that are counted separately
 }
--- a/internal/transport/tls/conn.go
+++ b/internal/transport/tls/conn.go
@@ -53,7 +53,7 @@
 		return
 	}
 	if waiting > maxEarlyBytes {
-		c.fail(errTooMuch)
+		c.fail(errTooManyBytes)
 		return
 	}
 	if c.cancel == nil {
@@ -63,7 +63,7 @@
 
 // read passes plain text to the handler until none is left or the handler pauses.
 func (c *Conn) read() {
-	if c.reading { // called from a callback of the handler: the loop below continues once that has returned
+	if c.reading { // called from a callback of the handler: the loop below continues once the callback has returned
 		return
 	}
 	c.reading = true
@@ -155,7 +155,7 @@
 	switch {
 	case c.closed || len(data) == 0:
 	case !c.established && len(c.pending)+len(data) > maxPendingBytes:
-		c.failLater(errTooMuch)
+		c.failLater(errTooManyBytes)
 	case !c.established:
 		c.pending = append(c.pending, data...)
 	default:
--- a/internal/transport/tls/handshake.go
+++ b/internal/transport/tls/handshake.go
@@ -21,10 +21,10 @@
 )
 
 var (
-	// ErrHandshakeTime is reported if a handshake did not finish by its deadline.
-	ErrHandshakeTime = errors.New("TLS handshake not finished by the deadline")
-	errEvicted       = errors.New("connection evicted to make room for another one")
-	errTooMuch       = errors.New("too many bytes before the end of the TLS handshake")
+	// ErrHandshakeTimeout is reported if a handshake did not finish by its deadline.
+	ErrHandshakeTimeout = errors.New("TLS handshake not finished by the deadline")
+	errEvicted          = errors.New("connection evicted to make room for another one")
+	errTooManyBytes     = errors.New("too many bytes before the end of the TLS handshake")
 )
 
 // Handshakes runs the handshakes of a loop's connections, with a bounded number at once. Its methods must be called on
@@ -51,7 +51,7 @@
 	c := &Conn{handshakes: hs, underlying: conn, handler: handler, pipe: newPipe(hs)}
 	c.pipe.write = conn.Write
 	c.tls = tls.Server(c.pipe, config)
-	c.stopTimer = hs.loop.At(deadline, func() { c.fail(ErrHandshakeTime) })
+	c.stopTimer = hs.loop.At(deadline, func() { c.fail(ErrHandshakeTimeout) })
 	return c
 }
 
--- a/internal/transport/tls/keys.go
+++ b/internal/transport/tls/keys.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// ExpiryWarning is the time before its expiry from which on a certificate is reported.
+// ExpiryWarning is how long before its expiry a certificate starts to be reported.
 const ExpiryWarning = 14 * 24 * time.Hour
 
 var (
--- a/internal/transport/tls/tls_test.go
+++ b/internal/transport/tls/tls_test.go
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// byteWriter writes byte by byte, so that the receiver gets incomplete records of a handshake.
+// byteWriter writes byte by byte, so that the receiver gets incomplete TLS records, also during the handshake.
 type byteWriter struct{ net.Conn }
 
 func (w byteWriter) Write(data []byte) (int, error) {
@@ -178,14 +178,14 @@
 	return len(data), nil
 }
 
-// TestEcho checks that bytes pass in both directions, also through full buffers and with records that arrive byte by
-// byte. It also checks that the server selects the certificate by name and rejects an unknown ALPN protocol, and both
-// an orderly end of TLS and one without close_notify.
-func TestEcho(t *testing.T) {
+// TestEchoAndEnd checks that messages of 1 byte to 2 MB pass in both directions, also through full buffers and with
+// records that arrive byte by byte. The server must select the certificate by name and reject an unknown ALPN protocol.
+// The handler must get EOF after an orderly end of TLS, and an error after an end without close_notify.
+func TestEchoAndEnd(t *testing.T) {
 	server := startServer(t, 20*time.Second, "a.example", "b.example")
 	conn := mustDialTLS(t, server.addr, "b.example", "proto")
 	if got := conn.ConnectionState().PeerCertificates[0].DNSNames[0]; got != "b.example" {
-		t.Errorf("got the certificate of %s, want that of b.example", got)
+		t.Errorf("handshake for b.example: got the certificate of %s, want that of b.example", got)
 	}
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<17) // 2 MB: more than all buffers between client and handler
 	go func() { _, _ = conn.Write(sent) }()                 // if it fails, the read below does
--- a/internal/transport/websocket/conn.go
+++ b/internal/transport/websocket/conn.go
@@ -85,7 +85,7 @@
 
 // read handles received bytes until no whole frame is left or the handler pauses.
 func (c *Conn) read() {
-	if c.reading { // called from a callback of the handler: the loop below continues once that has returned
+	if c.reading { // called from a callback of the handler: the loop below continues once the callback has returned
 		return
 	}
 	c.reading = true
--- a/internal/transport/websocket/conn_test.go
+++ b/internal/transport/websocket/conn_test.go
@@ -97,7 +97,7 @@
 			rest = rest[received:]
 		}
 		if fmt.Sprint(handler.messages) != wantMessages || !errors.Is(handler.end, io.EOF) || !transport.ended {
-			t.Errorf("pieces of %d bytes: got messages %q and end %v, want all and EOF",
+			t.Errorf("pieces of %d bytes: got messages %q and end %v, want all messages and EOF",
 				size, handler.messages, handler.end)
 		}
 		written := transport.String()
--- a/internal/transport/websocket/frame.go
+++ b/internal/transport/websocket/frame.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	errTooLong = errors.New("message is too long")
-	errBinary  = errors.New("binary messages are not supported")
-	errNotUTF8 = errors.New("message is not valid UTF-8")
+	errMessageTooLong = errors.New("message is too long")
+	errBinary         = errors.New("binary messages are not supported")
+	errNotUTF8        = errors.New("message is not valid UTF-8")
 )
 
 // readFrame reads one frame. It reports whether to read on: false if the frame is still incomplete or has ended the
@@ -31,7 +31,7 @@
 		c.fail(err, ws.StatusProtocolError)
 		return false
 	case header.Length > int64(c.maxMessage-len(c.message)):
-		c.fail(errTooLong, ws.StatusMessageTooBig)
+		c.fail(errMessageTooLong, ws.StatusMessageTooBig)
 		return false
 	case int64(reader.Len()) < header.Length:
 		return false
