--- a/internal/loop/close.go
+++ b/internal/loop/close.go
@@ -13,9 +13,9 @@
 	flushTimeout = 900 * time.Millisecond
 	// lingerTimeout bounds the wait for the peer's FIN after this side's FIN was sent, while the peer sends nothing.
 	lingerTimeout = time.Second
-	// While the peer still sends, its bytes are discarded for up to maxLinger. Closing a socket with unread bytes sends
-	// a reset, and the peer may then lose a reply that it has not read yet. Receiving 60 MB at full speed takes a
-	// fraction of maxLinger.
+	// While the peer still sends, up to maxDiscarded of its bytes are discarded for up to maxLinger. Closing a socket
+	// with unread bytes sends a reset, and the peer may then lose a reply that it has not read yet. Receiving 60 MB at
+	// full speed takes a fraction of maxLinger.
 	maxLinger    = 5 * time.Second
 	maxDiscarded = 128 << 20 // bytes
 )
--- a/internal/loop/conn.go
+++ b/internal/loop/conn.go
@@ -148,8 +148,8 @@
 	case err == nil:
 		c.watched = wanted
 	case isResourceShortage(err):
-		// It is unknown what the poller watches now, so the socket is removed from it first. If that fails too, the
-		// next call deals with it.
+		// It is unknown what the poller watches now, so the socket is removed from it first. If that fails too,
+		// addWatch removes it before it adds the socket again.
 		_ = eventLoop.kernel.Watch(eventLoop.poller, c.fd, c.watched, 0)
 		c.watched = 0
 		eventLoop.At(eventLoop.Now().Add(transientRetryPause), c.updateWatch)
--- a/internal/loop/post.go
+++ b/internal/loop/post.go
@@ -56,8 +56,8 @@
 // take removes and returns the waiting functions, in the order in which they were added.
 func (p *postQueue) take() []func() {
 	var count [8]byte
-	// The counter must be reset before the functions are taken. If the read is interrupted, the next poll reports the
-	// descriptor again.
+	// The counter must be reset before the functions are taken: a later reset could undo the wake-up of a function that
+	// is added in between. If the read is interrupted, the next poll reports the descriptor again.
 	_, _ = unix.Read(p.fd, count[:])
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/loop/socket.go
+++ b/internal/loop/socket.go
@@ -29,7 +29,7 @@
 // setOption sets an option of a socket. It ignores an error, since the socket also works without the option.
 func setOption(fd, level, option, value int) { _ = unix.SetsockoptInt(fd, level, option, value) }
 
-// setOptions makes the kernel send small writes immediately, and detect a peer that vanished within minutes.
+// setOptions makes the kernel send small writes immediately, and detect within minutes that a peer has vanished.
 func setOptions(fd int) {
 	setOption(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	setOption(fd, unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1)
--- a/internal/transport/peerlimit/controller_test.go
+++ b/internal/transport/peerlimit/controller_test.go
@@ -76,7 +76,7 @@
 	isFull := full(m.peer, streams, unauthenticated)
 	stream, verdict := m.controller.Admit(m.now, netip.AddrFrom4([4]byte{10, 0, 0, byte(peer)}))
 	if verdict == Admitted && isFull || verdict != Admitted && !isFull && m.peer.Rate == 0 {
-		t.Fatalf("Admit: got %v with %d streams, %d unauthenticated, limits %+v, want a rejection iff at a limit",
+		t.Fatalf("Admit: got %v with %d streams, %d unauthenticated, limits %+v, want rejection iff at a limit",
 			verdict, streams, unauthenticated, m.peer)
 	}
 	if verdict != Admitted {
@@ -112,7 +112,7 @@
 	isFull := full(m.domain, streams, unauthenticated)
 	verdict := m.controller.AdmitToDomain(m.now, opened.stream, "d")
 	if (verdict != Admitted) != isFull {
-		t.Fatalf("AdmitToDomain: got %v with %d streams, %d unauthenticated, limits %+v, want a rejection iff at a limit",
+		t.Fatalf("AdmitToDomain: got %v with %d streams, %d unauthenticated, limits %+v, want rejection iff at a limit",
 			verdict, streams, unauthenticated, m.domain)
 	}
 	opened.inDomain = verdict == Admitted
--- a/internal/transport/websocket/frame.go
+++ b/internal/transport/websocket/frame.go
@@ -11,7 +11,7 @@
 
 var (
 	errMessageTooLong = errors.New("message is too long")
-	errBinary         = errors.New("binary messages are not supported")
+	errBinaryMessage  = errors.New("binary messages are not supported")
 	errNotUTF8        = errors.New("message is not valid UTF-8")
 )
 
@@ -57,7 +57,7 @@
 		c.finish(io.EOF)
 		return false
 	case ws.OpBinary:
-		c.fail(errBinary, ws.StatusUnsupportedData)
+		c.fail(errBinaryMessage, ws.StatusUnsupportedData)
 		return false
 	default: // text or a continuation of it: ws.CheckHeader allows no other
 		return c.handleFragment(header.Fin, payload)
--- a/internal/transport/websocket/handshake.go
+++ b/internal/transport/websocket/handshake.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	errRequestTooLong = errors.New("HTTP request is too long")
-	errSubprotocol    = errors.New("the client does not offer the subprotocol")
+	errRequestTooLong        = errors.New("HTTP request is too long")
+	errSubprotocolNotOffered = errors.New("the client does not offer the subprotocol")
 )
 
 // handshake replies to the HTTP request once it is complete, and reports whether the handshake has succeeded.
@@ -64,7 +64,7 @@
 		io.Writer
 	}{bytes.NewReader(request), &written})
 	if err != nil && !offered {
-		err = errSubprotocol
+		err = errSubprotocolNotOffered
 	}
 	return written.Bytes(), err
 }
