--- a/internal/xmpp/accept.go
+++ b/internal/xmpp/accept.go
@@ -45,7 +45,7 @@
 // Accept handles a new connection without TLS.
 func (f *Front) Accept(conn *loop.Conn) loop.Handler { return f.accept(conn, Plaintext, false) }
 
-// AcceptWith returns an accept function for a listener whose clients use TLS as given.
+// AcceptWith returns an accept function for a listener whose clients use TLS as selected by security.
 func (f *Front) AcceptWith(security Security) func(*loop.Conn) loop.Handler {
 	return func(conn *loop.Conn) loop.Handler { return f.accept(conn, security, false) }
 }
--- a/internal/xmpp/front.go
+++ b/internal/xmpp/front.go
@@ -42,7 +42,7 @@
 // Domain is a domain that clients may name in their stream header.
 type Domain struct {
 	Core         *edge.Core
-	Class        int           // index of the core's request class
+	Class        int           // index in the core's list of request classes
 	SetupTimeout time.Duration // limit of the whole set-up of a session, from its stream header on
 }
 
@@ -52,7 +52,7 @@
 	MaxReplayBytes   int           // bytes of a client that the front keeps to replay them to another server
 	HeaderTimeout    time.Duration // limit for receiving the stream header, from the connection's start on
 	HandshakeTimeout time.Duration // limit for a TLS handshake
-	MaxConnections   int           // connections to clients and servers, above which new sessions are rejected
+	MaxConnections   int           // connections to clients and servers; a session that would reach it is rejected
 	MaxResumable     int           // resumable sessions whose server the front remembers
 }
 
--- a/internal/xmpp/nesting.go
+++ b/internal/xmpp/nesting.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// startsNewStream reports whether a token starts a new stream in place of the current one and may do so.
+// startsNewStream reports whether a token starts a new stream in place of the current one. It returns false if
+// mayRestart doesn't allow a new stream.
 func (s *scanner) startsNewStream(token *xmlToken) bool {
 	if !s.mayRestart {
 		return false
@@ -94,7 +95,7 @@
 	return badFormat
 }
 
-// betweenStanzas reports whether the position is outside any stanza, so that the front may insert markup of its own.
+// betweenStanzas reports whether the scanner is outside any stanza, where the front may insert its own markup.
 func (s *scanner) betweenStanzas() bool { return len(s.elements) <= rootDepth }
 
 // splitName splits a qualified name into its prefix and its local name. The prefix is empty if the name has none.
--- a/internal/xmpp/resumption.go
+++ b/internal/xmpp/resumption.go
@@ -15,7 +15,7 @@
 // server. The client's claim only selects a server; the server decides whether to accept it.
 
 const (
-	maxOpeningBytes        = 4 << 10  // bytes before the authentication that are kept to replay them to another server
+	maxOpeningBytes        = 4 << 10  // bytes of a client before its authentication, kept for replay to another server
 	maxAuthenticationBytes = 16 << 10 // bytes of a client's first authentication
 	maxNameBytes           = 1023     // bytes of a session's identifier, or of a user name
 )
@@ -211,10 +211,10 @@
 	}
 }
 
-// DisconnectedSessions returns at most the given number of resumable sessions that have no connection, to be passed to
-// another process.
-func (f *Front) DisconnectedSessions(most int) []resumable.Session {
-	return f.resumable.Resumable(f.loop.Now(), most)
+// DisconnectedSessions returns resumable sessions that have no connection, to be passed to another process. It returns
+// at most limit sessions.
+func (f *Front) DisconnectedSessions(limit int) []resumable.Session {
+	return f.resumable.Resumable(f.loop.Now(), limit)
 }
 
 // AddDisconnectedSessions adds resumable sessions that another process has passed on.
--- a/internal/xmpp/resumption_test.go
+++ b/internal/xmpp/resumption_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func encode(response string) []byte {
+func encodeBase64(response string) []byte {
 	return []byte(base64.StdEncoding.EncodeToString([]byte(response)))
 }
 
@@ -23,7 +23,7 @@
 		{"EXTERNAL", "ana", ""},
 		{"", "", ""},
 	} {
-		if got := saslUser(test.mechanism, encode(test.response)); got != test.user {
+		if got := saslUser(test.mechanism, encodeBase64(test.response)); got != test.user {
 			t.Errorf("saslUser(%s, %q): got %q, want %q", test.mechanism, test.response, got, test.user)
 		}
 	}
@@ -31,7 +31,7 @@
 		t.Errorf("saslUser of a response with invalid base64: got user %q, want none", got)
 	}
 	tooLong := "\x00" + string(make([]byte, maxNameBytes+1)) + "\x00x"
-	if got := saslUser("PLAIN", encode(tooLong)); got != "" {
+	if got := saslUser("PLAIN", encodeBase64(tooLong)); got != "" {
 		t.Errorf("saslUser of a name that is too long: got a user of %d bytes, want none", len(got))
 	}
 	for jid, want := range map[string]string{
--- a/internal/xmpp/scanner.go
+++ b/internal/xmpp/scanner.go
@@ -95,11 +95,11 @@
 	if !bytes.HasPrefix(data, []byte(opening)) {
 		return xmlToken{}, 0, restrictedXML
 	}
-	content := bytes.Index(data, []byte(closing))
-	if content < 0 {
+	contentEnd := bytes.Index(data, []byte(closing))
+	if contentEnd < 0 {
 		return xmlToken{}, 0, noCondition
 	}
-	raw := data[:content+len(closing)]
+	raw := data[:contentEnd+len(closing)]
 	return xmlToken{kind: textToken, raw: raw}, len(raw), checkCharacters(raw)
 }
 
@@ -119,11 +119,11 @@
 	if s.started && (!s.mayRestart || len(s.elements) != 1) {
 		return xmlToken{}, 0, restrictedXML
 	}
-	content := bytes.Index(data, []byte(closing))
-	if content < 0 {
+	contentEnd := bytes.Index(data, []byte(closing))
+	if contentEnd < 0 {
 		return xmlToken{}, 0, noCondition
 	}
-	asTag := append([]byte("<x"), data[len(opening):content]...) // a declaration has the same attribute syntax as a tag
+	asTag := append([]byte("<x"), data[len(opening):contentEnd]...) // a declaration has the attribute syntax of a tag
 	declaration, ok := parseTag(append(asTag, '>'))
 	if !ok || declaration.attribute("version") != "1.0" {
 		return xmlToken{}, 0, notWellFormed
@@ -131,7 +131,7 @@
 	if encoding := declaration.attribute("encoding"); encoding != "" && !strings.EqualFold(encoding, "utf-8") {
 		return xmlToken{}, 0, unsupportedEncoding
 	}
-	raw := data[:content+len(closing)]
+	raw := data[:contentEnd+len(closing)]
 	return xmlToken{kind: declarationToken, raw: raw}, len(raw), noCondition
 }
 
@@ -166,7 +166,7 @@
 }
 
 // checkReferences checks the entity references of text and returns how many bytes of the text have been checked. If the
-// text may continue, these exclude an unfinished reference at its end.
+// text may continue, this number excludes an unfinished reference at its end.
 func checkReferences(text []byte, mayContinue bool) (size int, errorCondition condition) {
 	for checked := 0; checked < len(text); {
 		offset := bytes.IndexByte(text[checked:], '&')
@@ -199,7 +199,7 @@
 }
 
 // checkCharacters checks that data is valid UTF-8 without the control characters below U+0020 that XML 1.0 forbids.
-// The data doesn't end inside a character, because nextText excludes an incomplete one, which is no error.
+// A character that is still incomplete at the end of received text is no error; nextText excludes it from data.
 func checkCharacters(data []byte) condition {
 	if !utf8.Valid(data) {
 		return notWellFormed
--- a/internal/xmpp/scanner_test.go
+++ b/internal/xmpp/scanner_test.go
@@ -7,7 +7,7 @@
 )
 
 // scan feeds a stream to a scanner in pieces of pieceSize bytes. It returns the raw tokens, joined by |, and the
-// condition.
+// condition that ended the scan, or noCondition.
 func scan(stream string, pieceSize, maxBytes int) (string, condition) {
 	s := scanner{maxBytes: maxBytes}
 	var tokens []string
@@ -25,7 +25,8 @@
 	return strings.Join(tokens, "|"), noCondition
 }
 
-const root = "<stream:stream xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'>"
+// rootTag is the start tag of a client's stream.
+const rootTag = "<stream:stream xmlns='jabber:client' xmlns:stream='http://etherx.jabber.org/streams'>"
 
 // scannerCases lists streams with the expected tokens and the expected final condition. Empty tokens match any tokens.
 var scannerCases = []struct {
@@ -33,51 +34,55 @@
 	errorCondition       condition
 }{
 	{
-		"complete stream", "<?xml version='1.0'?>" + root + "<a b=\"x>y\"/></stream:stream> ",
-		"<?xml version='1.0'?>|" + root + "|<a b=\"x>y\"/>|</stream:stream>| ", "",
+		"complete stream", "<?xml version='1.0'?>" + rootTag + "<a b=\"x>y\"/></stream:stream> ",
+		"<?xml version='1.0'?>|" + rootTag + "|<a b=\"x>y\"/>|</stream:stream>| ", "",
 	},
 	{
-		"CDATA section", root + "<a><![CDATA[<!-- ]] -->]]></a>",
-		root + "|<a>|<![CDATA[<!-- ]] -->]]>|</a>", "",
+		"CDATA section", rootTag + "<a><![CDATA[<!-- ]] -->]]></a>",
+		rootTag + "|<a>|<![CDATA[<!-- ]] -->]]>|</a>", "",
 	},
-	{"predefined entity and character reference", root + "<a>&amp;&#x41;</a>", root + "|<a>|&amp;&#x41;|</a>", ""},
-	{"comment", root + "<a><!-- x -->", root + "|<a>", restrictedXML},
+	{
+		"predefined entity and character reference", rootTag + "<a>&amp;&#x41;</a>",
+		rootTag + "|<a>|&amp;&#x41;|</a>", "",
+	},
+	{"comment", rootTag + "<a><!-- x -->", rootTag + "|<a>", restrictedXML},
 	{"DTD", "<!DOCTYPE a>", "", restrictedXML},
 	{"DTD after the declaration", "<?xml version='1.0'?><!DOCTYPE a>", "<?xml version='1.0'?>", restrictedXML},
-	{"processing instruction", root + "<?php ?>", root, restrictedXML},
+	{"processing instruction", rootTag + "<?php ?>", rootTag, restrictedXML},
 	{"processing instruction with a name like xml", "<?xml-stylesheet a='b'?>", "", restrictedXML},
-	{"late declaration", root + "<?xml version='1.0'?>", root, restrictedXML},
-	{"undefined entity", root + "<a>&x;</a>", root + "|<a>", restrictedXML},
-	{"bare ampersand", root + "<a>& </a>", root + "|<a>", notWellFormed},
-	{"wrong nesting", root + "<a></b>", root + "|<a>", notWellFormed},
-	{"duplicate attribute", root + "<a b='1' b='2'/>", root, notWellFormed},
-	{"attribute without quotes", root + "<a b=1/>", root, notWellFormed},
-	{"two roots", root + "</stream:stream><a>", root + "|</stream:stream>", notWellFormed},
+	{"late declaration", rootTag + "<?xml version='1.0'?>", rootTag, restrictedXML},
+	{"undefined entity", rootTag + "<a>&x;</a>", rootTag + "|<a>", restrictedXML},
+	{"bare ampersand", rootTag + "<a>& </a>", rootTag + "|<a>", notWellFormed},
+	{"wrong nesting", rootTag + "<a></b>", rootTag + "|<a>", notWellFormed},
+	{"duplicate attribute", rootTag + "<a b='1' b='2'/>", rootTag, notWellFormed},
+	{"attribute without quotes", rootTag + "<a b=1/>", rootTag, notWellFormed},
+	{"two roots", rootTag + "</stream:stream><a>", rootTag + "|</stream:stream>", notWellFormed},
 	{
-		"unexpected second stream", root + "<stream:stream></stream:stream>",
-		root + "|<stream:stream>|</stream:stream>", "",
+		"unexpected second stream", rootTag + "<stream:stream></stream:stream>",
+		rootTag + "|<stream:stream>|</stream:stream>", "",
 	},
-	{"text between stanzas", root + "x", root, badFormat},
-	{"control character", root + "<a>\x01</a>", root + "|<a>", notWellFormed},
-	{"invalid UTF-8", root + "<a>\xff\xfe</a>", root + "|<a>", notWellFormed},
+	{"text between stanzas", rootTag + "x", rootTag, badFormat},
+	{"control character", rootTag + "<a>\x01</a>", rootTag + "|<a>", notWellFormed},
+	{"invalid UTF-8", rootTag + "<a>\xff\xfe</a>", rootTag + "|<a>", notWellFormed},
 	{"unsupported encoding", "<?xml version='1.0' encoding='UTF-16'?>", "", unsupportedEncoding},
-	{"deep nesting", root + strings.Repeat("<a>", 200), "", policyViolation},
-	{"long stanza", root + "<a>" + strings.Repeat("<b/>", 400), "", policyViolation},
-	{"long token", root + "<a b='" + strings.Repeat("x", 2000), root, policyViolation},
+	{"deep nesting", rootTag + strings.Repeat("<a>", 200), "", policyViolation},
+	{"long stanza", rootTag + "<a>" + strings.Repeat("<b/>", 400), "", policyViolation},
+	{"long token", rootTag + "<a b='" + strings.Repeat("x", 2000), rootTag, policyViolation},
 }
 
-// TestScannerReadsTokensInAnyPieces scans streams at once and byte by byte, and checks that both give the expected
-// condition and the same bytes of tokens.
+// TestScannerReadsTokensInAnyPieces scans each stream in one piece and byte by byte. It checks that both scans end with
+// the expected condition and yield the same bytes.
 func TestScannerReadsTokensInAnyPieces(t *testing.T) {
 	for _, test := range scannerCases {
 		t.Run(test.name, func(t *testing.T) {
 			tokens, errorCondition := scan(test.stream, len(test.stream), 1000)
 			if errorCondition != test.errorCondition || test.tokens != "" && tokens != test.tokens {
-				t.Errorf("scan: got %q, %q, want %q, %q", tokens, errorCondition, test.tokens, test.errorCondition)
+				t.Errorf("scan in one piece: got tokens %q and condition %q, want %q and %q",
+					tokens, errorCondition, test.tokens, test.errorCondition)
 			}
 			byByte, errorCondition := scan(test.stream, 1, 1000)
 			if errorCondition != test.errorCondition || unseparated(byByte) != unseparated(tokens) {
-				t.Errorf("scan byte by byte: got %q, %q, want the bytes and condition of %q",
+				t.Errorf("scan byte by byte: got tokens %q and condition %q, want bytes of %q and the case's condition",
 					byByte, errorCondition, tokens)
 			}
 		})
@@ -89,8 +94,8 @@
 
 // FuzzScanner checks that the forwarded bytes are a prefix of the received bytes and contain no forbidden markup.
 func FuzzScanner(f *testing.F) {
-	f.Add([]byte(root+"<a b='c'>d&lt;<![CDATA[e]]></a></stream:stream>"), 3)
-	f.Add([]byte("<?xml version='1.0'?>"+root+"<!-- x -->"), 1)
+	f.Add([]byte(rootTag+"<a b='c'>d&lt;<![CDATA[e]]></a></stream:stream>"), 3)
+	f.Add([]byte("<?xml version='1.0'?>"+rootTag+"<!-- x -->"), 1)
 	f.Fuzz(func(t *testing.T, stream []byte, pieceSize int) {
 		pieceSize = max(1, min(pieceSize, 1<<10))
 		scanned := scanner{maxBytes: 500}
@@ -99,7 +104,7 @@
 			size := min(pieceSize, len(rest))
 			_, errorCondition := scanned.feed(rest[:size], func(next xmlToken) bool {
 				if isForbidden(next) {
-					t.Fatalf("feed yielded the forbidden token %q", next.raw)
+					t.Fatalf("feed: got forbidden token %q, want none", next.raw)
 				}
 				forwarded = append(forwarded, next.raw...)
 				return true
@@ -120,12 +125,12 @@
 
 // isForbidden reports whether a token is markup that restricted XML forbids, which is a comment, a DTD or a processing
 // instruction.
-func isForbidden(t xmlToken) bool {
+func isForbidden(token xmlToken) bool {
 	switch {
-	case t.kind == textToken:
+	case token.kind == textToken:
 		return false
-	case bytes.HasPrefix(t.raw, []byte("<!")):
+	case bytes.HasPrefix(token.raw, []byte("<!")):
 		return true
 	}
-	return t.kind != declarationToken && bytes.HasPrefix(t.raw, []byte("<?"))
+	return token.kind != declarationToken && bytes.HasPrefix(token.raw, []byte("<?"))
 }
--- a/internal/xmpp/serverstream.go
+++ b/internal/xmpp/serverstream.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-const maxRedirectBytes = 300 // of the address in a server's see-other-host
+const maxRedirectBytes = 300 // bytes of the address in a server's see-other-host error
 
 // handleToken handles a token of the server's stream.
 func (u *upstreamRequest) handleToken(token xmlToken) {
@@ -84,8 +84,9 @@
 	}
 }
 
-// handleStanza handles a complete stanza. It forwards the stanza, unless it is the server's rejection of the session or
-// a greeting to drop.
+// handleStanza handles a complete stanza. Until the session is established, it forwards the stanza, unless the stanza
+// is the server's rejection of the session or a greeting to drop. OnData forwards the stanzas of an established
+// session, except for the last stanza before a migration, which handleStanza forwards.
 func (u *upstreamRequest) handleStanza() {
 	session := u.session
 	switch {
@@ -102,7 +103,7 @@
 		u.commit()
 	default:
 		if u.establishes() {
-			// Tell the core before forwarding the answer. Nothing else runs between the two within this call.
+			// Tell the core before forwarding the answer. Both happen in this call, so nothing else runs in between.
 			session.established = true
 			session.front.Answers.Established++
 			u.attempt.Established()
--- a/internal/xmpp/session.go
+++ b/internal/xmpp/session.go
@@ -144,7 +144,8 @@
 	}
 }
 
-// Evict ends the connection to make room for another one, before the client's stream header has named a domain.
+// Evict ends the session with a stream error to make room for another connection. It is called before the client's
+// stream header has named a domain.
 func (s *clientSession) Evict() { s.fail(resourceConstraint, "connect again") }
 
 // awaitHeader ends the session unless the client's stream header is received by the deadline.
--- a/internal/xmpp/starttls_test.go
+++ b/internal/xmpp/starttls_test.go
@@ -41,8 +41,8 @@
 	return listener.Addr.String()
 }
 
-// TestStreamEndsWhenClientClosesItInsteadOfStartingTLS checks that the front closes its stream, too, if the client
-// closes its stream where it should start TLS.
+// TestStreamEndsWhenClientClosesItInsteadOfStartingTLS checks that the front closes its own stream when the client
+// closes its stream instead of starting TLS.
 func TestStreamEndsWhenClientClosesItInsteadOfStartingTLS(t *testing.T) {
 	conn, err := net.Dial("tcp", startFront(t, StartTLS))
 	if err != nil {
@@ -52,7 +52,7 @@
 	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	header := strings.Replace(root, "<stream:stream ", "<stream:stream to='farm.example' version='1.0' ", 1)
+	header := strings.Replace(rootTag, "<stream:stream ", "<stream:stream to='farm.example' version='1.0' ", 1)
 	if _, err := io.WriteString(conn, header+"</stream:stream>"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/xmpp/token.go
+++ b/internal/xmpp/token.go
@@ -37,7 +37,7 @@
 
 type xmlAttribute struct{ name, value string }
 
-// starts reports whether the token is the start tag of an element at a depth.
+// starts reports whether the token is the start tag of an element at the given depth.
 func (t *xmlToken) starts(depth int) bool { return t.kind == startToken && t.depth == depth }
 
 // isElement reports whether the token has the local name and itself declares the namespace as its default namespace.
@@ -76,7 +76,7 @@
 	token.name = string(content[:size])
 	content = content[size:]
 	for {
-		trimmed := trimSpace(content)
+		trimmed := trimLeadingSpace(content)
 		if len(trimmed) == 0 {
 			return token, true
 		}
@@ -100,11 +100,11 @@
 		return xmlAttribute{}, nil, false
 	}
 	parsed.name = string(content[:size])
-	content = trimSpace(content[size:])
+	content = trimLeadingSpace(content[size:])
 	if len(content) == 0 || content[0] != '=' {
 		return xmlAttribute{}, nil, false
 	}
-	content = trimSpace(content[1:])
+	content = trimLeadingSpace(content[1:])
 	if len(content) == 0 || content[0] != '"' && content[0] != '\'' {
 		return xmlAttribute{}, nil, false
 	}
@@ -127,8 +127,8 @@
 	return false
 }
 
-// tagEnd returns the index of the ">" that ends a tag, ignoring quoted values. It returns -1 if the end has not been
-// received.
+// tagEnd returns the index of the ">" that ends a tag, ignoring any in quoted values. It returns -1 if the end has not
+// been received.
 func tagEnd(data []byte) int {
 	quote := byte(0)
 	for i, b := range data {
@@ -159,7 +159,7 @@
 	return len(data)
 }
 
-func trimSpace(data []byte) []byte { return bytes.TrimLeft(data, " \t\r\n") }
+func trimLeadingSpace(data []byte) []byte { return bytes.TrimLeft(data, " \t\r\n") }
 
 var unescaper = strings.NewReplacer("&lt;", "<", "&gt;", ">", "&apos;", "'", "&quot;", `"`, "&amp;", "&")
 
--- a/internal/xmpp/transfer.go
+++ b/internal/xmpp/transfer.go
@@ -183,22 +183,22 @@
 
 // PrepareRestore decodes the state of another process's connection with readState and checks it completely. It returns
 // a function that restores the connection in this process. The descriptors fds are those of the client's side and, for
-// an established session, of the server's side. The argument open is the core's state of an established session, and
-// nil for any other connection.
+// an established session, of the server's side. The argument coreState is the core's state of an established session,
+// and nil for any other connection.
 func (f *Front) PrepareRestore(
-	core *edge.Core, open *edge.ConnectionState, readState func(into any) error, fds []int,
+	core *edge.Core, coreState *edge.ConnectionState, readState func(into any) error, fds []int,
 ) (restore func(), err error) {
 	var state ConnectionState
 	if err := readState(&state); err != nil {
 		return nil, err
 	}
-	if err := f.checkState(state, open != nil, len(fds)); err != nil {
+	if err := f.checkState(state, coreState != nil, len(fds)); err != nil {
 		return nil, err
 	}
-	if open == nil {
+	if coreState == nil {
 		return func() { f.restoreIdle(state, fds[0]) }, nil
 	}
-	return func() { f.restoreSession(core, *open, state, fds) }, nil
+	return func() { f.restoreSession(core, *coreState, state, fds) }, nil
 }
 
 // checkState checks that a connection's state conforms to this node's limits and that its parts are consistent.
@@ -226,7 +226,7 @@
 }
 
 // restoreSession continues an established session of another process.
-func (f *Front) restoreSession(core *edge.Core, open edge.ConnectionState, state ConnectionState, fds []int) {
+func (f *Front) restoreSession(core *edge.Core, coreState edge.ConnectionState, state ConnectionState, fds []int) {
 	session := &clientSession{
 		front:         f,
 		received:      f.restoreScanner(state.Received),
@@ -235,7 +235,7 @@
 		established:   true,
 		headerPending: state.HeaderPending,
 	}
-	session.request, session.attempt = core.Adopt(open, session)
+	session.request, session.attempt = core.Adopt(coreState, session)
 	session.upstream = &upstreamRequest{
 		session: session, attempt: session.attempt, received: f.restoreScanner(state.Server.Received), begun: true,
 		partialStanzaForwarded: state.Server.MidStanza,
@@ -247,7 +247,9 @@
 		session.recordConnected(*state.Resumable)
 	}
 	session.restoreClient(fds[0], state.Conn, f.configuredName(session.domainKey()))
-	if len(state.Conn.Out) == 0 { // otherwise OnDrained resumes reading once these bytes are written to the kernel
+	// If bytes are still to be written to either side, OnDrained resumes reading from the other side once they are in
+	// the kernel.
+	if len(state.Conn.Out) == 0 {
 		session.upstream.conn.Resume()
 	}
 	if len(state.Server.Conn.Out) == 0 {
--- a/internal/xmpp/upstream.go
+++ b/internal/xmpp/upstream.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// upstreamRequest is one attempt, which is a connection to an XMPP server that a session tries or uses.
+// upstreamRequest is one attempt of a session, with the connection to the XMPP server that the session tries or uses.
 //
 // Until the session is established, the server's bytes are held back to the end of each stanza, so that the front can
 // always insert the session's final answer between two stanzas. The stream header and the first stanza are forwarded
@@ -23,7 +23,7 @@
 	attempt  *edge.Attempt
 	conn     *loop.Conn
 	received scanner // the server's stream
-	begun    bool    // the client's bytes have been sent
+	begun    bool    // the attempt has begun to send the client's bytes
 	finished bool
 
 	unforwarded            []byte   // bytes received but not forwarded yet
@@ -112,8 +112,8 @@
 	u.dropServer(choice.Failed)
 }
 
-// dropServer ends the connection to a server that can no longer be used. It ends an established session with a stream
-// error; before that, the core tries another server or gives the final answer.
+// dropServer ends the connection to a server that can no longer be used. If the session is established, it ends with a
+// stream error. Otherwise the core tries another server or gives the final answer.
 func (u *upstreamRequest) dropServer(outcome choice.Outcome) {
 	if u.session.established {
 		u.session.fail(remoteConnectionFailed, "the server was lost")
@@ -129,7 +129,7 @@
 	u.attempt.Ended(outcome, nil)
 }
 
-// finish ends the connection after the client's connection has ended.
+// finish ends the connection after the client's connection has ended. With reset, it resets the connection.
 func (u *upstreamRequest) finish(reset bool) {
 	if u.finished {
 		return
@@ -156,8 +156,8 @@
 	u.finish(false)
 }
 
-// GiveUp ends the attempt on behalf of the core. Before the session is established it doesn't finish a partial write,
-// because the core counts the attempt as one that has not run.
+// GiveUp ends the attempt on behalf of the core. Before the session is established, it cancels the connection without
+// finishing a partial write, because the core counts the attempt as one that has not run.
 func (u *upstreamRequest) GiveUp() {
 	if u.finished || u.session.established {
 		u.finish(false)
--- a/internal/xmpp/websocket.go
+++ b/internal/xmpp/websocket.go
@@ -21,13 +21,14 @@
 	webSocket *websocket.Conn
 	received  scanner // stream formed by the client's messages, each of which must end between stanzas
 	sent      scanner // stream that the session writes
-	stanza    []byte  // stanza of the session, as far as written so far
+	stanza    []byte  // bytes of the session's current stanza written so far
 	closeSent bool
 }
 
 var _ loop.Handler = (*messageConn)(nil)
 
-// newMessageConn returns the connection for the session to use. Its webSocket handles the bytes of the layer below.
+// newMessageConn returns the connection that the session uses on top of WebSocket. The caller must make its webSocket
+// the handler of the layer below.
 func (s *clientSession) newMessageConn() *messageConn {
 	m := &messageConn{session: s, received: s.front.newScanner(), sent: s.front.newScanner()}
 	m.received.mayRestart = true
@@ -40,13 +41,13 @@
 // OnConnect does nothing, because the connection was accepted, not dialled.
 func (m *messageConn) OnConnect() {}
 
-// OnDrained tells the session that all written bytes are with the kernel.
+// OnDrained tells the session that all its bytes have been written to the kernel.
 func (m *messageConn) OnDrained() { m.session.OnDrained() }
 
-// Evict ends the session to make room for another connection.
+// Evict ends the session with a stream error to make room for another connection.
 func (m *messageConn) Evict() { m.session.Evict() }
 
-// OnEnd tells the session that its client has ended.
+// OnEnd tells the session that the client's connection has ended.
 func (m *messageConn) OnEnd(err error) { m.session.OnEnd(err) }
 
 // OnData handles a message of the client.
@@ -61,8 +62,8 @@
 		return
 	}
 	m.received.mayRestart = m.received.mayRestart || m.received.betweenStanzas()
-	// Each message is one complete element (RFC 7395, section 3.3.3). The next message would be read inside an element
-	// that was left open.
+	// Each message is one complete element (RFC 7395, section 3.3.3). If an element were left open, the next message
+	// would be read as its content.
 	_, errorCondition := m.received.feed(markup, func(xmlToken) bool { return true })
 	if errorCondition == noCondition && (len(m.received.pending) > 0 || !m.received.betweenStanzas()) {
 		errorCondition = badFormat
@@ -113,7 +114,7 @@
 	return markup.String()
 }
 
-// Write sends each stanza of the bytes that the session writes to its client as one message.
+// Write takes bytes that the session writes to its client, and sends each stanza in them as one message.
 func (m *messageConn) Write(data []byte) {
 	m.sent.mayRestart = m.sent.mayRestart || m.sent.betweenStanzas()
 	// No condition is expected, because the bytes are the front's own or have passed the scanner of the server's
