--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -9,54 +9,55 @@
 	"spurwinch/internal/transport/tls"
 )
 
-// What an operator's file without these keys of [peers] has.
+// Default values of keys of [peers] in an operator's file.
 const (
-	defaultPrefixBits4 = 32 // each IPv4 address is a peer
-	defaultPrefixBits6 = 64 // a subnet, all of whose IPv6 addresses one host can take
+	defaultPrefixBits4 = 32 // each IPv4 address is a peer of its own
+	defaultPrefixBits6 = 64 // a subnet, because one machine can use all IPv6 addresses of its subnet
 	defaultMaxPeers    = 65536
 )
 
-// Peers says what one peer, which is a network prefix, may have, and which networks are kept out or free of limits.
+// Peers holds the limits of one peer, which is a network prefix, and the files of networks that are denied or exempt
+// from limits.
 type Peers struct {
-	Bits4   int    `toml:"bits4,omitzero"`  // of an IPv4 address that make up one peer
-	Bits6   int    `toml:"bits6,omitzero"`  // of an IPv6 address
-	Most    int    `toml:"most,omitzero"`   // peers that are told apart
-	Deny    string `toml:"deny,omitempty"`  // file of networks that are kept out, one a line
-	Allow   string `toml:"allow,omitempty"` // and of those that no limit holds for
-	Streams        // of one peer
+	PrefixBits4  int    `toml:"bits4,omitzero"`  // leading bits of an IPv4 address that identify a peer
+	PrefixBits6  int    `toml:"bits6,omitzero"`  // leading bits of an IPv6 address that identify a peer
+	MaxPeers     int    `toml:"most,omitzero"`   // maximum number of peers that are tracked separately
+	Deny         string `toml:"deny,omitempty"`  // file of denied networks, one per line
+	Allow        string `toml:"allow,omitempty"` // file of networks that are exempt from limits
+	StreamLimits        // limits of one peer
 }
 
-// Streams bound the streams of a peer or a domain; 0: no limit.
-type Streams struct {
-	Streams         int     `toml:"streams,omitzero"`         // open at once
-	Unauthenticated int     `toml:"unauthenticated,omitzero"` // of these, not authenticated yet
-	Rate            float64 `toml:"new_per_second,omitzero"`
-	Burst           int     `toml:"burst,omitzero"` // new streams beyond the rate
+// StreamLimits limits the streams of a peer or a domain. 0 means no limit.
+type StreamLimits struct {
+	Streams         int     `toml:"streams,omitzero"`         // concurrently open streams
+	Unauthenticated int     `toml:"unauthenticated,omitzero"` // open streams that are not authenticated yet
+	Rate            float64 `toml:"new_per_second,omitzero"`  // new streams per second
+	Burst           int     `toml:"burst,omitzero"`           // new streams allowed in excess of the rate
 }
 
-func (s Streams) limits() peerlimit.Limits {
+func (s StreamLimits) limits() peerlimit.Limits {
 	return peerlimit.Limits{Streams: s.Streams, Unauthenticated: s.Unauthenticated, Rate: s.Rate, Burst: s.Burst}
 }
 
-func (s Streams) check(file *tomlfile.File, path string) {
-	valid := s.Streams >= 0 && s.Unauthenticated >= 0 && s.Burst >= 0 && s.Rate >= 0 // false where the rate is NaN
+func (s StreamLimits) check(file *tomlfile.File, path string) {
+	valid := s.Streams >= 0 && s.Unauthenticated >= 0 && s.Burst >= 0 && s.Rate >= 0 // false if the rate is NaN
 	if !valid {
-		file.Fault(path, "streams, unauthenticated, new_per_second and burst are 0, for no limit, or more")
+		file.Fault(path, "streams, unauthenticated, new_per_second and burst must be 0 (no limit) or greater")
 	}
 }
 
-// AdmissionRules is what holds for the streams of clients: the rules, the networks that are kept out or free of limits
-// (nil: none), and the limits of domains by their names.
+// AdmissionRules returns the admission rules for client streams, the networks that are denied or exempt from limits
+// (nil if there are none), and the limits of domains by name.
 func (o *Operator) AdmissionRules() (peerlimit.Rules, *peerlimit.Networks, map[string]peerlimit.Limits) {
 	domains := map[string]peerlimit.Limits{}
 	for _, domain := range o.Domains {
 		domains[domain.Name] = domain.limits()
 	}
 	rules := peerlimit.Rules{
-		PrefixBits4: o.Peers.Bits4,
-		PrefixBits6: o.Peers.Bits6,
+		PrefixBits4: o.Peers.PrefixBits4,
+		PrefixBits6: o.Peers.PrefixBits6,
 		Peer:        o.Peers.limits(),
-		MaxPeers:    o.Peers.Most,
+		MaxPeers:    o.Peers.MaxPeers,
 	}
 	return rules, o.Networks, domains
 }
@@ -77,18 +78,20 @@
 
 func (p *Peers) check(file *tomlfile.File) {
 	const maxPeers = 1 << 20
-	tomlfile.Fill(&p.Bits4, defaultPrefixBits4)
-	tomlfile.Fill(&p.Bits6, defaultPrefixBits6)
-	tomlfile.Fill(&p.Most, defaultMaxPeers)
-	valid := p.Bits4 >= 1 && p.Bits4 <= 32 && p.Bits6 >= 1 && p.Bits6 <= 128 && p.Most >= 1 && p.Most <= maxPeers
+	tomlfile.Fill(&p.PrefixBits4, defaultPrefixBits4)
+	tomlfile.Fill(&p.PrefixBits6, defaultPrefixBits6)
+	tomlfile.Fill(&p.MaxPeers, defaultMaxPeers)
+	valid := p.PrefixBits4 >= 1 && p.PrefixBits4 <= 32 &&
+		p.PrefixBits6 >= 1 && p.PrefixBits6 <= 128 &&
+		p.MaxPeers >= 1 && p.MaxPeers <= maxPeers
 	if !valid {
-		file.Fault("peers", "[peers] bits4 is 1 to 32, bits6 1 to 128, most 1 to %d", maxPeers)
+		file.Fault("peers", "[peers] bits4 must be 1 to 32, bits6 1 to 128, most 1 to %d", maxPeers)
 	}
-	p.Streams.check(file, "peers")
+	p.StreamLimits.check(file, "peers")
 }
 
-// readNetworks adds the list of networks in the file at path, which are exempt from limits or else denied. The key
-// names the list in a fault of the operator's file; an empty path is no list.
+// readNetworks adds the list of networks in the file at path. They are exempt from limits if exempt is set, and denied
+// otherwise. A fault is reported for the given key of the operator's file. Without a path there is no list to read.
 func (o *Operator) readNetworks(file *tomlfile.File, key, path string, exempt bool) {
 	if path == "" {
 		return
@@ -102,7 +105,7 @@
 	}
 }
 
-// readCertificates reads the files of the certificates, so that a fault in one is a fault of the operator's file.
+// readCertificates reads the certificate files. A fault in one of them is reported as a fault of the operator's file.
 func (o *Operator) readCertificates(file *tomlfile.File) {
 	var pairs []tls.Pair
 	for i, certificate := range o.Certificates {
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -10,62 +10,62 @@
 	"spurwinch/internal/edge"
 )
 
-// Cluster is a set of servers: static ones, or discovery's.
+// Cluster is a set of servers, which are either static or come from a discovery service.
 type Cluster struct {
-	Name              string   `toml:"name"`
-	Zone              string   `toml:"zone,omitempty"`
-	Discovery         string   `toml:"discovery,omitempty"` // IP:PORT of a discovery service; empty: Hosts
-	Sessions          float64  `toml:"sessions,omitzero"`   // capacity of a server of weight 1
-	Nodes             int      `toml:"nodes,omitzero"`      // that share the cluster, this one among them
-	Attempts          int      `toml:"attempts,omitzero"`   // of one session at most
-	ConnectTimeout    Duration `toml:"connect_timeout,omitzero"`
-	DrainGrace        Duration `toml:"drain_grace,omitzero"`   // a draining server gets nothing new after this
-	DrainPeriod       Duration `toml:"leave,omitzero"`         // its open sessions are told to leave over this time
-	SlowStartFraction float64  `toml:"cold_share,omitzero"`    // fraction of its capacity that a server starts with
-	WarmUp            Duration `toml:"warm_up,omitzero"`       // length of the slow start
-	OverloadMultiple  float64  `toml:"fall_multiple,omitzero"` // a server with more than this multiple of its capacity
-	OverloadTime      Duration `toml:"fall_time,omitzero"`     // for so long fails
-	Hosts             []Host   `toml:"host,omitempty"`
+	Name              string         `toml:"name"`
+	Zone              string         `toml:"zone,omitempty"`
+	Discovery         string         `toml:"discovery,omitempty"` // IP:PORT of a discovery service; empty: static
+	Sessions          float64        `toml:"sessions,omitzero"`   // capacity of a server of weight 1
+	Nodes             int            `toml:"nodes,omitzero"`      // nodes that share the cluster, including this one
+	Attempts          int            `toml:"attempts,omitzero"`   // maximum attempts of one session
+	ConnectTimeout    Duration       `toml:"connect_timeout,omitzero"`
+	DrainGrace        Duration       `toml:"drain_grace,omitzero"`   // a draining server gets no new session after this
+	DrainPeriod       Duration       `toml:"leave,omitzero"`         // time over which its sessions are told to leave
+	SlowStartFraction float64        `toml:"cold_share,omitzero"`    // fraction of its capacity at a server's start
+	WarmUp            Duration       `toml:"warm_up,omitzero"`       // length of the slow start
+	OverloadMultiple  float64        `toml:"fall_multiple,omitzero"` // a server above this multiple of its capacity
+	OverloadTime      Duration       `toml:"fall_time,omitzero"`     // for this long fails
+	Servers           []StaticServer `toml:"host,omitempty"`
 }
 
-// Host is a static server.
-type Host struct {
+// StaticServer is a server that the operator's file lists, a [[cluster.host]].
+type StaticServer struct {
 	ID      string    `toml:"id,omitempty"` // empty: its address
 	Addr    string    `toml:"addr"`         // IP:PORT
 	Zone    string    `toml:"zone,omitempty"`
-	Kind    string    `toml:"kind,omitempty"` // of its machine
+	Kind    string    `toml:"kind,omitempty"` // kind of its machine
 	Weight  float64   `toml:"weight,omitzero"`
-	State   string    `toml:"state,omitempty"` // one of the states below
+	State   string    `toml:"state,omitempty"` // stateServing or stateDraining; empty: stateServing
 	Started time.Time `toml:"started,omitempty"`
 }
 
-// States of a Host.
+// States of a StaticServer.
 const (
 	stateServing  = "serving"
 	stateDraining = "draining"
 )
 
-// MaxAttempts is the most attempts that a session may take.
+// MaxAttempts is the maximum number of attempts of a session.
 const MaxAttempts = 4
 
-// maxDrainGrace is how long the platform's rules let a draining server get new sessions.
+// maxDrainGrace is the time for which the platform's rules allow new sessions on a draining server.
 const maxDrainGrace = 3 * time.Second
 
-// clusterCheck notes the faults of one cluster.
+// clusterCheck reports the faults of one cluster as faults of the file.
 type clusterCheck struct {
 	file    *tomlfile.File
-	path    string // of its table
-	cluster string // its name
+	path    string // path of the cluster's table
+	cluster string // name of the cluster
 }
 
-func (c clusterCheck) addIf(wrong bool, key, format string, args ...any) {
-	if wrong {
+func (c clusterCheck) addIf(invalid bool, key, format string, args ...any) {
+	if invalid {
 		c.file.Fault(c.path+"."+key, "cluster %q: %s", c.cluster, fmt.Sprintf(format, args...))
 	}
 }
 
-// setUsualValues fills in the keys that were left out.
-func (c *Cluster) setUsualValues() {
+// setDefaults sets the default values of keys that the file omits.
+func (c *Cluster) setDefaults() {
 	tomlfile.Fill(&c.Sessions, 1000)
 	tomlfile.Fill(&c.Nodes, 1)
 	tomlfile.Fill(&c.Attempts, MaxAttempts)
@@ -79,49 +79,50 @@
 }
 
 func (c *Cluster) check(file *tomlfile.File, path string) {
-	c.setUsualValues()
+	c.setDefaults()
 	found := clusterCheck{file: file, path: path, cluster: c.Name}
 	found.addIf(c.Attempts < 1 || c.Attempts > MaxAttempts, "attempts", "attempts must be 1 to %d", MaxAttempts)
-	validSessions := c.Sessions >= 1 // false for NaN, as the other numbers below
-	found.addIf(!validSessions, "sessions", "sessions must be 1 or more")
-	found.addIf(c.Nodes < 1, "nodes", "nodes must be 1 or more")
-	found.addIf(c.DrainGrace > Duration(maxDrainGrace), "drain_grace", "drain_grace may be 3s at most")
+	validSessions := c.Sessions >= 1 // false for NaN, like the other conditions below
+	found.addIf(!validSessions, "sessions", "sessions must be 1 or greater")
+	found.addIf(c.Nodes < 1, "nodes", "nodes must be 1 or greater")
+	found.addIf(c.DrainGrace > Duration(maxDrainGrace), "drain_grace", "drain_grace must be at most 3s")
 	validColdShare := c.SlowStartFraction >= 0 && c.SlowStartFraction <= 1
 	found.addIf(!validColdShare, "cold_share", "cold_share must be 0 to 1")
 	validFallMultiple := c.OverloadMultiple > 0
-	found.addIf(!validFallMultiple, "fall_multiple", "fall_multiple must be over 0")
-	found.addIf(c.Discovery != "" && len(c.Hosts) > 0, "discovery", "discovery and hosts exclude each other")
-	found.addIf(c.Discovery == "" && len(c.Hosts) == 0, "name", "neither discovery nor a [[cluster.host]]")
+	found.addIf(!validFallMultiple, "fall_multiple", "fall_multiple must be greater than 0")
+	found.addIf(c.Discovery != "" && len(c.Servers) > 0, "discovery",
+		"discovery and [[cluster.host]] are mutually exclusive")
+	found.addIf(c.Discovery == "" && len(c.Servers) == 0, "name", "must have either discovery or a [[cluster.host]]")
 	if c.Discovery != "" {
 		_, err := netip.ParseAddrPort(c.Discovery)
 		found.addIf(err != nil, "discovery", "discovery %q is not IP:PORT", c.Discovery)
 	}
-	c.checkHosts(found)
+	c.checkServers(found)
 }
 
-func (c *Cluster) checkHosts(found clusterCheck) {
+func (c *Cluster) checkServers(found clusterCheck) {
 	seen := map[string]bool{}
-	for i := range c.Hosts {
-		host := &c.Hosts[i]
-		tomlfile.Fill(&host.ID, host.Addr)
-		tomlfile.Fill(&host.Weight, 1)
-		tomlfile.Fill(&host.State, stateServing)
-		tomlfile.Fill(&host.Zone, c.Zone)
+	for i := range c.Servers {
+		server := &c.Servers[i]
+		tomlfile.Fill(&server.ID, server.Addr)
+		tomlfile.Fill(&server.Weight, 1)
+		tomlfile.Fill(&server.State, stateServing)
+		tomlfile.Fill(&server.Zone, c.Zone)
 		path := fmt.Sprintf("host.%d.", i)
-		_, err := netip.ParseAddrPort(host.Addr)
-		found.addIf(err != nil, path+"addr", "host address %q is not IP:PORT", host.Addr)
-		found.addIf(seen[host.ID], path+"id", "host %q stands twice", host.ID)
-		found.addIf(host.State != stateServing && host.State != stateDraining, path+"state",
-			"host %q: state %q is neither serving nor draining", host.ID, host.State)
-		validWeight := host.Weight > 0 // false for NaN
-		found.addIf(!validWeight, path+"weight", "host %q: weight must be over 0", host.ID)
-		seen[host.ID] = true
+		_, err := netip.ParseAddrPort(server.Addr)
+		found.addIf(err != nil, path+"addr", "host address %q is not IP:PORT", server.Addr)
+		found.addIf(seen[server.ID], path+"id", "host %q is listed twice, its id must be unique", server.ID)
+		found.addIf(server.State != stateServing && server.State != stateDraining, path+"state",
+			"host %q: state must be serving or draining, got %q", server.ID, server.State)
+		validWeight := server.Weight > 0 // false for NaN
+		found.addIf(!validWeight, path+"weight", "host %q: weight must be greater than 0", server.ID)
+		seen[server.ID] = true
 	}
 }
 
-// Settings is what the decision module is told of a cluster.
+// Settings returns the settings of package choice for a cluster.
 func (o *Operator) Settings(cluster Cluster) choice.Settings {
-	// Load is the core's own count: there is nothing to find out by asking, and sessions stay where they are.
+	// The load is the core's own count. Asking servers for it yields nothing new, and sessions stay on their server.
 	settings := choice.Settings{
 		Nodes:          cluster.Nodes,
 		Zone:           cluster.Zone,
@@ -161,29 +162,30 @@
 	return settings
 }
 
-// StaticHosts are the cluster's servers as the core takes them. seen tells when a server first stood in the file; one
-// that comes in while the program runs counts as started then, unless the file says otherwise.
+// StaticHosts returns the cluster's servers as entries for the core. seen returns when a server was first in the file.
+// That time is the start time of a server for which the file has none: a server that is added while the program runs
+// counts as started when it was added.
 func (c Cluster) StaticHosts(seen func(id string) time.Time) []edge.ServerEntry {
 	var servers []edge.ServerEntry
-	for _, host := range c.Hosts {
-		started := host.Started
+	for _, server := range c.Servers {
+		started := server.Started
 		if started.IsZero() {
-			started = seen(host.ID)
+			started = seen(server.ID)
 		}
-		servers = append(servers, host.server(started))
+		servers = append(servers, server.serverEntry(started))
 	}
 	return servers
 }
 
-func (h Host) server(started time.Time) edge.ServerEntry {
-	server := edge.ServerEntry{Addr: h.Addr, Server: choice.Server{
-		ID: choice.ServerID(h.ID), Zone: h.Zone, Kind: h.Kind, Size: h.Weight,
+func (s StaticServer) serverEntry(started time.Time) edge.ServerEntry {
+	entry := edge.ServerEntry{Addr: s.Addr, Server: choice.Server{
+		ID: choice.ServerID(s.ID), Zone: s.Zone, Kind: s.Kind, Size: s.Weight,
 	}}
-	if h.State == stateDraining {
-		server.State = choice.Draining
+	if s.State == stateDraining {
+		entry.State = choice.Draining
 	}
 	if !started.IsZero() {
-		server.Started = time.Duration(started.UnixNano())
+		entry.Started = time.Duration(started.UnixNano())
 	}
-	return server
+	return entry
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -3,35 +3,35 @@
 import "errors"
 
 var (
-	// ErrNoConfigFile says that the environment doesn't name the file of the node's configuration.
+	// ErrNoConfigFile means that the environment doesn't name the node's configuration file.
 	ErrNoConfigFile = errors.New("GW_CONFIG is not set")
-	// ErrEmptyFile says that a config.json has nothing in it.
-	ErrEmptyFile = errors.New("the file is empty: a JSON object is wanted")
-	// ErrNoObject says that a config.json holds another JSON value than an object.
-	ErrNoObject = errors.New("no JSON object: {\"name\": ..., \"settings\": {...}} is wanted")
+	// ErrEmptyFile means that a config.json contains nothing but white space.
+	ErrEmptyFile = errors.New("the file is empty, it must contain a JSON object")
+	// ErrNoObject means that a config.json contains a JSON value that is not an object.
+	ErrNoObject = errors.New("the file must contain a JSON object: {\"name\": ..., \"settings\": {...}}")
 )
 
-// FileError says that a config.json can't be used.
+// FileError is the error for an invalid config.json.
 type FileError struct {
 	File string
-	Err  error // a *KeyError where one key is at fault
+	Err  error // a *KeyError if one key is invalid
 }
 
-// Error is the file and what is wrong with it, in one line.
+// Error returns the file and the cause in one line.
 func (e *FileError) Error() string { return e.File + ": " + e.Err.Error() }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// KeyError says which key of a config.json is at fault.
+// KeyError is the error for an invalid or missing key of a config.json.
 type KeyError struct {
-	Key     string // path, as in "limits.sockets"
-	Problem string // what was found and what is wanted, as operators read it
-	Err     error  // the cause, where another package found it; its text is part of Problem
+	Key     string // path, for example "limits.sockets"
+	Problem string // the invalid value and what is allowed, for operators
+	Err     error  // the error of another package, if that is the cause; its text is part of Problem
 }
 
-// Error is the problem, as operators read it.
+// Error returns the problem, for operators.
 func (e *KeyError) Error() string { return e.Problem }
 
-// Unwrap is the cause, where another package found it.
+// Unwrap returns the error of another package that is the cause, or nil.
 func (e *KeyError) Unwrap() error { return e.Err }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -9,30 +9,30 @@
 	"spurwinch/internal/config/tomlfile"
 )
 
-// Fleet is a node's own part of what it needs to be one of a fleet.
+// Fleet is the part of a fleet's configuration that belongs to one node.
 type Fleet struct {
 	Self       string   `toml:"self,omitempty"`      // this node's name in the list
 	Listen     string   `toml:"listen,omitempty"`    // IP:PORT for datagrams and streams of other nodes
-	Nodes      string   `toml:"nodes,omitempty"`     // file with the list of nodes and what is common
+	Nodes      string   `toml:"nodes,omitempty"`     // file with the list of nodes and the common rules
 	KeyFile    string   `toml:"key_file,omitempty"`  // file with the key that signs messages between nodes
-	Dir        string   `toml:"dir,omitempty"`       // for what must outlive the process; voters need it
-	Cluster    string   `toml:"cluster,omitempty"`   // whose zones are planned; empty: the platform's
+	Dir        string   `toml:"dir,omitempty"`       // for state that must outlive the process; voters need it
+	Cluster    string   `toml:"cluster,omitempty"`   // cluster whose zones are planned; empty: the platform's
 	RetryAfter Duration `toml:"come_again,omitzero"` // advice to clients whose request is rejected
-	// PolicyLevel holds this node to policies without keys of a later level, as while a fleet goes over to a newer
-	// version; 0: all that it knows.
+	// PolicyLevel restricts this node to policies without keys of a later level, for example while a fleet is being
+	// upgraded to a newer version. 0 means that all keys known to this program are allowed.
 	PolicyLevel int `toml:"policy_level,omitzero"`
 
-	List   *FleetList `toml:"-"` // of the file that Nodes names
-	Secret []byte     `toml:"-"` // of KeyFile
+	List   *FleetList `toml:"-"` // read from the file Nodes
+	Secret []byte     `toml:"-"` // read from KeyFile
 }
 
-// minFleetKey is the least length of a fleet's key, in bytes: as long as the HMAC-SHA-256 that it signs messages with.
-const minFleetKey = 32
+// minFleetKeyBytes is the minimum length of a fleet's key: the size of the HMAC-SHA-256 that signs messages.
+const minFleetKeyBytes = 32
 
-// Votes says whether this node is a voter.
+// Votes reports whether this node is a voter.
 func (c *Fleet) Votes() bool { return c.List.List.Node(c.List.List.Index(c.Self)).Voter }
 
-// check checks a node's part and reads the files that it names.
+// check sets default values, checks the table and reads the files that it names.
 func (c *Fleet) check(file *tomlfile.File) {
 	tomlfile.Fill(&c.RetryAfter, Duration(time.Second))
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
@@ -42,9 +42,9 @@
 	if c.List != nil && c.List.Policy != nil {
 		c.checkPolicy(file)
 	}
-	if c.PolicyLevel < 0 || c.PolicyLevel > policyLevel {
-		file.Fault("fleet.policy_level", "[fleet] policy_level = %d: 1 to %d are known, 0 is all of them",
-			c.PolicyLevel, policyLevel)
+	if c.PolicyLevel < 0 || c.PolicyLevel > newestPolicyLevel {
+		file.Fault("fleet.policy_level", "[fleet] policy_level = %d: must be 0 (all levels) or 1 to %d",
+			c.PolicyLevel, newestPolicyLevel)
 	}
 	c.readSecret(file)
 }
@@ -52,7 +52,7 @@
 // readList reads the list of nodes and finds this node in it.
 func (c *Fleet) readList(file *tomlfile.File) {
 	if c.Nodes == "" {
-		file.Fault("fleet.nodes", "[fleet] without nodes: the file with the list of nodes is wanted")
+		file.Fault("fleet.nodes", "[fleet] without nodes: must name the file with the list of nodes")
 		return
 	}
 	list, err := ReadFleetList(c.Nodes)
@@ -62,28 +62,28 @@
 	}
 	c.List = list
 	if list.List.Index(c.Self) < 0 {
-		file.Fault("fleet.self", "[fleet] self = %q: a name in %s is wanted", c.Self, c.Nodes)
+		file.Fault("fleet.self", "[fleet] self = %q: must be the name of a node in %s", c.Self, c.Nodes)
 		return
 	}
 	if c.Votes() && c.Dir == "" {
-		file.Fault("fleet.dir", "[fleet] without dir: %q is a voter, and what it promises must outlive its process",
-			c.Self)
+		file.Fault("fleet.dir",
+			"[fleet] without dir: %q is a voter and needs a directory for state that must outlive its process", c.Self)
 	}
 }
 
-// checkPolicy checks what a fleet with its policy on the log needs of each node.
+// checkPolicy checks the requirements for a node of a fleet that has its policy on the log.
 func (c *Fleet) checkPolicy(file *tomlfile.File) {
 	if c.Dir == "" {
 		file.Fault("fleet.dir", "[fleet] without dir: the fleet has its policy on the log, "+
-			"and what a node knows of it must outlive its process")
+			"so a node needs a directory for the policy, which must outlive its process")
 	}
 	if c.Cluster != "" {
 		file.Fault("fleet.cluster", "[fleet] cluster = %q: a fleet with its policy on the log "+
-			"serves the platform's front, which has no cluster", c.Cluster)
+			"serves the platform's front end, so cluster must not be set", c.Cluster)
 	}
 }
 
-// readSecret reads the fleet's key: the whole text of the file, without the white space around it, is the key.
+// readSecret reads the fleet's key, which is the text of the file without leading and trailing white space.
 func (c *Fleet) readSecret(file *tomlfile.File) {
 	raw, err := os.ReadFile(c.KeyFile)
 	if err != nil {
@@ -91,9 +91,9 @@
 		return
 	}
 	key := strings.TrimSpace(string(raw))
-	if len(key) < minFleetKey {
-		file.Fault("fleet.key_file", "[fleet] key_file: %s has a key of %d characters: %d or more are wanted",
-			c.KeyFile, len(key), minFleetKey)
+	if len(key) < minFleetKeyBytes {
+		file.Fault("fleet.key_file", "[fleet] key_file: %s has a key of %d bytes: must have at least %d bytes",
+			c.KeyFile, len(key), minFleetKeyBytes)
 		return
 	}
 	c.Secret = []byte(key)
--- a/internal/config/fleetlist.go
+++ b/internal/config/fleetlist.go
@@ -10,21 +10,21 @@
 	"spurwinch/internal/membership"
 )
 
-// FleetList is the file that is the same at all nodes of a fleet: the nodes, and the rules that they have in common.
+// FleetList is the file that all nodes of a fleet share. It lists the nodes and their common rules.
 type FleetList struct {
 	NodeList        []FleetNode      `toml:"node"`
 	Plan            FleetPlan        `toml:"plan,omitempty"`
 	RegionDistances []RegionDistance `toml:"far,omitempty"`
-	Policy          *FleetPolicy     `toml:"policy,omitempty"` // nil: each node goes by its own files
+	Policy          *FleetPolicy     `toml:"policy,omitempty"` // nil: each node's policy comes from its own files
 
-	List *membership.List `toml:"-"` // of NodeList
-	Addr []string         `toml:"-"` // by number in List
+	List *membership.List `toml:"-"` // built from NodeList
+	Addr []string         `toml:"-"` // addresses of nodes, by their number in List
 }
 
-// FleetNode is one node.
+// FleetNode is one node of a fleet.
 type FleetNode struct {
 	Name   string `toml:"name"`
-	Addr   string `toml:"addr"` // IP:PORT for messages of other nodes
+	Addr   string `toml:"addr"` // IP:PORT for messages from other nodes
 	Zone   string `toml:"zone"`
 	Region string `toml:"region,omitempty"`
 	Voter  bool   `toml:"voter,omitempty"`
@@ -32,20 +32,20 @@
 
 // FleetPlan holds the rules of the plans that move load between zones.
 type FleetPlan struct {
-	UtilizationLimit float64  `toml:"limit,omitzero"` // fraction of a server's capacity that is planned for
-	GrantLifetime    Duration `toml:"life,omitzero"`  // of a grant into another zone without word of the leader
-	RecoveryDelay    Duration `toml:"hold,omitzero"`  // a zone must be healthy for so long before it takes load again
+	UtilizationLimit float64  `toml:"limit,omitzero"` // fraction of a server's capacity that plans use
+	GrantLifetime    Duration `toml:"life,omitzero"`  // of a grant to another zone without contact to the leader
+	RecoveryDelay    Duration `toml:"hold,omitzero"`  // time a zone must be healthy before it takes load again
 	RecoveryRamp     float64  `toml:"ramp,omitzero"`  // fraction of a recovered zone's capacity given back each second
-	RegionalClasses  []string `toml:"stay,omitempty"` // classes that don't leave their region
+	RegionalClasses  []string `toml:"stay,omitempty"` // classes whose requests must stay in their region
 }
 
-// RegionDistance is the relative cost of traffic between two regions; 1 where none is told.
+// RegionDistance is the relative cost of traffic between two regions. Regions without an entry have the cost 1.
 type RegionDistance struct {
 	Between []string `toml:"between"`
 	Cost    float64  `toml:"cost"`
 }
 
-// Default values of the rules of plans, in the list of nodes as in a policy document.
+// Default values of the plan rules, for both the list of nodes and policy documents.
 const (
 	defaultUtilizationLimit = 0.85
 	defaultRecoveryDelay    = Duration(4 * time.Second)
@@ -53,11 +53,12 @@
 )
 
 const (
-	maxNodeName = 64 // bytes, of a node's and of a zone's name
-	farFormat   = "[[far]]: between = [REGION, REGION] and a cost of 1 or more are wanted"
+	maxNodeName           = 64 // bytes of the name of a node or zone
+	regionDistanceProblem = "[[far]]: between = [REGION, REGION] and a cost of 1 or more are required"
 )
 
-// ReadFleetList reads and checks a list of nodes. The error is a tomlfile.Faults, where the file could be read.
+// ReadFleetList reads and checks a list of nodes. If the file can be read but is
+// invalid, the error is a tomlfile.Faults.
 func ReadFleetList(path string) (*FleetList, error) {
 	source, err := tomlfile.Load(path)
 	if err != nil {
@@ -77,12 +78,12 @@
 		l.Policy.check(file)
 	}
 	l.checkNodes(file)
-	for i, far := range l.RegionDistances {
-		if !far.isValid() {
-			file.Fault(fmt.Sprintf("far.%d", i), farFormat)
+	for i, distance := range l.RegionDistances {
+		if !distance.isValid() {
+			file.Fault(fmt.Sprintf("far.%d", i), regionDistanceProblem)
 		}
 	}
-	l.number(file)
+	l.buildList(file)
 }
 
 func (p *FleetPlan) check(file *tomlfile.File) {
@@ -90,27 +91,27 @@
 	tomlfile.Fill(&p.GrantLifetime, Duration(30*time.Second))
 	tomlfile.Fill(&p.RecoveryDelay, defaultRecoveryDelay)
 	tomlfile.Fill(&p.RecoveryRamp, defaultRecoveryRamp)
-	validLimit := p.UtilizationLimit > 0.1 && p.UtilizationLimit <= 1 // false for NaN, as validRamp is
+	validLimit := p.UtilizationLimit > 0.1 && p.UtilizationLimit <= 1 // false for NaN, like validRamp
 	if !validLimit {
-		file.Fault("plan.limit", "limit = %v: a part over 0.1, up to 1, is wanted", p.UtilizationLimit)
+		file.Fault("plan.limit", "limit = %v: must be greater than 0.1 and at most 1", p.UtilizationLimit)
 	}
 	validRamp := p.RecoveryRamp > 0 && p.RecoveryRamp <= 1
 	if !validRamp {
-		file.Fault("plan.ramp", "ramp = %v: a part over 0, up to 1, is wanted", p.RecoveryRamp)
+		file.Fault("plan.ramp", "ramp = %v: must be greater than 0 and at most 1", p.RecoveryRamp)
 	}
 	lifetime := time.Duration(p.GrantLifetime)
 	if lifetime < 3*time.Second || lifetime > 5*time.Minute {
-		file.Fault("plan.life", "life = %q: 3s to 5m are possible", lifetime)
+		file.Fault("plan.life", "life = %q: must be between 3s and 5m", lifetime)
 	}
 	delay := time.Duration(p.RecoveryDelay)
 	if delay < time.Second || delay > time.Hour {
-		file.Fault("plan.hold", "hold = %q: 1s to 1h are possible", delay)
+		file.Fault("plan.hold", "hold = %q: must be between 1s and 1h", delay)
 	}
 }
 
-func (f RegionDistance) isValid() bool { return len(f.Between) == 2 && f.Cost >= 1 } // false where the cost is NaN
+func (d RegionDistance) isValid() bool { return len(d.Between) == 2 && d.Cost >= 1 } // false for NaN
 
-// checkNodes finds faults of single nodes, and a wrong number of voters.
+// checkNodes checks each node and the number of voters.
 func (l *FleetList) checkNodes(file *tomlfile.File) {
 	voters := 0
 	seen := map[string]bool{}
@@ -119,24 +120,24 @@
 		if _, err := netip.ParseAddrPort(node.Addr); err != nil {
 			file.Fault(path+"addr", "node %q: address %q is not IP:PORT", node.Name, node.Addr)
 		} else if seen[node.Addr] {
-			file.Fault(path+"addr", "node %q: address %s stands twice", node.Name, node.Addr)
+			file.Fault(path+"addr", "node %q: address %s is listed twice, it must be unique", node.Name, node.Addr)
 		}
 		seen[node.Addr] = true
 		if len(node.Zone) > maxNodeName || len(node.Name) > maxNodeName {
-			file.Fault(path+"name", "node %q: names have 64 bytes at most", node.Name)
+			file.Fault(path+"name", "node %q: the names of the node and its zone must have at most 64 bytes", node.Name)
 		}
 		if node.Voter {
 			voters++
 		}
 	}
-	tooSmallForMore := voters == 1 && len(l.NodeList) < 3
-	if voters != 3 && voters != 5 && voters != 7 && !tooSmallForMore {
-		file.Fault("node", "%d voters: 3, 5 or 7 nodes with voter = true are wanted, in different zones", voters)
+	singleVoterAllowed := voters == 1 && len(l.NodeList) < 3
+	if voters != 3 && voters != 5 && voters != 7 && !singleVoterAllowed {
+		file.Fault("node", "%d voters: there must be 3, 5 or 7 nodes with voter = true, in different zones", voters)
 	}
 }
 
-// number gives the nodes their numbers, which are the same wherever the list is read.
-func (l *FleetList) number(file *tomlfile.File) {
+// buildList sets List, which numbers the nodes, and Addr. The numbers are the same on all nodes that read the list.
+func (l *FleetList) buildList(file *tomlfile.File) {
 	var nodes []membership.Node
 	for _, node := range l.NodeList {
 		nodes = append(nodes, membership.Node{
@@ -149,7 +150,7 @@
 		return
 	}
 	if len(list.Zones()) > failover.MaxZones {
-		file.Fault("node", "%d zones: %d at most", len(list.Zones()), failover.MaxZones)
+		file.Fault("node", "%d zones: must be at most %d", len(list.Zones()), failover.MaxZones)
 	}
 	l.List = list
 	l.Addr = make([]string, list.Len())
@@ -158,13 +159,13 @@
 	}
 }
 
-// Rules are the plans' rules, but for the classes.
+// Rules returns the rules of plans without those of classes.
 func (l *FleetList) Rules() failover.Rules {
 	cost := map[[2]string]float64{}
-	for _, far := range l.RegionDistances {
-		from, to := far.Between[0], far.Between[1]
-		cost[[2]string{from, to}] = far.Cost
-		cost[[2]string{to, from}] = far.Cost
+	for _, distance := range l.RegionDistances {
+		from, to := distance.Between[0], distance.Between[1]
+		cost[[2]string{from, to}] = distance.Cost
+		cost[[2]string{to, from}] = distance.Cost
 	}
 	return failover.Rules{
 		UtilizationLimit: l.Plan.UtilizationLimit,
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -141,7 +141,7 @@
 		},
 		Domains: []Domain{{
 			Name: "chat.example.org", Cluster: "visits", Class: "visit",
-			Streams: Streams{Streams: 31, Unauthenticated: 32, Rate: 33.5, Burst: 34},
+			StreamLimits: StreamLimits{Streams: 31, Unauthenticated: 32, Rate: 33.5, Burst: 34},
 		}},
 		Classes: []Class{{Name: "visit", SetupObjective: 17 * second / 8, Deadline: 21 * second, Priority: 1.5}},
 		Clusters: []Cluster{
@@ -149,7 +149,7 @@
 				Name: "visits", Zone: "zone-1", Sessions: 1001, Nodes: 2, Attempts: 3,
 				ConnectTimeout: 7 * second / 4, DrainGrace: 11 * second / 4, DrainPeriod: 12 * second,
 				SlowStartFraction: 0.16, WarmUp: 31 * second, OverloadMultiple: 4.25, OverloadTime: 33 * second / 16,
-				Hosts: []Host{{
+				Servers: []StaticServer{{
 					ID: "visits-1", Addr: "127.0.0.1:15222", Zone: "zone-2", Kind: "m6", Weight: 1.25,
 					State: "draining", Started: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
 				}},
@@ -168,8 +168,8 @@
 			Cluster: "visits", RetryAfter: 5 * second / 4, PolicyLevel: 1,
 		},
 		Peers: Peers{
-			Bits4: 24, Bits6: 56, Most: 65535, Deny: "deny.txt", Allow: "allow.txt",
-			Streams: Streams{Streams: 21, Unauthenticated: 22, Rate: 23.5, Burst: 24},
+			PrefixBits4: 24, PrefixBits6: 56, MaxPeers: 65535, Deny: "deny.txt", Allow: "allow.txt",
+			StreamLimits: StreamLimits{Streams: 21, Unauthenticated: 22, Rate: 23.5, Burst: 24},
 		},
 		Certificates:      []Certificate{{Cert: "cert.pem", Key: "key.pem"}},
 		ClientAuthorities: "authorities.pem",
@@ -201,7 +201,7 @@
 	}
 	write("deny.txt", []byte("10.0.0.0/8\n"))
 	write("allow.txt", []byte("10.1.0.0/16\n"))
-	write("fleet.key", []byte(strings.Repeat("k", minFleetKey)+"\n"))
+	write("fleet.key", []byte(strings.Repeat("k", minFleetKeyBytes)+"\n"))
 	_, withoutPolicy, ok := bytes.Cut(nodes, []byte("[plan]"))
 	if !ok {
 		t.Fatal("testdata/nodes.toml has no [plan]")
@@ -230,7 +230,7 @@
 	if got.Keys == nil || got.Networks == nil || got.Fleet.List == nil {
 		t.Errorf("of the files that it names, one was not read: %+v", got)
 	}
-	if key := string(got.Fleet.Secret); key != strings.Repeat("k", minFleetKey) {
+	if key := string(got.Fleet.Secret); key != strings.Repeat("k", minFleetKeyBytes) {
 		t.Errorf("the fleet's key is %q, wanted that of the file", key)
 	}
 	list := got.Fleet.List
@@ -247,7 +247,7 @@
 	operator := Operator{
 		Listeners: []Listener{{Addr: "127.0.0.1:1", Protocol: "xmpp"}},
 		Domains:   []Domain{{Name: "d", Cluster: "c"}},
-		Clusters:  []Cluster{{Name: "c", Hosts: []Host{{Addr: "127.0.0.1:2"}}}},
+		Clusters:  []Cluster{{Name: "c", Servers: []StaticServer{{Addr: "127.0.0.1:2"}}}},
 		Capture:   Capture{Path: "p", Key: "0123456789abcdef"},
 	}
 	path := filepath.Join(t.TempDir(), "operator.toml")
--- a/internal/config/keyset.go
+++ b/internal/config/keyset.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// keySet is the keys of a JSON value: of an object, by name; of a list, those that all its elements have.
+// keySet holds the keys of a JSON value. For an object it maps each name to the keys of the inner value. For a list it
+// holds the keys that all elements have.
 type keySet map[string]keySet
 
-// element stands for the elements of a list in a keySet and in a path.
-const element = "[]"
+// listElementKey represents the elements of a list in a keySet and in a path.
+const listElementKey = "[]"
 
-// keysOf returns the keys of a value that encoding/json has decoded; nil: it has none.
+// keysOf returns the keys of a value that encoding/json has decoded, or nil if it has none.
 func keysOf(value any) keySet {
 	switch value := value.(type) {
 	case map[string]any:
@@ -23,13 +24,13 @@
 		return keys
 	case []any:
 		if common := commonKeys(value); len(common) > 0 {
-			return keySet{element: common}
+			return keySet{listElementKey: common}
 		}
 	}
 	return nil
 }
 
-// commonKeys are the keys that all elements of a list have.
+// commonKeys returns the keys that all elements of a list have.
 func commonKeys(list []any) keySet {
 	var common keySet
 	for i, inner := range list {
@@ -53,12 +54,12 @@
 	return common
 }
 
-// firstMissing is the path of the first key, by name, that other has not; empty: it has all. A list without elements
-// lacks none. path is that of the keys themselves, empty at the top.
+// firstMissing returns the path of the first key, sorted by name, that other lacks, or "" if other has all keys. An
+// empty list in other lacks no key. path is the path of the object that the keys belong to, "" at the top level.
 func (s keySet) firstMissing(other keySet, path string) string {
 	for _, name := range slices.Sorted(maps.Keys(s)) {
 		inner, ok := other[name]
-		if !ok && name == element {
+		if !ok && name == listElementKey {
 			continue
 		}
 		keyPath := strings.TrimPrefix(path+"."+name, ".")
--- a/internal/config/nginx/doc.go
+++ b/internal/config/nginx/doc.go
@@ -1,5 +1,5 @@
-// Package nginx reads nginx configuration files and turns their upstream, server and location blocks into an operator's
-// file. What it can't convert it reports, with the line.
+// Package nginx reads nginx configuration files and converts their upstream, server and location blocks to an
+// operator's file. It reports each directive that it can't convert, with the line.
 //
-// spurwinchctl calls Command. The package keeps nothing; no file that an include names is read.
+// spurwinchctl calls Command. The package keeps no state and does not read the files that include directives name.
 package nginx
--- a/internal/config/nginx/errors.go
+++ b/internal/config/nginx/errors.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// Error says what can't be read or converted, and where.
+// Error is the error for, or a warning about, text that can't be parsed or converted.
 type Error struct {
 	File string
-	Line int // from 1
+	Line int // counted from 1
 	Text string
 }
 
-// Error is the place and the text, as operators read it.
+// Error returns the file, the line and the text, for operators.
 func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
 var (
@@ -22,7 +22,7 @@
 	errNotIPAddress = errors.New("not an IP address: names are not looked up")
 )
 
-// report collects what an import has to say: warnings, and errors that keep it from giving a file.
+// report collects the warnings of an import, and the errors that prevent it from producing a file.
 type report struct {
 	file     string
 	warnings []*Error
@@ -37,7 +37,7 @@
 	r.errors = append(r.errors, &Error{r.file, line, "error: " + fmt.Sprintf(format, args...)})
 }
 
-// warnUnsupported says that a directive has no counterpart in an operator's file.
+// warnUnsupported warns that a directive has no counterpart in an operator's file.
 func (r *report) warnUnsupported(unsupported directive) {
 	r.warn(unsupported.line, "%s is not carried over", unsupported.name)
 }
@@ -46,7 +46,7 @@
 	r.warn(include.line, "include is not followed: import %s by itself", include.firstArg())
 }
 
-// warningTexts are the warnings by their lines.
+// warningTexts returns the texts of the warnings, sorted by line.
 func (r *report) warningTexts() []string {
 	sortByLine(r.warnings)
 	var texts []string
@@ -56,7 +56,7 @@
 	return texts
 }
 
-// err joins the errors by their lines; nil: there are none.
+// err returns the errors joined and sorted by line, or nil if there are none.
 func (r *report) err() error {
 	sortByLine(r.errors)
 	var all []error
@@ -66,7 +66,7 @@
 	return errors.Join(all...)
 }
 
-// sortByLine sorts warnings or errors in place. Those of one line keep the order in which they were found.
+// sortByLine sorts warnings or errors in place. It keeps the order of those with the same line.
 func sortByLine(reported []*Error) {
 	slices.SortStableFunc(reported, func(a, b *Error) int { return cmp.Compare(a.Line, b.Line) })
 }
--- a/internal/config/nginx/import.go
+++ b/internal/config/nginx/import.go
@@ -18,8 +18,8 @@
 const fileComment = "# Made from an nginx configuration. " +
 	"The times and sizes that nginx doesn't know are the program's usual ones.\n\n"
 
-// Command imports the file at path: the operator's file is written to out, what could not be converted to notes. On an
-// error nothing is written to out.
+// Command imports the file at path. It writes the operator's file to out and the warnings about directives that could
+// not be converted to notes. On an error it writes nothing to out.
 func Command(path string, out, notes io.Writer) error {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 	file, warnings, err := Import(path, string(source))
 	for _, warning := range warnings {
-		_, _ = fmt.Fprintln(notes, warning) // the file is of use without its notes
+		_, _ = fmt.Fprintln(notes, warning) // the operator's file is useful even without the warnings
 	}
 	if err != nil {
 		return err
@@ -36,8 +36,9 @@
 	return err
 }
 
-// Import turns an nginx configuration into an operator's file. The warnings name what was not converted. An error means
-// that there is no file; it is one *Error, or several joined.
+// Import converts the text of an nginx configuration to an operator's file. The warnings name what was not converted.
+// On an error there is no operator's file; the error is one *Error or several joined ones, unless encoding the file
+// fails.
 func Import(file, source string) (out []byte, warnings []string, err error) {
 	directives, err := parse(file, source)
 	if err != nil {
@@ -66,12 +67,12 @@
 type converter struct {
 	report
 	operator  config.Operator
-	upstreams map[string]*upstream // by name; one without a name in the file under its address
-	used      []*upstream          // in the order of their first use
+	upstreams map[string]*upstream // by name, or by address if the nginx file has no name for it
+	used      []*upstream          // sorted by their first use
 	domains   map[string]domain    // by name
 }
 
-// convert converts a whole file.
+// convert converts all directives of a file.
 func (c *converter) convert(directives []directive) {
 	c.convertMain(directives)
 	for _, block := range slices.SortedFunc(maps.Values(c.upstreams), compareLines) {
@@ -83,13 +84,13 @@
 		c.operator.Clusters = append(c.operator.Clusters, used.Cluster)
 	}
 	if len(c.operator.Domains) == 0 && len(c.errors) == 0 {
-		c.fail(1, "no server with a proxy_pass")
+		c.fail(1, "there must be a server with a proxy_pass that can be converted")
 	}
 }
 
 func compareLines(a, b *upstream) int { return cmp.Compare(a.line, b.line) }
 
-// convertMain converts the directives outside of all blocks.
+// convertMain converts the top-level directives.
 func (c *converter) convertMain(directives []directive) {
 	for _, outer := range directives {
 		switch outer.name {
@@ -97,7 +98,7 @@
 			c.convertContext(outer.block, outer.name == "stream")
 		case "events":
 			c.convertEvents(outer.block)
-		case "upstream", "server": // a file that is included in http
+		case "upstream", "server": // a file that an http block includes
 			c.convertContext(directives, false)
 			return
 		case "include":
@@ -120,8 +121,8 @@
 	}
 }
 
-// convertContext converts the directives of an http or stream block. Servers may stand before the upstreams and
-// settings that they use.
+// convertContext converts the directives of an http or stream block. It converts servers last, because
+// they may precede the upstreams and settings that they use.
 func (c *converter) convertContext(block []directive, isStream bool) {
 	for _, inner := range block {
 		if inner.name == "upstream" {
--- a/internal/config/nginx/lex.go
+++ b/internal/config/nginx/lex.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// token is a word of the file, or a delimiter: one of ; { } or the end of the file, which has no text.
+// token is a word or a delimiter. A delimiter is one of ; { } or the end of the file, which has an empty text.
 type token struct {
 	text      string
 	delimiter bool
@@ -24,7 +24,7 @@
 	return &Error{l.file, line, fmt.Sprintf(format, args...)}
 }
 
-// next reads a token. A word is bare, or quoted with ' or ", with \ before what would end it.
+// next reads a token. A word is bare or quoted with ' or ". A backslash escapes a character that would end the word.
 func (l *lexer) next() (token, error) {
 	for l.position < len(l.source) {
 		switch char := l.source[l.position]; char {
@@ -47,7 +47,7 @@
 	return token{"", true, l.line}, nil
 }
 
-// skipComment goes on to the end of the line.
+// skipComment skips to the end of the line.
 func (l *lexer) skipComment() {
 	length := strings.IndexByte(l.source[l.position:], '\n')
 	if length < 0 {
@@ -66,7 +66,7 @@
 		case char == quote:
 			l.position++
 			if l.position < len(l.source) && !strings.ContainsRune(" \t\r\n;{}", rune(l.source[l.position])) {
-				return word, l.errorf(l.line, "a quoted text must end its word")
+				return word, l.errorf(l.line, "a quoted text must be followed by white space, ;, { or }")
 			}
 			word.text = text.String()
 			return word, nil
@@ -106,7 +106,7 @@
 	return word
 }
 
-// endsBareWord reports whether a character ends the word that stands before it. The braces of a ${variable} don't.
+// endsBareWord reports whether a character ends the given word, which precedes it. The braces of a ${variable} don't.
 func endsBareWord(char byte, word string) bool {
 	switch char {
 	case ' ', '\t', '\r', '\n', ';':
@@ -120,7 +120,7 @@
 	}
 }
 
-// unescape is what a backslash and a character stand for.
+// unescape returns the text that a backslash followed by the character represents.
 func unescape(char byte) string {
 	switch char {
 	case 't':
--- a/internal/config/nginx/nginx_test.go
+++ b/internal/config/nginx/nginx_test.go
@@ -9,12 +9,12 @@
 	"spurwinch/internal/config"
 )
 
-// TestImport compares what the importer makes of testdata/*.conf with the files beside them, and has the program's own
-// reader load the output.
+// TestImport compares the output and warnings for each testdata/*.conf with the files next to it, and checks that
+// config.ReadOperator accepts the output.
 func TestImport(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.conf")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("got files %v and error %v, want one file or more", files, err)
+		t.Fatalf("testdata/*.conf: got files %v and error %v, want one file or more", files, err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) { checkImport(t, file) })
@@ -41,14 +41,14 @@
 	compareWithFile(t, base+".toml", string(out))
 	operator, err := config.ReadOperator(writeTemp(t, out))
 	if err != nil {
-		t.Fatalf("the program does not load the output: %v", err)
+		t.Fatalf("ReadOperator of the output: got error %v, want none", err)
 	}
 	if len(operator.Listeners) == 0 || len(operator.Domains) == 0 || len(operator.Clusters) == 0 {
-		t.Fatalf("the output is read as %+v, want listeners, domains and clusters", operator)
+		t.Fatalf("ReadOperator of the output: got %+v, want listeners, domains and clusters", operator)
 	}
 }
 
-// writeTemp writes a file of the test's own and returns its path.
+// writeTemp writes a temporary file and returns its path.
 func writeTemp(t *testing.T, content []byte) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.toml")
@@ -58,7 +58,7 @@
 	return path
 }
 
-// compareWithFile compares a text with a file, or writes the file where UPDATE is set.
+// compareWithFile compares a text with a file, or writes the file if the environment variable UPDATE is set.
 func compareWithFile(t *testing.T, path, got string) {
 	t.Helper()
 	if os.Getenv("UPDATE") != "" {
@@ -69,11 +69,11 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil || string(want) != got {
-		t.Errorf("%s: %v\ngot:\n%s\nwant:\n%s", path, err, got, want)
+		t.Errorf("%s: read error %v\ngot:\n%s\nwant:\n%s", path, err, got, want)
 	}
 }
 
-// FuzzImport has any text for a configuration: where there is an output, the program loads it.
+// FuzzImport checks that config.ReadOperator accepts the output of Import, if there is one, for any text.
 func FuzzImport(f *testing.F) {
 	f.Add("upstream a { server 127.0.0.1; }\nserver { location / { proxy_pass http://a; } }")
 	f.Add("server { listen '5222'; server_name \"a b\" ${x}; proxy_pass 127.0.0.1:1 # }")
@@ -83,7 +83,7 @@
 			return
 		}
 		if _, err := config.ReadOperator(writeTemp(t, out)); err != nil {
-			t.Fatalf("not loaded: %v\n%s", err, out)
+			t.Fatalf("ReadOperator of the output: got error %v, want none\n%s", err, out)
 		}
 	})
 }
--- a/internal/config/nginx/parse.go
+++ b/internal/config/nginx/parse.go
@@ -1,9 +1,9 @@
 package nginx
 
-// maxDepth bounds blocks in blocks.
+// maxDepth limits the nesting of blocks.
 const maxDepth = 32
 
-// directive is one directive with its block, if it has one.
+// directive is one directive with its arguments and its block, if it has one.
 type directive struct {
 	name  string
 	args  []string
@@ -11,7 +11,7 @@
 	line  int
 }
 
-// firstArg is the first argument; empty: there is none.
+// firstArg returns the first argument, or "" if there is none.
 func (d directive) firstArg() string {
 	if len(d.args) == 0 {
 		return ""
@@ -19,7 +19,7 @@
 	return d.args[0]
 }
 
-// parse parses a whole file. The error is an *Error.
+// parse parses the text of a file. The error is an *Error.
 func parse(file, source string) ([]directive, error) {
 	p := &parser{lexer{file: file, source: source, line: 1}}
 	return p.block(0, 1)
@@ -28,11 +28,11 @@
 // parser builds the tree of directives.
 type parser struct{ lexer }
 
-// block parses directives up to the end of their block; at depth 0 that is the end of the file. The line is where the
-// block begins.
+// block parses the directives up to the end of their block, which at depth 0 is the end of the file. The block begins
+// in the given line.
 func (p *parser) block(depth, line int) ([]directive, error) {
 	if depth > maxDepth {
-		return nil, p.errorf(p.line, "blocks nest too deep")
+		return nil, p.errorf(p.line, "blocks are nested too deeply, at most 32 levels are allowed")
 	}
 	var directives []directive
 	for {
@@ -51,7 +51,7 @@
 	}
 }
 
-// checkEnd checks that a delimiter that no directive stands before ends the block.
+// checkEnd checks that a delimiter where a directive could begin ends the block.
 func (p *parser) checkEnd(end token, depth, line int) error {
 	atEOF := end.text == ""
 	switch {
@@ -64,7 +64,7 @@
 	}
 }
 
-// directive parses the arguments behind the name, and the block.
+// directive parses the arguments after the name, and the block.
 func (p *parser) directive(name token, depth int) (directive, error) {
 	parsed := directive{name: name.text, line: name.line}
 	for {
@@ -81,7 +81,7 @@
 		case next.text == ";":
 			return parsed, nil
 		default:
-			return directive{}, p.errorf(parsed.line, "%q is not ended by ;", parsed.name)
+			return directive{}, p.errorf(parsed.line, "directive %q must end with ;", parsed.name)
 		}
 	}
 }
--- a/internal/config/nginx/proxy.go
+++ b/internal/config/nginx/proxy.go
@@ -8,14 +8,14 @@
 	"spurwinch/internal/config"
 )
 
-// proxySettings are what a block inherits from those around it.
+// proxySettings are the settings that a block inherits from the enclosing blocks.
 type proxySettings struct {
 	connectTimeout time.Duration // 0: not set
 	attempts       int           // 0: not set
-	retry          bool          // other hosts are tried
+	retry          bool          // a failed attempt is retried with another server
 }
 
-// forCluster is the settings as a cluster has them: the number of attempts says whether there are retries.
+// forCluster returns the settings in the form of a cluster, in which 1 attempt means that there are no retries.
 func (s proxySettings) forCluster() proxySettings {
 	if !s.retry {
 		s.attempts = 1
@@ -24,7 +24,7 @@
 	return s
 }
 
-// convertProxySetting converts a directive that a block passes on to those in it; false: it is none.
+// convertProxySetting converts a directive that nested blocks inherit. It returns false for any other directive.
 func (c *converter) convertProxySetting(setting directive, settings *proxySettings) bool {
 	switch setting.name {
 	case "proxy_connect_timeout":
@@ -46,7 +46,7 @@
 func (c *converter) convertAttempts(setting directive) int {
 	attempts, err := strconv.Atoi(setting.firstArg())
 	if err != nil || attempts < 0 {
-		c.fail(setting.line, "proxy_next_upstream_tries %q is no count", setting.firstArg())
+		c.fail(setting.line, "proxy_next_upstream_tries must be a number of 0 or more, got %q", setting.firstArg())
 	}
 	if attempts > config.MaxAttempts || attempts == 0 {
 		c.warn(setting.line, "at most %d hosts are tried", config.MaxAttempts)
@@ -55,14 +55,14 @@
 	return attempts
 }
 
-// proxyPass is a proxy_pass with the path that it is for and the settings that hold there.
+// proxyPass is a proxy_pass with the path of its location and the settings that apply there.
 type proxyPass struct {
 	path      string
 	directive directive
 	settings  proxySettings
 }
 
-// convertProxyPass finds or makes the cluster of a proxy_pass and returns its name; empty: there is none.
+// convertProxyPass finds or adds the cluster of a proxy_pass and returns its name, or "" after an error.
 func (c *converter) convertProxyPass(pass proxyPass) string {
 	target := pass.directive.firstArg()
 	line := pass.directive.line
@@ -90,22 +90,25 @@
 	return found.Name
 }
 
-// findUpstream is the upstream of that name, or a new one for that address; nil: it is neither.
+// findUpstream returns the upstream with the target as its name, or a new one for the target as an address. It returns
+// nil if the target is neither.
 func (c *converter) findUpstream(target string, line int) *upstream {
 	if found := c.upstreams[target]; found != nil {
 		return found
 	}
 	address, err := parseAddress(target)
 	if err != nil {
-		c.fail(line, "proxy_pass %s: no such upstream, and %v", target, err)
+		c.fail(line, "proxy_pass %s: must be the name of an upstream or IP:PORT: %v", target, err)
 		return nil
 	}
-	added := &upstream{Cluster: config.Cluster{Name: address, Hosts: []config.Host{{ID: address, Addr: address}}}}
+	added := &upstream{Cluster: config.Cluster{
+		Name: address, Servers: []config.StaticServer{{ID: address, Addr: address}},
+	}}
 	c.upstreams[target] = added
 	return added
 }
 
-// useUpstream sets the settings of a cluster at its first use.
+// useUpstream sets the settings of a cluster at its first use. Later uses with other settings get a warning.
 func (c *converter) useUpstream(target *upstream, settings proxySettings, line int) {
 	if target.used {
 		if target.settings != settings {
--- a/internal/config/nginx/server.go
+++ b/internal/config/nginx/server.go
@@ -9,25 +9,25 @@
 	"spurwinch/internal/config"
 )
 
-// anyDomain is the domain of an operator's file that stands for all that have no entry.
+// anyDomain is the name in an operator's file that matches all domains without an entry.
 const anyDomain = "*"
 
-// domain is where a server_name goes, and the line that says so first.
+// domain is the cluster of a server_name and the first line that sets it.
 type domain struct {
 	cluster string
 	line    int
 }
 
-// serverParts are the directives of a server block by what they are for.
-type serverParts struct {
+// serverDirectives holds the directives of a server block, grouped by kind.
+type serverDirectives struct {
 	listen, names, locations []directive
 	passes                   []proxyPass
 	settings                 proxySettings
 }
 
-// convertServer converts a server block. In a stream block the server is for all domains.
+// convertServer converts a server block. In a stream block the server serves all domains.
 func (c *converter) convertServer(server directive, inherited proxySettings, isStream bool) {
-	parts := c.sortServer(server, inherited)
+	parts := c.groupServerDirectives(server, inherited)
 	passes := parts.passes
 	for _, location := range parts.locations {
 		passes = append(passes, c.collectPasses(location, parts.settings)...)
@@ -44,8 +44,8 @@
 	c.convertNames(parts.names, server.line, cluster, isStream || isDefault)
 }
 
-func (c *converter) sortServer(server directive, inherited proxySettings) serverParts {
-	parts := serverParts{settings: inherited}
+func (c *converter) groupServerDirectives(server directive, inherited proxySettings) serverDirectives {
+	parts := serverDirectives{settings: inherited}
 	for _, inner := range server.block {
 		switch {
 		case inner.name == "listen":
@@ -62,13 +62,14 @@
 			c.warnUnsupported(inner)
 		}
 	}
-	for i := range parts.passes { // settings behind a proxy_pass hold for it as well
+	for i := range parts.passes { // settings after a proxy_pass apply to it as well
 		parts.passes[i].settings = parts.settings
 	}
 	return parts
 }
 
-// choosePass is the proxy_pass that stands for the whole server: an XMPP stream names a domain and no path.
+// choosePass returns the proxy_pass that is used for the whole server, because an XMPP stream names a domain and no
+// path. It prefers the one with the path "/".
 func (c *converter) choosePass(passes []proxyPass) proxyPass {
 	chosen := slices.IndexFunc(passes, func(pass proxyPass) bool { return pass.path == "/" })
 	if chosen < 0 {
@@ -84,7 +85,7 @@
 	return passes[chosen]
 }
 
-// collectPasses are the proxy_pass directives of a location block and of those in it.
+// collectPasses returns the proxy_pass directives of a location block and of the locations nested in it.
 func (c *converter) collectPasses(location directive, settings proxySettings) []proxyPass {
 	path := locationPath(location)
 	var nested []directive
@@ -111,7 +112,7 @@
 	return passes
 }
 
-// locationPath is the path of a location; that of a regular expression has its modifier.
+// locationPath returns the path of a location. For a regular expression it includes the modifier.
 func locationPath(location directive) string {
 	if len(location.args) == 2 && (location.args[0] == "=" || location.args[0] == "^~") {
 		return location.args[1]
@@ -119,7 +120,7 @@
 	return strings.Join(location.args, " ")
 }
 
-// convertListen adds the listeners of a server and reports whether it is the default one of one of them.
+// convertListen adds the listeners of a server and reports whether the server is the default server of one of them.
 func (c *converter) convertListen(listens []directive, serverLine int) (isDefault bool) {
 	if len(listens) == 0 {
 		listens = []directive{{name: "listen", args: []string{strconv.Itoa(defaultPort)}, line: serverLine}}
@@ -150,7 +151,7 @@
 	return isDefault
 }
 
-// listenAddress reads PORT, *:PORT, IP or IP:PORT, and returns IP:PORT.
+// listenAddress parses PORT, *:PORT, IP or IP:PORT, and returns IP:PORT.
 func listenAddress(text string) (string, error) {
 	port, err := strconv.ParseUint(strings.TrimPrefix(text, "*:"), 10, 16)
 	if err == nil && port > 0 {
@@ -159,13 +160,14 @@
 	return parseAddress(text)
 }
 
-// convertNames adds the domains of a server; forAll says that it serves those without an entry, too.
-func (c *converter) convertNames(names []directive, serverLine int, cluster string, forAll bool) {
+// convertNames adds the domains of a server. If servesAllDomains is set, the server also serves domains without an
+// entry.
+func (c *converter) convertNames(names []directive, serverLine int, cluster string, servesAllDomains bool) {
 	for _, list := range names {
 		for _, name := range list.args {
 			switch {
 			case name == "" || name == "_":
-				forAll = true
+				servesAllDomains = true
 			case strings.ContainsAny(name, "*~$") || name[0] == '.':
 				c.warn(list.line, "server_name %s is not carried over: only whole names are", name)
 			default:
@@ -173,7 +175,7 @@
 			}
 		}
 	}
-	if forAll || len(names) == 0 {
+	if servesAllDomains || len(names) == 0 {
 		c.addDomain(anyDomain, cluster, serverLine)
 	}
 }
--- a/internal/config/nginx/upstream.go
+++ b/internal/config/nginx/upstream.go
@@ -8,25 +8,26 @@
 	"spurwinch/internal/config"
 )
 
-const stateDraining = "draining" // of a host in the operator's file
+const stateDraining = "draining" // state of a server in the operator's file
 
-// upstream is an upstream block, or the address of a proxy_pass that names none, as a cluster.
+// upstream is the cluster of an upstream block, or of the address of a proxy_pass that names no upstream.
 type upstream struct {
 	config.Cluster
-	line     int           // of the block; 0: an address
-	used     bool          // by a proxy_pass
-	settings proxySettings // of its first use
+	line     int           // line of the block; 0: an address
+	used     bool          // a proxy_pass uses it
+	settings proxySettings // settings at its first use
 }
 
-// convertUpstream converts an upstream block to a cluster. Until a proxy_pass uses it the cluster is in no file.
+// convertUpstream converts an upstream block to a cluster. The operator's file gets the cluster only if a proxy_pass
+// uses it.
 func (c *converter) convertUpstream(block directive) {
 	if len(block.args) != 1 {
-		c.fail(block.line, "upstream needs one name")
+		c.fail(block.line, "upstream must have exactly one name")
 		return
 	}
 	name := block.firstArg()
 	if c.upstreams[name] != nil {
-		c.fail(block.line, "upstream %s stands twice", name)
+		c.fail(block.line, "upstream %s is defined twice, its name must be unique", name)
 		return
 	}
 	converted := &upstream{line: block.line, Cluster: config.Cluster{Name: name}}
@@ -34,22 +35,22 @@
 	for _, inner := range block.block {
 		switch inner.name {
 		case "server":
-			c.convertHost(converted, inner)
+			c.convertUpstreamServer(converted, inner)
 		case "least_conn", "ip_hash", "hash", "random", "least_time":
 			c.warn(inner.line, "%s is not carried over: hosts are chosen by predicted load", inner.name)
 		default:
 			c.warnUnsupported(inner)
 		}
 	}
-	if len(converted.Hosts) == 0 {
+	if len(converted.Servers) == 0 {
 		c.fail(block.line, "upstream %s has no server that can be carried over", name)
 	}
 }
 
-// convertHost converts a server of an upstream.
-func (c *converter) convertHost(target *upstream, server directive) {
+// convertUpstreamServer converts a server of an upstream.
+func (c *converter) convertUpstreamServer(target *upstream, server directive) {
 	if len(server.args) == 0 {
-		c.fail(server.line, "server needs an address")
+		c.fail(server.line, "server must have an address")
 		return
 	}
 	address, err := parseAddress(server.args[0])
@@ -57,21 +58,24 @@
 		c.fail(server.line, "server %s: %v", server.args[0], err)
 		return
 	}
-	host := config.Host{ID: address, Addr: address}
+	converted := config.StaticServer{ID: address, Addr: address}
 	for _, parameter := range server.args[1:] {
-		if !c.convertHostParameter(target, &host, server, parameter) {
+		if !c.convertServerParameter(target, &converted, server, parameter) {
 			return
 		}
 	}
-	if slices.ContainsFunc(target.Hosts, func(other config.Host) bool { return other.Addr == address }) {
-		c.warn(server.line, "server %s stands twice: the first is kept", address)
+	if slices.ContainsFunc(target.Servers, func(other config.StaticServer) bool { return other.Addr == address }) {
+		c.warn(server.line, "server %s is listed twice: the first is kept", address)
 		return
 	}
-	target.Hosts = append(target.Hosts, host)
+	target.Servers = append(target.Servers, converted)
 }
 
-// convertHostParameter converts a NAME or NAME=VALUE of a server. It returns false where the server is left out for it.
-func (c *converter) convertHostParameter(target *upstream, host *config.Host, server directive, parameter string) bool {
+// convertServerParameter converts a parameter NAME or NAME=VALUE of a server. It returns false if the parameter
+// excludes the server from the operator's file.
+func (c *converter) convertServerParameter(
+	target *upstream, converted *config.StaticServer, server directive, parameter string,
+) bool {
 	name, value, _ := strings.Cut(parameter, "=")
 	switch name {
 	case "weight":
@@ -79,13 +83,13 @@
 		if err != nil || weight < 1 {
 			c.fail(server.line, "weight %q is no count", value)
 		}
-		host.Weight = float64(weight)
+		converted.Weight = float64(weight)
 	case "down":
-		host.State = stateDraining
+		converted.State = stateDraining
 	case "slow_start":
 		warmUp, err := parseDuration(value)
 		if err != nil {
-			c.fail(server.line, "slow_start %q is no time", value)
+			c.fail(server.line, "slow_start must be a time such as 30s, got %q", value)
 		}
 		target.WarmUp = max(target.WarmUp, config.Duration(warmUp))
 	case "backup":
--- a/internal/config/nginx/values.go
+++ b/internal/config/nginx/values.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-const defaultPort = 80 // of nginx, where an address has none
+const defaultPort = 80 // nginx's port for an address without one
 
-// parseAddress reads IP:PORT or IP, and returns IP:PORT.
+// parseAddress parses IP:PORT or IP, and returns IP:PORT.
 func parseAddress(text string) (string, error) {
 	if strings.HasPrefix(text, "unix:") {
 		return "", errUnixSocket
@@ -23,7 +23,8 @@
 	return "", errNotIPAddress
 }
 
-// parseDuration reads a time of nginx: seconds where there is no unit, and sums like 1m30s.
+// parseDuration parses a time in nginx's notation: a number without a unit is in seconds, and sums like 1m30s are
+// allowed.
 func parseDuration(text string) (time.Duration, error) {
 	if seconds, err := strconv.ParseUint(text, 10, 31); err == nil {
 		return time.Duration(seconds) * time.Second, nil
@@ -31,11 +32,11 @@
 	return time.ParseDuration(strings.ReplaceAll(text, " ", ""))
 }
 
-// positiveDuration is the argument of a directive that sets a time over 0.
+// positiveDuration returns the argument of a directive that sets a time greater than 0.
 func (c *converter) positiveDuration(setting directive) time.Duration {
 	value, err := parseDuration(setting.firstArg())
 	if err != nil || value <= 0 {
-		c.fail(setting.line, "%s %q is no time", setting.name, setting.firstArg())
+		c.fail(setting.line, "%s must be a time greater than 0, got %q", setting.name, setting.firstArg())
 	}
 	return value
 }
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -14,26 +14,26 @@
 	"spurwinch/internal/simwire"
 )
 
-// Node is the configuration of a node on the platform.
+// Node is the configuration of a node that runs on the platform.
 type Node struct {
 	Name      string
 	Listen    string // IP:PORT for clients
 	Discovery string // IP:PORT of the discovery service
-	Mgmt      string // IP:PORT for operators' requests; empty: none
+	Mgmt      string // IP:PORT for operators' requests; empty: not served
 	Seed      uint64
-	Sockets   int             // descriptors that the process may hold; 0: not known
-	MemoryMB  int             // megabytes that the process may use; 0: not known
-	Known     *discovery.List // servers to begin with, until discovery answers; nil: none
+	Sockets   int             // maximum descriptors of the process; 0: unknown
+	MemoryMB  int             // maximum memory of the process in megabytes; 0: unknown
+	Known     *discovery.List // servers to use until discovery replies; nil: none
 	Settings  simwire.Settings
-	// PeerListen is where datagrams of other nodes arrive, Peers the addresses of all nodes by their numbers, this
-	// one's among them. Both are empty where nodes may not send messages to one another.
+	// PeerListen is the address that receives datagrams from other nodes. Peers holds the addresses of all nodes by
+	// their numbers, including this node's. Both are empty if nodes may not send messages to one another.
 	PeerListen string
 	Peers      []netip.AddrPort
 
-	keys keySet // of the file, for the next one to be compared with
+	keys keySet // keys of the file, to find those that a reloaded file lacks
 }
 
-// nodeFile is config.json as it is written. The tags are the platform's names.
+// nodeFile is the content of config.json. The tags are the platform's names.
 type nodeFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -65,26 +65,26 @@
 	})
 }
 
-// ReloadNode reads the file anew for a node that runs by inForce. No variable overrides it: those are as old as the
-// process. The file is checked whole, and it must have every key that the one in force has: one that was cut short says
-// less than was meant.
-func ReloadNode(path string, inForce Node) (Node, error) {
+// ReloadNode reads the file again for a node whose configuration in force is current. Variables don't override it,
+// because their values date from the start of the process. ReloadNode checks the whole file. The file must have every
+// key of the configuration in force, because a file that was cut short lacks settings that its author meant to keep.
+func ReloadNode(path string, current Node) (Node, error) {
 	node, err := readNodeFile(path, func(file *nodeFile) {
-		file.Listen = cmp.Or(file.Listen, inForce.Listen) // which a variable may have named
+		file.Listen = cmp.Or(file.Listen, current.Listen) // a variable may have set it
 	})
 	if err != nil {
 		return node, err
 	}
-	if key := inForce.keys.firstMissing(node.keys, ""); key != "" {
+	if key := current.keys.firstMissing(node.keys, ""); key != "" {
 		return node, &FileError{File: path, Err: &KeyError{
 			Key: key, Problem: key + " is missing: the configuration in force has it",
 		}}
 	}
-	node.Settings = node.Settings.WithIndicesOf(inForce.Settings)
+	node.Settings = node.Settings.WithIndicesOf(current.Settings)
 	return node, nil
 }
 
-// readNodeFile reads a file and checks it whole; override puts in what overrides the file.
+// readNodeFile reads a file and checks it completely. override replaces values of the file before the check.
 func readNodeFile(path string, override func(*nodeFile)) (Node, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -97,8 +97,8 @@
 	return node, nil
 }
 
-// decodeNode decodes the text of a file and checks it. The order of the checks decides which error is reported: the
-// addresses, the settings, the peers (which the settings may forbid), the servers that are known.
+// decodeNode decodes the text of a file and checks it. It reports the first error, in the order of the checks: the
+// addresses and limits, the settings, the peers (which the settings may forbid), the known servers.
 func decodeNode(raw []byte, override func(*nodeFile)) (Node, error) {
 	file, keys, err := parseNodeFile(raw)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return node, node.checkKnownServers()
 }
 
-// parseNodeFile decodes the text of a file, and the set of keys that it has.
+// parseNodeFile decodes the text of a file and returns its content and its keys.
 func parseNodeFile(raw []byte) (file nodeFile, keys keySet, err error) {
 	if len(bytes.TrimSpace(raw)) == 0 {
 		return file, nil, ErrEmptyFile
@@ -152,7 +152,7 @@
 	}
 	if n.Sockets < 0 || n.MemoryMB < 0 {
 		return &KeyError{Key: "limits", Problem: fmt.Sprintf(
-			"limits: sockets is %d and memory_mb %d: numbers over 0 are wanted, or none", n.Sockets, n.MemoryMB)}
+			"limits: sockets is %d and memory_mb %d, both must be 0 (unknown) or greater", n.Sockets, n.MemoryMB)}
 	}
 	return nil
 }
@@ -167,14 +167,15 @@
 	return nil
 }
 
-// setPeers takes the addresses of the other nodes. Without them, or where the settings forbid messages, there are none.
+// setPeers sets PeerListen and Peers. It leaves both empty if the file has no other node or no address to receive
+// datagrams, or if the settings forbid messages between nodes.
 func (n *Node) setPeers(file nodeFile) error {
 	if !n.Settings.Limits.PeerMessages || len(file.Peers) < 2 || file.PeerListen == "" {
 		return nil
 	}
 	if len(file.Peers) != n.Settings.Nodes {
 		return &KeyError{Key: "peers", Problem: fmt.Sprintf(
-			"peers has %d addresses, settings.groupSize says %d", len(file.Peers), n.Settings.Nodes)}
+			"peers has %d addresses, must have %d (settings.groupSize)", len(file.Peers), n.Settings.Nodes)}
 	}
 	if err := checkPeer("peer_listen", file.PeerListen); err != nil {
 		return err
@@ -198,12 +199,13 @@
 	return nil
 }
 
-// seed is the file's hexadecimal number. Any other text is a seed as well, another one at each node.
+// seed returns the seed that the file sets as a hexadecimal number. From any other text it derives a seed that differs
+// between nodes.
 func (f *nodeFile) seed() uint64 {
 	if seed, err := strconv.ParseUint(f.Seed, 16, 64); err == nil {
 		return seed
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(f.Seed + f.Name)) // a hash takes everything
+	_, _ = hash.Write([]byte(f.Seed + f.Name)) // writing to a hash never fails
 	return hash.Sum64()
 }
--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -13,8 +13,8 @@
 	"spurwinch/internal/simwire"
 )
 
-// whole is a configuration with every key that the platform writes.
-var whole = fmt.Sprintf(
+// completeConfig is a configuration with every key that the platform writes.
+var completeConfig = fmt.Sprintf(
 	`{"name":"n1","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","mgmt":"127.0.0.1:9000","seed":"1f",
  "limits":{"cores":1,"memory_mb":64,"sockets":384},
  "peer_listen":"127.0.0.1:7000","peers":[],"peers_all":"127.0.0.1:7001",
@@ -24,8 +24,8 @@
 		`"tariffs"`, `"goal":{"whole":1},"tariffs"`,
 	).Replace(transcript.Settings))
 
-// takeAsIs is an override that overrides nothing.
-func takeAsIs(*nodeFile) {}
+// noOverride is an override that overrides nothing.
+func noOverride(*nodeFile) {}
 
 func writeConfig(t *testing.T, text string) string {
 	t.Helper()
@@ -40,7 +40,7 @@
 func withoutEachKey(t *testing.T, try func(path, key, text string)) {
 	t.Helper()
 	var root any
-	if err := json.Unmarshal([]byte(whole), &root); err != nil {
+	if err := json.Unmarshal([]byte(completeConfig), &root); err != nil {
 		t.Fatal(err)
 	}
 	var walk func(value any, path string)
@@ -69,11 +69,11 @@
 // TestAgainTakesWholeFilesOnly has each key missing in turn, the file cut off at each byte, and values that no node can
 // serve by: all are rejected with the key at fault.
 func TestAgainTakesWholeFilesOnly(t *testing.T) {
-	inForce, err := decodeNode([]byte(whole), takeAsIs)
+	inForce, err := decodeNode([]byte(completeConfig), noOverride)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReloadNode(writeConfig(t, whole), inForce); err != nil {
+	if _, err := ReloadNode(writeConfig(t, completeConfig), inForce); err != nil {
 		t.Errorf("the same file: %v, wanted no error", err)
 	}
 	keys := 0
@@ -86,8 +86,8 @@
 	if keys < 60 {
 		t.Errorf("only %d keys were tried, wanted 60 or more", keys)
 	}
-	for n := range len(whole) {
-		if _, err := decodeNode([]byte(whole[:n]), takeAsIs); err == nil {
+	for n := range len(completeConfig) {
+		if _, err := decodeNode([]byte(completeConfig[:n]), noOverride); err == nil {
 			t.Errorf("a file that is cut off after %d bytes is accepted", n)
 		}
 	}
@@ -107,11 +107,11 @@
 		{`"sockets":384`, `"sockets":-1`, "sockets"},
 		{`"index":0`, `"index":7`, "index"},
 		{`"profiles":[`, `"profiles":[],"x":[`, "profiles"},
-		{whole, "", "empty"},
-		{whole, "[]", "object"},
-		{whole, "listen: here", "invalid"},
+		{completeConfig, "", "empty"},
+		{completeConfig, "[]", "object"},
+		{completeConfig, "listen: here", "invalid"},
 	} {
-		_, err := ReloadNode(writeConfig(t, strings.Replace(whole, test.old, test.new, 1)), inForce)
+		_, err := ReloadNode(writeConfig(t, strings.Replace(completeConfig, test.old, test.new, 1)), inForce)
 		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, wanted an error of one line with %q", test.new, err, test.want)
 		}
@@ -123,7 +123,7 @@
 
 // TestNodeErrors holds what a caller can tell of a file that can't be used: which file, which key, and the cause.
 func TestNodeErrors(t *testing.T) {
-	inForce, err := decodeNode([]byte(whole), takeAsIs)
+	inForce, err := decodeNode([]byte(completeConfig), noOverride)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 		{`"127.0.0.1:9000"`, `"9000"`, "mgmt", `mgmt address "9000" is not IP:PORT`},
 		{
 			`"sockets":384`, `"sockets":-1`, "limits",
-			"limits: sockets is -1 and memory_mb 64: numbers over 0 are wanted, or none",
+			"limits: sockets is -1 and memory_mb 64, both must be 0 (unknown) or greater",
 		},
 		{
 			`"sendCap":4`, `"sendCap":0`, "settings",
@@ -146,7 +146,7 @@
 			"limits.memory_mb is missing: the configuration in force has it",
 		},
 	} {
-		path := writeConfig(t, strings.Replace(whole, test.old, test.new, 1))
+		path := writeConfig(t, strings.Replace(completeConfig, test.old, test.new, 1))
 		_, err := ReloadNode(path, inForce)
 		var fileError *FileError
 		if !errors.As(err, &fileError) || fileError.File != path {
@@ -211,11 +211,11 @@
 
 // FuzzDecode checks that whatever is accepted can be served by, and that nothing ends the node.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(whole))
-	f.Add([]byte(strings.Replace(whole, `"peers":[]`, `"peers":["127.0.0.1:1","127.0.0.1:2"]`, 1)))
+	f.Add([]byte(completeConfig))
+	f.Add([]byte(strings.Replace(completeConfig, `"peers":[]`, `"peers":["127.0.0.1:1","127.0.0.1:2"]`, 1)))
 	f.Add([]byte(`{"settings":{"profiles":[{}]},"known":{"servers":[null]}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		node, err := decodeNode(raw, takeAsIs)
+		node, err := decodeNode(raw, noOverride)
 		if err != nil {
 			return
 		}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,7 +11,8 @@
 	"spurwinch/internal/transport/tls"
 )
 
-// Operator is the operator's file: the fronts and clusters beside the platform's own. The tags are its keys.
+// Operator is the operator's file. It configures front ends and clusters in addition to the platform's own. The tags
+// are its keys.
 type Operator struct {
 	Limits    Limits     `toml:"limits"`
 	Listeners []Listener `toml:"listener"`
@@ -22,33 +23,33 @@
 	Fleet     *Fleet     `toml:"fleet,omitempty"` // nil: the node is in no fleet
 
 	Peers             Peers               `toml:"peers,omitempty"`
-	Networks          *peerlimit.Networks `toml:"-"` // of the files that Peers names; nil: none
+	Networks          *peerlimit.Networks `toml:"-"` // read from the files that Peers names; nil: none
 	Certificates      []Certificate       `toml:"certificate,omitempty"`
 	ClientAuthorities string              `toml:"client_authorities,omitempty"` // PEM file, for clients' certificates
-	Keys              *tls.Set            `toml:"-"`                            // of the files named above; nil: none
+	Keys              *tls.Set            `toml:"-"`                            // read from these files; nil: none
 }
 
-// Duration is a time as files have it, as in "1.5s".
+// Duration is a duration as files write it, for example "1.5s".
 type Duration = tomlfile.Duration
 
-// Limits bound what connections may take.
+// Limits limits the resources of connections.
 type Limits struct {
-	Connections      int      `toml:"connections,omitzero"`    // of clients and servers together
-	StanzaBytes      int      `toml:"stanza_bytes,omitzero"`   // of one stanza
-	EarlyBytes       int      `toml:"early_bytes,omitzero"`    // of a client, kept for another server
-	HeaderTime       Duration `toml:"header_time,omitzero"`    // for the stream header
-	HandshakeTimeout Duration `toml:"handshake_time,omitzero"` // for a TLS handshake
-	Resumable        int      `toml:"resumable,omitzero"`      // sessions whose server is remembered, to resume
+	Connections      int      `toml:"connections,omitzero"`    // open connections of clients and to servers together
+	StanzaBytes      int      `toml:"stanza_bytes,omitzero"`   // size of one stanza
+	EarlyBytes       int      `toml:"early_bytes,omitzero"`    // bytes of a client that are kept for another server
+	HeaderTime       Duration `toml:"header_time,omitzero"`    // time for the stream header
+	HandshakeTimeout Duration `toml:"handshake_time,omitzero"` // time for a TLS handshake
+	Resumable        int      `toml:"resumable,omitzero"`      // sessions whose server is remembered for resumption
 }
 
-// Listener is an address where clients connect.
+// Listener is an address that accepts client connections.
 type Listener struct {
 	Addr     string `toml:"addr"`          // IP:PORT
-	Protocol string `toml:"protocol"`      // one of the protocols below
-	TLS      string `toml:"tls,omitempty"` // one of the TLS modes below; empty: none
+	Protocol string `toml:"protocol"`      // protocolXMPP or protocolWebSocket
+	TLS      string `toml:"tls,omitempty"` // tlsStart or tlsDirect; empty: no TLS
 }
 
-// Values of a Listener.
+// Protocols and TLS modes of a Listener.
 const (
 	protocolXMPP      = "xmpp"
 	protocolWebSocket = "xmpp-websocket"
@@ -56,12 +57,12 @@
 	tlsDirect         = "direct"
 )
 
-// Domain is an address that a stream header may name; "*" stands for any other.
+// Domain is a domain that a stream header may name. The name "*" matches all domains without an entry.
 type Domain struct {
-	Name    string `toml:"name"`
-	Cluster string `toml:"cluster"`
-	Class   string `toml:"class,omitempty"`
-	Streams        // of all its clients
+	Name         string `toml:"name"`
+	Cluster      string `toml:"cluster"`
+	Class        string `toml:"class,omitempty"`
+	StreamLimits        // limits of all its clients together
 }
 
 // Class is a class of sessions.
@@ -72,24 +73,24 @@
 	Priority       float64  `toml:"worth,omitzero"`     // priority weight
 }
 
-// Capture says where load and reports are written down; without a path they are not.
+// Capture configures the recording of load and load reports. Without a [capture] table nothing is recorded.
 type Capture struct {
-	Path     string  `toml:"path,omitempty"`   // what the files' names begin with
-	FileMB   int     `toml:"file_mb,omitzero"` // size in megabytes from which on the next file is begun
-	Files    int     `toml:"files,omitzero"`   // kept; the oldest is removed for a new one
-	Fraction float64 `toml:"share,omitzero"`   // fraction of clients, or groups, that are written down
-	Key      string  `toml:"key,omitempty"`    // for the hashes of clients and groups
-	Queue    int     `toml:"queue,omitzero"`   // records that may wait to be written
+	Path     string  `toml:"path,omitempty"`   // common prefix of the files' names
+	FileMB   int     `toml:"file_mb,omitzero"` // size in megabytes at which the next file is started
+	Files    int     `toml:"files,omitzero"`   // number of files kept; the oldest is removed for a new one
+	Fraction float64 `toml:"share,omitzero"`   // fraction of clients, or groups, that are recorded
+	Key      string  `toml:"key,omitempty"`    // key for the hashes of clients and groups
+	Queue    int     `toml:"queue,omitzero"`   // maximum number of records that wait to be written
 }
 
-// Certificate names the PEM files of a certificate with its chain, and of its key.
+// Certificate names the PEM files of a certificate with its chain and of the private key.
 type Certificate struct {
 	Cert string `toml:"cert"`
 	Key  string `toml:"key"`
 }
 
-// ReadOperator reads and checks an operator's file, and the files that it names. The error is a tomlfile.Faults, where
-// the file could be read.
+// ReadOperator reads and checks an operator's file and the files that it names. If the file can be read but is invalid,
+// the error is a tomlfile.Faults.
 func ReadOperator(path string) (Operator, error) {
 	var operator Operator
 	source, err := tomlfile.Load(path)
@@ -103,7 +104,7 @@
 	return operator, file.Err()
 }
 
-// Class finds a class by its name; without one it is the first.
+// Class returns the class with the given name, or the first class if there is none with this name.
 func (o *Operator) Class(name string) (index int, class Class) {
 	for i, class := range o.Classes {
 		if class.Name == name {
@@ -113,13 +114,14 @@
 	return 0, o.Classes[0]
 }
 
-// besidePlatform says whether the file has no front of its own, but settings for a node with the platform's front.
-func (o *Operator) besidePlatform(file *tomlfile.File) bool {
-	hasFront := len(o.Listeners)+len(o.Domains)+len(o.Clusters) > 0
-	return !hasFront && (file.Has("capture") || o.Fleet != nil)
+// onlyExtendsPlatform reports whether the file configures no front end of its own and only adds a capture or a fleet to
+// a node that serves the platform's front end.
+func (o *Operator) onlyExtendsPlatform(file *tomlfile.File) bool {
+	hasFrontEnd := len(o.Listeners)+len(o.Domains)+len(o.Clusters) > 0
+	return !hasFrontEnd && (file.Has("capture") || o.Fleet != nil)
 }
 
-// check sets the default values, finds what can't be, and reads the files that the file names.
+// check sets default values, checks the values and reads the files that the file names.
 func (o *Operator) check(file *tomlfile.File) {
 	o.Limits.check(file)
 	if file.Has("capture") {
@@ -128,7 +130,7 @@
 	if o.Fleet != nil {
 		o.Fleet.check(file)
 	}
-	if o.besidePlatform(file) {
+	if o.onlyExtendsPlatform(file) {
 		return
 	}
 	o.checkListeners(file)
@@ -139,11 +141,11 @@
 	o.checkDomains(file, clusters)
 }
 
-// between notes a fault where a number is out of its bounds.
-func between(file *tomlfile.File, path string, value, least, most int) {
+// checkRange adds a fault if value is not between least and most.
+func checkRange(file *tomlfile.File, path string, value, least, most int) {
 	if value < least || value > most {
 		key := path[strings.LastIndexByte(path, '.')+1:]
-		file.Fault(path, "%s = %d: a number from %d to %d is wanted", key, value, least, most)
+		file.Fault(path, "%s = %d: must be between %d and %d", key, value, least, most)
 	}
 }
 
@@ -154,40 +156,40 @@
 	tomlfile.Fill(&l.Resumable, 10000)
 	tomlfile.Fill(&l.HeaderTime, Duration(2500*time.Millisecond))
 	tomlfile.Fill(&l.HandshakeTimeout, Duration(10*time.Second))
-	between(file, "limits.connections", l.Connections, 1, 1<<20)
-	between(file, "limits.stanza_bytes", l.StanzaBytes, 10000, 512<<10)
-	between(file, "limits.resumable", l.Resumable, 1, 1<<20)
-	between(file, "limits.early_bytes", l.EarlyBytes, 4096, 512<<10)
+	checkRange(file, "limits.connections", l.Connections, 1, 1<<20)
+	checkRange(file, "limits.stanza_bytes", l.StanzaBytes, 10000, 512<<10)
+	checkRange(file, "limits.resumable", l.Resumable, 1, 1<<20)
+	checkRange(file, "limits.early_bytes", l.EarlyBytes, 4096, 512<<10)
 }
 
-// minCaptureKey is the least length of the key that hides who a client is, in bytes.
-const minCaptureKey = 16
+// minCaptureKeyBytes is the minimum length of the key that hides the identity of clients.
+const minCaptureKeyBytes = 16
 
 func (c *Capture) check(file *tomlfile.File) {
 	tomlfile.Fill(&c.FileMB, 64)
 	tomlfile.Fill(&c.Files, 8)
 	tomlfile.Fill(&c.Queue, 8192)
 	tomlfile.Fill(&c.Fraction, 1)
-	between(file, "capture.file_mb", c.FileMB, 1, 16<<10)
-	between(file, "capture.files", c.Files, 1, 10000)
-	between(file, "capture.queue", c.Queue, 16, 1<<20)
+	checkRange(file, "capture.file_mb", c.FileMB, 1, 16<<10)
+	checkRange(file, "capture.files", c.Files, 1, 10000)
+	checkRange(file, "capture.queue", c.Queue, 16, 1<<20)
 	if c.Path == "" {
-		file.Fault("capture.path", "[capture] without a path: what the files' names begin with is wanted, "+
-			"as in path = \"/var/lib/spurwinch/load\"")
+		file.Fault("capture.path", "[capture] without a path: must set the prefix of the files' names, "+
+			"for example path = \"/var/lib/spurwinch/load\"")
 	}
 	valid := c.Fraction > 0 && c.Fraction <= 1 // false for NaN
 	if !valid {
-		file.Fault("capture.share", "share = %v: a part over 0, up to 1, is wanted", c.Fraction)
+		file.Fault("capture.share", "share = %v: must be greater than 0 and at most 1", c.Fraction)
 	}
-	if len(c.Key) < minCaptureKey {
+	if len(c.Key) < minCaptureKeyBytes {
 		file.Fault("capture.key",
-			"a key of %d characters: 16 or more are wanted, so that nobody can guess who a client is", len(c.Key))
+			"a key of %d bytes: must have at least 16 bytes, so that clients can't be identified", len(c.Key))
 	}
 }
 
 func (o *Operator) checkListeners(file *tomlfile.File) {
 	if len(o.Listeners) == 0 {
-		file.Fault("", "no [[listener]]: one with addr and protocol is wanted")
+		file.Fault("", "no [[listener]]: at least one with addr and protocol is required")
 	}
 	for i, listener := range o.Listeners {
 		listener.check(file, fmt.Sprintf("listener.%d.", i), len(o.Certificates) > 0)
@@ -199,18 +201,18 @@
 		file.Fault(path+"addr", "listener: address %q is not IP:PORT", l.Addr)
 	}
 	if l.Protocol != protocolXMPP && l.Protocol != protocolWebSocket {
-		file.Fault(path+"protocol", "listener %s: unknown protocol %q: it must be \"xmpp\" or \"xmpp-websocket\"",
+		file.Fault(path+"protocol", "listener %s: unknown protocol %q: must be \"xmpp\" or \"xmpp-websocket\"",
 			l.Addr, l.Protocol)
 	}
 	switch {
 	case l.TLS == "":
 	case l.TLS != tlsStart && l.TLS != tlsDirect:
-		file.Fault(path+"tls", "listener %s: tls = %q: it must be \"starttls\" or \"direct\"", l.Addr, l.TLS)
+		file.Fault(path+"tls", "listener %s: tls = %q: must be \"starttls\" or \"direct\"", l.Addr, l.TLS)
 	case l.TLS == tlsStart && l.Protocol == protocolWebSocket:
-		file.Fault(path+"tls", "listener %s: WebSocket has no STARTTLS: tls = \"direct\" is wanted", l.Addr)
+		file.Fault(path+"tls", "listener %s: WebSocket has no STARTTLS: tls must be \"direct\"", l.Addr)
 	case !hasCertificate:
 		file.Fault(path+"tls",
-			"listener %s: tls without a certificate: a [[certificate]] with cert and key is wanted", l.Addr)
+			"listener %s: tls requires a [[certificate]] with cert and key", l.Addr)
 	}
 }
 
@@ -226,20 +228,20 @@
 		tomlfile.Fill(&class.Priority, 1)
 		if class.Name == "" || seen[class.Name] || class.Priority < 0 {
 			file.Fault(fmt.Sprintf("class.%d.name", i),
-				"class %q: a name of its own and a worth over 0 are needed", class.Name)
+				"class %q: the name must be unique and not empty, and worth must not be negative", class.Name)
 		}
 		seen[class.Name] = true
 	}
 }
 
-// checkClusters returns the names of the clusters.
+// checkClusters checks the clusters and returns their names.
 func (o *Operator) checkClusters(file *tomlfile.File) map[string]bool {
 	seen := map[string]bool{}
 	for i := range o.Clusters {
 		cluster := &o.Clusters[i]
 		path := fmt.Sprintf("cluster.%d", i)
 		if cluster.Name == "" || seen[cluster.Name] {
-			file.Fault(path+".name", "cluster %q: a name of its own is needed", cluster.Name)
+			file.Fault(path+".name", "cluster %q: the name must be unique and not empty", cluster.Name)
 		}
 		seen[cluster.Name] = true
 		cluster.check(file, path)
@@ -249,7 +251,7 @@
 
 func (o *Operator) checkDomains(file *tomlfile.File, clusters map[string]bool) {
 	if len(o.Domains) == 0 {
-		file.Fault("", "no [[domain]]: one with name and cluster is wanted")
+		file.Fault("", "no [[domain]]: at least one with name and cluster is required")
 	}
 	classes := map[string]bool{}
 	for _, class := range o.Classes {
@@ -263,7 +265,7 @@
 		tomlfile.Fill(&domain.Class, o.Classes[0].Name)
 		switch {
 		case domain.Name == "" || seen[domain.Name]:
-			file.Fault(path+"name", "domain %q: a name of its own is needed", domain.Name)
+			file.Fault(path+"name", "domain %q: the name must be unique and not empty", domain.Name)
 		case !clusters[domain.Cluster]:
 			file.Fault(path+"cluster", "domain %q: unknown cluster %q: no [[cluster]] has this name",
 				domain.Name, domain.Cluster)
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -8,13 +8,13 @@
 	"spurwinch/internal/policy"
 )
 
-// policyLevel is the newest level of documents that this program knows.
-const policyLevel = 2
+// newestPolicyLevel is the newest level of policy documents that this program knows.
+const newestPolicyLevel = 2
 
-// policyKeys are keys by the level that they came with, where that is not the first.
-var policyKeys = map[string]int{"over_share_worth": 2, "needs": 2}
+// policyKeyLevels maps keys that were added after level 1 to the level that added them.
+var policyKeyLevels = map[string]int{"over_share_worth": 2, "needs": 2}
 
-// policyFile is a policy document as it is written. The tags are its keys; the method document maps them to the terms
+// policyFile is the TOML form of a policy document. The tags are its keys. The method document converts it to the terms
 // of package policy.
 type policyFile struct {
 	Attempts          int                `toml:"attempts,omitzero"`
@@ -34,10 +34,10 @@
 	Deadline         Duration `toml:"patience,omitzero"`
 	MessageObjective Duration `toml:"message_aim,omitzero"`
 	Priority         float64  `toml:"worth,omitzero"`
-	WithoutLease     string   `toml:"without,omitempty"` // what is done without a lease: one of the values below
+	WithoutLease     string   `toml:"without,omitempty"` // withoutLeaseReject or withoutLeaseBase
 }
 
-// Values of a class's key "without".
+// Values of the key "without": how a class is handled without a lease.
 const (
 	withoutLeaseReject = "refuse"
 	withoutLeaseBase   = "ground"
@@ -66,32 +66,33 @@
 	RegionalClasses  []string `toml:"stay,omitempty"`
 }
 
-// FleetPolicy says that the fleet has its policy on the log.
+// FleetPolicy holds the rules of policy changes, for a fleet that has its policy on the log.
 type FleetPolicy struct {
-	Window        Duration `toml:"window,omitzero"` // for which the policy before a decision stays in use at most
-	AnswerTimeout Duration `toml:"answer,omitzero"` // for members to acknowledge a change
+	Window        Duration `toml:"window,omitzero"` // maximum time the previous policy stays in use after a decision
+	AnswerTimeout Duration `toml:"answer,omitzero"` // time for members to acknowledge a change
 }
 
-// Rules are the rules of changes as package policy has them.
+// Rules returns the rules of changes in the terms of package policy.
 func (p *FleetPolicy) Rules() policy.Rules {
 	return policy.Rules{Window: time.Duration(p.Window), AnswerTimeout: time.Duration(p.AnswerTimeout)}
 }
 
-// check sets the values of keys that the file leaves out, and checks those that it has.
+// check sets default values and checks the values.
 func (p *FleetPolicy) check(file *tomlfile.File) {
-	const shortest = 2 * time.Second
+	const minTime = 2 * time.Second
 	tomlfile.Fill(&p.Window, Duration(5*time.Second))
 	tomlfile.Fill(&p.AnswerTimeout, Duration(10*time.Second))
-	if window := time.Duration(p.Window); window < shortest || window > 5*time.Minute {
-		file.Fault("policy.window", "[policy] window = %q: 2s to 5m are possible", window)
+	if window := time.Duration(p.Window); window < minTime || window > 5*time.Minute {
+		file.Fault("policy.window", "[policy] window = %q: must be between 2s and 5m", window)
 	}
-	if answer := time.Duration(p.AnswerTimeout); answer < shortest || answer > 10*time.Minute {
-		file.Fault("policy.answer", "[policy] answer = %q: 2s to 10m are possible", answer)
+	if answer := time.Duration(p.AnswerTimeout); answer < minTime || answer > 10*time.Minute {
+		file.Fault("policy.answer", "[policy] answer = %q: must be between 2s and 10m", answer)
 	}
 }
 
-// ReadPolicy reads a policy document and checks it. name stands for it in faults; a key that came with a level over
-// level is unknown, as to a program of that version. 0: all keys are known. The error is a tomlfile.Faults.
+// ReadPolicy reads a policy document and checks it. Faults give name as the file. Keys that were added after the given
+// level are reported as unknown, as a program of that level would do; with level 0, all keys are known. The error is a
+// tomlfile.Faults.
 func ReadPolicy(name string, text []byte, level int) (*policy.Document, error) {
 	source := &policyFile{}
 	file := tomlfile.Decode(name, text, source)
@@ -101,7 +102,7 @@
 	checkLevel(file, level)
 	source.check(file)
 	if len(text) > policy.MaxTextBytes {
-		file.Fault("", "%d bytes: %d at most", len(text), policy.MaxTextBytes)
+		file.Fault("", "%d bytes: must be at most %d", len(text), policy.MaxTextBytes)
 	}
 	document := source.document()
 	for _, fault := range document.Check() {
@@ -113,16 +114,16 @@
 	return document, nil
 }
 
-// checkLevel finds keys that came with a later level.
+// checkLevel reports keys that were added after the given level.
 func checkLevel(file *tomlfile.File, level int) {
-	for key, since := range policyKeys {
+	for key, since := range policyKeyLevels {
 		if level > 0 && since > level && file.Has(key) {
 			file.Fault(key, "unknown key %q", key)
 		}
 	}
 }
 
-// check sets the values of keys that the document leaves out, and finds what the document's own check can't see.
+// check sets default values and reports the faults that can't be detected in the converted policy.Document.
 func (p *policyFile) check(file *tomlfile.File) {
 	tomlfile.Fill(&p.Attempts, policy.MaxAttempts)
 	tomlfile.Fill(&p.RetryAfter, Duration(time.Second))
@@ -132,27 +133,27 @@
 		case "", withoutLeaseReject, withoutLeaseBase:
 		default:
 			file.Fault(fmt.Sprintf("class.%d.without", i),
-				"class %q: without = %q: \"refuse\" or \"ground\" is wanted", class.Name, class.WithoutLease)
+				"class %q: without = %q: must be \"refuse\" or \"ground\"", class.Name, class.WithoutLease)
 		}
 		tomlfile.Fill(&class.Priority, 1)
 	}
 	if p.Failover == nil {
 		if len(p.RegionDistances) > 0 {
-			file.Fault("far.0", "[[far]] without [plan]: the two go together")
+			file.Fault("far.0", "[[far]] requires a [plan] table")
 		}
 		return
 	}
 	tomlfile.Fill(&p.Failover.UtilizationLimit, defaultUtilizationLimit)
 	tomlfile.Fill(&p.Failover.RecoveryDelay, defaultRecoveryDelay)
 	tomlfile.Fill(&p.Failover.RecoveryRamp, defaultRecoveryRamp)
-	for i, far := range p.RegionDistances {
-		if len(far.Between) != 2 {
-			file.Fault(fmt.Sprintf("far.%d", i), farFormat)
+	for i, distance := range p.RegionDistances {
+		if len(distance.Between) != 2 {
+			file.Fault(fmt.Sprintf("far.%d", i), regionDistanceProblem)
 		}
 	}
 }
 
-// document maps the file's keys to the terms of package policy.
+// document converts the file to the terms of package policy.
 func (p *policyFile) document() *policy.Document {
 	document := &policy.Document{
 		Attempts:          p.Attempts,
@@ -191,10 +192,10 @@
 		RecoveryDelay:    time.Duration(p.RecoveryDelay),
 		RegionalClasses:  p.RegionalClasses,
 	}
-	for _, far := range distances {
-		if len(far.Between) == 2 { // else a fault was noted
+	for _, distance := range distances {
+		if len(distance.Between) == 2 { // otherwise check has reported a fault
 			rules.RegionDistances = append(rules.RegionDistances, policy.RegionDistance{
-				A: far.Between[0], B: far.Between[1], Cost: far.Cost,
+				A: distance.Between[0], B: distance.Between[1], Cost: distance.Cost,
 			})
 		}
 	}
--- a/internal/config/policy_test.go
+++ b/internal/config/policy_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const soundPolicy = `attempts = 3
+const validPolicy = `attempts = 3
 over_share_worth = 0.1
 [[class]]
 name = "gold"
@@ -37,7 +37,7 @@
 
 // TestPolicy holds what a document says, and that a fault is told with its line and what would be right.
 func TestPolicy(t *testing.T) {
-	document, err := ReadPolicy("p", []byte(soundPolicy), 0)
+	document, err := ReadPolicy("p", []byte(validPolicy), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,18 +55,21 @@
 		old, new, want string
 		level          int
 	}{
-		{"attempts = 3", "attempts = 9", "p:1: attempts = 9: 1 to 4 are wanted", 0},
+		{"attempts = 3", "attempts = 9", "p:1: attempts = 9: must be between 1 and 4", 0},
 		{"attempts = 3", "atempts = 3", "p:1: unknown key \"atempts\"", 0},
 		{
 			`without = "ground"`, `without = "x"`,
-			`p:8: class "gold": without = "x": "refuse" or "ground" is wanted`, 0,
+			`p:8: class "gold": without = "x": must be "refuse" or "ground"`, 0,
+		},
+		{
+			`patience = "2s"`, `patience = "9s"`,
+			`p:18: [ground] patience = 9s: must be at most the patience of class "gold", 3s`, 0,
 		},
-		{`patience = "2s"`, `patience = "9s"`, `p:18: [ground] patience = 9s: class "gold" has 3s`, 0},
 		{`stay = ["plain"]`, `stay = ["none"]`, `p:22: stay: no class "none"`, 0},
 		{"", "", `p:2: unknown key "over_share_worth"`, 1},
 		{`between = ["a", "b"]`, `between = ["a"]`, "p:23: [[far]]: between", 0},
 	} {
-		_, err := ReadPolicy("p", []byte(strings.Replace(soundPolicy, test.old, test.new, 1)), test.level)
+		_, err := ReadPolicy("p", []byte(strings.Replace(validPolicy, test.old, test.new, 1)), test.level)
 		if err == nil || !strings.Contains(err.Error(), test.want) {
 			t.Errorf("%s: %v, wanted %s", test.new, err, test.want)
 		}
@@ -85,7 +88,7 @@
 		}
 		return path
 	}
-	key := write("key", strings.Repeat("k", minFleetKey))
+	key := write("key", strings.Repeat("k", minFleetKeyBytes))
 	nodes := write("nodes",
 		"[policy]", policy,
 		"[[node]]", `name = "a"`, `addr = "127.0.0.1:1"`, `zone = "z"`,
@@ -98,13 +101,13 @@
 func TestFleetPolicy(t *testing.T) {
 	for _, test := range []struct{ policy, fleet, want string }{
 		{"", `dir = "d"`, ""},
-		{`window = "1s"`, `dir = "d"`, "[policy] window = \"1s\": 2s to 5m are possible"},
+		{`window = "1s"`, `dir = "d"`, "[policy] window = \"1s\": must be between 2s and 5m"},
 		{"", "", "[fleet] without dir: the fleet has its policy on the log"},
 		{
 			"", "dir = \"d\"\ncluster = \"c\"",
-			"[fleet] cluster = \"c\": a fleet with its policy on the log serves the platform's front",
+			"[fleet] cluster = \"c\": a fleet with its policy on the log serves the platform's front end",
 		},
-		{"", "dir = \"d\"\npolicy_level = 9", "[fleet] policy_level = 9: 1 to 2 are known"},
+		{"", "dir = \"d\"\npolicy_level = 9", "[fleet] policy_level = 9: must be 0 (all levels) or 1 to 2"},
 	} {
 		_, err := ReadOperator(fleetFiles(t, test.policy, test.fleet))
 		if test.want == "" && err != nil {
--- a/internal/policy/validate.go
+++ b/internal/policy/validate.go
@@ -35,7 +35,7 @@
 
 func (d *Document) checkLimits(found *faultList) {
 	found.addIf(d.Attempts < 1 || d.Attempts > MaxAttempts, "attempts",
-		"attempts = %d: 1 to %d are wanted", d.Attempts, MaxAttempts)
+		"attempts = %d: must be between 1 and %d", d.Attempts, MaxAttempts)
 	found.addIf(d.RetryAfter < 0 || d.RetryAfter > maxRetryAfter, "come_again",
 		"come_again = %v: must be between 0 and 1m", d.RetryAfter)
 	found.addIf(!isFraction(d.OverQuotaPriority), "over_share_worth",
@@ -94,7 +94,8 @@
 		"[ground] attempts = %d: must be at most attempts = %d", d.Base.Attempts, d.Attempts)
 	for _, class := range d.Classes {
 		found.addIf(class.ServedByBase && d.Base.Deadline > class.Deadline, "ground.patience",
-			"[ground] patience = %v: class %q has %v", d.Base.Deadline, class.Name, class.Deadline)
+			"[ground] patience = %v: must be at most the patience of class %q, %v",
+			d.Base.Deadline, class.Name, class.Deadline)
 	}
 }
 
