--- a/internal/config/tomlfile/fault.go
+++ b/internal/config/tomlfile/fault.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	File    string
-	Line    int    // from 1; 0: not of one line
-	Key     string // path, as in "class.0.aim", with the numbers of array tables; empty: not of one key
-	Problem string // what was found and what is wanted, as operators read it
+	Line    int    // counted from 1; 0: the fault has no line
+	Key     string // path with the indices of array tables, for example "class.0.aim"; empty: not one key
+	Problem string // the invalid value and what is allowed, for operators
 }
 
-// String is the fault as operators read it.
+// String returns the fault in one line, for operators.
 func (f Fault) String() string {
 	if f.Line == 0 {
 		return f.File + ": " + f.Problem
@@ -22,12 +22,12 @@
 	return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Problem)
 }
 
-// Faults are all the faults of a file, in the order of their lines. There is at least one.
+// Faults holds all faults of a file, sorted by line. It is never empty.
 //
 //nolint:errname // a list of faults, which is an error as a whole: callers print its elements
 type Faults []Fault
 
-// Error is the first fault, in one line.
+// Error returns the first fault and the number of further faults in one line.
 func (f Faults) Error() string {
 	if len(f) > 1 {
 		return fmt.Sprintf("%s (and %d more faults: see spurwinchctl check)", f[0], len(f)-1)
@@ -35,15 +35,15 @@
 	return f[0].String()
 }
 
-// SizeError says that a file is too long to be settings.
+// SizeError is the error for a file of more than MaxBytes.
 type SizeError struct {
 	File  string
 	Bytes int
 }
 
-// Error is the file, its size and the most that is read.
+// Error returns the file, its size and the maximum size.
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("%s: %d bytes; settings have %d at most", e.File, e.Bytes, MaxBytes)
+	return fmt.Sprintf("%s: %d bytes, a file of settings must have at most %d", e.File, e.Bytes, MaxBytes)
 }
 
 func sortByLine(faults Faults) {
--- a/internal/config/tomlfile/lines.go
+++ b/internal/config/tomlfile/lines.go
@@ -8,31 +8,33 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineIndex is the line of each key, under its path: tables and keys joined by dots, with the numbers of array tables.
+// lineIndex maps the path of each key to its line. A path joins tables and keys by dots and includes the indices of
+// array table entries.
 type lineIndex map[string]int
 
-// indexer walks through the expressions of a file.
+// indexer builds the lineIndex of a file from its expressions.
 type indexer struct {
 	lines  lineIndex
-	counts map[string]int // entries of array tables so far, by path
-	table  string         // path of the table that the keys are in now
+	counts map[string]int // number of entries of each array table so far, by path
+	table  string         // path of the current table, to which keys are added
 }
 
-// indexLines finds the keys of a file. Where the file can't be parsed, it has those before the fault.
+// indexLines returns the lines of the keys of a file. If the file can't be parsed, the result has the keys before the
+// syntax error.
 func indexLines(source []byte) lineIndex {
 	index := &indexer{lines: lineIndex{}, counts: map[string]int{}}
 	parser := &unstable.Parser{}
 	parser.Reset(source)
 	for parser.NextExpression() {
 		expression := parser.Expression()
-		keys, line := keysOf(parser, expression)
+		keys, line := expressionKey(parser, expression)
 		index.add(expression.Kind, keys, line)
 	}
 	return index.lines
 }
 
-// keysOf is the dotted key of an expression, and the line of its first word.
-func keysOf(parser *unstable.Parser, expression *unstable.Node) (keys []string, line int) {
+// expressionKey returns the parts of an expression's dotted key and the line of the first part.
+func expressionKey(parser *unstable.Parser, expression *unstable.Node) (keys []string, line int) {
 	for it := expression.Key(); it.Next(); {
 		node := it.Node()
 		if line == 0 {
@@ -43,14 +45,14 @@
 	return keys, line
 }
 
-// add records the line of an expression, whose kind says whether its keys name a table or stand in the present one.
+// add records the line of an expression. Depending on its kind, the keys name a table or a key of the current table.
 func (x *indexer) add(kind unstable.Kind, keys []string, line int) {
 	switch kind {
 	case unstable.Table:
-		x.table = x.resolve(keys, true)
+		x.table = x.tablePath(keys, true)
 		x.lines[x.table] = line
 	case unstable.ArrayTable:
-		path := x.resolve(keys, false)
+		path := x.tablePath(keys, false)
 		x.counts[path]++
 		x.table = path + "." + strconv.Itoa(x.counts[path]-1)
 		x.lines[x.table] = line
@@ -60,28 +62,28 @@
 			path = x.table + "." + path
 		}
 		x.lines[path] = line
-	default: // comments and the parts of expressions have no line of their own
+	default: // comments and parts of expressions define no key
 	}
 }
 
-// resolve is the path of a table: the number of the present entry stands behind each array table on the way, and behind
-// the last word where last says so.
-func (x *indexer) resolve(keys []string, last bool) string {
+// tablePath returns the path of a table. After each array table in the path it puts the index of the table's current
+// entry; after the last key it does so only if indexLast is set.
+func (x *indexer) tablePath(keys []string, indexLast bool) string {
 	path := ""
 	for i, key := range keys {
 		if path != "" {
 			path += "."
 		}
 		path += key
-		if count, ok := x.counts[path]; ok && (last || i < len(keys)-1) {
+		if count, ok := x.counts[path]; ok && (indexLast || i < len(keys)-1) {
 			path += "." + strconv.Itoa(count-1)
 		}
 	}
 	return path
 }
 
-// of is the line of a key, or of the nearest table around it; 0: it has none.
-func (l lineIndex) of(path string) int {
+// lineOf returns the line of a key, or of the innermost enclosing table that the file has, or 0 if there is none.
+func (l lineIndex) lineOf(path string) int {
 	for {
 		if line, ok := l[path]; ok {
 			return line
@@ -94,8 +96,8 @@
 	}
 }
 
-// first is the first line on which a key stands, whatever the entry of an array table; 0: it has none.
-func (l lineIndex) first(key toml.Key) int {
+// firstLineOf returns the first line that sets a key, in any entry of an array table, or 0 if there is none.
+func (l lineIndex) firstLineOf(key toml.Key) int {
 	wanted := strings.Join(key, ".")
 	first := 0
 	for path, line := range l {
@@ -106,12 +108,12 @@
 	return first
 }
 
-// withoutNumbers is a path without the numbers of array tables.
+// withoutNumbers returns a path without the indices of array tables.
 func withoutNumbers(path string) string {
 	var names []string
-	for word := range strings.SplitSeq(path, ".") {
-		if _, err := strconv.Atoi(word); err != nil {
-			names = append(names, word)
+	for part := range strings.SplitSeq(path, ".") {
+		if _, err := strconv.Atoi(part); err != nil {
+			names = append(names, part)
 		}
 	}
 	return strings.Join(names, ".")
--- a/internal/config/tomlfile/tomlfile.go
+++ b/internal/config/tomlfile/tomlfile.go
@@ -1,7 +1,8 @@
-// Package tomlfile reads settings in TOML 1.0 and tells each fault with the line it is on.
+// Package tomlfile reads settings in TOML 1.0 and reports each fault with its line.
 //
-// A package with settings of its own decodes them into a struct by Decode, sets default values by Fill, notes what
-// can't be by File.Fault, and returns File.Err. It does no I/O but for Load, which reads one file, and keeps no state.
+// A package with settings of its own decodes them into a struct with Decode, sets default values with Fill, reports
+// invalid values with File.Fault, and returns File.Err. Package tomlfile keeps no state. Its only I/O is to read a file
+// in Load.
 package tomlfile
 
 import (
@@ -14,17 +15,17 @@
 	"github.com/BurntSushi/toml"
 )
 
-// MaxBytes is the longest file that is read.
+// MaxBytes is the maximum size of a file.
 const MaxBytes = 16 << 20
 
-// File is a file that was decoded: it knows where its keys stand, and collects faults.
+// File is a decoded file. It holds the lines of the file's keys and collects its faults.
 type File struct {
 	Name   string
 	lines  lineIndex
 	faults Faults
 }
 
-// Load reads a file's text. The error is a *SizeError where the file is too long.
+// Load reads the text of a file. The error is a *SizeError if the file is larger than MaxBytes.
 func Load(path string) ([]byte, error) {
 	source, err := os.ReadFile(path)
 	if err == nil && len(source) > MaxBytes {
@@ -34,7 +35,7 @@
 }
 
 // Decode decodes the text of a file into target, a pointer to a struct with toml tags. Syntax errors, values of a wrong
-// type and unknown keys are faults of the File.
+// type and unknown keys become faults of the File.
 func Decode(path string, source []byte, target any) *File {
 	file := &File{Name: path, lines: indexLines(source)}
 	metadata, err := toml.Decode(string(source), target)
@@ -53,14 +54,14 @@
 func (f *File) addSyntaxError(syntax toml.ParseError) {
 	problem := syntax.Message
 	if problem == "" {
-		problem = strings.TrimPrefix(inOneLine(syntax), "toml: ")
+		problem = strings.TrimPrefix(singleLine(syntax), "toml: ")
 	}
 	f.faults = append(f.faults, Fault{File: f.Name, Line: syntax.Position.Line, Problem: "toml: " + problem})
 }
 
-// addTypeError notes a value of a wrong type. The decoder has its line and key in the text only.
+// addTypeError adds a fault for a value of a wrong type. The decoder gives the line and key only in the error's text.
 func (f *File) addTypeError(err error) {
-	fault := Fault{File: f.Name, Problem: inOneLine(err)}
+	fault := Fault{File: f.Name, Problem: singleLine(err)}
 	if line, key, problem, ok := parseTypeError(fault.Problem); ok {
 		fault.Line = line
 		fault.Key = strings.Trim(key, `"`)
@@ -69,7 +70,7 @@
 	f.faults = append(f.faults, fault)
 }
 
-// parseTypeError takes apart what the decoder says: toml: line NUMBER (last key "KEY"): PROBLEM.
+// parseTypeError parses the decoder's error text, which has the form: toml: line NUMBER (last key "KEY"): PROBLEM.
 func parseTypeError(text string) (line int, key, problem string, ok bool) {
 	rest, hasLine := strings.CutPrefix(text, "toml: line ")
 	number, rest, hasKey := strings.Cut(rest, " (last key ")
@@ -78,9 +79,9 @@
 	return line, key, problem, hasLine && hasKey && hasProblem && err == nil
 }
 
-func inOneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
+func singleLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
 
-// addUnknownKeys notes each unknown key once, however many entries of an array table have it.
+// addUnknownKeys adds one fault for each unknown key, even if several entries of an array table have it.
 func (f *File) addUnknownKeys(keys []toml.Key) {
 	seen := map[string]bool{}
 	for _, key := range keys {
@@ -90,13 +91,13 @@
 		}
 		seen[name] = true
 		f.faults = append(f.faults, Fault{
-			File: f.Name, Line: f.lines.first(key), Key: name, Problem: fmt.Sprintf("unknown key %q", name),
+			File: f.Name, Line: f.lines.firstLineOf(key), Key: name, Problem: fmt.Sprintf("unknown key %q", name),
 		})
 	}
 }
 
-// Line is the line of a key, or of the nearest table around it; 0: it has none.
-func (f *File) Line(path string) int { return f.lines.of(path) }
+// Line returns the line of a key, or of the innermost enclosing table that the file has, or 0 if there is none.
+func (f *File) Line(path string) int { return f.lines.lineOf(path) }
 
 // Has reports whether the file sets a key.
 func (f *File) Has(path string) bool {
@@ -104,14 +105,15 @@
 	return ok
 }
 
-// Fault notes that what stands at a path can't be. The text says what was found and what is wanted.
+// Fault adds a fault for the key or table at path. The text names the invalid value and what is allowed.
 func (f *File) Fault(path, format string, args ...any) {
 	f.faults = append(f.faults, Fault{
 		File: f.Name, Line: f.Line(path), Key: path, Problem: fmt.Sprintf(format, args...),
 	})
 }
 
-// Err is a Faults with all faults in the order of their lines, or nil. An unreadable file has only its first.
+// Err returns a Faults with all faults sorted by line, or nil if there are none. For a file that can't be decoded it
+// has only the first error.
 func (f *File) Err() error {
 	if len(f.faults) == 0 {
 		return nil
@@ -120,5 +122,6 @@
 	return f.faults
 }
 
-// Broken reports whether the file could not be decoded, so that its values mean nothing.
+// Broken reports whether the file has faults. Right after Decode this means that the file could not be decoded and its
+// values must not be used.
 func (f *File) Broken() bool { return len(f.faults) > 0 }
