--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -23,8 +23,8 @@
 	DrainPeriod       Duration       `toml:"leave,omitzero"`         // time over which its sessions are told to leave
 	SlowStartFraction float64        `toml:"cold_share,omitzero"`    // fraction of its capacity at a server's start
 	WarmUp            Duration       `toml:"warm_up,omitzero"`       // length of the slow start
-	OverloadMultiple  float64        `toml:"fall_multiple,omitzero"` // a server above this multiple of its capacity
-	OverloadTime      Duration       `toml:"fall_time,omitzero"`     // for this long fails
+	OverloadMultiple  float64        `toml:"fall_multiple,omitzero"` // a server fails above this multiple of capacity
+	OverloadTime      Duration       `toml:"fall_time,omitzero"`     // if the overload lasts this long
 	Servers           []StaticServer `toml:"host,omitempty"`
 }
 
--- a/internal/config/fleetlist.go
+++ b/internal/config/fleetlist.go
@@ -33,7 +33,7 @@
 // FleetPlan holds the rules of the plans that move load between zones.
 type FleetPlan struct {
 	UtilizationLimit float64  `toml:"limit,omitzero"` // fraction of a server's capacity that plans use
-	GrantLifetime    Duration `toml:"life,omitzero"`  // of a grant to another zone without contact to the leader
+	GrantLifetime    Duration `toml:"life,omitzero"`  // of a grant to another zone without contact with the leader
 	RecoveryDelay    Duration `toml:"hold,omitzero"`  // time a zone must be healthy before it takes load again
 	RecoveryRamp     float64  `toml:"ramp,omitzero"`  // fraction of a recovered zone's capacity given back each second
 	RegionalClasses  []string `toml:"stay,omitempty"` // classes whose requests must stay in their region
@@ -57,8 +57,8 @@
 	regionDistanceProblem = "[[far]]: between = [REGION, REGION] and a cost of 1 or more are required"
 )
 
-// ReadFleetList reads and checks a list of nodes. If the file can be read but is
-// invalid, the error is a tomlfile.Faults.
+// ReadFleetList reads and checks a list of nodes. If the file can be read but is invalid, the error is a
+// tomlfile.Faults.
 func ReadFleetList(path string) (*FleetList, error) {
 	source, err := tomlfile.Load(path)
 	if err != nil {
--- a/internal/config/golden_helpers_test.go
+++ b/internal/config/golden_helpers_test.go
@@ -13,9 +13,9 @@
 	"github.com/BurntSushi/toml"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "overwrite the golden files with the results")
 
-// golden reads a golden file. With -update it is written first.
+// golden returns the content of a golden file. With -update it first writes got to the file.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -31,18 +31,18 @@
 	return want
 }
 
-// requireSet fails where a key of a file type is set by none of some values: such a key could get another name unseen.
-// Elements of a list may set it between them.
+// requireSet fails for each key of a file type that none of the values sets, because a test would not notice if such a
+// key were renamed. For a list it is enough that one of the elements sets the key.
 func requireSet(t *testing.T, path string, values ...reflect.Value) {
 	t.Helper()
 	if len(values) == 0 {
-		t.Errorf("%s is empty: the golden file has to set every key", path)
+		t.Errorf("%s: got an empty list, want the golden file to set every key", path)
 		return
 	}
 	switch values[0].Kind() {
 	case reflect.Pointer:
 		if values[0].IsNil() {
-			t.Errorf("%s is nil: the golden file has to set every key", path)
+			t.Errorf("%s: got nil, want the golden file to set every key", path)
 			return
 		}
 		requireSet(t, path, values[0].Elem())
@@ -58,12 +58,12 @@
 		requireSet(t, path, elements...)
 	default:
 		if !slices.ContainsFunc(values, func(v reflect.Value) bool { return !v.IsZero() }) {
-			t.Errorf("%s is zero: the golden file has to set every key", path)
+			t.Errorf("%s: got zero, want the golden file to set every key", path)
 		}
 	}
 }
 
-// requireFieldsSet is requireSet for structs of one type. Each field needs a tag.
+// requireFieldsSet is requireSet for structs of one type. It also fails for fields without a toml tag.
 func requireFieldsSet(t *testing.T, path string, values []reflect.Value) {
 	t.Helper()
 	structure := values[0].Type()
@@ -77,7 +77,7 @@
 			continue
 		}
 		if key == "" && !field.Anonymous {
-			t.Errorf("%s.%s has no toml tag: its key would follow the field's name", path, field.Name)
+			t.Errorf("%s.%s: got no toml tag, want one: the key would follow the field's name", path, field.Name)
 		}
 		var all []reflect.Value
 		for _, value := range values {
@@ -87,7 +87,7 @@
 	}
 }
 
-// encode writes a value as TOML, as the converter of nginx configurations does.
+// encode encodes a value as TOML in the same way as the converter of nginx configurations.
 func encode(t *testing.T, v any) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -99,13 +99,13 @@
 	return b.Bytes()
 }
 
-// requireEqual compares two structs field by field, so that a message names the field at fault.
+// requireEqual compares two structs field by field, so that a failure message names the field that differs.
 func requireEqual(t *testing.T, path string, got, want any) {
 	t.Helper()
 	gotValue, wantValue := reflect.ValueOf(got), reflect.ValueOf(want)
 	if gotValue.Kind() != reflect.Struct {
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is %+v, wanted %+v", path, got, want)
+			t.Errorf("%s: got %+v, want %+v", path, got, want)
 		}
 		return
 	}
@@ -116,7 +116,7 @@
 		}
 		gotField, wantField := gotValue.Field(i).Interface(), wantValue.Field(i).Interface()
 		if !reflect.DeepEqual(gotField, wantField) {
-			t.Errorf("%s.%s is %+v, wanted %+v", path, field.Name, gotField, wantField)
+			t.Errorf("%s.%s: got %+v, want %+v", path, field.Name, gotField, wantField)
 		}
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -20,7 +20,7 @@
 	"spurwinch/internal/simwire"
 )
 
-// goldenSettings is what the settings in testdata/config.json say.
+// goldenSettings returns the settings in testdata/config.json.
 func goldenSettings() choice.Settings {
 	return choice.Settings{
 		Nodes: 3, Node: 2, Zone: "zone-a",
@@ -68,7 +68,7 @@
 	}
 }
 
-// goldenNode is what testdata/config.json says.
+// goldenNode returns the node that testdata/config.json configures.
 func goldenNode() Node {
 	return Node{
 		Name: "node-1", Listen: "127.0.0.1:3001", Discovery: "127.0.0.1:8501", Mgmt: "127.0.0.1:9001",
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestGoldenNode holds what each key of a node's config.json means, and which variables override it.
+// TestGoldenNode checks the meaning of each key of a node's config.json, and that the GW_* variables override keys.
 func TestGoldenNode(t *testing.T) {
 	path := filepath.Join("testdata", "config.json")
 	environment := map[string]string{"GW_CONFIG": path}
@@ -108,7 +108,7 @@
 		Started: 1700000000123 * time.Millisecond,
 	}}})
 	if got.Known.Version != 12 || !got.Known.Full {
-		t.Errorf("the known list has version %d, full %v, wanted 12 and true", got.Known.Version, got.Known.Full)
+		t.Errorf("known list: got version %d and full %v, want 12 and true", got.Known.Version, got.Known.Full)
 	}
 	got.Known = nil
 	want := goldenNode()
@@ -127,7 +127,7 @@
 	requireEqual(t, "Node by variables", got, want)
 }
 
-// goldenOperator is what testdata/operator.toml says.
+// goldenOperator returns the content of testdata/operator.toml.
 func goldenOperator() Operator {
 	const second = Duration(time.Second)
 	return Operator{
@@ -176,8 +176,8 @@
 	}
 }
 
-// operatorFiles makes the files that testdata/operator.toml names, in a directory of the test's own that becomes the
-// working directory.
+// operatorFiles writes the files that testdata/operator.toml names to a temporary directory, and makes it the working
+// directory.
 func operatorFiles(t *testing.T) {
 	t.Helper()
 	nodes, err := os.ReadFile(filepath.Join("testdata", "nodes.toml"))
@@ -206,11 +206,11 @@
 	if !ok {
 		t.Fatal("testdata/nodes.toml has no [plan]")
 	}
-	write("nodes.toml", append([]byte("[plan]"), withoutPolicy...)) // one with a policy on its log has no cluster
+	write("nodes.toml", append([]byte("[plan]"), withoutPolicy...)) // with a policy on its log, a fleet has no cluster
 }
 
-// TestGoldenOperator holds what each key of an operator's file means, and the form in which the converter of nginx
-// configurations writes one.
+// TestGoldenOperator checks the meaning of each key of an operator's file, and the form in which the converter of nginx
+// configurations encodes one.
 func TestGoldenOperator(t *testing.T) {
 	path, err := filepath.Abs(filepath.Join("testdata", "operator.toml"))
 	if err != nil {
@@ -220,7 +220,7 @@
 	encoded := encode(t, want)
 	requireSet(t, "Operator", reflect.ValueOf(want))
 	if form := golden(t, "operator_encoded.toml", encoded); !bytes.Equal(encoded, form) {
-		t.Errorf("written as\n%s\nwanted\n%s", encoded, form)
+		t.Errorf("encode: got\n%s\nwant\n%s", encoded, form)
 	}
 	operatorFiles(t)
 	got, err := ReadOperator(path)
@@ -228,22 +228,22 @@
 		t.Fatal(err)
 	}
 	if got.Keys == nil || got.Networks == nil || got.Fleet.List == nil {
-		t.Errorf("of the files that it names, one was not read: %+v", got)
+		t.Errorf("ReadOperator: got %+v, want keys, networks and a list of nodes from the named files", got)
 	}
 	if key := string(got.Fleet.Secret); key != strings.Repeat("k", minFleetKeyBytes) {
-		t.Errorf("the fleet's key is %q, wanted that of the file", key)
+		t.Errorf("key of the fleet: got %q, want the text of the file", key)
 	}
 	list := got.Fleet.List
 	got.Keys, got.Networks, got.Fleet.List, got.Fleet.Secret = nil, nil, nil, nil
 	requireEqual(t, "Operator", got, want)
 	requireEqual(t, "Fleet", *got.Fleet, *want.Fleet)
 	if list.Addr[list.List.Index("node-b")] != "127.0.0.1:7101" {
-		t.Errorf("the addresses by number are %v, wanted 127.0.0.1:7101 for node-b", list.Addr)
+		t.Errorf("addresses by number: got %v, want 127.0.0.1:7101 for node-b", list.Addr)
 	}
 }
 
-// TestGoldenUsualValues holds the values of keys that a file leaves out.
-func TestGoldenUsualValues(t *testing.T) {
+// TestGoldenDefaultValues checks the default values of keys that a file omits.
+func TestGoldenDefaultValues(t *testing.T) {
 	operator := Operator{
 		Listeners: []Listener{{Addr: "127.0.0.1:1", Protocol: "xmpp"}},
 		Domains:   []Domain{{Name: "d", Cluster: "c"}},
@@ -260,7 +260,7 @@
 	}
 	encoded := encode(t, got)
 	if want := golden(t, "operator_usual.toml", encoded); !bytes.Equal(encoded, want) {
-		t.Errorf("an operator's file with the least is filled up to\n%s\nwanted\n%s", encoded, want)
+		t.Errorf("ReadOperator of a minimal file: got\n%s\nwant\n%s", encoded, want)
 	}
 
 	list := &FleetList{
@@ -279,8 +279,8 @@
 	})
 	requireEqual(t, "Policy", *list.Policy, FleetPolicy{Window: 5 * second, AnswerTimeout: 10 * second})
 
-	const least = "[[class]]\nname = \"a\"\naim = \"1s\"\npatience = \"2s\"\n[plan]\n"
-	document, err := ReadPolicy("p", []byte(least), 0)
+	const minimal = "[[class]]\nname = \"a\"\naim = \"1s\"\npatience = \"2s\"\n[plan]\n"
+	document, err := ReadPolicy("p", []byte(minimal), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -291,7 +291,7 @@
 	})
 }
 
-// goldenFleetList is what testdata/nodes.toml says.
+// goldenFleetList returns the content of testdata/nodes.toml.
 func goldenFleetList() FleetList {
 	const second = Duration(time.Second)
 	return FleetList{
@@ -308,7 +308,7 @@
 	}
 }
 
-// TestGoldenFleetList holds what each key of the list of nodes means.
+// TestGoldenFleetList checks the meaning of each key of the list of nodes.
 func TestGoldenFleetList(t *testing.T) {
 	got, err := ReadFleetList(filepath.Join("testdata", "nodes.toml"))
 	if err != nil {
@@ -318,7 +318,7 @@
 	requireSet(t, "FleetList", reflect.ValueOf(want))
 	encoded := encode(t, want)
 	if form := golden(t, "nodes_encoded.toml", encoded); !bytes.Equal(encoded, form) {
-		t.Errorf("written as\n%s\nwanted\n%s", encoded, form)
+		t.Errorf("encode: got\n%s\nwant\n%s", encoded, form)
 	}
 	requireEqual(t, "rules of changes", got.Policy.Rules(),
 		policy.Rules{Window: 6 * time.Second, AnswerTimeout: 11 * time.Second})
@@ -327,7 +327,7 @@
 		{"region-1", "region-2"}: 2.5, {"region-2", "region-1"}: 2.5, {"region-1", "other"}: 1,
 	} {
 		if got := rules.RegionDistance(pair[0], pair[1]); got != cost {
-			t.Errorf("the cost between %v is %v, wanted %v", pair, got, cost)
+			t.Errorf("RegionDistance between %v: got %v, want %v", pair, got, cost)
 		}
 	}
 	rules.RegionDistance = nil
@@ -345,7 +345,7 @@
 	requireEqual(t, "FleetList", *got, want)
 }
 
-// goldenDocument is what testdata/policy.toml says.
+// goldenDocument returns the policy document in testdata/policy.toml.
 func goldenDocument() policy.Document {
 	return policy.Document{
 		Attempts: 3, RetryAfter: 2 * time.Second, OverQuotaPriority: 0.1,
@@ -374,7 +374,7 @@
 	}
 }
 
-// TestGoldenPolicy holds what each key of a policy document means.
+// TestGoldenPolicy checks the meaning of each key of a policy document.
 func TestGoldenPolicy(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "policy.toml"))
 	if err != nil {
@@ -392,6 +392,6 @@
 	requireSet(t, "policyFile", reflect.ValueOf(*source))
 	encoded := encode(t, source)
 	if form := golden(t, "policy_encoded.toml", encoded); !bytes.Equal(encoded, form) {
-		t.Errorf("written as\n%s\nwanted\n%s", encoded, form)
+		t.Errorf("encode: got\n%s\nwant\n%s", encoded, form)
 	}
 }
--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -24,7 +24,7 @@
 		`"tariffs"`, `"goal":{"whole":1},"tariffs"`,
 	).Replace(transcript.Settings))
 
-// noOverride is an override that overrides nothing.
+// noOverride leaves the values of a file as they are.
 func noOverride(*nodeFile) {}
 
 func writeConfig(t *testing.T, text string) string {
@@ -36,7 +36,7 @@
 	return path
 }
 
-// withoutEachKey calls try with the configuration less each of its keys in turn.
+// withoutEachKey calls try once for each key of completeConfig, with the configuration without that key.
 func withoutEachKey(t *testing.T, try func(path, key, text string)) {
 	t.Helper()
 	var root any
@@ -66,29 +66,30 @@
 	walk(root, "")
 }
 
-// TestAgainTakesWholeFilesOnly has each key missing in turn, the file cut off at each byte, and values that no node can
-// serve by: all are rejected with the key at fault.
-func TestAgainTakesWholeFilesOnly(t *testing.T) {
-	inForce, err := decodeNode([]byte(completeConfig), noOverride)
+// TestReloadRejectsIncompleteAndInvalidFiles checks that ReloadNode rejects files without one of the keys and files
+// with an invalid value, with an error that names the key, and that decodeNode rejects a file that is cut off at any
+// byte.
+func TestReloadRejectsIncompleteAndInvalidFiles(t *testing.T) {
+	current, err := decodeNode([]byte(completeConfig), noOverride)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReloadNode(writeConfig(t, completeConfig), inForce); err != nil {
-		t.Errorf("the same file: %v, wanted no error", err)
+	if _, err := ReloadNode(writeConfig(t, completeConfig), current); err != nil {
+		t.Errorf("ReloadNode of the same file: got error %v, want none", err)
 	}
 	keys := 0
 	withoutEachKey(t, func(path, key, text string) {
 		keys++
-		if _, err := ReloadNode(writeConfig(t, text), inForce); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("without %s: %v, wanted an error that names it", path, err)
+		if _, err := ReloadNode(writeConfig(t, text), current); err == nil || !strings.Contains(err.Error(), key) {
+			t.Errorf("ReloadNode without %s: got error %v, want one that names the key", path, err)
 		}
 	})
 	if keys < 60 {
-		t.Errorf("only %d keys were tried, wanted 60 or more", keys)
+		t.Errorf("keys of completeConfig: got %d, want 60 or more", keys)
 	}
 	for n := range len(completeConfig) {
 		if _, err := decodeNode([]byte(completeConfig[:n]), noOverride); err == nil {
-			t.Errorf("a file that is cut off after %d bytes is accepted", n)
+			t.Errorf("decodeNode of a file cut off after %d bytes: got no error, want an error", n)
 		}
 	}
 	for _, test := range []struct{ old, new, want string }{
@@ -111,19 +112,19 @@
 		{completeConfig, "[]", "object"},
 		{completeConfig, "listen: here", "invalid"},
 	} {
-		_, err := ReloadNode(writeConfig(t, strings.Replace(completeConfig, test.old, test.new, 1)), inForce)
+		_, err := ReloadNode(writeConfig(t, strings.Replace(completeConfig, test.old, test.new, 1)), current)
 		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, wanted an error of one line with %q", test.new, err, test.want)
+			t.Errorf("ReloadNode with %s: got error %v, want one line with %q", test.new, err, test.want)
 		}
 	}
-	if _, err := ReloadNode(filepath.Join(t.TempDir(), "none"), inForce); err == nil {
-		t.Error("a file that is not there was accepted")
+	if _, err := ReloadNode(filepath.Join(t.TempDir(), "none"), current); err == nil {
+		t.Error("ReloadNode of a missing file: got no error, want an error")
 	}
 }
 
-// TestNodeErrors holds what a caller can tell of a file that can't be used: which file, which key, and the cause.
-func TestNodeErrors(t *testing.T) {
-	inForce, err := decodeNode([]byte(completeConfig), noOverride)
+// TestReloadErrorsNameFileKeyAndCause checks that the error for an invalid file gives the file, the key and the cause.
+func TestReloadErrorsNameFileKeyAndCause(t *testing.T) {
+	current, err := decodeNode([]byte(completeConfig), noOverride)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,31 +148,32 @@
 		},
 	} {
 		path := writeConfig(t, strings.Replace(completeConfig, test.old, test.new, 1))
-		_, err := ReloadNode(path, inForce)
+		_, err := ReloadNode(path, current)
 		var fileError *FileError
 		if !errors.As(err, &fileError) || fileError.File != path {
-			t.Errorf("%s: the error is %#v, wanted a FileError of %s", test.new, err, path)
+			t.Errorf("ReloadNode with %s: got error %#v, want a FileError of %s", test.new, err, path)
 		}
 		var keyError *KeyError
 		if !errors.As(err, &keyError) || keyError.Key != test.key {
-			t.Errorf("%s: the error is %#v, wanted a KeyError of %s", test.new, err, test.key)
+			t.Errorf("ReloadNode with %s: got error %#v, want a KeyError of %s", test.new, err, test.key)
 		}
 		if want := path + ": " + test.want; err == nil || err.Error() != want {
-			t.Errorf("%s: the error is %v, wanted %s", test.new, err, want)
+			t.Errorf("ReloadNode with %s: got error %v, want %s", test.new, err, want)
 		}
 	}
 	for text, want := range map[string]error{"": ErrEmptyFile, " \n": ErrEmptyFile, "[]": ErrNoObject} {
-		if _, err := ReloadNode(writeConfig(t, text), inForce); !errors.Is(err, want) {
-			t.Errorf("%q: the error is %v, wanted %v", text, err, want)
+		if _, err := ReloadNode(writeConfig(t, text), current); !errors.Is(err, want) {
+			t.Errorf("ReloadNode of %q: got error %v, want %v", text, err, want)
 		}
 	}
 	if _, err := ReadNode(func(string) string { return "" }); !errors.Is(err, ErrNoConfigFile) {
-		t.Errorf("without variables: the error is %v, wanted %v", err, ErrNoConfigFile)
+		t.Errorf("ReadNode without variables: got error %v, want %v", err, ErrNoConfigFile)
 	}
 }
 
-// settingsWith are settings with classes of these names, each with another deadline, put behind those in force.
-func settingsWith(t *testing.T, inForce simwire.Settings, names ...string) simwire.Settings {
+// settingsWith returns settings with classes of these names, each with a different deadline. The classes get their
+// indices as if the settings replaced the current ones.
+func settingsWith(t *testing.T, current simwire.Settings, names ...string) simwire.Settings {
 	t.Helper()
 	profile := transcript.Settings[strings.Index(transcript.Settings, `{"name":"chat"`):]
 	profile = profile[:strings.Index(profile, "}")+1]
@@ -186,30 +188,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return settings.WithIndicesOf(inForce)
+	return settings.WithIndicesOf(current)
 }
 
-// TestClassesKeepTheirPlace follows classes that appear, vanish and come back with another deadline.
-func TestClassesKeepTheirPlace(t *testing.T) {
+// TestClassesKeepIndexWhenSettingsChange checks the indices of classes that are added, removed, and added again with
+// another deadline.
+func TestClassesKeepIndexWhenSettingsChange(t *testing.T) {
 	settings := settingsWith(t, simwire.Settings{}, "a", "b")
 	settings = settingsWith(t, settings, "c", "b")
 	if len(settings.Classes) != 3 || len(settings.ClassByName) != 2 {
-		t.Fatalf("%+v and %v, wanted 3 classes and 2 names", settings.Classes, settings.ClassByName)
+		t.Fatalf("classes and indices by name: got %+v and %v, want 3 classes and 2 names",
+			settings.Classes, settings.ClassByName)
 	}
 	if first := settings.Classes[0]; first.Name != "a" || !first.Removed {
-		t.Fatalf("the first class is %+v, wanted the removed class a", first)
+		t.Fatalf("first class: got %+v, want the removed class a", first)
 	}
 	if settings.ClassByName["b"] != 1 || settings.ClassByName["c"] != 2 {
-		t.Fatalf("the classes by name are %v, wanted b at 1 and c at 2", settings.ClassByName)
+		t.Fatalf("class indices by name: got %v, want b at 1 and c at 2", settings.ClassByName)
 	}
 	settings = settingsWith(t, settings, "b", "c", "a")
 	first := settings.Classes[0]
 	if len(settings.Classes) != 3 || first.Removed || settings.ClassByName["a"] != 0 || first.Deadline.Seconds() != 4 {
-		t.Fatalf("%+v and %v, wanted class a in its first place with 4s", settings.Classes, settings.ClassByName)
+		t.Fatalf("classes and indices by name: got %+v and %v, want class a at index 0 with 4s",
+			settings.Classes, settings.ClassByName)
 	}
 }
 
-// FuzzDecode checks that whatever is accepted can be served by, and that nothing ends the node.
+// FuzzDecode checks that no input causes a panic, and that the settings of an accepted file are valid.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(completeConfig))
 	f.Add([]byte(strings.Replace(completeConfig, `"peers":[]`, `"peers":["127.0.0.1:1","127.0.0.1:2"]`, 1)))
@@ -220,15 +225,15 @@
 			return
 		}
 		if err := node.Settings.Check(); err != nil {
-			t.Errorf("the settings of an accepted file: %v", err)
+			t.Errorf("Check of accepted settings: got error %v, want none", err)
 		}
 		for _, class := range node.Settings.WithIndicesOf(node.Settings).Classes {
 			if class.Deadline <= 0 || class.Removed {
-				t.Errorf("class %+v has no deadline or was removed", class)
+				t.Errorf("got class %+v, want one with a deadline that is not removed", class)
 			}
 		}
 		if key := node.keys.firstMissing(node.keys, ""); key != "" {
-			t.Errorf("a file lacks the key %s of its own", key)
+			t.Errorf("firstMissing of a file compared with itself: got %s, want no key", key)
 		}
 	})
 }
--- a/internal/config/policy_test.go
+++ b/internal/config/policy_test.go
@@ -35,21 +35,22 @@
 cost = 2.0
 `
 
-// TestPolicy holds what a document says, and that a fault is told with its line and what would be right.
-func TestPolicy(t *testing.T) {
+// TestReadPolicyValuesAndFaults checks the values of a valid document, and that the error for an invalid one gives the
+// line and what is allowed.
+func TestReadPolicyValuesAndFaults(t *testing.T) {
 	document, err := ReadPolicy("p", []byte(validPolicy), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	gold := document.Classes[0]
 	if document.Attempts != 3 || document.RetryAfter != time.Second {
-		t.Errorf("the document is %+v, wanted 3 attempts and an advice of 1s", document)
+		t.Errorf("ReadPolicy: got %+v, want 3 attempts and a retry after 1s", document)
 	}
 	if gold.Deadline != 3*time.Second || !gold.ServedByBase || document.Classes[1].Priority != 1 {
-		t.Errorf("the classes are %+v, wanted gold with 3s and a base policy, plain of priority 1", document.Classes)
+		t.Errorf("classes: got %+v, want gold with 3s and the base policy, plain with priority 1", document.Classes)
 	}
 	if document.Failover.UtilizationLimit != 0.85 || document.Failover.RegionDistances[0].Cost != 2 {
-		t.Errorf("the rules of failover are %+v, wanted the limit 0.85 and the cost 2", document.Failover)
+		t.Errorf("failover rules: got %+v, want the limit 0.85 and the cost 2", document.Failover)
 	}
 	for _, test := range []struct {
 		old, new, want string
@@ -71,13 +72,13 @@
 	} {
 		_, err := ReadPolicy("p", []byte(strings.Replace(validPolicy, test.old, test.new, 1)), test.level)
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: %v, wanted %s", test.new, err, test.want)
+			t.Errorf("ReadPolicy with %s: got error %v, want %s", test.new, err, test.want)
 		}
 	}
 }
 
-// fleetFiles writes a key, a list of nodes with a [policy] and an operator's file with a [fleet], and returns the path
-// of the last. policy and fleet are further lines of the two tables.
+// fleetFiles writes a key, a list of nodes with a [policy] table and an operator's file with a [fleet] table, and
+// returns the path of the operator's file. policy and fleet are additional lines of the two tables.
 func fleetFiles(t *testing.T, policy, fleet string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -97,8 +98,8 @@
 		"[fleet]", `self = "a"`, `listen = "127.0.0.1:0"`, `nodes = "`+nodes+`"`, `key_file = "`+key+`"`, fleet)
 }
 
-// TestFleetPolicy holds what a fleet with its policy on the log needs.
-func TestFleetPolicy(t *testing.T) {
+// TestFleetPolicyRequirements checks the errors for an operator's file of a fleet that has its policy on the log.
+func TestFleetPolicyRequirements(t *testing.T) {
 	for _, test := range []struct{ policy, fleet, want string }{
 		{"", `dir = "d"`, ""},
 		{`window = "1s"`, `dir = "d"`, "[policy] window = \"1s\": must be between 2s and 5m"},
@@ -111,10 +112,11 @@
 	} {
 		_, err := ReadOperator(fleetFiles(t, test.policy, test.fleet))
 		if test.want == "" && err != nil {
-			t.Errorf("%q %q: %v, wanted no error", test.policy, test.fleet, err)
+			t.Errorf("ReadOperator with policy %q and fleet %q: got error %v, want none", test.policy, test.fleet, err)
 		}
 		if test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want)) {
-			t.Errorf("%q %q: %v, wanted %q", test.policy, test.fleet, err, test.want)
+			t.Errorf("ReadOperator with policy %q and fleet %q: got error %v, want %q",
+				test.policy, test.fleet, err, test.want)
 		}
 	}
 }
