--- a/internal/operations/hotrestart/batch.go
+++ b/internal/operations/hotrestart/batch.go
@@ -9,29 +9,31 @@
 )
 
 const (
-	// transferForm is the version of a batch and of its contents. A process rejects batches of another one.
-	transferForm = 1
-	// MaxBatchConnections is the most connections of a batch.
+	// transferVersion is the version of the encoding of a batch and of its contents. Processes whose versions differ do
+	// not transfer connections.
+	transferVersion = 1
+	// MaxBatchConnections is the maximum number of connections in a batch.
 	MaxBatchConnections = 64
 
 	maxBatchBytes   = 1 << 20
-	maxLearnedBytes = 512 << 10 // 202 bytes a server where ids have 64, and sessions that can be resumed
+	maxLearnedBytes = 512 << 10 // 202 bytes per server with a 64-byte ID, plus the resumable sessions
 )
 
-// TransferItem is one connection: its sockets, and what its process knows of it.
+// TransferItem is one connection in a batch: its sockets and its encoded state.
 type TransferItem struct {
 	FDs  []int
 	Body []byte
 }
 
-// encodedItem is a TransferItem inside a batch. Its descriptors come beside the batch, in the order of the items.
+// encodedItem is the encoded form of a TransferItem. The descriptors are sent outside the encoded batch, in the order
+// of the items.
 type encodedItem struct {
 	_       struct{} `cbor:",toarray"`
 	Sockets int      // number of descriptors
 	Body    []byte
 }
 
-var decoding = func() cbor.DecMode {
+var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: MaxBatchConnections, MaxMapPairs: 64, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -39,10 +41,10 @@
 	return mode
 }()
 
-// Decode decodes CBOR of another process. It bounds what that can make this one allocate.
-func Decode(encoded []byte, into any) error { return decoding.Unmarshal(encoded, into) }
+// Decode decodes CBOR that another process sent. It bounds the memory that the input can make this process allocate.
+func Decode(encoded []byte, into any) error { return decodeMode.Unmarshal(encoded, into) }
 
-// encodeBatch returns a batch as it is sent, and the descriptors that go with it.
+// encodeBatch returns the encoded batch and the descriptors to send with it.
 func encodeBatch(items []TransferItem) (encoded []byte, descriptors []int, err error) {
 	var batch []encodedItem
 	for _, item := range items {
@@ -59,28 +61,29 @@
 	return encoded, descriptors, nil
 }
 
-// decodeBatch reads a batch and assigns the descriptors that came with it to its connections.
+// decodeBatch decodes a batch and assigns the descriptors received with it to its connections.
 func decodeBatch(encoded []byte, descriptors []int) ([]TransferItem, error) {
 	var batch []encodedItem
 	if err := Decode(encoded, &batch); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidBatch, err)
 	}
 	var items []TransferItem
-	left := descriptors
+	remaining := descriptors
 	for _, item := range batch {
-		if item.Sockets < 1 || item.Sockets > len(left) {
-			return nil, fmt.Errorf("%w: a connection of %d descriptors where %d are left",
-				ErrInvalidBatch, item.Sockets, len(left))
+		if item.Sockets < 1 || item.Sockets > len(remaining) {
+			return nil, fmt.Errorf("%w: a connection has %d descriptors, must be between 1 and the %d remaining",
+				ErrInvalidBatch, item.Sockets, len(remaining))
 		}
-		items = append(items, TransferItem{FDs: left[:item.Sockets:item.Sockets], Body: item.Body})
-		left = left[item.Sockets:]
+		items = append(items, TransferItem{FDs: remaining[:item.Sockets:item.Sockets], Body: item.Body})
+		remaining = remaining[item.Sockets:]
 	}
-	if len(left) > 0 || len(items) == 0 {
-		return nil, fmt.Errorf("%w: %d connections and %d descriptors too many", ErrInvalidBatch, len(items), len(left))
+	if len(remaining) > 0 || len(items) == 0 {
+		return nil, fmt.Errorf("%w: got %d connections, want at least 1, and %d unassigned descriptors, want 0",
+			ErrInvalidBatch, len(items), len(remaining))
 	}
 	for _, fd := range descriptors {
 		if !loop.IsStreamSocket(fd) {
-			return nil, fmt.Errorf("%w: a descriptor is no stream socket", ErrInvalidBatch)
+			return nil, fmt.Errorf("%w: a descriptor is not a stream socket", ErrInvalidBatch)
 		}
 	}
 	return items, nil
--- a/internal/operations/hotrestart/coordinator.go
+++ b/internal/operations/hotrestart/coordinator.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxLinks     = 4 // processes started after this one that may be linked at a time
+	maxLinks     = 4 // successors that may have a link at the same time
 	helloTimeout = time.Second
 )
 
@@ -18,28 +18,29 @@
 // successors. All its methods must be called on the event loop.
 type Coordinator struct {
 	options         Options
-	parent          *link   // to the process that ran when this one started; nil: it is gone, or there was none
-	successors      []*link // to those started since, oldest first
+	parent          *link   // link to the process that ran when this one started; nil: it has ended, or there was none
+	successors      []*link // links to the processes started since, oldest first
 	descriptorQuota int     // granted by the parent
 	listener        *loop.Listener
-	socketFile      os.FileInfo // at the path, when this process made it
+	socketFile      os.FileInfo // the socket file at the path, if this process created it
 	closed          bool
 }
 
-// Options are a Coordinator's surroundings.
+// Options are the dependencies of a Coordinator.
 type Options struct {
 	Loop *loop.Loop
 	Path string // of the Unix socket: see Path
-	// Grant returns the grant for a successor. Its DescriptorQuota is the successor's from then on.
+	// Grant returns the grant for a successor. From then on the successor may use the DescriptorQuota of the grant.
 	Grant func() Grant
-	// Changed is called when a successor has its grant, is ready or has sent its free descriptors, when another process
-	// has ended, or when the parent has raised the quota.
+	// Changed is called when a successor was sent its grant, is ready, has sent its number of free descriptors or has
+	// answered a batch. It is also called when the process at the other end of a link has ended, and when the parent
+	// has raised the quota.
 	Changed func()
 	TransferHandler
 }
 
-// NewCoordinator has successors find this process at the path, and keeps the link to the parent that sent the grant, if
-// any. A path where the socket cannot be made is one line in the log: the node runs without hot restarts.
+// NewCoordinator listens for successors at the path, and keeps the link to the parent that sent the grant, if any. If
+// the socket cannot be created at the path, NewCoordinator logs a warning and the node runs without hot restarts.
 func NewCoordinator(options Options, grant *Grant) *Coordinator {
 	c := &Coordinator{options: options}
 	if grant != nil {
@@ -52,7 +53,7 @@
 func (c *Coordinator) linkParent(grant *Grant) {
 	c.descriptorQuota = grant.DescriptorQuota
 	c.parent = &link{coordinator: c}
-	c.parent.transfers = grant.transferForm == transferForm && c.options.Prepare != nil
+	c.parent.canTransfer = grant.transferVersion == transferVersion && c.options.Prepare != nil
 	c.parent.conn = c.options.Loop.Attach(grant.fd, c.parent)
 	c.parent.conn.OnDescriptors(c.parent.receiveDescriptors)
 	if len(grant.unread) > 0 {
@@ -60,14 +61,14 @@
 	}
 }
 
-// listen makes the socket at the path, unless it is this process's already.
+// listen creates the socket at the path, unless the socket there is already the one of this process.
 func (c *Coordinator) listen() {
 	if c.closed {
 		return
 	}
 	file, err := os.Stat(c.options.Path)
 	if err == nil && c.socketFile != nil && os.SameFile(file, c.socketFile) {
-		return // no successor had replaced it
+		return // no successor has replaced the socket
 	}
 	listener, err := c.options.Loop.ListenUnix(c.options.Path, c.accept)
 	if err != nil {
@@ -78,7 +79,7 @@
 		c.listener.Close()
 	}
 	c.listener = listener
-	c.socketFile, _ = os.Stat(c.options.Path) // nil makes the socket anew next time
+	c.socketFile, _ = os.Stat(c.options.Path) // on an error it is nil, and the next call creates the socket again
 }
 
 func (c *Coordinator) accept(conn *loop.Conn) loop.Handler {
@@ -95,13 +96,13 @@
 	return successor
 }
 
-// HasPredecessor reports whether the process that sent the grant still runs.
+// HasPredecessor reports whether the parent, which sent the grant, still runs.
 func (c *Coordinator) HasPredecessor() bool { return c.parent != nil }
 
-// DescriptorQuota is the number of descriptors that this process may hold by its grant.
+// DescriptorQuota returns the number of descriptors that the parent allows this process to have open.
 func (c *Coordinator) DescriptorQuota() int { return c.descriptorQuota }
 
-// Successor reports whether a process started later runs beside this one, and whether one is ready to take clients.
+// Successor reports whether a successor with a grant runs, and whether a successor is ready to accept clients.
 func (c *Coordinator) Successor() (linked, ready bool) {
 	for _, successor := range c.successors {
 		linked = linked || successor.grantedQuota > 0
@@ -110,7 +111,7 @@
 	return linked, ready
 }
 
-// GrantedQuota is the number of descriptors that all successors together may hold.
+// GrantedQuota returns the number of descriptors that all successors together may have open.
 func (c *Coordinator) GrantedQuota() int {
 	quota := 0
 	for _, successor := range c.successors {
@@ -127,7 +128,8 @@
 	}
 }
 
-// RaiseQuota raises the newest successor's quota to all that is left of total beside own and the other successors'.
+// RaiseQuota raises the quota of the newest successor to total minus own and the quotas of the other successors. It
+// never lowers a quota.
 func (c *Coordinator) RaiseQuota(total, own int) {
 	if len(c.successors) == 0 {
 		return
@@ -141,7 +143,7 @@
 	}
 }
 
-// Close ends listening: no further process finds this one. The links stay.
+// Close stops listening, so that no further successor can connect. The links stay open.
 func (c *Coordinator) Close() {
 	c.closed = true
 	if c.listener != nil {
@@ -149,7 +151,7 @@
 	}
 }
 
-// remove forgets a link that has ended.
+// remove removes a link that has ended.
 func (c *Coordinator) remove(ended *link) {
 	if c.parent == ended {
 		c.parent = nil
@@ -161,7 +163,7 @@
 		c.successors = append(c.successors[:i:i], c.successors[i+1:]...)
 		linked, _ := c.Successor()
 		if ended.grantedQuota > 0 && !linked {
-			c.listen() // the successor had made the path its own: without this nobody would find a process there
+			c.listen() // the successor had replaced the socket; without a new one the next process finds no parent
 		}
 		return
 	}
--- a/internal/operations/hotrestart/errors.go
+++ b/internal/operations/hotrestart/errors.go
@@ -6,31 +6,31 @@
 )
 
 var (
-	// ErrAnswerTimeout says that a process listens at the path but sends no grant in time.
-	ErrAnswerTimeout = errors.New("the running process gives no answer in time")
-	// ErrInvalidGrant says that the answer of the running process cannot be used.
+	// ErrAnswerTimeout means that a process listens at the path but does not send a grant before the deadline.
+	ErrAnswerTimeout = errors.New("the running process did not answer before the deadline")
+	// ErrInvalidGrant means that the answer of the running process is not a valid grant.
 	ErrInvalidGrant = errors.New("invalid grant")
-	// ErrInvalidBatch says that a batch of connections cannot be read.
+	// ErrInvalidBatch means that a received batch of connections is not valid.
 	ErrInvalidBatch = errors.New("invalid batch")
-	// ErrNoSuccessor says that no process accepts a batch now: there is no successor, or a batch is in transfer
-	// already.
-	ErrNoSuccessor = errors.New("no process takes a batch now")
-	// ErrBatchTooLarge says that the encoded batch is larger than a successor reads.
+	// ErrNoSuccessor means that no successor can accept a batch now, because there is no successor or because another
+	// batch is in transfer.
+	ErrNoSuccessor = errors.New("no successor can accept a batch now")
+	// ErrBatchTooLarge means that the encoded batch is larger than a successor accepts.
 	ErrBatchTooLarge = errors.New("the batch is too large")
 
-	errHelloTimeout       = errors.New("no hello came in time")
-	errMessageTooLong     = errors.New("a message is too long")
-	errTooManyDescriptors = errors.New("more descriptors came than a batch has")
+	errHelloTimeout       = errors.New("received no hello before the timeout")
+	errMessageTooLong     = errors.New("a message exceeds the maximum length")
+	errTooManyDescriptors = errors.New("received more descriptors than a batch may have")
 )
 
-// VersionError says that the other process speaks another version of the messages.
+// VersionError means that the other process uses another version of the protocol.
 type VersionError struct{ Got, Want int }
 
-// Error names both versions.
+// Error returns a text with both versions.
 func (e *VersionError) Error() string { return fmt.Sprintf("version %d, want %d", e.Got, e.Want) }
 
-// UnexpectedMessageError says that a message was received that is not valid in the state of the link.
+// UnexpectedMessageError means that a received message is not valid in the current state of the link.
 type UnexpectedMessageError struct{ Kind string }
 
-// Error names the kind as it came.
+// Error returns a text with the kind as it was received.
 func (e *UnexpectedMessageError) Error() string { return fmt.Sprintf("unexpected message %q", e.Kind) }
--- a/internal/operations/hotrestart/golden_test.go
+++ b/internal/operations/hotrestart/golden_test.go
@@ -60,10 +60,10 @@
 func goldenMessages() map[string]message {
 	list := goldenList()
 	return map[string]message{
-		"hello": {Kind: "hello", Version: 1, TransferForm: 1},
+		"hello": {Kind: "hello", Version: 1, TransferVersion: 1},
 		"lent": {
 			Kind: "lent", Version: 1, Sockets: []string{"127.0.0.1:3000"}, HasDatagrams: true,
-			Discovery: "127.0.0.1:4000", List: &list, Descriptors: 100, TransferForm: 1,
+			Discovery: "127.0.0.1:4000", List: &list, Descriptors: 100, TransferVersion: 1,
 			Learned: []byte("learned\x00\xff"),
 		},
 		"ready":   {Kind: "ready"},
@@ -77,7 +77,7 @@
 		"back":    {Kind: "back"},
 		"every-field": {
 			Kind: "every", Version: 2, Sockets: []string{"127.0.0.1:3000", "[::1]:5222"}, HasDatagrams: true,
-			Discovery: "d:1", List: &list, Descriptors: 3, TransferForm: 4,
+			Discovery: "d:1", List: &list, Descriptors: 3, TransferVersion: 4,
 			Learned: []byte{5}, Size: 6,
 		},
 	}
@@ -330,7 +330,7 @@
 	want := goldenGrant([]int{grant.Sockets["127.0.0.1:3000"], grant.Datagrams})
 	want.fd = grant.fd
 	want.unread = []byte{}
-	want.transferForm = 1
+	want.transferVersion = 1
 	if !reflect.DeepEqual(*grant, want) || want.Sockets["127.0.0.1:3000"] <= 0 || want.Datagrams <= 0 {
 		t.Errorf("the grant is %+v, want %+v", *grant, want)
 	}
--- a/internal/operations/hotrestart/grant.go
+++ b/internal/operations/hotrestart/grant.go
@@ -9,25 +9,25 @@
 	"spurwinch/internal/platform/discovery"
 )
 
-// noDescriptor stands in Grant.Datagrams where there is no socket.
+// noDescriptor is the value of Grant.Datagrams when there is no gossip socket.
 const noDescriptor = -1
 
-// Grant is what the running process gives to a successor. Its descriptors are the successor's to close.
+// Grant is what the parent gives to a successor. The successor must close the descriptors in it.
 type Grant struct {
-	Sockets         map[string]int // listening sockets by the address that the configuration names
+	Sockets         map[string]int // listening sockets by their address in the configuration
 	Datagrams       int            // the gossip socket; -1: none
-	Discovery       string         // the discovery service that List is from
+	Discovery       string         // the discovery service that sent List
 	List            discovery.List
-	DescriptorQuota int // descriptors that the successor may hold
-	Learned         []byte
+	DescriptorQuota int    // descriptors that the successor may have open
+	Learned         []byte // the encoded learned state of the parent
 
-	fd           int    // the link to the parent
-	unread       []byte // received on the link behind the grant
-	transferForm int    // of the connections that the parent sends; 0: it sends none
+	fd              int    // the link to the parent
+	unread          []byte // received on the link after the grant
+	transferVersion int    // the parent's transferVersion; 0: the parent sends no connections
 }
 
-// Release closes what was granted and is not served by this process. A start that has failed calls it: an open link
-// would have the parent take this process for running.
+// Release closes the granted descriptors that this process does not serve. The node calls it after a failed start,
+// because the parent would treat this process as running while the link is open.
 func (g *Grant) Release(serves func(fd int) bool) {
 	descriptors := []int{g.fd}
 	for _, fd := range g.Sockets {
@@ -38,12 +38,12 @@
 	}
 	for _, fd := range descriptors {
 		if !serves(fd) {
-			_ = unix.Close(fd) // the descriptor is gone either way
+			_ = unix.Close(fd) // the descriptor is closed even if Close reports an error
 		}
 	}
 }
 
-// parseGrant reads a grant and assigns the descriptors that came along to their names.
+// parseGrant decodes a grant and assigns the descriptors received with it to their sockets.
 func parseGrant(encoded []byte, descriptors []int) (*Grant, error) {
 	var answer message
 	if err := json.Unmarshal(encoded, &answer); err != nil {
@@ -54,14 +54,14 @@
 	}
 	grant := &Grant{
 		Sockets: map[string]int{}, Datagrams: noDescriptor, Discovery: answer.Discovery,
-		DescriptorQuota: answer.Descriptors, Learned: answer.Learned, transferForm: answer.TransferForm,
+		DescriptorQuota: answer.Descriptors, Learned: answer.Learned, transferVersion: answer.TransferVersion,
 	}
 	if answer.List != nil {
 		grant.List = *answer.List
 	}
 	for i, address := range answer.Sockets {
-		if _, twice := grant.Sockets[address]; twice {
-			return nil, fmt.Errorf("%w: socket %q is there twice", ErrInvalidGrant, address)
+		if _, duplicate := grant.Sockets[address]; duplicate {
+			return nil, fmt.Errorf("%w: socket %q is listed twice, must be listed once", ErrInvalidGrant, address)
 		}
 		grant.Sockets[address] = descriptors[i]
 	}
@@ -71,21 +71,21 @@
 	return grant, nil
 }
 
-// checkGrant reports what is wrong with a message as a grant that came with so many descriptors.
+// checkGrant returns an error if the message is not a valid grant received with this number of descriptors.
 func (m message) checkGrant(descriptors int) error {
-	named := len(m.Sockets)
+	wantDescriptors := len(m.Sockets)
 	if m.HasDatagrams {
-		named++
+		wantDescriptors++
 	}
 	switch {
 	case m.Kind != kindGrant:
 		return &UnexpectedMessageError{Kind: string(m.Kind)}
 	case m.Version != protocolVersion:
 		return &VersionError{Got: m.Version, Want: protocolVersion}
-	case named != descriptors:
-		return fmt.Errorf("%d descriptors came for %d names", descriptors, named)
+	case wantDescriptors != descriptors:
+		return fmt.Errorf("received %d descriptors for %d sockets", descriptors, wantDescriptors)
 	case m.Descriptors < 0:
-		return fmt.Errorf("the descriptor quota is %d", m.Descriptors)
+		return fmt.Errorf("the descriptor quota must not be negative, got %d", m.Descriptors)
 	}
 	if m.List == nil {
 		return nil
@@ -96,14 +96,14 @@
 	return nil
 }
 
-// message returns the grant as it is sent to a successor, and its descriptors in their order.
+// message returns the message that sends the grant to a successor, and the descriptors in the order of its sockets.
 func (g *Grant) message(withTransfers bool) (m message, descriptors []int) {
 	m = message{
 		Kind: kindGrant, Version: protocolVersion,
 		Discovery: g.Discovery, List: &g.List, Descriptors: g.DescriptorQuota,
 	}
 	if withTransfers {
-		m.TransferForm = transferForm
+		m.TransferVersion = transferVersion
 		if len(g.Learned) <= maxLearnedBytes {
 			m.Learned = g.Learned
 		}
--- a/internal/operations/hotrestart/handshake.go
+++ b/internal/operations/hotrestart/handshake.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// maxPathBytes keeps a path within a Unix socket's address, which holds 107 bytes: while the socket is made, its
-	// name has a process number behind it.
+	// maxPathBytes keeps a path within the 107 bytes of a Unix socket address. The difference is needed because the
+	// name has a process ID as a suffix while the socket is being created.
 	maxPathBytes        = 90
 	maxGrantDescriptors = 16
 	connectRetryPause   = 5 * time.Millisecond
 )
 
-// Path returns the path of the Unix socket by which processes of the node that listens at an address connect to each
-// other. It is empty where there can be none: without a directory, with a port that the system chooses, or with a name
-// too long.
+// Path returns the path of the Unix socket on which the processes of a node connect to each other. The listen address
+// identifies the node. The path is empty if there is no directory, if the system chooses the port, or if the path would
+// be too long.
 func Path(dir, listen string) string {
 	if dir == "" || strings.HasSuffix(listen, ":0") {
 		return ""
@@ -37,8 +37,8 @@
 	return path
 }
 
-// RequestGrant asks the running process for a grant. It blocks, until the deadline at the most, so it is called before
-// the event loop runs. After an error the process starts as the only one of its node.
+// RequestGrant requests a grant from the running process. It blocks until the deadline at most, so it must be called
+// before the event loop runs. After an error the process starts as the only one of its node.
 func RequestGrant(path string, deadline time.Time) (*Grant, error) {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -47,12 +47,12 @@
 	client := handshake{fd: fd, deadline: deadline}
 	grant, err := client.run(path)
 	if err != nil {
-		_ = unix.Close(fd) // the descriptor is gone either way
+		_ = unix.Close(fd) // the descriptor is closed even if Close reports an error
 	}
 	return grant, err
 }
 
-// handshake is the successor's side of the link until the grant is there, with blocking calls.
+// handshake is the successor's side of the link until it has received the grant. It uses blocking calls.
 type handshake struct {
 	fd       int
 	deadline time.Time
@@ -65,7 +65,7 @@
 	if err := h.connect(path); err != nil {
 		return nil, os.NewSyscallError("connect", err)
 	}
-	hello := message{Kind: kindHello, Version: protocolVersion, TransferForm: transferForm}
+	hello := message{Kind: kindHello, Version: protocolVersion, TransferVersion: transferVersion}
 	if err := h.send(hello.encode()); err != nil {
 		return nil, os.NewSyscallError("send", err)
 	}
@@ -85,29 +85,29 @@
 	return grant, nil
 }
 
-// setTimeout has the next calls of a kind (a socket option) end by the deadline.
+// setTimeout makes the following sends (SO_SNDTIMEO) or receives (SO_RCVTIMEO) end by the deadline.
 func (h handshake) setTimeout(option int) error {
-	left := time.Until(h.deadline)
-	if left <= 0 {
+	remaining := time.Until(h.deadline)
+	if remaining <= 0 {
 		return ErrAnswerTimeout
 	}
-	timeout := unix.NsecToTimeval(max(left, time.Millisecond).Nanoseconds()) // 0 would be no timeout at all
+	timeout := unix.NsecToTimeval(max(remaining, time.Millisecond).Nanoseconds()) // 0 would mean no timeout
 	return unix.SetsockoptTimeval(h.fd, unix.SOL_SOCKET, option, &timeout)
 }
 
-// connect tries again where a signal interrupts it, or where the queue of the running process is full for a moment.
+// connect retries when a signal interrupts it or when the accept queue of the running process is temporarily full.
 func (h handshake) connect(path string) error {
 	for {
 		err := unix.Connect(h.fd, &unix.SockaddrUnix{Name: path})
-		passing := errors.Is(err, unix.EINTR) || errors.Is(err, unix.EAGAIN)
-		if !passing || time.Now().After(h.deadline) {
+		temporary := errors.Is(err, unix.EINTR) || errors.Is(err, unix.EAGAIN)
+		if !temporary || time.Now().After(h.deadline) {
 			return err
 		}
 		time.Sleep(connectRetryPause)
 	}
 }
 
-// send sends all of data, however much the kernel takes at once.
+// send sends all of data, in several calls if the kernel accepts only a part of it.
 func (h handshake) send(data []byte) error {
 	for len(data) > 0 {
 		sent, err := unix.SendmsgN(h.fd, data, nil, nil, unix.MSG_NOSIGNAL)
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// receiveLine returns the bytes that it receives until there is a complete line, and the descriptors that were received
-// with them, also beside an error.
+// receiveLine receives until there is a complete line. It returns all received bytes, and the descriptors received with
+// them. It returns the descriptors even with an error.
 func (h handshake) receiveLine() (received []byte, descriptors []int, err error) {
 	buffer := make([]byte, 16<<10)
 	control := make([]byte, unix.CmsgSpace(4*maxGrantDescriptors))
@@ -140,7 +140,7 @@
 		descriptors = append(descriptors, loop.ReceivedDescriptors(control[:controlSize])...)
 		received = append(received, buffer[:size]...)
 		if size == 0 || len(received) > maxGrantBytes {
-			return nil, descriptors, fmt.Errorf("%w: it ends or goes on without the end of a line", ErrInvalidGrant)
+			return nil, descriptors, fmt.Errorf("%w: no newline before the end or the size limit", ErrInvalidGrant)
 		}
 	}
 	return received, descriptors, nil
--- a/internal/operations/hotrestart/link.go
+++ b/internal/operations/hotrestart/link.go
@@ -10,30 +10,31 @@
 	"spurwinch/internal/loop"
 )
 
-// link is the Unix connection to one other process of the node, with the state of the protocol on it: the hello and the
-// grant, quotas, and transfers of connections. It ends when either process does, or breaks the protocol.
+// link is the Unix connection to one other process of the node, with the state of the protocol on it. The protocol has
+// the hello and the grant, quotas, and transfers of connections. A link ends when either process ends or violates the
+// protocol.
 type link struct {
 	coordinator  *Coordinator
 	conn         *loop.Conn
 	toSuccessor  bool   // the other process was started after this one; else it is the parent
 	unread       []byte // received, but not a complete message or payload yet
-	grantedQuota int    // descriptors that the successor may have open; over 0 once it has its grant
+	grantedQuota int    // descriptors that the successor may have open; above 0 once the grant is sent
 	ready        bool   // the successor accepts clients
 	closed       bool
-	transfers    bool // connections can be transferred: both know the form, and none has timed out
+	canTransfer  bool // both processes use the same transferVersion, and no batch has timed out
 	outgoing     outgoingTransfer
 	incoming     incomingTransfer
 }
 
 func (l *link) send(m message) { l.conn.Write(m.encode()) }
 
-// OnConnect is not called: a link is accepted, or attached to an established connection.
+// OnConnect is never called, because a link is accepted, or attached to an established connection.
 func (l *link) OnConnect() {}
 
-// OnDrained has nothing to do: a link pauses no source while its data is pending.
+// OnDrained does nothing, because a link pauses no source while its data is pending.
 func (l *link) OnDrained() {}
 
-// OnData handles the messages and payloads that are complete.
+// OnData handles each complete message and payload, and buffers the rest.
 func (l *link) OnData(data []byte) {
 	l.unread = append(l.unread, data...)
 	for !l.closed {
@@ -77,20 +78,20 @@
 	return true
 }
 
-// handle handles a message, and ends the link on one that is not valid in its state.
+// handle handles a message, and ends the link if the message is not valid in the state of the link.
 func (l *link) handle(received message) {
-	var known bool
+	var valid bool
 	if l.toSuccessor {
-		known = l.handleFromSuccessor(received)
+		valid = l.handleFromSuccessor(received)
 	} else {
-		known = l.handleFromParent(received)
+		valid = l.handleFromParent(received)
 	}
-	if !known {
+	if !valid {
 		l.drop(&UnexpectedMessageError{Kind: string(received.Kind)})
 	}
 }
 
-// handleFromSuccessor handles a message of a successor, and reports whether it was valid in the state of the link.
+// handleFromSuccessor handles a message from a successor, and reports whether it was valid in the state of the link.
 func (l *link) handleFromSuccessor(received message) bool {
 	granted := l.grantedQuota > 0
 	switch {
@@ -102,12 +103,12 @@
 		l.coordinator.options.Changed()
 		return true
 	}
-	// A successor that did not answer in time may still answer the batch that was recalled, though no batch follows.
-	transfers := l.transfers || l.outgoing.recalled
-	return transfers && granted && l.handleTransferAnswer(received)
+	// After a recall the parent offers no further batch, but the successor may still answer the recalled one.
+	mayAnswer := l.canTransfer || l.outgoing.recalled
+	return mayAnswer && granted && l.handleTransferAnswer(received)
 }
 
-// handleFromParent handles a message of the parent, and reports whether it was valid in the state of the link.
+// handleFromParent handles a message from the parent, and reports whether it was valid in the state of the link.
 func (l *link) handleFromParent(received message) bool {
 	c := l.coordinator
 	if received.Kind == kindQuotaRaised && received.Descriptors >= c.descriptorQuota {
@@ -116,19 +117,20 @@
 		l.sendFreeDescriptors(kindFreeDescriptors)
 		return true
 	}
-	return l.transfers && l.handleTransfer(received)
+	return l.canTransfer && l.handleTransfer(received)
 }
 
-// answerHello sends the successor its grant, or ends the link if it speaks another version of the protocol.
+// answerHello sends the successor its grant, or ends the link if the successor uses another version of the
+// protocol.
 func (l *link) answerHello(hello message) {
 	if hello.Version != protocolVersion {
 		l.drop(&VersionError{Got: hello.Version, Want: protocolVersion})
 		return
 	}
-	l.transfers = hello.TransferForm == transferForm
+	l.canTransfer = hello.TransferVersion == transferVersion
 	grant := l.coordinator.options.Grant()
-	m, descriptors := grant.message(l.transfers)
-	l.grantedQuota = max(1, grant.DescriptorQuota) // over 0 marks the grant as sent
+	m, descriptors := grant.message(l.canTransfer)
+	l.grantedQuota = max(1, grant.DescriptorQuota) // a value above 0 marks the grant as sent
 	if err := l.conn.SendDescriptors(m.encode(), descriptors...); err != nil {
 		l.drop(fmt.Errorf("grant: %w", err))
 		return
@@ -138,8 +140,8 @@
 	l.coordinator.options.Changed()
 }
 
-// drop ends the link from this side, since the other process broke the protocol. Batches that are in transfer are given
-// up: see abandonTransfers.
+// drop ends the link from this side, because the other process violated the protocol, sent no hello before the timeout,
+// or could not be sent its grant. It gives up the batches in transfer (see abandonTransfers).
 func (l *link) drop(cause error) {
 	zap.L().Warn("hot_restart_link_dropped", zap.Error(cause))
 	l.abandonTransfers()
@@ -147,13 +149,13 @@
 	l.finish()
 }
 
-// OnEnd handles the end of the link by the other process, which has ended or is none of this node.
+// OnEnd handles the end of the link by the other process, which has ended or is not a process of this node.
 func (l *link) OnEnd(error) {
 	l.conn.End()
 	l.finish()
 }
 
-// finish settles the batches in transfer and removes the link from its coordinator, once.
+// finish settles the batches in transfer and removes the link from its coordinator. Further calls do nothing.
 func (l *link) finish() {
 	if l.closed {
 		return
--- a/internal/operations/hotrestart/message.go
+++ b/internal/operations/hotrestart/message.go
@@ -7,55 +7,55 @@
 )
 
 const (
-	// protocolVersion is the version of the messages. A process that speaks another one starts without a grant.
+	// protocolVersion is the version of the messages. A successor that uses another version starts without a grant.
 	protocolVersion = 1
 
-	maxGrantBytes   = 1 << 20 // a list of thousands of servers; no more may wait to be written on a connection
-	maxMessageBytes = 4 << 10 // of any message but the grant, without the payload behind it
+	maxGrantBytes   = 1 << 20 // holds a list of thousands of servers; also the limit of a connection's pending writes
+	maxMessageBytes = 4 << 10 // of any message but the grant, without the payload that follows it
 )
 
-// messageKind says what a message is about. Processes of other releases read these words: they do not change.
+// messageKind is the type of a message. The values must not change, because processes of other releases read them.
 type messageKind string
 
 const (
 	// The successor sends these.
-	kindHello           messageKind = "hello"   // it asks for a grant
-	kindReady           messageKind = "ready"   // it accepts clients
-	kindFreeDescriptors messageKind = "free"    // its number of descriptors that are free for connections
-	kindBatchAccepted   messageKind = "held"    // it can serve the batch, and has so many descriptors free beside that
-	kindBatchRejected   messageKind = "refused" // it has closed the batch
+	kindHello           messageKind = "hello"   // requests a grant
+	kindReady           messageKind = "ready"   // the successor accepts clients
+	kindFreeDescriptors messageKind = "free"    // the number of descriptors that the successor has free for connections
+	kindBatchAccepted   messageKind = "held"    // the successor can serve the batch; has its remaining free descriptors
+	kindBatchRejected   messageKind = "refused" // the successor has closed the descriptors of the batch
 
 	// The parent sends these.
 	kindGrant          messageKind = "lent"
 	kindQuotaRaised    messageKind = "room"
-	kindLearnedState   messageKind = "learned" // the payload behind it is what the parent has learned
-	kindBatchOffered   messageKind = "batch"   // the payload behind it is the batch, and its descriptors come along
-	kindBatchCommitted messageKind = "given"   // the parent has closed its copies: the batch is the successor's
-	kindBatchRecalled  messageKind = "back"    // the batch is the parent's again
+	kindLearnedState   messageKind = "learned" // the payload that follows is the learned state of the parent
+	kindBatchOffered   messageKind = "batch"   // the payload that follows is the batch, sent with its descriptors
+	kindBatchCommitted messageKind = "given"   // the parent has closed its copies; the successor owns the batch
+	kindBatchRecalled  messageKind = "back"    // the parent owns the batch again
 )
 
-// message is what one process sends to the other, as JSON on a line of its own.
+// message is one message between the two processes of a link. It is sent as one line of JSON.
 type message struct {
-	Kind         messageKind     `json:"kind"`
-	Version      int             `json:"version,omitempty"`
-	Sockets      []string        `json:"sockets,omitempty"` // addresses, in the order of their descriptors
-	HasDatagrams bool            `json:"datagrams,omitempty"`
-	Discovery    string          `json:"discovery,omitempty"`
-	List         *discovery.List `json:"list,omitempty"`
-	Descriptors  int             `json:"room,omitempty"`
-	TransferForm int             `json:"carry,omitempty"` // of the connections that can be sent or received; 0: none
-	Learned      []byte          `json:"learned,omitempty"`
-	Size         int             `json:"size,omitempty"` // bytes of the payload behind the line
+	Kind            messageKind     `json:"kind"`
+	Version         int             `json:"version,omitempty"`
+	Sockets         []string        `json:"sockets,omitempty"` // addresses, in the order of their descriptors
+	HasDatagrams    bool            `json:"datagrams,omitempty"`
+	Discovery       string          `json:"discovery,omitempty"`
+	List            *discovery.List `json:"list,omitempty"`
+	Descriptors     int             `json:"room,omitempty"`
+	TransferVersion int             `json:"carry,omitempty"` // the sender's transferVersion; 0: no transfers
+	Learned         []byte          `json:"learned,omitempty"`
+	Size            int             `json:"size,omitempty"` // bytes of the payload that follows the line
 }
 
-// encode returns the line of a message, with its end.
+// encode returns the message as a line of JSON, with the newline.
 func (m message) encode() []byte {
 	encoded, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // no field of a message can fail to be encoded
+		panic(err) // unreachable: every field of a message can be encoded
 	}
 	return append(encoded, '\n')
 }
 
-// hasPayload reports whether a payload follows the message, of maxBytes at most.
+// hasPayload reports whether a payload of at most maxBytes follows the message.
 func (m message) hasPayload(maxBytes int) bool { return m.Size > 0 && m.Size <= maxBytes }
--- a/internal/operations/hotrestart/transfer_parent.go
+++ b/internal/operations/hotrestart/transfer_parent.go
@@ -8,27 +8,28 @@
 	"spurwinch/internal/loop"
 )
 
-// The parent's side of a transfer. A batch that was offered is the parent's until the successor has accepted it. Then
-// the parent closes its copies and commits, and from the commit on it is the successor's.
+// This file is the parent's side of a transfer. The parent owns an offered batch until the successor has accepted it.
+// Then the parent closes its copies of the descriptors and commits the batch. From the commit on, the successor owns
+// the batch.
 
 const (
-	batchTimeout = time.Second       // for the answer to an offered batch; then it is recalled
-	recallPoll   = batchTimeout / 20 // between checks whether the recall was written to the kernel
+	batchTimeout = time.Second       // after it, the parent recalls an unanswered batch
+	recallPoll   = batchTimeout / 20 // interval of the checks whether the recall was written to the kernel
 )
 
-// outgoingTransfer is the parent's part of a link.
+// outgoingTransfer is the state of the parent's transfers on a link.
 type outgoingTransfer struct {
-	freeDescriptors int                 // of the successor, for connections
-	done            func(accepted bool) // called with the outcome of the offered batch; nil: there is none
-	recalled        bool                // the batch is recalled: an answer of the successor crossed the recall
+	freeDescriptors int                 // descriptors that the successor has free for connections
+	done            func(accepted bool) // called with the outcome of the offered batch; nil: no batch is offered
+	recalled        bool                // the last batch was recalled; its answer may still arrive
 	stopTimer       func()
 }
 
-// transferLink is the link to the newest successor that takes connections.
+// transferLink returns the link to the newest successor that accepts connections, or nil.
 func (c *Coordinator) transferLink() *link {
 	for i := len(c.successors) - 1; i >= 0; i-- {
 		successor := c.successors[i]
-		if successor.ready && successor.transfers {
+		if successor.ready && successor.canTransfer {
 			return successor
 		}
 	}
@@ -36,8 +37,8 @@
 }
 
 // SuccessorAccepts reports whether there is a successor that accepts connections, and how many descriptors one batch
-// may have now: none while another batch is in transfer.
-func (c *Coordinator) SuccessorAccepts() (there bool, descriptors int) {
+// may have now. The number is 0 while another batch is in transfer or data to the successor is pending.
+func (c *Coordinator) SuccessorAccepts() (accepts bool, descriptors int) {
 	successor := c.transferLink()
 	if successor == nil {
 		return false, 0
@@ -54,12 +55,13 @@
 	if successor == nil || len(learned) == 0 || len(learned) > maxLearnedBytes {
 		return
 	}
-	announcement := message{Kind: kindLearnedState, Size: len(learned)}
-	successor.conn.Write(append(announcement.encode(), learned...))
+	header := message{Kind: kindLearnedState, Size: len(learned)}
+	successor.conn.Write(append(header.encode(), learned...))
 }
 
-// Transfer offers a batch of connections. done is called once. When the successor has accepted the batch, the caller
-// closes its copies of the descriptors before done returns; else the connections are the caller's as before.
+// Transfer offers a batch of connections to the successor and calls done once with the outcome. If the successor has
+// accepted the batch, the caller must close its copies of the descriptors before done returns. Otherwise the caller
+// still owns the connections.
 func (c *Coordinator) Transfer(items []TransferItem, done func(accepted bool)) {
 	successor := c.transferLink()
 	descriptors, err := 0, ErrNoSuccessor
@@ -87,13 +89,13 @@
 	if err != nil {
 		return 0, err
 	}
-	offered := message{Kind: kindBatchOffered, Size: len(encoded)}
-	return len(descriptors), l.conn.SendDescriptors(append(offered.encode(), encoded...), descriptors...)
+	header := message{Kind: kindBatchOffered, Size: len(encoded)}
+	return len(descriptors), l.conn.SendDescriptors(append(header.encode(), encoded...), descriptors...)
 }
 
-// recall takes back a batch that the successor has not answered in time. The batch is the parent's again only once the
-// recall was written to the kernel: from then on the successor reads the recall before it sees the parent's end, which
-// would make the batch the successor's.
+// recall takes back a batch that the successor did not answer before the timeout. The parent owns the batch again only
+// once the recall was written to the kernel. From then on, the successor reads the recall before it sees the end of the
+// parent. If the successor saw the end first, it would treat the batch as its own.
 func (l *link) recall() {
 	if l.outgoing.done == nil {
 		return
@@ -104,7 +106,7 @@
 		l.send(message{Kind: kindBatchRecalled})
 	}
 	if l.conn.Sent() {
-		l.transfers = false // after one timeout no further batch is offered
+		l.canTransfer = false // the parent offers no further batch after a timeout
 		l.finishBatch(false)
 		return
 	}
@@ -123,22 +125,22 @@
 	done(accepted)
 }
 
-// handleTransferAnswer handles a successor's message on transfers, and reports whether it was valid.
+// handleTransferAnswer handles a successor's message about transfers, and reports whether it was valid.
 func (l *link) handleTransferAnswer(received message) bool {
 	if received.Descriptors < 0 {
 		return false
 	}
-	awaited := l.outgoing.done != nil && !l.outgoing.recalled
+	awaitingAnswer := l.outgoing.done != nil && !l.outgoing.recalled
 	switch {
 	case received.Kind == kindFreeDescriptors:
 		l.outgoing.freeDescriptors = received.Descriptors
-	case received.Kind == kindBatchAccepted && awaited:
+	case received.Kind == kindBatchAccepted && awaitingAnswer:
 		l.finishBatch(true)
 		l.send(message{Kind: kindBatchCommitted})
 		l.outgoing.freeDescriptors = received.Descriptors
-	case received.Kind == kindBatchRejected && awaited:
+	case received.Kind == kindBatchRejected && awaitingAnswer:
 		l.finishBatch(false)
-	case l.outgoing.recalled: // sent before the successor could read the recall
+	case l.outgoing.recalled: // the successor sent this before it read the recall
 	default:
 		return false
 	}
--- a/internal/operations/hotrestart/transfer_successor.go
+++ b/internal/operations/hotrestart/transfer_successor.go
@@ -6,36 +6,36 @@
 	"spurwinch/internal/loop"
 )
 
-// The successor's side of a transfer. It reads a complete batch, prepares it without using its sockets, and accepts it.
-// The batch is the successor's once the parent has committed it, or once the link ends before that: a parent that has
-// neither recalled nor committed it has ended, and its copies are closed with it.
+// This file is the successor's side of a transfer. The successor reads a complete batch, prepares it without using its
+// sockets, and accepts it. The successor owns the batch once the parent has committed it, or once the link ends before
+// a commit or a recall: then the parent has ended and its copies of the descriptors are closed.
 
-// TransferHandler is what a Coordinator needs in order to take connections over.
+// TransferHandler has the functions that a Coordinator calls to take over connections.
 type TransferHandler struct {
 	// FreeDescriptors returns the number of descriptors that this process has free for connections.
 	FreeDescriptors func() int
-	// Prepare checks a batch and has it ready to be served. After an error the descriptors are the Coordinator's to
-	// close.
+	// Prepare checks a batch and makes it ready to be served. After an error the Coordinator closes the descriptors. If
+	// Prepare is nil, this process takes over no connections.
 	Prepare func([]TransferItem) (PreparedBatch, error)
-	// Learned gets what the parent has learned, when that process is draining.
+	// Learned receives the learned state of the parent when the parent is draining.
 	Learned func([]byte)
 }
 
-// PreparedBatch is a batch that was accepted and not committed yet. One of the two functions is called, once.
+// PreparedBatch is an accepted batch that is not committed yet. The Coordinator calls one of the functions, once.
 type PreparedBatch struct {
-	Commit func() // the connections are this process's
-	Abort  func() // they are not: their descriptors are closed and nothing else is done to them
+	Commit func() // this process owns the connections
+	Abort  func() // the parent owns the connections; must close the descriptors and do nothing else to them
 }
 
-// incomingTransfer is the successor's part of a link.
+// incomingTransfer is the state of the successor's transfers on a link.
 type incomingTransfer struct {
-	descriptors []int       // received, of the batch that is being read
+	descriptors []int       // received for the batch that is being read
 	payloadSize int         // bytes of the payload that follows; 0: a message follows
-	payloadKind messageKind // what that payload is: kindBatchOffered or kindLearnedState
+	payloadKind messageKind // kind of the payload: kindBatchOffered or kindLearnedState
 	prepared    *PreparedBatch
 }
 
-// handleTransfer handles a parent's message on transfers, and reports whether it was valid.
+// handleTransfer handles a parent's message about transfers, and reports whether it was valid.
 func (l *link) handleTransfer(received message) bool {
 	switch {
 	case received.Kind == kindBatchOffered && received.hasPayload(maxBatchBytes) && l.incoming.prepared == nil,
@@ -53,7 +53,7 @@
 	return true
 }
 
-// receiveDescriptors keeps descriptors for the batch that they came with.
+// receiveDescriptors stores received descriptors for the batch that they belong to.
 func (l *link) receiveDescriptors(descriptors []int) {
 	l.incoming.descriptors = append(l.incoming.descriptors, descriptors...)
 	if len(l.incoming.descriptors) > loop.MaxDescriptorsPerMessage {
@@ -61,7 +61,7 @@
 	}
 }
 
-// prepare checks a complete batch, and accepts or rejects it.
+// prepare decodes and checks a complete batch, and accepts or rejects it.
 func (l *link) prepare(encoded []byte) {
 	descriptors := l.incoming.descriptors
 	l.incoming.descriptors = nil
@@ -80,14 +80,14 @@
 	l.sendFreeDescriptors(kindBatchAccepted)
 }
 
-// sendFreeDescriptors sends a message that has the number of free descriptors with it.
+// sendFreeDescriptors sends a message of this kind with the number of free descriptors, if the link has transfers.
 func (l *link) sendFreeDescriptors(kind messageKind) {
-	if l.transfers {
+	if l.canTransfer {
 		l.send(message{Kind: kind, Descriptors: max(0, l.coordinator.options.FreeDescriptors())})
 	}
 }
 
-// commit makes the prepared batch, if there is one, this process's.
+// commit commits the prepared batch, if there is one, so that this process owns it.
 func (l *link) commit() {
 	if prepared := l.incoming.prepared; prepared != nil {
 		l.incoming.prepared = nil
@@ -95,7 +95,7 @@
 	}
 }
 
-// abort closes the prepared batch, if there is one: the other process has it.
+// abort closes the prepared batch, if there is one, because the other process owns it.
 func (l *link) abort() {
 	if prepared := l.incoming.prepared; prepared != nil {
 		l.incoming.prepared = nil
@@ -104,25 +104,25 @@
 }
 
 // abandonTransfers gives up the batches in transfer before this process ends the link. The other process then sees the
-// link end without a further message, and treats a batch that it has as its own (see settleTransfers). So a batch that
-// was prepared here is closed, and one that was offered from here counts as accepted.
+// link end without a further message, and treats a batch that it has as its own (see settleTransfers). So this process
+// closes a batch that it has prepared, and counts a batch that it has offered as accepted.
 func (l *link) abandonTransfers() {
 	l.abort()
 	l.finishBatch(true)
 	l.closeUnassigned()
 }
 
-// settleTransfers settles either side's part when the other process has ended the link. A batch that is prepared here
-// is this process's, since the parent is gone or has closed its copies. One that was offered from here and not accepted
-// is this process's again.
+// settleTransfers settles the batches in transfer when the other process has ended the link. This process owns a batch
+// that it has prepared, since the parent has ended or has closed its copies. It also owns again a batch that it has
+// offered and that the successor has not accepted.
 func (l *link) settleTransfers() {
 	l.commit()
 	l.finishBatch(false)
 	l.closeUnassigned()
 }
 
-// closeUnassigned closes the descriptors of a batch that never became complete. Descriptors may be received with the
-// bytes of earlier messages, so only the end of the link shows that no batch for them follows.
+// closeUnassigned closes the descriptors of a batch that was not received completely. Descriptors may be received with
+// the bytes of earlier messages, so only the end of the link shows that no batch for them follows.
 func (l *link) closeUnassigned() {
 	loop.CloseAll(l.incoming.descriptors)
 	l.incoming.descriptors = nil
--- a/internal/operations/hotrestart/transfer_test.go
+++ b/internal/operations/hotrestart/transfer_test.go
@@ -52,8 +52,8 @@
 		parent = NewCoordinator(Options{Loop: eventLoop, Path: path, Changed: nothingChanged, Grant: grantOnly(9)}, nil)
 	})
 	grant := requestGrant(t, path)
-	if grant.transferForm != transferForm {
-		t.Fatalf("the form of transfers is %d, want %d", grant.transferForm, transferForm)
+	if grant.transferVersion != transferVersion {
+		t.Fatalf("the form of transfers is %d, want %d", grant.transferVersion, transferVersion)
 	}
 	successor := os.NewFile(uintptr(grant.fd), "link")
 	writeString(t, successor, `{"kind":"ready"}`+"\n"+`{"kind":"free","room":9}`+"\n")
