--- a/internal/operations/hotrestart/golden_test.go
+++ b/internal/operations/hotrestart/golden_test.go
@@ -21,14 +21,14 @@
 	"spurwinch/internal/platform/discovery"
 )
 
-// The bytes under testdata/golden are what released processes of a node say to each other. A process of another release
-// reads them: they change with the version of the exchange only.
+// The files under testdata/golden are the messages that processes of released versions send to each other. Processes of
+// other releases read them, so they may change only together with the version of the protocol. To write them again:
 // go test ./internal/operations/hotrestart -run TestGolden -update-golden
 
-var updateGolden = flag.Bool("update-golden", false, "write testdata/golden anew")
+var updateGolden = flag.Bool("update-golden", false, "write the files under testdata/golden again")
 
-// golden returns what the file of a name holds; with -update-golden it holds got from now on.
-func golden(t *testing.T, name string, got []byte) []byte {
+// readGolden returns the content of a golden file. With -update-golden it writes got to the file first.
+func readGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *updateGolden {
@@ -46,7 +46,7 @@
 	return want
 }
 
-// goldenList is a list with each field set.
+// goldenList returns a list in which each field is set.
 func goldenList() discovery.List {
 	return discovery.NewList(71, []edge.ServerEntry{
 		{Addr: "10.1.0.18:3000", Server: choice.Server{
@@ -56,7 +56,7 @@
 	})
 }
 
-// goldenMessages has a message of each kind, with the fields that it has, and one with every field.
+// goldenMessages returns a message of each kind with its fields, and one message with every field.
 func goldenMessages() map[string]message {
 	list := goldenList()
 	return map[string]message{
@@ -83,50 +83,50 @@
 	}
 }
 
-// TestGoldenMessages writes and reads each message by itself.
+// TestGoldenMessages encodes and decodes each message alone.
 func TestGoldenMessages(t *testing.T) {
 	for name, sent := range goldenMessages() {
 		t.Run(name, func(t *testing.T) {
-			want := golden(t, name+".json", sent.encode())
+			want := readGolden(t, name+".json", sent.encode())
 			if got := sent.encode(); !bytes.Equal(got, want) {
-				t.Errorf("written %s, want %s", got, want)
+				t.Errorf("encode: got %s, want %s", got, want)
 			}
-			var read message
-			if err := json.Unmarshal(want, &read); err != nil {
+			var decoded message
+			if err := json.Unmarshal(want, &decoded); err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(read, sent) {
-				t.Errorf("read %+v, want %+v", read, sent)
+			if !reflect.DeepEqual(decoded, sent) {
+				t.Errorf("decode: got %+v, want %+v", decoded, sent)
 			}
 		})
 	}
 	every := reflect.ValueOf(goldenMessages()["every-field"])
 	for i := range every.NumField() {
 		if every.Field(i).IsZero() {
-			t.Errorf("the message with every field has no %s", every.Type().Field(i).Name)
+			t.Errorf("message with every field: got no %s, want it set", every.Type().Field(i).Name)
 		}
 	}
 }
 
-// TestGoldenBatch writes and reads the connections of a batch.
+// TestGoldenBatch encodes and decodes the connections of a batch.
 func TestGoldenBatch(t *testing.T) {
 	items := []encodedItem{{Sockets: 2, Body: []byte("front state")}, {Sockets: 1, Body: []byte{0x00, 0xff}}}
 	encoded := encodeItems(t, items...)
-	want := golden(t, "connections.cbor", encoded)
+	want := readGolden(t, "connections.cbor", encoded)
 	if !bytes.Equal(encoded, want) {
-		t.Errorf("written %x, want %x", encoded, want)
+		t.Errorf("encode: got %x, want %x", encoded, want)
 	}
 	fds := threeSockets(t)
-	read, err := decodeBatch(want, fds)
+	decoded, err := decodeBatch(want, fds)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if sent := goldenItems(fds); !reflect.DeepEqual(read, sent) {
-		t.Errorf("read %+v, want %+v", read, sent)
+	if sent := goldenItems(fds); !reflect.DeepEqual(decoded, sent) {
+		t.Errorf("decodeBatch: got %+v, want %+v", decoded, sent)
 	}
 }
 
-// threeSockets returns descriptors of stream sockets, closed at the test's end.
+// threeSockets returns the descriptors of three stream sockets, which are closed when the test ends.
 func threeSockets(t *testing.T) (fds []int) {
 	t.Helper()
 	for range 3 {
@@ -137,7 +137,7 @@
 	return fds
 }
 
-// goldenItems are the connections of the golden batch, of three descriptors.
+// goldenItems returns the connections of the golden batch, which have three descriptors.
 func goldenItems(fds []int) []TransferItem {
 	return []TransferItem{
 		{FDs: fds[:2:2], Body: []byte("front state")},
@@ -145,64 +145,66 @@
 	}
 }
 
-// conversation is the other end of a link, as a process of another release would be.
-type conversation struct {
+// goldenPeer is the process at the other end of a link. It sends and expects golden files, as a process of another
+// release would.
+type goldenPeer struct {
 	conn *net.UnixConn
 }
 
-// hears wants the bytes of golden files next, one after the other. It returns the descriptors that came along.
-func (c conversation) hears(t *testing.T, names ...string) (fds []int) {
+// expect checks that the next received bytes are the golden files, one after the other. It returns the descriptors
+// received with them.
+func (p goldenPeer) expect(t *testing.T, names ...string) (fds []int) {
 	t.Helper()
 	var want []byte
 	for _, name := range names {
-		want = append(want, golden(t, name, nil)...)
+		want = append(want, readGolden(t, name, nil)...)
 	}
-	if err := c.conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+	if err := p.conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	got := make([]byte, 0, len(want))
 	control := make([]byte, unix.CmsgSpace(4*maxGrantDescriptors))
 	for len(got) < len(want) {
 		buffer := make([]byte, len(want)-len(got))
-		size, controlSize, _, _, err := c.conn.ReadMsgUnix(buffer, control)
+		size, controlSize, _, _, err := p.conn.ReadMsgUnix(buffer, control)
 		if err != nil {
-			t.Fatalf("%v: %v after %q", names, err, got)
+			t.Fatalf("receive %v: got error %v after %q, want all bytes", names, err, got)
 		}
 		fds = append(fds, loop.ReceivedDescriptors(control[:controlSize])...)
 		got = append(got, buffer[:size]...)
 	}
 	if !bytes.Equal(got, want) {
-		t.Fatalf("%v: received %q, want %q", names, got, want)
+		t.Fatalf("receive %v: got %q, want %q", names, got, want)
 	}
 	t.Cleanup(func() { loop.CloseAll(fds) })
 	return fds
 }
 
-// says sends the bytes of golden files, with descriptors.
-func (c conversation) says(t *testing.T, fds []int, names ...string) {
+// sendFiles sends the bytes of golden files, with descriptors.
+func (p goldenPeer) sendFiles(t *testing.T, fds []int, names ...string) {
 	t.Helper()
 	var sent []byte
 	for _, name := range names {
-		sent = append(sent, golden(t, name, nil)...)
+		sent = append(sent, readGolden(t, name, nil)...)
 	}
 	var control []byte
 	if len(fds) > 0 {
 		control = unix.UnixRights(fds...)
 	}
-	if _, _, err := c.conn.WriteMsgUnix(sent, control, nil); err != nil {
+	if _, _, err := p.conn.WriteMsgUnix(sent, control, nil); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// skipUpdate skips a test that only compares, while the files are written anew.
-func skipUpdate(t *testing.T) {
+// skipOnUpdate skips a test that only compares with the golden files while they are written again.
+func skipOnUpdate(t *testing.T) {
 	t.Helper()
 	if *updateGolden {
-		t.Skip("the files are written anew")
+		t.Skip("the golden files are being written")
 	}
 }
 
-// goldenGrant is the grant of lent.json.
+// goldenGrant returns the grant of lent.json.
 func goldenGrant(fds []int) Grant {
 	return Grant{
 		Sockets: map[string]int{"127.0.0.1:3000": fds[0]}, Datagrams: fds[1], Discovery: "127.0.0.1:4000",
@@ -210,62 +212,62 @@
 	}
 }
 
-// TestGoldenParent has the running process exchange each message with one of another release.
+// TestGoldenParent exchanges each message between a parent and a successor of another release.
 func TestGoldenParent(t *testing.T) {
-	skipUpdate(t)
+	skipOnUpdate(t)
 	path := socketPath(t)
 	eventLoop, onLoop := startLoop(t)
 	fds := threeSockets(t)
 	var parent *Coordinator
 	onLoop(func() {
 		parent = NewCoordinator(Options{
-			Loop: eventLoop, Path: path, Changed: nothingChanged, Grant: func() Grant { return goldenGrant(fds) },
+			Loop: eventLoop, Path: path, Changed: ignoreChange, Grant: func() Grant { return goldenGrant(fds) },
 		}, nil)
 	})
-	other := conversation{dialUnix(t, path)}
-	other.says(t, nil, "hello.json")
-	if came := other.hears(t, "lent.json"); len(came) != 2 {
-		t.Errorf("%d descriptors came, want 2", len(came))
+	peer := goldenPeer{dialUnix(t, path)}
+	peer.sendFiles(t, nil, "hello.json")
+	if received := peer.expect(t, "lent.json"); len(received) != 2 {
+		t.Errorf("descriptors of the grant: got %d, want 2", len(received))
 	}
-	other.says(t, nil, "ready.json", "free.json")
+	peer.sendFiles(t, nil, "ready.json", "free.json")
 	waitFor(t, onLoop, "free descriptors", func() bool {
-		there, descriptors := parent.SuccessorAccepts()
-		return there && descriptors == 9
+		accepts, descriptors := parent.SuccessorAccepts()
+		return accepts && descriptors == 9
 	})
 	onLoop(func() { parent.RaiseQuota(200, 50) })
-	other.hears(t, "room.json")
+	peer.expect(t, "room.json")
 	onLoop(func() { parent.SendLearnedState([]byte("learn")) })
-	other.hears(t, "learned.json")
+	peer.expect(t, "learned.json")
 	body := make([]byte, 5)
-	if _, err := io.ReadFull(other.conn, body); err != nil || string(body) != "learn" {
-		t.Errorf("learned %q, %v, want %q", body, err, "learn")
+	if _, err := io.ReadFull(peer.conn, body); err != nil || string(body) != "learn" {
+		t.Errorf("learned state: got %q, error %v, want %q", body, err, "learn")
 	}
 	accepted := make(chan bool, 1)
 	for _, step := range []struct {
-		says, hears string
-		accepted    bool
+		answer, wantNext string
+		accepted         bool
 	}{
 		{"refused.json", "", false},
 		{"held.json", "given.json", true},
 		{"", "back.json", false},
 	} {
 		onLoop(func() { parent.Transfer(goldenItems(fds), func(ok bool) { accepted <- ok }) })
-		if came := other.hears(t, "batch.json", "connections.cbor"); len(came) != 3 {
-			t.Errorf("%d descriptors came with a batch, want 3", len(came))
+		if received := peer.expect(t, "batch.json", "connections.cbor"); len(received) != 3 {
+			t.Errorf("descriptors of a batch: got %d, want 3", len(received))
 		}
-		if step.says != "" {
-			other.says(t, nil, step.says)
+		if step.answer != "" {
+			peer.sendFiles(t, nil, step.answer)
 		}
-		if step.hears != "" {
-			other.hears(t, step.hears)
+		if step.wantNext != "" {
+			peer.expect(t, step.wantNext)
 		}
 		if got := <-accepted; got != step.accepted {
-			t.Errorf("after %q accepted is %v, want %v", step.says, got, step.accepted)
+			t.Errorf("outcome after answer %q: got accepted %v, want %v", step.answer, got, step.accepted)
 		}
 	}
 }
 
-// goldenHandler notes what comes, and takes a batch as long as it has descriptors free.
+// goldenHandler records its calls, and accepts a batch as long as it has free descriptors.
 type goldenHandler struct {
 	free   int
 	calls  string
@@ -300,82 +302,83 @@
 	return PreparedBatch{Commit: end("committed "), Abort: end("aborted ")}, nil
 }
 
-// goldenLink has a parent of another release answer a hello, and returns its end of the link and the grant.
-func goldenLink(t *testing.T, fds []int) (conversation, *Grant) {
+// goldenLink starts a parent of another release that answers a hello, and returns its end of the link and the grant.
+func goldenLink(t *testing.T, fds []int) (goldenPeer, *Grant) {
 	t.Helper()
 	path := socketPath(t)
 	listener := listenUnix(t, path)
-	answer := golden(t, "lent.json", nil)
+	answer := readGolden(t, "lent.json", nil)
 	answered := make(chan *net.UnixConn, 1)
 	go func() {
 		conn, err := listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		_, _, _ = conn.WriteMsgUnix(answer, unix.UnixRights(fds[:2]...), nil) // else there is no grant
+		// After an error there is no grant, and requestGrant fails the test.
+		_, _, _ = conn.WriteMsgUnix(answer, unix.UnixRights(fds[:2]...), nil)
 		answered <- conn
 	}()
 	grant := requestGrant(t, path)
 	conn := <-answered
-	t.Cleanup(func() { closed(t, conn) })
-	return conversation{conn}, grant
+	t.Cleanup(func() { mustClose(t, conn) })
+	return goldenPeer{conn}, grant
 }
 
-// TestGoldenSuccessor has the process that starts exchange each message with one of another release.
+// TestGoldenSuccessor exchanges each message between a successor and a parent of another release.
 func TestGoldenSuccessor(t *testing.T) {
-	skipUpdate(t)
+	skipOnUpdate(t)
 	fds := threeSockets(t)
-	other, grant := goldenLink(t, fds)
+	peer, grant := goldenLink(t, fds)
 	t.Cleanup(func() { grant.Release(func(fd int) bool { return fd == grant.fd }) })
 	want := goldenGrant([]int{grant.Sockets["127.0.0.1:3000"], grant.Datagrams})
 	want.fd = grant.fd
 	want.unread = []byte{}
 	want.transferVersion = 1
 	if !reflect.DeepEqual(*grant, want) || want.Sockets["127.0.0.1:3000"] <= 0 || want.Datagrams <= 0 {
-		t.Errorf("the grant is %+v, want %+v", *grant, want)
+		t.Errorf("RequestGrant: got %+v, want %+v with descriptors above 0", *grant, want)
 	}
-	other.hears(t, "hello.json")
+	peer.expect(t, "hello.json")
 	eventLoop, onLoop := startLoop(t)
 	var successor *Coordinator
 	handler := goldenHandler{free: 9}
 	onLoop(func() {
 		successor = NewCoordinator(Options{
-			Loop: eventLoop, Path: socketPath(t), Changed: nothingChanged, Grant: grantOnly(0),
+			Loop: eventLoop, Path: socketPath(t), Changed: ignoreChange, Grant: grantDescriptors(0),
 			TransferHandler: handler.handler(),
 		}, grant)
 		successor.Ready()
 	})
-	other.hears(t, "ready.json", "free.json")
-	other.says(t, nil, "learned.json")
-	writeString(t, other.conn, "learn")
+	peer.expect(t, "ready.json", "free.json")
+	peer.sendFiles(t, nil, "learned.json")
+	mustWrite(t, peer.conn, "learn")
 	offer := func() {
 		t.Helper()
 		onLoop(func() { handler.free = 3 })
-		other.says(t, fds, "batch.json", "connections.cbor")
-		other.hears(t, "held.json")
+		peer.sendFiles(t, fds, "batch.json", "connections.cbor")
+		peer.expect(t, "held.json")
 		onLoop(func() { handler.free = 9 })
 	}
 	offer()
-	other.says(t, nil, "given.json")
-	other.hears(t, "free.json")
+	peer.sendFiles(t, nil, "given.json")
+	peer.expect(t, "free.json")
 	offer()
-	other.says(t, nil, "back.json", "room.json")
-	other.hears(t, "free.json")
+	peer.sendFiles(t, nil, "back.json", "room.json")
+	peer.expect(t, "free.json")
 	onLoop(func() {
 		handler.free = 0
 		if successor.DescriptorQuota() != 150 {
-			t.Errorf("the quota is %d, want 150", successor.DescriptorQuota())
+			t.Errorf("DescriptorQuota: got %d, want 150", successor.DescriptorQuota())
 		}
 	})
-	other.says(t, fds, "batch.json", "connections.cbor")
-	other.hears(t, "refused.json")
+	peer.sendFiles(t, fds, "batch.json", "connections.cbor")
+	peer.expect(t, "refused.json")
 	onLoop(func() {
 		if want := "learned learn prepared 3 committed prepared 3 aborted prepared "; handler.calls != want {
-			t.Errorf("calls are %q, want %q", handler.calls, want)
+			t.Errorf("calls of the handler: got %q, want %q", handler.calls, want)
 		}
 		want := [][]byte{[]byte("front state"), {0x00, 0xff}, []byte("front state"), {0x00, 0xff}}
 		if !reflect.DeepEqual(handler.bodies, want) {
-			t.Errorf("connections came with %q, want %q", handler.bodies, want)
+			t.Errorf("bodies of the connections: got %q, want %q", handler.bodies, want)
 		}
 	})
 }
--- a/internal/operations/hotrestart/helpers_test.go
+++ b/internal/operations/hotrestart/helpers_test.go
@@ -15,10 +15,10 @@
 	"spurwinch/internal/loop"
 )
 
-// testTimeout bounds each wait for the other side.
+// testTimeout limits each wait for the other process.
 const testTimeout = 20 * time.Second
 
-// startLoop runs an event loop until the test ends. onLoop calls a function there and waits for its return.
+// startLoop runs an event loop until the test ends. onLoop calls a function on the loop and waits for its return.
 func startLoop(t *testing.T) (eventLoop *loop.Loop, onLoop func(func())) {
 	t.Helper()
 	eventLoop, err := loop.New()
@@ -30,7 +30,7 @@
 	t.Cleanup(func() {
 		eventLoop.Post(eventLoop.Stop)
 		if err := <-stopped; err != nil {
-			t.Errorf("the event loop ended with %v", err)
+			t.Errorf("event loop: got error %v, want none", err)
 		}
 	})
 	return eventLoop, func(fn func()) {
@@ -43,24 +43,24 @@
 	}
 }
 
-// waitFor polls a condition on the loop until it holds.
+// waitFor polls a condition on the event loop until it is true.
 func waitFor(t *testing.T, onLoop func(func()), what string, condition func() bool) {
 	t.Helper()
-	transcript.WaitFor(t, what, func() (holds bool) {
-		onLoop(func() { holds = condition() })
-		return holds
+	transcript.WaitFor(t, what, func() (satisfied bool) {
+		onLoop(func() { satisfied = condition() })
+		return satisfied
 	})
 }
 
-// nothingChanged ignores what a Coordinator reports of other processes.
-func nothingChanged() {}
+// ignoreChange is an Options.Changed that does nothing.
+func ignoreChange() {}
 
-// grantOnly returns a function that grants descriptors and nothing else.
-func grantOnly(descriptors int) func() Grant {
+// grantDescriptors returns an Options.Grant that grants a descriptor quota and nothing else.
+func grantDescriptors(descriptors int) func() Grant {
 	return func() Grant { return Grant{Datagrams: noDescriptor, DescriptorQuota: descriptors} }
 }
 
-// socketPath returns a path for the socket. Its folder's name is short whatever the test is called: see maxPathBytes.
+// socketPath returns a path for the socket. The name of its directory is short for every test name (see maxPathBytes).
 func socketPath(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "hr") //nolint:usetesting // t.TempDir has the test's name in the path
@@ -75,7 +75,7 @@
 	return Path(dir, "127.0.0.1:3000")
 }
 
-// requestGrant asks the process at a path for its grant.
+// requestGrant requests a grant from the process at a path, and fails the test after an error.
 func requestGrant(t *testing.T, path string) *Grant {
 	t.Helper()
 	grant, err := RequestGrant(path, time.Now().Add(testTimeout))
@@ -92,11 +92,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { closed(t, listener) })
+	t.Cleanup(func() { mustClose(t, listener) })
 	return listener
 }
 
-// dialUnix connects to a path until the test ends.
+// dialUnix connects to a path and closes the connection when the test ends.
 func dialUnix(t *testing.T, path string) *net.UnixConn {
 	t.Helper()
 	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
@@ -107,21 +107,21 @@
 	return conn
 }
 
-func closed(t *testing.T, c io.Closer) {
+func mustClose(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-func writeString(t *testing.T, w io.Writer, text string) {
+func mustWrite(t *testing.T, w io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(w, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// countDescriptors counts the descriptors of this process.
+// countDescriptors returns the number of open descriptors of this process.
 func countDescriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
@@ -131,7 +131,7 @@
 	return len(all)
 }
 
-// socketPair is a connection to transfer: fd is this end's descriptor, far the other end.
+// socketPair returns a connection to transfer: fd is the descriptor of the near end, and far is the other end.
 func socketPair(t *testing.T) (fd int, far *os.File) {
 	t.Helper()
 	ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
@@ -139,11 +139,11 @@
 		t.Fatal(err)
 	}
 	far = os.NewFile(uintptr(ends[1]), "far")
-	t.Cleanup(func() { closed(t, far) })
+	t.Cleanup(func() { mustClose(t, far) })
 	return ends[0], far
 }
 
-// nearEndOpen reports whether any process holds the near end of a pair.
+// nearEndOpen reports whether any process has the near end of a socket pair open.
 func nearEndOpen(t *testing.T, far *os.File) bool {
 	t.Helper()
 	if err := far.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
@@ -153,7 +153,7 @@
 	return !errors.Is(err, io.EOF)
 }
 
-// encodeItems is a batch as any process may send it, also one that no Transfer would.
+// encodeItems encodes a batch, which may be one that Transfer would never send.
 func encodeItems(tb testing.TB, items ...encodedItem) []byte {
 	tb.Helper()
 	encoded, err := cbor.Marshal(items)
--- a/internal/operations/hotrestart/transfer_test.go
+++ b/internal/operations/hotrestart/transfer_test.go
@@ -17,88 +17,90 @@
 	"spurwinch/internal/loop"
 )
 
-// parentStep is what a successor does once a batch is offered to it, and what the parent is to make of that.
-type parentStep struct {
+// parentCase is what a successor does with an offered batch, and how the parent must react.
+type parentCase struct {
 	name     string
-	sends    string
-	ends     bool // the successor ends before it reads the batch
-	accepted bool
-	then     string // what the successor must read behind the batch
+	answer   string // what the successor sends
+	ends     bool   // the successor ends; without an answer it ends before it reads the batch
+	accepted bool   // the outcome that the parent must report
+	wantNext string // the message that the successor must read after the batch
 }
 
-// TestParentSide has the successor die, reject, not answer or send nonsense at each step of a transfer: the parent
-// learns whether the connection is its own, and never both have it.
-func TestParentSide(t *testing.T) {
-	for _, step := range []parentStep{
-		{"dies with the batch unread", "", true, false, ""},
-		{"accepts it", `{"kind":"held","room":3}` + "\n", false, true, `{"kind":"given"}`},
-		{"dies once it has accepted it", `{"kind":"held","room":3}` + "\n", true, true, ""},
-		{"rejects it", `{"kind":"refused"}` + "\n", false, false, ""},
-		{"does not answer", "", false, false, `{"kind":"back"}`},
-		// What follows ends the link from the parent's side, and the batch goes with it.
-		{"sends what it can't", `{"kind":"given"}` + "\n", false, true, ""},
-		{"sends nothing that can be read", "what?\n", false, true, ""},
-		{"has less than no descriptor free", `{"kind":"held","room":-1}` + "\n", false, true, ""},
+// TestParentOwnsBatchUntilSuccessorAccepts lets the successor end, reject, not answer or send an invalid message at
+// each step of a transfer. The parent must learn exactly once whether it owns the connection. The two processes must
+// never both own it.
+func TestParentOwnsBatchUntilSuccessorAccepts(t *testing.T) {
+	for _, testCase := range []parentCase{
+		{"successor ends before it reads the batch", "", true, false, ""},
+		{"successor accepts", `{"kind":"held","room":3}` + "\n", false, true, `{"kind":"given"}`},
+		{"successor ends after it accepted", `{"kind":"held","room":3}` + "\n", true, true, ""},
+		{"successor rejects", `{"kind":"refused"}` + "\n", false, false, ""},
+		{"successor does not answer", "", false, false, `{"kind":"back"}`},
+		// The parent ends the link in the following cases, and counts the batch as accepted.
+		{"successor sends a message of the parent", `{"kind":"given"}` + "\n", false, true, ""},
+		{"successor sends invalid JSON", "what?\n", false, true, ""},
+		{"successor reports negative free descriptors", `{"kind":"held","room":-1}` + "\n", false, true, ""},
 	} {
-		t.Run(step.name, step.run)
+		t.Run(testCase.name, testCase.run)
 	}
 }
 
-func (step parentStep) run(t *testing.T) {
+func (c parentCase) run(t *testing.T) {
 	eventLoop, onLoop := startLoop(t)
 	path := socketPath(t)
 	var parent *Coordinator
 	onLoop(func() {
-		parent = NewCoordinator(Options{Loop: eventLoop, Path: path, Changed: nothingChanged, Grant: grantOnly(9)}, nil)
+		parent = NewCoordinator(
+			Options{Loop: eventLoop, Path: path, Changed: ignoreChange, Grant: grantDescriptors(9)}, nil)
 	})
 	grant := requestGrant(t, path)
 	if grant.transferVersion != transferVersion {
-		t.Fatalf("the form of transfers is %d, want %d", grant.transferVersion, transferVersion)
+		t.Fatalf("transfer version of the grant: got %d, want %d", grant.transferVersion, transferVersion)
 	}
 	successor := os.NewFile(uintptr(grant.fd), "link")
-	writeString(t, successor, `{"kind":"ready"}`+"\n"+`{"kind":"free","room":9}`+"\n")
+	mustWrite(t, successor, `{"kind":"ready"}`+"\n"+`{"kind":"free","room":9}`+"\n")
 	waitFor(t, onLoop, "free descriptors", func() bool {
-		there, descriptors := parent.SuccessorAccepts()
-		return there && descriptors == 9
+		accepts, descriptors := parent.SuccessorAccepts()
+		return accepts && descriptors == 9
 	})
 	fd, far := socketPair(t)
 	accepted := make(chan bool, 2)
-	onLoop(func() { // the batch is on the link before anything of it is read
+	onLoop(func() { // the parent writes the whole batch to the link before it reads an answer
 		parent.Transfer([]TransferItem{{[]int{fd}, []byte("state")}}, func(ok bool) { accepted <- ok })
-		if there, descriptors := parent.SuccessorAccepts(); there && descriptors != 0 {
-			t.Errorf("a second batch may have %d descriptors, want none", descriptors)
+		if accepts, descriptors := parent.SuccessorAccepts(); accepts && descriptors != 0 {
+			t.Errorf("descriptors for a second batch: got %d, want 0", descriptors)
 		}
 	})
-	writeString(t, successor, step.sends)
-	if step.ends && step.sends == "" {
-		closed(t, successor)
+	mustWrite(t, successor, c.answer)
+	if c.ends && c.answer == "" {
+		mustClose(t, successor)
 	}
 	select {
 	case got := <-accepted:
-		if got != step.accepted {
-			t.Errorf("accepted is %v, want %v", got, step.accepted)
+		if got != c.accepted {
+			t.Errorf("outcome of Transfer: got accepted %v, want %v", got, c.accepted)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the batch has no outcome")
+		t.Fatal("outcome of Transfer: got none before the timeout, want one")
 	}
-	if step.then != "" {
-		step.checkNext(t, successor)
+	if c.wantNext != "" {
+		c.checkNext(t, successor)
 	}
-	_ = successor.Close() // a step may have closed it
-	waitFor(t, onLoop, "its end", func() bool { there, _ := parent.SuccessorAccepts(); return !there })
+	_ = successor.Close() // the test case may have closed it
+	waitFor(t, onLoop, "the end of the link", func() bool { accepts, _ := parent.SuccessorAccepts(); return !accepts })
 	select {
 	case <-accepted:
-		t.Error("what becomes of the batch is said twice")
+		t.Error("calls of done: got a second one, want one")
 	default:
 	}
 	loop.CloseAll([]int{fd})
 	if nearEndOpen(t, far) {
-		t.Error("a descriptor is left open")
+		t.Error("near end of the connection: got open, want closed")
 	}
 }
 
-// checkNext wants the message behind the batch.
-func (step parentStep) checkNext(t *testing.T, successor io.Reader) {
+// checkNext checks the message that follows the batch.
+func (c parentCase) checkNext(t *testing.T, successor io.Reader) {
 	t.Helper()
 	reader := bufio.NewReader(successor)
 	if _, err := reader.ReadString('\n'); err != nil {
@@ -108,58 +110,58 @@
 	if _, err := reader.Discard(len(batch)); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := reader.ReadString('\n'); strings.TrimSpace(got) != step.then {
-		t.Errorf("the parent sends %q, %v, want %q", got, err, step.then)
+	if got, err := reader.ReadString('\n'); strings.TrimSpace(got) != c.wantNext {
+		t.Errorf("message after the batch: got %q, error %v, want %q", got, err, c.wantNext)
 	}
 }
 
-// successorStep is what a parent sends, and what the successor is to make of that.
-type successorStep struct {
+// successorCase is what a parent sends, and how the successor must react.
+type successorCase struct {
 	name        string
-	sends       string // the descriptors come with the first byte
-	body        []byte
+	message     string // the descriptors are sent with its first byte
+	payload     []byte
 	descriptors int
 	accepted    bool
-	then        string // what the parent sends next
-	end         string // "committed", "aborted", or "" for a batch that is never accepted
+	nextMessage string // what the parent sends after the batch
+	outcome     string // "committed", "aborted", or "" for a batch that is never accepted
 }
 
-// TestSuccessorSide has the parent die or spoil what it sends at each step of a transfer: what is whole and not
-// recalled is taken once, all else has no effect.
-func TestSuccessorSide(t *testing.T) {
+// TestSuccessorTakesOverOnlyCompleteBatches lets the parent end or send invalid data at each step of a transfer. The
+// successor must take over a complete batch that is not recalled exactly once. Any other batch must have no effect.
+func TestSuccessorTakesOverOnlyCompleteBatches(t *testing.T) {
 	good := encodeItems(t, encodedItem{Sockets: 1, Body: []byte("state")})
-	none := encodeItems(t, encodedItem{Sockets: 0, Body: []byte("state")})
+	noSocket := encodeItems(t, encodedItem{Sockets: 0, Body: []byte("state")})
 	negative := encodeItems(t, encodedItem{Sockets: -1, Body: []byte("state")})
-	unknown := encodeItems(t, encodedItem{Sockets: 1, Body: []byte("spoil")})
+	rejected := encodeItems(t, encodedItem{Sockets: 1, Body: []byte("spoil")})
 	offer := func(size int) string { return fmt.Sprintf(`{"kind":"batch","size":%d}`+"\n", size) }
-	for _, step := range []successorStep{
-		{"it is committed", offer(len(good)), good, 1, true, `{"kind":"given"}` + "\n", "committed"},
-		{"the parent dies", offer(len(good)), good, 1, true, "", "committed"},
-		{"it is recalled", offer(len(good)), good, 1, true, `{"kind":"back"}` + "\n", "aborted"},
-		{"nonsense follows", offer(len(good)), good, 1, true, "what?\n", "aborted"},
-		{"another batch follows", offer(len(good)), good, 1, true, offer(9), "aborted"},
-		{"half of it and the end", offer(len(good) + 9), good, 1, false, "", ""},
+	for _, testCase := range []successorCase{
+		{"parent commits", offer(len(good)), good, 1, true, `{"kind":"given"}` + "\n", "committed"},
+		{"parent ends after the batch", offer(len(good)), good, 1, true, "", "committed"},
+		{"parent recalls", offer(len(good)), good, 1, true, `{"kind":"back"}` + "\n", "aborted"},
+		{"invalid JSON after the batch", offer(len(good)), good, 1, true, "what?\n", "aborted"},
+		{"second batch before the commit", offer(len(good)), good, 1, true, offer(9), "aborted"},
+		{"parent ends before the batch is complete", offer(len(good) + 9), good, 1, false, "", ""},
 		{"no descriptor", offer(len(good)), good, 0, false, "", ""},
-		{"one too many", offer(len(good)), good, 2, false, "", ""},
-		{"no batch", offer(5), []byte("what?"), 1, false, "", ""},
-		{"nobody in it", offer(1), []byte{0x80}, 1, false, "", ""},
-		{"a connection of no socket", offer(len(good)), none, 1, false, "", ""},
-		{"less than one", offer(len(good)), negative, 1, false, "", ""},
-		{"what the node can't read", offer(len(good)), unknown, 1, false, "", ""},
-		{"too much", offer(maxBatchBytes + 1), nil, 1, false, "", ""},
-		{"learned state, without an end", `{"kind":"learned","size":9}` + "\n", []byte("abc"), 0, false, "", ""},
+		{"one descriptor too many", offer(len(good)), good, 2, false, "", ""},
+		{"payload that is not CBOR", offer(5), []byte("what?"), 1, false, "", ""},
+		{"batch without connections", offer(1), []byte{0x80}, 1, false, "", ""},
+		{"connection without sockets", offer(len(good)), noSocket, 1, false, "", ""},
+		{"connection with a negative number of sockets", offer(len(good)), negative, 1, false, "", ""},
+		{"batch that the node cannot prepare", offer(len(good)), rejected, 1, false, "", ""},
+		{"batch above the maximum size", offer(maxBatchBytes + 1), nil, 1, false, "", ""},
+		{"incomplete learned state", `{"kind":"learned","size":9}` + "\n", []byte("abc"), 0, false, "", ""},
 	} {
-		t.Run(step.name, step.run)
+		t.Run(testCase.name, testCase.run)
 	}
 }
 
-// grantingParent is the parent's end of a link that has sent a grant.
+// grantingParent is the parent's end of a link on which it has sent a grant.
 type grantingParent struct {
 	conn   *net.UnixConn
 	reader *bufio.Reader
 }
 
-// linkToParent has a parent send a grant, and returns it with the grant.
+// linkToParent starts a parent that sends a grant, and returns the parent and the grant.
 func linkToParent(t *testing.T) (grantingParent, *Grant) {
 	t.Helper()
 	path := socketPath(t)
@@ -170,7 +172,8 @@
 		if err != nil {
 			return
 		}
-		_, _ = conn.Write([]byte(`{"kind":"lent","version":1,"room":9,"carry":1}` + "\n")) // else there is no grant
+		// After an error there is no grant, and requestGrant fails the test.
+		_, _ = conn.Write([]byte(`{"kind":"lent","version":1,"room":9,"carry":1}` + "\n"))
 		accepted <- conn
 	}()
 	grant := requestGrant(t, path)
@@ -178,7 +181,7 @@
 	return grantingParent{conn: conn, reader: bufio.NewReader(conn)}, grant
 }
 
-// skip reads messages that a test doesn't look at.
+// skip reads messages that the test does not check.
 func (p grantingParent) skip(t *testing.T, messages int) {
 	t.Helper()
 	for range messages {
@@ -188,19 +191,20 @@
 	}
 }
 
-// send sends text and bytes with descriptors.
-func (p grantingParent) send(t *testing.T, text string, body []byte, descriptors []int) {
+// send sends a text and a payload in one message with descriptors.
+func (p grantingParent) send(t *testing.T, text string, payload []byte, descriptors []int) {
 	t.Helper()
 	var control []byte
 	if len(descriptors) > 0 {
 		control = unix.UnixRights(descriptors...)
 	}
-	if _, _, err := p.conn.WriteMsgUnix(append([]byte(text), body...), control, nil); err != nil {
+	if _, _, err := p.conn.WriteMsgUnix(append([]byte(text), payload...), control, nil); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// recordingHandler takes a batch of one connection with the body "state", and notes what becomes of it.
+// recordingHandler accepts a batch of one connection with the body "state", and records in calls whether the batch was
+// committed or aborted.
 func recordingHandler(calls *string) TransferHandler {
 	return TransferHandler{
 		FreeDescriptors: func() int { return 5 },
@@ -220,13 +224,13 @@
 	}
 }
 
-func (step successorStep) run(t *testing.T) {
+func (c successorCase) run(t *testing.T) {
 	parent, grant := linkToParent(t)
 	eventLoop, onLoop := startLoop(t)
 	calls := ""
 	onLoop(func() {
 		successor := NewCoordinator(Options{
-			Loop: eventLoop, Path: socketPath(t), Changed: nothingChanged,
+			Loop: eventLoop, Path: socketPath(t), Changed: ignoreChange,
 			Grant: func() Grant { return Grant{} }, TransferHandler: recordingHandler(&calls),
 		}, grant)
 		successor.Ready()
@@ -234,44 +238,44 @@
 	parent.skip(t, 3) // hello, ready, free descriptors
 	var near []int
 	var far []*os.File
-	for range max(step.descriptors, 1) {
-		fd, other := socketPair(t)
+	for range max(c.descriptors, 1) {
+		fd, farEnd := socketPair(t)
 		near = append(near, fd)
-		far = append(far, other)
+		far = append(far, farEnd)
 	}
 	before := countDescriptors(t)
-	parent.send(t, step.sends, step.body, near[:step.descriptors])
+	parent.send(t, c.message, c.payload, near[:c.descriptors])
 	if err := parent.conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	if step.accepted {
+	if c.accepted {
 		if got, err := parent.reader.ReadString('\n'); got != `{"kind":"held","room":5}`+"\n" {
-			t.Errorf("the successor sends %q, %v, want that it accepts", got, err)
+			t.Errorf("answer to the batch: got %q, error %v, want it accepted with 5 free descriptors", got, err)
 		}
 		onLoop(func() {
 			if calls != "" {
-				t.Errorf("%s before it was committed", calls)
+				t.Errorf("calls before the commit: got %q, want none", calls)
 			}
 		})
 	}
-	// The successor may have ended the link: what is sent then is lost, and so it is meant.
-	_, _ = io.WriteString(parent.conn, step.then)
+	// The successor may have ended the link. Then these writes fail, and the test ignores that.
+	_, _ = io.WriteString(parent.conn, c.nextMessage)
 	_ = parent.conn.CloseWrite()
 	_, _ = io.Copy(io.Discard, parent.reader)
 	_ = parent.conn.Close()
-	waitFor(t, onLoop, "the end of the batch", func() bool { return calls == step.end })
-	transcript.WaitFor(t, "no descriptor is left", func() bool {
-		return countDescriptors(t) <= before-2 // the link's two ends are gone too
+	waitFor(t, onLoop, "the end of the batch", func() bool { return calls == c.outcome })
+	transcript.WaitFor(t, "all descriptors closed", func() bool {
+		return countDescriptors(t) <= before-2 // the two ends of the link are closed too
 	})
 	loop.CloseAll(near)
-	for _, other := range far {
-		if nearEndOpen(t, other) {
-			t.Error("a connection is left open")
+	for _, farEnd := range far {
+		if nearEndOpen(t, farEnd) {
+			t.Error("near end of a connection: got open, want closed")
 		}
 	}
 }
 
-// FuzzDecodeBatch has any bytes for a batch, with any number of descriptors.
+// FuzzDecodeBatch decodes arbitrary bytes as a batch with an arbitrary number of descriptors.
 func FuzzDecodeBatch(f *testing.F) {
 	f.Add(encodeItems(f, encodedItem{Sockets: 2, Body: []byte("state")}, encodedItem{Sockets: 1}), 3)
 	f.Add([]byte{0x9f, 0xff}, 1)
@@ -279,32 +283,33 @@
 	f.Fuzz(func(t *testing.T, body []byte, descriptors int) {
 		fds := make([]int, max(0, min(descriptors, 8)))
 		for i := range fds {
-			fds[i] = -1 // no descriptor at all: what is read must not depend on any
+			fds[i] = -1 // an invalid descriptor, since decoding must not depend on a valid one
 		}
 		if items, err := decodeBatch(body, fds); err == nil {
-			t.Errorf("%+v of descriptors that are none", items)
+			t.Errorf("decodeBatch with invalid descriptors: got %+v, want an error", items)
 		}
 	})
 }
 
-// TestLateAnswerToRecalledBatch has a successor answer a batch that was recalled meanwhile, as one does that was busy
-// for longer than the parent waits: the answer changes nothing, and the link stays.
-func TestLateAnswerToRecalledBatch(t *testing.T) {
+// TestLateAnswerToRecalledBatchIsIgnored lets a successor answer a batch after the parent has recalled it. This happens
+// when the successor is busy for longer than the parent waits. The answer must have no effect, and the link must stay
+// open.
+func TestLateAnswerToRecalledBatchIsIgnored(t *testing.T) {
 	eventLoop, onLoop := startLoop(t)
 	path := socketPath(t)
 	var parent *Coordinator
 	changes := 0
 	onLoop(func() {
 		changed := func() { changes++ }
-		parent = NewCoordinator(Options{Loop: eventLoop, Path: path, Changed: changed, Grant: grantOnly(9)}, nil)
+		parent = NewCoordinator(Options{Loop: eventLoop, Path: path, Changed: changed, Grant: grantDescriptors(9)}, nil)
 	})
 	grant := requestGrant(t, path)
 	successor := os.NewFile(uintptr(grant.fd), "link")
-	t.Cleanup(func() { closed(t, successor) })
-	writeString(t, successor, `{"kind":"ready"}`+"\n"+`{"kind":"free","room":9}`+"\n")
+	t.Cleanup(func() { mustClose(t, successor) })
+	mustWrite(t, successor, `{"kind":"ready"}`+"\n"+`{"kind":"free","room":9}`+"\n")
 	waitFor(t, onLoop, "free descriptors", func() bool {
-		there, descriptors := parent.SuccessorAccepts()
-		return there && descriptors == 9
+		accepts, descriptors := parent.SuccessorAccepts()
+		return accepts && descriptors == 9
 	})
 	fd, _ := socketPair(t)
 	t.Cleanup(func() { loop.CloseAll([]int{fd}) })
@@ -313,23 +318,23 @@
 		parent.Transfer([]TransferItem{{[]int{fd}, []byte("state")}}, func(ok bool) { accepted <- ok })
 	})
 	if <-accepted {
-		t.Fatal("the batch is accepted, want it recalled")
+		t.Fatal("outcome of Transfer: got accepted, want recalled")
 	}
 	before := 0
 	onLoop(func() { before = changes })
-	writeString(t, successor, `{"kind":"held","room":3}`+"\n"+`{"kind":"free","room":9}`+"\n")
+	mustWrite(t, successor, `{"kind":"held","room":3}`+"\n"+`{"kind":"free","room":9}`+"\n")
 	waitFor(t, onLoop, "the answers", func() bool { return changes > before })
 	onLoop(func() {
 		if linked, ready := parent.Successor(); !linked || !ready {
-			t.Errorf("linked %v, ready %v after a late answer, want both", linked, ready)
+			t.Errorf("Successor after a late answer: got linked %v, ready %v, want true, true", linked, ready)
 		}
-		if there, _ := parent.SuccessorAccepts(); there {
-			t.Error("a successor that did not answer is offered another batch")
+		if accepts, _ := parent.SuccessorAccepts(); accepts {
+			t.Error("SuccessorAccepts after a recall: got true, want false")
 		}
 	})
 	select {
 	case <-accepted:
-		t.Error("what becomes of the batch is said twice")
+		t.Error("calls of done: got a second one, want one")
 	default:
 	}
 }
