--- a/internal/platform/line/line.go
+++ b/internal/platform/line/line.go
@@ -1,5 +1,5 @@
-// Package line reads the lines of the platform's protocol incrementally: CRLF ends a line, and none is longer than 4
-// KiB.
+// Package line reads the lines of the platform's protocol incrementally. A line ends with CRLF and is at most 4 KiB
+// long.
 package line
 
 import (
@@ -10,26 +10,26 @@
 	"strconv"
 )
 
-// MaxBytes is the length of the longest line in bytes, its CRLF included.
+// MaxBytes is the maximum length of a line in bytes, including its CRLF.
 const MaxBytes = 4 << 10
 
 const (
-	maxFields         = 32 // of a line; none has that many
-	wordsBeforeFields = 3  // in an OPEN line
+	maxFields         = 32 // maximum number of fields in a line; valid lines have fewer
+	wordsBeforeFields = 3  // OPEN, the id and the key precede the fields of an OPEN line
 )
 
-// ErrTooLong says that a line runs past MaxBytes.
-var ErrTooLong = errors.New("line too long")
+// ErrTooLong is returned for a line that is longer than MaxBytes.
+var ErrTooLong = errors.New("line is longer than 4096 bytes")
 
-// Reader puts lines together from pieces. The zero Reader is at the start of a line.
+// Reader assembles lines from pieces of a byte stream. The zero Reader is at the start of a line.
 type Reader struct{ partial []byte }
 
-// NewReader goes on after the start of a line that another Reader returned as Partial.
+// NewReader returns a Reader that continues the unfinished line that another Reader returned from Partial.
 func NewReader(partial []byte) Reader { return Reader{partial} }
 
-// Next takes a piece and returns the first line in it, with its end, and what follows. The line is nil where the piece
-// holds no end; the piece is buffered then. A line is valid until the next call, unless it came in pieces. The error is
-// ErrTooLong.
+// Next returns the first line that ends in piece, including its line ending, and the bytes after it. If no line ends in
+// piece, Next buffers the piece and returns a nil line. A line that arrived in one piece is valid until the next call.
+// The only error is ErrTooLong.
 func (r *Reader) Next(piece []byte) (text, rest []byte, err error) {
 	end := bytes.IndexByte(piece, '\n')
 	if end < 0 {
@@ -53,11 +53,11 @@
 // MidLine reports whether the last byte read is inside a line.
 func (r *Reader) MidLine() bool { return len(r.partial) > 0 }
 
-// Partial is the start of a line that has not ended yet.
+// Partial returns the buffered bytes of the unfinished line.
 func (r *Reader) Partial() []byte { return r.partial }
 
-// Scan calls onLine for each line that ends in piece and buffers the start of the next. It stops at a line that is too
-// long.
+// Scan calls onLine for each line that ends in piece and buffers the start of the next line. It returns ErrTooLong at
+// the first line that is too long.
 func (r *Reader) Scan(piece []byte, onLine func(text []byte)) error {
 	for len(piece) > 0 {
 		text, rest, err := r.Next(piece)
@@ -73,19 +73,19 @@
 	return nil
 }
 
-// Scanner finds the ends of lines without buffering any. The zero Scanner is at the start of a line.
+// Scanner finds the ends of lines without buffering them. The zero Scanner is at the start of a line.
 type Scanner struct{ partialBytes int }
 
-// NewScanner goes on after the part of a line that another Scanner returned as PartialBytes.
+// NewScanner returns a Scanner that continues an unfinished line. partialBytes is the PartialBytes of another Scanner.
 func NewScanner(partialBytes int) Scanner { return Scanner{partialBytes} }
 
 // MidLine reports whether the last byte read is inside a line.
 func (s *Scanner) MidLine() bool { return s.partialBytes > 0 }
 
-// PartialBytes is the number of bytes of a line that has not ended yet.
+// PartialBytes returns the number of bytes counted in the unfinished line.
 func (s *Scanner) PartialBytes() int { return s.partialBytes }
 
-// Count calls onLine for each line that ends in piece. It stops at a line that is too long.
+// Count calls onLine for each line that ends in piece. It returns ErrTooLong at the first line that is too long.
 func (s *Scanner) Count(piece []byte, onLine func()) error {
 	for len(piece) > 0 {
 		end := bytes.IndexByte(piece, '\n')
@@ -108,7 +108,7 @@
 	return bytes.TrimSuffix(bytes.TrimSuffix(text, []byte("\n")), []byte("\r"))
 }
 
-// Printable reports whether a line holds printable ASCII and spaces only.
+// Printable reports whether a line contains only printable ASCII characters and spaces.
 func Printable(text []byte) bool {
 	for _, char := range text {
 		if char < ' ' || char > '~' {
@@ -118,13 +118,15 @@
 	return true
 }
 
-// ParseNumber reads a number that is finite and not below 0, in the forms of strconv.ParseFloat.
+// ParseNumber parses a finite, non-negative number in any form that strconv.ParseFloat accepts, and reports whether it
+// is valid.
 func ParseNumber(text string) (float64, bool) {
-	number, err := strconv.ParseFloat(text, 64) // accepts NaN and Inf
+	number, err := strconv.ParseFloat(text, 64) // also accepts NaN and Inf, which are rejected below
 	return number, err == nil && number >= 0 && !math.IsInf(number, 0)
 }
 
-// FindField returns where the value of a name stands in "name=value,name=value"; from is -1 where the name is absent.
+// FindField returns the start and end of the value of the named field in "name=value,name=value". If the field is
+// absent, both are -1.
 func FindField(list []byte, name string) (from, to int) {
 	if name == "" {
 		return -1, -1
@@ -140,7 +142,8 @@
 	return -1, -1
 }
 
-// fieldEnd is where the field ends that begins at start: at the next comma, or before the end of the line.
+// fieldEnd returns the end of the field that begins at start. A field ends at the next comma or, if there is none,
+// before the line ending.
 func fieldEnd(list []byte, start int) int {
 	if comma := bytes.IndexByte(list[start:], ','); comma >= 0 {
 		return start + comma
@@ -152,9 +155,9 @@
 	return end
 }
 
-// InvalidField returns the first field of "name=value,name=value" whose name was there before or that has no value;
-// empty: there is none. A server that reads the first of two fields and one that reads the last would take the same
-// line for two different requests.
+// InvalidField returns the first field of "name=value,name=value" that has no value, repeats an earlier name or exceeds
+// the maximum number of fields. It returns "" if all fields are valid. Repeated names are invalid because one server
+// may read the first value and another server the last: the same line would mean two different requests.
 func InvalidField(list []byte) string {
 	var names [maxFields][]byte
 	count := 0
@@ -170,7 +173,7 @@
 	return ""
 }
 
-// FieldsStart is where the list of fields of an OPEN line starts: after its third space.
+// FieldsStart returns the index at which the list of fields of an OPEN line starts, which is after its third space.
 func FieldsStart(text []byte) int {
 	start := 0
 	for range wordsBeforeFields {
--- a/internal/platform/upstream/cluster.go
+++ b/internal/platform/upstream/cluster.go
@@ -1,5 +1,5 @@
-// Package upstream speaks the platform's protocol with its servers: attempts, relayed connections, health checks and
-// load reports.
+// Package upstream implements the server side of the platform's protocol: it runs attempts, relays established
+// connections, checks the health of servers and parses their load reports.
 package upstream
 
 import (
@@ -14,7 +14,7 @@
 	"spurwinch/internal/platform/line"
 )
 
-// Names that servers give to a load report's values, where they differ from those of the settings.
+// reportFieldAliases maps names of load report values in the settings to the different names that some servers use.
 var reportFieldAliases = map[string]string{
 	"outstanding":  "inflight",
 	"backlog":      "queue",
@@ -24,44 +24,44 @@
 	"errors_per_s": "eps",
 }
 
-// Sink is the client's side of an upstream request. After ServerEnded or Served, and once the request is ended or given
-// up, nothing is called.
+// Sink is the client's side of an upstream request. The request calls none of its methods after ServerEnded or Served,
+// nor after the request was ended or given up.
 type Sink interface {
-	Established(upLine []byte) // the server's own UP line, which serves the client
-	Forward(data []byte)       // what follows it, unchanged
+	Established(upLine []byte) // forwards the server's UP line, which is the reply to the client
+	Forward(data []byte)       // forwards the bytes after the UP line unchanged
 	ServerEnded(reset bool)    // the server ended the connection after UP, by FIN or by a reset
-	ServerDrained()            // the kernel has all that was to be written to the server
-	Served(reply []byte)       // the server served the request to its end with this line, without UP
-	CheckClient()              // reads the client's end, if it is in the socket; the attempt is given up then
+	ServerDrained()            // the kernel has accepted all bytes to be written to the server
+	Served(reply []byte)       // the server completed the request with this line, without UP
+	CheckClient()              // reads the client's socket; gives the attempt up if the client has disconnected
 }
 
-// Cluster starts upstream requests and health checks at the platform's servers.
+// Cluster starts upstream requests to the platform's servers and checks their health.
 type Cluster struct {
 	loop         *loop.Loop
 	reportFields []string // names of a load report's values, in the order of the settings
 	checkers     map[choice.ServerID]*healthChecker
 
-	connected           list.List // of *healthChecker: those with a connection, the longest unused first
-	maxCheckConnections int       // limit of connected; 0: none
+	connected           list.List // *healthChecker elements that have a connection, least recently used first
+	maxCheckConnections int       // maximum length of connected; 0: no limit
 }
 
-// New makes a Cluster; reportFields are the names of a load report's values in the settings.
+// New returns a Cluster. reportFields are the names of the load report values, in the order of the settings.
 func New(eventLoop *loop.Loop, reportFields []string) *Cluster {
 	return &Cluster{loop: eventLoop, reportFields: reportFields, checkers: map[choice.ServerID]*healthChecker{}}
 }
 
-// SetReportFields sets the names of a load report's values from now on.
+// SetReportFields sets the names of the values in later load reports.
 func (c *Cluster) SetReportFields(reportFields []string) { c.reportFields = reportFields }
 
-// Attempt starts an attempt. openLine is the client's OPEN line; only its d is rewritten.
+// Attempt starts an attempt. openLine is the client's OPEN line; only its deadline field d is rewritten.
 func (c *Cluster) Attempt(attempt *edge.Attempt, openLine []byte, sink Sink) *Request {
 	request := &Request{cluster: c, attempt: attempt, sink: sink, openLine: openLine}
 	request.conn = c.loop.Dial(attempt.Server.Addr, attempt.ConnectBy(), request)
 	return request
 }
 
-// parseReport reads "name=value,name=value" into the order of the settings. A value that is absent, not a number or
-// below 0 is NaN; without any value the report is nil.
+// parseReport parses "name=value,name=value" into a load report in the order of the settings. A value that is absent,
+// not a finite number or negative becomes NaN. If no value is valid, the report is nil.
 func (c *Cluster) parseReport(info []byte) []float64 {
 	if len(info) == 0 {
 		return nil
@@ -87,7 +87,7 @@
 	return report
 }
 
-// emptyReport is a report without values.
+// emptyReport returns a load report in which each value is NaN.
 func emptyReport(size int) []float64 {
 	report := make([]float64, size)
 	for index := range report {
@@ -96,7 +96,8 @@
 	return report
 }
 
-// withDeadline rewrites d in the list of an OPEN line, in whole milliseconds; all else stays as it came.
+// withDeadline returns the OPEN line with its field d set to the time left in whole milliseconds, but at least 1. It
+// returns a line without d unchanged.
 func withDeadline(openLine []byte, left time.Duration) []byte {
 	start := line.FieldsStart(openLine)
 	from, to := line.FindField(openLine[start:], "d")
--- a/internal/platform/upstream/healthcheck.go
+++ b/internal/platform/upstream/healthcheck.go
@@ -17,29 +17,29 @@
 	"go.uber.org/zap"
 )
 
-// statsLine asks a server for its load report.
+// statsLine requests a server's load report.
 var statsLine = []byte("STATS\r\n")
 
-// healthChecker holds the one connection that a server's health checks share; each new one would cost the server a
-// handshake.
+// healthChecker runs the health checks of one server. They share one connection, since each new connection would cost
+// the server a handshake.
 type healthChecker struct {
 	cluster     *Cluster
 	id          choice.ServerID
 	addr        string
-	conn        *loop.Conn // nil: there is none
+	conn        *loop.Conn // nil: not connected
 	established bool
 	lines       line.Reader
-	done        func(choice.Outcome, []float64) // of the health check in flight; nil: none is
+	done        func(choice.Outcome, []float64) // callback of the health check in flight; nil: no check is in flight
 	stopTimer   func()
-	element     *list.Element // of Cluster.connected; nil without a connection
+	element     *list.Element // element of Cluster.connected; nil: not connected
 }
 
-// CheckHealth asks a server for its load report and calls done once, at the deadline at the latest. done gets the
-// report in the order of the settings, or nil. A server has one health check in flight at a time; another is never
-// sent.
+// CheckHealth requests a server's load report and calls done once, at the deadline at the latest. done gets the report
+// in the order of the settings, or nil. If a health check of the server is already in flight, CheckHealth sends no
+// second one and calls done with choice.NeverSent.
 func (c *Cluster) CheckHealth(server edge.ServerEntry, deadline time.Time, done func(choice.Outcome, []float64)) {
 	checker := c.checker(server)
-	if checker.done != nil { // a second reply on its connection could not be told from the first
+	if checker.done != nil { // replies on the shared connection can't be matched to two checks
 		done(choice.NeverSent, nil)
 		return
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-// checker returns the health checker of a server. One for a former address of the server is dropped.
+// checker returns the health checker of a server. It drops a health checker that uses a former address of the server.
 func (c *Cluster) checker(server edge.ServerEntry) *healthChecker {
 	checker := c.checkers[server.ID]
 	if checker != nil && checker.addr == server.Addr {
@@ -72,23 +72,23 @@
 	return checker
 }
 
-// SetMaxHealthCheckConnections limits the connections for health checks; 0: no limit. Beyond it those without a check
-// in flight are closed. Guards against an endpoint list with more servers than the node has descriptors, whose health
-// checks would leave none for clients.
+// SetMaxHealthCheckConnections limits the number of health check connections; 0 means no limit. Connections beyond the
+// limit are closed unless a health check is in flight on them. Without the limit, an endpoint list with more servers
+// than the node has descriptors would leave no descriptors for clients.
 func (c *Cluster) SetMaxHealthCheckConnections(maxConnections int) {
 	c.maxCheckConnections = maxConnections
 	c.closeIdleCheckers(0)
 }
 
-// closeIdleCheckers ends connections without a health check in flight, the longest unused first, until so many more
-// fit.
+// closeIdleCheckers closes connections without a health check in flight, least recently used first, until the limit
+// leaves room for the given number of new connections.
 func (c *Cluster) closeIdleCheckers(needed int) {
 	if c.maxCheckConnections <= 0 {
 		return
 	}
 	element := c.connected.Front()
 	for element != nil && c.connected.Len()+needed > c.maxCheckConnections {
-		checker, _ := element.Value.(*healthChecker) // the list holds nothing else
+		checker, _ := element.Value.(*healthChecker) // the list contains only *healthChecker
 		element = element.Next()
 		if checker.done == nil {
 			checker.disconnect()
@@ -104,8 +104,8 @@
 	}
 }
 
-// RetainServers closes the health check connections of all servers but these: a full endpoint list says what is gone by
-// not naming it.
+// RetainServers closes the health check connections of all servers that are not in servers. A full endpoint list shows
+// that a server is gone by omitting it.
 func (c *Cluster) RetainServers(servers []edge.ServerEntry) {
 	listed := map[choice.ServerID]bool{}
 	for _, server := range servers {
@@ -118,13 +118,13 @@
 	}
 }
 
-// drop ends the connection and the health check in flight.
+// drop closes the connection and ends the health check in flight with an outcome.
 func (h *healthChecker) drop(outcome choice.Outcome) {
 	h.disconnect()
 	h.finish(outcome, nil)
 }
 
-// disconnect ends the connection, where there is one.
+// disconnect closes the connection, if there is one.
 func (h *healthChecker) disconnect() {
 	if h.conn != nil {
 		h.conn.End()
@@ -132,7 +132,7 @@
 	}
 }
 
-// connectionGone resets the state of a connection that has ended.
+// connectionGone resets the health checker's state after its connection has ended.
 func (h *healthChecker) connectionGone() {
 	h.conn = nil
 	h.established = false
@@ -140,7 +140,7 @@
 	h.element = nil
 }
 
-// finish ends the health check in flight, where there is one.
+// finish reports the result of the health check in flight, if there is one.
 func (h *healthChecker) finish(outcome choice.Outcome, report []float64) {
 	if done := h.done; done != nil {
 		h.done = nil
@@ -149,13 +149,13 @@
 	}
 }
 
-// OnConnect sends the health check.
+// OnConnect sends the health check that waits for the connection.
 func (h *healthChecker) OnConnect() {
 	h.established = true
 	h.conn.Write(statsLine)
 }
 
-// OnData takes the reply.
+// OnData reads the server's replies.
 func (h *healthChecker) OnData(data []byte) {
 	for len(data) > 0 {
 		text, rest, err := h.lines.Next(data)
@@ -171,7 +171,7 @@
 	}
 }
 
-// onLine takes a line and reports whether the connection goes on.
+// onLine handles a line from the server and reports whether the connection stays open.
 func (h *healthChecker) onLine(text []byte) bool {
 	if h.done == nil {
 		zap.L().Warn("health_check_line_unexpected", zap.String("host", string(h.id)))
@@ -211,5 +211,5 @@
 	h.finish(outcome, nil)
 }
 
-// OnDrained is of no use here.
+// OnDrained does nothing. Health checks don't track when their request has been written.
 func (h *healthChecker) OnDrained() {}
--- a/internal/platform/upstream/relay.go
+++ b/internal/platform/upstream/relay.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 )
 
-// relay forwards the server's bytes and takes from them what the core needs.
+// relay forwards the server's bytes and reads the load, the delay and the closing line from them for the core.
 func (r *Request) relay(data []byte) {
 	err := r.serverLines.Scan(data, r.onServerLine)
 	if err != nil && !r.closed {
@@ -25,7 +25,7 @@
 	}
 }
 
-// onServerLine takes a line of an established connection.
+// onServerLine handles a line that the server sent on an established connection.
 func (r *Request) onServerLine(text []byte) {
 	r.lastClosingLine = noClosingLine
 	word, info, _ := bytes.Cut(line.Trim(text), []byte(" "))
@@ -40,15 +40,16 @@
 	case "MOVE":
 		r.lastClosingLine = closingMove
 	}
-	// One line is timed at a time, and any of the server's ends it: a line that gets no reply must not make all later
-	// ones look late.
+	// One client line is timed at a time, and any line of the server but LOAD ends the measurement. Otherwise a client
+	// line that gets no reply would make the replies to all later lines look late.
 	if !r.awaitingReplySince.IsZero() {
 		r.attempt.ObserveDelay(r.cluster.loop.Now().Sub(r.awaitingReplySince))
 		r.awaitingReplySince = time.Time{}
 	}
 }
 
-// Write forwards a client's bytes after UP. Nothing is forwarded of bytes with a line that is too long.
+// Write forwards a client's bytes after UP. If they contain a line that is too long, Write forwards none of them and
+// returns line.ErrTooLong.
 func (r *Request) Write(data []byte) error {
 	if r.closed {
 		return nil
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// checkReplyDelay guards against servers that say nothing although the connection stands: no reply would ever tell how
-// slow they are.
+// checkReplyDelay reports how long the timed line has waited for its reply so far. It detects servers that stay silent
+// on an open connection, for which no reply would ever show how slow they are.
 func (r *Request) checkReplyDelay() {
 	r.stopReplyTimer = nil
 	if r.closed || r.awaitingReplySince.IsZero() {
@@ -95,11 +96,11 @@
 	}
 }
 
-// Full says that the client should be paused: much waits to be written to the server.
+// Full reports whether so many bytes wait to be written to the server that reading from the client should pause.
 func (r *Request) Full() bool { return r.conn.Full() }
 
-// Pause stops reading from the server; Resume goes on.
+// Pause stops reading from the server.
 func (r *Request) Pause() { r.conn.Pause() }
 
-// Resume goes on reading from the server.
+// Resume continues to read from the server.
 func (r *Request) Resume() { r.conn.Resume() }
--- a/internal/platform/upstream/request.go
+++ b/internal/platform/upstream/request.go
@@ -18,19 +18,20 @@
 
 const (
 	replyCheckInterval = time.Second
-	loadUnit           = 1e6 // a LOAD line counts microseconds of work a second
-	maxAddedDigits     = 8   // by which a rewritten d may be longer
-	maxQuotedBytes     = 60  // of a line that an error quotes
+	loadUnit           = 1e6 // LOAD lines report microseconds of work per second
+	maxAddedDigits     = 8   // by which a rewritten field d may be longer
+	maxQuotedBytes     = 60  // quoted from an unknown reply in an error
 )
 
-// What is wrong with a server's reply.
+// Errors of a server's reply.
 var (
-	errLineTooLong  = errors.New("a line that is too long")
-	errNoReceipt    = errors.New("UP without a receipt")
-	errUnknownReply = errors.New("an unknown reply")
+	errLineTooLong  = errors.New("reply line is longer than 4096 bytes")
+	errNoReceipt    = errors.New("UP line must have a printable receipt")
+	errUnknownReply = errors.New("reply must be UP, BUSY, ERR or BYE")
 )
 
-// closingLine is the last line of a server that says why it ends a connection. Its values are transferred.
+// closingLine is the kind of line with which a server announces why it ends a connection. Its values are part of the
+// connection state that one process transfers to another.
 type closingLine uint8
 
 const (
@@ -39,23 +40,23 @@
 	closingMove
 )
 
-// Request is one attempt on its own connection.
+// Request is one attempt. It has its own connection to the server.
 type Request struct {
 	cluster            *Cluster
 	attempt            *edge.Attempt
 	sink               Sink
 	conn               *loop.Conn
-	openLine           []byte // the client's, until it is sent
+	openLine           []byte // the client's OPEN line
 	serverLines        line.Reader
 	clientLines        line.Scanner
 	established        bool
 	closed             bool
-	lastClosingLine    closingLine
-	awaitingReplySince time.Time // when the line was forwarded whose reply is timed; zero: none is
+	lastClosingLine    closingLine // noClosingLine if the server's last line was another one
+	awaitingReplySince time.Time   // when the line was forwarded whose reply is being timed; zero: none
 	stopReplyTimer     func()
 }
 
-// OnConnect sends the OPEN line, unless nobody waits for its reply any more.
+// OnConnect sends the OPEN line, unless the client has disconnected or the core no longer wants the attempt.
 func (r *Request) OnConnect() {
 	r.attempt.Connected()
 	r.sink.CheckClient()
@@ -67,14 +68,14 @@
 	r.reportWritten()
 }
 
-// reportWritten counts the attempt once its line is written whole.
+// reportWritten tells the core once the kernel has accepted the whole OPEN line. From then on the attempt counts.
 func (r *Request) reportWritten() {
 	if r.conn.Sent() {
 		r.attempt.Written()
 	}
 }
 
-// OnData takes the server's bytes.
+// OnData handles the server's bytes.
 func (r *Request) OnData(data []byte) {
 	if r.established {
 		r.relay(data)
@@ -90,7 +91,7 @@
 	}
 }
 
-// onReply takes the server's first line, and what came behind it.
+// onReply handles the server's first line. rest are the bytes that arrived after it.
 func (r *Request) onReply(text, rest []byte) {
 	word, info, _ := bytes.Cut(line.Trim(text), []byte(" "))
 	switch string(word) {
@@ -115,7 +116,7 @@
 	}
 }
 
-// establish begins to relay.
+// establish starts to relay bytes between the client and the server.
 func (r *Request) establish(upLine, rest []byte) {
 	r.established = true
 	r.attempt.Established()
@@ -128,7 +129,7 @@
 	}
 }
 
-// failUnreadable fails an attempt whose reply is none of the protocol.
+// failUnreadable fails an attempt whose reply is invalid in the protocol.
 func (r *Request) failUnreadable(cause error) {
 	if r.closed {
 		return
@@ -138,7 +139,7 @@
 	r.fail(choice.Failed, nil)
 }
 
-// fail ends an attempt without a connection.
+// fail ends an attempt whose connection was not established.
 func (r *Request) fail(outcome choice.Outcome, report []float64) {
 	if r.closed {
 		return
@@ -148,7 +149,7 @@
 	r.attempt.Ended(outcome, report)
 }
 
-// End ends the connection as its client did.
+// End closes the server's connection in the way in which the client's connection ended: by a reset or by FIN.
 func (r *Request) End(reset bool) {
 	if r.closed {
 		return
@@ -161,8 +162,8 @@
 	}
 }
 
-// GiveUp closes the connection. A request line that is half written stays half: the core takes it for one that has not
-// run.
+// GiveUp closes the connection. The rest of a partly written request line is never sent, because the core assumes that
+// such a request has not run.
 func (r *Request) GiveUp() {
 	if r.closed || r.established {
 		r.End(false)
@@ -177,7 +178,7 @@
 	r.cancelReplyTimer()
 }
 
-// OnEnd gives the outcome of a connection that failed or ended, by the protocol's table.
+// OnEnd reports the outcome of a connection that failed or ended, as the protocol defines it.
 func (r *Request) OnEnd(err error) {
 	if r.closed {
 		return
@@ -205,7 +206,7 @@
 	}
 }
 
-// outcome is that of an established connection whose last line this was.
+// outcome returns the outcome of an established connection whose last line from the server was l.
 func (l closingLine) outcome() choice.Outcome {
 	switch l {
 	case closingBye:
@@ -217,7 +218,7 @@
 	return choice.Reset
 }
 
-// OnDrained tells the client's side that it may go on.
+// OnDrained notifies the client's side that it may resume reading.
 func (r *Request) OnDrained() {
 	r.reportWritten()
 	if r.established && !r.closed {
--- a/internal/platform/upstream/transfer.go
+++ b/internal/platform/upstream/transfer.go
@@ -9,23 +9,23 @@
 	"spurwinch/internal/platform/line"
 )
 
-// maxTransferredWait bounds the time that a transferred line has awaited its reply; it is more than any line may wait.
+// maxTransferredWait limits the time for which a transferred line has awaited its reply. No line may wait that long.
 const maxTransferredWait = 10 * time.Second
 
-// errServerState says that the state that another process transferred is invalid.
-var errServerState = errors.New("the state of a server's side is out of range")
+// errServerState is returned for an invalid state that another process transferred.
+var errServerState = errors.New("transferred state of the server's side is out of range")
 
-// ConnectionState is what a request of an established connection knows besides its socket, as one process of a node
-// transfers it to another.
+// ConnectionState is the state of a request with an established connection, without its socket, that one process of a
+// node transfers to another.
 type ConnectionState struct {
 	Conn                   loop.ConnectionState `cbor:"1,keyasint"`
-	PartialServerLine      []byte               `cbor:"2,keyasint,omitempty"` // of an unfinished line
-	PartialClientLineBytes int                  `cbor:"3,keyasint,omitempty"` // of an unfinished line
-	ClosingLine            uint8                `cbor:"4,keyasint,omitempty"` // the last: 0 any, 1 BYE, 2 MOVE
-	// AwaitingReplySince is the Unix time in nanoseconds of the line that awaits a reply, for releases without
-	// AwaitingReplyFor; 0: none does.
+	PartialServerLine      []byte               `cbor:"2,keyasint,omitempty"` // of the server's unfinished line
+	PartialClientLineBytes int                  `cbor:"3,keyasint,omitempty"` // of the client's unfinished line
+	ClosingLine            uint8                `cbor:"4,keyasint,omitempty"` // last line: 0 other, 1 BYE, 2 MOVE
+	// AwaitingReplySince is the Unix time in nanoseconds at which the line was sent that awaits a reply; 0: no line
+	// awaits a reply. Releases without AwaitingReplyFor use it.
 	AwaitingReplySince int64 `cbor:"5,keyasint,omitempty"`
-	AwaitingReplyFor   int64 `cbor:"6,keyasint,omitempty"` // nanoseconds since that line; 0: none awaits one
+	AwaitingReplyFor   int64 `cbor:"6,keyasint,omitempty"` // nanoseconds since that line was sent; 0: none
 }
 
 // Check validates the state that another process transferred.
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// awaitingReplySince is when the line was sent that waits for its reply.
+// awaitingReplySince returns when the line was sent that awaits its reply, on this process's clock.
 func (s ConnectionState) awaitingReplySince(now time.Time) time.Time {
 	waited := time.Duration(s.AwaitingReplyFor)
 	if waited == 0 {
@@ -48,8 +48,9 @@
 	return now.Add(-min(waited, maxTransferredWait))
 }
 
-// Detach takes an established connection off the loop and returns its socket, which this process still owns: Reattach
-// or Release must follow. If ok is false, nothing was taken: the connection is closed, not established or about to end.
+// Detach removes an established connection from the loop and returns its socket. This process still owns the socket, so
+// the caller must call Reattach or Release afterwards. If ok is false, the connection was not detached: it is closed,
+// not established or about to end.
 func (r *Request) Detach() (fd int, state ConnectionState, ok bool) {
 	if r.closed || !r.established {
 		return -1, state, false
@@ -97,7 +98,7 @@
 	return restored
 }
 
-// resumeReplyTimer starts the timer of an awaited reply again.
+// resumeReplyTimer restarts the timer for a line that awaits its reply.
 func (r *Request) resumeReplyTimer() {
 	if !r.awaitingReplySince.IsZero() && r.stopReplyTimer == nil && !r.closed {
 		r.stopReplyTimer = r.cluster.loop.At(r.cluster.loop.Now(), r.checkReplyDelay)
