--- a/internal/platform/downstream/client.go
+++ b/internal/platform/downstream/client.go
@@ -18,21 +18,22 @@
 )
 
 const (
-	// firstLineTimeout is for the OPEN line, from the connection on, whatever else was sent: a client that sends
-	// nothing that can be served gets an error or an end within 3 s.
+	// firstLineTimeout is the time after a client connects within which its OPEN line must arrive, even if the client
+	// sends something else before it. A client that sends no valid request must get an error or be disconnected within
+	// 3 s.
 	firstLineTimeout     = 2500 * time.Millisecond
-	readyTimeout         = 30 * time.Second // for PONG, at a node that knows no servers yet
-	connectionLimitRetry = time.Second      // the retry after of a request that the connection limit rejects
+	readyTimeout         = 30 * time.Second // for PONG, on a node that knows no servers yet
+	connectionLimitRetry = time.Second      // retry after in the rejection of a request at the connection limit
 )
 
-// What is wrong with the bytes that a client sends before its connection is established.
+// Errors in the bytes that a client sends before its connection is established.
 var (
-	errNoLine      = errors.New("no line in time")
-	errLineTooLong = errors.New("a first line that is too long")
-	errSecondLine  = errors.New("more than one line at once")
-	errBeforeReply = errors.New("more before its answer")
-	errLineFormat  = errors.New("a line that ends without CRLF or holds bytes that are not printable")
-	errUnfinished  = errors.New("half a line and the end")
+	errNoLine      = errors.New("no complete first line before the timeout")
+	errLineTooLong = errors.New("first line is longer than 4096 bytes")
+	errSecondLine  = errors.New("more bytes after the first line")
+	errBeforeReply = errors.New("more bytes before the reply to the first line")
+	errLineFormat  = errors.New("first line must be printable ASCII and end with CRLF")
+	errUnfinished  = errors.New("connection ended within the first line")
 )
 
 // Lines that are written to clients.
@@ -41,37 +42,37 @@
 	pongLine        = []byte("PONG\r\n")
 	plainBusyLine   = []byte("BUSY\r\n")
 	moveLine        = []byte("MOVE\r\n")
-	midLineMoveLine = []byte("\r\nMOVE\r\n") // ends the server's line first
+	midLineMoveLine = []byte("\r\nMOVE\r\n") // ends the server's unfinished line first
 )
 
-// client is one client's connection: it awaits the first line, then the reply, then it is established. It is the
-// edge.Client of its request and the upstream.Sink of the attempt.
+// client is one client's connection. It waits for the first line, then for the reply, and is then established. It
+// implements edge.Client for its request and upstream.Sink for the attempt.
 type client struct {
 	front             *Front
 	conn              *loop.Conn
 	firstLineReader   line.Reader
-	openLine          []byte // as it was read; nil once the connection is established
+	openLine          []byte // as received; nil once the connection is established or closed
 	pinged            bool
 	request           *edge.Request
 	server            *upstream.Request
 	established       bool
 	closed            bool
-	serverLines       line.Scanner // of the bytes forwarded to the client
-	migrating         bool         // MOVE is due at the end of the present line
+	serverLines       line.Scanner // scans the bytes forwarded to the client
+	migrating         bool         // MOVE is sent at the end of the server's current line
 	stopTimer         func()
 	firstLineDeadline time.Time
 }
 
-// awaitFirstLine sets the deadline of the client's request.
+// awaitFirstLine sets the deadline for the client's first line.
 func (c *client) awaitFirstLine(deadline time.Time) {
 	c.firstLineDeadline = deadline
 	c.stopTimer = c.front.loop.At(deadline, c.onFirstLineTimeout)
 }
 
-// onFirstLineTimeout ends a connection that has sent no request in time.
+// onFirstLineTimeout closes a connection whose client sent no request before the deadline.
 func (c *client) onFirstLineTimeout() {
 	c.stopTimer = nil
-	c.conn.ReadAvailable() // its line may be in the socket
+	c.conn.ReadAvailable() // the line may already be in the socket
 	switch {
 	case c.closed || c.request != nil || c.stopTimer != nil:
 	case c.pinged:
@@ -81,7 +82,7 @@
 	}
 }
 
-// Evict ends a connection without a request whose descriptor is needed for another client.
+// Evict closes a connection without a request, because another client needs its descriptor.
 func (c *client) Evict() {
 	cause := trace.ClientEvicted
 	if c.front.core.RejectsNew() {
@@ -94,11 +95,11 @@
 	}
 }
 
-// OnConnect does nothing: it is called for dialled connections only.
+// OnConnect does nothing: the loop calls it for dialled connections only.
 func (c *client) OnConnect() {}
 
-// OnData takes the client's bytes. Before its connection is established a client sends one line and waits for the
-// reply: more than that is malformed, and must not reach a server behind a valid line.
+// OnData handles the client's bytes. Until its connection is established, a client must send one line and wait for the
+// reply. Further bytes are malformed and must not reach a server after a valid line.
 func (c *client) OnData(data []byte) {
 	switch {
 	case c.closed:
@@ -119,7 +120,7 @@
 	}
 }
 
-// onFirstLine takes a PING or an OPEN line.
+// onFirstLine handles a PING or an OPEN line.
 func (c *client) onFirstLine(raw []byte) {
 	text := line.Trim(raw)
 	if !bytes.HasSuffix(raw, []byte("\r\n")) || !line.Printable(text) {
@@ -139,7 +140,8 @@
 	c.openLine = bytes.Clone(raw)
 	c.conn.LeaveIdleQueue()
 	if !c.front.ensureCapacity() {
-		// Guards against running out of descriptors half way: a request needs one more for its server.
+		// Reject the request now: it needs another descriptor for its server, and must not run out of descriptors
+		// after it was accepted.
 		zap.L().Warn("connection_limit_reached",
 			zap.String("front", "platform"), zap.Int("open_connections", c.front.loop.Open()))
 		c.front.core.Reject(spec, c, connectionLimitRetry)
@@ -148,8 +150,8 @@
 	c.request = c.front.core.Open(spec, c)
 }
 
-// onPing replies to a PING, at once or when the node is ready. Beyond maxAwaitingReady clients that wait it gives no
-// reply, and the connection ends at its deadline for a first line.
+// onPing replies to a PING at once if the node is ready, else when it becomes ready. If maxAwaitingReady clients
+// already wait, it doesn't reply, and the connection is closed at its deadline for a first line.
 func (c *client) onPing() {
 	c.pinged = true
 	if c.front.ready {
@@ -170,7 +172,7 @@
 	}
 }
 
-// malformed replies ERR to what is no request and ends the connection. A request in flight is cancelled.
+// malformed replies ERR to invalid bytes, closes the connection and cancels the client's request, if there is one.
 func (c *client) malformed(cause error) {
 	zap.L().Warn("client_line_unreadable", zap.String("sent", cause.Error()))
 	c.finish(errorLine, invariant.ByClient, trace.ClientBrokeProtocol)
@@ -179,7 +181,7 @@
 	}
 }
 
-// busyLine is a BUSY line, with the time to retry after in milliseconds where there is one.
+// busyLine returns a BUSY line. If retryAfter is positive, the line contains it in whole milliseconds, at least 1.
 func busyLine(retryAfter time.Duration) []byte {
 	if retryAfter <= 0 {
 		return plainBusyLine
@@ -187,7 +189,7 @@
 	return []byte("BUSY " + strconv.FormatInt(max(1, retryAfter.Milliseconds()), 10) + "\r\n")
 }
 
-// finish writes a last line and ends the connection.
+// finish writes a last line to the client and closes the connection.
 func (c *client) finish(lastLine []byte, by invariant.Ending, cause trace.Close) {
 	if c.closed {
 		return
@@ -197,13 +199,14 @@
 	c.conn.End()
 }
 
-// drop ends a connection whose client has no reply coming.
+// drop closes a connection whose client is owed no reply.
 func (c *client) drop(cause trace.Close) {
 	c.close(invariant.ByClient, cause)
 	c.conn.End()
 }
 
-// close marks the client closed, and has the invariant monitor check that no reply is outstanding.
+// close marks the client closed and reports the end of its connection to the core, whose invariant monitor checks that
+// no reply is outstanding.
 func (c *client) close(by invariant.Ending, cause trace.Close) {
 	if c.request != nil {
 		c.request.ConnectionClosed(by, cause)
@@ -213,7 +216,7 @@
 	c.markClosed()
 }
 
-// markClosed ends all that would still call the client.
+// markClosed marks the client closed and stops its timer.
 func (c *client) markClosed() {
 	c.closed = true
 	c.cancelTimer()
@@ -227,13 +230,13 @@
 	}
 }
 
-// Attempt starts an upstream request for the core.
+// Attempt starts an upstream request for one of the core's attempts.
 func (c *client) Attempt(attempt *edge.Attempt) edge.UpstreamRequest {
 	c.server = c.front.upstream.Attempt(attempt, c.openLine, c)
 	return c.server
 }
 
-// LocalReply writes the node's own reply.
+// LocalReply writes a reply that the node itself gives and closes the connection.
 func (c *client) LocalReply(reply edge.LocalReply) {
 	lastLine := errorLine
 	if reply.Rejected {
@@ -242,7 +245,8 @@
 	c.finish(lastLine, invariant.ByNode, trace.NodeAnswered)
 }
 
-// OnEnd ends the server's side as the client did its own.
+// OnEnd handles the end of the client's connection. It ends the server's connection in the same way, by a reset or by
+// FIN.
 func (c *client) OnEnd(err error) {
 	if c.closed {
 		return
--- a/internal/platform/downstream/front.go
+++ b/internal/platform/downstream/front.go
@@ -1,5 +1,5 @@
-// Package downstream is the front end of the platform's protocol: it reads its clients' lines, hands their requests to
-// the core, writes the core's replies and relays bytes between a client and its server.
+// Package downstream is the front end for clients of the platform's protocol. It reads their lines, passes their
+// requests to the core, writes the core's replies and relays bytes between a client and its server.
 package downstream
 
 import (
@@ -13,14 +13,14 @@
 )
 
 const (
-	// descriptorsPerRequest are the free descriptors that an accepted request needs: its server's, and one for a health
-	// check.
+	// descriptorsPerRequest is the number of free descriptors that an accepted request needs: one for its server and
+	// one for a health check.
 	descriptorsPerRequest  = 2
-	maxRejectedConnections = 16   // connections beyond the limit that are still accepted, to be rejected with a reply
-	maxAwaitingReady       = 1024 // clients whose PING waits for the node to be ready
+	maxRejectedConnections = 16   // connections accepted beyond the limit in order to reject them with a reply
+	maxAwaitingReady       = 1024 // clients that may wait for the reply to PING until the node is ready
 )
 
-// Front serves the platform's clients.
+// Front serves clients of the platform's protocol.
 type Front struct {
 	loop           *loop.Loop
 	core           *edge.Core
@@ -28,23 +28,23 @@
 	classes        map[string]int
 	tenants        map[string]int
 	classTable     []choice.Class       // by class index
-	removedClasses map[string]time.Time // classes that left the settings, and until when clients may still name them
-	maxConnections int                  // on both sides together, from which on clients are rejected
+	removedClasses map[string]time.Time // deadlines until which clients may still name classes that left the settings
+	maxConnections int                  // on both sides together; clients beyond this limit are rejected
 	ready          bool
 	onReady        func()
 	awaitingReady  []*client // clients that sent PING before the node was ready
 }
 
-// Options are what a Front works with.
+// Options are the dependencies and limits of a Front.
 type Options struct {
 	Loop           *loop.Loop
 	Core           *edge.Core
 	Upstream       *upstream.Cluster
-	MaxConnections int    // connections on both sides together, from which on clients are rejected
-	OnReady        func() // called once, when the node can serve
+	MaxConnections int    // limit of client and server connections together; clients beyond it are rejected
+	OnReady        func() // called once, when the node becomes ready
 }
 
-// New makes a Front. It knows no classes before Adapt.
+// New returns a Front. It knows no classes until Adapt is called.
 func New(options Options) *Front {
 	return &Front{
 		loop:           options.Loop,
@@ -56,8 +56,8 @@
 	}
 }
 
-// Adapt sets the classes and tenants that clients may name from now on. A class that is no longer among them stays
-// known for its deadline: a client whose line is on its way can't know of the change.
+// Adapt sets the classes and tenants that clients may name from now on. A removed class remains valid for the length of
+// its deadline, because a client whose line is already in transit can't know of the change.
 func (f *Front) Adapt(classes, tenants map[string]int, table []choice.Class) {
 	now := f.loop.Now()
 	for name, index := range f.classes {
@@ -75,7 +75,7 @@
 	f.classTable = table
 }
 
-// class finds the index of a class by the name in a client's line.
+// class returns the index of the class that a client's line names, and whether the class is known.
 func (f *Front) class(name string) (int, bool) {
 	if index, ok := f.classes[name]; ok {
 		return index, true
@@ -86,10 +86,10 @@
 	return 0, false
 }
 
-// SetMaxConnections sets the number of connections, on both sides together, from which on clients are rejected.
+// SetMaxConnections limits the number of client and server connections together. Clients beyond the limit are rejected.
 func (f *Front) SetMaxConnections(maxConnections int) { f.maxConnections = maxConnections }
 
-// SetReady says that the node can serve; until then a PING has no reply.
+// SetReady marks the node ready to serve and replies to the clients that wait for the reply to a PING.
 func (f *Front) SetReady() {
 	if !f.ready && f.onReady != nil {
 		f.onReady()
@@ -101,12 +101,13 @@
 	f.awaitingReady = nil
 }
 
-// AcceptsNew reports whether clients are accepted and placed now.
+// AcceptsNew reports whether the node currently accepts and places new clients.
 func (f *Front) AcceptsNew() bool { return f.ready && !f.core.RejectsNew() }
 
-// Accept takes a new connection. The loop has made room for it, as far as there were connections that had sent no
-// request yet. Beyond the limit some are still accepted, to reply to PING and to reject politely; then none, which
-// keeps the descriptors that discovery, health checks and attempts in flight need.
+// Accept returns the handler of a new connection, or nil to refuse it. The loop has already evicted connections without
+// a request to make room, if there were any. Up to maxRejectedConnections connections beyond the limit are accepted in
+// order to reply to PING and to reject requests with a reply. Further ones are refused, which preserves the descriptors
+// that discovery, health checks and attempts in flight need.
 func (f *Front) Accept(conn *loop.Conn) loop.Handler {
 	if f.loop.Open() > f.maxConnections+maxRejectedConnections {
 		return nil
@@ -116,8 +117,8 @@
 	return accepted
 }
 
-// ensureCapacity evicts idle connections where a request would exceed the limit, and reports whether the request fits
-// now.
+// ensureCapacity evicts idle connections if another request would exceed the connection limit, and reports whether the
+// request now fits.
 func (f *Front) ensureCapacity() bool {
 	limit := f.maxConnections - descriptorsPerRequest
 	if f.loop.Open() > limit {
--- a/internal/platform/downstream/open_line.go
+++ b/internal/platform/downstream/open_line.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	openLineWords    = 4                // OPEN, the id, the key and the list of fields
-	maxIDBytes       = 64               // of a request's id
-	maxQuotedBytes   = 24               // of a value that an error quotes
-	maxDeadline      = time.Hour        // a longer d counts as this
-	maxLoad          = 1e9              // an h above it is rejected
-	standingDeadline = 39 * time.Second // for a connection open before the run; it counts as lost after 40 s
-	unknownTenant    = -1
+	openLineWords  = 4                // OPEN, the id, the key and the list of fields
+	maxIDBytes     = 64               // length of a request's id
+	maxQuotedBytes = 24               // quoted from an invalid value in an error
+	maxDeadline    = time.Hour        // a larger field d is reduced to this
+	maxLoad        = 1e9              // a larger field h is rejected
+	openAtDeadline = 39 * time.Second // for a connection opened before the node started; it counts as lost after 40 s
+	unknownTenant  = -1
 )
 
-// What is wrong with a first line.
+// Errors in a first line.
 var (
-	errNotOpen      = errors.New("a first line that is neither OPEN nor PING")
-	errID           = errors.New("an OPEN without an id, or with one that is too long")
-	errInvalidField = errors.New("an OPEN that names a field twice or gives it no value")
-	errKey          = errors.New("an OPEN whose key is not a number")
-	errUnknownClass = errors.New("an OPEN of an unknown class")
-	errGroup        = errors.New("an OPEN whose g is not a number")
-	errLoad         = errors.New("an OPEN whose h is not a load")
-	errDeadline     = errors.New("an OPEN whose d is not a time")
+	errNotOpen      = errors.New("first line must be PING, or OPEN with an id, a key and fields")
+	errID           = errors.New("id of OPEN must be 1 to 64 bytes long")
+	errInvalidField = errors.New("OPEN must have at most 32 fields, each with a unique name and a value")
+	errKey          = errors.New("key of OPEN must be a hexadecimal 64-bit number")
+	errUnknownClass = errors.New("field c of OPEN must name a known class")
+	errGroup        = errors.New("field g of OPEN must be a hexadecimal 64-bit number")
+	errLoad         = errors.New("field h of OPEN must be a number between 0 and 1e9")
+	errDeadline     = errors.New("field d of OPEN must be between 0 and 4294967295 milliseconds")
 )
 
-// fieldList is the "name=value,name=value" of an OPEN line.
+// fieldList is the list "name=value,name=value" of an OPEN line.
 type fieldList []byte
 
-// value is a field's value; false: the line doesn't have the field.
+// value returns the value of a field, and whether the line has that field.
 func (l fieldList) value(name string) (string, bool) {
 	from, to := line.FindField(l, name)
 	if from < 0 {
@@ -47,7 +47,7 @@
 	return string(l[from:to]), true
 }
 
-// parseOpenLine reads an OPEN line without its CRLF. The error says what is wrong with it.
+// parseOpenLine parses an OPEN line without its CRLF.
 func (f *Front) parseOpenLine(text []byte) (edge.Spec, error) {
 	words := bytes.Split(text, []byte(" "))
 	if len(words) != openLineWords || string(words[0]) != "OPEN" {
@@ -71,7 +71,7 @@
 	return spec, nil
 }
 
-// parseFields reads the fields of an OPEN line into spec.
+// parseFields parses the fields of an OPEN line into spec.
 func (f *Front) parseFields(fields fieldList, spec *edge.Spec) error {
 	className, _ := fields.value("c")
 	class, known := f.class(className)
@@ -94,20 +94,20 @@
 	if again, _ := fields.value("again"); again == "1" {
 		spec.Returned = true
 	}
-	openAt, standing := fields.value("at")
-	timeLeft, err := f.parseDeadline(fields, class, standing)
+	openAt, hasOpenAt := fields.value("at")
+	timeLeft, err := f.parseDeadline(fields, class, hasOpenAt)
 	if err != nil {
 		return err
 	}
 	if openAt != "" {
 		spec.OpenAt = choice.ServerID(openAt)
-		timeLeft = standingDeadline
+		timeLeft = openAtDeadline
 	}
 	spec.Deadline = f.loop.Now().Add(timeLeft)
 	return nil
 }
 
-// tenant is the index of the tenant that the fields name.
+// tenant returns the index of the tenant that the fields name, or unknownTenant.
 func (f *Front) tenant(fields fieldList) int {
 	if name, ok := fields.value("t"); ok {
 		if index, known := f.tenants[name]; known {
@@ -117,7 +117,7 @@
 	return unknownTenant
 }
 
-// parseLoad reads an h.
+// parseLoad parses field h, the expected load.
 func parseLoad(text string) (float64, error) {
 	load, ok := line.ParseNumber(text)
 	if !ok || load > maxLoad {
@@ -126,16 +126,17 @@
 	return load, nil
 }
 
-// parseDeadline reads how long the client waits: its d in milliseconds, or the deadline of its class. A server answers
-// a d that it can't read with ERR; such a line is rejected here, or it would look like the server's failure.
-// Connections open before the run come with a d far beyond any real deadline.
-func (f *Front) parseDeadline(fields fieldList, class int, standing bool) (time.Duration, error) {
+// parseDeadline returns how long the client waits: its field d in milliseconds, or the deadline of its class. A server
+// replies ERR to a field d that it can't parse. Such a line is rejected here, because the reply would look like the
+// server's failure. Clients whose connections were open before the node started (hasOpenAt) send a field d far beyond
+// any real deadline, which is valid.
+func (f *Front) parseDeadline(fields fieldList, class int, hasOpenAt bool) (time.Duration, error) {
 	text, given := fields.value("d")
 	if !given {
 		return f.classTable[class].Deadline, nil
 	}
 	milliseconds, ok := line.ParseNumber(text)
-	if !ok || !standing && milliseconds > math.MaxUint32 {
+	if !ok || !hasOpenAt && milliseconds > math.MaxUint32 {
 		return 0, fmt.Errorf("%w: %s", errDeadline, strconv.QuoteToASCII(text[:min(len(text), maxQuotedBytes)]))
 	}
 	return time.Duration(min(milliseconds, float64(maxDeadline.Milliseconds())) * float64(time.Millisecond)), nil
--- a/internal/platform/downstream/relay.go
+++ b/internal/platform/downstream/relay.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// Established forwards the server's UP line; from here on the server owns the connection.
+// Established forwards the server's UP line. From then on the server replies to the client.
 func (c *client) Established(upLine []byte) {
 	c.established = true
 	c.conn.Write(upLine)
@@ -19,8 +19,8 @@
 	c.throttle()
 }
 
-// forwardToServer forwards the bytes of an established connection's client. A line that is too long, the one error of
-// Write, ends the connection on both sides without a reply: it is the server's to reply now.
+// forwardToServer forwards the client's bytes on an established connection. The only error of Write is a line that is
+// too long. It closes the connection on both sides without a reply, because only the server replies at this stage.
 func (c *client) forwardToServer(data []byte) {
 	if err := c.server.Write(data); err != nil {
 		zap.L().Warn("client_line_too_long")
@@ -32,10 +32,10 @@
 	c.throttle()
 }
 
-// CheckClient reads the client's socket, where the end of its connection may be.
+// CheckClient reads the client's socket, to detect that the client has disconnected.
 func (c *client) CheckClient() { c.conn.ReadAvailable() }
 
-// Served forwards the reply of a request that its server served to the end without a connection.
+// Served forwards the server's reply to a request that it completed without establishing a connection.
 func (c *client) Served(reply []byte) { c.finish(reply, invariant.ByServer, trace.ServerServed) }
 
 // Forward forwards the server's bytes to the client.
@@ -44,7 +44,7 @@
 		return
 	}
 	if c.migrating {
-		// Only the rest of the present line: MOVE goes between two lines.
+		// Forward only the rest of the current line, because MOVE must come between two lines.
 		if end := bytes.IndexByte(data, '\n'); end >= 0 {
 			c.conn.Write(data[:end+1])
 			c.serverLines = line.Scanner{}
@@ -53,12 +53,12 @@
 		}
 	}
 	c.conn.Write(data)
-	// The upstream request has scanned the same bytes, and ends the connection where a line is too long.
+	// The upstream request has scanned the same bytes and closes the connection if a line is too long.
 	_ = c.serverLines.Count(data, func() {})
 	c.throttle()
 }
 
-// throttle stops reading from a side whose bytes the other doesn't take.
+// throttle stops reading from one side while too many bytes wait to be written to the other.
 func (c *client) throttle() {
 	if c.closed || !c.established {
 		return
@@ -71,21 +71,21 @@
 	}
 }
 
-// OnDrained goes on reading from the server.
+// OnDrained resumes reading from the server, since the bytes for the client have been written.
 func (c *client) OnDrained() {
 	if c.established && !c.closed {
 		c.server.Resume()
 	}
 }
 
-// ServerDrained goes on reading from the client.
+// ServerDrained resumes reading from the client, since the bytes for the server have been written.
 func (c *client) ServerDrained() {
 	if c.established && !c.closed {
 		c.conn.Resume()
 	}
 }
 
-// ServerEnded ends the client's connection as its server did.
+// ServerEnded closes the client's connection in the way in which the server ended its own: by a reset or by FIN.
 func (c *client) ServerEnded(reset bool) {
 	if c.closed {
 		return
@@ -99,7 +99,8 @@
 	}
 }
 
-// Migrate asks the client to reconnect, at the end of the server's present line or at a time, whichever comes first.
+// Migrate asks the client to reconnect, at the end of the server's current line or at the time by, whichever is
+// earlier.
 func (c *client) Migrate(by time.Time) {
 	if c.closed {
 		return
@@ -112,14 +113,14 @@
 	c.sendMove()
 }
 
-// sendMove ends the connection on both sides, with MOVE for the client.
+// sendMove sends MOVE to the client and closes the connection on both sides.
 func (c *client) sendMove() {
 	if c.closed {
 		return
 	}
 	c.server.End(false)
 	lastLine := moveLine
-	if c.migrating && c.serverLines.MidLine() { // MOVE behind an unfinished line would be a part of that line
+	if c.migrating && c.serverLines.MidLine() { // MOVE directly after an unfinished line would be part of it
 		lastLine = midLineMoveLine
 	}
 	c.close(invariant.ByNode, trace.NodeMigratedClient)
--- a/internal/platform/downstream/transfer.go
+++ b/internal/platform/downstream/transfer.go
@@ -11,28 +11,29 @@
 	"spurwinch/internal/trace"
 )
 
-// What is wrong with a connection that another process transfers.
+// Errors in a connection that another process transfers.
 var (
-	errClientState = errors.New("the state of a client's side is out of range")
-	errMissingSide = errors.New("the connection's state and its front's differ in whether it is established")
-	errSocketCount = errors.New("wrong number of sockets of a connection")
+	errClientState = errors.New("transferred state of the client's side is out of range")
+	errMissingSide = errors.New("core and front states differ in whether the connection is established")
+	errSocketCount = errors.New("wrong number of sockets for a connection")
 )
 
-// ConnectionState is what the front knows of a client's connection besides its sockets, as one process of a node
-// transfers it to another. An established connection has a server's side; any other has sent no request yet.
+// ConnectionState is the front's state of a client's connection, without its sockets, that one process of a node
+// transfers to another. An established connection has a server's side. On any other, the client has sent no request
+// yet.
 type ConnectionState struct {
 	Conn                   loop.ConnectionState      `cbor:"1,keyasint"`
-	PartialServerLineBytes int                       `cbor:"2,keyasint,omitempty"` // of an unfinished line
+	PartialServerLineBytes int                       `cbor:"2,keyasint,omitempty"` // of the server's unfinished line
 	Server                 *upstream.ConnectionState `cbor:"3,keyasint,omitempty"`
-	FirstLine              []byte                    `cbor:"4,keyasint,omitempty"` // its start
+	FirstLine              []byte                    `cbor:"4,keyasint,omitempty"` // start of the unfinished line
 	Pinged                 bool                      `cbor:"5,keyasint,omitempty"`
-	// FirstLineDeadline is the Unix time in nanoseconds by which that line must be there, for releases without
-	// FirstLineTimeLeft.
+	// FirstLineDeadline is the Unix time in nanoseconds by which the first line must be complete. Releases without
+	// FirstLineTimeLeft use it.
 	FirstLineDeadline int64 `cbor:"6,keyasint,omitempty"`
-	FirstLineTimeLeft int64 `cbor:"7,keyasint,omitempty"` // nanoseconds until then
+	FirstLineTimeLeft int64 `cbor:"7,keyasint,omitempty"` // nanoseconds until that deadline
 }
 
-// check says what is wrong with the state of a connection that came with a number of sockets.
+// check validates the state of a connection that was transferred with the given number of sockets.
 func (s ConnectionState) check(sockets int) error {
 	expected := 1
 	if s.Server != nil {
@@ -43,14 +44,15 @@
 	}
 	switch {
 	case sockets != expected:
-		return fmt.Errorf("%w: %d, want %d", errSocketCount, sockets, expected)
+		return fmt.Errorf("%w: got %d, want %d", errSocketCount, sockets, expected)
 	case s.PartialServerLineBytes < 0 || s.PartialServerLineBytes > line.MaxBytes || len(s.FirstLine) > line.MaxBytes:
 		return errClientState
 	}
 	return nil
 }
 
-// Detach takes both sides of an established connection off the loop. One that is about to be migrated stays.
+// Detach removes both sides of an established connection from the loop. A connection that is about to be migrated is
+// not detached.
 func (c *client) Detach() (fds []int, state any, ok bool) {
 	if c.closed || !c.established || c.migrating {
 		return nil, nil, false
@@ -91,8 +93,8 @@
 }
 
 // PrepareRestore decodes and validates a connection that another process transfers, and returns the function that
-// resumes it here. Until that is called nothing has changed. read decodes what the other process's front encoded; open
-// is nil for a connection that has sent no request yet.
+// resumes it in this process. PrepareRestore itself changes nothing. read decodes the state that the other process's
+// front encoded; open is nil for a connection whose client has sent no request yet.
 func (f *Front) PrepareRestore(
 	core *edge.Core, open *edge.ConnectionState, read func(into any) error, fds []int,
 ) (restore func(), err error) {
@@ -112,7 +114,7 @@
 	return func() { f.restore(core, *open, state, fds) }, nil
 }
 
-// restore resumes an established connection of another process.
+// restore resumes an established connection that another process has transferred.
 func (f *Front) restore(core *edge.Core, open edge.ConnectionState, state ConnectionState, fds []int) {
 	restored := &client{front: f, established: true, serverLines: line.NewScanner(state.PartialServerLineBytes)}
 	request, attempt := core.Adopt(open, restored)
@@ -120,7 +122,7 @@
 	restored.server = f.upstream.Restore(attempt, fds[1], *state.Server, restored)
 	attempt.Resume(restored.server)
 	restored.conn = f.loop.Restore(fds[0], state.Conn, restored)
-	// Each side is read again unless bytes for the other one still wait to be written.
+	// Reading resumes on each side unless bytes still wait to be written to the other side.
 	if len(state.Conn.Out) == 0 {
 		restored.server.Resume()
 	}
@@ -129,10 +131,10 @@
 	}
 }
 
-// IdleConnection is a client's connection that has sent no request yet.
+// IdleConnection is the connection of a client that has sent no request yet.
 type IdleConnection struct{ client *client }
 
-// IdleConnections returns the connections that have sent no request yet, the oldest first.
+// IdleConnections returns the connections whose clients have sent no request yet, the oldest first.
 func (f *Front) IdleConnections() (all []IdleConnection) {
 	f.loop.EachIdle(func(handler loop.Handler) {
 		if idle, ok := handler.(*client); ok && idle.front == f && !idle.closed && idle.request == nil {
@@ -142,7 +144,7 @@
 	return all
 }
 
-// Detach takes the connection off the loop.
+// Detach removes the connection from the loop, unless its client has sent a request or it is closed.
 func (c IdleConnection) Detach() (fds []int, state any, ok bool) {
 	idle := c.client
 	if idle.closed || idle.request != nil {
@@ -172,7 +174,7 @@
 // Release closes this process's descriptors of a detached connection that another process has taken over.
 func (c IdleConnection) Release() { c.client.Release() }
 
-// restoreIdle resumes a connection of another process that has sent no request yet.
+// restoreIdle resumes a connection that another process has transferred before its client sent a request.
 func (f *Front) restoreIdle(state ConnectionState, fd int) {
 	idle := &client{front: f, firstLineReader: line.NewReader(state.FirstLine), pinged: state.Pinged}
 	idle.conn = f.loop.Restore(fd, state.Conn, idle)
