--- a/internal/platform/discovery/list.go
+++ b/internal/platform/discovery/list.go
@@ -9,14 +9,14 @@
 	"spurwinch/internal/edge"
 )
 
-// List is an endpoint list in discovery's JSON form.
+// List is an endpoint list in the JSON format of the discovery service.
 type List struct {
 	Version int64   `json:"version"`
-	Full    bool    `json:"full"` // else it has the changes since an earlier version only
+	Full    bool    `json:"full"` // false: the list contains only the changes since an earlier version
 	Servers []entry `json:"servers"`
 }
 
-// entry is a server in discovery's JSON form.
+// entry is a server in the JSON format of the discovery service.
 type entry struct {
 	ID        string   `json:"id"`
 	Addr      string   `json:"addr"`
@@ -25,7 +25,7 @@
 	Cell      int      `json:"cell"`
 	State     string   `json:"state"`
 	Weight    *float64 `json:"weight"`     // absent: 1
-	StartedMS int64    `json:"started_ms"` // clock time of its last start, in milliseconds; 0: long ago
+	StartedMS int64    `json:"started_ms"` // wall clock time of its last start in milliseconds; 0: long ago
 }
 
 var serverStates = map[string]choice.ServerState{
@@ -34,7 +34,7 @@
 	"DELETED":  choice.Gone,
 }
 
-// InvalidEntryError names an entry of an endpoint list that has no id or an unknown state.
+// InvalidEntryError reports an entry of an endpoint list that has no id or an unknown state.
 type InvalidEntryError struct {
 	ID    string
 	State string
@@ -44,14 +44,14 @@
 	return fmt.Sprintf("entry %q has state %q", e.ID, e.State)
 }
 
-// ParseList decodes a list. It does not check the entries: ServerEntries does.
+// ParseList decodes a list without validating its entries, which ServerEntries does.
 func ParseList(raw []byte) (*List, error) {
 	list := &List{}
 	err := json.Unmarshal(raw, list)
 	return list, err
 }
 
-// ServerEntries returns the list's servers, or an *InvalidEntryError.
+// ServerEntries returns the list's servers. The error for an invalid entry is an *InvalidEntryError.
 func (l List) ServerEntries() ([]edge.ServerEntry, error) {
 	var servers []edge.ServerEntry
 	for _, listed := range l.Servers {
@@ -64,7 +64,7 @@
 	return servers, nil
 }
 
-// server decodes an entry.
+// server validates and converts an entry.
 func (e entry) server() (edge.ServerEntry, error) {
 	state, known := serverStates[e.State]
 	if !known || e.ID == "" {
@@ -85,7 +85,8 @@
 	}}, nil
 }
 
-// NewList returns a full list of servers in discovery's form. A version below 0 is none of discovery's.
+// NewList returns a full list of servers in the JSON format of the discovery service. A negative version means that the
+// list has no version of the service.
 func NewList(version int64, servers []edge.ServerEntry) List {
 	list := List{Version: version, Full: true, Servers: []entry{}}
 	for _, server := range servers {
@@ -103,7 +104,7 @@
 	return list
 }
 
-// stateName is discovery's name of a state.
+// stateName returns the discovery service's name of a state.
 func stateName(state choice.ServerState) string {
 	for name, named := range serverStates {
 		if named == state {
--- a/internal/platform/discovery/outcome.go
+++ b/internal/platform/discovery/outcome.go
@@ -12,20 +12,20 @@
 	"go.uber.org/zap"
 )
 
-// Why a call failed, or its response is unreadable.
+// Errors of a call that failed or whose response can't be decoded.
 var (
-	errTimeout       = errors.New("no answer in time")
-	errBodyTimeout   = errors.New("an answer that does not end")
-	errStatus        = errors.New("status")
-	errNoServers     = errors.New("list: full, but without servers; the known ones stay")
-	errConnEnded     = errors.New("connection ended")
-	errResponseEnded = errors.New("connection ended amid an answer")
+	errTimeout       = errors.New("no response before the timeout")
+	errBodyTimeout   = errors.New("response body not complete before the timeout")
+	errStatus        = errors.New("unexpected status")
+	errNoServers     = errors.New("full list has no servers; keeping the known servers")
+	errConnEnded     = errors.New("connection ended before the response")
+	errResponseEnded = errors.New("connection ended within the response")
 )
 
-// OnConnect sends the call.
+// OnConnect sends the request that waits for the connection.
 func (w *Watch) OnConnect() { w.conn.Write([]byte(w.call.request)) }
 
-// OnData reads the response.
+// OnData handles bytes of the response.
 func (w *Watch) OnData(data []byte) {
 	if !w.polling {
 		w.close()
@@ -43,8 +43,8 @@
 	}
 }
 
-// limitBodyTime guards against a response that never ends: what it holds may be a whole change, which counts as
-// delivered.
+// limitBodyTime sets a timeout for the rest of a response whose body has begun, in case it never ends. The part that
+// was received may contain a whole change, which counts as delivered although the watch can't decode it yet.
 func (w *Watch) limitBodyTime() {
 	deadline := w.loop.Now().Add(w.timing.bodyTimeout)
 	if deadline.After(w.call.deadline) {
@@ -57,7 +57,7 @@
 	})
 }
 
-// onResponse decodes a complete response.
+// onResponse handles a complete response.
 func (w *Watch) onResponse() {
 	if w.call.response.status != http.StatusOK {
 		w.callFailed(fmt.Errorf("%w %d", errStatus, w.call.response.status))
@@ -73,7 +73,7 @@
 		return
 	}
 	if list.Full && len(servers) == 0 && w.serversSeen {
-		// Guards against a discovery that lost its state, which would have a whole fleet forgotten at once.
+		// A discovery service that has lost its state must not make the node forget the whole fleet at once.
 		w.callFailed(errNoServers)
 		return
 	}
@@ -81,7 +81,7 @@
 	w.update(list, servers)
 }
 
-// callSucceeded ends a call whose response was decoded.
+// callSucceeded ends a call whose response has been decoded.
 func (w *Watch) callSucceeded() {
 	w.cancelTimer()
 	w.polling = false
@@ -93,11 +93,12 @@
 	}
 }
 
-// update notifies the owner of a list and polls for the next at once: the watch has no gap between two calls.
+// update passes a list to the watch's owner and starts the next call at once, so that there is no gap between two
+// calls.
 func (w *Watch) update(list *List, servers []edge.ServerEntry) {
 	if w.versionKnown && !list.Full && list.Version < w.version {
-		// Guards against a discovery that came back with an older state: what changed since its version is not all that
-		// differs.
+		// The discovery service has restarted with an older state. Request the full list, because the changes since
+		// that version don't include everything that differs.
 		zap.L().Warn("discovery_version_fell",
 			zap.String("address", w.addr), zap.Int64("from", w.version), zap.Int64("to", list.Version))
 		w.versionKnown = false
@@ -115,8 +116,9 @@
 	w.poll()
 }
 
-// onTimeout ends a call that got no response in time. A long poll is repeated at once: silence is a broken connection,
-// and says nothing of a service that a backoff would spare. One that is silent again may be.
+// onTimeout ends a call that got no response before its deadline. A long poll is repeated at once, because silence
+// indicates a broken connection rather than an overloaded service, which a backoff would relieve. If the repeated call
+// gets no response either, the service may be overloaded.
 func (w *Watch) onTimeout() {
 	w.stopTimer = nil
 	if !w.call.longPoll && !w.mode.Pushed {
@@ -127,7 +129,7 @@
 	silentBefore := w.recovering
 	w.recovering = true
 	w.close()
-	if silentBefore && !w.mode.Pushed { // guards an overloaded service: abandoned calls must not lead to more calls
+	if silentBefore && !w.mode.Pushed { // abandoned calls must not add load to an overloaded service
 		w.polling = false
 		w.pollAfterBackoff()
 		return
@@ -135,8 +137,8 @@
 	w.poll()
 }
 
-// responseUnreadable ends a call whose response can't be decoded. What was written counts as delivered, so the call is
-// repeated at once; where that response is unreadable too, it is a failed call.
+// responseUnreadable ends a call whose response can't be decoded. The changes that the service wrote count as
+// delivered, so the call is repeated at once. If the next response can't be decoded either, that call has failed.
 func (w *Watch) responseUnreadable(cause error) {
 	if w.lastUnreadable || !w.polling {
 		w.callFailed(cause)
@@ -150,9 +152,9 @@
 	w.poll()
 }
 
-// callFailed ends a call without a response. It is repeated after a backoff, whatever the balancer decides: the
-// balancer's intervals depend on settings that may allow minutes without a call. The balancer is notified, except of
-// an agent's failures, and may poll as well.
+// callFailed ends a failed call. The watch repeats it after a backoff, independently of the balancer, whose intervals
+// depend on settings that may allow minutes without a call. The watch also notifies the balancer, which may poll as
+// well, unless the call was to an agent.
 func (w *Watch) callFailed(cause error) {
 	zap.L().Warn("discovery_call_failed", zap.String("address", w.addr), zap.String("cause", cause.Error()))
 	w.close()
@@ -169,7 +171,8 @@
 	}
 }
 
-// OnEnd fails the call in flight, or completes a response that lasts to the end of the connection.
+// OnEnd handles the end of the connection. It completes a response whose body ends with the connection. Any other call
+// in flight is repeated or has failed.
 func (w *Watch) OnEnd(err error) {
 	if !w.polling {
 		w.close()
@@ -185,7 +188,7 @@
 		return
 	}
 	w.close()
-	if w.call.reusedConn { // an idle connection may end just as a call is sent on it: that's no failed call
+	if w.call.reusedConn { // an idle connection may end while a call is being sent, which is no failure
 		w.cancelTimer()
 		w.poll()
 		return
@@ -193,5 +196,5 @@
 	w.callFailed(fmt.Errorf("%w: %w", errConnEnded, err))
 }
 
-// OnDrained does nothing: a call is too short to be written in parts.
+// OnDrained does nothing, because a request is too short to be written in parts.
 func (w *Watch) OnDrained() {}
--- a/internal/platform/discovery/response.go
+++ b/internal/platform/discovery/response.go
@@ -10,55 +10,55 @@
 )
 
 const (
-	maxHeadBytes   = 16 << 10 // of a head, and of a chunk's size line
+	maxHeadBytes   = 16 << 10 // of a response head, and of a line between chunks
 	maxBodyBytes   = 4 << 20
-	maxQuotedBytes = 60 // of a line that an error quotes
+	maxQuotedBytes = 60 // quoted from an invalid line in an error
 	maxStatus      = 599
 
 	headEnd       = "\r\n\r\n"
 	lineEnd       = "\r\n"
-	unknownLength = -1 // of a body that ends with the connection
+	unknownLength = -1 // the body ends with the connection
 )
 
-// What is wrong with a response.
+// Errors of an invalid response.
 var (
-	errNotHTTP          = errors.New("no HTTP answer")
-	errHeadTooLong      = errors.New("answer head too long")
-	errBodyTooLong      = errors.New("answer too long")
-	errTrailingBytes    = errors.New("bytes after the answer")
-	errHeaderLine       = errors.New("bad header line")
-	errContentLength    = errors.New("bad Content-Length")
-	errTransferEncoding = errors.New("transfer encoding")
-	errChunkLineTooLong = errors.New("chunk size line too long")
-	errChunkSize        = errors.New("bad chunk size")
+	errNotHTTP          = errors.New("response must start with an HTTP/1.0 or HTTP/1.1 status line")
+	errHeadTooLong      = errors.New("response head is longer than 16 KiB")
+	errBodyTooLong      = errors.New("response body is longer than 4 MiB")
+	errTrailingBytes    = errors.New("more bytes after the response body")
+	errHeaderLine       = errors.New("header line must contain a colon, got")
+	errContentLength    = errors.New("Content-Length must be between 0 and 4194304, got")
+	errTransferEncoding = errors.New("Transfer-Encoding must be chunked, got")
+	errChunkLineTooLong = errors.New("chunk size line is longer than 16 KiB")
+	errChunkSize        = errors.New("chunk size must be between 0 and 400000 in hexadecimal, got")
 )
 
-// response is an HTTP/1.1 response that is read incrementally.
+// response is an incremental parser for one HTTP response.
 type response struct {
 	status       int
-	close        bool // the connection is not reused
+	close        bool // the connection must not be reused
 	body         []byte
 	unparsed     []byte
 	headComplete bool
-	received     int // bytes
-	length       int // of the body, or unknownLength
+	received     int // number of bytes fed so far
+	length       int // of the body in bytes, or unknownLength
 	chunked      bool
-	chunkLeft    int // bytes left of the present chunk, its CRLF included; 0: a size line is next
+	chunkLeft    int // bytes left in the current chunk, including its CRLF; 0: a size line is next
 	inTrailer    bool
 }
 
-// begun reports whether any byte has come.
+// begun reports whether any byte has arrived.
 func (r *response) begun() bool { return r.received > 0 }
 
-// bodyBegun reports whether something of the body has come.
+// bodyBegun reports whether any byte of the body has arrived.
 func (r *response) bodyBegun() bool {
 	return r.headComplete && (len(r.body) > 0 || len(r.unparsed) > 0)
 }
 
-// endsWithConnection reports whether the end of the connection is the end of the response.
+// endsWithConnection reports whether the response lasts until the connection ends.
 func (r *response) endsWithConnection() bool { return r.headComplete && !r.chunked && r.length < 0 }
 
-// feed takes a piece and reports whether the response is complete.
+// feed parses the next piece and reports whether the response is complete.
 func (r *response) feed(piece []byte) (complete bool, err error) {
 	r.received += len(piece)
 	r.unparsed = append(r.unparsed, piece...)
@@ -71,7 +71,7 @@
 	return r.feedBody()
 }
 
-// feedHead parses heads that are complete, up to that of the final response.
+// feedHead parses the complete heads in the unparsed bytes, up to the head of the final response.
 func (r *response) feedHead() error {
 	for !r.headComplete {
 		end := bytes.Index(r.unparsed, []byte(headEnd))
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// feedBody takes bytes of a body that is not chunked.
+// feedBody consumes bytes of a body that is not chunked.
 func (r *response) feedBody() (complete bool, err error) {
 	count := len(r.unparsed)
 	if r.length >= 0 {
@@ -126,7 +126,7 @@
 			return err
 		}
 	}
-	if status < http.StatusOK { // an interim response: the final one follows
+	if status < http.StatusOK { // an interim response, which the final response follows
 		return nil
 	}
 	if status == http.StatusNoContent || status == http.StatusNotModified {
@@ -164,10 +164,10 @@
 	return nil
 }
 
-// quoted is the part of a line that an error quotes.
+// quoted returns the start of a line for use in an error.
 func quoted(text string) string { return text[:min(len(text), maxQuotedBytes)] }
 
-// feedChunks takes bytes of a chunked body.
+// feedChunks consumes bytes of a chunked body.
 func (r *response) feedChunks() (complete bool, err error) {
 	for {
 		if err := r.feedChunk(); err != nil || r.chunkLeft > 0 {
@@ -187,7 +187,7 @@
 	}
 }
 
-// feedChunk takes bytes of the present chunk. Its CRLF is no part of the body.
+// feedChunk consumes bytes of the current chunk. The CRLF at its end is not part of the body.
 func (r *response) feedChunk() error {
 	count := min(r.chunkLeft, len(r.unparsed))
 	inBody := min(count, max(0, r.chunkLeft-len(lineEnd)))
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// nextChunkLine returns the next line between chunks, without its CRLF, if it has come.
+// nextChunkLine returns the next size line or trailer line without its CRLF. ok is false if the line is incomplete.
 func (r *response) nextChunkLine() (text string, ok bool, err error) {
 	end := bytes.Index(r.unparsed, []byte(lineEnd))
 	if end < 0 {
@@ -214,9 +214,9 @@
 	return text, true, nil
 }
 
-// parseChunkSize begins the next chunk, or the trailer.
+// parseChunkSize parses a size line, which begins the next chunk or, if the size is 0, the trailer.
 func (r *response) parseChunkSize(text string) error {
-	digits, _, _ := strings.Cut(text, ";") // extensions follow
+	digits, _, _ := strings.Cut(text, ";") // chunk extensions follow the semicolon
 	size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 	if err != nil || size > maxBodyBytes {
 		return fmt.Errorf("%w %q", errChunkSize, digits)
--- a/internal/platform/discovery/timing.go
+++ b/internal/platform/discovery/timing.go
@@ -4,35 +4,35 @@
 
 const (
 	connectTimeout = 500 * time.Millisecond
-	// maxListTimeout is for the response to a call that does not wait: a new discovery's list counts as delivered 4 s
-	// after SIGHUP.
+	// maxListTimeout limits the time for the response to a call that is not a long poll. The list of a new discovery
+	// service counts as delivered 4 s after SIGHUP.
 	maxListTimeout  = 4 * time.Second
-	listGraceMargin = 2500 * time.Millisecond // such a response takes no longer than this beyond the drain grace
+	listGraceMargin = 2500 * time.Millisecond // such a response may take this much longer than the drain grace
 )
 
-// timing is how long calls wait, and for what. Where a time "counts as delivered" the platform takes this node to know
-// the list from then on.
+// timing holds the waits, timeouts and backoffs of calls. A list or change "counts as delivered" at a time from which
+// on the platform assumes that this node knows it.
 type timing struct {
-	pollWait       time.Duration // the longest wait of a long poll for a change
-	pollWaitJitter time.Duration // shortens waits by up to this, so that polls that began together don't end together
-	answerTimeout  time.Duration // for the response after the wait, at the most
-	graceMargin    time.Duration // for it beyond the drain grace: a change in the next response still comes in time
-	bodyTimeout    time.Duration // for the rest of a response whose body has begun
+	pollWait       time.Duration // maximum time for which a long poll waits for a change
+	pollWaitJitter time.Duration // maximum reduction of pollWait, so that polls that began together don't end together
+	answerTimeout  time.Duration // maximum time for the response after the wait
+	graceMargin    time.Duration // for that response beyond the drain grace, so that a change in the next one is in time
+	bodyTimeout    time.Duration // time for the rest of a response whose body has begun
 
-	// After a call that failed or was abandoned. A change counts as delivered 6 s after the service can be reached
-	// again: a call that was begun too early, the longest backoff and the call that brings the change have to fit in
-	// there.
+	// The following apply after a call that failed or was abandoned. A change counts as delivered 6 s after the service
+	// can be reached again. A call that was begun too early, the longest backoff and the call that returns the change
+	// must fit into these 6 s.
 
-	recoveryWait          time.Duration // the longest wait of a long poll until one gets a response
-	recoveryAnswerTimeout time.Duration // for the response after that wait, and for a full list
-	initialBackoff        time.Duration // at most, after the first failure; doubled after each further one
+	recoveryWait          time.Duration // wait of long polls until one of them gets a response
+	recoveryAnswerTimeout time.Duration // time for the response after that wait, and for a full list
+	initialBackoff        time.Duration // maximum after the first failure; doubles with each further failure
 	maxBackoff            time.Duration
 
-	// Of an agent that lists are pushed to. Its state counts as delivered, so a call without a response is repeated at
-	// once.
+	// The following apply to calls to an agent to which lists are pushed. The agent's state counts as delivered, so a
+	// call without a response is repeated at once.
 
 	agentPollWait      time.Duration
-	agentRetryInterval time.Duration // the wait after a call without a response, and the backoff after a failed one
+	agentRetryInterval time.Duration // long poll wait after a call without a response; backoff after a failed call
 	agentAnswerTimeout time.Duration
 }
 
@@ -51,7 +51,7 @@
 	agentAnswerTimeout:    150 * time.Millisecond,
 }
 
-// pollTimes returns how long a long poll waits for a change, and how long its response may take beyond that.
+// pollTimes returns how long a long poll waits for a change, and how long its response may take after that wait.
 func (w *Watch) pollTimes() (wait, responseTimeout time.Duration) {
 	switch {
 	case w.mode.Pushed && w.recovering:
@@ -61,13 +61,13 @@
 	case w.recovering:
 		return w.timing.recoveryWait, w.timing.recoveryAnswerTimeout
 	}
-	// The response may take no longer, lest a call that is lost without a sign hide a change: this node is taken to
-	// know of one 2 s after the wait, and that leaves time for another call.
+	// The response timeout is this short because a call that is lost without an error must not hide a change. A change
+	// counts as delivered 2 s after the wait, which leaves time for another call.
 	jitter := time.Duration(w.rng.Int64N(int64(w.timing.pollWaitJitter)))
 	return w.timing.pollWait - jitter, min(w.timing.answerTimeout, w.mode.DrainGrace+w.timing.graceMargin)
 }
 
-// listTimeout is for the response to a call that doesn't wait.
+// listTimeout returns the time for the response to a call that is not a long poll.
 func (w *Watch) listTimeout() time.Duration {
 	timeout := min(maxListTimeout, w.mode.DrainGrace+listGraceMargin)
 	if w.recovering {
@@ -76,8 +76,8 @@
 	return timeout
 }
 
-// backoff is the time between a failed call and the next: exponential, for the sake of a service that has too many
-// callers, and random, so that nodes that failed together don't come back together.
+// backoff returns the time between a failed call and the next one. It is exponential to relieve an overloaded service,
+// and random so that nodes whose calls failed together don't call again together.
 func (w *Watch) backoff() time.Duration {
 	if w.mode.Pushed {
 		return w.timing.agentRetryInterval
--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -1,5 +1,5 @@
-// Package discovery watches the endpoint list of the discovery service: it long-polls the service over HTTP/1.1,
-// decodes the lists and notifies its owner of them. Internals are described in docs/discovery.md.
+// Package discovery watches the endpoint list of the discovery service. It long-polls the service over HTTP/1.1,
+// decodes the lists and notifies its owner of them. docs/discovery.md describes the internals.
 package discovery
 
 import (
@@ -14,11 +14,11 @@
 
 const (
 	listPath = "/v1/servers"
-	// rngStream is the second half of a watch's seed, beside the node's own.
+	// rngStream is the second half of the seed of a watch's random numbers. The first half is the node's seed.
 	rngStream = 2
 )
 
-// Watch follows discovery's endpoint list. It has one call in flight at most, on one connection, which it reuses.
+// Watch polls the discovery service for its endpoint list. It has at most one call in flight and reuses one connection.
 type Watch struct {
 	loop   *loop.Loop
 	addr   string
@@ -27,37 +27,40 @@
 	mode   Mode
 	timing timing
 
-	version      int64 // of the list, where versionKnown
-	versionKnown bool  // version is one of discovery's
-	serversSeen  bool  // a list had servers
+	version      int64 // of the last list; valid if versionKnown
+	versionKnown bool  // version was assigned by the discovery service at addr
+	serversSeen  bool  // some list has contained servers
 
-	conn      *loop.Conn // nil: there is none
+	conn      *loop.Conn // nil: not connected
 	polling   bool       // a call is in flight
-	call      call       // the one in flight, or the last
-	stopTimer func()     // of the call in flight, or of the backoff before the next one
+	call      call       // the call in flight, or the last call
+	stopTimer func()     // stops the timer of the call in flight or of the backoff; nil: no timer
 
-	recovering     bool // the last call failed, had no response or one that could not be decoded
-	failures       int  // calls that failed since the last response
+	recovering     bool // the last call failed, timed out or had a response that could not be decoded
+	failures       int  // backoffs since the last response that could be decoded
 	lastUnreadable bool // the last response could not be decoded
 }
 
-// call is one HTTP call.
+// call is one HTTP request and its response.
 type call struct {
-	request    string // written once the connection is up
-	reusedConn bool   // an earlier call was served on its connection
-	longPoll   bool   // discovery may wait for a change before it responds
+	request    string // written once the connection is established
+	reusedConn bool   // its connection already existed for an earlier call
+	longPoll   bool   // the service may wait for a change before it responds
 	response   response
-	deadline   time.Time // the call is abandoned then
+	deadline   time.Time // when the call is abandoned
 }
 
-// Mode is how endpoint lists come to a node.
+// Mode describes how a node gets its endpoint lists.
 type Mode struct {
-	Pushed     bool          // to an agent beside the node, which responds at once; else to a service for all nodes
-	DrainGrace time.Duration // for which a server that drains may still get requests
+	// Pushed means that lists are pushed to an agent beside the node, which responds to the node's calls at once.
+	// Otherwise the node polls a service that all nodes share.
+	Pushed     bool
+	DrainGrace time.Duration // time for which a draining server may still get requests
 }
 
-// New makes a Watch that starts from a known list, which may be nil, and calls notify on the loop with each list that
-// comes. The seed spreads the polls of nodes.
+// New returns a Watch that starts from a known list, which may be nil. It calls notify on the loop with each new list
+// and with choice.ListUnavailable after a failed call to a shared service. Different seeds make nodes poll at different
+// times.
 func New(
 	eventLoop *loop.Loop, addr string, known *List, mode Mode, seed uint64,
 	notify func(choice.ListKind, []edge.ServerEntry),
@@ -78,7 +81,7 @@
 	return watch
 }
 
-// Position returns discovery's address and the version of its last list; below 0: there was none yet.
+// Position returns the address of the discovery service and the version of its last list, or -1 if no version is known.
 func (w *Watch) Position() (addr string, version int64) {
 	if !w.versionKnown {
 		return w.addr, -1
@@ -86,14 +89,16 @@
 	return w.addr, w.version
 }
 
-// Follow starts a poll, unless one is in flight or due: after a failure the watch itself decides when it polls again.
+// Follow starts a call unless one is in flight or a backoff is pending. After a failure, the watch itself decides when
+// to poll again.
 func (w *Watch) Follow() {
 	if !w.polling && w.stopTimer == nil {
 		w.poll()
 	}
 }
 
-// SetMode sets how lists come, from the next call on.
+// SetMode sets how the node gets its lists, from the next call on. If lists are now pushed to an agent and no call is
+// in flight, that call starts at once.
 func (w *Watch) SetMode(mode Mode) {
 	w.mode = mode
 	if mode.Pushed && !w.polling {
@@ -102,8 +107,9 @@
 	}
 }
 
-// SetAddress sets discovery's address. The list stays as it is; the service there may count its versions anew, so the
-// full list is asked for. A response from the old address is no longer read.
+// SetAddress sets the address of the discovery service. The known list stays in use. SetAddress requests the full list,
+// because the service at the new address may number its versions differently. It discards any response from the old
+// address.
 func (w *Watch) SetAddress(addr string) {
 	if addr == w.addr {
 		return
@@ -116,7 +122,7 @@
 	w.poll()
 }
 
-// poll starts a call.
+// poll starts a call and the timer for its deadline.
 func (w *Watch) poll() {
 	path, timeout := w.nextCall()
 	now := w.loop.Now()
@@ -135,7 +141,7 @@
 	}
 }
 
-// nextCall returns the path of the next call and the time for its response.
+// nextCall returns the path of the next call and its timeout.
 func (w *Watch) nextCall() (path string, timeout time.Duration) {
 	wait, responseTimeout := w.pollTimes()
 	switch {
@@ -148,7 +154,7 @@
 	return listPath, w.listTimeout()
 }
 
-// pollAfterBackoff starts the next call later.
+// pollAfterBackoff starts the next call after a backoff.
 func (w *Watch) pollAfterBackoff() {
 	w.failures++
 	w.stopTimer = w.loop.At(w.loop.Now().Add(w.backoff()), func() {
@@ -165,7 +171,7 @@
 	}
 }
 
-// close ends the connection, where there is one.
+// close closes the connection, if there is one.
 func (w *Watch) close() {
 	if w.conn != nil {
 		w.conn.End()
