--- a/internal/platform/discovery/timing.go
+++ b/internal/platform/discovery/timing.go
@@ -16,7 +16,7 @@
 	pollWait       time.Duration // maximum time for which a long poll waits for a change
 	pollWaitJitter time.Duration // maximum reduction of pollWait, so that polls that began together don't end together
 	answerTimeout  time.Duration // maximum time for the response after the wait
-	graceMargin    time.Duration // for that response beyond the drain grace, so that a change in the next one is in time
+	graceMargin    time.Duration // for that response beyond the drain grace; a change in the next one is still in time
 	bodyTimeout    time.Duration // time for the rest of a response whose body has begun
 
 	// The following apply after a call that failed or was abandoned. A change counts as delivered 6 s after the service
