--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -16,17 +16,17 @@
 	"spurwinch/internal/loop"
 )
 
-// receiveTimeout is for anything that a test waits for.
+// receiveTimeout limits each wait in a test.
 const receiveTimeout = 20 * time.Second
 
-// fakeDiscovery is the service or the agent. It has an empty list, whose version a test sets.
+// fakeDiscovery is a fake discovery service or agent. Its list is empty and has a version that a test sets.
 type fakeDiscovery struct {
 	addr    string
 	version atomic.Int64
-	calls   chan string // each call, with the number of its connection
+	calls   chan string // each call, preceded by the number of its connection
 	silent  atomic.Bool // calls get no response
-	resets  atomic.Bool // connections are reset under calls
-	raw     chan string // responses as they are written, each followed by the end of the connection
+	resets  atomic.Bool // connections are reset when a call arrives
+	raw     chan string // raw responses; the connection is closed after each of them
 }
 
 // startDiscovery runs a fake discovery until the test ends.
@@ -47,7 +47,7 @@
 	return discovery
 }
 
-// acceptAll serves each connection of a listener, which are numbered from 1.
+// acceptAll serves each connection of a listener. It numbers the connections from 1.
 func acceptAll(listener net.Listener, serve func(conn net.Conn, number int)) {
 	for number := 1; ; number++ {
 		conn, err := listener.Accept()
@@ -56,7 +56,7 @@
 		}
 		go func() {
 			serve(conn, number)
-			_ = conn.Close() // may have been reset
+			_ = conn.Close() // the error doesn't matter: the connection may have been reset
 		}()
 	}
 }
@@ -89,22 +89,22 @@
 	}
 }
 
-// waitForChange returns when there is a version that a call doesn't have, or connections are to be reset.
+// waitForChange returns when the list has another version than the call has, or when connections are to be reset.
 func (d *fakeDiscovery) waitForChange(url string) {
 	for !d.resets.Load() && strings.Contains(url, fmt.Sprintf("after=%d&", d.version.Load())) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// okResponse is a complete response with a body.
+// okResponse returns a complete response with a body.
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// send writes to a connection. A failed write shows in what the watch then doesn't get.
+// send writes to a connection. It ignores errors, because the test then fails when the watch receives nothing.
 func send(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-// drip writes a byte each millisecond until the watch ends the connection.
+// drip writes a byte each millisecond until the watch closes the connection.
 func drip(conn net.Conn) {
 	for {
 		if _, err := conn.Write([]byte(" ")); err != nil {
@@ -114,25 +114,25 @@
 	}
 }
 
-// resetOnClose has a close send RST. It fails on a closed connection only.
+// resetOnClose makes a later close send RST. It ignores the error, which occurs only on a closed connection.
 func resetOnClose(conn net.Conn) {
 	if tcpConn, ok := conn.(*net.TCPConn); ok {
 		_ = tcpConn.SetLinger(0)
 	}
 }
 
-// waitForEnd returns when the watch has ended the connection.
+// waitForEnd returns when the watch has closed the connection.
 func waitForEnd(conn net.Conn) {
-	_, _ = conn.Read(make([]byte, 1)) // the watch sends nothing meanwhile: any return is the end
+	_, _ = conn.Read(make([]byte, 1)) // the watch sends nothing in the meantime, so any return means the end
 }
 
-// closeAtEnd closes what the test may have closed itself, where the error doesn't matter.
+// closeAtEnd closes closer at the end of the test. It ignores the error, because the test may have closed it already.
 func closeAtEnd(t *testing.T, closer io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = closer.Close() })
 }
 
-// shortTiming has calls abandoned after 40 ms.
+// shortTiming returns a timing in which calls are abandoned after 40 ms.
 func shortTiming() timing {
 	short := defaultTiming
 	short.pollWait = 20 * time.Millisecond
@@ -141,7 +141,7 @@
 	return short
 }
 
-// startWatch runs a watch until the test ends. events are the kinds of the lists that it notifies of.
+// startWatch runs a watch until the test ends. events receives the kind of each list of which the watch notifies.
 func startWatch(
 	t *testing.T, addr string, known *List, mode Mode, times timing,
 ) (watch *Watch, events chan choice.ListKind) {
@@ -166,19 +166,19 @@
 	t.Cleanup(func() {
 		eventLoop.Post(eventLoop.Stop)
 		if err := <-done; err != nil {
-			t.Error("loop:", err)
+			t.Error("running the loop:", err)
 		}
 		eventLoop.Close()
 	})
 }
 
-// receive is the next value of a channel.
+// receive returns the next value of a channel.
 func receive[T any](t *testing.T, values chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-values:
 	case <-time.After(receiveTimeout):
-		t.Fatal("nothing received")
+		t.Fatal("receiving from a channel: got no value in time")
 	}
 	return value
 }
--- a/internal/platform/discovery/outage_test.go
+++ b/internal/platform/discovery/outage_test.go
@@ -18,21 +18,21 @@
 	"spurwinch/internal/loop"
 )
 
-// outageKind is a way in which discovery is down.
+// outageKind is a way in which the discovery service is unavailable.
 type outageKind string
 
 const (
-	portClosed      outageKind = "refused"
-	connectHangs    outageKind = "never up"
-	unavailable     outageKind = "503"
-	connReset       outageKind = "reset"
-	connClosed      outageKind = "ended"
-	noResponse      outageKind = "never begins"
-	endlessResponse outageKind = "never ends"
-	stalledResponse outageKind = "stops amid"
+	portClosed      outageKind = "connection refused"
+	connectHangs    outageKind = "connection never established"
+	unavailable     outageKind = "status 503"
+	connReset       outageKind = "connection reset"
+	connClosed      outageKind = "connection closed"
+	noResponse      outageKind = "no response"
+	endlessResponse outageKind = "response never ends"
+	stalledResponse outageKind = "response stalls"
 )
 
-// hangs reports whether a call in such an outage does not fail by itself.
+// hangs reports whether a call in such an outage fails only when the watch abandons it.
 func (k outageKind) hangs() bool {
 	return k == noResponse || k == endlessResponse || k == stalledResponse
 }
@@ -40,16 +40,16 @@
 // listens reports whether the service listens in such an outage.
 func (k outageKind) listens() bool { return k != portClosed && k != connectHangs }
 
-// outage is a discovery that is down until it is restored, with a change in its list. A call that came before gets
-// nothing from it.
+// outage is a discovery service that is unavailable until it is restored. It then has a change in its list. Calls that
+// arrived before get no response with the change.
 type outage struct {
 	t        *testing.T
 	kind     outageKind
 	fd       int
 	addr     string
 	up       atomic.Bool
-	calls    chan time.Time // those that come while it is down
-	restored chan time.Time // when it was restored
+	calls    chan time.Time // when each call arrived during the outage
+	restored chan time.Time // when the service was restored
 }
 
 func newOutage(t *testing.T, kind outageKind) *outage {
@@ -67,7 +67,7 @@
 	}
 	addr, ok := bound.(*unix.SockaddrInet4)
 	if !ok {
-		t.Fatalf("bound to a %T", bound)
+		t.Fatalf("Getsockname: got a %T, want an IPv4 address", bound)
 	}
 	service := &outage{
 		t:        t,
@@ -86,8 +86,8 @@
 	return service
 }
 
-// fillAcceptQueue has the kernel leave connections to the address unanswered: those that fill the queue are never
-// accepted.
+// fillAcceptQueue makes the kernel ignore new connections to the address. It fills the accept queue with connections
+// that are never accepted.
 func (o *outage) fillAcceptQueue() {
 	o.t.Helper()
 	if err := unix.Listen(o.fd, 0); err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// listen accepts calls.
+// listen accepts and serves connections.
 func (o *outage) listen() {
 	if err := unix.Listen(o.fd, 128); err != nil {
 		o.t.Error(err)
@@ -110,7 +110,7 @@
 	}
 	file := os.NewFile(uintptr(o.fd), "discovery")
 	listener, err := net.FileListener(file) // with a duplicate of the descriptor
-	_ = file.Close()                        // the duplicate stays open, whatever becomes of this one
+	_ = file.Close()                        // the listener's duplicate stays open even if this fails
 	if err != nil {
 		o.t.Error(err)
 		return
@@ -145,7 +145,7 @@
 			}
 			continue
 		}
-		if strings.Contains(request.URL.String(), "after=42&") { // there is no change after it
+		if strings.Contains(request.URL.String(), "after=42&") { // there is no change after version 42
 			waitForEnd(conn)
 			return
 		}
@@ -154,7 +154,7 @@
 	}
 }
 
-// serveInOutage serves a call while the service is down, and reports whether its connection goes on.
+// serveInOutage handles a call during the outage and reports whether its connection stays open.
 func (o *outage) serveInOutage(conn net.Conn) bool {
 	const begun = "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{"
 	switch o.kind {
@@ -176,8 +176,8 @@
 	return false
 }
 
-// deliveryDelay runs a watch with the real balancer, lets so many calls fail, or hang where they do that, restores the
-// service, and returns how long its change took to arrive from there.
+// deliveryDelay runs a watch with the real balancer. It restores the service after the given number of failed calls, or
+// of hanging calls if calls hang in this outage, and returns how long after that the change arrived.
 func (o *outage) deliveryDelay(known *List, failures, hanging int) time.Duration {
 	o.t.Helper()
 	eventLoop, err := loop.New()
--- a/internal/platform/discovery/recovery_test.go
+++ b/internal/platform/discovery/recovery_test.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// maxDeliveryDelay is when a change counts as delivered, from the moment on in which discovery has it and can be
-// reached.
+// maxDeliveryDelay is the time after which a change counts as delivered, measured from when the discovery service has
+// it and can be reached.
 const maxDeliveryDelay = 6 * time.Second
 
-// knownList is the list that a watch starts from.
+// knownList returns a list from which a watch starts.
 func knownList() *List {
 	return &List{Version: 41, Full: true, Servers: []entry{{ID: "s-1", Addr: "127.0.0.1:9", State: "SERVING"}}}
 }
 
-// TestChangeDeliveredAfterOutage has discovery come back, with a change, in the worst moment: right after a call
-// failed, with the longest backoff ahead, or right after one was begun that never ends. The node has the change within
-// 6 s, though its settings allow ten minutes without a call. The balancer that decides when to poll is the real one.
+// TestChangeDeliveredAfterOutage restores the discovery service, with a change, at the worst moment: right after a call
+// has failed, before the longest backoff, or right after a call has begun that never ends. The node must have the
+// change within 6 s, although its settings allow ten minutes without a call. The test uses the real balancer, which
+// decides when to poll.
 func TestChangeDeliveredAfterOutage(t *testing.T) {
-	const failures, hanging = 5, 3 // so many that backoffs are as long as they get
+	const failures, hanging = 5, 3 // enough for backoffs to reach their maximum
 	for _, kind := range []outageKind{
 		portClosed, connectHangs, unavailable, connReset, connClosed, noResponse, endlessResponse, stalledResponse,
 	} {
@@ -41,22 +42,22 @@
 	}
 }
 
-// TestUnendingResponse has the first call's response begin and not end: what it holds counts as delivered, so the call
-// is repeated long before its own timeout.
-func TestUnendingResponse(t *testing.T) {
+// TestCallRepeatedWhenResponseNeverEnds lets the response to the first call begin but never end. The changes that it
+// contains count as delivered, so the call must be repeated long before its own timeout.
+func TestCallRepeatedWhenResponseNeverEnds(t *testing.T) {
 	for _, kind := range []outageKind{endlessResponse, stalledResponse} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
 			delay := newOutage(t, kind).deliveryDelay(knownList(), 0, 1)
 			if delay > 2*defaultTiming.bodyTimeout {
-				t.Errorf("delivered after %v", delay)
+				t.Errorf("change delivered after %v, want at most twice the body timeout", delay)
 			}
 		})
 	}
 }
 
-// TestBackoffAfterRepeatedSilence guards an overloaded service: after two abandoned calls the next one waits for a
-// backoff.
+// TestBackoffAfterRepeatedSilence checks that the next call waits for a backoff after two abandoned calls, which
+// relieves an overloaded service.
 func TestBackoffAfterRepeatedSilence(t *testing.T) {
 	discovery := startDiscovery(t, 0)
 	discovery.silent.Store(true)
@@ -69,14 +70,14 @@
 	second := time.Now()
 	receive(t, discovery.calls)
 	if after := time.Since(second); after < times.initialBackoff/2 {
-		t.Errorf("polled again after %v", after)
+		t.Errorf("third call: got it %v after the second, want at least half the initial backoff", after)
 	}
 }
 
-// TestBackoffWithinDeliveryDelay checks that a call that was begun too early, the longest backoff and the call after it
-// fit into the time after which a change counts as delivered.
+// TestBackoffWithinDeliveryDelay checks that a call that was begun too early, the longest backoff and the next call
+// together fit into the time after which a change counts as delivered.
 func TestBackoffWithinDeliveryDelay(t *testing.T) {
-	const lastCall = time.Second // for the call that brings the change
+	const lastCall = time.Second // time for the call that returns the change
 	for seed := range uint64(50) {
 		watch := New(nil, "", nil, Mode{DrainGrace: 3 * time.Second}, seed, nil)
 		watch.recovering = true
@@ -85,12 +86,14 @@
 			wait, timeout := watch.pollTimes()
 			for _, call := range []time.Duration{connectTimeout, watch.listTimeout(), wait + timeout} {
 				if call+backoff+lastCall > maxDeliveryDelay {
-					t.Fatalf("after %d failures a call of %v and a backoff of %v", watch.failures, call, backoff)
+					t.Fatalf("after %d failures: got a call of %v and a backoff of %v, want time for the last call",
+						watch.failures, call, backoff)
 				}
 			}
 			tooLong := watch.failures == 1 && backoff > defaultTiming.initialBackoff
 			if backoff < defaultTiming.initialBackoff/2 || tooLong {
-				t.Fatalf("after %d failures a backoff of %v", watch.failures, backoff)
+				t.Fatalf("after %d failures: got backoff %v, want 375ms or more, and 750ms or less after one failure",
+					watch.failures, backoff)
 			}
 		}
 	}
--- a/internal/platform/downstream/client_disconnect_test.go
+++ b/internal/platform/downstream/client_disconnect_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// maxAttemptDelay is how long after a client's end an attempt may still begin.
+// maxAttemptDelay is the time after a client's disconnect within which an attempt may still begin.
 const maxAttemptDelay = 100 * time.Millisecond
 
-// serverLine is a line that a server has read.
+// serverLine is a line that a server has received.
 type serverLine struct {
 	conn serverConn
 	text string
 }
 
-// readServers reads all that servers get, on all their connections.
+// readServers returns the lines that all servers receive on all their connections.
 func (n *testNode) readServers() chan serverLine {
 	lines := make(chan serverLine, 64)
 	go func() {
@@ -34,7 +34,7 @@
 	return lines
 }
 
-// waitForLine is the next line that begins with a word.
+// waitForLine returns the next line that begins with a word.
 func (n *testNode) waitForLine(lines chan serverLine, word string) serverLine {
 	n.t.Helper()
 	for end := time.After(ioTimeout); ; {
@@ -44,12 +44,13 @@
 				return received
 			}
 		case <-end:
-			n.t.Fatalf("no server gets %s", word)
+			n.t.Fatalf("waiting for a server to receive %s: got no such line in time", word)
 		}
 	}
 }
 
-// requireNoAttempt checks that no server gets a request after the client has gone, and that nothing of it is left.
+// requireNoAttempt checks that no server receives a request after the client has disconnected, and that no request is
+// left in flight.
 func (n *testNode) requireNoAttempt(lines chan serverLine, what string) {
 	n.t.Helper()
 	gone := time.Now()
@@ -58,7 +59,7 @@
 		select {
 		case received := <-lines:
 			if strings.HasPrefix(received.text, "OPEN") {
-				n.t.Errorf("%s: an attempt begins %v after the client has gone (%v are allowed)",
+				n.t.Errorf("%s: an attempt began %v after the client disconnected, want none (%v are allowed)",
 					what, time.Since(gone), maxAttemptDelay)
 			}
 		case <-end:
@@ -67,16 +68,17 @@
 	}
 	n.onLoop(func() {
 		if inFlight := n.core.InFlight(); inFlight != 0 {
-			n.t.Errorf("%s: %d requests in flight", what, inFlight)
+			n.t.Errorf("%s: got %d requests in flight, want 0", what, inFlight)
 		}
 	})
 }
 
-// pendingState is one in which a request waits before an attempt of it begins. reach brings a request there and returns
-// what ends the wait, which is to be called on the loop: the client's end is then ready in the same poll.
+// pendingState is a state in which a request waits before its next attempt begins. reach brings a request into that
+// state and returns a function that ends the wait. The function must be called on the loop, so that one poll can report
+// the end of the wait together with the client's disconnect.
 type pendingState struct {
 	name     string
-	changes  []string // of the settings
+	changes  []string // to the settings
 	openLine string
 	reach    func(node *testNode, lines chan serverLine) (finish func())
 }
@@ -87,7 +89,7 @@
 	{"retry after a rejection", nil, openLine, untilRejected},
 	{"retry after a reset", nil, openLine, untilReset},
 	{"retry after a timed out attempt", nil, "OPEN 01 01 c=chat,d=4000", untilAttemptTimeout},
-	{"server of a standing connection", nil, "OPEN 01 01 c=chat,d=39000,at=h0", untilStandingRetry},
+	{"retry of a connection opened before the start", nil, "OPEN 01 01 c=chat,d=39000,at=h0", untilOpenAtRetry},
 }
 
 func untilHealthCheckReply(node *testNode, lines chan serverLine) (finish func()) {
@@ -104,7 +106,7 @@
 func untilHealthCheckTimeout(node *testNode, lines chan serverLine) (finish func()) {
 	node.waitForLine(lines, "STATS")
 	node.waitForLine(lines, "STATS")
-	return func() { time.Sleep(250 * time.Millisecond) } // the loop is held up past the timeout, and its timer late
+	return func() { time.Sleep(250 * time.Millisecond) } // blocks the loop past the timeout, so that its timer is late
 }
 
 func untilRejected(node *testNode, lines chan serverLine) (finish func()) {
@@ -122,17 +124,17 @@
 
 func untilAttemptTimeout(node *testNode, lines chan serverLine) (finish func()) {
 	node.waitForLine(lines, "OPEN")
-	return func() { time.Sleep(2500 * time.Millisecond) } // the loop is held up past the attempt's time
+	return func() { time.Sleep(2500 * time.Millisecond) } // blocks the loop past the attempt's timeout
 }
 
-func untilStandingRetry(node *testNode, lines chan serverLine) (finish func()) {
+func untilOpenAtRetry(node *testNode, lines chan serverLine) (finish func()) {
 	attempt := node.waitForLine(lines, "OPEN")
-	send(attempt.conn, "BUSY\r\n") // it is retried after a backoff
+	send(attempt.conn, "BUSY\r\n") // the request is retried after a backoff
 	return func() { time.Sleep(400 * time.Millisecond) }
 }
 
-// TestPendingRequestGetsAttempt has the client stay: each wait ends in an attempt, so that the tests below show what a
-// disconnect does.
+// TestPendingRequestGetsAttempt checks that each wait ends in an attempt if the client stays connected. This shows that
+// in the tests below only the disconnect prevents the attempt.
 func TestPendingRequestGetsAttempt(t *testing.T) {
 	for _, state := range pendingStates {
 		t.Run(state.name, func(t *testing.T) {
@@ -147,8 +149,8 @@
 	}
 }
 
-// TestClientDisconnectsWhilePending has a client disconnect in each state in which its request waits, in each way,
-// while what ends the wait is ready in the same poll, named before the client's end: no attempt begins.
+// TestClientDisconnectsWhilePending lets the client disconnect, in each way, in each state in which its request waits.
+// The same poll reports the end of the wait before the client's disconnect. No attempt may begin.
 func TestClientDisconnectsWhilePending(t *testing.T) {
 	for _, state := range pendingStates {
 		for _, how := range []disconnect{closed, halfClosed, reset} {
@@ -161,7 +163,7 @@
 				finish := state.reach(node, lines)
 				node.onLoop(func() {
 					node.requireInFlight(1)
-					client.conn.Pause() // so that the poll names what ends the wait first
+					client.conn.Pause() // so that the poll reports the end of the wait first
 					defer client.conn.Resume()
 					finish()
 					node.endConnection(conn, how)
@@ -172,8 +174,8 @@
 	}
 }
 
-// TestClientDisconnectsBeforePendingEnds has the client disconnect and the wait end some time later, each in a poll of
-// its own.
+// TestClientDisconnectsBeforePendingEnds lets the client disconnect some time before the wait ends, so that two
+// different polls report the events. No attempt may begin.
 func TestClientDisconnectsBeforePendingEnds(t *testing.T) {
 	for _, state := range pendingStates {
 		t.Run(state.name, func(t *testing.T) {
@@ -191,8 +193,8 @@
 	}
 }
 
-// TestClientDisconnectsBeforeAccept has a client connect, send its request and disconnect while the node gets no
-// processor time: the node finds all of it at once.
+// TestClientDisconnectsBeforeAccept lets a client connect, send its request and disconnect while the node gets no
+// processor time, so that the node finds all these events at once. No attempt may begin.
 func TestClientDisconnectsBeforeAccept(t *testing.T) {
 	for _, how := range []disconnect{closed, halfClosed, reset} {
 		for _, reports := range []string{"off", "on_probe"} {
@@ -217,19 +219,20 @@
 	}
 }
 
-// TestClientDisconnectsDuringPeerRequest has a client disconnect while another node is asked whether a server has
-// capacity: its grant, or its silence, begins no attempt. With the client still there the same grant does.
+// TestClientDisconnectsDuringPeerRequest lets a client disconnect while the node asks another node whether a server has
+// capacity. Neither the other node's grant nor its silence may begin an attempt. If the client stays connected, the
+// same grant must begin one.
 func TestClientDisconnectsDuringPeerRequest(t *testing.T) {
 	const nodes = 400
-	const grant = 1<<4 | 4 // the messages' version, and the reply's kind
+	const grant = 1<<4 | 4 // version of the messages, and kind of the reply
 	for _, test := range []struct {
 		name        string
 		disconnects bool
 		replied     bool
 	}{
-		{"stays, and is answered", false, true},
-		{"leaves, and is answered", true, true},
-		{"leaves, and is not answered", true, false},
+		{"client stays, grant received", false, true},
+		{"client disconnects, grant received", true, true},
+		{"client disconnects, no reply", true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -250,7 +253,7 @@
 					reply := []byte{grant, question.payload[1], question.payload[2], 1, 0}
 					node.core.ReceivePeerMessage(question.peer, reply)
 				} else {
-					time.Sleep(200 * time.Millisecond) // the loop is held up past the reply's timeout
+					time.Sleep(200 * time.Millisecond) // blocks the loop past the reply's timeout
 				}
 			})
 			if test.disconnects {
--- a/internal/platform/downstream/dial_race_test.go
+++ b/internal/platform/downstream/dial_race_test.go
@@ -10,7 +10,7 @@
 	"spurwinch/internal/edge"
 )
 
-// TestFirstLineAtTimeout has a client's line arrive in the moment in which its time is up: it is read, and served.
+// TestFirstLineAtTimeout checks that a first line that arrives at the very moment of its timeout is read and served.
 func TestFirstLineAtTimeout(t *testing.T) {
 	for _, first := range []string{"", "PING\r\n"} {
 		node := newTestNode(t, 1)
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestClientDisconnectsDuringDial has a client's end, or bytes that it must not send yet, and the server's connection
-// come up in one poll: nothing is written.
+// TestClientDisconnectsDuringDial makes one poll report both that the server's connection is established and that the
+// client has disconnected, or has sent bytes too early. Nothing may be written to the server.
 func TestClientDisconnectsDuringDial(t *testing.T) {
 	for name, act := range map[string]func(*testNode, net.Conn){
 		"closes":      func(node *testNode, conn net.Conn) { node.endConnection(conn, closed) },
@@ -46,22 +46,22 @@
 		var server serverConn
 		node.onLoop(func() {
 			server = node.dialServer(conn, client, openLine)
-			client.conn.Pause() // so that the poll names the server's connection first
+			client.conn.Pause() // so that the poll reports the server's connection first
 			defer client.conn.Resume()
 			act(node, conn)
 		})
 		node.requireNothing(server)
 		node.onLoop(func() {
 			if node.core.InFlight() != 0 || node.core.AttemptsNeverSent() != 1 {
-				t.Errorf("%s: %d requests in flight, %d attempts never sent",
+				t.Errorf("client %s: got %d requests in flight and %d attempts never sent, want 0 and 1",
 					name, node.core.InFlight(), node.core.AttemptsNeverSent())
 			}
 		})
 	}
 }
 
-// TestDialCompletesAfterDeadline has a connection come up when the client's time is over, with the timers late: nothing
-// is written, and the client gets its reply.
+// TestDialCompletesAfterDeadline lets a server's connection be established after the client's deadline, before the late
+// timers run. Nothing may be written to the server, and the client must get its reply.
 func TestDialCompletesAfterDeadline(t *testing.T) {
 	node := newTestNode(t, 1)
 	conn, client := node.dialClient()
@@ -74,8 +74,8 @@
 	node.requireLine(conn, "BUSY")
 }
 
-// TestServerDrainsDuringDial has a server begin to drain while a connection to it is being made: nothing is written
-// there, whenever it comes up, and another server serves.
+// TestServerDrainsDuringDial lets a server begin to drain while a connection to it is being established. Nothing may be
+// written to it, whenever the connection is established, and another server must serve the request.
 func TestServerDrainsDuringDial(t *testing.T) {
 	node := newTestNode(t, 2)
 	conn, client := node.dialClient()
@@ -90,14 +90,15 @@
 	node.requireNothing(draining)
 	other := node.acceptOnServer()
 	if other.server == draining.server {
-		t.Error("the same server again")
+		t.Error("second attempt: got the draining server again, want another server")
 	}
 	send(other, "UP 1\r\n")
 	node.requireLine(conn, "UP 1")
 }
 
-// TestRetryAfterIdempotencyWindow has a retry's connection come up when the servers no longer know what they served: it
-// is not written. In time it is.
+// TestRetryAfterIdempotencyWindow lets a retry's connection be established after the time for which servers remember
+// the requests that they have served. The retry must not be written then. If the connection is established earlier, the
+// retry must be written.
 func TestRetryAfterIdempotencyWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		window := time.Minute
--- a/internal/platform/downstream/short_write_test.go
+++ b/internal/platform/downstream/short_write_test.go
@@ -11,12 +11,12 @@
 	"spurwinch/internal/loop"
 )
 
-// shortWriter is a kernel that takes half of the first request line that is written to a server, and the rest only
-// after unblock.
+// shortWriter is a loop.Kernel that accepts only half of the first request line that is written to a server. It blocks
+// further writes to that server until unblock is called.
 type shortWriter struct {
 	loop.Linux
 	mu      sync.Mutex
-	fd      int // that took half
+	fd      int // descriptor of the connection with the half-written line; 0: none yet
 	blocked bool
 }
 
@@ -40,24 +40,24 @@
 	k.blocked = false
 }
 
-// TestAbandonedAttemptHalfWritten has the kernel take half of a request line, and the attempt given up: the rest must
-// never follow, since the request has gone to another server by then, and must not run twice.
+// TestAbandonedAttemptHalfWritten checks that the rest of a half-written request line is never sent once the attempt
+// was given up. By then the request has been sent to another server, and it must not run twice.
 func TestAbandonedAttemptHalfWritten(t *testing.T) {
 	kernel := &shortWriter{}
 	node := newTestNodeOnKernel(t, kernel, 2, `"safe"`, `"unsafe"`)
 	conn, _ := node.dialClient()
 	send(conn, openLine+"\r\n")
 	first := node.acceptOnServer()
-	second := node.acceptOnServer() // the first one's time is over
+	second := node.acceptOnServer() // the first attempt has timed out by then
 	kernel.unblock()
 	node.requireLine(second, "OPEN 01 01")
 	send(second, "UP 1\r\n")
 	node.requireLine(conn, "UP 1")
-	received, _ := io.ReadAll(first) // ends by FIN or by a reset; what came before it counts
+	received, _ := io.ReadAll(first) // FIN and reset are both valid; only the bytes before them are checked
 	if len(received) == 0 {
-		t.Error("the race did not take place: nothing was written at first")
+		t.Error("the first server got no bytes, want half of the request line: the race did not take place")
 	}
 	if bytes.HasSuffix(received, []byte("\n")) {
-		t.Errorf("the server of the abandoned attempt got the whole line: %q", received)
+		t.Errorf("the server of the abandoned attempt got %q, want no complete line", received)
 	}
 }
--- a/internal/platform/downstream/testnode_test.go
+++ b/internal/platform/downstream/testnode_test.go
@@ -21,12 +21,12 @@
 
 const (
 	openLine   = "OPEN 01 01 c=chat,d=2000"
-	ioTimeout  = 20 * time.Second // for anything that a test waits for
-	closeDelay = time.Millisecond // after which a close on the loopback interface is in the peer's socket
+	ioTimeout  = 20 * time.Second // limit of each wait in a test
+	closeDelay = time.Millisecond // time for a close on the loopback interface to reach the peer's socket
 )
 
-// testNode is a front with its core on a loop that a test can hold up: what the test writes to sockets meanwhile is
-// ready in one poll. A test whose race did not take place fails.
+// testNode is a front with its core on a loop that a test can block. One poll then reports everything that the test
+// wrote to sockets in the meantime. A test fails if the race that it sets up did not take place.
 type testNode struct {
 	t            *testing.T
 	loop         *loop.Loop
@@ -38,7 +38,7 @@
 	peerMessages chan peerMessage
 }
 
-// peerMessage is one that the node sends to another node.
+// peerMessage is a message that the node sends to another node.
 type peerMessage struct {
 	peer    int
 	payload []byte
@@ -50,12 +50,14 @@
 	net.Conn
 }
 
-// newTestNode runs a front with so many servers. changes are pairs of old and new text, replaced in the settings.
+// newTestNode runs a front with the given number of servers. changes are pairs of old and new text that are replaced in
+// the settings.
 func newTestNode(t *testing.T, servers int, changes ...string) *testNode {
 	t.Helper()
 	return newTestNodeOnKernel(t, loop.Linux{}, servers, changes...)
 }
 
+// newTestNodeOnKernel is newTestNode with a kernel that a test supplies.
 func newTestNodeOnKernel(t *testing.T, kernel loop.Kernel, servers int, changes ...string) *testNode {
 	t.Helper()
 	eventLoop, err := loop.NewOn(kernel)
@@ -81,7 +83,7 @@
 	return node
 }
 
-// newFront makes the front and its core. Load reports are off unless the changes set them.
+// newFront creates the front and its core. Load reports are off unless the changes enable them.
 func (n *testNode) newFront(changes []string) {
 	n.t.Helper()
 	changes = append(changes, "REPORTS", "off")
@@ -107,7 +109,7 @@
 	n.front.Adapt(settings.ClassByName, settings.TenantByName, settings.Classes)
 }
 
-// listen accepts the front's clients.
+// listen accepts clients for the front.
 func (n *testNode) listen() {
 	n.t.Helper()
 	listener, err := n.loop.Listen("127.0.0.1:0", func(conn *loop.Conn) loop.Handler {
@@ -126,7 +128,7 @@
 	n.addr = listener.Addr.String()
 }
 
-// startServer accepts connections as a server of the endpoint list.
+// startServer starts a server that accepts connections, and returns its entry for the endpoint list.
 func (n *testNode) startServer(id choice.ServerID) edge.ServerEntry {
 	n.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -147,9 +149,9 @@
 func (n *testNode) run() {
 	done := make(chan struct{})
 	go func() {
-		defer close(done) // also where a function on the loop has ended the goroutine: see onLoop
+		defer close(done) // also if a function on the loop has ended the goroutine, see onLoop
 		if err := n.loop.Run(); err != nil {
-			n.t.Error("loop:", err)
+			n.t.Error("running the loop:", err)
 		}
 	}()
 	n.t.Cleanup(func() {
@@ -159,8 +161,8 @@
 	})
 }
 
-// onLoop runs a function on the loop, which handles no events meanwhile. Where the function fails the test with
-// FailNow, which ends the loop's goroutine, onLoop does so on the test's.
+// onLoop runs a function on the loop, which handles no events in the meantime. If the function fails the test with
+// FailNow, which ends the loop's goroutine, onLoop calls FailNow on the test's goroutine too.
 func (n *testNode) onLoop(fn func()) {
 	n.t.Helper()
 	completed := make(chan bool, 1)
@@ -175,7 +177,7 @@
 	}
 }
 
-// dialClient connects a client.
+// dialClient connects a client and returns its socket and the front's client.
 func (n *testNode) dialClient() (net.Conn, *client) {
 	n.t.Helper()
 	conn, err := net.Dial("tcp", n.addr)
@@ -187,15 +189,15 @@
 	return conn, <-n.clients
 }
 
-// waitDelivered waits until all that was sent on a connection is in the peer's socket, its FIN too where there is one.
+// waitDelivered waits until all bytes sent on a connection, and its FIN if there is one, are in the peer's socket.
 func (n *testNode) waitDelivered(conn net.Conn) {
 	n.t.Helper()
 	if !delivered(conn, time.Now().Add(ioTimeout)) {
-		n.t.Error("the race did not take place: bytes are still in flight")
+		n.t.Error("waiting for delivery: got bytes still in flight, want none; the race did not take place")
 	}
 }
 
-// delivered reports whether the kernel has nothing left to send on a connection before the deadline.
+// delivered reports whether the kernel's send queue of a connection becomes empty before the deadline.
 func delivered(conn net.Conn, deadline time.Time) bool {
 	tcpConn, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -219,8 +221,8 @@
 	return false
 }
 
-// dialServer has the front read a client's line and dial its server: the connection is up, and the loop doesn't know it
-// yet. It is to be called on the loop.
+// dialServer makes the front read a client's line and dial its server. It returns when the server has accepted the
+// connection, which the loop doesn't know yet. It must be called on the loop.
 func (n *testNode) dialServer(conn net.Conn, dialling *client, text string) serverConn {
 	n.t.Helper()
 	send(conn, text+"\r\n")
@@ -230,8 +232,8 @@
 	return n.acceptOnServer()
 }
 
-// onNextDial runs a function on the loop when the next server is dialled for a client, before the loop knows that the
-// connection is up.
+// onNextDial runs a function on the loop when the front next dials a server for a client, before the loop knows that
+// the connection is established.
 func (n *testNode) onNextDial(dialling *client, fn func()) {
 	n.onLoop(func() {
 		last := dialling.server
@@ -244,55 +246,56 @@
 	})
 }
 
-// acceptOnServer is the next connection that a server accepts.
+// acceptOnServer returns the next connection that a server accepts.
 func (n *testNode) acceptOnServer() (conn serverConn) {
 	n.t.Helper()
 	select {
 	case conn = <-n.accepted:
 		closeAtEnd(n.t, conn)
 	case <-time.After(ioTimeout):
-		n.t.Fatal("no server is dialled")
+		n.t.Fatal("waiting for a server to be dialled: got no connection in time")
 	}
 	return conn
 }
 
-// requireNothing checks that a server gets an end and no byte.
+// requireNothing checks that a server's connection ends by FIN without any byte.
 func (n *testNode) requireNothing(conn net.Conn) {
 	n.t.Helper()
 	if received, err := io.ReadAll(conn); len(received) > 0 || err != nil {
-		n.t.Errorf("the server got %q, %v", received, err)
+		n.t.Errorf("reading at the server: got %q and error %v, want no bytes and no error", received, err)
 	}
 }
 
-// requireLine checks that the next line begins with a prefix.
+// requireLine checks that the next line on a connection begins with a prefix.
 func (n *testNode) requireLine(conn net.Conn, prefix string) {
 	n.t.Helper()
 	if text, err := bufio.NewReader(conn).ReadString('\n'); !strings.HasPrefix(text, prefix) {
-		n.t.Errorf("got %q, %v: want %s", text, err, prefix)
+		n.t.Errorf("reading a line: got %q and error %v, want %s", text, err, prefix)
 	}
 }
 
-// requireInFlight checks the number of requests in flight. It is to be called on the loop.
+// requireInFlight checks the number of requests in flight. It must be called on the loop.
 func (n *testNode) requireInFlight(want int) {
 	n.t.Helper()
 	if got := n.core.InFlight(); got != want {
-		n.t.Errorf("the race did not take place: %d requests in flight, want %d", got, want)
+		n.t.Errorf("the race did not take place: got %d requests in flight, want %d", got, want)
 	}
 }
 
-// send writes to a connection. A failed write shows in what the other side then doesn't get.
+// send writes to a connection. It ignores errors, because the test then fails when the other side receives nothing.
 func send(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-// setDeadline keeps a test from waiting without end. It fails on a closed connection only, on which nothing waits.
+// setDeadline keeps a test from waiting forever. Its error is ignored: it fails only on a closed connection, on which
+// nothing waits.
 func setDeadline(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(ioTimeout)) }
 
-// closeAtEnd closes what the test may have closed itself, where the error doesn't matter.
+// closeAtEnd closes closer at the end of the test. It ignores the error, because the test may have closed it already.
 func closeAtEnd(t *testing.T, closer io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = closer.Close() })
 }
 
-// disconnect is a way in which a connection ends.
+// disconnect is a way to end a connection.
 type disconnect string
 
 const (
@@ -301,12 +304,12 @@
 	reset      disconnect = "reset"
 )
 
-// endConnection ends a connection: the end is in the peer's socket when endConnection returns.
+// endConnection ends a connection and returns when the end has reached the peer's socket.
 func (n *testNode) endConnection(conn net.Conn, how disconnect) {
 	n.t.Helper()
 	tcpConn, ok := conn.(*net.TCPConn)
 	if !ok {
-		n.t.Errorf("%T is no TCP connection", conn)
+		n.t.Errorf("ending a connection: got a %T, want a TCP connection", conn)
 		return
 	}
 	var err error
@@ -317,11 +320,11 @@
 		err = tcpConn.CloseWrite()
 		n.waitDelivered(conn)
 	case reset:
-		_ = tcpConn.SetLinger(0) // fails on a closed connection only, as does Close
+		_ = tcpConn.SetLinger(0) // fails only on a closed connection, for which Close fails too
 		err = tcpConn.Close()
 	}
 	if err != nil {
-		n.t.Errorf("%s of a connection: %v", how, err)
+		n.t.Errorf("ending a connection (%s): %v", how, err)
 	}
 	if how != halfClosed {
 		time.Sleep(closeDelay)
--- a/internal/platform/downstream/transfer_test.go
+++ b/internal/platform/downstream/transfer_test.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestIdleTransferWithSteppedClock transfers a connection that has sent nothing to a process whose wall clock is an
-// hour off: it is ended when its time is up, and neither at once nor an hour later.
+// TestIdleTransferWithSteppedClock transfers a connection whose client has sent nothing to a process whose wall clock
+// differs by an hour. The connection must be closed at its deadline, neither at once nor an hour later.
 func TestIdleTransferWithSteppedClock(t *testing.T) {
 	for _, ahead := range []time.Duration{time.Hour, -time.Hour} {
 		node := newTestNode(t, 1)
@@ -17,7 +17,7 @@
 			fds, detached, ok := IdleConnection{client}.Detach()
 			state, isState := detached.(ConnectionState)
 			if !ok || !isState {
-				t.Error("the connection can't be detached")
+				t.Error("Detach of an idle connection failed, want a ConnectionState")
 				return
 			}
 			fd, err := unix.Dup(fds[0])
@@ -26,13 +26,14 @@
 				return
 			}
 			IdleConnection{client}.Release()
-			state.FirstLineDeadline -= int64(ahead) // as the other process's clock has it
+			state.FirstLineDeadline -= int64(ahead) // simulates the other process's clock
 			node.front.restoreIdle(state, fd)
 		})
 		began := time.Now()
 		node.requireLine(conn, "ERR")
 		if took := time.Since(began); took < firstLineTimeout/2 {
-			t.Errorf("%v ahead: ended after %v", ahead, took)
+			t.Errorf("clock %v ahead: connection closed after %v, want at least half the first line timeout",
+				ahead, took)
 		}
 	}
 }
--- a/internal/platform/line/line_test.go
+++ b/internal/platform/line/line_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestReader(t *testing.T) {
+func TestReaderAssemblesLinesFromPieces(t *testing.T) {
 	input := "a\r\n\r\nlonger line\r\nrest"
 	for size := 1; size <= len(input); size++ {
 		var reader Reader
@@ -19,12 +19,13 @@
 			}
 		}
 		if strings.Join(got, "|") != "a\r\n|\r\n|longer line\r\n" || string(reader.partial) != "rest" {
-			t.Errorf("pieces of %d: %q, then %q", size, got, reader.partial)
+			t.Errorf("Scan in pieces of %d bytes: got %q and partial %q, want a, empty, longer line and partial rest",
+				size, got, reader.partial)
 		}
 	}
 }
 
-func TestTooLong(t *testing.T) {
+func TestLineTooLong(t *testing.T) {
 	longest := strings.Repeat("x", MaxBytes-1) + "\n"
 	for _, test := range []struct {
 		input string
@@ -46,7 +47,8 @@
 				scannerErr = scanner.Count(piece, func() {})
 			}
 			if !errors.Is(readerErr, test.want) || !errors.Is(scannerErr, test.want) {
-				t.Errorf("%d bytes in pieces of %d: %v, %v", len(test.input), size, readerErr, scannerErr)
+				t.Errorf("%d bytes in pieces of %d: got Scan %v, Count %v, want ErrTooLong only beyond MaxBytes",
+					len(test.input), size, readerErr, scannerErr)
 			}
 		}
 	}
@@ -71,7 +73,7 @@
 			got = test.list[from:to]
 		}
 		if got != test.want {
-			t.Errorf("%q in %q: %q, want %q", test.name, test.list, got, test.want)
+			t.Errorf("FindField(%q) in %q: got %q, want %q", test.name, test.list, got, test.want)
 		}
 	}
 }
@@ -79,12 +81,12 @@
 func TestParseNumber(t *testing.T) {
 	for text, want := range map[string]float64{"0": 0, "-0": 0, "1.5": 1.5, "1e3": 1000} {
 		if got, ok := ParseNumber(text); !ok || got != want {
-			t.Errorf("%q: %v, %v", text, got, ok)
+			t.Errorf("ParseNumber(%q): got %v, %v, want a valid number", text, got, ok)
 		}
 	}
 	for _, text := range []string{"", "x", "1 ", "-1", "NaN", "Inf", "+Inf", "-Inf", "1e999"} {
 		if got, ok := ParseNumber(text); ok {
-			t.Errorf("%q is read as %v", text, got)
+			t.Errorf("ParseNumber(%q): got %v, want an invalid number", text, got)
 		}
 	}
 }
--- a/internal/platform/upstream/cluster_test.go
+++ b/internal/platform/upstream/cluster_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestWithDeadline(t *testing.T) {
+func TestWithDeadlineRewritesOnlyDeadlineField(t *testing.T) {
 	for _, test := range []struct {
 		in, want string
 		left     time.Duration
@@ -16,12 +16,12 @@
 		{"OPEN d=9 2 c=a,x=d=7\r\n", "OPEN d=9 2 c=a,x=d=7\r\n", time.Second},
 	} {
 		if got := string(withDeadline([]byte(test.in), test.left)); got != test.want {
-			t.Errorf("%q becomes %q, want %q", test.in, got, test.want)
+			t.Errorf("withDeadline(%q): got %q, want %q", test.in, got, test.want)
 		}
 	}
 }
 
-func TestReport(t *testing.T) {
+func TestParseReport(t *testing.T) {
 	c := &Cluster{reportFields: []string{"recent_ms", "utilization", "x0"}}
 	got := c.parseReport([]byte("x0=1.5,util=0.25,more=3"))
 	if len(got) != 3 || !math.IsNaN(got[0]) || got[1] != 0.25 || got[2] != 1.5 {
@@ -29,7 +29,7 @@
 	}
 	for _, bad := range []string{"", "nothing", "x0=,util=high", "x0=Inf", "x0=-1,util=NaN"} {
 		if got := c.parseReport([]byte(bad)); got != nil {
-			t.Errorf("%q gives %v", bad, got)
+			t.Errorf("parseReport(%q): got %v, want nil", bad, got)
 		}
 	}
 }
