--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -137,7 +137,7 @@
 	short := defaultTiming
 	short.pollWait = 20 * time.Millisecond
 	short.pollWaitJitter = time.Millisecond
-	short.answerTimeout = 20 * time.Millisecond
+	short.responseTimeout = 20 * time.Millisecond
 	return short
 }
 
--- a/internal/platform/discovery/recovery_test.go
+++ b/internal/platform/discovery/recovery_test.go
@@ -63,7 +63,7 @@
 	discovery.silent.Store(true)
 	times := shortTiming()
 	times.recoveryWait = times.pollWait
-	times.recoveryAnswerTimeout = times.answerTimeout
+	times.recoveryResponseTimeout = times.responseTimeout
 	startWatch(t, discovery.addr, &List{Version: 7}, Mode{}, times)
 	receive(t, discovery.calls)
 	receive(t, discovery.calls)
--- a/internal/platform/discovery/timing.go
+++ b/internal/platform/discovery/timing.go
@@ -13,65 +13,65 @@
 // timing holds the waits, timeouts and backoffs of calls. A list or change "counts as delivered" at a time from which
 // on the platform assumes that this node knows it.
 type timing struct {
-	pollWait       time.Duration // maximum time for which a long poll waits for a change
-	pollWaitJitter time.Duration // maximum reduction of pollWait, so that polls that began together don't end together
-	answerTimeout  time.Duration // maximum time for the response after the wait
-	graceMargin    time.Duration // for that response beyond the drain grace; a change in the next one is still in time
-	bodyTimeout    time.Duration // time for the rest of a response whose body has begun
+	pollWait        time.Duration // maximum time for which a long poll waits for a change
+	pollWaitJitter  time.Duration // maximum reduction of pollWait, so that polls that began together don't end together
+	responseTimeout time.Duration // maximum time for the response after the wait
+	graceMargin     time.Duration // for that response beyond the drain grace; a change in the next one is still in time
+	bodyTimeout     time.Duration // time for the rest of a response whose body has begun
 
 	// The following apply after a call that failed or was abandoned. A change counts as delivered 6 s after the service
 	// can be reached again. A call that was begun too early, the longest backoff and the call that returns the change
 	// must fit into these 6 s.
 
-	recoveryWait          time.Duration // wait of long polls until one of them gets a response
-	recoveryAnswerTimeout time.Duration // time for the response after that wait, and for a full list
-	initialBackoff        time.Duration // maximum after the first failure; doubles with each further failure
-	maxBackoff            time.Duration
+	recoveryWait            time.Duration // wait of long polls until one of them gets a response
+	recoveryResponseTimeout time.Duration // time for the response after that wait, and for a full list
+	initialBackoff          time.Duration // maximum after the first failure; doubles with each further failure
+	maxBackoff              time.Duration
 
 	// The following apply to calls to an agent to which lists are pushed. The agent's state counts as delivered, so a
 	// call without a response is repeated at once.
 
-	agentPollWait      time.Duration
-	agentRetryInterval time.Duration // long poll wait after a call without a response; backoff after a failed call
-	agentAnswerTimeout time.Duration
+	agentPollWait        time.Duration
+	agentRetryInterval   time.Duration // long poll wait after a call without a response; backoff after a failed call
+	agentResponseTimeout time.Duration
 }
 
 var defaultTiming = timing{
-	pollWait:              10 * time.Second,
-	pollWaitJitter:        2 * time.Second,
-	answerTimeout:         1500 * time.Millisecond,
-	graceMargin:           500 * time.Millisecond,
-	bodyTimeout:           2 * time.Second,
-	recoveryWait:          100 * time.Millisecond,
-	recoveryAnswerTimeout: 2400 * time.Millisecond,
-	initialBackoff:        750 * time.Millisecond,
-	maxBackoff:            2 * time.Second,
-	agentPollWait:         time.Second,
-	agentRetryInterval:    100 * time.Millisecond,
-	agentAnswerTimeout:    150 * time.Millisecond,
+	pollWait:                10 * time.Second,
+	pollWaitJitter:          2 * time.Second,
+	responseTimeout:         1500 * time.Millisecond,
+	graceMargin:             500 * time.Millisecond,
+	bodyTimeout:             2 * time.Second,
+	recoveryWait:            100 * time.Millisecond,
+	recoveryResponseTimeout: 2400 * time.Millisecond,
+	initialBackoff:          750 * time.Millisecond,
+	maxBackoff:              2 * time.Second,
+	agentPollWait:           time.Second,
+	agentRetryInterval:      100 * time.Millisecond,
+	agentResponseTimeout:    150 * time.Millisecond,
 }
 
 // pollTimes returns how long a long poll waits for a change, and how long its response may take after that wait.
 func (w *Watch) pollTimes() (wait, responseTimeout time.Duration) {
 	switch {
 	case w.mode.Pushed && w.recovering:
-		return w.timing.agentRetryInterval, w.timing.agentAnswerTimeout
+		return w.timing.agentRetryInterval, w.timing.agentResponseTimeout
 	case w.mode.Pushed:
-		return w.timing.agentPollWait, w.timing.agentAnswerTimeout
+		return w.timing.agentPollWait, w.timing.agentResponseTimeout
 	case w.recovering:
-		return w.timing.recoveryWait, w.timing.recoveryAnswerTimeout
+		return w.timing.recoveryWait, w.timing.recoveryResponseTimeout
 	}
 	// The response timeout is this short because a call that is lost without an error must not hide a change. A change
 	// counts as delivered 2 s after the wait, which leaves time for another call.
 	jitter := time.Duration(w.rng.Int64N(int64(w.timing.pollWaitJitter)))
-	return w.timing.pollWait - jitter, min(w.timing.answerTimeout, w.mode.DrainGrace+w.timing.graceMargin)
+	return w.timing.pollWait - jitter, min(w.timing.responseTimeout, w.mode.DrainGrace+w.timing.graceMargin)
 }
 
 // listTimeout returns the time for the response to a call that is not a long poll.
 func (w *Watch) listTimeout() time.Duration {
 	timeout := min(maxListTimeout, w.mode.DrainGrace+listGraceMargin)
 	if w.recovering {
-		timeout = min(timeout, w.timing.recoveryAnswerTimeout)
+		timeout = min(timeout, w.timing.recoveryResponseTimeout)
 	}
 	return timeout
 }
