--- a/internal/platform/line/line.go
+++ b/internal/platform/line/line.go
@@ -14,7 +14,7 @@
 const MaxBytes = 4 << 10
 
 const (
-	maxFields         = 32 // maximum number of fields in a line; valid lines have fewer
+	maxFields         = 32 // maximum number of fields in a line; the protocol defines fewer
 	wordsBeforeFields = 3  // OPEN, the id and the key precede the fields of an OPEN line
 )
 
@@ -28,8 +28,8 @@
 func NewReader(partial []byte) Reader { return Reader{partial} }
 
 // Next returns the first line that ends in piece, including its line ending, and the bytes after it. If no line ends in
-// piece, Next buffers the piece and returns a nil line. A line that arrived in one piece is valid until the next call.
-// The only error is ErrTooLong.
+// piece, Next buffers the piece and returns a nil line. A line that arrived in one piece is part of that piece and only
+// valid until the next call. A line assembled from several pieces stays valid. The only error is ErrTooLong.
 func (r *Reader) Next(piece []byte) (text, rest []byte, err error) {
 	end := bytes.IndexByte(piece, '\n')
 	if end < 0 {
@@ -50,7 +50,7 @@
 	return text, rest, nil
 }
 
-// MidLine reports whether the last byte read is inside a line.
+// MidLine reports whether the bytes read so far end within a line.
 func (r *Reader) MidLine() bool { return len(r.partial) > 0 }
 
 // Partial returns the buffered bytes of the unfinished line.
@@ -79,7 +79,7 @@
 // NewScanner returns a Scanner that continues an unfinished line. partialBytes is the PartialBytes of another Scanner.
 func NewScanner(partialBytes int) Scanner { return Scanner{partialBytes} }
 
-// MidLine reports whether the last byte read is inside a line.
+// MidLine reports whether the bytes read so far end within a line.
 func (s *Scanner) MidLine() bool { return s.partialBytes > 0 }
 
 // PartialBytes returns the number of bytes counted in the unfinished line.
@@ -163,8 +163,8 @@
 	count := 0
 	for field := range bytes.SplitSeq(list, []byte(",")) {
 		name, _, hasValue := bytes.Cut(field, []byte("="))
-		known := func(other []byte) bool { return bytes.Equal(other, name) }
-		if !hasValue || count == maxFields || slices.ContainsFunc(names[:count], known) {
+		sameName := func(other []byte) bool { return bytes.Equal(other, name) }
+		if !hasValue || count == maxFields || slices.ContainsFunc(names[:count], sameName) {
 			return string(field)
 		}
 		names[count] = name
@@ -173,7 +173,8 @@
 	return ""
 }
 
-// FieldsStart returns the index at which the list of fields of an OPEN line starts, which is after its third space.
+// FieldsStart returns the index at which the list of fields of an OPEN line starts, which is after its third space. If
+// there is no third space, it returns the length of the line.
 func FieldsStart(text []byte) int {
 	start := 0
 	for range wordsBeforeFields {
--- a/internal/platform/line/line_test.go
+++ b/internal/platform/line/line_test.go
@@ -81,7 +81,7 @@
 func TestParseNumber(t *testing.T) {
 	for text, want := range map[string]float64{"0": 0, "-0": 0, "1.5": 1.5, "1e3": 1000} {
 		if got, ok := ParseNumber(text); !ok || got != want {
-			t.Errorf("ParseNumber(%q): got %v, %v, want a valid number", text, got, ok)
+			t.Errorf("ParseNumber(%q): got %v, %v, want its value and true", text, got, ok)
 		}
 	}
 	for _, text := range []string{"", "x", "1 ", "-1", "NaN", "Inf", "+Inf", "-Inf", "1e999"} {
--- a/internal/platform/upstream/cluster.go
+++ b/internal/platform/upstream/cluster.go
@@ -14,7 +14,7 @@
 	"spurwinch/internal/platform/line"
 )
 
-// reportFieldAliases maps names of load report values in the settings to the different names that some servers use.
+// reportFieldAliases maps the settings' names of load report values to the names that some servers use instead.
 var reportFieldAliases = map[string]string{
 	"outstanding":  "inflight",
 	"backlog":      "queue",
@@ -53,7 +53,8 @@
 // SetReportFields sets the names of the values in later load reports.
 func (c *Cluster) SetReportFields(reportFields []string) { c.reportFields = reportFields }
 
-// Attempt starts an attempt. openLine is the client's OPEN line; only its deadline field d is rewritten.
+// Attempt dials the attempt's server and returns the request, which sends openLine once the connection is established.
+// openLine is the client's OPEN line; only its deadline field d is rewritten.
 func (c *Cluster) Attempt(attempt *edge.Attempt, openLine []byte, sink Sink) *Request {
 	request := &Request{cluster: c, attempt: attempt, sink: sink, openLine: openLine}
 	request.conn = c.loop.Dial(attempt.Server.Addr, attempt.ConnectBy(), request)
--- a/internal/platform/upstream/healthcheck.go
+++ b/internal/platform/upstream/healthcheck.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// checker returns the health checker of a server. It drops a health checker that uses a former address of the server.
+// checker returns the health checker of a server and creates one if necessary. It drops a health checker that uses a
+// former address of the server.
 func (c *Cluster) checker(server edge.ServerEntry) *healthChecker {
 	checker := c.checkers[server.ID]
 	if checker != nil && checker.addr == server.Addr {
@@ -195,7 +196,7 @@
 	return true
 }
 
-// OnEnd fails the health check in flight.
+// OnEnd handles the end of the connection and fails the health check in flight, if there is one.
 func (h *healthChecker) OnEnd(err error) {
 	outcome := choice.Reset
 	switch {
--- a/internal/platform/upstream/relay.go
+++ b/internal/platform/upstream/relay.go
@@ -10,7 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// relay forwards the server's bytes and reads the load, the delay and the closing line from them for the core.
+// relay forwards the server's bytes to the client. For the core, it reads the load, the reply delay and the closing
+// line from them.
 func (r *Request) relay(data []byte) {
 	err := r.serverLines.Scan(data, r.onServerLine)
 	if err != nil && !r.closed {
@@ -40,7 +41,7 @@
 	case "MOVE":
 		r.lastClosingLine = closingMove
 	}
-	// One client line is timed at a time, and any line of the server but LOAD ends the measurement. Otherwise a client
+	// One client line is timed at a time, and any server line other than LOAD ends the measurement. Otherwise a client
 	// line that gets no reply would make the replies to all later lines look late.
 	if !r.awaitingReplySince.IsZero() {
 		r.attempt.ObserveDelay(r.cluster.loop.Now().Sub(r.awaitingReplySince))
@@ -70,8 +71,9 @@
 	return nil
 }
 
-// checkReplyDelay reports how long the timed line has waited for its reply so far. It detects servers that stay silent
-// on an open connection, for which no reply would ever show how slow they are.
+// checkReplyDelay reports to the core how long the client line that is being timed has waited for its reply so far, or
+// that the server is unresponsive. It detects servers that stay silent on an open connection, for which no reply would
+// ever show how slow they are.
 func (r *Request) checkReplyDelay() {
 	r.stopReplyTimer = nil
 	if r.closed || r.awaitingReplySince.IsZero() {
--- a/internal/platform/upstream/request.go
+++ b/internal/platform/upstream/request.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	replyCheckInterval = time.Second
-	loadUnit           = 1e6 // LOAD lines report microseconds of work per second
-	maxAddedDigits     = 8   // by which a rewritten field d may be longer
-	maxQuotedBytes     = 60  // quoted from an unknown reply in an error
+	replyCheckInterval = time.Second // until a silent server is first checked; later checks follow after half of it
+	loadUnit           = 1e6         // LOAD lines report microseconds of work per second
+	maxAddedDigits     = 8           // extra digits that a rewritten field d may have
+	maxQuotedBytes     = 60          // length of the part of an unknown reply that an error quotes
 )
 
 // Errors of a server's reply.
 var (
 	errLineTooLong  = errors.New("reply line is longer than 4096 bytes")
-	errNoReceipt    = errors.New("UP line must have a printable receipt")
+	errNoReceipt    = errors.New("UP line must be printable and have a receipt")
 	errUnknownReply = errors.New("reply must be UP, BUSY, ERR or BYE")
 )
 
@@ -52,7 +52,7 @@
 	established        bool
 	closed             bool
 	lastClosingLine    closingLine // noClosingLine if the server's last line was another one
-	awaitingReplySince time.Time   // when the line was forwarded whose reply is being timed; zero: none
+	awaitingReplySince time.Time   // when the client line that is being timed was forwarded; zero: none
 	stopReplyTimer     func()
 }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-// onReply handles the server's first line. rest are the bytes that arrived after it.
+// onReply handles the server's first line. rest contains the bytes that arrived after it.
 func (r *Request) onReply(text, rest []byte) {
 	word, info, _ := bytes.Cut(line.Trim(text), []byte(" "))
 	switch string(word) {
@@ -112,7 +112,7 @@
 		r.sink.Served(text)
 	default:
 		start := string(text[:min(len(text), maxQuotedBytes)])
-		r.failUnreadable(fmt.Errorf("%w: %s", errUnknownReply, strconv.QuoteToASCII(start)))
+		r.failUnreadable(fmt.Errorf("%w, got %s", errUnknownReply, strconv.QuoteToASCII(start)))
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 }
 
-// failUnreadable fails an attempt whose reply is invalid in the protocol.
+// failUnreadable fails an attempt whose reply violates the protocol.
 func (r *Request) failUnreadable(cause error) {
 	if r.closed {
 		return
@@ -218,7 +218,8 @@
 	return choice.Reset
 }
 
-// OnDrained notifies the client's side that it may resume reading.
+// OnDrained reports that the OPEN line has been written. On an established connection, it notifies the client's side
+// that it may resume reading.
 func (r *Request) OnDrained() {
 	r.reportWritten()
 	if r.established && !r.closed {
--- a/internal/platform/upstream/transfer.go
+++ b/internal/platform/upstream/transfer.go
@@ -19,11 +19,11 @@
 // node transfers to another.
 type ConnectionState struct {
 	Conn                   loop.ConnectionState `cbor:"1,keyasint"`
-	PartialServerLine      []byte               `cbor:"2,keyasint,omitempty"` // of the server's unfinished line
-	PartialClientLineBytes int                  `cbor:"3,keyasint,omitempty"` // of the client's unfinished line
+	PartialServerLine      []byte               `cbor:"2,keyasint,omitempty"` // start of the server's unfinished line
+	PartialClientLineBytes int                  `cbor:"3,keyasint,omitempty"` // in the client's unfinished line
 	ClosingLine            uint8                `cbor:"4,keyasint,omitempty"` // last line: 0 other, 1 BYE, 2 MOVE
-	// AwaitingReplySince is the Unix time in nanoseconds at which the line was sent that awaits a reply; 0: no line
-	// awaits a reply. Releases without AwaitingReplyFor use it.
+	// AwaitingReplySince is the Unix time in nanoseconds at which the client line that awaits a reply was sent; 0: no
+	// line awaits a reply. Releases without AwaitingReplyFor use it.
 	AwaitingReplySince int64 `cbor:"5,keyasint,omitempty"`
 	AwaitingReplyFor   int64 `cbor:"6,keyasint,omitempty"` // nanoseconds since that line was sent; 0: none
 }
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// awaitingReplySince returns when the line was sent that awaits its reply, on this process's clock.
+// awaitingReplySince returns when the line that awaits its reply was sent, on this process's clock.
 func (s ConnectionState) awaitingReplySince(now time.Time) time.Time {
 	waited := time.Duration(s.AwaitingReplyFor)
 	if waited == 0 {
