--- a/internal/platform/downstream/client.go
+++ b/internal/platform/downstream/client.go
@@ -22,7 +22,7 @@
 	// sends something else before it. A client that sends no valid request must get an error or be disconnected within
 	// 3 s.
 	firstLineTimeout     = 2500 * time.Millisecond
-	readyTimeout         = 30 * time.Second // for PONG, on a node that knows no servers yet
+	readyTimeout         = 30 * time.Second // wait for PONG on a node that knows no servers yet
 	connectionLimitRetry = time.Second      // retry after in the rejection of a request at the connection limit
 )
 
@@ -140,8 +140,8 @@
 	c.openLine = bytes.Clone(raw)
 	c.conn.LeaveIdleQueue()
 	if !c.front.ensureCapacity() {
-		// Reject the request now: it needs another descriptor for its server, and must not run out of descriptors
-		// after it was accepted.
+		// Reject the request now, because it needs another descriptor for its server, and the node must not run out of
+		// descriptors after accepting it.
 		zap.L().Warn("connection_limit_reached",
 			zap.String("front", "platform"), zap.Int("open_connections", c.front.loop.Open()))
 		c.front.core.Reject(spec, c, connectionLimitRetry)
@@ -199,7 +199,7 @@
 	c.conn.End()
 }
 
-// drop closes a connection whose client is owed no reply.
+// drop closes a connection without a last line. No request of its client may be waiting for the node's reply.
 func (c *client) drop(cause trace.Close) {
 	c.close(invariant.ByClient, cause)
 	c.conn.End()
--- a/internal/platform/downstream/client_disconnect_test.go
+++ b/internal/platform/downstream/client_disconnect_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// maxAttemptDelay is the time after a client's disconnect within which an attempt may still begin.
+// maxAttemptDelay is the time after a client's disconnect within which the platform tolerates that an attempt begins.
+// Failure messages state it; the tests are stricter and tolerate no attempt.
 const maxAttemptDelay = 100 * time.Millisecond
 
 // serverLine is a line that a server has received.
@@ -53,14 +54,14 @@
 // left in flight.
 func (n *testNode) requireNoAttempt(lines chan serverLine, what string) {
 	n.t.Helper()
-	gone := time.Now()
+	disconnected := time.Now()
 	end := time.After(700 * time.Millisecond)
 	for waiting := true; waiting; {
 		select {
 		case received := <-lines:
 			if strings.HasPrefix(received.text, "OPEN") {
 				n.t.Errorf("%s: an attempt began %v after the client disconnected, want none (%v are allowed)",
-					what, time.Since(gone), maxAttemptDelay)
+					what, time.Since(disconnected), maxAttemptDelay)
 			}
 		case <-end:
 			waiting = false
@@ -78,7 +79,7 @@
 // the end of the wait together with the client's disconnect.
 type pendingState struct {
 	name     string
-	changes  []string // to the settings
+	changes  []string // to the settings, as newTestNode takes them
 	openLine string
 	reach    func(node *testNode, lines chan serverLine) (finish func())
 }
@@ -92,6 +93,7 @@
 	{"retry of a connection opened before the start", nil, "OPEN 01 01 c=chat,d=39000,at=h0", untilOpenAtRetry},
 }
 
+// untilHealthCheckReply waits until both servers get a health check. finish sends both replies.
 func untilHealthCheckReply(node *testNode, lines chan serverLine) (finish func()) {
 	first := node.waitForLine(lines, "STATS")
 	second := node.waitForLine(lines, "STATS")
@@ -103,12 +105,14 @@
 	}
 }
 
+// untilHealthCheckTimeout waits until both servers get a health check. finish lets both time out.
 func untilHealthCheckTimeout(node *testNode, lines chan serverLine) (finish func()) {
 	node.waitForLine(lines, "STATS")
 	node.waitForLine(lines, "STATS")
 	return func() { time.Sleep(250 * time.Millisecond) } // blocks the loop past the timeout, so that its timer is late
 }
 
+// untilRejected waits until a server gets the request. finish makes that server reject it.
 func untilRejected(node *testNode, lines chan serverLine) (finish func()) {
 	attempt := node.waitForLine(lines, "OPEN")
 	return func() {
@@ -117,20 +121,24 @@
 	}
 }
 
+// untilReset waits until a server gets the request. finish makes that server reset the connection.
 func untilReset(node *testNode, lines chan serverLine) (finish func()) {
 	attempt := node.waitForLine(lines, "OPEN")
 	return func() { node.endConnection(attempt.conn.Conn, reset) }
 }
 
+// untilAttemptTimeout waits until a server gets the request. finish lets the attempt time out.
 func untilAttemptTimeout(node *testNode, lines chan serverLine) (finish func()) {
 	node.waitForLine(lines, "OPEN")
 	return func() { time.Sleep(2500 * time.Millisecond) } // blocks the loop past the attempt's timeout
 }
 
+// untilOpenAtRetry waits until a server gets the request and makes it reject the request. finish waits for the end of
+// the backoff before the retry.
 func untilOpenAtRetry(node *testNode, lines chan serverLine) (finish func()) {
 	attempt := node.waitForLine(lines, "OPEN")
-	send(attempt.conn, "BUSY\r\n") // the request is retried after a backoff
-	return func() { time.Sleep(400 * time.Millisecond) }
+	send(attempt.conn, "BUSY\r\n")                       // the request is retried after a backoff
+	return func() { time.Sleep(400 * time.Millisecond) } // blocks the loop past the backoff
 }
 
 // TestPendingRequestGetsAttempt checks that each wait ends in an attempt if the client stays connected. This shows that
@@ -224,7 +232,7 @@
 // same grant must begin one.
 func TestClientDisconnectsDuringPeerRequest(t *testing.T) {
 	const nodes = 400
-	const grant = 1<<4 | 4 // version of the messages, and kind of the reply
+	const grant = 1<<4 | 4 // first byte of a reply: version 1 of the peer messages, kind 4 (reservation granted)
 	for _, test := range []struct {
 		name        string
 		disconnects bool
@@ -241,7 +249,7 @@
 			lines := node.readServers()
 			conn, client := node.dialClient()
 			send(conn, openLine+"\r\n")
-			question := <-node.peerMessages
+			peerRequest := <-node.peerMessages
 			node.onLoop(func() {
 				node.requireInFlight(1)
 				client.conn.Pause()
@@ -250,8 +258,8 @@
 					node.endConnection(conn, closed)
 				}
 				if test.replied {
-					reply := []byte{grant, question.payload[1], question.payload[2], 1, 0}
-					node.core.ReceivePeerMessage(question.peer, reply)
+					reply := []byte{grant, peerRequest.payload[1], peerRequest.payload[2], 1, 0}
+					node.core.ReceivePeerMessage(peerRequest.peer, reply)
 				} else {
 					time.Sleep(200 * time.Millisecond) // blocks the loop past the reply's timeout
 				}
--- a/internal/platform/downstream/open_line.go
+++ b/internal/platform/downstream/open_line.go
@@ -16,7 +16,7 @@
 const (
 	openLineWords  = 4                // OPEN, the id, the key and the list of fields
 	maxIDBytes     = 64               // length of a request's id
-	maxQuotedBytes = 24               // quoted from an invalid value in an error
+	maxQuotedBytes = 24               // length of the part of an invalid value that an error quotes
 	maxDeadline    = time.Hour        // a larger field d is reduced to this
 	maxLoad        = 1e9              // a larger field h is rejected
 	openAtDeadline = 39 * time.Second // for a connection opened before the node started; it counts as lost after 40 s
@@ -137,7 +137,7 @@
 	}
 	milliseconds, ok := line.ParseNumber(text)
 	if !ok || !hasOpenAt && milliseconds > math.MaxUint32 {
-		return 0, fmt.Errorf("%w: %s", errDeadline, strconv.QuoteToASCII(text[:min(len(text), maxQuotedBytes)]))
+		return 0, fmt.Errorf("%w, got %s", errDeadline, strconv.QuoteToASCII(text[:min(len(text), maxQuotedBytes)]))
 	}
 	return time.Duration(min(milliseconds, float64(maxDeadline.Milliseconds())) * float64(time.Millisecond)), nil
 }
--- a/internal/platform/downstream/relay.go
+++ b/internal/platform/downstream/relay.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// Established forwards the server's UP line. From then on the server replies to the client.
+// Established forwards the server's UP line. From then on only the server replies to the client.
 func (c *client) Established(upLine []byte) {
 	c.established = true
 	c.conn.Write(upLine)
@@ -19,8 +19,9 @@
 	c.throttle()
 }
 
-// forwardToServer forwards the client's bytes on an established connection. The only error of Write is a line that is
-// too long. It closes the connection on both sides without a reply, because only the server replies at this stage.
+// forwardToServer forwards the client's bytes on an established connection. If a line is too long, which is the
+// only error of Write, it closes the connection on both sides without a reply, because only the server replies at this
+// stage.
 func (c *client) forwardToServer(data []byte) {
 	if err := c.server.Write(data); err != nil {
 		zap.L().Warn("client_line_too_long")
@@ -71,14 +72,14 @@
 	}
 }
 
-// OnDrained resumes reading from the server, since the bytes for the client have been written.
+// OnDrained resumes reading from the server, now that the bytes for the client have been written.
 func (c *client) OnDrained() {
 	if c.established && !c.closed {
 		c.server.Resume()
 	}
 }
 
-// ServerDrained resumes reading from the client, since the bytes for the server have been written.
+// ServerDrained resumes reading from the client, now that the bytes for the server have been written.
 func (c *client) ServerDrained() {
 	if c.established && !c.closed {
 		c.conn.Resume()
@@ -99,8 +100,8 @@
 	}
 }
 
-// Migrate asks the client to reconnect, at the end of the server's current line or at the time by, whichever is
-// earlier.
+// Migrate asks the client to reconnect, at the end of the server's current line or, if that is earlier, at the given
+// time.
 func (c *client) Migrate(by time.Time) {
 	if c.closed {
 		return
--- a/internal/platform/downstream/testnode_test.go
+++ b/internal/platform/downstream/testnode_test.go
@@ -50,8 +50,8 @@
 	net.Conn
 }
 
-// newTestNode runs a front with the given number of servers. changes are pairs of old and new text that are replaced in
-// the settings.
+// newTestNode runs a front with the given number of servers. changes are pairs of a text in the settings and the text
+// that replaces it.
 func newTestNode(t *testing.T, servers int, changes ...string) *testNode {
 	t.Helper()
 	return newTestNodeOnKernel(t, loop.Linux{}, servers, changes...)
@@ -223,23 +223,23 @@
 
 // dialServer makes the front read a client's line and dial its server. It returns when the server has accepted the
 // connection, which the loop doesn't know yet. It must be called on the loop.
-func (n *testNode) dialServer(conn net.Conn, dialling *client, text string) serverConn {
+func (n *testNode) dialServer(conn net.Conn, frontClient *client, text string) serverConn {
 	n.t.Helper()
 	send(conn, text+"\r\n")
 	n.waitDelivered(conn)
-	dialling.conn.ReadAvailable()
+	frontClient.conn.ReadAvailable()
 	n.core.Flush()
 	return n.acceptOnServer()
 }
 
-// onNextDial runs a function on the loop when the front next dials a server for a client, before the loop knows that
-// the connection is established.
-func (n *testNode) onNextDial(dialling *client, fn func()) {
+// onNextDial makes the loop run a function whenever the front has dialled another server for a client, before the loop
+// knows that the connection is established.
+func (n *testNode) onNextDial(frontClient *client, fn func()) {
 	n.onLoop(func() {
-		last := dialling.server
+		last := frontClient.server
 		n.loop.After(func() {
-			if dialling.server != last {
-				last = dialling.server
+			if frontClient.server != last {
+				last = frontClient.server
 				fn()
 			}
 		})
@@ -299,8 +299,8 @@
 type disconnect string
 
 const (
-	closed     disconnect = "end"
-	halfClosed disconnect = "half"
+	closed     disconnect = "close"
+	halfClosed disconnect = "half-close"
 	reset      disconnect = "reset"
 )
 
--- a/internal/platform/downstream/transfer.go
+++ b/internal/platform/downstream/transfer.go
@@ -13,8 +13,8 @@
 
 // Errors in a connection that another process transfers.
 var (
-	errClientState = errors.New("transferred state of the client's side is out of range")
-	errMissingSide = errors.New("core and front states differ in whether the connection is established")
+	errClientState = errors.New("unfinished lines of a connection must be 0 to 4096 bytes long")
+	errMissingSide = errors.New("core state and server state of a connection must both be present or both be absent")
 	errSocketCount = errors.New("wrong number of sockets for a connection")
 )
 
@@ -23,9 +23,9 @@
 // yet.
 type ConnectionState struct {
 	Conn                   loop.ConnectionState      `cbor:"1,keyasint"`
-	PartialServerLineBytes int                       `cbor:"2,keyasint,omitempty"` // of the server's unfinished line
+	PartialServerLineBytes int                       `cbor:"2,keyasint,omitempty"` // in the server's unfinished line
 	Server                 *upstream.ConnectionState `cbor:"3,keyasint,omitempty"`
-	FirstLine              []byte                    `cbor:"4,keyasint,omitempty"` // start of the unfinished line
+	FirstLine              []byte                    `cbor:"4,keyasint,omitempty"` // start of the unfinished first line
 	Pinged                 bool                      `cbor:"5,keyasint,omitempty"`
 	// FirstLineDeadline is the Unix time in nanoseconds by which the first line must be complete. Releases without
 	// FirstLineTimeLeft use it.
@@ -144,7 +144,8 @@
 	return all
 }
 
-// Detach removes the connection from the loop, unless its client has sent a request or it is closed.
+// Detach removes the connection from the loop, unless its client has sent a request or the connection is closed or
+// about to end.
 func (c IdleConnection) Detach() (fds []int, state any, ok bool) {
 	idle := c.client
 	if idle.closed || idle.request != nil {
--- a/internal/platform/downstream/transfer_test.go
+++ b/internal/platform/downstream/transfer_test.go
@@ -17,7 +17,7 @@
 			fds, detached, ok := IdleConnection{client}.Detach()
 			state, isState := detached.(ConnectionState)
 			if !ok || !isState {
-				t.Error("Detach of an idle connection failed, want a ConnectionState")
+				t.Error("Detach of an idle connection: got no ConnectionState or ok=false, want both")
 				return
 			}
 			fd, err := unix.Dup(fds[0])
