--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -47,7 +47,8 @@
 	return discovery
 }
 
-// acceptAll serves each connection of a listener. It numbers the connections from 1.
+// acceptAll accepts connections until the listener is closed and numbers them from 1. It calls serve for each
+// connection in a separate goroutine, and then closes the connection.
 func acceptAll(listener net.Listener, serve func(conn net.Conn, number int)) {
 	for number := 1; ; number++ {
 		conn, err := listener.Accept()
@@ -96,7 +97,7 @@
 	}
 }
 
-// okResponse returns a complete response with a body.
+// okResponse returns a complete HTTP response with status 200 and the given body.
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
@@ -141,7 +142,7 @@
 	return short
 }
 
-// startWatch runs a watch until the test ends. events receives the kind of each list of which the watch notifies.
+// startWatch runs a watch until the test ends. events receives the kind of each of the watch's notifications.
 func startWatch(
 	t *testing.T, addr string, known *List, mode Mode, times timing,
 ) (watch *Watch, events chan choice.ListKind) {
--- a/internal/platform/discovery/list.go
+++ b/internal/platform/discovery/list.go
@@ -28,6 +28,7 @@
 	StartedMS int64    `json:"started_ms"` // wall clock time of its last start in milliseconds; 0: long ago
 }
 
+// serverStates maps the discovery service's names of server states to the balancer's states.
 var serverStates = map[string]choice.ServerState{
 	"SERVING":  choice.Ready,
 	"DRAINING": choice.Draining,
@@ -86,7 +87,7 @@
 }
 
 // NewList returns a full list of servers in the JSON format of the discovery service. A negative version means that the
-// list has no version of the service.
+// service assigned no version to the list.
 func NewList(version int64, servers []edge.ServerEntry) List {
 	list := List{Version: version, Full: true, Servers: []entry{}}
 	for _, server := range servers {
@@ -106,8 +107,8 @@
 
 // stateName returns the discovery service's name of a state.
 func stateName(state choice.ServerState) string {
-	for name, named := range serverStates {
-		if named == state {
+	for name, other := range serverStates {
+		if other == state {
 			return name
 		}
 	}
--- a/internal/platform/discovery/outage_test.go
+++ b/internal/platform/discovery/outage_test.go
@@ -40,8 +40,8 @@
 // listens reports whether the service listens in such an outage.
 func (k outageKind) listens() bool { return k != portClosed && k != connectHangs }
 
-// outage is a discovery service that is unavailable until it is restored. It then has a change in its list. Calls that
-// arrived before get no response with the change.
+// outage is a discovery service that is unavailable until it is restored. Its list then contains a change. Calls that
+// arrived during the outage get no response with that change.
 type outage struct {
 	t        *testing.T
 	kind     outageKind
@@ -52,6 +52,7 @@
 	restored chan time.Time // when the service was restored
 }
 
+// newOutage returns a discovery service that is unavailable in the given way.
 func newOutage(t *testing.T, kind outageKind) *outage {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -156,7 +157,7 @@
 
 // serveInOutage handles a call during the outage and reports whether its connection stays open.
 func (o *outage) serveInOutage(conn net.Conn) bool {
-	const begun = "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{"
+	const unfinishedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{"
 	switch o.kind {
 	case unavailable:
 		send(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -166,10 +167,10 @@
 	case noResponse:
 		waitForEnd(conn)
 	case endlessResponse:
-		send(conn, begun)
+		send(conn, unfinishedResponse)
 		drip(conn)
 	case stalledResponse:
-		send(conn, begun)
+		send(conn, unfinishedResponse)
 		waitForEnd(conn)
 	case portClosed, connectHangs, connClosed:
 	}
--- a/internal/platform/discovery/outcome.go
+++ b/internal/platform/discovery/outcome.go
@@ -16,7 +16,7 @@
 var (
 	errTimeout       = errors.New("no response before the timeout")
 	errBodyTimeout   = errors.New("response body not complete before the timeout")
-	errStatus        = errors.New("unexpected status")
+	errStatus        = errors.New("response status must be 200")
 	errNoServers     = errors.New("full list has no servers; keeping the known servers")
 	errConnEnded     = errors.New("connection ended before the response")
 	errResponseEnded = errors.New("connection ended within the response")
@@ -25,7 +25,7 @@
 // OnConnect sends the request that waits for the connection.
 func (w *Watch) OnConnect() { w.conn.Write([]byte(w.call.request)) }
 
-// OnData handles bytes of the response.
+// OnData handles bytes of the response. Bytes without a call in flight close the connection.
 func (w *Watch) OnData(data []byte) {
 	if !w.polling {
 		w.close()
@@ -44,7 +44,8 @@
 }
 
 // limitBodyTime sets a timeout for the rest of a response whose body has begun, in case it never ends. The part that
-// was received may contain a whole change, which counts as delivered although the watch can't decode it yet.
+// was received may contain a whole change, which counts as delivered although the watch can't decode it yet. If the
+// call's own deadline is earlier, it stays.
 func (w *Watch) limitBodyTime() {
 	deadline := w.loop.Now().Add(w.timing.bodyTimeout)
 	if deadline.After(w.call.deadline) {
@@ -60,7 +61,7 @@
 // onResponse handles a complete response.
 func (w *Watch) onResponse() {
 	if w.call.response.status != http.StatusOK {
-		w.callFailed(fmt.Errorf("%w %d", errStatus, w.call.response.status))
+		w.callFailed(fmt.Errorf("%w, got %d", errStatus, w.call.response.status))
 		return
 	}
 	list, err := ParseList(w.call.response.body)
@@ -172,7 +173,7 @@
 }
 
 // OnEnd handles the end of the connection. It completes a response whose body ends with the connection. Any other call
-// in flight is repeated or has failed.
+// in flight is repeated or fails.
 func (w *Watch) OnEnd(err error) {
 	if !w.polling {
 		w.close()
--- a/internal/platform/discovery/recovery_test.go
+++ b/internal/platform/discovery/recovery_test.go
@@ -15,10 +15,10 @@
 	return &List{Version: 41, Full: true, Servers: []entry{{ID: "s-1", Addr: "127.0.0.1:9", State: "SERVING"}}}
 }
 
-// TestChangeDeliveredAfterOutage restores the discovery service, with a change, at the worst moment: right after a call
-// has failed, before the longest backoff, or right after a call has begun that never ends. The node must have the
-// change within 6 s, although its settings allow ten minutes without a call. The test uses the real balancer, which
-// decides when to poll.
+// TestChangeDeliveredAfterOutage checks that a node gets a change within 6 s after an outage of the discovery service,
+// although its settings allow ten minutes without a call. The service is restored at the worst moment: when a call has
+// just failed and the longest backoff begins, or when a call that never ends has just begun. The test uses the real
+// balancer, which decides when to poll.
 func TestChangeDeliveredAfterOutage(t *testing.T) {
 	const failures, hanging = 5, 3 // enough for backoffs to reach their maximum
 	for _, kind := range []outageKind{
@@ -33,9 +33,9 @@
 					list = knownList()
 				}
 				delay := service.deliveryDelay(list, failures, hanging)
-				t.Logf("delivered after %v", delay)
+				t.Logf("change delivered %v after the outage", delay)
 				if delay > maxDeliveryDelay {
-					t.Errorf("delivered after %v, want at most %v", delay, maxDeliveryDelay)
+					t.Errorf("change delivered %v after the outage, want at most %v", delay, maxDeliveryDelay)
 				}
 			})
 		}
@@ -50,7 +50,7 @@
 			t.Parallel()
 			delay := newOutage(t, kind).deliveryDelay(knownList(), 0, 1)
 			if delay > 2*defaultTiming.bodyTimeout {
-				t.Errorf("change delivered after %v, want at most twice the body timeout", delay)
+				t.Errorf("change delivered %v after the outage, want at most twice the body timeout", delay)
 			}
 		})
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestBackoffWithinDeliveryDelay checks that a call that was begun too early, the longest backoff and the next call
-// together fit into the time after which a change counts as delivered.
+// TestBackoffWithinDeliveryDelay checks that a call that began before the service could be reached, the longest backoff
+// and the next call together fit into the time after which a change counts as delivered.
 func TestBackoffWithinDeliveryDelay(t *testing.T) {
 	const lastCall = time.Second // time for the call that returns the change
 	for seed := range uint64(50) {
--- a/internal/platform/discovery/response.go
+++ b/internal/platform/discovery/response.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxHeadBytes   = 16 << 10 // of a response head, and of a line between chunks
+	maxHeadBytes   = 16 << 10 // of a response head, a chunk size line or a trailer line
 	maxBodyBytes   = 4 << 20
-	maxQuotedBytes = 60 // quoted from an invalid line in an error
+	maxQuotedBytes = 60 // length of the part of an invalid line that an error quotes
 	maxStatus      = 599
 
 	headEnd       = "\r\n\r\n"
@@ -22,15 +22,15 @@
 
 // Errors of an invalid response.
 var (
-	errNotHTTP          = errors.New("response must start with an HTTP/1.0 or HTTP/1.1 status line")
+	errNotHTTP          = errors.New("response must start with an HTTP/1.0 or 1.1 status line with status 100 to 599")
 	errHeadTooLong      = errors.New("response head is longer than 16 KiB")
 	errBodyTooLong      = errors.New("response body is longer than 4 MiB")
 	errTrailingBytes    = errors.New("more bytes after the response body")
-	errHeaderLine       = errors.New("header line must contain a colon, got")
-	errContentLength    = errors.New("Content-Length must be between 0 and 4194304, got")
-	errTransferEncoding = errors.New("Transfer-Encoding must be chunked, got")
-	errChunkLineTooLong = errors.New("chunk size line is longer than 16 KiB")
-	errChunkSize        = errors.New("chunk size must be between 0 and 400000 in hexadecimal, got")
+	errHeaderLine       = errors.New("header line must contain a colon")
+	errContentLength    = errors.New("Content-Length must be between 0 and 4194304")
+	errTransferEncoding = errors.New("Transfer-Encoding must be chunked")
+	errChunkLineTooLong = errors.New("chunk size line or trailer line is longer than 16 KiB")
+	errChunkSize        = errors.New("chunk size must be a hexadecimal number between 0 and 400000")
 )
 
 // response is an incremental parser for one HTTP response.
@@ -116,7 +116,7 @@
 	status, err := strconv.Atoi(code)
 	knownProtocol := protocol == "HTTP/1.1" || protocol == "HTTP/1.0"
 	if err != nil || status < http.StatusContinue || status > maxStatus || !knownProtocol {
-		return fmt.Errorf("%w: %q", errNotHTTP, quoted(lines[0]))
+		return fmt.Errorf("%w, got %q", errNotHTTP, quoted(lines[0]))
 	}
 	r.length = unknownLength
 	r.close = protocol == "HTTP/1.0"
@@ -141,19 +141,19 @@
 func (r *response) parseHeader(text string) error {
 	name, value, ok := strings.Cut(text, ":")
 	if !ok {
-		return fmt.Errorf("%w %q", errHeaderLine, quoted(text))
+		return fmt.Errorf("%w, got %q", errHeaderLine, quoted(text))
 	}
 	value = strings.TrimSpace(value)
 	switch strings.ToLower(name) {
 	case "content-length":
 		length, err := strconv.Atoi(value)
 		if err != nil || length < 0 || length > maxBodyBytes {
-			return fmt.Errorf("%w %q", errContentLength, value)
+			return fmt.Errorf("%w, got %q", errContentLength, value)
 		}
 		r.length = length
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
-			return fmt.Errorf("%w %q", errTransferEncoding, value)
+			return fmt.Errorf("%w, got %q", errTransferEncoding, value)
 		}
 		r.chunked = true
 	case "connection":
@@ -219,7 +219,7 @@
 	digits, _, _ := strings.Cut(text, ";") // chunk extensions follow the semicolon
 	size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 	if err != nil || size > maxBodyBytes {
-		return fmt.Errorf("%w %q", errChunkSize, digits)
+		return fmt.Errorf("%w, got %q", errChunkSize, digits)
 	}
 	if size == 0 {
 		r.inTrailer = true
--- a/internal/platform/discovery/response_test.go
+++ b/internal/platform/discovery/response_test.go
@@ -51,7 +51,7 @@
 					return
 				}
 				if complete != test.complete || string(parsed.body) != test.body || parsed.status != test.status {
-					t.Errorf("feed in pieces of %d bytes: got complete %v, status %d, body %q, want the table's",
+					t.Errorf("feed in pieces of %d bytes: got complete %v, status %d, body %q, want the test's values",
 						size, complete, parsed.status, parsed.body)
 				}
 			})
--- a/internal/platform/discovery/timing.go
+++ b/internal/platform/discovery/timing.go
@@ -7,21 +7,21 @@
 	// maxListTimeout limits the time for the response to a call that is not a long poll. The list of a new discovery
 	// service counts as delivered 4 s after SIGHUP.
 	maxListTimeout  = 4 * time.Second
-	listGraceMargin = 2500 * time.Millisecond // such a response may take this much longer than the drain grace
+	listGraceMargin = 2500 * time.Millisecond // that response may take this much longer than the drain grace
 )
 
-// timing holds the waits, timeouts and backoffs of calls. A list or change "counts as delivered" at a time from which
-// on the platform assumes that this node knows it.
+// timing holds the waits, timeouts and backoffs of calls. A list or change "counts as delivered" as soon as the
+// platform assumes that this node knows it.
 type timing struct {
 	pollWait        time.Duration // maximum time for which a long poll waits for a change
 	pollWaitJitter  time.Duration // maximum reduction of pollWait, so that polls that began together don't end together
 	responseTimeout time.Duration // maximum time for the response after the wait
-	graceMargin     time.Duration // for that response beyond the drain grace; a change in the next one is still in time
+	graceMargin     time.Duration // allowed beyond the drain grace; a change in the next response is still in time
 	bodyTimeout     time.Duration // time for the rest of a response whose body has begun
 
 	// The following apply after a call that failed or was abandoned. A change counts as delivered 6 s after the service
-	// can be reached again. A call that was begun too early, the longest backoff and the call that returns the change
-	// must fit into these 6 s.
+	// can be reached again. Three things must fit into these 6 s: a call that began before the service could be
+	// reached, the longest backoff, and the call that returns the change.
 
 	recoveryWait            time.Duration // wait of long polls until one of them gets a response
 	recoveryResponseTimeout time.Duration // time for the response after that wait, and for a full list
--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -37,14 +37,14 @@
 	stopTimer func()     // stops the timer of the call in flight or of the backoff; nil: no timer
 
 	recovering     bool // the last call failed, timed out or had a response that could not be decoded
-	failures       int  // backoffs since the last response that could be decoded
+	failures       int  // number of backoffs since the last response that could be decoded
 	lastUnreadable bool // the last response could not be decoded
 }
 
 // call is one HTTP request and its response.
 type call struct {
 	request    string // written once the connection is established
-	reusedConn bool   // its connection already existed for an earlier call
+	reusedConn bool   // sent on a connection on which an earlier call was served
 	longPoll   bool   // the service may wait for a change before it responds
 	response   response
 	deadline   time.Time // when the call is abandoned
--- a/internal/platform/discovery/watch_test.go
+++ b/internal/platform/discovery/watch_test.go
@@ -139,7 +139,7 @@
 		"truncated list": head + `{"version":9,"full":tr`,
 		"invalid JSON":   head + strings.Repeat("x", 39),
 		"unknown state": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" +
-			`{"version":9,"full":false,"servers":[{"id":"s","state":"NAPPING"}]}`,
+			`{"version":9,"full":false,"servers":[{"id":"s","state":"UNKNOWN"}]}`,
 		"not HTTP":     "nonsense\r\n\r\n",
 		"partial head": "HTTP/1.1 200 O",
 	} {
