--- a/internal/platform/discovery/watch_test.go
+++ b/internal/platform/discovery/watch_test.go
@@ -143,15 +143,15 @@
 		"not HTTP":     "nonsense\r\n\r\n",
 		"partial head": "HTTP/1.1 200 O",
 	} {
-		for times, want := range wantEvents {
+		for count, want := range wantEvents {
 			discovery := startDiscovery(t, 9)
-			for range times {
+			for range count {
 				discovery.raw <- response
 			}
 			_, events := startWatch(t, discovery.addr, &List{Version: 7}, Mode{}, defaultTiming)
 			if kind := receive(t, events); kind != want || len(discovery.calls) < 2 {
 				t.Errorf("%s, %d times: got event %v after %d calls, want %v after at least 2",
-					name, times, kind, len(discovery.calls), want)
+					name, count, kind, len(discovery.calls), want)
 			}
 		}
 	}
--- a/internal/platform/downstream/client.go
+++ b/internal/platform/downstream/client.go
@@ -30,8 +30,8 @@
 var (
 	errNoLine      = errors.New("no complete first line before the timeout")
 	errLineTooLong = errors.New("first line is longer than 4096 bytes")
-	errSecondLine  = errors.New("more bytes after the first line")
-	errBeforeReply = errors.New("more bytes before the reply to the first line")
+	errSecondLine  = errors.New("only one line is allowed before the reply, got more bytes after it")
+	errBeforeReply = errors.New("no bytes are allowed between the first line and its reply")
 	errLineFormat  = errors.New("first line must be printable ASCII and end with CRLF")
 	errUnfinished  = errors.New("connection ended within the first line")
 )
@@ -52,7 +52,7 @@
 	conn              *loop.Conn
 	firstLineReader   line.Reader
 	openLine          []byte // as received; nil once the connection is established or closed
-	pinged            bool
+	pinged            bool   // sent PING
 	request           *edge.Request
 	server            *upstream.Request
 	established       bool
--- a/internal/platform/downstream/client_disconnect_test.go
+++ b/internal/platform/downstream/client_disconnect_test.go
@@ -52,7 +52,7 @@
 
 // requireNoAttempt checks that no server receives a request after the client has disconnected, and that no request is
 // left in flight.
-func (n *testNode) requireNoAttempt(lines chan serverLine, what string) {
+func (n *testNode) requireNoAttempt(lines chan serverLine, name string) {
 	n.t.Helper()
 	disconnected := time.Now()
 	end := time.After(700 * time.Millisecond)
@@ -61,7 +61,7 @@
 		case received := <-lines:
 			if strings.HasPrefix(received.text, "OPEN") {
 				n.t.Errorf("%s: an attempt began %v after the client disconnected, want none (%v are allowed)",
-					what, time.Since(disconnected), maxAttemptDelay)
+					name, time.Since(disconnected), maxAttemptDelay)
 			}
 		case <-end:
 			waiting = false
@@ -69,7 +69,7 @@
 	}
 	n.onLoop(func() {
 		if inFlight := n.core.InFlight(); inFlight != 0 {
-			n.t.Errorf("%s: got %d requests in flight, want 0", what, inFlight)
+			n.t.Errorf("%s: got %d requests in flight, want 0", name, inFlight)
 		}
 	})
 }
--- a/internal/platform/downstream/open_line.go
+++ b/internal/platform/downstream/open_line.go
@@ -27,7 +27,7 @@
 var (
 	errNotOpen      = errors.New("first line must be PING, or OPEN with an id, a key and fields")
 	errID           = errors.New("id of OPEN must be 1 to 64 bytes long")
-	errInvalidField = errors.New("OPEN must have at most 32 fields, each with a unique name and a value")
+	errInvalidField = errors.New("OPEN must have at most 32 fields of the form name=value, with unique names")
 	errKey          = errors.New("key of OPEN must be a hexadecimal 64-bit number")
 	errUnknownClass = errors.New("field c of OPEN must name a known class")
 	errGroup        = errors.New("field g of OPEN must be a hexadecimal 64-bit number")
--- a/internal/platform/line/line.go
+++ b/internal/platform/line/line.go
@@ -155,7 +155,7 @@
 	return end
 }
 
-// InvalidField returns the first field of "name=value,name=value" that has no value, repeats an earlier name or exceeds
+// InvalidField returns the first field of "name=value,name=value" that lacks "=", repeats an earlier name or exceeds
 // the maximum number of fields. It returns "" if all fields are valid. Repeated names are invalid because one server
 // may read the first value and another server the last: the same line would mean two different requests.
 func InvalidField(list []byte) string {
--- a/internal/platform/upstream/transfer.go
+++ b/internal/platform/upstream/transfer.go
@@ -13,7 +13,7 @@
 const maxTransferredWait = 10 * time.Second
 
 // errServerState is returned for an invalid state that another process transferred.
-var errServerState = errors.New("transferred state of the server's side is out of range")
+var errServerState = errors.New("server state must have lines up to 4096 bytes, closing line 0 to 2, no negative time")
 
 // ConnectionState is the state of a request with an established connection, without its socket, that one process of a
 // node transfers to another.
