--- a/internal/operations/hotrestart/batch.go
+++ b/internal/operations/hotrestart/batch.go
@@ -21,8 +21,8 @@
 
 // TransferItem is one connection in a batch: its sockets and its encoded state.
 type TransferItem struct {
-	FDs  []int
-	Body []byte
+	FDs  []int  // descriptors of its sockets
+	Body []byte // encoded state of the connection
 }
 
 // encodedItem is the encoded form of a TransferItem. The descriptors are sent outside the encoded batch, in the order
@@ -30,7 +30,7 @@
 type encodedItem struct {
 	_       struct{} `cbor:",toarray"`
 	Sockets int      // number of descriptors
-	Body    []byte
+	Body    []byte   // see TransferItem
 }
 
 var decodeMode = func() cbor.DecMode {
@@ -44,7 +44,7 @@
 // Decode decodes CBOR that another process sent. It bounds the memory that the input can make this process allocate.
 func Decode(encoded []byte, into any) error { return decodeMode.Unmarshal(encoded, into) }
 
-// encodeBatch returns the encoded batch and the descriptors to send with it.
+// encodeBatch encodes the connections of a batch. It returns the encoded batch and the descriptors to send with it.
 func encodeBatch(items []TransferItem) (encoded []byte, descriptors []int, err error) {
 	var batch []encodedItem
 	for _, item := range items {
@@ -71,14 +71,15 @@
 	remaining := descriptors
 	for _, item := range batch {
 		if item.Sockets < 1 || item.Sockets > len(remaining) {
-			return nil, fmt.Errorf("%w: a connection has %d descriptors, must be between 1 and the %d remaining",
+			return nil, fmt.Errorf("%w: a connection must have at least 1 of the remaining descriptors, got %d of %d",
 				ErrInvalidBatch, item.Sockets, len(remaining))
 		}
 		items = append(items, TransferItem{FDs: remaining[:item.Sockets:item.Sockets], Body: item.Body})
 		remaining = remaining[item.Sockets:]
 	}
 	if len(remaining) > 0 || len(items) == 0 {
-		return nil, fmt.Errorf("%w: got %d connections, want at least 1, and %d unassigned descriptors, want 0",
+		return nil, fmt.Errorf(
+			"%w: must have connections and no unassigned descriptors, got %d connections and %d unassigned descriptors",
 			ErrInvalidBatch, len(items), len(remaining))
 	}
 	for _, fd := range descriptors {
--- a/internal/operations/hotrestart/coordinator.go
+++ b/internal/operations/hotrestart/coordinator.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxLinks     = 4 // successors that may have a link at the same time
-	helloTimeout = time.Second
+	maxLinks     = 4           // successors that may have a link at the same time
+	helloTimeout = time.Second // after it, a link on which no hello was received ends
 )
 
 // Coordinator is this process's side of the hot restart protocol: the link to its parent, and the links to its
@@ -29,7 +29,7 @@
 // Options are the dependencies of a Coordinator.
 type Options struct {
 	Loop *loop.Loop
-	Path string // of the Unix socket: see Path
+	Path string // path of the Unix socket, see the function Path
 	// Grant returns the grant for a successor. From then on the successor may use the DescriptorQuota of the grant.
 	Grant func() Grant
 	// Changed is called when a successor was sent its grant, is ready, has sent its number of free descriptors or has
@@ -50,6 +50,7 @@
 	return c
 }
 
+// linkParent continues the link on which RequestGrant received the grant.
 func (c *Coordinator) linkParent(grant *Grant) {
 	c.descriptorQuota = grant.DescriptorQuota
 	c.parent = &link{coordinator: c}
@@ -82,6 +83,8 @@
 	c.socketFile, _ = os.Stat(c.options.Path) // on an error it is nil, and the next call creates the socket again
 }
 
+// accept returns the handler of a new successor's link. It rejects the connection if there are maxLinks successors, or
+// if the other process belongs to another user.
 func (c *Coordinator) accept(conn *loop.Conn) loop.Handler {
 	if len(c.successors) >= maxLinks || !conn.SameUser() {
 		return nil
@@ -128,8 +131,8 @@
 	}
 }
 
-// RaiseQuota raises the quota of the newest successor to total minus own and the quotas of the other successors. It
-// never lowers a quota.
+// RaiseQuota raises the quota of the newest successor to the descriptors of the node (total) minus those of this
+// process (own) and the quotas of the other successors. It never lowers a quota.
 func (c *Coordinator) RaiseQuota(total, own int) {
 	if len(c.successors) == 0 {
 		return
@@ -151,7 +154,8 @@
 	}
 }
 
-// remove removes a link that has ended.
+// remove removes a link that has ended. If that was the last link to a successor with a grant, this process listens at
+// the path again.
 func (c *Coordinator) remove(ended *link) {
 	if c.parent == ended {
 		c.parent = nil
--- a/internal/operations/hotrestart/coordinator_test.go
+++ b/internal/operations/hotrestart/coordinator_test.go
@@ -10,6 +10,7 @@
 	"spurwinch/internal/platform/discovery"
 )
 
+// endpointList is the encoded form of version 7 of a list with one server.
 const endpointList = `{"version":7,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"DRAINING"}]}`
 
 // listenTCP returns the descriptor of a listening socket and its port.
@@ -37,7 +38,8 @@
 	t.Helper()
 	if grant.DescriptorQuota != 100 || grant.Discovery != "d" || grant.Datagrams != noDescriptor ||
 		grant.List.Version != 7 || len(grant.List.Servers) != 1 {
-		t.Errorf("got grant %+v, want quota 100, discovery \"d\", no gossip socket and version 7 with 1 server", grant)
+		t.Errorf("grant: got %+v, want quota 100, discovery \"d\", no gossip socket and list version 7 with 1 server",
+			grant)
 	}
 	address, err := unix.Getsockname(grant.Sockets["127.0.0.1:3000"])
 	if inet, ok := address.(*unix.SockaddrInet4); err != nil || !ok || inet.Port != port {
@@ -73,10 +75,10 @@
 	})
 	onParent(func() {
 		if linked, ready := parent.Successor(); !linked || ready || parent.GrantedQuota() != 100 {
-			t.Errorf("Successor: got linked %v, ready %v, quota %d, want true, false, 100",
+			t.Errorf("Successor and GrantedQuota: got linked %v, ready %v, quota %d, want true, false, 100",
 				linked, ready, parent.GrantedQuota())
 		}
-		parent.RaiseQuota(400, 320) // lower than the current quota: no effect
+		parent.RaiseQuota(400, 320) // 80 is lower than the current quota, so this has no effect
 		parent.RaiseQuota(400, 250)
 	})
 	onSuccessor(func() { successor.Ready() })
--- a/internal/operations/hotrestart/errors.go
+++ b/internal/operations/hotrestart/errors.go
@@ -6,7 +6,7 @@
 )
 
 var (
-	// ErrAnswerTimeout means that a process listens at the path but does not send a grant before the deadline.
+	// ErrAnswerTimeout means that a process listens at the path but did not send a grant before the deadline.
 	ErrAnswerTimeout = errors.New("the running process did not answer before the deadline")
 	// ErrInvalidGrant means that the answer of the running process is not a valid grant.
 	ErrInvalidGrant = errors.New("invalid grant")
@@ -26,11 +26,14 @@
 // VersionError means that the other process uses another version of the protocol.
 type VersionError struct{ Got, Want int }
 
-// Error returns a text with both versions.
-func (e *VersionError) Error() string { return fmt.Sprintf("version %d, want %d", e.Got, e.Want) }
+// Error returns the received version and the required version.
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("got protocol version %d, want %d", e.Got, e.Want)
+}
 
-// UnexpectedMessageError means that a received message is not valid in the current state of the link.
+// UnexpectedMessageError means that the other process sent a message whose kind or content is not valid in the current
+// state of the link.
 type UnexpectedMessageError struct{ Kind string }
 
-// Error returns a text with the kind as it was received.
+// Error returns the kind of the received message.
 func (e *UnexpectedMessageError) Error() string { return fmt.Sprintf("unexpected message %q", e.Kind) }
--- a/internal/operations/hotrestart/golden_test.go
+++ b/internal/operations/hotrestart/golden_test.go
@@ -103,7 +103,7 @@
 	every := reflect.ValueOf(goldenMessages()["every-field"])
 	for i := range every.NumField() {
 		if every.Field(i).IsZero() {
-			t.Errorf("message with every field: got no %s, want it set", every.Type().Field(i).Name)
+			t.Errorf("message with every field: got no value in %s, want one", every.Type().Field(i).Name)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	encoded := encodeItems(t, items...)
 	want := readGolden(t, "connections.cbor", encoded)
 	if !bytes.Equal(encoded, want) {
-		t.Errorf("encode: got %x, want %x", encoded, want)
+		t.Errorf("encodeItems: got %x, want %x", encoded, want)
 	}
 	fds := threeSockets(t)
 	decoded, err := decodeBatch(want, fds)
@@ -196,7 +196,7 @@
 	}
 }
 
-// skipOnUpdate skips a test that only compares with the golden files while they are written again.
+// skipOnUpdate skips the test when -update-golden is set. It is for tests that read the golden files and write none.
 func skipOnUpdate(t *testing.T) {
 	t.Helper()
 	if *updateGolden {
@@ -269,9 +269,9 @@
 
 // goldenHandler records its calls, and accepts a batch as long as it has free descriptors.
 type goldenHandler struct {
-	free   int
-	calls  string
-	bodies [][]byte
+	free   int      // free descriptors that it reports; with 0 it rejects a batch
+	calls  string   // names and arguments of the calls, each with a space after it
+	bodies [][]byte // bodies of the connections in the prepared batches
 }
 
 func (h *goldenHandler) handler() TransferHandler {
@@ -314,7 +314,7 @@
 		if err != nil {
 			return
 		}
-		// After an error there is no grant, and requestGrant fails the test.
+		// If this write fails, requestGrant fails the test, because it receives no grant.
 		_, _, _ = conn.WriteMsgUnix(answer, unix.UnixRights(fds[:2]...), nil)
 		answered <- conn
 	}()
--- a/internal/operations/hotrestart/grant.go
+++ b/internal/operations/hotrestart/grant.go
@@ -26,8 +26,8 @@
 	transferVersion int    // the parent's transferVersion; 0: the parent sends no connections
 }
 
-// Release closes the granted descriptors that this process does not serve. The node calls it after a failed start,
-// because the parent would treat this process as running while the link is open.
+// Release closes the link to the parent and the granted descriptors, except those that this process serves. The node
+// calls it after a failed start, because the parent treats this process as running while the link is open.
 func (g *Grant) Release(serves func(fd int) bool) {
 	descriptors := []int{g.fd}
 	for _, fd := range g.Sockets {
--- a/internal/operations/hotrestart/handshake.go
+++ b/internal/operations/hotrestart/handshake.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxPathBytes keeps a path within the 107 bytes of a Unix socket address. The difference is needed because the
-	// name has a process ID as a suffix while the socket is being created.
+	// maxPathBytes limits a path so that it fits the 107 bytes of a Unix socket address together with the suffix that
+	// it has while the socket is being created: a dot and the process ID.
 	maxPathBytes        = 90
 	maxGrantDescriptors = 16
 	connectRetryPause   = 5 * time.Millisecond
@@ -58,6 +58,7 @@
 	deadline time.Time
 }
 
+// run connects to the parent, sends the hello and receives the grant.
 func (h handshake) run(path string) (*Grant, error) {
 	if err := h.setTimeout(unix.SO_SNDTIMEO); err != nil {
 		return nil, err
@@ -120,7 +121,7 @@
 }
 
 // receiveLine receives until there is a complete line. It returns all received bytes, and the descriptors received with
-// them. It returns the descriptors even with an error.
+// them. With an error it still returns the descriptors, so that the caller can close them.
 func (h handshake) receiveLine() (received []byte, descriptors []int, err error) {
 	buffer := make([]byte, 16<<10)
 	control := make([]byte, unix.CmsgSpace(4*maxGrantDescriptors))
--- a/internal/operations/hotrestart/handshake_test.go
+++ b/internal/operations/hotrestart/handshake_test.go
@@ -33,7 +33,7 @@
 // state of the maximum size: the successor must receive both completely. If both together exceed the limit of a grant,
 // it must receive the list alone.
 func TestGrantOfManyServersDropsLearnedStateWhenTooLarge(t *testing.T) {
-	for _, size := range []struct{ servers, learned, want int }{
+	for _, size := range []struct{ servers, learned, wantLearned int }{
 		{1100, maxLearnedBytes, maxLearnedBytes},
 		{2500, maxLearnedBytes, 0},
 	} {
@@ -49,9 +49,9 @@
 			}}, nil)
 		})
 		grant := requestGrant(t, path)
-		if len(grant.List.Servers) != size.servers || len(grant.Learned) != size.want {
-			t.Errorf("grant: got %d servers and %d bytes of learned state, want %d and %d",
-				len(grant.List.Servers), len(grant.Learned), size.servers, size.want)
+		if len(grant.List.Servers) != size.servers || len(grant.Learned) != size.wantLearned {
+			t.Errorf("RequestGrant: got %d servers and %d bytes of learned state, want %d and %d",
+				len(grant.List.Servers), len(grant.Learned), size.servers, size.wantLearned)
 		}
 	}
 }
@@ -102,7 +102,8 @@
 	}
 }
 
-// TestPathIsEmptyWhenSocketIsImpossible checks each case in which processes of a node cannot find each other.
+// TestPathIsEmptyWhenSocketIsImpossible calls Path without a directory, with a directory whose name is too long, and
+// with a port that the system chooses. In each case the processes of a node cannot find each other.
 func TestPathIsEmptyWhenSocketIsImpossible(t *testing.T) {
 	for _, c := range []struct{ dir, listen string }{
 		{"", "127.0.0.1:3000"},
@@ -144,7 +145,7 @@
 		}
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
-			t.Errorf("after %.30q: got an open link, want its end", sent)
+			t.Errorf("link after %.30q: got open, want ended", sent)
 		}
 		_ = conn.Close() // the coordinator has ended the link
 	}
--- a/internal/operations/hotrestart/helpers_test.go
+++ b/internal/operations/hotrestart/helpers_test.go
@@ -30,7 +30,7 @@
 	t.Cleanup(func() {
 		eventLoop.Post(eventLoop.Stop)
 		if err := <-stopped; err != nil {
-			t.Errorf("event loop: got error %v, want none", err)
+			t.Errorf("Loop.Run: got error %v, want none", err)
 		}
 	})
 	return eventLoop, func(fn func()) {
@@ -75,7 +75,7 @@
 	return Path(dir, "127.0.0.1:3000")
 }
 
-// requestGrant requests a grant from the process at a path, and fails the test after an error.
+// requestGrant requests a grant from the process at a path, and ends the test after an error.
 func requestGrant(t *testing.T, path string) *Grant {
 	t.Helper()
 	grant, err := RequestGrant(path, time.Now().Add(testTimeout))
@@ -107,6 +107,7 @@
 	return conn
 }
 
+// mustClose closes c and reports an error as a failure of the test.
 func mustClose(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
@@ -114,6 +115,7 @@
 	}
 }
 
+// mustWrite writes a text and ends the test after an error.
 func mustWrite(t *testing.T, w io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(w, text); err != nil {
--- a/internal/operations/hotrestart/link.go
+++ b/internal/operations/hotrestart/link.go
@@ -16,12 +16,12 @@
 type link struct {
 	coordinator  *Coordinator
 	conn         *loop.Conn
-	toSuccessor  bool   // the other process was started after this one; else it is the parent
+	toSuccessor  bool   // the other process was started after this one; false: it is the parent
 	unread       []byte // received, but not a complete message or payload yet
 	grantedQuota int    // descriptors that the successor may have open; above 0 once the grant is sent
 	ready        bool   // the successor accepts clients
 	closed       bool
-	canTransfer  bool // both processes use the same transferVersion, and no batch has timed out
+	canTransfer  bool // both processes support transfers of the same transferVersion, and no batch has timed out
 	outgoing     outgoingTransfer
 	incoming     incomingTransfer
 }
@@ -103,7 +103,8 @@
 		l.coordinator.options.Changed()
 		return true
 	}
-	// After a recall the parent offers no further batch, but the successor may still answer the recalled one.
+	// After a batch has timed out, the parent offers no further one, but the successor may still answer the recalled
+	// batch.
 	mayAnswer := l.canTransfer || l.outgoing.recalled
 	return mayAnswer && granted && l.handleTransferAnswer(received)
 }
@@ -120,8 +121,7 @@
 	return l.canTransfer && l.handleTransfer(received)
 }
 
-// answerHello sends the successor its grant, or ends the link if the successor uses another version of the
-// protocol.
+// answerHello sends the successor its grant, or ends the link if the successor uses another version of the protocol.
 func (l *link) answerHello(hello message) {
 	if hello.Version != protocolVersion {
 		l.drop(&VersionError{Got: hello.Version, Want: protocolVersion})
@@ -130,7 +130,7 @@
 	l.canTransfer = hello.TransferVersion == transferVersion
 	grant := l.coordinator.options.Grant()
 	m, descriptors := grant.message(l.canTransfer)
-	l.grantedQuota = max(1, grant.DescriptorQuota) // a value above 0 marks the grant as sent
+	l.grantedQuota = max(1, grant.DescriptorQuota) // at least 1, because 0 means that no grant was sent
 	if err := l.conn.SendDescriptors(m.encode(), descriptors...); err != nil {
 		l.drop(fmt.Errorf("grant: %w", err))
 		return
--- a/internal/operations/hotrestart/message.go
+++ b/internal/operations/hotrestart/message.go
@@ -11,7 +11,7 @@
 	protocolVersion = 1
 
 	maxGrantBytes   = 1 << 20 // holds a list of thousands of servers; also the limit of a connection's pending writes
-	maxMessageBytes = 4 << 10 // of any message but the grant, without the payload that follows it
+	maxMessageBytes = 4 << 10 // limit of any message but the grant, without the payload that follows it
 )
 
 // messageKind is the type of a message. The values must not change, because processes of other releases read them.
@@ -19,15 +19,15 @@
 
 const (
 	// The successor sends these.
-	kindHello           messageKind = "hello"   // requests a grant
+	kindHello           messageKind = "hello"   // the successor requests a grant
 	kindReady           messageKind = "ready"   // the successor accepts clients
-	kindFreeDescriptors messageKind = "free"    // the number of descriptors that the successor has free for connections
-	kindBatchAccepted   messageKind = "held"    // the successor can serve the batch; has its remaining free descriptors
+	kindFreeDescriptors messageKind = "free"    // has the number of descriptors that are free for connections
+	kindBatchAccepted   messageKind = "held"    // the successor can serve the batch; has the number of free descriptors
 	kindBatchRejected   messageKind = "refused" // the successor has closed the descriptors of the batch
 
 	// The parent sends these.
-	kindGrant          messageKind = "lent"
-	kindQuotaRaised    messageKind = "room"
+	kindGrant          messageKind = "lent"    // the answer to a hello, sent with the descriptors of the sockets
+	kindQuotaRaised    messageKind = "room"    // has the new descriptor quota of the successor
 	kindLearnedState   messageKind = "learned" // the payload that follows is the learned state of the parent
 	kindBatchOffered   messageKind = "batch"   // the payload that follows is the batch, sent with its descriptors
 	kindBatchCommitted messageKind = "given"   // the parent has closed its copies; the successor owns the batch
@@ -37,15 +37,15 @@
 // message is one message between the two processes of a link. It is sent as one line of JSON.
 type message struct {
 	Kind            messageKind     `json:"kind"`
-	Version         int             `json:"version,omitempty"`
-	Sockets         []string        `json:"sockets,omitempty"` // addresses, in the order of their descriptors
-	HasDatagrams    bool            `json:"datagrams,omitempty"`
-	Discovery       string          `json:"discovery,omitempty"`
+	Version         int             `json:"version,omitempty"`   // the sender's protocolVersion
+	Sockets         []string        `json:"sockets,omitempty"`   // addresses, in the order of their descriptors
+	HasDatagrams    bool            `json:"datagrams,omitempty"` // the last descriptor is the gossip socket
+	Discovery       string          `json:"discovery,omitempty"` // the discovery service that sent List
 	List            *discovery.List `json:"list,omitempty"`
-	Descriptors     int             `json:"room,omitempty"`
-	TransferVersion int             `json:"carry,omitempty"` // the sender's transferVersion; 0: no transfers
-	Learned         []byte          `json:"learned,omitempty"`
-	Size            int             `json:"size,omitempty"` // bytes of the payload that follows the line
+	Descriptors     int             `json:"room,omitempty"`    // the quota, or the number of free descriptors
+	TransferVersion int             `json:"carry,omitempty"`   // the sender's transferVersion; 0: no transfers
+	Learned         []byte          `json:"learned,omitempty"` // the encoded learned state of the parent
+	Size            int             `json:"size,omitempty"`    // bytes of the payload that follows the line
 }
 
 // encode returns the message as a line of JSON, with the newline.
--- a/internal/operations/hotrestart/transfer_parent.go
+++ b/internal/operations/hotrestart/transfer_parent.go
@@ -8,9 +8,9 @@
 	"spurwinch/internal/loop"
 )
 
-// This file is the parent's side of a transfer. The parent owns an offered batch until the successor has accepted it.
-// Then the parent closes its copies of the descriptors and commits the batch. From the commit on, the successor owns
-// the batch.
+// This file implements the parent's side of a transfer. The parent owns an offered batch until the successor has
+// accepted it. Then the parent closes its copies of the descriptors and commits the batch. From the commit on, the
+// successor owns the batch.
 
 const (
 	batchTimeout = time.Second       // after it, the parent recalls an unanswered batch
@@ -21,8 +21,8 @@
 type outgoingTransfer struct {
 	freeDescriptors int                 // descriptors that the successor has free for connections
 	done            func(accepted bool) // called with the outcome of the offered batch; nil: no batch is offered
-	recalled        bool                // the last batch was recalled; its answer may still arrive
-	stopTimer       func()
+	recalled        bool                // the parent has recalled the last batch, whose answer may still arrive
+	stopTimer       func()              // stops the timer of the next call of recall
 }
 
 // transferLink returns the link to the newest successor that accepts connections, or nil.
--- a/internal/operations/hotrestart/transfer_successor.go
+++ b/internal/operations/hotrestart/transfer_successor.go
@@ -6,11 +6,12 @@
 	"spurwinch/internal/loop"
 )
 
-// This file is the successor's side of a transfer. The successor reads a complete batch, prepares it without using its
-// sockets, and accepts it. The successor owns the batch once the parent has committed it, or once the link ends before
-// a commit or a recall: then the parent has ended and its copies of the descriptors are closed.
+// This file implements the successor's side of a transfer. The successor reads a complete batch, prepares it without
+// using its sockets, and accepts it. The successor owns the batch once the parent has committed it, or once the link
+// ends before a commit or a recall. In the second case the parent has ended, which has closed its copies of the
+// descriptors, or it has given up the batch (see abandonTransfers).
 
-// TransferHandler has the functions that a Coordinator calls to take over connections.
+// TransferHandler has the functions that a Coordinator calls while it takes over connections.
 type TransferHandler struct {
 	// FreeDescriptors returns the number of descriptors that this process has free for connections.
 	FreeDescriptors func() int
@@ -23,16 +24,16 @@
 
 // PreparedBatch is an accepted batch that is not committed yet. The Coordinator calls one of the functions, once.
 type PreparedBatch struct {
-	Commit func() // this process owns the connections
-	Abort  func() // the parent owns the connections; must close the descriptors and do nothing else to them
+	Commit func() // called once this process owns the connections
+	Abort  func() // called if the parent owns the connections; must only close the descriptors, without any other use
 }
 
 // incomingTransfer is the state of the successor's transfers on a link.
 type incomingTransfer struct {
-	descriptors []int       // received for the batch that is being read
-	payloadSize int         // bytes of the payload that follows; 0: a message follows
-	payloadKind messageKind // kind of the payload: kindBatchOffered or kindLearnedState
-	prepared    *PreparedBatch
+	descriptors []int          // received for the batch that is being read
+	payloadSize int            // bytes of the payload that follows; 0: a message follows
+	payloadKind messageKind    // kind of the payload: kindBatchOffered or kindLearnedState
+	prepared    *PreparedBatch // accepted and not committed yet; nil: none
 }
 
 // handleTransfer handles a parent's message about transfers, and reports whether it was valid.
@@ -80,7 +81,7 @@
 	l.sendFreeDescriptors(kindBatchAccepted)
 }
 
-// sendFreeDescriptors sends a message of this kind with the number of free descriptors, if the link has transfers.
+// sendFreeDescriptors sends a message of this kind with the number of free descriptors, if the link supports transfers.
 func (l *link) sendFreeDescriptors(kind messageKind) {
 	if l.canTransfer {
 		l.send(message{Kind: kind, Descriptors: max(0, l.coordinator.options.FreeDescriptors())})
@@ -95,7 +96,7 @@
 	}
 }
 
-// abort closes the prepared batch, if there is one, because the other process owns it.
+// abort aborts the prepared batch, if there is one, which closes its descriptors. The parent owns the batch.
 func (l *link) abort() {
 	if prepared := l.incoming.prepared; prepared != nil {
 		l.incoming.prepared = nil
--- a/internal/operations/hotrestart/transfer_test.go
+++ b/internal/operations/hotrestart/transfer_test.go
@@ -65,7 +65,8 @@
 	})
 	fd, far := socketPair(t)
 	accepted := make(chan bool, 2)
-	onLoop(func() { // the parent writes the whole batch to the link before it reads an answer
+	// When onLoop returns, the parent has written the whole batch to the link, and the successor has read none of it.
+	onLoop(func() {
 		parent.Transfer([]TransferItem{{[]int{fd}, []byte("state")}}, func(ok bool) { accepted <- ok })
 		if accepts, descriptors := parent.SuccessorAccepts(); accepts && descriptors != 0 {
 			t.Errorf("descriptors for a second batch: got %d, want 0", descriptors)
@@ -90,7 +91,7 @@
 	waitFor(t, onLoop, "the end of the link", func() bool { accepts, _ := parent.SuccessorAccepts(); return !accepts })
 	select {
 	case <-accepted:
-		t.Error("calls of done: got a second one, want one")
+		t.Error("outcomes of Transfer: got a second one, want exactly one")
 	default:
 	}
 	loop.CloseAll([]int{fd})
@@ -119,15 +120,16 @@
 type successorCase struct {
 	name        string
 	message     string // the descriptors are sent with its first byte
-	payload     []byte
-	descriptors int
-	accepted    bool
+	payload     []byte // what the parent sends after the message
+	descriptors int    // number of descriptors that the parent sends
+	accepted    bool   // the successor must accept the batch
 	nextMessage string // what the parent sends after the batch
 	outcome     string // "committed", "aborted", or "" for a batch that is never accepted
 }
 
-// TestSuccessorTakesOverOnlyCompleteBatches lets the parent end or send invalid data at each step of a transfer. The
-// successor must take over a complete batch that is not recalled exactly once. Any other batch must have no effect.
+// TestSuccessorTakesOverOnlyCompleteBatches lets the parent end, recall a batch or send invalid data at each step of a
+// transfer. The successor must take over, exactly once, a batch that is complete and not recalled, unless an invalid
+// message made it end the link. Any other batch must have no effect.
 func TestSuccessorTakesOverOnlyCompleteBatches(t *testing.T) {
 	good := encodeItems(t, encodedItem{Sockets: 1, Body: []byte("state")})
 	noSocket := encodeItems(t, encodedItem{Sockets: 0, Body: []byte("state")})
@@ -172,7 +174,7 @@
 		if err != nil {
 			return
 		}
-		// After an error there is no grant, and requestGrant fails the test.
+		// If this write fails, requestGrant fails the test, because it receives no grant.
 		_, _ = conn.Write([]byte(`{"kind":"lent","version":1,"room":9,"carry":1}` + "\n"))
 		accepted <- conn
 	}()
@@ -258,7 +260,7 @@
 			}
 		})
 	}
-	// The successor may have ended the link. Then these writes fail, and the test ignores that.
+	// The test ignores the errors of these calls, because the successor may have ended the link.
 	_, _ = io.WriteString(parent.conn, c.nextMessage)
 	_ = parent.conn.CloseWrite()
 	_, _ = io.Copy(io.Discard, parent.reader)
@@ -323,7 +325,7 @@
 	before := 0
 	onLoop(func() { before = changes })
 	mustWrite(t, successor, `{"kind":"held","room":3}`+"\n"+`{"kind":"free","room":9}`+"\n")
-	waitFor(t, onLoop, "the answers", func() bool { return changes > before })
+	waitFor(t, onLoop, "the late answers", func() bool { return changes > before })
 	onLoop(func() {
 		if linked, ready := parent.Successor(); !linked || !ready {
 			t.Errorf("Successor after a late answer: got linked %v, ready %v, want true, true", linked, ready)
@@ -334,7 +336,7 @@
 	})
 	select {
 	case <-accepted:
-		t.Error("calls of done: got a second one, want one")
+		t.Error("outcomes of Transfer: got a second one, want exactly one")
 	default:
 	}
 }
