--- a/internal/operations/hotrestart/coordinator_test.go
+++ b/internal/operations/hotrestart/coordinator_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestParentAndSuccessorFromHelloToEnd runs two processes of a node from the hello to the end of each process.
+// TestParentAndSuccessorFromHelloToEnd runs a parent and a successor from the hello until each has ended.
 func TestParentAndSuccessorFromHelloToEnd(t *testing.T) {
 	path := socketPath(t)
 	list, err := discovery.ParseList([]byte(endpointList))
@@ -95,7 +95,7 @@
 	if again := requestGrant(t, path); again.DescriptorQuota != 100 {
 		t.Fatalf("quota of the second grant: got %d, want 100", again.DescriptorQuota)
 	}
-	// A new process no longer finds a parent that has closed its coordinator, as a draining one does.
+	// A draining parent closes its coordinator, so that the next process does not find it.
 	onParent(func() { parent.Close() })
 	if _, err := RequestGrant(path, time.Now().Add(testTimeout)); err == nil {
 		t.Error("RequestGrant after Close: got a grant, want an error")
--- a/internal/operations/hotrestart/golden_test.go
+++ b/internal/operations/hotrestart/golden_test.go
@@ -180,7 +180,7 @@
 	return fds
 }
 
-// sendFiles sends the bytes of golden files, with descriptors.
+// sendFiles sends the golden files, one after the other, together with descriptors.
 func (p goldenPeer) sendFiles(t *testing.T, fds []int, names ...string) {
 	t.Helper()
 	var sent []byte
--- a/internal/operations/hotrestart/handshake_test.go
+++ b/internal/operations/hotrestart/handshake_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestCoordinatorEndsLinksThatViolateProtocol connects clients that do not follow the protocol to a coordinator. Their
-// links must end, and the coordinator must keep none of them.
+// TestCoordinatorEndsLinksThatViolateProtocol connects to a coordinator and sends messages that the protocol does not
+// allow, or nothing at all. Each link must end, and the coordinator must keep none of them.
 func TestCoordinatorEndsLinksThatViolateProtocol(t *testing.T) {
 	eventLoop, onLoop := startLoop(t)
 	path := socketPath(t)
--- a/internal/operations/hotrestart/transfer_successor.go
+++ b/internal/operations/hotrestart/transfer_successor.go
@@ -115,7 +115,7 @@
 
 // settleTransfers settles the batches in transfer when the other process has ended the link. This process owns a batch
 // that it has prepared, since the parent has ended or has closed its copies. It also owns again a batch that it has
-// offered and that the successor has not accepted.
+// offered and that the successor has not accepted. After abandonTransfers no batch is left to settle.
 func (l *link) settleTransfers() {
 	l.commit()
 	l.finishBatch(false)
