--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -6,10 +6,10 @@
 	"spurwinch/choice"
 )
 
-// minTimer is the shortest timer: the simulator takes no afterS of 0.
-const minTimer = time.Microsecond
+// minTimerDelay is the shortest delay of a timer: the simulator rejects an afterS of 0.
+const minTimerDelay = time.Microsecond
 
-// encodeAction is an action of an instance as the simulator reads it.
+// encodeAction returns an action of an instance in the simulator's wire format.
 func encodeAction(nodeID string, action choice.Action) wireStep {
 	out := wireStep{NodeID: nodeID}
 	switch action := action.(type) {
@@ -38,7 +38,7 @@
 	case choice.SetTimer:
 		out.Op = opSetTimer
 		out.Token = action.Token
-		out.After = max(action.After, minTimer).Seconds()
+		out.After = max(action.After, minTimerDelay).Seconds()
 	case choice.SendPeerMessage:
 		out.Op = opSendPeerMessage
 		out.Peer = &action.To
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	loadUnitsPerCore = 1e6 // of an update of load
-	millisPerSecond  = 1e3 // of an update of delay
+	loadUnitsPerCore = 1e6 // a load update counts millionths of a core
+	millisPerSecond  = 1e3 // a delay update counts milliseconds
 )
 
-// decode turns an event of the simulator into one of package choice; nil: it is one that this version does not know.
+// decode converts an event of the simulator to an event of package choice. It returns nil for an update of a kind that
+// this version does not know.
 func (in *instance) decode(event *wireEvent) (choice.Event, error) {
 	switch event.Op {
 	case opServerList:
@@ -31,14 +32,14 @@
 		return decodeUpdate(event)
 	case opClientGone:
 		if event.RequestID == "" {
-			return nil, missing("opId")
+			return nil, missingKeyError("opId")
 		}
 		return choice.ClientGone{ID: choice.RequestID(event.RequestID)}, nil
 	case opPeerMessage:
 		return decodePeerMessage(event), nil
 	case opTimerFired:
 		if event.Token == "" {
-			return nil, missing("token")
+			return nil, missingKeyError("token")
 		}
 		return choice.TimerFired{Token: event.Token}, nil
 	default:
@@ -47,15 +48,15 @@
 }
 
 func decodeServerList(event *wireEvent) (choice.Event, error) {
-	kind, ok := listKindByWord[event.ListKind]
+	kind, ok := listKindByName[event.ListKind]
 	if !ok {
-		return nil, keyErrorf("form %q", event.ListKind)
+		return nil, keyErrorf("form %q is unknown", event.ListKind)
 	}
 	list := choice.ServerList{Kind: kind}
 	for _, entry := range event.Servers {
-		state, ok := stateByWord[entry.State]
+		state, ok := stateByName[entry.State]
 		if !ok || entry.ID == "" {
-			return nil, keyErrorf("entry %q has status %q", entry.ID, entry.State)
+			return nil, keyErrorf("entry %q with status %q has no host or an unknown status", entry.ID, entry.State)
 		}
 		size := 1.0
 		if entry.Size != nil {
@@ -70,7 +71,7 @@
 }
 
 func (in *instance) decodeRequest(event *wireEvent) (choice.Event, error) {
-	request, err := in.request(event)
+	request, err := in.decodeRequestKeys(event)
 	if err != nil {
 		return nil, err
 	}
@@ -81,18 +82,19 @@
 }
 
 func (in *instance) decodeOpenConnection(event *wireEvent) (choice.Event, error) {
-	request, err := in.request(event)
+	request, err := in.decodeRequestKeys(event)
 	if err != nil {
 		return nil, err
 	}
 	if event.Server == "" {
-		return nil, missing("host")
+		return nil, missingKeyError("host")
 	}
 	return choice.OpenConnection{Request: request, Server: choice.ServerID(event.Server)}, nil
 }
 
-// request reads the keys of a request. One that is open already may have no time left.
-func (in *instance) request(event *wireEvent) (choice.Request, error) {
+// decodeRequestKeys reads the keys of a request. The time left may be missing if the request's connection is already
+// open.
+func (in *instance) decodeRequestKeys(event *wireEvent) (choice.Request, error) {
 	class, ok := in.classes[event.Class]
 	if event.RequestID == "" || !ok {
 		return choice.Request{}, keyErrorf("opId %q or lane %q is missing or unknown", event.RequestID, event.Class)
@@ -115,11 +117,11 @@
 
 func decodeHealthCheckResult(event *wireEvent) (choice.Event, error) {
 	if event.Server == "" {
-		return nil, missing("host")
+		return nil, missingKeyError("host")
 	}
-	outcome, ok := outcomeByWord[event.Outcome]
+	outcome, ok := outcomeByName[event.Outcome]
 	if !ok {
-		return nil, missing("rc")
+		return nil, missingKeyError("rc")
 	}
 	return choice.HealthCheckResult{
 		Server: choice.ServerID(event.Server), Outcome: outcome, Took: seconds(event.Took),
@@ -141,9 +143,9 @@
 	if event.Attempt == nil || event.RequestID == "" {
 		return nil, keyErrorf("opId or trial is missing")
 	}
-	outcome, ok := outcomeByWord[event.Outcome]
+	outcome, ok := outcomeByName[event.Outcome]
 	if !ok {
-		return nil, missing("rc")
+		return nil, missingKeyError("rc")
 	}
 	return choice.AttemptEnded{
 		ID: choice.RequestID(event.RequestID), Attempt: *event.Attempt, Server: choice.ServerID(event.Server),
@@ -151,7 +153,8 @@
 	}, nil
 }
 
-// decodeUpdate reads an update of what is known of an open request; nil: a kind that this version does not know.
+// decodeUpdate reads a load or delay update of an open request. It returns nil for a kind that this version does not
+// know.
 func decodeUpdate(event *wireEvent) (choice.Event, error) {
 	if event.Value == nil || event.RequestID == "" {
 		return nil, keyErrorf("opId or x is missing")
@@ -181,7 +184,7 @@
 	return choice.PeerMessage{From: from, Data: event.Data}
 }
 
-// decodeReport is the values of a load report; one that is absent is NaN.
+// decodeReport returns the values of a load report, with NaN for each absent value.
 func decodeReport(values []*float64) []float64 {
 	if values == nil {
 		return nil
@@ -196,10 +199,11 @@
 	return report
 }
 
-// maxSeconds is more than a duration holds.
+// maxSeconds is about the longest time that a time.Duration can hold, 9.22e9 s.
 const maxSeconds = 9e9
 
-// seconds is a duration of the wire, to the microsecond; one that is too long becomes the longest one.
+// seconds converts a duration from the wire, rounded to the microsecond. A duration out of range becomes the longest
+// positive or negative one, and NaN becomes 0.
 func seconds(value float64) time.Duration {
 	switch {
 	case math.IsNaN(value):
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -12,9 +12,10 @@
 	"spurwinch/choice"
 )
 
-// The golden files hold the exchange with the simulator and its settings as a whole: each key has a value of its own,
-// so that a key that is read into another field, or not at all, is seen.
+// The golden files contain whole messages of the simulator's protocol and a whole settings object. Each key has a
+// different value, so that the tests detect a key that is read into the wrong field or not at all.
 
+// golden reads a golden file.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/" + name)
@@ -26,7 +27,7 @@
 
 const millisecond = time.Millisecond
 
-// goldenSettings are the golden settings as they are read.
+// goldenSettings is the expected result of decoding the golden settings.
 var goldenSettings = Settings{
 	Settings: choice.Settings{
 		Nodes: 21, Node: 3, Zone: "zone-1", GroupAffinity: true, PacketPassThrough: true,
@@ -83,7 +84,7 @@
 	},
 }
 
-// TestGoldenSettings reads a setup object that has every key.
+// TestGoldenSettings decodes a setup object that has every key.
 func TestGoldenSettings(t *testing.T) {
 	raw := golden(t, "settings.json")
 	got, err := DecodeSettings(raw)
@@ -91,34 +92,34 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, goldenSettings) {
-		t.Errorf("the settings are read as\n%+v, want\n%+v", got, goldenSettings)
+		t.Errorf("DecodeSettings: got\n%+v, want\n%+v", got, goldenSettings)
 	}
-	// The object as it was read, written again: the same keys in the same order with the same values.
+	// Encoding the decoded object again must give the same keys in the same order with the same values.
 	var decoded setup
 	if err := json.Unmarshal(raw, &decoded); err != nil {
 		t.Fatal(err)
 	}
 	if written, err := json.Marshal(decoded); err != nil || !bytes.Equal(written, bytes.TrimSpace(raw)) {
-		t.Errorf("the settings are written as\n%s (error %v), want\n%s", written, err, raw)
+		t.Errorf("encoding the settings: got\n%s (error %v), want\n%s", written, err, raw)
 	}
 }
 
-// decodeGoldenWith decodes the golden settings with one of their texts replaced.
+// decodeGoldenWith decodes the golden settings after it replaces the first occurrence of old.
 func decodeGoldenWith(t *testing.T, old, replacement string) choice.Settings {
 	t.Helper()
 	raw := string(golden(t, "settings.json"))
 	if !strings.Contains(raw, old) {
-		t.Fatalf("%s is not in the golden settings", old)
+		t.Fatalf("got golden settings without %s, want it in them", old)
 	}
 	got, err := DecodeSettings([]byte(strings.Replace(raw, old, replacement, 1)))
 	if err != nil {
-		t.Fatalf("with %s: %v", replacement, err)
+		t.Fatalf("DecodeSettings with %s: got error %v, want none", replacement, err)
 	}
 	return got.Settings
 }
 
-// TestGoldenSettingsWords holds the words that stand for values in the settings.
-func TestGoldenSettingsWords(t *testing.T) {
+// TestGoldenSettingsNames checks the names of values in the settings.
+func TestGoldenSettingsNames(t *testing.T) {
 	for word, want := range map[string]choice.ReportSource{
 		"":         choice.NoReports,
 		"off":      choice.NoReports,
@@ -126,7 +127,7 @@
 		"inline":   choice.AllReports,
 	} {
 		if got := decodeGoldenWith(t, `"via":"on_probe"`, `"via":"`+word+`"`).Reports; got != want {
-			t.Errorf("loadReport.via %q is read as %d, want %d", word, got, want)
+			t.Errorf("loadReport.via %q: got %d, want %d", word, got, want)
 		}
 	}
 	for word, want := range map[string]choice.SizeKind{
@@ -138,7 +139,7 @@
 		"not_known": choice.NoSize,
 	} {
 		if got := decodeGoldenWith(t, `"weightSource":"live"`, `"weightSource":"`+word+`"`).Sizes; got != want {
-			t.Errorf("weightSource %q is read as %d, want %d", word, got, want)
+			t.Errorf("weightSource %q: got %d, want %d", word, got, want)
 		}
 	}
 	for word, want := range map[string]choice.Scope{
@@ -149,7 +150,7 @@
 	} {
 		class := decodeGoldenWith(t, `"dedupScope":"zone"`, `"dedupScope":"`+word+`"`).Classes[0]
 		if got := class.IdempotencyScope; got != want {
-			t.Errorf("dedupScope %q is read as %d, want %d", word, got, want)
+			t.Errorf("dedupScope %q: got %d, want %d", word, got, want)
 		}
 	}
 	for word, want := range map[string]choice.Idempotency{
@@ -159,21 +160,21 @@
 	} {
 		class := decodeGoldenWith(t, `"idempotency":"keyed"`, `"idempotency":"`+word+`"`).Classes[0]
 		if got := class.Idempotency; got != want {
-			t.Errorf("idempotency %q is read as %d, want %d", word, got, want)
+			t.Errorf("idempotency %q: got %d, want %d", word, got, want)
 		}
 	}
 	if decodeGoldenWith(t, `"mode":"pass"`, `"mode":"proxy"`).PacketPassThrough {
-		t.Error("domain.mode proxy is read as pass")
+		t.Error("domain.mode proxy: got PacketPassThrough true, want false")
 	}
 	if decodeGoldenWith(t, `"membershipMode":"on_request"`, `"membershipMode":"push"`).Subscribe {
-		t.Error("membershipMode push is read as on_request")
+		t.Error("membershipMode push: got Subscribe true, want false")
 	}
 	if decodeGoldenWith(t, `"worthBy":"work"`, `"worthBy":"request"`).PriorityPerWork {
-		t.Error("worthBy request is read as work")
+		t.Error("worthBy request: got PriorityPerWork true, want false")
 	}
 }
 
-// TestGoldenBatch reads a batch whose one event and its one member have every key.
+// TestGoldenBatch decodes a batch with one event that has every key and one server entry that has every key.
 func TestGoldenBatch(t *testing.T) {
 	raw := golden(t, "batch.json")
 	var got batch
@@ -199,14 +200,14 @@
 		Setup: json.RawMessage(`{"az":"zone-22"}`),
 	}}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("the batch is read as\n%+v, want\n%+v", got, want)
+		t.Errorf("decoding the batch: got\n%+v, want\n%+v", got, want)
 	}
 	if written, err := json.Marshal(got); err != nil || !bytes.Equal(written, bytes.TrimSpace(raw)) {
-		t.Errorf("the batch is written as\n%s (error %v), want\n%s", written, err, raw)
+		t.Errorf("encoding the batch: got\n%s (error %v), want\n%s", written, err, raw)
 	}
 }
 
-// goldenRequestKeys are the keys of a request, and goldenRequest what they are read as.
+// goldenRequestKeys are the keys of a request; goldenRequest is the request that they are decoded to.
 const goldenRequestKeys = `"opId":"op-1","lane":"class-2","owner":"tenant-4","object":5,"group":6,` +
 	`"expiresInS":7.5,"estimateS":0.8,"options":25`
 
@@ -219,12 +220,12 @@
 	goldenBytes        = []byte{0, 255, 16, 128}
 )
 
-// goldenMember is an entry of a server list; rest are keys that may be left out.
-func goldenMember(host, status, rest string) string {
+// goldenServerEntry returns the JSON of an entry of a server list. rest contains the optional keys.
+func goldenServerEntry(host, status, rest string) string {
 	return `{"host":"` + host + `","status":"` + status + `"` + rest + `}`
 }
 
-// goldenEvents are the events of the simulator, and what they are read as.
+// goldenEvents are events of the simulator and the events that they are decoded to.
 var goldenEvents = []struct {
 	raw  string
 	want choice.Event
@@ -272,9 +273,9 @@
 	{`{"op":"NoteFrom","payload":"AA=="}`, choice.PeerMessage{From: -1, Data: []byte{0}}},
 	{`{"op":"TimeoutFired","token":"token-1"}`, choice.TimerFired{Token: "token-1"}},
 	{
-		`{"op":"Registry","form":"total","members":[` + goldenMember("host-1", "live",
+		`{"op":"Registry","form":"total","members":[` + goldenServerEntry("host-1", "live",
 			`,"regionPart":"zone-2","shape":"kind-3","pod":4,"heft":5.5,"startedAtS":6.5`) +
-			`,` + goldenMember("host-7", "quiescing", "") + `,` + goldenMember("host-8", "dead", "") + `]}`,
+			`,` + goldenServerEntry("host-7", "quiescing", "") + `,` + goldenServerEntry("host-8", "dead", "") + `]}`,
 		choice.ServerList{Kind: choice.ListFull, Servers: []choice.Server{
 			{
 				ID: "host-1", Zone: "zone-2", Kind: "kind-3", Cell: 4, State: choice.Ready, Size: 5.5,
@@ -289,7 +290,7 @@
 	{`{"op":"Registry","form":"lost"}`, choice.ServerList{Kind: choice.ListUnavailable}},
 }
 
-// TestGoldenEvents has each kind of event of the simulator become an event of the module.
+// TestGoldenEvents checks how each kind of event of the simulator is decoded to an event of package choice.
 func TestGoldenEvents(t *testing.T) {
 	target := &instance{
 		classes: map[string]int{"class-1": 1, "class-2": 2},
@@ -301,7 +302,7 @@
 			t.Fatal(err)
 		}
 		if got, err := target.decode(&event); err != nil || !reflect.DeepEqual(got, test.want) {
-			t.Errorf("%s is read as %#v (error %v), want %#v", test.raw, got, err, test.want)
+			t.Errorf("decode(%s): got %#v (error %v), want %#v", test.raw, got, err, test.want)
 		}
 	}
 	for word, want := range map[string]choice.Outcome{
@@ -316,12 +317,12 @@
 	} {
 		got, err := target.decode(&wireEvent{Op: "Checked", Server: "host-1", Outcome: word})
 		if result, ok := got.(choice.HealthCheckResult); err != nil || !ok || result.Outcome != want {
-			t.Errorf("rc %q is read as %#v (error %v), want outcome %v", word, got, err, want)
+			t.Errorf("decode with rc %q: got %#v (error %v), want outcome %v", word, got, err, want)
 		}
 	}
 }
 
-// TestGoldenReply writes each kind of step of a reply.
+// TestGoldenReply encodes a reply that contains each kind of step.
 func TestGoldenReply(t *testing.T) {
 	out := reply{Sequence: 7}
 	for _, action := range []choice.Action{
@@ -343,10 +344,10 @@
 	}
 	want := bytes.TrimSpace(golden(t, "reply.json"))
 	if got, err := json.Marshal(out); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("the reply is written as\n%s (error %v), want\n%s", got, err, want)
+		t.Errorf("encoding the reply: got\n%s (error %v), want\n%s", got, err, want)
 	}
 	var back reply
 	if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, out) {
-		t.Errorf("the reply is read as\n%+v (error %v), want\n%+v", back, err, out)
+		t.Errorf("decoding the reply: got\n%+v (error %v), want\n%+v", back, err, out)
 	}
 }
--- a/internal/simwire/handler.go
+++ b/internal/simwire/handler.go
@@ -1,8 +1,10 @@
-// Package simwire translates the simulator's wire protocol, JSON by lines, to the events and actions of package choice,
-// and decodes the simulator's settings, which a node on the platform has in its config.json.
+// Package simwire translates between the simulator's wire protocol, one JSON object per line, and the events and
+// actions of package choice. It also decodes the simulator's settings, which a node on the platform has in its
+// config.json.
 //
-// cmd/benchlink runs a Handler behind the simulator; internal/config and the test harness use DecodeSettings. The words
-// of the wire stand in the tags and tables of this package and nowhere else. It decides nothing.
+// cmd/benchlink runs a Handler behind the simulator; internal/config and the test harness use DecodeSettings. Only the
+// struct tags and tables of this package contain the names that the wire protocol uses. The package makes no decisions
+// of its own.
 package simwire
 
 import (
@@ -15,23 +17,23 @@
 	"spurwinch/choice"
 )
 
-// Handler owns the instances of one process, a choice.Balancer each, and turns batches of events into replies. It is
-// for one goroutine.
+// Handler owns the instances of one process, each with a choice.Balancer, and answers batches of events with replies.
+// Only one goroutine may use it.
 type Handler struct{ instances map[string]*instance }
 
 // instance is one node of the simulation.
 type instance struct {
 	balancer *choice.Balancer
-	classes  map[string]int // indices by name
-	tenants  map[string]int
-	events   []choice.Event // of the present batch; nil: none, and Step isn't called
+	classes  map[string]int // class indices by name
+	tenants  map[string]int // tenant indices by name
+	events   []choice.Event // events of the current batch; nil: the batch has none, and Step isn't called
 }
 
-// NewHandler makes a handler without instances.
+// NewHandler returns a handler without instances.
 func NewHandler() *Handler { return &Handler{instances: map[string]*instance{}} }
 
-// Handle takes one batch, a line of JSON, and returns its reply, a line of JSON. An error names the batch and the
-// event, and wraps one of this package's errors; the handler must not be used after one.
+// Handle processes one batch, a line of JSON, and returns its reply, a line of JSON. An error names the batch and the
+// event, and wraps one of this package's errors. The handler must not be used after an error.
 func (h *Handler) Handle(line []byte) ([]byte, error) {
 	var received batch
 	if err := json.Unmarshal(line, &received); err != nil {
@@ -47,7 +49,7 @@
 	var order []string // instances in the order of their first event
 	for i := range received.Events {
 		event := &received.Events[i]
-		if err := h.take(event, now, &order); err != nil {
+		if err := h.handleEvent(event, now, &order); err != nil {
 			return nil, fmt.Errorf("batch %d: event %d (%s): %w", *received.Sequence, i, event.Op, err)
 		}
 	}
@@ -58,8 +60,8 @@
 	return line, nil
 }
 
-// take starts or stops an instance, or queues it for its instance.
-func (h *Handler) take(event *wireEvent, now time.Duration, order *[]string) error {
+// handleEvent starts or stops an instance if the event asks for that, and otherwise queues the event for its instance.
+func (h *Handler) handleEvent(event *wireEvent, now time.Duration, order *[]string) error {
 	if event.NodeID == "" {
 		return ErrNoNode
 	}
@@ -110,23 +112,23 @@
 		balancer: balancer,
 		classes:  settings.ClassByName,
 		tenants:  settings.TenantByName,
-		events:   []choice.Event{}, // its first step comes without any
+		events:   []choice.Event{}, // not nil: the first step runs even without events
 	}, nil
 }
 
-// parseSeed reads 64 bits, as a signed or an unsigned number.
+// parseSeed reads a seed of 64 bits, which may be written as a signed or an unsigned integer.
 func parseSeed(raw json.RawMessage) (uint64, error) {
 	if signed, err := strconv.ParseInt(string(raw), 10, 64); err == nil {
 		return uint64(signed), nil
 	}
 	seed, err := strconv.ParseUint(string(raw), 10, 64)
 	if err != nil {
-		return 0, keyErrorf("nonce64 is missing or no integer")
+		return 0, keyErrorf("nonce64 is missing or not an integer of 64 bits")
 	}
 	return seed, nil
 }
 
-// stepInstances hands the queued events to the instances, in the given order, and returns their actions.
+// stepInstances passes the queued events to the instances in the given order and returns their actions.
 func (h *Handler) stepInstances(now time.Duration, order []string) []wireStep {
 	steps := []wireStep{}
 	for _, id := range order {
--- a/internal/simwire/handler_test.go
+++ b/internal/simwire/handler_test.go
@@ -19,7 +19,7 @@
 "tariffs":{"probe":0.002,"crossZone":0,"lateFail":0,"moves":0,"peer":0,"waste":0},
 "weightSource":"nominal","worthBy":"request"}`
 
-// startBatch is a batch with that number, which starts the instance node_0 and gives it two servers.
+// startBatch returns a batch with the given sequence number that starts the instance node_0 and gives it two servers.
 func startBatch(sequence string) string {
 	return `{"tsS":1,"seq":` + sequence + `,"inbox":[{"op":"Enlist","nodeId":"node_0","nonce64":7,"setup":` +
 		strings.ReplaceAll(setupJSON, "\n", "") + `},
@@ -28,27 +28,27 @@
 {"host":"h:2","regionPart":"a","shape":"k","pod":0,"status":"live"}]}]}`
 }
 
-// handle hands a batch to the handler and returns the reply, which must have all of want in it.
+// handle passes a batch to the handler, checks that the reply contains all of want, and returns the reply.
 func handle(t *testing.T, handler *Handler, batch string, want ...string) string {
 	t.Helper()
 	got, err := handler.Handle([]byte(batch))
 	if err != nil {
-		t.Fatalf("%s: got error %v", batch, err)
+		t.Fatalf("Handle(%s): got error %v, want none", batch, err)
 	}
 	for _, part := range want {
 		if !strings.Contains(string(got), part) {
-			t.Fatalf("%s: got reply %s, want %s in it", batch, got, part)
+			t.Fatalf("Handle(%s): got reply %s, want one that contains %s", batch, got, part)
 		}
 	}
 	return string(got)
 }
 
-// TestBatchesBecomeReplies starts an instance, has it place a request, stops it and starts it anew.
-func TestBatchesBecomeReplies(t *testing.T) {
+// TestHandleInstanceLifecycle starts an instance, lets it place a request, stops it and starts it again.
+func TestHandleInstanceLifecycle(t *testing.T) {
 	handler := NewHandler()
 	const empty = "{\"seq\":0,\"steps\":[]}\n"
 	if got := handle(t, handler, `{"tsS":0.5,"seq":0,"inbox":[]}`); got != empty {
-		t.Fatalf("an empty batch: got reply %q, want %q", got, empty)
+		t.Fatalf("Handle of an empty batch: got reply %q, want %q", got, empty)
 	}
 	handle(t, handler, startBatch("1"), `"op":"Follow","nodeId":"node_0","active":true`)
 	checked := handle(t, handler, `{"tsS":1.1,"seq":2,"unknown":1,"inbox":[{"op":"Inbound","nodeId":"node_0",`+
@@ -61,7 +61,7 @@
 	handle(t, handler, startBatch("5"))
 }
 
-// checkedServer is the server of the last health check in a reply.
+// checkedServer returns the server of the last health check in a reply.
 func checkedServer(t *testing.T, raw string) string {
 	t.Helper()
 	var decoded reply
@@ -77,8 +77,8 @@
 	return server
 }
 
-// TestInvalidBatches holds that each fault of a batch is an error in one line, which names the fault.
-func TestInvalidBatches(t *testing.T) {
+// TestHandleRejectsInvalidBatches checks that each fault of a batch causes a one-line error that names the fault.
+func TestHandleRejectsInvalidBatches(t *testing.T) {
 	for _, test := range []struct{ line, want string }{
 		{`{"tsS":1,"seq":3,"inbox":[`, "malformed"},
 		{`[]`, "malformed"},
@@ -100,10 +100,10 @@
 		handle(t, handler, startBatch("1"))
 		_, err := handler.Handle([]byte(test.line))
 		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %q", test.line, err, test.want)
+			t.Errorf("Handle(%s): got error %v, want one line that contains %q", test.line, err, test.want)
 		}
 	}
 }
 
-// invalidEvent is a batch with one event, whose keys are given.
+// invalidEvent returns a batch with one event that has the given keys.
 func invalidEvent(keys string) string { return `{"tsS":2,"seq":4,"inbox":[{` + keys + `}]}` }
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -6,17 +6,17 @@
 	"spurwinch/choice"
 )
 
-// The structs of this file are the exchange's JSON. Their tags are the simulator's words, their fields the terms of
-// package choice. Times and durations are seconds.
+// The structs in this file define the JSON messages that are exchanged with the simulator. Their tags are the
+// simulator's names; their fields use the terms of package choice. Times and durations are in seconds.
 
-// batch is what the simulator sends: the events of one point in time.
+// batch is a message from the simulator with the events of one point in time.
 type batch struct {
 	Time     *float64    `json:"tsS"`
 	Sequence *uint64     `json:"seq"`
 	Events   []wireEvent `json:"inbox"`
 }
 
-// wireEvent is something that happened at an instance; Op says what, and so which of the keys it has.
+// wireEvent is an event at an instance. Op is its kind and determines which of the other keys are present.
 type wireEvent struct {
 	Op           eventOp         `json:"op"`
 	NodeID       string          `json:"nodeId"`
@@ -63,7 +63,7 @@
 	opTimerFired        eventOp = "TimeoutFired"
 )
 
-// requestFlags are properties of a request, as bits.
+// requestFlags is a bit set of properties of a request.
 type requestFlags int
 
 const (
@@ -74,7 +74,7 @@
 
 func (f requestFlags) has(flag requestFlags) bool { return f&flag != 0 }
 
-// updateKind says what the value of an update is.
+// updateKind determines the meaning and the unit of an update's value.
 type updateKind int
 
 const (
@@ -99,7 +99,7 @@
 	Steps    []wireStep `json:"steps"`
 }
 
-// wireStep is an action of an instance; Op says which, and so which of the keys it has.
+// wireStep is an action of an instance. Op is its kind and determines which of the other keys are present.
 type wireStep struct {
 	Op         stepOp  `json:"op"`
 	NodeID     string  `json:"nodeId"`
@@ -130,9 +130,9 @@
 	opWatchList       stepOp = "Follow"
 )
 
-// Words of the wire for values of package choice.
+// Names in the wire protocol of values of package choice.
 var (
-	outcomeByWord = map[string]choice.Outcome{
+	outcomeByName = map[string]choice.Outcome{
 		"ok":             choice.Served,
 		"error":          choice.Failed,
 		"full":           choice.Full,
@@ -142,13 +142,13 @@
 		"cancelled":      choice.Cancelled,
 		"moot":           choice.NeverSent,
 	}
-	listKindByWord = map[string]choice.ListKind{
+	listKindByName = map[string]choice.ListKind{
 		"incr":      choice.ListChange,
 		"total":     choice.ListFull,
 		"warm_copy": choice.ListCached,
 		"lost":      choice.ListUnavailable,
 	}
-	stateByWord = map[string]choice.ServerState{
+	stateByName = map[string]choice.ServerState{
 		"live":      choice.Ready,
 		"quiescing": choice.Draining,
 		"dead":      choice.Gone,
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,7 +9,7 @@
 	"spurwinch/choice"
 )
 
-// Settings are what a balancer is configured with, and the names by which requests and reports refer to parts of it.
+// Settings are the settings of a balancer, with the names by which requests and load reports refer to their parts.
 type Settings struct {
 	choice.Settings
 	ClassByName  map[string]int // indices in Classes
@@ -17,8 +17,8 @@
 	ReportFields []string       // the names of a load report's values, in order
 }
 
-// DecodeSettings decodes a setup object, as the simulator sends it and config.json has it. A key that is missing is an
-// error and never a zero. The error is ErrNoSetup, a *SetupError, or one of the JSON decoder.
+// DecodeSettings decodes a setup object, which the simulator sends and config.json contains. A missing key is an error;
+// it is never read as zero. The error is ErrNoSetup, a *SetupError or an error of the JSON decoder.
 func DecodeSettings(raw json.RawMessage) (Settings, error) {
 	if len(raw) == 0 {
 		return Settings{}, ErrNoSetup
@@ -40,9 +40,9 @@
 	return decoded.settings()
 }
 
-// WithIndicesOf is the settings with the indices of those in force: classes and tenants keep their indices by name, and
-// new ones get the next. One that is not there any more keeps its index, without a name to be found by: a class as a
-// removed one, a tenant without a share.
+// WithIndicesOf returns the settings with the indices of the settings in force: a class or tenant keeps the index that
+// its name has there, and a new one gets the next free index. A class or tenant that is no longer configured keeps its
+// index but can't be looked up by name: the class is marked as removed, and the tenant has no share.
 func (s Settings) WithIndicesOf(inForce Settings) Settings {
 	classes := slices.Clone(inForce.Classes)
 	for i := range classes {
@@ -59,8 +59,8 @@
 	return s
 }
 
-// mergeByName puts each of items in the place of the one of its name in table, or behind the table, and returns the
-// table with the index of each.
+// mergeByName replaces the entry of table that has the same name by each of items, or appends the item if there is no
+// such entry. It returns the table and the index of each item by name.
 func mergeByName[T any](table, items []T, name func(T) string) ([]T, map[string]int) {
 	indices := map[string]int{}
 	for _, item := range items {
@@ -75,11 +75,11 @@
 	return table, indices
 }
 
-// settings are those of a setup object that was checked.
+// settings converts a setup object, which must have passed check, to Settings.
 func (s *setup) settings() (Settings, error) {
-	reports, ok := reportSourceByWord[s.LoadReports.Source]
+	reports, ok := reportSourceByName[s.LoadReports.Source]
 	if !ok {
-		return Settings{}, setupErrorf("loadReport.via %q", s.LoadReports.Source)
+		return Settings{}, setupErrorf("loadReport.via %q is unknown", s.LoadReports.Source)
 	}
 	out := Settings{
 		Settings: choice.Settings{
@@ -95,7 +95,7 @@
 			PriorityPerWork:   s.PriorityPer == priorityPerWork,
 			RoundTrip:         seconds(s.RoundTrip),
 			Reports:           reports,
-			Sizes:             sizeKindByWord[s.Sizes],
+			Sizes:             sizeKindByName[s.Sizes],
 			Limits:            s.Limits.limits(),
 			Rules:             s.Rules.rules(),
 			Costs:             s.Costs.costs(),
@@ -105,7 +105,7 @@
 		ReportFields: s.LoadReports.Fields,
 	}
 	for _, name := range s.LoadReports.Fields {
-		out.Settings.ReportFields = append(out.Settings.ReportFields, reportFieldByWord[name])
+		out.Settings.ReportFields = append(out.Settings.ReportFields, reportFieldByName[name])
 	}
 	for i := range s.Classes {
 		class, err := s.class(i)
@@ -161,13 +161,13 @@
 
 func (s *setup) class(index int) (choice.Class, error) {
 	class := s.Classes[index]
-	idempotency, ok := idempotencyByWord[class.Idempotency]
+	idempotency, ok := idempotencyByName[class.Idempotency]
 	if !ok {
-		return choice.Class{}, setupErrorf("profile %q: idempotency %q", class.Name, class.Idempotency)
+		return choice.Class{}, setupErrorf("profile %q: idempotency %q is unknown", class.Name, class.Idempotency)
 	}
-	scope, ok := scopeByWord[class.IdempotencyScope]
+	scope, ok := scopeByName[class.IdempotencyScope]
 	if !ok {
-		return choice.Class{}, setupErrorf("profile %q: dedupScope %q", class.Name, class.IdempotencyScope)
+		return choice.Class{}, setupErrorf("profile %q: dedupScope %q is unknown", class.Name, class.IdempotencyScope)
 	}
 	out := choice.Class{
 		Name:              class.Name,
--- a/internal/simwire/setup.go
+++ b/internal/simwire/setup.go
@@ -8,8 +8,8 @@
 	"spurwinch/choice"
 )
 
-// setup is the simulator's settings object. The tags are its words, the fields the terms of package choice. Times and
-// durations are seconds.
+// setup is the simulator's settings object. The tags are the simulator's names; the fields use the terms of package
+// choice. Times and durations are in seconds.
 type setup struct {
 	Zone              string      `json:"az"`
 	Tenants           []tenant    `json:"customers"`
@@ -30,7 +30,7 @@
 
 type tenant struct {
 	Name  string  `json:"name"`
-	Rate  float64 `json:"quotaRps"` // requests a second
+	Rate  float64 `json:"quotaRps"` // requests per second
 	Share float64 `json:"fraction"`
 }
 
@@ -88,7 +88,7 @@
 	Waste       float64 `json:"waste"`
 }
 
-// Words of the setup object for settings of package choice.
+// Names in the setup object of values of settings of package choice.
 const (
 	modePassThrough = "pass"       // domain.mode
 	listOnRequest   = "on_request" // membershipMode
@@ -96,31 +96,31 @@
 )
 
 var (
-	idempotencyByWord = map[string]choice.Idempotency{
+	idempotencyByName = map[string]choice.Idempotency{
 		"safe":   choice.Idempotent,
 		"keyed":  choice.IdempotentByKey,
 		"unsafe": choice.NotIdempotent,
 	}
-	scopeByWord = map[string]choice.Scope{
+	scopeByName = map[string]choice.Scope{
 		"":     choice.ScopeAll,
 		"all":  choice.ScopeAll,
 		"zone": choice.ScopeZone,
 		"cell": choice.ScopeCell,
 	}
-	reportSourceByWord = map[string]choice.ReportSource{
+	reportSourceByName = map[string]choice.ReportSource{
 		"":         choice.NoReports,
 		"off":      choice.NoReports,
 		"on_probe": choice.HealthCheckReports,
 		"inline":   choice.AllReports,
 	}
-	sizeKindByWord = map[string]choice.SizeKind{ // another word: NoSize
+	sizeKindByName = map[string]choice.SizeKind{ // any other name means NoSize
 		"":        choice.NoSize,
 		"off":     choice.NoSize,
 		"nominal": choice.NominalSize,
 		"rough":   choice.NominalSize,
 		"live":    choice.LiveSize,
 	}
-	reportFieldByWord = map[string]choice.ReportField{ // another word: OtherField
+	reportFieldByName = map[string]choice.ReportField{ // any other name means OtherField
 		"x0":           choice.Load,
 		"x1":           choice.Backlog,
 		"outstanding":  choice.InFlight,
@@ -132,22 +132,22 @@
 	}
 )
 
-// checkComplete checks that a decoded JSON value has all keys of a type, in its objects and lists as well.
-func checkComplete(value any, wanted reflect.Type, path string) error {
-	switch wanted.Kind() {
+// checkComplete checks that a decoded JSON value has all keys of a type, including those of nested objects and lists.
+func checkComplete(value any, required reflect.Type, path string) error {
+	switch required.Kind() {
 	case reflect.Struct:
 		object, ok := value.(map[string]any)
 		if !ok {
-			return setupErrorf("%s is no object", strings.TrimPrefix(path, "."))
+			return setupErrorf("%s must be an object", strings.TrimPrefix(path, "."))
 		}
-		return checkKeys(object, wanted, path)
+		return checkKeys(object, required, path)
 	case reflect.Slice:
 		list, ok := value.([]any)
 		if !ok {
-			return setupErrorf("%s is no list", strings.TrimPrefix(path, "."))
+			return setupErrorf("%s must be a list", strings.TrimPrefix(path, "."))
 		}
 		for i, element := range list {
-			if err := checkComplete(element, wanted.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
+			if err := checkComplete(element, required.Elem(), fmt.Sprintf("%s[%d]", path, i)); err != nil {
 				return err
 			}
 		}
@@ -157,13 +157,13 @@
 	}
 }
 
-func checkKeys(object map[string]any, wanted reflect.Type, path string) error {
-	for i := range wanted.NumField() {
-		field := wanted.Field(i)
+func checkKeys(object map[string]any, required reflect.Type, path string) error {
+	for i := range required.NumField() {
+		field := required.Field(i)
 		key := path + "." + field.Tag.Get("json")
 		value, ok := object[field.Tag.Get("json")]
 		if !ok || value == nil {
-			return setupErrorf("%s is missing: a value of its own is wanted", strings.TrimPrefix(key, "."))
+			return setupErrorf("%s is missing: a value other than null is required", strings.TrimPrefix(key, "."))
 		}
 		if err := checkComplete(value, field.Type, key); err != nil {
 			return err
@@ -172,16 +172,16 @@
 	return nil
 }
 
-// check finds values that no node can serve by.
+// check rejects values with which a node can't serve.
 func (s *setup) check() error {
 	switch {
 	case len(s.Classes) == 0:
-		return setupErrorf("no request class: profiles needs one")
+		return setupErrorf("profiles is empty: at least one request class is required")
 	case s.Limits.MaxAttempts <= 0:
 		return setupErrorf("policyLimits.sendCap is %d: 1 attempt or more is wanted", s.Limits.MaxAttempts)
 	case s.Nodes < 1 || s.Node < 0 || s.Node >= s.Nodes:
 		return setupErrorf(
-			"groupSize is %d and index %d: a number of nodes, and this one's among them from 0, are wanted",
+			"groupSize must be at least 1 and index from 0 to groupSize-1, got %d and %d",
 			s.Nodes, s.Node)
 	}
 	if err := s.checkClasses(); err != nil {
@@ -196,13 +196,13 @@
 		path := fmt.Sprintf("profiles[%d] (%q)", i, class.Name)
 		switch {
 		case class.Name == "" || seen[class.Name]:
-			return setupErrorf("%s: a name of its own is wanted", path)
+			return setupErrorf("%s: the name must be unique and not empty", path)
 		case class.Deadline <= 0:
-			return setupErrorf("%s: giveUpS is %v: a deadline over 0 is wanted", path, class.Deadline)
+			return setupErrorf("%s: giveUpS (the deadline) must be over 0, got %v", path, class.Deadline)
 		case class.SetupObjective <= 0:
-			return setupErrorf("%s: aimS is %v: a time over 0 is wanted", path, class.SetupObjective)
+			return setupErrorf("%s: aimS (the set-up objective) must be over 0, got %v", path, class.SetupObjective)
 		case class.Priority < 0:
-			return setupErrorf("%s: value is %v: a worth of 0 or more is wanted", path, class.Priority)
+			return setupErrorf("%s: value (the priority) must be 0 or more, got %v", path, class.Priority)
 		}
 		seen[class.Name] = true
 	}
@@ -213,7 +213,7 @@
 	seen := map[string]bool{}
 	for i, tenant := range s.Tenants {
 		if tenant.Name == "" || seen[tenant.Name] {
-			return setupErrorf("customers[%d] (%q): a name of its own is wanted", i, tenant.Name)
+			return setupErrorf("customers[%d] (%q): the name must be unique and not empty", i, tenant.Name)
 		}
 		seen[tenant.Name] = true
 	}
