--- a/internal/operations/admin/admin.go
+++ b/internal/operations/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin is the admin server: HTTP/1.1 on an address of its own, for operators and their monitoring, with one
+// Package admin provides the admin server: HTTP/1.1 on a separate address, for operators and their monitoring, with one
 // request per connection.
 package admin
 
@@ -15,35 +15,35 @@
 )
 
 const (
-	// maxPending bounds the connections without a whole request head: one more evicts the oldest of them.
+	// maxPending limits the connections that have not sent a complete request head. Another one evicts the oldest.
 	maxPending = 10
-	// maxClosing bounds the answered connections whose end was not seen yet: one more aborts the oldest of them.
+	// maxClosing limits the answered connections that the client has not closed yet. Another one aborts the oldest.
 	maxClosing  = 6
-	headTimeout = 5 * time.Second // for a whole request head, from the accept on
+	headTimeout = 5 * time.Second // from the accept to the end of the request head
 	maxHead     = 4 << 10         // bytes of a request head
 	maxLines    = 64              // lines of a request head
-	// listenBacklog is how many connections may wait to be accepted: as many as may be pending, and a few more.
+	// listenBacklog is the number of connections that may wait to be accepted: maxPending and a few more.
 	listenBacklog = maxPending + 4
 )
 
-// Server answers the requests of operators. It belongs to its loop's goroutine.
+// Server answers the requests of operators. Only the goroutine of its loop may use it.
 type Server struct {
 	loop    *loop.Loop
 	answers Answers
-	pending list.List // of *connection without a whole request head, oldest first
-	closing []*loop.Conn
-	body    []byte // reused for each response
-	out     []byte // reused for each response
+	pending list.List    // *connection elements without a complete request head, oldest first
+	closing []*loop.Conn // the latest answered connections, oldest first
+	body    []byte       // reused for each response
+	out     []byte       // reused for each response
 }
 
-// Answers are the functions that produce what the server answers. They are called on the loop's goroutine.
+// Answers are the functions that produce the content of responses. The server calls them on the loop's goroutine.
 type Answers struct {
 	Ready     func() bool             // whether this process accepts clients
-	Telemetry func(buf []byte) []byte // appends the figures to buf
-	Reasons   func(buf []byte) []byte // appends the outcomes of requests and their reasons to buf
+	Telemetry func(buf []byte) []byte // appends the metrics to buf
+	Reasons   func(buf []byte) []byte // appends the outcomes of requests with their reasons to buf
 }
 
-// Listen starts an admin server at addr and returns it with the address that it has.
+// Listen starts an admin server at addr and returns it with the address on which it listens.
 func Listen(events *loop.Loop, addr string, answers Answers) (*Server, netip.AddrPort, error) {
 	s := &Server{loop: events, answers: answers}
 	listener, err := events.ListenApart(addr, listenBacklog, s.accept)
@@ -62,13 +62,13 @@
 	c.stopTimer = s.loop.At(s.loop.Now().Add(headTimeout), func() {
 		c.respond(response{
 			status: http.StatusRequestTimeout,
-			body:   text("no whole head came in time: send GET /api/ready or GET /api/telemetry\n"),
+			body:   text("the request head was not complete in time: send GET /api/ready or GET /api/telemetry\n"),
 		})
 	})
 	return c
 }
 
-// evictOldest aborts the connection that has been pending for longest.
+// evictOldest aborts the connection that has been pending for the longest time.
 func (s *Server) evictOldest() {
 	if oldest, ok := s.pending.Front().Value.(*connection); ok {
 		oldest.finish()
@@ -78,17 +78,17 @@
 
 // response is the answer to a request.
 type response struct {
-	status int                     // of HTTP
-	allow  string                  // value of the Allow header; empty: there is none
+	status int                     // HTTP status code
+	allow  string                  // value of the Allow header; if empty, the header is omitted
 	body   func(buf []byte) []byte // appends the body to buf
 }
 
-// text is a body of that text.
+// text returns a function that appends the given body.
 func text(body string) func([]byte) []byte {
 	return func(buf []byte) []byte { return append(buf, body...) }
 }
 
-// serve answers a whole request head.
+// serve returns the response to a complete request head.
 func (s *Server) serve(head []byte) response {
 	request, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(head), len(head)+16))
 	if err != nil {
@@ -114,7 +114,7 @@
 	return handler()
 }
 
-// routes are the handlers by path.
+// routes returns the handlers by path.
 func (s *Server) routes() map[string]func() response {
 	return map[string]func() response{
 		"/api/ready":     s.readiness,
--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// FuzzRequestHead has any bytes for a request head, in two pieces: the end of the head is found in the same place, and
-// what is read of it gets one of the server's responses.
+// FuzzRequestHead receives arbitrary bytes as a request head in two pieces. It checks that headEnd finds the end of the
+// head at the same position as in one piece, and that serve returns one of the server's responses.
 func FuzzRequestHead(f *testing.F) {
 	for _, seed := range []string{
 		"GET /api/ready HTTP/1.1\r\nHost: n\r\n\r\n",
@@ -30,12 +30,12 @@
 		cut = max(0, min(cut, len(head)))
 		if headEnd(head[:cut], 0) < 0 {
 			if got := headEnd(head, max(0, cut-3)); got != end {
-				t.Errorf("head cut at %d: got end %d, want %d", cut, got, end)
+				t.Errorf("headEnd of a head cut at %d: got %d, want %d", cut, got, end)
 			}
 		}
 		if end < 0 {
 			if bytes.Contains(head, []byte("\n\r\n")) || bytes.Contains(head, []byte("\n\n")) {
-				t.Errorf("head %q: got no end, want the one at its empty line", head)
+				t.Errorf("headEnd(%q): got no end, want the one at its empty line", head)
 			}
 			return
 		}
@@ -44,19 +44,19 @@
 	})
 }
 
-// checkResponse checks that a response is one of a server whose figures are empty and which is not ready.
+// checkResponse checks that a response is a valid one of a server that is not ready and has no metrics.
 func checkResponse(t *testing.T, status int, allow, body string) {
 	t.Helper()
 	switch status {
 	case http.StatusOK, http.StatusBadRequest, http.StatusNotFound, http.StatusServiceUnavailable:
 	case http.StatusMethodNotAllowed:
 		if allow != http.MethodGet {
-			t.Errorf("got Allow %q, want %q", allow, http.MethodGet)
+			t.Errorf("serve: got Allow %q, want %q", allow, http.MethodGet)
 		}
 	default:
-		t.Errorf("got status %d, want one of 200, 400, 404, 405, 503", status)
+		t.Errorf("serve: got status %d, want one of 200, 400, 404, 405, 503", status)
 	}
 	if (body == "") != (status == http.StatusOK) || strings.Count(body, "\n") > 1 {
-		t.Errorf("status %d: got body %q, want none for 200 and one line for others", status, body)
+		t.Errorf("serve with status %d: got body %q, want none for status 200 and one line for others", status, body)
 	}
 }
--- a/internal/operations/admin/connection.go
+++ b/internal/operations/admin/connection.go
@@ -12,30 +12,30 @@
 	"spurwinch/internal/loop"
 )
 
-// connection is one client's connection, until its response is written.
+// connection is one client's connection until its response is written.
 type connection struct {
 	server    *Server
 	conn      *loop.Conn
-	head      []byte        // of the request, as far as it came
-	place     *list.Element // among the server's pending ones
-	stopTimer func()        // of the deadline for the head
-	finished  bool          // answered or gone
+	head      []byte        // of the request, as far as it was received
+	place     *list.Element // in the server's list of pending connections
+	stopTimer func()        // stops the timer of headTimeout
+	finished  bool          // the connection is answered, evicted or closed
 }
 
-// OnConnect is not called: the server dials nobody.
+// OnConnect is never called, because the server opens no connections.
 func (c *connection) OnConnect() {}
 
-// OnDrained does nothing: a response is written at once.
+// OnDrained does nothing, because the server writes each response at once.
 func (c *connection) OnDrained() {}
 
-// OnData takes a piece of the request head. Bytes behind the head are no request of this connection.
+// OnData receives a piece of the request head. It ignores bytes after the head: a connection has one request.
 func (c *connection) OnData(piece []byte) {
 	if c.finished {
 		return
 	}
-	from := max(0, len(c.head)-3) // the end of the head may lie across two pieces
+	from := max(0, len(c.head)-3) // the end of the head may span two pieces
 	c.head = append(c.head, piece[:min(len(piece), maxHead+1-len(c.head))]...)
-	// Empty lines before a request mean nothing (RFC 9112, section 2.2).
+	// A server should ignore empty lines before a request (RFC 9112, section 2.2).
 	for len(c.head) > 0 && (c.head[0] == '\r' || c.head[0] == '\n') {
 		c.head = c.head[1:]
 		from = 0
@@ -53,8 +53,8 @@
 	}
 }
 
-// headEnd returns the length of the request head with its empty line, which has a CR or not; -1: there is no end. The
-// search starts at from.
+// headEnd returns the length of the request head, including the empty line that ends it, with or without a CR. It
+// returns -1 if the head is incomplete. The search starts at from.
 func headEnd(head []byte, from int) int {
 	for i := from; i < len(head); i++ {
 		if head[i] != '\n' {
@@ -71,8 +71,8 @@
 	return -1
 }
 
-// respond writes the one response and ends the connection. The loop discards what still comes for a moment, so that
-// the client sees an end and no reset.
+// respond writes the only response of the connection and ends it. The loop discards data that arrives for a moment
+// afterwards, so that the client sees the end of the connection and not a reset.
 func (c *connection) respond(answer response) {
 	if c.finished {
 		return
@@ -83,7 +83,7 @@
 	c.server.addClosing(c.conn)
 }
 
-// encode writes a response into the server's buffer, which holds until the next call.
+// encode writes a response into the server's buffer. The result is valid until the next call.
 func (s *Server) encode(answer response) []byte {
 	s.body = answer.body(s.body[:0])
 	out := append(s.out[:0], "HTTP/1.1 "...)
@@ -101,16 +101,16 @@
 	return s.out
 }
 
-// addClosing keeps an answered connection until its end; the oldest beyond maxClosing is aborted.
+// addClosing tracks an answered connection. If there are more than maxClosing, it aborts the oldest one.
 func (s *Server) addClosing(conn *loop.Conn) {
 	s.closing = append(s.closing, conn)
 	if len(s.closing) > maxClosing {
-		s.closing[0].Abort() // does nothing where it has ended
+		s.closing[0].Abort() // has no effect if the connection has ended
 		s.closing = append(s.closing[:0], s.closing[1:]...)
 	}
 }
 
-// finish takes the connection off the pending ones.
+// finish removes the connection from the pending ones and stops its timer.
 func (c *connection) finish() {
 	c.finished = true
 	c.head = nil
@@ -118,8 +118,8 @@
 	c.stopTimer()
 }
 
-// OnEnd forgets a connection that ends without a request; one whose client only ended its sending has no request
-// either.
+// OnEnd handles the end of a connection before its request head was complete. If the client sent a part of the head and
+// then closed its sending side, OnEnd responds with an error.
 func (c *connection) OnEnd(err error) {
 	if c.finished {
 		return
--- a/internal/operations/admin/golden_test.go
+++ b/internal/operations/admin/golden_test.go
@@ -13,10 +13,10 @@
 	"spurwinch/internal/loop"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestGoldenAnswers calls the admin server, and holds each byte of its answers. The golden file has the calls and their
-// answers, one behind the other.
+// TestGoldenAnswers calls the admin server and compares each byte of its answers. The golden file contains each call
+// followed by its answer.
 func TestGoldenAnswers(t *testing.T) {
 	ready := true
 	addr, onLoop := serveGolden(t, Answers{
@@ -53,11 +53,12 @@
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("the answers are\n%q, want\n%q", got.String(), want)
+		t.Errorf("admin calls: got answers\n%q, want\n%q", got.String(), want)
 	}
 }
 
-// serveGolden runs the admin server on a loop of its own until the test ends; onLoop calls a function there and waits.
+// serveGolden runs the admin server on its own loop until the test ends. onLoop calls a function on that loop and waits
+// until it returns.
 func serveGolden(t *testing.T, answers Answers) (addr string, onLoop func(fn func())) {
 	t.Helper()
 	events, err := loop.New()
@@ -87,14 +88,15 @@
 	}
 }
 
-// callGolden sends a head, ends its sending where the head does not, and returns the whole answer.
+// callGolden sends a request head and returns the whole answer. If the head does not end with a line break, it closes
+// the sending side after it.
 func callGolden(t *testing.T, addr, head string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // it was read to its end
+	defer func() { _ = conn.Close() }() // the answer was read to its end
 	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operations/fleetclient/fleetclient.go
+++ b/internal/operations/fleetclient/fleetclient.go
@@ -1,6 +1,6 @@
-// Package fleetclient makes an operator's call to a node of a fleet, over a TCP connection of its own.
+// Package fleetclient sends an operator's call to a node of a fleet. Each call uses a new TCP connection.
 //
-// spurwinchctl and the test harness call it. It keeps no state.
+// spurwinchctl and the test harness use the package. It keeps no state.
 package fleetclient
 
 import (
@@ -17,34 +17,34 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	callTimeout = 3 * time.Second // from the connection on, to the end of the reply
-	lengthBytes = 4               // before each message: its length, big-endian
+	callTimeout = 3 * time.Second // from the established connection to the end of the reply
+	lengthBytes = 4               // size of the message length that precedes each message, big-endian
 )
 
-// ErrNoAnswer says that the node ended the connection, or let the time pass, without a reply: it gives none to a call
-// that it can't open.
+// ErrNoAnswer means that the node closed the connection or let the deadline pass without a reply. A node does not reply
+// to a call that it can't decode or authenticate.
 var ErrNoAnswer = errors.New("gives no answer (another key, or another list of nodes?)")
 
-// ReplySizeError says that a node announced a reply that is longer than any message may be.
+// ReplySizeError means that a node announced a reply that exceeds the size limit of messages.
 type ReplySizeError struct {
 	Node  string
 	Bytes uint32 // as announced
 }
 
-// Error names the node and the size that it announced.
+// Error returns a message that names the node and the announced size.
 func (e *ReplySizeError) Error() string {
-	return fmt.Sprintf("%s: an answer of %d bytes", e.Node, e.Bytes)
+	return fmt.Sprintf("%s: a reply of %d bytes exceeds the size limit of messages", e.Node, e.Bytes)
 }
 
-// Call sends an operator's call to the node with that name at addr (HOST:PORT) and returns its reply. The call is
-// sealed with the fleet's key. The error is ErrNoAnswer, a *ReplySizeError, one of the network, or one of agent.Unseal;
-// what the node itself objects to is in the reply.
+// Call sends an operator's call to the named node at addr (HOST:PORT) and returns its reply. It seals the call with the
+// fleet's key. The error is ErrNoAnswer, a *ReplySizeError, a network error or an error of agent.Unseal. The reply
+// itself contains the objections of the node.
 func Call(addr string, key []byte, fleet *config.FleetList, node string, call agent.Call) (agent.Reply, error) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return agent.Reply{}, err
 	}
-	defer func() { _ = conn.Close() }() // the reply was read, or the error is known
+	defer func() { _ = conn.Close() }() // the reply has been read, or another error is returned
 	if err := conn.SetDeadline(time.Now().Add(callTimeout)); err != nil {
 		return agent.Reply{}, err
 	}
--- a/internal/operations/logs/logs.go
+++ b/internal/operations/logs/logs.go
@@ -1,7 +1,7 @@
-// Package logs sets up the structured log of the programs, by zap: each line has the name of an event, and fields whose
-// names carry their units. Of each event a limited number of lines a second is written.
+// Package logs sets up the structured log of the programs with zap. Each line has the name of an event, and fields
+// whose names include their units. The number of lines per second is limited for each event.
 //
-// internal/node/command calls Setup once, before anything is logged; the log is zap's global logger from then on.
+// internal/node/command calls Setup once, before anything is logged. From then on, the log is zap's global logger.
 package logs
 
 import (
@@ -17,29 +17,29 @@
 
 const (
 	sampleWindow   = time.Second
-	linesPerWindow = 20 // lines of one event that are written in a window; the rest are counted
+	linesPerWindow = 20 // lines written for one event in a window; further lines are dropped and counted
 )
 
 var (
-	// ErrUnknownLevel says that Options.Level is none of the levels.
+	// ErrUnknownLevel means that Options.Level is not a known level.
 	ErrUnknownLevel = errors.New("unknown log level")
-	// ErrUnknownFormat says that Options.Format is none of the formats.
+	// ErrUnknownFormat means that Options.Format is not a known format.
 	ErrUnknownFormat = errors.New("unknown log format")
 )
 
-// Options say how a program logs.
+// Options are the format and the level of a program's log.
 type Options struct {
 	Format string // "console" or "json"
 	Level  string // "debug", "info", "warn" or "error"
 }
 
-// Setup makes the logger of the process, which zap.L returns from then on, and has it write to out. Lines over the
-// limit are dropped; the next line that is written has their number, as left_out_lines. The error is ErrUnknownLevel or
+// Setup replaces the logger that zap.L returns by one that writes to out. The logger drops lines over the limit; the
+// next line that it writes has the number of dropped lines in the field left_out_lines. The error is ErrUnknownLevel or
 // ErrUnknownFormat.
 func Setup(out io.Writer, options Options) error {
 	level, err := zapcore.ParseLevel(options.Level)
 	if err != nil || level > zapcore.ErrorLevel {
-		return fmt.Errorf("%w %q: one of debug, info, warn, error", ErrUnknownLevel, options.Level)
+		return fmt.Errorf("%w %q: must be debug, info, warn or error", ErrUnknownLevel, options.Level)
 	}
 	encoder, err := newEncoder(options.Format)
 	if err != nil {
@@ -75,20 +75,20 @@
 		config.ConsoleSeparator = " "
 		return zapcore.NewConsoleEncoder(config), nil
 	default:
-		return nil, fmt.Errorf("%w %q: console or json", ErrUnknownFormat, format)
+		return nil, fmt.Errorf("%w %q: must be console or json", ErrUnknownFormat, format)
 	}
 }
 
-// sampledCore writes all lines of level debug, which are of single requests, and others within their limit. The sampler
-// gets the time that has passed since the start and not the wall clock: if that is set back, an event would be dropped
-// until the clock has caught up.
+// sampledCore writes all lines of level debug, which describe single requests, and limits the other lines. It passes
+// the sampler the start time plus the time elapsed since, instead of the wall clock: if the wall clock were set back,
+// the sampler would drop an event until the clock has caught up.
 type sampledCore struct {
-	zapcore.Core              // the sampler in front of complete
-	complete     zapcore.Core // without a limit
+	zapcore.Core              // the sampler, which passes lines on to complete
+	complete     zapcore.Core // writes lines without a limit
 	start        time.Time
 }
 
-// With is the core with fields added to each line.
+// With returns a core that adds fields to each line.
 func (c sampledCore) With(fields []zapcore.Field) zapcore.Core {
 	return sampledCore{Core: c.Core.With(fields), complete: c.complete.With(fields), start: c.start}
 }
@@ -98,22 +98,22 @@
 	if entry.Level == zapcore.DebugLevel {
 		return c.complete.Check(entry, checked)
 	}
-	written := entry.Time
+	wallTime := entry.Time
 	entry.Time = c.start.Add(time.Since(c.start))
 	checked = c.Core.Check(entry, checked)
 	if checked != nil {
-		checked.Time = written
+		checked.Time = wallTime
 	}
 	return checked
 }
 
-// droppedCountCore adds to a line how many were dropped before it.
+// droppedCountCore adds to each line the number of lines that were dropped before it.
 type droppedCountCore struct {
 	zapcore.Core
-	dropped *atomic.Int64 // since the last line that was written
+	dropped *atomic.Int64 // lines dropped since the last line that was written
 }
 
-// With is the core with fields added to each line.
+// With returns a core that adds fields to each line.
 func (c droppedCountCore) With(fields []zapcore.Field) zapcore.Core {
 	return droppedCountCore{Core: c.Core.With(fields), dropped: c.dropped}
 }
@@ -126,7 +126,7 @@
 	return checked
 }
 
-// Write writes one line.
+// Write writes one line, with the number of dropped lines if there are any.
 func (c droppedCountCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
 	if count := c.dropped.Swap(0); count > 0 {
 		fields = append(fields[:len(fields):len(fields)], zap.Int64("left_out_lines", count))
--- a/internal/operations/stats/stats.go
+++ b/internal/operations/stats/stats.go
@@ -1,7 +1,7 @@
 // Package stats holds a node's counters and writes them, with its gauges, as text.
 //
-// The counters are plain numbers, which belong to the goroutine of the event loop. The names in the text keep the words
-// of the operators' pages ("refused", "hosts_known"); they are mapped to the terms of the code here.
+// The counters are plain numbers that only the goroutine of the event loop may use. The metric names in the text are
+// those of the operators' documentation ("refused", "hosts_known"); this package maps the terms of the code to them.
 package stats
 
 import (
@@ -12,22 +12,22 @@
 	"spurwinch/internal/edge"
 )
 
-// Counters are the counts of one process, from its start on.
+// Counters are the counts of one process since its start.
 type Counters struct {
-	Attempts      uint64        // written completely to a server
+	Attempts      uint64        // attempts that were written completely to a server
 	ReloadsOK     uint64        // reloads of the configuration that took effect
 	ReloadsFailed uint64        // reloads that were rejected
 	classes       []classCounts // sorted by name
 }
 
 type classCounts struct {
-	name string // as it stands in the text
+	name string // as written in the text, with the replacements of escapeName
 	*edge.Counts
 }
 
-const prefix = "gw" // of each name
+const prefix = "gw" // first part of each metric name
 
-// metricKind is the type of a metric as the text has it.
+// metricKind is the type of a metric, as written in the text.
 type metricKind byte
 
 const (
@@ -35,11 +35,11 @@
 	gauge   metricKind = 'g'
 )
 
-// Attempt counts an attempt whose line the kernel has taken completely.
+// Attempt counts an attempt whose request line was written completely to the kernel.
 func (c *Counters) Attempt() { c.Attempts++ }
 
-// Class is the counter of a class, the same one for a name as long as the process runs: a class that vanishes from the
-// settings and comes back goes on where it was.
+// Class returns the counters of a class. A name has the same counters as long as the process runs, so that a class that
+// is removed from the settings and added again continues with its earlier counts.
 func (c *Counters) Class(name string) *edge.Counts {
 	name = escapeName(name)
 	i, ok := slices.BinarySearchFunc(c.classes, name, func(class classCounts, name string) int {
@@ -51,7 +51,7 @@
 	return c.classes[i].Counts
 }
 
-// escapeName replaces what separates the parts of a line, and all but printable ASCII, by underscores.
+// escapeName replaces the separators of a line, and all characters other than printable ASCII, by underscores.
 func escapeName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r >= 0x7f || r == ':' || r == '|' || r == '.' {
@@ -61,7 +61,7 @@
 	}, name)
 }
 
-// Append appends all counters and the given gauges to buf, one a line, and returns the extended buffer.
+// Append appends all counters and the given gauges to buf, one per line, and returns the extended buffer.
 func (c *Counters) Append(buf []byte, gauges edge.Gauges) []byte {
 	for _, class := range c.classes {
 		buf = AppendCounter(buf, class.Served, "requests", class.name, "served")
@@ -76,7 +76,7 @@
 	return AppendCounter(buf, c.ReloadsFailed, "reloads_failed")
 }
 
-// AppendCounter appends one counter to buf, in the form of Counters.Append. The words of its name are joined by dots.
+// AppendCounter appends one counter to buf, in the format of Counters.Append. Dots join the parts of its name.
 func AppendCounter(buf []byte, value uint64, name ...string) []byte {
 	return appendMetric(buf, value, counter, name...)
 }
@@ -85,12 +85,12 @@
 	return appendMetric(buf, uint64(max(0, value)), gauge, name)
 }
 
-// appendMetric appends a line in the form of StatsD: gw.NAME:VALUE|KIND.
+// appendMetric appends a line in the StatsD format: gw.NAME:VALUE|KIND.
 func appendMetric(buf []byte, value uint64, kind metricKind, name ...string) []byte {
 	buf = append(buf, prefix...)
-	for _, word := range name {
+	for _, part := range name {
 		buf = append(buf, '.')
-		buf = append(buf, word...)
+		buf = append(buf, part...)
 	}
 	buf = append(buf, ':')
 	buf = strconv.AppendUint(buf, value, 10)
--- a/internal/operations/stats/stats_test.go
+++ b/internal/operations/stats/stats_test.go
@@ -6,16 +6,17 @@
 	"spurwinch/internal/edge"
 )
 
-// TestText checks the form, a class that is looked up twice, and names with characters that separate a line's parts.
-func TestText(t *testing.T) {
-	var f Counters
-	f.Class("b").Served = 812
-	f.Class("a.b:c|d e").Failed = 2
-	f.Class("b").Rejected++
-	f.Attempts = 900
-	f.ReloadsOK = 3
-	f.ReloadsFailed = 1
-	got := string(f.Append([]byte("x\n"), edge.Gauges{InFlight: 14, ServersKnown: 12, ServersExcluded: 2}))
+// TestAppend checks the text format, a class that is looked up twice, and a class name that contains the separators of
+// a line.
+func TestAppend(t *testing.T) {
+	var counters Counters
+	counters.Class("b").Served = 812
+	counters.Class("a.b:c|d e").Failed = 2
+	counters.Class("b").Rejected++
+	counters.Attempts = 900
+	counters.ReloadsOK = 3
+	counters.ReloadsFailed = 1
+	got := string(counters.Append([]byte("x\n"), edge.Gauges{InFlight: 14, ServersKnown: 12, ServersExcluded: 2}))
 	want := "x\n" +
 		"gw.requests.a_b_c_d_e.served:0|c\n" +
 		"gw.requests.a_b_c_d_e.refused:0|c\n" +
@@ -30,6 +31,6 @@
 		"gw.reloads_ok:3|c\n" +
 		"gw.reloads_failed:1|c\n"
 	if got != want {
-		t.Errorf("got\n%s, want\n%s", got, want)
+		t.Errorf("Append: got\n%s, want\n%s", got, want)
 	}
 }
