--- a/internal/operations/capture/blocks.go
+++ b/internal/operations/capture/blocks.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	maxFaults = 100 // noted of one file
+	maxFaults = 100 // faults that are recorded for one file
 
-	searchBytes = 64 << 10 // searched for a block's mark at once
+	searchBytes = 64 << 10 // bytes that are searched for a block's mark in one step
 )
 
-// blockScanner reads the blocks of a file one after another. Damage costs the blocks that it touches, and is noted.
+// blockScanner reads the blocks of a file in order. It skips damaged blocks and records the damage as faults.
 type blockScanner struct {
 	file    string
-	in      *bufio.Reader // holds the largest block
-	offset  int64         // of the present block, bytes
+	in      *bufio.Reader // its buffer has room for the largest block
+	offset  int64         // of the current block, in bytes
 	decoder *zstd.Decoder
-	count   int // of whole blocks that were read
+	count   int // complete blocks that were read
 	faults  []Fault
 }
 
@@ -34,11 +34,11 @@
 		return nil, err
 	}
 	return &blockScanner{
-		file: file, in: bufio.NewReaderSize(in, maxPackedBytes+headBytes), decoder: decoder,
+		file: file, in: bufio.NewReaderSize(in, maxCompressedBytes+headBytes), decoder: decoder,
 	}, nil
 }
 
-// readMagic reads the line that each capture begins with.
+// readMagic reads the magic line at the beginning of each capture.
 func (s *blockScanner) readMagic() error {
 	line := make([]byte, len(magic))
 	n, err := io.ReadFull(s.in, line)
@@ -53,7 +53,7 @@
 	}
 }
 
-// next returns the content of the next whole block; ok is false at the end of the file.
+// next returns the content of the next complete block; ok is false at the end of the file.
 func (s *blockScanner) next() (content []byte, ok bool) {
 	for {
 		buf, err := s.in.Peek(headBytes)
@@ -61,9 +61,9 @@
 			return nil, false
 		}
 		if err != nil {
-			s.addFault(fmt.Sprintf("cut off: %d bytes of a block's head; all %d blocks before it were read",
+			s.addFault(fmt.Sprintf("truncated: only %d bytes of a block's head; all %d blocks before it were read",
 				len(buf), s.count))
-			_, _ = s.in.Discard(len(buf)) // they are buffered
+			_, _ = s.in.Discard(len(buf)) // no error: the bytes are buffered
 			return nil, false
 		}
 		if head, ok := parseBlockHead(buf); ok {
@@ -72,26 +72,27 @@
 				return content, true
 			}
 		} else {
-			s.addFault("damaged: no block begins here")
+			s.addFault("damaged: no block begins at this offset")
 		}
-		// A damaged length may reach past sound blocks: the search goes on right behind this block's mark.
+		// A damaged length may extend over intact blocks, so the search continues one byte after this block's start.
 		if !s.seekMark() {
 			return nil, false
 		}
 	}
 }
 
-// readBlock reads the block that begins here, or notes what is wrong with it and leaves it where it is.
+// readBlock reads the block at the current offset. If the block is damaged, readBlock records a fault and does not skip
+// the block.
 func (s *blockScanner) readBlock(head blockHead) (content []byte, ok bool) {
-	block, err := s.in.Peek(headBytes + head.packedBytes)
+	block, err := s.in.Peek(headBytes + head.compressedBytes)
 	if err != nil {
-		s.addFault(fmt.Sprintf("cut off: %d bytes of a block of %d; all %d whole blocks before it were read",
-			len(block), headBytes+head.packedBytes, s.count))
+		s.addFault(fmt.Sprintf("truncated: only %d bytes of a block of %d; all %d complete blocks before it were read",
+			len(block), headBytes+head.compressedBytes, s.count))
 		return nil, false
 	}
-	content, ok = s.unpack(head, block[headBytes:])
+	content, ok = s.decompress(head, block[headBytes:])
 	if !ok {
-		s.addFault("damaged: a block's checksum is not that of its bytes; the block is left out")
+		s.addFault("damaged: a block's checksum does not match its bytes; the block is skipped")
 		return nil, false
 	}
 	s.skip(len(block))
@@ -99,15 +100,15 @@
 	return content, true
 }
 
-func (s *blockScanner) unpack(head blockHead, packed []byte) (content []byte, ok bool) {
-	if xxhash.Sum64(packed) != head.checksum {
+func (s *blockScanner) decompress(head blockHead, compressed []byte) (content []byte, ok bool) {
+	if xxhash.Sum64(compressed) != head.checksum {
 		return nil, false
 	}
-	content, err := s.decoder.DecodeAll(packed, make([]byte, 0, head.rawBytes))
+	content, err := s.decoder.DecodeAll(compressed, make([]byte, 0, head.rawBytes))
 	return content, err == nil && len(content) == head.rawBytes
 }
 
-// seekMark skips to the next block mark behind the present byte; it returns false at the end of the file.
+// seekMark skips to the next block mark after the current byte. It returns false at the end of the file.
 func (s *blockScanner) seekMark() bool {
 	var mark [4]byte
 	binary.LittleEndian.PutUint32(mark[:], blockMark)
@@ -122,13 +123,13 @@
 			s.skip(len(buf))
 			return false
 		}
-		s.skip(len(buf) - len(mark) + 1) // a mark may lie across the end
+		s.skip(len(buf) - len(mark) + 1) // a mark may begin in the last bytes of buf
 	}
 }
 
-// skip goes on by n bytes, which are buffered.
+// skip advances by n bytes, which must be buffered.
 func (s *blockScanner) skip(n int) {
-	_, _ = s.in.Discard(n) // no error: they are buffered
+	_, _ = s.in.Discard(n) // no error: the bytes are buffered
 	s.offset += int64(n)
 }
 
--- a/internal/operations/capture/format.go
+++ b/internal/operations/capture/format.go
@@ -10,40 +10,41 @@
 )
 
 const (
-	magic     = "spurwinch capture\r\n\x1a\n" // a transfer that changes line ends shows at once
+	magic     = "spurwinch capture\r\n\x1a\n" // its line endings reveal a transfer that converts line endings
 	blockMark = 0x6b6c6253                    // "Sblk"
 
 	// A block's head, little-endian: mark, compressed length, raw length (4 bytes each), XXH64 of the compressed bytes.
-	packedLengthAt = 4
-	rawLengthAt    = 8
-	checksumAt     = 12
-	headBytes      = 20
+	compressedLengthAt = 4
+	rawLengthAt        = 8
+	checksumAt         = 12
+	headBytes          = 20
 
-	maxRawBytes    = 1 << 20 // of the largest block that is read
-	maxPackedBytes = 1 << 20
+	maxRawBytes        = 1 << 20 // content size limit of a block that is read
+	maxCompressedBytes = 1 << 20 // compressed size limit of a block that is read
 
-	maxAttempts  = 16  // of a request
-	maxNameBytes = 256 // of a host's id, zone or kind
+	maxAttempts  = 16  // recorded attempts of a request
+	maxNameBytes = 256 // size limit of a server's id, zone or kind
 )
 
-// blockHead is what stands before a block's compressed bytes.
+// blockHead is the head of a block, which precedes the block's compressed bytes.
 type blockHead struct {
-	packedBytes, rawBytes int
-	checksum              uint64 // of the compressed bytes
+	compressedBytes, rawBytes int
+	checksum                  uint64 // of the compressed bytes
 }
 
-// parseBlockHead reads the head of a block; ok is false where there is none, or one with lengths that can't be.
+// parseBlockHead reads the head of a block. ok is false if buf does not begin with a block mark or if a length is over
+// its limit.
 func parseBlockHead(buf []byte) (head blockHead, ok bool) {
 	mark := binary.LittleEndian.Uint32(buf)
-	packed := binary.LittleEndian.Uint32(buf[packedLengthAt:])
+	compressed := binary.LittleEndian.Uint32(buf[compressedLengthAt:])
 	raw := binary.LittleEndian.Uint32(buf[rawLengthAt:])
-	if mark != blockMark || packed > maxPackedBytes || raw > maxRawBytes {
+	if mark != blockMark || compressed > maxCompressedBytes || raw > maxRawBytes {
 		return blockHead{}, false
 	}
 	return blockHead{
-		packedBytes: int(packed),
-		rawBytes:    int(raw),
-		checksum:    binary.LittleEndian.Uint64(buf[checksumAt:]),
+		compressedBytes: int(compressed),
+		rawBytes:        int(raw),
+		checksum:        binary.LittleEndian.Uint64(buf[checksumAt:]),
 	}, true
 }
 
@@ -53,15 +54,15 @@
 	buf = append(buf, make([]byte, headBytes)...)
 	buf = encoder.EncodeAll(content, buf)
 	head := buf[start:]
-	packed := head[headBytes:]
+	compressed := head[headBytes:]
 	binary.LittleEndian.PutUint32(head, blockMark)
-	binary.LittleEndian.PutUint32(head[packedLengthAt:], uint32(len(packed)))
+	binary.LittleEndian.PutUint32(head[compressedLengthAt:], uint32(len(compressed)))
 	binary.LittleEndian.PutUint32(head[rawLengthAt:], uint32(len(content)))
-	binary.LittleEndian.PutUint64(head[checksumAt:], xxhash.Sum64(packed))
+	binary.LittleEndian.PutUint64(head[checksumAt:], xxhash.Sum64(compressed))
 	return buf
 }
 
-// newBlockEncoder returns an encoder that starts no goroutine and takes about 1 MB.
+// newBlockEncoder returns an encoder that starts no goroutine and uses about 1 MB of memory.
 func newBlockEncoder() *zstd.Encoder {
 	encoder, err := zstd.NewWriter(nil,
 		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(128<<10))
@@ -71,8 +72,8 @@
 	return encoder
 }
 
-// truncate is the beginning of a name, maxNameBytes at most, without half a character at its end: a CBOR text with one
-// can't be read, and costs the rest of its block.
+// truncate shortens a name to at most maxNameBytes without splitting a character. A reader can't decode a CBOR text
+// that ends within a character, and would lose the rest of its block.
 func truncate(name string) string {
 	if len(name) <= maxNameBytes {
 		return name
@@ -84,8 +85,8 @@
 	return name[:end]
 }
 
-// truncateAttempts is the attempts that are recorded, with their hosts' ids as records of hosts have them. The caller's
-// attempts stay as they are.
+// truncateAttempts returns the attempts to record: at most maxAttempts, with server ids that are truncated as in Host
+// records. It does not change the caller's slice.
 func truncateAttempts(attempts []Attempt) []Attempt {
 	attempts = attempts[:min(len(attempts), maxAttempts)]
 	isLong := func(attempt Attempt) bool { return len(attempt.Host) > maxNameBytes }
--- a/internal/operations/capture/golden_test.go
+++ b/internal/operations/capture/golden_test.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 const goldenFile = "testdata/capture.spwcap"
 
-// goldenHeader is the header of the golden file, as it is read.
+// goldenHeader is the expected header of the golden file.
 var goldenHeader = Header{
 	Version: 1, Node: "node-1", Zone: "zone-2", Start: 1700000000123456789, File: 3, Share: 0.5,
 	Classes: []string{"class-1", "class-2", "class-3"}, Tenants: []string{"tenant-1", "tenant-2"},
 	Fields: []string{"x0", "x1", "backlog"},
 }
 
-// goldenRecords have each field of each kind of record set to a value of its own, and each value of the fields that
-// are numbers for words.
+// goldenRecords returns records of each kind in which each field has a different value, and records with each value of
+// the enumerated fields.
 func goldenRecords() []Record {
 	records := []Record{
 		Host{At: 1, ID: "host-2", Zone: "zone-3", Kind: "kind-4", State: 1},
@@ -47,8 +47,8 @@
 	return records
 }
 
-// writeGolden writes the golden records to a file in a folder of its own, in two blocks, and returns its name. It
-// does on one goroutine what a Writer does on its own, so that the blocks are the same at any speed.
+// writeGolden writes the golden records in two blocks to a file in a separate directory and returns the file's name. It
+// performs the steps of a Writer's goroutine on the test's goroutine, so that the blocks don't depend on timing.
 func writeGolden(t *testing.T) string {
 	t.Helper()
 	writer := newWriter(Options{
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	for i, record := range goldenRecords() {
-		writer.take(record)
+		writer.addRecord(record)
 		if i == 3 {
 			writer.flush()
 		}
@@ -74,18 +74,18 @@
 	return writer.Files()[0]
 }
 
-// TestGoldenRead reads a file of the present format.
+// TestGoldenRead reads a file of the current format.
 func TestGoldenRead(t *testing.T) {
 	var got []Record
 	header, faults, err := ReadFile(goldenFile, func(_ Header, r Record) { got = append(got, r) })
 	if err != nil || len(faults) > 0 {
-		t.Fatalf("the golden file is read with error %v and faults %v, want none", err, faults)
+		t.Fatalf("ReadFile of the golden file: got error %v and faults %v, want none", err, faults)
 	}
 	if !reflect.DeepEqual(header, goldenHeader) {
-		t.Errorf("the header is read as\n%+v, want\n%+v", header, goldenHeader)
+		t.Errorf("ReadFile: got header\n%+v, want\n%+v", header, goldenHeader)
 	}
 	want := goldenRecords()
-	for i, r := range want { // clients and groups are hidden as they are written
+	for i, r := range want { // the writer replaces clients and groups by pseudonyms
 		if p, ok := r.(Placed); ok && p.Client == 7 && p.Group == 8 {
 			p.Client, p.Group = 15911541047344212028, 8681410975760409908
 			want[i] = p
@@ -93,11 +93,12 @@
 	}
 	for i := range max(len(got), len(want)) {
 		if i >= len(got) || i >= len(want) || !reflect.DeepEqual(got[i], want[i]) {
-			t.Fatalf("record %d is read as\n%+v, want\n%+v", i, at(got, i), at(want, i))
+			t.Fatalf("ReadFile: got record %d\n%+v, want\n%+v", i, at(got, i), at(want, i))
 		}
 	}
 }
 
+// at returns the record at index i, or nil if there is none.
 func at(records []Record, i int) Record {
 	if i < len(records) {
 		return records[i]
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// TestGoldenWrite writes what the golden file holds: the very same bytes.
+// TestGoldenWrite writes the golden records and expects the same bytes as in the golden file.
 func TestGoldenWrite(t *testing.T) {
 	got, err := os.ReadFile(writeGolden(t))
 	if err != nil {
@@ -121,18 +122,18 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("the file is written as\n%swant\n%s", hex.Dump(got), hex.Dump(want))
+		t.Errorf("writing the golden records: got\n%swant\n%s", hex.Dump(got), hex.Dump(want))
 	}
 }
 
-// TestGoldenWords holds the words for answers, and the name of a file.
-func TestGoldenWords(t *testing.T) {
+// TestGoldenNames checks the names of answers and of a file.
+func TestGoldenNames(t *testing.T) {
 	for i, want := range []string{"up", "served", "refused", "failed", "left", "unknown"} {
 		if got := Answer(i).String(); got != want {
-			t.Errorf("answer %d is called %q, want %q", i, got, want)
+			t.Errorf("String of answer %d: got %q, want %q", i, got, want)
 		}
 	}
 	if got, want := filepath.Base(writeGolden(t)), "load-20231114T221320.123-0003.spwcap"; got != want {
-		t.Errorf("the file is called %s, want %s", got, want)
+		t.Errorf("file name: got %s, want %s", got, want)
 	}
 }
--- a/internal/operations/capture/helpers_test.go
+++ b/internal/operations/capture/helpers_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// options are those of a capture in a folder of its own: everything is written, to one file, and no write may fail.
+// options returns the options of a capture in a separate directory. The capture writes all records to one file, and a
+// write error fails the test.
 func options(tb testing.TB) Options {
 	tb.Helper()
 	return Options{
@@ -18,7 +19,7 @@
 	}
 }
 
-// startWriter starts a writer with these options.
+// startWriter starts a writer with the given options.
 func startWriter(tb testing.TB, options Options) *Writer {
 	tb.Helper()
 	writer, err := NewWriter(options)
@@ -28,10 +29,11 @@
 	return writer
 }
 
-// closeWriter has a writer write all of its queue.
+// closeWriter closes a writer after it has written all records of its queue.
 func closeWriter(writer *Writer) { writer.Close(time.Now().Add(time.Hour)) }
 
-// writeRequests makes a capture of that many requests, each with its end, and returns its oldest file.
+// writeRequests writes a capture of the given number of requests, each with the end of its connection, and returns the
+// capture's oldest file.
 func writeRequests(tb testing.TB, requests int, change func(*Options)) string {
 	tb.Helper()
 	options := options(tb)
@@ -55,19 +57,19 @@
 	}
 	closeWriter(writer)
 	if writer.Dropped() > 0 {
-		tb.Fatal("records were dropped from a queue that held them all")
+		tb.Fatal("Put: got dropped records, want none: the queue has room for all records")
 	}
 	files, err := filepath.Glob(options.Path + "*.spwcap")
 	if err != nil || len(files) == 0 {
-		tb.Fatalf("got files %v and error %v, want one file or more", files, err)
+		tb.Fatalf("Glob: got files %v and error %v, want one file or more", files, err)
 	}
 	return files[0]
 }
 
-// counts are numbers of records by kind.
+// counts are the numbers of records by kind.
 type counts struct{ placed, ended, hosts int }
 
-// readRequests reads a file of writeRequests, checks its records and counts them.
+// readRequests reads a file that writeRequests wrote, checks its records and counts them.
 func readRequests(tb testing.TB, path string) (count counts, faults []Fault) {
 	tb.Helper()
 	_, faults, err := ReadFile(path, func(_ Header, record Record) {
@@ -76,7 +78,7 @@
 			count.placed++
 			oneAttempt := len(record.Attempts) == 1 && record.Attempts[0].Host == "h1"
 			if record.Load != 0.25 || !oneAttempt || record.Client < 5000 {
-				tb.Fatalf("a request is read as %+v", record)
+				tb.Fatalf("ReadFile: got request %+v, want one as written by writeRequests", record)
 			}
 		case Ended:
 			count.ended++
--- a/internal/operations/capture/limits_test.go
+++ b/internal/operations/capture/limits_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestManyHosts has more hosts than a block holds: each file begins with all of them, and can be read.
-func TestManyHosts(t *testing.T) {
+// TestManyHostsSpanSeveralBlocks checks that a file begins with all servers of the endpoint list and can be read when
+// they don't fit into one block.
+func TestManyHostsSpanSeveralBlocks(t *testing.T) {
 	const hosts = 40000
 	writer := newWriter(options(t))
 	for i := range hosts {
@@ -20,13 +21,14 @@
 	writer.files.close()
 	count, faults := readRequests(t, writer.Files()[0])
 	if count.hosts != hosts || len(faults) > 0 {
-		t.Errorf("got %d hosts and faults %v, want %d and no fault", count.hosts, faults, hosts)
+		t.Errorf("reading the file: got %d hosts and faults %v, want %d and no fault", count.hosts, faults, hosts)
 	}
 }
 
-// TestLongHostOfAttempts has a host whose id is longer than a record holds, and so long that the attempts of one
-// request would fill more than a block: attempts and reports name it as its own record does.
-func TestLongHostOfAttempts(t *testing.T) {
+// TestLongHostIDIsTruncatedInAllRecords writes a server's id that is over the limit of a record, and so long that the
+// attempts of one request would not fit into a block. Attempts and reports must have the same truncated id as the
+// server's Host record.
+func TestLongHostIDIsTruncatedInAllRecords(t *testing.T) {
 	writer := startWriter(t, options(t))
 	id := strings.Repeat("x", maxRawBytes/maxAttempts)
 	attempts := make([]Attempt, maxAttempts+1)
@@ -51,15 +53,15 @@
 		}
 	})
 	if err != nil || len(faults) > 0 || len(names) != 1+maxAttempts+1 {
-		t.Fatalf("got %d names, faults %v and error %v, want %d names and no fault",
+		t.Fatalf("ReadFile: got %d names, faults %v and error %v, want %d names and no fault",
 			len(names), faults, err, 1+maxAttempts+1)
 	}
 	for _, name := range names {
 		if name != id[:maxNameBytes] {
-			t.Errorf("got a host's id of %d bytes, want its first %d", len(name), maxNameBytes)
+			t.Errorf("ReadFile: got a host's id of %d bytes, want its first %d", len(name), maxNameBytes)
 		}
 	}
 	if attempts[0].Host != id {
-		t.Error("the caller's record was changed")
+		t.Error("Put: the caller's attempts were changed, want them unchanged")
 	}
 }
--- a/internal/operations/capture/reader.go
+++ b/internal/operations/capture/reader.go
@@ -11,12 +11,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxStepBack is how far the offset of a record may lie before the latest one: requests are written when they are
-// answered, with the time of their arrival.
+// maxStepBack is the longest time by which a record's offset may lie before the latest one. Offsets are not in order,
+// because a request is written when it is answered, with the time of its arrival.
 const maxStepBack = 120 * time.Second
 
-// decoding bounds what one item may hold.
-var decoding = func() cbor.DecMode {
+// decodeMode limits the size and the nesting of a CBOR item.
+var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 4096, MaxMapPairs: 64, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -30,12 +30,12 @@
 
 	file   string
 	blocks *blockScanner
-	block  []byte // what is left of the present block
+	block  []byte // unread rest of the current block
 	clock  clockGuard
 }
 
-// NewReader reads the header of a file, whose name is for errors and faults. The error is ErrNotCapture,
-// ErrTruncatedMagic, ErrNoHeader or a *VersionError, or says what is wrong with the header.
+// NewReader reads the header of a file. Errors and faults contain the file name. The error is ErrNotCapture,
+// ErrTruncatedMagic, ErrNoHeader, a *VersionError or an error that describes what is wrong with the header.
 func NewReader(file string, in io.Reader) (*Reader, error) {
 	blocks, err := newBlockScanner(file, in)
 	if err != nil {
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// Faults is the damage that was found so far. It is complete when Next has returned io.EOF.
+// Faults returns the damage that was found so far. The list is complete when Next has returned io.EOF.
 func (r *Reader) Faults() []Fault { return r.blocks.faults }
 
-// Next returns the next record, or io.EOF at the end of the file; there is no other error. Damage costs the blocks that
-// it touches and is added to Faults.
+// Next returns the next record, or io.EOF at the end of the file; it returns no other error. It skips damaged blocks
+// and adds the damage to Faults.
 func (r *Reader) Next() (Record, error) {
 	for {
 		if len(r.block) == 0 && !r.nextBlock() {
@@ -78,8 +78,9 @@
 		}
 		record, err := r.decodeRecord()
 		if err != nil {
-			// The checksum is right, so the writer made a mistake. Where the next record begins is not known.
-			r.blocks.addFault("a record that can't be read: " + err.Error())
+			// The checksum is correct, so the writer made a mistake. The start of the next record is unknown, so the
+			// rest of the block is skipped.
+			r.blocks.addFault("unreadable record: " + err.Error())
 			r.block = nil
 			continue
 		}
@@ -97,7 +98,7 @@
 func (r *Reader) end() {
 	if r.clock.steps > 0 {
 		r.blocks.addFault(fmt.Sprintf(
-			"the clock steps back %d times, by %.3f s at most: such records count as of the latest time before them",
+			"the clock steps back %d times, by %.3f s at most: the affected records get the latest time before them",
 			r.clock.steps, float64(r.clock.largest)/1e6))
 		r.clock.steps = 0
 	}
@@ -106,12 +107,13 @@
 
 // decode decodes the next item of the block.
 func (r *Reader) decode(target any) error {
-	rest, err := decoding.UnmarshalFirst(r.block, target)
+	rest, err := decodeMode.UnmarshalFirst(r.block, target)
 	r.block = rest
 	return err
 }
 
-// decodeRecord decodes a kind and the record of that kind. The record is nil where a later version added the kind.
+// decodeRecord decodes a kind and the record of that kind. It returns nil for an unknown kind, which a later version
+// may have added.
 func (r *Reader) decodeRecord() (Record, error) {
 	var kind recordKind
 	if err := r.decode(&kind); err != nil {
@@ -154,7 +156,7 @@
 	return nil, r.decode(&skipped)
 }
 
-// checkRequest rejects indices that are not in the header, and numbers that no writer takes.
+// checkRequest rejects indices that are not in the header and numbers that no writer produces.
 func (r *Reader) checkRequest(request *Placed) error {
 	validClass := request.Class >= 0 && request.Class < len(r.Header.Classes)
 	validTenant := request.Tenant >= -1 && request.Tenant < len(r.Header.Tenants)
@@ -165,17 +167,17 @@
 	return nil
 }
 
-// clockGuard finds records that were written under a clock that had stepped back: they would be taken for the load of
-// another time. Offsets are microseconds.
+// clockGuard detects records that were written after the clock was set back. Without a correction, their load would
+// count at a wrong time. Offsets are in microseconds.
 type clockGuard struct {
 	latest  int64
-	steps   int   // records that lay too far back
-	largest int64 // the farthest of them
+	steps   int   // records that were too far back
+	largest int64 // largest distance of such a record from the latest offset before it
 }
 
 func newClockGuard() clockGuard { return clockGuard{latest: math.MinInt64 / 2} }
 
-// adjust sets an offset that lies too far back to the latest one before it.
+// adjust replaces an offset that is too far back by the latest one before it.
 func (g *clockGuard) adjust(offset *int64) {
 	if *offset >= g.latest-Micros(maxStepBack) {
 		g.latest = max(g.latest, *offset)
@@ -186,14 +188,14 @@
 	*offset = g.latest
 }
 
-// ReadFile calls visit with the header and each record of a file. It returns the header, the damage that was found, and
-// the error where nothing of the file can be read.
+// ReadFile calls visit with the header and each record of a file. It returns the header and the damage that was found,
+// or an error if nothing of the file can be read.
 func ReadFile(name string, visit func(Header, Record)) (Header, []Fault, error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return Header{}, nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	reader, err := NewReader(name, file)
 	if err != nil {
 		return Header{}, nil, err
--- a/internal/operations/capture/rotation.go
+++ b/internal/operations/capture/rotation.go
@@ -13,22 +13,22 @@
 	fileTimeLayout = "20060102T150405.000"
 )
 
-// rotatingFile writes blocks to the newest of a number of files, and removes the oldest ones.
+// rotatingFile writes blocks to the newest of a limited number of files and removes the oldest ones.
 type rotatingFile struct {
 	path     string    // names are PATH-START-NUMBER.spwcap
 	start    time.Time // of the capture
-	maxBytes int64     // of a file; one is closed from this size on
+	maxBytes int64     // size from which a file is closed
 	maxFiles int
 	encoder  *zstd.Encoder
 
-	file   *os.File // nil: none is open
-	size   int64    // of the open one, bytes
-	names  []string // of the files that are kept, oldest first
-	number int      // of the next file
-	block  []byte   // reused
+	file   *os.File // nil: no file is open
+	size   int64    // of the open file, in bytes
+	names  []string // names of the kept files, oldest first
+	number int      // number of the next file
+	block  []byte   // buffer, reused for each block
 }
 
-// create creates the next file with its first line, and removes the oldest one over the limit.
+// create creates the next file with the magic line, and removes the oldest file if there are more than maxFiles.
 func (f *rotatingFile) create() error {
 	name := fmt.Sprintf("%s-%s-%04d.spwcap", f.path, f.start.UTC().Format(fileTimeLayout), f.number)
 	file, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
@@ -60,14 +60,14 @@
 
 func (f *rotatingFile) isOpen() bool { return f.file != nil }
 
-// isFull reports whether the open file has its full size.
+// isFull reports whether the open file has reached maxBytes.
 func (f *rotatingFile) isFull() bool { return f.size >= f.maxBytes }
 
-// close closes the open file, if there is one; the next block begins another.
+// close closes the open file, if there is one. The Writer starts another file for its next block.
 func (f *rotatingFile) close() {
 	if f.file == nil {
 		return
 	}
-	_ = f.file.Close() // what could not be written was an error of its write
+	_ = f.file.Close() // failed writes have already returned their errors
 	f.file = nil
 }
--- a/internal/operations/capture/sample.go
+++ b/internal/operations/capture/sample.go
@@ -7,21 +7,21 @@
 	"math"
 )
 
-// maxSkipped bounds the requests whose end is awaited to be left out.
+// maxSkipped limits the skipped requests that the sampler remembers in order to skip the end of their connection.
 const maxSkipped = 1 << 17
 
-// What a pseudonym is of, so that a client and a group of the same number differ.
+// Domains of pseudonyms. They give a client and a group with the same id different pseudonyms.
 const (
 	domainClient = 'c'
 	domainGroup  = 'g'
 )
 
-// sampler replaces clients and groups by pseudonyms and chooses the share of them that is written.
+// sampler replaces the ids of clients and groups by pseudonyms and chooses the share of them that is written.
 type sampler struct {
 	key     []byte
-	limit   uint64          // pseudonyms up to this one are in the share
-	skipped map[uint64]bool // open connections that are not in it, by the number of their request
-	mac     []byte          // reused
+	limit   uint64          // pseudonyms up to this value are in the share
+	skipped map[uint64]bool // open connections outside the share, by the Seq of their request
+	mac     []byte          // buffer, reused for each pseudonym
 }
 
 func newSampler(key []byte, share float64) sampler {
@@ -32,9 +32,9 @@
 	return sampler{key: key, limit: limit, skipped: map[uint64]bool{}}
 }
 
-// takeRequest replaces the client and the group of a request, and reports whether it is in the share. Whole groups are
-// in or out, since their members share work.
-func (s *sampler) takeRequest(request *Placed) bool {
+// sampleRequest replaces the client and the group of a request by pseudonyms, and reports whether the request is in the
+// share. It includes or skips whole groups, because the members of a group share work.
+func (s *sampler) sampleRequest(request *Placed) bool {
 	request.Client = s.pseudonym(domainClient, request.Client)
 	request.Group = s.pseudonym(domainGroup, request.Group)
 	sampled := request.Group
@@ -51,14 +51,14 @@
 }
 
 func (s *sampler) skip(sequence uint64) {
-	if len(s.skipped) >= maxSkipped { // ends that were dropped would fill it in time
+	if len(s.skipped) >= maxSkipped { // dropped ends of connections would fill the map over time
 		clear(s.skipped)
 	}
 	s.skipped[sequence] = true
 }
 
-// takeEnd reports whether the end of a connection is in the share, as its request was.
-func (s *sampler) takeEnd(sequence uint64) bool {
+// sampleEnd reports whether the end of a connection is in the share, which is the case if its request was.
+func (s *sampler) sampleEnd(sequence uint64) bool {
 	if !s.skipped[sequence] {
 		return true
 	}
@@ -66,7 +66,7 @@
 	return false
 }
 
-// pseudonym is the truncated HMAC of an id, never 0; the id 0, which stands for none, stays.
+// pseudonym returns the truncated HMAC of an id, which is never 0. It keeps the id 0, which means that there is no id.
 func (s *sampler) pseudonym(domain byte, id uint64) uint64 {
 	if id == 0 {
 		return 0
@@ -75,7 +75,7 @@
 	message[0] = domain
 	binary.BigEndian.PutUint64(message[1:], id)
 	hash := hmac.New(sha256.New, s.key)
-	_, _ = hash.Write(message[:]) // a hash gives no error
+	_, _ = hash.Write(message[:]) // writing to a hash never fails
 	s.mac = hash.Sum(s.mac[:0])
 	return max(1, binary.BigEndian.Uint64(s.mac))
 }
--- a/internal/operations/capture/writer.go
+++ b/internal/operations/capture/writer.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	blockBytes = 64 << 10    // a block is written from this size on,
-	blockTime  = time.Second // or after this time: what a kill loses at most
+	blockBytes = 64 << 10    // size from which a block is written
+	blockTime  = time.Second // interval at which a smaller block is written: the most that a kill loses
 )
 
-// Options say where and how much is written.
+// Options determine where and how much a Writer writes.
 type Options struct {
-	Path     string  // files are called Path-START-N.spwcap
-	FileSize int64   // bytes from which on the next file is begun
-	Files    int     // files kept; the oldest is removed for a new one
-	Share    float64 // of clients (or groups, where there are) that are written
+	Path     string  // files are named Path-START-N.spwcap
+	FileSize int64   // size in bytes from which the next file is started
+	Files    int     // files that are kept; a new file replaces the oldest
+	Share    float64 // fraction of clients (or groups, where requests have one) that is written
 	Key      []byte  // for the pseudonyms of clients and groups
-	Queue    int     // records that may wait for the writer
+	Queue    int     // number of records that may wait for the writer
 	Header   Header
-	Start    time.Time // of offset 0; zero: now
-	// OnError is called with what could not be written, on the writer's goroutine. Capturing goes on with the next
-	// block.
+	Start    time.Time // time of offset 0; if zero, the current time
+	// OnError is called on the writer's goroutine with the error of each failed write. Capturing continues with the
+	// next block.
 	OnError func(error)
 }
 
-// Writer writes records on a goroutine of its own. Put never waits.
+// Writer writes records on its own goroutine. Put never waits.
 type Writer struct {
 	queue    chan Record
 	dropped  atomic.Uint64
-	newNames atomic.Pointer[names] // set and not in a header yet
+	newNames atomic.Pointer[names] // set by SetNames and not in a header yet
 	done     chan struct{}
 	stop     sync.Once
 	start    time.Time
@@ -43,16 +43,16 @@
 	// Owned by the writer's goroutine.
 	header  Header
 	sampler sampler
-	hosts   map[string]Host // on the endpoint list now
+	hosts   map[string]Host // servers on the current endpoint list, by id
 	files   rotatingFile
 	buffer  bytes.Buffer // content of the next block
 	encoder *cbor.Encoder
 }
 
-// names are the names of classes and tenants, by their indices in records.
+// names are the names of classes and tenants. Records refer to them by index.
 type names struct{ classes, tenants []string }
 
-// NewWriter creates the first file and starts the one goroutine that writes, which lives until Close.
+// NewWriter creates the first file and starts the goroutine that writes records until Close.
 func NewWriter(options Options) (*Writer, error) {
 	w := newWriter(options)
 	if err := w.openFile(); err != nil {
@@ -62,7 +62,7 @@
 	return w, nil
 }
 
-// newWriter makes a writer without a file or a goroutine.
+// newWriter returns a writer without a file or a goroutine.
 func newWriter(options Options) *Writer {
 	start := options.Start
 	if start.IsZero() {
@@ -88,10 +88,11 @@
 	return writer
 }
 
-// Offset is a time as records count it, from the monotonic clock: a step of the wall clock doesn't show.
+// Offset converts a time to the offset of a record. It uses the monotonic clock, so that changes of the wall clock have
+// no effect.
 func (w *Writer) Offset(t time.Time) int64 { return Micros(t.Sub(w.start)) }
 
-// Put queues a record. Where the queue is full it is dropped and counted: the event loop must never wait.
+// Put queues a record. If the queue is full, Put drops and counts the record, because the event loop must never wait.
 func (w *Writer) Put(record Record) {
 	select {
 	case w.queue <- record:
@@ -100,21 +101,21 @@
 	}
 }
 
-// PutWait queues a record and waits for room. It is for tools; a node must not wait.
+// PutWait queues a record and waits if the queue is full. Only tools may use it, because a node must not wait.
 func (w *Writer) PutWait(record Record) { w.queue <- record }
 
-// SetNames sets the names of classes and tenants, of which there are more now: records put from now on may have indices
-// of the new ones. The open file ends, since its header has the old ones.
+// SetNames sets the names of classes and tenants after new ones were added. Records that are put afterwards may have
+// the new indices. The writer closes the open file, because its header has the old names.
 func (w *Writer) SetNames(classes, tenants []string) { w.newNames.Store(&names{classes, tenants}) }
 
-// Files are the files that are kept, oldest first. It may be called after Close, when they are complete.
+// Files returns the names of the kept files, oldest first. It may be called after Close, when the files are complete.
 func (w *Writer) Files() []string { return w.files.names }
 
-// Dropped is the number of records that were dropped and not counted in a file yet.
+// Dropped returns the number of dropped records that no file counts yet.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what is queued and ends the writer, by the given time at the latest: a disk that hangs must not hold up
-// the program's end. Nothing may be put after it.
+// Close writes the queued records and stops the writer. It returns by the given time at the latest, so that a disk that
+// hangs does not delay the end of the program. No record may be put after Close.
 func (w *Writer) Close(by time.Time) {
 	w.stop.Do(func() { close(w.queue) })
 	select {
@@ -135,7 +136,7 @@
 				w.files.close()
 				return
 			}
-			w.take(record)
+			w.addRecord(record)
 		case <-ticker.C:
 			if count := w.dropped.Swap(0); count > 0 {
 				w.encode(Dropped{At: w.Offset(time.Now()), Count: count})
@@ -148,30 +149,31 @@
 	}
 }
 
-// take encodes a record, if it is in the share, with its texts and lists cut to their limits.
-func (w *Writer) take(record Record) {
+// addRecord encodes a record if it is in the share. It truncates the record's texts and lists to their limits.
+func (w *Writer) addRecord(record Record) {
 	switch record := record.(type) {
 	case Placed:
 		w.applyNames()
-		if w.sampler.takeRequest(&record) {
+		if w.sampler.sampleRequest(&record) {
 			record.Attempts = truncateAttempts(record.Attempts)
 			w.encode(record)
 		}
 	case Ended:
-		if w.sampler.takeEnd(record.Seq) {
+		if w.sampler.sampleEnd(record.Seq) {
 			w.encode(record)
 		}
 	case Report:
 		record.Host = truncate(record.Host)
 		w.encode(record)
 	case Host:
-		w.takeHost(record)
+		w.addHost(record)
 	default:
 		w.encode(record)
 	}
 }
 
-func (w *Writer) takeHost(host Host) {
+// addHost encodes a record of a server and updates the servers of the endpoint list.
+func (w *Writer) addHost(host Host) {
 	host.ID = truncate(host.ID)
 	host.Zone = truncate(host.Zone)
 	host.Kind = truncate(host.Kind)
@@ -183,7 +185,8 @@
 	w.encode(host)
 }
 
-// applyNames takes over names that were set, before the first record that may need them.
+// applyNames closes the open file and puts the names that SetNames set into the header of the next one, before the
+// first record that may need them.
 func (w *Writer) applyNames() {
 	next := w.newNames.Swap(nil)
 	if next == nil {
@@ -210,13 +213,13 @@
 	}
 }
 
-// flush writes the block that is being filled. Its records are lost where that fails.
+// flush writes the current block. If the write fails, the records of the block are lost.
 func (w *Writer) flush() {
 	if w.buffer.Len() == 0 {
 		return
 	}
 	defer w.buffer.Reset()
-	if !w.files.isOpen() { // it was full, or there was no room; there may be again
+	if !w.files.isOpen() { // the last file was full, or a write failed, for example on a full disk, and may succeed now
 		if err := w.openFile(); err != nil {
 			w.reportError(err)
 			return
@@ -231,7 +234,7 @@
 	}
 }
 
-// openFile begins a file with the header and the hosts of the endpoint list.
+// openFile creates a file and writes the header and the servers of the endpoint list to it.
 func (w *Writer) openFile() error {
 	w.header.File = w.files.number
 	err := w.files.create()
@@ -255,8 +258,8 @@
 	return w.writeHosts()
 }
 
-// writeHosts writes the hosts of the endpoint list as records of now, in blocks of the usual size: a reader takes none
-// of over maxRawBytes.
+// writeHosts writes the servers of the endpoint list as records with the current time. It uses blocks of the usual
+// size, because a reader rejects blocks over maxRawBytes.
 func (w *Writer) writeHosts() error {
 	var buffer bytes.Buffer
 	encoder := cbor.NewEncoder(&buffer)
--- a/internal/operations/capture/writer_test.go
+++ b/internal/operations/capture/writer_test.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// TestRotation checks that files are bounded in size and number, and that each can be read alone.
+// TestRotation checks that the size and the number of files are limited, and that each file can be read on its own.
 func TestRotation(t *testing.T) {
 	path := writeRequests(t, 20000, func(options *Options) {
 		options.FileSize = 100 << 10
@@ -15,11 +15,11 @@
 	})
 	files, err := filepath.Glob(filepath.Join(filepath.Dir(path), "*"))
 	if err != nil || len(files) != 3 {
-		t.Fatalf("got files %v and error %v, want 3 files", files, err)
+		t.Fatalf("Glob: got files %v and error %v, want 3 files", files, err)
 	}
 	for _, file := range files[:2] {
 		if size := fileSize(t, file); size > 200<<10 {
-			t.Errorf("%s has %d bytes, want %d at most", file, size, 200<<10)
+			t.Errorf("%s: got %d bytes, want %d at most", file, size, 200<<10)
 		}
 		if count, faults := readRequests(t, file); count.hosts != 1 || len(faults) > 0 {
 			t.Errorf("%s: got %+v and faults %v, want 1 host and no fault", file, count, faults)
@@ -27,27 +27,29 @@
 	}
 }
 
-// TestSampledShare checks that a share has whole groups, with the ends of their connections.
+// TestSampledShare checks that a share contains whole groups, including the ends of their connections.
 func TestSampledShare(t *testing.T) {
 	count, _ := readRequests(t, writeRequests(t, 7000, func(options *Options) { options.Share = 0.5 }))
 	if count.placed%1000 != 0 || count.placed == 0 || count.placed == 7000 || count.ended != count.placed {
-		t.Errorf("half the groups: got %+v, want some groups of 1000 requests, each with its end", count)
+		t.Errorf("a share of 0.5: got %+v, want some groups of 1000 requests, each with its end", count)
 	}
 }
 
-// TestFullQueueDropsRecords checks that a writer that can't keep up drops and counts records, and that Put returns.
+// TestFullQueueDropsRecords checks that Put does not wait if the queue is full, and that it drops and counts
+// the records.
 func TestFullQueueDropsRecords(t *testing.T) {
-	writer := &Writer{queue: make(chan Record, 16)} // nobody reads
+	writer := &Writer{queue: make(chan Record, 16)} // no goroutine receives from the queue
 	for range 1000 {
 		writer.Put(Ended{})
 	}
 	if got, want := writer.Dropped(), uint64(1000-16); got != want {
-		t.Errorf("%d records are counted, want %d", got, want)
+		t.Errorf("Dropped: got %d, want %d", got, want)
 	}
 }
 
-// TestNewNames adds a class while the node runs: its records stand in a file whose header names it.
-func TestNewNames(t *testing.T) {
+// TestSetNamesStartsNewFile adds a class while the node runs. Its records must be in a file whose header names the
+// class.
+func TestSetNamesStartsNewFile(t *testing.T) {
 	options := options(t)
 	options.Files = 9
 	writer := startWriter(t, options)
@@ -63,30 +65,31 @@
 			}
 		})
 		if err != nil || len(faults) > 0 {
-			t.Errorf("%s: got error %v and faults %v, want none", name, err, faults)
+			t.Errorf("ReadFile(%s): got error %v and faults %v, want none", name, err, faults)
 		}
 	}
 	if got["a"] != 1 || got["b"] != 1 {
-		t.Errorf("got requests by class %v, want 1 of a and 1 of b", got)
+		t.Errorf("ReadFile: got requests by class %v, want 1 of a and 1 of b", got)
 	}
 }
 
-// TestLongHostNames has a host whose id, zone and kind are longer than a record holds, and would be cut inside a
-// character: the record and those of its block are read back, each text a whole number of characters.
-func TestLongHostNames(t *testing.T) {
+// TestLongHostNamesAreTruncatedBetweenCharacters writes a server whose id, zone and kind are over the limit of a
+// record, which lies inside a character. The record and the others of its block must be readable, and each text must
+// end with a complete character.
+func TestLongHostNamesAreTruncatedBetweenCharacters(t *testing.T) {
 	writer := startWriter(t, options(t))
-	long := "x" + strings.Repeat("é", maxNameBytes) // two bytes a character: byte maxNameBytes lies inside one
+	long := "x" + strings.Repeat("é", maxNameBytes) // é has two bytes: byte maxNameBytes lies inside one
 	writer.Put(Host{ID: long, Zone: long, Kind: long})
 	writer.Put(Placed{Seq: 1, Tenant: -1})
 	closeWriter(writer)
 	var got []Record
 	_, faults, err := ReadFile(writer.Files()[0], func(_ Header, record Record) { got = append(got, record) })
 	if err != nil || len(faults) > 0 || len(got) != 2 {
-		t.Fatalf("got %d records, faults %v and error %v, want 2 records and no fault", len(got), faults, err)
+		t.Fatalf("ReadFile: got %d records, faults %v and error %v, want 2 records and no fault", len(got), faults, err)
 	}
 	host, ok := got[0].(Host)
 	if !ok {
-		t.Fatalf("got %+v, want a host", got[0])
+		t.Fatalf("ReadFile: got %+v, want a host", got[0])
 	}
 	for _, text := range []string{host.ID, host.Zone, host.Kind} {
 		if !utf8.ValidString(text) || len(text) != maxNameBytes-1 || !strings.HasPrefix(long, text) {
@@ -95,7 +98,7 @@
 	}
 }
 
-// BenchmarkPut is the cost on the event loop of a connection's two records; bytes/conn is what they take on disk.
+// BenchmarkPut measures the cost of a connection's two records on the event loop. bytes/conn is their size on disk.
 func BenchmarkPut(b *testing.B) {
 	options := options(b)
 	options.FileSize = 1 << 40
