--- a/internal/operations/admin/admin.go
+++ b/internal/operations/admin/admin.go
@@ -58,7 +58,7 @@
 		s.evictOldest()
 	}
 	c := &connection{server: s, conn: conn}
-	c.place = s.pending.PushBack(c)
+	c.element = s.pending.PushBack(c)
 	c.stopTimer = s.loop.At(s.loop.Now().Add(headTimeout), func() {
 		c.respond(response{
 			status: http.StatusRequestTimeout,
--- a/internal/operations/admin/connection.go
+++ b/internal/operations/admin/connection.go
@@ -17,7 +17,7 @@
 	server    *Server
 	conn      *loop.Conn
 	head      []byte        // of the request, as far as it was received
-	place     *list.Element // in the server's list of pending connections
+	element   *list.Element // in the server's list of pending connections
 	stopTimer func()        // stops the timer of headTimeout
 	finished  bool          // the connection is answered, evicted or closed
 }
@@ -114,7 +114,7 @@
 func (c *connection) finish() {
 	c.finished = true
 	c.head = nil
-	c.server.pending.Remove(c.place)
+	c.server.pending.Remove(c.element)
 	c.stopTimer()
 }
 
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -120,17 +120,17 @@
 
 // TestGoldenSettingsNames checks the names of values in the settings.
 func TestGoldenSettingsNames(t *testing.T) {
-	for word, want := range map[string]choice.ReportSource{
+	for name, want := range map[string]choice.ReportSource{
 		"":         choice.NoReports,
 		"off":      choice.NoReports,
 		"on_probe": choice.HealthCheckReports,
 		"inline":   choice.AllReports,
 	} {
-		if got := decodeGoldenWith(t, `"via":"on_probe"`, `"via":"`+word+`"`).Reports; got != want {
-			t.Errorf("loadReport.via %q: got %d, want %d", word, got, want)
+		if got := decodeGoldenWith(t, `"via":"on_probe"`, `"via":"`+name+`"`).Reports; got != want {
+			t.Errorf("loadReport.via %q: got %d, want %d", name, got, want)
 		}
 	}
-	for word, want := range map[string]choice.SizeKind{
+	for name, want := range map[string]choice.SizeKind{
 		"":          choice.NoSize,
 		"off":       choice.NoSize,
 		"nominal":   choice.NominalSize,
@@ -138,29 +138,29 @@
 		"live":      choice.LiveSize,
 		"not_known": choice.NoSize,
 	} {
-		if got := decodeGoldenWith(t, `"weightSource":"live"`, `"weightSource":"`+word+`"`).Sizes; got != want {
-			t.Errorf("weightSource %q: got %d, want %d", word, got, want)
+		if got := decodeGoldenWith(t, `"weightSource":"live"`, `"weightSource":"`+name+`"`).Sizes; got != want {
+			t.Errorf("weightSource %q: got %d, want %d", name, got, want)
 		}
 	}
-	for word, want := range map[string]choice.Scope{
+	for name, want := range map[string]choice.Scope{
 		"":     choice.ScopeAll,
 		"all":  choice.ScopeAll,
 		"zone": choice.ScopeZone,
 		"cell": choice.ScopeCell,
 	} {
-		class := decodeGoldenWith(t, `"dedupScope":"zone"`, `"dedupScope":"`+word+`"`).Classes[0]
+		class := decodeGoldenWith(t, `"dedupScope":"zone"`, `"dedupScope":"`+name+`"`).Classes[0]
 		if got := class.IdempotencyScope; got != want {
-			t.Errorf("dedupScope %q: got %d, want %d", word, got, want)
+			t.Errorf("dedupScope %q: got %d, want %d", name, got, want)
 		}
 	}
-	for word, want := range map[string]choice.Idempotency{
+	for name, want := range map[string]choice.Idempotency{
 		"safe":   choice.Idempotent,
 		"keyed":  choice.IdempotentByKey,
 		"unsafe": choice.NotIdempotent,
 	} {
-		class := decodeGoldenWith(t, `"idempotency":"keyed"`, `"idempotency":"`+word+`"`).Classes[0]
+		class := decodeGoldenWith(t, `"idempotency":"keyed"`, `"idempotency":"`+name+`"`).Classes[0]
 		if got := class.Idempotency; got != want {
-			t.Errorf("idempotency %q: got %d, want %d", word, got, want)
+			t.Errorf("idempotency %q: got %d, want %d", name, got, want)
 		}
 	}
 	if decodeGoldenWith(t, `"mode":"pass"`, `"mode":"proxy"`).PacketPassThrough {
@@ -305,7 +305,7 @@
 			t.Errorf("decode(%s): got %#v (error %v), want %#v", test.raw, got, err, test.want)
 		}
 	}
-	for word, want := range map[string]choice.Outcome{
+	for name, want := range map[string]choice.Outcome{
 		"ok":             choice.Served,
 		"error":          choice.Failed,
 		"full":           choice.Full,
@@ -315,9 +315,9 @@
 		"cancelled":      choice.Cancelled,
 		"moot":           choice.NeverSent,
 	} {
-		got, err := target.decode(&wireEvent{Op: "Checked", Server: "host-1", Outcome: word})
+		got, err := target.decode(&wireEvent{Op: "Checked", Server: "host-1", Outcome: name})
 		if result, ok := got.(choice.HealthCheckResult); err != nil || !ok || result.Outcome != want {
-			t.Errorf("decode with rc %q: got %#v (error %v), want outcome %v", word, got, err, want)
+			t.Errorf("decode with rc %q: got %#v (error %v), want outcome %v", name, got, err, want)
 		}
 	}
 }
