--- a/internal/operations/admin/admin.go
+++ b/internal/operations/admin/admin.go
@@ -17,12 +17,12 @@
 const (
 	// maxPending limits the connections that have not sent a complete request head. Another one evicts the oldest.
 	maxPending = 10
-	// maxClosing limits the answered connections that the client has not closed yet. Another one aborts the oldest.
+	// maxClosing limits the answered connections that may still be open. Another one aborts the oldest.
 	maxClosing  = 6
 	headTimeout = 5 * time.Second // from the accept to the end of the request head
-	maxHead     = 4 << 10         // bytes of a request head
-	maxLines    = 64              // lines of a request head
-	// listenBacklog is the number of connections that may wait to be accepted: maxPending and a few more.
+	maxHead     = 4 << 10         // size limit of a request head, in bytes
+	maxLines    = 64              // limit of the lines of a request head
+	// listenBacklog is the number of connections that may wait to be accepted, a few more than maxPending.
 	listenBacklog = maxPending + 4
 )
 
@@ -62,7 +62,7 @@
 	c.stopTimer = s.loop.At(s.loop.Now().Add(headTimeout), func() {
 		c.respond(response{
 			status: http.StatusRequestTimeout,
-			body:   text("the request head was not complete in time: send GET /api/ready or GET /api/telemetry\n"),
+			body:   text("no whole head came in time: send GET /api/ready or GET /api/telemetry\n"),
 		})
 	})
 	return c
--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -44,7 +44,7 @@
 	})
 }
 
-// checkResponse checks that a response is a valid one of a server that is not ready and has no metrics.
+// checkResponse checks that a response is one that a server sends if it is not ready and has no metrics.
 func checkResponse(t *testing.T, status int, allow, body string) {
 	t.Helper()
 	switch status {
--- a/internal/operations/admin/connection.go
+++ b/internal/operations/admin/connection.go
@@ -16,7 +16,7 @@
 type connection struct {
 	server    *Server
 	conn      *loop.Conn
-	head      []byte        // of the request, as far as it was received
+	head      []byte        // received part of the request head
 	element   *list.Element // in the server's list of pending connections
 	stopTimer func()        // stops the timer of headTimeout
 	finished  bool          // the connection is answered, evicted or closed
@@ -35,7 +35,7 @@
 	}
 	from := max(0, len(c.head)-3) // the end of the head may span two pieces
 	c.head = append(c.head, piece[:min(len(piece), maxHead+1-len(c.head))]...)
-	// A server should ignore empty lines before a request (RFC 9112, section 2.2).
+	// Empty lines before a request are ignored, as RFC 9112, section 2.2, recommends.
 	for len(c.head) > 0 && (c.head[0] == '\r' || c.head[0] == '\n') {
 		c.head = c.head[1:]
 		from = 0
@@ -71,8 +71,8 @@
 	return -1
 }
 
-// respond writes the only response of the connection and ends it. The loop discards data that arrives for a moment
-// afterwards, so that the client sees the end of the connection and not a reset.
+// respond writes the only response of the connection and ends the connection. For a short time afterwards, the loop
+// discards arriving data, so that the client sees the end of the connection and not a reset.
 func (c *connection) respond(answer response) {
 	if c.finished {
 		return
@@ -119,7 +119,7 @@
 }
 
 // OnEnd handles the end of a connection before its request head was complete. If the client sent a part of the head and
-// then closed its sending side, OnEnd responds with an error.
+// then closed its sending side, OnEnd responds with an error. Otherwise it ends the connection without a response.
 func (c *connection) OnEnd(err error) {
 	if c.finished {
 		return
--- a/internal/operations/admin/golden_test.go
+++ b/internal/operations/admin/golden_test.go
@@ -15,8 +15,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestGoldenAnswers calls the admin server and compares each byte of its answers. The golden file contains each call
-// followed by its answer.
+// TestGoldenAnswers sends requests to the admin server and compares each byte of its answers. The golden file contains
+// each request followed by its answer.
 func TestGoldenAnswers(t *testing.T) {
 	ready := true
 	addr, onLoop := serveGolden(t, Answers{
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("admin calls: got answers\n%q, want\n%q", got.String(), want)
+		t.Errorf("requests to the admin server: got answers\n%q, want\n%q", got.String(), want)
 	}
 }
 
@@ -103,8 +103,8 @@
 	if _, err := io.WriteString(conn, head); err != nil {
 		t.Fatal(err)
 	}
-	if half, ok := conn.(*net.TCPConn); ok && !strings.HasSuffix(head, "\n") {
-		if err := half.CloseWrite(); err != nil {
+	if tcpConn, ok := conn.(*net.TCPConn); ok && !strings.HasSuffix(head, "\n") {
+		if err := tcpConn.CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
 	}
