--- a/internal/operations/capture/reader_test.go
+++ b/internal/operations/capture/reader_test.go
@@ -55,7 +55,7 @@
 		}
 		tooMany := count.placed == complete.placed && name != "trailing bytes"
 		if count.placed < complete.placed*2/3 || tooMany {
-			t.Errorf("reading a file (%s): got %d of %d requests, want two thirds or more, without damaged blocks",
+			t.Errorf("reading a file (%s): got %d of %d requests, want those of intact blocks, two thirds or more",
 				name, count.placed, complete.placed)
 		}
 	}
--- a/internal/operations/capture/record.go
+++ b/internal/operations/capture/record.go
@@ -10,9 +10,9 @@
 // on one another, so that all undamaged blocks of a truncated or damaged file can be read. The first block contains the
 // Header.
 //
-// Files never contain the ids of clients and groups. Keys and groups are written as truncated HMAC-SHA-256 values under
-// a key that the operator sets. An id has the same value in all files with the same key, so that ids can be counted and
-// compared but not recovered.
+// Files never contain the ids of clients and groups, but their truncated HMAC-SHA-256 values under a key that the
+// operator sets. An id has the same value in all files with the same key, so that ids can be counted and compared but
+// not recovered.
 package capture
 
 import "time"
@@ -79,7 +79,8 @@
 // All offsets and durations in records are in microseconds; offsets count from Header.Start. The order of the fields is
 // part of the format.
 type (
-	// Placed is a request with its only final answer. Its offset is the time of the request's arrival.
+	// Placed is a request with its final answer, of which there is exactly one. Its offset is the time of the request's
+	// arrival.
 	Placed struct {
 		_        struct{} `cbor:",toarray"`
 		At       int64
@@ -91,7 +92,7 @@
 		Load     float64
 		Returned bool  // the client reconnects after a node asked it to
 		TimeLeft int64 // from the arrival to the deadline
-		Took     int64 // to the answer
+		Took     int64 // from the arrival to the answer
 		Answer   Answer
 		Attempts []Attempt
 	}
--- a/internal/operations/capture/rotation.go
+++ b/internal/operations/capture/rotation.go
@@ -40,7 +40,7 @@
 	f.number++
 	f.names = append(f.names, name)
 	if len(f.names) > f.maxFiles {
-		_ = os.Remove(f.names[0]) // the operator may have removed it
+		_ = os.Remove(f.names[0]) // the operator may have removed the file already
 		f.names = f.names[1:]
 	}
 	_, err = file.WriteString(magic)
--- a/internal/operations/capture/sample.go
+++ b/internal/operations/capture/sample.go
@@ -7,7 +7,7 @@
 	"math"
 )
 
-// maxSkipped limits the skipped requests that the sampler remembers in order to skip the end of their connection.
+// maxSkipped limits the open connections outside the share that the sampler remembers in order to skip their ends.
 const maxSkipped = 1 << 17
 
 // Domains of pseudonyms. They give a client and a group with the same id different pseudonyms.
--- a/internal/operations/capture/writer.go
+++ b/internal/operations/capture/writer.go
@@ -12,7 +12,7 @@
 
 const (
 	blockBytes = 64 << 10    // size from which a block is written
-	blockTime  = time.Second // interval at which a smaller block is written: the most that a kill loses
+	blockTime  = time.Second // interval at which smaller blocks are written; a kill loses at most this time's records
 )
 
 // Options determine where and how much a Writer writes.
@@ -108,7 +108,8 @@
 // the new indices. The writer closes the open file, because its header has the old names.
 func (w *Writer) SetNames(classes, tenants []string) { w.newNames.Store(&names{classes, tenants}) }
 
-// Files returns the names of the kept files, oldest first. It may be called after Close, when the files are complete.
+// Files returns the names of the kept files, oldest first. It may be called only after Close, when the files are
+// complete.
 func (w *Writer) Files() []string { return w.files.names }
 
 // Dropped returns the number of dropped records that no file counts yet.
@@ -219,7 +220,8 @@
 		return
 	}
 	defer w.buffer.Reset()
-	if !w.files.isOpen() { // the last file was full, or a write failed, for example on a full disk, and may succeed now
+	// The last file was full or had old names, or a write failed, for example on a full disk, and may succeed now.
+	if !w.files.isOpen() {
 		if err := w.openFile(); err != nil {
 			w.reportError(err)
 			return
--- a/internal/operations/capture/writer_test.go
+++ b/internal/operations/capture/writer_test.go
@@ -19,10 +19,10 @@
 	}
 	for _, file := range files[:2] {
 		if size := fileSize(t, file); size > 200<<10 {
-			t.Errorf("%s: got %d bytes, want %d at most", file, size, 200<<10)
+			t.Errorf("size of %s: got %d bytes, want %d at most", file, size, 200<<10)
 		}
 		if count, faults := readRequests(t, file); count.hosts != 1 || len(faults) > 0 {
-			t.Errorf("%s: got %+v and faults %v, want 1 host and no fault", file, count, faults)
+			t.Errorf("ReadFile(%s): got %+v and faults %v, want 1 host and no fault", file, count, faults)
 		}
 	}
 }
@@ -31,12 +31,12 @@
 func TestSampledShare(t *testing.T) {
 	count, _ := readRequests(t, writeRequests(t, 7000, func(options *Options) { options.Share = 0.5 }))
 	if count.placed%1000 != 0 || count.placed == 0 || count.placed == 7000 || count.ended != count.placed {
-		t.Errorf("a share of 0.5: got %+v, want some groups of 1000 requests, each with its end", count)
+		t.Errorf("reading a share of 0.5: got %+v, want some groups of 1000 requests, each with its end", count)
 	}
 }
 
-// TestFullQueueDropsRecords checks that Put does not wait if the queue is full, and that it drops and counts
-// the records.
+// TestFullQueueDropsRecords checks that Put does not wait if the queue is full, and that it drops and counts the
+// record.
 func TestFullQueueDropsRecords(t *testing.T) {
 	writer := &Writer{queue: make(chan Record, 16)} // no goroutine receives from the queue
 	for range 1000 {
@@ -93,7 +93,8 @@
 	}
 	for _, text := range []string{host.ID, host.Zone, host.Kind} {
 		if !utf8.ValidString(text) || len(text) != maxNameBytes-1 || !strings.HasPrefix(long, text) {
-			t.Errorf("got %q of %d bytes, want the first %d bytes of the name", text, len(text), maxNameBytes-1)
+			t.Errorf("ReadFile: got %q of %d bytes, want the first %d bytes of the name",
+				text, len(text), maxNameBytes-1)
 		}
 	}
 }
--- a/internal/operations/fleetclient/fleetclient.go
+++ b/internal/operations/fleetclient/fleetclient.go
@@ -37,8 +37,8 @@
 }
 
 // Call sends an operator's call to the named node at addr (HOST:PORT) and returns its reply. It seals the call with the
-// fleet's key. The error is ErrNoAnswer, a *ReplySizeError, a network error or an error of agent.Unseal. The reply
-// itself contains the objections of the node.
+// fleet's key. The error is ErrNoAnswer, a *ReplySizeError, a network error or an error of agent.Unseal. If the node
+// rejects the call, Call returns no error: the reply contains the reason.
 func Call(addr string, key []byte, fleet *config.FleetList, node string, call agent.Call) (agent.Reply, error) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
--- a/internal/operations/logs/logs.go
+++ b/internal/operations/logs/logs.go
@@ -80,8 +80,8 @@
 }
 
 // sampledCore writes all lines of level debug, which describe single requests, and limits the other lines. It passes
-// the sampler the start time plus the time elapsed since, instead of the wall clock: if the wall clock were set back,
-// the sampler would drop an event until the clock has caught up.
+// the sampler the start time plus the time elapsed since then, and not the wall clock. If the wall clock were set back,
+// the sampler would otherwise drop an event until the clock has caught up.
 type sampledCore struct {
 	zapcore.Core              // the sampler, which passes lines on to complete
 	complete     zapcore.Core // writes lines without a limit
--- a/internal/operations/logs/logs_test.go
+++ b/internal/operations/logs/logs_test.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 )
 
-// TestLinesOfOneEventAreLimited checks that the lines of one event are limited to the rate, that the limit does not
-// drop another event, and that the number of dropped lines is logged.
+// TestLinesOfOneEventAreLimited checks that the rate limit drops lines of one event, that it does not drop another
+// event, and that the number of dropped lines is logged.
 func TestLinesOfOneEventAreLimited(t *testing.T) {
 	t.Cleanup(zap.ReplaceGlobals(zap.L()))
 	var out strings.Builder
@@ -21,7 +21,7 @@
 		zap.L().Warn("client_sent_garbage", zap.Int("bytes", 7))
 	}
 	if n := strings.Count(out.String(), "\n"); n < linesPerWindow || n > 3*linesPerWindow {
-		t.Errorf("1000 lines of one event: got %d written, want %d to %d", n, linesPerWindow, 3*linesPerWindow)
+		t.Errorf("logging 1000 lines of one event: got %d lines, want %d to %d", n, linesPerWindow, 3*linesPerWindow)
 	}
 	out.Reset()
 	zap.L().Warn("host_silent")
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestDebugLinesUnlimited checks that lines of level debug, which describe single requests, are not limited to the
-// rate.
+// TestDebugLinesUnlimited checks that the rate limit doesn't apply to lines of level debug, which describe single
+// requests.
 func TestDebugLinesUnlimited(t *testing.T) {
 	t.Cleanup(zap.ReplaceGlobals(zap.L()))
 	var out strings.Builder
--- a/internal/operations/stats/stats.go
+++ b/internal/operations/stats/stats.go
@@ -1,4 +1,4 @@
-// Package stats holds a node's counters and writes them, with its gauges, as text.
+// Package stats provides a node's counters and writes them, with its gauges, as text.
 //
 // The counters are plain numbers that only the goroutine of the event loop may use. The metric names in the text are
 // those of the operators' documentation ("refused", "hosts_known"); this package maps the terms of the code to them.
