--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -13,7 +13,7 @@
 	"spurwinch/internal/simwire"
 )
 
-// bufferSize is enough for most batches and replies.
+// bufferSize, in bytes, is enough for most batches and replies.
 const bufferSize = 1 << 20
 
 // errTruncated means that the last line of the input has no line break.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -199,7 +199,7 @@
 	return report
 }
 
-// maxSeconds is about the longest time that a time.Duration can hold, 9.22e9 s.
+// maxSeconds is a little below the longest time.Duration, which is 9.22e9 s.
 const maxSeconds = 9e9
 
 // seconds converts a duration from the wire, rounded to the microsecond. A duration out of range becomes the longest
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -104,12 +104,12 @@
 	}
 }
 
-// decodeGoldenWith decodes the golden settings after it replaces the first occurrence of old.
+// decodeGoldenWith replaces the first occurrence of old in the golden settings and decodes the result.
 func decodeGoldenWith(t *testing.T, old, replacement string) choice.Settings {
 	t.Helper()
 	raw := string(golden(t, "settings.json"))
 	if !strings.Contains(raw, old) {
-		t.Fatalf("got golden settings without %s, want it in them", old)
+		t.Fatalf("golden settings: got no %s, want one to replace", old)
 	}
 	got, err := DecodeSettings([]byte(strings.Replace(raw, old, replacement, 1)))
 	if err != nil {
@@ -127,7 +127,7 @@
 		"inline":   choice.AllReports,
 	} {
 		if got := decodeGoldenWith(t, `"via":"on_probe"`, `"via":"`+name+`"`).Reports; got != want {
-			t.Errorf("loadReport.via %q: got %d, want %d", name, got, want)
+			t.Errorf("DecodeSettings with loadReport.via %q: got %d, want %d", name, got, want)
 		}
 	}
 	for name, want := range map[string]choice.SizeKind{
@@ -139,7 +139,7 @@
 		"not_known": choice.NoSize,
 	} {
 		if got := decodeGoldenWith(t, `"weightSource":"live"`, `"weightSource":"`+name+`"`).Sizes; got != want {
-			t.Errorf("weightSource %q: got %d, want %d", name, got, want)
+			t.Errorf("DecodeSettings with weightSource %q: got %d, want %d", name, got, want)
 		}
 	}
 	for name, want := range map[string]choice.Scope{
@@ -150,7 +150,7 @@
 	} {
 		class := decodeGoldenWith(t, `"dedupScope":"zone"`, `"dedupScope":"`+name+`"`).Classes[0]
 		if got := class.IdempotencyScope; got != want {
-			t.Errorf("dedupScope %q: got %d, want %d", name, got, want)
+			t.Errorf("DecodeSettings with dedupScope %q: got %d, want %d", name, got, want)
 		}
 	}
 	for name, want := range map[string]choice.Idempotency{
@@ -160,17 +160,17 @@
 	} {
 		class := decodeGoldenWith(t, `"idempotency":"keyed"`, `"idempotency":"`+name+`"`).Classes[0]
 		if got := class.Idempotency; got != want {
-			t.Errorf("idempotency %q: got %d, want %d", name, got, want)
+			t.Errorf("DecodeSettings with idempotency %q: got %d, want %d", name, got, want)
 		}
 	}
 	if decodeGoldenWith(t, `"mode":"pass"`, `"mode":"proxy"`).PacketPassThrough {
-		t.Error("domain.mode proxy: got PacketPassThrough true, want false")
+		t.Error("DecodeSettings with domain.mode proxy: got PacketPassThrough true, want false")
 	}
 	if decodeGoldenWith(t, `"membershipMode":"on_request"`, `"membershipMode":"push"`).Subscribe {
-		t.Error("membershipMode push: got Subscribe true, want false")
+		t.Error("DecodeSettings with membershipMode push: got Subscribe true, want false")
 	}
 	if decodeGoldenWith(t, `"worthBy":"work"`, `"worthBy":"request"`).PriorityPerWork {
-		t.Error("worthBy request: got PriorityPerWork true, want false")
+		t.Error("DecodeSettings with worthBy request: got PriorityPerWork true, want false")
 	}
 }
 
@@ -346,8 +346,8 @@
 	if got, err := json.Marshal(out); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("encoding the reply: got\n%s (error %v), want\n%s", got, err, want)
 	}
-	var back reply
-	if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, out) {
-		t.Errorf("decoding the reply: got\n%+v (error %v), want\n%+v", back, err, out)
+	var decoded reply
+	if err := json.Unmarshal(want, &decoded); err != nil || !reflect.DeepEqual(decoded, out) {
+		t.Errorf("decoding the reply: got\n%+v (error %v), want\n%+v", decoded, err, out)
 	}
 }
--- a/internal/simwire/handler.go
+++ b/internal/simwire/handler.go
@@ -26,7 +26,7 @@
 	balancer *choice.Balancer
 	classes  map[string]int // class indices by name
 	tenants  map[string]int // tenant indices by name
-	events   []choice.Event // events of the current batch; nil: the batch has none, and Step isn't called
+	events   []choice.Event // events of the current batch; if nil, the batch has none and Step is not called
 }
 
 // NewHandler returns a handler without instances.
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -130,7 +130,7 @@
 	opWatchList       stepOp = "Follow"
 )
 
-// Names in the wire protocol of values of package choice.
+// Names that the wire protocol uses for values of package choice.
 var (
 	outcomeByName = map[string]choice.Outcome{
 		"ok":             choice.Served,
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,7 +9,8 @@
 	"spurwinch/choice"
 )
 
-// Settings are the settings of a balancer, with the names by which requests and load reports refer to their parts.
+// Settings are the settings of a balancer, with the names by which requests refer to classes and tenants and load
+// reports to their values.
 type Settings struct {
 	choice.Settings
 	ClassByName  map[string]int // indices in Classes
@@ -59,8 +60,8 @@
 	return s
 }
 
-// mergeByName replaces the entry of table that has the same name by each of items, or appends the item if there is no
-// such entry. It returns the table and the index of each item by name.
+// mergeByName merges items into table: an item replaces the entry with the same name, or is appended if there is none.
+// It returns the table and the index of each item by name.
 func mergeByName[T any](table, items []T, name func(T) string) ([]T, map[string]int) {
 	indices := map[string]int{}
 	for _, item := range items {
--- a/internal/simwire/setup.go
+++ b/internal/simwire/setup.go
@@ -88,7 +88,7 @@
 	Waste       float64 `json:"waste"`
 }
 
-// Names in the setup object of values of settings of package choice.
+// Names that the setup object uses for values of package choice.
 const (
 	modePassThrough = "pass"       // domain.mode
 	listOnRequest   = "on_request" // membershipMode
