--- a/internal/plan/planner/attempt.go
+++ b/internal/plan/planner/attempt.go
@@ -15,14 +15,15 @@
 	closed     bool
 }
 
-// Attempt starts an upstream request: the connection, the way of the request, the set-up, and the way of the answer.
+// Attempt starts an upstream request. It schedules the connection to the server and the arrival of the request there.
+// The arrival starts the set-up at the server, after which the reply travels back to the node.
 func (c *client) Attempt(upstream *edge.Attempt) edge.UpstreamRequest {
 	sim := c.sim
 	started := &attempt{client: c, upstream: upstream, node: c.node, server: sim.serverByID[upstream.Server.ID]}
 	c.attempt = started
 	c.node.connections++
 	if upstream.AlreadyOpen() {
-		sim.schedule(sim.now, started.node, started.restore)
+		sim.schedule(sim.now, started.node, started.openExisting)
 		return started
 	}
 	latency := sim.latencies[started.node.zone][started.server.zone]
@@ -31,8 +32,8 @@
 	return started
 }
 
-// restore opens a connection that was set up before the load began.
-func (a *attempt) restore() {
+// openExisting opens a connection that was set up before the load began.
+func (a *attempt) openExisting() {
 	if a.closed {
 		return
 	}
@@ -41,7 +42,7 @@
 	a.upstream.Established()
 }
 
-// connected is called when the node knows whether its connection to the server was accepted.
+// connected runs when the node learns whether the server accepted its connection.
 func (a *attempt) connected() {
 	if a.closed {
 		return
@@ -56,7 +57,7 @@
 	}
 }
 
-// requestArrived is called when the request is at the server.
+// requestArrived runs when the request reaches the server.
 func (a *attempt) requestArrived() {
 	if a.closed || a.server.failed {
 		return
@@ -64,10 +65,10 @@
 	a.server.setUp(a.client, a.setUpDone)
 }
 
-// setUpDone is called with the outcome at the server; the connection is nil unless it was set up.
+// setUpDone runs when the outcome is known at the server. The connection is nil unless the set-up succeeded.
 func (a *attempt) setUpDone(outcome choice.Outcome, opened *connection) {
 	a.connection = opened
-	if a.closed && opened != nil { // given up meanwhile; the work was done all the same
+	if a.closed && opened != nil { // abandoned meanwhile, although the server did the work
 		a.server.close(opened)
 		return
 	}
@@ -86,7 +87,7 @@
 	})
 }
 
-// end reports the attempt's outcome to the node.
+// end closes the attempt and reports its outcome to the node unless the node is lost.
 func (a *attempt) end(outcome choice.Outcome) {
 	a.close()
 	if !a.node.lost {
@@ -105,5 +106,5 @@
 	}
 }
 
-// GiveUp stops waiting, or ends the connection.
+// GiveUp abandons a pending set-up or closes the connection.
 func (a *attempt) GiveUp() { a.close() }
--- a/internal/plan/planner/bound.go
+++ b/internal/plan/planner/bound.go
@@ -11,25 +11,25 @@
 // boundWindow is the length of the windows in which demand is compared with capacity.
 const boundWindow = 10 * time.Second
 
-// Bound is what arithmetic alone gives: no placement can do better, however good.
+// Bound is an upper bound of the service that is computed without a simulation. No placement can exceed it.
 type Bound struct {
-	Service    float64  `json:"service"`    // at most
+	Service    float64  `json:"service"`    // highest possible
 	Cores      float64  `json:"cores"`      // capacity of all servers after their slow start, in reference cores
-	Demand     float64  `json:"asked"`      // of the busiest window, with each group counted once
-	DemandAtS  float64  `json:"asked_at_s"` // beginning of that window
-	Infeasible []string `json:"cannot"`     // what is infeasible, in words
+	Demand     float64  `json:"asked"`      // of the busiest window in reference cores, with each group counted once
+	DemandAtS  float64  `json:"asked_at_s"` // start of that window
+	Infeasible []string `json:"cannot"`     // a description of each limit that the load exceeds in any placement
 }
 
-// windowDemand is what a load demands in one window.
+// windowDemand is the demand of a load in one window.
 type windowDemand struct {
 	work        float64 // reference cores
-	priority    float64 // weight a second
-	setups      float64 // new connections a second
-	connections float64 // mean number
+	priority    float64 // weight per second
+	setups      float64 // new connections per second
+	connections float64 // mean number of open connections
 }
 
-// UpperBound compares the load with the capacity of the fleet in windows of 10 s. Where a window demands more than all
-// servers can do, the classes with the highest priority weight for their work are served first.
+// UpperBound compares the load with the capacity of the fleet in windows of 10 s. If a window demands more than all
+// servers can do, the classes with the highest ratio of priority weight to work are served first.
 func UpperBound(description *fleet.Fleet, load *workload.Load) Bound {
 	calculator := newBoundCalculator(description, load)
 	for i := range load.Sessions {
@@ -46,11 +46,11 @@
 	windows      []windowDemand
 	classes      [][]windowDemand // by window and class
 	groups       map[uint64]*groupDemand
-	groupIDs     []uint64 // by first arrival: sums in the order of a map differ in their last digits
-	largestGroup float64  // load of one group with its cost, in reference cores
+	groupIDs     []uint64 // by first arrival, because sums in map order differ in their last digits
+	largestGroup float64  // load of the largest group with its cost, in reference cores
 }
 
-// groupDemand is what the sessions of one group demand together.
+// groupDemand is the combined demand of the sessions of one group.
 type groupDemand struct {
 	from, to time.Duration
 	load     float64 // in reference cores
@@ -71,7 +71,7 @@
 	return calculator
 }
 
-// eachWindow calls add for each window of a period, with the fraction of the window that the period covers.
+// eachWindow calls add for each window that overlaps a period, with the fraction of the window that the period covers.
 func (c *boundCalculator) eachWindow(from, to time.Duration, add func(window int, fraction float64)) {
 	to = min(to, c.load.Length)
 	for i := int(from / boundWindow); i < len(c.windows); i++ {
@@ -118,7 +118,7 @@
 	group.load += cores
 }
 
-// addGroups adds the cost of each group once, as if it were on one server.
+// addGroups adds the cost of each group once, as if one server held the whole group.
 func (c *boundCalculator) addGroups() {
 	cost := c.fleet.Group.Cost * c.fleet.CoreLoad()
 	for _, id := range c.groupIDs {
@@ -150,14 +150,14 @@
 	return bound
 }
 
-// mostServed returns the most priority weight that the work of a window can be served with: the classes with the
-// highest weight for their work first, groups and set-ups for nothing.
+// mostServed returns the most priority weight that the servers can serve in a window. The classes with the highest
+// ratio of weight to work are served first. The work of groups and set-ups counts as free.
 func mostServed(classes []windowDemand, window windowDemand, cores float64) float64 {
 	if window.work <= cores {
 		return window.priority
 	}
 	served := 0.0
-	rest := cores
+	remaining := cores
 	used := make([]bool, len(classes))
 	for range classes {
 		best := bestClass(classes, used)
@@ -165,14 +165,14 @@
 			break
 		}
 		used[best] = true
-		fraction := min(1, rest/classes[best].work)
+		fraction := min(1, remaining/classes[best].work)
 		served += classes[best].priority * fraction
-		rest -= classes[best].work * fraction
+		remaining -= classes[best].work * fraction
 	}
 	return served
 }
 
-// bestClass returns the unused class with the highest priority weight for its work, or -1.
+// bestClass returns the unused class with the highest ratio of priority weight to work, or -1 if there is none.
 func bestClass(classes []windowDemand, used []bool) int {
 	best := -1
 	for i, class := range classes {
@@ -186,25 +186,25 @@
 	return best
 }
 
-// infeasible says in words which limits the load exceeds in any placement.
+// infeasible describes the limits that the load exceeds in any placement.
 func (c *boundCalculator) infeasible(bound *Bound, peak windowDemand) []string {
 	var reasons []string
 	add := func(format string, values ...any) { reasons = append(reasons, fmt.Sprintf(format, values...)) }
 	if bound.Cores <= 0 {
-		add("there is no server at all")
+		add("the fleet has no server")
 	} else if bound.Demand > bound.Cores {
-		add("the busiest 10 s, from %.0f s on, ask for %.1f cores; all servers have %.1f",
+		add("the busiest 10 s, from %.0f s on, demand %.1f cores; all servers together have %.1f",
 			bound.DemandAtS, bound.Demand, bound.Cores)
 	}
 	if rate := c.fleet.Store.Rate; rate > 0 && peak.setups > rate {
-		add("%.1f new connections a second need the session store, which bears %.1f", peak.setups, rate)
+		add("%.1f new connections a second need the session store, which can serve %.1f", peak.setups, rate)
 	}
 	if nodes := c.nodeCapacity(); peak.connections > nodes {
-		add("%.0f standing connections need two descriptors each; all nodes have room for %.0f",
+		add("%.0f open connections need two descriptors each; all nodes together have room for %.0f",
 			peak.connections, nodes)
 	}
 	if servers := c.serverConnections(); peak.connections > servers {
-		add("%.0f standing connections; all servers hold %.0f at most", peak.connections, servers)
+		add("%.0f open connections are demanded; all servers together accept at most %.0f", peak.connections, servers)
 	}
 	if largest := c.largestServer(); c.largestGroup > largest && largest > 0 {
 		add("one group asks for up to %.2f cores; the largest server has %.2f: "+
@@ -214,7 +214,7 @@
 	return reasons
 }
 
-// nodeCapacity returns how many client connections the descriptors of all nodes are enough for.
+// nodeCapacity returns the number of client connections for which the descriptors of all nodes suffice.
 func (c *boundCalculator) nodeCapacity() float64 {
 	capacity := 0.0
 	for _, pool := range c.fleet.NodePools {
--- a/internal/plan/planner/breakpoint.go
+++ b/internal/plan/planner/breakpoint.go
@@ -12,9 +12,9 @@
 
 const (
 	maxLoadFactor       = 16.0
-	loadFactorPrecision = 0.05 // relative over 1, else absolute
-	searchIntervals     = 5    // that the range of load factors is divided into at a time
-	minTolerableService = 0.8  // under it a load counts as too much even where no limit was reached
+	loadFactorPrecision = 0.05 // relative for load factors above 1, absolute below
+	searchIntervals     = 5    // into which each round divides the range of load factors
+	minTolerableService = 0.8  // a lower service counts as excessive load even if no limit was reached
 	breakpointWindow    = time.Minute
 )
 
@@ -24,16 +24,16 @@
 	Where      string  `json:"where"`
 	AtS        float64 `json:"at_s"`
 	LoadFactor float64 `json:"multiple"` // of the load given
-	Service    float64 `json:"service"`  // at that multiple
-	None       bool    `json:"none"`     // no limit up to the multiple tried
+	Service    float64 `json:"service"`  // at that load factor
+	None       bool    `json:"none"`     // no limit was reached up to the largest load factor tried
 }
 
-// FindBreakpoint finds the least multiple of the load at which a limit is reached or the service is much worse for it,
-// and which limit that is: of several, the one that is reached first. A longer load is searched on its busiest
-// breakpointWindow. Several multiples are simulated at once; onTry, which may be nil, is called with the largest of
-// them.
+// FindBreakpoint finds the lowest load factor at which a limit is reached or the service falls below
+// minTolerableService, and names the limit. If several limits are reached, it names the one that is reached first. A
+// load that is much longer than breakpointWindow is searched on its busiest window of that length. Each round simulates
+// several load factors at once and calls onTry, which may be nil, with the largest of them.
 func FindBreakpoint(
-	description *fleet.Fleet, load *workload.Load, options Options, onTry func(multiple float64),
+	description *fleet.Fleet, load *workload.Load, options Options, onTry func(loadFactor float64),
 ) (Breakpoint, error) {
 	if len(load.Sessions) == 0 {
 		return Breakpoint{None: true, LoadFactor: math.Inf(1), Service: 1}, nil
@@ -41,7 +41,7 @@
 	window, from := busiestPart(description, load, breakpointWindow)
 	options.MinService = minTolerableService
 	options.StopAtLimit = true
-	search := &breakpointSearch{fleet: description, load: window, options: options, tooMuch: math.Inf(1)}
+	search := &breakpointSearch{fleet: description, load: window, options: options, excessive: math.Inf(1)}
 	for factors := []float64{1}; len(factors) > 0; factors = search.nextFactors() {
 		if onTry != nil {
 			onTry(factors[len(factors)-1])
@@ -49,14 +49,15 @@
 		if err := search.try(factors); err != nil {
 			return Breakpoint{}, err
 		}
-		if search.tolerable >= maxLoadFactor && math.IsInf(search.tooMuch, 1) {
+		if search.tolerable >= maxLoadFactor && math.IsInf(search.excessive, 1) {
 			return Breakpoint{None: true, LoadFactor: maxLoadFactor, Service: search.tolerableRun.Service}, nil
 		}
 	}
 	return search.result(from), nil
 }
 
-// busiestPart returns the busiest window of a load, and when it begins: of a load that is not much longer, all of it.
+// busiestPart returns the busiest window of a load and the time at which it begins. A load that is not much longer than
+// the window is returned whole.
 func busiestPart(
 	description *fleet.Fleet, load *workload.Load, window time.Duration,
 ) (part *workload.Load, from time.Duration) {
@@ -67,18 +68,18 @@
 	return load.Cut(from, from+window), from
 }
 
-// breakpointSearch narrows the range of load factors that has the breakpoint.
+// breakpointSearch narrows the range of load factors that contains the breakpoint.
 type breakpointSearch struct {
 	fleet        *fleet.Fleet
 	load         *workload.Load
 	options      Options
-	tolerable    float64 // largest factor so far that is none too much
+	tolerable    float64 // largest load factor tried so far that is not excessive
 	tolerableRun Run
-	tooMuch      float64 // least factor so far that is; infinite: none yet
-	tooMuchRun   Run
+	excessive    float64 // smallest load factor tried so far that is excessive; infinite if there is none yet
+	excessiveRun Run
 }
 
-// try simulates factors, in ascending order, and narrows the range.
+// try simulates the load factors, which are in ascending order, and narrows the range.
 func (s *breakpointSearch) try(factors []float64) error {
 	runs, err := inParallel(len(factors), func(i int) (Run, error) {
 		return Simulate(s.fleet, s.load.Scale(factors[i], s.options.Seed), s.options)
@@ -88,8 +89,8 @@
 	}
 	for i := range runs {
 		if runs[i].LimitReached || runs[i].Service < minTolerableService {
-			s.tooMuch = factors[i]
-			s.tooMuchRun = runs[i]
+			s.excessive = factors[i]
+			s.excessiveRun = runs[i]
 			return nil
 		}
 		s.tolerable = factors[i]
@@ -98,13 +99,13 @@
 	return nil
 }
 
-// nextFactors returns the factors to try next, none where the range is narrow enough.
+// nextFactors returns the load factors to try next, or none if the range is narrow enough.
 func (s *breakpointSearch) nextFactors() []float64 {
-	if math.IsInf(s.tooMuch, 1) { // one after the other: a large multiple of a large load takes much memory
+	if math.IsInf(s.excessive, 1) { // one at a time, because a large multiple of a large load needs much memory
 		return []float64{2 * s.tolerable}
 	}
-	width := s.tooMuch - s.tolerable
-	if width <= max(loadFactorPrecision, s.tooMuch*loadFactorPrecision) {
+	width := s.excessive - s.tolerable
+	if width <= max(loadFactorPrecision, s.excessive*loadFactorPrecision) {
 		return nil
 	}
 	var factors []float64
@@ -114,10 +115,10 @@
 	return factors
 }
 
-// result returns the breakpoint of a load that begins at a time of the given one.
+// result returns the breakpoint. from is the time in the whole load at which the search's window begins.
 func (s *breakpointSearch) result(from time.Duration) Breakpoint {
-	found := Breakpoint{Limit: "service", Where: "all", LoadFactor: s.tooMuch, Service: s.tooMuchRun.Service}
-	reached := slices.DeleteFunc(slices.Clone(s.tooMuchRun.Limits), func(usage LimitUsage) bool {
+	found := Breakpoint{Limit: "service", Where: "all", LoadFactor: s.excessive, Service: s.excessiveRun.Service}
+	reached := slices.DeleteFunc(slices.Clone(s.excessiveRun.Limits), func(usage LimitUsage) bool {
 		return usage.TimesReached < minTimesReached
 	})
 	slices.SortStableFunc(reached, func(a, b LimitUsage) int {
@@ -131,8 +132,8 @@
 	return found
 }
 
-// rank orders limits of one run: the load of a single server is momentary, and a quota only lowers a priority, so both
-// are reported only where nothing else was reached.
+// rank orders the limits that were reached in one run. The load of a single server is momentary and a quota only lowers
+// a priority, so these two are reported only if no other limit was reached.
 func (l limit) rank() int {
 	switch l {
 	case limitServer:
--- a/internal/plan/planner/client.go
+++ b/internal/plan/planner/client.go
@@ -11,33 +11,33 @@
 	"spurwinch/internal/plan/workload"
 )
 
-// localRejectionDelay is how long a client waits that a node without a free descriptor has rejected.
+// localRejectionDelay is how long a client waits after a node without a free descriptor has rejected it.
 const localRejectionDelay = time.Second
 
-// client is the client of one session: it connects, waits for an answer, connects again after a reset or a rejection,
-// and leaves at the end of the session. It is the front end's side of its request (edge.Client).
+// client is the client of one session. It connects, waits for a reply, connects again after a reset or a rejection, and
+// leaves at the end of the session. It implements edge.Client, the front end's side of a request.
 type client struct {
 	sim      *simulation
 	session  *workload.Session
-	priority float64 // of a second
-	node     *node   // that its request or connection is at
+	priority float64 // weight of a second that is served well
+	node     *node   // that holds its request or connection
 	request  *edge.Request
 	attempt  *attempt
-	failures int // since it was served
-	left     bool
+	failures int  // since it was last served
+	left     bool // its session is over
 }
 
 func (c *client) class() *fleet.Class { return &c.sim.fleet.Classes[c.session.Class] }
 
-// tenant returns the index that the session is counted under.
+// tenant returns the index under which the session is counted, which is 0 for a session without a tenant.
 func (c *client) tenant() int { return max(0, c.session.Tenant) }
 
-// startSession begins the session of an index.
+// startSession starts the session with the given index.
 func (s *simulation) startSession(index int) {
 	started := &client{sim: s, session: &s.load.Sessions[index], priority: s.priorities[index]}
 	tenant := started.tenant()
-	s.observeLimit(limitQuota, nil, float64(s.tenantHolds[tenant]+1)/s.tenantQuotas[tenant])
-	s.tenantHolds[tenant]++
+	s.observeLimit(limitQuota, nil, float64(s.tenantSessions[tenant]+1)/s.tenantQuotas[tenant])
+	s.tenantSessions[tenant]++
 	s.stats.Sessions++
 	s.schedule(started.session.End(), nil, started.endSession)
 	if !started.session.AlreadyOpen {
@@ -55,9 +55,10 @@
 	}
 }
 
-// initialServer returns the server at which a connection is open when the load begins: the less loaded of the first two
-// in a rendezvous order of its group by capacity. That is as even as a node would have placed it; else the load would
-// begin with a wave of migrations. It is nil where there is no server.
+// initialServer returns the server of a connection that is open when the load begins, or nil if there is no server. It
+// picks the less loaded of the first two servers in a rendezvous order of the client's group that is weighted by
+// capacity. This spreads the connections as evenly as the nodes would; otherwise the load would begin with a wave of
+// migrations.
 func (s *simulation) initialServer(c *client) *server {
 	key := c.session.Group
 	if key == 0 {
@@ -86,10 +87,10 @@
 	return first
 }
 
-// endSession is called when the client wants its connection no longer.
+// endSession runs when the client no longer needs its connection.
 func (c *client) endSession() {
 	c.left = true
-	c.sim.tenantHolds[c.tenant()]--
+	c.sim.tenantSessions[c.tenant()]--
 	if request := c.request; request != nil {
 		c.releaseRequest()
 		request.ClientGone()
@@ -97,7 +98,7 @@
 	}
 }
 
-// connect has the client connect to a node.
+// connect makes the client connect to a running node, or try again later if there is none.
 func (c *client) connect() {
 	if c.left {
 		return
@@ -111,11 +112,12 @@
 	c.sim.schedule(c.sim.now+latency, node, func() { c.openAt(node, "") })
 }
 
-// pickNode draws a running node of the client's zone, or of any zone where its own has none; nil where none runs.
+// pickNode picks a random running node of the client's zone, or of any zone if its own has none. It returns nil if no
+// node is running.
 func (c *client) pickNode() *node {
 	sim := c.sim
 	nearby := sim.nearby[:0]
-	running := sim.other[:0]
+	running := sim.running[:0]
 	for _, node := range sim.nodes {
 		if node.lost {
 			continue
@@ -126,7 +128,7 @@
 		}
 	}
 	sim.nearby = nearby[:0]
-	sim.other = running[:0]
+	sim.running = running[:0]
 	if len(nearby) == 0 {
 		nearby = running
 	}
@@ -136,19 +138,20 @@
 	return nearby[sim.rng.IntN(len(nearby))]
 }
 
-// openAt hands the request to the node. The server is the one at which the connection is already open, or empty.
+// openAt passes the client's request to the node. server is the server at which the connection is already open, or
+// empty.
 func (c *client) openAt(node *node, server choice.ServerID) {
 	sim := c.sim
 	if c.left {
 		return
 	}
-	if node.lost { // while the client was on its way
+	if node.lost { // lost while the client was connecting
 		c.retry(0)
 		return
 	}
 	sim.stats.Requests++
 	sim.requestsBySecond[min(int(sim.now/time.Second), len(sim.requestsBySecond)-1)]++
-	needed := node.connections + 2 // the client's, and the one to the server
+	needed := node.connections + 2 // one for the client, one for the connection to the server
 	sim.observeLimit(limitDescriptors, nil, float64(needed)/float64(node.maxConnections))
 	if needed > node.maxConnections {
 		sim.stats.Rejected++
@@ -175,7 +178,7 @@
 	}, c)
 }
 
-// releaseRequest gives the client's descriptor back.
+// releaseRequest drops the client's request and frees its descriptor at the node.
 func (c *client) releaseRequest() {
 	if c.request == nil {
 		return
@@ -185,7 +188,7 @@
 	delete(c.node.clients, c)
 }
 
-// retry has the client connect again after a failure, no sooner than after a delay.
+// retry makes the client connect again after a failure, no sooner than after the given delay.
 func (c *client) retry(delay time.Duration) {
 	clients := &c.sim.fleet.Clients
 	wait := max(time.Duration(clients.Backoff), delay, time.Millisecond)
@@ -197,16 +200,16 @@
 	c.sim.schedule(c.sim.now+wait, nil, c.connect)
 }
 
-// reconnect has the client connect again after a reset or a migration.
+// reconnect makes the client connect again, after a random wait, when its connection was reset or migrated.
 func (c *client) reconnect() {
 	clients := &c.sim.fleet.Clients
-	least := time.Duration(clients.ReconnectMin)
-	span := time.Duration(clients.ReconnectMax) - least
-	wait := least + time.Duration(c.sim.rng.Float64()*float64(span))
+	shortest := time.Duration(clients.ReconnectMin)
+	span := time.Duration(clients.ReconnectMax) - shortest
+	wait := shortest + time.Duration(c.sim.rng.Float64()*float64(span))
 	c.sim.schedule(c.sim.now+wait, nil, c.connect)
 }
 
-// LocalReply ends the request with a rejection or a failure of the node.
+// LocalReply handles the node's rejection or failure of the request and makes the client retry.
 func (c *client) LocalReply(reply edge.LocalReply) {
 	if reply.Rejected {
 		c.sim.stats.Rejected++
@@ -217,7 +220,7 @@
 	c.retry(reply.RetryAfter)
 }
 
-// Migrate has the client connect again.
+// Migrate closes the connection and makes the client connect again.
 func (c *client) Migrate(time.Time) {
 	c.sim.stats.Migrations++
 	c.attempt.close()
@@ -225,11 +228,11 @@
 	c.reconnect()
 }
 
-// connectionReset is called when the server has lost the connection: the node notices a latency later, and ends the
-// client's side.
+// connectionReset runs when the server has reset the connection. The node notices after the latency between the zones
+// and then ends the client's side.
 func (c *client) connectionReset() {
 	attempt := c.attempt
-	if attempt.connection == nil { // it failed of this very set-up, whose outcome says so
+	if attempt.connection == nil { // the server failed during this set-up, and the outcome of the set-up reports it
 		return
 	}
 	sim := c.sim
@@ -249,7 +252,7 @@
 	})
 }
 
-// loseNode is called when the client's node is lost.
+// loseNode closes the client's connection and makes it connect again after its node is lost.
 func (c *client) loseNode() {
 	if c.attempt != nil {
 		c.attempt.close()
--- a/internal/plan/planner/forecast.go
+++ b/internal/plan/planner/forecast.go
@@ -14,8 +14,8 @@
 	"spurwinch/internal/plan/workload"
 )
 
-// Run is the result of one replication. Service is the priority weight of the seconds that were served well over that
-// of all that were demanded, from 0 to 1.
+// Run is the result of one replication. Service is the priority weight of the seconds that were served well, divided by
+// the priority weight of all demanded seconds, from 0 to 1.
 type Run struct {
 	Service         float64
 	WorstWindow     float64 // service of the worst 10 s
@@ -24,10 +24,10 @@
 	Tenants         []float64 // service
 	ServiceBySecond []float64 // NaN where nothing was demanded
 	Account         *workload.Account
-	// EndedEarly says that MinService was out of reach, or that StopAtLimit ended the run; Service is then the most
-	// that there could have been.
+	// EndedEarly reports that the run was ended because MinService was out of reach or because of StopAtLimit. Service
+	// is then the highest that the run could have reached.
 	EndedEarly       bool
-	LimitReached     bool // beyond the momentary load of one server and the quota of a tenant
+	LimitReached     bool // other than the momentary load of one server and the quota of a tenant
 	RequestsBySecond []int
 	Limits           []LimitUsage
 	Stats            Stats
@@ -62,8 +62,8 @@
 	return run
 }
 
-// Figure is a mean over replications with its 95% confidence interval by Student's t, within 0 to 1. A single evening
-// varies by the standard deviation.
+// Figure is a mean over replications with its 95% confidence interval by Student's t-distribution, limited to the range
+// from 0 to 1. A single replication varies by the standard deviation.
 type Figure struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low95"`
@@ -80,11 +80,11 @@
 		return Figure{Mean: mean, Low: mean, High: mean}
 	}
 	student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: count - 1}
-	half := student.Quantile(confidenceQuantile) * deviation / math.Sqrt(count)
-	return Figure{Mean: mean, Low: max(0, mean-half), High: min(1, mean+half), SD: deviation}
+	halfWidth := student.Quantile(confidenceQuantile) * deviation / math.Sqrt(count)
+	return Figure{Mean: mean, Low: max(0, mean-halfWidth), High: min(1, mean+halfWidth), SD: deviation}
 }
 
-// Forecast is how a fleet is expected to serve a load.
+// Forecast describes how well a fleet is expected to serve a load.
 type Forecast struct {
 	Service        Figure            `json:"service"`
 	WorstWindow    Figure            `json:"worst_10s"`
@@ -97,16 +97,16 @@
 	Runs           []Run             `json:"-"`
 }
 
-// Replicate simulates the load a number of times, each with a seed of its own, on all cores, and sums up. onDone, which
-// may be nil, is called after each replication, by one goroutine at a time.
+// Replicate simulates the load a number of times on all cores, each time with a different seed, and summarizes the
+// runs. onDone, which may be nil, is called after each replication by one goroutine at a time.
 func Replicate(
 	description *fleet.Fleet, load *workload.Load, options Options, replications int, onDone func(),
 ) (Forecast, error) {
 	var mu sync.Mutex
 	runs, err := inParallel(replications, func(i int) (Run, error) {
-		replicated := options
-		replicated.Seed = workload.Mix(options.Seed*1000 + uint64(i))
-		run, err := Simulate(description, load, replicated)
+		replicationOptions := options
+		replicationOptions.Seed = workload.Mix(options.Seed*1000 + uint64(i))
+		run, err := Simulate(description, load, replicationOptions)
 		if onDone != nil {
 			mu.Lock()
 			defer mu.Unlock()
@@ -120,7 +120,7 @@
 	return summarize(description, load, runs), nil
 }
 
-// inParallel calls simulate for 0 to count-1, as many at once as there are cores.
+// inParallel calls simulate with each index from 0 to count-1, with as many calls at once as there are cores.
 func inParallel(count int, simulate func(int) (Run, error)) ([]Run, error) {
 	runs := make([]Run, count)
 	errs := make([]error, count)
@@ -168,7 +168,8 @@
 	return forecast
 }
 
-// middleRun returns the run whose service is next to the mean: it stands for all where a mean says nothing.
+// middleRun returns the run whose service is closest to the mean. It represents all runs for values whose mean would be
+// meaningless.
 func middleRun(runs []Run, mean float64) *Run {
 	middle := &runs[0]
 	for i := range runs {
--- a/internal/plan/planner/limits.go
+++ b/internal/plan/planner/limits.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// limit is something that can be full.
+// limit identifies a capacity or quota that a load can exhaust.
 type limit int
 
 const (
@@ -21,7 +21,7 @@
 	limitCount // number of limits
 )
 
-// String returns the name that the limit has in replies.
+// String returns the name of the limit in the output.
 func (l limit) String() string {
 	return [limitCount]string{
 		limitServer:      "capacity of a server",
@@ -35,22 +35,23 @@
 	}[l]
 }
 
-// minTimesReached is how often a limit must be found reached before it counts as such.
+// minTimesReached is the number of observations at or above a limit from which the limit counts as reached.
 const minTimesReached = 3
 
-// LimitUsage is how much of a limit was used.
+// LimitUsage describes how much of a limit a run used.
 type LimitUsage struct {
 	Limit        string        `json:"limit"`
-	Peak         float64       `json:"peak"` // fraction of the limit; from 1 on it was reached
-	At           time.Duration `json:"-"`    // when it was first reached, or else when the peak was
-	AtS          float64       `json:"at_s"` // likewise
+	Peak         float64       `json:"peak"` // fraction of the limit; 1 or more means that it was reached
+	At           time.Duration `json:"-"`    // when the limit was first reached, otherwise when the peak occurred
+	AtS          float64       `json:"at_s"` // At in seconds
 	Where        string        `json:"where"`
 	TimesReached int           `json:"hits"`
 
 	limit limit
 }
 
-// observeLimit records that a fraction of a limit is used now, of one server or, where that is nil, of the fleet.
+// observeLimit records the fraction of a limit that is in use now. The limit is that of one server, or of the whole
+// fleet if server is nil.
 func (s *simulation) observeLimit(observed limit, server *server, fraction float64) {
 	if s.now < settleTime && observed != limitSlowStart || !isFinite(fraction) {
 		return
@@ -79,7 +80,7 @@
 	return fmt.Sprintf("%s (%s, %s)", server.id, server.kind.Name, s.fleet.Zones[server.zone].Name)
 }
 
-// limitReached reports whether a limit was reached that is more than the momentary load of one server or the quota of a
+// limitReached reports whether the run reached a limit other than the momentary load of one server and the quota of a
 // tenant.
 func (s *simulation) limitReached() bool {
 	for i := range s.limits {
--- a/internal/plan/planner/loss.go
+++ b/internal/plan/planner/loss.go
@@ -9,7 +9,7 @@
 )
 
 // Phases is the service before the loss of a zone, while its clients reconnect, and after that. WithoutLoss is the
-// service of the last phase without the loss.
+// service during the last phase in the replications without the loss.
 type Phases struct {
 	Before       float64 `json:"before"`
 	Reconnecting float64 `json:"storm"`
@@ -21,24 +21,25 @@
 type ZoneLoss struct {
 	Overall            Phases            `json:"all"`
 	Classes            map[string]Phases `json:"classes"`
-	ReconnectS         float64           `json:"storm_s"` // how long requests stay over their usual rate
+	ReconnectS         float64           `json:"storm_s"` // time until the rate of requests is back to its usual level
 	ServersLost        int               `json:"servers_lost"`
 	NodesLost          int               `json:"nodes_lost"`
 	Nodes              int               `json:"nodes"`                // of the whole fleet
 	Resets             float64           `json:"breaks"`               // connections that were reset
-	PeakRequestsBefore float64           `json:"peak_requests_before"` // in a second
+	PeakRequestsBefore float64           `json:"peak_requests_before"` // in one second
 	PeakRequestsAfter  float64           `json:"peak_requests_after"`
 	ServiceBySecond    []float64         `json:"-"` // with the loss; NaN where nothing was demanded
 }
 
 const (
-	minReconnectPhase = 3 * time.Second // also where the requests stay calm
-	calmSeconds       = 5               // in a row that end the phase
-	calmRate          = 1.5             // times the usual requests a second, over which clients still reconnect
+	minReconnectPhase = 3 * time.Second // applies even if the rate of requests hardly rises
+	usualSeconds      = 5               // consecutive seconds at the usual rate of requests that end the phase
+	reconnectRate     = 1.5             // multiple of the usual requests per second above which clients still reconnect
 )
 
-// SimulateZoneLoss simulates the load with the loss of options.LostZone at options.LossTime, and without it, each in a
-// number of replications of the same seeds. onPhase is called as a Printf with what is simulated next.
+// SimulateZoneLoss simulates the load with the loss of options.LostZone at options.LossTime and without it, each in the
+// same number of replications with the same seeds. onPhase takes the arguments of Printf and is called with a
+// description of what is simulated next.
 func SimulateZoneLoss(
 	description *fleet.Fleet, load *workload.Load, options Options, replications int, onPhase func(string, ...any),
 ) (ZoneLoss, error) {
@@ -48,9 +49,9 @@
 		return ZoneLoss{}, err
 	}
 	onPhase("without the loss")
-	unharmed := options
-	unharmed.LostZone = ""
-	without, err := Replicate(description, load, unharmed, replications, nil)
+	optionsWithoutLoss := options
+	optionsWithoutLoss.LostZone = ""
+	without, err := Replicate(description, load, optionsWithoutLoss, replications, nil)
 	if err != nil {
 		return ZoneLoss{}, err
 	}
@@ -77,7 +78,7 @@
 	return loss, nil
 }
 
-// countLost sets the number of servers and nodes in the zone that is lost, and of all nodes.
+// countLost sets the number of servers and nodes in the lost zone and the number of all nodes.
 func (l *ZoneLoss) countLost(description *fleet.Fleet, zone string) {
 	for _, pool := range description.ServerPools {
 		if pool.Zone == zone {
@@ -119,7 +120,7 @@
 	return means
 }
 
-// peaks returns the most requests of a second before and after the loss. The initial arrivals don't count.
+// peaks returns the highest number of requests in a second before and after the loss. The initial arrivals don't count.
 func (c *lossComparison) peaks(requests []float64) (before, after float64) {
 	lost := int(c.lossTime / time.Second)
 	for second, count := range requests {
@@ -133,20 +134,22 @@
 	return before, after
 }
 
-// findReconnectPhase sets the length of the phase: up to the first row of calm seconds.
+// findReconnectPhase sets the length of the phase in which clients reconnect. The phase lasts until the rate of
+// requests is back to its usual level for usualSeconds consecutive seconds, which don't belong to the phase.
 func (c *lossComparison) findReconnectPhase(usual, actual []float64) {
-	calm := 0
-	for second := int(c.lossTime / time.Second); second < len(actual) && calm < calmSeconds; second++ {
-		calm++
-		if actual[second] > calmRate*usual[second]+1 {
-			calm = 0
+	usualCount := 0
+	for second := int(c.lossTime / time.Second); second < len(actual) && usualCount < usualSeconds; second++ {
+		usualCount++
+		if actual[second] > reconnectRate*usual[second]+1 {
+			usualCount = 0
 			c.reconnect = max(c.reconnect, time.Duration(second+1)*time.Second-c.lossTime)
 		}
 	}
 	c.reconnect = min(c.reconnect, c.length-c.lossTime)
 }
 
-// phases returns the mean service of each phase, as picked from the service of all sessions and of each class.
+// phases returns the mean service of each phase. pick selects a value from the service of all sessions and the service
+// of each class.
 func (c *lossComparison) phases(pick func(overall float64, classes []float64) float64) Phases {
 	mean := func(runs []Run, from, to time.Duration) float64 {
 		sum := 0.0
@@ -164,8 +167,8 @@
 	}
 }
 
-// meanServiceBySecond returns the mean service of each second over the runs, of which there is at least one. A second
-// in which no run has any demand is NaN.
+// meanServiceBySecond returns the mean service of each second over the runs, which must not be empty. The mean of a
+// second without demand in any run is NaN.
 func meanServiceBySecond(runs []Run) []float64 {
 	means := make([]float64, len(runs[0].ServiceBySecond))
 	for second := range means {
--- a/internal/plan/planner/node.go
+++ b/internal/plan/planner/node.go
@@ -11,10 +11,11 @@
 	"spurwinch/internal/plan/fleet"
 )
 
-// reservedDescriptors is the number of descriptors of a node that are not for connections, as in internal/node.
+// reservedDescriptors is the number of a node's descriptors that connections can't use, as in internal/node.
 const reservedDescriptors = 48
 
-// epoch is when the simulated clock starts: the decision module's clock is Unix time, in which 0 means "long ago".
+// epoch is the start of the simulated clock. It is not 0 because the decision module's clock is Unix time, in which 0
+// means "long ago".
 var epoch = time.Unix(1_800_000_000, 0)
 
 // simulatedClock is the clock of a node's core.
@@ -26,7 +27,7 @@
 // Now returns the simulated time.
 func (c simulatedClock) Now() time.Time { return epoch.Add(c.sim.now) }
 
-// At schedules a function unless the node is lost by then. The returned function cancels it.
+// At schedules fn, which is skipped if the node is lost by then. The returned function cancels the call.
 func (c simulatedClock) At(at time.Time, fn func()) func() {
 	event := c.sim.schedule(at.Sub(epoch), c.node, func() {
 		if !c.node.lost {
@@ -36,18 +37,18 @@
 	return func() { event.action = nil }
 }
 
-// node is a node of the fleet: the real core, with the descriptors that its front end would count.
+// node is a node of the fleet. It runs the real core and counts descriptors as the front end would.
 type node struct {
 	sim            *simulation
 	core           *edge.Core
 	zone           int
-	maxConnections int // on both sides
-	connections    int // likewise
+	maxConnections int // connections to clients and servers together
+	connections    int // open connections to clients and servers together
 	lost           bool
 	clients        map[*client]struct{}
 }
 
-// addNode adds one of so many nodes.
+// addNode adds a node of a pool. total is the number of nodes in the fleet.
 func (s *simulation) addNode(pool fleet.NodePool, total int) error {
 	added := &node{
 		sim:            s,
@@ -57,7 +58,7 @@
 	}
 	settings, err := s.fleet.Settings(len(s.nodes), total, pool.Zone)
 	if err != nil {
-		return fmt.Errorf("planner: settings of a node: %w", err)
+		return fmt.Errorf("planner: node settings: %w", err)
 	}
 	added.core, err = edge.New(edge.Options{
 		Clock:         simulatedClock{s, added},
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// endpointList returns the servers as discovery lists them.
+// endpointList returns the servers as discovery would list them.
 func (s *simulation) endpointList() []edge.ServerEntry {
 	var entries []edge.ServerEntry
 	for _, server := range s.servers {
@@ -88,7 +89,7 @@
 	return entries
 }
 
-// updateEndpointLists gives all nodes the present list.
+// updateEndpointLists sends the current endpoint list to all nodes that are not lost.
 func (s *simulation) updateEndpointLists() {
 	for _, node := range s.nodes {
 		if !node.lost {
@@ -98,8 +99,8 @@
 	}
 }
 
-// CheckHealth asks a server for its load report. The server works for it, and each way takes the latency between the
-// zones.
+// CheckHealth requests a server's load report. The request costs the server some work, and each direction takes the
+// latency between the zones.
 func (n *node) CheckHealth(entry edge.ServerEntry, _ time.Time, done func(choice.Outcome, []float64)) {
 	sim := n.sim
 	server := sim.serverByID[entry.ID]
@@ -118,7 +119,7 @@
 	})
 }
 
-// sortedClients returns the node's clients in the order of their keys: the order of a map must not change a run.
+// sortedClients returns the node's clients in the order of their keys, because map order must not affect a run.
 func (n *node) sortedClients() []*client {
 	var clients []*client
 	for client := range n.clients {
--- a/internal/plan/planner/server.go
+++ b/internal/plan/planner/server.go
@@ -13,42 +13,43 @@
 )
 
 const (
-	minSpeedFactor     = 0.3  // least speed of a machine, relative to its kind
-	utilizationWeight  = 0.2  // of one step in the reported utilization: a mean over some 5 steps
-	sustainedWeight    = 0.05 // of one step in the utilization that is compared with the limit: over some 20 steps
-	minReportNoise     = 0.1  // least factor of a report's noise
-	minCores           = 1e-3 // least capacity that a set-up's time is computed with
-	minServedRate      = 1e-9 // weight a second that is not worth an entry in the account
-	slowStartSlack     = 4    // connections of mean load beyond the budget of a slow start
-	storeLimitReaction = time.Second / 2
+	minSpeedFactor    = 0.3             // lowest speed of a machine, relative to its kind
+	utilizationWeight = 0.2             // weight of one step in the reported utilization, a mean over about 5 steps
+	sustainedWeight   = 0.05            // weight of one step in the sustained utilization, a mean over about 20 steps
+	minReportNoise    = 0.1             // lowest factor by which noise changes a report
+	minCores          = 1e-3            // lowest capacity from which the time of a set-up is computed
+	minServedRate     = 1e-9            // highest weight per second that is left out of the account
+	slowStartSlack    = 4               // connections of mean load that the budget of a slow start allows in addition
+	maxStoreWait      = time.Second / 2 // a longer wait counts as reaching the limit of the session store
 )
 
-// server models a server as a fluid of work, in steps, with the noise that small jobs make of it. The backlog is a
-// Brownian motion reflected at zero, the diffusion limit of a queue of many small jobs near its capacity (Harrison,
-// Brownian Motion and Stochastic Flow Systems, 1985); its variance a second is the load times the work of a job.
+// server models the work of a server as a fluid that advances in steps, with the noise that many small jobs cause. The
+// backlog is a Brownian motion reflected at zero, the diffusion limit of a queue of many small jobs near its capacity
+// (Harrison, Brownian Motion and Stochastic Flow Systems, 1985). Its variance per second is the load times the work of
+// a job.
 type server struct {
 	sim         *simulation
 	id          choice.ServerID
 	kind        *fleet.MachineKind
 	zone        int
-	speed       float64 // of a core
-	slowStart   bool    // it started with the load
+	speed       float64 // of a core, relative to a reference core
+	slowStart   bool    // it started together with the load and warms up
 	failed      bool
 	connections map[*connection]struct{}
-	groups      map[uint64]int // connections of each group
-	setups      int            // pending
-	priorities  [][]float64    // sum over the connections, by class and tenant
+	groups      map[uint64]int // number of connections of each group
+	setups      int            // number of pending set-ups
+	priorities  [][]float64    // sum of the priority weights of the connections, by class and tenant
 
-	load    float64 // of the connections, in reference cores
-	work    float64 // beside the load, since the last step, in core seconds
+	load    float64 // of the connections and their groups, in reference cores
+	work    float64 // in addition to the load, since the last step, in core seconds
 	backlog float64 // in core seconds
 
-	utilization     float64 // demand over capacity, mean of the last steps
-	sustained       float64 // likewise, of about a second
-	report          [3]float64
-	nextReport      time.Duration
-	initialLoad     float64 // in standard connections, of those that are open when the load begins
-	slowStartBudget float64 // load of the new connections of the last OverloadTime, in reference cores
+	utilization   float64 // demand divided by capacity, mean over the last few steps
+	sustained     float64 // mean of utilization over about a second, compared with the limit
+	report        [3]float64
+	nextReport    time.Duration
+	initialLoad   float64 // of the connections that are open when the load begins, in standard connections
+	slowStartLoad float64 // load of the connections opened in the last OverloadTime, in reference cores
 }
 
 // connection is a connection that is open at a server.
@@ -78,8 +79,9 @@
 	s.serverByID[added.id] = added
 }
 
-// warmth returns the fraction of its capacity that the server has now.
-func (s *server) warmth() float64 {
+// capacityFraction returns the fraction of its full capacity that the server has now. It is less than 1 while the
+// server is warming up.
+func (s *server) capacityFraction() float64 {
 	slowStart := &s.sim.fleet.SlowStart
 	if !s.slowStart || s.sim.now >= time.Duration(slowStart.WarmUp) {
 		return 1
@@ -87,12 +89,13 @@
 	return slowStart.Fraction + (1-slowStart.Fraction)*s.sim.now.Seconds()/slowStart.WarmUp.Seconds()
 }
 
-// cores returns the present capacity in reference cores.
-func (s *server) cores() float64 { return s.kind.Cores * s.speed * s.warmth() }
+// cores returns the current capacity in reference cores.
+func (s *server) cores() float64 { return s.kind.Cores * s.speed * s.capacityFraction() }
 
-// advanceServers moves all servers that have not failed on by the step that ends now. It is called at each tick. What
-// was served well in the step, as addServedRates counts it, goes into the account at the step's middle, so that none is
-// counted in the second that begins at its end. The sustained demand of the whole fleet is compared with its capacity.
+// advanceServers advances all servers that have not failed by the step that ends now. It is called at each tick. It
+// adds the weight that was served well in the step, as counted by addServedRates, to the account at the middle of the
+// step, so that none of it is counted in the second that begins at the end of the step. It also compares the sustained
+// demand of the whole fleet with the capacity.
 func (s *simulation) advanceServers() {
 	clear(s.servedRates)
 	demand := 0.0
@@ -117,7 +120,7 @@
 	}
 }
 
-// advance moves the server on by a step, in which it has a number of reference cores.
+// advance advances the server by one step, in which its capacity is the given number of reference cores.
 func (s *server) advance(cores float64) {
 	job := s.sim.fleet.General.MessageWork.Seconds()
 	capacity := cores * step.Seconds()
@@ -136,8 +139,8 @@
 	}
 }
 
-// addServedRates adds the connections whose messages are answered within their objective in this step, which began with
-// a backlog.
+// addServedRates adds the priority weight of the connections whose messages were answered within their objective in
+// this step to the served rates. backlogBefore is the backlog at the beginning of the step.
 func (s *server) addServedRates(backlogBefore, cores float64) {
 	if len(s.connections) == 0 {
 		return
@@ -146,7 +149,7 @@
 	tenants := len(s.sim.tenantQuotas)
 	for class := range s.priorities {
 		objective := s.sim.fleet.Classes[class].MessageObjective.Seconds()
-		limit := (objective - job/s.speed) * cores // backlog with which a message still meets it
+		limit := (objective - job/s.speed) * cores // highest backlog with which a message still meets the objective
 		fraction := fractionBelow(backlogBefore, s.backlog, limit)
 		if fraction <= 0 {
 			continue
@@ -158,7 +161,8 @@
 	}
 }
 
-// fractionBelow returns the fraction of a step in which a value that goes evenly from one to another is under a bound.
+// fractionBelow returns the fraction of a step in which a value that changes linearly from before to after is below
+// bound.
 func fractionBelow(before, after, bound float64) float64 {
 	switch {
 	case bound <= 0:
@@ -187,10 +191,10 @@
 	s.report = [3]float64{latency, utilization, load}
 }
 
-// loadReport returns the present report, with the fields that fleet.Settings names.
+// loadReport returns a copy of the current report, whose fields fleet.Settings names.
 func (s *server) loadReport() []float64 { return slices.Clone(s.report[:]) }
 
-// setUp sets up a new connection for a client. done is called once, when the server knows the outcome.
+// setUp sets up a new connection for a client. It calls done once, when the server knows the outcome.
 func (s *server) setUp(client *client, done func(choice.Outcome, *connection)) {
 	sim := s.sim
 	pending := len(s.connections) + s.setups
@@ -212,8 +216,8 @@
 	sim.schedule(sim.now+sim.callStore(), nil, func() {
 		work := class.SetupWork.Seconds()
 		s.work += work
-		took := time.Duration((s.backlog/max(s.cores(), minCores) + work/s.speed) * 1e9)
-		sim.schedule(sim.now+took, nil, func() {
+		duration := time.Duration((s.backlog/max(s.cores(), minCores) + work/s.speed) * 1e9)
+		sim.schedule(sim.now+duration, nil, func() {
 			s.setups--
 			if s.failed {
 				done(choice.Reset, nil)
@@ -239,25 +243,25 @@
 	}
 }
 
-// callStore returns how long a call to the session store takes now.
+// callStore adds a call to the queue of the session store and returns how long the call takes.
 func (s *simulation) callStore() time.Duration {
 	store := &s.fleet.Store
 	if store.Rate <= 0 {
 		return time.Duration(store.Latency)
 	}
-	begin := max(s.now, s.storeFree)
-	s.storeFree = begin + time.Duration(1e9/store.Rate)
+	begin := max(s.now, s.storeFreeAt)
+	s.storeFreeAt = begin + time.Duration(1e9/store.Rate)
 	wait := begin - s.now
-	if wait > storeLimitReaction {
+	if wait > maxStoreWait {
 		s.observeLimit(limitStore, nil, 1+wait.Seconds())
 	}
 	return wait + time.Duration(store.Latency)
 }
 
-// groupLoad returns the cost of a group on a server that holds any of it, in reference cores.
+// groupLoad returns the cost of a group on each server that holds at least one of its connections, in reference cores.
 func (s *simulation) groupLoad() float64 { return s.fleet.Group.Cost * s.fleet.CoreLoad() }
 
-// open adds a connection.
+// open adds a connection to the server.
 func (s *server) open(opened *connection) {
 	s.connections[opened] = struct{}{}
 	session := opened.client.session
@@ -272,31 +276,32 @@
 	opened.changeLoad()
 }
 
-// spendSlowStartBudget counts a new connection of a server in slow start. Beyond the budget the server fails and stays
-// down.
+// spendSlowStartBudget counts a new connection against the budget of a server in slow start. A server that exceeds its
+// budget fails and stays down.
 func (s *server) spendSlowStartBudget(opened *connection) {
-	if !s.slowStart || s.warmth() == 1 {
+	if !s.slowStart || s.capacityFraction() == 1 {
 		return
 	}
 	slowStart := &s.sim.fleet.SlowStart
 	coreLoad := s.sim.fleet.CoreLoad()
 	load := opened.client.class().Load * coreLoad
-	s.slowStartBudget += load
-	s.sim.schedule(s.sim.now+time.Duration(slowStart.OverloadTime), nil, func() { s.slowStartBudget -= load })
-	// The new connections that would fill the server over its warm-up, times its warmth; and some slack for chance.
+	s.slowStartLoad += load
+	s.sim.schedule(s.sim.now+time.Duration(slowStart.OverloadTime), nil, func() { s.slowStartLoad -= load })
+	// usual is the load of the new connections that would fill the server during its warm-up, times the fraction of the
+	// capacity that it has now. The slack allows for random variation.
 	usual := s.cores() / slowStart.WarmUp.Seconds() * slowStart.OverloadTime.Seconds()
 	slack := slowStartSlack * s.sim.fleet.MeanLoad() * coreLoad
 	budget := slowStart.OverloadMultiple*usual + slack
-	if s.slowStartBudget > budget {
+	if s.slowStartLoad > budget {
 		s.sim.stats.Overloaded++
-		s.sim.observeLimit(limitSlowStart, s, s.slowStartBudget/budget)
+		s.sim.observeLimit(limitSlowStart, s, s.slowStartLoad/budget)
 		s.failed = true
 		s.resetAll()
 		s.sim.schedule(s.sim.now+time.Duration(s.sim.fleet.Discovery.Delay), nil, s.sim.updateEndpointLists)
 	}
 }
 
-// changeLoad draws the connection's load for the time to come.
+// changeLoad draws the connection's next load and schedules the change after it.
 func (c *connection) changeLoad() {
 	server := c.server
 	if _, open := server.connections[c]; !open {
@@ -311,7 +316,7 @@
 	}
 }
 
-// close removes a connection that is open; of another one it is a no-op.
+// close removes a connection from the server. It does nothing if the connection is not open.
 func (s *server) close(closed *connection) {
 	if _, open := s.connections[closed]; !open {
 		return
@@ -327,7 +332,7 @@
 		}
 	}
 	s.priorities[session.Class][max(0, session.Tenant)] -= closed.client.priority
-	if len(s.connections) == 0 { // sums and differences leave a remainder
+	if len(s.connections) == 0 { // adding and subtracting leaves rounding errors
 		s.load = 0
 		for class := range s.priorities {
 			clear(s.priorities[class])
@@ -335,7 +340,7 @@
 	}
 }
 
-// shed resets the connection of the highest load, as servers do when their backlog is too long.
+// shed resets the connection with the highest load, as servers do when their backlog is too long.
 func (s *server) shed() {
 	var heaviest *connection
 	for candidate := range s.connections {
@@ -351,7 +356,7 @@
 	}
 }
 
-// resetAll resets all connections, in the order of their clients' keys: the order of a map must not change a run.
+// resetAll resets all connections in the order of their clients' keys, because map order must not affect a run.
 func (s *server) resetAll() {
 	var connections []*connection
 	for open := range s.connections {
--- a/internal/plan/planner/simulation.go
+++ b/internal/plan/planner/simulation.go
@@ -1,6 +1,6 @@
-// Package planner forecasts how a fleet serves a load. The nodes of the model are the real core and the real decision
-// module (edge.Core, choice.Balancer) on a simulated clock; servers, session store, endpoint list and clients are
-// models, described in docs/planner.md. A run is a pure function of fleet, load, options and seed.
+// Package planner forecasts how well a fleet serves a load. Its nodes run the real core and the real decision module
+// (edge.Core, choice.Balancer) on a simulated clock. Servers, session store, endpoint list and clients are models,
+// described in docs/planner.md. A run is a pure function of fleet, load, options and seed.
 package planner
 
 import (
@@ -14,24 +14,25 @@
 )
 
 const (
-	step             = 50 * time.Millisecond // of the servers' work
-	worstWindow      = 10 * time.Second      // length of the window whose service a run reports by itself
-	settleTime       = 2 * time.Second       // initial arrivals reach no limit in it, slow start apart
-	continueAtLimit  = time.Second           // how long a run with StopAtLimit goes on after a limit was reached
-	minStoppedResult = 1e-9                  // a run that ended early has a service over 0, which means that it did not
+	step            = 50 * time.Millisecond // in which the servers' work advances
+	worstWindow     = 10 * time.Second      // length of the window with the worst service that a run reports
+	settleTime      = 2 * time.Second       // limits other than slow start are not observed during the initial arrivals
+	continueAtLimit = time.Second           // how long a run with StopAtLimit continues after it reached a limit
+	minEarlyService = 1e-9                  // lower bound of earlyService, since 0 means that no early end occurred
 )
 
-// Options change a run.
+// Options configure a run.
 type Options struct {
 	Seed uint64
-	// LostZone is lost, with its nodes and servers, at LossTime. Empty: none.
+	// LostZone names the zone that is lost, with its nodes and servers, at LossTime. If it is empty, no zone is lost.
 	LostZone string
 	LossTime time.Duration
-	// AllWarmingUp starts all servers with the load, in slow start.
+	// AllWarmingUp makes all servers start together with the load, in slow start.
 	AllWarmingUp bool
-	// MinService ends a run that can no longer reach this service. Its result is the most that it could have reached.
+	// MinService ends a run that can no longer reach this service. The result is then the highest service that the run
+	// could have reached.
 	MinService float64
-	// StopAtLimit ends a run soon after a limit was reached.
+	// StopAtLimit ends a run soon after it reached a limit.
 	StopAtLimit bool
 }
 
@@ -45,10 +46,10 @@
 	Migrations  int `json:"Moves"`
 	Resets      int `json:"Breaks"`
 	Sheds       int `json:"Sheds"`
-	Overloaded  int `json:"Fallen"` // servers in slow start that failed of too many new connections
+	Overloaded  int `json:"Fallen"` // servers in slow start that failed because of too many new connections
 }
 
-// simulation is one run.
+// simulation is the state of one run.
 type simulation struct {
 	fleet   *fleet.Fleet
 	load    *workload.Load
@@ -56,26 +57,26 @@
 	rng     *rand.Rand
 
 	now      time.Duration // since the beginning of the load
-	sequence uint64        // of the event that was scheduled last
+	sequence uint64        // sequence number of the event that was scheduled last
 	queue    eventQueue
 
-	servers    []*server
-	serverByID map[choice.ServerID]*server
-	nodes      []*node
-	latencies  [][]time.Duration // one way, by zones
-	storeFree  time.Duration     // when the session store is free again
+	servers     []*server
+	serverByID  map[choice.ServerID]*server
+	nodes       []*node
+	latencies   [][]time.Duration // one way, by zones
+	storeFreeAt time.Duration     // when the session store can take the next call
 
-	requests      int   // number of the last one
-	tenantHolds   []int // sessions that want a connection, by tenant
-	tenantQuotas  []float64
-	priorities    []float64 // of a second of each session
-	servedRates   []float64 // weight a second that is served well in the current step, by class and tenant
-	nearby, other []*node   // scratch space of pickNode
+	requests        int   // number of requests so far, from which request IDs are made
+	tenantSessions  []int // number of sessions that are not over, by tenant
+	tenantQuotas    []float64
+	priorities      []float64 // weight of a second of each session
+	servedRates     []float64 // weight per second that is served well in the current step, by class and tenant
+	nearby, running []*node   // scratch space of pickNode
 
 	account          *workload.Account
 	limits           [limitCount]LimitUsage
-	limitReachedAt   time.Duration // with StopAtLimit; 0: not yet
-	earlyService     float64       // the most that a run that ended early could have reached; 0: it did not end early
+	limitReachedAt   time.Duration // set with StopAtLimit; 0 if no limit was reached yet
+	earlyService     float64       // highest service that could be reached when the run ended early; else 0
 	stats            Stats
 	requestsBySecond []int
 }
@@ -83,16 +84,16 @@
 func newSimulation(description *fleet.Fleet, load *workload.Load, options Options) (*simulation, error) {
 	tenants := max(1, len(description.Tenants))
 	sim := &simulation{
-		fleet:        description,
-		load:         load,
-		options:      options,
-		rng:          rand.New(rand.NewPCG(options.Seed, 1213)),
-		serverByID:   map[choice.ServerID]*server{},
-		tenantHolds:  make([]int, tenants),
-		tenantQuotas: make([]float64, tenants),
-		priorities:   workload.Priorities(description, load),
-		servedRates:  make([]float64, len(description.Classes)*tenants),
-		account:      workload.NewAccount(description, load.Length),
+		fleet:          description,
+		load:           load,
+		options:        options,
+		rng:            rand.New(rand.NewPCG(options.Seed, 1213)),
+		serverByID:     map[choice.ServerID]*server{},
+		tenantSessions: make([]int, tenants),
+		tenantQuotas:   make([]float64, tenants),
+		priorities:     workload.Priorities(description, load),
+		servedRates:    make([]float64, len(description.Classes)*tenants),
+		account:        workload.NewAccount(description, load.Length),
 	}
 	sim.account.AddDemand(load, sim.priorities)
 	sim.requestsBySecond = make([]int, len(sim.account.DemandBySecond))
@@ -125,16 +126,16 @@
 	return sim, nil
 }
 
-// schedule has an action happen at a time, or now where that is past. The core of the node, if one is given, is flushed
-// after it.
-func (s *simulation) schedule(at time.Duration, flushed *node, action func()) *event {
+// schedule schedules an action at a time, or now if that time is past. If flushedNode is not nil, its core is flushed
+// after the action.
+func (s *simulation) schedule(at time.Duration, flushedNode *node, action func()) *event {
 	s.sequence++
-	scheduled := &event{action, flushed}
+	scheduled := &event{action, flushedNode}
 	s.queue.push(scheduledEvent{max(at, s.now), s.sequence, scheduled})
 	return scheduled
 }
 
-// advanceTo has all events up to a time happen.
+// advanceTo runs all events up to a time and sets the clock to it.
 func (s *simulation) advanceTo(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		next := s.queue.pop()
@@ -150,7 +151,7 @@
 	s.now = until
 }
 
-// run plays the whole load.
+// run simulates the whole load.
 func (s *simulation) run() {
 	for _, node := range s.nodes {
 		node.core.Start(s.endpointList())
@@ -168,7 +169,7 @@
 	s.advanceTo(s.load.Length)
 }
 
-// tick ends a step of the servers' work.
+// tick completes a step of the servers' work and schedules the next step unless the run is over.
 func (s *simulation) tick() {
 	s.advanceServers()
 	if s.now+step <= s.load.Length && !s.stopsEarly() {
@@ -176,7 +177,8 @@
 	}
 }
 
-// scheduleArrival has the session of an index arrive, and then the next one: one event at a time keeps the queue small.
+// scheduleArrival schedules the arrival of the session with the given index, which then schedules the next arrival.
+// Scheduling one arrival at a time keeps the queue small.
 func (s *simulation) scheduleArrival(index int) {
 	if index < len(s.load.Sessions) {
 		s.schedule(s.load.Sessions[index].Arrival, nil, func() {
@@ -186,7 +188,7 @@
 	}
 }
 
-// stopsEarly reports, once a second, whether the options end the run now. It then empties the queue.
+// stopsEarly checks once a second whether the options end the run now, and if so, empties the queue.
 func (s *simulation) stopsEarly() bool {
 	if s.now%time.Second != 0 {
 		return false
@@ -197,7 +199,7 @@
 		}
 		if s.now >= s.limitReachedAt+continueAtLimit {
 			service, _ := s.account.ServiceBetween(0, s.now)
-			s.earlyService = max(service, minStoppedResult)
+			s.earlyService = max(service, minEarlyService)
 			s.queue = nil
 			return true
 		}
@@ -214,8 +216,8 @@
 	return false
 }
 
-// loseZone takes a zone away: its connections are reset, its nodes are gone for clients at once, and the endpoint lists
-// of other nodes lack its servers once discovery has noticed.
+// loseZone simulates the loss of a zone. Its connections are reset and its nodes are unavailable to clients at once.
+// The endpoint lists of the other nodes mark its servers as gone after the delay of discovery.
 func (s *simulation) loseZone(zone int) {
 	for _, node := range s.nodes {
 		if node.zone == zone {
--- a/internal/plan/planner/size.go
+++ b/internal/plan/planner/size.go
@@ -10,52 +10,54 @@
 )
 
 const (
-	// targetMargin is how far under the target a run must be sure to end before it is ended early.
+	// targetMargin is how far below the target the highest reachable service must be before a run is ended early.
 	targetMargin = 0.05
-	// fullLoadReplications is the most replications over the whole of a load that was searched on a window of it.
+	// fullLoadReplications is the maximum number of replications of a whole load that was searched on a window of it.
 	fullLoadReplications = 4
 )
 
-// Candidate is a number of servers with the service that is expected of it.
+// Candidate is a fleet size with its expected service.
 type Candidate struct {
 	Servers int            `json:"servers"`
 	Kinds   map[string]int `json:"kinds"`
 	Service Figure         `json:"service"`
-	AtMost  bool           `json:"at_most"` // the target is out of reach, and the runs ended as soon as that was sure
+	// AtMost means that the target is out of reach and that the runs ended as soon as this was certain. Service is then
+	// an upper bound.
+	AtMost bool `json:"at_most"`
 }
 
-// Sizing is the answer to how many servers a target needs.
+// Sizing is the result of a search for the number of servers that a target needs.
 type Sizing struct {
 	Target        float64              `json:"target"`
 	Reached       bool                 `json:"reached"`
 	Minimum       Candidate            `json:"least"`
-	OneServerLess map[string]Candidate `json:"one_below"` // by kind: the least fleet with one server of the kind less
-	Tried         []Candidate          `json:"tried"`     // by servers, in the file's proportions
-	FromS         float64              `json:"from_s"`    // the window of the load that was searched on
+	OneServerLess map[string]Candidate `json:"one_below"` // by kind, Minimum with one server of that kind less
+	Tried         []Candidate          `json:"tried"`     // by number of servers, in the proportions of the fleet file
+	FromS         float64              `json:"from_s"`    // window of the load on which the search ran
 	ToS           float64              `json:"to_s"`
-	FullLoad      *Figure              `json:"whole,omitempty"` // service over all of a longer load
+	FullLoad      *Figure              `json:"whole,omitempty"` // service over the whole load if a window was searched
 	Reason        string               `json:"why,omitempty"`
 }
 
-// SizeOptions say how a size is searched for.
+// SizeOptions configure the search for a fleet size.
 type SizeOptions struct {
 	Options
-	Target       float64       // service
-	Replications int           // replications
-	MaxServers   int           // servers
-	Window       time.Duration // a longer load is searched on its busiest window of this length; 0: on all of it
+	Target       float64       // service to reach
+	Replications int           // of each fleet
+	MaxServers   int           // maximum fleet size
+	Window       time.Duration // length of the busiest window on which a longer load is searched; 0 for the whole load
 	Progress     func(string)  // called with each result; may be nil
 }
 
-// sizeSearch evaluates fleets, each size once.
+// sizeSearch evaluates fleets and simulates each of them only once.
 type sizeSearch struct {
 	SizeOptions
 	load      *workload.Load
 	evaluated map[string]Candidate
-	tried     []Candidate // in the file's proportions
+	tried     []Candidate // in the proportions of the fleet file
 }
 
-// newSizeSearch returns a search, and when its window of the load begins.
+// newSizeSearch returns a search and the time at which its window of the load begins.
 func newSizeSearch(
 	description *fleet.Fleet, load *workload.Load, options SizeOptions,
 ) (search *sizeSearch, from time.Duration) {
@@ -66,8 +68,9 @@
 	return &sizeSearch{SizeOptions: options, load: window, evaluated: map[string]Candidate{}}, from
 }
 
-// MinimumServers finds the least fleet whose service reaches the target: in the proportions of the file first, then
-// with one server of a kind less at a time for as long as the target is reached. One less of any kind then misses it.
+// MinimumServers finds the smallest fleet whose service reaches the target. It first searches in the proportions of the
+// fleet file, then removes one server of a kind at a time as long as the target is reached. In the result, removing one
+// more server of any kind misses the target.
 func MinimumServers(description *fleet.Fleet, load *workload.Load, options SizeOptions) (Sizing, error) {
 	search, from := newSizeSearch(description, load, options)
 	sizing := Sizing{
@@ -76,25 +79,25 @@
 		FromS:         from.Seconds(),
 		ToS:           (from + search.load.Length).Seconds(),
 	}
-	least, reached, err := search.leastProportional(description)
+	smallest, reached, err := search.smallestProportional(description)
 	sizing.Tried = search.tried
 	sort.Slice(sizing.Tried, func(i, j int) bool { return sizing.Tried[i].Servers < sizing.Tried[j].Servers })
 	if err != nil {
 		return sizing, err
 	}
-	if sizing.Minimum, err = search.evaluate(least); err != nil {
+	if sizing.Minimum, err = search.evaluate(smallest); err != nil {
 		return sizing, err
 	}
 	if !reached {
-		sizing.Reason = search.explain(least)
+		sizing.Reason = search.explain(smallest)
 		return sizing, nil
 	}
-	if least, err = search.reduce(least, &sizing); err != nil {
+	if smallest, err = search.reduce(smallest, &sizing); err != nil {
 		return sizing, err
 	}
 	sizing.Reached = true
 	if search.load != load {
-		full, err := Replicate(least, load, options.Options, min(options.Replications, fullLoadReplications), nil)
+		full, err := Replicate(smallest, load, options.Options, min(options.Replications, fullLoadReplications), nil)
 		if err != nil {
 			return sizing, err
 		}
@@ -103,44 +106,44 @@
 	return sizing, nil
 }
 
-// MinimumTotal finds the least number of servers in the file's proportions whose service reaches the target; one more
-// than the maximum where none does.
+// MinimumTotal returns the smallest number of servers in the proportions of the fleet file whose service reaches the
+// target. It returns MaxServers + 1 if no number up to the maximum does.
 func MinimumTotal(description *fleet.Fleet, load *workload.Load, options SizeOptions) (int, error) {
 	search, _ := newSizeSearch(description, load, options)
-	least, reached, err := search.leastProportional(description)
+	smallest, reached, err := search.smallestProportional(description)
 	if err != nil || !reached {
 		return options.MaxServers + 1, err
 	}
-	return least.ServerCount(), nil
+	return smallest.ServerCount(), nil
 }
 
-// evaluate returns the size of a fleet with its service.
+// evaluate returns the size of a fleet with its expected service.
 func (s *sizeSearch) evaluate(description *fleet.Fleet) (Candidate, error) {
 	key := fmt.Sprint(description.ServerPools)
-	if size, ok := s.evaluated[key]; ok {
-		return size, nil
+	if candidate, ok := s.evaluated[key]; ok {
+		return candidate, nil
 	}
-	size := Candidate{Servers: description.ServerCount(), Kinds: map[string]int{}}
+	candidate := Candidate{Servers: description.ServerCount(), Kinds: map[string]int{}}
 	for _, pool := range description.ServerPools {
-		size.Kinds[pool.Kind] += pool.Count
+		candidate.Kinds[pool.Kind] += pool.Count
 	}
-	if size.Servers > 0 {
-		if err := s.addService(&size, description); err != nil {
-			return size, err
+	if candidate.Servers > 0 {
+		if err := s.addService(&candidate, description); err != nil {
+			return candidate, err
 		}
 	}
-	s.evaluated[key] = size
+	s.evaluated[key] = candidate
 	if s.Progress != nil {
-		s.Progress(fmt.Sprintf("%d servers: service %.1f%%", size.Servers, 100*size.Service.Mean))
+		s.Progress(fmt.Sprintf("%d servers: service %.1f%%", candidate.Servers, 100*candidate.Service.Mean))
 	}
-	return size, nil
+	return candidate, nil
 }
 
-func (s *sizeSearch) addService(size *Candidate, description *fleet.Fleet) error {
-	// What arithmetic rules out needs no simulation.
+func (s *sizeSearch) addService(candidate *Candidate, description *fleet.Fleet) error {
+	// No simulation is needed if the upper bound rules the fleet out.
 	if bound := UpperBound(description, s.load); bound.Service < s.Target-targetMargin {
-		size.Service = Figure{Mean: bound.Service, High: bound.Service}
-		size.AtMost = true
+		candidate.Service = Figure{Mean: bound.Service, High: bound.Service}
+		candidate.AtMost = true
 		return nil
 	}
 	options := s.Options
@@ -149,23 +152,24 @@
 	if err != nil {
 		return err
 	}
-	size.Service = forecast.Service
+	candidate.Service = forecast.Service
 	for i := range forecast.Runs {
-		size.AtMost = size.AtMost || forecast.Runs[i].EndedEarly
+		candidate.AtMost = candidate.AtMost || forecast.Runs[i].EndedEarly
 	}
 	return nil
 }
 
-// tryCount evaluates so many servers in the file's proportions, and reports whether they reach the target.
+// tryCount evaluates a number of servers in the proportions of the fleet file and reports whether they reach the
+// target.
 func (s *sizeSearch) tryCount(description *fleet.Fleet, servers int) (bool, error) {
-	size, err := s.evaluate(description.Resize(servers))
-	s.tried = append(s.tried, size)
-	return size.Service.Mean >= s.Target, err
+	candidate, err := s.evaluate(description.Resize(servers))
+	s.tried = append(s.tried, candidate)
+	return candidate.Service.Mean >= s.Target, err
 }
 
-// leastProportional finds the least fleet in the file's proportions that reaches the target, or the one with the most
-// servers where that is too few.
-func (s *sizeSearch) leastProportional(description *fleet.Fleet) (least *fleet.Fleet, reached bool, err error) {
+// smallestProportional finds the smallest fleet in the proportions of the fleet file that reaches the target. If none
+// does, it returns the fleet with the maximum number of servers.
+func (s *sizeSearch) smallestProportional(description *fleet.Fleet) (smallest *fleet.Fleet, reached bool, err error) {
 	tooFew := 0
 	enough := max(1, min(description.ServerCount(), s.MaxServers))
 	for {
@@ -197,56 +201,57 @@
 	return description.Resize(enough), true, nil
 }
 
-// explain says why the most servers miss the target.
-func (s *sizeSearch) explain(most *fleet.Fleet) string {
-	reason := fmt.Sprintf("not with %d servers either: something other than their number limits the service",
-		most.ServerCount())
-	if cannot := UpperBound(most, s.load).Infeasible; len(cannot) > 0 {
-		reason += ": " + cannot[0]
+// explain describes why even the maximum number of servers misses the target.
+func (s *sizeSearch) explain(largest *fleet.Fleet) string {
+	reason := fmt.Sprintf(
+		"even %d servers miss the target, because something other than their number limits the service",
+		largest.ServerCount())
+	if infeasible := UpperBound(largest, s.load).Infeasible; len(infeasible) > 0 {
+		reason += ": " + infeasible[0]
 	}
 	return reason
 }
 
-// reduce takes servers of single kinds away for as long as the target is reached. It records the least size, and those
-// with one server less.
-func (s *sizeSearch) reduce(least *fleet.Fleet, sizing *Sizing) (*fleet.Fleet, error) {
+// reduce removes one server of a kind at a time as long as the target is reached. It records the smallest size and the
+// sizes with one server less.
+func (s *sizeSearch) reduce(current *fleet.Fleet, sizing *Sizing) (*fleet.Fleet, error) {
 	for {
-		smaller, err := s.reduceOnce(least, sizing)
+		smaller, err := s.reduceOnce(current, sizing)
 		if err != nil {
 			return nil, err
 		}
 		if smaller == nil {
-			return least, nil
+			return current, nil
 		}
-		least = smaller
+		current = smaller
 	}
 }
 
-// reduceOnce returns the fleet with one server less that reaches the target, or nil where none does.
-func (s *sizeSearch) reduceOnce(least *fleet.Fleet, sizing *Sizing) (*fleet.Fleet, error) {
+// reduceOnce returns a fleet with one server less that reaches the target, or nil if there is none.
+func (s *sizeSearch) reduceOnce(current *fleet.Fleet, sizing *Sizing) (*fleet.Fleet, error) {
 	clear(sizing.OneServerLess)
-	for i := range least.MachineKinds {
-		kind := least.MachineKinds[i].Name
-		pool := largestPool(least, kind)
+	for i := range current.MachineKinds {
+		kind := current.MachineKinds[i].Name
+		pool := largestPool(current, kind)
 		if pool < 0 {
 			continue
 		}
-		smaller := least.Clone()
+		smaller := current.Clone()
 		smaller.ServerPools[pool].Count--
-		size, err := s.evaluate(smaller)
+		candidate, err := s.evaluate(smaller)
 		if err != nil {
 			return nil, err
 		}
-		if size.Service.Mean >= s.Target {
-			sizing.Minimum = size
+		if candidate.Service.Mean >= s.Target {
+			sizing.Minimum = candidate
 			return smaller, nil
 		}
-		sizing.OneServerLess[kind] = size
+		sizing.OneServerLess[kind] = candidate
 	}
 	return nil, nil
 }
 
-// largestPool returns the index of the pool with the most servers of a kind, or -1 where it has none.
+// largestPool returns the index of the pool with the most servers of a kind, or -1 if no pool has any.
 func largestPool(description *fleet.Fleet, kind string) int {
 	largest := -1
 	for i, pool := range description.ServerPools {
--- a/internal/plan/planner/trial.go
+++ b/internal/plan/planner/trial.go
@@ -11,25 +11,25 @@
 	"spurwinch/internal/plan/workload"
 )
 
-// Trial is a small random fleet with a load. It serves to compare a forecast with what a replay measures.
+// Trial is a small random fleet with a load, used to compare a forecast with the measurements of a replay.
 type Trial struct {
 	Number      int
-	Scenario    string // the scenario, in words
+	Scenario    string // description of the scenario
 	Fleet       *fleet.Fleet
 	Concurrency float64 // mean number of sessions
 	Load        *workload.Load
-	LostZone    string // zone that is lost; empty: none
+	LostZone    string // zone that is lost; empty if no zone is lost
 	LossTime    time.Duration
 }
 
 const (
-	trialLifetime     = 8 * time.Second // mean of each class, before its own factor is drawn
-	overQuotaUsage    = 5               // arrivals of the tenant that is over its quota, relative to its share
-	storeRateHeadroom = 4               // store calls a second that are possible, relative to those of the arrivals
+	trialLifetime     = 8 * time.Second // mean of each class, before a random factor is applied to it
+	overQuotaUsage    = 5               // arrivals of the tenant that exceeds its quota, relative to its share
+	storeRateHeadroom = 4               // capacity of the session store, relative to the rate of arrivals
 	lossTimeDivisor   = 3               // a zone is lost after the first third of the load
 )
 
-// scenario is what a trial is about.
+// scenario is the situation that a trial covers.
 type scenario int
 
 const (
@@ -51,17 +51,17 @@
 	}[s]
 }
 
-// TrialBase returns the fleet that trials are derived from where no fleet file is named: the example under deploy/.
+// TrialBase returns the example fleet under deploy/, from which trials are derived if no fleet file is named.
 func TrialBase() *fleet.Fleet {
 	base, err := fleet.Parse("the built-in fleet", deploy.ExampleFleet)
 	if err != nil {
-		panic(err) // a test reads it
+		panic(err) // a test checks that the example can be parsed
 	}
 	return base
 }
 
-// GenerateTrial draws the trial with the given number, from 0, from a base fleet, which it leaves as it is. The same
-// base, seed, number and length give the same trial. The scenarios take turns by the number.
+// GenerateTrial draws the trial with the given number, which starts at 0, from a base fleet, which it does not modify.
+// The same base, seed, number and length give the same trial. The number modulo scenarioCount selects the scenario.
 func GenerateTrial(base *fleet.Fleet, seed uint64, number int, length time.Duration) Trial {
 	drawn := scenario(number % int(scenarioCount))
 	gen := &trialGenerator{
@@ -70,7 +70,7 @@
 		fleet:    base.Clone(),
 	}
 	gen.fleet.General.Name = fmt.Sprintf("trial %d", number)
-	gen.drawTables(base)
+	gen.drawZonesAndClasses(base)
 	gen.drawServers()
 	trial := Trial{Number: number, Scenario: drawn.String(), Fleet: gen.fleet}
 	switch drawn {
@@ -82,7 +82,7 @@
 	case scenarioZoneLoss:
 		trial.LostZone = gen.fleet.Zones[len(gen.fleet.Zones)-1].Name
 		trial.LossTime = length / lossTimeDivisor
-	default: // as drawn
+	default: // the other scenarios need no further change
 	}
 	trial.Concurrency = gen.drawConcurrency()
 	gen.fleet.Store.Rate = storeRateHeadroom * trial.Concurrency / trialLifetime.Seconds()
@@ -91,30 +91,30 @@
 	return trial
 }
 
-// trialGenerator draws the fleet of one trial. The order of its draws is part of what a seed means.
+// trialGenerator draws the fleet of one trial. A change to the order of its draws changes the trial of a seed.
 type trialGenerator struct {
 	rng      *rand.Rand
 	scenario scenario
 	fleet    *fleet.Fleet
 }
 
-// drawTables draws the zones, classes and tenants.
-func (g *trialGenerator) drawTables(base *fleet.Fleet) {
-	g.fleet.General.ConnectionsPerCore = 35 + 30*g.rng.Float64() // enough that chance doesn't hide an error
+// drawZonesAndClasses draws the zones, classes and tenants.
+func (g *trialGenerator) drawZonesAndClasses(base *fleet.Fleet) {
+	g.fleet.General.ConnectionsPerCore = 35 + 30*g.rng.Float64() // many, so that random variation hides no error
 	g.fleet.Zones = slices.Clone(base.Zones[:min(len(base.Zones), 2+g.rng.IntN(2))])
 	g.fleet.Delays = nil
 	g.fleet.Classes = slices.Clone(base.Classes)
 	for i := range g.fleet.Classes {
 		class := &g.fleet.Classes[i]
 		class.Share *= 0.6 + 0.8*g.rng.Float64()
-		class.Load *= 0.5 + 0.6*g.rng.Float64() // small fleets: no connection may fill a server
+		class.Load *= 0.5 + 0.6*g.rng.Float64() // no single connection may fill a server of a small fleet
 		class.LoadSpread *= 0.3 + 0.7*g.rng.Float64()
 		class.Lifetime = fleet.Duration(float64(trialLifetime) * (0.7 + 0.8*g.rng.Float64()))
 	}
 	g.fleet.Tenants = slices.Clone(base.Tenants)
 }
 
-// drawServers draws the servers of the first two kinds, and adds a node for each zone.
+// drawServers draws servers of the first two machine kinds and adds a node for each zone.
 func (g *trialGenerator) drawServers() {
 	servers := 5 + g.rng.IntN(5)
 	slowFraction := 0.2 + 0.4*g.rng.Float64()
@@ -133,7 +133,7 @@
 	}
 }
 
-// addServers spreads a number of servers evenly over the zones, the first ones of which take what is left over.
+// addServers spreads a number of servers evenly over the zones. The first zones take the remainder.
 func (g *trialGenerator) addServers(kind string, servers int) {
 	zones := g.fleet.Zones
 	for i := range zones {
@@ -148,11 +148,11 @@
 	}
 }
 
-// drawConcurrency draws how many sessions there are: from a light load to one that is too much.
+// drawConcurrency draws the mean number of sessions, which ranges from a light load to an overload.
 func (g *trialGenerator) drawConcurrency() float64 {
-	connection := g.fleet.MeanLoad() * g.fleet.CoreLoad()
+	connectionLoad := g.fleet.MeanLoad() * g.fleet.CoreLoad()
 	if group := &g.fleet.Group; group.Cost > 0 {
-		connection += group.Cost * g.fleet.CoreLoad() / group.Size * 1.5
+		connectionLoad += group.Cost * g.fleet.CoreLoad() / group.Size * 1.5
 	}
-	return g.fleet.Cores() * (0.45 + 0.6*g.rng.Float64()) / connection
+	return g.fleet.Cores() * (0.45 + 0.6*g.rng.Float64()) / connectionLoad
 }
