--- a/internal/plan/planner/main_test.go
+++ b/internal/plan/planner/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the random tests: two runs of one source must have one result.
+// TestMain fixes the seed of the random tests, so that two runs of the same source have the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
