--- a/internal/lab/simulation/attempt.go
+++ b/internal/lab/simulation/attempt.go
@@ -8,26 +8,27 @@
 	"spurwinch/internal/lab/faults"
 )
 
-// minConnection is how long a connection lasts at least.
-const minConnection = 100 * time.Millisecond
+// minConnectionLifetime is the minimum lifetime of a connection.
+const minConnectionLifetime = 100 * time.Millisecond
 
-// attempt is an attempt of a client's request at a server. It implements edge.UpstreamRequest.
+// attempt is one attempt to place a client's request on a server. It implements edge.UpstreamRequest.
 type attempt struct {
 	client   *client
 	upstream *edge.Attempt
 	server   *server
-	ended    bool // without a connection, or cancelled by the node
+	ended    bool // it ended without a connection, or the node cancelled it
 }
 
-// arrive has the server answer the attempt, by its state at this moment. It is called a network delay after the node
-// has sent the attempt, which may have been cancelled since. A server that became silent on the way gives no answer.
+// arrive makes the server answer the attempt according to its current state. It is called one network delay after the
+// node has sent the attempt. In the meantime the node may have cancelled the attempt, or the server may have become
+// silent, in which case it does not answer.
 func (a *attempt) arrive() {
 	if a.ended {
 		return
 	}
 	switch a.server.failure {
 	case silent, unresponsive:
-		// no answer ever comes
+		// the server never answers
 	case failing:
 		a.end(choice.Failed)
 	case refusing:
@@ -41,7 +42,7 @@
 	}
 }
 
-// establish opens the client's connection to the server, until the client needs it no longer.
+// establish opens the client's connection to the server and schedules its end, when the client no longer needs it.
 func (a *attempt) establish() {
 	world := a.client.world
 	a.server.connections[a] = true
@@ -49,7 +50,7 @@
 	a.upstream.Established()
 	a.recordEnd()
 	a.client.recordAnswer(faults.ResultServed, a.server.zone)
-	world.schedule(max(a.client.disconnectAt, world.now+minConnection), func() {
+	world.schedule(max(a.client.disconnectAt, world.now+minConnectionLifetime), func() {
 		if a.server.connections[a] {
 			delete(a.server.connections, a)
 			a.client.node.schedule(world.now, a.client.request.ClientGone)
@@ -67,7 +68,7 @@
 	a.upstream.Ended(outcome, nil)
 }
 
-// GiveUp implements edge.UpstreamRequest: the node cancels the attempt or ends its connection.
+// GiveUp implements edge.UpstreamRequest. The node calls it to cancel the attempt or to end its connection.
 func (a *attempt) GiveUp() {
 	if !a.ended {
 		a.ended = true
@@ -78,7 +79,7 @@
 	delete(a.server.connections, a)
 }
 
-// recordEnd records that the server has the request no longer, or has answered it.
+// recordEnd records that the server has answered the request or no longer has it.
 func (a *attempt) recordEnd() {
 	a.client.world.record(faults.Event{Kind: faults.KindAttemptEnd, ID: a.client.id, To: string(a.server.id)})
 }
--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -10,45 +10,47 @@
 )
 
 const (
-	answerGrace       = 100 * time.Millisecond // beyond the deadline, in which a client waits for its answer
-	minRetryDelay     = 100 * time.Millisecond
-	maxRetryJitter    = 300 // ms
-	maxRejections     = 3   // in a row; then a client waits for restAfterRejected
-	restAfterRejected = 4 * time.Second
-	minReconnectDelay = 60   // ms
-	reconnectSpread   = 1200 // ms
-	maxLifetimeFactor = 4    // of the mean lifetime of a connection
+	answerGrace            = 100 * time.Millisecond // a client waits this much longer than its deadline for an answer
+	minRetryDelay          = 100 * time.Millisecond
+	maxRetryJitter         = 300 // ms
+	maxConsecutiveFailures = 3   // after more than this, a client waits for longRetryDelay
+	longRetryDelay         = 4 * time.Second
+	minReconnectDelay      = 60   // ms
+	reconnectSpread        = 1200 // ms
+	maxLifetimeFactor      = 4    // maximum lifetime of a connection, as a multiple of the mean
 )
 
-// client is one request of a client, from its first byte to the end of its connection. It implements edge.Client.
+// client is a client with one request, from the first byte of the request to the end of its connection. It implements
+// edge.Client.
 type client struct {
-	world        *World
-	node         *node
-	zone         string
-	class        int
-	id           string
-	startedAt    time.Duration
-	disconnectAt time.Duration // the client needs its connection until then
-	rejections   int           // in a row
-	request      *edge.Request
-	established  *attempt
-	answered     bool
+	world               *World
+	node                *node
+	zone                string
+	class               int
+	id                  string
+	startedAt           time.Duration
+	disconnectAt        time.Duration // when the client no longer needs its connection
+	consecutiveFailures int           // requests in a row that were not served
+	request             *edge.Request
+	established         *attempt
+	answered            bool
 }
 
-// scheduleArrival has clients arrive in a zone as a Poisson process, at the rate that gives the wanted utilization.
+// scheduleArrival schedules the next arrival of a client in a zone. Arrivals are a Poisson process at the rate that gives
+// the utilization set in the options.
 func (w *World) scheduleArrival(zone string) {
 	demand := w.options.Utilization * float64(w.options.zoneCapacity())
 	rate := demand / w.options.ConnectionLifetime.Seconds()
 	w.schedule(w.now+time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		arrived := w.newClient(zone)
-		if w.now > firstClients {
+		if w.now > firstClientTime {
 			arrived.connect()
 		}
 		w.scheduleArrival(zone)
 	})
 }
 
-// newClient draws a client: its class and how long it needs its connection.
+// newClient creates a client with a random class and a random connection lifetime.
 func (w *World) newClient(zone string) *client {
 	mean := w.options.ConnectionLifetime
 	lifetime := time.Duration(w.rng.ExpFloat64() * float64(mean))
@@ -59,17 +61,18 @@
 	return &client{world: w, zone: zone, class: class, disconnectAt: w.now + min(lifetime, maxLifetimeFactor*mean)}
 }
 
-// connect opens a connection through the front: to a node of the client's zone that is up, else to any.
+// connect opens a connection through the front end to a random node among those that nodesFor returns. It does nothing
+// if no node is up or if the client no longer needs a connection.
 func (c *client) connect() {
 	world := c.world
 	nodes := world.nodesFor(c.zone)
 	if len(nodes) == 0 || world.now >= c.disconnectAt {
 		return
 	}
-	// Each request is a client of its own: a paused node may still have events of the request before.
+	// Each request gets a new client, because a paused node may still have events of the previous request.
 	next := &client{
-		world: world, zone: c.zone, class: c.class, disconnectAt: c.disconnectAt, rejections: c.rejections,
-		node: nodes[world.rng.IntN(len(nodes))],
+		world: world, zone: c.zone, class: c.class, disconnectAt: c.disconnectAt,
+		consecutiveFailures: c.consecutiveFailures, node: nodes[world.rng.IntN(len(nodes))],
 	}
 	world.requests++
 	next.id = fmt.Sprintf("q%d", world.requests)
@@ -79,7 +82,8 @@
 	world.schedule(world.now+deadline+answerGrace, next.giveUp)
 }
 
-// nodesFor are the nodes that the front brings a zone's clients to.
+// nodesFor returns the nodes to which the front end sends the clients of a zone: the nodes of this zone that are up, or
+// all nodes that are up if the zone has none.
 func (w *World) nodesFor(zone string) []*node {
 	var sameZone, all []*node
 	for _, n := range w.nodes {
@@ -97,7 +101,7 @@
 	return sameZone
 }
 
-// open opens the client's request at its node, unless the client left before its request was read.
+// open opens the client's request at its node, unless the client gave up before the node read the request.
 func (c *client) open(deadline time.Duration) {
 	if c.answered {
 		return
@@ -110,7 +114,7 @@
 	}, c)
 }
 
-// giveUp ends the client's wait, if it has no answer yet.
+// giveUp ends a request that has no answer yet and schedules a retry.
 func (c *client) giveUp() {
 	if c.answered {
 		return
@@ -122,7 +126,7 @@
 	c.retry(0)
 }
 
-// recordAnswer records the first answer that the client gets, and the zone of the server that served it.
+// recordAnswer records the first answer that the client gets, and the zone of the server if the request was served.
 func (c *client) recordAnswer(result faults.Result, serverZone string) {
 	if c.answered {
 		return
@@ -134,26 +138,26 @@
 	})
 }
 
-// retry connects a client again whose request was not served, no sooner than after the given time.
+// retry schedules a new connection for a client whose request was not served, after at least the given delay.
 func (c *client) retry(after time.Duration) {
 	world := c.world
-	c.rejections++
-	if c.rejections > maxRejections {
-		c.rejections = 0
-		after = max(after, restAfterRejected)
+	c.consecutiveFailures++
+	if c.consecutiveFailures > maxConsecutiveFailures {
+		c.consecutiveFailures = 0
+		after = max(after, longRetryDelay)
 	}
 	jitter := time.Duration(world.rng.IntN(maxRetryJitter)) * time.Millisecond
 	world.schedule(world.now+max(after, minRetryDelay)+jitter, c.connect)
 }
 
-// reconnect connects a client again whose connection broke or was migrated.
+// reconnect schedules a new connection for a client whose connection broke or was migrated.
 func (c *client) reconnect() {
-	c.rejections = 0
+	c.consecutiveFailures = 0
 	delay := time.Duration(minReconnectDelay+c.world.rng.IntN(reconnectSpread)) * time.Millisecond
 	c.world.schedule(c.world.now+delay, c.connect)
 }
 
-// LocalReply implements edge.Client: the node answers the request itself.
+// LocalReply implements edge.Client. The node calls it when it answers the request itself.
 func (c *client) LocalReply(reply edge.LocalReply) {
 	if reply.Rejected {
 		c.recordAnswer(faults.ResultRejected, "")
@@ -163,7 +167,7 @@
 	c.retry(reply.RetryAfter)
 }
 
-// Migrate implements edge.Client: the node asks the client to connect again.
+// Migrate implements edge.Client. The node calls it to ask the client to connect again.
 func (c *client) Migrate(time.Time) {
 	if c.established != nil {
 		delete(c.established.server.connections, c.established)
@@ -171,7 +175,7 @@
 	c.reconnect()
 }
 
-// Attempt implements edge.Client: the node tries a server for the client.
+// Attempt implements edge.Client. The node calls it to start an attempt of the client's request.
 func (c *client) Attempt(upstream *edge.Attempt) edge.UpstreamRequest {
 	target := c.world.serverByID[upstream.Server.ID]
 	started := &attempt{client: c, upstream: upstream, server: target}
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -19,7 +19,7 @@
 // fleetKey authenticates the messages between nodes.
 const fleetKey = "a key of the laboratory"
 
-// The rules of the simulated fleet's plans.
+// Parameters of the simulated fleet's plans.
 const (
 	utilizationLimit = 0.85
 	grantLifetime    = 30 * time.Second
@@ -28,37 +28,38 @@
 	retryAfter       = time.Second
 )
 
-// clockSkew is the difference between the monotonic clocks of two nodes, a multiple of it by their index.
+// clockSkew is the difference between the monotonic clocks of nodes with consecutive indexes, so that no two nodes agree
+// on the time.
 const clockSkew = time.Hour
 
-// node is one node: its core with the decision module, its fleet agent and its disk.
+// node is a simulated node, with its core, which contains the decision module, its fleet agent and its disk.
 type node struct {
 	world       *World
 	index       int
 	name        string
 	zone        string
 	up          bool
-	incarnation int // processes so far
+	incarnation int // number of processes started so far
 	pausedUntil time.Duration
 	core        *edge.Core   // nil in a run without servers
-	agent       *agent.Agent // nil where the node decides for itself
+	agent       *agent.Agent // nil if the node decides without a common plan
 
 	disk      []consensus.Record
 	diskFull  bool
-	diskDelay time.Duration // beyond the usual time of a write
+	diskDelay time.Duration // added to the usual time of a write
 	writing   bool          // a record is being written
 
-	isolated             bool // no message from or to other nodes arrives
-	receivesNothing      bool // no message from other nodes arrives
+	isolated             bool // all messages to and from other nodes are lost
+	receivesNothing      bool // all messages from other nodes are lost
 	serversUnreachable   bool
-	reachableByOperators bool // although isolated
+	reachableByOperators bool // even while isolated
 
-	olderVersion bool    // it doesn't know all keys of a policy document
-	requests     float64 // of a run without servers
-	rejections   float64
+	olderVersion bool    // the node doesn't know all keys of a policy document
+	requests     float64 // counted only in a run without servers
+	rejections   float64 // counted only in a run without servers
 }
 
-// planRules are the rules of the simulated fleet's plans.
+// planRules returns the rules of the simulated fleet's plans.
 func planRules() failover.Rules {
 	rules := failover.Rules{
 		UtilizationLimit: utilizationLimit,
@@ -78,7 +79,8 @@
 // isVoter reports whether the node is a voter of the fleet's log.
 func (n *node) isVoter() bool { return n.world.list.Node(n.index).Voter }
 
-// schedule runs a function at a node, unless its process is another one by then; while the node is paused it waits.
+// schedule runs a function at the node at a given time, unless the current process has ended by then. While the node is
+// paused, the function waits.
 func (n *node) schedule(when time.Duration, run func()) {
 	incarnation := n.incarnation
 	var runOrWait func()
@@ -96,8 +98,8 @@
 	n.world.schedule(when, runOrWait)
 }
 
-// scheduleWhileUp runs a function after a time, unless the node's process is another one by then. Unlike schedule it
-// doesn't wait while the node is paused: disks and links work on.
+// scheduleWhileUp runs a function after a delay, unless the node's current process has ended by then. Unlike schedule, it
+// doesn't wait while the node is paused, because disks and links keep working.
 func (n *node) scheduleWhileUp(after time.Duration, run func()) {
 	incarnation := n.incarnation
 	n.world.schedule(n.world.now+after, func() {
@@ -107,7 +109,7 @@
 	})
 }
 
-// flush carries out what a callback has led to.
+// flush carries out the pending actions of the core and of the agent after a callback.
 func (n *node) flush() {
 	if !n.up {
 		return
@@ -116,14 +118,14 @@
 		n.core.Flush()
 	}
 	if n.agent != nil {
-		n.exchange()
+		n.handleAgentOutput()
 	}
 }
 
 // Now implements edge.Clock.
 func (n *node) Now() time.Time { return epoch.Add(n.world.now) }
 
-// At implements edge.Clock: it runs a function at a time, unless it is stopped before.
+// At implements edge.Clock. It runs a function at a given time, unless stop is called earlier.
 func (n *node) At(at time.Time, run func()) (stop func()) {
 	stopped := false
 	n.schedule(max(at.Sub(epoch), n.world.now), func() {
@@ -134,10 +136,10 @@
 	return func() { stopped = true }
 }
 
-// clock is the node's own monotonic time.
+// clock returns the time on the node's own monotonic clock.
 func (n *node) clock() time.Duration { return n.world.now + time.Duration(n.index)*clockSkew }
 
-// start starts a process of the node. files says what it finds on its disk, such as faults.FilesIntact.
+// start starts a process of the node. files is the state of the files on the node's disk, such as faults.FilesIntact.
 func (n *node) start(files string) error {
 	n.incarnation++
 	n.up = true
@@ -160,13 +162,13 @@
 	case StaticOrder:
 		n.core.ApplyZonePlan(n.staticPlan())
 	case EachNode:
-		// without a plan the node chooses among all zones
+		// without a plan, the node chooses among all zones
 	}
 	n.core.Flush()
 	return nil
 }
 
-// startCore makes the node's core, which knows all servers.
+// startCore creates the node's core and starts it with an endpoint list of all servers.
 func (n *node) startCore() error {
 	world := n.world
 	decoded, err := nodeSettings(world.options.Nodes, n.index, n.zone)
@@ -194,7 +196,7 @@
 	return nil
 }
 
-// startAgent begins the node's part in the fleet, with the records on its disk.
+// startAgent starts the node's fleet agent from the records on its disk.
 func (n *node) startAgent() error {
 	world := n.world
 	options := agent.Options{
@@ -225,7 +227,7 @@
 	return nil
 }
 
-// recordViolation records a step that the core's invariant monitor has prevented.
+// recordViolation records a step that the core's invariant monitor prevented.
 func (n *node) recordViolation(violation invariant.Violation) {
 	n.world.record(faults.Event{
 		Kind: faults.KindGuard, ID: violation.Request, Node: n.name, Zone: n.zone, To: violation.Server,
@@ -233,7 +235,7 @@
 	})
 }
 
-// scheduleTick gives the agent the time at each interval.
+// scheduleTick calls the agent's Tick at each interval and passes it the observations when it asks for them.
 func (n *node) scheduleTick() {
 	n.schedule(n.world.now+consensus.TickInterval, func() {
 		n.agent.Tick(n.clock())
@@ -244,7 +246,7 @@
 	})
 }
 
-// observations are what the node's decision module has observed since the last call.
+// observations returns what the node's decision module has observed since the last call.
 func (n *node) observations() choice.Observations {
 	if n.core == nil {
 		return n.healthyObservations()
@@ -252,8 +254,8 @@
 	return n.core.Observations()
 }
 
-// staticPlan is the fixed order of zones of a node that decides for itself: its own, those of its region, the others.
-// Classes that must stay in their region don't go to the others.
+// staticPlan returns the fixed zone order of a node that decides for itself: its own zone, the other zones of its region,
+// then all other zones. Classes that must stay in their region are excluded from the zones of other regions.
 func (n *node) staticPlan() choice.ZonePlan {
 	var staying []int
 	for class, settings := range faults.Classes {
@@ -277,7 +279,7 @@
 	return choice.ZonePlan{Grants: slices.Concat(own, sameRegion, others)}
 }
 
-// crash ends the node's process. Its clients connect again.
+// crash ends the node's process. The clients that were connected through it connect again.
 func (n *node) crash() {
 	if !n.up {
 		return
@@ -296,7 +298,7 @@
 	}
 }
 
-// restart crashes the node and starts it again after a time, with its files as said.
+// restart crashes the node and starts it again after a delay, with its files in the given state.
 func (n *node) restart(files string, after time.Duration) {
 	n.crash()
 	n.world.schedule(n.world.now+after, func() {
@@ -304,15 +306,15 @@
 			return
 		}
 		if err := n.start(files); err != nil {
-			n.world.recordFailure(n, err)
+			n.world.recordStartFailure(n, err)
 		}
 	})
 }
 
-// pause stops the node's process for a time.
+// pause suspends the node's process for a given time.
 func (n *node) pause(length time.Duration) { n.pausedUntil = n.world.now + length }
 
-// newVoter makes the consensus replica of a voter.
+// newVoter creates the consensus replica of a voter.
 func newVoter(self, replicas int, records []consensus.Record, rng *rand.Rand) (agent.Voter, error) {
 	voter, err := replica.New(self, replicas, records, rng)
 	if err != nil {
--- a/internal/lab/simulation/node_log.go
+++ b/internal/lab/simulation/node_log.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	crashFreeTail     = 14 * time.Second // before the end of a run no node crashes at a step any more
+	crashFreeTail     = 14 * time.Second // in this time before the end of a run, no node crashes at a step
 	minStepRestart    = 100              // ms
 	stepRestartSpread = 4000             // ms
 )
 
-// logFields are the fields of a log line, names and values in turn. They implement faults.LogFields.
+// logFields are the fields of a log line as alternating names and values. They implement faults.LogFields.
 type logFields []any
 
-// field returns the value of a field; the zero value, if there is none of that type.
+// field returns the value of a field, or the zero value if the field is missing or has another type.
 func field[T any](fields logFields, name string) T {
 	for i := 0; i+1 < len(fields); i += 2 {
 		if fields[i] == name {
@@ -35,7 +35,7 @@
 func (f logFields) Bool(name string) bool     { return field[bool](f, name) }
 func (f logFields) Bytes(name string) []byte  { return field[[]byte](f, name) }
 
-// log records what the node's agent logs.
+// log records a log line of the node's agent as an event of the history.
 func (n *node) log(event string, fields ...any) {
 	recorded, ok := faults.EventOfLog(event, logFields(fields))
 	switch {
@@ -52,7 +52,7 @@
 	}
 }
 
-// maybeCrashAtStep crashes the node at a step of a policy change, at the world's rate.
+// maybeCrashAtStep crashes the node at a step of a policy change with the probability World.stepCrashRate.
 func (n *node) maybeCrashAtStep() {
 	world := n.world
 	if world.stepCrashRate <= 0 || world.now >= world.options.Length-crashFreeTail {
@@ -70,7 +70,7 @@
 	})
 }
 
-// drawMilliseconds draws a duration of at least least and less than least+spread milliseconds.
+// drawMilliseconds draws a duration from the range of least (inclusive) to least+spread (exclusive) milliseconds.
 func (w *World) drawMilliseconds(least, spread int) time.Duration {
 	return time.Duration(least+w.rng.IntN(spread)) * time.Millisecond
 }
--- a/internal/lab/simulation/node_messages.go
+++ b/internal/lab/simulation/node_messages.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	maxExchangeRounds = 8
-	maxWriteTime      = 8 // ms, of a record
-	fullDiskRetry     = 200 * time.Millisecond
-	minMessageDelay   = 200 * time.Microsecond
-	messageJitter     = time.Millisecond
-	crossZoneMessage  = 4 * time.Millisecond
-	slowMessageRate   = 0.1 // of messages take up to Options.MaxMessageDelay longer
+	maxOutputRounds       = 8
+	maxWriteTime          = 8 // ms, to write a record
+	fullDiskRetryDelay    = 200 * time.Millisecond
+	minMessageDelay       = 200 * time.Microsecond
+	messageJitter         = time.Millisecond
+	crossZoneMessageDelay = 4 * time.Millisecond
+	slowMessageFraction   = 0.1 // fraction of messages that take up to Options.MaxMessageDelay longer
 )
 
-// exchange passes on what the agent has for the core, the disk and other nodes, until it has nothing more.
-func (n *node) exchange() {
-	for range maxExchangeRounds {
+// handleAgentOutput passes the agent's zone plan to the core, its records to the disk and its messages to other nodes,
+// until the agent has no more messages, in at most maxOutputRounds rounds.
+func (n *node) handleAgentOutput() {
+	for range maxOutputRounds {
 		if plan, changed := n.agent.ZonePlan(); changed && n.core != nil {
 			n.core.ApplyZonePlan(plan)
 			n.core.Flush()
 		}
-		n.save()
+		n.writeNextRecord()
 		messages := n.agent.TakeMessages()
 		if len(messages) == 0 {
 			return
@@ -34,9 +35,10 @@
 	}
 }
 
-// save writes the agent's next record to the disk, which takes a while: a crash may come before or after.
-func (n *node) save() {
-	record, complete, ok := n.agent.NextRecord()
+// writeNextRecord writes the agent's next record to the disk. The write takes some time, so that the node may crash
+// before or after the record is on the disk.
+func (n *node) writeNextRecord() {
+	record, replacesAll, ok := n.agent.NextRecord()
 	if !ok || n.writing {
 		return
 	}
@@ -45,10 +47,10 @@
 	n.scheduleWhileUp(n.diskDelay+writeTime, func() {
 		n.writing = false
 		if n.diskFull {
-			n.scheduleWhileUp(fullDiskRetry, n.save)
+			n.scheduleWhileUp(fullDiskRetryDelay, n.writeNextRecord)
 			return
 		}
-		if complete {
+		if replacesAll {
 			n.disk = nil
 		}
 		n.disk = append(n.disk, record)
@@ -56,7 +58,7 @@
 	})
 }
 
-// send has a message arrive at another node once, twice or never.
+// send delivers a message to another node once, twice or not at all.
 func (n *node) send(message agent.Message) {
 	world := n.world
 	target := world.nodes[message.To]
@@ -75,7 +77,7 @@
 	}
 }
 
-// isLost draws whether a message to another node is lost.
+// isLost decides, partly at random, whether a message to another node is lost.
 func (n *node) isLost(target *node) bool {
 	world := n.world
 	return n.isolated || target.isolated || target.receivesNothing ||
@@ -83,17 +85,18 @@
 		world.rng.Float64() < world.network.lossRate || !target.up
 }
 
-// messageDelay draws the time that a message to another node takes.
+// messageDelay draws the transmission time of a message to another node.
 func (n *node) messageDelay(target *node, message agent.Message) time.Duration {
 	world := n.world
 	delay := minMessageDelay + time.Duration(world.rng.Float64()*float64(messageJitter))
 	if n.zone != target.zone {
-		delay += crossZoneMessage
+		delay += crossZoneMessageDelay
 	}
-	if world.options.MaxMessageDelay > 0 && world.rng.Float64() < slowMessageRate {
+	if world.options.MaxMessageDelay > 0 && world.rng.Float64() < slowMessageFraction {
 		delay += time.Duration(world.rng.IntN(int(world.options.MaxMessageDelay.Milliseconds()))) * time.Millisecond
 	}
-	// Consensus messages are not delayed more: else the log stands still, and no other late message matters.
+	// The extra delay doesn't apply to consensus messages. Otherwise the log would make no progress, and the delay of all
+	// other messages would not matter.
 	if !agent.IsConsensusMessage(message.Data) {
 		extra := world.network.extraDelay
 		delay += extra/2 + time.Duration(world.rng.Float64()*float64(extra)) // delayed messages overtake each other
--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -62,12 +62,12 @@
 	for range count {
 		added := &operator{world: w, name: fmt.Sprintf("op%d", len(w.operators))}
 		w.operators = append(w.operators, added)
-		w.schedule(firstCommand+time.Duration(w.rng.Float64()*float64(firstCommandRange)), added.next)
+		w.schedule(firstCommand+time.Duration(w.rng.Float64()*float64(firstCommandRange)), added.startNextCommand)
 	}
 }
 
 // pause draws the time until the operator's next command.
-func (o *operator) pause() time.Duration {
+func (o *operator) drawPause() time.Duration {
 	if o.readOnly {
 		return readOnlyPause
 	}
@@ -75,7 +75,7 @@
 }
 
 // next draws and starts the operator's next command.
-func (o *operator) next() {
+func (o *operator) startNextCommand() {
 	world := o.world
 	if world.now > world.options.Length-commandFreeTail {
 		return
@@ -91,8 +91,8 @@
 		started.proposeAgain(*o.lastChange)
 		return
 	}
-	queries := world.rng.IntN(10) < 4
-	if queries || o.readOnly {
+	isStatusQuery := world.rng.IntN(10) < 4
+	if isStatusQuery || o.readOnly {
 		started.queryStatus()
 		return
 	}
@@ -106,7 +106,7 @@
 		Kind: faults.KindCommand, ID: c.id, Node: c.operator.name, Detail: verb, Result: result, Number: number,
 		Value: c.start.Seconds(),
 	})
-	world.schedule(world.now+c.operator.pause(), c.operator.next)
+	world.schedule(world.now+c.operator.drawPause(), c.operator.startNextCommand)
 }
 
 // proposeAgain proposes a change that has ended under the same ID: it changes nothing, and reports the same end.
@@ -117,7 +117,7 @@
 
 // queryStatus asks which policy is in force.
 func (c *command) queryStatus() {
-	c.operator.status(c.deadline, func(status *agent.PolicyReply) {
+	c.operator.queryStatus(c.deadline, func(status *agent.PolicyReply) {
 		if status == nil {
 			c.end(verbStatus, faults.ResultUnknown, 0)
 			return
@@ -207,7 +207,7 @@
 }
 
 // status queries the policy in force.
-func (o *operator) status(deadline time.Duration, done func(status *agent.PolicyReply)) {
+func (o *operator) queryStatus(deadline time.Duration, done func(status *agent.PolicyReply)) {
 	query := &statusQuery{operator: o, deadline: deadline, done: done}
 	query.start()
 }
@@ -269,7 +269,7 @@
 }
 
 // after continues the proposal after a while.
-func (p *proposal) after(step func()) {
+func (p *proposal) scheduleStep(step func()) {
 	world := p.operator.world
 	world.schedule(world.now+proposalPollDelay, step)
 }
@@ -295,21 +295,21 @@
 	switch {
 	case !ok, reply.Error == "":
 		p.maybeOnLog = true
-		p.after(p.poll)
+		p.scheduleStep(p.poll)
 	case isFollower:
-		p.after(p.send)
+		p.scheduleStep(p.send)
 	case !reply.Retry && !p.maybeOnLog:
 		p.done(faults.ResultRejected, 0)
 	case p.maybeOnLog:
-		p.after(p.poll)
+		p.scheduleStep(p.poll)
 	default:
-		p.after(p.send)
+		p.scheduleStep(p.send)
 	}
 }
 
 // poll queries the status to learn the change's end.
 func (p *proposal) poll() {
-	p.operator.status(p.deadline, p.handleStatus)
+	p.operator.queryStatus(p.deadline, p.handleStatus)
 }
 
 // handleStatus ends the proposal if its end is known, and aborts a change that is to be aborted.
@@ -331,15 +331,15 @@
 		return
 	}
 	world := p.operator.world
-	underWay := status.Change != nil && status.Change.ID == p.change.ID
+	inProgress := status.Change != nil && status.Change.ID == p.change.ID
 	switch {
-	case underWay && p.abortAt > 0 && world.now > p.abortAt:
+	case inProgress && p.abortAt > 0 && world.now > p.abortAt:
 		p.abortAt = 0
 		abort := agent.Call{Verb: callAbort, ID: p.change.ID}
-		p.operator.call(world.leader(), abort, func(agent.Reply, bool) { p.after(p.poll) })
-	case underWay:
-		p.after(p.poll)
+		p.operator.call(world.leader(), abort, func(agent.Reply, bool) { p.scheduleStep(p.poll) })
+	case inProgress:
+		p.scheduleStep(p.poll)
 	default:
-		p.after(p.send)
+		p.scheduleStep(p.send)
 	}
 }
--- a/internal/lab/simulation/random_faults.go
+++ b/internal/lab/simulation/random_faults.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	randomFaultStart  = 6 * time.Second // before which no random fault begins
-	randomFaultTail   = 6 * time.Second // before the end of the run, in which none begins
-	minFaultLength    = time.Second
-	faultLengthSpread = 5 * time.Second // mean of what is added
-	minRandomFaults   = 2
-	randomFaultSpread = 7
-	slowFactor        = 2.5
-	lossRate          = 0.3
-	duplicateRate     = 0.4
-	maxExtraDelay     = 5000 // ms
-	maxRestartDelay   = 2000 // ms, where all nodes are killed
+	randomFaultStart   = 6 * time.Second // before which no random fault begins
+	randomFaultTail    = 6 * time.Second // before the end of the run, in which none begins
+	minFaultLength     = time.Second
+	faultLengthSpread  = 5 * time.Second // mean of what is added
+	minRandomFaults    = 2
+	randomFaultSpread  = 7
+	slowZoneLoadFactor = 2.5
+	lossRate           = 0.3
+	duplicateRate      = 0.4
+	maxExtraDelay      = 5000 // ms
+	maxRestartDelay    = 2000 // ms, where all nodes are killed
 )
 
 // randomFault is one fault with its time and the targets that it may need.
@@ -88,7 +88,7 @@
 }
 
 func (f *randomFault) slowZone() {
-	f.world.scheduleFault(f.at, "zone slow", func() { f.world.slowZone(f.zone, slowFactor) })
+	f.world.scheduleFault(f.at, "zone slow", func() { f.world.slowZone(f.zone, slowZoneLoadFactor) })
 	f.world.scheduleFault(f.end(), "zone back", func() { f.world.recoverZone(f.zone) })
 }
 
--- a/internal/lab/simulation/scenario.go
+++ b/internal/lab/simulation/scenario.go
@@ -108,7 +108,7 @@
 // slowZone has all servers of a zone report more load than they have.
 func (w *World) slowZone(zone string, factor float64) {
 	for _, s := range w.serversOf(zone) {
-		s.slowdown = factor
+		s.reportedLoadFactor = factor
 	}
 }
 
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -30,17 +30,17 @@
 
 // server is a server of the platform: it bears a number of connections, and may fail.
 type server struct {
-	id          choice.ServerID
-	zone        string
-	capacity    int // connections at a reported load of 1
-	connections map[*attempt]bool
-	failure     failureMode
-	slowdown    float64 // factor on its reported load
+	id                 choice.ServerID
+	zone               string
+	capacity           int // connections at a reported load of 1
+	connections        map[*attempt]bool
+	failure            failureMode
+	reportedLoadFactor float64 // factor on its reported load
 }
 
 // load is the part of its capacity that the server reports as used.
 func (s *server) load() float64 {
-	return float64(len(s.connections)) / float64(s.capacity) * s.slowdown
+	return float64(len(s.connections)) / float64(s.capacity) * s.reportedLoadFactor
 }
 
 // isFull reports whether the server takes no more connections. The limit is that of the servers of lab faults, whose
@@ -76,7 +76,7 @@
 // recover ends a server's failure.
 func (s *server) recover() {
 	s.failure = healthy
-	s.slowdown = 1
+	s.reportedLoadFactor = 1
 }
 
 // networkDelay draws the time that a message from a node to a server takes.
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	firstClients     = 3 * time.Second // when the first clients connect: there are plans by then
-	initialClients   = 4 * time.Second // over which the clients that stand there at the start connect
-	samplingInterval = 500 * time.Millisecond
-	defaultOperators = 3
-	operatorPause    = 700 * time.Millisecond // mean, between two commands of an operator
+	firstClientTime      = 3 * time.Second // when the first clients connect: there are plans by then
+	initialClientsSpread = 4 * time.Second // over which the clients that stand there at the start connect
+	samplingInterval     = 500 * time.Millisecond
+	defaultOperators     = 3
+	operatorPause        = 700 * time.Millisecond // mean, between two commands of an operator
 )
 
 // Streams of the random generators of one seed.
@@ -125,11 +125,11 @@
 		})
 		for range w.options.ServersPerZone {
 			added := &server{
-				id:          choice.ServerID(fmt.Sprintf("h%03d", len(w.servers))),
-				zone:        zone,
-				capacity:    w.options.ConnectionsPerServer,
-				connections: map[*attempt]bool{},
-				slowdown:    1,
+				id:                 choice.ServerID(fmt.Sprintf("h%03d", len(w.servers))),
+				zone:               zone,
+				capacity:           w.options.ConnectionsPerServer,
+				connections:        map[*attempt]bool{},
+				reportedLoadFactor: 1,
 			}
 			w.servers = append(w.servers, added)
 			w.serverByID[added.id] = added
@@ -183,7 +183,7 @@
 	for _, zone := range w.zones {
 		w.scheduleArrival(zone)
 		for range int(w.options.Utilization * float64(w.options.zoneCapacity())) {
-			at := firstClients + time.Duration(w.rng.Float64()*float64(initialClients))
+			at := firstClientTime + time.Duration(w.rng.Float64()*float64(initialClientsSpread))
 			w.schedule(at, func() { w.newClient(zone).connect() })
 		}
 	}
@@ -200,8 +200,8 @@
 	w.history = append(w.history, e)
 }
 
-// recordFailure adds to the history what the simulation could not do.
-func (w *World) recordFailure(n *node, err error) {
+// recordStartFailure adds to the history what the simulation could not do.
+func (w *World) recordStartFailure(n *node, err error) {
 	w.record(faults.Event{Kind: faults.KindLog, Node: n.name, Detail: "start: " + err.Error()})
 }
 
