--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -36,8 +36,8 @@
 	answered            bool
 }
 
-// scheduleArrival schedules the next arrival of a client in a zone. Arrivals are a Poisson process at the rate that gives
-// the utilization set in the options.
+// scheduleArrival schedules the next arrival of a client in a zone. Arrivals are a Poisson process at the rate that
+// gives the utilization set in the options.
 func (w *World) scheduleArrival(zone string) {
 	demand := w.options.Utilization * float64(w.options.zoneCapacity())
 	rate := demand / w.options.ConnectionLifetime.Seconds()
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -28,8 +28,8 @@
 	retryAfter       = time.Second
 )
 
-// clockSkew is the difference between the monotonic clocks of nodes with consecutive indexes, so that no two nodes agree
-// on the time.
+// clockSkew is the difference between the monotonic clocks of nodes with consecutive indexes, so that the clock of each
+// node differs.
 const clockSkew = time.Hour
 
 // node is a simulated node, with its core, which contains the decision module, its fleet agent and its disk.
@@ -98,8 +98,8 @@
 	n.world.schedule(when, runOrWait)
 }
 
-// scheduleWhileUp runs a function after a delay, unless the node's current process has ended by then. Unlike schedule, it
-// doesn't wait while the node is paused, because disks and links keep working.
+// scheduleWhileUp runs a function after a delay, unless the node's current process has ended by then. Unlike schedule,
+// it doesn't wait while the node is paused, because disks and links keep working.
 func (n *node) scheduleWhileUp(after time.Duration, run func()) {
 	incarnation := n.incarnation
 	n.world.schedule(n.world.now+after, func() {
@@ -254,8 +254,8 @@
 	return n.core.Observations()
 }
 
-// staticPlan returns the fixed zone order of a node that decides for itself: its own zone, the other zones of its region,
-// then all other zones. Classes that must stay in their region are excluded from the zones of other regions.
+// staticPlan returns the fixed zone order of a node that decides for itself: its own zone, the other zones of its
+// region, then all other zones. Classes that must stay in their region are excluded from the zones of other regions.
 func (n *node) staticPlan() choice.ZonePlan {
 	var staying []int
 	for class, settings := range faults.Classes {
--- a/internal/lab/simulation/node_messages.go
+++ b/internal/lab/simulation/node_messages.go
@@ -95,8 +95,8 @@
 	if world.options.MaxMessageDelay > 0 && world.rng.Float64() < slowMessageFraction {
 		delay += time.Duration(world.rng.IntN(int(world.options.MaxMessageDelay.Milliseconds()))) * time.Millisecond
 	}
-	// The extra delay doesn't apply to consensus messages. Otherwise the log would make no progress, and the delay of all
-	// other messages would not matter.
+	// The extra delay doesn't apply to consensus messages. Otherwise the log would make no progress, and the delay of
+	// all other messages would not matter.
 	if !agent.IsConsensusMessage(message.Data) {
 		extra := world.network.extraDelay
 		delay += extra/2 + time.Duration(world.rng.Float64()*float64(extra)) // delayed messages overtake each other
--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	callTimeout       = time.Second      // of an operator's call to one voter
-	commandTimeout    = 20 * time.Second // of a command; then its end is unknown
-	commandFreeTail   = 8 * time.Second  // before the end of a run no command starts any more
+	callTimeout       = time.Second      // timeout of an operator's call to one voter
+	commandTimeout    = 20 * time.Second // timeout of a command, after which its result is unknown
+	commandFreeTail   = 8 * time.Second  // in this time before the end of a run, no command starts
 	firstCommand      = 4 * time.Second
 	firstCommandRange = 3 * time.Second
 	readOnlyPause     = 20 * time.Millisecond
@@ -25,28 +25,28 @@
 	maxAbortDelay     = 2 * time.Second
 )
 
-// Verbs of the commands of operators, as they are recorded.
+// Verbs of the operators' commands, as recorded in the history.
 const (
 	verbStatus       = "status"
 	verbPropose      = "propose"
 	verbProposeAgain = "again"
 )
 
-// Verbs of the calls to voters.
+// Verbs of the operators' calls to voters.
 const (
 	callStatus  = "policy"
 	callPropose = "policy-propose"
 	callAbort   = "policy-abort"
 )
 
-// operator is a person or script that gives commands, on a machine of its own.
+// operator is a person or script that runs commands on a separate machine.
 type operator struct {
 	world       *World
 	name        string
-	knownNumber uint64 // the newest policy that it knows of
+	knownNumber uint64 // number of the newest policy that it knows
 	commands    int
-	lastChange  *agent.Call // its last change that has ended
-	readOnly    bool        // it only queries the status
+	lastChange  *agent.Call // its latest change whose result it knows
+	readOnly    bool        // it only runs status queries
 }
 
 // command is one command of an operator.
@@ -57,7 +57,7 @@
 	deadline time.Duration
 }
 
-// addOperators adds operators, which give their first commands after some seconds.
+// addOperators adds operators, which run their first commands after firstCommand to firstCommand+firstCommandRange.
 func (w *World) addOperators(count int) {
 	for range count {
 		added := &operator{world: w, name: fmt.Sprintf("op%d", len(w.operators))}
@@ -66,7 +66,7 @@
 	}
 }
 
-// pause draws the time until the operator's next command.
+// drawPause draws the time until the operator's next command.
 func (o *operator) drawPause() time.Duration {
 	if o.readOnly {
 		return readOnlyPause
@@ -74,7 +74,7 @@
 	return time.Duration(o.world.rng.ExpFloat64() * float64(operatorPause))
 }
 
-// next draws and starts the operator's next command.
+// startNextCommand draws and starts the operator's next command.
 func (o *operator) startNextCommand() {
 	world := o.world
 	if world.now > world.options.Length-commandFreeTail {
@@ -99,7 +99,7 @@
 	started.proposeNew()
 }
 
-// end records the command's end and schedules the operator's next one.
+// end records the command's result and schedules the operator's next command.
 func (c *command) end(verb string, result faults.Result, number uint64) {
 	world := c.operator.world
 	world.record(faults.Event{
@@ -109,13 +109,14 @@
 	world.schedule(world.now+c.operator.drawPause(), c.operator.startNextCommand)
 }
 
-// proposeAgain proposes a change that has ended under the same ID: it changes nothing, and reports the same end.
+// proposeAgain proposes a change that has ended once more, with the same ID. The proposal has no effect and reports the
+// same result as before.
 func (c *command) proposeAgain(change agent.Call) {
 	c.id = change.ID
 	c.propose(change, 0, func(result faults.Result, number uint64) { c.end(verbProposeAgain, result, number) })
 }
 
-// queryStatus asks which policy is in force.
+// queryStatus queries which policy is in force.
 func (c *command) queryStatus() {
 	c.operator.queryStatus(c.deadline, func(status *agent.PolicyReply) {
 		if status == nil {
@@ -127,7 +128,7 @@
 	})
 }
 
-// proposeNew draws and proposes a change; it may abort it after a while.
+// proposeNew draws and proposes a change, which it may abort after a random delay.
 func (c *command) proposeNew() {
 	world := c.operator.world
 	change := agent.Call{
@@ -151,7 +152,7 @@
 	})
 }
 
-// drawDocument draws a policy document, sometimes one that some nodes can't serve by.
+// drawDocument draws a policy document. Some nodes can't serve by some of these documents.
 func (w *World) drawDocument(id string) string {
 	document := fmt.Sprintf("of=%s", id)
 	choices := 8
@@ -167,7 +168,8 @@
 	return document
 }
 
-// call calls one voter. done gets the reply, or ok false after a timeout; the request and the reply may be lost.
+// call sends a request to one voter and calls done with the reply, or with ok set to false after a timeout. The request
+// and the reply may be lost.
 func (o *operator) call(voter *node, request agent.Call, done func(reply agent.Reply, ok bool)) {
 	world := o.world
 	finished := false
@@ -199,20 +201,20 @@
 	})
 }
 
-// statusQuery asks voters for the policy in force until one gives an answer that is not older than the query.
+// statusQuery asks voters for the policy in force until a voter confirms that its answer is not older than the query.
 type statusQuery struct {
 	operator *operator
 	deadline time.Duration
-	done     func(status *agent.PolicyReply) // nil: none answered in time
+	done     func(status *agent.PolicyReply) // status is nil if no voter answered in time
 }
 
-// status queries the policy in force.
+// queryStatus queries the policy in force.
 func (o *operator) queryStatus(deadline time.Duration, done func(status *agent.PolicyReply)) {
 	query := &statusQuery{operator: o, deadline: deadline, done: done}
 	query.start()
 }
 
-// start asks a random voter, which returns a token for its answer.
+// start asks a random voter, which returns a token with which the operator polls for a confirmed answer.
 func (q *statusQuery) start() {
 	world := q.operator.world
 	if world.now > q.deadline {
@@ -230,13 +232,13 @@
 	})
 }
 
-// retry asks again after a while.
+// retry restarts the query after statusRetryDelay.
 func (q *statusQuery) retry() {
 	world := q.operator.world
 	world.schedule(world.now+statusRetryDelay, q.start)
 }
 
-// confirm asks the voter with its token until its answer is known to be up to date.
+// confirm polls the voter with its token until the voter confirms that its answer is up to date.
 func (q *statusQuery) confirm(voter *node, token string, attempt int) {
 	world := q.operator.world
 	q.operator.call(voter, agent.Call{Verb: callStatus, Arg: token}, func(reply agent.Reply, ok bool) {
@@ -252,23 +254,23 @@
 	})
 }
 
-// proposal is a policy change that an operator proposes and follows to its end.
+// proposal is a policy change that an operator proposes and polls until it has ended.
 type proposal struct {
 	operator   *operator
 	change     agent.Call
 	deadline   time.Duration
-	abortAt    time.Duration // zero: never, or done
-	maybeOnLog bool          // a voter may have it
+	abortAt    time.Duration // zero if the change is not to be aborted, or the abort call is sent
+	maybeOnLog bool          // a voter may have received the change
 	done       func(result faults.Result, number uint64)
 }
 
-// propose proposes a change and waits for its end.
+// propose proposes a change and waits until it has ended.
 func (c *command) propose(change agent.Call, abortAt time.Duration, done func(faults.Result, uint64)) {
 	started := &proposal{operator: c.operator, change: change, deadline: c.deadline, abortAt: abortAt, done: done}
 	started.send()
 }
 
-// after continues the proposal after a while.
+// scheduleStep runs the next step of the proposal after proposalPollDelay.
 func (p *proposal) scheduleStep(step func()) {
 	world := p.operator.world
 	world.schedule(world.now+proposalPollDelay, step)
@@ -289,7 +291,7 @@
 	p.operator.call(voters[world.rng.IntN(len(voters))], p.change, p.handleReply)
 }
 
-// handleReply decides by a voter's reply whether to send the change again or to wait for its end.
+// handleReply decides, based on a voter's reply, whether to send the change again, to poll for its result or to end.
 func (p *proposal) handleReply(reply agent.Reply, ok bool) {
 	isFollower := reply.Leader != "" && !reply.Leads
 	switch {
@@ -307,12 +309,13 @@
 	}
 }
 
-// poll queries the status to learn the change's end.
+// poll queries the status to learn whether and how the change has ended.
 func (p *proposal) poll() {
 	p.operator.queryStatus(p.deadline, p.handleStatus)
 }
 
-// handleStatus ends the proposal if its end is known, and aborts a change that is to be aborted.
+// handleStatus ends the proposal if the change has ended. Otherwise it aborts a change whose abort time has passed,
+// polls again or, if the change is not in progress, sends it again.
 func (p *proposal) handleStatus(status *agent.PolicyReply) {
 	if status == nil {
 		p.done(faults.ResultUnknown, 0)
--- a/internal/lab/simulation/options.go
+++ b/internal/lab/simulation/options.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Options say what is played. A zero field takes its default.
+// Options configure a run. Fields with a zero value get their default.
 type Options struct {
 	Seed                 uint64
 	Nodes                int
 	Zones                int
 	Regions              int
 	ServersPerZone       int           // servers in each zone
-	ConnectionsPerServer int           // connections that a server bears
-	Utilization          float64       // part of what all servers bear that clients ask for
-	ConnectionLifetime   time.Duration // mean
-	Length               time.Duration // of the run, simulated
-	Loss                 float64       // part of the messages between nodes that is lost
+	ConnectionsPerServer int           // capacity of each server
+	Utilization          float64       // mean demand of clients, as a fraction of the capacity of all servers
+	ConnectionLifetime   time.Duration // mean lifetime that clients need
+	Length               time.Duration // simulated duration of the run
+	Loss                 float64       // fraction of the messages between nodes that are lost
 	Scenario             string        // the name of a scenario
 	Policy               Policy
 	Voters               int
-	MaxMessageDelay      time.Duration // of the messages that take longer than usual; whole milliseconds
-	Mutation             string        // a note for whoever reads the command line; nothing goes by it
-	FleetOnly            bool          // nodes without servers and clients: only their part in the fleet
+	MaxMessageDelay      time.Duration // upper limit of the extra delay of slow messages, in whole milliseconds
+	Mutation             string        // shown on the command line only; the simulation ignores it
+	FleetOnly            bool          // run only the fleet agents of the nodes, without servers and clients
 }
 
-// Policy says who decides where the clients of a zone go.
+// Policy is the way in which the target zones for the clients of a zone are chosen.
 type Policy string
 
-// The policies. The words are those of the command line.
+// Policies, named as on the command line.
 const (
-	CommonPlan  Policy = "common" // the plan that the fleet has agreed on
-	EachNode    Policy = "each"   // each node for itself, among all zones
-	StaticOrder Policy = "static" // each node for itself, by a fixed order of zones: own, region, others
+	CommonPlan  Policy = "common" // all nodes follow the plan that the fleet has agreed on
+	EachNode    Policy = "each"   // each node chooses for itself among all zones
+	StaticOrder Policy = "static" // each node follows a fixed order of zones: own zone, own region, others
 )
 
 const (
@@ -42,7 +42,7 @@
 	defaultConnectionLifetime = 12 * time.Second
 	defaultLength             = 40 * time.Second
 	defaultFleetOnlyLength    = 45 * time.Second
-	connectionsPerNode        = 36 // that all servers bear, by default; clients ask for some 16 of them
+	connectionsPerNode        = 36 // default capacity of all servers per node; clients use about 16 of them
 	minServerCapacity         = 50
 )
 
@@ -54,7 +54,7 @@
 	}
 }
 
-// withDefaults returns the options with the defaults of what is left out.
+// withDefaults returns the options with a default in each of the optional fields that are zero.
 func (o Options) withDefaults() Options {
 	setDefault(&o.Nodes, defaultNodes)
 	setDefault(&o.Zones, defaultZones)
@@ -76,5 +76,5 @@
 	return o
 }
 
-// zoneCapacity is the number of connections that the servers of one zone bear.
+// zoneCapacity returns the total capacity of the servers of one zone, in connections.
 func (o Options) zoneCapacity() int { return o.ServersPerZone * o.ConnectionsPerServer }
--- a/internal/lab/simulation/policy.go
+++ b/internal/lab/simulation/policy.go
@@ -13,20 +13,21 @@
 	"spurwinch/internal/policy"
 )
 
-// A run without servers (Options.FleetOnly) plays policy changes with hundreds of nodes, thousands of times: its nodes
-// are their fleet agents alone, which admit a request now and then.
+// Runs without servers (Options.FleetOnly) test policy changes with hundreds of nodes and thousands of seeds. In such a
+// run a node consists of its fleet agent only and admits or rejects a simulated request from time to time.
 
-// requestInterval is the mean time between two requests at a node of a run without servers.
+// requestInterval is the mean time between two requests at a node in a run without servers.
 const requestInterval = 120 * time.Millisecond
 
-// Keys of the simulated policy documents; a document is a list of KEY=VALUE.
+// Keys of the simulated policy documents. A document is a list of KEY=VALUE pairs.
 const (
 	keyAttempts    = "attempts"
-	keyNewer       = "newer" // nodes of an older version don't know it
-	keyDescriptors = "room"  // some nodes have too few descriptors for it
+	keyNewer       = "newer" // nodes of an older version don't know this key
+	keyDescriptors = "room"  // some nodes have too few descriptors for a document with this key
 )
 
-// In a document with keyDescriptors, one node in this many says no.
+// One node in smallNodeInterval, each whose index has the remainder smallNodeRemainder, has too few descriptors for a
+// document with keyDescriptors and can't serve by it.
 const (
 	smallNodeInterval  = 7
 	smallNodeRemainder = 3
@@ -40,7 +41,7 @@
 // policyRules are the rules of policy changes in a run without servers.
 var policyRules = policy.Rules{Window: 5 * time.Second, AnswerTimeout: 6 * time.Second}
 
-// healthyObservations are what a decision module observes when all servers are healthy.
+// healthyObservations returns what a decision module observes when all servers are healthy.
 func (n *node) healthyObservations() choice.Observations {
 	var observed choice.Observations
 	for _, zone := range n.world.zones {
@@ -53,7 +54,7 @@
 	return observed
 }
 
-// readDocument decodes a simulated policy document, if the node can serve by it.
+// readDocument decodes a simulated policy document. It returns an error if the node can't serve by the document.
 func (n *node) readDocument(text []byte) (*policy.Document, error) {
 	document := &policy.Document{
 		Attempts: 4,
@@ -77,7 +78,7 @@
 	return document, nil
 }
 
-// policyOptions are the agent's options for policy changes.
+// policyOptions returns the agent's options for policy changes.
 func (n *node) policyOptions() *agent.Policy {
 	return &agent.Policy{
 		Rules:  policyRules,
@@ -86,7 +87,8 @@
 	}
 }
 
-// scheduleRequest has requests come to a node for as long as its process runs; those that come while it is paused wait.
+// scheduleRequest makes requests arrive at the node for as long as its process runs. Requests that arrive while the
+// node is paused wait until it resumes.
 func (n *node) scheduleRequest() {
 	interval := time.Duration(float64(requestInterval) * (0.5 + n.world.rng.Float64()))
 	n.schedule(n.world.now+interval, func() {
--- a/internal/lab/simulation/policy_scenarios.go
+++ b/internal/lab/simulation/policy_scenarios.go
@@ -9,7 +9,8 @@
 // staleInterval is the time between two faults of the scenario policy-stale.
 const staleInterval = 5 * time.Second
 
-// staleRounds is the number of faults of the scenario policy-stale, the last one 14 s before the end.
+// staleRounds returns the number of faults of the scenario policy-stale. The last fault starts at least 14 s before the
+// end of the run.
 func staleRounds(length time.Duration) int {
 	return int((length - 20*time.Second + staleInterval - 1) / staleInterval)
 }
@@ -18,13 +19,13 @@
 var PolicyScenarios = []Scenario{
 	{
 		Name:        "policy-calm",
-		Description: "three operators change the policy at once, no fault",
+		Description: "three operators change the policy concurrently, and no fault happens",
 		Setup:       func(*World) {},
 		Expected:    map[string]int{"policies": 2, "op taken": 2},
 	},
 	{
 		Name:        "policy-crashes",
-		Description: "a node may be killed at each step of a change, and comes back with its files",
+		Description: "a node may be killed at each step of a change, and restarts with its files",
 		Setup:       func(world *World) { world.stepCrashRate = 0.03 },
 		Expected:    map[string]int{"policies": 1, "crash": 3},
 	},
@@ -47,7 +48,7 @@
 	},
 	{
 		Name:        "policy-third-down",
-		Description: "a third of the nodes is down during changes, and comes back with old files",
+		Description: "a third of the nodes is down during changes, and restarts with old files",
 		Setup: func(world *World) {
 			world.scheduleFault(5*time.Second, "third killed", func() {
 				for i, n := range world.nodes {
@@ -61,7 +62,7 @@
 	},
 	{
 		Name:        "policy-stalls",
-		Description: "nodes are paused before changes and go on long after, with requests in their queues",
+		Description: "nodes are paused before changes and resume long after them, with requests in their queues",
 		Setup: func(world *World) {
 			for at := 5 * time.Second; at < world.options.Length-16*time.Second; at += 2 * time.Second {
 				world.scheduleFault(at, "stall", func() {
@@ -74,7 +75,7 @@
 	},
 	{
 		Name:        "policy-cut-off",
-		Description: "nodes are isolated from all others, and requests still come to them",
+		Description: "nodes are isolated from all others, and still receive requests",
 		Setup: func(world *World) {
 			for at := 5 * time.Second; at < world.options.Length-16*time.Second; at += 3 * time.Second {
 				n := world.nodes[world.rng.IntN(len(world.nodes))]
@@ -87,10 +88,10 @@
 	},
 	{
 		Name:        "policy-stale",
-		Description: "the leader is paused with calls in its queue, or a voter isolated from all but operators",
+		Description: "the leader is paused with calls in its queue, or a voter is isolated from all but operators",
 		Setup: func(world *World) {
 			world.minCallTimeout = 6 * time.Second
-			world.addOperators(4) // that query at any moment of a change
+			world.addOperators(4) // these four query the status at every stage of a change
 			for _, o := range world.operators[3:] {
 				o.readOnly = true
 			}
@@ -136,7 +137,7 @@
 	},
 	{
 		Name:        "policy-joins",
-		Description: "nodes start for the first time during checks",
+		Description: "nodes start without files while other nodes check a policy change",
 		Setup: func(world *World) {
 			for i, n := range world.nodes {
 				if i%4 == 3 && !n.isVoter() {
@@ -149,7 +150,7 @@
 	},
 	{
 		Name:        "policy-older",
-		Description: "one node in five is of an older version that doesn't know a key",
+		Description: "one node in five runs an older version that doesn't know a key of the policy document",
 		Setup: func(world *World) {
 			world.hasOlderNodes = true
 			for i, n := range world.nodes {
@@ -175,7 +176,7 @@
 	},
 	{
 		Name:        "policy-all-killed",
-		Description: "all nodes are killed at once and come back",
+		Description: "all nodes are killed at once and restart",
 		Setup: func(world *World) {
 			world.scheduleFault(14*time.Second, "all killed", world.restartAll)
 		},
@@ -183,7 +184,7 @@
 	},
 	{
 		Name:        "policy-drawn",
-		Description: "faults drawn by seed, and crashes at steps",
+		Description: "faults are drawn by seed, and nodes may crash at each step of a change",
 		Setup: func(world *World) {
 			world.stepCrashRate = []float64{0, 0.005, 0.02}[world.rng.IntN(3)]
 			world.scheduleRandomFaults()
--- a/internal/lab/simulation/queue.go
+++ b/internal/lab/simulation/queue.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// event is a function that runs at a point in simulated time.
+// event is a function scheduled for a point in simulated time.
 type event struct {
 	at       time.Duration
-	sequence uint64 // the order in which events were scheduled
+	sequence uint64 // position in the order in which events were scheduled
 	run      func()
 }
 
-// eventQueue is a heap of events, the earliest first; those of one time in the order in which they were scheduled. It
-// implements heap.Interface.
+// eventQueue is a heap with the earliest event first. Events at the same time keep the order in which they were
+// scheduled. It implements heap.Interface.
 type eventQueue []*event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -27,7 +27,7 @@
 func (q *eventQueue) Push(x any) {
 	next, ok := x.(*event)
 	if !ok {
-		panic("the queue takes events only")
+		panic("eventQueue.Push: the value must be an *event")
 	}
 	*q = append(*q, next)
 }
@@ -40,7 +40,7 @@
 	return popped
 }
 
-// next removes the earliest event and returns it; nil, if there is none until end.
+// next removes and returns the earliest event. It returns nil if no event is scheduled up to the time end.
 func (q *eventQueue) next(end time.Duration) *event {
 	if len(*q) == 0 || (*q)[0].at > end {
 		return nil
@@ -50,13 +50,13 @@
 	return earliest
 }
 
-// schedule runs a function at a time, or now where that time is over.
+// schedule schedules a function for a given time, or for the current time if the given time has passed.
 func (w *World) schedule(at time.Duration, run func()) {
 	w.lastSequence++
 	heap.Push(&w.queue, &event{at: max(w.now, at), sequence: w.lastSequence, run: run})
 }
 
-// scheduleEvery runs a function again and again.
+// scheduleEvery runs a function at each interval until the end of the run.
 func (w *World) scheduleEvery(interval time.Duration, run func()) {
 	w.schedule(w.now+interval, func() {
 		run()
--- a/internal/lab/simulation/random_faults.go
+++ b/internal/lab/simulation/random_faults.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	randomFaultStart   = 6 * time.Second // before which no random fault begins
-	randomFaultTail    = 6 * time.Second // before the end of the run, in which none begins
+	randomFaultStart   = 6 * time.Second // no random fault begins before this time
+	randomFaultTail    = 6 * time.Second // in this time before the end of the run, no random fault begins
 	minFaultLength     = time.Second
-	faultLengthSpread  = 5 * time.Second // mean of what is added
+	faultLengthSpread  = 5 * time.Second // mean of the random part of a fault's length
 	minRandomFaults    = 2
 	randomFaultSpread  = 7
 	slowZoneLoadFactor = 2.5
 	lossRate           = 0.3
 	duplicateRate      = 0.4
 	maxExtraDelay      = 5000 // ms
-	maxRestartDelay    = 2000 // ms, where all nodes are killed
+	maxRestartDelay    = 2000 // ms, when all nodes are killed
 )
 
-// randomFault is one fault with its time and the targets that it may need.
+// randomFault is one fault with its start, its length and the targets that it may use.
 type randomFault struct {
 	world     *World
 	at        time.Duration
@@ -31,7 +31,7 @@
 	voter     *node
 }
 
-// randomFaults are the kinds of faults that are drawn. Their order belongs to the schedules of the seeds.
+// randomFaults are the kinds of faults to draw from. A change of their order changes the schedule of each seed.
 var randomFaults = [...]func(f *randomFault){
 	(*randomFault).failZone,
 	(*randomFault).silenceZone,
@@ -47,7 +47,7 @@
 	(*randomFault).breakLinks,
 }
 
-// scheduleRandomFaults schedules faults drawn by the world's seed.
+// scheduleRandomFaults draws faults from the world's random generator and schedules them.
 func (w *World) scheduleRandomFaults() {
 	span := float64(w.options.Length - randomFaultStart - randomFaultTail)
 	for range minRandomFaults + w.rng.IntN(randomFaultSpread) {
@@ -67,14 +67,14 @@
 	}
 }
 
-// restartAll kills all nodes; each comes back within some seconds.
+// restartAll kills all nodes. Each restarts with its files within maxRestartDelay.
 func (w *World) restartAll() {
 	for _, n := range w.nodes {
 		n.restart(faults.FilesIntact, w.drawMilliseconds(0, maxRestartDelay))
 	}
 }
 
-// end is when the fault is over.
+// end returns the time at which the fault ends.
 func (f *randomFault) end() time.Duration { return f.at + f.length }
 
 func (f *randomFault) failZone() {
@@ -119,7 +119,8 @@
 	f.world.scheduleNodeFault(f.at, "voter killed", f.voter, func() { f.voter.restart(faults.FilesIntact, f.length) })
 }
 
-// loseFiles kills a node and its files. Voters keep theirs: rule (3) holds for a majority that keeps its disks.
+// loseFiles kills a node, which restarts without its files. Voters are spared, because rule (3) of the checker holds
+// only while a majority of the voters keeps its disks.
 func (f *randomFault) loseFiles() {
 	f.world.scheduleFault(f.at, "files lost", func() {
 		if !f.node.isVoter() {
--- a/internal/lab/simulation/scenario.go
+++ b/internal/lab/simulation/scenario.go
@@ -10,24 +10,24 @@
 	"spurwinch/internal/lab/faults"
 )
 
-// ErrUnknownScenario is wrapped by the error of Find for a name that no scenario has.
-var ErrUnknownScenario = errors.New("no such scenario")
+// ErrUnknownScenario is the error that Find wraps if no scenario has the given name.
+var ErrUnknownScenario = errors.New("unknown scenario")
 
 const (
-	policyScenarioPrefix = "policy-" // of the scenarios that are played without servers
-	fleetOnlySlack       = 0.1       // seconds by which events of a run without servers may be late
+	policyScenarioPrefix = "policy-" // begins the names of the scenarios that run without servers
+	fleetOnlySlack       = 0.1       // seconds; the time by which events may be late in a run without servers
 )
 
-// Scenario is a schedule of faults.
+// Scenario is a named schedule of faults.
 type Scenario struct {
 	Name        string
 	Description string
 	Setup       func(w *World)   // schedules the faults
-	Expected    map[string]int   // what must have happened and how often at least, or the run shows nothing
-	Configure   func(o *Options) // changes options for the scenario, if set
+	Expected    map[string]int   // minimum counts of what must happen for the run to be meaningful
+	Configure   func(o *Options) // changes options for the scenario; may be nil
 }
 
-// Find returns the scenario of a name.
+// Find returns the scenario with the given name.
 func Find(name string) (Scenario, error) {
 	var names []string
 	for _, scenario := range slices.Concat(Scenarios, PolicyScenarios) {
@@ -37,10 +37,10 @@
 		names = append(names, scenario.Name)
 	}
 	slices.Sort(names)
-	return Scenario{}, fmt.Errorf("%w: %q; one of %v is wanted", ErrUnknownScenario, name, names)
+	return Scenario{}, fmt.Errorf("%w %q: the name must be one of %v", ErrUnknownScenario, name, names)
 }
 
-// Play plays the scenario that the options name and checks its history.
+// Play runs the scenario named in the options and checks the history of the run.
 func Play(options Options) (*World, faults.Verdict, error) {
 	scenario, err := Find(options.Scenario)
 	if err != nil {
@@ -71,18 +71,18 @@
 	return world, verdict, nil
 }
 
-// scheduleFault schedules a fault and records it when it happens.
-func (w *World) scheduleFault(at time.Duration, what string, inject func()) {
+// scheduleFault schedules a fault, which is recorded when it is injected.
+func (w *World) scheduleFault(at time.Duration, label string, inject func()) {
 	w.schedule(at, func() {
-		w.record(faults.Event{Kind: faults.KindFault, Detail: what})
+		w.record(faults.Event{Kind: faults.KindFault, Detail: label})
 		inject()
 	})
 }
 
-// scheduleNodeFault schedules a fault that touches one node and nobody else.
-func (w *World) scheduleNodeFault(at time.Duration, what string, target *node, inject func()) {
+// scheduleNodeFault schedules a fault that affects a single node.
+func (w *World) scheduleNodeFault(at time.Duration, label string, target *node, inject func()) {
 	w.schedule(at, func() {
-		w.record(faults.Event{Kind: faults.KindFault, Detail: what, Node: target.name})
+		w.record(faults.Event{Kind: faults.KindFault, Detail: label, Node: target.name})
 		inject()
 	})
 }
@@ -98,28 +98,28 @@
 	return found
 }
 
-// failZone has all servers of a zone fail.
+// failZone makes all servers of a zone fail in the given way.
 func (w *World) failZone(zone string, mode failureMode) {
 	for _, s := range w.serversOf(zone) {
 		s.fail(w, mode)
 	}
 }
 
-// slowZone has all servers of a zone report more load than they have.
+// slowZone makes all servers of a zone report their load multiplied by factor.
 func (w *World) slowZone(zone string, factor float64) {
 	for _, s := range w.serversOf(zone) {
 		s.reportedLoadFactor = factor
 	}
 }
 
-// recoverZone ends the failure of all servers of a zone.
+// recoverZone makes all servers of a zone healthy again.
 func (w *World) recoverZone(zone string) {
 	for _, s := range w.serversOf(zone) {
 		s.recover()
 	}
 }
 
-// voters returns the nodes that vote.
+// voters returns the nodes that are voters.
 func (w *World) voters() []*node {
 	var voters []*node
 	for _, index := range w.list.Voters() {
@@ -128,7 +128,7 @@
 	return voters
 }
 
-// leader returns the voter that leads now, or the first voter.
+// leader returns the current leader, or the first voter if no running voter is the leader.
 func (w *World) leader() *node {
 	voters := w.voters()
 	for _, n := range voters {
@@ -139,18 +139,18 @@
 	return voters[0]
 }
 
-// partition loses the messages between the nodes of two zones.
+// partition drops the messages between the nodes of two zones.
 func (w *World) partition(zone, other string) {
 	w.partitionOneWay(zone, other)
 	w.partitionOneWay(other, zone)
 }
 
-// partitionOneWay loses the messages from the nodes of one zone to those of another.
+// partitionOneWay drops the messages from the nodes of one zone to the nodes of another.
 func (w *World) partitionOneWay(from, to string) {
 	w.network.partitions[zonePair{from, to}] = true
 }
 
-// isolateZone loses the messages between a zone's nodes and those of all other zones.
+// isolateZone drops the messages between a zone's nodes and the nodes of all other zones.
 func (w *World) isolateZone(zone string) {
 	for _, other := range w.zones {
 		if other != zone {
@@ -165,19 +165,20 @@
 	delete(w.network.partitions, zonePair{other, zone})
 }
 
-// delayAndDuplicate delays messages, in the mean as said, and duplicates a part of them.
+// delayAndDuplicate delays messages by the given mean and duplicates the given fraction of them.
 func (n *network) delayAndDuplicate(delay time.Duration, rate float64) {
 	n.extraDelay = delay
 	n.duplicateRate = rate
 }
 
-// breakLinks loses the messages between the node and the others, and cuts it off from the servers if so said.
+// breakLinks drops the messages between the node and all other nodes and, if serversToo is set, cuts the node off from
+// the servers.
 func (n *node) breakLinks(serversToo bool) {
 	n.isolated = true
 	n.serversUnreachable = serversToo
 }
 
-// repairLinks ends what breakLinks began.
+// repairLinks restores the links that breakLinks broke.
 func (n *node) repairLinks() {
 	n.isolated = false
 	n.serversUnreachable = false
--- a/internal/lab/simulation/scenarios.go
+++ b/internal/lab/simulation/scenarios.go
@@ -25,7 +25,7 @@
 	},
 	{
 		Name:        "zone-silent",
-		Description: "nothing comes back from the servers of a zone any more",
+		Description: "the servers of a zone stop answering",
 		Setup: func(world *World) {
 			world.scheduleFault(12*time.Second, "zone silent", func() { world.failZone("z1", silent) })
 		},
@@ -41,7 +41,7 @@
 	},
 	{
 		Name:        "one-way",
-		Description: "messages of one zone's nodes to another's are lost",
+		Description: "messages from the nodes of one zone to the nodes of another are lost, and a third zone fails",
 		Setup: func(world *World) {
 			world.scheduleFault(10*time.Second, "one way cut", func() { world.partitionOneWay("z0", "z1") })
 			world.scheduleFault(12*time.Second, "zone lost", func() { world.failZone("z2", refusing) })
@@ -84,7 +84,7 @@
 	},
 	{
 		Name:        "all-voters-killed",
-		Description: "every voter is killed for good",
+		Description: "every voter is killed and stays down",
 		Setup: func(world *World) {
 			world.scheduleFault(12*time.Second, "voters killed", func() {
 				for _, n := range world.voters() {
@@ -127,7 +127,7 @@
 	},
 	{
 		Name:        "region-lost",
-		Description: "a region fails, and the others have capacity for half of its clients only",
+		Description: "a region fails, and the others have capacity for only half of its clients",
 		Setup: func(world *World) {
 			world.scheduleFault(14*time.Second, "region lost", func() {
 				for _, z := range world.zones {
@@ -197,7 +197,7 @@
 	},
 	{
 		Name:        "hears-nobody",
-		Description: "one node receives nothing, and what it sends arrives: it reports all others as failed",
+		Description: "one node receives no messages but can send, so it reports all other nodes as failed",
 		Setup: func(world *World) {
 			n := world.nodes[len(world.nodes)-1]
 			world.scheduleNodeFault(8*time.Second, "hears nobody", n, func() { n.receivesNothing = true })
@@ -206,7 +206,7 @@
 	},
 	{
 		Name:        "all-look-lost",
-		Description: "no node reaches any server for 10 s: every zone looks lost, and there is no other one",
+		Description: "no node reaches any server for 10 s, so every zone looks lost and no other zone is left",
 		Setup: func(world *World) {
 			world.scheduleFault(12*time.Second, "lines cut", func() {
 				for _, n := range world.nodes {
@@ -236,7 +236,7 @@
 	},
 	{
 		Name:        "half-dead",
-		Description: "a zone's servers answer health checks, and requests fail or get no answer",
+		Description: "a zone's servers answer health checks, but requests fail or get no answer",
 		Setup: func(world *World) {
 			world.scheduleFault(12*time.Second, "zone half dead", func() {
 				for i, s := range world.serversOf("z1") {
@@ -252,7 +252,7 @@
 	},
 	{
 		Name:        "slow-disks",
-		Description: "disks take a second, and nodes are killed while they write",
+		Description: "disk writes take a second longer, except at voters, and nodes are killed while they write",
 		Setup: func(world *World) {
 			world.scheduleFault(8*time.Second, "disks slow", func() {
 				for _, n := range world.nodes {
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -15,40 +15,40 @@
 
 const (
 	healthy      failureMode = iota
-	refusing                 // it refuses connections, and those that it had break
-	silent                   // nothing comes back from it
-	failing                  // it answers health checks, and each request with a failure
-	unresponsive             // it answers health checks, and no request
+	refusing                 // the server refuses connections, and its open connections break
+	silent                   // the server answers neither requests nor health checks
+	failing                  // the server answers health checks, but each request fails
+	unresponsive             // the server answers health checks, but no requests
 )
 
 const (
 	minNetworkDelay    = time.Millisecond
 	networkDelaySpread = 1000 // µs
 	crossZoneDelay     = 8 * time.Millisecond
-	breakDelay         = time.Millisecond // until a node sees that a connection has broken
+	breakDelay         = time.Millisecond // until a node notices that a connection has broken
 )
 
-// server is a server of the platform: it bears a number of connections, and may fail.
+// server is a simulated server with a limited number of connections. It may fail.
 type server struct {
 	id                 choice.ServerID
 	zone               string
 	capacity           int // connections at a reported load of 1
 	connections        map[*attempt]bool
 	failure            failureMode
-	reportedLoadFactor float64 // factor on its reported load
+	reportedLoadFactor float64 // factor by which the reported load exceeds the real load
 }
 
-// load is the part of its capacity that the server reports as used.
+// load returns the fraction of its capacity that the server reports as used.
 func (s *server) load() float64 {
 	return float64(len(s.connections)) / float64(s.capacity) * s.reportedLoadFactor
 }
 
-// isFull reports whether the server takes no more connections. The limit is that of the servers of lab faults, whose
-// histories are checked by the same rules.
+// isFull reports whether the server accepts no more connections. The limit is the same as for the servers of
+// spurwinchctl lab faults, because the histories of both are checked by the same rules.
 func (s *server) isFull() bool { return len(s.connections) >= faults.MaxConnections(s.capacity) }
 
-// sortedConnections returns the server's connections in an order that is the same each time: that of the map would make
-// runs of one seed differ.
+// sortedConnections returns the server's connections in a fixed order. With the order of the map, runs with the same
+// seed would differ.
 func (s *server) sortedConnections() []*attempt {
 	var sorted []*attempt
 	for connection := range s.connections {
@@ -58,7 +58,7 @@
 	return sorted
 }
 
-// fail has a server fail; if it refuses connections, those that it has break.
+// fail makes the server fail in the given way. In the mode refusing, its open connections break.
 func (s *server) fail(w *World, mode failureMode) {
 	s.failure = mode
 	if mode != refusing {
@@ -73,13 +73,13 @@
 	}
 }
 
-// recover ends a server's failure.
+// recover makes the server healthy again and its load reports accurate.
 func (s *server) recover() {
 	s.failure = healthy
 	s.reportedLoadFactor = 1
 }
 
-// networkDelay draws the time that a message from a node to a server takes.
+// networkDelay draws the transmission time of a message from the node to a server.
 func (n *node) networkDelay(target *server) time.Duration {
 	delay := minNetworkDelay + time.Duration(n.world.rng.IntN(networkDelaySpread))*time.Microsecond
 	if target.zone != n.zone {
@@ -88,12 +88,13 @@
 	return delay
 }
 
-// isCutOffFrom reports whether nothing comes back from a server to the node.
+// isCutOffFrom reports whether the node can receive no answer from a server.
 func (n *node) isCutOffFrom(target *server) bool {
 	return target.failure == silent || n.serversUnreachable
 }
 
-// CheckHealth implements edge.HealthChecker: it calls done once, with the server's load report, or at the deadline.
+// CheckHealth implements edge.HealthChecker. It calls done once, when the server reports its load or refuses the
+// connection, or otherwise at the deadline.
 func (n *node) CheckHealth(entry edge.ServerEntry, deadline time.Time, done func(choice.Outcome, []float64)) {
 	target := n.world.serverByID[entry.ID]
 	answered := false
@@ -117,7 +118,7 @@
 	})
 }
 
-// recordConnections records how many connections the servers of each zone have.
+// recordConnections records the number of connections of each zone's servers.
 func (w *World) recordConnections() {
 	byZone := map[string]int{}
 	for _, s := range w.servers {
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -1,7 +1,8 @@
-// Package simulation plays a fleet in simulated time: hundreds of nodes, each with its own decision module (choice),
-// core (edge) and fleet agent (failover/agent), as they are in service. The network, clocks, disks, servers and clients
-// are simulated, and all chance is drawn from one seed: a run of one seed is the same each time. What happens is
-// recorded as a history in the format of internal/lab/faults, and its checker judges it.
+// Package simulation runs a fleet in simulated time. The fleet has hundreds of nodes, each with its own decision module
+// (choice), core (edge) and fleet agent (failover/agent), which are the same code as in production. The network,
+// clocks, disks, servers and clients are simulated. All random numbers are drawn from one seed, so that runs with the
+// same seed are identical. Each run is recorded as a history in the format of internal/lab/faults and is checked by the
+// checker of that package.
 package simulation
 
 import (
@@ -17,14 +18,14 @@
 )
 
 const (
-	firstClientTime      = 3 * time.Second // when the first clients connect: there are plans by then
-	initialClientsSpread = 4 * time.Second // over which the clients that stand there at the start connect
+	firstClientTime      = 3 * time.Second // when the first clients connect, because the first plans exist by then
+	initialClientsSpread = 4 * time.Second // time over which the initial clients connect
 	samplingInterval     = 500 * time.Millisecond
 	defaultOperators     = 3
-	operatorPause        = 700 * time.Millisecond // mean, between two commands of an operator
+	operatorPause        = 700 * time.Millisecond // mean time between two commands of an operator
 )
 
-// Streams of the random generators of one seed.
+// Streams of the random generators, which share one seed.
 const (
 	worldStream  = 77
 	cryptoStream = 78
@@ -33,10 +34,10 @@
 // epoch is the start of simulated time.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// zonePair names two zones, from the first to the second.
+// zonePair is one direction between two zones.
 type zonePair struct{ from, to string }
 
-// World is one run. It owns all state of the simulation; nothing in it is safe for concurrent use.
+// World holds the whole state of one simulation run. It is not safe for concurrent use.
 type World struct {
 	options      Options
 	rng          *rand.Rand
@@ -52,25 +53,25 @@
 	serverByID map[choice.ServerID]*server
 	settings   choice.Settings
 	classes    []string
-	requests   int // of clients so far
+	requests   int // number of requests of clients so far
 	operators  []*operator
 
 	network        network
-	minCallTimeout time.Duration // of operators' calls, if longer than usual
+	minCallTimeout time.Duration // minimum timeout of operators' calls, which applies if it is longer than callTimeout
 	hasOlderNodes  bool
-	stepCrashRate  float64 // part of the steps of policy changes at which the node crashes
+	stepCrashRate  float64 // probability that a node crashes at a step of a policy change
 }
 
-// network is the state of the links between nodes, and from nodes to servers.
+// network is the state of the links between nodes. Its loss rate applies to operators' calls, too.
 type network struct {
-	partitions    map[zonePair]bool // messages between nodes of these zones are lost
+	partitions    map[zonePair]bool // messages from nodes of the first zone to nodes of the second are lost
 	lossRate      float64
-	extraDelay    time.Duration // mean, of messages that are not of the consensus
+	extraDelay    time.Duration // mean extra delay of all messages but consensus messages
 	duplicateRate float64
 	bytesSent     uint64
 }
 
-// seededReader makes a seeded random source a reader of random bytes.
+// seededReader reads random bytes from a seeded random generator.
 type seededReader struct{ *rand.Rand }
 
 func (r seededReader) Read(buffer []byte) (int, error) {
@@ -80,8 +81,8 @@
 	return len(buffer), nil
 }
 
-// New makes a world and starts its nodes. Worlds of one process are made and played one after another: the Raft library
-// draws its election timeouts from crypto/rand, whose reader is replaced by a seeded one.
+// New creates a world and starts its nodes. A process must create and run its worlds one after another, because New
+// replaces the reader of crypto/rand, from which the Raft library draws its election timeouts, by a seeded reader.
 func New(options Options) (*World, error) {
 	options = options.withDefaults()
 	world := &World{
@@ -112,7 +113,7 @@
 	return world, nil
 }
 
-// makeZones makes the zones with their servers and returns the region of each zone.
+// makeZones creates the zones with their servers and returns the region of each zone.
 func (w *World) makeZones() map[string]string {
 	regions := map[string]string{}
 	for i := range w.options.Zones {
@@ -151,7 +152,8 @@
 	return nil
 }
 
-// makeNodes makes the list of nodes and the nodes. Zones take turns, so voters, the first ones, are in different zones.
+// makeNodes creates the membership list and the nodes. Consecutive nodes are in different zones, so that the voters,
+// which are the first nodes, are spread over the zones.
 func (w *World) makeNodes(regions map[string]string) error {
 	var members []membership.Node
 	for i := range w.options.Nodes {
@@ -177,8 +179,8 @@
 	return nil
 }
 
-// startClients has clients connect in each zone. Those that stand there at the start connect over some seconds after
-// the first plans.
+// startClients makes clients connect in each zone. The initial clients connect during a few seconds after the first
+// plans. Other clients arrive throughout the run.
 func (w *World) startClients() {
 	for _, zone := range w.zones {
 		w.scheduleArrival(zone)
@@ -189,23 +191,23 @@
 	}
 }
 
-// nodeSettings are the settings that the platform gives a node.
+// nodeSettings returns the settings that the platform gives a node.
 func nodeSettings(nodes, index int, zone string) (simwire.Settings, error) {
 	return simwire.DecodeSettings(faults.NodeSettings(nodes, index, zone))
 }
 
 // record adds an event to the history.
-func (w *World) record(e faults.Event) {
-	e.At = w.now.Seconds()
-	w.history = append(w.history, e)
+func (w *World) record(event faults.Event) {
+	event.At = w.now.Seconds()
+	w.history = append(w.history, event)
 }
 
-// recordStartFailure adds to the history what the simulation could not do.
+// recordStartFailure records that a node could not be started, and the error.
 func (w *World) recordStartFailure(n *node, err error) {
 	w.record(faults.Event{Kind: faults.KindLog, Node: n.name, Detail: "start: " + err.Error()})
 }
 
-// Run plays the world to its end and returns its history.
+// Run runs the simulation to its end and returns its history.
 func (w *World) Run() []faults.Event {
 	for {
 		next := w.queue.next(w.options.Length)
@@ -217,10 +219,10 @@
 	}
 }
 
-// BytesSent returns the number of bytes that nodes have sent one another.
+// BytesSent returns the total number of bytes that nodes have sent to other nodes.
 func (w *World) BytesSent() uint64 { return w.network.bytesSent }
 
-// Rate returns the bytes that a node sent to others in a second, in the mean.
+// Rate returns the mean number of bytes per second that a node sent to other nodes.
 func (w *World) Rate() float64 {
 	return float64(w.network.bytesSent) / float64(len(w.nodes)) / w.options.Length.Seconds()
 }
