--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -109,8 +109,8 @@
 	world.schedule(world.now+c.operator.drawPause(), c.operator.startNextCommand)
 }
 
-// proposeAgain proposes a change that has ended once more, with the same ID. The proposal has no effect and reports the
-// same result as before.
+// proposeAgain repeats the proposal of a change that has already ended, with the same ID. The repeated proposal has no
+// effect and reports the same result as before.
 func (c *command) proposeAgain(change agent.Call) {
 	c.id = change.ID
 	c.propose(change, 0, func(result faults.Result, number uint64) { c.end(verbProposeAgain, result, number) })
@@ -152,7 +152,7 @@
 	})
 }
 
-// drawDocument draws a policy document. Some nodes can't serve by some of these documents.
+// drawDocument draws a policy document. Some documents have a key because of which some nodes can't serve by them.
 func (w *World) drawDocument(id string) string {
 	document := fmt.Sprintf("of=%s", id)
 	choices := 8
@@ -259,7 +259,7 @@
 	operator   *operator
 	change     agent.Call
 	deadline   time.Duration
-	abortAt    time.Duration // zero if the change is not to be aborted, or the abort call is sent
+	abortAt    time.Duration // zero if the change is not to be aborted, or the abort call has been sent
 	maybeOnLog bool          // a voter may have received the change
 	done       func(result faults.Result, number uint64)
 }
--- a/internal/lab/simulation/options.go
+++ b/internal/lab/simulation/options.go
@@ -14,7 +14,7 @@
 	ConnectionLifetime   time.Duration // mean lifetime that clients need
 	Length               time.Duration // simulated duration of the run
 	Loss                 float64       // fraction of the messages between nodes that are lost
-	Scenario             string        // the name of a scenario
+	Scenario             string        // name of the scenario
 	Policy               Policy
 	Voters               int
 	MaxMessageDelay      time.Duration // upper limit of the extra delay of slow messages, in whole milliseconds
@@ -42,7 +42,7 @@
 	defaultConnectionLifetime = 12 * time.Second
 	defaultLength             = 40 * time.Second
 	defaultFleetOnlyLength    = 45 * time.Second
-	connectionsPerNode        = 36 // default capacity of all servers per node; clients use about 16 of them
+	connectionsPerNode        = 36 // default total server capacity per node; clients use about 16 of them
 	minServerCapacity         = 50
 )
 
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -8,7 +8,7 @@
 	"spurwinch/internal/lab/faults"
 )
 
-// reportViolations fails the test for each rule that a run broke.
+// reportViolations reports each rule violation of a run as a test error.
 func reportViolations(t *testing.T, seed uint64, verdict faults.Verdict) {
 	t.Helper()
 	for _, violation := range verdict.Violations {
@@ -16,7 +16,7 @@
 	}
 }
 
-// play plays a run and fails the test if it could not be played.
+// play runs a simulation and ends the test if the run returns an error.
 func play(t *testing.T, options Options) (*World, faults.Verdict) {
 	t.Helper()
 	world, verdict, err := Play(options)
@@ -26,8 +26,9 @@
 	return world, verdict
 }
 
-// TestScenarios plays each scenario with a small fleet: no rule is broken, and what it is made for has happened.
-func TestScenarios(t *testing.T) {
+// TestScenariosBreakNoRule runs each scenario with a small fleet and checks that no rule is broken and that the events
+// which the scenario expects have happened.
+func TestScenariosBreakNoRule(t *testing.T) {
 	for _, scenario := range Scenarios {
 		t.Run(scenario.Name, func(t *testing.T) {
 			_, verdict := play(t, Options{Seed: 1, Nodes: 12, Scenario: scenario.Name})
@@ -36,13 +37,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%s", figures)
+			t.Logf("figures: %s", figures)
 		})
 	}
 }
 
-// TestPolicyScenarios plays each scenario of policy changes.
-func TestPolicyScenarios(t *testing.T) {
+// TestPolicyScenariosBreakNoRule runs each scenario of policy changes and checks that no rule is broken and that enough
+// requests and commands took place for the run to be meaningful.
+func TestPolicyScenariosBreakNoRule(t *testing.T) {
 	for _, scenario := range PolicyScenarios {
 		t.Run(scenario.Name, func(t *testing.T) {
 			_, verdict := play(t, Options{Seed: 2, Nodes: 15, Scenario: scenario.Name, Loss: 0.01})
@@ -50,14 +52,15 @@
 			admitted := verdict.Seen["admitted: lease"]
 			commands := verdict.Seen["commands in order"]
 			if admitted < 1000 || commands < 3 {
-				t.Errorf("%d requests admitted, %d commands answered: too few to show anything", admitted, commands)
+				t.Errorf("scenario: got %d requests admitted and %d commands in order, want at least 1000 and 3",
+					admitted, commands)
 			}
 		})
 	}
 }
 
-// TestRandomSchedules plays schedules drawn by seed.
-func TestRandomSchedules(t *testing.T) {
+// TestRandomSchedulesBreakNoRule runs schedules of faults drawn by seed.
+func TestRandomSchedulesBreakNoRule(t *testing.T) {
 	for i := range uint64(12) {
 		options := Options{
 			Seed: i + 100, Nodes: 15, Scenario: "drawn", Loss: 0.02, MaxMessageDelay: 400 * time.Millisecond,
@@ -67,8 +70,8 @@
 	}
 }
 
-// TestRunIsReproducible checks that two runs of one seed have the same history.
-func TestRunIsReproducible(t *testing.T) {
+// TestRunsOfOneSeedAreIdentical checks that two runs of one seed have the same history, figures and traffic.
+func TestRunsOfOneSeedAreIdentical(t *testing.T) {
 	var first string
 	for run := range 2 {
 		world, verdict := play(t, Options{Seed: 7, Nodes: 12, Scenario: "drawn", Loss: 0.05})
@@ -84,15 +87,16 @@
 		if run == 0 {
 			first = string(summary)
 		} else if string(summary) != first {
-			t.Errorf("two runs of one seed differ:\n%.400s\n%.400s", first, summary)
+			t.Errorf("two runs of one seed: got summaries\n%.400s\n%.400s\nwant equal ones", first, summary)
 		}
 	}
 }
 
-// TestCommonPlanAgainstStaticOrder checks what the common plan is for: compared with nodes that decide for themselves
-// by a static order of zones, the fullest zone stays below what is planned for, and no less is served where a zone is
-// lost.
-func TestCommonPlanAgainstStaticOrder(t *testing.T) {
+// TestCommonPlanIsNoWorseThanStaticOrderWhenZoneIsLost compares the common plan with nodes that decide for themselves
+// by a static order of zones. The purpose of the common plan is to keep the fullest zone below the planned utilization
+// and to serve no fewer requests when a zone is lost. The served fraction may be up to 0.005 lower, and the fullest
+// zone up to 0.02 fuller, than with the static order.
+func TestCommonPlanIsNoWorseThanStaticOrderWhenZoneIsLost(t *testing.T) {
 	const seeds = 3
 	for _, name := range []string{"zone-lost", "leader-stopped", "region-lost"} {
 		measure := func(policy Policy) (served, peak float64) {
@@ -107,17 +111,17 @@
 		}
 		served, peak := measure(CommonPlan)
 		servedStatic, peakStatic := measure(StaticOrder)
-		t.Logf("%s: served %.3f by the common plan, %.3f by static order; fullest zone %.2f, %.2f",
+		t.Logf("%s: served %.3f with the common plan, %.3f with static order; fullest zone %.2f, %.2f",
 			name, served, servedStatic, peak, peakStatic)
 		if served < servedStatic-0.005 || peak > peakStatic+0.02 {
-			t.Errorf("%s: served %.3f, static order %.3f; fullest zone %.2f, static order %.2f",
+			t.Errorf("%s: got served %.3f, want at least %.3f - 0.005; got fullest zone %.2f, want at most %.2f + 0.02",
 				name, served, servedStatic, peak, peakStatic)
 		}
 	}
 }
 
-// TestRecoveryWhenAllZonesLookLost checks that a fleet whose links to all servers were cut recovers soon: when every
-// zone looks lost, the observations are suspect.
+// TestRecoveryWhenAllZonesLookLost checks that a fleet recovers within 4 s after its links to all servers were cut and
+// restored. When every zone looks lost, the fleet must doubt the observations rather than the zones.
 func TestRecoveryWhenAllZonesLookLost(t *testing.T) {
 	world, _ := play(t, Options{Seed: 3, Nodes: 16, Zones: 4, Regions: 2, Scenario: "all-look-lost"})
 	served, answered := 0, 0
@@ -131,6 +135,7 @@
 		}
 	}
 	if answered < 100 || served < answered*3/4 {
-		t.Errorf("from 4 s after the fault on %d of %d requests were served", served, answered)
+		t.Errorf("from 4 s after the end of the fault: got %d of %d requests served, want 3/4 of at least 100",
+			served, answered)
 	}
 }
