--- a/internal/lab/faults/check.go
+++ b/internal/lab/faults/check.go
@@ -9,19 +9,19 @@
 	"spurwinch/internal/membership"
 )
 
-// Limits are the tolerances of the rules on time and amounts. Times are in seconds.
+// Limits are the limits and tolerances that the checker applies to times and amounts. Times are in seconds.
 type Limits struct {
-	Deadline          float64 `json:"patience"  toml:"patience"`  // in which an answer is due
-	Slack             float64 `json:"slack"     toml:"slack"`     // by which a machine may be late
-	Attempts          int     `json:"attempts"  toml:"attempts"`  // of one request
-	CapacitySlack     float64 `json:"roomSlack" toml:"roomSlack"` // of grants over a zone's capacity, as part of it
-	UnneededCrossZone float64 `json:"crossing"  toml:"crossing"`  // part of the requests that may cross without need
-	RecoveryInterval  float64 `json:"turnTime"  toml:"turnTime"`  // in which a zone may recover once
-	GrantLifetime     float64 `json:"life"      toml:"life"`      // that a node may cross zones without the log
-	PolicyWindow      float64 `json:"window"    toml:"window"`    // after a decision, for the policy before it
+	Deadline          float64 `json:"patience"  toml:"patience"`  // within which a request must be answered
+	Slack             float64 `json:"slack"     toml:"slack"`     // added to time limits: a busy machine may be late
+	Attempts          int     `json:"attempts"  toml:"attempts"`  // at most for one request
+	CapacitySlack     float64 `json:"roomSlack" toml:"roomSlack"` // fraction by which grants may exceed capacity
+	UnneededCrossZone float64 `json:"crossing"  toml:"crossing"`  // fraction of requests that may cross without need
+	RecoveryInterval  float64 `json:"turnTime"  toml:"turnTime"`  // within which a zone may recover at most once
+	GrantLifetime     float64 `json:"life"      toml:"life"`      // for which a node may cross zones without the log
+	PolicyWindow      float64 `json:"window"    toml:"window"`    // during which the previous policy may be used
 }
 
-// DefaultLimits are the figures of docs/faults.md, with the slack of a busy machine.
+// DefaultLimits are the limits of docs/faults.md, with slack for a busy machine.
 var DefaultLimits = Limits{
 	Deadline:          4,
 	Slack:             0.5,
@@ -33,33 +33,34 @@
 	PolicyWindow:      5,
 }
 
-// maxViolations bounds the violations of a verdict.
+// maxViolations is the maximum number of violations that Check lists in a verdict.
 const maxViolations = 50
 
-// Names of the rules that are not those of a node's own invariant monitor.
+// Names of the checker's rules. The other rules are those of a node's invariant monitor; their names are
+// placementRulesPrefix and the monitor's name for the rule.
 const (
-	ruleLog            = "agreed log"
-	ruleSameContent    = "agreed log (1)"
-	ruleNoStepBack     = "agreed log (2)"
-	ruleOneEnd         = "agreed log (3)"
-	ruleCapacity       = "plans (5)"
-	ruleView           = "plans (6)"
-	ruleOwnZone        = "plans (7)"
-	ruleWithoutVoters  = "plans (8)"
-	ruleReversals      = "plans: reversals"
-	rulePolicyWindow   = "policy (9)"
-	rulePolicyEnd      = "policy (10)"
-	ruleLinearizable   = "policy (11)"
-	ruleAttempts       = "placement: attempts"
-	ruleTwoAtOnce      = "placement: two at once"
-	ruleDrains         = "placement: drains"
-	ruleInTime         = "placement: in time"
-	ruleOneAnswer      = "placement: one answer"
-	ruleExercise       = "exercise"
-	placementRulesWord = "placement: "
+	ruleLog              = "agreed log"
+	ruleSameContent      = "agreed log (1)"
+	ruleNoStepBack       = "agreed log (2)"
+	ruleOneEnd           = "agreed log (3)"
+	ruleCapacity         = "plans (5)"
+	ruleView             = "plans (6)"
+	ruleOwnZone          = "plans (7)"
+	ruleWithoutVoters    = "plans (8)"
+	ruleReversals        = "plans: reversals"
+	rulePolicyWindow     = "policy (9)"
+	rulePolicyEnd        = "policy (10)"
+	ruleLinearizable     = "policy (11)"
+	ruleAttempts         = "placement: attempts"
+	ruleTwoAtOnce        = "placement: two at once"
+	ruleDrains           = "placement: drains"
+	ruleInTime           = "placement: in time"
+	ruleOneAnswer        = "placement: one answer"
+	ruleExercise         = "exercise"
+	placementRulesPrefix = "placement: "
 )
 
-// Details of KindCount after which a run is not judged.
+// Details of KindCount. If one of them has a count above zero, the run is not judged.
 const (
 	countNoDescriptors = "out of descriptors"
 	countEventsLost    = "events lost"
@@ -77,29 +78,30 @@
 	Violations []Violation    `json:"violations"`
 	Judged     bool           `json:"judged"`
 	Why        string         `json:"why,omitempty"` // why it was not judged
-	Seen       map[string]int `json:"seen"`          // what happened, and how often
+	Seen       map[string]int `json:"seen"`          // number of occurrences, by what happened
 	Figures    Figures        `json:"figures"`
 }
 
-// Want adds a violation for each thing that a run should have exercised and did not. expected has the least counts.
+// Want adds a violation for each key of expected that the run has seen less often than the minimum that expected gives.
+// Such a run did not exercise what it was made to test.
 func (v *Verdict) Want(expected map[string]int) {
 	for what, least := range expected {
 		if v.Seen[what] >= least {
 			continue
 		}
 		v.Violations = append(v.Violations, Violation{ruleExercise, 0, fmt.Sprintf(
-			"%s was seen %d times, wanted %d: this run shows nothing", what, v.Seen[what], least)})
+			"%s was seen %d times, want at least %d; this run tests nothing", what, v.Seen[what], least)})
 	}
 }
 
-// Check checks a history; it reads nothing else.
+// Check checks a history against the rules. The events are its only input.
 func Check(events []Event, limits Limits) Verdict {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	state := newChecker(limits)
 	if err := state.readFleet(events); err != nil {
 		state.verdict.Judged = false
-		state.verdict.Why = "the history names no nodes: " + err.Error()
+		state.verdict.Why = "the history has no valid list of nodes: " + err.Error()
 		return state.verdict
 	}
 	for _, event := range events {
@@ -112,41 +114,41 @@
 	return state.verdict
 }
 
-// checker is the state of the fleet as the history so far shows it.
+// checker holds the state of the fleet, derived from the events that were checked so far.
 type checker struct {
 	verdict Verdict
 	limits  Limits
 	list    *membership.List
 	zones   map[string]*zoneState
 	nodes   map[string]*nodeState
-	faults  []Event // so far
+	faults  []Event // injected so far
 
 	requests requestState
 	plans    planState
 	policies policyState
-	ends     map[string]uint64 // proposals, by their numbers on the log
+	ends     map[string]uint64 // log entry number at which each proposal ended, by proposal ID
 }
 
-// zoneState is what the history shows of one zone.
+// zoneState is the state of one zone, derived from the history.
 type zoneState struct {
-	region       string
-	capacity     float64 // connections
-	connections  float64
-	state        failover.State // in the newest plan
-	hasState     bool
-	healthySince float64
-	isHealthy    bool
-	turns        []turn
-	granted      float64 // to all nodes together
+	region          string
+	capacity        float64 // connections
+	connections     float64
+	state           failover.State // according to the newest plan
+	hasState        bool
+	healthySince    float64
+	isHealthy       bool
+	lossTransitions []lossTransition
+	granted         float64 // load granted to all nodes together
 }
 
-// nodeState is what the history shows of one node.
+// nodeState is the state of one node, derived from the history.
 type nodeState struct {
 	live      bool
 	startedAt float64
 	mode      string
-	newest    uint64 // plan, since its files are these
-	inUse     uint64 // plan
+	newest    uint64 // plan number that the node has had with its current files
+	inUse     uint64 // plan number
 	leases    map[string]float64
 	grants    grants
 }
@@ -174,7 +176,7 @@
 	}
 }
 
-// readFleet reads the zones and the nodes of a history.
+// readFleet reads the fleet's zones and nodes from a history.
 func (c *checker) readFleet(events []Event) error {
 	var nodes []membership.Node
 	for _, event := range events {
@@ -196,7 +198,7 @@
 	return err
 }
 
-// zone returns the state of a zone.
+// zone returns the state of a zone; it adds the zone if it is new.
 func (c *checker) zone(name string) *zoneState {
 	if c.zones[name] == nil {
 		c.zones[name] = &zoneState{}
@@ -204,7 +206,7 @@
 	return c.zones[name]
 }
 
-// node returns the state of a node.
+// node returns the state of a node; it adds the node if it is new.
 func (c *checker) node(name string) *nodeState {
 	if c.nodes[name] == nil {
 		c.nodes[name] = &nodeState{leases: map[string]float64{}}
@@ -212,26 +214,26 @@
 	return c.nodes[name]
 }
 
-// isLive reports whether a node's process runs.
+// isLive reports whether a node's process is running.
 func (c *checker) isLive(name string) bool { return c.nodes[name] != nil && c.nodes[name].live }
 
-// violated adds a violation.
+// violated adds a violation to the verdict, unless the verdict has maxViolations already.
 func (c *checker) violated(rule string, at float64, format string, args ...any) {
 	if len(c.verdict.Violations) < maxViolations {
 		c.verdict.Violations = append(c.verdict.Violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 	}
 }
 
-// count counts what happened.
+// count counts one occurrence in Verdict.Seen.
 func (c *checker) count(what string) { c.verdict.Seen[what]++ }
 
-// notJudged notes that the run shows nothing since the harness itself had trouble.
+// notJudged marks the run as not judged, since the harness itself had a problem.
 func (c *checker) notJudged(format string, args ...any) {
 	c.verdict.Judged = false
 	c.verdict.Why = fmt.Sprintf(format, args...)
 }
 
-// check checks one event after those before it.
+// check checks one event; all earlier events have been checked before.
 func (c *checker) check(event Event) {
 	c.count(string(event.Kind))
 	switch event.Kind {
@@ -252,33 +254,33 @@
 		c.checkRequest(event)
 	case KindConnections:
 		c.checkConnections(event)
-	default: // the others say nothing about a rule
+	default: // no rule depends on the other kinds
 	}
 }
 
-// checkHarness decides whether the harness itself was in order.
+// checkHarness marks the run as not judged if the harness was late, had no descriptors left or lost events.
 func (c *checker) checkHarness(event Event) {
 	if event.Kind == KindHarnessDelay {
 		if event.Value > c.limits.Slack {
-			c.notJudged("the laboratory itself was late by %.2f s at %.1f s", event.Value, event.At)
+			c.notJudged("the harness was late by %.2f s at %.1f s", event.Value, event.At)
 		}
 		return
 	}
 	c.verdict.Seen[event.Detail] += int(event.Value)
 	if (event.Detail == countNoDescriptors || event.Detail == countEventsLost) && event.Value > 0 {
-		c.notJudged("the laboratory itself: %s, %.0f times", event.Detail, event.Value)
+		c.notJudged("problem of the harness: %s, %.0f times", event.Detail, event.Value)
 	}
 }
 
-// checkProposalEnd checks that a proposal has one end.
+// checkProposalEnd checks that all reports of a proposal's end name the same log entry.
 func (c *checker) checkProposalEnd(event Event) {
 	if number, ok := c.ends[event.ID]; ok && number != event.Number {
-		c.violated(ruleOneEnd, event.At, "proposal %s ended at %d and at %d", event.ID, number, event.Number)
+		c.violated(ruleOneEnd, event.At, "proposal %s ended at log entries %d and %d", event.ID, number, event.Number)
 	}
 	c.ends[event.ID] = event.Number
 }
 
-// checkConnections notes how full a zone's servers are.
+// checkConnections records the connections of a zone's servers and the peak utilization.
 func (c *checker) checkConnections(event Event) {
 	zone := c.zone(event.Zone)
 	zone.connections = event.Value
--- a/internal/lab/faults/check_commands.go
+++ b/internal/lab/faults/check_commands.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	linearizabilityTimeout = 20 * time.Second  // then nothing is said
-	microseconds           = 1e6               // of a second: the unit of the commands' times
-	openEnded              = math.MaxInt64 - 1 // the return of a command whose end nobody learned of
+	linearizabilityTimeout = 20 * time.Second  // a check that takes longer reports no violation
+	microseconds           = 1e6               // per second; the commands' times are in microseconds
+	openEnded              = math.MaxInt64 - 1 // return time of a command whose end is unknown
 )
 
-// commandInput is an operator's command as the model of the policy sees it.
+// commandInput is an operator's command, as input of policyModel.
 type commandInput struct {
 	proposes bool
 	number   uint64
 }
 
-// checkLinearizable checks that there is one order of all commands, each between its call and its return, in which each
-// returns what those before it have led to. A command whose end is not known may have taken effect at any time after
-// its call: how it ended is in the history.
+// checkLinearizable checks that the operators' commands are linearizable: one order of all commands exists in which
+// each takes effect between its call and its return and returns the result of the commands before it. A command whose
+// end is unknown may have taken effect at any time after its call; the history shows how its change ended.
 func (c *checker) checkLinearizable(end float64) {
 	operations := c.commandOperations()
 	if len(operations) == 0 {
@@ -33,12 +33,12 @@
 	c.verdict.Seen["commands in order"] = len(operations)
 	operations = append(operations, c.unreportedChanges(len(operations))...)
 	if porcupine.CheckOperationsTimeout(policyModel, operations, linearizabilityTimeout) == porcupine.Illegal {
-		c.violated(ruleLinearizable, end, "what %d commands were told fits no order of them", len(operations))
+		c.violated(ruleLinearizable, end, "the results of %d commands are not linearizable", len(operations))
 	}
 }
 
-// policyModel is the number of the policy in force: an accepted change raises it, a query returns it. The numbers of
-// changes that were abandoned are skipped.
+// policyModel models the number of the policy in force. An accepted change raises it, and a query returns it. The
+// numbers of abandoned changes are skipped.
 var policyModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -55,7 +55,7 @@
 	DescribeOperation: func(input, _ any) string { return fmt.Sprintf("%+v", input) },
 }
 
-// commandOperations are the commands that have changed something, or returned a number.
+// commandOperations returns the commands that changed the policy or returned its number.
 func (c *checker) commandOperations() []porcupine.Operation {
 	var operations []porcupine.Operation
 	for i, command := range c.policies.commands {
@@ -65,10 +65,10 @@
 		if result == ResultUnknown || result == ResultRejected {
 			ended, ok := c.policies.changeEnds[command.ID]
 			if !input.proposes || !ok || ended.Result != ResultAccepted {
-				continue // it returned nothing and changed nothing
+				continue // the command returned no number and changed nothing
 			}
 			if result == ResultRejected {
-				c.violated(ruleLinearizable, command.At, "change %s was rejected, and is in force as number %d",
+				c.violated(ruleLinearizable, command.At, "change %s was rejected, but is in force as number %d",
 					command.ID, ended.Number)
 				continue
 			}
@@ -90,9 +90,9 @@
 	return operations
 }
 
-// unreportedChanges are the accepted changes of which no command reported, such as those of operators that were cut off
-// before the end. listed is the number of operations before them.
-func (c *checker) unreportedChanges(listed int) []porcupine.Operation {
+// unreportedChanges returns the accepted changes that no command reported, such as those of operators whose connection
+// was cut before the end. operationCount is the number of operations that precede them; client IDs continue from it.
+func (c *checker) unreportedChanges(operationCount int) []porcupine.Operation {
 	reported := map[string]bool{}
 	for _, command := range c.policies.commands {
 		reported[command.ID] = true
@@ -104,7 +104,7 @@
 			continue
 		}
 		operations = append(operations, porcupine.Operation{
-			ClientId: listed + len(operations) + len(c.policies.commands),
+			ClientId: operationCount + len(operations) + len(c.policies.commands),
 			Input:    commandInput{proposes: true, number: ended.Number},
 			Output:   ended.Number,
 			Return:   openEnded,
--- a/internal/lab/faults/check_faults.go
+++ b/internal/lab/faults/check_faults.go
@@ -6,18 +6,20 @@
 	"spurwinch/internal/membership"
 )
 
-// recentStart is the time after its start, in seconds, in which a node may not have taken part yet. A node that started
-// within the first second of the run has been there from the beginning.
+// Times in seconds. A node may not take part in the fleet yet within startupTime after its start. A node that started
+// within startOfRun counts as present from the beginning.
 const (
-	recentStart    = 5
-	beginningOfRun = 1
+	startupTime = 5
+	startOfRun  = 1
 )
 
-// zoneFaultWords are in the details of faults that touch a zone: of links, and of connections to servers.
+// zoneFaultWords are the words that mark a fault's detail as one that affects a zone, its links or its connections to
+// servers.
 var zoneFaultWords = []string{"zone", "region", "lin", "cut", "split", "hears", "lose"}
 
-// touched reports whether a fault may have touched a node. One that names nobody may touch anybody.
-func (c *checker) touched(node membership.Node) bool {
+// mayBeAffected reports whether a node is down or a fault may have affected it. A fault without a node and a zone may
+// affect any node.
+func (c *checker) mayBeAffected(node membership.Node) bool {
 	if !c.isLive(node.Name) {
 		return true
 	}
@@ -29,8 +31,8 @@
 	return false
 }
 
-// zoneDisturbed reports whether a fault has touched a zone, or links.
-func (c *checker) zoneDisturbed() bool {
+// zoneFaultInjected reports whether a fault has affected a zone or links.
+func (c *checker) zoneFaultInjected() bool {
 	for _, fault := range c.faults {
 		for _, word := range zoneFaultWords {
 			if strings.Contains(fault.Detail, word) {
@@ -41,21 +43,21 @@
 	return false
 }
 
-// lacksNodes reports whether over a third of a zone's nodes are down, or have just started: their parts of the zone's
-// capacity are reserved for them, so that the other nodes find none free in it.
+// lacksNodes reports whether more than a third of a zone's nodes are down or have just started. Their parts of the
+// zone's capacity stay reserved for them, so the other nodes may find no free capacity in the zone.
 func (c *checker) lacksNodes(zone string, at float64) bool {
-	here, all := 0, 0
+	available, all := 0, 0
 	for _, index := range c.list.InZone(zone) {
 		all++
 		node := c.node(c.list.Node(index).Name)
-		if node.live && (node.startedAt < beginningOfRun || at-node.startedAt > recentStart) {
-			here++
+		if node.live && (node.startedAt < startOfRun || at-node.startedAt > startupTime) {
+			available++
 		}
 	}
-	return 3*here < 2*all
+	return 3*available < 2*all
 }
 
-// othersLive reports whether nine in ten of the nodes that don't vote run.
+// othersLive reports whether at least nine in ten of the nodes that are not voters are running.
 func (c *checker) othersLive() bool {
 	live, all := 0, 0
 	for index := range c.list.Len() {
@@ -71,7 +73,7 @@
 	return 10*live >= 9*all
 }
 
-// liveVoters is the number of voters that run.
+// liveVoters returns the number of running voters.
 func (c *checker) liveVoters() int {
 	live := 0
 	for _, index := range c.list.Voters() {
--- a/internal/lab/faults/check_plans.go
+++ b/internal/lab/faults/check_plans.go
@@ -7,34 +7,34 @@
 	"spurwinch/internal/failover"
 )
 
-// planState is what the history shows of plans.
+// planState is the state of the plans, derived from the history. Plans are known by their numbers.
 type planState struct {
 	digests   map[uint64]string
 	decoded   map[uint64]*failover.Plan
 	firstSeen map[uint64]float64
 	spread    []float64      // seconds from the first node that adopted a plan to the others
-	users     map[uint64]int // nodes that go by a plan
+	users     map[uint64]int // number of nodes that use a plan
 }
 
-// turn is a change of a zone from lost to not lost, or back.
-type turn struct {
+// lossTransition is a change of a zone from lost to not lost, or from not lost to lost.
+type lossTransition struct {
 	at   float64
 	lost bool
 }
 
-// grants is what a node may have in each zone, by a plan and its leases.
+// grants is the load that a node may have in each zone, according to a plan and the node's capacity leases.
 type grants struct {
 	plan uint64
 	load map[string]float64
 }
 
-// Tolerances in comparing loads.
+// Tolerances for comparisons of loads.
 const (
 	loadTolerance     = 0.1
 	increaseTolerance = 1e-6
 )
 
-// checkNode follows the state of a node, and checks that it doesn't go back to an older plan.
+// checkNode updates the state of a node, and checks that the node doesn't return to an older plan.
 func (c *checker) checkNode(event Event) {
 	node := c.node(event.Node)
 	switch event.Kind {
@@ -48,7 +48,7 @@
 	case KindMode:
 		node.mode = event.Mode
 		if event.Number < node.newest {
-			c.violated(ruleNoStepBack, event.At, "%s goes by %d and had %d before",
+			c.violated(ruleNoStepBack, event.At, "%s uses plan %d after plan %d",
 				event.Node, event.Number, node.newest)
 		}
 	default:
@@ -56,7 +56,7 @@
 	c.updateGrants(event.Node, event.At)
 }
 
-// start notes the start of a node's process, which goes by the plan in its files.
+// start records the start of a node's process, which uses the plan in its files if they are intact.
 func (n *nodeState) start(event Event) {
 	n.live = true
 	n.startedAt = event.At
@@ -72,17 +72,17 @@
 	}
 }
 
-// checkPlan checks a plan that a node adopts.
+// checkPlan checks that a node adopts a plan with the same content as other nodes, and no older plan than before.
 func (c *checker) checkPlan(event Event) {
 	digest, known := c.plans.digests[event.Number]
 	if known && digest != event.Digest {
-		c.violated(ruleSameContent, event.At, "%s acts on number %d with digest %s, others on %s",
+		c.violated(ruleSameContent, event.At, "%s uses plan %d with digest %s, others use digest %s",
 			event.Node, event.Number, event.Digest, digest)
 	}
 	c.plans.digests[event.Number] = event.Digest
 	node := c.node(event.Node)
 	if event.Number < node.newest {
-		c.violated(ruleNoStepBack, event.At, "%s went back from %d to %d", event.Node, node.newest, event.Number)
+		c.violated(ruleNoStepBack, event.At, "%s returned from plan %d to %d", event.Node, node.newest, event.Number)
 	}
 	node.newest = event.Number
 	node.inUse = event.Number
@@ -110,7 +110,7 @@
 	c.checkView(event.At, plan)
 }
 
-// checkZoneState follows the state of a zone in the plans, and checks that it doesn't flap.
+// checkZoneState updates the state of a zone from a plan, and checks that the zone doesn't flap.
 func (c *checker) checkZoneState(when float64, planned failover.Zone) {
 	zone := c.zone(planned.Name)
 	if !zone.hasState || zone.state != planned.State {
@@ -121,46 +121,46 @@
 		c.count("zone " + planned.State.String())
 	}
 	lost := planned.State == failover.Lost
-	wasLost := len(zone.turns) > 0 && zone.turns[len(zone.turns)-1].lost
+	wasLost := len(zone.lossTransitions) > 0 && zone.lossTransitions[len(zone.lossTransitions)-1].lost
 	if lost == wasLost {
 		return
 	}
-	if len(zone.turns) >= 2 { // lost, recovered, and now lost again
+	if len(zone.lossTransitions) >= 2 { // the zone was lost, has recovered and is lost again
 		c.verdict.Figures.Reversals++
 	}
-	zone.turns = append(zone.turns, turn{when, lost})
+	zone.lossTransitions = append(zone.lossTransitions, lossTransition{when, lost})
 	if count := zone.recoveries(when - c.limits.RecoveryInterval); count > 1 {
-		c.violated(ruleReversals, when, "zone %s came back %d times within %.0f s",
+		c.violated(ruleReversals, when, "zone %s recovered %d times within %.0f s",
 			planned.Name, count, c.limits.RecoveryInterval)
 	}
 }
 
-// recoveries is the number of times that a zone has recovered after a time.
+// recoveries returns how often a zone has recovered since a time.
 func (z *zoneState) recoveries(after float64) int {
 	count := 0
-	for _, turn := range z.turns {
-		if !turn.lost && turn.at > after {
+	for _, transition := range z.lossTransitions {
+		if !transition.lost && transition.at > after {
 			count++
 		}
 	}
 	return count
 }
 
-// checkView checks that no plan leaves out a node that no fault has touched: a single node, or a minority, changes no
-// plan.
+// checkView checks that a plan lists no node as lost that no fault has affected. A single node or a minority can't
+// change a plan.
 func (c *checker) checkView(at float64, plan *failover.Plan) {
 	for _, index := range plan.LostNodes {
 		if index < 0 || index >= c.list.Len() {
 			continue
 		}
-		if node := c.list.Node(index); !c.touched(node) {
-			c.violated(ruleView, at, "%s is out of the view, and nothing happened to it", node.Name)
+		if node := c.list.Node(index); !c.mayBeAffected(node) {
+			c.violated(ruleView, at, "the plan lists %s as lost, but no fault affected the node", node.Name)
 		}
 	}
 }
 
-// updateGrants follows what a node may have in each zone, and checks that all nodes together may have no more in a zone
-// than the capacity that a plan in use states for it.
+// updateGrants updates the load that a node may have in each zone, and checks that the grants of all nodes together
+// don't exceed the capacity that a plan in use states for the zone.
 func (c *checker) updateGrants(name string, at float64) {
 	node := c.node(name)
 	before := node.grants
@@ -174,7 +174,8 @@
 	}
 }
 
-// currentGrants is what a node may have by its plan and its leases; nothing, where it goes by no plan.
+// currentGrants returns a node's grants according to its plan and its capacity leases. They are empty if the node is
+// down or uses no plan.
 func (c *checker) currentGrants(name string, node *nodeState) grants {
 	plan := c.plans.decoded[node.inUse]
 	index := c.list.Index(name)
@@ -192,31 +193,31 @@
 	return grants{plan: node.inUse, load: load}
 }
 
-// release ends what a node had.
-func (c *checker) release(ended grants) {
-	if ended.plan > 0 {
-		c.plans.users[ended.plan]--
-		if c.plans.users[ended.plan] == 0 {
-			delete(c.plans.users, ended.plan)
+// release removes a node's earlier grants from the sums.
+func (c *checker) release(removed grants) {
+	if removed.plan > 0 {
+		c.plans.users[removed.plan]--
+		if c.plans.users[removed.plan] == 0 {
+			delete(c.plans.users, removed.plan)
 		}
 	}
-	for zone, load := range ended.load {
+	for zone, load := range removed.load {
 		c.zone(zone).granted -= load
 	}
 }
 
-// reserve begins what a node may have.
-func (c *checker) reserve(begun grants) {
-	if begun.load == nil {
+// reserve adds a node's new grants to the sums.
+func (c *checker) reserve(added grants) {
+	if added.load == nil {
 		return
 	}
-	c.plans.users[begun.plan]++
-	for zone, load := range begun.load {
+	c.plans.users[added.plan]++
+	for zone, load := range added.load {
 		c.zone(zone).granted += load
 	}
 }
 
-// checkCapacity checks what all nodes together may have in a zone.
+// checkCapacity checks the grants of all nodes together in a zone.
 func (c *checker) checkCapacity(node string, number uint64, zone string, when float64) {
 	stated := 0.0
 	for used := range c.plans.users {
@@ -227,7 +228,7 @@
 	granted := c.zone(zone).granted
 	if granted > stated*(1+c.limits.CapacitySlack)+loadTolerance {
 		c.violated(ruleCapacity, when,
-			"with plan %d at %s all nodes together may have %.2f in zone %s, its stated capacity is %.2f",
+			"with plan %d at %s the grants of all nodes are %.2f in zone %s, its stated capacity is %.2f",
 			number, node, granted, zone, stated)
 	}
 }
--- a/internal/lab/faults/check_policy.go
+++ b/internal/lab/faults/check_policy.go
@@ -9,27 +9,29 @@
 const (
 	verbStatus       = "status"
 	verbPropose      = "propose"
-	verbProposeAgain = "again" // a change that had ended, under the same ID
+	verbProposeAgain = "again" // proposes a change again that has ended, with the same ID
 )
 
-// finalSecond is how long before the end of a history, in seconds, a node's newest admission says what it serves by.
-const finalSecond = 1
+// finalAdmissionTime is a time in seconds. A node's newest admission shows which policy the node uses at the end if it
+// lies within this time before the end of the history.
+const finalAdmissionTime = 1
 
-// policyState is what the history shows of policy changes. Policies are known by their numbers on the log.
+// policyState is the state of policies and policy changes, derived from the history. Policies are known by their
+// numbers on the log.
 type policyState struct {
 	isUsed        bool
 	digests       map[uint64]string
-	decidedAt     map[uint64]float64   // when it was first known to be in force
-	canaryAt      map[uint64]float64   // when canaries might first serve by it
-	abandonedAt   map[uint64]float64   // when its change was given up
-	learnedAt     map[uint64][]float64 // when nodes had it on their disks
-	objections    map[uint64][]string  // nodes that can't serve by it
-	changeEnds    map[string]Event     // by change
-	lastAdmission map[string]Event     // by node: the newest by a lease
-	admissions    map[string]int       // by what they were admitted by
-	notAdmitted   map[string]bool      // requests that were rejected for want of a lease
+	decidedAt     map[uint64]float64   // when the policy was first known to be in force
+	canaryAt      map[uint64]float64   // from when canaries could use the policy
+	abandonedAt   map[uint64]float64   // when the policy's change was abandoned
+	learnedAt     map[uint64][]float64 // when nodes had stored the policy on their disks
+	objections    map[uint64][]string  // nodes that can't use the policy
+	changeEnds    map[string]Event     // by change ID
+	lastAdmission map[string]Event     // newest admission under a lease, by node
+	admissions    map[string]int       // number of admissions, by Detail such as AdmittedByLease
+	notAdmitted   map[string]bool      // IDs of requests that were rejected because the node had no lease
 	commands      []Event
-	oldPolicyUse  []float64 // seconds after a decision in which the policy before was used
+	oldPolicyUse  []float64 // seconds from a decision to each use of the policy before it
 }
 
 func newPolicyState() policyState {
@@ -47,7 +49,7 @@
 	}
 }
 
-// next is the number of the policy that was decided next after another, and when.
+// next returns the lowest decided number above another, and when it was decided. ok is false if there is none.
 func (p *policyState) next(number uint64) (next uint64, at float64, ok bool) {
 	for decided, decidedAt := range p.decidedAt {
 		if decided > number && (!ok || decided < next) {
@@ -59,7 +61,7 @@
 	return next, at, ok
 }
 
-// newest is the highest number that was decided.
+// newest returns the highest decided number.
 func (p *policyState) newest() uint64 {
 	newest := uint64(0)
 	for number := range p.decidedAt {
@@ -68,7 +70,7 @@
 	return newest
 }
 
-// checkPolicy checks the rules on policies at each event.
+// checkPolicy checks the rules on policies for one event.
 func (c *checker) checkPolicy(event Event) {
 	c.policies.isUsed = true
 	switch event.Kind {
@@ -94,7 +96,8 @@
 	}
 }
 
-// checkDecision checks that a policy in force has one content, and that no node that is there has objected to it.
+// checkDecision checks that a policy in force has the same content at all nodes, and that no running node that no fault
+// affected has objected to it.
 func (c *checker) checkDecision(event Event) {
 	state := &c.policies
 	digest, known := state.digests[event.Number]
@@ -113,14 +116,14 @@
 	c.count("policies")
 	for _, name := range state.objections[event.Number] {
 		index := c.list.Index(name)
-		if index >= 0 && !c.touched(c.list.Node(index)) {
-			c.violated(rulePolicyEnd, event.At, "number %d is in force, and %s, which is there, had said no",
+		if index >= 0 && !c.mayBeAffected(c.list.Node(index)) {
+			c.violated(rulePolicyEnd, event.At, "number %d is in force, but %s, which no fault affected, objected",
 				event.Number, name)
 		}
 	}
 }
 
-// checkChangeEnd checks that a change has one end.
+// checkChangeEnd checks that all reports of a change's end agree.
 func (c *checker) checkChangeEnd(event Event) {
 	if earlier, ok := c.policies.changeEnds[event.ID]; ok {
 		if !sameEnd(earlier, event) {
@@ -136,10 +139,10 @@
 	}
 }
 
-// sameEnd reports whether two events tell the same end of a change.
+// sameEnd reports whether two events report the same end of a change.
 func sameEnd(a, b Event) bool { return a.Result == b.Result && a.Number == b.Number }
 
-// checkAdmission checks that a request was admitted by a policy that was in force, or on trial at canaries.
+// checkAdmission checks that a request was admitted under a policy that was in force or that canaries could use.
 func (c *checker) checkAdmission(event Event) {
 	state := &c.policies
 	state.admissions[event.Detail]++
@@ -151,13 +154,13 @@
 	}
 	state.lastAdmission[event.Node] = event
 	if !c.mayBeInForce(event) {
-		c.violated(rulePolicyWindow, event.At, "%s took request %s under number %d, which was not decided",
+		c.violated(rulePolicyWindow, event.At, "%s admitted request %s under number %d, which was not decided",
 			event.Node, event.ID, event.Number)
 		return
 	}
 	tolerance := c.limits.PolicyWindow + c.limits.Slack
 	if end, ok := state.abandonedAt[event.Number]; ok && event.At > end+tolerance {
-		c.violated(rulePolicyWindow, event.At, "%s took request %s under number %d, which was given up %.2f s before",
+		c.violated(rulePolicyWindow, event.At, "%s admitted request %s under number %d, abandoned %.2f s before",
 			event.Node, event.ID, event.Number, event.At-end)
 	}
 	_, decided := state.decidedAt[event.Number]
@@ -167,23 +170,24 @@
 	}
 	state.oldPolicyUse = append(state.oldPolicyUse, event.At-nextAt)
 	if event.At > nextAt+tolerance {
-		c.violated(rulePolicyWindow, event.At, "%s took request %s under number %d, %.2f s after %d was decided",
+		c.violated(rulePolicyWindow, event.At, "%s admitted request %s under number %d, %.2f s after %d was decided",
 			event.Node, event.ID, event.Number, event.At-nextAt, next)
 	}
 }
 
-// mayBeInForce reports whether a request's policy was decided or on trial when it was admitted. Number 0 is each node's
-// own files, before the first policy.
+// mayBeInForce reports whether a request's policy was decided, or open to canaries, when the request was admitted.
+// Number 0 stands for each node's own files before the first policy.
 func (c *checker) mayBeInForce(event Event) bool {
-	race := c.limits.Slack / 5 // lines of two nodes' logs race each other
+	reorderingTolerance := c.limits.Slack / 5 // log lines of two nodes may arrive in the wrong order
 	decidedAt, decided := c.policies.decidedAt[event.Number]
-	canaryAt, onTrial := c.policies.canaryAt[event.Number]
+	canaryAt, isCanary := c.policies.canaryAt[event.Number]
 	return event.Number == 0 ||
-		decided && event.At >= decidedAt-race ||
-		onTrial && event.At >= canaryAt-race
+		decided && event.At >= decidedAt-reorderingTolerance ||
+		isCanary && event.At >= canaryAt-reorderingTolerance
 }
 
-// checkCommand checks the end of an operator's command, and keeps it for checkLinearizable.
+// checkCommand checks that a change that is proposed again reports the same end. It keeps all other commands for
+// checkLinearizable.
 func (c *checker) checkCommand(event Event) {
 	if event.Detail != verbProposeAgain {
 		c.policies.commands = append(c.policies.commands, event)
@@ -197,12 +201,12 @@
 	earlier, ok := c.policies.changeEnds[event.ID]
 	if !ok || !sameEnd(earlier, event) {
 		c.violated(rulePolicyEnd, event.At,
-			"change %s was proposed again and ended %s as number %d, before it %s as %d",
+			"change %s was proposed again and ended %s as number %d, before it ended %s as number %d",
 			event.ID, event.Result, event.Number, earlier.Result, earlier.Number)
 	}
 }
 
-// checkPolicyEnd checks what only the complete history shows.
+// checkPolicyEnd checks the rules on policies that need the complete history, and computes the figures on policies.
 func (c *checker) checkPolicyEnd(events []Event) {
 	if !c.policies.isUsed {
 		return
@@ -222,7 +226,8 @@
 	c.checkLinearizable(end)
 }
 
-// checkOnePolicyInUse checks that all nodes that serve at the end serve under one number.
+// checkOnePolicyInUse checks that all nodes that serve at the end use the newest policy or one that canaries may use.
+// It skips the check if the newest policy was decided too shortly before the end.
 func (c *checker) checkOnePolicyInUse(end float64) {
 	newest := c.policies.newest()
 	if c.policies.decidedAt[newest] >= end-c.limits.PolicyWindow-c.limits.Slack {
@@ -230,22 +235,22 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.policies.lastAdmission)) {
 		last := c.policies.lastAdmission[name]
-		serves := last.At > end-finalSecond && c.isLive(name)
-		if serves && last.Number != newest && !c.onTrialAt(last.Number, end) {
-			c.violated(rulePolicyEnd, end, "%s serves under number %d, %d is in force", name, last.Number, newest)
+		serves := last.At > end-finalAdmissionTime && c.isLive(name)
+		if serves && last.Number != newest && !c.isCanaryAt(last.Number, end) {
+			c.violated(rulePolicyEnd, end, "%s serves under number %d, but %d is in force", name, last.Number, newest)
 		}
 	}
 }
 
-// onTrialAt reports whether canaries may serve by a policy at a time.
-func (c *checker) onTrialAt(number uint64, at float64) bool {
+// isCanaryAt reports whether canaries may use a policy at a time.
+func (c *checker) isCanaryAt(number uint64, at float64) bool {
 	abandonedAt, abandoned := c.policies.abandonedAt[number]
-	_, onTrial := c.policies.canaryAt[number]
-	return onTrial && (!abandoned || abandonedAt > at-c.limits.PolicyWindow-c.limits.Slack)
+	_, isCanary := c.policies.canaryAt[number]
+	return isCanary && (!abandoned || abandonedAt > at-c.limits.PolicyWindow-c.limits.Slack)
 }
 
-// changeDurations are the times, sorted, from a command to the last node that learned of its decision. Nodes that were
-// cut off learn of it later than a window, and don't count.
+// changeDurations returns the sorted times from each command to the last node that learned of its decision. It ignores
+// nodes that learned of it later than PolicyWindow, since these were cut off.
 func (c *checker) changeDurations() []float64 {
 	var durations []float64
 	for _, command := range c.policies.commands {
--- a/internal/lab/faults/check_requests.go
+++ b/internal/lab/faults/check_requests.go
@@ -3,34 +3,34 @@
 import "spurwinch/internal/invariant"
 
 const (
-	drainGrace = 3 // seconds after its notice in which a node may still try a draining server
+	drainGrace = 3 // seconds after its notice for which a node may still try a draining server
 
-	// A zone without need to cross: healthy for long and with free capacity.
-	minHealthyTime     = 10  // seconds
-	maxCalmFill        = 0.6 // of its capacity
-	minCalmRequests    = 100
-	crossZoneTolerance = 3 // requests
+	// In a stable zone no request needs to cross: the zone has been healthy for long and has free capacity.
+	minHealthyTime       = 10  // seconds
+	maxStableUtilization = 0.6 // of the zone's capacity
+	minStableRequests    = 100
+	crossZoneTolerance   = 3 // requests
 
 	minRequestsWithoutVoters = 50
 	minServedWithoutVoters   = 0.9
 )
 
-// requestState is what the history shows of requests.
+// requestState is the state of the requests, derived from the history. Maps with string keys are keyed by request ID.
 type requestState struct {
-	answers       map[string]Event
-	attempts      map[string]int
-	inFlight      map[string]string // request to the server that has it
-	draining      map[drainNotice]float64
-	calm          int // served requests of zones without need to cross
-	calmCrossZone int // of these, in another zone
-	withoutVoters []Event
+	answers         map[string]Event
+	attempts        map[string]int
+	inFlight        map[string]string       // server that has the request
+	draining        map[drainNotice]float64 // time of the first notice
+	stableZone      int                     // served requests of stable zones
+	stableCrossZone int                     // those of them that were served in another zone
+	withoutVoters   []Event                 // answers while no voter was running
 }
 
-// drainNotice is a server that a node was notified of.
+// drainNotice identifies a notice to a node that a server drains.
 type drainNotice struct{ node, server string }
 
-// guardRules are the checker's names of the rules of a node's invariant monitor, where they differ.
-var guardRules = map[string]string{
+// monitorRules maps rules of a node's invariant monitor to the checker's rules, for those with another name there.
+var monitorRules = map[string]string{
 	invariant.TooManyAttempts.String():   ruleAttempts,
 	invariant.ConcurrentAttempt.String(): ruleTwoAtOnce,
 	invariant.ServerDraining.String():    ruleDrains,
@@ -39,23 +39,23 @@
 	invariant.Unanswered.String():        ruleOneAnswer,
 }
 
-// guardRule is the checker's name of a rule of a node's invariant monitor.
-func guardRule(name string) string {
-	if rule, ok := guardRules[name]; ok {
+// monitorRule returns the checker's name for a rule of a node's invariant monitor.
+func monitorRule(name string) string {
+	if rule, ok := monitorRules[name]; ok {
 		return rule
 	}
-	return placementRulesWord + name
+	return placementRulesPrefix + name
 }
 
-// checkRequest checks the rules on single requests.
+// checkRequest checks the rules on a single request.
 func (c *checker) checkRequest(event Event) {
 	switch event.Kind {
 	case KindAttempt:
 		c.checkAttempt(event)
 	case KindAttemptEnd:
 		delete(c.requests.inFlight, event.ID)
-	case KindGuard: // also where no harm was done: a node that needs its monitor has a fault
-		c.violated(guardRule(event.Detail), event.At, "request %s: %s's guard objected: %s",
+	case KindGuard: // a violation although the monitor prevented harm: a node that needs its monitor has a fault
+		c.violated(monitorRule(event.Detail), event.At, "request %s: the invariant monitor of %s prevented a step: %s",
 			event.ID, event.Node, event.Detail)
 	case KindDrain:
 		notice := drainNotice{event.Node, event.To}
@@ -68,25 +68,26 @@
 	}
 }
 
-// checkAttempt checks that a request may be tried at a server.
+// checkAttempt checks the number of attempts of a request, that it has no other attempt in flight, and that its server
+// has not been draining for too long.
 func (c *checker) checkAttempt(event Event) {
 	state := &c.requests
 	state.attempts[event.ID]++
 	if count := state.attempts[event.ID]; count > c.limits.Attempts {
-		c.violated(ruleAttempts, event.At, "request %s came to a server as attempt %d", event.ID, count)
+		c.violated(ruleAttempts, event.At, "request %s reached a server as attempt %d", event.ID, count)
 	}
 	if other, ok := state.inFlight[event.ID]; ok {
-		c.violated(ruleTwoAtOnce, event.At, "request %s came to %s while %s had it", event.ID, event.To, other)
+		c.violated(ruleTwoAtOnce, event.At, "request %s reached %s while %s had it", event.ID, event.To, other)
 	}
 	state.inFlight[event.ID] = event.To
 	noticed, draining := state.draining[drainNotice{event.Node, event.To}]
 	if draining && event.At-noticed > drainGrace+c.limits.Slack {
-		c.violated(ruleDrains, event.At, "request %s came to %s %.1f s after %s was notified that it drains",
+		c.violated(ruleDrains, event.At, "request %s reached %s %.1f s after %s was notified that it drains",
 			event.ID, event.To, event.At-noticed, event.Node)
 	}
 }
 
-// checkAnswer checks that a request has one answer, in time.
+// checkAnswer checks that a request has only one answer, within the deadline.
 func (c *checker) checkAnswer(event Event) {
 	if earlier, ok := c.requests.answers[event.ID]; ok {
 		c.violated(ruleOneAnswer, event.At, "request %s was answered %s and %s", event.ID, earlier.Result, event.Result)
@@ -95,49 +96,49 @@
 	if event.Result != ResultNone && event.Took > c.limits.Deadline+c.limits.Slack {
 		c.violated(ruleInTime, event.At, "request %s was answered after %.2f s", event.ID, event.Took)
 	}
-	c.noteAnswer(event)
+	c.countAnswer(event)
 }
 
-// noteAnswer notes an answer for the rules on many requests.
-func (c *checker) noteAnswer(event Event) {
+// countAnswer adds an answer to what checkCrossings and checkWithoutVoters check at the end.
+func (c *checker) countAnswer(event Event) {
 	if event.Result == "" || event.Result == ResultNone || event.Result == ResultNodeGone {
 		return
 	}
-	if c.liveVoters() == 0 && !c.zoneDisturbed() && c.othersLive() {
+	if c.liveVoters() == 0 && !c.zoneFaultInjected() && c.othersLive() {
 		c.requests.withoutVoters = append(c.requests.withoutVoters, event)
 	}
-	if event.Result != ResultServed || !c.isCalm(event.Zone, event.At) {
+	if event.Result != ResultServed || !c.isStable(event.Zone, event.At) {
 		return
 	}
-	c.requests.calm++
+	c.requests.stableZone++
 	if event.To != event.Zone && event.To != "" {
-		c.requests.calmCrossZone++
+		c.requests.stableCrossZone++
 	}
 }
 
-// isCalm reports whether no request of a zone needs to cross: the zone has been healthy for long, has free capacity and
-// most of its nodes, and no fault has touched a zone.
-func (c *checker) isCalm(name string, at float64) bool {
+// isStable reports whether no request of a zone needs to cross: the zone has been healthy for long, has free capacity
+// and most of its nodes, and no fault has affected any zone.
+func (c *checker) isStable(name string, at float64) bool {
 	zone := c.zone(name)
 	return zone.isHealthy && at-zone.healthySince >= minHealthyTime &&
-		zone.connections <= maxCalmFill*zone.capacity && !c.zoneDisturbed() && !c.lacksNodes(name, at)
+		zone.connections <= maxStableUtilization*zone.capacity && !c.zoneFaultInjected() && !c.lacksNodes(name, at)
 }
 
-// checkCrossings checks that few requests have crossed zones without need.
+// checkCrossings checks that only few requests have crossed zones without need.
 func (c *checker) checkCrossings() {
-	crossed := c.requests.calmCrossZone
-	calm := c.requests.calm
-	if calm >= minCalmRequests && float64(crossed) > c.limits.UnneededCrossZone*float64(calm)+crossZoneTolerance {
+	crossed := c.requests.stableCrossZone
+	stable := c.requests.stableZone
+	if stable >= minStableRequests && float64(crossed) > c.limits.UnneededCrossZone*float64(stable)+crossZoneTolerance {
 		c.violated(ruleOwnZone, 0, "%d of %d requests crossed zones although their own was healthy and had capacity",
-			crossed, calm)
+			crossed, stable)
 	}
 }
 
-// checkWithoutVoters checks that nodes have served on when no voter was left.
+// checkWithoutVoters checks that nodes continued to serve while no voter was running.
 func (c *checker) checkWithoutVoters() {
 	served, all := 0, 0
 	for _, event := range c.requests.withoutVoters {
-		if c.policies.notAdmitted[event.ID] { // as operators have wanted it
+		if c.policies.notAdmitted[event.ID] { // the operators' policy rejects requests without a lease
 			continue
 		}
 		all++
@@ -147,6 +148,6 @@
 	}
 	if all >= minRequestsWithoutVoters && float64(served) < minServedWithoutVoters*float64(all) {
 		c.violated(ruleWithoutVoters, 0,
-			"with no voter left %d of %d requests were served, although every zone was healthy", served, all)
+			"with no voter running %d of %d requests were served, although every zone was healthy", served, all)
 	}
 }
--- a/internal/lab/faults/figures.go
+++ b/internal/lab/faults/figures.go
@@ -5,49 +5,49 @@
 // Figures are measures of a run. Times are in seconds.
 type Figures struct {
 	Requests        int     `json:"requests"`
-	Served          float64 `json:"served"`           // part of the requests that were served
-	Crossed         float64 `json:"crossed"`          // part of the served that went to another zone
-	Regions         float64 `json:"regions"`          // and to another region
-	Worst           float64 `json:"worst"`            // least part served in a window of 5 s
-	Reversals       int     `json:"reversals"`        // zones that were lost again after a recovery
-	PeakUtilization float64 `json:"peak"`             // most connections of a zone, as part of its capacity
-	ChangeHalf      float64 `json:"change_p50_s"`     // from a command to a policy in force at the last node
+	Served          float64 `json:"served"`           // fraction of the requests that were served
+	Crossed         float64 `json:"crossed"`          // fraction of the served requests that another zone served
+	Regions         float64 `json:"regions"`          // fraction of the served requests that another region served
+	Worst           float64 `json:"worst"`            // lowest served fraction of a window of 5 s
+	Reversals       int     `json:"reversals"`        // times that a zone was lost again after a recovery
+	PeakUtilization float64 `json:"peak"`             // highest connections of a zone, as a fraction of its capacity
+	ChangeHalf      float64 `json:"change_p50_s"`     // from a command until the policy is in force at the last node
 	Change99        float64 `json:"change_p99_s"`     // as above
 	ChangeMost      float64 `json:"change_longest_s"` // as above
-	OldPolicy       float64 `json:"old_policy_s"`     // longest use of a policy after the next was decided
-	Spread          float64 `json:"spread_p99_s"`     // from the first node that adopted a plan to the others
+	OldPolicy       float64 `json:"old_policy_s"`     // longest use of a policy after the next one was decided
+	Spread          float64 `json:"spread_p99_s"`     // from a plan's first adoption to that by another node
 	SpreadHalf      float64 `json:"spread_p50_s"`     // as above
 }
 
 const (
 	figureWindow      = 5  // seconds
-	minWindowRequests = 10 // of a window that counts
+	minWindowRequests = 10 // windows with fewer requests are ignored
 )
 
-// served counts requests and those of them that were served.
-type served struct{ served, all int }
+// ratio counts requests, and those of them that match a condition.
+type ratio struct{ matching, all int }
 
-// fraction is the part of the requests that were served; zero, where there are none.
-func (s served) fraction() float64 {
-	if s.all == 0 {
+// fraction returns the fraction of the requests that match. It is zero if there are no requests.
+func (r ratio) fraction() float64 {
+	if r.all == 0 {
 		return 0
 	}
-	return float64(s.served) / float64(s.all)
+	return float64(r.matching) / float64(r.all)
 }
 
 // add counts a request.
-func (s *served) add(isServed bool) {
-	s.all++
-	if isServed {
-		s.served++
+func (r *ratio) add(matches bool) {
+	r.all++
+	if matches {
+		r.matching++
 	}
 }
 
-// computeFigures computes the measures that only the complete history gives.
+// computeFigures computes the figures that need the complete history.
 func (c *checker) computeFigures() {
 	figures := &c.verdict.Figures
-	var total, crossed, otherRegion served
-	windows := map[int]served{}
+	var total, crossed, otherRegion ratio
+	windows := map[int]ratio{}
 	for _, answer := range c.requests.answers {
 		isServed := answer.Result == ResultServed
 		total.add(isServed)
@@ -75,7 +75,7 @@
 	figures.Spread = percentile(c.plans.spread, 99)
 }
 
-// percentile returns a percentile of sorted values; zero, where there are none.
+// percentile returns a percentile of sorted values. It returns zero if there are no values.
 func percentile(sorted []float64, percent int) float64 {
 	if len(sorted) == 0 {
 		return 0
