--- a/internal/lab/faults/agent_log.go
+++ b/internal/lab/faults/agent_log.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// LogFields are the fields of a line that a node's agent logs, by name. A field that is not there is empty, zero or
+// LogFields gives access to the fields of a log line of a node's agent by name. A missing field is empty, zero or
 // false.
 type LogFields interface {
 	Text(name string) string
@@ -12,11 +12,11 @@
 	Bytes(name string) []byte
 }
 
-// policyEventPrefix begins the log events of policies.
+// policyEventPrefix is the prefix of the names of log events on policies.
 const policyEventPrefix = "fleet_policy_"
 
-// EventOfLog returns the event that a line of an agent's log stands for. ok is false for lines that say nothing to the
-// checker.
+// EventOfLog converts a log line of an agent to an event of the history. ok is false for lines that the checker doesn't
+// use.
 func EventOfLog(event string, fields LogFields) (e Event, ok bool) {
 	if strings.HasPrefix(event, policyEventPrefix) {
 		return policyEventOfLog(strings.TrimPrefix(event, policyEventPrefix), fields)
@@ -38,7 +38,7 @@
 	return Event{}, false
 }
 
-// policyEventOfLog is EventOfLog for the events of policies.
+// policyEventOfLog converts a log line on policies. event is the log event's name without policyEventPrefix.
 func policyEventOfLog(event string, fields LogFields) (e Event, ok bool) {
 	e = Event{ID: fields.Text("id"), Number: fields.Number("number")}
 	switch event {
--- a/internal/lab/faults/client.go
+++ b/internal/lab/faults/client.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	maxClients        = 20000           // at once; what arrives on top is left out
-	initialClients    = 3 * time.Second // over which the clients that stand there at the start connect
-	maxLifetimeFactor = 4               // of the mean lifetime of a connection
-	noNodeDelay       = 300 * time.Millisecond
-	answerGrace       = 100 * time.Millisecond // beyond the deadline, in which a client waits for its answer
-	minRetryDelay     = 100 * time.Millisecond
-	retryJitter       = 300 // ms
-	maxRejections     = 3   // in a row; then a client waits for restAfterRejected
-	restAfterRejected = 4 * time.Second
-	minReconnectDelay = 60              // ms
-	reconnectSpread   = 1200            // ms
-	messageInterval   = 2 * time.Second // as the platform's clients send
-	messageTimeout    = time.Second
-	readPollInterval  = 500 * time.Millisecond
-	clientReadBuffer  = 512
+	maxClients           = 20000           // at the same time; clients beyond that are not started
+	initialClients       = 3 * time.Second // during which the clients that exist at the start connect
+	maxLifetimeFactor    = 4               // times the mean lifetime of a connection
+	noNodeDelay          = 300 * time.Millisecond
+	answerGrace          = 100 * time.Millisecond // for which a client waits longer than its deadline
+	minRetryDelay        = 100 * time.Millisecond
+	retryJitter          = 300 // ms
+	maxRejections        = 3   // in a row, before a client waits for delayAfterRejections
+	delayAfterRejections = 4 * time.Second
+	minReconnectDelay    = 60              // ms
+	reconnectSpread      = 1200            // ms
+	messageInterval      = 2 * time.Second // as the platform's clients do
+	messageTimeout       = time.Second
+	readPollInterval     = 500 * time.Millisecond
+	clientReadBuffer     = 512
 )
 
-// runArrivals has clients arrive in a zone as a Poisson process until the run is over: one that waits for its answer
-// doesn't hold the next one back.
+// runArrivals starts clients of a zone as a Poisson process until the run is over. Arrivals don't depend on answers: a
+// client that waits for its answer doesn't delay the next client.
 func (h *harness) runArrivals(zone string, rng *rand.Rand) {
 	fleet := h.scenario.Fleet
 	demand := fleet.Utilization * float64(h.zoneCapacity())
@@ -47,7 +47,8 @@
 	}
 }
 
-// client is somebody who needs one connection for a time, and connects again where it ends before.
+// client is a simulated client that needs one connection until disconnectAt. It connects again if the connection ends
+// earlier.
 type client struct {
 	harness      *harness
 	zone         string
@@ -56,7 +57,7 @@
 	rng          *rand.Rand
 }
 
-// startClient draws a client and starts it after a while.
+// startClient draws a client's class and lifetime, and starts the client after a delay.
 func (h *harness) startClient(zone string, rng *rand.Rand, after time.Duration) {
 	class := 0
 	for point := rng.Float64(); class < len(Classes)-1 && point > Classes[class].Fraction; class++ {
@@ -83,7 +84,7 @@
 	})
 }
 
-// run connects, again and again, until the client needs its connection no longer.
+// run connects repeatedly until the client no longer needs its connection.
 func (c *client) run() {
 	rejections := 0
 	for time.Now().Before(c.disconnectAt) {
@@ -105,7 +106,7 @@
 		}
 		if rejections > maxRejections {
 			rejections = 0
-			delay = max(delay, restAfterRejected)
+			delay = max(delay, delayAfterRejections)
 		}
 		if !c.harness.pause(delay) {
 			return
@@ -113,7 +114,7 @@
 	}
 }
 
-// request makes one request at a node, and uses the connection that it gets.
+// request sends one request to a node, and uses the connection if the request is served.
 func (c *client) request(target *node) (served bool, retryAfter time.Duration) {
 	class := Classes[c.class]
 	deadline := time.Duration(class.Deadline * float64(time.Second))
@@ -133,8 +134,8 @@
 		return false, 0
 	}
 	defer closeQuietly(conn)
-	_ = conn.SetDeadline(start.Add(deadline + answerGrace)) // it fails on a closed connection, as does the read then
-	_, _ = fmt.Fprintf(conn, "OPEN %s %016x c=%s,d=%d\r\n", // where it can't be written, the read shows it
+	_ = conn.SetDeadline(start.Add(deadline + answerGrace)) // if this fails, the read below fails too
+	_, _ = fmt.Fprintf(conn, "OPEN %s %016x c=%s,d=%d\r\n", // if the write fails, the read below fails too
 		answer.ID, c.rng.Uint64(), class.Name, deadline.Milliseconds())
 	reader := bufio.NewReaderSize(conn, clientReadBuffer)
 	line, err := reader.ReadString('\n')
@@ -144,7 +145,7 @@
 		answer.Result = ResultNone
 	}
 	if answer.Result == ResultServed {
-		answer.To = c.harness.zoneOfReceipt(rest)
+		answer.To = c.harness.zoneOfReply(rest)
 	}
 	c.recordAnswer(answer, target, start)
 	switch answer.Result {
@@ -158,7 +159,7 @@
 	}
 }
 
-// resultOf is the result that an answer's first word stands for.
+// resultOf returns the result that an answer's first word means.
 func resultOf(word string) Result {
 	switch word {
 	case "UP":
@@ -169,7 +170,7 @@
 	return ResultFailed
 }
 
-// parseRetryAfter reads the milliseconds behind BUSY; zero, where there are none.
+// parseRetryAfter parses the milliseconds that follow BUSY. It returns zero if there are none.
 func parseRetryAfter(text string) time.Duration {
 	first, _, _ := strings.Cut(text, " ")
 	milliseconds, err := strconv.Atoi(first)
@@ -179,28 +180,30 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// zoneOfReceipt is the zone of the server that made a receipt.
-func (h *harness) zoneOfReceipt(receipt string) string {
-	_, id, _ := strings.Cut(receipt, "@")
+// zoneOfReply returns the zone of the server that sent a reply of the form REQUEST@SERVER. It returns "" if the server
+// is unknown.
+func (h *harness) zoneOfReply(reply string) string {
+	_, id, _ := strings.Cut(reply, "@")
 	if served := h.serverByID[id]; served != nil {
 		return served.zone
 	}
 	return ""
 }
 
-// recordAnswer records the answer to a request, or that there was none.
+// recordAnswer records the answer to a request, or that the request got none.
 func (c *client) recordAnswer(answer Event, n *node, start time.Time) {
 	if c.harness.over() {
 		return
 	}
 	answer.Took = time.Since(start).Seconds()
 	if answer.Result == ResultNone && !n.hasRunSince(start) {
-		answer.Result = ResultNodeGone // with its process: one that has died owes no answer
+		answer.Result = ResultNodeGone // the node's process ended or paused, so no answer was due
 	}
 	c.harness.record(answer)
 }
 
-// useConnection sends a message now and then until the client needs the connection no longer, or it ends.
+// useConnection sends messages at messageInterval until the client no longer needs the connection or the connection
+// ends.
 func (c *client) useConnection(conn net.Conn, reader *bufio.Reader) {
 	nextMessage := time.Now().Add(time.Duration(c.rng.Float64() * float64(messageInterval)))
 	for !c.harness.over() {
@@ -225,7 +228,7 @@
 	}
 }
 
-// sendMessage sends a message, and reports whether that was possible.
+// sendMessage sends a message, and reports whether the write succeeded.
 func sendMessage(conn net.Conn, now time.Time) bool {
 	if conn.SetWriteDeadline(now.Add(messageTimeout)) != nil {
 		return false
@@ -234,7 +237,7 @@
 	return err == nil
 }
 
-// earliest returns the earliest of some times.
+// earliest returns the earliest of the given times.
 func earliest(first time.Time, others ...time.Time) time.Time {
 	for _, other := range others {
 		if other.Before(first) {
--- a/internal/lab/faults/endpoint_list.go
+++ b/internal/lab/faults/endpoint_list.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	listVersion       = 1 // the endpoint list never changes
+	listVersion       = 1 // constant, since the endpoint list never changes
 	listHeaderTimeout = 5 * time.Second
 	serverState       = "SERVING"
 )
 
-// endpointList is a fake of the platform's discovery service. Each node has an address of its own at it, since the
-// servers have other addresses for each node.
+// endpointList is a fake of the platform's discovery service. It serves each node at a separate address, since each
+// node reaches the servers through its own links and so needs its own list.
 type endpointList struct {
 	harness *harness
-	changed chan struct{} // never closed: watches end by their time
+	changed chan struct{} // never closed, so watches end at their timeout
 	calls   atomic.Int64
 }
 
-// encode returns the list with the servers' addresses as a node sees them.
+// encode returns the list with the addresses at which a node reaches the servers.
 func (l *endpointList) encode(n *node) json.RawMessage {
 	var entries []fakeserver.ListEntry
 	for i, s := range l.harness.servers {
@@ -35,14 +35,14 @@
 	return fakeserver.EncodeList(listVersion, entries)
 }
 
-// serve serves the list to a node until the run ends, and returns the address for the node.
+// serve serves the list to a node until the run ends. It returns the address at which the node reaches the list.
 func (l *endpointList) serve(caller *node) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	httpServer := &http.Server{Handler: l.handler(caller), ReadHeaderTimeout: listHeaderTimeout}
-	go func() { _ = httpServer.Serve(listener) }() // it ends when the server is closed
+	go func() { _ = httpServer.Serve(listener) }() // returns when the server is closed
 	l.harness.background.Go(func() {
 		<-l.harness.done
 		closeQuietly(httpServer)
@@ -50,7 +50,7 @@
 	return l.harness.relay.Link(caller.name, "list", listener.Addr().String(), false)
 }
 
-// handler answers the calls of a node.
+// handler returns the HTTP handler that answers a node's calls.
 func (l *endpointList) handler(n *node) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		l.calls.Add(1)
--- a/internal/lab/faults/harness.go
+++ b/internal/lab/faults/harness.go
@@ -11,49 +11,49 @@
 	"time"
 )
 
-// Options say how a scenario is played.
+// Options are the options of a run.
 type Options struct {
-	Program string // the spurwinch program; spurwinch-voter stands beside it
-	// ProgramOf, if set, names the program of the node with an index at each of its starts, in place of Program: for
-	// fleets of several versions. Operators' commands stay those beside Program.
+	Program string // path of the spurwinch program; spurwinch-voter must be in the same directory
+	// ProgramOf, if set, returns the program of the node with an index at each of its starts, in place of Program. It
+	// serves for fleets of several versions. Operators' commands still use the spurwinchctl in Program's directory.
 	ProgramOf  func(index int) string
-	Dir        string // for configurations, files and logs
+	Dir        string // directory of configurations, files and logs
 	Seed       uint64
-	Nodes      int  // 0: as the scenario says
-	Standalone bool // each node decides for itself, without a fleet
+	Nodes      int  // 0: the number in the scenario
+	Standalone bool // the nodes run without a fleet, and each decides alone
 }
 
 const (
-	// MaxNodes bounds the processes of one run.
+	// MaxNodes is the maximum number of nodes, and so of node processes, in one run.
 	MaxNodes = 240
 
 	startTimeout      = 30 * time.Second // of one node
 	firstPlanTimeout  = 12 * time.Second
 	maxEvents         = 4 << 20
-	slowFactor        = 3 // of a slow zone's servers
+	slowFactor        = 3 // on the load that servers of a slow zone report
 	admissionDelay    = 500 * time.Millisecond
 	fleetKey          = "a key of the laboratory, nobody's secret"
 	minServerCapacity = 50
-	// connectionsPerNode are those that all servers bear for each node, if the scenario doesn't say it; clients ask for
-	// some 16 of them. The harness has a part of each connection, and its descriptors are bounded: large fleets get
-	// less.
+	// connectionsPerNode is the capacity of all servers, in connections, for each node, unless the scenario sets it.
+	// Clients use about 16 of them. Large fleets get less, since each connection uses descriptors of the harness, whose
+	// number is limited.
 	connectionsPerNode      = 36
 	connectionsPerNodeLarge = 18
 	largeFleet              = 30 // nodes
 )
 
-// Streams of the random generators of one seed.
+// Random streams of one seed, and the distance between the seeds of two nodes.
 const (
-	clientStream      = 1
-	stepStream        = 5
-	firstArrivalsOf   = 100 // and one stream for each zone
-	nodeSeedsDistance = 977
+	clientStream     = 1
+	stepStream       = 5
+	firstArrivals    = 100 // stream of the first zone's arrivals; the other zones follow
+	nodeSeedDistance = 977
 )
 
-// ErrNodeCount is wrapped by the error of Run for a number of nodes that can't be played.
+// ErrNodeCount is wrapped by the error of Run for a number of nodes that the scenario or MaxNodes doesn't allow.
 var ErrNodeCount = errors.New("number of nodes out of range")
 
-// harness is one run. It owns the servers, the nodes and the relay.
+// harness plays one run. It owns the servers, the nodes and the relay.
 type harness struct {
 	options        Options
 	scenario       *Scenario
@@ -70,25 +70,25 @@
 
 	done       chan struct{} // closed at the end
 	ended      atomic.Bool
-	running    atomic.Bool // the scenario is played: all events are recorded
+	running    atomic.Bool // the scenario is being played, so all events are recorded
 	background sync.WaitGroup
 	clients    atomic.Int64
-	commands   atomic.Int64 // of operators so far
+	commands   atomic.Int64 // number of operators' commands so far
 
 	mu         sync.Mutex
 	events     []Event
 	lostEvents int
 }
 
-// Run plays a scenario and returns its history. All that was started has ended when it returns, also when the context
-// ends first.
+// Run plays a scenario and returns its history. Before it returns it stops all processes and goroutines that it has
+// started, also if the context ends first.
 func Run(ctx context.Context, scenario *Scenario, options Options) (events []Event, err error) {
 	fleet := scenario.Fleet
 	if options.Nodes == 0 {
 		options.Nodes = fleet.Nodes
 	}
 	if options.Nodes < fleet.Voters || options.Nodes < fleet.Zones || options.Nodes > MaxNodes {
-		return nil, fmt.Errorf("%w: %d nodes: as many as voters and zones at least, %d at most",
+		return nil, fmt.Errorf("%w: got %d nodes; must be at least the number of voters and of zones, and at most %d",
 			ErrNodeCount, options.Nodes, MaxNodes)
 	}
 	h := newHarness(scenario, options)
@@ -118,7 +118,7 @@
 	return made
 }
 
-// serverCapacityFor is the number of connections that each server bears.
+// serverCapacityFor returns the capacity of each server in connections.
 func serverCapacityFor(fleet Fleet, nodes int) int {
 	if fleet.ServerCapacity > 0 {
 		return fleet.ServerCapacity
@@ -130,11 +130,11 @@
 	return max(minServerCapacity, perNode*nodes/fleet.Zones/fleet.ServersPerZone)
 }
 
-// zoneCapacity is the number of connections that the servers of one zone bear.
+// zoneCapacity returns the capacity of the servers of one zone together, in connections.
 func (h *harness) zoneCapacity() int { return h.scenario.Fleet.ServersPerZone * h.serverCapacity }
 
-// isRecordedBeforeRun reports whether events of a kind are recorded also before the scenario is played: those without
-// which the checker does not know the fleet.
+// isRecordedBeforeRun reports whether events of a kind are recorded even before the scenario is played. The checker
+// needs these events to know the fleet.
 func isRecordedBeforeRun(kind Kind) bool {
 	switch kind {
 	case KindZone, KindNode, KindStart, KindPlan, KindMode, KindLeader, KindProposalEnd:
@@ -144,7 +144,7 @@
 	}
 }
 
-// record adds an event to the history, at the current time if it has none.
+// record adds an event to the history. An event without a time gets the current time.
 func (h *harness) record(event Event) {
 	if !h.running.Load() && !isRecordedBeforeRun(event.Kind) {
 		return
@@ -161,18 +161,18 @@
 	h.events = append(h.events, event)
 }
 
-// recordCount records how often something happened.
+// recordCount records a count, with what was counted as its detail.
 func (h *harness) recordCount(what string, count int64) {
 	h.record(Event{Kind: KindCount, Detail: what, Value: float64(count)})
 }
 
-// seconds is the time since the run began.
+// seconds returns the time since the run began.
 func (h *harness) seconds() float64 { return time.Since(h.start).Seconds() }
 
 // over reports whether the run has ended.
 func (h *harness) over() bool { return h.ended.Load() }
 
-// pause waits for a time, and reports false if the run has ended meanwhile.
+// pause waits for a time. It returns false if the run ends meanwhile.
 func (h *harness) pause(length time.Duration) bool {
 	select {
 	case <-time.After(length):
@@ -182,12 +182,12 @@
 	}
 }
 
-// nodeFor returns the node that the front brings a client of a zone to: one of the zone that runs, of any zone where
-// none of its own does; nil, where none runs.
+// nodeFor returns the node to which the front end directs a client of a zone: a random node of the zone that accepts
+// clients, or of any zone if the zone has none. It returns nil if no node accepts clients.
 func (h *harness) nodeFor(zone string, rng *rand.Rand) *node {
 	var sameZone, all []*node
 	for _, n := range h.nodes {
-		if !n.takesClients() {
+		if !n.acceptsClients() {
 			continue
 		}
 		all = append(all, n)
@@ -204,7 +204,7 @@
 	return sameZone[rng.IntN(len(sameZone))]
 }
 
-// leader is the node that reported last that it leads; the first one, if none did.
+// leader returns the node that most recently reported that it leads, by term. It returns the first node if none did.
 func (h *harness) leader() *node {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -224,7 +224,7 @@
 	return leader
 }
 
-// close ends all that the run has started.
+// close stops all processes, servers and goroutines of the run.
 func (h *harness) close() {
 	h.ended.Store(true)
 	close(h.done)
@@ -239,14 +239,14 @@
 	h.background.Wait()
 }
 
-// end ends a node's process, also a paused one, and waits for that.
+// end kills a node's process, even a paused one, and waits until it has exited.
 func (n *node) end() {
 	n.signal(syscall.SIGCONT)
 	n.signal(syscall.SIGKILL)
 	n.mu.Lock()
-	gone := n.gone
+	exited := n.exited
 	n.mu.Unlock()
-	if gone != nil {
-		<-gone
+	if exited != nil {
+		<-exited
 	}
 }
--- a/internal/lab/faults/history.go
+++ b/internal/lab/faults/history.go
@@ -1,6 +1,6 @@
-// Package faults is a fault-injection harness for real processes. It starts the built program many times on loopback
-// with each link through a relay, injects faults into links and processes, records all that happens as a history of
-// events, and checks a history against the rules of docs/faults.md.
+// Package faults is a fault-injection harness for real processes. It starts one process of the built program for each
+// node on loopback and routes each link through a relay. It injects faults into links and processes, records a history
+// of events, and checks a history against the rules of docs/faults.md.
 package faults
 
 import (
@@ -10,18 +10,18 @@
 	"io"
 )
 
-// Kind says what happened in an event.
+// Kind is the kind of an event.
 type Kind string
 
-// Result says how a request, a check or a command ended.
+// Result is the result of a request, a check or a command.
 type Result string
 
-// Event is one line of a history. Kind says what happened; the other fields are set where the kind has them.
+// Event is one line of a history. Which of the other fields are set depends on Kind.
 type Event struct {
 	At     float64 `json:"at"` // seconds since the run began
 	Kind   Kind    `json:"kind"`
 	Node   string  `json:"node,omitempty"`
-	Zone   string  `json:"zone,omitempty"` // of the client, of the node, or of a server
+	Zone   string  `json:"zone,omitempty"` // of the client, the node or the server
 	To     string  `json:"to,omitempty"`   // a zone or a server
 	Class  string  `json:"class,omitempty"`
 	ID     string  `json:"id,omitempty"`
@@ -35,53 +35,53 @@
 	Detail string  `json:"detail,omitempty"`
 }
 
-// Kinds of events. The words are those of the files of histories.
+// Kinds of events. History files contain these values.
 const (
-	KindBegin        Kind = "begin"   // Detail: the scenario; Value: seconds of the run
-	KindZone         Kind = "zone"    // Zone; Detail: its region; Value: connections that its servers bear in all
-	KindNode         Kind = "node"    // Node, Zone; Value 1: a voter
-	KindFault        Kind = "fault"   // Detail: what was done
-	KindHealed       Kind = "healed"  // the last fault is over
-	KindStart        Kind = "start"   // Node; Detail: its files, such as FilesIntact
-	KindCrash        Kind = "crash"   // Node
-	KindPlan         Kind = "plan"    // Node adopts plan Number with Digest; Plan
+	KindBegin        Kind = "begin"   // Detail: the scenario's name; Value: length of the run in seconds
+	KindZone         Kind = "zone"    // Zone; Detail: its region; Value: capacity of its servers in connections
+	KindNode         Kind = "node"    // Node; Zone; Value: 1 for a voter, else 0
+	KindFault        Kind = "fault"   // a fault was injected, or ended after its time; Detail: what was done
+	KindHealed       Kind = "healed"  // the last fault has ended
+	KindStart        Kind = "start"   // Node starts; Detail: the state of its files, such as FilesIntact
+	KindCrash        Kind = "crash"   // Node's process was killed
+	KindPlan         Kind = "plan"    // Node adopts the plan Number with Digest; Plan: its content
 	KindMode         Kind = "mode"    // Node is in Mode, with plan Number
 	KindLeader       Kind = "leads"   // Node is the leader of term Number
-	KindProposalEnd  Kind = "decided" // Node reports that the proposal ID has ended at Number; Result
+	KindProposalEnd  Kind = "decided" // Node reports that the proposal ID ended at log entry Number; Result
 	KindAnswer       Kind = "answer"  // ID, Node, Zone, Class; To: the server's zone; Result; Took
-	KindAttempt      Kind = "try"     // a server received the request ID; To: the server; Node
-	KindAttemptEnd   Kind = "tried"   // the server has answered it, or its connection has ended
+	KindAttempt      Kind = "try"     // the server To received the request ID; Node
+	KindAttemptEnd   Kind = "tried"   // the server To answered the request ID, or its connection ended
 	KindGuard        Kind = "guard"   // a node's invariant monitor prevented a step; Detail: the rule
 	KindDrain        Kind = "drain"   // Node was notified that the server To drains
-	KindLease        Kind = "loan"    // Node has leased Value in zone To, from now on
-	KindPolicy       Kind = "policy"  // Node has learned that policy Number with Digest is in force; Detail
-	KindVerdict      Kind = "verdict" // Node has checked the change ID with Number; Result: yes or no
-	KindCanary       Kind = "trial"   // canaries may serve by policy Number from now on
+	KindLease        Kind = "loan"    // Node has leased the capacity Value in the zone To from now on
+	KindPolicy       Kind = "policy"  // Node has learned that the policy Number with Digest is in force; Detail
+	KindVerdict      Kind = "verdict" // Node has checked the change ID with Number; Result: ResultYes or ResultNo
+	KindCanary       Kind = "trial"   // canaries may use the policy Number from now on
 	KindChangeEnd    Kind = "ended"   // the change ID with Number has ended; Result
-	KindAdmission    Kind = "admit"   // Node got a request (ID, if known) under Number; Detail, as AdmittedByLease
-	KindCommand      Kind = "op"      // Node, an operator, has ended the command ID; Detail: its verb; Value: its start
-	KindConnections  Kind = "held"    // Zone's servers have Value connections
-	KindHarnessDelay Kind = "late"    // the test harness itself was late by Value seconds
-	KindCount        Kind = "count"   // Detail: of what; Value: how many
-	KindLog          Kind = "log"     // Detail: a log line that the checker doesn't judge
+	KindAdmission    Kind = "admit"   // Node decided on request ID, if known, under Number; Detail: as AdmittedByLease
+	KindCommand      Kind = "op"      // the command ID of the operator Node ended; Detail: its verb; Value: its start
+	KindConnections  Kind = "held"    // the servers of Zone have Value connections
+	KindHarnessDelay Kind = "late"    // the harness itself was late by Value seconds
+	KindCount        Kind = "count"   // Detail: what was counted; Value: the count
+	KindLog          Kind = "log"     // Detail: a log line that the checker ignores
 )
 
-// Results of requests, checks and commands. The words are those of the files of histories.
+// Results of requests, checks and commands. History files contain these values.
 const (
 	ResultServed    Result = "up"        // a request got its connection
 	ResultRejected  Result = "refused"   // a request, or a command, was rejected
 	ResultFailed    Result = "failed"    // a request failed
 	ResultNone      Result = "none"      // a request got no answer
-	ResultNodeGone  Result = "node gone" // a request's node ended before its answer
+	ResultNodeGone  Result = "node gone" // a request's node exited or paused before it answered
 	ResultAccepted  Result = "taken"     // a proposal or a change is in force
 	ResultAbandoned Result = "given up"  // a proposal or a change was abandoned
-	ResultYes       Result = "yes"       // a node can serve by a proposed policy
-	ResultNo        Result = "no"        // a node can't serve by a proposed policy
+	ResultYes       Result = "yes"       // a node can use a proposed policy
+	ResultNo        Result = "no"        // a node can't use a proposed policy
 	ResultOK        Result = "ok"        // a query was answered
-	ResultUnknown   Result = "unknown"   // a command's end is not known
+	ResultUnknown   Result = "unknown"   // a command's result is unknown
 )
 
-// What a node finds of its files at its start: Detail of KindStart.
+// States of a node's files at its start: Detail of KindStart.
 const (
 	FilesNew     = "new"
 	FilesIntact  = "kept"
@@ -90,23 +90,23 @@
 	FilesSpoiled = "spoilt" // altered
 )
 
-// What a node admitted a request by: Detail of KindAdmission.
+// What a node based an admission on: Detail of KindAdmission.
 const (
-	AdmittedByLease      = "lease"  // a policy whose lease is valid
+	AdmittedByLease      = "lease"  // the policy of a valid lease
 	AdmittedByBasePolicy = "ground" // the base policy of a node without a lease
-	NotAdmitted          = "none"   // rejected for want of a lease
+	NotAdmitted          = "none"   // rejected, since the node had no lease
 )
 
 // Detail of KindPolicy.
 const (
-	policyCommitted = "committed" // a voter, as it was decided
-	policyDecided   = "decided"   // a node has it on its disk
+	policyCommitted = "committed" // a voter has learned of the decision
+	policyDecided   = "decided"   // a node has stored the policy on its disk
 )
 
-// maxHistoryLine bounds a line of a history, in bytes.
+// maxHistoryLine is the maximum length of a line of a history in bytes.
 const maxHistoryLine = 4 << 20
 
-// Write writes a history as lines of JSON, one event each.
+// Write writes a history in JSON, with one event a line.
 func Write(w io.Writer, events []Event) error {
 	buffered := bufio.NewWriter(w)
 	encoder := json.NewEncoder(buffered)
@@ -118,7 +118,7 @@
 	return buffered.Flush()
 }
 
-// Read reads a history that Write has written.
+// Read reads a history in the format of Write.
 func Read(r io.Reader) (events []Event, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxHistoryLine)
--- a/internal/lab/faults/inject.go
+++ b/internal/lab/faults/inject.go
@@ -14,26 +14,26 @@
 	"spurwinch/internal/operations/fleetclient"
 )
 
-// Errors of steps that can't be played.
+// Errors of steps that can't be carried out.
 var (
-	ErrNoSuchNode    = errors.New("no such node")
-	ErrOrderRejected = errors.New("the leader rejected the order")
+	ErrNoSuchNode   = errors.New("no such node")
+	ErrCallRejected = errors.New("the leader rejected the call")
 )
 
-// linkEndNode stands in a step's from and to for the node that the step names.
+// linkEndNode is the value of a step's from and to that means the node which the step's key node selects.
 const linkEndNode = "node"
 
-// injection is one step on its way into the fleet.
+// injection is the injection of one step.
 type injection struct {
 	harness  *harness
 	schedule *schedule
 	at       time.Duration // since the schedule's start
 	step     Step
-	what     string   // as the history has it
-	touched  []string // the nodes that the fault touches, and no others; none: it may touch any
+	what     string   // detail of the event in the history
+	affected []string // names of the only nodes that the fault affects; empty: it may affect any node
 }
 
-// inject plays one step.
+// inject carries out one step and records it.
 func (h *harness) inject(step Step, plan *schedule) error {
 	if step.Action.isCommand() {
 		h.startCommands(step)
@@ -48,7 +48,7 @@
 	return started.record()
 }
 
-// apply has the fault take effect.
+// apply injects the fault into the fleet.
 func (in *injection) apply() error {
 	switch in.step.Action {
 	case ActionFailZone:
@@ -64,23 +64,23 @@
 	case ActionHeal:
 		in.heal()
 	case ActionDrain, ActionUndrain:
-		return in.harness.order(string(in.step.Action), in.step.Zone)
-	default: // commands and random steps don't come here
+		return in.harness.callLeader(string(in.step.Action), in.step.Zone)
+	default: // inject handles commands, and addSteps replaces random steps
 	}
 	return nil
 }
 
-// record records the fault, once for each node that it touches.
+// record records the fault, once for each node that it affects.
 func (in *injection) record() error {
 	encoded, err := json.Marshal(in.step)
 	if err != nil {
 		return err
 	}
-	touched := in.touched
-	if len(touched) == 0 {
-		touched = []string{""}
+	affected := in.affected
+	if len(affected) == 0 {
+		affected = []string{""}
 	}
-	for _, name := range touched {
+	for _, name := range affected {
 		in.harness.record(Event{
 			Kind: KindFault, Detail: in.what, Zone: in.step.Zone, Node: name, Digest: string(encoded),
 		})
@@ -88,14 +88,14 @@
 	return nil
 }
 
-// atEnd undoes the fault when its time is over, if it has one.
+// atEnd schedules the end of a fault that has a duration.
 func (in *injection) atEnd(undo func() error) {
 	if in.step.For > 0 {
 		in.schedule.add(in.at+time.Duration(in.step.For), undo)
 	}
 }
 
-// setServers sets how the servers of the step's zone fail.
+// setServers sets the failure and the slowdown of the servers of the step's zone.
 func (in *injection) setServers(failure Failure, slowdown float64) {
 	for _, s := range in.harness.servers {
 		if s.zone == in.step.Zone {
@@ -112,7 +112,7 @@
 	}
 }
 
-// failZone has the servers of the step's zone fail.
+// failZone makes the servers of the step's zone fail until the fault's end.
 func (in *injection) failZone() {
 	in.what = "zone " + string(in.step.Failure)
 	if in.step.Failure == FailureSlow {
@@ -127,21 +127,21 @@
 	})
 }
 
-// killNodes kills the step's nodes; each starts again at the fault's end.
+// killNodes kills the step's nodes. Each starts again at the fault's end.
 func (in *injection) killNodes() error {
 	nodes, err := in.harness.selectNodes(in.step.Node)
 	if err != nil {
 		return err
 	}
 	for _, n := range nodes {
-		in.touched = append(in.touched, n.name)
+		in.affected = append(in.affected, n.name)
 		n.kill()
 		in.atEnd(func() error { return n.restart(in.step.Files) })
 	}
 	return nil
 }
 
-// pauseNodes pauses the step's nodes; each goes on at the fault's end.
+// pauseNodes pauses the step's nodes. Each resumes at the fault's end.
 func (in *injection) pauseNodes() error {
 	nodes, err := in.harness.selectNodes(in.step.Node)
 	if err != nil {
@@ -151,7 +151,7 @@
 		if !n.pause() {
 			continue
 		}
-		in.touched = append(in.touched, n.name)
+		in.affected = append(in.affected, n.name)
 		in.atEnd(func() error {
 			n.resume()
 			return nil
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// impairLinks cuts or impairs the step's links. Those of one node are named by what it is.
+// impairLinks cuts or impairs the step's links. If the step selects a node, it replaces linkEndNode by the node's name.
 func (in *injection) impairLinks() error {
 	step := &in.step
 	if step.Node != "" {
@@ -172,7 +172,7 @@
 			return fmt.Errorf("%w: node = %q", ErrNoSuchNode, step.Node)
 		}
 		name := nodes[0].name
-		in.touched = append(in.touched, name)
+		in.affected = append(in.affected, name)
 		if step.From == linkEndNode {
 			step.From = name
 		}
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// setLinks sets a fault on the step's links, in both directions if it says so.
+// setLinks sets a fault on the step's links, in both directions if the step asks for that.
 func (in *injection) setLinks(fault LinkFault) {
 	in.harness.relay.Set(in.step.From, in.step.To, fault)
 	if in.step.Both {
@@ -203,8 +203,8 @@
 	}
 }
 
-// selectNodes returns the nodes that a selector names: leader, follower, voter, voter:N, node:N, last, zone:Z, third or
-// all.
+// selectNodes returns the nodes that match a selector. The selectors are leader, follower, voter, voter:N, node:N,
+// last, zone:Z, third and all. third selects every third node unless it is a voter.
 func (h *harness) selectNodes(selector string) ([]*node, error) {
 	kind, argument, _ := strings.Cut(selector, ":")
 	var selected []*node
@@ -231,13 +231,13 @@
 		selected = h.nodes
 	}
 	if len(selected) == 0 {
-		return nil, fmt.Errorf("%w: node = %q: leader, follower, voter, voter:N, node:N, last, zone:Z, third or all "+
-			"is wanted", ErrNoSuchNode, selector)
+		return nil, fmt.Errorf("%w: node = %q: must be leader, follower, voter, voter:N, node:N, last, zone:Z, "+
+			"third or all", ErrNoSuchNode, selector)
 	}
 	return selected, nil
 }
 
-// selectVoters returns the voter of a number, counted from 0, or all voters if there is no number.
+// selectVoters returns the voter with a number, counted from 0, or all voters if number is empty.
 func (h *harness) selectVoters(number string) []*node {
 	if number == "" {
 		return h.filterNodes(func(n *node) bool { return n.isVoter })
@@ -249,7 +249,7 @@
 	return h.filterNodes(func(n *node) bool { return n.isVoter && n.index == index })
 }
 
-// filterNodes returns the nodes that a function accepts.
+// filterNodes returns the nodes for which accept returns true.
 func (h *harness) filterNodes(accept func(n *node) bool) []*node {
 	var accepted []*node
 	for _, n := range h.nodes {
@@ -260,8 +260,8 @@
 	return accepted
 }
 
-// order calls the leader, as spurwinchctl does.
-func (h *harness) order(verb, zone string) error {
+// callLeader sends the leader a call with a verb, as spurwinchctl does.
+func (h *harness) callLeader(verb, zone string) error {
 	leader := h.leader()
 	list, err := config.ReadFleetList(filepath.Join(leader.dir, "nodes.toml"))
 	if err != nil {
@@ -273,7 +273,7 @@
 		return err
 	}
 	if reply.Error != "" {
-		return fmt.Errorf("%w: %s", ErrOrderRejected, reply.Error)
+		return fmt.Errorf("%w: %s", ErrCallRejected, reply.Error)
 	}
 	return nil
 }
--- a/internal/lab/faults/link.go
+++ b/internal/lab/faults/link.go
@@ -13,25 +13,25 @@
 const (
 	maxListenAttempts  = 20
 	maxDatagram        = 64 << 10
-	maxWaiting         = 4096 // datagrams on one link; what comes on top is lost
+	maxWaiting         = 4096 // datagrams on one link; the link drops further datagrams
 	streamBuffer       = 16 << 10
 	cutPollInterval    = 20 * time.Millisecond
 	descriptorLackWait = 50 * time.Millisecond
 )
 
-// link is the way from one party to another.
+// link forwards the traffic from one party to another.
 type link struct {
 	relay    *Relay
 	from, to string
 	target   atomic.Pointer[string]
 	forward  atomic.Pointer[LinkFault]
-	backward atomic.Pointer[LinkFault] // of streams
+	backward atomic.Pointer[LinkFault] // direction of the streams' replies
 	udp      *net.UDPConn              // nil: a link without datagrams
 	tcp      *net.TCPListener
 }
 
-// listen opens the link's sockets, both with one port. The kernel picks it for the first; where the second can't have
-// it, another one is tried.
+// listen opens the link's sockets, both on the same port. The kernel picks the port of the first socket. If the second
+// can't have the same port, listen tries again with another one.
 func (l *link) listen(datagrams bool) error {
 	var lastErr error
 	for range maxListenAttempts {
@@ -64,7 +64,7 @@
 	}
 }
 
-// applyRules sets the faults of both directions. The relay's mutex is held.
+// applyRules sets the faults of both directions. The caller must hold the relay's mutex.
 func (l *link) applyRules(rules []faultRule) {
 	var forward, backward LinkFault
 	for _, rule := range rules {
@@ -79,13 +79,13 @@
 	l.backward.Store(&backward)
 }
 
-// delayedDatagram is a datagram on its way.
+// delayedDatagram is a datagram that waits until it is due.
 type delayedDatagram struct {
 	due  time.Time
 	data []byte
 }
 
-// datagramQueue is a heap of datagrams, the next due first. It implements heap.Interface.
+// datagramQueue is a heap of datagrams, ordered by when they are due. It implements heap.Interface.
 type datagramQueue []delayedDatagram
 
 func (q datagramQueue) Len() int           { return len(q) }
@@ -95,7 +95,7 @@
 func (q *datagramQueue) Push(x any) {
 	datagram, ok := x.(delayedDatagram)
 	if !ok {
-		panic("the queue takes datagrams only")
+		panic("datagramQueue: only delayedDatagram values can be pushed")
 	}
 	*q = append(*q, datagram)
 }
@@ -107,7 +107,7 @@
 	return popped
 }
 
-// nextDue is when the next datagram is due; zero, if there is none.
+// nextDue returns when the next datagram is due. It returns the zero time if the queue is empty.
 func (q datagramQueue) nextDue() time.Time {
 	if len(q) == 0 {
 		return time.Time{}
@@ -115,13 +115,13 @@
 	return q[0].due
 }
 
-// datagramForwarder forwards the datagrams of one link. It belongs to one goroutine.
+// datagramForwarder forwards the datagrams of one link. Only one goroutine may use it.
 type datagramForwarder struct {
 	link   *link
 	sender *net.UDPConn
 	rng    *rand.Rand
 	queue  datagramQueue
-	idleAt time.Time // when the link has sent what came before, at its rate
+	idleAt time.Time // when the link has sent the earlier datagrams at its rate
 }
 
 // forwardDatagrams forwards datagrams until the link is closed.
@@ -142,7 +142,7 @@
 	}
 }
 
-// receive drops, delays or duplicates a datagram, by the link's fault.
+// receive drops, delays or duplicates a datagram according to the link's fault.
 func (f *datagramForwarder) receive(data []byte, now time.Time) {
 	counts := &f.link.relay.Counts
 	counts.Datagrams.Add(1)
@@ -159,7 +159,7 @@
 	}
 }
 
-// enqueue has a copy of a datagram wait until it is due.
+// enqueue queues a copy of a datagram with the time when it is due.
 func (f *datagramForwarder) enqueue(data []byte, fault LinkFault, now time.Time) {
 	due := now.Add(fault.Delay + time.Duration(f.rng.Float64()*float64(fault.Spread)))
 	if fault.Rate > 0 {
@@ -172,7 +172,7 @@
 	heap.Push(&f.queue, delayedDatagram{due, append([]byte(nil), data...)})
 }
 
-// transmissionTime is how long some bytes take at a rate in bytes a second.
+// transmissionTime returns how long size bytes take at a rate in bytes per second.
 func transmissionTime(size, rate int) time.Duration {
 	return time.Duration(size) * time.Second / time.Duration(rate)
 }
@@ -184,9 +184,9 @@
 		heap.Pop(&f.queue)
 		target, err := net.ResolveUDPAddr("udp", *f.link.target.Load())
 		if err != nil {
-			continue // a target that has no address gets nothing
+			continue // a target without a valid address receives nothing
 		}
-		_, _ = f.sender.WriteToUDP(data, target) // a datagram may be lost
+		_, _ = f.sender.WriteToUDP(data, target) // an error loses the datagram, as a network may
 	}
 }
 
@@ -208,7 +208,8 @@
 	}
 }
 
-// forwardStream forwards one stream. A link that is cut lets nothing pass, not even that it is cut.
+// forwardStream forwards one stream. While the link is cut, nothing passes, so the parties can't notice the cut by an
+// error.
 func (l *link) forwardStream(client net.Conn) {
 	defer closeQuietly(client)
 	for l.forward.Load().Cut || l.backward.Load().Cut {
@@ -219,7 +220,7 @@
 	server, err := net.Dial("tcp", *l.target.Load())
 	if err != nil {
 		l.relay.countDescriptorLack(err)
-		reset(client) // as near to a refusal as can be: the client has a connection already
+		reset(client) // the closest to a refusal, since the client is already connected
 		return
 	}
 	defer closeQuietly(server)
@@ -241,7 +242,7 @@
 	}
 }
 
-// copyStream copies one direction of a stream, its end included, with the direction's fault.
+// copyStream copies one direction of a stream, including its end, and applies the direction's fault.
 func (l *link) copyStream(target, source net.Conn, fault *atomic.Pointer[LinkFault]) {
 	buffer := make([]byte, streamBuffer)
 	for {
@@ -267,7 +268,7 @@
 	}
 }
 
-// delayStream waits until bytes may pass, and reports false if the relay was closed meanwhile.
+// delayStream waits until size bytes may pass. It returns false if the relay is closed meanwhile.
 func (l *link) delayStream(size int, fault *atomic.Pointer[LinkFault]) bool {
 	current := fault.Load()
 	for current.Cut {
--- a/internal/lab/faults/node.go
+++ b/internal/lab/faults/node.go
@@ -14,13 +14,13 @@
 
 const (
 	maxLogLine       = 4 << 20
-	damageStart      = 40  // bytes of a log file that damage leaves alone
+	damageStart      = 40  // bytes at the start of a log file that damage leaves unchanged
 	damageInterval   = 997 // bytes
 	damageMask       = 0x55
 	listeningBacklog = 4
 )
 
-// node is one node with its process.
+// node is one node of the fleet with its process.
 type node struct {
 	harness     *harness
 	index       int
@@ -28,17 +28,17 @@
 	zone        string
 	isVoter     bool
 	dir         string
-	fleetAddr   string   // its own, for other nodes
-	nodeLinks   []string // the other nodes' addresses, as it sees them
-	serverLinks []string // the servers', as it sees them
-	clientAddr  string   // for its clients, through the relay
-	listening   chan string
+	fleetAddr   string      // address on which the node listens for other nodes
+	nodeLinks   []string    // addresses at which this node reaches the other nodes, by their index
+	serverLinks []string    // addresses at which this node reaches the servers, by their index
+	clientAddr  string      // address at which clients reach this node through the relay
+	listening   chan string // addresses on which the process listens for the platform's clients
 
 	mu        sync.Mutex
 	cmd       *exec.Cmd     // nil: no process runs
-	gone      chan struct{} // closed when the process has ended
-	diedAt    time.Time
-	runsSince time.Time // its process has started, or gone on
+	exited    chan struct{} // closed when the process has exited
+	exitedAt  time.Time
+	runsSince time.Time // when the process started or resumed
 	paused    bool
 }
 
@@ -55,21 +55,21 @@
 	}
 }
 
-// takesClients reports whether the front brings clients to the node.
-func (n *node) takesClients() bool {
+// acceptsClients reports whether the front end directs clients to the node.
+func (n *node) acceptsClients() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cmd != nil && !n.paused && time.Since(n.runsSince) > admissionDelay
 }
 
-// hasRunSince reports whether a node's process has run without a break since a time.
+// hasRunSince reports whether the node's process has run without interruption since a time.
 func (n *node) hasRunSince(at time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cmd != nil && n.diedAt.Before(at) && !n.paused && n.runsSince.Before(at)
+	return n.cmd != nil && n.exitedAt.Before(at) && !n.paused && n.runsSince.Before(at)
 }
 
-// start starts a process of the node. files says what it finds of its files, such as FilesIntact.
+// start starts a process of the node. files is the state in which it finds the node's files, such as FilesIntact.
 func (n *node) start(files string) error {
 	if err := n.prepareFiles(files); err != nil {
 		return err
@@ -91,18 +91,18 @@
 		closeQuietly(file)
 		return fmt.Errorf("node program %s: %w", cmd.Path, err)
 	}
-	gone := make(chan struct{})
+	exited := make(chan struct{})
 	n.mu.Lock()
 	n.cmd = cmd
-	n.gone = gone
+	n.exited = exited
 	n.runsSince = time.Now()
 	n.paused = false
 	n.mu.Unlock()
-	go n.follow(cmd, log, file, gone)
+	go n.follow(cmd, log, file, exited)
 	return nil
 }
 
-// prepareFiles loses or damages the files of the node's process before, as said.
+// prepareFiles removes or damages the files of the node's previous process according to files.
 func (n *node) prepareFiles(files string) error {
 	dir := filepath.Join(n.dir, "files")
 	switch files {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// damage alters some bytes.
+// damage alters one byte in each damageInterval.
 func damage(raw []byte) []byte {
 	for i := damageStart; i < len(raw); i += damageInterval {
 		raw[i] ^= damageMask
@@ -124,7 +124,7 @@
 	return raw
 }
 
-// rewriteLogs changes each log file of a directory.
+// rewriteLogs applies change to each log file of a directory.
 func rewriteLogs(dir string, change func(raw []byte) []byte) error {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
@@ -142,7 +142,8 @@
 	return nil
 }
 
-// command is the node's program with its configuration and an empty directory for temporary files.
+// command returns the command that starts the node's program with its configuration and an empty directory for
+// temporary files.
 func (n *node) command() (*exec.Cmd, error) {
 	options := n.harness.options
 	args := []string{"-log", "json", "-log-level", "debug"}
@@ -162,37 +163,38 @@
 		return nil, err
 	}
 	cmd.Env = []string{"GW_CONFIG=" + filepath.Join(n.dir, "config.json"), "GOMAXPROCS=1", "TMPDIR=" + temporary}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with the harness
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process ends with the harness
 	return cmd, nil
 }
 
-// follow reads what the process logs until it ends, and writes it to a file.
-func (n *node) follow(cmd *exec.Cmd, log io.Reader, file io.WriteCloser, gone chan struct{}) {
-	defer close(gone)
+// follow reads the process's log until the process exits, and copies it to a file.
+func (n *node) follow(cmd *exec.Cmd, log io.Reader, file io.WriteCloser, exited chan struct{}) {
+	defer close(exited)
 	defer closeQuietly(file)
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
 		n.readLogLine(scanner.Bytes())
-		_, _ = fmt.Fprintf(file, "%s\n", scanner.Text()) // the file is for people; no check needs it
+		_, _ = fmt.Fprintf(file, "%s\n", scanner.Text()) // no check needs the file; it is for people
 	}
-	_ = cmd.Wait() // how it ended says nothing: most processes are killed
+	_ = cmd.Wait() // the exit status means nothing, since most processes are killed
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cmd == cmd {
 		n.cmd = nil
-		n.diedAt = time.Now()
+		n.exitedAt = time.Now()
 	}
 }
 
-// isRunning reports whether the node has a process.
+// isRunning reports whether the node has a process, running or paused.
 func (n *node) isRunning() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cmd != nil
 }
 
-// restart starts the process again, unless it runs, and has its clients come to where it listens then.
+// restart starts the process again, unless it is running, and directs the clients to the address on which it then
+// listens.
 func (n *node) restart(files string) error {
 	if n.isRunning() {
 		return nil
@@ -213,7 +215,7 @@
 	return nil
 }
 
-// pause stops the process where it is, and reports whether there is one.
+// pause suspends the process. It returns false if the node has no process.
 func (n *node) pause() bool {
 	if !n.signal(syscall.SIGSTOP) {
 		return false
@@ -224,7 +226,7 @@
 	return true
 }
 
-// resume has a paused process go on.
+// resume resumes a paused process.
 func (n *node) resume() {
 	n.mu.Lock()
 	n.paused = false
@@ -233,17 +235,17 @@
 	n.signal(syscall.SIGCONT)
 }
 
-// signal sends a signal to the process, and reports whether there is one.
+// signal sends a signal to the process. It returns false if the node has no process or the signal can't be sent.
 func (n *node) signal(signal syscall.Signal) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cmd != nil && n.cmd.Process.Signal(signal) == nil
 }
 
-// kill kills the process and waits for its end.
+// kill kills the process, records the crash and waits until the process has exited.
 func (n *node) kill() {
 	n.mu.Lock()
-	gone := n.gone
+	exited := n.exited
 	runs := n.cmd != nil
 	n.mu.Unlock()
 	if !runs {
@@ -251,5 +253,5 @@
 	}
 	n.harness.record(Event{Kind: KindCrash, Node: n.name, Zone: n.zone})
 	n.signal(syscall.SIGKILL)
-	<-gone
+	<-exited
 }
--- a/internal/lab/faults/node_files.go
+++ b/internal/lab/faults/node_files.go
@@ -11,11 +11,11 @@
 const (
 	nodeMemory       = 192 // MB
 	nodeDescriptors  = 1024
-	smallDescriptors = 600  // of a small node
-	moreDescriptors  = 1000 // that a policy needs for which small nodes have too few
+	smallDescriptors = 600  // descriptors of a small node
+	moreDescriptors  = 1000 // descriptors that DocumentDescriptors needs, more than a small node has
 )
 
-// writeFiles writes the files of a node.
+// writeFiles writes the configuration files and the key of a node.
 func (n *node) writeFiles() error {
 	discovery, err := n.harness.endpoints.serve(n)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// descriptors is the number of descriptors that a node has.
+// descriptors returns the number of descriptors of a node.
 func (n *node) descriptors() int {
 	if n.isAmongLast(n.harness.scenario.Fleet.SmallNodes) {
 		return smallDescriptors
@@ -46,26 +46,26 @@
 	return nodeDescriptors
 }
 
-// isAmongLast reports whether a node is one of the last ones of the list.
+// isAmongLast reports whether the node is one of the last count nodes of the list.
 func (n *node) isAmongLast(count int) bool {
 	return count > 0 && n.index >= n.harness.options.Nodes-count
 }
 
-// configuration is the platform's configuration of a node.
+// configuration returns the platform's configuration of a node.
 func (n *node) configuration(discovery string) ([]byte, error) {
 	options := n.harness.options
 	return json.Marshal(map[string]any{
 		"name":      n.name,
 		"listen":    "127.0.0.1:0",
 		"discovery": discovery,
-		"seed":      fmt.Sprintf("%x", options.Seed+uint64(n.index)*nodeSeedsDistance),
+		"seed":      fmt.Sprintf("%x", options.Seed+uint64(n.index)*nodeSeedDistance),
 		"limits":    map[string]any{"cores": 1, "memory_mb": nodeMemory, "sockets": n.descriptors()},
 		"known":     n.harness.endpoints.encode(n),
 		"settings":  NodeSettings(options.Nodes, n.index, n.zone),
 	})
 }
 
-// nodesFile is the fleet's list of nodes, with their addresses as this node sees them.
+// nodesFile returns the fleet's list of nodes, with the addresses at which this node reaches them.
 func (n *node) nodesFile() string {
 	var text strings.Builder
 	for i, other := range n.harness.nodes {
@@ -84,7 +84,7 @@
 	return text.String()
 }
 
-// listEntry is a node's entry in a list of nodes, with an address.
+// listEntry returns the node's entry, with an address, in a list of nodes.
 func (n *node) listEntry(address string) string {
 	region := n.harness.regionOf[n.zone]
 	entry := fmt.Sprintf("[[node]]\nname = %q\naddr = %q\nzone = %q\nregion = %q\n", n.name, address, n.zone, region)
@@ -94,7 +94,7 @@
 	return entry
 }
 
-// operatorFile is the operator's file of a node. The last nodes may know older policies only.
+// operatorFile returns the operator's file of a node. In some scenarios the last nodes know older policies only.
 func (n *node) operatorFile() string {
 	text := fmt.Sprintf("[fleet]\nself = %q\nlisten = %q\nnodes = %q\nkey_file = %q\ndir = %q\n",
 		n.name, n.fleetAddr, filepath.Join(n.dir, "nodes.toml"), filepath.Join(n.dir, "key"),
--- a/internal/lab/faults/node_log.go
+++ b/internal/lab/faults/node_log.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// jsonFields are the fields of a JSON line of a process's log. They implement LogFields.
+// jsonFields are the fields of a JSON line of a process's log. The type implements LogFields.
 type jsonFields map[string]json.RawMessage
 
-// raw is the text of a field's value.
+// raw returns the encoded value of a field.
 func (f jsonFields) raw(name string) string { return strings.TrimSpace(string(f[name])) }
 
 func (f jsonFields) Text(name string) string {
@@ -47,11 +47,11 @@
 	return data
 }
 
-// readLogLine records what a line of the process's log stands for.
+// readLogLine records the event, if any, that a line of the process's log describes.
 func (n *node) readLogLine(line []byte) {
 	var fields jsonFields
 	if json.Unmarshal(line, &fields) != nil {
-		return // a line of the runtime, as of a panic
+		return // not JSON: a line of the Go runtime, such as of a panic
 	}
 	name := fields.Text("event")
 	event, ok := EventOfLog(name, fields)
@@ -66,11 +66,11 @@
 	n.harness.record(event)
 }
 
-// nodeEvent returns the event that a line stands for that isn't one of the agent.
+// nodeEvent converts a log line that the agent did not write to an event of the history.
 func (n *node) nodeEvent(name string, fields jsonFields) (event Event, ok bool) {
 	switch name {
 	case "listening":
-		n.noteAddress(fields)
+		n.publishAddress(fields)
 	case "fleet_admitted":
 		n.recordAdmissions(fields.Text("requests"), int64(fields.Number("now")))
 	case "fleet_files_spoilt":
@@ -85,18 +85,18 @@
 	return Event{}, false
 }
 
-// noteAddress passes on where the process listens for the platform's clients.
-func (n *node) noteAddress(fields jsonFields) {
+// publishAddress sends the address on which the process listens for the platform's clients to n.listening.
+func (n *node) publishAddress(fields jsonFields) {
 	if fields.Text("protocol") != "platform" {
 		return
 	}
 	select {
 	case n.listening <- fields.Text("address"):
-	default: // nobody waits for it
+	default: // the channel is full, since no goroutine waits for the address
 	}
 }
 
-// admission is a request as a node logs its admission.
+// admission is a request's admission, as a node logs it.
 type admission struct {
 	id         string
 	number     uint64 // of the policy
@@ -121,9 +121,10 @@
 	return admission{id: parts[0], number: number, admittedBy: parts[2], at: at}, true
 }
 
-// recordAdmissions records the requests that a node logs together. now is the time by the node's clock.
+// recordAdmissions records the admissions that a node logs in one line. now is the time of the line in µs by the node's
+// clock.
 func (n *node) recordAdmissions(list string, now int64) {
-	const earliest = 1e-6 // zero stands for the current time
+	const earliest = 1e-6 // record takes zero as the current time
 	logged := n.harness.seconds()
 	for _, text := range strings.Fields(list) {
 		admitted, ok := parseAdmission(text)
--- a/internal/lab/faults/operators.go
+++ b/internal/lab/faults/operators.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	commandTimeout = 25 * time.Second // that a command is given
-	commandSlack   = 15 * time.Second // then it is killed
+	commandTimeout = 25 * time.Second // --timeout of a command
+	commandSlack   = 15 * time.Second // after commandTimeout, before the harness kills the command
 	operatorName   = "operator"
 )
 
@@ -26,7 +26,7 @@
 	statusUsage  = 2
 )
 
-// document is a policy document of a kind; number makes each another one.
+// document returns a policy document of a kind. number makes each document different.
 func document(kind DocumentKind, number int64) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "# proposal %d\nattempts = %d\ncome_again = \"1s\"\n", number, 3+number%2)
@@ -53,7 +53,7 @@
 	return text.String()
 }
 
-// startCommands has an operator give the commands of a step, one after another, each as a process.
+// startCommands runs the commands of a step one after another in the background, each as a process of its own.
 func (h *harness) startCommands(step Step) {
 	h.background.Go(func() {
 		for range max(1, step.Times) {
@@ -65,7 +65,8 @@
 	})
 }
 
-// writeOperatorFiles writes the operators' list of nodes and key: their calls go to the nodes themselves.
+// writeOperatorFiles writes the operators' list of nodes and their key. The list has the nodes' own addresses, since
+// operators' calls don't go through the relay.
 func (h *harness) writeOperatorFiles() error {
 	var list strings.Builder
 	for _, n := range h.nodes {
@@ -78,12 +79,12 @@
 	return os.WriteFile(key, []byte(fleetKey), 0o600)
 }
 
-// operatorPaths are the paths of the operators' list of nodes and key.
+// operatorPaths returns the paths of the operators' list of nodes and of their key.
 func (h *harness) operatorPaths() (nodes, key string) {
 	return filepath.Join(h.options.Dir, "operators.toml"), filepath.Join(h.options.Dir, "operators.key")
 }
 
-// runCommand runs spurwinchctl policy once, and records how it ended.
+// runCommand runs spurwinchctl policy once, and records its result.
 func (h *harness) runCommand(step Step) {
 	number := h.commands.Add(1)
 	id := fmt.Sprintf("op-%d", number)
@@ -105,7 +106,7 @@
 	cmd.Stdout = &output
 	cmd.Stderr = &messages
 	start := h.seconds()
-	_ = cmd.Run() // how it ended is read from its exit status below
+	_ = cmd.Run() // commandResult reads the exit status below
 	ended := Event{
 		Kind: KindCommand, ID: id, Node: operatorName, Detail: string(step.Action), Value: start,
 		Number: printedNumber(output.Bytes()),
@@ -120,7 +121,7 @@
 	}
 }
 
-// commandArguments are the arguments of spurwinchctl for a step.
+// commandArguments returns the arguments of spurwinchctl for a step.
 func (h *harness) commandArguments(step Step, id, documentPath string) []string {
 	nodes, key := h.operatorPaths()
 	arguments := []string{"policy", string(step.Action), "--nodes", nodes, "--key-file", key, "--json"}
@@ -137,19 +138,19 @@
 	return arguments
 }
 
-// printedNumber is the policy's number that a command has printed; zero, if it printed none.
+// printedNumber returns the policy number in a command's output. It returns zero if the output has none.
 func printedNumber(output []byte) uint64 {
 	var answer struct {
 		Number uint64 `json:"number"`
 	}
 	if json.Unmarshal(output, &answer) != nil {
-		return 0 // a command that failed, or was killed, prints nothing
+		return 0 // a command that fails or is killed prints nothing
 	}
 	return answer.Number
 }
 
-// commandResult is the result that a command's exit status and messages stand for. A command that was killed has none
-// of the statuses.
+// commandResult derives a command's result from its exit status and its messages. A command that was killed has none of
+// the listed statuses, so its result is unknown.
 func commandResult(action Action, status int, messages string) Result {
 	switch status {
 	case statusDone:
--- a/internal/lab/faults/random_steps.go
+++ b/internal/lab/faults/random_steps.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	randomStepTail   = 10 * time.Second // before the end of the run, in which no random step begins
+	randomStepTail   = 10 * time.Second // no random step begins within this time before the end of the run
 	minRandomSpan    = time.Second
 	minRandomLength  = time.Second
-	meanRandomLength = 4 * time.Second // added
+	meanRandomLength = 4 * time.Second // mean of the random part, which is added to minRandomLength
 	randomDrop       = 0.3
 	randomRepeat     = 0.3
 	randomSpread     = 300 * time.Millisecond
 )
 
-// drawStep draws a step by the seed. The history has what was drawn, so that it can be written into a scenario.
+// drawStep draws a random step from the seed. The history records the step, so that it can be copied into a scenario.
 func (h *harness) drawStep(start, length time.Duration) Step {
 	span := max(minRandomSpan, length-start-randomStepTail)
 	at := start + time.Duration(h.rng.Float64()*float64(span))
-	lasts := minRandomLength + time.Duration(h.rng.ExpFloat64()*float64(meanRandomLength))
-	step := Step{At: Duration(at), For: Duration(lasts)}
+	duration := minRandomLength + time.Duration(h.rng.ExpFloat64()*float64(meanRandomLength))
+	step := Step{At: Duration(at), For: Duration(duration)}
 	zone := h.zones[h.rng.IntN(len(h.zones))]
 	otherZone := h.zones[h.rng.IntN(len(h.zones))]
-	drawn := fmt.Sprintf("node:%d", h.rng.IntN(len(h.nodes)))
+	selector := fmt.Sprintf("node:%d", h.rng.IntN(len(h.nodes)))
 	switch h.rng.IntN(8) {
 	case 0:
 		step.failZone(zone, FailureRefuses)
@@ -33,11 +33,11 @@
 		step.failZone(zone, FailureSlow)
 	case 3:
 		step.Action = ActionKill
-		step.Node = drawn
+		step.Node = selector
 		step.Files = FilesIntact
 	case 4:
 		step.Action = ActionPause
-		step.Node = drawn
+		step.Node = selector
 	case 5:
 		step.Action = ActionPause
 		step.Node = "leader"
@@ -57,7 +57,7 @@
 	return step
 }
 
-// failZone makes the step one that has a zone fail.
+// failZone turns the step into one that makes a zone fail.
 func (s *Step) failZone(zone string, failure Failure) {
 	s.Action = ActionFailZone
 	s.Zone = zone
--- a/internal/lab/faults/relay.go
+++ b/internal/lab/faults/relay.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// anyParty stands for all parties in Relay.Set.
+// anyParty matches all parties in Relay.Set.
 const anyParty = "*"
 
-// Prefixes of the names of groups of parties; the zone's name follows.
+// Prefixes of the names of groups of parties. The zone's name follows the prefix.
 const (
 	nodeGroup   = "zone:"
 	serverGroup = "hosts:"
 	clientGroup = "clients:"
 )
 
-// LinkFault is what happens to one direction of a link. The zero value is a sound link.
+// LinkFault is the fault of one direction of a link. The zero value means no fault.
 type LinkFault struct {
-	Drop   float64       // part of the datagrams that are lost
-	Delay  time.Duration // added
-	Spread time.Duration // of the delay, drawn and added; datagrams overtake one another
-	Repeat float64       // part of the datagrams that come twice
-	Rate   int           // bytes a second; 0: no limit
+	Drop   float64       // fraction of the datagrams that are lost
+	Delay  time.Duration // fixed part of the delay
+	Spread time.Duration // maximum random part of a datagram's delay; it lets datagrams overtake one another
+	Repeat float64       // fraction of the datagrams that are duplicated
+	Rate   int           // bytes per second; 0: no limit
 	Cut    bool          // nothing passes
 }
 
@@ -36,7 +36,7 @@
 		f.Drop, f.Delay, f.Spread, f.Repeat, f.Rate, f.Cut)
 }
 
-// add adds another fault of the same direction.
+// add combines the fault with another fault of the same direction.
 func (f *LinkFault) add(other LinkFault) {
 	f.Drop = max(f.Drop, other.Drop)
 	f.Repeat = max(f.Repeat, other.Repeat)
@@ -48,14 +48,14 @@
 	f.Cut = f.Cut || other.Cut
 }
 
-// RelayCounts count what a relay has done.
+// RelayCounts counts what a relay has forwarded and dropped.
 type RelayCounts struct {
 	Datagrams      atomic.Int64
 	Dropped        atomic.Int64
 	Repeated       atomic.Int64
 	Streams        atomic.Int64
 	Bytes          atomic.Int64 // of streams
-	DescriptorLack atomic.Int64 // times that the harness itself had no descriptor left
+	DescriptorLack atomic.Int64 // times that the harness itself had no descriptors left
 }
 
 // Relay forwards the traffic of all links between parties, with faults on each direction. It is safe for concurrent
@@ -68,31 +68,32 @@
 	rules      []faultRule
 	links      []*link
 	groupOf    map[string]string
-	sender     *net.UDPConn // of all datagrams: who sent one is in the message
+	sender     *net.UDPConn // sends all datagrams; each message names its sender itself
 	closed     chan struct{}
 	background sync.WaitGroup
 }
 
-// faultRule is a fault on all links from some parties to some others: a party, a group or anyParty.
+// faultRule is a fault on all links between the parties that match from and to. Each of the two is a party, a group or
+// anyParty.
 type faultRule struct {
 	from, to string
 	fault    LinkFault
 }
 
-// NewRelay makes a relay without links.
+// NewRelay returns a relay without links. The seed determines the random faults of datagrams.
 func NewRelay(seed uint64) *Relay {
 	return &Relay{groupOf: map[string]string{}, closed: make(chan struct{}), seed: seed}
 }
 
-// Place puts a party into a group: zone:Z for nodes, hosts:Z for servers, clients:Z for clients.
+// Place puts a party into a group. The groups are zone:Z for nodes, hosts:Z for servers and clients:Z for clients.
 func (r *Relay) Place(party, group string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.groupOf[party] = group
 }
 
-// Link makes the link from one party to another, and returns the address that stands for the second at the first.
-// Datagrams are forwarded from the first to the second only, streams both ways.
+// Link creates a link from one party to another. It returns the address at which the first party reaches the second.
+// The link forwards datagrams from the first to the second only, and streams in both directions.
 func (r *Relay) Link(from, to, target string, datagrams bool) (string, error) {
 	made := &link{relay: r, from: from, to: to}
 	made.target.Store(&target)
@@ -115,7 +116,7 @@
 	return made.tcp.Addr().String(), nil
 }
 
-// openSender opens the socket that sends all datagrams on. r.mu is held.
+// openSender opens the socket that sends all forwarded datagrams. The caller must hold r.mu.
 func (r *Relay) openSender() error {
 	if r.sender != nil {
 		return nil
@@ -125,7 +126,7 @@
 	return err
 }
 
-// MoveClients has the clients' links to a node lead to another address.
+// MoveClients changes the target address of the clients' links to a node. Only new streams use the new address.
 func (r *Relay) MoveClients(node, target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,7 +137,8 @@
 	}
 }
 
-// Set puts a fault on all links from one party or group to another, in place of an earlier one. The zero fault ends it.
+// Set sets the fault on all links from one party or group to another. It replaces an earlier fault for the same source
+// and target; the zero fault only ends it.
 func (r *Relay) Set(source, target string, fault LinkFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,12 +168,12 @@
 	}
 }
 
-// matches reports whether a party is meant by a rule's word for it. r.mu is held.
-func (r *Relay) matches(party, word string) bool {
-	return word == anyParty || word == party || r.groupOf[party] == word
+// matches reports whether a party matches a rule's pattern. The caller must hold r.mu.
+func (r *Relay) matches(party, pattern string) bool {
+	return pattern == anyParty || pattern == party || r.groupOf[party] == pattern
 }
 
-// Close ends all links.
+// Close closes all links and waits for their goroutines.
 func (r *Relay) Close() {
 	close(r.closed)
 	r.mu.Lock()
@@ -185,14 +187,14 @@
 	r.background.Wait()
 }
 
-// noteError counts an error that shows that the harness itself has no descriptor left.
+// countDescriptorLack counts the error if it means that the harness itself has no descriptors left.
 func (r *Relay) countDescriptorLack(err error) {
 	if isOutOfDescriptors(err) {
 		r.Counts.DescriptorLack.Add(1)
 	}
 }
 
-// pause waits for a time, and reports false if the relay was closed meanwhile.
+// pause waits for a time. It returns false if the relay is closed meanwhile.
 func (r *Relay) pause(length time.Duration) bool {
 	select {
 	case <-time.After(length):
--- a/internal/lab/faults/scenario.go
+++ b/internal/lab/faults/scenario.go
@@ -6,10 +6,10 @@
 	"spurwinch/internal/config/tomlfile"
 )
 
-// Duration is written as in "1.5s".
+// Duration is a duration in the notation of time.Duration, such as "1.5s".
 type Duration = tomlfile.Duration
 
-// Scenario is a scenario's file.
+// Scenario is the content of a scenario file.
 type Scenario struct {
 	Name        string        `toml:"name"`
 	Description string        `toml:"what"`
@@ -17,33 +17,33 @@
 	Fleet       Fleet         `toml:"fleet,omitempty"`
 	Steps       []Step        `toml:"fault"`
 	Wants       []Expectation `toml:"want"`
-	Limits      *Limits       `toml:"limits,omitempty"` // nil: UsualLimits
+	Limits      *Limits       `toml:"limits,omitempty"` // nil: DefaultLimits
 }
 
-// RunLength is the table [run].
+// RunLength is the table [run] of a scenario file.
 type RunLength struct {
 	Length Duration `toml:"length"`
 }
 
-// Fleet is the fleet that a scenario is made for.
+// Fleet describes the fleet of a scenario.
 type Fleet struct {
 	Nodes              int      `toml:"nodes,omitzero"`
 	Zones              int      `toml:"zones,omitzero"`
 	Regions            int      `toml:"regions,omitzero"`
 	Voters             int      `toml:"voters,omitzero"`
 	ServersPerZone     int      `toml:"hosts,omitzero"`
-	ServerCapacity     int      `toml:"bears,omitzero"`   // connections; 0: by the number of nodes
-	Utilization        float64  `toml:"use,omitzero"`     // part of the capacity that clients ask for
+	ServerCapacity     int      `toml:"bears,omitzero"`   // connections; 0: derived from the number of nodes
+	Utilization        float64  `toml:"use,omitzero"`     // fraction of the capacity that clients use
 	ConnectionLifetime Duration `toml:"life,omitzero"`    // mean
-	Policy             bool     `toml:"policy,omitempty"` // the policy is on the log
-	OlderNodes         int      `toml:"older,omitzero"`   // the last ones, which know older policies only
-	SmallNodes         int      `toml:"small,omitzero"`   // the last ones, which have few descriptors
+	Policy             bool     `toml:"policy,omitempty"` // the fleet keeps its policy on the log
+	OlderNodes         int      `toml:"older,omitzero"`   // number of last nodes that know older policies only
+	SmallNodes         int      `toml:"small,omitzero"`   // number of last nodes that have few descriptors
 }
 
-// Action is what a step does. The words are those of the files.
+// Action is what a step does. Scenario files contain its values.
 type Action string
 
-// The actions.
+// Actions of steps.
 const (
 	ActionFailZone    Action = "lose"
 	ActionRecoverZone Action = "back"
@@ -60,61 +60,61 @@
 	ActionStatus      Action = "status"
 )
 
-// isCommand reports whether an action is a command of an operator.
+// isCommand reports whether an action is an operator's command.
 func (a Action) isCommand() bool {
 	return a == ActionPropose || a == ActionRollback || a == ActionStatus
 }
 
-// Failure is the way in which a zone's servers fail. The words are those of the files.
+// Failure is the way in which a zone's servers fail. Scenario files contain its values.
 type Failure string
 
-// The failures.
+// Failures of servers.
 const (
 	FailureNone    Failure = ""
-	FailureRefuses Failure = "refuses" // connections are refused, and those that stand are reset
-	FailureSilent  Failure = "silent"  // nothing is answered
-	FailureSlow    Failure = "slow"    // more load is reported than there is
+	FailureRefuses Failure = "refuses" // servers refuse new connections and reset established ones
+	FailureSilent  Failure = "silent"  // servers answer nothing
+	FailureSlow    Failure = "slow"    // servers report more load than they have
 )
 
-// DocumentKind is the kind of policy document that a step proposes. The words are those of the files.
+// DocumentKind is the kind of policy document that a step proposes. Scenario files contain its values.
 type DocumentKind string
 
-// The kinds of documents.
+// Kinds of policy documents.
 const (
 	DocumentDefault     DocumentKind = ""
 	DocumentPlain       DocumentKind = "plain"
-	DocumentNewer       DocumentKind = "newer" // with a key that older nodes don't know
-	DocumentDescriptors DocumentKind = "room"  // that needs more descriptors than small nodes have
-	DocumentInvalid     DocumentKind = "bad"
+	DocumentNewer       DocumentKind = "newer" // contains a key that older nodes don't know
+	DocumentDescriptors DocumentKind = "room"  // needs more descriptors than small nodes have
+	DocumentInvalid     DocumentKind = "bad"   // contains an unknown table
 )
 
-// Step is one fault, or one command of an operator. The history has it as JSON, by the names in the json tags.
+// Step is one fault or one command of an operator. The history contains it as JSON with the names in the json tags.
 type Step struct {
 	At        Duration     `toml:"at"              json:"At"`
 	Action    Action       `toml:"do"              json:"Do"`
 	Zone      string       `toml:"zone,omitempty"  json:"Zone"`
-	Node      string       `toml:"node,omitempty"  json:"Node"` // as selectNodes reads it
-	From      string       `toml:"from,omitempty"  json:"From"` // of links: a party, a group, or *
+	Node      string       `toml:"node,omitempty"  json:"Node"` // a selector of selectNodes
+	From      string       `toml:"from,omitempty"  json:"From"` // source of the links: a party, a group or *
 	To        string       `toml:"to,omitempty"    json:"To"`
-	Both      bool         `toml:"both,omitempty"  json:"Both"`  // both directions
-	Failure   Failure      `toml:"how,omitempty"   json:"How"`   // of lose
-	Files     string       `toml:"files,omitempty" json:"Files"` // of kill: what is left of them at the start
-	For       Duration     `toml:"for,omitzero"    json:"For"`   // until it is taken back, or the node starts again
+	Both      bool         `toml:"both,omitempty"  json:"Both"`  // in both directions
+	Failure   Failure      `toml:"how,omitempty"   json:"How"`   // for lose
+	Files     string       `toml:"files,omitempty" json:"Files"` // for kill: state of the files at the restart
+	For       Duration     `toml:"for,omitzero"    json:"For"`   // duration of the fault, or time until the restart
 	Drop      float64      `toml:"drop,omitzero"   json:"Drop"`
 	Delay     Duration     `toml:"delay,omitzero"  json:"Delay"`
 	Spread    Duration     `toml:"spread,omitzero" json:"Spread"`
 	Repeat    float64      `toml:"repeat,omitzero" json:"Repeat"`
-	Times     int          `toml:"times,omitzero"  json:"Times"` // of draw; of commands, one after another
-	Document  DocumentKind `toml:"doc,omitempty"   json:"Doc"`   // of propose
-	Canary    string       `toml:"part,omitempty"  json:"Part"`  // of propose
-	KillAfter Duration     `toml:"dies,omitzero"   json:"Dies"`  // of propose: after its start the command is killed
-	Dead      bool         `toml:"dead,omitempty"  json:"Dead"`  // read for older files; nothing goes by it
+	Times     int          `toml:"times,omitzero"  json:"Times"` // number of drawn steps, or of successive commands
+	Document  DocumentKind `toml:"doc,omitempty"   json:"Doc"`   // for propose
+	Canary    string       `toml:"part,omitempty"  json:"Part"`  // for propose
+	KillAfter Duration     `toml:"dies,omitzero"   json:"Dies"`  // for propose: time until the command is killed
+	Dead      bool         `toml:"dead,omitempty"  json:"Dead"`  // ignored; accepted for older files
 }
 
-// Expectation is what must have happened, or the run shows nothing.
+// Expectation is what must happen in a run; otherwise the run does not test what the scenario is made for.
 type Expectation struct {
 	Seen  string `toml:"seen"`  // a key of Verdict.Seen
-	Least int    `toml:"least"` // how often at least
+	Least int    `toml:"least"` // minimum number of occurrences
 }
 
 const (
@@ -130,7 +130,7 @@
 	maxZones              = 16
 )
 
-// ReadScenario reads and checks a scenario's file. path is for messages.
+// ReadScenario decodes and checks a scenario file. The path is used in error messages only.
 func ReadScenario(path string, text []byte) (*Scenario, error) {
 	scenario := &Scenario{}
 	file := tomlfile.Decode(path, text, scenario)
@@ -141,7 +141,7 @@
 	return scenario, file.Err()
 }
 
-// setDefaults gives what the file left out its defaults.
+// setDefaults sets the defaults of the keys that are missing in the file.
 func (f *Fleet) setDefaults() {
 	tomlfile.Fill(&f.Nodes, defaultNodes)
 	tomlfile.Fill(&f.Zones, defaultZones)
@@ -152,7 +152,7 @@
 	tomlfile.Fill(&f.ConnectionLifetime, Duration(defaultLifetime))
 }
 
-// EffectiveLimits are the limits that the scenario's history is checked against.
+// EffectiveLimits returns the limits for checking the scenario's history.
 func (s *Scenario) EffectiveLimits() Limits {
 	if s.Limits != nil {
 		return *s.Limits
@@ -160,7 +160,7 @@
 	return DefaultLimits
 }
 
-// CheckExercised adds a violation for each thing that the scenario is made for and that did not happen.
+// CheckExercised adds a violation for each expectation of the scenario that the run did not meet.
 func (s *Scenario) CheckExercised(verdict *Verdict) {
 	expected := map[string]int{}
 	for _, want := range s.Wants {
--- a/internal/lab/faults/schedule.go
+++ b/internal/lab/faults/schedule.go
@@ -8,11 +8,11 @@
 
 const (
 	planPollInterval = 50 * time.Millisecond
-	pulseInterval    = 50 * time.Millisecond
-	pulsesPerSample  = 10 // of the servers' connections
+	tickInterval     = 50 * time.Millisecond
+	ticksPerSample   = 10 // the servers' connections are recorded once in so many ticks
 )
 
-// play plays the scenario.
+// play plays the scenario on the running fleet.
 func (h *harness) play(ctx context.Context) error {
 	h.background.Go(h.watchClock)
 	if err := h.awaitPlans(ctx); err != nil {
@@ -31,7 +31,8 @@
 	return nil
 }
 
-// awaitPlans waits until all nodes have a plan, or none comes in time: clients start then.
+// awaitPlans waits, for firstPlanTimeout at most, until all nodes have a plan. The clients start afterwards in either
+// case.
 func (h *harness) awaitPlans(ctx context.Context) error {
 	if h.options.Standalone {
 		return nil
@@ -59,15 +60,15 @@
 	return len(seen) == len(h.nodes)
 }
 
-// startClients has clients arrive in each zone.
+// startClients starts the arrivals of clients in each zone.
 func (h *harness) startClients() {
 	for i, zone := range h.zones {
-		rng := rand.New(rand.NewPCG(h.options.Seed, uint64(firstArrivalsOf+i)))
+		rng := rand.New(rand.NewPCG(h.options.Seed, uint64(firstArrivals+i)))
 		h.background.Go(func() { h.runArrivals(zone, rng) })
 	}
 }
 
-// addSteps schedules the scenario's steps; random ones are drawn.
+// addSteps schedules the scenario's steps. It draws the steps that replace a random one.
 func (h *harness) addSteps(plan *schedule) {
 	for _, step := range h.scenario.Steps {
 		if step.Action != ActionRandom {
@@ -84,25 +85,25 @@
 	plan.add(time.Duration(step.At), func() error { return h.inject(step, plan) })
 }
 
-// schedule is what is done when. It belongs to the goroutine that runs it.
+// schedule is a list of functions with the times at which they are called. Only the goroutine that runs it may use it.
 type schedule struct {
 	start   time.Time
 	length  time.Duration
 	entries []scheduleEntry
 }
 
-// scheduleEntry is something that is done at a time after the start.
+// scheduleEntry is a function to call at a time after the schedule's start.
 type scheduleEntry struct {
 	at time.Duration
-	do func() error // nil: it was done
+	do func() error // nil after it was called
 }
 
-// add schedules something at a time after the start.
+// add schedules a function to be called at a time after the start.
 func (s *schedule) add(at time.Duration, do func() error) {
 	s.entries = append(s.entries, scheduleEntry{at, do})
 }
 
-// next is the index of the first entry that is not done yet; ok is false if there is none.
+// next returns the index of the earliest entry that is still to be called. ok is false if there is none.
 func (s *schedule) next() (index int, ok bool) {
 	for i, entry := range s.entries {
 		if entry.do != nil && (!ok || entry.at < s.entries[index].at) {
@@ -113,7 +114,7 @@
 	return index, ok
 }
 
-// run does all entries at their times until the schedule's length is over.
+// run calls all entries at their times until the schedule's length has passed, an entry fails or the context ends.
 func (s *schedule) run(ctx context.Context) error {
 	end := time.NewTimer(s.length)
 	defer end.Stop()
@@ -141,7 +142,7 @@
 	}
 }
 
-// recordCounts records what the relay and the endpoint list have done.
+// recordCounts records the counts of the relay and the endpoint list, and the number of lost events.
 func (h *harness) recordCounts() {
 	h.mu.Lock()
 	lost := h.lostEvents
@@ -156,22 +157,22 @@
 	h.recordCount(countNoDescriptors, counts.DescriptorLack.Load())
 }
 
-// watchClock records when the harness itself is late, and at times the servers' connections.
+// watchClock records each delay of the harness itself, and regularly the servers' connections.
 func (h *harness) watchClock() {
 	last := time.Now()
-	for pulse := 1; h.pause(pulseInterval); pulse++ {
+	for tick := 1; h.pause(tickInterval); tick++ {
 		now := time.Now()
-		if late := now.Sub(last) - pulseInterval; late > pulseInterval {
+		if late := now.Sub(last) - tickInterval; late > tickInterval {
 			h.record(Event{Kind: KindHarnessDelay, Value: late.Seconds()})
 		}
 		last = now
-		if pulse%pulsesPerSample == 0 {
+		if tick%ticksPerSample == 0 {
 			h.recordConnections()
 		}
 	}
 }
 
-// recordConnections records how many connections the servers of each zone have.
+// recordConnections records the number of connections of the servers of each zone.
 func (h *harness) recordConnections() {
 	byZone := map[string]int{}
 	for _, s := range h.servers {
--- a/internal/lab/faults/server.go
+++ b/internal/lab/faults/server.go
@@ -11,8 +11,8 @@
 // serverReadBuffer is the size of a server's buffers, in bytes.
 const serverReadBuffer = 4096
 
-// server is a fake of a platform's server: it counts its connections and bears a number of them. Those of
-// internal/lab/fakeserver work through jobs on cores; here only the number of connections matters.
+// server is a fake of a platform's server that models only the number of its connections and their maximum. In
+// contrast, the servers of internal/lab/fakeserver also process jobs on simulated cores.
 type server struct {
 	id, zone string
 	capacity int // connections
@@ -27,7 +27,7 @@
 	conns       map[net.Conn]bool
 }
 
-// newServer starts a server.
+// newServer starts a server on a free port.
 func (h *harness) newServer(id, zone string, capacity int) (*server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,7 +58,8 @@
 	}
 }
 
-// setFailure sets how the server fails from now on, and by which factor it is slow.
+// setFailure sets how the server fails from now on, and the factor on its reported load. FailureRefuses resets its open
+// connections.
 func (s *server) setFailure(failure Failure, slowdown float64) {
 	s.mu.Lock()
 	s.failure = failure
@@ -75,7 +76,7 @@
 	}
 }
 
-// connections is the number of clients' connections.
+// connections returns the number of clients' connections.
 func (s *server) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +90,7 @@
 	return s.failure, float64(s.established) / float64(s.capacity) * s.slowdown
 }
 
-// track remembers a connection, unless the server refuses connections.
+// track adds an open connection. It returns false if the server refuses connections.
 func (s *server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,18 +101,18 @@
 	return true
 }
 
-// forget ends what track began.
-func (s *server) forget(conn net.Conn) {
+// untrack removes a connection that track has added.
+func (s *server) untrack(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
 }
 
-// MaxConnections is how many connections a server of the laboratory takes before it is full: a fifth more than the
-// capacity, which is what its load reports relate to.
+// MaxConnections returns how many connections a server of the harness or the simulation accepts before it is full. That
+// is a fifth more than the capacity to which its load reports relate.
 func MaxConnections(capacity int) int { return capacity * 6 / 5 }
 
-// establish takes a connection of a client, unless the server is full.
+// establish accepts a client's connection. It returns false if the server is full.
 func (s *server) establish() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +123,7 @@
 	return true
 }
 
-// release ends what establish began.
+// release removes a connection that establish has accepted.
 func (s *server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,10 +134,10 @@
 type serverConn struct {
 	server *server
 	conn   net.Conn
-	id     string // of the request that it serves; empty: none
+	id     string // of the request that it serves; empty if there is none
 }
 
-// serve serves one connection of a node.
+// serve serves one connection of a node until it ends.
 func (s *server) serve(conn net.Conn) {
 	if !s.track(conn) {
 		reset(conn)
@@ -147,7 +148,7 @@
 		if served.id != "" {
 			s.release()
 		}
-		s.forget(conn)
+		s.untrack(conn)
 		closeQuietly(conn)
 	}()
 	reader := bufio.NewReaderSize(conn, serverReadBuffer)
@@ -159,7 +160,7 @@
 	}
 }
 
-// answer answers one line, and reports whether the connection goes on.
+// answer answers one line, and reports whether the connection continues.
 func (c *serverConn) answer(line string) bool {
 	failure, load := c.server.current()
 	if failure == FailureSilent {
@@ -179,8 +180,8 @@
 	return false
 }
 
-// open answers a request. The history has the attempt's end before the answer goes out: if the request comes to another
-// server after that, two at once is the node's doing.
+// open answers a request. It records the attempt's end before it sends the answer, since the node may try the request
+// at another server as soon as it has the answer. So if the history shows two attempts at once, the node caused them.
 func (c *serverConn) open(id string) bool {
 	c.server.harness.record(Event{Kind: KindAttempt, ID: id, To: c.server.id})
 	established := c.server.establish()
@@ -193,7 +194,7 @@
 	return c.write("UP %s@%s\r\n", id, c.server.id)
 }
 
-// write writes to the node, and reports whether it is still there.
+// write writes to the node, and reports whether that succeeded.
 func (c *serverConn) write(format string, args ...any) bool {
 	_, err := fmt.Fprintf(c.conn, format, args...)
 	return err == nil
--- a/internal/lab/faults/settings.go
+++ b/internal/lab/faults/settings.go
@@ -2,11 +2,11 @@
 
 import "encoding/json"
 
-// Class is a class of the clients.
+// Class is a class of clients.
 type Class struct {
 	Name           string
 	Priority       float64
-	Fraction       float64 // of the requests
+	Fraction       float64 // fraction of the requests
 	StayInRegion   bool
 	SetupObjective float64 // seconds
 	Deadline       float64 // seconds
@@ -22,7 +22,7 @@
 // messageObjective is the latency objective of messages, in seconds.
 const messageObjective = 0.15
 
-// NodeSettings are the settings that the platform gives a node.
+// NodeSettings returns the settings that the platform sends to a node.
 func NodeSettings(nodes, index int, zone string) json.RawMessage {
 	type object = map[string]any
 	profiles := []object{}
@@ -56,7 +56,7 @@
 		},
 	})
 	if err != nil {
-		panic(err) // numbers and names only
+		panic(err) // impossible: the settings contain only values that JSON can encode
 	}
 	return raw
 }
--- a/internal/lab/faults/setup.go
+++ b/internal/lab/faults/setup.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	maxAddressAttempts = 50            // ports that are tried for one node
-	nodesPerSubnet     = 200           // loopback addresses 127.x.y.1
-	noTarget           = "127.0.0.1:1" // of a link to a node that does not listen yet: nothing listens there
+	maxAddressAttempts = 50            // ports to try for one node
+	nodesPerSubnet     = 200           // nodes that share x of their loopback addresses 127.x.y.1
+	noTarget           = "127.0.0.1:1" // target of links to a node that isn't listening yet; it refuses connections
 )
 
-// Errors of the setup.
+// Errors while a run is set up.
 var (
-	ErrNoFreeAddress = errors.New("no port is free for TCP and UDP")
-	ErrNotListening  = errors.New("the node does not listen")
-	ErrEndedAtStart  = errors.New("the node ended at its start")
+	ErrNoFreeAddress = errors.New("no port is free for both TCP and UDP")
+	ErrNotListening  = errors.New("the node is not listening")
+	ErrExitedAtStart = errors.New("the node exited while it started")
 )
 
-// setUp makes the fleet's servers, nodes and links, and starts all processes.
+// setUp creates the fleet's servers, nodes and links, and starts all processes.
 func (h *harness) setUp(ctx context.Context) error {
 	raiseDescriptorLimit()
 	if err := h.makeServers(); err != nil {
@@ -58,10 +58,10 @@
 		return
 	}
 	limit.Cur = limit.Max
-	_ = unix.Setrlimit(unix.RLIMIT_NOFILE, &limit) // a run that lacks descriptors says so, and is not judged
+	_ = unix.Setrlimit(unix.RLIMIT_NOFILE, &limit) // a run that lacks descriptors records that, and is then not judged
 }
 
-// makeServers makes the zones with their servers.
+// makeServers creates the zones and starts their servers.
 func (h *harness) makeServers() error {
 	fleet := h.scenario.Fleet
 	for i := range fleet.Zones {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// makeNodes makes the nodes with their addresses and directories. The first ones vote.
+// makeNodes creates the nodes with their addresses and directories. The first ones are voters.
 func (h *harness) makeNodes() error {
 	fleet := h.scenario.Fleet
 	for i := range h.options.Nodes {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// makeLinks makes the node's links through the relay: to the other nodes, to the servers, and from its clients.
+// makeLinks creates the node's links through the relay to the other nodes, to the servers and from its clients.
 func (n *node) makeLinks() error {
 	relay := n.harness.relay
 	for _, other := range n.harness.nodes {
@@ -133,8 +133,8 @@
 	return err
 }
 
-// startAll starts all processes at once, as after a power cut, and waits until all listen. Each is waited for in turn,
-// up to startTimeout. Where it fails, harness.close ends those that run.
+// startAll starts all processes at once, as after a power cut, and waits until all listen. It waits for the nodes one
+// after another, up to startTimeout for each. If it fails, harness.close kills the running processes.
 func (h *harness) startAll(ctx context.Context) error {
 	for _, n := range h.nodes {
 		if err := n.start(FilesNew); err != nil {
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// awaitListening waits until a node listens, and has its clients come to that address.
+// awaitListening waits until the node listens, and directs its clients to the address.
 func (n *node) awaitListening(ctx context.Context) error {
 	log := filepath.Join(n.dir, "log")
 	select {
@@ -157,15 +157,15 @@
 		return ctx.Err()
 	case <-time.After(startTimeout):
 		return fmt.Errorf("%s after %v: %w: see %s", n.name, startTimeout, ErrNotListening, log)
-	case <-n.gone:
-		return fmt.Errorf("%s: %w: see %s", n.name, ErrEndedAtStart, log)
+	case <-n.exited:
+		return fmt.Errorf("%s: %w: see %s", n.name, ErrExitedAtStart, log)
 	case address := <-n.listening:
 		n.harness.relay.MoveClients(n.name, address)
 	}
 	return nil
 }
 
-// freeAddress returns an address with a port that is free for TCP and UDP, on an IP that no other part of the run uses.
+// freeAddress returns an address with a port that is free for TCP and UDP. No other part of the run may use the IP.
 func freeAddress(ip net.IP) (string, error) {
 	for range maxAddressAttempts {
 		tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
