--- a/internal/lab/faults/check_test.go
+++ b/internal/lab/faults/check_test.go
@@ -8,7 +8,8 @@
 	"spurwinch/internal/failover"
 )
 
-// encodedPlan is a plan of one zone with a capacity of 10, in which each of two nodes may have a load.
+// encodedPlan returns an encoded plan of one zone with a capacity of 10. It grants load, which its two nodes share
+// equally.
 func encodedPlan(load float32) []byte {
 	plan := &failover.Plan{
 		Zones:          []failover.Zone{{Name: "z", Nodes: 2, Listed: 2, Capacity: 10, Demand: []float32{}}},
@@ -18,30 +19,30 @@
 	return plan.Encode()
 }
 
-// plan is the event of a node that adopts a plan.
+// plan returns the event that a node adopts a plan.
 func plan(at float64, node string, number uint64, digest string, encoded []byte) Event {
 	return Event{At: at, Kind: KindPlan, Node: node, Zone: "z", Number: number, Digest: digest, Plan: encoded}
 }
 
-// mode is the event of a node that changes its mode.
+// mode returns the event that a node changes its mode.
 func mode(at float64, node, name string, number uint64) Event {
 	return Event{At: at, Kind: KindMode, Node: node, Mode: name, Number: number}
 }
 
-// answer is the event of an answer to the request q.
+// answer returns the event that request q is answered.
 func answer(result Result, took float64) Event {
 	return Event{Kind: KindAnswer, ID: "q", Zone: "z", Result: result, Took: took}
 }
 
-// crash is the event of a node that crashes.
+// crash returns the event that node a crashes.
 func crash(at float64) Event { return Event{At: at, Kind: KindCrash, Node: "a"} }
 
-// restart is the event of a node that starts again.
+// restart returns the event that node a starts again.
 func restart(at float64, files string) Event {
 	return Event{At: at, Kind: KindStart, Node: "a", Detail: files}
 }
 
-// fleetEvents begin each history of the tests: two nodes in a zone, of which one votes.
+// fleetEvents is the beginning of each history in checkCases. The fleet has one zone with two nodes; one is a voter.
 var fleetEvents = []Event{
 	{Kind: KindZone, Zone: "z", Detail: "r", Value: 100},
 	{Kind: KindNode, Node: "a", Zone: "z", Value: 1},
@@ -51,55 +52,55 @@
 }
 
 var (
-	soundPlan    = encodedPlan(10)
-	overfullPlan = encodedPlan(30)
+	validPlan         = encodedPlan(10)
+	overcommittedPlan = encodedPlan(30)
 )
 
-// checkCases are small histories with the first rule that each breaks; empty: none.
+// checkCases are small histories, each with the first rule that it breaks. The rule is empty if it breaks none.
 var checkCases = []struct {
 	name   string
 	events []Event
 	rule   string
 	judged bool
 }{
-	{"sound", []Event{
-		plan(1, "a", 3, "x", soundPlan),
-		plan(2, "b", 3, "x", soundPlan),
+	{"valid history", []Event{
+		plan(1, "a", 3, "x", validPlan),
+		plan(2, "b", 3, "x", validPlan),
 		mode(2, "a", "planned", 3),
 		mode(2, "b", "planned", 3),
 		{At: 3, Kind: KindAnswer, ID: "q", Zone: "z", To: "z", Result: ResultServed, Took: 0.1},
 	}, "", true},
-	{"two contents", []Event{
-		plan(1, "a", 3, "x", soundPlan),
-		plan(2, "b", 3, "y", soundPlan),
+	{"one plan number with two contents", []Event{
+		plan(1, "a", 3, "x", validPlan),
+		plan(2, "b", 3, "y", validPlan),
 	}, ruleSameContent, true},
-	{"a number goes back", []Event{
-		plan(1, "a", 3, "x", soundPlan),
-		plan(2, "a", 2, "y", soundPlan),
+	{"node adopts an older plan", []Event{
+		plan(1, "a", 3, "x", validPlan),
+		plan(2, "a", 2, "y", validPlan),
 	}, ruleNoStepBack, true},
-	{"through a crash", []Event{
-		plan(1, "a", 3, "x", soundPlan),
+	{"older plan after a crash with intact files", []Event{
+		plan(1, "a", 3, "x", validPlan),
 		crash(2),
 		restart(3, FilesIntact),
 		mode(3, "a", "ground", 2),
 	}, ruleNoStepBack, true},
-	{"files lost", []Event{
-		plan(1, "a", 3, "x", soundPlan),
+	{"older plan after a crash that lost the files", []Event{
+		plan(1, "a", 3, "x", validPlan),
 		crash(2),
 		restart(3, FilesLost),
-		plan(4, "a", 2, "y", soundPlan),
+		plan(4, "a", 2, "y", validPlan),
 	}, "", true},
-	{"a proposal ends twice", []Event{
+	{"proposal ends at two log entries", []Event{
 		{Kind: KindProposalEnd, ID: "p", Number: 4},
 		{Kind: KindProposalEnd, ID: "p", Number: 5},
 	}, ruleOneEnd, true},
-	{"over the capacity", []Event{
-		plan(1, "a", 3, "x", overfullPlan),
+	{"grants exceed the capacity", []Event{
+		plan(1, "a", 3, "x", overcommittedPlan),
 		mode(2, "a", "planned", 3),
 	}, ruleCapacity, true},
 	{"two answers", []Event{answer(ResultServed, 0), answer(ResultRejected, 0)}, ruleOneAnswer, true},
-	{"a late answer", []Event{answer(ResultServed, 5)}, ruleInTime, true},
-	{"two at once", []Event{
+	{"late answer", []Event{answer(ResultServed, 5)}, ruleInTime, true},
+	{"two attempts at once", []Event{
 		{Kind: KindAttempt, ID: "q", To: "h"},
 		{Kind: KindAttempt, ID: "q", To: "i"},
 	}, ruleTwoAtOnce, true},
@@ -107,19 +108,19 @@
 		{Kind: KindAttempt, ID: "q", To: "h"},
 		{Kind: KindAttemptEnd, ID: "q", To: "h"},
 	}, 5), ruleAttempts, true},
-	{"a step that the monitor prevented", []Event{
+	{"invariant monitor prevented an attempt", []Event{
 		{Kind: KindGuard, ID: "q", Node: "a", Detail: "too_many_attempts"},
 	}, ruleAttempts, true},
-	{"another one", []Event{
+	{"invariant monitor prevented a repeat", []Event{
 		{Kind: KindGuard, ID: "q", Node: "a", Detail: "unsafe_repeat"},
 	}, "placement: unsafe_repeat", true},
-	{"the harness was late", []Event{{Kind: KindHarnessDelay, Value: 3}}, "", false},
-	{"it had no descriptor left", []Event{{Kind: KindCount, Detail: countNoDescriptors, Value: 1}}, "", false},
+	{"harness was late", []Event{{Kind: KindHarnessDelay, Value: 3}}, "", false},
+	{"harness had no descriptors left", []Event{{Kind: KindCount, Detail: countNoDescriptors, Value: 1}}, "", false},
 }
 
-// TestCheck checks, for small histories, which rule each breaks, and that a sound one breaks none. Each is written and
-// read before.
-func TestCheck(t *testing.T) {
+// TestCheckFindsBrokenRules checks that Check finds the broken rule in small histories, and no violation in valid ones.
+// It writes and reads each history first, and checks that Want reports an expectation that was not met.
+func TestCheckFindsBrokenRules(t *testing.T) {
 	for _, test := range checkCases {
 		t.Run(test.name, func(t *testing.T) {
 			var file bytes.Buffer
@@ -136,12 +137,12 @@
 				rule = verdict.Violations[0].Rule
 			}
 			if rule != test.rule || verdict.Judged != test.judged {
-				t.Errorf("violations %v, judged %v; wanted %q, %v",
+				t.Errorf("Check: got violations %v, judged %v, want the first of rule %q, judged %v",
 					verdict.Violations, verdict.Judged, test.rule, test.judged)
 			}
 			verdict.Want(map[string]int{"never": 1})
 			if last := verdict.Violations[len(verdict.Violations)-1]; last.Rule != ruleExercise {
-				t.Errorf("what did not happen is not missed: %v", last)
+				t.Errorf("Want with an unmet expectation: got last violation %v, want one of rule \"exercise\"", last)
 			}
 		})
 	}
--- a/internal/lab/faults/relay_test.go
+++ b/internal/lab/faults/relay_test.go
@@ -17,7 +17,7 @@
 	return conn
 }
 
-// passes reports whether a datagram that is sent to an address comes to a socket.
+// passes reports whether a socket receives a datagram that sender sends to an address.
 func passes(t *testing.T, sender, receiver *net.UDPConn, address string) bool {
 	t.Helper()
 	target, err := net.ResolveUDPAddr("udp", address)
@@ -32,8 +32,8 @@
 	return err == nil
 }
 
-// TestRelay checks that each direction has faults of its own, and that nothing passes a cut.
-func TestRelay(t *testing.T) {
+// TestRelayCutsOneDirection checks that a cut stops the datagrams of its own direction only, and that Heal ends it.
+func TestRelayCutsOneDirection(t *testing.T) {
 	relay := NewRelay(1)
 	defer relay.Close()
 	first := listenUDP(t)
@@ -48,20 +48,20 @@
 		t.Fatal(err)
 	}
 	if !passes(t, first, second, toSecond) || !passes(t, second, first, toFirst) {
-		t.Fatal("nothing passes a sound link")
+		t.Fatal("sending without a fault: got a lost datagram, want both directions to pass")
 	}
 	relay.Set("zone:x", anyParty, LinkFault{Cut: true})
 	if passes(t, first, second, toSecond) {
-		t.Error("a datagram passed a cut")
+		t.Error("sending over a cut link: got the datagram through, want it dropped")
 	}
 	if !passes(t, second, first, toFirst) {
-		t.Error("the other direction is cut as well")
+		t.Error("sending against the direction of a cut: got a lost datagram, want it to pass")
 	}
 	relay.Heal()
 	if !passes(t, first, second, toSecond) {
-		t.Error("healed, and nothing passes")
+		t.Error("sending after Heal: got a lost datagram, want it to pass")
 	}
 	if dropped := relay.Counts.Dropped.Load(); dropped != 1 {
-		t.Errorf("%d dropped, 1 is wanted", dropped)
+		t.Errorf("Counts.Dropped: got %d, want 1", dropped)
 	}
 }
