--- a/internal/plan/fleet/capacity.go
+++ b/internal/plan/fleet/capacity.go
@@ -5,8 +5,8 @@
 // CoreLoad returns the fraction of a reference core that one standard connection takes.
 func (f *Fleet) CoreLoad() float64 { return 1 / f.General.ConnectionsPerCore }
 
-// MeanLoad returns the mean load of a new connection, in standard connections: the mean over the classes, weighted by
-// their shares of the new connections. A validated file has at least one class, and no share that is zero.
+// MeanLoad returns the mean load of a new connection, in standard connections. It weights the mean loads of the classes
+// by their shares of the new connections. A validated file has at least one class, and every share is over 0.
 func (f *Fleet) MeanLoad() float64 {
 	loads := 0.0
 	shares := 0.0
@@ -17,8 +17,8 @@
 	return loads / shares
 }
 
-// MachineKind returns the kind of machine with the given name, as a pointer into the fleet. It panics where there is
-// none: the kinds that the server pools of a validated file name are all defined.
+// MachineKind returns a pointer to the fleet's machine kind with the given name. It panics if no kind has this name,
+// which can't happen for the server pools of a validated file, because validation checks that their kinds are defined.
 func (f *Fleet) MachineKind(name string) *MachineKind {
 	for i := range f.MachineKinds {
 		if f.MachineKinds[i].Name == name {
@@ -28,7 +28,7 @@
 	panic("fleet: unknown kind " + name)
 }
 
-// ZoneIndex returns the index of the zone with the given name, or -1 where there is none.
+// ZoneIndex returns the index of the zone with the given name, or -1 if no zone has this name.
 func (f *Fleet) ZoneIndex(name string) int {
 	for i, zone := range f.Zones {
 		if zone.Name == name {
@@ -38,7 +38,7 @@
 	return -1
 }
 
-// ServerCount returns the number of servers.
+// ServerCount returns the number of servers in all pools.
 func (f *Fleet) ServerCount() int {
 	count := 0
 	for _, pool := range f.ServerPools {
@@ -47,7 +47,7 @@
 	return count
 }
 
-// NodeCount returns the number of nodes.
+// NodeCount returns the number of nodes in all pools.
 func (f *Fleet) NodeCount() int {
 	count := 0
 	for _, pool := range f.NodePools {
@@ -66,7 +66,7 @@
 	return cores
 }
 
-// OneWay returns the one-way latency between two zones, by their indexes.
+// OneWay returns the one-way latency between two zones, which are given by their indexes.
 func (f *Fleet) OneWay(from, to int) time.Duration {
 	if from == to {
 		return time.Duration(f.Network.SameZone)
@@ -81,13 +81,13 @@
 	return time.Duration(f.Network.CrossZone)
 }
 
-// Quota returns the number of connections of mean load that a tenant may hold over all nodes.
+// Quota returns the number of connections that a tenant may hold over all nodes if each has the mean load.
 func (f *Fleet) Quota(tenant int) float64 {
 	fraction := f.Tenants[tenant].Share / f.tenantShares() * f.General.QuotaFraction
 	return fraction * f.Cores() / (f.MeanLoad() * f.CoreLoad())
 }
 
-// tenantShares is the sum of the tenants' shares.
+// tenantShares returns the sum of the tenants' shares.
 func (f *Fleet) tenantShares() float64 {
 	sum := 0.0
 	for _, tenant := range f.Tenants {
--- a/internal/plan/fleet/defaults.go
+++ b/internal/plan/fleet/defaults.go
@@ -7,15 +7,15 @@
 	"spurwinch/internal/config/tomlfile"
 )
 
-// milliseconds is a Duration of a number of milliseconds.
+// milliseconds converts a number of milliseconds to a Duration.
 func milliseconds(n float64) Duration { return Duration(n * float64(time.Millisecond)) }
 
-// setDefaults fills in what the file leaves out. It is called after parsing and before validation. Fill takes a zero
-// for a value that was left out: where zero is a value of its own, the file itself is asked.
+// setDefaults sets the values that the file leaves out. Parse calls it between decoding and validation. Fill treats a
+// zero as a missing value. Where zero is a valid value, setDefaults checks whether the file has the key.
 func (f *Fleet) setDefaults(file *tomlfile.File) {
 	f.setFleetDefaults()
 	for i := range f.Zones {
-		if !file.Has(fmt.Sprintf("centre.%d.clients", i)) { // zero is a share that a file may give
+		if !file.Has(fmt.Sprintf("centre.%d.clients", i)) { // a file may set a share of 0
 			f.Zones[i].Clients = 1
 		}
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-// setFleetDefaults completes the tables that a file has once.
+// setFleetDefaults sets the defaults of the tables that occur once in a file.
 func (f *Fleet) setFleetDefaults() {
 	tomlfile.Fill(&f.General.ConnectionsPerCore, 10)
 	tomlfile.Fill(&f.General.MessageWork, milliseconds(5))
--- a/internal/plan/fleet/fleet.go
+++ b/internal/plan/fleet/fleet.go
@@ -1,19 +1,19 @@
 // Package fleet reads the description of a fleet: zones (data centres), machines, nodes, classes of connections,
-// tenants (editions), and the limits that they share. The planner forecasts from it, and fake fleets are
-// built from it.
+// tenants (editions), and the limits that they share. The planner makes its forecasts from this description, and the
+// laboratory builds fake fleets from it.
 //
-// The unit of load is the standard connection: connections_per_core of them fill one core of the reference machine.
-// Durations are written as "1.5s"; shares of a whole are relative to their sum.
+// The unit of load is the standard connection. One core of the reference machine carries connections_per_core of them.
+// Durations are written as "1.5s". Shares of a whole are relative to their sum.
 package fleet
 
 import (
 	"spurwinch/internal/config/tomlfile"
 )
 
-// Duration is a duration as the file writes it.
+// Duration is a duration in the notation of the file.
 type Duration = tomlfile.Duration
 
-// Fleet is a fleet file. The tags are its keys, which keep the words of the pages.
+// Fleet is a fleet file. The tags are the keys that the documentation uses, and so differ from some field names.
 type Fleet struct {
 	General      General       `toml:"fleet"`
 	Network      Network       `toml:"network"`
@@ -32,13 +32,13 @@
 	Discovery    Discovery     `toml:"discovery"`
 }
 
-// General holds what applies to the whole fleet.
+// General holds the settings of the whole fleet.
 type General struct {
 	Name               string   `toml:"name"`
-	ConnectionsPerCore float64  `toml:"connections_per_core"` // standard connections that a reference core carries
+	ConnectionsPerCore float64  `toml:"connections_per_core"` // standard connections per reference core
 	MessageWork        Duration `toml:"message_work"`         // CPU time of one message on a reference core
-	MessageInterval    Duration `toml:"message_every"`        // between two messages of one client
-	OverQuotaPriority  float64  `toml:"over_share_worth"`     // priority weight of a connection beyond a quota
+	MessageInterval    Duration `toml:"message_every"`        // time between two messages of one client
+	OverQuotaPriority  float64  `toml:"over_share_worth"`     // fraction of the priority kept over quota
 	QuotaFraction      float64  `toml:"share_of"`             // fraction of the capacity that the quotas divide
 }
 
@@ -55,7 +55,7 @@
 	Clients float64 `toml:"clients"`
 }
 
-// ZoneDelay is a one-way latency between two zones that differs from the usual one. It holds in both directions.
+// ZoneDelay overrides the one-way latency between two zones, in both directions.
 type ZoneDelay struct {
 	From   string   `toml:"from"`
 	To     string   `toml:"to"`
@@ -66,22 +66,22 @@
 type MachineKind struct {
 	Name        string   `toml:"name"`
 	Cores       float64  `toml:"cores"`
-	Speed       float64  `toml:"speed"`        // of a core; that of the reference machine is 1
+	Speed       float64  `toml:"speed"`        // of a core, relative to the reference machine
 	SpeedSpread float64  `toml:"speed_spread"` // standard deviation over machines, as a fraction of the speed
-	Connections int      `toml:"connections"`  // maximum of a machine
-	SetupQueue  int      `toml:"setup_queue"`  // maximum of pending set-ups; any further is answered BUSY
-	ShedAfter   Duration `toml:"shed_after"`   // backlog from which connections are shed; 0: never
+	Connections int      `toml:"connections"`  // maximum per machine
+	SetupQueue  int      `toml:"setup_queue"`  // maximum of pending set-ups; the server answers further ones with BUSY
+	ShedAfter   Duration `toml:"shed_after"`   // backlog from which the server sheds connections; 0: never
 }
 
-// ServerPool is a number of machines of one kind in one zone.
+// ServerPool is a group of servers of one machine kind in one zone.
 type ServerPool struct {
 	Kind      string `toml:"kind"`
 	Zone      string `toml:"centre"`
 	Count     int    `toml:"count"`
-	WarmingUp bool   `toml:"cold"` // they start with the load, in slow start
+	WarmingUp bool   `toml:"cold"` // the servers start together with the load, in slow start
 }
 
-// NodePool is a number of nodes of one size in one zone.
+// NodePool is a group of nodes of one size in one zone.
 type NodePool struct {
 	Zone        string `toml:"centre"`
 	Count       int    `toml:"count"`
@@ -91,36 +91,36 @@
 // Class is a class of connections.
 type Class struct {
 	Name               string   `toml:"name"`
-	Share              float64  `toml:"share"` // of new connections, where no capture gives it
+	Share              float64  `toml:"share"` // of new connections, if no capture provides it
 	Load               float64  `toml:"load"`  // mean, in standard connections
 	LoadSpread         float64  `toml:"load_spread"`
 	LoadVariation      float64  `toml:"swing"`  // log-normal spread of one connection's load over time
-	LoadChangeInterval Duration `toml:"change"` // mean time between changes of that load
-	Lifetime           Duration `toml:"life"`   // mean, where no capture gives it
+	LoadChangeInterval Duration `toml:"change"` // mean time between two changes of that load
+	Lifetime           Duration `toml:"life"`   // mean, if no capture provides it
 	LifetimeSpread     float64  `toml:"life_spread"`
 	SetupWork          Duration `toml:"setup_work"` // CPU time on a reference core
 	SetupObjective     Duration `toml:"setup_aim"`
 	Deadline           Duration `toml:"patience"`
 	MessageObjective   Duration `toml:"message_aim"`
-	Priority           float64  `toml:"worth"` // priority weight of a second
+	Priority           float64  `toml:"worth"` // priority weight of one second of service
 }
 
-// Tenant is a customer, an edition of the file, with its quota.
+// Tenant is a customer with its quota. The file calls it an edition.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
-	Usage float64 `toml:"usage"` // arrivals relative to its share, where no capture gives them
+	Usage float64 `toml:"usage"` // arrivals relative to its share, if no capture provides them
 }
 
 // Group describes the groups of connections that share state on a server.
 type Group struct {
-	Cost float64 `toml:"cost"` // in standard connections, once on each server that holds any of a group
-	Size float64 `toml:"size"` // mean sessions of a group, where no capture gives it
+	Cost float64 `toml:"cost"` // in standard connections, once per server with connections of the group
+	Size float64 `toml:"size"` // mean number of sessions per group, if no capture provides it
 }
 
-// Store is the session store, called once by each set-up.
+// Store is the session store. Each set-up calls it once.
 type Store struct {
-	Rate    float64  `toml:"rate"` // maximum calls a second, of all servers; 0: unlimited
+	Rate    float64  `toml:"rate"` // maximum calls per second from all servers together; 0: unlimited
 	Latency Duration `toml:"latency"`
 }
 
@@ -141,7 +141,7 @@
 
 // Clients describes how clients reconnect.
 type Clients struct {
-	Retries      int      `toml:"retries"` // attempts after a failure, Backoff apart
+	Retries      int      `toml:"retries"` // attempts after a failure, at least Backoff apart
 	Backoff      Duration `toml:"backoff"`
 	ReconnectMin Duration `toml:"rejoin_min"` // wait after a reset or a migration
 	ReconnectMax Duration `toml:"rejoin_max"`
@@ -150,10 +150,11 @@
 
 // Discovery describes the endpoint list.
 type Discovery struct {
-	Delay Duration `toml:"delay"` // until a node sees a change
+	Delay Duration `toml:"delay"` // time until a node sees a change
 }
 
-// Read reads, completes and validates a fleet file. The error is a tomlfile.Faults where the file could be read.
+// Read reads a fleet file, sets its defaults and validates it. The error is a tomlfile.Faults unless the file can't be
+// read.
 func Read(path string) (*Fleet, error) {
 	source, err := tomlfile.Load(path)
 	if err != nil {
@@ -162,7 +163,8 @@
 	return Parse(path, source)
 }
 
-// Parse completes and validates the text of a fleet file; path names it in errors. The error is a tomlfile.Faults.
+// Parse decodes the text of a fleet file, sets its defaults and validates it. Errors name the file by path. An error is
+// always a tomlfile.Faults.
 func Parse(path string, source []byte) (*Fleet, error) {
 	f := &Fleet{}
 	file := tomlfile.Decode(path, source, f)
--- a/internal/plan/fleet/resize.go
+++ b/internal/plan/fleet/resize.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// roundingTolerance keeps a remainder that is none but for rounding from counting as one.
+// roundingTolerance is added where numbers of servers are compared or rounded down, so that a floating-point error does
+// not count as a remainder.
 const roundingTolerance = 1e-9
 
-// Clone returns a copy whose pools of servers and nodes can be changed. The other tables are shared.
+// Clone returns a copy whose pools of servers and nodes can be changed. The copy shares the other tables.
 func (f *Fleet) Clone() *Fleet {
 	clone := *f
 	clone.ServerPools = slices.Clone(f.ServerPools)
@@ -16,12 +17,12 @@
 	return &clone
 }
 
-// Resize returns a copy with so many servers in all, in the proportions of the file: the pools with the largest
-// remainders are rounded up.
+// Resize returns a copy with the given total number of servers, in the proportions of the file. It rounds up the pools
+// with the largest remainders.
 func (f *Fleet) Resize(servers int) *Fleet {
 	resized := f.Clone()
-	before := float64(f.ServerCount())
-	if before == 0 {
+	originalCount := float64(f.ServerCount())
+	if originalCount == 0 {
 		resized.ServerPools[0].Count = servers
 		return resized
 	}
@@ -29,7 +30,7 @@
 	remainders := make([]float64, len(resized.ServerPools))
 	for i := range resized.ServerPools {
 		pool := &resized.ServerPools[i]
-		exact := float64(servers) * float64(pool.Count) / before
+		exact := float64(servers) * float64(pool.Count) / originalCount
 		pool.Count = int(math.Floor(exact + roundingTolerance))
 		remainders[i] = exact - float64(pool.Count)
 		missing -= pool.Count
--- a/internal/plan/fleet/settings.go
+++ b/internal/plan/fleet/settings.go
@@ -6,8 +6,8 @@
 	"spurwinch/internal/simwire"
 )
 
-// nodeSettings is a node's configuration in the platform's form; internal/simwire decodes it. The fields stand in the
-// order of their keys.
+// nodeSettings is a node's configuration in the platform's format, which internal/simwire decodes. The fields are in
+// the order of their keys.
 type nodeSettings struct {
 	Zone              string             `json:"az"`
 	Customers         []customerSettings `json:"customers"`
@@ -86,8 +86,8 @@
 	Waste       float64 `json:"waste"`
 }
 
-// SettingsJSON returns the settings of the node of an index, out of so many nodes, in a zone, in the form of the
-// platform's configuration.
+// SettingsJSON returns the settings of one node in the format of the platform's configuration. The node is given by its
+// index, the total number of nodes and its zone.
 func (f *Fleet) SettingsJSON(index, nodes int, zone string) json.RawMessage {
 	raw, err := json.Marshal(nodeSettings{
 		Zone:      zone,
@@ -128,7 +128,7 @@
 		PriorityBy:   "request",
 	})
 	if err != nil {
-		panic(err) // numbers and names only; the file was validated
+		panic(err) // can't happen: the settings consist of names and numbers of a validated file
 	}
 	return raw
 }
@@ -173,7 +173,7 @@
 	return settings
 }
 
-// Settings returns the same settings as the node decodes them.
+// Settings returns the settings of SettingsJSON, decoded as the node decodes them.
 func (f *Fleet) Settings(index, nodes int, zone string) (simwire.Settings, error) {
 	return simwire.DecodeSettings(f.SettingsJSON(index, nodes, zone))
 }
--- a/internal/plan/fleet/validate.go
+++ b/internal/plan/fleet/validate.go
@@ -10,11 +10,11 @@
 
 const (
 	maxServers = 20000
-	maxNodes   = 4096 // of one entry: as many as internal/membership takes for one fleet
+	maxNodes   = 4096 // of one [[node]] table; equals the limit of internal/membership for a fleet
 )
 
-// validator checks the values of a fleet file and records each fault with the line of its key. The sets hold the names
-// that the file has defined so far.
+// validator checks the values of a fleet file and records each fault with the line of its key. The sets contain the
+// names that the tables checked so far define.
 type validator struct {
 	fleet   *Fleet
 	file    *tomlfile.File
@@ -24,7 +24,7 @@
 	tenants map[string]bool
 }
 
-// validate records all faults of a fleet whose defaults are set.
+// validate records all faults of a fleet file. The defaults must be set before.
 func (f *Fleet) validate(file *tomlfile.File) {
 	check := validator{
 		fleet:   f,
@@ -43,7 +43,7 @@
 	check.tenantTables()
 }
 
-// singleTables checks the tables that a file has once.
+// singleTables checks the tables that occur once in a file.
 func (v *validator) singleTables() {
 	v.positive("fleet.connections_per_core", v.fleet.General.ConnectionsPerCore, 1e6)
 	v.positive("fleet.message_work", v.fleet.General.MessageWork.Seconds(), 10)
@@ -61,13 +61,13 @@
 	v.inRange("store.rate", v.fleet.Store.Rate, 0, 1e9)
 	v.inRange("clients.retries", float64(v.fleet.Clients.Retries), 0, 100)
 	if v.fleet.Clients.ReconnectMax < v.fleet.Clients.ReconnectMin {
-		v.file.Fault("clients.rejoin_max", "rejoin_max is under rejoin_min")
+		v.file.Fault("clients.rejoin_max", "rejoin_max must be at least rejoin_min")
 	}
 }
 
 func (v *validator) zoneTables() {
 	if len(v.fleet.Zones) == 0 {
-		v.file.Fault("", "no [[centre]]: at least one with a name is wanted")
+		v.file.Fault("", "no [[centre]] table: at least one with a name is required")
 	}
 	for i, zone := range v.fleet.Zones {
 		table := fmt.Sprintf("centre.%d.", i)
@@ -95,7 +95,7 @@
 
 func (v *validator) serverPools() {
 	if len(v.fleet.ServerPools) == 0 {
-		v.file.Fault("", "no [[servers]]: kind, centre and count of some are wanted")
+		v.file.Fault("", "no [[servers]] table: at least one with kind, centre and count is required")
 	}
 	for i, pool := range v.fleet.ServerPools {
 		table := fmt.Sprintf("servers.%d.", i)
@@ -104,13 +104,13 @@
 		v.inRange(table+"count", float64(pool.Count), 0, maxServers)
 	}
 	if servers := v.fleet.ServerCount(); servers > maxServers {
-		v.file.Fault("servers.0", "%d servers: %d at most", servers, maxServers)
+		v.file.Fault("servers.0", "%d servers in total: must be at most %d", servers, maxServers)
 	}
 }
 
 func (v *validator) nodePools() {
 	if len(v.fleet.NodePools) == 0 {
-		v.file.Fault("", "no [[node]]: centre and count of some are wanted")
+		v.file.Fault("", "no [[node]] table: at least one with centre and count is required")
 	}
 	nodes := 0
 	for i, pool := range v.fleet.NodePools {
@@ -121,13 +121,13 @@
 		nodes += pool.Count
 	}
 	if nodes == 0 && len(v.fleet.NodePools) > 0 {
-		v.file.Fault("node.0", "no node at all: one or more are wanted")
+		v.file.Fault("node.0", "the [[node]] tables have no nodes: their counts must sum to at least 1")
 	}
 }
 
 func (v *validator) classTables() {
 	if len(v.fleet.Classes) == 0 {
-		v.file.Fault("", "no [[class]]: at least one is wanted")
+		v.file.Fault("", "no [[class]] table: at least one is required")
 	}
 	for i, class := range v.fleet.Classes {
 		table := fmt.Sprintf("class.%d.", i)
@@ -139,11 +139,11 @@
 		v.inRange(table+"life_spread", class.LifetimeSpread, 0, 4)
 		v.positive(table+"worth", class.Priority, 1e9)
 		if class.Deadline < class.SetupObjective {
-			v.file.Fault(table+"patience", "class %q: patience is under setup_aim", class.Name)
+			v.file.Fault(table+"patience", "class %q: patience must be at least setup_aim", class.Name)
 		}
 		if class.MessageObjective <= v.fleet.General.MessageWork {
 			v.file.Fault(table+"message_aim",
-				"class %q: no message can be answered within %v when its work alone takes message_work = %v",
+				"class %q: message_aim = %v must be longer than message_work = %v, the CPU time of one message",
 				class.Name, time.Duration(class.MessageObjective), time.Duration(v.fleet.General.MessageWork))
 		}
 	}
@@ -158,37 +158,38 @@
 	}
 }
 
-// positive wants a value over zero and up to most. The comparison is written so that NaN fails it.
-func (v *validator) positive(key string, value, most float64) {
-	if !(value > 0 && value <= most) {
-		v.file.Fault(key, "%s = %v: a value over 0, up to %v, is wanted", lastKey(key), value, most)
+// positive checks that a value is over 0 and at most maximum. The comparison is written so that NaN fails it.
+func (v *validator) positive(key string, value, maximum float64) {
+	if !(value > 0 && value <= maximum) {
+		v.file.Fault(key, "%s = %v: must be over 0 and at most %v", lastKey(key), value, maximum)
 	}
 }
 
-// inRange wants a value from least to most. The comparison is written so that NaN fails it.
-func (v *validator) inRange(key string, value, least, most float64) {
-	if !(value >= least && value <= most) {
-		v.file.Fault(key, "%s = %v: a value from %v to %v is wanted", lastKey(key), value, least, most)
+// inRange checks that a value is between minimum and maximum. The comparison is written so that NaN fails it.
+func (v *validator) inRange(key string, value, minimum, maximum float64) {
+	if !(value >= minimum && value <= maximum) {
+		v.file.Fault(key, "%s = %v: must be between %v and %v", lastKey(key), value, minimum, maximum)
 	}
 }
 
-// define adds the name of a table to a set; it wants one, and one that is not in the set yet.
-func (v *validator) define(table, what, name string, names map[string]bool) {
+// define adds the name of a table to the set of defined names. It records a fault if the name is empty or already in
+// the set. The table is given by its path in the file, which ends in a dot, and by its key.
+func (v *validator) define(path, table, name string, names map[string]bool) {
 	switch {
 	case name == "":
-		v.file.Fault(table+"name", "a %s without a name", what)
+		v.file.Fault(path+"name", "this %s has no name: each needs a unique name", table)
 	case names[name]:
-		v.file.Fault(table+"name", "%s %q stands twice: each needs a name of its own", what, name)
+		v.file.Fault(path+"name", "duplicate %s %q: each needs a unique name", table, name)
 	}
 	names[name] = true
 }
 
-// defined wants a name that is in the set.
-func (v *validator) defined(key, what, name string, names map[string]bool) {
+// defined checks that a name is in the set of defined names. The key is the one that refers to it.
+func (v *validator) defined(key, table, name string, names map[string]bool) {
 	if !names[name] {
-		v.file.Fault(key, "unknown %s %q: no [[%s]] has this name", what, name, what)
+		v.file.Fault(key, "unknown %s %q: no [[%s]] has this name", table, name, table)
 	}
 }
 
-// lastKey is the last part of a dotted key.
+// lastKey returns the last part of a dotted key.
 func lastKey(key string) string { return key[strings.LastIndexByte(key, '.')+1:] }
