--- a/internal/plan/workload/account.go
+++ b/internal/plan/workload/account.go
@@ -9,8 +9,9 @@
 	"spurwinch/internal/plan/fleet"
 )
 
-// Priorities returns the priority weight of a second of each session: that of its class, and less for a session that
-// arrives while its tenant has used up its quota. It depends on the load alone, not on how it is served.
+// Priorities returns the priority weight of one second of service for each session. This is the weight of the session's
+// class, reduced if the session arrives while its tenant has used up its quota. The result depends only on the load,
+// not on how the fleet serves it.
 func Priorities(description *fleet.Fleet, load *Load) []float64 {
 	priorities := make([]float64, len(load.Sessions))
 	concurrent := make([]int, max(1, len(description.Tenants)))
@@ -39,9 +40,10 @@
 	tenant int
 }
 
-// departureQueue is a heap of departures, the earliest first.
+// departureQueue is a heap of departures with the earliest one first.
 type departureQueue []departure
 
+// next removes and returns the earliest departure.
 func (q *departureQueue) next() departure {
 	first := (*q)[0]
 	heap.Pop(q)
@@ -56,7 +58,7 @@
 func (q *departureQueue) Push(element any) {
 	added, ok := element.(departure)
 	if !ok {
-		panic(fmt.Sprintf("workload: a %T in a queue of departures", element)) // only Priorities pushes
+		panic(fmt.Sprintf("workload: push a departure: got a %T", element)) // only Priorities pushes elements
 	}
 	*q = append(*q, added)
 }
@@ -68,16 +70,16 @@
 	return last
 }
 
-// Account sums the priority weight of the seconds that were demanded and of those that were served well. The ratio of
-// the two is the service, from 0 to 1.
+// Account sums the priority weights of the seconds that clients demanded and of the seconds that were served well. The
+// ratio of served to demanded weight is the service, from 0 to 1.
 type Account struct {
 	Demand         [][]float64 // by class and tenant
-	ServedTotal    [][]float64 // likewise
+	ServedTotal    [][]float64 // by class and tenant
 	DemandBySecond [][]float64 // by second and class
-	ServedBySecond [][]float64 // likewise
+	ServedBySecond [][]float64 // by second and class
 }
 
-// NewAccount returns an empty account for a load of a length.
+// NewAccount returns an empty account for a load of the given length.
 func NewAccount(description *fleet.Fleet, length time.Duration) *Account {
 	classes := len(description.Classes)
 	tenants := max(1, len(description.Tenants))
@@ -98,7 +100,7 @@
 	return matrix
 }
 
-// AddDemand adds what the sessions of a load demand, by their priority weights.
+// AddDemand adds the demand of the sessions of a load, weighted by their priorities.
 func (a *Account) AddDemand(load *Load, priorities []float64) {
 	for i := range load.Sessions {
 		session := &load.Sessions[i]
@@ -106,21 +108,21 @@
 		a.Demand[session.Class][max(0, session.Tenant)] += priorities[i] * (end - session.Arrival).Seconds()
 		for at := session.Arrival; at < end; {
 			second := int(at / time.Second)
-			next := min(end, time.Duration(second+1)*time.Second)
-			a.DemandBySecond[second][session.Class] += priorities[i] * (next - at).Seconds()
-			at = next
+			secondEnd := min(end, time.Duration(second+1)*time.Second)
+			a.DemandBySecond[second][session.Class] += priorities[i] * (secondEnd - at).Seconds()
+			at = secondEnd
 		}
 	}
 }
 
-// AddServed adds weight that was served well at a time.
+// AddServed adds priority weight that was served well at the given time.
 func (a *Account) AddServed(at time.Duration, class, tenant int, weight float64) {
 	a.ServedTotal[class][max(0, tenant)] += weight
 	second := min(max(0, int(at/time.Second)), len(a.ServedBySecond)-1)
 	a.ServedBySecond[second][class] += weight
 }
 
-// LostUntil returns the whole demand, and what of it was not served well up to a time.
+// LostUntil returns the demand of the whole load, and the part of it up to the given time that was not served well.
 func (a *Account) LostUntil(until time.Duration) (demand, lost float64) {
 	for second := range a.DemandBySecond {
 		for class := range a.Demand {
@@ -133,7 +135,7 @@
 	return demand, lost
 }
 
-// ratio is 1 where nothing was demanded: nobody was served badly.
+// ratio returns served/demand, at most 1. It returns 1 if there was no demand, because no session was served badly.
 func ratio(served, demand float64) float64 {
 	if demand <= 0 {
 		return 1
@@ -141,7 +143,7 @@
 	return min(1, served/demand)
 }
 
-// Service returns the service of all sessions, by class and by tenant.
+// Service returns the service of all sessions together, by class and by tenant.
 func (a *Account) Service() (overall float64, classes, tenants []float64) {
 	demand := 0.0
 	served := 0.0
@@ -166,28 +168,28 @@
 	return ratio(served, demand), classes, tenants
 }
 
-// ServiceBetween returns the service from one time to another, of all sessions and by class.
+// ServiceBetween returns the service between two times, of all sessions together and by class.
 func (a *Account) ServiceBetween(from, to time.Duration) (overall float64, classes []float64) {
-	count := len(a.Demand)
-	classDemand := make([]float64, count)
-	classServed := make([]float64, count)
+	classCount := len(a.Demand)
+	classDemand := make([]float64, classCount)
+	classServed := make([]float64, classCount)
 	demand := 0.0
 	served := 0.0
 	for second := int(from / time.Second); second < min(int(to/time.Second), len(a.DemandBySecond)); second++ {
-		for class := range count {
+		for class := range classCount {
 			classDemand[class] += a.DemandBySecond[second][class]
 			classServed[class] += a.ServedBySecond[second][class]
 			demand += a.DemandBySecond[second][class]
 			served += a.ServedBySecond[second][class]
 		}
 	}
-	for class := range count {
+	for class := range classCount {
 		classes = append(classes, ratio(classServed[class], classDemand[class]))
 	}
 	return ratio(served, demand), classes
 }
 
-// ServiceSeries returns the service by second; not a number where nothing was demanded.
+// ServiceSeries returns the service by second. It is NaN for seconds without demand.
 func (a *Account) ServiceSeries() []float64 {
 	series := make([]float64, len(a.DemandBySecond))
 	for second := range series {
@@ -205,8 +207,8 @@
 	return series
 }
 
-// WorstWindow returns the service of the least well served window of a length, and when it begins. A load that is
-// shorter is one window.
+// WorstWindow returns the lowest service of all windows of the given length, and the beginning of that window. A load
+// that is shorter than the length counts as one window.
 func (a *Account) WorstWindow(length time.Duration) (service float64, at time.Duration) {
 	service = math.Inf(1)
 	total := time.Duration(len(a.DemandBySecond)-1) * time.Second
--- a/internal/plan/workload/capture.go
+++ b/internal/plan/workload/capture.go
@@ -8,22 +8,22 @@
 	"spurwinch/internal/operations/capture"
 )
 
-// Captured holds the contents of the capture files of a fleet's nodes, merged in the order of time.
+// Captured holds the contents of the capture files of a fleet's nodes, merged in time order.
 type Captured struct {
 	Headers     []capture.Header
 	Faults      []capture.Fault
-	Classes     []string // all names in the files, in the order of first mention
-	Tenants     []string
-	Share       float64 // least sampled share of the files, which the rates are divided by
+	Classes     []string // all class names in the files, in order of first appearance
+	Tenants     []string // all tenant names in the files, in order of first appearance
+	Share       float64  // smallest sampled share of all files; Sessions scales the load by its inverse
 	Begin       time.Time
 	Length      time.Duration
 	Dropped     uint64
-	Requests    []Request // by time
+	Requests    []Request // ordered by time
 	ReportCount int
 	Servers     map[string]*ServerStats
 }
 
-// Request is a captured request with the lifetime of its connection.
+// Request is a captured request and the lifetime of its connection.
 type Request struct {
 	capture.Placed
 	At           time.Duration // since Begin
@@ -32,12 +32,12 @@
 	Class        int // index in Captured.Classes
 	Tenant       int // index in Captured.Tenants; -1: none
 	Lifetime     time.Duration
-	Ended        bool // else the connection was open at the end of the capture, or its end was lost
+	Ended        bool // false if the connection was open at the end of the capture, or its end was lost
 	Cause        capture.Cause
-	ReportedLoad float64 // as reported last; 0: never
+	ReportedLoad float64 // last reported load; 0: never reported
 }
 
-// load returns the load that was reported last, or else the one that the request announced; 0: unknown.
+// load returns the last reported load, or the load that the request announced if none was reported. 0 means unknown.
 func (r *Request) load() float64 {
 	if r.ReportedLoad > 0 {
 		return r.ReportedLoad
@@ -50,12 +50,12 @@
 	Kind    string  `json:"Kind"`
 	Zone    string  `json:"Zone"`
 	Reports int     `json:"Reports"`
-	Load    float64 `json:"Load"` // mean of the load in reports: the field x0, else utilization
-	Peak    float64 `json:"Peak"` // largest
+	Load    float64 `json:"Load"` // mean of the reported field x0, or of utilization without x0
+	Peak    float64 `json:"Peak"` // largest reported load
 }
 
-// ReadCaptures reads the files of one or more nodes. An error means that a file can't be used at all; damage within a
-// file is in Faults.
+// ReadCaptures reads the capture files of one or more nodes. It returns an error if a file can't be used at all. Damage
+// within a file is recorded in Faults.
 func ReadCaptures(files []string) (*Captured, error) {
 	merger := &captureMerger{
 		captured: &Captured{Share: 1, Servers: map[string]*ServerStats{}},
@@ -71,30 +71,31 @@
 	return merger.finish(), nil
 }
 
-// connectionKey identifies a connection over all files: a node, its run, and a number of the run.
+// connectionKey identifies a connection across all files by its node, the start of the node's run and the sequence
+// number of the request in that run.
 type connectionKey struct {
 	node     string
 	run      int64
 	sequence uint64
 }
 
-// captureMerger merges the records of files into one Captured.
+// captureMerger merges the records of several files into one Captured.
 type captureMerger struct {
 	captured *Captured
-	classes  map[string]int // indexes by name
-	tenants  map[string]int
-	open     map[connectionKey]int // index of the request whose connection has not ended yet
-	starts   []int64               // of each request, in nanoseconds of Unix time
-	first    int64                 // time of the earliest record, likewise; 0: none yet
-	last     int64
+	classes  map[string]int        // index in captured.Classes by name
+	tenants  map[string]int        // index in captured.Tenants by name
+	open     map[connectionKey]int // index of the request of each connection without an end so far
+	starts   []int64               // arrival of each request, in nanoseconds of Unix time
+	first    int64                 // time of the earliest record, in nanoseconds of Unix time; 0: none yet
+	last     int64                 // time of the latest record, in nanoseconds of Unix time
 }
 
-// captureFile is the file that is being read.
+// captureFile is the state of the file that readFile is reading.
 type captureFile struct {
 	header    capture.Header
-	started   bool // a record was read
-	node      int  // index in Captured.Headers
-	loadField int  // index of the load in reports; -1: none
+	started   bool // at least one record was read
+	node      int  // index of the header in Captured.Headers
+	loadField int  // index of the load among a report's values; -1: none
 }
 
 func (m *captureMerger) readFile(name string) error {
@@ -108,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	if !file.started { // nothing but a header
+	if !file.started { // the file has a header but no records
 		m.captured.Headers = append(m.captured.Headers, header)
 	}
 	m.captured.Faults = append(m.captured.Faults, faults...)
@@ -149,8 +150,8 @@
 	}
 }
 
-// observeTime extends the captured period by a time in microseconds since the file's start. It returns that time in
-// nanoseconds of Unix time.
+// observeTime extends the captured period to include a time, which is given in microseconds since the file's start. It
+// returns the time in nanoseconds of Unix time.
 func (m *captureMerger) observeTime(file *captureFile, at int64) int64 {
 	unix := file.header.Start + at*1000
 	if m.first == 0 || unix < m.first {
@@ -208,7 +209,8 @@
 	server.Peak = max(server.Peak, load)
 }
 
-// finish puts the requests in the order of time, relative to the first record.
+// finish sorts the requests by time and makes their times relative to the first record. Connections without a recorded
+// end last until the end of the capture.
 func (m *captureMerger) finish() *Captured {
 	captured := m.captured
 	captured.Begin = time.Unix(0, m.first)
@@ -226,7 +228,7 @@
 	return captured
 }
 
-// indexOfName returns the index of a name in a list, which it is appended to where it is new.
+// indexOfName returns the index of a name in a list. It appends the name if the list does not have it yet.
 func indexOfName(indexes map[string]int, list *[]string, name string) int {
 	i, ok := indexes[name]
 	if !ok {
@@ -237,9 +239,10 @@
 	return i
 }
 
-// maxServers bounds the servers that a capture is summarized by; those beyond are not kept.
+// maxServers bounds the number of servers in Captured.Servers. The figures of further servers are discarded.
 const maxServers = 1 << 17
 
+// server returns the figures of the server with the given ID, which it adds if necessary.
 func (c *Captured) server(id string) *ServerStats {
 	server := c.Servers[id]
 	if server != nil {
--- a/internal/plan/workload/generate.go
+++ b/internal/plan/workload/generate.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	maxGroupSize   = 1000            // sessions of a generated group
-	groupArrivalIn = 2 * time.Second // mean time after its first session at which another one of a group arrives
+	maxGroupSize     = 1000            // sessions of a generated group
+	meanArrivalDelay = 2 * time.Second // between a group's first session and each further one
 )
 
-// GeneratorOptions are the options of Generate.
+// GeneratorOptions holds the options of Generate.
 type GeneratorOptions struct {
 	Seed          uint64
 	Length        time.Duration
-	Concurrency   float64 // mean number of concurrent sessions of the plateau
-	StartOpen     bool    // the first sessions are already open when the load begins; else they arrive
-	RateVariation float64 // of the arrival rate, which climbs from 1 less this to 1 and this, times its mean
+	Concurrency   float64 // mean number of concurrent sessions in the steady state
+	StartOpen     bool    // the initial sessions are already open when the load begins, instead of arriving
+	RateVariation float64 // the arrival rate rises from 1-RateVariation to 1+RateVariation times its mean
 }
 
-// Generate generates a load from a fleet's classes, tenants and groups: Poisson arrivals of groups, with lifetimes and
-// sizes as the file says. The sessions of its beginning arrive over the first third of a mean lifetime, a sixth of the
-// length at most: all at once they would be a storm that no evening begins with.
+// Generate generates a load from a fleet's classes, tenants and groups. Groups arrive as a Poisson process, with the
+// lifetimes and sizes of the fleet file. Unless StartOpen is set, the initial sessions arrive over a third of a mean
+// lifetime, but over a sixth of the length at most. If all arrived at once, they would cause a connection storm, with
+// which no real load begins.
 func Generate(description *fleet.Fleet, options GeneratorOptions) *Load {
 	g := newGenerator(description, options)
 	g.initialSessions()
@@ -32,7 +33,7 @@
 	return g.load
 }
 
-// generator draws the sessions of one load. The order of its draws is part of what a seed means.
+// generator draws the sessions of one load. The load that a seed produces depends on the order of the draws.
 type generator struct {
 	fleet        *fleet.Fleet
 	options      GeneratorOptions
@@ -42,7 +43,7 @@
 	tenantUsage  []float64
 	zoneClients  []float64
 	meanLifetime float64 // in seconds, over all classes
-	groupSize    float64 // mean
+	groupSize    float64 // mean number of sessions in a group
 }
 
 func newGenerator(description *fleet.Fleet, options GeneratorOptions) *generator {
@@ -72,34 +73,34 @@
 	return gen
 }
 
-// initialSessions adds the sessions that the load begins with.
+// initialSessions adds the sessions with which the load begins.
 func (g *generator) initialSessions() {
 	count := int(g.options.Concurrency * (1 - g.options.RateVariation) / g.groupSize)
-	over := min(g.meanLifetime/3, g.options.Length.Seconds()/6)
+	arrivalPeriod := min(g.meanLifetime/3, g.options.Length.Seconds()/6)
 	if g.options.StartOpen {
-		over = 0
+		arrivalPeriod = 0
 	}
 	for range count {
-		g.addGroup(time.Duration(g.rng.Float64()*over*float64(time.Second)), true)
+		g.addGroup(time.Duration(g.rng.Float64()*arrivalPeriod*float64(time.Second)), true)
 	}
 }
 
-// arrivals adds the sessions that arrive at random times: a Poisson process of the highest rate, thinned to the rate of
-// each moment.
+// arrivals adds the sessions that arrive at random times. It draws a Poisson process of the highest rate and thins it
+// to the rate of each moment.
 func (g *generator) arrivals() {
 	length := g.options.Length.Seconds()
-	swing := g.options.RateVariation
-	highest := g.options.Concurrency / g.groupSize / g.meanLifetime * (1 + swing)
+	variation := g.options.RateVariation
+	highest := g.options.Concurrency / g.groupSize / g.meanLifetime * (1 + variation)
 	for at := g.rng.ExpFloat64() / highest; at < length; at += g.rng.ExpFloat64() / highest {
-		rate := 1 - swing + 2*swing*at/length
-		if g.rng.Float64()*(1+swing) < rate {
+		rate := 1 - variation + 2*variation*at/length
+		if g.rng.Float64()*(1+variation) < rate {
 			g.addGroup(time.Duration(at*1e9), false)
 		}
 	}
 }
 
-// addGroup adds a group whose first session arrives as given; the others follow within seconds. The sessions of an
-// initial group are in the middle of their lifetimes.
+// addGroup adds a group whose first session arrives at the given time. The others follow within seconds. The sessions
+// of an initial group are in the middle of their lifetimes.
 func (g *generator) addGroup(arrival time.Duration, initial bool) {
 	size := 1
 	session := Session{Tenant: -1, AlreadyOpen: initial && g.options.StartOpen}
@@ -117,7 +118,7 @@
 	for i := range size {
 		session.Arrival = arrival
 		if i > 0 && !session.AlreadyOpen {
-			session.Arrival += time.Duration(g.rng.ExpFloat64() * groupArrivalIn.Seconds() * float64(time.Second))
+			session.Arrival += time.Duration(g.rng.ExpFloat64() * meanArrivalDelay.Seconds() * float64(time.Second))
 		}
 		if session.Arrival < g.options.Length {
 			g.addSession(session, initial)
@@ -131,7 +132,7 @@
 	class := &g.fleet.Classes[session.Class]
 	lifetime := class.Lifetime.Seconds() * Lognormal(g.rng, class.LifetimeSpread)
 	if class.LifetimeSpread == 0 {
-		lifetime = class.Lifetime.Seconds() * g.rng.ExpFloat64() // without memory: what is left of it is as long
+		lifetime = class.Lifetime.Seconds() * g.rng.ExpFloat64() // memoryless: a remainder has the same distribution
 	} else if initial {
 		lifetime *= g.rng.Float64()
 	}
--- a/internal/plan/workload/load.go
+++ b/internal/plan/workload/load.go
@@ -1,6 +1,6 @@
-// Package workload describes what clients want, independent of the fleet that serves it: sessions with their arrival,
-// lifetime, class, tenant and group. A load is read from captures or generated from a fleet's description, and can be
-// scaled, cut and summed up.
+// Package workload describes the demand of clients, independent of the fleet that serves it, as sessions with their
+// arrival, lifetime, class, tenant and group. It reads a load from captures or generates it from the description of a
+// fleet, and scales, cuts and summarizes it.
 package workload
 
 import (
@@ -13,11 +13,12 @@
 	"spurwinch/internal/plan/fleet"
 )
 
-// minLifetime is the shortest session. One that is not longer was never served, and says nothing of what it wanted.
+// minLifetime is the shortest lifetime of a session. A captured session that is not longer was never served, and so
+// does not show which lifetime its client wanted.
 const minLifetime = 100 * time.Millisecond
 
-// Session is one client that wants a connection for a lifetime. It stays one session where it lost its connection in
-// between and connected again.
+// Session is the demand of one client for a connection over a lifetime. A client that loses its connection and
+// reconnects in between remains in the same session.
 type Session struct {
 	Arrival  time.Duration // since the beginning of the load
 	Lifetime time.Duration
@@ -31,7 +32,7 @@
 	AlreadyOpen bool
 }
 
-// ExpectedLoad returns the session's load in standard connections: the mean of its class where its own is unknown.
+// ExpectedLoad returns the session's load in standard connections, or the mean of its class if the load is unknown.
 func (s *Session) ExpectedLoad(description *fleet.Fleet) float64 {
 	if s.Load == 0 {
 		return description.Classes[s.Class].Load
@@ -39,10 +40,10 @@
 	return s.Load
 }
 
-// End returns when the session ends, since the beginning of the load.
+// End returns the time from the beginning of the load to the end of the session.
 func (s *Session) End() time.Duration { return s.Arrival + s.Lifetime }
 
-// affinityKey identifies the group, or the client of a session without one.
+// affinityKey returns the key of the session's group, or of its client if it has no group.
 func (s *Session) affinityKey() uint64 {
 	if s.Group != 0 {
 		return s.Group
@@ -50,10 +51,10 @@
 	return s.Client
 }
 
-// Load is a list of sessions in the order of their arrival, those that are already open first.
+// Load is a list of sessions in order of arrival. Sessions that are already open come first.
 type Load struct {
 	Sessions []Session
-	Length   time.Duration // of the period that the sessions arrive in
+	Length   time.Duration // of the period in which the sessions arrive
 }
 
 func (l *Load) sort() {
@@ -68,7 +69,7 @@
 	})
 }
 
-// MeanConcurrency returns the mean number of sessions that want a connection over the load's length.
+// MeanConcurrency returns the mean number of concurrent sessions over the load's length.
 func (l *Load) MeanConcurrency() float64 {
 	if l.Length <= 0 {
 		return 0
@@ -81,8 +82,8 @@
 	return sum / l.Length.Seconds()
 }
 
-// MeanCores returns the mean demand of the sessions over the load's length in reference cores, whether it can be served
-// or not. The cost of groups and set-ups is not in it.
+// MeanCores returns the mean demand of the sessions over the load's length in reference cores, whether or not a fleet
+// can serve it. It does not include the cost of groups and set-ups.
 func (l *Load) MeanCores(description *fleet.Fleet) float64 {
 	if l.Length <= 0 {
 		return 0
@@ -90,13 +91,13 @@
 	sum := 0.0
 	for i := range l.Sessions {
 		session := &l.Sessions[i]
-		present := min(session.Lifetime, l.Length-session.Arrival) // it may outlast the load
+		present := min(session.Lifetime, l.Length-session.Arrival) // a session may outlast the load
 		sum += session.ExpectedLoad(description) * description.CoreLoad() * present.Seconds()
 	}
 	return sum / l.Length.Seconds()
 }
 
-// Cut returns the part of a load from one time to another. Sessions that arrived before are already open in it.
+// Cut returns the part of a load between two times. Sessions that arrived before that part are already open in it.
 func (l *Load) Cut(from, to time.Duration) *Load {
 	part := &Load{Length: min(to, l.Length) - from}
 	for _, session := range l.Sessions {
@@ -115,14 +116,15 @@
 	return part
 }
 
-// busiestSteps is the number of steps that BusiestWindow divides its window into.
-const busiestSteps = 8
+// stepsPerWindow is the number of steps into which BusiestWindow divides its window.
+const stepsPerWindow = 8
 
-// BusiestWindow returns the beginning of the window of a length with the most demand, in steps of an eighth of it.
+// BusiestWindow returns the beginning of the window of the given length that has the most demand. It moves the window
+// in steps of an eighth of the length, but of at least one second.
 func (l *Load) BusiestWindow(description *fleet.Fleet, length time.Duration) time.Duration {
-	step := max(length/busiestSteps, time.Second)
+	step := max(length/stepsPerWindow, time.Second)
 	steps := int(l.Length/step) + 1
-	changes := make([]float64, steps+1) // of the demand, at the beginning of each step
+	changes := make([]float64, steps+1) // of the demand at the beginning of each step
 	for i := range l.Sessions {
 		session := &l.Sessions[i]
 		load := session.ExpectedLoad(description)
@@ -136,36 +138,38 @@
 		demands[i] = demand
 	}
 	busiest := 0
-	most := -1.0
-	for first := 0; first+busiestSteps <= steps; first++ {
+	highest := -1.0
+	for first := 0; first+stepsPerWindow <= steps; first++ {
 		sum := 0.0
-		for _, demand := range demands[first : first+busiestSteps] {
+		for _, demand := range demands[first : first+stepsPerWindow] {
 			sum += demand
 		}
-		if sum > most {
+		if sum > highest {
 			busiest = first
-			most = sum
+			highest = sum
 		}
 	}
 	return min(time.Duration(busiest)*step, max(0, l.Length-length))
 }
 
-// scaleJitter is how far a copy's arrival is from that of its original at most: without it, copies would come in pairs.
-const scaleJitter = 2 * time.Second
+// maxArrivalJitter is the maximum difference between the arrivals of a copy and its original. Without this jitter, the
+// two would arrive at the same time.
+const maxArrivalJitter = 2 * time.Second
 
-// Scale returns the load multiplied by a factor: whole copies of all sessions, and of a fraction of the clients. Groups
-// are copied as a whole, so that there are more of them, each as large as before.
+// Scale returns the load multiplied by a factor. It includes all sessions once per unit of the factor's integer part,
+// and those of a fraction of the groups and of the clients without a group once more. It copies groups as a whole, so
+// that their number changes and their size stays the same.
 func (l *Load) Scale(factor float64, seed uint64) *Load {
 	scaled := &Load{Length: l.Length}
-	whole := int(factor)
+	wholeCopies := int(factor)
 	fraction := factor - math.Floor(factor)
-	for number := range whole + 1 {
+	for copyNumber := range wholeCopies + 1 {
 		for _, session := range l.Sessions {
-			if number == whole && unitInterval(Mix(session.affinityKey()^seed)) >= fraction {
+			if copyNumber == wholeCopies && unitInterval(Mix(session.affinityKey()^seed)) >= fraction {
 				continue
 			}
-			if number > 0 {
-				l.makeCopy(&session, uint64(number), seed)
+			if copyNumber > 0 {
+				l.makeCopy(&session, uint64(copyNumber), seed)
 			}
 			scaled.Sessions = append(scaled.Sessions, session)
 		}
@@ -174,14 +178,15 @@
 	return scaled
 }
 
-// makeCopy turns a session into the copy of a number: another client of another group, which arrives a little off.
-func (l *Load) makeCopy(session *Session, number, seed uint64) {
-	offset := number * 0x9e3779b97f4a7c15 // 2^64 over the golden ratio: it spreads consecutive numbers
+// makeCopy turns a session into its copy with the given number. The copy has another client and group and arrives at a
+// slightly different time.
+func (l *Load) makeCopy(session *Session, copyNumber, seed uint64) {
+	offset := copyNumber * 0x9e3779b97f4a7c15 // 2^64 over the golden ratio, which spreads consecutive numbers
 	session.Client = Mix(session.Client + offset)
 	if session.Group != 0 {
 		session.Group = Mix(session.Group+offset) | 1
 	}
 	rng := rand.New(rand.NewPCG(seed, session.Client))
-	session.Arrival += time.Duration((2*rng.Float64() - 1) * scaleJitter.Seconds() * float64(time.Second))
+	session.Arrival += time.Duration((2*rng.Float64() - 1) * maxArrivalJitter.Seconds() * float64(time.Second))
 	session.Arrival = max(0, min(session.Arrival, l.Length-1))
 }
--- a/internal/plan/workload/load_test.go
+++ b/internal/plan/workload/load_test.go
@@ -21,12 +21,12 @@
 	return description
 }
 
-// loadShape holds the counts that a load and its copy have in common.
+// loadShape contains the counts that a load and its copy must have in common.
 type loadShape struct {
 	sessions     int
 	groups       int
-	secondTenant int // sessions
-	thirdZone    int // sessions
+	secondTenant int // number of sessions
+	thirdZone    int // number of sessions
 }
 
 func shapeOf(load *Load) loadShape {
@@ -45,9 +45,9 @@
 	return shape
 }
 
-// TestCaptureRoundTrip writes a generated load as captures and reads it back: sessions, groups, tenants and zones must
-// be the same in number and shape.
-func TestCaptureRoundTrip(t *testing.T) {
+// TestCaptureRoundTripKeepsLoad checks that a generated load has the same numbers of sessions and groups, in total and
+// by tenant and zone, after it was written as capture files and read back.
+func TestCaptureRoundTripKeepsLoad(t *testing.T) {
 	description := eveningFleet(t)
 	written := Generate(description, GeneratorOptions{Seed: 3, Length: time.Minute, Concurrency: 300})
 	files, err := written.Write(description, filepath.Join(t.TempDir(), "x"))
@@ -63,18 +63,19 @@
 		t.Fatal(err)
 	}
 	if shapeOf(written) != shapeOf(read) {
-		t.Errorf("written %+v, read %+v", shapeOf(written), shapeOf(read))
+		t.Errorf("round trip: got %+v, want %+v", shapeOf(read), shapeOf(written))
 	}
 	before := written.MeanConcurrency()
 	after := read.MeanConcurrency()
 	if math.Abs(before-after) > before/50 || read.Length != written.Length {
-		t.Errorf("%.1f concurrent sessions in %v, then %.1f in %v", before, written.Length, after, read.Length)
+		t.Errorf("round trip: got %.1f concurrent sessions in %v, want %.1f in %v",
+			after, read.Length, before, written.Length)
 	}
 }
 
-// TestSessionsJoinReturns checks that a client's rejections, resets and returns are one session, and that another
-// client's are not part of it.
-func TestSessionsJoinReturns(t *testing.T) {
+// TestSessionsJoinReconnects checks that a client's requests are joined into one session across rejections and a reset.
+// Requests of another client and requests that arrive much later must form their own sessions.
+func TestSessionsJoinReconnects(t *testing.T) {
 	microseconds := func(seconds float64) int64 { return int64(seconds * 1e6) }
 	captured := &Captured{Classes: []string{"market"}, Length: time.Minute, Share: 1}
 	add := func(at float64, client uint64, answer capture.Answer, lifetime float64) {
@@ -91,47 +92,48 @@
 	add(2, 7, capture.Open, 5)
 	add(3, 8, capture.Open, 1)
 	add(8, 7, capture.Open, 4)  // after a reset
-	add(40, 7, capture.Open, 2) // much later: a session of its own
+	add(40, 7, capture.Open, 2) // much later, in a new session
 	load, err := captured.Sessions(eveningFleet(t), 1)
 	if err != nil || len(load.Sessions) != 3 {
-		t.Fatalf("%+v, %v", load, err)
+		t.Fatalf("join sessions: got %+v, %v, want 3 sessions and no error", load, err)
 	}
 	first := load.Sessions[0]
 	if first.Arrival != time.Second || first.End().Round(100*time.Millisecond) != 12*time.Second {
-		t.Errorf("the session lasts from %v to %v", first.Arrival, first.End())
+		t.Errorf("first session: got %v to %v, want 1s to 12s", first.Arrival, first.End())
 	}
 	captured.Classes = []string{"unknown"}
 	_, err = captured.Sessions(eveningFleet(t), 1)
 	var unknown *UnknownClassError
 	if !errors.As(err, &unknown) || unknown.Class != "unknown" {
-		t.Errorf("a class that the fleet lacks: %v", err)
+		t.Errorf("join sessions of an unknown class: got %v, want an UnknownClassError with that class", err)
 	}
 }
 
-// TestScale checks that the demand grows by the factor and that groups stay whole.
-func TestScale(t *testing.T) {
+// TestScaleMultipliesDemandAndKeepsGroupSize checks that scaling multiplies the demand by the factor and keeps groups
+// whole.
+func TestScaleMultipliesDemandAndKeepsGroupSize(t *testing.T) {
 	load := Generate(eveningFleet(t), GeneratorOptions{Seed: 3, Length: time.Minute, Concurrency: 4000})
 	groupSize := func(shape loadShape) float64 { return float64(shape.sessions) / float64(shape.groups) }
 	for _, factor := range []float64{0.25, 1, 1.5, 3} {
 		scaled := load.Scale(factor, 9)
 		if ratio := scaled.MeanConcurrency() / load.MeanConcurrency(); math.Abs(ratio/factor-1) > 0.12 {
-			t.Errorf("times %v: %.2f times the concurrent sessions", factor, ratio)
+			t.Errorf("scale by %v: got %.2f times the concurrent sessions", factor, ratio)
 		}
 		before := groupSize(shapeOf(load))
 		after := groupSize(shapeOf(scaled))
 		if math.Abs(before/after-1) > 0.12 {
-			t.Errorf("times %v: groups of %.2f, then %.2f", factor, before, after)
+			t.Errorf("scale by %v: got groups of %.2f sessions, want %.2f", factor, after, before)
 		}
 	}
 }
 
-// TestCut checks that a part of a load holds the sessions of its time, with those that arrived before it first and
-// already open.
-func TestCut(t *testing.T) {
+// TestCutStartsWithOpenSessions checks that a part of a load contains the sessions of its period. Those that arrived
+// before the period must come first and be already open.
+func TestCutStartsWithOpenSessions(t *testing.T) {
 	description := eveningFleet(t)
 	load := Generate(description, GeneratorOptions{Seed: 3, Length: time.Minute, Concurrency: 200, RateVariation: 0.8})
 	if at := load.BusiestWindow(description, 16*time.Second); at < 30*time.Second {
-		t.Errorf("a load that climbs is busiest from %v on", at)
+		t.Errorf("busiest window of a growing load: got %v, want 30s or later", at)
 	}
 	part := load.Cut(20*time.Second, 40*time.Second)
 	open := 0
@@ -143,16 +145,16 @@
 	for i, session := range part.Sessions {
 		if session.AlreadyOpen != (i < open) || session.AlreadyOpen && session.Arrival != 0 ||
 			session.Arrival >= 20*time.Second {
-			t.Fatalf("session %d of %d already open: %+v", i, open, session)
+			t.Fatalf("cut: got session %d = %+v, want the first %d sessions already open", i, session, open)
 		}
 	}
 	if open == 0 || len(part.Sessions) <= open {
-		t.Errorf("%d sessions, %d already open", len(part.Sessions), open)
+		t.Errorf("cut: got %d sessions, %d of them already open, want some of both kinds", len(part.Sessions), open)
 	}
 }
 
-// TestPriorities checks that sessions beyond a tenant's quota have a lower priority weight, and only those.
-func TestPriorities(t *testing.T) {
+// TestPriorityIsLowerBeyondQuota checks that only the sessions beyond a tenant's quota have a lower priority weight.
+func TestPriorityIsLowerBeyondQuota(t *testing.T) {
 	description := eveningFleet(t)
 	quota := int(math.Ceil(description.Quota(0)))
 	load := &Load{Length: time.Minute}
@@ -162,7 +164,8 @@
 	load.Sessions = append(load.Sessions, Session{Arrival: 2 * time.Second, Lifetime: time.Second})
 	for i, priority := range Priorities(description, load) {
 		if beyond := i >= quota && i < quota+5; beyond != (priority < 1) {
-			t.Errorf("session %d of a quota of %d has priority %v", i, quota, priority)
+			t.Errorf("session %d with a quota of %d: got priority %v, want less than 1 exactly beyond the quota",
+				i, quota, priority)
 		}
 	}
 }
--- a/internal/plan/workload/random.go
+++ b/internal/plan/workload/random.go
@@ -8,7 +8,7 @@
 	"spurwinch/internal/plan/fleet"
 )
 
-// Mix returns a hash of a number (splitmix64).
+// Mix returns the splitmix64 hash of a number.
 func Mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -16,26 +16,26 @@
 	return x ^ x>>31
 }
 
-// unitInterval maps a hash to a number from 0 up to, not including, 1.
+// unitInterval maps a hash to a number in the half-open interval [0, 1).
 func unitInterval(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// WeightedIndex draws an index with a probability proportional to its weight.
+// WeightedIndex draws an index of a list of weights. The probability of an index is proportional to its weight.
 func WeightedIndex(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, weight := range weights {
 		sum += weight
 	}
-	rest := rng.Float64() * sum
+	remaining := rng.Float64() * sum
 	for i, weight := range weights {
-		rest -= weight
-		if rest < 0 {
+		remaining -= weight
+		if remaining < 0 {
 			return i
 		}
 	}
 	return len(weights) - 1
 }
 
-// Lognormal draws a factor of mean 1; spread is the standard deviation of its logarithm.
+// Lognormal draws a log-normally distributed factor of mean 1. The spread is the standard deviation of its logarithm.
 func Lognormal(rng *rand.Rand, spread float64) float64 {
 	if spread == 0 {
 		return 1
@@ -43,32 +43,32 @@
 	return math.Exp(spread*rng.NormFloat64() - spread*spread/2)
 }
 
-// minLoadStep is the shortest time that a connection's load stays the same.
-const minLoadStep = 10 * time.Millisecond
+// minLoadDuration is the shortest time for which a connection's load stays the same.
+const minLoadDuration = 10 * time.Millisecond
 
-// LoadProcess is the random process of one connection's load: a level of its own, and a variation about the level that
-// is drawn again after random times.
+// LoadProcess is the random process of one connection's load. The load varies around a fixed level of the connection.
+// After random times the process draws a new variation.
 type LoadProcess struct {
 	rng   *rand.Rand
 	level float64 // in standard connections
 	class *fleet.Class
 }
 
-// NewLoadProcess starts the process of a connection of a class; known is its level, or 0 to draw one.
-func NewLoadProcess(seed uint64, class *fleet.Class, known float64) LoadProcess {
-	process := LoadProcess{rng: rand.New(rand.NewPCG(seed, 5)), level: known, class: class}
-	if known == 0 {
+// NewLoadProcess starts the process of a connection of the given class. If the level is 0, it draws one.
+func NewLoadProcess(seed uint64, class *fleet.Class, level float64) LoadProcess {
+	process := LoadProcess{rng: rand.New(rand.NewPCG(seed, 5)), level: level, class: class}
+	if level == 0 {
 		process.level = class.Load * Lognormal(process.rng, class.LoadSpread)
 	}
 	return process
 }
 
-// Next returns the load from now on, in standard connections, and how long it lasts; 0: forever.
-func (p *LoadProcess) Next() (load float64, lasts time.Duration) {
+// Next returns the next load in standard connections and the time for which it stays the same; 0 means forever.
+func (p *LoadProcess) Next() (load float64, duration time.Duration) {
 	if p.class.LoadVariation == 0 {
 		return p.level, 0
 	}
 	load = p.level * Lognormal(p.rng, p.class.LoadVariation)
-	lasts = time.Duration(p.rng.ExpFloat64() * float64(p.class.LoadChangeInterval))
-	return load, max(minLoadStep, lasts)
+	duration = time.Duration(p.rng.ExpFloat64() * float64(p.class.LoadChangeInterval))
+	return load, max(minLoadDuration, duration)
 }
--- a/internal/plan/workload/sessions.go
+++ b/internal/plan/workload/sessions.go
@@ -11,29 +11,30 @@
 	"spurwinch/internal/plan/fleet"
 )
 
-// sessionTimeout is how long after its last sign a client that returns with the same key is in the same session.
+// sessionTimeout is the time since a client was last seen after which a new request with the same key begins a new
+// session.
 const sessionTimeout = 15 * time.Second
 
-// UnknownClassError says that a capture has a class that the fleet lacks.
+// UnknownClassError reports that a capture has a class that the fleet file does not define.
 type UnknownClassError struct {
 	Class string
 	Known []string // classes of the fleet
 }
 
 func (e *UnknownClassError) Error() string {
-	return fmt.Sprintf("the capture holds class %q, the fleet file has none of this name: add a [[class]]; it has %s",
+	return fmt.Sprintf("the capture has class %q, but the fleet file does not: add a [[class]]; the file defines %s",
 		e.Class, strings.Join(e.Known, ", "))
 }
 
-// UnknownTenantError says that a capture has a tenant that a fleet with tenants lacks.
+// UnknownTenantError reports that a capture has a tenant that a fleet file with tenants does not define.
 type UnknownTenantError struct{ Tenant string }
 
 func (e *UnknownTenantError) Error() string {
-	return fmt.Sprintf("the capture holds edition %q, the fleet file has none of this name: add an [[edition]]",
+	return fmt.Sprintf("the capture has edition %q, but the fleet file does not: add an [[edition]]",
 		e.Tenant)
 }
 
-// classIndexes returns the index in a fleet of each class of a capture, or an *UnknownClassError.
+// classIndexes returns the index in the fleet of each class of a capture. The error is an *UnknownClassError.
 func classIndexes(c *Captured, description *fleet.Fleet) ([]int, error) {
 	indexes := make([]int, len(c.Classes))
 	for i, name := range c.Classes {
@@ -45,8 +46,8 @@
 	return indexes, nil
 }
 
-// tenantIndexes returns the index in a fleet of each tenant of a capture, -1 where the fleet has no tenants, or an
-// *UnknownTenantError.
+// tenantIndexes returns the index in the fleet of each tenant of a capture, or -1 if the fleet has no tenants. The
+// error is an *UnknownTenantError.
 func tenantIndexes(c *Captured, description *fleet.Fleet) ([]int, error) {
 	indexes := make([]int, len(c.Tenants))
 	for i, name := range c.Tenants {
@@ -68,9 +69,10 @@
 	return names
 }
 
-// Sessions joins the attempts, returns and connections of each client into sessions of a fleet. A connection that was
-// open at the end lasts on for a random time of its class. Where only a share of the load was captured, copies make up
-// for the rest. The error is an *UnknownClassError or an *UnknownTenantError.
+// Sessions joins the requests and connections of each client, retries and reconnects included, into sessions of a
+// fleet. A connection that was open at the end of the capture lasts for a further time, drawn at random with the mean
+// lifetime of its class. If the files contain only a share of the load, Sessions scales it up with copies. The error is
+// an *UnknownClassError or an *UnknownTenantError.
 func (c *Captured) Sessions(description *fleet.Fleet, seed uint64) (*Load, error) {
 	classes, err := classIndexes(c, description)
 	if err != nil {
@@ -99,7 +101,7 @@
 	return load, nil
 }
 
-// meanLoads returns the mean of the known loads of each class of the fleet, in the servers' own unit.
+// meanLoads returns the mean of the known loads of each class of the fleet, in the unit of the servers' load reports.
 func (c *Captured) meanLoads(description *fleet.Fleet, classes []int) []float64 {
 	sums := make([]float64, len(description.Classes))
 	counts := make([]float64, len(description.Classes))
@@ -111,21 +113,21 @@
 		}
 	}
 	for class := range sums {
-		sums[class] /= counts[class] // not a number, and not used, where no load is known
+		sums[class] /= counts[class] // NaN for a class without known loads, for which add does not use it
 	}
 	return sums
 }
 
-// sessionBuilder joins requests, in the order of time, into sessions.
+// sessionBuilder joins requests into sessions. The requests must be added in time order.
 type sessionBuilder struct {
 	fleet     *fleet.Fleet
 	classes   []int     // index in the fleet of each class of the capture
-	tenants   []int     // likewise of each tenant
+	tenants   []int     // index in the fleet of each tenant of the capture; -1: none
 	meanLoads []float64 // by class of the fleet
 	rng       *rand.Rand
 	load      *Load
-	latest    map[uint64]int  // index of the latest session of a client
-	lastSeen  []time.Duration // latest sign of each session
+	latest    map[uint64]int  // index of the latest session of each client
+	lastSeen  []time.Duration // latest known activity of each session
 }
 
 func (b *sessionBuilder) add(request *Request) {
@@ -153,7 +155,7 @@
 	if session.Client == 0 {
 		session.Client = b.rng.Uint64() | 1
 	}
-	if load := request.load(); load > 0 { // relative to the class: the unit is the servers' own
+	if load := request.load(); load > 0 { // relative to the class, because the servers use their own unit
 		session.Load = load / b.meanLoads[class] * b.fleet.Classes[class].Load
 	}
 	b.latest[session.Client] = len(b.load.Sessions)
@@ -161,7 +163,8 @@
 	b.load.Sessions = append(b.load.Sessions, session)
 }
 
-// extend makes a request part of its client's latest session. It reports false where that is over, or of another class.
+// extend adds a request to its client's latest session. It returns false if that session does not exist, is over or has
+// another class.
 func (b *sessionBuilder) extend(client uint64, class int, begin, end time.Duration) bool {
 	if client == 0 {
 		return false
@@ -179,7 +182,8 @@
 	return true
 }
 
-// finish gives the sessions that were never served a lifetime of their class, which is what they wanted.
+// finish draws a lifetime for each session that was never served, with the mean lifetime of its class, as an estimate
+// of the lifetime that the client wanted.
 func (b *sessionBuilder) finish() *Load {
 	for i := range b.load.Sessions {
 		session := &b.load.Sessions[i]
--- a/internal/plan/workload/summary.go
+++ b/internal/plan/workload/summary.go
@@ -8,10 +8,10 @@
 	"spurwinch/internal/operations/capture"
 )
 
-// peakRateWindow is what the highest rate of requests is taken over.
+// peakRateWindow is the length of the window over which the peak request rate is measured.
 const peakRateWindow = 10 * time.Second
 
-// Summary holds the figures of a capture.
+// Summary contains the figures of a capture.
 type Summary struct {
 	Nodes              int                     `json:"nodes"`
 	Begin              time.Time               `json:"begin"`
@@ -27,9 +27,9 @@
 	Groups             int                     `json:"groups"`
 	GroupMean          float64                 `json:"group_mean"`
 	LargestGroup       int                     `json:"group_most"`
-	PeakRate           float64                 `json:"peak_requests_per_s"` // over 10 s
+	PeakRate           float64                 `json:"peak_requests_per_s"` // over windows of 10 s
 	PeakAtS            float64                 `json:"peak_at_s"`
-	PeakConcurrency    int                     `json:"standing_most"` // most concurrent connections
+	PeakConcurrency    int                     `json:"standing_most"` // highest number of concurrent connections
 	PeakConcurrencyAtS float64                 `json:"standing_most_at_s"`
 	Classes            []Breakdown             `json:"classes"`
 	Tenants            []Breakdown             `json:"editions"`
@@ -41,11 +41,11 @@
 type Breakdown struct {
 	Name             string  `json:"name"`
 	Rate             float64 `json:"requests_per_s"`
-	LifetimeMeanS    float64 `json:"life_mean_s"` // of connections that ended
+	LifetimeMeanS    float64 `json:"life_mean_s"` // of ended connections
 	LifetimeMedianS  float64 `json:"life_median_s"`
 	Lifetime99S      float64 `json:"life_99_s"`
 	Load             float64 `json:"told_load_mean"` // 0: unknown
-	RejectedFraction float64 `json:"refused"`        // fraction of the requests
+	RejectedFraction float64 `json:"refused"`        // fraction of the requests that were rejected
 
 	lifetimes  []float64
 	count      int
@@ -54,7 +54,8 @@
 	loadCount  float64
 }
 
-// Summary sums a capture up. Rates are those of the records: where a share of the load was captured, of that share.
+// Summary returns the figures of a capture. Rates are rates of the records and are not scaled up if the files contain
+// only a share of the load.
 func (c *Captured) Summary() Summary {
 	summary := Summary{
 		Nodes:    c.nodeCount(),
@@ -87,7 +88,8 @@
 	return len(nodes)
 }
 
-// endCounts counts the connections by how they ended.
+// endCounts counts the connections by the way in which they ended. It counts connections that have not ended under
+// "none".
 func (c *Captured) endCounts() map[string]int {
 	counts := map[string]int{}
 	for i := range c.Requests {
@@ -103,12 +105,12 @@
 	return counts
 }
 
-// endName is the name that a cause has in replies.
+// endName returns the name that replies use for a cause.
 func endName(cause capture.Cause) string {
 	return []string{"client", "host", "moved"}[min(int(cause), 2)]
 }
 
-// addClients counts the clients and the groups.
+// addClients adds the numbers of clients and groups and the sizes of the groups.
 func (s *Summary) addClients(captured *Captured) {
 	clients := map[uint64]bool{}
 	groups := map[uint64]int{}
@@ -149,18 +151,18 @@
 }
 
 func (s *Summary) addPeakRate(captured *Captured) {
-	most := 0
-	first := 0 // request of the window that ends with the current one
+	highest := 0
+	first := 0 // first request of the window that ends with the current one
 	for i := range captured.Requests {
 		for captured.Requests[first].At <= captured.Requests[i].At-peakRateWindow {
 			first++
 		}
-		if count := i - first + 1; count > most {
-			most = count
+		if count := i - first + 1; count > highest {
+			highest = count
 			s.PeakAtS = captured.Requests[first].At.Seconds()
 		}
 	}
-	s.PeakRate = float64(most) / min(peakRateWindow.Seconds(), max(1, s.LengthS))
+	s.PeakRate = float64(highest) / min(peakRateWindow.Seconds(), max(1, s.LengthS))
 }
 
 func (s *Summary) addPeakConcurrency(captured *Captured) {
@@ -191,8 +193,8 @@
 	}
 }
 
-// breakdowns sums up the requests by class or tenant: it returns an entry for each of the names, in their order.
-// indexOf returns the index of a request's name, or a negative number for a request that counts in no entry.
+// breakdowns summarizes the requests by class or tenant. It returns one entry for each of the names, in their order.
+// indexOf returns the index of a request's name, or a negative number if the request belongs to no entry.
 func (c *Captured) breakdowns(names []string, indexOf func(*Request) int) []Breakdown {
 	breakdowns := make([]Breakdown, len(names))
 	for i, name := range names {
@@ -224,7 +226,7 @@
 	}
 }
 
-// finish computes the figures once all requests of a capture of a length in seconds are added.
+// finish computes the figures after all requests have been added. The length of the capture is in seconds.
 func (b *Breakdown) finish(length float64) {
 	if length > 0 {
 		b.Rate = float64(b.count) / length
@@ -246,7 +248,7 @@
 	b.Lifetime99S = quantile(b.lifetimes, 0.99)
 }
 
-// quantile returns a quantile, from 0 to 1, of values in ascending order.
+// quantile returns the quantile at a fraction from 0 to 1 of values that are in ascending order.
 func quantile(values []float64, fraction float64) float64 {
 	return values[min(len(values)-1, int(fraction*float64(len(values))))]
 }
--- a/internal/plan/workload/write.go
+++ b/internal/plan/workload/write.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	generatedNode = "drawn" // what the name of a generated capture's node begins with
+	generatedNode = "drawn" // prefix of the node names in generated captures
 	writeQueue    = 1024    // records
 	writeTimeout  = time.Hour
 )
 
-// Write writes the load as capture files, as if one node in each zone had served its clients, and returns the files'
-// names. A connection that is open at the end has no end there.
+// Write writes the load as capture files, as if one node in each zone had served its clients, and returns the names of
+// the files. It writes no end for a connection that is open at the end of the load.
 func (l *Load) Write(description *fleet.Fleet, path string) ([]string, error) {
 	var files []string
-	began := time.Now()
+	start := time.Now()
 	for zone := -1; zone < len(description.Zones); zone++ {
 		hasSessions := slices.ContainsFunc(l.Sessions, func(session Session) bool { return session.Zone == zone })
-		if !hasSessions && zone != 0 { // an empty load still has its length
+		if !hasSessions && zone != 0 { // zone 0 is written even if empty, because its file records the load's length
 			continue
 		}
-		name, err := l.writeZone(description, path, zone, began)
+		name, err := l.writeZone(description, path, zone, start)
 		if err != nil {
 			return nil, err
 		}
@@ -36,8 +36,8 @@
 	return files, nil
 }
 
-// writeZone writes the sessions of one zone; -1 is that of sessions without one.
-func (l *Load) writeZone(description *fleet.Fleet, path string, zone int, began time.Time) (string, error) {
+// writeZone writes the sessions of one zone, or the sessions without a zone if zone is -1.
+func (l *Load) writeZone(description *fleet.Fleet, path string, zone int, start time.Time) (string, error) {
 	header := capture.Header{Node: generatedNode}
 	if zone >= 0 {
 		header.Zone = description.Zones[zone].Name
@@ -49,7 +49,7 @@
 	for _, tenant := range description.Tenants {
 		header.Tenants = append(header.Tenants, tenant.Name)
 	}
-	var failure error
+	var writeErr error
 	writer, err := capture.NewWriter(capture.Options{
 		Path:     path + "-" + header.Node,
 		FileSize: math.MaxInt64,
@@ -58,8 +58,8 @@
 		Key:      []byte("drawn: nobody's data"),
 		Queue:    writeQueue,
 		Header:   header,
-		Start:    began,
-		OnError:  func(err error) { failure = err },
+		Start:    start,
+		OnError:  func(err error) { writeErr = err },
 	})
 	if err != nil {
 		return "", err
@@ -68,16 +68,16 @@
 		writer.PutWait(record)
 	}
 	writer.Close(time.Now().Add(writeTimeout))
-	if failure != nil {
-		return "", fmt.Errorf("%s: %w", path, failure)
+	if writeErr != nil {
+		return "", fmt.Errorf("%s: %w", path, writeErr)
 	}
 	return writer.Files()[0], nil
 }
 
-// records returns the records of a zone's sessions in the order of time.
+// records returns the records of a zone's sessions in time order.
 func (l *Load) records(zone int) []capture.Record {
 	type timedRecord struct {
-		at     int64 // microseconds
+		at     int64 // in microseconds since the beginning of the load
 		record capture.Record
 	}
 	var timed []timedRecord
@@ -102,7 +102,7 @@
 			add(end, capture.Ended{At: end, Seq: uint64(i), Lifetime: session.Lifetime.Microseconds()})
 		}
 	}
-	// The first and the last record give the load's length.
+	// The times of the first and the last record define the load's length.
 	length := l.Length.Microseconds()
 	add(0, capture.Dropped{})
 	add(length, capture.Dropped{At: length})
