--- a/internal/plan/fleet/fleet.go
+++ b/internal/plan/fleet/fleet.go
@@ -38,7 +38,7 @@
 	ConnectionsPerCore float64  `toml:"connections_per_core"` // standard connections per reference core
 	MessageWork        Duration `toml:"message_work"`         // CPU time of one message on a reference core
 	MessageInterval    Duration `toml:"message_every"`        // time between two messages of one client
-	OverQuotaPriority  float64  `toml:"over_share_worth"`     // fraction of its priority that a session over quota keeps
+	OverQuotaPriority  float64  `toml:"over_share_worth"`     // factor on the priority of a session over quota
 	QuotaFraction      float64  `toml:"share_of"`             // fraction of the capacity that the quotas divide
 }
 
