--- a/cmd/spurwinchctl/capture_summary.go
+++ b/cmd/spurwinchctl/capture_summary.go
@@ -14,11 +14,11 @@
 func printSummary(out io.Writer, summary *workload.Summary) {
 	printTotals(out, summary)
 	table := newReportTable(out)
-	printLine(table, "  class\trequests/s\tlife mean\tmedian\t99%\tload mean\trefused")
+	printLine(table, "  class\trequests/s\tmean lifetime\tmedian\t99%\tmean load\trefused")
 	printCategories(table, summary.Classes)
 	printLine(table, "  edition\t\t\t\t\t\t")
 	printCategories(table, summary.Tenants)
-	printLine(table, "  host\tkind\tzone\treports\tload mean\tpeak\t")
+	printLine(table, "  host\tkind\tzone\treports\tmean load\tpeak\t")
 	for _, id := range slices.Sorted(maps.Keys(summary.Servers)) {
 		host := summary.Servers[id]
 		printf(table, "  %s\t%s\t%s\t%d\t%.2f\t%.2f\t\n", id, host.Kind, host.Zone, host.Reports, host.Load, host.Peak)
@@ -27,28 +27,28 @@
 }
 
 func printTotals(out io.Writer, summary *workload.Summary) {
-	printf(out, "Capture of %d nodes, from %s, %.1f s; %.0f%% of groups or clients are in it\n",
+	printf(out, "Capture of %d nodes, from %s, %.1f s; it covers %.0f%% of the groups or clients\n",
 		summary.Nodes, summary.Begin.UTC().Format(time.RFC3339), summary.LengthS, 100*summary.Share)
 	answers := summary.Answers
 	printf(out, "%d requests of %d clients: "+
-		"%d up, %d served at once, %d refused, %d failed, %d left before an answer\n",
+		"%d connected, %d served at once, %d refused, %d failed, %d clients left before an answer\n",
 		summary.Requests, summary.Clients,
 		answers["up"], answers["served"], answers["refused"], answers["failed"], answers["left"])
-	printf(out, "Answers took %.1f ms in the median, %.1f ms at the 99th percentile; %.2f attempts each\n",
+	printf(out, "Time to an answer: median %.1f ms, 99th percentile %.1f ms; mean number of attempts %.2f\n",
 		summary.AnswerMedianMS, summary.Answer99MS, summary.AttemptsMean)
 	ends := summary.Ends
-	printf(out, "Ends of connections: %d by clients, %d by hosts, %d moved, %d stood at the end\n",
+	printf(out, "Connections: %d closed by clients, %d closed by hosts, %d migrated, %d open at the end\n",
 		ends["client"], ends["host"], ends["moved"], ends["none"])
-	printf(out, "Groups: %d, of %.1f requests in the mean, %d in the largest\n",
+	printf(out, "Groups: %d, with a mean of %.1f requests, %d in the largest\n",
 		summary.Groups, summary.GroupMean, summary.LargestGroup)
-	printf(out, "Peak: %.1f requests a second over the 10 s from %.0f s on; most standing %d at %.0f s\n\n",
+	printf(out, "Peak: %.1f requests/s in the 10 s from %.0f s on; at most %d concurrent connections, at %.0f s\n\n",
 		summary.PeakRate, summary.PeakAtS, summary.PeakConcurrency, summary.PeakConcurrencyAtS)
 }
 
-// loadText prints the mean load of a class, or that no host reported it.
+// loadText formats the mean load of a class, or states that no host reported one.
 func loadText(load float64) string {
 	if load == 0 {
-		return "not told"
+		return "not reported"
 	}
 	return fmt.Sprintf("%.3g", load)
 }
--- a/cmd/spurwinchctl/check.go
+++ b/cmd/spurwinchctl/check.go
@@ -15,7 +15,7 @@
 	"spurwinch/internal/plan/fleet"
 )
 
-// fileKind is the kind of a file that check reads, as it is printed.
+// fileKind is the kind of a file that check reads, as check prints it.
 type fileKind string
 
 const (
@@ -27,30 +27,30 @@
 	kindOperatorFile fileKind = "operator's file"
 )
 
-// captureMagic is how each capture file begins.
+// captureMagic is the text at the beginning of each capture file.
 const captureMagic = "spurwinch capture"
 
-// Patterns that tell the kinds of TOML files apart.
+// Patterns that distinguish the kinds of TOML files.
 var (
-	// Tables that only a planner's fleet file has.
+	// Tables of a planner's fleet file.
 	fleetTables = regexp.MustCompile(`(?m)^\s*\[\[?\s*(kind|servers|centre|edition|fleet|store|clients|node)\b`)
 	// Tables that only a scenario of the laboratory has.
 	scenarioTables = regexp.MustCompile(`(?m)^\s*\[\[\s*(fault|want)\s*\]\]`)
-	// With classes and without clusters: a fleet's policy.
+	// Keys of classes: a file with classes and without clusters is a fleet's policy.
 	policyKeys = regexp.MustCompile(`(?m)^\s*(patience|come_again|without|over_share_worth)\s*=`)
 	// Keys that only an operator's file has.
 	operatorKeys = regexp.MustCompile(`(?m)^\s*(key_file\s*=|\[\[\s*(listener|cluster)\b)`)
-	// Only a list of nodes: planners' fleets have no addresses.
+	// A node with an address, which only a list of nodes has: nodes in planners' fleet files have no addresses.
 	nodeAddress = regexp.MustCompile(`(?m)^\s*\[\[\s*node\s*\]\][^[]*^\s*addr\s*=`)
 )
 
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check operator's files, lists of nodes, policies, fleet files, scenarios and captures",
-		Long: "Tells each fault as FILE:LINE: what is wrong, and what would be right; " +
-			"in a capture FILE: byte N: what.\n" +
-			"What a file is, is seen from what it holds.",
+		Short: "Check node configurations, lists of nodes, policies, fleet files, scenarios and captures",
+		Long: "Prints each fault as FILE:LINE: what is invalid and what is allowed; " +
+			"for a capture as FILE: byte N: what is invalid.\n" +
+			"The kind of each file is detected from its content.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			return runCheck(command, args)
@@ -73,7 +73,7 @@
 			faultsFound = true
 			continue
 		}
-		printf(out, "%s: a sound %s\n", path, kind)
+		printf(out, "%s: valid %s\n", path, kind)
 	}
 	if faultsFound {
 		return statusError{status: statusBadInput}
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// checkFile detects the kind of a file and checks its contents. It returns the faults found, as they are printed. An
-// error means that it could not be read, which ends the command.
+// checkFile detects the kind of a file and checks its content. It returns the text of each fault found. An error means
+// that the file could not be read, which ends the command.
 func checkFile(path string) (kind fileKind, found []string, err error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return kind, found, err
 }
 
-// detectKind recognizes the kind of a file by its content.
+// detectKind detects the kind of a file from its content.
 func detectKind(content []byte) fileKind {
 	switch {
 	case bytes.HasPrefix(content, []byte(captureMagic)):
@@ -135,7 +135,7 @@
 	return found
 }
 
-// parseFile reads a TOML file of the given kind; faults of its content are a tomlfile.Faults.
+// parseFile reads a TOML file of the given kind. It returns faults of the content as a tomlfile.Faults.
 func parseFile(kind fileKind, path string, content []byte) (err error) {
 	switch kind {
 	case kindScenario:
--- a/cmd/spurwinchctl/fleet.go
+++ b/cmd/spurwinchctl/fleet.go
@@ -14,16 +14,16 @@
 	var client fleetClient
 	command := &cobra.Command{
 		Use:   "fleet",
-		Short: "Ask a fleet's nodes, and order zones drained",
-		Long: "Calls a node of the fleet: the one that --node names, else each in turn until one answers. " +
-			"What only the one that leads can answer goes\n" +
-			"there by itself.",
+		Short: "Show the state of a running fleet, and drain zones",
+		Long: "Calls the node of the fleet that --node names, or else one node after another until one answers.\n" +
+			"Calls that only the leader can answer go to the leader, " +
+			"unless --node is given.",
 	}
 	flags := command.PersistentFlags()
-	flags.StringVar(&client.listPath, "nodes", "", "the common `FILE` with the list of nodes")
+	flags.StringVar(&client.listPath, "nodes", "", "the `FILE` with the fleet's list of nodes")
 	flags.StringVar(&client.keyPath, "key-file", "", "the `FILE` with the fleet's key")
-	flags.StringVar(&client.node, "node", "", "the node that is asked")
-	flags.BoolVar(&client.asJSON, "json", false, "the answer as JSON")
+	flags.StringVar(&client.node, "node", "", "the `NAME` of the node to call (default: any)")
+	flags.BoolVar(&client.asJSON, "json", false, "print the reply as JSON")
 	requirePersistentFlags(command, "nodes", "key-file")
 	status := fleetVerb{verb: agent.VerbStatus, toLeader: true, print: printFleetStatus}
 	plan := fleetVerb{verb: agent.VerbPlan, print: printFleetPlan}
@@ -31,19 +31,20 @@
 	drain := fleetVerb{verb: agent.VerbDrain, toLeader: true, proposes: true, print: printOrderOutcome}
 	undrain := fleetVerb{verb: agent.VerbUndrain, toLeader: true, proposes: true, print: printOrderOutcome}
 	command.AddCommand(
-		status.command(&client, "status", "Tell who is there, who leads, and by which plan nodes go", cobra.NoArgs),
-		plan.command(&client, "plan", "Tell the plan: each zone's room and where its clients may go", cobra.NoArgs),
-		explain.command(&client, "explain ZONE", "Tell what led to a zone's state", cobra.ExactArgs(1)),
-		drain.command(&client, "drain ZONE", "Have a zone take nothing new; what stands there stays",
+		status.command(&client, "status", "Show the leader, the plan in force, the zones and the nodes that lag behind",
+			cobra.NoArgs),
+		plan.command(&client, "plan", "Show the plan: each zone's capacity and where its clients may go", cobra.NoArgs),
+		explain.command(&client, "explain ZONE", "Explain why a zone is in its current state", cobra.ExactArgs(1)),
+		drain.command(&client, "drain ZONE", "Stop placing new clients in a zone; open connections stay",
 			cobra.ExactArgs(1)),
-		undrain.command(&client, "undrain ZONE", "Take the order back: the zone's room is given back step by step",
+		undrain.command(&client, "undrain ZONE", "Cancel the drain of a zone: its capacity is restored step by step",
 			cobra.ExactArgs(1)),
 	)
 	return command
 }
 
-// requirePersistentFlags makes persistent flags of a command obligatory. A name that is no flag is a fault of this
-// program.
+// requirePersistentFlags marks persistent flags of a command as required. It panics if the command has no flag of a
+// name.
 func requirePersistentFlags(command *cobra.Command, names ...string) {
 	for _, name := range names {
 		if err := command.MarkPersistentFlagRequired(name); err != nil {
@@ -52,11 +53,11 @@
 	}
 }
 
-// fleetVerb is a call that a subcommand of fleet makes.
+// fleetVerb describes the call that a subcommand of fleet makes.
 type fleetVerb struct {
 	verb     agent.Verb
 	toLeader bool // only the leader can answer
-	proposes bool // the call makes a proposal, whose outcome is waited for
+	proposes bool // the call makes a proposal, and the command waits for its outcome
 	print    func(io.Writer, *agent.Reply)
 }
 
--- a/cmd/spurwinchctl/main.go
+++ b/cmd/spurwinchctl/main.go
@@ -1,6 +1,6 @@
-// Command spurwinchctl is all of spurwinch that does not serve: it checks files, imports nginx configurations, reads
-// captures, plans capacity, directs a running fleet and plays the laboratory's scenarios. Its exit statuses are the
-// status constants of this package.
+// Command spurwinchctl has the tools of spurwinch that run outside a node. It checks files, imports nginx
+// configurations, summarizes captures, plans capacity, controls a running fleet and runs the laboratory's scenarios.
+// Its exit statuses are the status constants of this package.
 package main
 
 import (
@@ -15,17 +15,17 @@
 
 // Exit statuses of the program.
 const (
-	statusOK       = 0 // done
-	statusNegative = 1 // the answer is no: a target can't be reached, a rule is broken, a change was aborted
-	statusBadInput = 2 // bad input or a wrong call
-	statusUnknown  = 3 // the outcome of a policy change isn't known yet; policy wait ID reports it later
+	statusOK       = 0 // the command succeeded
+	statusNegative = 1 // negative result: a target can't be reached, a rule is broken, a change was aborted
+	statusBadInput = 2 // invalid input or command line
+	statusUnknown  = 3 // the outcome of a policy change is not known yet; "policy wait ID" reports it later
 )
 
-// statusError ends the program with an exit status of its own. Without a text nothing more is printed.
+// statusError ends the program with a specific exit status. The program prints the text, unless it is empty.
 type statusError struct {
 	status int
 	text   string
-	cause  error // what callers tell errors apart by, may be nil
+	cause  error // lets callers distinguish errors by errors.Is; may be nil
 }
 
 func (e statusError) Error() string { return e.text }
@@ -63,11 +63,11 @@
 func rootCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:           "spurwinchctl",
-		Short:         "Checks, captures and plans for spurwinch nodes",
+		Short:         "Check files, plan capacity, control a fleet and test spurwinch",
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		Long: "spurwinchctl is all of spurwinch that does not serve.\n\n" +
-			"It ends with status 0 when done, 1 when the answer is no, 2 on bad input or a wrong call.",
+		Long: "spurwinchctl has the tools of spurwinch that run outside a node.\n\nExit status: 0 on success,\n" +
+			"1 on a negative result (such as a broken rule), 2 on invalid input, 3 on an outcome not known yet.",
 	}
 	command.AddCommand(
 		checkCommand(),
@@ -84,10 +84,10 @@
 func importCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "import-nginx FILE",
-		Short: "Turn nginx upstream, server and location blocks into an operator's file",
-		Long: "Prints the operator's file on standard output. What can't be carried over is named on " +
-			"standard error as\nFILE:LINE: warning: ...; what would change the meaning is an error, " +
-			"and then nothing is printed.",
+		Short: "Convert nginx upstream, server and location blocks into a node's configuration file",
+		Long: "Prints the node's configuration file (operator's file) on standard output. Directives that can't be\n" +
+			"converted are reported on standard error as FILE:LINE: warning: ... If the conversion would change\n" +
+			"the meaning of the configuration, the command reports an error and prints no file.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			return nginx.Command(args[0], command.OutOrStdout(), command.ErrOrStderr())
@@ -95,7 +95,7 @@
 	}
 }
 
-// requireFlags makes flags of a command obligatory. A name that is no flag is a fault of this program.
+// requireFlags marks flags of a command as required. It panics if the command has no flag of a name.
 func requireFlags(command *cobra.Command, names ...string) {
 	for _, name := range names {
 		if err := command.MarkFlagRequired(name); err != nil {
--- a/cmd/spurwinchctl/output.go
+++ b/cmd/spurwinchctl/output.go
@@ -7,8 +7,8 @@
 	"text/tabwriter"
 )
 
-// The functions that print text drop write errors: the exit status gives the answer of the command, which stands also
-// where the reader of its text has gone away.
+// The functions that print text ignore write errors: the exit status reports the command's result, which stays valid
+// if the reader of the output has closed it.
 
 func printf(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format, args...) // see above
@@ -23,30 +23,30 @@
 	_ = table.Flush() // see above
 }
 
-// newReportTable aligns the columns of a plan or a capture to the left, two spaces apart.
+// newReportTable returns a table for plans and captures, with left-aligned columns two spaces apart.
 func newReportTable(out io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 }
 
-// newFigureTable aligns columns of figures to the right.
+// newFigureTable returns a table of figures, with right-aligned columns.
 func newFigureTable(out io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(out, 2, 0, 2, ' ', tabwriter.AlignRight)
 }
 
-// newFleetTable aligns the columns of what a running fleet replied.
+// newFleetTable returns a table for the replies of a running fleet.
 func newFleetTable(out io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 }
 
-// writeJSON writes a result whose JSON is all that the command is for: a failed write is an error.
+// writeJSON writes the result of a command whose only purpose is to print it: a failed write is an error.
 func writeJSON(out io.Writer, value any) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// printJSON prints a value whose outcome stands also where it can't be written: a drain that was decided doesn't end
-// with the status of a wrong call. Only a value that can't be encoded is an error.
+// printJSON prints the result of a command that also has an effect, and ignores write errors: a drain that was
+// committed must not end with the status of an invalid command line. Only a value that can't be encoded is an error.
 func printJSON(out io.Writer, value any) error {
 	encoded, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// orDefault returns the text, or the default where the text is empty.
+// orDefault returns the text, or the default if the text is empty.
 func orDefault(text, defaultText string) string {
 	if text != "" {
 		return text
--- a/cmd/spurwinchctl/plan_validate.go
+++ b/cmd/spurwinchctl/plan_validate.go
@@ -133,7 +133,7 @@
 }
 
 func (v *validation) findNodeProgram() error {
-	program, err := programBeside(v.nodeProgram)
+	program, err := nodeProgramPath(v.nodeProgram)
 	if err != nil {
 		return err
 	}
--- a/cmd/spurwinchctl/policy.go
+++ b/cmd/spurwinchctl/policy.go
@@ -55,7 +55,7 @@
 			if err != nil {
 				return err
 			}
-			printf(command.OutOrStdout(), "%s: a sound policy, digest %s\n", args[0], policy.Digest(text))
+			printf(command.OutOrStdout(), "%s: valid policy, digest %s\n", args[0], policy.Digest(text))
 			return nil
 		},
 	}
--- a/cmd/spurwinchctl/progress.go
+++ b/cmd/spurwinchctl/progress.go
@@ -8,10 +8,11 @@
 	"github.com/spf13/cobra"
 )
 
-// clearLine returns a terminal's cursor to the start of the line and erases it.
+// clearLine moves a terminal's cursor to the start of the line and erases the line.
 const clearLine = "\r\033[K"
 
-// progress shows on standard error how far long work is, where that is a terminal. It is safe for concurrent use.
+// progress shows the progress of a long operation on standard error, if that is a terminal. It is safe for concurrent
+// use.
 type progress struct {
 	out     io.Writer
 	enabled bool
@@ -24,7 +25,7 @@
 	return &progress{out: command.ErrOrStderr(), enabled: isTerminal}
 }
 
-// show replaces the line shown before.
+// show replaces the line that is currently shown.
 func (p *progress) show(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
