--- a/cmd/spurwinchctl/lab.go
+++ b/cmd/spurwinchctl/lab.go
@@ -80,7 +80,7 @@
 	first, firstErr := strconv.ParseUint(firstText, 10, 64)
 	last, lastErr := strconv.ParseUint(lastText, 10, 64)
 	if !found || firstErr != nil || lastErr != nil || last < first || last-first >= maxSeeds {
-		return 0, 0, fmt.Errorf("--seeds must be a range A..B of at most 1000000 seeds, such as 1..2000, got %q", value)
+		return 0, 0, fmt.Errorf("--seeds must be A..B with A <= B and at most 1000000 seeds, got %q", value)
 	}
 	return first, last, nil
 }
--- a/cmd/spurwinchctl/lab_explore.go
+++ b/cmd/spurwinchctl/lab_explore.go
@@ -12,16 +12,16 @@
 	"spurwinch/internal/lab/simulation"
 )
 
-// Arguments of lab explore: what its schedules put to the test.
+// Arguments of lab explore: the part of the program that the schedules test.
 const (
 	exploreFailover = "failover"
 	explorePolicy   = "policy"
 )
 
-// policyScenarioPrefix begins the names of the scenarios that change the policy.
+// policyScenarioPrefix is the prefix of the names of scenarios that change the policy.
 const policyScenarioPrefix = "policy-"
 
-// scheduleResult is the outcome of one schedule; workers write it as a line of JSON.
+// scheduleResult is the outcome of one schedule. Worker processes write it as a line of JSON.
 type scheduleResult struct {
 	Seed       uint64             `json:"seed"`
 	Scenario   string             `json:"scenario"`
@@ -31,12 +31,12 @@
 	Bytes      float64            `json:"bytes_node_s"`
 }
 
-// exploration plays a range of schedules; its fields are the flags of lab explore.
+// exploration plays a range of schedules. Its fields are the flags of lab explore.
 type exploration struct {
 	options simulation.Options
 	seeds   string
 	policy  string
-	worker  bool // play the schedules in this process
+	worker  bool // play the schedules in this process, not in worker processes
 	asJSON  bool
 }
 
@@ -44,10 +44,10 @@
 	var settings exploration
 	command := &cobra.Command{
 		Use:   "explore failover|policy",
-		Short: "Play schedules of faults in simulated time and check each history",
-		Long: "Plays one schedule for each seed: the decision packages as they are in service, " +
-			"with network, clocks, disks and crashes by seed.\n" +
-			"Status 0: no rule broken; 1: one is, with its seed.",
+		Short: "Run random fault schedules in simulated time and check each history",
+		Long: "Runs one schedule for each seed. The decision code is that of a real node; the seed determines " +
+			"network, clocks, disks and crashes.\n" +
+			"Exit status: 0 if no rule is broken, 1 if a schedule breaks a rule (its seed is printed).",
 		Args:      cobra.MatchAll(cobra.ExactArgs(1), cobra.OnlyValidArgs),
 		ValidArgs: []string{exploreFailover, explorePolicy},
 		RunE: func(command *cobra.Command, args []string) error {
@@ -60,23 +60,26 @@
 
 func (e *exploration) addFlags(command *cobra.Command) {
 	flags := command.Flags()
-	flags.StringVar(&e.seeds, "seeds", "1..20", "`A..B`, one schedule each")
-	flags.IntVar(&e.options.Nodes, "nodes", 300, "nodes")
-	flags.IntVar(&e.options.Zones, "zones", 9, "zones")
-	flags.IntVar(&e.options.Regions, "regions", 3, "regions")
-	flags.IntVar(&e.options.ServersPerZone, "hosts", 4, "hosts in each zone")
+	flags.StringVar(&e.seeds, "seeds", "1..20", "range `A..B` of seeds, one schedule for each")
+	flags.IntVar(&e.options.Nodes, "nodes", 300, "number of nodes")
+	flags.IntVar(&e.options.Zones, "zones", 9, "number of zones")
+	flags.IntVar(&e.options.Regions, "regions", 3, "number of regions")
+	flags.IntVar(&e.options.ServersPerZone, "hosts", 4, "number of hosts in each zone")
 	flags.IntVar(&e.options.ConnectionsPerServer, "bears", 0,
-		"connections that a host bears; 0: by the number of nodes")
-	flags.Float64Var(&e.options.Utilization, "use", 0.45, "part of what all hosts bear that clients ask for")
-	flags.Float64Var(&e.options.Loss, "loss", 0.01, "part of the messages that are lost")
-	flags.DurationVar(&e.options.Length, "length", 0, "of a schedule, simulated")
-	flags.StringVar(&e.options.Scenario, "faults", "", "a scenario's name; drawn: by seed")
-	flags.StringVar(&e.options.Mutation, "mutation", "", "break the program in this way")
-	flags.StringVar(&e.policy, "policy", string(simulation.CommonPlan), "common, each or static")
-	flags.BoolVar(&e.asJSON, "json", false, "the result as JSON")
+		"connections that a host can carry; 0: derived from the number of nodes")
+	flags.Float64Var(&e.options.Utilization, "use", 0.45,
+		"load that clients request, as a part of the capacity of all hosts")
+	flags.Float64Var(&e.options.Loss, "loss", 0.01, "part of the messages between nodes that are lost")
+	flags.DurationVar(&e.options.Length, "length", 0, "simulated length of each schedule; 0: the default")
+	flags.StringVar(&e.options.Scenario, "faults", "", "the `NAME` of a scenario; drawn: random faults by seed")
+	flags.StringVar(&e.options.Mutation, "mutation", "",
+		"label of this run, such as the name of a mutation; it has no effect")
+	flags.StringVar(&e.policy, "policy", string(simulation.CommonPlan),
+		"who places clients: common (the fleet's plan), each (each node) or static (a fixed order of zones)")
+	flags.BoolVar(&e.asJSON, "json", false, "print the result as JSON")
 	flags.BoolVar(&e.worker, "worker", false, "")
 	if err := flags.MarkHidden("worker"); err != nil {
-		panic(err) // the flag is defined above
+		panic(err) // can't happen: the flag is defined above
 	}
 }
 
@@ -93,7 +96,7 @@
 	switch e.options.Policy {
 	case simulation.CommonPlan, simulation.EachNode, simulation.StaticOrder:
 	default:
-		return fmt.Errorf("--policy %q: common, each or static is wanted", e.policy)
+		return fmt.Errorf("--policy must be common, each or static, got %q", e.policy)
 	}
 	if e.worker {
 		return playSchedules(out, e.options, first, last)
@@ -111,12 +114,12 @@
 		summary.print(out)
 	}
 	if summary.Violations > 0 {
-		return statusError{status: statusNegative, text: fmt.Sprintf("%d rules broken", summary.Violations)}
+		return statusError{status: statusNegative, text: fmt.Sprintf("%d violations of rules", summary.Violations)}
 	}
 	return nil
 }
 
-// scenarioName returns the full name of a scenario. Without a name, faults are drawn by seed.
+// scenarioName returns the full name of a scenario. If the name is empty, the seed determines the faults.
 func scenarioName(subject, name string) string {
 	switch {
 	case subject == explorePolicy && name == "":
@@ -129,8 +132,8 @@
 	return name
 }
 
-// playSchedules plays schedules one after another, a line of JSON each: Raft draws from the process's one source of
-// random numbers.
+// playSchedules plays schedules one after another and writes a line of JSON for each. They can't run concurrently since
+// Raft uses the process-wide source of random numbers.
 func playSchedules(out io.Writer, options simulation.Options, first, last uint64) error {
 	encoder := json.NewEncoder(out)
 	for seed := first; seed <= last; seed++ {
--- a/cmd/spurwinchctl/lab_explore_workers.go
+++ b/cmd/spurwinchctl/lab_explore_workers.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// maxBatch is how many seeds beyond its first a worker process plays at most: an interrupt waits for these.
+	// maxBatch is the maximum number of seeds that a worker process plays beyond its first one. An interrupt waits for
+	// them.
 	maxBatch = 4
-	// batchesPerCore is into how many batches the seeds are divided at least, so that cores end at about one time.
+	// batchesPerCore is the minimum number of batches per core, so that all cores finish at about the same time.
 	batchesPerCore = 4
 )
 
 // schedulePool hands seeds out to worker processes and collects their results.
 type schedulePool struct {
-	self    string // this program
+	self    string // path of this program
 	options simulation.Options
 	first   uint64
 	last    uint64
 
 	mu      sync.Mutex
-	next    uint64 // the first seed that isn't handed out
+	next    uint64 // the first seed that no worker has yet
 	results []scheduleResult
 	failure error
 }
 
-// playInProcesses has a process for each core play its part of the seeds. On an interrupt, schedules under way are
-// played to their end, and the results so far are returned.
+// playInProcesses distributes the seeds over one worker process for each core. On an interrupt, it finishes the
+// schedules in progress and returns the results so far.
 func playInProcesses(options simulation.Options, first, last uint64) ([]scheduleResult, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -63,7 +64,7 @@
 	return pool.results, nil
 }
 
-// work plays batches until none is left, one failed or ctx is done.
+// work plays batches until none is left, a batch has failed or ctx is done.
 func (p *schedulePool) work(ctx context.Context) {
 	for {
 		first, last, found := p.nextBatch(ctx)
@@ -85,8 +86,8 @@
 	return first, last, first <= p.last && p.failure == nil && ctx.Err() == nil
 }
 
-// command is a process that plays a batch. It has a process group of its own: a terminal's interrupt is for this
-// process alone.
+// command returns a worker process for a batch. It has a process group of its own, so that a terminal's interrupt
+// reaches only this process.
 func (p *schedulePool) command(first, last uint64) *exec.Cmd {
 	options := &p.options
 	command := exec.Command(p.self, "lab", "explore", exploreFailover, "--worker",
@@ -108,8 +109,8 @@
 	return command
 }
 
-// collect takes the results of the batch from first to last: its worker's output has one as JSON on each line. After a
-// failure of the worker, err, the results before it are taken too. Of several failures the newest one is kept.
+// collect adds the results of the batch from first to last. The worker's output has one result as JSON on each line. If
+// the worker failed with err, the results before the failure are added too. The newest of several failures is kept.
 func (p *schedulePool) collect(first, last uint64, output []byte, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +120,7 @@
 	for _, line := range strings.Split(strings.TrimSpace(string(output)), "\n") {
 		var result scheduleResult
 		if json.Unmarshal([]byte(line), &result) != nil {
-			continue // the empty text of a worker that printed nothing, or a line that is cut short
+			continue // the worker printed nothing, or the line is truncated
 		}
 		if first <= result.Seed && result.Seed <= last {
 			p.results = append(p.results, result)
--- a/cmd/spurwinchctl/lab_faults.go
+++ b/cmd/spurwinchctl/lab_faults.go
@@ -14,7 +14,7 @@
 	"spurwinch/internal/lab/faults"
 )
 
-// faultsRun plays one scenario; its fields are the flags of lab faults.
+// faultsRun plays one scenario. Its fields are the flags of lab faults.
 type faultsRun struct {
 	options     faults.Options
 	asJSON      bool
@@ -27,24 +27,26 @@
 	var settings faultsRun
 	command := &cobra.Command{
 		Use:   "faults SCENARIO.toml",
-		Short: "Start many processes, put faults between them, check what happens",
-		Long: "Starts the program many times on loopback with every link through a relay, " +
-			"plays the scenario's faults and checks the history.\n" +
-			"Status 0: no rule broken; 1: one is, or the run was not judged since this machine itself was late; " +
-			"2: it can't be played.",
+		Short: "Start many processes, inject faults and check the history of events",
+		Long: "Starts the program many times on loopback with a relay on each link, " +
+			"injects the scenario's faults and checks the history.\n" +
+			"Exit status: 0 if no rule is broken, 1 if one is or if this machine was too slow for a verdict, " +
+			"2 if the scenario can't be run.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			return settings.run(command.OutOrStdout(), args[0])
 		},
 	}
 	flags := command.Flags()
-	flags.Uint64Var(&settings.options.Seed, "seed", 1, "for clients and drawn faults")
-	flags.IntVar(&settings.options.Nodes, "nodes", 0, "processes; 0: as the scenario says")
-	flags.BoolVar(&settings.options.Standalone, "alone", false, "each node for itself, as without [fleet]")
-	flags.BoolVar(&settings.asJSON, "json", false, "the verdict as JSON")
+	flags.Uint64Var(&settings.options.Seed, "seed", 1, "seed of the clients and of random faults")
+	flags.IntVar(&settings.options.Nodes, "nodes", 0, "number of node processes; 0: as in the scenario")
+	flags.BoolVar(&settings.options.Standalone, "alone", false,
+		"let each node decide for itself, as without [fleet] in its configuration")
+	flags.BoolVar(&settings.asJSON, "json", false, "print the verdict as JSON")
 	flags.BoolVar(&settings.keep, "keep", false, "keep the nodes' files and logs")
 	flags.StringVar(&settings.historyPath, "history", "", "write the history to `FILE`")
-	flags.StringVar(&settings.nodeProgram, "program", "", "the node's program; else the one beside this one")
+	flags.StringVar(&settings.nodeProgram, "program", "",
+		"the `PATH` of the node's program (default: spurwinch beside this program)")
 	command.AddCommand(faultsListCommand(), faultsCheckCommand())
 	return command
 }
@@ -52,7 +54,7 @@
 func faultsListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
-		Short: "Name the scenarios that come with the program",
+		Short: "List the built-in scenarios",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			files, err := deploy.Faults.ReadDir("faults")
@@ -75,7 +77,7 @@
 	asJSON := false
 	command := &cobra.Command{
 		Use:   "check HISTORY",
-		Short: "Check a history that was written before",
+		Short: "Check a history that --history has written",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			events, err := readHistory(args[0])
@@ -86,7 +88,7 @@
 			return reportVerdict(command.OutOrStdout(), filepath.Base(args[0]), faults.Options{}, verdict, asJSON)
 		},
 	}
-	command.Flags().BoolVar(&asJSON, "json", false, "the verdict as JSON")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the verdict as JSON")
 	return command
 }
 
@@ -108,7 +110,7 @@
 		return fmt.Errorf("%w (logs: %s)", err, r.options.Dir)
 	}
 	if !r.keep {
-		_ = os.RemoveAll(r.options.Dir) // what is left of a temporary directory doesn't change the verdict
+		_ = os.RemoveAll(r.options.Dir) // leftover temporary files don't change the verdict
 	}
 	verdict := faults.Check(events, scenario.EffectiveLimits())
 	if !r.options.Standalone {
@@ -117,7 +119,7 @@
 	return reportVerdict(out, scenario.Name, r.options, verdict, r.asJSON)
 }
 
-// play plays the scenario and writes its history where that was asked for, also of a run that failed.
+// play plays the scenario. If --history is set, it writes the history, also that of a failed run.
 func (r *faultsRun) play(ctx context.Context, scenario *faults.Scenario) ([]faults.Event, error) {
 	events, err := faults.Run(ctx, scenario, r.options)
 	if r.historyPath != "" && len(events) > 0 {
@@ -155,12 +157,12 @@
 	Violations int                `json:"violations"`
 	Broken     []faults.Violation `json:"broken"`
 	Judged     bool               `json:"judged"`
-	Why        string             `json:"why,omitempty"`
+	Reason     string             `json:"why,omitempty"`
 	Seen       map[string]int     `json:"seen"`
 	Figures    faults.Figures     `json:"figures"`
 }
 
-// reportVerdict prints a verdict and returns the status that it means.
+// reportVerdict prints a verdict and returns the statusError for it, or nil if no rule is broken.
 func reportVerdict(out io.Writer, name string, options faults.Options, verdict faults.Verdict, asJSON bool) error {
 	if asJSON {
 		report := verdictReport{
@@ -170,7 +172,7 @@
 			Violations: len(verdict.Violations),
 			Broken:     verdict.Violations,
 			Judged:     verdict.Judged,
-			Why:        verdict.Why,
+			Reason:     verdict.Why,
 			Seen:       verdict.Seen,
 			Figures:    verdict.Figures,
 		}
@@ -182,29 +184,29 @@
 	}
 	switch {
 	case len(verdict.Violations) > 0:
-		return statusError{status: statusNegative, text: fmt.Sprintf("%d rules broken", len(verdict.Violations))}
+		return statusError{status: statusNegative, text: fmt.Sprintf("%d violations of rules", len(verdict.Violations))}
 	case !verdict.Judged:
-		return statusError{status: statusNegative, text: "not judged: " + verdict.Why}
+		return statusError{status: statusNegative, text: "no verdict: " + verdict.Why}
 	}
 	return nil
 }
 
 func printVerdict(out io.Writer, name string, verdict *faults.Verdict) {
 	figures := &verdict.Figures
-	printf(out, "%s: %d requests, %.1f%% served (worst 5 s %.1f%%), "+
-		"%.1f%% of these in another zone, %.1f%% in another region\n",
+	printf(out, "%s: %d requests, %.1f%% served (%.1f%% in the worst 5 s), "+
+		"%.1f%% of them in another zone, %.1f%% in another region\n",
 		name, figures.Requests, 100*figures.Served, 100*figures.Worst, 100*figures.Crossed, 100*figures.Regions)
-	printf(out, "plans %d, from the first node to the others p50 %.3f s, p99 %.3f s; "+
-		"fullest zone %.0f%%; zones turned back %d times\n",
+	printf(out, "plans %d, delay from the first node to the others p50 %.3f s, p99 %.3f s; "+
+		"fullest zone %.0f%%; %d recovered zones lost again\n",
 		verdict.Seen["plans"], figures.SpreadHalf, figures.Spread, 100*figures.PeakUtilization, figures.Reversals)
 	if verdict.Seen["policies"] > 0 {
-		printf(out, "policies %d, given up %d, from a command to the last node p50 %.2f s, p99 %.2f s, "+
-			"longest %.2f s; the old one in use for %.2f s at most\n",
+		printf(out, "policies %d, changes aborted %d, delay from a command to the last node p50 %.2f s, p99 %.2f s, "+
+			"longest %.2f s; the old policy in use for at most %.2f s after a commit\n",
 			verdict.Seen["policies"], verdict.Seen["change given up"],
 			figures.ChangeHalf, figures.Change99, figures.ChangeMost, figures.OldPolicy)
 	}
 	for _, violation := range verdict.Violations {
-		printf(out, "broken at %.2f s: %s: %s\n", violation.At, violation.Rule, violation.What)
+		printf(out, "violation at %.2f s: %s: %s\n", violation.At, violation.Rule, violation.What)
 	}
 	printf(out, "violations: %d\n", len(verdict.Violations))
 }
--- a/cmd/spurwinchctl/lab_mutations.go
+++ b/cmd/spurwinchctl/lab_mutations.go
@@ -14,17 +14,17 @@
 	var seeds int
 	command := &cobra.Command{
 		Use:   "mutations",
-		Short: "Break the program in known ways, one for each rule, and see that the laboratory finds it",
-		Long: "Makes each listed mutation in a copy of the source, builds it and plays schedules in simulated time. " +
-			"Needs the Go tool chain.\n" +
-			"Status 0: each broke its rule; 1: one did not.",
+		Short: "Check that the laboratory detects known faults put into the source, one for each rule",
+		Long: "Applies each listed mutation to a copy of the source, builds it and runs schedules in simulated time. " +
+			"Requires the Go tool chain.\n" +
+			"Exit status: 0 if each mutation broke its rule, 1 if one did not.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return playMutations(command.OutOrStdout(), source, seeds)
 		},
 	}
-	command.Flags().StringVar(&source, "source", ".", "the repository's `DIR`")
-	command.Flags().IntVar(&seeds, "seeds", 6, "schedules of each")
+	command.Flags().StringVar(&source, "source", ".", "the root `DIR` of the repository")
+	command.Flags().IntVar(&seeds, "seeds", 6, "number of schedules for each mutation")
 	return command
 }
 
@@ -39,7 +39,7 @@
 		printMutation(out, &result)
 	})
 	if err == nil && missed > 0 {
-		return statusError{status: statusNegative, text: fmt.Sprintf("%d mutations were missed", missed)}
+		return statusError{status: statusNegative, text: fmt.Sprintf("%d mutations were not detected", missed)}
 	}
 	return err
 }
@@ -54,7 +54,7 @@
 	case result.Err != nil:
 		printf(out, ": %v", result.Err)
 	case !result.Caught:
-		printf(out, ": broken were %v", result.Rules)
+		printf(out, ": broken rules were %v", result.Rules)
 	}
 	printLine(out)
 }
--- a/cmd/spurwinchctl/lab_soak.go
+++ b/cmd/spurwinchctl/lab_soak.go
@@ -17,10 +17,10 @@
 	"spurwinch/internal/lab/soak"
 )
 
-// minSoakNodes is the least fleet that is played.
+// minSoakNodes is the minimum number of nodes.
 const minSoakNodes = 2
 
-// soakRun plays a range of seeds; its fields are the flags of lab soak.
+// soakRun plays a range of seeds. Its fields are the flags of lab soak.
 type soakRun struct {
 	options soak.Options
 	seeds   string
@@ -32,40 +32,42 @@
 	var settings soakRun
 	command := &cobra.Command{
 		Use:   "soak",
-		Short: "Play many processes while rare events cross, and judge what clients and hosts saw",
-		Long: "Starts the program many times on loopback with hosts, discovery and clients of its own, " +
-			"draws overlapping troubles by seed (signals, failing\n" +
+		Short: "Run many processes under overlapping faults and check what clients and hosts observe",
+		Long: "Starts the program many times on loopback with test hosts, discovery and clients, " +
+			"injects random overlapping faults by seed (signals, failing\n" +
 			"system calls, stepped clocks, misbehaving hosts, clients and discovery), " +
-			"and holds all that was seen to docs/promises.md.\n" +
-			"Needs a C compiler. Troubles: " + strings.Join(soak.FaultKinds(), ", ") + ".\n" +
-			"Status 0: no promise broken; 1: one is, or a run was not judged since this machine itself was late; " +
-			"2: it can't be played.",
+			"and checks all observations against docs/promises.md.\n" +
+			"Requires a C compiler. Kinds of faults: " + strings.Join(soak.FaultKinds(), ", ") + ".\n" +
+			"Exit status: 0 if no promise is broken, 1 if one is or if this machine was too slow for a verdict, " +
+			"2 if a run is impossible.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return settings.run(command.OutOrStdout())
 		},
 	}
 	flags := command.Flags()
-	flags.StringVar(&settings.seeds, "seeds", "1..1", "`A..B`, played one after another")
-	flags.IntVar(&settings.options.Nodes, "nodes", 24, "nodes, each a process")
-	flags.DurationVar(&settings.options.FaultTime, "time", 20*time.Second, "for which troubles are drawn")
+	flags.StringVar(&settings.seeds, "seeds", "1..1", "range `A..B` of seeds, run one after another")
+	flags.IntVar(&settings.options.Nodes, "nodes", 24, "number of nodes, each a process")
+	flags.DurationVar(&settings.options.FaultTime, "time", 20*time.Second, "time during which faults are injected")
 	flags.Float64Var(&settings.options.Rate, "rate", 0,
-		"requests a second of the whole fleet; 0: what its hosts bear well")
-	flags.StringSliceVar(&settings.options.Only, "only", nil, "troubles that may be drawn; without it all")
-	flags.BoolVar(&settings.asJSON, "json", false, "each report as JSON")
-	flags.BoolVar(&settings.keep, "keep", false, "keep the nodes' files and logs also where nothing was broken")
-	flags.StringVar(&settings.options.Program, "program", "", "the node's program; else the one beside this one")
+		"requests per second to the whole fleet; 0: derived from the capacity of the hosts")
+	flags.StringSliceVar(&settings.options.Only, "only", nil, "kinds of faults to inject (default: all)")
+	flags.BoolVar(&settings.asJSON, "json", false, "print each report as JSON")
+	flags.BoolVar(&settings.keep, "keep", false, "keep the nodes' files and logs even if no promise was broken")
+	flags.StringVar(&settings.options.Program, "program", "",
+		"the `PATH` of the node's program (default: spurwinch beside this program)")
 	return command
 }
 
 func (r *soakRun) validate() error {
 	for _, name := range r.options.Only {
 		if !slices.Contains(soak.FaultKinds(), name) {
-			return fmt.Errorf("--only %s: no such trouble: one of %s", name, strings.Join(soak.FaultKinds(), ", "))
+			return fmt.Errorf("--only %s is not a kind of fault: it must be one of %s",
+				name, strings.Join(soak.FaultKinds(), ", "))
 		}
 	}
 	if r.options.Nodes < minSoakNodes || r.options.Nodes > soak.MaxNodes {
-		return fmt.Errorf("--nodes %d: 2 to %d are played", r.options.Nodes, soak.MaxNodes)
+		return fmt.Errorf("--nodes %d is invalid: it must be between 2 and %d", r.options.Nodes, soak.MaxNodes)
 	}
 	return nil
 }
@@ -84,7 +86,7 @@
 	ctx, stop := interruptContext()
 	defer stop()
 	violations := 0
-	notJudged := 0
+	withoutVerdict := 0
 	for seed := first; seed <= last && ctx.Err() == nil; seed++ {
 		report, err := r.play(ctx, seed)
 		if err != nil {
@@ -92,7 +94,7 @@
 		}
 		violations += len(report.Violations)
 		if !report.Judged {
-			notJudged++
+			withoutVerdict++
 		}
 		if err := r.print(out, &report); err != nil {
 			return err
@@ -100,14 +102,14 @@
 	}
 	switch {
 	case violations > 0:
-		return statusError{status: statusNegative, text: fmt.Sprintf("%d promises broken", violations)}
-	case notJudged > 0:
-		return statusError{status: statusNegative, text: fmt.Sprintf("%d runs not judged", notJudged)}
+		return statusError{status: statusNegative, text: fmt.Sprintf("%d violations of promises", violations)}
+	case withoutVerdict > 0:
+		return statusError{status: statusNegative, text: fmt.Sprintf("%d runs without a verdict", withoutVerdict)}
 	}
 	return nil
 }
 
-// play plays one seed. Its files stay where something was broken, or where they are to be kept.
+// play plays one seed. It keeps the files if --keep is set, if the run failed or if a promise was broken.
 func (r *soakRun) play(ctx context.Context, seed uint64) (soak.Report, error) {
 	options := r.options
 	options.Seed = seed
@@ -136,16 +138,16 @@
 func printSoakReport(out io.Writer, report *soak.Report) {
 	printf(out, "seed %d, %d nodes: %d requests, %d served, %d violations\n",
 		report.Seed, report.Nodes, report.Seen["requests"], report.Seen["answer UP"], len(report.Violations))
-	for _, trouble := range report.Faults {
-		printf(out, "  %s\n", trouble)
+	for _, fault := range report.Faults {
+		printf(out, "  %s\n", fault)
 	}
 	for _, event := range slices.Sorted(maps.Keys(report.Seen)) {
-		printf(out, "  seen: %s: %d\n", event, report.Seen[event])
+		printf(out, "  observed: %s: %d\n", event, report.Seen[event])
 	}
 	for _, violation := range report.Violations {
-		printf(out, "  broken at %.2f s: %s: %s\n", violation.At.Seconds(), violation.Promise, violation.What)
+		printf(out, "  violation at %.2f s: %s: %s\n", violation.At.Seconds(), violation.Promise, violation.What)
 	}
 	if !report.Judged {
-		printf(out, "  not judged: %s\n", report.Why)
+		printf(out, "  no verdict: %s\n", report.Why)
 	}
 }
