--- a/cmd/spurwinchctl/capture.go
+++ b/cmd/spurwinchctl/capture.go
@@ -130,7 +130,7 @@
 		},
 	}
 	flags := command.Flags()
-	flags.StringVar(&options.fleetPath, "fleet", "", "the `FLEET` file")
+	flags.StringVar(&options.fleetPath, "fleet", "", "the `FLEET` file, which describes servers, nodes and clients")
 	flags.StringVar(&options.outPrefix, "out", "drawn", "the `PREFIX` of the names of the capture files")
 	flags.Float64Var(&options.generator.Concurrency, "standing", 0, "mean number of concurrent sessions, 0 to 1000000")
 	flags.Float64Var(&options.generator.RateVariation, "swing", 0,
@@ -168,7 +168,7 @@
 		return err
 	}
 	printf(out, "%s\n", strings.Join(names, "\n"))
-	printf(out, "%d sessions in %v, on average %.0f concurrent and %.1f cores requested, not counting groups\n",
+	printf(out, "%d sessions in %v, on average %.0f concurrent and %.1f cores requested, without groups\n",
 		len(load.Sessions), o.generator.Length, load.MeanConcurrency(), load.MeanCores(planned))
 	return nil
 }
--- a/cmd/spurwinchctl/commands_test.go
+++ b/cmd/spurwinchctl/commands_test.go
@@ -25,7 +25,7 @@
 	} {
 		first, last, err := parseSeeds(test.value)
 		if first != test.first || last != test.last || (err == nil) != test.valid {
-			t.Errorf("parseSeeds(%q) = %d, %d, %v; want %d, %d, valid: %v",
+			t.Errorf("parseSeeds(%q): got %d, %d, error %v, want %d, %d, valid %v",
 				test.value, first, last, err, test.first, test.last, test.valid)
 		}
 	}
@@ -46,7 +46,7 @@
 		{"", kindOperatorFile},
 	} {
 		if got := detectKind([]byte(test.content)); got != test.want {
-			t.Errorf("detectKind(%q) = %q, want %q", test.content, got, test.want)
+			t.Errorf("detectKind(%q): got %q, want %q", test.content, got, test.want)
 		}
 	}
 }
@@ -66,16 +66,16 @@
 		err := replyError(&test.reply)
 		if test.status == statusOK {
 			if err != nil {
-				t.Errorf("%s: %v, want no error", test.name, err)
+				t.Errorf("%s: got error %v, want no error", test.name, err)
 			}
 			continue
 		}
 		var status statusError
 		if !errors.As(err, &status) || status.status != test.status || status.text != test.reply.Error {
-			t.Errorf("%s: %#v, want status %d and the reply's text", test.name, err, test.status)
+			t.Errorf("%s: got error %#v, want status %d and the reply's text", test.name, err, test.status)
 		}
 		if errors.Is(err, errNotLeader) != (test.cause != nil) {
-			t.Errorf("%s: cause %v, want %v", test.name, status.cause, test.cause)
+			t.Errorf("%s: got cause %v, want %v", test.name, status.cause, test.cause)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 		{explorePolicy, "policy-calm", "policy-calm"},
 	} {
 		if got := scenarioName(test.subject, test.name); got != test.want {
-			t.Errorf("scenarioName(%q, %q) = %q, want %q", test.subject, test.name, got, test.want)
+			t.Errorf("scenarioName(%q, %q): got %q, want %q", test.subject, test.name, got, test.want)
 		}
 	}
 }
--- a/cmd/spurwinchctl/main_test.go
+++ b/cmd/spurwinchctl/main_test.go
@@ -11,7 +11,7 @@
 	"spurwinch/deploy"
 )
 
-// execute runs a command and returns its output and its error.
+// execute runs a command and returns its output (standard output and error) and the returned error.
 func execute(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -23,10 +23,10 @@
 	return out.String(), err
 }
 
-// planFiles are the files that a plan is made from.
+// planFiles are the input files of the plan commands.
 type planFiles struct {
 	fleet    string
-	captures string // a pattern
+	captures string // pattern
 }
 
 // plan runs a plan command on the files.
@@ -36,7 +36,7 @@
 	return execute(t, append(common, args...)...)
 }
 
-// TestCaptureToPlans goes the operators' way from a load to its plans, on a small fleet.
+// TestCaptureToPlans runs the commands that an operator uses to get from a load to its plans, for a small fleet.
 func TestCaptureToPlans(t *testing.T) {
 	dir := t.TempDir()
 	files := planFiles{fleet: filepath.Join(dir, "fleet.toml"), captures: filepath.Join(dir, "load*")}
@@ -62,11 +62,11 @@
 	}
 	out, err := execute(t, append([]string{"check", files.fleet}, captures...)...)
 	if err != nil || strings.Count(out, ": valid ") != 1+len(captures) {
-		t.Error("check:", out, err)
+		t.Error("check: got an error or an invalid file, want each file valid:", out, err)
 	}
 	out, err = execute(t, "capture", "summary", files.captures)
 	if err != nil || !strings.Contains(out, "Capture of 4 nodes") {
-		t.Error("capture summary:", out, err)
+		t.Error("capture summary: got an error or another summary, want that of 4 nodes:", out, err)
 	}
 }
 
@@ -81,7 +81,7 @@
 		t.Error("plan forecast:", err)
 	}
 	if first != second {
-		t.Error("the same seed gave two forecasts: ", first, second)
+		t.Error("plan forecast: got different forecasts for the same seed, want equal ones: ", first, second)
 	}
 	var forecast struct {
 		Service struct{ Mean float64 }
@@ -91,31 +91,31 @@
 		t.Error("plan forecast:", err)
 	}
 	if forecast.Service.Mean <= 0.3 || forecast.First.Limit == "" {
-		t.Error("no forecast: ", first)
+		t.Error("plan forecast: got no service over 0.3 or no first limit, want both: ", first)
 	}
 }
 
 func checkSize(t *testing.T, files planFiles, plotPath string) {
 	t.Helper()
 	out, err := files.plan(t, "size", "--target", "0.8", "--plot", plotPath)
-	if err != nil || !strings.Contains(out, "Least: ") || !strings.Contains(out, "less: ") {
-		t.Error("plan size:", out, err)
+	if err != nil || !strings.Contains(out, "Minimum: ") || !strings.Contains(out, "less: ") {
+		t.Error("plan size: got an error or no minimum, want the minimum and the service with one server less:", out, err)
 	}
 	if info, err := os.Stat(plotPath); err != nil || info.Size() < 1000 {
-		t.Error("plan size made no plot:", err)
+		t.Error("plan size --plot: got no plot or one under 1000 bytes, want a plot:", err)
 	}
 }
 
 func checkLoss(t *testing.T, files planFiles) {
 	t.Helper()
 	out, err := files.plan(t, "lose", "--centre", "cluj-1")
-	if err != nil || !strings.Contains(out, "storm of returns") ||
+	if err != nil || !strings.Contains(out, "clients reconnect") ||
 		!strings.Contains(out, "3 of 13 servers, 1 of 4 nodes") {
-		t.Error("plan lose:", out, err)
+		t.Error("plan lose: got an error or other losses, want 3 of 13 servers and 1 of 4 nodes lost:", out, err)
 	}
 }
 
-// checkStatuses checks the exit statuses: 1 where the answer is no, 2 where the question is bad.
+// checkStatuses checks the exit statuses: 1 for a negative result, 2 for an invalid command line or input.
 func checkStatuses(t *testing.T, files planFiles, noFiles string) {
 	t.Helper()
 	slow := strings.Replace(string(deploy.ExampleFleet), "rate = 40 ", "rate = 0.01 ", 1)
@@ -138,7 +138,7 @@
 		{0, []string{"completion", "bash"}},
 	} {
 		if got := run(test.args); got != test.want {
-			t.Errorf("%v ended with status %d, want %d", test.args, got, test.want)
+			t.Errorf("run(%v): got exit status %d, want %d", test.args, got, test.want)
 		}
 	}
 }
--- a/cmd/spurwinchctl/plan_forecast.go
+++ b/cmd/spurwinchctl/plan_forecast.go
@@ -10,7 +10,7 @@
 	"spurwinch/internal/plan/planner"
 )
 
-// forecastPlan is the work of plan forecast.
+// forecastPlan implements plan forecast.
 type forecastPlan struct {
 	planInput
 }
@@ -19,7 +19,7 @@
 	var plan forecastPlan
 	command := &cobra.Command{
 		Use:   "forecast --load CAPTURE --fleet FLEET",
-		Short: "Service to expect, and what breaks first",
+		Short: "Forecast the service and which limit is reached first as the load grows",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return plan.run(command) },
 	}
@@ -32,7 +32,7 @@
 		return err
 	}
 	progress := newProgress(command)
-	forecast, first, err := p.compute(progress)
+	forecast, breakpoint, err := p.compute(progress)
 	if err != nil {
 		return err
 	}
@@ -47,44 +47,44 @@
 		return writeJSON(out, struct {
 			planner.Forecast
 			First planner.Breakpoint `json:"first_to_break"`
-		}{forecast, withoutInfinity(first)})
+		}{forecast, withoutInfinity(breakpoint)})
 	}
 	p.describe(out)
 	p.printService(out, &forecast)
 	printBounds(out, &forecast)
-	printFirstToBreak(out, first)
+	printBreakpoint(out, breakpoint)
 	return printLimits(out, &forecast)
 }
 
-// compute looks for what breaks first beside the replications: on a large load those leave a core free.
+// compute searches the breakpoint concurrently with the replications, which leave a core idle for a large load.
 func (p *forecastPlan) compute(progress *progress) (planner.Forecast, planner.Breakpoint, error) {
 	type result struct {
-		first planner.Breakpoint
-		err   error
+		breakpoint planner.Breakpoint
+		err        error
 	}
 	results := make(chan result, 1)
 	go func() {
-		first, err := planner.FindBreakpoint(p.fleet, p.load, p.options(), func(multiple float64) {
-			progress.show("what breaks first: %.2f times the load", multiple)
+		breakpoint, err := planner.FindBreakpoint(p.fleet, p.load, p.options(), func(loadFactor float64) {
+			progress.show("searching the first limit: %.2f times the load", loadFactor)
 		})
-		results <- result{first, err}
+		results <- result{breakpoint, err}
 	}()
 	done := 0
 	forecast, err := planner.Replicate(p.fleet, p.load, p.options(), p.replications, func() {
 		done++
 		progress.show("%d of %d replications done", done, p.replications)
 	})
-	breaking := <-results
-	return forecast, breaking.first, errors.Join(err, breaking.err)
+	search := <-results
+	return forecast, search.breakpoint, errors.Join(err, search.err)
 }
 
-// printService prints the service, as figureText does: of the whole load, of its worst window, and by class and tenant
-// in the order of the fleet file. A forecast has a figure for each of these.
+// printService prints the service for the whole load, for its worst window, and for each class and tenant in the order
+// of the fleet file. A forecast has a figure for each of these, which figureText formats.
 func (p *forecastPlan) printService(out io.Writer, forecast *planner.Forecast) {
-	printf(out, "\nService, worth of well-served seconds over all asked for (95%% over %d replications)\n",
+	printf(out, "\nService: value of the well-served seconds / value of all requested (95%% over %d replications)\n",
 		p.replications)
 	table := newReportTable(out)
-	printf(table, "  in all\t%s\n", figureText(forecast.Service))
+	printf(table, "  total\t%s\n", figureText(forecast.Service))
 	printf(table, "  worst 10 s\t%s\tfrom %.0f s on\n", figureText(forecast.WorstWindow), forecast.WorstWindowAtS)
 	for i := range p.fleet.Classes {
 		name := p.fleet.Classes[i].Name
@@ -100,22 +100,22 @@
 func printBounds(out io.Writer, forecast *planner.Forecast) {
 	printf(out, "\nNo placement can serve more than %.1f%%\n", 100*forecast.Bound.Service)
 	for _, reason := range forecast.Bound.Infeasible {
-		printf(out, "  can't work: %s\n", reason)
+		printf(out, "  not feasible: %s\n", reason)
 	}
 }
 
-func printFirstToBreak(out io.Writer, first planner.Breakpoint) {
-	printLine(out, "\nFirst to break")
-	if first.None {
-		printf(out, "  nothing, up to %.0f times the load\n", first.LoadFactor)
+func printBreakpoint(out io.Writer, breakpoint planner.Breakpoint) {
+	printLine(out, "\nFirst limit reached as the load grows")
+	if breakpoint.None {
+		printf(out, "  none, up to %.0f times the load\n", breakpoint.LoadFactor)
 		return
 	}
-	printf(out, "  %s, at %.2f times the load, %.1f s in, at %s; service is then %.1f%%\n",
-		first.Limit, first.LoadFactor, first.AtS, first.Where, 100*first.Service)
+	printf(out, "  %s, at %.2f times the load, after %.1f s, at %s; service is then %.1f%%\n",
+		breakpoint.Limit, breakpoint.LoadFactor, breakpoint.AtS, breakpoint.Where, 100*breakpoint.Service)
 }
 
 func printLimits(out io.Writer, forecast *planner.Forecast) error {
-	printLine(out, "\nLimits, most that was used of each (the middle replication)")
+	printLine(out, "\nPeak use of each limit (in the replication closest to the mean)")
 	table := newReportTable(out)
 	for _, limit := range forecast.Limits {
 		if limit.Peak > 0 {
@@ -125,10 +125,10 @@
 	return table.Flush()
 }
 
-// withoutInfinity replaces the infinite multiple, which JSON can't express, by -1.
-func withoutInfinity(first planner.Breakpoint) planner.Breakpoint {
-	if math.IsInf(first.LoadFactor, 0) {
-		first.LoadFactor = -1
+// withoutInfinity replaces an infinite load factor, which JSON can't represent, by -1.
+func withoutInfinity(breakpoint planner.Breakpoint) planner.Breakpoint {
+	if math.IsInf(breakpoint.LoadFactor, 0) {
+		breakpoint.LoadFactor = -1
 	}
-	return first
+	return breakpoint
 }
--- a/cmd/spurwinchctl/plan_lose.go
+++ b/cmd/spurwinchctl/plan_lose.go
@@ -11,43 +11,46 @@
 	"spurwinch/internal/plan/planner"
 )
 
-// lossPlan is the work of plan lose.
+// lossPlan implements plan lose.
 type lossPlan struct {
 	planInput
 	centre string
-	at     time.Duration // since the load's beginning
+	at     time.Duration // after the beginning of the load
 }
 
 func loseCommand() *cobra.Command {
 	var plan lossPlan
 	command := &cobra.Command{
 		Use:   "lose --load CAPTURE --fleet FLEET --centre NAME",
-		Short: "What losing a data centre does",
+		Short: "Forecast the effect of the loss of a data centre",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return plan.run(command) },
 	}
 	plan.addFlags(command)
 	flags := command.Flags()
-	flags.StringVar(&plan.centre, "centre", "", "the data centre that is lost, its servers and nodes")
-	flags.DurationVar(&plan.at, "at", 0, "when, after the load's beginning (default: half of it)")
+	flags.StringVar(&plan.centre, "centre", "", "the `NAME` of the data centre that is lost with its servers and nodes")
+	flags.DurationVar(&plan.at, "at", 0,
+		"time of the loss after the beginning of the load (default: half the load's length)")
 	requireFlags(command, "centre")
 	return command
 }
 
-// resolve checks the flags against the files that were read, and sets the default of --at.
+// resolve checks the flags against the fleet and the load, and sets the default of --at.
 func (p *lossPlan) resolve() error {
 	if p.fleet.ZoneIndex(p.centre) < 0 {
 		var names []string
 		for _, centre := range p.fleet.Zones {
 			names = append(names, centre.Name)
 		}
-		return fmt.Errorf("--centre %q: the fleet file has %s", p.centre, strings.Join(names, ", "))
+		return fmt.Errorf("--centre %q is not in the fleet file: it must be one of %s",
+			p.centre, strings.Join(names, ", "))
 	}
 	if p.at <= 0 {
 		p.at = p.load.Length / 2
 	}
 	if p.at >= p.load.Length {
-		return fmt.Errorf("--at %v: the load is %v long", p.at, p.load.Length.Round(time.Second))
+		return fmt.Errorf("--at %v is not before the end of the load: it must be less than %v",
+			p.at, p.load.Length.Round(time.Second))
 	}
 	return nil
 }
@@ -69,7 +72,7 @@
 	}
 	progress.done()
 	if p.plotPath != "" {
-		if err := plotLoss(p.plotPath, "Service as "+p.centre+" is lost", loss.ServiceBySecond, p.at); err != nil {
+		if err := plotLoss(p.plotPath, "Service when "+p.centre+" is lost", loss.ServiceBySecond, p.at); err != nil {
 			return err
 		}
 	}
@@ -83,22 +86,22 @@
 func (p *lossPlan) print(out io.Writer, loss *planner.ZoneLoss) {
 	p.describe(out)
 	atSeconds := p.at.Seconds()
-	printf(out, "\n%s is lost %.0f s in: %d of %d servers, %d of %d nodes\n",
+	printf(out, "\n%s is lost after %.0f s: %d of %d servers, %d of %d nodes\n",
 		p.centre, atSeconds, loss.ServersLost, p.fleet.ServerCount(), loss.NodesLost, loss.Nodes)
 	table := newReportTable(out)
-	printf(table, "  \tbefore\tstorm of returns\tafter\twithout the loss\n")
-	printf(table, "  \t0 to %.0f s\t%.0f s on, %.0f s\tfrom %.0f s on\tafter\n",
+	printf(table, "  \tbefore\tclients reconnect\tafter\twithout the loss\n")
+	printf(table, "  \t0 to %.0f s\tfrom %.0f s, for %.0f s\tfrom %.0f s on\tafter\n",
 		atSeconds, atSeconds, loss.ReconnectS, atSeconds+loss.ReconnectS)
 	printRow := func(name string, phases planner.Phases) {
 		printf(table, "  %s\t%5.1f%%\t%5.1f%%\t%5.1f%%\t%5.1f%%\n",
 			name, 100*phases.Before, 100*phases.Reconnecting, 100*phases.After, 100*phases.WithoutLoss)
 	}
-	printRow("in all", loss.Overall)
+	printRow("total", loss.Overall)
 	for i := range p.fleet.Classes {
 		name := p.fleet.Classes[i].Name
 		printRow("class "+name, loss.Classes[name])
 	}
 	flushTable(table)
-	printf(out, "Broken connections: %.0f; most new requests in a second: %.0f before, %.0f after the loss\n",
+	printf(out, "Connections reset: %.0f; peak of new requests per second: %.0f before, %.0f after the loss\n",
 		loss.Resets, loss.PeakRequestsBefore, loss.PeakRequestsAfter)
 }
--- a/cmd/spurwinchctl/plan_plot.go
+++ b/cmd/spurwinchctl/plan_plot.go
@@ -19,10 +19,10 @@
 	plotWidth     = 18 * vg.Centimeter
 	plotHeight    = 11 * vg.Centimeter
 	maxPercent    = 102 // the top of the percent axis, a little over 100
-	axisStep      = 5   // percent; the axis begins at a multiple of it
-	axisMargin    = 2   // percent between the least figure and the axis' beginning, at least
+	axisStep      = 5   // percent; the axis starts at a multiple of it
+	axisMargin    = 2   // minimum distance from the start of the axis to the lowest figure, in percent
 	dataLineWidth = 1.5 // points
-	legendOffset  = 8   // points from the left
+	legendOffset  = 8   // points from the left edge
 )
 
 var (
@@ -33,11 +33,11 @@
 
 var dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 
-// errNothingToPlot is returned where no request was made in the whole load.
-var errNothingToPlot = errors.New("--plot: nothing was wanted, so there is nothing to draw")
+// errNothingToPlot means that the load has no requests.
+var errNothingToPlot = errors.New("--plot: the load must have at least one request to plot")
 
-// loadMultiples are the loads that a plot of a forecast shows.
-var loadMultiples = []float64{0.25, 0.5, 0.75, 1, 1.25, 1.5, 2, 2.5, 3}
+// loadFactors are the multiples of the load that a plot of a forecast shows.
+var loadFactors = []float64{0.25, 0.5, 0.75, 1, 1.25, 1.5, 2, 2.5, 3}
 
 // newPlot returns an empty plot of service in percent.
 func newPlot(title, horizontalLabel string) *plot.Plot {
@@ -46,7 +46,7 @@
 	chart.Title.Padding = 8
 	chart.X.Label.Text = horizontalLabel
 	chart.X.Padding = 4
-	chart.Y.Label.Text = "service, % of the worth asked for"
+	chart.Y.Label.Text = "service, % of the requested value"
 	chart.Y.Padding = 4
 	chart.Y.Min = 0
 	chart.Y.Max = maxPercent
@@ -64,18 +64,18 @@
 	return nil
 }
 
-// axisStart returns where the percent axis begins so that it shows a value, in percent, with some space under it: a
-// multiple of axisStep, which is below 0 for the smallest values.
+// axisStart returns a start for the percent axis that leaves some space below a value in percent. The start is a
+// multiple of axisStep and is negative for the smallest values.
 func axisStart(value float64) float64 {
 	return math.Floor((value-axisMargin)/axisStep) * axisStep
 }
 
-// serviceCurve is service against a quantity, with the 95% interval of each point.
+// serviceCurve plots service against a quantity, with the 95% confidence interval of each point.
 type serviceCurve struct {
 	plotter.XYs
 	plotter.YErrors
 
-	lowest float64 // percent: the least point or lower end of an interval
+	lowest float64 // the lowest point or lower end of an interval, in percent
 }
 
 func (c *serviceCurve) add(quantity float64, service planner.Figure) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// addTo draws the curve. Differences must be visible: the axis begins a little under the least figure.
+// addTo draws the curve. The axis starts a little below the lowest figure, so that differences are visible.
 func (c *serviceCurve) addTo(chart *plot.Plot) error {
 	line, dots, err := plotter.NewLinePoints(c.XYs)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// addTarget adds a horizontal line with its name.
+// addTarget draws a horizontal line and adds its name to the legend.
 func addTarget(chart *plot.Plot, target, from, to float64, name string) error {
 	line, err := plotter.NewLine(plotter.XYs{{X: from, Y: target}, {X: to, Y: target}})
 	if err != nil {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// addLegend names a line in the lower left corner.
+// addLegend adds a line's name to the legend in the lower left corner.
 func addLegend(chart *plot.Plot, name string, line *plotter.Line) {
 	chart.Legend.Add(name, line)
 	chart.Legend.Top = false
@@ -133,7 +133,7 @@
 	chart.Legend.YOffs = vg.Points(6)
 }
 
-// plotSizes draws service against the number of servers.
+// plotSizes plots service against the number of servers.
 func plotSizes(path string, sizing *planner.Sizing) error {
 	chart := newPlot("Service against servers", "servers")
 	var curve serviceCurve
@@ -152,22 +152,22 @@
 	return savePlot(chart, path)
 }
 
-// plotForecast draws service against multiples of the load.
+// plotForecast plots service against multiples of the load.
 func plotForecast(input *planInput, forecast planner.Forecast, progress *progress) error {
-	chart := newPlot("Service against load", "times the load of the forecast")
+	chart := newPlot("Service against load", "multiple of the load of the forecast")
 	var curve serviceCurve
-	for _, multiple := range loadMultiples {
+	for _, factor := range loadFactors {
 		service := forecast.Service
-		if multiple != 1 {
-			progress.show("for the plot: %.2f times the load", multiple)
-			scaled := input.load.Scale(multiple, input.seed)
+		if factor != 1 {
+			progress.show("simulating for the plot: %.2f times the load", factor)
+			scaled := input.load.Scale(factor, input.seed)
 			other, err := planner.Replicate(input.fleet, scaled, input.options(), input.replications, nil)
 			if err != nil {
 				return err
 			}
 			service = other.Service
 		}
-		curve.add(multiple, service)
+		curve.add(factor, service)
 	}
 	progress.done()
 	if err := curve.addTo(chart); err != nil {
@@ -176,11 +176,11 @@
 	return savePlot(chart, input.plotPath)
 }
 
-// plotLoss draws service by second, with the time of the loss.
+// plotLoss plots service by second and marks the time of the loss.
 func plotLoss(path, title string, serviceBySecond []float64, lossTime time.Duration) error {
 	chart := newPlot(title, "seconds")
 	var points plotter.XYs
-	for second, service := range serviceBySecond[:len(serviceBySecond)-1] { // the last second is not whole
+	for second, service := range serviceBySecond[:len(serviceBySecond)-1] { // without the incomplete last second
 		if !math.IsNaN(service) {
 			points = append(points, plotter.XY{X: float64(second) + 0.5, Y: 100 * service})
 		}
@@ -205,7 +205,7 @@
 	return savePlot(chart, path)
 }
 
-// plotCost draws the time that a replication took against the number of servers.
+// plotCost plots the time of one replication against the number of servers.
 func plotCost(path string, measurements []costMeasurement) error {
 	chart := newPlot("Time of one replication by the size of the fleet", "servers")
 	chart.Y.Label.Text = "seconds"
--- a/cmd/spurwinchctl/plan_size.go
+++ b/cmd/spurwinchctl/plan_size.go
@@ -13,7 +13,7 @@
 	"spurwinch/internal/plan/planner"
 )
 
-// sizePlan is the work of plan size.
+// sizePlan implements plan size.
 type sizePlan struct {
 	planInput
 	target     float64
@@ -25,22 +25,22 @@
 	var plan sizePlan
 	command := &cobra.Command{
 		Use:   "size --load CAPTURE --fleet FLEET --target 0.98",
-		Short: "The least servers of each kind that a target needs",
+		Short: "Find the minimum number of servers of each kind that reaches a target",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return plan.run(command) },
 	}
 	plan.addFlags(command)
 	flags := command.Flags()
-	flags.Float64Var(&plan.target, "target", 0.98, "service to reach, over 0 and under 1")
-	flags.IntVar(&plan.maxServers, "most", 2000, "servers to try at most")
+	flags.Float64Var(&plan.target, "target", 0.98, "service to reach, as a part over 0 and under 1")
+	flags.IntVar(&plan.maxServers, "most", 2000, "maximum number of servers to try")
 	flags.DurationVar(&plan.window, "window", 10*time.Minute,
-		"a load longer than 1.5 times this is searched on its busiest stretch of it (0: the whole)")
+		"a load over 1.5 times as long is reduced to its busiest part of this length (0: never)")
 	return command
 }
 
 func (p *sizePlan) run(command *cobra.Command) error {
 	if !(p.target > 0 && p.target < 1) { // rejects NaN too
-		return fmt.Errorf("--target %v: a part over 0 and under 1 is wanted", p.target)
+		return fmt.Errorf("--target must be over 0 and under 1, got %v", p.target)
 	}
 	if err := p.read(command.ErrOrStderr()); err != nil {
 		return err
@@ -82,7 +82,7 @@
 }
 
 func printSizing(out io.Writer, sizing *planner.Sizing) {
-	printf(out, "\nTarget: service of %.1f%%, over the load from %.0f to %.0f s\n",
+	printf(out, "\nTarget: service of %.1f%% for the load from %.0f to %.0f s\n",
 		100*sizing.Target, sizing.FromS, sizing.ToS)
 	table := newReportTable(out)
 	for _, size := range sizing.Tried {
@@ -93,27 +93,28 @@
 		printf(out, "Not reachable: %s\n", sizing.Reason)
 		return
 	}
-	least := sizing.Minimum
-	printf(out, "\nLeast: %d servers (%s), service %s\n", least.Servers, kindsText(least.Kinds), sizeText(least))
+	minimum := sizing.Minimum
+	printf(out, "\nMinimum: %d servers (%s), service %s\n",
+		minimum.Servers, kindsText(minimum.Kinds), sizeText(minimum))
 	for _, kind := range slices.Sorted(maps.Keys(sizing.OneServerLess)) {
-		printf(out, "  one %s less: %s\n", kind, sizeText(sizing.OneServerLess[kind]))
+		printf(out, "  with one %s less: %s\n", kind, sizeText(sizing.OneServerLess[kind]))
 	}
 	if sizing.FullLoad != nil {
-		printf(out, "  the least over the whole load: %s\n", figureText(*sizing.FullLoad))
+		printf(out, "  the minimum over the whole load: %s\n", figureText(*sizing.FullLoad))
 	}
 }
 
-// sizeText prints the service of a size to the hundredth of a percent: sizes differ by less than a tenth.
+// sizeText formats the service of a size to a hundredth of a percent, since sizes differ by less than a tenth.
 func sizeText(size planner.Candidate) string {
 	service := size.Service
 	if size.AtMost {
-		return fmt.Sprintf("under %.2f%%, not played to its end", 100*service.Mean)
+		return fmt.Sprintf("under %.2f%%, simulation ended early", 100*service.Mean)
 	}
-	return fmt.Sprintf("%5.2f%%  (%.1f to %.1f; one evening ±%.1f)",
+	return fmt.Sprintf("%5.2f%%  (%.1f to %.1f; one replication ±%.1f)",
 		100*service.Mean, 100*service.Low, 100*service.High, 100*service.SD)
 }
 
-// kindsText prints the servers of each kind.
+// kindsText formats the number of servers of each kind.
 func kindsText(servers map[string]int) string {
 	var texts []string
 	for kind, count := range servers {
--- a/cmd/spurwinchctl/plan_validate.go
+++ b/cmd/spurwinchctl/plan_validate.go
@@ -26,9 +26,9 @@
 	maxTrialLength    = 10 * time.Minute
 )
 
-const allTrials = -1 // of --only
+const allTrials = -1 // value of --only
 
-// validation compares forecasts with replays of drawn fleets; its fields are the flags of plan validate.
+// validation compares forecasts with replays for generated fleets. Its fields are the flags of plan validate.
 type validation struct {
 	trials       int
 	only         int // the index of the only trial to play, or allTrials
@@ -37,7 +37,7 @@
 	length       time.Duration
 	replays      int
 	parallel     int
-	basePath     string // fleet file
+	basePath     string // path of a fleet file
 	nodeProgram  string
 	keepDir      string
 	checkSize    bool
@@ -49,29 +49,31 @@
 	var settings validation
 	command := &cobra.Command{
 		Use:   "validate --fleets N --seed S",
-		Short: "Check forecasts against replays on loopback",
+		Short: "Compare forecasts with measured replays on loopback",
 		Args:  cobra.NoArgs,
-		Long: "Draws small fleets; for each, has real nodes capture a load, " +
-			"forecasts from the capture what the fleet will make of it,\n" +
-			"then plays the same load through real nodes against stand-in servers, and prints both.",
+		Long: "Generates small random fleets. For each fleet, real nodes capture a load, " +
+			"a forecast of the service is made from the capture,\n" +
+			"and the same load is replayed through real nodes to simulated servers. Prints forecast and measurement.",
 		RunE: func(command *cobra.Command, _ []string) error { return settings.run(command) },
 	}
 	flags := command.Flags()
-	flags.IntVar(&settings.trials, "fleets", 8, "how many")
-	flags.IntVar(&settings.only, "only", allTrials, "this one of them only, from 0")
-	flags.Uint64Var(&settings.seed, "seed", 1, "what the fleets are drawn from")
-	flags.IntVar(&settings.replications, "reps", 8, "replications behind each forecast")
-	flags.DurationVar(&settings.length, "length", 30*time.Second, "of each load; replays take as long")
-	flags.IntVar(&settings.replays, "replays", 1, "replays behind each measured figure; one by itself varies")
-	flags.IntVar(&settings.parallel, "parallel", 2, "replays at once; on a machine too busy they measure the machine")
+	flags.IntVar(&settings.trials, "fleets", 8, "number of fleets, 1 to 1000")
+	flags.IntVar(&settings.only, "only", allTrials, "index of the only fleet to check, from 0; -1: all fleets")
+	flags.Uint64Var(&settings.seed, "seed", 1, "seed of all random numbers")
+	flags.IntVar(&settings.replications, "reps", 8, "simulated replications for each forecast")
+	flags.DurationVar(&settings.length, "length", 30*time.Second, "length of each load and of each replay, 10s to 10m")
+	flags.IntVar(&settings.replays, "replays", 1,
+		"replays for each measured figure, 1 to 100; a single replay varies randomly")
+	flags.IntVar(&settings.parallel, "parallel", 2,
+		"replays at the same time, 1 to 64; an overloaded machine distorts the measured figures")
 	flags.StringVar(&settings.basePath, "fleet", "",
-		"`FLEET` file that the small ones are drawn after (default: the one built in)")
+		"`FLEET` file that the generated fleets are based on (default: a built-in fleet)")
 	flags.StringVar(&settings.nodeProgram, "node", "",
-		"the spurwinch `PROGRAM` (default: the one beside this program)")
+		"the `PATH` of the node's program (default: spurwinch beside this program)")
 	flags.StringVar(&settings.keepDir, "keep", "",
-		"`DIR` for captures, configurations and logs (default: a temporary one, removed)")
-	flags.BoolVar(&settings.checkSize, "size", true, "check the least number of servers as well")
-	flags.Float64Var(&settings.target, "target", 0.9, "service that the least number of servers is for")
+		"empty or new `DIR` that keeps captures, configurations and logs (default: a temporary directory)")
+	flags.BoolVar(&settings.checkSize, "size", true, "also check the minimum number of servers")
+	flags.Float64Var(&settings.target, "target", 0.9, "service that the minimum number of servers must reach")
 	flags.BoolVar(&settings.asJSON, "json", false, "print JSON")
 	return command
 }
@@ -79,13 +81,13 @@
 func (v *validation) validate() error {
 	switch {
 	case v.trials < 1 || v.trials > maxTrials:
-		return fmt.Errorf("--fleets %d: 1 to 1000 are wanted", v.trials)
+		return fmt.Errorf("--fleets must be between 1 and 1000, got %d", v.trials)
 	case v.replays < 1 || v.replays > maxReplays:
-		return fmt.Errorf("--replays %d: 1 to 100 are wanted", v.replays)
+		return fmt.Errorf("--replays must be between 1 and 100, got %d", v.replays)
 	case v.length < minTrialLength || v.length > maxTrialLength:
-		return fmt.Errorf("--length %v: 10s to 10m are wanted", v.length)
+		return fmt.Errorf("--length must be between 10s and 10m, got %v", v.length)
 	case v.parallel < 1 || v.parallel > maxParallelTrials:
-		return fmt.Errorf("--parallel %d: 1 to 64 are wanted", v.parallel)
+		return fmt.Errorf("--parallel must be between 1 and 64, got %d", v.parallel)
 	}
 	return nil
 }
@@ -124,7 +126,7 @@
 	return nil
 }
 
-// readBase returns the fleet that the small ones are drawn after.
+// readBase returns the fleet that the generated fleets are based on.
 func (v *validation) readBase() (*fleet.Fleet, error) {
 	if v.basePath == "" {
 		return planner.TrialBase(), nil
@@ -138,7 +140,7 @@
 		return err
 	}
 	if _, err := os.Stat(program); err != nil {
-		return fmt.Errorf("node program: %w (build it beside this one, or name it by --node)", err)
+		return fmt.Errorf("node program: %w (build spurwinch beside this program, or pass its path as --node)", err)
 	}
 	v.nodeProgram = program
 	return nil
@@ -151,19 +153,19 @@
 		if err != nil {
 			return "", nil, err
 		}
-		return dir, func() { _ = os.RemoveAll(dir) }, nil // what is left of a temporary directory does no harm
+		return dir, func() { _ = os.RemoveAll(dir) }, nil // leftover temporary files do no harm
 	}
-	old, _ := os.ReadDir(v.keepDir) // a directory that is missing is made, one that can't be read fails there
+	old, _ := os.ReadDir(v.keepDir) // a missing directory is created later, which fails for an unreadable one
 	if len(old) > 0 {
-		return "", nil, fmt.Errorf("--keep %s: holds %d files already; "+
-			"captures of two runs must not be read as one: an empty directory is wanted", v.keepDir, len(old))
+		return "", nil, fmt.Errorf("--keep %s: the directory must be empty, got %d files; "+
+			"otherwise captures of two runs could be read as one", v.keepDir, len(old))
 	}
 	return v.keepDir, func() {}, nil
 }
 
-// playAll plays the trials, as many at once as --parallel says, each in a directory of its own below dir. It returns
-// when all have ended, with the errors of all: one that fails does not end the others, ctx does. Results are in the
-// order of the trials' numbers; those of trials that --only leaves out are empty.
+// playAll plays the trials, at most --parallel of them concurrently, each in its own subdirectory of dir. It returns
+// when all trials have ended, with the errors of all of them: a failed trial doesn't end the others, but ctx does.
+// Results are in the order of the trials' numbers. The results of trials that --only excludes are empty.
 func (v *validation) playAll(
 	ctx context.Context, base *fleet.Fleet, dir string, progress *progress,
 ) ([]trialResult, error) {
--- a/cmd/spurwinchctl/plan_validate_print.go
+++ b/cmd/spurwinchctl/plan_validate_print.go
@@ -6,28 +6,29 @@
 	"slices"
 )
 
-// maxSizeError is by how many servers the forecast least size may differ from the measured one unnoticed.
+// maxSizeError is the maximum difference between the forecast and the measured minimum size, in servers, that doesn't
+// count as an error.
 const maxSizeError = 1
 
 func (v *validation) print(out io.Writer, results []trialResult) {
-	printf(out, "Forecasts against replays on loopback: seed %d, loads of %v, %d replications behind each forecast\n\n",
+	printf(out, "Forecasts and replays on loopback: seed %d, loads of %v, %d replications for each forecast\n\n",
 		v.seed, v.length, v.replications)
 	printTrials(out, results)
-	printLine(out, "\nBy class, forecast and measured:")
+	printLine(out, "\nService by class, forecast and measured:")
 	printTrialClasses(out, results)
 	v.printErrors(out, results)
 }
 
 func printTrials(out io.Writer, results []trialResult) {
 	table := newFigureTable(out)
-	printLine(table, "fleet\twhat\tservers\tsessions\tload asked\tforecast\t±\tmeasured\t±\terror\t"+
-		"least said\tmeasured\tlag 99%\t")
+	printLine(table, "fleet\tscenario\tservers\tsessions\trequested load\tforecast\t±\tmeasured\t±\terror\t"+
+		"forecast minimum\tmeasured\tlag 99%\t")
 	for i := range results {
 		result := &results[i]
 		printf(table, "%d\t%s\t%d\t%d\t%.0f%%\t%.1f%%\t%.1f\t%.1f%%\t%.1f\t%.1f%%\t%d\t%d\t%.1f ms\t\n",
-			result.Fleet, result.What, result.Servers, result.Sessions, 100*result.Asked,
+			result.Fleet, result.Scenario, result.Servers, result.Sessions, 100*result.RequestedPart,
 			100*result.Forecast, 100*result.SD, 100*result.Measured, 100*result.MeasuredSD, 100*result.Error,
-			result.LeastSaid, result.LeastWas, result.LagMS)
+			result.ForecastMinimum, result.MeasuredMinimum, result.LagMS)
 	}
 	flushTable(table)
 }
@@ -52,20 +53,22 @@
 }
 
 func (v *validation) printErrors(out io.Writer, results []trialResult) {
-	var errors []float64
+	var serviceErrors []float64
 	wrongSizes := 0
 	for i := range results {
-		errors = append(errors, results[i].Error)
-		difference := results[i].LeastSaid - results[i].LeastWas
+		serviceErrors = append(serviceErrors, results[i].Error)
+		difference := results[i].ForecastMinimum - results[i].MeasuredMinimum
 		if difference > maxSizeError || difference < -maxSizeError {
 			wrongSizes++
 		}
 	}
-	slices.Sort(errors)
-	median := errors[len(errors)/2]
-	printf(out, "\nError of the service figure: median %.1f%%, most %.1f%%", 100*median, 100*slices.Max(errors))
+	slices.Sort(serviceErrors)
+	median := serviceErrors[len(serviceErrors)/2]
+	printf(out, "\nError of the forecast service: median %.1f%%, maximum %.1f%%",
+		100*median, 100*slices.Max(serviceErrors))
 	if v.checkSize {
-		printf(out, "; the least number is off by more than one on %d of %d fleets", wrongSizes, len(results))
+		printf(out, "; the minimum number of servers is wrong by more than one for %d of %d fleets",
+			wrongSizes, len(results))
 	}
 	printLine(out)
 }
--- a/cmd/spurwinchctl/policy.go
+++ b/cmd/spurwinchctl/policy.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	policyReadTimeout  = 15 * time.Second // of commands that read the state, and of abort
+	policyReadTimeout  = 15 * time.Second // for abort and for commands that read the state
 	policyPollInterval = 150 * time.Millisecond
-	// confirmationPollInterval is between the calls that wait for the leader to confirm that it leads.
+	// confirmationPollInterval is the interval between calls while the leader confirms that it is still the leader.
 	confirmationPollInterval = policyPollInterval / 5
 )
 
@@ -22,15 +22,15 @@
 	var client fleetClient
 	command := &cobra.Command{
 		Use:   "policy",
-		Short: "Change a fleet's policy, everywhere or nowhere",
-		Long: "Calls the one that leads the fleet. Status 0: done, or in force; 1: given up, or the answer is no; " +
-			"2: wrong call or bad file; 3: how a change ended\n" +
-			"isn't known yet: spurwinchctl policy wait ID tells.",
+		Short: "Show and change a fleet's policy, on all nodes or on none",
+		Long: "Calls the leader of the fleet. Exit status: 0 if the command succeeded or the change is in force,\n" +
+			"1 if the change was aborted or rejected, 2 on invalid input or an invalid command line,\n" +
+			"3 if the outcome is not known yet; spurwinchctl policy wait ID shows it later.",
 	}
 	flags := command.PersistentFlags()
-	flags.StringVar(&client.listPath, "nodes", "", "the common `FILE` with the list of nodes")
+	flags.StringVar(&client.listPath, "nodes", "", "the `FILE` with the fleet's list of nodes")
 	flags.StringVar(&client.keyPath, "key-file", "", "the `FILE` with the fleet's key")
-	flags.BoolVar(&client.asJSON, "json", false, "the answer as JSON")
+	flags.BoolVar(&client.asJSON, "json", false, "print the reply as JSON")
 	command.AddCommand(
 		policyCheckCommand(),
 		policyProposeCommand(&client),
@@ -48,7 +48,7 @@
 func policyCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a policy's file, without a fleet",
+		Short: "Check a policy file without calling the fleet",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			text, _, err := readPolicyFile(args[0])
@@ -65,7 +65,7 @@
 	var proposal policyProposal
 	command := &cobra.Command{
 		Use:   "propose FILE",
-		Short: "Propose a policy and wait until it is in force or given up",
+		Short: "Propose a policy and wait until it is in force or aborted",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			text, _, err := readPolicyFile(args[0])
@@ -79,7 +79,7 @@
 	}
 	proposal.addFlags(command)
 	command.Flags().Uint64Var(&proposal.base, "base", 0,
-		"the number that it is to replace; else the one in force as the command begins")
+		"number of the policy to replace (default: the policy in force when the command starts)")
 	return command
 }
 
@@ -87,7 +87,7 @@
 	var proposal policyProposal
 	command := &cobra.Command{
 		Use:   "rollback NUMBER",
-		Short: "Propose the document of an earlier number again, under a new number",
+		Short: "Propose an earlier policy again, under a new number",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			state, err := client.readPolicy(proposal.timeout)
@@ -109,7 +109,7 @@
 func policyStatusCommand(client *fleetClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Tell which policy is in force, what is on its way, and who goes by what",
+		Short: "Show the policy in force, the pending change, and the nodes that don't serve by the policy",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return client.showPolicy(command.OutOrStdout(), printPolicyStatus)
@@ -120,7 +120,7 @@
 func policyHistoryCommand(client *fleetClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
-		Short: "Tell how the newest changes ended",
+		Short: "Show the outcomes of the newest changes",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return client.showPolicy(command.OutOrStdout(), printPolicyHistory)
@@ -128,7 +128,7 @@
 	}
 }
 
-// showPolicy prints the state of the policy as JSON, or else by the given function.
+// showPolicy prints the state of the policy, as JSON with --json and otherwise by the given function.
 func (c *fleetClient) showPolicy(out io.Writer, printText func(io.Writer, *agent.PolicyReply)) error {
 	state, err := c.readPolicy(policyReadTimeout)
 	if err != nil {
@@ -145,7 +145,7 @@
 	var timeout time.Duration
 	command := &cobra.Command{
 		Use:   "wait ID",
-		Short: "Wait for the end of a change",
+		Short: "Wait until a change is in force or aborted",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			return client.waitForChange(command.OutOrStdout(), args[0], time.Now().Add(timeout), nil)
@@ -158,7 +158,7 @@
 func policyAbortCommand(client *fleetClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "abort ID",
-		Short: "Give a change up that is on its way",
+		Short: "Abort a pending change",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			call := agent.Call{Verb: string(agent.VerbPolicyAbort), ID: args[0]}
@@ -168,11 +168,14 @@
 			deadline := time.Now().Add(policyReadTimeout)
 			err := client.waitForChange(command.OutOrStdout(), args[0], deadline, nil)
 			if err == nil {
-				return statusError{status: statusNegative, text: "it is in force: rollback proposes what was before"}
+				return statusError{
+					status: statusNegative,
+					text:   "the change is already in force: spurwinchctl policy rollback can restore an earlier policy",
+				}
 			}
 			var status statusError
 			if errors.As(err, &status) && status.status == statusNegative {
-				return nil // the change was aborted, as was asked for
+				return nil // the change was aborted, as requested
 			}
 			return err
 		},
@@ -182,7 +185,7 @@
 func policyShowCommand(client *fleetClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show NUMBER",
-		Short: "Print the document of a number",
+		Short: "Print the policy document with a number",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			state, err := client.readPolicy(policyReadTimeout)
@@ -202,7 +205,7 @@
 func policyDiffCommand(client *fleetClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff A B",
-		Short: "Tell what differs between two policies, each a number or a file",
+		Short: "Show the differences between two policies, each given as a number or a file",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			before, err := client.findDocument(args[0])
--- a/cmd/spurwinchctl/policy_change.go
+++ b/cmd/spurwinchctl/policy_change.go
@@ -14,36 +14,39 @@
 	"spurwinch/internal/policy"
 )
 
-// changeIDLength is how many random characters the id of a change has where none is given.
+// changeIDLength is the number of random characters in the ID of a change without --id.
 const changeIDLength = 10
 
-// policyProposal is a change of the policy; most of its fields are flags of propose and rollback.
+// policyProposal is a proposed change of the policy. Most of its fields are flags of propose and rollback.
 type policyProposal struct {
 	id             string
-	canary         string // zone:NAME, or 1/N for one node in N; empty: all nodes at once
+	canary         string // zone:NAME, or 1/N for one node in N; if empty, all nodes change at once
 	canaryDuration time.Duration
-	maxExtra       float64 // rejections of the canary beyond those elsewhere, as a part of its requests
+	maxExtra       float64 // allowed rejections in the canary beyond those elsewhere, as a part of its requests
 	timeout        time.Duration
-	base           uint64 // the number that it is to replace
-	hasBase        bool   // else it replaces the one in force
+	base           uint64 // number of the policy to replace
+	hasBase        bool   // if false, the change replaces the policy in force
 	text           []byte
 }
 
 func (p *policyProposal) addFlags(command *cobra.Command) {
 	flags := command.Flags()
-	flags.StringVar(&p.id, "id", "", "of the change: proposing one again changes nothing; drawn where none is given")
-	flags.StringVar(&p.canary, "part", "", "a part that goes first: zone:NAME, or 1/N for one node in N")
-	flags.DurationVar(&p.canaryDuration, "for", 30*time.Second, "how long the part is watched")
+	flags.StringVar(&p.id, "id", "",
+		"the `ID` of the change; repeating a proposal with its ID has no effect (default: random)")
+	flags.StringVar(&p.canary, "part", "",
+		"the `CANARY` that changes first: zone:NAME, or 1/N for one node in N (default: none)")
+	flags.DurationVar(&p.canaryDuration, "for", 30*time.Second,
+		"how long the canary is observed before all other nodes change")
 	flags.Float64Var(&p.maxExtra, "worse", 0.02,
-		"part of the requests that may be turned away there beyond what is elsewhere")
+		"the change aborts if the part of requests rejected in the canary exceeds that elsewhere by more than this")
 	addTimeoutFlag(command, &p.timeout)
 }
 
 func addTimeoutFlag(command *cobra.Command, timeout *time.Duration) {
-	command.Flags().DurationVar(timeout, "timeout", time.Minute, "how long to wait for the end")
+	command.Flags().DurationVar(timeout, "timeout", time.Minute, "how long to wait for the outcome")
 }
 
-// call returns the proposal as a call, without its base.
+// call returns the call that proposes the change, without its base.
 func (p *policyProposal) call() (agent.Call, error) {
 	call := agent.Call{Verb: string(agent.VerbPolicyPropose), ID: p.id, Data: p.text}
 	if call.ID == "" {
@@ -62,8 +65,8 @@
 	return call, nil
 }
 
-// propose proposes a change and waits for its outcome. The same id makes it safe to propose it again where an answer
-// was lost.
+// propose proposes a change and waits for its outcome. If a reply is lost, the change can safely be proposed again,
+// because the proposals have the same ID.
 func (c *fleetClient) propose(out io.Writer, proposal *policyProposal) error {
 	call, err := proposal.call()
 	if err != nil {
@@ -79,16 +82,16 @@
 		call.Base = state.Number
 	}
 	if !c.asJSON {
-		printf(out, "change %s, to replace number %d\n", call.ID, call.Base)
+		printf(out, "change %s replaces policy number %d\n", call.ID, call.Base)
 	}
 	maybeLogged := false
 	send := func() error {
 		_, err := c.call(call, true)
 		if err == nil || errors.Is(err, errNoAnswer) || errors.Is(err, errNotLeader) {
-			maybeLogged = true // without an error, or with its answer lost
+			maybeLogged = true // the call succeeded or its reply was lost
 		}
 		if maybeLogged {
-			return nil // waiting tells the outcome
+			return nil // waitForChange finds the outcome
 		}
 		return err
 	}
@@ -98,16 +101,18 @@
 	return c.waitForChange(out, call.ID, deadline, send)
 }
 
-// waitForChange polls the leader for the outcome of a change until the deadline, and without --json prints its steps.
-// It returns nil where the change is in force, and else a statusError: statusNegative where it was given up,
-// statusUnknown at the deadline, another error where the policy can't be read. At each poll at which the leader knows
-// nothing of the change, resend proposes it again; without a resend (nil), the wait ends with statusNegative.
+// waitForChange polls the leader for the outcome of a change until the deadline. It prints the steps of the change,
+// unless --json is set. It returns nil if the change is in force. Otherwise, the error is a statusError with
+// statusNegative if the change was aborted, one with statusUnknown at the deadline, or another error if the policy
+// can't be read. At each poll at which the leader doesn't know the change, resend proposes it again. If resend is nil,
+// the wait ends with statusNegative instead.
 func (c *fleetClient) waitForChange(out io.Writer, id string, deadline time.Time, resend func() error) error {
 	printed := ""
 	for ; ; time.Sleep(policyPollInterval) {
 		remaining := time.Until(deadline)
 		if remaining <= 0 {
-			text := fmt.Sprintf("how change %s ended isn't known yet: spurwinchctl policy wait %s tells later", id, id)
+			text := fmt.Sprintf("the outcome of change %s is not known yet: spurwinchctl policy wait %s shows it later",
+				id, id)
 			return statusError{status: statusUnknown, text: text}
 		}
 		state, err := c.readPolicy(remaining)
@@ -125,7 +130,7 @@
 				printLine(out, step)
 			}
 		case resend == nil:
-			text := fmt.Sprintf("no change %q is on its way, and none of the newest had this id", id)
+			text := fmt.Sprintf("no change with the ID %q is pending or among the newest changes", id)
 			return statusError{status: statusNegative, text: text}
 		default:
 			if err := resend(); err != nil {
@@ -135,7 +140,7 @@
 	}
 }
 
-// findOutcome returns the outcome of a change, or nil where it isn't decided or not known any more.
+// findOutcome returns the outcome of a change, or nil if the change is pending or its outcome no longer stored.
 func findOutcome(state *agent.PolicyReply, id string) *policy.ChangeOutcome {
 	for i := range state.Ended {
 		if state.Ended[i].ID == id {
@@ -145,29 +150,29 @@
 	return nil
 }
 
-// outcomeReport is the JSON of a change's outcome.
+// outcomeReport is the JSON form of a change's outcome.
 type outcomeReport struct {
-	ID     string `json:"id"`
-	Number uint64 `json:"number"`
-	Taken  bool   `json:"in_force"`
-	Why    string `json:"why"`
+	ID       string `json:"id"`
+	Number   uint64 `json:"number"`
+	Accepted bool   `json:"in_force"`
+	Reason   string `json:"why"`
 }
 
-// reportOutcome prints the outcome of a change and returns the status that it means.
+// reportOutcome prints the outcome of a change. It returns a statusError if the change was aborted.
 func (c *fleetClient) reportOutcome(out io.Writer, outcome *policy.ChangeOutcome) error {
 	if c.asJSON {
 		report := outcomeReport{
-			ID:     outcome.ID,
-			Number: outcome.Number,
-			Taken:  outcome.Accepted,
-			Why:    outcome.Reason,
+			ID:       outcome.ID,
+			Number:   outcome.Number,
+			Accepted: outcome.Accepted,
+			Reason:   outcome.Reason,
 		}
 		if err := printJSON(out, report); err != nil {
 			return err
 		}
 	}
 	if !outcome.Accepted {
-		text := fmt.Sprintf("change %s, number %d, was given up: %s", outcome.ID, outcome.Number, outcome.Reason)
+		text := fmt.Sprintf("change %s, number %d, was aborted: %s", outcome.ID, outcome.Number, outcome.Reason)
 		return statusError{status: statusNegative, text: text}
 	}
 	if !c.asJSON {
--- a/cmd/spurwinchctl/policy_print.go
+++ b/cmd/spurwinchctl/policy_print.go
@@ -6,17 +6,17 @@
 	"spurwinch/internal/failover/agent"
 )
 
-// answerYes is the answer of a member that can serve by a proposed policy.
+// answerYes is the answer of a member that accepts a proposed policy.
 const answerYes = "yes"
 
 func printPolicyStatus(out io.Writer, state *agent.PolicyReply) {
 	if state.Number == 0 {
-		printLine(out, "number 0: none was decided yet, each node goes by its own files")
+		printLine(out, "number 0: no policy is committed yet, each node uses its own files")
 	} else {
 		printf(out, "number %d is in force, digest %s\n", state.Number, state.Digest)
 	}
 	if change := state.Change; change != nil {
-		printf(out, "on its way: change %s, number %d, digest %s: %s\n",
+		printf(out, "pending: change %s, number %d, digest %s: %s\n",
 			change.ID, change.Number, change.Digest, change.Step)
 	}
 	serving := 0
@@ -25,11 +25,11 @@
 			serving++
 		}
 	}
-	printf(out, "%d of %d members serve by it\n", serving, len(state.Members))
+	printf(out, "%d of %d members serve by the policy in force\n", serving, len(state.Members))
 	printOtherMembers(out, state)
 }
 
-// printOtherMembers names the members that don't serve by the policy in force, or that reject the proposed one.
+// printOtherMembers lists the members that don't serve by the policy in force or that reject the proposed one.
 func printOtherMembers(out io.Writer, state *agent.PolicyReply) {
 	table := newFleetTable(out)
 	for i := range state.Members {
@@ -37,13 +37,13 @@
 		rejects := member.Answer != "" && member.Answer != answerYes
 		switch {
 		case !member.Live:
-			printf(table, "%s\tout of the view\t\n", member.Name)
+			printf(table, "%s\tnot in the membership view\t\n", member.Name)
 		case !member.HasStatus:
-			printf(table, "%s\tnot heard yet\t\n", member.Name)
+			printf(table, "%s\tno status yet\t\n", member.Name)
 		case !member.MayServe:
-			printf(table, "%s\tserves nothing\t%s\n", member.Name, member.Answer)
+			printf(table, "%s\tmay not serve\t%s\n", member.Name, member.Answer)
 		case member.ServedNumber != state.Number || rejects:
-			printf(table, "%s\tserves by number %d\t%s\n", member.Name, member.ServedNumber, member.Answer)
+			printf(table, "%s\tserves by policy %d\t%s\n", member.Name, member.ServedNumber, member.Answer)
 		}
 	}
 	flushTable(table)
@@ -51,10 +51,10 @@
 
 func printPolicyHistory(out io.Writer, state *agent.PolicyReply) {
 	table := newFleetTable(out)
-	printLine(table, "number\tchange\tended\twhy")
+	printLine(table, "number\tchange\toutcome\treason")
 	for i := range state.Ended {
 		outcome := &state.Ended[i]
-		result := "given up"
+		result := "aborted"
 		if outcome.Accepted {
 			result = "in force"
 		}
--- a/cmd/spurwinchctl/policy_state.go
+++ b/cmd/spurwinchctl/policy_state.go
@@ -13,8 +13,8 @@
 	"spurwinch/internal/policy"
 )
 
-// readPolicy returns the state of the policy, not older than this call, whoever leads meanwhile. Without an answer
-// within the timeout the status is statusUnknown.
+// readPolicy returns the state of the policy. The state is not older than this call, even if the leader changes
+// meanwhile. If no leader answers within the timeout, the error is a statusError with statusUnknown.
 func (c *fleetClient) readPolicy(timeout time.Duration) (*agent.PolicyReply, error) {
 	deadline := time.Now().Add(timeout)
 	var lastErr error
@@ -34,20 +34,20 @@
 			lastErr = err
 		}
 		if time.Now().After(deadline) {
-			text := fmt.Sprintf("nobody that leads answered within %v: %v", timeout, lastErr)
+			text := fmt.Sprintf("no leader answered within %v: %v", timeout, lastErr)
 			return nil, statusError{status: statusUnknown, text: text}
 		}
 	}
 }
 
-// isTransient reports whether a call that failed may succeed later: not a wrong call, nor an unreadable file.
+// isTransient reports whether a failed call may succeed later. Invalid calls and unreadable files can't.
 func isTransient(err error) bool {
 	var status statusError
 	return errors.As(err, &status) && status.status != statusBadInput
 }
 
-// readConfirmed calls the node that gave a token until it has confirmed that it still leads, and returns the state of
-// then. It is nil where the node can't confirm it before the deadline.
+// readConfirmed calls the node that issued a token until the node has confirmed that it is still the leader, and
+// returns the policy's state at that time. The state is nil if the node doesn't confirm it before the deadline.
 func (c *fleetClient) readConfirmed(node, token string, deadline time.Time) (*agent.PolicyReply, error) {
 	leader := *c
 	leader.node = node
@@ -63,7 +63,7 @@
 	return nil, nil
 }
 
-// findDocument reads a policy that an argument names: by its number in the fleet, or else as a file.
+// findDocument reads the policy that an argument names, by its number in the fleet or else by the path of a file.
 func (c *fleetClient) findDocument(argument string) (*policy.Document, error) {
 	if _, err := strconv.ParseUint(argument, 10, 64); err != nil {
 		_, document, err := readPolicyFile(argument)
@@ -80,7 +80,7 @@
 	return config.ReadPolicy("policy "+argument, text, 0)
 }
 
-// readPolicyFile returns a policy as it stands in its file, and parsed.
+// readPolicyFile returns the text of a policy file and the parsed policy.
 func readPolicyFile(path string) ([]byte, *policy.Document, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -90,11 +90,11 @@
 	return text, document, err
 }
 
-// documentText returns the document of a number, which an argument gives, as long as the log has it.
+// documentText returns the text of the document with the number in an argument, if the log still contains it.
 func documentText(state *agent.PolicyReply, argument string) ([]byte, error) {
 	number, err := strconv.ParseUint(argument, 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("%q: a number is wanted", argument)
+		return nil, fmt.Errorf("the policy number must be 0 or a positive integer, got %q", argument)
 	}
 	var available []string
 	for i := range state.Documents {
@@ -107,7 +107,7 @@
 	if change := state.Change; change != nil && change.Number == number {
 		return change.Text, nil
 	}
-	text := fmt.Sprintf("the log has no document of number %d any more: it has %s",
+	text := fmt.Sprintf("the log no longer contains policy document %d: the available numbers are %s",
 		number, orDefault(strings.Join(available, ", "), "none"))
 	return nil, statusError{status: statusNegative, text: text}
 }
