--- a/cmd/spurwinchctl/commands_test.go
+++ b/cmd/spurwinchctl/commands_test.go
@@ -58,8 +58,8 @@
 		status int
 		cause  error
 	}{
-		{"answer", agent.Reply{}, statusOK, nil},
-		{"wrong call", agent.Reply{Error: "no zone", BadCall: true}, statusBadInput, nil},
+		{"no error", agent.Reply{}, statusOK, nil},
+		{"invalid call", agent.Reply{Error: "no zone", BadCall: true}, statusBadInput, nil},
 		{"not the leader", agent.Reply{Error: "this node does not lead"}, statusNegative, errNotLeader},
 		{"other error", agent.Reply{Error: "no policy"}, statusNegative, nil},
 	} {
--- a/cmd/spurwinchctl/lab_explore_workers_test.go
+++ b/cmd/spurwinchctl/lab_explore_workers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestCollectAddsOnlyResultsOfBatch(t *testing.T) {
+func TestCollectAddsAllResultsOfBatchAndNoOthers(t *testing.T) {
 	tests := []struct {
 		name        string
 		first, last uint64
--- a/cmd/spurwinchctl/main_test.go
+++ b/cmd/spurwinchctl/main_test.go
@@ -99,7 +99,7 @@
 	t.Helper()
 	out, err := files.plan(t, "size", "--target", "0.8", "--plot", plotPath)
 	if err != nil || !strings.Contains(out, "Minimum: ") || !strings.Contains(out, "less: ") {
-		t.Error("plan size: got an error or no minimum, want the minimum and the service with one server less:", out, err)
+		t.Error("plan size: got an error or no minimum, want the minimum and the service with one less:", out, err)
 	}
 	if info, err := os.Stat(plotPath); err != nil || info.Size() < 1000 {
 		t.Error("plan size --plot: got no plot or one under 1000 bytes, want a plot:", err)
@@ -116,7 +116,7 @@
 }
 
 // checkStatuses checks the exit statuses: 1 for a negative result, 2 for an invalid command line or input.
-func checkStatuses(t *testing.T, files planFiles, noFiles string) {
+func checkStatuses(t *testing.T, files planFiles, unmatchedPattern string) {
 	t.Helper()
 	slow := strings.Replace(string(deploy.ExampleFleet), "rate = 40 ", "rate = 0.01 ", 1)
 	if err := os.WriteFile(files.fleet, []byte(slow), 0o600); err != nil {
@@ -129,7 +129,7 @@
 	}{
 		{1, []string{"plan", "size", "--load", load, "--fleet", fleet, "--reps", "1", "--most", "20"}},
 		{2, []string{"plan", "size", "--load", load, "--fleet", fleet, "--target", "1.5"}},
-		{2, []string{"plan", "forecast", "--load", noFiles, "--fleet", fleet}},
+		{2, []string{"plan", "forecast", "--load", unmatchedPattern, "--fleet", fleet}},
 		{2, []string{"plan", "forecast", "--load", fleet, "--fleet", fleet}},
 		{2, []string{"plan", "lose", "--load", load, "--fleet", fleet, "--centre", "mars"}},
 		{2, []string{"plan", "forecast", "--fleet", fleet}},
--- a/cmd/spurwinchctl/output.go
+++ b/cmd/spurwinchctl/output.go
@@ -11,16 +11,16 @@
 // if the reader of the output has closed it.
 
 func printf(out io.Writer, format string, args ...any) {
-	_, _ = fmt.Fprintf(out, format, args...) // see above
+	_, _ = fmt.Fprintf(out, format, args...) // the exit status reports the result
 }
 
 func printLine(out io.Writer, args ...any) {
-	_, _ = fmt.Fprintln(out, args...) // see above
+	_, _ = fmt.Fprintln(out, args...) // the exit status reports the result
 }
 
 // flushTable writes out a table whose columns are aligned.
 func flushTable(table *tabwriter.Writer) {
-	_ = table.Flush() // see above
+	_ = table.Flush() // the exit status reports the result
 }
 
 // newReportTable returns a table for plans and captures, with left-aligned columns two spaces apart.
--- a/cmd/spurwinchctl/plan_size.go
+++ b/cmd/spurwinchctl/plan_size.go
@@ -114,7 +114,7 @@
 		100*service.Mean, 100*service.Low, 100*service.High, 100*service.SD)
 }
 
-// kindsText formats the number of servers of each kind.
+// kindsText formats the numbers of servers by kind.
 func kindsText(servers map[string]int) string {
 	var texts []string
 	for kind, count := range servers {
--- a/cmd/spurwinchctl/policy.go
+++ b/cmd/spurwinchctl/policy.go
@@ -170,7 +170,7 @@
 			if err == nil {
 				return statusError{
 					status: statusNegative,
-					text:   "the change is already in force: spurwinchctl policy rollback can restore an earlier policy",
+					text:   "the change is already in force; policy rollback proposes an earlier policy again",
 				}
 			}
 			var status statusError
--- a/cmd/spurwinchctl/policy_change.go
+++ b/cmd/spurwinchctl/policy_change.go
@@ -107,7 +107,7 @@
 // can't be read. At each poll at which the leader doesn't know the change, resend proposes it again. If resend is nil,
 // the wait ends with statusNegative instead.
 func (c *fleetClient) waitForChange(out io.Writer, id string, deadline time.Time, resend func() error) error {
-	printed := ""
+	printedStep := ""
 	for ; ; time.Sleep(policyPollInterval) {
 		remaining := time.Until(deadline)
 		if remaining <= 0 {
@@ -125,8 +125,8 @@
 		switch {
 		case state.Change != nil && state.Change.ID == id:
 			step := fmt.Sprintf("number %d: %s", state.Change.Number, state.Change.Step)
-			if step != printed && !c.asJSON {
-				printed = step
+			if step != printedStep && !c.asJSON {
+				printedStep = step
 				printLine(out, step)
 			}
 		case resend == nil:
