--- a/cmd/spurwinchctl/capture.go
+++ b/cmd/spurwinchctl/capture.go
@@ -122,7 +122,7 @@
 func captureDrawCommand() *cobra.Command {
 	var options drawOptions
 	command := &cobra.Command{
-		Use:   "draw --fleet FLEET --standing N --out PATH",
+		Use:   "draw --fleet FLEET --standing N --out PREFIX",
 		Short: "Generate a random capture from the classes and editions of a fleet file",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
--- a/cmd/spurwinchctl/fleet.go
+++ b/cmd/spurwinchctl/fleet.go
@@ -43,8 +43,8 @@
 	return command
 }
 
-// requirePersistentFlags marks persistent flags of a command as required. It panics if the command has no flag of a
-// name.
+// requirePersistentFlags marks persistent flags of a command as required. It panics if the command lacks one of
+// them.
 func requirePersistentFlags(command *cobra.Command, names ...string) {
 	for _, name := range names {
 		if err := command.MarkPersistentFlagRequired(name); err != nil {
--- a/cmd/spurwinchctl/fleet_client.go
+++ b/cmd/spurwinchctl/fleet_client.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxOtherNodes = 16 // only the first so many nodes of the list are tried, besides the voters
+	maxOtherNodes = 16 // of the other nodes, a call tries only those among the first 16 of the list
 	maxCalls      = 24 // nodes that a call tries in total
 
 	proposalTimeout      = 10 * time.Second
--- a/cmd/spurwinchctl/fleet_print.go
+++ b/cmd/spurwinchctl/fleet_print.go
@@ -13,7 +13,7 @@
 const (
 	// maxHeartbeatAge is the age of the last heartbeat, in seconds, above which the status lists a node.
 	maxHeartbeatAge = 3
-	// zoneHealthy is the state of a healthy zone.
+	// zoneHealthy is the state of a zone without a fault, as replies name it.
 	zoneHealthy = "well"
 )
 
--- a/cmd/spurwinchctl/lab_explore.go
+++ b/cmd/spurwinchctl/lab_explore.go
@@ -45,8 +45,8 @@
 	command := &cobra.Command{
 		Use:   "explore failover|policy",
 		Short: "Run random fault schedules in simulated time and check each history",
-		Long: "Runs one schedule for each seed. The decision code is that of a real node; the seed determines " +
-			"network, clocks, disks and crashes.\n" +
+		Long: "Runs one schedule for each seed. All decisions are made by the same code as in a real node; the seed\n" +
+			"determines the simulated network, clocks, disks and crashes.\n" +
 			"Exit status: 0 if no rule is broken, 1 if a schedule breaks a rule (its seed is printed).",
 		Args:      cobra.MatchAll(cobra.ExactArgs(1), cobra.OnlyValidArgs),
 		ValidArgs: []string{exploreFailover, explorePolicy},
@@ -68,9 +68,10 @@
 	flags.IntVar(&e.options.ConnectionsPerServer, "bears", 0,
 		"connections that a host can carry; 0: derived from the number of nodes")
 	flags.Float64Var(&e.options.Utilization, "use", 0.45,
-		"load that clients request, as a part of the capacity of all hosts")
-	flags.Float64Var(&e.options.Loss, "loss", 0.01, "part of the messages between nodes that are lost")
-	flags.DurationVar(&e.options.Length, "length", 0, "simulated length of each schedule; 0: the default")
+		"load that clients request, as a fraction of the capacity of all hosts")
+	flags.Float64Var(&e.options.Loss, "loss", 0.01, "fraction of the messages between nodes that is lost")
+	flags.DurationVar(&e.options.Length, "length", 0,
+		"simulated length of each schedule; 0: 40s for failover, 45s for policy, more if the scenario needs it")
 	flags.StringVar(&e.options.Scenario, "faults", "", "the `NAME` of a scenario; drawn: random faults by seed")
 	flags.StringVar(&e.options.Mutation, "mutation", "",
 		"label of this run, such as the name of a mutation; it has no effect")
--- a/cmd/spurwinchctl/lab_explore_summary.go
+++ b/cmd/spurwinchctl/lab_explore_summary.go
@@ -17,11 +17,11 @@
 	Worst      float64          `json:"worst"`
 	Peak       float64          `json:"peak"`
 	Reversals  int              `json:"reversals"`
-	SpreadP50  float64          `json:"spread_p50_s"` // mean time from the first node that has a plan to the others
+	SpreadP50  float64          `json:"spread_p50_s"` // first node with a plan to the others; mean over schedules
 	SpreadP99  float64          `json:"spread_p99_s"`
 	Bytes      float64          `json:"bytes_node_s"`
 	OldPolicy  float64          `json:"old_policy_s"` // longest use of a policy after the next one was committed
-	ChangeP50  float64          `json:"change_p50_s"` // mean over the schedules
+	ChangeP50  float64          `json:"change_p50_s"` // command to policy in force; mean over schedules
 	ChangeP99  float64          `json:"change_p99_s"`
 	ChangeMax  float64          `json:"change_longest_s"`
 	Policies   int              `json:"policies"`
@@ -80,7 +80,7 @@
 func (s *exploreSummary) print(out io.Writer) {
 	if s.Policies > 0 {
 		printf(out, "%d schedules: %d policies committed, %d changes aborted, %d commands in a consistent order; "+
-			"the old policy in use for at most %.2f s after that\n",
+			"the old policy in use for at most %.2f s after a commit\n",
 			s.Schedules, s.Policies, s.Aborted, s.Commands, s.OldPolicy)
 		printf(out, "from a command until its policy is in force at all nodes: "+
 			"p50 %.2f s, p99 %.2f s (means), longest %.2f s\n",
--- a/cmd/spurwinchctl/lab_explore_workers.go
+++ b/cmd/spurwinchctl/lab_explore_workers.go
@@ -87,7 +87,7 @@
 }
 
 // command returns a worker process for a batch. It has a process group of its own, so that a terminal's interrupt
-// reaches only this process.
+// reaches only the parent process.
 func (p *schedulePool) command(first, last uint64) *exec.Cmd {
 	options := &p.options
 	command := exec.Command(p.self, "lab", "explore", exploreFailover, "--worker",
--- a/cmd/spurwinchctl/lab_faults.go
+++ b/cmd/spurwinchctl/lab_faults.go
@@ -77,7 +77,7 @@
 	asJSON := false
 	command := &cobra.Command{
 		Use:   "check HISTORY",
-		Short: "Check a history that --history has written",
+		Short: "Check a history that lab faults --history has written",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			events, err := readHistory(args[0])
--- a/cmd/spurwinchctl/lab_mutations.go
+++ b/cmd/spurwinchctl/lab_mutations.go
@@ -54,7 +54,7 @@
 	case result.Err != nil:
 		printf(out, ": %v", result.Err)
 	case !result.Caught:
-		printf(out, ": broken rules were %v", result.Rules)
+		printf(out, ": broken rules: %v", result.Rules)
 	}
 	printLine(out)
 }
--- a/cmd/spurwinchctl/lab_soak.go
+++ b/cmd/spurwinchctl/lab_soak.go
@@ -39,7 +39,7 @@
 			"and checks all observations against docs/promises.md.\n" +
 			"Requires a C compiler. Kinds of faults: " + strings.Join(soak.FaultKinds(), ", ") + ".\n" +
 			"Exit status: 0 if no promise is broken, 1 if one is or if this machine was too slow for a verdict, " +
-			"2 if a run is impossible.",
+			"2 if a run can't be started or completed.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return settings.run(command.OutOrStdout())
--- a/cmd/spurwinchctl/main.go
+++ b/cmd/spurwinchctl/main.go
@@ -66,8 +66,8 @@
 		Short:         "Check files, plan capacity, control a fleet and test spurwinch",
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		Long: "spurwinchctl has the tools of spurwinch that run outside a node.\n\nExit status: 0 on success,\n" +
-			"1 on a negative result (such as a broken rule), 2 on invalid input, 3 on an outcome not known yet.",
+		Long: "spurwinchctl has the tools of spurwinch that run outside a node.\n\nExit status: 0 on success, 1 on a " +
+			"negative result (such as a broken rule),\n2 on invalid input or arguments, 3 on an outcome not known yet.",
 	}
 	command.AddCommand(
 		checkCommand(),
@@ -95,7 +95,7 @@
 	}
 }
 
-// requireFlags marks flags of a command as required. It panics if the command has no flag of a name.
+// requireFlags marks flags of a command as required. It panics if the command lacks one of them.
 func requireFlags(command *cobra.Command, names ...string) {
 	for _, name := range names {
 		if err := command.MarkFlagRequired(name); err != nil {
--- a/cmd/spurwinchctl/main_test.go
+++ b/cmd/spurwinchctl/main_test.go
@@ -74,11 +74,11 @@
 	t.Helper()
 	first, err := files.plan(t, "forecast", "--json")
 	if err != nil {
-		t.Error("plan forecast:", err)
+		t.Error("plan forecast --json: got an error, want none:", err)
 	}
 	second, err := files.plan(t, "forecast", "--json")
 	if err != nil {
-		t.Error("plan forecast:", err)
+		t.Error("plan forecast --json: got an error, want none:", err)
 	}
 	if first != second {
 		t.Error("plan forecast: got different forecasts for the same seed, want equal ones: ", first, second)
@@ -88,7 +88,7 @@
 		First   struct{ Limit string } `json:"first_to_break"`
 	}
 	if err := json.Unmarshal([]byte(first), &forecast); err != nil {
-		t.Error("plan forecast:", err)
+		t.Error("plan forecast --json: got an error on decoding, want a JSON object:", err)
 	}
 	if forecast.Service.Mean <= 0.3 || forecast.First.Limit == "" {
 		t.Error("plan forecast: got no service over 0.3 or no first limit, want both: ", first)
--- a/cmd/spurwinchctl/plan_cost.go
+++ b/cmd/spurwinchctl/plan_cost.go
@@ -49,7 +49,7 @@
 	command := &cobra.Command{
 		Use:   "cost --fleet FLEET",
 		Short: "Measure the time that a forecast takes on this machine, by the size of the fleet",
-		Long: "For each size, resizes the fleet, generates a load that requests the given part of its cores, " +
+		Long: "For each size, resizes the fleet, generates a load that requests the given fraction of its cores,\n" +
 			"and measures the time of one replication.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error { return benchmark.run(command) },
@@ -58,7 +58,8 @@
 	flags.StringVar(&benchmark.fleetPath, "fleet", "", "the `FLEET` file, which describes servers, nodes and clients")
 	flags.IntSliceVar(&benchmark.sizes, "sizes", []int{10, 30, 100, 300, 1000},
 		"numbers of servers to measure, each 1 to 20000")
-	flags.Float64Var(&benchmark.fill, "fill", 0.45, "requested part of all cores, over 0 and up to 2, without groups")
+	flags.Float64Var(&benchmark.fill, "fill", 0.45,
+		"fraction of all cores that the load requests, over 0 and up to 2, without groups")
 	flags.DurationVar(&benchmark.length, "length", 2*time.Minute, "length of the load, 5s to 24h")
 	flags.Uint64Var(&benchmark.seed, "seed", 1, "seed of all random numbers")
 	flags.BoolVar(&benchmark.asJSON, "json", false, "print JSON")
--- a/cmd/spurwinchctl/plan_forecast.go
+++ b/cmd/spurwinchctl/plan_forecast.go
@@ -56,7 +56,7 @@
 	return printLimits(out, &forecast)
 }
 
-// compute searches the breakpoint concurrently with the replications, which leave a core idle for a large load.
+// compute searches for the breakpoint concurrently with the replications, which leave a core idle for a large load.
 func (p *forecastPlan) compute(progress *progress) (planner.Forecast, planner.Breakpoint, error) {
 	type result struct {
 		breakpoint planner.Breakpoint
@@ -65,7 +65,7 @@
 	results := make(chan result, 1)
 	go func() {
 		breakpoint, err := planner.FindBreakpoint(p.fleet, p.load, p.options(), func(loadFactor float64) {
-			progress.show("searching the first limit: %.2f times the load", loadFactor)
+			progress.show("searching for the first limit: %.2f times the load", loadFactor)
 		})
 		results <- result{breakpoint, err}
 	}()
--- a/cmd/spurwinchctl/plan_size.go
+++ b/cmd/spurwinchctl/plan_size.go
@@ -31,10 +31,10 @@
 	}
 	plan.addFlags(command)
 	flags := command.Flags()
-	flags.Float64Var(&plan.target, "target", 0.98, "service to reach, as a part over 0 and under 1")
+	flags.Float64Var(&plan.target, "target", 0.98, "service to reach, as a fraction over 0 and under 1")
 	flags.IntVar(&plan.maxServers, "most", 2000, "maximum number of servers to try")
 	flags.DurationVar(&plan.window, "window", 10*time.Minute,
-		"a load over 1.5 times as long is reduced to its busiest part of this length (0: never)")
+		"length of the load's busiest part, to which a load over 1.5 times as long is cut (0: never)")
 	return command
 }
 
@@ -100,7 +100,7 @@
 		printf(out, "  with one %s less: %s\n", kind, sizeText(sizing.OneServerLess[kind]))
 	}
 	if sizing.FullLoad != nil {
-		printf(out, "  the minimum over the whole load: %s\n", figureText(*sizing.FullLoad))
+		printf(out, "  the minimum's service over the whole load: %s\n", figureText(*sizing.FullLoad))
 	}
 }
 
--- a/cmd/spurwinchctl/plan_trial.go
+++ b/cmd/spurwinchctl/plan_trial.go
@@ -31,7 +31,7 @@
 	Scenario        string                `json:"what"`
 	Servers         int                   `json:"servers"`
 	Sessions        int                   `json:"sessions"`
-	RequestedPart   float64               `json:"asked"` // mean requested cores as a part of all cores, without groups
+	RequestedLoad   float64               `json:"asked"` // mean requested cores / all cores, without groups
 	Forecast        float64               `json:"forecast"`
 	SD              float64               `json:"forecast_sd"` // of one replication
 	Measured        float64               `json:"measured"`
@@ -68,7 +68,7 @@
 			Scenario:      generated.Scenario,
 			Servers:       generated.Fleet.ServerCount(),
 			Sessions:      len(generated.Load.Sessions),
-			RequestedPart: generated.Load.MeanCores(generated.Fleet) / generated.Fleet.Cores(),
+			RequestedLoad: generated.Load.MeanCores(generated.Fleet) / generated.Fleet.Cores(),
 			Classes:       map[string][2]float64{},
 			Target:        settings.target,
 		},
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	t.compare(forecast.Service, measured)
+	t.compareService(forecast.Service, measured)
 	if !t.settings.checkSize {
 		return nil
 	}
@@ -168,8 +168,8 @@
 	return services, nil
 }
 
-// compare sets the service figures of the result.
-func (t *trial) compare(forecast planner.Figure, measured []float64) {
+// compareService sets the forecast service of the result, the measured service and the relative error between them.
+func (t *trial) compareService(forecast planner.Figure, measured []float64) {
 	result := &t.result
 	result.Forecast = forecast.Mean
 	result.SD = forecast.SD
@@ -198,8 +198,8 @@
 	return err
 }
 
-// measureMinimumSize searches the minimum size that reaches the target. It searches downwards if start reaches the
-// target and upwards if not, for at most maxSizeSteps steps.
+// measureMinimumSize searches for the minimum size that reaches the target, downwards if start reaches the target and
+// upwards if not, for at most maxSizeSteps steps.
 func (t *trial) measureMinimumSize(ctx context.Context, start int) (int, error) {
 	size := start
 	reached, err := t.reachesTarget(ctx, size)
--- a/cmd/spurwinchctl/plan_validate.go
+++ b/cmd/spurwinchctl/plan_validate.go
@@ -53,7 +53,7 @@
 		Args:  cobra.NoArgs,
 		Long: "Generates small random fleets. For each fleet, real nodes capture a load, " +
 			"a forecast of the service is made from the capture,\n" +
-			"and the same load is replayed through real nodes to simulated servers. Prints forecast and measurement.",
+			"and the same load is replayed through real nodes to stand-in servers. Prints forecast and measurement.",
 		RunE: func(command *cobra.Command, _ []string) error { return settings.run(command) },
 	}
 	flags := command.Flags()
@@ -71,7 +71,7 @@
 	flags.StringVar(&settings.nodeProgram, "node", "",
 		"the `PATH` of the node's program (default: spurwinch beside this program)")
 	flags.StringVar(&settings.keepDir, "keep", "",
-		"empty or new `DIR` that keeps captures, configurations and logs (default: a temporary directory)")
+		"empty or new `DIR` that keeps captures, configurations and logs (default: temporary, removed at the end)")
 	flags.BoolVar(&settings.checkSize, "size", true, "also check the minimum number of servers")
 	flags.Float64Var(&settings.target, "target", 0.9, "service that the minimum number of servers must reach")
 	flags.BoolVar(&settings.asJSON, "json", false, "print JSON")
--- a/cmd/spurwinchctl/plan_validate_print.go
+++ b/cmd/spurwinchctl/plan_validate_print.go
@@ -22,11 +22,11 @@
 func printTrials(out io.Writer, results []trialResult) {
 	table := newFigureTable(out)
 	printLine(table, "fleet\tscenario\tservers\tsessions\trequested load\tforecast\t±\tmeasured\t±\terror\t"+
-		"forecast minimum\tmeasured\tlag 99%\t")
+		"forecast minimum\tmeasured minimum\tlag 99%\t")
 	for i := range results {
 		result := &results[i]
 		printf(table, "%d\t%s\t%d\t%d\t%.0f%%\t%.1f%%\t%.1f\t%.1f%%\t%.1f\t%.1f%%\t%d\t%d\t%.1f ms\t\n",
-			result.Fleet, result.Scenario, result.Servers, result.Sessions, 100*result.RequestedPart,
+			result.Fleet, result.Scenario, result.Servers, result.Sessions, 100*result.RequestedLoad,
 			100*result.Forecast, 100*result.SD, 100*result.Measured, 100*result.MeasuredSD, 100*result.Error,
 			result.ForecastMinimum, result.MeasuredMinimum, result.LagMS)
 	}
--- a/cmd/spurwinchctl/policy.go
+++ b/cmd/spurwinchctl/policy.go
@@ -109,7 +109,7 @@
 func policyStatusCommand(client *fleetClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show the policy in force, the pending change, and the nodes that don't serve by the policy",
+		Short: "Show the policy in force, the pending change, and the nodes that don't apply the policy in force",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return client.showPolicy(command.OutOrStdout(), printPolicyStatus)
@@ -185,7 +185,7 @@
 func policyShowCommand(client *fleetClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "show NUMBER",
-		Short: "Print the policy document with a number",
+		Short: "Print the document of the policy with the given number",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			state, err := client.readPolicy(policyReadTimeout)
--- a/cmd/spurwinchctl/policy_change.go
+++ b/cmd/spurwinchctl/policy_change.go
@@ -22,7 +22,7 @@
 	id             string
 	canary         string // zone:NAME, or 1/N for one node in N; if empty, all nodes change at once
 	canaryDuration time.Duration
-	maxExtra       float64 // allowed rejections in the canary beyond those elsewhere, as a part of its requests
+	maxExtra       float64 // allowed rejections in the canary beyond those elsewhere, as a fraction of its requests
 	timeout        time.Duration
 	base           uint64 // number of the policy to replace
 	hasBase        bool   // if false, the change replaces the policy in force
@@ -36,9 +36,9 @@
 	flags.StringVar(&p.canary, "part", "",
 		"the `CANARY` that changes first: zone:NAME, or 1/N for one node in N (default: none)")
 	flags.DurationVar(&p.canaryDuration, "for", 30*time.Second,
-		"how long the canary is observed before all other nodes change")
+		"how long the canary is observed before all other nodes change, 1s to 1h")
 	flags.Float64Var(&p.maxExtra, "worse", 0.02,
-		"the change aborts if the part of requests rejected in the canary exceeds that elsewhere by more than this")
+		"abort if the fraction of requests rejected in the canary exceeds that elsewhere by more than this, 0 to 1")
 	addTimeoutFlag(command, &p.timeout)
 }
 
@@ -82,7 +82,7 @@
 		call.Base = state.Number
 	}
 	if !c.asJSON {
-		printf(out, "change %s replaces policy number %d\n", call.ID, call.Base)
+		printf(out, "change %s, to replace policy number %d\n", call.ID, call.Base)
 	}
 	maybeLogged := false
 	send := func() error {
@@ -140,7 +140,7 @@
 	}
 }
 
-// findOutcome returns the outcome of a change, or nil if the change is pending or its outcome no longer stored.
+// findOutcome returns the outcome of a change, or nil if the change is pending or its outcome is no longer stored.
 func findOutcome(state *agent.PolicyReply, id string) *policy.ChangeOutcome {
 	for i := range state.Ended {
 		if state.Ended[i].ID == id {
--- a/cmd/spurwinchctl/policy_print.go
+++ b/cmd/spurwinchctl/policy_print.go
@@ -25,11 +25,11 @@
 			serving++
 		}
 	}
-	printf(out, "%d of %d members serve by the policy in force\n", serving, len(state.Members))
+	printf(out, "%d of %d members apply the policy in force\n", serving, len(state.Members))
 	printOtherMembers(out, state)
 }
 
-// printOtherMembers lists the members that don't serve by the policy in force or that reject the proposed one.
+// printOtherMembers lists the members that don't apply the policy in force or that reject the proposed one.
 func printOtherMembers(out io.Writer, state *agent.PolicyReply) {
 	table := newFleetTable(out)
 	for i := range state.Members {
@@ -41,9 +41,9 @@
 		case !member.HasStatus:
 			printf(table, "%s\tno status yet\t\n", member.Name)
 		case !member.MayServe:
-			printf(table, "%s\tmay not serve\t%s\n", member.Name, member.Answer)
+			printf(table, "%s\tnot allowed to serve\t%s\n", member.Name, member.Answer)
 		case member.ServedNumber != state.Number || rejects:
-			printf(table, "%s\tserves by policy %d\t%s\n", member.Name, member.ServedNumber, member.Answer)
+			printf(table, "%s\tapplies policy %d\t%s\n", member.Name, member.ServedNumber, member.Answer)
 		}
 	}
 	flushTable(table)
