--- a/internal/lab/faults/check.go
+++ b/internal/lab/faults/check.go
@@ -12,13 +12,13 @@
 // Limits are the limits and tolerances that the checker applies to times and amounts. Times are in seconds.
 type Limits struct {
 	Deadline          float64 `json:"patience"  toml:"patience"`  // within which a request must be answered
-	Slack             float64 `json:"slack"     toml:"slack"`     // added to time limits: a busy machine may be late
+	Slack             float64 `json:"slack"     toml:"slack"`     // added to time limits for delays of a busy machine
 	Attempts          int     `json:"attempts"  toml:"attempts"`  // at most for one request
-	CapacitySlack     float64 `json:"roomSlack" toml:"roomSlack"` // fraction by which grants may exceed capacity
+	CapacitySlack     float64 `json:"roomSlack" toml:"roomSlack"` // fraction by which grants may exceed a capacity
 	UnneededCrossZone float64 `json:"crossing"  toml:"crossing"`  // fraction of requests that may cross without need
 	RecoveryInterval  float64 `json:"turnTime"  toml:"turnTime"`  // within which a zone may recover at most once
 	GrantLifetime     float64 `json:"life"      toml:"life"`      // for which a node may cross zones without the log
-	PolicyWindow      float64 `json:"window"    toml:"window"`    // during which the previous policy may be used
+	PolicyWindow      float64 `json:"window"    toml:"window"`    // after a decision, for use of the previous policy
 }
 
 // DefaultLimits are the limits of docs/faults.md, with slack for a busy machine.
@@ -36,8 +36,8 @@
 // maxViolations is the maximum number of violations that Check lists in a verdict.
 const maxViolations = 50
 
-// Names of the checker's rules. The other rules are those of a node's invariant monitor; their names are
-// placementRulesPrefix and the monitor's name for the rule.
+// Names of the checker's rules. A rule of a node's invariant monitor that has no name here gets the monitor's name with
+// placementRulesPrefix before it.
 const (
 	ruleLog              = "agreed log"
 	ruleSameContent      = "agreed log (1)"
@@ -77,20 +77,20 @@
 type Verdict struct {
 	Violations []Violation    `json:"violations"`
 	Judged     bool           `json:"judged"`
-	Why        string         `json:"why,omitempty"` // why it was not judged
-	Seen       map[string]int `json:"seen"`          // number of occurrences, by what happened
+	Why        string         `json:"why,omitempty"` // why the run was not judged
+	Seen       map[string]int `json:"seen"`          // how often each thing happened
 	Figures    Figures        `json:"figures"`
 }
 
-// Want adds a violation for each key of expected that the run has seen less often than the minimum that expected gives.
-// Such a run did not exercise what it was made to test.
+// Want adds a violation for each key of Seen that has a lower count than expected. Such a run did not exercise what it
+// was made to test.
 func (v *Verdict) Want(expected map[string]int) {
 	for what, least := range expected {
 		if v.Seen[what] >= least {
 			continue
 		}
 		v.Violations = append(v.Violations, Violation{ruleExercise, 0, fmt.Sprintf(
-			"%s was seen %d times, want at least %d; this run tests nothing", what, v.Seen[what], least)})
+			"%s was seen %d times, want at least %d; the run did not exercise it", what, v.Seen[what], least)})
 	}
 }
 
@@ -114,7 +114,7 @@
 	return state.verdict
 }
 
-// checker holds the state of the fleet, derived from the events that were checked so far.
+// checker holds the state of the fleet, derived from the events checked so far.
 type checker struct {
 	verdict Verdict
 	limits  Limits
@@ -147,8 +147,8 @@
 	live      bool
 	startedAt float64
 	mode      string
-	newest    uint64 // plan number that the node has had with its current files
-	inUse     uint64 // plan number
+	newest    uint64 // number of the newest plan in the node's files
+	inUse     uint64 // number of the plan that the node uses
 	leases    map[string]float64
 	grants    grants
 }
@@ -217,7 +217,7 @@
 // isLive reports whether a node's process is running.
 func (c *checker) isLive(name string) bool { return c.nodes[name] != nil && c.nodes[name].live }
 
-// violated adds a violation to the verdict, unless the verdict has maxViolations already.
+// violated adds a violation to the verdict, unless the verdict already has maxViolations of them.
 func (c *checker) violated(rule string, at float64, format string, args ...any) {
 	if len(c.verdict.Violations) < maxViolations {
 		c.verdict.Violations = append(c.verdict.Violations, Violation{rule, at, fmt.Sprintf(format, args...)})
@@ -233,7 +233,7 @@
 	c.verdict.Why = fmt.Sprintf(format, args...)
 }
 
-// check checks one event; all earlier events have been checked before.
+// check checks one event. The events must be checked in the order of their times.
 func (c *checker) check(event Event) {
 	c.count(string(event.Kind))
 	switch event.Kind {
--- a/internal/lab/faults/check_commands.go
+++ b/internal/lab/faults/check_commands.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	linearizabilityTimeout = 20 * time.Second  // a check that takes longer reports no violation
-	microseconds           = 1e6               // per second; the commands' times are in microseconds
+	linearizabilityTimeout = 20 * time.Second // a check that takes longer reports no violation
+	microsecondsPerSecond  = 1e6
 	openEnded              = math.MaxInt64 - 1 // return time of a command whose end is unknown
 )
 
@@ -55,13 +55,14 @@
 	DescribeOperation: func(input, _ any) string { return fmt.Sprintf("%+v", input) },
 }
 
-// commandOperations returns the commands that changed the policy or returned its number.
+// commandOperations returns the commands that changed the policy or returned its number. Their times are in
+// microseconds.
 func (c *checker) commandOperations() []porcupine.Operation {
 	var operations []porcupine.Operation
 	for i, command := range c.policies.commands {
 		input := commandInput{proposes: command.Detail == verbPropose, number: command.Number}
 		result := command.Result
-		returned := int64(command.At * microseconds)
+		returned := int64(command.At * microsecondsPerSecond)
 		if result == ResultUnknown || result == ResultRejected {
 			ended, ok := c.policies.changeEnds[command.ID]
 			if !input.proposes || !ok || ended.Result != ResultAccepted {
@@ -82,7 +83,7 @@
 		operations = append(operations, porcupine.Operation{
 			ClientId: i,
 			Input:    input,
-			Call:     int64(command.Value * microseconds),
+			Call:     int64(command.Value * microsecondsPerSecond),
 			Output:   input.number,
 			Return:   returned,
 		})
@@ -90,8 +91,9 @@
 	return operations
 }
 
-// unreportedChanges returns the accepted changes that no command reported, such as those of operators whose connection
-// was cut before the end. operationCount is the number of operations that precede them; client IDs continue from it.
+// unreportedChanges returns the accepted changes that no command reported, such as those of operators that were cut off
+// before their command ended. operationCount is the number of operations that precede them; it keeps the client IDs
+// unique.
 func (c *checker) unreportedChanges(operationCount int) []porcupine.Operation {
 	reported := map[string]bool{}
 	for _, command := range c.policies.commands {
--- a/internal/lab/faults/check_faults.go
+++ b/internal/lab/faults/check_faults.go
@@ -17,8 +17,8 @@
 // servers.
 var zoneFaultWords = []string{"zone", "region", "lin", "cut", "split", "hears", "lose"}
 
-// mayBeAffected reports whether a node is down or a fault may have affected it. A fault without a node and a zone may
-// affect any node.
+// mayBeAffected reports whether a node is down or a fault may have affected it. A fault that names neither a node nor a
+// zone may affect any node.
 func (c *checker) mayBeAffected(node membership.Node) bool {
 	if !c.isLive(node.Name) {
 		return true
@@ -57,8 +57,8 @@
 	return 3*available < 2*all
 }
 
-// othersLive reports whether at least nine in ten of the nodes that are not voters are running.
-func (c *checker) othersLive() bool {
+// nonVotersLive reports whether at least nine in ten of the nodes that are not voters are running.
+func (c *checker) nonVotersLive() bool {
 	live, all := 0, 0
 	for index := range c.list.Len() {
 		node := c.list.Node(index)
--- a/internal/lab/faults/check_plans.go
+++ b/internal/lab/faults/check_plans.go
@@ -56,7 +56,7 @@
 	c.updateGrants(event.Node, event.At)
 }
 
-// start records the start of a node's process, which uses the plan in its files if they are intact.
+// start records the start of a node's process. The process uses the plan in its files if they are intact.
 func (n *nodeState) start(event Event) {
 	n.live = true
 	n.startedAt = event.At
@@ -107,10 +107,10 @@
 	for _, zone := range plan.Zones {
 		c.checkZoneState(event.At, zone)
 	}
-	c.checkView(event.At, plan)
+	c.checkLostNodes(event.At, plan)
 }
 
-// checkZoneState updates the state of a zone from a plan, and checks that the zone doesn't flap.
+// checkZoneState updates the state of a zone from a plan, and checks that the zone doesn't recover too often.
 func (c *checker) checkZoneState(when float64, planned failover.Zone) {
 	zone := c.zone(planned.Name)
 	if !zone.hasState || zone.state != planned.State {
@@ -146,9 +146,9 @@
 	return count
 }
 
-// checkView checks that a plan lists no node as lost that no fault has affected. A single node or a minority can't
-// change a plan.
-func (c *checker) checkView(at float64, plan *failover.Plan) {
+// checkLostNodes checks that a plan lists only nodes as lost that a fault may have affected, since a single node or a
+// minority can't change a plan.
+func (c *checker) checkLostNodes(at float64, plan *failover.Plan) {
 	for _, index := range plan.LostNodes {
 		if index < 0 || index >= c.list.Len() {
 			continue
@@ -160,7 +160,7 @@
 }
 
 // updateGrants updates the load that a node may have in each zone, and checks that the grants of all nodes together
-// don't exceed the capacity that a plan in use states for the zone.
+// don't exceed the highest capacity that a plan in use states for the zone.
 func (c *checker) updateGrants(name string, at float64) {
 	node := c.node(name)
 	before := node.grants
@@ -217,7 +217,7 @@
 	}
 }
 
-// checkCapacity checks the grants of all nodes together in a zone.
+// checkCapacity checks that the grants of all nodes together in a zone don't exceed the zone's stated capacity.
 func (c *checker) checkCapacity(node string, number uint64, zone string, when float64) {
 	stated := 0.0
 	for used := range c.plans.users {
@@ -228,7 +228,7 @@
 	granted := c.zone(zone).granted
 	if granted > stated*(1+c.limits.CapacitySlack)+loadTolerance {
 		c.violated(ruleCapacity, when,
-			"with plan %d at %s the grants of all nodes are %.2f in zone %s, its stated capacity is %.2f",
+			"with plan %d at %s all nodes together have grants of %.2f in zone %s, want at most stated capacity %.2f",
 			number, node, granted, zone, stated)
 	}
 }
--- a/internal/lab/faults/check_policy.go
+++ b/internal/lab/faults/check_policy.go
@@ -12,8 +12,8 @@
 	verbProposeAgain = "again" // proposes a change again that has ended, with the same ID
 )
 
-// finalAdmissionTime is a time in seconds. A node's newest admission shows which policy the node uses at the end if it
-// lies within this time before the end of the history.
+// finalAdmissionTime is the length, in seconds, of the end of a history in which a node's newest admission must lie to
+// show which policy the node uses at the end.
 const finalAdmissionTime = 1
 
 // policyState is the state of policies and policy changes, derived from the history. Policies are known by their
@@ -22,16 +22,16 @@
 	isUsed        bool
 	digests       map[uint64]string
 	decidedAt     map[uint64]float64   // when the policy was first known to be in force
-	canaryAt      map[uint64]float64   // from when canaries could use the policy
+	canaryAt      map[uint64]float64   // when canaries could first use the policy
 	abandonedAt   map[uint64]float64   // when the policy's change was abandoned
 	learnedAt     map[uint64][]float64 // when nodes had stored the policy on their disks
-	objections    map[uint64][]string  // nodes that can't use the policy
+	objections    map[uint64][]string  // names of the nodes that can't use the policy
 	changeEnds    map[string]Event     // by change ID
 	lastAdmission map[string]Event     // newest admission under a lease, by node
 	admissions    map[string]int       // number of admissions, by Detail such as AdmittedByLease
 	notAdmitted   map[string]bool      // IDs of requests that were rejected because the node had no lease
 	commands      []Event
-	oldPolicyUse  []float64 // seconds from a decision to each use of the policy before it
+	oldPolicyUse  []float64 // seconds from a decision to each later use of the previous policy
 }
 
 func newPolicyState() policyState {
@@ -49,7 +49,7 @@
 	}
 }
 
-// next returns the lowest decided number above another, and when it was decided. ok is false if there is none.
+// next returns the lowest decided number above number, and when it was decided. ok is false if there is none.
 func (p *policyState) next(number uint64) (next uint64, at float64, ok bool) {
 	for decided, decidedAt := range p.decidedAt {
 		if decided > number && (!ok || decided < next) {
@@ -96,8 +96,8 @@
 	}
 }
 
-// checkDecision checks that a policy in force has the same content at all nodes, and that no running node that no fault
-// affected has objected to it.
+// checkDecision checks that a policy in force has the same content at all nodes. It also checks that no node has
+// objected to the policy, except nodes that are down or that a fault may have affected.
 func (c *checker) checkDecision(event Event) {
 	state := &c.policies
 	digest, known := state.digests[event.Number]
@@ -227,7 +227,7 @@
 }
 
 // checkOnePolicyInUse checks that all nodes that serve at the end use the newest policy or one that canaries may use.
-// It skips the check if the newest policy was decided too shortly before the end.
+// It skips the check if the nodes may still use the previous policy at the end, since the decision was so recent.
 func (c *checker) checkOnePolicyInUse(end float64) {
 	newest := c.policies.newest()
 	if c.policies.decidedAt[newest] >= end-c.limits.PolicyWindow-c.limits.Slack {
--- a/internal/lab/faults/check_policy_test.go
+++ b/internal/lab/faults/check_policy_test.go
@@ -5,42 +5,42 @@
 	"testing"
 )
 
-// policyFleet is the beginning of each history of policies. The fleet has one node, which is a voter.
+// policyFleet holds the first events of each history in policyCases. The fleet has one node, which is a voter.
 var policyFleet = []Event{
 	{Kind: KindZone, Zone: "z", Detail: "r", Value: 10},
 	{Kind: KindNode, Node: "a", Zone: "z", Value: 1},
 	{Kind: KindStart, Node: "a", Detail: FilesNew},
 }
 
-// decided returns the event that node a has stored a policy that is in force.
+// decided returns the event of a policy in force that node a has stored.
 func decided(at float64, number uint64, digest string) Event {
 	return Event{At: at, Kind: KindPolicy, Node: "a", Number: number, Digest: digest, Detail: policyDecided}
 }
 
-// admitted returns the event that node a admitted a request under a policy.
+// admitted returns the event of a request that node a admitted under a policy.
 func admitted(at float64, number uint64) Event {
 	return Event{At: at, Kind: KindAdmission, Node: "a", Number: number, Detail: AdmittedByLease, ID: "q"}
 }
 
-// canaryStarted returns the event that canaries may use policy 1 from second 1 on.
+// canaryStarted returns the event of canaries that may use policy 1 from second 1 on.
 func canaryStarted() Event { return Event{At: 1, Kind: KindCanary, Node: "a", ID: "c", Number: 1} }
 
-// changeEnd returns the event that change c ended as number 1.
+// changeEnd returns the event of the end of change c as number 1.
 func changeEnd(at float64, result Result) Event {
 	return Event{At: at, Kind: KindChangeEnd, Node: "a", ID: "c", Result: result, Number: 1}
 }
 
-// proposed returns the event that the command that proposed change c ended.
+// proposed returns the event of the end of the command that proposed change c.
 func proposed(start, at float64, result Result, number uint64) Event {
 	return Event{At: at, Kind: KindCommand, ID: "c", Detail: verbPropose, Value: start, Result: result, Number: number}
 }
 
-// queried returns the event that a command that queried the policy in force ended.
+// queried returns the event of the end of a command that queried the policy in force.
 func queried(id string, start, at float64, number uint64) Event {
 	return Event{At: at, Kind: KindCommand, ID: id, Detail: verbStatus, Value: start, Result: ResultOK, Number: number}
 }
 
-// policyCases are small histories, each with the first rule that it breaks. The rule is empty if it breaks none.
+// policyCases are small histories. want is the first rule that a history breaks, or empty if the history breaks none.
 var policyCases = []struct {
 	name   string
 	events []Event
--- a/internal/lab/faults/check_requests.go
+++ b/internal/lab/faults/check_requests.go
@@ -3,9 +3,10 @@
 import "spurwinch/internal/invariant"
 
 const (
-	drainGrace = 3 // seconds after its notice for which a node may still try a draining server
+	drainGrace = 3 // seconds for which a node may still try a draining server after the notice
 
-	// In a stable zone no request needs to cross: the zone has been healthy for long and has free capacity.
+	// Conditions of a stable zone. No request needs to leave such a zone, since it has been healthy for long and has
+	// free capacity.
 	minHealthyTime       = 10  // seconds
 	maxStableUtilization = 0.6 // of the zone's capacity
 	minStableRequests    = 100
@@ -22,14 +23,14 @@
 	inFlight        map[string]string       // server that has the request
 	draining        map[drainNotice]float64 // time of the first notice
 	stableZone      int                     // served requests of stable zones
-	stableCrossZone int                     // those of them that were served in another zone
+	stableCrossZone int                     // requests among these that were served in another zone
 	withoutVoters   []Event                 // answers while no voter was running
 }
 
-// drainNotice identifies a notice to a node that a server drains.
+// drainNotice identifies the notice by which a node learned that a server drains.
 type drainNotice struct{ node, server string }
 
-// monitorRules maps rules of a node's invariant monitor to the checker's rules, for those with another name there.
+// monitorRules maps the invariant monitor's names of rules to the checker's names, where the two differ.
 var monitorRules = map[string]string{
 	invariant.TooManyAttempts.String():   ruleAttempts,
 	invariant.ConcurrentAttempt.String(): ruleTwoAtOnce,
@@ -54,8 +55,9 @@
 		c.checkAttempt(event)
 	case KindAttemptEnd:
 		delete(c.requests.inFlight, event.ID)
-	case KindGuard: // a violation although the monitor prevented harm: a node that needs its monitor has a fault
-		c.violated(monitorRule(event.Detail), event.At, "request %s: the invariant monitor of %s prevented a step: %s",
+	case KindGuard: // a violation even without harm, since a node that needs its monitor has a fault
+		c.violated(monitorRule(event.Detail), event.At,
+			"request %s: the invariant monitor of %s prevented a step that breaks rule %s",
 			event.ID, event.Node, event.Detail)
 	case KindDrain:
 		notice := drainNotice{event.Node, event.To}
@@ -68,8 +70,8 @@
 	}
 }
 
-// checkAttempt checks the number of attempts of a request, that it has no other attempt in flight, and that its server
-// has not been draining for too long.
+// checkAttempt checks that a request has not too many attempts and no other attempt in flight, and that its server has
+// not been draining for too long.
 func (c *checker) checkAttempt(event Event) {
 	state := &c.requests
 	state.attempts[event.ID]++
@@ -99,12 +101,12 @@
 	c.countAnswer(event)
 }
 
-// countAnswer adds an answer to what checkCrossings and checkWithoutVoters check at the end.
+// countAnswer counts an answer for checkCrossings and checkWithoutVoters, which run at the end.
 func (c *checker) countAnswer(event Event) {
 	if event.Result == "" || event.Result == ResultNone || event.Result == ResultNodeGone {
 		return
 	}
-	if c.liveVoters() == 0 && !c.zoneFaultInjected() && c.othersLive() {
+	if c.liveVoters() == 0 && !c.zoneFaultInjected() && c.nonVotersLive() {
 		c.requests.withoutVoters = append(c.requests.withoutVoters, event)
 	}
 	if event.Result != ResultServed || !c.isStable(event.Zone, event.At) {
--- a/internal/lab/faults/check_test.go
+++ b/internal/lab/faults/check_test.go
@@ -19,30 +19,31 @@
 	return plan.Encode()
 }
 
-// plan returns the event that a node adopts a plan.
+// plan returns the event of a node that adopts a plan.
 func plan(at float64, node string, number uint64, digest string, encoded []byte) Event {
 	return Event{At: at, Kind: KindPlan, Node: node, Zone: "z", Number: number, Digest: digest, Plan: encoded}
 }
 
-// mode returns the event that a node changes its mode.
+// mode returns the event of a node that changes its mode.
 func mode(at float64, node, name string, number uint64) Event {
 	return Event{At: at, Kind: KindMode, Node: node, Mode: name, Number: number}
 }
 
-// answer returns the event that request q is answered.
+// answer returns the event of an answer to request q.
 func answer(result Result, took float64) Event {
 	return Event{Kind: KindAnswer, ID: "q", Zone: "z", Result: result, Took: took}
 }
 
-// crash returns the event that node a crashes.
+// crash returns the event of a crash of node a.
 func crash(at float64) Event { return Event{At: at, Kind: KindCrash, Node: "a"} }
 
-// restart returns the event that node a starts again.
+// restart returns the event of a restart of node a.
 func restart(at float64, files string) Event {
 	return Event{At: at, Kind: KindStart, Node: "a", Detail: files}
 }
 
-// fleetEvents is the beginning of each history in checkCases. The fleet has one zone with two nodes; one is a voter.
+// fleetEvents are the first events of each history in checkCases. The fleet has one zone with two nodes; one of them is
+// a voter.
 var fleetEvents = []Event{
 	{Kind: KindZone, Zone: "z", Detail: "r", Value: 100},
 	{Kind: KindNode, Node: "a", Zone: "z", Value: 1},
@@ -56,7 +57,7 @@
 	overcommittedPlan = encodedPlan(30)
 )
 
-// checkCases are small histories, each with the first rule that it breaks. The rule is empty if it breaks none.
+// checkCases are small histories. rule is the first rule that a history breaks, or empty if the history breaks none.
 var checkCases = []struct {
 	name   string
 	events []Event
--- a/internal/lab/faults/client.go
+++ b/internal/lab/faults/client.go
@@ -12,17 +12,17 @@
 
 const (
 	maxClients           = 20000           // at the same time; clients beyond that are not started
-	initialClients       = 3 * time.Second // during which the clients that exist at the start connect
+	initialConnectTime   = 3 * time.Second // the clients that exist at the start connect within this time
 	maxLifetimeFactor    = 4               // times the mean lifetime of a connection
 	noNodeDelay          = 300 * time.Millisecond
-	answerGrace          = 100 * time.Millisecond // for which a client waits longer than its deadline
+	answerGrace          = 100 * time.Millisecond // for which a client waits beyond its deadline
 	minRetryDelay        = 100 * time.Millisecond
 	retryJitter          = 300 // ms
 	maxRejections        = 3   // in a row, before a client waits for delayAfterRejections
 	delayAfterRejections = 4 * time.Second
 	minReconnectDelay    = 60              // ms
 	reconnectSpread      = 1200            // ms
-	messageInterval      = 2 * time.Second // as the platform's clients do
+	messageInterval      = 2 * time.Second // the same as that of the platform's clients
 	messageTimeout       = time.Second
 	readPollInterval     = 500 * time.Millisecond
 	clientReadBuffer     = 512
@@ -35,7 +35,7 @@
 	demand := fleet.Utilization * float64(h.zoneCapacity())
 	rate := demand / fleet.ConnectionLifetime.Seconds()
 	for range int(demand) {
-		h.startClient(zone, rng, time.Duration(rng.Float64()*float64(initialClients)))
+		h.startClient(zone, rng, time.Duration(rng.Float64()*float64(initialConnectTime)))
 	}
 	next := time.Now()
 	for {
@@ -57,7 +57,8 @@
 	rng          *rand.Rand
 }
 
-// startClient draws a client's class and lifetime, and starts the client after a delay.
+// startClient draws a client's class and lifetime, and starts the client after a delay. It starts no client if
+// maxClients exist already.
 func (h *harness) startClient(zone string, rng *rand.Rand, after time.Duration) {
 	class := 0
 	for point := rng.Float64(); class < len(Classes)-1 && point > Classes[class].Fraction; class++ {
@@ -159,7 +160,7 @@
 	}
 }
 
-// resultOf returns the result that an answer's first word means.
+// resultOf returns the result that the first word of an answer stands for.
 func resultOf(word string) Result {
 	switch word {
 	case "UP":
@@ -184,8 +185,8 @@
 // is unknown.
 func (h *harness) zoneOfReply(reply string) string {
 	_, id, _ := strings.Cut(reply, "@")
-	if served := h.serverByID[id]; served != nil {
-		return served.zone
+	if sender := h.serverByID[id]; sender != nil {
+		return sender.zone
 	}
 	return ""
 }
--- a/internal/lab/faults/figures.go
+++ b/internal/lab/faults/figures.go
@@ -8,14 +8,14 @@
 	Served          float64 `json:"served"`           // fraction of the requests that were served
 	Crossed         float64 `json:"crossed"`          // fraction of the served requests that another zone served
 	Regions         float64 `json:"regions"`          // fraction of the served requests that another region served
-	Worst           float64 `json:"worst"`            // lowest served fraction of a window of 5 s
+	Worst           float64 `json:"worst"`            // lowest fraction that was served in a window of 5 s
 	Reversals       int     `json:"reversals"`        // times that a zone was lost again after a recovery
-	PeakUtilization float64 `json:"peak"`             // highest connections of a zone, as a fraction of its capacity
+	PeakUtilization float64 `json:"peak"`             // most connections of a zone, as a fraction of its capacity
 	ChangeHalf      float64 `json:"change_p50_s"`     // from a command until the policy is in force at the last node
 	Change99        float64 `json:"change_p99_s"`     // as above
 	ChangeMost      float64 `json:"change_longest_s"` // as above
 	OldPolicy       float64 `json:"old_policy_s"`     // longest use of a policy after the next one was decided
-	Spread          float64 `json:"spread_p99_s"`     // from a plan's first adoption to that by another node
+	Spread          float64 `json:"spread_p99_s"`     // from a plan's adoption by the first node to that by others
 	SpreadHalf      float64 `json:"spread_p50_s"`     // as above
 }
 
--- a/internal/lab/faults/harness.go
+++ b/internal/lab/faults/harness.go
@@ -17,29 +17,29 @@
 	// ProgramOf, if set, returns the program of the node with an index at each of its starts, in place of Program. It
 	// serves for fleets of several versions. Operators' commands still use the spurwinchctl in Program's directory.
 	ProgramOf  func(index int) string
-	Dir        string // directory of configurations, files and logs
+	Dir        string // directory for configurations, files and logs
 	Seed       uint64
 	Nodes      int  // 0: the number in the scenario
 	Standalone bool // the nodes run without a fleet, and each decides alone
 }
 
 const (
-	// MaxNodes is the maximum number of nodes, and so of node processes, in one run.
+	// MaxNodes is the maximum number of nodes in one run. Each node is a process.
 	MaxNodes = 240
 
-	startTimeout      = 30 * time.Second // of one node
-	firstPlanTimeout  = 12 * time.Second
-	maxEvents         = 4 << 20
-	slowFactor        = 3 // on the load that servers of a slow zone report
-	admissionDelay    = 500 * time.Millisecond
-	fleetKey          = "a key of the laboratory, nobody's secret"
-	minServerCapacity = 50
+	startTimeout       = 30 * time.Second // for one node
+	firstPlanTimeout   = 12 * time.Second
+	maxEvents          = 4 << 20                // in a history; further events are counted as lost
+	slowFactor         = 3                      // factor on the load that servers of a slow zone report
+	acceptClientsDelay = 500 * time.Millisecond // after a node starts or resumes, before clients reach it
+	fleetKey           = "a key of the laboratory, nobody's secret"
+	minServerCapacity  = 50 // connections
 	// connectionsPerNode is the capacity of all servers, in connections, for each node, unless the scenario sets it.
-	// Clients use about 16 of them. Large fleets get less, since each connection uses descriptors of the harness, whose
-	// number is limited.
+	// With the default utilization clients use about 16 of them. Large fleets get less, since each connection uses
+	// descriptors of the harness and the number of descriptors is limited.
 	connectionsPerNode      = 36
 	connectionsPerNodeLarge = 18
-	largeFleet              = 30 // nodes
+	largeFleet              = 30 // fleets with more nodes are large
 )
 
 // Random streams of one seed, and the distance between the seeds of two nodes.
@@ -103,7 +103,7 @@
 }
 
 func newHarness(scenario *Scenario, options Options) *harness {
-	made := &harness{
+	created := &harness{
 		options:        options,
 		scenario:       scenario,
 		serverCapacity: serverCapacityFor(scenario.Fleet, options.Nodes),
@@ -114,8 +114,8 @@
 		rng:            rand.New(rand.NewPCG(options.Seed, stepStream)),
 		done:           make(chan struct{}),
 	}
-	made.endpoints = &endpointList{harness: made, changed: make(chan struct{})}
-	return made
+	created.endpoints = &endpointList{harness: created, changed: make(chan struct{})}
+	return created
 }
 
 // serverCapacityFor returns the capacity of each server in connections.
@@ -161,7 +161,7 @@
 	h.events = append(h.events, event)
 }
 
-// recordCount records a count, with what was counted as its detail.
+// recordCount records how often something happened.
 func (h *harness) recordCount(what string, count int64) {
 	h.record(Event{Kind: KindCount, Detail: what, Value: float64(count)})
 }
@@ -204,7 +204,7 @@
 	return sameZone[rng.IntN(len(sameZone))]
 }
 
-// leader returns the node that most recently reported that it leads, by term. It returns the first node if none did.
+// leader returns the node that reported that it leads in the highest term. It returns the first node if none did.
 func (h *harness) leader() *node {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/faults/history.go
+++ b/internal/lab/faults/history.go
@@ -47,9 +47,9 @@
 	KindPlan         Kind = "plan"    // Node adopts the plan Number with Digest; Plan: its content
 	KindMode         Kind = "mode"    // Node is in Mode, with plan Number
 	KindLeader       Kind = "leads"   // Node is the leader of term Number
-	KindProposalEnd  Kind = "decided" // Node reports that the proposal ID ended at log entry Number; Result
+	KindProposalEnd  Kind = "decided" // Node reports that the proposal ID ended at log entry Number
 	KindAnswer       Kind = "answer"  // ID, Node, Zone, Class; To: the server's zone; Result; Took
-	KindAttempt      Kind = "try"     // the server To received the request ID; Node
+	KindAttempt      Kind = "try"     // the server To received the request ID; Node: its sender, if known
 	KindAttemptEnd   Kind = "tried"   // the server To answered the request ID, or its connection ended
 	KindGuard        Kind = "guard"   // a node's invariant monitor prevented a step; Detail: the rule
 	KindDrain        Kind = "drain"   // Node was notified that the server To drains
@@ -90,7 +90,7 @@
 	FilesSpoiled = "spoilt" // altered
 )
 
-// What a node based an admission on: Detail of KindAdmission.
+// How a node admitted a request: Detail of KindAdmission.
 const (
 	AdmittedByLease      = "lease"  // the policy of a valid lease
 	AdmittedByBasePolicy = "ground" // the base policy of a node without a lease
@@ -106,7 +106,7 @@
 // maxHistoryLine is the maximum length of a line of a history in bytes.
 const maxHistoryLine = 4 << 20
 
-// Write writes a history in JSON, with one event a line.
+// Write writes a history as JSON lines, with one event per line.
 func Write(w io.Writer, events []Event) error {
 	buffered := bufio.NewWriter(w)
 	encoder := json.NewEncoder(buffered)
--- a/internal/lab/faults/inject.go
+++ b/internal/lab/faults/inject.go
@@ -20,27 +20,27 @@
 	ErrCallRejected = errors.New("the leader rejected the call")
 )
 
-// linkEndNode is the value of a step's from and to that means the node which the step's key node selects.
+// linkEndNode, as the value of a step's from or to, means the node that the step's key "node" selects.
 const linkEndNode = "node"
 
-// injection is the injection of one step.
+// injection is the state of one step while the harness injects it.
 type injection struct {
 	harness  *harness
 	schedule *schedule
 	at       time.Duration // since the schedule's start
 	step     Step
-	what     string   // detail of the event in the history
+	detail   string   // detail of the event in the history
 	affected []string // names of the only nodes that the fault affects; empty: it may affect any node
 }
 
 // inject carries out one step and records it.
-func (h *harness) inject(step Step, plan *schedule) error {
+func (h *harness) inject(step Step, runSchedule *schedule) error {
 	if step.Action.isCommand() {
 		h.startCommands(step)
 		return nil
 	}
 	started := &injection{
-		harness: h, schedule: plan, at: time.Since(plan.start), step: step, what: string(step.Action),
+		harness: h, schedule: runSchedule, at: time.Since(runSchedule.start), step: step, detail: string(step.Action),
 	}
 	if err := started.apply(); err != nil {
 		return err
@@ -65,7 +65,7 @@
 		in.heal()
 	case ActionDrain, ActionUndrain:
 		return in.harness.callLeader(string(in.step.Action), in.step.Zone)
-	default: // inject handles commands, and addSteps replaces random steps
+	default: // other actions don't get here: inject handles commands, and addSteps replaces random steps
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 	}
 	for _, name := range affected {
 		in.harness.record(Event{
-			Kind: KindFault, Detail: in.what, Zone: in.step.Zone, Node: name, Digest: string(encoded),
+			Kind: KindFault, Detail: in.detail, Zone: in.step.Zone, Node: name, Digest: string(encoded),
 		})
 	}
 	return nil
@@ -114,7 +114,7 @@
 
 // failZone makes the servers of the step's zone fail until the fault's end.
 func (in *injection) failZone() {
-	in.what = "zone " + string(in.step.Failure)
+	in.detail = "zone " + string(in.step.Failure)
 	if in.step.Failure == FailureSlow {
 		in.setServers(FailureNone, slowFactor)
 	} else {
--- a/internal/lab/faults/link.go
+++ b/internal/lab/faults/link.go
@@ -13,7 +13,7 @@
 const (
 	maxListenAttempts  = 20
 	maxDatagram        = 64 << 10
-	maxWaiting         = 4096 // datagrams on one link; the link drops further datagrams
+	maxWaiting         = 4096 // datagrams that wait on one link; the link drops further ones
 	streamBuffer       = 16 << 10
 	cutPollInterval    = 20 * time.Millisecond
 	descriptorLackWait = 50 * time.Millisecond
@@ -25,7 +25,7 @@
 	from, to string
 	target   atomic.Pointer[string]
 	forward  atomic.Pointer[LinkFault]
-	backward atomic.Pointer[LinkFault] // direction of the streams' replies
+	backward atomic.Pointer[LinkFault] // opposite direction, which only streams have
 	udp      *net.UDPConn              // nil: a link without datagrams
 	tcp      *net.TCPListener
 }
@@ -121,7 +121,7 @@
 	sender *net.UDPConn
 	rng    *rand.Rand
 	queue  datagramQueue
-	idleAt time.Time // when the link has sent the earlier datagrams at its rate
+	idleAt time.Time // when the link will have sent the earlier datagrams at its limited rate
 }
 
 // forwardDatagrams forwards datagrams until the link is closed.
--- a/internal/lab/faults/node.go
+++ b/internal/lab/faults/node.go
@@ -59,7 +59,7 @@
 func (n *node) acceptsClients() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cmd != nil && !n.paused && time.Since(n.runsSince) > admissionDelay
+	return n.cmd != nil && !n.paused && time.Since(n.runsSince) > acceptClientsDelay
 }
 
 // hasRunSince reports whether the node's process has run without interruption since a time.
@@ -175,7 +175,7 @@
 	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
 		n.readLogLine(scanner.Bytes())
-		_, _ = fmt.Fprintf(file, "%s\n", scanner.Text()) // no check needs the file; it is for people
+		_, _ = fmt.Fprintf(file, "%s\n", scanner.Text()) // no check reads the file, so an error does no harm
 	}
 	_ = cmd.Wait() // the exit status means nothing, since most processes are killed
 	n.mu.Lock()
@@ -226,7 +226,7 @@
 	return true
 }
 
-// resume resumes a paused process.
+// resume continues a paused process.
 func (n *node) resume() {
 	n.mu.Lock()
 	n.paused = false
--- a/internal/lab/faults/node_files.go
+++ b/internal/lab/faults/node_files.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	nodeMemory       = 192 // MB
-	nodeDescriptors  = 1024
-	smallDescriptors = 600  // descriptors of a small node
-	moreDescriptors  = 1000 // descriptors that DocumentDescriptors needs, more than a small node has
+	nodeMemory          = 192 // MB
+	nodeDescriptors     = 1024
+	smallDescriptors    = 600  // descriptors of a small node
+	requiredDescriptors = 1000 // descriptors that DocumentDescriptors needs, more than a small node has
 )
 
 // writeFiles writes the configuration files and the key of a node.
--- a/internal/lab/faults/node_log.go
+++ b/internal/lab/faults/node_log.go
@@ -131,7 +131,7 @@
 		if !ok {
 			continue
 		}
-		age := float64(now-admitted.at) / microseconds
+		age := float64(now-admitted.at) / microsecondsPerSecond
 		n.harness.record(Event{
 			At: max(earliest, logged-age), Kind: KindAdmission, ID: admitted.id, Node: n.name, Zone: n.zone,
 			Number: admitted.number, Detail: admitted.admittedBy,
--- a/internal/lab/faults/operators.go
+++ b/internal/lab/faults/operators.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	commandTimeout = 25 * time.Second // --timeout of a command
+	commandTimeout = 25 * time.Second // value of --timeout of a command
 	commandSlack   = 15 * time.Second // after commandTimeout, before the harness kills the command
 	operatorName   = "operator"
 )
@@ -45,7 +45,7 @@
 	text.WriteString("[ground]\nattempts = 2\npatience = \"2s\"\n")
 	switch kind {
 	case DocumentDescriptors:
-		fmt.Fprintf(&text, "[needs]\ndescriptors = %d\n", moreDescriptors)
+		fmt.Fprintf(&text, "[needs]\ndescriptors = %d\n", requiredDescriptors)
 	case DocumentInvalid:
 		text.WriteString("[ground2]\n")
 	default:
--- a/internal/lab/faults/random_steps.go
+++ b/internal/lab/faults/random_steps.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	randomStepTail   = 10 * time.Second // no random step begins within this time before the end of the run
+	randomStepTail   = 10 * time.Second // no random step begins in this last part of the run
 	minRandomSpan    = time.Second
 	minRandomLength  = time.Second
 	meanRandomLength = 4 * time.Second // mean of the random part, which is added to minRandomLength
--- a/internal/lab/faults/relay.go
+++ b/internal/lab/faults/relay.go
@@ -36,7 +36,8 @@
 		f.Drop, f.Delay, f.Spread, f.Repeat, f.Rate, f.Cut)
 }
 
-// add combines the fault with another fault of the same direction.
+// add combines the fault with another fault of the same direction. Delays add up; otherwise the worse value of the two
+// applies.
 func (f *LinkFault) add(other LinkFault) {
 	f.Drop = max(f.Drop, other.Drop)
 	f.Repeat = max(f.Repeat, other.Repeat)
@@ -68,7 +69,7 @@
 	rules      []faultRule
 	links      []*link
 	groupOf    map[string]string
-	sender     *net.UDPConn // sends all datagrams; each message names its sender itself
+	sender     *net.UDPConn // one for all links: receivers read a datagram's sender from its content
 	closed     chan struct{}
 	background sync.WaitGroup
 }
@@ -95,25 +96,25 @@
 // Link creates a link from one party to another. It returns the address at which the first party reaches the second.
 // The link forwards datagrams from the first to the second only, and streams in both directions.
 func (r *Relay) Link(from, to, target string, datagrams bool) (string, error) {
-	made := &link{relay: r, from: from, to: to}
-	made.target.Store(&target)
-	if err := made.listen(datagrams); err != nil {
+	newLink := &link{relay: r, from: from, to: to}
+	newLink.target.Store(&target)
+	if err := newLink.listen(datagrams); err != nil {
 		return "", fmt.Errorf("link from %s to %s: %w", from, to, err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	made.applyRules(r.rules)
+	newLink.applyRules(r.rules)
 	if datagrams {
 		if err := r.openSender(); err != nil {
 			return "", err
 		}
 		rng := rand.New(rand.NewPCG(r.seed, uint64(len(r.links))))
 		sender := r.sender
-		r.background.Go(func() { made.forwardDatagrams(sender, rng) })
+		r.background.Go(func() { newLink.forwardDatagrams(sender, rng) })
 	}
-	r.background.Go(made.acceptStreams)
-	r.links = append(r.links, made)
-	return made.tcp.Addr().String(), nil
+	r.background.Go(newLink.acceptStreams)
+	r.links = append(r.links, newLink)
+	return newLink.tcp.Addr().String(), nil
 }
 
 // openSender opens the socket that sends all forwarded datagrams. The caller must hold r.mu.
--- a/internal/lab/faults/relay_test.go
+++ b/internal/lab/faults/relay_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// listenUDP opens a UDP socket on loopback until the test ends.
+// listenUDP opens a UDP socket on loopback, and closes it when the test ends.
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -48,20 +48,20 @@
 		t.Fatal(err)
 	}
 	if !passes(t, first, second, toSecond) || !passes(t, second, first, toFirst) {
-		t.Fatal("sending without a fault: got a lost datagram, want both directions to pass")
+		t.Fatal("sending in both directions without a fault: got a lost datagram, want both delivered")
 	}
 	relay.Set("zone:x", anyParty, LinkFault{Cut: true})
 	if passes(t, first, second, toSecond) {
-		t.Error("sending over a cut link: got the datagram through, want it dropped")
+		t.Error("sending in the direction of a cut: got the datagram delivered, want it dropped")
 	}
 	if !passes(t, second, first, toFirst) {
-		t.Error("sending against the direction of a cut: got a lost datagram, want it to pass")
+		t.Error("sending in the direction opposite to a cut: got the datagram lost, want it delivered")
 	}
 	relay.Heal()
 	if !passes(t, first, second, toSecond) {
-		t.Error("sending after Heal: got a lost datagram, want it to pass")
+		t.Error("sending after Heal: got the datagram lost, want it delivered")
 	}
 	if dropped := relay.Counts.Dropped.Load(); dropped != 1 {
-		t.Errorf("Counts.Dropped: got %d, want 1", dropped)
+		t.Errorf("Counts.Dropped after one datagram in the direction of a cut: got %d, want 1", dropped)
 	}
 }
--- a/internal/lab/faults/scenario.go
+++ b/internal/lab/faults/scenario.go
@@ -36,8 +36,8 @@
 	Utilization        float64  `toml:"use,omitzero"`     // fraction of the capacity that clients use
 	ConnectionLifetime Duration `toml:"life,omitzero"`    // mean
 	Policy             bool     `toml:"policy,omitempty"` // the fleet keeps its policy on the log
-	OlderNodes         int      `toml:"older,omitzero"`   // number of last nodes that know older policies only
-	SmallNodes         int      `toml:"small,omitzero"`   // number of last nodes that have few descriptors
+	OlderNodes         int      `toml:"older,omitzero"`   // number of the last nodes, which know older policies only
+	SmallNodes         int      `toml:"small,omitzero"`   // number of the last nodes, which have few descriptors
 }
 
 // Action is what a step does. Scenario files contain its values.
@@ -45,19 +45,19 @@
 
 // Actions of steps.
 const (
-	ActionFailZone    Action = "lose"
-	ActionRecoverZone Action = "back"
-	ActionKill        Action = "kill"
-	ActionPause       Action = "stall"
-	ActionCutLinks    Action = "cut"
-	ActionImpairLinks Action = "links"
-	ActionRandom      Action = "draw"
-	ActionDrain       Action = "drain"
-	ActionUndrain     Action = "undrain"
-	ActionHeal        Action = "heal"
-	ActionPropose     Action = "propose"
-	ActionRollback    Action = "rollback"
-	ActionStatus      Action = "status"
+	ActionFailZone    Action = "lose"     // makes a zone's servers fail
+	ActionRecoverZone Action = "back"     // ends the failure of a zone's servers
+	ActionKill        Action = "kill"     // kills the processes of nodes
+	ActionPause       Action = "stall"    // suspends the processes of nodes
+	ActionCutLinks    Action = "cut"      // lets nothing pass on links
+	ActionImpairLinks Action = "links"    // drops, delays or duplicates datagrams, and delays streams
+	ActionRandom      Action = "draw"     // replaced by steps that are drawn at random
+	ActionDrain       Action = "drain"    // drains a zone
+	ActionUndrain     Action = "undrain"  // ends the drain of a zone
+	ActionHeal        Action = "heal"     // ends all faults of links and servers
+	ActionPropose     Action = "propose"  // an operator proposes a policy document
+	ActionRollback    Action = "rollback" // an operator returns to an earlier policy
+	ActionStatus      Action = "status"   // an operator queries the policy in force
 )
 
 // isCommand reports whether an action is an operator's command.
--- a/internal/lab/faults/scenario_check.go
+++ b/internal/lab/faults/scenario_check.go
@@ -9,8 +9,8 @@
 	"spurwinch/internal/config/tomlfile"
 )
 
-// requiredKeys maps each action to the key that its steps need. It is empty for actions that need none. "from" means
-// both from and to.
+// requiredKeys maps each action to the key that its steps require. The key is empty if the action requires none. "from"
+// means both from and to.
 var requiredKeys = map[Action]string{
 	ActionFailZone:    "zone",
 	ActionRecoverZone: "zone",
@@ -45,7 +45,8 @@
 		file.Fault("run.length", "[run] length must be between 1s and 10m")
 	}
 	if !s.Fleet.isValid() {
-		file.Fault("fleet", "[fleet]: zones must be 1 to 16, regions 1 to zones, nodes and hosts at least 1")
+		file.Fault("fleet",
+			"[fleet]: zones must be 1 to 16, regions 1 to zones, nodes and hosts at least 1, bears at least 0")
 	}
 	for i := range s.Steps {
 		s.checkStep(file, fmt.Sprintf("fault.%d", i), &s.Steps[i])
--- a/internal/lab/faults/schedule.go
+++ b/internal/lab/faults/schedule.go
@@ -9,7 +9,7 @@
 const (
 	planPollInterval = 50 * time.Millisecond
 	tickInterval     = 50 * time.Millisecond
-	ticksPerSample   = 10 // the servers' connections are recorded once in so many ticks
+	ticksPerSample   = 10 // ticks between two records of the servers' connections
 )
 
 // play plays the scenario on the running fleet.
@@ -21,18 +21,18 @@
 	h.running.Store(true)
 	length := time.Duration(h.scenario.Run.Length)
 	h.record(Event{Kind: KindBegin, Detail: h.scenario.Name, Value: length.Seconds()})
-	plan := &schedule{start: time.Now(), length: length}
+	runSchedule := &schedule{start: time.Now(), length: length}
 	h.startClients()
-	h.addSteps(plan)
-	if err := plan.run(ctx); err != nil {
+	h.addSteps(runSchedule)
+	if err := runSchedule.run(ctx); err != nil {
 		return err
 	}
 	h.recordCounts()
 	return nil
 }
 
-// awaitPlans waits, for firstPlanTimeout at most, until all nodes have a plan. The clients start afterwards in either
-// case.
+// awaitPlans waits, for firstPlanTimeout at most, until all nodes have a plan. The clients start afterwards even if
+// some nodes have none.
 func (h *harness) awaitPlans(ctx context.Context) error {
 	if h.options.Standalone {
 		return nil
@@ -68,21 +68,21 @@
 	}
 }
 
-// addSteps schedules the scenario's steps. It draws the steps that replace a random one.
-func (h *harness) addSteps(plan *schedule) {
+// addSteps schedules the scenario's steps. It replaces each random step by steps that it draws.
+func (h *harness) addSteps(runSchedule *schedule) {
 	for _, step := range h.scenario.Steps {
 		if step.Action != ActionRandom {
-			h.addStep(plan, step)
+			h.addStep(runSchedule, step)
 			continue
 		}
 		for range max(1, step.Times) {
-			h.addStep(plan, h.drawStep(time.Duration(step.At), plan.length))
+			h.addStep(runSchedule, h.drawStep(time.Duration(step.At), runSchedule.length))
 		}
 	}
 }
 
-func (h *harness) addStep(plan *schedule, step Step) {
-	plan.add(time.Duration(step.At), func() error { return h.inject(step, plan) })
+func (h *harness) addStep(runSchedule *schedule, step Step) {
+	runSchedule.add(time.Duration(step.At), func() error { return h.inject(step, runSchedule) })
 }
 
 // schedule is a list of functions with the times at which they are called. Only the goroutine that runs it may use it.
@@ -157,7 +157,7 @@
 	h.recordCount(countNoDescriptors, counts.DescriptorLack.Load())
 }
 
-// watchClock records each delay of the harness itself, and regularly the servers' connections.
+// watchClock records each delay of the harness itself, and the servers' connections at regular intervals.
 func (h *harness) watchClock() {
 	last := time.Now()
 	for tick := 1; h.pause(tickInterval); tick++ {
--- a/internal/lab/faults/server.go
+++ b/internal/lab/faults/server.go
@@ -8,11 +8,11 @@
 	"sync"
 )
 
-// serverReadBuffer is the size of a server's buffers, in bytes.
+// serverReadBuffer is the size of the read buffer of each connection, in bytes.
 const serverReadBuffer = 4096
 
-// server is a fake of a platform's server that models only the number of its connections and their maximum. In
-// contrast, the servers of internal/lab/fakeserver also process jobs on simulated cores.
+// server is a fake of a platform's server that models only the number of its connections and their maximum. The servers
+// of internal/lab/fakeserver also process jobs on simulated cores.
 type server struct {
 	id, zone string
 	capacity int // connections
--- a/internal/lab/faults/setup.go
+++ b/internal/lab/faults/setup.go
@@ -91,18 +91,18 @@
 		if err != nil {
 			return err
 		}
-		made := newNode(h, i, address)
-		if err := os.MkdirAll(made.dir, 0o700); err != nil {
+		created := newNode(h, i, address)
+		if err := os.MkdirAll(created.dir, 0o700); err != nil {
 			return err
 		}
-		h.relay.Place(made.name, nodeGroup+made.zone)
-		h.nodes = append(h.nodes, made)
+		h.relay.Place(created.name, nodeGroup+created.zone)
+		h.nodes = append(h.nodes, created)
 		votes := 0.0
-		made.isVoter = i < fleet.Voters
-		if made.isVoter {
+		created.isVoter = i < fleet.Voters
+		if created.isVoter {
 			votes = 1
 		}
-		h.record(Event{Kind: KindNode, Node: made.name, Zone: made.zone, Value: votes})
+		h.record(Event{Kind: KindNode, Node: created.name, Zone: created.zone, Value: votes})
 	}
 	return nil
 }
