--- a/internal/lab/faults/client.go
+++ b/internal/lab/faults/client.go
@@ -18,7 +18,7 @@
 	answerGrace          = 100 * time.Millisecond // for which a client waits beyond its deadline
 	minRetryDelay        = 100 * time.Millisecond
 	retryJitter          = 300 // ms
-	maxRejections        = 3   // in a row, before a client waits for delayAfterRejections
+	maxRejections        = 3   // requests in a row that are not served, before a client waits for delayAfterRejections
 	delayAfterRejections = 4 * time.Second
 	minReconnectDelay    = 60              // ms
 	reconnectSpread      = 1200            // ms
@@ -203,8 +203,8 @@
 	c.harness.record(answer)
 }
 
-// useConnection sends messages at messageInterval until the client no longer needs the connection or the connection
-// ends.
+// useConnection sends messages at messageInterval until the client no longer needs the connection, the node sends MOVE
+// or the connection ends.
 func (c *client) useConnection(conn net.Conn, reader *bufio.Reader) {
 	nextMessage := time.Now().Add(time.Duration(c.rng.Float64() * float64(messageInterval)))
 	for !c.harness.over() {
--- a/internal/lab/faults/figures.go
+++ b/internal/lab/faults/figures.go
@@ -15,7 +15,7 @@
 	Change99        float64 `json:"change_p99_s"`     // as above
 	ChangeMost      float64 `json:"change_longest_s"` // as above
 	OldPolicy       float64 `json:"old_policy_s"`     // longest use of a policy after the next one was decided
-	Spread          float64 `json:"spread_p99_s"`     // from a plan's adoption by the first node to that by others
+	Spread          float64 `json:"spread_p99_s"`     // from the first node that adopts a plan to each other node
 	SpreadHalf      float64 `json:"spread_p50_s"`     // as above
 }
 
--- a/internal/lab/faults/harness.go
+++ b/internal/lab/faults/harness.go
@@ -14,8 +14,8 @@
 // Options are the options of a run.
 type Options struct {
 	Program string // path of the spurwinch program; spurwinch-voter must be in the same directory
-	// ProgramOf, if set, returns the program of the node with an index at each of its starts, in place of Program. It
-	// serves for fleets of several versions. Operators' commands still use the spurwinchctl in Program's directory.
+	// ProgramOf, if set, replaces Program, so that a fleet can have nodes of several versions. It is called at each
+	// start of a node with the node's index. Operators' commands still use the spurwinchctl in Program's directory.
 	ProgramOf  func(index int) string
 	Dir        string // directory for configurations, files and logs
 	Seed       uint64
@@ -68,7 +68,7 @@
 	endpoints      *endpointList
 	rng            *rand.Rand
 
-	done       chan struct{} // closed at the end
+	done       chan struct{} // closed when the run ends
 	ended      atomic.Bool
 	running    atomic.Bool // the scenario is being played, so all events are recorded
 	background sync.WaitGroup
@@ -166,7 +166,7 @@
 	h.record(Event{Kind: KindCount, Detail: what, Value: float64(count)})
 }
 
-// seconds returns the time since the run began.
+// seconds returns the time since the run began, in seconds.
 func (h *harness) seconds() float64 { return time.Since(h.start).Seconds() }
 
 // over reports whether the run has ended.
--- a/internal/lab/faults/history.go
+++ b/internal/lab/faults/history.go
@@ -48,7 +48,7 @@
 	KindMode         Kind = "mode"    // Node is in Mode, with plan Number
 	KindLeader       Kind = "leads"   // Node is the leader of term Number
 	KindProposalEnd  Kind = "decided" // Node reports that the proposal ID ended at log entry Number
-	KindAnswer       Kind = "answer"  // ID, Node, Zone, Class; To: the server's zone; Result; Took
+	KindAnswer       Kind = "answer"  // the request ID ended; Node; Zone; Class; To: the server's zone; Result; Took
 	KindAttempt      Kind = "try"     // the server To received the request ID; Node: its sender, if known
 	KindAttemptEnd   Kind = "tried"   // the server To answered the request ID, or its connection ended
 	KindGuard        Kind = "guard"   // a node's invariant monitor prevented a step; Detail: the rule
--- a/internal/lab/faults/node_log.go
+++ b/internal/lab/faults/node_log.go
@@ -66,7 +66,8 @@
 	n.harness.record(event)
 }
 
-// nodeEvent converts a log line that the agent did not write to an event of the history.
+// nodeEvent converts a log line that EventOfLog does not know to an event of the history. It handles the lines on
+// addresses and admissions itself and returns false for them.
 func (n *node) nodeEvent(name string, fields jsonFields) (event Event, ok bool) {
 	switch name {
 	case "listening":
@@ -104,7 +105,7 @@
 	at         int64 // µs, by the node's clock
 }
 
-// parseAdmission reads ID=NUMBER=ADMITTED_BY=MICROSECONDS.
+// parseAdmission parses an admission of the form ID=NUMBER=ADMITTED_BY=MICROSECONDS.
 func parseAdmission(text string) (parsed admission, ok bool) {
 	parts := strings.Split(text, "=")
 	if len(parts) != 4 {
--- a/internal/lab/faults/scenario.go
+++ b/internal/lab/faults/scenario.go
@@ -97,7 +97,7 @@
 	From      string       `toml:"from,omitempty"  json:"From"` // source of the links: a party, a group or *
 	To        string       `toml:"to,omitempty"    json:"To"`
 	Both      bool         `toml:"both,omitempty"  json:"Both"`  // in both directions
-	Failure   Failure      `toml:"how,omitempty"   json:"How"`   // for lose
+	Failure   Failure      `toml:"how,omitempty"   json:"How"`   // for lose: how the servers fail
 	Files     string       `toml:"files,omitempty" json:"Files"` // for kill: state of the files at the restart
 	For       Duration     `toml:"for,omitzero"    json:"For"`   // duration of the fault, or time until the restart
 	Drop      float64      `toml:"drop,omitzero"   json:"Drop"`
@@ -105,8 +105,8 @@
 	Spread    Duration     `toml:"spread,omitzero" json:"Spread"`
 	Repeat    float64      `toml:"repeat,omitzero" json:"Repeat"`
 	Times     int          `toml:"times,omitzero"  json:"Times"` // number of drawn steps, or of successive commands
-	Document  DocumentKind `toml:"doc,omitempty"   json:"Doc"`   // for propose
-	Canary    string       `toml:"part,omitempty"  json:"Part"`  // for propose
+	Document  DocumentKind `toml:"doc,omitempty"   json:"Doc"`   // for propose: the policy document
+	Canary    string       `toml:"part,omitempty"  json:"Part"`  // for propose: value of the flag --part
 	KillAfter Duration     `toml:"dies,omitzero"   json:"Dies"`  // for propose: time until the command is killed
 	Dead      bool         `toml:"dead,omitempty"  json:"Dead"`  // ignored; accepted for older files
 }
