--- a/internal/plan/planner/attempt.go
+++ b/internal/plan/planner/attempt.go
@@ -16,7 +16,8 @@
 }
 
 // Attempt starts an upstream request. It schedules the connection to the server and the arrival of the request there.
-// The arrival starts the set-up at the server, after which the reply travels back to the node.
+// The arrival starts the set-up at the server, after which the reply travels back to the node. A connection that was
+// set up before the load began is opened without these delays.
 func (c *client) Attempt(upstream *edge.Attempt) edge.UpstreamRequest {
 	sim := c.sim
 	started := &attempt{client: c, upstream: upstream, node: c.node, server: sim.serverByID[upstream.Server.ID]}
@@ -68,7 +69,7 @@
 // setUpDone runs when the outcome is known at the server. The connection is nil unless the set-up succeeded.
 func (a *attempt) setUpDone(outcome choice.Outcome, opened *connection) {
 	a.connection = opened
-	if a.closed && opened != nil { // abandoned meanwhile, although the server did the work
+	if a.closed && opened != nil { // the attempt was closed during the set-up, but the server did the work
 		a.server.close(opened)
 		return
 	}
--- a/internal/plan/planner/bound.go
+++ b/internal/plan/planner/bound.go
@@ -15,21 +15,21 @@
 type Bound struct {
 	Service    float64  `json:"service"`    // highest possible
 	Cores      float64  `json:"cores"`      // capacity of all servers after their slow start, in reference cores
-	Demand     float64  `json:"asked"`      // of the busiest window in reference cores, with each group counted once
+	Demand     float64  `json:"asked"`      // of the busiest window, in reference cores; each group's cost counts once
 	DemandAtS  float64  `json:"asked_at_s"` // start of that window
 	Infeasible []string `json:"cannot"`     // a description of each limit that the load exceeds in any placement
 }
 
 // windowDemand is the demand of a load in one window.
 type windowDemand struct {
-	work        float64 // reference cores
+	work        float64 // in reference cores
 	priority    float64 // weight per second
 	setups      float64 // new connections per second
 	connections float64 // mean number of open connections
 }
 
-// UpperBound compares the load with the capacity of the fleet in windows of 10 s. If a window demands more than all
-// servers can do, the classes with the highest ratio of priority weight to work are served first.
+// UpperBound compares the load with the capacity of the fleet in windows of 10 s. If a window demands more work than
+// all servers can do, the classes with the highest ratio of priority weight to work are served first.
 func UpperBound(description *fleet.Fleet, load *workload.Load) Bound {
 	calculator := newBoundCalculator(description, load)
 	for i := range load.Sessions {
@@ -150,7 +150,7 @@
 	return bound
 }
 
-// mostServed returns the most priority weight that the servers can serve in a window. The classes with the highest
+// mostServed returns the highest priority weight that the servers can serve in a window. The classes with the highest
 // ratio of weight to work are served first. The work of groups and set-ups counts as free.
 func mostServed(classes []windowDemand, window windowDemand, cores float64) float64 {
 	if window.work <= cores {
@@ -207,8 +207,8 @@
 		add("%.0f open connections are demanded; all servers together accept at most %.0f", peak.connections, servers)
 	}
 	if largest := c.largestServer(); c.largestGroup > largest && largest > 0 {
-		add("one group asks for up to %.2f cores; the largest server has %.2f: "+
-			"it must be spread, and each server pays for it",
+		add("one group demands up to %.2f cores; the largest server has %.2f, "+
+			"so the group must be spread, and each server that holds a part of it bears the group's cost",
 			c.largestGroup, largest)
 	}
 	return reasons
--- a/internal/plan/planner/bound_test.go
+++ b/internal/plan/planner/bound_test.go
@@ -13,7 +13,7 @@
 	first := UpperBound(description, load)
 	for range 20 {
 		if again := UpperBound(description, load); !reflect.DeepEqual(again, first) {
-			t.Fatalf("UpperBound in repeated calls: want %+v as in the first call, got %+v", first, again)
+			t.Fatalf("UpperBound in repeated calls: got first %+v, then %+v, want the same bound", first, again)
 		}
 	}
 }
--- a/internal/plan/planner/breakpoint.go
+++ b/internal/plan/planner/breakpoint.go
@@ -23,15 +23,15 @@
 	Limit      string  `json:"limit"`
 	Where      string  `json:"where"`
 	AtS        float64 `json:"at_s"`
-	LoadFactor float64 `json:"multiple"` // of the load given
+	LoadFactor float64 `json:"multiple"` // of the given load
 	Service    float64 `json:"service"`  // at that load factor
 	None       bool    `json:"none"`     // no limit was reached up to the largest load factor tried
 }
 
 // FindBreakpoint finds the lowest load factor at which a limit is reached or the service falls below
 // minTolerableService, and names the limit. If several limits are reached, it names the one that is reached first. A
-// load that is much longer than breakpointWindow is searched on its busiest window of that length. Each round simulates
-// several load factors at once and calls onTry, which may be nil, with the largest of them.
+// load that is more than 1.5 times as long as breakpointWindow is searched on its busiest window of that length. Each
+// round simulates several load factors at once and calls onTry, which may be nil, with the largest of them.
 func FindBreakpoint(
 	description *fleet.Fleet, load *workload.Load, options Options, onTry func(loadFactor float64),
 ) (Breakpoint, error) {
@@ -56,8 +56,8 @@
 	return search.result(from), nil
 }
 
-// busiestPart returns the busiest window of a load and the time at which it begins. A load that is not much longer than
-// the window is returned whole.
+// busiestPart returns the busiest window of a load and the time at which it begins. A load of up to 1.5 times the
+// length of the window is returned whole.
 func busiestPart(
 	description *fleet.Fleet, load *workload.Load, window time.Duration,
 ) (part *workload.Load, from time.Duration) {
@@ -79,7 +79,8 @@
 	excessiveRun Run
 }
 
-// try simulates the load factors, which are in ascending order, and narrows the range.
+// try simulates the load factors, which are in ascending order, and narrows the range of the search to the factors on
+// both sides of the breakpoint.
 func (s *breakpointSearch) try(factors []float64) error {
 	runs, err := inParallel(len(factors), func(i int) (Run, error) {
 		return Simulate(s.fleet, s.load.Scale(factors[i], s.options.Seed), s.options)
--- a/internal/plan/planner/client.go
+++ b/internal/plan/planner/client.go
@@ -19,8 +19,8 @@
 type client struct {
 	sim      *simulation
 	session  *workload.Session
-	priority float64 // weight of a second that is served well
-	node     *node   // that holds its request or connection
+	priority float64 // weight of one second of the session
+	node     *node   // that handles its request or connection
 	request  *edge.Request
 	attempt  *attempt
 	failures int  // since it was last served
@@ -56,9 +56,9 @@
 }
 
 // initialServer returns the server of a connection that is open when the load begins, or nil if there is no server. It
-// picks the less loaded of the first two servers in a rendezvous order of the client's group that is weighted by
-// capacity. This spreads the connections as evenly as the nodes would; otherwise the load would begin with a wave of
-// migrations.
+// picks the less loaded of the first two servers in a rendezvous order, which is weighted by capacity and keyed by the
+// session's group, or by its client if it has no group. This spreads the connections as evenly as the nodes would;
+// otherwise the load would begin with a wave of migrations.
 func (s *simulation) initialServer(c *client) *server {
 	key := c.session.Group
 	if key == 0 {
@@ -188,7 +188,7 @@
 	delete(c.node.clients, c)
 }
 
-// retry makes the client connect again after a failure, no sooner than after the given delay.
+// retry makes the client connect again after a failure, at the earliest after the given delay.
 func (c *client) retry(delay time.Duration) {
 	clients := &c.sim.fleet.Clients
 	wait := max(time.Duration(clients.Backoff), delay, time.Millisecond)
@@ -252,7 +252,7 @@
 	})
 }
 
-// loseNode closes the client's connection and makes it connect again after its node is lost.
+// loseNode runs when the client's node is lost. It closes the connection and makes the client connect again.
 func (c *client) loseNode() {
 	if c.attempt != nil {
 		c.attempt.close()
--- a/internal/plan/planner/forecast.go
+++ b/internal/plan/planner/forecast.go
@@ -24,8 +24,8 @@
 	Tenants         []float64 // service
 	ServiceBySecond []float64 // NaN where nothing was demanded
 	Account         *workload.Account
-	// EndedEarly reports that the run was ended because MinService was out of reach or because of StopAtLimit. Service
-	// is then the highest that the run could have reached.
+	// EndedEarly reports that the run ended before the end of the load. If MinService was out of reach, Service is the
+	// highest service that the run could have reached. If StopAtLimit ended the run, Service is the service until then.
 	EndedEarly       bool
 	LimitReached     bool // other than the momentary load of one server and the quota of a tenant
 	RequestsBySecond []int
@@ -63,7 +63,7 @@
 }
 
 // Figure is a mean over replications with its 95% confidence interval by Student's t-distribution, limited to the range
-// from 0 to 1. A single replication varies by the standard deviation.
+// from 0 to 1. SD is the standard deviation of a single replication.
 type Figure struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low95"`
--- a/internal/plan/planner/limits.go
+++ b/internal/plan/planner/limits.go
@@ -35,7 +35,7 @@
 	}[l]
 }
 
-// minTimesReached is the number of observations at or above a limit from which the limit counts as reached.
+// minTimesReached is the number of observations at or above a limit after which the limit counts as reached.
 const minTimesReached = 3
 
 // LimitUsage describes how much of a limit a run used.
@@ -50,8 +50,8 @@
 	limit limit
 }
 
-// observeLimit records the fraction of a limit that is in use now. The limit is that of one server, or of the whole
-// fleet if server is nil.
+// observeLimit records the fraction of a limit that is in use now. server is the server to which the limit belongs; it
+// is nil for a limit of the nodes, of a tenant or of the whole fleet.
 func (s *simulation) observeLimit(observed limit, server *server, fraction float64) {
 	if s.now < settleTime && observed != limitSlowStart || !isFinite(fraction) {
 		return
--- a/internal/plan/planner/loss.go
+++ b/internal/plan/planner/loss.go
@@ -33,8 +33,8 @@
 
 const (
 	minReconnectPhase = 3 * time.Second // applies even if the rate of requests hardly rises
-	usualSeconds      = 5               // consecutive seconds at the usual rate of requests that end the phase
-	reconnectRate     = 1.5             // multiple of the usual requests per second above which clients still reconnect
+	recoverySeconds   = 5               // consecutive seconds at the usual rate of requests that end the phase
+	reconnectFactor   = 1.5             // multiple of the usual rate of requests above which clients still reconnect
 )
 
 // SimulateZoneLoss simulates the load with the loss of options.LostZone at options.LossTime and without it, each in the
@@ -93,7 +93,7 @@
 	}
 }
 
-// lossComparison compares replications with a loss to those without.
+// lossComparison compares the replications with the loss of a zone with the replications without it.
 type lossComparison struct {
 	with, without []Run
 	lossTime      time.Duration
@@ -109,7 +109,7 @@
 	return mean
 }
 
-// meanRequests returns the mean number of requests of each second.
+// meanRequests returns the mean number of requests in each second over the runs, which must not be empty.
 func meanRequests(runs []Run) []float64 {
 	means := make([]float64, len(runs[0].RequestsBySecond))
 	for i := range runs {
@@ -135,13 +135,13 @@
 }
 
 // findReconnectPhase sets the length of the phase in which clients reconnect. The phase lasts until the rate of
-// requests is back to its usual level for usualSeconds consecutive seconds, which don't belong to the phase.
+// requests is back to its usual level for recoverySeconds consecutive seconds, which don't belong to the phase.
 func (c *lossComparison) findReconnectPhase(usual, actual []float64) {
-	usualCount := 0
-	for second := int(c.lossTime / time.Second); second < len(actual) && usualCount < usualSeconds; second++ {
-		usualCount++
-		if actual[second] > reconnectRate*usual[second]+1 {
-			usualCount = 0
+	usualRateSeconds := 0
+	for second := int(c.lossTime / time.Second); second < len(actual) && usualRateSeconds < recoverySeconds; second++ {
+		usualRateSeconds++
+		if actual[second] > reconnectFactor*usual[second]+1 {
+			usualRateSeconds = 0
 			c.reconnect = max(c.reconnect, time.Duration(second+1)*time.Second-c.lossTime)
 		}
 	}
--- a/internal/plan/planner/node.go
+++ b/internal/plan/planner/node.go
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// endpointList returns the servers as discovery would list them.
+// endpointList returns the endpoint list that discovery would send.
 func (s *simulation) endpointList() []edge.ServerEntry {
 	var entries []edge.ServerEntry
 	for _, server := range s.servers {
--- a/internal/plan/planner/planner_test.go
+++ b/internal/plan/planner/planner_test.go
@@ -36,7 +36,7 @@
 	return run
 }
 
-// TestSeedDeterminesRun checks that a run is a function of its seed.
+// TestSeedDeterminesRun checks that the same seed gives the same run and that another seed gives a different one.
 func TestSeedDeterminesRun(t *testing.T) {
 	description := eveningFleet(t)
 	load := generateLoad(description, 1, 90, 30)
@@ -45,7 +45,8 @@
 	other := simulate(t, description, load, Options{Seed: 4})
 	if fmt.Sprint(first.Service, first.Stats, first.ServiceBySecond) !=
 		fmt.Sprint(again.Service, again.Stats, again.ServiceBySecond) {
-		t.Errorf("Simulate twice with the same seed: got %v and %v, want the same result", first.Stats, again.Stats)
+		t.Errorf("Simulate twice with the same seed: got stats %v and %v, want the same stats and service",
+			first.Stats, again.Stats)
 	}
 	if first.Service == other.Service {
 		t.Error("Simulate with another seed: got the same service, want a different one")
@@ -72,8 +73,8 @@
 
 // generateLoadFraction generates a load that demands a fraction of a fleet's capacity, apart from groups and set-ups.
 func generateLoadFraction(description *fleet.Fleet, fraction float64, seconds int) *workload.Load {
-	connection := description.MeanLoad() * description.CoreLoad()
-	return generateLoad(description, 5, fraction*description.Cores()/connection, seconds)
+	connectionLoad := description.MeanLoad() * description.CoreLoad()
+	return generateLoad(description, 5, fraction*description.Cores()/connectionLoad, seconds)
 }
 
 // TestResourcesAreReleasedAfterAllSessions simulates random small fleets, with and without the loss of a zone, until
@@ -82,7 +83,7 @@
 func TestResourcesAreReleasedAfterAllSessions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64Range(0, 1<<20).Draw(t, "seed")
-		trial := GenerateTrial(TrialBase(), seed, rapid.IntRange(0, 4).Draw(t, "kind"), 10*time.Second)
+		trial := GenerateTrial(TrialBase(), seed, rapid.IntRange(0, 4).Draw(t, "scenario"), 10*time.Second)
 		warmingUp := rapid.Bool().Draw(t, "warmingUp")
 		options := Options{Seed: 1, LostZone: trial.LostZone, LossTime: trial.LossTime, AllWarmingUp: warmingUp}
 		sim, err := newSimulation(trial.Fleet, trial.Load, options)
@@ -158,7 +159,7 @@
 	expensive := simulate(t, description, load, Options{Seed: 1})
 	if cheap.Service < 0.85 || expensive.Service > cheap.Service-0.3 ||
 		expensive.Stats.Requests < 2*cheap.Stats.Requests {
-		t.Errorf("cheap set-ups: got service %.2f and %d requests; expensive: got %.2f and %d, want 0.3 less and twice",
+		t.Errorf("cheap set-ups: got service %.2f (want 0.85), %d requests; expensive: got %.2f (0.3 less), %d (twice)",
 			cheap.Service, cheap.Stats.Requests, expensive.Service, expensive.Stats.Requests)
 	}
 }
@@ -181,10 +182,11 @@
 		})
 	}
 	infeasible := fmt.Sprint(UpperBound(description, load).Infeasible)
-	if !strings.Contains(infeasible, "one group asks for up to") {
-		t.Errorf("UpperBound of one large group: got reasons %s, want one about the group", infeasible)
+	if !strings.Contains(infeasible, "one group demands up to") {
+		t.Errorf("UpperBound of one large group: got reasons %s, want \"one group demands up to\"", infeasible)
 	}
 	run := simulate(t, description, load, Options{Seed: 1})
+	// One server has 1.94 reference cores. 200 connections at 60 connections per core demand 200/60 cores.
 	if oneServer := 1.94 / (200.0 / 60); run.Service < oneServer*1.1 {
 		t.Errorf("Simulate: got service %.2f, want at least 1.1 times the %.2f of one server", run.Service, oneServer)
 	}
@@ -216,7 +218,8 @@
 		sim.advanceTo(sim.now + 5*time.Millisecond)
 	}
 	if sim.stats.Overloaded != 1 || !server.failed || sim.result().Limits[limitSlowStart].TimesReached == 0 {
-		t.Errorf("200 set-ups at a server in slow start: got %+v, want a failed server and a reached limit", sim.stats)
+		t.Errorf("200 set-ups at a server in slow start: got %+v, want 1 overloaded server and the limit reached",
+			sim.stats)
 	}
 }
 
@@ -236,7 +239,7 @@
 	slowService, _ := slow.Account.ServiceBetween(21*time.Second, 35*time.Second)
 	usage := slow.Limits[limitStore]
 	if slowService > fastService-0.1 || usage.TimesReached == 0 || fast.Limits[limitStore].TimesReached != 0 {
-		t.Errorf("fast store: service %.2f; slow store: got %.2f and %+v, want 0.1 less and only its limit reached",
+		t.Errorf("fast store: got service %.2f; slow store: got %.2f and %+v, want 0.1 less and only its limit reached",
 			fastService, slowService, usage)
 	}
 }
@@ -288,13 +291,13 @@
 	windowed, err := MinimumServers(description, load, options)
 	difference := windowed.Minimum.Servers - sizing.Minimum.Servers
 	if err != nil || windowed.FullLoad == nil || difference < -1 || difference > 1 {
-		t.Errorf("MinimumServers on the busiest window: want %d servers +/- 1 and a full load result, got %d (%v)",
+		t.Errorf("MinimumServers: got %d servers, on the busiest window %d (%v), want at most 1 apart and FullLoad set",
 			sizing.Minimum.Servers, windowed.Minimum.Servers, err)
 	}
 }
 
 // TestFindBreakpointReportsTightestLimit checks that FindBreakpoint reports the limit that the test made the tightest,
-// at a load factor near the computed one.
+// at a load factor near the one for which the descriptors suffice.
 func TestFindBreakpointReportsTightestLimit(t *testing.T) {
 	description := singleZoneFleet(t, 20)
 	load := generateLoadFraction(singleZoneFleet(t, 4), 0.5, 20)
--- a/internal/plan/planner/server.go
+++ b/internal/plan/planner/server.go
@@ -16,9 +16,9 @@
 	minSpeedFactor    = 0.3             // lowest speed of a machine, relative to its kind
 	utilizationWeight = 0.2             // weight of one step in the reported utilization, a mean over about 5 steps
 	sustainedWeight   = 0.05            // weight of one step in the sustained utilization, a mean over about 20 steps
-	minReportNoise    = 0.1             // lowest factor by which noise changes a report
+	minReportNoise    = 0.1             // lowest factor by which random noise changes a reported value
 	minCores          = 1e-3            // lowest capacity from which the time of a set-up is computed
-	minServedRate     = 1e-9            // highest weight per second that is left out of the account
+	minServedRate     = 1e-9            // weight per second up to which an entry in the account isn't worthwhile
 	slowStartSlack    = 4               // connections of mean load that the budget of a slow start allows in addition
 	maxStoreWait      = time.Second / 2 // a longer wait counts as reaching the limit of the session store
 )
@@ -93,9 +93,9 @@
 func (s *server) cores() float64 { return s.kind.Cores * s.speed * s.capacityFraction() }
 
 // advanceServers advances all servers that have not failed by the step that ends now. It is called at each tick. It
-// adds the weight that was served well in the step, as counted by addServedRates, to the account at the middle of the
-// step, so that none of it is counted in the second that begins at the end of the step. It also compares the sustained
-// demand of the whole fleet with the capacity.
+// adds the priority weight that was served well in the step, as counted by addServedRates, to the account at the middle
+// of the step, so that none of it is counted in the second that begins at the end of the step. It also compares the
+// sustained demand of the whole fleet with the capacity.
 func (s *simulation) advanceServers() {
 	clear(s.servedRates)
 	demand := 0.0
@@ -140,7 +140,7 @@
 }
 
 // addServedRates adds the priority weight of the connections whose messages were answered within their objective in
-// this step to the served rates. backlogBefore is the backlog at the beginning of the step.
+// this step to the served rates of the simulation. backlogBefore is the backlog at the beginning of the step.
 func (s *server) addServedRates(backlogBefore, cores float64) {
 	if len(s.connections) == 0 {
 		return
@@ -243,7 +243,8 @@
 	}
 }
 
-// callStore adds a call to the queue of the session store and returns how long the call takes.
+// callStore adds a call to the queue of the session store and returns how long the call takes, including its wait in
+// the queue.
 func (s *simulation) callStore() time.Duration {
 	store := &s.fleet.Store
 	if store.Rate <= 0 {
@@ -287,8 +288,8 @@
 	load := opened.client.class().Load * coreLoad
 	s.slowStartLoad += load
 	s.sim.schedule(s.sim.now+time.Duration(slowStart.OverloadTime), nil, func() { s.slowStartLoad -= load })
-	// usual is the load of the new connections that would fill the server during its warm-up, times the fraction of the
-	// capacity that it has now. The slack allows for random variation.
+	// usual is the load of the new connections per OverloadTime that would fill the server during its warm-up, times
+	// the fraction of the capacity that it has now. The slack allows for random variation.
 	usual := s.cores() / slowStart.WarmUp.Seconds() * slowStart.OverloadTime.Seconds()
 	slack := slowStartSlack * s.sim.fleet.MeanLoad() * coreLoad
 	budget := slowStart.OverloadMultiple*usual + slack
@@ -301,18 +302,18 @@
 	}
 }
 
-// changeLoad draws the connection's next load and schedules the change after it.
+// changeLoad draws the connection's next load and schedules the change that follows.
 func (c *connection) changeLoad() {
 	server := c.server
 	if _, open := server.connections[c]; !open {
 		return
 	}
-	load, lasts := c.process.Next()
+	load, duration := c.process.Next()
 	load *= server.sim.fleet.CoreLoad()
 	server.load += load - c.load
 	c.load = load
-	if lasts > 0 {
-		server.sim.schedule(server.sim.now+lasts, nil, c.changeLoad)
+	if duration > 0 {
+		server.sim.schedule(server.sim.now+duration, nil, c.changeLoad)
 	}
 }
 
@@ -342,17 +343,17 @@
 
 // shed resets the connection with the highest load, as servers do when their backlog is too long.
 func (s *server) shed() {
-	var heaviest *connection
+	var highest *connection
 	for candidate := range s.connections {
-		if heaviest == nil || candidate.load > heaviest.load ||
-			candidate.load == heaviest.load && candidate.client.session.Client < heaviest.client.session.Client {
-			heaviest = candidate
+		if highest == nil || candidate.load > highest.load ||
+			candidate.load == highest.load && candidate.client.session.Client < highest.client.session.Client {
+			highest = candidate
 		}
 	}
-	if heaviest != nil {
+	if highest != nil {
 		s.sim.stats.Sheds++
-		s.close(heaviest)
-		heaviest.client.connectionReset()
+		s.close(highest)
+		highest.client.connectionReset()
 	}
 }
 
--- a/internal/plan/planner/simulation.go
+++ b/internal/plan/planner/simulation.go
@@ -15,10 +15,10 @@
 
 const (
 	step            = 50 * time.Millisecond // in which the servers' work advances
-	worstWindow     = 10 * time.Second      // length of the window with the worst service that a run reports
+	worstWindow     = 10 * time.Second      // length of the window for which a run reports the worst service
 	settleTime      = 2 * time.Second       // limits other than slow start are not observed during the initial arrivals
 	continueAtLimit = time.Second           // how long a run with StopAtLimit continues after it reached a limit
-	minEarlyService = 1e-9                  // lower bound of earlyService, since 0 means that no early end occurred
+	minEarlyService = 1e-9                  // lower bound of earlyService, since 0 means that the run did not end early
 )
 
 // Options configure a run.
@@ -29,10 +29,10 @@
 	LossTime time.Duration
 	// AllWarmingUp makes all servers start together with the load, in slow start.
 	AllWarmingUp bool
-	// MinService ends a run that can no longer reach this service. The result is then the highest service that the run
-	// could have reached.
+	// MinService ends a run that can no longer reach this service. The resulting service is then the highest that the
+	// run could have reached.
 	MinService float64
-	// StopAtLimit ends a run soon after it reached a limit.
+	// StopAtLimit ends a run soon after it reached a limit. The resulting service is then the service until that time.
 	StopAtLimit bool
 }
 
@@ -75,8 +75,8 @@
 
 	account          *workload.Account
 	limits           [limitCount]LimitUsage
-	limitReachedAt   time.Duration // set with StopAtLimit; 0 if no limit was reached yet
-	earlyService     float64       // highest service that could be reached when the run ended early; else 0
+	limitReachedAt   time.Duration // set only with StopAtLimit; 0 if no limit was reached yet
+	earlyService     float64       // service of a run that ended early, as Run.EndedEarly describes; otherwise 0
 	stats            Stats
 	requestsBySecond []int
 }
@@ -126,8 +126,8 @@
 	return sim, nil
 }
 
-// schedule schedules an action at a time, or now if that time is past. If flushedNode is not nil, its core is flushed
-// after the action.
+// schedule schedules an action at a time, or now if that time has passed. If flushedNode is not nil, its core is
+// flushed after the action.
 func (s *simulation) schedule(at time.Duration, flushedNode *node, action func()) *event {
 	s.sequence++
 	scheduled := &event{action, flushedNode}
@@ -177,8 +177,8 @@
 	}
 }
 
-// scheduleArrival schedules the arrival of the session with the given index, which then schedules the next arrival.
-// Scheduling one arrival at a time keeps the queue small.
+// scheduleArrival schedules the arrival of the session with the given index. The arrival schedules the next one, so
+// that the queue stays small.
 func (s *simulation) scheduleArrival(index int) {
 	if index < len(s.load.Sessions) {
 		s.schedule(s.load.Sessions[index].Arrival, nil, func() {
--- a/internal/plan/planner/size.go
+++ b/internal/plan/planner/size.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// targetMargin is how far below the target the highest reachable service must be before a run is ended early.
+	// targetMargin is how far below the target the highest reachable service must be before a run is ended early,
+	// and how far below it the upper bound must be to rule a fleet out.
 	targetMargin = 0.05
 	// fullLoadReplications is the maximum number of replications of a whole load that was searched on a window of it.
 	fullLoadReplications = 4
@@ -21,8 +22,8 @@
 	Servers int            `json:"servers"`
 	Kinds   map[string]int `json:"kinds"`
 	Service Figure         `json:"service"`
-	// AtMost means that the target is out of reach and that the runs ended as soon as this was certain. Service is then
-	// an upper bound.
+	// AtMost means that Service is an upper bound, because UpperBound ruled the fleet out without a simulation or
+	// because a run ended as soon as the target was certainly out of reach.
 	AtMost bool `json:"at_most"`
 }
 
@@ -32,18 +33,18 @@
 	Reached       bool                 `json:"reached"`
 	Minimum       Candidate            `json:"least"`
 	OneServerLess map[string]Candidate `json:"one_below"` // by kind, Minimum with one server of that kind less
-	Tried         []Candidate          `json:"tried"`     // by number of servers, in the proportions of the fleet file
+	Tried         []Candidate          `json:"tried"`     // sorted by size, in the proportions of the fleet file
 	FromS         float64              `json:"from_s"`    // window of the load on which the search ran
 	ToS           float64              `json:"to_s"`
 	FullLoad      *Figure              `json:"whole,omitempty"` // service over the whole load if a window was searched
-	Reason        string               `json:"why,omitempty"`
+	Reason        string               `json:"why,omitempty"`   // why the target is not reached
 }
 
 // SizeOptions configure the search for a fleet size.
 type SizeOptions struct {
 	Options
 	Target       float64       // service to reach
-	Replications int           // of each fleet
+	Replications int           // number of runs of each fleet
 	MaxServers   int           // maximum fleet size
 	Window       time.Duration // length of the busiest window on which a longer load is searched; 0 for the whole load
 	Progress     func(string)  // called with each result; may be nil
@@ -69,8 +70,8 @@
 }
 
 // MinimumServers finds the smallest fleet whose service reaches the target. It first searches in the proportions of the
-// fleet file, then removes one server of a kind at a time as long as the target is reached. In the result, removing one
-// more server of any kind misses the target.
+// fleet file, then removes one server of a kind at a time as long as the target is reached. The result misses the
+// target if one more server of any kind is removed.
 func MinimumServers(description *fleet.Fleet, load *workload.Load, options SizeOptions) (Sizing, error) {
 	search, from := newSizeSearch(description, load, options)
 	sizing := Sizing{
@@ -139,6 +140,7 @@
 	return candidate, nil
 }
 
+// addService sets the expected service of a candidate and whether it is only an upper bound.
 func (s *sizeSearch) addService(candidate *Candidate, description *fleet.Fleet) error {
 	// No simulation is needed if the upper bound rules the fleet out.
 	if bound := UpperBound(description, s.load); bound.Service < s.Target-targetMargin {
@@ -212,8 +214,8 @@
 	return reason
 }
 
-// reduce removes one server of a kind at a time as long as the target is reached. It records the smallest size and the
-// sizes with one server less.
+// reduce removes one server of a kind at a time as long as the target is reached. It records the smallest size, and by
+// kind the sizes with one server less, in sizing.
 func (s *sizeSearch) reduce(current *fleet.Fleet, sizing *Sizing) (*fleet.Fleet, error) {
 	for {
 		smaller, err := s.reduceOnce(current, sizing)
--- a/internal/plan/planner/trial.go
+++ b/internal/plan/planner/trial.go
@@ -23,9 +23,9 @@
 }
 
 const (
-	trialLifetime     = 8 * time.Second // mean of each class, before a random factor is applied to it
+	trialLifetime     = 8 * time.Second // mean of each class before a random factor is applied
 	overQuotaUsage    = 5               // arrivals of the tenant that exceeds its quota, relative to its share
-	storeRateHeadroom = 4               // capacity of the session store, relative to the rate of arrivals
+	storeRateHeadroom = 4               // calls per second that the session store can serve, relative to arrivals
 	lossTimeDivisor   = 3               // a zone is lost after the first third of the load
 )
 
@@ -60,20 +60,20 @@
 	return base
 }
 
-// GenerateTrial draws the trial with the given number, which starts at 0, from a base fleet, which it does not modify.
-// The same base, seed, number and length give the same trial. The number modulo scenarioCount selects the scenario.
+// GenerateTrial draws a trial from a base fleet, which it does not modify. Trials are numbered from 0. The same base,
+// seed, number and length give the same trial. The number modulo scenarioCount selects the scenario.
 func GenerateTrial(base *fleet.Fleet, seed uint64, number int, length time.Duration) Trial {
-	drawn := scenario(number % int(scenarioCount))
+	selected := scenario(number % int(scenarioCount))
 	gen := &trialGenerator{
 		rng:      rand.New(rand.NewPCG(seed, uint64(number))),
-		scenario: drawn,
+		scenario: selected,
 		fleet:    base.Clone(),
 	}
 	gen.fleet.General.Name = fmt.Sprintf("trial %d", number)
 	gen.drawZonesAndClasses(base)
 	gen.drawServers()
-	trial := Trial{Number: number, Scenario: drawn.String(), Fleet: gen.fleet}
-	switch drawn {
+	trial := Trial{Number: number, Scenario: selected.String(), Fleet: gen.fleet}
+	switch selected {
 	case scenarioLargeGroups:
 		gen.fleet.Group.Cost = 2 + 2*gen.rng.Float64()
 		gen.fleet.Group.Size = 5 + 3*gen.rng.Float64()
@@ -98,7 +98,7 @@
 	fleet    *fleet.Fleet
 }
 
-// drawZonesAndClasses draws the zones, classes and tenants.
+// drawZonesAndClasses draws the zones, the classes and the number of connections per core, and copies the tenants.
 func (g *trialGenerator) drawZonesAndClasses(base *fleet.Fleet) {
 	g.fleet.General.ConnectionsPerCore = 35 + 30*g.rng.Float64() // many, so that random variation hides no error
 	g.fleet.Zones = slices.Clone(base.Zones[:min(len(base.Zones), 2+g.rng.IntN(2))])
