--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -10,45 +10,45 @@
 	"spurwinch/internal/invariant"
 )
 
-// Promise names a promise that the checker holds a node to; docs/promises.md has the numbers.
+// Promise names a promise that a node has to keep and that the checker checks; docs/promises.md has the numbers.
 type Promise string
 
-// The promises.
+// The promises that the checker checks.
 const (
-	Answer    Promise = "answer"     // one final answer, in time
-	Receipt   Promise = "receipt"    // served only with what a server made for this request
-	Attempts  Promise = "attempts"   // four at most, never two at once
-	Effect    Promise = "effect"     // no repeat that the class doesn't allow
-	Gone      Promise = "gone"       // no attempt for a client that has left
-	Drain     Promise = "drain"      // nothing new to a draining server
-	SlowStart Promise = "slow start" // no more calls to a server in slow start than its budget
-	CutOff    Promise = "cut off"    // no open connection ends without a message while its server answers
-	Line      Promise = "line"       // lines pass complete, unchanged and in time
-	Stop      Promise = "stop"       // nothing is in flight at the end of a planned stop
-	Start     Promise = "start"      // ready in time
-	Crash     Promise = "crash"      // a process ends only when it is told to
-	Guard     Promise = "guard"      // the node's own invariant monitor found no step that breaks a rule
-	Exercise  Promise = "exercise"   // what was drawn took effect
+	Answer           Promise = "answer"     // a request gets one final answer, in time
+	Receipt          Promise = "receipt"    // a served client gets only a receipt that a server made for this request
+	Attempts         Promise = "attempts"   // a request has at most four attempts, never two at once
+	RepeatSafety     Promise = "effect"     // a node repeats a request only as its class allows
+	ClientGone       Promise = "gone"       // a node makes no attempt for a client that has left
+	Drain            Promise = "drain"      // a node sends no new requests to a draining server
+	SlowStart        Promise = "slow start" // calls to a server in slow start stay within the server's budget
+	ConnectionEnd    Promise = "cut off"    // a node ends no open connection without a message while its server answers
+	Line             Promise = "line"       // a node forwards lines complete, unchanged and in time
+	Stop             Promise = "stop"       // a planned stop ends with nothing in flight
+	Start            Promise = "start"      // a started node is ready in time
+	Crash            Promise = "crash"      // a process ends only when the harness ends it
+	InvariantMonitor Promise = "guard"      // the node's own invariant monitor reports no broken rule
+	RunExercised     Promise = "exercise"   // the run served requests and made attempts
 )
 
-// Slack of the rules on time; the second part of a sum is the harness's own.
+// Slack of the time limits. The second term of a sum is the slack for the harness's own delays.
 const (
-	answerSlack     = invariant.AnswerSlack + 500*time.Millisecond // beyond the deadline
+	answerSlack     = invariant.AnswerSlack + 500*time.Millisecond // after the deadline
 	goneSlack       = 100*time.Millisecond + 300*time.Millisecond
 	attemptSlack    = 400 * time.Millisecond
 	drainSlack      = 400 * time.Millisecond
-	drainNoticeTime = 6 * time.Second // from a change at discovery, while it can be reached, until a node knows of it
+	drainNoticeTime = 6 * time.Second // from a change at a reachable discovery service until a node knows of it
 	lineTimeout     = time.Second + 1500*time.Millisecond
 )
 
-// Violation is a broken promise.
+// Violation is one broken promise.
 type Violation struct {
-	At      time.Duration `json:"at"` // since the run began
+	At      time.Duration `json:"at"` // since the start of the run
 	Promise Promise       `json:"promise"`
 	What    string        `json:"what"`
 }
 
-// Words of the protocol that end a request.
+// Reply words of the protocol. Each is the final answer to a request.
 const (
 	replyUp    = "UP"
 	replyBusy  = "BUSY"
@@ -60,11 +60,11 @@
 	server    *server
 	zone      string
 	firstByte time.Time
-	lastByte  time.Time // zero: it never came
-	ended     time.Time // the server answered or the connection ended; zero: in flight
+	lastByte  time.Time // zero: the last byte never arrived
+	ended     time.Time // when the server answered or the connection ended; zero: in flight
 	reply     string
-	neverRan  bool // as the reply says
-	byHarness bool // the harness ended the server's side, not the node
+	neverRan  bool // the reply says that the request did not run
+	byHarness bool // the harness, not the node, ended the server's side
 }
 
 // request is one request of a client.
@@ -72,10 +72,10 @@
 	id          string
 	class       *class
 	node        *node
-	incarnation int // of the node, when the request was sent
+	incarnation int // of the node when the client sent the request
 	sentAt      time.Time
 	deadline    time.Time
-	clientGone  time.Time // zero: the client stays
+	clientGone  time.Time // when the client left; zero: it has not left
 	answeredAt  time.Time
 	answer      string
 	attempts    []*attempt
@@ -86,7 +86,7 @@
 	start time.Time
 
 	mu         sync.Mutex
-	closed     bool // what happens from here on is the run's own end
+	closed     bool // the run is ending its connections and processes; later violations are dropped
 	requests   map[string]*request
 	violations []Violation
 	seen       map[string]int
@@ -96,15 +96,15 @@
 	return &Checker{start: time.Now(), requests: map[string]*request{}, seen: map[string]int{}}
 }
 
-// violated records a violation at this moment, for the report of the run. One that comes after close is dropped: the
-// run then ends connections and processes itself.
+// violated records a violation at the current time for the report of the run. It drops violations after close, because
+// the run itself then ends connections and processes.
 func (c *Checker) violated(promise Promise, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violatedLocked(promise, format, args...)
 }
 
-// violatedLocked is violated for a caller that holds the lock.
+// violatedLocked does the same as violated. The caller holds the lock.
 func (c *Checker) violatedLocked(promise Promise, format string, args ...any) {
 	if c.closed {
 		return
@@ -113,7 +113,7 @@
 	c.seen["violations of "+string(promise)]++
 }
 
-// count counts what happened: a run that exercised nothing shows nothing.
+// count counts an event. The counts show what a run exercised; a run proves nothing about events that never happened.
 func (c *Checker) count(what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,110 +121,111 @@
 }
 
 // requestSent records a request whose last byte a client is about to write.
-func (c *Checker) requestSent(sent *request) {
+func (c *Checker) requestSent(req *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests[sent.id] = sent
+	c.requests[req.id] = req
 	c.seen["requests"]++
 }
 
 // clientGone records that a request's client has closed its connection.
-func (c *Checker) clientGone(left *request) {
+func (c *Checker) clientGone(req *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	left.clientGone = time.Now()
+	req.clientGone = time.Now()
 }
 
-// attemptStarted returns an attempt whose first byte has come to a server.
+// attemptStarted returns a new attempt whose first byte has just arrived at a server.
 func (c *Checker) attemptStarted(s *server) *attempt {
 	return &attempt{server: s, firstByte: time.Now(), zone: s.zone}
 }
 
-// attemptReceived records an attempt whose last byte has come, and checks it.
+// attemptReceived records and checks an attempt whose last byte has just arrived.
 func (c *Checker) attemptReceived(id string, received *attempt) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	received.lastByte = now
-	parent := c.requests[id]
-	if parent == nil {
-		return // of a client that broke its own connection while it wrote
+	req := c.requests[id]
+	if req == nil {
+		return // the client broke its own connection while it wrote the request
 	}
 	c.seen["attempts"]++
-	if len(parent.attempts) > 0 {
+	if len(req.attempts) > 0 {
 		c.seen["repeats"]++
 	}
-	c.checkAttempt(parent, received)
-	c.checkDrain(parent, received)
-	c.checkRepeat(parent, received)
-	parent.attempts = append(parent.attempts, received)
+	c.checkAttempt(req, received)
+	c.checkDrain(req, received)
+	c.checkRepeat(req, received)
+	req.attempts = append(req.attempts, received)
 }
 
-// checkAttempt checks that the request may still be tried.
-func (c *Checker) checkAttempt(parent *request, received *attempt) {
+// checkAttempt checks that the node may still make an attempt for the request.
+func (c *Checker) checkAttempt(req *request, received *attempt) {
 	serverID := received.server.id
-	sinceGone := received.firstByte.Sub(parent.clientGone)
-	sinceAnswer := received.firstByte.Sub(parent.answeredAt)
+	sinceGone := received.firstByte.Sub(req.clientGone)
+	sinceAnswer := received.firstByte.Sub(req.answeredAt)
 	switch {
-	case len(parent.attempts) >= maxAttempts:
-		c.violatedLocked(Attempts, "%s: attempt %d, at %s", parent.id, len(parent.attempts)+1, serverID)
-	case !parent.clientGone.IsZero() && sinceGone > goneSlack:
-		c.violatedLocked(Gone, "%s: at %s %v after its client left %s",
-			parent.id, serverID, sinceGone, parent.node.name)
-	case !parent.answeredAt.IsZero() && sinceAnswer > goneSlack:
-		c.violatedLocked(Attempts, "%s: at %s %v after its answer %q", parent.id, serverID, sinceAnswer, parent.answer)
+	case len(req.attempts) >= maxAttempts:
+		c.violatedLocked(Attempts, "%s: attempt number %d, at %s", req.id, len(req.attempts)+1, serverID)
+	case !req.clientGone.IsZero() && sinceGone > goneSlack:
+		c.violatedLocked(ClientGone, "%s: attempt at %s started %v after its client left %s",
+			req.id, serverID, sinceGone, req.node.name)
+	case !req.answeredAt.IsZero() && sinceAnswer > goneSlack:
+		c.violatedLocked(Attempts, "%s: attempt at %s started %v after its answer %q",
+			req.id, serverID, sinceAnswer, req.answer)
 	}
 }
 
-// checkDrain checks that the node could not know that the server drains.
-func (c *Checker) checkDrain(parent *request, received *attempt) {
-	known := parent.node.knownDraining(received.server)
+// checkDrain checks that the node did not yet have to know that the server drains.
+func (c *Checker) checkDrain(req *request, received *attempt) {
+	known := req.node.drainingKnownSince(received.server)
 	if known.IsZero() {
 		return
 	}
 	if since := received.firstByte.Sub(known); since > drainGrace+drainSlack {
-		c.violatedLocked(Drain, "%s: at %s %v after %s was notified that it drains",
-			parent.id, received.server.id, since, parent.node.name)
+		c.violatedLocked(Drain, "%s: attempt at %s started %v after %s knew, or had to know, that the server drains",
+			req.id, received.server.id, since, req.node.name)
 	}
 }
 
-// checkRepeat checks a repeat against what its class allows.
-func (c *Checker) checkRepeat(parent *request, received *attempt) {
+// checkRepeat checks that the class of a request allows a repeat after each earlier attempt.
+func (c *Checker) checkRepeat(req *request, received *attempt) {
 	serverID := received.server.id
-	for _, earlier := range parent.attempts {
+	for _, earlier := range req.attempts {
 		if earlier.neverRan {
 			continue
 		}
 		since := received.firstByte.Sub(earlier.firstByte)
 		before := earlier.server.id
 		switch {
-		case parent.class.idempotency == notIdempotent:
-			c.violatedLocked(Effect, "%s (%s): at %s %v after %s, where it may have run (%q)",
-				parent.id, parent.class.name, serverID, since, before, earlier.reply)
-		case parent.class.idempotency == idempotentByKey && earlier.zone != received.zone:
-			c.violatedLocked(Effect, "%s (%s): at %s of zone %s after %s of zone %s",
-				parent.id, parent.class.name, serverID, received.zone, before, earlier.zone)
-		case parent.class.idempotency == idempotentByKey && since > parent.class.idempotencyWindow+attemptSlack:
-			c.violatedLocked(Effect, "%s (%s): at %s %v after %s, past the window",
-				parent.id, parent.class.name, serverID, since, before)
+		case req.class.idempotency == notIdempotent:
+			c.violatedLocked(RepeatSafety, "%s (%s): attempt at %s %v after one at %s, where it may have run (%q)",
+				req.id, req.class.name, serverID, since, before, earlier.reply)
+		case req.class.idempotency == idempotentByKey && earlier.zone != received.zone:
+			c.violatedLocked(RepeatSafety, "%s (%s): attempt at %s of zone %s after one at %s of zone %s",
+				req.id, req.class.name, serverID, received.zone, before, earlier.zone)
+		case req.class.idempotency == idempotentByKey && since > req.class.idempotencyWindow+attemptSlack:
+			c.violatedLocked(RepeatSafety, "%s (%s): attempt at %s %v after one at %s, past the idempotency window",
+				req.id, req.class.name, serverID, since, before)
 		}
 	}
 }
 
-// attemptEnded records the end of an attempt at its server. An empty reply changes no earlier one.
-func (c *Checker) attemptEnded(ended *attempt, reply string, neverRan bool) {
+// attemptEnded records the end of an attempt at its server. An empty reply keeps the reply recorded earlier.
+func (c *Checker) attemptEnded(finished *attempt, reply string, neverRan bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if ended.ended.IsZero() {
-		ended.ended = time.Now()
+	if finished.ended.IsZero() {
+		finished.ended = time.Now()
 	}
 	if reply != "" {
-		ended.reply = reply
-		ended.neverRan = neverRan
+		finished.reply = reply
+		finished.neverRan = neverRan
 	}
 }
 
-// attemptDisrupted records that the harness itself ends the server's side of an attempt or a connection.
+// attemptDisrupted records that the harness itself ends or disturbs the server's side of an attempt or a connection.
 func (c *Checker) attemptDisrupted(disrupted *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -234,89 +235,91 @@
 	}
 }
 
-// requestAnswered records a request's final answer, and checks that it is in time and true.
-func (c *Checker) requestAnswered(answered *request, answer string) {
+// requestAnswered records a request's final answer. It checks that the answer is in time, and that a request of a class
+// that is not idempotent gets BUSY only if none of its attempts may have run.
+func (c *Checker) requestAnswered(req *request, answer string) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	answered.answeredAt = now
-	answered.answer = answer
+	req.answeredAt = now
+	req.answer = answer
 	c.seen["answer "+answer]++
-	if late := now.Sub(answered.deadline); late > answerSlack {
-		c.violatedLocked(Answer, "%s: %s %v past its deadline, from %s",
-			answered.id, answer, late, answered.node.name)
+	if late := now.Sub(req.deadline); late > answerSlack {
+		c.violatedLocked(Answer, "%s: answer %s arrived %v after the deadline, from %s",
+			req.id, answer, late, req.node.name)
 	}
-	if answer != replyBusy || answered.class.idempotency == idempotent {
+	if answer != replyBusy || req.class.idempotency == idempotent {
 		return
 	}
-	for _, earlier := range answered.attempts {
+	for _, earlier := range req.attempts {
 		if !earlier.neverRan {
-			c.violatedLocked(Effect, "%s (%s): BUSY from %s although it may have run at %s (%q)",
-				answered.id, answered.class.name, answered.node.name, earlier.server.id, earlier.reply)
+			c.violatedLocked(RepeatSafety, "%s (%s): BUSY from %s although the request may have run at %s (%q)",
+				req.id, req.class.name, req.node.name, earlier.server.id, earlier.reply)
 		}
 	}
 }
 
-// request returns the request of an ID; nil, if there is none.
+// request returns the request with an ID, or nil if there is none.
 func (c *Checker) request(id string) *request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests[id]
 }
 
-// checkReceipt returns the attempt whose server made a receipt; nil and a violation, if none did.
-func (c *Checker) checkReceipt(served *request, receipt string) *attempt {
+// checkReceipt returns the attempt whose server made a receipt. If no server made it, checkReceipt records a violation
+// and returns nil.
+func (c *Checker) checkReceipt(req *request, receipt string) *attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, candidate := range served.attempts {
-		if receipt == receiptOf(served.id, candidate.server) {
+	for _, candidate := range req.attempts {
+		if receipt == receiptOf(req.id, candidate.server) {
 			return candidate
 		}
 	}
-	c.violatedLocked(Receipt, "%s: served with %q, which no server made for it", served.id, receipt)
+	c.violatedLocked(Receipt, "%s: served with %q, which no server made for it", req.id, receipt)
 	return nil
 }
 
-// endedByServer reports whether the harness, or the server, has ended the server's side of a connection.
+// endedByServer reports whether the harness or the server has ended the server's side of a connection.
 func (c *Checker) endedByServer(connection *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return connection == nil || connection.byHarness
 }
 
-// close ends the checking of what happens; finish checks what was recorded.
+// close ends the checks of new events. finish checks the recorded ones.
 func (c *Checker) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 }
 
-// finish checks what can be checked only when all is over: that no two attempts were in flight at once.
+// finish checks that no two attempts of a request were in flight at once. Only a finished run allows this check.
 func (c *Checker) finish() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = false
-	for _, parent := range c.requests {
-		for i, earlier := range parent.attempts {
-			if i+1 < len(parent.attempts) {
-				c.checkOverlap(parent, earlier, parent.attempts[i+1])
+	for _, req := range c.requests {
+		for i, earlier := range req.attempts {
+			if i+1 < len(req.attempts) {
+				c.checkOverlap(req, earlier, req.attempts[i+1])
 			}
 		}
 	}
 	slices.SortStableFunc(c.violations, func(a, b Violation) int { return int(a.At - b.At) })
 }
 
-// checkOverlap checks that an attempt had ended when the next one came.
-func (c *Checker) checkOverlap(parent *request, earlier, next *attempt) {
+// checkOverlap checks that an attempt had ended when the next one arrived.
+func (c *Checker) checkOverlap(req *request, earlier, next *attempt) {
 	if earlier.ended.IsZero() || earlier.ended.Sub(next.lastByte) > attemptSlack {
-		c.violatedLocked(Attempts, "%s: at %s while the attempt at %s was in flight",
-			parent.id, next.server.id, earlier.server.id)
+		c.violatedLocked(Attempts, "%s: attempt at %s while the attempt at %s was in flight",
+			req.id, next.server.id, earlier.server.id)
 	}
 }
 
-// slowStartBudget is the most calls that all nodes may make in slowStartWindow to a server with a part of its capacity;
-// chance and the harness's own slack are included.
+// slowStartBudget returns the maximum number of calls that all nodes together may make within slowStartWindow to a
+// server that has a fraction of its capacity. It includes a margin for random variation and the harness's own slack.
 func slowStartBudget(capacity float64) float64 {
-	calls := slowStartMultiple * capacity / (costOfFirstRequests * warmUpTime.Seconds()) * slowStartWindow.Seconds()
+	calls := slowStartMultiple * capacity / (firstRequestCost * warmUpTime.Seconds()) * slowStartWindow.Seconds()
 	return math.Ceil(invariant.MaxSlowStartCalls(calls)) + 1
 }
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -5,150 +5,153 @@
 	"time"
 )
 
-// inFlight is the reply of an attempt that doesn't end.
+// inFlight marks an attempt that never ends.
 const inFlight = "in flight"
 
-// history is a checker with one node, two servers in two zones, and a request of a class.
+// history is a checker that records one request to one node, with two servers in two zones.
 type history struct {
 	checker *Checker
 	servers []*server
 	request *request
 }
 
+// newHistory returns a history whose request is of the class with the given index.
 func newHistory(class int) *history {
 	run := &harness{checker: newChecker(), discovery: newDiscovery(nil)}
-	run.discovery.behave(unavailable) // what nodes are notified of is what the test says
+	run.discovery.setBehavior(unavailable) // only the test notifies the node of drains
 	served := newNode(run, 0)
-	made := &history{checker: run.checker, request: &request{
+	created := &history{checker: run.checker, request: &request{
 		id: "q", class: &classes[class], node: served, sentAt: time.Now(), deadline: time.Now().Add(time.Second),
 	}}
 	for _, id := range []string{"h0", "h1"} {
-		made.servers = append(made.servers, &server{id: id, zone: id, checker: run.checker, state: stateServing})
+		created.servers = append(created.servers, &server{id: id, zone: id, checker: run.checker, state: stateServing})
 	}
-	made.checker.requestSent(made.request)
-	return made
+	created.checker.requestSent(created.request)
+	return created
 }
 
-// attempt has the request come to a server, so long ago, and end there with a reply.
-func (h *history) attempt(server int, ago time.Duration, reply string) {
+// attempt records an attempt at a server with the given age. The attempt ends with the reply, unless the reply is
+// inFlight.
+func (h *history) attempt(server int, age time.Duration, reply string) {
 	started := h.checker.attemptStarted(h.servers[server])
-	started.firstByte = started.firstByte.Add(-ago)
+	started.firstByte = started.firstByte.Add(-age)
 	h.checker.attemptReceived("q", started)
 	if reply != inFlight {
 		h.checker.attemptEnded(started, reply, reply == replyBusy)
 	}
 }
 
-// repeat has the request come to the first server several times.
+// repeat records several attempts at the first server, each of which fails.
 func (h *history) repeat(times int) {
 	for range times {
 		h.attempt(0, 0, replyError)
 	}
 }
 
-// drain has the first server drain, and the node be notified of that so long ago.
-func (h *history) drain(ago time.Duration) {
+// drain makes the first server drain, and records that the node was notified of it the given time ago.
+func (h *history) drain(age time.Duration) {
 	h.servers[0].drain()
-	h.request.node.draining[h.servers[0]] = time.Now().Add(-ago)
+	h.request.node.draining[h.servers[0]] = time.Now().Add(-age)
 }
 
-// Indices in classes.
+// Indices of classes.
 const (
 	read = iota
 	post
 	pay
 )
 
-// checkerCases are short histories, and the promise that each breaks; empty: none.
+// checkerCases are short histories with the promise that each breaks, or none if want is empty.
 var checkerCases = map[string]struct {
 	class int
 	play  func(h *history)
 	want  Promise
 }{
-	"served": {read, func(h *history) {
+	"request served with the receipt of its server": {read, func(h *history) {
 		h.attempt(0, 0, replyUp)
 		h.checker.requestAnswered(h.request, replyUp)
 		h.checker.checkReceipt(h.request, "q@h0")
 	}, ""},
-	"another server's receipt": {read, func(h *history) {
+	"receipt of another server": {read, func(h *history) {
 		h.attempt(0, 0, replyUp)
 		h.checker.checkReceipt(h.request, "q@h1")
 	}, Receipt},
 	"four attempts": {read, func(h *history) { h.repeat(4) }, ""},
 	"five attempts": {read, func(h *history) { h.repeat(5) }, Attempts},
-	"two at once": {read, func(h *history) {
+	"two attempts at once": {read, func(h *history) {
 		h.attempt(0, 0, inFlight)
 		h.attempt(1, 0, replyUp)
 	}, Attempts},
-	"a repeat of what never ran": {pay, func(h *history) {
+	"repeat after a reply that it never ran": {pay, func(h *history) {
 		h.attempt(0, 0, replyBusy)
 		h.attempt(1, 0, replyUp)
 	}, ""},
-	"a repeat of what may have run": {pay, func(h *history) {
+	"repeat of a request that may have run": {pay, func(h *history) {
 		h.attempt(0, 0, replyError)
 		h.attempt(1, 0, replyUp)
-	}, Effect},
-	"BUSY after what may have run": {pay, func(h *history) {
+	}, RepeatSafety},
+	"BUSY after an attempt that may have run": {pay, func(h *history) {
 		h.attempt(0, 0, replyError)
 		h.checker.requestAnswered(h.request, replyBusy)
-	}, Effect},
-	"ERR after what may have run": {pay, func(h *history) {
+	}, RepeatSafety},
+	"ERR after an attempt that may have run": {pay, func(h *history) {
 		h.attempt(0, 0, replyError)
 		h.checker.requestAnswered(h.request, replyError)
 	}, ""},
-	"idempotent by key, another zone": {post, func(h *history) {
+	"repeat by key in another zone": {post, func(h *history) {
 		h.attempt(0, 0, replyError)
 		h.attempt(1, 0, replyUp)
-	}, Effect},
-	"idempotent by key, the same zone": {post, func(h *history) {
+	}, RepeatSafety},
+	"repeat by key in the same zone": {post, func(h *history) {
 		h.attempt(0, 0, replyError)
 		h.attempt(0, 0, replyUp)
 	}, ""},
-	"idempotent by key, past the window": {post, func(h *history) {
+	"repeat by key after the idempotency window": {post, func(h *history) {
 		h.attempt(0, 3*time.Second, replyError)
 		h.attempt(0, 0, replyUp)
-	}, Effect},
-	"late": {read, func(h *history) {
+	}, RepeatSafety},
+	"answer after the deadline": {read, func(h *history) {
 		h.request.deadline = time.Now().Add(-answerSlack - time.Millisecond)
 		h.checker.requestAnswered(h.request, replyBusy)
 	}, Answer},
-	"after its client left": {read, func(h *history) {
+	"attempt after its client left": {read, func(h *history) {
 		h.checker.clientGone(h.request)
 		h.request.clientGone = h.request.clientGone.Add(-time.Second)
 		h.attempt(0, 0, replyUp)
-	}, Gone},
-	"before its client left": {read, func(h *history) {
+	}, ClientGone},
+	"attempt before its client left": {read, func(h *history) {
 		h.checker.clientGone(h.request)
 		h.attempt(0, time.Millisecond, replyUp)
 	}, ""},
-	"after its answer": {read, func(h *history) {
+	"attempt after its answer": {read, func(h *history) {
 		h.checker.requestAnswered(h.request, replyBusy)
 		h.request.answeredAt = h.request.answeredAt.Add(-time.Second)
 		h.attempt(0, 0, replyUp)
 	}, Attempts},
-	"a draining server": {read, func(h *history) {
+	"attempt after the grace time of a draining server": {read, func(h *history) {
 		h.drain(drainGrace + drainSlack + time.Second)
 		h.attempt(0, 0, replyUp)
 	}, Drain},
-	"a draining server in its grace": {read, func(h *history) {
+	"attempt at a draining server within the grace time": {read, func(h *history) {
 		h.drain(drainGrace / 2)
 		h.attempt(0, 0, replyUp)
 	}, ""},
 }
 
-// TestChecker has each promise broken by a short history, and checks a similar history that breaks none.
-func TestChecker(t *testing.T) {
+// TestCheckerFindsBrokenPromises checks that the checker finds the broken promise of each short history, and that it
+// finds none in a similar history that is allowed.
+func TestCheckerFindsBrokenPromises(t *testing.T) {
 	for name, test := range checkerCases {
 		t.Run(name, func(t *testing.T) {
-			played := newHistory(test.class)
-			test.play(played)
-			played.checker.finish()
-			found := played.checker.violations
+			run := newHistory(test.class)
+			test.play(run)
+			run.checker.finish()
+			found := run.checker.violations
 			if test.want == "" && len(found) > 0 {
-				t.Errorf("%v; no violation is wanted", found)
+				t.Errorf("violations: got %v, want none", found)
 			}
 			if test.want != "" && (len(found) == 0 || found[0].Promise != test.want) {
-				t.Errorf("%v; %s is wanted", found, test.want)
+				t.Errorf("violations: got %v, want the first to be of %s", found, test.want)
 			}
 		})
 	}
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -12,13 +12,13 @@
 
 const (
 	dialTimeout         = time.Second
-	invalidTimeout      = 3*time.Second + time.Second // in which a client that can't be served gets an error or an end
+	invalidTimeout      = 3*time.Second + time.Second // until an invalid client gets an error or its connection ends
 	echoTimeout         = 7*time.Second + 1500*time.Millisecond
 	meanConnection      = 1500 * time.Millisecond
 	maxConnection       = 6 * time.Second
 	idleTime            = 2500 * time.Millisecond
-	idleJitter          = 4                      // ms, either way
-	settlingTime        = 700 * time.Millisecond // until the harness's two sides of a connection know the same
+	idleJitter          = 4                      // ms, earlier or later
+	settlingTime        = 700 * time.Millisecond // until both ends of a connection know the same
 	answerReadSlack     = 2 * time.Second
 	afterCloseRead      = time.Second
 	meanDisconnectDelay = 150 * time.Millisecond
@@ -29,7 +29,7 @@
 	fragmentJitter      = 40 // ms
 )
 
-// Parts of the clients that misbehave.
+// Fractions of the clients that send invalid data, and that idle before the request.
 const (
 	invalidRate = 0.03
 	idleRate    = 0.03
@@ -52,7 +52,7 @@
 	reader  *bufio.Reader
 }
 
-// runArrivals has clients arrive until the run is over.
+// runArrivals starts clients at random intervals until the run is over.
 func (h *harness) runArrivals(rng *rand.Rand) {
 	next := time.Now()
 	for {
@@ -73,7 +73,7 @@
 	}
 }
 
-// run opens the connection and uses it to its end.
+// run opens the connection and uses it until it ends.
 func (c *client) run() {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.Dial("tcp", c.node.addr)
@@ -84,7 +84,7 @@
 	defer closeQuietly(conn)
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		panic("the dialer gives TCP connections for tcp")
+		panic("the dialer must return TCP connections for network tcp")
 	}
 	c.conn = tcp
 	c.reader = bufio.NewReaderSize(conn, clientReadBuffer)
@@ -98,7 +98,7 @@
 	}
 }
 
-// invalidLines are what a node can't serve.
+// invalidLines lists input that a node can't serve.
 var invalidLines = []string{
 	"HELLO world\r\n",
 	"OPEN\r\n",
@@ -112,22 +112,23 @@
 	"OPEN 0123456789abcdef 01 c=read,d=-5\r\n",
 }
 
-// write writes to the node. Where the node has ended the connection, the next read shows it.
+// write writes to the node. It ignores errors: if the node has ended the connection, the next read fails.
 func (c *client) write(text string) { _, _ = io.WriteString(c.conn, text) }
 
-// sendInvalid sends what can't be served: an error or the connection's end has to come.
+// sendInvalid sends a line that the node can't serve. The node has to answer an error or end the connection.
 func (c *client) sendInvalid() {
 	start := time.Now()
 	c.write(invalidLines[c.rng.IntN(len(invalidLines))])
 	setReadDeadline(c.conn, start.Add(invalidTimeout))
 	if _, err := io.Copy(io.Discard, c.conn); isTimeout(err) && !c.node.killedBetween(start, time.Now()) {
-		c.checker.violated(Answer, "%s: a client that can't be served has no end after %v", c.node.name, invalidTimeout)
+		c.checker.violated(Answer, "%s: the connection of an invalid client is still open after %v",
+			c.node.name, invalidTimeout)
 	}
 	c.checker.count("clients with nonsense")
 }
 
-// sendAfterIdling may ping, idles about as long as a node allows, and sends a request at the moment at which the node
-// may end the connection.
+// sendAfterIdling sends PING first in half of the cases. It then idles about as long as a node allows, and sends a
+// request when the node may be ending the connection.
 func (c *client) sendAfterIdling() {
 	start := time.Now()
 	if c.rng.IntN(2) == 0 {
@@ -143,12 +144,12 @@
 	time.Sleep(time.Until(start.Add(idleTime + jitter)))
 	line := c.openLine(c.newRequest())
 	c.checker.count("requests across the end of a rest")
-	c.write(line) // the node may have ended the connection by now: nothing is expected of this request
+	c.write(line) // the node may have ended the connection by now, so this request is not checked
 	setReadDeadline(c.conn, time.Now().Add(invalidTimeout))
-	_, _ = c.reader.ReadString('\n') // an answer or the end: both are right
+	_, _ = c.reader.ReadString('\n') // both an answer and the end of the connection are valid
 }
 
-// newRequest draws a request; the checker doesn't know it yet.
+// newRequest draws a request at random. It does not record the request with the checker.
 func (c *client) newRequest() *request {
 	drawn := 0
 	for point := c.rng.Float64(); drawn < len(classes)-1 && point > classes[drawn].fraction; drawn++ {
@@ -162,13 +163,13 @@
 	}
 }
 
-// openLine is the protocol's line that opens a request.
+// openLine returns the line of the protocol that opens a request.
 func (c *client) openLine(opened *request) string {
 	return fmt.Sprintf("OPEN %s %016x c=%s,t=all,d=%d\r\n",
 		opened.id, c.rng.Uint64(), opened.class.name, opened.class.deadline.Milliseconds())
 }
 
-// sendRequest sends a request and uses the connection that it gets.
+// sendRequest sends a request and handles its answer, or disconnects early.
 func (c *client) sendRequest() {
 	sent := c.newRequest()
 	line := c.openLine(sent)
@@ -193,7 +194,7 @@
 	c.awaitAnswer(sent)
 }
 
-// writeInFragments writes a line in small pieces up to its last byte, which it returns.
+// writeInFragments writes a line in small pieces except for its last byte, which it returns.
 func (c *client) writeInFragments(line string) (lastByte string, err error) {
 	for len(line) > 1 {
 		size := 1 + c.rng.IntN(min(len(line)-1, maxLineFragment))
@@ -206,7 +207,7 @@
 	return line, nil
 }
 
-// awaitAnswer reads the answer to a request, and uses the connection if it was served.
+// awaitAnswer reads the answer to a request, and uses the connection if the node served the request.
 func (c *client) awaitAnswer(sent *request) {
 	setReadDeadline(c.conn, sent.deadline.Add(answerSlack+answerReadSlack))
 	answer, err := c.reader.ReadString('\n')
@@ -224,11 +225,12 @@
 	case replyBusy, replyError:
 		c.checker.requestAnswered(sent, word)
 	default:
-		c.checker.violated(Receipt, "%s: answered %q by %s", sent.id, answer, c.node.name)
+		c.checker.violated(Receipt, "%s: unknown answer %q from %s", sent.id, answer, c.node.name)
 	}
 }
 
-// handleMissingAnswer checks a connection that ended before the answer.
+// handleMissingAnswer handles a connection that ended, or timed out, before the answer. It is a violation unless the
+// harness killed the node's process.
 func (c *client) handleMissingAnswer(sent *request, partial string, err error) {
 	defer c.checker.clientGone(sent)
 	if c.node.killedBetween(sent.sentAt, time.Now()) {
@@ -240,7 +242,7 @@
 		sent.id, sent.class.name, c.node.name, waited, partial, err)
 }
 
-// disconnectEarly ends the connection before its answer, if that does not come first.
+// disconnectEarly ends the connection after a short random delay, unless the answer arrives first.
 func (c *client) disconnectEarly(sent *request) {
 	delay := time.Duration(c.rng.ExpFloat64() * float64(meanDisconnectDelay))
 	setReadDeadline(c.conn, time.Now().Add(delay))
@@ -259,14 +261,14 @@
 	case 1:
 		reset(c.conn)
 	default:
-		_ = c.conn.CloseWrite() // it fails where the node has ended the connection as well
+		_ = c.conn.CloseWrite() // fails only if the node has ended the connection as well
 	}
 	c.checker.clientGone(sent)
 	setReadDeadline(c.conn, time.Now().Add(afterCloseRead))
-	_, _ = io.Copy(io.Discard, c.conn) // what a client that has left still gets is not checked
+	_, _ = io.Copy(io.Discard, c.conn) // data that a client gets after it left is not checked
 }
 
-// useConnection uses a connection that is open: each line has to be returned.
+// useConnection sends lines on an open connection and checks that each line comes back.
 func (c *client) useConnection(served *request, connection *attempt) {
 	length := time.Duration(c.rng.ExpFloat64() * float64(meanConnection))
 	end := time.Now().Add(min(length, maxConnection))
@@ -287,13 +289,13 @@
 	}
 }
 
-// awaitLine waits until a line is returned, and reports whether the connection is still open.
+// awaitLine waits until a line comes back, and reports whether the connection is still usable.
 func (c *client) awaitLine(served *request, connection *attempt, line string, sentAt time.Time) bool {
 	setReadDeadline(c.conn, sentAt.Add(echoTimeout))
 	got, err := c.reader.ReadString('\n')
 	switch {
 	case isTimeout(err):
-		c.checker.violated(Line, "%s: nothing came back by %s for %v", served.id, c.node.name, echoTimeout)
+		c.checker.violated(Line, "%s: no line came back through %s within %v", served.id, c.node.name, echoTimeout)
 		return false
 	case err != nil:
 		c.checkEnd(served, connection, err)
@@ -301,16 +303,17 @@
 	case got == line:
 		c.checkLineTime(served, connection, time.Since(sentAt))
 		return true
-	case got == lineMove || c.isMoveAfterPartOf(line, got):
+	case got == lineMove || c.isMoveAfterPartialLine(line, got):
 		c.checker.count("clients moved")
 		return false
 	}
-	c.checker.violated(Line, "%s: %q came back by %s for %q", served.id, got, c.node.name, line)
+	c.checker.violated(Line, "%s: %q came back through %s for %q", served.id, got, c.node.name, line)
 	return false
 }
 
-// isMoveAfterPartOf reports whether a node has ended the server's unfinished line and sent MOVE as a line of its own.
-func (c *client) isMoveAfterPartOf(line, got string) bool {
+// isMoveAfterPartialLine reports whether a node has ended the server's unfinished line and then sent MOVE as a separate
+// line.
+func (c *client) isMoveAfterPartialLine(line, got string) bool {
 	if !strings.HasPrefix(line, strings.TrimRight(got, "\r\n")) {
 		return false
 	}
@@ -318,7 +321,7 @@
 	return err == nil && next == lineMove
 }
 
-// checkLineTime checks the time in which a line was returned, where neither server nor proxy delays it.
+// checkLineTime checks how long a line took to come back, unless the server or its proxy may have delayed the line.
 func (c *client) checkLineTime(served *request, connection *attempt, took time.Duration) {
 	if took <= lineTimeout {
 		return
@@ -326,11 +329,11 @@
 	behavior, _ := connection.server.current()
 	delayed := connection.server.proxy.impairment.Load().maxDelay > 0
 	if behavior == healthy && !delayed && !c.checker.endedByServer(connection) {
-		c.checker.violated(Line, "%s: a line came back by %s after %v", served.id, c.node.name, took)
+		c.checker.violated(Line, "%s: a line came back through %s after %v", served.id, c.node.name, took)
 	}
 }
 
-// checkEnd checks the end, without MOVE, of a connection that was open.
+// checkEnd checks that an open connection that ended without MOVE had a valid reason to end.
 func (c *client) checkEnd(served *request, connection *attempt, err error) {
 	now := time.Now()
 	for end := now.Add(settlingTime); time.Now().Before(end); time.Sleep(pollInterval) {
@@ -345,7 +348,7 @@
 	case c.node.connectionsBroken():
 		c.checker.count("connections broken under a node")
 	default:
-		c.checker.violated(CutOff, "%s: %s ended the connection to %s without MOVE: %v",
+		c.checker.violated(ConnectionEnd, "%s: %s ended the connection to %s without MOVE: %v",
 			served.id, c.node.name, connection.server.id, err)
 	}
 }
--- a/internal/lab/soak/conn.go
+++ b/internal/lab/soak/conn.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// reset ends a connection as a process that dies does: with a reset in place of a FIN.
+// reset ends a connection with a TCP reset in place of a FIN, as happens when a process dies.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // it fails on a closed connection only
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
 	closeQuietly(conn)
 }
 
-// closeQuietly closes what is needed no longer. An error of that shows nothing about the nodes.
+// closeQuietly closes a resource that is no longer needed. It ignores the error, which shows nothing about the nodes.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
 
-// setReadDeadline bounds the next reads. It fails on a closed connection only, whose next read fails then.
+// setReadDeadline sets the deadline of the next reads. It ignores the error: setting a deadline fails only on a closed
+// connection, and the next read then fails.
 func setReadDeadline(conn net.Conn, at time.Time) { _ = conn.SetReadDeadline(at) }
 
-// isTimeout reports whether an error is one of a deadline.
+// isTimeout reports whether an error is a timeout.
 func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -11,18 +11,18 @@
 	"spurwinch/internal/lab/fakeserver"
 )
 
-// discoveryBehavior is how the discovery service behaves. The words are those of the reports.
+// discoveryBehavior is how the discovery service behaves. The values appear in reports.
 type discoveryBehavior string
 
 const (
 	available     discoveryBehavior = ""
 	unavailable   discoveryBehavior = "down"          // answers 503
-	unresponsive  discoveryBehavior = "silent"        // takes calls and answers none
+	unresponsive  discoveryBehavior = "silent"        // accepts calls and answers none
 	delayed       discoveryBehavior = "sluggish"      // answers late
-	truncated     discoveryBehavior = "spoils"        // answers with half a list and a reset
-	neverComplete discoveryBehavior = "never ends"    // answers with a list that never ends
-	fragmented    discoveryBehavior = "chunked"       // answers in pieces
-	duplicated    discoveryBehavior = "second answer" // sends an answer twice
+	truncated     discoveryBehavior = "spoils"        // sends half a list, then resets the connection
+	neverComplete discoveryBehavior = "never ends"    // sends an answer that never completes
+	fragmented    discoveryBehavior = "chunked"       // sends the answer in small pieces
+	duplicated    discoveryBehavior = "second answer" // sends the same answer twice
 )
 
 var discoveryBehaviors = []discoveryBehavior{
@@ -34,12 +34,12 @@
 	discoveryDelay     = 1200 * time.Millisecond
 	discoveryFragment  = 97 // bytes
 	secondAnswerDelay  = 5 * time.Millisecond
-	missingBytes       = 10 // of a list that never ends
-	discoveryAddresses = 2  // of each node, of which its configuration names one
+	missingBytes       = 10 // announced but not sent of a list that never completes
+	discoveryAddresses = 2  // for each node; the node's configuration names one of them
 )
 
-// discovery is a fake of the platform's discovery service. Each node has addresses of its own at it, so that it is
-// known which node was notified of what.
+// discovery is a fake of the platform's discovery service. Each node uses its own addresses of the service, so that the
+// harness knows which node received which list.
 type discovery struct {
 	servers []*server
 
@@ -47,7 +47,7 @@
 	version   int64
 	changed   chan struct{} // closed at the next change
 	behavior  discoveryBehavior
-	since     time.Time // of the behavior
+	since     time.Time // when the behavior was set
 	listeners []net.Listener
 }
 
@@ -55,7 +55,7 @@
 	return &discovery{servers: servers, version: 1, changed: make(chan struct{}), since: time.Now()}
 }
 
-// open opens one more address for a node.
+// open opens another address for a node and returns it.
 func (d *discovery) open(caller *node) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,11 +65,11 @@
 	d.listeners = append(d.listeners, listener)
 	d.mu.Unlock()
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(caller, w, r) })
-	go func() { _ = http.Serve(listener, handler) }() // it ends when the listener is closed
+	go func() { _ = http.Serve(listener, handler) }() // returns when the listener is closed
 	return listener.Addr().String(), nil
 }
 
-// close closes all addresses.
+// close closes the listeners of all addresses.
 func (d *discovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,16 +78,16 @@
 	}
 }
 
-// serversChanged notifies the watching nodes of a change of servers.
-func (d *discovery) serversChanged() {
+// notifyServersChanged notifies the watching nodes that a server changed.
+func (d *discovery) notifyServersChanged() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
 	d.wakeWatchesLocked()
 }
 
-// behave sets how the service behaves from now on; watches that are open end.
-func (d *discovery) behave(behavior discoveryBehavior) {
+// setBehavior sets how the service behaves from now on, and ends the open watches.
+func (d *discovery) setBehavior(behavior discoveryBehavior) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.behavior = behavior
@@ -100,7 +100,7 @@
 	d.changed = make(chan struct{})
 }
 
-// reachableSince returns since when the service can be reached without a break; ok is false while it can't.
+// reachableSince returns since when nodes can reach the service without interruption. ok is false if they can't now.
 func (d *discovery) reachableSince() (since time.Time, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,7 +114,7 @@
 	return d.behavior, d.version, d.changed
 }
 
-// serve answers one call of a node, by the service's behavior.
+// serve answers one call of a node according to the service's behavior.
 func (d *discovery) serve(caller *node, w http.ResponseWriter, r *http.Request) {
 	behavior, version, ok := d.awaitChange(r)
 	if !ok {
@@ -143,7 +143,7 @@
 		return
 	default:
 	}
-	caller.notified(states)
+	caller.recordNotified(states)
 	switch behavior {
 	case fragmented:
 		writeFragmented(w, list)
@@ -154,8 +154,8 @@
 	}
 }
 
-// awaitChange waits, where the call is a watch, until there is a newer list or its time is over. ok is false when the
-// caller has gone.
+// awaitChange returns the behavior and the version of the list to answer with. If the call is a watch, it first waits
+// for a newer list or the end of the watch. ok is false if the caller disconnected.
 func (d *discovery) awaitChange(r *http.Request) (behavior discoveryBehavior, version int64, ok bool) {
 	behavior, version, changed := d.current()
 	query := r.URL.Query()
@@ -173,7 +173,7 @@
 	return behavior, version, true
 }
 
-// number reads a number of a query; what is none counts as zero, as at the platform.
+// number parses a number of a query. It returns zero if the text is not a number, as the platform does.
 func number(text string) int64 {
 	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
@@ -182,12 +182,12 @@
 	return value
 }
 
-// write writes a part of an answer. A caller that has gone needs it no longer.
+// write writes a part of an answer. It ignores errors: a caller that disconnected does not need the answer.
 func write(w http.ResponseWriter, data []byte) { _, _ = w.Write(data) }
 
-// flush sends what was written so far.
+// flush sends the data written so far.
 func flush(w http.ResponseWriter) {
-	_ = http.NewResponseController(w).Flush() // it fails where the caller has gone
+	_ = http.NewResponseController(w).Flush() // fails only if the caller disconnected
 }
 
 // writeTruncated announces a list, writes half of it and resets the connection.
@@ -199,7 +199,7 @@
 	}
 }
 
-// writeIncomplete writes a list and announces more than it has.
+// writeIncomplete announces more bytes than the list has, and writes the list.
 func writeIncomplete(w http.ResponseWriter, list []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(list)+missingBytes))
 	write(w, list)
@@ -215,7 +215,7 @@
 	}
 }
 
-// writeTwice writes an answer, and some milliseconds later the same again.
+// writeTwice writes an answer, and writes it again some milliseconds later.
 func writeTwice(w http.ResponseWriter, list []byte) {
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -225,7 +225,7 @@
 	header := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
 		strconv.Itoa(len(list)) + "\r\n\r\n"
 	for range 2 {
-		_, _ = buffered.WriteString(header) // an error stays in the buffer: Flush returns it
+		_, _ = buffered.WriteString(header) // the buffer keeps an error, and Flush returns it
 		_, _ = buffered.Write(list)         // as above
 		if buffered.Flush() != nil {
 			return
@@ -234,14 +234,14 @@
 	}
 }
 
-// serverState is a server as a list names it.
+// serverState is the state of a server as an endpoint list states it.
 type serverState struct {
 	server  *server
 	state   string
 	started time.Time
 }
 
-// list returns the encoded list, and the states that it names.
+// list returns the encoded endpoint list and the server states in it.
 func (d *discovery) list(version int64) (json.RawMessage, []serverState) {
 	var entries []fakeserver.ListEntry
 	var states []serverState
--- a/internal/lab/soak/fault.go
+++ b/internal/lab/soak/fault.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	faultInterval   = 2500 * time.Millisecond // between two rounds
-	drainTime       = 7 * time.Second         // then a drained server starts again
+	faultInterval   = 2500 * time.Millisecond // between two rounds of faults
+	drainTime       = 7 * time.Second         // then a drained server restarts
 	minFaultLength  = time.Second
-	faultSpread     = 4 * time.Second // added to the least length, at most
+	faultSpread     = 4 * time.Second // maximum that is added to minFaultLength
 	minConcurrent   = 2               // faults of one round
 	maxConcurrent   = 3
 	maxFaultDelay   = 300 // ms, between two faults of a round
 	maxProxyDelay   = 300 // ms
 	proxyIdleTime   = 400 * time.Millisecond
-	breakRateFactor = 10 // by which connections are broken less often than other calls fail
+	breakRateFactor = 10 // connections are broken this many times less often than other calls fail
 )
 
-// Parts of the nodes and servers that one fault takes.
+// Fractions of the nodes and servers that one fault affects.
 const (
 	stoppedNodes    = 0.2
 	killedNodes     = 0.1
@@ -33,13 +33,14 @@
 	impairedServers = 0.5
 )
 
-// faultKind is a kind of fault: inject has it take effect until a time and describes it; empty: it does nothing now.
+// faultKind is a kind of fault. inject injects a fault, which lasts until the given time if the kind has a length, and
+// returns a description. The description is empty if the fault has no effect.
 type faultKind struct {
 	name   string
 	inject func(h *harness, rng *rand.Rand, until time.Time) string
 }
 
-// faultKinds are all kinds of faults; the names are those of the command line.
+// faultKinds are all kinds of faults. A flag of the command line selects them by these names.
 var faultKinds = []faultKind{
 	{"stop", (*harness).stopNodes},
 	{"kill", (*harness).killNodes},
@@ -65,7 +66,7 @@
 	return names
 }
 
-// injectFaults draws two or three kinds of faults at a time, until the time for faults is over.
+// injectFaults injects rounds of two or three kinds of faults, drawn at random, until the time for faults is over.
 func (h *harness) injectFaults(ctx context.Context, rng *rand.Rand) {
 	var allowed []faultKind
 	for _, kind := range faultKinds {
@@ -96,20 +97,20 @@
 	h.checker.count("trouble " + kind.name)
 }
 
-// endFaults ends the faults that have no end of their own.
+// endFaults ends the faults of servers, proxies, system calls, discovery and load that are still active.
 func (h *harness) endFaults() {
 	for _, s := range h.servers {
-		s.behave(healthy)
+		s.setBehavior(healthy)
 		s.proxy.impairment.Store(&impairment{})
 	}
 	for _, n := range h.nodes {
 		n.control.Heal()
 	}
-	h.discovery.behave(available)
+	h.discovery.setBehavior(available)
 	h.extraLoad.Store(0)
 }
 
-// runAt runs a function at a time, unless the run is over by then.
+// runAt runs a function at the given time, unless the run ends earlier.
 func (h *harness) runAt(at time.Time, run func()) {
 	h.inBackground(func() {
 		select {
@@ -120,7 +121,7 @@
 	})
 }
 
-// drawSome draws a part of a list, one element at least.
+// drawSome draws a fraction of a list, at least one element.
 func drawSome[T any](rng *rand.Rand, list []T, fraction float64) []T {
 	count := max(1, int(fraction*float64(len(list))))
 	var drawn []T
@@ -130,8 +131,8 @@
 	return drawn
 }
 
-// drawHalfOfNodes draws a half of the nodes, and one more where their number is even.
-func (h *harness) drawHalfOfNodes(rng *rand.Rand) []*node {
+// drawMajorityOfNodes draws the smallest majority of the nodes.
+func (h *harness) drawMajorityOfNodes(rng *rand.Rand) []*node {
 	var drawn []*node
 	for _, i := range rng.Perm(len(h.nodes))[:1+len(h.nodes)/2] {
 		drawn = append(drawn, h.nodes[i])
@@ -139,7 +140,7 @@
 	return drawn
 }
 
-// nodeNames are the names of nodes.
+// nodeNames returns the names of nodes.
 func nodeNames(nodes []*node) []string {
 	var names []string
 	for _, n := range nodes {
@@ -148,8 +149,8 @@
 	return names
 }
 
-// serverNames are the IDs of servers.
-func serverNames(servers []*server) []string {
+// serverIDs returns the IDs of servers.
+func serverIDs(servers []*server) []string {
 	var names []string
 	for _, s := range servers {
 		names = append(names, s.id)
@@ -157,8 +158,8 @@
 	return names
 }
 
-// onSomeNodes has something happen to the processes of a part of the nodes that no other fault has claimed, each in the
-// background, and returns their names.
+// onSomeNodes draws a fraction of the nodes and claims those that no other fault has claimed. It calls act for each
+// claimed node in the background, and returns the names of the claimed nodes.
 func (h *harness) onSomeNodes(rng *rand.Rand, fraction float64, act func(n *node)) string {
 	var claimed []*node
 	for _, n := range drawSome(rng, h.nodes, fraction) {
@@ -187,7 +188,7 @@
 }
 
 func (h *harness) reloadNodes(rng *rand.Rand, _ time.Time) string {
-	drawn := h.drawHalfOfNodes(rng)
+	drawn := h.drawMajorityOfNodes(rng)
 	for _, n := range drawn {
 		n.reload()
 	}
@@ -198,14 +199,14 @@
 	behavior := serverBehaviors[rng.IntN(len(serverBehaviors))]
 	drawn := drawSome(rng, h.servers, 0.15+0.35*rng.Float64())
 	for _, s := range drawn {
-		s.behave(behavior)
+		s.setBehavior(behavior)
 	}
 	h.runAt(until, func() {
 		for _, s := range drawn {
-			s.behave(healthy)
+			s.setBehavior(healthy)
 		}
 	})
-	return fmt.Sprint(behavior, " ", serverNames(drawn))
+	return fmt.Sprint(behavior, " ", serverIDs(drawn))
 }
 
 func (h *harness) drainServers(rng *rand.Rand, _ time.Time) string {
@@ -213,23 +214,23 @@
 	for _, s := range drawn {
 		s.drain()
 	}
-	h.discovery.serversChanged()
+	h.discovery.notifyServersChanged()
 	h.runAt(time.Now().Add(drainTime), func() { h.restartAll(drawn) })
-	return fmt.Sprint(serverNames(drawn))
+	return fmt.Sprint(serverIDs(drawn))
 }
 
 func (h *harness) restartServers(rng *rand.Rand, _ time.Time) string {
 	drawn := drawSome(rng, h.servers, drainedServers)
 	h.restartAll(drawn)
-	return fmt.Sprint(serverNames(drawn))
+	return fmt.Sprint(serverIDs(drawn))
 }
 
-// restartAll restarts servers and notifies the nodes.
+// restartAll restarts servers and notifies the nodes of the change.
 func (h *harness) restartAll(servers []*server) {
 	for _, s := range servers {
 		s.restart()
 	}
-	h.discovery.serversChanged()
+	h.discovery.notifyServersChanged()
 }
 
 func (h *harness) impairProxies(rng *rand.Rand, until time.Time) string {
@@ -254,16 +255,16 @@
 		}
 	})
 	return fmt.Sprintf("pieces %v hold %v reset %.2f idle %v %v",
-		drawn.fragment, drawn.maxDelay, drawn.resetRate, drawn.idleTimeout, serverNames(impaired))
+		drawn.fragment, drawn.maxDelay, drawn.resetRate, drawn.idleTimeout, serverIDs(impaired))
 }
 
 func (h *harness) misbehavingDiscovery(rng *rand.Rand, until time.Time) string {
 	behavior := discoveryBehaviors[rng.IntN(len(discoveryBehaviors))]
-	if h.deployment.pushed && behavior != fragmented { // an agent says nothing while discovery is down
+	if h.deployment.pushed && behavior != fragmented { // an agent sends nothing while discovery is down
 		behavior = unresponsive
 	}
-	h.discovery.behave(behavior)
-	h.runAt(until, func() { h.discovery.behave(available) })
+	h.discovery.setBehavior(behavior)
+	h.runAt(until, func() { h.discovery.setBehavior(available) })
 	return string(behavior)
 }
 
@@ -275,7 +276,7 @@
 			failing = append(failing, kind)
 		}
 	}
-	drawn := h.drawHalfOfNodes(rng)
+	drawn := h.drawMajorityOfNodes(rng)
 	for _, n := range drawn {
 		for _, kind := range failing {
 			n.failCalls(kind, rate, until)
@@ -294,7 +295,7 @@
 	if rng.IntN(2) == 0 {
 		step = -step
 	}
-	drawn := h.drawHalfOfNodes(rng)
+	drawn := h.drawMajorityOfNodes(rng)
 	for _, n := range drawn {
 		n.control.StepClock(step)
 	}
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	configurationTime = 4 * time.Second // in which a reloaded configuration is in use
-	brokenGrace       = 3 * time.Second // after connections were broken under the node
+	configurationTime = 4 * time.Second // until a node uses a reloaded configuration
+	brokenGrace       = 3 * time.Second // after the harness broke connections of the node
 	nodeMemory        = 192             // MB
 	nodeDescriptors   = 1024
 )
 
-// Parts of a node's address range.
+// Indices of a node's two addresses in its address range.
 const (
 	clientAddress = 0
 	peerAddress   = 1
@@ -29,30 +29,30 @@
 
 var errNodesNotReady = errors.New("not all nodes are ready")
 
-// node is a node with its current process.
+// node is a node of the fleet with its current process.
 type node struct {
 	harness        *harness
 	name           string
 	zone           string
 	index          int
 	dir            string
-	addr           string   // of clients
-	peer           string   // of gossip
-	discoveryAddrs []string // of which the configuration names one
+	addr           string   // for clients
+	peer           string   // for gossip
+	discoveryAddrs []string // the configuration names one of them
 	control        *shim.Control
 
 	mu            sync.Mutex
 	process       *process
-	incarnation   int  // planned and other restarts so far
-	admitted      bool // the front sends clients
-	claimed       bool // a fault of this node's process is under way
+	incarnation   int  // number of restarts so far, planned and other
+	admitted      bool // the front end sends clients
+	claimed       bool // a fault of this node's process is in progress
 	discoveryAddr int  // index of the address that the configuration names
 	startedAt     time.Time
 	reloadedAt    time.Time
 	killedAt      []time.Time
-	brokenUntil   time.Time               // connections are broken under the node
-	draining      map[*server]time.Time   // since when the process is notified that the server drains
-	starts        map[*server][]time.Time // the servers' starts that it was notified of
+	brokenUntil   time.Time               // until when broken connections excuse the node
+	draining      map[*server]time.Time   // when the process was notified that the server drains
+	starts        map[*server][]time.Time // the servers' start times that the process was notified of
 }
 
 func newNode(h *harness, index int) *node {
@@ -68,8 +68,8 @@
 	}
 }
 
-// reserveAddress returns an address with a port of the kernel's choice on a loopback IP of the node's own, where nobody
-// else gets a port. It is free for TCP and UDP.
+// reserveAddress returns an address on a loopback IP of the node's own, with a port that the kernel chooses. No other
+// process gets a port on that IP, so the port is free for TCP and UDP.
 func (n *node) reserveAddress(part int) (string, error) {
 	pid := os.Getpid()
 	ip := net.IPv4(127, byte(64+pid%128), byte(pid/128%256), byte(part*MaxNodes+n.index+1))
@@ -81,10 +81,10 @@
 	return listener.Addr().String(), nil
 }
 
-// configurationPath is the path of the node's configuration file.
+// configurationPath returns the path of the node's configuration file.
 func (n *node) configurationPath() string { return filepath.Join(n.dir, "config.json") }
 
-// writeConfiguration replaces the node's configuration file. n.mu is held, or no process runs yet.
+// writeConfiguration replaces the node's configuration file. The caller holds n.mu, unless no process runs yet.
 func (n *node) writeConfiguration() error {
 	var peers []string
 	for _, peer := range n.harness.nodes {
@@ -118,28 +118,29 @@
 	return os.Rename(path+".new", path)
 }
 
-// isAdmitted reports whether the front sends clients to the node.
+// isAdmitted reports whether the front end sends clients to the node.
 func (n *node) isAdmitted() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.admitted
 }
 
-// currentProcess is the node's process; nil, if none was started.
+// currentProcess returns the node's process, or nil if none was started.
 func (n *node) currentProcess() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process
 }
 
-// currentIncarnation is the number of the node's restarts so far.
+// currentIncarnation returns the number of the node's restarts so far.
 func (n *node) currentIncarnation() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.incarnation
 }
 
-// claim claims the node for a fault of its process; false: another one is under way, or the node is not ready.
+// claim claims the node for a fault of its process. It returns false if another such fault is in progress, or if the
+// node is not admitted.
 func (n *node) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -150,14 +151,15 @@
 	return true
 }
 
-// release ends what claim began.
+// release ends the claim.
 func (n *node) release() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.claimed = false
 }
 
-// failCalls has a part of the system calls of a kind fail. Broken connections are rarer and excuse the node.
+// failCalls makes a fraction of the system calls of a kind fail. Broken connections are rarer than other failures, and
+// they excuse the node when it ends connections.
 func (n *node) failCalls(kind shim.Kind, rate float64, until time.Time) {
 	if kind == shim.Break {
 		rate /= breakRateFactor
@@ -168,8 +170,8 @@
 	n.control.Fail(kind, rate)
 }
 
-// notified records what discovery writes to the node.
-func (n *node) notified(states []serverState) {
+// recordNotified records the server states that discovery sends to the node.
+func (n *node) recordNotified(states []serverState) {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -185,8 +187,9 @@
 	}
 }
 
-// knownDraining returns since when the node knows, or has to know, that a server drains; zero: it need not.
-func (n *node) knownDraining(s *server) time.Time {
+// drainingKnownSince returns since when the node knows, or has to know, that a server drains. It returns zero if the
+// node need not know.
+func (n *node) drainingKnownSince(s *server) time.Time {
 	drainingSince := s.drainingSince()
 	if drainingSince.IsZero() {
 		return time.Time{}
@@ -199,7 +202,7 @@
 		return known
 	}
 	due := latest(drainingSince, reachableSince, n.startedAt, n.reloadedAt.Add(configurationTime))
-	if !n.harness.deployment.pushed { // a list that is pushed to the agent counts as known at once
+	if !n.harness.deployment.pushed { // a list pushed to the agent counts as known at once
 		due = due.Add(drainNoticeTime)
 	}
 	if known.IsZero() || due.Before(known) {
@@ -208,7 +211,7 @@
 	return known
 }
 
-// latest returns the latest of some times.
+// latest returns the latest of the given times.
 func latest(times ...time.Time) time.Time {
 	var last time.Time
 	for _, at := range times {
@@ -219,8 +222,9 @@
 	return last
 }
 
-// knowsStart reports whether the process that a request went to was notified of a server's start.
-func (n *node) knowsStart(s *server, started time.Time, incarnation int) bool {
+// wasNotifiedOfStart reports whether the process with the given incarnation is the current one and was notified of a
+// server's start.
+func (n *node) wasNotifiedOfStart(s *server, started time.Time, incarnation int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if incarnation != n.incarnation {
@@ -246,7 +250,7 @@
 	return false
 }
 
-// connectionsBroken reports whether the harness breaks connections under the node, or did lately.
+// connectionsBroken reports whether the harness breaks connections of the node, or did so within brokenGrace.
 func (n *node) connectionsBroken() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -21,19 +21,19 @@
 	readyTimeout = 10 * time.Second
 	readySlack   = 2 * time.Second
 	maxLogLine   = 1 << 20
-	lastLogLines = 6 // that are reported when a process crashes
+	lastLogLines = 6 // reported when a process crashes
 )
 
-// process is one process of a node. Its fields but the first two are guarded by the node's mutex.
+// process is one process of a node. The node's mutex guards all fields except cmd and gone.
 type process struct {
-	cmd      *exec.Cmd
-	gone     chan struct{} // closed when it has ended
-	expected bool          // it is to end
-	admin    string        // address of its admin endpoint; one that starts again has another one
-	lastLog  []string
+	cmd         *exec.Cmd
+	gone        chan struct{} // closed when the process has ended
+	endExpected bool          // the harness is ending the process
+	admin       string        // address of the admin endpoint; each process has a different one
+	lastLog     []string
 }
 
-// logLine is what the harness needs of a line of a node's log.
+// logLine holds the fields that the harness needs from a line of a node's log.
 type logLine struct {
 	Event    string `json:"event"`
 	Protocol string `json:"protocol"`
@@ -43,14 +43,14 @@
 	Host     string `json:"host"`
 }
 
-// signal sends a signal. A process that has ended meanwhile needs none; follow reports an end that was not expected.
+// signal sends a signal. It ignores the error, which occurs if the process has ended; follow reports an unexpected end.
 func (p *process) signal(signal os.Signal) { _ = p.cmd.Process.Signal(signal) }
 
-// kill kills the process; as signal.
+// kill kills the process. It ignores errors for the same reason as signal.
 func (p *process) kill() { _ = p.cmd.Process.Kill() }
 
-// start starts a process of the node.
-func (n *node) start() (*process, error) {
+// startProcess starts a process of the node and follows its log. The node keeps its current process.
+func (n *node) startProcess() (*process, error) {
 	temporary := filepath.Join(n.dir, "tmp")
 	if err := os.MkdirAll(temporary, 0o700); err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 		"GOMAXPROCS=1",
 		"TMPDIR=" + temporary,
 	}, n.control.Environment(n.harness.library)...)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with the harness
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process ends with the harness
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		return nil, err
@@ -80,32 +80,33 @@
 	return p, nil
 }
 
-// follow reads a process's log to its end, writes it to a file, and waits for the process.
+// follow copies a process's log to a file until the log ends, and then waits for the process to end. It reports an end
+// that was not expected.
 func (n *node) follow(followed *process, log io.Reader, file io.WriteCloser) {
 	defer closeQuietly(file)
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
 		n.readLogLine(followed, scanner.Bytes())
-		_, _ = fmt.Fprintf(file, "%s\n", scanner.Text()) // the file is for people; no check needs it
+		_, _ = fmt.Fprintf(file, "%s\n", scanner.Text()) // ignored: no check needs the file, which is for people
 	}
 	err := followed.cmd.Wait()
 	n.mu.Lock()
-	expected := followed.expected
+	expected := followed.endExpected
 	last := strings.Join(followed.lastLog, " | ")
 	n.mu.Unlock()
 	if !expected && !n.harness.over() {
-		n.harness.checker.violated(Crash, "%s: a process ended by itself (%v): %s", n.name, err, last)
+		n.harness.checker.violated(Crash, "%s: a process ended unexpectedly (%v): %s", n.name, err, last)
 	}
 	close(followed.gone)
 }
 
-// readLogLine takes what the harness needs from a line of the log.
+// readLogLine handles the log events that the harness needs.
 func (n *node) readLogLine(followed *process, raw []byte) {
 	n.keepLogLine(followed, raw)
 	var line logLine
 	if json.Unmarshal(raw, &line) != nil {
-		return // a line of the runtime, as of a panic
+		return // a line of the Go runtime, such as a line of a panic
 	}
 	switch line.Event {
 	case "listening":
@@ -115,15 +116,15 @@
 			n.mu.Unlock()
 		}
 	case "invariant_broken":
-		n.harness.checker.violated(Guard, "%s: %s for %s at %s", n.name, line.Rule, line.Request, line.Host)
+		n.harness.checker.violated(InvariantMonitor, "%s: %s for %s at %s", n.name, line.Rule, line.Request, line.Host)
 	case "deadline_unanswered", "send_without_request":
-		n.harness.checker.violated(Guard, "%s: %s for %s", n.name, line.Event, line.Request)
+		n.harness.checker.violated(InvariantMonitor, "%s: %s for %s", n.name, line.Event, line.Request)
 	case "configuration_reloaded":
 		n.harness.checker.count("configurations taken")
 	}
 }
 
-// keepLogLine keeps the last lines above level debug.
+// keepLogLine keeps the last log lines above level debug.
 func (n *node) keepLogLine(p *process, raw []byte) {
 	if bytes.Contains(raw, []byte(`"level":"debug"`)) {
 		return
@@ -134,14 +135,15 @@
 	p.lastLog = p.lastLog[max(0, len(p.lastLog)-lastLogLines):]
 }
 
-// expectEnd notes that a process is to end.
+// expectEnd marks a process that the harness is about to end.
 func (n *node) expectEnd(p *process) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p.expected = true
+	p.endExpected = true
 }
 
-// awaitPong waits until the node answers PING, and has the front send it clients.
+// awaitPong waits until the node answers PING, and then admits it. It records a violation if the node does not answer
+// in time.
 func (n *node) awaitPong(p *process) {
 	for end := time.Now().Add(readyTimeout + readySlack); time.Now().Before(end); time.Sleep(pollInterval) {
 		select {
@@ -159,11 +161,12 @@
 	}
 }
 
-// admit has the front send clients to the node, if the process is still its own.
+// admit makes the front end send clients to the node, if the process is still the node's current one and is not about
+// to end.
 func (n *node) admit(p *process) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.process == p && !p.expected {
+	if n.process == p && !p.endExpected {
 		n.admitted = true
 	}
 }
@@ -185,7 +188,8 @@
 	return err == nil && line == linePong
 }
 
-// awaitReady waits until a process reports at its admin endpoint that it is ready.
+// awaitReady waits until a process reports at its admin endpoint that it is ready. It returns false if that does not
+// happen in time.
 func (n *node) awaitReady(p *process) bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(readyTimeout + readySlack); time.Now().Before(end); time.Sleep(pollInterval) {
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -12,17 +12,17 @@
 
 const (
 	proxyBuffer      = 4096
-	readPollTimeout  = 500 * time.Millisecond // after which a stream's impairment is looked up again
+	readPollTimeout  = 500 * time.Millisecond // after which a stream reads its impairment again
 	maxFragment      = 12                     // bytes
 	fragmentInterval = time.Millisecond
 )
 
-// impairment is what a proxy does to the streams that pass it.
+// impairment is how a proxy disturbs the streams that it forwards.
 type impairment struct {
-	fragment    bool          // bytes are passed on in small pieces
-	maxDelay    time.Duration // of each read
-	resetRate   float64       // part of the reads after which both sides are reset
-	idleTimeout time.Duration // after which a stream is reset; 0: never
+	fragment    bool          // the proxy forwards bytes in small pieces
+	maxDelay    time.Duration // after each read
+	resetRate   float64       // fraction of the reads after which the proxy resets both sides
+	idleTimeout time.Duration // after which the proxy resets an idle stream; 0: never
 }
 
 // proxy is a TCP proxy in front of a server.
@@ -33,10 +33,10 @@
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	resetFrom map[string]bool // by the address that the server sees: streams that the proxy has reset
+	resetFrom map[string]bool // streams that the proxy has reset, by the address that the server sees
 }
 
-// newProxy starts a proxy to an address.
+// newProxy starts a proxy that forwards to an address.
 func newProxy(target string, seed uint64) (*proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,7 +53,7 @@
 	return p, nil
 }
 
-// accept serves connections until the listener is closed.
+// accept accepts connections and forwards them until the listener is closed.
 func (p *proxy) accept() {
 	for {
 		conn, err := p.listener.Accept()
@@ -71,7 +71,7 @@
 	return p.resetFrom[from]
 }
 
-// draw draws a number from 0 to 1.
+// draw returns a random number from 0 to 1.
 func (p *proxy) draw() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +100,7 @@
 	closeQuietly(server)
 }
 
-// copy copies one direction, impaired as the proxy is at each read.
+// copy copies one direction of a stream. It applies the proxy's current impairment at each read.
 func (p *proxy) copy(target, source net.Conn, resetBoth func()) {
 	buffer := make([]byte, proxyBuffer)
 	for {
@@ -122,7 +122,7 @@
 			time.Sleep(time.Duration(p.draw() * float64(impaired.maxDelay)))
 		}
 		if count > 0 && impaired.resetRate > 0 && p.draw() < impaired.resetRate {
-			_, _ = target.Write(buffer[:int(p.draw()*float64(count))]) // the connection is reset next
+			_, _ = target.Write(buffer[:int(p.draw()*float64(count))]) // error ignored: a reset follows
 			resetBoth()
 			return
 		}
@@ -131,23 +131,23 @@
 			return
 		}
 		if err != nil {
-			endCopy(target, err)
+			propagateEnd(target, err)
 			return
 		}
 	}
 }
 
-// endCopy passes the end of a direction on to its target.
-func endCopy(target net.Conn, err error) {
+// propagateEnd ends the target side: with a FIN after the end of the data, with a reset after any other error.
+func propagateEnd(target net.Conn, err error) {
 	half, ok := target.(interface{ CloseWrite() error })
 	if !ok || !errors.Is(err, io.EOF) {
 		reset(target)
 		return
 	}
-	_ = half.CloseWrite() // it fails where the target has ended as well
+	_ = half.CloseWrite() // fails only if the target has ended as well
 }
 
-// write writes bytes, in small pieces if so said, and reports whether all were written.
+// write writes bytes, in small pieces if fragment is set, and reports whether it wrote all of them.
 func (p *proxy) write(target net.Conn, data []byte, fragment bool) bool {
 	for len(data) > 0 {
 		size := len(data)
--- a/internal/lab/soak/restart.go
+++ b/internal/lab/soak/restart.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	killDelay      = maxDeadline + 700*time.Millisecond // after SIGTERM
-	noticeDelay    = 300 * time.Millisecond             // until the front learns of a planned stop
-	restartDelay   = 300 * time.Millisecond             // after a kill
+	killDelay      = maxDeadline + 700*time.Millisecond // from SIGTERM to SIGKILL
+	noticeDelay    = 300 * time.Millisecond             // until the front end learns of a planned stop
+	restartDelay   = 300 * time.Millisecond             // from a kill until the next process starts
 	upgradeTimeout = 14 * time.Second                   // until the replaced process has ended
-	pauseTime      = 140 * time.Millisecond
-	runTime        = 200 * time.Millisecond // between two pauses
+	pauseLength    = 140 * time.Millisecond
+	runInterval    = 200 * time.Millisecond // between two pauses
 )
 
-// begin starts a new process as the node's, and has the front send clients once it answers.
-func (n *node) begin() error {
-	started, err := n.start()
+// startCurrentProcess starts a new process and makes it the node's current one. The front end sends clients to it once
+// it answers PING.
+func (n *node) startCurrentProcess() error {
+	started, err := n.startProcess()
 	if err != nil {
 		return err
 	}
@@ -31,23 +32,23 @@
 	return nil
 }
 
-// beginAgain starts a new process, unless the run is over.
-func (n *node) beginAgain() {
+// restartProcess starts a new current process, unless the run is over.
+func (n *node) restartProcess() {
 	if n.harness.over() {
 		return
 	}
-	if err := n.begin(); err != nil {
+	if err := n.startCurrentProcess(); err != nil {
 		n.harness.checker.violated(Start, "%s: %v", n.name, err)
 	}
 }
 
-// stop stops the node's process as planned, and starts another one if so said.
-func (n *node) stop(again bool) {
+// stop performs a planned stop of the node's process, and starts a new one if restart is set.
+func (n *node) stop(restart bool) {
 	defer n.release()
 	n.mu.Lock()
 	stopped := n.process
-	stopped.expected = true
-	reloadToo := (n.index+n.incarnation)%3 == 0 // two signals at once
+	stopped.endExpected = true
+	reloadToo := (n.index+n.incarnation)%3 == 0 // two signals at once: SIGHUP and SIGTERM
 	n.mu.Unlock()
 	if reloadToo {
 		n.reload()
@@ -60,23 +61,23 @@
 	n.mu.Unlock()
 	select {
 	case <-stopped.gone:
-		n.harness.checker.violated(Stop, "%s: ended before its time was up", n.name)
+		n.harness.checker.violated(Stop, "%s: the process ended before the time for a planned stop was over", n.name)
 	case <-end:
 	}
 	stopped.kill()
 	<-stopped.gone
 	n.harness.checker.count("planned stops")
-	if again {
-		n.beginAgain()
+	if restart {
+		n.restartProcess()
 	}
 }
 
-// kill kills the node's process, and starts another one a little later.
+// kill kills the node's process, and starts a new one after restartDelay.
 func (n *node) kill() {
 	defer n.release()
 	n.mu.Lock()
 	killed := n.process
-	killed.expected = true
+	killed.endExpected = true
 	n.admitted = false
 	n.killedAt = append(n.killedAt, time.Now())
 	n.mu.Unlock()
@@ -84,23 +85,23 @@
 	<-killed.gone
 	n.harness.checker.count("kills")
 	time.Sleep(restartDelay)
-	n.beginAgain()
+	n.restartProcess()
 }
 
-// pause stops the process for short times, again and again.
+// pause repeatedly suspends the node's process for a short time, until the given time.
 func (n *node) pause(until time.Time) {
 	defer n.release()
 	paused := n.currentProcess()
 	for time.Now().Before(until) {
 		paused.signal(syscall.SIGSTOP)
-		time.Sleep(pauseTime)
+		time.Sleep(pauseLength)
 		paused.signal(syscall.SIGCONT)
-		time.Sleep(runTime)
+		time.Sleep(runInterval)
 	}
 	n.harness.checker.count("holds")
 }
 
-// reload has the node follow discovery at its other address.
+// reload changes the node's configuration to its other discovery address, and makes the process reload it.
 func (n *node) reload() {
 	n.mu.Lock()
 	n.discoveryAddr = (n.discoveryAddr + 1) % discoveryAddresses
@@ -109,17 +110,17 @@
 	err := n.writeConfiguration()
 	n.mu.Unlock()
 	if err != nil {
-		return // the file stays as it was, and so does the node
+		return // the file is unchanged, so the node keeps its configuration
 	}
 	if reloaded.cmd.Process.Signal(syscall.SIGHUP) == nil {
 		n.harness.checker.count("reloads")
 	}
 }
 
-// upgrade starts a second process beside the running one, and stops that one when the second is ready.
+// upgrade starts a second process beside the running one, and stops the first when the second is ready.
 func (n *node) upgrade() {
 	defer n.release()
-	next, err := n.start()
+	next, err := n.startProcess()
 	if err != nil {
 		n.harness.checker.violated(Start, "%s: %v", n.name, err)
 		return
@@ -131,7 +132,7 @@
 	}
 	n.mu.Lock()
 	replaced := n.process
-	replaced.expected = true
+	replaced.endExpected = true
 	n.process = next
 	n.mu.Unlock()
 	replaced.signal(syscall.SIGTERM)
@@ -142,17 +143,18 @@
 				n.name, replaced.cmd.ProcessState)
 		}
 	case <-time.After(upgradeTimeout):
-		n.harness.checker.violated(Stop, "%s: the process that was replaced is still there", n.name)
+		n.harness.checker.violated(Stop, "%s: the process that was replaced is still running", n.name)
 		replaced.kill()
 		<-replaced.gone
 	}
 	n.harness.checker.count("upgrades")
 }
 
-// abandon kills a process that should have replaced the node's. What it had taken over may be lost.
+// abandon kills a process that failed to replace the node's current one. Connections that it had taken over may be
+// lost, so the kill is recorded.
 func (n *node) abandon(next *process) {
 	n.mu.Lock()
-	next.expected = true
+	next.endExpected = true
 	n.killedAt = append(n.killedAt, time.Now())
 	n.mu.Unlock()
 	next.kill()
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -10,33 +10,33 @@
 	"spurwinch/internal/lab/fakeserver"
 )
 
-// serverBehavior is how a server treats new requests. The words are those of the reports.
+// serverBehavior is how a server treats requests, connections and health checks. The values appear in reports.
 type serverBehavior string
 
 const (
-	healthy        serverBehavior = ""
-	hanging        serverBehavior = "hangs"         // reads and answers nothing
-	resetting      serverBehavior = "resets"        // resets what it has read, also amid a line
-	failing        serverBehavior = "errs"          // answers ERR
-	full           serverBehavior = "full"          // answers BUSY
-	slow           serverBehavior = "slow"          // answers late
-	truncating     serverBehavior = "half answer"   // begins its answer and stops
-	closing        serverBehavior = "ends"          // closes without an answer
-	dropping       serverBehavior = "forgets"       // keeps its connections and returns no lines
-	closingChecked serverBehavior = "closes probes" // closes connections of health checks
+	healthy             serverBehavior = ""
+	hanging             serverBehavior = "hangs"         // reads, but answers nothing
+	resetting           serverBehavior = "resets"        // resets the connection after a request or amid its line
+	failing             serverBehavior = "errs"          // answers ERR
+	full                serverBehavior = "full"          // answers BUSY
+	slow                serverBehavior = "slow"          // answers late
+	truncating          serverBehavior = "half answer"   // sends the start of an answer, then nothing
+	closing             serverBehavior = "ends"          // closes the connection without an answer
+	dropping            serverBehavior = "forgets"       // keeps connections open, but returns no lines
+	closingHealthChecks serverBehavior = "closes probes" // closes the connections of health checks
 )
 
 var serverBehaviors = []serverBehavior{
-	hanging, resetting, failing, full, slow, truncating, closing, dropping, closingChecked,
+	hanging, resetting, failing, full, slow, truncating, closing, dropping, closingHealthChecks,
 }
 
-// States of a server, as endpoint lists name them.
+// States of a server, as endpoint lists state them.
 const (
 	stateServing  = "SERVING"
 	stateDraining = "DRAINING"
 )
 
-// server is a fake of a platform's server.
+// server is a fake of a server of the platform.
 type server struct {
 	id, zone    string
 	checker     *Checker
@@ -48,14 +48,14 @@
 	rng         *rand.Rand
 	behavior    serverBehavior
 	state       string
-	changed     time.Time         // of its state
-	started     time.Time         // zero: long ago
-	established int               // connections of clients
-	conns       map[net.Conn]bool // true: a restart has reset it
-	arrivals    []time.Time       // of calls in slow start, from nodes that were notified of the start
+	changed     time.Time         // when the state changed
+	started     time.Time         // when the server last restarted; zero: long ago
+	established int               // open connections of clients
+	conns       map[net.Conn]bool // true: a restart has reset the connection
+	arrivals    []time.Time       // times of calls in slow start, from nodes that were notified of the start
 }
 
-// receiptOf is what a server returns to a request that it serves.
+// receiptOf returns the receipt that a server sends for a request that it serves.
 func receiptOf(id string, s *server) string { return id + "@" + s.id }
 
 // newServer starts a server behind a proxy.
@@ -80,7 +80,7 @@
 	return created, nil
 }
 
-// accept serves connections until the listener is closed.
+// accept accepts connections and serves them until the listener is closed.
 func (s *server) accept() {
 	for {
 		conn, err := s.listener.Accept()
@@ -91,7 +91,7 @@
 	}
 }
 
-// addr is the address that nodes use.
+// addr returns the address that nodes use, which is the one of the proxy.
 func (s *server) addr() string { return s.proxy.listener.Addr().String() }
 
 // current returns the server's behavior and state.
@@ -112,14 +112,14 @@
 	return entry, serverState{s, s.state, s.started}
 }
 
-// behave sets how the server treats new requests.
-func (s *server) behave(behavior serverBehavior) {
+// setBehavior sets how the server behaves from now on.
+func (s *server) setBehavior(behavior serverBehavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behavior = behavior
 }
 
-// restart ends the server's process and begins a new one, which warms up.
+// restart simulates a restart of the server: it resets all connections, and the server warms up.
 func (s *server) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +134,7 @@
 	}
 }
 
-// drain has the server take no new requests.
+// drain makes the server drain. It then rejects new requests.
 func (s *server) drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +142,7 @@
 	s.changed = time.Now()
 }
 
-// drainingSince returns since when the server drains; zero, if it serves.
+// drainingSince returns since when the server drains, or zero if it does not drain.
 func (s *server) drainingSince() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +152,8 @@
 	return s.changed
 }
 
-// capacityLocked is the part of its capacity that the server has at a time.
+// capacityLocked returns the fraction of its full capacity that the server has at the given time. The caller holds
+// s.mu.
 func (s *server) capacityLocked(now time.Time) float64 {
 	age := now.Sub(s.started)
 	if s.started.IsZero() || age >= warmUpTime {
@@ -161,28 +162,28 @@
 	return initialCapacity + (1-initialCapacity)*age.Seconds()/warmUpTime.Seconds()
 }
 
-// draw draws a number from 0 to 1.
+// draw returns a random number from 0 to 1.
 func (s *server) draw() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Float64()
 }
 
-// isFull reports whether the server takes no more connections.
+// isFull reports whether the server has no room for more connections.
 func (s *server) isFull() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.established >= maxConnections
 }
 
-// addEstablished changes the number of clients' connections.
-func (s *server) addEstablished(change int) {
+// changeEstablished adds to the number of open connections of clients.
+func (s *server) changeEstablished(change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.established += change
 }
 
-// loadReport is the server's load report behind a space; empty in a deployment without reports.
+// loadReport returns a space and the server's load report, or nothing in a deployment without load reports.
 func (s *server) loadReport() string {
 	if !s.reportsLoad {
 		return ""
@@ -193,10 +194,11 @@
 	return fmt.Sprintf(" latency_ms=1,util=%.3f,x0=%.3f", min(1, load), load)
 }
 
-// checkSlowStart checks the calls to a server in slow start against the budget of all nodes.
+// checkSlowStart checks that all nodes together keep to the slow start budget of the server. It counts only calls from
+// nodes that were notified of the start.
 func (s *server) checkSlowStart(id string) {
-	parent := s.checker.request(id)
-	if parent == nil {
+	req := s.checker.request(id)
+	if req == nil {
 		return
 	}
 	now := time.Now()
@@ -204,18 +206,18 @@
 	started := s.started
 	capacity := s.capacityLocked(now)
 	s.mu.Unlock()
-	if capacity == 1 || !parent.node.knowsStart(s, started, parent.incarnation) {
+	if capacity == 1 || !req.node.wasNotifiedOfStart(s, started, req.incarnation) {
 		return
 	}
 	s.checker.count("calls at cold hosts")
-	if calls := s.callsInWindow(now); float64(calls) > slowStartBudget(capacity) {
-		s.checker.violated(SlowStart, "%s: %d calls in %v at %.2f of its capacity; %v is the most",
+	if calls := s.recordSlowStartCall(now); float64(calls) > slowStartBudget(capacity) {
+		s.checker.violated(SlowStart, "%s: %d calls in %v at %.2f of its capacity; at most %v are allowed",
 			s.id, calls, slowStartWindow, capacity, slowStartBudget(capacity))
 	}
 }
 
-// callsInWindow counts one more call in slow start, and returns those of the window.
-func (s *server) callsInWindow(now time.Time) int {
+// recordSlowStartCall records a call in slow start, and returns the number of such calls within slowStartWindow.
+func (s *server) recordSlowStartCall(now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrivals = append(s.arrivals, now)
--- a/internal/lab/soak/server_conn.go
+++ b/internal/lab/soak/server_conn.go
@@ -10,25 +10,25 @@
 
 const (
 	serverReadBuffer = 8192
-	earlyResetRate   = 0.3 // of the connections to a resetting server: before the line was read
+	earlyResetRate   = 0.3 // fraction of the connections that a resetting server resets before it reads the line
 	maxAnswerDelay   = 1500 * time.Millisecond
 )
 
-// track remembers a connection, so that a restart resets it.
+// track records an open connection, so that a restart resets it.
 func (s *server) track(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[conn] = false
 }
 
-// forget ends what track began.
-func (s *server) forget(conn net.Conn) {
+// untrack removes a connection that track recorded.
+func (s *server) untrack(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
 }
 
-// wasReset reports whether the harness has ended a connection: by a restart, or at the proxy.
+// wasReset reports whether the harness has reset a connection, by a restart or at the proxy.
 func (s *server) wasReset(conn net.Conn) bool {
 	s.mu.Lock()
 	restarted := s.conns[conn]
@@ -36,11 +36,11 @@
 	return restarted || s.proxy.hasReset(conn.RemoteAddr().String())
 }
 
-// serve serves one connection of a node.
+// serve serves one connection from a node.
 func (s *server) serve(conn net.Conn) {
 	s.track(conn)
 	defer func() {
-		s.forget(conn)
+		s.untrack(conn)
 		closeQuietly(conn)
 	}()
 	reader := bufio.NewReaderSize(conn, serverReadBuffer)
@@ -68,12 +68,13 @@
 	}
 }
 
-// reply writes to a node. One that has gone needs no answer; where it should not have, its next read shows it.
+// reply writes to a node. It ignores errors: a node that ended the connection needs no answer, and if the node should
+// not have ended it, the next read on the connection shows that.
 func (s *server) reply(conn net.Conn, format string, args ...any) {
 	_, _ = fmt.Fprintf(conn, format, args...)
 }
 
-// serveRequest answers a request, and serves its connection to the end.
+// serveRequest answers a request according to the server's behavior, and serves its connection until the end.
 func (s *server) serveRequest(conn net.Conn, reader *bufio.Reader, id string, received *attempt) {
 	s.checker.attemptReceived(id, received)
 	defer func() {
@@ -111,7 +112,7 @@
 	}
 }
 
-// delayAnswer waits a while before the answer, and reports whether the node is still there.
+// delayAnswer waits for a random time, and reports whether the node has kept the connection open.
 func (s *server) delayAnswer(conn net.Conn, reader *bufio.Reader) bool {
 	setReadDeadline(conn, time.Now().Add(time.Duration(s.draw()*float64(maxAnswerDelay))))
 	defer setReadDeadline(conn, time.Time{})
@@ -128,10 +129,10 @@
 	}
 }
 
-// echo serves a connection that is open: each line is returned.
+// echo accepts a request with a receipt, and then returns each line of the open connection.
 func (s *server) echo(conn net.Conn, reader *bufio.Reader, id string, served *attempt) {
-	s.addEstablished(1)
-	defer s.addEstablished(-1)
+	s.changeEstablished(1)
+	defer s.changeEstablished(-1)
 	s.checker.attemptEnded(served, replyUp, false)
 	if _, err := fmt.Fprintf(conn, "%s %s\r\n", replyUp, receiptOf(id, s)); err != nil {
 		return
@@ -142,7 +143,7 @@
 			return
 		}
 		if behavior, _ := s.current(); behavior == dropping {
-			s.checker.attemptDisrupted(served) // from here on its client may be migrated
+			s.checker.attemptDisrupted(served) // from now on the node may migrate the client
 			continue
 		}
 		if _, err := fmt.Fprint(conn, line); err != nil {
@@ -151,7 +152,7 @@
 	}
 }
 
-// serveHealthChecks answers PING and STATS.
+// serveHealthChecks answers PING and STATS until the connection ends.
 func (s *server) serveHealthChecks(conn net.Conn, reader *bufio.Reader) {
 	for {
 		behavior, _ := s.current()
@@ -159,7 +160,7 @@
 			drainReader(reader)
 			return
 		}
-		if _, err := fmt.Fprintf(conn, "PONG%s\r\n", s.loadReport()); err != nil || behavior == closingChecked {
+		if _, err := fmt.Fprintf(conn, "PONG%s\r\n", s.loadReport()); err != nil || behavior == closingHealthChecks {
 			return
 		}
 		if _, err := reader.ReadString('\n'); err != nil {
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// idempotency says whether a request of a class may be repeated. The words are those of the settings.
+// idempotency is whether a node may repeat a request of a class. The values appear in the settings.
 type idempotency string
 
 const (
@@ -14,14 +14,14 @@
 	notIdempotent   idempotency = "unsafe"
 )
 
-// class is a class of the clients.
+// class is a class of client requests.
 type class struct {
 	name              string
 	idempotency       idempotency
-	scope             string // in which repeats of one key are recognized
+	scope             string // where servers recognize repeats of one key
 	deadline          time.Duration
-	idempotencyWindow time.Duration // in which they are
-	fraction          float64       // of the requests
+	idempotencyWindow time.Duration // how long servers recognize repeats of one key
+	fraction          float64       // of all requests
 }
 
 var classes = []class{
@@ -34,28 +34,28 @@
 }
 
 const (
-	maxDeadline         = 3 * time.Second
-	drainGrace          = 3 * time.Second
-	initialCapacity     = 0.15 // part of its capacity that a server has at its start
-	warmUpTime          = 10 * time.Second
-	slowStartMultiple   = 4
-	slowStartWindow     = 2 * time.Second
-	serverCapacity      = 20                          // connections
-	maxConnections      = serverCapacity * 6 / 5      // of a server; it is full then
-	costOfFirstRequests = 1 / float64(serverCapacity) // of one, as the settings' quotas say
-	maxAttempts         = 4
-	messageObjective    = 0.15 // s
-	setupObjective      = 0.5  // s
+	maxDeadline       = 3 * time.Second
+	drainGrace        = 3 * time.Second
+	initialCapacity   = 0.15 // fraction of its capacity that a server has right after its start
+	warmUpTime        = 10 * time.Second
+	slowStartMultiple = 4
+	slowStartWindow   = 2 * time.Second
+	serverCapacity    = 20                          // connections
+	maxConnections    = serverCapacity * 6 / 5      // a server with this many connections is full
+	firstRequestCost  = 1 / float64(serverCapacity) // cost of one request in the settings' quotas
+	maxAttempts       = 4
+	messageObjective  = 0.15 // s
+	setupObjective    = 0.5  // s
 )
 
-// deployment is what differs from one deployment to another.
+// deployment holds the properties in which the deployments of different runs differ.
 type deployment struct {
 	reports string // on_probe, inline or off
-	pushed  bool   // endpoint lists are pushed to an agent beside each node
-	peers   bool   // nodes may gossip
+	pushed  bool   // endpoint lists are pushed to an agent beside each node, not requested
+	peers   bool   // nodes may exchange observations by gossip
 }
 
-// drawDeployment returns the deployment of a seed; neighboring seeds have different ones.
+// drawDeployment returns the deployment of a seed. Neighboring seeds have different deployments.
 func drawDeployment(seed uint64) deployment {
 	return deployment{
 		reports: []string{"on_probe", "on_probe", "inline", "off"}[seed%4],
@@ -64,7 +64,7 @@
 	}
 }
 
-// membershipMode is the settings' word for how endpoint lists come.
+// membershipMode returns the value of the settings for how a node gets its endpoint lists.
 func (d deployment) membershipMode() string {
 	if d.pushed {
 		return "pushed"
@@ -72,7 +72,7 @@
 	return "on_request"
 }
 
-// settings are the settings that the platform gives a node.
+// settings returns the settings that the platform gives a node.
 func (d deployment) settings(nodes, index, servers int, zone string) json.RawMessage {
 	type object = map[string]any
 	profiles := []object{}
@@ -108,7 +108,7 @@
 		},
 	})
 	if err != nil {
-		panic(err) // numbers and names only
+		panic(err) // can't happen: the settings consist of numbers and names only
 	}
 	return raw
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak plays many processes of the program on loopback while rare events coincide: signals, failing system
-// calls, a stepped clock, and servers, clients and a discovery service that misbehave. A checker holds what clients and
-// servers saw to the promises of a node (docs/promises.md). docs/soak.md has the design.
+// Package soak runs many processes of the program on loopback while it injects faults that overlap: signals, failing
+// system calls, clock steps, and servers, clients and a discovery service that misbehave. A checker compares what
+// clients and servers saw with the promises of a node (docs/promises.md). docs/soak.md describes the design.
 package soak
 
 import (
@@ -18,44 +18,45 @@
 	"spurwinch/internal/lab/shim"
 )
 
-// Options say what a run plays.
+// Options configure a run.
 type Options struct {
 	Program   string // the spurwinch program
 	Dir       string // for configurations, files and logs
 	Seed      uint64
 	Nodes     int           // 2 to MaxNodes
-	FaultTime time.Duration // over which faults are drawn
-	Rate      float64       // requests a second to the whole fleet; 0: by the capacity of the servers
-	Only      []string      // kinds of faults that may be drawn; none: all
+	FaultTime time.Duration // how long the run injects faults
+	Rate      float64       // requests per second to the whole fleet; 0: derived from the servers' capacity
+	Only      []string      // kinds of faults that the run may inject; empty: all
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64         `json:"seed"`
 	Nodes      int            `json:"nodes"`
 	Judged     bool           `json:"judged"`
-	Why        string         `json:"why,omitempty"` // it is not judged
+	Why        string         `json:"why,omitempty"` // why the run is not judged
 	Violations []Violation    `json:"violations"`
-	Faults     []string       `json:"troubles"` // the faults that were injected, with their times
-	Seen       map[string]int `json:"seen"`     // what happened, and how often
+	Faults     []string       `json:"troubles"` // the deployment, and the injected faults with their times
+	Seen       map[string]int `json:"seen"`     // how often each event happened
 }
 
 const (
-	// MaxNodes bounds the processes of one run; an upgrade has two of a node.
+	// MaxNodes is the maximum number of nodes in one run. It bounds the processes of the run: a node has two during an
+	// upgrade.
 	MaxNodes = 100
 
 	serverCount        = 12
 	zoneCount          = 2
-	defaultUtilization = 0.45                   // of the servers
-	maxHarnessDelay    = 400 * time.Millisecond // by which the harness itself may be late, or nothing is judged
+	defaultUtilization = 0.45                   // of the servers' capacity
+	maxHarnessDelay    = 400 * time.Millisecond // if the harness itself is later than this, the run is not judged
 	clockTick          = 20 * time.Millisecond
 	pollInterval       = 20 * time.Millisecond
 	timeBeforeFaults   = 1500 * time.Millisecond
 	timeAfterFaults    = 4500 * time.Millisecond
-	startTimeout       = 30 * time.Second // of all nodes
+	startTimeout       = 30 * time.Second // until all nodes are ready
 )
 
-// Streams of the random generators of one seed.
+// Stream numbers that keep the random generators of one seed independent.
 const (
 	arrivalStream = 1
 	faultStream   = 2
@@ -64,7 +65,7 @@
 	serverStream  = 22
 )
 
-// ErrNodeCount is wrapped by the error of Run for a number of nodes that can't be played.
+// ErrNodeCount is the error, wrapped by Run, for a number of nodes that is out of range.
 var ErrNodeCount = errors.New("number of nodes out of range")
 
 // harness is one run. It owns the nodes, the servers and the discovery service.
@@ -72,23 +73,23 @@
 	options    Options
 	deployment deployment
 	checker    *Checker
-	library    string // of the shim
+	library    string // path of the shim library
 	servers    []*server
 	nodes      []*node
 	discovery  *discovery
-	faults     []string // injected so far; of the run's own goroutine
+	faults     []string // for the report; only the goroutine of Run uses it
 
-	done       chan struct{} // closed at the end
+	done       chan struct{} // closed when the run ends
 	ended      atomic.Bool
 	background sync.WaitGroup
-	extraLoad  atomic.Int64 // added to the usual rate, a multiple of it
-	worstDelay atomic.Int64 // of the harness, ns
+	extraLoad  atomic.Int64 // extra load as a multiple of the usual rate
+	worstDelay atomic.Int64 // longest delay of the harness itself, ns
 }
 
 // over reports whether the run has ended.
 func (h *harness) over() bool { return h.ended.Load() }
 
-// rate is the number of requests a second at this time.
+// rate returns the current number of requests per second.
 func (h *harness) rate() float64 {
 	rate := h.options.Rate
 	if rate == 0 {
@@ -97,10 +98,10 @@
 	return rate * float64(1+h.extraLoad.Load())
 }
 
-// Run plays one seed. All that was started has ended when it returns.
+// Run runs the nodes, clients and faults of one seed. When it returns, everything that it started has ended.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if options.Nodes < 2 || options.Nodes > MaxNodes {
-		return Report{}, fmt.Errorf("%w: %d; 2 to %d are played", ErrNodeCount, options.Nodes, MaxNodes)
+		return Report{}, fmt.Errorf("%w: got %d, must be between 2 and %d", ErrNodeCount, options.Nodes, MaxNodes)
 	}
 	run := &harness{
 		options:    options,
@@ -145,17 +146,17 @@
 		if err := n.writeConfiguration(); err != nil {
 			return err
 		}
-		if err := n.begin(); err != nil {
+		if err := n.startCurrentProcess(); err != nil {
 			return err
 		}
 	}
 	return h.awaitNodes()
 }
 
-// zoneOf is the zone of a node or server with an index.
+// zoneOf returns the zone of the node or server with an index.
 func zoneOf(index int) string { return fmt.Sprintf("z%d", index%zoneCount) }
 
-// addNode makes a node with its addresses and its directory.
+// addNode creates a node with its directory, its addresses and its control of the shim.
 func (h *harness) addNode(index int) error {
 	added := newNode(h, index)
 	if err := os.MkdirAll(added.dir, 0o700); err != nil {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// awaitNodes waits until all nodes take clients.
+// awaitNodes waits until all nodes are ready for clients.
 func (h *harness) awaitNodes() error {
 	for end := time.Now().Add(startTimeout); ; time.Sleep(pollInterval) {
 		ready := len(h.admittedNodes())
@@ -197,7 +198,7 @@
 	}
 }
 
-// admittedNodes are the nodes that the front sends clients to.
+// admittedNodes returns the nodes that the front end sends clients to.
 func (h *harness) admittedNodes() []*node {
 	var admitted []*node
 	for _, n := range h.nodes {
@@ -208,8 +209,8 @@
 	return admitted
 }
 
-// play brings clients and faults, ends all faults, and stops half of the nodes as planned; the other half serves the
-// clients that are migrated.
+// play starts the clients, injects faults, ends all faults, and then performs a planned stop of half of the nodes. The
+// other half serves the clients that migrate.
 func (h *harness) play(ctx context.Context) {
 	go h.watchClock()
 	h.inBackground(func() { h.runArrivals(rand.New(rand.NewPCG(h.options.Seed, arrivalStream))) })
@@ -228,10 +229,10 @@
 	stops.Wait()
 }
 
-// inBackground runs a function in a goroutine that the run waits for.
+// inBackground runs a function in a goroutine. The run waits for the goroutine before it ends.
 func (h *harness) inBackground(run func()) { h.background.Go(run) }
 
-// pause waits for a time, or until the context ends.
+// pause waits for the given time, or until the context ends.
 func (h *harness) pause(ctx context.Context, length time.Duration) {
 	select {
 	case <-time.After(length):
@@ -239,7 +240,7 @@
 	}
 }
 
-// watchClock measures how late the harness itself is: a delay that it sees then may be its own.
+// watchClock measures how late the harness itself is. While it is late, a delay that it sees may be its own.
 func (h *harness) watchClock() {
 	for last := time.Now(); !h.over(); {
 		time.Sleep(clockTick)
@@ -249,7 +250,7 @@
 	}
 }
 
-// close ends all that the run has started.
+// close ends the run and releases everything that the run started.
 func (h *harness) close() {
 	h.checker.close()
 	h.ended.Store(true)
@@ -271,11 +272,11 @@
 	}
 	h.countFailedCalls()
 	for _, n := range h.nodes {
-		_ = n.control.Close() // unmaps memory that nobody needs any more
+		_ = n.control.Close() // unmaps memory that is no longer used
 	}
 }
 
-// countFailedCalls counts the system calls that the shim had fail.
+// countFailedCalls counts the system calls that the shim made fail.
 func (h *harness) countFailedCalls() {
 	for _, n := range h.nodes {
 		for kind := range shim.KindCount {
@@ -286,7 +287,7 @@
 	}
 }
 
-// report is the outcome of the run.
+// report returns the result of the run.
 func (h *harness) report() Report {
 	report := Report{
 		Seed:       h.options.Seed,
@@ -298,10 +299,10 @@
 	}
 	if delay := time.Duration(h.worstDelay.Load()); delay > maxHarnessDelay {
 		report.Judged = false
-		report.Why = fmt.Sprintf("the laboratory's own clock was %v late", delay.Round(time.Millisecond))
+		report.Why = fmt.Sprintf("the harness itself was %v late", delay.Round(time.Millisecond))
 	}
 	if report.Seen["answer UP"] == 0 || report.Seen["attempts"] == 0 {
-		report.Violations = append(report.Violations, Violation{0, Exercise, "no request was served"})
+		report.Violations = append(report.Violations, Violation{0, RunExercised, "no request was served"})
 	}
 	return report
 }
