--- a/internal/lab/fakeserver/fleet.go
+++ b/internal/lab/fakeserver/fleet.go
@@ -1,7 +1,7 @@
-// Package fakeserver plays the parties around a node on loopback sockets, as a fleet's description has them: servers
-// that speak the platform's protocol, the endpoint list, the session store. Unlike the model of package planner it has
-// no fluids and averages: each server works through single jobs on its cores, and answers a line when the line's job
-// would be done.
+// Package fakeserver simulates the environment of a node on loopback sockets, as a fleet description specifies it:
+// servers that speak the platform's protocol, the endpoint lists and the session store. Package planner models load by
+// fluids and averages; here each server works through individual jobs on its cores, and answers a line when the job of
+// that line would be done.
 package fakeserver
 
 import (
@@ -15,7 +15,7 @@
 	"spurwinch/internal/plan/fleet"
 )
 
-// listHeaderTimeout bounds how long a request to the endpoint list may take to arrive.
+// listHeaderTimeout limits how long the endpoint list waits for the header of a request.
 const listHeaderTimeout = 5 * time.Second
 
 // States of a server in the endpoint list.
@@ -26,7 +26,7 @@
 
 // Stats counts what happened to the servers.
 type Stats struct {
-	Sheds      int // connections
+	Sheds      int // connections that servers have shed
 	Overloaded int // servers that failed in slow start
 }
 
@@ -38,15 +38,15 @@
 
 	seed  uint64
 	store *sessionStore
-	lists []*http.Server // by zone
-	addrs []string       // of the lists
+	lists []*http.Server // serve the endpoint lists; by zone
+	addrs []string       // of the endpoint lists; by zone
 	stop  chan struct{}
 
 	mu      sync.Mutex // guards the fields below
 	stats   Stats
 	version int64             // of the endpoint list
 	states  map[string]string // by server ID
-	changed chan struct{}     // closed at each change
+	changed chan struct{}     // closed and replaced when the list changes
 }
 
 // New starts the servers and endpoint lists of a fleet on free loopback ports.
@@ -103,7 +103,7 @@
 	list := &http.Server{Handler: http.HandlerFunc(handler), ReadHeaderTimeout: listHeaderTimeout}
 	f.lists = append(f.lists, list)
 	f.addrs = append(f.addrs, listener.Addr().String())
-	go func() { _ = list.Serve(listener) }() // it ends with an error when the fleet is closed
+	go func() { _ = list.Serve(listener) }() // returns an error when the fleet is closed
 	return nil
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-// Discovery returns the address of the endpoint list for nodes of a zone.
+// Discovery returns the address where the nodes of a zone request their endpoint list.
 func (f *Fleet) Discovery(zone int) string { return f.addrs[zone] }
 
 func (f *Fleet) updateStats(update func(*Stats)) {
@@ -132,14 +132,14 @@
 	update(&f.stats)
 }
 
-// Stats returns what was counted so far.
+// Stats returns the counts so far.
 func (f *Fleet) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stats
 }
 
-// removeFromList takes a server that died from the endpoint list, when discovery has noticed.
+// removeFromList removes a killed server from the endpoint list after the discovery delay.
 func (f *Fleet) removeFromList(server *Server) {
 	time.AfterFunc(time.Duration(f.Description.Discovery.Delay), func() {
 		f.mu.Lock()
@@ -151,7 +151,7 @@
 	})
 }
 
-// Entries returns the endpoint list for the nodes of a zone, in discovery's form.
+// Entries returns the endpoint list for the nodes of a zone, in the format of the discovery API.
 func (f *Fleet) Entries(zone int) json.RawMessage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -185,11 +185,11 @@
 	ServeList(w, r, version, changed, f.stop, func() json.RawMessage { return f.Entries(zone) })
 }
 
-// Close ends all servers and lists.
+// Close stops all servers and endpoint lists.
 func (f *Fleet) Close() {
 	close(f.stop)
 	for _, list := range f.lists {
-		_ = list.Close() // nobody is to be answered any more
+		_ = list.Close() // pending requests need no answer
 	}
 	for _, server := range f.Servers {
 		server.Kill()
--- a/internal/lab/fakeserver/list.go
+++ b/internal/lab/fakeserver/list.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// maxWatch is the longest time that a watch waits for a change.
+// maxWatch limits how long a watch waits for a change.
 const maxWatch = time.Minute
 
-// ListEntry is one server of an endpoint list, in discovery's form.
+// ListEntry is one server of an endpoint list, in the format of the discovery API.
 type ListEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -19,10 +19,10 @@
 	Cell    int     `json:"cell"`
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"` // Unix time; 0: long ago
+	Started int64   `json:"started_ms"` // Unix time; 0: started long ago
 }
 
-// EncodeList returns a full endpoint list in discovery's form.
+// EncodeList returns a full endpoint list in the format of the discovery API.
 func EncodeList(version int64, servers []ListEntry) json.RawMessage {
 	if servers == nil {
 		servers = []ListEntry{} // an empty list, not null
@@ -33,14 +33,14 @@
 		Version int64       `json:"version"`
 	}{true, servers, version})
 	if err != nil {
-		panic(err) // names and numbers only
+		panic(err) // can't happen: the list holds only names and numbers
 	}
 	return raw
 }
 
-// ServeList answers a request for an endpoint list: at once or, as a watch, when there is a newer version than the
-// request names. encode returns the list as it is then; changed is closed at the next change, stop when nobody is to be
-// answered any more.
+// ServeList answers a request for an endpoint list, either immediately or, if the request is a watch, when a newer
+// version than the requested one exists or the watch times out. encode returns the current list. The caller closes
+// changed at the next change, and stop when pending requests are to be dropped without an answer.
 func ServeList(
 	w http.ResponseWriter, r *http.Request, version int64, changed, stop <-chan struct{}, encode func() json.RawMessage,
 ) {
@@ -48,15 +48,15 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(encode()) // a node that has gone polls again
+	_, _ = w.Write(encode()) // if the write fails, the node polls again
 }
 
-// awaitNewer waits, for as long as the request says, for a newer version than it names. It reports false where nobody
-// is to be answered any more.
+// awaitNewer waits until a newer version than the requested one exists or the wait time of the request is over. It
+// returns false if the request needs no answer because stop was closed or the node has cancelled the request.
 func awaitNewer(request *http.Request, version int64, changed, stop <-chan struct{}) bool {
 	query := request.URL.Query()
-	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)          // what is no number counts as 0
-	milliseconds, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64) // likewise
+	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)          // an invalid number counts as 0
+	milliseconds, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64) // an invalid number counts as 0
 	if !query.Has("after") || after < version {
 		return true
 	}
--- a/internal/lab/fakeserver/protocol.go
+++ b/internal/lab/fakeserver/protocol.go
@@ -16,10 +16,10 @@
 
 const (
 	maxLine    = 4096 // bytes
-	maxAnswers = 256  // lines of one connection that wait for their answer
+	maxAnswers = 256  // lines of one connection that wait for an answer
 )
 
-// Words of the platform's protocol.
+// Keywords of the platform's protocol.
 const (
 	wordOpen        = "OPEN"
 	wordPing        = "PING"
@@ -31,18 +31,18 @@
 	wordSyntax      = "SYNTAX"
 )
 
-// writeLine writes a line. Where that fails, so does the next read, which ends the connection.
+// writeLine writes a line. If the write fails, the next read fails too and ends the connection.
 func writeLine(socket net.Conn, line string) {
 	_, _ = io.WriteString(socket, line+"\r\n")
 }
 
-// readLine reads a line without its end.
+// readLine reads a line and returns it without the line ending.
 func readLine(reader *bufio.Reader) (string, error) {
 	line, err := reader.ReadSlice('\n')
 	return strings.TrimRight(string(line), "\r\n"), err
 }
 
-// openRequest is a request for a connection.
+// openRequest is a node's request to open a connection for a client.
 type openRequest struct {
 	key   uint64 // of the client
 	class int    // index in the fleet's classes; -1: unknown
@@ -60,8 +60,8 @@
 		name, value, _ := strings.Cut(field, "=")
 		fields[name] = value
 	}
-	request.key, _ = strconv.ParseUint(words[2], 16, 64)      // what is no number counts as 0
-	request.group, _ = strconv.ParseUint(fields["g"], 16, 64) // likewise, which is no group
+	request.key, _ = strconv.ParseUint(words[2], 16, 64)      // an invalid number counts as 0
+	request.group, _ = strconv.ParseUint(fields["g"], 16, 64) // 0 means no group
 	request.class = slices.IndexFunc(f.Description.Classes, func(class fleet.Class) bool {
 		return class.Name == fields["c"]
 	})
@@ -74,7 +74,7 @@
 		s.mu.Lock()
 		delete(s.sockets, socket)
 		s.mu.Unlock()
-		_ = socket.Close() // the node has ended it, or gives it up
+		_ = socket.Close() // the node may have closed it already
 	}()
 	reader := bufio.NewReaderSize(socket, maxLine)
 	line, err := readLine(reader)
@@ -94,7 +94,7 @@
 		writeLine(socket, wordError)
 		return
 	}
-	time.Sleep(3 * latency) // both ways of the connection, and that of the line
+	time.Sleep(3 * latency) // the TCP handshake takes two one-way latencies, the line one
 	opened := &connection{socket: socket, group: request.group}
 	if !s.setUp(opened, request, latency) {
 		return
@@ -107,7 +107,7 @@
 	s.echo(socket, reader, latency)
 }
 
-// reserveSetup counts a set-up, unless the server has no capacity for it.
+// reserveSetup counts a pending set-up. It returns false if the server has no capacity for it.
 func (s *Server) reserveSetup() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +118,7 @@
 	return true
 }
 
-// setUp does the work of a new connection and answers UP or BUSY. It reports whether the connection is open.
+// setUp does the set-up work of a new connection and answers UP or BUSY. It reports whether the connection is open.
 func (s *Server) setUp(opened *connection, request openRequest, latency time.Duration) bool {
 	if !s.reserveSetup() {
 		time.Sleep(latency)
@@ -138,7 +138,7 @@
 	opened.process = workload.NewLoadProcess(s.fleet.seed^request.key*3, class, 0)
 	s.addConnection(opened, now)
 	if s.overloads(class, now) {
-		go s.Kill() // it stays down
+		go s.Kill() // a server that fails in slow start is not restarted
 		return false
 	}
 	go func() {
@@ -148,7 +148,8 @@
 	return true
 }
 
-// queueWork queues work, in core seconds, beside that of the connections, and returns when it is done.
+// queueWork queues work, in core seconds, in addition to the work of the connections. It returns the time when the
+// work will be done.
 func (s *Server) queueWork(work float64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,14 +159,14 @@
 	return s.runJob(work, now)
 }
 
-// delayedLine is a line that is returned at a time.
+// delayedLine is a line that the server returns at a given time.
 type delayedLine struct {
 	at   time.Time
 	line string
 }
 
-// echo returns each line when the work that came before it is done. What waits is bounded by the lines that a client
-// sends before it reads.
+// echo returns each line when the work queued before it is done. The number of waiting lines is limited by how many
+// lines a client sends before it reads.
 func (s *Server) echo(socket net.Conn, reader *bufio.Reader, latency time.Duration) {
 	lines := make(chan delayedLine, maxAnswers)
 	written := make(chan struct{})
@@ -184,7 +185,7 @@
 		lines <- delayedLine{at, string(line)}
 	}
 	close(lines)
-	_ = socket.Close() // the client has ended it
+	_ = socket.Close() // the client may have closed it already
 	<-written
 }
 
@@ -197,13 +198,14 @@
 		}
 		time.Sleep(time.Until(line.at))
 		if _, err := io.WriteString(socket, line.line); err != nil {
-			_ = socket.Close() // it ends the reader
+			_ = socket.Close() // ends the reader
 			broken = true
 		}
 	}
 }
 
-// serveHealthChecks answers PING and STATS, of which line is the first. Each costs the work of a health check.
+// serveHealthChecks answers PING and STATS requests, each of which costs the work of a health check. line is the first
+// request.
 func (s *Server) serveHealthChecks(socket net.Conn, reader *bufio.Reader, line string, latency time.Duration) {
 	for {
 		time.Sleep(2 * latency)
--- a/internal/lab/fakeserver/server.go
+++ b/internal/lab/fakeserver/server.go
@@ -11,7 +11,7 @@
 	"spurwinch/internal/plan/workload"
 )
 
-const minSpeedFactor = 0.3 // least speed of a machine, relative to its kind
+const minSpeedFactor = 0.3 // minimum speed of a machine, relative to its kind
 
 // Server is one fake server of the platform's protocol.
 type Server struct {
@@ -21,39 +21,39 @@
 
 	fleet     *Fleet
 	speed     float64        // of a core
-	slowStart bool           // it started with the fleet
+	slowStart bool           // the server started with the fleet and warms up
 	listeners []net.Listener // by zone of the caller
 
 	mu          sync.Mutex // guards the fields below
 	rng         *rand.Rand
-	coreFree    []time.Time // when each core has done the work that it has
-	drawnUntil  time.Time   // jobs of the connections are drawn up to here
+	coreFree    []time.Time // when each core will have finished its queued work
+	drawnUntil  time.Time   // the jobs of the connections have been drawn up to this time
 	load        float64     // of the connections and groups, in reference cores
 	work        float64     // core seconds since the last tick
-	utilization float64     // demand over capacity, mean of the last ticks
+	utilization float64     // demand over capacity, moving average over the last ticks
 	report      string
 	nextReport  time.Time
-	setups      int // pending
+	setups      int // pending set-ups
 	connections map[*connection]struct{}
 	groups      map[uint64]int // connections of each group
-	newLoads    []newLoad      // of the last OverloadTime, in slow start
+	newLoads    []newLoad      // loads that were added in the last OverloadTime of the slow start
 	killed      bool
 	sockets     map[net.Conn]struct{}
 }
 
-// newLoad is the load of a connection that was opened in slow start.
+// newLoad is the load of a connection that was opened during slow start.
 type newLoad struct {
 	at   time.Time
 	load float64
 }
 
-// connection is a client's connection that was set up.
+// connection is an established connection of a client.
 type connection struct {
 	socket     net.Conn
 	group      uint64
 	load       float64 // in reference cores
 	process    workload.LoadProcess
-	nextChange time.Time // of the load; zero: never
+	nextChange time.Time // when the load changes; zero: never
 }
 
 func (f *Fleet) newServer(id string, kind *fleet.MachineKind, zone int, slowStart bool, seed uint64) (*Server, error) {
@@ -71,7 +71,7 @@
 		sockets:     map[net.Conn]struct{}{},
 	}
 	speed := kind.Speed * max(minSpeedFactor, 1+kind.SpeedSpread*server.rng.NormFloat64())
-	server.speed = speed * kind.Cores / float64(len(server.coreFree)) // it makes up for a fraction of a core
+	server.speed = speed * kind.Cores / float64(len(server.coreFree)) // compensates for a rounded fraction of a core
 	server.report = server.newReport()
 	for from := range f.Description.Zones {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,7 +85,8 @@
 	return server, nil
 }
 
-// accept takes connections from nodes of one zone, at a one-way latency.
+// accept accepts connections from the nodes of one zone. latency is the one-way latency between that zone and the
+// server.
 func (s *Server) accept(listener net.Listener, latency time.Duration) {
 	for {
 		socket, err := listener.Accept()
@@ -103,7 +104,7 @@
 	}
 }
 
-// Kill ends the server as a process that dies: its connections are reset, and new ones refused.
+// Kill simulates the death of the server's process: it resets all connections and refuses new ones.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +113,7 @@
 	}
 	s.killed = true
 	for _, listener := range s.listeners {
-		_ = listener.Close() // it fails of a closed one only
+		_ = listener.Close() // fails only if the listener is already closed
 	}
 	for socket := range s.sockets {
 		reset(socket)
@@ -123,12 +124,12 @@
 // reset closes a connection with a reset.
 func reset(socket net.Conn) {
 	if tcp, ok := socket.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // it fails of a closed connection only
+		_ = tcp.SetLinger(0) // fails only if the connection is already closed
 	}
-	_ = socket.Close() // what was not sent is meant to be lost
+	_ = socket.Close() // unsent data is meant to be lost
 }
 
-// newReport returns the load report, in the form of the platform, with noise.
+// newReport returns a load report in the platform's format, with noise added.
 func (s *Server) newReport() string {
 	description := s.fleet.Description
 	noise := func() float64 { return max(minReportNoise, 1+description.LoadReports.Noise*s.rng.NormFloat64()) }
--- a/internal/lab/fakeserver/store.go
+++ b/internal/lab/fakeserver/store.go
@@ -7,15 +7,15 @@
 	"spurwinch/internal/plan/fleet"
 )
 
-// sessionStore is the session store: one queue of calls for all servers.
+// sessionStore simulates the session store. All servers share one queue of calls.
 type sessionStore struct {
 	store fleet.Store
 
 	mu   sync.Mutex
-	free time.Time // when all calls so far are done
+	free time.Time // when all calls so far will be done
 }
 
-// call returns how long a call takes that begins now.
+// call queues a call and returns how long it takes.
 func (s *sessionStore) call(now time.Time) time.Duration {
 	if s.store.Rate <= 0 {
 		return time.Duration(s.store.Latency)
--- a/internal/lab/fakeserver/work.go
+++ b/internal/lab/fakeserver/work.go
@@ -8,16 +8,16 @@
 
 const (
 	tick              = 20 * time.Millisecond // between updates of a server
-	minReportNoise    = 0.1                   // least factor of a report's noise
-	utilizationWeight = 0.085                 // of one tick: the mean is as slow as the planner's over its steps
-	negligibleLoad    = 1e-9                  // of no connection, but for rounding
-	slowStartSlack    = 4                     // connections of mean load beyond the budget of a slow start
+	minReportNoise    = 0.1                   // minimum factor by which noise changes a reported value
+	utilizationWeight = 0.085                 // of one tick; makes the average as slow as the planner's
+	negligibleLoad    = 1e-9                  // up to this, a load is a rounding error
+	slowStartSlack    = 4                     // connections of mean load allowed beyond the budget of a slow start
 )
 
-// seconds returns a duration of a number of seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(n float64) time.Duration { return time.Duration(n * 1e9) }
 
-// warmth returns the fraction of its capacity that the server has.
+// warmth returns the fraction of its full capacity that the server has while it warms up, and 1 afterwards.
 func (s *Server) warmth(now time.Time) float64 {
 	slowStart := &s.fleet.Description.SlowStart
 	age := now.Sub(s.fleet.Start)
@@ -32,7 +32,7 @@
 	return float64(len(s.coreFree)) * s.speed * s.warmth(now)
 }
 
-// firstFreeCore returns the core that is free first.
+// firstFreeCore returns the index of the core that will be free first.
 func (s *Server) firstFreeCore() int {
 	first := 0
 	for core := range s.coreFree {
@@ -43,7 +43,8 @@
 	return first
 }
 
-// runJob queues work, in core seconds, that comes at a time, and returns when it is done. The lock is held.
+// runJob queues work, in core seconds, that arrives at the given time. It returns the time when the work will be done.
+// The caller holds the lock.
 func (s *Server) runJob(work float64, at time.Time) time.Time {
 	core := s.firstFreeCore()
 	begin := s.coreFree[core]
@@ -54,8 +55,8 @@
 	return s.coreFree[core]
 }
 
-// answerTime returns when a message that comes now is answered: behind all work that came before. It is part of the
-// connections' load and adds no work of its own. The lock is held.
+// answerTime returns when a message that arrives now will be answered, which is after all work queued before it. The
+// work of messages is part of the connections' load, so that the message itself adds none. The caller holds the lock.
 func (s *Server) answerTime(now time.Time) time.Time {
 	s.drawJobs(now)
 	begin := s.coreFree[s.firstFreeCore()]
@@ -65,13 +66,13 @@
 	return begin.Add(seconds(s.fleet.Description.General.MessageWork.Seconds() / (s.speed * s.warmth(now))))
 }
 
-// drawJobs queues the connections' work up to now, as jobs at random times. The lock is held.
+// drawJobs queues the connections' work up to now, as jobs that arrive at random times. The caller holds the lock.
 func (s *Server) drawJobs(now time.Time) {
 	work := s.fleet.Description.General.MessageWork.Seconds()
 	for s.load > negligibleLoad {
 		next := s.drawnUntil.Add(seconds(s.rng.ExpFloat64() * work / s.load))
 		if next.After(now) {
-			break // the time to the next job is drawn anew: it has no memory
+			break // the exponential distribution has no memory, so the next call draws this time again
 		}
 		s.drawnUntil = next
 		s.runJob(work, next)
@@ -80,7 +81,8 @@
 	s.drawnUntil = now
 }
 
-// advance updates what changes with time: the loads of the connections, the report, and the backlog.
+// advance updates the loads of the connections, the utilization and the load report, and sheds a connection if the
+// backlog is too long.
 func (s *Server) advance(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +111,7 @@
 	}
 }
 
-// backlog returns how long the queued work takes, as a mean over the cores.
+// backlog returns how long the queued work takes, averaged over the cores.
 func (s *Server) backlog(now time.Time) time.Duration {
 	sum := time.Duration(0)
 	for _, free := range s.coreFree {
@@ -118,7 +120,7 @@
 	return sum / time.Duration(len(s.coreFree))
 }
 
-// shed resets the connection of the highest load.
+// shed resets the connection with the highest load.
 func (s *Server) shed() {
 	var heaviest *connection
 	for open := range s.connections {
@@ -133,7 +135,7 @@
 	}
 }
 
-// changeLoad draws the load of a connection for the time to come. The lock is held.
+// changeLoad draws the next load of a connection and when it changes again. The caller holds the lock.
 func (s *Server) changeLoad(open *connection, now time.Time) {
 	load, lasts := open.process.Next()
 	load *= s.fleet.Description.CoreLoad()
@@ -145,12 +147,12 @@
 	}
 }
 
-// groupLoad returns the cost of a group on a server that holds any of it, in reference cores.
+// groupLoad returns the load that a group adds, in reference cores, to each server with a connection of the group.
 func (s *Server) groupLoad() float64 {
 	return s.fleet.Description.Group.Cost * s.fleet.Description.CoreLoad()
 }
 
-// addConnection adds a connection that was set up. The lock is held.
+// addConnection adds an established connection. The caller holds the lock.
 func (s *Server) addConnection(added *connection, now time.Time) {
 	s.connections[added] = struct{}{}
 	if added.group != 0 && s.fleet.Description.Group.Cost > 0 {
@@ -162,7 +164,7 @@
 	s.changeLoad(added, now)
 }
 
-// removeConnection removes a connection; of one that was removed before it is a no-op. The lock is held.
+// removeConnection removes a connection. If it was already removed, the call has no effect. The caller holds the lock.
 func (s *Server) removeConnection(removed *connection) {
 	if _, open := s.connections[removed]; !open {
 		return
@@ -176,12 +178,13 @@
 			s.load -= s.groupLoad()
 		}
 	}
-	if len(s.connections) == 0 { // sums and differences leave a remainder
+	if len(s.connections) == 0 { // additions and subtractions leave a rounding error
 		s.load = 0
 	}
 }
 
-// overloads counts a new connection in slow start, and reports whether that was too much. The lock is held.
+// overloads records the load of a new connection during slow start. It reports whether the server has taken on too much
+// load within OverloadTime and fails. The caller holds the lock.
 func (s *Server) overloads(class *fleet.Class, now time.Time) bool {
 	if !s.slowStart || s.warmth(now) == 1 {
 		return false
@@ -195,9 +198,9 @@
 			sum += added.load
 		}
 	}
-	usual := s.cores(now) / slowStart.WarmUp.Seconds() * slowStart.OverloadTime.Seconds()
+	budget := s.cores(now) / slowStart.WarmUp.Seconds() * slowStart.OverloadTime.Seconds()
 	slack := slowStartSlack * description.MeanLoad() * description.CoreLoad()
-	if sum <= slowStart.OverloadMultiple*usual+slack {
+	if sum <= slowStart.OverloadMultiple*budget+slack {
 		return false
 	}
 	s.fleet.updateStats(func(stats *Stats) { stats.Overloaded++ })
--- a/internal/lab/replay/client.go
+++ b/internal/lab/replay/client.go
@@ -16,7 +16,7 @@
 	"spurwinch/internal/plan/workload"
 )
 
-// answerSlack is how long after its deadline a client still waits for an answer.
+// answerSlack is how long a client still waits for an answer after its deadline.
 const answerSlack = 100 * time.Millisecond
 
 // Answers of the platform's protocol to OPEN.
@@ -25,23 +25,23 @@
 	answerRejected    = "BUSY"
 )
 
-// connectionEnd is how a connection, or the attempt at one, ended.
+// connectionEnd tells how a connection, or the attempt to open one, ended.
 type connectionEnd int
 
 const (
-	sessionOver  connectionEnd = iota
-	failed                     // rejected or failed: the client retries after a backoff
-	disconnected               // reset or migrated: the client reconnects soon
+	sessionOver  connectionEnd = iota // the client does not connect again
+	failed                            // rejected or failed; the client retries after a backoff
+	disconnected                      // reset or migrated; the client reconnects soon
 )
 
-// client is the client of one session.
+// client simulates the client of one session.
 type client struct {
 	player   *player
 	session  *workload.Session
 	class    *fleet.Class
-	priority float64 // of a second
+	priority float64 // of one second of the session
 	rng      *rand.Rand
-	failures int // since it was served
+	failures int // failed attempts since its last established connection
 }
 
 func (p *player) newClient(session *workload.Session, priority float64) *client {
@@ -54,7 +54,7 @@
 	}
 }
 
-// run plays the client to the end of its session.
+// run simulates the client until its session ends.
 func (c *client) run(ctx context.Context) {
 	ctx, cancel := context.WithDeadline(ctx, c.player.begin.Add(c.session.End()))
 	defer cancel()
@@ -75,7 +75,8 @@
 	}
 }
 
-// retryDelay returns the wait after a failure, no shorter than the node has asked for.
+// retryDelay returns how long the client waits after a failure, which is at least retryAfter, the wait that the node
+// asked for.
 func (c *client) retryDelay(retryAfter time.Duration) time.Duration {
 	clients := &c.player.fleet.Clients
 	wait := max(time.Duration(clients.Backoff), retryAfter, time.Millisecond)
@@ -87,15 +88,16 @@
 	return wait
 }
 
-// reconnectDelay draws the wait after a reset or a migration.
+// reconnectDelay draws how long the client waits after a reset or a migration.
 func (c *client) reconnectDelay() time.Duration {
 	clients := &c.player.fleet.Clients
-	least := time.Duration(clients.ReconnectMin)
-	span := time.Duration(clients.ReconnectMax) - least
-	return least + time.Duration(c.rng.Float64()*float64(span))
+	minimum := time.Duration(clients.ReconnectMin)
+	span := time.Duration(clients.ReconnectMax) - minimum
+	return minimum + time.Duration(c.rng.Float64()*float64(span))
 }
 
-// pickNode draws a running node of a zone, or of any zone where that has none; nil where none runs.
+// pickNode draws a running node of the given zone, or of any zone if that zone has none. It returns nil if no node is
+// running.
 func (p *player) pickNode(zone int) *node {
 	var nearby, running []*node
 	for _, node := range p.nodes {
@@ -118,7 +120,8 @@
 	return nearby[p.rng.IntN(len(nearby))]
 }
 
-// connect opens one connection and exchanges messages on it until it ends. retryAfter is what a rejection asks for.
+// connect opens one connection and exchanges messages on it until it ends. retryAfter is the wait that a rejection asks
+// for.
 func (c *client) connect(ctx context.Context, node *node) (end connectionEnd, retryAfter time.Duration) {
 	c.player.updateStats(func(stats *Stats) { stats.Requests++ })
 	time.Sleep(time.Duration(c.player.fleet.Network.Client))
@@ -131,10 +134,10 @@
 		c.player.updateStats(func(stats *Stats) { stats.Failed++ })
 		return failed, 0
 	}
-	defer func() { _ = conn.Close() }()                 // the client connects again, or its session is over
-	_, _ = conn.Write([]byte(c.openRequest() + "\r\n")) // where it fails, so does the read of the answer
+	defer func() { _ = conn.Close() }()                 // the client no longer uses the connection
+	_, _ = conn.Write([]byte(c.openRequest() + "\r\n")) // if it fails, the read of the answer fails too
 	deadline := time.Now().Add(time.Duration(c.class.Deadline) + answerSlack)
-	_ = conn.SetReadDeadline(earlier(deadline, contextDeadline(ctx))) // it fails of a closed connection only
+	_ = conn.SetReadDeadline(earlier(deadline, contextDeadline(ctx))) // fails only if the connection is closed
 	reader := bufio.NewReader(conn)
 	line, err := reader.ReadString('\n')
 	answer, argument, _ := strings.Cut(strings.TrimRight(line, "\r\n"), " ")
@@ -148,7 +151,7 @@
 	case answer == answerRejected:
 		c.player.updateStats(func(stats *Stats) { stats.Rejected++ })
 		wait, _, _ := strings.Cut(argument, " ")
-		milliseconds, _ := strconv.Atoi(wait) // without a number there is no wait
+		milliseconds, _ := strconv.Atoi(wait) // an invalid number means no wait
 		return failed, time.Duration(milliseconds) * time.Millisecond
 	default:
 		c.player.updateStats(func(stats *Stats) { stats.Failed++ })
@@ -156,7 +159,7 @@
 	}
 }
 
-// openRequest returns the line that asks for a connection.
+// openRequest returns the protocol line that requests a connection.
 func (c *client) openRequest() string {
 	tenant := ""
 	if c.session.Tenant >= 0 {
@@ -171,7 +174,7 @@
 		c.rng.Uint64(), c.session.Client, c.class.Name, tenant, deadline, group)
 }
 
-// contextDeadline returns the deadline of a context that has one.
+// contextDeadline returns the deadline of a context, or the zero time if it has none.
 func contextDeadline(ctx context.Context) time.Time {
 	deadline, _ := ctx.Deadline()
 	return deadline
@@ -184,5 +187,5 @@
 	return b
 }
 
-// isTimeout reports whether a read ended at its deadline.
+// isTimeout reports whether a read failed because its deadline passed.
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/lab/replay/messages.go
+++ b/internal/lab/replay/messages.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	messageInterval = 400 * time.Millisecond // short enough that brief faults are seen
+	messageInterval = 400 * time.Millisecond // short enough to detect brief faults
 	writeTimeout    = time.Second
-	maxPending      = 64 // messages without an answer
-	maxLags         = 64 // timer lags that one connection records
+	maxPending      = 64 // unanswered messages of one connection
+	maxLags         = 64 // timer lags recorded per connection
 )
 
 // Lines of the platform's protocol on an established connection.
 const (
-	lineMessage = "SYNC" // any line: the server returns it
+	lineMessage = "SYNC" // the text is arbitrary because the server echoes any line
 	lineMigrate = "MOVE"
 )
 
-// messageLoop sends a message each interval, at a random phase. A message that is answered within the objective of its
-// class counts as one interval that was served well.
+// messageLoop sends one message per interval, starting at a random phase. For each message that is answered within the
+// latency objective of its class, the client counts as well served for one interval.
 type messageLoop struct {
 	client    *client
 	conn      net.Conn
 	reader    *bufio.Reader
 	objective time.Duration
-	end       time.Time // of the session
-	next      time.Time // when the next message is due
-	pending   []time.Time
-	partial   []byte      // of a line
-	served    []time.Time // of messages that were answered in time
-	lags      []time.Duration
+	end       time.Time       // of the session
+	next      time.Time       // when the next message is due
+	pending   []time.Time     // when each unanswered message was sent
+	partial   []byte          // received part of a line
+	served    []time.Time     // when each message that was answered in time was sent
+	lags      []time.Duration // how late messages were sent
 }
 
 func newMessageLoop(ctx context.Context, c *client, conn net.Conn, reader *bufio.Reader) *messageLoop {
@@ -64,7 +64,7 @@
 				return l.reset()
 			}
 		}
-		_ = l.conn.SetReadDeadline(earlier(l.next, l.end)) // it fails of a closed connection only
+		_ = l.conn.SetReadDeadline(earlier(l.next, l.end)) // fails only if the connection is closed
 		count, err := l.reader.Read(buffer)
 		l.partial = append(l.partial, buffer[:count]...)
 		if migrated := l.readLines(time.Now()); migrated {
@@ -86,7 +86,7 @@
 	return disconnected
 }
 
-// send sends the message that is due, unless too many have no answer yet.
+// send sends the message that is due, unless too many messages are still unanswered.
 func (l *messageLoop) send(now time.Time) error {
 	if len(l.lags) < maxLags {
 		l.lags = append(l.lags, now.Sub(l.next))
@@ -96,12 +96,12 @@
 		return nil
 	}
 	l.pending = append(l.pending, now)
-	_ = l.conn.SetWriteDeadline(now.Add(writeTimeout)) // it fails of a closed connection only
+	_ = l.conn.SetWriteDeadline(now.Add(writeTimeout)) // fails only if the connection is closed
 	_, err := l.conn.Write([]byte(lineMessage + "\r\n"))
 	return err
 }
 
-// readLines takes the lines that have come by now. It reports whether the node asks the client to reconnect.
+// readLines processes the complete lines received so far. It reports whether the node asked the client to reconnect.
 func (l *messageLoop) readLines(now time.Time) (migrated bool) {
 	for {
 		length := bytes.IndexByte(l.partial, '\n')
@@ -122,7 +122,7 @@
 	}
 }
 
-// account adds what was served well, and the lags, to the replay.
+// account adds the messages that were answered in time and the timer lags to the results of the replay.
 func (l *messageLoop) account() {
 	p := l.client.player
 	session := l.client.session
--- a/internal/lab/replay/node.go
+++ b/internal/lab/replay/node.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	startTimeout   = 20 * time.Second // for a node to listen
-	stopTimeout    = 15 * time.Second // for a graceful shutdown, in which the capture is completed
+	startTimeout   = 20 * time.Second // from the start of a node until it listens
+	stopTimeout    = 15 * time.Second // for a graceful shutdown, which completes the capture
 	nodeMemoryMB   = 192
 	capturePrefix  = "load" // of the names of capture files
 	listeningEvent = "listening"
 )
 
-// ErrNodeEnded says that a node ended by itself during the replay.
-var ErrNodeEnded = errors.New("a node ended by itself during the replay")
+// ErrNodeEnded reports a node that exited during the replay without being stopped.
+var ErrNodeEnded = errors.New("a node exited during the replay without being stopped")
 
-// StartError says that a node did not start.
+// StartError reports a node that did not start.
 type StartError struct {
 	Node  string
-	Ended bool   // else it did not listen in time
+	Ended bool   // true: the process exited; false: it did not listen in time
 	Log   string // path of its log
 }
 
 func (e *StartError) Error() string {
 	if e.Ended {
-		return fmt.Sprintf("node %s ended at its start: see %s", e.Node, e.Log)
+		return fmt.Sprintf("node %s exited during its start; see its log %s", e.Node, e.Log)
 	}
-	return fmt.Sprintf("node %s does not listen after %v: see %s", e.Node, startTimeout, e.Log)
+	return fmt.Sprintf("node %s did not listen within %v; see its log %s", e.Node, startTimeout, e.Log)
 }
 
-// nodeConfig is a node's configuration file, as the platform writes it.
+// nodeConfig is a node's configuration file in the platform's format.
 type nodeConfig struct {
 	Discovery string          `json:"discovery"`
 	Known     json.RawMessage `json:"known"`
@@ -59,15 +59,15 @@
 	Sockets  int `json:"sockets"`
 }
 
-// node is a process of the program.
+// node is a running process of the spurwinch program.
 type node struct {
 	command *exec.Cmd
 	zone    int
 	ended   chan struct{} // closed when the process has ended
-	address string        // that it listens on
+	address string        // on which the node listens
 
 	mu      sync.Mutex
-	stopped bool // killed, or asked to end
+	stopped bool // the replay killed the process or asked it to shut down
 }
 
 func (p *player) startNodes() error {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// startNode starts the program as the platform does, and waits until it listens.
+// startNode starts the program in the same way as the platform, and waits until it listens.
 func (p *player) startNode(pool fleet.NodePool) error {
 	name := fmt.Sprintf("n%d", len(p.nodes))
 	config, err := p.writeConfig(name, pool)
@@ -111,7 +111,7 @@
 		err = started.command.Start()
 	}
 	if err != nil {
-		_ = logFile.Close() // nothing was written
+		_ = logFile.Close() // nothing was written to it
 		return fmt.Errorf("node program %s: %w", p.options.Program, err)
 	}
 	p.nodes = append(p.nodes, started)
@@ -127,7 +127,7 @@
 	}
 }
 
-// writeConfig writes the configuration of the next node and returns its path.
+// writeConfig writes the configuration file of the next node and returns its path.
 func (p *player) writeConfig(name string, pool fleet.NodePool) (string, error) {
 	index := len(p.nodes)
 	zone := p.fleet.ZoneIndex(pool.Zone)
@@ -147,8 +147,9 @@
 	return path, os.WriteFile(path, config, 0o600)
 }
 
-// writeOperatorFile writes the operator's file that has nodes capture their load, and returns its path. It is called
-// for each node, always with the same contents: the nodes put their names into those of their capture files.
+// writeOperatorFile writes the operator's file that makes nodes capture their load, and returns its path. It is called
+// for each node and always writes the same contents, because each node adds its own name to the names of its capture
+// files.
 func (p *player) writeOperatorFile() (string, error) {
 	path := filepath.Join(p.options.Dir, "capture.toml")
 	text := fmt.Sprintf("[capture]\npath = %q\nkey = \"a replay on loopback, nobody's data\"\n",
@@ -156,13 +157,14 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// followLog copies the node's log to a file until the process ends, and sends the address that it listens on.
+// followLog copies the node's log to a file until the process ends. It sends the address on which the node listens to
+// addresses.
 func (n *node) followLog(output io.Reader, logFile *os.File, addresses chan<- string) {
 	defer close(n.ended)
-	defer func() { _ = logFile.Close() }() // the log is for people; what is missing of it is seen
+	defer func() { _ = logFile.Close() }() // the log is for human readers only, who notice a missing part
 	lines := bufio.NewScanner(output)
 	for lines.Scan() {
-		_, _ = fmt.Fprintf(logFile, "%s\n", lines.Text()) // likewise
+		_, _ = fmt.Fprintf(logFile, "%s\n", lines.Text()) // a missing line doesn't affect the replay
 		var record struct {
 			Event   string `json:"event"`
 			Address string `json:"address"`
@@ -174,18 +176,18 @@
 			}
 		}
 	}
-	_ = n.command.Wait() // a node is killed, or ends as it was asked to
+	_ = n.command.Wait() // the exit status of a stopped node is irrelevant
 }
 
-// isStopped reports whether the node was killed or asked to end.
+// isStopped reports whether the replay killed the node or asked it to shut down.
 func (n *node) isStopped() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stopped
 }
 
-// stopNodes ends the nodes and waits for them: with a graceful shutdown where they capture, which completes the
-// capture. The error holds an ErrNodeEnded for each node that had ended before.
+// stopNodes stops the nodes and waits until they have ended. Nodes that capture their load get a graceful shutdown,
+// which completes the capture. The error includes an ErrNodeEnded for each node that had already exited unasked.
 func (p *player) stopNodes() error {
 	var errs []error
 	for _, node := range p.nodes {
@@ -209,7 +211,7 @@
 	return errors.Join(errs...)
 }
 
-// endedByItself reports whether the process ended though it was not stopped.
+// endedByItself reports whether the process has ended without being stopped by the replay.
 func (n *node) endedByItself() bool {
 	select {
 	case <-n.ended:
@@ -219,12 +221,12 @@
 	}
 }
 
-// kill ends the process at once.
+// kill ends the process immediately.
 func (n *node) kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stopped = true
-	_ = n.command.Process.Kill() // it fails of a process that has ended
+	_ = n.command.Process.Kill() // fails only if the process has already ended
 }
 
 // shutDown begins a graceful shutdown.
@@ -232,5 +234,5 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stopped = true
-	_ = n.command.Process.Signal(syscall.SIGTERM) // it fails of a process that has ended
+	_ = n.command.Process.Signal(syscall.SIGTERM) // fails only if the process has already ended
 }
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -1,5 +1,5 @@
-// Package replay plays a load in real time on loopback: real node processes between simulated clients and a fake fleet.
-// It measures what the planner forecasts.
+// Package replay replays a load in real time on loopback, with real node processes between simulated clients and a fake
+// fleet. It measures the results that the planner forecasts.
 package replay
 
 import (
@@ -17,23 +17,23 @@
 
 const (
 	startDelay  = 300 * time.Millisecond // from the start of the nodes to the beginning of the load
-	worstWindow = 10 * time.Second       // length of the window whose service a result has by itself
+	worstWindow = 10 * time.Second       // length of the window of Result.WorstWindow
 	lagQuantile = 0.99
 )
 
-// Options say how a load is replayed.
+// Options configure a replay.
 type Options struct {
 	Program      string // path of the spurwinch program
-	Dir          string // for configurations, logs and captures
+	Dir          string // directory for configurations, logs and captures
 	Seed         uint64
-	Capture      bool   // the nodes capture their load in Dir
+	Capture      bool   // nodes capture their load in Dir
 	LostZone     string // zone that is lost at LossTime; empty: none
 	LossTime     time.Duration
-	AllWarmingUp bool // all servers start with the load, in slow start
+	AllWarmingUp bool // all servers start together with the load, in slow start
 }
 
-// Result is what was measured. TimerLag is how much later than due the timers of the clients fired, at the 99th
-// percentile: on a machine that is too busy the result is about the machine.
+// Result holds the measurements of a replay. TimerLag is the 99th percentile of how late the clients' timers fired. If
+// it is large, the machine was too busy, and the result reflects the machine instead of the program.
 type Result struct {
 	Account     *workload.Account
 	Service     float64
@@ -45,7 +45,7 @@
 	Captures    []string // paths
 }
 
-// Stats counts what the clients and the servers saw.
+// Stats counts events that the clients and the servers have seen.
 type Stats struct {
 	Requests    int
 	Established int
@@ -57,13 +57,13 @@
 	Overloaded  int // servers that failed in slow start
 }
 
-// player is one replay.
+// player is the state of one replay.
 type player struct {
 	options    Options
 	fleet      *fleet.Fleet
 	load       *workload.Load
 	servers    *fakeserver.Fleet
-	priorities []float64 // of a second of each session
+	priorities []float64 // of one second of each session
 	begin      time.Time // of the load
 	nodes      []*node
 
@@ -74,7 +74,7 @@
 	rng     *rand.Rand
 }
 
-// Play replays a load against a fake fleet.
+// Play replays a load through node processes that it starts in front of a fake fleet.
 func Play(
 	ctx context.Context, description *fleet.Fleet, load *workload.Load, options Options,
 ) (result Result, err error) {
@@ -122,7 +122,7 @@
 	return result
 }
 
-// run plays all sessions to the end of the load.
+// run plays all sessions until the end of the load.
 func (p *player) run(ctx context.Context) error {
 	p.begin = time.Now().Add(startDelay)
 	ctx, cancel := context.WithDeadline(ctx, p.begin.Add(p.load.Length))
@@ -165,14 +165,14 @@
 	}
 }
 
-// updateStats changes the counters.
+// updateStats calls update on the counters under the lock.
 func (p *player) updateStats(update func(*Stats)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	update(&p.stats)
 }
 
-// sleepUntil waits for a time. It reports false where the context ended first.
+// sleepUntil waits until the given time. It returns false if the context ends first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
