--- a/internal/lab/shim/source/shim.c
+++ b/internal/lab/shim/source/shim.c
@@ -1,7 +1,9 @@
-// A library that is preloaded into one process and has its system calls fail in ways that Linux documents, and its wall clock be
-// stepped, as a control file that is shared with the laboratory says. A filter on system calls (seccomp) leads the calls that may
-// fail to a signal handler in the process itself, which makes them or has them fail. The clock's entries in the process's own vDSO page lead
-// here, since programs read clocks without a system call. x86-64 Linux only; nothing outside the process is touched.
+// This library is preloaded into one process. As its control file specifies, it makes system calls of the process fail
+// in ways that Linux documents, and steps the wall clock of the process. The process shares the control file with the
+// laboratory. A system call filter (seccomp) redirects the calls that may fail to a signal handler in the process
+// itself, which makes the calls or lets them fail. Programs read clocks without a system call; therefore the library
+// redirects clock_gettime in the process's own vDSO page to a function of its own. The library works on x86-64 Linux
+// only and changes nothing outside the process.
 
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -27,132 +29,138 @@
 #include <ucontext.h>
 #include <unistd.h>
 
+// The kinds of failures, in the order of the constants in shim.go.
 enum kind { ACCEPT, SOCKET, CONNECT, READ, SHORT_READ, WRITE, SHORT_WRITE, WAIT, WATCH, BREAK, OPEN, KINDS };
 
-// The control file, as the laboratory maps it too.
+// The layout of the control file, which the laboratory maps too.
 struct control {
 	uint64_t seed;
-	volatile int64_t wall_offset; // ns that the wall clock is ahead
-	volatile uint32_t per_million[KINDS];
+	volatile int64_t clock_offset; // ns that the process's wall clock is ahead of the machine's
+	volatile uint32_t per_million[KINDS]; // failure rates in parts per million
 	uint32_t pad;
-	volatile uint64_t injected[KINDS];
+	volatile uint64_t injected[KINDS]; // numbers of injected failures
 };
 
 static struct control *control;
-static const char *config_path;
-static volatile uint64_t draws;
-static volatile unsigned char dialled[65536]; // descriptors that the process has connected itself
+static const char *config_path; // the configuration file that OPEN failures apply to
+static volatile uint64_t random_count; // random numbers drawn so far
+static volatile unsigned char dialled[65536]; // whether the process has opened the descriptor's connection itself
 
-// gate makes system calls that the filter lets pass: it knows the page that they come from.
-__attribute__((naked, noinline, aligned(4096), section(".gate"))) static long gate(long nr, long a, long b, long c, long d, long e, long f)
+// raw_syscall makes a system call. It is alone in its page, and the filter allows all calls that come from this page.
+__attribute__((naked, noinline, aligned(4096), section(".gate"))) static long
+raw_syscall(long nr, long a, long b, long c, long d, long e, long f)
 {
 	__asm__ volatile(
 		"mov %rdi, %rax\n mov %rsi, %rdi\n mov %rdx, %rsi\n mov %rcx, %rdx\n"
 		"mov %r8, %r10\n mov %r9, %r8\n mov 8(%rsp), %r9\n syscall\n ret\n .balign 4096\n");
 }
 
-static uint64_t draw(void)
+// next_random returns the next number of a sequence that the seed determines (SplitMix64).
+static uint64_t next_random(void)
 {
-	uint64_t z = control->seed + __sync_add_and_fetch(&draws, 1) * 0x9e3779b97f4a7c15ull;
+	uint64_t z = control->seed + __sync_add_and_fetch(&random_count, 1) * 0x9e3779b97f4a7c15ull;
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ull;
 	z = (z ^ (z >> 27)) * 0x94d049bb133111ebull;
 	return z ^ (z >> 31);
 }
 
-// strikes says whether a call of this kind fails now, and counts it.
-static int strikes(enum kind k)
+// should_fail draws whether a call of this kind fails now. It counts the failures.
+static int should_fail(enum kind k)
 {
 	uint32_t per_million = control->per_million[k];
-	if (per_million == 0 || draw() % 1000000 >= per_million)
+	if (per_million == 0 || next_random() % 1000000 >= per_million)
 		return 0;
 	__sync_add_and_fetch(&control->injected[k], 1);
 	return 1;
 }
 
-static long one_of(const int *codes, size_t n) { return -codes[draw() % n]; }
-#define ONE_OF(...) one_of((const int[]){__VA_ARGS__}, sizeof((const int[]){__VA_ARGS__}) / sizeof(int))
+// random_error returns one of the error codes, negated, at random.
+static long random_error(const int *codes, size_t n) { return -codes[next_random() % n]; }
+#define RANDOM_ERROR(...) random_error((const int[]){__VA_ARGS__}, sizeof((const int[]){__VA_ARGS__}) / sizeof(int))
 
-// mode is the type of what a descriptor stands for: S_IFSOCK, 0 for event and timer descriptors, ...
-static unsigned mode(long fd)
+// file_type returns the file type of a descriptor, such as S_IFSOCK, or 0 for event and timer descriptors.
+static unsigned file_type(long fd)
 {
 	struct stat s;
-	if (gate(SYS_fstat, fd, (long)&s, 0, 0, 0, 0) != 0)
+	if (raw_syscall(SYS_fstat, fd, (long)&s, 0, 0, 0, 0) != 0)
 		return S_IFIFO;
 	return s.st_mode & S_IFMT;
 }
 
-// sever breaks a connection that the process has dialled, as the kernel does after too many silent retransmissions.
-static int sever(long fd)
+// break_connection may break a connection that the process has opened, in the way the kernel does after too many
+// unanswered retransmissions. It reports whether it broke the connection.
+static int break_connection(long fd)
 {
-	if (fd < 0 || fd >= (long)sizeof dialled || !dialled[fd] || !strikes(BREAK))
+	if (fd < 0 || fd >= (long)sizeof dialled || !dialled[fd] || !should_fail(BREAK))
 		return 0;
 	struct sockaddr none = {.sa_family = AF_UNSPEC};
-	gate(SYS_connect, fd, (long)&none, sizeof none, 0, 0, 0);
+	raw_syscall(SYS_connect, fd, (long)&none, sizeof none, 0, 0, 0);
 	return 1;
 }
 
-static long call(long nr, const long *a) { return gate(nr, a[0], a[1], a[2], a[3], a[4], a[5]); }
+static long pass_through(long nr, const long *a) { return raw_syscall(nr, a[0], a[1], a[2], a[3], a[4], a[5]); }
 
 static long read_call(long nr, long *a)
 {
-	unsigned m = mode(a[0]);
+	unsigned m = file_type(a[0]);
 	if (m != S_IFSOCK && m != 0)
-		return call(nr, a);
-	if (strikes(READ))
+		return pass_through(nr, a);
+	if (should_fail(READ))
 		return -EINTR;
-	if (m == S_IFSOCK && sever(a[0]))
-		return ONE_OF(ETIMEDOUT, EHOSTUNREACH);
-	if (m == S_IFSOCK && a[2] > 1 && strikes(SHORT_READ))
-		a[2] = 1 + draw() % (a[2] < 64 ? a[2] : 64);
-	return call(nr, a);
+	if (m == S_IFSOCK && break_connection(a[0]))
+		return RANDOM_ERROR(ETIMEDOUT, EHOSTUNREACH);
+	if (m == S_IFSOCK && a[2] > 1 && should_fail(SHORT_READ))
+		a[2] = 1 + next_random() % (a[2] < 64 ? a[2] : 64);
+	return pass_through(nr, a);
 }
 
 static long write_call(long nr, long *a)
 {
-	unsigned m = mode(a[0]);
+	unsigned m = file_type(a[0]);
 	if (m != S_IFSOCK && m != 0)
-		return call(nr, a);
-	if (strikes(WRITE))
-		return m == S_IFSOCK ? ONE_OF(EINTR, EINTR, ENOBUFS, ENOMEM) : -EINTR;
-	if (m == S_IFSOCK && sever(a[0]))
-		return ONE_OF(ETIMEDOUT, EHOSTUNREACH);
-	if (m == S_IFSOCK && a[2] > 1 && strikes(SHORT_WRITE))
-		a[2] = 1 + draw() % (a[2] - 1);
-	return call(nr, a);
+		return pass_through(nr, a);
+	if (should_fail(WRITE))
+		return m == S_IFSOCK ? RANDOM_ERROR(EINTR, EINTR, ENOBUFS, ENOMEM) : -EINTR;
+	if (m == S_IFSOCK && break_connection(a[0]))
+		return RANDOM_ERROR(ETIMEDOUT, EHOSTUNREACH);
+	if (m == S_IFSOCK && a[2] > 1 && should_fail(SHORT_WRITE))
+		a[2] = 1 + next_random() % (a[2] - 1);
+	return pass_through(nr, a);
 }
 
 static long connect_call(long nr, long *a)
 {
 	const struct sockaddr *to = (const struct sockaddr *)a[1];
 	if (to->sa_family != AF_INET)
-		return call(nr, a);
+		return pass_through(nr, a);
 	if (a[0] >= 0 && a[0] < (long)sizeof dialled)
 		dialled[a[0]] = 1;
-	if (!strikes(CONNECT))
-		return call(nr, a);
-	long code = ONE_OF(EADDRNOTAVAIL, ENETUNREACH, EINTR, EAGAIN);
-	if (code == -EINTR) // the connect goes on by itself
-		call(nr, a);
+	if (!should_fail(CONNECT))
+		return pass_through(nr, a);
+	long code = RANDOM_ERROR(EADDRNOTAVAIL, ENETUNREACH, EINTR, EAGAIN);
+	if (code == -EINTR) // an interrupted connect continues in the background
+		pass_through(nr, a);
 	return code;
 }
 
 static long accept_call(long nr, long *a)
 {
-	if (strikes(ACCEPT))
-		return ONE_OF(ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EINTR, EPROTO);
-	long fd = call(nr, a);
+	if (should_fail(ACCEPT))
+		return RANDOM_ERROR(ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EINTR, EPROTO);
+	long fd = pass_through(nr, a);
 	if (fd >= 0 && fd < (long)sizeof dialled)
 		dialled[fd] = 0;
 	return fd;
 }
 
-static long decide(long nr, long *a)
+static long handle_call(long nr, long *a)
 {
 	switch (nr) {
 	case SYS_accept4:
 		return accept_call(nr, a);
 	case SYS_socket:
-		return a[0] == AF_INET && strikes(SOCKET) ? ONE_OF(ENFILE, EMFILE, ENOBUFS, ENOMEM) : call(nr, a);
+		return a[0] == AF_INET && should_fail(SOCKET) ? RANDOM_ERROR(ENFILE, EMFILE, ENOBUFS, ENOMEM)
+			: pass_through(nr, a);
 	case SYS_connect:
 		return connect_call(nr, a);
 	case SYS_read:
@@ -161,24 +169,27 @@
 	case SYS_write:
 		return write_call(nr, a);
 	case SYS_epoll_wait:
-		return strikes(WAIT) ? -EINTR : call(nr, a);
+		return should_fail(WAIT) ? -EINTR : pass_through(nr, a);
 	case SYS_epoll_ctl:
-		return a[1] != 2 && mode(a[2]) == S_IFSOCK && strikes(WATCH) ? ONE_OF(ENOMEM, ENOSPC) : call(nr, a);
+		return a[1] != 2 && file_type(a[2]) == S_IFSOCK && should_fail(WATCH) ? RANDOM_ERROR(ENOMEM, ENOSPC)
+			: pass_through(nr, a);
 	case SYS_openat:
-		return config_path && strcmp((const char *)a[1], config_path) == 0 && strikes(OPEN) ? ONE_OF(ENFILE, EMFILE, EIO, EINTR) : call(nr, a);
+		return config_path && strcmp((const char *)a[1], config_path) == 0 && should_fail(OPEN)
+			? RANDOM_ERROR(ENFILE, EMFILE, EIO, EINTR) : pass_through(nr, a);
 	}
-	return call(nr, a);
+	return pass_through(nr, a);
 }
 
-static void trapped(int sig, siginfo_t *info, void *context)
+// handle_sigsys handles a call that the filter has trapped, and sets its result.
+static void handle_sigsys(int sig, siginfo_t *info, void *context)
 {
 	greg_t *r = ((ucontext_t *)context)->uc_mcontext.gregs;
 	long a[6] = {r[REG_RDI], r[REG_RSI], r[REG_RDX], r[REG_R10], r[REG_R8], r[REG_R9]};
 	(void)sig;
-	r[REG_RAX] = decide(info->si_syscall, a);
+	r[REG_RAX] = handle_call(info->si_syscall, a);
 }
 
-// sigaction keeps the program's runtime from taking SIGSYS for itself.
+// sigaction replaces the C library's function and keeps the program's runtime from installing its own SIGSYS handler.
 int sigaction(int sig, const struct sigaction *act, struct sigaction *old)
 {
 	static int (*real)(int, const struct sigaction *, struct sigaction *);
@@ -187,28 +198,28 @@
 	return real(sig, sig == SIGSYS ? NULL : act, old);
 }
 
-static int wall(clockid_t clock) { return clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE; }
+static int is_wall_clock(clockid_t clock) { return clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE; }
 
-static int stepped_gettime(clockid_t clock, struct timespec *ts)
+static int offset_clock_gettime(clockid_t clock, struct timespec *ts)
 {
-	long err = gate(SYS_clock_gettime, clock, (long)ts, 0, 0, 0, 0);
-	if (err == 0 && wall(clock)) {
-		int64_t ns = ts->tv_sec * 1000000000ll + ts->tv_nsec + control->wall_offset;
+	long err = raw_syscall(SYS_clock_gettime, clock, (long)ts, 0, 0, 0, 0);
+	if (err == 0 && is_wall_clock(clock)) {
+		int64_t ns = ts->tv_sec * 1000000000ll + ts->tv_nsec + control->clock_offset;
 		ts->tv_sec = ns / 1000000000ll;
 		ts->tv_nsec = ns % 1000000000ll;
 	}
 	return err;
 }
 
-static void redirect(char *code, void *to)
+static void write_jump(char *code, void *to)
 {
-	unsigned char jump[12] = {0x48, 0xb8, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xe0}; // movabs to, %rax; jmp *%rax
+	unsigned char jump[12] = {0x48, 0xb8, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xe0}; // movabs $to, %rax; jmp *%rax
 	memcpy(jump + 2, &to, sizeof to);
 	memcpy(code, jump, sizeof jump);
 }
 
-// step_clocks has the vDSO's clock_gettime lead to stepped_gettime.
-static int step_clocks(void)
+// redirect_vdso_clock makes the vDSO's clock_gettime jump to offset_clock_gettime.
+static int redirect_vdso_clock(void)
 {
 	char *base = (char *)getauxval(AT_SYSINFO_EHDR);
 	if (!base)
@@ -236,30 +247,34 @@
 	int found = 0;
 	for (Elf64_Sym *s = symbols + 1; (char *)(s + 1) <= names; s++)
 		if (s->st_value && strcmp(names + s->st_name, "__vdso_clock_gettime") == 0) {
-			redirect(base + s->st_value, (void *)stepped_gettime);
+			write_jump(base + s->st_value, (void *)offset_clock_gettime);
 			found = 1;
 		}
 	mprotect(base, (size + 4095) & ~4095ul, PROT_READ | PROT_EXEC);
 	return found ? 0 : -1;
 }
 
-// filter_calls has the kernel lead the calls that may fail to the handler, but for those that the gate makes.
-static int filter_calls(void)
+// install_filter makes the kernel send SIGSYS for the calls that may fail, except for those that raw_syscall makes.
+static int install_filter(void)
 {
-	uint64_t page = (uint64_t)(uintptr_t)gate;
-	static const int calls[] = {SYS_accept4, SYS_socket, SYS_connect, SYS_read, SYS_recvfrom, SYS_write, SYS_epoll_wait, SYS_epoll_ctl, SYS_openat};
+	uint64_t page = (uint64_t)(uintptr_t)raw_syscall;
+	static const int calls[] = {SYS_accept4, SYS_socket, SYS_connect, SYS_read, SYS_recvfrom, SYS_write, SYS_epoll_wait,
+		SYS_epoll_ctl, SYS_openat};
 	enum { N = sizeof calls / sizeof *calls };
 	struct sock_filter code[N + 12];
 	int at = 0;
-	code[at++] = (struct sock_filter)BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, instruction_pointer) + 4);
+	code[at++] = (struct sock_filter)BPF_STMT(
+		BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, instruction_pointer) + 4);
 	code[at++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, (uint32_t)(page >> 32), 0, 4);
-	code[at++] = (struct sock_filter)BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, instruction_pointer));
+	code[at++] = (struct sock_filter)BPF_STMT(
+		BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, instruction_pointer));
 	code[at++] = (struct sock_filter)BPF_STMT(BPF_ALU | BPF_AND | BPF_K, 0xfffff000u);
 	code[at++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, (uint32_t)page, 0, 1);
 	code[at++] = (struct sock_filter)BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW);
 	code[at++] = (struct sock_filter)BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, nr));
 	for (int i = 0; i < N; i++)
-		code[at++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, (uint32_t)calls[i], (unsigned char)(N - i), 0);
+		code[at++] = (struct sock_filter)BPF_JUMP(
+			BPF_JMP | BPF_JEQ | BPF_K, (uint32_t)calls[i], (unsigned char)(N - i), 0);
 	code[at++] = (struct sock_filter)BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW);
 	code[at++] = (struct sock_filter)BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_TRAP);
 	struct sock_fprog program = {(unsigned short)at, code};
@@ -268,7 +283,7 @@
 	return prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &program);
 }
 
-__attribute__((constructor)) static void begin(void)
+__attribute__((constructor)) static void initialize(void)
 {
 	const char *path = getenv("SPURWINCH_FAULTS");
 	if (!path)
@@ -277,13 +292,13 @@
 	void *shared = fd < 0 ? MAP_FAILED : mmap(NULL, sizeof *control, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
 	if (fd >= 0)
 		close(fd);
-	struct sigaction act = {.sa_sigaction = trapped, .sa_flags = SA_SIGINFO | SA_ONSTACK | SA_NODEFER};
+	struct sigaction act = {.sa_sigaction = handle_sigsys, .sa_flags = SA_SIGINFO | SA_ONSTACK | SA_NODEFER};
 	int (*real)(int, const struct sigaction *, struct sigaction *) =
 		(int (*)(int, const struct sigaction *, struct sigaction *))dlsym(RTLD_NEXT, "sigaction");
 	config_path = getenv("GW_CONFIG");
 	if (shared == MAP_FAILED)
 		_exit(112);
 	control = shared;
-	if (!real || real(SIGSYS, &act, NULL) != 0 || step_clocks() != 0 || filter_calls() != 0)
+	if (!real || real(SIGSYS, &act, NULL) != 0 || redirect_vdso_clock() != 0 || install_filter() != 0)
 		_exit(113);
 }
