--- a/internal/lab/transcript/certificate.go
+++ b/internal/lab/transcript/certificate.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// maxSerial is the least number that is too large for a certificate's serial number.
+// maxSerial is the exclusive upper bound of a certificate's serial number.
 const maxSerial = 1 << 62
 
-// WriteCertificate writes a self-signed certificate for one or more names, valid from an hour ago up to a time, and its
-// key, both as PEM files in dir that the first name gives its name to. It returns the paths of the files. Clients can
-// take the certificate as their root: it is marked as that of an authority.
+// WriteCertificate writes a self-signed certificate for one or more names, valid from an hour ago until the given time,
+// and its key. Both are PEM files in dir, named after the first name. It returns the paths of the files. Clients can
+// use the certificate as a root certificate because it is marked as the certificate of an authority.
 func WriteCertificate(tb testing.TB, dir string, until time.Time, names ...string) (certificate, key string) {
 	tb.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/lab/transcript/compare.go
+++ b/internal/lab/transcript/compare.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// maxExtra is how many bytes more than it shows a text with {*} may have.
+// maxExtra is how many bytes the received text may be longer than the expected text with its {*}.
 const maxExtra = 256
 
-// ending is how a connection must end, in place of a text.
+// ending is the way a connection must end, given in place of an expected text.
 type ending string
 
 const (
 	endingClose   ending = "END"
 	endingReset   ending = "RESET"
-	endingSilence ending = "SILENCE" // nothing comes for a moment, and the connection stays open
+	endingSilence ending = "SILENCE" // no data arrives for silencePeriod, and the connection stays open
 )
 
 func (e ending) valid() bool { return e == endingClose || e == endingReset || e == endingSilence }
@@ -30,7 +30,8 @@
 	return err
 }
 
-// want reads byte by byte until a text has come, in which {*} stands for any text without quotes.
+// want reads byte by byte until the received text matches the expected one, in which {*} matches any text without
+// quotes.
 func want(connection net.Conn, text string) error {
 	pattern := strings.ReplaceAll(regexp.QuoteMeta(text), `\{\*\}`, `[^'"]*`)
 	wanted, err := regexp.Compile("^" + pattern + "$")
@@ -44,17 +45,17 @@
 	next := make([]byte, 1)
 	for !wanted.Match(got) {
 		if _, err := connection.Read(next); err != nil {
-			return fmt.Errorf("came %q, then %w", got, err)
+			return fmt.Errorf("got %q, then: %w", got, err)
 		}
 		got = append(got, next[0])
 		if len(got) > len(text)+maxExtra {
-			return fmt.Errorf("came %q: %w", got, errTooMuchOutput)
+			return fmt.Errorf("got %q: %w", got, errTooMuchOutput)
 		}
 	}
 	return nil
 }
 
-// wantEnding waits for the connection to end as wanted.
+// wantEnding waits for the connection to end in the expected way.
 func wantEnding(connection net.Conn, wanted ending) error {
 	timeout := waitTimeout
 	if wanted == endingSilence {
@@ -66,7 +67,7 @@
 	var buffer [256]byte
 	count, err := connection.Read(buffer[:])
 	if count > 0 {
-		return fmt.Errorf("came %q: %w", buffer[:count], errTooMuchOutput)
+		return fmt.Errorf("got %q: %w", buffer[:count], errTooMuchOutput)
 	}
 	var timedOut net.Error
 	switch {
@@ -77,5 +78,5 @@
 	case wanted == endingSilence && errors.As(err, &timedOut) && timedOut.Timeout():
 		return nil
 	}
-	return fmt.Errorf("came %w", err)
+	return fmt.Errorf("got: %w", err)
 }
--- a/internal/lab/transcript/player.go
+++ b/internal/lab/transcript/player.go
@@ -1,20 +1,20 @@
 // Package transcript plays recorded byte exchanges against a program on loopback sockets and compares what comes back.
-// It serves tests only.
+// Only tests use it.
 //
 // A transcript is a text file, one step a line:
 //
 //	# a comment
 //	c open              connect to the program as c; c open NAME connects to the value NAME
 //	s accept h1         take the program's next connection at the listener h1 as s
-//	s accept *          likewise at any listener whose name starts with h
-//	c > TEXT            send TEXT and CRLF; >> sends it without
-//	c < TEXT            the next bytes that come must be TEXT and CRLF; << without
-//	c < END             or RESET, or SILENCE: the end, a reset, or nothing for a moment
-//	c end               close; or reset; or half, which ends the sending only
-//	do NAME             call back into the test
+//	s accept *          take the next connection at any listener whose name starts with h
+//	c > TEXT            send TEXT and CRLF; >> sends TEXT without CRLF
+//	c < TEXT            expect TEXT and CRLF as the next bytes; << expects TEXT without CRLF
+//	c < END             expect the end of the connection; RESET: a reset; SILENCE: no data for a moment
+//	c end               close c; reset resets it; half closes its sending side only
+//	do NAME             call the callback NAME of the test
 //
-// In what is sent, {NAME} is replaced by a value of the test; in what must come, {*} stands for any text without
-// quotes, and \n, \r, \" are as in Go.
+// In a text, {NAME} is replaced by a value of the test, and \n, \r and \" are escapes as in Go. In an expected text,
+// {*} matches any text without quotes.
 package transcript
 
 import (
@@ -28,13 +28,13 @@
 )
 
 const (
-	waitTimeout    = 20 * time.Second       // for what must come: long enough that no result depends on speed
-	silencePeriod  = 300 * time.Millisecond // for what must not come
-	maxUnaccepted  = 64                     // connections of the program that no step has taken yet
+	waitTimeout    = 20 * time.Second       // for expected data; long enough that no result depends on speed
+	silencePeriod  = 300 * time.Millisecond // how long no data must arrive
+	maxUnaccepted  = 64                     // connections of the program that no step has accepted yet
 	lineEnd        = "\r\n"
-	callbackKey    = "do" // in place of a connection's name
-	anyServer      = "*"  // in place of a listener's name
-	serverListener = 'h'  // what the names of the servers' listeners begin with
+	callbackKey    = "do" // given in place of a connection's name
+	anyServer      = "*"  // given in place of a listener's name
+	serverListener = 'h'  // first letter of the names of the servers' listeners
 )
 
 // Operations of a step.
@@ -55,12 +55,12 @@
 	ErrNoConnection  = errors.New("no such connection")
 	ErrNoCallback    = errors.New("no such callback")
 	ErrUnknownStep   = errors.New("unknown step")
-	ErrNotAccepted   = errors.New("nothing connected")
+	ErrNotAccepted   = errors.New("the program did not connect in time")
 	errNotTCP        = errors.New("not a TCP connection")
-	errTooMuchOutput = errors.New("more than is wanted")
+	errTooMuchOutput = errors.New("more data than expected")
 )
 
-// Settings are the settings of a small node; the test replaces REPORTS by the source of load reports.
+// Settings are the settings of a small node. Tests replace REPORTS with the source of load reports.
 const Settings = `{"groupSize":1,"index":0,"az":"a","membershipMode":"on_request","roundS":0.005,"overShareWorth":0.05,
  "customers":[{"name":"acme","quotaRps":10,"fraction":1}],"weightSource":"off","worthBy":"request",
  "domain":{"groups":false,"mode":"proxy","messageAimS":[0.06],"parkS":0,"tellsDelay":false,"tenantQuotaConnections":[]},
@@ -72,25 +72,25 @@
  "profiles":[{"name":"chat","aimS":0.8,"giveUpS":4,"idempotency":"safe","dedupScope":"all","dedupWindowS":5,"value":1}],
  "tariffs":{"probe":0.002,"crossZone":0,"lateFail":0,"moves":0,"peer":0,"waste":0}}`
 
-// Player holds the two sides of the program.
+// Player plays both sides of the program: its clients and the servers to which it connects.
 type Player struct {
-	Address   string // of the program
+	Address   string // where the program listens
 	Listeners map[string]*net.TCPListener
-	Values    map[string]string
-	Callbacks map[string]func() // callbacks by name
+	Values    map[string]string // texts that replace {NAME}, by name
+	Callbacks map[string]func() // by name
 
 	connections map[string]*net.TCPConn
 	incoming    chan accepted
-	unclaimed   []accepted // that a step has passed over
+	unclaimed   []accepted // accepted connections that no step has taken yet
 }
 
-// accepted is a connection of the program at a listener.
+// accepted is a connection that the program has opened to a listener.
 type accepted struct {
 	listener   string
 	connection *net.TCPConn
 }
 
-// matches reports whether the connection is one that a step wants.
+// matches reports whether the connection arrived at the listener that a step names.
 func (a accepted) matches(listener string) bool {
 	return a.listener == listener || listener == anyServer && a.listener[0] == serverListener
 }
@@ -120,7 +120,7 @@
 	return listener.Addr().String()
 }
 
-// Play plays the transcript in a text. The first step that fails ends the test.
+// Play plays a transcript. The first step that fails ends the test.
 func (p *Player) Play(tb testing.TB, text string) {
 	tb.Helper()
 	p.connections = map[string]*net.TCPConn{}
@@ -191,7 +191,7 @@
 	return ErrUnknownStep
 }
 
-// expand replaces the values in a text and its escapes.
+// expand replaces {NAME} by values in a text, and then its escapes.
 func (p *Player) expand(text string) (string, error) {
 	for name, value := range p.Values {
 		text = strings.ReplaceAll(text, "{"+name+"}", value)
@@ -199,7 +199,7 @@
 	return strconv.Unquote(`"` + strings.ReplaceAll(text, `"`, `\"`) + `"`)
 }
 
-// open connects to the program, or to the address in a value.
+// open connects to the program or, if value is set, to the address in the value of that name.
 func (p *Player) open(name, value string) error {
 	address := p.Address
 	if value != "" {
@@ -217,7 +217,7 @@
 	return nil
 }
 
-// accept takes the next connection at a listener.
+// accept takes the next connection at a listener. It keeps connections at other listeners for later steps.
 func (p *Player) accept(name, listener string) error {
 	for i, candidate := range p.unclaimed {
 		if candidate.matches(listener) {
--- a/internal/lab/transcript/player_test.go
+++ b/internal/lab/transcript/player_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestPlay plays a transcript against the echo server.
-func TestPlay(t *testing.T) {
+// TestPlayAgainstEchoServer plays a transcript with client steps and a callback against the echo server.
+func TestPlayAgainstEchoServer(t *testing.T) {
 	called := false
 	player := &Player{
 		Address:   EchoServer(t),
@@ -30,13 +30,13 @@
 		c end
 	`)
 	if !called {
-		t.Error("the callback was not called")
+		t.Error("Play: the step \"do call\" did not call the callback")
 	}
 }
 
-// TestAcceptPassesOver checks that a step accepts the connection of its listener, and that another one stays for a
-// later step.
-func TestAcceptPassesOver(t *testing.T) {
+// TestAcceptKeepsConnectionsOfOtherListeners checks that a step accepts a connection at its own listener, and that a
+// connection at another listener remains for a later step.
+func TestAcceptKeepsConnectionsOfOtherListeners(t *testing.T) {
 	player := &Player{Values: map[string]string{}}
 	player.Values["first"] = player.Listen(t, "h1")
 	player.Values["second"] = player.Listen(t, "d")
@@ -52,8 +52,8 @@
 	`)
 }
 
-// TestStepFails checks that a step whose outcome is another one fails.
-func TestStepFails(t *testing.T) {
+// TestStepFailsOnUnexpectedOutcome checks that a step fails if its outcome differs from the expected one.
+func TestStepFailsOnUnexpectedOutcome(t *testing.T) {
 	player := &Player{Address: EchoServer(t)}
 	player.Play(t, "# nothing")
 	for _, step := range [][3]string{{"c", "open", ""}, {"c", ">", "OPEN"}, {"c", "<", "UP 1"}} {
@@ -63,9 +63,9 @@
 	}
 	for _, test := range []struct {
 		sent, operation, text string
-		wanted                error
+		want                  error
 	}{
-		{strings.Repeat("one", 200), "<", "two", errTooMuchOutput}, // a text is compared until it has too many bytes
+		{strings.Repeat("one", 200), "<", "two", errTooMuchOutput}, // reading stops when the text has too many bytes
 		{"one", "<", "END", errTooMuchOutput},
 		{"one", "<", "RESET", errTooMuchOutput},
 		{"one", "<", "SILENCE", errTooMuchOutput},
@@ -74,14 +74,14 @@
 		if err := player.step("c", ">", test.sent); err != nil {
 			t.Fatal(err)
 		}
-		if err := player.step("c", test.operation, test.text); !errors.Is(err, test.wanted) {
-			t.Errorf("%s %s: %v", test.operation, test.text, err)
+		if err := player.step("c", test.operation, test.text); !errors.Is(err, test.want) {
+			t.Errorf("step %s %s: got error %v, want the error of the case", test.operation, test.text, err)
 		}
 	}
 	if err := player.step("d", "<", "x"); !errors.Is(err, ErrNoConnection) {
-		t.Errorf("without a connection: %v", err)
+		t.Errorf("step without a connection: got error %v, want ErrNoConnection", err)
 	}
 	if err := player.step("do", "x", ""); !errors.Is(err, ErrNoCallback) {
-		t.Errorf("without a callback: %v", err)
+		t.Errorf("step without a callback: got error %v, want ErrNoCallback", err)
 	}
 }
--- a/internal/lab/transcript/server.go
+++ b/internal/lab/transcript/server.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// pollInterval is the time between two looks for a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 2 * time.Millisecond
 
-// EchoServer starts a server of the platform's protocol that establishes each connection and returns its lines.
+// EchoServer starts a server of the platform's protocol that establishes each connection and echoes its lines.
 func EchoServer(tb testing.TB) (address string) {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { _ = listener.Close() }) // it fails of a closed one only
+	tb.Cleanup(func() { _ = listener.Close() }) // fails only if the listener is already closed
 	go func() {
 		for {
 			connection, err := listener.Accept()
@@ -32,9 +32,9 @@
 	return listener.Addr().String()
 }
 
-// serveEcho answers the first line of a connection and returns all further bytes.
+// serveEcho answers the first line of a connection with UP and echoes all further bytes.
 func serveEcho(connection net.Conn) {
-	defer func() { _ = connection.Close() }() // the peer has ended it
+	defer func() { _ = connection.Close() }() // the peer may have closed it already
 	reader := bufio.NewReader(connection)
 	if _, err := reader.ReadString('\n'); err != nil {
 		return
@@ -42,10 +42,10 @@
 	if err := send(connection, "UP 1"+lineEnd); err != nil {
 		return
 	}
-	_, _ = io.Copy(connection, reader) // it ends when either side is closed
+	_, _ = io.Copy(connection, reader) // returns when either side closes the connection
 }
 
-// FreeAddr returns an address on loopback where nobody listens.
+// FreeAddr returns a loopback address on which nothing listens.
 func FreeAddr(tb testing.TB) string {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,15 +56,15 @@
 	return listener.Addr().String()
 }
 
-// AdminRequest requests a path of an admin server. It returns the status and body of the answer; status 0 with the
-// error's text where none came.
+// AdminRequest requests a path from an admin server. It returns the status and body of the response, or the status 0
+// and the text of the error if there is no response.
 func AdminRequest(address, path string) (status int, body string) {
 	client := http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + address + path)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer func() { _ = response.Body.Close() }() // it was read to its end
+	defer func() { _ = response.Body.Close() }() // it has been read to its end
 	contents, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err.Error()
@@ -72,12 +72,12 @@
 	return response.StatusCode, string(contents)
 }
 
-// WaitFor waits for a condition, and fails the test where it isn't met in time.
-func WaitFor(tb testing.TB, what string, met func() bool) {
+// WaitFor waits until a condition is met. It fails the test if the condition isn't met in time.
+func WaitFor(tb testing.TB, condition string, met func() bool) {
 	tb.Helper()
 	for deadline := time.Now().Add(waitTimeout); !met(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			tb.Fatal("never: ", what)
+			tb.Fatal("timed out waiting until ", condition)
 		}
 	}
 }
--- a/internal/lab/transcript/stream.go
+++ b/internal/lab/transcript/stream.go
@@ -14,38 +14,40 @@
 )
 
 const (
-	streamBuffer    = 64 << 10             // bytes read at a time
-	steadyInterval  = 5 * time.Millisecond // between the lines of a steady stream
-	pieceLineDelay  = time.Millisecond     // between the lines that are sent byte by byte
-	bulkLineLength  = 3000                 // bytes
-	bulkPauseEach   = 200                  // lines, in the mean, between pauses of a bulk reader
-	maxBulkPause    = 60                   // milliseconds
-	maxStreamFaults = 5                    // that a test prints
-	lastLine        = "last" + lineEnd
-	moveLine        = "MOVE" + lineEnd
+	streamBuffer       = 64 << 10             // size of the read buffer in bytes
+	oneByOneInterval   = 5 * time.Millisecond // between the lines of a OneByOne stream
+	byteByByteInterval = time.Millisecond     // between the lines of a ByteByByte stream
+	bulkLineLength     = 3000                 // bytes
+	bulkPauseEach      = 200                  // mean number of lines between pauses of a bulk reader
+	maxBulkPause       = 60                   // milliseconds, exclusive
+	maxStreamFaults    = 5                    // number of faults that a test prints
+	lastLine           = "last" + lineEnd
+	moveLine           = "MOVE" + lineEnd
 )
 
 // StreamKind is how a stream sends its lines.
 type StreamKind int
 
 const (
-	// OneByOne streams send one line after the other, and time each.
+	// OneByOne streams send each line after the echo of the previous one, and measure the round trip of each.
 	OneByOne StreamKind = iota
-	// ByteByByte streams send byte by byte.
+	// ByteByByte streams send each byte of their lines in a write of its own.
 	ByteByByte
 	// Idle streams send nothing.
 	Idle
-	// Bulk streams send as much as they can, to a reader that pauses at random: all buffers on the way fill up.
+	// Bulk streams send as much as they can, and their reader pauses at random, so that all buffers on the way fill up.
 	Bulk
 )
 
-// Streams are connections that stay open and send numbered lines to a server that returns them: each byte that comes
-// back is checked. Each stays on one connection to the end.
+// Streams are long-lived connections that send numbered lines to a server that echoes them, and check each byte of the
+// echo. Each stream uses one connection until it ends.
 type Streams struct {
-	Addr   string // of the node
-	Server string // ID of the server where connections are already open, which leaves the module no choice; empty: none
-	// CountMigrated has a stream of kind OneByOne that is asked to migrate end and count in Migrated; else that is a
-	// fault.
+	Addr string // of the node
+	// Server is the ID of the server where the client's connections are already open, which leaves placement no choice.
+	// If it is empty there is none.
+	Server string
+	// CountMigrated makes a stream of kind OneByOne end and count in Migrated when it is asked to migrate. Without it a
+	// request to migrate is a fault.
 	CountMigrated bool
 
 	stop        chan struct{}
@@ -55,10 +57,10 @@
 	mu         sync.Mutex // guards the fields below
 	faults     []string
 	migrated   int             // streams that were asked to migrate
-	roundTrips []time.Duration // of the lines of steady streams
+	roundTrips []time.Duration // of the lines of OneByOne streams
 }
 
-// stream is one connection of a set of streams.
+// stream is one of a set of streams, with its connection.
 type stream struct {
 	set        *Streams
 	id         int
@@ -79,14 +81,14 @@
 	s.migrated++
 }
 
-// Migrated counts the streams that were asked to migrate. It is to be called after Stop.
+// Migrated returns the number of streams that were asked to migrate. Call it after Stop.
 func (s *Streams) Migrated() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.migrated
 }
 
-// Start opens a number of streams of a kind, and returns when all are established.
+// Start opens streams of the given kind and returns when all are established.
 func (s *Streams) Start(tb testing.TB, count int, kind StreamKind) {
 	tb.Helper()
 	if s.stop == nil {
@@ -115,19 +117,19 @@
 	if s.Server != "" {
 		at = ",at=" + s.Server
 	}
-	// Where the write fails, so does the read of the answer.
+	// If the write fails, the read of the answer fails too.
 	_ = send(connection, fmt.Sprintf("OPEN %x %x c=chat,t=acme,d=900%s%s", id<<20, id, at, lineEnd))
 	reader := bufio.NewReaderSize(connection, streamBuffer)
-	_ = connection.SetReadDeadline(time.Now().Add(waitTimeout)) // it fails of a closed connection only
+	_ = connection.SetReadDeadline(time.Now().Add(waitTimeout)) // fails only if the connection is closed
 	answer, err := reader.ReadString('\n')
 	if err != nil || !strings.HasPrefix(answer, "UP") {
-		tb.Fatalf("a stream got %q, %v", answer, err)
+		tb.Fatalf("open a stream: got answer %q, error %v, want UP", answer, err)
 	}
-	_ = connection.SetReadDeadline(time.Time{}) // likewise
+	_ = connection.SetReadDeadline(time.Time{}) // fails only if the connection is closed
 	return &stream{set: s, id: id, kind: kind, connection: connection, reader: reader}
 }
 
-// stopped reports whether the streams are to end.
+// stopped reports whether Stop has been called.
 func (s *Streams) stopped() bool {
 	select {
 	case <-s.stop:
@@ -137,7 +139,7 @@
 	}
 }
 
-// run plays the stream in a goroutine of its own, until Streams.Stop ends it or a fault does.
+// run plays the stream until Streams.Stop or a fault ends it. It runs in a goroutine of its own.
 func (s *stream) run() {
 	switch s.kind {
 	case Idle:
@@ -149,32 +151,32 @@
 	}
 }
 
-// exchangeLines sends a line and reads it back, again and again.
+// exchangeLines repeatedly sends a line and reads its echo.
 func (s *stream) exchangeLines() {
 	var roundTrips []time.Duration
 	for i := 0; !s.set.stopped(); i++ {
 		line := fmt.Sprintf("%d %d%s", s.id, i, lineEnd)
 		began := time.Now()
-		_ = s.connection.SetReadDeadline(began.Add(waitTimeout)) // it fails of a closed connection only
+		_ = s.connection.SetReadDeadline(began.Add(waitTimeout)) // fails only if the connection is closed
 		got, err := s.exchangeLine(line)
 		if s.set.CountMigrated && got == moveLine {
 			s.set.addMigrated()
 			return
 		}
 		if err != nil || got != line {
-			s.set.addFault("stream %d, line %d: %q, %v", s.id, i, got, err)
+			s.set.addFault("stream %d, line %d: got %q, error %v", s.id, i, got, err)
 			return
 		}
 		roundTrips = append(roundTrips, time.Since(began))
-		time.Sleep(steadyInterval)
+		time.Sleep(oneByOneInterval)
 	}
 	s.set.mu.Lock()
 	defer s.set.mu.Unlock()
 	s.set.roundTrips = append(s.set.roundTrips, roundTrips...)
 }
 
-// exchangeLine sends a line and reads one. Where the write fails the connection has ended, and what is read is what the
-// node sent before that.
+// exchangeLine sends a line and reads one. If the write fails, the connection has ended, and exchangeLine returns what
+// the node sent before the end.
 func (s *stream) exchangeLine(line string) (string, error) {
 	sendErr := send(s.connection, line)
 	got, err := s.reader.ReadString('\n')
@@ -184,7 +186,7 @@
 	return got, err
 }
 
-// line returns the line of a number.
+// line returns the line that the stream sends under the given number.
 func (s *stream) line(number int) []byte {
 	if s.kind == ByteByByte {
 		return fmt.Appendf(nil, "%d %d%s", s.id, number, lineEnd)
@@ -193,17 +195,17 @@
 	return fmt.Appendf(nil, "%d %d %s%s", s.id, number, filling, lineEnd)
 }
 
-// sendAndCheck sends lines while it reads and checks those that come back, up to the last one.
+// sendAndCheck sends lines while it reads and checks their echoes, until it has read the last line.
 func (s *stream) sendAndCheck() {
 	sent := make(chan int, 1)
 	go func() { sent <- s.sendLines() }()
 	received := s.checkLines()
 	if lines := <-sent; lines != received {
-		s.set.addFault("stream %d: %d lines came back of %d", s.id, received, lines)
+		s.set.addFault("stream %d: got %d lines back, want %d", s.id, received, lines)
 	}
 }
 
-// sendLines sends lines until the streams end, and then the last one. It returns how many came before that.
+// sendLines sends lines until Stop is called, and then lastLine. It returns the number of lines before lastLine.
 func (s *stream) sendLines() int {
 	number := 0
 	for ; !s.set.stopped(); number++ {
@@ -212,14 +214,14 @@
 			return number
 		}
 		if s.kind == ByteByByte {
-			time.Sleep(pieceLineDelay)
+			time.Sleep(byteByByteInterval)
 		}
 	}
-	_ = send(s.connection, lastLine) // where it fails, so does the read of it
+	_ = send(s.connection, lastLine) // if it fails, the read of its echo fails too
 	return number
 }
 
-// sendLine sends a line as a whole, or byte by byte.
+// sendLine sends a line in one write, or byte by byte if the stream is of kind ByteByByte.
 func (s *stream) sendLine(line []byte) error {
 	if s.kind != ByteByByte {
 		_, err := s.connection.Write(line)
@@ -233,29 +235,29 @@
 	return nil
 }
 
-// checkLines reads and checks all lines up to the last one. It returns how many came before that.
+// checkLines reads and checks all lines up to lastLine. It returns the number of lines before lastLine.
 func (s *stream) checkLines() int {
 	rng := rand.New(rand.NewPCG(uint64(s.id), 3))
 	for number := 0; ; number++ {
 		if s.kind == Bulk && rng.IntN(bulkPauseEach) == 0 {
 			time.Sleep(time.Duration(rng.IntN(maxBulkPause)) * time.Millisecond)
 		}
-		_ = s.connection.SetReadDeadline(time.Now().Add(waitTimeout)) // it fails of a closed connection only
+		_ = s.connection.SetReadDeadline(time.Now().Add(waitTimeout)) // fails only if the connection is closed
 		got, err := s.reader.ReadBytes('\n')
 		if err == nil && string(got) == lastLine {
 			return number
 		}
 		wanted := s.line(number)
 		if err != nil || !bytes.Equal(got, wanted) {
-			s.set.addFault("stream %d, line %d: %.40q for %.40q, %v", s.id, number, got, wanted, err)
-			_ = s.connection.Close() // it ends the writer
+			s.set.addFault("stream %d, line %d: got %.40q, want %.40q, error %v", s.id, number, got, wanted, err)
+			_ = s.connection.Close() // makes the writer end
 			return number
 		}
 	}
 }
 
-// Stop ends the streams. It fails the test where a byte was lost, repeated or out of place, or a client was asked to
-// migrate, and returns the round trips of the steady streams in ascending order.
+// Stop ends the streams and returns the round trips of the OneByOne streams in ascending order. It reports a test error
+// for each fault: a byte was lost, repeated or out of place, or a client was unexpectedly asked to migrate.
 func (s *Streams) Stop(tb testing.TB) []time.Duration {
 	tb.Helper()
 	close(s.stop)
@@ -265,7 +267,7 @@
 	}
 	for i, fault := range s.faults {
 		if i == maxStreamFaults {
-			tb.Errorf("and %d more", len(s.faults)-maxStreamFaults)
+			tb.Errorf("and %d more faults", len(s.faults)-maxStreamFaults)
 			break
 		}
 		tb.Error(fault)
--- a/internal/lab/transcript/stream_test.go
+++ b/internal/lab/transcript/stream_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// startServer starts a server that establishes each connection and then passes each line on to answer; an answer of nil
-// ends the connection.
+// startServer starts a server that answers the first line of each connection with first, and each further line with the
+// result of answer. If answer returns nil, the server closes the connection.
 func startServer(t *testing.T, first string, answer func(line []byte) []byte) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // it fails of a closed one only
+	t.Cleanup(func() { _ = listener.Close() }) // fails only if the listener is already closed
 	serve := func(connection net.Conn) {
-		defer func() { _ = connection.Close() }() // the test has ended it, or is told by it
+		defer func() { _ = connection.Close() }() // the client may have closed it already
 		reader := bufio.NewReader(connection)
 		if _, err := reader.ReadString('\n'); err != nil || send(connection, first) != nil {
 			return
@@ -26,8 +26,8 @@
 			if err != nil {
 				return
 			}
-			answered := answer(line)
-			if answered == nil || send(connection, string(answered)) != nil {
+			reply := answer(line)
+			if reply == nil || send(connection, string(reply)) != nil {
 				return
 			}
 		}
@@ -44,9 +44,9 @@
 	return listener.Addr().String()
 }
 
-// TestStreamsFindFaults checks that a stream of each kind finds a changed byte, a lost line and a repeated one, and no
-// fault where all come back.
-func TestStreamsFindFaults(t *testing.T) {
+// TestStreamsDetectFaults checks that a stream of each kind detects a changed byte, a lost line, a repeated line and
+// the end of the connection, and reports no fault if all lines come back.
+func TestStreamsDetectFaults(t *testing.T) {
 	change := func(line []byte) []byte { return append([]byte{'x'}, line[1:]...) }
 	for name, answer := range map[string]func(count int, line []byte) []byte{
 		"none":     func(_ int, line []byte) []byte { return line },
@@ -62,11 +62,11 @@
 				return answer(count, line)
 			})}
 			if name == "lost" && kind == OneByOne {
-				continue // it would wait for the line until its timeout
+				continue // the stream would wait for the lost line until its timeout
 			}
 			streams.Start(t, 1, kind)
 			if name != "none" {
-				WaitFor(t, "a fault is found", func() bool {
+				WaitFor(t, "a stream has detected a fault", func() bool {
 					streams.mu.Lock()
 					defer streams.mu.Unlock()
 					return len(streams.faults) > 0
@@ -75,14 +75,15 @@
 			close(streams.stop)
 			streams.running.Wait()
 			if found := len(streams.faults) > 0; found != (name != "none") {
-				t.Errorf("%s, kind %d: faults %q", name, kind, streams.faults)
+				t.Errorf("%s, kind %d: got faults %q, want faults except in case none", name, kind, streams.faults)
 			}
 		}
 	}
 }
 
-// TestClientCounts checks what clients count of nodes that accept, reject, migrate and lose them.
-func TestClientCounts(t *testing.T) {
+// TestClientsCountOutcomes checks what clients count if the node serves, rejects, migrates, does not accept or loses
+// them.
+func TestClientsCountOutcomes(t *testing.T) {
 	echo := func(line []byte) []byte { return line }
 	migrate := func([]byte) []byte { return []byte("MOVE\r\n") }
 	end := func([]byte) []byte { return nil }
@@ -90,7 +91,7 @@
 	for name, test := range map[string]struct {
 		first  string
 		answer func([]byte) []byte
-		wanted counts
+		want   counts
 	}{
 		"served":       {"UP 1\r\n", echo, counts{established: true}},
 		"rejected":     {"BUSY 1\r\n", echo, counts{rejected: true}},
@@ -112,8 +113,8 @@
 			notAccepted: clients.NotAccepted.Load() > 0,
 			lost:        clients.Lost.Load() > 0,
 		}
-		if got != test.wanted {
-			t.Errorf("%s: %+v", name, got)
+		if got != test.want {
+			t.Errorf("%s: got counts %+v, want those of the case", name, got)
 		}
 	}
 }
--- a/internal/lab/xmppserver/client.go
+++ b/internal/lab/xmppserver/client.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// LoginMethod is the way a client logs in.
+// LoginMethod is the way in which a client authenticates and binds or resumes a session.
 type LoginMethod int
 
-// The ways to log in.
+// The login methods.
 const (
 	LoginPlain      LoginMethod = iota // SASL PLAIN, then bind
-	LoginPlainNamed                    // the same, with the user's name in the stream header
-	LoginSASL2                         // SASL2 with Bind 2, or the resumption, inline
+	LoginPlainNamed                    // the same as LoginPlain, with the user's name in the stream header
+	LoginSASL2                         // SASL2 with Bind 2 or the resumption inline
 )
 
 const (
@@ -30,33 +30,33 @@
 	startTLSRequest   = "<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"
 )
 
-// ErrStream is returned where the server ended the stream by a stream error.
-var ErrStream = errors.New("the stream ended")
+// ErrStream reports that the server ended the stream with a stream error.
+var ErrStream = errors.New("the server sent a stream error")
 
-// Client is a plain client of one user.
+// Client is a minimal XMPP client of one user.
 type Client struct {
 	Conn net.Conn
-	// ID is of the session that can be resumed; empty: none.
+	// ID identifies the session that can be resumed. If it is empty, there is none.
 	ID string
 
 	reader   *bufio.Reader
 	deadline time.Time
 }
 
-// Connect brings a session up before the deadline: the one of id, where one is given and its server still has it, else
-// a new one. resumed says which it was.
-func Connect(addr, user, id string, how LoginMethod, deadline time.Time) (client *Client, resumed bool, err error) {
+// Connect establishes a session before the deadline. It resumes the session id if that is set and the server still has
+// the session, and binds a new session otherwise. resumed reports which of the two happened.
+func Connect(addr, user, id string, method LoginMethod, deadline time.Time) (client *Client, resumed bool, err error) {
 	client, err = dial(addr, deadline)
 	if err != nil {
 		return nil, false, err
 	}
-	resumed, err = client.logIn(user, id, how)
+	resumed, err = client.logIn(user, id, method)
 	return client.unlessFailed(resumed, err)
 }
 
-// ConnectTLS is Connect over TLS, direct or by STARTTLS.
+// ConnectTLS works like Connect but over TLS, either direct or by STARTTLS.
 func ConnectTLS(
-	addr, user, id string, how LoginMethod, config *tls.Config, direct bool, deadline time.Time,
+	addr, user, id string, method LoginMethod, config *tls.Config, direct bool, deadline time.Time,
 ) (client *Client, resumed bool, err error) {
 	client, err = dial(addr, deadline)
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	err = client.secure(config, direct)
 	if err == nil {
-		resumed, err = client.logIn(user, id, how)
+		resumed, err = client.logIn(user, id, method)
 	}
 	return client.unlessFailed(resumed, err)
 }
@@ -77,16 +77,16 @@
 	return &Client{Conn: conn, reader: bufio.NewReader(conn), deadline: deadline}, nil
 }
 
-// unlessFailed closes the connection of a client that has failed.
+// unlessFailed returns the client and resumed. If err is set, it closes the connection and returns only the error.
 func (c *Client) unlessFailed(resumed bool, err error) (*Client, bool, error) {
 	if err != nil {
-		_ = c.Conn.Close() // the failure before is what counts
+		_ = c.Conn.Close() // err is the error to report
 		return nil, false, err
 	}
 	return c, resumed, nil
 }
 
-// secure puts TLS on the connection.
+// secure starts TLS on the connection, either directly or by STARTTLS.
 func (c *Client) secure(config *tls.Config, direct bool) error {
 	if !direct {
 		if _, err := c.Exchange(streamHeaderStart+streamHeaderEnd, endOfFeatures); err != nil {
@@ -108,10 +108,10 @@
 	return nil
 }
 
-// logIn opens the stream, authenticates and resumes the session of id, or else binds a new one.
-func (c *Client) logIn(user, id string, how LoginMethod) (resumed bool, err error) {
+// logIn opens the stream, authenticates and resumes the session id. If that is impossible, it binds a new session.
+func (c *Client) logIn(user, id string, method LoginMethod) (resumed bool, err error) {
 	header := streamHeaderStart + streamHeaderEnd
-	if how == LoginPlainNamed {
+	if method == LoginPlainNamed {
 		header = streamHeaderStart + "from='" + user + "@" + domain + "' " + streamHeaderEnd
 	}
 	credentials := base64.StdEncoding.EncodeToString([]byte("\x00" + user + "\x00secret"))
@@ -119,7 +119,7 @@
 		return false, err
 	}
 	done := false
-	if how == LoginSASL2 {
+	if method == LoginSASL2 {
 		resumed, done, err = c.authenticateInline(credentials, id)
 	} else {
 		resumed, err = c.authenticate(header, credentials, id)
@@ -131,7 +131,7 @@
 	return false, c.bind()
 }
 
-// authenticateInline authenticates by SASL2. done says that the session stands, resumed or new.
+// authenticateInline authenticates by SASL2. done reports that a session is established, resumed or new.
 func (c *Client) authenticateInline(credentials, id string) (resumed, done bool, err error) {
 	inline := "<bind xmlns='" + bind2NS + "'>" + enableRequest + "</bind>"
 	if id != "" {
@@ -150,7 +150,7 @@
 	return false, !strings.Contains(reply, "<failed"), nil
 }
 
-// authenticate authenticates by SASL, starts the stream anew and resumes the session of id, if one is given.
+// authenticate authenticates by SASL, opens a new stream and resumes the session id if that is set.
 func (c *Client) authenticate(header, credentials, id string) (resumed bool, err error) {
 	request := "<auth xmlns='" + saslNS + "' mechanism='PLAIN'>" + credentials + "</auth>"
 	if _, err := c.Exchange(request, "<success"); err != nil {
@@ -174,7 +174,7 @@
 	return false, err
 }
 
-// bind makes a new session that can be resumed.
+// bind binds a new session that can be resumed.
 func (c *Client) bind() error {
 	if _, err := c.Exchange(bindRequest, "</iq>"); err != nil {
 		return err
@@ -184,8 +184,8 @@
 	return err
 }
 
-// Exchange writes a text and reads up to a tag that ends or begins as until says. It returns what was read, also with
-// an error; a stream error is an ErrStream.
+// Exchange writes a text and reads up to a tag that ends or begins with until. It returns the text that was read, even
+// with an error. A stream error is reported as ErrStream.
 func (c *Client) Exchange(text, until string) (string, error) {
 	if err := c.Conn.SetDeadline(c.deadline); err != nil {
 		return "", err
@@ -198,10 +198,10 @@
 		part, err := c.reader.ReadString('>')
 		received.WriteString(part)
 		if err != nil {
-			return received.String(), fmt.Errorf("%q came, %w", received.String(), err)
+			return received.String(), fmt.Errorf("got %q, then: %w", received.String(), err)
 		}
 		if strings.Contains(part, "stream:error") {
-			rest, _ := c.reader.ReadString(0) // up to the end of the connection, whichever it is
+			rest, _ := c.reader.ReadString(0) // read to the end of the connection; the error doesn't matter
 			return received.String(), fmt.Errorf("%w: %s%s", ErrStream, part, rest)
 		}
 		if strings.HasSuffix(part, until) || strings.HasPrefix(part, until) {
@@ -214,7 +214,7 @@
 	return "<resume xmlns='" + smNS + "' previd='" + id + "' h='0'/>"
 }
 
-// attributeValue returns the value of the first attribute of a name, or an empty text.
+// attributeValue returns the value of the first attribute with the given name, or "" if there is none.
 func attributeValue(text, name string) string {
 	_, after, found := strings.Cut(text, " "+name+"='")
 	if !found {
--- a/internal/lab/xmppserver/server.go
+++ b/internal/lab/xmppserver/server.go
@@ -1,6 +1,6 @@
-// Package xmppserver is a test server and client of XMPP, written from the published specifications (RFC 6120,
-// XEP-0198, XEP-0386, XEP-0388): the server accepts any user, binds, keeps sessions that can be resumed, and answers
-// each request. It serves tests and measurements only.
+// Package xmppserver provides an XMPP server and client for tests and measurements, written from the published
+// specifications (RFC 6120, XEP-0198, XEP-0386, XEP-0388). The server accepts any user, binds, keeps sessions that can
+// be resumed, and answers each request.
 package xmppserver
 
 import (
@@ -19,39 +19,39 @@
 	smNS     = "urn:xmpp:sm:3" // stream management
 )
 
-// domain is the one that the server serves.
+// domain is the XMPP domain of the server.
 const domain = "farm.example"
 
-// defaultResumeSeconds is Server.ResumeSeconds of a new server.
+// defaultResumeSeconds is the value of Server.ResumeSeconds for a new server.
 const defaultResumeSeconds = 60
 
-// Server is a test server. Its exported fields are set before the first client connects.
+// Server is an XMPP server for tests. Its exported fields must be set before the first client connects.
 type Server struct {
 	Addr          string
-	ResumeSeconds int // seconds that a session can be resumed, as clients are told
-	// SeeOther is the address that clients are sent to; empty: they are served here.
+	ResumeSeconds int // resumption timeout that the server announces to clients
+	// SeeOther is the address to which the server redirects clients. If it is empty, the server serves them itself.
 	SeeOther string
 
 	name     string
 	listener net.Listener
 
 	mu       sync.Mutex
-	sessions map[string]*session // by their ids
-	conns    map[net.Conn]bool   // open ones
+	sessions map[string]*session // by ID
+	conns    map[net.Conn]bool   // open connections
 	count    Count
 	lastID   int
 }
 
-// Count is how often a server has seen each event.
+// Count holds the number of events of each kind that a server has seen.
 type Count struct{ Streams, Bound, Resumed, Failed, Answered int }
 
-// session is a session that can be resumed; conn is nil where its stream has ended.
+// session is a session that can be resumed. conn is nil if its stream has ended.
 type session struct {
 	user string
 	conn net.Conn
 }
 
-// Listen starts a server on a free port of loopback.
+// Listen starts a server on a free loopback port.
 func Listen(name string) (*Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,30 +84,30 @@
 	}
 }
 
-// Close ends the server and all its streams. It does not wait for the goroutines that serve them.
+// Close stops the server and closes all its streams. It does not wait for the goroutines that serve them.
 func (s *Server) Close() {
-	_ = s.listener.Close() // it is over either way
+	_ = s.listener.Close() // the server ends even if this fails
 	s.Restart()
 }
 
-// Restart ends all streams and forgets all sessions, as a process that starts anew.
+// Restart closes all streams and forgets all sessions, as a restart of the process would.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.conns {
-		_ = conn.Close() // its goroutine notices
+		_ = conn.Close() // makes the goroutine that serves it end
 	}
 	clear(s.sessions)
 }
 
-// Count returns the events so far.
+// Count returns the event counts so far.
 func (s *Server) Count() Count {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.count
 }
 
-// updateCount changes the count under the lock.
+// updateCount calls update on the count under the lock.
 func (s *Server) updateCount(update func(*Count)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/xmppserver/stream.go
+++ b/internal/lab/xmppserver/stream.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// element is a child of the stream.
+// element is an XML element, such as a child of the stream.
 type element struct {
 	XMLName  xml.Name
 	Attrs    []xml.Attr `xml:",any,attr"`
@@ -17,7 +17,7 @@
 	Children []element  `xml:",any"`
 }
 
-// attribute returns the value of an attribute; empty: there is none.
+// attribute returns the value of an attribute, or "" if there is none.
 func (e *element) attribute(name string) string {
 	for _, attribute := range e.Attrs {
 		if attribute.Name.Local == name {
@@ -27,7 +27,7 @@
 	return ""
 }
 
-// child returns the first child of a name, or nil.
+// child returns the first child with the given name, or nil if there is none.
 func (e *element) child(space, name string) *element {
 	for i := range e.Children {
 		if e.Children[i].XMLName == (xml.Name{Space: space, Local: name}) {
@@ -41,11 +41,11 @@
 type stream struct {
 	server    *Server
 	conn      net.Conn
-	user      string // empty: not authenticated
-	sessionID string // of the session that can be resumed; empty: none
+	user      string // empty if not authenticated
+	sessionID string // ID of the session that can be resumed; empty if there is none
 }
 
-// serve answers a connection until it ends.
+// serve serves a connection until it ends.
 func (s *Server) serve(conn net.Conn) {
 	current := &stream{server: s, conn: conn}
 	defer current.close()
@@ -76,7 +76,7 @@
 	}
 }
 
-// close closes the connection. Its session stays and can be resumed.
+// close closes the connection. The session is kept and can be resumed.
 func (s *stream) close() {
 	s.server.mu.Lock()
 	delete(s.server.conns, s.conn)
@@ -85,10 +85,10 @@
 		session.conn = nil
 	}
 	s.server.mu.Unlock()
-	_ = s.conn.Close() // the stream is over either way
+	_ = s.conn.Close() // the stream ends even if this fails
 }
 
-// end answers the end of the stream by the client, which ends the session too.
+// end answers the client's end of the stream, which ends the session too.
 func (s *stream) end() {
 	s.write("</stream:stream>")
 	s.server.mu.Lock()
@@ -96,19 +96,19 @@
 	s.server.mu.Unlock()
 }
 
-// write sends a text. Errors are dropped: the next read from the connection fails too, and ends the stream.
+// write sends a text. It ignores errors, because the next read from the connection then fails too and ends the stream.
 func (s *stream) write(format string, args ...any) {
-	_, _ = fmt.Fprintf(s.conn, format, args...) // see above
+	_, _ = fmt.Fprintf(s.conn, format, args...)
 }
 
-// open answers the stream's header.
+// open answers the header of the client's stream.
 func (s *stream) open() {
 	s.write("<?xml version='1.0'?><stream:stream from='%s' id='%s' version='1.0' xmlns='%s' xmlns:stream='%s'>",
 		domain, s.server.name, clientNS, streamNS)
 	if other := s.server.SeeOther; other != "" {
 		s.write("<stream:error><see-other-host xmlns='urn:ietf:params:xml:ns:xmpp-streams'>%s</see-other-host>"+
 			"</stream:error></stream:stream>", other)
-		_ = s.conn.Close() // the next read ends the stream
+		_ = s.conn.Close() // makes the next read end the stream
 		return
 	}
 	s.writeFeatures()
@@ -125,7 +125,7 @@
 	s.write("<stream:features><bind xmlns='%s'/><sm xmlns='%s'/></stream:features>", bindNS, smNS)
 }
 
-// answer answers a child of the stream. It returns whether the client starts its stream anew.
+// answer answers a child of the stream. newStream reports that the client opens a new stream on the connection.
 func (s *stream) answer(child *element) (newStream bool) {
 	switch child.XMLName {
 	case xml.Name{Space: saslNS, Local: "auth"}:
@@ -146,7 +146,7 @@
 	return false
 }
 
-// authenticateInline answers SASL2, with the resumption or Bind 2 inside.
+// authenticateInline answers a SASL2 authentication, including an inline resumption or Bind 2 request.
 func (s *stream) authenticateInline(request *element) {
 	if response := request.child(sasl2NS, "initial-response"); response != nil {
 		s.user = userOf(response.Text)
@@ -170,7 +170,7 @@
 	s.writeFeatures()
 }
 
-// answerRequest answers an iq request: a bind, or any other by an empty result.
+// answerRequest answers an iq request. It answers any request other than a bind with an empty result.
 func (s *stream) answerRequest(request *element) {
 	id := request.attribute("id")
 	if request.child(bindNS, "bind") != nil {
@@ -182,7 +182,7 @@
 	s.write("<iq type='result' id='%s'/>", id)
 }
 
-// enableResumption makes the session one that can be resumed, and returns the answer.
+// enableResumption makes the session resumable and returns the answer to the client.
 func (s *stream) enableResumption() string {
 	server := s.server
 	server.mu.Lock()
@@ -193,8 +193,8 @@
 	return fmt.Sprintf("<enabled xmlns='%s' id='%s' resume='true' max='%d'/>", smNS, s.sessionID, server.ResumeSeconds)
 }
 
-// resume continues the session of an id on this stream, and returns the answer. Of two streams that resume one session
-// the later has it.
+// resume continues the session with the given ID on this stream and returns the answer to the client. If two streams
+// resume the same session, the later one gets it.
 func (s *stream) resume(id string) string {
 	server := s.server
 	server.mu.Lock()
@@ -211,7 +211,7 @@
 	return fmt.Sprintf("<resumed xmlns='%s' previd='%s' h='0'/>", smNS, id)
 }
 
-// userOf returns the user of SASL PLAIN's credentials.
+// userOf returns the user name in SASL PLAIN credentials.
 func userOf(credentials string) string {
 	decoded, err := base64.StdEncoding.DecodeString(strings.TrimSpace(credentials))
 	parts := strings.Split(string(decoded), "\x00")
