--- a/internal/lab/mutations/mutations.go
+++ b/internal/lab/mutations/mutations.go
@@ -1,6 +1,6 @@
-// Package mutations is a mutation test of the history checker. It breaks the program in known ways, one for each rule,
-// and plays simulated schedules until the checker reports the rule: a checker that finds nothing proves nothing until
-// it has been seen to find something.
+// Package mutations is a mutation test of the history checker. It breaks the program in known ways, each of which
+// violates one rule, and plays simulated schedules that must make the checker report that rule. A checker that reports
+// no violation proves nothing unless it is known to report the violations of a broken program.
 package mutations
 
 import (
@@ -21,16 +21,16 @@
 )
 
 //go:embed mutations.toml
-var listed []byte
+var mutationsFile []byte
 
 // scheduleTimeout bounds the run of all schedules of one mutation.
 const scheduleTimeout = 5 * time.Minute
 
-// statusViolation is the exit status of "lab explore" when a rule was broken.
+// statusViolation is the exit status of "lab explore" if a schedule broke a rule.
 const statusViolation = 1
 
-// Mutation is one way to break the program: up to three replacements of text in one file, the rule that they break, and
-// the scenario and the length of the schedules that show it.
+// Mutation is one way to break the program. It consists of up to three text replacements in one file, the rule that
+// they break, and the fault scenario and the length of the schedules that show the violation.
 type Mutation struct {
 	Rule   string            `toml:"rule"`
 	What   string            `toml:"what"`
@@ -50,20 +50,20 @@
 	Mutation
 	Caught bool     `json:"caught"` // its own rule was broken
 	Rules  []string `json:"rules"`  // all rules that were broken
-	Err    error    `json:"-"`      // it could not be applied, built or run
+	Err    error    `json:"-"`      // reason why the mutation could not be applied, built or run
 }
 
-// MatchError reports a text that a mutation replaces and that doesn't occur exactly once in its file.
+// MatchError reports a mutation whose text to replace doesn't occur exactly once in its file.
 type MatchError struct {
 	File     string
-	Mutation string // its description
+	Mutation string // description of the mutation
 	Text     string
 	Count    int // occurrences of Text
 }
 
 func (e *MatchError) Error() string {
 	firstLine, _, _ := strings.Cut(e.Text, "\n")
-	return fmt.Sprintf("%s: the text that mutation %q replaces occurs %d times, not once: %s",
+	return fmt.Sprintf("%s: the text that mutation %q replaces must occur exactly once, but occurs %d times: %s",
 		e.File, e.Mutation, e.Count, firstLine)
 }
 
@@ -73,35 +73,38 @@
 	Output []byte // of the compiler
 }
 
-func (e *BuildError) Error() string { return fmt.Sprintf("it doesn't build: %v: %s", e.Err, e.Output) }
+func (e *BuildError) Error() string {
+	return fmt.Sprintf("build the mutated program: %v: %s", e.Err, e.Output)
+}
 
 // Unwrap returns the error of the build command.
 func (e *BuildError) Unwrap() error { return e.Err }
 
-// All returns the listed mutations.
+// All returns the mutations listed in mutations.toml.
 func All() ([]Mutation, error) {
 	var file struct {
 		Mutations []Mutation `toml:"mutation"`
 	}
-	decoded := tomlfile.Decode("mutations.toml", listed, &file)
+	decoded := tomlfile.Decode("mutations.toml", mutationsFile, &file)
 	return file.Mutations, decoded.Err()
 }
 
-// replacement is one change of text.
+// replacement is one text replacement.
 type replacement struct{ before, after string }
 
-// replacements returns the changes of text that make up the mutation.
+// replacements returns the text replacements of the mutation.
 func (m Mutation) replacements() []replacement {
-	var listed []replacement
+	var pairs []replacement
 	for _, pair := range []replacement{{m.Old, m.New}, {m.Old2, m.New2}, {m.Old3, m.New3}} {
 		if pair.before != "" {
-			listed = append(listed, pair)
+			pairs = append(pairs, pair)
 		}
 	}
-	return listed
+	return pairs
 }
 
-// Apply makes the mutation in a copy of the source. A text that doesn't occur exactly once is a *MatchError.
+// Apply applies the mutation to the copy of the source in root. If a text to replace doesn't occur exactly once, it
+// returns a *MatchError.
 func (m Mutation) Apply(root string) error {
 	path := filepath.Join(root, m.File)
 	raw, err := os.ReadFile(path)
@@ -118,8 +121,9 @@
 	return os.WriteFile(path, []byte(text), 0o600)
 }
 
-// Play makes each mutation in a copy of the source, builds it there and plays schedules of the seeds 1 to seeds. report
-// is called after each mutation; an error of a single one is in its Result.
+// Play applies each mutation to a copy of the source, builds the program there and plays schedules with the seeds 1 to
+// seeds. It calls report after each mutation. The Result of a mutation holds the error of applying, building or running
+// it.
 func Play(ctx context.Context, source string, seeds int, report func(Result)) error {
 	all, err := All()
 	if err != nil {
@@ -129,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary directory; the system clears what stays
+	defer func() { _ = os.RemoveAll(dir) }() // temporary directory; the system removes leftover files
 	root := filepath.Join(dir, "source")
 	if err := copyTree(source, root); err != nil {
 		return fmt.Errorf("copy the source: %w", err)
@@ -147,7 +151,8 @@
 	return nil
 }
 
-// try applies the mutation below root, plays it and restores the file. Its error is one of the restoring.
+// try applies the mutation to the source in root, plays it and restores the file. It returns an error only if reading
+// or restoring the file fails.
 func (m Mutation) try(ctx context.Context, root, program string, seeds int) (Result, error) {
 	result := Result{Mutation: m}
 	path := filepath.Join(root, m.File)
@@ -163,7 +168,7 @@
 	return result, os.WriteFile(path, original, 0o600)
 }
 
-// play builds the mutated source below root as program, plays its schedules and returns the rules that they broke.
+// play builds the mutated source in root as program, plays the schedules and returns the rules that they broke.
 func (m Mutation) play(ctx context.Context, root, program string, seeds int) ([]string, error) {
 	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/spurwinchctl")
 	build.Dir = root
@@ -184,8 +189,8 @@
 	return brokenRules(output)
 }
 
-// brokenRules returns the rules that the JSON summary of "lab explore" names as broken, each once, in the order of
-// their first violation. Its form is that of exploreSummary in cmd/spurwinchctl.
+// brokenRules returns the rules that the JSON summary of "lab explore" reports as broken, each once, in the order of
+// their first violation. The format of the summary is defined by exploreSummary in cmd/spurwinchctl.
 func brokenRules(output []byte) ([]string, error) {
 	var summary struct {
 		Broken []struct {
@@ -208,7 +213,7 @@
 	return rules, nil
 }
 
-// copyTree copies the files that a build needs.
+// copyTree copies the files that a build needs from source to target.
 func copyTree(source, target string) error {
 	return filepath.WalkDir(source, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -235,7 +240,7 @@
 	})
 }
 
-// notBuilt reports whether a build needs nothing of a directory of that name.
+// notBuilt reports whether a build needs no files from directories with the given name.
 func notBuilt(name string) bool {
 	return name == "journal" || name == "bin" || strings.HasPrefix(name, ".")
 }
--- a/internal/lab/mutations/mutations_test.go
+++ b/internal/lab/mutations/mutations_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// TestMutationsApply checks that each text that a mutation replaces still occurs once in its file: else the command
-// that plays them would show nothing.
+// TestMutationsApply checks that each text that a mutation replaces still occurs exactly once in its file. Otherwise
+// the command that plays the mutations would test nothing.
 func TestMutationsApply(t *testing.T) {
 	all, err := All()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(all) < 8 {
-		t.Errorf("%d mutations", len(all))
+		t.Errorf("All: got %d mutations, want at least 8", len(all))
 	}
 	for _, mutation := range all {
 		raw, err := os.ReadFile(filepath.Join("..", "..", "..", mutation.File))
@@ -26,7 +26,7 @@
 		}
 		for _, old := range []string{mutation.Old, mutation.Old2, mutation.Old3} {
 			if count := strings.Count(string(raw), old); old != "" && count != 1 {
-				t.Errorf("%s: %q occurs %d times in %s", mutation.What, old, count, mutation.File)
+				t.Errorf("%s: text %q: got %d occurrences in %s, want 1", mutation.What, old, count, mutation.File)
 			}
 		}
 		root := t.TempDir()
@@ -41,13 +41,13 @@
 			t.Error(err)
 		}
 		if mutation.Apply(root) == nil && mutation.New != "" && !strings.Contains(mutation.New, mutation.Old) {
-			t.Errorf("%s: could be applied twice", mutation.What)
+			t.Errorf("%s: Apply a second time: got no error, want one", mutation.What)
 		}
 	}
 }
 
-// TestMutationsBuild checks that the package of each listed mutation compiles with it: one that doesn't would break no
-// rule when it is played.
+// TestMutationsBuild checks that the package that each listed mutation changes still compiles. A mutation that doesn't
+// compile could break no rule when it is played.
 func TestMutationsBuild(t *testing.T) {
 	all, err := All()
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// buildMutant builds the package of a mutation, with the mutated file laid over the source.
+// buildMutant builds the package that a mutation changes, with the mutated file as an overlay of the source.
 func buildMutant(t *testing.T, source string, mutation Mutation) {
 	t.Helper()
 	original := filepath.Join(source, mutation.File)
@@ -92,6 +92,6 @@
 	build := exec.Command("go", "build", "-overlay", overlayFile, "./"+filepath.Dir(mutation.File))
 	build.Dir = source
 	if output, err := build.CombinedOutput(); err != nil {
-		t.Errorf("it doesn't build: %v\n%s", err, output)
+		t.Errorf("build the mutated package: %v\n%s", err, output)
 	}
 }
