--- a/internal/lab/replay/node_test.go
+++ b/internal/lab/replay/node_test.go
@@ -12,9 +12,9 @@
 	"spurwinch/internal/plan/workload"
 )
 
-// TestLogFileFails checks that a replay whose log file can't be created ends with that error, and doesn't wait for a
-// node whose end nobody watches.
-func TestLogFileFails(t *testing.T) {
+// TestPlayFailsWithoutLogFile checks that a replay fails if it can't create a node's log file. The replay must not wait
+// for the end of a node that no goroutine watches.
+func TestPlayFailsWithoutLogFile(t *testing.T) {
 	description, err := fleet.Parse("f", deploy.ExampleFleet)
 	if err != nil {
 		t.Fatal(err)
@@ -32,9 +32,9 @@
 	select {
 	case err := <-result:
 		if err == nil {
-			t.Error("a replay without a log file succeeded")
+			t.Error("Play without a log file: got no error, want one")
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the replay did not end")
+		t.Error("Play without a log file: got no result within 10s, want an error")
 	}
 }
--- a/internal/lab/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -12,9 +12,10 @@
 	"spurwinch/internal/plan/workload"
 )
 
-// TestReplay plays a short load through real node processes, loses a zone on the way, and reads the nodes' captures. No
-// verdict hangs on how fast the machine is: only on who was served at all, and on what was written down.
-func TestReplay(t *testing.T) {
+// TestPlayWithLostZone replays a short load through real node processes, loses a zone during the load, and reads the
+// nodes' captures. The result doesn't depend on the machine's speed: the test checks only that clients were served at
+// all and what the captures contain.
+func TestPlayWithLostZone(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spurwinch")
 	if out, err := exec.Command("go", "build", "-o", program, "spurwinch/cmd/spurwinch").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -46,15 +47,16 @@
 		t.Fatal(err)
 	}
 	if result.Stats.Established == 0 || result.Service == 0 || result.Service > 1 {
-		t.Errorf("service %v, %+v", result.Service, result.Stats)
+		t.Errorf("Play: got service %v and %+v, want established connections and a service above 0 and at most 1",
+			result.Service, result.Stats)
 	}
 	captured, err := workload.ReadCaptures(result.Captures)
 	if err != nil || len(result.Captures) != 2 {
-		t.Fatalf("captures %v: %v", result.Captures, err)
+		t.Fatalf("ReadCaptures: got captures %v, error %v, want 2 captures", result.Captures, err)
 	}
 	summary := captured.Summary()
 	if summary.Requests == 0 || summary.Answers["up"] == 0 || summary.Nodes != 2 || len(summary.Servers) != 4 {
-		t.Errorf("captured %+v", summary)
+		t.Errorf("Summary of the captures: got %+v, want requests and answers \"up\", 2 nodes and 4 servers", summary)
 	}
 	if _, err := captured.Sessions(description, 1); err != nil {
 		t.Error(err)
