--- a/internal/lab/mutations/mutations.go
+++ b/internal/lab/mutations/mutations.go
@@ -23,7 +23,7 @@
 //go:embed mutations.toml
 var mutationsFile []byte
 
-// scheduleTimeout bounds the run of all schedules of one mutation.
+// scheduleTimeout limits the run time of all schedules of one mutation.
 const scheduleTimeout = 5 * time.Minute
 
 // statusViolation is the exit status of "lab explore" if a schedule broke a rule.
@@ -48,8 +48,8 @@
 // Result is the outcome of one mutation.
 type Result struct {
 	Mutation
-	Caught bool     `json:"caught"` // its own rule was broken
-	Rules  []string `json:"rules"`  // all rules that were broken
+	Caught bool     `json:"caught"` // the schedules broke the rule of the mutation
+	Rules  []string `json:"rules"`  // all rules that the schedules broke
 	Err    error    `json:"-"`      // reason why the mutation could not be applied, built or run
 }
 
@@ -70,7 +70,7 @@
 // BuildError reports a mutation that doesn't compile.
 type BuildError struct {
 	Err    error
-	Output []byte // of the compiler
+	Output []byte // output of the build command
 }
 
 func (e *BuildError) Error() string {
--- a/internal/lab/replay/node.go
+++ b/internal/lab/replay/node.go
@@ -21,7 +21,7 @@
 	startTimeout   = 20 * time.Second // from the start of a node until it listens
 	stopTimeout    = 15 * time.Second // for a graceful shutdown, which completes the capture
 	nodeMemoryMB   = 192
-	capturePrefix  = "load" // of the names of capture files
+	capturePrefix  = "load" // prefix of the names of capture files
 	listeningEvent = "listening"
 )
 
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -38,11 +38,11 @@
 	Account     *workload.Account
 	Service     float64
 	WorstWindow float64
-	Classes     []float64 // service
-	Tenants     []float64 // service
+	Classes     []float64 // service by class
+	Tenants     []float64 // service by tenant
 	Stats       Stats
 	TimerLag    time.Duration
-	Captures    []string // paths
+	Captures    []string // paths of the capture files
 }
 
 // Stats counts events that the clients and the servers have seen.
--- a/internal/lab/transcript/player.go
+++ b/internal/lab/transcript/player.go
@@ -1,7 +1,7 @@
-// Package transcript plays recorded byte exchanges against a program on loopback sockets and compares what comes back.
-// Only tests use it.
+// Package transcript plays recorded byte exchanges against a program on loopback sockets and compares the received
+// bytes. Only tests use it.
 //
-// A transcript is a text file, one step a line:
+// A transcript is a text file with one step per line:
 //
 //	# a comment
 //	c open              connect to the program as c; c open NAME connects to the value NAME
--- a/internal/lab/transcript/stream.go
+++ b/internal/lab/transcript/stream.go
@@ -25,7 +25,7 @@
 	moveLine           = "MOVE" + lineEnd
 )
 
-// StreamKind is how a stream sends its lines.
+// StreamKind tells how a stream sends its lines.
 type StreamKind int
 
 const (
