--- a/internal/plan/fleet/capacity.go
+++ b/internal/plan/fleet/capacity.go
@@ -81,7 +81,7 @@
 	return time.Duration(f.Network.CrossZone)
 }
 
-// Quota returns the number of connections that a tenant may hold over all nodes if each has the mean load.
+// Quota returns the number of connections that a tenant may hold over all nodes if each connection has the mean load.
 func (f *Fleet) Quota(tenant int) float64 {
 	fraction := f.Tenants[tenant].Share / f.tenantShares() * f.General.QuotaFraction
 	return fraction * f.Cores() / (f.MeanLoad() * f.CoreLoad())
--- a/internal/plan/fleet/fleet.go
+++ b/internal/plan/fleet/fleet.go
@@ -13,7 +13,8 @@
 // Duration is a duration in the notation of the file.
 type Duration = tomlfile.Duration
 
-// Fleet is a fleet file. The tags are the keys that the documentation uses, and so differ from some field names.
+// Fleet is a fleet file. The tags are the keys of the file, which the documentation uses. Some differ from the field
+// names.
 type Fleet struct {
 	General      General       `toml:"fleet"`
 	Network      Network       `toml:"network"`
@@ -38,8 +39,8 @@
 	ConnectionsPerCore float64  `toml:"connections_per_core"` // standard connections per reference core
 	MessageWork        Duration `toml:"message_work"`         // CPU time of one message on a reference core
 	MessageInterval    Duration `toml:"message_every"`        // time between two messages of one client
-	OverQuotaPriority  float64  `toml:"over_share_worth"`     // factor on the priority of a session over quota
-	QuotaFraction      float64  `toml:"share_of"`             // fraction of the capacity that the quotas divide
+	OverQuotaPriority  float64  `toml:"over_share_worth"`     // priority factor of a session beyond the quota
+	QuotaFraction      float64  `toml:"share_of"`             // fraction of the capacity to divide into quotas
 }
 
 // Network holds one-way latencies.
@@ -91,14 +92,14 @@
 // Class is a class of connections.
 type Class struct {
 	Name               string   `toml:"name"`
-	Share              float64  `toml:"share"` // of new connections, if no capture provides it
-	Load               float64  `toml:"load"`  // mean, in standard connections
-	LoadSpread         float64  `toml:"load_spread"`
-	LoadVariation      float64  `toml:"swing"`  // log-normal spread of one connection's load over time
-	LoadChangeInterval Duration `toml:"change"` // mean time between two changes of that load
-	Lifetime           Duration `toml:"life"`   // mean, if no capture provides it
-	LifetimeSpread     float64  `toml:"life_spread"`
-	SetupWork          Duration `toml:"setup_work"` // CPU time on a reference core
+	Share              float64  `toml:"share"`       // of new connections, if no capture provides it
+	Load               float64  `toml:"load"`        // mean, in standard connections
+	LoadSpread         float64  `toml:"load_spread"` // log-normal spread of the load over connections
+	LoadVariation      float64  `toml:"swing"`       // log-normal spread of one connection's load over time
+	LoadChangeInterval Duration `toml:"change"`      // mean time between two changes of that load
+	Lifetime           Duration `toml:"life"`        // mean, if no capture provides it
+	LifetimeSpread     float64  `toml:"life_spread"` // log-normal spread; 0: exponential distribution
+	SetupWork          Duration `toml:"setup_work"`  // CPU time on a reference core
 	SetupObjective     Duration `toml:"setup_aim"`
 	Deadline           Duration `toml:"patience"`
 	MessageObjective   Duration `toml:"message_aim"`
@@ -163,8 +164,8 @@
 	return Parse(path, source)
 }
 
-// Parse decodes the text of a fleet file, sets its defaults and validates it. Errors name the file by path. An error is
-// always a tomlfile.Faults.
+// Parse decodes the text of a fleet file, sets its defaults and validates it. Error messages contain the path. Any
+// error is a tomlfile.Faults.
 func Parse(path string, source []byte) (*Fleet, error) {
 	f := &Fleet{}
 	file := tomlfile.Decode(path, source, f)
--- a/internal/plan/fleet/fleet_test.go
+++ b/internal/plan/fleet/fleet_test.go
@@ -25,8 +25,8 @@
 name = "c"
 `
 
-// TestInvalidValueIsReportedWithItsLine checks that Parse reports each invalid value with its line and with what is
-// valid.
+// TestInvalidValueIsReportedWithItsLine checks that Parse reports each invalid value with its line and that the message
+// says which values are valid.
 func TestInvalidValueIsReportedWithItsLine(t *testing.T) {
 	if _, err := Parse("f", []byte(smallFleet)); err != nil {
 		t.Fatal(err)
@@ -82,12 +82,12 @@
 	for servers := range 60 {
 		resized := original.Resize(servers)
 		if resized.ServerCount() != servers {
-			t.Errorf("resize to %d: got %d servers", servers, resized.ServerCount())
+			t.Errorf("resize to %d: got %d servers, want the requested number", servers, resized.ServerCount())
 		}
 		for i, pool := range resized.ServerPools {
 			want := float64(servers*original.ServerPools[i].Count) / float64(original.ServerCount())
 			if float64(pool.Count) < want-1 || float64(pool.Count) > want+1 {
-				t.Errorf("resize to %d: got %d servers of kind %s in zone %s, want %.1f within 1",
+				t.Errorf("resize to %d: got %d servers of kind %s in zone %s, want %.1f to within 1",
 					servers, pool.Count, pool.Kind, pool.Zone, want)
 			}
 		}
--- a/internal/plan/fleet/settings.go
+++ b/internal/plan/fleet/settings.go
@@ -53,7 +53,7 @@
 
 type reportSettings struct {
 	Fields []string `json:"fields"`
-	Source string   `json:"via"`
+	Source string   `json:"via"` // how the node receives load reports
 }
 
 type limitSettings struct {
--- a/internal/plan/fleet/validate.go
+++ b/internal/plan/fleet/validate.go
@@ -14,7 +14,7 @@
 )
 
 // validator checks the values of a fleet file and records each fault with the line of its key. The sets contain the
-// names that the tables checked so far define.
+// names that are defined by the tables checked so far.
 type validator struct {
 	fleet   *Fleet
 	file    *tomlfile.File
@@ -24,7 +24,7 @@
 	tenants map[string]bool
 }
 
-// validate records all faults of a fleet file. The defaults must be set before.
+// validate records all faults of a fleet file. The caller must have set the defaults.
 func (f *Fleet) validate(file *tomlfile.File) {
 	check := validator{
 		fleet:   f,
@@ -173,7 +173,7 @@
 }
 
 // define adds the name of a table to the set of defined names. It records a fault if the name is empty or already in
-// the set. The table is given by its path in the file, which ends in a dot, and by its key.
+// the set. The path of the table ends in a dot, as in "kind.0.", and table is the key of the table, as in "kind".
 func (v *validator) define(path, table, name string, names map[string]bool) {
 	switch {
 	case name == "":
@@ -184,7 +184,8 @@
 	names[name] = true
 }
 
-// defined checks that a name is in the set of defined names. The key is the one that refers to it.
+// defined checks that a name is in the set of defined names. The dotted key, as in "servers.0.kind", is the one whose
+// value is the name, and table is the key of the tables that define such names.
 func (v *validator) defined(key, table, name string, names map[string]bool) {
 	if !names[name] {
 		v.file.Fault(key, "unknown %s %q: no [[%s]] has this name", table, name, table)
--- a/internal/plan/workload/account.go
+++ b/internal/plan/workload/account.go
@@ -40,7 +40,7 @@
 	tenant int
 }
 
-// departureQueue is a heap of departures with the earliest one first.
+// departureQueue is a heap of departures with the earliest one first. It implements heap.Interface.
 type departureQueue []departure
 
 // next removes and returns the earliest departure.
@@ -54,16 +54,17 @@
 func (q departureQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q departureQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// Push appends an element for package heap.
+// Push implements heap.Interface. It appends an element.
 func (q *departureQueue) Push(element any) {
 	added, ok := element.(departure)
 	if !ok {
-		panic(fmt.Sprintf("workload: push a departure: got a %T", element)) // only Priorities pushes elements
+		// Can't happen, because only Priorities pushes elements.
+		panic(fmt.Sprintf("departureQueue.Push: got a %T, want a departure", element))
 	}
 	*q = append(*q, added)
 }
 
-// Pop removes the last element for package heap.
+// Pop implements heap.Interface. It removes and returns the last element.
 func (q *departureQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
--- a/internal/plan/workload/capture.go
+++ b/internal/plan/workload/capture.go
@@ -32,7 +32,7 @@
 	Class        int // index in Captured.Classes
 	Tenant       int // index in Captured.Tenants; -1: none
 	Lifetime     time.Duration
-	Ended        bool // false if the connection was open at the end of the capture, or its end was lost
+	Ended        bool // false if the connection was transferred or still open at the end, or if its end was lost
 	Cause        capture.Cause
 	ReportedLoad float64 // last reported load; 0: never reported
 }
@@ -50,7 +50,7 @@
 	Kind    string  `json:"Kind"`
 	Zone    string  `json:"Zone"`
 	Reports int     `json:"Reports"`
-	Load    float64 `json:"Load"` // mean of the reported field x0, or of utilization without x0
+	Load    float64 `json:"Load"` // mean of the reported field x0, or of utilization if the reports have no x0
 	Peak    float64 `json:"Peak"` // largest reported load
 }
 
@@ -84,7 +84,7 @@
 	captured *Captured
 	classes  map[string]int        // index in captured.Classes by name
 	tenants  map[string]int        // index in captured.Tenants by name
-	open     map[connectionKey]int // index of the request of each connection without an end so far
+	open     map[connectionKey]int // index in captured.Requests of each connection that has not ended yet
 	starts   []int64               // arrival of each request, in nanoseconds of Unix time
 	first    int64                 // time of the earliest record, in nanoseconds of Unix time; 0: none yet
 	last     int64                 // time of the latest record, in nanoseconds of Unix time
--- a/internal/plan/workload/generate.go
+++ b/internal/plan/workload/generate.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxGroupSize     = 1000            // sessions of a generated group
-	meanArrivalDelay = 2 * time.Second // between a group's first session and each further one
+	maxGroupSize     = 1000            // maximum number of sessions in a generated group
+	meanArrivalDelay = 2 * time.Second // mean time from the first session of a group to each further one
 )
 
 // GeneratorOptions holds the options of Generate.
@@ -21,10 +21,10 @@
 	RateVariation float64 // the arrival rate rises from 1-RateVariation to 1+RateVariation times its mean
 }
 
-// Generate generates a load from a fleet's classes, tenants and groups. Groups arrive as a Poisson process, with the
-// lifetimes and sizes of the fleet file. Unless StartOpen is set, the initial sessions arrive over a third of a mean
-// lifetime, but over a sixth of the length at most. If all arrived at once, they would cause a connection storm, with
-// which no real load begins.
+// Generate generates a load from a fleet's classes, tenants and groups. Groups arrive as a Poisson process. The
+// fleet file gives the lifetimes of sessions and the sizes of groups. Unless StartOpen is set, the initial sessions
+// arrive over a third of a mean lifetime, but over a sixth of the length at most. If all arrived at once, they would
+// cause a connection storm, with which no real load begins.
 func Generate(description *fleet.Fleet, options GeneratorOptions) *Load {
 	g := newGenerator(description, options)
 	g.initialSessions()
@@ -85,13 +85,13 @@
 	}
 }
 
-// arrivals adds the sessions that arrive at random times. It draws a Poisson process of the highest rate and thins it
-// to the rate of each moment.
+// arrivals adds the sessions that arrive at random times. It draws a Poisson process at the highest rate and thins it
+// to the arrival rate at each time.
 func (g *generator) arrivals() {
 	length := g.options.Length.Seconds()
 	variation := g.options.RateVariation
-	highest := g.options.Concurrency / g.groupSize / g.meanLifetime * (1 + variation)
-	for at := g.rng.ExpFloat64() / highest; at < length; at += g.rng.ExpFloat64() / highest {
+	highestRate := g.options.Concurrency / g.groupSize / g.meanLifetime * (1 + variation)
+	for at := g.rng.ExpFloat64() / highestRate; at < length; at += g.rng.ExpFloat64() / highestRate {
 		rate := 1 - variation + 2*variation*at/length
 		if g.rng.Float64()*(1+variation) < rate {
 			g.addGroup(time.Duration(at*1e9), false)
--- a/internal/plan/workload/load.go
+++ b/internal/plan/workload/load.go
@@ -97,7 +97,7 @@
 	return sum / l.Length.Seconds()
 }
 
-// Cut returns the part of a load between two times. Sessions that arrived before that part are already open in it.
+// Cut returns the part of a load between two times. Sessions that arrived before its beginning are already open in it.
 func (l *Load) Cut(from, to time.Duration) *Load {
 	part := &Load{Length: min(to, l.Length) - from}
 	for _, session := range l.Sessions {
@@ -156,9 +156,9 @@
 // two would arrive at the same time.
 const maxArrivalJitter = 2 * time.Second
 
-// Scale returns the load multiplied by a factor. It includes all sessions once per unit of the factor's integer part,
-// and those of a fraction of the groups and of the clients without a group once more. It copies groups as a whole, so
-// that their number changes and their size stays the same.
+// Scale returns the load multiplied by a factor. The integer part of the factor is the number of times that the result
+// contains each session. For the fractional part, a random selection of groups, and of clients without a group, is
+// included once more. Groups are copied as a whole, so that their number changes and their size stays the same.
 func (l *Load) Scale(factor float64, seed uint64) *Load {
 	scaled := &Load{Length: l.Length}
 	wholeCopies := int(factor)
--- a/internal/plan/workload/load_test.go
+++ b/internal/plan/workload/load_test.go
@@ -25,8 +25,8 @@
 type loadShape struct {
 	sessions     int
 	groups       int
-	secondTenant int // number of sessions
-	thirdZone    int // number of sessions
+	secondTenant int // number of sessions of the second tenant
+	thirdZone    int // number of sessions in the third zone
 }
 
 func shapeOf(load *Load) loadShape {
@@ -68,7 +68,7 @@
 	before := written.MeanConcurrency()
 	after := read.MeanConcurrency()
 	if math.Abs(before-after) > before/50 || read.Length != written.Length {
-		t.Errorf("round trip: got %.1f concurrent sessions in %v, want %.1f in %v",
+		t.Errorf("round trip: got %.1f concurrent sessions in %v, want %.1f within 2%% in %v",
 			after, read.Length, before, written.Length)
 	}
 }
@@ -105,24 +105,24 @@
 	_, err = captured.Sessions(eveningFleet(t), 1)
 	var unknown *UnknownClassError
 	if !errors.As(err, &unknown) || unknown.Class != "unknown" {
-		t.Errorf("join sessions of an unknown class: got %v, want an UnknownClassError with that class", err)
+		t.Errorf("join sessions of an unknown class: got error %v, want an UnknownClassError with that class", err)
 	}
 }
 
-// TestScaleMultipliesDemandAndKeepsGroupSize checks that scaling multiplies the demand by the factor and keeps groups
-// whole.
+// TestScaleMultipliesDemandAndKeepsGroupSize checks that scaling multiplies the demand by the factor and keeps the
+// mean size of groups.
 func TestScaleMultipliesDemandAndKeepsGroupSize(t *testing.T) {
 	load := Generate(eveningFleet(t), GeneratorOptions{Seed: 3, Length: time.Minute, Concurrency: 4000})
 	groupSize := func(shape loadShape) float64 { return float64(shape.sessions) / float64(shape.groups) }
 	for _, factor := range []float64{0.25, 1, 1.5, 3} {
 		scaled := load.Scale(factor, 9)
 		if ratio := scaled.MeanConcurrency() / load.MeanConcurrency(); math.Abs(ratio/factor-1) > 0.12 {
-			t.Errorf("scale by %v: got %.2f times the concurrent sessions", factor, ratio)
+			t.Errorf("scale by %v: got %.2f times the concurrent sessions, want the factor within 12%%", factor, ratio)
 		}
 		before := groupSize(shapeOf(load))
 		after := groupSize(shapeOf(scaled))
 		if math.Abs(before/after-1) > 0.12 {
-			t.Errorf("scale by %v: got groups of %.2f sessions, want %.2f", factor, after, before)
+			t.Errorf("scale by %v: got groups of %.2f sessions, want %.2f within 12%%", factor, after, before)
 		}
 	}
 }
@@ -145,7 +145,8 @@
 	for i, session := range part.Sessions {
 		if session.AlreadyOpen != (i < open) || session.AlreadyOpen && session.Arrival != 0 ||
 			session.Arrival >= 20*time.Second {
-			t.Fatalf("cut: got session %d = %+v, want the first %d sessions already open", i, session, open)
+			t.Fatalf("cut: got session %d = %+v, want the first %d already open at 0s and each arrival before 20s",
+				i, session, open)
 		}
 	}
 	if open == 0 || len(part.Sessions) <= open {
@@ -164,7 +165,7 @@
 	load.Sessions = append(load.Sessions, Session{Arrival: 2 * time.Second, Lifetime: time.Second})
 	for i, priority := range Priorities(description, load) {
 		if beyond := i >= quota && i < quota+5; beyond != (priority < 1) {
-			t.Errorf("session %d with a quota of %d: got priority %v, want less than 1 exactly beyond the quota",
+			t.Errorf("session %d with a quota of %d: got priority %v, want less than 1 if and only if beyond the quota",
 				i, quota, priority)
 		}
 	}
--- a/internal/plan/workload/random.go
+++ b/internal/plan/workload/random.go
@@ -46,8 +46,8 @@
 // minLoadDuration is the shortest time for which a connection's load stays the same.
 const minLoadDuration = 10 * time.Millisecond
 
-// LoadProcess is the random process of one connection's load. The load varies around a fixed level of the connection.
-// After random times the process draws a new variation.
+// LoadProcess is the random process of one connection's load. Each connection has a fixed level, around which
+// the process draws a new load at random intervals.
 type LoadProcess struct {
 	rng   *rand.Rand
 	level float64 // in standard connections
@@ -63,7 +63,8 @@
 	return process
 }
 
-// Next returns the next load in standard connections and the time for which it stays the same; 0 means forever.
+// Next returns the next load in standard connections and the time for which it stays the same. A time of 0 means
+// forever.
 func (p *LoadProcess) Next() (load float64, duration time.Duration) {
 	if p.class.LoadVariation == 0 {
 		return p.level, 0
--- a/internal/plan/workload/sessions.go
+++ b/internal/plan/workload/sessions.go
@@ -11,8 +11,7 @@
 	"spurwinch/internal/plan/fleet"
 )
 
-// sessionTimeout is the time since a client was last seen after which a new request with the same key begins a new
-// session.
+// sessionTimeout is the time without activity of a client after which its next request begins a new session.
 const sessionTimeout = 15 * time.Second
 
 // UnknownClassError reports that a capture has a class that the fleet file does not define.
@@ -22,7 +21,8 @@
 }
 
 func (e *UnknownClassError) Error() string {
-	return fmt.Sprintf("the capture has class %q, but the fleet file does not: add a [[class]]; the file defines %s",
+	return fmt.Sprintf(
+		"the capture has class %q, which the fleet file does not define: add a [[class]]; the file defines %s",
 		e.Class, strings.Join(e.Known, ", "))
 }
 
@@ -30,7 +30,7 @@
 type UnknownTenantError struct{ Tenant string }
 
 func (e *UnknownTenantError) Error() string {
-	return fmt.Sprintf("the capture has edition %q, but the fleet file does not: add an [[edition]]",
+	return fmt.Sprintf("the capture has edition %q, which the fleet file does not define: add an [[edition]]",
 		e.Tenant)
 }
 
@@ -155,7 +155,7 @@
 	if session.Client == 0 {
 		session.Client = b.rng.Uint64() | 1
 	}
-	if load := request.load(); load > 0 { // relative to the class, because the servers use their own unit
+	if load := request.load(); load > 0 { // relative to the class, because servers report load in their own unit
 		session.Load = load / b.meanLoads[class] * b.fleet.Classes[class].Load
 	}
 	b.latest[session.Client] = len(b.load.Sessions)
--- a/internal/plan/workload/summary.go
+++ b/internal/plan/workload/summary.go
@@ -27,7 +27,7 @@
 	Groups             int                     `json:"groups"`
 	GroupMean          float64                 `json:"group_mean"`
 	LargestGroup       int                     `json:"group_most"`
-	PeakRate           float64                 `json:"peak_requests_per_s"` // over windows of 10 s
+	PeakRate           float64                 `json:"peak_requests_per_s"` // over a window of 10 s
 	PeakAtS            float64                 `json:"peak_at_s"`
 	PeakConcurrency    int                     `json:"standing_most"` // highest number of concurrent connections
 	PeakConcurrencyAtS float64                 `json:"standing_most_at_s"`
@@ -44,7 +44,7 @@
 	LifetimeMeanS    float64 `json:"life_mean_s"` // of ended connections
 	LifetimeMedianS  float64 `json:"life_median_s"`
 	Lifetime99S      float64 `json:"life_99_s"`
-	Load             float64 `json:"told_load_mean"` // 0: unknown
+	Load             float64 `json:"told_load_mean"` // of the requests whose load is known; 0: none
 	RejectedFraction float64 `json:"refused"`        // fraction of the requests that were rejected
 
 	lifetimes  []float64
@@ -88,8 +88,7 @@
 	return len(nodes)
 }
 
-// endCounts counts the connections by the way in which they ended. It counts connections that have not ended under
-// "none".
+// endCounts counts the connections by the cause of their end. Connections without an end count as "none".
 func (c *Captured) endCounts() map[string]int {
 	counts := map[string]int{}
 	for i := range c.Requests {
@@ -152,7 +151,7 @@
 
 func (s *Summary) addPeakRate(captured *Captured) {
 	highest := 0
-	first := 0 // first request of the window that ends with the current one
+	first := 0 // index of the first request in the window that ends with the current request
 	for i := range captured.Requests {
 		for captured.Requests[first].At <= captured.Requests[i].At-peakRateWindow {
 			first++
@@ -248,7 +247,7 @@
 	b.Lifetime99S = quantile(b.lifetimes, 0.99)
 }
 
-// quantile returns the quantile at a fraction from 0 to 1 of values that are in ascending order.
+// quantile returns the quantile of values for a fraction from 0 to 1. The values must be in ascending order.
 func quantile(values []float64, fraction float64) float64 {
 	return values[min(len(values)-1, int(fraction*float64(len(values))))]
 }
--- a/internal/plan/workload/write.go
+++ b/internal/plan/workload/write.go
@@ -13,7 +13,7 @@
 
 const (
 	generatedNode = "drawn" // prefix of the node names in generated captures
-	writeQueue    = 1024    // records
+	writeQueue    = 1024    // maximum number of queued records
 	writeTimeout  = time.Hour
 )
 
