--- a/internal/lab/simulation/client.go
+++ b/internal/lab/simulation/client.go
@@ -13,14 +13,14 @@
 	answerGrace            = 100 * time.Millisecond // a client waits this much longer than its deadline for an answer
 	minRetryDelay          = 100 * time.Millisecond
 	maxRetryJitter         = 300 // ms
-	maxConsecutiveFailures = 3   // after more than this, a client waits for longRetryDelay
+	maxConsecutiveFailures = 3   // after more failures in a row, a client waits for longRetryDelay
 	longRetryDelay         = 4 * time.Second
 	minReconnectDelay      = 60   // ms
 	reconnectSpread        = 1200 // ms
 	maxLifetimeFactor      = 4    // maximum lifetime of a connection, as a multiple of the mean
 )
 
-// client is a client with one request, from the first byte of the request to the end of its connection. It implements
+// client is the client of one request, from the first byte of the request to the end of its connection. It implements
 // edge.Client.
 type client struct {
 	world               *World
@@ -37,7 +37,7 @@
 }
 
 // scheduleArrival schedules the next arrival of a client in a zone. Arrivals are a Poisson process at the rate that
-// gives the utilization set in the options.
+// gives the utilization set in the options. Clients that arrive up to firstClientTime do not connect.
 func (w *World) scheduleArrival(zone string) {
 	demand := w.options.Utilization * float64(w.options.zoneCapacity())
 	rate := demand / w.options.ConnectionLifetime.Seconds()
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -28,11 +28,11 @@
 	retryAfter       = time.Second
 )
 
-// clockSkew is the difference between the monotonic clocks of nodes with consecutive indexes, so that the clock of each
-// node differs.
+// clockSkew is the difference between the monotonic clocks of nodes with consecutive indexes, so that no two nodes have
+// the same clock.
 const clockSkew = time.Hour
 
-// node is a simulated node, with its core, which contains the decision module, its fleet agent and its disk.
+// node is a simulated node with its core, its fleet agent and its disk. The core contains the decision module.
 type node struct {
 	world       *World
 	index       int
--- a/internal/lab/simulation/node_log.go
+++ b/internal/lab/simulation/node_log.go
@@ -10,8 +10,8 @@
 
 const (
 	crashFreeTail     = 14 * time.Second // in this time before the end of a run, no node crashes at a step
-	minStepRestart    = 100              // ms
-	stepRestartSpread = 4000             // ms
+	minStepRestart    = 100              // ms, minimum time until a node that crashed at a step restarts
+	stepRestartSpread = 4000             // ms, spread of the random part of that time
 )
 
 // logFields are the fields of a log line as alternating names and values. They implement faults.LogFields.
--- a/internal/lab/simulation/node_messages.go
+++ b/internal/lab/simulation/node_messages.go
@@ -16,8 +16,8 @@
 	slowMessageFraction   = 0.1 // fraction of messages that take up to Options.MaxMessageDelay longer
 )
 
-// handleAgentOutput passes the agent's zone plan to the core, its records to the disk and its messages to other nodes,
-// until the agent has no more messages, in at most maxOutputRounds rounds.
+// handleAgentOutput passes the agent's zone plan to the core, its records to the disk and its messages to other nodes.
+// It stops when the agent has no more messages, or after maxOutputRounds rounds.
 func (n *node) handleAgentOutput() {
 	for range maxOutputRounds {
 		if plan, changed := n.agent.ZonePlan(); changed && n.core != nil {
--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -13,12 +13,12 @@
 	callTimeout       = time.Second      // timeout of an operator's call to one voter
 	commandTimeout    = 20 * time.Second // timeout of a command, after which its result is unknown
 	commandFreeTail   = 8 * time.Second  // in this time before the end of a run, no command starts
-	firstCommand      = 4 * time.Second
-	firstCommandRange = 3 * time.Second
+	firstCommandTime  = 4 * time.Second  // earliest time of an operator's first command
+	firstCommandRange = 3 * time.Second  // range of the random part of that time
 	readOnlyPause     = 20 * time.Millisecond
 	statusRetryDelay  = 100 * time.Millisecond
 	confirmDelay      = 50 * time.Millisecond
-	maxConfirmations  = 20
+	maxConfirmations  = 20 // maximum number of polls for the confirmation of one answer
 	proposalPollDelay = 150 * time.Millisecond
 	minCallDelay      = time.Millisecond
 	callDelaySpread   = 5 * time.Millisecond
@@ -39,7 +39,7 @@
 	callAbort   = "policy-abort"
 )
 
-// operator is a person or script that runs commands on a separate machine.
+// operator simulates a person or script that runs commands from a separate machine.
 type operator struct {
 	world       *World
 	name        string
@@ -57,12 +57,13 @@
 	deadline time.Duration
 }
 
-// addOperators adds operators, which run their first commands after firstCommand to firstCommand+firstCommandRange.
+// addOperators adds operators. Each runs its first command at a random time within firstCommandRange after
+// firstCommandTime.
 func (w *World) addOperators(count int) {
 	for range count {
 		added := &operator{world: w, name: fmt.Sprintf("op%d", len(w.operators))}
 		w.operators = append(w.operators, added)
-		w.schedule(firstCommand+time.Duration(w.rng.Float64()*float64(firstCommandRange)), added.startNextCommand)
+		w.schedule(firstCommandTime+time.Duration(w.rng.Float64()*float64(firstCommandRange)), added.startNextCommand)
 	}
 }
 
@@ -116,7 +117,7 @@
 	c.propose(change, 0, func(result faults.Result, number uint64) { c.end(verbProposeAgain, result, number) })
 }
 
-// queryStatus queries which policy is in force.
+// queryStatus asks which policy is in force and ends the command with the answer.
 func (c *command) queryStatus() {
 	c.operator.queryStatus(c.deadline, func(status *agent.PolicyReply) {
 		if status == nil {
@@ -152,7 +153,7 @@
 	})
 }
 
-// drawDocument draws a policy document. Some documents have a key because of which some nodes can't serve by them.
+// drawDocument draws a policy document. Some documents contain a key that some nodes do not accept.
 func (w *World) drawDocument(id string) string {
 	document := fmt.Sprintf("of=%s", id)
 	choices := 8
@@ -238,7 +239,7 @@
 	world.schedule(world.now+statusRetryDelay, q.start)
 }
 
-// confirm polls the voter with its token until the voter confirms that its answer is up to date.
+// confirm polls the voter with the token of its first answer until the voter confirms that its answer is up to date.
 func (q *statusQuery) confirm(voter *node, token string, attempt int) {
 	world := q.operator.world
 	q.operator.call(voter, agent.Call{Verb: callStatus, Arg: token}, func(reply agent.Reply, ok bool) {
@@ -260,7 +261,7 @@
 	change     agent.Call
 	deadline   time.Duration
 	abortAt    time.Duration // zero if the change is not to be aborted, or the abort call has been sent
-	maybeOnLog bool          // a voter may have received the change
+	mayBeInLog bool          // a voter may have received the change
 	done       func(result faults.Result, number uint64)
 }
 
@@ -280,7 +281,7 @@
 func (p *proposal) send() {
 	world := p.operator.world
 	if world.now > p.deadline {
-		if p.maybeOnLog {
+		if p.mayBeInLog {
 			p.done(faults.ResultUnknown, 0)
 		} else {
 			p.done(faults.ResultRejected, 0)
@@ -291,18 +292,19 @@
 	p.operator.call(voters[world.rng.IntN(len(voters))], p.change, p.handleReply)
 }
 
-// handleReply decides, based on a voter's reply, whether to send the change again, to poll for its result or to end.
+// handleReply decides, based on a voter's reply, whether to send the change again, to poll for its result or to end
+// the proposal.
 func (p *proposal) handleReply(reply agent.Reply, ok bool) {
 	isFollower := reply.Leader != "" && !reply.Leads
 	switch {
 	case !ok, reply.Error == "":
-		p.maybeOnLog = true
+		p.mayBeInLog = true
 		p.scheduleStep(p.poll)
 	case isFollower:
 		p.scheduleStep(p.send)
-	case !reply.Retry && !p.maybeOnLog:
+	case !reply.Retry && !p.mayBeInLog:
 		p.done(faults.ResultRejected, 0)
-	case p.maybeOnLog:
+	case p.mayBeInLog:
 		p.scheduleStep(p.poll)
 	default:
 		p.scheduleStep(p.send)
--- a/internal/lab/simulation/options.go
+++ b/internal/lab/simulation/options.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Options configure a run. Fields with a zero value get their default.
+// Options configure a run. Most fields get a default if they are zero.
 type Options struct {
 	Seed                 uint64
 	Nodes                int
@@ -18,7 +18,7 @@
 	Policy               Policy
 	Voters               int
 	MaxMessageDelay      time.Duration // upper limit of the extra delay of slow messages, in whole milliseconds
-	Mutation             string        // shown on the command line only; the simulation ignores it
+	Mutation             string        // only a note on the command line; the simulation ignores it
 	FleetOnly            bool          // run only the fleet agents of the nodes, without servers and clients
 }
 
@@ -42,7 +42,7 @@
 	defaultConnectionLifetime = 12 * time.Second
 	defaultLength             = 40 * time.Second
 	defaultFleetOnlyLength    = 45 * time.Second
-	connectionsPerNode        = 36 // default total server capacity per node; clients use about 16 of them
+	connectionsPerNode        = 36 // default total server capacity per node, of which clients use about 16
 	minServerCapacity         = 50
 )
 
@@ -54,7 +54,7 @@
 	}
 }
 
-// withDefaults returns the options with a default in each of the optional fields that are zero.
+// withDefaults returns the options with the default value for each zero field that has one.
 func (o Options) withDefaults() Options {
 	setDefault(&o.Nodes, defaultNodes)
 	setDefault(&o.Zones, defaultZones)
--- a/internal/lab/simulation/policy.go
+++ b/internal/lab/simulation/policy.go
@@ -26,8 +26,8 @@
 	keyDescriptors = "room"  // some nodes have too few descriptors for a document with this key
 )
 
-// One node in smallNodeInterval, each whose index has the remainder smallNodeRemainder, has too few descriptors for a
-// document with keyDescriptors and can't serve by it.
+// Each node whose index modulo smallNodeInterval equals smallNodeRemainder has too few descriptors for a document with
+// keyDescriptors and does not accept it.
 const (
 	smallNodeInterval  = 7
 	smallNodeRemainder = 3
@@ -54,7 +54,7 @@
 	return observed
 }
 
-// readDocument decodes a simulated policy document. It returns an error if the node can't serve by the document.
+// readDocument decodes a simulated policy document. It returns an error if the node does not accept the document.
 func (n *node) readDocument(text []byte) (*policy.Document, error) {
 	document := &policy.Document{
 		Attempts: 4,
--- a/internal/lab/simulation/random_faults.go
+++ b/internal/lab/simulation/random_faults.go
@@ -12,7 +12,7 @@
 	minFaultLength     = time.Second
 	faultLengthSpread  = 5 * time.Second // mean of the random part of a fault's length
 	minRandomFaults    = 2
-	randomFaultSpread  = 7
+	randomFaultSpread  = 7 // number of possible fault counts, from minRandomFaults up
 	slowZoneLoadFactor = 2.5
 	lossRate           = 0.3
 	duplicateRate      = 0.4
@@ -119,8 +119,8 @@
 	f.world.scheduleNodeFault(f.at, "voter killed", f.voter, func() { f.voter.restart(faults.FilesIntact, f.length) })
 }
 
-// loseFiles kills a node, which restarts without its files. Voters are spared, because rule (3) of the checker holds
-// only while a majority of the voters keeps its disks.
+// loseFiles kills a node, which restarts without its files. It does not affect voters, because rule (3) of the checker
+// holds only while a majority of the voters keeps its disks.
 func (f *randomFault) loseFiles() {
 	f.world.scheduleFault(f.at, "files lost", func() {
 		if !f.node.isVoter() {
--- a/internal/lab/simulation/scenario.go
+++ b/internal/lab/simulation/scenario.go
@@ -14,8 +14,8 @@
 var ErrUnknownScenario = errors.New("unknown scenario")
 
 const (
-	policyScenarioPrefix = "policy-" // begins the names of the scenarios that run without servers
-	fleetOnlySlack       = 0.1       // seconds; the time by which events may be late in a run without servers
+	policyScenarioPrefix = "policy-" // prefix of the names of the scenarios that run without servers
+	fleetOnlySlack       = 0.1       // seconds that events may be late in a run without servers
 )
 
 // Scenario is a named schedule of faults.
@@ -23,7 +23,7 @@
 	Name        string
 	Description string
 	Setup       func(w *World)   // schedules the faults
-	Expected    map[string]int   // minimum counts of what must happen for the run to be meaningful
+	Expected    map[string]int   // minimum counts of events for the run to be meaningful
 	Configure   func(o *Options) // changes options for the scenario; may be nil
 }
 
@@ -128,7 +128,7 @@
 	return voters
 }
 
-// leader returns the current leader, or the first voter if no running voter is the leader.
+// leader returns the current leader, or the first voter if no voter that is up and not paused is the leader.
 func (w *World) leader() *node {
 	voters := w.voters()
 	for _, n := range voters {
@@ -165,7 +165,8 @@
 	delete(w.network.partitions, zonePair{other, zone})
 }
 
-// delayAndDuplicate delays messages by the given mean and duplicates the given fraction of them.
+// delayAndDuplicate delays all messages but consensus messages by the given mean and duplicates the given fraction of
+// all messages.
 func (n *network) delayAndDuplicate(delay time.Duration, rate float64) {
 	n.extraDelay = delay
 	n.duplicateRate = rate
--- a/internal/lab/simulation/server.go
+++ b/internal/lab/simulation/server.go
@@ -35,7 +35,7 @@
 	capacity           int // connections at a reported load of 1
 	connections        map[*attempt]bool
 	failure            failureMode
-	reportedLoadFactor float64 // factor by which the reported load exceeds the real load
+	reportedLoadFactor float64 // ratio of the reported load to the real load
 }
 
 // load returns the fraction of its capacity that the server reports as used.
@@ -58,7 +58,7 @@
 	return sorted
 }
 
-// fail makes the server fail in the given way. In the mode refusing, its open connections break.
+// fail makes the server fail in the given mode. If the mode is refusing, its open connections break.
 func (s *server) fail(w *World, mode failureMode) {
 	s.failure = mode
 	if mode != refusing {
@@ -88,13 +88,13 @@
 	return delay
 }
 
-// isCutOffFrom reports whether the node can receive no answer from a server.
+// isCutOffFrom reports whether the node gets no answers from a server.
 func (n *node) isCutOffFrom(target *server) bool {
 	return target.failure == silent || n.serversUnreachable
 }
 
 // CheckHealth implements edge.HealthChecker. It calls done once, when the server reports its load or refuses the
-// connection, or otherwise at the deadline.
+// connection, or at the deadline if neither happens in time.
 func (n *node) CheckHealth(entry edge.ServerEntry, deadline time.Time, done func(choice.Outcome, []float64)) {
 	target := n.world.serverByID[entry.ID]
 	answered := false
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -12,7 +12,8 @@
 func reportViolations(t *testing.T, seed uint64, verdict faults.Verdict) {
 	t.Helper()
 	for _, violation := range verdict.Violations {
-		t.Errorf("seed %d: %s at %.2f s: %s", seed, violation.Rule, violation.At, violation.What)
+		t.Errorf("seed %d: got a violation of rule %s at %.2f s: %s; want none",
+			seed, violation.Rule, violation.At, violation.What)
 	}
 }
 
@@ -52,14 +53,14 @@
 			admitted := verdict.Seen["admitted: lease"]
 			commands := verdict.Seen["commands in order"]
 			if admitted < 1000 || commands < 3 {
-				t.Errorf("scenario: got %d requests admitted and %d commands in order, want at least 1000 and 3",
+				t.Errorf("policy scenario: got %d requests admitted and %d commands in order, want at least 1000 and 3",
 					admitted, commands)
 			}
 		})
 	}
 }
 
-// TestRandomSchedulesBreakNoRule runs schedules of faults drawn by seed.
+// TestRandomSchedulesBreakNoRule runs schedules of faults drawn by seed and checks that no rule is broken.
 func TestRandomSchedulesBreakNoRule(t *testing.T) {
 	for i := range uint64(12) {
 		options := Options{
@@ -121,7 +122,8 @@
 }
 
 // TestRecoveryWhenAllZonesLookLost checks that a fleet recovers within 4 s after its links to all servers were cut and
-// restored. When every zone looks lost, the fleet must doubt the observations rather than the zones.
+// restored. When every zone looks lost, the fleet must treat the observations as unreliable instead of the zones as
+// lost.
 func TestRecoveryWhenAllZonesLookLost(t *testing.T) {
 	world, _ := play(t, Options{Seed: 3, Nodes: 16, Zones: 4, Regions: 2, Scenario: "all-look-lost"})
 	served, answered := 0, 0
@@ -135,7 +137,7 @@
 		}
 	}
 	if answered < 100 || served < answered*3/4 {
-		t.Errorf("from 4 s after the end of the fault: got %d of %d requests served, want 3/4 of at least 100",
+		t.Errorf("from 4 s after the end of the fault: got %d of %d requests served, want at least 3/4 of at least 100",
 			served, answered)
 	}
 }
--- a/internal/lab/simulation/world.go
+++ b/internal/lab/simulation/world.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	firstClientTime      = 3 * time.Second // when the first clients connect, because the first plans exist by then
+	firstClientTime      = 3 * time.Second // when the first clients connect; the first plans exist by then
 	initialClientsSpread = 4 * time.Second // time over which the initial clients connect
 	samplingInterval     = 500 * time.Millisecond
 	defaultOperators     = 3
@@ -34,7 +34,7 @@
 // epoch is the start of simulated time.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// zonePair is one direction between two zones.
+// zonePair is one direction of the messages between two zones.
 type zonePair struct{ from, to string }
 
 // World holds the whole state of one simulation run. It is not safe for concurrent use.
@@ -82,7 +82,7 @@
 }
 
 // New creates a world and starts its nodes. A process must create and run its worlds one after another, because New
-// replaces the reader of crypto/rand, from which the Raft library draws its election timeouts, by a seeded reader.
+// replaces the reader of crypto/rand, from which the Raft library draws its election timeouts, with a seeded reader.
 func New(options Options) (*World, error) {
 	options = options.withDefaults()
 	world := &World{
