--- a/internal/config/node_test.go
+++ b/internal/config/node_test.go
@@ -139,7 +139,7 @@
 		},
 		{
 			`"sendCap":4`, `"sendCap":0`, "settings",
-			"settings: setup: policyLimits.sendCap is 0: 1 attempt or more is wanted",
+			"settings: setup: policyLimits.sendCap must be at least 1, got 0",
 		},
 		{`"servers":[]`, known, "known", `known: entry "s" has state "NAPPING"`},
 		{
@@ -229,7 +229,7 @@
 		}
 		for _, class := range node.Settings.WithIndicesOf(node.Settings).Classes {
 			if class.Deadline <= 0 || class.Removed {
-				t.Errorf("got class %+v, want one with a deadline that is not removed", class)
+				t.Errorf("class of accepted settings: got %+v, want one that has a deadline and is not removed", class)
 			}
 		}
 		if key := node.keys.firstMissing(node.keys, ""); key != "" {
--- a/internal/simwire/setup.go
+++ b/internal/simwire/setup.go
@@ -178,7 +178,7 @@
 	case len(s.Classes) == 0:
 		return setupErrorf("no request class: profiles needs one")
 	case s.Limits.MaxAttempts <= 0:
-		return setupErrorf("policyLimits.sendCap is %d: 1 attempt or more is wanted", s.Limits.MaxAttempts)
+		return setupErrorf("policyLimits.sendCap must be at least 1, got %d", s.Limits.MaxAttempts)
 	case s.Nodes < 1 || s.Node < 0 || s.Node >= s.Nodes:
 		return setupErrorf(
 			"groupSize is %d and index %d: a number of nodes, and this one's among them from 0, are wanted",
