--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -9,7 +9,7 @@
 	"spurwinch/internal/transport/tls"
 )
 
-// Default values of keys of [peers] in an operator's file.
+// Default values of the keys of the [peers] table in an operator's file.
 const (
 	defaultPrefixBits4 = 32 // each IPv4 address is a peer of its own
 	defaultPrefixBits6 = 64 // a subnet, because one machine can use all IPv6 addresses of its subnet
@@ -27,7 +27,7 @@
 	StreamLimits        // limits of one peer
 }
 
-// StreamLimits limits the streams of a peer or a domain. 0 means no limit.
+// StreamLimits holds the limits for the streams of a peer or a domain. 0 means no limit.
 type StreamLimits struct {
 	Streams         int     `toml:"streams,omitzero"`         // concurrently open streams
 	Unauthenticated int     `toml:"unauthenticated,omitzero"` // open streams that are not authenticated yet
@@ -90,8 +90,8 @@
 	p.StreamLimits.check(file, "peers")
 }
 
-// readNetworks adds the list of networks in the file at path. They are exempt from limits if exempt is set, and denied
-// otherwise. A fault is reported for the given key of the operator's file. Without a path there is no list to read.
+// readNetworks adds the networks that are listed in the file at path, which may be empty. The networks are exempt from
+// limits if exempt is set, and denied otherwise. An error becomes a fault of the given key of the operator's file.
 func (o *Operator) readNetworks(file *tomlfile.File, key, path string, exempt bool) {
 	if path == "" {
 		return
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -19,16 +19,16 @@
 	Nodes             int            `toml:"nodes,omitzero"`      // nodes that share the cluster, including this one
 	Attempts          int            `toml:"attempts,omitzero"`   // maximum attempts of one session
 	ConnectTimeout    Duration       `toml:"connect_timeout,omitzero"`
-	DrainGrace        Duration       `toml:"drain_grace,omitzero"`   // a draining server gets no new session after this
+	DrainGrace        Duration       `toml:"drain_grace,omitzero"`   // how long a draining server gets new sessions
 	DrainPeriod       Duration       `toml:"leave,omitzero"`         // time over which its sessions are told to leave
-	SlowStartFraction float64        `toml:"cold_share,omitzero"`    // fraction of its capacity at a server's start
+	SlowStartFraction float64        `toml:"cold_share,omitzero"`    // fraction of capacity that a starting server has
 	WarmUp            Duration       `toml:"warm_up,omitzero"`       // length of the slow start
-	OverloadMultiple  float64        `toml:"fall_multiple,omitzero"` // a server fails above this multiple of capacity
-	OverloadTime      Duration       `toml:"fall_time,omitzero"`     // if the overload lasts this long
+	OverloadMultiple  float64        `toml:"fall_multiple,omitzero"` // multiple of capacity above which a server fails
+	OverloadTime      Duration       `toml:"fall_time,omitzero"`     // how long the overload lasts before it fails
 	Servers           []StaticServer `toml:"host,omitempty"`
 }
 
-// StaticServer is a server that the operator's file lists, a [[cluster.host]].
+// StaticServer is a server that the operator's file lists in a [[cluster.host]] table.
 type StaticServer struct {
 	ID      string    `toml:"id,omitempty"` // empty: its address
 	Addr    string    `toml:"addr"`         // IP:PORT
@@ -111,7 +111,7 @@
 		path := fmt.Sprintf("host.%d.", i)
 		_, err := netip.ParseAddrPort(server.Addr)
 		found.addIf(err != nil, path+"addr", "host address %q is not IP:PORT", server.Addr)
-		found.addIf(seen[server.ID], path+"id", "host %q is listed twice, its id must be unique", server.ID)
+		found.addIf(seen[server.ID], path+"id", "host %q is listed twice: its id must be unique", server.ID)
 		found.addIf(server.State != stateServing && server.State != stateDraining, path+"state",
 			"host %q: state must be serving or draining, got %q", server.ID, server.State)
 		validWeight := server.Weight > 0 // false for NaN
@@ -122,7 +122,8 @@
 
 // Settings returns the settings of package choice for a cluster.
 func (o *Operator) Settings(cluster Cluster) choice.Settings {
-	// The load is the core's own count. Asking servers for it yields nothing new, and sessions stay on their server.
+	// The core counts the load of each server itself, so asking servers for it yields nothing new. Sessions stay on
+	// their server.
 	settings := choice.Settings{
 		Nodes:          cluster.Nodes,
 		Zone:           cluster.Zone,
@@ -162,9 +163,9 @@
 	return settings
 }
 
-// StaticHosts returns the cluster's servers as entries for the core. seen returns when a server was first in the file.
-// That time is the start time of a server for which the file has none: a server that is added while the program runs
-// counts as started when it was added.
+// StaticHosts returns the cluster's servers as entries for the core. seen returns the time when a server first appeared
+// in the file, which is the start time of a server for which the file has none. A server that is added while the
+// program runs thus counts as started when it was added.
 func (c Cluster) StaticHosts(seen func(id string) time.Time) []edge.ServerEntry {
 	var servers []edge.ServerEntry
 	for _, server := range c.Servers {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -15,15 +15,15 @@
 	Listen     string   `toml:"listen,omitempty"`    // IP:PORT for datagrams and streams of other nodes
 	Nodes      string   `toml:"nodes,omitempty"`     // file with the list of nodes and the common rules
 	KeyFile    string   `toml:"key_file,omitempty"`  // file with the key that signs messages between nodes
-	Dir        string   `toml:"dir,omitempty"`       // for state that must outlive the process; voters need it
+	Dir        string   `toml:"dir,omitempty"`       // directory of state that must outlive the process; voters need it
 	Cluster    string   `toml:"cluster,omitempty"`   // cluster whose zones are planned; empty: the platform's
-	RetryAfter Duration `toml:"come_again,omitzero"` // advice to clients whose request is rejected
+	RetryAfter Duration `toml:"come_again,omitzero"` // retry after this time: advice to clients of a rejected request
 	// PolicyLevel restricts this node to policies without keys of a later level, for example while a fleet is being
 	// upgraded to a newer version. 0 means that all keys known to this program are allowed.
 	PolicyLevel int `toml:"policy_level,omitzero"`
 
-	List   *FleetList `toml:"-"` // read from the file Nodes
-	Secret []byte     `toml:"-"` // read from KeyFile
+	List   *FleetList `toml:"-"` // read from the file that Nodes names
+	Secret []byte     `toml:"-"` // read from the file that KeyFile names
 }
 
 // minFleetKeyBytes is the minimum length of a fleet's key: the size of the HMAC-SHA-256 that signs messages.
@@ -52,7 +52,7 @@
 // readList reads the list of nodes and finds this node in it.
 func (c *Fleet) readList(file *tomlfile.File) {
 	if c.Nodes == "" {
-		file.Fault("fleet.nodes", "[fleet] without nodes: must name the file with the list of nodes")
+		file.Fault("fleet.nodes", "[fleet] without nodes: nodes must name the file with the list of nodes")
 		return
 	}
 	list, err := ReadFleetList(c.Nodes)
--- a/internal/config/fleetlist.go
+++ b/internal/config/fleetlist.go
@@ -33,7 +33,7 @@
 // FleetPlan holds the rules of the plans that move load between zones.
 type FleetPlan struct {
 	UtilizationLimit float64  `toml:"limit,omitzero"` // fraction of a server's capacity that plans use
-	GrantLifetime    Duration `toml:"life,omitzero"`  // of a grant to another zone without contact with the leader
+	GrantLifetime    Duration `toml:"life,omitzero"`  // time a grant to another zone stays valid without the leader
 	RecoveryDelay    Duration `toml:"hold,omitzero"`  // time a zone must be healthy before it takes load again
 	RecoveryRamp     float64  `toml:"ramp,omitzero"`  // fraction of a recovered zone's capacity given back each second
 	RegionalClasses  []string `toml:"stay,omitempty"` // classes whose requests must stay in their region
@@ -109,7 +109,7 @@
 	}
 }
 
-func (d RegionDistance) isValid() bool { return len(d.Between) == 2 && d.Cost >= 1 } // false for NaN
+func (d RegionDistance) isValid() bool { return len(d.Between) == 2 && d.Cost >= 1 } // false if the cost is NaN
 
 // checkNodes checks each node and the number of voters.
 func (l *FleetList) checkNodes(file *tomlfile.File) {
@@ -120,7 +120,7 @@
 		if _, err := netip.ParseAddrPort(node.Addr); err != nil {
 			file.Fault(path+"addr", "node %q: address %q is not IP:PORT", node.Name, node.Addr)
 		} else if seen[node.Addr] {
-			file.Fault(path+"addr", "node %q: address %s is listed twice, it must be unique", node.Name, node.Addr)
+			file.Fault(path+"addr", "node %q: address %s is listed twice: it must be unique", node.Name, node.Addr)
 		}
 		seen[node.Addr] = true
 		if len(node.Zone) > maxNodeName || len(node.Name) > maxNodeName {
@@ -159,7 +159,7 @@
 	}
 }
 
-// Rules returns the rules of plans without those of classes.
+// Rules returns the rules of plans, except the rules for classes.
 func (l *FleetList) Rules() failover.Rules {
 	cost := map[[2]string]float64{}
 	for _, distance := range l.RegionDistances {
--- a/internal/config/golden_helpers_test.go
+++ b/internal/config/golden_helpers_test.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		if key == "" && !field.Anonymous {
-			t.Errorf("%s.%s: got no toml tag, want one: the key would follow the field's name", path, field.Name)
+			t.Errorf("%s.%s: got no toml tag, want one because the key would follow the field's name", path, field.Name)
 		}
 		var all []reflect.Value
 		for _, value := range values {
--- a/internal/config/nginx/errors.go
+++ b/internal/config/nginx/errors.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Error is the error for, or a warning about, text that can't be parsed or converted.
+// Error is an error or a warning about text that can't be parsed or converted.
 type Error struct {
 	File string
 	Line int // counted from 1
--- a/internal/config/nginx/import.go
+++ b/internal/config/nginx/import.go
@@ -67,8 +67,8 @@
 type converter struct {
 	report
 	operator  config.Operator
-	upstreams map[string]*upstream // by name, or by address if the nginx file has no name for it
-	used      []*upstream          // sorted by their first use
+	upstreams map[string]*upstream // by name, or by address if a proxy_pass names no upstream
+	used      []*upstream          // in the order of their first use
 	domains   map[string]domain    // by name
 }
 
@@ -121,8 +121,8 @@
 	}
 }
 
-// convertContext converts the directives of an http or stream block. It converts servers last, because
-// they may precede the upstreams and settings that they use.
+// convertContext converts the directives of an http or stream block. It converts servers last, because they may precede
+// the upstreams and settings that they use.
 func (c *converter) convertContext(block []directive, isStream bool) {
 	for _, inner := range block {
 		if inner.name == "upstream" {
--- a/internal/config/nginx/nginx_test.go
+++ b/internal/config/nginx/nginx_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// checkImport checks the import of one file.
+// checkImport imports one file, compares the output and the warnings with the .toml and .notes files next to it, and
+// reads the output with config.ReadOperator.
 func checkImport(t *testing.T, file string) {
 	t.Helper()
 	source, err := os.ReadFile(file)
--- a/internal/config/nginx/parse.go
+++ b/internal/config/nginx/parse.go
@@ -28,8 +28,8 @@
 // parser builds the tree of directives.
 type parser struct{ lexer }
 
-// block parses the directives up to the end of their block, which at depth 0 is the end of the file. The block begins
-// in the given line.
+// block parses the directives up to the end of their block, which at depth 0 is the end of the file. line is the line
+// where the block begins.
 func (p *parser) block(depth, line int) ([]directive, error) {
 	if depth > maxDepth {
 		return nil, p.errorf(p.line, "blocks are nested too deeply, at most 32 levels are allowed")
@@ -51,7 +51,7 @@
 	}
 }
 
-// checkEnd checks that a delimiter where a directive could begin ends the block.
+// checkEnd checks that a delimiter that takes the place of a directive ends the block.
 func (p *parser) checkEnd(end token, depth, line int) error {
 	atEOF := end.text == ""
 	switch {
--- a/internal/config/nginx/upstream.go
+++ b/internal/config/nginx/upstream.go
@@ -18,8 +18,8 @@
 	settings proxySettings // settings at its first use
 }
 
-// convertUpstream converts an upstream block to a cluster. The operator's file gets the cluster only if a proxy_pass
-// uses it.
+// convertUpstream converts an upstream block to a cluster. The operator's file contains the cluster only if a
+// proxy_pass uses it.
 func (c *converter) convertUpstream(block directive) {
 	if len(block.args) != 1 {
 		c.fail(block.line, "upstream must have exactly one name")
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -65,9 +65,9 @@
 	})
 }
 
-// ReloadNode reads the file again for a node whose configuration in force is current. Variables don't override it,
-// because their values date from the start of the process. ReloadNode checks the whole file. The file must have every
-// key of the configuration in force, because a file that was cut short lacks settings that its author meant to keep.
+// ReloadNode reads the file again. current is the configuration in force. Variables don't override the file, because
+// their values date from the start of the process. ReloadNode checks the whole file. The file must have every key of
+// the configuration in force, because a file that was cut short lacks settings that its author meant to keep.
 func ReloadNode(path string, current Node) (Node, error) {
 	node, err := readNodeFile(path, func(file *nodeFile) {
 		file.Listen = cmp.Or(file.Listen, current.Listen) // a variable may have set it
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -25,18 +25,18 @@
 	Peers             Peers               `toml:"peers,omitempty"`
 	Networks          *peerlimit.Networks `toml:"-"` // read from the files that Peers names; nil: none
 	Certificates      []Certificate       `toml:"certificate,omitempty"`
-	ClientAuthorities string              `toml:"client_authorities,omitempty"` // PEM file, for clients' certificates
-	Keys              *tls.Set            `toml:"-"`                            // read from these files; nil: none
+	ClientAuthorities string              `toml:"client_authorities,omitempty"` // PEM file of client certificates' CAs
+	Keys              *tls.Set            `toml:"-"`                            // from the certificate files; nil: none
 }
 
-// Duration is a duration as files write it, for example "1.5s".
+// Duration is a duration with the text form of files, for example "1.5s".
 type Duration = tomlfile.Duration
 
-// Limits limits the resources of connections.
+// Limits holds the limits for the number of connections and their use of resources.
 type Limits struct {
-	Connections      int      `toml:"connections,omitzero"`    // open connections of clients and to servers together
+	Connections      int      `toml:"connections,omitzero"`    // open connections of clients and servers together
 	StanzaBytes      int      `toml:"stanza_bytes,omitzero"`   // size of one stanza
-	EarlyBytes       int      `toml:"early_bytes,omitzero"`    // bytes of a client that are kept for another server
+	EarlyBytes       int      `toml:"early_bytes,omitzero"`    // early client bytes kept to replay to another server
 	HeaderTime       Duration `toml:"header_time,omitzero"`    // time for the stream header
 	HandshakeTimeout Duration `toml:"handshake_time,omitzero"` // time for a TLS handshake
 	Resumable        int      `toml:"resumable,omitzero"`      // sessions whose server is remembered for resumption
@@ -73,7 +73,8 @@
 	Priority       float64  `toml:"worth,omitzero"`     // priority weight
 }
 
-// Capture configures the recording of load and load reports. Without a [capture] table nothing is recorded.
+// Capture configures the recording of load and load reports. Without a path, which a [capture] table must set, nothing
+// is recorded.
 type Capture struct {
 	Path     string  `toml:"path,omitempty"`   // common prefix of the files' names
 	FileMB   int     `toml:"file_mb,omitzero"` // size in megabytes at which the next file is started
@@ -183,7 +184,7 @@
 	}
 	if len(c.Key) < minCaptureKeyBytes {
 		file.Fault("capture.key",
-			"a key of %d bytes: must have at least 16 bytes, so that clients can't be identified", len(c.Key))
+			"a key of %d bytes: must have at least 16 bytes, so that clients' identities can't be guessed", len(c.Key))
 	}
 }
 
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -43,10 +43,11 @@
 	withoutLeaseBase   = "ground"
 )
 
+// policyTenant holds the quota of a tenant over all nodes. 0 means unlimited.
 type policyTenant struct {
 	Name        string  `toml:"name"`
-	Connections float64 `toml:"connections,omitzero"`
-	Rate        float64 `toml:"rate,omitzero"`
+	Connections float64 `toml:"connections,omitzero"` // open connections
+	Rate        float64 `toml:"rate,omitzero"`        // requests per second
 }
 
 type policyBase struct {
@@ -54,9 +55,10 @@
 	Deadline Duration `toml:"patience,omitzero"`
 }
 
+// policyRequirements holds the resources that a node must have. 0 means no requirement.
 type policyRequirements struct {
-	Descriptors int `toml:"descriptors,omitzero"`
-	MemoryMB    int `toml:"memory_mb,omitzero"`
+	Descriptors int `toml:"descriptors,omitzero"` // file descriptors that the process may open
+	MemoryMB    int `toml:"memory_mb,omitzero"`   // megabytes
 }
 
 type policyFailover struct {
@@ -185,6 +187,7 @@
 	return document
 }
 
+// rules converts the rules of plans to the terms of package policy.
 func (p *policyFailover) rules(distances []RegionDistance) *policy.FailoverRules {
 	rules := &policy.FailoverRules{
 		UtilizationLimit: p.UtilizationLimit,
--- a/internal/config/tomlfile/fault.go
+++ b/internal/config/tomlfile/fault.go
@@ -10,7 +10,7 @@
 type Fault struct {
 	File    string
 	Line    int    // counted from 1; 0: the fault has no line
-	Key     string // path with the indices of array tables, for example "class.0.aim"; empty: not one key
+	Key     string // path with indices of array tables, for example "class.0.aim"; empty: the fault has no key
 	Problem string // the invalid value and what is allowed, for operators
 }
 
--- a/internal/config/tomlfile/tomlfile_test.go
+++ b/internal/config/tomlfile/tomlfile_test.go
@@ -70,7 +70,7 @@
 		}
 	}
 	if !file.Has("host.1.name") || file.Has("host.1.zone") || file.Broken() {
-		t.Error("Has or Broken: got a wrong result, want host.1.name to be set, host.1.zone not, and no fault")
+		t.Error("Has and Broken: got another result, want host.1.name set, host.1.zone not set, and no fault")
 	}
 	file.Fault("host.1.name", "second")
 	file.Fault("size", "first")
--- a/internal/config/tomlfile/value.go
+++ b/internal/config/tomlfile/value.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Duration is a duration as settings write it, for example "1.5s" or "250ms".
+// Duration is a duration with the text form of settings, for example "1.5s" or "250ms".
 type Duration time.Duration
 
 // UnmarshalText parses a duration of 0 or more.
