--- a/internal/simwire/setup.go
+++ b/internal/simwire/setup.go
@@ -178,7 +178,7 @@
 	case len(s.Classes) == 0:
 		return setupErrorf("profiles is empty: at least one request class is required")
 	case s.Limits.MaxAttempts <= 0:
-		return setupErrorf("policyLimits.sendCap is %d: 1 attempt or more is wanted", s.Limits.MaxAttempts)
+		return setupErrorf("policyLimits.sendCap must be at least 1, got %d", s.Limits.MaxAttempts)
 	case s.Nodes < 1 || s.Node < 0 || s.Node >= s.Nodes:
 		return setupErrorf(
 			"groupSize must be at least 1 and index from 0 to groupSize-1, got %d and %d",
