--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -37,7 +37,7 @@
 	goneSlack       = 100*time.Millisecond + 300*time.Millisecond
 	attemptSlack    = 400 * time.Millisecond
 	drainSlack      = 400 * time.Millisecond
-	drainNoticeTime = 6 * time.Second // from a change at a reachable discovery service until a node knows of it
+	drainNoticeTime = 6 * time.Second // from a change at a reachable discovery service until a node must know of it
 	lineTimeout     = time.Second + 1500*time.Millisecond
 )
 
@@ -72,7 +72,7 @@
 	id          string
 	class       *class
 	node        *node
-	incarnation int // of the node when the client sent the request
+	incarnation int // of the node when the client created the request
 	sentAt      time.Time
 	deadline    time.Time
 	clientGone  time.Time // when the client left; zero: it has not left
@@ -104,7 +104,7 @@
 	c.violatedLocked(promise, format, args...)
 }
 
-// violatedLocked does the same as violated. The caller holds the lock.
+// violatedLocked records a violation as violated does. The caller holds c.mu.
 func (c *Checker) violatedLocked(promise Promise, format string, args ...any) {
 	if c.closed {
 		return
@@ -113,7 +113,7 @@
 	c.seen["violations of "+string(promise)]++
 }
 
-// count counts an event. The counts show what a run exercised; a run proves nothing about events that never happened.
+// count counts an event. The counts show which events a run exercised: a run proves nothing about the others.
 func (c *Checker) count(what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,7 +167,7 @@
 	sinceAnswer := received.firstByte.Sub(req.answeredAt)
 	switch {
 	case len(req.attempts) >= maxAttempts:
-		c.violatedLocked(Attempts, "%s: attempt number %d, at %s", req.id, len(req.attempts)+1, serverID)
+		c.violatedLocked(Attempts, "%s: too many attempts: number %d is at %s", req.id, len(req.attempts)+1, serverID)
 	case !req.clientGone.IsZero() && sinceGone > goneSlack:
 		c.violatedLocked(ClientGone, "%s: attempt at %s started %v after its client left %s",
 			req.id, serverID, sinceGone, req.node.name)
@@ -177,7 +177,8 @@
 	}
 }
 
-// checkDrain checks that the node did not yet have to know that the server drains.
+// checkDrain checks that a draining server gets no attempt after the grace time. The grace time starts when the node
+// knows, or has to know, that the server drains.
 func (c *Checker) checkDrain(req *request, received *attempt) {
 	known := req.node.drainingKnownSince(received.server)
 	if known.IsZero() {
@@ -200,7 +201,8 @@
 		before := earlier.server.id
 		switch {
 		case req.class.idempotency == notIdempotent:
-			c.violatedLocked(RepeatSafety, "%s (%s): attempt at %s %v after one at %s, where it may have run (%q)",
+			c.violatedLocked(RepeatSafety,
+				"%s (%s): attempt at %s %v after one at %s, where the request may have run (%q)",
 				req.id, req.class.name, serverID, since, before, earlier.reply)
 		case req.class.idempotency == idempotentByKey && earlier.zone != received.zone:
 			c.violatedLocked(RepeatSafety, "%s (%s): attempt at %s of zone %s after one at %s of zone %s",
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// inFlight marks an attempt that never ends.
+// inFlight takes the place of the reply for an attempt that never ends.
 const inFlight = "in flight"
 
-// history is a checker that records one request to one node, with two servers in two zones.
+// history is a sequence of events that the checker records: one request to one node, and its attempts at two servers in
+// two zones.
 type history struct {
 	checker *Checker
 	servers []*server
 	request *request
 }
 
-// newHistory returns a history whose request is of the class with the given index.
+// newHistory returns a history whose request has the class with the given index in classes.
 func newHistory(class int) *history {
 	run := &harness{checker: newChecker(), discovery: newDiscovery(nil)}
 	run.discovery.setBehavior(unavailable) // only the test notifies the node of drains
@@ -41,7 +42,7 @@
 	}
 }
 
-// repeat records several attempts at the first server, each of which fails.
+// repeat records several attempts at the first server, each of which ends with ERR.
 func (h *history) repeat(times int) {
 	for range times {
 		h.attempt(0, 0, replyError)
@@ -54,14 +55,14 @@
 	h.request.node.draining[h.servers[0]] = time.Now().Add(-age)
 }
 
-// Indices of classes.
+// Indices in classes.
 const (
 	read = iota
 	post
 	pay
 )
 
-// checkerCases are short histories with the promise that each breaks, or none if want is empty.
+// checkerCases are short histories. Each breaks the promise in want, or no promise if want is empty.
 var checkerCases = map[string]struct {
 	class int
 	play  func(h *history)
@@ -82,7 +83,7 @@
 		h.attempt(0, 0, inFlight)
 		h.attempt(1, 0, replyUp)
 	}, Attempts},
-	"repeat after a reply that it never ran": {pay, func(h *history) {
+	"repeat after a reply that the request never ran": {pay, func(h *history) {
 		h.attempt(0, 0, replyBusy)
 		h.attempt(1, 0, replyUp)
 	}, ""},
@@ -151,7 +152,7 @@
 				t.Errorf("violations: got %v, want none", found)
 			}
 			if test.want != "" && (len(found) == 0 || found[0].Promise != test.want) {
-				t.Errorf("violations: got %v, want the first to be of %s", found, test.want)
+				t.Errorf("violations: got %v, want the first to break %s", found, test.want)
 			}
 		})
 	}
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -12,15 +12,15 @@
 
 const (
 	dialTimeout         = time.Second
-	invalidTimeout      = 3*time.Second + time.Second // until an invalid client gets an error or its connection ends
+	invalidTimeout      = 3*time.Second + time.Second // until the node ends the connection after invalid input
 	echoTimeout         = 7*time.Second + 1500*time.Millisecond
-	meanConnection      = 1500 * time.Millisecond
-	maxConnection       = 6 * time.Second
+	meanConnectionTime  = 1500 * time.Millisecond
+	maxConnectionTime   = 6 * time.Second
 	idleTime            = 2500 * time.Millisecond
-	idleJitter          = 4                      // ms, earlier or later
-	settlingTime        = 700 * time.Millisecond // until both ends of a connection know the same
+	idleJitter          = 4                      // ms, maximum deviation from idleTime
+	settlingTime        = 700 * time.Millisecond // until both client and server have seen a connection end
 	answerReadSlack     = 2 * time.Second
-	afterCloseRead      = time.Second
+	readTimeAfterClose  = time.Second
 	meanDisconnectDelay = 150 * time.Millisecond
 	minLineInterval     = 50  // ms
 	lineJitter          = 400 // ms
@@ -29,7 +29,7 @@
 	fragmentJitter      = 40 // ms
 )
 
-// Fractions of the clients that send invalid data, and that idle before the request.
+// Fractions of the clients that send invalid input, and of those that idle before their request.
 const (
 	invalidRate = 0.03
 	idleRate    = 0.03
@@ -73,7 +73,7 @@
 	}
 }
 
-// run opens the connection and uses it until it ends.
+// run opens the connection. The client then sends invalid input, a request after idling, or a request at once.
 func (c *client) run() {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.Dial("tcp", c.node.addr)
@@ -98,7 +98,7 @@
 	}
 }
 
-// invalidLines lists input that a node can't serve.
+// invalidLines lists inputs that are no valid request, so that a node can't serve them.
 var invalidLines = []string{
 	"HELLO world\r\n",
 	"OPEN\r\n",
@@ -115,13 +115,14 @@
 // write writes to the node. It ignores errors: if the node has ended the connection, the next read fails.
 func (c *client) write(text string) { _, _ = io.WriteString(c.conn, text) }
 
-// sendInvalid sends a line that the node can't serve. The node has to answer an error or end the connection.
+// sendInvalid sends input that the node can't serve. The node may answer an error, and has to end the connection in
+// time.
 func (c *client) sendInvalid() {
 	start := time.Now()
 	c.write(invalidLines[c.rng.IntN(len(invalidLines))])
 	setReadDeadline(c.conn, start.Add(invalidTimeout))
 	if _, err := io.Copy(io.Discard, c.conn); isTimeout(err) && !c.node.killedBetween(start, time.Now()) {
-		c.checker.violated(Answer, "%s: the connection of an invalid client is still open after %v",
+		c.checker.violated(Answer, "%s: the connection is still open %v after invalid input",
 			c.node.name, invalidTimeout)
 	}
 	c.checker.count("clients with nonsense")
@@ -229,8 +230,8 @@
 	}
 }
 
-// handleMissingAnswer handles a connection that ended, or timed out, before the answer. It is a violation unless the
-// harness killed the node's process.
+// handleMissingAnswer records a violation for a connection that ended, or timed out, before the answer. If the harness
+// killed the node's process meanwhile, it only counts the lost request.
 func (c *client) handleMissingAnswer(sent *request, partial string, err error) {
 	defer c.checker.clientGone(sent)
 	if c.node.killedBetween(sent.sentAt, time.Now()) {
@@ -264,14 +265,14 @@
 		_ = c.conn.CloseWrite() // fails only if the node has ended the connection as well
 	}
 	c.checker.clientGone(sent)
-	setReadDeadline(c.conn, time.Now().Add(afterCloseRead))
+	setReadDeadline(c.conn, time.Now().Add(readTimeAfterClose))
 	_, _ = io.Copy(io.Discard, c.conn) // data that a client gets after it left is not checked
 }
 
 // useConnection sends lines on an open connection and checks that each line comes back.
 func (c *client) useConnection(served *request, connection *attempt) {
-	length := time.Duration(c.rng.ExpFloat64() * float64(meanConnection))
-	end := time.Now().Add(min(length, maxConnection))
+	length := time.Duration(c.rng.ExpFloat64() * float64(meanConnectionTime))
+	end := time.Now().Add(min(length, maxConnectionTime))
 	for number := 0; time.Now().Before(end) && !c.harness.over(); number++ {
 		line := fmt.Sprintf("line %d of %s\r\n", number, served.id)
 		sentAt := time.Now()
--- a/internal/lab/soak/conn.go
+++ b/internal/lab/soak/conn.go
@@ -15,7 +15,8 @@
 	closeQuietly(conn)
 }
 
-// closeQuietly closes a resource that is no longer needed. It ignores the error, which shows nothing about the nodes.
+// closeQuietly closes a resource of the harness that is no longer needed. It ignores the error, because a failed close
+// does not indicate a fault of a node.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
 
 // setReadDeadline sets the deadline of the next reads. It ignores the error: setting a deadline fails only on a closed
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -154,8 +154,9 @@
 	}
 }
 
-// awaitChange returns the behavior and the version of the list to answer with. If the call is a watch, it first waits
-// for a newer list or the end of the watch. ok is false if the caller disconnected.
+// awaitChange returns the behavior and the version of the list to answer with. If the call is a watch and
+// the service is available, it first waits for a change or the end of the watch. ok is false if the caller
+// disconnected.
 func (d *discovery) awaitChange(r *http.Request) (behavior discoveryBehavior, version int64, ok bool) {
 	behavior, version, changed := d.current()
 	query := r.URL.Query()
@@ -199,7 +200,7 @@
 	}
 }
 
-// writeIncomplete announces more bytes than the list has, and writes the list.
+// writeIncomplete announces more bytes than the list has and writes only the list, so that the answer never completes.
 func writeIncomplete(w http.ResponseWriter, list []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(list)+missingBytes))
 	write(w, list)
@@ -226,7 +227,7 @@
 		strconv.Itoa(len(list)) + "\r\n\r\n"
 	for range 2 {
 		_, _ = buffered.WriteString(header) // the buffer keeps an error, and Flush returns it
-		_, _ = buffered.Write(list)         // as above
+		_, _ = buffered.Write(list)         // the buffer keeps this error too
 		if buffered.Flush() != nil {
 			return
 		}
--- a/internal/lab/soak/fault.go
+++ b/internal/lab/soak/fault.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	faultInterval   = 2500 * time.Millisecond // between two rounds of faults
-	drainTime       = 7 * time.Second         // then a drained server restarts
-	minFaultLength  = time.Second
-	faultSpread     = 4 * time.Second // maximum that is added to minFaultLength
-	minConcurrent   = 2               // faults of one round
-	maxConcurrent   = 3
-	maxFaultDelay   = 300 // ms, between two faults of a round
-	maxProxyDelay   = 300 // ms
-	proxyIdleTime   = 400 * time.Millisecond
-	breakRateFactor = 10 // connections are broken this many times less often than other calls fail
+	faultInterval     = 2500 * time.Millisecond // between two rounds of faults
+	drainTime         = 7 * time.Second         // from the drain of a server until its restart
+	minFaultLength    = time.Second
+	faultSpread       = 4 * time.Second // maximum that is added to minFaultLength
+	minFaultsPerRound = 2               // number of faults in one round
+	maxFaultsPerRound = 3
+	maxFaultDelay     = 300 // ms, between two faults of a round
+	maxProxyDelay     = 300 // ms
+	proxyIdleTime     = 400 * time.Millisecond
+	breakRateFactor   = 10 // divides the failure rate for broken connections, which are rarer than other failures
 )
 
 // Fractions of the nodes and servers that one fault affects.
@@ -29,12 +29,12 @@
 	killedNodes     = 0.1
 	pausedNodes     = 0.3
 	upgradedNodes   = 0.1
-	drainedServers  = 0.25
+	drainedServers  = 0.25 // also of the servers that restart without a drain
 	impairedServers = 0.5
 )
 
-// faultKind is a kind of fault. inject injects a fault, which lasts until the given time if the kind has a length, and
-// returns a description. The description is empty if the fault has no effect.
+// faultKind is a kind of fault. inject injects a fault and returns its description, which is empty if the fault has no
+// effect. The fault ends at the given time; kinds that need no such time ignore it.
 type faultKind struct {
 	name   string
 	inject func(h *harness, rng *rand.Rand, until time.Time) string
@@ -47,14 +47,14 @@
 	{"hold", (*harness).pauseNodes},
 	{"reload", (*harness).reloadNodes},
 	{"upgrade", (*harness).upgradeNodes},
-	{"hosts", (*harness).misbehavingServers},
+	{"hosts", (*harness).makeServersMisbehave},
 	{"drain", (*harness).drainServers},
 	{"restart", (*harness).restartServers},
 	{"proxy", (*harness).impairProxies},
-	{"discovery", (*harness).misbehavingDiscovery},
+	{"discovery", (*harness).makeDiscoveryMisbehave},
 	{"calls", (*harness).failSystemCalls},
 	{"clock", (*harness).stepClocks},
-	{"burst", (*harness).burstOfClients},
+	{"burst", (*harness).addLoad},
 }
 
 // FaultKinds returns the names of the kinds of faults.
@@ -76,7 +76,7 @@
 	}
 	for end := time.Now().Add(h.options.FaultTime); time.Now().Before(end) && ctx.Err() == nil; {
 		order := rng.Perm(len(allowed))
-		count := minConcurrent + rng.IntN(maxConcurrent-minConcurrent+1)
+		count := minFaultsPerRound + rng.IntN(maxFaultsPerRound-minFaultsPerRound+1)
 		for _, i := range order[:min(len(allowed), count)] {
 			h.injectFault(allowed[i], rng)
 			h.pause(ctx, time.Duration(rng.IntN(maxFaultDelay))*time.Millisecond)
@@ -151,11 +151,11 @@
 
 // serverIDs returns the IDs of servers.
 func serverIDs(servers []*server) []string {
-	var names []string
+	var ids []string
 	for _, s := range servers {
-		names = append(names, s.id)
+		ids = append(ids, s.id)
 	}
-	return names
+	return ids
 }
 
 // onSomeNodes draws a fraction of the nodes and claims those that no other fault has claimed. It calls act for each
@@ -195,7 +195,7 @@
 	return fmt.Sprint(nodeNames(drawn))
 }
 
-func (h *harness) misbehavingServers(rng *rand.Rand, until time.Time) string {
+func (h *harness) makeServersMisbehave(rng *rand.Rand, until time.Time) string {
 	behavior := serverBehaviors[rng.IntN(len(serverBehaviors))]
 	drawn := drawSome(rng, h.servers, 0.15+0.35*rng.Float64())
 	for _, s := range drawn {
@@ -258,7 +258,7 @@
 		drawn.fragment, drawn.maxDelay, drawn.resetRate, drawn.idleTimeout, serverIDs(impaired))
 }
 
-func (h *harness) misbehavingDiscovery(rng *rand.Rand, until time.Time) string {
+func (h *harness) makeDiscoveryMisbehave(rng *rand.Rand, until time.Time) string {
 	behavior := discoveryBehaviors[rng.IntN(len(discoveryBehaviors))]
 	if h.deployment.pushed && behavior != fragmented { // an agent sends nothing while discovery is down
 		behavior = unresponsive
@@ -302,7 +302,7 @@
 	return fmt.Sprint(step, " ", nodeNames(drawn))
 }
 
-func (h *harness) burstOfClients(rng *rand.Rand, until time.Time) string {
+func (h *harness) addLoad(rng *rand.Rand, until time.Time) string {
 	extra := int64(1 + rng.IntN(2))
 	h.extraLoad.Store(extra)
 	h.runAt(until, func() { h.extraLoad.Store(0) })
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -16,12 +16,12 @@
 
 const (
 	configurationTime = 4 * time.Second // until a node uses a reloaded configuration
-	brokenGrace       = 3 * time.Second // after the harness broke connections of the node
+	brokenGrace       = 3 * time.Second // how long broken connections excuse the node afterwards
 	nodeMemory        = 192             // MB
 	nodeDescriptors   = 1024
 )
 
-// Indices of a node's two addresses in its address range.
+// Kinds of a node's addresses. reserveAddress takes the loopback IPs of each kind from a range of its own.
 const (
 	clientAddress = 0
 	peerAddress   = 1
@@ -43,8 +43,8 @@
 
 	mu            sync.Mutex
 	process       *process
-	incarnation   int  // number of restarts so far, planned and other
-	admitted      bool // the front end sends clients
+	incarnation   int  // number of starts so far; an upgrade does not count
+	admitted      bool // the front end sends clients to the node
 	claimed       bool // a fault of this node's process is in progress
 	discoveryAddr int  // index of the address that the configuration names
 	startedAt     time.Time
@@ -70,9 +70,9 @@
 
 // reserveAddress returns an address on a loopback IP of the node's own, with a port that the kernel chooses. No other
 // process gets a port on that IP, so the port is free for TCP and UDP.
-func (n *node) reserveAddress(part int) (string, error) {
+func (n *node) reserveAddress(kind int) (string, error) {
 	pid := os.Getpid()
-	ip := net.IPv4(127, byte(64+pid%128), byte(pid/128%256), byte(part*MaxNodes+n.index+1))
+	ip := net.IPv4(127, byte(64+pid%128), byte(pid/128%256), byte(kind*MaxNodes+n.index+1))
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip.String(), "0"))
 	if err != nil {
 		return "", err
@@ -132,7 +132,7 @@
 	return n.process
 }
 
-// currentIncarnation returns the number of the node's restarts so far.
+// currentIncarnation returns the number of the node's starts so far. An upgrade does not count as a start.
 func (n *node) currentIncarnation() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -222,8 +222,8 @@
 	return last
 }
 
-// wasNotifiedOfStart reports whether the process with the given incarnation is the current one and was notified of a
-// server's start.
+// wasNotifiedOfStart reports whether the given incarnation is the node's current one and was notified of a server's
+// start.
 func (n *node) wasNotifiedOfStart(s *server, started time.Time, incarnation int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -49,7 +49,7 @@
 // kill kills the process. It ignores errors for the same reason as signal.
 func (p *process) kill() { _ = p.cmd.Process.Kill() }
 
-// startProcess starts a process of the node and follows its log. The node keeps its current process.
+// startProcess starts a process of the node and follows its log. The node's current process stays the same.
 func (n *node) startProcess() (*process, error) {
 	temporary := filepath.Join(n.dir, "tmp")
 	if err := os.MkdirAll(temporary, 0o700); err != nil {
@@ -88,7 +88,7 @@
 	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
 		n.readLogLine(followed, scanner.Bytes())
-		_, _ = fmt.Fprintf(file, "%s\n", scanner.Text()) // ignored: no check needs the file, which is for people
+		_, _ = fmt.Fprintf(file, "%s\n", scanner.Text()) // error ignored: the file is for people, no check reads it
 	}
 	err := followed.cmd.Wait()
 	n.mu.Lock()
@@ -157,7 +157,7 @@
 		}
 	}
 	if !n.harness.over() {
-		n.harness.checker.violated(Start, "%s: no PONG %v after its start", n.name, readyTimeout)
+		n.harness.checker.violated(Start, "%s: no PONG within %v after its start", n.name, readyTimeout)
 	}
 }
 
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -12,7 +12,7 @@
 
 const (
 	proxyBuffer      = 4096
-	readPollTimeout  = 500 * time.Millisecond // after which a stream reads its impairment again
+	readPollTimeout  = 500 * time.Millisecond // maximum time of a read before the stream checks its impairment again
 	maxFragment      = 12                     // bytes
 	fragmentInterval = time.Millisecond
 )
@@ -20,7 +20,7 @@
 // impairment is how a proxy disturbs the streams that it forwards.
 type impairment struct {
 	fragment    bool          // the proxy forwards bytes in small pieces
-	maxDelay    time.Duration // after each read
+	maxDelay    time.Duration // maximum delay after each read
 	resetRate   float64       // fraction of the reads after which the proxy resets both sides
 	idleTimeout time.Duration // after which the proxy resets an idle stream; 0: never
 }
@@ -28,7 +28,7 @@
 // proxy is a TCP proxy in front of a server.
 type proxy struct {
 	listener   net.Listener
-	target     string
+	target     string // address of the server
 	impairment atomic.Pointer[impairment]
 
 	mu        sync.Mutex
@@ -71,7 +71,7 @@
 	return p.resetFrom[from]
 }
 
-// draw returns a random number from 0 to 1.
+// draw returns a random number in [0, 1).
 func (p *proxy) draw() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +137,8 @@
 	}
 }
 
-// propagateEnd ends the target side: with a FIN after the end of the data, with a reset after any other error.
+// propagateEnd ends the target's side of a stream. It sends a FIN if the source ended normally, and a reset after any
+// other error.
 func propagateEnd(target net.Conn, err error) {
 	half, ok := target.(interface{ CloseWrite() error })
 	if !ok || !errors.Is(err, io.EOF) {
--- a/internal/lab/soak/restart.go
+++ b/internal/lab/soak/restart.go
@@ -151,7 +151,7 @@
 }
 
 // abandon kills a process that failed to replace the node's current one. Connections that it had taken over may be
-// lost, so the kill is recorded.
+// lost, so abandon records the kill, which excuses the node.
 func (n *node) abandon(next *process) {
 	n.mu.Lock()
 	next.endExpected = true
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -162,7 +162,7 @@
 	return initialCapacity + (1-initialCapacity)*age.Seconds()/warmUpTime.Seconds()
 }
 
-// draw returns a random number from 0 to 1.
+// draw returns a random number in [0, 1).
 func (s *server) draw() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/soak/server_conn.go
+++ b/internal/lab/soak/server_conn.go
@@ -103,10 +103,10 @@
 	case closing:
 		s.checker.attemptDisrupted(received)
 	case hanging:
-		drainReader(reader)
+		discardUntilEnd(reader)
 	case truncating:
 		s.reply(conn, "UP %s", id[:4])
-		drainReader(reader)
+		discardUntilEnd(reader)
 	default:
 		s.echo(conn, reader, id, received)
 	}
@@ -120,8 +120,8 @@
 	return err == nil || isTimeout(err)
 }
 
-// drainReader reads until the node ends the connection.
-func drainReader(reader *bufio.Reader) {
+// discardUntilEnd reads until the node ends the connection.
+func discardUntilEnd(reader *bufio.Reader) {
 	for {
 		if _, err := reader.ReadByte(); err != nil {
 			return
@@ -157,7 +157,7 @@
 	for {
 		behavior, _ := s.current()
 		if behavior == hanging {
-			drainReader(reader)
+			discardUntilEnd(reader)
 			return
 		}
 		if _, err := fmt.Fprintf(conn, "PONG%s\r\n", s.loadReport()); err != nil || behavior == closingHealthChecks {
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// idempotency is whether a node may repeat a request of a class. The values appear in the settings.
+// idempotency states whether a node may repeat a request of a class. The values appear in the settings.
 type idempotency string
 
 const (
@@ -18,7 +18,7 @@
 type class struct {
 	name              string
 	idempotency       idempotency
-	scope             string // where servers recognize repeats of one key
+	scope             string // where servers recognize repeats of one key: zone (one zone) or all (all zones)
 	deadline          time.Duration
 	idempotencyWindow time.Duration // how long servers recognize repeats of one key
 	fraction          float64       // of all requests
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak runs many processes of the program on loopback while it injects faults that overlap: signals, failing
-// system calls, clock steps, and servers, clients and a discovery service that misbehave. A checker compares what
+// Package soak runs many processes of the program on loopback and makes rare events coincide: signals, failing system
+// calls, clock steps, and servers, clients and a discovery service that misbehave. A checker compares what
 // clients and servers saw with the promises of a node (docs/promises.md). docs/soak.md describes the design.
 package soak
 
@@ -41,8 +41,8 @@
 }
 
 const (
-	// MaxNodes is the maximum number of nodes in one run. It bounds the processes of the run: a node has two during an
-	// upgrade.
+	// MaxNodes is the maximum number of nodes in one run. It bounds the number of processes, because a node has two
+	// during an upgrade.
 	MaxNodes = 100
 
 	serverCount        = 12
@@ -65,7 +65,7 @@
 	serverStream  = 22
 )
 
-// ErrNodeCount is the error, wrapped by Run, for a number of nodes that is out of range.
+// ErrNodeCount is wrapped by the error that Run returns for a number of nodes that is out of range.
 var ErrNodeCount = errors.New("number of nodes out of range")
 
 // harness is one run. It owns the nodes, the servers and the discovery service.
@@ -93,7 +93,7 @@
 func (h *harness) rate() float64 {
 	rate := h.options.Rate
 	if rate == 0 {
-		rate = defaultUtilization * serverCount * serverCapacity / meanConnection.Seconds()
+		rate = defaultUtilization * serverCount * serverCapacity / meanConnectionTime.Seconds()
 	}
 	return rate * float64(1+h.extraLoad.Load())
 }
