--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// checkRepeat checks that the class of a request allows a repeat after each earlier attempt.
+// checkRepeat checks that the class of a request allows a repeat after each earlier attempt that may have run.
 func (c *Checker) checkRepeat(req *request, received *attempt) {
 	serverID := received.server.id
 	for _, earlier := range req.attempts {
@@ -282,21 +282,23 @@
 	return nil
 }
 
-// endedByServer reports whether the harness or the server has ended the server's side of a connection.
+// endedByServer reports whether the harness or one of its servers has ended or disturbed the server's side of a
+// connection.
 func (c *Checker) endedByServer(connection *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return connection == nil || connection.byHarness
 }
 
-// close ends the checks of new events. finish checks the recorded ones.
+// close makes the checker drop all further violations until finish.
 func (c *Checker) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 }
 
-// finish checks that no two attempts of a request were in flight at once. Only a finished run allows this check.
+// finish checks that no two attempts of a request were in flight at once, and sorts the violations by time. The check
+// needs a finished run, because the end of an attempt may be recorded after the next attempt has arrived.
 func (c *Checker) finish() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -311,16 +313,17 @@
 	slices.SortStableFunc(c.violations, func(a, b Violation) int { return int(a.At - b.At) })
 }
 
-// checkOverlap checks that an attempt had ended when the next one arrived.
+// checkOverlap checks that an attempt ended before the next one arrived, or at most attemptSlack later.
 func (c *Checker) checkOverlap(req *request, earlier, next *attempt) {
 	if earlier.ended.IsZero() || earlier.ended.Sub(next.lastByte) > attemptSlack {
-		c.violatedLocked(Attempts, "%s: attempt at %s while the attempt at %s was in flight",
+		c.violatedLocked(Attempts, "%s: attempt at %s arrived while the attempt at %s was in flight",
 			req.id, next.server.id, earlier.server.id)
 	}
 }
 
 // slowStartBudget returns the maximum number of calls that all nodes together may make within slowStartWindow to a
-// server that has a fraction of its capacity. It includes a margin for random variation and the harness's own slack.
+// server that has the given fraction of its capacity. It includes a margin for random variation and the harness's own
+// slack.
 func slowStartBudget(capacity float64) float64 {
 	calls := slowStartMultiple * capacity / (firstRequestCost * warmUpTime.Seconds()) * slowStartWindow.Seconds()
 	return math.Ceil(invariant.MaxSlowStartCalls(calls)) + 1
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -99,15 +99,15 @@
 		h.attempt(0, 0, replyError)
 		h.checker.requestAnswered(h.request, replyError)
 	}, ""},
-	"repeat by key in another zone": {post, func(h *history) {
+	"repeat of a request idempotent by key, in another zone": {post, func(h *history) {
 		h.attempt(0, 0, replyError)
 		h.attempt(1, 0, replyUp)
 	}, RepeatSafety},
-	"repeat by key in the same zone": {post, func(h *history) {
+	"repeat of a request idempotent by key, in the same zone": {post, func(h *history) {
 		h.attempt(0, 0, replyError)
 		h.attempt(0, 0, replyUp)
 	}, ""},
-	"repeat by key after the idempotency window": {post, func(h *history) {
+	"repeat of a request idempotent by key, after the idempotency window": {post, func(h *history) {
 		h.attempt(0, 3*time.Second, replyError)
 		h.attempt(0, 0, replyUp)
 	}, RepeatSafety},
