--- a/cmd/spurwinch/fleet_test.go
+++ b/cmd/spurwinch/fleet_test.go
@@ -121,11 +121,12 @@
 least = 20
 `
 
-// TestFleet plays short scenarios with several processes. The rules hold on any machine; what has to happen is given
-// time that a slow one has too. A run in which the laboratory itself was late is played again.
+// TestFleet runs short scenarios with several processes. The rules that it checks hold on any machine, and the events
+// that it requires have enough time to happen on a slow machine too. It repeats a run in which the laboratory itself
+// was delayed.
 func TestFleet(t *testing.T) {
 	if testing.Short() {
-		t.Skip("processes in real time")
+		t.Skip("starts processes and runs in real time")
 	}
 	program := buildAll(t)
 	for _, test := range []struct {
@@ -133,13 +134,13 @@
 		scenario string
 		check    func(t *testing.T, events []faults.Event)
 	}{
-		{"the leader is killed and comes back with its file cut", leaderKilledScenario, nil},
+		{"the leader is killed and restarts with a truncated file", leaderKilledScenario, nil},
 		{"a zone is lost", zoneLostScenario, nil},
 		{
-			"a policy is changed while a node is stopped, one is down and one has no room",
+			"a policy is changed while one node is stalled, one is down and one has no room",
 			policyChangedScenario, nil,
 		},
-		{"with all links cut nobody hears anybody", linksCutScenario, checkNothingAfterCut},
+		{"all links are cut and nothing arrives", linksCutScenario, checkNothingAfterCut},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			events, verdict := playScenario(t, program, test.scenario)
@@ -153,8 +154,8 @@
 	}
 }
 
-// playScenario plays a scenario, again by other seeds where this machine was late. It skips the test where it was late
-// each time.
+// playScenario runs a scenario and repeats it with other seeds if this machine was delayed. It skips the test if the
+// machine was delayed in each run.
 func playScenario(t *testing.T, program, text string) ([]faults.Event, faults.Verdict) {
 	t.Helper()
 	scenario, err := faults.ReadScenario(t.Name(), []byte(text))
@@ -175,12 +176,13 @@
 		}
 		t.Logf("not judged: %s", verdict.Why)
 	}
-	t.Skip("this machine was late in each of three runs")
+	t.Skip("this machine was delayed in each of three runs")
 	return nil, faults.Verdict{}
 }
 
-// checkNothingAfterCut checks that nothing arrives once all links are cut. What was on its way has arrived a second
-// later; a leader that hears nobody makes no plans that count.
+// checkNothingAfterCut checks that no request is served, no plan takes effect and no leader is elected after all links
+// are cut. It ignores the first second, in which messages that were already in flight arrive. A leader that receives no
+// messages can't make a plan that takes effect.
 func checkNothingAfterCut(t *testing.T, events []faults.Event) {
 	t.Helper()
 	cut := 0.0
@@ -194,13 +196,13 @@
 		}
 		served := event.Kind == faults.KindAnswer && event.Result == "up"
 		if served || event.Kind == faults.KindPlan || event.Kind == faults.KindLeader {
-			t.Errorf("at %.2f s, with all links cut since %.2f s: %+v", event.At, cut, event)
+			t.Errorf("at %.2f s, with all links cut since %.2f s: got event %+v, want none", event.At, cut, event)
 		}
 	}
 }
 
-// fleetFiles writes the operator's file of a node that votes in a fleet of its own, and returns its path. policy begins
-// the list of nodes.
+// fleetFiles writes the operator's file of a node that is the only node and voter of its fleet, and returns the path of
+// the file. The text of policy is put at the head of the list of nodes.
 func fleetFiles(t *testing.T, policy, addr, listen string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -216,12 +218,13 @@
 		listen, nodes, key, filepath.Join(dir, "files")))
 }
 
-// TestVoterWithoutItsProgram checks that a node that is to vote says so where spurwinch-voter is not beside it.
-func TestVoterWithoutItsProgram(t *testing.T) {
+// TestVoterStartFailsWithoutVoterProgram checks that a voter prints one line that names spurwinch-voter if that program
+// isn't in the directory of spurwinch.
+func TestVoterStartFailsWithoutVoterProgram(t *testing.T) {
 	operatorFile := fleetFiles(t, "", "127.0.0.1:1", freePort)
 	out, err := exec.Command(build(t), "-operator", operatorFile).CombinedOutput()
-	if err == nil || !strings.Contains(string(out), "spurwinch-voter is to go on here") ||
+	if err == nil || !strings.Contains(string(out), "spurwinch-voter in place of this program") ||
 		strings.Count(string(out), "\n") != 1 {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("start got error %v and output %q, want an error and one line that names spurwinch-voter", err, out)
 	}
 }
--- a/cmd/spurwinch/program_test.go
+++ b/cmd/spurwinch/program_test.go
@@ -15,17 +15,18 @@
 	"spurwinch/internal/lab/transcript"
 )
 
-// TestProgram starts the program as the platform does, has a connection served, and ends it as in a planned restart.
-func TestProgram(t *testing.T) {
+// TestConnectionUntilPlannedStop starts the program as the platform does, places a connection and stops the program as
+// a planned restart does. After SIGTERM the program must still accept connections and answer health checks.
+func TestConnectionUntilPlannedStop(t *testing.T) {
 	program := build(t)
 	player := &transcript.Player{Values: map[string]string{}}
-	host := player.Listen(t, "h1")
+	server := player.Listen(t, "h1")
 	path := filepath.Join(t.TempDir(), "config.json")
 	nodeConfig{
 		discovery: player.Listen(t, "d"),
 		seed:      "8c1f30d27a5be964",
 		limits:    `{"cores":1,"memory_mb":192,"sockets":1024}`,
-		known:     knownServers(41, serverEntry("s-1", host)),
+		known:     knownServers(41, serverEntry("s-1", server)),
 		settings:  settings("off"),
 	}.write(t, path)
 	proc := start(t, program, []string{"GW_CONFIG=" + path})
@@ -43,7 +44,7 @@
 s > UP 1
 c < UP 1
 do sigterm
-# It goes on accepting and answering.
+# The program still accepts connections and answers health checks.
 b open
 b > PING
 b < PONG
@@ -54,8 +55,9 @@
 	proc.waitForExit(t)
 }
 
-// TestBadStart checks that a start that can't be gives one line on standard error and a status other than 0.
-func TestBadStart(t *testing.T) {
+// TestFailedStartPrintsOneLine checks that a start that fails prints one line on standard error and that the status
+// isn't 0.
+func TestFailedStartPrintsOneLine(t *testing.T) {
 	program := build(t)
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -65,35 +67,35 @@
 	}
 	config := func(name, text string) []string { return []string{"GW_CONFIG=" + file(name, text)} }
 	operator := func(name, text string) []string { return []string{"-operator", file(name, text)} }
-	taken, err := net.Listen("tcp", freePort)
+	occupied, err := net.Listen("tcp", freePort)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, taken)
+	closeAtEnd(t, occupied)
 	required := `"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1"`
 	badState := "{" + required + `,"settings":` + settings("off") + `,"known":{"servers":[{"id":"x","state":"?"}]}}`
-	takenAddress := `{"listen":"` + taken.Addr().String() + `","discovery":"127.0.0.1:9",` +
+	occupiedAddress := `{"listen":"` + occupied.Addr().String() + `","discovery":"127.0.0.1:9",` +
 		`"settings":` + settings("off") + "}"
 	for _, test := range []struct {
 		name, want string
 		env        []string
 		args       []string
 	}{
-		{"nothing", "GW_CONFIG is not set", nil, nil},
+		{"no configuration", "GW_CONFIG is not set", nil, nil},
 		{"no file", "no such file", []string{"GW_CONFIG=" + dir + "/none"}, nil},
 		{"no JSON", "invalid character", config("a", "listen: x"), nil},
 		{"no address", "is not IP:PORT", config("b", `{"listen":"here"}`), nil},
 		{"no settings", "settings", config("c", "{"+required+"}"), nil},
 		{"no class", "az is missing", config("d", "{"+required+`,"settings":{}}`), nil},
 		{"bad state", "known: entry", config("e", badState), nil},
-		{"taken address", "listen", config("f", takenAddress), nil},
+		{"address in use", "listen", config("f", occupiedAddress), nil},
 		{"unknown flag", "not defined", nil, []string{"-x"}},
 		{"unknown command", "unknown command", nil, []string{"serve"}},
 		{"operator: no TOML", "toml", nil, operator("g", "= 3")},
 		{"operator: unknown key", "unknown key", nil, operator("h", "limit = 3")},
 		{"operator: no listener", "no [[listener]]", nil, operator("i", "")},
 		{
-			"importer that is not there", "spurwinchctl is to go on here", nil,
+			"importer without spurwinchctl", "spurwinchctl in place of this program", nil,
 			[]string{"import-nginx", file("j", "http {")},
 		},
 	} {
@@ -105,16 +107,17 @@
 			err := command.Run()
 			var exit *exec.ExitError
 			if !errors.As(err, &exit) {
-				t.Errorf("ended with %v", err)
+				t.Errorf("Run: got error %v, want an exit status other than 0", err)
 			}
 			if strings.Count(out.String(), "\n") != 1 || !strings.Contains(out.String(), test.want) {
-				t.Errorf("standard error: %q, want one line with %q", out.String(), test.want)
+				t.Errorf("standard error: got %q, want one line with %q", out.String(), test.want)
 			}
 		})
 	}
 }
 
-// TestOperatorFile starts the program with the file in deploy/, on a free port, and re-reads it.
+// TestOperatorFile starts the program with deploy/operator.toml, on a free port. It then drains a server in the file
+// and reloads the file.
 func TestOperatorFile(t *testing.T) {
 	program := build(t)
 	content, err := os.ReadFile("../../deploy/operator.toml")
@@ -146,7 +149,7 @@
 S << <stream:stream to='chat.example.org' version='1.0' {ns}>
 `
 	script := strings.NewReplacer("C", "c0", "S", "s0", "HOST", "*").Replace(openStream) + "do drain\n"
-	for i := 1; i <= 6; i++ { // all go to the one that's left
+	for i := 1; i <= 6; i++ { // all are placed on the only server that isn't draining
 		names := strings.NewReplacer("C", fmt.Sprint("c", i), "S", fmt.Sprint("s", i), "HOST", "h1")
 		script += names.Replace(openStream)
 	}
--- a/internal/node/command/start.go
+++ b/internal/node/command/start.go
@@ -70,7 +70,7 @@
 	}
 	path := filepath.Join(filepath.Dir(self), command)
 	if err := syscall.Exec(path, append([]string{path}, commandLine...), os.Environ()); err != nil {
-		return fmt.Errorf("%s is to go on here and can't be started: %w", path, err)
+		return fmt.Errorf("can't start %s in place of this program: %w", path, err)
 	}
 	return nil
 }
