--- a/cmd/spurwinch/compat_test.go
+++ b/cmd/spurwinch/compat_test.go
@@ -14,16 +14,17 @@
 	"spurwinch/internal/lab/transcript"
 )
 
-// oldProgramsVariable names the folder with the programs of the version to be compatible with: spurwinch and
-// spurwinch-voter. .ci/compat builds them from git and sets it; without it the tests of this file are skipped.
+// oldProgramsVariable is the environment variable with the directory of the old version's programs, spurwinch and
+// spurwinch-voter. The current version must be compatible with them. .ci/compat builds them from git and sets the
+// variable. The tests of this file are skipped if it isn't set.
 const oldProgramsVariable = "SPURWINCH_OLD_PROGRAMS"
 
-// oldProgram is the path of the old version's spurwinch.
+// oldProgram returns the path of the old version's spurwinch. It skips the test if the old version isn't available.
 func oldProgram(t *testing.T) string {
 	t.Helper()
 	dir := os.Getenv(oldProgramsVariable)
 	if dir == "" {
-		t.Skip(oldProgramsVariable + " is not set: .ci/compat sets it")
+		t.Skip(oldProgramsVariable + " is not set; .ci/compat sets it")
 	}
 	path := filepath.Join(dir, "spurwinch")
 	for _, program := range []string{path, path + "-voter"} {
@@ -34,17 +35,17 @@
 	return path
 }
 
-// TestCompatUpgradeInPlace replaces a node of the old version by one of the new version and that by one of the old
-// version again, under load: standing connections pass from process to process and lose nothing.
+// TestCompatUpgradeInPlace upgrades a node under load from the old to the new version, downgrades it and upgrades it
+// again. Open connections must pass from process to process without losing any bytes.
 func TestCompatUpgradeInPlace(t *testing.T) {
-	surroundings := newSite(t, usualLimits)
-	newVersion := surroundings.program
+	fixture := newNodeFixture(t, defaultLimits)
+	newVersion := fixture.program
 	oldVersion := oldProgram(t)
-	surroundings.program = oldVersion
-	running := surroundings.start(t, surroundings.tmp)
-	crowd := &transcript.Clients{Addr: surroundings.listen}
-	crowd.Start(24)
-	streams := &transcript.Streams{Addr: surroundings.listen, Server: "s-1"}
+	fixture.program = oldVersion
+	running := fixture.start(t, fixture.tmp)
+	clients := &transcript.Clients{Addr: fixture.listen}
+	clients.Start(24)
+	streams := &transcript.Streams{Addr: fixture.listen, Server: "s-1"}
 	streams.Start(t, 10, transcript.OneByOne)
 	streams.Start(t, 6, transcript.ByteByByte)
 	streams.Start(t, 4, transcript.Bulk)
@@ -53,29 +54,29 @@
 		{"new to old", oldVersion},
 		{"old to new again", newVersion},
 	} {
-		servedBefore := crowd.Established.Load()
-		surroundings.program = next.program
-		successor := surroundings.start(t, surroundings.tmp)
+		servedBefore := clients.Established.Load()
+		fixture.program = next.program
+		successor := fixture.start(t, fixture.tmp)
 		running.signal(syscall.SIGTERM)
 		running.waitForExit(t)
 		running = successor
 		time.Sleep(time.Second)
-		if served := crowd.Established.Load(); served == servedBefore {
-			t.Errorf("%s: no new client was served", next.name)
+		if served := clients.Established.Load(); served == servedBefore {
+			t.Errorf("%s: no new client was served, want at least one", next.name)
 		}
 		if status := running.readiness(); status != http.StatusOK {
-			t.Errorf("%s: ready answers %d, want %d", next.name, status, http.StatusOK)
+			t.Errorf("%s: readiness check got status %d, want %d", next.name, status, http.StatusOK)
 		}
 	}
-	crowd.Stop()
-	crowd.Check(t, "an upgrade, a downgrade and an upgrade")
+	clients.Stop()
+	clients.Check(t, "an upgrade, a downgrade and an upgrade")
 	streams.Stop(t)
-	if moved := crowd.Migrated.Load(); moved > 0 {
-		t.Errorf("%d connections were told to move, want 0: they change their process and stay", moved)
+	if moved := clients.Migrated.Load(); moved > 0 {
+		t.Errorf("%d connections were told to migrate, want 0 because the successor takes them over", moved)
 	}
 }
 
-// compatVotersScenario has all voters stopped at once and started again with the files that they had.
+// compatVotersScenario kills all voters at once and restarts them with their files kept.
 const compatVotersScenario = `name = "old files"
 what = "three voters of the old version are restarted with the new version"
 [run]
@@ -116,9 +117,10 @@
 least = 4
 `
 
-// TestCompatVoters restarts three voters on the files of the old version with the new version. The rules of the
-// laboratory hold that no node goes back behind its plan, that plans and policies of one number are the same and that
-// commands tell of the policy that was decided before; here is held that each node starts from the plan that it had.
+// TestCompatVoters restarts three voters of the old version with the new version, which reads the files of the old one.
+// The laboratory's rules check that no node returns to an older plan, that plans and policies of the same number are
+// identical and that the output of commands includes the policy that was committed before. The test also checks that
+// each node starts with the plan that it had before the restart.
 func TestCompatVoters(t *testing.T) {
 	old := oldProgram(t)
 	current := buildAll(t)
@@ -133,14 +135,14 @@
 		}}
 	})
 	if count := starts.Load(); count != 6 {
-		t.Errorf("%d starts of processes, want 6", count)
+		t.Errorf("got %d process starts, want 6", count)
 	}
 	checkPlansAfterRestart(t, history)
 	checkLastPolicy(t, history, 3)
 }
 
-// checkPlansAfterRestart holds that each node's first plan after its restart is the one that it had before, or one of a
-// higher number.
+// checkPlansAfterRestart checks that each node's first plan after its restart is the plan that it had before or one
+// with a higher number.
 func checkPlansAfterRestart(t *testing.T, history []faults.Event) {
 	t.Helper()
 	before := map[string]uint64{}
@@ -156,17 +158,18 @@
 		case event.Kind == faults.KindMode && restarted[node] && event.Number > 0 && !resumed[node]:
 			resumed[node] = true
 			if event.Number < before[node] {
-				t.Errorf("%s starts with plan %d, had %d before", node, event.Number, before[node])
+				t.Errorf("%s started with plan %d, want plan %d, which it had before, or a later one",
+					node, event.Number, before[node])
 			}
 		}
 	}
 	if len(before) != 3 || len(resumed) != 3 {
-		t.Errorf("%d nodes had a plan of the old version and %d started from one, want 3 and 3",
+		t.Errorf("%d nodes had a plan of the old version and %d started with a plan, want 3 and 3",
 			len(before), len(resumed))
 	}
 }
 
-// checkLastPolicy holds that each of the nodes has learned of the highest policy that any has, with one digest.
+// checkLastPolicy checks that all nodes have learned the policy with the highest number, with the same digest.
 func checkLastPolicy(t *testing.T, history []faults.Event, nodes int) {
 	t.Helper()
 	highest := uint64(0)
@@ -186,7 +189,7 @@
 		digests[number][event.Digest] = true
 	}
 	if highest == 0 || len(learned[highest]) != nodes || len(digests[highest]) != 1 {
-		t.Errorf("policy %d: %d nodes have it with %d digests, want %d nodes and one digest",
+		t.Errorf("last policy, %d: %d nodes have it with %d different digests, want %d nodes and one digest",
 			highest, len(learned[highest]), len(digests[highest]), nodes)
 	}
 }
@@ -228,13 +231,13 @@
 least = 3
 `
 
-// TestCompatMixedFleet has nodes of both versions in one fleet, among the voters and among the others.
+// TestCompatMixedFleet runs nodes of both versions in one fleet, among the voters and among the other nodes.
 func TestCompatMixedFleet(t *testing.T) {
 	old := oldProgram(t)
 	current := buildAll(t)
 	for _, mix := range []struct {
 		name    string
-		current map[int]bool // the nodes of the new version; the first three nodes vote
+		current map[int]bool // indexes of the nodes that run the new version; the first three nodes are voters
 	}{
 		{"one voter and one other node are new", map[int]bool{0: true, 4: true}},
 		{"two voters are new", map[int]bool{1: true, 2: true}},
@@ -255,7 +258,7 @@
 	}
 }
 
-// checkSamePlan holds that all nodes end with one plan.
+// checkSamePlan checks that all nodes have the same plan at the end.
 func checkSamePlan(t *testing.T, history []faults.Event, nodes int) {
 	t.Helper()
 	last := map[string]faults.Event{}
@@ -269,11 +272,11 @@
 		plans[event.Number] = event.Digest
 	}
 	if len(last) != nodes || len(plans) != 1 {
-		t.Errorf("%d nodes end with the plans %v, want %d nodes with one plan", len(last), plans, nodes)
+		t.Errorf("%d nodes have the plans %v at the end, want %d nodes with the same plan", len(last), plans, nodes)
 	}
 }
 
-// checkServed holds that requests are served by each node of the fleet, and nearly all of them.
+// checkServed checks that each of the five nodes serves requests and that at least 90 % of all requests are served.
 func checkServed(t *testing.T, history []faults.Event) {
 	t.Helper()
 	servedBy := map[string]int{}
@@ -290,13 +293,14 @@
 		}
 	}
 	if requests < 100 || served < requests*9/10 || len(servedBy) != 5 {
-		t.Errorf("%d of %d requests were served by %d nodes, want 100 requests, 90 %% served, 5 nodes",
+		t.Errorf("%d of %d requests were served by %d nodes, want at least 100 requests, 90 %% of them served, 5 nodes",
 			served, requests, len(servedBy))
 	}
 	t.Logf("%d of %d requests were served: %v", served, requests, servedBy)
 }
 
-// playFleet plays a scenario, again if the laboratory itself was late, holds its rules and returns its history.
+// playFleet runs a scenario, checks the laboratory's rules and returns the history of the run. It repeats a run that
+// the laboratory couldn't judge because it was delayed itself.
 func playFleet(t *testing.T, text string, options func() faults.Options) []faults.Event {
 	t.Helper()
 	scenario, err := faults.ReadScenario(t.Name(), []byte(text))
@@ -325,6 +329,6 @@
 		t.Logf("seed %d: seen %v", seed, verdict.Seen)
 		return history
 	}
-	t.Fatal("the laboratory was late in each of three runs: nothing was judged")
+	t.Fatal("none of three runs was judged because the laboratory was delayed in each of them")
 	return nil
 }
