--- a/cmd/spurwinch-voter/main.go
+++ b/cmd/spurwinch-voter/main.go
@@ -1,6 +1,6 @@
-// Command spurwinch-voter is spurwinch with what a voter of the fleet's log needs. It is a program of its own because
-// that part links code of 3.4 MB which no other node uses; spurwinch replaces itself by it where the list of nodes says
-// that a node votes.
+// Command spurwinch-voter is spurwinch with the replica of the fleet's log that a voter runs. It is a separate program
+// because the replica links 3.4 MB of code that other nodes don't use. spurwinch replaces itself by spurwinch-voter if
+// the node is a voter in the list of nodes.
 package main
 
 import (
@@ -15,7 +15,7 @@
 
 func main() { os.Exit(command.Main(newVoter)) }
 
-// newVoter makes the replica of the log from what it has persisted.
+// newVoter creates the replica of the log from the records that it persisted earlier.
 func newVoter(self, voters int, persisted []consensus.Record, rng *rand.Rand) (agent.Voter, error) {
 	return replica.New(self, voters, persisted, rng)
 }
--- a/cmd/spurwinch/crowd_test.go
+++ b/cmd/spurwinch/idleclients_test.go
@@ -24,17 +24,17 @@
 const (
 	busyAnswer     = "BUSY\r\n"
 	answerTimeout  = 20 * time.Second
-	maxNewIdle     = 1000                 // clients of idleClients.keepArriving that stay open
-	idleInterval   = 2 * time.Millisecond // between their arrivals
-	maxListAge     = 6 * time.Second      // from discovery's return to the poll that acknowledges its list
+	maxNewIdle     = 1000                 // limit for the open clients of idleClients.keepArriving
+	idleInterval   = 2 * time.Millisecond // between two of their connections
+	maxListAge     = 6 * time.Second      // from the return of discovery to the poll that acknowledges its list
 	nodeSockets    = 160
-	serverCount    = 150 // nearly as many as descriptors
+	serverCount    = 150 // nearly as many as nodeSockets
 	requestsAtOnce = 15
 	requestsInARow = 20
 )
 
-// startReportingServer starts a server that answers any number of health checks on a connection, and accepts each
-// request with its name. It counts its open connections in open.
+// startReportingServer starts a server that answers any number of health checks on a connection and accepts each
+// request with the server's name. It counts the server's open connections in open.
 func startReportingServer(t *testing.T, name string, open *atomic.Int64) (addr string) {
 	t.Helper()
 	return serve(t, func(conn net.Conn) {
@@ -48,15 +48,15 @@
 			}
 			if strings.HasPrefix(line, "OPEN") {
 				send(conn, "UP %s\r\n", name)
-				_, _ = io.Copy(conn, reader) // until the node closes it
+				_, _ = io.Copy(conn, reader) // until the node closes the connection
 				return
 			}
-			send(conn, "PONG utilization=0\r\n") // all its connections are this node's, which keeps none for long
+			send(conn, "PONG utilization=0\r\n") // 0 because only this node connects, and only briefly
 		}
 	})
 }
 
-// reserveAddress returns an address at which connections are refused until listen makes a listener of it.
+// reserveAddress returns an address that refuses connections until listen is called, which returns a listener on it.
 func reserveAddress(t *testing.T) (addr string, listen func() net.Listener) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -74,7 +74,7 @@
 	}
 	boundIPv4, ok := bound.(*unix.SockaddrInet4)
 	if !ok {
-		t.Fatalf("bound to an address of %T", bound)
+		t.Fatalf("Getsockname: got an address of type %T, want *unix.SockaddrInet4", bound)
 	}
 	return fmt.Sprintf("127.0.0.1:%d", boundIPv4.Port), func() net.Listener {
 		listener, err := net.FileListener(file)
@@ -105,13 +105,13 @@
 	return string(list)
 }
 
-// sendRequest sends a request for a connection, by a number of its own.
+// sendRequest sends a request for placement. The number must be different for each request.
 func sendRequest(conn net.Conn, number int) {
 	send(conn, "OPEN %x %x c=chat,d=3000\r\n", number, number)
 }
 
-// request opens a connection with a request and returns the words of its answer, or the error in their place. conn is
-// nil where the connection failed.
+// request opens a connection, sends a request and returns the answer without its line end, or the text of the error if
+// there is no answer. conn is nil if the connection failed.
 func request(addr string, number int) (answer string, conn net.Conn) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -126,22 +126,23 @@
 	return strings.TrimSpace(line), conn
 }
 
-// requester makes requests one after another and checks that each is accepted.
+// requester sends requests and checks that each of them is accepted.
 type requester struct {
 	addr string
 	last int // number of the last request
 }
 
-// check makes a request. phase is of the test, prefix begins the name of the server that is to accept it.
+// check sends one request. phase is the phase of the test and prefix the start of the name of the server that must
+// accept the request.
 func (r *requester) check(t *testing.T, phase, prefix string) {
 	t.Helper()
 	r.last++
 	answer, conn := request(r.addr, r.last)
 	if !strings.HasPrefix(answer, "UP "+prefix) {
-		t.Errorf("%s: request %d got %q", phase, r.last, answer)
+		t.Errorf("%s: request %d got %q, want it accepted by the expected server", phase, r.last, answer)
 	}
 	if conn != nil {
-		_ = conn.Close() // its answer is in
+		_ = conn.Close() // the answer has been read
 	}
 }
 
@@ -152,8 +153,8 @@
 	}
 }
 
-// checkAtOnce has clients connect and then send their requests all at once: idle clients give way to each of them and
-// to its server's connection.
+// checkAtOnce connects clients and then sends all their requests at once. The node must evict idle clients to make room
+// for each of these clients and for its connection to a server.
 func (r *requester) checkAtOnce(t *testing.T, count int) {
 	t.Helper()
 	var conns []net.Conn
@@ -165,7 +166,7 @@
 		}
 		conns = append(conns, conn)
 	}
-	time.Sleep(50 * time.Millisecond) // they are accepted, in the place of others
+	time.Sleep(50 * time.Millisecond) // the node accepts them and evicts others
 	for _, conn := range conns {
 		r.last++
 		sendRequest(conn, r.last)
@@ -174,16 +175,16 @@
 		setReadTimeout(conn, answerTimeout)
 		line, err := readLine(conn)
 		if !strings.HasPrefix(line, "UP s-") {
-			t.Errorf("one of %d requests at once got %q, %v", count, line, err)
+			t.Errorf("one of %d requests at once got %q, %v, want it accepted by a known server", count, line, err)
 		}
 	}
 }
 
-// TestCrowdWhileDiscoveryIsDown has idle clients fill the descriptors of a node that the system gives no more than its
-// configuration says, while discovery is down and there are nearly as many servers as descriptors. Clients with a
-// request are served all the time, the client that has been idle longest is evicted first, and when discovery returns
-// its list is in force and its new server is reached.
-func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
+// TestIdleClientsWhileDiscoveryIsDown uses up a node's descriptors with idle clients while discovery is down and the
+// node has nearly as many servers as descriptors. The system grants the node no more descriptors than its configuration
+// does. Clients with a request must be served all the time, and the client that has been idle longest must be evicted
+// first. When discovery returns, its list must take effect and its new server must be used.
+func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	program := build(t)
 	var known []listEntry
 	var openToKnown, openToNew atomic.Int64
@@ -202,26 +203,26 @@
 	command := fmt.Sprintf("ulimit -n %d && exec %s", nodeSockets, program)
 	proc := start(t, "/bin/sh", []string{"GW_CONFIG=" + path}, "-c", command)
 	requests := &requester{addr: proc.addr}
-	requests.checkMany(t, 2*serverCount, "alone", "s-") // meanwhile each server has its health check
+	requests.checkMany(t, 2*serverCount, "no idle clients", "s-") // takes long enough for a health check of each server
 	idle := &idleClients{t: t, addr: proc.addr}
 	idle.connect(3 * nodeSockets)
-	requests.check(t, "among idle clients", "s-")
+	requests.check(t, "with idle clients", "s-")
 	idle.checkOrder()
 	stop := idle.keepArriving()
-	requests.checkMany(t, requestsInARow, "among idle clients", "s-")
+	requests.checkMany(t, requestsInARow, "with idle clients", "s-")
 	stop()
 	requests.checkAtOnce(t, requestsAtOnce)
 	stop = idle.keepArriving()
-	requests.checkMany(t, requestsInARow, "after many at once", "s-")
+	requests.checkMany(t, requestsInARow, "after many requests at once", "s-")
 	newServer := startReportingServer(t, "fresh", &openToNew)
 	checkDiscoveryReturns(t, returnDiscovery(), newServer)
-	requests.checkMany(t, requestsInARow, "after the return", "fresh")
+	requests.checkMany(t, requestsInARow, "after discovery returned", "fresh")
 	stop()
-	transcript.WaitFor(t, "no connection is kept to servers that the whole list doesn't name",
+	transcript.WaitFor(t, "all connections to servers that aren't in the full list are closed",
 		func() bool { return openToKnown.Load() == 0 })
 }
 
-// checkDiscoveryReturns serves a list of one server and checks that the node acknowledges it in time.
+// checkDiscoveryReturns serves a list with one server and checks that the node acknowledges the list in time.
 func checkDiscoveryReturns(t *testing.T, listener net.Listener, server string) {
 	t.Helper()
 	returned := time.Now()
@@ -234,20 +235,20 @@
 			<-r.Context().Done()
 			return
 		}
-		_, _ = io.WriteString(w, list) // without it the node asks again
+		_, _ = io.WriteString(w, list) // if this fails, the node polls again
 	})
 	go func() { _ = http.Serve(listener, handler) }() // until the listener is closed
 	select {
 	case at := <-acknowledged:
 		if took := at.Sub(returned); took > maxListAge {
-			t.Errorf("the list is in force %v after discovery's return", took)
+			t.Errorf("the list was acknowledged %v after discovery returned, want 6 s at most", took)
 		}
 	case <-time.After(answerTimeout):
-		t.Fatal("the list is not polled")
+		t.Fatal("the node did not acknowledge the list")
 	}
 }
 
-// idleClients are clients that send nothing, in the order in which they connected.
+// idleClients holds the connections of clients that send nothing, in the order in which they connected.
 type idleClients struct {
 	t     *testing.T
 	addr  string
@@ -266,12 +267,13 @@
 	}
 }
 
-// hasInput reports whether a connection has bytes or its end to read, without a timeout that a busy machine could miss.
+// hasInput reports whether a read from the connection would return bytes or its end at once. It uses a nonblocking peek
+// because a short read timeout could expire on a busy machine although there is input.
 func hasInput(t *testing.T, conn net.Conn) bool {
 	t.Helper()
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		t.Fatalf("a connection of type %T", conn)
+		t.Fatalf("got a connection of type %T, want *net.TCPConn", conn)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -287,33 +289,35 @@
 	return !errors.Is(recvErr, unix.EAGAIN)
 }
 
-// checkOrder checks that the clients that were evicted, each with its answer, connected before all who stay. It looks
-// at the newest first: who was evicted meanwhile connected later than those it has not come to.
+// checkOrder checks that all evicted clients connected before those that were not evicted, and that each evicted client
+// got the answer BUSY. It checks the newest client first because the node may evict clients during the check. A client
+// that is evicted after its check connected later than all clients that are still to be checked.
 func (c *idleClients) checkOrder() {
 	c.t.Helper()
 	evicted := 0
-	staying := 0
+	remaining := 0
 	for i := len(c.conns) - 1; i >= 0; i-- {
 		conn := c.conns[i]
 		if !hasInput(c.t, conn) {
-			staying++
+			remaining++
 			if evicted > 0 {
-				c.t.Errorf("idle client %d stays, and %d that connected after it were evicted", i, evicted)
+				c.t.Errorf("idle client %d was not evicted but %d newer ones were, want the oldest evicted first",
+					i, evicted)
 			}
 			continue
 		}
 		evicted++
 		setReadTimeout(conn, answerTimeout)
 		if received, err := io.ReadAll(conn); string(received) != busyAnswer || err != nil {
-			c.t.Errorf("idle client %d got %q, %v", i, received, err)
+			c.t.Errorf("evicted idle client %d got %q, %v, want BUSY and the end of the connection", i, received, err)
 		}
 	}
-	if evicted == 0 || staying == 0 {
-		c.t.Errorf("%d idle clients were evicted and %d stayed, want some of both", evicted, staying)
+	if evicted == 0 || remaining == 0 {
+		c.t.Errorf("%d idle clients were evicted and %d were not, want some of both", evicted, remaining)
 	}
 }
 
-// keepArriving has further idle clients connect until stop.
+// keepArriving connects further idle clients until stop is called.
 func (c *idleClients) keepArriving() (stop func()) {
 	stopping := make(chan struct{})
 	done := make(chan struct{})
@@ -327,7 +331,8 @@
 	}
 }
 
-// arrive has idle clients connect until stopping is closed. The oldest leave as there are many.
+// arrive connects idle clients until stopping is closed. It closes the oldest of them when there are more than
+// maxNewIdle.
 func (c *idleClients) arrive(stopping <-chan struct{}) {
 	var conns []net.Conn
 	defer func() { closeAll(conns) }()
@@ -339,7 +344,7 @@
 		}
 		conn, err := net.Dial("tcp", c.addr)
 		if err != nil {
-			continue // the queue of the listener is full
+			continue // the accept queue of the listener is full
 		}
 		conns = append(conns, conn)
 		if len(conns) > maxNewIdle {
--- a/cmd/spurwinch/main.go
+++ b/cmd/spurwinch/main.go
@@ -1,7 +1,8 @@
-// Command spurwinch is a node: it places its clients' connections on upstream servers. It reads GW_* and config.json,
-// runs in the foreground, and on SIGTERM migrates its clients, then ends with status 0. On SIGHUP it reloads its files.
-// A start that fails gives one line on standard error and status 1. All that is not serving is in spurwinchctl, and a
-// node that votes in its fleet replaces itself by spurwinch-voter.
+// Command spurwinch runs a node, which places its clients' connections on upstream servers. It reads the GW_*
+// environment variables and config.json and runs in the foreground. On SIGTERM it migrates its clients and then exits
+// with status 0. On SIGHUP it reloads its files. If it can't start, it prints one line on standard error and exits with
+// status 1. Commands that don't serve clients are in spurwinchctl. The process of a node that votes in its fleet
+// replaces itself by spurwinch-voter.
 package main
 
 import (
--- a/cmd/spurwinch/process_test.go
+++ b/cmd/spurwinch/process_test.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	listenTimeout = 30 * time.Second // of a start, until the program listens
-	exitTimeout   = 60 * time.Second // of a planned stop
+	listenTimeout = 30 * time.Second // from the start of the program until it listens
+	exitTimeout   = 60 * time.Second // limit for a planned stop
 	freePort      = "127.0.0.1:0"
 )
 
-// process is the built program, started as the platform starts it.
+// process is a running program that was started as the platform starts it.
 type process struct {
 	cmd       *exec.Cmd
-	addr      string // of the first front end
-	adminAddr string // of the admin server; empty: none was set
-	done      chan error
+	addr      string     // address of the first front end
+	adminAddr string     // address of the admin server; empty if the node has none
+	done      chan error // receives the result of cmd.Wait
 }
 
 // build builds the node's program.
@@ -37,14 +37,14 @@
 	return goBuild(tb, nil, "-o", filepath.Join(tb.TempDir(), "spurwinch"), ".")
 }
 
-// buildAsDeployed builds the program as deploy/balancer.toml does: dynamically, against the C library.
+// buildAsDeployed builds the program as deploy/balancer.toml does, dynamically linked against the C library.
 func buildAsDeployed(tb testing.TB) string {
 	tb.Helper()
 	program := filepath.Join(tb.TempDir(), "spurwinch")
 	return goBuild(tb, []string{"CGO_ENABLED=1"}, "-o", program, "-ldflags=-linkmode=external", ".")
 }
 
-// buildAll builds the node's programs and the operators' beside one another.
+// buildAll builds spurwinch, spurwinch-voter and spurwinchctl in one directory and returns the path of spurwinch.
 func buildAll(tb testing.TB) string {
 	tb.Helper()
 	dir := tb.TempDir() + "/"
@@ -52,7 +52,7 @@
 	return filepath.Join(dir, "spurwinch")
 }
 
-// goBuild calls go build. The first arguments are -o and the path of the program, which it returns.
+// goBuild runs go build. The first two arguments must be -o and the path of the output, which goBuild returns.
 func goBuild(tb testing.TB, env []string, args ...string) string {
 	tb.Helper()
 	command := exec.Command("go", append([]string{"build"}, args...)...)
@@ -63,7 +63,7 @@
 	return args[1]
 }
 
-// start starts a program and waits for the lines of its log that name its addresses.
+// start starts a program and waits for the log lines with its addresses.
 func start(tb testing.TB, program string, env []string, args ...string) *process {
 	tb.Helper()
 	proc := &process{cmd: exec.Command(program, args...), done: make(chan error, 1)}
@@ -75,7 +75,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { _ = proc.cmd.Process.Kill() }) // most have ended by then
+	tb.Cleanup(func() { _ = proc.cmd.Process.Kill() }) // most processes have exited by then
 	lines := make(chan string, 8)
 	go func() {
 		for scanner := bufio.NewScanner(log); scanner.Scan(); {
@@ -91,15 +91,15 @@
 		case line := <-lines:
 			proc.noteAddress(line)
 		case err := <-proc.done:
-			tb.Fatal("the program ended: ", err)
+			tb.Fatal("the program exited before it listened: ", err)
 		case <-time.After(listenTimeout):
-			tb.Fatal("the program does not listen")
+			tb.Fatal("the program does not listen in time")
 		}
 	}
 	return proc
 }
 
-// noteAddress takes an address from a line of the log.
+// noteAddress records the address in a log line.
 func (p *process) noteAddress(line string) {
 	_, rest, _ := strings.Cut(line, `"address": "`)
 	addr := strings.TrimRight(rest, `"}`)
@@ -111,38 +111,39 @@
 	}
 }
 
-// waitForExit waits for the end of a planned stop, with status 0.
+// waitForExit waits until the process exits after a planned stop and checks that its status is 0.
 func (p *process) waitForExit(tb testing.TB) {
 	tb.Helper()
 	select {
 	case err := <-p.done:
 		if err != nil {
-			tb.Fatal("the program ended with ", err)
+			tb.Fatal("the program exited with an error: ", err)
 		}
 	case <-time.After(exitTimeout):
-		tb.Fatal("the program does not end after SIGTERM")
+		tb.Fatal("the program does not exit in time after SIGTERM")
 	}
 }
 
-// wait waits for the end of a process and returns its status as an error.
+// wait waits until the process exits and returns an error if its status isn't 0.
 func (p *process) wait() error { return <-p.done }
 
-// signal sends a signal. A process that has ended already shows in what the test waits for.
+// signal sends a signal. It ignores errors because the test's later checks fail if the process has already exited.
 func (p *process) signal(signal os.Signal) { _ = p.cmd.Process.Signal(signal) }
 
-// readiness is the status of the admin server's readiness check; 0: there was no answer.
+// readiness returns the HTTP status of the admin server's readiness check, or 0 if there was no response.
 func (p *process) readiness() int {
 	status, _ := transcript.AdminRequest(p.adminAddr, "/api/ready")
 	return status
 }
 
-// waitUntilReady waits until the process says that it accepts clients.
+// waitUntilReady waits until the process reports that it accepts clients.
 func (p *process) waitUntilReady(tb testing.TB) {
 	tb.Helper()
 	transcript.WaitFor(tb, "the process is ready", func() bool { return p.readiness() == http.StatusOK })
 }
 
-// usage is what processes use together: descriptors and resident memory in MB. A process that has ended uses nothing.
+// usage returns the descriptors and the resident memory in MB that the processes use in total. A process that has
+// exited uses none.
 func usage(processes ...*process) (descriptors, memory int) {
 	for _, proc := range processes {
 		dir := fmt.Sprintf("/proc/%d/", proc.cmd.Process.Pid)
@@ -150,7 +151,7 @@
 		descriptors += len(files)
 		text, _ := os.ReadFile(dir + "statm")
 		var size, resident int
-		_, _ = fmt.Sscan(string(text), &size, &resident) // nothing, of a process that has ended
+		_, _ = fmt.Sscan(string(text), &size, &resident) // resident stays 0 if the process has exited
 		memory += resident * os.Getpagesize() >> 20
 	}
 	return descriptors, memory
@@ -163,7 +164,7 @@
 	}
 }
 
-// removeFile removes a file, if there is one.
+// removeFile removes a file if it exists.
 func removeFile(tb testing.TB, path string) {
 	tb.Helper()
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -171,13 +172,13 @@
 	}
 }
 
-// nodeConfig is the configuration of a node. Its fields are JSON where no other form is said.
+// nodeConfig is the configuration of a node. Its fields are JSON unless their comments say otherwise.
 type nodeConfig struct {
-	listen    string // an address; empty: a free port
-	discovery string // an address
-	seed      string // a text; empty: 1
+	listen    string // address; a free port if empty
+	discovery string // address
+	seed      string // plain text; "1" if empty
 	limits    string
-	known     string // the endpoint list
+	known     string // endpoint list
 	settings  string
 }
 
@@ -198,12 +199,13 @@
 	writeFile(tb, path, c.json())
 }
 
-// settings are the platform's settings, with load reports as given and with pairs of an old text and its replacement.
+// settings returns the platform's settings with the given mode of load reports. The replacements are pairs of an old
+// text and a new one.
 func settings(reports string, replacements ...string) string {
 	return strings.NewReplacer(append([]string{"REPORTS", reports}, replacements...)...).Replace(transcript.Settings)
 }
 
-// knownServers is an endpoint list of complete entries.
+// knownServers returns an endpoint list with the given entries.
 func knownServers(version int, entries ...string) string {
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
 }
@@ -213,21 +215,21 @@
 		`{"id":%q,"addr":%q,"zone":"a","kind":"m","cell":0,"state":"SERVING","weight":1,"started_ms":0}`, id, addr)
 }
 
-// send writes to a connection. An error is dropped: whoever reads the answer notices.
+// send writes to a connection. It ignores errors because the read of the answer then fails as well.
 func send(conn net.Conn, format string, args ...any) { _, _ = fmt.Fprintf(conn, format, args...) }
 
-// setReadTimeout bounds the reads from now on. It fails on a closed connection only, where reads fail too.
+// setReadTimeout limits the time of all later reads. It fails only on a closed connection, where reads fail too.
 func setReadTimeout(conn net.Conn, timeout time.Duration) {
 	_ = conn.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// readLine reads the first line of a connection that answers with one line.
+// readLine reads the first line from a connection on which only one line arrives.
 func readLine(conn net.Conn) (string, error) { return bufio.NewReader(conn).ReadString('\n') }
 
-// closeAtEnd closes a connection, a listener or a file as the test ends.
+// closeAtEnd closes a connection, a listener or a file when the test ends.
 func closeAtEnd(tb testing.TB, closer interface{ Close() error }) {
 	tb.Helper()
-	tb.Cleanup(func() { _ = closer.Close() }) // some are closed before
+	tb.Cleanup(func() { _ = closer.Close() }) // some have already been closed
 }
 
 func closeAll(conns []net.Conn) {
--- a/cmd/spurwinch/ready_test.go
+++ b/cmd/spurwinch/ready_test.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// readyTimeout is for the PONG of a process, from its start on.
+	// readyTimeout is the limit from the start of a process to its first PONG.
 	readyTimeout = 6 * time.Second
-	// slowAnswer is after how long the slow discovery answers.
+	// slowAnswer is the delay after which the slow discovery answers.
 	slowAnswer = 20 * time.Second
 )
 
-// faultyDiscoveries are ways in which discovery has no list for a process that starts.
+// faultyDiscoveries starts discoveries that don't give a starting process its list, by the name of the fault.
 var faultyDiscoveries = map[string]func(t *testing.T) (addr string){
 	"refuses connections":        startRefusing,
-	"lets no connection come up": startOverloaded,
-	"says nothing": func(t *testing.T) string {
+	"doesn't accept connections": startOverloaded,
+	"sends nothing": func(t *testing.T) string {
 		t.Helper()
 		return startDiscovery(t, answerNothing)
 	},
-	"fails each call": func(t *testing.T) string {
+	"fails each request": func(t *testing.T) string {
 		t.Helper()
 		return startDiscovery(t, answerUnavailable)
 	},
@@ -59,7 +59,7 @@
 	return addr
 }
 
-func answerNothing(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) } // until the node closes it
+func answerNothing(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) } // until the node closes the connection
 
 func answerUnavailable(conn net.Conn) {
 	send(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -78,12 +78,12 @@
 func answerSlowly(conn net.Conn) {
 	setReadTimeout(conn, slowAnswer)
 	if _, err := conn.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
-		return // the node has given up
+		return // the node closed the connection
 	}
 	send(conn, "HTTP/1.1 200 OK\r\nContent-Length: 39\r\n\r\n"+`{"version":70,"full":true,"servers":[]}`)
 }
 
-// startDiscovery starts a discovery that reads each connection's first call and then calls answer.
+// startDiscovery starts a discovery that reads the first HTTP request of each connection and then calls answer.
 func startDiscovery(t *testing.T, answer func(net.Conn)) (addr string) {
 	t.Helper()
 	return serve(t, func(conn net.Conn) {
@@ -93,7 +93,7 @@
 	})
 }
 
-// serve starts a server on a free port; each connection is closed as its handler returns.
+// serve starts a server on a free port. It closes each connection when handle returns.
 func serve(t *testing.T, handle func(net.Conn)) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", freePort)
@@ -108,7 +108,7 @@
 				return
 			}
 			go func() {
-				defer func() { _ = conn.Close() }() // the node may have closed it
+				defer func() { _ = conn.Close() }() // the node may have closed it already
 				handle(conn)
 			}()
 		}
@@ -116,12 +116,12 @@
 	return listener.Addr().String()
 }
 
-// fillAcceptQueue fills a listener's queue, so that the system leaves further connections unanswered.
+// fillAcceptQueue fills a listener's accept queue, so that the system doesn't answer further connections.
 func fillAcceptQueue(t *testing.T, listener net.Listener, addr string) {
 	t.Helper()
 	tcpListener, ok := listener.(*net.TCPListener)
 	if !ok {
-		t.Fatalf("listener of %T", listener)
+		t.Fatalf("got a listener of type %T, want *net.TCPListener", listener)
 	}
 	control, err := tcpListener.SyscallConn()
 	if err != nil {
@@ -141,11 +141,11 @@
 	}
 }
 
-// TestReadyWithoutDiscovery starts the program where discovery is down, slow or silent: it says that it accepts clients
-// in time, however its lists come, and also if it was given no list to begin with.
+// TestReadyWithoutDiscovery starts the program while discovery is down, slow or silent. The program must report in time
+// that it accepts clients, whether its lists are requested or pushed and also without a list in its configuration.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	program := build(t)
-	host := transcript.EchoServer(t)
+	server := transcript.EchoServer(t)
 	for name, startFaulty := range faultyDiscoveries {
 		for _, membership := range []string{"on_request", "pushed"} {
 			for _, known := range []bool{true, false} {
@@ -154,7 +154,7 @@
 					list := `{"version":0,"full":true,"servers":[]}`
 					want := "BUSY"
 					if known {
-						list = encodeList(t, 41, []listEntry{{"s-1", host, "SERVING"}})
+						list = encodeList(t, 41, []listEntry{{"s-1", server, "SERVING"}})
 						want = "UP 1"
 					}
 					path := filepath.Join(t.TempDir(), "config.json")
@@ -171,28 +171,28 @@
 	}
 }
 
-// checkReady starts the program and checks that it is ready in time, and its answer to a request.
+// checkReady starts the program and checks that it is ready in time and that its answer to a request starts with want.
 func checkReady(t *testing.T, program, configPath, want string) {
 	t.Helper()
 	started := time.Now()
 	proc := start(t, program, []string{"GW_CONFIG=" + configPath})
 	took, err := waitForPong(proc.addr, started)
 	if err != nil || took > readyTimeout {
-		t.Errorf("ready after %v, %v", took, err)
+		t.Errorf("ready after %v, %v, want 6s at most and no error", took, err)
 	} else {
 		t.Logf("ready after %v", took)
 	}
 	answer, conn := request(proc.addr, 1)
 	if !strings.HasPrefix(answer, want) {
-		t.Errorf("a request gets %q, want %s", answer, want)
+		t.Errorf("request: got answer %q, want %s", answer, want)
 	}
 	if conn != nil {
-		_ = conn.Close() // its answer is in
+		_ = conn.Close() // the answer has been read
 	}
 }
 
-// waitForPong sends PING, again as often as the process ends the connection without an answer, and returns when the
-// PONG came.
+// waitForPong sends PING until PONG arrives and returns the time since the start. It connects again whenever the
+// process closes the connection without an answer, and stops if it can't connect or after twice readyTimeout.
 func waitForPong(addr string, started time.Time) (took time.Duration, err error) {
 	for time.Since(started) < 2*readyTimeout {
 		var line string
@@ -205,13 +205,13 @@
 	return time.Since(started), err
 }
 
-// ping returns the first line that a process answers to PING.
+// ping sends PING and returns the first line of the answer.
 func ping(addr string, deadline time.Time) (string, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = conn.Close() }() // the answer is in
+	defer func() { _ = conn.Close() }() // an error doesn't change the result
 	send(conn, "PING\r\n")
 	setReadTimeout(conn, time.Until(deadline))
 	return readLine(conn)
--- a/cmd/spurwinch/reload_test.go
+++ b/cmd/spurwinch/reload_test.go
@@ -10,7 +10,7 @@
 	"spurwinch/internal/lab/transcript"
 )
 
-// reloadScript has the watch move to another discovery while a connection stands.
+// reloadScript changes the address of discovery while a connection is open, so that the watch uses the new address.
 const reloadScript = `a accept d1
 a < GET /v1/servers?after=41&wait_ms={*} HTTP/1.1\r\nHost: {*}\r\nAccept: application/json\r\n
 c open
@@ -27,7 +27,7 @@
 a < END
 b accept d2
 b < GET /v1/servers HTTP/1.1\r\nHost: {*}\r\nAccept: application/json\r\n
-# The known list stands until the new address has answered, and so do open connections.
+# The known list and open connections are kept until the new address has answered.
 e open
 e > OPEN 02 01 c=chat,d=2000
 f accept h1
@@ -49,23 +49,24 @@
 c < END
 `
 
-// TestReload replaces the configuration of a started program, as the platform does: the watch moves to the new address
-// although GW_DISCOVERY names the old one, a bad file changes nothing, and no number of SIGHUPs keeps SIGTERM out.
+// TestReload replaces the configuration of a running program, as the platform does. The watch must use the new address
+// although GW_DISCOVERY holds the old one, an invalid file must change nothing, and SIGTERM must stop the program
+// although many SIGHUPs are sent before it.
 func TestReload(t *testing.T) {
 	program := build(t)
 	player := &transcript.Player{Values: map[string]string{}}
-	host := player.Listen(t, "h1")
-	otherHost := player.Listen(t, "h2")
+	server := player.Listen(t, "h1")
+	otherServer := player.Listen(t, "h2")
 	discovery := player.Listen(t, "d1")
 	nextDiscovery := player.Listen(t, "d2")
-	list := knownServers(3, serverEntry("s-2", otherHost))
+	list := knownServers(3, serverEntry("s-2", otherServer))
 	player.Values["list"] = list
 	player.Values["length"] = strconv.Itoa(len(list))
 	config := func(discovery string) string {
 		return nodeConfig{
 			discovery: discovery,
 			limits:    `{"memory_mb":64,"sockets":384}`,
-			known:     knownServers(41, serverEntry("s-1", host)),
+			known:     knownServers(41, serverEntry("s-1", server)),
 			settings:  settings("off", `"mayProbe":true`, `"mayProbe":false`),
 		}.json()
 	}
--- a/cmd/spurwinch/shim_test.go
+++ b/cmd/spurwinch/shim_test.go
@@ -12,7 +12,8 @@
 	"spurwinch/internal/lab/transcript"
 )
 
-// shimmedProcess is a started program whose system calls fail, and whose wall clock is stepped, as the test says.
+// shimmedProcess is a running program under a preloaded library, by which the test makes system calls fail and steps
+// the wall clock.
 type shimmedProcess struct {
 	*process
 	*shim.Control
@@ -20,7 +21,8 @@
 	configPath string
 }
 
-// startShimmed starts the program with a host h1 and discovery d. Each prepare sets failures up for the start.
+// startShimmed starts the program with a server h1 and discovery d. It calls each function of prepare before the start,
+// to set up failures.
 func startShimmed(t *testing.T, prepare ...func(*shim.Control)) *shimmedProcess {
 	t.Helper()
 	program := buildAsDeployed(t)
@@ -37,12 +39,12 @@
 		set(control)
 	}
 	player := &transcript.Player{Values: map[string]string{}}
-	host := player.Listen(t, "h1")
+	server := player.Listen(t, "h1")
 	configPath := filepath.Join(dir, "config.json")
 	nodeConfig{
 		discovery: player.Listen(t, "d"),
 		limits:    `{"cores":1,"memory_mb":192,"sockets":1024}`,
-		known:     knownServers(41, serverEntry("s-1", host)),
+		known:     knownServers(41, serverEntry("s-1", server)),
 		settings:  settings("off", `"mayProbe":true`, `"mayProbe":false`),
 	}.write(t, configPath)
 	env := append(control.Environment(library), "GW_CONFIG="+configPath)
@@ -51,15 +53,15 @@
 	return &shimmedProcess{process: proc, Control: control, player: player, configPath: configPath}
 }
 
-// TestInterruptedWake has the write that wakes the loop interrupted, for a signal that comes then: the next signal is
-// noticed all the same, and so is the planned stop.
-func TestInterruptedWake(t *testing.T) {
+// TestSignalAfterInterruptedWake makes the write fail that wakes the loop for a SIGHUP. The loop must still handle the
+// next signal, which starts the planned stop.
+func TestSignalAfterInterruptedWake(t *testing.T) {
 	proc := startShimmed(t)
 	proc.player.Callbacks = map[string]func(){
 		"interrupt": func() {
 			proc.Fail(shim.Write, 1)
 			proc.signal(syscall.SIGHUP)
-			transcript.WaitFor(t, "a wake is interrupted", func() bool { return proc.Injected(shim.Write) > 0 })
+			transcript.WaitFor(t, "a wake-up write fails", func() bool { return proc.Injected(shim.Write) > 0 })
 			proc.Heal()
 		},
 		"stop": func() { proc.signal(syscall.SIGTERM) },
@@ -81,9 +83,9 @@
 	proc.waitForExit(t)
 }
 
-// TestTemporaryShortage has a process find no descriptors at all, at its start and for a new configuration: it starts,
-// and the configuration is in force, once there are some again.
-func TestTemporaryShortage(t *testing.T) {
+// TestTemporaryDescriptorShortage leaves a process without any descriptors while it starts or reloads its
+// configuration. The process must complete the start or the reload once descriptors are available again.
+func TestTemporaryDescriptorShortage(t *testing.T) {
 	t.Run("start", testShortageAtStart)
 	t.Run("reload", testShortageAtReload)
 }
@@ -96,7 +98,7 @@
 		time.AfterFunc(500*time.Millisecond, control.Heal)
 	})
 	if proc.Injected(shim.Open) == 0 {
-		t.Error("no failure was injected: the configuration could be read at once")
+		t.Error("Injected: got no failed open, want at least one before the configuration is read")
 	}
 	proc.player.Play(t, "c open\nc > PING\nc < PONG\n")
 }
@@ -116,7 +118,7 @@
 		}
 		proc.Fail(shim.Open, 1)
 		proc.signal(syscall.SIGHUP)
-		transcript.WaitFor(t, "the file can't be opened", func() bool { return proc.Injected(shim.Open) > 0 })
+		transcript.WaitFor(t, "an open of the configuration fails", func() bool { return proc.Injected(shim.Open) > 0 })
 		proc.Heal()
 	}}
 	proc.player.Play(t, `d accept d
--- a/cmd/spurwinch/soak_test.go
+++ b/cmd/spurwinch/soak_test.go
@@ -14,13 +14,13 @@
 	firstSoakSeed = 11
 )
 
-// TestSoak plays few processes for a few seconds while faults overlap, drawn by seed: the short form of
-// spurwinchctl lab soak.
+// TestSoak runs a few processes for a few seconds under overlapping faults, which are drawn by the seed. It is the
+// short form of spurwinchctl lab soak.
 func TestSoak(t *testing.T) {
 	program := buildAsDeployed(t)
 	for name, test := range map[string]struct {
 		only []string // faults that may be drawn; nil: all
-		want []string // must have been seen
+		want []string // events that must have been seen
 	}{
 		"system calls and clocks": {
 			only: []string{"calls", "clock", "stop"},
@@ -35,14 +35,14 @@
 			}
 			for _, event := range test.want {
 				if report.Seen[event] == 0 {
-					t.Errorf("no %s: the run shows nothing of it", event)
+					t.Errorf("got no event %s in the run, want at least one", event)
 				}
 			}
 		})
 	}
 }
 
-// playSoak plays a run, again by other seeds where this machine was late.
+// playSoak does one run and repeats it with other seeds if this machine was delayed.
 func playSoak(t *testing.T, program string, only []string) soak.Report {
 	t.Helper()
 	for attempt := range soakAttempts {
@@ -64,6 +64,6 @@
 		}
 		t.Logf("not judged: %s", report.Why)
 	}
-	t.Fatal("not judged: this machine was late in each of four runs")
+	t.Fatal("none of four runs was judged because this machine was delayed in each of them")
 	return soak.Report{}
 }
--- a/cmd/spurwinch/xmpp_bench_test.go
+++ b/cmd/spurwinch/xmpp_bench_test.go
@@ -22,11 +22,11 @@
 	loginsAtOnce     = 32
 	loginTimeout     = 60 * time.Second
 	xmppServers      = 4
-	idleTime         = 2 * time.Second // the garbage collector has run by then
+	idleTime         = 2 * time.Second // long enough for the garbage collector to run
 	certificateValid = 90 * 24 * time.Hour
 )
 
-// connectionSecurity is how clients protect their connections, in the words of the operator's file.
+// connectionSecurity is how clients protect their connections, as the value of tls in the operator's file.
 type connectionSecurity string
 
 const (
@@ -35,9 +35,10 @@
 	securityDirect   connectionSecurity = "direct"
 )
 
-// BenchmarkSessions brings XMPP sessions up on the built program, 32 at a time, leaves them idle, breaks and resumes
-// them: sessions a second, memory of an idle one, times of a resumption.
-// SESSIONS=2000 go test -run - -bench Sessions -benchtime 1x ./cmd/spurwinch
+// BenchmarkSessions establishes XMPP sessions through the built program, 32 at a time, leaves them idle, breaks their
+// connections and resumes them. It reports sessions per second, memory per idle session and the times of resumptions.
+//
+//	SESSIONS=2000 go test -run - -bench Sessions -benchtime 1x ./cmd/spurwinch
 func BenchmarkSessions(b *testing.B) {
 	sessions := defaultSessions
 	if text := os.Getenv("SESSIONS"); text != "" {
@@ -58,23 +59,23 @@
 				bench.run(b, proc)
 			}
 			proc.signal(syscall.SIGKILL)
-			_ = proc.wait() // killed
+			_ = proc.wait() // fails because the process was killed
 		})
 	}
 }
 
-// sessionBenchmark brings sessions up and resumes them.
+// sessionBenchmark establishes sessions and resumes them.
 type sessionBenchmark struct {
 	security connectionSecurity
 	sessions int
 	addr     string
 }
 
-// operatorFile returns the operator's file of a node with XMPP servers, which it starts.
+// operatorFile starts XMPP servers and returns the content of the operator's file of a node that uses them.
 func (s *sessionBenchmark) operatorFile(b *testing.B, dir string) string {
 	b.Helper()
 	var text strings.Builder
-	add := func(format string, args ...any) { _, _ = fmt.Fprintf(&text, format, args...) } // a builder has no errors
+	add := func(format string, args ...any) { _, _ = fmt.Fprintf(&text, format, args...) } // a Builder never fails
 	add("[limits]\nconnections = %d\n", 4*s.sessions+100)
 	add("[[listener]]\naddr = %q\nprotocol = \"xmpp\"\n", s.addr)
 	if s.security != securityNone {
@@ -114,7 +115,7 @@
 	s.reportResumptions(b, resumptions)
 }
 
-// reportResumptions reports how many sessions were resumed, and how long that took, and closes the connections.
+// reportResumptions reports the share of resumed sessions and the times of the resumptions, and closes the connections.
 func (s *sessionBenchmark) reportResumptions(b *testing.B, resumptions []login) {
 	b.Helper()
 	var times []time.Duration
@@ -126,7 +127,7 @@
 			resumed++
 		}
 		if resumption.client != nil {
-			_ = resumption.client.Conn.Close() // it has served
+			_ = resumption.client.Conn.Close() // an error doesn't change the measurements
 		}
 	}
 	slices.Sort(times)
@@ -135,22 +136,22 @@
 	b.ReportMetric(milliseconds(times[s.sessions*99/100]), "ms-p99")
 }
 
-// login is a session that was brought up; client is nil where that failed.
+// login is an established session. Its client is nil if the login failed.
 type login struct {
 	client  *xmppserver.Client
 	took    time.Duration
 	resumed bool
 }
 
-// breakOff closes the connection without an end of TLS.
+// breakOff closes the connection without the closing alert of TLS.
 func (l *login) breakOff() {
 	if secure, ok := l.client.Conn.(*tls.Conn); ok {
-		_ = secure.NetConn().Close() // it is meant to break
+		_ = secure.NetConn().Close() // the connection is meant to break
 	}
-	_ = l.client.Conn.Close() // it is broken already
+	_ = l.client.Conn.Close() // a TLS connection is already broken
 }
 
-// logInAll brings a session up for each id, or resumes the one of the id where it isn't empty.
+// logInAll establishes a session for each empty id and resumes the session of each other id.
 func (s *sessionBenchmark) logInAll(b *testing.B, ids []string) []login {
 	b.Helper()
 	logins := make([]login, len(ids))
