--- a/deploy/verdict_test.go
+++ b/deploy/verdict_test.go
@@ -10,72 +10,72 @@
 	"testing"
 )
 
-// TestVerdict checks what .ci/run makes of a run of the tests: failures exactly as listed are passed over, all others
-// fail it.
+// TestVerdict checks the result that .ci/verdict gives a run of the tests. It accepts exactly the failures in the list
+// of known failures. Any other failure makes the run fail.
 func TestVerdict(t *testing.T) {
 	for name, test := range verdictTests() {
 		t.Run(name, func(t *testing.T) { test.check(t) })
 	}
 }
 
-// verdictTest is a run of the tests with a list of known failures.
+// verdictTest is the output of a test run, the list of known failures and the expected verdict.
 type verdictTest struct {
-	output string // of the test run
-	status int    // of the test run
-	list   string // known failures
-	passes bool
-	says   string
+	output  string // of the test run
+	status  int    // of the test run
+	list    string // list of known failures
+	passes  bool   // whether the verdict accepts the run
+	message string // must be in the output of the verdict
 }
 
 func verdictTests() map[string]verdictTest {
 	const (
-		ok    = "ok  \tspurwinch/a\t0.1s\n"
-		red   = "--- FAIL: TestA (0.00s)\n    a_test.go:1: no\nFAIL\nFAIL\tspurwinch/a\t0.1s\nFAIL\n"
-		known = "spurwinch/a TestA | the host is asked twice | issue 34\n"
-		sub   = "--- FAIL: TestA (0.00s)\n    --- FAIL: TestA/one (0.00s)\n        a_test.go:1: no\n" +
+		ok             = "ok  \tspurwinch/a\t0.1s\n"
+		failing        = "--- FAIL: TestA (0.00s)\n    a_test.go:1: no\nFAIL\nFAIL\tspurwinch/a\t0.1s\nFAIL\n"
+		known          = "spurwinch/a TestA | the server is asked twice | issue 34\n"
+		subtestFailing = "--- FAIL: TestA (0.00s)\n    --- FAIL: TestA/one (0.00s)\n        a_test.go:1: no\n" +
 			"FAIL\nFAIL\tspurwinch/a\t0.1s\n"
-		panicked = "--- FAIL: TestA (0.00s)\npanic: oh [recovered]\nFAIL\tspurwinch/a\t0.1s\n"
-		timedOut = "panic: test timed out after 10m0s\nFAIL\tspurwinch/a\t600s\n"
-		another  = "--- FAIL: TestB (0.00s)\n"
-		notBuilt = "FAIL\tspurwinch/b [build failed]\n"
-		gone     = "spurwinch/a TestGone | cause | issue 1\n"
-		pattern  = "spurwinch/a Test.* | cause | issue 1\n"
+		panicked    = "--- FAIL: TestA (0.00s)\npanic: oh [recovered]\nFAIL\tspurwinch/a\t0.1s\n"
+		timedOut    = "panic: test timed out after 10m0s\nFAIL\tspurwinch/a\t600s\n"
+		another     = "--- FAIL: TestB (0.00s)\n"
+		notBuilt    = "FAIL\tspurwinch/b [build failed]\n"
+		unknownTest = "spurwinch/a TestGone | cause | issue 1\n"
+		pattern     = "spurwinch/a Test.* | cause | issue 1\n"
 	)
-	inOtherPackage := strings.ReplaceAll(red, "spurwinch/a", "spurwinch/b")
-	renamed := strings.Replace(red, "TestA", "TestB", 1)
+	inOtherPackage := strings.ReplaceAll(failing, "spurwinch/a", "spurwinch/b")
+	renamed := strings.Replace(failing, "TestA", "TestB", 1)
 	threeLines := knownLine(0) + knownLine(1) + knownLine(2)
 	return map[string]verdictTest{
-		"all green":             {ok, 0, "", true, ""},
-		"red, none listed":      {red, 1, "", false, "spurwinch/a TestA fails"},
-		"red as listed":         {red + ok, 1, known, true, "known red: " + strings.TrimSpace(known)},
-		"red in a part":         {sub, 1, known, true, "known red"},
-		"another test":          {renamed, 1, known, false, "spurwinch/a TestB fails"},
-		"one more":              {another + red, 1, known, false, "spurwinch/a TestB fails"},
-		"of another package":    {inOtherPackage, 1, known, false, "spurwinch/b TestA fails"},
-		"listed and green":      {ok, 0, known, true, "passes and is due for removal"},
-		"a build fault":         {red + notBuilt, 1, known, false, "spurwinch/b [build failed]"},
-		"a panic":               {panicked, 1, known, false, "panic: oh"},
-		"out of time":           {timedOut, 1, known, false, "timed out"},
-		"a race":                {"WARNING: DATA RACE\n" + red, 1, known, false, "DATA RACE"},
-		"no test fails":         {"FAIL\tspurwinch/a\t0.1s\n", 1, known, false, "fails without a test"},
-		"a fault without words": {ok, 1, "", false, "status 1"},
-		"a test of no package":  {"--- FAIL: TestA (0.00s)\n", 1, known, false, "in no package"},
-		"an unknown test":       {ok, 0, gone, false, "no test TestGone"},
-		"a line without issue":  {red, 1, "spurwinch/a TestA | cause\n", false, "not 'PACKAGE TEST"},
-		"a line without cause":  {red, 1, "spurwinch/a TestA |  | issue 1\n", false, "not 'PACKAGE TEST"},
-		"a pattern":             {red, 1, pattern, false, "not 'PACKAGE TEST"},
-		"twice":                 {red, 1, known + known, false, "listed twice"},
-		"three lines":           {ok, 0, threeLines, true, "due for removal"},
-		"a fourth line":         {ok, 0, threeLines + knownLine(3), false, "three at most"},
+		"all tests pass":               {ok, 0, "", true, ""},
+		"failure with an empty list":   {failing, 1, "", false, "spurwinch/a TestA fails"},
+		"listed failure":               {failing + ok, 1, known, true, "known red: " + strings.TrimSpace(known)},
+		"subtest of listed test fails": {subtestFailing, 1, known, true, "known red"},
+		"unlisted failure":             {renamed, 1, known, false, "spurwinch/a TestB fails"},
+		"listed and unlisted failure":  {another + failing, 1, known, false, "spurwinch/a TestB fails"},
+		"same test in another package": {inOtherPackage, 1, known, false, "spurwinch/b TestA fails"},
+		"listed test passes":           {ok, 0, known, true, "passes and is due for removal"},
+		"build failure":                {failing + notBuilt, 1, known, false, "spurwinch/b [build failed]"},
+		"panic":                        {panicked, 1, known, false, "panic: oh"},
+		"timeout":                      {timedOut, 1, known, false, "timed out"},
+		"data race":                    {"WARNING: DATA RACE\n" + failing, 1, known, false, "DATA RACE"},
+		"package fails without a test": {"FAIL\tspurwinch/a\t0.1s\n", 1, known, false, "fails without a test"},
+		"nonzero status, no failure":   {ok, 1, "", false, "status 1"},
+		"failure without its package":  {"--- FAIL: TestA (0.00s)\n", 1, known, false, "in no package"},
+		"listed test doesn't exist":    {ok, 0, unknownTest, false, "no test TestGone"},
+		"listed without an issue":      {failing, 1, "spurwinch/a TestA | cause\n", false, "not 'PACKAGE TEST"},
+		"listed without a cause":       {failing, 1, "spurwinch/a TestA |  | issue 1\n", false, "not 'PACKAGE TEST"},
+		"listed by a pattern":          {failing, 1, pattern, false, "not 'PACKAGE TEST"},
+		"listed twice":                 {failing, 1, known + known, false, "listed twice"},
+		"list of three lines":          {ok, 0, threeLines, true, "due for removal"},
+		"list of four lines":           {ok, 0, threeLines + knownLine(3), false, "three at most"},
 	}
 }
 
-// knownLine is a line of the list for TestA, TestB and so on.
+// knownLine returns a line of the list, for TestA if index is 0, TestB if it is 1 and so on.
 func knownLine(index int) string {
 	return fmt.Sprintf("spurwinch/a Test%c | cause | issue 1\n", 'A'+index)
 }
 
-// check runs the verdict. A script in place of the tool chain has the package contain the tests TestA to TestD.
+// check runs .ci/verdict and checks its result. A script replaces the go command and lists the tests TestA to TestD.
 func (v verdictTest) check(t *testing.T) {
 	t.Helper()
 	dir := t.TempDir()
@@ -92,8 +92,8 @@
 	list := write("list", v.list, 0o600)
 	verdict := exec.Command("bash", "../.ci/verdict", output, strconv.Itoa(v.status), list)
 	verdict.Env = append(os.Environ(), "PATH="+dir+":"+os.Getenv("PATH"))
-	said, err := verdict.CombinedOutput()
-	if (err == nil) != v.passes || !strings.Contains(string(said), v.says) {
-		t.Errorf("verdict returned %v and said %q; want a pass: %v, %q", err, said, v.passes, v.says)
+	verdictOutput, err := verdict.CombinedOutput()
+	if (err == nil) != v.passes || !strings.Contains(string(verdictOutput), v.message) {
+		t.Errorf("verdict: got error %v and output %q, want pass = %v and %q", err, verdictOutput, v.passes, v.message)
 	}
 }
