--- a/internal/lab/fakeserver/fleet.go
+++ b/internal/lab/fakeserver/fleet.go
@@ -1,7 +1,7 @@
 // Package fakeserver simulates the environment of a node on loopback sockets, as a fleet description specifies it:
-// servers that speak the platform's protocol, the endpoint lists and the session store. Package planner models load by
-// fluids and averages; here each server works through individual jobs on its cores, and answers a line when the job of
-// that line would be done.
+// servers that speak the platform's protocol, the endpoint lists and the session store. Package planner models load as
+// continuous flows and averages. Here, in contrast, each server works through individual jobs on its cores, and answers
+// a line when the job of that line would be done.
 package fakeserver
 
 import (
@@ -38,8 +38,8 @@
 
 	seed  uint64
 	store *sessionStore
-	lists []*http.Server // serve the endpoint lists; by zone
-	addrs []string       // of the endpoint lists; by zone
+	lists []*http.Server // servers of the endpoint lists, by zone
+	addrs []string       // addresses of the endpoint lists, by zone
 	stop  chan struct{}
 
 	mu      sync.Mutex // guards the fields below
--- a/internal/lab/fakeserver/list.go
+++ b/internal/lab/fakeserver/list.go
@@ -19,7 +19,7 @@
 	Cell    int     `json:"cell"`
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"` // Unix time; 0: started long ago
+	Started int64   `json:"started_ms"` // Unix time in milliseconds; 0: started long ago
 }
 
 // EncodeList returns a full endpoint list in the format of the discovery API.
--- a/internal/lab/fakeserver/protocol.go
+++ b/internal/lab/fakeserver/protocol.go
@@ -189,7 +189,8 @@
 	<-written
 }
 
-// writeDelayed writes lines until the channel is closed. Once a write has failed it drops them.
+// writeDelayed writes each line at its time until the channel is closed. After a failed write it drops all further
+// lines.
 func writeDelayed(socket net.Conn, lines <-chan delayedLine) {
 	broken := false
 	for line := range lines {
--- a/internal/lab/fakeserver/server.go
+++ b/internal/lab/fakeserver/server.go
@@ -20,7 +20,7 @@
 	Zone int // index in the fleet's zones
 
 	fleet     *Fleet
-	speed     float64        // of a core
+	speed     float64        // speed of one core, relative to a reference core
 	slowStart bool           // the server started with the fleet and warms up
 	listeners []net.Listener // by zone of the caller
 
@@ -28,15 +28,15 @@
 	rng         *rand.Rand
 	coreFree    []time.Time // when each core will have finished its queued work
 	drawnUntil  time.Time   // the jobs of the connections have been drawn up to this time
-	load        float64     // of the connections and groups, in reference cores
-	work        float64     // core seconds since the last tick
+	load        float64     // load of the connections and groups, in reference cores
+	work        float64     // work queued since the last tick, in core seconds
 	utilization float64     // demand over capacity, moving average over the last ticks
 	report      string
 	nextReport  time.Time
 	setups      int // pending set-ups
 	connections map[*connection]struct{}
 	groups      map[uint64]int // connections of each group
-	newLoads    []newLoad      // loads that were added in the last OverloadTime of the slow start
+	newLoads    []newLoad      // loads of connections opened in the last OverloadTime, during slow start
 	killed      bool
 	sockets     map[net.Conn]struct{}
 }
@@ -104,7 +104,7 @@
 	}
 }
 
-// Kill simulates the death of the server's process: it resets all connections and refuses new ones.
+// Kill simulates a crash of the server's process. It resets all connections and refuses new ones.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 	s.fleet.removeFromList(s)
 }
 
-// reset closes a connection with a reset.
+// reset closes a connection with a TCP reset.
 func reset(socket net.Conn) {
 	if tcp, ok := socket.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails only if the connection is already closed
--- a/internal/lab/fakeserver/work.go
+++ b/internal/lab/fakeserver/work.go
@@ -9,16 +9,16 @@
 const (
 	tick              = 20 * time.Millisecond // between updates of a server
 	minReportNoise    = 0.1                   // minimum factor by which noise changes a reported value
-	utilizationWeight = 0.085                 // of one tick; makes the average as slow as the planner's
-	negligibleLoad    = 1e-9                  // up to this, a load is a rounding error
+	utilizationWeight = 0.085                 // of one tick; the average is as slow as the planner's over its steps
+	negligibleLoad    = 1e-9                  // loads up to this are rounding errors
 	slowStartSlack    = 4                     // connections of mean load allowed beyond the budget of a slow start
 )
 
 // seconds converts a number of seconds to a duration.
 func seconds(n float64) time.Duration { return time.Duration(n * 1e9) }
 
-// warmth returns the fraction of its full capacity that the server has while it warms up, and 1 afterwards.
-func (s *Server) warmth(now time.Time) float64 {
+// capacityFraction returns the fraction of its full capacity that the server has while it warms up, and 1 afterwards.
+func (s *Server) capacityFraction(now time.Time) float64 {
 	slowStart := &s.fleet.Description.SlowStart
 	age := now.Sub(s.fleet.Start)
 	if !s.slowStart || age >= time.Duration(slowStart.WarmUp) {
@@ -29,7 +29,7 @@
 
 // cores returns the capacity in reference cores.
 func (s *Server) cores(now time.Time) float64 {
-	return float64(len(s.coreFree)) * s.speed * s.warmth(now)
+	return float64(len(s.coreFree)) * s.speed * s.capacityFraction(now)
 }
 
 // firstFreeCore returns the index of the core that will be free first.
@@ -51,7 +51,7 @@
 	if begin.Before(at) {
 		begin = at
 	}
-	s.coreFree[core] = begin.Add(seconds(work / (s.speed * s.warmth(at))))
+	s.coreFree[core] = begin.Add(seconds(work / (s.speed * s.capacityFraction(at))))
 	return s.coreFree[core]
 }
 
@@ -63,7 +63,7 @@
 	if begin.Before(now) {
 		begin = now
 	}
-	return begin.Add(seconds(s.fleet.Description.General.MessageWork.Seconds() / (s.speed * s.warmth(now))))
+	return begin.Add(seconds(s.fleet.Description.General.MessageWork.Seconds() / (s.speed * s.capacityFraction(now))))
 }
 
 // drawJobs queues the connections' work up to now, as jobs that arrive at random times. The caller holds the lock.
@@ -186,7 +186,7 @@
 // overloads records the load of a new connection during slow start. It reports whether the server has taken on too much
 // load within OverloadTime and fails. The caller holds the lock.
 func (s *Server) overloads(class *fleet.Class, now time.Time) bool {
-	if !s.slowStart || s.warmth(now) == 1 {
+	if !s.slowStart || s.capacityFraction(now) == 1 {
 		return false
 	}
 	description := s.fleet.Description
--- a/internal/lab/mutations/mutations.go
+++ b/internal/lab/mutations/mutations.go
@@ -53,7 +53,7 @@
 	Err    error    `json:"-"`      // reason why the mutation could not be applied, built or run
 }
 
-// MatchError reports a mutation whose text to replace doesn't occur exactly once in its file.
+// MatchError reports that a text that a mutation replaces doesn't occur exactly once in its file.
 type MatchError struct {
 	File     string
 	Mutation string // description of the mutation
@@ -103,8 +103,8 @@
 	return pairs
 }
 
-// Apply applies the mutation to the copy of the source in root. If a text to replace doesn't occur exactly once, it
-// returns a *MatchError.
+// Apply applies the mutation to the copy of the source in root. If a text that the mutation
+// replaces doesn't occur exactly once, Apply returns a *MatchError.
 func (m Mutation) Apply(root string) error {
 	path := filepath.Join(root, m.File)
 	raw, err := os.ReadFile(path)
--- a/internal/lab/mutations/mutations_test.go
+++ b/internal/lab/mutations/mutations_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestMutationsBuild checks that the package that each listed mutation changes still compiles. A mutation that doesn't
-// compile could break no rule when it is played.
+// TestMutationsBuild checks that each listed mutation leaves its package in a state that compiles. A mutation that
+// doesn't compile can't break a rule when it is played.
 func TestMutationsBuild(t *testing.T) {
 	all, err := All()
 	if err != nil {
--- a/internal/lab/replay/lag.go
+++ b/internal/lab/replay/lag.go
@@ -11,7 +11,7 @@
 	lagDigits = 3 // significant digits
 )
 
-// percentile returns a quantile (0 to 1) of timer lags with a precision of a tenth of a percent. Lags under a
+// percentile returns the given quantile (0 to 1) of timer lags with a precision of a tenth of a percent. Lags under a
 // microsecond count as one microsecond; lags over a minute are ignored.
 func percentile(lags []time.Duration, quantile float64) time.Duration {
 	histogram := hdrhistogram.New(1, int64(maxLag/time.Microsecond), lagDigits)
--- a/internal/lab/replay/node.go
+++ b/internal/lab/replay/node.go
@@ -157,11 +157,11 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// followLog copies the node's log to a file until the process ends. It sends the address on which the node listens to
+// followLog copies the node's log to a file until the process ends. It sends the node's listen address to the channel
 // addresses.
 func (n *node) followLog(output io.Reader, logFile *os.File, addresses chan<- string) {
 	defer close(n.ended)
-	defer func() { _ = logFile.Close() }() // the log is for human readers only, who notice a missing part
+	defer func() { _ = logFile.Close() }() // only human readers use the log, and they notice a missing part
 	lines := bufio.NewScanner(output)
 	for lines.Scan() {
 		_, _ = fmt.Fprintf(logFile, "%s\n", lines.Text()) // a missing line doesn't affect the replay
@@ -176,7 +176,7 @@
 			}
 		}
 	}
-	_ = n.command.Wait() // the exit status of a stopped node is irrelevant
+	_ = n.command.Wait() // fails for a killed node; endedByItself detects other early exits
 }
 
 // isStopped reports whether the replay killed the node or asked it to shut down.
@@ -187,7 +187,7 @@
 }
 
 // stopNodes stops the nodes and waits until they have ended. Nodes that capture their load get a graceful shutdown,
-// which completes the capture. The error includes an ErrNodeEnded for each node that had already exited unasked.
+// which completes the capture. The error includes an ErrNodeEnded for each node that had already exited by itself.
 func (p *player) stopNodes() error {
 	var errs []error
 	for _, node := range p.nodes {
@@ -211,7 +211,7 @@
 	return errors.Join(errs...)
 }
 
-// endedByItself reports whether the process has ended without being stopped by the replay.
+// endedByItself reports whether the process has ended although the replay did not stop it.
 func (n *node) endedByItself() bool {
 	select {
 	case <-n.ended:
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -17,7 +17,7 @@
 
 const (
 	startDelay  = 300 * time.Millisecond // from the start of the nodes to the beginning of the load
-	worstWindow = 10 * time.Second       // length of the window of Result.WorstWindow
+	worstWindow = 10 * time.Second       // length of the windows of Result.WorstWindow
 	lagQuantile = 0.99
 )
 
@@ -36,8 +36,8 @@
 // it is large, the machine was too busy, and the result reflects the machine instead of the program.
 type Result struct {
 	Account     *workload.Account
-	Service     float64
-	WorstWindow float64
+	Service     float64   // fraction of the demand that was served well, weighted by priority
+	WorstWindow float64   // lowest service of any window of length worstWindow
 	Classes     []float64 // service by class
 	Tenants     []float64 // service by tenant
 	Stats       Stats
--- a/internal/lab/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -18,7 +18,7 @@
 func TestPlayWithLostZone(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spurwinch")
 	if out, err := exec.Command("go", "build", "-o", program, "spurwinch/cmd/spurwinch").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("build the program: %v\n%s", err, out)
 	}
 	description, err := fleet.Parse("f", deploy.ExampleFleet)
 	if err != nil {
--- a/internal/lab/shim/shim.go
+++ b/internal/lab/shim/shim.go
@@ -32,9 +32,9 @@
 	ShortRead              // a read returns only part of the available data
 	Write                  // a write is interrupted, or the kernel has no memory for it
 	ShortWrite             // a write accepts only part of the data
-	Wait                   // a wait is interrupted
+	Wait                   // epoll_wait is interrupted
 	Watch                  // epoll_ctl rejects a descriptor
-	Break                  // a connection that the process has opened times out
+	Break                  // a connection that the process has opened times out or becomes unreachable
 	Open                   // the configuration file can't be opened
 	KindCount              // number of kinds
 )
--- a/internal/lab/shim/source/shim.c
+++ b/internal/lab/shim/source/shim.c
@@ -64,7 +64,7 @@
 	return z ^ (z >> 31);
 }
 
-// should_fail draws whether a call of this kind fails now. It counts the failures.
+// should_fail decides at random whether a call of this kind fails now, and counts the failures.
 static int should_fail(enum kind k)
 {
 	uint32_t per_million = control->per_million[k];
@@ -78,7 +78,8 @@
 static long random_error(const int *codes, size_t n) { return -codes[next_random() % n]; }
 #define RANDOM_ERROR(...) random_error((const int[]){__VA_ARGS__}, sizeof((const int[]){__VA_ARGS__}) / sizeof(int))
 
-// file_type returns the file type of a descriptor, such as S_IFSOCK, or 0 for event and timer descriptors.
+// file_type returns the file type of a descriptor, such as S_IFSOCK, or 0 for event and timer descriptors. If fstat
+// fails, it returns S_IFIFO, for which no call is made to fail.
 static unsigned file_type(long fd)
 {
 	struct stat s;
@@ -170,7 +171,7 @@
 		return write_call(nr, a);
 	case SYS_epoll_wait:
 		return should_fail(WAIT) ? -EINTR : pass_through(nr, a);
-	case SYS_epoll_ctl:
+	case SYS_epoll_ctl: // 2 is EPOLL_CTL_DEL, for which the library injects no failure
 		return a[1] != 2 && file_type(a[2]) == S_IFSOCK && should_fail(WATCH) ? RANDOM_ERROR(ENOMEM, ENOSPC)
 			: pass_through(nr, a);
 	case SYS_openat:
--- a/internal/lab/transcript/clients.go
+++ b/internal/lab/transcript/clients.go
@@ -15,7 +15,7 @@
 	lineInterval   = 10 * time.Millisecond // between the lines of one client
 	pieceInterval  = 20 * time.Millisecond // between the two pieces of a split request
 	firstPiece     = 9                     // length in bytes of the first piece of a split request
-	splitEach      = 4                     // one in so many requests is sent in two pieces
+	splitEvery     = 4                     // one in so many requests is sent in two pieces
 	maxClientLines = 40                    // exclusive upper bound of the lines of one client
 )
 
@@ -76,11 +76,11 @@
 	}
 }
 
-// sendOpen requests a connection. It sends one in splitEach requests in two pieces. If a write fails, the read of the
+// sendOpen requests a connection. It sends one in splitEvery requests in two pieces. If a write fails, the read of the
 // answer fails too.
 func sendOpen(connection net.Conn, number int64) {
 	request := fmt.Sprintf("OPEN %x %x c=chat,t=acme,d=900%s", number, number, lineEnd)
-	if number%splitEach == 0 {
+	if number%splitEvery == 0 {
 		_ = send(connection, request[:firstPiece])
 		time.Sleep(pieceInterval)
 		request = request[firstPiece:]
--- a/internal/lab/transcript/compare.go
+++ b/internal/lab/transcript/compare.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// maxExtra is how many bytes the received text may be longer than the expected text with its {*}.
+// maxExtra limits by how many bytes the received text may exceed the expected text, in which {*} counts as 3 bytes.
 const maxExtra = 256
 
-// ending is the way a connection must end, given in place of an expected text.
+// ending is the way a connection must end. A step gives it in place of an expected text.
 type ending string
 
 const (
--- a/internal/lab/transcript/player.go
+++ b/internal/lab/transcript/player.go
@@ -9,7 +9,7 @@
 //	s accept *          take the next connection at any listener whose name starts with h
 //	c > TEXT            send TEXT and CRLF; >> sends TEXT without CRLF
 //	c < TEXT            expect TEXT and CRLF as the next bytes; << expects TEXT without CRLF
-//	c < END             expect the end of the connection; RESET: a reset; SILENCE: no data for a moment
+//	c < END             expect the end of the connection; RESET: a reset; SILENCE: no data for silencePeriod
 //	c end               close c; reset resets it; half closes its sending side only
 //	do NAME             call the callback NAME of the test
 //
@@ -29,7 +29,7 @@
 
 const (
 	waitTimeout    = 20 * time.Second       // for expected data; long enough that no result depends on speed
-	silencePeriod  = 300 * time.Millisecond // how long no data must arrive
+	silencePeriod  = 300 * time.Millisecond // during which no data may arrive
 	maxUnaccepted  = 64                     // connections of the program that no step has accepted yet
 	lineEnd        = "\r\n"
 	callbackKey    = "do" // given in place of a connection's name
@@ -191,7 +191,7 @@
 	return ErrUnknownStep
 }
 
-// expand replaces {NAME} by values in a text, and then its escapes.
+// expand replaces each {NAME} in a text by its value, and then the escapes.
 func (p *Player) expand(text string) (string, error) {
 	for name, value := range p.Values {
 		text = strings.ReplaceAll(text, "{"+name+"}", value)
--- a/internal/lab/transcript/player_test.go
+++ b/internal/lab/transcript/player_test.go
@@ -75,7 +75,8 @@
 			t.Fatal(err)
 		}
 		if err := player.step("c", test.operation, test.text); !errors.Is(err, test.want) {
-			t.Errorf("step %s %s: got error %v, want the error of the case", test.operation, test.text, err)
+			t.Errorf("step %s %s: got error %v, want errTooMuchOutput, or ErrUnknownStep for operation ~",
+				test.operation, test.text, err)
 		}
 	}
 	if err := player.step("d", "<", "x"); !errors.Is(err, ErrNoConnection) {
--- a/internal/lab/transcript/stream.go
+++ b/internal/lab/transcript/stream.go
@@ -18,7 +18,7 @@
 	oneByOneInterval   = 5 * time.Millisecond // between the lines of a OneByOne stream
 	byteByByteInterval = time.Millisecond     // between the lines of a ByteByByte stream
 	bulkLineLength     = 3000                 // bytes
-	bulkPauseEach      = 200                  // mean number of lines between pauses of a bulk reader
+	bulkPauseEvery     = 200                  // mean number of lines between pauses of a bulk reader
 	maxBulkPause       = 60                   // milliseconds, exclusive
 	maxStreamFaults    = 5                    // number of faults that a test prints
 	lastLine           = "last" + lineEnd
@@ -44,10 +44,10 @@
 type Streams struct {
 	Addr string // of the node
 	// Server is the ID of the server where the client's connections are already open, which leaves placement no choice.
-	// If it is empty there is none.
+	// It is empty if there is no such server.
 	Server string
-	// CountMigrated makes a stream of kind OneByOne end and count in Migrated when it is asked to migrate. Without it a
-	// request to migrate is a fault.
+	// CountMigrated makes a stream of kind OneByOne end and count in Migrated when it is asked to migrate. If it is
+	// false, a request to migrate is a fault.
 	CountMigrated bool
 
 	stop        chan struct{}
@@ -239,7 +239,7 @@
 func (s *stream) checkLines() int {
 	rng := rand.New(rand.NewPCG(uint64(s.id), 3))
 	for number := 0; ; number++ {
-		if s.kind == Bulk && rng.IntN(bulkPauseEach) == 0 {
+		if s.kind == Bulk && rng.IntN(bulkPauseEvery) == 0 {
 			time.Sleep(time.Duration(rng.IntN(maxBulkPause)) * time.Millisecond)
 		}
 		_ = s.connection.SetReadDeadline(time.Now().Add(waitTimeout)) // fails only if the connection is closed
--- a/internal/lab/transcript/stream_test.go
+++ b/internal/lab/transcript/stream_test.go
@@ -75,7 +75,8 @@
 			close(streams.stop)
 			streams.running.Wait()
 			if found := len(streams.faults) > 0; found != (name != "none") {
-				t.Errorf("%s, kind %d: got faults %q, want faults except in case none", name, kind, streams.faults)
+				t.Errorf("case %s, stream kind %d: got faults %q, want none in case none and at least one otherwise",
+					name, kind, streams.faults)
 			}
 		}
 	}
@@ -96,7 +97,7 @@
 		"served":       {"UP 1\r\n", echo, counts{established: true}},
 		"rejected":     {"BUSY 1\r\n", echo, counts{rejected: true}},
 		"migrated":     {"UP 1\r\n", migrate, counts{established: true, migrated: true}},
-		"not answered": {"", end, counts{notAccepted: true}},
+		"not accepted": {"", end, counts{notAccepted: true}},
 		"lost":         {"UP 1\r\n", end, counts{established: true, lost: true}},
 	} {
 		clients := &Clients{Addr: startServer(t, test.first, test.answer)}
@@ -114,7 +115,8 @@
 			lost:        clients.Lost.Load() > 0,
 		}
 		if got != test.want {
-			t.Errorf("%s: got counts %+v, want those of the case", name, got)
+			t.Errorf("case %s: got counts %+v, want the outcome in the case's name, and established after UP",
+				name, got)
 		}
 	}
 }
--- a/internal/lab/xmppserver/client.go
+++ b/internal/lab/xmppserver/client.go
@@ -16,7 +16,7 @@
 
 // The login methods.
 const (
-	LoginPlain      LoginMethod = iota // SASL PLAIN, then bind
+	LoginPlain      LoginMethod = iota // SASL PLAIN, then resumption or bind
 	LoginPlainNamed                    // the same as LoginPlain, with the user's name in the stream header
 	LoginSASL2                         // SASL2 with Bind 2 or the resumption inline
 )
@@ -43,8 +43,8 @@
 	deadline time.Time
 }
 
-// Connect establishes a session before the deadline. It resumes the session id if that is set and the server still has
-// the session, and binds a new session otherwise. resumed reports which of the two happened.
+// Connect establishes a session before the deadline. It resumes the session with the given ID if the ID is set and the
+// server still has the session, and binds a new session otherwise. resumed reports which of the two happened.
 func Connect(addr, user, id string, method LoginMethod, deadline time.Time) (client *Client, resumed bool, err error) {
 	client, err = dial(addr, deadline)
 	if err != nil {
@@ -108,7 +108,8 @@
 	return nil
 }
 
-// logIn opens the stream, authenticates and resumes the session id. If that is impossible, it binds a new session.
+// logIn opens the stream, authenticates and resumes the session with the given ID. If that is
+// impossible, it binds a new session.
 func (c *Client) logIn(user, id string, method LoginMethod) (resumed bool, err error) {
 	header := streamHeaderStart + streamHeaderEnd
 	if method == LoginPlainNamed {
@@ -131,7 +132,7 @@
 	return false, c.bind()
 }
 
-// authenticateInline authenticates by SASL2. done reports that a session is established, resumed or new.
+// authenticateInline authenticates by SASL2. done reports whether a session, resumed or new, is established.
 func (c *Client) authenticateInline(credentials, id string) (resumed, done bool, err error) {
 	inline := "<bind xmlns='" + bind2NS + "'>" + enableRequest + "</bind>"
 	if id != "" {
@@ -150,7 +151,7 @@
 	return false, !strings.Contains(reply, "<failed"), nil
 }
 
-// authenticate authenticates by SASL, opens a new stream and resumes the session id if that is set.
+// authenticate authenticates by SASL, opens a new stream and resumes the session with the given ID if the ID is set.
 func (c *Client) authenticate(header, credentials, id string) (resumed bool, err error) {
 	request := "<auth xmlns='" + saslNS + "' mechanism='PLAIN'>" + credentials + "</auth>"
 	if _, err := c.Exchange(request, "<success"); err != nil {
@@ -184,8 +185,8 @@
 	return err
 }
 
-// Exchange writes a text and reads up to a tag that ends or begins with until. It returns the text that was read, even
-// with an error. A stream error is reported as ErrStream.
+// Exchange writes a text and reads up to a tag that ends or begins with the text until. It returns the text that it has
+// read, even with an error. A stream error is reported as ErrStream.
 func (c *Client) Exchange(text, until string) (string, error) {
 	if err := c.Conn.SetDeadline(c.deadline); err != nil {
 		return "", err
--- a/internal/lab/xmppserver/server.go
+++ b/internal/lab/xmppserver/server.go
@@ -1,6 +1,6 @@
 // Package xmppserver provides an XMPP server and client for tests and measurements, written from the published
-// specifications (RFC 6120, XEP-0198, XEP-0386, XEP-0388). The server accepts any user, binds, keeps sessions that can
-// be resumed, and answers each request.
+// specifications (RFC 6120, XEP-0198, XEP-0386, XEP-0388). The server accepts any user, binds
+// resources, keeps sessions that can be resumed, and answers each request.
 package xmppserver
 
 import (
@@ -28,7 +28,7 @@
 // Server is an XMPP server for tests. Its exported fields must be set before the first client connects.
 type Server struct {
 	Addr          string
-	ResumeSeconds int // resumption timeout that the server announces to clients
+	ResumeSeconds int // resumption timeout in seconds that the server announces to clients
 	// SeeOther is the address to which the server redirects clients. If it is empty, the server serves them itself.
 	SeeOther string
 
--- a/internal/lab/xmppserver/stream.go
+++ b/internal/lab/xmppserver/stream.go
@@ -125,7 +125,8 @@
 	s.write("<stream:features><bind xmlns='%s'/><sm xmlns='%s'/></stream:features>", bindNS, smNS)
 }
 
-// answer answers a child of the stream. newStream reports that the client opens a new stream on the connection.
+// answer answers a child of the stream. newStream reports whether the client now opens a new stream on the
+// connection.
 func (s *stream) answer(child *element) (newStream bool) {
 	switch child.XMLName {
 	case xml.Name{Space: saslNS, Local: "auth"}:
