--- a/choice/admission.go
+++ b/choice/admission.go
@@ -3,7 +3,7 @@
 import "math"
 
 // Admission control and load shedding. On a full fleet, dropped connections cause new setups, whose load causes further
-// drops. Therefore a fraction of all requests is rejected immediately, those of low priority first.
+// drops. Therefore a fraction of all requests is rejected immediately, low priorities first.
 
 const (
 	passRateGain = 2.0 // change rate of the pass rate, per second and unit of load above or below crowdedLoad
--- a/choice/balancer.go
+++ b/choice/balancer.go
@@ -68,8 +68,9 @@
 	return balancer, nil
 }
 
-// applySettings applies settings that were checked. Requests in progress keep the class that they arrived with. Learned
-// values are kept unless the meaning of reports changes, and tables of tenants and classes only grow.
+// applySettings applies settings that the caller has validated. Requests in progress keep the class that they arrived
+// with. The balancer keeps learned values unless the meaning of reports changes. The tables of tenants and classes only
+// grow.
 func (b *Balancer) applySettings(settings Settings) {
 	b.messageObjective = settings.shortestMessageObjective()
 	if settings.Reports == NoReports { // without reports, health checks can't show overload
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -46,7 +46,7 @@
 	requestCount          int
 }
 
-// scriptAttempt is an attempt of which the caller has not yet reported the end.
+// scriptAttempt is an attempt whose end the caller has not reported yet.
 type scriptAttempt struct {
 	id        RequestID
 	attempt   int
@@ -83,7 +83,7 @@
 	events = append(events, c.healthCheckEvents()...)
 	events = append(events, c.connectionEvents()...)
 	events = append(events, c.otherEvents()...)
-	// otherEvents may report the end of a real attempt, which is then no longer in flight.
+	// otherEvents may report the end of an attempt in flight.
 	c.inFlight = slices.DeleteFunc(c.inFlight, func(attempt scriptAttempt) bool {
 		return slices.ContainsFunc(events, func(event Event) bool {
 			ended, ok := event.(AttemptEnded)
--- a/choice/inference.go
+++ b/choice/inference.go
@@ -14,13 +14,14 @@
 	// maxHealthyLoad is the highest load inferred for a server while nothing indicates overload. At about this load,
 	// messages start to become slower.
 	maxHealthyLoad     = 0.7
-	maxInferredLoad    = 1.5 // upper limit of an inferred load; the exact excess beyond it makes no difference
+	maxInferredLoad    = 1.5 // upper limit of an inferred load; how far the load exceeds it makes no difference
 	priorAverageLoad   = 0.5 // prior of the fleet's average load, while there are few observations
-	priorAverageWeight = 3.0 // weight of that prior, in observations of a mean server
+	priorAverageWeight = 3.0 // weight of that prior, in observations of a server of mean weight
 	estimatePrior      = 4.0 // weight of the prior that a server has the average load, in connections
-	// setupSteps determines how far the typical setup time moves at each observation: by 1/setupSteps of its value, up
-	// or down. Since all steps have the same size, it converges to the median, and outliers have no higher weight.
-	setupSteps        = 20
+	// Each observation moves the typical setup time up or down by 1/setupStepDivisor of its value. Because the size of
+	// a step doesn't depend on the observed time, the typical time converges to the median, and outliers have no higher
+	// weight.
+	setupStepDivisor  = 20
 	slowSetupMultiple = 2 // multiple of the typical setup time; only the time beyond it counts as a delay
 
 	// A delay of up to 1/slowDelayDivisor of the messages' latency objective is no evidence of load. A longer delay
@@ -91,7 +92,7 @@
 // inferFromSetup infers a server's load from a slow connection setup. A fast setup is no evidence of low load, since
 // setups may be fast on a server whose messages are slow.
 func (b *Balancer) inferFromSetup(server *serverEntry, took time.Duration) {
-	step := b.inference.typicalSetup / setupSteps
+	step := b.inference.typicalSetup / setupStepDivisor
 	switch {
 	case b.inference.typicalSetup == 0:
 		b.inference.typicalSetup = took
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -81,7 +81,7 @@
 	}
 	if !event.Outcome.NeverRan() && request.mayHaveRunOn == nil {
 		request.mayHaveRunOn = server
-		request.retryBefore = request.class.keyExpires(request.startedAt) - keyRoundTrips*b.settings.RoundTrip
+		request.retryBefore = request.class.keyExpiresAt(request.startedAt) - keyRoundTrips*b.settings.RoundTrip
 	}
 	request.tried = append(request.tried, server)
 	if reason := b.whyNoRetry(request); reason != Unspecified {
@@ -165,7 +165,8 @@
 	b.forget(request)
 }
 
-// withdraw ends a request on TimeUp because the node can't wait any longer, for example at a shutdown.
+// withdraw handles TimeUp. It ends a request without a connection because the node can't wait for one any longer, for
+// example during a shutdown.
 func (b *Balancer) withdraw(id RequestID) {
 	if request := b.requests[id]; request != nil && !request.open {
 		b.endWithoutConnection(request, Withdrawn)
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -65,9 +65,9 @@
 	IdempotencyWindow time.Duration `cbor:"Window"`
 }
 
-// keyExpires returns the time from which servers no longer recognize the idempotency key of a request that was sent at
-// the given time. It returns 0 if the class has no keys.
-func (c *Class) keyExpires(sent time.Duration) time.Duration {
+// keyExpiresAt returns the time at which the servers forget the idempotency key of a request that was sent at the given
+// time. It returns 0 if requests of the class have no keys.
+func (c *Class) keyExpiresAt(sent time.Duration) time.Duration {
 	if c.Idempotency != IdempotentByKey {
 		return 0
 	}
--- a/internal/consensus/replica/golden_exchange_test.go
+++ b/internal/consensus/replica/golden_exchange_test.go
@@ -88,6 +88,7 @@
 	}
 }
 
+// tick lets one tick pass on each of the given replicas, then runs until no message is in flight.
 func (e *exchangeRecorder) tick(numbers ...int) {
 	for _, i := range numbers {
 		e.replicas[i].Tick()
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -8,7 +8,7 @@
 	"spurwinch/choice"
 )
 
-// leaseHarness runs a core with two classes, of which the first has a base policy, and records the core's decisions
+// leaseHarness runs a core with two classes, the first with a base policy, and records the core's decisions
 // under its lease.
 type leaseHarness struct {
 	*harness
--- a/internal/edge/reply.go
+++ b/internal/edge/reply.go
@@ -45,9 +45,9 @@
 }
 
 // rejectNow asks the balancer to answer a request now, and then cancels the request's attempt. The balancer decides
-// whether the request is rejected or fails, since whether a retry is harmless depends on which attempts may have run
-// and on the class. The other fields of the answer are those of reply. A request of which the
-// balancer was never notified gets reply at once.
+// whether the request is rejected or fails, because it knows the class and the attempts that may have run, which
+// determine whether a retry is harmless. The other fields of the answer are taken from reply. If the balancer was never
+// notified of the request, the client gets reply at once.
 func (r *Request) rejectNow(reply LocalReply) {
 	switch {
 	case !r.waiting():
--- a/internal/failover/agent/agent.go
+++ b/internal/failover/agent/agent.go
@@ -19,7 +19,7 @@
 // suspended.
 const suspendThreshold = time.Second
 
-// Errors of New that the operator has to fix in the node's settings.
+// Errors that New returns if the operator has to correct the node's settings.
 var (
 	ErrNotListed = errors.New("this node is not in the list of nodes")
 	ErrNoVoter   = errors.New("this program cannot run a voter")
--- a/internal/failover/agent/calls_test.go
+++ b/internal/failover/agent/calls_test.go
@@ -61,7 +61,7 @@
 				t.Fatal(err)
 			}
 			if reply.Error != test.wantReason || reply.BadCall != test.wantBad || reply.Retry != test.wantRetry {
-				t.Errorf("error of the reply: got %+v, want that of %+v", reply, test)
+				t.Errorf("Answer: got reply %+v, want the error, BadCall and Retry of %+v", reply, test)
 			}
 			if reply.Node != "a" || reply.Zone != "z" {
 				t.Errorf("sender of the reply: got node %q in zone %q, want node a in zone z", reply.Node, reply.Zone)
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -79,7 +79,7 @@
 
 // logPolicy logs the policy in force.
 func (a *Agent) logPolicy(event string, state *policy.State, entry uint64) {
-	text, _ := state.Text(state.Number) // if the state has no such document, the digest is that of an empty text
+	text, _ := state.Text(state.Number) // without such a document, the digest of an empty text is logged
 	a.options.Log(event, "number", state.Number, "digest", policy.Digest(text), "entry", entry)
 }
 
--- a/internal/failover/allocation_test.go
+++ b/internal/failover/allocation_test.go
@@ -30,6 +30,7 @@
 	})
 }
 
+// drawDemand draws the demand of up to six zones, two to a region.
 func drawDemand(t *rapid.T) demand {
 	zones := rapid.IntRange(1, 6).Draw(t, "zones")
 	wanted := demand{
--- a/internal/failover/evidence_sum.go
+++ b/internal/failover/evidence_sum.go
@@ -46,8 +46,8 @@
 	return evidence
 }
 
-// Accumulate adds the counts of earlier observations that were not reported yet to those of later observations. Levels,
-// such as loads, are taken from the later observations.
+// Accumulate adds the counts of earlier observations that were not reported yet to the counts of later observations.
+// Levels, such as loads, are taken from the later observations.
 func Accumulate(earlier, later choice.Observations) choice.Observations {
 	sum := choice.Observations{Zones: slices.Clone(later.Zones), Classes: slices.Clone(later.Classes)}
 	for i, class := range earlier.Classes[:min(len(earlier.Classes), len(sum.Classes))] {
@@ -83,8 +83,8 @@
 	s.Nodes = append(s.Nodes, other.Nodes...)
 }
 
-// matchClasses returns the indices of classes in this summary and adds the classes that the summary doesn't have. The
-// index of a class beyond MaxClasses is -1.
+// matchClasses returns the indices of classes in this summary and adds the classes that the summary doesn't have. If it
+// already has MaxClasses classes, it adds none, and the index of a missing class is -1.
 func (s *EvidenceSummary) matchClasses(names []string) []int {
 	indexes := make([]int, len(names))
 	for i, name := range names {
--- a/internal/failover/failure_detection.go
+++ b/internal/failover/failure_detection.go
@@ -36,8 +36,8 @@
 // ejectedFraction returns the fraction of the ready servers that is ejected.
 func (v *zoneView) ejectedFraction() float64 { return float64(v.Ejected / v.Ready) }
 
-// viewZone returns the evidence about a zone's servers: that of its own nodes if it is fresh, otherwise the sum over
-// the nodes of other zones. ok is false if there is neither.
+// viewZone returns the evidence about a zone's servers. It returns the evidence from the zone's own nodes if it is
+// fresh, otherwise the sum over the nodes of other zones. ok is false if there is neither.
 func (p *Planner) viewZone(zone string, now time.Duration) (view zoneView, ok bool) {
 	if own := &p.zoneStates[zone].report; own.fresh(now) {
 		if evidence, found := own.summary.ofZone(zone); found && evidence.Nodes > 0 {
--- a/internal/failover/grant_builder.go
+++ b/internal/failover/grant_builder.go
@@ -85,8 +85,8 @@
 	return missing
 }
 
-// spreadHeadroom adds headroom to the targets. It uses near capacity first: the zone's own, then that of its region,
-// then the rest.
+// spreadHeadroom adds headroom to the targets. It first uses the zone's own capacity, then the capacity of its region,
+// then the capacity of other regions.
 func (b *grantBuilder) spreadHeadroom(missing []float64) {
 	for _, cost := range b.demand.distinctPathCosts() {
 		claims, claimed := b.headroomClaims(cost, missing)
--- a/internal/failover/lease_demand.go
+++ b/internal/failover/lease_demand.go
@@ -10,7 +10,7 @@
 
 const (
 	leaseAheadFraction  = 0.75 // of a node's granted load; above it the node requests leases before it needs them
-	minLeaseRequest     = 0.5  // load; nodes don't request less
+	minLeaseRequest     = 0.5  // load; a node requests at least this much
 	ejectedZoneFraction = 0.5  // of a zone's servers; if at least this fraction is ejected, nodes lease nothing there
 )
 
--- a/internal/failover/observe.go
+++ b/internal/failover/observe.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Observe processes the evidence of a zone's nodes, which one of the zone's aggregators has summed. Of stale evidence,
-// which was delayed in transit, only the statuses of the nodes are used.
+// Observe processes the evidence from a zone's nodes, which one of the zone's aggregators has summed. From stale
+// evidence, which was delayed in transit, it uses only the statuses of the nodes.
 func (p *Planner) Observe(aggregator int, summary EvidenceSummary, stale bool, now time.Duration) {
 	state := p.zoneStates[summary.Zone]
 	if state == nil {
--- a/internal/failover/plan_lookup.go
+++ b/internal/failover/plan_lookup.go
@@ -38,7 +38,8 @@
 	return 0
 }
 
-// grantedLoadByName is grantedLoad for zones given by name. It returns 0 if one of them is not in the plan.
+// grantedLoadByName returns the same as grantedLoad, for zones given by name. It returns 0 if the plan lacks one
+// of them.
 func (p *Plan) grantedLoadByName(fromZone, toZone string) float64 {
 	from := p.zoneIndex(fromZone)
 	to := p.zoneIndex(toZone)
--- a/internal/failover/plans_in_use_test.go
+++ b/internal/failover/plans_in_use_test.go
@@ -174,8 +174,8 @@
 	return true
 }
 
-// check assumes that each node uses, of the plans that it may still have, the one that gives it the largest share in a
-// zone, and checks that all nodes together stay within the zone's capacity.
+// check checks that all nodes together stay within a zone's capacity, even if each node uses the plan that gives it the
+// largest share in the zone among the plans that it may still have.
 func (f *mixedFleet) check(t *rapid.T, step, zone int) {
 	name := zoneName(zone)
 	total := 0.0
--- a/internal/failover/reserves.go
+++ b/internal/failover/reserves.go
@@ -24,8 +24,8 @@
 	return slices.MinFunc(live, func(a, b int) int { return cmp.Compare(p.list.Key(a, a), p.list.Key(b, b)) })
 }
 
-// reservesInUse returns, by lease owner, the most load that the owner may have leased out of a zone's capacity under
-// plans that may still be in use. total is the sum over all owners.
+// reservesInUse returns the largest load, by lease owner, that the owner may have leased to nodes from a zone's
+// capacity under plans that may still be in use. total is the sum over all owners.
 func (p *Planner) reservesInUse(zone string, now time.Duration) (byOwner map[int]float64, total float64) {
 	byOwner = map[int]float64{}
 	for planIndex := range p.knownPlans {
--- a/internal/failover/schedule_test.go
+++ b/internal/failover/schedule_test.go
@@ -171,6 +171,7 @@
 	}
 }
 
+// recordZonePlan records a node's granted shares and its zone plan in the given mode.
 func (f *testFleet) recordZonePlan(node int, mode Mode) {
 	zone := f.list.Node(node).Zone
 	fmt.Fprintf(&f.text, " %v: parts", mode)
@@ -188,6 +189,7 @@
 	fmt.Fprintln(&f.text)
 }
 
+// recordLeaseDemand records the leases that a node requests, first without and then with ejected servers.
 func (f *testFleet) recordLeaseDemand(node int) {
 	zone := f.list.Node(node).Zone
 	observed := choice.Observations{
--- a/internal/failover/zone_plan_test.go
+++ b/internal/failover/zone_plan_test.go
@@ -8,7 +8,7 @@
 	"spurwinch/choice"
 )
 
-// twoRegionPlan returns a plan of three zones, of which the first two are in one region. Node 2 is lost.
+// twoRegionPlan returns a plan of three zones. The first two are in the same region. Node 2 is lost.
 func twoRegionPlan() *Plan {
 	return &Plan{
 		Zones: []Zone{
--- a/internal/failover/zone_state.go
+++ b/internal/failover/zone_state.go
@@ -24,11 +24,11 @@
 	ramp         float64       // fraction of its capacity that plans use again, while it is Returning
 }
 
-// zoneReport is the newest evidence of a zone's nodes.
+// zoneReport is the newest evidence from a zone's nodes, summed by one of the zone's aggregators.
 type zoneReport struct {
 	summary    EvidenceSummary
 	at         time.Duration // when it was received; 0: never
-	aggregator int           // node that sent it
+	aggregator int           // index of the node that sent it
 }
 
 // fresh reports whether evidence was received and is not older than evidenceLifetime.
--- a/internal/node/fleetpolicy.go
+++ b/internal/node/fleetpolicy.go
@@ -16,7 +16,7 @@
 // policyState is the state of the fleet's policy on this node.
 type policyState struct {
 	program  *Program
-	applied  bool // the policy that number stands for is in use
+	applied  bool // the policy with this number is in use
 	number   uint64
 	document *policy.Document // nil: the node uses its own files
 	onBase   bool             // the lease has expired; classes with a base policy are served under it
@@ -24,7 +24,7 @@
 }
 
 // policyOptions returns options with which the agent checks policy documents against this node's capacity. It returns
-// nil if the fleet has no policy on its log.
+// nil if the fleet has no policy in its log.
 func (f *fleet) policyOptions() *agent.Policy {
 	if f.config.List.Policy == nil {
 		return nil
@@ -73,7 +73,7 @@
 	}
 }
 
-// usePolicy applies a policy; number 0 stands for the node's own files. It returns false if this node can't apply the
+// usePolicy applies a policy; number 0 means the node's own files. It returns false if this node can't apply the
 // policy.
 func (f *fleet) usePolicy(number uint64, text []byte) bool {
 	var document *policy.Document
@@ -136,7 +136,7 @@
 }
 
 // servesPolicy reports whether this node admits requests under the policy in force. It is always true if the fleet has
-// no policy on its log.
+// no policy in its log.
 func (f *fleet) servesPolicy() bool {
 	if f.config.List.Policy == nil {
 		return true
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -20,7 +20,7 @@
 
 const (
 	unknownVersion = -1 // version of a list from another discovery address, so that the whole list is requested again
-	noSocket       = -1 // stands for a missing datagram socket descriptor
+	noSocket       = -1 // used in place of the descriptor if there is no datagram socket
 )
 
 // hotRestart is this process's state for replacing the node's process without interrupting service. It holds the grant
--- a/internal/node/resume_test.go
+++ b/internal/node/resume_test.go
@@ -24,7 +24,7 @@
 	extraConfig string // beginning of the operator's file: further listeners, certificates, limits
 }
 
-// noneDraining stands for the index of a draining server if no server is draining.
+// noneDraining is the index to pass if no server is draining.
 const noneDraining = -1
 
 func newXMPPNode(tb testing.TB, servers int, extraConfig string) *xmppNode {
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -29,7 +29,7 @@
 	successor    *process
 }
 
-// newRestartedNode sets up a node with both fronts, each of which has one server.
+// newRestartedNode sets up a node with both front ends and one server for each.
 func newRestartedNode(tb testing.TB, server string, sockets int) *restartedNode {
 	tb.Helper()
 	dir := tb.TempDir()
@@ -98,7 +98,7 @@
 	})
 }
 
-// reload makes the next process reread its files, which are valid.
+// reload makes the next process reread its files. The files are valid, so the process must apply them.
 func (n *restartedNode) reload() {
 	next := n.successor
 	next.runOn(func() {
--- a/internal/policy/abort_reason.go
+++ b/internal/policy/abort_reason.go
@@ -6,7 +6,7 @@
 )
 
 // abortReason is the reason why the leader aborts a change without an operator's request. Its text is stored in the
-// change's outcome on the log and shown to operators.
+// change's outcome in the log and shown to operators.
 type abortReason interface{ String() string }
 
 // rejectedByMember means that a live member reported that it can't apply the change.
--- a/internal/policy/diff.go
+++ b/internal/policy/diff.go
@@ -71,6 +71,7 @@
 
 func (c Class) label() string { return "class " + c.Name }
 
+// text returns the class as a diff shows it to operators.
 func (c Class) text() string {
 	return fmt.Sprintf("{Name:%s Aim:%v Patience:%v MessageAim:%v Worth:%v Ground:%v}",
 		c.Name, c.SetupObjective, c.Deadline, c.MessageObjective, c.Priority, c.ServedByBase)
@@ -78,10 +79,12 @@
 
 func (t Tenant) label() string { return "tenant " + t.Name }
 
+// text returns the tenant as a diff shows it to operators.
 func (t Tenant) text() string {
 	return fmt.Sprintf("{Name:%s Connections:%v Rate:%v}", t.Name, t.Connections, t.Rate)
 }
 
+// text returns the rules as a diff shows them to operators. Without rules in the document, the list of nodes has them.
 func (r *FailoverRules) text() string {
 	if r == nil {
 		return "as the list of nodes says"
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -13,11 +13,11 @@
 // its last document or rejects requests. A base policy may therefore be in use at the same time as any later document.
 // For this reason, Propose rejects a document that forbids what such a base policy allows.
 //
-// The fleet agent (internal/failover/agent) owns the State, keeps it on the log and on disk, and on the leader also
+// The fleet agent (internal/failover/agent) owns the State, keeps it in the log and on disk, and on the leader also
 // owns the Rollout. internal/config reads a Document from TOML, internal/node applies it on top of the node's own
 // settings, and spurwinchctl checks and compares documents. The package does no I/O, starts no goroutine and reads no
 // clock. Callers pass the time in. States are immutable values; each change creates a new one.
 //
-// The golden files under testdata fix the encoded forms: CBOR arrays on the log and in messages, and JSON names in
+// The golden files under testdata fix the encoded forms: CBOR arrays in the log and in messages, and JSON names in
 // answers to operators. A type with the tag toarray is encoded by position, so its fields must keep their order.
 package policy
