--- a/internal/config/fleetlist.go
+++ b/internal/config/fleetlist.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// buildList sets List, which numbers the nodes, and Addr. The numbers are the same on all nodes that read the list.
+// buildList numbers the nodes and sets List and Addr. Every node that reads the same file gets the same numbers.
 func (l *FleetList) buildList(file *tomlfile.File) {
 	var nodes []membership.Node
 	for _, node := range l.NodeList {
--- a/internal/loop/helpers_test.go
+++ b/internal/loop/helpers_test.go
@@ -30,7 +30,7 @@
 func (r *recordingHandler) OnEnd(err error)    { r.end <- err }
 func (r *recordingHandler) OnDrained()         {}
 
-// evictableHandler may be evicted, and sends a reply when it is.
+// evictableHandler is a recordingHandler whose connection may be evicted. On eviction it sends the reply BUSY.
 type evictableHandler struct {
 	*recordingHandler
 	conn *Conn
@@ -81,7 +81,7 @@
 	t.Helper()
 	onLoop(l, func() {
 		if l.timersYielded { // left over from an earlier poll
-			t.Error("late timers are waiting before the events of the test, want none")
+			t.Error("before the events of the test: got late timers that have not run, want none")
 			return
 		}
 		fn()
@@ -95,7 +95,7 @@
 	case value := <-from:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatal("no value received before the test timeout")
+		t.Fatal("receiving from a channel: got no value before the test timeout")
 	}
 	panic("not reached")
 }
@@ -160,7 +160,7 @@
 	return errors.Join(err, conn.Close())
 }
 
-// readEcho waits until the byte that was sent comes back.
+// readEcho reads the echo of the one byte that was sent.
 func readEcho(conn net.Conn) error {
 	_, err := io.ReadFull(conn, make([]byte, 1))
 	return err
@@ -202,6 +202,6 @@
 		}
 	}
 	if !arrived {
-		t.Error("sent bytes are not acknowledged, so the test did not provoke the race")
+		t.Error("acknowledgement of the sent bytes: got none in time, so the test did not provoke the race")
 	}
 }
--- a/internal/loop/kernel_test.go
+++ b/internal/loop/kernel_test.go
@@ -108,11 +108,11 @@
 			go func() { echoed <- readEcho(conn) }()
 		})
 		if err := receive(t, echoed); err != nil {
-			t.Errorf("accept failed with %v: client got %v, want a reply", failure, err)
+			t.Errorf("reading the echo after accept failed with %v: got error %v, want none", failure, err)
 		}
 		kernel.set(func() {
 			if len(kernel.accept) > 0 {
-				t.Errorf("accept did not fail with %v, so the test did not provoke the race", failure)
+				t.Errorf("accept: got no failure with %v, so the test did not provoke it", failure)
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 	}
 	// Only the received bytes matter, not how the peer's connection ends.
 	if got, _ := io.ReadAll(peer); string(got) != "one " {
-		t.Errorf("peer read %q, want only the data written before the failure", got)
+		t.Errorf("reading as the peer: got %q, want only the data written before the failure", got)
 	}
 }
 
@@ -152,7 +152,7 @@
 		eventLoop.EvictIdle(0)
 	})
 	if got, err := io.ReadAll(peer); string(got) != "BUSY" || err != nil {
-		t.Errorf("evicted client read %q, error %v, want the whole reply", got, err)
+		t.Errorf("reading as the evicted client: got %q and error %v, want the whole reply BUSY", got, err)
 	}
 }
 
@@ -198,7 +198,7 @@
 			kernel.set(func() { kernel.watch = []error{failure, failure} })
 		})
 		if err := checkServed(address); err != nil {
-			t.Errorf("epoll failed with %v: client got %v, want a reply", failure, err)
+			t.Errorf("echo after epoll failed with %v: got error %v, want none", failure, err)
 		}
 	}
 }
--- a/internal/loop/listen.go
+++ b/internal/loop/listen.go
@@ -187,9 +187,9 @@
 	return conn
 }
 
-// acceptWithSpare closes the spare descriptor and accepts a connection in its place when no other descriptor is left.
-// The client then gets a reply, and the listener does not spin. If descriptors were exhausted only for a moment, the
-// spare is opened again at once.
+// acceptWithSpare closes the spare descriptor and accepts a connection with it. It is called when no other descriptor
+// is left. The client then gets a reply, and the pending connection does not wake the loop again and again. If another
+// descriptor has become free in the meantime, acceptWithSpare opens the spare again at once.
 func (l *Loop) acceptWithSpare(listener int) (fd int, from unix.Sockaddr, err error) {
 	if l.spareFD < 0 {
 		l.openSpare()
@@ -212,7 +212,7 @@
 	ln.loop.At(ln.loop.Now().Add(transientRetryPause), ln.resume)
 }
 
-// resume watches the listener again after pauseAccepting.
+// resume ends the pause that pauseAccepting began. If the listener can't be watched, it begins another pause.
 func (ln *Listener) resume() {
 	if !ln.listening {
 		return
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// Stop makes Run return.
+// Stop makes Run return after the current event. It must be called on the loop's goroutine.
 func (l *Loop) Stop() { l.stopping = true }
 
 // Run handles events until Stop is called.
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -193,6 +193,6 @@
 	})
 	receive(t, done)
 	if want := []int{1, 2, 3, 4}; !slices.Equal(order, want) {
-		t.Errorf("timers ran in the order %v, want %v", order, want)
+		t.Errorf("running the timers: got the order %v, want %v", order, want)
 	}
 }
--- a/internal/loop/race_test.go
+++ b/internal/loop/race_test.go
@@ -55,7 +55,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		if !conn.writeFailed {
-			t.Error("writes still succeed after the reset, so the test did not provoke the race")
+			t.Error("Write after the reset: got no failure in time, so the test did not provoke the race")
 		}
 		conn.fail(errors.New("error as reported by failLater"))
 	})
@@ -81,12 +81,12 @@
 		sendAndAwaitAck(t, peer, "a line that nobody expects\r\n")
 		conn.lingerExpired() // called by its timer in production
 		if conn.closed {
-			t.Error("lingerExpired closed the connection with unread bytes, which sends a reset; want it open")
+			t.Error("lingerExpired with unread bytes: got the connection closed, which sends a reset, want it open")
 		}
 	})
 	data, err := io.ReadAll(peer)
 	if string(data) != reply || errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("peer read %d bytes, error %v, want the %d bytes of the reply", len(data), err, len(reply))
+		t.Errorf("peer: got %d bytes and error %v, want the %d bytes of the reply", len(data), err, len(reply))
 	}
 }
 
@@ -123,7 +123,7 @@
 	}
 	onLoop(eventLoop, func() {
 		if conn.closed || conn.ending {
-			t.Error("connection was evicted although its request had arrived, want it open")
+			t.Error("eviction: got the connection with a request evicted, want it open")
 		}
 	})
 }
@@ -150,11 +150,11 @@
 		t.Errorf("OnData: got %q, want the request", data)
 	}
 	if data, err := io.ReadAll(idle); string(data) != "BUSY" || err != nil {
-		t.Errorf("idle client read %q, error %v, want its reply", data, err)
+		t.Errorf("reading as the idle client: got %q and error %v, want the reply BUSY", data, err)
 	}
 	onLoop(eventLoop, func() {
 		if active.closed || active.ending {
-			t.Error("CloseIdle ended a connection whose request had arrived, want it open")
+			t.Error("CloseIdle: got a connection ended although its request had arrived, want it open")
 		}
 	})
 }
--- a/internal/loop/transfer_test.go
+++ b/internal/loop/transfer_test.go
@@ -67,7 +67,7 @@
 	receive(t, pair.received)
 	onLoop(eventLoop, func() {
 		if len(pair.received) != 0 {
-			t.Error("detached connection: data was read, want none read before Reattach")
+			t.Error("reading of a detached connection: got data, want none before Reattach")
 		}
 		// One of the two must be evicted, but not the detached one, which this process must not end.
 		eventLoop.SetIdleLimit(1)
--- a/internal/loop/unix.go
+++ b/internal/loop/unix.go
@@ -13,7 +13,7 @@
 // MaxDescriptorsPerMessage is the maximum number of descriptors that the kernel passes with one message.
 const MaxDescriptorsPerMessage = 253
 
-// unixBacklog is the number of connections that may wait to be accepted at a Unix socket.
+// unixBacklog is the maximum number of pending connections of a Unix listener.
 const unixBacklog = 4
 
 // ListenUnix starts to accept connections from this machine at path. They are uncounted, like those of ListenApart. The
--- a/internal/operations/hotrestart/helpers_test.go
+++ b/internal/operations/hotrestart/helpers_test.go
@@ -60,7 +60,8 @@
 	return func() Grant { return Grant{Datagrams: noDescriptor, DescriptorQuota: descriptors} }
 }
 
-// socketPath returns a path for the socket. The name of its directory is short for every test name (see maxPathBytes).
+// socketPath returns a path for a parent's socket. Its length doesn't depend on the test's name, which may be too long
+// for a socket path (see maxPathBytes).
 func socketPath(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "hr") //nolint:usetesting // t.TempDir has the test's name in the path
--- a/internal/operations/hotrestart/transfer_test.go
+++ b/internal/operations/hotrestart/transfer_test.go
@@ -163,7 +163,8 @@
 	reader *bufio.Reader
 }
 
-// linkToParent starts a parent that sends a grant, and returns the parent and the grant.
+// linkToParent listens as a parent, sends a grant to requestGrant, and returns the parent's end of the link and the
+// grant.
 func linkToParent(t *testing.T) (grantingParent, *Grant) {
 	t.Helper()
 	path := socketPath(t)
--- a/internal/operations/stats/stats.go
+++ b/internal/operations/stats/stats.go
@@ -85,7 +85,7 @@
 	return appendMetric(buf, uint64(max(0, value)), gauge, name)
 }
 
-// appendMetric appends a line in the StatsD format: gw.NAME:VALUE|KIND.
+// appendMetric appends a line in the StatsD format: gw.NAME:VALUE|KIND. Dots join the parts of the name.
 func appendMetric(buf []byte, value uint64, kind metricKind, name ...string) []byte {
 	buf = append(buf, prefix...)
 	for _, part := range name {
--- a/internal/platform/discovery/outcome.go
+++ b/internal/platform/discovery/outcome.go
@@ -25,7 +25,7 @@
 // OnConnect sends the request that waits for the connection.
 func (w *Watch) OnConnect() { w.conn.Write([]byte(w.call.request)) }
 
-// OnData handles bytes of the response. Bytes without a call in flight close the connection.
+// OnData handles bytes of the response. If no call is in flight, it closes the connection instead.
 func (w *Watch) OnData(data []byte) {
 	if !w.polling {
 		w.close()
--- a/internal/platform/discovery/recovery_test.go
+++ b/internal/platform/discovery/recovery_test.go
@@ -35,7 +35,7 @@
 				delay := service.deliveryDelay(list, failures, hanging)
 				t.Logf("change delivered %v after the outage", delay)
 				if delay > maxDeliveryDelay {
-					t.Errorf("change delivered %v after the outage, want at most %v", delay, maxDeliveryDelay)
+					t.Errorf("delivery: got it %v after the outage, want at most %v", delay, maxDeliveryDelay)
 				}
 			})
 		}
@@ -50,7 +50,7 @@
 			t.Parallel()
 			delay := newOutage(t, kind).deliveryDelay(knownList(), 0, 1)
 			if delay > 2*defaultTiming.bodyTimeout {
-				t.Errorf("change delivered %v after the outage, want at most twice the body timeout", delay)
+				t.Errorf("delivery of a change: got it %v after the outage, want at most twice the body timeout", delay)
 			}
 		})
 	}
--- a/internal/platform/discovery/watch_test.go
+++ b/internal/platform/discovery/watch_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestFailedCallIsReportedAndRepeated checks that the balancer is notified when a call to the service fails, and that
-// the call is repeated although the balancer requests none.
+// the watch repeats the call although the balancer doesn't request it.
 func TestFailedCallIsReportedAndRepeated(t *testing.T) {
 	discovery := startDiscovery(t, 0)
 	discovery.resets.Store(true)
--- a/internal/platform/downstream/client.go
+++ b/internal/platform/downstream/client.go
@@ -236,7 +236,7 @@
 	return c.server
 }
 
-// LocalReply writes a reply that the node itself gives and closes the connection.
+// LocalReply writes the node's own reply to the client and then closes the connection.
 func (c *client) LocalReply(reply edge.LocalReply) {
 	lastLine := errorLine
 	if reply.Rejected {
--- a/internal/platform/downstream/client_disconnect_test.go
+++ b/internal/platform/downstream/client_disconnect_test.go
@@ -60,7 +60,7 @@
 		select {
 		case received := <-lines:
 			if strings.HasPrefix(received.text, "OPEN") {
-				n.t.Errorf("%s: an attempt began %v after the client disconnected, want none (%v are allowed)",
+				n.t.Errorf("%s: got an attempt %v after the client disconnected, want none (%v are allowed)",
 					name, time.Since(disconnected), maxAttemptDelay)
 			}
 		case <-end:
@@ -79,7 +79,7 @@
 // the end of the wait together with the client's disconnect.
 type pendingState struct {
 	name     string
-	changes  []string // to the settings, as newTestNode takes them
+	changes  []string // changes to the settings: the last arguments of newTestNode
 	openLine string
 	reach    func(node *testNode, lines chan serverLine) (finish func())
 }
--- a/internal/platform/downstream/relay.go
+++ b/internal/platform/downstream/relay.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Migrate asks the client to reconnect, at the end of the server's current line or, if that is earlier, at the given
-// time.
+// Migrate asks the client to reconnect. If the server is in the middle of a line, Migrate waits for the end of the
+// line, but at most until the given time.
 func (c *client) Migrate(by time.Time) {
 	if c.closed {
 		return
--- a/internal/platform/downstream/transfer_test.go
+++ b/internal/platform/downstream/transfer_test.go
@@ -32,7 +32,7 @@
 		began := time.Now()
 		node.requireLine(conn, "ERR")
 		if took := time.Since(began); took < firstLineTimeout/2 {
-			t.Errorf("clock %v ahead: connection closed after %v, want at least half the first line timeout",
+			t.Errorf("clock %v ahead: got the connection closed after %v, want at least half the first line timeout",
 				ahead, took)
 		}
 	}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -84,7 +84,7 @@
 	},
 }
 
-// TestGoldenSettings decodes a setup object that has every key.
+// TestGoldenSettings decodes a setup object that has every key, and encodes it again.
 func TestGoldenSettings(t *testing.T) {
 	raw := golden(t, "settings.json")
 	got, err := DecodeSettings(raw)
@@ -322,7 +322,7 @@
 	}
 }
 
-// TestGoldenReply encodes a reply that contains each kind of step.
+// TestGoldenReply encodes and decodes a reply that contains each kind of step.
 func TestGoldenReply(t *testing.T) {
 	out := reply{Sequence: 7}
 	for _, action := range []choice.Action{
--- a/internal/simwire/setup.go
+++ b/internal/simwire/setup.go
@@ -157,6 +157,7 @@
 	}
 }
 
+// checkKeys checks that an object has all keys of a struct type, and that their values are complete.
 func checkKeys(object map[string]any, required reflect.Type, path string) error {
 	for i := range required.NumField() {
 		field := required.Field(i)
--- a/internal/transport/peerlimit/controller_test.go
+++ b/internal/transport/peerlimit/controller_test.go
@@ -29,6 +29,7 @@
 	admitted   map[int][]time.Time // times at which streams of a peer were admitted
 }
 
+// newModel returns a model without streams, and a controller with the same random limits.
 func newModel(t *rapid.T) *model {
 	peer := Limits{
 		Streams:         rapid.IntRange(0, 4).Draw(t, "streams"),
--- a/internal/transport/tls/handshake.go
+++ b/internal/transport/tls/handshake.go
@@ -21,7 +21,7 @@
 )
 
 var (
-	// ErrHandshakeTimeout is reported if a handshake did not finish by its deadline.
+	// ErrHandshakeTimeout is passed to OnEnd if a handshake has not finished by its deadline.
 	ErrHandshakeTimeout = errors.New("TLS handshake not finished by the deadline")
 	errEvicted          = errors.New("connection evicted to make room for another one")
 	errTooManyBytes     = errors.New("too many bytes before the end of the TLS handshake")
@@ -55,7 +55,7 @@
 	return c
 }
 
-// begin starts a handshake. It is called when the first bytes arrive, so that clients that send nothing take no place.
+// begin starts a handshake. It is called when the first bytes arrive, so that silent clients don't count as running.
 // If maxRunning handshakes are in progress, it evicts the oldest, which has had the most time.
 func (hs *Handshakes) begin(conn *Conn) {
 	if hs.running.Len() >= maxRunning {
@@ -73,7 +73,8 @@
 	}()
 }
 
-// handshakeEnded is called on the loop once a handshake has succeeded or failed.
+// handshakeEnded handles the result of a handshake: it passes the established connection to the handler, or ends the
+// connection if the handshake failed. It is called on the loop.
 func (c *Conn) handshakeEnded(err error) {
 	c.cancel()
 	if c.closed {
--- a/internal/transport/tls/pipe.go
+++ b/internal/transport/tls/pipe.go
@@ -126,8 +126,8 @@
 	p.received.Broadcast()
 }
 
-// Close does nothing: the event loop owns the connection. The same holds for the addresses and deadlines, which
-// crypto/tls doesn't use here.
+// Close does nothing, because the event loop owns the connection. The methods for addresses and deadlines do nothing
+// either, because crypto/tls doesn't use them here.
 func (p *pipe) Close() error                     { return nil }
 func (p *pipe) LocalAddr() net.Addr              { return nil }
 func (p *pipe) RemoteAddr() net.Addr             { return nil }
--- a/internal/transport/tls/tls_test.go
+++ b/internal/transport/tls/tls_test.go
@@ -50,7 +50,7 @@
 	ends       chan error
 }
 
-// startServer starts a server that has a certificate for each name.
+// startServer starts an echo server that has a certificate for each name, and stops it at the end of the test.
 func startServer(tb testing.TB, handshakeTimeout time.Duration, names ...string) *echoServer {
 	tb.Helper()
 	eventLoop, err := loop.New()
--- a/internal/transport/websocket/conn_test.go
+++ b/internal/transport/websocket/conn_test.go
@@ -102,13 +102,13 @@
 		}
 		written := transport.String()
 		if !strings.HasPrefix(written, "HTTP/1.1 101 ") || !strings.HasSuffix(written, "\x88\x02\x03\xe8") {
-			t.Errorf("pieces of %d bytes: wrote %q, want a response and a close frame", size, written)
+			t.Errorf("pieces of %d bytes: got written bytes %q, want a response and a close frame", size, written)
 		}
 		for _, part := range []string{
 			"Sec-WebSocket-Protocol: xmpp", "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=", "\x8a\x0cstill there?",
 		} {
 			if !strings.Contains(written, part) {
-				t.Errorf("pieces of %d bytes: wrote %q, want it to contain %q", size, written, part)
+				t.Errorf("pieces of %d bytes: got written bytes %q, want them to contain %q", size, written, part)
 			}
 		}
 	}
@@ -172,7 +172,7 @@
 				t.Errorf("got messages %q and end %v, want no message and an error", handler.messages, handler.end)
 			}
 			if want := "\x88\x02" + test.code; transport.String() != want {
-				t.Errorf("wrote %q, want %q", transport.String(), want)
+				t.Errorf("OnData: got written bytes %q, want %q", transport.String(), want)
 			}
 		})
 	}
--- a/internal/xmpp/resumption.go
+++ b/internal/xmpp/resumption.go
@@ -143,7 +143,8 @@
 	return strings.ToLower(name)
 }
 
-// plainUser returns the second of the three fields of PLAIN: authorization identity, user, password.
+// plainUser returns the user name in an initial response of PLAIN, which has three fields: authorization identity, user
+// name, password.
 func plainUser(response string) string {
 	fields := strings.Split(response, "\x00")
 	if len(fields) != 3 {
@@ -152,8 +153,8 @@
 	return fields[1]
 }
 
-// scramUser returns the user in the third of the four fields of SCRAM: channel binding, authorization identity, "n="
-// with the user, "r=" with a nonce.
+// scramUser returns the user name in an initial response of SCRAM, which has four fields: channel binding,
+// authorization identity, "n=" and the user name, "r=" and a nonce.
 func scramUser(response string) string {
 	fields := strings.SplitN(response, ",", 4)
 	if len(fields) < 4 {
