--- a/choice/balancer.go
+++ b/choice/balancer.go
@@ -33,8 +33,8 @@
 	zones           zoneTable
 
 	// fleetNodes is the number of nodes in the settings, each counted once per process (Settings.Processes).
-	// settings.Nodes is the same number, except while a plan with ZonePlan.Nodes is in force: it then has the nodes of
-	// the plan, counted in the same way.
+	// settings.Nodes is the same number, except while a plan with ZonePlan.LiveNodes is in force: it then
+	// has the nodes of the plan, counted in the same way.
 	fleetNodes       int
 	initialCost      float64       // load of a mean connection before anything is learned
 	inFlightReported bool          // load reports include the number of connections in flight
@@ -89,8 +89,8 @@
 	b.zones.admitNewClasses(len(settings.Classes))
 	processes := max(1, settings.Processes)
 	b.fleetNodes = settings.Nodes * processes
-	if b.zones.plan != nil && b.zones.plan.Nodes > 0 {
-		settings.Nodes = b.zones.plan.Nodes
+	if b.zones.plan != nil && b.zones.plan.LiveNodes > 0 {
+		settings.Nodes = b.zones.plan.LiveNodes
 	}
 	settings.Nodes *= processes // the processes of a node share its quota in the same way as nodes share the fleet
 	meaningChanged := len(b.settings.Classes) > 0 && b.settings.meaning() != settings.meaning()
--- a/choice/event.go
+++ b/choice/event.go
@@ -132,7 +132,7 @@
 		Grants        []Grant       // nearest zone first
 		AdmitFraction []float64     // admitted fraction of requests by class; further classes are admitted completely
 		RetryAfter    time.Duration // for rejected requests; varied at random by up to half
-		Nodes         int           // live nodes of all zones when the plan was made; 0: as in the settings
+		LiveNodes     int           // live nodes of all zones when the plan was made; 0: as in the settings
 	}
 	// PeerMessage is a message from another node, by its number. Messages that are invalid, late or repeated are
 	// dropped.
--- a/choice/golden_decisions_test.go
+++ b/choice/golden_decisions_test.go
@@ -360,7 +360,7 @@
 func TestGoldenDecisionsOfRandomScripts(t *testing.T) {
 	r := newTestRecorder(t, "scripts")
 	for seed := range uint64(60) {
-		for i, actions := range choice.RandomScript(t, seed, 600) {
+		for i, actions := range choice.RunRandomScript(t, seed, 600) {
 			r.recordStep(0, i, actions)
 		}
 		r.endLine(fmt.Sprintf("script %d:", seed))
--- a/cmd/spurwinchctl/fleet_client.go
+++ b/cmd/spurwinchctl/fleet_client.go
@@ -82,7 +82,7 @@
 	var failures []error
 	for i := 0; i < len(names) && i < maxCalls; i++ {
 		name := names[i]
-		reply, err = fleetclient.Call(list.Addr[list.List.Index(name)], key, list, name, call)
+		reply, err = fleetclient.Call(list.Addrs[list.List.Index(name)], key, list, name, call)
 		answered = err == nil
 		if err != nil {
 			failures = append(failures, err)
@@ -121,11 +121,11 @@
 func (c *fleetClient) waitForProposal(id string) (reply agent.Reply, err error) {
 	deadline := time.Now().Add(proposalTimeout)
 	for ; time.Now().Before(deadline); time.Sleep(proposalPollInterval) {
-		reply, err = c.call(agent.Call{Verb: string(agent.VerbEnded), Arg: id}, true)
-		if err != nil || reply.Ended == nil {
+		reply, err = c.call(agent.Call{Verb: string(agent.VerbOutcome), Arg: id}, true)
+		if err != nil || reply.Outcome == nil {
 			continue
 		}
-		if !reply.Ended.Taken {
+		if !reply.Outcome.Accepted {
 			return reply, statusError{
 				status: statusNegative,
 				text:   "the order was not accepted because another order was committed first: run the command again",
--- a/cmd/spurwinchctl/fleet_print.go
+++ b/cmd/spurwinchctl/fleet_print.go
@@ -25,7 +25,7 @@
 
 func printOrderOutcome(out io.Writer, reply *agent.Reply) {
 	drained := orDefault(strings.Join(reply.Drained, ", "), "none")
-	printf(out, "order committed at log index %d; drained zones: %s\n", reply.Ended.Number, drained)
+	printf(out, "order committed at log index %d; drained zones: %s\n", reply.Outcome.Number, drained)
 }
 
 func printFleetStatus(out io.Writer, reply *agent.Reply) {
@@ -69,7 +69,7 @@
 
 func printFleetPlan(out io.Writer, reply *agent.Reply) {
 	printf(out, "plan %d on node %s, mode %s; grants in other zones expire in %.1f s\n",
-		reply.Plan, reply.Node, reply.Mode, reply.Lease)
+		reply.Plan, reply.Node, reply.Mode, reply.GrantsValidSeconds)
 	table := newFleetTable(out)
 	printLine(table, "zone\tstate\tcapacity\tdemand\tgranted\treserve\tadmitted")
 	for i := range reply.Zones {
--- a/cmd/spurwinchctl/policy_change.go
+++ b/cmd/spurwinchctl/policy_change.go
@@ -142,9 +142,9 @@
 
 // findOutcome returns the outcome of a change, or nil if the change is pending or its outcome is no longer stored.
 func findOutcome(state *agent.PolicyReply, id string) *policy.ChangeOutcome {
-	for i := range state.Ended {
-		if state.Ended[i].ID == id {
-			return &state.Ended[i]
+	for i := range state.Outcomes {
+		if state.Outcomes[i].ID == id {
+			return &state.Outcomes[i]
 		}
 	}
 	return nil
--- a/cmd/spurwinchctl/policy_print.go
+++ b/cmd/spurwinchctl/policy_print.go
@@ -52,8 +52,8 @@
 func printPolicyHistory(out io.Writer, state *agent.PolicyReply) {
 	table := newFleetTable(out)
 	printLine(table, "number\tchange\toutcome\treason")
-	for i := range state.Ended {
-		outcome := &state.Ended[i]
+	for i := range state.Outcomes {
+		outcome := &state.Outcomes[i]
 		result := "aborted"
 		if outcome.Accepted {
 			result = "in force"
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -163,10 +163,10 @@
 	return settings
 }
 
-// StaticHosts returns the cluster's servers as entries for the core. seen returns the time when a server first appeared
-// in the file, which is the start time of a server for which the file has none. A server that is added while the
-// program runs thus counts as started when it was added.
-func (c Cluster) StaticHosts(seen func(id string) time.Time) []edge.ServerEntry {
+// StaticServers returns the cluster's servers as entries for the core. seen returns the time when a server first
+// appeared in the file, which is the start time of a server for which the file has none. A server that is added while
+// the program runs thus counts as started when it was added.
+func (c Cluster) StaticServers(seen func(id string) time.Time) []edge.ServerEntry {
 	var servers []edge.ServerEntry
 	for _, server := range c.Servers {
 		started := server.Started
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -29,8 +29,8 @@
 // minFleetKeyBytes is the minimum length of a fleet's key: the size of the HMAC-SHA-256 that signs messages.
 const minFleetKeyBytes = 32
 
-// Votes reports whether this node is a voter.
-func (c *Fleet) Votes() bool { return c.List.List.Node(c.List.List.Index(c.Self)).Voter }
+// IsVoter reports whether this node is a voter.
+func (c *Fleet) IsVoter() bool { return c.List.List.Node(c.List.List.Index(c.Self)).Voter }
 
 // check sets default values, checks the table and reads the files that it names.
 func (c *Fleet) check(file *tomlfile.File) {
@@ -65,7 +65,7 @@
 		file.Fault("fleet.self", "[fleet] self = %q: must be the name of a node in %s", c.Self, c.Nodes)
 		return
 	}
-	if c.Votes() && c.Dir == "" {
+	if c.IsVoter() && c.Dir == "" {
 		file.Fault("fleet.dir",
 			"[fleet] without dir: %q is a voter and needs a directory for state that must outlive its process", c.Self)
 	}
--- a/internal/config/fleetlist.go
+++ b/internal/config/fleetlist.go
@@ -17,8 +17,8 @@
 	RegionDistances []RegionDistance `toml:"far,omitempty"`
 	Policy          *FleetPolicy     `toml:"policy,omitempty"` // nil: each node's policy comes from its own files
 
-	List *membership.List `toml:"-"` // built from NodeList
-	Addr []string         `toml:"-"` // addresses of nodes, by their number in List
+	List  *membership.List `toml:"-"` // built from NodeList
+	Addrs []string         `toml:"-"` // addresses of nodes, by their number in List
 }
 
 // FleetNode is one node of a fleet.
@@ -66,7 +66,7 @@
 	}
 	list := &FleetList{}
 	file := tomlfile.Decode(path, source, list)
-	if !file.Broken() {
+	if !file.HasFaults() {
 		list.check(file)
 	}
 	return list, file.Err()
@@ -153,9 +153,9 @@
 		file.Fault("node", "%d zones: must be at most %d", len(list.Zones()), failover.MaxZones)
 	}
 	l.List = list
-	l.Addr = make([]string, list.Len())
+	l.Addrs = make([]string, list.Len())
 	for _, node := range l.NodeList {
-		l.Addr[list.Index(node.Name)] = node.Addr
+		l.Addrs[list.Index(node.Name)] = node.Addr
 	}
 }
 
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -71,7 +71,7 @@
 // goldenNode returns the node that testdata/config.json configures.
 func goldenNode() Node {
 	return Node{
-		Name: "node-1", Listen: "127.0.0.1:3001", Discovery: "127.0.0.1:8501", Mgmt: "127.0.0.1:9001",
+		Name: "node-1", Listen: "127.0.0.1:3001", Discovery: "127.0.0.1:8501", ManagementAddr: "127.0.0.1:9001",
 		Seed: 0x1f, Sockets: 385, MemoryMB: 65,
 		PeerListen: "127.0.0.1:7001",
 		Peers: []netip.AddrPort{
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	servers, err := got.Known.ServerEntries()
+	servers, err := got.KnownServers.ServerEntries()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,10 +107,11 @@
 		ID: "s-1", Zone: "zone-b", Kind: "m5", Cell: 3, State: choice.Draining, Size: 1.25,
 		Started: 1700000000123 * time.Millisecond,
 	}}})
-	if got.Known.Version != 12 || !got.Known.Full {
-		t.Errorf("known list: got version %d and full %v, want 12 and true", got.Known.Version, got.Known.Full)
+	if got.KnownServers.Version != 12 || !got.KnownServers.Full {
+		t.Errorf("known list: got version %d and full %v, want 12 and true",
+			got.KnownServers.Version, got.KnownServers.Full)
 	}
-	got.Known = nil
+	got.KnownServers = nil
 	want := goldenNode()
 	requireEqual(t, "Node", got, want)
 	requireEqual(t, "Settings", got.Settings.Settings, want.Settings.Settings)
@@ -122,8 +123,9 @@
 	if got, err = ReadNode(getenv); err != nil {
 		t.Fatal(err)
 	}
-	want.Name, want.Listen, want.Discovery, want.Mgmt = "node-2", "127.0.0.1:3002", "127.0.0.1:8502", "127.0.0.1:9002"
-	got.Known = nil
+	want.Name, want.Listen, want.Discovery, want.ManagementAddr =
+		"node-2", "127.0.0.1:3002", "127.0.0.1:8502", "127.0.0.1:9002"
+	got.KnownServers = nil
 	requireEqual(t, "Node by variables", got, want)
 }
 
@@ -237,8 +239,8 @@
 	got.Keys, got.Networks, got.Fleet.List, got.Fleet.Secret = nil, nil, nil, nil
 	requireEqual(t, "Operator", got, want)
 	requireEqual(t, "Fleet", *got.Fleet, *want.Fleet)
-	if list.Addr[list.List.Index("node-b")] != "127.0.0.1:7101" {
-		t.Errorf("addresses by number: got %v, want 127.0.0.1:7101 for node-b", list.Addr)
+	if list.Addrs[list.List.Index("node-b")] != "127.0.0.1:7101" {
+		t.Errorf("addresses by number: got %v, want 127.0.0.1:7101 for node-b", list.Addrs)
 	}
 }
 
@@ -340,8 +342,8 @@
 	} {
 		requireEqual(t, "node of the list", got.List.Node(number), node)
 	}
-	requireEqual(t, "addresses by number", got.Addr, []string{"127.0.0.1:7102", "127.0.0.1:7101"})
-	got.List, got.Addr = nil, nil
+	requireEqual(t, "addresses by number", got.Addrs, []string{"127.0.0.1:7102", "127.0.0.1:7101"})
+	got.List, got.Addrs = nil, nil
 	requireEqual(t, "FleetList", *got, want)
 }
 
@@ -386,7 +388,7 @@
 	}
 	requireEqual(t, "Document", *got, goldenDocument())
 	source := &policyFile{}
-	if file := tomlfile.Decode("policy", text, source); file.Broken() {
+	if file := tomlfile.Decode("policy", text, source); file.HasFaults() {
 		t.Fatal(file.Err())
 	}
 	requireSet(t, "policyFile", reflect.ValueOf(*source))
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -16,15 +16,15 @@
 
 // Node is the configuration of a node that runs on the platform.
 type Node struct {
-	Name      string
-	Listen    string // IP:PORT for clients
-	Discovery string // IP:PORT of the discovery service
-	Mgmt      string // IP:PORT for operators' requests; empty: not served
-	Seed      uint64
-	Sockets   int             // maximum descriptors of the process; 0: unknown
-	MemoryMB  int             // maximum memory of the process in megabytes; 0: unknown
-	Known     *discovery.List // servers to use until discovery replies; nil: none
-	Settings  simwire.Settings
+	Name           string
+	Listen         string // IP:PORT for clients
+	Discovery      string // IP:PORT of the discovery service
+	ManagementAddr string // IP:PORT for operators' requests; empty: not served
+	Seed           uint64
+	Sockets        int             // maximum descriptors of the process; 0: unknown
+	MemoryMB       int             // maximum memory of the process in megabytes; 0: unknown
+	KnownServers   *discovery.List // servers to use until discovery replies; nil: none
+	Settings       simwire.Settings
 	// PeerListen is the address that receives datagrams from other nodes. Peers holds the addresses of all nodes by
 	// their numbers, including this node's. Both are empty if nodes may not send messages to one another.
 	PeerListen string
@@ -106,8 +106,8 @@
 	}
 	override(&file)
 	node := Node{
-		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Mgmt: file.Mgmt, Seed: file.seed(),
-		Sockets: file.Limits.Sockets, MemoryMB: file.Limits.MemoryMB, Known: file.Known, keys: keys,
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, ManagementAddr: file.Mgmt, Seed: file.seed(),
+		Sockets: file.Limits.Sockets, MemoryMB: file.Limits.MemoryMB, KnownServers: file.Known, keys: keys,
 	}
 	if err := node.check(); err != nil {
 		return node, err
@@ -141,8 +141,8 @@
 
 func (n *Node) check() error {
 	addresses := []struct{ key, addr string }{{"listen", n.Listen}, {"discovery", n.Discovery}}
-	if n.Mgmt != "" {
-		addresses = append(addresses, struct{ key, addr string }{"mgmt", n.Mgmt})
+	if n.ManagementAddr != "" {
+		addresses = append(addresses, struct{ key, addr string }{"mgmt", n.ManagementAddr})
 	}
 	for _, address := range addresses {
 		if _, err := netip.ParseAddrPort(address.addr); err != nil {
@@ -158,10 +158,10 @@
 }
 
 func (n *Node) checkKnownServers() error {
-	if n.Known == nil {
+	if n.KnownServers == nil {
 		return nil
 	}
-	if _, err := n.Known.ServerEntries(); err != nil {
+	if _, err := n.KnownServers.ServerEntries(); err != nil {
 		return &KeyError{Key: "known", Problem: "known: " + err.Error(), Err: err}
 	}
 	return nil
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -99,7 +99,7 @@
 		return operator, err
 	}
 	file := tomlfile.Decode(path, source, &operator)
-	if !file.Broken() {
+	if !file.HasFaults() {
 		operator.check(file)
 	}
 	return operator, file.Err()
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -98,7 +98,7 @@
 func ReadPolicy(name string, text []byte, level int) (*policy.Document, error) {
 	source := &policyFile{}
 	file := tomlfile.Decode(name, text, source)
-	if file.Broken() {
+	if file.HasFaults() {
 		return nil, file.Err()
 	}
 	checkLevel(file, level)
--- a/internal/config/tomlfile/tomlfile.go
+++ b/internal/config/tomlfile/tomlfile.go
@@ -122,6 +122,6 @@
 	return f.faults
 }
 
-// Broken reports whether the file has faults. Right after Decode this means that the file could not be decoded and its
-// values must not be used.
-func (f *File) Broken() bool { return len(f.faults) > 0 }
+// HasFaults reports whether the file has faults. Right after Decode this means that the file could not be decoded and
+// its values must not be used.
+func (f *File) HasFaults() bool { return len(f.faults) > 0 }
--- a/internal/config/tomlfile/tomlfile_test.go
+++ b/internal/config/tomlfile/tomlfile_test.go
@@ -69,8 +69,8 @@
 			t.Errorf("Line(%q): got %d, want %d", path, got, want)
 		}
 	}
-	if !file.Has("host.1.name") || file.Has("host.1.zone") || file.Broken() {
-		t.Error("Has and Broken: got another result, want host.1.name set, host.1.zone not set, and no fault")
+	if !file.Has("host.1.name") || file.Has("host.1.zone") || file.HasFaults() {
+		t.Error("Has and HasFaults: got another result, want host.1.name set, host.1.zone not set, and no fault")
 	}
 	file.Fault("host.1.name", "second")
 	file.Fault("size", "first")
--- a/internal/consensus/encoding.go
+++ b/internal/consensus/encoding.go
@@ -22,5 +22,5 @@
 // all nodes. It panics on a type that CBOR cannot express.
 func Encode(value any) []byte { return must(encoding.Marshal(value)) }
 
-// Unmarshal decodes the output of Encode into value, which must be a pointer.
-func Unmarshal(encoded []byte, value any) error { return decoding.Unmarshal(encoded, value) }
+// Decode decodes the output of Encode into value, which must be a pointer.
+func Decode(encoded []byte, value any) error { return decoding.Unmarshal(encoded, value) }
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -8,10 +8,10 @@
 
 // KindDigest identifies the newest entry of a kind without its data.
 type KindDigest struct {
-	_     struct{} `cbor:",toarray"`
-	Kind  Kind
-	Index uint64 // the entry's index in the log
-	Sum   uint64 // result of Entry.Digest
+	_           struct{} `cbor:",toarray"`
+	Kind        Kind
+	Index       uint64 // the entry's index in the log
+	EntryDigest uint64 // result of Entry.Digest
 }
 
 // Digest summarizes what a node knows of a log. Nodes exchange digests to find entries that one of them is missing.
@@ -57,7 +57,9 @@
 func (f *Follower) Digest() Digest {
 	digest := Digest{LogID: f.logID}
 	for _, entry := range f.Entries() {
-		digest.Kinds = append(digest.Kinds, KindDigest{Kind: entry.Kind, Index: entry.Index, Sum: entry.Digest()})
+		digest.Kinds = append(digest.Kinds, KindDigest{
+			Kind: entry.Kind, Index: entry.Index, EntryDigest: entry.Digest(),
+		})
 	}
 	return digest
 }
@@ -76,8 +78,8 @@
 		switch {
 		case theirs.Index > own.Index:
 			kinds = append(kinds, theirs.Kind)
-		case theirs.Index == own.Index && theirs.Sum != own.Digest():
-			return nil, conflict(theirs.Index, theirs.Sum, own.Digest())
+		case theirs.Index == own.Index && theirs.EntryDigest != own.Digest():
+			return nil, conflict(theirs.Index, theirs.EntryDigest, own.Digest())
 		}
 	}
 	return kinds, nil
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -44,10 +44,10 @@
 		t.Errorf("Encode %s: got\n%x\nwant\n%x", name, encoded, want)
 	}
 	var decoded T
-	if err := Unmarshal(want, &decoded); err != nil {
-		t.Errorf("Unmarshal %s: %v", name, err)
+	if err := Decode(want, &decoded); err != nil {
+		t.Errorf("Decode %s: %v", name, err)
 	} else if !reflect.DeepEqual(decoded, value) {
-		t.Errorf("Unmarshal %s: got\n%+v\nwant\n%+v", name, decoded, value)
+		t.Errorf("Decode %s: got\n%+v\nwant\n%+v", name, decoded, value)
 	}
 }
 
@@ -91,10 +91,10 @@
 	checkGoldenValue(t, "state", goldenState())
 	checkGoldenValue(t, "record", goldenRecord())
 	checkGoldenValue(t, "record-empty", Record{})
-	checkGoldenValue(t, "kind-digest", KindDigest{Kind: 4, Index: 0x0e0f, Sum: 0x7172737475767778})
+	checkGoldenValue(t, "kind-digest", KindDigest{Kind: 4, Index: 0x0e0f, EntryDigest: 0x7172737475767778})
 	checkGoldenValue(t, "digest", Digest{
 		LogID: 0x8182838485868788,
-		Kinds: []KindDigest{{Kind: 5, Index: 91, Sum: 92}, {Kind: 6, Index: 93, Sum: 94}},
+		Kinds: []KindDigest{{Kind: 5, Index: 91, EntryDigest: 92}, {Kind: 6, Index: 93, EntryDigest: 94}},
 	})
 	checkGoldenValue(t, "kinds", []Kind{2, 1, 3})
 }
--- a/internal/consensus/replica/golden_exchange_test.go
+++ b/internal/consensus/replica/golden_exchange_test.go
@@ -80,7 +80,7 @@
 func (e *exchangeRecorder) send(from int, m consensus.Message) {
 	e.inFlight = append(e.inFlight, message{from: from, to: m.To, data: m.Data})
 	var sent envelope
-	if err := consensus.Unmarshal(m.Data, &sent); err != nil {
+	if err := consensus.Decode(m.Data, &sent); err != nil {
 		e.t.Fatal(err)
 	}
 	if len(sent.Raft) > 0 {
@@ -189,7 +189,7 @@
 			continue // the line contains a message instead of a record
 		}
 		var record consensus.Record
-		if err := consensus.Unmarshal(fromHex(t, text), &record); err != nil {
+		if err := consensus.Decode(fromHex(t, text), &record); err != nil {
 			t.Fatal(err)
 		}
 		if record.Incarnation != 0 {
--- a/internal/consensus/replica/golden_test.go
+++ b/internal/consensus/replica/golden_test.go
@@ -59,7 +59,7 @@
 	value := envelope{Incarnation: 0x1112131415161718, LogID: 0x2122232425262728, Raft: []byte("raft message")}
 	want := goldenText(t, "envelope.hex", []string{hex.EncodeToString(consensus.Encode(value))})
 	var decoded envelope
-	if err := consensus.Unmarshal(fromHex(t, want[0]), &decoded); err != nil {
+	if err := consensus.Decode(fromHex(t, want[0]), &decoded); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(decoded, value) {
@@ -73,7 +73,7 @@
 	replica, compacted := compactGrownLog(t)
 	lines := goldenText(t, "fold.hex", []string{hex.EncodeToString(consensus.Encode(compacted))})
 	var golden consensus.Record
-	if err := consensus.Unmarshal(fromHex(t, lines[0]), &golden); err != nil {
+	if err := consensus.Decode(fromHex(t, lines[0]), &golden); err != nil {
 		t.Fatal(err)
 	}
 	snapshot := &raftpb.Snapshot{}
--- a/internal/consensus/replica/message.go
+++ b/internal/consensus/replica/message.go
@@ -68,7 +68,7 @@
 		return nil
 	}
 	var message envelope
-	if err := consensus.Unmarshal(data, &message); err != nil {
+	if err := consensus.Decode(data, &message); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 	}
 	defer r.stopOnPanic()
--- a/internal/consensus/replica/storage.go
+++ b/internal/consensus/replica/storage.go
@@ -71,7 +71,7 @@
 		return nil
 	}
 	var state consensus.State
-	if err := consensus.Unmarshal(snapshot.GetData(), &state); err != nil {
+	if err := consensus.Decode(snapshot.GetData(), &state); err != nil {
 		return fmt.Errorf("decode the state of a snapshot: %w", err)
 	}
 	if state.Newest == nil {
--- a/internal/consensus/store_format.go
+++ b/internal/consensus/store_format.go
@@ -118,7 +118,7 @@
 	body := rest[frameBodyAt:end]
 	checksum := binary.BigEndian.Uint64(rest[frameChecksumAt:])
 	if rest[end] == endMark && checksum == recordChecksum(rest[:frameChecksumAt], body) {
-		if err := Unmarshal(body, &record); err != nil {
+		if err := Decode(body, &record); err != nil {
 			return record, 0, fmt.Errorf("decode record: %w", err)
 		}
 		return record, bodySize + frameSize, nil
--- a/internal/edge/actions.go
+++ b/internal/edge/actions.go
@@ -56,7 +56,7 @@
 		c.reject(action)
 	case choice.Fail:
 		if r := c.requests[action.ID]; r != nil {
-			r.answerFromBalancer(LocalReply{Reason: trace.Reason(action.Reason.String())})
+			r.answerFromBalancer(LocalReply{Reason: trace.AnswerReason(action.Reason.String())})
 		}
 	case choice.CancelAttempt:
 		c.cancelAttempt(action)
@@ -90,15 +90,17 @@
 }
 
 func (c *Core) reject(action choice.Reject) {
-	r := c.requests[action.ID]
-	if r == nil {
+	request := c.requests[action.ID]
+	if request == nil {
 		return
 	}
-	reply := LocalReply{Rejected: true, RetryAfter: action.RetryAfter, Reason: trace.Reason(action.Reason.String())}
-	if r.committed {
-		reply.Why = DeadlinePassed
+	reply := LocalReply{
+		Rejected: true, RetryAfter: action.RetryAfter, Reason: trace.AnswerReason(action.Reason.String()),
+	}
+	if request.committed {
+		reply.Cause = DeadlinePassed
 	}
-	r.answerFromBalancer(reply)
+	request.answerFromBalancer(reply)
 }
 
 func (c *Core) cancelAttempt(action choice.CancelAttempt) {
--- a/internal/edge/answer_test.go
+++ b/internal/edge/answer_test.go
@@ -99,7 +99,7 @@
 		t.Errorf("%s, shutdown %v: got reply %+v with %d in flight, want rejected %v and 0",
 			name, shutdown, reply, harness.core.InFlight(), rejected)
 	}
-	if shutdown && (reply.Why != ShuttingDown || (reply.RetryAfter > 0) != rejected) {
+	if shutdown && (reply.Cause != ShuttingDown || (reply.RetryAfter > 0) != rejected) {
 		t.Errorf("%s, shutdown: got reply %+v, want Why ShuttingDown, and a retry delay if and only if rejected",
 			name, reply)
 	}
--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -49,7 +49,7 @@
 	attempt.server = server
 	attempt.Server = server.ServerEntry
 	server.inFlight++
-	attempt.started = r.guard.Start(core.guardedServer(server), attempt.startedAt) == invariant.Holds
+	attempt.started = r.guard.Start(core.guardedServer(server), attempt.startedAt) == invariant.NoViolation
 	if !attempt.started {
 		attempt.Ended(choice.NeverSent, nil)
 		return
@@ -108,7 +108,7 @@
 		a.giveUp(choice.TimedOut)
 	case !a.sendBefore.IsZero() && !now.Before(a.sendBefore):
 		a.giveUp(choice.Cancelled)
-	case request.guard.Send(request.core.guardedServer(a.server), now) != invariant.Holds:
+	case request.guard.Send(request.core.guardedServer(a.server), now) != invariant.NoViolation:
 		a.giveUp(choice.Cancelled)
 	default:
 		a.begun = true
@@ -224,9 +224,9 @@
 	case r.finished || r.open || outcome == choice.Served:
 		r.finished = true
 	case r.committed && outcome == choice.TimedOut:
-		r.answer(LocalReply{Rejected: true, Why: DeadlinePassed, Reason: trace.PastDeadline})
+		r.answer(LocalReply{Rejected: true, Cause: DeadlinePassed, Reason: trace.PastDeadline})
 	case r.committed:
-		r.answer(LocalReply{Rejected: true, Why: ServerLost, Reason: trace.ServerLost})
+		r.answer(LocalReply{Rejected: true, Cause: ServerLost, Reason: trace.ServerLost})
 	case r.OpenAt != "":
 		r.retryOpenAt()
 	}
@@ -241,5 +241,5 @@
 		clock.At(next, r.attemptOpenAt)
 		return
 	}
-	r.answer(LocalReply{Rejected: true, Why: Unreachable, Reason: trace.Unreachable})
+	r.answer(LocalReply{Rejected: true, Cause: Unreachable, Reason: trace.Unreachable})
 }
--- a/internal/edge/guard.go
+++ b/internal/edge/guard.go
@@ -41,10 +41,10 @@
 
 // ConnectionClosed records why the client's connection ends. The invariant monitor checks that the client had an
 // answer, and that a node which ends an open connection has asked the client to reconnect.
-func (r *Request) ConnectionClosed(by invariant.Ending, why trace.Close) {
+func (r *Request) ConnectionClosed(by invariant.ClosedBy, why trace.CloseReason) {
 	r.guard.Close(by, why == trace.NodeMigratedClient)
 	r.core.options.Trace.Closed(string(r.ID), why)
 }
 
 // ConnectionClosedUnused records the end of a client connection that carried no request.
-func (c *Core) ConnectionClosedUnused(why trace.Close) { c.options.Trace.Closed("", why) }
+func (c *Core) ConnectionClosedUnused(why trace.CloseReason) { c.options.Trace.Closed("", why) }
--- a/internal/edge/lease.go
+++ b/internal/edge/lease.go
@@ -8,12 +8,12 @@
 
 // Lease specifies under which policy a core admits requests, and when that permission ends unless it is renewed.
 type Lease struct {
-	Number uint64 // number of the policy document
-	Known  bool   // this node has the document; if not, it admits requests only under the base policy
-	// Expires is when the lease ends. From then on the core admits no request under the policy Number.
+	PolicyNumber uint64 // number of the policy document
+	HasDocument  bool   // this node has the document; if not, it admits requests only under the base policy
+	// Expires is when the lease ends. From then on the core admits no request under the policy PolicyNumber.
 	Expires time.Time
 	// OnExpiry applies the settings of the base policy. The core calls it once, before it decides on the first request
-	// that it can't admit under the policy Number.
+	// that it can't admit under the policy PolicyNumber.
 	OnExpiry func()
 	// BasePolicy reports whether the core admits a class under the base policy without a lease; nil: it admits none.
 	BasePolicy func(class int) bool
@@ -63,7 +63,7 @@
 	now := c.options.Clock.Now()
 	admission := lease.admit(request.Class, now)
 	if lease.OnDecision != nil {
-		lease.OnDecision(request.ID, lease.Number, string(admission))
+		lease.OnDecision(request.ID, lease.PolicyNumber, string(admission))
 	}
 	if admission == NotAdmitted {
 		return lease.retryAfter(c.lastSequence), false
@@ -77,7 +77,7 @@
 
 // admit returns the policy under which a request of a class is admitted now.
 func (l *Lease) admit(class int, now time.Time) Admission {
-	if l.Known && now.Before(l.Expires) {
+	if l.HasDocument && now.Before(l.Expires) {
 		return AdmittedByLease
 	}
 	if !l.expired {
--- a/internal/edge/lease_test.go
+++ b/internal/edge/lease_test.go
@@ -31,7 +31,7 @@
 	}})
 	harness.core.Start(serversNamed("h"))
 	harness.lease = Lease{
-		Number: 7, Known: true, Expires: harness.now.Add(5 * time.Second), RetryAfter: time.Second,
+		PolicyNumber: 7, HasDocument: true, Expires: harness.now.Add(5 * time.Second), RetryAfter: time.Second,
 		BasePolicy: func(class int) bool { return class == 0 },
 		OnExpiry:   func() { harness.expiries++ },
 		OnDecision: func(id choice.RequestID, number uint64, admission string) {
@@ -89,12 +89,12 @@
 	if harness.expiries != 1 {
 		t.Errorf("OnExpiry after the same lease again: got %d calls, want 1", harness.expiries)
 	}
-	harness.lease.Expires, harness.lease.Known = harness.now.Add(5*time.Second), false
+	harness.lease.Expires, harness.lease.HasDocument = harness.now.Add(5*time.Second), false
 	core.UseLease(harness.lease)
 	if client, _ := harness.open(1, ""); client.reply == nil {
 		t.Error("request under a policy whose document the node doesn't have: got no reply, want one")
 	}
-	harness.lease.Known, harness.lease.Number = true, 8
+	harness.lease.HasDocument, harness.lease.PolicyNumber = true, 8
 	core.UseLease(harness.lease)
 	if client, _ := harness.open(1, ""); client.reply != nil {
 		t.Errorf("under a new lease: got reply %+v, want none", client.reply)
--- a/internal/edge/reply.go
+++ b/internal/edge/reply.go
@@ -12,16 +12,16 @@
 type LocalReply struct {
 	Rejected   bool          // a retry is harmless; false: the request failed
 	RetryAfter time.Duration // delay that the client is asked to wait before a retry; 0: none
-	Why        Why
-	Reason     trace.Reason // for logs and metrics
+	Cause      ReplyCause
+	Reason     trace.AnswerReason // for logs and metrics
 }
 
-// Why is the reason of a local reply, for protocols that tell the client the reason.
-type Why uint8
+// ReplyCause is the reason of a local reply, for protocols that tell the client the reason.
+type ReplyCause uint8
 
 const (
 	// Busy means that the balancer found no server that can take the request.
-	Busy Why = iota
+	Busy ReplyCause = iota
 	// ShuttingDown means that this node is draining.
 	ShuttingDown
 	// Unreachable means that the node can't reach the server to which the request is bound.
@@ -37,7 +37,7 @@
 
 // shuttingDownReply returns the reply of a draining node.
 func (c *Core) shuttingDownReply() LocalReply {
-	reply := LocalReply{Rejected: true, Why: ShuttingDown, Reason: trace.Stopping}
+	reply := LocalReply{Rejected: true, Cause: ShuttingDown, Reason: trace.Stopping}
 	if limits := c.options.Settings.Limits; limits.RetryAfter {
 		reply.RetryAfter = min(shutdownRetryAfter, limits.MaxRetryAfter)
 	}
--- a/internal/edge/request.go
+++ b/internal/edge/request.go
@@ -169,7 +169,7 @@
 	r.core.runNext(func() {
 		if r.waiting() { // the balancer doesn't know the request; an attempt that was started may have run
 			r.core.notify(choice.ClientGone{ID: r.ID})
-			r.answerAndCancel(LocalReply{Rejected: r.attemptCount == 0, Reason: trace.LostByBalancer})
+			r.answerAndCancel(LocalReply{Rejected: r.attemptCount == 0, Reason: trace.BalancerTimedOut})
 		}
 	})
 }
--- a/internal/edge/transfer.go
+++ b/internal/edge/transfer.go
@@ -182,5 +182,5 @@
 	return request
 }
 
-// Resume sets the upstream request of an adopted attempt.
-func (a *Attempt) Resume(upstream UpstreamRequest) { a.upstream = upstream }
+// SetUpstream sets the upstream request of an adopted attempt.
+func (a *Attempt) SetUpstream(upstream UpstreamRequest) { a.upstream = upstream }
--- a/internal/failover/agent/calls.go
+++ b/internal/failover/agent/calls.go
@@ -26,7 +26,7 @@
 	VerbExplain       Verb = "explain"        // explain the state of the zone in Arg; leader only
 	VerbDrain         Verb = "drain"          // drain the zone in Arg; leader only
 	VerbUndrain       Verb = "undrain"        // end the drain of the zone in Arg; leader only
-	VerbEnded         Verb = "ended"          // report the outcome of the proposal in Arg; voters only
+	VerbOutcome       Verb = "ended"          // report the outcome of the proposal in Arg; voters only
 	VerbPolicy        Verb = "policy"         // return a token, or the policy if Arg is a token; leader only
 	VerbPolicyPropose Verb = "policy-propose" // propose the policy Data to replace policy number Base; leader only
 	VerbPolicyAbort   Verb = "policy-abort"   // abort the change ID; leader only
@@ -124,7 +124,7 @@
 		return a.explainZone(call.Arg, reply, now)
 	case VerbDrain, VerbUndrain:
 		return a.orderDrain(call)
-	case VerbEnded:
+	case VerbOutcome:
 		return a.describeProposal(call.Arg, reply)
 	case VerbPolicy, VerbPolicyPropose, VerbPolicyAbort:
 		return a.handlePolicyCall(call, reply)
@@ -188,7 +188,7 @@
 		return errNotVoter
 	}
 	if result, ok := a.voter.Result(id); ok {
-		reply.Ended = &ProposalOutcome{ID: result.ID, Number: result.Index, Taken: result.Accepted}
+		reply.Outcome = &ProposalOutcome{ID: result.ID, Number: result.Index, Accepted: result.Accepted}
 	}
 	return nil
 }
--- a/internal/failover/agent/calls_test.go
+++ b/internal/failover/agent/calls_test.go
@@ -38,7 +38,7 @@
 		},
 		{
 			"a proposal at a node that doesn't vote",
-			Call{Verb: string(VerbEnded), Arg: "id"},
+			Call{Verb: string(VerbOutcome), Arg: "id"},
 			false, true,
 			"this node does not vote: only voters know proposals' outcomes",
 		},
--- a/internal/failover/agent/evidence.go
+++ b/internal/failover/agent/evidence.go
@@ -72,7 +72,9 @@
 func (a *Agent) aggregatorOrder() []int {
 	list := a.options.List
 	nodes := slices.Clone(list.InZone(a.zone))
-	slices.SortFunc(nodes, func(x, y int) int { return cmp.Compare(list.Key(x, x), list.Key(y, y)) })
+	slices.SortFunc(nodes, func(x, y int) int {
+		return cmp.Compare(list.RendezvousHash(x, x), list.RendezvousHash(y, y))
+	})
 	return nodes
 }
 
--- a/internal/failover/agent/golden_test.go
+++ b/internal/failover/agent/golden_test.go
@@ -264,7 +264,7 @@
 
 	options := goldenOptions(t)
 	options.Records = make([]consensus.Record, 1)
-	if err := consensus.Unmarshal(golden, &options.Records[0]); err != nil {
+	if err := consensus.Decode(golden, &options.Records[0]); err != nil {
 		t.Fatal(err)
 	}
 	reader, err := New(options, 0)
--- a/internal/failover/agent/golden_values_test.go
+++ b/internal/failover/agent/golden_values_test.go
@@ -38,7 +38,7 @@
 		Nodes: []failover.NodeStatus{{
 			Node: 1, Plan: 15, Unreachable: []int{2, 3},
 			Policy: &policy.MemberStatus{
-				Entry: 16, Verdict: policy.VerdictReject, Reason: "too old", KnownNumber: 17, ServedNumber: 18,
+				Entry: 16, Verdict: policy.VerdictReject, Reason: "too old", KnownNumber: 17, AppliedNumber: 18,
 				MayServe: true, Arrived: 19, Rejected: 20,
 			},
 		}},
@@ -85,18 +85,18 @@
 }
 
 func goldenDigest() consensus.Digest {
-	kinds := []consensus.KindDigest{{Kind: 1, Index: 32, Sum: 33}, {Kind: 3, Index: 34, Sum: 35}}
+	kinds := []consensus.KindDigest{{Kind: 1, Index: 32, EntryDigest: 33}, {Kind: 3, Index: 34, EntryDigest: 35}}
 	return consensus.Digest{LogID: 31, Kinds: kinds}
 }
 
 func goldenNotice() policy.LeaderNotice {
-	return policy.LeaderNotice{Entry: 36, InForce: 37, OnTrial: 38, Window: 39}
+	return policy.LeaderNotice{Entry: 36, InForce: 37, CanaryNumber: 38, Window: 39}
 }
 
 func goldenReply() Reply {
 	return Reply{
 		Error: "an error", BadCall: true, Retry: true, Leader: "v", Node: "a", Zone: "z1", Mode: "planned", Plan: 1,
-		Lease: 2.5, Log: "00000000000000ff", Term: 3, Leads: true, Voter: true,
+		GrantsValidSeconds: 2.5, Log: "00000000000000ff", Term: 3, Leads: true, Voter: true,
 		Counts: Counts{Sent: 4, SentBytes: 5, Accepted: 6, Foreign: 7, Corrupt: 8, Late: 9, Dropped: 10},
 		Zones: []ZoneReply{{
 			Name: "z1", Region: "r1", State: "lost", Nodes: 11, Listed: 12, Capacity: 13.5, GuestLoad: 14.5,
@@ -109,7 +109,7 @@
 		LeasedOut: 19.5, Drained: []string{"z2"},
 		Nodes:   []NodeReply{{Name: "b", Zone: "z1", Live: true, Plan: 20, LastReportSecondsAgo: 21.5}},
 		Explain: []string{"a line"},
-		Ended:   &ProposalOutcome{ID: "drain-1", Number: 22, Taken: true},
+		Outcome: &ProposalOutcome{ID: "drain-1", Number: 22, Accepted: true},
 		Policy:  goldenPolicyReply(),
 	}
 }
@@ -121,7 +121,7 @@
 			ID: "c-26", Number: 26, Base: 25, Step: "trial", Digest: "d26", Text: []byte("changed"),
 			Part: policy.Canary{Zone: "z1", OneIn: 2, Seconds: 27.5, MaxExtraRejections: 0.25},
 		},
-		Ended:     []policy.ChangeOutcome{{ID: "c-25", Number: 25, Accepted: true, Reason: "nobody objected"}},
+		Outcomes:  []policy.ChangeOutcome{{ID: "c-25", Number: 25, Accepted: true, Reason: "nobody objected"}},
 		Documents: []policy.VersionedDocument{{Number: 25, Text: []byte("in force")}},
 		Entry:     28,
 		Window:    29.5,
--- a/internal/failover/agent/leader_contact.go
+++ b/internal/failover/agent/leader_contact.go
@@ -19,7 +19,7 @@
 
 // handleSummaryAck processes the leader's reply to a summary.
 func (a *Agent) handleSummaryAck(head header, ack summaryAck, now time.Duration) {
-	if a.options.List.Voter(head.from) < 0 {
+	if a.options.List.VoterIndex(head.from) < 0 {
 		return
 	}
 	if sentAt, ok := a.peer(head.from).takeSendTime(ack.SummaryClock); ok {
--- a/internal/failover/agent/policy.go
+++ b/internal/failover/agent/policy.go
@@ -85,7 +85,7 @@
 
 // ActivePolicy returns the policy that this node may serve by, and until when by its own clock. It must be called only
 // if Options.Policy is set: a fleet without a policy in the log has no such limit.
-func (a *Agent) ActivePolicy() (active policy.Active, until time.Duration) {
+func (a *Agent) ActivePolicy() (active policy.ActiveDocument, until time.Duration) {
 	local := &a.localPolicy
 	active = policy.ActiveFor(a.options.Self, a.zone, local.entry, local.state, a.leader.notice)
 	if !a.leader.known {
@@ -107,12 +107,12 @@
 	active, until := a.ActivePolicy()
 	isRejected := active.Number != 0 && active.Number == local.rejected
 	status := &policy.MemberStatus{
-		Entry:        local.entry,
-		Verdict:      local.verdict,
-		Reason:       local.reason,
-		KnownNumber:  local.state.Number,
-		ServedNumber: active.Number,
-		MayServe:     active.Known && now < until && !isRejected,
+		Entry:         local.entry,
+		Verdict:       local.verdict,
+		Reason:        local.reason,
+		KnownNumber:   local.state.Number,
+		AppliedNumber: active.Number,
+		MayServe:      active.Known && now < until && !isRejected,
 	}
 	if a.options.Policy.Counts != nil {
 		status.Arrived, status.Rejected = a.options.Policy.Counts()
--- a/internal/failover/agent/policy_calls.go
+++ b/internal/failover/agent/policy_calls.go
@@ -17,7 +17,7 @@
 	Number    uint64                     `json:"number"`
 	Digest    string                     `json:"digest,omitempty"`
 	Change    *ChangeReply               `json:"change,omitempty"`
-	Ended     []policy.ChangeOutcome     `json:"ended,omitempty"`
+	Outcomes  []policy.ChangeOutcome     `json:"ended,omitempty"`
 	Documents []policy.VersionedDocument `cbor:"docs" json:"-"`
 	Entry     uint64                     `json:"entry"`    // index of the log entry with the policy
 	Window    float64                    `json:"window_s"` // seconds that a replaced policy may stay in use
@@ -161,7 +161,7 @@
 	state, entry := a.newestPolicy()
 	reply := &PolicyReply{
 		Number:    state.Number,
-		Ended:     state.Ended,
+		Outcomes:  state.Ended,
 		Documents: state.Documents,
 		Entry:     entry,
 		Window:    a.options.Policy.Rules.Window.Seconds(),
@@ -191,7 +191,7 @@
 			Live:         member.Live,
 			HasStatus:    member.HasStatus,
 			KnownNumber:  member.Status.KnownNumber,
-			ServedNumber: member.Status.ServedNumber,
+			ServedNumber: member.Status.AppliedNumber,
 			MayServe:     member.Status.MayServe,
 		}
 		if state.Change != nil && member.Status.Entry == entry {
--- a/internal/failover/agent/policy_leader.go
+++ b/internal/failover/agent/policy_leader.go
@@ -97,7 +97,7 @@
 		return policy.LeaderNotice{}
 	}
 	state, entry := a.newestPolicy()
-	notice := policy.NoticeOf(entry, state)
+	notice := policy.NewLeaderNotice(entry, state)
 	notice.Window = uint32(a.options.Policy.Rules.Window / time.Millisecond)
 	return notice
 }
--- a/internal/failover/agent/reply.go
+++ b/internal/failover/agent/reply.go
@@ -12,37 +12,37 @@
 
 // Reply is a node's reply to an operator's call. Tools print it as JSON. Nodes send it as CBOR with the same keys.
 type Reply struct {
-	Error      string             `json:"error,omitempty"`
-	BadCall    bool               `json:"bad,omitempty"`   // the call is invalid: no node accepts it
-	Retry      bool               `json:"retry,omitempty"` // the same call may succeed later, or at the leader
-	Leader     string             `json:"leader,omitempty"`
-	Node       string             `json:"node"`
-	Zone       string             `json:"zone"`
-	Mode       string             `json:"mode"`
-	Plan       uint64             `json:"plan"`
-	Lease      float64            `json:"lease_s"`        // seconds until the grants in other zones expire
-	Log        string             `json:"log"`            // ID of the log, in hexadecimal
-	Term       uint64             `json:"term,omitempty"` // voters only
-	Leads      bool               `json:"leads"`          // this node is the leader
-	Voter      bool               `json:"voter"`
-	Counts     Counts             `json:"messages"`
-	Zones      []ZoneReply        `json:"zones,omitempty"`
-	Reason     string             `json:"why,omitempty"`
-	LostNodes  []string           `json:"lost,omitempty"`
-	LeasedFrom map[string]float64 `json:"loans,omitempty"` // capacity that this node has leased, by zone
-	LeasedOut  float64            `json:"lent"`            // capacity of its own zone that it has leased to other nodes
-	Drained    []string           `json:"drained,omitempty"`
-	Nodes      []NodeReply        `json:"nodes,omitempty"` // leader only
-	Explain    []string           `json:"explain,omitempty"`
-	Ended      *ProposalOutcome   `json:"ended,omitempty"`
-	Policy     *PolicyReply       `json:"policy,omitempty"`
+	Error              string             `json:"error,omitempty"`
+	BadCall            bool               `json:"bad,omitempty"`   // the call is invalid: no node accepts it
+	Retry              bool               `json:"retry,omitempty"` // the same call may succeed later, or at the leader
+	Leader             string             `json:"leader,omitempty"`
+	Node               string             `json:"node"`
+	Zone               string             `json:"zone"`
+	Mode               string             `json:"mode"`
+	Plan               uint64             `json:"plan"`
+	GrantsValidSeconds float64            `json:"lease_s"`        // seconds until the grants in other zones expire
+	Log                string             `json:"log"`            // ID of the log, in hexadecimal
+	Term               uint64             `json:"term,omitempty"` // voters only
+	Leads              bool               `json:"leads"`          // this node is the leader
+	Voter              bool               `json:"voter"`
+	Counts             Counts             `json:"messages"`
+	Zones              []ZoneReply        `json:"zones,omitempty"`
+	Reason             string             `json:"why,omitempty"`
+	LostNodes          []string           `json:"lost,omitempty"`
+	LeasedFrom         map[string]float64 `json:"loans,omitempty"` // capacity that this node has leased, by zone
+	LeasedOut          float64            `json:"lent"`            // capacity of its own zone that other nodes lease
+	Drained            []string           `json:"drained,omitempty"`
+	Nodes              []NodeReply        `json:"nodes,omitempty"` // leader only
+	Explain            []string           `json:"explain,omitempty"`
+	Outcome            *ProposalOutcome   `json:"ended,omitempty"`
+	Policy             *PolicyReply       `json:"policy,omitempty"`
 }
 
-// ProposalOutcome is the outcome of a proposal. Taken is true if it was accepted.
+// ProposalOutcome is the outcome of a proposal, accepted or not.
 type ProposalOutcome struct {
-	ID     string `json:"id"`
-	Number uint64 `json:"number"`
-	Taken  bool   `json:"taken"`
+	ID       string `json:"id"`
+	Number   uint64 `json:"number"`
+	Accepted bool   `json:"taken"`
 }
 
 // ZoneReply is a zone of the plan.
@@ -83,10 +83,10 @@
 		Leads:      a.IsLeader(),
 		Counts:     a.Counts,
 		LeasedFrom: a.leasedLoads(),
-		LeasedOut:  a.leaseOwner.Reserved(now),
+		LeasedOut:  a.leaseOwner.LeasedOut(now),
 	}
 	if a.plan != nil && now < a.grantsValidUntil {
-		reply.Lease = (a.grantsValidUntil - now).Seconds()
+		reply.GrantsValidSeconds = (a.grantsValidUntil - now).Seconds()
 	}
 	if a.voter != nil {
 		reply.Term = a.voter.Term()
--- a/internal/failover/agent/voter.go
+++ b/internal/failover/agent/voter.go
@@ -33,7 +33,7 @@
 // startVoter starts this node's replica if the node is a voter.
 func (a *Agent) startVoter() error {
 	list := a.options.List
-	self := list.Voter(a.options.Self)
+	self := list.VoterIndex(a.options.Self)
 	if self < 0 {
 		return nil
 	}
@@ -66,7 +66,7 @@
 
 // handleConsensus passes a message from another voter to this node's voter.
 func (a *Agent) handleConsensus(head header, body []byte) {
-	from := a.options.List.Voter(head.from)
+	from := a.options.List.VoterIndex(head.from)
 	if a.voter == nil || from < 0 {
 		return
 	}
--- a/internal/failover/golden_test.go
+++ b/internal/failover/golden_test.go
@@ -39,14 +39,14 @@
 			Plan:        70000,
 			Unreachable: []int{4, 300},
 			Policy: &policy.MemberStatus{
-				Entry:        1 << 33,
-				Verdict:      policy.VerdictReject,
-				Reason:       "class chat has no host",
-				KnownNumber:  41,
-				ServedNumber: 40,
-				MayServe:     true,
-				Arrived:      123456.7,
-				Rejected:     89,
+				Entry:         1 << 33,
+				Verdict:       policy.VerdictReject,
+				Reason:        "class chat has no host",
+				KnownNumber:   41,
+				AppliedNumber: 40,
+				MayServe:      true,
+				Arrived:       123456.7,
+				Rejected:      89,
 			},
 		}, {
 			Node:        260, // a node without policy status
--- a/internal/failover/lease_owner.go
+++ b/internal/failover/lease_owner.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Reserved returns the load of all leases that may be in use.
-func (o *LeaseOwner) Reserved(now time.Duration) (load float64) {
+// LeasedOut returns the load of all leases that may be in use.
+func (o *LeaseOwner) LeasedOut(now time.Duration) (load float64) {
 	for _, holder := range slices.Sorted(maps.Keys(o.leases)) {
 		current := slices.DeleteFunc(slices.Clone(o.leases[holder]), func(l lease) bool { return l.expired(now) })
 		load += largestLoad(current)
--- a/internal/failover/plan_history.go
+++ b/internal/failover/plan_history.go
@@ -10,9 +10,9 @@
 
 // VersionedPlan is a plan that may be in use, with its number in the consensus log.
 type VersionedPlan struct {
-	Number uint64
-	Plan   *Plan
-	From   time.Duration // when it became the newest plan on this node
+	Number      uint64
+	Plan        *Plan
+	NewestSince time.Duration // when it became the newest plan on this node
 }
 
 // PlanHistory holds the plans that a node has seen. A node that becomes leader must consider all plans that may be in
@@ -27,7 +27,7 @@
 		return
 	}
 	h.Plans = append(h.Plans, VersionedPlan{number, plan, now})
-	for len(h.Plans) > 1 && now-h.Plans[1].From > 2*lostNodeMemory || len(h.Plans) > maxKnownPlans {
+	for len(h.Plans) > 1 && now-h.Plans[1].NewestSince > 2*lostNodeMemory || len(h.Plans) > maxKnownPlans {
 		h.Plans = h.Plans[1:]
 	}
 }
@@ -71,7 +71,7 @@
 // reported that they adopted it or a newer plan, and the grants of older plans into other zones, which unreachable
 // nodes may have used, have expired.
 func (p *Planner) supersedesOlder(plan VersionedPlan, oldestAdopted uint64, now time.Duration) bool {
-	return plan.Number <= oldestAdopted && now-plan.From > p.crossZonePeriod()+leaseSettlePeriod
+	return plan.Number <= oldestAdopted && now-plan.NewestSince > p.crossZonePeriod()+leaseSettlePeriod
 }
 
 // crossZonePeriod returns how long after a newer plan nodes may still use other zones under the older plan. It is the
--- a/internal/failover/plans_in_use.go
+++ b/internal/failover/plans_in_use.go
@@ -35,7 +35,7 @@
 // addGrantsInUse raises the loads to the grants of a known plan.
 func (p *Planner) addGrantsInUse(loads *loadsInUse, planIndex int, now time.Duration) {
 	known := &p.knownPlans[planIndex]
-	crossZoneEnded := planIndex+1 < len(p.knownPlans) && now-p.knownPlans[planIndex+1].From > p.crossZonePeriod()
+	crossZoneEnded := planIndex+1 < len(p.knownPlans) && now-p.knownPlans[planIndex+1].NewestSince > p.crossZonePeriod()
 	lost := map[int]bool{}
 	for _, node := range known.Plan.LostNodes {
 		lost[node] = true
@@ -59,7 +59,7 @@
 // addEarlierLoads raises the loads to those that plans unknown to this planner may have left in use. The known plan
 // after them states these loads in EarlierLoads.
 func (p *Planner) addEarlierLoads(loads *loadsInUse, known *VersionedPlan, now time.Duration) {
-	crossZoneEnded := now-known.From > p.crossZonePeriod()
+	crossZoneEnded := now-known.NewestSince > p.crossZonePeriod()
 	for from, most := range known.Plan.EarlierLoads {
 		for _, node := range p.list.InZone(known.Plan.Zones[from].Name) {
 			if p.adoptions.newestPlanOf(node) >= known.Number {
--- a/internal/failover/plans_in_use_test.go
+++ b/internal/failover/plans_in_use_test.go
@@ -183,7 +183,7 @@
 	for node := range f.adopted {
 		share := 0.0
 		for plan := f.adopted[node]; plan < len(f.plans); plan++ {
-			share = max(share, GrantShare(f.modeOf(plan), f.plans[plan], node, f.list.Node(node).Zone)[name])
+			share = max(share, NodeShares(f.modeOf(plan), f.plans[plan], node, f.list.Node(node).Zone)[name])
 			capacity = max(capacity, f.plans[plan].StatedCapacity(name))
 		}
 		reserve, ownerCapacity := f.reserveOf(node, name)
--- a/internal/failover/reserves.go
+++ b/internal/failover/reserves.go
@@ -21,7 +21,9 @@
 			return newest.Zones[index].LeaseOwner
 		}
 	}
-	return slices.MinFunc(live, func(a, b int) int { return cmp.Compare(p.list.Key(a, a), p.list.Key(b, b)) })
+	return slices.MinFunc(live, func(a, b int) int {
+		return cmp.Compare(p.list.RendezvousHash(a, a), p.list.RendezvousHash(b, b))
+	})
 }
 
 // reservesInUse returns the largest load, by lease owner, that the owner may have leased to nodes from a zone's
@@ -44,7 +46,7 @@
 // plan states this load in EarlierReserves.
 func (p *Planner) addEarlierReserves(byOwner map[int]float64, planIndex int, zone string, now time.Duration) {
 	known := &p.knownPlans[planIndex]
-	if now-known.From > p.crossZonePeriod()+leaseSettlePeriod {
+	if now-known.NewestSince > p.crossZonePeriod()+leaseSettlePeriod {
 		return
 	}
 	for _, reserve := range known.Plan.EarlierReserves {
@@ -62,7 +64,7 @@
 		return
 	}
 	superseded := planIndex+1 < len(p.knownPlans) &&
-		now-p.knownPlans[planIndex+1].From > p.crossZonePeriod()+leaseSettlePeriod
+		now-p.knownPlans[planIndex+1].NewestSince > p.crossZonePeriod()+leaseSettlePeriod
 	owner := known.Plan.Zones[zoneIndex].LeaseOwner
 	if superseded || p.olderLeasesEnded(owner, known.Number+1, now) {
 		return
--- a/internal/failover/schedule_test.go
+++ b/internal/failover/schedule_test.go
@@ -175,14 +175,14 @@
 func (f *testFleet) recordZonePlan(node int, mode Mode) {
 	zone := f.list.Node(node).Zone
 	fmt.Fprintf(&f.text, " %v: parts", mode)
-	shares := GrantShare(mode, f.newest, node, zone)
+	shares := NodeShares(mode, f.newest, node, zone)
 	for _, name := range slices.Sorted(maps.Keys(shares)) {
 		fmt.Fprintf(&f.text, " %s %.6g", name, shares[name])
 	}
 	leased := LeasedCapacity{ByZone: map[string]float64{"b": 1.25}, InRegionOnly: 0.75}
 	plan := ZonePlanFor(mode, f.newest, node, zone, []string{"presence", "chat"}, time.Second, leased)
 	fmt.Fprintf(&f.text, "; use of %d nodes, again after %v, admit %.6g:",
-		plan.Nodes, plan.RetryAfter, plan.AdmitFraction)
+		plan.LiveNodes, plan.RetryAfter, plan.AdmitFraction)
 	for _, grant := range plan.Grants {
 		fmt.Fprintf(&f.text, " %s %.6g but %d", grant.Zone, grant.Load, grant.ExcludedClasses)
 	}
@@ -265,7 +265,7 @@
 		reserve := 20 - float64(i/20)*6.5
 		granted := owner.Grant(node, requested, reserve, now)
 		fmt.Fprintf(&text, "%v node %d asks for %.6g of %.6g, gets %.6g; lent %.6g\n",
-			now, node, requested, reserve, granted, owner.Reserved(now))
+			now, node, requested, reserve, granted, owner.LeasedOut(now))
 	}
 	golden(t, "lease_owner.txt", []byte(text.String()))
 }
--- a/internal/failover/zone_plan.go
+++ b/internal/failover/zone_plan.go
@@ -41,9 +41,9 @@
 	InRegionOnly float64            // reserved for load of regional classes without capacity in the node's own zone
 }
 
-// GrantShare returns the load that a node of a zone may have in each zone under a plan. Like the planner, it counts
+// NodeShares returns the load that a node of a zone may have in each zone under a plan. Like the planner, it counts
 // neither leases nor the margin that ZonePlanFor adds for random variation.
-func GrantShare(mode Mode, plan *Plan, node int, zone string) map[string]float64 {
+func NodeShares(mode Mode, plan *Plan, node int, zone string) map[string]float64 {
 	shares := map[string]float64{}
 	own := plan.zoneIndex(zone)
 	if mode == Standalone || own < 0 {
@@ -77,7 +77,7 @@
 	calculator.splitClasses(classes)
 	zonePlan := choice.ZonePlan{RetryAfter: retryAfter, Grants: calculator.grants()}
 	for i := range plan.Zones {
-		zonePlan.Nodes += plan.Zones[i].Nodes
+		zonePlan.LiveNodes += plan.Zones[i].Nodes
 	}
 	if mode != OwnZoneOnly { // in OwnZoneOnly, the grants bound the admission: they are less than the plan's capacity
 		zonePlan.AdmitFraction = calculator.admitFractions(classes)
--- a/internal/failover/zone_plan_test.go
+++ b/internal/failover/zone_plan_test.go
@@ -71,10 +71,10 @@
 // one.
 func TestGrantShareInOwnZone(t *testing.T) {
 	plan := twoRegionPlan()
-	if share := GrantShare(Planned, plan, 0, "a")["a"]; share != 15 {
-		t.Errorf("GrantShare of a live node: got %v, want 15", share)
+	if share := NodeShares(Planned, plan, 0, "a")["a"]; share != 15 {
+		t.Errorf("NodeShares of a live node: got %v, want 15", share)
 	}
-	if share := GrantShare(Planned, plan, 2, "a")["a"]; share != 10 {
-		t.Errorf("GrantShare of a lost node: got %v, want 10", share)
+	if share := NodeShares(Planned, plan, 2, "a")["a"]; share != 10 {
+		t.Errorf("NodeShares of a lost node: got %v, want 10", share)
 	}
 }
--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -22,7 +22,7 @@
 	}
 	var got strings.Builder
 	monitor.Each(func(kind, name string, count uint64) { fmt.Fprintf(&got, "%s %s %d\n", kind, name, count) })
-	fmt.Fprintf(&got, "%s %d\n", Holds, monitor.Violations())
+	fmt.Fprintf(&got, "%s %d\n", NoViolation, monitor.Violations())
 	want, err := os.ReadFile("testdata/figures.txt")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -50,7 +50,7 @@
 // last cause.
 var attemptHistories = []history{
 	{
-		name: "first attempt", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
+		name: "first attempt", class: class(choice.NotIdempotent, choice.ScopeAll), want: NoViolation,
 		step: func(r *Request) Rule { return r.Start(server, startTime) },
 	},
 	{
@@ -101,12 +101,12 @@
 		step:   func(r *Request) Rule { return r.Start(otherServer, startTime) },
 	},
 	{
-		name: "unsafe, but never sent", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
+		name: "unsafe, but never sent", class: class(choice.NotIdempotent, choice.ScopeAll), want: NoViolation,
 		before: attemptNeverSent,
 		step:   func(r *Request) Rule { return r.Start(otherServer, startTime) },
 	},
 	{
-		name: "keyed, within the window", class: class(choice.IdempotentByKey, choice.ScopeAll), want: Holds,
+		name: "keyed, within the window", class: class(choice.IdempotentByKey, choice.ScopeAll), want: NoViolation,
 		before: attemptMayHaveRun,
 		step:   func(r *Request) Rule { return r.Start(otherServer, startTime.Add(2*time.Second)) },
 	},
@@ -121,7 +121,7 @@
 		step:   func(r *Request) Rule { return r.Start(otherServer, startTime) },
 	},
 	{
-		name: "keyed, the same zone", class: class(choice.IdempotentByKey, choice.ScopeZone), want: Holds,
+		name: "keyed, the same zone", class: class(choice.IdempotentByKey, choice.ScopeZone), want: NoViolation,
 		before: attemptMayHaveRun,
 		step:   func(r *Request) Rule { return r.Start(server, startTime) },
 	},
@@ -131,7 +131,7 @@
 		step:   func(r *Request) Rule { return r.Start(otherCell, startTime) },
 	},
 	{
-		name: "within the grace period", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		name: "within the grace period", class: class(choice.Idempotent, choice.ScopeAll), want: NoViolation,
 		step: func(r *Request) Rule { return r.Start(draining, startTime.Add(3*time.Second)) },
 	},
 	{
@@ -151,7 +151,7 @@
 // without the last cause.
 var closeHistories = []history{
 	{
-		name: "rejected, nothing ran", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
+		name: "rejected, nothing ran", class: class(choice.NotIdempotent, choice.ScopeAll), want: NoViolation,
 		before: attemptNeverSent,
 		step:   func(r *Request) Rule { return r.Answer(true, startTime) },
 	},
@@ -169,7 +169,7 @@
 		step: func(r *Request) Rule { return r.Answer(true, startTime) },
 	},
 	{
-		name: "keyed in all zones, rejected", class: class(choice.IdempotentByKey, choice.ScopeAll), want: Holds,
+		name: "keyed in all zones, rejected", class: class(choice.IdempotentByKey, choice.ScopeAll), want: NoViolation,
 		before: attemptMayHaveRun,
 		step:   func(r *Request) Rule { return r.Answer(true, startTime) },
 	},
@@ -180,7 +180,7 @@
 		step:   func(r *Request) Rule { return r.Answer(true, startTime) },
 	},
 	{
-		name: "answered with a failure", class: class(choice.NotIdempotent, choice.ScopeAll), want: Holds,
+		name: "answered with a failure", class: class(choice.NotIdempotent, choice.ScopeAll), want: NoViolation,
 		before: attemptMayHaveRun,
 		step:   func(r *Request) Rule { return r.Answer(false, startTime) },
 	},
@@ -189,7 +189,7 @@
 		step: func(r *Request) Rule { return r.Answer(true, startTime.Add(10*time.Second+AnswerSlack+1)) },
 	},
 	{
-		name: "answered just in time", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		name: "answered just in time", class: class(choice.Idempotent, choice.ScopeAll), want: NoViolation,
 		step: func(r *Request) Rule { return r.Answer(true, startTime.Add(10*time.Second+AnswerSlack)) },
 	},
 	{
@@ -197,7 +197,7 @@
 		step: func(r *Request) Rule { return r.Close(ByNode, false) },
 	},
 	{
-		name: "closed by the client", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		name: "closed by the client", class: class(choice.Idempotent, choice.ScopeAll), want: NoViolation,
 		step: func(r *Request) Rule { return r.Close(ByClient, false) },
 	},
 	{
@@ -206,7 +206,7 @@
 		step: func(r *Request) Rule { return r.Close(ByServer, false) },
 	},
 	{
-		name: "closed after the answer", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		name: "closed after the answer", class: class(choice.Idempotent, choice.ScopeAll), want: NoViolation,
 		before: func(r *Request) {
 			r.Answer(true, startTime)
 		},
@@ -221,7 +221,7 @@
 		step: func(r *Request) Rule { return r.Close(ByNode, false) },
 	},
 	{
-		name: "open connection migrated", class: class(choice.Idempotent, choice.ScopeAll), want: Holds,
+		name: "open connection migrated", class: class(choice.Idempotent, choice.ScopeAll), want: NoViolation,
 		before: func(r *Request) {
 			r.Served(true, startTime)
 		},
@@ -229,7 +229,7 @@
 	},
 	{
 		name: "open connection closed by the server", class: class(choice.Idempotent, choice.ScopeAll),
-		want: Holds,
+		want: NoViolation,
 		before: func(r *Request) {
 			r.Served(true, startTime)
 		},
@@ -258,7 +258,7 @@
 			if got != test.want {
 				t.Errorf("step: got rule %v, want %v", got, test.want)
 			}
-			if (got == Holds) != (len(violations) == 0) || monitor.Violations() != uint64(len(violations)) {
+			if (got == NoViolation) != (len(violations) == 0) || monitor.Violations() != uint64(len(violations)) {
 				t.Errorf("step: got rule %v, violations %v and count %d, want all three to agree",
 					got, violations, monitor.Violations())
 			}
@@ -272,8 +272,8 @@
 	monitor := &Monitor{}
 	request := monitor.NewRequest(RequestFacts{ID: "q", MaxAttempts: 1, AlreadyOpen: true, Deadline: startTime})
 	for attempt := range 5 {
-		if rule := request.Start(Server{}, startTime); rule != Holds {
-			t.Fatalf("Start of attempt %d: got %v, want %v", attempt, rule, Holds)
+		if rule := request.Start(Server{}, startTime); rule != NoViolation {
+			t.Fatalf("Start of attempt %d: got %v, want %v", attempt, rule, NoViolation)
 		}
 		request.Ended(false)
 	}
@@ -308,8 +308,8 @@
 func TestSlowStartForbidsSendInFullWindow(t *testing.T) {
 	request := (&Monitor{}).NewRequest(RequestFacts{ID: "q", MaxAttempts: 1, Deadline: startTime.Add(time.Second)})
 	warmingUp := Server{ID: "h", SlowStart: &CallWindow{Window: time.Second}, Budget: -1}
-	if rule := request.Start(warmingUp, startTime); rule != Holds {
-		t.Fatalf("Start: got %v, want %v", rule, Holds)
+	if rule := request.Start(warmingUp, startTime); rule != NoViolation {
+		t.Fatalf("Start: got %v, want %v", rule, NoViolation)
 	}
 	warmingUp.SlowStart.calls = make([]call, 1000)
 	for i := range warmingUp.SlowStart.calls {
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -31,16 +31,16 @@
 	for step, count := range m.checked {
 		visit("checked", Step(step).String(), count)
 	}
-	for rule := Holds + 1; rule < ruleCount; rule++ {
+	for rule := NoViolation + 1; rule < ruleCount; rule++ {
 		visit("broken", rule.String(), m.violations[rule])
 	}
 }
 
-// check counts a step and, unless its rule is Holds, the violation of that rule.
+// check counts a step and, unless its rule is NoViolation, the violation of that rule.
 func (m *Monitor) check(step Violation) Rule {
 	m.checked[step.Step]++
-	if step.Rule == Holds {
-		return Holds
+	if step.Rule == NoViolation {
+		return NoViolation
 	}
 	m.violations[step.Rule]++
 	if m.OnViolation != nil {
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -61,39 +61,39 @@
 	return &Request{RequestFacts: facts, monitor: m, attempts: 1, answered: true, open: true}
 }
 
-// Start must be called before an attempt starts. The attempt must not start unless the rule is Holds.
+// Start must be called before an attempt starts. The attempt must not start unless the rule is NoViolation.
 func (r *Request) Start(server Server, now time.Time) Rule {
 	rule := r.attemptRule(server, now)
-	if rule == Holds && r.inFlight {
+	if rule == NoViolation && r.inFlight {
 		rule = ConcurrentAttempt
 	}
-	if rule == Holds && r.attempts >= r.MaxAttempts && !r.AlreadyOpen {
+	if rule == NoViolation && r.attempts >= r.MaxAttempts && !r.AlreadyOpen {
 		rule = TooManyAttempts
 	}
-	if r.check(r.attemptStep(Start), rule, server.ID) != Holds {
+	if r.check(r.attemptStep(Start), rule, server.ID) != NoViolation {
 		return rule
 	}
 	r.attempts++
 	r.inFlight = true
 	r.sentAt = time.Time{}
-	return Holds
+	return NoViolation
 }
 
 // Send must be called before the first byte of the attempt in flight is sent. Nothing may be sent unless the rule is
-// Holds.
+// NoViolation.
 func (r *Request) Send(server Server, now time.Time) Rule {
 	rule := r.attemptRule(server, now)
-	if rule == Holds && server.SlowStart != nil && !server.SlowStart.allow(server.Budget, now) {
+	if rule == NoViolation && server.SlowStart != nil && !server.SlowStart.allow(server.Budget, now) {
 		rule = SlowStart
 	}
-	if r.check(r.attemptStep(Send), rule, server.ID) == Holds {
+	if r.check(r.attemptStep(Send), rule, server.ID) == NoViolation {
 		r.sentAt = now
 		r.sentTo = server
 	}
 	return rule
 }
 
-// attemptRule returns the rule that forbids an attempt at any stage, or Holds.
+// attemptRule returns the rule that forbids an attempt at any stage, or NoViolation.
 func (r *Request) attemptRule(server Server, now time.Time) Rule {
 	switch {
 	case r.clientGone:
@@ -101,13 +101,13 @@
 	case r.answered:
 		return SecondAnswer
 	case r.AlreadyOpen:
-		return Holds
+		return NoViolation
 	case !server.DrainingSince.IsZero() && now.Sub(server.DrainingSince) > server.Grace:
 		return ServerDraining
 	case r.mayHaveRun && !r.mayRetry(server, now):
 		return UnsafeRetry
 	}
-	return Holds
+	return NoViolation
 }
 
 // mayRetry reports whether the class allows an attempt at a server after an earlier attempt may have run.
@@ -156,7 +156,7 @@
 // retry does no harm. If the rule is UnsafeRejection, the node must answer with a failure instead. If the rule is
 // SecondAnswer, the node must not answer at all.
 func (r *Request) Answer(harmless bool, now time.Time) Rule {
-	rule := Holds
+	rule := NoViolation
 	switch {
 	case r.answered || r.clientGone:
 		rule = SecondAnswer
@@ -182,7 +182,7 @@
 
 // Served must be called when a server's own answer is forwarded. open means that the connection stays open.
 func (r *Request) Served(open bool, now time.Time) Rule {
-	rule := Holds
+	rule := NoViolation
 	switch {
 	case r.answered || r.clientGone:
 		rule = SecondAnswer
@@ -200,12 +200,12 @@
 // Gone records that the client has left by itself, or broke the protocol.
 func (r *Request) Gone() { r.clientGone = true }
 
-// Ending identifies who ends a client's connection.
-type Ending uint8
+// ClosedBy identifies who ends a client's connection.
+type ClosedBy uint8
 
 const (
 	// ByClient means that the client ended it, or broke the protocol.
-	ByClient Ending = iota
+	ByClient ClosedBy = iota
 	// ByServer means that the server ended it.
 	ByServer
 	// ByNode means that the node ended it, after a last message of its own: an answer or a request to reconnect.
@@ -213,8 +213,8 @@
 )
 
 // Close must be called when the client's connection ends. migrated means that the node asked the client to reconnect.
-func (r *Request) Close(by Ending, migrated bool) Rule {
-	rule := Holds
+func (r *Request) Close(by ClosedBy, migrated bool) Rule {
+	rule := NoViolation
 	switch {
 	case by == ByClient || r.clientGone:
 	case !r.answered:
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -4,8 +4,8 @@
 type Rule uint8
 
 const (
-	// Holds means that a step breaks no rule.
-	Holds Rule = iota
+	// NoViolation means that a step breaks no rule.
+	NoViolation Rule = iota
 	// SecondAnswer forbids another final answer or an attempt for a request that already has its final answer.
 	SecondAnswer
 	// Unanswered forbids ending the connection of a request without an answer once the request was read, unless the
@@ -35,7 +35,7 @@
 
 // ruleNames holds the names in logs and metrics, which operators' tools depend on.
 var ruleNames = [ruleCount]string{
-	Holds:                  "kept",
+	NoViolation:            "kept",
 	SecondAnswer:           "second_answer",
 	Unanswered:             "unanswered",
 	LateAnswer:             "late_answer",
--- a/internal/lab/faults/check_plans.go
+++ b/internal/lab/faults/check_plans.go
@@ -186,7 +186,7 @@
 	if node.mode == failover.OwnZoneOnly.String() {
 		mode = failover.OwnZoneOnly
 	}
-	load := failover.GrantShare(mode, plan, index, c.list.Node(index).Zone)
+	load := failover.NodeShares(mode, plan, index, c.list.Node(index).Zone)
 	for zone, leased := range node.leases {
 		load[zone] += leased
 	}
--- a/internal/lab/faults/scenario.go
+++ b/internal/lab/faults/scenario.go
@@ -134,7 +134,7 @@
 func ReadScenario(path string, text []byte) (*Scenario, error) {
 	scenario := &Scenario{}
 	file := tomlfile.Decode(path, text, scenario)
-	if !file.Broken() {
+	if !file.HasFaults() {
 		scenario.Fleet.setDefaults()
 		scenario.check(file)
 	}
--- a/internal/lab/simulation/operator.go
+++ b/internal/lab/simulation/operator.go
@@ -324,7 +324,7 @@
 		return
 	}
 	p.operator.knownNumber = status.Number
-	for _, ended := range status.Ended {
+	for _, ended := range status.Outcomes {
 		if ended.ID != p.change.ID {
 			continue
 		}
--- a/internal/loop/helpers_test.go
+++ b/internal/loop/helpers_test.go
@@ -50,7 +50,7 @@
 // startLoopOn is like startLoop, with an implementation of the system calls.
 func startLoopOn(t *testing.T, kernel Kernel) *Loop {
 	t.Helper()
-	started, err := NewOn(kernel)
+	started, err := NewWithKernel(kernel)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/loop/idle.go
+++ b/internal/loop/idle.go
@@ -17,10 +17,10 @@
 // last reply before that. EvictIdle closes the connection right after Evict, unless a part of the reply is pending.
 type Evictable interface{ Evict() }
 
-// Limit sets the number of open connections above which idle ones are evicted, and sizes the write buffers so that
+// SetLimits sets the number of open connections above which idle ones are evicted, and sizes the write buffers so that
 // those of maxConnections connections fit into the memory (in bytes). 0 means unknown. Of several calls, the lowest
 // idleAbove holds.
-func (l *Loop) Limit(idleAbove, maxConnections int, memory int64) {
+func (l *Loop) SetLimits(idleAbove, maxConnections int, memory int64) {
 	if idleAbove > 0 && (l.ownIdleLimit == 0 || idleAbove < l.ownIdleLimit) {
 		l.idleLimit = idleAbove
 		l.ownIdleLimit = idleAbove
@@ -32,7 +32,7 @@
 }
 
 // SetIdleLimit sets the present number of open connections above which idle ones are evicted, for a node that may share
-// its descriptors with another process. A lower limit set by Limit still holds. 0: no connection is evicted.
+// its descriptors with another process. A lower limit set by SetLimits still holds. 0: no connection is evicted.
 func (l *Loop) SetIdleLimit(idleAbove int) {
 	l.idleLimit = idleAbove
 	if l.ownIdleLimit > 0 {
--- a/internal/loop/listen.go
+++ b/internal/loop/listen.go
@@ -16,8 +16,8 @@
 // by one of the two.
 type Listener struct {
 	Addr netip.AddrPort // the zero value for a Unix socket
-	// ReusePort is true if another process listened at the address when this socket was created.
-	ReusePort bool
+	// AddressShared is true if another process listened at the address when this socket was created.
+	AddressShared bool
 
 	loop      *Loop
 	fd        int
@@ -32,9 +32,10 @@
 	return l.listen(address, listenBacklog, accept, false)
 }
 
-// ListenApart is like Listen, for uncounted connections: they are not counted among the loop's open connections, cause
-// no eviction and are never evicted. The caller must bound their number. backlog bounds those that wait to be accepted.
-func (l *Loop) ListenApart(address string, backlog int, accept func(*Conn) Handler) (*Listener, error) {
+// ListenUncounted is like Listen, for uncounted connections: they are not counted among the loop's open connections,
+// cause no eviction and are never evicted. The caller must bound their number. backlog bounds those that wait to be
+// accepted.
+func (l *Loop) ListenUncounted(address string, backlog int, accept func(*Conn) Handler) (*Listener, error) {
 	return l.listen(address, backlog, accept, true)
 }
 
@@ -50,7 +51,7 @@
 		if err == nil {
 			closeFD(fd)
 		}
-		listener.ReusePort = errors.Is(err, unix.EADDRINUSE)
+		listener.AddressShared = errors.Is(err, unix.EADDRINUSE)
 	}
 	listener.fd, err = bindSocket(bound, !uncounted)
 	if err != nil {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -40,10 +40,10 @@
 }
 
 // New returns a loop that is not running yet.
-func New() (*Loop, error) { return NewOn(Linux{}) }
+func New() (*Loop, error) { return NewWithKernel(Linux{}) }
 
-// NewOn is like New, with another implementation of the system calls.
-func NewOn(kernel Kernel) (*Loop, error) {
+// NewWithKernel is like New, with another implementation of the system calls.
+func NewWithKernel(kernel Kernel) (*Loop, error) {
 	poller, err := netpoll.OpenPoller()
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
@@ -83,8 +83,8 @@
 // Open returns the number of open connections from clients and to servers. Uncounted connections are not included.
 func (l *Loop) Open() int { return l.open }
 
-// After registers a function that runs after every callback.
-func (l *Loop) After(fn func()) { l.afterCallback = append(l.afterCallback, fn) }
+// AfterCallback registers a function that runs after every callback.
+func (l *Loop) AfterCallback(fn func()) { l.afterCallback = append(l.afterCallback, fn) }
 
 // Post runs fn on the loop's goroutine. Any goroutine may call it.
 func (l *Loop) Post(fn func()) { l.posts.add(fn) }
@@ -137,14 +137,14 @@
 	}
 }
 
-// runAfterCallback runs the functions that After has registered.
+// runAfterCallback runs the functions that AfterCallback has registered.
 func (l *Loop) runAfterCallback() {
 	for _, fn := range l.afterCallback {
 		fn()
 	}
 }
 
-// finishEvent is called before the first event and after each event. It runs the functions that After has
+// finishEvent is called before the first event and after each event. It runs the functions that AfterCallback has
 // registered and arms the timer.
 func (l *Loop) finishEvent() {
 	l.runAfterCallback()
--- a/internal/loop/socket.go
+++ b/internal/loop/socket.go
@@ -12,8 +12,8 @@
 	return err == nil && socketType == unix.SOCK_STREAM
 }
 
-// CloseAll closes descriptors that the loop does not serve.
-func CloseAll(fds []int) {
+// CloseDescriptors closes descriptors that the loop does not serve.
+func CloseDescriptors(fds []int) {
 	for _, fd := range fds {
 		closeFD(fd)
 	}
--- a/internal/loop/unix.go
+++ b/internal/loop/unix.go
@@ -16,8 +16,8 @@
 // unixBacklog is the maximum number of pending connections of a Unix listener.
 const unixBacklog = 4
 
-// ListenUnix starts to accept connections from this machine at path. They are uncounted, like those of ListenApart. The
-// socket atomically replaces one that is already at the path.
+// ListenUnix starts to accept connections from this machine at path. They are uncounted, like those of ListenUncounted.
+// The socket atomically replaces one that is already at the path.
 func (l *Loop) ListenUnix(path string, accept func(*Conn) Handler) (*Listener, error) {
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -53,7 +53,8 @@
 	for i := range list.Len() {
 		node := list.Node(i)
 		fmt.Fprintf(&text, "node %d name %s zone %s region %s voter %v key %016x watchers %v\n",
-			i, node.Name, node.Zone, node.Region, node.Voter, list.Key(i, (i+1)%list.Len()), list.Watchers(i))
+			i, node.Name, node.Zone, node.Region, node.Voter,
+			list.RendezvousHash(i, (i+1)%list.Len()), list.Watchers(i))
 	}
 	return text.Bytes()
 }
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -109,12 +109,13 @@
 // Voters returns the nodes that are replicas of the replicated log, in ascending order.
 func (l *List) Voters() []int { return l.voters }
 
-// Voter returns a node's index among the voters, or -1 if it is not a voter.
-func (l *List) Voter(i int) int { return slices.Index(l.voters, i) }
+// VoterIndex returns a node's index among the voters, or -1 if it is not a voter.
+func (l *List) VoterIndex(i int) int { return slices.Index(l.voters, i) }
 
-// Key returns a hash of the names of two nodes, for rendezvous hashing. Sorting the other nodes by their keys with one
-// node gives that node's order. All nodes compute the same order for a node, and the order differs from node to node.
-func (l *List) Key(a, b int) uint64 {
+// RendezvousHash returns a hash of the names of two nodes, for rendezvous hashing. Sorting the other nodes by their
+// keys with one node gives that node's order. All nodes compute the same order for a node, and the order differs from
+// node to node.
+func (l *List) RendezvousHash(a, b int) uint64 {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(l.nodes[a].Name)))
 	hash := xxhash.New()
@@ -142,7 +143,7 @@
 	var candidates []candidate
 	for j := range l.nodes {
 		if j != i {
-			candidates = append(candidates, candidate{node: j, key: l.Key(i, j)})
+			candidates = append(candidates, candidate{node: j, key: l.RendezvousHash(i, j)})
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.key, b.key) })
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -17,7 +17,7 @@
 		return err
 	}
 	member := configuration.operator.Fleet
-	if member != nil && newVoter == nil && member.Votes() {
+	if member != nil && newVoter == nil && member.IsVoter() {
 		return ErrVoter
 	}
 	p.readiness.awaitsPolicy = member != nil && member.List.Policy != nil
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -47,6 +47,6 @@
 	}
 	c.node = node
 	c.listen = node.Listen
-	c.admin = node.Mgmt
+	c.admin = node.ManagementAddr
 	return nil
 }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -30,7 +30,7 @@
 func (p *Program) startCore(cluster string, core *edge.Core, servers []edge.ServerEntry) {
 	p.cores = append(p.cores, core)
 	p.coreByCluster[cluster] = core
-	p.loop.After(core.Flush)
+	p.loop.AfterCallback(core.Flush)
 	core.Start(servers)
 }
 
--- a/internal/node/dialrace_test.go
+++ b/internal/node/dialrace_test.go
@@ -38,7 +38,7 @@
 	node := newOperatorNode(t, path, 1)
 	core := node.cores[0]
 	hasDialed := false
-	node.loop.After(func() {
+	node.loop.AfterCallback(func() {
 		if hasDialed || core.InFlightOn("h") == 0 {
 			return
 		}
--- a/internal/node/exchange_test.go
+++ b/internal/node/exchange_test.go
@@ -68,7 +68,7 @@
 	if strings.Contains(first, " reports") {
 		reports = "on_probe"
 	}
-	node := config.Node{Listen: "127.0.0.1:0", Seed: 1, Known: &discovery.List{}}
+	node := config.Node{Listen: "127.0.0.1:0", Seed: 1, KnownServers: &discovery.List{}}
 	node.Settings = decodeSettings(t, "REPORTS", reports)
 	var entries []string
 	for _, name := range listenAll(t, player, text) {
@@ -79,7 +79,7 @@
 	node.Discovery = player.Listen(t, "d")
 	player.Values["d"] = node.Discovery
 	if !strings.Contains(first, " notready") {
-		node.Known = parseList(t, 7, entries...)
+		node.KnownServers = parseList(t, 7, entries...)
 	}
 	program := newProgram(eventLoop)
 	platform, addr, err := program.newPlatform(node, nil)
--- a/internal/node/failedstart_test.go
+++ b/internal/node/failedstart_test.go
@@ -30,7 +30,7 @@
 	dir := filepath.Dir(path)
 	env := func(name string) string { return map[string]string{"GW_CONFIG": path, "TMPDIR": dir}[name] }
 	startOn := func(kernel loop.Kernel) (*loop.Loop, *Program, error) {
-		eventLoop, err := loop.NewOn(kernel)
+		eventLoop, err := loop.NewWithKernel(kernel)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -84,7 +84,7 @@
 		return
 	}
 	// The listener is opened first because only one process can hold it. The process that holds it may open the rest.
-	listener, err := f.loop.ListenApart(f.config.Listen, streamBacklog, f.accept)
+	listener, err := f.loop.ListenUncounted(f.config.Listen, streamBacklog, f.accept)
 	if err != nil {
 		f.retry("fleet_listen_failed", err)
 		return
@@ -221,7 +221,7 @@
 	}
 	f.save()
 	for _, message := range f.agent.TakeMessages() {
-		f.send(f.config.List.Addr[message.To], message.Data)
+		f.send(f.config.List.Addrs[message.To], message.Data)
 	}
 }
 
--- a/internal/node/fleetpolicy.go
+++ b/internal/node/fleetpolicy.go
@@ -42,7 +42,7 @@
 	if platform := f.policy.program.platform; platform != nil {
 		capacity = policy.NodeCapacity{Descriptors: platform.config.Sockets, MemoryMB: platform.config.MemoryMB}
 	}
-	if missing := document.Fits(capacity); missing != "" {
+	if missing := document.UnmetRequirement(capacity); missing != "" {
 		return nil, &policyCapacityError{missing}
 	}
 	return document, nil
@@ -98,7 +98,7 @@
 // policyLease returns the core's lease on a policy, including the rules that apply after it has expired.
 func (f *fleet) policyLease(number uint64, known bool, expires time.Time) edge.Lease {
 	lease := edge.Lease{
-		Number: number, Known: known, Expires: expires, OnDecision: f.admissionRecorder(),
+		PolicyNumber: number, HasDocument: known, Expires: expires, OnDecision: f.admissionRecorder(),
 		RetryAfter: time.Duration(f.config.RetryAfter),
 	}
 	document := f.policy.document
--- a/internal/node/golden_telemetry_test.go
+++ b/internal/node/golden_telemetry_test.go
@@ -26,7 +26,7 @@
 		program.telemetry.trace.Answered("request", true, trace.Stopping)
 	}
 	for range 5 {
-		program.telemetry.trace.Answered("request", true, trace.Reason(choice.ServersCrowded.String()))
+		program.telemetry.trace.Answered("request", true, trace.AnswerReason(choice.ServersCrowded.String()))
 	}
 	begin := time.Unix(1e9, 0)
 	for i := range 6 {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -127,7 +127,7 @@
 	node := config.Node{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:9", Seed: 1}
 	node.Settings = decodeSettings(tb, "REPORTS", "off")
 	if server != "" {
-		node.Known = parseList(tb, 1, fmt.Sprintf(`{"id":"s","addr":%q,"state":"SERVING"}`, server))
+		node.KnownServers = parseList(tb, 1, fmt.Sprintf(`{"id":"s","addr":%q,"state":"SERVING"}`, server))
 	}
 	return node
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	h.listeners[addr] = listener
-	if listener.ReusePort {
+	if listener.AddressShared {
 		h.sharedUntil = time.Now().Add(unlinkedShareTime)
 		zap.L().Warn("listener_shared_without_grant", zap.String("address", addr),
 			zap.Duration("shared_for", unlinkedShareTime))
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -105,7 +105,7 @@
 		},
 		Settings: decodeSettings(t, "REPORTS", "off", `"groupSize":1`, `"groupSize":2`, `"mayTell":false`,
 			`"mayTell":true`),
-		Known: parseList(t, 7, serverEntry("s-1", server, "SERVING")),
+		KnownServers: parseList(t, 7, serverEntry("s-1", server, "SERVING")),
 	}
 	path = hotrestart.Path(t.TempDir(), node.Listen)
 	shared = &sharedNode{t: t, player: player, peer: peer, predecessor: startProcess(t, node, path)}
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -99,7 +99,7 @@
 		watch = discovery.New(o.program.loop, entry.Discovery, nil, watchMode(settings), seed, core.UpdateServers)
 		o.watches[entry.Name] = watch
 	}
-	o.program.startCore(entry.Name, core, entry.StaticHosts(o.startedAt(entry.Name, time.Time{})))
+	o.program.startCore(entry.Name, core, entry.StaticServers(o.startedAt(entry.Name, time.Time{})))
 	return nil
 }
 
@@ -113,7 +113,7 @@
 		}
 	}
 	limits := file.Limits
-	o.program.loop.Limit(limits.Connections-limits.Connections/idleReserveDivisor, limits.Connections, 0)
+	o.program.loop.SetLimits(limits.Connections-limits.Connections/idleReserveDivisor, limits.Connections, 0)
 	o.xmpp = xmpp.New(o.program.loop, domains, xmpp.Limits{
 		MaxStanzaBytes:   limits.StanzaBytes,
 		MaxReplayBytes:   limits.EarlyBytes,
@@ -211,7 +211,7 @@
 // applyStaticServers applies a cluster's static servers. A server that is removed and later added again counts as a new
 // server.
 func (o *operatorFronts) applyStaticServers(core *edge.Core, entry config.Cluster) {
-	servers := entry.StaticHosts(o.startedAt(entry.Name, o.program.loop.Now()))
+	servers := entry.StaticServers(o.startedAt(entry.Name, o.program.loop.Now()))
 	listed := map[string]bool{}
 	for _, server := range servers {
 		listed[serverKey(entry.Name, string(server.ID))] = true
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -53,7 +53,7 @@
 	network.send(1, []byte("answer"))
 	counts := &network.counts
 	limit := time.Now().Add(testTimeout)
-	eventLoop.After(func() {
+	eventLoop.AfterCallback(func() {
 		if len(got) == 2 && counts.unknown == 1 && counts.tooLong == 1 || time.Now().After(limit) {
 			eventLoop.Stop()
 		}
--- a/internal/node/platform.go
+++ b/internal/node/platform.go
@@ -92,7 +92,7 @@
 		OnReady:        func() { p.loop.At(p.loop.Now(), p.onReady) },
 	})
 	platform.front.Adapt(node.Settings.ClassByName, node.Settings.TenantByName, node.Settings.Classes)
-	known := p.restart.initialList(node.Known, node.Discovery)
+	known := p.restart.initialList(node.KnownServers, node.Discovery)
 	mode := watchMode(node.Settings.Settings)
 	platform.listWatch = discovery.New(p.loop, node.Discovery, known, mode, node.Seed, p.listHandler(platform))
 	listener, err := p.restart.listen(node.Listen, platform.front.Accept)
--- a/internal/node/pushed_test.go
+++ b/internal/node/pushed_test.go
@@ -37,7 +37,7 @@
 	}))
 	node := config.Node{Listen: "127.0.0.1:0", Discovery: agent.Listener.Addr().String(), Seed: 1}
 	node.Settings = decodeSettings(t, "REPORTS", "off", "on_request", "pushed")
-	node.Known = parseList(t, 7, `{"id":"s","addr":"`+addr+`","state":"SERVING"}`)
+	node.KnownServers = parseList(t, 7, `{"id":"s","addr":"`+addr+`","state":"SERVING"}`)
 	eventLoop := newLoop(t)
 	program := newProgram(eventLoop)
 	program.readiness.firstListWait = time.Hour
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -33,7 +33,7 @@
 		h.limits.descriptors = defaultDescriptors
 	}
 	h.limits.memoryMB = node.MemoryMB
-	h.program.loop.Limit(0, h.limits.descriptors, int64(h.limits.memoryMB)*bytesPerMB)
+	h.program.loop.SetLimits(0, h.limits.descriptors, int64(h.limits.memoryMB)*bytesPerMB)
 	h.applyQuota()
 }
 
--- a/internal/node/restore.go
+++ b/internal/node/restore.go
@@ -43,7 +43,7 @@
 		},
 		Abort: func() {
 			for _, item := range items {
-				loop.CloseAll(item.FDs)
+				loop.CloseDescriptors(item.FDs)
 			}
 		},
 	}, nil
--- a/internal/operations/admin/admin.go
+++ b/internal/operations/admin/admin.go
@@ -46,7 +46,7 @@
 // Listen starts an admin server at addr and returns it with the address on which it listens.
 func Listen(events *loop.Loop, addr string, answers Answers) (*Server, netip.AddrPort, error) {
 	s := &Server{loop: events, answers: answers}
-	listener, err := events.ListenApart(addr, listenBacklog, s.accept)
+	listener, err := events.ListenUncounted(addr, listenBacklog, s.accept)
 	if err != nil {
 		return nil, netip.AddrPort{}, fmt.Errorf("admin server: %w", err)
 	}
--- a/internal/operations/hotrestart/golden_test.go
+++ b/internal/operations/hotrestart/golden_test.go
@@ -133,7 +133,7 @@
 		fd, _ := socketPair(t)
 		fds = append(fds, fd)
 	}
-	t.Cleanup(func() { loop.CloseAll(fds) })
+	t.Cleanup(func() { loop.CloseDescriptors(fds) })
 	return fds
 }
 
@@ -176,7 +176,7 @@
 	if !bytes.Equal(got, want) {
 		t.Fatalf("receive %v: got %q, want %q", names, got, want)
 	}
-	t.Cleanup(func() { loop.CloseAll(fds) })
+	t.Cleanup(func() { loop.CloseDescriptors(fds) })
 	return fds
 }
 
@@ -296,7 +296,7 @@
 	end := func(call string) func() {
 		return func() {
 			h.calls += call
-			loop.CloseAll(fds)
+			loop.CloseDescriptors(fds)
 		}
 	}
 	return PreparedBatch{Commit: end("committed "), Abort: end("aborted ")}, nil
--- a/internal/operations/hotrestart/handshake.go
+++ b/internal/operations/hotrestart/handshake.go
@@ -72,13 +72,13 @@
 	}
 	received, descriptors, err := h.receiveLine()
 	if err != nil {
-		loop.CloseAll(descriptors)
+		loop.CloseDescriptors(descriptors)
 		return nil, err
 	}
 	line, unread, _ := bytes.Cut(received, []byte("\n"))
 	grant, err := parseGrant(line, descriptors)
 	if err != nil {
-		loop.CloseAll(descriptors)
+		loop.CloseDescriptors(descriptors)
 		return nil, err
 	}
 	grant.fd = h.fd
--- a/internal/operations/hotrestart/transfer_successor.go
+++ b/internal/operations/hotrestart/transfer_successor.go
@@ -73,7 +73,7 @@
 	}
 	if err != nil {
 		zap.L().Warn("batch_rejected", zap.Error(err))
-		loop.CloseAll(descriptors)
+		loop.CloseDescriptors(descriptors)
 		l.send(message{Kind: kindBatchRejected})
 		return
 	}
@@ -125,6 +125,6 @@
 // closeUnassigned closes the descriptors of a batch that was not received completely. Descriptors may be received with
 // the bytes of earlier messages, so only the end of the link shows that no batch for them follows.
 func (l *link) closeUnassigned() {
-	loop.CloseAll(l.incoming.descriptors)
+	loop.CloseDescriptors(l.incoming.descriptors)
 	l.incoming.descriptors = nil
 }
--- a/internal/operations/hotrestart/transfer_test.go
+++ b/internal/operations/hotrestart/transfer_test.go
@@ -94,7 +94,7 @@
 		t.Error("outcomes of Transfer: got a second one, want exactly one")
 	default:
 	}
-	loop.CloseAll([]int{fd})
+	loop.CloseDescriptors([]int{fd})
 	if nearEndOpen(t, far) {
 		t.Error("near end of the connection: got open, want closed")
 	}
@@ -219,7 +219,7 @@
 			end := func(call string) func() {
 				return func() {
 					*calls += call
-					loop.CloseAll(items[0].FDs)
+					loop.CloseDescriptors(items[0].FDs)
 				}
 			}
 			return PreparedBatch{Commit: end("committed"), Abort: end("aborted")}, nil
@@ -270,7 +270,7 @@
 	transcript.WaitFor(t, "all descriptors closed", func() bool {
 		return countDescriptors(t) <= before-2 // the two ends of the link are closed too
 	})
-	loop.CloseAll(near)
+	loop.CloseDescriptors(near)
 	for _, farEnd := range far {
 		if nearEndOpen(t, farEnd) {
 			t.Error("near end of a connection: got open, want closed")
@@ -315,7 +315,7 @@
 		return accepts && descriptors == 9
 	})
 	fd, _ := socketPair(t)
-	t.Cleanup(func() { loop.CloseAll([]int{fd}) })
+	t.Cleanup(func() { loop.CloseDescriptors([]int{fd}) })
 	accepted := make(chan bool, 2)
 	onLoop(func() {
 		parent.Transfer([]TransferItem{{[]int{fd}, []byte("state")}}, func(ok bool) { accepted <- ok })
--- a/internal/plan/fleet/fleet.go
+++ b/internal/plan/fleet/fleet.go
@@ -169,7 +169,7 @@
 func Parse(path string, source []byte) (*Fleet, error) {
 	f := &Fleet{}
 	file := tomlfile.Decode(path, source, f)
-	if !file.Broken() {
+	if !file.HasFaults() {
 		f.setDefaults(file)
 		f.validate(file)
 	}
--- a/internal/platform/discovery/outage_test.go
+++ b/internal/platform/discovery/outage_test.go
@@ -223,7 +223,7 @@
 			o.restore()
 		}()
 	}
-	eventLoop.After(core.Flush)
+	eventLoop.AfterCallback(core.Flush)
 	core.Start(nil)
 	runLoop(o.t, eventLoop)
 	restored := <-o.restored
--- a/internal/platform/downstream/client.go
+++ b/internal/platform/downstream/client.go
@@ -190,7 +190,7 @@
 }
 
 // finish writes a last line to the client and closes the connection.
-func (c *client) finish(lastLine []byte, by invariant.Ending, cause trace.Close) {
+func (c *client) finish(lastLine []byte, by invariant.ClosedBy, cause trace.CloseReason) {
 	if c.closed {
 		return
 	}
@@ -200,14 +200,14 @@
 }
 
 // drop closes a connection without a last line. No request of its client may be waiting for the node's reply.
-func (c *client) drop(cause trace.Close) {
+func (c *client) drop(cause trace.CloseReason) {
 	c.close(invariant.ByClient, cause)
 	c.conn.End()
 }
 
 // close marks the client closed and reports the end of its connection to the core, whose invariant monitor checks that
 // no reply is outstanding.
-func (c *client) close(by invariant.Ending, cause trace.Close) {
+func (c *client) close(by invariant.ClosedBy, cause trace.CloseReason) {
 	if c.request != nil {
 		c.request.ConnectionClosed(by, cause)
 	} else {
--- a/internal/platform/downstream/testnode_test.go
+++ b/internal/platform/downstream/testnode_test.go
@@ -60,7 +60,7 @@
 // newTestNodeOnKernel is newTestNode with a kernel that a test supplies.
 func newTestNodeOnKernel(t *testing.T, kernel loop.Kernel, servers int, changes ...string) *testNode {
 	t.Helper()
-	eventLoop, err := loop.NewOn(kernel)
+	eventLoop, err := loop.NewWithKernel(kernel)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	for index := range servers {
 		entries = append(entries, node.startServer(choice.ServerID(fmt.Sprint("h", index))))
 	}
-	eventLoop.After(node.core.Flush)
+	eventLoop.AfterCallback(node.core.Flush)
 	node.core.Start(entries)
 	node.run()
 	return node
@@ -237,7 +237,7 @@
 func (n *testNode) onNextDial(frontClient *client, fn func()) {
 	n.onLoop(func() {
 		last := frontClient.server
-		n.loop.After(func() {
+		n.loop.AfterCallback(func() {
 			if frontClient.server != last {
 				last = frontClient.server
 				fn()
--- a/internal/platform/downstream/transfer.go
+++ b/internal/platform/downstream/transfer.go
@@ -120,7 +120,7 @@
 	request, attempt := core.Adopt(open, restored)
 	restored.request = request
 	restored.server = f.upstream.Restore(attempt, fds[1], *state.Server, restored)
-	attempt.Resume(restored.server)
+	attempt.SetUpstream(restored.server)
 	restored.conn = f.loop.Restore(fds[0], state.Conn, restored)
 	// Reading resumes on each side unless bytes still wait to be written to the other side.
 	if len(state.Conn.Out) == 0 {
--- a/internal/policy/compatibility.go
+++ b/internal/policy/compatibility.go
@@ -49,9 +49,9 @@
 	MemoryMB    int // megabytes
 }
 
-// Fits returns the reason why a node can't apply a document, or an empty string if it can. An unknown resource of the
-// node is never such a reason.
-func (d *Document) Fits(node NodeCapacity) string {
+// UnmetRequirement returns the reason why a node can't apply a document, or an empty string if it can. An unknown
+// resource of the node is never such a reason.
+func (d *Document) UnmetRequirement(node NodeCapacity) string {
 	required := d.Requirements
 	switch {
 	case node.Descriptors > 0 && required.Descriptors > node.Descriptors:
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -149,10 +149,10 @@
 // leader's notice, and the canary in a call that proposes a change.
 func TestGoldenMessages(t *testing.T) {
 	status := MemberStatus{
-		Entry: 11, Verdict: VerdictReject, Reason: "no room", KnownNumber: 12, ServedNumber: 13, MayServe: true,
+		Entry: 11, Verdict: VerdictReject, Reason: "no room", KnownNumber: 12, AppliedNumber: 13, MayServe: true,
 		Arrived: 1400.5, Rejected: 15.25,
 	}
-	notice := LeaderNotice{Entry: 21, InForce: 22, OnTrial: 23, Window: 5000}
+	notice := LeaderNotice{Entry: 21, InForce: 22, CanaryNumber: 23, Window: 5000}
 	canary := Canary{Zone: "zone-a", OneIn: 5, Seconds: 30.5, MaxExtraRejections: 0.25}
 	for _, test := range []struct {
 		file       string
@@ -164,12 +164,12 @@
 	} {
 		requireSet(t, test.file, reflect.ValueOf(test.value))
 		raw := readGolden(t, test.file, consensus.Encode(test.value))
-		if err := consensus.Unmarshal(raw, test.got); err != nil {
-			t.Errorf("%s: Unmarshal: %v", test.file, err)
+		if err := consensus.Decode(raw, test.got); err != nil {
+			t.Errorf("%s: Decode: %v", test.file, err)
 			continue
 		}
 		if !reflect.DeepEqual(test.got, test.value) {
-			t.Errorf("%s: Unmarshal: got %+v, want %+v", test.file, test.got, test.value)
+			t.Errorf("%s: Decode: got %+v, want %+v", test.file, test.got, test.value)
 		}
 		if again := consensus.Encode(test.value); !bytes.Equal(again, raw) {
 			t.Errorf("%s: Encode: got %x, want %x", test.file, again, raw)
--- a/internal/policy/member.go
+++ b/internal/policy/member.go
@@ -15,15 +15,15 @@
 // MemberStatus is a member's report to the leader about the policy: its acknowledgement of the change in progress, the
 // number of the document that it applies, and its traffic.
 type MemberStatus struct {
-	_            struct{} `cbor:",toarray"`
-	Entry        uint64   // newest log entry with a State that is on the member's disk
-	Verdict      Verdict  // the member's verdict on the change in that entry
-	Reason       string   // why the verdict is VerdictReject
-	KnownNumber  uint64   // number in force according to the newest state on the member's disk
-	ServedNumber uint64   // number of the document that the member applies
-	MayServe     bool     // the member has a lease and the document
-	Arrived      float64  // requests since the process started
-	Rejected     float64  // requests among these that were rejected or failed
+	_             struct{} `cbor:",toarray"`
+	Entry         uint64   // newest log entry with a State that is on the member's disk
+	Verdict       Verdict  // the member's verdict on the change in that entry
+	Reason        string   // why the verdict is VerdictReject
+	KnownNumber   uint64   // number in force according to the newest state on the member's disk
+	AppliedNumber uint64   // number of the document that the member applies
+	MayServe      bool     // the member has a lease and the document
+	Arrived       float64  // requests since the process started
+	Rejected      float64  // requests among these that were rejected or failed
 }
 
 // Member is one node of the list, as the leader knows it.
@@ -43,7 +43,7 @@
 
 // serves reports whether the member applies the document with a number.
 func (m *Member) serves(number uint64) bool {
-	return m.Status.MayServe && m.Status.ServedNumber == number
+	return m.Status.MayServe && m.Status.AppliedNumber == number
 }
 
 // acknowledgements summarizes the members' verdicts on a change.
--- a/internal/policy/rollout_test.go
+++ b/internal/policy/rollout_test.go
@@ -33,7 +33,7 @@
 
 // TestRolloutAcknowledgements checks how the members' acknowledgements decide about a change in the checking stage.
 func TestRolloutAcknowledgements(t *testing.T) {
-	accept := MemberStatus{Entry: 7, Verdict: VerdictAccept, KnownNumber: 4, ServedNumber: 4, MayServe: true}
+	accept := MemberStatus{Entry: 7, Verdict: VerdictAccept, KnownNumber: 4, AppliedNumber: 4, MayServe: true}
 	reject := MemberStatus{Entry: 7, Verdict: VerdictReject, Reason: "room"}
 	older := MemberStatus{Entry: 6, Verdict: VerdictAccept}
 	for _, test := range []struct {
@@ -105,8 +105,8 @@
 	} {
 		state := proposedState(t, Canary{Zone: "z", Seconds: 3, MaxExtraRejections: 0.05}).StartCanary()
 		rollout := NewRollout(Rules{Window: 5 * time.Second, AnswerTimeout: 10 * time.Second})
-		inCanary := MemberStatus{Entry: 8, Verdict: VerdictAccept, ServedNumber: test.serves, MayServe: true}
-		elsewhere := MemberStatus{Entry: 8, Verdict: VerdictAccept, ServedNumber: 4, MayServe: true}
+		inCanary := MemberStatus{Entry: 8, Verdict: VerdictAccept, AppliedNumber: test.serves, MayServe: true}
+		elsewhere := MemberStatus{Entry: 8, Verdict: VerdictAccept, AppliedNumber: 4, MayServe: true}
 		outcome := "waits"
 		for at := time.Minute; at < time.Minute+20*time.Second && outcome == "waits"; at += 500 * time.Millisecond {
 			next := rollout.Step(at, 8, state, validDocument(), []Member{
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -95,7 +95,7 @@
 	if len(encoded) == 0 {
 		return state, nil
 	}
-	if err := consensus.Unmarshal(encoded, state); err != nil {
+	if err := consensus.Decode(encoded, state); err != nil {
 		return nil, fmt.Errorf("policy: %w", err)
 	}
 	if !state.isConsistent() {
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -13,7 +13,7 @@
 // golden file.
 func TestGoldenReasons(t *testing.T) {
 	var recorder Recorder
-	for i, reason := range []Close{
+	for i, reason := range []CloseReason{
 		ClientEnded, ClientReset, ClientBrokeProtocol, ClientTimedOut, ClientEvicted, ServerEnded, ServerReset,
 		ServerServed, NodeAnswered, NodeStopping, NodeMigratedClient, Transferred,
 	} {
@@ -26,9 +26,9 @@
 			recorder.Retried("request", outcome)
 		}
 	}
-	for i, reason := range []Reason{
+	for i, reason := range []AnswerReason{
 		Stopping, NoFileDescriptor, NoPolicy, IDInUse, ServerLost, PastDeadline, Unreachable,
-		LostByBalancer, UnsafeToReject,
+		BalancerTimedOut, UnsafeToReject,
 	} {
 		for range 31 + i {
 			recorder.Answered("request", i%2 == 0, reason)
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -14,9 +14,9 @@
 
 // Recorder counts reasons and logs the state changes of requests. The zero Recorder is ready for use.
 type Recorder struct {
-	closes  map[Close]uint64
+	closes  map[CloseReason]uint64
 	retries map[choice.Outcome]uint64 // by the outcome of the attempt before the retry
-	answers map[Reason]uint64
+	answers map[AnswerReason]uint64
 }
 
 // increment adds one to the counter of a key. It creates the map if there is none yet.
@@ -79,7 +79,7 @@
 
 // Answered records that the node gives an answer of its own. rejected means that the answer promises that a retry is
 // harmless.
-func (r *Recorder) Answered(request string, rejected bool, reason Reason) {
+func (r *Recorder) Answered(request string, rejected bool, reason AnswerReason) {
 	increment(&r.answers, reason)
 	if entry := debugEntry("request_answered"); entry != nil {
 		entry.Write(zap.String("request", request), zap.Bool("refused", rejected), zap.String("reason", string(reason)))
@@ -87,7 +87,7 @@
 }
 
 // Closed records why a client's connection ended. request is empty if the client had sent no request.
-func (r *Recorder) Closed(request string, reason Close) {
+func (r *Recorder) Closed(request string, reason CloseReason) {
 	increment(&r.closes, reason)
 	if entry := debugEntry("connection_closed"); entry != nil {
 		entry.Write(zap.String("request", request), zap.String("reason", string(reason)))
--- a/internal/xmpp/session.go
+++ b/internal/xmpp/session.go
@@ -182,7 +182,7 @@
 }
 
 // end writes the given markup to the client as the last bytes and ends both sides.
-func (s *clientSession) end(markup string, reason trace.Close) {
+func (s *clientSession) end(markup string, reason trace.CloseReason) {
 	isResumable := s.key.ID != ""
 	s.finish(reason)
 	s.client.Write([]byte(markup))
@@ -198,7 +198,7 @@
 }
 
 // finish marks the session as finished and frees its resources.
-func (s *clientSession) finish(reason trace.Close) {
+func (s *clientSession) finish(reason trace.CloseReason) {
 	s.finished = true
 	s.recordClose(reason)
 	s.front.recordDisconnected(s, s.received.ended)
@@ -210,7 +210,7 @@
 }
 
 // recordClose records why the client's connection ends.
-func (s *clientSession) recordClose(reason trace.Close) {
+func (s *clientSession) recordClose(reason trace.CloseReason) {
 	if s.front.Trace == nil {
 		return
 	}
--- a/internal/xmpp/streamerror.go
+++ b/internal/xmpp/streamerror.go
@@ -32,12 +32,12 @@
 )
 
 // closeReason returns the reason under which the trace counts a close by this stream error.
-func (c condition) closeReason() trace.Close {
-	return trace.Close("stream_error_" + strings.ReplaceAll(string(c), "-", "_"))
+func (c condition) closeReason() trace.CloseReason {
+	return trace.CloseReason("stream_error_" + strings.ReplaceAll(string(c), "-", "_"))
 }
 
 // localReplies maps each reason for a rejection by the core to a stream error.
-var localReplies = map[edge.Why]struct {
+var localReplies = map[edge.ReplyCause]struct {
 	condition condition
 	text      string
 }{
@@ -50,7 +50,7 @@
 
 // LocalReply gives the session its final answer from this node instead of from a server.
 func (s *clientSession) LocalReply(reply edge.LocalReply) {
-	streamError, known := localReplies[reply.Why]
+	streamError, known := localReplies[reply.Cause]
 	if !known || !reply.Rejected {
 		streamError.condition = internalServerError
 		streamError.text = ""
--- a/internal/xmpp/transfer.go
+++ b/internal/xmpp/transfer.go
@@ -241,7 +241,7 @@
 		partialStanzaForwarded: state.Server.MidStanza,
 	}
 	session.upstream.conn = f.loop.Restore(fds[1], state.Server.Conn, session.upstream)
-	session.attempt.Resume(session.upstream)
+	session.attempt.SetUpstream(session.upstream)
 	if state.Resumable != nil {
 		session.user = state.Resumable.User
 		session.recordConnected(*state.Resumable)
